--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use eyre::{Result, WrapErr as _};
-use ironmast_mesh::Mesh;
 use ironmast_overlay::Role;
+use ironmast_overlay_transport::Mesh;
 use ironmast_schema::settings::{InternalPort, Settings};
 use slog::{Logger, info};
 use tokio::signal::unix::{SignalKind, signal};
--- a/crates/proxy/src/config.rs
+++ b/crates/client-proxy/src/config.rs
@@ -43,7 +43,7 @@
 
 /// What to do next where nothing is told.
 const NO_CONFIG: &str = "GW_CONFIG is not set: set it to the path of the proxy's JSON file \
-    (docs/operators/configuration.md), or see proxies at work: `cargo build --release && target/release/ironmast-lab demo`";
+    (docs/operators/configuration.md), or see proxies at work: `cargo build --release && target/release/ironmast-testbed demo`";
 
 /// The file as it is written.
 #[derive(Deserialize)]
--- a/crates/proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -5,14 +5,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+use ironmast_admin::admin::Admin;
+use ironmast_admin::call::{Call, Reply};
+use ironmast_admin::link;
+use ironmast_admin::listing::{Entry, News};
 use ironmast_balancer::{
     Action, Balancer, Event, Listing, Micros, Outcome, Phase, Request, RequestId, Scope, ServerId, Settings,
     Settled,
 };
-use ironmast_operations::admin::Admin;
-use ironmast_operations::call::{Call, Reply};
-use ironmast_operations::link;
-use ironmast_operations::listing::{Entry, News};
 use ironmast_transport::clock::Clock;
 use slog::{Logger, debug, info, warn};
 use tokio::sync::{mpsc, oneshot};
--- a/crates/proxy/src/handover.rs
+++ b/crates/client-proxy/src/handover.rs
@@ -1,6 +1,6 @@
 //! The way from an old process to its successor: a Unix socket in `$TMPDIR` on which the listening sockets
 //! themselves are passed, and the file that keeps servers out of use. What is said is
-//! `ironmast_operations::link`, who serves when is `ironmast_operations::replacement`.
+//! `ironmast_admin::link`, who serves when is `ironmast_admin::replacement`.
 //!
 //! A platform without `$TMPDIR` or without Unix sockets costs one line of the log, and each process goes alone.
 
@@ -14,8 +14,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use ironmast_operations::admin::Bans;
-use ironmast_operations::link::{self, LINE_MOST, Message, VERSION};
+use ironmast_admin::admin::Bans;
+use ironmast_admin::link::{self, LINE_MOST, Message, VERSION};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
--- a/crates/proxy/src/message.rs
+++ b/crates/client-proxy/src/message.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+use ironmast_admin::admin::{Bans, Change};
+use ironmast_admin::call::{Call, Reply};
+use ironmast_admin::listing::News;
 use ironmast_balancer::{ClassId, LoadReport, Micros, Outcome, RequestId, ServerId, TenantId};
-use ironmast_operations::admin::{Bans, Change};
-use ironmast_operations::call::{Call, Reply};
-use ironmast_operations::listing::News;
 use ironmast_transport::bodies::{Body, Inflow};
 pub use ironmast_transport::request_body::RequestBody as Sent;
 use serde_json::Value;
--- a/crates/proxy/src/ops.rs
+++ b/crates/client-proxy/src/ops.rs
@@ -1,11 +1,11 @@
-//! Operators' calls: one line in, one line out. Sockets only; what a line means is `ironmast_operations::call`.
+//! Operators' calls: one line in, one line out. Sockets only; what a line means is `ironmast_admin::call`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
 
-use ironmast_operations::call::{self, LINE_MOST, Reply};
+use ironmast_admin::call::{self, LINE_MOST, Reply};
 use slog::{Logger, debug, warn};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 use actix_rt::task::JoinHandle;
+use ironmast_admin::admin::{Admin, Bans};
+use ironmast_admin::link;
+use ironmast_admin::replacement::{Action, Event, Replacement};
 use ironmast_balancer::Balancer;
-use ironmast_operations::admin::{Admin, Bans};
-use ironmast_operations::link;
-use ironmast_operations::replacement::{Action, Event, Replacement};
 use ironmast_transport::bodies::Held;
 use ironmast_transport::client::client;
 use ironmast_transport::clock::Clock;
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -20,8 +20,8 @@
 use std::time::{Duration, Instant};
 
 use eyre::{Result, WrapErr as _};
-use ironmast_mesh::Mesh;
 use ironmast_overlay::Role;
+use ironmast_overlay_transport::Mesh;
 use ironmast_schema::control::Entry;
 use ironmast_schema::settings::{InternalPort, Settings, SettingsError};
 use slog::{Logger, info};
--- a/crates/coordinator/src/resolve.rs
+++ b/crates/coordinator/src/resolve.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use ironmast_catalog::Gate;
+use ironmast_endpoints::Gate;
 use ironmast_schema::configuration::Configuration;
 use ironmast_schema::control::GatePresence;
 use serde::{Deserialize, Serialize};
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ironmast_catalog::{Catalog, Merged, Micros, Patience};
-use ironmast_mesh::Mesh;
+use ironmast_endpoints::{Catalog, Merged, Micros, Patience};
+use ironmast_overlay_transport::Mesh;
 use ironmast_register::{Operation, State as RegisterState};
 use ironmast_schema::configuration::Configuration;
 use ironmast_schema::control::{ControlState, Entry, FromCoordinator, Key, ToCoordinator, Value};
--- a/crates/catalog/tests/simulation/world.rs
+++ b/crates/endpoints/tests/simulation/world.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use ironmast_catalog::{Catalog, Merged, Micros, Patience};
+use ironmast_endpoints::{Catalog, Merged, Micros, Patience};
 use ironmast_schema::control::{Entry, InstanceRecord, Key, Standing, Value};
 use ironmast_schema::registration::{Heartbeat, InstanceState};
 use rand::{RngExt as _, SeedableRng as _};
--- a/crates/gate/tests/answers.rs
+++ b/crates/gate/tests/answers.rs
@@ -10,7 +10,7 @@
 use std::process::Command;
 use std::rc::Rc;
 
-use ironmast_stage::failing::{Act, Asked, Connection, Failure, GATE, acts, body_of, events};
+use ironmast_fault_injection::failing::{Act, Asked, Connection, Failure, GATE, acts, body_of, events};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use support::{ELSEWHERE, HERE, Stage, play};
--- a/crates/gate/tests/failing_servers.rs
+++ b/crates/gate/tests/failing_servers.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use ironmast_stage::failing::{
+use ironmast_fault_injection::failing::{
     Ask, Connection, Ending, FailingServer, Failure, GATE, Received, RequestBody, ask, events,
 };
 use support::{ELSEWHERE, HERE, Stage, play};
--- a/crates/proxy/src/main.rs
+++ b/crates/ironmast/src/main.rs
@@ -1,30 +1,15 @@
-//! The client proxy's command line.
-//!
-//! `listener`, `upstream`, `discovery`, `peers` and `ops` own the sockets and speak to `driver` through the queues
-//! of `message`; `driver` alone owns the decision module. `handover` is the way to the process that replaces this.
-//! `config` holds what the program is told, and `serve` puts it all together. The connections themselves are kept by
-//! `ironmast_transport`.
+//! The command line of `ironmast`: the client proxy (`run`, `check-config`) and the roles of the system.
 #![forbid(unsafe_code)]
 
-mod config;
-mod discovery;
-mod driver;
-mod handover;
-mod listener;
 mod logging;
-mod members;
-mod message;
-mod ops;
-mod peers;
-mod serve;
 mod system;
-mod upstream;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use config::Config;
+use ironmast_client_proxy::config::Config;
+use ironmast_client_proxy::serve;
 use logging::{LogFormat, LogLevel};
 
 /// A client proxy with zone-first routing: own zone while a usable server is there, else the whole fleet.
--- a/crates/proxy/tests/failing_servers.rs
+++ b/crates/ironmast/tests/failing_servers.rs
@@ -5,7 +5,7 @@
 #[allow(dead_code)]
 mod stage;
 
-use ironmast_stage::failing::{
+use ironmast_fault_injection::failing::{
     Ask, Connection, Ending, FailingServer, Failure, IN_SERVICE, Received, RequestBody, ask,
 };
 use stage::Stage;
--- a/crates/proxy/tests/faults.rs
+++ b/crates/ironmast/tests/faults.rs
@@ -5,11 +5,11 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use ironmast_stage::fault::{Fault, Kind, Schedule};
-use ironmast_stage::load::{Outcome, Report, Shape};
-use ironmast_stage::process::Sent;
-use ironmast_stage::stage::{Layout, Stage};
-use ironmast_stage::verdict;
+use ironmast_fault_injection::fault::{Fault, Kind, Schedule};
+use ironmast_fault_injection::load::{Outcome, Report, Shape};
+use ironmast_fault_injection::process::Sent;
+use ironmast_fault_injection::stage::{Layout, Stage};
+use ironmast_fault_injection::verdict;
 
 /// `servers` pay servers in the proxies' zone, `proxies` proxies, every link through a relay under `faults`.
 fn stage(servers: usize, proxies: usize, faults: Vec<Fault>) -> Stage {
--- a/crates/proxy/tests/silent_zone.rs
+++ b/crates/ironmast/tests/silent_zone.rs
@@ -1,7 +1,7 @@
 //! A zone that gives no sign, or is slow, or comes and goes: the scenarios of `scenarios/stage/` played with several
 //! real proxies, each judged by its own `[expect]` table and by the pay servers' execution record.
 
-use ironmast_stage::scenario::{play, read};
+use ironmast_fault_injection::scenario::{play, read};
 
 /// Plays a scenario and tells what does not hold.
 fn failings(text: &str) -> Option<String> {
--- a/crates/limits/examples/permit_study.rs
+++ b/crates/keyed-ownership/examples/permit_study.rs
@@ -1,9 +1,9 @@
 //! What permits cost, against an owner that sees every gate; with `split`, by the part of the bound that is divided
 //! among the gates; with `hunt N`, N seeds a size under faults instead.
 //!
-//! `cargo run --release -p ironmast-limits --example permit_study`
-//! `cargo run --release -p ironmast-limits --example permit_study -- split`
-//! `cargo run --release -p ironmast-limits --example permit_study -- hunt 1000`
+//! `cargo run --release -p ironmast-keyed-ownership --example permit_study`
+//! `cargo run --release -p ironmast-keyed-ownership --example permit_study -- split`
+//! `cargo run --release -p ironmast-keyed-ownership --example permit_study -- hunt 1000`
 
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
--- a/crates/limits/src/client.rs
+++ b/crates/keyed-ownership/src/client.rs
@@ -8,8 +8,8 @@
 use crate::message::{Ask, Grant, Message, Return, Settled};
 use crate::terms::Terms;
 use crate::view::{GateId, Key, Token, View};
-use crate::wait::Wait;
-use crate::window::Exact;
+use ironmast_limits::Wait;
+use ironmast_limits::window::Exact;
 
 #[cfg(test)]
 mod tests;
--- a/crates/limits/src/client/tests.rs
+++ b/crates/keyed-ownership/src/client/tests.rs
@@ -8,7 +8,7 @@
 use crate::message::{Ask, Grant, Message, Settled};
 use crate::terms::Terms;
 use crate::view::{GateId, Token, View};
-use crate::wait::Wait;
+use ironmast_limits::Wait;
 
 type Actions = Vec<Action<String>>;
 
--- a/crates/limits/src/permits.rs
+++ b/crates/keyed-ownership/src/permits.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use crate::client::{Action, Client, Event};
-use crate::retry::{RetryBudget, RetryTerms};
-use crate::share::ColdLimiter;
 use crate::terms::{Split, Terms};
 use crate::view::{GateId, Key};
-use crate::wait::Wait;
+use ironmast_limits::Wait;
+use ironmast_limits::retry::{RetryBudget, RetryTerms};
+use ironmast_limits::share::ColdLimiter;
 
 /// The permissions of one gate for requests to cold servers, by instance.
 #[derive(Clone, Debug)]
--- a/crates/limits/src/terms.rs
+++ b/crates/keyed-ownership/src/terms.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::share::{COLD_SPAN, FLIGHT};
+use ironmast_limits::share::{COLD_SPAN, FLIGHT};
 
 #[cfg(test)]
 mod tests;
--- a/crates/limits/tests/simulation/messages.rs
+++ b/crates/keyed-ownership/tests/simulation/messages.rs
@@ -1,8 +1,8 @@
 //! Messages between gates, and what owners and clients want done.
 
-use ironmast_limits::client::{Action as ClientAction, Event as ClientEvent};
-use ironmast_limits::owner::{Action as OwnerAction, Event as OwnerEvent};
-use ironmast_limits::{GateId, Instance, Message};
+use ironmast_keyed_ownership::client::{Action as ClientAction, Event as ClientEvent};
+use ironmast_keyed_ownership::owner::{Action as OwnerAction, Event as OwnerEvent};
+use ironmast_keyed_ownership::{GateId, Instance, Message};
 
 use super::network::{Happening, way};
 use super::node::number;
--- a/crates/limits/tests/simulation/network.rs
+++ b/crates/keyed-ownership/tests/simulation/network.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-use ironmast_limits::{Instance, Message, View};
+use ironmast_keyed_ownership::{Instance, Message, View};
 use rand::RngExt as _;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
--- a/crates/limits/tests/simulation/node.rs
+++ b/crates/keyed-ownership/tests/simulation/node.rs
@@ -4,8 +4,9 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use ironmast_limits::client::{Action as ClientAction, Event};
-use ironmast_limits::{Confirmation, GateId, Instance, Owner, Permits, RetryPermits, Split, Wait};
+use ironmast_keyed_ownership::client::{Action as ClientAction, Event};
+use ironmast_keyed_ownership::{Confirmation, GateId, Instance, Owner, Permits, RetryPermits, Split};
+use ironmast_limits::Wait;
 
 use super::network::region;
 use super::play::{Play, Subject};
--- a/crates/limits/tests/simulation/play.rs
+++ b/crates/keyed-ownership/tests/simulation/play.rs
@@ -1,6 +1,7 @@
 //! What one run plays: sizes, load, faults and the terms that the gates go by.
 
-use ironmast_limits::{RetryTerms, Terms};
+use ironmast_keyed_ownership::Terms;
+use ironmast_limits::RetryTerms;
 
 use super::{MS, Micros};
 
--- a/crates/limits/tests/simulation/views.rs
+++ b/crates/keyed-ownership/tests/simulation/views.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use ironmast_limits::client::Event as ClientEvent;
-use ironmast_limits::owner::Event as OwnerEvent;
-use ironmast_limits::{Confirmation, Confirmed, GateId, Outcome, Proposer, View};
+use ironmast_keyed_ownership::client::Event as ClientEvent;
+use ironmast_keyed_ownership::owner::Event as OwnerEvent;
+use ironmast_keyed_ownership::{Confirmation, Confirmed, GateId, Outcome, Proposer, View};
 use rand::RngExt as _;
 
 use super::network::{Happening, way};
--- a/crates/limits/tests/simulation/world.rs
+++ b/crates/keyed-ownership/tests/simulation/world.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use ironmast_limits::{GateId, View, Witness};
+use ironmast_keyed_ownership::{GateId, View, Witness};
 use rand::SeedableRng as _;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
--- a/crates/drill/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::process::ExitCode;
 
-use ironmast_drill::Host;
+use ironmast_simulator_adapter::Host;
 
 fn main() -> ExitCode {
     let input = io::BufReader::with_capacity(1 << 18, io::stdin().lock());
@@ -11,7 +11,7 @@
     match Host::new().run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("ironmast-drill: {error}");
+            eprintln!("ironmast-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/drill/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire: every event and action, odd but legal input, and plain words for what is malformed.
 
-use ironmast_drill::Host;
+use ironmast_simulator_adapter::Host;
 
 const CREATE: &str = "CREATE\t3\t77\tbalancers=2\tclasses.count=2\tclasses.0.name=status\tclasses.0.objective=200000\t\
     classes.0.hard_limit=1000000\tclasses.0.effect=free\tclasses.0.worth=2.0\tclasses.1.name=submit\t\
--- a/crates/lab/src/files.rs
+++ b/crates/testbed/src/files.rs
@@ -25,7 +25,7 @@
 /// Makes sure that a folder is there and takes files.
 pub fn folder(path: &Path) -> Result<(), String> {
     std::fs::create_dir_all(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let probe = path.join(".ironmast-lab");
+    let probe = path.join(".ironmast-testbed");
     let written = std::fs::write(&probe, b"").and_then(|()| std::fs::remove_file(&probe));
     written.map_err(|e| format!("{}: {e}", path.display()))
 }
--- a/crates/lab/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -431,7 +431,7 @@
     found.sort_by_key(|f| f.0);
     for (seed, scenario, finding) in &found {
         let path = hunt.out.join(format!("found-{seed}.toml"));
-        let command = format!("ironmast-lab emulate FILE --seed {seed} --policy {}", hunt.policy.name());
+        let command = format!("ironmast-testbed emulate FILE --seed {seed} --policy {}", hunt.policy.name());
         files::write(&path, &format!("# {finding}\n# {command}\n{}", scenario.write()))?;
         println!("seed {seed}: {finding}: {}", path.display());
     }
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -155,7 +155,7 @@
     match run(Cli::parse().command) {
         Ok(code) => code,
         Err(problem) => {
-            eprintln!("ironmast-lab: {problem}");
+            eprintln!("ironmast-testbed: {problem}");
             ExitCode::from(2)
         }
     }
--- a/crates/lab/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -1,4 +1,4 @@
-//! `ironmast-lab membership`: the membership protocol in simulated time at a tier's size and a share of loss.
+//! `ironmast-testbed membership`: the membership protocol in simulated time at a tier's size and a share of loss.
 //!
 //! Three phases: 10 s of quiet to join; `seconds` at `loss` (each datagram lost with that chance, from a hash of
 //! the seed and the datagram), where any living member declared down is a false down; then member 0 dies and the
--- a/crates/lab/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -1,14 +1,14 @@
-//! `ironmast-lab stage` and `demo`: a stage scenario played with real proxies, a table a second, one verdict.
+//! `ironmast-testbed stage` and `demo`: a stage scenario played with real proxies, a table a second, one verdict.
 //!
-//! What a scenario (`scenarios/stage/`) says and how it is played: `ironmast_stage::scenario`.
+//! What a scenario (`scenarios/stage/`) says and how it is played: `ironmast_fault_injection::scenario`.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
-use ironmast_stage::load::{Outcome, Tally};
-use ironmast_stage::scenario::{self, read};
-use ironmast_stage::stage::Stage;
+use ironmast_fault_injection::load::{Outcome, Tally};
+use ironmast_fault_injection::scenario::{self, read};
+use ironmast_fault_injection::stage::Stage;
 
 /// The scenario that `demo` plays.
 pub const DEMO: &str = include_str!("../../../scenarios/stage/zone-cut.toml");
@@ -31,7 +31,7 @@
         Ok(path)
     } else {
         Err(format!(
-            "no proxy at {}: build it (cargo build --release -p ironmast-proxy) or name one with --proxy",
+            "no proxy at {}: build it (cargo build --release -p ironmast) or name one with --proxy",
             path.display()
         ))
     }
