--- a/crates/client-proxy/src/message.rs
+++ b/crates/client-proxy/src/message.rs
@@ -1,4 +1,5 @@
-//! What socket code and the driver say to each other. No word of HTTP here: a second protocol says the same.
+//! What socket code and the driver say to each other. No word of HTTP here: a second protocol says
+//! the same.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -148,7 +149,8 @@
     Send(Attempt),
     /// Stop waiting for one.
     Cancel(RequestId, u32),
-    /// The request is over, answered or left by its client: attempts at it that have not begun don't begin.
+    /// The request is over, answered or left by its client: attempts at it that have not begun
+    /// don't begin.
     Over(RequestId),
     /// Probe a pay server.
     Probe(ServerId, SocketAddr),
@@ -185,7 +187,13 @@
     /// A queue and the end the driver reads.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<Message>) {
         let (to, from) = mpsc::unbounded_channel();
-        (Queue { to, tickets: Rc::default() }, from)
+        (
+            Queue {
+                to,
+                tickets: Rc::default(),
+            },
+            from,
+        )
     }
 
     /// A ticket nobody else holds.
--- a/crates/client-proxy/src/ops.rs
+++ b/crates/client-proxy/src/ops.rs
@@ -1,4 +1,5 @@
-//! Operators' calls: one line in, one line out. Sockets only; what a line means is `ironmast_admin::call`.
+//! Operators' calls: one line in, one line out. Sockets only; what a line means is
+//! `ironmast_admin::call`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -94,5 +95,7 @@
     let call = call::parse(line)?;
     let (reply, answer) = oneshot::channel();
     let _ = to_driver.send(Urgent::Called(call, reply));
-    answer.await.unwrap_or_else(|_| Err("the process is ending".to_string()))
+    answer
+        .await
+        .unwrap_or_else(|_| Err("the process is ending".to_string()))
 }
--- a/crates/client-proxy/src/peers.rs
+++ b/crates/client-proxy/src/peers.rs
@@ -28,7 +28,8 @@
     pub queue: Queue,
     /// Whether this process serves: of two that replace one another only one speaks and hears.
     pub serving: watch::Receiver<bool>,
-    /// Who of the tier is alive, where the operators' file turns it on; its datagrams begin with its tag.
+    /// Who of the tier is alive, where the operators' file turns it on; its datagrams begin with
+    /// its tag.
     pub membership: Option<Membership>,
 }
 
@@ -41,7 +42,10 @@
         loop {
             let Some(socket) = self.socket.clone() else {
                 while tells.recv().await.is_some() {
-                    warn!(self.log, "a message to peers, but there is no socket for them");
+                    warn!(
+                        self.log,
+                        "a message to peers, but there is no socket for them"
+                    );
                 }
                 return;
             };
@@ -54,7 +58,11 @@
                 self.carry(&socket, actions).await;
                 joined = true;
             }
-            let due = self.membership.as_ref().and_then(Membership::next_due).map(|d| start + d);
+            let due = self
+                .membership
+                .as_ref()
+                .and_then(Membership::next_due)
+                .map(|d| start + d);
             let timer = async move {
                 match due {
                     Some(due) => tokio::time::sleep_until(due.into()).await,
@@ -127,7 +135,9 @@
                     debug!(self.log, "a message is lost"; "why" => %error);
                 }
             }
-            _ => warn!(self.log, "a message to peers has no address or is too long"; "bytes" => data.len()),
+            _ => {
+                warn!(self.log, "a message to peers has no address or is too long"; "bytes" => data.len())
+            }
         }
     }
 }
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -1,4 +1,5 @@
-//! One run of the proxy: wires the parts together, reads the configuration again on SIGHUP, ends on SIGTERM.
+//! One run of the proxy: wires the parts together, reads the configuration again on SIGHUP, ends on
+//! SIGTERM.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -38,8 +39,9 @@
 const STILL_OPEN: Duration = Duration::from_millis(700);
 /// What waits at the door then is let in, for no longer than this.
 const LAST_COME: Duration = Duration::from_millis(50);
-/// Descriptors that are no connections of clients or pay servers, of two processes while one replaces the other:
-/// standard streams, poller, listeners, the link between the two, operators and the like.
+/// Descriptors that are no connections of clients or pay servers, of two processes while one
+/// replaces the other: standard streams, poller, listeners, the link between the two, operators and
+/// the like.
 const APART: usize = 2 * (12 + ops::CALLERS);
 /// Guards against a proxy that takes requests nobody decides on: it ends and is started again.
 const DRIVERLESS: &str = "the driver of the decision module has ended";
@@ -57,9 +59,11 @@
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| e.to_string())?;
 
     let store = Store::new(std::env::var_os("TMPDIR").map(Into::into), config.listen);
-    let (partners, (to_heard, mut heard)) = (Rc::new(Partners::default()), mpsc::unbounded_channel());
+    let (partners, (to_heard, mut heard)) =
+        (Rc::new(Partners::default()), mpsc::unbounded_channel());
     let inherited = handover::greet(&store, &log);
-    // As on SIGHUP, the file prevails: guards a replacement after a reload, whose environment is the old one's.
+    // As on SIGHUP, the file prevails: guards a replacement after a reload, whose environment is
+    // the old one's.
     if inherited.is_some()
         && let Ok(told) = Config::read_again(|name| std::env::var(name).ok())
     {
@@ -85,33 +89,73 @@
     let connect = Duration::from_micros(setup.connect_timeout);
     let keepalive = Duration::from_micros(setup.keepalive);
 
-    let client = client(server_share.clone(), connect, keepalive / 2, |stream| stream);
+    let client = client(server_share.clone(), connect, keepalive / 2, |stream| {
+        stream
+    });
     let zones = setup.zones.clone();
     let mut discovery = Discovery::new(config.discovery, client, zones, log.clone(), queue.clone());
     discovery.recall(known.as_ref());
     discovery.pushed = setup.settings.discovery == ironmast_balancer::Discovery::Pushed;
     actix_rt::spawn(discovery.run(asks));
 
-    let rules = upstream::Rules { connect, keepalive, load: setup.load.clone() };
+    let rules = upstream::Rules {
+        connect,
+        keepalive,
+        load: setup.load.clone(),
+    };
     let held = Held::new(config.memory_mb);
-    let upstream = Upstream::new(rules, clock, log.clone(), server_share, held.clone(), queue.clone());
+    let upstream = Upstream::new(
+        rules,
+        clock,
+        log.clone(),
+        server_share,
+        held.clone(),
+        queue.clone(),
+    );
     actix_rt::spawn(upstream.run(upstream_orders));
-    let (peers, all, socket) = (config.peers.clone(), config.peers_all, sockets.datagrams.map(Rc::new));
+    let (peers, all, socket) = (
+        config.peers.clone(),
+        config.peers_all,
+        sockets.datagrams.map(Rc::new),
+    );
     let passed_socket = socket.clone();
     let (log_of_peers, to_queue, speaks) = (log.clone(), queue.clone(), serving.clone());
     let membership = match crate::members::enabled(std::path::Path::new(crate::members::FILE))? {
-        true => Some(crate::members::start(config.peer_listen, &peers, config.seed)?),
+        true => Some(crate::members::start(
+            config.peer_listen,
+            &peers,
+            config.seed,
+        )?),
         false => None,
     };
-    let peers = Peers { socket, peers, all, log: log_of_peers, queue: to_queue, serving: speaks, membership };
+    let peers = Peers {
+        socket,
+        peers,
+        all,
+        log: log_of_peers,
+        queue: to_queue,
+        serving: speaks,
+        membership,
+    };
     actix_rt::spawn(peers.run(tells));
 
     let ready = Rc::new(Cell::new(false));
     let (list_held, told) = (Rc::clone(&ready), Rc::new(Notify::new()));
     let tell_held = Rc::clone(&told);
-    let orders = Orders { upstream: to_upstream, discovery: to_discovery, peers: to_peers };
+    let orders = Orders {
+        upstream: to_upstream,
+        discovery: to_discovery,
+        peers: to_peers,
+    };
     let admin = (Admin::new(bans), store.clone(), Rc::clone(&partners));
-    let driver = Driver::new(balancer, setup.settings.clone(), clock, log.clone(), orders, admin);
+    let driver = Driver::new(
+        balancer,
+        setup.settings.clone(),
+        clock,
+        log.clone(),
+        orders,
+        admin,
+    );
     let mut driving = actix_rt::spawn(driver.run(messages, urgent, move || {
         if !list_held.replace(true) {
             tell_held.notify_one();
@@ -123,8 +167,17 @@
     }
 
     let front = Front::new(setup, clock, queue, ready, held, Rc::clone(&partners));
-    let clients = Listener::new(Rc::clone(&front), clock, log.clone(), client_share, LIMITS, serving);
-    let mut accepting = Some(actix_rt::spawn(Rc::clone(&clients).accept(Rc::clone(&listener))));
+    let clients = Listener::new(
+        Rc::clone(&front),
+        clock,
+        log.clone(),
+        client_share,
+        LIMITS,
+        serving,
+    );
+    let mut accepting = Some(actix_rt::spawn(
+        Rc::clone(&clients).accept(Rc::clone(&listener)),
+    ));
     let mut listener = Some(listener);
     info!(log, "serving"; "listen" => listen);
 
@@ -138,7 +191,8 @@
                     partners.serve();
                     turn.send_replace(true);
                     let _ = to_driver.send(Urgent::LeaveCold(false));
-                    let awaiting = handover::await_successor(store.clone(), to_heard.clone(), log.clone());
+                    let awaiting =
+                        handover::await_successor(store.clone(), to_heard.clone(), log.clone());
                     if let Some(before) = successors.replace(actix_rt::spawn(awaiting)) {
                         before.abort();
                     }
@@ -164,7 +218,8 @@
                         tokio::time::sleep(STILL_OPEN).await;
                         clients.stop.notify_one();
                         if let Some(mut accepting) = accepting {
-                            // Not for good: guards the end against clients that never cease to come.
+                            // Not for good: guards the end against clients that never cease to
+                            // come.
                             let _ = tokio::time::timeout(LAST_COME, &mut accepting).await;
                             accepting.abort();
                         }
@@ -272,7 +327,14 @@
             Some(address) => sockets::datagrams(address).map(Some).map_err(at(address)),
             None => Ok(None),
         };
-        let Some(Inherited { listener, datagrams, bans, known, link }) = inherited else {
+        let Some(Inherited {
+            listener,
+            datagrams,
+            bans,
+            known,
+            link,
+        }) = inherited
+        else {
             let listener = sockets::listen(config.listen).map_err(at(config.listen))?;
             return Ok(Sockets {
                 listener,
@@ -288,12 +350,19 @@
             None => open_datagrams()?,
         };
         partners.follow(link, heard).map_err(|e| e.to_string())?;
-        Ok(Sockets { listener, datagrams, operators, bans: Some(bans), known })
+        Ok(Sockets {
+            listener,
+            datagrams,
+            operators,
+            bans: Some(bans),
+            known,
+        })
     }
 }
 
-/// Reads the file again on SIGHUP. A bad one changes nothing: guards the requests in hand against a slip of the
-/// pen. Only discovery's address takes effect at once; all else waits for a restart, and the log says so.
+/// Reads the file again on SIGHUP. A bad one changes nothing: guards the requests in hand against a
+/// slip of the pen. Only discovery's address takes effect at once; all else waits for a restart,
+/// and the log says so.
 fn reload(config: &mut Config, discovery: &mpsc::UnboundedSender<Ask>, log: &Logger) {
     match Config::read_again(|name| std::env::var(name).ok()) {
         Ok(new) => {
--- a/crates/client-proxy/src/upstream.rs
+++ b/crates/client-proxy/src/upstream.rs
@@ -1,5 +1,6 @@
-//! Attempts at pay servers. One awc client for each holds its idle connections: dropping it closes them. An
-//! attempt is cancelled by dropping its future, connection and all; only then is its end told.
+//! Attempts at pay servers. One awc client for each holds its idle connections: dropping it closes
+//! them. An attempt is cancelled by dropping its future, connection and all; only then is its end
+//! told.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -34,7 +35,8 @@
 
 /// Who takes nothing new, and since when.
 type Retired = Rc<RefCell<BTreeMap<ServerId, Micros>>>;
-/// Attempts decided before a server was retired are over after this; it need not be known any longer.
+/// Attempts decided before a server was retired are over after this; it need not be known any
+/// longer.
 const RETIRED: Micros = 60_000_000;
 
 /// What the settings say of connections.
@@ -67,18 +69,41 @@
 
 impl Upstream {
     /// A keeper without connections.
-    pub fn new(rules: Rules, clock: Clock, log: Logger, budget: Budget, held: Held, queue: Queue) -> Self {
+    pub fn new(
+        rules: Rules,
+        clock: Clock,
+        log: Logger,
+        budget: Budget,
+        held: Held,
+        queue: Queue,
+    ) -> Self {
         let clients: Rc<RefCell<Clients>> = Rc::default();
         let idle = Rc::downgrade(&clients);
-        // One server's at a time, the longest unused first: guards against opening all of them anew at once.
+        // One server's at a time, the longest unused first: guards against opening all of them anew
+        // at once.
         budget.when_scarce(move || {
-            let Some(clients) = idle.upgrade() else { return };
+            let Some(clients) = idle.upgrade() else {
+                return;
+            };
             let mut clients = clients.borrow_mut();
-            let longest = clients.iter().min_by_key(|(_, c)| c.2).map(|(&server, _)| server);
+            let longest = clients
+                .iter()
+                .min_by_key(|(_, c)| c.2)
+                .map(|(&server, _)| server);
             longest.and_then(|server| clients.remove(&server));
         });
         let (retired, out) = Default::default();
-        Upstream { rules, clock, log, budget, held, queue, clients, retired, out }
+        Upstream {
+            rules,
+            clock,
+            log,
+            budget,
+            held,
+            queue,
+            clients,
+            retired,
+            out,
+        }
     }
 
     /// Carries out orders until none can come any more.
@@ -111,9 +136,15 @@
     fn client(&self, server: ServerId, address: SocketAddr) -> Client {
         let mut clients = self.clients.borrow_mut();
         if clients.get(&server).is_none_or(|c| c.0 != address) {
-            // Retired well before the server closes it: guards against a write that crosses that close.
+            // Retired well before the server closes it: guards against a write that crosses that
+            // close.
             let idle = self.rules.keepalive / 2;
-            let client = client(self.budget.clone(), self.rules.connect, idle, CheckedStream::new);
+            let client = client(
+                self.budget.clone(),
+                self.rules.connect,
+                idle,
+                CheckedStream::new,
+            );
             clients.insert(server, (address, client, 0));
         }
         let client = clients.get_mut(&server).expect("it was just inserted");
@@ -130,14 +161,20 @@
         let admission: Admission = Box::new(move || !retired.borrow().contains_key(&server));
         // Guards rule 2: a connection that comes up late would carry a repeat past its window.
         let begin_by = attempt.begin_by.map(|by| (self.clock, by));
-        let options = AttemptOptions { admission: Some(admission), begin_by, ..AttemptOptions::default() };
+        let options = AttemptOptions {
+            admission: Some(admission),
+            begin_by,
+            ..AttemptOptions::default()
+        };
         let state = AttemptState::new(options);
-        self.out.insert((attempt.id, attempt.number), (cancel, Rc::clone(&state)));
+        self.out
+            .insert((attempt.id, attempt.number), (cancel, Rc::clone(&state)));
         let (clock, queue, names) = (self.clock, self.queue.clone(), self.rules.load.clone());
         let held = self.held.clone();
         actix_rt::spawn(async move {
-            // One turn of the poller first: guards against writing to an idle connection whose close has
-            // arrived but has not been looked at, which would be a reset and look like a sick server.
+            // One turn of the poller first: guards against writing to an idle connection whose
+            // close has arrived but has not been looked at, which would be a reset and look like a
+            // sick server.
             tokio::task::yield_now().await;
             let (id, number) = (attempt.id, attempt.number);
             let until = clock.at(attempt.until).into();
@@ -164,10 +201,18 @@
                 // The client's doing.
                 Some(flow) if outcome != Outcome::Ok && flow.is_broken() => Outcome::Cancelled,
                 // Its last byte can't have been written.
-                Some(flow) if outcome != Outcome::Cancelled && !flow.is_whole() => Outcome::ConnectFailed,
+                Some(flow) if outcome != Outcome::Cancelled && !flow.is_whole() => {
+                    Outcome::ConnectFailed
+                }
                 _ => outcome,
             };
-            queue.say(Message::Ended(Ended { id, number, outcome, body, load }));
+            queue.say(Message::Ended(Ended {
+                id,
+                number,
+                outcome,
+                body,
+                load,
+            }));
         });
     }
 
@@ -179,9 +224,15 @@
             let sent = clock.now();
             let call = async {
                 let call = client.get(format!("http://{address}/stats")).send();
-                let mut answer = AttemptState::new(AttemptOptions::default()).scope(call).await.ok()?;
+                let mut answer = AttemptState::new(AttemptOptions::default())
+                    .scope(call)
+                    .await
+                    .ok()?;
                 let body = answer.body().limit(HELD_MOST).await.ok()?;
-                Some((answer.status(), names.report(std::str::from_utf8(&body).unwrap_or(""))))
+                Some((
+                    answer.status(),
+                    names.report(std::str::from_utf8(&body).unwrap_or("")),
+                ))
             };
             let (outcome, load) = match tokio::time::timeout(PROBE, call).await {
                 Ok(Some((StatusCode::OK, load))) => (Outcome::Ok, load),
@@ -192,7 +243,12 @@
                 Ok(None) => (Outcome::ConnectFailed, None),
                 Err(_) => (Outcome::Timeout, None),
             };
-            queue.say(Message::Probed(server, outcome, clock.now().saturating_sub(sent), load));
+            queue.say(Message::Probed(
+                server,
+                outcome,
+                clock.now().saturating_sub(sent),
+                load,
+            ));
         });
     }
 }
@@ -203,7 +259,8 @@
     Body::Whole(Bytes::new())
 }
 
-/// Sends the request and reads the whole answer, or the beginning of a long one; an error where none came.
+/// Sends the request and reads the whole answer, or the beginning of a long one; an error where
+/// none came.
 async fn exchange(
     client: &Client,
     attempt: &Attempt,
@@ -214,14 +271,22 @@
 ) -> Result<End, ()> {
     let sent = &attempt.payload;
     let url = format!("http://{}{}", attempt.address, sent.target);
-    let call = if sent.safe { client.get(url) } else { client.post(url) };
+    let call = if sent.safe {
+        client.get(url)
+    } else {
+        client.post(url)
+    };
     let value = |bytes: &[u8]| HeaderValue::from_bytes(bytes).map_err(|_| ());
-    let mut call = call.no_decompress().insert_header(("X-Txn", value(&sent.txn)?));
+    let mut call = call
+        .no_decompress()
+        .insert_header(("X-Txn", value(&sent.txn)?));
     if let Some(key) = &sent.key {
         call = call.insert_header(("Idempotency-Key", value(key)?));
     }
     // While a body flows its client's time has not begun.
-    let left = sent.flow().map_or(attempt.until.saturating_sub(clock.now()), |_| sent.left);
+    let left = sent
+        .flow()
+        .map_or(attempt.until.saturating_sub(clock.now()), |_| sent.left);
     call = call.insert_header(("X-Remaining", format!("{}u", left.saturating_sub(MARGIN))));
     let sending = match &sent.body {
         _ if sent.safe => call.send(),
@@ -233,7 +298,10 @@
     };
     let mut answer = sending.await.map_err(|_| ())?;
     let (status, load) = (answer.status(), load(answer.headers(), names));
-    let turned = answer.headers().get("X-Turned-Away").is_some_and(|v| v.as_bytes() == b"1");
+    let turned = answer
+        .headers()
+        .get("X-Turned-Away")
+        .is_some_and(|v| v.as_bytes() == b"1");
     let outcome = match status {
         StatusCode::OK => Outcome::Ok,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned => Outcome::Full,
@@ -242,7 +310,10 @@
     };
     let body = match state.flows() {
         true if outcome == Outcome::Ok => {
-            let length = answer.headers().get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
+            let length = answer
+                .headers()
+                .get(CONTENT_LENGTH)
+                .and_then(|v| v.to_str().ok()?.parse().ok());
             let parts = answer.map_err(|e| io::Error::other(e.to_string()));
             Body::Flowing(Outflow::new(length, Box::pin(parts), held.window().await))
         }
--- a/crates/coordinator/benches/start.rs
+++ b/crates/coordinator/benches/start.rs
@@ -1,11 +1,14 @@
-//! Time and memory of a start, and bytes on the disk, after 10 to 10,000 changes of a configuration of 350 routes; each
-//! change is a promise and an acceptance. A table, not a criterion run: each row needs a disk of its own history.
+//! Time and memory of a start, and bytes on the disk, after 10 to 10,000 changes of a configuration
+//! of 350 routes; each change is a promise and an acceptance. A table, not a criterion run: each
+//! row needs a disk of its own history.
 //!
-//! `cargo bench -p ironmast-coordinator --bench start`; the disk is that of the folder for temporary files.
+//! `cargo bench -p ironmast-coordinator --bench start`; the disk is that of the folder for
+//! temporary files.
 //!
-//! Measured with `--profile dev` on a file system in memory, so that syncs cost nothing: a start takes 0.14, 0.14, 0.14
-//! and 0.09 ms in the median and 0.3 ms at worst after 10, 100, 1,000 and 10,000 changes, with 97 KiB on the disk each
-//! time and from 0 to 2.6 MiB of memory, in no order of the changes.
+//! Measured with `--profile dev` on a file system in memory, so that syncs cost nothing: a start
+//! takes 0.14, 0.14, 0.14 and 0.09 ms in the median and 0.3 ms at worst after 10, 100, 1,000 and
+//! 10,000 changes, with 97 KiB on the disk each time and from 0 to 2.6 MiB of memory, in no order
+//! of the changes.
 
 #[path = "../tests/many_changes/value.rs"]
 mod value;
@@ -32,19 +35,27 @@
 }
 
 fn initial() -> Record<Control> {
-    let members: Vec<SocketAddr> =
-        (7_000..7_003).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
+    let members: Vec<SocketAddr> = (7_000..7_003)
+        .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
+        .collect();
     Record::bootstrap(members[0], &members, Control::default())
 }
 
 /// A promise and an acceptance, each durable.
 fn change(log: &mut Log<Record<Control>>, record: &mut Record<Control>, generation: u64) {
-    let ballot = Ballot { counter: generation, identity: Identity(7) };
+    let ballot = Ballot {
+        counter: generation,
+        identity: Identity(7),
+    };
     record.promised = ballot;
     log.append(record).expect("append");
     log.sync().expect("sync");
     let accepted = record.accepted.as_ref().expect("initial").state.clone();
-    let Decision::Write(value) = (Put { generation, bytes: ROUTES_350 }).apply(&accepted.value) else {
+    let Decision::Write(value) = (Put {
+        generation,
+        bytes: ROUTES_350,
+    })
+    .apply(&accepted.value) else {
         panic!("{generation} doesn't follow");
     };
     let state = Arc::new(accepted.successor(ballot, accepted.members.clone(), Arc::new(value)));
@@ -55,14 +66,23 @@
 
 fn folder_bytes(folder: &Path) -> u64 {
     let entries = std::fs::read_dir(folder).expect("folder");
-    entries.map(|entry| entry.expect("entry").metadata().expect("metadata").len()).sum()
+    entries
+        .map(|entry| entry.expect("entry").metadata().expect("metadata").len())
+        .sum()
 }
 
 /// Memory in use, in KiB.
 fn resident() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").expect("status");
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a size");
-    line.trim().trim_end_matches("kB").trim().parse().expect("a number")
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .expect("a size");
+    line.trim()
+        .trim_end_matches("kB")
+        .trim()
+        .parse()
+        .expect("a number")
 }
 
 fn main() {
@@ -91,6 +111,8 @@
         times.sort_unstable();
         let on_disk = folder_bytes(folder.path()) >> 10;
         let (median, worst) = (times[STARTS / 2], times[STARTS - 1]);
-        println!("| {changes} | {each:.1?} | {median:.1?} | {worst:.1?} | {memory} KiB | {on_disk} KiB |");
+        println!(
+            "| {changes} | {each:.1?} | {median:.1?} | {worst:.1?} | {memory} KiB | {on_disk} KiB |"
+        );
     }
 }
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -1,5 +1,5 @@
-//! HTTP: the operator's API, servers' registrations, and address resolution. Bodies are read and checked here;
-//! the rest is the state's.
+//! HTTP: the operator's API, servers' registrations, and address resolution. Bodies are read and
+//! checked here; the rest is the state's.
 
 use std::net::SocketAddr;
 
@@ -37,14 +37,27 @@
     Ok(handles)
 }
 
-fn listen(at: SocketAddr, commands: &Commands, routes: fn(&mut ServiceConfig)) -> Result<ServerHandle> {
+fn listen(
+    at: SocketAddr,
+    commands: &Commands,
+    routes: fn(&mut ServiceConfig),
+) -> Result<ServerHandle> {
     let commands = commands.clone();
     let app = move || {
         let commands = Data::new(commands.clone());
-        App::new().app_data(commands).app_data(PayloadConfig::new(BODY_MOST)).configure(routes)
+        App::new()
+            .app_data(commands)
+            .app_data(PayloadConfig::new(BODY_MOST))
+            .configure(routes)
     };
-    let server = HttpServer::new(app).workers(1).disable_signals().shutdown_timeout(2);
-    let server = server.bind(at).wrap_err_with(|| format!("listening at {at}"))?.run();
+    let server = HttpServer::new(app)
+        .workers(1)
+        .disable_signals()
+        .shutdown_timeout(2);
+    let server = server
+        .bind(at)
+        .wrap_err_with(|| format!("listening at {at}"))?
+        .run();
     let handle = server.handle();
     actix_rt::spawn(server);
     Ok(handle)
@@ -64,21 +77,39 @@
     routes.route("/api/resolve", web::get().to(resolve));
 }
 
-async fn ask(commands: &Commands, command: impl FnOnce(oneshot::Sender<Reply>) -> Command) -> HttpResponse {
+async fn ask(
+    commands: &Commands,
+    command: impl FnOnce(oneshot::Sender<Reply>) -> Command,
+) -> HttpResponse {
     let (to, reply) = oneshot::channel();
     let _ = commands.send(command(to));
-    respond(reply.await.unwrap_or(Reply::refused(503, "the coordinator ends")))
+    respond(
+        reply
+            .await
+            .unwrap_or(Reply::refused(503, "the coordinator ends")),
+    )
 }
 
 fn respond(reply: Reply) -> HttpResponse {
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let content = if status.is_success() { "application/json" } else { "text/plain" };
-    HttpResponse::build(status).content_type(content).body(reply.body)
+    let content = if status.is_success() {
+        "application/json"
+    } else {
+        "text/plain"
+    };
+    HttpResponse::build(status)
+        .content_type(content)
+        .body(reply.body)
 }
 
 async fn heartbeat(commands: Data<Commands>, id: Path<String>, body: Bytes) -> HttpResponse {
     match Heartbeat::parse(&body) {
-        Ok(heartbeat) => ask(&commands, |to| Command::Heartbeat(id.into_inner(), heartbeat, to)).await,
+        Ok(heartbeat) => {
+            ask(&commands, |to| {
+                Command::Heartbeat(id.into_inner(), heartbeat, to)
+            })
+            .await
+        }
         Err(error) => respond(Reply::refused(400, &error.to_string())),
     }
 }
@@ -88,8 +119,10 @@
 }
 
 async fn configure(commands: Data<Commands>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    let base =
-        request.headers().get("If-Match").and_then(|v| v.to_str().ok()?.trim_matches('"').parse().ok());
+    let base = request
+        .headers()
+        .get("If-Match")
+        .and_then(|v| v.to_str().ok()?.trim_matches('"').parse().ok());
     let Some(base) = base else {
         return respond(Reply::refused(
             400,
@@ -99,7 +132,10 @@
     match Configuration::parse(&body) {
         Ok(configuration) => {
             let generation = configuration.generation;
-            ask(&commands, |to| Command::Configure(generation, body.to_vec(), base, to)).await
+            ask(&commands, |to| {
+                Command::Configure(generation, body.to_vec(), base, to)
+            })
+            .await
         }
         Err(error) => respond(Reply::refused(400, &error.to_string())),
     }
@@ -110,11 +146,17 @@
 }
 
 async fn evacuate(commands: Data<Commands>, zone: Path<String>) -> HttpResponse {
-    ask(&commands, |to| Command::Evacuate(zone.into_inner(), true, to)).await
+    ask(&commands, |to| {
+        Command::Evacuate(zone.into_inner(), true, to)
+    })
+    .await
 }
 
 async fn take_back(commands: Data<Commands>, zone: Path<String>) -> HttpResponse {
-    ask(&commands, |to| Command::Evacuate(zone.into_inner(), false, to)).await
+    ask(&commands, |to| {
+        Command::Evacuate(zone.into_inner(), false, to)
+    })
+    .await
 }
 
 async fn resolve(commands: Data<Commands>, query: Query<resolve::Query>) -> HttpResponse {
--- a/crates/coordinator/src/confirm.rs
+++ b/crates/coordinator/src/confirm.rs
@@ -1,8 +1,10 @@
-//! Reports of servers that drain or leave, which are acknowledged once a majority of the coordinators holds them.
+//! Reports of servers that drain or leave, which are acknowledged once a majority of the
+//! coordinators holds them.
 //!
-//! A report goes to every other coordinator, and a question behind it on the same link. Whoever answers the question
-//! has received the report before, and published it: it outlives the coordinator that acknowledges it. A link that
-//! comes up meanwhile carries the report before anything else.
+//! A report goes to every other coordinator, and a question behind it on the same link. Whoever
+//! answers the question has received the report before, and published it: it outlives the
+//! coordinator that acknowledges it. A link that comes up meanwhile carries the report before
+//! anything else.
 
 use std::time::Duration;
 
@@ -32,7 +34,11 @@
 impl Confirmations {
     /// Adds a report about this key that came at `now`; `to` gets the answer.
     pub fn add(&mut self, now: Duration, key: Key, to: oneshot::Sender<Reply>) {
-        self.waiting.push(Unconfirmed { key, since: now, to });
+        self.waiting.push(Unconfirmed {
+            key,
+            since: now,
+            to,
+        });
     }
 
     /// The keys that the unconfirmed reports are about.
@@ -40,10 +46,12 @@
         self.waiting.iter().map(|waiting| &waiting.key)
     }
 
-    /// Answers the confirmed reports, and 503 to those that have waited too long. `answered` is when the newest question
-    /// that a majority has answered was asked: reports that came no later are confirmed.
+    /// Answers the confirmed reports, and 503 to those that have waited too long. `answered` is
+    /// when the newest question that a majority has answered was asked: reports that came no later
+    /// are confirmed.
     pub fn settle(&mut self, now: Duration, answered: Option<Duration>) {
-        let is_confirmed = |waiting: &mut Unconfirmed| answered.is_some_and(|asked| waiting.since <= asked);
+        let is_confirmed =
+            |waiting: &mut Unconfirmed| answered.is_some_and(|asked| waiting.since <= asked);
         for waiting in self.waiting.extract_if(.., is_confirmed) {
             let _ = waiting.to.send(Reply::json("{}"));
         }
@@ -58,5 +66,8 @@
 }
 
 fn refuse(waiting: Unconfirmed) {
-    let _ = waiting.to.send(Reply::refused(503, "no majority of the coordinators has confirmed it in time"));
+    let _ = waiting.to.send(Reply::refused(
+        503,
+        "no majority of the coordinators has confirmed it in time",
+    ));
 }
--- a/crates/coordinator/src/disk.rs
+++ b/crates/coordinator/src/disk.rs
@@ -37,8 +37,8 @@
     Nothing,
     /// A record that is durable.
     Durable(Record<ControlValue>),
-    /// A record that could be read but not written again (the disk is full, say), and may stand in the page cache only:
-    /// no vote may rest on it before it is durable.
+    /// A record that could be read but not written again (the disk is full, say), and may stand in
+    /// the page cache only: no vote may rest on it before it is durable.
     Unconfirmed(Record<ControlValue>),
     /// A damaged record, now or before: the replica can't go on as the one that it was.
     Damage,
@@ -53,8 +53,8 @@
 }
 
 impl Journal {
-    /// Opens the log in a folder and tells what was found. Damage is treated like a lost disk, but the damaged file is
-    /// kept under another name.
+    /// Opens the log in a folder and tells what was found. Damage is treated like a lost disk, but
+    /// the damaged file is kept under another name.
     ///
     /// # Errors
     /// The file and the step that failed.
@@ -63,13 +63,19 @@
         disk_mb: u64,
         log: &Logger,
     ) -> Result<(Self, Found, mpsc::UnboundedReceiver<Persisted>)> {
-        let disk: Arc<dyn Disk> =
-            Arc::new(RealDisk::open(folder).wrap_err_with(|| format!("opening {}", folder.display()))?);
+        let disk: Arc<dyn Disk> = Arc::new(
+            RealDisk::open(folder).wrap_err_with(|| format!("opening {}", folder.display()))?,
+        );
         let megabytes = if disk_mb == 0 { DISK_MB } else { disk_mb };
-        let settings = LogSettings::new(LOG, megabytes << 20).wrap_err("sizing the log of the register")?;
+        let settings =
+            LogSettings::new(LOG, megabytes << 20).wrap_err("sizing the log of the register")?;
         let open = || Log::<Durable>::open(Arc::clone(&disk), settings.clone());
         let (file, recovered) = match open() {
-            Err(OpenError::Corrupted { file, offset, reason }) => {
+            Err(OpenError::Corrupted {
+                file,
+                offset,
+                reason,
+            }) => {
                 let kept = Log::<Durable>::set_aside(disk.as_ref(), &settings)
                     .wrap_err_with(|| format!("setting the damaged {file} aside"))?;
                 warn!(log, "the register's log is damaged and begun anew";
@@ -90,7 +96,11 @@
             None => Found::Damage,
             Some(Recovered::Empty) if was_damaged => Found::Damage,
             Some(Recovered::Empty) => Found::Nothing,
-            Some(Recovered::Found { record, durable: true, .. }) => Found::Durable(record.0),
+            Some(Recovered::Found {
+                record,
+                durable: true,
+                ..
+            }) => Found::Durable(record.0),
             Some(Recovered::Found { record, .. }) => {
                 warn!(log, "the register's record can't be made durable yet"; "state" => ?file.state());
                 Found::Unconfirmed(record.0)
@@ -99,8 +109,8 @@
         let (to, completions) = mpsc::unbounded_channel();
         let clock = Instant::now();
         let complete = move |completion| drop(to.send(completion));
-        let writer =
-            Writer::spawn(file, move || clock.elapsed(), complete).wrap_err("starting the log's thread")?;
+        let writer = Writer::spawn(file, move || clock.elapsed(), complete)
+            .wrap_err("starting the log's thread")?;
         Ok((Journal { writer }, found, completions))
     }
 
--- a/crates/coordinator/src/disk/tests.rs
+++ b/crates/coordinator/src/disk/tests.rs
@@ -24,8 +24,15 @@
 }
 
 fn files(folder: &Path, ending: &str) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).expect("folder").map(|entry| entry.expect("entry").path());
-    entries.filter(|path| path.extension().is_some_and(|extension| extension == ending)).collect()
+    let entries = fs::read_dir(folder)
+        .expect("folder")
+        .map(|entry| entry.expect("entry").path());
+    entries
+        .filter(|path| {
+            path.extension()
+                .is_some_and(|extension| extension == ending)
+        })
+        .collect()
 }
 
 #[test]
@@ -49,7 +56,11 @@
     let kept = files(folder.path(), "damaged");
     assert_eq!(kept.len(), 1);
     assert_eq!(fs::read(&kept[0]).expect("read"), bytes);
-    assert_matches!(open(folder.path()).1, Found::Damage, "before anything else was written");
+    assert_matches!(
+        open(folder.path()).1,
+        Found::Damage,
+        "before anything else was written"
+    );
     write(folder.path(), 6);
     assert_matches!(open(folder.path()).1, Found::Durable(record) if record.identity == Identity(6));
 }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,5 +1,6 @@
-//! The coordinator: replica of the operator's state, catalog of server instances, operators' API and address
-//! resolution. One thread owns all state ([`state`]); HTTP handlers ([`api`]) and links ([`links`]) speak to it.
+//! The coordinator: replica of the operator's state, catalog of server instances, operators' API
+//! and address resolution. One thread owns all state ([`state`]); HTTP handlers ([`api`]) and links
+//! ([`links`]) speak to it.
 #![forbid(unsafe_code)]
 
 mod api;
@@ -51,22 +52,32 @@
 }
 
 async fn serve(settings: Settings, log: Logger) -> Result<()> {
-    let control_plane =
-        settings.listeners_map.control_plane.ok_or(SettingsError::NoListener { name: "control_plane" })?;
+    let control_plane = settings
+        .listeners_map
+        .control_plane
+        .ok_or(SettingsError::NoListener {
+            name: "control_plane",
+        })?;
     let directory = settings.listeners_map.directory_service;
     let mut terminate = signal(SignalKind::terminate()).wrap_err("waiting for SIGTERM")?;
     let reload = signal(SignalKind::hangup()).wrap_err("waiting for SIGHUP")?;
     let (mut coordinator, commands) = Coordinator::start(&settings, reload, &log).await?;
     let servers = api::start(control_plane, directory, &commands)?;
     info!(log, "coordinator serves"; "control_plane" => %control_plane, "zone" => &settings.zone);
-    coordinator.run_until(async { _ = terminate.recv().await }).await;
-    coordinator.hand_over(settings.timing_bounds.grace_period_s * HANDOVER_PART).await;
+    coordinator
+        .run_until(async { _ = terminate.recv().await })
+        .await;
+    coordinator
+        .hand_over(settings.timing_bounds.grace_period_s * HANDOVER_PART)
+        .await;
     let stop = async {
         for server in servers {
             server.stop(true).await;
         }
     };
-    coordinator.run_until(async { _ = tokio::time::timeout(LAST_ANSWERS, stop).await }).await;
+    coordinator
+        .run_until(async { _ = tokio::time::timeout(LAST_ANSWERS, stop).await })
+        .await;
     Ok(())
 }
 
@@ -84,15 +95,36 @@
 
 impl Coordinator {
     async fn start(settings: &Settings, reload: Signal, log: &Logger) -> Result<(Self, Commands)> {
-        let own = SocketAddr::new(settings.ip_address, settings.internal_port(InternalPort::Coordinator));
+        let own = SocketAddr::new(
+            settings.ip_address,
+            settings.internal_port(InternalPort::Coordinator),
+        );
         let clock = Instant::now();
         let (replica, persisted) = Replica::open(settings, own, Clock::since(clock), log.clone())?;
         let (mesh, entries) = Mesh::start(settings, Role::Coordinator, log).await?;
-        let state = Rc::new(RefCell::new(State::new(settings, own, replica, Box::new(mesh.clone()), log)));
+        let state = Rc::new(RefCell::new(State::new(
+            settings,
+            own,
+            replica,
+            Box::new(mesh.clone()),
+            log,
+        )));
         links::start(&state, own, settings.seed_coordinators()).await?;
         let (to, commands) = mpsc::unbounded_channel();
         let tick = tokio::time::interval(TICK);
-        Ok((Coordinator { clock, state, mesh, commands, persisted, entries, tick, reload }, to))
+        Ok((
+            Coordinator {
+                clock,
+                state,
+                mesh,
+                commands,
+                persisted,
+                entries,
+                tick,
+                reload,
+            },
+            to,
+        ))
     }
 
     /// Does what comes until `end` is over.
@@ -120,8 +152,8 @@
         }
     }
 
-    /// Tells the others that this machine leaves. Where another coordinator can take the replica's place, waits
-    /// until it has, for so many seconds at most.
+    /// Tells the others that this machine leaves. Where another coordinator can take the replica's
+    /// place, waits until it has, for so many seconds at most.
     async fn hand_over(&mut self, seconds: f64) {
         self.state.borrow_mut().leave();
         self.mesh.leave();
--- a/crates/coordinator/src/links.rs
+++ b/crates/coordinator/src/links.rs
@@ -27,7 +27,9 @@
 /// # Errors
 /// The address that can't be listened at.
 pub async fn start(state: &Shared, own: SocketAddr, seeds: Vec<SocketAddr>) -> Result<()> {
-    let listener = TcpListener::bind(own).await.wrap_err_with(|| format!("listening at {own}"))?;
+    let listener = TcpListener::bind(own)
+        .await
+        .wrap_err_with(|| format!("listening at {own}"))?;
     let shared = Rc::clone(state);
     actix_rt::spawn(async move {
         loop {
@@ -71,7 +73,12 @@
     let (mut receiver, mut sender) =
         link::connect::<FromCoordinator, ToCoordinator>(address, CONNECT).await?;
     let coordinator = Some(state.borrow().own);
-    sender.send(&ToCoordinator::Hello(Hello { protocol: PROTOCOL_VERSION, coordinator })).await?;
+    sender
+        .send(&ToCoordinator::Hello(Hello {
+            protocol: PROTOCOL_VERSION,
+            coordinator,
+        }))
+        .await?;
     let (to, mut queue) = mpsc::unbounded_channel();
     state.borrow_mut().linked(address, to);
     let mut silence = Box::pin(tokio::time::sleep(SILENCE));
@@ -92,12 +99,16 @@
 /// Serves one subscriber until its link fails.
 async fn accepted(state: Shared, stream: TcpStream) -> Result<()> {
     let (mut receiver, mut sender) = link::split::<ToCoordinator, FromCoordinator>(stream)?;
-    let Some(ToCoordinator::Hello(hello)) = receiver.next().await? else { bail!("no hello") };
+    let Some(ToCoordinator::Hello(hello)) = receiver.next().await? else {
+        bail!("no hello")
+    };
     if hello.protocol != PROTOCOL_VERSION {
         bail!("another version of the protocol: {}", hello.protocol);
     }
     let (to, mut queue) = mpsc::unbounded_channel();
-    let number = state.borrow_mut().subscribe(to, hello.coordinator.is_some());
+    let number = state
+        .borrow_mut()
+        .subscribe(to, hello.coordinator.is_some());
     add(&state, hello.coordinator.as_slice());
     if let Some(coordinator) = hello.coordinator {
         state.borrow_mut().presence(coordinator).notify_one();
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -1,5 +1,5 @@
-//! The register's node on this coordinator: its messages, its record on disk, and the operators' changes that wait
-//! for their outcome.
+//! The register's node on this coordinator: its messages, its record on disk, and the operators'
+//! changes that wait for their outcome.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
 use eyre::{Result, WrapErr as _, eyre};
 use ironmast_register::node::Place;
 use ironmast_register::{
-    Action, Event, Identity, Message, Node, Operation, OperationId, Origin, Outcome, PersistToken, Record,
-    State,
+    Action, Event, Identity, Message, Node, Operation, OperationId, Origin, Outcome, PersistToken,
+    Record, State,
 };
 use ironmast_schema::settings::Settings;
 use slog::{Logger, warn};
@@ -80,17 +80,23 @@
         let folder = settings.data_directory.as_deref();
         let folder: &Path =
             folder.ok_or_else(|| eyre!("data_directory is missing: a coordinator keeps files"))?;
-        let (journal, found, persisted) =
-            Journal::open(folder, settings.limits.disk_mb, &log).wrap_err("reading the register's record")?;
+        let (journal, found, persisted) = Journal::open(folder, settings.limits.disk_mb, &log)
+            .wrap_err("reading the register's record")?;
         let origin = match found {
             Found::Durable(record) => Origin::Disk(record),
             Found::Unconfirmed(record) => Origin::Unconfirmed(record),
-            Found::Nothing if settings.bootstrap => {
-                Origin::Bootstrap { members: settings.seed_coordinators(), value: ControlValue::default() }
-            }
-            Found::Nothing | Found::Damage => Origin::Empty { identity: Identity(rand::random()) },
+            Found::Nothing if settings.bootstrap => Origin::Bootstrap {
+                members: settings.seed_coordinators(),
+                value: ControlValue::default(),
+            },
+            Found::Nothing | Found::Damage => Origin::Empty {
+                identity: Identity(rand::random()),
+            },
+        };
+        let place = Place {
+            address: own,
+            zone: settings.zone.clone(),
         };
-        let place = Place { address: own, zone: settings.zone.clone() };
         let mut times = ironmast_register::Settings::bearing(settings.fault_tolerance.hosts_lost);
         times.contact = contact_bound(&settings.timing_bounds);
         let node = Node::recover(origin, place, rand::random(), times);
@@ -145,8 +151,8 @@
         self.handle(Event::Question)
     }
 
-    /// Reads the newest state from a quorum; [`Effect::CaughtUp`] tells the end. A read begun before doesn't count
-    /// any more.
+    /// Reads the newest state from a quorum; [`Effect::CaughtUp`] tells the end. A read begun
+    /// before doesn't count any more.
     pub fn catch_up(&mut self) -> Vec<Effect> {
         let id = self.next_operation();
         self.catching_up = Some(id);
@@ -177,7 +183,11 @@
     }
 
     /// Submits a change; it is answered when its outcome is known, or in time that it isn't.
-    pub fn change(&mut self, operation: Operation<ControlValue>, to: oneshot::Sender<Reply>) -> Vec<Effect> {
+    pub fn change(
+        &mut self,
+        operation: Operation<ControlValue>,
+        to: oneshot::Sender<Reply>,
+    ) -> Vec<Effect> {
         self.submit(Kind::Change, operation, to)
     }
 
@@ -202,9 +212,17 @@
         self.next_operation
     }
 
-    fn handle_submit(&mut self, id: OperationId, operation: Operation<ControlValue>) -> Vec<Effect> {
+    fn handle_submit(
+        &mut self,
+        id: OperationId,
+        operation: Operation<ControlValue>,
+    ) -> Vec<Effect> {
         let deadline = self.clock.now() + ANSWER_WITHIN;
-        self.handle(Event::Submit { id, operation, deadline })
+        self.handle(Event::Submit {
+            id,
+            operation,
+            deadline,
+        })
     }
 
     /// Takes a message of another coordinator.
@@ -228,10 +246,15 @@
         self.handle(Event::Leaving)
     }
 
-    /// A write has ended. One that failed is written once more, whole, to a new file: until that is durable the
-    /// replica gives no vote. [`ironmast_storage`] tells why that is safe after a failed sync.
+    /// A write has ended. One that failed is written once more, whole, to a new file: until that is
+    /// durable the replica gives no vote. [`ironmast_storage`] tells why that is safe after a
+    /// failed sync.
     pub fn persisted(&mut self, completion: Persisted) -> Vec<Effect> {
-        if self.write.as_ref().is_none_or(|(token, _)| *token != completion.token) {
+        if self
+            .write
+            .as_ref()
+            .is_none_or(|(token, _)| *token != completion.token)
+        {
             return Vec::new();
         }
         match completion.result {
@@ -250,7 +273,10 @@
     fn handle(&mut self, event: Event<ControlValue>) -> Vec<Effect> {
         let mut actions = Vec::new();
         self.node.handle(self.clock.now(), event, &mut actions);
-        actions.into_iter().filter_map(|action| self.carry_out(action)).collect()
+        actions
+            .into_iter()
+            .filter_map(|action| self.carry_out(action))
+            .collect()
     }
 
     fn carry_out(&mut self, action: Action<ControlValue>) -> Option<Effect> {
@@ -290,20 +316,29 @@
             None => Reply::refused(404, "there is no configuration yet"),
         },
         (_, Outcome::Written(_) | Outcome::Kept(_) | Outcome::Read(_)) => Reply::json("{}"),
-        (_, Outcome::Rejected { reason, .. }) => Reply::refused(Refusal::of(&reason).status(), &reason),
-        (Kind::Change, Outcome::Unknown) => Reply::refused(504, "it may be in force or come into force"),
+        (_, Outcome::Rejected { reason, .. }) => {
+            Reply::refused(Refusal::of(&reason).status(), &reason)
+        }
+        (Kind::Change, Outcome::Unknown) => {
+            Reply::refused(504, "it may be in force or come into force")
+        }
         (_, Outcome::Expired | Outcome::Unknown) => {
             Reply::refused(503, "no majority of the coordinators has answered in time")
         }
     }
 }
 
-/// What is told in place of an answer that has come from a quorum, but too long ago to stand for the newest state.
+/// What is told in place of an answer that has come from a quorum, but too long ago to stand for
+/// the newest state.
 pub fn withheld(kind: Kind, reply: Reply) -> Reply {
     let is_success = reply.status < 300;
     match kind {
-        Kind::Change if is_success => Reply::refused(504, "it may be in force; contact was lost meanwhile"),
-        _ if reply.status < 500 => Reply::refused(503, "contact with the other coordinators was lost"),
+        Kind::Change if is_success => {
+            Reply::refused(504, "it may be in force; contact was lost meanwhile")
+        }
+        _ if reply.status < 500 => {
+            Reply::refused(503, "contact with the other coordinators was lost")
+        }
         _ => reply,
     }
 }
--- a/crates/coordinator/src/resolve.rs
+++ b/crates/coordinator/src/resolve.rs
@@ -1,6 +1,7 @@
-//! Which gates a client may go to: those of its own zone, else of its region. A client is sent to another region only
-//! where every request of its host may be served from there, or where its own region was lost; while its region's gates
-//! restart it gets those that are about to stop or to serve, or no answer, and so keeps the one that it has.
+//! Which gates a client may go to: those of its own zone, else of its region. A client is sent to
+//! another region only where every request of its host may be served from there, or where its own
+//! region was lost; while its region's gates restart it gets those that are about to stop or to
+//! serve, or no answer, and so keeps the one that it has.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -45,9 +46,16 @@
 impl Homes {
     /// The homes of a host; none as long as no configuration is known.
     fn of(host: &str, configuration: Option<&Configuration>) -> Self {
-        let Some(configuration) = configuration else { return Homes::Regions(BTreeSet::new()) };
-        let of_host = configuration.routes.iter().filter(|route| route.hostname.eq_ignore_ascii_case(host));
-        let named = of_host.map(|route| &route.allowed_regions).filter(|regions| !regions.is_empty());
+        let Some(configuration) = configuration else {
+            return Homes::Regions(BTreeSet::new());
+        };
+        let of_host = configuration
+            .routes
+            .iter()
+            .filter(|route| route.hostname.eq_ignore_ascii_case(host));
+        let named = of_host
+            .map(|route| &route.allowed_regions)
+            .filter(|regions| !regions.is_empty());
         let named = named.map(|regions| regions.iter().cloned().collect::<BTreeSet<_>>());
         match named.reduce(|common, regions| &common & &regions) {
             Some(common) => Homes::Regions(common),
@@ -76,7 +84,9 @@
     }
     let homes = Homes::of(&query.name, configuration);
     let lost = was_lost(gates, &query.region);
-    let elsewhere = select(gates, |gate| is_ready(gate) && (lost || homes.admit(&gate.record.region)));
+    let elsewhere = select(gates, |gate| {
+        is_ready(gate) && (lost || homes.admit(&gate.record.region))
+    });
     if !elsewhere.is_empty() {
         return elsewhere;
     }
@@ -86,9 +96,10 @@
     })
 }
 
-/// The addresses for a client at a coordinator that knows of no other coordinator's news: gates of the client's region
-/// that speak to this one. Where requests of the host must leave that region there are none: the region may be cut off
-/// from their homes, and another coordinator can tell who is there.
+/// The addresses for a client at a coordinator that knows of no other coordinator's news: gates of
+/// the client's region that speak to this one. Where requests of the host must leave that region
+/// there are none: the region may be cut off from their homes, and another coordinator can tell who
+/// is there.
 pub fn addresses_heard_here(
     gates: &[Gate<'_>],
     configuration: Option<&Configuration>,
@@ -105,18 +116,29 @@
 }
 
 /// The usable gates of the client's zone; without any, those of its region.
-fn nearest(gates: &[Gate<'_>], query: &Query, is_usable: impl Fn(&Gate<'_>) -> bool) -> Vec<SocketAddr> {
-    let in_zone = select(gates, |gate| is_usable(gate) && gate.record.zone == query.zone);
+fn nearest(
+    gates: &[Gate<'_>],
+    query: &Query,
+    is_usable: impl Fn(&Gate<'_>) -> bool,
+) -> Vec<SocketAddr> {
+    let in_zone = select(gates, |gate| {
+        is_usable(gate) && gate.record.zone == query.zone
+    });
     match in_zone.is_empty() {
-        true => select(gates, |gate| is_usable(gate) && gate.record.region == query.region),
+        true => select(gates, |gate| {
+            is_usable(gate) && gate.record.region == query.region
+        }),
         false => in_zone,
     }
 }
 
 /// The first addresses, in order, of the gates that fit.
 fn select(gates: &[Gate<'_>], fits: impl Fn(&Gate<'_>) -> bool) -> Vec<SocketAddr> {
-    let mut addresses: Vec<SocketAddr> =
-        gates.iter().filter(|gate| fits(gate)).map(|gate| gate.frontend).collect();
+    let mut addresses: Vec<SocketAddr> = gates
+        .iter()
+        .filter(|gate| fits(gate))
+        .map(|gate| gate.frontend)
+        .collect();
     addresses.sort_unstable();
     addresses.truncate(ADDRESSES_MOST);
     addresses
@@ -135,7 +157,8 @@
     if addresses.is_empty() {
         return Reply::refused(503, "no gate is known that this client may go to");
     }
-    serde_json::to_vec(&Answer { addresses, ttl_s }).map_or(Reply::refused(500, "no answer"), Reply::json)
+    serde_json::to_vec(&Answer { addresses, ttl_s })
+        .map_or(Reply::refused(500, "no answer"), Reply::json)
 }
 
 #[cfg(test)]
--- a/crates/coordinator/src/resolve/tests.rs
+++ b/crates/coordinator/src/resolve/tests.rs
@@ -8,7 +8,12 @@
 
 fn gate(zone: &str, ready: bool, gone: bool) -> GateRecord {
     let region = zone.split('-').next().expect("a region").to_string();
-    GateRecord { zone: zone.to_string(), region, ready, gone }
+    GateRecord {
+        zone: zone.to_string(),
+        region,
+        ready,
+        gone,
+    }
 }
 
 fn ready(zone: &str) -> GateRecord {
@@ -36,15 +41,23 @@
         route.to_string()
     };
     let others = [route(0, "b.example", &["east"]), route(1, "a.example", &[])];
-    let routes = homes.iter().enumerate().map(|(number, homes)| route(number + 2, "a.example", homes));
+    let routes = homes
+        .iter()
+        .enumerate()
+        .map(|(number, homes)| route(number + 2, "a.example", homes));
     let routes: Vec<String> = others.into_iter().chain(routes).collect();
-    let text = format!(r#"{{"generation":1,"routes":[{}],"services":[{{"name":"x"}}]}}"#, routes.join(","));
+    let text = format!(
+        r#"{{"generation":1,"routes":[{}],"services":[{{"name":"x"}}]}}"#,
+        routes.join(",")
+    );
     Configuration::parse(text.as_bytes()).expect("a sound configuration")
 }
 
-/// The numbers of the gates that a client in [`ZONE`] gets; each was heard of after the one before it.
+/// The numbers of the gates that a client in [`ZONE`] gets; each was heard of after the one before
+/// it.
 fn resolved_with(configuration: Option<&Configuration>, gates: &[GateRecord]) -> Vec<usize> {
-    let address = |number: usize| SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 80));
+    let address =
+        |number: usize| SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 80));
     let gates: Vec<Gate<'_>> = (0..)
         .zip(gates)
         .map(|(number, record)| Gate {
@@ -55,9 +68,21 @@
             is_heard_here: false,
         })
         .collect();
-    let query = Query { name: "A.example".to_string(), region: "north".to_string(), zone: ZONE.to_string() };
+    let query = Query {
+        name: "A.example".to_string(),
+        region: "north".to_string(),
+        zone: ZONE.to_string(),
+    };
     let found = addresses(&gates, configuration, &query);
-    found.iter().map(|found| gates.iter().position(|gate| gate.frontend == *found).expect("known")).collect()
+    found
+        .iter()
+        .map(|found| {
+            gates
+                .iter()
+                .position(|gate| gate.frontend == *found)
+                .expect("known")
+        })
+        .collect()
 }
 
 fn resolved(homes: &[&[&str]], gates: &[GateRecord]) -> Vec<usize> {
@@ -75,19 +100,35 @@
 
 #[test]
 fn else_those_of_the_region() {
-    let gates = [ready("north-b"), unready(ZONE), lost(ZONE), ready("south-a"), ready("north-c")];
+    let gates = [
+        ready("north-b"),
+        unready(ZONE),
+        lost(ZONE),
+        ready("south-a"),
+        ready("north-c"),
+    ];
     assert_eq!(resolved(&[], &gates), [0, 4]);
 }
 
 #[test]
 fn else_all_where_no_route_of_the_host_has_homes() {
-    let gates = [ended("north-b"), unready(ZONE), ready("south-a"), ready("west-a")];
+    let gates = [
+        ended("north-b"),
+        unready(ZONE),
+        ready("south-a"),
+        ready("west-a"),
+    ];
     assert_eq!(resolved(&[], &gates), [2, 3]);
 }
 
 #[test]
 fn a_region_that_restarts_does_not_lose_its_clients_to_a_region_that_is_no_home() {
-    let gates = [ended("north-b"), unready(ZONE), ready("south-a"), unready("north-b")];
+    let gates = [
+        ended("north-b"),
+        unready(ZONE),
+        ready("south-a"),
+        unready("north-b"),
+    ];
     assert_eq!(resolved(&[NORTH], &gates), [1, 3]);
     let gates = [lost("north-b"), ended(ZONE), ready("south-a")];
     assert!(resolved(&[NORTH], &gates).is_empty());
@@ -95,7 +136,12 @@
 
 #[test]
 fn a_region_that_restarts_may_be_stood_in_for_by_the_homes() {
-    let gates = [ended("north-b"), unready(ZONE), ready("south-a"), ready("west-a")];
+    let gates = [
+        ended("north-b"),
+        unready(ZONE),
+        ready("south-a"),
+        ready("west-a"),
+    ];
     assert_eq!(resolved(&[&["south", "north"]], &gates), [2]);
     assert_eq!(resolved(&[&["south", "west"], SOUTH], &gates), [2]);
     // No region is a home of both.
@@ -114,7 +160,10 @@
     let gates = [ready("south-a")];
     assert!(resolved(&[NORTH], &gates).is_empty());
     assert!(resolved_with(None, &gates).is_empty());
-    assert_eq!(resolved_with(None, &[ready("south-a"), ready("north-b")]), [1]);
+    assert_eq!(
+        resolved_with(None, &[ready("south-a"), ready("north-b")]),
+        [1]
+    );
 }
 
 #[test]
@@ -128,7 +177,10 @@
     let reply = answer(&["10.0.0.1:80".parse().expect("an address")], 2.0);
     assert_eq!(reply.status, 200);
     let body: serde_json::Value = serde_json::from_slice(&reply.body).expect("JSON");
-    assert_eq!(body, serde_json::json!({"addresses": ["10.0.0.1:80"], "ttl_s": 2.0}));
+    assert_eq!(
+        body,
+        serde_json::json!({"addresses": ["10.0.0.1:80"], "ttl_s": 2.0})
+    );
 }
 
 #[test]
@@ -138,8 +190,13 @@
 
 #[test]
 fn without_contact_only_gates_of_the_region_that_speak_here_are_named() {
-    let records =
-        [ready("north-b"), ready("north-a"), ready("south-a"), unready("north-a"), ready("north-c")];
+    let records = [
+        ready("north-b"),
+        ready("north-a"),
+        ready("south-a"),
+        unready("north-a"),
+        ready("north-c"),
+    ];
     let address = |number: usize| SocketAddr::from(([10, 0, 0, number as u8], 80));
     let heard_by = |configuration: Option<Configuration>, speakers: &[usize]| {
         let gates: Vec<Gate<'_>> = records
@@ -154,16 +211,36 @@
             })
             .collect();
         let name = "A.example".to_string();
-        let query = Query { name, region: "north".to_string(), zone: ZONE.to_string() };
+        let query = Query {
+            name,
+            region: "north".to_string(),
+            zone: ZONE.to_string(),
+        };
         addresses_heard_here(&gates, configuration.as_ref(), &query)
     };
     let heard_here = |speakers: &[usize]| heard_by(None, speakers);
-    assert_eq!(heard_here(&[0, 1, 2, 3]), [address(1)], "the client's zone first");
-    assert_eq!(heard_here(&[0, 2, 4]), [address(0), address(4)], "then its region");
-    assert_eq!(heard_here(&[2, 3]), [], "no other region, and none that is not ready");
+    assert_eq!(
+        heard_here(&[0, 1, 2, 3]),
+        [address(1)],
+        "the client's zone first"
+    );
+    assert_eq!(
+        heard_here(&[0, 2, 4]),
+        [address(0), address(4)],
+        "then its region"
+    );
+    assert_eq!(
+        heard_here(&[2, 3]),
+        [],
+        "no other region, and none that is not ready"
+    );
     let with_homes = |homes: &[&[&str]]| heard_by(Some(configuration(homes)), &[1]);
     assert_eq!(with_homes(&[NORTH]), [address(1)], "at home here");
-    assert_eq!(with_homes(&[SOUTH]), [], "the region may be cut off from the homes of the host");
+    assert_eq!(
+        with_homes(&[SOUTH]),
+        [],
+        "the region may be cut off from the homes of the host"
+    );
 }
 
 /// A gate whose last word is old may be long gone.
@@ -171,8 +248,28 @@
 fn a_gate_that_nobody_has_heard_lately_is_not_named() {
     let record = ready("north-a");
     let frontend = SocketAddr::from(([10, 0, 0, 1], 80));
-    let gate = Gate { frontend, record: &record, heard: 0, is_heard: false, is_heard_here: false };
-    let query = Query { name: String::new(), region: "north".to_string(), zone: ZONE.to_string() };
+    let gate = Gate {
+        frontend,
+        record: &record,
+        heard: 0,
+        is_heard: false,
+        is_heard_here: false,
+    };
+    let query = Query {
+        name: String::new(),
+        region: "north".to_string(),
+        zone: ZONE.to_string(),
+    };
     assert_eq!(addresses(&[gate], None, &query), []);
-    assert_eq!(addresses(&[Gate { is_heard: true, ..gate }], None, &query), [frontend]);
+    assert_eq!(
+        addresses(
+            &[Gate {
+                is_heard: true,
+                ..gate
+            }],
+            None,
+            &query
+        ),
+        [frontend]
+    );
 }
--- a/crates/coordinator/src/standing.rs
+++ b/crates/coordinator/src/standing.rs
@@ -1,4 +1,5 @@
-//! Where a coordinator stands with the majority of the register's replicas, and what it answers there.
+//! Where a coordinator stands with the majority of the register's replicas, and what it answers
+//! there.
 
 use std::time::Duration;
 
@@ -7,22 +8,29 @@
 #[cfg(test)]
 mod tests;
 
-/// Parts of the shortest bound in time: one for the loss of contact to be noticed, two for the news to travel.
+/// Parts of the shortest bound in time: one for the loss of contact to be noticed, two for the news
+/// to travel.
 const PARTS_OF_SHORTEST: u32 = 3;
-/// Shorter than this, slow links and busy processors would look like cuts: four questions, each with a round trip
-/// round the world, or one packet sent again after a timeout.
+/// Shorter than this, slow links and busy processors would look like cuts: four questions, each
+/// with a round trip round the world, or one packet sent again after a timeout.
 const BOUND_LEAST: Duration = Duration::from_millis(600);
 
 /// The age at which contact with a majority counts as lost.
 ///
-/// What a coordinator says in its last moment of contact must reach every gate in touch within the shortest bound of
-/// the rules: `config_apply_ms`, `drain_timeout_ms`, `evacuation_ms` or `contact_ms`. Its word may be as old as this
-/// bound before others notice, so that the bound is a third of the shortest.
+/// What a coordinator says in its last moment of contact must reach every gate in touch within the
+/// shortest bound of the rules: `config_apply_ms`, `drain_timeout_ms`, `evacuation_ms` or
+/// `contact_ms`. Its word may be as old as this bound before others notice, so that the bound is a
+/// third of the shortest.
 pub fn contact_bound(bounds: &TimingBounds) -> Duration {
-    let shortest = [bounds.config_apply_ms, bounds.drain_timeout_ms, bounds.evacuation_ms, bounds.contact_ms]
-        .into_iter()
-        .min()
-        .unwrap_or_default();
+    let shortest = [
+        bounds.config_apply_ms,
+        bounds.drain_timeout_ms,
+        bounds.evacuation_ms,
+        bounds.contact_ms,
+    ]
+    .into_iter()
+    .min()
+    .unwrap_or_default();
     (Duration::from_millis(shortest) / PARTS_OF_SHORTEST).max(BOUND_LEAST)
 }
 
@@ -72,9 +80,10 @@
     /// What a request gets here. `docs/design/control.md` shows the table.
     pub fn treatment(self, request: Request) -> Treatment {
         match (request, self) {
-            (Request::Configuration | Request::Evacuation | Request::Read, Standing::OutOfContact) => {
-                Treatment::Refuse
-            }
+            (
+                Request::Configuration | Request::Evacuation | Request::Read,
+                Standing::OutOfContact,
+            ) => Treatment::Refuse,
             (Request::Configuration | Request::Evacuation | Request::Read, _) => Treatment::Decide,
             (Request::Heartbeat, Standing::InContact) => Treatment::Acknowledge,
             (Request::Draining | Request::Delete, Standing::InContact) => Treatment::Confirm,
@@ -123,7 +132,8 @@
     Note,
     /// Names the gates that any coordinator has heard lately.
     Everybody,
-    /// Names gates of the client's region whose agents have lately spoken to this coordinator itself; without any, 503.
+    /// Names gates of the client's region whose agents have lately spoken to this coordinator
+    /// itself; without any, 503.
     HeardHere,
     /// News is relayed, and beats say that it is fresh.
     Fresh,
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -30,7 +30,8 @@
 /// A gate that says nothing for this long gets no new clients.
 const GATE_PATIENCE: Micros = 1_300_000;
 
-/// Clients ask again after this many seconds at the latest: so long a gate that was lost may still get their requests.
+/// Clients ask again after this many seconds at the latest: so long a gate that was lost may still
+/// get their requests.
 const TTL_MOST_S: f64 = 1.0;
 
 /// Why a word isn't acknowledged.
@@ -65,12 +66,18 @@
 impl Reply {
     /// An answer with a JSON body.
     pub fn json(body: impl Into<Vec<u8>>) -> Self {
-        Reply { status: 200, body: body.into() }
+        Reply {
+            status: 200,
+            body: body.into(),
+        }
     }
 
     /// A refusal in one line.
     pub fn refused(status: u16, why: &str) -> Self {
-        Reply { status, body: format!("{why}\n").into_bytes() }
+        Reply {
+            status,
+            body: format!("{why}\n").into_bytes(),
+        }
     }
 }
 
@@ -140,7 +147,13 @@
             confirmations: Confirmations::default(),
             own,
             ttl_s,
-            catalog: Catalog::new(0, Patience { instance, gate: GATE_PATIENCE }),
+            catalog: Catalog::new(
+                0,
+                Patience {
+                    instance,
+                    gate: GATE_PATIENCE,
+                },
+            ),
             replica,
             relay,
             in_force: None,
@@ -164,11 +177,13 @@
             Command::Leave(id, to) => self.server_leaves(id, to),
             Command::Configure(generation, body, base, to) => {
                 let document = Document { generation, body };
-                let change = Operation::change(move |value: &ControlValue| value.configure(&document, base));
+                let change =
+                    Operation::change(move |value: &ControlValue| value.configure(&document, base));
                 self.decide(Request::Configuration, change, to);
             }
             Command::Evacuate(zone, out, to) => {
-                let change = Operation::change(move |value: &ControlValue| value.evacuate(&zone, out));
+                let change =
+                    Operation::change(move |value: &ControlValue| value.evacuate(&zone, out));
                 self.decide(Request::Evacuation, change, to);
             }
             Command::ReadConfiguration(to) => self.read(to),
@@ -178,7 +193,12 @@
         }
     }
 
-    fn decide(&mut self, request: Request, change: Operation<ControlValue>, to: oneshot::Sender<Reply>) {
+    fn decide(
+        &mut self,
+        request: Request,
+        change: Operation<ControlValue>,
+        to: oneshot::Sender<Reply>,
+    ) {
         if self.standing.treatment(request) == Treatment::Refuse {
             let _ = to.send(Reply::refused(503, OUT_OF_CONTACT));
             return;
@@ -198,7 +218,10 @@
 
     fn resolve(&self, query: &resolve::Query) -> Reply {
         let gates: Vec<_> = self.catalog.gates(self.now()).collect();
-        let configuration = self.in_force.as_ref().map(|(_, configuration)| configuration);
+        let configuration = self
+            .in_force
+            .as_ref()
+            .map(|(_, configuration)| configuration);
         let addresses = match self.standing.treatment(Request::Resolve) {
             Treatment::Everybody => resolve::addresses(&gates, configuration, query),
             _ => resolve::addresses_heard_here(&gates, configuration, query),
@@ -234,7 +257,10 @@
             });
         }
         let control = ControlState {
-            configuration: self.in_force.as_ref().map(|(_, configuration)| configuration.clone()),
+            configuration: self
+                .in_force
+                .as_ref()
+                .map(|(_, configuration)| configuration.clone()),
             evacuated: learned.value.evacuated.iter().cloned().collect(),
         };
         let news = self.catalog.control(self.now(), learned.sequence, control);
@@ -269,12 +295,18 @@
 
     /// Whether the replica still has a place that another coordinator could take.
     pub fn may_hand_over(&self) -> bool {
-        let linked = self.outgoing.values().filter(|queue| !queue.is_closed()).count();
-        self.replica.members().is_some_and(|members| linked + 1 > members)
+        let linked = self
+            .outgoing
+            .values()
+            .filter(|queue| !queue.is_closed())
+            .count();
+        self.replica
+            .members()
+            .is_some_and(|members| linked + 1 > members)
     }
 
-    /// A link to another coordinator is up: what is sent there goes into this queue. Out of contact the new link may
-    /// be the one that was missing, so that a majority is asked for at once.
+    /// A link to another coordinator is up: what is sent there goes into this queue. Out of contact
+    /// the new link may be the one that was missing, so that a majority is asked for at once.
     pub fn linked(&mut self, to: SocketAddr, queue: mpsc::UnboundedSender<ToCoordinator>) {
         self.send_unconfirmed(&queue);
         self.outgoing.insert(to, queue);
@@ -295,7 +327,9 @@
         if address == self.own || !self.coordinators.insert(address) {
             return false;
         }
-        let effects = self.replica.set_peers(self.coordinators.iter().copied().collect());
+        let effects = self
+            .replica
+            .set_peers(self.coordinators.iter().copied().collect());
         self.carry_out(effects);
         true
     }
@@ -310,7 +344,8 @@
     /// Takes an entry that has come over the relay tree.
     pub fn heard(&mut self, entry: &Entry) {
         let now = self.now();
-        // Unchanged heartbeats aren't told, so that an older word may look newer to those that have only that.
+        // Unchanged heartbeats aren't told, so that an older word may look newer to those that have
+        // only that.
         if let Merged::Outdated(newer) = self.catalog.merge(now, entry) {
             self.publish(vec![*newer]);
         }
@@ -335,9 +370,14 @@
     pub fn subscribe(&mut self, to: Subscriber, coordinator: bool) -> u64 {
         let coordinators = self.coordinators.iter().copied().collect();
         let in_contact = self.is_feed_fresh();
-        let _ = to.send(FromCoordinator::Alive { coordinators, heard: Vec::new(), in_contact });
+        let _ = to.send(FromCoordinator::Alive {
+            coordinators,
+            heard: Vec::new(),
+            in_contact,
+        });
         self.next_subscriber += 1;
-        self.subscribers.insert(self.next_subscriber, (to, coordinator));
+        self.subscribers
+            .insert(self.next_subscriber, (to, coordinator));
         self.next_subscriber
     }
 
@@ -364,8 +404,8 @@
         }
     }
 
-    /// Takes an entry that came directly: an agent's word of its gate, or another coordinator's of a server that
-    /// leaves.
+    /// Takes an entry that came directly: an agent's word of its gate, or another coordinator's of
+    /// a server that leaves.
     fn take_entry(&mut self, entry: Entry) {
         let now = self.now();
         let news = match entry.value {
@@ -382,7 +422,11 @@
 
     /// Takes a frame of another coordinator; returns the coordinators that it knows.
     pub fn take_coordinator_frame(&mut self, frame: FromCoordinator) -> Vec<SocketAddr> {
-        let FromCoordinator::Alive { coordinators, heard, .. } = frame;
+        let FromCoordinator::Alive {
+            coordinators,
+            heard,
+            ..
+        } = frame;
         let now = self.now();
         self.catalog.alive(now, &heard);
         coordinators
--- a/crates/coordinator/src/state/contact.rs
+++ b/crates/coordinator/src/state/contact.rs
@@ -1,4 +1,5 @@
-//! Contact with the majority of the coordinators: changes of the standing, and what the feed says of it.
+//! Contact with the majority of the coordinators: changes of the standing, and what the feed says
+//! of it.
 
 use std::net::SocketAddr;
 
@@ -11,8 +12,8 @@
 use crate::standing::{Request, Standing, Treatment};
 
 impl State {
-    /// Takes up what follows from the age of the contact. Called before anything is answered: a process that stood
-    /// still has lost contact, though no timer could tell.
+    /// Takes up what follows from the age of the contact. Called before anything is answered: a
+    /// process that stood still has lost contact, though no timer could tell.
     pub(super) fn observe(&mut self) {
         let standing = self.standing.observed(self.replica.is_in_contact());
         self.enter(standing);
@@ -53,7 +54,10 @@
 
     fn contact_lost(&mut self, before: Standing) {
         if before == Standing::InContact {
-            warn!(self.log, "out of contact with the majority of the coordinators: nothing is acknowledged");
+            warn!(
+                self.log,
+                "out of contact with the majority of the coordinators: nothing is acknowledged"
+            );
         }
         self.confirmations.refuse();
     }
@@ -88,8 +92,17 @@
         let fresh = self.catalog.take_fresh();
         let coordinators: Vec<SocketAddr> = self.coordinators.iter().copied().collect();
         self.subscribers.retain(|_, (to, coordinator)| {
-            let heard = if *coordinator { fresh.clone() } else { Vec::new() };
-            to.send(FromCoordinator::Alive { coordinators: coordinators.clone(), heard, in_contact }).is_ok()
+            let heard = if *coordinator {
+                fresh.clone()
+            } else {
+                Vec::new()
+            };
+            to.send(FromCoordinator::Alive {
+                coordinators: coordinators.clone(),
+                heard,
+                in_contact,
+            })
+            .is_ok()
         });
     }
 }
--- a/crates/coordinator/src/state/servers.rs
+++ b/crates/coordinator/src/state/servers.rs
@@ -12,7 +12,12 @@
 
 impl State {
     /// Takes a server's heartbeat and answers it.
-    pub(super) fn heartbeat(&mut self, id: String, heartbeat: Heartbeat, to: oneshot::Sender<Reply>) {
+    pub(super) fn heartbeat(
+        &mut self,
+        id: String,
+        heartbeat: Heartbeat,
+        to: oneshot::Sender<Reply>,
+    ) {
         let request = match heartbeat.state {
             InstanceState::Draining => Request::Draining,
             InstanceState::Ready => Request::Heartbeat,
@@ -54,9 +59,13 @@
         self.observe();
     }
 
-    /// Sends a coordinator that has just been linked the entries whose confirmation is still awaited.
+    /// Sends a coordinator that has just been linked the entries whose confirmation is still
+    /// awaited.
     pub(super) fn send_unconfirmed(&self, queue: &mpsc::UnboundedSender<ToCoordinator>) {
-        let waiting = self.confirmations.keys().filter_map(|key| self.catalog.get(key));
+        let waiting = self
+            .confirmations
+            .keys()
+            .filter_map(|key| self.catalog.get(key));
         for entry in waiting {
             let _ = queue.send(ToCoordinator::Entries(vec![entry.clone()]));
         }
--- a/crates/coordinator/src/state/tests.rs
+++ b/crates/coordinator/src/state/tests.rs
@@ -35,7 +35,11 @@
     assert_eq!(site.status(0, delete("i")), 200);
     site.gate_speaks(1, 80, "r1");
     site.spread(1);
-    assert_eq!(site.status(0, resolve("r0")), 200, "a gate of another region that others hear");
+    assert_eq!(
+        site.status(0, resolve("r0")),
+        200,
+        "a gate of another region that others hear"
+    );
     for member in &mut site.members {
         assert!(member.told.in_contact.get());
         assert_eq!(member.says_in_contact(), Some(true));
@@ -57,7 +61,11 @@
 fn out_of_contact_nothing_is_acknowledged() {
     cut_each_way(|site| {
         assert_eq!(site.status(0, configure(5, 3)), 503);
-        assert_eq!(site.status(0, configure(2, 3)), 503, "no refusal out of old knowledge");
+        assert_eq!(
+            site.status(0, configure(2, 3)),
+            503,
+            "no refusal out of old knowledge"
+        );
         assert_eq!(site.status(0, evacuate("z9")), 503);
         assert_eq!(site.status(0, Command::ReadConfiguration), 503);
         assert_eq!(site.status(0, heartbeat("i", 1, Ready)), 503);
@@ -82,12 +90,23 @@
     cut_each_way(|site| {
         site.gate_speaks(1, 80, "r0");
         site.spread(1);
-        assert_eq!(site.status(0, resolve("r0")), 503, "heard of by others only");
+        assert_eq!(
+            site.status(0, resolve("r0")),
+            503,
+            "heard of by others only"
+        );
         site.gate_speaks(0, 81, "r0");
         assert_eq!(site.status(0, resolve("r1")), 503, "of another region");
-        assert_eq!(site.answer(0, resolve("r0")).body, br#"{"addresses":["10.0.1.1:81"],"ttl_s":1.0}"#);
+        assert_eq!(
+            site.answer(0, resolve("r0")).body,
+            br#"{"addresses":["10.0.1.1:81"],"ttl_s":1.0}"#
+        );
         site.run(Duration::from_secs(3));
-        assert_eq!(site.status(0, resolve("r0")), 503, "silent for longer than the patience");
+        assert_eq!(
+            site.status(0, resolve("r0")),
+            503,
+            "silent for longer than the patience"
+        );
     });
 }
 
@@ -128,14 +147,19 @@
         assert!(steps.next().is_some(), "not in contact within {RETURN:?}");
         site.step();
     }
-    assert_eq!(site.members[0].published_generation(), Some(6), "known before anything is called fresh");
+    assert_eq!(
+        site.members[0].published_generation(),
+        Some(6),
+        "known before anything is called fresh"
+    );
     assert_eq!(site.members[0].says_in_contact(), Some(true));
     assert_eq!(site.status(0, heartbeat("i", 2, Ready)), 200);
     assert_eq!(site.status(0, heartbeat("i", 3, Draining)), 200);
     assert_eq!(site.answer(0, Command::ReadConfiguration).body, body(6));
 }
 
-/// The first thing that happens after the process stood still is a caller's request: no timer has run.
+/// The first thing that happens after the process stood still is a caller's request: no timer has
+/// run.
 #[test]
 fn a_process_that_stood_still_acknowledges_nothing_before_it_has_asked_again() {
     let mut site = Site::new(3);
@@ -152,10 +176,15 @@
     assert_eq!(site.status(0, heartbeat("i", 4, Ready)), 200);
 }
 
-/// The cut has come just now: contact is young enough, but the word of a server that leaves can't get out.
+/// The cut has come just now: contact is young enough, but the word of a server that leaves can't
+/// get out.
 #[test]
 fn a_server_that_leaves_is_acknowledged_only_when_a_majority_holds_its_word() {
-    for (sequence, cut) in [(1, Site::cut as fn(&mut Site, usize)), (2, Site::cut_from), (3, Site::cut_to)] {
+    for (sequence, cut) in [
+        (1, Site::cut as fn(&mut Site, usize)),
+        (2, Site::cut_from),
+        (3, Site::cut_to),
+    ] {
         let mut site = Site::new(3);
         assert_eq!(site.status(0, heartbeat("i", sequence, Ready)), 200);
         cut(&mut site, 0);
@@ -167,7 +196,8 @@
     assert_eq!(site.status(0, delete("i")), 503);
 }
 
-/// The links come up anew while the word waits: what was sent on the old ones is lost, the questions are not.
+/// The links come up anew while the word waits: what was sent on the old ones is lost, the
+/// questions are not.
 #[test]
 fn a_link_that_comes_up_carries_the_word_that_waits() {
     let mut site = Site::new(3);
@@ -202,7 +232,11 @@
     assert_eq!(site.status(0, delete("i")), 503);
     assert_eq!(site.status(1, heartbeat("i", 1, Ready)), 200);
     assert_eq!(site.status(1, delete("i")), 200);
-    assert_eq!(site.status(1, delete("i")), 200, "sent again after a lost answer");
+    assert_eq!(
+        site.status(1, delete("i")),
+        200,
+        "sent again after a lost answer"
+    );
 }
 
 /// An order meets a cut at each step of its two rounds.
@@ -234,8 +268,17 @@
 #[test]
 fn before_the_first_contact_orders_wait_and_servers_are_refused() {
     let mut site = Site::starting(3);
-    assert_eq!(site.ask(0, heartbeat("i", 1, Ready)).try_recv().expect("at once").status, 503);
-    assert_eq!(site.ask(0, delete("i")).try_recv().expect("at once").status, 503);
+    assert_eq!(
+        site.ask(0, heartbeat("i", 1, Ready))
+            .try_recv()
+            .expect("at once")
+            .status,
+        503
+    );
+    assert_eq!(
+        site.ask(0, delete("i")).try_recv().expect("at once").status,
+        503
+    );
     assert_eq!(site.status(0, configure(3, 0)), 200);
     site.run(RETURN);
     assert!(site.members[0].told.in_contact.get());
--- a/crates/coordinator/src/state/tests/site.rs
+++ b/crates/coordinator/src/state/tests/site.rs
@@ -1,4 +1,5 @@
-//! Coordinators in one process: their clock is set by hand, their links are queues that the test empties.
+//! Coordinators in one process: their clock is set by hand, their links are queues that the test
+//! empties.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
@@ -71,7 +72,9 @@
 fn settings(folder: &TempDir, number: usize, count: usize) -> Settings {
     let disk = folder.path().join(number.to_string());
     std::fs::create_dir(&disk).expect("a disk");
-    let seeds: String = (0..count).map(|seed| format!("\n  - \"{}\"", address(seed))).collect();
+    let seeds: String = (0..count)
+        .map(|seed| format!("\n  - \"{}\"", address(seed)))
+        .collect();
     let text = format!(
         "node_name: m{number}
 ip_address: {ip}
@@ -95,10 +98,20 @@
     pub fn starting(count: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let now = Rc::new(Cell::new(Duration::from_secs(1)));
-        let members = (0..count).map(|number| member(&folder, &now, number, count)).collect();
-        let mut site = Site { members, cuts: BTreeSet::new(), now, steps: 0, _folder: folder };
+        let members = (0..count)
+            .map(|number| member(&folder, &now, number, count))
+            .collect();
+        let mut site = Site {
+            members,
+            cuts: BTreeSet::new(),
+            now,
+            steps: 0,
+            _folder: folder,
+        };
         for from in 0..count {
-            (0..count).filter(|to| *to != from).for_each(|to| site.link(from, to));
+            (0..count)
+                .filter(|to| *to != from)
+                .for_each(|to| site.link(from, to));
         }
         site
     }
@@ -122,12 +135,20 @@
 
     /// Cuts all frames from `from` to the others.
     pub fn cut_from(&mut self, from: usize) {
-        self.cuts.extend((0..self.members.len()).filter(|to| *to != from).map(|to| (from, to)));
+        self.cuts.extend(
+            (0..self.members.len())
+                .filter(|to| *to != from)
+                .map(|to| (from, to)),
+        );
     }
 
     /// Cuts all frames from the others to `to`.
     pub fn cut_to(&mut self, to: usize) {
-        self.cuts.extend((0..self.members.len()).filter(|from| *from != to).map(|from| (from, to)));
+        self.cuts.extend(
+            (0..self.members.len())
+                .filter(|from| *from != to)
+                .map(|from| (from, to)),
+        );
     }
 
     pub fn cut(&mut self, number: usize) {
@@ -201,7 +222,11 @@
         reply.try_recv().expect("callers wait for a second")
     }
 
-    pub fn status(&mut self, number: usize, command: impl FnOnce(oneshot::Sender<Reply>) -> Command) -> u16 {
+    pub fn status(
+        &mut self,
+        number: usize,
+        command: impl FnOnce(oneshot::Sender<Reply>) -> Command,
+    ) -> u16 {
         self.answer(number, command).status
     }
 
@@ -209,16 +234,31 @@
     pub fn gate_speaks(&mut self, to: usize, number: u16, region: &str) {
         let version = self.now.get().as_millis() as u64 * 4;
         let frontend = SocketAddr::from(([10, 0, 1, 1], number));
-        let record =
-            GateRecord { zone: "z".to_string(), region: region.to_string(), ready: true, gone: false };
-        let entry = Entry { key: Key::Gate(frontend), version, value: Value::Gate(record) };
-        self.members[to].state.take_subscriber_frame(ToCoordinator::Entries(vec![entry]));
+        let record = GateRecord {
+            zone: "z".to_string(),
+            region: region.to_string(),
+            ready: true,
+            gone: false,
+        };
+        let entry = Entry {
+            key: Key::Gate(frontend),
+            version,
+            value: Value::Gate(record),
+        };
+        self.members[to]
+            .state
+            .take_subscriber_frame(ToCoordinator::Entries(vec![entry]));
     }
 
     /// Entries that are news go from the relay tree of one coordinator to the others.
     pub fn spread(&mut self, from: usize) {
         let entries = std::mem::take(&mut *self.members[from].told.published.borrow_mut());
-        for (number, member) in self.members.iter_mut().enumerate().filter(|(number, _)| *number != from) {
+        for (number, member) in self
+            .members
+            .iter_mut()
+            .enumerate()
+            .filter(|(number, _)| *number != from)
+        {
             assert_ne!(number, from);
             entries.iter().for_each(|entry| member.state.heard(entry));
         }
@@ -233,11 +273,25 @@
     let (replica, persisted) =
         Replica::open(&settings, address(number), clock, log.clone()).expect("a replica");
     let told = Rc::new(Told::default());
-    let mut state = State::new(&settings, address(number), replica, Box::new(Rc::clone(&told)), &log);
+    let mut state = State::new(
+        &settings,
+        address(number),
+        replica,
+        Box::new(Rc::clone(&told)),
+        &log,
+    );
     let (to, heard) = mpsc::unbounded_channel();
     state.subscribe(to, false);
     let (outgoing, inbox) = Default::default();
-    Member { state, told, heard, is_frozen: false, persisted, outgoing, inbox }
+    Member {
+        state,
+        told,
+        heard,
+        is_frozen: false,
+        persisted,
+        outgoing,
+        inbox,
+    }
 }
 
 impl Member {
@@ -260,16 +314,19 @@
     /// Whether an agent that is linked to it was last told that it is in contact.
     pub fn says_in_contact(&mut self) -> Option<bool> {
         let frames = std::iter::from_fn(|| self.heard.try_recv().ok());
-        frames.last().map(|FromCoordinator::Alive { in_contact, .. }| in_contact)
+        frames
+            .last()
+            .map(|FromCoordinator::Alive { in_contact, .. }| in_contact)
     }
 
     /// The configuration that the relay tree was last told.
     pub fn published_generation(&self) -> Option<u64> {
         let published = self.told.published.borrow();
         published.iter().rev().find_map(|entry| match &entry.value {
-            Value::Control(state) => {
-                state.configuration.as_ref().map(|configuration| configuration.generation)
-            }
+            Value::Control(state) => state
+                .configuration
+                .as_ref()
+                .map(|configuration| configuration.generation),
             _ => None,
         })
     }
@@ -277,7 +334,13 @@
     /// What the relay tree was last told of a server.
     pub fn published(&self, id: &str) -> Option<Entry> {
         let key = Key::Instance(id.to_string());
-        self.told.published.borrow().iter().rev().find(|entry| entry.key == key).cloned()
+        self.told
+            .published
+            .borrow()
+            .iter()
+            .rev()
+            .find(|entry| entry.key == key)
+            .cloned()
     }
 }
 
@@ -308,7 +371,11 @@
 }
 
 pub fn resolve(region: &str) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
-    let query = Query { region: region.to_string(), zone: "z".to_string(), ..Query::default() };
+    let query = Query {
+        region: region.to_string(),
+        zone: "z".to_string(),
+        ..Query::default()
+    };
     move |to| Command::Resolve(query, to)
 }
 
--- a/crates/coordinator/src/value.rs
+++ b/crates/coordinator/src/value.rs
@@ -1,5 +1,5 @@
-//! The value that the register holds: the operator's state; and the changes that can be made to it, as pure
-//! functions.
+//! The value that the register holds: the operator's state; and the changes that can be made to it,
+//! as pure functions.
 
 use std::collections::BTreeSet;
 
@@ -63,12 +63,15 @@
 impl ControlValue {
     /// The number of the configuration in force; 0 before the first.
     pub fn generation(&self) -> u64 {
-        self.configuration.as_ref().map_or(0, |document| document.generation)
+        self.configuration
+            .as_ref()
+            .map_or(0, |document| document.generation)
     }
 
-    /// Puts a configuration that builds on version `base` in force. One that was taken before, the same byte for
-    /// byte and on the same base, is acknowledged again, whatever has come since. One that is refused never comes
-    /// into force later. Where neither can be promised, there is no answer.
+    /// Puts a configuration that builds on version `base` in force. One that was taken before, the
+    /// same byte for byte and on the same base, is acknowledged again, whatever has come since. One
+    /// that is refused never comes into force later. Where neither can be promised, there is no
+    /// answer.
     pub fn configure(&self, document: &Document, base: u64) -> Decision<ControlValue> {
         let order = Order::new(document, base);
         match self.history.past(&order) {
@@ -98,7 +101,10 @@
     fn refuse_for_good(&self, order: &Order) -> Decision<ControlValue> {
         let mut next = self.clone();
         match next.history.refuse(order) {
-            true => Decision::Refuse { value: next, reason: Refusal::OtherVersion.to_string() },
+            true => Decision::Refuse {
+                value: next,
+                reason: Refusal::OtherVersion.to_string(),
+            },
             false => Decision::Unclear,
         }
     }
--- a/crates/coordinator/src/value/history.rs
+++ b/crates/coordinator/src/value/history.rs
@@ -1,7 +1,9 @@
-//! What is remembered of the configurations that were sent, so that one sent again gets the answer that it had.
+//! What is remembered of the configurations that were sent, so that one sent again gets the answer
+//! that it had.
 //!
-//! An order is known by its whole content and its base. It is taken only if its number is above the current one
-//! and its base is the current one, so base < number for every order taken, and numbers rise from one to the next.
+//! An order is known by its whole content and its base. It is taken only if its number is above the
+//! current one and its base is the current one, so base < number for every order taken, and numbers
+//! rise from one to the next.
 
 use std::collections::VecDeque;
 
@@ -10,19 +12,20 @@
 
 use super::Document;
 
-/// Orders taken that are remembered. An operator sends an order again until it is answered; at the 7,400 changes
-/// a day that are aimed at, this many are over six hours of other operators' changes. Each adds at most
-/// [`TAKEN_BYTES`] bytes to the value, which is written whole.
+/// Orders taken that are remembered. An operator sends an order again until it is answered; at the
+/// 7,400 changes a day that are aimed at, this many are over six hours of other operators' changes.
+/// Each adds at most [`TAKEN_BYTES`] bytes to the value, which is written whole.
 pub(super) const TAKEN_MOST: usize = 2_048;
 /// Largest size of an order taken in the encoded value: a number below 2^28 and a digest.
 #[cfg(test)]
 pub(super) const TAKEN_BYTES: usize = 4 + size_of::<Digest>();
-/// Orders refused that could still fit later. Each operator has at most eight orders under way at once.
+/// Orders refused that could still fit later. Each operator has at most eight orders under way at
+/// once.
 pub(super) const REFUSED_MOST: usize = 64;
 
-/// Digest of an order's content and base. Only compared where the numbers are equal too, so that two orders are
-/// mistaken for one another with a chance of 2^-64 for each pair of one number. Not meant to resist operators
-/// that look for collisions.
+/// Digest of an order's content and base. Only compared where the numbers are equal too, so that
+/// two orders are mistaken for one another with a chance of 2^-64 for each pair of one number. Not
+/// meant to resist operators that look for collisions.
 type Digest = [u8; 8];
 
 /// A configuration as an operator sends it.
@@ -37,7 +40,11 @@
     /// The order to put a configuration in force on top of the version `base`.
     pub(super) fn new(document: &Document, base: u64) -> Self {
         let digest = xxh3_64_with_seed(&document.body, base).to_le_bytes();
-        Order { generation: document.generation, base, digest }
+        Order {
+            generation: document.generation,
+            base,
+            digest,
+        }
     }
 
     /// Whether it could be taken if its base were the current version.
@@ -93,12 +100,15 @@
         if order.generation <= self.forgotten {
             return Past::Forgotten;
         }
-        let found = self.taken.binary_search_by_key(&order.generation, |taken| taken.generation);
+        let found = self
+            .taken
+            .binary_search_by_key(&order.generation, |taken| taken.generation);
         if found.is_ok_and(|index| self.taken[index].digest == order.digest) {
             return Past::Taken;
         }
         let same = |refused: &Refused| {
-            (refused.base, refused.generation, refused.digest) == (order.base, order.generation, order.digest)
+            (refused.base, refused.generation, refused.digest)
+                == (order.base, order.generation, order.digest)
         };
         match self.refused.iter().any(same) {
             true => Past::Refused,
@@ -108,12 +118,19 @@
 
     /// Remembers an order as taken.
     pub(super) fn take(&mut self, order: &Order) {
-        self.taken.push_back(Taken { generation: order.generation, digest: order.digest });
+        self.taken.push_back(Taken {
+            generation: order.generation,
+            digest: order.digest,
+        });
         if self.taken.len() > TAKEN_MOST {
-            self.forgotten = self.taken.pop_front().map_or(self.forgotten, |taken| taken.generation);
+            self.forgotten = self
+                .taken
+                .pop_front()
+                .map_or(self.forgotten, |taken| taken.generation);
         }
         // Versions only rise: what builds on an earlier one is refused for good.
-        self.refused.retain(|refused| refused.base >= order.generation);
+        self.refused
+            .retain(|refused| refused.base >= order.generation);
     }
 
     /// Remembers an order as refused; false if there is no room.
@@ -121,8 +138,16 @@
         if self.refused.len() >= REFUSED_MOST {
             return false;
         }
-        let Order { generation, base, digest } = *order;
-        self.refused.push(Refused { base, generation, digest });
+        let Order {
+            generation,
+            base,
+            digest,
+        } = *order;
+        self.refused.push(Refused {
+            base,
+            generation,
+            digest,
+        });
         true
     }
 
--- a/crates/coordinator/src/value/tests.rs
+++ b/crates/coordinator/src/value/tests.rs
@@ -14,7 +14,10 @@
 }
 
 fn document(generation: u64, text: &str) -> Document {
-    Document { generation, body: text.as_bytes().to_vec() }
+    Document {
+        generation,
+        body: text.as_bytes().to_vec(),
+    }
 }
 
 fn written(decision: Decision<ControlValue>) -> ControlValue {
@@ -49,7 +52,10 @@
     let value = written(ControlValue::default().configure(&document(3, "first"), 0));
     for generation in [1, 3] {
         let refused = value.configure(&document(generation, "next"), 3);
-        assert_eq!(refused, Decision::Reject(Refusal::OldGeneration.to_string()));
+        assert_eq!(
+            refused,
+            Decision::Reject(Refusal::OldGeneration.to_string())
+        );
     }
 }
 
@@ -64,8 +70,9 @@
 
 /// The value after that many changes of one operator; each number is two above the one before.
 fn after(changes: u64) -> ControlValue {
-    (0..changes)
-        .fold(ControlValue::default(), |value, change| written(value.configure(&nth(change), base(change))))
+    (0..changes).fold(ControlValue::default(), |value, change| {
+        written(value.configure(&nth(change), base(change)))
+    })
 }
 
 fn nth(change: u64) -> Document {
@@ -82,7 +89,11 @@
 fn an_order_taken_is_acknowledged_again_after_a_thousand_others() {
     let value = after(1_001);
     for change in 0..1_001 {
-        assert_matches!(value.configure(&nth(change), base(change)), Decision::Keep, "{change}");
+        assert_matches!(
+            value.configure(&nth(change), base(change)),
+            Decision::Keep,
+            "{change}"
+        );
     }
 }
 
@@ -101,19 +112,37 @@
 fn an_order_that_can_not_have_been_taken_is_refused_however_old_it_looks() {
     let value = after(3 * TAKEN_MOST as u64);
     let current = value.generation();
-    assert_eq!(value.configure(&nth(0), current), refusal(Refusal::OldGeneration));
-    assert_eq!(value.configure(&document(current + 2, "late"), 2), refusal(Refusal::OtherVersion));
+    assert_eq!(
+        value.configure(&nth(0), current),
+        refusal(Refusal::OldGeneration)
+    );
+    assert_eq!(
+        value.configure(&document(current + 2, "late"), 2),
+        refusal(Refusal::OtherVersion)
+    );
     let rival = document(current - 2, "another");
-    assert_eq!(value.configure(&rival, current - 4), refusal(Refusal::OtherVersion));
-    assert_matches!(value.configure(&document(5, "another"), 4), Decision::Unclear);
+    assert_eq!(
+        value.configure(&rival, current - 4),
+        refusal(Refusal::OtherVersion)
+    );
+    assert_matches!(
+        value.configure(&document(5, "another"), 4),
+        Decision::Unclear
+    );
 }
 
 #[test]
 fn the_same_content_on_another_base_is_another_order() {
     let value = after(3);
     assert_matches!(value.configure(&nth(1), base(1)), Decision::Keep);
-    assert_eq!(value.configure(&nth(1), base(1) + 1), refusal(Refusal::OtherVersion));
-    assert_eq!(value.configure(&nth(2), value.generation()), refusal(Refusal::OldGeneration));
+    assert_eq!(
+        value.configure(&nth(1), base(1) + 1),
+        refusal(Refusal::OtherVersion)
+    );
+    assert_eq!(
+        value.configure(&nth(2), value.generation()),
+        refusal(Refusal::OldGeneration)
+    );
 }
 
 #[test]
@@ -129,7 +158,11 @@
     assert_eq!(value.configure(&early, 6), refusal(Refusal::OtherVersion));
     let value = written(value.configure(&other, 6));
     assert_eq!(value.configure(&early, 6), refusal(Refusal::OtherVersion));
-    assert_eq!(value.history, after_with(&other, 6).history, "what can't fit any more is forgotten");
+    assert_eq!(
+        value.history,
+        after_with(&other, 6).history,
+        "what can't fit any more is forgotten"
+    );
 }
 
 fn after_with(document: &Document, base: u64) -> ControlValue {
@@ -145,7 +178,10 @@
             other => panic!("{other:?}"),
         };
     }
-    assert_matches!(value.configure(&document(99, "early"), 50), Decision::Unclear);
+    assert_matches!(
+        value.configure(&document(99, "early"), 50),
+        Decision::Unclear
+    );
 }
 
 /// Orders of three operators, each sent again now and then, against a memory without bound.
@@ -191,7 +227,8 @@
     }
 }
 
-/// An order of number, base and content: mostly on the current version, and with a number that others use too.
+/// An order of number, base and content: mostly on the current version, and with a number that
+/// others use too.
 fn fresh(value: &ControlValue, number: u64, random: &mut Xoshiro256PlusPlus) -> (u64, u64, String) {
     let current = value.generation();
     let base = match random.random_range(0..10) {
@@ -199,7 +236,11 @@
         1 => current + random.random_range(0..6),
         _ => current,
     };
-    (base + random.random_range(0..4), base, format!("{}", number % 3))
+    (
+        base + random.random_range(0..4),
+        base,
+        format!("{}", number % 3),
+    )
 }
 
 #[test]
--- a/crates/coordinator/tests/arbitrary_frames.rs
+++ b/crates/coordinator/tests/arbitrary_frames.rs
@@ -1,5 +1,5 @@
-//! Whatever bytes a coordinator, an agent or a gate is sent, reading them as a frame, a message of the register or a
-//! record ends soon and without a panic.
+//! Whatever bytes a coordinator, an agent or a gate is sent, reading them as a frame, a message of
+//! the register or a record ends soon and without a panic.
 
 mod frames;
 
@@ -13,7 +13,12 @@
 /// The same cases at every run.
 fn config() -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(2);
-    ProptestConfig { cases: 3_000, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
+    ProptestConfig {
+        cases: 3_000,
+        rng_seed,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    }
 }
 
 proptest! {
--- a/crates/coordinator/tests/frames/mod.rs
+++ b/crates/coordinator/tests/frames/mod.rs
@@ -5,7 +5,8 @@
 use ironmast_register::message::{Ask, Body, Request};
 use ironmast_register::{Ballot, Identity, Message, Record};
 use ironmast_schema::control::{
-    ControlState, Entry, FromCoordinator, FromGate, GateRecord, Hello, Key, ToCoordinator, ToGate, Value,
+    ControlState, Entry, FromCoordinator, FromGate, GateRecord, Hello, Key, ToCoordinator, ToGate,
+    Value,
 };
 use serde::Serialize;
 
@@ -18,7 +19,11 @@
 
 fn record() -> Record<Control> {
     let members = [address(7_000), address(7_001), address(7_002)];
-    Record::bootstrap(address(7_001), &members, (vec![7; 40], vec!["z".to_owned(); 3]))
+    Record::bootstrap(
+        address(7_001),
+        &members,
+        (vec![7; 40], vec!["z".to_owned(); 3]),
+    )
 }
 
 fn bytes(frame: &impl Serialize) -> Vec<u8> {
@@ -27,29 +32,74 @@
 
 fn register_messages() -> Vec<Vec<u8>> {
     let proposal = record().accepted.expect("initial");
-    let accept = Request { round: 9, to: Identity(1), ask: Ask::Accept { proposal: proposal.clone() } };
-    let bodies = [Body::Request(accept), Body::State(proposal), Body::Fetch { known: Ballot::ZERO }];
-    let message = |body| Message { sender: Identity(3), address: address(7_000), body };
-    bodies.into_iter().map(|body| bytes(&message(body))).collect()
+    let accept = Request {
+        round: 9,
+        to: Identity(1),
+        ask: Ask::Accept {
+            proposal: proposal.clone(),
+        },
+    };
+    let bodies = [
+        Body::Request(accept),
+        Body::State(proposal),
+        Body::Fetch {
+            known: Ballot::ZERO,
+        },
+    ];
+    let message = |body| Message {
+        sender: Identity(3),
+        address: address(7_000),
+        body,
+    };
+    bodies
+        .into_iter()
+        .map(|body| bytes(&message(body)))
+        .collect()
 }
 
 fn frames() -> Vec<Vec<u8>> {
-    let gate = GateRecord { zone: "z".to_owned(), region: "r".to_owned(), ready: true, gone: false };
-    let control = ControlState { configuration: None, evacuated: vec!["z".to_owned(); 2] };
+    let gate = GateRecord {
+        zone: "z".to_owned(),
+        region: "r".to_owned(),
+        ready: true,
+        gone: false,
+    };
+    let control = ControlState {
+        configuration: None,
+        evacuated: vec!["z".to_owned(); 2],
+    };
     let entries = vec![
-        Entry { key: Key::Control, version: 3, value: Value::Control(control) },
-        Entry { key: Key::Gate(address(80)), version: 300, value: Value::Gate(gate) },
+        Entry {
+            key: Key::Control,
+            version: 3,
+            value: Value::Control(control),
+        },
+        Entry {
+            key: Key::Gate(address(80)),
+            version: 300,
+            value: Value::Gate(gate),
+        },
     ];
     let heard = vec![(Key::Instance("i-1".to_owned()), 4), (Key::Control, 5)];
     let coordinators = vec![address(7_000), address(7_001)];
     vec![
-        bytes(&ToCoordinator::Hello(Hello { protocol: 1, coordinator: Some(address(7_000)) })),
+        bytes(&ToCoordinator::Hello(Hello {
+            protocol: 1,
+            coordinator: Some(address(7_000)),
+        })),
         bytes(&ToCoordinator::Entries(entries.clone())),
         bytes(&ToCoordinator::Register(register_messages().remove(0))),
         bytes(&ToCoordinator::Alive(heard.clone())),
-        bytes(&FromCoordinator::Alive { coordinators, heard, in_contact: true }),
+        bytes(&FromCoordinator::Alive {
+            coordinators,
+            heard,
+            in_contact: true,
+        }),
         bytes(&ToGate::Entries(entries)),
-        bytes(&FromGate::Status { frontend: address(80), ready: true }),
+        bytes(&FromGate::Status {
+            frontend: address(80),
+            ready: true,
+        }),
     ]
 }
 
--- a/crates/coordinator/tests/many_changes.rs
+++ b/crates/coordinator/tests/many_changes.rs
@@ -1,6 +1,6 @@
-//! A thousand changes of a configuration of 350 routes, on the register's nodes and the real log, through kills, losses
-//! of power, and disks that stall, fill up and fail: nothing acknowledged is lost, nothing old is fed, and what a
-//! coordinator keeps and reads at its start doesn't grow.
+//! A thousand changes of a configuration of 350 routes, on the register's nodes and the real log,
+//! through kills, losses of power, and disks that stall, fill up and fail: nothing acknowledged is
+//! lost, nothing old is fed, and what a coordinator keeps and reads at its start doesn't grow.
 
 mod many_changes {
     pub mod fleet;
@@ -26,8 +26,16 @@
     for seed in seeds {
         let report = day.play(seed);
         assert_eq!(report.violations, Vec::<String>::new(), "seed {seed}");
-        assert!(report.level_within <= LEVEL_WITHIN, "seed {seed}: level after {:?}", report.level_within);
-        assert!(report.peak_bytes <= SPACE_BYTES, "seed {seed}: {} bytes", report.peak_bytes);
+        assert!(
+            report.level_within <= LEVEL_WITHIN,
+            "seed {seed}: level after {:?}",
+            report.level_within
+        );
+        assert!(
+            report.peak_bytes <= SPACE_BYTES,
+            "seed {seed}: {} bytes",
+            report.peak_bytes
+        );
         total.add(&report);
     }
     println!("{total:?}");
@@ -36,26 +44,40 @@
 
 #[test]
 fn a_thousand_changes_of_350_routes_with_every_trouble() {
-    let day = Day { changes: 1_000, body_bytes: ROUTES_350, ..Day::default() };
+    let day = Day {
+        changes: 1_000,
+        body_bytes: ROUTES_350,
+        ..Day::default()
+    };
     let report = play(0..2, &day);
     assert!(report.is_full_of_trouble(), "{report:?}");
 }
 
 #[test]
 fn a_thousand_small_changes_with_every_trouble_on_many_seeds() {
-    let day = Day { changes: 1_000, body_bytes: 300, ..Day::default() };
+    let day = Day {
+        changes: 1_000,
+        body_bytes: 300,
+        ..Day::default()
+    };
     let report = play(100..116, &day);
     assert!(report.is_full_of_trouble(), "{report:?}");
 }
 
 #[test]
 fn troubles_that_follow_closely_on_many_seeds() {
-    let day = Day { changes: 120, body_bytes: 2_000, changes_between: 3, ..Day::default() };
+    let day = Day {
+        changes: 120,
+        body_bytes: 2_000,
+        changes_between: 3,
+        ..Day::default()
+    };
     let report = play(200..260, &day);
     assert!(report.is_full_of_trouble(), "{report:?}");
 }
 
-/// One is without power for that many changes; the messages and bytes that come to it until it is level.
+/// One is without power for that many changes; the messages and bytes that come to it until it is
+/// level.
 fn catch_up(changes: u64) -> (u64, u64, Duration) {
     let mut fleet = Fleet::new(1, ROUTES_350);
     fleet.settle();
@@ -66,7 +88,11 @@
     let before = fleet.received(2);
     let level = fleet.until_level(2, 10 + changes);
     let after = fleet.received(2);
-    (after.states - before.states, after.bytes - before.bytes, level)
+    (
+        after.states - before.states,
+        after.bytes - before.bytes,
+        level,
+    )
 }
 
 #[test]
@@ -74,7 +100,8 @@
     for changes in [1, 100, 800] {
         let (states, bytes, level) = catch_up(changes);
         println!("{changes} changes missed: {states} states, {bytes} bytes, level after {level:?}");
-        // A reply of each of the others, or what one of them tells as chosen, for a read under way at the start.
+        // A reply of each of the others, or what one of them tells as chosen, for a read under way
+        // at the start.
         assert!((1..=3).contains(&states), "{states} states");
         assert!(bytes < 4 * ROUTES_350 as u64, "{bytes} bytes");
         assert!(level < Duration::from_millis(500), "{level:?}");
@@ -90,10 +117,20 @@
     fleet.change_through(0, 10);
     let before = (fleet.hosts[1].writes, fleet.hosts[1].written_bytes);
     fleet.change_through(0, changes);
-    let (writes, bytes) = (fleet.hosts[1].writes - before.0, fleet.hosts[1].written_bytes - before.1);
-    println!("a change: {} writes, {} bytes", writes as f64 / changes as f64, bytes / changes);
+    let (writes, bytes) = (
+        fleet.hosts[1].writes - before.0,
+        fleet.hosts[1].written_bytes - before.1,
+    );
+    println!(
+        "a change: {} writes, {} bytes",
+        writes as f64 / changes as f64,
+        bytes / changes
+    );
     assert!(writes <= 2 * changes + 2, "{writes} writes");
-    assert!(bytes <= (2 * changes + 2) * (ROUTES_350 as u64 + 2_000), "{bytes} bytes");
+    assert!(
+        bytes <= (2 * changes + 2) * (ROUTES_350 as u64 + 2_000),
+        "{bytes} bytes"
+    );
 }
 
 /// What a start reads: the files of the log, of which it opens the newest alone.
--- a/crates/coordinator/tests/many_changes/fleet.rs
+++ b/crates/coordinator/tests/many_changes/fleet.rs
@@ -22,9 +22,20 @@
 const STEP: Duration = Duration::from_millis(5);
 
 enum Happening {
-    Arrives { to: usize, message: Message<Control>, bytes: u64 },
-    Written { host: usize, life: u64 },
-    Rings { host: usize, life: u64, at: Duration },
+    Arrives {
+        to: usize,
+        message: Message<Control>,
+        bytes: u64,
+    },
+    Written {
+        host: usize,
+        life: u64,
+    },
+    Rings {
+        host: usize,
+        life: u64,
+        at: Duration,
+    },
 }
 
 /// The deployment.
@@ -44,7 +55,9 @@
 impl Fleet {
     /// All start at once, on empty disks.
     pub fn new(seed: u64, body_bytes: usize) -> Self {
-        let hosts = (0..).take(HOSTS).map(|index| Host::new(index, seed * 31 + u64::from(index)));
+        let hosts = (0..)
+            .take(HOSTS)
+            .map(|index| Host::new(index, seed * 31 + u64::from(index)));
         let mut fleet = Self {
             now: Duration::ZERO,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
@@ -80,7 +93,10 @@
             return false;
         }
         self.handle(host, Event::Timer);
-        let others = addresses.into_iter().filter(|address| *address != self.hosts[host].address).collect();
+        let others = addresses
+            .into_iter()
+            .filter(|address| *address != self.hosts[host].address)
+            .collect();
         self.handle(host, Event::Peers(others));
         true
     }
@@ -112,9 +128,19 @@
         self.serial += 1;
         let id = self.serial;
         self.orders.insert(id, (host, generation));
-        let operation = Operation::change(Put { generation, bytes: self.body_bytes });
+        let operation = Operation::change(Put {
+            generation,
+            bytes: self.body_bytes,
+        });
         let deadline = self.now + ANSWER_WITHIN;
-        self.handle(host, Event::Submit { id, operation, deadline });
+        self.handle(
+            host,
+            Event::Submit {
+                id,
+                operation,
+                deadline,
+            },
+        );
         id
     }
 
@@ -134,7 +160,10 @@
         for generation in newest + 1..=newest + changes {
             let id = self.order(host, generation);
             let outcome = self.outcome(id);
-            assert!(matches!(outcome, Some(Outcome::Written(_))), "{generation}: {outcome:?}");
+            assert!(
+                matches!(outcome, Some(Outcome::Written(_))),
+                "{generation}: {outcome:?}"
+            );
         }
     }
 
@@ -224,7 +253,8 @@
             Action::Learned(state) => {
                 let (fed, acknowledged) = (state.value.generation, self.hosts[host].acknowledged);
                 if fed < acknowledged {
-                    let what = format!("host {host} feeds {fed} after it acknowledged {acknowledged}");
+                    let what =
+                        format!("host {host} feeds {fed} after it acknowledged {acknowledged}");
                     self.violations.push(format!("{what}, at {:?}", self.now));
                 }
             }
@@ -237,10 +267,15 @@
     }
 
     fn complete(&mut self, host: usize, id: OperationId, outcome: Outcome<Control>) {
-        let Some((_, generation)) = self.orders.get(&id).copied() else { return };
+        let Some((_, generation)) = self.orders.get(&id).copied() else {
+            return;
+        };
         if let Outcome::Written(state) | Outcome::Kept(state) = &outcome {
             if state.value.generation < generation {
-                self.violations.push(format!("{generation} acknowledged at {}", state.value.generation));
+                self.violations.push(format!(
+                    "{generation} acknowledged at {}",
+                    state.value.generation
+                ));
             }
             let entry = &mut self.hosts[host];
             entry.acknowledged = entry.acknowledged.max(generation);
@@ -249,7 +284,9 @@
     }
 
     fn send(&mut self, to: SocketAddr, message: Message<Control>) {
-        let Some(to) = self.hosts.iter().position(|host| host.address == to) else { return };
+        let Some(to) = self.hosts.iter().position(|host| host.address == to) else {
+            return;
+        };
         if !self.hosts[to].is_up() {
             return;
         }
@@ -270,9 +307,10 @@
     let in_report = |report: &Report<Control>| report.proposal.is_some();
     match body {
         Body::State(_) => true,
-        Body::Reply(Reply { answer: Answer::Reported(report) | Answer::Promised { report, .. }, .. }) => {
-            in_report(report)
-        }
+        Body::Reply(Reply {
+            answer: Answer::Reported(report) | Answer::Promised { report, .. },
+            ..
+        }) => in_report(report),
         _ => false,
     }
 }
--- a/crates/coordinator/tests/many_changes/host.rs
+++ b/crates/coordinator/tests/many_changes/host.rs
@@ -87,18 +87,32 @@
     pub fn start(&mut self, seeds: &[SocketAddr], bootstrap: bool, seed: u64) -> bool {
         let settings = LogSettings::with_space("register", SPACE_BYTES).expect("settings");
         let disk = Arc::clone(&self.disk) as Arc<dyn Disk>;
-        let Ok((log, recovered)) = Log::<Record<Control>>::open(disk, settings) else { return false };
+        let Ok((log, recovered)) = Log::<Record<Control>>::open(disk, settings) else {
+            return false;
+        };
         let origin = match recovered {
-            Recovered::Found { record, durable: true, .. } => Origin::Disk(record),
+            Recovered::Found {
+                record,
+                durable: true,
+                ..
+            } => Origin::Disk(record),
             Recovered::Found { record, .. } => Origin::Unconfirmed(record),
-            Recovered::Empty if bootstrap => {
-                Origin::Bootstrap { members: seeds.to_vec(), value: Control::default() }
-            }
+            Recovered::Empty if bootstrap => Origin::Bootstrap {
+                members: seeds.to_vec(),
+                value: Control::default(),
+            },
             Recovered::Empty => panic!("the record of {} is lost", self.address),
         };
-        let place = Place { address: self.address, zone: self.address.port().to_string() };
+        let place = Place {
+            address: self.address,
+            zone: self.address.port().to_string(),
+        };
         let node = Node::recover(origin, place, seed, Settings::bearing(1));
-        self.process = Some(Process { node, log, writing: None });
+        self.process = Some(Process {
+            node,
+            log,
+            writing: None,
+        });
         self.life += 1;
         true
     }
@@ -106,7 +120,9 @@
     /// Ends the process; what it was writing may reach the disk in part.
     pub fn end(&mut self, operations: u64) {
         self.life += 1;
-        let Some(mut process) = self.process.take() else { return };
+        let Some(mut process) = self.process.take() else {
+            return;
+        };
         if let Some(writing) = process.writing.take() {
             self.disk.stop_after(operations);
             let _stopped_midway = write(&mut process.log, &writing.record);
@@ -151,7 +167,10 @@
 }
 
 /// As the writer's thread does it.
-fn write(log: &mut Log<Record<Control>>, record: &Record<Control>) -> Result<(), ironmast_storage::LogError> {
+fn write(
+    log: &mut Log<Record<Control>>,
+    record: &Record<Control>,
+) -> Result<(), ironmast_storage::LogError> {
     if log.state() != LogState::Ready {
         return log.reopen(record);
     }
--- a/crates/coordinator/tests/many_changes/operator.rs
+++ b/crates/coordinator/tests/many_changes/operator.rs
@@ -29,7 +29,12 @@
 
 impl Default for Day {
     fn default() -> Self {
-        Self { changes: 1_000, body_bytes: 300, changes_between: 20, resent: 15 }
+        Self {
+            changes: 1_000,
+            body_bytes: 300,
+            changes_between: 20,
+            resent: 15,
+        }
     }
 }
 
@@ -202,7 +207,10 @@
             self.relieve(trouble);
             self.until_level();
             self.calm_until = self.fleet.now + CATCH_UP;
-            let pause = self.fleet.random.random_range(0..self.day.changes_between * 2);
+            let pause = self
+                .fleet
+                .random
+                .random_range(0..self.day.changes_between * 2);
             self.next_trouble = generation + pause;
         }
         if generation >= self.next_trouble {
@@ -299,7 +307,8 @@
             Trouble::Full(host) => self.fleet.hosts[host].disk.set_full(false),
             Trouble::Slow(host) => self.fleet.hosts[host].sync = Duration::from_millis(3),
             Trouble::Frozen(host) => {
-                self.starting.push((host, self.fleet.now, self.acknowledged));
+                self.starting
+                    .push((host, self.fleet.now, self.acknowledged));
                 self.fleet.thaw(host);
             }
         }
@@ -307,7 +316,8 @@
 
     fn start(&mut self, host: usize) {
         assert!(self.fleet.start(host), "host {host} starts");
-        self.starting.push((host, self.fleet.now, self.acknowledged));
+        self.starting
+            .push((host, self.fleet.now, self.acknowledged));
     }
 
     /// Lets those that have started become level.
@@ -317,7 +327,9 @@
             self.run(Duration::from_millis(5));
         }
         for (host, start, floor) in std::mem::take(&mut self.starting) {
-            self.violate(format!("host {host}, started at {start:?}, never came to {floor}"));
+            self.violate(format!(
+                "host {host}, started at {start:?}, never came to {floor}"
+            ));
         }
         if limit > self.fleet.now {
             self.run(limit - self.fleet.now);
@@ -325,7 +337,9 @@
     }
 
     fn violate(&mut self, what: String) {
-        self.report.violations.push(format!("{what}, at {:?}", self.fleet.now));
+        self.report
+            .violations
+            .push(format!("{what}, at {:?}", self.fleet.now));
     }
 
     /// All power is lost at the end; what was acknowledged is there.
--- a/crates/coordinator/tests/many_changes/value.rs
+++ b/crates/coordinator/tests/many_changes/value.rs
@@ -36,6 +36,9 @@
             return Decision::Reject(format!("{} is in force", value.generation));
         }
         let body = body(self.generation, self.bytes);
-        Decision::Write(Control { generation: self.generation, body })
+        Decision::Write(Control {
+            generation: self.generation,
+            body,
+        })
     }
 }
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: what it lists, the changes in the order in which they became visible, and the calls it answers
-//! one after another.
+//! Discovery: what it lists, the changes in the order in which they became visible, and the calls
+//! it answers one after another.
 
 use std::collections::BTreeMap;
 
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -1,7 +1,8 @@
 //! The judge: hears what truly happened, from clients and servers, never from a policy, and counts.
 //!
-//! Each operation (a client's wish, with all its tries) is asked once and ends in one fate. The four rules are
-//! checked on every try, run and send; each break is kept with its time, request, proxy and server.
+//! Each operation (a client's wish, with all its tries) is asked once and ends in one fate. The
+//! four rules are checked on every try, run and send; each break is kept with its time, request,
+//! proxy and server.
 
 use hdrhistogram::Histogram;
 use ironmast_balancer::Micros;
@@ -87,7 +88,11 @@
 impl Worth {
     /// Served over asked; 1 where nothing was asked.
     pub fn share(self) -> f64 {
-        if self.asked > 0.0 { self.served / self.asked } else { 1.0 }
+        if self.asked > 0.0 {
+            self.served / self.asked
+        } else {
+            1.0
+        }
     }
 }
 
@@ -156,13 +161,22 @@
         let window = seconds(scenario.window_s).max(1);
         let windows = seconds(scenario.length_s).div_ceil(window) as usize;
         let shares: f64 = scenario.class.iter().map(|c| c.share).sum();
-        let mean = scenario.class.iter().map(|c| c.share * c.work_ms * 1e3).sum::<f64>() / shares;
+        let mean = scenario
+            .class
+            .iter()
+            .map(|c| c.share * c.work_ms * 1e3)
+            .sum::<f64>()
+            / shares;
         Judge {
             origin,
             warm_until: origin + seconds(scenario.warmup_s),
             length: seconds(scenario.length_s).max(1),
             window,
-            cold: (scenario.rules.cold_multiple, scenario.rules.cold_window_s * 1e6, mean),
+            cold: (
+                scenario.rules.cold_multiple,
+                scenario.rules.cold_window_s * 1e6,
+                mean,
+            ),
             drain_grace: millis(scenario.rules.drain_grace_ms),
             worths: scenario.class.iter().map(|c| c.worth).collect(),
             aims: scenario.class.iter().map(|c| millis(c.aim_ms)).collect(),
@@ -209,13 +223,27 @@
         self.broken += 1;
         if self.breaks.len() < BREAKS_KEPT {
             let at_s = (at - self.origin) as f64 / 1e6;
-            self.breaks.push(Break { rule, at_s, proxy, server, request, what: what.into() });
+            self.breaks.push(Break {
+                rule,
+                at_s,
+                proxy,
+                server,
+                request,
+                what: what.into(),
+            });
         }
     }
 
     /// An operation ended.
     pub fn ended(&mut self, ended: &Ended) {
-        let Ended { number, proxy, zone, class, start, fate } = *ended;
+        let Ended {
+            number,
+            proxy,
+            zone,
+            class,
+            start,
+            fate,
+        } = *ended;
         let took = match fate {
             Fate::Served(took) => took,
             Fate::Refused => u64::MAX,
@@ -258,17 +286,33 @@
     }
 
     /// A send to a server that the proxy knew to be draining or gone since `told`.
-    pub fn sent_to_closing(&mut self, at: Micros, told: Micros, proxy: u32, server: u32, request: u64) {
+    pub fn sent_to_closing(
+        &mut self,
+        at: Micros,
+        told: Micros,
+        proxy: u32,
+        server: u32,
+        request: u64,
+    ) {
         if at > told + self.drain_grace {
             let late = (at - told) as f64 / 1e3;
-            let what = format!("sent {late:.0} ms after it was told that the server drains or is gone");
-            self.break_of(Rule::DrainsKept, at, proxy, Some(server), Some(request), what);
+            let what =
+                format!("sent {late:.0} ms after it was told that the server drains or is gone");
+            self.break_of(
+                Rule::DrainsKept,
+                at,
+                proxy,
+                Some(server),
+                Some(request),
+                what,
+            );
         }
     }
 
-    /// Work reached a cold server of that capacity; true where it is too much and the server falls over: beyond
-    /// its budget of N requests of mean work only twice the root of N and two are put down to chance, from however
-    /// many proxies they came. The rule is broken where two thirds of it came from proxies that knew of its start.
+    /// Work reached a cold server of that capacity; true where it is too much and the server falls
+    /// over: beyond its budget of N requests of mean work only twice the root of N and two are put
+    /// down to chance, from however many proxies they came. The rule is broken where two thirds of
+    /// it came from proxies that knew of its start.
     pub fn pressed(
         &mut self,
         at: Micros,
@@ -283,7 +327,11 @@
         pressure.window.push_back((at, work, informed));
         pressure.sum += work;
         pressure.informed += if informed { work } else { 0.0 };
-        while let Some(&(_, old, knew)) = pressure.window.front().filter(|w| (at - w.0) as f64 > window) {
+        while let Some(&(_, old, knew)) = pressure
+            .window
+            .front()
+            .filter(|w| (at - w.0) as f64 > window)
+        {
             pressure.sum -= old;
             pressure.informed -= if knew { old } else { 0.0 };
             pressure.window.pop_front();
@@ -296,7 +344,11 @@
         }
         self.pressure.remove(&server);
         if informed * 3.0 >= sum * 2.0 {
-            let what = format!("{:.0} ms of work in its window, it bears {:.0} ms", sum / 1e3, most / 1e3);
+            let what = format!(
+                "{:.0} ms of work in its window, it bears {:.0} ms",
+                sum / 1e3,
+                most / 1e3
+            );
             self.break_of(Rule::ColdSpared, at, proxy, Some(server), None, what);
         }
         true
--- a/crates/emulator/src/judge/tests.rs
+++ b/crates/emulator/src/judge/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// One request more than N + 2 root N + 2 in a window pushes a cold server over, whoever sent it; one that comes once
-/// the first has left the window does not.
+/// One request more than N + 2 root N + 2 in a window pushes a cold server over, whoever sent it;
+/// one that comes once the first has left the window does not.
 #[test]
 fn a_cold_server_bears_its_budget_and_chance_and_no_more() {
     let text = r#"
@@ -29,10 +29,17 @@
     let (capacity, work, most) = (0.5, 20_000.0, 230);
     for (senders, informed, broken) in [(1, true, 1), (30, true, 1), (30, false, 0)] {
         let mut judge = Judge::new(&scenario, 0);
-        let press =
-            |judge: &mut Judge, at, n: u32| judge.pressed(at, 7, n % senders, work, capacity, informed);
-        assert!((0..most).all(|n| !press(&mut judge, 1_000 * u64::from(n), n)), "{senders}");
-        assert!(press(&mut judge, 1_000 * u64::from(most), most), "{senders}: one more");
+        let press = |judge: &mut Judge, at, n: u32| {
+            judge.pressed(at, 7, n % senders, work, capacity, informed)
+        };
+        assert!(
+            (0..most).all(|n| !press(&mut judge, 1_000 * u64::from(n), n)),
+            "{senders}"
+        );
+        assert!(
+            press(&mut judge, 1_000 * u64::from(most), most),
+            "{senders}: one more"
+        );
         assert_eq!(judge.broken, broken, "{senders}");
     }
     let mut judge = Judge::new(&scenario, 0);
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,8 +1,9 @@
 //! The emulator: the whole fleet in simulated time, without I/O.
 //!
-//! A [`Scenario`] is read from text, a [`World`] plays it under a policy and a seed, and a [`Report`] says what
-//! the judge found. The same scenario, policy and seed give the same digest on any machine, with any number of
-//! threads, in debug or release builds. See `docs/design/emulator.md` for what is modelled and why.
+//! A [`Scenario`] is read from text, a [`World`] plays it under a policy and a seed, and a
+//! [`Report`] says what the judge found. The same scenario, policy and seed give the same digest on
+//! any machine, with any number of threads, in debug or release builds. See
+//! `docs/design/emulator.md` for what is modelled and why.
 //!
 //! ```
 //! use ironmast_emulator::{PolicyName, Scenario, World};
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -34,9 +34,14 @@
         }
     }
 
-    /// One way from zone to zone. `what` names the message: the same one takes as long under every policy.
+    /// One way from zone to zone. `what` names the message: the same one takes as long under every
+    /// policy.
     pub fn way(&self, from: usize, to: usize, what: [u64; 2]) -> Micros {
-        let base = if from == to { self.inside } else { self.between };
+        let base = if from == to {
+            self.inside
+        } else {
+            self.between
+        };
         if self.jitter == 0.0 {
             return base as Micros;
         }
@@ -45,7 +50,11 @@
 
     /// One way without jitter.
     pub fn plain_way(&self, from: usize, to: usize) -> Micros {
-        (if from == to { self.inside } else { self.between }) as Micros
+        (if from == to {
+            self.inside
+        } else {
+            self.between
+        }) as Micros
     }
 
     /// Cuts a zone off until then.
@@ -80,7 +89,11 @@
 impl Connections {
     /// Takes an idle connection to that life of a server, if there is one.
     pub fn take(&mut self, server: u32, life: u32) -> bool {
-        let Some(idle) = self.0.get_mut(&server).filter(|i| i.life == life && i.count > 0) else {
+        let Some(idle) = self
+            .0
+            .get_mut(&server)
+            .filter(|i| i.life == life && i.count > 0)
+        else {
             return false;
         };
         idle.count -= 1;
@@ -100,15 +113,25 @@
 
     /// Closes all to a server; how many of that life there were.
     pub fn close(&mut self, server: u32, life: u32) -> u32 {
-        let Some(idle) = self.0.get_mut(&server) else { return 0 };
+        let Some(idle) = self.0.get_mut(&server) else {
+            return 0;
+        };
         let count = if idle.life == life { idle.count } else { 0 };
         idle.count = 0;
         count
     }
 
     /// Looks at the age of those to a server: closes them, or tells when to look again.
-    pub fn age(&mut self, server: u32, life: u32, now: Micros, limit: Micros) -> (u32, Option<Micros>) {
-        let Some(idle) = self.0.get_mut(&server) else { return (0, None) };
+    pub fn age(
+        &mut self,
+        server: u32,
+        life: u32,
+        now: Micros,
+        limit: Micros,
+    ) -> (u32, Option<Micros>) {
+        let Some(idle) = self.0.get_mut(&server) else {
+            return (0, None);
+        };
         if idle.count > 0 && idle.used + limit > now {
             return (0, Some(idle.used + limit));
         }
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -1,22 +1,23 @@
 //! Policies: the decision module and the references that it is held against, behind one interface.
 //!
-//! A policy hears [`Event`]s and answers with [`Action`]s, as the module does. The references are honest: each
-//! keeps the four rules on its own. Only the ceiling looks at the true state of the servers.
+//! A policy hears [`Event`]s and answers with [`Action`]s, as the module does. The references are
+//! honest: each keeps the four rules on its own. Only the ceiling looks at the true state of the
+//! servers.
 
 use std::collections::BTreeMap;
 
 use ironmast_balancer::{
-    Action, Balancer, Effect, Event, Group, Micros, Outcome, Phase, Request, RequestId, Scope, Server,
-    ServerId, Settings,
+    Action, Balancer, Effect, Event, Group, Micros, Outcome, Phase, Request, RequestId, Scope,
+    Server, ServerId, Settings,
 };
 
 use crate::random::{Concern, Stream, stir, unit};
 
 /// The true state of the servers, for the ceiling alone.
 pub trait Truth {
-    /// Microseconds that a request of that class and that much work, sent now from a zone, would wait, and
-    /// until it would be answered; infinite where it would not, or where it would push the server beyond what
-    /// it bears.
+    /// Microseconds that a request of that class and that much work, sent now from a zone, would
+    /// wait, and until it would be answered; infinite where it would not, or where it would push
+    /// the server beyond what it bears.
     fn would_take(&self, server: ServerId, zone: usize, class: usize, work: f64) -> (f64, f64);
 }
 
@@ -83,9 +84,9 @@
     /// One instance of it.
     pub fn build(self, settings: Settings, seed: u64) -> Box<dyn Policy> {
         match self {
-            PolicyName::Module => {
-                Box::new(Balancer::new(settings, seed).expect("settings made from a checked scenario"))
-            }
+            PolicyName::Module => Box::new(
+                Balancer::new(settings, seed).expect("settings made from a checked scenario"),
+            ),
             rule => Box::new(Reference::new(rule, settings, seed)),
         }
     }
@@ -101,9 +102,11 @@
     }
 }
 
-/// In the first half of a cold server's time proxies take turns with it, each turn so long and for one request.
+/// In the first half of a cold server's time proxies take turns with it, each turn so long and for
+/// one request.
 const COLD_TURN: Micros = 250_000;
-/// In the second half so many proxies at a time may send to it, one request out each and so far apart.
+/// In the second half so many proxies at a time may send to it, one request out each and so far
+/// apart.
 const COLD_TOGETHER: u64 = 3;
 const COLD_GAP: Micros = 50_000;
 /// How often, at most, what found no server is looked at again.
@@ -131,8 +134,8 @@
     sent_at: Micros,
 }
 
-/// A textbook rule with the least that honesty asks for: retries where the class permits, an answer in time,
-/// drains kept, cold servers spared. It neither judges health nor limits load.
+/// A textbook rule with the least that honesty asks for: retries where the class permits, an answer
+/// in time, drains kept, cold servers spared. It neither judges health nor limits load.
 struct Reference {
     rule: PolicyName,
     settings: Settings,
@@ -144,15 +147,16 @@
     turn: usize,
     open: BTreeMap<RequestId, Open>,
     waiting: Vec<RequestId>,
-    /// Timers that are out: a request's last moment by its id, `u64::MAX` to look again, `u64::MAX - 1` to ask.
+    /// Timers that are out: a request's last moment by its id, `u64::MAX` to look again, `u64::MAX
+    /// - 1` to ask.
     looking: bool,
     subscribed: bool,
     /// What requests earn for their work, of late (ceiling).
     earns: f64,
 }
 
-/// The ceiling sends what would be answered within this part of its aim, and how fast it learns what
-/// requests earn for their work.
+/// The ceiling sends what would be answered within this part of its aim, and how fast it learns
+/// what requests earn for their work.
 const CEILING_MARGIN: f64 = 0.9;
 const CEILING_PACE: f64 = 0.01;
 const LOOK: u64 = u64::MAX;
@@ -179,7 +183,10 @@
 
     fn members(&mut self, listing: ironmast_balancer::Listing, out: &mut Vec<Action>) {
         if listing.scope == Scope::Failed {
-            return out.push(Action::Timer { delay: ASK_AGAIN, token: ASK });
+            return out.push(Action::Timer {
+                delay: ASK_AGAIN,
+                token: ASK,
+            });
         }
         if listing.scope != Scope::Changes {
             let listed: Vec<ServerId> = listing.servers.iter().map(|s| s.id).collect();
@@ -199,24 +206,38 @@
                 known.server = server;
             }
         }
-        let ready = self.servers.values().filter(|k| k.server.phase == Phase::Ready);
+        let ready = self
+            .servers
+            .values()
+            .filter(|k| k.server.phase == Phase::Ready);
         self.ready = ready.clone().map(|k| k.server.id).collect();
         let zone = self.settings.zone;
-        self.near = ready.filter(|k| k.server.zone == zone).map(|k| k.server.id).collect();
+        self.near = ready
+            .filter(|k| k.server.zone == zone)
+            .map(|k| k.server.id)
+            .collect();
     }
 
     /// Guards rule 4: proxies take turns with a cold server.
     fn spare(&self, now: Micros, known: &Known) -> bool {
         let cold = self.settings.safety.cold;
-        let Some(age) = known.server.started.map(|at| now.saturating_sub(at)).filter(|age| *age < cold)
+        let Some(age) = known
+            .server
+            .started
+            .map(|at| now.saturating_sub(at))
+            .filter(|age| *age < cold)
         else {
             return false;
         };
         let _ = age;
-        let age = known.server.started.map_or(cold, |at| now.saturating_sub(at));
+        let age = known
+            .server
+            .started
+            .map_or(cold, |at| now.saturating_sub(at));
         let n = u64::from(self.settings.balancers);
         let turn = now / COLD_TURN;
-        let rank = stir([known.server.id.0, turn, 1, 1]).wrapping_add(u64::from(self.settings.me)) % n;
+        let rank =
+            stir([known.server.id.0, turn, 1, 1]).wrapping_add(u64::from(self.settings.me)) % n;
         match age < cold / 2 {
             true => rank > 0 || known.sent_at / COLD_TURN == turn,
             false => rank >= COLD_TOGETHER || known.out > 0 || now < known.sent_at + COLD_GAP,
@@ -241,7 +262,11 @@
 
     fn choose(&mut self, now: Micros, id: RequestId, truth: &dyn Truth) -> Option<ServerId> {
         let near = self.rule == PolicyName::ZoneRoundRobin && !self.near.is_empty();
-        let count = if near { self.near.len() } else { self.ready.len() };
+        let count = if near {
+            self.near.len()
+        } else {
+            self.ready.len()
+        };
         if count == 0 {
             return None;
         }
@@ -253,11 +278,19 @@
             _ => (self.random.below(count), self.random.below(count)),
         };
         let open = self.open.get(&id)?;
-        let fits = |id: &ServerId| self.servers.get(id).is_some_and(|k| self.may_go(now, open, k));
+        let fits = |id: &ServerId| {
+            self.servers
+                .get(id)
+                .is_some_and(|k| self.may_go(now, open, k))
+        };
         let set = if near { &self.near } else { &self.ready };
         let out = |id: &ServerId| self.servers[id].out;
         // Where a draw does not fit (cold, or tried before), the next ones after it are looked at.
-        let from = |start: usize| (0..count).map(move |i| set[(start + i) % count]).find(|id| fits(id));
+        let from = |start: usize| {
+            (0..count)
+                .map(move |i| set[(start + i) % count])
+                .find(|id| fits(id))
+        };
         match self.rule {
             PolicyName::Random | PolicyName::RoundRobin | PolicyName::ZoneRoundRobin => from(a),
             PolicyName::TwoChoices => {
@@ -293,7 +326,11 @@
                 let class = &self.settings.classes[class];
                 // Where not all can be served, what earns little for its work goes first.
                 let earns = class.worth / work.max(1.0);
-                let patience = if self.earns > 0.0 { (earns / self.earns).clamp(0.1, 1.0) } else { 1.0 };
+                let patience = if self.earns > 0.0 {
+                    (earns / self.earns).clamp(0.1, 1.0)
+                } else {
+                    1.0
+                };
                 self.earns += CEILING_PACE * (earns - self.earns);
                 let most = CEILING_MARGIN * class.aim as f64;
                 (takes <= most && waits <= most * patience).then_some(id)
@@ -308,36 +345,67 @@
             }
             self.waiting.push(id);
             if !std::mem::replace(&mut self.looking, true) {
-                out.push(Action::Timer { delay: LOOK_AGAIN, token: LOOK });
+                out.push(Action::Timer {
+                    delay: LOOK_AGAIN,
+                    token: LOOK,
+                });
             }
             return;
         };
-        let (Some(open), Some(known)) = (self.open.get_mut(&id), self.servers.get_mut(&server)) else {
+        let (Some(open), Some(known)) = (self.open.get_mut(&id), self.servers.get_mut(&server))
+        else {
             return;
         };
         known.out += 1;
         known.sent_at = now;
-        open.sent.push(Sent { server, zone: known.server.zone, at: now, outcome: None });
-        out.push(Action::Send { id, server, timeout: None, begin_by: None });
+        open.sent.push(Sent {
+            server,
+            zone: known.server.zone,
+            at: now,
+            outcome: None,
+        });
+        out.push(Action::Send {
+            id,
+            server,
+            timeout: None,
+            begin_by: None,
+        });
     }
 
     /// Gives up: refused where nothing can have run, else failed.
     fn end(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(open) = self.open.get_mut(&id).filter(|o| !o.over) else { return };
+        let Some(open) = self.open.get_mut(&id).filter(|o| !o.over) else {
+            return;
+        };
         open.over = true;
-        let ran = open.sent.iter().any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
+        let ran = open
+            .sent
+            .iter()
+            .any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
         let spread = Some((200_000.0 * (0.5 + unit(stir([id, 2, 3, 4])))) as Micros);
-        out.push(if ran { Action::Fail { id } } else { Action::Refuse { id, retry_after: spread } });
+        out.push(if ran {
+            Action::Fail { id }
+        } else {
+            Action::Refuse {
+                id,
+                retry_after: spread,
+            }
+        });
         self.stop(id, out);
     }
 
     fn stop(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         open.over = true;
         let still = |s: &(usize, &Sent)| s.1.outcome.is_none();
         let cancel = self.settings.limits.cancel;
         for (attempt, _) in open.sent.iter().enumerate().filter(still) {
-            out.extend(cancel.then_some(Action::Cancel { id, attempt: attempt as u32 }));
+            out.extend(cancel.then_some(Action::Cancel {
+                id,
+                attempt: attempt as u32,
+            }));
         }
         if open.sent.iter().all(|s| s.outcome.is_some()) {
             self.open.remove(&id);
@@ -354,16 +422,31 @@
             Event::Members(listing) => self.members(listing, out),
             Event::Request(request) => {
                 let id = request.id;
-                let last = request.expires.saturating_sub(self.settings.tick).saturating_sub(now);
-                out.push(Action::Timer { delay: last, token: id });
-                self.open.insert(id, Open { request, sent: Vec::new(), over: false });
+                let last = request
+                    .expires
+                    .saturating_sub(self.settings.tick)
+                    .saturating_sub(now);
+                out.push(Action::Timer {
+                    delay: last,
+                    token: id,
+                });
+                self.open.insert(
+                    id,
+                    Open {
+                        request,
+                        sent: Vec::new(),
+                        over: false,
+                    },
+                );
                 self.place(now, id, truth, out);
             }
             Event::Settled(settled) => {
                 if let Some(known) = self.servers.get_mut(&settled.server) {
                     known.out = known.out.saturating_sub(1);
                 }
-                let Some(open) = self.open.get_mut(&settled.id) else { return };
+                let Some(open) = self.open.get_mut(&settled.id) else {
+                    return;
+                };
                 if let Some(sent) = open.sent.get_mut(settled.attempt as usize) {
                     sent.outcome = Some(settled.outcome);
                 }
@@ -393,7 +476,10 @@
             }
             Event::Timer { token: ASK } => out.push(Action::Subscribe(true)),
             Event::Timer { token } => self.end(token, out),
-            Event::Started { .. } | Event::Whole { .. } | Event::Probed { .. } | Event::Peer { .. } => {}
+            Event::Started { .. }
+            | Event::Whole { .. }
+            | Event::Probed { .. }
+            | Event::Peer { .. } => {}
         }
     }
 }
--- a/crates/emulator/src/queue.rs
+++ b/crates/emulator/src/queue.rs
@@ -1,4 +1,5 @@
-//! The event queue: a binary heap by time, then by the order of the calls, so that runs repeat exactly.
+//! The event queue: a binary heap by time, then by the order of the calls, so that runs repeat
+//! exactly.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -40,7 +41,10 @@
 
 impl<E> Default for Queue<E> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), number: 0 }
+        Queue {
+            heap: BinaryHeap::new(),
+            number: 0,
+        }
     }
 }
 
@@ -48,7 +52,11 @@
     /// Puts an event in; among those of one time, the first put in comes out first.
     pub fn push(&mut self, at: Micros, event: E) {
         self.number += 1;
-        self.heap.push(Entry { at, number: self.number, event });
+        self.heap.push(Entry {
+            at,
+            number: self.number,
+            event,
+        });
     }
 
     /// Takes the earliest.
--- a/crates/emulator/src/random.rs
+++ b/crates/emulator/src/random.rs
@@ -1,5 +1,6 @@
-//! Random numbers: one seed, and a stream of its own for each concern, so that what one concern draws never
-//! moves another's numbers. Two policies under one seed meet the same arrivals, work and troubles.
+//! Random numbers: one seed, and a stream of its own for each concern, so that what one concern
+//! draws never moves another's numbers. Two policies under one seed meet the same arrivals, work
+//! and troubles.
 
 use rand::{Rng, RngExt as _, SeedableRng as _};
 use rand_distr::{Distribution as _, Exp1, StandardNormal};
@@ -48,7 +49,12 @@
 impl Stream {
     /// The stream of a concern; `index` tells apart those of one concern.
     pub fn new(seed: u64, concern: Concern, index: u64) -> Self {
-        Stream(Xoshiro256PlusPlus::seed_from_u64(stir([seed, concern as u64, index, 0x1a0])))
+        Stream(Xoshiro256PlusPlus::seed_from_u64(stir([
+            seed,
+            concern as u64,
+            index,
+            0x1a0,
+        ])))
     }
 
     /// A number in [0, 1).
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -44,8 +44,8 @@
     pub peer_bytes: u64,
     /// Attempts that crossed zones.
     pub cross_zone: u64,
-    /// Keyed requests that ran again because a server kept work that had been given up beyond the time for
-    /// which repeats are dropped: nobody's break, and yet a second effect.
+    /// Keyed requests that ran again because a server kept work that had been given up beyond the
+    /// time for which repeats are dropped: nobody's break, and yet a second effect.
     pub late_repeats: u64,
 }
 
@@ -128,8 +128,8 @@
 
 /// Percentiles of the latency curve.
 const CURVE: [f64; 24] = [
-    1.0, 5.0, 10.0, 20.0, 30.0, 40.0, 50.0, 60.0, 70.0, 75.0, 80.0, 85.0, 90.0, 92.5, 95.0, 97.0, 98.0, 99.0,
-    99.5, 99.7, 99.9, 99.95, 99.99, 99.999,
+    1.0, 5.0, 10.0, 20.0, 30.0, 40.0, 50.0, 60.0, 70.0, 75.0, 80.0, 85.0, 90.0, 92.5, 95.0, 97.0,
+    98.0, 99.0, 99.5, 99.7, 99.9, 99.95, 99.99, 99.999,
 ];
 
 impl Report {
@@ -146,14 +146,31 @@
         let at = |share: f64| judge.latency.value_at_quantile(share);
         let some = !judge.latency.is_empty();
         let quantile = |q: f64| if some { at(q) } else { 0 };
-        let by_class = scenario.class.iter().zip(&judge.by_class).map(|(class, (worth, counts))| {
-            (class.name.clone(), ClassReport { service: worth.share(), counts: *counts })
-        });
-        let zones = scenario.zones.iter().zip(&judge.by_zone).map(|(z, w)| (z.clone(), w.share()));
+        let by_class =
+            scenario
+                .class
+                .iter()
+                .zip(&judge.by_class)
+                .map(|(class, (worth, counts))| {
+                    (
+                        class.name.clone(),
+                        ClassReport {
+                            service: worth.share(),
+                            counts: *counts,
+                        },
+                    )
+                });
+        let zones = scenario
+            .zones
+            .iter()
+            .zip(&judge.by_zone)
+            .map(|(z, w)| (z.clone(), w.share()));
         let busy: f64 = each.iter().map(|s| s.tally.busy).sum();
         let there: f64 = each.iter().map(|s| s.tally.there).sum();
         let most = each.iter().map(|s| s.tally.there).fold(0.0, f64::max);
-        let counted = each.iter().filter(|s| s.tally.there > 0.0 && s.tally.there >= most / 10.0);
+        let counted = each
+            .iter()
+            .filter(|s| s.tally.there > 0.0 && s.tally.there >= most / 10.0);
         Report {
             scenario: scenario.name.clone(),
             seed,
@@ -167,7 +184,11 @@
             by_class: by_class.collect(),
             by_zone: zones.collect(),
             by_window: judge.by_window.iter().map(|w| w.share()).collect(),
-            by_column: judge.by_column.iter().map(|w| (w.asked > 0.0).then(|| w.share())).collect(),
+            by_column: judge
+                .by_column
+                .iter()
+                .map(|w| (w.asked > 0.0).then(|| w.share()))
+                .collect(),
             requests: judge.counts,
             breaks: judge.broken,
             rules_broken: judge.breaks.clone(),
@@ -181,7 +202,9 @@
             latency_curve: CURVE.iter().map(|p| (*p, quantile(p / 100.0))).collect(),
             servers: Load {
                 mean: if there > 0.0 { busy / there } else { 0.0 },
-                greatest: counted.map(|s| s.tally.busy / s.tally.there).fold(0.0, f64::max),
+                greatest: counted
+                    .map(|s| s.tally.busy / s.tally.there)
+                    .fold(0.0, f64::max),
                 most_held: each.iter().map(|s| s.tally.most).max().unwrap_or(0),
             },
             traffic,
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,8 +1,8 @@
 //! Scenarios: what a run is made of, read from TOML and checked before anything starts.
 //!
-//! Every key is documented in `docs/scenarios.md`. Keys carry their unit (`_s`, `_ms`); shares lie between 0
-//! and 1. Nothing is guessed: an unknown key, a value out of range or a trouble that names nobody is refused
-//! with its line and what was expected.
+//! Every key is documented in `docs/scenarios.md`. Keys carry their unit (`_s`, `_ms`); shares lie
+//! between 0 and 1. Nothing is guessed: an unknown key, a value out of range or a trouble that
+//! names nobody is refused with its line and what was expected.
 
 use std::fmt::Display;
 
@@ -71,7 +71,8 @@
     /// How arrivals are spaced: poisson, even, bursty.
     #[serde(default)]
     pub arrivals: Arrivals,
-    /// Bursty: mean length of a burst and of the rest between two, and the rate inside a burst as a multiple.
+    /// Bursty: mean length of a burst and of the rest between two, and the rate inside a burst as a
+    /// multiple.
     #[serde(default = "defaults::one")]
     pub burst_s: f64,
     /// See `burst_s`.
@@ -80,7 +81,8 @@
     /// See `burst_s`.
     #[serde(default = "defaults::two")]
     pub burst_factor: f64,
-    /// The rate over time, as (second, factor): straight lines between the points, level outside of them.
+    /// The rate over time, as (second, factor): straight lines between the points, level outside of
+    /// them.
     #[serde(default)]
     pub curve: Vec<(f64, f64)>,
     /// One proxy's traffic against an ordinary one's.
@@ -161,7 +163,8 @@
     /// The longest stay-away a client honours.
     #[serde(default = "defaults::two")]
     pub max_retry_after_s: f64,
-    /// What crossing zones costs, as a share of the worth: the module waits that long for room at home.
+    /// What crossing zones costs, as a share of the worth: the module waits that long for room at
+    /// home.
     #[serde(default = "defaults::cross_zone")]
     pub cross_zone: f64,
     /// The list tells the servers' true sizes.
@@ -271,7 +274,8 @@
     /// Its part of the requests, against the others'.
     #[serde(default = "defaults::one")]
     pub share: f64,
-    /// What a repeat does: free (no harm), keyed (dropped for a while), once (must never run twice).
+    /// What a repeat does: free (no harm), keyed (dropped for a while), once (must never run
+    /// twice).
     pub effect: EffectSpec,
     /// Keyed: which servers drop a repeat.
     #[serde(default)]
@@ -395,7 +399,11 @@
 impl Pool {
     /// Requests in work at once.
     pub fn in_work(&self) -> u32 {
-        if self.slots == 0 { self.cores } else { self.slots }
+        if self.slots == 0 {
+            self.cores
+        } else {
+            self.slots
+        }
     }
 }
 
@@ -541,7 +549,10 @@
     if value >= least && value <= most {
         return Ok(());
     }
-    Err((path.to_string(), format!("is {value}, expected {least} to {most}")))
+    Err((
+        path.to_string(),
+        format!("is {value}, expected {least} to {most}"),
+    ))
 }
 
 fn wrong<T>(path: impl Into<String>, problem: impl Into<String>) -> Result<T, Flaw> {
@@ -586,29 +597,50 @@
         within("zones", self.zones.len(), 1, 1_000)?;
         for (i, zone) in self.zones.iter().enumerate() {
             if zone.is_empty() || zone == "*" || self.zones[..i].contains(zone) {
-                return wrong("zones", format!("names `{zone}` at {i}, expected names that differ"));
+                return wrong(
+                    "zones",
+                    format!("names `{zone}` at {i}, expected names that differ"),
+                );
             }
         }
         self.check_clients()?;
         let p = &self.proxies;
         within("proxies.count", p.count, 1, 100_000)?;
         within("proxies.most_tries", p.most_tries, 1, 3)?;
-        within("proxies.max_retry_after_s", p.max_retry_after_s, 0.0, 3_600.0)?;
+        within(
+            "proxies.max_retry_after_s",
+            p.max_retry_after_s,
+            0.0,
+            3_600.0,
+        )?;
         share("proxies.cross_zone", p.cross_zone)?;
         if !p.zone_weights.is_empty() {
             let sound = p.zone_weights.iter().all(|w| w.is_finite() && *w >= 0.0);
-            if p.zone_weights.len() != self.zones.len() || !sound || p.zone_weights.iter().sum::<f64>() <= 0.0
+            if p.zone_weights.len() != self.zones.len()
+                || !sound
+                || p.zone_weights.iter().sum::<f64>() <= 0.0
             {
-                return wrong("proxies.zone_weights", "do not fit, expected one weight from 0 for each zone");
+                return wrong(
+                    "proxies.zone_weights",
+                    "do not fit, expected one weight from 0 for each zone",
+                );
             }
         }
         let n = &self.network;
-        for (path, v) in [("network.inside_ms", n.inside_ms), ("network.between_ms", n.between_ms)] {
+        for (path, v) in [
+            ("network.inside_ms", n.inside_ms),
+            ("network.between_ms", n.between_ms),
+        ] {
             within(path, v, 0.0, 10_000.0)?;
         }
         within("network.jitter", n.jitter, 0.0, 10.0)?;
         share("network.datagram_loss", n.datagram_loss)?;
-        within("network.connect_timeout_ms", n.connect_timeout_ms, 1.0, 60_000.0)?;
+        within(
+            "network.connect_timeout_ms",
+            n.connect_timeout_ms,
+            1.0,
+            60_000.0,
+        )?;
         within("network.idle_close_s", n.idle_close_s, 0.1, 86_400.0)?;
         let d = &self.discovery;
         for (path, v) in [
@@ -631,7 +663,10 @@
         for (i, class) in self.class.iter().enumerate() {
             class.check(&format!("class.{i}"))?;
             if self.class[..i].iter().any(|c| c.name == class.name) {
-                return wrong(format!("class.{i}.name"), "stands twice, expected names that differ");
+                return wrong(
+                    format!("class.{i}.name"),
+                    "stands twice, expected names that differ",
+                );
             }
         }
         within("pool", self.pool.len(), 1, 1_000)?;
@@ -639,11 +674,22 @@
             pool.check(&format!("pool.{i}"))?;
             if pool.zone != "*" && !self.zones.contains(&pool.zone) {
                 let zones = self.zones.join(", ");
-                return wrong(format!("pool.{i}.zone"), format!("is `{}`, expected *, {zones}", pool.zone));
+                return wrong(
+                    format!("pool.{i}.zone"),
+                    format!("is `{}`, expected *, {zones}", pool.zone),
+                );
             }
         }
-        within("pool", self.pool.iter().map(|p| u64::from(p.servers)).sum(), 1, 100_000)?;
-        self.trouble.iter().enumerate().try_for_each(|(i, t)| t.check(&format!("trouble.{i}"), self))
+        within(
+            "pool",
+            self.pool.iter().map(|p| u64::from(p.servers)).sum(),
+            1,
+            100_000,
+        )?;
+        self.trouble
+            .iter()
+            .enumerate()
+            .try_for_each(|(i, t)| t.check(&format!("trouble.{i}"), self))
     }
 
     fn check_clients(&self) -> Result<(), Flaw> {
@@ -664,8 +710,10 @@
             );
         }
         let rising = c.curve.windows(2).all(|w| w[0].0 < w[1].0);
-        let sound =
-            c.curve.iter().all(|p| p.0.is_finite() && p.1.is_finite() && (0.0..=1_000.0).contains(&p.1));
+        let sound = c
+            .curve
+            .iter()
+            .all(|p| p.0.is_finite() && p.1.is_finite() && (0.0..=1_000.0).contains(&p.1));
         if !rising || !sound {
             return wrong(
                 "clients.curve",
@@ -679,7 +727,10 @@
     pub fn curve(&self, at_s: f64) -> f64 {
         let curve = &self.clients.curve;
         let next = curve.partition_point(|p| p.0 <= at_s);
-        match (next.checked_sub(1).and_then(|i| curve.get(i)), curve.get(next)) {
+        match (
+            next.checked_sub(1).and_then(|i| curve.get(i)),
+            curve.get(next),
+        ) {
             (Some(a), Some(b)) => a.1 + (b.1 - a.1) * (at_s - a.0) / (b.0 - a.0),
             (Some(a), None) => a.1,
             (None, Some(b)) => b.1,
@@ -690,10 +741,15 @@
     /// The highest value of the curve.
     pub fn curve_most(&self) -> f64 {
         let most = self.clients.curve.iter().map(|p| p.1).fold(0.0, f64::max);
-        if self.clients.curve.is_empty() { 1.0 } else { most }
+        if self.clients.curve.is_empty() {
+            1.0
+        } else {
+            most
+        }
     }
 
-    /// Requests a second that all servers together can serve when warm, by mean work and mean speed.
+    /// Requests a second that all servers together can serve when warm, by mean work and mean
+    /// speed.
     pub fn capacity(&self) -> f64 {
         let cores: f64 = self
             .pool
@@ -701,7 +757,12 @@
             .map(|p| f64::from(p.servers) * f64::from(p.cores) * (p.speed.0 + p.speed.1) / 2.0)
             .sum();
         let shares: f64 = self.class.iter().map(|c| c.share).sum();
-        cores / self.class.iter().map(|c| c.share / shares * c.work_ms / 1e3).sum::<f64>()
+        cores
+            / self
+                .class
+                .iter()
+                .map(|c| c.share / shares * c.work_ms / 1e3)
+                .sum::<f64>()
     }
 }
 
@@ -715,7 +776,12 @@
         within(&format!("{at}.work_ms"), self.work_ms, 0.001, 3_600_000.0)?;
         within(&format!("{at}.cv"), self.cv, 0.0, 100.0)?;
         within(&format!("{at}.aim_ms"), self.aim_ms, 0.1, 3_600_000.0)?;
-        within(&format!("{at}.deadline_ms"), self.deadline_ms, self.aim_ms, 3_600_000.0)?;
+        within(
+            &format!("{at}.deadline_ms"),
+            self.deadline_ms,
+            self.aim_ms,
+            3_600_000.0,
+        )?;
         within(&format!("{at}.worth"), self.worth, 0.0, 1e6)
     }
 }
@@ -729,9 +795,17 @@
         within(&at("queue"), self.queue, 0, 100_000_000)?;
         let (from, to) = self.speed;
         if !(from > 0.0 && from <= to && to <= 1_000.0) {
-            return wrong(at("speed"), format!("is {from} to {to}, expected two rising speeds over 0"));
+            return wrong(
+                at("speed"),
+                format!("is {from} to {to}, expected two rising speeds over 0"),
+            );
         }
-        within(&at("handshake_work_ms"), self.handshake_work_ms, 0.0, 1_000.0)?;
+        within(
+            &at("handshake_work_ms"),
+            self.handshake_work_ms,
+            0.0,
+            1_000.0,
+        )?;
         within(&at("probe_work_ms"), self.probe_work_ms, 0.0, 1_000.0)?;
         within(&at("cold_share"), self.cold_share, 0.01, 1.0)?;
         within(&at("cold_s"), self.cold_s, 0.001, 3_600.0)?;
@@ -757,40 +831,64 @@
         within(&at("pause_s"), self.pause_s, 0.001, 600.0)?;
         within(&at("retries"), self.retries, 0, 100)?;
         let zone_wanted = matches!(self.kind, K::ZoneLost | K::ZoneCut);
-        let (zones, classes) = (&scenario.zones, || scenario.class.iter().map(|c| c.name.as_str()));
+        let (zones, classes) = (&scenario.zones, || {
+            scenario.class.iter().map(|c| c.name.as_str())
+        });
         if zone_wanted && self.zone.is_empty() {
-            return wrong(at("zone"), format!("is missing, expected one of {}", zones.join(", ")));
+            return wrong(
+                at("zone"),
+                format!("is missing, expected one of {}", zones.join(", ")),
+            );
         }
         if !self.zone.is_empty() && !zones.contains(&self.zone) {
-            return wrong(at("zone"), format!("is `{}`, expected one of {}", self.zone, zones.join(", ")));
+            return wrong(
+                at("zone"),
+                format!("is `{}`, expected one of {}", self.zone, zones.join(", ")),
+            );
         }
         let class_known = classes().any(|c| c == self.class);
         if (!self.class.is_empty() || self.kind == K::Grey) && !class_known {
             let classes = classes().collect::<Vec<_>>().join(", ");
-            return wrong(at("class"), format!("is `{}`, expected one of {classes}", self.class));
+            return wrong(
+                at("class"),
+                format!("is `{}`, expected one of {classes}", self.class),
+            );
         }
         let of_servers = !matches!(
             self.kind,
             K::ZoneCut | K::Restart | K::Surge | K::RetryStorm | K::DiscoveryOutage | K::SharedSlow
         );
-        let here = |p: &Pool| p.servers > 0 && (self.zone.is_empty() || p.zone == "*" || p.zone == self.zone);
+        let here = |p: &Pool| {
+            p.servers > 0 && (self.zone.is_empty() || p.zone == "*" || p.zone == self.zone)
+        };
         if of_servers && !scenario.pool.iter().any(here) {
-            return wrong(at("zone"), format!("`{}` has no server, expected a zone that has one", self.zone));
+            return wrong(
+                at("zone"),
+                format!(
+                    "`{}` has no server, expected a zone that has one",
+                    self.zone
+                ),
+            );
         }
         Ok(())
     }
 }
 
-/// Where the value at a dotted path stands in the text; where it is missing, the nearest thing round it.
+/// Where the value at a dotted path stands in the text; where it is missing, the nearest thing
+/// round it.
 fn offset(text: &str, path: &str) -> usize {
-    let Ok(root) = DeTable::parse(text) else { return 0 };
+    let Ok(root) = DeTable::parse(text) else {
+        return 0;
+    };
     let mut at = root.span().start;
     let mut table = Some(root.get_ref());
     let mut value: Option<&DeValue> = None;
     for key in path.split('.') {
         let next = match (table, value) {
             (Some(t), _) => t.get(key),
-            (None, Some(DeValue::Array(items))) => key.parse().ok().and_then(|i: usize| items.get(i)),
+            (None, Some(DeValue::Array(items))) => {
+                key.parse().ok().and_then(|i: usize| items.get(i))
+            }
             (None, Some(DeValue::Table(t))) => t.get(key),
             _ => None,
         };
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,9 +1,10 @@
 //! One server: a queue, slots, and cores that those in the slots share.
 //!
-//! Work is counted in microseconds on a core of speed 1. Each job in a slot runs at
-//! `speed x warmth / slowness x min(1, cores / jobs)`; since all run alike, one running sum of work done per
-//! job serves them all, and a job is finished when the sum has grown by its work. The server does no I/O: it
-//! is told of time, tells when it wants to be looked at, and what began, finished or was dropped.
+//! Work is counted in microseconds on a core of speed 1. Each job in a slot runs at `speed x warmth
+//! / slowness x min(1, cores / jobs)`; since all run alike, one running sum of work done per job
+//! serves them all, and a job is finished when the sum has grown by its work. The server does no
+//! I/O: it is told of time, tells when it wants to be looked at, and what began, finished or was
+//! dropped.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -164,14 +165,22 @@
             return 1.0;
         }
         let by_time = now.saturating_sub(self.started) as f64 / over;
-        let by_work = if by_work > 0.0 { self.done_work / by_work } else { 0.0 };
+        let by_work = if by_work > 0.0 {
+            self.done_work / by_work
+        } else {
+            0.0
+        };
         let step = ((by_time.max(by_work) * RAMP_STEPS).floor() / RAMP_STEPS).min(1.0);
         share + (1.0 - share) * step
     }
 
     /// Core-microseconds of work it can do in a microsecond, all cores together.
     pub fn capacity(&self, now: Micros) -> f64 {
-        let overdriven = if self.overdriven { self.overdrive.2 } else { 1.0 };
+        let overdriven = if self.overdriven {
+            self.overdrive.2
+        } else {
+            1.0
+        };
         let stopped = if self.stopped { 0.0 } else { 1.0 };
         stopped * self.cores * self.speed * self.warmth(now) / self.slowness / overdriven
     }
@@ -186,8 +195,8 @@
         self.waiting + self.in_work
     }
 
-    /// Microseconds that a job that came now would wait, and until it would be done, if nothing else came: the
-    /// true state.
+    /// Microseconds that a job that came now would wait, and until it would be done, if nothing
+    /// else came: the true state.
     pub fn would_take(&self, now: Micros, work: f64) -> (f64, f64) {
         if !self.up || self.stopped {
             return (f64::INFINITY, f64::INFINITY);
@@ -235,7 +244,11 @@
         let capacity = self.capacity(self.now);
         let paid = self.owed.min(dt * capacity);
         self.owed -= paid;
-        let dt = if capacity > 0.0 { dt - paid / capacity } else { dt };
+        let dt = if capacity > 0.0 {
+            dt - paid / capacity
+        } else {
+            dt
+        };
         let step = dt * self.rate();
         self.sum += step;
         self.done_work += step * in_work;
@@ -258,8 +271,12 @@
             }
         }
         while self.in_work < self.slots {
-            let Some(key) = self.queue.pop_front() else { break };
-            let Some(job) = self.jobs.get(key) else { continue };
+            let Some(key) = self.queue.pop_front() else {
+                break;
+            };
+            let Some(job) = self.jobs.get(key) else {
+                continue;
+            };
             self.waiting -= 1;
             if self.drops.0 && job.cancelled || self.drops.1 && job.expires <= self.now {
                 out.extend(self.jobs.remove(key).map(Happened::Dropped));
@@ -270,9 +287,17 @@
         let (ratio, after, _, rest) = self.overdrive;
         if ratio > 0.0 {
             let over = self.held() as f64 > ratio * self.cores;
-            self.over_since = if over { self.over_since.or(Some(self.now)) } else { None };
+            self.over_since = if over {
+                self.over_since.or(Some(self.now))
+            } else {
+                None
+            };
             let calm = self.overdriven && self.in_work as f64 <= self.cores / 2.0;
-            self.calm_since = if calm { self.calm_since.or(Some(self.now)) } else { None };
+            self.calm_since = if calm {
+                self.calm_since.or(Some(self.now))
+            } else {
+                None
+            };
             if self.over_since.is_some_and(|at| self.now >= at + after) {
                 self.overdriven = true;
             }
@@ -289,7 +314,11 @@
         self.tally.began += 1;
         self.tally.waits += (self.now - job.came) as f64;
         self.number += 1;
-        self.running.push((Reverse(ticks(self.sum + job.work) + 1), Reverse(self.number), key));
+        self.running.push((
+            Reverse(ticks(self.sum + job.work) + 1),
+            Reverse(self.number),
+            key,
+        ));
         out.push(Happened::Began(key));
     }
 
@@ -342,11 +371,16 @@
         if self.jobs.get(key).is_some_and(|job| job.work > work) {
             self.number += 1;
             self.running.retain(|entry| entry.2 != key);
-            self.running.push((Reverse(ticks(self.sum + work) + 1), Reverse(self.number), key));
+            self.running.push((
+                Reverse(ticks(self.sum + work) + 1),
+                Reverse(self.number),
+                key,
+            ));
         }
     }
 
-    /// Its proxy no longer waits for a job. It goes where the server notices that, and is given back.
+    /// Its proxy no longer waits for a job. It goes where the server notices that, and is given
+    /// back.
     pub fn cancel(&mut self, key: JobKey, out: &mut Vec<Happened>) -> Option<Job> {
         let job = self.jobs.get_mut(key)?;
         job.cancelled = true;
--- a/crates/emulator/src/trouble.rs
+++ b/crates/emulator/src/trouble.rs
@@ -1,5 +1,5 @@
-//! Troubles as steps on a timeline. Whom a trouble meets is drawn from a stream of its own, so that it is the
-//! same for every policy.
+//! Troubles as steps on a timeline. Whom a trouble meets is drawn from a stream of its own, so that
+//! it is the same for every policy.
 
 use ironmast_balancer::Micros;
 
@@ -9,7 +9,8 @@
 /// One thing that begins or ends. Servers are named by their places, which outlive them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// The servers at these places are slower by a factor, or no longer; the number tells troubles apart.
+    /// The servers at these places are slower by a factor, or no longer; the number tells troubles
+    /// apart.
     Slow(Vec<u32>, usize, Option<f64>),
     /// One class is slow or unanswered there, or no longer.
     Grey(Vec<u32>, usize, Option<(u8, f64, bool)>),
@@ -44,13 +45,25 @@
 }
 
 /// All steps of a scenario's troubles, from a clock that starts at `origin`.
-pub fn steps(scenario: &Scenario, ground: &Ground, seed: u64, origin: Micros) -> Vec<(Micros, Step)> {
+pub fn steps(
+    scenario: &Scenario,
+    ground: &Ground,
+    seed: u64,
+    origin: Micros,
+) -> Vec<(Micros, Step)> {
     let mut steps = Vec::new();
     for (number, trouble) in scenario.trouble.iter().enumerate() {
         let mut draw = Stream::new(seed, Concern::Trouble, number as u64);
         let begin = origin + seconds(trouble.at_s);
         let end = begin + seconds(trouble.for_s).max(1);
-        expand(scenario, ground, (number, trouble), (begin, end), &mut draw, &mut steps);
+        expand(
+            scenario,
+            ground,
+            (number, trouble),
+            (begin, end),
+            &mut draw,
+            &mut steps,
+        );
     }
     steps.sort_by_key(|(at, _)| *at);
     steps
@@ -58,13 +71,22 @@
 
 /// How many times the clients' rate is raised at a second, by surges.
 pub fn surge(scenario: &Scenario, at_s: f64) -> f64 {
-    let now = |t: &&Trouble| t.kind == TroubleKind::Surge && t.at_s <= at_s && at_s < t.at_s + t.for_s;
-    scenario.trouble.iter().filter(now).map(|t| t.factor).product()
+    let now =
+        |t: &&Trouble| t.kind == TroubleKind::Surge && t.at_s <= at_s && at_s < t.at_s + t.for_s;
+    scenario
+        .trouble
+        .iter()
+        .filter(now)
+        .map(|t| t.factor)
+        .product()
 }
 
 /// No surge is ever higher than this.
 pub fn surge_most(scenario: &Scenario) -> f64 {
-    let surges = scenario.trouble.iter().filter(|t| t.kind == TroubleKind::Surge);
+    let surges = scenario
+        .trouble
+        .iter()
+        .filter(|t| t.kind == TroubleKind::Surge);
     surges.map(|t| t.factor.max(1.0)).product()
 }
 
@@ -91,12 +113,23 @@
     match trouble.kind {
         TroubleKind::Slow | TroubleKind::SharedSlow => {
             let all = (0..ground.places.len() as u32).collect();
-            let servers = if trouble.kind == TroubleKind::Slow { servers } else { all };
-            steps.push((begin, Step::Slow(servers.clone(), number, Some(trouble.factor))));
+            let servers = if trouble.kind == TroubleKind::Slow {
+                servers
+            } else {
+                all
+            };
+            steps.push((
+                begin,
+                Step::Slow(servers.clone(), number, Some(trouble.factor)),
+            ));
             steps.push((end, Step::Slow(servers, number, None)));
         }
         TroubleKind::Grey => {
-            let class = scenario.class.iter().position(|c| c.name == trouble.class).unwrap_or(0) as u8;
+            let class = scenario
+                .class
+                .iter()
+                .position(|c| c.name == trouble.class)
+                .unwrap_or(0) as u8;
             let what = (class, trouble.factor, trouble.silent);
             steps.push((begin, Step::Grey(servers.clone(), number, Some(what))));
             steps.push((end, Step::Grey(servers, number, None)));
@@ -131,7 +164,9 @@
             steps.extend(zone.map(|zone| (begin, Step::Cut(zone, end))));
         }
         TroubleKind::Deploy => {
-            let batch = (ground.places.len() as f64 * trouble.batch).round().max(1.0) as usize;
+            let batch = (ground.places.len() as f64 * trouble.batch)
+                .round()
+                .max(1.0) as usize;
             let batches = servers.len().div_ceil(batch);
             for (i, batch) in servers.chunks(batch).enumerate() {
                 let at = begin + (end - begin) * i as u64 / batches as u64;
