--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,14 +1,15 @@
 //! The run itself: one queue of events over servers, network, discovery, clients and proxies.
 //!
-//! A proxy hosts one policy, fed as the real driver feeds the module: events in, actions out. Everything that
-//! a policy may be wrong about is kept here, and told to the judge as it truly happens.
+//! A proxy hosts one policy, fed as the real driver feeds the module: events in, actions out.
+//! Everything that a policy may be wrong about is kept here, and told to the judge as it truly
+//! happens.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use ironmast_balancer::{
-    Action, ClassSettings, Discovery as Watching, Effect, Event, Group, Limits, Listing, LoadReport, Micros,
-    Outcome, Penalties, Phase, Request, Safety, Scope, Server as ListedServer, ServerId, Settings, Settled,
-    SizeMeaning,
+    Action, ClassSettings, Discovery as Watching, Effect, Event, Group, Limits, Listing,
+    LoadReport, Micros, Outcome, Penalties, Phase, Request, Safety, Scope, Server as ListedServer,
+    ServerId, Settings, Settled, SizeMeaning,
 };
 use rustc_hash::FxHashMap;
 use slotmap::{DefaultKey, Key as _, KeyData, SlotMap};
@@ -21,7 +22,9 @@
 use crate::queue::Queue;
 use crate::random::{Concern, Stream, stir, unit};
 use crate::report::{Report, ServerReport, Traffic};
-use crate::scenario::{Arrivals, Class, EffectSpec, GroupSpec, RetryWait, Scenario, millis, seconds};
+use crate::scenario::{
+    Arrivals, Class, EffectSpec, GroupSpec, RetryWait, Scenario, millis, seconds,
+};
 use crate::server::{Happened, Job, JobKey, Server};
 use crate::trouble::{Ground, Step, steps, surge, surge_most};
 
@@ -102,19 +105,65 @@
     Again(DefaultKey),
     Expire(u64),
     Leave(u64),
-    Timer { proxy: u32, life: u32, token: u64 },
-    Reach { request: u64, n: u8 },
-    Back { request: u64, n: u8, outcome: Outcome },
-    TimedOut { request: u64, n: u8 },
-    CallOff { server: u32, life: u32, job: JobKey },
-    Look { server: u32, at: Micros },
+    Timer {
+        proxy: u32,
+        life: u32,
+        token: u64,
+    },
+    Reach {
+        request: u64,
+        n: u8,
+    },
+    Back {
+        request: u64,
+        n: u8,
+        outcome: Outcome,
+    },
+    TimedOut {
+        request: u64,
+        n: u8,
+    },
+    CallOff {
+        server: u32,
+        life: u32,
+        job: JobKey,
+    },
+    Look {
+        server: u32,
+        at: Micros,
+    },
     Visible(u32),
-    News { proxy: u32, life: u32 },
-    Called { proxy: u32, life: u32, ok: bool },
-    Probe { proxy: u32, life: u32, server: u32, sent: Micros },
-    Probed { proxy: u32, life: u32, server: u32, sent: Micros, held: Option<u32> },
-    Peer { from: u32, to: u32, data: Box<[u8]> },
-    Idle { proxy: u32, server: u32 },
+    News {
+        proxy: u32,
+        life: u32,
+    },
+    Called {
+        proxy: u32,
+        life: u32,
+        ok: bool,
+    },
+    Probe {
+        proxy: u32,
+        life: u32,
+        server: u32,
+        sent: Micros,
+    },
+    Probed {
+        proxy: u32,
+        life: u32,
+        server: u32,
+        sent: Micros,
+        held: Option<u32>,
+    },
+    Peer {
+        from: u32,
+        to: u32,
+        data: Box<[u8]>,
+    },
+    Idle {
+        proxy: u32,
+        server: u32,
+    },
     Step(u32),
     Sample,
 }
@@ -245,14 +294,26 @@
 impl Truth for Seen<'_> {
     fn would_take(&self, server: ServerId, zone: usize, class: usize, work: f64) -> (f64, f64) {
         const NEVER: (f64, f64) = (f64::INFINITY, f64::INFINITY);
-        let Some(machine) = self.machines.get(number_of(server) as usize) else { return NEVER };
-        let grey = || self.places[machine.place as usize].grey.values().filter(|g| g.0 as usize == class);
+        let Some(machine) = self.machines.get(number_of(server) as usize) else {
+            return NEVER;
+        };
+        let grey = || {
+            self.places[machine.place as usize]
+                .grey
+                .values()
+                .filter(|g| g.0 as usize == class)
+        };
         if grey().any(|g| g.2) || machine.server.near_overdrive() {
             return NEVER;
         }
         let work = work * grey().map(|g| g.1).product::<f64>();
         let gone = machine.vanished || machine.phase != Phase::Ready;
-        if gone || self.network.cut_between(zone, machine.zone, self.now).is_some() {
+        if gone
+            || self
+                .network
+                .cut_between(zone, machine.zone, self.now)
+                .is_some()
+        {
             return NEVER;
         }
         let way = 2.0 * self.network.plain_way(zone, machine.zone) as f64;
@@ -297,8 +358,16 @@
         over_share_worth: 1.0,
         zones: scenario.zones.len(),
         zone,
-        discovery: if scenario.discovery.watch { Watching::Subscribed } else { Watching::Pushed },
-        sizes: if p.sizes { SizeMeaning::Capacity } else { SizeMeaning::Unknown },
+        discovery: if scenario.discovery.watch {
+            Watching::Subscribed
+        } else {
+            Watching::Pushed
+        },
+        sizes: if p.sizes {
+            SizeMeaning::Capacity
+        } else {
+            SizeMeaning::Unknown
+        },
         warm_keys: false,
         tick: 5_000,
         limits: Limits {
@@ -319,18 +388,29 @@
             fall: seconds(scenario.rules.cold_window_s),
             fall_multiple: scenario.rules.cold_multiple,
         },
-        penalties: Penalties { cross_zone: p.cross_zone, waste: 0.0, late_fail: 0.0 },
+        penalties: Penalties {
+            cross_zone: p.cross_zone,
+            waste: 0.0,
+            late_fail: 0.0,
+        },
     }
 }
 
 /// The zone of each proxy: dealt out by the weights, the zone furthest behind next.
 fn deal(weights: &[f64], zones: usize, count: u32) -> Vec<usize> {
-    let weight = |z: usize| weights.get(z).copied().unwrap_or(if weights.is_empty() { 1.0 } else { 0.0 });
+    let weight = |z: usize| {
+        weights
+            .get(z)
+            .copied()
+            .unwrap_or(if weights.is_empty() { 1.0 } else { 0.0 })
+    };
     let total: f64 = (0..zones).map(weight).sum();
     let mut have = vec![0.0; zones];
     let next = |n: u32| {
         let behind = |z: &usize| weight(*z) / total * f64::from(n + 1) - have[*z];
-        let zone = (0..zones).max_by(|a, b| behind(a).total_cmp(&behind(b)).then(b.cmp(a))).unwrap_or(0);
+        let zone = (0..zones)
+            .max_by(|a, b| behind(a).total_cmp(&behind(b)).then(b.cmp(a)))
+            .unwrap_or(0);
         have[zone] += 1.0;
         zone
     };
@@ -350,7 +430,12 @@
     pub fn with(scenario: &'a Scenario, name: &str, seed: u64, build: Builder<'a>) -> Self {
         let zones = scenario.zones.len();
         let end = ORIGIN + seconds(scenario.length_s);
-        let longest = scenario.class.iter().map(|c| millis(c.deadline_ms)).max().unwrap_or(0);
+        let longest = scenario
+            .class
+            .iter()
+            .map(|c| millis(c.deadline_ms))
+            .max()
+            .unwrap_or(0);
         let shares: f64 = scenario.class.iter().map(|c| c.share).sum();
         let mut sum = 0.0;
         let mut world = World {
@@ -414,7 +499,12 @@
         for place in 0..self.places.len() {
             let machine = &mut self.machines[self.places[place].machine as usize];
             let pool = &self.scenario.pool[machine.pool];
-            machine.server = Server::new(pool, machine.server.size() / f64::from(pool.cores), ORIGIN, true);
+            machine.server = Server::new(
+                pool,
+                machine.server.size() / f64::from(pool.cores),
+                ORIGIN,
+                true,
+            );
         }
     }
 
@@ -437,16 +527,32 @@
         let mut dealt = 0;
         for (number, pool) in self.scenario.pool.iter().enumerate() {
             for _ in 0..pool.servers {
-                let zone = self.scenario.zones.iter().position(|z| *z == pool.zone).unwrap_or_else(|| {
-                    dealt += 1;
-                    (dealt - 1) % zones
-                });
+                let zone = self
+                    .scenario
+                    .zones
+                    .iter()
+                    .position(|z| *z == pool.zone)
+                    .unwrap_or_else(|| {
+                        dealt += 1;
+                        (dealt - 1) % zones
+                    });
                 let place = self.places.len() as u32;
                 let (slow, grey) = Default::default();
-                self.places.push(Place { machine: 0, slow, grey, stopped: 0, lost: 0 });
+                self.places.push(Place {
+                    machine: 0,
+                    slow,
+                    grey,
+                    stopped: 0,
+                    lost: 0,
+                });
                 let machine = self.machine(number, zone, place);
                 self.machines[machine as usize].server.up = true;
-                self.discovery.list(Listed { server: machine, phase: Phase::Ready, started: 0, since: 0 });
+                self.discovery.list(Listed {
+                    server: machine,
+                    phase: Phase::Ready,
+                    started: 0,
+                    since: 0,
+                });
             }
         }
         let spec = &self.scenario.proxies;
@@ -480,10 +586,17 @@
             self.next_arrival(i);
         }
         let ground = Ground {
-            places: &self.places.iter().map(|p| self.machines[p.machine as usize].zone).collect::<Vec<_>>(),
+            places: &self
+                .places
+                .iter()
+                .map(|p| self.machines[p.machine as usize].zone)
+                .collect::<Vec<_>>(),
             proxies: &dealt,
         };
-        for (number, (at, step)) in steps(self.scenario, &ground, self.seed, ORIGIN).into_iter().enumerate() {
+        for (number, (at, step)) in steps(self.scenario, &ground, self.seed, ORIGIN)
+            .into_iter()
+            .enumerate()
+        {
             self.queue.push(at, What::Step(number as u32));
             self.steps.push(step);
         }
@@ -521,7 +634,8 @@
         number
     }
 
-    // ---- The loop ---------------------------------------------------------------------------------------
+    // ---- The loop
+    // ---------------------------------------------------------------------------------------
 
     /// Runs up to a second of the scenario; true once everything has ended.
     pub fn run_to(&mut self, second: f64) -> bool {
@@ -564,7 +678,11 @@
                 }
             }
             What::Reach { request, n } => self.reach(request, n),
-            What::Back { request, n, outcome } => self.back(request, n, outcome),
+            What::Back {
+                request,
+                n,
+                outcome,
+            } => self.back(request, n, outcome),
             What::TimedOut { request, n } => {
                 if self.attempt(request, n).is_some_and(|a| a.out) {
                     self.call_off(request, n);
@@ -575,7 +693,9 @@
                 if self.machines[server as usize].life == life {
                     self.advance(server);
                     let mut happened = std::mem::take(&mut self.happened);
-                    let job = self.machines[server as usize].server.cancel(job, &mut happened);
+                    let job = self.machines[server as usize]
+                        .server
+                        .cancel(job, &mut happened);
                     self.happened = happened;
                     if let Some(job) = job {
                         self.release(job.op);
@@ -599,18 +719,36 @@
                 }
             }
             What::Called { proxy, life, ok } => self.called(proxy, life, ok),
-            What::Probe { proxy, life, server, sent } => self.probe(proxy, life, server, sent),
-            What::Probed { proxy, life, server, sent, held } => self.probed(proxy, life, server, sent, held),
+            What::Probe {
+                proxy,
+                life,
+                server,
+                sent,
+            } => self.probe(proxy, life, server, sent),
+            What::Probed {
+                proxy,
+                life,
+                server,
+                sent,
+                held,
+            } => self.probed(proxy, life, server, sent, held),
             What::Peer { from, to, data } => {
                 if self.proxies[to as usize].policy.is_some() {
                     self.peer_bytes += data.len() as u64;
-                    self.tell(to, Event::Peer { from, data: data.into_vec() });
+                    self.tell(
+                        to,
+                        Event::Peer {
+                            from,
+                            data: data.into_vec(),
+                        },
+                    );
                 }
             }
             What::Idle { proxy, server } => {
                 let machine = &mut self.machines[server as usize];
                 let idle = &mut self.proxies[proxy as usize].idle;
-                let (closed, again) = idle.age(server, machine.life, self.now, self.network.idle_close);
+                let (closed, again) =
+                    idle.age(server, machine.life, self.now, self.network.idle_close);
                 machine.connections = machine.connections.saturating_sub(closed);
                 if let Some(at) = again {
                     self.queue.push(at, What::Idle { proxy, server });
@@ -636,7 +774,9 @@
             let (busy, there) = (machine.server.tally.busy, machine.server.tally.there);
             let (b, t) = (busy - machine.before.0, there - machine.before.1);
             machine.before = (busy, there);
-            machine.busy.push(if t > 0.0 { (b / t) as f32 } else { f32::NAN });
+            machine
+                .busy
+                .push(if t > 0.0 { (b / t) as f32 } else { f32::NAN });
             self.touched(number);
         }
         if self.now + self.column() <= self.end {
@@ -644,17 +784,23 @@
         }
     }
 
-    // ---- Clients ----------------------------------------------------------------------------------------
+    // ---- Clients
+    // ----------------------------------------------------------------------------------------
 
     /// The highest rate at which one proxy of weight 1 is ever asked, over the mean.
     fn rate_most(&self) -> f64 {
         let c = &self.scenario.clients;
-        let burst = if c.arrivals == Arrivals::Bursty { c.burst_factor } else { 1.0 };
+        let burst = if c.arrivals == Arrivals::Bursty {
+            c.burst_factor
+        } else {
+            1.0
+        };
         self.scenario.curve_most() * surge_most(self.scenario) * burst
     }
 
-    /// Draws when a proxy is asked next. Candidates come at the highest rate and are kept in proportion to the
-    /// rate at their time, so that the draws of one proxy never depend on what else happens.
+    /// Draws when a proxy is asked next. Candidates come at the highest rate and are kept in
+    /// proportion to the rate at their time, so that the draws of one proxy never depend on what
+    /// else happens.
     fn next_arrival(&mut self, proxy: u32) {
         let (scenario, c) = (self.scenario, &self.scenario.clients);
         let p = &mut self.proxies[proxy as usize];
@@ -671,9 +817,15 @@
                 at += p.arrivals.exponential(1.0 / most.max(1e-12));
                 while bursty && p.burst.1 <= at {
                     p.burst.0 = !p.burst.0;
-                    p.burst.1 += p.arrivals.exponential(if p.burst.0 { c.burst_s } else { c.rest_s });
+                    p.burst.1 +=
+                        p.arrivals
+                            .exponential(if p.burst.0 { c.burst_s } else { c.rest_s });
                 }
-                let burst = if bursty && p.burst.0 { c.burst_factor } else { 1.0 };
+                let burst = if bursty && p.burst.0 {
+                    c.burst_factor
+                } else {
+                    1.0
+                };
                 if p.arrivals.unit() * self.arrivals_most > factor(at) * burst {
                     if at > scenario.length_s {
                         return;
@@ -693,7 +845,11 @@
         let p = &mut self.proxies[proxy as usize];
         // Drawn whether or not anybody is there: troubles leave the other draws as they are.
         let x = p.work.unit();
-        let class = self.class_shares.iter().position(|s| x < *s).unwrap_or(self.class_shares.len() - 1);
+        let class = self
+            .class_shares
+            .iter()
+            .position(|s| x < *s)
+            .unwrap_or(self.class_shares.len() - 1);
         let spec = &self.scenario.class[class];
         let work = p.work.law(spec.law, spec.work_ms * 1e3, spec.cv);
         if p.clients_there {
@@ -732,7 +888,14 @@
         op.holds += 1;
         let request = self
             .tries
-            .insert(Try { op: key, proxy, expires, over: false, left: false, attempts: SmallVec::new() })
+            .insert(Try {
+                op: key,
+                proxy,
+                expires,
+                over: false,
+                left: false,
+                attempts: SmallVec::new(),
+            })
             .data()
             .as_ffi();
         if self.proxies[proxy as usize].policy.is_none() {
@@ -757,7 +920,9 @@
 
     /// A try is over for its client: the operation ends with it, or the client tries again.
     fn end_try(&mut self, request: u64, end: End) {
-        let Some(held) = self.tries.get_mut(key(request)) else { return };
+        let Some(held) = self.tries.get_mut(key(request)) else {
+            return;
+        };
         held.over = true;
         let op = held.op;
         if !self.ops[op].ended {
@@ -768,7 +933,10 @@
 
     fn after_try(&mut self, key: DefaultKey, end: End) {
         let op = &self.ops[key];
-        let (spec, clients) = (&self.scenario.class[op.class as usize], &self.scenario.clients);
+        let (spec, clients) = (
+            &self.scenario.class[op.class as usize],
+            &self.scenario.clients,
+        );
         let (retries, at_once) = match self.storm {
             Some(retries) => (retries, true),
             None => (clients.retries, clients.retry_wait == RetryWait::AtOnce),
@@ -809,11 +977,20 @@
         op.ended = true;
         self.open_ops -= 1;
         let (number, proxy, class, start) = (op.number, op.proxy, op.class as usize, op.start);
-        self.judge.ended(&Ended { number, proxy, zone, class, start, fate });
+        self.judge.ended(&Ended {
+            number,
+            proxy,
+            zone,
+            class,
+            start,
+            fate,
+        });
     }
 
     fn release(&mut self, key: DefaultKey) {
-        let Some(op) = self.ops.get_mut(key) else { return };
+        let Some(op) = self.ops.get_mut(key) else {
+            return;
+        };
         op.holds -= 1;
         if op.holds == 0 && op.ended {
             self.ops.remove(key);
@@ -822,7 +999,9 @@
 
     /// The client's time is up: what is still out times out, and a little later the client is gone.
     fn expire(&mut self, request: u64) {
-        let Some(held) = self.tries.get(key(request)) else { return };
+        let Some(held) = self.tries.get(key(request)) else {
+            return;
+        };
         for n in 0..held.attempts.len() as u8 {
             if self.attempt(request, n).is_some_and(|a| a.out) {
                 self.call_off(request, n);
@@ -830,17 +1009,24 @@
             }
         }
         if self.tries.get(key(request)).is_some_and(|t| !t.over) {
-            self.queue.push(self.now + self.rules.slack, What::Leave(request));
+            self.queue
+                .push(self.now + self.rules.slack, What::Leave(request));
         }
     }
 
     fn leave(&mut self, request: u64) {
-        let Some(held) = self.tries.get(key(request)).filter(|t| !t.over) else { return };
+        let Some(held) = self.tries.get(key(request)).filter(|t| !t.over) else {
+            return;
+        };
         let (proxy, late) = (held.proxy, self.now >= held.expires + self.rules.slack);
         if late {
-            let (server, number) = (held.attempts.last().map(|a| a.server), self.ops[held.op].number);
+            let (server, number) = (
+                held.attempts.last().map(|a| a.server),
+                self.ops[held.op].number,
+            );
             let what = "no final answer by the client's deadline";
-            self.judge.break_of(Rule::OneAnswer, self.now, proxy, server, Some(number), what);
+            self.judge
+                .break_of(Rule::OneAnswer, self.now, proxy, server, Some(number), what);
         }
         let held = &mut self.tries[key(request)];
         (held.over, held.left) = (true, true);
@@ -854,14 +1040,18 @@
 
     /// Forgets a try that is over and has nothing out.
     fn drop_try(&mut self, request: u64) {
-        if self.tries.get(key(request)).is_some_and(|t| t.over && !t.out())
+        if self
+            .tries
+            .get(key(request))
+            .is_some_and(|t| t.over && !t.out())
             && let Some(held) = self.tries.remove(key(request))
         {
             self.release(held.op);
         }
     }
 
-    // ---- Proxies ----------------------------------------------------------------------------------------
+    // ---- Proxies
+    // ----------------------------------------------------------------------------------------
 
     fn begin_proxy(&mut self, number: u32) {
         let p = &mut self.proxies[number as usize];
@@ -870,11 +1060,22 @@
         p.closing.clear();
         p.subscribed = !self.scenario.discovery.watch;
         let version = p.version;
-        let seed = stir([self.seed, Concern::Policy as u64, u64::from(number), u64::from(life)]);
+        let seed = stir([
+            self.seed,
+            Concern::Policy as u64,
+            u64::from(number),
+            u64::from(life),
+        ]);
         p.policy = Some((self.build)(settings(self.scenario, number, zone), seed));
         let servers = self.discovery.at(version);
         let servers = servers.iter().map(|l| self.entry(l)).collect();
-        self.tell(number, Event::Members(Listing { scope: Scope::Cached, servers }));
+        self.tell(
+            number,
+            Event::Members(Listing {
+                scope: Scope::Cached,
+                servers,
+            }),
+        );
         if !self.scenario.discovery.watch {
             self.news(number, Scope::Complete);
         }
@@ -921,7 +1122,9 @@
         let mut actions = std::mem::take(&mut self.actions);
         pending.push_back(event);
         while let Some(event) = pending.pop_front() {
-            let Some(mut policy) = self.proxies[number as usize].policy.take() else { break };
+            let Some(mut policy) = self.proxies[number as usize].policy.take() else {
+                break;
+            };
             let seen = Seen {
                 machines: &self.machines,
                 places: &self.places,
@@ -940,7 +1143,12 @@
 
     fn act(&mut self, proxy: u32, action: Action, pending: &mut VecDeque<Event>) {
         match action {
-            Action::Send { id, server, timeout, .. } => self.send(proxy, id, server, timeout, pending),
+            Action::Send {
+                id,
+                server,
+                timeout,
+                ..
+            } => self.send(proxy, id, server, timeout, pending),
             Action::Refuse { id, retry_after } => self.answer(proxy, id, End::Refused(retry_after)),
             Action::Fail { id } => self.answer(proxy, id, End::Failed),
             Action::Cancel { id, attempt } => {
@@ -953,7 +1161,10 @@
             }
             Action::Timer { delay, token } => {
                 let life = self.proxies[proxy as usize].life;
-                self.queue.push(self.now.saturating_add(delay.max(1)), What::Timer { proxy, life, token });
+                self.queue.push(
+                    self.now.saturating_add(delay.max(1)),
+                    What::Timer { proxy, life, token },
+                );
             }
             Action::Subscribe(true) | Action::FetchAll => {
                 let (at, ok) = self.discovery.call(self.now);
@@ -970,12 +1181,22 @@
                 let p = &self.proxies[proxy as usize];
                 let to = self.machines[server as usize].zone;
                 let at = sent + self.network.way(p.zone, to, [u64::from(proxy), sent]);
-                self.queue.push(at, What::Probe { proxy, life: p.life, server, sent });
+                self.queue.push(
+                    at,
+                    What::Probe {
+                        proxy,
+                        life: p.life,
+                        server,
+                        sent,
+                    },
+                );
             }
             Action::Tell { to, data } => self.spread(proxy, to, &data),
             Action::CloseIdle { server } => {
                 let machine = &mut self.machines[number_of(server) as usize];
-                let closed = self.proxies[proxy as usize].idle.close(number_of(server), machine.life);
+                let closed = self.proxies[proxy as usize]
+                    .idle
+                    .close(number_of(server), machine.life);
                 machine.connections = machine.connections.saturating_sub(closed);
             }
             Action::Log(_) => {}
@@ -985,27 +1206,52 @@
     fn spread(&mut self, from: u32, to: Option<u32>, data: &[u8]) {
         let all = 0..self.proxies.len() as u32;
         let to: Vec<u32> = to.map_or_else(|| all.filter(|n| *n != from).collect(), |to| vec![to]);
-        for to in to.into_iter().filter(|n| (*n as usize) < self.proxies.len()) {
-            let zones = (self.proxies[from as usize].zone, self.proxies[to as usize].zone);
+        for to in to
+            .into_iter()
+            .filter(|n| (*n as usize) < self.proxies.len())
+        {
+            let zones = (
+                self.proxies[from as usize].zone,
+                self.proxies[to as usize].zone,
+            );
             let lost = self.datagrams.unit() < self.scenario.network.datagram_loss;
-            if lost || self.network.cut_between(zones.0, zones.1, self.now).is_some() {
+            if lost
+                || self
+                    .network
+                    .cut_between(zones.0, zones.1, self.now)
+                    .is_some()
+            {
                 continue;
             }
-            let way = self.network.way(zones.0, zones.1, [u64::from(from) << 32 | u64::from(to), self.now]);
-            self.queue.push(self.now + way, What::Peer { from, to, data: data.into() });
+            let way = self.network.way(
+                zones.0,
+                zones.1,
+                [u64::from(from) << 32 | u64::from(to), self.now],
+            );
+            self.queue.push(
+                self.now + way,
+                What::Peer {
+                    from,
+                    to,
+                    data: data.into(),
+                },
+            );
         }
     }
 
     fn answer(&mut self, proxy: u32, request: u64, end: End) {
         let Some(held) = self.tries.get_mut(key(request)) else {
             let what = "answered a request that is over or unknown";
-            return self.judge.break_of(Rule::OneAnswer, self.now, proxy, None, None, what);
+            return self
+                .judge
+                .break_of(Rule::OneAnswer, self.now, proxy, None, None, what);
         };
         if held.over {
             if !held.left {
                 let number = self.ops[held.op].number;
                 let what = "a second final answer";
-                self.judge.break_of(Rule::OneAnswer, self.now, proxy, None, Some(number), what);
+                self.judge
+                    .break_of(Rule::OneAnswer, self.now, proxy, None, Some(number), what);
             }
             return;
         }
@@ -1015,10 +1261,13 @@
         self.end_try(request, end);
     }
 
-    // ---- Attempts ---------------------------------------------------------------------------------------
+    // ---- Attempts
+    // ---------------------------------------------------------------------------------------
 
     fn attempt(&self, request: u64, n: u8) -> Option<&Attempt> {
-        self.tries.get(key(request)).and_then(|t| t.attempts.get(n as usize))
+        self.tries
+            .get(key(request))
+            .and_then(|t| t.attempts.get(n as usize))
     }
 
     fn send(
@@ -1032,7 +1281,9 @@
         let (now, server) = (self.now, number_of(server));
         let Some(held) = self.tries.get(key(request)) else {
             let what = "sent a request that is over or unknown";
-            return self.judge.break_of(Rule::OneAnswer, now, proxy, Some(server), None, what);
+            return self
+                .judge
+                .break_of(Rule::OneAnswer, now, proxy, Some(server), None, what);
         };
         let number = self.ops[held.op].number;
         let wrong = match () {
@@ -1040,9 +1291,10 @@
             () if held.attempts.len() >= self.rules.most_tries => {
                 Some((Rule::NoEffectTwice, "more attempts than are allowed"))
             }
-            () if held.out() && !self.rules.may_duplicate => {
-                Some((Rule::NoEffectTwice, "two attempts of one request out together"))
-            }
+            () if held.out() && !self.rules.may_duplicate => Some((
+                Rule::NoEffectTwice,
+                "two attempts of one request out together",
+            )),
             () if server as usize >= self.machines.len() => {
                 Some((Rule::DrainsKept, "sent to an unknown server"))
             }
@@ -1050,7 +1302,8 @@
         };
         let moot = wrong.is_some() || held.expires <= now;
         if let Some((rule, what)) = wrong {
-            self.judge.break_of(rule, now, proxy, Some(server), Some(number), what);
+            self.judge
+                .break_of(rule, now, proxy, Some(server), Some(number), what);
         }
         let n = held.attempts.len() as u8;
         if moot {
@@ -1072,7 +1325,10 @@
         let machine = &mut self.machines[server as usize];
         let p = &mut self.proxies[proxy as usize];
         let fresh = !p.idle.take(server, machine.life);
-        let way = |what: u64| self.network.way(p.zone, machine.zone, [number, u64::from(n) << 8 | what]);
+        let way = |what: u64| {
+            self.network
+                .way(p.zone, machine.zone, [number, u64::from(n) << 8 | what])
+        };
         let at = now + way(0) + if fresh { way(1) + way(2) } else { 0 };
         self.cross_zone += u64::from(p.zone != machine.zone);
         self.attempts += 1;
@@ -1089,7 +1345,8 @@
         };
         held.attempts.push(attempt);
         if let Some(timeout) = timeout {
-            self.queue.push(now + timeout, What::TimedOut { request, n });
+            self.queue
+                .push(now + timeout, What::TimedOut { request, n });
         }
         self.queue.push(at, What::Reach { request, n });
         self.judge.fact(2, [number, now, u64::from(server)]);
@@ -1102,16 +1359,23 @@
         // A call that failed excuses for longer; while discovery is out nobody could know.
         let within = self.rules.ask_within * if p.failed { 4 } else { 1 };
         if told.is_none() && !p.subscribed && !self.discovery.out && self.now > p.heard + within {
-            let asked = self.discovery.since(p.version).iter().rev().find(|l| l.server == server);
+            let asked = self
+                .discovery
+                .since(p.version)
+                .iter()
+                .rev()
+                .find(|l| l.server == server);
             let closed = asked.filter(|l| l.phase != Phase::Ready);
             told = closed.map(|l| l.since.max(p.heard) + within);
         }
         if let Some(told) = told {
-            self.judge.sent_to_closing(self.now, told, proxy, server, number);
+            self.judge
+                .sent_to_closing(self.now, told, proxy, server, number);
         }
     }
 
-    /// Rule 2 where servers drop repeats: only those of the group, and only for a while, know of the first.
+    /// Rule 2 where servers drop repeats: only those of the group, and only for a while, know of
+    /// the first.
     fn check_repeat(&mut self, proxy: u32, server: u32, request: u64, n: u8) {
         let held = &self.tries[key(request)];
         let op = &self.ops[held.op];
@@ -1119,14 +1383,32 @@
         if spec.effect != EffectSpec::Keyed {
             return; // free may run again; for `once`, running twice shows it
         }
-        let (now, window, zone) = (self.now, seconds(spec.dedup_s), self.machines[server as usize].zone);
-        let harmful = held.attempts[..n as usize].iter().filter(|a| a.may_have_run()).any(|a| {
-            let stranger = spec.group == GroupSpec::Zone && self.machines[a.server as usize].zone != zone;
-            now >= a.sent + window || stranger
-        });
+        let (now, window, zone) = (
+            self.now,
+            seconds(spec.dedup_s),
+            self.machines[server as usize].zone,
+        );
+        let harmful = held.attempts[..n as usize]
+            .iter()
+            .filter(|a| a.may_have_run())
+            .any(|a| {
+                let stranger =
+                    spec.group == GroupSpec::Zone && self.machines[a.server as usize].zone != zone;
+                now >= a.sent + window || stranger
+            });
         if harmful {
-            let what = format!("`{}` sent again to where nobody knows of the first", spec.name);
-            self.judge.break_of(Rule::NoEffectTwice, now, proxy, Some(server), Some(op.number), what);
+            let what = format!(
+                "`{}` sent again to where nobody knows of the first",
+                spec.name
+            );
+            self.judge.break_of(
+                Rule::NoEffectTwice,
+                now,
+                proxy,
+                Some(server),
+                Some(op.number),
+                what,
+            );
         }
     }
 
@@ -1142,19 +1424,38 @@
         };
         if !harmless && held.attempts.iter().any(Attempt::may_have_run) {
             let what = format!("`{}` refused though it may have run", spec.name);
-            self.judge.break_of(Rule::NoEffectTwice, self.now, proxy, None, Some(op.number), what);
+            self.judge.break_of(
+                Rule::NoEffectTwice,
+                self.now,
+                proxy,
+                None,
+                Some(op.number),
+                what,
+            );
         }
     }
 
     fn reach(&mut self, request: u64, n: u8) {
-        let Some(held) = self.tries.get(key(request)) else { return };
+        let Some(held) = self.tries.get(key(request)) else {
+            return;
+        };
         let (proxy, op_key, expires) = (held.proxy, held.op, held.expires);
-        let Some(attempt) = held.attempts.get(n as usize).filter(|a| a.out) else { return };
-        let &Attempt { server, life, sent, fresh, .. } = attempt;
+        let Some(attempt) = held.attempts.get(n as usize).filter(|a| a.out) else {
+            return;
+        };
+        let &Attempt {
+            server,
+            life,
+            sent,
+            fresh,
+            ..
+        } = attempt;
         let zone = self.proxies[proxy as usize].zone;
         let machine = &self.machines[server as usize];
         let number = self.ops[op_key].number;
-        let way = self.network.way(zone, machine.zone, [number, u64::from(n) << 8 | 3]);
+        let way = self
+            .network
+            .way(zone, machine.zone, [number, u64::from(n) << 8 | 3]);
         let lost = sent + self.network.connect_timeout;
         if let Some(until) = self.network.cut_between(zone, machine.zone, self.now) {
             return match fresh {
@@ -1172,7 +1473,14 @@
         if !machine.server.up || machine.life != life {
             return match fresh {
                 true => self.unreached(request, n, self.now + way),
-                false => self.queue.push(self.now + way, What::Back { request, n, outcome: Outcome::Reset }),
+                false => self.queue.push(
+                    self.now + way,
+                    What::Back {
+                        request,
+                        n,
+                        outcome: Outcome::Reset,
+                    },
+                ),
             };
         }
         let (pool, class) = (&self.scenario.pool[machine.pool], self.ops[op_key].class);
@@ -1189,19 +1497,35 @@
         let work = self.ops[op_key].work;
         let machine = &self.machines[server as usize];
         if machine.server.is_cold(self.now) {
-            // Cold is what the rule is about: what else goes wrong there nobody can know beforehand.
+            // Cold is what the rule is about: what else goes wrong there nobody can know
+            // beforehand.
             let capacity = machine.server.size() * machine.server.warmth(self.now);
             let informed = self.proxies[proxy as usize].version >= machine.told_at;
-            if self.judge.pressed(self.now, server, proxy, work, capacity, informed) {
+            if self
+                .judge
+                .pressed(self.now, server, proxy, work, capacity, informed)
+            {
                 self.machines[server as usize].fallen = true;
                 self.end_server(server, false);
-                return self.queue.push(self.now + way, What::Back { request, n, outcome: Outcome::Reset });
+                return self.queue.push(
+                    self.now + way,
+                    What::Back {
+                        request,
+                        n,
+                        outcome: Outcome::Reset,
+                    },
+                );
             }
         } else {
             self.judge.relieved(server);
         }
         let place = &self.places[machine.place as usize];
-        let grey: f64 = place.grey.values().filter(|g| g.0 == class && !g.2).map(|g| g.1).product();
+        let grey: f64 = place
+            .grey
+            .values()
+            .filter(|g| g.0 == class && !g.2)
+            .map(|g| g.1)
+            .product();
         let job = Job {
             request,
             attempt: n,
@@ -1223,20 +1547,38 @@
                 self.ops[op_key].holds += 1;
                 self.tries[key(request)].attempts[n as usize].job = Some(job);
             }
-            None => self.queue.push(self.now + way, What::Back { request, n, outcome: Outcome::Full }),
+            None => self.queue.push(
+                self.now + way,
+                What::Back {
+                    request,
+                    n,
+                    outcome: Outcome::Full,
+                },
+            ),
         }
         self.touched(server);
     }
 
     fn unreached(&mut self, request: u64, n: u8, at: Micros) {
-        self.queue.push(at, What::Back { request, n, outcome: Outcome::ConnectFailed });
+        self.queue.push(
+            at,
+            What::Back {
+                request,
+                n,
+                outcome: Outcome::ConnectFailed,
+            },
+        );
     }
 
     /// An outcome reaches the proxy.
     fn back(&mut self, request: u64, n: u8, outcome: Outcome) {
-        let Some(held) = self.tries.get_mut(key(request)) else { return };
+        let Some(held) = self.tries.get_mut(key(request)) else {
+            return;
+        };
         let proxy = held.proxy;
-        let Some(attempt) = held.attempts.get_mut(n as usize).filter(|a| a.out) else { return };
+        let Some(attempt) = held.attempts.get_mut(n as usize).filter(|a| a.out) else {
+            return;
+        };
         attempt.out = false;
         let (server, life, connected) = (attempt.server, attempt.life, attempt.connected);
         if connected && self.machines[server as usize].life == life {
@@ -1245,7 +1587,10 @@
                 let machine = &mut self.machines[server as usize];
                 machine.connections = machine.connections.saturating_sub(1);
             } else if idle.give(server, life, self.now) {
-                self.queue.push(self.now + self.network.idle_close, What::Idle { proxy, server });
+                self.queue.push(
+                    self.now + self.network.idle_close,
+                    What::Idle { proxy, server },
+                );
             }
         }
         if outcome == Outcome::Ok && !held.over {
@@ -1267,16 +1612,28 @@
         attempt.outcome = Some(outcome);
         let (id, server) = (request, self.machines[attempt.server as usize].id);
         let (latency, finished) = (self.now - attempt.sent, held.over);
-        Settled { id, server, attempt: u32::from(n), outcome, latency, finished, load: None }
+        Settled {
+            id,
+            server,
+            attempt: u32::from(n),
+            outcome,
+            latency,
+            finished,
+            load: None,
+        }
     }
 
     fn settle(&mut self, request: u64, n: u8, outcome: Outcome) {
-        let (settled, proxy) = (self.settled(request, n, outcome), self.tries[key(request)].proxy);
+        let (settled, proxy) = (
+            self.settled(request, n, outcome),
+            self.tries[key(request)].proxy,
+        );
         self.tell(proxy, Event::Settled(settled));
         self.drop_try(request);
     }
 
-    /// The proxy gives an attempt up: its connection closes, and the server hears of it a little later.
+    /// The proxy gives an attempt up: its connection closes, and the server hears of it a little
+    /// later.
     fn call_off(&mut self, request: u64, n: u8) {
         let held = &mut self.tries[key(request)];
         let zone = self.proxies[held.proxy as usize].zone;
@@ -1288,17 +1645,31 @@
         if attempt.connected && machine.life == life {
             machine.connections = machine.connections.saturating_sub(1);
         }
-        let Some(job) = attempt.job.filter(|_| machine.life == life && !machine.vanished) else { return };
-        let way = self.network.way(zone, machine.zone, [number, u64::from(n) << 8 | 4]);
-        let from = self.network.cut_between(zone, machine.zone, self.now).unwrap_or(self.now);
-        self.queue.push(from + way, What::CallOff { server, life, job });
+        let Some(job) = attempt
+            .job
+            .filter(|_| machine.life == life && !machine.vanished)
+        else {
+            return;
+        };
+        let way = self
+            .network
+            .way(zone, machine.zone, [number, u64::from(n) << 8 | 4]);
+        let from = self
+            .network
+            .cut_between(zone, machine.zone, self.now)
+            .unwrap_or(self.now);
+        self.queue
+            .push(from + way, What::CallOff { server, life, job });
     }
 
-    // ---- Servers ----------------------------------------------------------------------------------------
+    // ---- Servers
+    // ----------------------------------------------------------------------------------------
 
     fn advance(&mut self, server: u32) {
         let mut happened = std::mem::take(&mut self.happened);
-        self.machines[server as usize].server.advance(self.now, &mut happened);
+        self.machines[server as usize]
+            .server
+            .advance(self.now, &mut happened);
         self.happened = happened;
     }
 
@@ -1325,7 +1696,9 @@
     /// A request begins to run: this is where an effect happens.
     fn began(&mut self, server: u32, job_key: JobKey) {
         let machine = &self.machines[server as usize];
-        let Some(job) = machine.server.job(job_key) else { return };
+        let Some(job) = machine.server.job(job_key) else {
+            return;
+        };
         let (zone, op_key) = (machine.zone, job.op);
         let op = &mut self.ops[op_key];
         let spec = &self.scenario.class[op.class as usize];
@@ -1335,18 +1708,27 @@
             EffectSpec::Once if op.runs.is_empty() => {}
             EffectSpec::Once => {
                 let what = format!("`{}` ran again, which it must never", spec.name);
-                self.judge.break_of(Rule::NoEffectTwice, now, proxy, Some(server), Some(number), what);
+                self.judge.break_of(
+                    Rule::NoEffectTwice,
+                    now,
+                    proxy,
+                    Some(server),
+                    Some(number),
+                    what,
+                );
             }
             EffectSpec::Keyed => {
                 let window = seconds(spec.dedup_s);
                 let same = |run: &&(usize, Micros)| spec.group == GroupSpec::All || run.0 == zone;
                 if op.runs.iter().filter(same).any(|run| now < run.1 + window) {
                     // The server knows it: a repeat is looked up and answered, and has no effect.
-                    self.machines[server as usize].server.shorten(job_key, LOOK_UP);
+                    self.machines[server as usize]
+                        .server
+                        .shorten(job_key, LOOK_UP);
                     return self.judge.fact(4, [number, now, u64::from(server)]);
                 }
-                // An attempt that was given up and yet ran, long after: no policy could know, and no rule
-                // is broken, but the effect is there and is counted.
+                // An attempt that was given up and yet ran, long after: no policy could know, and
+                // no rule is broken, but the effect is there and is counted.
                 self.late_repeats += u64::from(!op.runs.is_empty());
             }
         }
@@ -1354,15 +1736,29 @@
         self.judge.fact(3, [number, now, u64::from(server)]);
     }
 
-    /// What a server in `zone` says of a job goes on its way, unless its proxy no longer waits. `leg` names the
-    /// message, so that its latency is its own.
+    /// What a server in `zone` says of a job goes on its way, unless its proxy no longer waits.
+    /// `leg` names the message, so that its latency is its own.
     fn reply(&mut self, zone: usize, job: &Job, outcome: Outcome, leg: u64) {
-        let Some(held) = self.tries.get(key(job.request)).filter(|_| !job.cancelled) else { return };
+        let Some(held) = self.tries.get(key(job.request)).filter(|_| !job.cancelled) else {
+            return;
+        };
         let to = self.proxies[held.proxy as usize].zone;
         let (number, n) = (self.ops[held.op].number, job.attempt);
-        let way = self.network.way(zone, to, [number, u64::from(n) << 8 | leg]);
-        let from = self.network.cut_between(zone, to, self.now).unwrap_or(self.now);
-        self.queue.push(from + way, What::Back { request: job.request, n, outcome });
+        let way = self
+            .network
+            .way(zone, to, [number, u64::from(n) << 8 | leg]);
+        let from = self
+            .network
+            .cut_between(zone, to, self.now)
+            .unwrap_or(self.now);
+        self.queue.push(
+            from + way,
+            What::Back {
+                request: job.request,
+                n,
+                outcome,
+            },
+        );
     }
 
     fn left_server(&mut self, server: u32, job: &Job, outcome: Outcome) {
@@ -1425,8 +1821,17 @@
                 })
                 .collect();
             for (request, n, proxy) in found {
-                let way = self.network.plain_way(zone, self.proxies[proxy as usize].zone);
-                self.queue.push(self.now + way, What::Back { request, n, outcome: Outcome::Reset });
+                let way = self
+                    .network
+                    .plain_way(zone, self.proxies[proxy as usize].zone);
+                self.queue.push(
+                    self.now + way,
+                    What::Back {
+                        request,
+                        n,
+                        outcome: Outcome::Reset,
+                    },
+                );
             }
         }
     }
@@ -1436,7 +1841,9 @@
         self.advance(server);
         let machine = &mut self.machines[server as usize];
         let place = &self.places[machine.place as usize];
-        machine.server.hamper(place.slow.values().product(), place.stopped > 0);
+        machine
+            .server
+            .hamper(place.slow.values().product(), place.stopped > 0);
         machine.armed = Micros::MAX;
         self.touched(server);
     }
@@ -1465,7 +1872,11 @@
             Step::Stop(places, on) => {
                 for place in places {
                     let p = &mut self.places[place as usize];
-                    p.stopped = if on { p.stopped + 1 } else { p.stopped.saturating_sub(1) };
+                    p.stopped = if on {
+                        p.stopped + 1
+                    } else {
+                        p.stopped.saturating_sub(1)
+                    };
                     self.hamper(self.places[place as usize].machine);
                 }
             }
@@ -1529,7 +1940,10 @@
                         && std::mem::take(&mut p.subscribed)
                     {
                         p.heard = self.now;
-                        let listing = Listing { scope: Scope::Failed, servers: Vec::new() };
+                        let listing = Listing {
+                            scope: Scope::Failed,
+                            servers: Vec::new(),
+                        };
                         self.tell(proxy, Event::Members(listing));
                     }
                 }
@@ -1537,17 +1951,27 @@
         }
     }
 
-    // ---- Discovery --------------------------------------------------------------------------------------
+    // ---- Discovery
+    // --------------------------------------------------------------------------------------
 
     /// The list catches up with what is true of a server by now.
     fn visible(&mut self, server: u32) {
         let machine = &mut self.machines[server as usize];
-        let phase = if machine.server.up { machine.phase } else { Phase::Gone };
+        let phase = if machine.server.up {
+            machine.phase
+        } else {
+            Phase::Gone
+        };
         let started = machine.server.started;
         if phase == Phase::Ready {
             machine.told_at = self.discovery.version() + 1;
         }
-        self.discovery.list(Listed { server, phase, started, since: self.now });
+        self.discovery.list(Listed {
+            server,
+            phase,
+            started,
+            since: self.now,
+        });
         let spread = seconds(self.scenario.discovery.spread_s);
         if self.discovery.out {
             return;
@@ -1558,7 +1982,13 @@
                 p.news_due = true;
                 let draw = unit(stir([self.seed, u64::from(proxy), self.now, 0x11]));
                 let at = self.now + (spread as f64 * draw) as Micros;
-                self.queue.push(at, What::News { proxy, life: p.life });
+                self.queue.push(
+                    at,
+                    What::News {
+                        proxy,
+                        life: p.life,
+                    },
+                );
             }
         }
     }
@@ -1570,7 +2000,11 @@
             zone: machine.zone,
             cell: machine.zone as u64,
             phase: listed.phase,
-            size: if self.scenario.proxies.sizes { machine.server.size() } else { 1.0 },
+            size: if self.scenario.proxies.sizes {
+                machine.server.size()
+            } else {
+                1.0
+            },
             started: (listed.started > 0).then_some(listed.started),
         }
     }
@@ -1592,7 +2026,12 @@
         let version = p.version;
         let servers = match scope {
             Scope::Changes => changes.iter().map(|l| self.entry(l)).collect(),
-            _ => self.discovery.at(version).iter().map(|l| self.entry(l)).collect(),
+            _ => self
+                .discovery
+                .at(version)
+                .iter()
+                .map(|l| self.entry(l))
+                .collect(),
         };
         self.tell(proxy, Event::Members(Listing { scope, servers }));
     }
@@ -1604,7 +2043,10 @@
         let fails = !ok || self.discovery.out;
         self.proxies[proxy as usize].failed = fails;
         if fails {
-            let listing = Listing { scope: Scope::Failed, servers: Vec::new() };
+            let listing = Listing {
+                scope: Scope::Failed,
+                servers: Vec::new(),
+            };
             return self.tell(proxy, Event::Members(listing));
         }
         self.proxies[proxy as usize].subscribed = true;
@@ -1614,15 +2056,36 @@
     fn probe(&mut self, proxy: u32, life: u32, server: u32, sent: Micros) {
         let zone = self.proxies[proxy as usize].zone;
         let machine = &mut self.machines[server as usize];
-        let way = self.network.way(machine.zone, zone, [u64::from(proxy), sent ^ 1]);
-        let silent = machine.vanished || self.network.cut_between(zone, machine.zone, self.now).is_some();
+        let way = self
+            .network
+            .way(machine.zone, zone, [u64::from(proxy), sent ^ 1]);
+        let silent = machine.vanished
+            || self
+                .network
+                .cut_between(zone, machine.zone, self.now)
+                .is_some();
         let up = machine.server.up && !silent;
-        let at = if silent { (sent + self.network.connect_timeout).max(self.now) } else { self.now + way };
+        let at = if silent {
+            (sent + self.network.connect_timeout).max(self.now)
+        } else {
+            self.now + way
+        };
         let held = up.then(|| machine.server.held() as u32);
         if up {
-            machine.server.owe(self.scenario.pool[machine.pool].probe_work_ms * 1e3);
+            machine
+                .server
+                .owe(self.scenario.pool[machine.pool].probe_work_ms * 1e3);
         }
-        self.queue.push(at, What::Probed { proxy, life, server, sent, held });
+        self.queue.push(
+            at,
+            What::Probed {
+                proxy,
+                life,
+                server,
+                sent,
+                held,
+            },
+        );
     }
 
     fn probed(&mut self, proxy: u32, life: u32, server: u32, sent: Micros, held: Option<u32>) {
@@ -1631,13 +2094,29 @@
         }
         let reports = self.scenario.proxies.load_reports;
         let load = held.filter(|_| reports);
-        let load = load.map(|held| LoadReport { cpu: None, active: Some(f64::from(held)) });
-        let outcome = if held.is_some() { Outcome::Ok } else { Outcome::ConnectFailed };
+        let load = load.map(|held| LoadReport {
+            cpu: None,
+            active: Some(f64::from(held)),
+        });
+        let outcome = if held.is_some() {
+            Outcome::Ok
+        } else {
+            Outcome::ConnectFailed
+        };
         let (server, latency) = (self.machines[server as usize].id, self.now - sent);
-        self.tell(proxy, Event::Probed { server, outcome, latency, load });
+        self.tell(
+            proxy,
+            Event::Probed {
+                server,
+                outcome,
+                latency,
+                load,
+            },
+        );
     }
 
-    // ---- The end ----------------------------------------------------------------------------------------
+    // ---- The end
+    // ----------------------------------------------------------------------------------------
 
     /// Seconds of the scenario that have passed.
     pub fn second(&self) -> f64 {
@@ -1650,19 +2129,36 @@
             self.advance(server);
             self.touched(server);
         }
-        let stuck: Vec<DefaultKey> =
-            self.ops.iter().filter(|(_, op)| !op.ended).map(|(key, _)| key).collect();
+        let stuck: Vec<DefaultKey> = self
+            .ops
+            .iter()
+            .filter(|(_, op)| !op.ended)
+            .map(|(key, _)| key)
+            .collect();
         for key in stuck {
-            let (proxy, number, start) = (self.ops[key].proxy, self.ops[key].number, self.ops[key].start);
+            let (proxy, number, start) = (
+                self.ops[key].proxy,
+                self.ops[key].number,
+                self.ops[key].start,
+            );
             let class = self.ops[key].class as usize;
             if self.now >= self.stop {
                 let what = "still open after the end";
-                self.judge.break_of(Rule::OneAnswer, self.now, proxy, None, Some(number), what);
+                self.judge
+                    .break_of(Rule::OneAnswer, self.now, proxy, None, Some(number), what);
             }
             let zone = self.proxies[proxy as usize].zone;
-            self.judge.ended(&Ended { number, proxy, zone, class, start, fate: Fate::Failed });
+            self.judge.ended(&Ended {
+                number,
+                proxy,
+                zone,
+                class,
+                start,
+                fate: Fate::Failed,
+            });
         }
-        self.judge.fact(9, [self.events, self.queue.pushed(), self.attempts]);
+        self.judge
+            .fact(9, [self.events, self.queue.pushed(), self.attempts]);
         let servers = self
             .machines
             .iter()
@@ -1677,7 +2173,21 @@
         let (events, attempts) = (self.events, self.attempts);
         let (probes, peer_bytes, cross_zone) = (self.probes, self.peer_bytes, self.cross_zone);
         let late_repeats = self.late_repeats;
-        let counts = Traffic { attempts, probes, peer_bytes, cross_zone, late_repeats };
-        Report::new(self.scenario, self.policy, self.seed, events, counts, &self.judge, servers)
+        let counts = Traffic {
+            attempts,
+            probes,
+            peer_bytes,
+            cross_zone,
+            late_repeats,
+        };
+        Report::new(
+            self.scenario,
+            self.policy,
+            self.seed,
+            events,
+            counts,
+            &self.judge,
+            servers,
+        )
     }
 }
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use ironmast_balancer::{Action, Event, Micros, Outcome, Phase, RequestId, Scope, ServerId, Settings};
+use ironmast_balancer::{
+    Action, Event, Micros, Outcome, Phase, RequestId, Scope, ServerId, Settings,
+};
 use ironmast_emulator::{Policy, PolicyName, Report, Rule, Scenario, Truth, World};
 use rayon::prelude::*;
 
@@ -43,8 +45,10 @@
     Scenario::read(&text).expect("sound")
 }
 
-const DEPLOY: &str = "[[trouble]]\nkind = \"deploy\"\nat_s = 2.0\nfor_s = 6.0\nbatch = 0.34\ndrain_s = 2.0";
-const SLOW: &str = "[[trouble]]\nkind = \"slow\"\nat_s = 2.0\nfor_s = 6.0\nshare = 0.6\nfactor = 20.0";
+const DEPLOY: &str =
+    "[[trouble]]\nkind = \"deploy\"\nat_s = 2.0\nfor_s = 6.0\nbatch = 0.34\ndrain_s = 2.0";
+const SLOW: &str =
+    "[[trouble]]\nkind = \"slow\"\nat_s = 2.0\nfor_s = 6.0\nshare = 0.6\nfactor = 20.0";
 
 /// What a dishonest policy does wrong.
 #[derive(Clone, Copy, PartialEq)]
@@ -80,7 +84,12 @@
             return Some(*id);
         }
         let all = self.sin == Sin::SendsToDraining;
-        let fit: Vec<ServerId> = self.servers.iter().filter(|s| all || *s.1).map(|s| *s.0).collect();
+        let fit: Vec<ServerId> = self
+            .servers
+            .iter()
+            .filter(|s| all || *s.1)
+            .map(|s| *s.0)
+            .collect();
         fit.get(self.turn % fit.len().max(1)).copied()
     }
 
@@ -88,7 +97,12 @@
         if let Some(server) = self.next() {
             *self.tries.entry(id).or_default() += 1;
             // Short of patience, so that more is tried than a careful policy would.
-            out.push(Action::Send { id, server, timeout: Some(150_000), begin_by: None });
+            out.push(Action::Send {
+                id,
+                server,
+                timeout: Some(150_000),
+                begin_by: None,
+            });
         }
     }
 }
@@ -107,7 +121,10 @@
                     // The one that sends to drains forgets nobody.
                     let gone = server.phase == Phase::Gone && self.sin != Sin::SendsToDraining;
                     match gone {
-                        true => drop((self.servers.remove(&server.id), self.started.remove(&server.id))),
+                        true => drop((
+                            self.servers.remove(&server.id),
+                            self.started.remove(&server.id),
+                        )),
                         false => drop(self.servers.insert(server.id, server.phase == Phase::Ready)),
                     }
                     if let Some(at) = server.started.filter(|_| server.phase == Phase::Ready) {
@@ -119,7 +136,10 @@
                 let id = request.id;
                 let last = request.expires.saturating_sub(now + 10_000);
                 if self.sin != Sin::NeverAnswers {
-                    out.push(Action::Timer { delay: last, token: id });
+                    out.push(Action::Timer {
+                        delay: last,
+                        token: id,
+                    });
                 }
                 self.tries.insert(id, 0);
                 self.send(id, out);
@@ -149,7 +169,10 @@
                     true => self.send(settled.id, out),
                     // Said to be harmless, whatever may have run: the client tries again.
                     false if self.sin == Sin::RefusesWhatRan => {
-                        out.push(Action::Refuse { id: settled.id, retry_after: None });
+                        out.push(Action::Refuse {
+                            id: settled.id,
+                            retry_after: None,
+                        });
                     }
                     false => {
                         self.tries.remove(&settled.id);
@@ -169,7 +192,14 @@
 fn sin(sin: Sin, scenario: &Scenario) -> Report {
     let build = |_: Settings, _: u64| -> Box<dyn Policy> {
         let (servers, tries, started) = Default::default();
-        Box::new(Sinner { sin, servers, turn: 0, tries, started, subscribed: false })
+        Box::new(Sinner {
+            sin,
+            servers,
+            turn: 0,
+            tries,
+            started,
+            subscribed: false,
+        })
     };
     World::with(scenario, "sinner", 3, Box::new(build)).run()
 }
@@ -178,15 +208,50 @@
 fn each_rule_broken_on_purpose_is_caught() {
     for (what, rule, trouble, told) in [
         (Sin::NeverAnswers, Rule::OneAnswer, SLOW, "no final answer"),
-        (Sin::AnswersTwice, Rule::OneAnswer, "", "a second final answer"),
+        (
+            Sin::AnswersTwice,
+            Rule::OneAnswer,
+            "",
+            "a second final answer",
+        ),
         (Sin::SendsWhatIsOver, Rule::OneAnswer, "", "has its answer"),
-        (Sin::RepeatsWhatMayHaveRun, Rule::NoEffectTwice, SLOW, "`once` ran again"),
+        (
+            Sin::RepeatsWhatMayHaveRun,
+            Rule::NoEffectTwice,
+            SLOW,
+            "`once` ran again",
+        ),
         (Sin::TwoTogether, Rule::NoEffectTwice, "", "out together"),
-        (Sin::FourAttempts, Rule::NoEffectTwice, SLOW, "more attempts"),
-        (Sin::RefusesWhatRan, Rule::NoEffectTwice, SLOW, "`once` refused though it may have run"),
-        (Sin::RepeatsTooLate, Rule::NoEffectTwice, SLOW, "`keep` sent again"),
-        (Sin::SendsToDraining, Rule::DrainsKept, DEPLOY, "ms after it was told"),
-        (Sin::BuriesTheCold, Rule::ColdSpared, DEPLOY, "of work in its window"),
+        (
+            Sin::FourAttempts,
+            Rule::NoEffectTwice,
+            SLOW,
+            "more attempts",
+        ),
+        (
+            Sin::RefusesWhatRan,
+            Rule::NoEffectTwice,
+            SLOW,
+            "`once` refused though it may have run",
+        ),
+        (
+            Sin::RepeatsTooLate,
+            Rule::NoEffectTwice,
+            SLOW,
+            "`keep` sent again",
+        ),
+        (
+            Sin::SendsToDraining,
+            Rule::DrainsKept,
+            DEPLOY,
+            "ms after it was told",
+        ),
+        (
+            Sin::BuriesTheCold,
+            Rule::ColdSpared,
+            DEPLOY,
+            "of work in its window",
+        ),
     ] {
         let mut scenario = fleet(trouble);
         // Enough to bury one server that is cold.
@@ -195,9 +260,15 @@
         }
         scenario.clients.rate *= if what == Sin::BuriesTheCold { 3.0 } else { 1.0 };
         let report = sin(what, &scenario);
-        let caught = report.rules_broken.iter().find(|b| b.rule == rule && b.what.contains(told));
+        let caught = report
+            .rules_broken
+            .iter()
+            .find(|b| b.rule == rule && b.what.contains(told));
         let caught = caught.unwrap_or_else(|| panic!("{told}: {:?}", report.rules_broken.first()));
-        assert!((0.0..14.0).contains(&caught.at_s) && caught.proxy < 4, "{caught:?}");
+        assert!(
+            (0.0..14.0).contains(&caught.at_s) && caught.proxy < 4,
+            "{caught:?}"
+        );
         let r = report.requests;
         assert_eq!(r.asked, r.served + r.late + r.refused + r.failed);
     }
@@ -211,61 +282,111 @@
         [[trouble]]\nkind = \"zone-cut\"\nat_s = 7.0\nfor_s = 2.0\nzone = \"b\"\n\
         [[trouble]]\nkind = \"pause\"\nat_s = 1.0\nfor_s = 8.0\nshare = 0.3\npause_s = 0.2\n\
         [[trouble]]\nkind = \"grey\"\nat_s = 2.0\nfor_s = 4.0\nshare = 0.2\nclass = \"once\"\nsilent = true\n";
-    let scenarios = [fleet(""), fleet(SLOW), fleet(DEPLOY), fleet(&format!("{troubles}{DEPLOY}\n{SLOW}"))];
+    let scenarios = [
+        fleet(""),
+        fleet(SLOW),
+        fleet(DEPLOY),
+        fleet(&format!("{troubles}{DEPLOY}\n{SLOW}")),
+    ];
     let runs: Vec<(usize, PolicyName, u64)> = (0..scenarios.len())
-        .flat_map(|s| PolicyName::ALL.into_iter().flat_map(move |p| (0..4).map(move |seed| (s, p, seed))))
+        .flat_map(|s| {
+            PolicyName::ALL
+                .into_iter()
+                .flat_map(move |p| (0..4).map(move |seed| (s, p, seed)))
+        })
         .collect();
     runs.into_par_iter().for_each(|(s, policy, seed)| {
         let report = World::new(&scenarios[s], policy, seed).run();
         let name = policy.name();
-        assert!(report.requests.asked > 1_000, "{name}: {:?}", report.requests);
-        assert_eq!(report.breaks, 0, "{name} in {s} with {seed}: {:?}", report.rules_broken.first());
+        assert!(
+            report.requests.asked > 1_000,
+            "{name}: {:?}",
+            report.requests
+        );
+        assert_eq!(
+            report.breaks,
+            0,
+            "{name} in {s} with {seed}: {:?}",
+            report.rules_broken.first()
+        );
     });
 }
 
-/// A fleet in whose deploy an even share is several times what a server bears that has just started.
+/// A fleet in whose deploy an even share is several times what a server bears that has just
+/// started.
 fn cold_fleet(proxies: u32) -> Scenario {
     let mut scenario = fleet(DEPLOY);
-    (scenario.proxies.count, scenario.pool[0].servers, scenario.clients.rate) = (proxies, 24, 1_400.0);
+    (
+        scenario.proxies.count,
+        scenario.pool[0].servers,
+        scenario.clients.rate,
+    ) = (proxies, 24, 1_400.0);
     (scenario.pool[0].cold_share, scenario.rules.cold_multiple) = (0.1, 2.0);
     scenario
 }
 
-/// The budget of a cold server holds for the sum of what all proxies send, however many they are; a policy that
-/// sends to whoever started last is caught.
+/// The budget of a cold server holds for the sum of what all proxies send, however many they are; a
+/// policy that sends to whoever started last is caught.
 #[test]
 fn no_number_of_proxies_pushes_a_cold_server_over() {
     for proxies in [5, 30, 300] {
         let careless = sin(Sin::BuriesTheCold, &cold_fleet(proxies));
-        let caught = careless.rules_broken.iter().any(|b| b.rule == Rule::ColdSpared);
+        let caught = careless
+            .rules_broken
+            .iter()
+            .any(|b| b.rule == Rule::ColdSpared);
         assert!(caught, "{proxies}: {:?}", careless.rules_broken.first());
     }
-    let runs: Vec<(u32, u64)> =
-        [5, 30, 300].into_iter().flat_map(|n| (0..10).map(move |seed| (n, seed))).collect();
+    let runs: Vec<(u32, u64)> = [5, 30, 300]
+        .into_iter()
+        .flat_map(|n| (0..10).map(move |seed| (n, seed)))
+        .collect();
     runs.into_par_iter().for_each(|(proxies, seed)| {
         let report = World::new(&cold_fleet(proxies), PolicyName::Module, seed).run();
-        assert!(report.requests.served > 5_000, "{proxies} proxies, seed {seed}: {:?}", report.requests);
-        assert_eq!(report.breaks, 0, "{proxies} proxies, seed {seed}: {:?}", report.rules_broken.first());
+        assert!(
+            report.requests.served > 5_000,
+            "{proxies} proxies, seed {seed}: {:?}",
+            report.requests
+        );
+        assert_eq!(
+            report.breaks,
+            0,
+            "{proxies} proxies, seed {seed}: {:?}",
+            report.rules_broken.first()
+        );
     });
 }
 
-/// Arrivals, work and troubles are the same for every policy: two runs differ by what the policies did alone.
+/// Arrivals, work and troubles are the same for every policy: two runs differ by what the policies
+/// did alone.
 #[test]
 fn policies_meet_the_same_clients() {
     let scenario = fleet(DEPLOY);
     let asked = |policy| World::new(&scenario, policy, 5).run().requests.asked;
-    assert!(PolicyName::ALL.iter().all(|p| asked(*p) == asked(PolicyName::Module)));
+    assert!(
+        PolicyName::ALL
+            .iter()
+            .all(|p| asked(*p) == asked(PolicyName::Module))
+    );
 }
 
-/// Written down once: they hold on any machine, with any number of threads, in debug and release builds.
+/// Written down once: they hold on any machine, with any number of threads, in debug and release
+/// builds.
 #[test]
 fn digests_are_the_same_everywhere() {
     let scenario = fleet(DEPLOY);
-    let digest = |seed| World::new(&scenario, PolicyName::TwoChoices, seed).run().digest;
+    let digest = |seed| {
+        World::new(&scenario, PolicyName::TwoChoices, seed)
+            .run()
+            .digest
+    };
     let here: Vec<String> = (0..3).map(digest).collect();
     let apart: Vec<String> = (0..3).into_par_iter().map(digest).collect();
     assert_eq!(here, apart);
-    assert_eq!(here, ["ecd724da619f3a43", "c7d0ed46e6071b1d", "458bb2bf6a46193b"]);
+    assert_eq!(
+        here,
+        ["ecd724da619f3a43", "c7d0ed46e6071b1d", "458bb2bf6a46193b"]
+    );
     let module = |_| World::new(&scenario, PolicyName::Module, 1).run().digest;
     let runs: Vec<String> = (0..4).into_par_iter().map(module).collect();
     assert!(runs.iter().all(|d| *d == runs[0]), "{runs:?}");
@@ -274,29 +395,94 @@
 #[test]
 fn what_is_not_sound_is_refused_with_its_line() {
     let sound = fleet(DEPLOY).write();
-    assert_eq!(Scenario::read(&sound), Ok(fleet(DEPLOY)), "what is written can be read");
-    let table = sound.lines().position(|l| l == "[[trouble]]").expect("there is one") + 1;
+    assert_eq!(
+        Scenario::read(&sound),
+        Ok(fleet(DEPLOY)),
+        "what is written can be read"
+    );
+    let table = sound
+        .lines()
+        .position(|l| l == "[[trouble]]")
+        .expect("there is one")
+        + 1;
     for (from, to, told) in [
-        ("length_s = 12.0", "length_s = -1.0", "length_s is -1, expected 0.1 to 86400"),
-        ("length_s = 12.0", "lenght_s = 12.0", "unknown field `lenght_s`"),
-        ("kind = \"deploy\"", "kind = \"explode\"", "unknown variant `explode`"),
-        ("cores = 2", "cores = 0", "pool.0.cores is 0, expected 1 to 1024"),
-        ("cores = 2", "cores = \"two\"", "invalid type: string \"two\""),
-        ("zone = \"*\"", "zone = \"c\"", "pool.0.zone is `c`, expected *, a, b"),
-        ("effect = \"once\"", "effect = \"twice\"", "unknown variant `twice`"),
-        ("at_s = 2.0", "at_s = 99.0", "trouble.0.at_s is 99, expected 0 to 12"),
-        ("at_s = 2.0", "at_s = nan", "trouble.0.at_s is NaN, expected 0 to 12"),
-        ("kind = \"deploy\"", "kind = \"zone-lost\"", "trouble.0.zone is missing, expected one of a, b"),
-        ("kind = \"deploy\"", "kind = \"grey\"", "trouble.0.class is ``, expected one of keep, once"),
-        ("name = \"once\"", "name = \"keep\"", "class.1.name stands twice"),
+        (
+            "length_s = 12.0",
+            "length_s = -1.0",
+            "length_s is -1, expected 0.1 to 86400",
+        ),
+        (
+            "length_s = 12.0",
+            "lenght_s = 12.0",
+            "unknown field `lenght_s`",
+        ),
+        (
+            "kind = \"deploy\"",
+            "kind = \"explode\"",
+            "unknown variant `explode`",
+        ),
+        (
+            "cores = 2",
+            "cores = 0",
+            "pool.0.cores is 0, expected 1 to 1024",
+        ),
+        (
+            "cores = 2",
+            "cores = \"two\"",
+            "invalid type: string \"two\"",
+        ),
+        (
+            "zone = \"*\"",
+            "zone = \"c\"",
+            "pool.0.zone is `c`, expected *, a, b",
+        ),
+        (
+            "effect = \"once\"",
+            "effect = \"twice\"",
+            "unknown variant `twice`",
+        ),
+        (
+            "at_s = 2.0",
+            "at_s = 99.0",
+            "trouble.0.at_s is 99, expected 0 to 12",
+        ),
+        (
+            "at_s = 2.0",
+            "at_s = nan",
+            "trouble.0.at_s is NaN, expected 0 to 12",
+        ),
+        (
+            "kind = \"deploy\"",
+            "kind = \"zone-lost\"",
+            "trouble.0.zone is missing, expected one of a, b",
+        ),
+        (
+            "kind = \"deploy\"",
+            "kind = \"grey\"",
+            "trouble.0.class is ``, expected one of keep, once",
+        ),
+        (
+            "name = \"once\"",
+            "name = \"keep\"",
+            "class.1.name stands twice",
+        ),
     ] {
         assert!(sound.contains(from), "{from} in {sound}");
         let bad = sound.replacen(from, to, 1);
         let error = Scenario::read(&bad).expect_err(to);
         assert!(error.problem.contains(told), "{error}");
         // What is missing is told at the start of the table that lacks it.
-        let changed = sound.lines().zip(bad.lines()).position(|(a, b)| a != b).expect("one differs") + 1;
-        let there = if told.contains("missing") || told.contains("``") { table } else { changed };
+        let changed = sound
+            .lines()
+            .zip(bad.lines())
+            .position(|(a, b)| a != b)
+            .expect("one differs")
+            + 1;
+        let there = if told.contains("missing") || told.contains("``") {
+            table
+        } else {
+            changed
+        };
         assert_eq!(error.line, there, "{error}\n{bad}");
     }
 }
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -1,8 +1,10 @@
-//! Queues whose figures are known, played through the whole emulator: client, proxy, connection, server.
+//! Queues whose figures are known, played through the whole emulator: client, proxy, connection,
+//! server.
 //!
-//! Formulas: Kleinrock, Queueing Systems I (1975): M/M/1 (3.2), Erlang C (3.40), Pollaczek-Khinchine (5.64).
-//! Two choices: Mitzenmacher, The Power of Two Choices in Randomized Load Balancing (1996), theorem 1; the
-//! share of queues with at least i jobs is L^(2^i - 1) against L^i for one choice by chance.
+//! Formulas: Kleinrock, Queueing Systems I (1975): M/M/1 (3.2), Erlang C (3.40),
+//! Pollaczek-Khinchine (5.64). Two choices: Mitzenmacher, The Power of Two Choices in Randomized
+//! Load Balancing (1996), theorem 1; the share of queues with at least i jobs is L^(2^i - 1)
+//! against L^i for one choice by chance.
 
 use ironmast_emulator::{PolicyName, Scenario, Tally, World};
 use rayon::prelude::*;
@@ -38,8 +40,8 @@
     Scenario::read(&text).expect("sound")
 }
 
-/// What one replication saw: mean wait and mean number waiting (in units of the mean work), load, and the
-/// greatest error in Little's law.
+/// What one replication saw: mean wait and mean number waiting (in units of the mean work), load,
+/// and the greatest error in Little's law.
 struct Seen {
     wait: f64,
     waiting: f64,
@@ -58,8 +60,9 @@
     let report = world.report();
     let t: &Tally = &report.each[0].tally;
     let (began, waits) = (t.began as f64, t.waits);
-    let little =
-        |held: f64, passed: f64, stays: f64| (held / time) / (passed / time * (stays / passed)) - 1.0;
+    let little = |held: f64, passed: f64, stays: f64| {
+        (held / time) / (passed / time * (stays / passed)) - 1.0
+    };
     Seen {
         wait: waits / began / (WORK * 1e3),
         waiting: t.waiting / time,
@@ -68,8 +71,8 @@
     }
 }
 
-/// The mean over replications, corrected for what the drawn load was off by (a control variate whose mean is
-/// known), and its standard error.
+/// The mean over replications, corrected for what the drawn load was off by (a control variate
+/// whose mean is known), and its standard error.
 fn controlled(seen: &[Seen], load: f64, value: impl Fn(&Seen) -> f64) -> (f64, f64) {
     let n = seen.len() as f64;
     let mean = |f: &dyn Fn(&Seen) -> f64| seen.iter().map(f).sum::<f64>() / n;
@@ -92,16 +95,27 @@
     for (load, jobs) in [(0.5, 1e5), (0.8, 1.5e5), (0.95, 5e5)] {
         let length_s = jobs * WORK / 1e3 / load / c;
         let scenario = scenario(1, cores, law, load, length_s);
-        let seen: Vec<Seen> = (0..24).into_par_iter().map(|seed| replication(&scenario, seed, c)).collect();
+        let seen: Vec<Seen> = (0..24)
+            .into_par_iter()
+            .map(|seed| replication(&scenario, seed, c))
+            .collect();
         let wanted = wait_at(load);
         // The control must not hide arrivals or work that are off as a whole.
         let seen_load = seen.iter().map(|s| s.load).sum::<f64>() / seen.len() as f64;
-        assert!((seen_load / load - 1.0).abs() < 0.005, "{law} on {cores}: load {seen_load} for {load}");
+        assert!(
+            (seen_load / load - 1.0).abs() < 0.005,
+            "{law} on {cores}: load {seen_load} for {load}"
+        );
         let (wait, error) = controlled(&seen, load, |s| s.wait);
         let (waiting, _) = controlled(&seen, load, |s| s.waiting);
-        let told = format!("{law} on {cores} at {load}: wait {wait:.4} +- {error:.4}, by theory {wanted:.4}");
+        let told = format!(
+            "{law} on {cores} at {load}: wait {wait:.4} +- {error:.4}, by theory {wanted:.4}"
+        );
         assert!((wait / wanted - 1.0).abs() < 0.02, "{told}");
-        assert!((waiting / (wanted * load * c) - 1.0).abs() < 0.02, "{told}; waiting {waiting:.4}");
+        assert!(
+            (waiting / (wanted * load * c) - 1.0).abs() < 0.02,
+            "{told}; waiting {waiting:.4}"
+        );
         let little = seen.iter().map(|s| s.little).fold(0.0, f64::max);
         assert!(little < 0.005, "Little's law is off by {little:.5}; {told}");
     }
@@ -114,7 +128,9 @@
 
 #[test]
 fn mmc() {
-    check("exponential", 8, |load| erlang_c(8.0, load) / (8.0 * (1.0 - load)));
+    check("exponential", 8, |load| {
+        erlang_c(8.0, load) / (8.0 * (1.0 - load))
+    });
 }
 
 #[test]
@@ -141,16 +157,38 @@
         world.run_to(250.0);
         let time = (world.second() - from) * 1e6 * f64::from(servers);
         let report = world.report();
-        let share = |i: usize| report.each.iter().map(|s| s.tally.at_least[i - 1]).sum::<f64>() / time;
-        ((1..=16).map(share).collect::<Vec<f64>>(), report.servers.most_held)
+        let share = |i: usize| {
+            report
+                .each
+                .iter()
+                .map(|s| s.tally.at_least[i - 1])
+                .sum::<f64>()
+                / time
+        };
+        (
+            (1..=16).map(share).collect::<Vec<f64>>(),
+            report.servers.most_held,
+        )
     };
-    let ((one, longest_one), (two, longest_two)) = (tails(PolicyName::Random), tails(PolicyName::TwoChoices));
+    let ((one, longest_one), (two, longest_two)) =
+        (tails(PolicyName::Random), tails(PolicyName::TwoChoices));
     for i in 1..=6u32 {
         let (by_one, by_two) = (load.powi(i as i32), load.powi(2i32.pow(i) - 1));
         let seen = (one[i as usize - 1], two[i as usize - 1]);
-        assert!((seen.0 - by_one).abs() < 0.02, "one choice, {i}: {} against {by_one}", seen.0);
-        assert!((seen.1 - by_two).abs() < 0.02, "two choices, {i}: {} against {by_two}", seen.1);
+        assert!(
+            (seen.0 - by_one).abs() < 0.02,
+            "one choice, {i}: {} against {by_one}",
+            seen.0
+        );
+        assert!(
+            (seen.1 - by_two).abs() < 0.02,
+            "two choices, {i}: {} against {by_two}",
+            seen.1
+        );
     }
     // The longest queue grows with ln n / ln(1/L) by chance, with ln ln n / ln 2 for two choices.
-    assert!(longest_one > 40 && longest_two < 12, "{longest_one} against {longest_two}");
+    assert!(
+        longest_one > 40 && longest_two < 12,
+        "{longest_one} against {longest_two}"
+    );
 }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,10 +1,13 @@
-//! The catalog that each coordinator keeps: the latest word about every server instance and gate, who has been
-//! heard of lately, and the operator's state. No I/O: whoever drives it passes the time and sends what it returns.
+//! The catalog that each coordinator keeps: the latest word about every server instance and gate,
+//! who has been heard of lately, and the operator's state. No I/O: whoever drives it passes the
+//! time and sends what it returns.
 #![forbid(unsafe_code)]
 
 use std::net::SocketAddr;
 
-use ironmast_schema::control::{ControlState, Entry, GateRecord, InstanceRecord, Key, Standing, Value};
+use ironmast_schema::control::{
+    ControlState, Entry, GateRecord, InstanceRecord, Key, Standing, Value,
+};
 use ironmast_schema::registration::{Heartbeat, InstanceState};
 use rustc_hash::FxHashMap;
 
@@ -80,7 +83,14 @@
     /// An empty catalog.
     pub fn new(now: Micros, patience: Patience) -> Self {
         let (entries, heard, fresh) = Default::default();
-        Catalog { patience, started: now, entries, heard, last_heartbeat: now, fresh }
+        Catalog {
+            patience,
+            started: now,
+            entries,
+            heard,
+            last_heartbeat: now,
+            fresh,
+        }
     }
 
     /// Everything that is known.
@@ -100,7 +110,8 @@
         let version = version_of(sequence);
         self.last_heartbeat = now;
         let known = self.entries.get(&key);
-        // A word that is late, has come before, or is of an incarnation that has ended changes nothing.
+        // A word that is late, has come before, or is of an incarnation that has ended changes
+        // nothing.
         if known.is_some_and(|entry| entry.version >= version) {
             return None;
         }
@@ -111,8 +122,15 @@
             _ => true,
         });
         self.hear(now, &key, sequence);
-        let value = Value::Instance(InstanceRecord { heartbeat, standing: Standing::Present });
-        let entry = Entry { key: key.clone(), version, value };
+        let value = Value::Instance(InstanceRecord {
+            heartbeat,
+            standing: Standing::Present,
+        });
+        let entry = Entry {
+            key: key.clone(),
+            version,
+            value,
+        };
         self.entries.insert(key, entry.clone());
         changed.then_some(entry)
     }
@@ -121,7 +139,9 @@
     pub fn leave(&mut self, now: Micros, id: &str) -> Option<Entry> {
         let key = Key::Instance(id.to_string());
         let entry = self.entries.get_mut(&key)?;
-        let Value::Instance(record) = &mut entry.value else { return None };
+        let Value::Instance(record) = &mut entry.value else {
+            return None;
+        };
         if record.standing == Standing::Gone {
             return None;
         }
@@ -133,7 +153,13 @@
     }
 
     /// Takes what a gate says of itself; returns what others must be told, if anything has changed.
-    pub fn gate(&mut self, now: Micros, key: Key, version: u64, record: GateRecord) -> Option<Entry> {
+    pub fn gate(
+        &mut self,
+        now: Micros,
+        key: Key,
+        version: u64,
+        record: GateRecord,
+    ) -> Option<Entry> {
         let known = self.entries.get(&key);
         if known.is_some_and(|entry| entry.version >= version) {
             return None;
@@ -141,14 +167,23 @@
         let value = Value::Gate(record);
         let changed = known.is_none_or(|entry| entry.value != value);
         self.hear(now, &key, version);
-        let entry = Entry { key: key.clone(), version, value };
+        let entry = Entry {
+            key: key.clone(),
+            version,
+            value,
+        };
         self.entries.insert(key, entry.clone());
         changed.then_some(entry)
     }
 
-    /// Puts the operator's state under its version; returns what others must be told, if it is newer.
+    /// Puts the operator's state under its version; returns what others must be told, if it is
+    /// newer.
     pub fn control(&mut self, now: Micros, version: u64, state: ControlState) -> Option<Entry> {
-        let entry = Entry { key: Key::Control, version, value: Value::Control(state) };
+        let entry = Entry {
+            key: Key::Control,
+            version,
+            value: Value::Control(state),
+        };
         (self.merge(now, &entry) == Merged::News).then_some(entry)
     }
 
@@ -167,11 +202,15 @@
         Merged::News
     }
 
-    /// Another coordinator has heard of these. What they said comes as entries of their own, under the versions of
-    /// these numbers, and may still be on its way: the entries here stay as they are.
+    /// Another coordinator has heard of these. What they said comes as entries of their own, under
+    /// the versions of these numbers, and may still be on its way: the entries here stay as they
+    /// are.
     pub fn alive(&mut self, now: Micros, heard: &[(Key, u64)]) {
         for (key, sequence) in heard {
-            let late = self.heard.get(key).is_some_and(|last| last.sequence > *sequence);
+            let late = self
+                .heard
+                .get(key)
+                .is_some_and(|last| last.sequence > *sequence);
             if !late && self.entries.contains_key(key) {
                 note(&mut self.heard, now, key, *sequence);
             }
@@ -183,7 +222,8 @@
         self.fresh.drain().collect()
     }
 
-    /// This coordinator has been without the others' word until now: nobody's silence before counts.
+    /// This coordinator has been without the others' word until now: nobody's silence before
+    /// counts.
     pub fn resume(&mut self, now: Micros) {
         self.started = now;
     }
@@ -195,7 +235,11 @@
             || now > self.last_heartbeat + self.patience.instance / 2;
         let mut out = Vec::new();
         for (key, entry) in &mut self.entries {
-            let unheard = Heard { at: self.started, sequence: 0, here: None };
+            let unheard = Heard {
+                at: self.started,
+                sequence: 0,
+                here: None,
+            };
             let heard = self.heard.get(key).copied().unwrap_or(unheard);
             let silent_since = heard.at.max(self.started);
             match &mut entry.value {
@@ -204,7 +248,8 @@
                         continue;
                     }
                     record.standing = Standing::Silent;
-                    entry.version = entry.version.max(version_of(heard.sequence)) + VERSIONS_TO_SILENCE;
+                    entry.version =
+                        entry.version.max(version_of(heard.sequence)) + VERSIONS_TO_SILENCE;
                     out.push(entry.clone());
                 }
                 Value::Gate(record) if !record.gone && now > silent_since + self.patience.gate => {
@@ -221,20 +266,22 @@
     /// The gates that are known, those that have gone among them.
     pub fn gates(&self, now: Micros) -> impl Iterator<Item = Gate<'_>> {
         let patience = self.patience.gate;
-        self.entries.iter().filter_map(move |(key, entry)| match (key, &entry.value) {
-            (Key::Gate(frontend), Value::Gate(record)) => {
-                let heard = self.heard.get(key);
-                let is_recent = |at: Micros| now <= at + patience;
-                Some(Gate {
-                    frontend: *frontend,
-                    record,
-                    heard: heard.map_or(self.started, |heard| heard.at),
-                    is_heard: heard.is_some_and(|heard| is_recent(heard.at)),
-                    is_heard_here: heard.and_then(|heard| heard.here).is_some_and(is_recent),
-                })
-            }
-            _ => None,
-        })
+        self.entries
+            .iter()
+            .filter_map(move |(key, entry)| match (key, &entry.value) {
+                (Key::Gate(frontend), Value::Gate(record)) => {
+                    let heard = self.heard.get(key);
+                    let is_recent = |at: Micros| now <= at + patience;
+                    Some(Gate {
+                        frontend: *frontend,
+                        record,
+                        heard: heard.map_or(self.started, |heard| heard.at),
+                        is_heard: heard.is_some_and(|heard| is_recent(heard.at)),
+                        is_heard_here: heard.and_then(|heard| heard.here).is_some_and(is_recent),
+                    })
+                }
+                _ => None,
+            })
     }
 
     fn hear(&mut self, now: Micros, key: &Key, sequence: u64) {
@@ -242,7 +289,8 @@
         self.fresh.insert(key.clone(), sequence);
     }
 
-    /// Drops what has ended or been silent for long; returns the keys with the versions of their removal.
+    /// Drops what has ended or been silent for long; returns the keys with the versions of their
+    /// removal.
     pub fn forget(&mut self, now: Micros) -> Vec<(Key, u64)> {
         let ended = |entry: &Entry| match &entry.value {
             Value::Instance(record) => record.standing != Standing::Present,
@@ -252,7 +300,10 @@
         let heard = &mut self.heard;
         let mut removed = Vec::new();
         self.entries.retain(|key, entry| {
-            let keep = !ended(entry) || heard.get(key).is_some_and(|last| now <= last.at + FORGET_AFTER);
+            let keep = !ended(entry)
+                || heard
+                    .get(key)
+                    .is_some_and(|last| now <= last.at + FORGET_AFTER);
             if !keep {
                 heard.remove(key);
                 removed.push((key.clone(), entry.version + 1));
@@ -265,11 +316,22 @@
 
 /// The version of a heartbeat with this number; the end of an incarnation is above all of them.
 fn version_of(sequence: u64) -> u64 {
-    sequence.saturating_mul(VERSIONS_PER_SEQUENCE).min(VERSION_GONE - VERSIONS_PER_SEQUENCE)
+    sequence
+        .saturating_mul(VERSIONS_PER_SEQUENCE)
+        .min(VERSION_GONE - VERSIONS_PER_SEQUENCE)
 }
 
-fn note<'a>(heard: &'a mut FxHashMap<Key, Heard>, now: Micros, key: &Key, sequence: u64) -> &'a mut Heard {
-    let last = heard.entry(key.clone()).or_insert(Heard { at: now, sequence, here: None });
+fn note<'a>(
+    heard: &'a mut FxHashMap<Key, Heard>,
+    now: Micros,
+    key: &Key,
+    sequence: u64,
+) -> &'a mut Heard {
+    let last = heard.entry(key.clone()).or_insert(Heard {
+        at: now,
+        sequence,
+        here: None,
+    });
     last.at = last.at.max(now);
     last.sequence = last.sequence.max(sequence);
     last
@@ -295,8 +357,11 @@
         && old.capacity == new.capacity
         && old.state == new.state
         && cold(old) == cold(new);
-    // How much longer a server stays cold, and what is left of one that ends, is worth telling each time.
-    !same || cold(new) || new.state == InstanceState::Draining && old.remaining_ms != new.remaining_ms
+    // How much longer a server stays cold, and what is left of one that ends, is worth telling each
+    // time.
+    !same
+        || cold(new)
+        || new.state == InstanceState::Draining && old.remaining_ms != new.remaining_ms
 }
 
 #[cfg(test)]
--- a/crates/endpoints/src/tests.rs
+++ b/crates/endpoints/src/tests.rs
@@ -1,4 +1,5 @@
-//! The catalog by itself: heartbeats, silence, gates, and catalogs that got the same words in another order.
+//! The catalog by itself: heartbeats, silence, gates, and catalogs that got the same words in
+//! another order.
 
 use assert_matches::assert_matches;
 use ironmast_schema::control::{GatePresence, GateRecord, Key, Standing, Value};
@@ -11,7 +12,10 @@
 use super::*;
 
 const SECOND: Micros = 1_000_000;
-const PATIENCE: Patience = Patience { instance: 4 * SECOND, gate: 2 * SECOND };
+const PATIENCE: Patience = Patience {
+    instance: 4 * SECOND,
+    gate: 2 * SECOND,
+};
 
 fn beat(sequence: u64, state: InstanceState) -> Heartbeat {
     Heartbeat {
@@ -48,21 +52,32 @@
 }
 
 fn gate(ready: bool) -> GateRecord {
-    GateRecord { zone: "north-a".to_string(), region: "north".to_string(), ready, gone: false }
+    GateRecord {
+        zone: "north-a".to_string(),
+        region: "north".to_string(),
+        ready,
+        gone: false,
+    }
 }
 
 /// The gates that take new clients and that any coordinator has heard lately.
 fn ready_gates(catalog: &Catalog, now: Micros) -> usize {
-    gates_taking_clients(catalog, now).filter(|gate| gate.is_heard).count()
+    gates_taking_clients(catalog, now)
+        .filter(|gate| gate.is_heard)
+        .count()
 }
 
 /// Those that have lately spoken to this coordinator itself.
 fn ready_gates_heard_here(catalog: &Catalog, now: Micros) -> usize {
-    gates_taking_clients(catalog, now).filter(|gate| gate.is_heard_here).count()
+    gates_taking_clients(catalog, now)
+        .filter(|gate| gate.is_heard_here)
+        .count()
 }
 
 fn gates_taking_clients(catalog: &Catalog, now: Micros) -> impl Iterator<Item = Gate<'_>> {
-    catalog.gates(now).filter(|gate| gate.record.presence() == GatePresence::Ready)
+    catalog
+        .gates(now)
+        .filter(|gate| gate.record.presence() == GatePresence::Ready)
 }
 
 fn record<'a>(catalog: &'a Catalog, id: &str) -> &'a InstanceRecord {
@@ -79,7 +94,11 @@
         let now = from + second * SECOND;
         sequence += 1;
         catalog.heartbeat(now, "other", ready(sequence));
-        if let Some(entry) = catalog.expire(now).into_iter().find(|entry| entry.key == key(id)) {
+        if let Some(entry) = catalog
+            .expire(now)
+            .into_iter()
+            .find(|entry| entry.key == key(id))
+        {
             return (now, entry);
         }
     }
@@ -114,7 +133,10 @@
 #[test]
 fn what_is_left_of_a_server_taken_away_is_told_each_time() {
     let mut catalog = catalog();
-    let left = |sequence, ms| Heartbeat { remaining_ms: Some(ms), ..draining(sequence) };
+    let left = |sequence, ms| Heartbeat {
+        remaining_ms: Some(ms),
+        ..draining(sequence)
+    };
     assert!(catalog.heartbeat(0, "a", left(1, 900.0)).is_some());
     assert!(catalog.heartbeat(1, "a", left(2, 800.0)).is_some());
 }
@@ -122,9 +144,16 @@
 #[test]
 fn a_cold_server_is_told_each_time_and_once_more_when_it_is_warm() {
     let mut catalog = catalog();
-    let cold = |sequence, ms| Heartbeat { warmup_left_ms: ms, ..ready(sequence) };
+    let cold = |sequence, ms| Heartbeat {
+        warmup_left_ms: ms,
+        ..ready(sequence)
+    };
     for (sequence, left) in [(1, 900.0), (2, 400.0), (3, 0.0)] {
-        assert!(catalog.heartbeat(sequence, "a", cold(sequence, left)).is_some());
+        assert!(
+            catalog
+                .heartbeat(sequence, "a", cold(sequence, left))
+                .is_some()
+        );
     }
     assert_eq!(catalog.heartbeat(4, "a", cold(4, 0.0)), None);
 }
@@ -150,7 +179,10 @@
 
 fn catalog_version(heartbeat: &Heartbeat) -> u64 {
     let mut catalog = catalog();
-    catalog.heartbeat(0, "a", heartbeat.clone()).expect("told").version
+    catalog
+        .heartbeat(0, "a", heartbeat.clone())
+        .expect("told")
+        .version
 }
 
 #[test]
@@ -264,10 +296,14 @@
     let first = hears.heartbeat(0, "a", ready(1)).expect("told");
     cut_off.merge(0, &first);
     for sequence in 2..10 {
-        assert_eq!(hears.heartbeat(sequence * SECOND, "a", ready(sequence)), None);
+        assert_eq!(
+            hears.heartbeat(sequence * SECOND, "a", ready(sequence)),
+            None
+        );
     }
     let (_, silent) = silence(&mut cut_off, 0, "a");
-    let again = assert_matches!(hears.merge(10 * SECOND, &silent), Merged::Outdated(again) => again);
+    let again =
+        assert_matches!(hears.merge(10 * SECOND, &silent), Merged::Outdated(again) => again);
     assert_eq!(cut_off.merge(10 * SECOND, &again), Merged::News);
     assert_eq!(record(&cut_off, "a").standing, Standing::Present);
 }
@@ -288,7 +324,11 @@
     let gone = catalog.expire(3 * SECOND);
     assert_matches!(&gone[..], [entry] if entry.version > 4 && entry.version < 8);
     assert_eq!(ready_gates(&catalog, 3 * SECOND), 0);
-    assert!(catalog.gate(4 * SECOND, gate_key(), 8, gate(true)).is_some());
+    assert!(
+        catalog
+            .gate(4 * SECOND, gate_key(), 8, gate(true))
+            .is_some()
+    );
     assert_eq!(ready_gates(&catalog, 4 * SECOND), 1);
 }
 
@@ -297,13 +337,26 @@
     let (mut here, mut there) = (catalog(), catalog());
     let told = there.gate(0, gate_key(), 4, gate(true)).expect("told");
     here.merge(0, &told);
-    assert_eq!((ready_gates(&here, 0), ready_gates_heard_here(&here, 0)), (1, 0));
+    assert_eq!(
+        (ready_gates(&here, 0), ready_gates_heard_here(&here, 0)),
+        (1, 0)
+    );
     here.gate(SECOND, gate_key(), 8, gate(true));
     assert_eq!(ready_gates_heard_here(&here, SECOND), 1);
     there.gate(4 * SECOND, gate_key(), 12, gate(true));
     here.alive(4 * SECOND, &there.take_fresh());
-    assert_eq!((ready_gates(&here, 4 * SECOND), ready_gates_heard_here(&here, 4 * SECOND)), (1, 0));
-    assert_eq!(ready_gates(&here, 7 * SECOND), 0, "nobody has heard it lately");
+    assert_eq!(
+        (
+            ready_gates(&here, 4 * SECOND),
+            ready_gates_heard_here(&here, 4 * SECOND)
+        ),
+        (1, 0)
+    );
+    assert_eq!(
+        ready_gates(&here, 7 * SECOND),
+        0,
+        "nobody has heard it lately"
+    );
 }
 
 /// A coordinator that was cut off has heard nobody: it begins to count anew.
@@ -325,7 +378,8 @@
     Some(catalog.gates(3 * SECOND).next()?.record.presence())
 }
 
-/// The directory sends clients to another region only where a region was lost, not where it restarts.
+/// The directory sends clients to another region only where a region was lost, not where it
+/// restarts.
 #[test]
 fn a_gate_that_ends_is_told_from_one_that_is_lost() {
     for (ready, then) in [(true, GatePresence::Lost), (false, GatePresence::Ended)] {
@@ -333,7 +387,10 @@
         catalog.gate(0, gate_key(), 4, gate(ready));
         catalog.expire(3 * SECOND);
         assert_eq!(presence(&catalog), Some(then));
-        assert_eq!(catalog.gates(3 * SECOND).next().map(|gate| gate.heard), Some(0));
+        assert_eq!(
+            catalog.gates(3 * SECOND).next().map(|gate| gate.heard),
+            Some(0)
+        );
     }
 }
 
@@ -344,7 +401,10 @@
     let gone = catalog.leave(1, "a").expect("told");
     catalog.heartbeat(1, "b", ready(1));
     assert_eq!(catalog.forget(FORGET_AFTER), []);
-    assert_eq!(catalog.forget(2 + FORGET_AFTER), [(key("a"), gone.version + 1)]);
+    assert_eq!(
+        catalog.forget(2 + FORGET_AFTER),
+        [(key("a"), gone.version + 1)]
+    );
     assert_eq!(catalog.forget(3 + FORGET_AFTER), []);
     assert!(catalog.get(&key("b")).is_some());
 }
@@ -361,7 +421,10 @@
 #[test]
 fn the_operators_state_takes_the_highest_version() {
     let mut catalog = catalog();
-    let evacuated = ControlState { configuration: None, evacuated: vec!["north-a".to_string()] };
+    let evacuated = ControlState {
+        configuration: None,
+        evacuated: vec!["north-a".to_string()],
+    };
     assert!(catalog.control(0, 2, evacuated.clone()).is_some());
     assert!(catalog.control(1, 1, ControlState::default()).is_none());
     let held = catalog.get(&Key::Control).expect("held");
@@ -416,7 +479,8 @@
         prop_assert_eq!(held(&one), held(&other));
     }
 
-    /// However heartbeats and other coordinators' numbers come, an entry's version and its word go together.
+    /// However heartbeats and other coordinators' numbers come, an entry's version and its word go
+    /// together.
     #[test]
     fn versions_never_go_back(calls in prop::collection::vec((0u8..4, 0u64..12, any::<bool>()), 0..60)) {
         let mut catalog = catalog();
--- a/crates/endpoints/tests/simulation/main.rs
+++ b/crates/endpoints/tests/simulation/main.rs
@@ -1,5 +1,5 @@
-//! Catalogs of several coordinators with servers that call any of them, over a network that delays, reorders and cuts:
-//! what agents are told, and what is left once it is calm.
+//! Catalogs of several coordinators with servers that call any of them, over a network that delays,
+//! reorders and cuts: what agents are told, and what is left once it is calm.
 
 mod world;
 
@@ -23,7 +23,8 @@
 }
 
 fn assert_noticed(removed: Guard, is_sign: impl Fn(&Violation) -> bool) {
-    let noticed = (0..SEEDS_TO_NOTICE).any(|seed| violations(3, seed, Some(removed)).iter().any(&is_sign));
+    let noticed =
+        (0..SEEDS_TO_NOTICE).any(|seed| violations(3, seed, Some(removed)).iter().any(&is_sign));
     assert!(noticed, "nobody notices that {removed:?} is missing");
 }
 
@@ -39,15 +40,21 @@
 
 #[test]
 fn it_is_noticed_when_who_knows_better_says_nothing() {
-    assert_noticed(Guard::TellAgain, |violation| matches!(violation, Violation::Wrong { .. }));
+    assert_noticed(Guard::TellAgain, |violation| {
+        matches!(violation, Violation::Wrong { .. })
+    });
 }
 
 #[test]
 fn it_is_noticed_when_agents_take_older_versions() {
-    assert_noticed(Guard::Versions, |violation| matches!(violation, Violation::WayBack { .. }));
+    assert_noticed(Guard::Versions, |violation| {
+        matches!(violation, Violation::WayBack { .. })
+    });
 }
 
 #[test]
 fn it_is_noticed_when_nothing_is_repaired() {
-    assert_noticed(Guard::Repair, |violation| matches!(violation, Violation::Wrong { .. }));
+    assert_noticed(Guard::Repair, |violation| {
+        matches!(violation, Violation::Wrong { .. })
+    });
 }
--- a/crates/endpoints/tests/simulation/world.rs
+++ b/crates/endpoints/tests/simulation/world.rs
@@ -14,7 +14,10 @@
 const AGENTS: usize = 20;
 const SERVERS: usize = 8;
 const INTERVAL: Micros = 1_200 * MS;
-const PATIENCE: Patience = Patience { instance: 4 * INTERVAL, gate: 2_500 * MS };
+const PATIENCE: Patience = Patience {
+    instance: 4 * INTERVAL,
+    gate: 2_500 * MS,
+};
 /// Trouble ends here.
 const CALM_AT: Micros = 30_000 * MS;
 const END: Micros = 45_000 * MS;
@@ -37,11 +40,23 @@
 #[expect(dead_code, reason = "shown when a seed fails")]
 pub enum Violation {
     /// An agent saw a server return from draining or its end.
-    WayBack { agent: usize, server: usize, at: Micros },
+    WayBack {
+        agent: usize,
+        server: usize,
+        at: Micros,
+    },
     /// An agent had not heard in time that a server drains.
-    DrainLate { agent: usize, server: usize, at: Micros },
+    DrainLate {
+        agent: usize,
+        server: usize,
+        at: Micros,
+    },
     /// At the end a node holds something else than what is so.
-    Wrong { node: usize, server: usize, held: Option<Standing> },
+    Wrong {
+        node: usize,
+        server: usize,
+        held: Option<Standing>,
+    },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -101,7 +116,9 @@
             servers: servers.collect(),
             random,
             removed,
-            catalogs: (0..coordinators).map(|_| Catalog::new(0, PATIENCE)).collect(),
+            catalogs: (0..coordinators)
+                .map(|_| Catalog::new(0, PATIENCE))
+                .collect(),
             stores: vec![BTreeMap::new(); coordinators + AGENTS],
             parcels: BTreeMap::new(),
             due: BinaryHeap::new(),
@@ -158,7 +175,9 @@
     /// Coordinators are cut off from each other only; agents reach all.
     fn is_cut(&self, from: usize, to: usize) -> bool {
         let both = from < self.coordinators() && to < self.coordinators();
-        both && self.cut.is_some_and(|(node, out, into)| out && from == node || into && to == node)
+        both && self
+            .cut
+            .is_some_and(|(node, out, into)| out && from == node || into && to == node)
     }
 
     fn turn(&mut self, server: usize) {
@@ -252,8 +271,14 @@
     }
 
     fn deliver(&mut self) {
-        while self.due.peek().is_some_and(|Reverse((at, _))| *at <= self.now) {
-            let Some(Reverse((_, serial))) = self.due.pop() else { return };
+        while self
+            .due
+            .peek()
+            .is_some_and(|Reverse((at, _))| *at <= self.now)
+        {
+            let Some(Reverse((_, serial))) = self.due.pop() else {
+                return;
+            };
             match self.parcels.remove(&serial) {
                 Some((to, Parcel::Entry(entry))) => self.store(to, entry),
                 Some((to, Parcel::Alive(heard))) => self.catalogs[to].alive(self.now, &heard),
@@ -270,12 +295,18 @@
         }
         if node >= self.coordinators() && held.is_some_and(is_over) && is_usable(&entry) {
             let server = number(&entry.key);
-            self.violations.push(Violation::WayBack { agent: node, server, at: self.now });
+            self.violations.push(Violation::WayBack {
+                agent: node,
+                server,
+                at: self.now,
+            });
         }
         self.stores[node].insert(entry.key.clone(), entry.clone());
         if node < self.coordinators() {
             let merged = self.catalogs[node].merge(self.now, &entry);
-            if let (Merged::Outdated(newer), true) = (merged, self.removed != Some(Guard::TellAgain)) {
+            if let (Merged::Outdated(newer), true) =
+                (merged, self.removed != Some(Guard::TellAgain))
+            {
                 self.publish(node, *newer);
             }
         }
@@ -283,13 +314,21 @@
 
     fn check_drains(&mut self) {
         let (now, last_trouble) = (self.now, self.last_trouble);
-        let ended: Vec<(usize, Micros)> =
-            self.drains.extract_if(.., |(_, at)| now >= *at + DRAIN_WITHIN).collect();
+        let ended: Vec<(usize, Micros)> = self
+            .drains
+            .extract_if(.., |(_, at)| now >= *at + DRAIN_WITHIN)
+            .collect();
         for (server, _) in ended.into_iter().filter(|(_, at)| last_trouble < *at) {
             for agent in self.coordinators()..self.stores.len() {
-                let told = self.stores[agent].get(&Key::Instance(name(server))).is_some_and(is_over);
+                let told = self.stores[agent]
+                    .get(&Key::Instance(name(server)))
+                    .is_some_and(is_over);
                 if !told {
-                    self.violations.push(Violation::DrainLate { agent, server, at: now });
+                    self.violations.push(Violation::DrainLate {
+                        agent,
+                        server,
+                        at: now,
+                    });
                 }
             }
         }
@@ -307,7 +346,8 @@
                 let held = self.stores[node].get(&key).map(standing);
                 // One that crashed before anyone stored its word stays unknown.
                 if held != Some(wanted) && !(held.is_none() && wanted == Standing::Silent) {
-                    self.violations.push(Violation::Wrong { node, server, held });
+                    self.violations
+                        .push(Violation::Wrong { node, server, held });
                 }
             }
         }
@@ -321,7 +361,11 @@
         zone: "north-a".to_string(),
         generation: "v1".to_string(),
         capacity: 8,
-        state: if server.life == Life::Draining { InstanceState::Draining } else { InstanceState::Ready },
+        state: if server.life == Life::Draining {
+            InstanceState::Draining
+        } else {
+            InstanceState::Ready
+        },
         warmup_left_ms: 0.0,
         sequence: server.sequence,
         remaining_ms: None,
--- a/crates/fault-injection/src/backlog.rs
+++ b/crates/fault-injection/src/backlog.rs
@@ -1,5 +1,5 @@
-//! A listener to which no connection comes up: its queue is full, so that the system drops what asks to connect and
-//! is asked again a second later.
+//! A listener to which no connection comes up: its queue is full, so that the system drops what
+//! asks to connect and is asked again a second later.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -25,7 +25,10 @@
         let at = listener.local_addr()?;
         crate::loopback(at)?;
         rustix::net::listen(listener, 0)?;
-        Ok(Held { at, _filler: TcpStream::connect(at)? })
+        Ok(Held {
+            at,
+            _filler: TcpStream::connect(at)?,
+        })
     }
 
     /// Whether somebody is asking for a connection to it.
@@ -36,7 +39,8 @@
         let port = format!(":{:04X}", self.at.port());
         let asking = |line: &str| {
             let mut words = line.split_whitespace().skip(2);
-            words.next().is_some_and(|remote| remote.ends_with(&port)) && words.next() == Some(SYN_SENT)
+            words.next().is_some_and(|remote| remote.ends_with(&port))
+                && words.next() == Some(SYN_SENT)
         };
         Ok(std::fs::read_to_string(TABLE)?.lines().any(asking))
     }
--- a/crates/fault-injection/src/datagrams.rs
+++ b/crates/fault-injection/src/datagrams.rs
@@ -1,9 +1,9 @@
 //! A relay for the datagrams between two proxies, under the schedule's faults.
 //!
-//! One UDP socket on 127.0.0.1 stands between the two: what comes from `a` goes to `b` (`A->B`), what comes from
-//! `b` goes to `a`. Each proxy is given the relay's address for the other, and hears the other from it, so the
-//! proxies' rule that a datagram comes from an address in `peers` holds. The relay owns its socket and its thread;
-//! both are given back when it is dropped.
+//! One UDP socket on 127.0.0.1 stands between the two: what comes from `a` goes to `b` (`A->B`),
+//! what comes from `b` goes to `a`. Each proxy is given the relay's address for the other, and
+//! hears the other from it, so the proxies' rule that a datagram comes from an address in `peers`
+//! holds. The relay owns its socket and its thread; both are given back when it is dropped.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -59,11 +59,23 @@
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         socket.set_read_timeout(Some(Duration::from_millis(5)))?;
         let address = socket.local_addr()?;
-        let (counts, stop) = (Arc::new(DatagramCounts::default()), Arc::new(AtomicBool::new(false)));
-        let (c, s, names) =
-            (Arc::clone(&counts), Arc::clone(&stop), (a_name.to_string(), b_name.to_string()));
-        let thread = std::thread::spawn(move || carry(&socket, (a, b), &names, &faults, &c, &s, seed));
-        Ok(DatagramRelay { address, counts, stop, thread: Some(thread) })
+        let (counts, stop) = (
+            Arc::new(DatagramCounts::default()),
+            Arc::new(AtomicBool::new(false)),
+        );
+        let (c, s, names) = (
+            Arc::clone(&counts),
+            Arc::clone(&stop),
+            (a_name.to_string(), b_name.to_string()),
+        );
+        let thread =
+            std::thread::spawn(move || carry(&socket, (a, b), &names, &faults, &c, &s, seed));
+        Ok(DatagramRelay {
+            address,
+            counts,
+            stop,
+            thread: Some(thread),
+        })
     }
 }
 
@@ -97,7 +109,9 @@
             let Reverse((_, _, to, bytes)) = later.pop().expect("peeked");
             let _ = socket.send_to(&bytes, to);
         }
-        let Ok((n, from)) = socket.recv_from(&mut piece) else { continue };
+        let Ok((n, from)) = socket.recv_from(&mut piece) else {
+            continue;
+        };
         let (to, from_name, to_name) = match from {
             f if f == a => (b, a_name, b_name),
             f if f == b => (a, b_name, a_name),
--- a/crates/fault-injection/src/datagrams/tests.rs
+++ b/crates/fault-injection/src/datagrams/tests.rs
@@ -18,7 +18,10 @@
 
 /// Sends 200 numbered datagrams from a to b through the relay; what b got, in order.
 fn play(faults: Vec<Fault>) -> (Vec<u32>, Arc<DatagramCounts>) {
-    let (a, b) = (UdpSocket::bind("127.0.0.1:0").expect("a"), UdpSocket::bind("127.0.0.1:0").expect("b"));
+    let (a, b) = (
+        UdpSocket::bind("127.0.0.1:0").expect("a"),
+        UdpSocket::bind("127.0.0.1:0").expect("b"),
+    );
     let faults = Faults::new(Schedule::new(faults).expect("valid"));
     let relay = DatagramRelay::start(
         ("proxy0", a.local_addr().expect("a")),
@@ -27,7 +30,8 @@
         7,
     )
     .expect("up");
-    b.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
+    b.set_read_timeout(Some(Duration::from_millis(300)))
+        .expect("set");
     for n in 0u32..200 {
         a.send_to(&n.to_le_bytes(), relay.address).expect("sent");
         // One in flight at a time, so that only the relay reorders.
@@ -57,7 +61,10 @@
 #[test]
 fn datagrams_are_doubled_and_reordered_by_their_share() {
     let (got, counts) = play(vec![fault("proxy0->*", Kind::Duplicate, 0.2)]);
-    assert_eq!(got.len(), 200 + counts.doubled.load(Ordering::Relaxed) as usize);
+    assert_eq!(
+        got.len(),
+        200 + counts.doubled.load(Ordering::Relaxed) as usize
+    );
     assert!(counts.doubled.load(Ordering::Relaxed) > 10);
     let (got, counts) = play(vec![fault("proxy0->*", Kind::Reorder, 0.2)]);
     let out_of_order = got.windows(2).filter(|w| w[0] > w[1]).count();
--- a/crates/fault-injection/src/expect.rs
+++ b/crates/fault-injection/src/expect.rs
@@ -1,6 +1,7 @@
 //! What must hold of a run: a scenario's `[expect]` table, and the verdict whether it did. No I/O.
 //!
-//! A run that served nothing, or whose load could not be sent, never holds, with or without a table.
+//! A run that served nothing, or whose load could not be sent, never holds, with or without a
+//! table.
 //!
 //! ```toml
 //! [expect]
@@ -56,7 +57,8 @@
     pub runs: Option<f64>,
 }
 
-/// When service must be whole again after something happened, in seconds from the start of the load.
+/// When service must be whole again after something happened, in seconds from the start of the
+/// load.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Whole {
@@ -96,9 +98,16 @@
     ///
     /// # Errors
     /// The first key that is out of range, or names a zone or proxy that is not there.
-    pub fn check(&self, length_s: f64, zones: &[String], proxies: usize) -> Result<(), ExpectError> {
+    pub fn check(
+        &self,
+        length_s: f64,
+        zones: &[String],
+        proxies: usize,
+    ) -> Result<(), ExpectError> {
         let share = |key: String, share: Option<f64>| match share {
-            Some(s) if !(0.0..=1.0).contains(&s) => Err(ExpectError::Range(key, "a share of 0 to 1")),
+            Some(s) if !(0.0..=1.0).contains(&s) => {
+                Err(ExpectError::Range(key, "a share of 0 to 1"))
+            }
             _ => Ok(()),
         };
         share("expect.served".into(), self.served)?;
@@ -107,20 +116,36 @@
             share(key("served"), span.served)?;
             share(key("runs"), span.runs)?;
             if !(span.from_s >= 0.0 && span.from_s < span.to_s && span.to_s <= length_s) {
-                return Err(ExpectError::Range(key("to_s"), "seconds after from_s and inside the load"));
+                return Err(ExpectError::Range(
+                    key("to_s"),
+                    "seconds after from_s and inside the load",
+                ));
             }
-            if span.zone.is_some() != span.runs.is_some() || span.runs.is_none() && span.served.is_none() {
-                return Err(ExpectError::Range(key("zone"), "served, or zone and runs together,"));
+            if span.zone.is_some() != span.runs.is_some()
+                || span.runs.is_none() && span.served.is_none()
+            {
+                return Err(ExpectError::Range(
+                    key("zone"),
+                    "served, or zone and runs together,",
+                ));
             }
             if let Some(zone) = span.zone.as_ref().filter(|zone| !zones.contains(zone)) {
                 let there = zones.join(", ");
-                return Err(ExpectError::Zone { key: key("zone"), zone: zone.clone(), there });
+                return Err(ExpectError::Zone {
+                    key: key("zone"),
+                    zone: zone.clone(),
+                    there,
+                });
             }
         }
         for (n, whole) in self.whole.iter().enumerate() {
             let key = |key: &str| format!("expect.whole.{n}.{key}");
             let last = whole.after_s + whole.within_s + whole.for_s;
-            if !(whole.after_s >= 0.0 && whole.within_s >= 0.0 && whole.for_s > 0.0 && last <= length_s) {
+            if !(whole.after_s >= 0.0
+                && whole.within_s >= 0.0
+                && whole.for_s > 0.0
+                && last <= length_s)
+            {
                 return Err(ExpectError::Range(
                     key("after_s"),
                     "seconds of 0 or more that end inside the load",
@@ -142,30 +167,64 @@
             missed.push(format!("nothing was served of {} requests", all.len()));
         }
         if let Some(least) = self.served {
-            missed.extend(short("requests served", &all, |s| s.outcome == Outcome::Served, least));
+            missed.extend(short(
+                "requests served",
+                &all,
+                |s| s.outcome == Outcome::Served,
+                least,
+            ));
         }
-        for Span { from_s, to_s, served, zone, runs: least_runs } in &self.span {
+        for Span {
+            from_s,
+            to_s,
+            served,
+            zone,
+            runs: least_runs,
+        } in &self.span
+        {
             let inside = |at: Duration| (*from_s..*to_s).contains(&at.as_secs_f64());
             let when = format!("from {from_s} to {to_s} s");
             if let Some(least) = served {
                 let here: Vec<Sent> = all.iter().filter(|s| inside(s.at)).cloned().collect();
                 let what = format!("requests served {when}");
-                missed.extend(short(&what, &here, |s| s.outcome == Outcome::Served, *least));
+                missed.extend(short(
+                    &what,
+                    &here,
+                    |s| s.outcome == Outcome::Served,
+                    *least,
+                ));
             }
             if let Some((zone, least)) = zone.as_ref().zip(*least_runs) {
                 let here: Vec<Run> = runs.iter().filter(|r| inside(r.at)).cloned().collect();
-                let of_zone =
-                    |r: &Run| r.server.rsplit_once('-').is_some_and(|(name, _)| name == zone.as_str());
-                missed.extend(short(&format!("runs in {zone} {when}"), &here, of_zone, least));
+                let of_zone = |r: &Run| {
+                    r.server
+                        .rsplit_once('-')
+                        .is_some_and(|(name, _)| name == zone.as_str())
+                };
+                missed.extend(short(
+                    &format!("runs in {zone} {when}"),
+                    &here,
+                    of_zone,
+                    least,
+                ));
             }
         }
-        for Whole { after_s, within_s, for_s, proxy } in &self.whole {
+        for Whole {
+            after_s,
+            within_s,
+            for_s,
+            proxy,
+        } in &self.whole
+        {
             let theirs: Vec<Sent> = match proxy {
                 Some(proxy) => sent.get(*proxy).cloned().unwrap_or_default(),
                 None => all.clone(),
             };
             let who = proxy.map_or("all proxies".to_string(), |p| format!("proxy {p}"));
-            let (from, span) = (Duration::from_secs_f64(*after_s), Duration::from_secs_f64(*for_s));
+            let (from, span) = (
+                Duration::from_secs_f64(*after_s),
+                Duration::from_secs_f64(*for_s),
+            );
             match back(&theirs, from, span) {
                 Some(at) if at.as_secs_f64() <= after_s + within_s => {}
                 Some(at) => missed.push(format!(
@@ -173,7 +232,9 @@
                     at.as_secs_f64(),
                     after_s + within_s
                 )),
-                None => missed.push(format!("{who}: never whole again for {for_s} s after {after_s} s")),
+                None => missed.push(format!(
+                    "{who}: never whole again for {for_s} s after {after_s} s"
+                )),
             }
         }
         missed
@@ -185,7 +246,12 @@
     let count = of.iter().filter(|x| so(x)).count();
     let share = count as f64 / of.len().max(1) as f64;
     let holds = !of.is_empty() && share >= least;
-    (!holds).then(|| format!("{what}: {count} of {} ({share:.3}), {least} expected", of.len()))
+    (!holds).then(|| {
+        format!(
+            "{what}: {count} of {} ({share:.3}), {least} expected",
+            of.len()
+        )
+    })
 }
 
 #[cfg(test)]
--- a/crates/fault-injection/src/expect/tests.rs
+++ b/crates/fault-injection/src/expect/tests.rs
@@ -3,12 +3,22 @@
 use super::*;
 
 fn sent(at_ms: u64, outcome: Outcome) -> Sent {
-    Sent { txn: format!("{at_ms}"), at: Duration::from_millis(at_ms), outcome, latency: Duration::ZERO }
+    Sent {
+        txn: format!("{at_ms}"),
+        at: Duration::from_millis(at_ms),
+        outcome,
+        latency: Duration::ZERO,
+    }
 }
 
 fn run(at_ms: u64, server: &str) -> Run {
     let at = Duration::from_millis(at_ms);
-    Run { txn: format!("{at_ms}"), class: "balance".into(), server: server.into(), at }
+    Run {
+        txn: format!("{at_ms}"),
+        class: "balance".into(),
+        server: server.into(),
+        at,
+    }
 }
 
 fn expect(text: &str) -> Expect {
@@ -19,7 +29,9 @@
 fn each_expectation_holds_and_is_missed() {
     let good: Vec<Sent> = (0..100).map(|n| sent(n * 100, Outcome::Served)).collect();
     let mut bad = good.clone();
-    bad[50..60].iter_mut().for_each(|s| s.outcome = Outcome::Broken);
+    bad[50..60]
+        .iter_mut()
+        .for_each(|s| s.outcome = Outcome::Broken);
     let home: Vec<Run> = (0..100).map(|n| run(n * 100, "a-b-0")).collect();
     let away: Vec<Run> = (0..100).map(|n| run(n * 100, "b-0")).collect();
     for text in [
@@ -27,28 +39,59 @@
         "[[span]]\nfrom_s = 5.0\nto_s = 6.0\nserved = 0.5",
         "[[whole]]\nafter_s = 5.0\nwithin_s = 0.5\nfor_s = 1.0\nproxy = 0",
     ] {
-        assert_eq!(expect(text).missed(std::slice::from_ref(&good), &home), Vec::<String>::new(), "{text}");
-        assert_eq!(expect(text).missed(std::slice::from_ref(&bad), &home).len(), 1, "{text}");
+        assert_eq!(
+            expect(text).missed(std::slice::from_ref(&good), &home),
+            Vec::<String>::new(),
+            "{text}"
+        );
+        assert_eq!(
+            expect(text).missed(std::slice::from_ref(&bad), &home).len(),
+            1,
+            "{text}"
+        );
     }
     let zone = expect("[[span]]\nfrom_s = 0.0\nto_s = 6.0\nzone = \"a-b\"\nruns = 0.9");
     assert!(zone.missed(std::slice::from_ref(&good), &home).is_empty());
     assert_eq!(zone.missed(std::slice::from_ref(&good), &away).len(), 1);
-    assert_eq!(zone.missed(&[good], &[]).len(), 1, "of no runs nothing holds");
+    assert_eq!(
+        zone.missed(&[good], &[]).len(),
+        1,
+        "of no runs nothing holds"
+    );
     let never: Vec<Sent> = (0..9).map(|n| sent(n * 100, Outcome::Failed)).collect();
-    assert_eq!(Expect::default().missed(&[never], &[]).len(), 1, "nothing was served");
-    assert_eq!(Expect::default().missed(&[], &[]).len(), 1, "nothing was sent");
+    assert_eq!(
+        Expect::default().missed(&[never], &[]).len(),
+        1,
+        "nothing was served"
+    );
+    assert_eq!(
+        Expect::default().missed(&[], &[]).len(),
+        1,
+        "nothing was sent"
+    );
 }
 
 #[test]
 fn tables_that_fit_no_run_are_named_by_their_key() {
     let zones = ["a".to_string()];
-    let told = |text: &str| expect(text).check(10.0, &zones, 2).expect_err("bad").to_string();
+    let told = |text: &str| {
+        expect(text)
+            .check(10.0, &zones, 2)
+            .expect_err("bad")
+            .to_string()
+    };
     assert!(told("served = 1.5").contains("expect.served"));
-    assert!(told("[[span]]\nfrom_s = 5.0\nto_s = 11.0\nserved = 0.5").contains("expect.span.0.to_s"));
-    assert!(told("[[span]]\nfrom_s = 5.0\nto_s = 6.0\nzone = \"a\"").contains("zone and runs together"));
+    assert!(
+        told("[[span]]\nfrom_s = 5.0\nto_s = 11.0\nserved = 0.5").contains("expect.span.0.to_s")
+    );
+    assert!(
+        told("[[span]]\nfrom_s = 5.0\nto_s = 6.0\nzone = \"a\"").contains("zone and runs together")
+    );
     let zone = told("[[span]]\nfrom_s = 5.0\nto_s = 6.0\nzone = \"b\"\nruns = 0.5");
     assert_eq!(zone, "expect.span.0.zone: no zone `b`; there is a");
-    assert!(told("[[whole]]\nafter_s = 9.0\nwithin_s = 1.0\nfor_s = 1.0").contains("expect.whole.0"));
+    assert!(
+        told("[[whole]]\nafter_s = 9.0\nwithin_s = 1.0\nfor_s = 1.0").contains("expect.whole.0")
+    );
     let proxy = told("[[whole]]\nafter_s = 1.0\nwithin_s = 1.0\nfor_s = 1.0\nproxy = 2");
     assert_eq!(proxy, "expect.whole.0.proxy: no proxy 2; there are 0 to 1");
 }
--- a/crates/fault-injection/src/failing.rs
+++ b/crates/fault-injection/src/failing.rs
@@ -1,8 +1,9 @@
-//! A server that fails an exchange at a chosen step and serves every other one, and a client that says how an answer
-//! ended. Both are used against the gate and against the program in service, whose headers a [`Dialect`] names.
+//! A server that fails an exchange at a chosen step and serves every other one, and a client that
+//! says how an answer ended. Both are used against the gate and against the program in service,
+//! whose headers a [`Dialect`] names.
 //!
-//! Every request that a server reads to its last byte and does not turn away counts as run. A body that is not the one
-//! made for its request ([`body_of`]) is noted as such.
+//! Every request that a server reads to its last byte and does not turn away counts as run. A body
+//! that is not the one made for its request ([`body_of`]) is noted as such.
 
 mod client;
 mod script;
@@ -43,12 +44,18 @@
 };
 
 /// The headers of the program in service and its servers.
-pub const IN_SERVICE: Dialect =
-    Dialect { id: "X-Txn", answers_name_it: false, stamp: "", promise: "X-Turned-Away: 1\r\n" };
+pub const IN_SERVICE: Dialect = Dialect {
+    id: "X-Txn",
+    answers_name_it: false,
+    stamp: "",
+    promise: "X-Turned-Away: 1\r\n",
+};
 
 /// The body made for a request.
 pub fn body_of(id: &str, length: usize) -> Vec<u8> {
-    let mut body = format!("{id}.").into_bytes().repeat(length / (id.len() + 1) + 1);
+    let mut body = format!("{id}.")
+        .into_bytes()
+        .repeat(length / (id.len() + 1) + 1);
     body.truncate(length);
     body
 }
@@ -93,7 +100,10 @@
     /// # Errors
     /// The system's, where no port is free.
     pub fn start(dialect: Dialect, failures: &[Failure]) -> std::io::Result<Self> {
-        FailingServer::sharing(dialect, Arc::new(Mutex::new(failures.iter().copied().collect())))
+        FailingServer::sharing(
+            dialect,
+            Arc::new(Mutex::new(failures.iter().copied().collect())),
+        )
     }
 
     /// Two servers of which the first requests at either fail as told.
@@ -113,7 +123,13 @@
         let address = listener.local_addr()?;
         let ((go_on, waits), (went_on, heard)) = (channel(), channel());
         let (seen, go_on_waits) = (Mutex::default(), Mutex::new(waits));
-        let state = Arc::new(State { dialect, failures, seen, go_on: go_on_waits, went_on });
+        let state = Arc::new(State {
+            dialect,
+            failures,
+            seen,
+            go_on: go_on_waits,
+            went_on,
+        });
         let shared = Arc::clone(&state);
         std::thread::spawn(move || {
             for (number, stream) in listener.incoming().flatten().enumerate() {
@@ -121,7 +137,12 @@
                 std::thread::spawn(move || serve(stream, number, &state));
             }
         });
-        Ok(FailingServer { address, state, go_on, went_on: heard })
+        Ok(FailingServer {
+            address,
+            state,
+            go_on,
+            went_on: heard,
+        })
     }
 
     /// What it has seen so far.
@@ -141,12 +162,18 @@
 
 /// Serves one connection.
 fn serve(mut stream: TcpStream, number: usize, state: &State) {
-    let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(3 * PATIENCE)));
+    let _ = (
+        stream.set_nodelay(true),
+        stream.set_read_timeout(Some(3 * PATIENCE)),
+    );
     let mut come = Vec::new();
     while let Some(asked) = Asked::read(&mut stream, &mut come, state.dialect.id) {
         let Some(id) = asked.id.clone() else {
             // A probe, or a check of its health.
-            if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").is_err() {
+            if stream
+                .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                .is_err()
+            {
                 return;
             }
             continue;
@@ -167,7 +194,13 @@
 }
 
 /// Does one step; false where the connection is over.
-fn perform(act: Act, stream: &mut TcpStream, come: &mut Vec<u8>, asked: &Asked, state: &State) -> bool {
+fn perform(
+    act: Act,
+    stream: &mut TcpStream,
+    come: &mut Vec<u8>,
+    asked: &Asked,
+    state: &State,
+) -> bool {
     match act {
         Act::ReadBody { runs } => match asked.read_body(stream, come) {
             Ok(true) => {
--- a/crates/fault-injection/src/failing/client.rs
+++ b/crates/fault-injection/src/failing/client.rs
@@ -72,7 +72,11 @@
     crate::loopback(to)?;
     let mut stream = TcpStream::connect(to)?;
     send(&mut stream, request)?;
-    Ok(receive(&mut stream, &mut Vec::new(), request.method == "HEAD"))
+    Ok(receive(
+        &mut stream,
+        &mut Vec::new(),
+        request.method == "HEAD",
+    ))
 }
 
 /// Sends a request. One that is answered before it is written whole is not written further.
@@ -82,7 +86,14 @@
 pub fn send(stream: &mut TcpStream, request: &Ask<'_>) -> io::Result<()> {
     stream.set_read_timeout(Some(PATIENCE))?;
     stream.set_nodelay(true)?;
-    let Ask { method, target, id_header, id, headers, body } = request;
+    let Ask {
+        method,
+        target,
+        id_header,
+        id,
+        headers,
+        body,
+    } = request;
     let framing = match body {
         RequestBody::None => String::new(),
         RequestBody::Sized(length) => format!("Content-Length: {length}\r\n"),
@@ -111,11 +122,24 @@
 
 /// Reads the final answer; `come` keeps what follows it.
 pub fn receive(stream: &mut TcpStream, come: &mut Vec<u8>, to_head: bool) -> Received {
-    let mut got = Received { status: 0, head: String::new(), body: String::new(), ending: Ending::None };
+    let mut got = Received {
+        status: 0,
+        head: String::new(),
+        body: String::new(),
+        ending: Ending::None,
+    };
     loop {
-        let Some(end) = find(stream, come, b"\r\n\r\n") else { return got };
-        got.head = String::from_utf8_lossy(&come.drain(..end).collect::<Vec<u8>>()).to_ascii_lowercase();
-        got.status = got.head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
+        let Some(end) = find(stream, come, b"\r\n\r\n") else {
+            return got;
+        };
+        got.head =
+            String::from_utf8_lossy(&come.drain(..end).collect::<Vec<u8>>()).to_ascii_lowercase();
+        got.status = got
+            .head
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .unwrap_or(0);
         if got.status >= 200 {
             break;
         }
@@ -133,7 +157,10 @@
     if got.header("transfer-encoding").is_some() {
         return read_chunks(stream, come);
     }
-    let length: usize = got.header("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
+    let length: usize = got
+        .header("content-length")
+        .and_then(|length| length.parse().ok())
+        .unwrap_or(0);
     while come.len() < length {
         if !more(stream, come) {
             return (std::mem::take(come), false);
@@ -145,7 +172,9 @@
 fn read_chunks(stream: &mut TcpStream, come: &mut Vec<u8>) -> (Vec<u8>, bool) {
     let mut body = Vec::new();
     loop {
-        let Some(end) = find(stream, come, b"\r\n") else { return (body, false) };
+        let Some(end) = find(stream, come, b"\r\n") else {
+            return (body, false);
+        };
         let line: Vec<u8> = come.drain(..end).collect();
         let Ok(size) = usize::from_str_radix(String::from_utf8_lossy(&line).trim(), 16) else {
             return (body, false);
--- a/crates/fault-injection/src/failing/script.rs
+++ b/crates/fault-injection/src/failing/script.rs
@@ -63,12 +63,13 @@
     Nameless,
     /// The answer names two requests.
     TwoNames,
-    /// The request is turned away with that status and a promise, before its body is read. A server that keeps the
-    /// connection reads on.
+    /// The request is turned away with that status and a promise, before its body is read. A server
+    /// that keeps the connection reads on.
     EarlyPromise(u16, Connection),
     /// It fails with 500 before its body is read.
     EarlyError(Connection),
-    /// The body has no length and ends with the connection, as it should or not; the head may say so.
+    /// The body has no length and ends with the connection, as it should or not; the head may say
+    /// so.
     Unframed {
         /// `Connection: close` is said.
         announced: bool,
@@ -154,7 +155,9 @@
                 .split(' ')
                 .nth(1)
                 .is_some_and(|path| STREAMS.iter().any(|of| path.starts_with(of))),
-            last_event: header("last-event-id").and_then(|event| event.parse().ok()).unwrap_or(0),
+            last_event: header("last-event-id")
+                .and_then(|event| event.parse().ok())
+                .unwrap_or(0),
             length: header("content-length").and_then(|length| length.parse().ok()),
             chunked: header("transfer-encoding").is_some(),
         }
@@ -218,7 +221,9 @@
 
 /// The events of the stream made for a request, from that one on.
 pub fn events(id: &str, from: u64) -> String {
-    (from..=EVENTS).map(|event| format!("id: {event}\ndata: {id}\n\n")).collect()
+    (from..=EVENTS)
+        .map(|event| format!("id: {event}\ndata: {id}\n\n"))
+        .collect()
 }
 
 struct Writer<'a> {
@@ -235,7 +240,11 @@
     }
 
     fn kind(&self) -> &'static str {
-        if self.asked.is_stream { "Content-Type: text/event-stream\r\n" } else { "" }
+        if self.asked.is_stream {
+            "Content-Type: text/event-stream\r\n"
+        } else {
+            ""
+        }
     }
 
     fn own_name(&self) -> String {
@@ -244,11 +253,20 @@
 
     /// A head that names its request and counts.
     fn head(&self, status: &str, framing: &str) -> String {
-        format!("HTTP/1.1 {status}\r\n{}{}{}{framing}\r\n", self.own_name(), self.dialect.stamp, self.kind())
+        format!(
+            "HTTP/1.1 {status}\r\n{}{}{}{framing}\r\n",
+            self.own_name(),
+            self.dialect.stamp,
+            self.kind()
+        )
     }
 
     fn body(&self) -> String {
-        if self.asked.is_head { String::new() } else { content(self.asked) }
+        if self.asked.is_head {
+            String::new()
+        } else {
+            content(self.asked)
+        }
     }
 
     /// A whole answer.
@@ -261,8 +279,11 @@
     fn foreign(&self) -> String {
         let body = "answer to another";
         let name = self.name("another");
-        let head =
-            format!("HTTP/1.1 200 OK\r\n{name}{}Content-Length: {}\r\n\r\n", self.dialect.stamp, body.len());
+        let head = format!(
+            "HTTP/1.1 200 OK\r\n{name}{}Content-Length: {}\r\n\r\n",
+            self.dialect.stamp,
+            body.len()
+        );
         head + body
     }
 
@@ -300,8 +321,13 @@
         None => ran(whole),
         Silence => vec![read(), Act::Hold],
         NoHead(connection) => ran_until(String::new(), connection),
-        InHead(connection) => ran_until(whole[..whole.len() - body.len() - 9].to_string(), connection),
-        InInterim(connection) => ran_until("HTTP/1.1 103 Early Hints\r\nLink: <".into(), connection),
+        InHead(connection) => ran_until(
+            whole[..whole.len() - body.len() - 9].to_string(),
+            connection,
+        ),
+        InInterim(connection) => {
+            ran_until("HTTP/1.1 103 Early Hints\r\nLink: <".into(), connection)
+        }
         AfterInterim(status, connection) => ran_until(interim(status), connection),
         Interim(status) => ran(interim(status) + &whole),
         InBody(connection) => {
@@ -310,7 +336,10 @@
         }
         InChunks(connection) => {
             let chunk = format!("{:x}\r\n{body}\r\n", body.len());
-            ran_until(writer.framed("Transfer-Encoding: chunked\r\n", &chunk), connection)
+            ran_until(
+                writer.framed("Transfer-Encoding: chunked\r\n", &chunk),
+                connection,
+            )
         }
         AfterAnswer(connection) => {
             let after = vec![Act::WaitForGo];
@@ -333,25 +362,39 @@
         ForeignAndSilence => [ran(writer.foreign()), vec![Act::Hold]].concat_acts(),
         Nameless => ran(whole.replace(&writer.own_name(), "")),
         TwoNames => ran(whole.replacen("\r\n", &format!("\r\n{}", writer.name("another")), 1)),
-        EarlyPromise(status, connection) => {
-            early(&writer, &status_line(status), dialect.promise, connection, false)
-        }
+        EarlyPromise(status, connection) => early(
+            &writer,
+            &status_line(status),
+            dialect.promise,
+            connection,
+            false,
+        ),
         EarlyError(connection) => early(&writer, "500 Told", "", connection, true),
         Unframed { announced, end } => {
-            let framing = if announced { "Connection: close\r\n" } else { "" };
+            let framing = if announced {
+                "Connection: close\r\n"
+            } else {
+                ""
+            };
             ran_until(writer.framed(framing, &body), end)
         }
         BothFramings => {
             let framing = format!("{length}Transfer-Encoding: chunked\r\n");
-            ran(writer.framed(&framing, &format!("{:x}\r\n{body}\r\n0\r\n\r\n", body.len())))
+            ran(writer.framed(
+                &framing,
+                &format!("{:x}\r\n{body}\r\n0\r\n\r\n", body.len()),
+            ))
         }
         TwoLengths => ran(writer.framed(&format!("{length}{length}"), &body)),
-        BadChunk => {
-            ran(writer.framed("Transfer-Encoding: chunked\r\n", &format!("zz\r\n{body}\r\n0\r\n\r\n")))
-        }
+        BadChunk => ran(writer.framed(
+            "Transfer-Encoding: chunked\r\n",
+            &format!("zz\r\n{body}\r\n0\r\n\r\n"),
+        )),
         OldChunks => {
             let chunk = format!("{:x}\r\n{body}\r\n0\r\n\r\n", body.len());
-            ran(writer.framed("Transfer-Encoding: chunked\r\n", &chunk).replacen("HTTP/1.1", "HTTP/1.0", 1))
+            ran(writer
+                .framed("Transfer-Encoding: chunked\r\n", &chunk)
+                .replacen("HTTP/1.1", "HTTP/1.0", 1))
         }
         BodyWithout204 => ran(writer.head("204 No Content", &length) + &body),
         Promise(status) => {
@@ -360,7 +403,10 @@
         }
         // Misdirected: it has not run, whatever else is said.
         Status(status @ 421) => {
-            vec![Act::ReadBody { runs: false }, write(writer.whole(&status_line(status), ""))]
+            vec![
+                Act::ReadBody { runs: false },
+                write(writer.whole(&status_line(status), "")),
+            ]
         }
         Status(status) => ran(writer.whole(&status_line(status), "")),
         Unstamped => ran(whole.replace(dialect.stamp, "")),
@@ -368,7 +414,13 @@
 }
 
 /// An answer before the body is read; where the connection is kept, the body is read behind it.
-fn early(writer: &Writer<'_>, status: &str, more: &str, connection: Connection, runs: bool) -> Vec<Act> {
+fn early(
+    writer: &Writer<'_>,
+    status: &str,
+    more: &str,
+    connection: Connection,
+    runs: bool,
+) -> Vec<Act> {
     let told = vec![Act::Write(writer.whole(status, more).into_bytes())];
     let rest = match connection {
         Connection::Kept => vec![Act::ReadBody { runs }],
--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -1,7 +1,9 @@
-//! Faults on links as a schedule: which fault holds on a link, in one direction, at a moment of the run.
+//! Faults on links as a schedule: which fault holds on a link, in one direction, at a moment of the
+//! run.
 //!
-//! No I/O here: the relays ask [`Schedule::fault`] for each piece they carry and each connection they take. The format
-//! follows the emulator's scenarios (times as `_s` floats, one table a trouble), so that one file can hold both:
+//! No I/O here: the relays ask [`Schedule::fault`] for each piece they carry and each connection
+//! they take. The format follows the emulator's scenarios (times as `_s` floats, one table a
+//! trouble), so that one file can hold both:
 //!
 //! ```toml
 //! [[fault]]
@@ -11,9 +13,10 @@
 //! for_s = 8.0
 //! ```
 //!
-//! A link is named `FROM->TO` for the bytes that flow from FROM to TO; a pattern's side may be `*`, or end in `*` to
-//! match a prefix (`server*`). Kinds follow the network section of the protocol page: a machine that is cut off gives no
-//! sign (bytes vanish, new connections never come up), a dead process resets and refuses.
+//! A link is named `FROM->TO` for the bytes that flow from FROM to TO; a pattern's side may be `*`,
+//! or end in `*` to match a prefix (`server*`). Kinds follow the network section of the protocol
+//! page: a machine that is cut off gives no sign (bytes vanish, new connections never come up), a
+//! dead process resets and refuses.
 
 use std::time::Duration;
 
@@ -25,10 +28,11 @@
 pub enum Kind {
     /// Bytes pass as they come.
     Pass,
-    /// Cut without a sign both ways: bytes vanish, connections stay open and silent, new ones never come up.
+    /// Cut without a sign both ways: bytes vanish, connections stay open and silent, new ones never
+    /// come up.
     Cut,
-    /// Cut without a sign in this direction only: the far side hears nothing of the near one, the near side still
-    /// hears the far one (a one-sided cut).
+    /// Cut without a sign in this direction only: the far side hears nothing of the near one, the
+    /// near side still hears the far one (a one-sided cut).
     CutOneWay,
     /// Each piece waits `delay_ms`, plus up to `jitter_ms` more, before it passes.
     Delay,
@@ -142,13 +146,19 @@
 
 /// Whether `pattern` (`FROM->TO`, sides with `*`) names the link `from->to`.
 pub fn link_matches(pattern: &str, from: &str, to: &str) -> bool {
-    pattern.split_once("->").is_some_and(|(a, b)| side_matches(a, from) && side_matches(b, to))
+    pattern
+        .split_once("->")
+        .is_some_and(|(a, b)| side_matches(a, from) && side_matches(b, to))
 }
 
-/// The first fault whose link names none of `links` (`FROM`, `TO`), in either direction: it would never hold.
+/// The first fault whose link names none of `links` (`FROM`, `TO`), in either direction: it would
+/// never hold.
 pub fn nowhere<'a>(faults: &'a [Fault], links: &[(String, String)]) -> Option<&'a Fault> {
-    let names =
-        |f: &Fault| links.iter().any(|(a, b)| link_matches(&f.link, a, b) || link_matches(&f.link, b, a));
+    let names = |f: &Fault| {
+        links
+            .iter()
+            .any(|(a, b)| link_matches(&f.link, a, b) || link_matches(&f.link, b, a))
+    };
     faults.iter().find(|f| !names(f))
 }
 
@@ -160,11 +170,18 @@
             if parts.is_none_or(|(a, b)| a.is_empty() || b.is_empty() || b.contains("->")) {
                 return Err(FaultError::Link(n, fault.link.clone()));
             }
-            let times = [fault.at_s, fault.for_s.unwrap_or(0.0), fault.delay_ms, fault.jitter_ms];
+            let times = [
+                fault.at_s,
+                fault.for_s.unwrap_or(0.0),
+                fault.delay_ms,
+                fault.jitter_ms,
+            ];
             if times.iter().any(|t| !(t.is_finite() && *t >= 0.0)) {
                 return Err(FaultError::Time(n));
             }
-            if fault.kind == Kind::Rate && !(fault.bytes_per_s > 0.0 && fault.bytes_per_s.is_finite()) {
+            if fault.kind == Kind::Rate
+                && !(fault.bytes_per_s > 0.0 && fault.bytes_per_s.is_finite())
+            {
                 return Err(FaultError::Missing(n, "rate", "bytes_per_s"));
             }
             if fault.kind == Kind::Delay && fault.delay_ms + fault.jitter_ms <= 0.0 {
@@ -195,20 +212,28 @@
     /// The fault that holds on bytes from `from` to `to` at `elapsed`, if any.
     pub fn fault(&self, from: &str, to: &str, elapsed: Duration) -> Option<&Fault> {
         let now = elapsed.as_secs_f64();
-        self.faults.iter().rev().find(|f| f.holds_at(now) && link_matches(&f.link, from, to))
+        self.faults
+            .iter()
+            .rev()
+            .find(|f| f.holds_at(now) && link_matches(&f.link, from, to))
     }
 
-    /// What to do with a piece from `from` to `to` at `elapsed`; `draw` is a number in [0, 1) for the jitter.
+    /// What to do with a piece from `from` to `to` at `elapsed`; `draw` is a number in [0, 1) for
+    /// the jitter.
     ///
     /// A `cut` on either direction swallows both; a `cut-one-way` only its own.
     pub fn action(&self, from: &str, to: &str, elapsed: Duration, draw: f64) -> Action {
-        let reverse = self.fault(to, from, elapsed).filter(|f| f.kind == Kind::Cut);
+        let reverse = self
+            .fault(to, from, elapsed)
+            .filter(|f| f.kind == Kind::Cut);
         match reverse.or_else(|| self.fault(from, to, elapsed)) {
             None => Action::Pass,
             Some(f) => match f.kind {
                 Kind::Pass => Action::Pass,
                 Kind::Cut | Kind::CutOneWay => Action::Swallow,
-                Kind::Delay => Action::Wait(Duration::from_secs_f64((f.delay_ms + draw * f.jitter_ms) / 1e3)),
+                Kind::Delay => Action::Wait(Duration::from_secs_f64(
+                    (f.delay_ms + draw * f.jitter_ms) / 1e3,
+                )),
                 Kind::Reset => Action::Reset,
                 Kind::Refuse => Action::Refuse,
                 Kind::Rate => Action::Rate(f.bytes_per_s),
@@ -217,18 +242,31 @@
         }
     }
 
-    /// What to do with a datagram from `from` to `to` at `elapsed`; `draw` and `chance` are numbers in [0, 1), one
-    /// for the jitter and one for the chance. A cut loses datagrams (nothing sends them again); a reset, a refusal and
-    /// a rate mean nothing to them.
-    pub fn datagram(&self, from: &str, to: &str, elapsed: Duration, draw: f64, chance: f64) -> Datagram {
-        let reverse = self.fault(to, from, elapsed).filter(|f| f.kind == Kind::Cut);
-        let Some(f) = reverse.or_else(|| self.fault(from, to, elapsed)) else { return Datagram::Pass };
+    /// What to do with a datagram from `from` to `to` at `elapsed`; `draw` and `chance` are numbers
+    /// in [0, 1), one for the jitter and one for the chance. A cut loses datagrams (nothing sends
+    /// them again); a reset, a refusal and a rate mean nothing to them.
+    pub fn datagram(
+        &self,
+        from: &str,
+        to: &str,
+        elapsed: Duration,
+        draw: f64,
+        chance: f64,
+    ) -> Datagram {
+        let reverse = self
+            .fault(to, from, elapsed)
+            .filter(|f| f.kind == Kind::Cut);
+        let Some(f) = reverse.or_else(|| self.fault(from, to, elapsed)) else {
+            return Datagram::Pass;
+        };
         match f.kind {
             Kind::Cut | Kind::CutOneWay => Datagram::Lose,
             Kind::Drop if chance < f.share => Datagram::Lose,
             Kind::Duplicate if chance < f.share => Datagram::Twice,
             Kind::Reorder if chance < f.share => Datagram::Behind,
-            Kind::Delay => Datagram::Wait(Duration::from_secs_f64((f.delay_ms + draw * f.jitter_ms) / 1e3)),
+            Kind::Delay => Datagram::Wait(Duration::from_secs_f64(
+                (f.delay_ms + draw * f.jitter_ms) / 1e3,
+            )),
             _ => Datagram::Pass,
         }
     }
--- a/crates/fault-injection/src/load.rs
+++ b/crates/fault-injection/src/load.rs
@@ -1,5 +1,6 @@
-//! Open-loop clients: requests at a set rate to one proxy's clients' address, each on a connection of its own, with
-//! latency counted from the intended send time (so a stalled proxy shows as late, not as fewer requests).
+//! Open-loop clients: requests at a set rate to one proxy's clients' address, each on a connection
+//! of its own, with latency counted from the intended send time (so a stalled proxy shows as late,
+//! not as fewer requests).
 //!
 //! Bounded in count and in time; loopback only.
 
@@ -54,11 +55,17 @@
 }
 
 impl Shape {
-    /// A load with enough threads that none waits while requests wait their whole patience: the rate times the
-    /// patience, and two more, at most 256.
+    /// A load with enough threads that none waits while requests wait their whole patience: the
+    /// rate times the patience, and two more, at most 256.
     pub fn new(rate: f64, length: Duration, path: &str, patience_ms: u64) -> Shape {
         let threads = ((rate * patience_ms as f64 / 1e3).ceil() as usize + 2).min(256);
-        Shape { rate, length, path: path.into(), patience_ms, threads }
+        Shape {
+            rate,
+            length,
+            path: path.into(),
+            patience_ms,
+            threads,
+        }
     }
 }
 
@@ -79,13 +86,22 @@
 
 fn one(address: SocketAddr, path: &str, txn: &str, patience: Duration) -> Outcome {
     let begun = Instant::now();
-    let Ok(mut stream) = TcpStream::connect_timeout(&address, patience) else { return Outcome::Broken };
+    let Ok(mut stream) = TcpStream::connect_timeout(&address, patience) else {
+        return Outcome::Broken;
+    };
     let post = path.starts_with("/deposit") || path.starts_with("/timesheet");
     let method = if post { "POST" } else { "GET" };
     let body = if post { "{\"amount\":1}" } else { "" };
-    let length = if post { format!("Content-Length: {}\r\n", body.len()) } else { String::new() };
-    let key =
-        if path.starts_with("/timesheet") { format!("Idempotency-Key: {txn}\r\n") } else { String::new() };
+    let length = if post {
+        format!("Content-Length: {}\r\n", body.len())
+    } else {
+        String::new()
+    };
+    let key = if path.starts_with("/timesheet") {
+        format!("Idempotency-Key: {txn}\r\n")
+    } else {
+        String::new()
+    };
     let text = format!(
         "{method} {path} HTTP/1.1\r\nHost: pay\r\nConnection: close\r\nX-Txn: {txn}\r\nX-Remaining: {}m\r\n{key}{length}\r\n{body}",
         patience.as_millis()
@@ -97,20 +113,31 @@
     let mut answer = Vec::new();
     let mut piece = [0u8; 4096];
     loop {
-        let Some(left) = patience.checked_sub(begun.elapsed()).filter(|l| !l.is_zero()) else {
+        let Some(left) = patience
+            .checked_sub(begun.elapsed())
+            .filter(|l| !l.is_zero())
+        else {
             return Outcome::GaveUp;
         };
         let _ = stream.set_read_timeout(Some(left));
         match stream.read(&mut piece) {
             Ok(0) => break,
             Ok(n) => answer.extend_from_slice(&piece[..n]),
-            Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => {
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+                ) =>
+            {
                 return Outcome::GaveUp;
             }
             Err(_) => return Outcome::Broken,
         }
     }
-    let status = answer.get(9..12).and_then(|s| std::str::from_utf8(s).ok()).unwrap_or("");
+    let status = answer
+        .get(9..12)
+        .and_then(|s| std::str::from_utf8(s).ok())
+        .unwrap_or("");
     let whole = answer.windows(4).any(|w| w == b"\r\n\r\n");
     match status {
         "200" if whole => Outcome::Served,
@@ -124,7 +151,8 @@
 /// What a load has seen so far, shared with whoever watches it live.
 pub type Tally = Arc<Mutex<Vec<Sent>>>;
 
-/// Plays a load on `address`; `name` prefixes each `X-Txn` (hex digits are added). Refuses an address off loopback.
+/// Plays a load on `address`; `name` prefixes each `X-Txn` (hex digits are added). Refuses an
+/// address off loopback.
 pub fn play(address: SocketAddr, name: &str, shape: &Shape) -> std::io::Result<Report> {
     play_into(address, name, shape, Instant::now(), &Tally::default())
 }
@@ -149,9 +177,19 @@
                         std::thread::sleep(wait);
                     }
                     let txn = format!("{name}{n:08x}");
-                    let outcome = one(address, &shape.path, &txn, Duration::from_millis(shape.patience_ms));
+                    let outcome = one(
+                        address,
+                        &shape.path,
+                        &txn,
+                        Duration::from_millis(shape.patience_ms),
+                    );
                     let latency = start.elapsed().saturating_sub(at);
-                    sent.lock().expect("not poisoned").push(Sent { txn, at, outcome, latency });
+                    sent.lock().expect("not poisoned").push(Sent {
+                        txn,
+                        at,
+                        outcome,
+                        latency,
+                    });
                 }
             })
         })
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,4 +1,5 @@
-//! Proxies as real processes: started, signalled and watched by their process id, and ended with the stage.
+//! Proxies as real processes: started, signalled and watched by their process id, and ended with
+//! the stage.
 
 use std::io::{BufRead as _, BufReader};
 use std::net::SocketAddr;
@@ -46,10 +47,10 @@
 }
 
 impl Proxy {
-    /// Runs `program run` with this configuration file, `GW_OPS` on a port of the system's choice and `TMPDIR` at
-    /// `state` (its state directory, where a successor finds it, and its working directory, where it reads
-    /// `deploy/membership.toml`), and waits (at most `patience`) until it tells where
-    /// operators call.
+    /// Runs `program run` with this configuration file, `GW_OPS` on a port of the system's choice
+    /// and `TMPDIR` at `state` (its state directory, where a successor finds it, and its working
+    /// directory, where it reads `deploy/membership.toml`), and waits (at most `patience`) until it
+    /// tells where operators call.
     pub fn start(
         name: &str,
         program: &Path,
@@ -65,7 +66,10 @@
             .env("GW_OPS", "127.0.0.1:0")
             .env("TMPDIR", state)
             .current_dir(state);
-        command.stderr(Stdio::piped()).stdout(Stdio::null()).stdin(Stdio::null());
+        command
+            .stderr(Stdio::piped())
+            .stdout(Stdio::null())
+            .stdin(Stdio::null());
         for variable in ["GW_NAME", "GW_LISTEN", "GW_DISCOVERY"] {
             command.env_remove(variable);
         }
@@ -81,12 +85,22 @@
             }
         });
         let start = Instant::now();
-        let mut proxy = Proxy { name: name.into(), ops: SocketAddr::from(([127, 0, 0, 1], 0)), child, log };
+        let mut proxy = Proxy {
+            name: name.into(),
+            ops: SocketAddr::from(([127, 0, 0, 1], 0)),
+            child,
+            log,
+        };
         loop {
-            let found = proxy.log.lock().expect("not poisoned").iter().find_map(|line| {
-                let (_, rest) = line.split_once("ops: ")?;
-                rest.split([',', ' ', '"']).next()?.trim().parse().ok()
-            });
+            let found = proxy
+                .log
+                .lock()
+                .expect("not poisoned")
+                .iter()
+                .find_map(|line| {
+                    let (_, rest) = line.split_once("ops: ")?;
+                    rest.split([',', ' ', '"']).next()?.trim().parse().ok()
+                });
             if let Some(ops) = found {
                 proxy.ops = ops;
                 return Ok(proxy);
@@ -143,11 +157,14 @@
             .trim()
             .parse()
             .ok()?;
-        let descriptors = std::fs::read_dir(format!("/proc/{}/fd", self.pid())).ok()?.count();
+        let descriptors = std::fs::read_dir(format!("/proc/{}/fd", self.pid()))
+            .ok()?
+            .count();
         Some((kb * 1024, descriptors))
     }
 
-    /// Asks its operators' address `ready` until it says yes, at most `patience`; the time that took.
+    /// Asks its operators' address `ready` until it says yes, at most `patience`; the time that
+    /// took.
     pub fn ready(&self, patience: Duration) -> Option<Duration> {
         let start = Instant::now();
         while start.elapsed() < patience {
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -1,9 +1,10 @@
 //! Relays that carry one TCP link each and put the schedule's faults on it.
 //!
-//! A relay listens on a port of the system's choice on 127.0.0.1 and forwards each connection to one target, also on
-//! loopback. Bytes from the connecting side go `FROM->TO`, answers `TO->FROM`. A cut holds what it meets (as TCP would
-//! keep retransmitting) and lets it pass once the cut is over; connections that come during a cut are held unanswered.
-//! The relay owns every socket it opens; all are given back when the [`Relay`] is dropped.
+//! A relay listens on a port of the system's choice on 127.0.0.1 and forwards each connection to
+//! one target, also on loopback. Bytes from the connecting side go `FROM->TO`, answers `TO->FROM`.
+//! A cut holds what it meets (as TCP would keep retransmitting) and lets it pass once the cut is
+//! over; connections that come during a cut are held unanswered. The relay owns every socket it
+//! opens; all are given back when the [`Relay`] is dropped.
 
 use std::io::{ErrorKind, Read as _, Write as _};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -31,7 +32,10 @@
 impl Faults {
     /// A run that begins now.
     pub fn new(schedule: Schedule) -> Arc<Faults> {
-        Arc::new(Faults { start: RwLock::new(Instant::now()), schedule: RwLock::new(schedule) })
+        Arc::new(Faults {
+            start: RwLock::new(Instant::now()),
+            schedule: RwLock::new(schedule),
+        })
     }
 
     /// The run begins now: times of faults, of the load and of the record count from one moment.
@@ -54,16 +58,27 @@
     pub fn holding(&self, elapsed: Duration) -> Vec<Fault> {
         let schedule = self.schedule.read().expect("not poisoned");
         let now = elapsed.as_secs_f64();
-        schedule.faults().iter().filter(|f| f.holds_at(now)).cloned().collect()
+        schedule
+            .faults()
+            .iter()
+            .filter(|f| f.holds_at(now))
+            .cloned()
+            .collect()
     }
 
     /// What to do with a datagram from `from` to `to` now; see [`Schedule::datagram`].
     pub fn datagram(&self, from: &str, to: &str, draw: f64, chance: f64) -> crate::fault::Datagram {
-        self.schedule.read().expect("not poisoned").datagram(from, to, self.elapsed(), draw, chance)
+        self.schedule
+            .read()
+            .expect("not poisoned")
+            .datagram(from, to, self.elapsed(), draw, chance)
     }
 
     fn action(&self, from: &str, to: &str, draw: f64) -> Action {
-        self.schedule.read().expect("not poisoned").action(from, to, self.elapsed(), draw)
+        self.schedule
+            .read()
+            .expect("not poisoned")
+            .action(from, to, self.elapsed(), draw)
     }
 }
 
@@ -99,12 +114,20 @@
 
 impl Relay {
     /// A relay from `from` to `to` at `target`. Refuses a target off loopback.
-    pub fn start(from: &str, to: &str, target: SocketAddr, faults: Arc<Faults>) -> std::io::Result<Relay> {
+    pub fn start(
+        from: &str,
+        to: &str,
+        target: SocketAddr,
+        faults: Arc<Faults>,
+    ) -> std::io::Result<Relay> {
         loopback(target)?;
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         listener.set_nonblocking(true)?;
-        let (counts, stop) = (Arc::new(Counts::default()), Arc::new(AtomicBool::new(false)));
+        let (counts, stop) = (
+            Arc::new(Counts::default()),
+            Arc::new(AtomicBool::new(false)),
+        );
         let link = Arc::new(Link {
             from: from.into(),
             to: to.into(),
@@ -114,7 +137,12 @@
             stop: Arc::clone(&stop),
         });
         let accept = std::thread::spawn(move || link.accept(&listener));
-        Ok(Relay { address, counts, stop, accept: Some(accept) })
+        Ok(Relay {
+            address,
+            counts,
+            stop,
+            accept: Some(accept),
+        })
     }
 }
 
@@ -170,7 +198,10 @@
             }
             std::thread::sleep(LOOK);
         }
-        if matches!(self.faults.action(&self.from, &self.to, 0.0), Action::Reset | Action::Refuse) {
+        if matches!(
+            self.faults.action(&self.from, &self.to, 0.0),
+            Action::Reset | Action::Refuse
+        ) {
             self.counts.resets.fetch_add(1, Ordering::Relaxed);
             return reset(&client);
         }
@@ -213,7 +244,9 @@
                     return;
                 }
                 Ok(n) => n,
-                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
+                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+                    continue;
+                }
                 Err(_) => break,
             };
             let mut counted = false;
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -1,8 +1,10 @@
-//! A stage scenario: the stage, its load, what happens in between and what must hold, read from a file and played.
+//! A stage scenario: the stage, its load, what happens in between and what must hold, read from a
+//! file and played.
 //!
-//! A file (`scenarios/stage/`) names zones and their pay servers, the proxies, a load on each proxy, the faults on
-//! links (`[[fault]]`), signals to proxies (`[[signal]]`), pay servers that are slower for a while (`[[slow]]`) and
-//! what must hold (`[expect]`). Every name is checked against the layout before anything starts.
+//! A file (`scenarios/stage/`) names zones and their pay servers, the proxies, a load on each
+//! proxy, the faults on links (`[[fault]]`), signals to proxies (`[[signal]]`), pay servers that
+//! are slower for a while (`[[slow]]`) and what must hold (`[expect]`). Every name is checked
+//! against the layout before anything starts.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -55,7 +57,11 @@
     fn layout(&self, program: PathBuf) -> Layout {
         Layout {
             program,
-            zones: self.zone.iter().map(|z| (z.name.clone(), z.servers)).collect(),
+            zones: self
+                .zone
+                .iter()
+                .map(|z| (z.name.clone(), z.servers))
+                .collect(),
             proxies: self.proxies,
             work: Duration::from_secs_f64(self.work_ms.max(0.0) / 1e3),
             patience: Duration::from_secs(20),
@@ -145,18 +151,27 @@
 /// # Errors
 /// One line: the file, the key, what is wrong with it and what there is.
 pub fn read(text: &str, from: &str) -> Result<(Scenario, Schedule), String> {
-    let scenario: Scenario = toml::from_str(text).map_err(|e| format!("{from}: {}", e.message()))?;
+    let scenario: Scenario =
+        toml::from_str(text).map_err(|e| format!("{from}: {}", e.message()))?;
     let schedule = Schedule::new(scenario.fault.clone()).map_err(|e| format!("{from}: {e}"))?;
     if !(0.5..=600.0).contains(&scenario.length_s) {
-        return Err(format!("{from}: length_s is {}, 0.5 to 600 expected", scenario.length_s));
+        return Err(format!(
+            "{from}: length_s is {}, 0.5 to 600 expected",
+            scenario.length_s
+        ));
     }
     if !(1..=16).contains(&scenario.proxies)
         || scenario.zone.is_empty()
         || scenario.zone.iter().any(|z| z.servers == 0)
     {
-        return Err(format!("{from}: 1 to 16 proxies and zones of one pay server or more expected"));
+        return Err(format!(
+            "{from}: 1 to 16 proxies and zones of one pay server or more expected"
+        ));
     }
-    if !(scenario.load.rate > 0.0 && scenario.load.rate <= 500.0 && scenario.load.path.starts_with('/')) {
+    if !(scenario.load.rate > 0.0
+        && scenario.load.rate <= 500.0
+        && scenario.load.path.starts_with('/'))
+    {
         return Err(format!(
             "{from}: a load of 0 to 500 requests a second on a path that begins with / expected"
         ));
@@ -166,14 +181,23 @@
     if let Some(twice) = zones.windows(2).find(|pair| pair[0] == pair[1]) {
         return Err(format!("{from}: zone.name: `{}` is there twice", twice[0]));
     }
-    let class = scenario.load.path[1..].split(['/', '?']).next().unwrap_or_default();
+    let class = scenario.load.path[1..]
+        .split(['/', '?'])
+        .next()
+        .unwrap_or_default();
     let known = classes();
     if !known.iter().any(|c| c == class) {
-        return Err(format!("{from}: load.path: no class `{class}`; there are {}", known.join(", ")));
+        return Err(format!(
+            "{from}: load.path: no class `{class}`; there are {}",
+            known.join(", ")
+        ));
     }
     let links = scenario.layout(PathBuf::new()).links();
     if let Some(fault) = nowhere(schedule.faults(), &links) {
-        let ends = links.iter().filter(|(proxy, _)| proxy == "proxy0").map(|(_, end)| end.as_str());
+        let ends = links
+            .iter()
+            .filter(|(proxy, _)| proxy == "proxy0")
+            .map(|(_, end)| end.as_str());
         let (last, link) = (scenario.proxies - 1, &fault.link);
         let there = ends.collect::<Vec<_>>().join(", ");
         return Err(format!(
@@ -189,20 +213,31 @@
     }
     if let Some(s) = scenario.signal.iter().find(|s| s.proxy >= scenario.proxies) {
         let (proxy, last) = (s.proxy, scenario.proxies - 1);
-        return Err(format!("{from}: signal.proxy: no proxy {proxy}; there are 0 to {last}"));
+        return Err(format!(
+            "{from}: signal.proxy: no proxy {proxy}; there are 0 to {last}"
+        ));
     }
     for slow in &scenario.slow {
-        let times = slow.at_s >= 0.0 && slow.for_s > 0.0 && slow.at_s + slow.for_s <= scenario.length_s;
+        let times =
+            slow.at_s >= 0.0 && slow.for_s > 0.0 && slow.at_s + slow.for_s <= scenario.length_s;
         if !(times && slow.factor > 0.0 && slow.factor <= 1e3) {
             return Err(format!(
                 "{from}: slow: seconds inside the load and a factor of at most 1000 expected"
             ));
         }
-        if !links.iter().any(|(_, end)| end != "discovery" && side_matches(&slow.server, end)) {
-            return Err(format!("{from}: slow.server: no pay server `{}`", slow.server));
+        if !links
+            .iter()
+            .any(|(_, end)| end != "discovery" && side_matches(&slow.server, end))
+        {
+            return Err(format!(
+                "{from}: slow.server: no pay server `{}`",
+                slow.server
+            ));
         }
     }
-    let held = scenario.expect.check(scenario.length_s, &scenario.zones(), scenario.proxies);
+    let held = scenario
+        .expect
+        .check(scenario.length_s, &scenario.zones(), scenario.proxies);
     held.map_err(|e| format!("{from}: {e}"))?;
     Ok((scenario, schedule))
 }
@@ -251,12 +286,15 @@
     /// Whether all holds: nothing twice, nothing made up, every signal sent, all as expected.
     pub fn holds(&self) -> bool {
         let v = &self.verdict;
-        v.twice.is_empty() && v.made_up.is_empty() && self.missed.is_empty() && self.problems.is_empty()
+        v.twice.is_empty()
+            && v.made_up.is_empty()
+            && self.missed.is_empty()
+            && self.problems.is_empty()
     }
 }
 
-/// Plays a scenario read by [`read`] with the `ironmast` program at `program`; `watch` is called once a second with
-/// the seconds that have passed.
+/// Plays a scenario read by [`read`] with the `ironmast` program at `program`; `watch` is called
+/// once a second with the seconds that have passed.
 ///
 /// # Errors
 /// Where the stage could not be set up.
@@ -268,7 +306,12 @@
 ) -> Result<Played, StageError> {
     let mut stage = Stage::new(scenario.layout(program), schedule)?;
     let length = Duration::from_secs_f64(scenario.length_s);
-    let shape = Shape::new(scenario.load.rate, length, &scenario.load.path, scenario.load.patience_ms);
+    let shape = Shape::new(
+        scenario.load.rate,
+        length,
+        &scenario.load.path,
+        scenario.load.patience_ms,
+    );
     let tallies: Vec<Tally> = (0..scenario.proxies).map(|_| Tally::default()).collect();
     let mut problems = Vec::new();
     let mut signals: Vec<&Signal> = scenario.signal.iter().collect();
@@ -287,8 +330,11 @@
             }
             for server in &stage.servers {
                 let holds = |s: &&Slow| (s.at_s..s.at_s + s.for_s).contains(&now.as_secs_f64());
-                let theirs =
-                    scenario.slow.iter().filter(holds).filter(|s| side_matches(&s.server, &server.uid));
+                let theirs = scenario
+                    .slow
+                    .iter()
+                    .filter(holds)
+                    .filter(|s| side_matches(&s.server, &server.uid));
                 server.set_factor(theirs.map(|s| s.factor).product());
             }
             if now >= Duration::from_secs(second) {
@@ -299,13 +345,26 @@
         }
     });
     let mut latency = Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid bounds");
-    reports.iter().for_each(|r| latency.add(&r.latency).expect("same bounds"));
+    reports
+        .iter()
+        .for_each(|r| latency.add(&r.latency).expect("same bounds"));
     let sent: Vec<Vec<Request>> = reports.into_iter().map(|r| r.sent).collect();
     let runs = stage.record.runs();
     let verdict = verdict::judge(&sent.concat(), &runs, &["balance"]);
     let missed = scenario.expect.missed(&sent, &runs);
-    let logs = stage.proxies.iter().map(|p| p.as_ref().map_or_else(Vec::new, |p| p.lines())).collect();
-    Ok(Played { sent, latency, verdict, missed, problems, logs })
+    let logs = stage
+        .proxies
+        .iter()
+        .map(|p| p.as_ref().map_or_else(Vec::new, |p| p.lines()))
+        .collect();
+    Ok(Played {
+        sent,
+        latency,
+        verdict,
+        missed,
+        problems,
+        logs,
+    })
 }
 
 #[cfg(test)]
--- a/crates/fault-injection/src/stage.rs
+++ b/crates/fault-injection/src/stage.rs
@@ -1,4 +1,5 @@
-//! A whole stage: pay servers by zone, one discovery and relays for each proxy, the proxies themselves.
+//! A whole stage: pay servers by zone, one discovery and relays for each proxy, the proxies
+//! themselves.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -38,8 +39,8 @@
 pub struct Layout {
     /// The `ironmast` program.
     pub program: PathBuf,
-    /// Zones and their pay servers' count; proxies are in the first zone. Pay servers' uids, also their names in
-    /// links, are `ZONE-N`.
+    /// Zones and their pay servers' count; proxies are in the first zone. Pay servers' uids, also
+    /// their names in links, are `ZONE-N`.
     pub zones: Vec<(String, usize)>,
     /// Proxies, 1 or more; named `proxy0` and on in links.
     pub proxies: usize,
@@ -52,10 +53,16 @@
 impl Layout {
     /// Every link of the stage, as its two ends' names.
     pub fn links(&self) -> Vec<(String, String)> {
-        let servers = self.zones.iter().flat_map(|(zone, n)| (0..*n).map(move |n| format!("{zone}-{n}")));
+        let servers = self
+            .zones
+            .iter()
+            .flat_map(|(zone, n)| (0..*n).map(move |n| format!("{zone}-{n}")));
         let ends: Vec<String> = servers.chain(["discovery".to_string()]).collect();
         (0..self.proxies)
-            .flat_map(|p| ends.iter().map(move |end| (format!("proxy{p}"), end.clone())))
+            .flat_map(|p| {
+                ends.iter()
+                    .map(move |end| (format!("proxy{p}"), end.clone()))
+            })
             .collect()
     }
 }
@@ -65,13 +72,19 @@
 /// # Panics
 /// Where [`crate::CONFIG`] is no JSON or names no classes, which the crate's own test rules out.
 pub fn classes() -> Vec<String> {
-    let config: serde_json::Value = serde_json::from_str(crate::CONFIG).expect("the template is JSON");
-    let classes = config["settings"]["classes"].as_array().expect("classes are listed");
-    classes.iter().map(|c| c["name"].as_str().expect("a class has a name").to_string()).collect()
+    let config: serde_json::Value =
+        serde_json::from_str(crate::CONFIG).expect("the template is JSON");
+    let classes = config["settings"]["classes"]
+        .as_array()
+        .expect("classes are listed");
+    classes
+        .iter()
+        .map(|c| c["name"].as_str().expect("a class has a name").to_string())
+        .collect()
 }
 
-/// A stage. Everything in it is owned here and given back when it is dropped: proxies first (killed and reaped), then
-/// relays, discoveries and pay servers.
+/// A stage. Everything in it is owned here and given back when it is dropped: proxies first (killed
+/// and reaped), then relays, discoveries and pay servers.
 pub struct Stage {
     /// The proxies, none while one is down.
     pub proxies: Vec<Option<Proxy>>,
@@ -79,7 +92,8 @@
     pub faults: Arc<Faults>,
     /// Every run on every pay server.
     pub record: Arc<Record>,
-    /// The relays, by link: for each proxy, one to each pay server (in the order of `servers`), then discovery.
+    /// The relays, by link: for each proxy, one to each pay server (in the order of `servers`),
+    /// then discovery.
     pub relays: Vec<Relay>,
     /// The pay servers.
     pub servers: Vec<PayServer>,
@@ -91,8 +105,9 @@
     _discoveries: Vec<Discovery>,
 }
 
-/// A port of the system's choice on 127.0.0.1, held without listening (SO_REUSEPORT) so that only the proxies that
-/// listen there may have it; the port is given back when the descriptor is dropped.
+/// A port of the system's choice on 127.0.0.1, held without listening (SO_REUSEPORT) so that only
+/// the proxies that listen there may have it; the port is given back when the descriptor is
+/// dropped.
 pub fn place() -> std::io::Result<(SocketAddr, OwnedFd)> {
     let port = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None)?;
     set_socket_reuseport(&port, true)?;
@@ -104,23 +119,35 @@
 
 /// The configuration of one proxy of `count`, from the stage's template.
 fn configuration(layout: &Layout, me: usize, discovery: SocketAddr, listen: SocketAddr) -> String {
-    let zones: Vec<String> = layout.zones.iter().map(|(z, _)| format!("\"{z}\"")).collect();
+    let zones: Vec<String> = layout
+        .zones
+        .iter()
+        .map(|(z, _)| format!("\"{z}\""))
+        .collect();
     let (own, count) = (&layout.zones[0].0, layout.proxies);
     crate::CONFIG
         .replace("\"zone\":\"seattle\"", &format!("\"zone\":\"{own}\""))
-        .replace("\"zones\":[\"seattle\",\"portland\"]", &format!("\"zones\":[{}]", zones.join(",")))
+        .replace(
+            "\"zones\":[\"seattle\",\"portland\"]",
+            &format!("\"zones\":[{}]", zones.join(",")),
+        )
         .replace("{discovery}", &discovery.to_string())
         .replace("127.0.0.1:0", &listen.to_string())
         .replace("\"name\":\"n1\"", &format!("\"name\":\"n{me}\""))
-        .replace("\"balancers\":1,\"me\":0", &format!("\"balancers\":{count},\"me\":{me}"))
+        .replace(
+            "\"balancers\":1,\"me\":0",
+            &format!("\"balancers\":{count},\"me\":{me}"),
+        )
 }
 
 impl Stage {
-    /// Sets up a stage under `schedule` and starts every proxy, each with a configuration from [`crate::CONFIG`] in
-    /// which the zones are the layout's.
+    /// Sets up a stage under `schedule` and starts every proxy, each with a configuration from
+    /// [`crate::CONFIG`] in which the zones are the layout's.
     pub fn new(layout: Layout, schedule: Schedule) -> Result<Stage, StageError> {
         if layout.zones.is_empty() || layout.proxies == 0 {
-            return Err(StageError::Io(std::io::Error::other("a stage needs a zone and a proxy")));
+            return Err(StageError::Io(std::io::Error::other(
+                "a stage needs a zone and a proxy",
+            )));
         }
         let faults = Faults::new(schedule);
         let record = Arc::new(Record::default());
@@ -133,8 +160,11 @@
                 ));
             }
         }
-        let targets =
-            servers.iter().map(|(az, s)| Target { uid: s.uid.clone(), az: az.clone(), state: "up".into() });
+        let targets = servers.iter().map(|(az, s)| Target {
+            uid: s.uid.clone(),
+            az: az.clone(),
+            state: "up".into(),
+        });
         let registry = Registry::new(targets.collect());
         let servers: Vec<PayServer> = servers.into_iter().map(|(_, s)| s).collect();
         let folder = tempfile::tempdir()?;
@@ -176,14 +206,16 @@
         Ok(stage)
     }
 
-    /// Starts proxy `p` (again, on the same clients' address and state directory) and waits for its yes; how long
-    /// the yes took.
+    /// Starts proxy `p` (again, on the same clients' address and state directory) and waits for its
+    /// yes; how long the yes took.
     pub fn start(&mut self, p: usize) -> Result<Duration, StageError> {
         let (name, state) = (format!("proxy{p}"), self.state(p));
         let (program, patience) = (&self.layout.program, self.layout.patience);
         let proxy = Proxy::start(&name, program, &self.places[p].2, &state, patience)
             .map_err(|e| StageError::Start(p, e))?;
-        let ready = proxy.ready(patience).ok_or_else(|| StageError::NotReady(p, proxy.tail(5)))?;
+        let ready = proxy
+            .ready(patience)
+            .ok_or_else(|| StageError::NotReady(p, proxy.tail(5)))?;
         self.proxies[p] = Some(proxy);
         Ok(ready)
     }
@@ -213,14 +245,17 @@
         self.folder.path()
     }
 
-    /// Plays `shape` on every proxy at once, while `meanwhile` runs on this thread; one report per proxy.
+    /// Plays `shape` on every proxy at once, while `meanwhile` runs on this thread; one report per
+    /// proxy.
     pub fn load(&mut self, shape: &Shape, meanwhile: impl FnOnce(&mut Stage)) -> Vec<Report> {
-        let tallies: Vec<load::Tally> = (0..self.places.len()).map(|_| load::Tally::default()).collect();
+        let tallies: Vec<load::Tally> = (0..self.places.len())
+            .map(|_| load::Tally::default())
+            .collect();
         self.load_into(shape, &tallies, |stage, _| meanwhile(stage))
     }
 
-    /// The same, with each proxy's requests added to its tally as they end, for who watches live; `meanwhile` is
-    /// given the tallies too.
+    /// The same, with each proxy's requests added to its tally as they end, for who watches live;
+    /// `meanwhile` is given the tallies too.
     pub fn load_into(
         &mut self,
         shape: &Shape,
@@ -233,12 +268,17 @@
         let loads: Vec<_> = (0..self.places.len())
             .map(|p| {
                 let (at, shape, tally) = (self.listen(p), shape.clone(), Arc::clone(&tallies[p]));
-                std::thread::spawn(move || load::play_into(at, &format!("{p:x}"), &shape, start, &tally))
+                std::thread::spawn(move || {
+                    load::play_into(at, &format!("{p:x}"), &shape, start, &tally)
+                })
             })
             .collect();
         let meanwhile = |stage: &mut Stage| meanwhile(stage, tallies);
         meanwhile(self);
-        loads.into_iter().filter_map(|l| l.join().ok()?.ok()).collect()
+        loads
+            .into_iter()
+            .filter_map(|l| l.join().ok()?.ok())
+            .collect()
     }
 }
 
--- a/crates/fault-injection/src/standin.rs
+++ b/crates/fault-injection/src/standin.rs
@@ -1,8 +1,8 @@
 //! Stand-ins written from the protocol page: pay servers with an execution record, and discovery.
 //!
-//! A pay server starts on a request once its last byte has arrived, runs it for `work` and answers 200 with a body
-//! that names the request's `X-Txn`. Every run is written to the [`Record`], the ground truth for "nothing runs twice":
-//! it is kept by the stand-in, not told by the proxy.
+//! A pay server starts on a request once its last byte has arrived, runs it for `work` and answers
+//! 200 with a body that names the request's `X-Txn`. Every run is written to the [`Record`], the
+//! ground truth for "nothing runs twice": it is kept by the stand-in, not told by the proxy.
 
 use std::collections::HashMap;
 use std::io::{BufRead as _, BufReader, Read as _, Write as _};
@@ -11,7 +11,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// For how long after its run a repeat under the same `Idempotency-Key` is dropped: answered, and not run.
+/// For how long after its run a repeat under the same `Idempotency-Key` is dropped: answered, and
+/// not run.
 pub const DROPPED: Duration = Duration::from_secs(4);
 
 /// One request that ran on a pay server.
@@ -38,7 +39,11 @@
 
 impl Default for Record {
     fn default() -> Record {
-        Record { start: Mutex::new(Instant::now()), keys: Mutex::default(), runs: Mutex::new(Vec::new()) }
+        Record {
+            start: Mutex::new(Instant::now()),
+            keys: Mutex::default(),
+            runs: Mutex::new(Vec::new()),
+        }
     }
 }
 
@@ -116,7 +121,9 @@
             return None;
         }
     }
-    let length = header(&head, "content-length").and_then(|v| v.parse().ok()).unwrap_or(0usize);
+    let length = header(&head, "content-length")
+        .and_then(|v| v.parse().ok())
+        .unwrap_or(0usize);
     let mut body = vec![0; length.min(1 << 20)];
     from.read_exact(&mut body).ok()?;
     Some((head, body))
@@ -135,26 +142,48 @@
     pub fn start(uid: &str, work: Duration, record: Arc<Record>) -> std::io::Result<PayServer> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let (mood, stop) = (Arc::new(AtomicU8::new(Mood::Serve as u8)), Arc::new(AtomicBool::new(false)));
+        let (mood, stop) = (
+            Arc::new(AtomicU8::new(Mood::Serve as u8)),
+            Arc::new(AtomicBool::new(false)),
+        );
         let works = Arc::new(AtomicU64::new(work.as_micros() as u64));
-        let (m, s, w, name) = (Arc::clone(&mood), Arc::clone(&stop), Arc::clone(&works), uid.to_string());
+        let (m, s, w, name) = (
+            Arc::clone(&mood),
+            Arc::clone(&stop),
+            Arc::clone(&works),
+            uid.to_string(),
+        );
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 if s.load(Ordering::Relaxed) {
                     return;
                 }
                 let Ok(stream) = stream else { continue };
-                let (m, w, record, name) =
-                    (Arc::clone(&m), Arc::clone(&w), Arc::clone(&record), name.clone());
+                let (m, w, record, name) = (
+                    Arc::clone(&m),
+                    Arc::clone(&w),
+                    Arc::clone(&record),
+                    name.clone(),
+                );
                 std::thread::spawn(move || serve(stream, &name, &w, &m, &record));
             }
         });
-        Ok(PayServer { uid: uid.into(), address, mood, work, works, stop })
+        Ok(PayServer {
+            uid: uid.into(),
+            address,
+            mood,
+            work,
+            works,
+            stop,
+        })
     }
 
     /// From the next request on each takes so many times its work.
     pub fn set_factor(&self, factor: f64) {
-        self.works.store(self.work.mul_f64(factor).as_micros() as u64, Ordering::Relaxed);
+        self.works.store(
+            self.work.mul_f64(factor).as_micros() as u64,
+            Ordering::Relaxed,
+        );
     }
 
     /// Changes how it answers from the next request on.
@@ -172,23 +201,38 @@
 
 fn serve(stream: TcpStream, uid: &str, work: &AtomicU64, mood: &AtomicU8, record: &Record) {
     let _ = stream.set_read_timeout(Some(Duration::from_secs(60)));
-    let Ok(reading) = stream.try_clone() else { return };
+    let Ok(reading) = stream.try_clone() else {
+        return;
+    };
     let mut reader = BufReader::new(reading);
     while let Some((head, _body)) = message(&mut reader) {
         let path = head.split(' ').nth(1).unwrap_or("/");
-        let class = path.trim_start_matches('/').split(['/', '?']).next().unwrap_or("").to_string();
+        let class = path
+            .trim_start_matches('/')
+            .split(['/', '?'])
+            .next()
+            .unwrap_or("")
+            .to_string();
         let (status, extra, body) = if class == "health" || class == "stats" {
             ("200 OK", "", String::from("inflight=0"))
         } else if let Some(txn) = header(&head, "x-txn") {
             match mood.load(Ordering::Relaxed) {
-                1 => ("503 Service Unavailable", "X-Turned-Away: 1\r\n", String::new()),
+                1 => (
+                    "503 Service Unavailable",
+                    "X-Turned-Away: 1\r\n",
+                    String::new(),
+                ),
                 m => {
                     if record.runs_now(header(&head, "idempotency-key")) {
                         record.push(txn, class, uid);
                     }
                     std::thread::sleep(Duration::from_micros(work.load(Ordering::Relaxed)));
                     (
-                        if m == 2 { "500 Internal Server Error" } else { "200 OK" },
+                        if m == 2 {
+                            "500 Internal Server Error"
+                        } else {
+                            "200 OK"
+                        },
                         "",
                         format!("ran {txn} on {uid}"),
                     )
@@ -197,7 +241,10 @@
         } else {
             ("404 Not Found", "", String::new())
         };
-        let text = format!("HTTP/1.1 {status}\r\n{extra}Content-Length: {}\r\n\r\n{body}", body.len());
+        let text = format!(
+            "HTTP/1.1 {status}\r\n{extra}Content-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         if (&stream).write_all(text.as_bytes()).is_err() {
             return;
         }
@@ -215,9 +262,11 @@
     pub state: String,
 }
 
-/// Stand-in discovery for one proxy: the list and its watch, with endpoints that this proxy is to use (its relays).
+/// Stand-in discovery for one proxy: the list and its watch, with endpoints that this proxy is to
+/// use (its relays).
 ///
-/// The list is shared by all proxies' discoveries; a change bumps `rev` and every watch sends the whole list anew.
+/// The list is shared by all proxies' discoveries; a change bumps `rev` and every watch sends the
+/// whole list anew.
 pub struct Discovery {
     /// Where the proxy asks.
     pub address: SocketAddr,
@@ -233,14 +282,20 @@
 impl Registry {
     /// A list at revision 1.
     pub fn new(targets: Vec<Target>) -> Arc<Registry> {
-        Arc::new(Registry { state: Mutex::new((1, targets)) })
+        Arc::new(Registry {
+            state: Mutex::new((1, targets)),
+        })
     }
 
     /// Sets the state of one pay server (`up`, `draining`); the revision moves on.
     pub fn set_state(&self, uid: &str, state: &str) {
         let mut guard = self.state.lock().expect("not poisoned");
         guard.0 += 1;
-        guard.1.iter_mut().filter(|t| t.uid == uid).for_each(|t| t.state = state.into());
+        guard
+            .1
+            .iter_mut()
+            .filter(|t| t.uid == uid)
+            .for_each(|t| t.state = state.into());
     }
 
     fn line(&self, endpoints: &HashMap<String, SocketAddr>) -> (u64, String) {
@@ -256,7 +311,14 @@
                 ))
             })
             .collect();
-        (guard.0, format!("{{\"rev\":{},\"all\":true,\"targets\":[{}]}}\n", guard.0, targets.join(",")))
+        (
+            guard.0,
+            format!(
+                "{{\"rev\":{},\"all\":true,\"targets\":[{}]}}\n",
+                guard.0,
+                targets.join(",")
+            ),
+        )
     }
 }
 
@@ -276,8 +338,11 @@
                     return;
                 }
                 let Ok(stream) = stream else { continue };
-                let (registry, endpoints, s) =
-                    (Arc::clone(&registry), Arc::clone(&endpoints), Arc::clone(&s));
+                let (registry, endpoints, s) = (
+                    Arc::clone(&registry),
+                    Arc::clone(&endpoints),
+                    Arc::clone(&s),
+                );
                 std::thread::spawn(move || answer(stream, &registry, &endpoints, &s));
             }
         });
@@ -298,19 +363,27 @@
     endpoints: &HashMap<String, SocketAddr>,
     stop: &AtomicBool,
 ) {
-    let Ok(reading) = stream.try_clone() else { return };
+    let Ok(reading) = stream.try_clone() else {
+        return;
+    };
     let mut reader = BufReader::new(reading);
     while let Some((head, _)) = message(&mut reader) {
         let (mut rev, line) = registry.line(endpoints);
         if !head.contains("stream=1") {
-            let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{line}", line.len());
+            let text = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{line}",
+                line.len()
+            );
             if (&stream).write_all(text.as_bytes()).is_err() {
                 return;
             }
             continue;
         }
         let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
-        let first = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(&line));
+        let first = format!(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}",
+            chunk(&line)
+        );
         if (&stream).write_all(first.as_bytes()).is_err() {
             return;
         }
--- a/crates/fault-injection/src/verdict.rs
+++ b/crates/fault-injection/src/verdict.rs
@@ -1,6 +1,7 @@
 //! What the clients saw, reconciled with what the pay servers ran.
 //!
-//! The verdict never takes the proxy's word: a request counts as run when a stand-in's record says so.
+//! The verdict never takes the proxy's word: a request counts as run when a stand-in's record says
+//! so.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -33,20 +34,34 @@
         .map(|(txn, _)| txn.to_string())
         .collect();
     twice.sort();
-    let served: Vec<&Sent> = sent.iter().filter(|s| s.outcome == Outcome::Served).collect();
-    let made_up =
-        served.iter().filter(|s| !counts.contains_key(s.txn.as_str())).map(|s| s.txn.clone()).collect();
-    Verdict { twice, made_up, sent: sent.len(), served: served.len() }
+    let served: Vec<&Sent> = sent
+        .iter()
+        .filter(|s| s.outcome == Outcome::Served)
+        .collect();
+    let made_up = served
+        .iter()
+        .filter(|s| !counts.contains_key(s.txn.as_str()))
+        .map(|s| s.txn.clone())
+        .collect();
+    Verdict {
+        twice,
+        made_up,
+        sent: sent.len(),
+        served: served.len(),
+    }
 }
 
-/// The first moment at or after `from` from which every request meant to go was served for `span`: when service was
-/// back. None where it never came back.
+/// The first moment at or after `from` from which every request meant to go was served for `span`:
+/// when service was back. None where it never came back.
 pub fn back(sent: &[Sent], from: Duration, span: Duration) -> Option<Duration> {
     let later: Vec<&Sent> = sent.iter().filter(|s| s.at >= from).collect();
     let last = later.last()?.at;
     (0..later.len()).map(|i| later[i].at).find(|&t| {
         t + span <= last
-            && later.iter().filter(|s| s.at >= t && s.at < t + span).all(|s| s.outcome == Outcome::Served)
+            && later
+                .iter()
+                .filter(|s| s.at >= t && s.at < t + span)
+                .all(|s| s.outcome == Outcome::Served)
     })
 }
 
--- a/crates/fault-injection/src/verdict/tests.rs
+++ b/crates/fault-injection/src/verdict/tests.rs
@@ -3,25 +3,47 @@
 use super::*;
 
 fn sent(txn: &str, at_ms: u64, outcome: Outcome) -> Sent {
-    Sent { txn: txn.into(), at: Duration::from_millis(at_ms), outcome, latency: Duration::ZERO }
+    Sent {
+        txn: txn.into(),
+        at: Duration::from_millis(at_ms),
+        outcome,
+        latency: Duration::ZERO,
+    }
 }
 
 fn run(txn: &str, class: &str) -> Run {
-    Run { txn: txn.into(), class: class.into(), server: "s-0".into(), at: Duration::ZERO }
+    Run {
+        txn: txn.into(),
+        class: class.into(),
+        server: "s-0".into(),
+        at: Duration::ZERO,
+    }
 }
 
 #[test]
 fn a_request_run_twice_is_named_unless_its_class_allows_it() {
-    let runs =
-        [run("a", "deposit-order"), run("a", "deposit-order"), run("b", "balance"), run("b", "balance")];
-    let v = judge(&[sent("a", 0, Outcome::Served), sent("b", 1, Outcome::Served)], &runs, &["balance"]);
+    let runs = [
+        run("a", "deposit-order"),
+        run("a", "deposit-order"),
+        run("b", "balance"),
+        run("b", "balance"),
+    ];
+    let v = judge(
+        &[sent("a", 0, Outcome::Served), sent("b", 1, Outcome::Served)],
+        &runs,
+        &["balance"],
+    );
     assert_eq!(v.twice, vec!["a".to_string()]);
     assert!(v.made_up.is_empty());
 }
 
 #[test]
 fn an_answer_no_pay_server_made_is_named() {
-    let v = judge(&[sent("c", 0, Outcome::Served), sent("d", 0, Outcome::Broken)], &[], &[]);
+    let v = judge(
+        &[sent("c", 0, Outcome::Served), sent("d", 0, Outcome::Broken)],
+        &[],
+        &[],
+    );
     assert_eq!((v.made_up, v.served, v.sent), (vec!["c".to_string()], 1, 2));
 }
 
@@ -33,6 +55,12 @@
         .enumerate()
         .map(|(n, o)| sent("x", n as u64 * 100, *o))
         .collect();
-    assert_eq!(back(&s, Duration::ZERO, Duration::from_millis(300)), Some(Duration::from_millis(300)));
-    assert_eq!(back(&s[..3], Duration::ZERO, Duration::from_millis(300)), None);
+    assert_eq!(
+        back(&s, Duration::ZERO, Duration::from_millis(300)),
+        Some(Duration::from_millis(300))
+    );
+    assert_eq!(
+        back(&s[..3], Duration::ZERO, Duration::from_millis(300)),
+        None
+    );
 }
--- a/crates/gate/src/answer.rs
+++ b/crates/gate/src/answer.rs
@@ -90,7 +90,8 @@
             Some(Part::Bytes(bytes)) => Some((Ok(bytes), Some(receiver))),
             Some(Part::End) => None,
             None => {
-                // What was passed on before goes out first: an error ends the connection as it stands.
+                // What was passed on before goes out first: an error ends the connection as it
+                // stands.
                 tokio::task::yield_now().await;
                 Some((Err(io::ErrorKind::ConnectionAborted.into()), None))
             }
@@ -99,7 +100,10 @@
 }
 
 /// The same; `active` keeps the connection busy until it is over.
-fn parts(flow: Flow, active: ActiveRequest) -> Pin<Box<dyn Stream<Item = Result<Bytes, io::Error>>>> {
+fn parts(
+    flow: Flow,
+    active: ActiveRequest,
+) -> Pin<Box<dyn Stream<Item = Result<Bytes, io::Error>>>> {
     Box::pin(stream_of(flow.0).inspect(move |_| _ = &active))
 }
 
@@ -112,9 +116,10 @@
         Answer::Flowing(head, None, flow) => {
             with_head(head, BoxBody::new(BodyStream::new(parts(flow, active))))
         }
-        Answer::Flowing(head, Some(length), flow) => {
-            with_head(head, BoxBody::new(SizedStream::new(length, parts(flow, active))))
-        }
+        Answer::Flowing(head, Some(length), flow) => with_head(
+            head,
+            BoxBody::new(SizedStream::new(length, parts(flow, active))),
+        ),
     }
 }
 
