--- a/crates/ironmast/tests/operations.rs
+++ b/crates/ironmast/tests/operations.rs
@@ -1,4 +1,5 @@
-//! Operators' calls and the replacement of a process by another, over real sockets and with real processes.
+//! Operators' calls and the replacement of a process by another, over real sockets and with real
+//! processes.
 
 mod common;
 mod stage;
@@ -40,7 +41,10 @@
     fn new() -> Counted {
         let asked: [Arc<AtomicUsize>; 2] = Default::default();
         let servers = [0, 1].map(|n| pay_server(Arc::clone(&asked[n])));
-        Counted { stage: Stage::new(&servers), asked }
+        Counted {
+            stage: Stage::new(&servers),
+            asked,
+        }
     }
 
     fn asked(&self, server: usize) -> usize {
@@ -56,8 +60,8 @@
     }
 }
 
-/// Clients that ask all the time, each other one on a new connection each time, until told to stop; they give
-/// back how many answers they had, and what else they met.
+/// Clients that ask all the time, each other one on a new connection each time, until told to stop;
+/// they give back how many answers they had, and what else they met.
 fn clients(stage: &Stage, stop: &Arc<AtomicBool>) -> Vec<JoinHandle<(usize, Vec<String>)>> {
     let one = |n: usize| {
         let (listen, stop) = (stage.listen, Arc::clone(stop));
@@ -74,7 +78,8 @@
                         }
                     },
                 };
-                let ask = format!("GET /balance HTTP/1.1\r\nHost: a\r\nX-Txn: c{n}-{served}\r\n\r\n");
+                let ask =
+                    format!("GET /balance HTTP/1.1\r\nHost: a\r\nX-Txn: c{n}-{served}\r\n\r\n");
                 let _ = stream.get_mut().write_all(ask.as_bytes());
                 let Some(head) = head(&mut stream) else {
                     bad.push("closed on a request".to_string());
@@ -115,8 +120,14 @@
     let mut took = Vec::new();
     for (line, told) in [
         ("ready\n", "+OK ready\n"),
-        ("disable-server nobody\n", "-ERR no server has the ID `nobody`\n"),
-        ("enable-server nobody\n", "-ERR no server has the ID `nobody`\n"),
+        (
+            "disable-server nobody\n",
+            "-ERR no server has the ID `nobody`\n",
+        ),
+        (
+            "enable-server nobody\n",
+            "-ERR no server has the ID `nobody`\n",
+        ),
         ("disable-server s-0\r\n", "+OK s-0 is out of use\n"),
         ("disable-server s-0\n", "+OK s-0 is out of use already\n"),
         ("enable-server s-0\n", "+OK s-0 is in use again\n"),
@@ -132,12 +143,23 @@
         }
     }
     took.sort();
-    println!("{} calls: median {:?}, worst {:?}", took.len(), took[took.len() / 2], took[took.len() - 1]);
-    assert!(took[took.len() - 1] < Duration::from_secs(1), "each within a second");
+    println!(
+        "{} calls: median {:?}, worst {:?}",
+        took.len(),
+        took[took.len() / 2],
+        took[took.len() - 1]
+    );
+    assert!(
+        took[took.len() - 1] < Duration::from_secs(1),
+        "each within a second"
+    );
     let long = process.call(&"x".repeat(2_000));
     assert!(long.starts_with("-ERR the line is over"), "{long}");
     stop.store(true, Ordering::SeqCst);
-    let bad: Vec<_> = load.into_iter().flat_map(|c| c.join().expect("it ends").1).collect();
+    let bad: Vec<_> = load
+        .into_iter()
+        .flat_map(|c| c.join().expect("it ends").1)
+        .collect();
     assert!(bad.is_empty(), "{bad:?}");
     drop(silent);
 }
@@ -206,7 +228,8 @@
         old = new;
     }
     stop.store(true, Ordering::SeqCst);
-    let (served, bad): (Vec<_>, Vec<_>) = load.into_iter().map(|c| c.join().expect("it ends")).unzip();
+    let (served, bad): (Vec<_>, Vec<_>) =
+        load.into_iter().map(|c| c.join().expect("it ends")).unzip();
     assert!(served.iter().all(|&n| n > 0), "{served:?}");
     assert!(bad.concat().is_empty(), "{bad:?}");
 }
@@ -221,13 +244,19 @@
     new.signal("-KILL");
     new.child.0.wait().expect("it ends");
     wait_log(&mut old.log, "alone again");
-    assert!(stage.request("a").starts_with("HTTP/1.1 200"), "the old one serves again");
+    assert!(
+        stage.request("a").starts_with("HTTP/1.1 200"),
+        "the old one serves again"
+    );
     let mut next = stage.start(stage.place());
     wait_log(&mut old.log, "a successor serves");
     old.signal("-KILL");
     old.child.0.wait().expect("it ends");
     wait_log(&mut next.log, "alone again");
-    assert!(stage.request("b").starts_with("HTTP/1.1 200"), "the new one serves");
+    assert!(
+        stage.request("b").starts_with("HTTP/1.1 200"),
+        "the new one serves"
+    );
     next.ready();
 }
 
@@ -242,9 +271,10 @@
     process.ready();
     assert!(stage.request("a").starts_with("HTTP/1.1 200"));
     // A successor of another version, and one that speaks nonsense, change nothing.
-    for (line, told) in
-        [("{\"hello\":{\"version\":9}}\n", "another version"), ("nonsense\n", "did not greet")]
-    {
+    for (line, told) in [
+        ("{\"hello\":{\"version\":9}}\n", "another version"),
+        ("nonsense\n", "did not greet"),
+    ] {
         let mut stream = std::os::unix::net::UnixStream::connect(file("sock")).expect("it waits");
         stream.write_all(line.as_bytes()).expect("written");
         wait_log(&mut process.log, told);
@@ -260,18 +290,26 @@
     drop(mute);
 }
 
-/// Discovery has moved by SIGHUP since the first start; the new process is started with the old environment.
+/// Discovery has moved by SIGHUP since the first start; the new process is started with the old
+/// environment.
 #[test]
 fn a_replacement_after_a_reload_asks_discovery_where_the_file_says() {
     let stage = Counted::new();
     let old = stage.start(stage.place());
     old.ready();
-    let gone = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound").to_string();
+    let gone = TcpListener::bind("127.0.0.1:0")
+        .expect("a port")
+        .local_addr()
+        .expect("bound")
+        .to_string();
     let mut new = stage.start_with(stage.place(), &[("GW_DISCOVERY", &gone)]);
     new.ready();
     let mut lines = (&mut new.log).lines().map(|line| line.expect("a log"));
     let told = lines.find(|line| line.contains("Complete") || line.contains("discovery failed"));
-    assert!(told.as_ref().is_some_and(|line| line.contains("Complete")), "{told:?}");
+    assert!(
+        told.as_ref().is_some_and(|line| line.contains("Complete")),
+        "{told:?}"
+    );
 }
 
 /// Without a folder to meet in, each goes alone: both listen, and the second serves on.
@@ -280,7 +318,10 @@
     let stage = Counted::new();
     let mut old = stage.start(None);
     old.ready();
-    assert!(old.call("disable-server s-0\n").contains("until this process ends"));
+    assert!(
+        old.call("disable-server s-0\n")
+            .contains("until this process ends")
+    );
     let new = stage.start(None);
     new.ready();
     old.signal("-TERM");
@@ -293,15 +334,25 @@
     let text = ironmast_fault_injection::CONFIG.replace("{discovery}", "127.0.0.1:9");
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let taken = taken.local_addr().expect("bound").to_string();
-    for (ops, told) in [("here", "GW_OPS: `here` is not"), ("127.0.0.1", "GW_OPS"), (&taken, &taken)] {
+    for (ops, told) in [
+        ("here", "GW_OPS: `here` is not"),
+        ("127.0.0.1", "GW_OPS"),
+        (&taken, &taken),
+    ] {
         let file = tempfile::NamedTempFile::new().expect("a file");
         std::fs::write(file.path(), &text).expect("written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_ironmast"));
-        let command = command.arg("run").env("GW_CONFIG", file.path()).env("GW_OPS", ops);
+        let command = command
+            .arg("run")
+            .env("GW_CONFIG", file.path())
+            .env("GW_OPS", ops);
         let out = command.output().expect("it runs");
         let lines = String::from_utf8_lossy(&out.stderr);
         assert_eq!(out.status.code(), Some(1), "{lines}");
-        assert!(lines.lines().count() == 1 && lines.contains(told), "{lines}");
+        assert!(
+            lines.lines().count() == 1 && lines.contains(told),
+            "{lines}"
+        );
     }
 }
 
@@ -311,7 +362,9 @@
     let stage = Counted::new();
     let mut old = stage.start(stage.place());
     old.ready();
-    let mut kept = BufReader::new(patient(TcpStream::connect(stage.listen).expect("it listens")));
+    let mut kept = BufReader::new(patient(
+        TcpStream::connect(stage.listen).expect("it listens"),
+    ));
     let mut ask = |txn: &str| {
         let head = ask_kept(&mut kept, txn);
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
@@ -326,7 +379,8 @@
     assert!(matches!(end, Ok(0)) || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset));
 }
 
-/// A name open in the new process is not opened in the old one on a connection it kept: the successor decides.
+/// A name open in the new process is not opened in the old one on a connection it kept: the
+/// successor decides.
 #[test]
 fn a_name_open_in_the_successor_is_refused_on_the_predecessors_kept_connection() {
     let runs = Arc::new(AtomicUsize::new(0));
@@ -338,7 +392,10 @@
                 seen.fetch_add(1, Ordering::SeqCst);
                 std::thread::sleep(Duration::from_millis(800));
             }
-            if (&stream).write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").is_err() {
+            if (&stream)
+                .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
+                .is_err()
+            {
                 return;
             }
         }
@@ -346,7 +403,9 @@
     let stage = Stage::new(&[server]);
     let mut old = stage.start(stage.place());
     old.ready();
-    let mut kept = BufReader::new(patient(TcpStream::connect(stage.listen).expect("it listens")));
+    let mut kept = BufReader::new(patient(
+        TcpStream::connect(stage.listen).expect("it listens"),
+    ));
     let mut ask = |txn: &str| ask_kept(&mut kept, txn);
     assert!(ask("first").starts_with("HTTP/1.1 200"));
     let new = stage.start(stage.place());
@@ -356,7 +415,10 @@
         let held = scope.spawn(|| stage.request("held"));
         let start = Instant::now();
         while runs.load(Ordering::SeqCst) == 0 {
-            assert!(start.elapsed() < Duration::from_secs(5), "the held request never came");
+            assert!(
+                start.elapsed() < Duration::from_secs(5),
+                "the held request never came"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
         let second = ask("held");
--- a/crates/ironmast/tests/silent_zone.rs
+++ b/crates/ironmast/tests/silent_zone.rs
@@ -1,5 +1,6 @@
-//! A zone that gives no sign, or is slow, or comes and goes: the scenarios of `scenarios/stage/` played with several
-//! real proxies, each judged by its own `[expect]` table and by the pay servers' execution record.
+//! A zone that gives no sign, or is slow, or comes and goes: the scenarios of `scenarios/stage/`
+//! played with several real proxies, each judged by its own `[expect]` table and by the pay
+//! servers' execution record.
 
 use ironmast_fault_injection::scenario::{play, read};
 
@@ -10,8 +11,14 @@
     let played = play(&scenario, schedule, program, |_, _, _| {}).expect("the stage is set up");
     let logs: Vec<String> = played.logs.iter().map(|lines| lines.join("\n")).collect();
     let (v, why) = (&played.verdict, (&played.missed, &played.problems));
-    (!played.holds())
-        .then(|| format!("{why:?}, twice {:?}, made up {:?}\n{}", v.twice, v.made_up, logs.join("\n\n")))
+    (!played.holds()).then(|| {
+        format!(
+            "{why:?}, twice {:?}, made up {:?}\n{}",
+            v.twice,
+            v.made_up,
+            logs.join("\n\n")
+        )
+    })
 }
 
 macro_rules! scenarios {
@@ -45,6 +52,7 @@
         .next()
         .expect("a head")
         .to_string();
-    let text = text + "[[expect.span]]\nfrom_s = 0.0\nto_s = 1.0\nzone = \"portland\"\nruns = 0.5\n";
+    let text =
+        text + "[[expect.span]]\nfrom_s = 0.0\nto_s = 1.0\nzone = \"portland\"\nruns = 0.5\n";
     assert!(failings(&text).is_some_and(|why| why.contains("runs in portland")));
 }
--- a/crates/ironmast/tests/stage/mod.rs
+++ b/crates/ironmast/tests/stage/mod.rs
@@ -1,4 +1,5 @@
-//! Pay servers, discovery and a place for proxies that are started one after another, as real processes.
+//! Pay servers, discovery and a place for proxies that are started one after another, as real
+//! processes.
 
 use std::io::{BufRead as _, BufReader, Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -61,10 +62,15 @@
     /// With pay servers that listen there, named s-0, s-1 and so on.
     pub fn new(servers: &[SocketAddr]) -> Stage {
         let target = |uid: &str, at: SocketAddr| {
-            format!(r#"{{"uid":"{uid}","endpoint":"{at}","az":"seattle","state":"up","capacity_hint":1.0}}"#)
+            format!(
+                r#"{{"uid":"{uid}","endpoint":"{at}","az":"seattle","state":"up","capacity_hint":1.0}}"#
+            )
         };
-        let targets: Vec<String> =
-            servers.iter().enumerate().map(|(n, &at)| target(&format!("s-{n}"), at)).collect();
+        let targets: Vec<String> = servers
+            .iter()
+            .enumerate()
+            .map(|(n, &at)| target(&format!("s-{n}"), at))
+            .collect();
         let targets = targets.join(",");
         let line = format!("{{\"rev\":1,\"all\":true,\"targets\":[{targets}]}}\n");
         let discovery = listen(move |stream| {
@@ -79,7 +85,8 @@
                 }
             }
         });
-        // A port of the system's choice, held without listening so that nobody but the proxies may have it.
+        // A port of the system's choice, held without listening so that nobody but the proxies may
+        // have it.
         let (listen, port) = ironmast_fault_injection::stage::place().expect("a port");
         Stage {
             folder: tempfile::tempdir().expect("a folder"),
@@ -103,7 +110,11 @@
             .replace("\"sockets\":1024", &format!("\"sockets\":{}", self.sockets));
         std::fs::write(&config, text).expect("written");
         let mut command = Command::new(env!("CARGO_BIN_EXE_ironmast"));
-        command.arg("run").env("GW_CONFIG", config).env("GW_OPS", "127.0.0.1:0").stderr(Stdio::piped());
+        command
+            .arg("run")
+            .env("GW_CONFIG", config)
+            .env("GW_OPS", "127.0.0.1:0")
+            .stderr(Stdio::piped());
         for name in ["GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "TMPDIR"] {
             command.env_remove(name);
         }
@@ -114,8 +125,15 @@
         let mut child = Running(command.spawn().expect("it starts"));
         let mut log = BufReader::new(child.0.stderr.take().expect("piped"));
         let line = wait_log(&mut log, "operators may call");
-        let ops = line.split_once("ops: ").and_then(|(_, rest)| rest.split(',').next()).expect("an address");
-        Process { child, log, ops: ops.trim().parse().expect("an address") }
+        let ops = line
+            .split_once("ops: ")
+            .and_then(|(_, rest)| rest.split(',').next())
+            .expect("an address");
+        Process {
+            child,
+            log,
+            ops: ops.trim().parse().expect("an address"),
+        }
     }
 
     pub fn place(&self) -> Option<&Path> {
@@ -125,8 +143,11 @@
     /// One request on a connection of its own.
     pub fn request(&self, txn: &str) -> String {
         let mut stream = patient(TcpStream::connect(self.listen).expect("it listens"));
-        write!(stream, "GET /balance HTTP/1.1\r\nHost: a\r\nConnection: close\r\nX-Txn: {txn}\r\n\r\n")
-            .expect("written");
+        write!(
+            stream,
+            "GET /balance HTTP/1.1\r\nHost: a\r\nConnection: close\r\nX-Txn: {txn}\r\n\r\n"
+        )
+        .expect("written");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("an answer");
         answer
@@ -153,6 +174,12 @@
 
     pub fn signal(&self, name: &str) {
         let id = self.child.0.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
+        assert!(
+            Command::new("kill")
+                .args([name, &id])
+                .status()
+                .expect("kill runs")
+                .success()
+        );
     }
 }
--- a/crates/ironmast/tests/streams.rs
+++ b/crates/ironmast/tests/streams.rs
@@ -17,12 +17,15 @@
 const LONG: usize = 32 << 20;
 /// Up to here the program holds a body whole.
 const HELD: usize = 64 * 1024;
-/// Peak of the program's memory while eight such bodies and answers pass, in kB; held whole they were 512 MB.
+/// Peak of the program's memory while eight such bodies and answers pass, in kB; held whole they
+/// were 512 MB.
 const PEAK_MOST: u64 = 32 * 1024;
 
 /// The byte at a place of a long body, so that a mix-up shows.
 fn byte(seed: usize, at: usize) -> u8 {
-    ((at / 4096 + at) as u8).wrapping_mul(31).wrapping_add(seed as u8)
+    ((at / 4096 + at) as u8)
+        .wrapping_mul(31)
+        .wrapping_add(seed as u8)
 }
 
 fn bytes(seed: usize, from: usize, count: usize) -> Vec<u8> {
@@ -30,8 +33,11 @@
 }
 
 fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
-    head.lines()
-        .find_map(|line| line.split_once(": ").filter(|l| l.0.eq_ignore_ascii_case(name)).map(|l| l.1.trim()))
+    head.lines().find_map(|line| {
+        line.split_once(": ")
+            .filter(|l| l.0.eq_ignore_ascii_case(name))
+            .map(|l| l.1.trim())
+    })
 }
 
 /// Reads a message's body whatever its framing; none where it broke off.
@@ -58,9 +64,11 @@
     Some(body)
 }
 
-/// A pay server that answers what `answer` says: told the head and the body (none where it broke off), it writes.
-/// Probes are answered and are no requests.
-fn server(answer: impl Fn(&TcpStream, &str, Option<Vec<u8>>) -> bool + Send + Sync + 'static) -> SocketAddr {
+/// A pay server that answers what `answer` says: told the head and the body (none where it broke
+/// off), it writes. Probes are answered and are no requests.
+fn server(
+    answer: impl Fn(&TcpStream, &str, Option<Vec<u8>>) -> bool + Send + Sync + 'static,
+) -> SocketAddr {
     listen(move |stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
         while let Some(head) = head(&mut reader) {
@@ -81,14 +89,19 @@
     let (told, ended) = channel();
     let told = std::sync::Mutex::new(told);
     let waits = server(move |_, _, body| {
-        told.lock().expect("free").send(body.is_some()).expect("heard");
+        told.lock()
+            .expect("free")
+            .send(body.is_some())
+            .expect("heard");
         false
     });
     (waits, ended)
 }
 
 fn connect(stage: &Stage) -> BufReader<TcpStream> {
-    BufReader::new(patient(TcpStream::connect(stage.listen).expect("it listens")))
+    BufReader::new(patient(
+        TcpStream::connect(stage.listen).expect("it listens"),
+    ))
 }
 
 fn started(servers: &[SocketAddr]) -> (Stage, Process) {
@@ -102,8 +115,14 @@
 fn memory(process: &Process, which: &str) -> u64 {
     let path = format!("/proc/{}/status", process.child.0.id());
     let text = std::fs::read_to_string(path).expect("it lives");
-    let line = text.lines().find(|l| l.starts_with(which)).expect("it is told");
-    line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("a number")
+    let line = text
+        .lines()
+        .find(|l| l.starts_with(which))
+        .expect("it is told");
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|n| n.parse().ok())
+        .expect("a number")
 }
 
 #[test]
@@ -160,14 +179,17 @@
     assert!(process.child.0.wait().expect("it ends").success());
 }
 
-/// A client that does not read holds its pay server up, not the program's memory; others pass meanwhile.
+/// A client that does not read holds its pay server up, not the program's memory; others pass
+/// meanwhile.
 #[test]
 fn a_reader_that_stops_holds_the_pay_server_up() {
     let sent = Arc::new(AtomicU64::new(0));
     let count = Arc::clone(&sent);
     let long = server(move |mut stream, head, _| {
         if head.starts_with("GET /balance") && header(head, "x-txn") != Some("long") {
-            return stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").is_ok();
+            return stream
+                .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
+                .is_ok();
         }
         write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {LONG}\r\n\r\n").expect("written");
         for at in (0..LONG).step_by(16 * 1024) {
@@ -180,15 +202,27 @@
     });
     let (stage, process) = started(&[long]);
     let mut stopped = connect(&stage);
-    stopped.get_mut().write_all(b"GET /balance HTTP/1.1\r\nHost: a\r\nX-Txn: long\r\n\r\n").expect("written");
+    stopped
+        .get_mut()
+        .write_all(b"GET /balance HTTP/1.1\r\nHost: a\r\nX-Txn: long\r\n\r\n")
+        .expect("written");
     let head = head(&mut stopped).expect("a head at once");
     // It comes to rest: what the kernel's buffers take, and no more.
     let mut before = u64::MAX;
     while sent.load(Ordering::SeqCst) != before {
         before = sent.load(Ordering::SeqCst);
-        (0..200).for_each(|n| assert!(stage.request(&format!("{before}-{n}")).starts_with("HTTP/1.1 200")));
+        (0..200).for_each(|n| {
+            assert!(
+                stage
+                    .request(&format!("{before}-{n}"))
+                    .starts_with("HTTP/1.1 200")
+            )
+        });
     }
-    assert!(before < LONG as u64, "the pay server is held up at {before}");
+    assert!(
+        before < LONG as u64,
+        "the pay server is held up at {before}"
+    );
     assert!(memory(&process, "VmHWM") < PEAK_MOST);
     let body = body(&mut stopped, &head).expect("the rest, once it is read");
     assert!(body == bytes(7, 0, LONG));
@@ -200,10 +234,20 @@
     let wait = std::sync::Mutex::new(wait);
     let slow = server(move |mut stream, head, _| {
         let chunked = header(head, "x-txn") == Some("chunked");
-        let framing = if chunked { "transfer-encoding: chunked" } else { "content-length: 200000" };
+        let framing = if chunked {
+            "transfer-encoding: chunked"
+        } else {
+            "content-length: 200000"
+        };
         write!(stream, "HTTP/1.1 200 OK\r\n{framing}\r\n\r\n").expect("written");
-        let first = if chunked { b"186a0\r\n".to_vec() } else { Vec::new() };
-        stream.write_all(&[first, vec![b'x'; 1_000]].concat()).expect("written");
+        let first = if chunked {
+            b"186a0\r\n".to_vec()
+        } else {
+            Vec::new()
+        };
+        stream
+            .write_all(&[first, vec![b'x'; 1_000]].concat())
+            .expect("written");
         wait.lock().expect("free").recv().expect("told to go on");
         stream.write_all(&[b'x'; 50_000]).expect("written");
         false
@@ -211,12 +255,18 @@
     let (stage, _process) = started(&[slow]);
     for txn in ["sized", "chunked"] {
         let mut stream = connect(&stage);
-        write!(stream.get_mut(), "GET /balance HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}\r\n\r\n")
-            .expect("written");
+        write!(
+            stream.get_mut(),
+            "GET /balance HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}\r\n\r\n"
+        )
+        .expect("written");
         let head = head(&mut stream).expect("a head at once");
         assert!(!stream.fill_buf().expect("first bytes").is_empty());
         go.send(()).expect("it waits");
-        assert!(body(&mut stream, &head).is_none(), "{txn}: its end is missing and that shows");
+        assert!(
+            body(&mut stream, &head).is_none(),
+            "{txn}: its end is missing and that shows"
+        );
     }
 }
 
@@ -237,13 +287,19 @@
         count.fetch_add(1, Ordering::SeqCst);
     });
     let (stage, _process) = started(&[breaks, breaks]);
-    for (class, key) in [("deposit-order", ""), ("timesheet-post", "Idempotency-Key: k\r\n")] {
+    for (class, key) in [
+        ("deposit-order", ""),
+        ("timesheet-post", "Idempotency-Key: k\r\n"),
+    ] {
         let before = tries.load(Ordering::SeqCst);
         let mut stream = connect(&stage);
         let head = format!(
             "POST /{class} HTTP/1.1\r\nHost: a\r\nX-Txn: {class}\r\n{key}Content-Length: {LONG}\r\n\r\n"
         );
-        stream.get_mut().write_all(head.as_bytes()).expect("written");
+        stream
+            .get_mut()
+            .write_all(head.as_bytes())
+            .expect("written");
         // It is turned away in the middle.
         while stream.get_mut().write_all(&[b'x'; 16 * 1024]).is_ok() && stream.buffer().is_empty() {
             stream.get_mut().set_nonblocking(true).expect("set");
@@ -251,13 +307,16 @@
             stream.get_mut().set_nonblocking(false).expect("set");
         }
         let answer = stage::head(&mut stream).unwrap_or_default();
-        assert!(answer.starts_with("HTTP/1.1 503"), "{class}: nothing can have run: `{answer}`");
+        assert!(
+            answer.starts_with("HTTP/1.1 503"),
+            "{class}: nothing can have run: `{answer}`"
+        );
         assert_eq!(tries.load(Ordering::SeqCst), before + 1, "{class}");
     }
 }
 
-/// A body somewhat over what is held may have come whole by the time it is seen to be long: the pay server has all
-/// of it then, and may have run it.
+/// A body somewhat over what is held may have come whole by the time it is seen to be long: the pay
+/// server has all of it then, and may have run it.
 #[test]
 fn a_long_body_that_came_whole_at_once_may_have_run_and_is_not_repeated() {
     let runs = Arc::new(AtomicUsize::new(0));
@@ -273,21 +332,32 @@
         let head = format!(
             "POST /deposit-order HTTP/1.1\r\nHost: a\r\nX-Txn: {n}\r\nContent-Length: {length}\r\n\r\n"
         );
-        stream.get_mut().write_all(&[head.into_bytes(), vec![b'x'; length]].concat()).expect("written");
+        stream
+            .get_mut()
+            .write_all(&[head.into_bytes(), vec![b'x'; length]].concat())
+            .expect("written");
         let answer = stage::head(&mut stream).expect("an answer");
-        assert!(answer.starts_with("HTTP/1.1 502"), "it may have run: {answer}");
+        assert!(
+            answer.starts_with("HTTP/1.1 502"),
+            "it may have run: {answer}"
+        );
         assert_eq!(runs.load(Ordering::SeqCst), n + 1, "once");
     }
 }
 
 #[test]
 fn a_body_of_which_nothing_was_sent_goes_to_another_server() {
-    let gone = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+    let gone = TcpListener::bind("127.0.0.1:0")
+        .expect("a port")
+        .local_addr()
+        .expect("bound");
     let lengths = Arc::new(std::sync::Mutex::new(Vec::new()));
     let noted = Arc::clone(&lengths);
     let good = server(move |mut stream, _, body| {
         noted.lock().expect("free").push(body.map(|b| b.len()));
-        stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").is_ok()
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
+            .is_ok()
     });
     let (stage, _process) = started(&[gone, good]);
     for n in 0..4 {
@@ -297,8 +367,15 @@
             "POST /deposit-order HTTP/1.1\r\nHost: a\r\nX-Txn: {n}\r\nContent-Length: 300000\r\n\r\n"
         )
         .expect("written");
-        stream.get_mut().write_all(&[b'x'; 300_000]).expect("written");
-        assert!(head(&mut stream).expect("an answer").starts_with("HTTP/1.1 200"));
+        stream
+            .get_mut()
+            .write_all(&[b'x'; 300_000])
+            .expect("written");
+        assert!(
+            head(&mut stream)
+                .expect("an answer")
+                .starts_with("HTTP/1.1 200")
+        );
     }
     assert_eq!(*lengths.lock().expect("free"), [Some(300_000); 4]);
 }
@@ -314,10 +391,17 @@
         "POST /deposit-order HTTP/1.1\r\nHost: a\r\nX-Txn: a\r\nContent-Length: {LONG}\r\n\r\n"
     )
     .expect("written");
-    stream.get_mut().write_all(&[b'x'; 100_000]).expect("written");
+    stream
+        .get_mut()
+        .write_all(&[b'x'; 100_000])
+        .expect("written");
     let _ = stream.read_to_end(&mut Vec::new());
     assert!(start.elapsed() < Duration::from_secs(10), "closed on");
-    assert_eq!(ended.recv_timeout(PATIENCE), Ok(false), "its body broke off there, too");
+    assert_eq!(
+        ended.recv_timeout(PATIENCE),
+        Ok(false),
+        "its body broke off there, too"
+    );
 }
 
 #[test]
@@ -325,8 +409,12 @@
     let (waits, ended) = listener_for_ends();
     let (stage, _process) = started(&[waits]);
     let mut stream = connect(&stage);
-    let head = "POST /deposit-order HTTP/1.1\r\nHost: a\r\nX-Txn: a\r\nTransfer-Encoding: chunked\r\n\r\n";
-    stream.get_mut().write_all(head.as_bytes()).expect("written");
+    let head =
+        "POST /deposit-order HTTP/1.1\r\nHost: a\r\nX-Txn: a\r\nTransfer-Encoding: chunked\r\n\r\n";
+    stream
+        .get_mut()
+        .write_all(head.as_bytes())
+        .expect("written");
     let chunk = [b"40000\r\n".to_vec(), vec![b'x'; 0x40000], b"\r\n".to_vec()].concat();
     let start = Instant::now();
     while stream.get_mut().write_all(&chunk).is_ok() {
@@ -335,7 +423,8 @@
     assert_eq!(ended.recv_timeout(PATIENCE), Ok(false));
 }
 
-/// Requests in every form, each byte by itself, come to the pay server as they are; and its answers back.
+/// Requests in every form, each byte by itself, come to the pay server as they are; and its answers
+/// back.
 #[test]
 fn all_forms_of_requests_and_answers_pass_in_pieces_of_one_byte() {
     const ANSWERS: [&str; 6] = [
@@ -349,7 +438,9 @@
     let next = AtomicUsize::new(0);
     let pieces = server(move |mut stream, head, body| {
         if !head.starts_with("POST /deposit-order?k=7 ") || body.as_deref() != Some(b"hi there") {
-            return stream.write_all(b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n").is_ok();
+            return stream
+                .write_all(b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n")
+                .is_ok();
         }
         let answer = ANSWERS[next.fetch_add(1, Ordering::SeqCst) % ANSWERS.len()];
         for byte in answer.as_bytes() {
@@ -395,29 +486,38 @@
     let (ask, rest) = requests[0].split_once("\r\n\r\n").expect("a body");
     write!(stream.get_mut(), "{ask}\r\nExpect: 100-continue\r\n\r\n").expect("written");
     assert!(head(&mut stream).expect("told").starts_with("HTTP/1.1 100"));
-    stream.get_mut().write_all(rest.as_bytes()).expect("written");
+    stream
+        .get_mut()
+        .write_all(rest.as_bytes())
+        .expect("written");
     let head = head(&mut stream).expect("an answer");
     assert_eq!(body(&mut stream, &head).as_deref(), Some(&b"hello"[..]));
 }
 
-/// Where descriptors are short, room is made by connections that say nothing, not by one that is in the middle of
-/// a request, though it came first.
+/// Where descriptors are short, room is made by connections that say nothing, not by one that is in
+/// the middle of a request, though it came first.
 #[test]
 fn a_slow_request_is_not_taken_for_a_silent_connection() {
     let good = server(|mut stream, _, _| {
-        stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").is_ok()
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
+            .is_ok()
     });
     let mut stage = Stage::new(&[good]);
     // Twelve for clients.
     stage.sockets = 60;
     let process = stage.start(stage.place());
     process.ready();
-    let request =
-        format!("GET /balance HTTP/1.1\r\nHost: a\r\nX-Pad: {}\r\nX-Txn: slow\r\n\r\n", "x".repeat(10_000));
+    let request = format!(
+        "GET /balance HTTP/1.1\r\nHost: a\r\nX-Pad: {}\r\nX-Txn: slow\r\n\r\n",
+        "x".repeat(10_000)
+    );
     let mut slow = connect(&stage);
     let mut written = 0;
     let mut write = |bytes: usize| {
-        slow.get_mut().write_all(&request.as_bytes()[written..written + bytes]).expect("written");
+        slow.get_mut()
+            .write_all(&request.as_bytes()[written..written + bytes])
+            .expect("written");
         written += bytes;
     };
     write(1);
@@ -430,9 +530,18 @@
     }
     for n in 0..5 {
         write(1);
-        assert!(stage.request(&format!("other-{n}")).starts_with("HTTP/1.1 200"));
+        assert!(
+            stage
+                .request(&format!("other-{n}"))
+                .starts_with("HTTP/1.1 200")
+        );
     }
-    slow.get_mut().write_all(&request.as_bytes()[written..]).expect("written");
-    assert!(head(&mut slow).is_some_and(|head| head.starts_with("HTTP/1.1 200")), "the slow one is served");
+    slow.get_mut()
+        .write_all(&request.as_bytes()[written..])
+        .expect("written");
+    assert!(
+        head(&mut slow).is_some_and(|head| head.starts_with("HTTP/1.1 200")),
+        "the slow one is served"
+    );
     drop(silent);
 }
--- a/crates/ironmast/tests/system/client.rs
+++ b/crates/ironmast/tests/system/client.rs
@@ -12,7 +12,13 @@
 pub type Answer = Option<(u16, Vec<u8>)>;
 
 /// Sends one request on a connection of its own.
-pub fn call(method: Method, at: SocketAddr, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
+pub fn call(
+    method: Method,
+    at: SocketAddr,
+    path: &str,
+    headers: &[(&str, &str)],
+    body: &str,
+) -> Answer {
     actix_rt::System::new().block_on(async {
         let client = awc::Client::builder().timeout(ANSWER).finish();
         let mut request = client.request(method, format!("http://{at}{path}"));
--- a/crates/ironmast/tests/system/mod.rs
+++ b/crates/ironmast/tests/system/mod.rs
@@ -1,5 +1,5 @@
-//! Machines of the system as real processes on loopback addresses of their own, with their settings and disks in a
-//! folder of the test.
+//! Machines of the system as real processes on loopback addresses of their own, with their settings
+//! and disks in a folder of the test.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -28,7 +28,10 @@
         if let Some(answer) = ask() {
             return answer;
         }
-        assert!(start.elapsed() < PATIENCE, "{what}: not within {PATIENCE:?}");
+        assert!(
+            start.elapsed() < PATIENCE,
+            "{what}: not within {PATIENCE:?}"
+        );
         std::thread::sleep(POLL);
     }
 }
@@ -46,15 +49,28 @@
     pub fn new(coordinators: u8) -> Self {
         static SITES: AtomicU8 = AtomicU8::new(1);
         // Addresses of a test process and a test of their own: ports that are free stay free.
-        let network = [(std::process::id() % 250) as u8 + 1, SITES.fetch_add(1, Ordering::Relaxed)];
-        let mut site =
-            Site { folder: tempfile::tempdir().expect("a folder"), network, port: 0, seeds: vec![] };
+        let network = [
+            (std::process::id() % 250) as u8 + 1,
+            SITES.fetch_add(1, Ordering::Relaxed),
+        ];
+        let mut site = Site {
+            folder: tempfile::tempdir().expect("a folder"),
+            network,
+            port: 0,
+            seeds: vec![],
+        };
         site.port = eventually("free ports", || {
-            let first = TcpListener::bind("127.0.0.1:0").ok()?.local_addr().ok()?.port();
+            let first = TcpListener::bind("127.0.0.1:0")
+                .ok()?
+                .local_addr()
+                .ok()?
+                .port();
             let free = |port| TcpListener::bind((Ipv4Addr::LOCALHOST, port)).is_ok();
             (first < u16::MAX - PORTS && (first..first + PORTS).all(free)).then_some(first)
         });
-        site.seeds = (1..=coordinators).map(|number| site.control_plane(number)).collect();
+        site.seeds = (1..=coordinators)
+            .map(|number| site.control_plane(number))
+            .collect();
         site
     }
 
@@ -107,7 +123,11 @@
     }
 
     fn settings(&self, number: u8, bootstrap: bool) -> String {
-        let seeds: String = self.seeds.iter().map(|seed| format!("\n  - \"{seed}\"")).collect();
+        let seeds: String = self
+            .seeds
+            .iter()
+            .map(|seed| format!("\n  - \"{seed}\""))
+            .collect();
         format!(
             "node_name: \"m{number}\"
 ip_address: \"{ip}\"
--- a/crates/ironmast/tests/system_command_line.rs
+++ b/crates/ironmast/tests/system_command_line.rs
@@ -1,4 +1,5 @@
-//! The roles' command line: what can't be used is told in one line on standard error, and the exit code is not 0.
+//! The roles' command line: what can't be used is told in one line on standard error, and the exit
+//! code is not 0.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -7,7 +8,10 @@
 
 fn run(role: &str, settings: Option<&Path>, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ironmast"));
-    command.arg(role).args(arguments).env_remove("IRONMAST_CONFIG");
+    command
+        .arg(role)
+        .args(arguments)
+        .env_remove("IRONMAST_CONFIG");
     if let Some(settings) = settings {
         command.env("IRONMAST_CONFIG", settings);
     }
@@ -46,11 +50,15 @@
 
 #[test]
 fn settings_that_are_wrong() {
-    let file =
-        written("node_name: \"\"\nip_address: 127.0.0.1\nzone: z\nregion: r\ninternal_port_range: [1, 9]\n");
+    let file = written(
+        "node_name: \"\"\nip_address: 127.0.0.1\nzone: z\nregion: r\ninternal_port_range: [1, 9]\n",
+    );
     for role in ROLES {
         let line = refusal(&run(role, Some(file.path()), &[]));
-        assert!(line.contains("node_name") && line.contains(&file.path().display().to_string()), "{line}");
+        assert!(
+            line.contains("node_name") && line.contains(&file.path().display().to_string()),
+            "{line}"
+        );
     }
 }
 
@@ -65,8 +73,9 @@
 
 #[test]
 fn a_listener_that_is_missing() {
-    let file =
-        written("node_name: a\nip_address: 127.0.0.1\nzone: z\nregion: r\ninternal_port_range: [1, 9]\n");
+    let file = written(
+        "node_name: a\nip_address: 127.0.0.1\nzone: z\nregion: r\ninternal_port_range: [1, 9]\n",
+    );
     let line = refusal(&run("coordinator", Some(file.path()), &[]));
     assert!(line.contains("listeners_map.control_plane"), "{line}");
 }
--- a/crates/ironmast/tests/system_gate.rs
+++ b/crates/ironmast/tests/system_gate.rs
@@ -1,4 +1,5 @@
-//! A gate and its agent as real processes: started before any coordinator, and served on while the agent is away.
+//! A gate and its agent as real processes: started before any coordinator, and served on while the
+//! agent is away.
 
 mod system;
 
@@ -34,7 +35,8 @@
             read.drain(..end + 4);
             let id = head.lines().find_map(|line| {
                 let (name, value) = line.split_once(": ")?;
-                name.eq_ignore_ascii_case("x-ironmast-request-id").then(|| value.to_string())
+                name.eq_ignore_ascii_case("x-ironmast-request-id")
+                    .then(|| value.to_string())
             });
             let answer = format!(
                 "HTTP/1.1 200 OK\r\nX-Ironmast-Request-Id: {}\r\nX-Ironmast-Server-Signature: s.1\r\n\
@@ -49,7 +51,11 @@
 }
 
 fn served(site: &Site, id: &str) -> Option<()> {
-    let headers = [("Host", "a.example"), ("X-Ironmast-Request-Id", id), ("X-Ironmast-Deadline-Ms", "1500")];
+    let headers = [
+        ("Host", "a.example"),
+        ("X-Ironmast-Request-Id", id),
+        ("X-Ironmast-Deadline-Ms", "1500"),
+    ];
     let (status, body) = call(Method::GET, site.frontend(GATE), "/x/1", &headers, "")?;
     (status == 200 && body == b"hello").then_some(())
 }
@@ -59,32 +65,54 @@
     let site = Site::new(1);
     let mut gate = site.start("gate", GATE, false);
     let agent = site.start("agent", GATE, false);
-    eventually("the gate's listener", || TcpStream::connect(site.frontend(GATE)).ok());
+    eventually("the gate's listener", || {
+        TcpStream::connect(site.frontend(GATE)).ok()
+    });
     let _coordinator = site.start("coordinator", 1, true);
     let at = site.control_plane(1);
-    eventually("the configuration", || put(at, "0", &configuration(1)).filter(|status| *status == 200));
+    eventually("the configuration", || {
+        put(at, "0", &configuration(1)).filter(|status| *status == 200)
+    });
     let beat = format!(
         "{{\"backend\":\"app\",\"address\":\"{}\",\"zone\":\"z1\",\"capacity\":8,\"state\":\"ready\",\"sequence\":1}}",
         server()
     );
-    assert_eq!(status(Method::PUT, at, "/api/instances/i-1", &beat), Some(200));
+    assert_eq!(
+        status(Method::PUT, at, "/api/instances/i-1", &beat),
+        Some(200)
+    );
     eventually("an answer", || served(&site, "00000000000000a1"));
     eventually("readiness", || {
         status(Method::GET, site.readiness(GATE), "/api/readyz", "").filter(|status| *status == 200)
     });
     let directory = site.directory(1);
     let named = eventually("the gate's address", || {
-        call(Method::GET, directory, "/api/resolve?region=r&zone=z2", &[], "")
-            .filter(|(status, _)| *status == 200)
+        call(
+            Method::GET,
+            directory,
+            "/api/resolve?region=r&zone=z2",
+            &[],
+            "",
+        )
+        .filter(|(status, _)| *status == 200)
     });
     assert!(String::from_utf8_lossy(&named.1).contains(&site.frontend(GATE).to_string()));
     agent.kill();
-    eventually("an answer without the agent", || served(&site, "00000000000000a2"));
+    eventually("an answer without the agent", || {
+        served(&site, "00000000000000a2")
+    });
     assert!(gate.runs());
     let _agent = site.start("agent", GATE, false);
-    assert_eq!(put(at, "1", &configuration(2).replace("/x/", "/y/")), Some(200));
+    assert_eq!(
+        put(at, "1", &configuration(2).replace("/x/", "/y/")),
+        Some(200)
+    );
     eventually("the next configuration", || {
-        let headers = [("Host", "a.example"), ("X-Ironmast-Request-Id", "00000000000000a3")];
-        call(Method::GET, site.frontend(GATE), "/y/1", &headers, "").filter(|(status, _)| *status == 200)
+        let headers = [
+            ("Host", "a.example"),
+            ("X-Ironmast-Request-Id", "00000000000000a3"),
+        ];
+        call(Method::GET, site.frontend(GATE), "/y/1", &headers, "")
+            .filter(|(status, _)| *status == 200)
     });
 }
--- a/crates/keyed-ownership/examples/permit_study.rs
+++ b/crates/keyed-ownership/examples/permit_study.rs
@@ -1,5 +1,5 @@
-//! What permits cost, against an owner that sees every gate; with `split`, by the part of the bound that is divided
-//! among the gates; with `hunt N`, N seeds a size under faults instead.
+//! What permits cost, against an owner that sees every gate; with `split`, by the part of the bound
+//! that is divided among the gates; with `hunt N`, N seeds a size under faults instead.
 //!
 //! `cargo run --release -p ironmast-keyed-ownership --example permit_study`
 //! `cargo run --release -p ironmast-keyed-ownership --example permit_study -- split`
@@ -49,7 +49,12 @@
             for near in [0.3, 0.95] {
                 let mut sums = Sums::default();
                 for seed in 1..=RUNS {
-                    let play = Play { keys: 1, length: LENGTH, near, ..Play::calm(seed, gates, rate) };
+                    let play = Play {
+                        keys: 1,
+                        length: LENGTH,
+                        near,
+                        ..Play::calm(seed, gates, rate)
+                    };
                     sums.add(&play, &run(play));
                 }
                 print!("near {near:4}: ");
@@ -61,17 +66,34 @@
 
 /// A small site by the part of the bound that belongs to the gates.
 fn split() {
-    let parts = [(0, false), (40, false), (80, false), (100, false), (20, true), (50, true), (80, true)];
+    let parts = [
+        (0, false),
+        (40, false),
+        (80, false),
+        (100, false),
+        (20, true),
+        (50, true),
+        (80, true),
+    ];
     for (reserved_percent, shares_near) in parts {
         for rate in [10.0, 15.0] {
             let mut sums = Sums::default();
             for seed in 1..=RUNS {
                 let calm = Play::calm(seed, 8, rate);
-                let play =
-                    Play { keys: 1, length: LENGTH, near: 0.95, reserved_percent, shares_near, ..calm };
+                let play = Play {
+                    keys: 1,
+                    length: LENGTH,
+                    near: 0.95,
+                    reserved_percent,
+                    shares_near,
+                    ..calm
+                };
                 sums.add(&play, &run(play));
             }
-            print!("{reserved_percent:3} % reserved{}: ", if shares_near { " in the region" } else { "" });
+            print!(
+                "{reserved_percent:3} % reserved{}: ",
+                if shares_near { " in the region" } else { "" }
+            );
             sums.report(8, rate);
         }
     }
@@ -81,7 +103,10 @@
     fn add(&mut self, play: &Play, trace: &Trace) {
         let span = play.owner.settles().as_micros() as Micros;
         self.waits.extend(waits_from(&trace.waits, FROM));
-        self.ideal.extend(waits_from(&ideal_waits(trace, 0, play.bound as usize, span), FROM));
+        self.ideal.extend(waits_from(
+            &ideal_waits(trace, 0, play.bound as usize, span),
+            FROM,
+        ));
         self.messages += trace.messages;
         self.owner += trace.owner_messages.iter().max().copied().unwrap_or(0);
         self.questions += trace.questions;
@@ -112,7 +137,9 @@
     for gates in [2, 3, 5, 8, 30, 300, 2000] {
         let seeds = if gates >= 2000 { seeds / 20 } else { seeds };
         let over: u64 = (0..seeds)
-            .map(|seed| broken(varied(Play::cold(seed, gates))) + broken(varied(Play::retry(seed, gates))))
+            .map(|seed| {
+                broken(varied(Play::cold(seed, gates))) + broken(varied(Play::retry(seed, gates)))
+            })
             .sum();
         println!("gates {gates:4}: {over} of {} runs over a bound", seeds * 2);
     }
@@ -125,9 +152,19 @@
     };
     let rate = play.rate * [1.0, 0.3, 2.5][pick(1, 3)];
     let reserved_percent = [50, 0, 100, 30][pick(77_777, 4)];
-    let keys = if play.subject == Subject::Cold { 1 + pick(333_333, 3) } else { play.keys };
+    let keys = if play.subject == Subject::Cold {
+        1 + pick(333_333, 3)
+    } else {
+        play.keys
+    };
     let shares_near = play.subject == Subject::Cold && pick(55_555, 2) == 1;
-    Play { rate, reserved_percent, shares_near, keys, ..play }
+    Play {
+        rate,
+        reserved_percent,
+        shares_near,
+        keys,
+        ..play
+    }
 }
 
 fn broken(play: Play) -> u64 {
--- a/crates/keyed-ownership/src/client.rs
+++ b/crates/keyed-ownership/src/client.rs
@@ -1,4 +1,5 @@
-//! The gate's side of permits: asks the owner of a key, holds what it is granted, and uses it within its life.
+//! The gate's side of permits: asks the owner of a key, holds what it is granted, and uses it
+//! within its life.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -45,7 +46,10 @@
 
 /// What a client wants done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-#[expect(clippy::large_enum_variant, reason = "an action is carried out at once and not stored")]
+#[expect(
+    clippy::large_enum_variant,
+    reason = "an action is carried out at once and not stored"
+)]
 pub enum Action<K> {
     /// Send the message to the gate.
     Send(GateId, Message<K>),
@@ -87,7 +91,8 @@
     refused: bool,
     /// The highest epoch of a grant that was taken.
     fence: u64,
-    /// The shortest round trip to the owner, forgotten slowly; `None` if unknown or after a lost answer.
+    /// The shortest round trip to the owner, forgotten slowly; `None` if unknown or after a lost
+    /// answer.
     round_trip: Option<Duration>,
     /// The owner by the view of this epoch.
     owner: Option<(u64, GateId)>,
@@ -119,7 +124,13 @@
     /// The client of the gate `me`, whose incarnation must be new.
     #[must_use]
     pub fn new(me: GateId, terms: Terms) -> Self {
-        Self { me, terms, view: None, sequence: 0, needs: FxHashMap::default() }
+        Self {
+            me,
+            terms,
+            view: None,
+            sequence: 0,
+            needs: FxHashMap::default(),
+        }
     }
 
     /// Takes an event at `now`.
@@ -131,10 +142,11 @@
         }
     }
 
-    /// Uses a permit for `key`, for a request that must be written to the server at once; without one, asks the owner.
+    /// Uses a permit for `key`, for a request that must be written to the server at once; without
+    /// one, asks the owner.
     ///
-    /// `pool` is what the owner of the key may have out in a span, by the gate's configuration; `waiting` is how many
-    /// requests wait for a permit, this one counted.
+    /// `pool` is what the owner of the key may have out in a span, by the gate's configuration;
+    /// `waiting` is how many requests wait for a permit, this one counted.
     ///
     /// # Errors
     /// [`Wait`] with the moment to try again, which [`Action::Ready`] may bring forward.
@@ -153,7 +165,11 @@
         let ahead = need.ahead(now, life);
         let short = if taken { need.left() * 2 < ahead } else { true };
         if short {
-            let want = if taken { ahead - need.left() } else { waiting.max(1).max(ahead) };
+            let want = if taken {
+                ahead - need.left()
+            } else {
+                waiting.max(1).max(ahead)
+            };
             self.ask(now, key, pool, want, ahead > 0, actions);
         }
         if !taken {
@@ -179,7 +195,10 @@
     }
 
     fn on_view(&mut self, view: Arc<View>) {
-        let newer = self.view.as_ref().is_none_or(|known| known.epoch < view.epoch);
+        let newer = self
+            .view
+            .as_ref()
+            .is_none_or(|known| known.epoch < view.epoch);
         if newer {
             self.view = Some(view);
         }
@@ -189,9 +208,16 @@
         if grant.gate != self.me {
             return;
         }
-        let Some(need) = self.needs.get_mut(&grant.key) else { return };
+        let Some(need) = self.needs.get_mut(&grant.key) else {
+            return;
+        };
         need.expire(now);
-        let Some(asking) = need.asking.take_if(|asking| asking.sequence == grant.sequence) else { return };
+        let Some(asking) = need
+            .asking
+            .take_if(|asking| asking.sequence == grant.sequence)
+        else {
+            return;
+        };
         need.answered_after(now.saturating_sub(asking.sent));
         if grant.count == 0 {
             need.not_before = now + grant.retry_after;
@@ -228,18 +254,34 @@
         actions: &mut Vec<Action<K>>,
     ) {
         let Some(view) = &self.view else { return };
-        let Some(need) = self.needs.get_mut(key) else { return };
+        let Some(need) = self.needs.get_mut(key) else {
+            return;
+        };
         if need.asking.is_some() || now < need.not_before || pool == 0 {
             return;
         }
-        let Some(owner) = need.owner_by(view, key) else { return };
+        let Some(owner) = need.owner_by(view, key) else {
+            return;
+        };
         self.sequence += 1;
-        let (life, patience) = if ahead { (self.terms.life, KEPT) } else { need.life(&self.terms) };
-        need.asking = Some(Asking { sequence: self.sequence, owner, sent: now, ends: now + life });
+        let (life, patience) = if ahead {
+            (self.terms.life, KEPT)
+        } else {
+            need.life(&self.terms)
+        };
+        need.asking = Some(Asking {
+            sequence: self.sequence,
+            owner,
+            sent: now,
+            ends: now + life,
+        });
         let ask = Ask {
             gate: self.me,
             sequence: self.sequence,
-            token: Token { epoch: view.epoch, owner },
+            token: Token {
+                epoch: view.epoch,
+                owner,
+            },
             key: key.clone(),
             want: want.min(pool),
             pool,
@@ -251,7 +293,9 @@
     }
 
     fn wait(&self, key: &K) -> Wait {
-        let Some(need) = self.needs.get(key) else { return Wait::Unknown };
+        let Some(need) = self.needs.get(key) else {
+            return Wait::Unknown;
+        };
         match need.asking {
             Some(asking) => Wait::Until(asking.ends),
             None if need.not_before > Duration::ZERO => Wait::Until(need.not_before),
@@ -262,22 +306,63 @@
 
 impl Ended {
     fn unused(asking: Asking) -> Self {
-        let Asking { sequence, owner, sent, .. } = asking;
-        let settled = Settled { sequence, used: 0, last_used_after: Duration::ZERO };
-        Self { owner, settled, sent, urgent: true }
+        let Asking {
+            sequence,
+            owner,
+            sent,
+            ..
+        } = asking;
+        let settled = Settled {
+            sequence,
+            used: 0,
+            last_used_after: Duration::ZERO,
+        };
+        Self {
+            owner,
+            settled,
+            sent,
+            urgent: true,
+        }
     }
 }
 
 impl Held {
     fn new<K>(asking: Asking, grant: &Grant<K>) -> Self {
-        let Asking { sequence, owner, sent, ends } = asking;
-        let Grant { count: left, pressed, .. } = *grant;
-        Self { sequence, owner, sent, ends, left, used: 0, last_used: Duration::ZERO, pressed }
+        let Asking {
+            sequence,
+            owner,
+            sent,
+            ends,
+        } = asking;
+        let Grant {
+            count: left,
+            pressed,
+            ..
+        } = *grant;
+        Self {
+            sequence,
+            owner,
+            sent,
+            ends,
+            left,
+            used: 0,
+            last_used: Duration::ZERO,
+            pressed,
+        }
     }
 
     fn ended(&self) -> Ended {
-        let settled = Settled { sequence: self.sequence, used: self.used, last_used_after: self.last_used };
-        Ended { owner: self.owner, settled, sent: self.sent, urgent: self.pressed || self.left > 0 }
+        let settled = Settled {
+            sequence: self.sequence,
+            used: self.used,
+            last_used_after: self.last_used,
+        };
+        Ended {
+            owner: self.owner,
+            settled,
+            sent: self.sent,
+            urgent: self.pressed || self.left > 0,
+        }
     }
 }
 
@@ -309,7 +394,12 @@
 
     /// Ends the grants and the ask whose life is over.
     fn expire(&mut self, now: Duration) {
-        let over: Vec<Held> = self.held.iter().filter(|held| held.ends <= now).copied().collect();
+        let over: Vec<Held> = self
+            .held
+            .iter()
+            .filter(|held| held.ends <= now)
+            .copied()
+            .collect();
         self.held.retain(|held| held.ends > now);
         for held in over {
             self.settle(held.ended());
@@ -326,11 +416,20 @@
         self.round_trip = Some(known.min(took));
     }
 
-    /// The life to ask for and how long the owner may keep the ask, if the permits are for requests that wait.
+    /// The life to ask for and how long the owner may keep the ask, if the permits are for requests
+    /// that wait.
     fn life(&self, terms: &Terms) -> (Duration, Duration) {
-        let kept = if self.refused { KEPT_AFTER_REFUSAL } else { KEPT };
-        let Some(round_trip) = self.round_trip else { return (terms.life, kept) };
-        let life = (round_trip + round_trip / 4 + kept + SLACK).max(terms.shortest).min(terms.life);
+        let kept = if self.refused {
+            KEPT_AFTER_REFUSAL
+        } else {
+            KEPT
+        };
+        let Some(round_trip) = self.round_trip else {
+            return (terms.life, kept);
+        };
+        let life = (round_trip + round_trip / 4 + kept + SLACK)
+            .max(terms.shortest)
+            .min(terms.life);
         (life, kept)
     }
 
@@ -343,17 +442,30 @@
 
     /// Tells each owner of the grants that are over, if some of their permits were not used.
     fn give_back<K: Clone>(&mut self, gate: GateId, key: &K, actions: &mut Vec<Action<K>>) {
-        while let Some(owner) = self.settled.iter().find(|ended| ended.urgent).map(|ended| ended.owner) {
+        while let Some(owner) = self
+            .settled
+            .iter()
+            .find(|ended| ended.urgent)
+            .map(|ended| ended.owner)
+        {
             let settled = self.settled_for(owner);
-            let message = Message::Return(Return { gate, key: key.clone(), settled });
+            let message = Message::Return(Return {
+                gate,
+                key: key.clone(),
+                settled,
+            });
             actions.push(Action::Send(owner, message));
         }
     }
 
     /// Removes what is to be told to `owner`.
     fn settled_for(&mut self, owner: GateId) -> Vec<Settled> {
-        let told: Vec<Settled> =
-            self.settled.iter().filter(|one| one.owner == owner).map(|one| one.settled).collect();
+        let told: Vec<Settled> = self
+            .settled
+            .iter()
+            .filter(|one| one.owner == owner)
+            .map(|one| one.settled)
+            .collect();
         self.settled.retain(|one| one.owner != owner);
         told
     }
--- a/crates/keyed-ownership/src/client/tests.rs
+++ b/crates/keyed-ownership/src/client/tests.rs
@@ -17,7 +17,11 @@
 }
 
 fn gate(number: u8) -> GateId {
-    GateId { address: SocketAddr::from((Ipv4Addr::new(10, 0, 0, number), 7000)), incarnation: 1, region: 0 }
+    GateId {
+        address: SocketAddr::from((Ipv4Addr::new(10, 0, 0, number), 7000)),
+        incarnation: 1,
+        region: 0,
+    }
 }
 
 fn key() -> String {
@@ -26,7 +30,11 @@
 
 fn client() -> Client<String> {
     let mut client = Client::new(gate(2), Terms::cold());
-    let view = Arc::new(View { epoch: 4, follows: None, gates: vec![gate(1)] });
+    let view = Arc::new(View {
+        epoch: 4,
+        follows: None,
+        gates: vec![gate(1)],
+    });
     client.handle(ms(0), Event::View(view), &mut Vec::new());
     client
 }
@@ -43,15 +51,28 @@
 }
 
 fn the_ask(actions: &Actions) -> &Ask<String> {
-    let [Action::Send(to, Message::Ask(ask))] = &actions[..] else { panic!("one ask in {actions:?}") };
+    let [Action::Send(to, Message::Ask(ask))] = &actions[..] else {
+        panic!("one ask in {actions:?}")
+    };
     assert_eq!(*to, gate(1));
     ask
 }
 
 fn grant(sequence: u64, count: u32) -> Grant<String> {
-    let token = Token { epoch: 4, owner: gate(1) };
+    let token = Token {
+        epoch: 4,
+        owner: gate(1),
+    };
     let (pressed, retry_after) = (false, ms(700));
-    Grant { token, gate: gate(2), sequence, key: key(), count, pressed, retry_after }
+    Grant {
+        token,
+        gate: gate(2),
+        sequence,
+        key: key(),
+        count,
+        pressed,
+        retry_after,
+    }
 }
 
 fn granted(client: &mut Client<String>, now: u64, grant: Grant<String>) -> Actions {
@@ -76,7 +97,10 @@
 #[test]
 fn without_a_view_no_moment_is_known() {
     let mut client = Client::new(gate(2), Terms::cold());
-    assert_eq!(client.try_take(ms(0), &key(), 10, 1, &mut Vec::new()), Err(Wait::Unknown));
+    assert_eq!(
+        client.try_take(ms(0), &key(), 10, 1, &mut Vec::new()),
+        Err(Wait::Unknown)
+    );
 }
 
 #[test]
@@ -85,7 +109,13 @@
     let (taken, actions) = take(&mut client, 100, 3);
     assert_eq!(taken, Err(Wait::Until(ms(400))));
     assert_eq!(the_ask(&actions).want, 3);
-    assert_eq!(the_ask(&actions).token, Token { epoch: 4, owner: gate(1) });
+    assert_eq!(
+        the_ask(&actions).token,
+        Token {
+            epoch: 4,
+            owner: gate(1)
+        }
+    );
     assert_matches!(take(&mut client, 150, 4), (Err(Wait::Until(_)), actions) if actions.is_empty());
 }
 
@@ -93,7 +123,10 @@
 fn permits_are_used_within_their_life_only() {
     let mut client = client();
     press(&mut client, 100, 3);
-    assert_eq!(granted(&mut client, 200, grant(1, 3)), [Action::Ready(key())]);
+    assert_eq!(
+        granted(&mut client, 200, grant(1, 3)),
+        [Action::Ready(key())]
+    );
     assert!(client.holds(ms(399), &key()));
     assert!(!client.holds(ms(400), &key()));
     assert_eq!(take(&mut client, 399, 1).0, Ok(()));
@@ -107,7 +140,11 @@
     assert_eq!(granted(&mut client, 400, grant(1, 3)), []);
     assert!(!client.holds(ms(400), &key()));
     let sequence = 1;
-    let unused = Settled { sequence, used: 0, last_used_after: Duration::ZERO };
+    let unused = Settled {
+        sequence,
+        used: 0,
+        last_used_after: Duration::ZERO,
+    };
     assert_eq!(returned(&tick(&mut client, 400)), [unused]);
 }
 
@@ -116,9 +153,18 @@
     let mut client = client();
     press(&mut client, 100, 1);
     assert_eq!(granted(&mut client, 150, grant(7, 1)), []);
-    let other = Grant { gate: GateId { incarnation: 9, ..gate(2) }, ..grant(1, 1) };
+    let other = Grant {
+        gate: GateId {
+            incarnation: 9,
+            ..gate(2)
+        },
+        ..grant(1, 1)
+    };
     assert_eq!(granted(&mut client, 150, other), []);
-    assert_eq!(granted(&mut client, 150, grant(1, 1)), [Action::Ready(key())]);
+    assert_eq!(
+        granted(&mut client, 150, grant(1, 1)),
+        [Action::Ready(key())]
+    );
     assert_eq!(take(&mut client, 150, 1).0, Ok(()));
     assert_eq!(granted(&mut client, 151, grant(1, 1)), []);
     assert!(!client.holds(ms(151), &key()));
@@ -131,7 +177,13 @@
     granted(&mut client, 110, grant(1, 1));
     assert_eq!(take(&mut client, 120, 1).0, Ok(()));
     press(&mut client, 130, 1);
-    let older = Grant { token: Token { epoch: 3, owner: gate(1) }, ..grant(2, 1) };
+    let older = Grant {
+        token: Token {
+            epoch: 3,
+            owner: gate(1),
+        },
+        ..grant(2, 1)
+    };
     assert_eq!(granted(&mut client, 140, older), []);
     assert!(!client.holds(ms(140), &key()));
 }
@@ -160,7 +212,11 @@
     let unused = tick(&mut client, 150 + 130);
     assert_eq!(returned(&unused)[0].used, 0);
     let (_, actions) = take(&mut client, 300, 1);
-    assert_eq!(the_ask(&actions).life, Terms::cold().life, "an answer was lost");
+    assert_eq!(
+        the_ask(&actions).life,
+        Terms::cold().life,
+        "an answer was lost"
+    );
 }
 
 #[test]
@@ -171,7 +227,11 @@
     press(&mut client, 120, 1);
     assert!(take(&mut client, 130, 1).1.is_empty());
     let (_, actions) = take(&mut client, 140, 1);
-    let used = Settled { sequence: 1, used: 2, last_used_after: ms(30) };
+    let used = Settled {
+        sequence: 1,
+        used: 2,
+        last_used_after: ms(30),
+    };
     assert_eq!(the_ask(&actions).settled, [used]);
 }
 
@@ -179,9 +239,23 @@
 fn used_grants_are_told_at_once_where_the_pool_is_pressed() {
     let mut client = client();
     press(&mut client, 100, 1);
-    granted(&mut client, 110, Grant { pressed: true, ..grant(1, 1) });
+    granted(
+        &mut client,
+        110,
+        Grant {
+            pressed: true,
+            ..grant(1, 1)
+        },
+    );
     let (_, actions) = take(&mut client, 120, 1);
-    assert_eq!(returned(&actions), [Settled { sequence: 1, used: 1, last_used_after: ms(20) }]);
+    assert_eq!(
+        returned(&actions),
+        [Settled {
+            sequence: 1,
+            used: 1,
+            last_used_after: ms(20)
+        }]
+    );
 }
 
 #[test]
@@ -192,7 +266,14 @@
     press(&mut client, 120, 1);
     assert_eq!(client.next_wake(), Some(ms(400)));
     let actions = tick(&mut client, 400);
-    assert_eq!(returned(&actions), [Settled { sequence: 1, used: 1, last_used_after: ms(20) }]);
+    assert_eq!(
+        returned(&actions),
+        [Settled {
+            sequence: 1,
+            used: 1,
+            last_used_after: ms(20)
+        }]
+    );
     assert_eq!(client.next_wake(), None);
 }
 
@@ -208,5 +289,9 @@
             _ => None,
         })
         .collect();
-    assert_eq!(asked, [1], "ten in the last second are 1.8 in six tenths of a life");
+    assert_eq!(
+        asked,
+        [1],
+        "ten in the last second are 1.8 in six tenths of a life"
+    );
 }
--- a/crates/keyed-ownership/src/lease/tests.rs
+++ b/crates/keyed-ownership/src/lease/tests.rs
@@ -8,7 +8,13 @@
 fn majority_confirms_once() {
     let mut question = Confirmation::new(4, ASKED, 3);
     assert_eq!(question.answer(0, 4), None);
-    assert_eq!(question.answer(2, 4), Some(Confirmed { epoch: 4, asked: ASKED }));
+    assert_eq!(
+        question.answer(2, 4),
+        Some(Confirmed {
+            epoch: 4,
+            asked: ASKED
+        })
+    );
     assert_eq!(question.answer(1, 4), None);
 }
 
--- a/crates/keyed-ownership/src/ledger.rs
+++ b/crates/keyed-ownership/src/ledger.rs
@@ -1,4 +1,5 @@
-//! What an owner has out of one key: permits that may still count, asks that wait, and who wants how much.
+//! What an owner has out of one key: permits that may still count, asks that wait, and who wants
+//! how much.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -41,8 +42,8 @@
     ends: Duration,
 }
 
-/// The permits and asks of one key. Refused gates are given turns, one after the other, so that they come back when
-/// something is free.
+/// The permits and asks of one key. Refused gates are given turns, one after the other, so that
+/// they come back when something is free.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ledger {
     charges: Vec<Charge>,
@@ -77,8 +78,8 @@
         self.charges.iter().map(|charge| charge.count).sum()
     }
 
-    /// What a gate that wants `want` may have at once: all of it while the pool is enough for everybody, else its part
-    /// by demand, and one at least.
+    /// What a gate that wants `want` may have at once: all of it while the pool is enough for
+    /// everybody, else its part by demand, and one at least.
     pub fn fair(&self, want: u32, pool: u32) -> u32 {
         let total: u64 = self.wanted();
         if total <= u64::from(pool) {
@@ -90,17 +91,31 @@
 
     pub fn charge(&mut self, ask: &Pending, count: u32, terms: &Terms) {
         let ends = ask.arrived + terms.charged(ask.life);
-        let Pending { gate, sequence, arrived, .. } = *ask;
-        self.charges.push(Charge { gate, sequence, count, arrived, ends });
+        let Pending {
+            gate,
+            sequence,
+            arrived,
+            ..
+        } = *ask;
+        self.charges.push(Charge {
+            gate,
+            sequence,
+            count,
+            arrived,
+            ends,
+        });
     }
 
     /// Takes the end of a grant: unused permits come back, and used ones count from their use on.
     ///
-    /// The gate sent the ask before it arrived here, so a use `last_used_after` the sending lies before
-    /// `last_used_after` the arrival.
+    /// The gate sent the ask before it arrived here, so a use `last_used_after` the sending lies
+    /// before `last_used_after` the arrival.
     pub fn settle(&mut self, gate: &GateId, settled: &Settled, terms: &Terms) {
-        let same = |charge: &&mut Charge| charge.gate == *gate && charge.sequence == settled.sequence;
-        let Some(charge) = self.charges.iter_mut().find(same) else { return };
+        let same =
+            |charge: &&mut Charge| charge.gate == *gate && charge.sequence == settled.sequence;
+        let Some(charge) = self.charges.iter_mut().find(same) else {
+            return;
+        };
         charge.count = charge.count.min(settled.used);
         let ends = charge.arrived + settled.last_used_after + terms.settles();
         charge.ends = charge.ends.min(ends);
--- a/crates/keyed-ownership/src/ledger/tests.rs
+++ b/crates/keyed-ownership/src/ledger/tests.rs
@@ -11,16 +11,32 @@
 }
 
 fn gate(number: u8) -> GateId {
-    GateId { address: SocketAddr::from((Ipv4Addr::new(10, 0, 0, number), 7000)), incarnation: 1, region: 0 }
+    GateId {
+        address: SocketAddr::from((Ipv4Addr::new(10, 0, 0, number), 7000)),
+        incarnation: 1,
+        region: 0,
+    }
 }
 
 fn ask(number: u8, sequence: u64, want: u32, arrived: u64) -> Pending {
     let (life, until) = (ms(300), ms(arrived + 60));
-    Pending { gate: gate(number), sequence, want, pool: 10, life, arrived: ms(arrived), until }
+    Pending {
+        gate: gate(number),
+        sequence,
+        want,
+        pool: 10,
+        life,
+        arrived: ms(arrived),
+        until,
+    }
 }
 
 fn settled(sequence: u64, used: u32, after: u64) -> Settled {
-    Settled { sequence, used, last_used_after: ms(after) }
+    Settled {
+        sequence,
+        used,
+        last_used_after: ms(after),
+    }
 }
 
 #[test]
@@ -43,7 +59,10 @@
     ledger.charge(&ask(1, 1, 3, 100), 3, &terms);
     ledger.settle(&gate(1), &settled(1, 2, 40), &terms);
     assert_eq!(ledger.charged(), 2);
-    assert_eq!(ledger.next_free(), Some(ms(140) + terms.flight + terms.span));
+    assert_eq!(
+        ledger.next_free(),
+        Some(ms(140) + terms.flight + terms.span)
+    );
 }
 
 #[test]
@@ -62,10 +81,20 @@
     ledger.charge(&ask(1, 1, 3, 100), 3, &terms);
     ledger.settle(&gate(2), &settled(1, 0, 0), &terms);
     ledger.settle(&gate(1), &settled(2, 0, 0), &terms);
-    ledger.settle(&GateId { incarnation: 2, ..gate(1) }, &settled(1, 0, 0), &terms);
+    ledger.settle(
+        &GateId {
+            incarnation: 2,
+            ..gate(1)
+        },
+        &settled(1, 0, 0),
+        &terms,
+    );
     ledger.settle(&gate(1), &settled(1, 9, 5000), &terms);
     assert_eq!(ledger.charged(), 3);
-    assert_eq!(ledger.next_free(), Some(ms(100) + terms.charged(terms.life)));
+    assert_eq!(
+        ledger.next_free(),
+        Some(ms(100) + terms.charged(terms.life))
+    );
 }
 
 #[test]
@@ -86,7 +115,11 @@
     ledger.push(ask(1, 1, 8, 0));
     ledger.push(ask(2, 1, 1, 0));
     ledger.push(ask(1, 2, 3, 0));
-    let waiting: Vec<_> = ledger.pending.iter().map(|ask| (ask.gate, ask.sequence)).collect();
+    let waiting: Vec<_> = ledger
+        .pending
+        .iter()
+        .map(|ask| (ask.gate, ask.sequence))
+        .collect();
     assert_eq!(waiting, [(gate(2), 1), (gate(1), 2)]);
 }
 
@@ -97,9 +130,16 @@
     ledger.charge(&ask(0, 1, 10, 0), 10, &terms);
     let free = ms(300) + terms.settles();
     let each = terms.settles() / 10;
-    let refused = |ledger: &mut Ledger, number| ledger.retry_after(ms(500), &ask(number, 1, 1, 500), &terms);
+    let refused =
+        |ledger: &mut Ledger, number| ledger.retry_after(ms(500), &ask(number, 1, 1, 500), &terms);
     assert_eq!(refused(&mut ledger, 1), free - ms(500));
     assert_eq!(refused(&mut ledger, 2), free - ms(500) + each);
-    let waits: Vec<_> = (3..200).map(|number| refused(&mut ledger, number)).collect();
-    assert!(waits.iter().all(|wait| *wait >= ms(1000).min(free) && *wait <= ms(2000)));
+    let waits: Vec<_> = (3..200)
+        .map(|number| refused(&mut ledger, number))
+        .collect();
+    assert!(
+        waits
+            .iter()
+            .all(|wait| *wait >= ms(1000).min(free) && *wait <= ms(2000))
+    );
 }
--- a/crates/keyed-ownership/src/message.rs
+++ b/crates/keyed-ownership/src/message.rs
@@ -29,8 +29,8 @@
     pub settled: Vec<Settled>,
 }
 
-/// The owner's answer. Permits may be used until the life named in the ask has passed since the gate sent it, by the
-/// gate's own clock.
+/// The owner's answer. Permits may be used until the life named in the ask has passed since the
+/// gate sent it, by the gate's own clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant<K> {
     /// The ownership under which it is given.
--- a/crates/keyed-ownership/src/owner.rs
+++ b/crates/keyed-ownership/src/owner.rs
@@ -1,9 +1,10 @@
 //! The owner's side of permits: what the agent of each gate runs for the keys that it owns.
 //!
-//! Safety rests on three things, none of which needs clocks to agree. An owner grants only within its lease and after
-//! its quiet period ([`Terms`]). It counts each permit from the receipt of the ask until the last moment at which its
-//! request can share a span with another. And a gate uses a permit only within its life. The token lets gates and
-//! owners refuse what is out of date earlier than that.
+//! Safety rests on three things, none of which needs clocks to agree. An owner grants only within
+//! its lease and after its quiet period ([`Terms`]). It counts each permit from the receipt of the
+//! ask until the last moment at which its request can share a span with another. And a gate uses a
+//! permit only within its life. The token lets gates and owners refuse what is out of date earlier
+//! than that.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,7 +44,8 @@
     Ask(Ask<K>),
     /// A gate tells of grants that are over.
     Return(Return<K>),
-    /// Asks are to be expected until this moment, since a cold server is known; the lease is kept up until then.
+    /// Asks are to be expected until this moment, since a cold server is known; the lease is kept
+    /// up until then.
     Expect(Duration),
     /// The moment of [`Owner::next_wake`] has come.
     Tick,
@@ -54,7 +56,8 @@
 pub enum Action<K> {
     /// Send the message to the gate.
     Send(GateId, Message<K>),
-    /// Ask all witnesses for their newest epoch; `asked` goes into the [`Confirmed`] that comes of it.
+    /// Ask all witnesses for their newest epoch; `asked` goes into the [`Confirmed`] that comes of
+    /// it.
     Confirm {
         /// The epoch that must be the newest.
         epoch: u64,
@@ -63,7 +66,8 @@
     },
 }
 
-/// The owner's state. It has none on disk: a restart is a new life, which waits for its quiet period.
+/// The owner's state. It has none on disk: a restart is a new life, which waits for its quiet
+/// period.
 #[derive(Clone, Debug)]
 pub struct Owner<K> {
     me: GateId,
@@ -82,11 +86,19 @@
     pub fn new(me: GateId, terms: Terms) -> Self {
         let tenure = Tenure::new(me, terms);
         let (keep_until, now) = (Duration::ZERO, Duration::ZERO);
-        Self { me, terms, tenure, asked: None, keep_until, now, ledgers: FxHashMap::default() }
+        Self {
+            me,
+            terms,
+            tenure,
+            asked: None,
+            keep_until,
+            now,
+            ledgers: FxHashMap::default(),
+        }
     }
 
-    /// Takes an event at `now`, which must be read after the event was: a clock read before it, and a stop of the
-    /// process in between, would let an ask count from before it was sent.
+    /// Takes an event at `now`, which must be read after the event was: a clock read before it, and
+    /// a stop of the process in between, would let an ask count from before it was sent.
     pub fn handle(&mut self, now: Duration, event: Event<K>, actions: &mut Vec<Action<K>>) {
         self.now = now;
         match event {
@@ -103,7 +115,10 @@
     /// When [`Event::Tick`] is due; `None` if there is nothing to wait for.
     #[must_use]
     pub fn next_wake(&self) -> Option<Duration> {
-        let waiting = self.ledgers.values().filter_map(|ledger| self.next_turn(ledger));
+        let waiting = self
+            .ledgers
+            .values()
+            .filter_map(|ledger| self.next_turn(ledger));
         waiting.chain(self.next_confirm()).min()
     }
 
@@ -120,13 +135,31 @@
     }
 
     fn on_ask(&mut self, now: Duration, ask: Ask<K>, actions: &mut Vec<Action<K>>) {
-        let Ask { gate, sequence, token, key, want, pool, life, patience, settled } = ask;
+        let Ask {
+            gate,
+            sequence,
+            token,
+            key,
+            want,
+            pool,
+            life,
+            patience,
+            settled,
+        } = ask;
         let ledger = self.ledgers.entry(key.clone()).or_default();
         for settled in &settled {
             ledger.settle(&gate, settled, &self.terms);
         }
         let until = now + patience.min(self.terms.life);
-        let pending = Pending { gate, sequence, want, pool, life, arrived: now, until };
+        let pending = Pending {
+            gate,
+            sequence,
+            want,
+            pool,
+            life,
+            arrived: now,
+            until,
+        };
         if token.owner != self.me || self.tenure.standing(now, &key) == Standing::Other {
             let refusal = self.refusal(&key, &pending, STRAY_WAIT);
             actions.push(refusal);
@@ -138,7 +171,9 @@
     }
 
     fn on_return(&mut self, now: Duration, settled: &Return<K>, actions: &mut Vec<Action<K>>) {
-        let Some(ledger) = self.ledgers.get_mut(&settled.key) else { return };
+        let Some(ledger) = self.ledgers.get_mut(&settled.key) else {
+            return;
+        };
         for one in &settled.settled {
             ledger.settle(&settled.gate, one, &self.terms);
         }
@@ -175,19 +210,31 @@
     }
 
     fn grant(&mut self, key: &K, token: Token, actions: &mut Vec<Action<K>>) {
-        let Some(ledger) = self.ledgers.get_mut(key) else { return };
+        let Some(ledger) = self.ledgers.get_mut(key) else {
+            return;
+        };
         while let Some(ask) = ledger.pending.front() {
             let free = ask.pool.saturating_sub(ledger.charged());
             let count = ledger.fair(ask.want, ask.pool).min(free);
             if count == 0 {
                 return;
             }
-            let Some(ask) = ledger.pending.pop_front() else { return };
+            let Some(ask) = ledger.pending.pop_front() else {
+                return;
+            };
             ledger.charge(&ask, count, &self.terms);
             let pressed = ledger.charged() * 2 > ask.pool;
             let Pending { gate, sequence, .. } = ask;
             let key = key.clone();
-            let grant = Grant { token, gate, sequence, key, count, pressed, retry_after: Duration::ZERO };
+            let grant = Grant {
+                token,
+                gate,
+                sequence,
+                key,
+                count,
+                pressed,
+                retry_after: Duration::ZERO,
+            };
             actions.push(Action::Send(gate, Message::Grant(grant)));
         }
     }
@@ -199,14 +246,24 @@
 
     /// Refuses the asks for which nothing comes free while they may wait.
     fn refuse_surplus(&mut self, now: Duration, key: &K, actions: &mut Vec<Action<K>>) {
-        let Some(ledger) = self.ledgers.get(key) else { return };
-        let Some(last) = ledger.pending.back() else { return };
+        let Some(ledger) = self.ledgers.get(key) else {
+            return;
+        };
+        let Some(last) = ledger.pending.back() else {
+            return;
+        };
         let free = ledger.free_by(last.until, last.pool) as usize;
         self.refuse_where(now, key, actions, |_, place| place >= free);
     }
 
     /// Refuses the asks that can't wait until `opens`.
-    fn refuse_until(&mut self, now: Duration, key: &K, opens: Duration, actions: &mut Vec<Action<K>>) {
+    fn refuse_until(
+        &mut self,
+        now: Duration,
+        key: &K,
+        opens: Duration,
+        actions: &mut Vec<Action<K>>,
+    ) {
         let from = actions.len();
         self.refuse_where(now, key, actions, |ask, _| ask.until < opens);
         for action in &mut actions[from..] {
@@ -223,7 +280,9 @@
         actions: &mut Vec<Action<K>>,
         refused: impl Fn(&Pending, usize) -> bool,
     ) {
-        let Some(ledger) = self.ledgers.get_mut(key) else { return };
+        let Some(ledger) = self.ledgers.get_mut(key) else {
+            return;
+        };
         let pending = std::mem::take(&mut ledger.pending);
         let mut refusals = Vec::new();
         for (place, ask) in pending.into_iter().enumerate() {
@@ -234,17 +293,30 @@
             }
         }
         for ask in refusals {
-            let Some(ledger) = self.ledgers.get_mut(key) else { return };
+            let Some(ledger) = self.ledgers.get_mut(key) else {
+                return;
+            };
             let retry_after = ledger.retry_after(now, &ask, &self.terms);
             actions.push(self.refusal(key, &ask, retry_after));
         }
     }
 
     fn refusal(&self, key: &K, ask: &Pending, retry_after: Duration) -> Action<K> {
-        let token = Token { epoch: self.tenure.epoch().unwrap_or(0), owner: self.me };
+        let token = Token {
+            epoch: self.tenure.epoch().unwrap_or(0),
+            owner: self.me,
+        };
         let Pending { gate, sequence, .. } = *ask;
         let key = key.clone();
-        let grant = Grant { token, gate, sequence, key, count: 0, pressed: false, retry_after };
+        let grant = Grant {
+            token,
+            gate,
+            sequence,
+            key,
+            count: 0,
+            pressed: false,
+            retry_after,
+        };
         Action::Send(gate, Message::Grant(grant))
     }
 
@@ -256,12 +328,15 @@
     }
 
     fn confirm(&mut self, now: Duration, actions: &mut Vec<Action<K>>) {
-        let Some(epoch) = self.tenure.epoch() else { return };
+        let Some(epoch) = self.tenure.epoch() else {
+            return;
+        };
         self.asked = Some(now);
         actions.push(Action::Confirm { epoch, asked: now });
     }
 
-    /// A confirmation is due once for each view, and after half of the lease while asks are to be expected.
+    /// A confirmation is due once for each view, and after half of the lease while asks are to be
+    /// expected.
     fn next_confirm(&self) -> Option<Duration> {
         self.tenure.epoch()?;
         let asked = self.asked.unwrap_or(Duration::ZERO);
@@ -278,6 +353,10 @@
 
     fn next_turn(&self, ledger: &Ledger) -> Option<Duration> {
         let first = ledger.pending.iter().map(|ask| ask.until).min()?;
-        [ledger.next_free(), ledger.opens].into_iter().flatten().chain([first]).min()
+        [ledger.next_free(), ledger.opens]
+            .into_iter()
+            .flatten()
+            .chain([first])
+            .min()
     }
 }
--- a/crates/keyed-ownership/src/permits.rs
+++ b/crates/keyed-ownership/src/permits.rs
@@ -21,7 +21,10 @@
     #[must_use]
     pub fn new(me: GateId, terms: Terms, started: Duration) -> Self {
         let local = ColdLimiter::with_span(0, terms.settles(), started);
-        Self { local, client: Client::new(me, terms) }
+        Self {
+            local,
+            client: Client::new(me, terms),
+        }
     }
 
     /// Takes an event of the client at `now`.
@@ -32,8 +35,9 @@
         self.client.handle(now, event, actions);
     }
 
-    /// Takes the permission for one request to the cold server `key`, which must be written at once: a held permit,
-    /// else the share, else an ask to the owner. `waiting` requests wait for one, this one counted.
+    /// Takes the permission for one request to the cold server `key`, which must be written at
+    /// once: a held permit, else the share, else an ask to the owner. `waiting` requests wait for
+    /// one, this one counted.
     ///
     /// # Errors
     /// [`Wait`] with the moment to try again, which [`Action::Ready`] may bring forward.
@@ -48,8 +52,12 @@
         if self.client.holds(now, key) {
             return self.client.try_take(now, key, split.pool, waiting, actions);
         }
-        let Err(local) = self.local.try_take_of(now, key, split.share) else { return Ok(()) };
-        self.client.try_take(now, key, split.pool, waiting, actions).map_err(|wait| wait.sooner(local))
+        let Err(local) = self.local.try_take_of(now, key, split.share) else {
+            return Ok(());
+        };
+        self.client
+            .try_take(now, key, split.pool, waiting, actions)
+            .map_err(|wait| wait.sooner(local))
     }
 
     /// Counts a request that went without permission against the share.
@@ -73,12 +81,22 @@
 }
 
 impl<K: Key> RetryPermits<K> {
-    /// The permissions of the gate `me`, whose process started at `started`. `split` divides the burst of `budget`,
-    /// and `terms` are those of its window ([`Terms::retry`]).
+    /// The permissions of the gate `me`, whose process started at `started`. `split` divides the
+    /// burst of `budget`, and `terms` are those of its window ([`Terms::retry`]).
     #[must_use]
-    pub fn new(me: GateId, budget: RetryTerms, split: Split, terms: Terms, started: Duration) -> Self {
+    pub fn new(
+        me: GateId,
+        budget: RetryTerms,
+        split: Split,
+        terms: Terms,
+        started: Duration,
+    ) -> Self {
         let local = RetryBudget::with_share(budget, split.share, started);
-        Self { local, client: Client::new(me, terms), pool: split.pool }
+        Self {
+            local,
+            client: Client::new(me, terms),
+            pool: split.pool,
+        }
     }
 
     /// A client's request for a route of the service was read. Repeats must not be reported here.
@@ -94,8 +112,9 @@
         self.client.handle(now, event, actions);
     }
 
-    /// Takes the permission for one repeat, which must be sent at once: a held permit, else the gate's own part, else
-    /// an ask to the service's owner. `waiting` repeats wait for one, this one counted.
+    /// Takes the permission for one repeat, which must be sent at once: a held permit, else the
+    /// gate's own part, else an ask to the service's owner. `waiting` repeats wait for one, this
+    /// one counted.
     ///
     /// # Errors
     /// [`Wait`] with the moment to try again, which [`Action::Ready`] may bring forward.
@@ -107,10 +126,16 @@
         actions: &mut Vec<Action<K>>,
     ) -> Result<(), Wait> {
         if self.client.holds(now, service) {
-            return self.client.try_take(now, service, self.pool, waiting, actions);
+            return self
+                .client
+                .try_take(now, service, self.pool, waiting, actions);
         }
-        let Err(local) = self.local.try_take(now, service) else { return Ok(()) };
-        self.client.try_take(now, service, self.pool, waiting, actions).map_err(|wait| wait.sooner(local))
+        let Err(local) = self.local.try_take(now, service) else {
+            return Ok(());
+        };
+        self.client
+            .try_take(now, service, self.pool, waiting, actions)
+            .map_err(|wait| wait.sooner(local))
     }
 
     /// When [`Event::Tick`] is due; `None` if there is nothing to wait for.
--- a/crates/keyed-ownership/src/tenure.rs
+++ b/crates/keyed-ownership/src/tenure.rs
@@ -1,9 +1,9 @@
 //! Since when a gate has owned a key without a break, and whether it may act on that now.
 //!
-//! A tenure begins when the first view in which the gate owns the key is confirmed. It goes on over views that follow
-//! each other without a gap. Over a gap, others may have owned the key; the tenure goes on only if
-//! none of them can have come through its quiet period, which is so when the new view is confirmed early enough after
-//! the last confirmation of the old one was asked for.
+//! A tenure begins when the first view in which the gate owns the key is confirmed. It goes on over
+//! views that follow each other without a gap. Over a gap, others may have owned the key; the
+//! tenure goes on only if none of them can have come through its quiet period, which is so when the
+//! new view is confirmed early enough after the last confirmation of the old one was asked for.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -76,7 +76,12 @@
     /// A gate without any view.
     #[must_use]
     pub fn new(me: GateId, terms: Terms) -> Self {
-        Self { me, terms, entries: VecDeque::new(), last: None }
+        Self {
+            me,
+            terms,
+            entries: VecDeque::new(),
+            last: None,
+        }
     }
 
     /// The epoch in force, if there is a view.
@@ -92,11 +97,17 @@
             Some(epoch) if view.follows == Some(epoch) => Link::Joined,
             _ => self.gap(),
         };
-        self.entries.push_back(Entry { view, mine: FxHashMap::default(), link, start: None });
+        self.entries.push_back(Entry {
+            view,
+            mine: FxHashMap::default(),
+            link,
+            start: None,
+        });
         true
     }
 
-    /// Takes a confirmation that was complete at `now`. One of another epoch than that in force is void.
+    /// Takes a confirmation that was complete at `now`. One of another epoch than that in force is
+    /// void.
     pub fn confirm(&mut self, now: Duration, confirmed: Confirmed) {
         if self.epoch() != Some(confirmed.epoch) {
             return;
@@ -105,15 +116,17 @@
         if let Some(entry) = self.entries.back_mut() {
             entry.start.get_or_insert(now);
         }
-        let newer =
-            self.last.is_none_or(|last| (last.epoch, last.asked) < (confirmed.epoch, confirmed.asked));
+        let newer = self
+            .last
+            .is_none_or(|last| (last.epoch, last.asked) < (confirmed.epoch, confirmed.asked));
         if newer {
             self.last = Some(confirmed);
         }
         self.prune(now);
     }
 
-    /// The moment until which the gate may act on its last confirmation; `None` without one of the epoch in force.
+    /// The moment until which the gate may act on its last confirmation; `None` without one of the
+    /// epoch in force.
     #[must_use]
     pub fn leased_until(&self) -> Option<Duration> {
         let last = self.last.filter(|last| Some(last.epoch) == self.epoch())?;
@@ -123,20 +136,32 @@
     /// What the gate may do for `key`.
     pub fn standing<K: Key>(&mut self, now: Duration, key: &K) -> Standing {
         let me = self.me;
-        let Some(entry) = self.entries.back_mut() else { return Standing::Other };
+        let Some(entry) = self.entries.back_mut() else {
+            return Standing::Other;
+        };
         if !entry.owned_by(me, key) {
             return Standing::Other;
         }
-        let token = Token { epoch: entry.view.epoch, owner: me };
+        let token = Token {
+            epoch: entry.view.epoch,
+            owner: me,
+        };
         if self.leased_until().is_none_or(|until| until <= now) {
             return Standing::Unconfirmed;
         }
-        let Some(start) = self.start(key) else { return Standing::Unconfirmed };
+        let Some(start) = self.start(key) else {
+            return Standing::Unconfirmed;
+        };
         let opens = start + self.terms.quiet;
-        if now < opens { Standing::Quiet(opens) } else { Standing::Ready(token) }
+        if now < opens {
+            Standing::Quiet(opens)
+        } else {
+            Standing::Ready(token)
+        }
     }
 
-    /// When the tenure of `key` began: the first confirmation over the views in which the gate owns it.
+    /// When the tenure of `key` began: the first confirmation over the views in which the gate owns
+    /// it.
     fn start<K: Key>(&mut self, key: &K) -> Option<Duration> {
         let mut start = None;
         for entry in self.entries.iter_mut().rev() {
@@ -152,22 +177,36 @@
     }
 
     fn gap(&self) -> Link {
-        let Some(last) = self.last else { return Link::Broken };
+        let Some(last) = self.last else {
+            return Link::Broken;
+        };
         Link::Gap((last.asked + self.terms.quiet).saturating_sub(self.terms.lease))
     }
 
     fn resolve_gaps(&mut self, now: Duration) {
         for entry in &mut self.entries {
             if let Link::Gap(until) = entry.link {
-                entry.link = if now < until { Link::Joined } else { Link::Broken };
+                entry.link = if now < until {
+                    Link::Joined
+                } else {
+                    Link::Broken
+                };
             }
         }
     }
 
-    /// Drops the views that lie before a break or before the last one that was confirmed a quiet period ago.
+    /// Drops the views that lie before a break or before the last one that was confirmed a quiet
+    /// period ago.
     fn prune(&mut self, now: Duration) {
-        let old = |entry: &Entry| entry.start.is_some_and(|start| start + self.terms.quiet <= now);
-        let broken = self.entries.iter().rposition(|entry| entry.link == Link::Broken);
+        let old = |entry: &Entry| {
+            entry
+                .start
+                .is_some_and(|start| start + self.terms.quiet <= now)
+        };
+        let broken = self
+            .entries
+            .iter()
+            .rposition(|entry| entry.link == Link::Broken);
         let settled = self.entries.iter().rposition(old);
         let keep = broken.max(settled).unwrap_or(0);
         self.entries.drain(..keep);
--- a/crates/keyed-ownership/src/tenure/tests.rs
+++ b/crates/keyed-ownership/src/tenure/tests.rs
@@ -14,15 +14,26 @@
 }
 
 fn gate(number: u8) -> GateId {
-    GateId { address: SocketAddr::from((Ipv4Addr::new(10, 0, 0, number), 7000)), incarnation: 1, region: 0 }
+    GateId {
+        address: SocketAddr::from((Ipv4Addr::new(10, 0, 0, number), 7000)),
+        incarnation: 1,
+        region: 0,
+    }
 }
 
 fn view(epoch: u64, numbers: &[u8]) -> Arc<View> {
-    Arc::new(View { epoch, follows: Some(epoch - 1), gates: numbers.iter().copied().map(gate).collect() })
+    Arc::new(View {
+        epoch,
+        follows: Some(epoch - 1),
+        gates: numbers.iter().copied().map(gate).collect(),
+    })
 }
 
 fn confirmed(epoch: u64, asked: u64) -> Confirmed {
-    Confirmed { epoch, asked: ms(asked) }
+    Confirmed {
+        epoch,
+        asked: ms(asked),
+    }
 }
 
 fn quiet() -> Duration {
@@ -30,7 +41,10 @@
 }
 
 fn ready(epoch: u64) -> Standing {
-    Standing::Ready(Token { epoch, owner: gate(1) })
+    Standing::Ready(Token {
+        epoch,
+        owner: gate(1),
+    })
 }
 
 /// A gate that owns the key and is ready at 10 s, confirmed at that moment.
@@ -55,9 +69,18 @@
     tenure.adopt(view(5, &[1]));
     assert_eq!(tenure.standing(ms(9000), &KEY), Standing::Unconfirmed);
     tenure.confirm(ms(9100), confirmed(5, 9000));
-    assert_eq!(tenure.standing(ms(9100), &KEY), Standing::Quiet(ms(9100) + quiet()));
+    assert_eq!(
+        tenure.standing(ms(9100), &KEY),
+        Standing::Quiet(ms(9100) + quiet())
+    );
     let opens = ms(9100) + quiet();
-    tenure.confirm(opens, Confirmed { epoch: 5, asked: opens });
+    tenure.confirm(
+        opens,
+        Confirmed {
+            epoch: 5,
+            asked: opens,
+        },
+    );
     assert_eq!(tenure.standing(opens, &KEY), ready(5));
 }
 
@@ -85,7 +108,10 @@
     tenure.adopt(view(6, &[1]));
     tenure.confirm(ms(100), confirmed(5, 50));
     tenure.confirm(ms(900), confirmed(6, 800));
-    assert_eq!(tenure.standing(ms(900), &KEY), Standing::Quiet(ms(900) + quiet()));
+    assert_eq!(
+        tenure.standing(ms(900), &KEY),
+        Standing::Quiet(ms(900) + quiet())
+    );
 }
 
 #[test]
@@ -119,7 +145,10 @@
     assert_eq!(tenure.standing(ms(10_100), &KEY), Standing::Other);
     tenure.adopt(view(7, &[1]));
     tenure.confirm(ms(10_200), confirmed(7, 10_150));
-    assert_eq!(tenure.standing(ms(10_200), &KEY), Standing::Quiet(ms(10_200) + quiet()));
+    assert_eq!(
+        tenure.standing(ms(10_200), &KEY),
+        Standing::Quiet(ms(10_200) + quiet())
+    );
 }
 
 #[test]
@@ -127,7 +156,13 @@
     let mut tenure = settled();
     tenure.adopt(view(9, &[1]));
     let until = ms(10_000) + quiet() - Terms::cold().lease;
-    tenure.confirm(until - ms(1), Confirmed { epoch: 9, asked: until - ms(1) });
+    tenure.confirm(
+        until - ms(1),
+        Confirmed {
+            epoch: 9,
+            asked: until - ms(1),
+        },
+    );
     assert_eq!(tenure.standing(until, &KEY), ready(9));
 }
 
@@ -136,8 +171,17 @@
     let mut tenure = settled();
     tenure.adopt(view(9, &[1]));
     let until = ms(10_000) + quiet() - Terms::cold().lease;
-    tenure.confirm(until, Confirmed { epoch: 9, asked: until });
-    assert_eq!(tenure.standing(until, &KEY), Standing::Quiet(until + quiet()));
+    tenure.confirm(
+        until,
+        Confirmed {
+            epoch: 9,
+            asked: until,
+        },
+    );
+    assert_eq!(
+        tenure.standing(until, &KEY),
+        Standing::Quiet(until + quiet())
+    );
 }
 
 #[test]
@@ -146,12 +190,21 @@
     tenure.adopt(view(9, &[1]));
     tenure.adopt(view(10, &[1]));
     tenure.confirm(ms(30_000), confirmed(10, 30_000));
-    assert_eq!(tenure.standing(ms(30_000), &KEY), Standing::Quiet(ms(30_000) + quiet()));
+    assert_eq!(
+        tenure.standing(ms(30_000), &KEY),
+        Standing::Quiet(ms(30_000) + quiet())
+    );
 }
 
 #[test]
 fn other_life_at_the_address_is_another_owner() {
-    let mut tenure = Tenure::new(GateId { incarnation: 2, ..gate(1) }, Terms::cold());
+    let mut tenure = Tenure::new(
+        GateId {
+            incarnation: 2,
+            ..gate(1)
+        },
+        Terms::cold(),
+    );
     tenure.adopt(view(5, &[1]));
     tenure.confirm(ms(0), confirmed(5, 0));
     assert_eq!(tenure.standing(ms(900), &KEY), Standing::Other);
--- a/crates/keyed-ownership/src/terms/tests.rs
+++ b/crates/keyed-ownership/src/terms/tests.rs
@@ -5,7 +5,10 @@
 #[test]
 fn quiet_is_the_sum_of_what_an_earlier_owner_may_still_cause() {
     let terms = Terms::cold();
-    assert_eq!(terms.quiet, terms.lease + terms.life + terms.flight + terms.span);
+    assert_eq!(
+        terms.quiet,
+        terms.lease + terms.life + terms.flight + terms.span
+    );
     let window = Duration::from_secs(10);
     assert!(Terms::retry(window).quiet > window);
 }
@@ -28,5 +31,8 @@
     }
     assert_eq!(Split::new(20, 8, 50), Split { share: 1, pool: 12 });
     assert_eq!(Split::new(20, 360, 50), Split { share: 0, pool: 20 });
-    assert_eq!(Split::new(20, 3, 20).without_share(), Split { share: 0, pool: 17 });
+    assert_eq!(
+        Split::new(20, 3, 20).without_share(),
+        Split { share: 0, pool: 17 }
+    );
 }
--- a/crates/keyed-ownership/src/view.rs
+++ b/crates/keyed-ownership/src/view.rs
@@ -1,7 +1,8 @@
 //! The gates known at one epoch, and which of them owns a key.
 //!
-//! Views come from outside. What the limits need of them: an epoch names one view for good, and epochs rise. Nothing
-//! is needed of when a gate learns a view; gates may act on different views at the same time.
+//! Views come from outside. What the limits need of them: an epoch names one view for good, and
+//! epochs rise. Nothing is needed of when a gate learns a view; gates may act on different views at
+//! the same time.
 
 use std::hash::Hash;
 use std::net::SocketAddr;
@@ -24,7 +25,8 @@
     pub region: u32,
 }
 
-/// The number of a region, from its name; the same at all gates. Two regions of one number only lose nearness.
+/// The number of a region, from its name; the same at all gates. Two regions of one number only
+/// lose nearness.
 #[must_use]
 pub fn region_number(name: &str) -> u32 {
     // The lower half of the hash.
@@ -36,7 +38,8 @@
     /// Its name, by which the owner is drawn.
     fn name(&self) -> &str;
 
-    /// The region whose gates own it, if there are any. It never changes for a name, and all gates know it alike.
+    /// The region whose gates own it, if there are any. It never changes for a name, and all gates
+    /// know it alike.
     fn region(&self) -> Option<u32> {
         None
     }
@@ -84,25 +87,28 @@
 pub struct View {
     /// The number of the view; each names one set of gates for good.
     pub epoch: u64,
-    /// The epoch of the view before, if it is certain that none was in force between them. Without it, owners wait
-    /// for their quiet period more often, and nothing else changes.
+    /// The epoch of the view before, if it is certain that none was in force between them. Without
+    /// it, owners wait for their quiet period more often, and nothing else changes.
     pub follows: Option<u64>,
     /// The gates, in any order.
     pub gates: Vec<GateId>,
 }
 
 impl View {
-    /// The gate that owns `key` in this view, by rendezvous hashing over the addresses of the gates of its region, or
-    /// of all gates where it has none; `None` in an empty view.
+    /// The gate that owns `key` in this view, by rendezvous hashing over the addresses of the gates
+    /// of its region, or of all gates where it has none; `None` in an empty view.
     ///
-    /// A gate that joins or leaves moves only the keys that it owns, unless it is the first or last of its region.
+    /// A gate that joins or leaves moves only the keys that it owns, unless it is the first or last
+    /// of its region.
     #[must_use]
     pub fn owner<K: Key>(&self, key: &K) -> Option<GateId> {
         let seed = xxh3_64(key.name().as_bytes());
         let near = |gate: &&GateId| key.region().is_none_or(|region| gate.region == region);
         let heaviest = |gate: &&GateId| (weight(seed, gate), gate.address);
         let nearest = self.gates.iter().filter(near).max_by_key(heaviest);
-        nearest.or_else(|| self.gates.iter().max_by_key(heaviest)).copied()
+        nearest
+            .or_else(|| self.gates.iter().max_by_key(heaviest))
+            .copied()
     }
 
     /// Whether this life of the gate is in the view.
@@ -120,7 +126,8 @@
     }
 }
 
-/// The fencing token of an ownership: the epoch of the view it comes from and the life of the owner.
+/// The fencing token of an ownership: the epoch of the view it comes from and the life of the
+/// owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Token {
     /// The epoch of the owner's view.
--- a/crates/keyed-ownership/src/view/tests.rs
+++ b/crates/keyed-ownership/src/view/tests.rs
@@ -3,11 +3,19 @@
 use super::{GateId, Instance, View, region_number};
 
 fn gate(number: u8) -> GateId {
-    GateId { address: SocketAddr::from((Ipv4Addr::new(10, 0, 0, number), 7000)), incarnation: 1, region: 0 }
+    GateId {
+        address: SocketAddr::from((Ipv4Addr::new(10, 0, 0, number), 7000)),
+        incarnation: 1,
+        region: 0,
+    }
 }
 
 fn view(numbers: impl Iterator<Item = u8>) -> View {
-    View { epoch: 1, follows: None, gates: numbers.map(gate).collect() }
+    View {
+        epoch: 1,
+        follows: None,
+        gates: numbers.map(gate).collect(),
+    }
 }
 
 #[test]
@@ -31,10 +39,17 @@
     let mut owned = [0_u32; 10];
     for key in 0..10_000 {
         let owner = view.owner(&format!("i-{key}")).expect("an owner");
-        let number = view.gates.iter().position(|gate| *gate == owner).expect("a member");
+        let number = view
+            .gates
+            .iter()
+            .position(|gate| *gate == owner)
+            .expect("a member");
         owned[number] += 1;
     }
-    assert!(owned.iter().all(|count| (850..1150).contains(count)), "{owned:?}");
+    assert!(
+        owned.iter().all(|count| (850..1150).contains(count)),
+        "{owned:?}"
+    );
 }
 
 #[test]
@@ -58,9 +73,18 @@
     for gate in &mut view.gates[..3] {
         gate.region = here;
     }
-    let instance = |id: u32, region| Instance { id: format!("i-{id}"), region };
-    let owners: Vec<_> = (0..100).filter_map(|id| view.owner(&instance(id, here))).collect();
+    let instance = |id: u32, region| Instance {
+        id: format!("i-{id}"),
+        region,
+    };
+    let owners: Vec<_> = (0..100)
+        .filter_map(|id| view.owner(&instance(id, here)))
+        .collect();
     assert!(owners.iter().all(|owner| owner.region == here));
     assert!(view.gates[..3].iter().all(|gate| owners.contains(gate)));
-    assert_eq!(view.owner(&instance(1, there)), view.owner(&"i-1"), "no gate is there");
+    assert_eq!(
+        view.owner(&instance(1, there)),
+        view.owner(&"i-1"),
+        "no gate is there"
+    );
 }
--- a/crates/keyed-ownership/src/witness.rs
+++ b/crates/keyed-ownership/src/witness.rs
@@ -1,11 +1,13 @@
 //! Views and the witnesses that confirm them, without a leader.
 //!
-//! Any coordinator may propose a view. Its epoch holds the coordinator's number and is never used twice, so no two views
-//! share one. A witness takes a view whose epoch is above its own and, if the view names the one it follows, only directly after that one.
-//! A view is installed, and may be told to gates, once a majority of the witnesses took it this way; then no other
-//! view lies between it and the one it follows. The other witnesses are brought up to it regardless.
+//! Any coordinator may propose a view. Its epoch holds the coordinator's number and is never used
+//! twice, so no two views share one. A witness takes a view whose epoch is above its own and, if
+//! the view names the one it follows, only directly after that one. A view is installed, and may be
+//! told to gates, once a majority of the witnesses took it this way; then no other view lies
+//! between it and the one it follows. The other witnesses are brought up to it regardless.
 //!
-//! A witness must have its newest view on disk before it answers, or stay silent for good after it lost it.
+//! A witness must have its newest view on disk before it answers, or stay silent for good after it
+//! lost it.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -102,8 +104,9 @@
 
 /// A coordinator's side of installing views.
 ///
-/// A proposal goes to the witness beside the coordinator first, and to the others only once that one has taken it and
-/// has it on disk. So a coordinator that starts anew finds there whatever epoch it may have used.
+/// A proposal goes to the witness beside the coordinator first, and to the others only once that
+/// one has taken it and has it on disk. So a coordinator that starts anew finds there whatever
+/// epoch it may have used.
 #[derive(Clone, Debug)]
 pub struct Proposer {
     number: u8,
@@ -115,10 +118,17 @@
 }
 
 impl Proposer {
-    /// Coordinator `number` of a group with `witnesses` witnesses; `highest` is the epoch of the witness beside it.
+    /// Coordinator `number` of a group with `witnesses` witnesses; `highest` is the epoch of the
+    /// witness beside it.
     #[must_use]
     pub fn new(number: u8, witnesses: usize, highest: u64) -> Self {
-        Self { number, witnesses, highest, installed: None, open: None }
+        Self {
+            number,
+            witnesses,
+            highest,
+            installed: None,
+            open: None,
+        }
     }
 
     /// The newest view that is known to be installed.
@@ -130,7 +140,11 @@
     /// Another coordinator installed a view.
     pub fn learn(&mut self, view: Arc<View>) {
         self.highest = self.highest.max(view.epoch);
-        if self.installed.as_ref().is_none_or(|known| known.epoch < view.epoch) {
+        if self
+            .installed
+            .as_ref()
+            .is_none_or(|known| known.epoch < view.epoch)
+        {
             self.installed = Some(view);
         }
     }
@@ -142,8 +156,16 @@
         let installed = self.installed.as_ref().map_or(0, |view| view.epoch);
         let follows = (installed == self.highest).then_some(installed);
         self.highest = next_epoch(self.highest, self.number);
-        let view = Arc::new(View { epoch: self.highest, follows, gates });
-        let tally = Tally { view: view.clone(), taken: BTreeSet::new(), refused: BTreeSet::new() };
+        let view = Arc::new(View {
+            epoch: self.highest,
+            follows,
+            gates,
+        });
+        let tally = Tally {
+            view: view.clone(),
+            taken: BTreeSet::new(),
+            refused: BTreeSet::new(),
+        };
         self.open = Some(tally);
         view
     }
@@ -153,7 +175,10 @@
         if let Installed::Refused { newest } = installed {
             self.highest = self.highest.max(newest);
         }
-        let tally = self.open.as_mut().filter(|tally| tally.view.epoch == epoch)?;
+        let tally = self
+            .open
+            .as_mut()
+            .filter(|tally| tally.view.epoch == epoch)?;
         match installed {
             Installed::Taken => tally.taken.insert(witness),
             Installed::Refused { .. } => tally.refused.insert(witness),
--- a/crates/keyed-ownership/tests/permits.rs
+++ b/crates/keyed-ownership/tests/permits.rs
@@ -1,4 +1,5 @@
-//! Both bounds, summed over all gates, in simulated faults; and each guard removed, which must be caught.
+//! Both bounds, summed over all gates, in simulated faults; and each guard removed, which must be
+//! caught.
 
 mod simulation;
 
@@ -98,7 +99,10 @@
 fn the_bound_is_used_up() {
     let full = |seed| worst_second(&run(Play::cold(seed, 5)), 2) == 20;
     let runs = (0..40).filter(|seed| full(*seed)).count();
-    assert!(runs >= 30, "the load reached the bound in {runs} of 40 runs");
+    assert!(
+        runs >= 30,
+        "the load reached the bound in {runs} of 40 runs"
+    );
 }
 
 // Guards removed.
@@ -125,7 +129,10 @@
 
 #[test]
 fn confirmation_by_one_witness_is_caught() {
-    let removed = |seed| Play { witnesses_asked: 1, ..Play::cold(seed, 30) };
+    let removed = |seed| Play {
+        witnesses_asked: 1,
+        ..Play::cold(seed, 30)
+    };
     assert!(caught(0..60, removed));
 }
 
@@ -151,7 +158,10 @@
 
 #[test]
 fn share_given_anew_by_a_restart_is_caught() {
-    let removed = |play: Play| Play { quiet_share: false, ..play };
+    let removed = |play: Play| Play {
+        quiet_share: false,
+        ..play
+    };
     assert!(caught(0..200, |seed| removed(Play::cold(seed, 5))));
     assert!(caught(0..200, |seed| removed(Play::retry(seed, 5))));
 }
--- a/crates/keyed-ownership/tests/retry_budget.rs
+++ b/crates/keyed-ownership/tests/retry_budget.rs
@@ -1,4 +1,5 @@
-//! The gates' own parts of the retry budget, summed, against every window; at arrivals chosen to break them.
+//! The gates' own parts of the retry budget, summed, against every window; at arrivals chosen to
+//! break them.
 
 mod simulation;
 
@@ -11,11 +12,16 @@
 use simulation::world::Trace;
 use simulation::{MS, Micros, at};
 
-const TERMS: RetryTerms = RetryTerms { ratio: 0.2, burst: 20, window: Duration::from_secs(10) };
+const TERMS: RetryTerms = RetryTerms {
+    ratio: 0.2,
+    burst: 20,
+    window: Duration::from_secs(10),
+};
 
 const GATES: usize = 4;
 
-/// Requests that come to one gate at one moment; each is to be repeated as often as the budget permits.
+/// Requests that come to one gate at one moment; each is to be repeated as often as the budget
+/// permits.
 #[derive(Clone, Copy, Debug)]
 struct Burst {
     gate: usize,
@@ -27,10 +33,14 @@
     to_server: Micros,
 }
 
-/// By how much the repeats go over the rule, if every gate sends all it may and, at `restart`, one starts anew.
+/// By how much the repeats go over the rule, if every gate sends all it may and, at `restart`, one
+/// starts anew.
 fn excess(mut bursts: Vec<Burst>, restart: Option<(usize, Micros)>, factor: f64) -> f64 {
     bursts.sort_by_key(|burst| burst.moment + burst.to_gate);
-    let terms = RetryTerms { ratio: TERMS.ratio * factor, ..TERMS };
+    let terms = RetryTerms {
+        ratio: TERMS.ratio * factor,
+        ..TERMS
+    };
     let born = |started| RetryBudget::local(terms, GATES as u32, started);
     let mut gates: Vec<_> = (0..GATES).map(|_| born(Duration::ZERO)).collect();
     let mut restart = restart;
@@ -53,13 +63,23 @@
 }
 
 fn burst(gate: usize, moment: Micros, requests: u32) -> Burst {
-    Burst { gate, moment, requests, to_gate: 5 * MS, to_server: 5 * MS }
+    Burst {
+        gate,
+        moment,
+        requests,
+        to_gate: 5 * MS,
+        to_server: 5 * MS,
+    }
 }
 
 /// Two gates have their requests most of a window apart, and all repeats within one.
 #[test]
 fn whole_ratio_is_caught() {
-    let mut bursts = vec![burst(0, 20_000 * MS, 0), burst(1, 20_000 * MS, 0), burst(2, 20_000 * MS, 0)];
+    let mut bursts = vec![
+        burst(0, 20_000 * MS, 0),
+        burst(1, 20_000 * MS, 0),
+        burst(2, 20_000 * MS, 0),
+    ];
     bursts.push(burst(3, 20_000 * MS, 500));
     bursts.push(burst(0, 29_000 * MS, 500));
     assert_eq!(excess(bursts.clone(), None, 1.0), 0.0);
@@ -69,7 +89,13 @@
 fn any_burst() -> impl Strategy<Value = Burst> {
     let requests = prop_oneof![3 => Just(0_u32), 2 => 1..40_u32, 1 => 100..400_u32];
     (0..GATES, 0..60_000 * MS, requests, 0..60 * MS, 0..60 * MS).prop_map(
-        |(gate, moment, requests, to_gate, to_server)| Burst { gate, moment, requests, to_gate, to_server },
+        |(gate, moment, requests, to_gate, to_server)| Burst {
+            gate,
+            moment,
+            requests,
+            to_gate,
+            to_server,
+        },
     )
 }
 
--- a/crates/keyed-ownership/tests/simulation/faults.rs
+++ b/crates/keyed-ownership/tests/simulation/faults.rs
@@ -31,8 +31,8 @@
     CutOut { whom: Whom, span: Micros },
     /// What is sent to it by gates and witnesses is lost for `span`.
     CutIn { whom: Whom, span: Micros },
-    /// Cut off both ways for `span` from all but each other: the gate struck, one witness, and each other gate with
-    /// a chance of `part` in 100.
+    /// Cut off both ways for `span` from all but each other: the gate struck, one witness, and each
+    /// other gate with a chance of `part` in 100.
     Partition { whom: Whom, span: Micros, part: u32 },
 }
 
@@ -59,25 +59,37 @@
     }
     if play.trouble == Trouble::Herd {
         let at = random.random_range(3_000 * MS..play.length / 2);
-        let fault = Fault::Kill { whom: Whom::All, down: random.random_range(5 * MS..900 * MS) };
+        let fault = Fault::Kill {
+            whom: Whom::All,
+            down: random.random_range(5 * MS..900 * MS),
+        };
         queue.push(at, Happening::Fault(fault));
     }
 }
 
 fn draw(play: &Play, random: &mut Xoshiro256PlusPlus) -> Fault {
     let whom = if random.random_bool(0.7) {
-        Whom::Owner { key: random.random_range(0..play.keys) }
+        Whom::Owner {
+            key: random.random_range(0..play.keys),
+        }
     } else {
         Whom::Gate(random.random_range(0..play.gates))
     };
     let span = random.random_range(100 * MS..4_000 * MS);
     let longer = random.random_range(4_000 * MS..8_000 * MS);
     match random.random_range(0..6) {
-        0 => Fault::Kill { whom, down: random.random_range(5 * MS..2_500 * MS) },
+        0 => Fault::Kill {
+            whom,
+            down: random.random_range(5 * MS..2_500 * MS),
+        },
         1 => Fault::Freeze { whom, span },
         2 => Fault::CutOut { whom, span },
         3 => Fault::CutIn { whom, span },
-        _ => Fault::Partition { whom, span: longer, part: random.random_range(10..70) },
+        _ => Fault::Partition {
+            whom,
+            span: longer,
+            part: random.random_range(10..70),
+        },
     }
 }
 
@@ -101,12 +113,14 @@
         }
     }
 
-    /// A gate that is down comes up as a new life: its old timers and messages find another incarnation.
+    /// A gate that is down comes up as a new life: its old timers and messages find another
+    /// incarnation.
     pub(super) fn kill(&mut self, gate: usize, up: Micros) {
         let now = self.now;
         let node = &mut self.nodes[gate];
-        let lost =
-            node.life.take().map_or(0, |life| life.waiting.iter().map(|queue| queue.len() as u64).sum());
+        let lost = node.life.take().map_or(0, |life| {
+            life.waiting.iter().map(|queue| queue.len() as u64).sum()
+        });
         self.trace.given_up += lost;
         node.incarnation += 1;
         node.frozen_until = 0;
--- a/crates/keyed-ownership/tests/simulation/judge.rs
+++ b/crates/keyed-ownership/tests/simulation/judge.rs
@@ -10,7 +10,10 @@
 
 /// The most arrivals of one key in any second.
 pub fn worst_second(trace: &Trace, keys: usize) -> usize {
-    (0..keys).map(|key| worst_span(&arrivals(trace, key), SECOND)).max().unwrap_or(0)
+    (0..keys)
+        .map(|key| worst_span(&arrivals(trace, key), SECOND))
+        .max()
+        .unwrap_or(0)
 }
 
 fn worst_span(arrivals: &[Micros], span: Micros) -> usize {
@@ -25,7 +28,8 @@
     worst
 }
 
-/// By how much the repeats to a service go over what the rule allows in the worst window; 0 if in none.
+/// By how much the repeats to a service go over what the rule allows in the worst window; 0 if in
+/// none.
 pub fn worst_excess(trace: &Trace, terms: &RetryTerms, keys: usize) -> f64 {
     let excess = |key| excess(&requests(trace, key), &arrivals(trace, key), terms);
     (0..keys).map(excess).fold(0.0, f64::max)
@@ -38,7 +42,11 @@
     for start in starts(requests, repeats, window) {
         let repeated = between(repeats, start, start + window) as f64;
         let here = between(requests, start, start + window);
-        let half = between(requests, start.saturating_sub(window / 2), start + window / 2);
+        let half = between(
+            requests,
+            start.saturating_sub(window / 2),
+            start + window / 2,
+        );
         let before = between(requests, start.saturating_sub(window), start);
         let most = here.max(half).max(before) as f64;
         worst = worst.max(repeated - terms.ratio * most - f64::from(terms.burst));
@@ -75,28 +83,40 @@
 }
 
 fn of_key(moments: &[(usize, Micros)], key: usize) -> Vec<Micros> {
-    let mut of: Vec<Micros> =
-        moments.iter().filter(|(other, _)| *other == key).map(|(_, moment)| *moment).collect();
+    let mut of: Vec<Micros> = moments
+        .iter()
+        .filter(|(other, _)| *other == key)
+        .map(|(_, moment)| *moment)
+        .collect();
     of.sort_unstable();
     of
 }
 
-/// (moment it came, wait) of each request, had an owner limited them that sees every gate at once: the same bound over
-/// `span`, first come first served, without messages.
+/// (moment it came, wait) of each request, had an owner limited them that sees every gate at once:
+/// the same bound over `span`, first come first served, without messages.
 pub fn ideal_waits(trace: &Trace, key: usize, bound: usize, span: Micros) -> Vec<(Micros, Micros)> {
     let requests = requests(trace, key);
     let mut sent: Vec<Micros> = Vec::with_capacity(requests.len());
     for came in &requests {
-        let room = sent.len().checked_sub(bound).map_or(0, |place| sent[place] + span + 1);
+        let room = sent
+            .len()
+            .checked_sub(bound)
+            .map_or(0, |place| sent[place] + span + 1);
         sent.push(room.max(*came));
     }
-    sent.iter().zip(&requests).map(|(sent, came)| (*came, sent - came)).collect()
+    sent.iter()
+        .zip(&requests)
+        .map(|(sent, came)| (*came, sent - came))
+        .collect()
 }
 
 /// The waits of the requests that came at or after `from`, in rising order.
 pub fn waits_from(waits: &[(Micros, Micros)], from: Micros) -> Vec<Micros> {
-    let mut waits: Vec<Micros> =
-        waits.iter().filter(|(came, _)| *came >= from).map(|(_, wait)| *wait).collect();
+    let mut waits: Vec<Micros> = waits
+        .iter()
+        .filter(|(came, _)| *came >= from)
+        .map(|(_, wait)| *wait)
+        .collect();
     waits.sort_unstable();
     waits
 }
@@ -104,5 +124,8 @@
 /// The value below which the part `part` of sorted values lies.
 pub fn quantile(sorted: &[Micros], part: f64) -> Micros {
     let place = (sorted.len() as f64 * part) as usize;
-    sorted.get(place.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0)
+    sorted
+        .get(place.min(sorted.len().saturating_sub(1)))
+        .copied()
+        .unwrap_or(0)
 }
--- a/crates/keyed-ownership/tests/simulation/messages.rs
+++ b/crates/keyed-ownership/tests/simulation/messages.rs
@@ -40,12 +40,17 @@
     }
 
     pub(super) fn own(&mut self, gate: usize, event: OwnerEvent<Instance>) {
-        if !matches!(event, OwnerEvent::Tick | OwnerEvent::View(_) | OwnerEvent::Confirmed(_)) {
+        if !matches!(
+            event,
+            OwnerEvent::Tick | OwnerEvent::View(_) | OwnerEvent::Confirmed(_)
+        ) {
             self.trace.owner_messages[gate] += 1;
         }
         let now = self.now;
         let mut actions = Vec::new();
-        let Some(life) = &mut self.nodes[gate].life else { return };
+        let Some(life) = &mut self.nodes[gate].life else {
+            return;
+        };
         life.owner.handle(at(now), event, &mut actions);
         for action in actions {
             match action {
@@ -62,7 +67,9 @@
     pub(super) fn use_event(&mut self, gate: usize, event: ClientEvent<Instance>) {
         let now = self.now;
         let mut actions = Vec::new();
-        let Some(life) = &mut self.nodes[gate].life else { return };
+        let Some(life) = &mut self.nodes[gate].life else {
+            return;
+        };
         life.permits.handle(at(now), event, &mut actions);
         self.carry_out(gate, actions);
         self.set_timer(gate);
@@ -73,7 +80,11 @@
             match action {
                 ClientAction::Send(to, message) => self.send(gate, &to, message),
                 ClientAction::Ready(key) => {
-                    let key = key.id.trim_start_matches("i-").parse().expect("a key of the run");
+                    let key = key
+                        .id
+                        .trim_start_matches("i-")
+                        .parse()
+                        .expect("a key of the run");
                     self.pump(gate, key);
                 }
             }
@@ -83,7 +94,9 @@
     pub(super) fn send(&mut self, from: usize, to: &GateId, message: Message<Instance>) {
         let to = number(to);
         self.trace.messages += u64::from(from != to);
-        if self.nodes[from].out_cut_until > self.now && from != to || self.apart(from) != self.apart(to) {
+        if self.nodes[from].out_cut_until > self.now && from != to
+            || self.apart(from) != self.apart(to)
+        {
             return;
         }
         let arrival = self.now + way(&mut self.random, from, to);
@@ -92,8 +105,13 @@
 
     pub(super) fn set_timer(&mut self, gate: usize) {
         let now = self.now;
-        let Some(life) = &mut self.nodes[gate].life else { return };
-        let due = [life.owner.next_wake(), life.permits.next_wake()].into_iter().flatten().min();
+        let Some(life) = &mut self.nodes[gate].life else {
+            return;
+        };
+        let due = [life.owner.next_wake(), life.permits.next_wake()]
+            .into_iter()
+            .flatten()
+            .min();
         let Some(due) = due else { return };
         let due = micros(due).max(now + MS);
         if life.wakes.is_some_and(|set| set <= due && set > now) {
--- a/crates/keyed-ownership/tests/simulation/mod.rs
+++ b/crates/keyed-ownership/tests/simulation/mod.rs
@@ -1,4 +1,5 @@
-//! A deterministic simulation of gates, owners and witnesses under faults, and the judges of both bounds.
+//! A deterministic simulation of gates, owners and witnesses under faults, and the judges of both
+//! bounds.
 #![allow(dead_code, reason = "the tests and the study each use a part")]
 
 pub mod faults;
--- a/crates/keyed-ownership/tests/simulation/network.rs
+++ b/crates/keyed-ownership/tests/simulation/network.rs
@@ -14,17 +14,35 @@
 #[derive(Clone, Debug)]
 pub enum Happening {
     /// A message reaches a gate.
-    Deliver { to: usize, message: Message<Instance> },
+    Deliver {
+        to: usize,
+        message: Message<Instance>,
+    },
     /// A gate learns a view.
     Learn { to: usize, view: Arc<View> },
     /// A proposed view reaches a witness.
-    Propose { proposer: usize, witness: usize, view: Arc<View> },
+    Propose {
+        proposer: usize,
+        witness: usize,
+        view: Arc<View>,
+    },
     /// A witness is told a view that was installed.
     CatchUp { witness: usize, view: Arc<View> },
     /// A question of a gate reaches a witness.
-    Question { from: usize, life: u64, question: u64, witness: usize },
+    Question {
+        from: usize,
+        life: u64,
+        question: u64,
+        witness: usize,
+    },
     /// A witness's answer reaches a gate.
-    Answer { to: usize, life: u64, question: u64, witness: usize, newest: u64 },
+    Answer {
+        to: usize,
+        life: u64,
+        question: u64,
+        witness: usize,
+        newest: u64,
+    },
     /// A gate's timer.
     Wake { gate: usize, life: u64 },
     /// A gate tries its waiting requests for a key again.
@@ -74,7 +92,11 @@
 impl Queue {
     pub fn push(&mut self, at: Micros, what: Happening) {
         self.number += 1;
-        self.heap.push(Entry { at, number: self.number, what });
+        self.heap.push(Entry {
+            at,
+            number: self.number,
+            what,
+        });
     }
 
     pub fn pop(&mut self) -> Option<(Micros, Happening)> {
--- a/crates/keyed-ownership/tests/simulation/node.rs
+++ b/crates/keyed-ownership/tests/simulation/node.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use ironmast_keyed_ownership::client::{Action as ClientAction, Event};
-use ironmast_keyed_ownership::{Confirmation, GateId, Instance, Owner, Permits, RetryPermits, Split};
+use ironmast_keyed_ownership::{
+    Confirmation, GateId, Instance, Owner, Permits, RetryPermits, Split,
+};
 use ironmast_limits::Wait;
 
 use super::network::region;
@@ -20,7 +22,9 @@
 
 /// The number of the gate at an address.
 pub fn number(id: &GateId) -> usize {
-    let SocketAddr::V4(address) = id.address else { return 0 };
+    let SocketAddr::V4(address) = id.address else {
+        return 0;
+    };
     let [.., high, low] = address.ip().octets();
     usize::from(high) << 8 | usize::from(low)
 }
@@ -44,13 +48,23 @@
 
 impl Life {
     pub fn new(play: &Play, gate: usize, incarnation: u64, now: Micros) -> Self {
-        let id = GateId { address: address(gate), incarnation, region: region(gate) };
+        let id = GateId {
+            address: address(gate),
+            incarnation,
+            region: region(gate),
+        };
         let span = play.client.settles();
-        let started = if play.quiet_share { at(now) } else { at(now).saturating_sub(span) };
+        let started = if play.quiet_share {
+            at(now)
+        } else {
+            at(now).saturating_sub(span)
+        };
         let split = Split::new(play.bound, play.gates as u32, play.reserved_percent);
         let permits = match play.subject {
             Subject::Cold => Either::Cold(Permits::new(id, play.client, started)),
-            Subject::Retry(terms) => Either::Retry(RetryPermits::new(id, terms, split, play.client, started)),
+            Subject::Retry(terms) => {
+                Either::Retry(RetryPermits::new(id, terms, split, play.client, started))
+            }
         };
         Self {
             id,
@@ -87,9 +101,15 @@
     if !play.shares_near {
         return Split::new(play.bound, play.gates as u32, play.reserved_percent);
     }
-    let near = (0..play.gates).filter(|gate| region(*gate) == region(key)).count();
+    let near = (0..play.gates)
+        .filter(|gate| region(*gate) == region(key))
+        .count();
     let split = Split::new(play.bound, near as u32, play.reserved_percent);
-    if mine == region(key) { split } else { split.without_share() }
+    if mine == region(key) {
+        split
+    } else {
+        split.without_share()
+    }
 }
 
 /// The permissions of a gate, by what it is limited in.
@@ -128,7 +148,10 @@
 
 /// A key as the crate knows it: a server in a region, whether an instance or all of a service.
 pub fn name(key: usize) -> Instance {
-    Instance { id: format!("i-{key}"), region: region(key) }
+    Instance {
+        id: format!("i-{key}"),
+        region: region(key),
+    }
 }
 
 /// A gate over its lives.
--- a/crates/keyed-ownership/tests/simulation/play.rs
+++ b/crates/keyed-ownership/tests/simulation/play.rs
@@ -19,7 +19,8 @@
 pub enum Trouble {
     /// None, with one view all along.
     Calm,
-    /// Gates killed, frozen and cut one way, owners first of all, with views that gates learn seconds apart.
+    /// Gates killed, frozen and cut one way, owners first of all, with views that gates learn
+    /// seconds apart.
     Mixed,
     /// As `Mixed`, and all gates restarted at once.
     Herd,
@@ -64,7 +65,11 @@
             seed,
             gates,
             subject: Subject::Cold,
-            trouble: if seed.is_multiple_of(4) { Trouble::Herd } else { Trouble::Mixed },
+            trouble: if seed.is_multiple_of(4) {
+                Trouble::Herd
+            } else {
+                Trouble::Mixed
+            },
             keys: 2,
             rate: 50.0,
             near: 0.3,
@@ -82,13 +87,22 @@
 
     /// A calm run at the rate a cold server is meant to get.
     pub fn calm(seed: u64, gates: usize, rate: f64) -> Self {
-        Self { trouble: Trouble::Calm, rate, patience: 10_000 * MS, ..Self::cold(seed, gates) }
+        Self {
+            trouble: Trouble::Calm,
+            rate,
+            patience: 10_000 * MS,
+            ..Self::cold(seed, gates)
+        }
     }
 
     /// Repeats under faults.
     pub fn retry(seed: u64, gates: usize) -> Self {
         let window = std::time::Duration::from_secs(3);
-        let terms = RetryTerms { ratio: 0.2, burst: 54, window };
+        let terms = RetryTerms {
+            ratio: 0.2,
+            burst: 54,
+            window,
+        };
         Self {
             subject: Subject::Retry(terms),
             keys: 1,
--- a/crates/keyed-ownership/tests/simulation/requests.rs
+++ b/crates/keyed-ownership/tests/simulation/requests.rs
@@ -15,12 +15,15 @@
 impl World {
     pub(super) fn request(&mut self, key: usize) {
         let gap = -self.random.random::<f64>().max(1e-12).ln() / self.play.rate * 1e6;
-        self.queue.push(self.now + gap as Micros + 1, Happening::Request { key });
+        self.queue
+            .push(self.now + gap as Micros + 1, Happening::Request { key });
         let gate = self.gate_for(key);
         self.trace.requests.push((key, self.now));
         let failing = self.play.subject == Subject::Cold || self.random.random_bool(FAILING);
         let now = self.now;
-        let Some(life) = &mut self.nodes[gate].life else { return };
+        let Some(life) = &mut self.nodes[gate].life else {
+            return;
+        };
         life.permits.on_request(at(now), &name(key));
         if failing {
             life.waiting[key].push_back(now);
@@ -33,12 +36,19 @@
     fn gate_for(&mut self, key: usize) -> usize {
         let any = self.random.random_range(0..self.play.gates);
         let near = any - any % REGIONS + key % REGIONS;
-        if near < self.play.gates && self.random.random_bool(self.play.near) { near } else { any }
+        if near < self.play.gates && self.random.random_bool(self.play.near) {
+            near
+        } else {
+            any
+        }
     }
 
     pub(super) fn again(&mut self, gate: usize, life: u64, key: usize) {
         let now = self.now;
-        if self.life(gate, life).is_some_and(|life| life.agains[key] <= now) {
+        if self
+            .life(gate, life)
+            .is_some_and(|life| life.agains[key] <= now)
+        {
             self.pump(gate, key);
         }
     }
@@ -47,8 +57,12 @@
     pub(super) fn pump(&mut self, gate: usize, key: usize) {
         let (now, play) = (self.now, self.play);
         loop {
-            let Some(life) = &mut self.nodes[gate].life else { return };
-            let Some(came) = life.waiting[key].front().copied() else { return };
+            let Some(life) = &mut self.nodes[gate].life else {
+                return;
+            };
+            let Some(came) = life.waiting[key].front().copied() else {
+                return;
+            };
             if came + play.patience < now {
                 life.waiting[key].pop_front();
                 self.trace.given_up += 1;
@@ -79,7 +93,9 @@
         };
         let due = pause.max(self.now + MS);
         let now = self.now;
-        let Some(one) = self.life(gate, life) else { return };
+        let Some(one) = self.life(gate, life) else {
+            return;
+        };
         if one.agains[key] > now && one.agains[key] <= due {
             return;
         }
--- a/crates/keyed-ownership/tests/simulation/views.rs
+++ b/crates/keyed-ownership/tests/simulation/views.rs
@@ -15,8 +15,8 @@
 /// Witnesses of the epoch.
 pub const WITNESSES: usize = 3;
 
-/// Coordinators that propose views. The second stands beside the last witness and acts when it is apart, and at times
-/// besides.
+/// Coordinators that propose views. The second stands beside the last witness and acts when it is
+/// apart, and at times besides.
 pub const PROPOSERS: usize = 2;
 
 /// How often a proposer counts the members of the view anew.
@@ -48,7 +48,10 @@
     pub fn new(number: usize, installed: Arc<View>) -> Self {
         let mut proposer = Proposer::new(number as u8, WITNESSES, installed.epoch);
         proposer.learn(installed);
-        Self { proposer, busy_until: 0 }
+        Self {
+            proposer,
+            busy_until: 0,
+        }
     }
 }
 
@@ -64,7 +67,8 @@
         let reached = node.in_cut_until.max(node.apart_until);
         let rash = view.epoch & 0xff != 0;
         if reached > self.now && view.epoch != FIRST && !rash {
-            self.queue.push(reached + 100 * MS, Happening::Learn { to, view });
+            self.queue
+                .push(reached + 100 * MS, Happening::Learn { to, view });
             return;
         }
         self.own(to, OwnerEvent::View(view.clone()));
@@ -72,10 +76,15 @@
     }
 
     pub(super) fn confirm(&mut self, gate: usize, epoch: u64, asked: std::time::Duration) {
-        let Some(life) = &mut self.nodes[gate].life else { return };
+        let Some(life) = &mut self.nodes[gate].life else {
+            return;
+        };
         let question = life.next_question;
         life.next_question += 1;
-        life.questions.push_back((question, Confirmation::new(epoch, asked, self.play.witnesses_asked)));
+        life.questions.push_back((
+            question,
+            Confirmation::new(epoch, asked, self.play.witnesses_asked),
+        ));
         life.questions.truncate(64);
         let incarnation = life.id.incarnation;
         let cut = self.nodes[gate].out_cut_until > self.now;
@@ -83,7 +92,12 @@
             self.trace.questions += 1;
             let arrival = self.now + way(&mut self.random, gate, witness);
             if !cut && self.apart(gate) == self.witness_apart(witness) {
-                let what = Happening::Question { from: gate, life: incarnation, question, witness };
+                let what = Happening::Question {
+                    from: gate,
+                    life: incarnation,
+                    question,
+                    witness,
+                };
                 self.queue.push(arrival, what);
             }
         }
@@ -95,15 +109,37 @@
         }
         let newest = self.witnesses[witness].epoch();
         let arrival = self.now + way(&mut self.random, witness, from);
-        self.queue.push(arrival, Happening::Answer { to: from, life, question, witness, newest });
+        self.queue.push(
+            arrival,
+            Happening::Answer {
+                to: from,
+                life,
+                question,
+                witness,
+                newest,
+            },
+        );
     }
 
-    pub(super) fn answer(&mut self, to: usize, life: u64, question: u64, witness: usize, newest: u64) {
+    pub(super) fn answer(
+        &mut self,
+        to: usize,
+        life: u64,
+        question: u64,
+        witness: usize,
+        newest: u64,
+    ) {
         if self.nodes[to].in_cut_until > self.now {
             return;
         }
-        let Some(one) = self.life(to, life) else { return };
-        let Some((_, asked)) = one.questions.iter_mut().find(|(number, _)| *number == question) else {
+        let Some(one) = self.life(to, life) else {
+            return;
+        };
+        let Some((_, asked)) = one
+            .questions
+            .iter_mut()
+            .find(|(number, _)| *number == question)
+        else {
             return;
         };
         if let Some(confirmed) = asked.answer(witness as u32, newest) {
@@ -120,14 +156,17 @@
 
     /// Proposes a new view where gates have been in another state for long enough.
     pub(super) fn recount(&mut self, proposer: usize) {
-        self.queue.push(self.now + RECOUNT, Happening::Recount { proposer });
+        self.queue
+            .push(self.now + RECOUNT, Happening::Recount { proposer });
         let aside = self.aside(proposer);
         let idle = proposer != 0 && !aside && !self.random.random_bool(RIVAL);
         let one = &self.coordinators[proposer];
         if idle || one.busy_until > self.now {
             return;
         }
-        let Some(known) = one.proposer.installed().cloned() else { return };
+        let Some(known) = one.proposer.installed().cloned() else {
+            return;
+        };
         let member = |gate| self.member(&known, gate, aside);
         let gates: Vec<GateId> = (0..self.nodes.len()).filter_map(member).collect();
         if gates == known.gates || gates.is_empty() {
@@ -145,7 +184,14 @@
         for witness in (0..WITNESSES).filter(|witness| *witness != beside(proposer)) {
             let arrival = self.now + self.random.random_range(0..300 * MS);
             let view = view.clone();
-            self.queue.push(arrival, Happening::Propose { proposer, witness, view });
+            self.queue.push(
+                arrival,
+                Happening::Propose {
+                    proposer,
+                    witness,
+                    view,
+                },
+            );
         }
         if aside && self.random.random_bool(RASH) {
             self.announce(view, true);
@@ -188,26 +234,42 @@
         }
         for witness in 0..WITNESSES {
             let arrival = self.now + self.random.random_range(100 * MS..600 * MS);
-            self.queue.push(arrival, Happening::CatchUp { witness, view: view.clone() });
+            self.queue.push(
+                arrival,
+                Happening::CatchUp {
+                    witness,
+                    view: view.clone(),
+                },
+            );
         }
         self.announce(view, false);
     }
 
     pub(super) fn catch_up(&mut self, witness: usize, view: Arc<View>) {
         if self.witness_apart(witness) {
-            self.queue.push(self.witness_apart_until, Happening::CatchUp { witness, view });
+            self.queue.push(
+                self.witness_apart_until,
+                Happening::CatchUp { witness, view },
+            );
             return;
         }
         self.witnesses[witness].catch_up(view);
     }
 
-    /// Tells gates a view over seconds, each at its own moment; only those that are apart, if `aside`.
+    /// Tells gates a view over seconds, each at its own moment; only those that are apart, if
+    /// `aside`.
     pub(super) fn announce(&mut self, view: Arc<View>, aside: bool) {
         let spread = self.random.random_range(50 * MS..3_000 * MS);
         for to in 0..self.nodes.len() {
             let learned = self.now + self.random.random_range(MS..spread);
             if !aside || self.apart(to) {
-                self.queue.push(learned, Happening::Learn { to, view: view.clone() });
+                self.queue.push(
+                    learned,
+                    Happening::Learn {
+                        to,
+                        view: view.clone(),
+                    },
+                );
             }
         }
     }
@@ -219,7 +281,8 @@
         let place = known.gates.binary_search_by_key(&gate, number);
         let listed = place.ok().map(|place| known.gates[place]);
         let settled = node.changed + DETECTION <= self.now;
-        let away = node.frozen_until.max(node.out_cut_until) > self.now || self.apart(gate) != aside;
+        let away =
+            node.frozen_until.max(node.out_cut_until) > self.now || self.apart(gate) != aside;
         match &node.life {
             _ if !settled => listed,
             Some(life) if !away => Some(life.id),
--- a/crates/keyed-ownership/tests/simulation/world.rs
+++ b/crates/keyed-ownership/tests/simulation/world.rs
@@ -85,7 +85,11 @@
             incarnation: 1,
             region: region(gate),
         });
-        let view = Arc::new(View { epoch: FIRST, follows: None, gates: gates.collect() });
+        let view = Arc::new(View {
+            epoch: FIRST,
+            follows: None,
+            gates: gates.collect(),
+        });
         Self {
             play,
             now: 0,
@@ -93,11 +97,16 @@
             queue: Queue::default(),
             nodes: (0..play.gates).map(life).collect(),
             witnesses: std::array::from_fn(|_| Witness::restore(Some(view.clone()))),
-            coordinators: (0..PROPOSERS).map(|number| Coordinator::new(number, view.clone())).collect(),
+            coordinators: (0..PROPOSERS)
+                .map(|number| Coordinator::new(number, view.clone()))
+                .collect(),
             used: BTreeMap::new(),
             witness_apart_until: 0,
             view,
-            trace: Trace { owner_messages: vec![0; play.gates], ..Trace::default() },
+            trace: Trace {
+                owner_messages: vec![0; play.gates],
+                ..Trace::default()
+            },
         }
     }
 
@@ -128,12 +137,25 @@
         match what {
             Happening::Deliver { to, message } => self.deliver(to, message),
             Happening::Learn { to, view } => self.learn(to, view),
-            Happening::Propose { proposer, witness, view } => self.propose(proposer, witness, view),
+            Happening::Propose {
+                proposer,
+                witness,
+                view,
+            } => self.propose(proposer, witness, view),
             Happening::CatchUp { witness, view } => self.catch_up(witness, view),
-            Happening::Question { from, life, question, witness } => {
-                self.question(from, life, question, witness)
-            }
-            Happening::Answer { to, life, question, witness, newest } => {
+            Happening::Question {
+                from,
+                life,
+                question,
+                witness,
+            } => self.question(from, life, question, witness),
+            Happening::Answer {
+                to,
+                life,
+                question,
+                witness,
+                newest,
+            } => {
                 self.answer(to, life, question, witness, newest);
             }
             Happening::Wake { gate, life } => self.wake(gate, life),
@@ -147,15 +169,18 @@
     /// The gate whose process an event needs.
     pub(super) fn concerns(&self, what: &Happening) -> Option<usize> {
         match what {
-            Happening::Deliver { to, .. } | Happening::Learn { to, .. } | Happening::Answer { to, .. } => {
-                Some(*to)
-            }
+            Happening::Deliver { to, .. }
+            | Happening::Learn { to, .. }
+            | Happening::Answer { to, .. } => Some(*to),
             Happening::Wake { gate, .. } | Happening::Again { gate, .. } => Some(*gate),
             _ => None,
         }
     }
 
     pub(super) fn life(&mut self, gate: usize, life: u64) -> Option<&mut Life> {
-        self.nodes[gate].life.as_mut().filter(|one| one.id.incarnation == life)
+        self.nodes[gate]
+            .life
+            .as_mut()
+            .filter(|one| one.id.incarnation == life)
     }
 }
--- a/crates/limits/src/cold/tests.rs
+++ b/crates/limits/src/cold/tests.rs
@@ -7,7 +7,10 @@
 }
 
 fn report(said_at: u64, left: u64) -> Report {
-    Report { said_at: ms(said_at), left: ms(left) }
+    Report {
+        said_at: ms(said_at),
+        left: ms(left),
+    }
 }
 
 #[test]
@@ -58,7 +61,10 @@
     tracker.disturbed(ms(2000), &"a");
     assert!(tracker.is_cold(ms(2000), &"a"));
     tracker.report(ms(2100), &"a", report(1950, 0));
-    assert!(tracker.is_cold(ms(2100), &"a"), "said before the disturbance");
+    assert!(
+        tracker.is_cold(ms(2100), &"a"),
+        "said before the disturbance"
+    );
     tracker.report(ms(3100), &"a", report(3000, 0));
     assert!(!tracker.is_cold(ms(3100), &"a"));
 }
--- a/crates/limits/src/retry.rs
+++ b/crates/limits/src/retry.rs
@@ -1,10 +1,11 @@
 //! The part of the retry budget that a gate may use without asking anybody.
 //!
-//! A gate's repeats to a service within the window stay under [`SAFETY`] of the ratio times its own requests within
-//! the window, plus its share of the burst. Why the safety: the rule compares the repeats of a window with the
-//! requests of that window, of the one before it, or of the one half before it, all gates together. The windows of
-//! two gates that end at their last repeats lie anywhere in those two windows, so the sum of the gates' requests is
-//! at most twice the largest of the three counts; half of the ratio holds for any arrivals.
+//! A gate's repeats to a service within the window stay under [`SAFETY`] of the ratio times its own
+//! requests within the window, plus its share of the burst. Why the safety: the rule compares the
+//! repeats of a window with the requests of that window, of the one before it, or of the one half
+//! before it, all gates together. The windows of two gates that end at their last repeats lie
+//! anywhere in those two windows, so the sum of the gates' requests is at most twice the largest of
+//! the three counts; half of the ratio holds for any arrivals.
 
 use std::hash::Hash;
 use std::time::Duration;
@@ -44,7 +45,8 @@
     ratio: f64,
     share: u32,
     window: Duration,
-    /// The burst share is not available before this moment, for what the process before this one may have used.
+    /// The burst share is not available before this moment, for what the process before this one
+    /// may have used.
     opens: Duration,
     services: FxHashMap<K, Counts>,
 }
@@ -103,8 +105,15 @@
         if (counts.repeats.count(now) + 1) as f64 <= allowed {
             return Ok(());
         }
-        let leaves = counts.repeats.next_leaves().map_or(Wait::Unknown, Wait::Until);
-        if opened || self.share == 0 { Err(leaves) } else { Err(leaves.sooner(Wait::Until(opens))) }
+        let leaves = counts
+            .repeats
+            .next_leaves()
+            .map_or(Wait::Unknown, Wait::Until);
+        if opened || self.share == 0 {
+            Err(leaves)
+        } else {
+            Err(leaves.sooner(Wait::Until(opens)))
+        }
     }
 
     /// Counts a repeat that went by another permission.
@@ -112,14 +121,18 @@
         self.counts(service).repeats.record(now);
     }
 
-    /// Drops the services without requests and repeats within the window. To be called now and then.
+    /// Drops the services without requests and repeats within the window. To be called now and
+    /// then.
     pub fn sweep(&mut self, now: Duration) {
-        self.services.retain(|_, counts| counts.requests.count(now) + counts.repeats.count(now) > 0);
+        self.services
+            .retain(|_, counts| counts.requests.count(now) + counts.repeats.count(now) > 0);
     }
 
     fn counts(&mut self, service: &K) -> &mut Counts {
         let window = self.window;
-        self.services.entry(service.clone()).or_insert_with(|| Counts::new(window))
+        self.services
+            .entry(service.clone())
+            .or_insert_with(|| Counts::new(window))
     }
 }
 
--- a/crates/limits/src/retry/tests.rs
+++ b/crates/limits/src/retry/tests.rs
@@ -6,14 +6,20 @@
 use crate::share::FLIGHT;
 use crate::wait::Wait;
 
-const TERMS: RetryTerms = RetryTerms { ratio: 0.2, burst: 54, window: Duration::from_secs(10) };
+const TERMS: RetryTerms = RetryTerms {
+    ratio: 0.2,
+    burst: 54,
+    window: Duration::from_secs(10),
+};
 
 fn ms(value: u64) -> Duration {
     Duration::from_millis(value)
 }
 
 fn taken(budget: &mut RetryBudget<&'static str>, now: Duration, tries: usize) -> usize {
-    (0..tries).filter(|_| budget.try_take(now, &"s").is_ok()).count()
+    (0..tries)
+        .filter(|_| budget.try_take(now, &"s").is_ok())
+        .count()
 }
 
 #[test]
@@ -48,11 +54,18 @@
 fn the_moment_it_names_is_true() {
     let mut budget = RetryBudget::local(TERMS, 8, ms(0));
     assert_eq!(taken(&mut budget, ms(20_000), 100), 6);
-    let wait = budget.try_take(ms(20_001), &"s").expect_err("the share is used up");
-    let Wait::Until(at) = wait else { panic!("a moment is known") };
+    let wait = budget
+        .try_take(ms(20_001), &"s")
+        .expect_err("the share is used up");
+    let Wait::Until(at) = wait else {
+        panic!("a moment is known")
+    };
     assert!(at >= ms(30_000) + FLIGHT);
     assert!(at <= ms(30_400));
-    assert_matches!(budget.try_take(at - Duration::from_nanos(1), &"s"), Err(Wait::Until(_)));
+    assert_matches!(
+        budget.try_take(at - Duration::from_nanos(1), &"s"),
+        Err(Wait::Until(_))
+    );
     assert_eq!(budget.try_take(at, &"s"), Ok(()));
 }
 
--- a/crates/limits/src/share.rs
+++ b/crates/limits/src/share.rs
@@ -1,8 +1,8 @@
 //! The part of the cold-start bound that a gate may use without asking anybody.
 //!
-//! The bound is divided by the largest number of gates that can exist, so the sum of all shares stays under it
-//! whatever the gates know of each other. A gate that starts has lost the count of what its former process sent, and
-//! therefore sends nothing for one span first.
+//! The bound is divided by the largest number of gates that can exist, so the sum of all shares
+//! stays under it whatever the gates know of each other. A gate that starts has lost the count of
+//! what its former process sent, and therefore sends nothing for one span first.
 
 use std::hash::Hash;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 /// The span of the cold-start bound.
 pub const COLD_SPAN: Duration = Duration::from_secs(1);
 
-/// The longest difference between the time on the way of two requests to one server. Requests that arrive within one
-/// second were sent within one second and this.
+/// The longest difference between the time on the way of two requests to one server. Requests that
+/// arrive within one second were sent within one second and this.
 pub const FLIGHT: Duration = Duration::from_millis(100);
 
-/// Requests a second that a cold server may get from all gates together, rounded down; 0 if `per_second` is 0 or less,
-/// in which case the service has no bound and no limiter must be asked.
+/// Requests a second that a cold server may get from all gates together, rounded down; 0 if
+/// `per_second` is 0 or less, in which case the service has no bound and no limiter must be asked.
 #[must_use]
 pub fn cold_bound(per_second: f64, overshoot: f64, tolerance: f64) -> u32 {
     if per_second <= 0.0 {
@@ -45,7 +45,8 @@
 }
 
 impl<K: Eq + Hash + Clone> ColdLimiter<K> {
-    /// A share of `bound_per_second` divided by `gates_upper_bound`, rounded down, for a process started at `started`.
+    /// A share of `bound_per_second` divided by `gates_upper_bound`, rounded down, for a process
+    /// started at `started`.
     ///
     /// A share of 0 refuses everything with [`Wait::Unknown`].
     #[must_use]
@@ -57,7 +58,12 @@
     /// `share` requests in any `span`, for a process started at `started`.
     #[must_use]
     pub fn with_span(share: u32, span: Duration, started: Duration) -> Self {
-        Self { share: share as usize, span, opens: started + span, sent: FxHashMap::default() }
+        Self {
+            share: share as usize,
+            span,
+            opens: started + span,
+            sent: FxHashMap::default(),
+        }
     }
 
     /// Requests this gate may send in one span.
@@ -66,7 +72,8 @@
         u32::try_from(self.share).unwrap_or(u32::MAX)
     }
 
-    /// Sets the share anew, after a change of the configuration or of the number of gates; what was sent still counts.
+    /// Sets the share anew, after a change of the configuration or of the number of gates; what was
+    /// sent still counts.
     pub fn set_share(&mut self, bound_per_second: u32, gates_upper_bound: u32) {
         self.share = (bound_per_second / gates_upper_bound.max(1)) as usize;
     }
@@ -105,14 +112,19 @@
         if now < self.opens {
             return Err(Wait::Until(self.opens));
         }
-        let Some(window) = self.sent.get_mut(key) else { return Ok(()) };
+        let Some(window) = self.sent.get_mut(key) else {
+            return Ok(());
+        };
         if window.count(now, self.span) < share {
             return Ok(());
         }
-        Err(window.room_at(self.span, share).map_or(Wait::Unknown, Wait::Until))
+        Err(window
+            .room_at(self.span, share)
+            .map_or(Wait::Unknown, Wait::Until))
     }
 
-    /// Counts a request that went without permission, such as one sent just before the server was known to be cold.
+    /// Counts a request that went without permission, such as one sent just before the server was
+    /// known to be cold.
     pub fn record(&mut self, now: Duration, key: &K) {
         if let Some(window) = self.sent.get_mut(key) {
             window.record(now);
--- a/crates/limits/src/share/tests.rs
+++ b/crates/limits/src/share/tests.rs
@@ -44,10 +44,15 @@
     assert_eq!(limiter.try_take(ms(2000), &1), Ok(()));
     assert_eq!(limiter.try_take(ms(2300), &1), Ok(()));
     assert_eq!(limiter.try_take(ms(2300), &2), Ok(()));
-    let wait = limiter.try_take(ms(2400), &1).expect_err("the share is used up");
+    let wait = limiter
+        .try_take(ms(2400), &1)
+        .expect_err("the share is used up");
     assert_matches!(wait, Wait::Until(at) if at > ms(3100) && at < ms(3101));
     let Wait::Until(at) = wait else { return };
-    assert_eq!(limiter.try_take(at - Duration::from_nanos(1), &1), Err(Wait::Until(at)));
+    assert_eq!(
+        limiter.try_take(at - Duration::from_nanos(1), &1),
+        Err(Wait::Until(at))
+    );
     assert_eq!(limiter.try_take(at, &1), Ok(()));
 }
 
@@ -67,7 +72,11 @@
     let mut arrivals = Vec::new();
     for _ in 0..gates {
         let born = |started: Duration| {
-            let started = if quiet_at_start { started } else { started.saturating_sub(span) };
+            let started = if quiet_at_start {
+                started
+            } else {
+                started.saturating_sub(span)
+            };
             ColdLimiter::with_span(bound / gates, span, started)
         };
         let mut limiter = born(ms(0));
@@ -82,8 +91,9 @@
         }
     }
     arrivals.sort_unstable();
-    let within =
-        |(at, first): (usize, &Duration)| arrivals[at..].partition_point(|next| *next < *first + COLD_SPAN);
+    let within = |(at, first): (usize, &Duration)| {
+        arrivals[at..].partition_point(|next| *next < *first + COLD_SPAN)
+    };
     arrivals.iter().enumerate().map(within).max().unwrap_or(0)
 }
 
@@ -99,7 +109,13 @@
 fn each_guard_of_the_share_is_needed() {
     let span = COLD_SPAN + FLIGHT;
     let restart = (0..20).any(|seed| worst_second(seed, 5, 20, span, false) > 20);
-    assert!(restart, "a restart that gives the share anew goes over the bound");
+    assert!(
+        restart,
+        "a restart that gives the share anew goes over the bound"
+    );
     let flight = (0..20).any(|seed| worst_second(seed, 5, 20, COLD_SPAN, true) > 20);
-    assert!(flight, "a span without the time on the way goes over the bound");
+    assert!(
+        flight,
+        "a span without the time on the way goes over the bound"
+    );
 }
--- a/crates/limits/src/tier.rs
+++ b/crates/limits/src/tier.rs
@@ -1,10 +1,12 @@
-//! The gates that share the bound of a cold server, and the permits that each holds without asking anybody.
+//! The gates that share the bound of a cold server, and the permits that each holds without asking
+//! anybody.
 //!
-//! Dividing a bound evenly over all gates rounds down to nothing once there are more gates than permits, and a cold
-//! server then stands unused. So what an even division leaves over goes to the gates of the server's own region, which
-//! are those that use it: evenly as far as it goes, and one more permit each to those with the highest rendezvous rank
-//! for the instance. Gates that know the same tier come to the same division, whose sum is the bound less
-//! [`RESERVE`]; so no message passes between them.
+//! Dividing a bound evenly over all gates rounds down to nothing once there are more gates than
+//! permits, and a cold server then stands unused. So what an even division leaves over goes to the
+//! gates of the server's own region, which are those that use it: evenly as far as it goes, and one
+//! more permit each to those with the highest rendezvous rank for the instance. Gates that know the
+//! same tier come to the same division, whose sum is the bound less [`RESERVE`]; so no message
+//! passes between them.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -37,10 +39,13 @@
     /// Gates that bounds are divided by.
     #[must_use]
     pub fn size(&self) -> u32 {
-        u32::try_from(self.gates.len()).unwrap_or(u32::MAX).max(GATES_LEAST)
+        u32::try_from(self.gates.len())
+            .unwrap_or(u32::MAX)
+            .max(GATES_LEAST)
     }
 
-    /// Requests that this gate may send in one span to a cold instance in `region` whose bound is `bound`.
+    /// Requests that this gate may send in one span to a cold instance in `region` whose bound is
+    /// `bound`.
     #[must_use]
     pub fn permits(&self, bound: u32, region: &str, instance: &str) -> u32 {
         let even = bound / self.size();
@@ -63,6 +68,9 @@
     }
 
     fn in_region(&self, region: &str) -> impl Iterator<Item = GateNumber> {
-        self.gates.iter().filter(move |(of, _)| **of == *region).map(|(_, gate)| *gate)
+        self.gates
+            .iter()
+            .filter(move |(of, _)| **of == *region)
+            .map(|(_, gate)| *gate)
     }
 }
--- a/crates/limits/src/window.rs
+++ b/crates/limits/src/window.rs
@@ -1,7 +1,7 @@
 //! Counts of events over a sliding span of time.
 //!
-//! [`Exact`] keeps the moment of each event and serves small counts; [`Buckets`] keeps sums over slices of the span
-//! and serves large ones, rounded to the side that its caller names.
+//! [`Exact`] keeps the moment of each event and serves small counts; [`Buckets`] keeps sums over
+//! slices of the span and serves large ones, rounded to the side that its caller names.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -27,13 +27,18 @@
 
     /// How many events lie less than or exactly `span` before `now`; older ones are dropped.
     pub fn count(&mut self, now: Duration, span: Duration) -> usize {
-        while self.moments.front().is_some_and(|moment| *moment + span < now) {
+        while self
+            .moments
+            .front()
+            .is_some_and(|moment| *moment + span < now)
+        {
             self.moments.pop_front();
         }
         self.moments.len()
     }
 
-    /// The first moment at which fewer than `limit` events are left in the span; `None` if `limit` is 0.
+    /// The first moment at which fewer than `limit` events are left in the span; `None` if `limit`
+    /// is 0.
     #[must_use]
     pub fn room_at(&self, span: Duration, limit: usize) -> Option<Duration> {
         let surplus = self.moments.len().checked_sub(limit)?;
@@ -72,7 +77,12 @@
     #[must_use]
     pub fn new(span: Duration, partial: Partial) -> Self {
         let slice = (span / SLICES).max(Duration::from_nanos(1));
-        Self { slice, partial, sums: VecDeque::new(), total: 0 }
+        Self {
+            slice,
+            partial,
+            sums: VecDeque::new(),
+            total: 0,
+        }
     }
 
     /// Counts an event at `now`.
--- a/crates/limits/src/window/tests.rs
+++ b/crates/limits/src/window/tests.rs
@@ -39,7 +39,10 @@
         above.record(now);
         below.record(now);
         moments.push(now);
-        let exact = moments.iter().filter(|moment| **moment + span >= now).count() as u64;
+        let exact = moments
+            .iter()
+            .filter(|moment| **moment + span >= now)
+            .count() as u64;
         assert!(above.count(now) >= exact);
         assert!(below.count(now) <= exact);
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,13 +1,15 @@
 //! Membership among client proxies: who of the tier is alive, as events in and actions out, no I/O.
 //!
-//! The protocol is SWIM (Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
-//! Membership Protocol", 2002) as the `foca` library implements it: a probe a period to one member drawn at random,
-//! indirect probes through `k` others when it does not answer, suspicion before a member is declared down, refutation
-//! by a higher incarnation, and news piggybacked on every message. Datagrams hold at most [`DATAGRAM`] bytes, the
-//! platform's bound between proxies, encoded with postcard.
+//! The protocol is SWIM (Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style
+//! Process Group Membership Protocol", 2002) as the `foca` library implements it: a probe a period
+//! to one member drawn at random, indirect probes through `k` others when it does not answer,
+//! suspicion before a member is declared down, refutation by a higher incarnation, and news
+//! piggybacked on every message. Datagrams hold at most [`DATAGRAM`] bytes, the platform's bound
+//! between proxies, encoded with postcard.
 //!
-//! The driver owns the socket and the clock: it hands in datagrams ([`Membership::on_datagram`]) and the time
-//! ([`Membership::tick`]), and carries out the [`Action`]s it gets back. Times are [`Duration`]s since any fixed start.
+//! The driver owns the socket and the clock: it hands in datagrams ([`Membership::on_datagram`])
+//! and the time ([`Membership::tick`]), and carries out the [`Action`]s it gets back. Times are
+//! [`Duration`]s since any fixed start.
 
 #![forbid(unsafe_code)]
 
@@ -19,7 +21,9 @@
 use std::num::{NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-use foca::{AccumulatingRuntime, Config, Foca, OwnedNotification, PeriodicParams, PostcardCodec, Timer};
+use foca::{
+    AccumulatingRuntime, Config, Foca, OwnedNotification, PeriodicParams, PostcardCodec, Timer,
+};
 use rand::SeedableRng as _;
 use rand::seq::SliceRandom as _;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -28,8 +32,8 @@
 /// The largest datagram between proxies, in bytes (protocol page, "Between client proxies").
 pub const DATAGRAM: usize = 256;
 
-/// The first bytes of each membership datagram: a kind and a version. Others on the same socket (the proxies' rates)
-/// and other versions are told apart by them and refused before any decoding.
+/// The first bytes of each membership datagram: a kind and a version. Others on the same socket
+/// (the proxies' rates) and other versions are told apart by them and refused before any decoding.
 pub const TAG: [u8; 2] = *b"M1";
 
 /// Peers a member announces itself to when it joins.
@@ -37,8 +41,9 @@
 
 /// A member: its peer address and its incarnation, which a restart must never reuse.
 ///
-/// `incarnation` is drawn at start from the clock (seconds since the Unix epoch) so that a proxy restarted from
-/// nothing comes back above every value the tier has seen of it; a refutation renews it by one.
+/// `incarnation` is drawn at start from the clock (seconds since the Unix epoch) so that a proxy
+/// restarted from nothing comes back above every value the tier has seen of it; a refutation renews
+/// it by one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
     /// Where its datagrams come from and go to.
@@ -51,7 +56,10 @@
     type Addr = SocketAddrV4;
 
     fn renew(&self) -> Option<Self> {
-        Some(Member { address: self.address, incarnation: self.incarnation.wrapping_add(1) })
+        Some(Member {
+            address: self.address,
+            incarnation: self.incarnation.wrapping_add(1),
+        })
     }
 
     fn addr(&self) -> SocketAddrV4 {
@@ -93,11 +101,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerSlot(usize);
 
-/// The protocol's figures for a tier of `size` proxies on one site: foca's LAN figures (a probe a second, 500 ms for
-/// its answer, 3 indirect probes, suspicion for 4 periods scaled by the log of the size), datagrams of 256 bytes with
-/// the [`TAG`], and
-/// two members taken for down asked every 2 s whether they are back (LAN: every 65 s). Without that, a member cut off
-/// one way and declared down never learns it and never rejoins once the cut heals (test `a_one_sided_cut_heals...`).
+/// The protocol's figures for a tier of `size` proxies on one site: foca's LAN figures (a probe a
+/// second, 500 ms for its answer, 3 indirect probes, suspicion for 4 periods scaled by the log of
+/// the size), datagrams of 256 bytes with the [`TAG`], and two members taken for down asked every 2
+/// s whether they are back (LAN: every 65 s). Without that, a member cut off one way and declared
+/// down never learns it and never rejoins once the cut heals (test `a_one_sided_cut_heals...`).
 pub fn config(size: u32) -> Config {
     let mut config = Config::new_lan(NonZeroU32::new(size.max(1)).expect("at least one"));
     config.max_packet_size = NonZeroUsize::new(DATAGRAM - TAG.len()).expect("not zero");
@@ -109,9 +117,15 @@
 }
 
 impl Membership {
-    /// `me` with these figures; `seed` draws whom to probe. Nobody is known until [`Membership::join`].
+    /// `me` with these figures; `seed` draws whom to probe. Nobody is known until
+    /// [`Membership::join`].
     pub fn new(me: Member, config: Config, seed: u64) -> Membership {
-        let foca = Foca::new(me, config, Xoshiro256PlusPlus::seed_from_u64(seed), PostcardCodec);
+        let foca = Foca::new(
+            me,
+            config,
+            Xoshiro256PlusPlus::seed_from_u64(seed),
+            PostcardCodec,
+        );
         Membership {
             foca,
             runtime: AccumulatingRuntime::default(),
@@ -124,9 +138,9 @@
         }
     }
 
-    /// Announces itself to [`JOIN_FANOUT`] peers drawn from those of the configuration (`peers`); they answer with
-    /// what they know; its own address is skipped. Drawn, not the first ones, so that a tier that restarts at once
-    /// spreads its joins.
+    /// Announces itself to [`JOIN_FANOUT`] peers drawn from those of the configuration (`peers`);
+    /// they answer with what they know; its own address is skipped. Drawn, not the first ones, so
+    /// that a tier that restarts at once spreads its joins.
     pub fn join(&mut self, peers: &[SocketAddrV4], now: Duration) -> Vec<Action> {
         self.now = now;
         let me = self.me().address;
@@ -134,7 +148,13 @@
         peers.shuffle(&mut self.draws);
         for &address in peers.iter().take(JOIN_FANOUT) {
             // The incarnation is not known yet; a join to a member is by address alone.
-            let _ = self.foca.announce(Member { address, incarnation: 0 }, &mut self.runtime);
+            let _ = self.foca.announce(
+                Member {
+                    address,
+                    incarnation: 0,
+                },
+                &mut self.runtime,
+            );
         }
         self.drain()
     }
@@ -187,13 +207,18 @@
 
     fn drain(&mut self) -> Vec<Action> {
         while let Some((after, timer)) = self.runtime.to_schedule() {
-            let slot = self.slots.iter().position(Option::is_none).unwrap_or_else(|| {
-                self.slots.push(None);
-                self.slots.len() - 1
-            });
+            let slot = self
+                .slots
+                .iter()
+                .position(Option::is_none)
+                .unwrap_or_else(|| {
+                    self.slots.push(None);
+                    self.slots.len() - 1
+                });
             self.slots[slot] = Some(timer);
             self.sequence += 1;
-            self.timers.push(Reverse((self.now + after, self.sequence, TimerSlot(slot))));
+            self.timers
+                .push(Reverse((self.now + after, self.sequence, TimerSlot(slot))));
         }
         while let Some((to, bytes)) = self.runtime.to_send() {
             let datagram: Vec<u8> = TAG.iter().chain(bytes.iter()).copied().collect();
@@ -211,8 +236,11 @@
     }
 }
 
-/// An incarnation for a proxy that starts now: seconds since the Unix epoch, so never one the tier saw of it before.
+/// An incarnation for a proxy that starts now: seconds since the Unix epoch, so never one the tier
+/// saw of it before.
 pub fn incarnation_now() -> u32 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    let since = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
     since.as_secs() as u32
 }
--- a/crates/membership/src/tier.rs
+++ b/crates/membership/src/tier.rs
@@ -1,7 +1,9 @@
-//! A tier of members over a network in simulated time: loss by a rule, pauses, deaths. For tests and the lab.
+//! A tier of members over a network in simulated time: loss by a rule, pauses, deaths. For tests
+//! and the lab.
 //!
-//! Each step of 5 ms delivers what is due (1 ms on the way), then ticks every member that runs. A paused member
-//! neither runs nor reads; what comes meanwhile waits, as in its socket's buffer. A dead one loses what comes.
+//! Each step of 5 ms delivers what is due (1 ms on the way), then ticks every member that runs. A
+//! paused member neither runs nor reads; what comes meanwhile waits, as in its socket's buffer. A
+//! dead one loses what comes.
 
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -12,8 +14,8 @@
 /// The step of the simulated clock.
 pub const STEP: Duration = Duration::from_millis(5);
 
-/// Whether a datagram from one member to another at a moment is lost; the last figure is a draw that differs for
-/// every datagram.
+/// Whether a datagram from one member to another at a moment is lost; the last figure is a draw
+/// that differs for every datagram.
 pub type Loss = dyn Fn(usize, usize, Duration, u64) -> bool;
 
 /// No loss.
@@ -37,7 +39,8 @@
     draws: u64,
     /// Bytes each member sent.
     pub sent: Vec<usize>,
-    /// Datagrams of members that a member refused (foca's errors, such as news of itself under an old identity).
+    /// Datagrams of members that a member refused (foca's errors, such as news of itself under an
+    /// old identity).
     pub refused: usize,
 }
 
@@ -57,7 +60,10 @@
         let members = (0..size)
             .map(|n| {
                 Membership::new(
-                    Member { address: address(n), incarnation: 100 },
+                    Member {
+                        address: address(n),
+                        incarnation: 100,
+                    },
                     config(size as u32),
                     n as u64,
                 )
@@ -87,11 +93,19 @@
         for action in actions {
             match action {
                 Action::Send(to, bytes) => {
-                    assert!(bytes.len() <= DATAGRAM, "a datagram of {} bytes", bytes.len());
+                    assert!(
+                        bytes.len() <= DATAGRAM,
+                        "a datagram of {} bytes",
+                        bytes.len()
+                    );
                     self.draws += 1;
                     self.sent[from] += bytes.len();
                     if !loss(from, index(to), self.now, self.draws) {
-                        self.queue.push_back((self.now + Duration::from_millis(1), index(to), bytes));
+                        self.queue.push_back((
+                            self.now + Duration::from_millis(1),
+                            index(to),
+                            bytes,
+                        ));
                     }
                 }
                 Action::Down(m) => self.downs.push((self.now, from, m)),
@@ -128,6 +142,9 @@
 
     /// The tier's size as each living member sees it.
     pub fn tiers(&self) -> Vec<usize> {
-        (0..self.members.len()).filter(|&n| !self.dead[n]).map(|n| self.members[n].tier()).collect()
+        (0..self.members.len())
+            .filter(|&n| !self.dead[n])
+            .map(|n| self.members[n].tier())
+            .collect()
     }
 }
--- a/crates/membership/tests/swim.rs
+++ b/crates/membership/tests/swim.rs
@@ -1,4 +1,5 @@
-//! A tier of members over a network in simulated time, with loss, pauses, deaths and one-sided cuts.
+//! A tier of members over a network in simulated time, with loss, pauses, deaths and one-sided
+//! cuts.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -26,8 +27,17 @@
     let died = tier.now;
     tier.run(secs(30), &none);
     assert_eq!(tier.tiers(), vec![4; 4]);
-    assert!(tier.downs.iter().all(|(_, _, m)| m.address == address(2)), "{:?}", tier.downs);
-    let last = tier.downs.iter().map(|(at, _, _)| *at).max().expect("found out");
+    assert!(
+        tier.downs.iter().all(|(_, _, m)| m.address == address(2)),
+        "{:?}",
+        tier.downs
+    );
+    let last = tier
+        .downs
+        .iter()
+        .map(|(at, _, _)| *at)
+        .max()
+        .expect("found out");
     eprintln!("the death was known to all {:?} after it", last - died);
 }
 
@@ -56,10 +66,16 @@
     let cut = move |a: usize, _: usize, at: Duration, _: u64| a == 0 && at >= from && at < to;
     tier.run(secs(10), &cut);
     let by_zero = tier.downs.iter().filter(|(_, by, _)| *by == 0).count();
-    let of_zero = tier.downs.iter().filter(|(_, _, m)| m.address == address(0)).count();
+    let of_zero = tier
+        .downs
+        .iter()
+        .filter(|(_, _, m)| m.address == address(0))
+        .count();
     tier.run(secs(20), &none);
     assert_eq!(tier.tiers(), vec![5; 5], "after the cut");
-    eprintln!("in the cut: member 0 declared {by_zero} others down, and {of_zero} declared it down");
+    eprintln!(
+        "in the cut: member 0 declared {by_zero} others down, and {of_zero} declared it down"
+    );
 }
 
 #[test]
@@ -74,10 +90,15 @@
     tier.run(secs(60), &lossy);
     tier.run(secs(20), &none);
     assert_eq!(tier.tiers(), vec![8; 8]);
-    // A member that refuted a suspicion lives on under its next incarnation; the old one going down is no loss.
+    // A member that refuted a suspicion lives on under its next incarnation; the old one going down
+    // is no loss.
     let living = |m: &Member| tier.members[index(m.address)].me().incarnation == m.incarnation;
     let false_downs = tier.downs.iter().filter(|(_, _, m)| living(m)).count();
-    let renewed = tier.members.iter().filter(|m| m.me().incarnation > 100).count();
+    let renewed = tier
+        .members
+        .iter()
+        .filter(|m| m.me().incarnation > 100)
+        .count();
     eprintln!(
         "8 members, 60 s at 10 % loss: {false_downs} living members declared down, {renewed} refuted a suspicion"
     );
@@ -102,10 +123,17 @@
     tier.run(secs(3), &none);
     tier.paused[3] = tier.now + secs(30);
     tier.run(secs(30), &none);
-    assert_eq!(tier.tiers()[..3], [4, 4, 4], "the others found the pause out");
+    assert_eq!(
+        tier.tiers()[..3],
+        [4, 4, 4],
+        "the others found the pause out"
+    );
     tier.run(secs(20), &none);
     assert_eq!(tier.tiers(), vec![5; 5], "after the pause");
-    assert!(tier.members[3].me().incarnation > 100, "it came back as a new incarnation");
+    assert!(
+        tier.members[3].me().incarnation > 100,
+        "it came back as a new incarnation"
+    );
 }
 
 #[test]
@@ -124,7 +152,9 @@
     assert_eq!(tier.tiers(), vec![8; 8]);
     let living = |m: &Member| tier.members[index(m.address)].me().incarnation == m.incarnation;
     let false_downs = tier.downs.iter().filter(|(_, _, m)| living(m)).count();
-    eprintln!("8 members, bursts of 30 % loss for 60 s: {false_downs} living members declared down");
+    eprintln!(
+        "8 members, bursts of 30 % loss for 60 s: {false_downs} living members declared down"
+    );
 }
 
 #[test]
@@ -135,22 +165,36 @@
     let now = tier.now;
     let mut refused = 0;
     for n in 0u32..10_000 {
-        let junk: Vec<u8> = n.to_le_bytes().iter().cycle().take(1 + (n as usize % 256)).copied().collect();
+        let junk: Vec<u8> = n
+            .to_le_bytes()
+            .iter()
+            .cycle()
+            .take(1 + (n as usize % 256))
+            .copied()
+            .collect();
         refused += usize::from(tier.members[0].on_datagram(&junk, now).is_err());
     }
     let took = began.elapsed();
     tier.run(secs(5), &none);
     assert_eq!(tier.tiers(), vec![4; 4]);
-    assert_eq!(refused, 10_000, "junk without the tag is refused before decoding");
+    assert_eq!(
+        refused, 10_000,
+        "junk without the tag is refused before decoding"
+    );
     // Junk behind a right tag is decoded by foca, and changes nothing.
     for n in 0u32..10_000 {
-        let junk: Vec<u8> =
-            b"M1".iter().chain(n.to_le_bytes().iter().cycle().take(n as usize % 250)).copied().collect();
+        let junk: Vec<u8> = b"M1"
+            .iter()
+            .chain(n.to_le_bytes().iter().cycle().take(n as usize % 250))
+            .copied()
+            .collect();
         let _ = tier.members[0].on_datagram(&junk, now);
     }
     tier.run(secs(5), &none);
     assert_eq!(tier.tiers(), vec![4; 4]);
-    eprintln!("10,000 junk datagrams refused in {took:?}; 10,000 more behind the tag changed nothing");
+    eprintln!(
+        "10,000 junk datagrams refused in {took:?}; 10,000 more behind the tag changed nothing"
+    );
 }
 
 #[test]
@@ -159,11 +203,15 @@
     for size in [16usize, 48] {
         let mut tier = Tier::new(size);
         tier.run(secs(10), &none);
-        // Seven in ten restart from nothing, as new incarnations, and join through the peers of their list.
+        // Seven in ten restart from nothing, as new incarnations, and join through the peers of
+        // their list.
         let peers: Vec<SocketAddrV4> = (0..size).map(address).collect();
         let restarted = size * 7 / 10;
         for n in size - restarted..size {
-            let me = Member { address: address(n), incarnation: 200 };
+            let me = Member {
+                address: address(n),
+                incarnation: 200,
+            };
             tier.members[n] = Membership::new(me, config(size as u32), 1000 + n as u64);
             let actions = tier.members[n].join(&peers, tier.now);
             tier.carry(n, actions, &none);
@@ -173,19 +221,26 @@
         for _ in 0..60 {
             let before = tier.sent.clone();
             tier.run(secs(1), &none);
-            peak = peak.max(tier.sent.iter().zip(&before).map(|(a, b)| a - b).max().unwrap_or(0));
+            peak = peak.max(
+                tier.sent
+                    .iter()
+                    .zip(&before)
+                    .map(|(a, b)| a - b)
+                    .max()
+                    .unwrap_or(0),
+            );
             if whole.is_none() && tier.tiers() == vec![size; size] {
                 whole = Some(tier.now - begun);
             }
         }
-        let whole =
-            whole.unwrap_or_else(|| panic!("{size} members not whole 60 s after: {:?}", tier.tiers()));
+        let whole = whole
+            .unwrap_or_else(|| panic!("{size} members not whole 60 s after: {:?}", tier.tiers()));
         eprintln!(
             "{size} members, {restarted} restarted: whole in {whole:?}; at most {peak} bytes in a second by one"
         );
         peaks.push(peak);
     }
-    // Joins through the first three peers of the list sent 10.5 kB in a second from one of them at 48 members; drawn
-    // from the whole list, no member sends more than 16 full datagrams a second.
+    // Joins through the first three peers of the list sent 10.5 kB in a second from one of them at
+    // 48 members; drawn from the whole list, no member sends more than 16 full datagrams a second.
     assert!(peaks.iter().all(|&p| p <= 16 * DATAGRAM), "peaks {peaks:?}");
 }
--- a/crates/overlay-transport/src/connections.rs
+++ b/crates/overlay-transport/src/connections.rs
@@ -1,5 +1,5 @@
-//! The connections of a node. There may be two to a peer, when both have opened one at once; a peer counts as
-//! disconnected when none is left.
+//! The connections of a node. There may be two to a peer, when both have opened one at once; a peer
+//! counts as disconnected when none is left.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,7 +37,9 @@
 
     /// A connection has ended; true where it was the last to its peer.
     pub fn remove(&mut self, peer: SocketAddr, id: ConnectionId) -> bool {
-        let Some(connections) = self.peers.get_mut(&peer) else { return false };
+        let Some(connections) = self.peers.get_mut(&peer) else {
+            return false;
+        };
         connections.retain(|(known, _)| *known != id);
         let last = connections.is_empty();
         if last {
@@ -51,10 +53,15 @@
         self.peers.remove(&peer);
     }
 
-    /// Queues a message; it is dropped where there is no connection. False where too much waits for the peer already.
+    /// Queues a message; it is dropped where there is no connection. False where too much waits for
+    /// the peer already.
     #[must_use]
     pub fn send(&self, peer: SocketAddr, message: Message) -> bool {
-        match self.peers.get(&peer).and_then(|connections| connections.first()) {
+        match self
+            .peers
+            .get(&peer)
+            .and_then(|connections| connections.first())
+        {
             Some((_, queue)) => queue.push(message),
             None => true,
         }
@@ -62,6 +69,8 @@
 
     /// Whether a message of this connection is still wanted.
     pub fn holds(&self, peer: SocketAddr, id: ConnectionId) -> bool {
-        self.peers.get(&peer).is_some_and(|connections| connections.iter().any(|(known, _)| *known == id))
+        self.peers
+            .get(&peer)
+            .is_some_and(|connections| connections.iter().any(|(known, _)| *known == id))
     }
 }
--- a/crates/overlay-transport/src/driver.rs
+++ b/crates/overlay-transport/src/driver.rs
@@ -1,4 +1,5 @@
-//! Drives the overlay: its events come from connections, the clock and the owner; its actions go to connections.
+//! Drives the overlay: its events come from connections, the clock and the owner; its actions go to
+//! connections.
 
 #[cfg(test)]
 mod tests;
@@ -40,7 +41,10 @@
 
 /// A number that is higher at each start: the time of day in ms.
 pub fn incarnation() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 /// Everything that one node's driver holds.
@@ -69,10 +73,22 @@
     let own = me.address;
     let overlay = Overlay::new(me, Settings::default(), rand::random(), clock.elapsed());
     let (connections, next_connection, timer) = Default::default();
-    let mut driver = Driver { clock, overlay, own, connections, next_connection, timer, tell, news, log };
+    let mut driver = Driver {
+        clock,
+        overlay,
+        own,
+        connections,
+        next_connection,
+        timer,
+        tell,
+        news,
+        log,
+    };
     driver.handle(Event::Timer);
     loop {
-        let timer = driver.timer.map_or(clock + Duration::from_secs(3_600), |at| clock + at);
+        let timer = driver
+            .timer
+            .map_or(clock + Duration::from_secs(3_600), |at| clock + at);
         tokio::select! {
             command = commands.recv() => match command {
                 Some(command) => driver.command(command),
@@ -94,7 +110,11 @@
 impl Driver {
     fn command(&mut self, command: Command) {
         match command {
-            Command::Publish(key, version, payload) => self.handle(Event::Publish { key, version, payload }),
+            Command::Publish(key, version, payload) => self.handle(Event::Publish {
+                key,
+                version,
+                payload,
+            }),
             Command::Remove(key, version) => self.handle(Event::Remove { key, version }),
             Command::Seeds(seeds) => self.handle(Event::Seeds(seeds)),
             Command::InContact(in_contact) => self.handle(Event::InContact(in_contact)),
@@ -125,7 +145,8 @@
 
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.overlay.handle(self.clock.elapsed(), event, &mut actions);
+        self.overlay
+            .handle(self.clock.elapsed(), event, &mut actions);
         for action in actions {
             self.carry_out(action);
         }
@@ -145,7 +166,10 @@
             Action::Send { to, message } => self.send(to, message),
             Action::Connect(to) => self.connect(to),
             Action::Disconnect(peer) => self.connections.close(peer),
-            Action::Changed { payload: Some(payload), .. } => self.tell_news(&payload),
+            Action::Changed {
+                payload: Some(payload),
+                ..
+            } => self.tell_news(&payload),
             Action::Changed { payload: None, .. } => {}
             Action::Timer(at) => self.timer = Some(at),
         }
@@ -188,8 +212,12 @@
 
 async fn accept(stream: TcpStream, id: ConnectionId, tell: &Tell) -> Result<()> {
     let (mut receiver, sender) = link::split::<Frame, Frame>(stream)?;
-    let Ok(hello) = tokio::time::timeout(CONNECT, receiver.next()).await else { bail!("no hello") };
-    let Some(Frame::Hello(peer)) = hello? else { bail!("no hello") };
+    let Ok(hello) = tokio::time::timeout(CONNECT, receiver.next()).await else {
+        bail!("no hello")
+    };
+    let Some(Frame::Hello(peer)) = hello? else {
+        bail!("no hello")
+    };
     serve(peer, id, receiver, sender, tell).await;
     Ok(())
 }
--- a/crates/overlay-transport/src/driver/tests.rs
+++ b/crates/overlay-transport/src/driver/tests.rs
@@ -24,13 +24,20 @@
 }
 
 async fn listen() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port is free");
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
+        .await
+        .expect("a port is free");
     let address = listener.local_addr().expect("bound");
     (listener, address)
 }
 
 fn descriptor(address: SocketAddr, role: Role) -> Descriptor {
-    Descriptor { address, place: Place { region: 1, zone: 1 }, role, incarnation: 1 }
+    Descriptor {
+        address,
+        place: Place { region: 1, zone: 1 },
+        role,
+        incarnation: 1,
+    }
 }
 
 async fn coordinator() -> Node {
@@ -38,15 +45,29 @@
     let (commands, inbox) = mpsc::unbounded_channel();
     let (news, entries) = mpsc::unbounded_channel();
     let log = Logger::root(slog::Discard, slog::o!());
-    actix_rt::spawn(run(listener, descriptor(address, Role::Coordinator), inbox, news, log));
-    Node { address, commands, _news: entries }
+    actix_rt::spawn(run(
+        listener,
+        descriptor(address, Role::Coordinator),
+        inbox,
+        news,
+        log,
+    ));
+    Node {
+        address,
+        commands,
+        _news: entries,
+    }
 }
 
 /// A connection to `node` opened by an agent that listens at `own`.
 async fn dial(node: &Node, own: SocketAddr) -> (Hears, Says) {
-    let (hears, mut says) = link::connect::<Frame, Frame>(node.address, WITHIN).await.expect("up");
+    let (hears, mut says) = link::connect::<Frame, Frame>(node.address, WITHIN)
+        .await
+        .expect("up");
     says.send(&Frame::Hello(own)).await.expect("open");
-    let hello = Message::Hello { node: descriptor(own, Role::Agent) };
+    let hello = Message::Hello {
+        node: descriptor(own, Role::Agent),
+    };
     says.send(&Frame::Message(hello)).await.expect("open");
     (hears, says)
 }
@@ -54,7 +75,10 @@
 /// Reads until a message that `wanted` selects; false where the connection ends first.
 async fn hears(hears: &mut Hears, wanted: impl Fn(&Message) -> bool) -> bool {
     for _ in 0..READ_MOST {
-        match tokio::time::timeout(WITHIN, hears.next()).await.expect("in time") {
+        match tokio::time::timeout(WITHIN, hears.next())
+            .await
+            .expect("in time")
+        {
             Ok(Some(Frame::Message(message))) if wanted(&message) => return true,
             Ok(Some(_)) => {}
             Ok(None) | Err(_) => return false,
@@ -72,7 +96,12 @@
 }
 
 async fn ask(says: &mut Says) {
-    says.send(&Frame::Message(Message::Shuffle { sample: Vec::new(), answer: false })).await.expect("open");
+    says.send(&Frame::Message(Message::Shuffle {
+        sample: Vec::new(),
+        answer: false,
+    }))
+    .await
+    .expect("open");
 }
 
 fn system(test: impl Future<Output = ()>) {
@@ -84,19 +113,30 @@
     system(async {
         let node = coordinator().await;
         let (listener, own) = listen().await;
-        node.commands.send(Command::Seeds(vec![own])).expect("it runs");
+        node.commands
+            .send(Command::Seeds(vec![own]))
+            .expect("it runs");
         let (accepted, _) = listener.accept().await.expect("it dials");
-        let (mut first_hears, mut first_says) = link::split::<Frame, Frame>(accepted).expect("open");
-        let hello = Message::Hello { node: descriptor(own, Role::Agent) };
+        let (mut first_hears, mut first_says) =
+            link::split::<Frame, Frame>(accepted).expect("open");
+        let hello = Message::Hello {
+            node: descriptor(own, Role::Agent),
+        };
         first_says.send(&Frame::Message(hello)).await.expect("open");
         assert!(hears(&mut first_hears, is_hello).await);
         let (mut second_hears, mut second_says) = dial(&node, own).await;
         ask(&mut second_says).await;
-        assert!(hears(&mut first_hears, is_answer).await, "one of them carries what is sent");
+        assert!(
+            hears(&mut first_hears, is_answer).await,
+            "one of them carries what is sent"
+        );
         drop((first_hears, first_says));
         ask(&mut second_says).await;
         ask(&mut second_says).await;
-        assert!(hears(&mut second_hears, is_answer).await, "the link goes on over the other");
+        assert!(
+            hears(&mut second_hears, is_answer).await,
+            "the link goes on over the other"
+        );
     });
 }
 
@@ -117,9 +157,21 @@
 async fn graft(hearing: &mut Hears, says: &mut Says) {
     let position = Position::Detached;
     let (beats, room) = Default::default();
-    let heartbeat = Heartbeat { sequence: 1, echo: 1, position, room, deputy: false, root: 0, beats };
-    says.send(&Frame::Message(Message::Heartbeat(heartbeat))).await.expect("open");
-    says.send(&Frame::Message(Message::Graft { root: 0 })).await.expect("open");
+    let heartbeat = Heartbeat {
+        sequence: 1,
+        echo: 1,
+        position,
+        room,
+        deputy: false,
+        root: 0,
+        beats,
+    };
+    says.send(&Frame::Message(Message::Heartbeat(heartbeat)))
+        .await
+        .expect("open");
+    says.send(&Frame::Message(Message::Graft { root: 0 }))
+        .await
+        .expect("open");
     assert!(hears(hearing, |message| *message == Message::Grafted).await);
 }
 
@@ -129,7 +181,9 @@
 fn publish_many(node: &Node) {
     for key in 0..MANY {
         let payload = Arc::from(vec![0; 32 * 1024]);
-        node.commands.send(Command::Publish(key, 1, payload)).expect("it runs");
+        node.commands
+            .send(Command::Publish(key, 1, payload))
+            .expect("it runs");
     }
 }
 
@@ -146,7 +200,11 @@
         let (mut quick, _says) = dial(&node, other_own).await;
         assert!(hears(&mut quick, is_hello).await);
         let mut arrived = 0;
-        while hears(&mut slow, |message| matches!(message, Message::Entries { .. })).await {
+        while hears(&mut slow, |message| {
+            matches!(message, Message::Entries { .. })
+        })
+        .await
+        {
             arrived += 1;
         }
         assert!(arrived > 0 && arrived < MANY, "{arrived}");
--- a/crates/overlay-transport/src/lib.rs
+++ b/crates/overlay-transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! The overlay on sockets. A [`Mesh`] owns the connections of one node (coordinator or agent) to others, and carries
-//! the entries of [`ironmast_schema::control`] over the relay tree.
+//! The overlay on sockets. A [`Mesh`] owns the connections of one node (coordinator or agent) to
+//! others, and carries the entries of [`ironmast_schema::control`] over the relay tree.
 #![forbid(unsafe_code)]
 
 mod connections;
@@ -40,7 +40,8 @@
 }
 
 impl Mesh {
-    /// Listens at the node's address and joins the others. Entries that are news here come out of the receiver.
+    /// Listens at the node's address and joins the others. Entries that are news here come out of
+    /// the receiver.
     ///
     /// # Errors
     /// The address that can't be listened at.
@@ -49,11 +50,20 @@
         role: Role,
         log: &Logger,
     ) -> Result<(Self, mpsc::UnboundedReceiver<Entry>)> {
-        let address = SocketAddr::new(settings.ip_address, settings.internal_port(InternalPort::Agent));
-        let listener =
-            TcpListener::bind(address).await.wrap_err_with(|| format!("listening at {address}"))?;
+        let address = SocketAddr::new(
+            settings.ip_address,
+            settings.internal_port(InternalPort::Agent),
+        );
+        let listener = TcpListener::bind(address)
+            .await
+            .wrap_err_with(|| format!("listening at {address}"))?;
         let place = Place::named(&settings.region, &settings.zone);
-        let me = Descriptor { address, place, role, incarnation: driver::incarnation() };
+        let me = Descriptor {
+            address,
+            place,
+            role,
+            incarnation: driver::incarnation(),
+        };
         let (commands, inbox) = mpsc::unbounded_channel();
         let (news, entries) = mpsc::unbounded_channel();
         actix_rt::spawn(driver::run(listener, me, inbox, news, log.clone()));
@@ -65,14 +75,22 @@
     /// Takes the seeds of the settings file as they stand now.
     pub fn set_seeds(&self, settings: &Settings) {
         let port = settings.internal_port(InternalPort::Agent);
-        let seeds = settings.seed_nodes.iter().map(|seed| SocketAddr::new(seed.ip(), port)).collect();
+        let seeds = settings
+            .seed_nodes
+            .iter()
+            .map(|seed| SocketAddr::new(seed.ip(), port))
+            .collect();
         self.tell(Command::Seeds(seeds));
     }
 
     /// Spreads an entry.
     pub fn publish(&self, entry: &Entry) {
         if let Ok(payload) = postcard::to_stdvec(entry) {
-            self.tell(Command::Publish(key(&entry.key), entry.version, Arc::from(payload)));
+            self.tell(Command::Publish(
+                key(&entry.key),
+                entry.version,
+                Arc::from(payload),
+            ));
         }
     }
 
@@ -81,10 +99,11 @@
         self.tell(Command::Remove(key(of), version));
     }
 
-    /// Tells a coordinator's mesh whether the coordinator is in contact with a majority of the coordinators. One that is
-    /// not stops being a root of the relay tree, so that agents turn to others at once; what is published there still
-    /// spreads. Until the first call it counts as in contact: a coordinator calls this with `false` right after
-    /// [`Mesh::start`], and at each change. May be called at any moment, also with the same value again.
+    /// Tells a coordinator's mesh whether the coordinator is in contact with a majority of the
+    /// coordinators. One that is not stops being a root of the relay tree, so that agents turn to
+    /// others at once; what is published there still spreads. Until the first call it counts as in
+    /// contact: a coordinator calls this with `false` right after [`Mesh::start`], and at each
+    /// change. May be called at any moment, also with the same value again.
     pub fn set_in_contact(&self, in_contact: bool) {
         self.tell(Command::InContact(in_contact));
     }
