--- a/crates/overlay-transport/src/queue.rs
+++ b/crates/overlay-transport/src/queue.rs
@@ -38,13 +38,25 @@
     let (sender, receiver) = mpsc::unbounded_channel();
     let (open, dropped) = oneshot::channel();
     let waiting_bytes = Rc::new(Cell::new(0));
-    let queue = Queue { messages: sender, waiting_bytes: Rc::clone(&waiting_bytes), _open: open };
+    let queue = Queue {
+        messages: sender,
+        waiting_bytes: Rc::clone(&waiting_bytes),
+        _open: open,
+    };
     let closed = async move { drop(dropped.await) };
-    (queue, QueueReceiver { messages: receiver, waiting_bytes }, closed)
+    (
+        queue,
+        QueueReceiver {
+            messages: receiver,
+            waiting_bytes,
+        },
+        closed,
+    )
 }
 
 impl Queue {
-    /// Adds a message unless too much waits already; whether it was added. One message alone may be of any size.
+    /// Adds a message unless too much waits already; whether it was added. One message alone may be
+    /// of any size.
     #[must_use]
     pub fn push(&self, message: Message) -> bool {
         let waiting = self.waiting_bytes.get();
@@ -62,7 +74,8 @@
     /// The next message; none once the queue has been dropped and is empty.
     pub async fn next(&mut self) -> Option<Message> {
         let message = self.messages.recv().await?;
-        self.waiting_bytes.set(self.waiting_bytes.get() - size(&message));
+        self.waiting_bytes
+            .set(self.waiting_bytes.get() - size(&message));
         Some(message)
     }
 }
@@ -70,7 +83,9 @@
 /// Estimated bytes of a message.
 fn size(message: &Message) -> usize {
     match message {
-        Message::Entries { entries, .. } => MESSAGE_BYTES + entries.iter().map(Entry::size).sum::<usize>(),
+        Message::Entries { entries, .. } => {
+            MESSAGE_BYTES + entries.iter().map(Entry::size).sum::<usize>()
+        }
         Message::Announce { versions } | Message::Listing { versions, .. } => {
             MESSAGE_BYTES + VERSION_BYTES * versions.len()
         }
--- a/crates/overlay/src/beats.rs
+++ b/crates/overlay/src/beats.rs
@@ -1,9 +1,10 @@
 //! The newest beat of each coordinator, and how long ago it was sent.
 //!
-//! A beat carries the time since its coordinator started. Clocks of two machines run alike but start apart, so the
-//! beat that was on its way for the shortest time tells how far apart, and the age of any other follows from that: one
-//! that was held up, at a node or by a link, is not taken for a fresh one. Ages are too short by the shortest time on
-//! the way, milliseconds up to a few hundred.
+//! A beat carries the time since its coordinator started. Clocks of two machines run alike but
+//! start apart, so the beat that was on its way for the shortest time tells how far apart, and the
+//! age of any other follows from that: one that was held up, at a node or by a link, is not taken
+//! for a fresh one. Ages are too short by the shortest time on the way, milliseconds up to a few
+//! hundred.
 
 #[cfg(test)]
 mod tests;
@@ -17,14 +18,16 @@
 /// Sources remembered at most; the one silent for longest is forgotten.
 const SOURCES: usize = 32;
 
-/// Time after which the distance between two clocks is measured anew: 100 ppm of drift make 6 ms in it.
+/// Time after which the distance between two clocks is measured anew: 100 ppm of drift make 6 ms in
+/// it.
 const WINDOW: Duration = Duration::from_secs(60);
 
 /// The newest beat of one coordinator, and the distance of its clock.
 #[derive(Clone, Copy, Debug)]
 struct Newest {
     elapsed_ms: u64,
-    /// Least distance in microseconds between arrival and `elapsed_ms`, in this window and in the one before.
+    /// Least distance in microseconds between arrival and `elapsed_ms`, in this window and in the
+    /// one before.
     distance: i64,
     distance_before: i64,
     window: Duration,
@@ -33,7 +36,12 @@
 impl Newest {
     fn first(now: Duration, elapsed_ms: u64) -> Newest {
         let distance = distance(now, elapsed_ms);
-        Newest { elapsed_ms, distance, distance_before: distance, window: now }
+        Newest {
+            elapsed_ms,
+            distance,
+            distance_before: distance,
+            window: now,
+        }
     }
 
     fn update(&mut self, now: Duration, elapsed_ms: u64) {
@@ -78,11 +86,16 @@
     }
 
     fn add(&mut self, now: Duration, beat: &Beat) {
-        self.newest.insert(beat.source, Newest::first(now, beat.elapsed_ms));
+        self.newest
+            .insert(beat.source, Newest::first(now, beat.elapsed_ms));
         if self.newest.len() <= SOURCES {
             return;
         }
-        let oldest = self.newest.iter().max_by_key(|(_, newest)| newest.age(now)).map(|(source, _)| *source);
+        let oldest = self
+            .newest
+            .iter()
+            .max_by_key(|(_, newest)| newest.age(now))
+            .map(|(source, _)| *source);
         oldest.map(|source| self.newest.remove(&source));
     }
 
@@ -93,25 +106,35 @@
 
     /// Time since the newest beat of each coordinator was sent.
     pub fn ages(&self, now: Duration) -> impl Iterator<Item = (NodeId, Duration)> {
-        self.newest.iter().map(move |(source, newest)| (*source, newest.age(now)))
+        self.newest
+            .iter()
+            .map(move |(source, newest)| (*source, newest.age(now)))
     }
 
-    /// Up to `limit` beats newer than `sent` says, those of the longest unsent sources first, which are then noted in
-    /// `sent`.
+    /// Up to `limit` beats newer than `sent` says, those of the longest unsent sources first, which
+    /// are then noted in `sent`.
     pub(crate) fn unsent(&self, limit: usize, sent: &mut Sent) -> Vec<Beat> {
         sent.round += 1;
-        sent.beats.retain(|source, _| self.newest.contains_key(source));
+        sent.beats
+            .retain(|source, _| self.newest.contains_key(source));
         let mut due: Vec<(u64, Beat)> = Vec::new();
         for (source, newest) in &self.newest {
             let (elapsed_ms, round) = sent.beats.get(source).copied().unwrap_or_default();
             if newest.elapsed_ms > elapsed_ms {
-                due.push((round, Beat { source: *source, elapsed_ms: newest.elapsed_ms }));
+                due.push((
+                    round,
+                    Beat {
+                        source: *source,
+                        elapsed_ms: newest.elapsed_ms,
+                    },
+                ));
             }
         }
         due.sort_by_key(|(round, beat)| (*round, beat.source));
         due.truncate(limit);
         for (_, beat) in &due {
-            sent.beats.insert(beat.source, (beat.elapsed_ms, sent.round));
+            sent.beats
+                .insert(beat.source, (beat.elapsed_ms, sent.round));
         }
         due.into_iter().map(|(_, beat)| beat).collect()
     }
--- a/crates/overlay/src/beats/tests.rs
+++ b/crates/overlay/src/beats/tests.rs
@@ -5,7 +5,10 @@
 }
 
 fn beat(elapsed_ms: u64) -> Beat {
-    Beat { source: 1, elapsed_ms }
+    Beat {
+        source: 1,
+        elapsed_ms,
+    }
 }
 
 #[test]
@@ -45,7 +48,13 @@
     let mut told = std::collections::BTreeSet::new();
     for round in 1..=3u64 {
         for source in 0..9 {
-            beats.learn(ms(round * 400), &Beat { source, elapsed_ms: round * 400 });
+            beats.learn(
+                ms(round * 400),
+                &Beat {
+                    source,
+                    elapsed_ms: round * 400,
+                },
+            );
         }
         let beats = beats.unsent(3, &mut sent);
         assert_eq!(beats.len(), 3);
@@ -58,7 +67,13 @@
 fn sources_are_bounded() {
     let mut beats = Beats::default();
     for source in 0..100 {
-        beats.learn(ms(u64::from(source) * 10), &Beat { source, elapsed_ms: 1 });
+        beats.learn(
+            ms(u64::from(source) * 10),
+            &Beat {
+                source,
+                elapsed_ms: 1,
+            },
+        );
     }
     assert_eq!(beats.ages(ms(1_000)).count(), SOURCES);
     assert_eq!(beats.age(ms(990)), Some(ms(0)));
--- a/crates/overlay/src/hash.rs
+++ b/crates/overlay/src/hash.rs
@@ -1,11 +1,13 @@
-//! Stable hashes: the same on every machine and in every build, as nodes compare them with each other.
+//! Stable hashes: the same on every machine and in every build, as nodes compare them with each
+//! other.
 
 use std::net::{IpAddr, SocketAddr};
 
 const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Finalizer of splitmix64 (Steele, Lea and Flood 2014): every input bit changes about half of the output bits.
+/// Finalizer of splitmix64 (Steele, Lea and Flood 2014): every input bit changes about half of the
+/// output bits.
 pub(crate) fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/overlay/src/link.rs
+++ b/crates/overlay/src/link.rs
@@ -8,7 +8,8 @@
 use crate::node::{Descriptor, NodeId};
 use crate::store::Key;
 
-/// Heartbeat intervals after which one is sent even on a link with other traffic, as only it carries the position.
+/// Heartbeat intervals after which one is sent even on a link with other traffic, as only it
+/// carries the position.
 const STATUS_INTERVALS: u32 = 3;
 
 /// A connection to a neighbour.
@@ -91,13 +92,17 @@
 
     /// Takes the neighbour's heartbeat in; whether its position changed.
     pub fn heartbeat(&mut self, heartbeat: &Heartbeat) -> bool {
-        // The first one is answered at once: it is by the answer that the neighbour knows of both ways.
+        // The first one is answered at once: it is by the answer that the neighbour knows of both
+        // ways.
         self.tell |= self.peer_sequence == 0;
         self.peer_sequence = heartbeat.sequence;
         if heartbeat.echo > 0 {
             self.confirmed = true;
         }
-        if self.unconfirmed.is_some_and(|(sequence, _)| heartbeat.echo >= sequence) {
+        if self
+            .unconfirmed
+            .is_some_and(|(sequence, _)| heartbeat.echo >= sequence)
+        {
             self.unconfirmed = None;
         }
         self.room = heartbeat.room;
@@ -125,8 +130,8 @@
         self.status_sent
     }
 
-    /// When the next heartbeat is due with this interval: the interval after the last message, and at the latest some
-    /// intervals after the last heartbeat.
+    /// When the next heartbeat is due with this interval: the interval after the last message, and
+    /// at the latest some intervals after the last heartbeat.
     pub fn heartbeat_due(&self, interval: Duration) -> Duration {
         (self.sent + interval).min(self.status_sent + interval * STATUS_INTERVALS)
     }
@@ -152,9 +157,17 @@
         !matches!(self, Position::Detached)
     }
 
-    /// Whether a node at this position is fed by a coordinator in contact with a majority, or is one.
+    /// Whether a node at this position is fed by a coordinator in contact with a majority, or is
+    /// one.
     pub fn is_in_contact(&self) -> bool {
-        matches!(self, Position::Root { in_contact: true } | Position::Under { in_contact: true, .. })
+        matches!(
+            self,
+            Position::Root { in_contact: true }
+                | Position::Under {
+                    in_contact: true,
+                    ..
+                }
+        )
     }
 
     /// The coordinator at the start of the path to an agent.
@@ -186,7 +199,12 @@
         let (mut path, region_head, zone_head) = match self {
             Position::Detached => return Position::Detached,
             Position::Root { .. } => (Vec::new(), 0, 0),
-            Position::Under { path, region_head, zone_head, .. } => (path.clone(), *region_head, *zone_head),
+            Position::Under {
+                path,
+                region_head,
+                zone_head,
+                ..
+            } => (path.clone(), *region_head, *zone_head),
         };
         path.push(source.id());
         Position::Under {
--- a/crates/overlay/src/message.rs
+++ b/crates/overlay/src/message.rs
@@ -1,4 +1,5 @@
-//! What nodes tell each other. Every message travels over the link between two nodes and needs no order among links.
+//! What nodes tell each other. Every message travels over the link between two nodes and needs no
+//! order among links.
 
 use std::sync::Arc;
 
@@ -44,11 +45,14 @@
     Under {
         /// The nodes between, from the coordinator to the agent's own source.
         path: Vec<NodeId>,
-        /// Score of the agent through which its region is fed, 0 when fed by a coordinator in the region.
+        /// Score of the agent through which its region is fed, 0 when fed by a coordinator in the
+        /// region.
         region_head: u32,
-        /// Score of the agent through which its zone is fed, 0 when fed by a coordinator in the zone.
+        /// Score of the agent through which its zone is fed, 0 when fed by a coordinator in the
+        /// zone.
         zone_head: u32,
-        /// Whether the coordinator at the start of the path is in contact with a majority, as far as is known here.
+        /// Whether the coordinator at the start of the path is in contact with a majority, as far
+        /// as is known here.
         in_contact: bool,
     },
 }
--- a/crates/overlay/src/node.rs
+++ b/crates/overlay/src/node.rs
@@ -6,8 +6,8 @@
 
 use crate::hash;
 
-/// Short identity of a node on the wire: a hash of its address. Two nodes with the same one only avoid each other as
-/// sources, so a collision costs a choice and no safety.
+/// Short identity of a node on the wire: a hash of its address. Two nodes with the same one only
+/// avoid each other as sources, so a collision costs a choice and no safety.
 pub type NodeId = u32;
 
 /// What a node is in the control plane.
@@ -32,7 +32,10 @@
     /// The place with these names: 32-bit hashes of them.
     pub fn named(region: &str, zone: &str) -> Place {
         let short = |name: &str| hash::bytes(name.as_bytes()) as u32;
-        Place { region: short(region), zone: short(zone) }
+        Place {
+            region: short(region),
+            zone: short(zone),
+        }
     }
 
     /// Whether `other` lies in the same region.
@@ -60,13 +63,14 @@
         hash::address(self.address) as u32
     }
 
-    /// Identity of its beats: another one for each incarnation, so that counters may begin at 1 again.
+    /// Identity of its beats: another one for each incarnation, so that counters may begin at 1
+    /// again.
     pub fn beat_source(&self) -> NodeId {
         hash::pair(hash::address(self.address), self.incarnation) as u32
     }
 
-    /// Its rank among nodes that compete for a place at the head of a region or zone: the lowest stays. Never 0, which
-    /// stands for a coordinator.
+    /// Its rank among nodes that compete for a place at the head of a region or zone: the lowest
+    /// stays. Never 0, which stands for a coordinator.
     pub fn score(&self) -> u32 {
         ((hash::pair(hash::address(self.address), self.incarnation) >> 32) as u32).max(1)
     }
--- a/crates/overlay/src/overlay.rs
+++ b/crates/overlay/src/overlay.rs
@@ -57,8 +57,9 @@
         /// The version.
         version: Version,
     },
-    /// Whether this coordinator is in contact with a majority of the coordinators; without this event it is. One that
-    /// is not emits no beats, and agents take another source if there is one under a coordinator in contact.
+    /// Whether this coordinator is in contact with a majority of the coordinators; without this
+    /// event it is. One that is not emits no beats, and agents take another source if there is one
+    /// under a coordinator in contact.
     InContact(bool),
     /// The time asked for by [`Action::Timer`] has come. More often does no harm.
     Timer,
@@ -76,7 +77,8 @@
         /// The message.
         message: Message,
     },
-    /// Open a connection unless there is one, and answer [`Event::Connected`] or [`Event::Disconnected`].
+    /// Open a connection unless there is one, and answer [`Event::Connected`] or
+    /// [`Event::Disconnected`].
     Connect(SocketAddr),
     /// Close the connection after what was sent on it; no [`Event::Disconnected`] is needed.
     Disconnect(SocketAddr),
@@ -144,7 +146,8 @@
     left_region: Option<Duration>,
     /// Versions that had to be asked for elsewhere since the source last delivered.
     gaps: u32,
-    /// The source asked this agent to stand in for it, as of its last heartbeat; kept when the source is lost.
+    /// The source asked this agent to stand in for it, as of its last heartbeat; kept when the
+    /// source is lost.
     deputy: bool,
     position: Position,
 }
@@ -182,20 +185,27 @@
 }
 
 impl Overlay {
-    /// A node that knows nobody yet. `now` is the time of a steady clock of this machine, `seed` starts its random
-    /// choices and should differ between nodes.
+    /// A node that knows nobody yet. `now` is the time of a steady clock of this machine, `seed`
+    /// starts its random choices and should differ between nodes.
     pub fn new(me: Descriptor, settings: Settings, seed: u64, now: Duration) -> Overlay {
         let mut store = Store::new(settings.tombstone);
         if !settings.guards.version_check {
             store = store.without_version_check();
         }
-        let position =
-            if me.is_coordinator() { Position::Root { in_contact: true } } else { Position::Detached };
+        let position = if me.is_coordinator() {
+            Position::Root { in_contact: true }
+        } else {
+            Position::Detached
+        };
         let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
         Overlay {
             view: View::new(me, &settings),
             schedule: Schedule::new(now, &settings, &mut random),
-            feed: Feed { position, orphan_since: Some(now), ..Feed::default() },
+            feed: Feed {
+                position,
+                orphan_since: Some(now),
+                ..Feed::default()
+            },
             me,
             settings,
             random,
@@ -220,7 +230,11 @@
             Event::Connected(peer) => self.connected(now, peer, out),
             Event::Disconnected(peer) => self.disconnected(now, peer),
             Event::Message { from, message } => self.message(now, from, message, out),
-            Event::Publish { key, version, payload } => self.publish(now, key, version, Some(payload), out),
+            Event::Publish {
+                key,
+                version,
+                payload,
+            } => self.publish(now, key, version, Some(payload), out),
             Event::Remove { key, version } => self.publish(now, key, version, None, out),
             Event::InContact(in_contact) => self.set_in_contact(now, in_contact),
             Event::Timer => {}
@@ -230,7 +244,13 @@
         self.set_timer(now, out);
     }
 
-    fn message(&mut self, now: Duration, from: SocketAddr, message: Message, out: &mut Vec<Action>) {
+    fn message(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
         if !self.heard(now, from, &message) {
             return;
         }
@@ -243,9 +263,11 @@
             Message::Grafted => self.on_grafted(now, from, out),
             Message::Refused { sample } => self.on_refused(now, from, &sample, out),
             Message::Prune => self.on_prune(from),
-            Message::Entries { entries, pushed, more } => {
-                self.on_entries(now, from, entries, pushed, more, out)
-            }
+            Message::Entries {
+                entries,
+                pushed,
+                more,
+            } => self.on_entries(now, from, entries, pushed, more, out),
             Message::Announce { versions } => self.on_announce(now, from, &versions),
             Message::Want { keys } => self.send_entries(now, from, &keys, out),
             Message::Digest { root } => self.on_digest(now, from, root, out),
@@ -265,7 +287,12 @@
         payload: Option<Arc<[u8]>>,
         out: &mut Vec<Action>,
     ) {
-        let entry = Entry { key, version, removed_s: 0, payload };
+        let entry = Entry {
+            key,
+            version,
+            removed_s: 0,
+            payload,
+        };
         self.accept(now, Origin::Here, &entry, out);
     }
 
@@ -284,10 +311,14 @@
         &self.me
     }
 
-    /// Time since the newest beat of any coordinator left it, less the shortest time one was on its way; `None` before
-    /// the first. Zero at a coordinator.
+    /// Time since the newest beat of any coordinator left it, less the shortest time one was on its
+    /// way; `None` before the first. Zero at a coordinator.
     pub fn freshness(&self, now: Duration) -> Option<Duration> {
-        if self.me.is_coordinator() { Some(Duration::ZERO) } else { self.beats.age(now) }
+        if self.me.is_coordinator() {
+            Some(Duration::ZERO)
+        } else {
+            self.beats.age(now)
+        }
     }
 
     /// Time since the newest beat of each coordinator, by [`Descriptor::beat_source`].
@@ -312,7 +343,10 @@
 
     /// The neighbours this node pushes changes to.
     pub fn fed(&self) -> impl Iterator<Item = Descriptor> {
-        self.links.values().filter(|link| link.feeds).filter_map(|link| link.node)
+        self.links
+            .values()
+            .filter(|link| link.feeds)
+            .filter_map(|link| link.node)
     }
 
     /// The nodes known besides the neighbours.
--- a/crates/overlay/src/overlay/choice.rs
+++ b/crates/overlay/src/overlay/choice.rs
@@ -42,20 +42,31 @@
 impl Overlay {
     /// A neighbour to graft instead of the present source.
     pub(super) fn better_source(&self, now: Duration) -> Option<SocketAddr> {
-        let mut candidates: Vec<Candidate> =
-            self.links.iter().filter_map(|(peer, link)| self.candidate(now, *peer, link)).collect();
+        let mut candidates: Vec<Candidate> = self
+            .links
+            .iter()
+            .filter_map(|(peer, link)| self.candidate(now, *peer, link))
+            .collect();
         let mut present = self.present(now);
         // Out of contact with the majority is better than nothing, and than nothing else.
-        if candidates.iter().chain(&present).any(|candidate| candidate.in_contact) {
+        if candidates
+            .iter()
+            .chain(&present)
+            .any(|candidate| candidate.in_contact)
+        {
             candidates.retain(|candidate| candidate.in_contact);
             present = present.filter(|present| present.in_contact);
         }
         if !self.settings.guards.region_heads {
             let least = candidates.iter().min_by_key(|candidate| candidate.depth)?;
-            return present.is_none_or(|present| least.depth < present.depth).then_some(least.peer);
+            return present
+                .is_none_or(|present| least.depth < present.depth)
+                .then_some(least.peer);
         }
-        let inside =
-            candidates.iter().filter(|candidate| candidate.near).min_by_key(|candidate| candidate.rank());
+        let inside = candidates
+            .iter()
+            .filter(|candidate| candidate.near)
+            .min_by_key(|candidate| candidate.rank());
         let Some(best) = inside else {
             return self.best_outside(now, present, &candidates);
         };
@@ -63,15 +74,26 @@
         self.is_better(now, present, &best).then_some(best.peer)
     }
 
-    /// An agent that feeds its zone from another one stays so unless a path with a lower score is at hand.
-    fn in_zone(&self, present: Option<Candidate>, best: Candidate, candidates: &[Candidate]) -> Candidate {
+    /// An agent that feeds its zone from another one stays so unless a path with a lower score is
+    /// at hand.
+    fn in_zone(
+        &self,
+        present: Option<Candidate>,
+        best: Candidate,
+        candidates: &[Candidate],
+    ) -> Candidate {
         let Some(present) = present else { return best };
         let heads_zone = present.near && !present.close && present.region_head == best.region_head;
         if !heads_zone || !best.close || best.zone_head < self.me.score() {
             return best;
         }
-        let apart = candidates.iter().filter(|candidate| candidate.near && !candidate.close);
-        apart.min_by_key(|candidate| candidate.rank()).copied().unwrap_or(present)
+        let apart = candidates
+            .iter()
+            .filter(|candidate| candidate.near && !candidate.close);
+        apart
+            .min_by_key(|candidate| candidate.rank())
+            .copied()
+            .unwrap_or(present)
     }
 
     /// Out of the region only when there is nothing inside, and then a coordinator first.
@@ -84,7 +106,9 @@
         if present.is_some() || !self.may_leave_region(now) {
             return None;
         }
-        let best = candidates.iter().min_by_key(|candidate| (candidate.depth, candidate.preference));
+        let best = candidates
+            .iter()
+            .min_by_key(|candidate| (candidate.depth, candidate.preference));
         best.map(|candidate| candidate.peer)
     }
 
@@ -96,8 +120,13 @@
         if !present.near {
             return best.region_head < self.me.score();
         }
-        let head =
-            |candidate: &Candidate| (candidate.region_head, Reverse(candidate.close), candidate.zone_head);
+        let head = |candidate: &Candidate| {
+            (
+                candidate.region_head,
+                Reverse(candidate.close),
+                candidate.zone_head,
+            )
+        };
         if head(best) != head(&present) {
             return head(best) < head(&present);
         }
@@ -122,26 +151,42 @@
         let lost = self.lost_on_path(now, link);
         let room = link.room > 0 || source;
         let usable = link.confirmed && link.avoid_until <= now && room && !quiet && !lost;
-        let deep = link.position.depth().is_none_or(|depth| depth >= self.settings.depth);
+        let deep = link
+            .position
+            .depth()
+            .is_none_or(|depth| depth >= self.settings.depth);
         if !usable || deep || link.position.passes(self.me.id()) {
             return None;
         }
         self.describe(peer, link)
     }
 
-    /// Whether the path of the neighbour leads over the source that is silent, or over one just lost, of which the
-    /// neighbour may not know yet.
+    /// Whether the path of the neighbour leads over the source that is silent, or over one just
+    /// lost, of which the neighbour may not know yet.
     fn lost_on_path(&self, now: Duration, link: &Link) -> bool {
         let source = self.feed.source.and_then(|source| self.links.get(&source));
-        let silent = source.filter(|source| self.is_suspect(now, source)).and_then(|link| link.node);
-        let lost = self.feed.lost.filter(|(_, until)| *until > now).map(|(node, _)| node);
-        [silent.map(|node| node.id()), lost].into_iter().flatten().any(|node| link.position.passes(node))
+        let silent = source
+            .filter(|source| self.is_suspect(now, source))
+            .and_then(|link| link.node);
+        let lost = self
+            .feed
+            .lost
+            .filter(|(_, until)| *until > now)
+            .map(|(node, _)| node);
+        [silent.map(|node| node.id()), lost]
+            .into_iter()
+            .flatten()
+            .any(|node| link.position.passes(node))
     }
 
     fn describe(&self, peer: SocketAddr, link: &Link) -> Option<Candidate> {
         let node = link.node?;
-        let Position::Under { path, region_head, zone_head, in_contact } =
-            link.position.below(&node, &self.me)
+        let Position::Under {
+            path,
+            region_head,
+            zone_head,
+            in_contact,
+        } = link.position.below(&node, &self.me)
         else {
             return None;
         };
@@ -160,6 +205,9 @@
 
     /// Whether no neighbour could be the source at any time.
     pub(super) fn no_candidates(&self) -> bool {
-        !self.links.values().any(|link| link.position.is_attached() && !link.position.passes(self.me.id()))
+        !self
+            .links
+            .values()
+            .any(|link| link.position.is_attached() && !link.position.passes(self.me.id()))
     }
 }
--- a/crates/overlay/src/overlay/flow.rs
+++ b/crates/overlay/src/overlay/flow.rs
@@ -1,4 +1,5 @@
-//! The way of entries: pushed along the tree, announced on all other links, asked for when they don't arrive.
+//! The way of entries: pushed along the tree, announced on all other links, asked for when they
+//! don't arrive.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -43,8 +44,16 @@
 
     fn pass_on(&mut self, now: Duration, origin: Origin, entry: &Entry, out: &mut Vec<Action>) {
         let payload = entry.payload.clone();
-        out.push(Action::Changed { key: entry.key, version: entry.version, payload });
-        if self.missing.get(&entry.key).is_some_and(|missing| missing.version <= entry.version) {
+        out.push(Action::Changed {
+            key: entry.key,
+            version: entry.version,
+            payload,
+        });
+        if self
+            .missing
+            .get(&entry.key)
+            .is_some_and(|missing| missing.version <= entry.version)
+        {
             self.missing.remove(&entry.key);
         }
         let from = origin.sender();
@@ -58,18 +67,23 @@
                 link.eager.insert(entry.key);
             } else {
                 link.lazy.insert(entry.key);
-                link.announce_at.get_or_insert(now + announce_interval(&me, link, settings));
+                link.announce_at
+                    .get_or_insert(now + announce_interval(&me, link, settings));
             }
         }
         self.settle(from, entry.key);
     }
 
-    /// Neighbours besides the fed ones that an entry is pushed to. The origin pushes to the coordinators of its region
-    /// and to one of each other region, which pushes to those of its own. An origin that nobody may be fed by, an agent
-    /// or a coordinator out of contact, pushes to all.
+    /// Neighbours besides the fed ones that an entry is pushed to. The origin pushes to the
+    /// coordinators of its region and to one of each other region, which pushes to those of its
+    /// own. An origin that nobody may be fed by, an agent or a coordinator out of contact, pushes
+    /// to all.
     fn relays(&self, origin: Origin) -> Vec<SocketAddr> {
         let coordinator = self.me.is_coordinator();
-        let sender = origin.sender().and_then(|from| self.links.get(&from)).and_then(|link| link.node);
+        let sender = origin
+            .sender()
+            .and_then(|from| self.links.get(&from))
+            .and_then(|link| link.node);
         let inside = |node: &Descriptor| node.place.same_region(self.me.place);
         match (origin, sender) {
             (Origin::Here, _) if coordinator && self.in_contact => self.one_of_each_region(),
@@ -77,15 +91,18 @@
             (Origin::News(from), Some(node)) if !coordinator || !node.is_coordinator() => {
                 self.relays_of_stray(from)
             }
-            (_, Some(node)) if coordinator && !inside(&node) => {
-                self.coordinators().filter(inside).map(|node| node.address).collect()
-            }
+            (_, Some(node)) if coordinator && !inside(&node) => self
+                .coordinators()
+                .filter(inside)
+                .map(|node| node.address)
+                .collect(),
             _ => Vec::new(),
         }
     }
 
-    /// Where news goes that did not come along the tree, so that the tree may lack it: a coordinator stands in for the
-    /// origin, an agent pushes it to its source and to the neighbours of its region.
+    /// Where news goes that did not come along the tree, so that the tree may lack it: a
+    /// coordinator stands in for the origin, an agent pushes it to its source and to the neighbours
+    /// of its region.
     fn relays_of_stray(&self, from: SocketAddr) -> Vec<SocketAddr> {
         if self.feed.source == Some(from) || !self.settings.guards.eager_relay {
             return Vec::new();
@@ -93,13 +110,22 @@
         if self.me.is_coordinator() {
             return self.one_of_each_region();
         }
-        let near = |link: &Link| link.node.is_some_and(|node| node.place.same_region(self.me.place));
-        let chosen = self.links.iter().filter(|(peer, link)| near(link) || self.feed.source == Some(**peer));
+        let near = |link: &Link| {
+            link.node
+                .is_some_and(|node| node.place.same_region(self.me.place))
+        };
+        let chosen = self
+            .links
+            .iter()
+            .filter(|(peer, link)| near(link) || self.feed.source == Some(**peer));
         chosen.map(|(peer, _)| *peer).collect()
     }
 
     fn coordinators(&self) -> impl Iterator<Item = Descriptor> {
-        self.links.values().filter_map(|link| link.node).filter(|node| node.is_coordinator())
+        self.links
+            .values()
+            .filter_map(|link| link.node)
+            .filter(|node| node.is_coordinator())
     }
 
     /// The coordinators of the own region, and of each other region the one this node prefers.
@@ -129,7 +155,8 @@
     fn tell_newer(&mut self, now: Duration, from: Option<SocketAddr>, key: Key) {
         if let Some(link) = from.and_then(|from| self.links.get_mut(&from)) {
             link.lazy.insert(key);
-            link.announce_at.get_or_insert(now + announce_interval(&self.me, link, &self.settings));
+            link.announce_at
+                .get_or_insert(now + announce_interval(&self.me, link, &self.settings));
         }
     }
 
@@ -144,9 +171,15 @@
     ) {
         let mut newer = 0;
         for entry in &entries {
-            let awaited =
-                self.missing.get(&entry.key).is_some_and(|missing| missing.version <= entry.version);
-            let origin = if pushed || awaited { Origin::News(from) } else { Origin::Repair(from) };
+            let awaited = self
+                .missing
+                .get(&entry.key)
+                .is_some_and(|missing| missing.version <= entry.version);
+            let origin = if pushed || awaited {
+                Origin::News(from)
+            } else {
+                Origin::Repair(from)
+            };
             newer += u32::from(self.accept(now, origin, entry, out) == Merged::Newer);
         }
         if pushed {
@@ -160,7 +193,13 @@
     }
 
     /// A push from another node than the source, with nothing new: the tree has an edge too many.
-    fn on_pushed(&mut self, now: Duration, from: SocketAddr, nothing_new: bool, out: &mut Vec<Action>) {
+    fn on_pushed(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        nothing_new: bool,
+        out: &mut Vec<Action>,
+    ) {
         if self.feed.source == Some(from) {
             self.feed.gaps = 0;
             return;
@@ -172,8 +211,8 @@
         }
     }
 
-    /// Entries that the source should have pushed came by asking another node. Where all others depend on the same
-    /// coordinator, that one lacks them, and no other source would be better.
+    /// Entries that the source should have pushed came by asking another node. Where all others
+    /// depend on the same coordinator, that one lacks them, and no other source would be better.
     fn on_gap(&mut self, now: Duration, from: SocketAddr, newer: u32) {
         if self.feed.source == Some(from) || !self.feed.position.is_attached() {
             return;
@@ -186,7 +225,11 @@
             return;
         }
         self.feed.gaps = 0;
-        if let Some(link) = self.feed.source.and_then(|source| self.links.get_mut(&source)) {
+        if let Some(link) = self
+            .feed
+            .source
+            .and_then(|source| self.links.get_mut(&source))
+        {
             link.avoid_until = now + AVOID_GAPS;
         }
     }
@@ -195,13 +238,24 @@
     fn has_other_root(&self) -> bool {
         let root = self.feed.position.root();
         let other = |link: &Link, node: Descriptor| {
-            let their = if node.is_coordinator() { Some(node.id()) } else { link.position.root() };
+            let their = if node.is_coordinator() {
+                Some(node.id())
+            } else {
+                link.position.root()
+            };
             node.place.same_region(self.me.place) && their.is_some() && their != root
         };
-        self.links.values().any(|link| link.node.is_some_and(|node| other(link, node)))
+        self.links
+            .values()
+            .any(|link| link.node.is_some_and(|node| other(link, node)))
     }
 
-    pub(super) fn on_announce(&mut self, now: Duration, from: SocketAddr, versions: &[(Key, Version)]) {
+    pub(super) fn on_announce(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        versions: &[(Key, Version)],
+    ) {
         if !self.settings.guards.lazy_repair {
             return;
         }
@@ -218,13 +272,25 @@
     }
 
     fn expect(&mut self, now: Duration, from: SocketAddr, key: Key, version: Version) {
-        if let Some(missing) = self.missing.get_mut(&key).filter(|missing| missing.version >= version) {
+        if let Some(missing) = self
+            .missing
+            .get_mut(&key)
+            .filter(|missing| missing.version >= version)
+        {
             // Asked again elsewhere if the first neighbour does not answer.
             missing.from = from;
             return;
         }
         let due = now + self.settings.graft_delay;
-        self.missing.insert(key, Missing { version, from, due, tries: 0 });
+        self.missing.insert(
+            key,
+            Missing {
+                version,
+                from,
+                due,
+                tries: 0,
+            },
+        );
     }
 
     /// Asks for the versions that have not arrived in time.
@@ -249,7 +315,9 @@
         let batch = self.settings.batch;
         let peers: Vec<SocketAddr> = self.links.keys().copied().collect();
         for peer in peers {
-            let Some(link) = self.links.get_mut(&peer) else { continue };
+            let Some(link) = self.links.get_mut(&peer) else {
+                continue;
+            };
             if link.push_due(batch).is_some_and(|due| due <= now) {
                 link.pushed = now;
                 let keys = std::mem::take(&mut link.eager);
@@ -265,7 +333,9 @@
     }
 
     fn announce(&mut self, now: Duration, peer: SocketAddr, out: &mut Vec<Action>) {
-        let Some(link) = self.links.get_mut(&peer) else { return };
+        let Some(link) = self.links.get_mut(&peer) else {
+            return;
+        };
         if link.announce_at.is_none_or(|at| at > now) {
             return;
         }
@@ -279,7 +349,13 @@
     }
 
     /// Sends a message if there is a link.
-    pub(super) fn send(&mut self, now: Duration, to: SocketAddr, message: Message, out: &mut Vec<Action>) {
+    pub(super) fn send(
+        &mut self,
+        now: Duration,
+        to: SocketAddr,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
         if let Some(link) = self.links.get_mut(&to) {
             link.sent = now;
             out.push(Action::Send { to, message });
@@ -287,11 +363,16 @@
     }
 }
 
-/// How long changes wait for others before they are announced together on this link of `me`. Over an agent's link out
-/// of its region news comes of which the region's own source may know nothing, so there it is short.
+/// How long changes wait for others before they are announced together on this link of `me`. Over
+/// an agent's link out of its region news comes of which the region's own source may know nothing,
+/// so there it is short.
 fn announce_interval(me: &Descriptor, link: &Link, settings: &Settings) -> Duration {
     let apart = |node: Descriptor| !node.place.same_region(me.place);
     let agents = |node: Descriptor| !me.is_coordinator() || !node.is_coordinator();
     let standby = link.node.is_some_and(|node| apart(node) && agents(node));
-    if standby && settings.guards.quick_announce { settings.announce_far } else { settings.announce }
+    if standby && settings.guards.quick_announce {
+        settings.announce_far
+    } else {
+        settings.announce
+    }
 }
--- a/crates/overlay/src/overlay/repair.rs
+++ b/crates/overlay/src/overlay/repair.rs
@@ -17,8 +17,9 @@
 const DIFFERING: u32 = 2;
 
 impl Overlay {
-    /// Starts a comparison with a random neighbour: one of the own region, the source, for a coordinator another one.
-    /// So regions are compared with each other too, but over the links that entries cross on.
+    /// Starts a comparison with a random neighbour: one of the own region, the source, for a
+    /// coordinator another one. So regions are compared with each other too, but over the links
+    /// that entries cross on.
     pub(super) fn scrub(&mut self, now: Duration, out: &mut Vec<Action>) {
         if !self.settings.guards.anti_entropy {
             return;
@@ -29,7 +30,9 @@
             near || mesh || self.feed.source == Some(node.address)
         };
         let nodes = self.links.values().filter_map(|link| link.node);
-        let Some(peer) = nodes.filter(partner).choose(&mut self.random) else { return };
+        let Some(peer) = nodes.filter(partner).choose(&mut self.random) else {
+            return;
+        };
         self.compare_with(now, peer.address, out);
     }
 
@@ -38,13 +41,21 @@
         (self.store.root() >> 32) as u32
     }
 
-    /// Compares with the source, or among coordinators, when the neighbour's digest differs in heartbeats one after the
-    /// other: a change on its way differs in one at most.
-    pub(super) fn check_root(&mut self, now: Duration, from: SocketAddr, root: u32, out: &mut Vec<Action>) {
+    /// Compares with the source, or among coordinators, when the neighbour's digest differs in
+    /// heartbeats one after the other: a change on its way differs in one at most.
+    pub(super) fn check_root(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        root: u32,
+        out: &mut Vec<Action>,
+    ) {
         let same = root == self.short_root();
         let source = self.feed.source == Some(from);
         let coordinator = self.me.is_coordinator();
-        let Some(link) = self.links.get_mut(&from) else { return };
+        let Some(link) = self.links.get_mut(&from) else {
+            return;
+        };
         let compared = source || coordinator && link.is_coordinator();
         if same || !compared || !self.settings.guards.anti_entropy {
             link.differing = 0;
@@ -63,7 +74,13 @@
         self.send(now, peer, Message::Digest { root }, out);
     }
 
-    pub(super) fn on_digest(&mut self, now: Duration, from: SocketAddr, root: u64, out: &mut Vec<Action>) {
+    pub(super) fn on_digest(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        root: u64,
+        out: &mut Vec<Action>,
+    ) {
         if root != self.store.root() {
             self.send(now, from, Message::Buckets(self.store.digest()), out);
         }
@@ -127,13 +144,31 @@
             size += entry.size();
             if size > self.settings.message_bytes && !part.is_empty() {
                 let entries = std::mem::take(&mut part);
-                self.send(now, to, Message::Entries { entries, pushed, more: false }, out);
+                self.send(
+                    now,
+                    to,
+                    Message::Entries {
+                        entries,
+                        pushed,
+                        more: false,
+                    },
+                    out,
+                );
                 size = entry.size();
             }
             part.push(entry);
         }
         if !part.is_empty() {
-            self.send(now, to, Message::Entries { entries: part, pushed, more }, out);
+            self.send(
+                now,
+                to,
+                Message::Entries {
+                    entries: part,
+                    pushed,
+                    more,
+                },
+                out,
+            );
         }
     }
 }
--- a/crates/overlay/src/overlay/sampling.rs
+++ b/crates/overlay/src/overlay/sampling.rs
@@ -20,21 +20,26 @@
 const SETTLED: Duration = Duration::from_secs(5);
 
 impl Overlay {
-    /// Descriptors for `receiver`, this node's own first. Neighbours count as alive when last heard.
+    /// Descriptors for `receiver`, this node's own first. Neighbours count as alive when last
+    /// heard.
     pub(super) fn sample_for(&mut self, now: Duration, receiver: &Descriptor) -> Vec<Aged> {
         for link in self.links.values() {
             if let Some(node) = link.node {
                 self.view.learn(now, node, now.saturating_sub(link.heard));
             }
         }
-        let mut sample = vec![Aged { node: self.me, age_s: 0 }];
+        let mut sample = vec![Aged {
+            node: self.me,
+            age_s: 0,
+        }];
         let size = self.settings.shuffle_size - 1;
         sample.extend(self.view.sample(now, receiver, size, &mut self.random));
         sample
     }
 
-    /// Learns the nodes of a sample. A coordinator among them that was not known is told to the others, as the flood of
-    /// its joining ends at nodes that know it already; not by a node that has just joined and knows nobody.
+    /// Learns the nodes of a sample. A coordinator among them that was not known is told to the
+    /// others, as the flood of its joining ends at nodes that know it already; not by a node that
+    /// has just joined and knows nobody.
     pub(super) fn learn_all(
         &mut self,
         now: Duration,
@@ -44,7 +49,9 @@
     ) {
         let settled = self.started + SETTLED <= now;
         for aged in sample {
-            let learned = self.view.learn(now, aged.node, Duration::from_secs(u64::from(aged.age_s)));
+            let learned =
+                self.view
+                    .learn(now, aged.node, Duration::from_secs(u64::from(aged.age_s)));
             if learned == Learned::Known {
                 continue;
             }
@@ -58,9 +65,19 @@
     /// Sends part of the view to a random neighbour, which answers with part of its own.
     pub(super) fn shuffle(&mut self, now: Duration, out: &mut Vec<Action>) {
         let peers = self.links.values().filter_map(|link| link.node);
-        let Some(peer) = peers.choose(&mut self.random) else { return };
+        let Some(peer) = peers.choose(&mut self.random) else {
+            return;
+        };
         let sample = self.sample_for(now, &peer);
-        self.send(now, peer.address, Message::Shuffle { sample, answer: false }, out);
+        self.send(
+            now,
+            peer.address,
+            Message::Shuffle {
+                sample,
+                answer: false,
+            },
+            out,
+        );
     }
 
     pub(super) fn on_shuffle(
@@ -71,10 +88,20 @@
         answer: bool,
         out: &mut Vec<Action>,
     ) {
-        let Some(node) = self.links.get(&from).and_then(|link| link.node) else { return };
+        let Some(node) = self.links.get(&from).and_then(|link| link.node) else {
+            return;
+        };
         if !answer {
             let sample = self.sample_for(now, &node);
-            self.send(now, from, Message::Shuffle { sample, answer: true }, out);
+            self.send(
+                now,
+                from,
+                Message::Shuffle {
+                    sample,
+                    answer: true,
+                },
+                out,
+            );
         }
         self.learn_all(now, from, sample, out);
     }
@@ -95,10 +122,21 @@
         }
     }
 
-    fn flood_joined(&mut self, now: Duration, from: SocketAddr, node: Descriptor, out: &mut Vec<Action>) {
-        let others = self.links.iter().filter(|(peer, link)| **peer != from && link.node.is_some());
-        let others: Vec<SocketAddr> =
-            others.map(|(peer, _)| *peer).filter(|peer| *peer != node.address).collect();
+    fn flood_joined(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        node: Descriptor,
+        out: &mut Vec<Action>,
+    ) {
+        let others = self
+            .links
+            .iter()
+            .filter(|(peer, link)| **peer != from && link.node.is_some());
+        let others: Vec<SocketAddr> = others
+            .map(|(peer, _)| *peer)
+            .filter(|peer| *peer != node.address)
+            .collect();
         for peer in others {
             self.send(now, peer, Message::Joined { node, hops: 0 }, out);
         }
@@ -116,13 +154,19 @@
             .links
             .iter()
             .filter(|(peer, link)| **peer != from && **peer != node.address && link.node.is_some());
-        let near =
-            others.map(|(peer, link)| (*peer, link.node.expect("filtered").place.same_region(node.place)));
+        let near = others.map(|(peer, link)| {
+            (
+                *peer,
+                link.node.expect("filtered").place.same_region(node.place),
+            )
+        });
         let mut others: Vec<(SocketAddr, bool)> = near.collect();
         if others.iter().any(|(_, near)| *near) {
             others.retain(|(_, near)| *near);
         }
-        let Some((peer, _)) = others.into_iter().choose(&mut self.random) else { return };
+        let Some((peer, _)) = others.into_iter().choose(&mut self.random) else {
+            return;
+        };
         self.send(now, peer, Message::Joined { node, hops }, out);
     }
 
--- a/crates/overlay/src/overlay/upkeep.rs
+++ b/crates/overlay/src/overlay/upkeep.rs
@@ -41,13 +41,15 @@
             self.maintain_standby(now, out);
             self.close_surplus(now, out);
         }
-        let alone = self.links.is_empty() || !self.feed.position.is_attached() && self.no_candidates();
+        let alone =
+            self.links.is_empty() || !self.feed.position.is_attached() && self.no_candidates();
         if alone {
             self.open_seeds(now, out);
         }
     }
 
-    /// A coordinator keeps a link with every other one. The one with the lower address opens it, now and then the other.
+    /// A coordinator keeps a link with every other one. The one with the lower address opens it,
+    /// now and then the other.
     fn maintain_mesh(&mut self, now: Duration, out: &mut Vec<Action>) {
         let known = self.view.coordinators().map(|node| node.address);
         let all: Vec<SocketAddr> = known.chain(self.seeds.iter().copied()).collect();
@@ -67,12 +69,14 @@
         }
     }
 
-    /// An agent keeps `active` links inside its region, about half of them inside its zone, and one with a coordinator
-    /// of the region.
+    /// An agent keeps `active` links inside its region, about half of them inside its zone, and one
+    /// with a coordinator of the region.
     fn maintain_region(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.open_near_coordinator(now, out);
         let near: Vec<Descriptor> = self.view.near().copied().collect();
-        let (close, apart): (Vec<_>, Vec<_>) = near.into_iter().partition(|node| node.place == self.me.place);
+        let (close, apart): (Vec<_>, Vec<_>) = near
+            .into_iter()
+            .partition(|node| node.place == self.me.place);
         let wanted_close = self.settings.active.div_ceil(2);
         let linked = self.count_near(now, |_| true);
         let mut missing = self.settings.active.saturating_sub(linked);
@@ -80,27 +84,31 @@
             wanted_close.saturating_sub(self.count_near(now, |node| node.place == self.me.place));
         let apart_links = self.count_near(now, |node| node.place != self.me.place);
         let uneven = missing_close > 0 && apart_links > self.settings.active - wanted_close;
-        let alone = linked < self.settings.active + self.settings.fanout && self.lacks_second_source();
+        let alone =
+            linked < self.settings.active + self.settings.fanout && self.lacks_second_source();
         if missing == 0 && (uneven || alone) {
             missing = 1;
         }
         for _ in 0..missing.min(OPENED_AT_ONCE) {
-            let first = if missing_close > 0 && !alone { [&close, &apart] } else { [&apart, &close] };
+            let first = if missing_close > 0 && !alone {
+                [&close, &apart]
+            } else {
+                [&apart, &close]
+            };
             if !self.open_one(now, first[0], out) {
                 self.open_one(now, first[1], out);
             }
         }
     }
 
-    /// Whether all neighbours depend on the source of this agent, or on itself. Not looked at where the source feeds the
-    /// region alone, as all inside depend on it.
+    /// Whether all neighbours depend on the source of this agent, or on itself. Not looked at where
+    /// the source feeds the region alone, as all inside depend on it.
     fn lacks_second_source(&self) -> bool {
         let source = self.feed.source.and_then(|source| self.links.get(&source));
         let Some((node, link)) = source.and_then(|link| link.node.map(|node| (node, link))) else {
             return false;
         };
-        let heads =
-            matches!(link.position, Position::Under { region_head, .. } if region_head == node.score());
+        let heads = matches!(link.position, Position::Under { region_head, .. } if region_head == node.score());
         let inside = |node: &&Descriptor| node.place.same_region(self.me.place);
         let only = node.is_coordinator() && self.view.coordinators().filter(inside).count() <= 1;
         if heads || only {
@@ -109,31 +117,54 @@
         let independent = |link: &Link| {
             let itself = link.node.is_none_or(|other| other.address == node.address);
             let position = &link.position;
-            !itself && position.is_attached() && !position.passes(node.id()) && !position.passes(self.me.id())
+            !itself
+                && position.is_attached()
+                && !position.passes(node.id())
+                && !position.passes(self.me.id())
         };
         !self.links.values().any(independent)
     }
 
     fn open_one(&mut self, now: Duration, nodes: &[Descriptor], out: &mut Vec<Action>) -> bool {
-        let free: Vec<SocketAddr> =
-            nodes.iter().map(|node| node.address).filter(|peer| self.can_open(now, *peer)).collect();
+        let free: Vec<SocketAddr> = nodes
+            .iter()
+            .map(|node| node.address)
+            .filter(|peer| self.can_open(now, *peer))
+            .collect();
         let chosen = free.choose(&mut self.random).copied();
         chosen.is_some_and(|peer| self.open(now, peer, out))
     }
 
     /// Live agents of the region that are linked or being connected to, of those `counted`.
     fn count_near(&self, now: Duration, counted: impl Fn(&Descriptor) -> bool) -> usize {
-        let live = self.links.iter().filter(|(peer, link)| !self.is_quiet(now, **peer, link));
+        let live = self
+            .links
+            .iter()
+            .filter(|(peer, link)| !self.is_quiet(now, **peer, link));
         let linked = live.filter_map(|(_, link)| link.node);
-        let opening = self.connecting.keys().filter_map(|peer| self.view.get(*peer)).map(|known| known.node);
-        let near = |node: &Descriptor| !node.is_coordinator() && node.place.same_region(self.me.place);
-        linked.chain(opening).filter(|node| near(node) && counted(node)).count()
+        let opening = self
+            .connecting
+            .keys()
+            .filter_map(|peer| self.view.get(*peer))
+            .map(|known| known.node);
+        let near =
+            |node: &Descriptor| !node.is_coordinator() && node.place.same_region(self.me.place);
+        linked
+            .chain(opening)
+            .filter(|node| near(node) && counted(node))
+            .count()
     }
 
     /// One coordinator of the region, of the own zone where there is one.
     fn open_near_coordinator(&mut self, now: Duration, out: &mut Vec<Action>) {
         let inside = |node: &Descriptor| node.place.same_region(self.me.place);
-        let Some(best) = self.coordinators_by_preference(now).into_iter().find(inside) else { return };
+        let Some(best) = self
+            .coordinators_by_preference(now)
+            .into_iter()
+            .find(inside)
+        else {
+            return;
+        };
         let linked = || self.live_coordinators(now);
         let close = linked().any(|node| node.place == self.me.place);
         let near = linked().any(|node| inside(&node));
@@ -142,15 +173,26 @@
         }
     }
 
-    /// Coordinators to which a connection can be opened: near ones first, those that failed last, otherwise in an order
-    /// of each agent's own, so that agents spread over them.
+    /// Coordinators to which a connection can be opened: near ones first, those that failed last,
+    /// otherwise in an order of each agent's own, so that agents spread over them.
     pub(super) fn coordinators_by_preference(&self, now: Duration) -> Vec<Descriptor> {
-        let open = self.view.coordinators().filter(|node| self.can_open(now, node.address));
+        let open = self
+            .view
+            .coordinators()
+            .filter(|node| self.can_open(now, node.address));
         let mut nodes: Vec<Descriptor> = open.copied().collect();
         nodes.sort_by_key(|node| {
-            let failed = self.failures.get(&node.address).map_or(0, |failure| failure.times);
+            let failed = self
+                .failures
+                .get(&node.address)
+                .map_or(0, |failure| failure.times);
             let apart = !node.place.same_region(self.me.place);
-            (failed > 0, apart, node.place != self.me.place, self.preference(node))
+            (
+                failed > 0,
+                apart,
+                node.place != self.me.place,
+                self.preference(node),
+            )
         });
         nodes
     }
@@ -160,8 +202,8 @@
         hash::pair(hash::address(self.me.address), hash::address(node.address))
     }
 
-    /// The agent that feeds its region from outside, and its deputy, keep a link to one more coordinator; a lookout one
-    /// to a coordinator of another region.
+    /// The agent that feeds its region from outside, and its deputy, keep a link to one more
+    /// coordinator; a lookout one to a coordinator of another region.
     fn maintain_standby(&mut self, now: Duration, out: &mut Vec<Action>) {
         let lookout = self.is_lookout();
         let apart = |node: &Descriptor| !node.place.same_region(self.me.place);
@@ -169,36 +211,60 @@
         if !self.needs_standby() || self.standbys(now).any(|node| counted(&node)) {
             return;
         }
-        let next = self.coordinators_by_preference(now).into_iter().find(counted);
+        let next = self
+            .coordinators_by_preference(now)
+            .into_iter()
+            .find(counted);
         next.map(|node| self.open(now, node.address, out));
     }
 
     pub(super) fn needs_standby(&self) -> bool {
-        self.leads_region() || self.feed.deputy || self.is_lookout() || !self.settings.guards.region_heads
+        self.leads_region()
+            || self.feed.deputy
+            || self.is_lookout()
+            || !self.settings.guards.region_heads
     }
 
-    /// Whether this agent looks out of its region for news that the coordinators inside may lack: the agents with the
-    /// best scores do, more of them where the region has a single coordinator. By the score alone, so that no change of
-    /// sources leaves the region without one.
+    /// Whether this agent looks out of its region for news that the coordinators inside may lack:
+    /// the agents with the best scores do, more of them where the region has a single coordinator.
+    /// By the score alone, so that no change of sources leaves the region without one.
     fn is_lookout(&self) -> bool {
         if !self.settings.guards.stable_standby {
             return false;
         }
-        let inside = self.view.coordinators().filter(|node| node.place.same_region(self.me.place)).count();
+        let inside = self
+            .view
+            .coordinators()
+            .filter(|node| node.place.same_region(self.me.place))
+            .count();
         let lookouts = match inside {
             0 => return false,
             1 => LOOKOUTS_ALONE,
             _ => LOOKOUTS,
         };
         let better = self.view.near().filter(|node| self.precedes(node));
-        better.filter(|node| !self.failures.contains_key(&node.address)).count() < lookouts
+        better
+            .filter(|node| !self.failures.contains_key(&node.address))
+            .count()
+            < lookouts
     }
 
-    /// Coordinators that there is a link with, or that one is being opened to, without those that are silent.
+    /// Coordinators that there is a link with, or that one is being opened to, without those that
+    /// are silent.
     fn live_coordinators(&self, now: Duration) -> impl Iterator<Item = Descriptor> {
-        let live = self.links.iter().filter(move |(peer, link)| !self.is_quiet(now, **peer, link));
-        let linked = live.filter_map(|(_, link)| link.node).filter(|node| node.is_coordinator());
-        let known = |peer: &SocketAddr| self.view.coordinators().find(|node| node.address == *peer).copied();
+        let live = self
+            .links
+            .iter()
+            .filter(move |(peer, link)| !self.is_quiet(now, **peer, link));
+        let linked = live
+            .filter_map(|(_, link)| link.node)
+            .filter(|node| node.is_coordinator());
+        let known = |peer: &SocketAddr| {
+            self.view
+                .coordinators()
+                .find(|node| node.address == *peer)
+                .copied()
+        };
         linked.chain(self.connecting.keys().filter_map(known))
     }
 
@@ -208,11 +274,14 @@
             let position = self.links.get(&node.address).map(|link| &link.position);
             position == Some(&Position::Root { in_contact: false })
         };
-        let others = self.live_coordinators(now).filter(|node| Some(node.address) != self.feed.source);
+        let others = self
+            .live_coordinators(now)
+            .filter(|node| Some(node.address) != self.feed.source);
         others.filter(move |node| !alone(node))
     }
 
-    /// An agent closes links out of its region that neither feed it, nor are fed by it, nor stand by.
+    /// An agent closes links out of its region that neither feed it, nor are fed by it, nor stand
+    /// by.
     fn close_surplus(&mut self, now: Duration, out: &mut Vec<Action>) {
         let in_contact = self.feed.position.is_in_contact();
         let mut keep = usize::from(self.needs_standby());
@@ -240,7 +309,11 @@
 
     /// Whether this agent feeds its region from outside.
     pub(super) fn leads_region(&self) -> bool {
-        let source = self.feed.source.and_then(|source| self.links.get(&source)).and_then(|link| link.node);
+        let source = self
+            .feed
+            .source
+            .and_then(|source| self.links.get(&source))
+            .and_then(|link| link.node);
         source.is_some_and(|source| !source.place.same_region(self.me.place))
     }
 
--- a/crates/overlay/src/overlay/watch.rs
+++ b/crates/overlay/src/overlay/watch.rs
@@ -1,4 +1,5 @@
-//! Time: heartbeats, silence, periodic tasks, and the timer that wakes the node for the next of them.
+//! Time: heartbeats, silence, periodic tasks, and the timer that wakes the node for the next of
+//! them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +15,8 @@
 /// Shortest interval between heartbeats that tell of changes.
 const TELL: Duration = Duration::from_millis(50);
 
-/// Intervals of upkeep without any event after which this process itself is taken to have been stopped.
+/// Intervals of upkeep without any event after which this process itself is taken to have been
+/// stopped.
 const STALL_INTERVALS: u32 = 2;
 
 /// Shortest time ahead for which the timer is set.
@@ -22,7 +24,11 @@
 
 impl Schedule {
     /// First times drawn at random, so that nodes started together don't act together.
-    pub(super) fn new(now: Duration, settings: &Settings, random: &mut Xoshiro256PlusPlus) -> Schedule {
+    pub(super) fn new(
+        now: Duration,
+        settings: &Settings,
+        random: &mut Xoshiro256PlusPlus,
+    ) -> Schedule {
         let mut first = |interval: Duration| now + interval.mul_f64(random.random_range(0.0..1.0));
         Schedule {
             beat: first(settings.beat),
@@ -35,7 +41,8 @@
 }
 
 impl Overlay {
-    /// After a stop of this process its neighbours are not blamed for the silence: what they sent is still unread.
+    /// After a stop of this process its neighbours are not blamed for the silence: what they sent
+    /// is still unread.
     pub(super) fn forgive_stall(&mut self, now: Duration) {
         let stall = now.saturating_sub(self.handled);
         self.handled = now;
@@ -90,15 +97,22 @@
         if self.in_contact {
             let elapsed = now.saturating_sub(self.started).as_millis();
             let elapsed_ms = u64::try_from(elapsed).unwrap_or(u64::MAX).max(1);
-            let beat = Beat { source: self.me.beat_source(), elapsed_ms };
+            let beat = Beat {
+                source: self.me.beat_source(),
+                elapsed_ms,
+            };
             self.beats.learn(now, &beat);
         }
         self.relay_beats(now, out);
     }
 
-    /// Sends the newest beats to the nodes that are fed and, from a coordinator, to those of its region.
+    /// Sends the newest beats to the nodes that are fed and, from a coordinator, to those of its
+    /// region.
     fn relay_beats(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let fed = self.links.iter().filter(|(_, link)| link.feeds || self.is_mesh(link));
+        let fed = self
+            .links
+            .iter()
+            .filter(|(_, link)| link.feeds || self.is_mesh(link));
         let fed: Vec<SocketAddr> = fed.map(|(peer, _)| *peer).collect();
         for peer in fed {
             self.send_heartbeat(now, peer, out);
@@ -130,8 +144,10 @@
     }
 
     fn send_heartbeats(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let due =
-            self.links.iter().filter(|(_, link)| self.heartbeat_due(link).is_some_and(|due| due <= now));
+        let due = self
+            .links
+            .iter()
+            .filter(|(_, link)| self.heartbeat_due(link).is_some_and(|due| due <= now));
         let due: Vec<SocketAddr> = due.map(|(peer, _)| *peer).collect();
         for peer in due {
             self.send_heartbeat(now, peer, out);
@@ -143,7 +159,8 @@
         if link.tell {
             return Some(link.status_sent() + TELL);
         }
-        // An eighth more than the interval of beats, which take the place of heartbeats as long as they come.
+        // An eighth more than the interval of beats, which take the place of heartbeats as long as
+        // they come.
         let interval = if link.feeds || self.is_mesh(link) {
             self.settings.beat + self.settings.beat / 8
         } else {
@@ -154,7 +171,9 @@
 
     /// Whether both ends are coordinators of one region.
     fn is_mesh(&self, link: &Link) -> bool {
-        let peer = link.node.filter(|node| node.is_coordinator() && node.place.same_region(self.me.place));
+        let peer = link
+            .node
+            .filter(|node| node.is_coordinator() && node.place.same_region(self.me.place));
         self.me.is_coordinator() && peer.is_some()
     }
 
@@ -163,11 +182,23 @@
         let deputy = self.deputy() == Some(to);
         let position = self.feed.position.clone();
         let root = self.short_root();
-        let Some(link) = self.links.get_mut(&to) else { return };
+        let Some(link) = self.links.get_mut(&to) else {
+            return;
+        };
         link.tell = false;
-        let beats = self.beats.unsent(self.settings.beat_sources, &mut link.beats);
+        let beats = self
+            .beats
+            .unsent(self.settings.beat_sources, &mut link.beats);
         let (sequence, echo) = link.number(now);
-        let heartbeat = Heartbeat { sequence, echo, position, room, deputy, root, beats };
+        let heartbeat = Heartbeat {
+            sequence,
+            echo,
+            position,
+            room,
+            deputy,
+            root,
+            beats,
+        };
         self.send(now, to, Message::Heartbeat(heartbeat), out);
     }
 
@@ -175,8 +206,14 @@
     fn close_silent(&mut self, now: Duration, out: &mut Vec<Action>) {
         let settings = &self.settings;
         let silent = self.links.iter().filter(|(peer, link)| {
-            let limit = if self.feed.source == Some(**peer) { settings.dead } else { settings.lazy_dead };
-            let unconfirmed = link.unconfirmed_since().is_some_and(|since| since + settings.lazy_dead <= now);
+            let limit = if self.feed.source == Some(**peer) {
+                settings.dead
+            } else {
+                settings.lazy_dead
+            };
+            let unconfirmed = link
+                .unconfirmed_since()
+                .is_some_and(|since| since + settings.lazy_dead <= now);
             link.node.is_some() && (link.heard + limit <= now || unconfirmed)
         });
         let silent: Vec<SocketAddr> = silent.map(|(peer, _)| *peer).collect();
@@ -201,7 +238,11 @@
         if self.me.is_coordinator() {
             next = next.min(schedule.beat);
         }
-        let links = self.links.values().filter_map(|link| self.next_of_link(link)).min();
+        let links = self
+            .links
+            .values()
+            .filter_map(|link| self.next_of_link(link))
+            .min();
         let missing = self.missing.values().map(|missing| missing.due).min();
         let connecting = self.connecting.values().min().copied();
         let rest = [links, missing, connecting, self.next_review(now)];
--- a/crates/overlay/src/settings.rs
+++ b/crates/overlay/src/settings.rs
@@ -11,7 +11,8 @@
     pub lazy_beat: Duration,
     /// Silence of the source after which another one is asked.
     pub suspect: Duration,
-    /// Silence of the source after which its link is closed; also the longest wait for a heartbeat to be confirmed.
+    /// Silence of the source after which its link is closed; also the longest wait for a heartbeat
+    /// to be confirmed.
     pub dead: Duration,
     /// Silence of any other link after which it is no longer considered as a source.
     pub lazy_suspect: Duration,
@@ -21,7 +22,8 @@
     pub batch: Duration,
     /// Interval at which changes are announced on links that don't push them.
     pub announce: Duration,
-    /// Interval at which changes are announced on an agent's link out of its region that doesn't push them.
+    /// Interval at which changes are announced on an agent's link out of its region that doesn't
+    /// push them.
     pub announce_far: Duration,
     /// How long an announced version may take to arrive by the tree before it is asked for.
     pub graft_delay: Duration,
@@ -37,7 +39,8 @@
     pub backoff: Duration,
     /// Longest wait after failed connections.
     pub backoff_limit: Duration,
-    /// Wait before an unfed agent turns to another region, so that one of its own region may appear first.
+    /// Wait before an unfed agent turns to another region, so that one of its own region may appear
+    /// first.
     pub leave_region: Duration,
     /// Added to `leave_region` for each known agent of the region with a better score.
     pub leave_region_step: Duration,
@@ -45,7 +48,8 @@
     pub tombstone: Duration,
     /// Links an agent keeps inside its region.
     pub active: usize,
-    /// Nodes an agent remembers of its own region; of the other regions together it remembers half as many.
+    /// Nodes an agent remembers of its own region; of the other regions together it remembers half
+    /// as many.
     pub passive: usize,
     /// Nodes a coordinator remembers of each region.
     pub passive_region: usize,
--- a/crates/overlay/src/store.rs
+++ b/crates/overlay/src/store.rs
@@ -1,8 +1,9 @@
 //! Versioned entries by key: the newest version wins, whatever the order in which versions arrive.
 //!
-//! [`Store::merge`] is commutative, associative and idempotent, so stores that have seen the same entries are equal.
-//! Equal versions with different contents can't come from one publisher; should they come, a removal wins over a
-//! payload and the greater payload over the lesser, so that all stores still agree.
+//! [`Store::merge`] is commutative, associative and idempotent, so stores that have seen the same
+//! entries are equal. Equal versions with different contents can't come from one publisher; should
+//! they come, a removal wins over a payload and the greater payload over the lesser, so that all
+//! stores still agree.
 
 mod digest;
 #[cfg(test)]
@@ -93,9 +94,15 @@
 
     /// How `entry` compares with what is held.
     fn order(&self, entry: &Entry) -> Ordering {
-        let Some(held) = self.entries.get(&entry.key) else { return Ordering::Greater };
+        let Some(held) = self.entries.get(&entry.key) else {
+            return Ordering::Greater;
+        };
         let removed = entry.payload.is_none().cmp(&held.payload.is_none());
-        entry.version.cmp(&held.version).then(removed).then_with(|| entry.payload.cmp(&held.payload))
+        entry
+            .version
+            .cmp(&held.version)
+            .then(removed)
+            .then_with(|| entry.payload.cmp(&held.payload))
     }
 
     fn put(&mut self, now: Duration, entry: &Entry) {
@@ -132,15 +139,20 @@
         self.next_expiry = Some(self.next_expiry.map_or(at, |next| next.min(at)));
     }
 
-    /// Drops removals whose time is over. A removal leaves the digest after half of its time and the store at the end,
-    /// so that stores that learned of it at different moments don't send it to each other again.
+    /// Drops removals whose time is over. A removal leaves the digest after half of its time and
+    /// the store at the end, so that stores that learned of it at different moments don't send it
+    /// to each other again.
     pub fn expire(&mut self, now: Duration) {
         if self.next_expiry.is_none_or(|next| next > now) {
             return;
         }
         self.next_expiry = None;
-        let gone: Vec<Key> =
-            self.entries.iter().filter(|(_, held)| held.payload.is_none()).map(|(key, _)| *key).collect();
+        let gone: Vec<Key> = self
+            .entries
+            .iter()
+            .filter(|(_, held)| held.payload.is_none())
+            .map(|(key, _)| *key)
+            .collect();
         for key in gone {
             self.expire_one(now, key);
         }
@@ -148,7 +160,9 @@
 
     fn expire_one(&mut self, now: Duration, key: Key) {
         let bucket = digest::bucket(key);
-        let Some(held) = self.entries.get_mut(&key) else { return };
+        let Some(held) = self.entries.get_mut(&key) else {
+            return;
+        };
         let half = held.removed_at + self.tombstone / 2;
         let end = held.removed_at + self.tombstone;
         if now >= end {
@@ -207,7 +221,11 @@
 
     /// Bytes of payload held.
     pub fn payload_bytes(&self) -> usize {
-        self.entries.values().filter_map(|held| held.payload.as_ref()).map(|payload| payload.len()).sum()
+        self.entries
+            .values()
+            .filter_map(|held| held.payload.as_ref())
+            .map(|payload| payload.len())
+            .sum()
     }
 }
 
@@ -215,13 +233,23 @@
     fn entry(&self, now: Duration, key: Key) -> Entry {
         let removed_s = match self.payload {
             Some(_) => 0,
-            None => u32::try_from(now.saturating_sub(self.removed_at).as_secs()).unwrap_or(u32::MAX),
+            None => {
+                u32::try_from(now.saturating_sub(self.removed_at).as_secs()).unwrap_or(u32::MAX)
+            }
         };
-        Entry { key, version: self.version, removed_s, payload: self.payload.clone() }
+        Entry {
+            key,
+            version: self.version,
+            removed_s,
+            payload: self.payload.clone(),
+        }
     }
 }
 
 fn content_hash(entry: &Entry) -> u64 {
-    let content = entry.payload.as_ref().map_or(0, |payload| hash::bytes(payload));
+    let content = entry
+        .payload
+        .as_ref()
+        .map_or(0, |payload| hash::bytes(payload));
     hash::pair(hash::pair(entry.key, entry.version), content)
 }
--- a/crates/overlay/src/store/tests.rs
+++ b/crates/overlay/src/store/tests.rs
@@ -8,7 +8,12 @@
 const KEEP: Duration = Duration::from_secs(100);
 
 fn entry(key: Key, version: Version, content: Option<u8>) -> Entry {
-    Entry { key, version, removed_s: 0, payload: content.map(|byte| Arc::from(vec![byte; 3])) }
+    Entry {
+        key,
+        version,
+        removed_s: 0,
+        payload: content.map(|byte| Arc::from(vec![byte; 3])),
+    }
 }
 
 fn filled(entries: &[Entry]) -> Store {
@@ -22,11 +27,26 @@
 #[test]
 fn newest_version_wins() {
     let mut store = Store::new(KEEP);
-    assert_eq!(store.merge(Duration::ZERO, &entry(1, 5, Some(1))), Merged::Newer);
-    assert_eq!(store.merge(Duration::ZERO, &entry(1, 5, Some(1))), Merged::Same);
-    assert_eq!(store.merge(Duration::ZERO, &entry(1, 4, Some(9))), Merged::Older);
-    assert_eq!(store.merge(Duration::ZERO, &entry(1, 6, None)), Merged::Newer);
-    assert_eq!((store.len(), store.tombstones(), store.version(1)), (0, 1, 6));
+    assert_eq!(
+        store.merge(Duration::ZERO, &entry(1, 5, Some(1))),
+        Merged::Newer
+    );
+    assert_eq!(
+        store.merge(Duration::ZERO, &entry(1, 5, Some(1))),
+        Merged::Same
+    );
+    assert_eq!(
+        store.merge(Duration::ZERO, &entry(1, 4, Some(9))),
+        Merged::Older
+    );
+    assert_eq!(
+        store.merge(Duration::ZERO, &entry(1, 6, None)),
+        Merged::Newer
+    );
+    assert_eq!(
+        (store.len(), store.tombstones(), store.version(1)),
+        (0, 1, 6)
+    );
 }
 
 #[test]
@@ -42,9 +62,17 @@
     let mut store = filled(&[entry(1, 1, Some(1)), entry(1, 2, None)]);
     let counted = store.root();
     store.expire(KEEP / 2);
-    assert_eq!(store.root(), Store::new(KEEP).root(), "the digest forgets at half time");
+    assert_eq!(
+        store.root(),
+        Store::new(KEEP).root(),
+        "the digest forgets at half time"
+    );
     assert_ne!(counted, store.root());
-    assert_eq!(store.merge(KEEP / 2, &entry(1, 1, Some(1))), Merged::Older, "the store still refuses");
+    assert_eq!(
+        store.merge(KEEP / 2, &entry(1, 1, Some(1))),
+        Merged::Older,
+        "the store still refuses"
+    );
     assert!(store.list(u64::MAX).is_empty());
     store.expire(KEEP);
     assert_eq!(store.get(1), None);
@@ -55,7 +83,13 @@
 fn a_removal_keeps_its_age_on_the_way() {
     let now = Duration::from_secs(1_000);
     let mut late = Store::new(KEEP);
-    late.merge(now, &Entry { removed_s: 60, ..entry(1, 2, None) });
+    late.merge(
+        now,
+        &Entry {
+            removed_s: 60,
+            ..entry(1, 2, None)
+        },
+    );
     late.expire(now);
     assert_eq!(late.root(), Store::new(KEEP).root());
     assert_eq!(late.entry(now, 1).map(|entry| entry.removed_s), Some(60));
@@ -63,7 +97,9 @@
 
 #[test]
 fn equal_stores_of_two_thousand_keys_compare_in_under_300_bytes() {
-    let entries: Vec<Entry> = (0..2_000).map(|key| entry(key * 7_919, key, Some(key as u8))).collect();
+    let entries: Vec<Entry> = (0..2_000)
+        .map(|key| entry(key * 7_919, key, Some(key as u8)))
+        .collect();
     let store = filled(&entries);
     let digest = postcard::to_stdvec(&store.digest()).expect("serializable");
     assert!(digest.len() < 300, "{} bytes", digest.len());
@@ -73,8 +109,14 @@
     assert_eq!(mask.count_ones(), 1);
     let listing = postcard::to_stdvec(&other.list(mask)).expect("serializable");
     assert!(listing.len() < 500, "{} bytes", listing.len());
-    assert_eq!(store.compare(mask, &other.list(mask)), (vec![], vec![7_919]));
-    assert_eq!(other.compare(mask, &store.list(mask)), (vec![7_919], vec![]));
+    assert_eq!(
+        store.compare(mask, &other.list(mask)),
+        (vec![], vec![7_919])
+    );
+    assert_eq!(
+        other.compare(mask, &store.list(mask)),
+        (vec![7_919], vec![])
+    );
 }
 
 #[test]
@@ -120,7 +162,8 @@
         let (answered, _) = other.collect(Duration::ZERO, &lacking, usize::MAX);
         sent.iter().for_each(|entry| { other.merge(Duration::ZERO, entry); });
         answered.iter().for_each(|entry| { mine.merge(Duration::ZERO, entry); });
-        // Versions are compared, not contents: two contents of one version are told apart only by who publishes.
+        // Versions are compared, not contents: two contents of one version are told apart only by
+        // who publishes.
         for (key, held) in mine.iter() {
             prop_assert_eq!(held.version, other.version(key));
         }
--- a/crates/overlay/src/view.rs
+++ b/crates/overlay/src/view.rs
@@ -1,8 +1,9 @@
 //! Partial view of the nodes, kept fresh by shuffles.
 //!
-//! After Cyclon (Voulgaris, Gavidia and van Steen 2005) for the ages and HyParView (Leitão, Pereira and Rodrigues
-//! 2007) for the split: the links are the active view and belong to [`crate::Overlay`], the passive view is here. It is
-//! kept in parts, as the choice of links needs all of them: the coordinators, nodes of the own region, nodes of others.
+//! After Cyclon (Voulgaris, Gavidia and van Steen 2005) for the ages and HyParView (Leitão, Pereira
+//! and Rodrigues 2007) for the split: the links are the active view and belong to
+//! [`crate::Overlay`], the passive view is here. It is kept in parts, as the choice of links needs
+//! all of them: the coordinators, nodes of the own region, nodes of others.
 
 #[cfg(test)]
 mod tests;
@@ -65,8 +66,16 @@
         View {
             me,
             near_limit: settings.passive,
-            far_limit: if coordinator { usize::MAX } else { settings.passive / 2 },
-            far_region_limit: if coordinator { settings.passive_region } else { usize::MAX },
+            far_limit: if coordinator {
+                usize::MAX
+            } else {
+                settings.passive / 2
+            },
+            far_region_limit: if coordinator {
+                settings.passive_region
+            } else {
+                usize::MAX
+            },
             coordinators: BTreeMap::new(),
             near: BTreeMap::new(),
             far: BTreeMap::new(),
@@ -75,7 +84,11 @@
 
     /// Takes a descriptor whose node was alive `age` ago.
     pub fn learn(&mut self, now: Duration, node: Descriptor, age: Duration) -> Learned {
-        let forget = if node.is_coordinator() { FORGET_COORDINATOR } else { FORGET_AGENT };
+        let forget = if node.is_coordinator() {
+            FORGET_COORDINATOR
+        } else {
+            FORGET_AGENT
+        };
         if node.address == self.me.address || age > forget {
             return Learned::Known;
         }
@@ -106,13 +119,15 @@
         } else if node.place.same_region(self.me.place) {
             trim(&mut self.near, self.near_limit, |_| true);
         } else {
-            trim(&mut self.far, self.far_region_limit, |known| known.node.place.region == region);
+            trim(&mut self.far, self.far_region_limit, |known| {
+                known.node.place.region == region
+            });
             trim(&mut self.far, self.far_limit, |_| true);
         }
     }
 
-    /// Forgets a node that has left or does not answer. A coordinator that does not answer is kept, as it will be
-    /// needed when it comes back; one that `left` is not.
+    /// Forgets a node that has left or does not answer. A coordinator that does not answer is kept,
+    /// as it will be needed when it comes back; one that `left` is not.
     pub fn forget(&mut self, address: SocketAddr, left: bool) {
         self.near.remove(&address);
         self.far.remove(&address);
@@ -134,7 +149,8 @@
     /// What is known of the node at `address`.
     pub fn get(&self, address: SocketAddr) -> Option<&Known> {
         let near = self.near.get(&address);
-        near.or_else(|| self.far.get(&address)).or_else(|| self.coordinators.get(&address))
+        near.or_else(|| self.far.get(&address))
+            .or_else(|| self.coordinators.get(&address))
     }
 
     /// The coordinators.
@@ -162,8 +178,9 @@
         self.len() == 0
     }
 
-    /// Up to `size` nodes for `receiver`: a quarter of coordinators, an agent of another region, by which a region cut
-    /// off from its coordinators finds others, and agents of its own region; more of the others where those are few.
+    /// Up to `size` nodes for `receiver`: a quarter of coordinators, an agent of another region, by
+    /// which a region cut off from its coordinators finds others, and agents of its own region;
+    /// more of the others where those are few.
     pub fn sample(
         &self,
         now: Duration,
@@ -173,11 +190,21 @@
     ) -> Vec<Aged> {
         let inside = |known: &&Known| known.node.place.same_region(receiver.place);
         let all = || {
-            self.near.values().chain(self.far.values()).filter(|known| known.node.address != receiver.address)
+            self.near
+                .values()
+                .chain(self.far.values())
+                .filter(|known| known.node.address != receiver.address)
         };
-        let others = self.coordinators.values().filter(|known| known.node.address != receiver.address);
+        let others = self
+            .coordinators
+            .values()
+            .filter(|known| known.node.address != receiver.address);
         let mut chosen = draw(others, size.div_ceil(4), random);
-        let near = draw(all().filter(inside), size.saturating_sub(chosen.len() + 1), random);
+        let near = draw(
+            all().filter(inside),
+            size.saturating_sub(chosen.len() + 1),
+            random,
+        );
         chosen.extend(near);
         let rest = size.saturating_sub(chosen.len());
         chosen.extend(draw(all().filter(|known| !inside(known)), rest, random));
@@ -197,17 +224,22 @@
 
     fn aged(&self, now: Duration) -> Aged {
         let age = now.saturating_sub(self.alive).as_secs();
-        Aged { node: self.node, age_s: u16::try_from(age).unwrap_or(u16::MAX) }
+        Aged {
+            node: self.node,
+            age_s: u16::try_from(age).unwrap_or(u16::MAX),
+        }
     }
 }
 
-/// Removes the oldest of the nodes that `counted` selects until `limit` are left. Equal ages are ordered by a hash, so
-/// that the view does not lean to low addresses.
+/// Removes the oldest of the nodes that `counted` selects until `limit` are left. Equal ages are
+/// ordered by a hash, so that the view does not lean to low addresses.
 fn trim(part: &mut BTreeMap<SocketAddr, Known>, limit: usize, counted: impl Fn(&Known) -> bool) {
     while part.values().filter(|known| counted(known)).count() > limit {
         let chosen = part.values().filter(|known| counted(known));
         let oldest = chosen.min_by_key(|known| (known.alive, hash::address(known.node.address)));
-        let Some(oldest) = oldest.map(|known| known.node.address) else { return };
+        let Some(oldest) = oldest.map(|known| known.node.address) else {
+            return;
+        };
         part.remove(&oldest);
     }
 }
--- a/crates/overlay/src/view/tests.rs
+++ b/crates/overlay/src/view/tests.rs
@@ -7,7 +7,15 @@
 
 fn node(index: u32, region: u32, role: Role) -> Descriptor {
     let address = SocketAddr::from((Ipv4Addr::from(0x0a00_0000 + index), 7_000));
-    Descriptor { address, place: Place { region, zone: region }, role, incarnation: 1 }
+    Descriptor {
+        address,
+        place: Place {
+            region,
+            zone: region,
+        },
+        role,
+        incarnation: 1,
+    }
 }
 
 fn agent(index: u32, region: u32) -> Descriptor {
@@ -23,7 +31,11 @@
     let mut view = View::new(agent(0, 1), &Settings::default());
     for index in 1..=100 {
         view.learn(seconds(1_000), agent(index, 1), seconds(u64::from(index)));
-        view.learn(seconds(1_000), agent(1_000 + index, 2), seconds(u64::from(index)));
+        view.learn(
+            seconds(1_000),
+            agent(1_000 + index, 2),
+            seconds(u64::from(index)),
+        );
     }
     let settings = Settings::default();
     assert_eq!(view.near().count(), settings.passive);
@@ -40,7 +52,10 @@
         view.learn(seconds(1), agent(index, index % 10), Duration::ZERO);
     }
     for region in 1..10 {
-        let known = view.far().filter(|node| node.place.region == region).count();
+        let known = view
+            .far()
+            .filter(|node| node.place.region == region)
+            .count();
         assert_eq!(known, settings.passive_region);
     }
 }
@@ -48,11 +63,23 @@
 #[test]
 fn a_higher_incarnation_is_news_and_a_lower_one_is_not() {
     let mut view = View::new(agent(0, 1), &Settings::default());
-    let again = Descriptor { incarnation: 2, ..agent(1, 1) };
-    assert_eq!(view.learn(seconds(1), agent(1, 1), Duration::ZERO), Learned::New);
+    let again = Descriptor {
+        incarnation: 2,
+        ..agent(1, 1)
+    };
+    assert_eq!(
+        view.learn(seconds(1), agent(1, 1), Duration::ZERO),
+        Learned::New
+    );
     assert_eq!(view.learn(seconds(1), again, Duration::ZERO), Learned::New);
-    assert_eq!(view.learn(seconds(1), agent(1, 1), Duration::ZERO), Learned::Known);
-    assert_eq!(view.get(again.address).map(|known| known.node.incarnation), Some(2));
+    assert_eq!(
+        view.learn(seconds(1), agent(1, 1), Duration::ZERO),
+        Learned::Known
+    );
+    assert_eq!(
+        view.get(again.address).map(|known| known.node.incarnation),
+        Some(2)
+    );
 }
 
 #[test]
@@ -62,7 +89,10 @@
     view.learn(seconds(0), node(2, 1, Role::Coordinator), Duration::ZERO);
     view.expire(seconds(301));
     assert_eq!((view.near().count(), view.coordinators().count()), (0, 1));
-    assert_eq!(view.learn(seconds(400), agent(3, 1), seconds(301)), Learned::Known);
+    assert_eq!(
+        view.learn(seconds(400), agent(3, 1), seconds(301)),
+        Learned::Known
+    );
     assert_eq!(view.len(), 1);
 }
 
@@ -77,8 +107,12 @@
     let receiver = agent(50, 3);
     let sample = view.sample(seconds(1), &receiver, 7, &mut random);
     assert_eq!(sample.len(), 7);
-    let count =
-        |counted: &dyn Fn(&Descriptor) -> bool| sample.iter().filter(|aged| counted(&aged.node)).count();
+    let count = |counted: &dyn Fn(&Descriptor) -> bool| {
+        sample.iter().filter(|aged| counted(&aged.node)).count()
+    };
     assert_eq!(count(&|node| node.is_coordinator()), 1);
-    assert_eq!(count(&|node| !node.is_coordinator() && node.place.region == 3), 5);
+    assert_eq!(
+        count(&|node| !node.is_coordinator() && node.place.region == 3),
+        5
+    );
 }
--- a/crates/overlay/tests/messages.rs
+++ b/crates/overlay/tests/messages.rs
@@ -8,7 +8,12 @@
 
 fn node(index: u8, role: Role) -> Descriptor {
     let address = SocketAddr::from((Ipv4Addr::new(10, 0, 0, index), 7_000));
-    Descriptor { address, place: Place::named("north", "hall"), role, incarnation: 1 }
+    Descriptor {
+        address,
+        place: Place::named("north", "hall"),
+        role,
+        incarnation: 1,
+    }
 }
 
 /// Bytes that often decode: a variant, then small numbers.
--- a/crates/overlay/tests/overlay/contact.rs
+++ b/crates/overlay/tests/overlay/contact.rs
@@ -1,5 +1,5 @@
-//! A coordinator that is cut off from the others, in a region of one zone that has no other: news of the majority still
-//! reaches every agent in time.
+//! A coordinator that is cut off from the others, in a region of one zone that has no other: news
+//! of the majority still reaches every agent in time.
 
 use std::time::Duration;
 
@@ -12,7 +12,13 @@
 use crate::sim::{Across, Sim, ms};
 
 /// Two coordinators in the first region and one in the second, each in a zone of its own.
-const COORDINATORS: Plan = Plan { coordinators: 3, agents: 0, regions: 2, zones: 2, core_regions: 2 };
+const COORDINATORS: Plan = Plan {
+    coordinators: 3,
+    agents: 0,
+    regions: 2,
+    zones: 2,
+    core_regions: 2,
+};
 
 /// The coordinator that is cut off; the lone one of its region.
 const ALONE: usize = 1;
@@ -30,7 +36,8 @@
 /// Time from its start in which a restarted agent isn't counted.
 const CATCH_UP: Duration = ms(4_000);
 
-/// Interval at which the coordinators' contact is looked at, and the loss after which they know of it.
+/// Interval at which the coordinators' contact is looked at, and the loss after which they know of
+/// it.
 const LOOK: Duration = ms(50);
 const NOTICED: Duration = ms(1_000);
 
@@ -153,17 +160,37 @@
 
 impl Day {
     fn new(how: How, lone: usize, guards: Guards, notices: bool, seed: u64) -> Day {
-        let settings = Settings { guards, ..Settings::default() };
+        let settings = Settings {
+            guards,
+            ..Settings::default()
+        };
         let mut sim = Sim::new(COORDINATORS, settings, seed);
-        let places = (0..ELSEWHERE).map(|agent| Place { region: 0, zone: agent as u32 % 2 });
+        let places = (0..ELSEWHERE).map(|agent| Place {
+            region: 0,
+            zone: agent as u32 % 2,
+        });
         let places = places.chain((0..lone).map(|_| COORDINATORS.descriptor(ALONE).place));
         for (agent, place) in places.enumerate() {
             let address = address(COORDINATORS.coordinators + agent);
-            sim.place(Descriptor { address, place, role: Role::Agent, incarnation: 0 });
+            sim.place(Descriptor {
+                address,
+                place,
+                role: Role::Agent,
+                incarnation: 0,
+            });
         }
         let random = Xoshiro256PlusPlus::seed_from_u64(seed);
         let (script, published, restarts) = Default::default();
-        let mut day = Day { sim, how, random, script, notices, lost_since: [None; 3], published, restarts };
+        let mut day = Day {
+            sim,
+            how,
+            random,
+            script,
+            notices,
+            lost_since: [None; 3],
+            published,
+            restarts,
+        };
         day.write();
         day
     }
@@ -175,7 +202,8 @@
         }
         let cut = ms(self.random.random_range(CUT_FROM));
         if self.random.random_bool(0.5) {
-            self.script.extend([(cut, Step::Cut), (cut + CUT, Step::Heal)]);
+            self.script
+                .extend([(cut, Step::Cut), (cut + CUT, Step::Heal)]);
         } else {
             self.cut_often(cut);
         }
@@ -203,7 +231,8 @@
     }
 
     fn restart(&mut self, at: Duration, node: usize) {
-        self.script.extend([(at, Step::Kill(node)), (at + DOWN, Step::Boot(node))]);
+        self.script
+            .extend([(at, Step::Kill(node)), (at + DOWN, Step::Boot(node))]);
     }
 
     fn restart_coordinators(&mut self, cut: Duration) {
@@ -247,7 +276,8 @@
             }
             Step::Cut => {
                 let how = self.how;
-                self.sim.cut_with(how.across(), move |from, to| how.cuts(from, to));
+                self.sim
+                    .cut_with(how.across(), move |from, to| how.cuts(from, to));
             }
             Step::Heal => self.sim.cut_with(Across::Held, |_, _| false),
             Step::NewSeeds => {
@@ -272,15 +302,25 @@
         }
         self.lost_since[node] = Some(Duration::ZERO);
         // From its disk.
-        let held = self.published.iter().rev().find(|published| published.by == node);
+        let held = self
+            .published
+            .iter()
+            .rev()
+            .find(|published| published.by == node);
         if let Some(version) = held.map(|published| published.version) {
             self.sim.publish(node, KEY, version, SIZE);
         }
     }
 
     fn publish(&mut self) {
-        let others: Vec<usize> = [0, 2].into_iter().filter(|node| self.sim.is_up(*node)).collect();
-        let Some(by) = others.get(self.random.random_range(0..2) % others.len().max(1)).copied() else {
+        let others: Vec<usize> = [0, 2]
+            .into_iter()
+            .filter(|node| self.sim.is_up(*node))
+            .collect();
+        let Some(by) = others
+            .get(self.random.random_range(0..2) % others.len().max(1))
+            .copied()
+        else {
             return;
         };
         let version = self.published.len() as u64 + 1;
@@ -298,7 +338,9 @@
     /// Tells each coordinator whether it reaches a majority, late when it has lost it.
     fn look(&mut self) {
         for node in (0..3).filter(|_| self.notices) {
-            let reached = (0..3).filter(|peer| *peer == node || self.sim.reaches(node, *peer)).count();
+            let reached = (0..3)
+                .filter(|peer| *peer == node || self.sim.reaches(node, *peer))
+                .count();
             if reached >= 2 {
                 if self.lost_since[node].take().is_some() {
                     self.sim.give(node, Event::InContact(true));
@@ -314,7 +356,9 @@
 
     /// Whether the process of `node` started or ended between these times.
     fn restarted(&self, node: usize, from: Duration, to: Duration) -> bool {
-        self.restarts.iter().any(|(other, at)| *other == node && from <= *at && *at <= to)
+        self.restarts
+            .iter()
+            .any(|(other, at)| *other == node && from <= *at && *at <= to)
     }
 
     fn delays(&self) -> Vec<Duration> {
@@ -335,15 +379,24 @@
 
     /// Time until `agent` held this version or a newer one; the rest of the day if it never did.
     fn delay(&self, published: &Published, agent: usize) -> Duration {
-        let newer = self.published.iter().filter(|other| other.version >= published.version);
-        let arrivals = newer.filter_map(|other| self.sim.arrivals.get(&(KEY, other.version))?.get(&agent));
+        let newer = self
+            .published
+            .iter()
+            .filter(|other| other.version >= published.version);
+        let arrivals =
+            newer.filter_map(|other| self.sim.arrivals.get(&(KEY, other.version))?.get(&agent));
         let first = arrivals.min().copied().unwrap_or(self.sim.now);
         first.saturating_sub(published.at)
     }
 }
 
 /// Delays over these seeds, all ways of cutting and numbers of agents, sorted.
-fn delays(seeds: std::ops::Range<u64>, how: &[How], guards: &Guards, notices: bool) -> Vec<Duration> {
+fn delays(
+    seeds: std::ops::Range<u64>,
+    how: &[How],
+    guards: &Guards,
+    notices: bool,
+) -> Vec<Duration> {
     let mut all = Vec::new();
     for how in how {
         let mut delays = Vec::new();
@@ -416,14 +469,23 @@
 #[test]
 fn lookouts_whoever_feeds_them_bring_news_in_time() {
     assert!(quantile(&unnoticed(Guards::default()), 1_000) <= LIMIT);
-    let without = unnoticed(Guards { stable_standby: false, ..Guards::default() });
+    let without = unnoticed(Guards {
+        stable_standby: false,
+        ..Guards::default()
+    });
     assert!(quantile(&without, 1_000) > LIMIT);
 }
 
 #[test]
 fn quick_announcements_bring_news_sooner() {
     let usual = quantile(&unnoticed(Guards::default()), 990);
-    let slow = quantile(&unnoticed(Guards { quick_announce: false, ..Guards::default() }), 990);
+    let slow = quantile(
+        &unnoticed(Guards {
+            quick_announce: false,
+            ..Guards::default()
+        }),
+        990,
+    );
     println!("p99 {usual:?}, announced as inside the region {slow:?}");
     assert!(usual < ms(500) && slow > ms(700));
 }
@@ -446,13 +508,16 @@
 fn under_alone(sim: &Sim) -> usize {
     let alone = sim.nodes[ALONE].descriptor.id();
     let running = sim.nodes.iter().filter_map(|node| node.overlay.as_ref());
-    let under = |position: &Position| matches!(position, Position::Under { path, .. } if path[0] == alone);
+    let under =
+        |position: &Position| matches!(position, Position::Under { path, .. } if path[0] == alone);
     running.filter(|overlay| under(overlay.position())).count()
 }
 
 fn oldest_news(sim: &Sim) -> Duration {
     let agents = &sim.nodes[COORDINATORS.coordinators..];
-    let ages = agents.iter().filter_map(|node| node.overlay.as_ref()?.freshness(sim.now));
+    let ages = agents
+        .iter()
+        .filter_map(|node| node.overlay.as_ref()?.freshness(sim.now));
     ages.max().expect("agents run")
 }
 
@@ -463,7 +528,11 @@
     assert_eq!(under_alone(&sim), 0);
     for _ in 0..100 {
         sim.run_for(ms(100));
-        assert!(under_alone(&sim) == 0 && oldest_news(&sim) < ms(1_500), "{:?}", oldest_news(&sim));
+        assert!(
+            under_alone(&sim) == 0 && oldest_news(&sim) < ms(1_500),
+            "{:?}",
+            oldest_news(&sim)
+        );
     }
     sim.cut_with(Across::Held, |_, _| false);
     sim.give(ALONE, Event::InContact(true));
@@ -473,36 +542,69 @@
 
 #[test]
 fn agents_stay_under_a_coordinator_that_keeps_its_loss_of_contact_to_itself() {
-    let mut sim = alone(Guards { contact: false, ..Guards::default() });
+    let mut sim = alone(Guards {
+        contact: false,
+        ..Guards::default()
+    });
     sim.run_for(ms(5_000));
-    println!("newest beat {:?} old, {} agents under it", oldest_news(&sim), under_alone(&sim));
+    println!(
+        "newest beat {:?} old, {} agents under it",
+        oldest_news(&sim),
+        under_alone(&sim)
+    );
     assert!(under_alone(&sim) > 0);
 }
 
 /// Regions of thirty agents, half of them with one coordinator.
-const LARGE: Plan = Plan { coordinators: 5, agents: 300, regions: 10, zones: 4, core_regions: 5 };
-
-/// Cuts the first `alone` coordinators off from the others and returns the longest that a change took.
+const LARGE: Plan = Plan {
+    coordinators: 5,
+    agents: 300,
+    regions: 10,
+    zones: 4,
+    core_regions: 5,
+};
+
+/// Cuts the first `alone` coordinators off from the others and returns the longest that a change
+/// took.
 fn large(alone: usize, notices: bool, guards: Guards) -> Duration {
-    let mut sim = Sim::start(LARGE, Settings { guards, ..Settings::default() }, 1);
+    let mut sim = Sim::start(
+        LARGE,
+        Settings {
+            guards,
+            ..Settings::default()
+        },
+        1,
+    );
     sim.run_for(ms(8_000));
     let cut_off = move |node: &Descriptor| node.is_coordinator() && index(node.address) < alone;
     let core = |from: &Descriptor, to: &Descriptor| from.is_coordinator() && to.is_coordinator();
-    sim.cut_with(Across::Held, move |from, to| core(from, to) && (cut_off(from) || cut_off(to)));
+    sim.cut_with(Across::Held, move |from, to| {
+        core(from, to) && (cut_off(from) || cut_off(to))
+    });
     let noticed = sim.now + NOTICED;
     let mut worst = Duration::ZERO;
     for version in 1..=12 {
         if notices && sim.now >= noticed {
             (0..alone).for_each(|node| sim.give(node, Event::InContact(false)));
         }
-        let at = sim.publish(alone + version as usize % (LARGE.coordinators - alone), KEY, version, SIZE);
+        let at = sim.publish(
+            alone + version as usize % (LARGE.coordinators - alone),
+            KEY,
+            version,
+            SIZE,
+        );
         sim.run_for(ms(1_500));
         for agent in LARGE.coordinators..LARGE.len() {
-            let arrived = sim.arrivals[&(KEY, version)].get(&agent).copied().unwrap_or(Duration::MAX);
+            let arrived = sim.arrivals[&(KEY, version)]
+                .get(&agent)
+                .copied()
+                .unwrap_or(Duration::MAX);
             worst = worst.max(arrived.saturating_sub(at));
         }
     }
-    println!("{alone} of 5 coordinators cut off, noticed {notices}: a change takes {worst:?} at worst");
+    println!(
+        "{alone} of 5 coordinators cut off, noticed {notices}: a change takes {worst:?} at worst"
+    );
     worst
 }
 
@@ -522,14 +624,22 @@
 #[test]
 fn relays_bring_news_sooner_among_agents() {
     let usual = among_agents(Guards::default());
-    let lazy = among_agents(Guards { eager_relay: false, ..Guards::default() });
+    let lazy = among_agents(Guards {
+        eager_relay: false,
+        ..Guards::default()
+    });
     println!("p99 {usual:?}, not relayed {lazy:?}");
     assert!(usual < ms(500) && lazy > ms(800));
 }
 
 /// Bytes between regions in these seconds.
 fn far_bytes(sim: &mut Sim, seconds: u64) -> u64 {
-    let total = |sim: &Sim| sim.nodes.iter().map(|node| node.sent.far_bytes).sum::<u64>();
+    let total = |sim: &Sim| {
+        sim.nodes
+            .iter()
+            .map(|node| node.sent.far_bytes)
+            .sum::<u64>()
+    };
     let before = total(sim);
     sim.run_for(ms(seconds * 1_000));
     total(sim) - before
--- a/crates/overlay/tests/overlay/costs.rs
+++ b/crates/overlay/tests/overlay/costs.rs
@@ -1,5 +1,5 @@
-//! What the overlay costs: bytes and messages a second, processor time, memory. The asserts are the bounds of the
-//! deployment; the printed rows are for docs/CAPACITY.md.
+//! What the overlay costs: bytes and messages a second, processor time, memory. The asserts are the
+//! bounds of the deployment; the printed rows are for docs/CAPACITY.md.
 
 use ironmast_overlay::Settings;
 
@@ -63,7 +63,11 @@
 fn measure(sim: &mut Sim, load: impl Fn(&mut Sim)) -> Vec<Rate> {
     let before: Vec<Rate> = sim.nodes.iter().map(total).collect();
     load(sim);
-    sim.nodes.iter().zip(&before).map(|(node, before)| total(node).since(before)).collect()
+    sim.nodes
+        .iter()
+        .zip(&before)
+        .map(|(node, before)| total(node).since(before))
+        .collect()
 }
 
 fn change(sim: &mut Sim) {
@@ -79,15 +83,27 @@
     let mut agents = agents.to_vec();
     agents.sort_by_key(Rate::both);
     let at = |part: usize| agents[(agents.len() - 1) * part / 100];
-    let busiest = coordinators.iter().max_by_key(|rate| rate.both()).copied().unwrap_or_default();
+    let busiest = coordinators
+        .iter()
+        .max_by_key(|rate| rate.both())
+        .copied()
+        .unwrap_or_default();
     let far: u64 = rates.iter().map(|rate| rate.far_bytes).sum();
     let entries: u64 = rates.iter().map(|rate| rate.far_entries).sum();
-    for (who, rate) in
-        [("agent p50", at(50)), ("agent p99", at(99)), ("agent max", at(100)), ("coordinator max", busiest)]
-    {
+    for (who, rate) in [
+        ("agent p50", at(50)),
+        ("agent p99", at(99)),
+        ("agent max", at(100)),
+        ("coordinator max", busiest),
+    ] {
         println!(
             "{:>5} agents, {name}: {who:<15} {:>6} B/s out {:>6} B/s in {:>3} messages/s out {:>3} in {:>3} events/s",
-            plan.agents, rate.bytes_out, rate.bytes_in, rate.messages_out, rate.messages_in, rate.wakes
+            plan.agents,
+            rate.bytes_out,
+            rate.bytes_in,
+            rate.messages_out,
+            rate.messages_in,
+            rate.wakes
         );
     }
     println!(
@@ -101,13 +117,22 @@
 fn resident() -> u64 {
     const PAGE: u64 = 4_096;
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    pages.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * PAGE
+    pages
+        .split_whitespace()
+        .nth(1)
+        .and_then(|pages| pages.parse::<u64>().ok())
+        .unwrap_or(0)
+        * PAGE
 }
 
 /// Processor time of this thread in nanoseconds.
 fn processor() -> u64 {
     let spent = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    spent.split_whitespace().next().and_then(|spent| spent.parse().ok()).unwrap_or(0)
+    spent
+        .split_whitespace()
+        .next()
+        .and_then(|spent| spent.parse().ok())
+        .unwrap_or(0)
 }
 
 fn costs(plan: Plan) -> u64 {
--- a/crates/overlay/tests/overlay/faults.rs
+++ b/crates/overlay/tests/overlay/faults.rs
@@ -30,28 +30,39 @@
 /// Whether all running nodes hold `version`.
 fn all_hold(sim: &Sim, key: u64, version: u64) -> bool {
     let running = sim.nodes.iter().filter_map(|node| node.overlay.as_ref());
-    running.into_iter().all(|overlay| overlay.store().version(key) == version)
+    running
+        .into_iter()
+        .all(|overlay| overlay.store().version(key) == version)
 }
 
 fn all_fresh(sim: &Sim, age: Duration) -> bool {
     let running = sim.nodes.iter().filter_map(|node| node.overlay.as_ref());
-    running.into_iter().all(|overlay| overlay.freshness(sim.now).is_some_and(|fresh| fresh <= age))
+    running
+        .into_iter()
+        .all(|overlay| overlay.freshness(sim.now).is_some_and(|fresh| fresh <= age))
 }
 
 /// Agents fed from another region.
 fn heads(sim: &Sim) -> Vec<usize> {
-    (sim.plan.coordinators..sim.nodes.len()).filter(|agent| sim.is_fed_from_outside(*agent)).collect()
+    (sim.plan.coordinators..sim.nodes.len())
+        .filter(|agent| sim.is_fed_from_outside(*agent))
+        .collect()
 }
 
 #[test]
 fn one_agent_feeds_a_region_without_coordinators() {
     for seed in 0..5 {
         let sim = started(Plan::HUNDRED, seed);
-        assert_eq!(heads(&sim).len(), 2, "two of five regions have no coordinator");
+        assert_eq!(
+            heads(&sim).len(),
+            2,
+            "two of five regions have no coordinator"
+        );
     }
 }
 
-/// Takes the head of a region away, publishes a change and returns how long it takes to be everywhere.
+/// Takes the head of a region away, publishes a change and returns how long it takes to be
+/// everywhere.
 fn without_head(seed: u64, leaves: bool) -> Duration {
     let mut sim = started(Plan::HUNDRED, seed);
     let head = heads(&sim)[0];
@@ -62,7 +73,9 @@
     sim.run_for(ms(50));
     sim.publish(0, KEY, 1, 100);
     let time = until(&mut sim, ms(4_000), |sim| all_hold(sim, KEY, 1));
-    until(&mut sim, ms(3_000), |sim| sim.unfed() == 0 && all_fresh(sim, ms(900)));
+    until(&mut sim, ms(3_000), |sim| {
+        sim.unfed() == 0 && all_fresh(sim, ms(900))
+    });
     sim.run_for(ms(3_000));
     assert_eq!(heads(&sim).len(), 2);
     time
@@ -70,14 +83,20 @@
 
 #[test]
 fn another_agent_takes_over_when_the_head_of_a_region_dies() {
-    let worst = (0..5).map(|seed| without_head(seed, false)).max().expect("five seeds");
+    let worst = (0..5)
+        .map(|seed| without_head(seed, false))
+        .max()
+        .expect("five seeds");
     println!("head crashed: a change just after is everywhere after {worst:?} at worst");
     assert!(worst < ms(1_500));
 }
 
 #[test]
 fn a_departure_is_felt_less_than_a_crash() {
-    let worst = (0..5).map(|seed| without_head(seed, true)).max().expect("five seeds");
+    let worst = (0..5)
+        .map(|seed| without_head(seed, true))
+        .max()
+        .expect("five seeds");
     println!("head left: a change just after is everywhere after {worst:?} at worst");
     assert!(worst < ms(700));
 }
@@ -91,7 +110,9 @@
         }
         sim.publish(0, KEY, 1, 100);
         let time = until(&mut sim, ms(12_000), |sim| all_hold(sim, KEY, 1));
-        let fed = until(&mut sim, ms(12_000), |sim| sim.unfed() == 0 && all_fresh(sim, ms(1_000)));
+        let fed = until(&mut sim, ms(12_000), |sim| {
+            sim.unfed() == 0 && all_fresh(sim, ms(1_000))
+        });
         println!("half crashed: change everywhere after {time:?}, all fed {fed:?} later");
     }
 }
@@ -121,12 +142,17 @@
     sim.seeds = vec![address(agents[4]), address(agents[9])];
     let first = sim.plan.len();
     for at in 0..3 {
-        let descriptor = Descriptor { address: address(first + at), ..sim.plan.descriptor(at) };
+        let descriptor = Descriptor {
+            address: address(first + at),
+            ..sim.plan.descriptor(at)
+        };
         sim.add(descriptor);
     }
     sim.publish(first, KEY, 1, 100);
     let time = until(&mut sim, ms(15_000), |sim| all_hold(sim, KEY, 1));
-    let fed = until(&mut sim, ms(15_000), |sim| sim.unfed() == 0 && all_fresh(sim, ms(1_000)));
+    let fed = until(&mut sim, ms(15_000), |sim| {
+        sim.unfed() == 0 && all_fresh(sim, ms(1_000))
+    });
     println!("coordinators replaced: a change is everywhere after {time:?}, all fed {fed:?} later");
 }
 
@@ -139,12 +165,21 @@
         sim.publish(0, KEY, 1, 100);
         sim.run_for(ms(5_000));
         let inside = |node: usize| (node - 5) % 5 == 4;
-        let stale = (5..105).filter(|node| inside(*node)).filter_map(|node| sim.nodes[node].overlay.as_ref());
-        assert!(stale.into_iter().all(|overlay| overlay.freshness(sim.now) > Some(ms(20_000))));
+        let stale = (5..105)
+            .filter(|node| inside(*node))
+            .filter_map(|node| sim.nodes[node].overlay.as_ref());
+        assert!(
+            stale
+                .into_iter()
+                .all(|overlay| overlay.freshness(sim.now) > Some(ms(20_000)))
+        );
         sim.heal();
         let time = until(&mut sim, ms(8_000), |sim| all_hold(sim, KEY, 1));
         sim.run_for(ms(5_000));
-        println!("region back: change everywhere after {time:?}, {:?} fed from outside", heads(&sim));
+        println!(
+            "region back: change everywhere after {time:?}, {:?} fed from outside",
+            heads(&sim)
+        );
         assert_eq!((heads(&sim).len(), sim.unfed()), (2, 0));
     }
 }
@@ -153,10 +188,16 @@
 fn a_link_cut_one_way_is_not_used() {
     for towards_agent in [true, false] {
         let mut sim = started(Plan::TWENTY, 3);
-        let agent = (3..23).find(|agent| sim.source(*agent).is_some()).expect("all are fed");
+        let agent = (3..23)
+            .find(|agent| sim.source(*agent).is_some())
+            .expect("all are fed");
         let feeding = address(sim.source(agent).expect("fed"));
         let fed = address(agent);
-        let (from, to) = if towards_agent { (feeding, fed) } else { (fed, feeding) };
+        let (from, to) = if towards_agent {
+            (feeding, fed)
+        } else {
+            (fed, feeding)
+        };
         sim.cut(move |sender, receiver| sender.address == from && receiver.address == to);
         sim.run_for(ms(300));
         sim.publish(0, KEY, 1, 100);
@@ -177,7 +218,10 @@
         sim.run_for(ms(1_000));
     }
     let time = until(&mut sim, ms(4_000), |sim| all_hold(sim, KEY, 20));
-    println!("one in ten lost: the last of 20 changes is everywhere after {:?}", time + ms(1_000));
+    println!(
+        "one in ten lost: the last of 20 changes is everywhere after {:?}",
+        time + ms(1_000)
+    );
     assert_eq!(sim.setbacks, 0);
 }
 
@@ -185,20 +229,29 @@
 fn a_frozen_agent_knows_how_stale_it_is_and_comes_back() {
     for seconds in [1, 2, 4, 10] {
         let mut sim = started(Plan::TWENTY, 2);
-        let agent = (3..23)
-            .find(|agent| sim.nodes[*agent].overlay.as_ref().is_some_and(|node| node.fed().count() > 0));
+        let agent = (3..23).find(|agent| {
+            sim.nodes[*agent]
+                .overlay
+                .as_ref()
+                .is_some_and(|node| node.fed().count() > 0)
+        });
         let agent = agent.expect("some agent feeds others");
         sim.freeze(agent);
         sim.publish(0, KEY, 1, 100);
         sim.run_for(ms(seconds * 1_000));
         sim.thaw(agent);
         let now = sim.now;
-        let age =
-            sim.nodes[agent].overlay.as_ref().and_then(|node| node.freshness(now)).expect("there were beats");
+        let age = sim.nodes[agent]
+            .overlay
+            .as_ref()
+            .and_then(|node| node.freshness(now))
+            .expect("there were beats");
         println!("frozen for {seconds} s: newest beat {age:?} old on return");
         // Neighbours send on until they close the link: to those it feeds it is silent.
         assert!(age + ms(5_500) > ms(seconds * 1_000));
-        let time = until(&mut sim, ms(3_000), |sim| all_hold(sim, KEY, 1) && sim.unfed() == 0);
+        let time = until(&mut sim, ms(3_000), |sim| {
+            all_hold(sim, KEY, 1) && sim.unfed() == 0
+        });
         println!("frozen for {seconds} s: change everywhere, all fed {time:?} after the return");
     }
 }
@@ -211,7 +264,9 @@
     }
     sim.run_for(ms(4_000));
     assert_eq!(sim.unfed(), 0);
-    let ages = sim.nodes[3..].iter().filter_map(|node| node.overlay.as_ref()?.freshness(sim.now));
+    let ages = sim.nodes[3..]
+        .iter()
+        .filter_map(|node| node.overlay.as_ref()?.freshness(sim.now));
     assert!(ages.min() >= Some(ms(3_000)));
 }
 
@@ -221,12 +276,16 @@
     sim.give(1, Event::InContact(false));
     let alone = address(1);
     sim.cut(move |from, to| {
-        from.is_coordinator() && to.is_coordinator() && (from.address == alone || to.address == alone)
+        from.is_coordinator()
+            && to.is_coordinator()
+            && (from.address == alone || to.address == alone)
     });
     let mut worst = Duration::ZERO;
     for _ in 0..600 {
         sim.run_for(ms(20));
-        let ages = sim.nodes[3..].iter().filter_map(|node| node.overlay.as_ref()?.freshness(sim.now));
+        let ages = sim.nodes[3..]
+            .iter()
+            .filter_map(|node| node.overlay.as_ref()?.freshness(sim.now));
         worst = worst.max(ages.max().expect("agents"));
     }
     sim.publish(0, KEY, 1, 100);
--- a/crates/overlay/tests/overlay/guards.rs
+++ b/crates/overlay/tests/overlay/guards.rs
@@ -8,12 +8,17 @@
 const KEY: u64 = 7;
 
 fn with(guards: Guards) -> Settings {
-    Settings { guards, ..Settings::default() }
+    Settings {
+        guards,
+        ..Settings::default()
+    }
 }
 
 fn holders(sim: &Sim, key: u64, version: u64) -> usize {
     let running = sim.nodes.iter().filter_map(|node| node.overlay.as_ref());
-    running.filter(|overlay| overlay.store().version(key) == version).count()
+    running
+        .filter(|overlay| overlay.store().version(key) == version)
+        .count()
 }
 
 /// Changes under loss that reached all nodes within 2.5 s, of ten.
@@ -33,16 +38,29 @@
 #[test]
 fn lazy_repair_brings_changes_in_time_under_loss() {
     // Comparison of stores would repair too, a little later.
-    let with_it = in_time_under_loss(Guards { anti_entropy: false, ..Guards::default() });
-    let without = in_time_under_loss(Guards { anti_entropy: false, lazy_repair: false, ..Guards::default() });
-    println!("of ten changes under loss in time everywhere: {with_it}, without lazy repair {without}");
+    let with_it = in_time_under_loss(Guards {
+        anti_entropy: false,
+        ..Guards::default()
+    });
+    let without = in_time_under_loss(Guards {
+        anti_entropy: false,
+        lazy_repair: false,
+        ..Guards::default()
+    });
+    println!(
+        "of ten changes under loss in time everywhere: {with_it}, without lazy repair {without}"
+    );
     assert!(with_it >= 9 && without <= 4);
 }
 
-/// Nodes that lack a change 10 s after half a second in which its push and its announcement were lost.
+/// Nodes that lack a change 10 s after half a second in which its push and its announcement were
+/// lost.
 fn lacking_after_blackout(guards: Guards) -> usize {
     // No source is suspected, as the digest in a graft would repair too.
-    let settings = Settings { suspect: ms(2_500), ..with(guards) };
+    let settings = Settings {
+        suspect: ms(2_500),
+        ..with(guards)
+    };
     let mut sim = Sim::start(Plan::HUNDRED, settings, 1);
     sim.run_for(ms(40_000));
     sim.loss = 1.0;
@@ -56,7 +74,10 @@
 #[test]
 fn anti_entropy_finds_what_was_lost_and_not_announced_again() {
     assert_eq!(lacking_after_blackout(Guards::default()), 0);
-    let without = lacking_after_blackout(Guards { anti_entropy: false, ..Guards::default() });
+    let without = lacking_after_blackout(Guards {
+        anti_entropy: false,
+        ..Guards::default()
+    });
     println!("without anti-entropy {without} nodes still lack the change");
     assert!(without > 0);
 }
@@ -75,7 +96,12 @@
 #[test]
 fn the_version_check_keeps_older_versions_out() {
     assert_eq!(setbacks(Guards::default()), 0);
-    assert!(setbacks(Guards { version_check: false, ..Guards::default() }) > 0);
+    assert!(
+        setbacks(Guards {
+            version_check: false,
+            ..Guards::default()
+        }) > 0
+    );
 }
 
 /// Most agents linked to one coordinator, and most nodes fed by one agent.
@@ -84,8 +110,16 @@
     sim.run_for(ms(15_000));
     let (coordinators, agents) = sim.nodes.split_at(sim.plan.coordinators);
     let linked = coordinators.iter().filter_map(|node| node.overlay.as_ref());
-    let linked = linked.map(|overlay| overlay.neighbours().filter(|node| !node.is_coordinator()).count());
-    let fed = agents.iter().filter_map(|node| node.overlay.as_ref()).map(|overlay| overlay.fed().count());
+    let linked = linked.map(|overlay| {
+        overlay
+            .neighbours()
+            .filter(|node| !node.is_coordinator())
+            .count()
+    });
+    let fed = agents
+        .iter()
+        .filter_map(|node| node.overlay.as_ref())
+        .map(|overlay| overlay.fed().count());
     (linked.max().unwrap_or(0), fed.max().unwrap_or(0))
 }
 
@@ -93,8 +127,14 @@
 fn the_fanout_bound_holds() {
     let settings = Settings::default();
     let (linked, fed) = most_linked(Guards::default());
-    assert!(linked <= settings.coordinator_fanout && fed <= settings.fanout, "{linked} {fed}");
-    let (unbound, _) = most_linked(Guards { fanout_bound: false, ..Guards::default() });
+    assert!(
+        linked <= settings.coordinator_fanout && fed <= settings.fanout,
+        "{linked} {fed}"
+    );
+    let (unbound, _) = most_linked(Guards {
+        fanout_bound: false,
+        ..Guards::default()
+    });
     println!("most agents linked to one coordinator: {linked}, without the bound {unbound}");
     assert!(unbound > settings.coordinator_fanout);
 }
@@ -104,7 +144,12 @@
     const SIZE: usize = 5_000;
     let mut sim = Sim::start(Plan::HUNDRED, with(guards), 1);
     sim.run_for(ms(8_000));
-    let far = |sim: &Sim| sim.nodes.iter().map(|node| node.sent.far_entries).sum::<u64>();
+    let far = |sim: &Sim| {
+        sim.nodes
+            .iter()
+            .map(|node| node.sent.far_entries)
+            .sum::<u64>()
+    };
     let before = far(&sim);
     for version in 1..=10 {
         sim.publish(version as usize % 5, KEY, version, SIZE);
@@ -112,7 +157,9 @@
     }
     println!(
         "{} agents are fed from outside",
-        (5..105).filter(|agent| sim.is_fed_from_outside(*agent)).count()
+        (5..105)
+            .filter(|agent| sim.is_fed_from_outside(*agent))
+            .count()
     );
     (far(&sim) - before) as f64 / (10 * SIZE) as f64
 }
@@ -120,7 +167,10 @@
 #[test]
 fn a_change_crosses_into_each_region_once() {
     let with_them = crossings(Guards::default());
-    let without = crossings(Guards { region_heads: false, ..Guards::default() });
+    let without = crossings(Guards {
+        region_heads: false,
+        ..Guards::default()
+    });
     // Five regions, of which one is the origin's.
     println!("crossings a change: {with_them:.2}, without heads of regions {without:.2}, star 80");
     assert!(with_them < 4.5 && without > with_them + 2.0);
@@ -130,11 +180,14 @@
 fn failover(guards: Guards) -> u64 {
     let mut sim = Sim::start(Plan::HUNDRED, with(guards), 1);
     sim.run_for(ms(8_000));
-    let head =
-        (5..105).find(|agent| sim.is_fed_from_outside(*agent)).expect("two regions have no coordinator");
+    let head = (5..105)
+        .find(|agent| sim.is_fed_from_outside(*agent))
+        .expect("two regions have no coordinator");
     sim.power_off(head);
     let start = sim.now;
-    while (5..105).any(|agent| sim.is_up(agent) && sim.source(agent) == Some(head)) || sim.unfed() > 0 {
+    while (5..105).any(|agent| sim.is_up(agent) && sim.source(agent) == Some(head))
+        || sim.unfed() > 0
+    {
         sim.run_for(ms(20));
     }
     (sim.now - start).as_millis() as u64
@@ -143,7 +196,10 @@
 #[test]
 fn suspicion_shortens_the_loss_of_a_source() {
     let with_it = failover(Guards::default());
-    let without = failover(Guards { suspicion: false, ..Guards::default() });
+    let without = failover(Guards {
+        suspicion: false,
+        ..Guards::default()
+    });
     println!("head crashed: all fed again after {with_it} ms, without suspicion {without} ms");
     assert!(with_it < 1_800 && without > 2_200);
 }
--- a/crates/overlay/tests/overlay/hunt.rs
+++ b/crates/overlay/tests/overlay/hunt.rs
@@ -1,4 +1,5 @@
-//! Random faults, many seeds: after the last one all nodes come to agree, and no version ever goes back.
+//! Random faults, many seeds: after the last one all nodes come to agree, and no version ever goes
+//! back.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +17,8 @@
 /// Keys published.
 const KEYS: u64 = 12;
 
-/// A run: the simulation, what was published and by which coordinator, which keeps it over a restart.
+/// A run: the simulation, what was published and by which coordinator, which keeps it over a
+/// restart.
 struct Script {
     sim: Sim,
     random: Xoshiro256PlusPlus,
@@ -28,7 +30,12 @@
     fn new(plan: Plan, seed: u64) -> Script {
         let sim = Sim::start(plan, Settings::default(), seed);
         let disks = vec![BTreeMap::new(); plan.coordinators];
-        Script { sim, random: Xoshiro256PlusPlus::seed_from_u64(seed), disks, version: 0 }
+        Script {
+            sim,
+            random: Xoshiro256PlusPlus::seed_from_u64(seed),
+            disks,
+            version: 0,
+        }
     }
 
     fn any_node(&mut self) -> usize {
@@ -43,7 +50,13 @@
             4 => self.cut_one_way(),
             5 => self.cut_region(),
             6 => self.sim.heal(),
-            7 => self.sim.loss = if self.random.random_bool(0.5) { 0.1 } else { 0.0 },
+            7 => {
+                self.sim.loss = if self.random.random_bool(0.5) {
+                    0.1
+                } else {
+                    0.0
+                }
+            }
             8 => self.leave(),
             _ => self.publish(),
         }
@@ -53,7 +66,11 @@
     }
 
     fn kill(&mut self) {
-        let many = if self.random.random_bool(0.1) { self.sim.plan.len() } else { 2 };
+        let many = if self.random.random_bool(0.1) {
+            self.sim.plan.len()
+        } else {
+            2
+        };
         for _ in 0..many {
             let node = self.any_node();
             self.sim.kill(node);
@@ -72,7 +89,9 @@
     }
 
     fn boot_one(&mut self) {
-        let down: Vec<usize> = (0..self.sim.plan.len()).filter(|node| !self.sim.is_up(*node)).collect();
+        let down: Vec<usize> = (0..self.sim.plan.len())
+            .filter(|node| !self.sim.is_up(*node))
+            .collect();
         if !down.is_empty() {
             let node = down[self.random.random_range(0..down.len())];
             self.boot(node);
@@ -101,7 +120,10 @@
             return;
         }
         self.version += 1;
-        let (key, removed) = (self.random.random_range(0..KEYS), self.random.random_bool(0.2));
+        let (key, removed) = (
+            self.random.random_range(0..KEYS),
+            self.random.random_bool(0.2),
+        );
         self.disks[node].insert(key, (self.version, removed));
         self.tell(node, key, self.version, removed);
     }
@@ -110,12 +132,14 @@
         let from = self.any_node();
         let from = self.sim.nodes[from].descriptor.address;
         let modulus = self.random.random_range(2..6);
-        self.sim.cut(move |sender, receiver| sender.address == from && receiver.id() % modulus == 0);
+        self.sim
+            .cut(move |sender, receiver| sender.address == from && receiver.id() % modulus == 0);
     }
 
     fn cut_region(&mut self) {
         let region = self.random.random_range(0..self.sim.plan.regions as u32);
-        self.sim.cut(move |from, to| (from.place.region == region) != (to.place.region == region));
+        self.sim
+            .cut(move |from, to| (from.place.region == region) != (to.place.region == region));
     }
 
     /// Ends all faults and waits.
@@ -131,24 +155,39 @@
     }
 
     fn check(&self, seed: u64) {
-        let newest = self.disks.iter().flatten().fold(BTreeMap::new(), |mut newest, (key, (version, _))| {
-            let held = newest.entry(*key).or_insert(0);
-            *held = *version.max(held);
-            newest
-        });
+        let newest =
+            self.disks
+                .iter()
+                .flatten()
+                .fold(BTreeMap::new(), |mut newest, (key, (version, _))| {
+                    let held = newest.entry(*key).or_insert(0);
+                    *held = *version.max(held);
+                    newest
+                });
         assert_eq!(self.sim.setbacks, 0, "seed {seed}: a version went back");
         assert_eq!(self.sim.unfed(), 0, "seed {seed}: agents without a source");
         for (at, node) in self.sim.nodes.iter().enumerate() {
             let overlay = node.overlay.as_ref().expect("running");
             for (key, version) in &newest {
-                assert_eq!(overlay.store().version(*key), *version, "seed {seed}: node {at}, key {key}");
+                assert_eq!(
+                    overlay.store().version(*key),
+                    *version,
+                    "seed {seed}: node {at}, key {key}"
+                );
             }
-            assert!(overlay.freshness(self.sim.now) <= Some(ms(1_000)), "seed {seed}: node {at} is stale");
+            assert!(
+                overlay.freshness(self.sim.now) <= Some(ms(1_000)),
+                "seed {seed}: node {at} is stale"
+            );
         }
         let heads = (self.sim.plan.coordinators..self.sim.plan.len())
             .filter(|agent| self.sim.is_fed_from_outside(*agent));
         let without = self.sim.plan.regions - self.sim.plan.core_regions;
-        assert_eq!(heads.count(), without, "seed {seed}: agents fed from outside");
+        assert_eq!(
+            heads.count(),
+            without,
+            "seed {seed}: agents fed from outside"
+        );
     }
 }
 
@@ -161,7 +200,13 @@
     }
 }
 
-const FIVE: Plan = Plan { coordinators: 5, agents: 20, regions: 4, zones: 2, core_regions: 3 };
+const FIVE: Plan = Plan {
+    coordinators: 5,
+    agents: 20,
+    regions: 4,
+    zones: 2,
+    core_regions: 3,
+};
 
 #[test]
 fn three_coordinators_under_random_faults() {
--- a/crates/overlay/tests/overlay/load.rs
+++ b/crates/overlay/tests/overlay/load.rs
@@ -37,7 +37,11 @@
         sim.run_for(Duration::from_micros(100));
     }
     sim.run_for(ms(300));
-    let pushes = sim.nodes.iter().zip(&before).map(|(node, before)| node.pushes - before);
+    let pushes = sim
+        .nodes
+        .iter()
+        .zip(&before)
+        .map(|(node, before)| node.pushes - before);
     let most = pushes.max().expect("nodes");
     println!("200 changes within 20 ms reach a node in {most} messages at most");
     assert!(most <= 4);
@@ -62,8 +66,10 @@
         sim.publish(key as usize % 5, key, 1, 300);
     }
     sim.run_for(ms(3_000));
-    let agents: Vec<usize> =
-        (5..105).filter(|agent| sim.is_fed_from_outside(*agent)).chain([5, 50]).collect();
+    let agents: Vec<usize> = (5..105)
+        .filter(|agent| sim.is_fed_from_outside(*agent))
+        .chain([5, 50])
+        .collect();
     let mut worst = Duration::ZERO;
     for agent in agents {
         sim.kill(agent);
@@ -104,7 +110,13 @@
     let regions = |agents: usize| if agents < 50 { 2 } else { 10 };
     for agents in [7, 30, 100, 300, 1_000] {
         let core_regions = if agents < 50 { 2 } else { 5 };
-        let plan = Plan { coordinators: 5, agents, regions: regions(agents), zones: 4, core_regions };
+        let plan = Plan {
+            coordinators: 5,
+            agents,
+            regions: regions(agents),
+            zones: 4,
+            core_regions,
+        };
         for loss in [0.0, 0.01, 0.1] {
             let (delays, late) = spread(plan, loss);
             let at = |part: usize| delays[(delays.len() - 1) * part / 100];
--- a/crates/overlay/tests/overlay/plan.rs
+++ b/crates/overlay/tests/overlay/plan.rs
@@ -16,28 +16,68 @@
 }
 
 impl Plan {
-    pub const SMALL: Plan = Plan { coordinators: 3, agents: 7, regions: 2, zones: 2, core_regions: 2 };
-    pub const TWENTY: Plan = Plan { coordinators: 3, agents: 20, regions: 3, zones: 2, core_regions: 2 };
-    pub const HUNDRED: Plan = Plan { coordinators: 5, agents: 100, regions: 5, zones: 3, core_regions: 3 };
-    pub const FIVE_HUNDRED: Plan =
-        Plan { coordinators: 5, agents: 500, regions: 10, zones: 4, core_regions: 5 };
-    pub const TWO_THOUSAND: Plan =
-        Plan { coordinators: 17, agents: 2_000, regions: 10, zones: 4, core_regions: 5 };
+    pub const SMALL: Plan = Plan {
+        coordinators: 3,
+        agents: 7,
+        regions: 2,
+        zones: 2,
+        core_regions: 2,
+    };
+    pub const TWENTY: Plan = Plan {
+        coordinators: 3,
+        agents: 20,
+        regions: 3,
+        zones: 2,
+        core_regions: 2,
+    };
+    pub const HUNDRED: Plan = Plan {
+        coordinators: 5,
+        agents: 100,
+        regions: 5,
+        zones: 3,
+        core_regions: 3,
+    };
+    pub const FIVE_HUNDRED: Plan = Plan {
+        coordinators: 5,
+        agents: 500,
+        regions: 10,
+        zones: 4,
+        core_regions: 5,
+    };
+    pub const TWO_THOUSAND: Plan = Plan {
+        coordinators: 17,
+        agents: 2_000,
+        regions: 10,
+        zones: 4,
+        core_regions: 5,
+    };
 
     pub fn len(&self) -> usize {
         self.coordinators + self.agents
     }
 
     pub fn descriptor(&self, index: usize) -> Descriptor {
-        let role = if index < self.coordinators { Role::Coordinator } else { Role::Agent };
+        let role = if index < self.coordinators {
+            Role::Coordinator
+        } else {
+            Role::Agent
+        };
         let (position, regions) = match role {
             Role::Coordinator => (index, self.core_regions),
             Role::Agent => (index - self.coordinators, self.regions),
         };
         let region = position % regions;
         let zone = position / regions % self.zones;
-        let place = Place { region: region as u32, zone: (region * self.zones + zone) as u32 };
-        Descriptor { address: address(index), place, role, incarnation: 1 }
+        let place = Place {
+            region: region as u32,
+            zone: (region * self.zones + zone) as u32,
+        };
+        Descriptor {
+            address: address(index),
+            place,
+            role,
+            incarnation: 1,
+        }
     }
 }
 
@@ -46,6 +86,8 @@
 }
 
 pub fn index(address: SocketAddr) -> usize {
-    let SocketAddr::V4(address) = address else { panic!("version 4") };
+    let SocketAddr::V4(address) = address else {
+        panic!("version 4")
+    };
     (address.ip().to_bits() - 0x0a00_0000) as usize
 }
--- a/crates/overlay/tests/overlay/sim.rs
+++ b/crates/overlay/tests/overlay/sim.rs
@@ -1,4 +1,5 @@
-//! A deterministic network of nodes: latency by place, loss, cuts by direction, crashes and restarts.
+//! A deterministic network of nodes: latency by place, loss, cuts by direction, crashes and
+//! restarts.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -139,7 +140,8 @@
 }
 
 impl Sim {
-    /// All nodes of `plan` started within a second of each other, with up to three coordinators as seeds.
+    /// All nodes of `plan` started within a second of each other, with up to three coordinators as
+    /// seeds.
     pub fn start(plan: Plan, settings: Settings, seed: u64) -> Sim {
         let mut sim = Sim::new(plan, settings, seed);
         for node in 0..plan.len() {
@@ -150,7 +152,9 @@
 
     /// The nodes of `plan`, none of which runs.
     pub fn new(plan: Plan, settings: Settings, seed: u64) -> Sim {
-        let nodes = (0..plan.len()).map(|at| Node::new(plan.descriptor(at))).collect();
+        let nodes = (0..plan.len())
+            .map(|at| Node::new(plan.descriptor(at)))
+            .collect();
         Sim {
             now: Duration::ZERO,
             plan,
@@ -176,7 +180,12 @@
     pub fn boot(&mut self, node: usize) {
         self.nodes[node].descriptor.incarnation += 1;
         let seed = self.random.random();
-        let overlay = Overlay::new(self.nodes[node].descriptor, self.settings.clone(), seed, self.now);
+        let overlay = Overlay::new(
+            self.nodes[node].descriptor,
+            self.settings.clone(),
+            seed,
+            self.now,
+        );
         self.nodes[node].overlay = Some(overlay);
         self.nodes[node].dark = false;
         self.nodes[node].seen.clear();
@@ -198,8 +207,11 @@
 
     /// Ends a process: its neighbours see closed connections.
     pub fn kill(&mut self, node: usize) {
-        let peers: Vec<(usize, u64)> =
-            self.nodes[node].connections.iter().map(|(peer, id)| (*peer, *id)).collect();
+        let peers: Vec<(usize, u64)> = self.nodes[node]
+            .connections
+            .iter()
+            .map(|(peer, id)| (*peer, *id))
+            .collect();
         for (peer, id) in peers {
             self.tell_closed(node, peer, id);
         }
@@ -219,7 +231,9 @@
     /// Running agents that nobody feeds.
     pub fn unfed(&self) -> usize {
         let running = self.nodes.iter().filter_map(|node| node.overlay.as_ref());
-        running.filter(|overlay| !overlay.position().is_attached()).count()
+        running
+            .filter(|overlay| !overlay.position().is_attached())
+            .count()
     }
 
     pub fn source(&self, agent: usize) -> Option<usize> {
@@ -229,7 +243,8 @@
     /// Whether the source of `agent` lies in another region.
     pub fn is_fed_from_outside(&self, agent: usize) -> bool {
         let place = self.nodes[agent].descriptor.place;
-        self.source(agent).is_some_and(|source| !self.nodes[source].descriptor.place.same_region(place))
+        self.source(agent)
+            .is_some_and(|source| !self.nodes[source].descriptor.place.same_region(place))
     }
 
     pub fn is_up(&self, node: usize) -> bool {
@@ -252,7 +267,11 @@
     }
 
     /// Cuts the pairs, of sender and receiver, that `cut` selects.
-    pub fn cut_with(&mut self, across: Across, cut: impl Fn(&Descriptor, &Descriptor) -> bool + 'static) {
+    pub fn cut_with(
+        &mut self,
+        across: Across,
+        cut: impl Fn(&Descriptor, &Descriptor) -> bool + 'static,
+    ) {
         self.cut = Box::new(cut);
         self.across = across;
         self.release();
@@ -272,18 +291,33 @@
                 self.held.push((from, to, connection, message));
             } else if self.nodes[from].connections.get(&to) == Some(&connection) {
                 let at = self.arrival(from, to);
-                self.push(at, Happening::Deliver { from, to, connection, message: Box::new(message) });
+                self.push(
+                    at,
+                    Happening::Deliver {
+                        from,
+                        to,
+                        connection,
+                        message: Box::new(message),
+                    },
+                );
             }
         }
     }
 
     fn reset_across(&mut self) {
         let ends = self.nodes.iter().enumerate().flat_map(|(node, state)| {
-            state.connections.iter().map(move |(peer, connection)| (node, *peer, *connection))
+            state
+                .connections
+                .iter()
+                .map(move |(peer, connection)| (node, *peer, *connection))
         });
         for (node, peer, connection) in ends.collect::<Vec<_>>() {
             if self.is_cut(node, peer) || self.is_cut(peer, node) {
-                self.happen(Happening::Disconnected { node, peer, connection: Some(connection) });
+                self.happen(Happening::Disconnected {
+                    node,
+                    peer,
+                    connection: Some(connection),
+                });
             }
         }
     }
@@ -295,14 +329,27 @@
 
     pub fn publish(&mut self, node: usize, key: u64, version: u64, size: usize) -> Duration {
         let payload: Arc<[u8]> = Arc::from(vec![(key ^ version) as u8; size]);
-        self.give(node, Event::Publish { key, version, payload });
+        self.give(
+            node,
+            Event::Publish {
+                key,
+                version,
+                payload,
+            },
+        );
         self.now
     }
 
     pub fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
-        while self.queue.peek().is_some_and(|Reverse(next)| next.at <= until) {
-            let Some(Reverse(next)) = self.queue.pop() else { break };
+        while self
+            .queue
+            .peek()
+            .is_some_and(|Reverse(next)| next.at <= until)
+        {
+            let Some(Reverse(next)) = self.queue.pop() else {
+                break;
+            };
             self.now = next.at;
             self.happen(next.what);
         }
@@ -311,27 +358,48 @@
 
     fn happen(&mut self, what: Happening) {
         match what {
-            Happening::Deliver { from, to, connection, message } => {
+            Happening::Deliver {
+                from,
+                to,
+                connection,
+                message,
+            } => {
                 if self.nodes[to].connections.get(&from) == Some(&connection) {
                     self.deliver(from, to, *message);
                 } else if self.across == Across::Held {
                     self.tell_closed(to, from, connection);
                 }
             }
-            Happening::Unacknowledged { node, peer, connection } => {
+            Happening::Unacknowledged {
+                node,
+                peer,
+                connection,
+            } => {
                 if self.is_cut(node, peer) || self.is_cut(peer, node) {
-                    self.happen(Happening::Disconnected { node, peer, connection: Some(connection) });
+                    self.happen(Happening::Disconnected {
+                        node,
+                        peer,
+                        connection: Some(connection),
+                    });
                 }
             }
             Happening::Establish { from, to } => self.establish(from, to),
-            Happening::Connected { node, peer, connection } => {
+            Happening::Connected {
+                node,
+                peer,
+                connection,
+            } => {
                 self.opening.remove(&(peer, node));
                 if self.is_up(node) {
                     self.nodes[node].connections.insert(peer, connection);
                     self.give(node, Event::Connected(address(peer)));
                 }
             }
-            Happening::Disconnected { node, peer, connection } => {
+            Happening::Disconnected {
+                node,
+                peer,
+                connection,
+            } => {
                 let current = self.nodes[node].connections.get(&peer).copied();
                 if current == connection && self.is_up(node) {
                     self.nodes[node].connections.remove(&peer);
@@ -350,9 +418,16 @@
     fn deliver(&mut self, from: usize, to: usize, message: Message) {
         let size = wire_size(&message);
         self.nodes[to].received.messages += 1;
-        self.nodes[to].pushes += u64::from(matches!(message, Message::Entries { pushed: true, .. }));
+        self.nodes[to].pushes +=
+            u64::from(matches!(message, Message::Entries { pushed: true, .. }));
         self.nodes[to].received.bytes += size;
-        self.give(to, Event::Message { from: address(from), message });
+        self.give(
+            to,
+            Event::Message {
+                from: address(from),
+                message,
+            },
+        );
     }
 
     /// The opening packet of a connection has come back.
@@ -363,7 +438,11 @@
             return;
         }
         if !self.is_up(to) || cut {
-            return self.happen(Happening::Disconnected { node: from, peer: to, connection: None });
+            return self.happen(Happening::Disconnected {
+                node: from,
+                peer: to,
+                connection: None,
+            });
         }
         if self.nodes[from].connections.contains_key(&to) || self.opening.contains(&(to, from)) {
             return;
@@ -372,9 +451,20 @@
         self.connections += 1;
         let connection = self.connections;
         let latency = self.latency(from, to);
-        self.push(self.now + latency, Happening::Connected { node: to, peer: from, connection });
+        self.push(
+            self.now + latency,
+            Happening::Connected {
+                node: to,
+                peer: from,
+                connection,
+            },
+        );
         self.last.insert((from, to), self.now + latency);
-        self.happen(Happening::Connected { node: from, peer: to, connection });
+        self.happen(Happening::Connected {
+            node: from,
+            peer: to,
+            connection,
+        });
     }
 
     /// Gives an event to a node and carries out its actions.
@@ -382,7 +472,9 @@
         if let Some(unread) = &mut self.nodes[node].unread {
             return unread.push(event);
         }
-        let Some(overlay) = self.nodes[node].overlay.as_mut() else { return };
+        let Some(overlay) = self.nodes[node].overlay.as_mut() else {
+            return;
+        };
         let mut actions = Vec::new();
         overlay.handle(self.now, event, &mut actions);
         self.nodes[node].wakes += 1;
@@ -415,11 +507,17 @@
     fn changed(&mut self, node: usize, key: u64, version: u64) {
         let before = self.nodes[node].seen.insert(key, version);
         self.setbacks += usize::from(before.is_some_and(|before| before >= version));
-        self.arrivals.entry((key, version)).or_default().entry(node).or_insert(self.now);
+        self.arrivals
+            .entry((key, version))
+            .or_default()
+            .entry(node)
+            .or_insert(self.now);
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        let Some(connection) = self.nodes[from].connections.get(&to).copied() else { return };
+        let Some(connection) = self.nodes[from].connections.get(&to).copied() else {
+            return;
+        };
         self.count(from, to, &message);
         if self.across == Across::Held && self.is_blocked(from, to, connection) {
             self.held.push((from, to, connection, message));
@@ -429,35 +527,65 @@
             return;
         }
         let at = self.arrival(from, to);
-        self.push(at, Happening::Deliver { from, to, connection, message: Box::new(message) });
-    }
-
-    /// Whether the cut holds what is sent; where it holds at least the acknowledgement, the connection fails in time.
+        self.push(
+            at,
+            Happening::Deliver {
+                from,
+                to,
+                connection,
+                message: Box::new(message),
+            },
+        );
+    }
+
+    /// Whether the cut holds what is sent; where it holds at least the acknowledgement, the
+    /// connection fails in time.
     fn is_blocked(&mut self, from: usize, to: usize, connection: u64) -> bool {
         let blocked = self.is_cut(from, to);
         if blocked || self.is_cut(to, from) {
             let at = self.now + USER_TIMEOUT;
-            self.push(at, Happening::Unacknowledged { node: from, peer: to, connection });
+            self.push(
+                at,
+                Happening::Unacknowledged {
+                    node: from,
+                    peer: to,
+                    connection,
+                },
+            );
         }
         blocked
     }
 
     fn count(&mut self, from: usize, to: usize, message: &Message) {
         let size = wire_size(message);
-        let far = !self.nodes[from].descriptor.place.same_region(self.nodes[to].descriptor.place);
+        let far = !self.nodes[from]
+            .descriptor
+            .place
+            .same_region(self.nodes[to].descriptor.place);
         let sent = &mut self.nodes[from].sent;
         sent.messages += 1;
         sent.bytes += size;
         if far {
             sent.far_bytes += size;
-            sent.far_entries += if matches!(message, Message::Entries { .. }) { size } else { 0 };
+            sent.far_entries += if matches!(message, Message::Entries { .. }) {
+                size
+            } else {
+                0
+            };
         }
     }
 
     fn tell_closed(&mut self, node: usize, peer: usize, connection: u64) {
         if !self.is_cut(node, peer) {
             let at = self.arrival(node, peer);
-            self.push(at, Happening::Disconnected { node: peer, peer: node, connection: Some(connection) });
+            self.push(
+                at,
+                Happening::Disconnected {
+                    node: peer,
+                    peer: node,
+                    connection: Some(connection),
+                },
+            );
         }
     }
 
@@ -470,7 +598,10 @@
     }
 
     fn latency(&mut self, from: usize, to: usize) -> Duration {
-        let (from, to) = (self.nodes[from].descriptor.place, self.nodes[to].descriptor.place);
+        let (from, to) = (
+            self.nodes[from].descriptor.place,
+            self.nodes[to].descriptor.place,
+        );
         let base = match (from == to, from.same_region(to)) {
             (true, _) => 250,
             (_, true) => 1_400,
@@ -485,7 +616,11 @@
 
     fn push(&mut self, at: Duration, what: Happening) {
         self.order += 1;
-        self.queue.push(Reverse(Queued { at, order: self.order, what }));
+        self.queue.push(Reverse(Queued {
+            at,
+            order: self.order,
+            what,
+        }));
     }
 }
 
--- a/crates/overlay/tests/overlay/spread.rs
+++ b/crates/overlay/tests/overlay/spread.rs
@@ -8,14 +8,19 @@
 use crate::plan::{Plan, index};
 use crate::sim::{Sim, ms};
 
-/// Publishes one change a second at changing coordinators and returns how long each took to reach each node, sorted.
+/// Publishes one change a second at changing coordinators and returns how long each took to reach
+/// each node, sorted.
 fn delays(sim: &mut Sim, changes: u64) -> Vec<Duration> {
     let mut delays = Vec::new();
     for version in 1..=changes {
         let at = sim.publish(version as usize % sim.plan.coordinators, 7, version, 300);
         sim.run_for(ms(1_000));
         let arrivals = &sim.arrivals[&(7, version)];
-        assert_eq!(arrivals.len(), sim.plan.len(), "version {version} reached all within a second");
+        assert_eq!(
+            arrivals.len(),
+            sim.plan.len(),
+            "version {version} reached all within a second"
+        );
         delays.extend(arrivals.values().map(|arrival| *arrival - at));
     }
     delays.sort();
@@ -28,7 +33,13 @@
     assert_eq!(sim.unfed(), 0);
     let delays = delays(&mut sim, 8);
     let at = |part: usize| delays[(delays.len() - 1) * part / 100];
-    println!("{} agents: p50 {:?} p99 {:?} worst {:?}", plan.agents, at(50), at(99), at(100));
+    println!(
+        "{} agents: p50 {:?} p99 {:?} worst {:?}",
+        plan.agents,
+        at(50),
+        at(99),
+        at(100)
+    );
     assert!(at(99) < ms(300));
     assert_eq!(sim.setbacks, 0);
 }
@@ -61,10 +72,18 @@
 fn zone_edges(sim: &Sim) -> (usize, usize) {
     let agents = sim.plan.coordinators..sim.plan.len();
     let place = |node: usize| sim.nodes[node].descriptor.place;
-    let apart = |agent: &usize| sim.source(*agent).is_some_and(|source| place(source) != place(*agent));
+    let apart = |agent: &usize| {
+        sim.source(*agent)
+            .is_some_and(|source| place(source) != place(*agent))
+    };
     let zones: BTreeSet<u32> = agents.clone().map(|agent| place(agent).zone).collect();
-    let with: BTreeSet<u32> = (0..sim.plan.coordinators).map(|node| place(node).zone).collect();
-    (agents.filter(apart).count(), zones.difference(&with).count())
+    let with: BTreeSet<u32> = (0..sim.plan.coordinators)
+        .map(|node| place(node).zone)
+        .collect();
+    (
+        agents.filter(apart).count(),
+        zones.difference(&with).count(),
+    )
 }
 
 #[test]
@@ -73,19 +92,29 @@
         let mut sim = Sim::start(plan, Settings::default(), 1);
         sim.run_for(ms(15_000));
         let (edges, least) = zone_edges(&sim);
-        println!("{} agents: {edges} are fed from another zone, {least} at least", plan.agents);
+        println!(
+            "{} agents: {edges} are fed from another zone, {least} at least",
+            plan.agents
+        );
         assert!(edges <= least + least / 4 + 1);
     }
 }
 
 /// Neighbours besides the source whose own path leads neither over `agent` nor over its source.
 fn other_sources(sim: &Sim, agent: usize) -> usize {
-    let Some(overlay) = &sim.nodes[agent].overlay else { return 0 };
+    let Some(overlay) = &sim.nodes[agent].overlay else {
+        return 0;
+    };
     let source = overlay.source().map(index);
-    let avoided = [Some(agent), source].map(|node| node.map(|node| sim.nodes[node].descriptor.id()));
-    let others = overlay.neighbours().map(|node| index(node.address)).filter(|node| Some(*node) != source);
-    let positions =
-        others.filter_map(|node| sim.nodes[node].overlay.as_ref()).map(|overlay| overlay.position());
+    let avoided =
+        [Some(agent), source].map(|node| node.map(|node| sim.nodes[node].descriptor.id()));
+    let others = overlay
+        .neighbours()
+        .map(|node| index(node.address))
+        .filter(|node| Some(*node) != source);
+    let positions = others
+        .filter_map(|node| sim.nodes[node].overlay.as_ref())
+        .map(|overlay| overlay.position());
     let independent = |position: &&Position| match position {
         Position::Root { .. } => true,
         Position::Detached => false,
@@ -98,8 +127,14 @@
 fn single_feeders(sim: &Sim) -> Vec<usize> {
     let region = |node: usize| sim.nodes[node].descriptor.place.region;
     let core = 0..sim.plan.coordinators;
-    let alone = |node: &usize| core.clone().filter(|other| region(*other) == region(*node)).count() == 1;
-    let heads = (sim.plan.coordinators..sim.plan.len()).filter(|agent| sim.is_fed_from_outside(*agent));
+    let alone = |node: &usize| {
+        core.clone()
+            .filter(|other| region(*other) == region(*node))
+            .count()
+            == 1
+    };
+    let heads =
+        (sim.plan.coordinators..sim.plan.len()).filter(|agent| sim.is_fed_from_outside(*agent));
     core.clone().filter(alone).chain(heads).collect()
 }
 
@@ -110,19 +145,28 @@
         sim.run_for(ms(15_000));
         let single = single_feeders(&sim);
         let agents: Vec<usize> = (plan.coordinators..plan.len()).collect();
-        // Where one node feeds a region, the deputy among those it feeds holds the second source for all.
-        let spared = |agent: &&usize| sim.source(**agent).is_some_and(|source| single.contains(&source));
-        let without =
-            agents.iter().filter(|agent| !spared(agent) && other_sources(&sim, **agent) == 0).count();
+        // Where one node feeds a region, the deputy among those it feeds holds the second source
+        // for all.
+        let spared = |agent: &&usize| {
+            sim.source(**agent)
+                .is_some_and(|source| single.contains(&source))
+        };
+        let without = agents
+            .iter()
+            .filter(|agent| !spared(agent) && other_sources(&sim, **agent) == 0)
+            .count();
         println!("{} agents: {without} without a second source", plan.agents);
         assert!(without * 100 <= plan.agents);
         for node in single {
             let region = |node: usize| sim.nodes[node].descriptor.place.region;
-            let fed = agents
-                .iter()
-                .filter(|agent| sim.source(**agent) == Some(node) && region(**agent) == region(node));
+            let fed = agents.iter().filter(|agent| {
+                sim.source(**agent) == Some(node) && region(**agent) == region(node)
+            });
             let others: Vec<usize> = fed.map(|agent| other_sources(&sim, *agent)).collect();
-            assert!(others.is_empty() || others.iter().any(|others| *others > 0), "node {node}");
+            assert!(
+                others.is_empty() || others.iter().any(|others| *others > 0),
+                "node {node}"
+            );
         }
     }
 }
--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -32,21 +32,35 @@
 impl<V> Record<V> {
     /// Record of a replica that is no member yet.
     pub fn empty(identity: Identity) -> Self {
-        Self { identity, promised: Ballot::ZERO, accepted: None, reserved: 0 }
+        Self {
+            identity,
+            promised: Ballot::ZERO,
+            accepted: None,
+            reserved: 0,
+        }
     }
 
-    /// Record of an initial member at the very first start. All initial members must pass the same addresses
-    /// and an equal value.
+    /// Record of an initial member at the very first start. All initial members must pass the same
+    /// addresses and an equal value.
     pub fn bootstrap(own: SocketAddr, members: &[SocketAddr], value: V) -> Self {
         let members = Membership::single(ReplicaSet::of_seeds(members.iter().copied()));
         let state = State::initial(members, value).into();
-        let accepted = Some(Proposal { ballot: Ballot::ZERO, state });
-        Self { accepted, ..Self::empty(Identity::of_seed(own)) }
+        let accepted = Some(Proposal {
+            ballot: Ballot::ZERO,
+            state,
+        });
+        Self {
+            accepted,
+            ..Self::empty(Identity::of_seed(own))
+        }
     }
 
     /// Whether the replica has promised, accepted or proposed anything beyond the initial state.
     pub fn has_voted(&self) -> bool {
-        let accepted = self.accepted.as_ref().map_or(Ballot::ZERO, |proposal| proposal.ballot);
+        let accepted = self
+            .accepted
+            .as_ref()
+            .map_or(Ballot::ZERO, |proposal| proposal.ballot);
         self.promised.max(accepted) > Ballot::ZERO || self.reserved > 0
     }
 }
@@ -104,8 +118,8 @@
         }
     }
 
-    /// An acceptor whose first record must become durable before anything is said: a new one, or one that was read
-    /// and may stand in the page cache only.
+    /// An acceptor whose first record must become durable before anything is said: a new one, or
+    /// one that was read and may stand in the page cache only.
     pub fn fresh(record: Record<V>, guards: Guards) -> Self {
         let mut acceptor = Self::recovered(Record::empty(record.identity), guards);
         acceptor.record = record;
@@ -165,7 +179,8 @@
         }
     }
 
-    /// Answers a request, at once or after the next write; of one asker's requests only the latest waits for it. `chosen` is what the node knows as chosen.
+    /// Answers a request, at once or after the next write; of one asker's requests only the latest
+    /// waits for it. `chosen` is what the node knows as chosen.
     pub fn request(
         &mut self,
         from: SocketAddr,
@@ -181,7 +196,11 @@
             false => request.to,
         };
         let (answer, durable) = self.answer(request, chosen);
-        let addressed = Addressed { to: from, sender, reply: Reply { round, answer } };
+        let addressed = Addressed {
+            to: from,
+            sender,
+            reply: Reply { round, answer },
+        };
         if durable || !self.guards.keeps(Guard::PersistBeforeReply) {
             return Some(addressed);
         }
@@ -199,7 +218,8 @@
             return None;
         }
         self.last_token += 1;
-        let accepted_ballot = |record: &Record<V>| record.accepted.as_ref().map(|proposal| proposal.ballot);
+        let accepted_ballot =
+            |record: &Record<V>| record.accepted.as_ref().map(|proposal| proposal.ballot);
         let write = Write {
             token: self.last_token,
             record: self.record.clone(),
@@ -227,13 +247,24 @@
     fn answer(&mut self, request: Request<V>, chosen: Option<&Proposal<V>>) -> (Answer<V>, bool) {
         let chosen_ballot = chosen.map_or(Ballot::ZERO, |proposal| proposal.ballot);
         if request.to != self.record.identity && self.guards.keeps(Guard::IdentityCheck) {
-            return (Answer::NotMember { chosen: chosen_ballot }, true);
+            return (
+                Answer::NotMember {
+                    chosen: chosen_ballot,
+                },
+                true,
+            );
         }
         match request.ask {
-            Ask::Query { known } => (Answer::Reported(report(&self.durable, known, chosen_ballot)), true),
-            Ask::Prepare { view, .. } if self.is_removed(view, chosen) => {
-                (Answer::NotMember { chosen: chosen_ballot }, true)
-            }
+            Ask::Query { known } => (
+                Answer::Reported(report(&self.durable, known, chosen_ballot)),
+                true,
+            ),
+            Ask::Prepare { view, .. } if self.is_removed(view, chosen) => (
+                Answer::NotMember {
+                    chosen: chosen_ballot,
+                },
+                true,
+            ),
             Ask::Prepare { ballot, known, .. } => self.promise(ballot, known, chosen_ballot),
             Ask::Accept { proposal } => self.accept(proposal, chosen_ballot),
         }
@@ -241,7 +272,12 @@
 
     fn promise(&mut self, ballot: Ballot, known: Ballot, chosen: Ballot) -> (Answer<V>, bool) {
         if ballot < self.record.promised {
-            return (Answer::Conflict { promised: self.record.promised }, true);
+            return (
+                Answer::Conflict {
+                    promised: self.record.promised,
+                },
+                true,
+            );
         }
         self.record.promised = ballot;
         let report = report(&self.record, known, chosen);
@@ -253,7 +289,12 @@
     fn accept(&mut self, proposal: Proposal<V>, chosen: Ballot) -> (Answer<V>, bool) {
         let ballot = proposal.ballot;
         if ballot < self.record.promised {
-            return (Answer::Conflict { promised: self.record.promised }, true);
+            return (
+                Answer::Conflict {
+                    promised: self.record.promised,
+                },
+                true,
+            );
         }
         let is_member = proposal.state.members.contains(self.record.identity);
         if !is_member && self.guards.keeps(Guard::IdentityCheck) {
@@ -268,9 +309,13 @@
 
     /// Whether the newest state known here, newer than the asker's view, doesn't name this replica.
     fn is_removed(&self, view: Ballot, chosen: Option<&Proposal<V>>) -> bool {
-        let newest =
-            [self.record.accepted.as_ref(), chosen].into_iter().flatten().max_by_key(|held| held.ballot);
-        newest.is_some_and(|held| held.ballot > view && !held.state.members.contains(self.record.identity))
+        let newest = [self.record.accepted.as_ref(), chosen]
+            .into_iter()
+            .flatten()
+            .max_by_key(|held| held.ballot);
+        newest.is_some_and(|held| {
+            held.ballot > view && !held.state.members.contains(self.record.identity)
+        })
     }
 
     /// Whether a vote given now was given and made durable before.
@@ -283,7 +328,13 @@
 
 fn report<V: Clone>(record: &Record<V>, known: Ballot, chosen: Ballot) -> Report<V> {
     let accepted = record.accepted.as_ref().map(|proposal| proposal.ballot);
-    let proposal =
-        record.accepted.as_ref().filter(|proposal| proposal.ballot > known || known == Ballot::ZERO);
-    Report { accepted, proposal: proposal.cloned(), chosen }
+    let proposal = record
+        .accepted
+        .as_ref()
+        .filter(|proposal| proposal.ballot > known || known == Ballot::ZERO);
+    Report {
+        accepted,
+        proposal: proposal.cloned(),
+        chosen,
+    }
 }
--- a/crates/register/src/acceptor/tests.rs
+++ b/crates/register/src/acceptor/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the acceptor: nothing is answered before it is durable, and nothing promised is taken back.
+//! Tests of the acceptor: nothing is answered before it is durable, and nothing promised is taken
+//! back.
 
 use std::net::SocketAddr;
 
@@ -6,30 +7,56 @@
 
 use super::*;
 
-const ASKER: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9_000);
+const ASKER: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9_000);
 
 fn seeds() -> Vec<SocketAddr> {
-    (7_000..7_003).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect()
+    (7_000..7_003)
+        .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
+        .collect()
 }
 
 fn member() -> Acceptor<u8> {
-    Acceptor::recovered(Record::bootstrap(seeds()[0], &seeds(), 0), Guards::default())
+    Acceptor::recovered(
+        Record::bootstrap(seeds()[0], &seeds(), 0),
+        Guards::default(),
+    )
 }
 
 fn ballot(counter: u64) -> Ballot {
-    Ballot { counter, identity: Identity(5) }
+    Ballot {
+        counter,
+        identity: Identity(5),
+    }
 }
 
 fn prepare(acceptor: &Acceptor<u8>, counter: u64) -> Request<u8> {
-    let ask = Ask::Prepare { ballot: ballot(counter), view: Ballot::ZERO, known: Ballot::ZERO };
-    Request { round: counter, to: acceptor.identity(), ask }
+    let ask = Ask::Prepare {
+        ballot: ballot(counter),
+        view: Ballot::ZERO,
+        known: Ballot::ZERO,
+    };
+    Request {
+        round: counter,
+        to: acceptor.identity(),
+        ask,
+    }
 }
 
 fn accept(acceptor: &Acceptor<u8>, counter: u64, value: u8) -> Request<u8> {
     let initial = acceptor.accepted().expect("initial").state.clone();
-    let state = initial.successor(ballot(counter), initial.members.clone(), value.into()).into();
-    let proposal = Proposal { ballot: ballot(counter), state };
-    Request { round: counter, to: acceptor.identity(), ask: Ask::Accept { proposal } }
+    let state = initial
+        .successor(ballot(counter), initial.members.clone(), value.into())
+        .into();
+    let proposal = Proposal {
+        ballot: ballot(counter),
+        state,
+    };
+    Request {
+        round: counter,
+        to: acceptor.identity(),
+        ask: Ask::Accept { proposal },
+    }
 }
 
 fn answer(acceptor: &mut Acceptor<u8>, request: Request<u8>) -> Answer<u8> {
@@ -37,7 +64,12 @@
         return addressed.reply.answer;
     }
     let write = acceptor.next_write().expect("a write");
-    acceptor.persisted(write.token).pop().expect("a reply").reply.answer
+    acceptor
+        .persisted(write.token)
+        .pop()
+        .expect("a reply")
+        .reply
+        .answer
 }
 
 #[test]
@@ -49,7 +81,16 @@
     assert!(!write.accepted_changed);
     assert_eq!(acceptor.next_write(), None);
     let replies = acceptor.persisted(write.token);
-    assert_matches!(&replies[..], [Addressed { reply: Reply { answer: Answer::Promised { .. }, .. }, .. }]);
+    assert_matches!(
+        &replies[..],
+        [Addressed {
+            reply: Reply {
+                answer: Answer::Promised { .. },
+                ..
+            },
+            ..
+        }]
+    );
 }
 
 #[test]
@@ -70,17 +111,32 @@
 #[test]
 fn a_lower_ballot_is_refused_after_a_promise() {
     let mut acceptor = member();
-    assert_matches!(answer(&mut acceptor, prepare(&member(), 7)), Answer::Promised { .. });
+    assert_matches!(
+        answer(&mut acceptor, prepare(&member(), 7)),
+        Answer::Promised { .. }
+    );
     assert_matches!(answer(&mut acceptor, prepare(&member(), 6)), Answer::Conflict { promised } if promised == ballot(7));
-    assert_matches!(answer(&mut acceptor, accept(&member(), 6, 1)), Answer::Conflict { .. });
-    assert_matches!(answer(&mut acceptor, accept(&member(), 7, 1)), Answer::Accepted { .. });
+    assert_matches!(
+        answer(&mut acceptor, accept(&member(), 6, 1)),
+        Answer::Conflict { .. }
+    );
+    assert_matches!(
+        answer(&mut acceptor, accept(&member(), 7, 1)),
+        Answer::Accepted { .. }
+    );
 }
 
 #[test]
 fn a_report_names_only_what_is_durable() {
     let mut acceptor = member();
     acceptor.request(ASKER, accept(&member(), 4, 1), None);
-    let query = Request { round: 1, to: acceptor.identity(), ask: Ask::Query { known: Ballot::ZERO } };
+    let query = Request {
+        round: 1,
+        to: acceptor.identity(),
+        ask: Ask::Query {
+            known: Ballot::ZERO,
+        },
+    };
     let reported = answer(&mut acceptor, query);
     assert_matches!(reported, Answer::Reported(report) if report.accepted == Some(Ballot::ZERO));
 }
@@ -89,7 +145,11 @@
 fn a_known_state_is_reported_by_its_ballot_alone() {
     let mut acceptor = member();
     answer(&mut acceptor, accept(&member(), 4, 1));
-    let query = Request { round: 1, to: acceptor.identity(), ask: Ask::Query { known: ballot(4) } };
+    let query = Request {
+        round: 1,
+        to: acceptor.identity(),
+        ask: Ask::Query { known: ballot(4) },
+    };
     let reported = answer(&mut acceptor, query);
     assert_matches!(reported, Answer::Reported(Report { accepted: Some(held), proposal: None, .. }) if held == ballot(4));
 }
@@ -97,7 +157,9 @@
 #[test]
 fn a_request_for_another_identity_is_refused() {
     let mut emptied = Acceptor::recovered(Record::empty(Identity(1)), Guards::default());
-    let refused = emptied.request(ASKER, prepare(&member(), 3), None).expect("at once");
+    let refused = emptied
+        .request(ASKER, prepare(&member(), 3), None)
+        .expect("at once");
     assert_matches!(refused.reply.answer, Answer::NotMember { .. });
     assert_eq!(refused.sender, Identity(1));
 }
@@ -105,10 +167,19 @@
 #[test]
 fn a_state_that_does_not_name_the_replica_is_not_accepted() {
     let mut standby = Acceptor::recovered(Record::empty(Identity(1)), Guards::default());
-    let request = Request { to: Identity(1), ..accept(&member(), 3, 1) };
+    let request = Request {
+        to: Identity(1),
+        ..accept(&member(), 3, 1)
+    };
     assert_matches!(
         standby.request(ASKER, request, None),
-        Some(Addressed { reply: Reply { answer: Answer::NotMember { .. }, .. }, .. })
+        Some(Addressed {
+            reply: Reply {
+                answer: Answer::NotMember { .. },
+                ..
+            },
+            ..
+        })
     );
 }
 
@@ -117,9 +188,16 @@
     let mut acceptor = member();
     let initial = acceptor.accepted().expect("initial").state.clone();
     let smaller = Membership::single(initial.members.current.without(acceptor.identity()));
-    let state = initial.successor(ballot(9), smaller, initial.value.clone()).into();
-    let chosen = Proposal { ballot: ballot(9), state };
-    let refused = acceptor.request(ASKER, prepare(&member(), 12), Some(&chosen)).expect("at once");
+    let state = initial
+        .successor(ballot(9), smaller, initial.value.clone())
+        .into();
+    let chosen = Proposal {
+        ballot: ballot(9),
+        state,
+    };
+    let refused = acceptor
+        .request(ASKER, prepare(&member(), 12), Some(&chosen))
+        .expect("at once");
     assert_matches!(refused.reply.answer, Answer::NotMember { chosen } if chosen == ballot(9));
 }
 
@@ -131,20 +209,39 @@
     assert_eq!(acceptor.request(ASKER, prepare(&acceptor, 4), None), None);
     assert_eq!(acceptor.next_write(), None);
     assert_eq!(acceptor.persisted(write.token + 1), []);
-    assert_matches!(&acceptor.persisted(write.token)[..], [Addressed { reply: Reply { round: 3, .. }, .. }]);
+    assert_matches!(
+        &acceptor.persisted(write.token)[..],
+        [Addressed {
+            reply: Reply { round: 3, .. },
+            ..
+        }]
+    );
 }
 
 #[test]
 fn a_record_that_was_only_read_says_nothing_before_it_is_durable() {
-    let promised = Record { promised: ballot(7), reserved: 9, ..member().record };
+    let promised = Record {
+        promised: ballot(7),
+        reserved: 9,
+        ..member().record
+    };
     let mut acceptor = Acceptor::fresh(promised, Guards::default());
-    let query = Request { round: 1, to: acceptor.identity(), ask: Ask::Query { known: Ballot::ZERO } };
+    let query = Request {
+        round: 1,
+        to: acceptor.identity(),
+        ask: Ask::Query {
+            known: Ballot::ZERO,
+        },
+    };
     assert_eq!(acceptor.request(ASKER, query.clone(), None), None);
     assert_eq!((acceptor.reserved(), acceptor.used()), (0, 9));
     let write = acceptor.next_write().expect("a write");
     assert_eq!(acceptor.persisted(write.token), []);
     assert_matches!(answer(&mut acceptor, query), Answer::Reported(report) if report.accepted.is_some());
-    assert_matches!(answer(&mut acceptor, prepare(&member(), 6)), Answer::Conflict { .. });
+    assert_matches!(
+        answer(&mut acceptor, prepare(&member(), 6)),
+        Answer::Conflict { .. }
+    );
 }
 
 #[test]
@@ -155,5 +252,8 @@
     let write = acceptor.next_write().expect("a write");
     acceptor.persisted(write.token);
     assert_eq!(acceptor.reserved(), 1_000);
-    assert_eq!(Acceptor::recovered(write.record, Guards::default()).used(), 1_000);
+    assert_eq!(
+        Acceptor::recovered(write.record, Guards::default()).used(),
+        1_000
+    );
 }
--- a/crates/register/src/ballot.rs
+++ b/crates/register/src/ballot.rs
@@ -10,12 +10,15 @@
 pub struct Identity(pub u64);
 
 impl Identity {
-    /// Identity of an initial member, which the other initial members derive from its address alone.
+    /// Identity of an initial member, which the other initial members derive from its address
+    /// alone.
     pub fn of_seed(address: SocketAddr) -> Self {
         const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
         const PRIME: u64 = 0x0000_0100_0000_01b3;
         let text = address.to_string();
-        let hash = text.bytes().fold(OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME));
+        let hash = text.bytes().fold(OFFSET, |hash, byte| {
+            (hash ^ u64::from(byte)).wrapping_mul(PRIME)
+        });
         Self(hash)
     }
 }
@@ -26,7 +29,8 @@
     }
 }
 
-/// Orders proposals: by counter, then by the proposer's identity, so that no two proposers share one.
+/// Orders proposals: by counter, then by the proposer's identity, so that no two proposers share
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     /// Raised by a proposer for every attempt.
@@ -37,7 +41,10 @@
 
 impl Ballot {
     /// Ballot of the initial state; no proposer uses it.
-    pub const ZERO: Self = Self { counter: 0, identity: Identity(0) };
+    pub const ZERO: Self = Self {
+        counter: 0,
+        identity: Identity(0),
+    };
 }
 
 impl fmt::Display for Ballot {
--- a/crates/register/src/contact.rs
+++ b/crates/register/src/contact.rs
@@ -1,10 +1,12 @@
-//! Contact with a majority: when this node last asked a question that a majority of the replicas has answered.
+//! Contact with a majority: when this node last asked a question that a majority of the replicas
+//! has answered.
 //!
-//! A node asks all coordinators that it knows at regular intervals. Its contact is as old as the *asking* of the
-//! newest question that a majority has answered, by the node's own steady clock: the time an answer was on its way, or
-//! waited while this process stood still, counts as time without contact. An answer counts only if its sender holds
-//! no newer replica set than the asker, so that a quorum of an outdated set gives no contact: any newer set is
-//! accepted by a majority of the one before it, and one of those would have told.
+//! A node asks all coordinators that it knows at regular intervals. Its contact is as old as the
+//! *asking* of the newest question that a majority has answered, by the node's own steady clock:
+//! the time an answer was on its way, or waited while this process stood still, counts as time
+//! without contact. An answer counts only if its sender holds no newer replica set than the asker,
+//! so that a quorum of an outdated set gives no contact: any newer set is accepted by a majority of
+//! the one before it, and one of those would have told.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,7 +17,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Number of a question; unique within one life of a node, and drawn so that lives don't share numbers.
+/// Number of a question; unique within one life of a node, and drawn so that lives don't share
+/// numbers.
 pub type QuestionNumber = u64;
 
 /// Questions asked within one bound.
@@ -38,7 +41,13 @@
 impl Contact {
     /// No contact yet. `first` is the number of the first question; it must differ at each start.
     pub fn new(bound: Duration, first: QuestionNumber) -> Self {
-        Self { bound, next: first, ask_at: Duration::ZERO, open: VecDeque::new(), answered: BTreeMap::new() }
+        Self {
+            bound,
+            next: first,
+            ask_at: Duration::ZERO,
+            open: VecDeque::new(),
+            answered: BTreeMap::new(),
+        }
     }
 
     /// When the next question is due.
@@ -64,7 +73,8 @@
         Some(number)
     }
 
-    /// A replica has answered. Answers to questions that were never asked, or too long ago, don't count.
+    /// A replica has answered. Answers to questions that were never asked, or too long ago, don't
+    /// count.
     pub fn answer(&mut self, from: Identity, number: QuestionNumber) {
         let asked = self.open.iter().find(|(open, _)| *open == number);
         if let Some((_, at)) = asked {
@@ -73,7 +83,8 @@
         }
     }
 
-    /// When the newest question was asked that a majority of each set held has answered; `own` has, at every moment.
+    /// When the newest question was asked that a majority of each set held has answered; `own` has,
+    /// at every moment.
     pub fn since(&self, now: Duration, own: Identity, members: &Membership) -> Option<Duration> {
         let current = self.since_majority(now, own, &members.current)?;
         match &members.next {
@@ -84,7 +95,8 @@
 
     /// Whether contact is younger than the bound.
     pub fn is_held(&self, now: Duration, own: Identity, members: &Membership) -> bool {
-        self.since(now, own, members).is_some_and(|since| now < since + self.bound)
+        self.since(now, own, members)
+            .is_some_and(|since| now < since + self.bound)
     }
 
     fn since_majority(&self, now: Duration, own: Identity, set: &ReplicaSet) -> Option<Duration> {
@@ -92,8 +104,11 @@
             true => Some(now),
             false => self.answered.get(&identity).copied(),
         };
-        let mut times: Vec<Duration> =
-            set.replicas().iter().filter_map(|replica| answered(replica.identity)).collect();
+        let mut times: Vec<Duration> = set
+            .replicas()
+            .iter()
+            .filter_map(|replica| answered(replica.identity))
+            .collect();
         times.sort_unstable_by(|one, other| other.cmp(one));
         times.get(set.majority() - 1).copied()
     }
@@ -103,6 +118,7 @@
         while self.open.front().is_some_and(|(_, at)| now >= *at + bound) {
             self.open.pop_front();
         }
-        self.answered.retain(|_, at| now < *at + bound * BOUNDS_REMEMBERED);
+        self.answered
+            .retain(|_, at| now < *at + bound * BOUNDS_REMEMBERED);
     }
 }
--- a/crates/register/src/contact/tests.rs
+++ b/crates/register/src/contact/tests.rs
@@ -15,7 +15,10 @@
 fn set(numbers: &[u64]) -> ReplicaSet {
     ReplicaSet::new(numbers.iter().map(|&number| Replica {
         identity: Identity(number),
-        address: SocketAddr::from(([127, 0, 0, 1], 7_000 + u16::try_from(number).expect("small"))),
+        address: SocketAddr::from((
+            [127, 0, 0, 1],
+            7_000 + u16::try_from(number).expect("small"),
+        )),
         zone: String::new(),
     }))
 }
@@ -27,7 +30,9 @@
 /// Asks at that time; these replicas answer.
 fn exchange(contact: &mut Contact, at: u64, answering: &[u64]) {
     let number = contact.ask(ms(at)).expect("a question is due");
-    answering.iter().for_each(|&from| contact.answer(Identity(from), number));
+    answering
+        .iter()
+        .for_each(|&from| contact.answer(Identity(from), number));
 }
 
 fn contact() -> Contact {
@@ -41,8 +46,15 @@
     exchange(&mut contact, 0, &[]);
     assert!(!contact.is_held(ms(1), OWN, &members(&[1, 2, 3])));
     exchange(&mut contact, 250, &[2]);
-    assert_eq!(contact.since(ms(300), OWN, &members(&[1, 2, 3])), Some(ms(250)));
-    assert_eq!(contact.since(ms(300), OWN, &members(&[1, 2, 3, 4])), None, "of four, three are a majority");
+    assert_eq!(
+        contact.since(ms(300), OWN, &members(&[1, 2, 3])),
+        Some(ms(250))
+    );
+    assert_eq!(
+        contact.since(ms(300), OWN, &members(&[1, 2, 3, 4])),
+        None,
+        "of four, three are a majority"
+    );
 }
 
 #[test]
@@ -51,9 +63,15 @@
     let number = contact.ask(ms(0)).expect("due");
     let _later = contact.ask(ms(250)).expect("due");
     contact.answer(Identity(2), number);
-    assert_eq!(contact.since(ms(900), OWN, &members(&[1, 2, 3])), Some(ms(0)));
+    assert_eq!(
+        contact.since(ms(900), OWN, &members(&[1, 2, 3])),
+        Some(ms(0))
+    );
     assert!(contact.is_held(ms(999), OWN, &members(&[1, 2, 3])));
-    assert!(!contact.is_held(ms(1_000), OWN, &members(&[1, 2, 3])), "at the bound it is over");
+    assert!(
+        !contact.is_held(ms(1_000), OWN, &members(&[1, 2, 3])),
+        "at the bound it is over"
+    );
 }
 
 #[test]
@@ -62,13 +80,18 @@
     exchange(&mut contact, 0, &[2, 3]);
     for at in (250..=5_000).step_by(250) {
         exchange(&mut contact, at, &[]);
-        assert_eq!(contact.is_held(ms(at), OWN, &members(&[1, 2, 3])), at < 1_000, "{at}");
+        assert_eq!(
+            contact.is_held(ms(at), OWN, &members(&[1, 2, 3])),
+            at < 1_000,
+            "{at}"
+        );
     }
     exchange(&mut contact, 5_250, &[3]);
     assert!(contact.is_held(ms(5_250), OWN, &members(&[1, 2, 3])));
 }
 
-/// The process stands still while its question is out: the answer that waits for it then is worth nothing.
+/// The process stands still while its question is out: the answer that waits for it then is worth
+/// nothing.
 #[test]
 fn a_freeze_of_the_own_process_is_loss() {
     let mut contact = contact();
@@ -79,7 +102,10 @@
     assert!(!contact.is_held(ms(9_000), OWN, &members(&[1, 2, 3])));
     exchange(&mut contact, 9_000, &[]);
     contact.answer(Identity(3), before);
-    assert_eq!(contact.since(ms(9_000), OWN, &members(&[1, 2, 3])), Some(ms(250)));
+    assert_eq!(
+        contact.since(ms(9_000), OWN, &members(&[1, 2, 3])),
+        Some(ms(250))
+    );
 }
 
 #[test]
@@ -89,7 +115,11 @@
     exchange(&mut contact, 0, &[2, 3]);
     assert!(!contact.is_held(ms(1), OWN, &joint));
     exchange(&mut contact, 250, &[4]);
-    assert_eq!(contact.since(ms(300), OWN, &joint), Some(ms(0)), "the older of both");
+    assert_eq!(
+        contact.since(ms(300), OWN, &joint),
+        Some(ms(0)),
+        "the older of both"
+    );
     exchange(&mut contact, 500, &[2, 5]);
     assert_eq!(contact.since(ms(600), OWN, &joint), Some(ms(500)));
 }
@@ -134,7 +164,10 @@
     let second = contact.ask(ms(250)).expect("due");
     contact.answer(Identity(2), second);
     contact.answer(Identity(2), first);
-    assert_eq!(contact.since(ms(300), OWN, &members(&[1, 2, 3])), Some(ms(250)));
+    assert_eq!(
+        contact.since(ms(300), OWN, &members(&[1, 2, 3])),
+        Some(ms(250))
+    );
 }
 
 #[test]
@@ -144,7 +177,10 @@
     assert_eq!(contact.ask(ms(20)), None);
     contact.ask_at_once();
     exchange(&mut contact, 20, &[2]);
-    assert_eq!(contact.since(ms(21), OWN, &members(&[1, 2, 3])), Some(ms(20)));
+    assert_eq!(
+        contact.since(ms(21), OWN, &members(&[1, 2, 3])),
+        Some(ms(20))
+    );
     assert_eq!(contact.ask(ms(21)), None);
 }
 
--- a/crates/register/src/first_start.rs
+++ b/crates/register/src/first_start.rs
@@ -1,27 +1,32 @@
-//! Whether the whole system starts for the first time: asked by an initial member whose disk is empty.
+//! Whether the whole system starts for the first time: asked by an initial member whose disk is
+//! empty.
 //!
-//! The identity of an initial member follows from its address, for the initial members have to know one another's before
-//! they can agree on anything. A machine whose disk was lost, and whose settings still say that the system starts for
-//! the first time, would take the same identity again and vote as if it had promised nothing. It therefore gives no vote
-//! before the others have told of their past ([`Past`]):
+//! The identity of an initial member follows from its address, for the initial members have to know
+//! one another's before they can agree on anything. A machine whose disk was lost, and whose
+//! settings still say that the system starts for the first time, would take the same identity again
+//! and vote as if it had promised nothing. It therefore gives no vote before the others have told
+//! of their past ([`Past`]):
 //!
-//! - One that has voted for something, or knows something beyond the initial state: the disk was lost. The replica takes
-//!   a new identity, and the members decide whether to take it in.
-//! - All other initial members have voted for nothing: nor has this one's earlier life in any decision, for each
-//!   decision has a majority, and so another member. It is an initial member.
-//! - Some are out of reach: if those that are heard make a majority with this one, and all of them had empty disks too
-//!   when they were first heard, the system starts with machines missing. This is believed only after a while. Else it
-//!   waits: the one that is missing may be the only other that knows a decision.
+//! - One that has voted for something, or knows something beyond the initial state: the disk was
+//!   lost. The replica takes a new identity, and the members decide whether to take it in.
+//! - All other initial members have voted for nothing: nor has this one's earlier life in any
+//!   decision, for each decision has a majority, and so another member. It is an initial member.
+//! - Some are out of reach: if those that are heard make a majority with this one, and all of them
+//!   had empty disks too when they were first heard, the system starts with machines missing. This
+//!   is believed only after a while. Else it waits: the one that is missing may be the only other
+//!   that knows a decision.
 //!
-//! A replica that has become a member votes only once all initial members have, or after a while a majority with it: its
-//! votes tell the others that the system had started before them, and whoever hasn't yet then takes another identity and
-//! is a member again only after a change of the set. Until then the next loss would leave no majority. A member that comes
-//! back from its disk and has voted for nothing yet ([`FirstStart::returned`]) waits for a majority, too: the others may
-//! not have started.
+//! A replica that has become a member votes only once all initial members have, or after a while a
+//! majority with it: its votes tell the others that the system had started before them, and whoever
+//! hasn't yet then takes another identity and is a member again only after a change of the set.
+//! Until then the next loss would leave no majority. A member that comes back from its disk and has
+//! voted for nothing yet ([`FirstStart::returned`]) waits for a majority, too: the others may not
+//! have started.
 //!
-//! What remains unprotected: a loss of the disks of a majority, which loses the decisions themselves; and a promise to a
-//! coordinator that is no initial member, given and lost with the disk before that coordinator's request reached any
-//! other member of a system that has never been changed.
+//! What remains unprotected: a loss of the disks of a majority, which loses the decisions
+//! themselves; and a promise to a coordinator that is no initial member, given and lost with the
+//! disk before that coordinator's request reached any other member of a system that has never been
+//! changed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -65,7 +70,12 @@
 }
 
 impl<V> FirstStart<V> {
-    pub(crate) fn new(own: SocketAddr, members: Vec<SocketAddr>, value: V, patience: Duration) -> Self {
+    pub(crate) fn new(
+        own: SocketAddr,
+        members: Vec<SocketAddr>,
+        value: V,
+        patience: Duration,
+    ) -> Self {
         Self {
             own,
             members,
@@ -80,7 +90,8 @@
         }
     }
 
-    /// For an initial member that comes back from its disk and has voted for nothing; none for any other record.
+    /// For an initial member that comes back from its disk and has voted for nothing; none for any
+    /// other record.
     pub(crate) fn returned(own: SocketAddr, record: &Record<V>, patience: Duration) -> Option<Self>
     where
         V: Clone,
@@ -89,7 +100,11 @@
         let replicas = initial.state.members.current.replicas();
         let members = replicas.iter().map(|replica| replica.address).collect();
         let value = V::clone(&initial.state.value);
-        Some(Self { is_member: true, has_returned: true, ..Self::new(own, members, value, patience) })
+        Some(Self {
+            is_member: true,
+            has_returned: true,
+            ..Self::new(own, members, value, patience)
+        })
     }
 
     /// Addresses of the initial members, which are asked.
@@ -97,8 +112,8 @@
         self.members.iter().copied()
     }
 
-    /// A coordinator tells of its past. One that stands at a member's address under another identity is no witness: it
-    /// doesn't know what that member knew.
+    /// A coordinator tells of its past. One that stands at a member's address under another
+    /// identity is no witness: it doesn't know what that member knew.
     pub(crate) fn hear(&mut self, sender: Identity, address: SocketAddr, past: Past) {
         self.is_later |= past == Past::Changed;
         let is_member = address != self.own && self.members.contains(&address);
@@ -112,7 +127,10 @@
 
     /// Number of the other initial members.
     fn others(&self) -> usize {
-        self.members.iter().filter(|member| **member != self.own).count()
+        self.members
+            .iter()
+            .filter(|member| **member != self.own)
+            .count()
     }
 
     /// Number of the other initial members that make a majority with this one.
@@ -120,7 +138,8 @@
         self.members.len() / 2
     }
 
-    /// Whether the others have been waited for long enough; the wait begins with the first question.
+    /// Whether the others have been waited for long enough; the wait begins with the first
+    /// question.
     fn is_patience_over(&mut self, now: Duration) -> bool {
         now >= *self.since.get_or_insert(now) + self.patience
     }
@@ -129,18 +148,27 @@
     pub(crate) fn verdict(&mut self, now: Duration) -> Verdict {
         let is_patience_over = self.is_patience_over(now);
         let all_blank = self.heard.values().all(|past| *past == Past::Blank);
-        let is_likely = is_patience_over && all_blank && self.heard.len() >= self.majority_of_others();
-        match (self.is_later, self.heard.len() == self.others() || is_likely) {
+        let is_likely =
+            is_patience_over && all_blank && self.heard.len() >= self.majority_of_others();
+        match (
+            self.is_later,
+            self.heard.len() == self.others() || is_likely,
+        ) {
             (true, _) => Verdict::Later,
             (false, true) => Verdict::First,
             (false, false) => Verdict::Open,
         }
     }
 
-    /// Whether this member may vote: all initial members are members, or after a while a majority of them is.
+    /// Whether this member may vote: all initial members are members, or after a while a majority
+    /// of them is.
     pub(crate) fn may_vote(&mut self, now: Duration) -> bool {
         let majority_suffices = self.is_patience_over(now) || self.has_returned;
-        let needed = if majority_suffices { self.majority_of_others() } else { self.others() };
+        let needed = if majority_suffices {
+            self.majority_of_others()
+        } else {
+            self.others()
+        };
         self.is_member && self.members_heard.len() >= needed
     }
 
--- a/crates/register/src/first_start/tests.rs
+++ b/crates/register/src/first_start/tests.rs
@@ -10,8 +10,13 @@
 }
 
 fn first_start(members: u16) -> FirstStart<u8> {
-    let mut first_start = FirstStart::new(address(0), (0..members).map(address).collect(), 0, PATIENCE);
-    let alone = if members == 1 { Verdict::First } else { Verdict::Open };
+    let mut first_start =
+        FirstStart::new(address(0), (0..members).map(address).collect(), 0, PATIENCE);
+    let alone = if members == 1 {
+        Verdict::First
+    } else {
+        Verdict::Open
+    };
     assert_eq!(first_start.verdict(Duration::ZERO), alone);
     first_start
 }
@@ -30,7 +35,10 @@
     let first = (Verdict::First, Verdict::First);
     assert_eq!(verdicts(1, &[]), first);
     assert_eq!(verdicts(3, &[Past::Blank, Past::Initial]), first);
-    assert_eq!(verdicts(5, &[Past::Blank, Past::Initial, Past::Initial, Past::Blank]), first);
+    assert_eq!(
+        verdicts(5, &[Past::Blank, Past::Initial, Past::Initial, Past::Blank]),
+        first
+    );
 }
 
 #[test]
@@ -40,7 +48,11 @@
     assert_eq!(verdicts(3, &[Past::Initial, Past::Changed]), later);
     let mut first_start = first_start(3);
     first_start.hear(Identity(7), address(9), Past::Changed);
-    assert_eq!(first_start.verdict(SOON), Verdict::Later, "a standby counts too");
+    assert_eq!(
+        first_start.verdict(SOON),
+        Verdict::Later,
+        "a standby counts too"
+    );
 }
 
 #[test]
@@ -48,13 +60,22 @@
     assert_eq!(verdicts(3, &[]), (Verdict::Open, Verdict::Open));
     assert_eq!(verdicts(3, &[Past::Blank]), (Verdict::Open, Verdict::First));
     assert_eq!(verdicts(5, &[Past::Blank]), (Verdict::Open, Verdict::Open));
-    assert_eq!(verdicts(5, &[Past::Blank, Past::Blank]), (Verdict::Open, Verdict::First));
+    assert_eq!(
+        verdicts(5, &[Past::Blank, Past::Blank]),
+        (Verdict::Open, Verdict::First)
+    );
 }
 
 #[test]
 fn beside_members_that_have_started_before_the_missing_one_is_waited_for() {
-    assert_eq!(verdicts(3, &[Past::Initial]), (Verdict::Open, Verdict::Open));
-    assert_eq!(verdicts(5, &[Past::Initial; 3]), (Verdict::Open, Verdict::Open));
+    assert_eq!(
+        verdicts(3, &[Past::Initial]),
+        (Verdict::Open, Verdict::Open)
+    );
+    assert_eq!(
+        verdicts(5, &[Past::Initial; 3]),
+        (Verdict::Open, Verdict::Open)
+    );
 }
 
 #[test]
@@ -74,7 +95,8 @@
     assert_eq!(first_start.verdict(PATIENCE), Verdict::Open);
 }
 
-/// One that hasn't become a member yet would take the votes of a majority for a sign that its disk was lost.
+/// One that hasn't become a member yet would take the votes of a majority for a sign that its disk
+/// was lost.
 #[test]
 fn a_new_member_votes_once_all_are_members_or_after_a_while_a_majority() {
     let mut first_start = first_start(3);
--- a/crates/register/src/guard.rs
+++ b/crates/register/src/guard.rs
@@ -17,17 +17,18 @@
     JointChosenFirst,
     /// What isn't known as chosen is accepted anew before it is reported.
     ConfirmBeforeReport,
-    /// A change that alters nothing is answered only once the state is accepted anew, so that what was left
-    /// half-done before the answer never comes into force after it.
+    /// A change that alters nothing is answered only once the state is accepted anew, so that what
+    /// was left half-done before the answer never comes into force after it.
     FenceBeforeAnswer,
     /// A member counts as lost only once a majority of the members has not heard it.
     LostByMajority,
     /// Time for which the own process stood still is no silence of the others.
     OwnPause,
-    /// An initial member on an empty disk asks the others before it votes under the initial identity.
+    /// An initial member on an empty disk asks the others before it votes under the initial
+    /// identity.
     FirstStart,
-    /// An initial member that comes back from its disk without having voted waits, as at its first start, until a
-    /// majority of the initial members is known to have started.
+    /// An initial member that comes back from its disk without having voted waits, as at its first
+    /// start, until a majority of the initial members is known to have started.
     InitialReturn,
     /// A node that has started tells no state as learnt before it has read one from a majority.
     ReadBeforeTold,
@@ -44,7 +45,9 @@
     /// All guards but one.
     #[cfg(feature = "mutations")]
     pub fn without(guard: Guard) -> Self {
-        Self { removed: Some(guard) }
+        Self {
+            removed: Some(guard),
+        }
     }
 
     /// Whether the guard is in force.
