--- a/crates/register/src/learner.rs
+++ b/crates/register/src/learner.rs
@@ -17,7 +17,10 @@
 
 impl<V> Default for Learner<V> {
     fn default() -> Self {
-        Self { chosen: None, unconfirmed: None }
+        Self {
+            chosen: None,
+            unconfirmed: None,
+        }
     }
 }
 
@@ -29,7 +32,9 @@
 
     /// Ballot of the newest proposal known as chosen.
     pub fn ballot(&self) -> Ballot {
-        self.chosen.as_ref().map_or(Ballot::ZERO, |proposal| proposal.ballot)
+        self.chosen
+            .as_ref()
+            .map_or(Ballot::ZERO, |proposal| proposal.ballot)
     }
 
     /// Sequence of the newest proposal known as chosen.
@@ -39,16 +44,25 @@
 
     /// Takes in a chosen proposal. Returns its state if it is newer than what was known.
     pub fn learn(&mut self, proposal: &Proposal<V>) -> Option<&State<V>> {
-        if self.chosen.as_ref().is_some_and(|known| known.ballot >= proposal.ballot) {
+        if self
+            .chosen
+            .as_ref()
+            .is_some_and(|known| known.ballot >= proposal.ballot)
+        {
             return None;
         }
-        let news = self.sequence().is_none_or(|known| known < proposal.state.sequence);
+        let news = self
+            .sequence()
+            .is_none_or(|known| known < proposal.state.sequence);
         self.chosen = Some(proposal.clone());
-        self.chosen.as_ref().filter(|_| news).map(|proposal| &*proposal.state)
+        self.chosen
+            .as_ref()
+            .filter(|_| news)
+            .map(|proposal| &*proposal.state)
     }
 
-    /// Takes in that a ballot is chosen with the state of that sequence. Returns whether its state is at hand:
-    /// the one known already, since a sequence has one state.
+    /// Takes in that a ballot is chosen with the state of that sequence. Returns whether its state
+    /// is at hand: the one known already, since a sequence has one state.
     pub fn learn_ballot(&mut self, ballot: Ballot, sequence: u64) -> bool {
         match &mut self.chosen {
             Some(known) if known.ballot >= ballot => true,
@@ -61,7 +75,11 @@
     }
 
     /// Since when the proposal of that ballot has been held without being known as chosen.
-    pub fn unconfirmed_since(&mut self, now: Duration, accepted: Option<Ballot>) -> Option<Duration> {
+    pub fn unconfirmed_since(
+        &mut self,
+        now: Duration,
+        accepted: Option<Ballot>,
+    ) -> Option<Duration> {
         let open = accepted.filter(|&ballot| self.chosen.is_none() || ballot > self.ballot());
         self.unconfirmed = match (open, self.unconfirmed) {
             (Some(ballot), Some((held, since))) if held == ballot => Some((ballot, since)),
--- a/crates/register/src/learner/tests.rs
+++ b/crates/register/src/learner/tests.rs
@@ -5,13 +5,22 @@
 use crate::replicas::{Membership, ReplicaSet};
 
 fn ballot(counter: u64) -> Ballot {
-    Ballot { counter, identity: Identity(1) }
+    Ballot {
+        counter,
+        identity: Identity(1),
+    }
 }
 
 fn proposal(counter: u64, sequence: u64) -> Proposal<u8> {
     let members = Membership::single(ReplicaSet::default());
-    let state = State { sequence, ..State::initial(members, 0) };
-    Proposal { ballot: ballot(counter), state: state.into() }
+    let state = State {
+        sequence,
+        ..State::initial(members, 0)
+    };
+    Proposal {
+        ballot: ballot(counter),
+        state: state.into(),
+    }
 }
 
 #[test]
@@ -40,9 +49,18 @@
     learner.learn(&proposal(1, 1));
     let at = Duration::from_millis;
     assert_eq!(learner.unconfirmed_since(at(1), Some(ballot(1))), None);
-    assert_eq!(learner.unconfirmed_since(at(2), Some(ballot(2))), Some(at(2)));
-    assert_eq!(learner.unconfirmed_since(at(9), Some(ballot(2))), Some(at(2)));
-    assert_eq!(learner.unconfirmed_since(at(9), Some(ballot(3))), Some(at(9)));
+    assert_eq!(
+        learner.unconfirmed_since(at(2), Some(ballot(2))),
+        Some(at(2))
+    );
+    assert_eq!(
+        learner.unconfirmed_since(at(9), Some(ballot(2))),
+        Some(at(2))
+    );
+    assert_eq!(
+        learner.unconfirmed_since(at(9), Some(ballot(3))),
+        Some(at(9))
+    );
     learner.learn(&proposal(3, 2));
     assert_eq!(learner.unconfirmed_since(at(10), Some(ballot(3))), None);
 }
--- a/crates/register/src/message.rs
+++ b/crates/register/src/message.rs
@@ -124,14 +124,15 @@
     pub zone: String,
     /// Whether the node gives its place up: it is about to stop for good, or can't vote any more.
     pub leaving: bool,
-    /// Members that the node has not heard for [`Settings::unreachable`](crate::Settings::unreachable).
+    /// Members that the node has not heard for
+    /// [`Settings::unreachable`](crate::Settings::unreachable).
     pub silent: Vec<Identity>,
     /// What the node's disk may have taken part in.
     pub past: Past,
 }
 
-/// What a node may have taken part in, as far as it knows; for those who ask whether the system starts for the first
-/// time.
+/// What a node may have taken part in, as far as it knows; for those who ask whether the system
+/// starts for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Past {
     /// Nothing: it has given no vote in this life and its disk was empty.
--- a/crates/register/src/node.rs
+++ b/crates/register/src/node.rs
@@ -1,4 +1,5 @@
-//! One coordinator's part in the register: acceptor, proposer, learner and steward behind one interface.
+//! One coordinator's part in the register: acceptor, proposer, learner and steward behind one
+//! interface.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -41,11 +42,11 @@
     peers: BTreeSet<SocketAddr>,
     leaving: bool,
     steward: Steward,
-    /// Whether a state was read from a majority, or chosen by one, in this life. What others tell before may be older
-    /// than what an earlier life has acknowledged, so it is not passed on.
+    /// Whether a state was read from a majority, or chosen by one, in this life. What others tell
+    /// before may be older than what an earlier life has acknowledged, so it is not passed on.
     has_read: bool,
-    /// Whether the whole system starts for the first time, while that isn't known; and until a majority of the initial
-    /// members is known to have started. Until then the node gives no vote.
+    /// Whether the whole system starts for the first time, while that isn't known; and until a
+    /// majority of the initial members is known to have started. Until then the node gives no vote.
     first_start: Option<FirstStart<V>>,
     contact: Contact,
     background: background::Background,
@@ -58,7 +59,9 @@
         let mut random = Random::new(seed);
         let guards = settings.guards;
         let mut first_start = match &origin {
-            Origin::Disk(record) | Origin::Unconfirmed(record) if guards.keeps(Guard::InitialReturn) => {
+            Origin::Disk(record) | Origin::Unconfirmed(record)
+                if guards.keeps(Guard::InitialReturn) =>
+            {
                 FirstStart::returned(place.address, record, settings.first_start)
             }
             _ => None,
@@ -67,7 +70,12 @@
             Origin::Disk(record) => Acceptor::recovered(record, guards),
             Origin::Unconfirmed(record) => Acceptor::fresh(record, guards),
             Origin::Bootstrap { members, value } if guards.keeps(Guard::FirstStart) => {
-                first_start = Some(FirstStart::new(place.address, members, value, settings.first_start));
+                first_start = Some(FirstStart::new(
+                    place.address,
+                    members,
+                    value,
+                    settings.first_start,
+                ));
                 Acceptor::recovered(Record::empty(Identity::of_seed(place.address)), guards)
             }
             Origin::Bootstrap { members, value } => {
@@ -76,8 +84,11 @@
             Origin::Empty { identity } => Acceptor::fresh(Record::empty(identity), guards),
         };
         let used = acceptor.used();
-        let replica =
-            Replica { identity: acceptor.identity(), address: place.address, zone: place.zone.clone() };
+        let replica = Replica {
+            identity: acceptor.identity(),
+            address: place.address,
+            zone: place.zone.clone(),
+        };
         let steward = Steward::new(replica, &settings);
         let contact = Contact::new(settings.contact, Random::new(!seed).next() >> 32);
         let proposer = Proposer::new(acceptor.identity(), used, random.next(), settings.clone());
@@ -111,23 +122,29 @@
 
     /// Whether this replica is a member by the newest state known.
     pub fn is_member(&self) -> bool {
-        self.chosen().is_some_and(|state| state.members.contains(self.identity()))
+        self.chosen()
+            .is_some_and(|state| state.members.contains(self.identity()))
     }
 
-    /// When the newest question was asked that a majority of the replicas has answered; both majorities where two
-    /// sets are held. Nothing before the first such answers, or before any replica set is known.
+    /// When the newest question was asked that a majority of the replicas has answered; both
+    /// majorities where two sets are held. Nothing before the first such answers, or before any
+    /// replica set is known.
     pub fn contact_since(&self, now: Duration) -> Option<Duration> {
         self.contact.since(now, self.identity(), self.members()?)
     }
 
     /// Whether a majority has answered a question asked within the bound of the settings.
     pub fn is_in_contact(&self, now: Duration) -> bool {
-        self.members().is_some_and(|members| self.contact.is_held(now, self.identity(), members))
+        self.members()
+            .is_some_and(|members| self.contact.is_held(now, self.identity(), members))
     }
 
     /// The newest state held, chosen or only accepted.
     fn newest(&self) -> Option<&Proposal<V>> {
-        [self.learner.chosen(), self.acceptor.accepted()].into_iter().flatten().max_by_key(|held| held.ballot)
+        [self.learner.chosen(), self.acceptor.accepted()]
+            .into_iter()
+            .flatten()
+            .max_by_key(|held| held.ballot)
     }
 
     fn members(&self) -> Option<&Membership> {
@@ -139,7 +156,8 @@
         self.proposer.counters()
     }
 
-    /// Takes in an event at the time `now` of a steady clock, and adds what is to be done to `actions`.
+    /// Takes in an event at the time `now` of a steady clock, and adds what is to be done to
+    /// `actions`.
     pub fn handle(&mut self, now: Duration, event: Event<V>, actions: &mut Vec<Action<V>>) {
         self.notice_pause(now);
         match event {
@@ -150,7 +168,11 @@
                     self.send_reply(now, addressed, actions);
                 }
             }
-            Event::Submit { id, operation, deadline } => self.proposer.submit(Some(id), operation, deadline),
+            Event::Submit {
+                id,
+                operation,
+                deadline,
+            } => self.proposer.submit(Some(id), operation, deadline),
             Event::Peers(addresses) => self.set_peers(addresses),
             Event::Leaving => self.leave(actions),
             Event::Question => self.contact.ask_at_once(),
@@ -178,11 +200,18 @@
     }
 
     fn receive(&mut self, now: Duration, message: Message<V>, actions: &mut Vec<Action<V>>) {
-        let Message { sender, address, body } = message;
+        let Message {
+            sender,
+            address,
+            body,
+        } = message;
         self.steward.hear(now, sender, address);
         match body {
             Body::Request(request) if self.first_start.is_none() => {
-                if let Some(addressed) = self.acceptor.request(address, request, self.learner.chosen()) {
+                if let Some(addressed) =
+                    self.acceptor
+                        .request(address, request, self.learner.chosen())
+                {
                     self.send_reply(now, addressed, actions);
                 }
             }
@@ -194,8 +223,10 @@
                 self.take_announcement(now, address, &announcement, actions);
             }
             Body::Fetch { known } => {
-                if let Some(chosen) =
-                    self.learner.chosen().filter(|chosen| chosen.ballot > known || known == Ballot::ZERO)
+                if let Some(chosen) = self
+                    .learner
+                    .chosen()
+                    .filter(|chosen| chosen.ballot > known || known == Ballot::ZERO)
                 {
                     let body = Body::State(chosen.clone());
                     self.send(address, body, actions);
@@ -210,7 +241,8 @@
         }
     }
 
-    /// Whether what this replica held is known, so that its silence about a newer replica set means that it holds none.
+    /// Whether what this replica held is known, so that its silence about a newer replica set means
+    /// that it holds none.
     fn knows_its_record(&self) -> bool {
         self.first_start.is_none() && !self.acceptor.awaits_first_record()
     }
@@ -240,7 +272,10 @@
     /// Tells what is known once a majority has been read for the first time.
     fn tell_first(&mut self, actions: &mut Vec<Action<V>>) {
         if !std::mem::replace(&mut self.has_read, true) {
-            let state = self.learner.chosen().map(|chosen| Arc::clone(&chosen.state));
+            let state = self
+                .learner
+                .chosen()
+                .map(|chosen| Arc::clone(&chosen.state));
             actions.extend(state.map(Action::Learned));
         }
     }
@@ -251,12 +286,17 @@
             let mut effects = Vec::new();
             let context = Context {
                 chosen: self.learner.chosen().filter(|_| self.first_start.is_none()),
-                accepted: self.acceptor.accepted().filter(|_| self.first_start.is_none()),
+                accepted: self
+                    .acceptor
+                    .accepted()
+                    .filter(|_| self.first_start.is_none()),
                 reserved: self.acceptor.reserved(),
                 promised: self.acceptor.promised(),
             };
             self.proposer.poll(now, &context, &mut effects);
-            let is_waiting = effects.iter().all(|effect| matches!(effect, Effect::Reserve { .. }));
+            let is_waiting = effects
+                .iter()
+                .all(|effect| matches!(effect, Effect::Reserve { .. }));
             self.carry_out(now, effects, actions);
             if is_waiting {
                 return;
@@ -267,7 +307,9 @@
     fn carry_out(&mut self, now: Duration, effects: Vec<Effect<V>>, actions: &mut Vec<Action<V>>) {
         for effect in effects {
             match effect {
-                Effect::Send { to, request } => self.send_request(now, to.address, request, actions),
+                Effect::Send { to, request } => {
+                    self.send_request(now, to.address, request, actions)
+                }
                 Effect::Done { id, outcome } => actions.push(Action::Completed { id, outcome }),
                 Effect::Chosen { proposal, announce } => {
                     let is_new = self.learner.ballot() < proposal.ballot;
@@ -305,7 +347,11 @@
     fn send_reply(&mut self, now: Duration, addressed: Addressed<V>, actions: &mut Vec<Action<V>>) {
         let Addressed { to, sender, reply } = addressed;
         if to != self.place.address {
-            let message = Message { sender, address: self.place.address, body: Body::Reply(reply) };
+            let message = Message {
+                sender,
+                address: self.place.address,
+                body: Body::Reply(reply),
+            };
             actions.push(Action::Send { to, message });
             return;
         }
@@ -325,7 +371,11 @@
     }
 
     fn send(&self, to: SocketAddr, body: Body<V>, actions: &mut Vec<Action<V>>) {
-        let message = Message { sender: self.identity(), address: self.place.address, body };
+        let message = Message {
+            sender: self.identity(),
+            address: self.place.address,
+            body,
+        };
         actions.push(Action::Send { to, message });
     }
 
@@ -337,7 +387,12 @@
     }
 
     fn set_timer(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
-        let due = self.proposer.wake().into_iter().chain([self.background.wake(), self.contact.wake()]).min();
+        let due = self
+            .proposer
+            .wake()
+            .into_iter()
+            .chain([self.background.wake(), self.contact.wake()])
+            .min();
         let due = due.map(|at| at.max(now));
         if due != self.timer {
             self.timer = due;
--- a/crates/register/src/node/announce.rs
+++ b/crates/register/src/node/announce.rs
@@ -26,11 +26,22 @@
         }
     }
 
-    fn take_digest(&mut self, now: Duration, from: SocketAddr, digest: Digest, actions: &mut Vec<Action<V>>) {
+    fn take_digest(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        digest: Digest,
+        actions: &mut Vec<Action<V>>,
+    ) {
         if self.learner.learn_ballot(digest.ballot, digest.sequence) {
             return;
         }
-        match self.acceptor.accepted().filter(|held| held.ballot == digest.ballot).cloned() {
+        match self
+            .acceptor
+            .accepted()
+            .filter(|held| held.ballot == digest.ballot)
+            .cloned()
+        {
             Some(held) => self.learn(&held, actions),
             None => self.fetch(now, from, digest.ballot, actions),
         }
@@ -44,7 +55,10 @@
         ballot: Ballot,
         actions: &mut Vec<Action<V>>,
     ) {
-        let is_known = self.learner.chosen().is_some_and(|chosen| chosen.ballot >= ballot);
+        let is_known = self
+            .learner
+            .chosen()
+            .is_some_and(|chosen| chosen.ballot >= ballot);
         if is_known || !self.background.may_fetch(now, ballot, self.settings.resend) {
             return;
         }
@@ -53,8 +67,10 @@
     }
 
     fn announcement(&self) -> Body<V> {
-        let digest =
-            |proposal: &Proposal<V>| Digest { ballot: proposal.ballot, sequence: proposal.state.sequence };
+        let digest = |proposal: &Proposal<V>| Digest {
+            ballot: proposal.ballot,
+            sequence: proposal.state.sequence,
+        };
         Body::Announce(Announcement {
             chosen: self.learner.chosen().map(digest),
             zone: self.place.zone.clone(),
--- a/crates/register/src/node/background.rs
+++ b/crates/register/src/node/background.rs
@@ -1,4 +1,5 @@
-//! What a node does unasked: announcements, and reads of what it holds without knowing it as chosen.
+//! What a node does unasked: announcements, and reads of what it holds without knowing it as
+//! chosen.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +11,8 @@
 
 /// How often it is asked whether a replica change is due.
 const STEWARD_INTERVAL: Duration = Duration::from_millis(100);
-/// A node acts each [`STEWARD_INTERVAL`] at least: if it didn't for this long, its process stood still.
+/// A node acts each [`STEWARD_INTERVAL`] at least: if it didn't for this long, its process stood
+/// still.
 const PAUSE: Duration = Duration::from_millis(300);
 
 /// Times of the unasked work.
@@ -28,7 +30,8 @@
     pub(super) silent: Vec<Identity>,
     /// Since when the write under way waits for the disk.
     pub(super) writing_since: Option<Duration>,
-    /// Whether the disk has taken nothing for so long that another is to vote in this replica's place.
+    /// Whether the disk has taken nothing for so long that another is to vote in this replica's
+    /// place.
     pub(super) disk_is_stuck: bool,
 }
 
@@ -39,9 +42,12 @@
         self.scrub_at.map_or(regular, |scrub| scrub.min(regular))
     }
 
-    /// Whether a chosen state may be asked for: a lower one, or the same a while ago, may be on its way.
+    /// Whether a chosen state may be asked for: a lower one, or the same a while ago, may be on its
+    /// way.
     pub(super) fn may_fetch(&mut self, now: Duration, ballot: Ballot, patience: Duration) -> bool {
-        let is_asked = self.fetching.is_some_and(|(asked, at)| asked >= ballot && now < at + patience);
+        let is_asked = self
+            .fetching
+            .is_some_and(|(asked, at)| asked >= ballot && now < at + patience);
         if !is_asked {
             self.fetching = Some((ballot, now));
         }
@@ -56,7 +62,8 @@
         let is_paused = self.background.started && pause >= PAUSE;
         if is_paused && self.settings.guards.keeps(Guard::OwnPause) {
             self.steward.stood_still(pause);
-            self.background.writing_since = self.background.writing_since.map(|since| since + pause);
+            self.background.writing_since =
+                self.background.writing_since.map(|since| since + pause);
         }
         self.background.acted_at = now;
     }
@@ -96,18 +103,27 @@
 
     /// Tells the others at once that a member has fallen silent, or is heard again.
     fn report_silent(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
-        let members = self.learner.chosen().map(|proposal| &proposal.state.members);
-        let silent = members.map(|members| self.steward.silent(now, members)).unwrap_or_default();
+        let members = self
+            .learner
+            .chosen()
+            .map(|proposal| &proposal.state.members);
+        let silent = members
+            .map(|members| self.steward.silent(now, members))
+            .unwrap_or_default();
         if silent != self.background.silent {
             self.background.silent = silent;
             self.announce(actions);
         }
     }
 
-    /// Gives the replica's place up while its disk takes no write: without a vote it is of no use as a member.
+    /// Gives the replica's place up while its disk takes no write: without a vote it is of no use
+    /// as a member.
     fn report_disk(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         let patience = self.settings.unreachable;
-        let is_stuck = self.background.writing_since.is_some_and(|since| now >= since + patience);
+        let is_stuck = self
+            .background
+            .writing_since
+            .is_some_and(|since| now >= since + patience);
         if is_stuck != self.background.disk_is_stuck {
             self.background.disk_is_stuck = is_stuck;
             self.steward.set_leaving(self.gives_place_up());
@@ -117,16 +133,22 @@
 
     /// Proposes the replica change that is due, if any.
     fn change_replicas(&mut self, now: Duration) {
-        let Some(state) = self.learner.chosen().map(|proposal| Arc::clone(&proposal.state)) else {
+        let Some(state) = self
+            .learner
+            .chosen()
+            .map(|proposal| Arc::clone(&proposal.state))
+        else {
             return;
         };
         if let Some((from, change)) = self.steward.due(now, &state.members) {
             let deadline = now + self.settings.round_limit * 2;
-            self.proposer.submit(None, Operation::Replicas { from, change }, deadline);
+            self.proposer
+                .submit(None, Operation::Replicas { from, change }, deadline);
         }
     }
 
-    /// Reads what has been held too long without being known as chosen; leaves the old set of two held too long.
+    /// Reads what has been held too long without being known as chosen; leaves the old set of two
+    /// held too long.
     fn scrub(&mut self, now: Duration) {
         let accepted = self.acceptor.accepted().map(|proposal| proposal.ballot);
         let held = self.learner.unconfirmed_since(now, accepted);
@@ -137,7 +159,10 @@
             return;
         };
         let jitter = self.random.below(self.settings.scrub);
-        let due = *self.background.scrub_at.get_or_insert(since + self.settings.scrub + jitter);
+        let due = *self
+            .background
+            .scrub_at
+            .get_or_insert(since + self.settings.scrub + jitter);
         if now < due {
             return;
         }
@@ -152,11 +177,13 @@
     }
 
     pub(super) fn read(&mut self, now: Duration) {
-        self.proposer.submit(None, Operation::Read, now + self.settings.round_limit * 2);
+        self.proposer
+            .submit(None, Operation::Read, now + self.settings.round_limit * 2);
     }
 
     /// Asks for the old set of two to be left.
     pub(super) fn settle(&mut self, now: Duration) {
-        self.proposer.submit(None, Operation::Settle, now + self.settings.round_limit * 2);
+        self.proposer
+            .submit(None, Operation::Settle, now + self.settings.round_limit * 2);
     }
 }
--- a/crates/register/src/node/bootstrap.rs
+++ b/crates/register/src/node/bootstrap.rs
@@ -1,5 +1,6 @@
-//! The start of an initial member on an empty disk: it becomes a member, or begins anew under another identity. And the
-//! wait of a member that has voted for nothing until a majority has started.
+//! The start of an initial member on an empty disk: it becomes a member, or begins anew under
+//! another identity. And the wait of a member that has voted for nothing until a majority has
+//! started.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +18,10 @@
             return Past::Changed;
         }
         // Before the record of a new member is durable, a kill would make it blank again.
-        let is_new = self.first_start.as_ref().is_some_and(|first_start| !first_start.has_returned);
+        let is_new = self
+            .first_start
+            .as_ref()
+            .is_some_and(|first_start| !first_start.has_returned);
         match self.acceptor.is_blank() || is_new && self.acceptor.awaits_first_record() {
             true => Past::Blank,
             false => Past::Initial,
@@ -33,7 +37,9 @@
 
     /// Goes on as what the others' pasts show this node to be, once they do.
     pub(super) fn conclude_first_start(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
-        let Some(first_start) = &mut self.first_start else { return };
+        let Some(first_start) = &mut self.first_start else {
+            return;
+        };
         if first_start.is_member {
             let is_changed = self.learner.ballot() > Ballot::ZERO;
             if is_changed || first_start.may_vote(now) {
--- a/crates/register/src/node/event.rs
+++ b/crates/register/src/node/event.rs
@@ -30,10 +30,12 @@
     Peers(Vec<SocketAddr>),
     /// The machine is about to stop for good.
     Leaving,
-    /// Whether a majority is there is to be asked at once: [`Node::contact_since`](crate::Node::contact_since) rises
-    /// to this moment when it has answered.
+    /// Whether a majority is there is to be asked at once:
+    /// [`Node::contact_since`](crate::Node::contact_since) rises to this moment when it has
+    /// answered.
     Question,
-    /// The time last asked for by [`Action::Timer`] has come. Must also be the first event of a node.
+    /// The time last asked for by [`Action::Timer`] has come. Must also be the first event of a
+    /// node.
     Timer,
 }
 
@@ -47,12 +49,13 @@
         /// The message.
         message: Message<V>,
     },
-    /// Make the record durable in place of the one before, then report [`Event::Persisted`]. One write is under way at
-    /// a time.
+    /// Make the record durable in place of the one before, then report [`Event::Persisted`]. One
+    /// write is under way at a time.
     ///
-    /// A write or sync that fails is not reported: the caller writes the whole record again, to another file, until
-    /// that is durable. Until then the replica votes for nothing new. That is safe since a failed write is like one
-    /// that a crash interrupts: the record may be found on the disk later or not, and no reply rests on it.
+    /// A write or sync that fails is not reported: the caller writes the whole record again, to
+    /// another file, until that is durable. Until then the replica votes for nothing new. That is
+    /// safe since a failed write is like one that a crash interrupts: the record may be found on
+    /// the disk later or not, and no reply rests on it.
     Persist(Write<V>),
     /// An operation has ended.
     Completed {
@@ -61,11 +64,11 @@
         /// How it ended.
         outcome: Outcome<V>,
     },
-    /// A newer state is known as chosen. The first one of a life was read from a majority, so that none is older than
-    /// what an earlier life has acknowledged.
+    /// A newer state is known as chosen. The first one of a life was read from a majority, so that
+    /// none is older than what an earlier life has acknowledged.
     Learned(Arc<State<V>>),
-    /// The settings say that the whole system starts for the first time, but another coordinator knows more: this
-    /// replica's disk was lost, and it takes another identity.
+    /// The settings say that the whole system starts for the first time, but another coordinator
+    /// knows more: this replica's disk was lost, and it takes another identity.
     DiskWasLost,
     /// Report [`Event::Timer`] at that time; replaces the one asked for before.
     Timer(Duration),
@@ -76,9 +79,11 @@
 pub enum Origin<V> {
     /// From the disk, and durable.
     Disk(Record<V>),
-    /// From the disk, but perhaps from the page cache only: it has to be written again before it counts.
+    /// From the disk, but perhaps from the page cache only: it has to be written again before it
+    /// counts.
     Unconfirmed(Record<V>),
-    /// The disk is empty and the settings say that the whole system starts for the first time, with these members.
+    /// The disk is empty and the settings say that the whole system starts for the first time, with
+    /// these members.
     Bootstrap {
         /// Addresses of all initial members; the same at each of them.
         members: Vec<SocketAddr>,
--- a/crates/register/src/node/question.rs
+++ b/crates/register/src/node/question.rs
@@ -1,4 +1,5 @@
-//! Questions whether the others are there, and their answers, by which contact with a majority is measured.
+//! Questions whether the others are there, and their answers, by which contact with a majority is
+//! measured.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/register/src/operation.rs
+++ b/crates/register/src/operation.rs
@@ -8,7 +8,8 @@
 use crate::replicas::{Replica, ReplicaSet};
 use crate::state::State;
 
-/// Number by which the caller knows an operation; drawn by the caller, unique within one life of a node.
+/// Number by which the caller knows an operation; drawn by the caller, unique within one life of a
+/// node.
 pub type OperationId = u64;
 
 /// Why a change is refused, in the caller's terms.
@@ -34,8 +35,8 @@
     Unclear,
 }
 
-/// A change as a pure function of the value. It may be applied several times to different values, and must
-/// answer `Keep` for a value that already shows it.
+/// A change as a pure function of the value. It may be applied several times to different values,
+/// and must answer `Keep` for a value that already shows it.
 pub trait Transition<V>: Send + Sync {
     /// Decides what follows from the value.
     fn apply(&self, value: &V) -> Decision<V>;
@@ -88,11 +89,13 @@
             Self::Add(replica) => set.with(replica.clone()),
             Self::Remove(identity) if !set.contains(*identity) => return Ok(None),
             Self::Remove(identity) => set.without(*identity),
-            Self::Swap { leaves, enters } => match (set.contains(*leaves), set.contains(enters.identity)) {
-                (false, true) => return Ok(None),
-                (true, false) => set.without(*leaves).with(enters.clone()),
-                _ => return Err(Self::OUTDATED.to_owned()),
-            },
+            Self::Swap { leaves, enters } => {
+                match (set.contains(*leaves), set.contains(enters.identity)) {
+                    (false, true) => return Ok(None),
+                    (true, false) => set.without(*leaves).with(enters.clone()),
+                    _ => return Err(Self::OUTDATED.to_owned()),
+                }
+            }
         };
         if next.is_empty() {
             return Err("the last replica can't be left out".to_owned());
@@ -130,7 +133,10 @@
         match self {
             Self::Read => Self::Read,
             Self::Change(transition) => Self::Change(Arc::clone(transition)),
-            Self::Replicas { from, change } => Self::Replicas { from: from.clone(), change: change.clone() },
+            Self::Replicas { from, change } => Self::Replicas {
+                from: from.clone(),
+                change: change.clone(),
+            },
             Self::Settle => Self::Settle,
         }
     }
@@ -165,8 +171,8 @@
     },
     /// The deadline passed before a first attempt: the change is not and won't be decided.
     Expired,
-    /// The deadline passed, or the history is forgotten, or the change itself can't tell: it may have been decided
-    /// or may yet be.
+    /// The deadline passed, or the history is forgotten, or the change itself can't tell: it may
+    /// have been decided or may yet be.
     Unknown,
 }
 
--- a/crates/register/src/proposer.rs
+++ b/crates/register/src/proposer.rs
@@ -1,4 +1,5 @@
-//! The proposer: a queue of operations, one round at a time, all that wait decided by one acceptance.
+//! The proposer: a queue of operations, one round at a time, all that wait decided by one
+//! acceptance.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -104,19 +105,33 @@
         if let Answer::Conflict { promised } = &reply.answer {
             self.last_counter = self.last_counter.max(promised.counter);
         }
-        let Some(active) = self.active.as_mut().filter(|active| active.round.id == reply.round) else {
+        let Some(active) = self
+            .active
+            .as_mut()
+            .filter(|active| active.round.id == reply.round)
+        else {
             return;
         };
         let asked = active.round.unanswered();
         active.round.answer(from, reply.answer);
-        let reached = |replica: &Replica| asked.iter().any(|known| known.identity == replica.identity);
-        let found_more = active.round.unanswered().into_iter().filter(|replica| !reached(replica));
+        let reached =
+            |replica: &Replica| asked.iter().any(|known| known.identity == replica.identity);
+        let found_more = active
+            .round
+            .unanswered()
+            .into_iter()
+            .filter(|replica| !reached(replica));
         send(&active.round, found_more.collect(), effects);
         self.advance(now, effects);
     }
 
     /// Does what time and the queue call for.
-    pub(crate) fn poll(&mut self, now: Duration, context: &Context<'_, V>, effects: &mut Vec<Effect<V>>) {
+    pub(crate) fn poll(
+        &mut self,
+        now: Duration,
+        context: &Context<'_, V>,
+        effects: &mut Vec<Effect<V>>,
+    ) {
         self.expire(now, effects);
         self.check_round(now, effects);
         self.end_deference(now, context);
@@ -127,7 +142,10 @@
     /// When `poll` is due next.
     pub(crate) fn wake(&self) -> Option<Duration> {
         let deadlines = self.queue.iter().map(|pending| pending.deadline);
-        let batch = self.active.iter().flat_map(|active| active.batch.deadlines());
+        let batch = self
+            .active
+            .iter()
+            .flat_map(|active| active.batch.deadlines());
         let round = self.active.iter().map(|active| self.round_wake(active));
         let is_idle = self.active.is_none() && !self.queue.is_empty() && !self.blocked;
         let wait = is_idle.then_some(self.wait_until);
--- a/crates/register/src/proposer/batch.rs
+++ b/crates/register/src/proposer/batch.rs
@@ -5,7 +5,9 @@
 
 use crate::ballot::Ballot;
 use crate::guard::{Guard, Guards};
-use crate::operation::{Attempt, Decision, Operation, OperationId, Outcome, Pending, Reason, ReplicaChange};
+use crate::operation::{
+    Attempt, Decision, Operation, OperationId, Outcome, Pending, Reason, ReplicaChange,
+};
 use crate::replicas::{Membership, ReplicaSet};
 use crate::round::Found;
 use crate::state::{Descent, State};
@@ -40,8 +42,8 @@
 }
 
 impl<V: Clone> Batch<V> {
-    /// Applies the operations to the state found. Returns them with the state to be accepted: the one found
-    /// where nothing changes.
+    /// Applies the operations to the state found. Returns them with the state to be accepted: the
+    /// one found where nothing changes.
     pub(super) fn assemble(
         operations: impl Iterator<Item = Pending<V>>,
         found: &Found<V>,
@@ -54,7 +56,10 @@
         for mut pending in operations {
             let verdict = draft.apply(&pending, state);
             if matches!(verdict, Verdict::Written) {
-                pending.attempts.push(Attempt { sequence: state.sequence + 1, ballot });
+                pending.attempts.push(Attempt {
+                    sequence: state.sequence + 1,
+                    ballot,
+                });
             }
             entries.push((pending, verdict));
         }
@@ -66,7 +71,11 @@
         let is_late = |(pending, _): &mut (Pending<V>, Verdict)| pending.deadline <= now;
         let late = self.0.extract_if(.., is_late);
         late.map(|(pending, _)| {
-            let outcome = if pending.attempts.is_empty() { Outcome::Expired } else { Outcome::Unknown };
+            let outcome = if pending.attempts.is_empty() {
+                Outcome::Expired
+            } else {
+                Outcome::Unknown
+            };
             (pending.id, outcome)
         })
         .collect()
@@ -90,7 +99,8 @@
         self.0.into_iter().map(|(pending, _)| pending).collect()
     }
 
-    /// The outcomes by a chosen state, and the operations that must wait: those from the horizon on.
+    /// The outcomes by a chosen state, and the operations that must wait: those from the horizon
+    /// on.
     pub(super) fn settle(self, horizon: u64, state: &Arc<State<V>>) -> Settled<V> {
         let (mut outcomes, mut waiting) = (Vec::new(), Vec::new());
         for (pending, verdict) in self.0 {
@@ -121,16 +131,25 @@
 }
 
 impl<V: Clone> Draft<V> {
-    /// Begins with the state found. Where it holds two replica sets and is known as chosen, the old one is left.
+    /// Begins with the state found. Where it holds two replica sets and is known as chosen, the old
+    /// one is left.
     fn of(found: &Found<V>, guards: Guards) -> Self {
         let state = &found.proposal.state;
         let value = Arc::clone(&state.value);
         let settled = found.confirmed || !guards.keeps(Guard::JointChosenFirst);
         match &state.members.next {
-            Some(next) if settled => {
-                Self { members: Membership::single(next.clone()), value, changed: true, settled: true }
-            }
-            _ => Self { members: state.members.clone(), value, changed: false, settled: false },
+            Some(next) if settled => Self {
+                members: Membership::single(next.clone()),
+                value,
+                changed: true,
+                settled: true,
+            },
+            _ => Self {
+                members: state.members.clone(),
+                value,
+                changed: false,
+                settled: false,
+            },
         }
     }
 
--- a/crates/register/src/proposer/effect.rs
+++ b/crates/register/src/proposer/effect.rs
@@ -20,10 +20,21 @@
 
 /// What the proposer wants done.
 pub(crate) enum Effect<V> {
-    Send { to: Replica, request: Request<V> },
-    Done { id: OperationId, outcome: Outcome<V> },
-    Chosen { proposal: Proposal<V>, announce: bool },
-    Reserve { counter: u64 },
+    Send {
+        to: Replica,
+        request: Request<V>,
+    },
+    Done {
+        id: OperationId,
+        outcome: Outcome<V>,
+    },
+    Chosen {
+        proposal: Proposal<V>,
+        announce: bool,
+    },
+    Reserve {
+        counter: u64,
+    },
 }
 
 /// Counts of what a proposer has done.
--- a/crates/register/src/proposer/pacing.rs
+++ b/crates/register/src/proposer/pacing.rs
@@ -1,4 +1,5 @@
-//! Pacing among proposers: deference to another's ballot, backoff after conflicts, the measured round trip.
+//! Pacing among proposers: deference to another's ballot, backoff after conflicts, the measured
+//! round trip.
 
 use std::time::Duration;
 
@@ -6,10 +7,12 @@
 use crate::ballot::Ballot;
 
 impl<V: Clone> Proposer<V> {
-    /// Whether to wait because the own acceptor has lately promised a ballot of another proposer, of which
-    /// nothing is chosen yet: a round begun now would only end that one.
+    /// Whether to wait because the own acceptor has lately promised a ballot of another proposer,
+    /// of which nothing is chosen yet: a round begun now would only end that one.
     pub(super) fn gives_way(&mut self, now: Duration, context: &Context<'_, V>) -> bool {
-        let chosen = context.chosen.map_or(Ballot::ZERO, |proposal| proposal.ballot);
+        let chosen = context
+            .chosen
+            .map_or(Ballot::ZERO, |proposal| proposal.ballot);
         let promised = context.promised;
         if promised.identity == self.identity || promised <= chosen {
             self.deference = None;
@@ -28,10 +31,15 @@
         true
     }
 
-    /// Ends the deference to a ballot that a chosen state has reached: the next round may begin at once.
+    /// Ends the deference to a ballot that a chosen state has reached: the next round may begin at
+    /// once.
     pub(super) fn end_deference(&mut self, now: Duration, context: &Context<'_, V>) {
         let is_over = |(ballot, _)| context.chosen.is_some_and(|chosen| chosen.ballot >= ballot);
-        if self.deference.take_if(|deference| is_over(*deference)).is_some() {
+        if self
+            .deference
+            .take_if(|deference| is_over(*deference))
+            .is_some()
+        {
             self.wait_until = now;
         }
     }
@@ -52,7 +60,8 @@
     }
 }
 
-/// Average of the time that a quorum takes. Rounds in which something may have been sent again tell nothing.
+/// Average of the time that a quorum takes. Rounds in which something may have been sent again tell
+/// nothing.
 pub(super) fn smoothed(average: Duration, sample: Duration, resend: Duration) -> Duration {
     match sample < resend {
         true => (average * 3 + sample) / 4,
--- a/crates/register/src/proposer/queries.rs
+++ b/crates/register/src/proposer/queries.rs
@@ -15,13 +15,21 @@
 impl<V: Clone> Proposer<V> {
     /// Whether only reads wait, and queries haven't disagreed too often.
     pub(super) fn may_query(&self) -> bool {
-        let reads_only = self.queue.iter().all(|pending| matches!(pending.operation, Operation::Read));
+        let reads_only = self
+            .queue
+            .iter()
+            .all(|pending| matches!(pending.operation, Operation::Read));
         reads_only && self.disagreements < DISAGREEMENTS
     }
 
     /// A query of the members by the newest state known here.
     pub(super) fn query(&mut self, context: &Context<'_, V>, view: &Proposal<V>) -> Round<V> {
-        Round::query(self.next_round(), context.chosen.cloned(), view.clone(), self.settings.guards)
+        Round::query(
+            self.next_round(),
+            context.chosen.cloned(),
+            view.clone(),
+            self.settings.guards,
+        )
     }
 
     /// Begins a round that only reads.
@@ -37,8 +45,14 @@
         self.begin(now, round, Batch::default(), effects);
     }
 
-    /// Completes reads by what is confirmed; where a quorum disagrees, asks again or goes over to promises.
-    pub(super) fn advance_query(&mut self, now: Duration, found: &Found<V>, effects: &mut Vec<Effect<V>>) {
+    /// Completes reads by what is confirmed; where a quorum disagrees, asks again or goes over to
+    /// promises.
+    pub(super) fn advance_query(
+        &mut self,
+        now: Duration,
+        found: &Found<V>,
+        effects: &mut Vec<Effect<V>>,
+    ) {
         let Some(active) = &mut self.active else {
             return;
         };
@@ -46,7 +60,10 @@
             self.round_trip = smoothed(self.round_trip, now - active.started, self.settings.resend);
             let horizon = active.horizon;
             self.finish_round();
-            effects.push(Effect::Chosen { proposal: found.proposal.clone(), announce: false });
+            effects.push(Effect::Chosen {
+                proposal: found.proposal.clone(),
+                announce: false,
+            });
             self.complete_reads(horizon, &found.proposal.state, effects);
             return;
         }
--- a/crates/register/src/proposer/queue.rs
+++ b/crates/register/src/proposer/queue.rs
@@ -1,4 +1,5 @@
-//! The queue of operations: arrival, deadlines, outcomes, and the return of what a round left undecided.
+//! The queue of operations: arrival, deadlines, outcomes, and the return of what a round left
+//! undecided.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,19 +12,36 @@
 
 impl<V: Clone> Proposer<V> {
     /// Queues an operation; `deadline` is a time of the node's clock.
-    pub(crate) fn submit(&mut self, id: Option<OperationId>, operation: Operation<V>, deadline: Duration) {
+    pub(crate) fn submit(
+        &mut self,
+        id: Option<OperationId>,
+        operation: Operation<V>,
+        deadline: Duration,
+    ) {
         let arrival = self.arrivals;
         self.arrivals += 1;
-        self.queue.push_back(Pending { id, operation, deadline, arrival, attempts: Vec::new() });
+        self.queue.push_back(Pending {
+            id,
+            operation,
+            deadline,
+            arrival,
+            attempts: Vec::new(),
+        });
     }
 
     /// Reports the operations whose deadline has passed.
     pub(super) fn expire(&mut self, now: Duration, effects: &mut Vec<Effect<V>>) {
-        let (expired, live): (VecDeque<_>, VecDeque<_>) =
-            self.queue.drain(..).partition(|pending| pending.deadline <= now);
+        let (expired, live): (VecDeque<_>, VecDeque<_>) = self
+            .queue
+            .drain(..)
+            .partition(|pending| pending.deadline <= now);
         self.queue = live;
         for pending in expired {
-            let outcome = if pending.attempts.is_empty() { Outcome::Expired } else { Outcome::Unknown };
+            let outcome = if pending.attempts.is_empty() {
+                Outcome::Expired
+            } else {
+                Outcome::Unknown
+            };
             done(pending.id, outcome, effects);
         }
         if let Some(active) = &mut self.active {
@@ -40,8 +58,9 @@
         state: &Arc<State<V>>,
         effects: &mut Vec<Effect<V>>,
     ) {
-        let is_served =
-            |pending: &Pending<V>| pending.arrival < horizon && matches!(pending.operation, Operation::Read);
+        let is_served = |pending: &Pending<V>| {
+            pending.arrival < horizon && matches!(pending.operation, Operation::Read)
+        };
         let (served, rest): (VecDeque<_>, VecDeque<_>) = self.queue.drain(..).partition(is_served);
         self.queue = rest;
         for pending in served {
@@ -67,7 +86,9 @@
     /// Puts undecided operations back in the order of their arrival.
     pub(super) fn requeue(&mut self, waiting: Vec<Pending<V>>) {
         self.queue.extend(waiting);
-        self.queue.make_contiguous().sort_by_key(|pending| pending.arrival);
+        self.queue
+            .make_contiguous()
+            .sort_by_key(|pending| pending.arrival);
     }
 }
 
--- a/crates/register/src/proposer/rounds.rs
+++ b/crates/register/src/proposer/rounds.rs
@@ -20,7 +20,10 @@
         context: &Context<'_, V>,
         effects: &mut Vec<Effect<V>>,
     ) -> bool {
-        let view = [context.chosen, context.accepted].into_iter().flatten().max_by_key(|held| held.ballot);
+        let view = [context.chosen, context.accepted]
+            .into_iter()
+            .flatten()
+            .max_by_key(|held| held.ballot);
         let Some(view) = view else {
             return false;
         };
@@ -66,14 +69,22 @@
     }
 
     /// A ballot above all seen, if its counter is reserved.
-    fn next_ballot(&mut self, seen: u64, reserved: u64, effects: &mut Vec<Effect<V>>) -> Option<Ballot> {
+    fn next_ballot(
+        &mut self,
+        seen: u64,
+        reserved: u64,
+        effects: &mut Vec<Effect<V>>,
+    ) -> Option<Ballot> {
         let counter = self.last_counter.max(seen) + 1;
         if counter > reserved {
             effects.push(Effect::Reserve { counter });
             return None;
         }
         self.last_counter = counter;
-        Some(Ballot { counter, identity: self.identity })
+        Some(Ballot {
+            counter,
+            identity: self.identity,
+        })
     }
 
     /// Ends the round under way at its time limit, or sends again what is unanswered.
@@ -101,12 +112,18 @@
         match active.round.stage {
             Stage::Accept => self.advance_accept(now, effects),
             Stage::Query | Stage::Prepare => match active.round.found() {
-                Some(found) if active.round.stage == Stage::Query => self.advance_query(now, &found, effects),
+                Some(found) if active.round.stage == Stage::Query => {
+                    self.advance_query(now, &found, effects)
+                }
                 Some(found) => self.decide(now, &found, effects),
                 None => active.disagreed = None,
             },
         }
-        if self.active.as_ref().is_some_and(|active| active.round.is_lost()) {
+        if self
+            .active
+            .as_ref()
+            .is_some_and(|active| active.round.is_lost())
+        {
             let wait = self.wait_after_conflict();
             self.give_up(now, wait);
         }
@@ -119,11 +136,16 @@
         };
         self.round_trip = smoothed(self.round_trip, now - active.started, self.settings.resend);
         let ballot = active.round.ballot;
-        let (batch, state) = Batch::assemble(self.queue.drain(..), found, ballot, self.settings.guards);
+        let (batch, state) =
+            Batch::assemble(self.queue.drain(..), found, ballot, self.settings.guards);
         let unchanged = state.sequence == found.proposal.state.sequence;
-        let is_fenced = self.settings.guards.keeps(Guard::FenceBeforeAnswer) && batch.answers_unchanged();
+        let is_fenced =
+            self.settings.guards.keeps(Guard::FenceBeforeAnswer) && batch.answers_unchanged();
         if unchanged && found.confirmed && !is_fenced {
-            effects.push(Effect::Chosen { proposal: found.proposal.clone(), announce: false });
+            effects.push(Effect::Chosen {
+                proposal: found.proposal.clone(),
+                announce: false,
+            });
             self.settle(batch, active.horizon, &found.proposal.state, effects);
             self.finish_round();
             return;
@@ -144,7 +166,10 @@
         self.round_trip = smoothed(self.round_trip, now - active.started, self.settings.resend);
         let batch = std::mem::take(&mut active.batch);
         self.finish_round();
-        effects.push(Effect::Chosen { proposal: proposal.clone(), announce: true });
+        effects.push(Effect::Chosen {
+            proposal: proposal.clone(),
+            announce: true,
+        });
         self.settle(batch, u64::MAX, &proposal.state, effects);
     }
 
@@ -164,9 +189,17 @@
 }
 
 /// Sends the round's present request to replicas.
-pub(super) fn send<V: Clone>(round: &Round<V>, replicas: Vec<Replica>, effects: &mut Vec<Effect<V>>) {
+pub(super) fn send<V: Clone>(
+    round: &Round<V>,
+    replicas: Vec<Replica>,
+    effects: &mut Vec<Effect<V>>,
+) {
     for to in replicas {
-        let request = Request { round: round.id, to: to.identity, ask: round.ask() };
+        let request = Request {
+            round: round.id,
+            to: to.identity,
+            ask: round.ask(),
+        };
         effects.push(Effect::Send { to, request });
     }
 }
--- a/crates/register/src/replicas.rs
+++ b/crates/register/src/replicas.rs
@@ -33,7 +33,11 @@
 
     /// The set of initial members, of which only the addresses are known.
     pub fn of_seeds(addresses: impl IntoIterator<Item = SocketAddr>) -> Self {
-        let seed = |address| Replica { identity: Identity::of_seed(address), address, zone: String::new() };
+        let seed = |address| Replica {
+            identity: Identity::of_seed(address),
+            address,
+            zone: String::new(),
+        };
         Self::new(addresses.into_iter().map(seed))
     }
 
@@ -75,11 +79,21 @@
 
     /// The set without the replica of that identity.
     pub fn without(&self, identity: Identity) -> Self {
-        Self(self.0.iter().filter(|replica| replica.identity != identity).cloned().collect())
+        Self(
+            self.0
+                .iter()
+                .filter(|replica| replica.identity != identity)
+                .cloned()
+                .collect(),
+        )
     }
 
     fn has_majority(&self, voted: &impl Fn(Identity) -> bool) -> bool {
-        let votes = self.0.iter().filter(|replica| voted(replica.identity)).count();
+        let votes = self
+            .0
+            .iter()
+            .filter(|replica| voted(replica.identity))
+            .count();
         votes >= self.majority()
     }
 }
@@ -96,12 +110,18 @@
 impl Membership {
     /// A membership of one set.
     pub fn single(current: ReplicaSet) -> Self {
-        Self { current, next: None }
+        Self {
+            current,
+            next: None,
+        }
     }
 
     /// A membership of two sets, both of which must agree.
     pub fn joint(current: ReplicaSet, next: ReplicaSet) -> Self {
-        Self { current, next: Some(next) }
+        Self {
+            current,
+            next: Some(next),
+        }
     }
 
     /// Whether two sets are held.
@@ -128,7 +148,9 @@
 
     /// A number that differs between memberships of different identities.
     pub fn fingerprint(&self) -> u64 {
-        let sets = [Some(&self.current), self.next.as_ref()].into_iter().flatten();
+        let sets = [Some(&self.current), self.next.as_ref()]
+            .into_iter()
+            .flatten();
         let numbers = sets.flat_map(|set| {
             let size = set.len() as u64;
             std::iter::once(size).chain(set.replicas().iter().map(|replica| replica.identity.0))
@@ -138,7 +160,10 @@
 
     /// Whether those that voted are a majority of each set held.
     pub fn is_quorum(&self, voted: impl Fn(Identity) -> bool) -> bool {
-        let next = self.next.as_ref().is_none_or(|set| set.has_majority(&voted));
+        let next = self
+            .next
+            .as_ref()
+            .is_none_or(|set| set.has_majority(&voted));
         next && self.current.has_majority(&voted)
     }
 
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -1,4 +1,5 @@
-//! One round of a proposer: the replies counted so far and what follows from them. It knows no time.
+//! One round of a proposer: the replies counted so far and what follows from them. It knows no
+//! time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -58,14 +59,21 @@
 }
 
 impl<V: Clone> Round<V> {
-    /// A round of reports without promises. `base` is what the proposer knows as chosen, `view` the newest state
-    /// that it has seen.
-    pub fn query(id: RoundId, base: Option<Proposal<V>>, view: Proposal<V>, guards: Guards) -> Self {
+    /// A round of reports without promises. `base` is what the proposer knows as chosen, `view` the
+    /// newest state that it has seen.
+    pub fn query(
+        id: RoundId,
+        base: Option<Proposal<V>>,
+        view: Proposal<V>,
+        guards: Guards,
+    ) -> Self {
         Self {
             id,
             stage: Stage::Query,
             ballot: Ballot::ZERO,
-            chosen: base.as_ref().map_or(Ballot::ZERO, |proposal| proposal.ballot),
+            chosen: base
+                .as_ref()
+                .map_or(Ballot::ZERO, |proposal| proposal.ballot),
             view,
             base,
             reports: BTreeMap::new(),
@@ -79,14 +87,20 @@
 
     /// The round with promises in the ballot instead of mere reports.
     pub fn with_promises(self, ballot: Ballot) -> Self {
-        Self { stage: Stage::Prepare, ballot, ..self }
+        Self {
+            stage: Stage::Prepare,
+            ballot,
+            ..self
+        }
     }
 
     /// The replicas that have not answered yet.
     pub fn unanswered(&self) -> Vec<Replica> {
         let mut replicas: Vec<Replica> = Vec::new();
         for replica in self.asked().flat_map(|members| members.replicas()) {
-            let listed = replicas.iter().any(|listed| listed.identity == replica.identity);
+            let listed = replicas
+                .iter()
+                .any(|listed| listed.identity == replica.identity);
             if !listed && !self.has_answered(replica.identity) {
                 replicas.push(replica.clone());
             }
@@ -98,8 +112,14 @@
     pub fn ask(&self) -> Ask<V> {
         let known = self.known();
         match (self.stage, &self.proposal) {
-            (Stage::Accept, Some(proposal)) => Ask::Accept { proposal: proposal.clone() },
-            (Stage::Prepare, _) => Ask::Prepare { ballot: self.ballot, view: self.view.ballot, known },
+            (Stage::Accept, Some(proposal)) => Ask::Accept {
+                proposal: proposal.clone(),
+            },
+            (Stage::Prepare, _) => Ask::Prepare {
+                ballot: self.ballot,
+                view: self.view.ballot,
+                known,
+            },
             (Stage::Query | Stage::Accept, _) => Ask::Query { known },
         }
     }
@@ -114,7 +134,9 @@
             (Stage::Accept, Answer::Accepted { ballot }) if ballot == self.ballot => {
                 self.accepted.insert(from);
             }
-            (Stage::Prepare | Stage::Accept, Answer::Conflict { promised }) if promised > self.ballot => {
+            (Stage::Prepare | Stage::Accept, Answer::Conflict { promised })
+                if promised > self.ballot =>
+            {
                 self.refused.insert(from);
             }
             (_, Answer::NotMember { .. }) => {
@@ -135,9 +157,15 @@
         let confirmed = self.is_confirmed(proposal);
         if !confirmed && !self.guards.keeps(Guard::CompleteFound) {
             let proposal = self.base.clone()?;
-            return Some(Found { proposal, confirmed: true });
+            return Some(Found {
+                proposal,
+                confirmed: true,
+            });
         }
-        Some(Found { proposal: proposal.clone(), confirmed })
+        Some(Found {
+            proposal: proposal.clone(),
+            confirmed,
+        })
     }
 
     /// Whether the newest proposal reported is known as chosen.
@@ -159,12 +187,14 @@
     pub fn chosen(&self) -> Option<&Proposal<V>> {
         let proposal = self.proposal.as_ref()?;
         let members = &proposal.state.members;
-        self.is_quorum(members, |identity| self.accepted.contains(&identity)).then_some(proposal)
+        self.is_quorum(members, |identity| self.accepted.contains(&identity))
+            .then_some(proposal)
     }
 
     /// Whether the replicas that have not refused are too few.
     pub fn is_lost(&self) -> bool {
-        self.asked().any(|members| !self.is_quorum(members, |identity| !self.refused.contains(&identity)))
+        self.asked()
+            .any(|members| !self.is_quorum(members, |identity| !self.refused.contains(&identity)))
     }
 
     /// Whether every replica asked has answered.
@@ -172,13 +202,21 @@
         self.unanswered().is_empty()
     }
 
-    /// The memberships whose replicas are asked: of the newest state seen, which may not be chosen, and of the
-    /// newest one reported or known as chosen, from which it may differ.
+    /// The memberships whose replicas are asked: of the newest state seen, which may not be chosen,
+    /// and of the newest one reported or known as chosen, from which it may differ.
     fn asked(&self) -> impl Iterator<Item = &Membership> {
         let accepting = self.proposal.iter();
-        let settled = self.newest.iter().chain(&self.base).max_by_key(|proposal| proposal.ballot);
-        let preparing = std::iter::once(&self.view).chain(settled).filter(|_| self.proposal.is_none());
-        accepting.chain(preparing).map(|proposal| &proposal.state.members)
+        let settled = self
+            .newest
+            .iter()
+            .chain(&self.base)
+            .max_by_key(|proposal| proposal.ballot);
+        let preparing = std::iter::once(&self.view)
+            .chain(settled)
+            .filter(|_| self.proposal.is_none());
+        accepting
+            .chain(preparing)
+            .map(|proposal| &proposal.state.members)
     }
 
     fn report(&mut self, from: Identity, report: Report<V>) {
@@ -187,11 +225,18 @@
         }
         self.chosen = self.chosen.max(report.chosen);
         self.reports.insert(from, report.accepted);
-        let base = self.base.clone().filter(|base| Some(base.ballot) == report.accepted);
+        let base = self
+            .base
+            .clone()
+            .filter(|base| Some(base.ballot) == report.accepted);
         let Some(proposal) = report.proposal.or(base) else {
             return;
         };
-        if self.newest.as_ref().is_none_or(|newest| newest.ballot < proposal.ballot) {
+        if self
+            .newest
+            .as_ref()
+            .is_none_or(|newest| newest.ballot < proposal.ballot)
+        {
             self.newest = Some(proposal.clone());
         }
         if self.view.ballot < proposal.ballot {
@@ -220,6 +265,8 @@
     }
 
     fn known(&self) -> Ballot {
-        self.base.as_ref().map_or(Ballot::ZERO, |proposal| proposal.ballot)
+        self.base
+            .as_ref()
+            .map_or(Ballot::ZERO, |proposal| proposal.ballot)
     }
 }
--- a/crates/register/src/round/tests.rs
+++ b/crates/register/src/round/tests.rs
@@ -22,11 +22,17 @@
 }
 
 fn ballot(counter: u64) -> Ballot {
-    Ballot { counter, identity: Identity(9) }
+    Ballot {
+        counter,
+        identity: Identity(9),
+    }
 }
 
 fn proposal(counter: u64, members: Membership) -> Proposal<u8> {
-    Proposal { ballot: ballot(counter), state: State::initial(members, 0).into() }
+    Proposal {
+        ballot: ballot(counter),
+        state: State::initial(members, 0).into(),
+    }
 }
 
 fn query(base: &Proposal<u8>) -> Round<u8> {
@@ -34,7 +40,11 @@
 }
 
 fn reported(held: &Proposal<u8>) -> Answer<u8> {
-    let report = Report { accepted: Some(held.ballot), proposal: Some(held.clone()), chosen: Ballot::ZERO };
+    let report = Report {
+        accepted: Some(held.ballot),
+        proposal: Some(held.clone()),
+        chosen: Ballot::ZERO,
+    };
     Answer::Reported(report)
 }
 
@@ -76,14 +86,24 @@
     let joint = proposal(2, Membership::joint(set(&[1, 2, 3]), set(&[3, 4, 5])));
     let mut round = query(&base);
     round.answer(Identity(1), reported(&joint));
-    let asked: Vec<u64> = round.unanswered().iter().map(|replica| replica.identity.0).collect();
+    let asked: Vec<u64> = round
+        .unanswered()
+        .iter()
+        .map(|replica| replica.identity.0)
+        .collect();
     assert_eq!(asked, [2, 3, 4, 5]);
     round.answer(Identity(2), reported(&joint));
     assert_eq!(round.found(), None, "the old majority alone is not enough");
     round.answer(Identity(4), reported(&base));
     assert_eq!(round.found(), None);
     round.answer(Identity(5), reported(&base));
-    assert_matches!(round.found(), Some(Found { confirmed: false, .. }));
+    assert_matches!(
+        round.found(),
+        Some(Found {
+            confirmed: false,
+            ..
+        })
+    );
 }
 
 #[test]
@@ -114,8 +134,18 @@
 fn a_round_is_lost_once_a_majority_is_out_of_reach() {
     let base = proposal(1, Membership::single(set(&[1, 2, 3])));
     let mut round = query(&base).with_promises(ballot(5));
-    round.answer(Identity(1), Answer::Conflict { promised: ballot(6) });
+    round.answer(
+        Identity(1),
+        Answer::Conflict {
+            promised: ballot(6),
+        },
+    );
     assert!(!round.is_lost());
-    round.answer(Identity(2), Answer::NotMember { chosen: Ballot::ZERO });
+    round.answer(
+        Identity(2),
+        Answer::NotMember {
+            chosen: Ballot::ZERO,
+        },
+    );
     assert!(round.is_lost());
 }
--- a/crates/register/src/settings.rs
+++ b/crates/register/src/settings.rs
@@ -23,10 +23,11 @@
     pub scrub: Duration,
     /// What is known as chosen is announced this often.
     pub announce: Duration,
-    /// A node that asks whether the whole system starts for the first time announces itself this often.
+    /// A node that asks whether the whole system starts for the first time announces itself this
+    /// often.
     pub announce_first: Duration,
-    /// An initial member on an empty disk waits this long to hear all others before a majority suffices that is as
-    /// empty as itself.
+    /// An initial member on an empty disk waits this long to hear all others before a majority
+    /// suffices that is as empty as itself.
     pub first_start: Duration,
     /// A member that hasn't been heard for this time may be replaced.
     pub unreachable: Duration,
@@ -43,7 +44,10 @@
 impl Settings {
     /// Settings for a register that bears the loss of that many replicas at once.
     pub fn bearing(losses: usize) -> Self {
-        Self { target: 2 * losses + 1, ..Self::default() }
+        Self {
+            target: 2 * losses + 1,
+            ..Self::default()
+        }
     }
 }
 
--- a/crates/register/src/state.rs
+++ b/crates/register/src/state.rs
@@ -22,14 +22,20 @@
     pub members: Membership,
     /// The caller's value.
     pub value: Arc<V>,
-    /// Ballots in which the latest changes were proposed first, oldest first; the last belongs to `sequence`.
+    /// Ballots in which the latest changes were proposed first, oldest first; the last belongs to
+    /// `sequence`.
     pub lineage: Vec<Ballot>,
 }
 
 impl<V> State<V> {
     /// The state of a register that has never been changed.
     pub fn initial(members: Membership, value: V) -> Self {
-        Self { sequence: 0, members, value: Arc::new(value), lineage: Vec::new() }
+        Self {
+            sequence: 0,
+            members,
+            value: Arc::new(value),
+            lineage: Vec::new(),
+        }
     }
 
     /// The state that follows by a change proposed in that ballot.
@@ -37,15 +43,23 @@
         let excess = (self.lineage.len() + 1).saturating_sub(LINEAGE_LENGTH);
         let mut lineage = self.lineage[excess..].to_vec();
         lineage.push(ballot);
-        Self { sequence: self.sequence + 1, members, value, lineage }
+        Self {
+            sequence: self.sequence + 1,
+            members,
+            value,
+            lineage,
+        }
     }
 
-    /// Whether a change, proposed in `ballot` as number `sequence`, is part of this state's history.
+    /// Whether a change, proposed in `ballot` as number `sequence`, is part of this state's
+    /// history.
     pub fn descends_from(&self, sequence: u64, ballot: Ballot) -> Descent {
         let Some(age) = self.sequence.checked_sub(sequence) else {
             return Descent::No;
         };
-        let index = usize::try_from(age).ok().and_then(|age| self.lineage.len().checked_sub(age + 1));
+        let index = usize::try_from(age)
+            .ok()
+            .and_then(|age| self.lineage.len().checked_sub(age + 1));
         match index {
             Some(index) if self.lineage[index] == ballot => Descent::Yes,
             Some(_) => Descent::No,
--- a/crates/register/src/state/tests.rs
+++ b/crates/register/src/state/tests.rs
@@ -5,7 +5,10 @@
 use crate::replicas::ReplicaSet;
 
 fn ballot(counter: u64) -> Ballot {
-    Ballot { counter, identity: Identity(1) }
+    Ballot {
+        counter,
+        identity: Identity(1),
+    }
 }
 
 #[test]
--- a/crates/register/src/steward.rs
+++ b/crates/register/src/steward.rs
@@ -1,4 +1,5 @@
-//! The steward: which replica change is due, by what is heard of the coordinators. Safety never depends on it.
+//! The steward: which replica change is due, by what is heard of the coordinators. Safety never
+//! depends on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -73,7 +74,8 @@
         self.started = now;
     }
 
-    /// Whether this coordinator gives its place up: it is about to stop for good, or can't vote any more.
+    /// Whether this coordinator gives its place up: it is about to stop for good, or can't vote any
+    /// more.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
@@ -102,7 +104,11 @@
 
     /// A coordinator tells of itself.
     pub fn hear_of(&mut self, identity: Identity, address: SocketAddr, told: &Announcement) {
-        if let Some(entry) = self.entries.get_mut(&address).filter(|entry| entry.identity == identity) {
+        if let Some(entry) = self
+            .entries
+            .get_mut(&address)
+            .filter(|entry| entry.identity == identity)
+        {
             told.zone.clone_into(&mut entry.zone);
             entry.leaving = told.leaving;
             told.silent.clone_into(&mut entry.silent);
@@ -121,11 +127,18 @@
     pub fn silent(&self, now: Duration, members: &Membership) -> Vec<Identity> {
         let coordinators = self.coordinators(now, &members.current);
         let identities = members.replicas().map(|replica| replica.identity);
-        identities.filter(|&identity| !is_live(&coordinators, identity)).collect()
+        identities
+            .filter(|&identity| !is_live(&coordinators, identity))
+            .collect()
     }
 
-    /// The change to be proposed now, with the replica set that it changes. One at a time; after each a pause.
-    pub fn due(&mut self, now: Duration, members: &Membership) -> Option<(ReplicaSet, ReplicaChange)> {
+    /// The change to be proposed now, with the replica set that it changes. One at a time; after
+    /// each a pause.
+    pub fn due(
+        &mut self,
+        now: Duration,
+        members: &Membership,
+    ) -> Option<(ReplicaSet, ReplicaChange)> {
         let change = self.wished(now, members);
         let Some(change) = change else {
             self.wish = None;
@@ -151,53 +164,87 @@
         let set = &members.current;
         let coordinators = self.coordinators(now, set);
         let missed = self.missed(now, members);
-        Plan { set, coordinators: &coordinators, missed: &missed, target: self.target }.change()
+        Plan {
+            set,
+            coordinators: &coordinators,
+            missed: &missed,
+            target: self.target,
+        }
+        .change()
     }
 
-    /// Members that a majority of the members has not heard. What a single node doesn't hear may be well, behind a
-    /// link that fails in one direction.
+    /// Members that a majority of the members has not heard. What a single node doesn't hear may be
+    /// well, behind a link that fails in one direction.
     fn missed(&self, now: Duration, members: &Membership) -> BTreeSet<Identity> {
         let set = &members.current;
-        let told = self.entries.values().filter(|entry| set.contains(entry.identity));
+        let told = self
+            .entries
+            .values()
+            .filter(|entry| set.contains(entry.identity));
         let live = told.filter(|entry| now < entry.last_heard + self.unreachable);
         let mut reports: Vec<Vec<Identity>> = live.map(|entry| entry.silent.clone()).collect();
         let own = self.silent(now, members);
         if set.contains(self.own.identity) {
             reports.push(own.clone());
         }
-        let needed = if self.guards.keeps(Guard::LostByMajority) { set.majority() } else { 0 };
-        let is_missed =
-            |member: &Identity| reports.iter().filter(|report| report.contains(member)).count() >= needed;
+        let needed = if self.guards.keeps(Guard::LostByMajority) {
+            set.majority()
+        } else {
+            0
+        };
+        let is_missed = |member: &Identity| {
+            reports
+                .iter()
+                .filter(|report| report.contains(member))
+                .count()
+                >= needed
+        };
         own.into_iter().filter(is_missed).collect()
     }
 
     /// What is heard at each address, and the members that were never heard.
     fn coordinators(&self, now: Duration, set: &ReplicaSet) -> Vec<Coordinator> {
         let heard = self.entries.iter().map(|(&address, entry)| Coordinator {
-            replica: Replica { identity: entry.identity, address, zone: entry.zone.clone() },
+            replica: Replica {
+                identity: entry.identity,
+                address,
+                zone: entry.zone.clone(),
+            },
             is_live: now < entry.last_heard + self.unreachable,
             leaving: entry.leaving,
         });
-        let own = Coordinator { replica: self.own.clone(), is_live: true, leaving: self.leaving };
+        let own = Coordinator {
+            replica: self.own.clone(),
+            is_live: true,
+            leaving: self.leaving,
+        };
         let is_new = now < self.started + self.unreachable;
         let unheard = set.replicas().iter().filter(|replica| {
             replica.address != self.own.address && !self.entries.contains_key(&replica.address)
         });
-        let unheard =
-            unheard.map(|replica| Coordinator { replica: replica.clone(), is_live: is_new, leaving: false });
+        let unheard = unheard.map(|replica| Coordinator {
+            replica: replica.clone(),
+            is_live: is_new,
+            leaving: false,
+        });
         heard.chain([own]).chain(unheard).collect()
     }
 
-    /// The live member of the smallest identity proposes at once, each further one later, a standby last. A
-    /// coordinator that leaves proposes its own replacement at once.
+    /// The live member of the smallest identity proposes at once, each further one later, a standby
+    /// last. A coordinator that leaves proposes its own replacement at once.
     fn delay(&self, now: Duration, set: &ReplicaSet, change: &ReplicaChange) -> Duration {
         let own = self.own.identity;
         if self.leaving && change.leaves() == Some(own) {
             return Duration::ZERO;
         }
         let coordinators = self.coordinators(now, set);
-        let live = set.replicas().iter().filter(|replica| is_live(&coordinators, replica.identity));
-        let before = live.filter(|replica| !set.contains(own) || replica.identity < own).count();
+        let live = set
+            .replicas()
+            .iter()
+            .filter(|replica| is_live(&coordinators, replica.identity));
+        let before = live
+            .filter(|replica| !set.contains(own) || replica.identity < own)
+            .count();
         self.stagger * u32::try_from(before).unwrap_or(u32::MAX)
     }
 }
--- a/crates/register/src/steward/plan.rs
+++ b/crates/register/src/steward/plan.rs
@@ -35,8 +35,17 @@
 impl Plan<'_> {
     /// The most urgent change of which the result has a live majority.
     pub(super) fn change(&self) -> Option<ReplicaChange> {
-        let candidates = [self.renew(), self.shrink(), self.swap(), self.grow(), self.even_out()];
-        candidates.into_iter().flatten().find(|change| self.is_bearable(change))
+        let candidates = [
+            self.renew(),
+            self.shrink(),
+            self.swap(),
+            self.grow(),
+            self.even_out(),
+        ];
+        candidates
+            .into_iter()
+            .flatten()
+            .find(|change| self.is_bearable(change))
     }
 
     /// A member whose disk was emptied: its address has another identity.
@@ -44,8 +53,9 @@
         let renewed = |replica: &Replica| {
             let at = |known: &&Coordinator| known.replica.address == replica.address;
             let known = self.coordinators.iter().find(at)?;
-            let is_new =
-                known.is_live && !known.is(replica.identity) && !self.set.contains(known.replica.identity);
+            let is_new = known.is_live
+                && !known.is(replica.identity)
+                && !self.set.contains(known.replica.identity);
             is_new.then(|| swap(replica, &known.replica))
         };
         self.set.replicas().iter().find_map(renewed)
@@ -56,13 +66,17 @@
         if self.set.len() <= self.target {
             return None;
         }
-        self.lost().map(|replica| ReplicaChange::Remove(replica.identity))
+        self.lost()
+            .map(|replica| ReplicaChange::Remove(replica.identity))
     }
 
     /// A member that is gone or leaves, and a coordinator in its place.
     fn swap(&self) -> Option<ReplicaChange> {
         let lost = self.lost()?;
-        let standby = self.standbys(&self.set.without(lost.identity)).into_iter().next()?;
+        let standby = self
+            .standbys(&self.set.without(lost.identity))
+            .into_iter()
+            .next()?;
         Some(swap(lost, &standby))
     }
 
@@ -72,7 +86,11 @@
             return None;
         }
         let standbys = self.standbys(self.set);
-        let needed = if self.set.len().is_multiple_of(2) { 1 } else { 2 };
+        let needed = if self.set.len().is_multiple_of(2) {
+            1
+        } else {
+            2
+        };
         if standbys.len() < needed {
             return None;
         }
@@ -84,37 +102,60 @@
         if !self.set.len().is_multiple_of(2) || self.set.len() <= 2 {
             return None;
         }
-        self.lost().map(|replica| ReplicaChange::Remove(replica.identity))
+        self.lost()
+            .map(|replica| ReplicaChange::Remove(replica.identity))
     }
 
     /// A member that is given up for lost, or else one that leaves.
     fn lost(&self) -> Option<&Replica> {
         let replicas = self.set.replicas();
-        let dead = replicas.iter().find(|replica| self.missed.contains(&replica.identity));
+        let dead = replicas
+            .iter()
+            .find(|replica| self.missed.contains(&replica.identity));
         let leaving = replicas.iter().find(|replica| {
-            self.coordinators.iter().any(|known| known.is(replica.identity) && known.leaving)
+            self.coordinators
+                .iter()
+                .any(|known| known.is(replica.identity) && known.leaving)
         });
         dead.or(leaving)
     }
 
-    /// Live coordinators that could become members of the set: those of zones without a member come first.
+    /// Live coordinators that could become members of the set: those of zones without a member come
+    /// first.
     fn standbys(&self, set: &ReplicaSet) -> Vec<Replica> {
-        let zones: BTreeSet<&str> = set.replicas().iter().map(|replica| self.zone(replica)).collect();
+        let zones: BTreeSet<&str> = set
+            .replicas()
+            .iter()
+            .map(|replica| self.zone(replica))
+            .collect();
         let is_free = |known: &&Coordinator| {
             let address = known.replica.address;
-            let holds_address = self.set.replicas().iter().any(|replica| replica.address == address);
+            let holds_address = self
+                .set
+                .replicas()
+                .iter()
+                .any(|replica| replica.address == address);
             known.is_live && !known.leaving && !holds_address
         };
-        let mut standbys: Vec<Replica> =
-            self.coordinators.iter().filter(is_free).map(|known| known.replica.clone()).collect();
+        let mut standbys: Vec<Replica> = self
+            .coordinators
+            .iter()
+            .filter(is_free)
+            .map(|known| known.replica.clone())
+            .collect();
         standbys.sort_by_key(|replica| (zones.contains(replica.zone.as_str()), replica.identity));
         standbys
     }
 
     /// The zone that the coordinator tells, or else the one in the replica set.
     fn zone<'a>(&'a self, replica: &'a Replica) -> &'a str {
-        let told = self.coordinators.iter().find(|known| known.is(replica.identity));
-        told.map(|known| known.replica.zone.as_str()).filter(|zone| !zone.is_empty()).unwrap_or(&replica.zone)
+        let told = self
+            .coordinators
+            .iter()
+            .find(|known| known.is(replica.identity));
+        told.map(|known| known.replica.zone.as_str())
+            .filter(|zone| !zone.is_empty())
+            .unwrap_or(&replica.zone)
     }
 
     fn is_live(&self, identity: Identity) -> bool {
@@ -124,7 +165,11 @@
     /// Whether live members are a majority of the set before and after.
     fn is_bearable(&self, change: &ReplicaChange) -> bool {
         let has_majority = |set: &ReplicaSet| {
-            let live = set.replicas().iter().filter(|replica| self.is_live(replica.identity)).count();
+            let live = set
+                .replicas()
+                .iter()
+                .filter(|replica| self.is_live(replica.identity))
+                .count();
             live >= set.majority()
         };
         let next = change.applied_to(self.set);
@@ -134,9 +179,14 @@
 
 /// Whether the replica of this identity has been heard lately.
 pub(super) fn is_live(coordinators: &[Coordinator], identity: Identity) -> bool {
-    coordinators.iter().any(|known| known.is(identity) && known.is_live)
+    coordinators
+        .iter()
+        .any(|known| known.is(identity) && known.is_live)
 }
 
 fn swap(leaves: &Replica, enters: &Replica) -> ReplicaChange {
-    ReplicaChange::Swap { leaves: leaves.identity, enters: enters.clone() }
+    ReplicaChange::Swap {
+        leaves: leaves.identity,
+        enters: enters.clone(),
+    }
 }
--- a/crates/register/src/steward/tests.rs
+++ b/crates/register/src/steward/tests.rs
@@ -17,7 +17,9 @@
 }
 
 fn members(numbers: &[u64]) -> Membership {
-    Membership::single(ReplicaSet::new(numbers.iter().map(|&number| replica(number, ""))))
+    Membership::single(ReplicaSet::new(
+        numbers.iter().map(|&number| replica(number, "")),
+    ))
 }
 
 /// What a coordinator tells of itself; it has heard neither replica 3 nor replica 4.
@@ -48,7 +50,13 @@
 
 #[test]
 fn nothing_is_due_while_all_are_there() {
-    assert_eq!(due(&mut steward(&[(2, "b"), (3, "c"), (4, "a")]), &members(&[1, 2, 3])), None);
+    assert_eq!(
+        due(
+            &mut steward(&[(2, "b"), (3, "c"), (4, "a")]),
+            &members(&[1, 2, 3])
+        ),
+        None
+    );
 }
 
 #[test]
@@ -59,7 +67,11 @@
     let change = due(&mut steward, &members(&[1, 2, 3]));
     assert_matches!(change, Some(ReplicaChange::Swap { leaves: Identity(3), enters }) if enters.identity == Identity(33));
     steward.hear(NOW, Identity(3), address);
-    assert_eq!(steward.entries[&address].identity, Identity(33), "a late message changes nothing");
+    assert_eq!(
+        steward.entries[&address].identity,
+        Identity(33),
+        "a late message changes nothing"
+    );
 }
 
 #[test]
@@ -73,11 +85,18 @@
 fn one_that_leaves_is_swapped() {
     let mut steward = steward(&[(2, "b"), (3, "c"), (4, "c")]);
     let leaver = replica(3, "c");
-    let leaving = Announcement { leaving: true, silent: Vec::new(), ..told("c") };
+    let leaving = Announcement {
+        leaving: true,
+        silent: Vec::new(),
+        ..told("c")
+    };
     steward.hear_of(leaver.identity, leaver.address, &leaving);
     assert_matches!(
         due(&mut steward, &members(&[1, 2, 3])),
-        Some(ReplicaChange::Swap { leaves: Identity(3), .. })
+        Some(ReplicaChange::Swap {
+            leaves: Identity(3),
+            ..
+        })
     );
 }
 
@@ -85,13 +104,20 @@
 fn a_set_below_the_target_grows() {
     let mut even = steward(&[(2, "b"), (3, "c")]);
     assert_matches!(due(&mut even, &members(&[1, 2])), Some(ReplicaChange::Add(added)) if added.identity == Identity(3));
-    assert_eq!(due(&mut steward(&[(2, "b")]), &members(&[1])), None, "two bear no more than one");
+    assert_eq!(
+        due(&mut steward(&[(2, "b")]), &members(&[1])),
+        None,
+        "two bear no more than one"
+    );
 }
 
 #[test]
 fn a_set_above_the_target_drops_the_one_that_is_gone() {
     let mut steward = steward(&[(2, "b"), (3, "c"), (5, "a")]);
-    assert_eq!(due(&mut steward, &members(&[1, 2, 3, 4])), Some(ReplicaChange::Remove(Identity(4))));
+    assert_eq!(
+        due(&mut steward, &members(&[1, 2, 3, 4])),
+        Some(ReplicaChange::Remove(Identity(4)))
+    );
 }
 
 #[test]
@@ -125,11 +151,17 @@
 fn a_member_that_others_hear_stays() {
     let mut steward = steward(&[(2, "b"), (4, "c")]);
     let two = replica(2, "b");
-    let well = Announcement { silent: Vec::new(), ..told("b") };
+    let well = Announcement {
+        silent: Vec::new(),
+        ..told("b")
+    };
     steward.hear_of(two.identity, two.address, &well);
     assert_eq!(due(&mut steward, &members(&[1, 2, 3])), None);
     steward.hear_of(two.identity, two.address, &told("b"));
-    assert_matches!(due(&mut steward, &members(&[1, 2, 3])), Some(ReplicaChange::Swap { .. }));
+    assert_matches!(
+        due(&mut steward, &members(&[1, 2, 3])),
+        Some(ReplicaChange::Swap { .. })
+    );
 }
 
 #[test]
--- a/crates/register/tests/calm.rs
+++ b/crates/register/tests/calm.rs
@@ -36,13 +36,23 @@
 #[test]
 fn a_change_is_seen_by_a_read_elsewhere_and_kept_when_sent_again() {
     let mut world = world(2);
-    let change = Change::Put { base: 0, content: 9 };
+    let change = Change::Put {
+        base: 0,
+        content: 9,
+    };
     let written = world.submit(0, Some(change), LIMIT);
     world.run(Duration::from_millis(300));
     assert_matches!(world.outcomes[&written], Outcome::Written(_));
     let read = world.submit(2, None, LIMIT);
     let kept = world.submit(1, Some(change), LIMIT);
-    let other = world.submit(2, Some(Change::Put { base: 0, content: 8 }), LIMIT);
+    let other = world.submit(
+        2,
+        Some(Change::Put {
+            base: 0,
+            content: 8,
+        }),
+        LIMIT,
+    );
     world.run(LIMIT);
     assert_matches!(&world.outcomes[&read], Outcome::Read(state) if state.value.contents == [9]);
     assert_matches!(world.outcomes[&kept], Outcome::Kept(_));
@@ -53,8 +63,9 @@
 #[test]
 fn changes_that_wait_together_are_decided_by_few_acceptances() {
     let mut world = world(3);
-    let ids: Vec<_> =
-        (0..8).map(|mark| world.submit(2, Some(Change::Mark { mark: 100 + mark }), LIMIT)).collect();
+    let ids: Vec<_> = (0..8)
+        .map(|mark| world.submit(2, Some(Change::Mark { mark: 100 + mark }), LIMIT))
+        .collect();
     world.run(LIMIT);
     for id in ids {
         assert_matches!(world.outcomes[&id], Outcome::Written(_));
@@ -73,8 +84,14 @@
             world.submit(host, Some(Change::Put { base: 0, content }), LIMIT)
         });
         world.run(LIMIT);
-        let written = ids.iter().filter(|id| matches!(world.outcomes[id], Outcome::Written(_))).count();
-        let rejected = ids.iter().filter(|id| matches!(world.outcomes[id], Outcome::Rejected { .. })).count();
+        let written = ids
+            .iter()
+            .filter(|id| matches!(world.outcomes[id], Outcome::Written(_)))
+            .count();
+        let rejected = ids
+            .iter()
+            .filter(|id| matches!(world.outcomes[id], Outcome::Rejected { .. }))
+            .count();
         assert_eq!((written, rejected), (1, 1));
         assert_clean(&mut world);
     }
@@ -87,13 +104,27 @@
     for seed in 0..50 {
         let mut world = world(seed);
         let start = world.now;
-        let ids = [0, 1, 2]
-            .map(|host| world.submit(host, Some(Change::Mark { mark: 50 + host as u64 }), LIMIT * 5));
+        let ids = [0, 1, 2].map(|host| {
+            world.submit(
+                host,
+                Some(Change::Mark {
+                    mark: 50 + host as u64,
+                }),
+                LIMIT * 5,
+            )
+        });
         while ids.iter().any(|id| !world.outcomes.contains_key(id)) {
             world.run(Duration::from_millis(5));
         }
         times.push(world.now - start);
-        rounds.extend((0..3).map(|host| world.hosts[host].node.as_ref().expect("runs").counters().prepares));
+        rounds.extend((0..3).map(|host| {
+            world.hosts[host]
+                .node
+                .as_ref()
+                .expect("runs")
+                .counters()
+                .prepares
+        }));
         assert_clean(&mut world);
     }
     rounds.sort_unstable();
@@ -117,7 +148,9 @@
         };
         let accepted = |host: usize| {
             let disk = world.hosts[host].disk.as_ref().expect("written");
-            disk.accepted.as_ref().is_some_and(|held| held.state.value.marks == [7])
+            disk.accepted
+                .as_ref()
+                .is_some_and(|held| held.state.value.marks == [7])
         };
         assert_eq!(holds(0), accepted(0) || accepted(1), "after {delay} ms");
         assert_eq!(holds(0), holds(1), "after {delay} ms");
--- a/crates/register/tests/contact.rs
+++ b/crates/register/tests/contact.rs
@@ -1,4 +1,5 @@
-//! Contact with a majority, measured by whole nodes: cuts of each kind, replaced and wiped members, outdated sets.
+//! Contact with a majority, measured by whole nodes: cuts of each kind, replaced and wiped members,
+//! outdated sets.
 
 mod support;
 
@@ -28,12 +29,17 @@
 }
 
 fn in_contact(world: &World, host: usize) -> bool {
-    world.hosts[host].node.as_ref().is_some_and(|node| node.is_in_contact(world.now))
+    world.hosts[host]
+        .node
+        .as_ref()
+        .is_some_and(|node| node.is_in_contact(world.now))
 }
 
 /// Cuts all messages from any of `from` to any of `to`.
 fn cut(world: &mut World, from: &[usize], to: &[usize]) {
-    let pairs = from.iter().flat_map(|&from| to.iter().map(move |&to| (from, to)));
+    let pairs = from
+        .iter()
+        .flat_map(|&from| to.iter().map(move |&to| (from, to)));
     world.cuts.extend(pairs.filter(|(from, to)| from != to));
 }
 
@@ -47,7 +53,12 @@
     let end = world.now + time;
     while world.now < end {
         for (host, expected) in expected {
-            assert_eq!(in_contact(world, *host), *expected, "host {host} at {:?}", world.now);
+            assert_eq!(
+                in_contact(world, *host),
+                *expected,
+                "host {host} at {:?}",
+                world.now
+            );
         }
         world.run(STEP);
     }
@@ -59,7 +70,11 @@
         let mut world = world(seed, 3, 0);
         world.weather.loss = 5;
         world.weather.jitter = 60;
-        assert_contact(&mut world, Duration::from_secs(20), &[(0, true), (1, true), (2, true)]);
+        assert_contact(
+            &mut world,
+            Duration::from_secs(20),
+            &[(0, true), (1, true), (2, true)],
+        );
     }
 }
 
@@ -76,7 +91,11 @@
         }
         world.run(bound());
         let rest = others.map(|other| (other, true));
-        assert_contact(&mut world, Duration::from_secs(20), &[rest[0], rest[1], (lost, false)]);
+        assert_contact(
+            &mut world,
+            Duration::from_secs(20),
+            &[rest[0], rest[1], (lost, false)],
+        );
         world.cuts.clear();
         // One interval of the questions and one round trip.
         world.run(bound() / 4 + Duration::from_millis(130));
@@ -90,7 +109,11 @@
     cut_both_ways(&mut world, &[0, 1], &[2, 3]);
     cut_both_ways(&mut world, &[0, 1, 2, 3], &[4]);
     world.run(bound());
-    assert_contact(&mut world, LIMIT, &[(0, false), (1, false), (2, false), (3, false), (4, false)]);
+    assert_contact(
+        &mut world,
+        LIMIT,
+        &[(0, false), (1, false), (2, false), (3, false), (4, false)],
+    );
 }
 
 #[test]
@@ -117,11 +140,15 @@
     assert_contact(&mut world, LIMIT, &[(3, true)]);
     cut_both_ways(&mut world, &[3], &[1]);
     world.run(bound());
-    assert_contact(&mut world, LIMIT, &[(3, false), (0, true), (1, true), (2, true)]);
+    assert_contact(
+        &mut world,
+        LIMIT,
+        &[(3, false), (0, true), (1, true), (2, true)],
+    );
 }
 
-/// 0 was replaced by 3 while it was cut off, and then meets only 2: a majority of the set that 0 knows, but not of
-/// the one in force.
+/// 0 was replaced by 3 while it was cut off, and then meets only 2: a majority of the set that 0
+/// knows, but not of the one in force.
 #[test]
 fn a_majority_of_an_outdated_set_gives_no_contact() {
     for seed in 0..30 {
@@ -131,18 +158,29 @@
         cut_both_ways(&mut world, &[0], &[1, 2, 3]);
         world.run(LIMIT);
         let node = world.hosts[3].node.as_ref().expect("runs");
-        assert!(node.is_member(), "seed {seed}: the spare has taken the place");
+        assert!(
+            node.is_member(),
+            "seed {seed}: the spare has taken the place"
+        );
         world.cuts.clear();
         cut_both_ways(&mut world, &[0, 2], &[1, 3]);
         assert_contact(&mut world, Duration::from_secs(1), &[(0, false)]);
-        assert_contact(&mut world, LIMIT, &[(0, false), (1, true), (2, false), (3, true)]);
+        assert_contact(
+            &mut world,
+            LIMIT,
+            &[(0, false), (1, true), (2, false), (3, true)],
+        );
     }
 }
 
 /// Bytes of a message of the register as it is sent.
 fn bytes_of(body: Body<String>) -> usize {
     let address = SocketAddr::from(([10, 255, 255, 255], 7_000));
-    let message = Message { sender: Identity(u64::MAX), address, body };
+    let message = Message {
+        sender: Identity(u64::MAX),
+        address,
+        body,
+    };
     postcard::to_stdvec(&message).expect("written").len()
 }
 
@@ -150,11 +188,21 @@
 #[test]
 fn the_questions_of_a_member_of_three_cost_less_than_a_kilobyte_a_second() {
     let number = u64::from(u32::MAX);
-    let newest = Ballot { counter: 1_000_000, identity: Identity(u64::MAX) };
+    let newest = Ballot {
+        counter: 1_000_000,
+        identity: Identity(u64::MAX),
+    };
     let question = bytes_of(Body::Question { number });
-    let echo = bytes_of(Body::Echo(Echo { number, newest, members: u64::MAX }));
+    let echo = bytes_of(Body::Echo(Echo {
+        number,
+        newest,
+        members: u64::MAX,
+    }));
     let interval = bound() / 4;
     let messages_a_second = 2.0 / interval.as_secs_f64();
     let bytes_a_second = messages_a_second * (question + echo) as f64;
-    assert!(bytes_a_second < 1_000.0, "{question} and {echo} bytes, {bytes_a_second} a second");
+    assert!(
+        bytes_a_second < 1_000.0,
+        "{question} and {echo} bytes, {bytes_a_second} a second"
+    );
 }
--- a/crates/register/tests/encoding.rs
+++ b/crates/register/tests/encoding.rs
@@ -8,7 +8,10 @@
 use ironmast_register::state::Proposal;
 use ironmast_register::{Ballot, Identity, Message, Record};
 
-const BALLOT: Ballot = Ballot { counter: 300, identity: Identity(7) };
+const BALLOT: Ballot = Ballot {
+    counter: 300,
+    identity: Identity(7),
+};
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -21,16 +24,38 @@
 
 fn bodies() -> Vec<Body<String>> {
     let proposal: Proposal<String> = record().accepted.expect("initial");
-    let report = Report { accepted: Some(BALLOT), proposal: Some(proposal.clone()), chosen: Ballot::ZERO };
-    let ask = |ask| Body::Request(Request { round: 9, to: Identity(1), ask });
+    let report = Report {
+        accepted: Some(BALLOT),
+        proposal: Some(proposal.clone()),
+        chosen: Ballot::ZERO,
+    };
+    let ask = |ask| {
+        Body::Request(Request {
+            round: 9,
+            to: Identity(1),
+            ask,
+        })
+    };
     let reply = |answer| Body::Reply(Reply { round: 9, answer });
-    let chosen = Some(Digest { ballot: BALLOT, sequence: 4 });
+    let chosen = Some(Digest {
+        ballot: BALLOT,
+        sequence: 4,
+    });
     vec![
         ask(Ask::Query { known: BALLOT }),
-        ask(Ask::Prepare { ballot: BALLOT, view: Ballot::ZERO, known: BALLOT }),
-        ask(Ask::Accept { proposal: proposal.clone() }),
+        ask(Ask::Prepare {
+            ballot: BALLOT,
+            view: Ballot::ZERO,
+            known: BALLOT,
+        }),
+        ask(Ask::Accept {
+            proposal: proposal.clone(),
+        }),
         reply(Answer::Reported(report.clone())),
-        reply(Answer::Promised { ballot: BALLOT, report }),
+        reply(Answer::Promised {
+            ballot: BALLOT,
+            report,
+        }),
         reply(Answer::Accepted { ballot: BALLOT }),
         reply(Answer::Conflict { promised: BALLOT }),
         reply(Answer::NotMember { chosen: BALLOT }),
@@ -44,23 +69,38 @@
         Body::Fetch { known: BALLOT },
         Body::State(proposal),
         Body::Question { number: 70_000 },
-        Body::Echo(Echo { number: 70_000, newest: BALLOT, members: u64::MAX }),
+        Body::Echo(Echo {
+            number: 70_000,
+            newest: BALLOT,
+            members: u64::MAX,
+        }),
     ]
 }
 
 #[test]
 fn every_message_is_read_as_it_was_written() {
     for body in bodies() {
-        let message = Message { sender: Identity(u64::MAX), address: address(7_000), body };
+        let message = Message {
+            sender: Identity(u64::MAX),
+            address: address(7_000),
+            body,
+        };
         let bytes = postcard::to_stdvec(&message).expect("written");
-        assert_eq!(postcard::from_bytes::<Message<String>>(&bytes).expect("read"), message);
+        assert_eq!(
+            postcard::from_bytes::<Message<String>>(&bytes).expect("read"),
+            message
+        );
     }
 }
 
 #[test]
 fn a_message_cut_short_is_refused() {
     for body in bodies() {
-        let message = Message { sender: Identity(3), address: address(7_000), body };
+        let message = Message {
+            sender: Identity(3),
+            address: address(7_000),
+            body,
+        };
         let bytes = postcard::to_stdvec(&message).expect("written");
         for length in 0..bytes.len() {
             assert!(postcard::from_bytes::<Message<String>>(&bytes[..length]).is_err());
@@ -71,13 +111,20 @@
 #[test]
 fn a_record_is_read_as_it_was_written() {
     let bytes = postcard::to_stdvec(&record()).expect("written");
-    assert_eq!(postcard::from_bytes::<Record<String>>(&bytes).expect("read"), record());
+    assert_eq!(
+        postcard::from_bytes::<Record<String>>(&bytes).expect("read"),
+        record()
+    );
 }
 
 #[test]
 fn an_announcement_is_small() {
     let body = bodies().swap_remove(8);
-    let message: Message<String> = Message { sender: Identity(u64::MAX), address: address(7_000), body };
+    let message: Message<String> = Message {
+        sender: Identity(u64::MAX),
+        address: address(7_000),
+        body,
+    };
     let bytes = postcard::to_stdvec(&message).expect("written");
     assert!(bytes.len() < 64, "{} bytes", bytes.len());
 }
--- a/crates/register/tests/exhaustive/mod.rs
+++ b/crates/register/tests/exhaustive/mod.rs
@@ -1,4 +1,5 @@
-//! The register as a model: hosts with an acceptor each, writers on the first of them, requests on their way.
+//! The register as a model: hosts with an acceptor each, writers on the first of them, requests on
+//! their way.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -24,7 +25,8 @@
 pub enum Task {
     /// Add a content.
     Put(u8),
-    /// Add a content as the one that follows that many others: an operator's order, which several writers may have.
+    /// Add a content as the one that follows that many others: an operator's order, which several
+    /// writers may have.
     Order { base: u8, content: u8 },
     /// Go over to two sets, in the second of which the spare takes the place of the last member.
     Enter,
@@ -39,8 +41,9 @@
     pub tasks: Vec<Task>,
     /// Ballots of each writer.
     pub ballots: Vec<u8>,
-    /// Whether a writer begins anew only if its round is refused or forgotten, and not also while it waits for
-    /// acceptances. Before it asks for those, a round given up is the same as one whose answers are late.
+    /// Whether a writer begins anew only if its round is refused or forgotten, and not also while
+    /// it waits for acceptances. Before it asks for those, a round given up is the same as one
+    /// whose answers are late.
     pub patient: bool,
     pub restarts: u8,
     pub wipes: u8,
@@ -76,7 +79,9 @@
 
 impl Writer {
     fn accepts(&self) -> bool {
-        self.round.as_ref().is_some_and(|round| round.stage == Stage::Accept)
+        self.round
+            .as_ref()
+            .is_some_and(|round| round.stage == Stage::Accept)
     }
 }
 
@@ -134,8 +139,10 @@
         let mut records: Vec<Record<Value>> = (0..MEMBERS).map(initial_record).collect();
         let base = records[0].accepted.clone().expect("initial");
         records.push(Record::empty(SPARE));
-        let host =
-            |disk: Record<Value>| Host { acceptor: Acceptor::recovered(disk.clone(), self.guards), disk };
+        let host = |disk: Record<Value>| Host {
+            acceptor: Acceptor::recovered(disk.clone(), self.guards),
+            disk,
+        };
         let writer = |&task: &Task| Writer {
             task,
             round: None,
@@ -150,8 +157,14 @@
             Joint::HalfDone => &[1, MEMBERS],
             Joint::Chosen => &[0, 1],
         };
-        let ballot = Ballot { counter: 1, identity: records[1].identity };
-        let joint = Proposal { ballot, state: with_spare(&base.state, ballot) };
+        let ballot = Ballot {
+            counter: 1,
+            identity: records[1].identity,
+        };
+        let joint = Proposal {
+            ballot,
+            state: with_spare(&base.state, ballot),
+        };
         for &holder in holders {
             records[holder].accepted = Some(joint.clone());
             records[holder].promised = ballot;
@@ -183,13 +196,24 @@
             }
         }
         for index in 0..situation.requests.len() {
-            steps.push(Step::Arrive { index, answered: true });
+            steps.push(Step::Arrive {
+                index,
+                answered: true,
+            });
             if situation.lost_answers < self.bounds.lost_answers {
-                steps.push(Step::Arrive { index, answered: false });
+                steps.push(Step::Arrive {
+                    index,
+                    answered: false,
+                });
             }
         }
         for host in 0..self.bounds.tasks.len() {
-            if situation.hosts[host].acceptor.clone().next_write().is_some() {
+            if situation.hosts[host]
+                .acceptor
+                .clone()
+                .next_write()
+                .is_some()
+            {
                 steps.push(Step::Write { host });
             }
         }
@@ -215,18 +239,31 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one state a sequence", |_, situation: &Situation| !situation.two_states),
-            Property::always("nothing decided is lost", |_, situation: &Situation| !situation.lost),
-            Property::always("a refused order is never in force", |_, situation: &Situation| {
-                let in_force =
-                    |content| situation.decided.values().any(|state| state.value.contains(content));
-                !situation.refused.iter().any(in_force)
+            Property::always("one state a sequence", |_, situation: &Situation| {
+                !situation.two_states
+            }),
+            Property::always("nothing decided is lost", |_, situation: &Situation| {
+                !situation.lost
             }),
+            Property::always(
+                "a refused order is never in force",
+                |_, situation: &Situation| {
+                    let in_force = |content| {
+                        situation
+                            .decided
+                            .values()
+                            .any(|state| state.value.contains(content))
+                    };
+                    !situation.refused.iter().any(in_force)
+                },
+            ),
             Property::always(
                 "of the orders on one base one is taken",
                 |model: &Self, situation: &Situation| {
                     model.orders().all(|(base, content)| {
-                        let mut rivals = model.orders().filter(|rival| rival.0 == base && rival.1 != content);
+                        let mut rivals = model
+                            .orders()
+                            .filter(|rival| rival.0 == base && rival.1 != content);
                         !situation.acknowledged.contains(&content)
                             || !rivals.any(|rival| situation.acknowledged.contains(&rival.1))
                     })
@@ -252,14 +289,21 @@
     fn begin(&self, situation: &mut Situation, writer: usize) {
         let host = &mut situation.hosts[writer];
         let state = &mut situation.writers[writer];
-        let seen = host.disk.accepted.as_ref().map_or(0, |held| held.ballot.counter);
+        let seen = host
+            .disk
+            .accepted
+            .as_ref()
+            .map_or(0, |held| held.ballot.counter);
         state.counter = state.counter.max(seen).max(state.base.ballot.counter) + 1;
         if state.counter > host.acceptor.reserved() {
             host.acceptor.reserve(state.counter);
             write(host);
         }
         state.ballots += 1;
-        let ballot = Ballot { counter: state.counter, identity: host.acceptor.identity() };
+        let ballot = Ballot {
+            counter: state.counter,
+            identity: host.acceptor.identity(),
+        };
         let base = state.base.clone();
         let id = u64::from(state.ballots);
         let round = Round::query(id, Some(base.clone()), base, self.guards).with_promises(ballot);
@@ -319,17 +363,24 @@
             self.decide(situation, writer, found.proposal);
             return;
         }
-        round.propose(Proposal { ballot, state: next });
+        round.propose(Proposal {
+            ballot,
+            state: next,
+        });
         ask(situation, writer);
     }
 
     /// A state is known as chosen; the writer is done if it shows the task.
     fn decide(&self, situation: &mut Situation, writer: usize, chosen: Proposal<Value>) {
-        let known =
-            situation.decided.entry(chosen.state.sequence).or_insert_with(|| Arc::clone(&chosen.state));
+        let known = situation
+            .decided
+            .entry(chosen.state.sequence)
+            .or_insert_with(|| Arc::clone(&chosen.state));
         situation.two_states |= *known != chosen.state;
         let states: Vec<_> = situation.decided.values().collect();
-        situation.lost |= states.windows(2).any(|pair| !pair[1].value.starts_with(&pair[0].value));
+        situation.lost |= states
+            .windows(2)
+            .any(|pair| !pair[1].value.starts_with(&pair[0].value));
         let state = &mut situation.writers[writer];
         state.round = None;
         state.done = is_done(state.task, &chosen.state);
@@ -362,12 +413,16 @@
     fn wipe(&self, situation: &mut Situation, host: usize) {
         situation.wipes += 1;
         let disk = Record::empty(EMPTIED);
-        situation.hosts[host] = Host { acceptor: Acceptor::recovered(disk.clone(), self.guards), disk };
+        situation.hosts[host] = Host {
+            acceptor: Acceptor::recovered(disk.clone(), self.guards),
+            disk,
+        };
     }
 }
 
-/// Sends the writer's present request to all that have not been asked it. Of its earlier requests only those to
-/// accept may still arrive: a promise that nobody waits for is the same as one more lost answer.
+/// Sends the writer's present request to all that have not been asked it. Of its earlier requests
+/// only those to accept may still arrive: a promise that nobody waits for is the same as one more
+/// lost answer.
 fn ask(situation: &mut Situation, writer: usize) {
     forget_prepares(situation, writer);
     let Some(round) = &situation.writers[writer].round else {
@@ -375,7 +430,11 @@
     };
     for replica in round.unanswered() {
         let host = usize::from(replica.address.port() - 7_000);
-        let request = Request { round: round.id, to: replica.identity, ask: round.ask() };
+        let request = Request {
+            round: round.id,
+            to: replica.identity,
+            ask: round.ask(),
+        };
         let is_asked = situation.requests.iter().any(|(from, to, sent)| {
             let same_stage =
                 matches!(sent.ask, Ask::Accept { .. }) == matches!(request.ask, Ask::Accept { .. });
@@ -386,13 +445,20 @@
         }
     }
     situation.requests.sort_by_key(|(from, to, request)| {
-        (*from, *to, request.round, matches!(request.ask, Ask::Accept { .. }))
+        (
+            *from,
+            *to,
+            request.round,
+            matches!(request.ask, Ask::Accept { .. }),
+        )
     });
 }
 
 fn forget_prepares(situation: &mut Situation, writer: usize) {
     let round = situation.writers[writer].round.as_ref();
-    let open = round.filter(|round| round.stage == Stage::Prepare).map(|round| round.id);
+    let open = round
+        .filter(|round| round.stage == Stage::Prepare)
+        .map(|round| round.id);
     situation.requests.retain(|(from, _, request)| {
         let is_prepare = matches!(request.ask, Ask::Prepare { .. });
         *from != writer || !is_prepare || Some(request.round) == open
@@ -410,7 +476,12 @@
     host.acceptor.persisted(write.token).pop()
 }
 
-fn successor(task: Task, found: &Found<Value>, ballot: Ballot, guards: Guards) -> Arc<State<Value>> {
+fn successor(
+    task: Task,
+    found: &Found<Value>,
+    ballot: Ballot,
+    guards: Guards,
+) -> Arc<State<Value>> {
     let state = &found.proposal.state;
     let value = Arc::clone(&state.value);
     let may_leave = found.confirmed || !guards.keeps(Guard::JointChosenFirst);
@@ -440,9 +511,19 @@
 /// The state that follows by going over to two sets: the spare takes the place of the last member.
 fn with_spare(state: &State<Value>, ballot: Ballot) -> Arc<State<Value>> {
     let current = state.members.current.clone();
-    let spare = Replica { identity: SPARE, address: address(MEMBERS), zone: String::new() };
-    let next = current.without(Identity::of_seed(address(MEMBERS - 1))).with(spare);
-    Arc::new(state.successor(ballot, Membership::joint(current, next), Arc::clone(&state.value)))
+    let spare = Replica {
+        identity: SPARE,
+        address: address(MEMBERS),
+        zone: String::new(),
+    };
+    let next = current
+        .without(Identity::of_seed(address(MEMBERS - 1)))
+        .with(spare);
+    Arc::new(state.successor(
+        ballot,
+        Membership::joint(current, next),
+        Arc::clone(&state.value),
+    ))
 }
 
 fn is_done(task: Task, state: &State<Value>) -> bool {
--- a/crates/register/tests/mutations.rs
+++ b/crates/register/tests/mutations.rs
@@ -25,7 +25,11 @@
 /// The first violation that is about safety, and the seed of its day.
 fn first_violation(guard: Guard, plan: &Plan) -> Option<(u64, Violation)> {
     let guards = Guards::without(guard);
-    let settings = Settings { guards, deference: Duration::ZERO, ..Settings::default() };
+    let settings = Settings {
+        guards,
+        deference: Duration::ZERO,
+        ..Settings::default()
+    };
     (0..MOST_SEEDS).find_map(|seed| {
         let violations = play(seed, plan.clone(), settings.clone()).violations;
         let unsafe_one = violations.into_iter().find(is_unsafe);
@@ -35,7 +39,11 @@
 
 #[test]
 fn a_vote_before_it_is_durable_is_noticed() {
-    let broken = |guards| (0..40).filter(|&seed| violates_by_power_loss(seed, guards)).count();
+    let broken = |guards| {
+        (0..40)
+            .filter(|&seed| violates_by_power_loss(seed, guards))
+            .count()
+    };
     assert_eq!(broken(Guards::default()), 0);
     let found = broken(Guards::without(Guard::PersistBeforeReply));
     println!("{found} of 40");
@@ -44,7 +52,15 @@
 
 /// Disks are slow, and all hosts lose power as soon as a change is acknowledged.
 fn violates_by_power_loss(seed: u64, guards: Guards) -> bool {
-    let mut world = World::new(seed, 3, 0, Settings { guards, ..Settings::default() });
+    let mut world = World::new(
+        seed,
+        3,
+        0,
+        Settings {
+            guards,
+            ..Settings::default()
+        },
+    );
     world.run(Duration::from_millis(500));
     world.weather.sync = 30;
     world.cuts = [(0, 2), (1, 2)].into();
@@ -74,17 +90,24 @@
 
 #[test]
 fn a_ballot_used_twice_is_noticed() {
-    let broken = |guards| (0..60).filter(|&seed| violates_by_early_restart(seed, guards)).count();
+    let broken = |guards| {
+        (0..60)
+            .filter(|&seed| violates_by_early_restart(seed, guards))
+            .count()
+    };
     assert_eq!(broken(Guards::default()), 0);
     let found = broken(Guards::without(Guard::BallotReservation));
     println!("{found} of 60");
     assert!(found > 0);
 }
 
-/// A proposer dies while its first acceptance is on its way, starts anew at once and proposes something else,
-/// while the one replica that may have accepted is cut off.
+/// A proposer dies while its first acceptance is on its way, starts anew at once and proposes
+/// something else, while the one replica that may have accepted is cut off.
 fn violates_by_early_restart(seed: u64, guards: Guards) -> bool {
-    let settings = Settings { guards, ..Settings::default() };
+    let settings = Settings {
+        guards,
+        ..Settings::default()
+    };
     let mut world = World::new(seed, 3, 0, settings);
     world.run(Duration::from_millis(500));
     world.cuts.insert((0, 2));
@@ -119,18 +142,31 @@
 
 #[test]
 fn an_old_set_left_too_early_is_noticed() {
-    let broken = |guards| (0..400).filter(|&step| violates_by_early_settling(step, guards)).count();
+    let broken = |guards| {
+        (0..400)
+            .filter(|&step| violates_by_early_settling(step, guards))
+            .count()
+    };
     assert_eq!(broken(Guards::default()), 0);
     let found = broken(Guards::without(Guard::JointChosenFirst));
     println!("{found} of 400");
     assert!(found > 0);
 }
 
-/// A replica change was left half-done at host 1 and the spare. Host 1 finds it and goes on, while host 0 is cut off
-/// after some steps; then hosts 0 and 2, a majority of the old set, go on without the others.
+/// A replica change was left half-done at host 1 and the spare. Host 1 finds it and goes on, while
+/// host 0 is cut off after some steps; then hosts 0 and 2, a majority of the old set, go on without
+/// the others.
 fn violates_by_early_settling(step: u64, guards: Guards) -> bool {
     const SPARE: usize = 3;
-    let mut world = World::new(step, 3, 1, Settings { guards, ..Settings::default() });
+    let mut world = World::new(
+        step,
+        3,
+        1,
+        Settings {
+            guards,
+            ..Settings::default()
+        },
+    );
     world.run(Duration::from_millis(500));
     (0..3).for_each(|host| world.kill(host));
     leave_half_done(&mut world, 1, SPARE);
@@ -152,19 +188,45 @@
     world.checks.violations.iter().any(is_unsafe)
 }
 
-/// Lets a host and the spare hold two sets, in the second of which the spare takes the place of host 2.
+/// Lets a host and the spare hold two sets, in the second of which the spare takes the place of
+/// host 2.
 fn leave_half_done(world: &mut World, host: usize, spare: usize) {
     let mut record = world.hosts[host].disk.clone().expect("written");
     let state = record.accepted.as_ref().expect("initial").state.clone();
-    let enters = Replica { identity: Identity(77), address: world.hosts[spare].address, zone: String::new() };
+    let enters = Replica {
+        identity: Identity(77),
+        address: world.hosts[spare].address,
+        zone: String::new(),
+    };
     let current = state.members.current.clone();
-    let next = current.without(Identity::of_seed(world.hosts[2].address)).with(enters.clone());
-    let ballot = Ballot { counter: record.reserved + 1, identity: record.identity };
-    let state = state.successor(ballot, Membership::joint(current, next), state.value.clone());
-    let accepted = Some(Proposal { ballot, state: state.into() });
-    record = Record { accepted: accepted.clone(), promised: ballot, reserved: ballot.counter, ..record };
+    let next = current
+        .without(Identity::of_seed(world.hosts[2].address))
+        .with(enters.clone());
+    let ballot = Ballot {
+        counter: record.reserved + 1,
+        identity: record.identity,
+    };
+    let state = state.successor(
+        ballot,
+        Membership::joint(current, next),
+        state.value.clone(),
+    );
+    let accepted = Some(Proposal {
+        ballot,
+        state: state.into(),
+    });
+    record = Record {
+        accepted: accepted.clone(),
+        promised: ballot,
+        reserved: ballot.counter,
+        ..record
+    };
     world.hosts[host].disk = Some(record);
-    world.hosts[spare].disk = Some(Record { accepted, promised: ballot, ..Record::empty(enters.identity) });
+    world.hosts[spare].disk = Some(Record {
+        accepted,
+        promised: ballot,
+        ..Record::empty(enters.identity)
+    });
 }
 
 #[test]
--- a/crates/register/tests/orders.rs
+++ b/crates/register/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Orders of several operators on one base, sent again to other machines after a lost answer: one is taken, each
-//! keeps the answer that it had, and a losing one is never in force.
+//! Orders of several operators on one base, sent again to other machines after a lost answer: one
+//! is taken, each keeps the answer that it had, and a losing one is never in force.
 
 mod support;
 
@@ -81,7 +81,8 @@
     world.submit(host, Some(change), LIMIT)
 }
 
-/// Sends an order to every host that runs, in calm; returns whether it is acknowledged by all of them.
+/// Sends an order to every host that runs, in calm; returns whether it is acknowledged by all of
+/// them.
 fn is_taken(world: &mut World, change: Change) -> bool {
     let hosts: Vec<usize> = world.up().collect();
     let mut answers = Vec::new();
@@ -94,13 +95,20 @@
             other => panic!("{change:?} at {host}: {other:?}"),
         });
     }
-    assert!(answers.windows(2).all(|pair| pair[0] == pair[1]), "{change:?}: {answers:?}");
+    assert!(
+        answers.windows(2).all(|pair| pair[0] == pair[1]),
+        "{change:?}: {answers:?}"
+    );
     answers[0]
 }
 
-/// Several operators send orders on one base while a trouble comes; the first loses its answers. Returns the orders.
+/// Several operators send orders on one base while a trouble comes; the first loses its answers.
+/// Returns the orders.
 fn race(world: &mut World, base: u64, operators: u64, trouble: Trouble) -> Vec<Change> {
-    let order = |operator| Change::Put { base, content: 1_000 * (base + 1) + operator };
+    let order = |operator| Change::Put {
+        base,
+        content: 1_000 * (base + 1) + operator,
+    };
     let orders: Vec<Change> = (0..operators).map(order).collect();
     let trouble_at = world.random.below(30);
     let members = world.hosts.len() - SPARES;
@@ -129,7 +137,11 @@
 
 fn assert_one_taken(world: &mut World, orders: &[Change]) {
     let taken: Vec<bool> = orders.iter().map(|&order| is_taken(world, order)).collect();
-    assert_eq!(taken.iter().filter(|taken| **taken).count(), 1, "{orders:?}: {taken:?}");
+    assert_eq!(
+        taken.iter().filter(|taken| **taken).count(),
+        1,
+        "{orders:?}: {taken:?}"
+    );
 }
 
 fn assert_clean(world: &mut World, case: &str) {
@@ -170,12 +182,19 @@
 
 #[test]
 fn orders_keep_their_answers_through_a_thousand_further_changes() {
-    for (seed, trouble) in [(1, Trouble::Nothing), (2, Trouble::Cut), (3, Trouble::Replace)] {
+    for (seed, trouble) in [
+        (1, Trouble::Nothing),
+        (2, Trouble::Cut),
+        (3, Trouble::Replace),
+    ] {
         let mut world = start(seed, 3);
         let mut orders = race(&mut world, 0, 3, trouble);
         let late = 1;
         for base in 1..=1_000 {
-            let change = Change::Put { base, content: 5_000_000 + base };
+            let change = Change::Put {
+                base,
+                content: 5_000_000 + base,
+            };
             let id = send(&mut world, change);
             if base % 97 == 0 {
                 // One that was sent long ago comes in between.
@@ -184,7 +203,11 @@
             while !world.outcomes.contains_key(&id) {
                 world.run(Duration::from_millis(10));
             }
-            assert!(matches!(world.outcomes[&id], Outcome::Written(_)), "{base}: {:?}", world.outcomes[&id]);
+            assert!(
+                matches!(world.outcomes[&id], Outcome::Written(_)),
+                "{base}: {:?}",
+                world.outcomes[&id]
+            );
             if base % 250 == 0 {
                 let hosts: Vec<usize> = world.up().collect();
                 restart(&mut world, &hosts[..1]);
@@ -198,33 +221,55 @@
     }
 }
 
-/// A gate is closed by an order that gets no answer, since its coordinator is cut off after that time; then it is
-/// opened by another, which is acknowledged. Whether it is closed once all are joined again.
+/// A gate is closed by an order that gets no answer, since its coordinator is cut off after that
+/// time; then it is opened by another, which is acknowledged. Whether it is closed once all are
+/// joined again.
 fn is_closed_after_it_was_opened(delay: Duration, settings: Settings) -> bool {
     let mut world = World::new(5, 3, 0, settings);
     world.run(Duration::from_millis(500));
-    let close = world.submit(0, Some(Change::Turn { number: 1, closed: true }), LIMIT);
+    let close = world.submit(
+        0,
+        Some(Change::Turn {
+            number: 1,
+            closed: true,
+        }),
+        LIMIT,
+    );
     world.run(delay);
     world.isolate(0);
     world.run(LIMIT * 2);
     assert!(world.outcomes.contains_key(&close));
-    let open = world.submit(1, Some(Change::Turn { number: 2, closed: false }), LIMIT);
+    let open = world.submit(
+        1,
+        Some(Change::Turn {
+            number: 2,
+            closed: false,
+        }),
+        LIMIT,
+    );
     world.run(LIMIT);
-    assert!(matches!(world.outcomes.get(&open), Some(Outcome::Kept(_) | Outcome::Written(_))));
+    assert!(matches!(
+        world.outcomes.get(&open),
+        Some(Outcome::Kept(_) | Outcome::Written(_))
+    ));
     world.cuts.clear();
     world.run(Duration::from_secs(3));
     world.expect_progress(LIMIT);
     assert_clean(&mut world, &format!("{delay:?}"));
     world.up().any(|host| {
         let node = world.hosts[host].node.as_ref();
-        node.and_then(|node| node.chosen()).is_some_and(|state| state.value.is_closed())
+        node.and_then(|node| node.chosen())
+            .is_some_and(|state| state.value.is_closed())
     })
 }
 
 #[test]
 fn an_order_left_half_done_is_not_in_force_after_a_later_one_was_answered() {
     let closed = |guards| {
-        let settings = Settings { guards, ..Settings::default() };
+        let settings = Settings {
+            guards,
+            ..Settings::default()
+        };
         (0..100)
             .filter(|&step| {
                 is_closed_after_it_was_opened(step * Duration::from_micros(500), settings.clone())
--- a/crates/register/tests/redundancy.rs
+++ b/crates/register/tests/redundancy.rs
@@ -66,7 +66,10 @@
         Loss::Standby => {}
     }
     let time = time_to_redundancy(&mut world, members);
-    assert_well(&mut world, &format!("seed {seed}, {members} members, {loss:?}, {around:?}"));
+    assert_well(
+        &mut world,
+        &format!("seed {seed}, {members} members, {loss:?}, {around:?}"),
+    );
     time
 }
 
@@ -77,8 +80,10 @@
             for (name, weather) in [("near", CALM), ("far", FAR)] {
                 for busy in [false, true] {
                     let around = Surroundings { weather, busy };
-                    let mut times: Vec<Duration> =
-                        seeds.clone().map(|seed| time_after(seed, members, loss, around)).collect();
+                    let mut times: Vec<Duration> = seeds
+                        .clone()
+                        .map(|seed| time_after(seed, members, loss, around))
+                        .collect();
                     times.sort_unstable();
                     let (median, worst) = (times[times.len() / 2], times[times.len() - 1]);
                     let high = times[times.len() * 99 / 100];
@@ -118,7 +123,10 @@
             let start = world.now;
             while is_member(&world, host) {
                 world.run(STEP);
-                assert!(world.now - start < Duration::from_secs(1), "{host} is still a member");
+                assert!(
+                    world.now - start < Duration::from_secs(1),
+                    "{host} is still a member"
+                );
             }
             world.wipe(host);
             time_to_redundancy(&mut world, members);
@@ -140,8 +148,11 @@
     }
     world.wipe(2);
     world.expect_progress(SYNC_TIME);
-    let marks =
-        world.hosts[4].node.as_ref().and_then(|node| node.chosen()).map(|state| state.value.marks.clone());
+    let marks = world.hosts[4]
+        .node
+        .as_ref()
+        .and_then(|node| node.chosen())
+        .map(|state| state.value.marks.clone());
     assert!(marks.is_some_and(|marks| marks.contains(&1)));
     world.checks.finish();
     assert_eq!(world.checks.violations, []);
@@ -160,7 +171,10 @@
     assert!(is_member(&world, 3));
     world.wipe(1);
     world.run(SYNC_TIME);
-    assert!(is_member(&world, 0), "it takes the place of the next one lost");
+    assert!(
+        is_member(&world, 0),
+        "it takes the place of the next one lost"
+    );
     assert_well(&mut world, "");
 }
 
@@ -185,7 +199,12 @@
     let mut world = settled(7, 3, 1);
     world.kill(1);
     world.run(SYNC_TIME);
-    let state = world.hosts[0].node.as_ref().and_then(|node| node.chosen()).cloned().expect("known");
+    let state = world.hosts[0]
+        .node
+        .as_ref()
+        .and_then(|node| node.chosen())
+        .cloned()
+        .expect("known");
     assert_eq!(state.members.current.len(), 3);
     world.start(1);
     assert_well(&mut world, "");
--- a/crates/register/tests/restart.rs
+++ b/crates/register/tests/restart.rs
@@ -14,13 +14,23 @@
 const LIMIT: Duration = Duration::from_secs(2);
 
 fn cut_off(world: &mut World, host: usize) {
-    world.cuts = (0..3).flat_map(|other| [(host, other), (other, host)]).collect();
+    world.cuts = (0..3)
+        .flat_map(|other| [(host, other), (other, host)])
+        .collect();
 }
 
-/// Host 0 acknowledges a change that host 1 misses, and starts anew while host 1 alone is in reach. What it tells then,
-/// and once all are.
+/// Host 0 acknowledges a change that host 1 misses, and starts anew while host 1 alone is in reach.
+/// What it tells then, and once all are.
 fn told_after_restart(guards: Guards) -> (Vec<u64>, Vec<u64>) {
-    let mut world = World::new(3, 3, 0, Settings { guards, ..Settings::default() });
+    let mut world = World::new(
+        3,
+        3,
+        0,
+        Settings {
+            guards,
+            ..Settings::default()
+        },
+    );
     world.run(LIMIT);
     cut_off(&mut world, 1);
     let id = world.submit(0, Some(Change::Mark { mark: 1 }), LIMIT);
@@ -49,7 +59,8 @@
     assert!(alone.contains(&0), "{alone:?}");
 }
 
-/// Host 0 hears the others before they hear it, and has an order at once: it must not vote before they are members.
+/// Host 0 hears the others before they hear it, and has an order at once: it must not vote before
+/// they are members.
 #[test]
 fn an_order_at_the_very_first_moment_leaves_all_initial_members_members() {
     for seed in 0..40 {
@@ -74,10 +85,18 @@
     }
 }
 
-/// Host 0 becomes a member while the others do not hear it, ends and comes back from its disk, and has an order
-/// at once. Whether all take changes once all hear one another.
+/// Host 0 becomes a member while the others do not hear it, ends and comes back from its disk, and
+/// has an order at once. Whether all take changes once all hear one another.
 fn progresses_after_early_return(seed: u64, guards: Guards) -> bool {
-    let mut world = World::new(seed, 3, 0, Settings { guards, ..Settings::default() });
+    let mut world = World::new(
+        seed,
+        3,
+        0,
+        Settings {
+            guards,
+            ..Settings::default()
+        },
+    );
     world.run(LIMIT);
     for host in 0..3 {
         world.wipe(host);
@@ -90,13 +109,19 @@
     }
     world.run(Duration::from_millis(100 + 10 * seed));
     assert!(world.hosts[0].disk.is_some(), "host 0 has become a member");
-    assert!(world.hosts[1].disk.is_none() && world.hosts[2].disk.is_none(), "and the others have not");
+    assert!(
+        world.hosts[1].disk.is_none() && world.hosts[2].disk.is_none(),
+        "and the others have not"
+    );
     world.kill(0);
     world.start(0);
     world.submit(0, Some(Change::Mark { mark: 1 }), LIMIT);
     // The first read of a life goes before the order, and is given up.
     world.run(Settings::default().round_limit + Duration::from_millis(100));
-    assert!(world.hosts[1].disk.is_none() && world.hosts[2].disk.is_none(), "the others still have not");
+    assert!(
+        world.hosts[1].disk.is_none() && world.hosts[2].disk.is_none(),
+        "the others still have not"
+    );
     world.cuts.clear();
     world.run(LIMIT);
     world.expect_progress(LIMIT);
@@ -107,14 +132,19 @@
 #[test]
 fn a_member_that_returns_before_the_others_have_started_leaves_them_members() {
     for seed in 0..40 {
-        assert!(progresses_after_early_return(seed, Guards::default()), "seed {seed}");
+        assert!(
+            progresses_after_early_return(seed, Guards::default()),
+            "seed {seed}"
+        );
     }
 }
 
 #[test]
 fn a_vote_right_after_an_early_return_is_noticed() {
     let guards = Guards::without(Guard::InitialReturn);
-    let stuck = (0..40).filter(|&seed| !progresses_after_early_return(seed, guards)).count();
+    let stuck = (0..40)
+        .filter(|&seed| !progresses_after_early_return(seed, guards))
+        .count();
     println!("{stuck} of 40");
     assert!(stuck > 0);
 }
@@ -124,7 +154,12 @@
     let mut world = World::new(5, 3, 0, Settings::default());
     world.run(LIMIT);
     let is_untouched = |record: &Record<Value>| !record.has_voted();
-    assert!(world.hosts.iter().all(|host| host.disk.as_ref().is_some_and(is_untouched)));
+    assert!(
+        world
+            .hosts
+            .iter()
+            .all(|host| host.disk.as_ref().is_some_and(is_untouched))
+    );
     world.kill(2);
     world
 }
@@ -175,7 +210,12 @@
     let id = world.submit(3, Some(Change::Mark { mark: 1 }), LIMIT);
     world.run(LIMIT);
     assert_matches!(world.outcomes[&id], Outcome::Written(_));
-    assert!(world.hosts[0].disk.as_ref().is_some_and(|record| !record.has_voted()));
+    assert!(
+        world.hosts[0]
+            .disk
+            .as_ref()
+            .is_some_and(|record| !record.has_voted())
+    );
     world.start(0);
     world.run(LIMIT);
     world.expect_progress(LIMIT);
--- a/crates/register/tests/second_loss.rs
+++ b/crates/register/tests/second_loss.rs
@@ -83,7 +83,10 @@
                 replace(&mut world, lost, members + lost);
                 let late = world.random.millis(0, 300);
                 world.run(SYNC_TIME + late);
-                assert!(is_redundant(&world, members), "seed {seed}, {members} members, {lost} lost");
+                assert!(
+                    is_redundant(&world, members),
+                    "seed {seed}, {members} members, {lost} lost"
+                );
             }
             assert_well(&mut world, &format!("seed {seed}, {members} members"));
         }
@@ -108,7 +111,10 @@
             world.run(Duration::from_millis(500));
             hosts.iter().for_each(|&host| world.start(host));
             time_to_redundancy(&mut world, members);
-            assert_well(&mut world, &format!("{members} members, killed after {delay} ms"));
+            assert_well(
+                &mut world,
+                &format!("{members} members, killed after {delay} ms"),
+            );
         }
     }
 }
@@ -129,7 +135,10 @@
             let start = world.now;
             while is_member(&world, 0) {
                 world.run(STEP);
-                assert!(world.now - start < HANDOVER, "seed {seed}, {members} members");
+                assert!(
+                    world.now - start < HANDOVER,
+                    "seed {seed}, {members} members"
+                );
             }
             world.wipe(0);
             let state = newest(&world).expect("known");
@@ -143,7 +152,10 @@
 /// Hosts that run and hold that state, or a newer one, on their disks.
 fn holders(world: &World, sequence: u64) -> usize {
     let holds = |host: &usize| {
-        let accepted = world.hosts[*host].disk.as_ref().and_then(|record| record.accepted.as_ref());
+        let accepted = world.hosts[*host]
+            .disk
+            .as_ref()
+            .and_then(|record| record.accepted.as_ref());
         accepted.is_some_and(|held| held.state.sequence >= sequence)
     };
     world.up().filter(holds).count()
@@ -159,7 +171,10 @@
             let start = world.now;
             while is_member(&world, 0) || is_member(&world, 1) {
                 world.run(STEP);
-                assert!(world.now - start < HANDOVER, "seed {seed}, {members} members");
+                assert!(
+                    world.now - start < HANDOVER,
+                    "seed {seed}, {members} members"
+                );
             }
             world.wipe(0);
             world.wipe(1);
@@ -194,10 +209,18 @@
         world.freeze(frozen, Duration::from_millis(lasts));
         world.run(Duration::from_millis(lasts) + SYNC_TIME);
         assert!(is_redundant(&world, 3), "seed {seed}");
-        assert_eq!(is_member(&world, frozen), lasts == 1_000, "seed {seed}, {lasts} ms");
+        assert_eq!(
+            is_member(&world, frozen),
+            lasts == 1_000,
+            "seed {seed}, {lasts} ms"
+        );
         let before = newest(&world).expect("known").members.clone();
         world.run(SYNC_TIME * 3);
-        assert_eq!(newest(&world).expect("known").members, before, "seed {seed}: the set has settled");
+        assert_eq!(
+            newest(&world).expect("known").members,
+            before,
+            "seed {seed}: the set has settled"
+        );
         let other = (frozen + 1) % 3;
         world.wipe(other);
         time_to_redundancy(&mut world, 3);
@@ -244,10 +267,14 @@
 }
 
 fn without(guard: Guard) -> Settings {
-    Settings { guards: Guards::without(guard), ..Settings::default() }
+    Settings {
+        guards: Guards::without(guard),
+        ..Settings::default()
+    }
 }
 
-/// Changes of the replica set while one member doesn't hear another, and another one not the standby.
+/// Changes of the replica set while one member doesn't hear another, and another one not the
+/// standby.
 fn changes_under_one_way_cuts(settings: Settings) -> u64 {
     let mut world = World::new(3, 3, 1, settings);
     world.start(3);
@@ -270,7 +297,8 @@
     assert!(changes > 4);
 }
 
-/// Two of three members stand still; once they go on, the links of the third come up last. Whether it is replaced.
+/// Two of three members stand still; once they go on, the links of the third come up last. Whether
+/// it is replaced.
 fn replaces_a_member_after_own_pause(settings: Settings) -> bool {
     let mut world = World::new(4, 3, 1, settings);
     world.start(3);
--- a/crates/register/tests/simulation.rs
+++ b/crates/register/tests/simulation.rs
@@ -26,9 +26,20 @@
             messages,
             ..
         } = report;
-        let counts =
-            [acknowledged, rejected, unknown, expired, reads, replica_changes, failed_writes, messages];
-        total.iter_mut().zip(counts).for_each(|(total, count)| *total += count);
+        let counts = [
+            acknowledged,
+            rejected,
+            unknown,
+            expired,
+            reads,
+            replica_changes,
+            failed_writes,
+            messages,
+        ];
+        total
+            .iter_mut()
+            .zip(counts)
+            .for_each(|(total, count)| *total += count);
     }
     println!(
         "acknowledged, rejected, unknown, expired, reads, replica changes, failed writes, messages: {total:?}"
--- a/crates/register/tests/support/checks.rs
+++ b/crates/register/tests/support/checks.rs
@@ -46,7 +46,8 @@
     /// Changes of which one sending was never attempted.
     expired: BTreeSet<u64>,
     sent: BTreeSet<u64>,
-    /// Changes sent more than once: that one sending was never attempted says nothing of the others.
+    /// Changes sent more than once: that one sending was never attempted says nothing of the
+    /// others.
     repeated: BTreeSet<u64>,
     /// Highest sequence reported.
     pub reported: u64,
@@ -90,7 +91,9 @@
                 self.acknowledged_count += 1;
                 self.report(request, state);
                 if let Some(change) = request.change.filter(|change| change.leaves_a_trace()) {
-                    self.acknowledged.entry(change.number()).or_insert(state.sequence);
+                    self.acknowledged
+                        .entry(change.number())
+                        .or_insert(state.sequence);
                 }
             }
             Outcome::Rejected { state, .. } => {
@@ -115,12 +118,14 @@
             let held = state.value.all();
             for (&change, &since) in &self.acknowledged {
                 if sequence >= since && !held.contains(&change) && told.insert(change) {
-                    self.violations.push(Violation::AcknowledgedMissing { change, sequence });
+                    self.violations
+                        .push(Violation::AcknowledgedMissing { change, sequence });
                 }
             }
             for &change in refused.intersection(&held) {
                 if told.insert(change) {
-                    self.violations.push(Violation::RefusedInForce { change, sequence });
+                    self.violations
+                        .push(Violation::RefusedInForce { change, sequence });
                 }
             }
         }
@@ -135,19 +140,36 @@
     fn report(&mut self, request: &Request, state: &Arc<State<Value>>) {
         self.see(state);
         if state.sequence < request.floor {
-            self.violations.push(Violation::Stale { seen: state.sequence, reported: request.floor });
+            self.violations.push(Violation::Stale {
+                seen: state.sequence,
+                reported: request.floor,
+            });
         }
         self.reported = self.reported.max(state.sequence);
     }
 
     fn compare_with_neighbours(&mut self, state: &State<Value>) {
-        let before = self.states.range(..state.sequence).next_back().map(|(_, before)| Arc::clone(before));
-        let after = self.states.range(state.sequence..).next().map(|(_, after)| Arc::clone(after));
+        let before = self
+            .states
+            .range(..state.sequence)
+            .next_back()
+            .map(|(_, before)| Arc::clone(before));
+        let after = self
+            .states
+            .range(state.sequence..)
+            .next()
+            .map(|(_, after)| Arc::clone(after));
         if let Some(before) = before.filter(|before| !before.value.is_prefix_of(&state.value)) {
-            self.violations.push(Violation::Lost { earlier: before.sequence, later: state.sequence });
+            self.violations.push(Violation::Lost {
+                earlier: before.sequence,
+                later: state.sequence,
+            });
         }
         if let Some(after) = after.filter(|after| !state.value.is_prefix_of(&after.value)) {
-            self.violations.push(Violation::Lost { earlier: state.sequence, later: after.sequence });
+            self.violations.push(Violation::Lost {
+                earlier: state.sequence,
+                later: after.sequence,
+            });
         }
     }
 }
--- a/crates/register/tests/support/day.rs
+++ b/crates/register/tests/support/day.rs
@@ -32,7 +32,8 @@
     pub outage: u64,
     /// Longest time between faults that may overlap, in milliseconds.
     pub gap: u64,
-    /// Percent of emptied machines whose settings still say that the whole system starts for the first time.
+    /// Percent of emptied machines whose settings still say that the whole system starts for the
+    /// first time.
     pub misled: u64,
 }
 
@@ -40,23 +41,49 @@
     /// A day of that many members with faults of up to two seconds.
     pub fn ordinary(members: usize) -> Self {
         let length = Duration::from_secs(16);
-        Self { members, spares: 4, length, losses: 30, loss: 12, outage: 2_000, gap: 900, misled: 0 }
+        Self {
+            members,
+            spares: 4,
+            length,
+            losses: 30,
+            loss: 12,
+            outage: 2_000,
+            gap: 900,
+            misled: 0,
+        }
     }
 
     /// A day of short faults that follow closely, on a network that loses much.
     pub fn rough(members: usize) -> Self {
         let length = Duration::from_secs(10);
-        Self { members, spares: 4, length, losses: 5, loss: 45, outage: 120, gap: 60, misled: 0 }
+        Self {
+            members,
+            spares: 4,
+            length,
+            losses: 5,
+            loss: 45,
+            outage: 120,
+            gap: 60,
+            misled: 0,
+        }
     }
 
     /// A day on which mostly disks are lost, on a network that loses much.
     pub fn wearing(members: usize) -> Self {
-        Self { losses: 90, loss: 20, outage: 700, ..Self::ordinary(members) }
+        Self {
+            losses: 90,
+            loss: 20,
+            outage: 700,
+            ..Self::ordinary(members)
+        }
     }
 
     /// A wearing day on which emptied machines start as if for the first time.
     pub fn misled(members: usize) -> Self {
-        Self { misled: 100, ..Self::wearing(members) }
+        Self {
+            misled: 100,
+            ..Self::wearing(members)
+        }
     }
 
     /// The day on a network that loses up to that percentage of messages.
@@ -111,7 +138,15 @@
     world.weather = weather(&mut world, plan.loss);
     let next_spare = plan.members;
     let next_fault = world.now + Duration::from_millis(500);
-    let mut day = Day { world, plan, number: 0, next_fault, open: Vec::new(), sent: Vec::new(), next_spare };
+    let mut day = Day {
+        world,
+        plan,
+        number: 0,
+        next_fault,
+        open: Vec::new(),
+        sent: Vec::new(),
+        next_spare,
+    };
     day.work();
     day.calm();
     day.report()
@@ -152,7 +187,8 @@
         self.resend_all();
     }
 
-    /// Each change that was acknowledged is acknowledged again; each that was refused is refused again.
+    /// Each change that was acknowledged is acknowledged again; each that was refused is refused
+    /// again.
     fn resend_all(&mut self) {
         let answered: Vec<(Change, bool)> = self
             .sent
@@ -167,16 +203,28 @@
         let mut resent = Vec::new();
         for (index, (change, taken)) in answered.into_iter().enumerate() {
             let host = hosts[index % hosts.len()];
-            resent.push((self.world.submit(host, Some(change), LIMIT), host, change, taken));
+            resent.push((
+                self.world.submit(host, Some(change), LIMIT),
+                host,
+                change,
+                taken,
+            ));
         }
         self.world.run(LIMIT);
         for (id, host, change, taken) in resent {
             let violation = match (self.world.outcomes.get(&id), taken) {
-                (Some(Outcome::Kept(_)), true) | (Some(Outcome::Rejected { .. }), false) => continue,
+                (Some(Outcome::Kept(_)), true) | (Some(Outcome::Rejected { .. }), false) => {
+                    continue;
+                }
                 (Some(Outcome::Written(_) | Outcome::Kept(_) | Outcome::Rejected { .. }), _) => {
-                    Violation::AnsweredOtherwise { change: change.number() }
+                    Violation::AnsweredOtherwise {
+                        change: change.number(),
+                    }
                 }
-                _ => Violation::NoProgress { host, at: self.world.now },
+                _ => Violation::NoProgress {
+                    host,
+                    at: self.world.now,
+                },
             };
             self.world.checks.violations.push(violation);
         }
@@ -206,7 +254,10 @@
         let host = hosts[self.pick(hosts.len())];
         self.number += 1;
         let change = match self.world.random.below(10) {
-            0..=3 => Some(Change::Put { base: self.version_at(host), content: self.number }),
+            0..=3 => Some(Change::Put {
+                base: self.version_at(host),
+                content: self.number,
+            }),
             4..=6 => Some(Change::Mark { mark: self.number }),
             7 => self.repeated(),
             _ => None,
@@ -216,13 +267,17 @@
         let rival = hosts[self.pick(hosts.len())];
         if let Some(Change::Put { base, .. }) = change.filter(|_| self.world.random.chance(30)) {
             self.number += 1;
-            let change = Change::Put { base, content: self.number };
+            let change = Change::Put {
+                base,
+                content: self.number,
+            };
             let id = self.world.submit(rival, Some(change), LIMIT);
             self.sent.push((id, change));
         }
     }
 
-    /// A change sent before of which the client has no answer, as one that lost its connection would send it.
+    /// A change sent before of which the client has no answer, as one that lost its connection
+    /// would send it.
     fn repeated(&mut self) -> Option<Change> {
         let lost: Vec<Change> = self
             .sent
@@ -237,7 +292,8 @@
 
     fn version_at(&self, host: usize) -> u64 {
         let node = self.world.hosts[host].node.as_ref();
-        node.and_then(|node| node.chosen()).map_or(0, |state| state.value.version())
+        node.and_then(|node| node.chosen())
+            .map_or(0, |state| state.value.version())
     }
 
     fn end_faults(&mut self) {
@@ -274,19 +330,30 @@
             return;
         }
         let lasts = self.disturb();
-        let pause = if self.world.random.chance(self.plan.losses) { CATCH_UP } else { Duration::ZERO };
+        let pause = if self.world.random.chance(self.plan.losses) {
+            CATCH_UP
+        } else {
+            Duration::ZERO
+        };
         let gap = self.world.random.millis(0, self.plan.gap);
-        self.next_fault =
-            self.world.now + gap + pause + if pause == CATCH_UP { lasts } else { Duration::ZERO };
+        self.next_fault = self.world.now
+            + gap
+            + pause
+            + if pause == CATCH_UP {
+                lasts
+            } else {
+                Duration::ZERO
+            };
     }
 
-    /// Whether a disk may be lost: the time since the last one is enough for its repair, unless so many messages are
-    /// lost that the repair may still be under way.
+    /// Whether a disk may be lost: the time since the last one is enough for its repair, unless so
+    /// many messages are lost that the repair may still be under way.
     fn bears_a_loss(&self) -> bool {
         self.world.weather.loss <= LOSS_IN_TIME || is_redundant(&self.world, self.plan.members)
     }
 
-    /// Empties a disk or takes its machine away; returns how long until the machine or its successor is back.
+    /// Empties a disk or takes its machine away; returns how long until the machine or its
+    /// successor is back.
     fn lose_disk(&mut self) -> Duration {
         let hosts: Vec<usize> = self.world.up().collect();
         if hosts.len() < self.plan.members {
@@ -314,7 +381,14 @@
                 self.world.wipe(host);
                 let may_be = self.plan.misled > 0 && host < self.plan.members;
                 let misled = may_be && self.world.random.chance(self.plan.misled);
-                self.open.push((at, if misled { End::StartFirst(host) } else { End::Start(host) }));
+                self.open.push((
+                    at,
+                    if misled {
+                        End::StartFirst(host)
+                    } else {
+                        End::Start(host)
+                    },
+                ));
             }
         }
         lasts
@@ -346,7 +420,14 @@
             4 => {
                 self.world.hosts[host].fails = true;
                 let dies = self.world.random.chance(50);
-                self.open.push((at, if dies { End::Restart(host) } else { End::Write(host) }));
+                self.open.push((
+                    at,
+                    if dies {
+                        End::Restart(host)
+                    } else {
+                        End::Write(host)
+                    },
+                ));
             }
             5 => {
                 let other = hosts[self.pick(hosts.len())];
--- a/crates/register/tests/support/first_start.rs
+++ b/crates/register/tests/support/first_start.rs
@@ -11,14 +11,20 @@
 
 const LIMIT: Duration = Duration::from_secs(2);
 
-/// Hosts 0 and 2 acknowledge a change, host 2 loses its disk and starts as if for the first time while only host 1,
-/// which has missed the change, is in reach. Whether the change is lost then.
+/// Hosts 0 and 2 acknowledge a change, host 2 loses its disk and starts as if for the first time
+/// while only host 1, which has missed the change, is in reach. Whether the change is lost then.
 pub fn loses_a_change(guards: Guards) -> bool {
-    let settings = Settings { guards, ..Settings::default() };
+    let settings = Settings {
+        guards,
+        ..Settings::default()
+    };
     let mut world = World::new(1, 3, 0, settings);
     world.run(Duration::from_millis(500));
     world.cuts = [(0, 1), (1, 0), (1, 2), (2, 1)].into();
-    let first = Change::Put { base: 0, content: 1 };
+    let first = Change::Put {
+        base: 0,
+        content: 1,
+    };
     let id = world.submit(0, Some(first), LIMIT);
     world.run(LIMIT);
     assert!(world.outcomes.contains_key(&id));
@@ -26,13 +32,24 @@
     world.cuts = [(0, 1), (1, 0), (0, 2), (2, 0)].into();
     world.start_first(2);
     world.run(Duration::from_secs(5));
-    world.submit(1, Some(Change::Put { base: 0, content: 2 }), LIMIT);
+    world.submit(
+        1,
+        Some(Change::Put {
+            base: 0,
+            content: 2,
+        }),
+        LIMIT,
+    );
     world.run(LIMIT);
     world.cuts.clear();
     world.run(LIMIT);
     world.expect_progress(LIMIT);
     world.checks.finish();
     let is_progress = |violation: &Violation| matches!(violation, Violation::NoProgress { .. });
-    assert!(!world.checks.violations.iter().any(is_progress), "{:?}", world.checks.violations);
+    assert!(
+        !world.checks.violations.iter().any(is_progress),
+        "{:?}",
+        world.checks.violations
+    );
     !world.checks.violations.is_empty()
 }
--- a/crates/register/tests/support/mod.rs
+++ b/crates/register/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A simulated deployment: hosts with disks, a network with faults, clients, and the checks of what they see.
+//! A simulated deployment: hosts with disks, a network with faults, clients, and the checks of what
+//! they see.
 #![allow(dead_code)]
 
 pub mod checks;
--- a/crates/register/tests/support/redundancy.rs
+++ b/crates/register/tests/support/redundancy.rs
@@ -36,22 +36,27 @@
     known.max_by_key(|state| state.sequence).cloned()
 }
 
-/// Whether there is a single set of that many replicas, all of which run and know it, and a majority of which
-/// holds the newest state on its disk.
+/// Whether there is a single set of that many replicas, all of which run and know it, and a
+/// majority of which holds the newest state on its disk.
 pub fn is_redundant(world: &World, size: usize) -> bool {
     let Some(state) = newest(world) else {
         return false;
     };
     let members: Vec<usize> = world
         .up()
-        .filter(|&host| node(world, host).is_some_and(|node| state.members.contains(node.identity())))
+        .filter(|&host| {
+            node(world, host).is_some_and(|node| state.members.contains(node.identity()))
+        })
         .collect();
     let knows = |&host: &usize| {
         let chosen = node(world, host).and_then(Node::chosen);
         chosen.is_some_and(|known| known.members == state.members)
     };
     let holds = |host: &&usize| {
-        let accepted = world.hosts[**host].disk.as_ref().and_then(|record| record.accepted.as_ref());
+        let accepted = world.hosts[**host]
+            .disk
+            .as_ref()
+            .and_then(|record| record.accepted.as_ref());
         accepted.is_some_and(|held| held.state.sequence >= state.sequence)
     };
     !state.members.is_joint()
--- a/crates/register/tests/support/value.rs
+++ b/crates/register/tests/support/value.rs
@@ -1,4 +1,5 @@
-//! The value of the simulated register: a versioned content with its whole history, and a set of marks.
+//! The value of the simulated register: a versioned content with its whole history, and a set of
+//! marks.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +12,8 @@
     pub contents: Vec<u64>,
     /// Marks set, in order.
     pub marks: Vec<u64>,
-    /// Numbers of the changes that closed the gate and opened it again, in order; closed if it is odd.
+    /// Numbers of the changes that closed the gate and opened it again, in order; closed if it is
+    /// odd.
     pub turns: Vec<u64>,
 }
 
@@ -37,14 +39,20 @@
     }
 
     pub fn all(&self) -> BTreeSet<u64> {
-        self.contents.iter().chain(&self.marks).chain(&self.turns).copied().collect()
+        self.contents
+            .iter()
+            .chain(&self.marks)
+            .chain(&self.turns)
+            .copied()
+            .collect()
     }
 }
 
 /// A change; each has a number of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Takes the place of the content of that version, if it is the newest. Sent again, it is kept for ever.
+    /// Takes the place of the content of that version, if it is the newest. Sent again, it is kept
+    /// for ever.
     Put { base: u64, content: u64 },
     /// Sets a mark.
     Mark { mark: u64 },
@@ -72,7 +80,9 @@
         let mut next = value.clone();
         match *self {
             Self::Put { base, content } if value.version() == base => next.contents.push(content),
-            Self::Put { base, content } if value.content_on(base) == Some(content) => return Decision::Keep,
+            Self::Put { base, content } if value.content_on(base) == Some(content) => {
+                return Decision::Keep;
+            }
             Self::Put { .. } => return Decision::Reject("another version".to_owned()),
             Self::Mark { mark } if value.marks.contains(&mark) => return Decision::Keep,
             Self::Mark { mark } => next.marks.push(mark),
--- a/crates/register/tests/support/world.rs
+++ b/crates/register/tests/support/world.rs
@@ -7,8 +7,8 @@
 
 use ironmast_register::node::Place;
 use ironmast_register::{
-    Action, Event, Identity, Message, Node, Operation, OperationId, Origin, Outcome, PersistToken, Record,
-    Settings, Write,
+    Action, Event, Identity, Message, Node, Operation, OperationId, Origin, Outcome, PersistToken,
+    Record, Settings, Write,
 };
 
 use super::checks::{Checks, Request, Violation};
@@ -30,10 +30,20 @@
     pub distance: u64,
 }
 
-pub const CALM: Weather = Weather { loss: 0, doubled: 0, jitter: 2, sync: 3, distance: 0 };
+pub const CALM: Weather = Weather {
+    loss: 0,
+    doubled: 0,
+    jitter: 2,
+    sync: 3,
+    distance: 0,
+};
 
 /// All links are as long as those between distant regions, and disks are slow.
-pub const FAR: Weather = Weather { sync: 5, distance: 55, ..CALM };
+pub const FAR: Weather = Weather {
+    sync: 5,
+    distance: 55,
+    ..CALM
+};
 
 /// A write that has failed is tried again after this.
 const REWRITE: Duration = Duration::from_millis(200);
@@ -59,10 +69,27 @@
 }
 
 enum Happening {
-    Arrives { to: SocketAddr, message: Message<Value> },
-    Written { host: usize, life: u64, token: PersistToken },
-    Rings { host: usize, life: u64, at: Duration },
-    Asked { host: usize, life: u64, id: OperationId, change: Option<Change>, limit: Duration },
+    Arrives {
+        to: SocketAddr,
+        message: Message<Value>,
+    },
+    Written {
+        host: usize,
+        life: u64,
+        token: PersistToken,
+    },
+    Rings {
+        host: usize,
+        life: u64,
+        at: Duration,
+    },
+    Asked {
+        host: usize,
+        life: u64,
+        id: OperationId,
+        change: Option<Change>,
+        limit: Duration,
+    },
 }
 
 impl Happening {
@@ -127,7 +154,10 @@
         match self.hosts[host].disk.is_some() {
             true => self.start(host),
             false => {
-                let origin = Origin::Bootstrap { members: self.seeds.clone(), value: Value::default() };
+                let origin = Origin::Bootstrap {
+                    members: self.seeds.clone(),
+                    value: Value::default(),
+                };
                 self.start_from(host, origin);
                 self.tell_peers();
             }
@@ -138,7 +168,9 @@
     pub fn start(&mut self, host: usize) {
         let origin = match self.hosts[host].disk.clone() {
             Some(record) => Origin::Disk(record),
-            None => Origin::Empty { identity: Identity(self.random.next()) },
+            None => Origin::Empty {
+                identity: Identity(self.random.next()),
+            },
         };
         self.start_from(host, origin);
         self.tell_peers();
@@ -147,7 +179,10 @@
     fn start_from(&mut self, host: usize, origin: Origin<Value>) {
         let seed = self.random.next();
         let settings = self.settings.clone();
-        let place = Place { address: self.hosts[host].address, zone: self.hosts[host].zone.clone() };
+        let place = Place {
+            address: self.hosts[host].address,
+            zone: self.hosts[host].zone.clone(),
+        };
         let entry = &mut self.hosts[host];
         entry.life += 1;
         entry.told.clear();
@@ -157,9 +192,14 @@
 
     /// Starts a host that is told of those others only, while nobody is told of it but one host.
     pub fn start_secluded(&mut self, host: usize, told: &[usize], known_by: usize) {
-        let origin = Origin::Empty { identity: Identity(self.random.next()) };
+        let origin = Origin::Empty {
+            identity: Identity(self.random.next()),
+        };
         self.start_from(host, origin);
-        let others = told.iter().map(|&other| self.hosts[other].address).collect();
+        let others = told
+            .iter()
+            .map(|&other| self.hosts[other].address)
+            .collect();
         self.handle(host, Event::Peers(others));
         self.handle(known_by, Event::Peers(vec![self.hosts[host].address]));
     }
@@ -167,12 +207,21 @@
     /// Every host is told of all that run, and of the seeds.
     fn tell_peers(&mut self) {
         let up: Vec<usize> = self.up().collect();
-        let mut addresses: BTreeSet<SocketAddr> = up.iter().map(|&host| self.hosts[host].address).collect();
+        let mut addresses: BTreeSet<SocketAddr> =
+            up.iter().map(|&host| self.hosts[host].address).collect();
         addresses.extend(&self.seeds);
         let now = self.now;
-        for host in up.into_iter().filter(|&host| self.hosts[host].frozen_until <= now).collect::<Vec<_>>() {
+        for host in up
+            .into_iter()
+            .filter(|&host| self.hosts[host].frozen_until <= now)
+            .collect::<Vec<_>>()
+        {
             let own = self.hosts[host].address;
-            let others = addresses.iter().copied().filter(|&address| address != own).collect();
+            let others = addresses
+                .iter()
+                .copied()
+                .filter(|&address| address != own)
+                .collect();
             self.handle(host, Event::Peers(others));
         }
     }
@@ -212,11 +261,26 @@
     pub fn submit(&mut self, host: usize, change: Option<Change>, limit: Duration) -> OperationId {
         self.serial += 1;
         let id = self.serial;
-        change.into_iter().for_each(|change| self.checks.begin(change));
+        change
+            .into_iter()
+            .for_each(|change| self.checks.begin(change));
         let floor = self.checks.reported;
-        self.requests.insert(id, Request { host, change, floor });
+        self.requests.insert(
+            id,
+            Request {
+                host,
+                change,
+                floor,
+            },
+        );
         let life = self.hosts[host].life;
-        self.happen(Happening::Asked { host, life, id, change, limit });
+        self.happen(Happening::Asked {
+            host,
+            life,
+            id,
+            change,
+            limit,
+        });
         id
     }
 
@@ -265,9 +329,14 @@
         }
         self.run(limit);
         for (host, id) in ids {
-            let done = matches!(self.outcomes.get(&id), Some(Outcome::Written(_) | Outcome::Read(_)));
+            let done = matches!(
+                self.outcomes.get(&id),
+                Some(Outcome::Written(_) | Outcome::Read(_))
+            );
             if !done {
-                self.checks.violations.push(Violation::NoProgress { host, at: self.now });
+                self.checks
+                    .violations
+                    .push(Violation::NoProgress { host, at: self.now });
             }
         }
     }
@@ -285,7 +354,9 @@
 
     fn happen(&mut self, happening: Happening) {
         let host = happening.host(&self.hosts);
-        let thaw = host.map(|host| self.hosts[host].frozen_until).filter(|&thaw| self.now < thaw);
+        let thaw = host
+            .map(|host| self.hosts[host].frozen_until)
+            .filter(|&thaw| self.now < thaw);
         if let Some(thaw) = thaw {
             self.schedule(thaw, happening);
             return;
@@ -305,9 +376,22 @@
                     self.handle(host, Event::Timer);
                 }
             }
-            Happening::Asked { host, life, id, change, limit } if life == self.hosts[host].life => {
+            Happening::Asked {
+                host,
+                life,
+                id,
+                change,
+                limit,
+            } if life == self.hosts[host].life => {
                 let operation = change.map_or(Operation::Read, Operation::change);
-                self.handle(host, Event::Submit { id, operation, deadline: self.now + limit });
+                self.handle(
+                    host,
+                    Event::Submit {
+                        id,
+                        operation,
+                        deadline: self.now + limit,
+                    },
+                );
             }
             Happening::Written { .. } | Happening::Rings { .. } | Happening::Asked { .. } => {}
         }
@@ -371,16 +455,30 @@
         if self.cuts.contains(&(from, target)) || self.random.chance(self.weather.loss) {
             return;
         }
-        let copies = if self.random.chance(self.weather.doubled) { 2 } else { 1 };
+        let copies = if self.random.chance(self.weather.doubled) {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let at = self.now + self.latency(from, target);
-            self.schedule(at, Happening::Arrives { to, message: message.clone() });
+            self.schedule(
+                at,
+                Happening::Arrives {
+                    to,
+                    message: message.clone(),
+                },
+            );
         }
     }
 
     /// Hosts of even number share a region; between regions a message takes 55 ms.
     fn latency(&mut self, from: usize, to: usize) -> Duration {
-        let base = if from % 3 == 2 || to % 3 == 2 { 55_000 } else { 1_400 };
+        let base = if from % 3 == 2 || to % 3 == 2 {
+            55_000
+        } else {
+            1_400
+        };
         let base = base.max(self.weather.distance * 1_000);
         let jitter = self.weather.jitter * 1_000 + 1;
         Duration::from_micros(base + self.random.below(jitter))
@@ -395,7 +493,10 @@
 
 fn host(index: usize) -> Host {
     Host {
-        address: SocketAddr::from(([127, 0, 0, 1], 7_000 + u16::try_from(index).expect("few hosts"))),
+        address: SocketAddr::from((
+            [127, 0, 0, 1],
+            7_000 + u16::try_from(index).expect("few hosts"),
+        )),
         zone: format!("zone-{}", index % 3),
         disk: None,
         node: None,
--- a/crates/routing/examples/decisions.rs
+++ b/crates/routing/examples/decisions.rs
@@ -1,18 +1,20 @@
-//! Times decisions and table swaps at the size ahead: 1,300 servers in ten regions, 360 routes. Run in release.
+//! Times decisions and table swaps at the size ahead: 1,300 servers in ten regions, 360 routes. Run
+//! in release.
 
 use std::hint::black_box;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use ironmast_routing::{
-    Decider, Decision, LoadReport, Micros, Outcome, PromptPart, Request, RouteKind, RouteSpec, ServerSpec,
-    ServerState, ServiceSpec, Settings, Split, Table, TableSpec, Unlimited,
+    Decider, Decision, LoadReport, Micros, Outcome, PromptPart, Request, RouteKind, RouteSpec,
+    ServerSpec, ServerState, ServiceSpec, Settings, Split, Table, TableSpec, Unlimited,
 };
 
 const REGIONS: usize = 10;
 const ROUTES: usize = 360;
 const REQUESTS: usize = 200_000;
-/// Times are told of the median batch of so many requests: other work on the machine falls into a few.
+/// Times are told of the median batch of so many requests: other work on the machine falls into a
+/// few.
 const BATCH: usize = 500;
 
 fn route(number: usize, services: usize) -> RouteSpec {
@@ -20,8 +22,13 @@
         name: format!("route-{number}").into(),
         host: "desk.example".into(),
         prefix: format!("/p{number}/").into(),
-        kind: RouteKind::Stream { resumable: number.is_multiple_of(2) },
-        splits: vec![Split { service: format!("service-{}", number % services).into(), weight: 1 }],
+        kind: RouteKind::Stream {
+            resumable: number.is_multiple_of(2),
+        },
+        splits: vec![Split {
+            service: format!("service-{}", number % services).into(),
+            weight: 1,
+        }],
         max_attempts: 2,
         timeout_ms: 15_000,
         target_latency_ms: 1200,
@@ -48,7 +55,9 @@
     ServerSpec {
         instance: format!("i-{number:08x}").into(),
         service: format!("service-{}", number % services).into(),
-        address: format!("10.{}.{}.1:8080", number / 200, number % 200).parse().expect("an address"),
+        address: format!("10.{}.{}.1:8080", number / 200, number % 200)
+            .parse()
+            .expect("an address"),
         zone: format!("zone-{region}-{}", number % 4).into(),
         region: format!("region-{region}").into(),
         capacity: 64,
@@ -66,24 +75,39 @@
         gates: 360,
         routes: (0..ROUTES).map(|number| route(number, services)).collect(),
         services: (0..services).map(service).collect(),
-        servers: (0..servers).map(|number| server(number, services)).collect(),
+        servers: (0..servers)
+            .map(|number| server(number, services))
+            .collect(),
     };
     Table::build(spec).expect("a sound table")
 }
 
 fn request(decider: &Decider, number: usize, now: Micros) -> Request {
     let path = format!("/p{}/x", number % ROUTES);
-    let route = decider.table().router().route("Desk.example:8080", &path).expect("a route").clone();
-    let part = |id: usize, tokens| PromptPart { id: id as u64, tokens };
+    let route = decider
+        .table()
+        .router()
+        .route("Desk.example:8080", &path)
+        .expect("a route")
+        .clone();
+    let part = |id: usize, tokens| PromptPart {
+        id: id as u64,
+        tokens,
+    };
     let mut request = Request::new(route);
     request.model = "model".into();
-    request.parts.extend([part(number % 7, 800), part(number % 500, 4500), part(number + 1000, 6000)]);
+    request.parts.extend([
+        part(number % 7, 800),
+        part(number % 500, 4500),
+        part(number + 1000, 6000),
+    ]);
     (request.tokens_in, request.tokens_out) = (11_300, 400);
     request.deadline = Some(now + 15_000_000);
     request
 }
 
-/// Plays requests with some in flight; the times spent in begin alone and in all calls, by batch of requests.
+/// Plays requests with some in flight; the times spent in begin alone and in all calls, by batch of
+/// requests.
 fn play(decider: &mut Decider, in_flight: usize) -> (Vec<Duration>, Vec<Duration>, usize) {
     let batches = vec![Duration::ZERO; REQUESTS / BATCH];
     let (mut begin, mut all, mut refused) = (batches.clone(), batches, 0);
@@ -98,7 +122,12 @@
         match black_box(decision) {
             Decision::Send(dispatch) => {
                 decider.first_byte(now, &mut call);
-                let load = LoadReport { running: 3, waiting: 0, slots: Some(64), kv_cache: None };
+                let load = LoadReport {
+                    running: 3,
+                    waiting: 0,
+                    slots: Some(64),
+                    kv_cache: None,
+                };
                 decider.report(now, dispatch.server, load);
                 open.push_back(call);
             }
@@ -120,7 +149,11 @@
         let first = Arc::new(table(servers, services));
         decider.swap(0, first.clone());
         let (begin, all, refused) = play(&mut decider, 200);
-        let list: Vec<ServerSpec> = first.servers().iter().map(|server| (**server).clone()).collect();
+        let list: Vec<ServerSpec> = first
+            .servers()
+            .iter()
+            .map(|server| (**server).clone())
+            .collect();
         let start = Instant::now();
         let next = Arc::new(first.with_servers(360, list).expect("a sound table"));
         let built = start.elapsed();
--- a/crates/routing/examples/region.rs
+++ b/crates/routing/examples/region.rs
@@ -1,4 +1,5 @@
-//! Plays one region's gates over model servers for some bounds of the affinity, and with an ill server. Run in release.
+//! Plays one region's gates over model servers for some bounds of the affinity, and with an ill
+//! server. Run in release.
 
 #[path = "../tests/model/mod.rs"]
 mod model;
@@ -20,8 +21,10 @@
         for subjects in [6, 30, 150] {
             for policy in policies {
                 let played = model::play(policy, subjects, press, 120);
-                let shares = [0, 1, 2].map(|kind| played.taken[kind] as f64 / played.asked[kind] as f64);
-                let name = policy.map_or("even draw".into(), |(e, f)| format!("excess {e} floor {f}"));
+                let shares =
+                    [0, 1, 2].map(|kind| played.taken[kind] as f64 / played.asked[kind] as f64);
+                let name =
+                    policy.map_or("even draw".into(), |(e, f)| format!("excess {e} floor {f}"));
                 println!(
                     "press {press} subjects {subjects:3} {name:22} read again {:.3} first ms p50 {:4} p90 {:4} p99 {:4} \
                      most {:3} refused {} ejected {} early {} taken {:.2?}",
@@ -40,7 +43,13 @@
     }
     for fate in [Fate::Well, Fate::Dark, Fate::Down, Fate::Grey, Fate::Slow] {
         for press in [1.0, 4.0] {
-            let plan = Plan { affinity: Some((0.5, 0.4)), subjects: 30, press, seconds: 60, fate };
+            let plan = Plan {
+                affinity: Some((0.5, 0.4)),
+                subjects: 30,
+                press,
+                seconds: 60,
+                fate,
+            };
             let played = model::play_plan(&plan);
             println!(
                 "{fate:?} press {press}: lost {} late {} of {} refused {} ejected {} probes {} read again {:.3} first ms \
--- a/crates/routing/src/affinity.rs
+++ b/crates/routing/src/affinity.rs
@@ -1,5 +1,6 @@
-//! Prefix affinity: rendezvous hashing with bounded load. Every gate finds the same order of servers for a key without
-//! a word between them, and a key moves on to its next server only while the one before is crowded.
+//! Prefix affinity: rendezvous hashing with bounded load. Every gate finds the same order of
+//! servers for a key without a word between them, and a key moves on to its next server only while
+//! the one before is crowded.
 
 use ironmast_balancer::{ServerId, mix};
 
@@ -19,7 +20,10 @@
 /// Tokens of the parts that are shared.
 pub(crate) fn shared_tokens(parts: &[PromptPart]) -> u64 {
     let shared = parts.split_last().map_or(parts, |(_own, shared)| shared);
-    shared.iter().map(|part| part.tokens).fold(0, u64::saturating_add)
+    shared
+        .iter()
+        .map(|part| part.tokens)
+        .fold(0, u64::saturating_add)
 }
 
 /// A name as a number, the same at every gate.
@@ -29,7 +33,11 @@
 
 /// A server's place in a key's order: the highest comes first.
 pub(crate) fn rank(key: u64, server: u64) -> u64 {
-    if Guard::Rendezvous.on() { mix(key ^ server) } else { mix(key).wrapping_add(server) }
+    if Guard::Rendezvous.on() {
+        mix(key ^ server)
+    } else {
+        mix(key).wrapping_add(server)
+    }
 }
 
 /// A server that a key may go to.
@@ -43,20 +51,36 @@
     pub wait: f64,
 }
 
-/// The key's first server in its order that is not crowded: its load is within `excess` of the mean, or below `floor`.
-/// The fuller all are, the less excess is left: where room is scarce, none is to be full while others are not. The
-/// least loaded is never crowded. Of these only such whose wait is within `stay` of the shortest.
-pub(crate) fn choose(key: u64, choices: &[Choice], excess: f64, floor: f64, stay: f64) -> Option<usize> {
+/// The key's first server in its order that is not crowded: its load is within `excess` of the
+/// mean, or below `floor`. The fuller all are, the less excess is left: where room is scarce, none
+/// is to be full while others are not. The least loaded is never crowded. Of these only such whose
+/// wait is within `stay` of the shortest.
+pub(crate) fn choose(
+    key: u64,
+    choices: &[Choice],
+    excess: f64,
+    floor: f64,
+    stay: f64,
+) -> Option<usize> {
     let mean = choices.iter().map(|choice| choice.part).sum::<f64>() / choices.len() as f64;
     let bound = if Guard::BoundedLoad.on() {
         ((1.0 + excess * (1.0 - mean * mean).max(0.0)) * mean).max(floor)
     } else {
         f64::INFINITY
     };
-    let under = || choices.iter().enumerate().filter(|(_, choice)| choice.part <= bound);
-    let shortest = under().map(|(_, choice)| choice.wait).fold(f64::INFINITY, f64::min);
-    let soon = under().filter(|(_, choice)| choice.wait <= shortest + stay || !Guard::ShortWait.on());
-    soon.max_by_key(|(_, choice)| rank(key, choice.hash)).map(|(place, _)| place)
+    let under = || {
+        choices
+            .iter()
+            .enumerate()
+            .filter(|(_, choice)| choice.part <= bound)
+    };
+    let shortest = under()
+        .map(|(_, choice)| choice.wait)
+        .fold(f64::INFINITY, f64::min);
+    let soon =
+        under().filter(|(_, choice)| choice.wait <= shortest + stay || !Guard::ShortWait.on());
+    soon.max_by_key(|(_, choice)| rank(key, choice.hash))
+        .map(|(place, _)| place)
 }
 
 #[cfg(test)]
--- a/crates/routing/src/affinity/tests.rs
+++ b/crates/routing/src/affinity/tests.rs
@@ -8,7 +8,14 @@
 }
 
 fn idle(servers: &[u64]) -> Vec<Choice> {
-    servers.iter().map(|hash| Choice { hash: *hash, part: 0.0, wait: 0.0 }).collect()
+    servers
+        .iter()
+        .map(|hash| Choice {
+            hash: *hash,
+            part: 0.0,
+            wait: 0.0,
+        })
+        .collect()
 }
 
 #[test]
@@ -16,8 +23,14 @@
     let key = |model, parts: &[PromptPart]| key(model, parts);
     assert_eq!(key(1, &[]), None);
     assert_eq!(key(1, &[part(5, 1)]), key(1, &[part(5, 1), part(6, 1)]));
-    assert_eq!(key(1, &[part(4, 1), part(5, 1), part(6, 1)]), key(1, &[part(5, 9), part(7, 1)]));
-    assert_ne!(key(1, &[part(4, 1), part(5, 1), part(6, 1)]), key(1, &[part(4, 1), part(5, 1)]));
+    assert_eq!(
+        key(1, &[part(4, 1), part(5, 1), part(6, 1)]),
+        key(1, &[part(5, 9), part(7, 1)])
+    );
+    assert_ne!(
+        key(1, &[part(4, 1), part(5, 1), part(6, 1)]),
+        key(1, &[part(4, 1), part(5, 1)])
+    );
     assert_ne!(key(1, &[part(5, 1)]), key(2, &[part(5, 1)]));
 }
 
@@ -26,7 +39,10 @@
     assert_eq!(shared_tokens(&[]), 0);
     assert_eq!(shared_tokens(&[part(1, 10)]), 0);
     assert_eq!(shared_tokens(&[part(1, 10), part(2, 20), part(3, 40)]), 30);
-    assert_eq!(shared_tokens(&[part(1, u64::MAX), part(2, 20), part(3, 40)]), u64::MAX);
+    assert_eq!(
+        shared_tokens(&[part(1, u64::MAX), part(2, 20), part(3, 40)]),
+        u64::MAX
+    );
 }
 
 #[test]
@@ -36,13 +52,21 @@
     order.sort_by_key(|place| std::cmp::Reverse(rank(7, choices[*place].hash)));
     assert_eq!(choose(7, &choices, 0.5, 0.1, 0.0), Some(order[0]));
     choices[order[0]].part = 0.1;
-    assert_eq!(choose(7, &choices, 0.5, 0.1, 0.0), Some(order[0]), "at the floor");
+    assert_eq!(
+        choose(7, &choices, 0.5, 0.1, 0.0),
+        Some(order[0]),
+        "at the floor"
+    );
     choices[order[0]].part = 0.5;
     assert_eq!(choose(7, &choices, 0.5, 0.1, 0.0), Some(order[1]));
     choices[order[1]].part = 0.4;
     assert_eq!(choose(7, &choices, 0.5, 0.1, 0.0), Some(order[2]));
     choices.iter_mut().for_each(|choice| choice.part = 0.9);
-    assert_eq!(choose(7, &choices, 0.5, 0.1, 0.0), Some(order[0]), "all alike");
+    assert_eq!(
+        choose(7, &choices, 0.5, 0.1, 0.0),
+        Some(order[0]),
+        "all alike"
+    );
     assert_eq!(choose(7, &[], 0.5, 0.1, 0.0), None);
 }
 
@@ -87,7 +111,13 @@
 }
 
 fn servers_in_order(key: u64, count: u64) -> Vec<Choice> {
-    let mut choices: Vec<Choice> = (0..count).map(|hash| Choice { hash, part: 0.0, wait: 0.0 }).collect();
+    let mut choices: Vec<Choice> = (0..count)
+        .map(|hash| Choice {
+            hash,
+            part: 0.0,
+            wait: 0.0,
+        })
+        .collect();
     choices.sort_by_key(|choice| std::cmp::Reverse(rank(key, choice.hash)));
     choices
 }
--- a/crates/routing/src/attempts.rs
+++ b/crates/routing/src/attempts.rs
@@ -1,4 +1,5 @@
-//! What follows the end of an attempt: whether the request may go to another server, and what the client gets if not.
+//! What follows the end of an attempt: whether the request may go to another server, and what the
+//! client gets if not.
 
 use ironmast_balancer::Micros;
 
@@ -51,7 +52,8 @@
     now as f64 + USEFUL * call.target() as f64 <= call.ends() as f64
 }
 
-/// The final answer where no attempt is left. Where nothing can have run, the refusal is made by the caller.
+/// The final answer where no attempt is left. Where nothing can have run, the refusal is made by
+/// the caller.
 pub(crate) fn last_word(call: &Call, outcome: &Outcome) -> Decision {
     match outcome {
         _ if call.head_passed => Decision::BreakOff,
--- a/crates/routing/src/candidates.rs
+++ b/crates/routing/src/candidates.rs
@@ -1,5 +1,5 @@
-//! Who may serve a request: KEP-4444 `PreferClose` over regions. The usable servers of the gate's own region, else
-//! those of all regions that the route allows.
+//! Who may serve a request: KEP-4444 `PreferClose` over regions. The usable servers of the gate's
+//! own region, else those of all regions that the route allows.
 
 use ironmast_balancer::Micros;
 use smallvec::SmallVec;
@@ -54,12 +54,14 @@
         let wanted = move |region: &RegionId| {
             (Some(*region) == self.own && Guard::OwnRegion.on()) == (reach == Reach::Own)
         };
-        all.filter(wanted).filter(|region| self.allowed.contains(*region) || !Guard::AllowedRegions.on())
+        all.filter(wanted)
+            .filter(|region| self.allowed.contains(*region) || !Guard::AllowedRegions.on())
     }
 
     /// The listed servers of a reach.
     pub fn servers<'a>(&'a self, fleet: &'a Fleet, reach: Reach) -> impl Iterator<Item = &'a Node> {
-        self.regions(reach).flat_map(|region| fleet.members(self.service, region))
+        self.regions(reach)
+            .flat_map(|region| fleet.members(self.service, region))
     }
 }
 
@@ -78,8 +80,8 @@
     }
 }
 
-/// Who of a reach may be sent the request. Servers that do not name the model are left out if another names it, and
-/// those that `shun` holds for if another is left.
+/// Who of a reach may be sent the request. Servers that do not name the model are left out if
+/// another names it, and those that `shun` holds for if another is left.
 pub(crate) fn pool(
     fleet: &Fleet,
     scope: &Scope,
@@ -92,7 +94,10 @@
     let mut pool = Pool::new();
     // How good the best is so far: the pool holds only those that are as good.
     let mut best = (false, false);
-    for node in scope.servers(fleet, reach).filter(|node| admits(node, call, trust, now)) {
+    for node in scope
+        .servers(fleet, reach)
+        .filter(|node| admits(node, call, trust, now))
+    {
         let grade = (node.holds(call.model), !shun(node));
         if grade > best {
             pool.clear();
@@ -111,5 +116,8 @@
         return None;
     }
     let due = |node: &&Node| node.health.trial_due(now) && admits(node, call, Trust::Ejected, now);
-    scope.servers(fleet, Reach::Own).find(due).map(|node| node.handle.slot)
+    scope
+        .servers(fleet, Reach::Own)
+        .find(due)
+        .map(|node| node.handle.slot)
 }
--- a/crates/routing/src/decider.rs
+++ b/crates/routing/src/decider.rs
@@ -1,4 +1,5 @@
-//! The decider: takes requests, ends of attempts, reports and tables, and says what to do with each request.
+//! The decider: takes requests, ends of attempts, reports and tables, and says what to do with each
+//! request.
 
 mod health;
 mod pick;
@@ -93,9 +94,15 @@
     pub fn swap(&mut self, now: Micros, table: Arc<Table>) {
         self.fleet.swap(now, &table);
         if !self.table.shares_routes(&table) {
-            let names: rustc_hash::FxHashSet<&str> =
-                table.router().routes().map(|route| route.spec.name.as_ref()).collect();
-            self.usuals.keep(|name| names.contains(name), |name| table.service(name).is_some());
+            let names: rustc_hash::FxHashSet<&str> = table
+                .router()
+                .routes()
+                .map(|route| route.spec.name.as_ref())
+                .collect();
+            self.usuals.keep(
+                |name| names.contains(name),
+                |name| table.service(name).is_some(),
+            );
             self.splits.keep(|name| names.contains(name));
             self.turns.keep(|name| table.service(name).is_some());
             self.decks.clear();
@@ -104,13 +111,14 @@
         self.table = table;
     }
 
-    /// After a start servers become known one after the other: until that clock reading, a request for which none is
-    /// listed waits for one.
+    /// After a start servers become known one after the other: until that clock reading, a request
+    /// for which none is listed waits for one.
     pub fn learn_until(&mut self, until: Micros) {
         self.learns_until = until;
     }
 
-    /// Takes a request. The call is to be handed back at each of its events until a decision is final.
+    /// Takes a request. The call is to be handed back at each of its events until a decision is
+    /// final.
     pub fn begin<L: Permits + RetryBudget>(
         &mut self,
         now: Micros,
@@ -160,8 +168,9 @@
         }
     }
 
-    /// The head of a successful answer, or a whole event of a stream, was passed on to the client. A failure's head is
-    /// not: it is told by [`Decider::settled`] before a byte of it is passed on, which says whether it is to be.
+    /// The head of a successful answer, or a whole event of a stream, was passed on to the client.
+    /// A failure's head is not: it is told by [`Decider::settled`] before a byte of it is passed
+    /// on, which says whether it is to be.
     pub fn passed(&mut self, now: Micros, call: &mut Call, event: Option<u64>) {
         call.head_passed = true;
         call.last_event = event.or(call.last_event);
@@ -195,33 +204,55 @@
 
     /// Attempts of this gate in flight at a server.
     pub fn in_flight(&self, server: ServerHandle) -> u32 {
-        self.fleet.get(server).map_or(0, |node| node.occupancy.in_flight)
+        self.fleet
+            .get(server)
+            .map_or(0, |node| node.occupancy.in_flight)
     }
 
     /// Finds a server for the request, or says what happens instead.
-    fn place<L: Permits + RetryBudget>(&mut self, now: Micros, call: &mut Call, limits: &mut L) -> Decision {
+    fn place<L: Permits + RetryBudget>(
+        &mut self,
+        now: Micros,
+        call: &mut Call,
+        limits: &mut L,
+    ) -> Decision {
         match self.search(now, call, limits) {
             Search::Found(found) if self.pay(now, call, found, limits) => {
                 Decision::Send(self.dispatch(now, call, found))
             }
-            Search::Found(_) => self.give_up(now, call, Reason::Spent { told: call.told_wait }),
+            Search::Found(_) => self.give_up(
+                now,
+                call,
+                Reason::Spent {
+                    told: call.told_wait,
+                },
+            ),
             Search::Cold(wait) => self.hold(now, call, wait),
             Search::None(Reason::Nobody { until: None }) if self.may_learn(now, call) => {
-                Decision::Hold { until: now + LEARN_AGAIN }
+                Decision::Hold {
+                    until: now + LEARN_AGAIN,
+                }
             }
             Search::None(reason) => self.give_up(now, call, reason),
         }
     }
 
-    /// Whether a request may wait for a server to become known: no longer than for half of its time.
+    /// Whether a request may wait for a server to become known: no longer than for half of its
+    /// time.
     fn may_learn(&self, now: Micros, call: &Call) -> bool {
         let half = call.begun + call.ends().saturating_sub(call.begun) / 2;
         now < self.learns_until && now < half && call.attempts() == 0 && Guard::Learn.on()
     }
 
-    /// Takes a repeat out of the budget of the server's service. An attempt that no earlier one may have arrived
-    /// before is none, and one that never arrives leaves its payment to the next.
-    fn pay<L: RetryBudget>(&self, now: Micros, call: &mut Call, found: Found, limits: &mut L) -> bool {
+    /// Takes a repeat out of the budget of the server's service. An attempt that no earlier one may
+    /// have arrived before is none, and one that never arrives leaves its payment to the next.
+    fn pay<L: RetryBudget>(
+        &self,
+        now: Micros,
+        call: &mut Call,
+        found: Found,
+        limits: &mut L,
+    ) -> bool {
         let repeat = call.arrivals() > 0 && Guard::Budget.on();
         let node = self.fleet.get(found.server);
         let service = node.and_then(|node| self.table.service(&node.spec.service));
@@ -235,14 +266,20 @@
         let spec = &call.request.route.spec;
         let shortest = self.shortest_objective(found.server);
         let rank = reading::rank(spec.priority, call.target() as f64, shortest);
-        let node = self.fleet.get_mut(found.server).expect("a server just found is there");
+        let node = self
+            .fleet
+            .get_mut(found.server)
+            .expect("a server just found is there");
         let here = node.occupancy.added(need) < need.all();
         if node.occupancy.in_flight == 0 {
             node.owes_since = now;
         }
         node.occupancy.take(need);
         self.paths.tried(now, &node.spec.region);
-        let unread = reading::waits(call.request.tokens_in, if here { call.shared_tokens } else { 0 });
+        let unread = reading::waits(
+            call.request.tokens_in,
+            if here { call.shared_tokens } else { 0 },
+        );
         node.unread.take(unread);
         let backlog = node.unread.all(now);
         node.health.trial |= found.trial;
@@ -278,7 +315,10 @@
             Check::Wait { until } => Some(until),
             Check::Move | Check::Leave => None,
         };
-        Dispatch { check_at, ..dispatch }
+        Dispatch {
+            check_at,
+            ..dispatch
+        }
     }
 
     /// Nothing but cold servers without a permit is left: waits for one if that is soon.
@@ -295,7 +335,9 @@
     /// No server takes it now.
     fn give_up(&mut self, now: Micros, call: &mut Call, reason: Reason) -> Decision {
         // A cut stream is worth a few more looks.
-        let cut = call.cut_at.filter(|cut| now < cut.saturating_add(RESUME_WITHIN));
+        let cut = call
+            .cut_at
+            .filter(|cut| now < cut.saturating_add(RESUME_WITHIN));
         let again = now + RESUME_AGAIN;
         if cut.is_some() && again < call.ends() {
             return Decision::Hold { until: again };
@@ -303,7 +345,10 @@
         if !call.head_passed && (!call.may_have_run() || !Guard::Promise.on()) {
             return self.refuse(now, call, reason);
         }
-        let outcome = call.attempts.last().and_then(|attempt| attempt.outcome.clone());
+        let outcome = call
+            .attempts
+            .last()
+            .and_then(|attempt| attempt.outcome.clone());
         let last = attempts::last_word(call, &outcome.unwrap_or(Outcome::Timeout));
         self.close(now, call, last)
     }
@@ -312,7 +357,13 @@
     fn close(&mut self, now: Micros, call: &mut Call, decision: Decision) -> Decision {
         let fails = matches!(decision, Decision::Fail { .. } | Decision::PassOn);
         if fails && !call.head_passed && !call.may_have_run() {
-            return self.refuse(now, call, Reason::Spent { told: call.told_wait });
+            return self.refuse(
+                now,
+                call,
+                Reason::Spent {
+                    told: call.told_wait,
+                },
+            );
         }
         call.done = true;
         decision
@@ -320,28 +371,48 @@
 
     fn refuse(&mut self, now: Micros, call: &mut Call, reason: Reason) -> Decision {
         call.done = true;
-        let left = call.request.deadline.unwrap_or(call.ends()).saturating_sub(now);
+        let left = call
+            .request
+            .deadline
+            .unwrap_or(call.ends())
+            .saturating_sub(now);
         let most = self.settings.retry_after.1;
         let mut turn = |gap| match &call.service {
             Some(service) => self.turns.next(now, service, gap, most),
             None => gap,
         };
         let (status, wait) = match reason {
-            // Servers were there, but none is left: what they said of the wait is the best that is known.
-            Reason::Nobody { until: None } if call.told_wait > 0 => (Status::Unavailable, call.told_wait),
+            // Servers were there, but none is left: what they said of the wait is the best that is
+            // known.
+            Reason::Nobody { until: None } if call.told_wait > 0 => {
+                (Status::Unavailable, call.told_wait)
+            }
             Reason::Nobody { until } => (Status::Unavailable, until.unwrap_or(most / 2)),
             Reason::Spent { told } => (Status::Unavailable, told),
             Reason::Full { rest, gap } => (Status::Unavailable, turn(gap).max(rest)),
             Reason::Crowded { rest, gap } => (Status::TooManyRequests, turn(gap).max(rest)),
         };
-        Decision::Refuse(refusal::refuse(&self.settings, &mut self.rng, status, wait, left))
+        Decision::Refuse(refusal::refuse(
+            &self.settings,
+            &mut self.rng,
+            status,
+            wait,
+            left,
+        ))
     }
 
-    /// Takes the attempt that is out off its server and judges the server by its end. False where none is out.
+    /// Takes the attempt that is out off its server and judges the server by its end. False where
+    /// none is out.
     fn end_attempt(&mut self, now: Micros, call: &mut Call, outcome: &Outcome) -> bool {
-        let Some(attempt) = call.end(now, outcome) else { return false };
+        let Some(attempt) = call.end(now, outcome) else {
+            return false;
+        };
         if let (Outcome::Success, Some(service)) = (outcome, &call.service) {
-            self.usuals.served(service, &call.request.route, now.saturating_sub(attempt.sent));
+            self.usuals.served(
+                service,
+                &call.request.route,
+                now.saturating_sub(attempt.sent),
+            );
         }
         let told = self.told_of(now, attempt.server, outcome);
         self.judge(now, &attempt, &told);
