--- a/crates/routing/src/decider/health.rs
+++ b/crates/routing/src/decider/health.rs
@@ -1,4 +1,5 @@
-//! What attempts, first bytes and health checks tell of a server, and the news of who is set aside and who is back.
+//! What attempts, first bytes and health checks tell of a server, and the news of who is set aside
+//! and who is back.
 
 use ironmast_balancer::Micros;
 
@@ -19,7 +20,9 @@
     pub fn first_byte(&mut self, now: Micros, call: &mut Call) {
         call.last_byte = now;
         let route = call.request.route.clone();
-        let Some(attempt) = call.open().filter(|attempt| attempt.first_byte.is_none()) else { return };
+        let Some(attempt) = call.open().filter(|attempt| attempt.first_byte.is_none()) else {
+            return;
+        };
         attempt.first_byte = Some(now);
         let (server, sent) = (attempt.server, attempt.sent);
         let (unread, backlog) = (std::mem::take(&mut attempt.unread), attempt.backlog);
@@ -28,9 +31,14 @@
         let part = took as f64 / call.target().max(1) as f64;
         let ratio = self.usuals.first_byte(&route, took);
         self.sign(now, server);
-        let Some(node) = self.fleet.get(server) else { return };
+        let Some(node) = self.fleet.get(server) else {
+            return;
+        };
         let memory = self.settings.report_memory;
-        let taken = node.occupancy.load(now, memory, &node.bounds, Usage::default()).part();
+        let taken = node
+            .occupancy
+            .load(now, memory, &node.bounds, Usage::default())
+            .part();
         let byte = FirstByte { ratio, part, taken };
         let peers = match node.health.may_be_slow(byte.ratio) {
             true => self.fleet.peers(node),
@@ -42,14 +50,19 @@
 
     /// What the end of an attempt tells of its server.
     pub(super) fn told_of(&self, now: Micros, server: ServerHandle, outcome: &Outcome) -> Outcome {
-        let Some(node) = self.fleet.get(server) else { return outcome.clone() };
+        let Some(node) = self.fleet.get(server) else {
+            return outcome.clone();
+        };
         let there = node.last_sign.saturating_add(THERE_FOR) > now && node.occupancy.in_flight > 1;
         match outcome {
             // A client that leaves after it heard nothing, unless the server works on others.
-            Outcome::Cancelled if node.quiet(now, self.settings.quiet_after) && Guard::SilenceCounts.on() => {
+            Outcome::Cancelled
+                if node.quiet(now, self.settings.quiet_after) && Guard::SilenceCounts.on() =>
+            {
                 Outcome::Timeout
             }
-            // A server that answers others and takes no connection is crowded. A dead one breaks them all.
+            // A server that answers others and takes no connection is crowded. A dead one breaks
+            // them all.
             Outcome::ConnectFailed if there && Guard::NoConnectionIsFull.on() => {
                 Outcome::NotExecuted { retry_after: None }
             }
@@ -60,7 +73,9 @@
     /// Judges a server by the end of an attempt, told as `outcome`.
     pub(super) fn judge(&mut self, now: Micros, attempt: &Attempt, outcome: &Outcome) {
         let server = attempt.server;
-        let Some(node) = self.fleet.get(server) else { return };
+        let Some(node) = self.fleet.get(server) else {
+            return;
+        };
         let peers = match outcome {
             Outcome::Success => Peers::default(),
             _ => self.fleet.peers(node),
@@ -70,21 +85,27 @@
             health.trial &= !attempt.trial;
             health.settled(now, outcome, attempt.sent, peers, rests)
         });
-        let Some(node) = self.fleet.get_mut(server) else { return };
+        let Some(node) = self.fleet.get_mut(server) else {
+            return;
+        };
         match outcome {
             Outcome::Success => node.occupancy.served(),
             Outcome::NotExecuted { retry_after } => node.occupancy.refused(now, *retry_after),
             Outcome::WrongInstance => node.displaced = true,
             _ => {}
         }
-        use Outcome::{ConnectFailed, NotExecuted, Rejected, ServerError, Success, Timeout, WrongVersion};
+        use Outcome::{
+            ConnectFailed, NotExecuted, Rejected, ServerError, Success, Timeout, WrongVersion,
+        };
         match outcome {
             Success => node.broke_at = 0,
             ConnectFailed | Outcome::Reset | Outcome::Spoilt | Timeout => node.broke_at = now,
             _ => {}
         }
         match outcome {
-            Success | Rejected | ServerError | NotExecuted { .. } | WrongVersion => self.sign(now, server),
+            Success | Rejected | ServerError | NotExecuted { .. } | WrongVersion => {
+                self.sign(now, server)
+            }
             ConnectFailed | Timeout => self.paths.unanswered(&node.spec.region),
             _ => {}
         }
@@ -92,7 +113,9 @@
 
     /// A health check ended. One that fails ejects a server only if it is dark as well.
     pub fn probed(&mut self, now: Micros, server: ServerHandle, outcome: ProbeOutcome) {
-        let Some(node) = self.fleet.get(server) else { return };
+        let Some(node) = self.fleet.get(server) else {
+            return;
+        };
         let (dark, peers) = (self.is_dark(now, node), self.fleet.peers(node));
         let well = matches!(outcome, ProbeOutcome::Healthy | ProbeOutcome::Full);
         if well {
@@ -104,7 +127,11 @@
         let rests = self.settings.ejection;
         self.change_health(server, |health| {
             health.probed(now, well, rests);
-            if dark && !well { health.dark(now, peers, rests) } else { None }
+            if dark && !well {
+                health.dark(now, peers, rests)
+            } else {
+                None
+            }
         });
     }
 
@@ -114,13 +141,19 @@
         server: ServerHandle,
         change: impl FnOnce(&mut Health) -> Option<EjectionCause>,
     ) {
-        let Some(node) = self.fleet.get_mut(server) else { return };
+        let Some(node) = self.fleet.get_mut(server) else {
+            return;
+        };
         let before = node.health.ejected().is_some();
         let cause = change(&mut node.health);
         let after = node.health.ejected().is_some();
         self.ejections += u64::from(cause.is_some());
         if before != after && self.changes.len() < CHANGES_MOST {
-            self.changes.push(HealthChange { server, instance: node.spec.instance.clone(), ejected: cause });
+            self.changes.push(HealthChange {
+                server,
+                instance: node.spec.instance.clone(),
+                ejected: cause,
+            });
         }
     }
 
@@ -131,7 +164,9 @@
 
     /// True where health has set a server aside.
     pub fn is_ejected(&self, server: ServerHandle) -> bool {
-        self.fleet.get(server).is_some_and(|node| node.health.ejected().is_some())
+        self.fleet
+            .get(server)
+            .is_some_and(|node| node.health.ejected().is_some())
     }
 
     /// How often health has set a server aside so far, also again and again.
--- a/crates/routing/src/decider/pick.rs
+++ b/crates/routing/src/decider/pick.rs
@@ -1,4 +1,5 @@
-//! The one server of a pool: what each offers, which have room, and which of those a request goes to.
+//! The one server of a pool: what each offers, which have room, and which of those a request goes
+//! to.
 
 use ironmast_balancer::Micros;
 use smallvec::SmallVec;
@@ -54,9 +55,18 @@
 impl Decider {
     /// Up to which part of its room a server may be filled for a request of that rank and chance.
     pub(super) fn level(&self, call: &Call, service: u32, rank: u32, chance: f64) -> f64 {
-        // The same for all routes of the service: else the less urgent of a longer objective came first.
+        // The same for all routes of the service: else the less urgent of a longer objective came
+        // first.
         let target = self.table.target_ms(service) as f64 * 1000.0;
-        refusal::level(&self.settings, Claim { rank, chance, whole: self.whole(call), target })
+        refusal::level(
+            &self.settings,
+            Claim {
+                rank,
+                chance,
+                whole: self.whole(call),
+                target,
+            },
+        )
     }
 
     /// What a request of the service takes.
@@ -66,7 +76,14 @@
     }
 
     /// What each of a pool offers.
-    pub(super) fn offers(&self, now: Micros, call: &Call, service: u32, pool: &Pool, level: f64) -> Offers {
+    pub(super) fn offers(
+        &self,
+        now: Micros,
+        call: &Call,
+        service: u32,
+        pool: &Pool,
+        level: f64,
+    ) -> Offers {
         let memory = self.settings.report_memory;
         let nodes = || pool.iter().filter_map(|slot| self.fleet.at(*slot));
         let peers = Usage::of(nodes().map(|node| &node.occupancy), now, memory);
@@ -97,7 +114,8 @@
         offers
     }
 
-    /// One of those with room, by the key's order or by the even draw; cold ones under a permit only.
+    /// One of those with room, by the key's order or by the even draw; cold ones under a permit
+    /// only.
     pub(super) fn pick<L: Permits>(
         &mut self,
         now: Micros,
@@ -106,11 +124,16 @@
         ask: Ask,
         limits: &mut L,
     ) -> Search {
-        let mut usable: Offers = offers.iter().filter(|offer| offer.room || ask.any).copied().collect();
+        let mut usable: Offers = offers
+            .iter()
+            .filter(|offer| offer.room || ask.any)
+            .copied()
+            .collect();
         if usable.is_empty() {
             return Search::None(self.full(now, call, offers));
         }
-        // Memory that has room for the whole of it comes first, but its size alone turns no request away.
+        // Memory that has room for the whole of it comes first, but its size alone turns no request
+        // away.
         if usable.iter().any(|offer| offer.fits) {
             usable.retain(|offer| offer.fits);
         }
@@ -119,9 +142,16 @@
         }
         let mut soonest: Option<Micros> = None;
         while let Some(place) = self.choose(call, &usable, ask) {
-            let Some(node) = self.fleet.at(usable[place].slot) else { break };
+            let Some(node) = self.fleet.at(usable[place].slot) else {
+                break;
+            };
             match permitted(now, node, limits) {
-                Ok(()) => return Search::Found(Found { server: node.handle, trial: false }),
+                Ok(()) => {
+                    return Search::Found(Found {
+                        server: node.handle,
+                        trial: false,
+                    });
+                }
                 Err(wait) => soonest = Some(soonest.map_or(wait, |soonest| soonest.min(wait))),
             }
             usable.remove(place);
@@ -136,17 +166,33 @@
         if ask.any {
             return least_loaded(usable);
         }
-        let Some(key) = call.key else { return self.draw(usable, ask) };
-        let choice = |offer: &Offer| Choice { hash: offer.hash, part: offer.part, wait: offer.wait };
+        let Some(key) = call.key else {
+            return self.draw(usable, ask);
+        };
+        let choice = |offer: &Offer| Choice {
+            hash: offer.hash,
+            part: offer.part,
+            wait: offer.wait,
+        };
         let choices: SmallVec<[Choice; 64]> = usable.iter().map(choice).collect();
         let (excess, floor) = (self.settings.affinity_excess, self.settings.affinity_floor);
         let reading = self.pace(ask.scope.service).over(call.shared_tokens);
-        affinity::choose(key, &choices, excess, floor, self.settings.stay_for * reading)
+        affinity::choose(
+            key,
+            &choices,
+            excess,
+            floor,
+            self.settings.stay_for * reading,
+        )
     }
 
     /// The even draw among those of a reach, in the order of their slots.
     fn draw(&mut self, usable: &Offers, ask: Ask) -> Option<usize> {
-        let key = (ask.scope.service, ask.reach == Reach::Own, ask.scope.allowed.bits());
+        let key = (
+            ask.scope.service,
+            ask.reach == Reach::Own,
+            ask.scope.allowed.bits(),
+        );
         if self.decks.len() >= DECKS_MOST && !self.decks.contains_key(&key) {
             self.decks.clear();
         }
@@ -169,8 +215,11 @@
     fn refresh(&self, deck: &mut Deck, ask: Ask) {
         let swaps = self.fleet.swaps();
         if deck.swap != swaps {
-            let mut slots: Vec<u32> =
-                ask.scope.servers(&self.fleet, ask.reach).map(|node| node.handle.slot).collect();
+            let mut slots: Vec<u32> = ask
+                .scope
+                .servers(&self.fleet, ask.reach)
+                .map(|node| node.handle.slot)
+                .collect();
             slots.sort_unstable();
             deck.keep(slots);
             deck.swap = swaps;
@@ -183,7 +232,11 @@
         let nodes = offers.iter().filter_map(|offer| self.fleet.at(offer.slot));
         let in_flight: u32 = nodes.map(|node| node.occupancy.in_flight).sum();
         let gap = refusal::gap(whole, f64::from(in_flight));
-        let rest = offers.iter().map(|offer| offer.full_until.saturating_sub(now)).min().unwrap_or(0);
+        let rest = offers
+            .iter()
+            .map(|offer| offer.full_until.saturating_sub(now))
+            .min()
+            .unwrap_or(0);
         match offers.iter().any(|offer| offer.room_at_all) {
             true => Reason::Crowded { rest, gap },
             false => Reason::Full { rest, gap },
@@ -192,7 +245,11 @@
 }
 
 /// Takes a permit where the server is cold.
-pub(super) fn permitted<L: Permits>(now: Micros, node: &Node, limits: &mut L) -> Result<(), Micros> {
+pub(super) fn permitted<L: Permits>(
+    now: Micros,
+    node: &Node,
+    limits: &mut L,
+) -> Result<(), Micros> {
     match node.spec.cold && Guard::Permit.on() {
         true => limits.take(now, &node.spec).map_err(|wait| wait.0),
         false => Ok(()),
--- a/crates/routing/src/decider/prompts.rs
+++ b/crates/routing/src/decider/prompts.rs
@@ -9,16 +9,18 @@
 use crate::fleet::Node;
 use crate::reading::Pace;
 
-/// A change of what waits at a server is worth telling from this part of the objective of its service on.
+/// A change of what waits at a server is worth telling from this part of the objective of its
+/// service on.
 const WORTH_TELLING: f64 = 0.02;
 
-/// What a gate tells the other gates of its region. Servers go by the hash of their instance, the same at every gate.
+/// What a gate tells the other gates of its region. Servers go by the hash of their instance, the
+/// same at every gate.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GateNews {
     /// What it has out that waits to be read.
     pub unread: Vec<UnreadAt>,
-    /// Servers that seem out of order to it: they owe an answer and give no sign, or an attempt there has just broken
-    /// off.
+    /// Servers that seem out of order to it: they owe an answer and give no sign, or an attempt
+    /// there has just broken off.
     pub suspect: Vec<u64>,
 }
 
@@ -35,24 +37,38 @@
     /// What this gate has to tell the other gates of its region.
     pub fn news(&self, now: Micros) -> GateNews {
         let waiting = self.fleet.listed().filter(|node| node.unread.own() > 0);
-        let suspect = self.fleet.listed().filter(|node| node.is_suspect(now, self.settings.quiet_after));
+        let suspect = self
+            .fleet
+            .listed()
+            .filter(|node| node.is_suspect(now, self.settings.quiet_after));
         GateNews {
-            unread: waiting.map(|node| UnreadAt { server: node.hash, tokens: node.unread.own() }).collect(),
+            unread: waiting
+                .map(|node| UnreadAt {
+                    server: node.hash,
+                    tokens: node.unread.own(),
+                })
+                .collect(),
             suspect: suspect.map(|node| node.hash).collect(),
         }
     }
 
-    /// Whether what there is to tell now differs from what was told by as much as would change a decision.
+    /// Whether what there is to tell now differs from what was told by as much as would change a
+    /// decision.
     pub fn is_worth_telling(&self, told: &GateNews, news: &GateNews) -> bool {
         if told.suspect != news.suspect {
             return true;
         }
         let tokens = |of: &GateNews, server: u64| {
-            of.unread.iter().find(|unread| unread.server == server).map_or(0, |unread| unread.tokens)
+            of.unread
+                .iter()
+                .find(|unread| unread.server == server)
+                .map_or(0, |unread| unread.tokens)
         };
         let weighs = |node: &Node| {
             let change = tokens(told, node.hash).abs_diff(tokens(news, node.hash));
-            let Some(service) = self.table.service(&node.spec.service) else { return false };
+            let Some(service) = self.table.service(&node.spec.service) else {
+                return false;
+            };
             let least = self.table.target_ms(service) as f64 * 1_000.0 * WORTH_TELLING;
             let time = self.pace(service).over(change);
             change > 0 && (time == 0.0 || time >= least)
@@ -63,34 +79,61 @@
     /// A peer told the whole of its news.
     pub fn told_news(&mut self, now: Micros, peer: u64, news: &GateNews) {
         for node in self.fleet.listed_mut() {
-            let here = news.unread.iter().filter(|unread| unread.server == node.hash);
-            node.unread.told(now, peer, here.map(|unread| unread.tokens).max().unwrap_or(0));
-            node.told_suspect.told(now, peer, news.suspect.contains(&node.hash));
+            let here = news
+                .unread
+                .iter()
+                .filter(|unread| unread.server == node.hash);
+            node.unread.told(
+                now,
+                peer,
+                here.map(|unread| unread.tokens).max().unwrap_or(0),
+            );
+            node.told_suspect
+                .told(now, peer, news.suspect.contains(&node.hash));
         }
     }
 
     /// A prompt has been read at a server: it and what was in front of it took that long.
-    pub(super) fn was_read(&mut self, server: ServerHandle, unread: u64, backlog: u64, took: Micros) {
-        let Some(node) = self.fleet.get_mut(server) else { return };
+    pub(super) fn was_read(
+        &mut self,
+        server: ServerHandle,
+        unread: u64,
+        backlog: u64,
+        took: Micros,
+    ) {
+        let Some(node) = self.fleet.get_mut(server) else {
+            return;
+        };
         node.unread.release(unread);
         // The way to another region is no reading.
         let near = *node.spec.region == *self.settings.region;
         if backlog > 0 && near {
             let service = node.spec.service.clone();
-            self.paces.entry(service).or_default().measured(backlog, took);
+            self.paces
+                .entry(service)
+                .or_default()
+                .measured(backlog, took);
         }
     }
 
     /// The shortest objective of the routes on a server's service, in microseconds.
     pub(super) fn shortest_objective(&self, server: ServerHandle) -> f64 {
-        let service = self.fleet.get(server).and_then(|node| self.table.service(&node.spec.service));
+        let service = self
+            .fleet
+            .get(server)
+            .and_then(|node| self.table.service(&node.spec.service));
         service.map_or(0.0, |service| self.table.target_ms(service) as f64 * 1000.0)
     }
 
     /// How fast servers of a service read.
     pub(super) fn pace(&self, service: u32) -> Pace {
-        let name: Option<&Arc<str>> =
-            self.table.services().get(service as usize).map(|service| &service.name);
-        name.and_then(|name| self.paces.get(name)).copied().unwrap_or_default()
+        let name: Option<&Arc<str>> = self
+            .table
+            .services()
+            .get(service as usize)
+            .map(|service| &service.name);
+        name.and_then(|name| self.paces.get(name))
+            .copied()
+            .unwrap_or_default()
     }
 }
--- a/crates/routing/src/decider/search.rs
+++ b/crates/routing/src/decider/search.rs
@@ -1,4 +1,5 @@
-//! Finding a server: the service drawn by weight, the own region and the others, and when each of them is asked.
+//! Finding a server: the service drawn by weight, the own region and the others, and when each of
+//! them is asked.
 
 use ironmast_balancer::Micros;
 use smallvec::SmallVec;
@@ -50,14 +51,17 @@
             match self.search_service(now, call, service, limits) {
                 Search::Found(found) => return Search::Found(found),
                 Search::Cold(wait) => best = Search::Cold(wait),
-                Search::None(reason) if !matches!(best, Search::Cold(_)) => best = Search::None(reason),
+                Search::None(reason) if !matches!(best, Search::Cold(_)) => {
+                    best = Search::None(reason)
+                }
                 Search::None(_) => {}
             }
         }
         best
     }
 
-    /// The services that the request may go to, the one it is drawn for first. The draw is counted for the budget.
+    /// The services that the request may go to, the one it is drawn for first. The draw is counted
+    /// for the budget.
     fn services<L: RetryBudget>(
         &mut self,
         now: Micros,
@@ -73,21 +77,33 @@
                 point = point.saturating_sub(u64::from(split.weight));
                 here
             });
-            call.service = drawn.or(route.spec.splits.first()).map(|split| split.service.clone());
-            let service = call.service.as_deref().and_then(|name| self.table.service(name));
+            call.service = drawn
+                .or(route.spec.splits.first())
+                .map(|split| split.service.clone());
+            let service = call
+                .service
+                .as_deref()
+                .and_then(|name| self.table.service(name));
             if let Some(service) = service {
                 limits.requested(now, &self.table.services()[service as usize]);
             }
         }
         let drawn = call.service.clone();
-        let others = route.spec.splits.iter().filter(|split| split.weight > 0).map(|split| &split.service);
+        let others = route
+            .spec
+            .splits
+            .iter()
+            .filter(|split| split.weight > 0)
+            .map(|split| &split.service);
         let others = others.filter(|name| Some(*name) != drawn.as_ref());
         let order = drawn.iter().chain(others);
         order.filter_map(|name| self.table.service(name)).collect()
     }
 
     fn scope(&self, call: &Call, service: u32) -> Scope {
-        let route = self.table.region_set(&call.request.route.spec.allowed_regions);
+        let route = self
+            .table
+            .region_set(&call.request.route.spec.allowed_regions);
         let own = self.table.region_set(&call.request.allowed_regions);
         Scope {
             service,
@@ -106,7 +122,9 @@
     ) -> Search {
         let scope = self.scope(call, service);
         if self.is_out_of_reach(now, &scope) {
-            return Search::None(Reason::Nobody { until: Some(paths::GONE_ROUND_IN) });
+            return Search::None(Reason::Nobody {
+                until: Some(paths::GONE_ROUND_IN),
+            });
         }
         if let Some(found) = self.trial(now, call, &scope, limits) {
             return Search::Found(found);
@@ -116,18 +134,29 @@
                 return search;
             }
         }
-        Search::None(Reason::Nobody { until: self.next_trial(now, &scope) })
+        Search::None(Reason::Nobody {
+            until: self.next_trial(now, &scope),
+        })
     }
 
     /// A trial at a server whose ejection is over.
-    fn trial<L: Permits>(&self, now: Micros, call: &Call, scope: &Scope, limits: &mut L) -> Option<Found> {
+    fn trial<L: Permits>(
+        &self,
+        now: Micros,
+        call: &Call,
+        scope: &Scope,
+        limits: &mut L,
+    ) -> Option<Found> {
         // A trial may fail: the request must have another attempt, and nothing behind it yet.
         let most = call.request.route.spec.max_attempts as usize;
         let spare = call.attempts() == 0 && most > 1 || !Guard::TrialFirst.on();
         let slot = candidates::trial(&self.fleet, scope, call, now).filter(|_| spare)?;
         let node = self.fleet.at(slot)?;
         permitted(now, node, limits).ok()?;
-        Some(Found { server: node.handle, trial: true })
+        Some(Found {
+            server: node.handle,
+            trial: true,
+        })
     }
 
     /// The own region, then the others. None where nobody is there that is trusted so far.
@@ -139,19 +168,37 @@
         trust: Trust,
         limits: &mut L,
     ) -> Option<Search> {
-        let level = self.level(call, scope.service, call.request.route.spec.priority, call.chance);
+        let level = self.level(
+            call,
+            scope.service,
+            call.request.route.spec.priority,
+            call.chance,
+        );
         let mut seen: Option<Search> = None;
         let mut all = Offers::new();
         let sooner = self.sooner_elsewhere(now, call, &scope, trust, level);
-        for reach in if sooner { [Reach::Others, Reach::Own] } else { [Reach::Own, Reach::Others] } {
+        for reach in if sooner {
+            [Reach::Others, Reach::Own]
+        } else {
+            [Reach::Own, Reach::Others]
+        } {
             let pool = self.pool(now, &scope, reach, call, trust);
             if pool.is_empty() {
                 continue;
             }
             // For want of room or for a wait another region is used only while it has plenty.
-            let spills = reach == Reach::Others && (sooner || matches!(seen, Some(Search::None(_))));
-            let most = if spills { self.settings.spill_fill } else { f64::INFINITY };
-            let ask = Ask { scope, reach, any: false };
+            let spills =
+                reach == Reach::Others && (sooner || matches!(seen, Some(Search::None(_))));
+            let most = if spills {
+                self.settings.spill_fill
+            } else {
+                f64::INFINITY
+            };
+            let ask = Ask {
+                scope,
+                reach,
+                any: false,
+            };
             let offers = self.offers(now, call, scope.service, &pool, level.min(most));
             let found = self.pick(now, call, &offers, ask, limits);
             if let Search::Found(found) = found {
@@ -159,36 +206,59 @@
             }
             all.extend(offers);
             // The shorter way to an answer is a permit.
-            seen = seen.filter(|seen| matches!(seen, Search::Cold(_))).or(Some(found));
+            seen = seen
+                .filter(|seen| matches!(seen, Search::Cold(_)))
+                .or(Some(found));
         }
         let full = matches!(seen, Some(Search::None(_)));
         // Guards streams under way, and requests while places are free, against refusals.
         if full && (call.head_passed || Guard::PlacesFree.on() && !crowded(&all)) {
-            let nearest = if scope.own.is_some_and(|own| all.iter().any(|o| self.in_region(o, own))) {
+            let nearest = if scope
+                .own
+                .is_some_and(|own| all.iter().any(|o| self.in_region(o, own)))
+            {
                 Reach::Own
             } else {
                 Reach::Others
             };
             let pool = self.pool(now, &scope, nearest, call, trust);
             let offers = self.offers(now, call, scope.service, &pool, level);
-            let ask = Ask { scope, reach: nearest, any: true };
+            let ask = Ask {
+                scope,
+                reach: nearest,
+                any: true,
+            };
             return Some(self.pick(now, call, &offers, ask, limits));
         }
         seen
     }
 
-    /// True where prompts wait long at every server of the own region, and far less at one of another that has room.
-    /// What other gates have there is not known: that one must look better by a multiple.
-    fn sooner_elsewhere(&self, now: Micros, call: &Call, scope: &Scope, trust: Trust, level: f64) -> bool {
+    /// True where prompts wait long at every server of the own region, and far less at one of
+    /// another that has room. What other gates have there is not known: that one must look better
+    /// by a multiple.
+    fn sooner_elsewhere(
+        &self,
+        now: Micros,
+        call: &Call,
+        scope: &Scope,
+        trust: Trust,
+        level: f64,
+    ) -> bool {
         let shortest = |reach, most: f64| {
             let pool = self.pool(now, scope, reach, call, trust);
             let offers = self.offers(now, call, scope.service, &pool, level.min(most));
-            offers.iter().filter(|offer| offer.room).map(|offer| offer.wait).min_by(f64::total_cmp)
+            offers
+                .iter()
+                .filter(|offer| offer.room)
+                .map(|offer| offer.wait)
+                .min_by(f64::total_cmp)
         };
         let long = call.target() as f64 * self.settings.spill_wait;
-        let here = shortest(Reach::Own, f64::INFINITY).filter(|wait| *wait > long && Guard::SpillWait.on());
+        let here = shortest(Reach::Own, f64::INFINITY)
+            .filter(|wait| *wait > long && Guard::SpillWait.on());
         let Some(here) = here else { return false };
-        shortest(Reach::Others, self.settings.spill_fill).is_some_and(|there| there * SPILL_LESS <= here)
+        shortest(Reach::Others, self.settings.spill_fill)
+            .is_some_and(|there| there * SPILL_LESS <= here)
     }
 
     /// The candidates of a reach; quiet ones only where all are.
@@ -208,14 +278,19 @@
     }
 
     fn in_region(&self, offer: &Offer, region: u8) -> bool {
-        self.fleet.at(offer.slot).is_some_and(|node| node.region == region)
+        self.fleet
+            .at(offer.slot)
+            .is_some_and(|node| node.region == region)
     }
 
     /// When the next ejection ends.
     fn next_trial(&self, now: Micros, scope: &Scope) -> Option<Micros> {
-        let nodes =
-            [Reach::Own, Reach::Others].into_iter().flat_map(|reach| scope.servers(&self.fleet, reach));
-        let until = nodes.filter(|node| node.open()).filter_map(|node| node.health.ejected());
+        let nodes = [Reach::Own, Reach::Others]
+            .into_iter()
+            .flat_map(|reach| scope.servers(&self.fleet, reach));
+        let until = nodes
+            .filter(|node| node.open())
+            .filter_map(|node| node.health.ejected());
         until.map(|ejected| ejected.until.saturating_sub(now)).min()
     }
 }
--- a/crates/routing/src/decider/tests.rs
+++ b/crates/routing/src/decider/tests.rs
@@ -1,4 +1,5 @@
-//! The rules of the decisions, event by event, and by property. Checks of a protection are run again without it.
+//! The rules of the decisions, event by event, and by property. Checks of a protection are run
+//! again without it.
 
 mod affinity;
 mod attempts;
--- a/crates/routing/src/decider/tests/affinity.rs
+++ b/crates/routing/src/decider/tests/affinity.rs
@@ -18,7 +18,9 @@
 fn a_key_keeps_to_its_server_at_every_gate() {
     let homes = |seed| -> Vec<Arc<str>> {
         let mut gate = gate(6, seed);
-        (0..50).map(|key| gate.served(gate.prompt("a", key % 10))).collect()
+        (0..50)
+            .map(|key| gate.served(gate.prompt("a", key % 10)))
+            .collect()
     };
     let first = homes(1);
     assert_eq!(first, homes(2));
@@ -29,7 +31,10 @@
 fn the_model_is_part_of_the_key() {
     let mut gate = gate(8, 1);
     let mut differs = |key| {
-        let other = Request { model: "n".into(), ..gate.prompt("a", key) };
+        let other = Request {
+            model: "n".into(),
+            ..gate.prompt("a", key)
+        };
         gate.served(gate.prompt("a", key)) != gate.served(other)
     };
     assert!((0..20).filter(|key| differs(*key)).count() > 10);
@@ -47,10 +52,16 @@
 fn moved(from: usize, to: usize) -> usize {
     let homes = |count| -> Vec<Arc<str>> {
         let mut gate = gate(count, 1);
-        (0..500).map(|key| gate.served(gate.prompt("a", key))).collect()
+        (0..500)
+            .map(|key| gate.served(gate.prompt("a", key)))
+            .collect()
     };
     let (before, after) = (homes(from), homes(to));
-    before.iter().zip(&after).filter(|(before, after)| before != after).count()
+    before
+        .iter()
+        .zip(&after)
+        .filter(|(before, after)| before != after)
+        .count()
 }
 
 #[test]
@@ -58,15 +69,22 @@
     guarded(Guard::Rendezvous, || {
         let homes = |count| -> Vec<Arc<str>> {
             let mut gate = gate(count, 1);
-            (0..500).map(|key| gate.served(gate.prompt("a", key))).collect()
+            (0..500)
+                .map(|key| gate.served(gate.prompt("a", key)))
+                .collect()
         };
         let (ten, nine) = (homes(10), homes(9));
         let even = |homes: &[Arc<str>], servers: usize| {
             let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-            homes.iter().for_each(|home| *counts.entry(home).or_default() += 1);
+            homes
+                .iter()
+                .for_each(|home| *counts.entry(home).or_default() += 1);
             counts.len() == servers && counts.values().all(|count| *count > 500 / servers / 2)
         };
-        let stay = ten.iter().zip(&nine).all(|(ten, nine)| &**ten == "i-9" || ten == nine);
+        let stay = ten
+            .iter()
+            .zip(&nine)
+            .all(|(ten, nine)| &**ten == "i-9" || ten == nine);
         stay && even(&ten, 10) && even(&nine, 9)
     });
     assert!((25..=80).contains(&moved(10, 9)), "{}", moved(10, 9));
@@ -83,10 +101,17 @@
     for number in 0..requests {
         // Half of all requests share one key.
         let key = if number % 2 == 0 { 1_000_000 } else { number };
-        assert!(matches!(gate.begin(gate.prompt("a", key)).1, Decision::Send(_)));
+        assert!(matches!(
+            gate.begin(gate.prompt("a", key)).1,
+            Decision::Send(_)
+        ));
     }
     let handles = (0..6).map(|number| gate.decider.server(&format!("i-{number}")).expect("listed"));
-    handles.collect::<Vec<_>>().into_iter().map(|server| gate.decider.in_flight(server)).collect()
+    handles
+        .collect::<Vec<_>>()
+        .into_iter()
+        .map(|server| gate.decider.in_flight(server))
+        .collect()
 }
 
 #[test]
@@ -103,10 +128,19 @@
     let mut table = spec(vec![route("a", STREAM)], servers(0, 6, "north"));
     table.services[0].slots = 64;
     let mut gate = Gate::new(table);
-    let mut homes: Vec<Arc<str>> =
-        (0..9).map(|_| sent(&gate.begin(gate.prompt("a", 1)).1).expect_instance.clone()).collect();
+    let mut homes: Vec<Arc<str>> = (0..9)
+        .map(|_| {
+            sent(&gate.begin(gate.prompt("a", 1)).1)
+                .expect_instance
+                .clone()
+        })
+        .collect();
     homes.dedup();
-    assert_eq!(homes.len(), 1, "under the floor of 0.25 of 64 slots nothing is passed on");
+    assert_eq!(
+        homes.len(),
+        1,
+        "under the floor of 0.25 of 64 slots nothing is passed on"
+    );
 }
 
 #[test]
@@ -114,13 +148,23 @@
     let mut gate = gate(4, 1);
     let home = gate.served(gate.prompt("a", 1));
     let server = gate.decider.server(&home).expect("listed");
-    let load = LoadReport { running: 8, waiting: 2, slots: Some(8), kv_cache: None };
+    let load = LoadReport {
+        running: 8,
+        waiting: 2,
+        slots: Some(8),
+        kv_cache: None,
+    };
     gate.decider.report(gate.now, server, load);
     assert_ne!(gate.served(gate.prompt("a", 1)), home);
     gate.decider.report(
         gate.now,
         server,
-        LoadReport { running: 0, waiting: 0, slots: Some(8), kv_cache: None },
+        LoadReport {
+            running: 0,
+            waiting: 0,
+            slots: Some(8),
+            kv_cache: None,
+        },
     );
     assert_eq!(gate.served(gate.prompt("a", 1)), home);
 }
@@ -134,8 +178,13 @@
     settings.affinity_excess = 10.0;
     let mut gate = Gate::with(table, settings, 1);
     // 500 shared and 130 of their own each: 500 + 11 * 130 fit into 2,000.
-    let homes: Vec<Arc<str>> =
-        (0..12).map(|_| sent(&gate.begin(gate.prompt("a", 1)).1).expect_instance.clone()).collect();
+    let homes: Vec<Arc<str>> = (0..12)
+        .map(|_| {
+            sent(&gate.begin(gate.prompt("a", 1)).1)
+                .expect_instance
+                .clone()
+        })
+        .collect();
     assert!(homes[..11].iter().all(|home| *home == homes[0]));
     assert_ne!(homes[11], homes[0]);
 }
@@ -147,7 +196,10 @@
     for key in 0..20 {
         let mut request = gate.prompt("a", key);
         (request.tokens_in, request.tokens_out) = (u64::MAX, u64::MAX);
-        request.parts.iter_mut().for_each(|part| part.tokens = u64::MAX);
+        request
+            .parts
+            .iter_mut()
+            .for_each(|part| part.tokens = u64::MAX);
         calls.push(gate.begin(request).0);
     }
     for mut call in calls {
@@ -172,7 +224,10 @@
         let mut gate = gate(6, 1);
         learn(&mut gate);
         let home = gate.served(gate.prompt("a", 3));
-        let (mut call, _) = gate.begin(Request { tokens_in: 1, ..gate.prompt("a", 3) });
+        let (mut call, _) = gate.begin(Request {
+            tokens_in: 1,
+            ..gate.prompt("a", 3)
+        });
         let mut told = gate.decider.news(gate.now);
         gate.settle(&mut call, Outcome::Success);
         assert_eq!(told.unread.len(), 1);
@@ -190,7 +245,10 @@
     let mut gate = gate(6, 1);
     learn(&mut gate);
     let home = gate.served(gate.prompt("a", 3));
-    let (mut call, _) = gate.begin(Request { tokens_in: 1_000_000, ..gate.prompt("a", 3) });
+    let (mut call, _) = gate.begin(Request {
+        tokens_in: 1_000_000,
+        ..gate.prompt("a", 3)
+    });
     let told = gate.decider.news(gate.now);
     gate.settle(&mut call, Outcome::Success);
     gate.decider.told_news(gate.now, 7, &told);
@@ -199,7 +257,8 @@
     assert_eq!(gate.served(gate.prompt("a", 3)), home);
 }
 
-/// Whether prompts leave a region where so many tokens wait at each server, of routes that may and that may not.
+/// Whether prompts leave a region where so many tokens wait at each server, of routes that may and
+/// that may not.
 fn leave(waiting: u64) -> [bool; 2] {
     let mut home = route("home", STREAM);
     home.allowed_regions = vec!["north".into()];
@@ -207,9 +266,19 @@
     let mut gate = Gate::new(spec(vec![route("a", STREAM), home], fleet));
     learn(&mut gate);
     let unread = (0..2)
-        .map(|number| UnreadAt { server: crate::affinity::hash(&format!("i-{number}")), tokens: waiting })
+        .map(|number| UnreadAt {
+            server: crate::affinity::hash(&format!("i-{number}")),
+            tokens: waiting,
+        })
         .collect();
-    gate.decider.told_news(gate.now, 7, &GateNews { unread, suspect: Vec::new() });
+    gate.decider.told_news(
+        gate.now,
+        7,
+        &GateNews {
+            unread,
+            suspect: Vec::new(),
+        },
+    );
     ["a", "home"].map(|name| {
         let (_, decision) = gate.begin(gate.prompt(name, 3));
         sent(&decision).crosses_region
@@ -226,15 +295,29 @@
 fn small_changes_are_not_worth_telling() {
     let mut gate = gate(6, 1);
     learn(&mut gate);
-    let (mut call, _) = gate.begin(Request { tokens_in: 10_000, ..gate.prompt("a", 3) });
+    let (mut call, _) = gate.begin(Request {
+        tokens_in: 10_000,
+        ..gate.prompt("a", 3)
+    });
     let told = gate.decider.news(gate.now);
-    let with =
-        |tokens: u64| GateNews { unread: vec![UnreadAt { tokens, ..told.unread[0] }], suspect: Vec::new() };
+    let with = |tokens: u64| GateNews {
+        unread: vec![UnreadAt {
+            tokens,
+            ..told.unread[0]
+        }],
+        suspect: Vec::new(),
+    };
     let waiting = told.unread[0].tokens;
     assert!(!gate.decider.is_worth_telling(&told, &told));
     assert!(!gate.decider.is_worth_telling(&told, &with(waiting + 10)));
     assert!(gate.decider.is_worth_telling(&told, &with(waiting + 5_000)));
     assert!(gate.decider.is_worth_telling(&told, &GateNews::default()));
-    assert!(gate.decider.is_worth_telling(&told, &GateNews { suspect: vec![1], ..told.clone() }));
+    assert!(gate.decider.is_worth_telling(
+        &told,
+        &GateNews {
+            suspect: vec![1],
+            ..told.clone()
+        }
+    ));
     gate.settle(&mut call, Outcome::Success);
 }
--- a/crates/routing/src/decider/tests/attempts.rs
+++ b/crates/routing/src/decider/tests/attempts.rs
@@ -11,7 +11,12 @@
 }
 
 fn outcomes_that_may_have_run() -> Vec<Outcome> {
-    vec![Outcome::ServerError, Outcome::Reset, Outcome::Timeout, Outcome::Spoilt]
+    vec![
+        Outcome::ServerError,
+        Outcome::Reset,
+        Outcome::Timeout,
+        Outcome::Spoilt,
+    ]
 }
 
 fn promises() -> Vec<Outcome> {
@@ -27,13 +32,15 @@
 #[test]
 fn what_may_have_run_is_not_repeated() {
     guarded(Guard::Once, || {
-        [RouteKind::Unsafe, RouteKind::Stream { resumable: false }].into_iter().all(|kind| {
-            outcomes_that_may_have_run().iter().all(|outcome| {
-                let mut gate = gate(kind, 3);
-                let (tried, last) = gate.fails(gate.request("a"), outcome);
-                tried.len() == 1 && matches!(last, Decision::Fail { .. } | Decision::PassOn)
+        [RouteKind::Unsafe, RouteKind::Stream { resumable: false }]
+            .into_iter()
+            .all(|kind| {
+                outcomes_that_may_have_run().iter().all(|outcome| {
+                    let mut gate = gate(kind, 3);
+                    let (tried, last) = gate.fails(gate.request("a"), outcome);
+                    tried.len() == 1 && matches!(last, Decision::Fail { .. } | Decision::PassOn)
+                })
             })
-        })
     });
 }
 
@@ -48,7 +55,10 @@
         tried.sort();
         tried.dedup();
         let again = outcome == Outcome::Unwritten;
-        assert!(again || tried.len() == attempts, "one server twice after {outcome:?}");
+        assert!(
+            again || tried.len() == attempts,
+            "one server twice after {outcome:?}"
+        );
     }
 }
 
@@ -83,7 +93,12 @@
 #[test]
 fn failed_connections_end_too() {
     let mut gate = gate(RouteKind::Safe, 1);
-    assert_eq!(gate.fails(gate.request("a"), &Outcome::ConnectFailed).0.len(), 4);
+    assert_eq!(
+        gate.fails(gate.request("a"), &Outcome::ConnectFailed)
+            .0
+            .len(),
+        4
+    );
 }
 
 #[test]
@@ -96,7 +111,12 @@
     });
     let mut gate = gate(RouteKind::Safe, 3);
     gate.limits.repeats = 0;
-    assert!(gate.fails(gate.request("a"), &Outcome::ConnectFailed).0.len() > 1);
+    assert!(
+        gate.fails(gate.request("a"), &Outcome::ConnectFailed)
+            .0
+            .len()
+            > 1
+    );
     assert_eq!(gate.limits.requested, 1);
 }
 
@@ -113,8 +133,14 @@
 #[test]
 fn a_servers_own_failure_is_passed_on() {
     let mut gate = gate(RouteKind::Unsafe, 3);
-    assert_eq!(gate.fails(gate.request("a"), &Outcome::ServerError).1, Decision::PassOn);
-    assert_eq!(gate.fails(gate.request("a"), &Outcome::Rejected).1, Decision::PassOn);
+    assert_eq!(
+        gate.fails(gate.request("a"), &Outcome::ServerError).1,
+        Decision::PassOn
+    );
+    assert_eq!(
+        gate.fails(gate.request("a"), &Outcome::Rejected).1,
+        Decision::PassOn
+    );
 }
 
 #[test]
@@ -123,10 +149,23 @@
     let (mut call, first) = gate.begin(gate.prompt("a", 1));
     gate.decider.first_byte(gate.now, &mut call);
     gate.decider.passed(gate.now, &mut call, Some(11));
-    let second = gate.settle(&mut call, Outcome::Cut { last_event: Some(12) });
+    let second = gate.settle(
+        &mut call,
+        Outcome::Cut {
+            last_event: Some(12),
+        },
+    );
     assert_eq!(sent(&second).resume_after, Some(12));
     assert_ne!(sent(&second).server, sent(&first).server);
-    assert_eq!(gate.settle(&mut call, Outcome::Cut { last_event: Some(20) }), Decision::BreakOff);
+    assert_eq!(
+        gate.settle(
+            &mut call,
+            Outcome::Cut {
+                last_event: Some(20)
+            }
+        ),
+        Decision::BreakOff
+    );
 }
 
 #[test]
@@ -134,7 +173,12 @@
     for outcome in [Outcome::Rejected, Outcome::ServerError, Outcome::Reset] {
         let mut gate = gate(RouteKind::Stream { resumable: true }, 2);
         let (mut call, _) = gate.begin(gate.prompt("a", 1));
-        gate.settle(&mut call, Outcome::Cut { last_event: Some(1) });
+        gate.settle(
+            &mut call,
+            Outcome::Cut {
+                last_event: Some(1),
+            },
+        );
         assert_eq!(gate.settle(&mut call, outcome), Decision::BreakOff);
     }
 }
@@ -147,7 +191,12 @@
     let mut gate = Gate::new(table.clone());
     let (mut call, _) = gate.begin(gate.prompt("a", 1));
     let start = gate.now;
-    let mut decision = gate.settle(&mut call, Outcome::Cut { last_event: Some(4) });
+    let mut decision = gate.settle(
+        &mut call,
+        Outcome::Cut {
+            last_event: Some(4),
+        },
+    );
     while let Decision::Hold { until } = decision {
         assert!(until > gate.now && until <= start + SECOND + 50 * MS);
         gate.now = until;
@@ -158,38 +207,78 @@
 
     let mut gate = Gate::new(table.clone());
     let (mut call, _) = gate.begin(gate.prompt("a", 1));
-    assert!(matches!(gate.settle(&mut call, Outcome::Cut { last_event: Some(4) }), Decision::Hold { .. }));
+    assert!(matches!(
+        gate.settle(
+            &mut call,
+            Outcome::Cut {
+                last_event: Some(4)
+            }
+        ),
+        Decision::Hold { .. }
+    ));
     gate.swap(spec(table.routes.clone(), servers(0, 2, "north")));
     let decision = gate.decider.resume(gate.now, &mut call, &mut gate.limits);
-    assert_eq!((&*sent(&decision).expect_instance, sent(&decision).resume_after), ("i-1", Some(4)));
+    assert_eq!(
+        (
+            &*sent(&decision).expect_instance,
+            sent(&decision).resume_after
+        ),
+        ("i-1", Some(4))
+    );
 }
 
 #[test]
 fn a_cut_stream_that_may_not_go_on_is_broken_off() {
     let mut gate = gate(RouteKind::Stream { resumable: false }, 3);
     let (mut call, _) = gate.begin(gate.prompt("a", 1));
-    assert_eq!(gate.settle(&mut call, Outcome::Cut { last_event: Some(3) }), Decision::BreakOff);
+    assert_eq!(
+        gate.settle(
+            &mut call,
+            Outcome::Cut {
+                last_event: Some(3)
+            }
+        ),
+        Decision::BreakOff
+    );
 }
 
 #[test]
 fn the_clients_own_last_event_is_handed_on() {
     let mut gate = gate(RouteKind::Stream { resumable: true }, 2);
-    let request = Request { last_event: Some(5), ..gate.prompt("a", 1) };
+    let request = Request {
+        last_event: Some(5),
+        ..gate.prompt("a", 1)
+    };
     let (mut call, first) = gate.begin(request);
     assert_eq!(sent(&first).resume_after, Some(5));
-    assert_eq!(sent(&gate.settle(&mut call, Outcome::Reset)).resume_after, Some(5));
+    assert_eq!(
+        sent(&gate.settle(&mut call, Outcome::Reset)).resume_after,
+        Some(5)
+    );
 }
 
 #[test]
 fn the_time_handed_on_is_what_is_left() {
     let mut gate = gate(RouteKind::Safe, 3);
-    let request = Request { deadline: Some(gate.now + 4 * SECOND), ..gate.request("a") };
+    let request = Request {
+        deadline: Some(gate.now + 4 * SECOND),
+        ..gate.request("a")
+    };
     let (mut call, first) = gate.begin(request);
-    assert_eq!((sent(&first).timeout, sent(&first).deadline_ms), (4 * SECOND, 4000));
+    assert_eq!(
+        (sent(&first).timeout, sent(&first).deadline_ms),
+        (4 * SECOND, 4000)
+    );
     gate.now += SECOND;
-    assert_eq!(sent(&gate.settle(&mut call, Outcome::Reset)).timeout, 3 * SECOND);
+    assert_eq!(
+        sent(&gate.settle(&mut call, Outcome::Reset)).timeout,
+        3 * SECOND
+    );
     gate.now += 3 * SECOND;
-    assert_eq!(gate.settle(&mut call, Outcome::Timeout), Decision::Fail { status: 504 });
+    assert_eq!(
+        gate.settle(&mut call, Outcome::Timeout),
+        Decision::Fail { status: 504 }
+    );
     let (_, later) = gate.begin(gate.request("a"));
     assert_eq!(sent(&later).timeout, 10 * SECOND, "the route's time-out");
 }
@@ -212,13 +301,23 @@
     let mut gate = gate(RouteKind::Safe, 2);
     let (mut call, first) = gate.begin(gate.request("a"));
     let at = sent(&first).check_at.expect("a check");
-    assert!(matches!(gate.decider.check(at - 1, &call), Check::Wait { .. }));
+    assert!(matches!(
+        gate.decider.check(at - 1, &call),
+        Check::Wait { .. }
+    ));
     assert_eq!(gate.decider.check(at, &call), Check::Move);
     gate.decider.sign(at - 10, sent(&first).server);
     assert!(matches!(gate.decider.check(at, &call), Check::Wait { until } if until > at));
     gate.now = at;
-    assert!(matches!(gate.settle(&mut call, Outcome::Timeout), Decision::Send(_)));
-    assert_eq!(gate.decider.check(at + 20 * SECOND, &call), Check::Leave, "no attempt is left");
+    assert!(matches!(
+        gate.settle(&mut call, Outcome::Timeout),
+        Decision::Send(_)
+    ));
+    assert_eq!(
+        gate.decider.check(at + 20 * SECOND, &call),
+        Check::Leave,
+        "no attempt is left"
+    );
 }
 
 #[test]
@@ -226,5 +325,8 @@
     let mut gate = gate(RouteKind::Unsafe, 2);
     let (call, first) = gate.begin(gate.request("a"));
     assert_eq!(sent(&first).check_at, None);
-    assert_eq!(gate.decider.check(gate.now + 9 * SECOND, &call), Check::Leave);
+    assert_eq!(
+        gate.decider.check(gate.now + 9 * SECOND, &call),
+        Check::Leave
+    );
 }
--- a/crates/routing/src/decider/tests/candidates.rs
+++ b/crates/routing/src/decider/tests/candidates.rs
@@ -30,7 +30,10 @@
 #[test]
 fn a_region_without_a_usable_server_widens_to_all() {
     let mut fleet = fleet();
-    fleet.iter_mut().take(3).for_each(|server| server.state = ServerState::Draining);
+    fleet
+        .iter_mut()
+        .take(3)
+        .for_each(|server| server.state = ServerState::Draining);
     let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
     assert!(!regions(&mut gate, "a", 6).contains(&false));
 }
@@ -51,7 +54,13 @@
     home.allowed_regions = vec!["east".into()];
     let mut gate = Gate::new(spec(vec![home], fleet()));
     let (call, decision) = gate.begin(gate.prompt("a", 1));
-    assert!(matches!(decision, Decision::Refuse(Refusal { status: Status::Unavailable, .. })));
+    assert!(matches!(
+        decision,
+        Decision::Refuse(Refusal {
+            status: Status::Unavailable,
+            ..
+        })
+    ));
     assert!(call.is_done());
 }
 
@@ -60,7 +69,10 @@
     let mut home = route("a", STREAM);
     home.allowed_regions = vec!["south".into()];
     let mut gate = Gate::new(spec(vec![home], fleet()));
-    let request = Request { allowed_regions: vec!["north".into()], ..gate.prompt("a", 1) };
+    let request = Request {
+        allowed_regions: vec!["north".into()],
+        ..gate.prompt("a", 1)
+    };
     assert!(matches!(gate.begin(request).1, Decision::Refuse(_)));
 }
 
@@ -74,12 +86,16 @@
 
 #[test]
 fn draining_servers_get_nothing() {
-    guarded(Guard::Draining, || avoids(|server| server.state = ServerState::Draining));
+    guarded(Guard::Draining, || {
+        avoids(|server| server.state = ServerState::Draining)
+    });
 }
 
 #[test]
 fn evacuated_servers_get_nothing() {
-    guarded(Guard::Evacuated, || avoids(|server| server.evacuated = true));
+    guarded(Guard::Evacuated, || {
+        avoids(|server| server.evacuated = true)
+    });
 }
 
 #[test]
@@ -90,7 +106,9 @@
 #[test]
 fn servers_all_silent_are_used_all_the_same() {
     let mut fleet = servers(0, 2, "north");
-    fleet.iter_mut().for_each(|server| server.silent_since = Some(SECOND));
+    fleet
+        .iter_mut()
+        .for_each(|server| server.silent_since = Some(SECOND));
     let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
     gate.served(gate.prompt("a", 1));
 }
@@ -101,7 +119,10 @@
     fleet[0].state = ServerState::Draining;
     fleet[1].evacuated = true;
     let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
-    assert!(matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Refuse(_)));
+    assert!(matches!(
+        gate.begin(gate.prompt("a", 1)).1,
+        Decision::Refuse(_)
+    ));
 }
 
 #[test]
@@ -165,12 +186,25 @@
 #[test]
 fn a_split_route_goes_by_weight_and_to_the_other_service_where_the_drawn_one_has_nobody() {
     let mut split = route("a", RouteKind::Safe);
-    split.splits =
-        vec![Split { service: "desk".into(), weight: 90 }, Split { service: "other".into(), weight: 10 }];
-    let other = ServerSpec { service: "other".into(), ..server(5, "north") };
+    split.splits = vec![
+        Split {
+            service: "desk".into(),
+            weight: 90,
+        },
+        Split {
+            service: "other".into(),
+            weight: 10,
+        },
+    ];
+    let other = ServerSpec {
+        service: "other".into(),
+        ..server(5, "north")
+    };
     let both = spec(vec![split.clone()], vec![server(0, "north"), other.clone()]);
     let mut gate = Gate::new(both);
-    let desk = (0..2000).filter(|_| &*gate.served(gate.request("a")) == "i-0").count();
+    let desk = (0..2000)
+        .filter(|_| &*gate.served(gate.request("a")) == "i-0")
+        .count();
     assert!((1740..1860).contains(&desk), "{desk} of 2000");
     let mut gate = Gate::new(spec(vec![split], vec![other]));
     assert!((0..50).all(|_| &*gate.served(gate.request("a")) == "i-5"));
@@ -179,8 +213,16 @@
 #[test]
 fn a_weight_of_zero_gets_nothing() {
     let mut split = route("a", RouteKind::Safe);
-    split.splits =
-        vec![Split { service: "desk".into(), weight: 0 }, Split { service: "other".into(), weight: 1 }];
+    split.splits = vec![
+        Split {
+            service: "desk".into(),
+            weight: 0,
+        },
+        Split {
+            service: "other".into(),
+            weight: 1,
+        },
+    ];
     let mut gate = Gate::new(spec(vec![split], servers(0, 2, "north")));
     assert!((0..20).all(|_| matches!(gate.begin(gate.request("a")).1, Decision::Refuse(_))));
 }
@@ -202,15 +244,22 @@
     });
 }
 
-/// A gate of the north whose route is at home in the south and the west, where so many servers each serve it.
+/// A gate of the north whose route is at home in the south and the west, where so many servers each
+/// serve it.
 fn away(south: usize, west: usize) -> Gate {
     let mut home = route("home", RouteKind::Stream { resumable: false });
     home.allowed_regions = vec!["south".into(), "west".into()];
-    let fleet = [servers(0, 3, "north"), servers(10, south, "south"), servers(20, west, "west")].concat();
+    let fleet = [
+        servers(0, 3, "north"),
+        servers(10, south, "south"),
+        servers(20, west, "west"),
+    ]
+    .concat();
     Gate::new(spec(vec![home], fleet))
 }
 
-/// Sends requests until so many are owed an answer by the south, which gives no sign for long from then on.
+/// Sends requests until so many are owed an answer by the south, which gives no sign for long from
+/// then on.
 fn cut_the_south(gate: &mut Gate, owed: usize) -> Vec<Call> {
     let mut calls = Vec::new();
     while calls.len() < owed {
@@ -248,8 +297,11 @@
         let is_refused = matches!(gate.begin(gate.request("home")).1, Decision::Refuse(_));
         let mut probes = Vec::new();
         gate.decider.probes_due(gate.now, &mut probes);
-        let Some(asked) = probes.first() else { return false };
-        gate.decider.probed(gate.now, asked.server, ProbeOutcome::Healthy);
+        let Some(asked) = probes.first() else {
+            return false;
+        };
+        gate.decider
+            .probed(gate.now, asked.server, ProbeOutcome::Healthy);
         gate.served(gate.request("home"));
         is_refused
     });
@@ -282,9 +334,14 @@
     guarded(Guard::Learn, || {
         let mut gate = learner();
         let (mut call, decision) = gate.begin(gate.request("a"));
-        let Decision::Hold { until } = decision else { return false };
+        let Decision::Hold { until } = decision else {
+            return false;
+        };
         gate.now = until;
-        gate.swap(spec(vec![route("a", RouteKind::Unsafe)], servers(0, 1, "north")));
+        gate.swap(spec(
+            vec![route("a", RouteKind::Unsafe)],
+            servers(0, 1, "north"),
+        ));
         let decision = gate.decider.resume(gate.now, &mut call, &mut gate.limits);
         &*sent(&decision).expect_instance == "i-0"
     });
@@ -294,14 +351,20 @@
 fn a_request_waits_for_servers_no_longer_than_they_take_to_become_known() {
     let mut gate = learner();
     gate.now += SECOND;
-    assert!(matches!(gate.begin(gate.request("a")).1, Decision::Refuse(_)));
+    assert!(matches!(
+        gate.begin(gate.request("a")).1,
+        Decision::Refuse(_)
+    ));
 }
 
 #[test]
 fn a_request_waits_for_servers_no_longer_than_half_of_its_time() {
     let mut gate = learner();
     let deadline = Some(gate.now + 400 * MS);
-    let (mut call, decision) = gate.begin(Request { deadline, ..gate.request("a") });
+    let (mut call, decision) = gate.begin(Request {
+        deadline,
+        ..gate.request("a")
+    });
     assert!(matches!(decision, Decision::Hold { .. }));
     gate.now += 200 * MS;
     let decision = gate.decider.resume(gate.now, &mut call, &mut gate.limits);
--- a/crates/routing/src/decider/tests/health.rs
+++ b/crates/routing/src/decider/tests/health.rs
@@ -24,7 +24,11 @@
         while let Decision::Send(dispatch) = &decision {
             let ill = sick.contains(&&*dispatch.expect_instance);
             there += usize::from(ill);
-            let end = if ill { outcome(there) } else { Outcome::Success };
+            let end = if ill {
+                outcome(there)
+            } else {
+                Outcome::Success
+            };
             decision = gate.settle(&mut call, end);
         }
     }
@@ -33,18 +37,27 @@
 
 pub fn ejected(gate: &Gate, count: usize) -> usize {
     let handle = |number| gate.decider.server(&format!("i-{number}"));
-    (0..count).filter_map(handle).filter(|server| gate.decider.is_ejected(*server)).count()
+    (0..count)
+        .filter_map(handle)
+        .filter(|server| gate.decider.is_ejected(*server))
+        .count()
 }
 
 #[test]
 fn failing_servers_are_left_out() {
     guarded(Guard::Ejected, || {
-        [Outcome::ServerError, Outcome::Reset, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Spoilt]
-            .into_iter()
-            .all(|outcome| {
-                let mut gate = gate(RouteKind::Unsafe, 4);
-                play(&mut gate, 60, &["i-0"], |_| outcome.clone()) <= 6
-            })
+        [
+            Outcome::ServerError,
+            Outcome::Reset,
+            Outcome::Timeout,
+            Outcome::ConnectFailed,
+            Outcome::Spoilt,
+        ]
+        .into_iter()
+        .all(|outcome| {
+            let mut gate = gate(RouteKind::Unsafe, 4);
+            play(&mut gate, 60, &["i-0"], |_| outcome.clone()) <= 6
+        })
     });
 }
 
@@ -52,7 +65,9 @@
 fn full_servers_are_not_ejected() {
     guarded(Guard::FullIsNoFailure, || {
         let mut gate = gate(RouteKind::Safe, 4);
-        play(&mut gate, 200, &["i-0"], |_| Outcome::NotExecuted { retry_after: None });
+        play(&mut gate, 200, &["i-0"], |_| Outcome::NotExecuted {
+            retry_after: None,
+        });
         ejected(&gate, 4) == 0
     });
 }
@@ -72,7 +87,14 @@
             gate.decider.sign(gate.now, server);
             let (mut call, decision) = gate.begin(gate.request("a"));
             let full = sent(&decision).server == server;
-            gate.settle(&mut call, if full { Outcome::ConnectFailed } else { Outcome::Success });
+            gate.settle(
+                &mut call,
+                if full {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Success
+                },
+            );
             gate.decider.abandon(gate.now, &mut call);
         }
         !gate.decider.is_ejected(server)
@@ -93,7 +115,13 @@
 #[test]
 fn a_server_that_fails_a_part_of_its_requests_is_found() {
     let mut gate = gate(RouteKind::Safe, 4);
-    let part = |there: usize| if there.is_multiple_of(3) { Outcome::ServerError } else { Outcome::Success };
+    let part = |there: usize| {
+        if there.is_multiple_of(3) {
+            Outcome::ServerError
+        } else {
+            Outcome::Success
+        }
+    };
     let there = play(&mut gate, 400, &["i-0"], part);
     assert!(there < 70, "{there} of about 100");
 }
@@ -103,14 +131,21 @@
     let mut gate = gate(RouteKind::Unsafe, 4);
     // By chance, whichever server it is: the place in a round would tell of the server.
     let mut chance = ironmast_balancer::Rng(7);
-    let mut part = move || if chance.unit() < 0.25 { Outcome::ServerError } else { Outcome::Success };
+    let mut part = move || {
+        if chance.unit() < 0.25 {
+            Outcome::ServerError
+        } else {
+            Outcome::Success
+        }
+    };
     let all = ["i-0", "i-1", "i-2", "i-3"];
     // What is usual must be known first; a health check ends an ejection before that.
     play(&mut gate, 300, &all, |_| part());
     let mut probes = Vec::new();
     gate.decider.probes_due(gate.now, &mut probes);
     for probe in &probes {
-        gate.decider.probed(gate.now, probe.server, ProbeOutcome::Healthy);
+        gate.decider
+            .probed(gate.now, probe.server, ProbeOutcome::Healthy);
     }
     let most = (0..100).map(|_| {
         play(&mut gate, 4, &all, |_| part());
@@ -227,7 +262,12 @@
             let crowded = &*sent(&decision).expect_instance == "i-0";
             let sent_at = gate.now;
             gate.now += if crowded { 2 * SECOND } else { 100 * MS };
-            let load = LoadReport { running: 5, waiting: 0, slots: Some(8), kv_cache: None };
+            let load = LoadReport {
+                running: 5,
+                waiting: 0,
+                slots: Some(8),
+                kv_cache: None,
+            };
             gate.decider.report(gate.now, server, load);
             gate.decider.first_byte(gate.now, &mut call);
             gate.settle(&mut call, Outcome::Success);
@@ -237,7 +277,8 @@
     });
 }
 
-/// A gate that has sent one request to each of three servers, of which `i-0` gives no sign any more.
+/// A gate that has sent one request to each of three servers, of which `i-0` gives no sign any
+/// more.
 fn with_dark() -> (Gate, ServerHandle, Vec<Call>) {
     let mut gate = gate(RouteKind::Unsafe, 3);
     let server = gate.decider.server("i-0").expect("listed");
@@ -263,8 +304,12 @@
     gate.now += SECOND;
     gate.decider.probes_due(gate.now, &mut probes);
     gate.decider.probes_due(gate.now, &mut probes);
-    assert_eq!(probes.iter().map(|probe| probe.server).collect::<Vec<_>>(), [server]);
-    gate.decider.probed(gate.now, server, ProbeOutcome::Unhealthy);
+    assert_eq!(
+        probes.iter().map(|probe| probe.server).collect::<Vec<_>>(),
+        [server]
+    );
+    gate.decider
+        .probed(gate.now, server, ProbeOutcome::Unhealthy);
     assert!(gate.decider.is_ejected(server));
 }
 
@@ -316,12 +361,15 @@
     assert_eq!(ejected(&gate, 3), 0);
 }
 
-/// Requests of 200 that reach `i-0`, where so many other gates say that it is quiet. `heard` tells whether this gate has
-/// just heard of it.
+/// Requests of 200 that reach `i-0`, where so many other gates say that it is quiet. `heard` tells
+/// whether this gate has just heard of it.
 fn reach_quiet(tellers: u64, heard: bool) -> usize {
     let mut gate = gate(RouteKind::Safe, 4);
     gate.now += 1_000 * MS;
-    let quiet = GateNews { suspect: vec![crate::affinity::hash("i-0")], ..GateNews::default() };
+    let quiet = GateNews {
+        suspect: vec![crate::affinity::hash("i-0")],
+        ..GateNews::default()
+    };
     let server = gate.decider.server("i-0").expect("listed");
     let mut there = 0;
     for _ in 0..200 {
@@ -338,7 +386,10 @@
 #[test]
 fn a_server_that_is_quiet_to_several_other_gates_gets_nothing() {
     guarded(Guard::Quiet, || reach_quiet(2, false) == 0);
-    assert!(reach_quiet(1, false) > 40, "the way of one gate may be at fault");
+    assert!(
+        reach_quiet(1, false) > 40,
+        "the way of one gate may be at fault"
+    );
     assert!(reach_quiet(2, true) > 40, "this gate hears it");
 }
 
@@ -346,7 +397,10 @@
 fn a_server_is_used_again_once_other_gates_hear_it() {
     let mut gate = gate(RouteKind::Safe, 2);
     gate.now += 1_000 * MS;
-    let quiet = GateNews { suspect: vec![crate::affinity::hash("i-0")], ..GateNews::default() };
+    let quiet = GateNews {
+        suspect: vec![crate::affinity::hash("i-0")],
+        ..GateNews::default()
+    };
     (0..2).for_each(|peer| gate.decider.told_news(gate.now, peer, &quiet));
     assert_eq!(&*gate.served(gate.request("a")), "i-1");
     (0..2).for_each(|peer| gate.decider.told_news(gate.now, peer, &GateNews::default()));
@@ -366,12 +420,25 @@
 
 #[test]
 fn a_gate_tells_of_a_server_where_an_attempt_broke_off_until_another_succeeds() {
-    for outcome in [Outcome::Reset, Outcome::ConnectFailed, Outcome::Spoilt, Outcome::Timeout] {
+    for outcome in [
+        Outcome::Reset,
+        Outcome::ConnectFailed,
+        Outcome::Spoilt,
+        Outcome::Timeout,
+    ] {
         let mut gate = gate(RouteKind::Unsafe, 1);
         let (mut call, _) = gate.begin(gate.request("a"));
         gate.settle(&mut call, outcome.clone());
-        assert_eq!(gate.decider.news(gate.now).suspect, [crate::affinity::hash("i-0")], "{outcome:?}");
-        assert_eq!(gate.decider.news(gate.now + 1_000 * MS).suspect, [], "{outcome:?} long ago");
+        assert_eq!(
+            gate.decider.news(gate.now).suspect,
+            [crate::affinity::hash("i-0")],
+            "{outcome:?}"
+        );
+        assert_eq!(
+            gate.decider.news(gate.now + 1_000 * MS).suspect,
+            [],
+            "{outcome:?} long ago"
+        );
         gate.served(gate.request("a"));
         assert_eq!(gate.decider.news(gate.now).suspect, []);
     }
@@ -394,7 +461,14 @@
             let (mut call, mut decision) = gate.begin(gate.request("a"));
             while let Decision::Send(dispatch) = &decision {
                 let is_well = matches!(&*dispatch.expect_instance, "i-2" | "i-3");
-                decision = gate.settle(&mut call, if is_well { Outcome::Success } else { Outcome::Reset });
+                decision = gate.settle(
+                    &mut call,
+                    if is_well {
+                        Outcome::Success
+                    } else {
+                        Outcome::Reset
+                    },
+                );
             }
             decision == Decision::Finished
         })
--- a/crates/routing/src/decider/tests/properties.rs
+++ b/crates/routing/src/decider/tests/properties.rs
@@ -19,7 +19,9 @@
     for _ in 0..10_000 {
         gate.now += MS;
         let (call, decision) = gate.begin(gate.request("a"));
-        *counts.entry(sent(&decision).expect_instance.clone()).or_default() += 1;
+        *counts
+            .entry(sent(&decision).expect_instance.clone())
+            .or_default() += 1;
         open.push_back(call);
         if open.len() > in_flight {
             let mut call = open.pop_front().expect("a call");
@@ -32,11 +34,16 @@
 #[test]
 fn shares_are_even() {
     guarded(Guard::Deck, || {
-        [(3, 0), (6, 10), (13, 20), (40, 100)].into_iter().all(|(servers, in_flight)| {
-            let even = 10_000.0 / servers as f64;
-            let counts = shares(servers, in_flight);
-            counts.len() == servers && counts.iter().all(|count| (*count as f64 / even - 1.0).abs() < 0.1)
-        })
+        [(3, 0), (6, 10), (13, 20), (40, 100)]
+            .into_iter()
+            .all(|(servers, in_flight)| {
+                let even = 10_000.0 / servers as f64;
+                let counts = shares(servers, in_flight);
+                counts.len() == servers
+                    && counts
+                        .iter()
+                        .all(|count| (*count as f64 / even - 1.0).abs() < 0.1)
+            })
     });
 }
 
@@ -47,9 +54,14 @@
     let mut gate = Gate::new(table);
     let mut counts: BTreeMap<Arc<str>, usize> = BTreeMap::new();
     for key in 0..10_000 {
-        *counts.entry(gate.served(gate.prompt("a", key))).or_default() += 1;
+        *counts
+            .entry(gate.served(gate.prompt("a", key)))
+            .or_default() += 1;
     }
-    assert!(counts.values().all(|count| (900..1100).contains(count)), "{counts:?}");
+    assert!(
+        counts.values().all(|count| (900..1100).contains(count)),
+        "{counts:?}"
+    );
 }
 
 /// A request that is open, with what the judge knows of it.
@@ -112,11 +124,23 @@
             any.max_attempts = 3;
             routes.extend([home, any]);
         }
-        let fleet = [servers(0, 5, "north"), servers(5, 4, "south"), servers(9, 2, "east")].concat();
+        let fleet = [
+            servers(0, 5, "north"),
+            servers(5, 4, "south"),
+            servers(9, 2, "east"),
+        ]
+        .concat();
         let table = spec(routes, fleet);
         let gate = Gate::with(table.clone(), Settings::new("north", "north-0"), seed);
         let (open, displaced) = (Vec::new(), BTreeSet::new());
-        Play { gate, rng: Rng(seed), table, open, displaced, paid: 0 }
+        Play {
+            gate,
+            rng: Rng(seed),
+            table,
+            open,
+            displaced,
+            paid: 0,
+        }
     }
 
     /// Another state of some servers; at times one leaves and another takes its place.
@@ -124,7 +148,11 @@
         for number in 0..self.table.servers.len() {
             let fate = self.rng.unit();
             let server = &mut self.table.servers[number];
-            server.state = if fate < 0.2 { ServerState::Draining } else { ServerState::Ready };
+            server.state = if fate < 0.2 {
+                ServerState::Draining
+            } else {
+                ServerState::Ready
+            };
             server.evacuated = (0.2..0.4).contains(&fate);
             server.cold = (0.4..0.5).contains(&fate);
             server.silent_since = (0.5..0.6).contains(&fate).then_some(self.gate.now);
@@ -155,7 +183,9 @@
             Spoilt,
             Rejected,
             Cancelled,
-            Cut { last_event: Some(3) },
+            Cut {
+                last_event: Some(3),
+            },
         ];
         all[pick(&mut self.rng, all.len())].clone()
     }
@@ -183,7 +213,18 @@
         let permits = self.gate.limits.permits;
         let (call, decision) = self.gate.begin(request);
         let (had, may_have_run, unspent, head) = (BTreeSet::new(), false, false, false);
-        let open = Open { call, allowed, kind, most, arrived: 0, had, may_have_run, head, unspent, decision };
+        let open = Open {
+            call,
+            allowed,
+            kind,
+            most,
+            arrived: 0,
+            had,
+            may_have_run,
+            head,
+            unspent,
+            decision,
+        };
         self.judge(open, permits)
     }
 
@@ -191,13 +232,17 @@
         let mut open = self.open.swap_remove(pick(&mut self.rng, self.open.len()));
         let permits = self.gate.limits.permits;
         if matches!(open.decision, Decision::Hold { .. }) {
-            open.decision = self.gate.decider.resume(self.gate.now, &mut open.call, &mut self.gate.limits);
+            open.decision =
+                self.gate
+                    .decider
+                    .resume(self.gate.now, &mut open.call, &mut self.gate.limits);
             return self.judge(open, permits);
         }
         self.progress(&mut open);
         let outcome = self.outcome();
         if outcome == Outcome::WrongInstance {
-            self.displaced.insert(sent(&open.decision).expect_instance.clone());
+            self.displaced
+                .insert(sent(&open.decision).expect_instance.clone());
         }
         open.arrived += usize::from(!outcome.never_arrived());
         open.may_have_run |= !outcome.never_ran();
@@ -223,8 +268,15 @@
         if self.rng.unit() < 0.3 {
             let running = pick(&mut self.rng, 10) as u32;
             let waiting = pick(&mut self.rng, 3) as u32;
-            let load = LoadReport { running, waiting, slots: Some(8), kv_cache: None };
-            self.gate.decider.report(now, sent(&open.decision).server, load);
+            let load = LoadReport {
+                running,
+                waiting,
+                slots: Some(8),
+                kv_cache: None,
+            };
+            self.gate
+                .decider
+                .report(now, sent(&open.decision).server, load);
         }
     }
 
@@ -234,8 +286,14 @@
         self.gate.decider.probes_due(self.gate.now, &mut probes);
         for probe in probes {
             let well = self.rng.unit() < 0.5;
-            let outcome = if well { ProbeOutcome::Healthy } else { ProbeOutcome::Unhealthy };
-            self.gate.decider.probed(self.gate.now, probe.server, outcome);
+            let outcome = if well {
+                ProbeOutcome::Healthy
+            } else {
+                ProbeOutcome::Unhealthy
+            };
+            self.gate
+                .decider
+                .probed(self.gate.now, probe.server, outcome);
         }
     }
 
@@ -245,21 +303,35 @@
         match &open.decision {
             Decision::Send(dispatch) => {
                 let find = |server: &&ServerSpec| server.instance == dispatch.expect_instance;
-                let server = self.table.servers.iter().find(find).ok_or("a server that left")?;
+                let server = self
+                    .table
+                    .servers
+                    .iter()
+                    .find(find)
+                    .ok_or("a server that left")?;
                 check(server.state == ServerState::Ready, "draining")?;
                 check(!server.evacuated, "evacuated")?;
                 check(!self.displaced.contains(&server.instance), "displaced")?;
-                let home = open.allowed.is_empty() || open.allowed.iter().any(|r| **r == *server.region);
+                let home =
+                    open.allowed.is_empty() || open.allowed.iter().any(|r| **r == *server.region);
                 check(home, "outside of its regions")?;
-                check(!server.cold || permits > self.gate.limits.permits, "cold without a permit")?;
+                check(
+                    !server.cold || permits > self.gate.limits.permits,
+                    "cold without a permit",
+                )?;
                 check(open.arrived < open.most, "too many attempts")?;
                 check(open.had.insert(dispatch.server), "a server twice")?;
-                check(open.kind.idempotent() || !open.may_have_run, "repeated after it may have run")?;
+                check(
+                    open.kind.idempotent() || !open.may_have_run,
+                    "repeated after it may have run",
+                )?;
                 let paid = self.gate.limits.taken > self.paid;
                 check(open.arrived == 0 || paid || open.unspent, "a repeat unpaid")?;
             }
             Decision::Refuse(_) => check(!open.may_have_run, "refused though it may have run")?,
-            Decision::PassOn | Decision::Fail { .. } => check(!open.head, "an answer behind another's head")?,
+            Decision::PassOn | Decision::Fail { .. } => {
+                check(!open.head, "an answer behind another's head")?
+            }
             Decision::BreakOff => check(open.head, "broken off without a head")?,
             _ => {}
         }
@@ -277,10 +349,20 @@
         for open in &mut self.open {
             self.gate.decider.abandon(self.gate.now, &mut open.call);
         }
-        let instances = self.table.servers.iter().map(|server| server.instance.clone());
+        let instances = self
+            .table
+            .servers
+            .iter()
+            .map(|server| server.instance.clone());
         let handles = instances.filter_map(|instance| self.gate.decider.server(&instance));
-        let left: u32 = handles.map(|server| self.gate.decider.in_flight(server)).sum();
-        if left == 0 { Ok(()) } else { Err("in flight without a call") }
+        let left: u32 = handles
+            .map(|server| self.gate.decider.in_flight(server))
+            .sum();
+        if left == 0 {
+            Ok(())
+        } else {
+            Err("in flight without a call")
+        }
     }
 }
 
@@ -315,6 +397,10 @@
         (Guard::Promise, "refused though it may have run"),
     ];
     for (guard, rule) in caught {
-        assert_eq!(without(guard, || played(60)), Err(rule), "without {guard:?}");
+        assert_eq!(
+            without(guard, || played(60)),
+            Err(rule),
+            "without {guard:?}"
+        );
     }
 }
--- a/crates/routing/src/decider/tests/refusals.rs
+++ b/crates/routing/src/decider/tests/refusals.rs
@@ -38,7 +38,10 @@
     let refusal = refusal.expect("a refusal");
     assert_eq!((count, refusal.status), (8, Status::Unavailable));
     // A place of eight is free after an eighth of the usual second, spread by a quarter.
-    assert!((90 * MS..160 * MS).contains(&refusal.retry_after), "{refusal:?}");
+    assert!(
+        (90 * MS..160 * MS).contains(&refusal.retry_after),
+        "{refusal:?}"
+    );
     let seconds: f64 = refusal.retry_after_seconds().parse().expect("a number");
     assert!((seconds * 1e6 - refusal.retry_after as f64).abs() < 1000.0);
 }
@@ -57,7 +60,12 @@
 fn places_are_counted_over_all_gates() {
     let mut gate = gate();
     let server = gate.decider.server("i-0").expect("listed");
-    let load = LoadReport { running: 6, waiting: 0, slots: Some(8), kv_cache: None };
+    let load = LoadReport {
+        running: 6,
+        waiting: 0,
+        slots: Some(8),
+        kv_cache: None,
+    };
     gate.decider.report(gate.now, server, load);
     assert_eq!(taken(&mut gate, "urgent").0, 2);
 }
@@ -65,8 +73,10 @@
 #[test]
 fn nobody_is_refused_while_half_of_the_places_are_free() {
     guarded(Guard::PlacesFree, || {
-        let mut table =
-            spec(vec![route("a", RouteKind::Stream { resumable: false })], servers(0, 2, "north"));
+        let mut table = spec(
+            vec![route("a", RouteKind::Stream { resumable: false })],
+            servers(0, 2, "north"),
+        );
         table.services[0].kv_cache_tokens = 1000;
         let mut gate = exact(table);
         (0..8).all(|key| matches!(gate.begin(gate.prompt("a", key)).1, Decision::Send(_)))
@@ -79,18 +89,34 @@
     let server = gate.decider.server("i-0").expect("listed");
     let (mut call, _) = gate.begin(gate.request("urgent"));
     gate.settle(&mut call, Outcome::NotExecuted { retry_after: None });
-    let load = LoadReport { running: 1, waiting: 3, slots: Some(8), kv_cache: None };
+    let load = LoadReport {
+        running: 1,
+        waiting: 3,
+        slots: Some(8),
+        kv_cache: None,
+    };
     gate.decider.report(gate.now, server, load);
-    assert!(matches!(gate.begin(gate.request("urgent")).1, Decision::Refuse(_)));
+    assert!(matches!(
+        gate.begin(gate.request("urgent")).1,
+        Decision::Refuse(_)
+    ));
 }
 
 #[test]
 fn a_server_that_is_full_is_left_alone_for_a_while() {
     guarded(Guard::FullRest, || {
-        let mut gate = exact(spec(vec![route("a", RouteKind::Unsafe)], servers(0, 2, "north")));
+        let mut gate = exact(spec(
+            vec![route("a", RouteKind::Unsafe)],
+            servers(0, 2, "north"),
+        ));
         let (mut call, decision) = gate.begin(gate.request("a"));
         let full = sent(&decision).expect_instance.clone();
-        gate.settle(&mut call, Outcome::NotExecuted { retry_after: Some(30 * MS) });
+        gate.settle(
+            &mut call,
+            Outcome::NotExecuted {
+                retry_after: Some(30 * MS),
+            },
+        );
         let others = (0..4).all(|_| sent(&gate.begin(gate.request("a")).1).expect_instance != full);
         gate.now += 200 * MS;
         others && (0..4).any(|_| sent(&gate.begin(gate.request("a")).1).expect_instance == full)
@@ -108,8 +134,15 @@
         })
         .collect();
     assert_eq!(sent.iter().filter(|crosses| !**crosses).count(), 8);
-    assert_eq!(sent.iter().filter(|crosses| **crosses).count(), 7, "until 0.8 of its slots are taken");
-    assert!(sent[..8].iter().all(|crosses| !crosses), "the own region first");
+    assert_eq!(
+        sent.iter().filter(|crosses| **crosses).count(),
+        7,
+        "until 0.8 of its slots are taken"
+    );
+    assert!(
+        sent[..8].iter().all(|crosses| !crosses),
+        "the own region first"
+    );
 }
 
 #[test]
@@ -125,25 +158,42 @@
 #[test]
 fn what_a_full_server_says_of_the_wait_is_handed_on() {
     let mut gate = gate();
-    let outcome = Outcome::NotExecuted { retry_after: Some(800 * MS) };
+    let outcome = Outcome::NotExecuted {
+        retry_after: Some(800 * MS),
+    };
     let (_, last) = gate.fails(gate.request("urgent"), &outcome);
-    let Decision::Refuse(refusal) = last else { panic!("{last:?}") };
-    assert!((600 * MS..=1000 * MS).contains(&refusal.retry_after), "{refusal:?}");
+    let Decision::Refuse(refusal) = last else {
+        panic!("{last:?}")
+    };
+    assert!(
+        (600 * MS..=1000 * MS).contains(&refusal.retry_after),
+        "{refusal:?}"
+    );
 }
 
 #[test]
 fn a_wait_is_no_longer_than_clients_honour() {
     let mut gate = gate();
-    let request = Request { deadline: Some(gate.now + 900 * MS), ..gate.request("urgent") };
-    let outcome = Outcome::NotExecuted { retry_after: Some(2 * SECOND) };
-    let Decision::Refuse(refusal) = gate.fails(request, &outcome).1 else { panic!("not refused") };
+    let request = Request {
+        deadline: Some(gate.now + 900 * MS),
+        ..gate.request("urgent")
+    };
+    let outcome = Outcome::NotExecuted {
+        retry_after: Some(2 * SECOND),
+    };
+    let Decision::Refuse(refusal) = gate.fails(request, &outcome).1 else {
+        panic!("not refused")
+    };
     assert!(refusal.retry_after <= 375 * MS, "{refusal:?}");
 }
 
 #[test]
 fn a_request_out_of_time_is_refused() {
     let mut gate = gate();
-    let request = Request { deadline: Some(gate.now), ..gate.request("urgent") };
+    let request = Request {
+        deadline: Some(gate.now),
+        ..gate.request("urgent")
+    };
     assert!(matches!(gate.begin(request).1, Decision::Refuse(_)));
 }
 
@@ -153,21 +203,33 @@
     taken(&mut gate, "urgent");
     let mut waits = Vec::new();
     for _ in 0..8 {
-        let Decision::Refuse(refusal) = gate.begin(gate.request("urgent")).1 else { panic!("not refused") };
+        let Decision::Refuse(refusal) = gate.begin(gate.request("urgent")).1 else {
+            panic!("not refused")
+        };
         waits.push(refusal.retry_after);
     }
     // A place of eight comes each eighth of a second; each is spread by a quarter to either side.
     for (number, wait) in waits.iter().enumerate() {
         let turn = (number as u64 + 2) * 125 * MS;
-        assert!((turn * 3 / 4..=turn * 5 / 4).contains(wait), "{number}: {wait}");
+        assert!(
+            (turn * 3 / 4..=turn * 5 / 4).contains(wait),
+            "{number}: {wait}"
+        );
     }
     for _ in 0..100 {
         gate.begin(gate.request("urgent"));
     }
-    let Decision::Refuse(refusal) = gate.begin(gate.request("urgent")).1 else { panic!("not refused") };
-    assert!(refusal.retry_after <= 2500 * MS, "no promise further off than the longest wait");
+    let Decision::Refuse(refusal) = gate.begin(gate.request("urgent")).1 else {
+        panic!("not refused")
+    };
+    assert!(
+        refusal.retry_after <= 2500 * MS,
+        "no promise further off than the longest wait"
+    );
     gate.now += 3 * SECOND;
-    let Decision::Refuse(refusal) = gate.begin(gate.request("urgent")).1 else { panic!("not refused") };
+    let Decision::Refuse(refusal) = gate.begin(gate.request("urgent")).1 else {
+        panic!("not refused")
+    };
     assert!(refusal.retry_after <= 160 * MS, "turns pass with time");
 }
 
@@ -204,18 +266,28 @@
 #[test]
 fn a_few_wait_at_a_server_if_they_have_a_slot_in_time() {
     let table = spec(vec![route("a", RouteKind::Safe)], servers(0, 1, "north"));
-    let settings = Settings { fill_ramp: 0.0, ..Settings::new("north", "north-0") };
-    // Each takes as long as its objective, as far as is known: two of eight places are free in a quarter of it.
+    let settings = Settings {
+        fill_ramp: 0.0,
+        ..Settings::new("north", "north-0")
+    };
+    // Each takes as long as its objective, as far as is known: two of eight places are free in a
+    // quarter of it.
     assert_eq!(taken(&mut Gate::with(table, settings, 1), "a").0, 10);
 }
 
 /// Parts of the requests of each route that are sent while so much of every server's room is taken.
 fn sent_shares(table: TableSpec, running: u32, names: [&str; 2]) -> [f64; 2] {
     let mut gate = Gate::new(table);
-    let load = LoadReport { running, waiting: 0, slots: Some(100), kv_cache: None };
+    let load = LoadReport {
+        running,
+        waiting: 0,
+        slots: Some(100),
+        kv_cache: None,
+    };
     names.map(|name| {
         let sent = (0..1000u64).filter(|key| {
-            gate.decider.report(gate.now, gate.decider.server("i-0").expect("listed"), load);
+            gate.decider
+                .report(gate.now, gate.decider.server("i-0").expect("listed"), load);
             let (mut call, decision) = gate.begin(gate.prompt(name, *key));
             gate.decider.abandon(gate.now, &mut call);
             matches!(decision, Decision::Send(_))
@@ -229,7 +301,10 @@
     guarded(Guard::PriorityRoom, || {
         let mut patient = route("patient", RouteKind::Safe);
         patient.priority = 3;
-        let table = spec(vec![route("urgent", RouteKind::Safe), patient], servers(0, 1, "north"));
+        let table = spec(
+            vec![route("urgent", RouteKind::Safe), patient],
+            servers(0, 1, "north"),
+        );
         let idle = sent_shares(table.clone(), 50, ["urgent", "patient"]);
         let crowd = sent_shares(table, 117, ["urgent", "patient"]);
         idle == [1.0, 1.0] && crowd[0] > crowd[1] + 0.1 && crowd[1] > 0.15
@@ -244,10 +319,17 @@
     let server = gate.decider.server("i-0").expect("listed");
     let mut sent = |tokens_out| {
         let sent = (0..1000u64).filter(|key| {
-            let load =
-                LoadReport { running: 5, waiting: 0, slots: Some(8), kv_cache: Some((11_500, 10_000)) };
+            let load = LoadReport {
+                running: 5,
+                waiting: 0,
+                slots: Some(8),
+                kv_cache: Some((11_500, 10_000)),
+            };
             gate.decider.report(gate.now, server, load);
-            let request = Request { tokens_out, ..gate.prompt("a", *key) };
+            let request = Request {
+                tokens_out,
+                ..gate.prompt("a", *key)
+            };
             let (mut call, decision) = gate.begin(request);
             gate.decider.abandon(gate.now, &mut call);
             matches!(decision, Decision::Send(_))
@@ -255,5 +337,8 @@
         sent.count() as f64 / 1000.0
     };
     let (small, large) = (sent(10), sent(5000));
-    assert!((small - large).abs() < 0.06 && (0.2..0.8).contains(&small), "{small} against {large}");
+    assert!(
+        (small - large).abs() < 0.06 && (0.2..0.8).contains(&small),
+        "{small} against {large}"
+    );
 }
--- a/crates/routing/src/decider/tests/returns.rs
+++ b/crates/routing/src/decider/tests/returns.rs
@@ -33,10 +33,24 @@
     let (mut gate, server) = with_ejected(RouteKind::Safe);
     let changes = gate.decider.take_changes();
     let ejected = Some(EjectionCause::Unreachable);
-    assert_eq!(changes, [HealthChange { server, instance: "i-0".into(), ejected }]);
+    assert_eq!(
+        changes,
+        [HealthChange {
+            server,
+            instance: "i-0".into(),
+            ejected
+        }]
+    );
     gate.now += 8 * SECOND;
     gate.served(gate.request("a"));
-    assert_eq!(gate.decider.take_changes(), [HealthChange { server, instance: "i-0".into(), ejected: None }]);
+    assert_eq!(
+        gate.decider.take_changes(),
+        [HealthChange {
+            server,
+            instance: "i-0".into(),
+            ejected: None
+        }]
+    );
     assert!(gate.decider.take_changes().is_empty());
 }
 
@@ -76,7 +90,14 @@
             gate.now += 50 * MS;
             let (mut call, decision) = gate.begin(gate.request("a"));
             let trial = sent(&decision).server == server;
-            gate.settle(&mut call, if trial { Outcome::ConnectFailed } else { Outcome::Success });
+            gate.settle(
+                &mut call,
+                if trial {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Success
+                },
+            );
             gate.decider.abandon(gate.now, &mut call);
             if trial {
                 break;
@@ -84,8 +105,14 @@
         }
         rests.push(gate.now - start);
     }
-    assert!(rests.windows(2).skip(1).all(|pair| pair[1] >= pair[0]), "{rests:?}");
-    assert!(*rests.last().expect("rests") > 7 * SECOND && rests[4] < 9 * SECOND, "{rests:?}");
+    assert!(
+        rests.windows(2).skip(1).all(|pair| pair[1] >= pair[0]),
+        "{rests:?}"
+    );
+    assert!(
+        *rests.last().expect("rests") > 7 * SECOND && rests[4] < 9 * SECOND,
+        "{rests:?}"
+    );
 }
 
 #[test]
@@ -98,12 +125,17 @@
     gate.decider.probes_due(gate.now, &mut probes);
     assert_eq!(probes.len(), 1);
     assert_eq!(
-        (probes[0].server, &*probes[0].path, &*probes[0].expect_instance),
+        (
+            probes[0].server,
+            &*probes[0].path,
+            &*probes[0].expect_instance
+        ),
         (server, "/healthz", "i-0")
     );
     gate.decider.probes_due(gate.now, &mut probes);
     assert_eq!(probes.len(), 1, "one at a time");
-    gate.decider.probed(gate.now, server, ProbeOutcome::Unhealthy);
+    gate.decider
+        .probed(gate.now, server, ProbeOutcome::Unhealthy);
     assert!(gate.decider.is_ejected(server));
     gate.now += 10 * SECOND;
     gate.decider.probes_due(gate.now, &mut probes);
--- a/crates/routing/src/decider/tests/support.rs
+++ b/crates/routing/src/decider/tests/support.rs
@@ -17,7 +17,10 @@
         host: "desk.example".into(),
         prefix: format!("/{name}/").into(),
         kind,
-        splits: vec![Split { service: "desk".into(), weight: 1 }],
+        splits: vec![Split {
+            service: "desk".into(),
+            weight: 1,
+        }],
         max_attempts: 2,
         timeout_ms: 10_000,
         target_latency_ms: 1000,
@@ -44,7 +47,9 @@
     ServerSpec {
         instance: format!("i-{number}").into(),
         service: "desk".into(),
-        address: format!("10.0.0.{}:{}", number % 250 + 1, 8000 + number).parse().expect("an address"),
+        address: format!("10.0.0.{}:{}", number % 250 + 1, 8000 + number)
+            .parse()
+            .expect("an address"),
         zone: format!("{region}-{}", number % 2).into(),
         region: region.into(),
         capacity: 0,
@@ -59,11 +64,18 @@
 
 /// So many servers of a region, numbered from `first` on.
 pub fn servers(first: usize, count: usize, region: &str) -> Vec<ServerSpec> {
-    (first..first + count).map(|number| server(number, region)).collect()
+    (first..first + count)
+        .map(|number| server(number, region))
+        .collect()
 }
 
 pub fn spec(routes: Vec<RouteSpec>, servers: Vec<ServerSpec>) -> TableSpec {
-    TableSpec { gates: 1, routes, services: vec![service("desk"), service("other")], servers }
+    TableSpec {
+        gates: 1,
+        routes,
+        services: vec![service("desk"), service("other")],
+        servers,
+    }
 }
 
 /// Permits and budget by count, with a record of what was asked.
@@ -78,7 +90,13 @@
 
 impl Default for Counted {
     fn default() -> Self {
-        Counted { permits: 0, wait: 100 * MS, repeats: u32::MAX, requested: 0, taken: 0 }
+        Counted {
+            permits: 0,
+            wait: 100 * MS,
+            repeats: u32::MAX,
+            requested: 0,
+            taken: 0,
+        }
     }
 }
 
@@ -116,17 +134,32 @@
 
     pub fn with(table: TableSpec, settings: Settings, seed: u64) -> Self {
         let mut decider = Decider::new(settings, seed).expect("sound settings");
-        decider.swap(SECOND, Arc::new(Table::build(table).expect("a sound table")));
-        Gate { decider, limits: Counted::default(), now: SECOND }
+        decider.swap(
+            SECOND,
+            Arc::new(Table::build(table).expect("a sound table")),
+        );
+        Gate {
+            decider,
+            limits: Counted::default(),
+            now: SECOND,
+        }
     }
 
     pub fn swap(&mut self, table: TableSpec) {
-        self.decider.swap(self.now, Arc::new(Table::build(table).expect("a sound table")));
+        self.decider.swap(
+            self.now,
+            Arc::new(Table::build(table).expect("a sound table")),
+        );
     }
 
     pub fn request(&self, name: &str) -> Request {
         let path = format!("/{name}/x");
-        let route = self.decider.table().router().route("desk.example", &path).expect("a route");
+        let route = self
+            .decider
+            .table()
+            .router()
+            .route("desk.example", &path)
+            .expect("a route");
         Request::new(route.clone())
     }
 
@@ -134,7 +167,13 @@
     pub fn prompt(&self, name: &str, key: u64) -> Request {
         let part = |id, tokens| PromptPart { id, tokens };
         let parts = smallvec![part(7, 100), part(key, 400), part(u64::MAX - key, 50)];
-        Request { parts, tokens_in: 550, tokens_out: 80, model: "m".into(), ..self.request(name) }
+        Request {
+            parts,
+            tokens_in: 550,
+            tokens_out: 80,
+            model: "m".into(),
+            ..self.request(name)
+        }
     }
 
     pub fn begin(&mut self, request: Request) -> (Call, Decision) {
@@ -142,7 +181,8 @@
     }
 
     pub fn settle(&mut self, call: &mut Call, outcome: Outcome) -> Decision {
-        self.decider.settled(self.now, call, outcome, &mut self.limits)
+        self.decider
+            .settled(self.now, call, outcome, &mut self.limits)
     }
 
     /// A request from begin to success; the instance that had it.
@@ -153,7 +193,8 @@
         instance
     }
 
-    /// A request that fails so, with all that follows; the instances that had it, and the last decision.
+    /// A request that fails so, with all that follows; the instances that had it, and the last
+    /// decision.
     pub fn fails(&mut self, request: Request, outcome: &Outcome) -> (Vec<Arc<str>>, Decision) {
         let (mut call, mut decision) = self.begin(request);
         let mut instances = Vec::new();
@@ -177,5 +218,8 @@
 /// Holds with the protection, and fails without it.
 pub fn guarded(guard: crate::guards::Guard, check: impl Fn() -> bool) {
     assert!(check(), "the check fails with {guard:?} in place");
-    assert!(!crate::guards::without(guard, &check), "the check does not notice that {guard:?} is gone");
+    assert!(
+        !crate::guards::without(guard, &check),
+        "the check does not notice that {guard:?} is gone"
+    );
 }
--- a/crates/routing/src/decider/watch.rs
+++ b/crates/routing/src/decider/watch.rs
@@ -10,7 +10,8 @@
 
 /// An attempt without a first byte is looked at after this many times the usual.
 const PATIENCE: f64 = 4.0;
-/// A stream is looked at after a pause of this many times the longest that is in time, and no sooner than that.
+/// A stream is looked at after a pause of this many times the longest that is in time, and no
+/// sooner than that.
 const PAUSES: u64 = 2;
 const PAUSE_LEAST: Micros = 1_000_000;
 
@@ -20,16 +21,26 @@
 const DARK_AGAIN: Micros = 2_000_000;
 
 impl Decider {
-    /// The attempt that is out has been quiet: whether to end it and go on elsewhere. Only where nothing at all is
-    /// heard of its server, for one that works on others still works on this one.
+    /// The attempt that is out has been quiet: whether to end it and go on elsewhere. Only where
+    /// nothing at all is heard of its server, for one that works on others still works on this one.
     pub fn check(&self, now: Micros, call: &Call) -> Check {
-        let open = call.attempts.last().filter(|attempt| attempt.outcome.is_none() && !call.done);
-        let Some((attempt, patience)) = open.zip(self.patience(call)) else { return Check::Leave };
-        let sign = self.fleet.get(attempt.server).map_or(0, |node| node.last_sign);
+        let open = call
+            .attempts
+            .last()
+            .filter(|attempt| attempt.outcome.is_none() && !call.done);
+        let Some((attempt, patience)) = open.zip(self.patience(call)) else {
+            return Check::Leave;
+        };
+        let sign = self
+            .fleet
+            .get(attempt.server)
+            .map_or(0, |node| node.last_sign);
         let heard = sign.max(attempt.sent).max(call.last_byte);
         match heard + patience <= now {
             true => Check::Move,
-            false => Check::Wait { until: heard + patience },
+            false => Check::Wait {
+                until: heard + patience,
+            },
         }
     }
 
@@ -47,11 +58,15 @@
         Some((usual as Micros).max(call.target()))
     }
 
-    /// Appends the health checks that are due: of ejected servers that no request has tried since their rest ended, of
-    /// servers that owe an answer and are quiet for long, and of one server of each region that gives no sign.
+    /// Appends the health checks that are due: of ejected servers that no request has tried since
+    /// their rest ended, of servers that owe an answer and are quiet for long, and of one server of
+    /// each region that gives no sign.
     pub fn probes_due(&mut self, now: Micros, out: &mut Vec<Probe>) {
         let first = out.len();
-        let due = self.fleet.listed().filter(|node| self.probe_is_due(now, node));
+        let due = self
+            .fleet
+            .listed()
+            .filter(|node| self.probe_is_due(now, node));
         out.extend(due.filter_map(|node| self.probe(node)));
         self.ask_dark_regions(now, out);
         for probe in &out[first..] {
@@ -72,30 +87,46 @@
         })
     }
 
-    /// Asks the server of each dark region that was asked longest ago: the region counts as reached by its answer.
+    /// Asks the server of each dark region that was asked longest ago: the region counts as reached
+    /// by its answer.
     fn ask_dark_regions(&mut self, now: Micros, out: &mut Vec<Probe>) {
         let patience = self.settings.quiet_after;
         let quiet = |region: &str| {
-            let there = self.fleet.listed().filter(|node| *node.spec.region == *region);
+            let there = self
+                .fleet
+                .listed()
+                .filter(|node| *node.spec.region == *region);
             there.filter(|node| node.quiet(now, patience)).count()
         };
         let own = &self.settings.region;
-        let is_dark =
-            |region: &str| *region != **own && self.paths.is_dark(now, region, patience, || quiet(region));
+        let is_dark = |region: &str| {
+            *region != **own && self.paths.is_dark(now, region, patience, || quiet(region))
+        };
         let mut dark: Vec<&Node> = Vec::new();
-        let open = self.fleet.listed().filter(|node| node.open() && !node.health.trial);
+        let open = self
+            .fleet
+            .listed()
+            .filter(|node| node.open() && !node.health.trial);
         for node in open {
-            match dark.iter_mut().find(|known| known.spec.region == node.spec.region) {
+            match dark
+                .iter_mut()
+                .find(|known| known.spec.region == node.spec.region)
+            {
                 Some(known) if node.probed_at < known.probed_at => *known = node,
                 Some(_) => {}
                 None if is_dark(&node.spec.region) => dark.push(node),
                 None => {}
             }
         }
-        let asked: Vec<_> =
-            dark.into_iter().filter_map(|node| Some((node.spec.region.clone(), self.probe(node)?))).collect();
+        let asked: Vec<_> = dark
+            .into_iter()
+            .filter_map(|node| Some((node.spec.region.clone(), self.probe(node)?)))
+            .collect();
         out.extend(
-            asked.into_iter().filter(|(region, _)| self.paths.ask(now, region)).map(|(_, probe)| probe),
+            asked
+                .into_iter()
+                .filter(|(region, _)| self.paths.ask(now, region))
+                .map(|(_, probe)| probe),
         );
     }
 
@@ -109,7 +140,8 @@
         }
     }
 
-    /// True where nothing was heard of a server that owes an answer for much longer than makes it quiet.
+    /// True where nothing was heard of a server that owes an answer for much longer than makes it
+    /// quiet.
     pub(super) fn is_dark(&self, now: Micros, node: &Node) -> bool {
         node.quiet(now, self.settings.quiet_after.saturating_mul(DARK_FOR))
     }
--- a/crates/routing/src/decision.rs
+++ b/crates/routing/src/decision.rs
@@ -34,13 +34,15 @@
     pub crosses_region: bool,
     /// The value of the `Priority` header, 0 to 9.
     pub priority: u8,
-    /// Time until the attempt is to be ended: what is left of the client's deadline and the route's time-out.
+    /// Time until the attempt is to be ended: what is left of the client's deadline and the route's
+    /// time-out.
     pub timeout: Micros,
     /// The same in milliseconds, the value of `X-Ironmast-Deadline-Ms`.
     pub deadline_ms: u64,
     /// The stream is to be taken up after this event (`Last-Event-Id`).
     pub resume_after: Option<u64>,
-    /// When to ask [`Decider::check`](crate::Decider::check) if nothing has come; `None` where it can do nothing.
+    /// When to ask [`Decider::check`](crate::Decider::check) if nothing has come; `None` where it
+    /// can do nothing.
     pub check_at: Option<Micros>,
 }
 
@@ -84,7 +86,8 @@
 pub enum Decision {
     /// Send it; the end goes to [`Decider::settled`](crate::Decider::settled).
     Send(Dispatch),
-    /// Nothing can be done yet: ask [`Decider::resume`](crate::Decider::resume) at that clock reading.
+    /// Nothing can be done yet: ask [`Decider::resume`](crate::Decider::resume) at that clock
+    /// reading.
     Hold {
         /// The clock reading.
         until: Micros,
@@ -152,7 +155,10 @@
     /// True where the server did not run the request and never will.
     pub fn never_ran(&self) -> bool {
         use Outcome::{ConnectFailed, NotExecuted, Unwritten, WrongInstance, WrongVersion};
-        matches!(self, NotExecuted { .. } | WrongInstance | WrongVersion | ConnectFailed | Unwritten)
+        matches!(
+            self,
+            NotExecuted { .. } | WrongInstance | WrongVersion | ConnectFailed | Unwritten
+        )
     }
 
     /// True where no byte of the request went out.
@@ -169,7 +175,8 @@
         /// The clock reading.
         until: Micros,
     },
-    /// End it and tell it as [`Outcome::Timeout`], or as [`Outcome::Cut`] where the client has the head.
+    /// End it and tell it as [`Outcome::Timeout`], or as [`Outcome::Cut`] where the client has the
+    /// head.
     Move,
     /// Leave it; there is nothing to ask again.
     Leave,
--- a/crates/routing/src/draw.rs
+++ b/crates/routing/src/draw.rs
@@ -1,4 +1,5 @@
-//! An even draw without a key: a shuffled deck of a group's servers, of which the next two usable ones are compared.
+//! An even draw without a key: a shuffled deck of a group's servers, of which the next two usable
+//! ones are compared.
 
 use ironmast_balancer::Rng;
 
@@ -14,7 +15,8 @@
 }
 
 impl Deck {
-    /// Makes it a deck of these servers, in ascending order; what was drawn of an equal one stays drawn.
+    /// Makes it a deck of these servers, in ascending order; what was drawn of an equal one stays
+    /// drawn.
     pub fn keep(&mut self, servers: Vec<u32>) {
         let mut held = self.cards.clone();
         held.sort_unstable();
@@ -24,8 +26,8 @@
         }
     }
 
-    /// Draws one server. `load` tells the load of those that may be drawn: of the next two, the less loaded is taken,
-    /// of equals the one that `near` holds for, and the other stays next.
+    /// Draws one server. `load` tells the load of those that may be drawn: of the next two, the
+    /// less loaded is taken, of equals the one that `near` holds for, and the other stays next.
     pub fn draw(
         &mut self,
         rng: &mut Rng,
@@ -54,7 +56,8 @@
     /// The next card that may be drawn, and its load.
     fn usable_from(&self, from: usize, load: &impl Fn(u32) -> Option<f64>) -> Option<(usize, f64)> {
         let rest = self.cards.iter().enumerate().skip(from);
-        rest.filter_map(|(place, card)| Some((place, load(*card)?))).next()
+        rest.filter_map(|(place, card)| Some((place, load(*card)?)))
+            .next()
     }
 
     fn shuffle(&mut self, rng: &mut Rng) {
--- a/crates/routing/src/draw/tests.rs
+++ b/crates/routing/src/draw/tests.rs
@@ -7,7 +7,9 @@
 }
 
 fn round(deck: &mut Deck, rng: &mut Rng, count: usize) -> Vec<u32> {
-    (0..count).filter_map(|_| deck.draw(rng, |_| Some(0.0), |_| false)).collect()
+    (0..count)
+        .filter_map(|_| deck.draw(rng, |_| Some(0.0), |_| false))
+        .collect()
 }
 
 #[test]
@@ -31,7 +33,11 @@
     for _ in 0..10 {
         let load = |server| Some(if server == 0 { 0.5 } else { 0.1 });
         assert_eq!(deck.draw(&mut rng, load, |_| false), Some(1));
-        assert_eq!(deck.draw(&mut rng, load, |_| false), Some(0), "but it is even in the end");
+        assert_eq!(
+            deck.draw(&mut rng, load, |_| false),
+            Some(0),
+            "but it is even in the end"
+        );
     }
 }
 
@@ -39,8 +45,14 @@
 fn of_equals_the_nearer_is_first() {
     let (mut deck, mut rng) = (deck(2), Rng(1));
     for _ in 0..10 {
-        assert_eq!(deck.draw(&mut rng, |_| Some(0.0), |server| server == 1), Some(1));
-        assert_eq!(deck.draw(&mut rng, |_| Some(0.0), |server| server == 1), Some(0));
+        assert_eq!(
+            deck.draw(&mut rng, |_| Some(0.0), |server| server == 1),
+            Some(1)
+        );
+        assert_eq!(
+            deck.draw(&mut rng, |_| Some(0.0), |server| server == 1),
+            Some(0)
+        );
     }
 }
 
@@ -48,11 +60,18 @@
 fn who_may_not_be_drawn_is_passed_over() {
     let (mut deck, mut rng) = (deck(5), Rng(1));
     for _ in 0..50 {
-        let drawn = deck.draw(&mut rng, |server| (server == 2 || server == 3).then_some(0.0), |_| false);
+        let drawn = deck.draw(
+            &mut rng,
+            |server| (server == 2 || server == 3).then_some(0.0),
+            |_| false,
+        );
         assert!(matches!(drawn, Some(2 | 3)));
     }
     assert_eq!(deck.draw(&mut rng, |_| None, |_| false), None);
-    assert_eq!(Deck::default().draw(&mut rng, |_| Some(0.0), |_| false), None);
+    assert_eq!(
+        Deck::default().draw(&mut rng, |_| Some(0.0), |_| false),
+        None
+    );
 }
 
 #[test]
--- a/crates/routing/src/ejection.rs
+++ b/crates/routing/src/ejection.rs
@@ -1,11 +1,13 @@
-//! Outlier detection: which servers are set aside for a while, for failures or slowness that their peers do not show.
+//! Outlier detection: which servers are set aside for a while, for failures or slowness that their
+//! peers do not show.
 
 use ironmast_balancer::Micros;
 
 use crate::decision::Outcome;
 use crate::guards::Guard;
 
-/// Pace of the quick mean of failures, by kind: one lost connection says less than an error, none up says more.
+/// Pace of the quick mean of failures, by kind: one lost connection says less than an error, none
+/// up says more.
 const PACE_ERROR: f32 = 0.25;
 const PACE_UNREACHABLE: f32 = 0.3;
 const PACE_BROKEN: f32 = 0.15;
@@ -15,7 +17,8 @@
 const FAILING: f32 = 0.5;
 /// How far the long mean must stand out, and after how many attempts.
 const LONG_ABOVE_PEERS: f32 = 0.15;
-/// And the long mean is a multiple of the peers': where most fail, it is no matter of single servers.
+/// And the long mean is a multiple of the peers': where most fail, it is no matter of single
+/// servers.
 const LONG_OF_PEERS: f32 = 2.0;
 /// Both by this many standard deviations more: where all fail at times, some look worse by chance.
 const DEVIATIONS: f32 = 2.5;
@@ -25,11 +28,13 @@
 const PEERS_FAIL: f32 = 0.1;
 /// Failed connections in a row that eject even if most peers are ejected: nothing is there.
 const UNREACHABLE_IN_A_ROW: u16 = 2;
-/// Pace of the mean of slowness, how far it must stand out from the peers', and after how many first bytes.
+/// Pace of the mean of slowness, how far it must stand out from the peers', and after how many
+/// first bytes.
 const PACE_SLOW: f32 = 0.1;
 const SLOW_ABOVE_PEERS: f32 = 3.0;
 const SLOW_SAMPLES: u32 = 8;
-/// The long mean of one that comes back, as a part of what ejects: a single failure soon after does.
+/// The long mean of one that comes back, as a part of what ejects: a single failure soon after
+/// does.
 const ON_PROBATION: f32 = 0.8;
 /// One that comes back is judged by its first bytes after this many.
 const PROBATION: u32 = 3;
@@ -43,7 +48,8 @@
 /// What the others of a group show.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Peers {
-    /// The group's servers that are listed, this one among them, and the ejected ones of the others.
+    /// The group's servers that are listed, this one among them, and the ejected ones of the
+    /// others.
     pub count: usize,
     pub ejected: usize,
     /// Medians over the others.
@@ -59,8 +65,8 @@
     }
 }
 
-/// How long a first byte took: as a multiple of what is usual on its route, and as a part of the objective; and the
-/// part of the server's room that is taken.
+/// How long a first byte took: as a multiple of what is usual on its route, and as a part of the
+/// objective; and the part of the server's room that is taken.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FirstByte {
     pub ratio: f64,
@@ -134,8 +140,8 @@
         !self.trial && self.ejected.is_some_and(|ejected| ejected.until <= now)
     }
 
-    /// An attempt sent at `sent` ended. `trial` says that it decides the return. Tells why the server is ejected, if
-    /// it is now.
+    /// An attempt sent at `sent` ended. `trial` says that it decides the return. Tells why the
+    /// server is ejected, if it is now.
     pub fn settled(
         &mut self,
         now: Micros,
@@ -155,10 +161,14 @@
             Reset | Spoilt | Cut { .. } => self.bad(PACE_BROKEN, true),
             // Full is load, not ill health; the rest is the gate's or the client's doing.
             NotExecuted { .. } if !Guard::FullIsNoFailure.on() => self.bad(PACE_ERROR, true),
-            NotExecuted { .. } | WrongInstance | WrongVersion | Unwritten | Cancelled => return None,
+            NotExecuted { .. } | WrongInstance | WrongVersion | Unwritten | Cancelled => {
+                return None;
+            }
         }
         let cause = self.cause(peers)?;
-        let due = self.ejected.is_none_or(|ejected| sent >= ejected.until || ejected.until <= now);
+        let due = self
+            .ejected
+            .is_none_or(|ejected| sent >= ejected.until || ejected.until <= now);
         due.then(|| self.eject(now, rests))?;
         Some(cause)
     }
@@ -180,12 +190,17 @@
         if peers.slowness <= 0.0 {
             return None;
         }
-        let slow = self.slowness > bound && self.lateness > LATE_FROM && self.first_bytes >= SLOW_SAMPLES;
+        let slow =
+            self.slowness > bound && self.lateness > LATE_FROM && self.first_bytes >= SLOW_SAMPLES;
         // A slow trial prolongs the ejection: no answer to what was sent before now ends it.
         let trial = ratio > bound && byte.part as f32 > LATE_FROM;
         // A crowded server is slow for that, and ejecting it would crowd its peers.
         let crowded = byte.taken > SLOW_BELOW && Guard::CrowdedIsNotSlow.on();
-        let ejects = if self.ejected.is_some() { trial } else { slow && !crowded && peers.allow() };
+        let ejects = if self.ejected.is_some() {
+            trial
+        } else {
+            slow && !crowded && peers.allow()
+        };
         ejects.then(|| self.eject(now, rests))?;
         Some(EjectionCause::Slow)
     }
@@ -203,7 +218,12 @@
     }
 
     /// It owes an answer, nothing was heard of it for long, and a probe failed.
-    pub fn dark(&mut self, now: Micros, peers: Peers, rests: (Micros, Micros)) -> Option<EjectionCause> {
+    pub fn dark(
+        &mut self,
+        now: Micros,
+        peers: Peers,
+        rests: (Micros, Micros),
+    ) -> Option<EjectionCause> {
         (self.ejected.is_none() && peers.allow()).then(|| self.eject(now, rests))?;
         Some(EjectionCause::Dark)
     }
@@ -238,7 +258,8 @@
         if self.unreachable >= UNREACHABLE_IN_A_ROW {
             return Some(EjectionCause::Unreachable);
         }
-        let quick = self.quick >= FAILING + peers.quick.max(peers.long) + noise(peers.long, PACE_ERROR);
+        let quick =
+            self.quick >= FAILING + peers.quick.max(peers.long) + noise(peers.long, PACE_ERROR);
         let stray = LONG_ABOVE_PEERS + peers.long + noise(peers.long, PACE_LONG);
         let long_bound = stray.max(LONG_OF_PEERS * peers.long);
         let long = self.attempts >= LONG_SAMPLES && self.long >= long_bound;
@@ -249,7 +270,10 @@
 
     fn eject(&mut self, now: Micros, (first, longest): (Micros, Micros)) {
         self.rest = (self.rest * 2).clamp(first, longest);
-        self.ejected = Some(Ejected { since: now, until: now + self.rest });
+        self.ejected = Some(Ejected {
+            since: now,
+            until: now + self.rest,
+        });
     }
 
     /// Back in use, on probation: the next failure counts for more than a first one.
--- a/crates/routing/src/ejection/tests.rs
+++ b/crates/routing/src/ejection/tests.rs
@@ -4,26 +4,47 @@
 
 /// Four servers; the others are well.
 fn well() -> Peers {
-    Peers { count: 4, ejected: 0, quick: 0.0, long: 0.0, slowness: 1.0 }
+    Peers {
+        count: 4,
+        ejected: 0,
+        quick: 0.0,
+        long: 0.0,
+        slowness: 1.0,
+    }
 }
 
 fn byte(ratio: f64) -> FirstByte {
-    FirstByte { ratio, part: 1.0, taken: 0.0 }
+    FirstByte {
+        ratio,
+        part: 1.0,
+        taken: 0.0,
+    }
 }
 
 /// Attempts that end so until the server is ejected, at most 100.
-fn until_ejected(health: &mut Health, outcome: &Outcome, peers: Peers) -> Option<(u32, EjectionCause)> {
+fn until_ejected(
+    health: &mut Health,
+    outcome: &Outcome,
+    peers: Peers,
+) -> Option<(u32, EjectionCause)> {
     (1..=100).find_map(|count| Some((count, health.settled(10, outcome, 5, peers, RESTS)?)))
 }
 
 #[test]
 fn each_kind_of_failure_ejects_after_a_few() {
     let count = |outcome| until_ejected(&mut Health::default(), &outcome, well());
-    assert_eq!(count(Outcome::ConnectFailed), Some((2, EjectionCause::Unreachable)));
+    assert_eq!(
+        count(Outcome::ConnectFailed),
+        Some((2, EjectionCause::Unreachable))
+    );
     for outcome in [Outcome::ServerError, Outcome::Timeout] {
         assert_eq!(count(outcome), Some((3, EjectionCause::Failing)));
     }
-    for outcome in [Outcome::Reset, Outcome::Spoilt, Outcome::Cut { last_event: None }] {
+    for outcome in [
+        Outcome::Reset,
+        Outcome::Spoilt,
+        Outcome::Cut { last_event: None },
+    ] {
         assert_eq!(count(outcome), Some((4, EjectionCause::Failing)));
     }
 }
@@ -40,23 +61,46 @@
         Outcome::Rejected,
     ];
     for outcome in promises {
-        assert_eq!(until_ejected(&mut Health::default(), &outcome, well()), None, "{outcome:?}");
+        assert_eq!(
+            until_ejected(&mut Health::default(), &outcome, well()),
+            None,
+            "{outcome:?}"
+        );
     }
 }
 
 #[test]
 fn at_most_half_are_ejected_unless_nothing_is_there() {
-    let half = Peers { ejected: 2, ..well() };
-    assert_eq!(until_ejected(&mut Health::default(), &Outcome::ServerError, half), None);
+    let half = Peers {
+        ejected: 2,
+        ..well()
+    };
+    assert_eq!(
+        until_ejected(&mut Health::default(), &Outcome::ServerError, half),
+        None
+    );
     assert!(until_ejected(&mut Health::default(), &Outcome::ConnectFailed, half).is_some());
-    let single = Peers { count: 1, ..Peers::default() };
-    assert_eq!(until_ejected(&mut Health::default(), &Outcome::ServerError, single), None);
+    let single = Peers {
+        count: 1,
+        ..Peers::default()
+    };
+    assert_eq!(
+        until_ejected(&mut Health::default(), &Outcome::ServerError, single),
+        None
+    );
 }
 
 #[test]
 fn failures_that_the_peers_share_do_not_eject() {
-    let alike = Peers { quick: 0.9, long: 0.6, ..well() };
-    assert_eq!(until_ejected(&mut Health::default(), &Outcome::Timeout, alike), None);
+    let alike = Peers {
+        quick: 0.9,
+        long: 0.6,
+        ..well()
+    };
+    assert_eq!(
+        until_ejected(&mut Health::default(), &Outcome::Timeout, alike),
+        None
+    );
 }
 
 #[test]
@@ -64,7 +108,11 @@
     let mut health = Health::default();
     let mut ejected = false;
     for number in 0..60 {
-        let outcome = if number % 4 == 3 { Outcome::ServerError } else { Outcome::Success };
+        let outcome = if number % 4 == 3 {
+            Outcome::ServerError
+        } else {
+            Outcome::Success
+        };
         ejected |= health.settled(10, &outcome, 5, well(), RESTS).is_some();
     }
     assert!(ejected);
@@ -86,7 +134,10 @@
     let mut rests = Vec::new();
     let mut now = 0;
     for _ in 0..6 {
-        while health.settled(now, &Outcome::ConnectFailed, now, well(), RESTS).is_none() {}
+        while health
+            .settled(now, &Outcome::ConnectFailed, now, well(), RESTS)
+            .is_none()
+        {}
         let ejected = health.ejected().expect("ejected");
         rests.push(ejected.until - now);
         now = ejected.until + 1;
@@ -107,12 +158,22 @@
     until_ejected(&mut health, &Outcome::ConnectFailed, well());
     health.trial = true;
     health.probed(2000, false, RESTS);
-    assert_eq!(health.ejected(), Some(Ejected { since: 2000, until: 4000 }));
+    assert_eq!(
+        health.ejected(),
+        Some(Ejected {
+            since: 2000,
+            until: 4000
+        })
+    );
     assert!(!health.trial);
     health.probed(5000, true, RESTS);
     assert_eq!(health.ejected(), None);
     health.probed(6000, false, RESTS);
-    assert_eq!(health.ejected(), None, "a failed check alone sets nobody aside");
+    assert_eq!(
+        health.ejected(),
+        None,
+        "a failed check alone sets nobody aside"
+    );
 }
 
 #[test]
@@ -125,13 +186,69 @@
     let (ejected, mut health) = slow(byte(6.0), well());
     assert!(ejected);
     assert!(!slow(byte(2.0), well()).0, "not so slow");
-    assert!(!slow(byte(6.0), Peers { slowness: 3.0, ..well() }).0, "all are slow");
-    assert!(!slow(byte(6.0), Peers { slowness: 0.0, ..well() }).0, "nothing is known of the others");
-    assert!(!slow(FirstByte { part: 0.1, ..byte(6.0) }, well()).0, "in time all the same");
-    assert!(!slow(FirstByte { taken: 0.9, ..byte(6.0) }, well()).0, "crowded");
-    assert!(!slow(byte(6.0), Peers { ejected: 2, ..well() }).0, "half are ejected");
+    assert!(
+        !slow(
+            byte(6.0),
+            Peers {
+                slowness: 3.0,
+                ..well()
+            }
+        )
+        .0,
+        "all are slow"
+    );
+    assert!(
+        !slow(
+            byte(6.0),
+            Peers {
+                slowness: 0.0,
+                ..well()
+            }
+        )
+        .0,
+        "nothing is known of the others"
+    );
+    assert!(
+        !slow(
+            FirstByte {
+                part: 0.1,
+                ..byte(6.0)
+            },
+            well()
+        )
+        .0,
+        "in time all the same"
+    );
+    assert!(
+        !slow(
+            FirstByte {
+                taken: 0.9,
+                ..byte(6.0)
+            },
+            well()
+        )
+        .0,
+        "crowded"
+    );
+    assert!(
+        !slow(
+            byte(6.0),
+            Peers {
+                ejected: 2,
+                ..well()
+            }
+        )
+        .0,
+        "half are ejected"
+    );
     health.first_byte(1500, byte(6.0), well(), RESTS);
-    assert_eq!(health.ejected(), Some(Ejected { since: 1500, until: 3500 }));
+    assert_eq!(
+        health.ejected(),
+        Some(Ejected {
+            since: 1500,
+            until: 3500
+        })
+    );
     health.settled(1600, &Outcome::Success, 1400, well(), RESTS);
     assert!(health.ejected().is_some());
     health.first_byte(4000, byte(1.0), well(), RESTS);
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The servers of the table in force with what is remembered of each, by slot, and their groups: the servers of one
-//! service in one region. Nothing here decides anything.
+//! The servers of the table in force with what is remembered of each, by slot, and their groups:
+//! the servers of one service in one region. Nothing here decides anything.
 
 use std::sync::Arc;
 
@@ -74,8 +74,8 @@
         self.occupancy.in_flight > 0 && since.saturating_add(patience) <= now
     }
 
-    /// True where it seems to be out of order to this gate: it owes an answer and gives no sign, or the last attempt
-    /// there has just broken off.
+    /// True where it seems to be out of order to this gate: it owes an answer and gives no sign, or
+    /// the last attempt there has just broken off.
     pub fn is_suspect(&self, now: Micros, patience: Micros) -> bool {
         let broke = self.broke_at > 0 && self.broke_at.saturating_add(BROKE_HOLDS) > now;
         broke || self.quiet(now, patience)
@@ -91,10 +91,14 @@
         self.last_sign.saturating_add(SIGN_HOLDS) > now
     }
 
-    /// True where its heartbeats are missing and this gate has heard nothing of it either: what carries heartbeats may
-    /// be at fault, and a server that answers is there.
+    /// True where its heartbeats are missing and this gate has heard nothing of it either: what
+    /// carries heartbeats may be at fault, and a server that answers is there.
     pub fn unheard(&self, now: Micros) -> bool {
-        let since = self.spec.silent_since.unwrap_or_default().saturating_add(SILENT_SURELY);
+        let since = self
+            .spec
+            .silent_since
+            .unwrap_or_default()
+            .saturating_add(SILENT_SURELY);
         let heard = self.last_sign >= since && self.last_sign.saturating_add(HEARD_FOR) > now;
         self.silent && !(heard && Guard::HeardIsThere.on())
     }
@@ -119,13 +123,16 @@
 }
 
 impl Fleet {
-    /// Takes over another table. What is known of servers that stay is kept; those that left are kept without being
-    /// listed until their last attempt ends.
+    /// Takes over another table. What is known of servers that stay is kept; those that left are
+    /// kept without being listed until their last attempt ends.
     pub fn swap(&mut self, now: Micros, table: &Table) {
         self.swaps += 1;
         self.regions = table.region_count();
         self.groups = vec![Vec::new(); table.services().len() * self.regions];
-        self.nodes.iter_mut().flatten().for_each(|node| node.listed = false);
+        self.nodes
+            .iter_mut()
+            .flatten()
+            .for_each(|node| node.listed = false);
         for spec in table.servers() {
             let slot = match self.by_instance.get(&spec.instance) {
                 Some(slot) => self.update(*slot, spec),
@@ -134,8 +141,15 @@
             self.place(slot, table);
         }
         let quiet = |node: &Node| !node.listed && node.occupancy.in_flight == 0;
-        let gone = self.nodes.iter().flatten().filter(|node| quiet(node)).map(|node| node.handle.slot);
-        gone.collect::<Vec<u32>>().into_iter().for_each(|slot| self.remove(slot));
+        let gone = self
+            .nodes
+            .iter()
+            .flatten()
+            .filter(|node| quiet(node))
+            .map(|node| node.handle.slot);
+        gone.collect::<Vec<u32>>()
+            .into_iter()
+            .for_each(|slot| self.remove(slot));
     }
 
     fn group_place(&self, service: u32, region: RegionId) -> u32 {
@@ -148,10 +162,18 @@
             self.nodes.len() as u32 - 1
         });
         self.lives = self.lives.wrapping_add(1);
-        let bounds = Bounds { slots: 0, kv_cache: 0, connections: 0, gates: 1 };
+        let bounds = Bounds {
+            slots: 0,
+            kv_cache: 0,
+            connections: 0,
+            gates: 1,
+        };
         self.nodes[slot as usize] = Some(Node {
             spec: spec.clone(),
-            handle: ServerHandle { slot, life: self.lives },
+            handle: ServerHandle {
+                slot,
+                life: self.lives,
+            },
             hash: hash(&spec.instance),
             models: spec.models.iter().map(|model| hash(model)).collect(),
             region: 0,
@@ -176,7 +198,9 @@
     }
 
     fn update(&mut self, slot: u32, spec: &Arc<ServerSpec>) -> u32 {
-        let Some(node) = self.nodes[slot as usize].as_mut() else { return slot };
+        let Some(node) = self.nodes[slot as usize].as_mut() else {
+            return slot;
+        };
         let newer = spec.sequence > node.spec.sequence || spec.address != node.spec.address;
         node.displaced &= !newer;
         if node.spec.models != spec.models {
@@ -188,14 +212,21 @@
 
     /// Puts a listed server into its group.
     fn place(&mut self, slot: u32, table: &Table) {
-        let Some(node) = self.nodes[slot as usize].as_mut() else { return };
-        let (Some(service), Some(region)) =
-            (table.service(&node.spec.service), table.region(&node.spec.region))
-        else {
+        let Some(node) = self.nodes[slot as usize].as_mut() else {
+            return;
+        };
+        let (Some(service), Some(region)) = (
+            table.service(&node.spec.service),
+            table.region(&node.spec.region),
+        ) else {
             return;
         };
         let limits = &table.services()[service as usize];
-        let slots = if node.spec.capacity > 0 { node.spec.capacity } else { limits.slots };
+        let slots = if node.spec.capacity > 0 {
+            node.spec.capacity
+        } else {
+            limits.slots
+        };
         node.listed = true;
         node.draining = node.spec.state == ServerState::Draining;
         node.evacuated = node.spec.evacuated;
@@ -221,7 +252,9 @@
 
     /// Forgets a server that left, once nothing of it is out.
     pub fn release(&mut self, server: ServerHandle) {
-        let gone = self.get(server).is_some_and(|node| !node.listed && node.occupancy.in_flight == 0);
+        let gone = self
+            .get(server)
+            .is_some_and(|node| !node.listed && node.occupancy.in_flight == 0);
         if gone {
             self.remove(server.slot);
         }
@@ -260,7 +293,10 @@
     /// The group of that number.
     pub fn group(&self, group: u32) -> impl Iterator<Item = &Node> {
         let members = self.groups.get(group as usize).map(Vec::as_slice);
-        members.unwrap_or_default().iter().filter_map(|slot| self.at(*slot))
+        members
+            .unwrap_or_default()
+            .iter()
+            .filter_map(|slot| self.at(*slot))
     }
 
     /// Rises with each table.
@@ -280,10 +316,15 @@
 
     /// What a server's group shows without it.
     pub fn peers(&self, node: &Node) -> Peers {
-        let others = || self.group(node.group).filter(|other| other.handle != node.handle);
+        let others = || {
+            self.group(node.group)
+                .filter(|other| other.handle != node.handle)
+        };
         Peers {
             count: others().count() + 1,
-            ejected: others().filter(|other| other.health.ejected().is_some()).count(),
+            ejected: others()
+                .filter(|other| other.health.ejected().is_some())
+                .count(),
             quick: median(others().map(|other| other.health.quick())),
             long: median(others().map(|other| other.health.long())),
             slowness: median(others().filter_map(|other| other.health.slowness())),
--- a/crates/routing/src/fleet/tests.rs
+++ b/crates/routing/src/fleet/tests.rs
@@ -31,18 +31,30 @@
 
 fn table(servers: Vec<ServerSpec>) -> Table {
     let services = vec![service("a"), service("b")];
-    Table::build(TableSpec { services, servers, ..TableSpec::default() }).expect("a table")
+    Table::build(TableSpec {
+        services,
+        servers,
+        ..TableSpec::default()
+    })
+    .expect("a table")
 }
 
 fn names(fleet: &Fleet, service: u32, region: RegionId) -> Vec<&str> {
-    fleet.members(service, region).map(|node| &*node.spec.instance).collect()
+    fleet
+        .members(service, region)
+        .map(|node| &*node.spec.instance)
+        .collect()
 }
 
 #[test]
 fn groups_follow_the_table() {
     let mut fleet = Fleet::default();
-    let first =
-        table(vec![server(1, "a", "x"), server(2, "a", "y"), server(3, "b", "x"), server(4, "a", "x")]);
+    let first = table(vec![
+        server(1, "a", "x"),
+        server(2, "a", "y"),
+        server(3, "b", "x"),
+        server(4, "a", "x"),
+    ]);
     fleet.swap(0, &first);
     assert_eq!(names(&fleet, 0, 0), ["i-1", "i-4"]);
     assert_eq!(names(&fleet, 0, 1), ["i-2"]);
@@ -71,14 +83,26 @@
     let mut fleet = Fleet::default();
     fleet.swap(0, &table(vec![server(1, "a", "x")]));
     let handle = fleet.handle("i-1").expect("listed");
-    fleet.get_mut(handle).expect("there").occupancy.take(Default::default());
+    fleet
+        .get_mut(handle)
+        .expect("there")
+        .occupancy
+        .take(Default::default());
     fleet.swap(1, &table(Vec::new()));
-    assert!(fleet.get(handle).is_some_and(|node| !node.listed && !node.open()));
+    assert!(
+        fleet
+            .get(handle)
+            .is_some_and(|node| !node.listed && !node.open())
+    );
     fleet.release(handle);
     assert!(fleet.get(handle).is_some(), "an attempt is out");
     fleet.swap(2, &table(vec![server(1, "a", "x")]));
     assert!(fleet.get(handle).is_some_and(Node::open));
-    fleet.get_mut(handle).expect("there").occupancy.release(Default::default());
+    fleet
+        .get_mut(handle)
+        .expect("there")
+        .occupancy
+        .release(Default::default());
     fleet.release(handle);
     assert!(fleet.get(handle).is_some(), "it is listed");
 }
@@ -93,7 +117,8 @@
 
 #[test]
 fn what_is_kept_of_1300_servers_is_under_a_megabyte() {
-    // Beside each record: its entry by instance, its place in a group and in two decks, the names themselves.
+    // Beside each record: its entry by instance, its place in a group and in two decks, the names
+    // themselves.
     let beside = 24 + 16 + 3 * 4 + 64;
     let record = size_of::<Option<Node>>() + size_of::<ServerSpec>() + beside;
     assert!(1300 * record < 1_000_000, "{record} bytes each");
--- a/crates/routing/src/guards.rs
+++ b/crates/routing/src/guards.rs
@@ -1,5 +1,5 @@
-//! The protections that tests take away one at a time, to show that they are caught. In a build for use each is always
-//! on, and nothing is left of this module.
+//! The protections that tests take away one at a time, to show that they are caught. In a build for
+//! use each is always on, and nothing is left of this module.
 
 /// A protection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,14 +1,16 @@
 //! The decision module of a gate: candidates, shares, retries and refusals, without I/O.
 //!
-//! For every request the [`Decider`] picks a server of the route's service, after KEP-4444 `PreferClose` with the
-//! region as the unit of locality: the candidates are the usable servers of the gate's own region, or, where it has
-//! none, those of every region that the route allows. It is fed immutable [`Table`]s that are swapped whole, requests,
-//! the ends of attempts and load reports. It reads no clock, does no I/O and keeps no state outside itself; all times
-//! are microseconds of one steady clock.
+//! For every request the [`Decider`] picks a server of the route's service, after KEP-4444
+//! `PreferClose` with the region as the unit of locality: the candidates are the usable servers of
+//! the gate's own region, or, where it has none, those of every region that the route allows. It is
+//! fed immutable [`Table`]s that are swapped whole, requests, the ends of attempts and load
+//! reports. It reads no clock, does no I/O and keeps no state outside itself; all times are
+//! microseconds of one steady clock.
 //!
-//! What counts as usable beyond ready: not evacuated, not ejected by health, not silent, in its place (no 421), with room
-//! in slots and memory, and, if cold, under a permit. Inside the set a prompt goes to the server that its shared parts
-//! belong to by rendezvous hashing with bounded load, and everything else round by shuffled decks.
+//! What counts as usable beyond ready: not evacuated, not ejected by health, not silent, in its
+//! place (no 421), with room in slots and memory, and, if cold, under a permit. Inside the set a
+//! prompt goes to the server that its shared parts belong to by rendezvous hashing with bounded
+//! load, and everything else round by shuffled decks.
 //!
 //! ```
 //! use std::sync::Arc;
@@ -93,7 +95,8 @@
 
 pub use decider::{Decider, GateNews, UnreadAt};
 pub use decision::{
-    Check, Decision, Dispatch, HealthChange, Outcome, Probe, ProbeOutcome, Refusal, ServerHandle, Status,
+    Check, Decision, Dispatch, HealthChange, Outcome, Probe, ProbeOutcome, Refusal, ServerHandle,
+    Status,
 };
 pub use ejection::EjectionCause;
 pub use ironmast_balancer::Micros;
@@ -103,5 +106,6 @@
 pub use router::Router;
 pub use settings::{Settings, SettingsError};
 pub use table::{
-    Route, RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Split, Table, TableError, TableSpec,
+    Route, RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Split, Table, TableError,
+    TableSpec,
 };
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -10,10 +10,10 @@
 
 /// Permits to send a request to a cold server, counted over all gates.
 pub trait Permits {
-    /// Takes one permit for one request to be sent now; it is spent also where the send fails. Where the bound is on
-    /// the moment at which a request is written, this may only look whether there is one: the gate then takes it when
-    /// it writes a [`Dispatch`](crate::Dispatch) that is `cold`, and tells [`Outcome::Unwritten`](crate::Outcome) if
-    /// there is none any more.
+    /// Takes one permit for one request to be sent now; it is spent also where the send fails.
+    /// Where the bound is on the moment at which a request is written, this may only look whether
+    /// there is one: the gate then takes it when it writes a [`Dispatch`](crate::Dispatch) that is
+    /// `cold`, and tells [`Outcome::Unwritten`](crate::Outcome) if there is none any more.
     ///
     /// # Errors
     /// The wait after which one may be there.
--- a/crates/routing/src/paths.rs
+++ b/crates/routing/src/paths.rs
@@ -1,5 +1,6 @@
-//! Which other regions can be reached, by what this gate hears of the servers there taken together. A region that is
-//! lost or cut off looks like many silent servers; learnt one by one, each of them would cost a request.
+//! Which other regions can be reached, by what this gate hears of the servers there taken together.
+//! A region that is lost or cut off looks like many silent servers; learnt one by one, each of them
+//! would cost a request.
 
 use std::sync::Arc;
 
@@ -10,8 +11,8 @@
 const UNANSWERED: usize = 2;
 /// A region that can't be reached is asked for a sign this often.
 pub(crate) const ASK_EVERY: Micros = 400_000;
-/// A client whose requests are all at home in such regions has mostly found a gate elsewhere after this long: the
-/// directory forgets gates within about as much, and clients ask it as often.
+/// A client whose requests are all at home in such regions has mostly found a gate elsewhere after
+/// this long: the directory forgets gates within about as much, and clients ask it as often.
 pub(crate) const GONE_ROUND_IN: Micros = 1_000_000;
 
 /// The way to one region.
@@ -29,10 +30,17 @@
 pub(crate) struct Paths(FxHashMap<Arc<str>, Path>);
 
 impl Paths {
-    /// Something was sent to a server of the region: from the first time on an answer can be missed.
+    /// Something was sent to a server of the region: from the first time on an answer can be
+    /// missed.
     pub fn tried(&mut self, now: Micros, region: &Arc<str>) {
         if !self.0.contains_key(region) {
-            self.0.insert(region.clone(), Path { last_sign: now, ..Path::default() });
+            self.0.insert(
+                region.clone(),
+                Path {
+                    last_sign: now,
+                    ..Path::default()
+                },
+            );
         }
     }
 
@@ -49,8 +57,8 @@
         self.0.entry(region.clone()).or_default().unanswered += 1;
     }
 
-    /// Whether nothing was heard of the region for `patience`, though answers are owed: `quiet` tells how many servers
-    /// there owe one for that long.
+    /// Whether nothing was heard of the region for `patience`, though answers are owed: `quiet`
+    /// tells how many servers there owe one for that long.
     pub fn is_dark(
         &self,
         now: Micros,
@@ -58,13 +66,20 @@
         patience: Micros,
         quiet: impl FnOnce() -> usize,
     ) -> bool {
-        let silent = self.0.get(region).filter(|path| path.last_sign.saturating_add(patience) <= now);
-        silent.is_some_and(|path| path.unanswered >= UNANSWERED || path.unanswered + quiet() >= UNANSWERED)
+        let silent = self
+            .0
+            .get(region)
+            .filter(|path| path.last_sign.saturating_add(patience) <= now);
+        silent.is_some_and(|path| {
+            path.unanswered >= UNANSWERED || path.unanswered + quiet() >= UNANSWERED
+        })
     }
 
     /// Whether a dark region is to be asked for a sign now; the next time is [`ASK_EVERY`] later.
     pub fn ask(&mut self, now: Micros, region: &str) -> bool {
-        let Some(path) = self.0.get_mut(region) else { return false };
+        let Some(path) = self.0.get_mut(region) else {
+            return false;
+        };
         let is_due = path.asked_at.saturating_add(ASK_EVERY) <= now;
         if is_due {
             path.asked_at = now;
--- a/crates/routing/src/paths/tests.rs
+++ b/crates/routing/src/paths/tests.rs
@@ -23,7 +23,10 @@
     paths.unanswered(&south);
     assert!(dark(&paths, PATIENCE + 1, 0));
     paths.sign(PATIENCE + 2, &south);
-    assert!(!dark(&paths, 3 * PATIENCE, 1), "what was owed before counts no more");
+    assert!(
+        !dark(&paths, 3 * PATIENCE, 1),
+        "what was owed before counts no more"
+    );
 }
 
 #[test]
--- a/crates/routing/src/reading.rs
+++ b/crates/routing/src/reading.rs
@@ -1,4 +1,5 @@
-//! Prompts that wait to be read at a server, of this gate and of its peers, and how long reading takes.
+//! Prompts that wait to be read at a server, of this gate and of its peers, and how long reading
+//! takes.
 
 use ironmast_balancer::Micros;
 use smallvec::SmallVec;
@@ -13,14 +14,16 @@
 const FADES: f64 = 0.99;
 /// A measurement counts as no longer than this many times what was to be expected.
 const OUTLIER: f64 = 4.0;
-/// Where prompts differ in length by less than this part, as a variance, all time counts as reading.
+/// Where prompts differ in length by less than this part, as a variance, all time counts as
+/// reading.
 const SPREAD_LEAST: f64 = 0.01;
 /// Tokens measured before a pace is known.
 const TOKENS_LEAST: f64 = 20_000.0;
 
 /// No prompt counts for more tokens than this, whatever its client says.
 const PROMPT_MOST: u64 = 1 << 20;
-/// Each doubling of the objective, against the shortest of the service, puts a request so many ranks later.
+/// Each doubling of the objective, against the shortest of the service, puts a request so many
+/// ranks later.
 const RANKS_PER_DOUBLING: f64 = 3.0;
 
 /// Tokens of a prompt that wait to be read where `kept` of it have been read already.
@@ -28,9 +31,9 @@
     tokens.saturating_sub(kept).min(PROMPT_MOST)
 }
 
-/// The rank of a request at a server: that of its route, and later for an objective longer than the shortest of the
-/// service. What may take longer, and mostly does, hardly notices one that is short in front of it; the other way
-/// round the short one is late. All sizes of a kind have one rank.
+/// The rank of a request at a server: that of its route, and later for an objective longer than the
+/// shortest of the service. What may take longer, and mostly does, hardly notices one that is short
+/// in front of it; the other way round the short one is late. All sizes of a kind have one rank.
 pub(crate) fn rank(priority: u32, objective: f64, shortest: f64) -> u32 {
     let ratio = (objective.max(1.0) / shortest.max(1.0)).max(1.0);
     priority.saturating_add((RANKS_PER_DOUBLING * ratio.log2()).round() as u32)
@@ -62,7 +65,8 @@
 
     /// A peer told its own.
     pub fn told(&mut self, now: Micros, peer: u64, tokens: u64) {
-        self.peers.retain(|(known, at, _)| *known != peer && at.saturating_add(TOLD_HOLDS) > now);
+        self.peers
+            .retain(|(known, at, _)| *known != peer && at.saturating_add(TOLD_HOLDS) > now);
         if tokens > 0 && self.peers.len() < PEERS_MOST {
             self.peers.push((peer, now, tokens));
         }
@@ -70,8 +74,13 @@
 
     /// Those of all.
     pub fn all(&self, now: Micros) -> u64 {
-        let fresh = self.peers.iter().filter(|(_, at, _)| at.saturating_add(TOLD_HOLDS) > now);
-        fresh.map(|(.., tokens)| tokens).fold(self.own, |sum, tokens| sum.saturating_add(*tokens))
+        let fresh = self
+            .peers
+            .iter()
+            .filter(|(_, at, _)| at.saturating_add(TOLD_HOLDS) > now);
+        fresh
+            .map(|(.., tokens)| tokens)
+            .fold(self.own, |sum, tokens| sum.saturating_add(*tokens))
     }
 }
 
@@ -84,7 +93,8 @@
 impl ToldSuspect {
     /// A peer told whether it finds the server out of order.
     pub fn told(&mut self, now: Micros, peer: u64, suspect: bool) {
-        self.peers.retain(|(known, at)| *known != peer && at.saturating_add(TOLD_HOLDS) > now);
+        self.peers
+            .retain(|(known, at)| *known != peer && at.saturating_add(TOLD_HOLDS) > now);
         if suspect && self.peers.len() < PEERS_MOST {
             self.peers.push((peer, now));
         }
@@ -92,15 +102,21 @@
 
     /// True where so many find it so that it is not the way of one of them that is at fault.
     pub fn by_several(&self, now: Micros) -> bool {
-        self.peers.iter().filter(|(_, at)| at.saturating_add(TOLD_HOLDS) > now).count() >= SUSPECT_TO
+        self.peers
+            .iter()
+            .filter(|(_, at)| at.saturating_add(TOLD_HOLDS) > now)
+            .count()
+            >= SUSPECT_TO
     }
 }
 
-/// The time to a first byte at servers of a service: a line over the tokens that wait to be read, fitted by least
-/// squares. What it takes without any token, such as the way there and back, is no reading.
+/// The time to a first byte at servers of a service: a line over the tokens that wait to be read,
+/// fitted by least squares. What it takes without any token, such as the way there and back, is no
+/// reading.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Pace {
-    /// Sums over the measurements, the older ones faded: their number, tokens, times, squares and products.
+    /// Sums over the measurements, the older ones faded: their number, tokens, times, squares and
+    /// products.
     count: f64,
     tokens: f64,
     took: f64,
--- a/crates/routing/src/reading/tests.rs
+++ b/crates/routing/src/reading/tests.rs
@@ -58,7 +58,11 @@
     for tokens in [500, 20_000, 1_000, 3_000, 12_000, 700] {
         pace.measured(tokens, 60_000 + 7 * tokens);
     }
-    assert!((pace.over(1_000) - 7_000.0).abs() < 1.0, "{}", pace.over(1_000));
+    assert!(
+        (pace.over(1_000) - 7_000.0).abs() < 1.0,
+        "{}",
+        pace.over(1_000)
+    );
     assert!((pace.first() - 60_000.0).abs() < 10.0, "{}", pace.first());
 }
 
--- a/crates/routing/src/refusal.rs
+++ b/crates/routing/src/refusal.rs
@@ -9,7 +9,8 @@
 use crate::guards::Guard;
 use crate::settings::Settings;
 
-/// A refusal for want of room needs at least this part of the places to be taken, or requests that wait.
+/// A refusal for want of room needs at least this part of the places to be taken, or requests that
+/// wait.
 pub(crate) const CROWDED_FROM: f64 = 0.5;
 /// Clients honour a wait up to this part of the time they have left.
 const HONOURED: f64 = 1.0 / 3.0;
@@ -29,16 +30,21 @@
     Crowded { rest: Micros, gap: Micros },
 }
 
-/// When places become free again, by service. Each request that is turned away for want of room is given the place
-/// after the one before it, so that those told to come back do not all find the same.
+/// When places become free again, by service. Each request that is turned away for want of room is
+/// given the place after the one before it, so that those told to come back do not all find the
+/// same.
 #[derive(Debug, Default)]
 pub(crate) struct Turns(FxHashMap<Arc<str>, Micros>);
 
 impl Turns {
-    /// The wait for the next place of a service; places come `gap` apart. None is promised later than `most`.
+    /// The wait for the next place of a service; places come `gap` apart. None is promised later
+    /// than `most`.
     pub fn next(&mut self, now: Micros, service: &Arc<str>, gap: Micros, most: Micros) -> Micros {
         let last = self.0.entry(service.clone()).or_insert(now);
-        let at = (*last).max(now).saturating_add(gap).min(now.saturating_add(most));
+        let at = (*last)
+            .max(now)
+            .saturating_add(gap)
+            .min(now.saturating_add(most));
         *last = at;
         at - now
     }
@@ -61,12 +67,18 @@
     pub target: f64,
 }
 
-/// Up to which part of its room a server may be filled for a request to be sent there. Each has a level of its own: in
-/// a crowd requests are turned away one by one, the less urgent ones more often, but no kind and no size is left out.
-/// So many may wait for a slot that each has one in time. Never under half.
+/// Up to which part of its room a server may be filled for a request to be sent there. Each has a
+/// level of its own: in a crowd requests are turned away one by one, the less urgent ones more
+/// often, but no kind and no size is left out. So many may wait for a slot that each has one in
+/// time. Never under half.
 pub(crate) fn level(settings: &Settings, claim: Claim) -> f64 {
-    let ranks = if Guard::PriorityRoom.on() { f64::from(claim.rank.min(9)) } else { 0.0 };
-    let waiting = (settings.queue_wait * claim.target / claim.whole.max(1.0)).min(settings.queue_most);
+    let ranks = if Guard::PriorityRoom.on() {
+        f64::from(claim.rank.min(9))
+    } else {
+        0.0
+    };
+    let waiting =
+        (settings.queue_wait * claim.target / claim.whole.max(1.0)).min(settings.queue_most);
     let most = settings.fill_most + waiting - ranks * settings.fill_step;
     (most - claim.chance * settings.fill_ramp).max(CROWDED_FROM)
 }
@@ -89,7 +101,10 @@
     let most = most.min(honoured).max(least);
     let spread = 1.0 + SPREAD * (2.0 * rng.unit() - 1.0);
     let retry_after = (wait.clamp(least, most) as f64 * spread) as Micros;
-    Refusal { status, retry_after }
+    Refusal {
+        status,
+        retry_after,
+    }
 }
 
 #[cfg(test)]
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -1,4 +1,5 @@
-//! A client's request as the decisions see it, and what is remembered of it until it has its answer.
+//! A client's request as the decisions see it, and what is remembered of it until it has its
+//! answer.
 
 use std::sync::Arc;
 
@@ -69,7 +70,8 @@
     pub trial: bool,
     /// An earlier attempt may have arrived: the budget paid for this one.
     pub repeat: bool,
-    /// Tokens of its prompt that wait to be read, and those of all that waited there when it was sent.
+    /// Tokens of its prompt that wait to be read, and those of all that waited there when it was
+    /// sent.
     pub unread: u64,
     pub backlog: u64,
 }
@@ -77,17 +79,21 @@
 impl Attempt {
     /// True where the server may have worked on it, or work on it still.
     pub fn may_have_run(&self) -> bool {
-        self.outcome.as_ref().is_none_or(|outcome| !outcome.never_ran())
+        self.outcome
+            .as_ref()
+            .is_none_or(|outcome| !outcome.never_ran())
     }
 
     /// True where the request may have reached the server, be it to be turned away.
     pub fn may_have_arrived(&self) -> bool {
-        self.outcome.as_ref().is_none_or(|outcome| !outcome.never_arrived())
+        self.outcome
+            .as_ref()
+            .is_none_or(|outcome| !outcome.never_arrived())
     }
 }
 
-/// A request that is owed an answer. The gate keeps it and hands it to the decider at each event; it must end in a
-/// final decision or in [`Decider::abandon`](crate::Decider::abandon).
+/// A request that is owed an answer. The gate keeps it and hands it to the decider at each event;
+/// it must end in a final decision or in [`Decider::abandon`](crate::Decider::abandon).
 #[derive(Debug)]
 pub struct Call {
     pub(crate) request: Request,
@@ -118,7 +124,11 @@
 impl Call {
     pub(crate) fn new(now: Micros, request: Request, chance: f64) -> Self {
         let affine = request.route.spec.affinity;
-        let model = if request.model.is_empty() { 0 } else { affinity::hash(&request.model) };
+        let model = if request.model.is_empty() {
+            0
+        } else {
+            affinity::hash(&request.model)
+        };
         Call {
             begun: now,
             key: affinity::key(model, &request.parts).filter(|_| affine),
@@ -141,9 +151,21 @@
     /// Memory that it needs at a server.
     pub(crate) fn need(&self) -> Need {
         // Clients name these figures: sums of many must hold.
-        let tokens = self.request.tokens_in.saturating_add(self.request.tokens_out).min(TOKENS_MOST);
-        let shared = if self.key.is_some() { self.shared_tokens.min(tokens) } else { 0 };
-        Need { key: self.key, shared, own: tokens - shared }
+        let tokens = self
+            .request
+            .tokens_in
+            .saturating_add(self.request.tokens_out)
+            .min(TOKENS_MOST);
+        let shared = if self.key.is_some() {
+            self.shared_tokens.min(tokens)
+        } else {
+            0
+        };
+        Need {
+            key: self.key,
+            shared,
+            own: tokens - shared,
+        }
     }
 
     /// The request.
@@ -163,8 +185,12 @@
 
     /// The time after which the request is no longer to be held.
     pub(crate) fn ends(&self) -> Micros {
-        let timeout = self.begun.saturating_add(self.request.route.spec.timeout_ms.saturating_mul(1000));
-        self.request.deadline.map_or(timeout, |deadline| deadline.min(timeout))
+        let timeout = self
+            .begun
+            .saturating_add(self.request.route.spec.timeout_ms.saturating_mul(1000));
+        self.request
+            .deadline
+            .map_or(timeout, |deadline| deadline.min(timeout))
     }
 
     pub(crate) fn target(&self) -> Micros {
@@ -181,13 +207,18 @@
 
     /// Servers that the request may have reached.
     pub(crate) fn arrivals(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.may_have_arrived()).count()
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.may_have_arrived())
+            .count()
     }
 
-    /// True where the server had an attempt. A connection that ended before a byte was written tells nothing of its
-    /// server: it was an idle one, or a permit was gone.
+    /// True where the server had an attempt. A connection that ended before a byte was written
+    /// tells nothing of its server: it was an idle one, or a permit was gone.
     pub(crate) fn tried(&self, server: ServerHandle) -> bool {
-        let had = |attempt: &Attempt| attempt.server == server && attempt.outcome != Some(Outcome::Unwritten);
+        let had = |attempt: &Attempt| {
+            attempt.server == server && attempt.outcome != Some(Outcome::Unwritten)
+        };
         self.attempts.iter().any(had)
     }
 
@@ -204,7 +235,10 @@
         if self.head_passed && !matches!(outcome, Outcome::Success | Outcome::Cancelled) {
             self.cut_at.get_or_insert(now);
         }
-        if let Outcome::NotExecuted { retry_after: Some(wait) } = outcome {
+        if let Outcome::NotExecuted {
+            retry_after: Some(wait),
+        } = outcome
+        {
             self.told_wait = self.told_wait.max(*wait);
         }
         Some(attempt)
@@ -212,6 +246,8 @@
 
     /// The attempt that is out.
     pub(crate) fn open(&mut self) -> Option<&mut Attempt> {
-        self.attempts.last_mut().filter(|attempt| attempt.outcome.is_none())
+        self.attempts
+            .last_mut()
+            .filter(|attempt| attempt.outcome.is_none())
     }
 }
--- a/crates/routing/src/room.rs
+++ b/crates/routing/src/room.rs
@@ -1,4 +1,5 @@
-//! How loaded a server is and whether it has room, by what this gate has there and by the server's own reports.
+//! How loaded a server is and whether it has room, by what this gate has there and by the server's
+//! own reports.
 
 use ironmast_balancer::Micros;
 use smallvec::SmallVec;
@@ -7,14 +8,17 @@
 
 /// Slots of a server that nobody tells of.
 const SLOTS_UNKNOWN: u32 = 64;
-/// A gate may use this many times its even part of a server's connections: gates are not equally busy.
+/// A gate may use this many times its even part of a server's connections: gates are not equally
+/// busy.
 const CONNECTIONS_SHARE: f64 = 2.0;
-/// A server that turned a request away is left alone for this long at first; doubled each time in a row.
+/// A server that turned a request away is left alone for this long at first; doubled each time in a
+/// row.
 const FULL_FIRST: Micros = 50_000;
 /// The longest such rest.
 const FULL_LONGEST: Micros = 1_000_000;
 
-/// A server's own account of its load, from an answer's `X-Ironmast-Server-Load` or from `GET /api/report`.
+/// A server's own account of its load, from an answer's `X-Ironmast-Server-Load` or from `GET
+/// /api/report`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests in its slots.
@@ -55,12 +59,17 @@
         let (mut servers, mut others, mut in_flight, mut unshared) = (0, 0.0, 0, 0);
         for occupancy in pool {
             servers += 1;
-            others += occupancy.fresh(now, memory).map_or(0.0, |(_, report)| report.others);
+            others += occupancy
+                .fresh(now, memory)
+                .map_or(0.0, |(_, report)| report.others);
             in_flight += occupancy.in_flight;
             unshared += occupancy.unshared;
         }
         let typical = unshared as f64 / f64::from(in_flight.max(1));
-        Usage { others: others / f64::from(servers.max(1)), typical }
+        Usage {
+            others: others / f64::from(servers.max(1)),
+            typical,
+        }
     }
 }
 
@@ -146,7 +155,10 @@
         self.in_flight = self.in_flight.saturating_sub(1);
         self.tokens = self.tokens.saturating_sub(need.own);
         self.unshared = self.unshared.saturating_sub(need.own);
-        let place = self.keys.iter().position(|(known, ..)| Some(*known) == need.key);
+        let place = self
+            .keys
+            .iter()
+            .position(|(known, ..)| Some(*known) == need.key);
         let Some(place) = place else { return };
         self.keys[place].1 -= 1;
         if self.keys[place].1 == 0 {
@@ -159,16 +171,24 @@
     pub fn report(&mut self, now: Micros, load: LoadReport) {
         let active = f64::from(load.running) + f64::from(load.waiting);
         let known = self.report;
-        let others_tokens = load.kv_cache.map(|(used, _)| (now, (used as f64 - self.tokens as f64).max(0.0)));
+        let others_tokens = load
+            .kv_cache
+            .map(|(used, _)| (now, (used as f64 - self.tokens as f64).max(0.0)));
         self.report = Some(Report {
             at: now,
             others: (active - f64::from(self.in_flight)).max(0.0),
             others_tokens: others_tokens.or(known.and_then(|report| report.others_tokens)),
             slots: load.slots.filter(|slots| *slots > 0),
-            kv_cache: load.kv_cache.map(|(_, whole)| whole).or(known.and_then(|report| report.kv_cache)),
+            kv_cache: load
+                .kv_cache
+                .map(|(_, whole)| whole)
+                .or(known.and_then(|report| report.kv_cache)),
             waiting: load.waiting,
         });
-        if load.slots.is_some_and(|slots| load.running < slots && load.waiting == 0) {
+        if load
+            .slots
+            .is_some_and(|slots| load.running < slots && load.waiting == 0)
+        {
             self.full_until = self.full_until.min(now);
         }
     }
@@ -201,7 +221,8 @@
 
     /// True where requests waited at the last report.
     pub fn waiting(&self, now: Micros, memory: Micros) -> bool {
-        self.fresh(now, memory).is_some_and(|(_, report)| report.waiting > 0)
+        self.fresh(now, memory)
+            .is_some_and(|(_, report)| report.waiting > 0)
     }
 
     /// Its load now; `peers` stands in for what no fresh report tells.
@@ -215,20 +236,36 @@
         let usual_tokens = others * peers.typical;
         let told = |(at, told)| blend(self::weight(now, at, memory), told, usual_tokens);
         let others_tokens = told_tokens.map_or(usual_tokens, told);
-        let slots = self.report.and_then(|report| report.slots).unwrap_or(bounds.slots);
-        let kv_cache = self.report.and_then(|report| report.kv_cache).unwrap_or(bounds.kv_cache);
+        let slots = self
+            .report
+            .and_then(|report| report.slots)
+            .unwrap_or(bounds.slots);
+        let kv_cache = self
+            .report
+            .and_then(|report| report.kv_cache)
+            .unwrap_or(bounds.kv_cache);
         Load {
             active: f64::from(self.in_flight) + others,
             slots: f64::from(if slots == 0 { SLOTS_UNKNOWN } else { slots }),
             tokens: self.tokens as f64 + others_tokens,
-            kv_cache: if kv_cache == 0 { f64::INFINITY } else { kv_cache as f64 },
+            kv_cache: if kv_cache == 0 {
+                f64::INFINITY
+            } else {
+                kv_cache as f64
+            },
         }
     }
 
     /// Tokens that one more request would add.
     pub fn added(&self, need: Need) -> u64 {
-        let here = need.key.is_some_and(|key| self.keys.iter().any(|(known, ..)| *known == key));
-        if here { need.own } else { need.own + need.shared }
+        let here = need
+            .key
+            .is_some_and(|key| self.keys.iter().any(|(known, ..)| *known == key));
+        if here {
+            need.own
+        } else {
+            need.own + need.shared
+        }
     }
 
     /// True where one more connection stays within this gate's share.
--- a/crates/routing/src/room/tests.rs
+++ b/crates/routing/src/room/tests.rs
@@ -3,15 +3,29 @@
 const MEMORY: Micros = 1_000_000;
 
 fn bounds() -> Bounds {
-    Bounds { slots: 8, kv_cache: 10_000, connections: 12, gates: 3 }
+    Bounds {
+        slots: 8,
+        kv_cache: 10_000,
+        connections: 12,
+        gates: 3,
+    }
 }
 
 fn need(key: u64, shared: u64, own: u64) -> Need {
-    Need { key: Some(key), shared, own }
+    Need {
+        key: Some(key),
+        shared,
+        own,
+    }
 }
 
 fn report(running: u32, waiting: u32) -> LoadReport {
-    LoadReport { running, waiting, slots: None, kv_cache: None }
+    LoadReport {
+        running,
+        waiting,
+        slots: None,
+        kv_cache: None,
+    }
 }
 
 fn load(occupancy: &Occupancy, now: Micros) -> Load {
@@ -26,7 +40,10 @@
     here.take(need(1, 500, 100));
     here.take(need(2, 300, 50));
     assert_eq!(load(&here, 0).tokens, 1050.0);
-    assert_eq!((here.added(need(1, 500, 70)), here.added(need(3, 500, 70))), (70, 570));
+    assert_eq!(
+        (here.added(need(1, 500, 70)), here.added(need(3, 500, 70))),
+        (70, 570)
+    );
     here.release(need(1, 500, 100));
     assert_eq!(load(&here, 0).tokens, 950.0);
     here.release(need(1, 500, 100));
@@ -63,7 +80,13 @@
 #[test]
 fn a_word_on_memory_outlives_reports_without_one() {
     let mut here = Occupancy::default();
-    here.report(0, LoadReport { kv_cache: Some((4000, 20_000)), ..report(2, 0) });
+    here.report(
+        0,
+        LoadReport {
+            kv_cache: Some((4000, 20_000)),
+            ..report(2, 0)
+        },
+    );
     here.report(MEMORY / 2, report(2, 0));
     let load = here.load(MEMORY / 2, MEMORY, &bounds(), Usage::default());
     assert_eq!((load.tokens, load.kv_cache), (2000.0, 20_000.0));
@@ -71,14 +94,31 @@
 
 #[test]
 fn the_fuller_of_slots_and_memory_is_the_load() {
-    let load = |active, tokens| Load { active, slots: 8.0, tokens, kv_cache: 1000.0 }.part();
+    let load = |active, tokens| {
+        Load {
+            active,
+            slots: 8.0,
+            tokens,
+            kv_cache: 1000.0,
+        }
+        .part()
+    };
     assert_eq!((load(4.0, 100.0), load(1.0, 750.0)), (0.5, 0.75));
 }
 
 #[test]
 fn a_request_fits_into_the_memory_that_is_left() {
-    let fits =
-        |tokens, added| super::fits(&Load { active: 9.0, slots: 8.0, tokens, kv_cache: 1000.0 }, added);
+    let fits = |tokens, added| {
+        super::fits(
+            &Load {
+                active: 9.0,
+                slots: 8.0,
+                tokens,
+                kv_cache: 1000.0,
+            },
+            added,
+        )
+    };
     assert!(fits(700.0, 300) && !fits(701.0, 300));
 }
 
@@ -90,23 +130,49 @@
         here.refused(round * MEMORY * 10, None);
         rests.push(here.full_until() - round * MEMORY * 10);
     }
-    assert_eq!(rests[..4], [FULL_FIRST, FULL_FIRST * 2, FULL_FIRST * 4, FULL_FIRST * 8]);
+    assert_eq!(
+        rests[..4],
+        [FULL_FIRST, FULL_FIRST * 2, FULL_FIRST * 4, FULL_FIRST * 8]
+    );
     assert_eq!(rests[7], FULL_LONGEST);
     let now = 7 * MEMORY * 10 + 1;
-    here.report(now, LoadReport { slots: Some(8), ..report(8, 1) });
+    here.report(
+        now,
+        LoadReport {
+            slots: Some(8),
+            ..report(8, 1)
+        },
+    );
     assert!(here.full_until() > now);
-    here.report(now, LoadReport { slots: Some(8), ..report(3, 0) });
+    here.report(
+        now,
+        LoadReport {
+            slots: Some(8),
+            ..report(3, 0)
+        },
+    );
     assert!(here.full_until() <= now);
     here.served();
     here.refused(now, Some(FULL_FIRST * 3));
-    assert_eq!(here.full_until(), now + FULL_FIRST * 3, "a told wait counts");
+    assert_eq!(
+        here.full_until(),
+        now + FULL_FIRST * 3,
+        "a told wait counts"
+    );
 }
 
 #[test]
 fn connections_are_twice_the_even_share_and_one_at_least() {
     let connects = |in_flight, connections, gates| {
-        let here = Occupancy { in_flight, ..Occupancy::default() };
-        here.connects(&Bounds { connections, gates, ..bounds() })
+        let here = Occupancy {
+            in_flight,
+            ..Occupancy::default()
+        };
+        here.connects(&Bounds {
+            connections,
+            gates,
+            ..bounds()
+        })
     };
     assert!(connects(7, 12, 3) && !connects(8, 12, 3));
     assert!(connects(0, 1, 50) && !connects(1, 1, 50));
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -18,20 +18,29 @@
 #[derive(Debug, Default)]
 struct HostRoutes {
     by_prefix: FxHashMap<Box<str>, Arc<Route>>,
-    /// Lengths of the prefixes, longest first, each once: only these beginnings of a path are looked up.
+    /// Lengths of the prefixes, longest first, each once: only these beginnings of a path are
+    /// looked up.
     lengths: Vec<usize>,
 }
 
 impl Router {
     /// Sorts the routes by host.
     pub(crate) fn build(routes: Vec<Arc<Route>>) -> Result<Router, TableError> {
-        let mut router = Router { count: routes.len(), ..Router::default() };
+        let mut router = Router {
+            count: routes.len(),
+            ..Router::default()
+        };
         for route in routes {
-            let host = router.hosts.entry(lower(&route.spec.host).into()).or_default();
+            let host = router
+                .hosts
+                .entry(lower(&route.spec.host).into())
+                .or_default();
             host.lengths.push(route.spec.prefix.len());
             let twice = host.by_prefix.insert(route.spec.prefix.clone(), route);
             if let Some(route) = twice {
-                return Err(TableError::DuplicateRoute { route: route.spec.name.clone() });
+                return Err(TableError::DuplicateRoute {
+                    route: route.spec.name.clone(),
+                });
             }
         }
         for host in router.hosts.values_mut() {
@@ -41,11 +50,17 @@
         Ok(router)
     }
 
-    /// The route of a request by its `Host` header (in any case) and the path of its target; a query is left aside. A
-    /// port in the header matters only to routes whose host names it.
+    /// The route of a request by its `Host` header (in any case) and the path of its target; a
+    /// query is left aside. A port in the header matters only to routes whose host names it.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let (host, path) = (lower(host), path.split(['?', '#']).next().unwrap_or_default());
-        let exact = self.hosts.get(host.as_ref()).and_then(|host| host.route(path));
+        let (host, path) = (
+            lower(host),
+            path.split(['?', '#']).next().unwrap_or_default(),
+        );
+        let exact = self
+            .hosts
+            .get(host.as_ref())
+            .and_then(|host| host.route(path));
         exact.or_else(|| self.hosts.get(without_port(&host)?)?.route(path))
     }
 
@@ -70,7 +85,9 @@
     fn route(&self, path: &str) -> Option<&Arc<Route>> {
         let begins = |length: &usize| path.as_bytes().get(length - 1) == Some(&b'/');
         let lengths = self.lengths.iter().filter(|length| begins(length));
-        lengths.filter_map(|length| self.by_prefix.get(&path[..*length])).next()
+        lengths
+            .filter_map(|length| self.by_prefix.get(&path[..*length]))
+            .next()
     }
 }
 
--- a/crates/routing/src/router/tests.rs
+++ b/crates/routing/src/router/tests.rs
@@ -10,7 +10,10 @@
         host: host.into(),
         prefix: prefix.into(),
         kind: RouteKind::Safe,
-        splits: vec![Split { service: "desk".into(), weight: 1 }],
+        splits: vec![Split {
+            service: "desk".into(),
+            weight: 1,
+        }],
         max_attempts: 1,
         timeout_ms: 1,
         target_latency_ms: 1,
@@ -23,7 +26,13 @@
 }
 
 fn router(routes: &[(&str, &str)]) -> Router {
-    Router::build(routes.iter().map(|(host, prefix)| route(host, prefix)).collect()).expect("routes")
+    Router::build(
+        routes
+            .iter()
+            .map(|(host, prefix)| route(host, prefix))
+            .collect(),
+    )
+    .expect("routes")
 }
 
 fn found<'a>(router: &'a Router, host: &str, path: &str) -> Option<&'a str> {
@@ -32,7 +41,12 @@
 
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
-    let router = router(&[("a", "/x/"), ("a", "/x/y/"), ("a", "/x/yy/"), ("b", "/x/y/z/")]);
+    let router = router(&[
+        ("a", "/x/"),
+        ("a", "/x/y/"),
+        ("a", "/x/yy/"),
+        ("b", "/x/y/z/"),
+    ]);
     assert_eq!(found(&router, "a", "/x/y/z/1"), Some("/x/y/"));
     assert_eq!(found(&router, "a", "/x/yz/1"), Some("/x/"));
     assert_eq!(found(&router, "a", "/x/"), Some("/x/"));
@@ -52,7 +66,12 @@
 #[test]
 fn hosts_are_compared_without_case_and_port() {
     let router = router(&[("Desk.Example", "/x/"), ("[::1]", "/y/")]);
-    for host in ["desk.example", "DESK.example", "desk.example:8080", "Desk.Example:80"] {
+    for host in [
+        "desk.example",
+        "DESK.example",
+        "desk.example:8080",
+        "Desk.Example:80",
+    ] {
         assert_eq!(found(&router, host, "/x/1"), Some("/x/"), "{host}");
     }
     assert_eq!(found(&router, "[::1]", "/y/1"), Some("/y/"));
@@ -64,9 +83,18 @@
 fn a_host_with_a_port_is_for_requests_that_name_it() {
     let router = router(&[("a:80", "/x/"), ("a", "/x/"), ("a", "/"), ("b:80", "/x/")]);
     let host = |host| router.route(host, "/x/1").map(|route| &*route.spec.host);
-    assert_eq!([host("a:80"), host("a:81"), host("a")], [Some("a:80"), Some("a"), Some("a")]);
-    assert_eq!([host("B:80"), host("b"), host("b:81")], [Some("b:80"), None, None]);
-    assert_eq!(router.route("a:80", "/y").map(|route| &*route.spec.host), Some("a"));
+    assert_eq!(
+        [host("a:80"), host("a:81"), host("a")],
+        [Some("a:80"), Some("a"), Some("a")]
+    );
+    assert_eq!(
+        [host("B:80"), host("b"), host("b:81")],
+        [Some("b:80"), None, None]
+    );
+    assert_eq!(
+        router.route("a:80", "/y").map(|route| &*route.spec.host),
+        Some("a")
+    );
 }
 
 #[test]
@@ -91,7 +119,11 @@
     let routes: Vec<(&str, &str)> = names.iter().map(|name| ("a", name.as_str())).collect();
     let router = router(&routes);
     assert_eq!((router.len(), router.is_empty()), (700, false));
-    assert!(names.iter().all(|name| found(&router, "a", &format!("{name}x")) == Some(name)));
+    assert!(
+        names
+            .iter()
+            .all(|name| found(&router, "a", &format!("{name}x")) == Some(name))
+    );
 }
 
 #[test]
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -10,16 +10,18 @@
     pub region: Box<str>,
     /// The gate's own zone.
     pub zone: Box<str>,
-    /// How far a server's load may pass the mean of its peers before a key goes on to its next server, as a part.
+    /// How far a server's load may pass the mean of its peers before a key goes on to its next
+    /// server, as a part.
     pub affinity_excess: f64,
-    /// A key's first server is kept while prompts wait there longer than elsewhere by no more than this many times
-    /// the reading of the key's shared parts.
+    /// A key's first server is kept while prompts wait there longer than elsewhere by no more than
+    /// this many times the reading of the key's shared parts.
     pub stay_for: f64,
     /// Below this part of its room no server passes a key on, however idle its peers are.
     pub affinity_floor: f64,
     /// Part of a server's room up to which requests are sent to it.
     pub fill_most: f64,
-    /// Requests are turned away one by one over this part of the room below, so that no kind is left out.
+    /// Requests are turned away one by one over this part of the room below, so that no kind is
+    /// left out.
     pub fill_ramp: f64,
     /// More may wait at a server, for this part of their latency objective.
     pub queue_wait: f64,
@@ -29,7 +31,8 @@
     pub fill_step: f64,
     /// Another region is used for want of room only up to this part of its slots.
     pub spill_fill: f64,
-    /// Another region is used for a wait in the own one that is longer than this part of the latency objective.
+    /// Another region is used for a wait in the own one that is longer than this part of the
+    /// latency objective.
     pub spill_wait: f64,
     /// A request may be held for this part of its latency objective at the most.
     pub hold_share: f64,
@@ -37,9 +40,11 @@
     pub retry_after: (Micros, Micros),
     /// First and longest ejection; it doubles from one to the next.
     pub ejection: (Micros, Micros),
-    /// A server whose ejection is over and that no request has tried since is probed after this long.
+    /// A server whose ejection is over and that no request has tried since is probed after this
+    /// long.
     pub probe_after: Micros,
-    /// A server that owes an answer and gave no sign for this long, or for twice the usual, comes after its peers.
+    /// A server that owes an answer and gave no sign for this long, or for twice the usual, comes
+    /// after its peers.
     pub quiet_after: Micros,
     /// A load report counts for less and less until it is this old.
     pub report_memory: Micros,
@@ -87,7 +92,8 @@
     /// # Errors
     /// Names the first figure that makes no sense.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let within = |name, value: f64, least: f64, most: f64| match (least..=most).contains(&value) {
+        let within = |name, value: f64, least: f64, most: f64| match (least..=most).contains(&value)
+        {
             true => Ok(()),
             false => Err(SettingsError::OutOfRange { name }),
         };
--- a/crates/routing/src/settings/tests.rs
+++ b/crates/routing/src/settings/tests.rs
@@ -3,7 +3,10 @@
 fn error(change: impl Fn(&mut Settings)) -> Option<&'static str> {
     let mut settings = Settings::new("r", "z");
     change(&mut settings);
-    settings.validate().err().map(|SettingsError::OutOfRange { name }| name)
+    settings
+        .validate()
+        .err()
+        .map(|SettingsError::OutOfRange { name }| name)
 }
 
 #[test]
@@ -14,7 +17,10 @@
 #[test]
 fn each_figure_out_of_range_is_named() {
     assert_eq!(error(|s| s.affinity_excess = 0.0), Some("affinity_excess"));
-    assert_eq!(error(|s| s.affinity_floor = f64::NAN), Some("affinity_floor"));
+    assert_eq!(
+        error(|s| s.affinity_floor = f64::NAN),
+        Some("affinity_floor")
+    );
     assert_eq!(error(|s| s.fill_most = 0.4), Some("fill_most"));
     assert_eq!(error(|s| s.queue_wait = 1.5), Some("queue_wait"));
     assert_eq!(error(|s| s.queue_most = -1.0), Some("queue_most"));
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,5 @@
-//! Immutable tables of routes, services and servers. A table is built whole, shared and swapped whole.
+//! Immutable tables of routes, services and servers. A table is built whole, shared and swapped
+//! whole.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,7 +27,10 @@
 impl RouteKind {
     /// True where a request that may have run may be sent again.
     pub fn idempotent(self) -> bool {
-        matches!(self, RouteKind::Safe | RouteKind::Stream { resumable: true })
+        matches!(
+            self,
+            RouteKind::Safe | RouteKind::Stream { resumable: true }
+        )
     }
 }
 
@@ -199,7 +203,8 @@
 }
 
 impl Route {
-    /// The latency objective in milliseconds, never 0: one that is not told is a second, within the time-out.
+    /// The latency objective in milliseconds, never 0: one that is not told is a second, within the
+    /// time-out.
     pub(crate) fn target_ms(&self) -> u64 {
         match self.spec.target_latency_ms {
             0 => self.spec.timeout_ms.clamp(1, TARGET_UNTOLD_MS),
@@ -274,16 +279,22 @@
     /// Builds a table.
     ///
     /// # Errors
-    /// Says what is wrong with a route, a service or the regions. Servers of unknown services are left out.
+    /// Says what is wrong with a route, a service or the regions. Servers of unknown services are
+    /// left out.
     pub fn build(spec: TableSpec) -> Result<Table, TableError> {
         let mut by_name = FxHashMap::default();
         for (index, service) in spec.services.iter().enumerate() {
             if by_name.insert(service.name.clone(), index as u32).is_some() {
-                return Err(TableError::DuplicateService { service: service.name.clone() });
+                return Err(TableError::DuplicateService {
+                    service: service.name.clone(),
+                });
             }
         }
-        let routes: Result<Vec<Arc<Route>>, TableError> =
-            spec.routes.into_iter().map(|route| check_route(route, &by_name)).collect();
+        let routes: Result<Vec<Arc<Route>>, TableError> = spec
+            .routes
+            .into_iter()
+            .map(|route| check_route(route, &by_name))
+            .collect();
         let routes = routes?;
         let table = Table {
             gates: spec.gates.max(1),
@@ -296,7 +307,8 @@
         table.with_servers(spec.gates, spec.servers)
     }
 
-    /// The same routes and services with another list of servers; cheap, for lists change more often.
+    /// The same routes and services with another list of servers; cheap, for lists change more
+    /// often.
     ///
     /// # Errors
     /// There are too many regions.
@@ -305,13 +317,16 @@
         let mut seen = FxHashSet::default();
         let mut listed = Vec::with_capacity(servers.len());
         for server in servers {
-            if !self.by_name.contains_key(&server.service) || !seen.insert(server.instance.clone()) {
+            if !self.by_name.contains_key(&server.service) || !seen.insert(server.instance.clone())
+            {
                 continue;
             }
             let next = regions.len();
             if !regions.contains_key(&server.region) {
                 if next == RegionSet::MOST {
-                    return Err(TableError::TooManyRegions { most: RegionSet::MOST });
+                    return Err(TableError::TooManyRegions {
+                        most: RegionSet::MOST,
+                    });
                 }
                 regions.insert(server.region.clone(), next as RegionId);
             }
@@ -379,19 +394,35 @@
     let mut targets = vec![0; services.len()];
     for route in routes {
         for split in &route.spec.splits {
-            let Some(service) = services.get(&split.service) else { continue };
+            let Some(service) = services.get(&split.service) else {
+                continue;
+            };
             let target = &mut targets[*service as usize];
             let here = route.target_ms();
-            *target = if *target == 0 { here } else { here.min(*target) };
+            *target = if *target == 0 {
+                here
+            } else {
+                here.min(*target)
+            };
         }
     }
     targets
 }
 
-fn check_route(spec: RouteSpec, services: &FxHashMap<Arc<str>, u32>) -> Result<Arc<Route>, TableError> {
+fn check_route(
+    spec: RouteSpec,
+    services: &FxHashMap<Arc<str>, u32>,
+) -> Result<Arc<Route>, TableError> {
     let route = spec.name.clone();
-    if let Some(split) = spec.splits.iter().find(|split| !services.contains_key(&split.service)) {
-        return Err(TableError::UnknownService { route, service: split.service.clone() });
+    if let Some(split) = spec
+        .splits
+        .iter()
+        .find(|split| !services.contains_key(&split.service))
+    {
+        return Err(TableError::UnknownService {
+            route,
+            service: split.service.clone(),
+        });
     }
     if !spec.prefix.starts_with('/') || !spec.prefix.ends_with('/') {
         return Err(TableError::Prefix { route });
@@ -399,7 +430,11 @@
     if spec.timeout_ms == 0 {
         return Err(TableError::NoTimeout { route });
     }
-    let weight = spec.splits.iter().map(|split| u64::from(split.weight)).sum();
+    let weight = spec
+        .splits
+        .iter()
+        .map(|split| u64::from(split.weight))
+        .sum();
     if weight == 0 {
         return Err(TableError::NoWeight { route });
     }
--- a/crates/routing/src/table/tests.rs
+++ b/crates/routing/src/table/tests.rs
@@ -17,7 +17,10 @@
         host: "a".into(),
         prefix: "/x/".into(),
         kind: RouteKind::Safe,
-        splits: vec![Split { service: "desk".into(), weight: 1 }],
+        splits: vec![Split {
+            service: "desk".into(),
+            weight: 1,
+        }],
         max_attempts: 1,
         timeout_ms: 1,
         target_latency_ms: 1,
@@ -48,7 +51,11 @@
 fn error(change: impl Fn(&mut RouteSpec)) -> TableError {
     let mut route = route();
     change(&mut route);
-    let spec = TableSpec { routes: vec![route], services: vec![service("desk")], ..TableSpec::default() };
+    let spec = TableSpec {
+        routes: vec![route],
+        services: vec![service("desk")],
+        ..TableSpec::default()
+    };
     Table::build(spec).expect_err("not a table")
 }
 
@@ -56,35 +63,91 @@
 fn unsound_routes_are_named() {
     let route: Arc<str> = "r".into();
     let unknown = error(|route| route.splits[0].service = "none".into());
-    assert_eq!(unknown, TableError::UnknownService { route: route.clone(), service: "none".into() });
-    assert_eq!(error(|route| route.prefix = "/x".into()), TableError::Prefix { route: route.clone() });
-    assert_eq!(error(|route| route.prefix = "".into()), TableError::Prefix { route: route.clone() });
-    assert_eq!(error(|route| route.timeout_ms = 0), TableError::NoTimeout { route: route.clone() });
-    assert_eq!(error(|route| route.splits[0].weight = 0), TableError::NoWeight { route });
+    assert_eq!(
+        unknown,
+        TableError::UnknownService {
+            route: route.clone(),
+            service: "none".into()
+        }
+    );
+    assert_eq!(
+        error(|route| route.prefix = "/x".into()),
+        TableError::Prefix {
+            route: route.clone()
+        }
+    );
+    assert_eq!(
+        error(|route| route.prefix = "".into()),
+        TableError::Prefix {
+            route: route.clone()
+        }
+    );
+    assert_eq!(
+        error(|route| route.timeout_ms = 0),
+        TableError::NoTimeout {
+            route: route.clone()
+        }
+    );
+    assert_eq!(
+        error(|route| route.splits[0].weight = 0),
+        TableError::NoWeight { route }
+    );
 }
 
 #[test]
 fn a_service_twice_is_an_error() {
-    let spec = TableSpec { services: vec![service("desk"), service("desk")], ..TableSpec::default() };
+    let spec = TableSpec {
+        services: vec![service("desk"), service("desk")],
+        ..TableSpec::default()
+    };
     let error = Table::build(spec).expect_err("not a table");
-    assert_eq!(error, TableError::DuplicateService { service: "desk".into() });
+    assert_eq!(
+        error,
+        TableError::DuplicateService {
+            service: "desk".into()
+        }
+    );
 }
 
 #[test]
 fn servers_of_unknown_services_and_second_entries_are_left_out() {
-    let servers = vec![server("i-1", "desk", "a"), server("i-2", "none", "a"), server("i-1", "desk", "b")];
-    let spec = TableSpec { services: vec![service("desk")], servers, ..TableSpec::default() };
+    let servers = vec![
+        server("i-1", "desk", "a"),
+        server("i-2", "none", "a"),
+        server("i-1", "desk", "b"),
+    ];
+    let spec = TableSpec {
+        services: vec![service("desk")],
+        servers,
+        ..TableSpec::default()
+    };
     let table = Table::build(spec).expect("a table");
-    assert_eq!(table.servers().iter().map(|server| &*server.instance).collect::<Vec<_>>(), ["i-1"]);
+    assert_eq!(
+        table
+            .servers()
+            .iter()
+            .map(|server| &*server.instance)
+            .collect::<Vec<_>>(),
+        ["i-1"]
+    );
 }
 
 #[test]
 fn another_list_of_servers_keeps_the_routes() {
-    let spec = TableSpec { routes: vec![route()], services: vec![service("desk")], ..TableSpec::default() };
+    let spec = TableSpec {
+        routes: vec![route()],
+        services: vec![service("desk")],
+        ..TableSpec::default()
+    };
     let table = Table::build(spec).expect("a table");
-    let next = table.with_servers(3, vec![server("i-1", "desk", "a")]).expect("a table");
+    let next = table
+        .with_servers(3, vec![server("i-1", "desk", "a")])
+        .expect("a table");
     assert!(next.shares_routes(&table) && next.router().len() == 1);
-    assert_eq!((next.gates, next.servers().len(), next.region_count()), (3, 1, 1));
+    assert_eq!(
+        (next.gates, next.servers().len(), next.region_count()),
+        (3, 1, 1)
+    );
 }
 
 #[test]
@@ -105,29 +168,55 @@
 #[test]
 fn more_regions_than_a_set_holds_are_an_error() {
     let list = |count: usize| {
-        (0..count).map(|at| server(&format!("i-{at}"), "desk", &format!("r-{at}"))).collect::<Vec<_>>()
+        (0..count)
+            .map(|at| server(&format!("i-{at}"), "desk", &format!("r-{at}")))
+            .collect::<Vec<_>>()
+    };
+    let spec = |count| TableSpec {
+        services: vec![service("desk")],
+        servers: list(count),
+        ..TableSpec::default()
     };
-    let spec =
-        |count| TableSpec { services: vec![service("desk")], servers: list(count), ..TableSpec::default() };
     assert!(Table::build(spec(64)).is_ok());
-    assert_eq!(Table::build(spec(65)).expect_err("too many"), TableError::TooManyRegions { most: 64 });
+    assert_eq!(
+        Table::build(spec(65)).expect_err("too many"),
+        TableError::TooManyRegions { most: 64 }
+    );
 }
 
 #[test]
 fn a_route_without_an_objective_has_a_second_within_its_time_out() {
     let target = |target_latency_ms, timeout_ms| {
-        let spec = RouteSpec { target_latency_ms, timeout_ms, ..route() };
+        let spec = RouteSpec {
+            target_latency_ms,
+            timeout_ms,
+            ..route()
+        };
         Route { spec, weight: 1 }.target_ms()
     };
-    assert_eq!([target(300, 5000), target(0, 5000), target(0, 400)], [300, 1000, 400]);
+    assert_eq!(
+        [target(300, 5000), target(0, 5000), target(0, 400)],
+        [300, 1000, 400]
+    );
 }
 
 #[test]
 fn a_service_has_the_shortest_objective_of_its_routes() {
-    let spec =
-        |prefix: &str, target_latency_ms| RouteSpec { prefix: prefix.into(), target_latency_ms, ..route() };
+    let spec = |prefix: &str, target_latency_ms| RouteSpec {
+        prefix: prefix.into(),
+        target_latency_ms,
+        ..route()
+    };
     let routes = vec![spec("/a/", 900), spec("/b/", 300), spec("/c/", 600)];
     let services = vec![service("desk"), service("other")];
-    let table = Table::build(TableSpec { routes, services, ..TableSpec::default() }).expect("a table");
-    assert_eq!([table.target_ms(0), table.target_ms(1), table.target_ms(9)], [300, 0, 0]);
+    let table = Table::build(TableSpec {
+        routes,
+        services,
+        ..TableSpec::default()
+    })
+    .expect("a table");
+    assert_eq!(
+        [table.target_ms(0), table.target_ms(1), table.target_ms(9)],
+        [300, 0, 0]
+    );
 }
--- a/crates/routing/src/usual.rs
+++ b/crates/routing/src/usual.rs
@@ -30,15 +30,20 @@
         self.first.get(&route.spec.name).copied().unwrap_or(hoped)
     }
 
-    /// The usual time of a whole answer at a service; before any answer the objective of the route that asks.
+    /// The usual time of a whole answer at a service; before any answer the objective of the route
+    /// that asks.
     pub fn whole(&self, service: &str, route: &Route) -> f64 {
-        self.whole.get(service).copied().unwrap_or(target(route).max(1.0))
+        self.whole
+            .get(service)
+            .copied()
+            .unwrap_or(target(route).max(1.0))
     }
 
     /// An answer's first byte came after so long; tells that time as a multiple of the usual.
     pub fn first_byte(&mut self, route: &Route, took: Micros) -> f64 {
         let usual = self.first(route);
-        self.first.insert(route.spec.name.clone(), follow(usual, took));
+        self.first
+            .insert(route.spec.name.clone(), follow(usual, took));
         took as f64 / usual
     }
 
--- a/crates/routing/src/usual/tests.rs
+++ b/crates/routing/src/usual/tests.rs
@@ -7,7 +7,10 @@
         host: "a".into(),
         prefix: "/".into(),
         kind: RouteKind::Safe,
-        splits: vec![Split { service: "desk".into(), weight: 1 }],
+        splits: vec![Split {
+            service: "desk".into(),
+            weight: 1,
+        }],
         max_attempts: 1,
         timeout_ms: 1000,
         target_latency_ms: 100,
@@ -22,7 +25,10 @@
 #[test]
 fn before_any_answer_the_objective_tells() {
     let usuals = Usuals::default();
-    assert_eq!((usuals.first(&route("a")), usuals.whole("desk", &route("a"))), (50_000.0, 100_000.0));
+    assert_eq!(
+        (usuals.first(&route("a")), usuals.whole("desk", &route("a"))),
+        (50_000.0, 100_000.0)
+    );
 }
 
 #[test]
--- a/crates/routing/tests/model/mod.rs
+++ b/crates/routing/tests/model/mod.rs
@@ -1,5 +1,6 @@
-//! One region's gates over model servers that read prompts one after the other and keep the shared parts for a while:
-//! how much is read again, how long the first byte takes, and how crowded the fullest server is.
+//! One region's gates over model servers that read prompts one after the other and keep the shared
+//! parts for a while: how much is read again, how long the first byte takes, and how crowded the
+//! fullest server is.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -7,8 +8,8 @@
 
 use ironmast_balancer::Rng;
 use ironmast_routing::{
-    Call, Decider, Decision, LoadReport, Micros, Outcome, ProbeOutcome, PromptPart, Request, Settings, Table,
-    Unlimited,
+    Call, Decider, Decision, LoadReport, Micros, Outcome, ProbeOutcome, PromptPart, Request,
+    Settings, Table, Unlimited,
 };
 
 mod table;
@@ -29,7 +30,11 @@
 const SILENCE: Micros = 2_400_000;
 
 /// A kind of request: its rate a second, shared and own tokens in, tokens out.
-const KINDS: [(f64, u64, u64, u64); 3] = [(5.2, 5382, 1228, 385), (8.6, 198, 430, 294), (7.7, 568, 1232, 21)];
+const KINDS: [(f64, u64, u64, u64); 3] = [
+    (5.2, 5382, 1228, 385),
+    (8.6, 198, 430, 294),
+    (7.7, 568, 1232, 21),
+];
 
 #[derive(Default)]
 struct Server {
@@ -128,7 +133,13 @@
 
 /// Plays a region whose servers are all well.
 pub fn play(affinity: Option<(f64, f64)>, subjects: usize, press: f64, seconds: u64) -> Played {
-    play_plan(&Plan { affinity, subjects, press, seconds, fate: Fate::Well })
+    play_plan(&Plan {
+        affinity,
+        subjects,
+        press,
+        seconds,
+        fate: Fate::Well,
+    })
 }
 
 /// Plays a plan.
@@ -207,7 +218,8 @@
     }
 
     fn arrive(&mut self, kind: usize) {
-        let pause = -self.rng.unit().max(1e-9).ln() / (KINDS[kind].0 * self.plan.press) * SECOND as f64;
+        let pause =
+            -self.rng.unit().max(1e-9).ln() / (KINDS[kind].0 * self.plan.press) * SECOND as f64;
         if self.now + (pause as Micros) < self.plan.seconds * SECOND {
             self.after(pause as Micros, Step::Arrive(kind));
         }
@@ -224,7 +236,17 @@
             let server = dispatch.address.port() as usize - 8000;
             let Some(failure) = self.failure(server) else {
                 self.played.taken[kind] += 1;
-                return self.send(Flight { gate, call, server, sent: self.now, kind, began: false }, subject);
+                return self.send(
+                    Flight {
+                        gate,
+                        call,
+                        server,
+                        sent: self.now,
+                        kind,
+                        began: false,
+                    },
+                    subject,
+                );
             };
             decision = self.gates[gate].settled(self.now, &mut call, failure, &mut Unlimited);
         }
@@ -266,17 +288,29 @@
     fn request(&mut self, kind: usize, subject: u64) -> Request {
         let (_, shared, own, out) = KINDS[kind];
         self.number += 1;
-        let route = self.table.router().route("a", &format!("/{kind}/")).expect("a route").clone();
+        let route = self
+            .table
+            .router()
+            .route("a", &format!("/{kind}/"))
+            .expect("a route")
+            .clone();
         let part = |id, tokens| PromptPart { id, tokens };
         let mut request = Request::new(route);
-        request.parts.extend([part(subject, shared), part(self.number as u64 + 1_000_000, own)]);
+        request.parts.extend([
+            part(subject, shared),
+            part(self.number as u64 + 1_000_000, own),
+        ]);
         (request.tokens_in, request.tokens_out) = (shared + own, out);
         request
     }
 
     /// Time that a server takes for a step, or anything else, against a sound and idle one.
     fn pace(&self, server: usize) -> f64 {
-        let slow = if self.fated(server, Fate::Slow) { 20.0 } else { 1.0 };
+        let slow = if self.fated(server, Fate::Slow) {
+            20.0
+        } else {
+            1.0
+        };
         slow * (1.0 + SLOWER * f64::from(self.servers[server].running))
     }
 
@@ -295,7 +329,11 @@
         server.parts.insert(subject, now);
         self.read.insert(subject, now);
         self.flights.insert(number, flight);
-        let slow = if self.fated(at, Fate::Slow) { 20.0 } else { 1.0 };
+        let slow = if self.fated(at, Fate::Slow) {
+            20.0
+        } else {
+            1.0
+        };
         let tokens = own + if here { 0 } else { shared };
         let reading = slow * tokens as f64 / READ_PER_MS * 1000.0;
         let server = &mut self.servers[at];
@@ -306,7 +344,9 @@
 
     /// What comes from a server that is down or dark is lost. True where it is.
     fn breaks(&mut self, number: usize) -> bool {
-        let Some(server) = self.flights.get(&number).map(|flight| flight.server) else { return true };
+        let Some(server) = self.flights.get(&number).map(|flight| flight.server) else {
+            return true;
+        };
         if self.fated(server, Fate::Dark) {
             self.after(SILENCE, Step::Leave(number));
             return true;
@@ -338,7 +378,16 @@
         gate.passed(self.now, &mut flight.call, Some(1));
         let handle = gate.server(&format!("i-{at}")).expect("listed");
         let running = self.servers[at].running;
-        gate.report(self.now, handle, LoadReport { running, waiting: 0, slots: Some(SLOTS), kv_cache: None });
+        gate.report(
+            self.now,
+            handle,
+            LoadReport {
+                running,
+                waiting: 0,
+                slots: Some(SLOTS),
+                kv_cache: None,
+            },
+        );
         self.played.firsts.push(took);
         self.played.late += usize::from(took > SECOND);
         let decode = KINDS[kind].3 as f64 * STEP * self.pace(at);
@@ -366,7 +415,11 @@
             let server = probe.address.port() as usize - 8000;
             self.played.probes += 1;
             self.after(
-                if self.fated(server, Fate::Dark) { SECOND } else { 5000 },
+                if self.fated(server, Fate::Dark) {
+                    SECOND
+                } else {
+                    5000
+                },
                 Step::Probed(gate, server),
             );
         }
@@ -377,8 +430,14 @@
 
     fn probed(&mut self, gate: usize, server: usize) {
         let ill = self.fated(server, Fate::Dark) || self.fated(server, Fate::Down);
-        let handle = self.gates[gate].server(&format!("i-{server}")).expect("listed");
-        let outcome = if ill { ProbeOutcome::Unhealthy } else { ProbeOutcome::Healthy };
+        let handle = self.gates[gate]
+            .server(&format!("i-{server}"))
+            .expect("listed");
+        let outcome = if ill {
+            ProbeOutcome::Unhealthy
+        } else {
+            ProbeOutcome::Healthy
+        };
         self.gates[gate].probed(self.now, handle, outcome);
     }
 
--- a/crates/routing/tests/model/table.rs
+++ b/crates/routing/tests/model/table.rs
@@ -1,6 +1,8 @@
 //! The routes, the service and the servers of the region.
 
-use ironmast_routing::{RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Split, Table, TableSpec};
+use ironmast_routing::{
+    RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Split, Table, TableSpec,
+};
 
 use super::{SERVERS, SLOTS};
 
@@ -11,7 +13,10 @@
         host: "a".into(),
         prefix: format!("/{number}/").into(),
         kind: RouteKind::Stream { resumable: false },
-        splits: vec![Split { service: "desk".into(), weight: 1 }],
+        splits: vec![Split {
+            service: "desk".into(),
+            weight: 1,
+        }],
         max_attempts: 1,
         timeout_ms: 15_000,
         target_latency_ms: [1200, 600, 800][number],
@@ -31,7 +36,9 @@
     let server = |number: usize| ServerSpec {
         instance: format!("i-{number}").into(),
         service: "desk".into(),
-        address: format!("10.0.0.1:{}", 8000 + number).parse().expect("an address"),
+        address: format!("10.0.0.1:{}", 8000 + number)
+            .parse()
+            .expect("an address"),
         zone: "z".into(),
         region: "r".into(),
         capacity: SLOTS,
