--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -1,6 +1,8 @@
-//! `ironmast-testbed stage` and `demo`: a stage scenario played with real proxies, a table a second, one verdict.
+//! `ironmast-testbed stage` and `demo`: a stage scenario played with real proxies, a table a
+//! second, one verdict.
 //!
-//! What a scenario (`scenarios/stage/`) says and how it is played: `ironmast_fault_injection::scenario`.
+//! What a scenario (`scenarios/stage/`) says and how it is played:
+//! `ironmast_fault_injection::scenario`.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -25,7 +27,9 @@
 fn program(named: Option<PathBuf>) -> Result<PathBuf, String> {
     let path = match named {
         Some(path) => path,
-        None => std::env::current_exe().map_err(|e| e.to_string())?.with_file_name("ironmast"),
+        None => std::env::current_exe()
+            .map_err(|e| e.to_string())?
+            .with_file_name("ironmast"),
     };
     if path.is_file() {
         Ok(path)
@@ -37,7 +41,8 @@
     }
 }
 
-/// One line of the live table: the second, what the faults do, and per proxy what its clients saw in that second.
+/// One line of the live table: the second, what the faults do, and per proxy what its clients saw
+/// in that second.
 fn line(second: u64, stage: &Stage, tallies: &[Tally], zones: &[String]) -> String {
     let from = Duration::from_secs(second.saturating_sub(1));
     let to = Duration::from_secs(second);
@@ -46,22 +51,34 @@
         let sent = tally.lock().expect("not poisoned");
         let window = sent.iter().filter(|s| s.at >= from && s.at < to);
         let (mut served, mut other) = (0, 0);
-        window.for_each(|s| if s.outcome == Outcome::Served { served += 1 } else { other += 1 });
+        window.for_each(|s| {
+            if s.outcome == Outcome::Served {
+                served += 1
+            } else {
+                other += 1
+            }
+        });
         text += &format!(" {served:>4} {other:>3}");
     }
     let runs = stage.record.runs();
     for zone in zones {
         let prefix = format!("{zone}-");
-        let n = runs.iter().filter(|r| r.at >= from && r.at < to && r.server.starts_with(&prefix)).count();
+        let n = runs
+            .iter()
+            .filter(|r| r.at >= from && r.at < to && r.server.starts_with(&prefix))
+            .count();
         text += &format!(" {n:>9}");
     }
-    let now: Vec<String> =
-        stage.faults_now(to).iter().map(|f| format!("{:?} {}", f.kind, f.link).to_lowercase()).collect();
+    let now: Vec<String> = stage
+        .faults_now(to)
+        .iter()
+        .map(|f| format!("{:?} {}", f.kind, f.link).to_lowercase())
+        .collect();
     text + &format!("  {}", now.join(", "))
 }
 
-/// Plays a scenario; exit 1 where something ran twice, was served without a run or is not as the scenario expects,
-/// 2 where it could not be played.
+/// Plays a scenario; exit 1 where something ran twice, was served without a run or is not as the
+/// scenario expects, 2 where it could not be played.
 pub fn run(play: Play) -> Result<ExitCode, String> {
     let (text, from) = match &play.scenario {
         Some(path) => (
@@ -74,15 +91,21 @@
     let program = program(play.proxy)?;
     let zones = scenario.zones();
     println!("{}: {}", scenario.name, scenario.about);
-    let proxies: Vec<String> = (0..scenario.proxies).map(|p| format!("  p{p} ok bad")).collect();
+    let proxies: Vec<String> = (0..scenario.proxies)
+        .map(|p| format!("  p{p} ok bad"))
+        .collect();
     let runs: Vec<String> = zones.iter().map(|z| format!(" {z:>9}")).collect();
     println!("time {}{}  faults", proxies.join(""), runs.join(""));
-    let watch =
-        |second, stage: &Stage, tallies: &[Tally]| println!("{}", line(second, stage, tallies, &zones));
+    let watch = |second, stage: &Stage, tallies: &[Tally]| {
+        println!("{}", line(second, stage, tallies, &zones))
+    };
     let played = scenario::play(&scenario, schedule, program, watch).map_err(|e| e.to_string())?;
     let (sent, v) = (played.sent.concat(), &played.verdict);
     let count = |o| sent.iter().filter(|s| s.outcome == o).count();
-    let (p50, p99) = (played.latency.value_at_quantile(0.5), played.latency.value_at_quantile(0.99));
+    let (p50, p99) = (
+        played.latency.value_at_quantile(0.5),
+        played.latency.value_at_quantile(0.99),
+    );
     println!(
         "sent {}, served {}, refused {}, failed {}, broken {}, given up {}; latency of served p50 {:.1} ms, p99 {:.1} ms",
         v.sent,
@@ -117,10 +140,17 @@
     if let Some(folder) = &play.logs {
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         for (n, lines) in played.logs.iter().enumerate() {
-            write(&folder.join(format!("proxy{n}.log")), &(lines.join("\n") + "\n"))?;
+            write(
+                &folder.join(format!("proxy{n}.log")),
+                &(lines.join("\n") + "\n"),
+            )?;
         }
     }
-    Ok(if played.holds() { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    Ok(if played.holds() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    })
 }
 
 fn write(path: &Path, text: &str) -> Result<(), String> {
--- a/crates/testbed/src/statistics.rs
+++ b/crates/testbed/src/statistics.rs
@@ -20,11 +20,17 @@
     let n = values.len() as f64;
     let value = values.iter().sum::<f64>() / n.max(1.0);
     if values.len() < 2 {
-        return Mean { value, half: f64::INFINITY };
+        return Mean {
+            value,
+            half: f64::INFINITY,
+        };
     }
     let variance = values.iter().map(|v| (v - value).powi(2)).sum::<f64>() / (n - 1.0);
     let t = StudentsT::new(0.0, 1.0, n - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975));
-    Mean { value, half: t * (variance / n).sqrt() }
+    Mean {
+        value,
+        half: t * (variance / n).sqrt(),
+    }
 }
 
 /// The mean difference of pairs, `a - b`.
--- a/crates/testbed/src/sweep.rs
+++ b/crates/testbed/src/sweep.rs
@@ -29,38 +29,50 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let expected = || format!("`{text}`: expected PATH=FROM..TO[:STEPS], as in clients.rate=100..900:9");
+        let expected =
+            || format!("`{text}`: expected PATH=FROM..TO[:STEPS], as in clients.rate=100..900:9");
         let (path, range) = text.split_once('=').ok_or_else(expected)?;
         let (range, steps) = match range.split_once(':') {
             Some((range, steps)) => (range, steps.parse().map_err(|_| expected())?),
             None => (range, STEPS),
         };
         let (from, to) = range.split_once("..").ok_or_else(expected)?;
-        let (from, to): (f64, f64) =
-            (from.parse().map_err(|_| expected())?, to.parse().map_err(|_| expected())?);
+        let (from, to): (f64, f64) = (
+            from.parse().map_err(|_| expected())?,
+            to.parse().map_err(|_| expected())?,
+        );
         if path.is_empty() || steps < 2 || !from.is_finite() || !to.is_finite() {
             return Err(expected());
         }
-        Ok(Vary { path: path.into(), from, to, steps })
+        Ok(Vary {
+            path: path.into(),
+            from,
+            to,
+            steps,
+        })
     }
 }
 
 impl Vary {
     fn values(&self) -> Vec<f64> {
-        let step = |i: usize| self.from + (self.to - self.from) * i as f64 / (self.steps - 1) as f64;
+        let step =
+            |i: usize| self.from + (self.to - self.from) * i as f64 / (self.steps - 1) as f64;
         (0..self.steps).map(step).collect()
     }
 
     /// The scenario with the figure set; whole numbers stay whole.
     fn apply(&self, text: &str, value: f64) -> Result<Scenario, String> {
         let set = |written: Option<Value>| {
-            let mut root: toml::Table = text.parse().map_err(|e: toml::de::Error| e.message().to_string())?;
+            let mut root: toml::Table = text
+                .parse()
+                .map_err(|e: toml::de::Error| e.message().to_string())?;
             let (table, key) = place(&mut root, &self.path)
                 .ok_or_else(|| format!("{}: the scenario holds no such figure", self.path))?;
             let whole = Value::Integer(value.round() as i64);
             let shown = matches!(table.get(key), Some(Value::Integer(_)));
             let plain = if shown { whole } else { Value::Float(value) };
-            // A figure that the file leaves to its default may be named too: the reading finds wrong names.
+            // A figure that the file leaves to its default may be named too: the reading finds
+            // wrong names.
             table.insert(key.to_string(), written.unwrap_or(plain));
             let text = toml::to_string(&root).map_err(|e| e.to_string())?;
             Scenario::read(&text).map_err(|e| format!("{} = {value}: {}", self.path, e.problem))
@@ -71,13 +83,18 @@
 }
 
 /// The table that holds the last key of a path, and that key.
-fn place<'a, 'p>(root: &'a mut toml::Table, path: &'p str) -> Option<(&'a mut toml::Table, &'p str)> {
+fn place<'a, 'p>(
+    root: &'a mut toml::Table,
+    path: &'p str,
+) -> Option<(&'a mut toml::Table, &'p str)> {
     let (way, last) = path.rsplit_once('.').unwrap_or(("", path));
     let (mut table, mut way) = (root, way.split('.').filter(|key| !key.is_empty()));
     while let Some(key) = way.next() {
         table = match table.get_mut(key)? {
             Value::Table(table) => table,
-            Value::Array(items) => items.get_mut(way.next()?.parse::<usize>().ok()?)?.as_table_mut()?,
+            Value::Array(items) => items
+                .get_mut(way.next()?.parse::<usize>().ok()?)?
+                .as_table_mut()?,
             _ => return None,
         };
     }
@@ -87,8 +104,12 @@
 /// Figures that are drawn over the varied one.
 const FIGURES: [(&str, &str, Figure); 4] = [
     ("service", "worth served in time, share", |r| r.service),
-    ("worst-window", "service of the worst window, share", |r| r.worst_window),
-    ("p99", "latency of 99 in 100, ms", |r| r.latency_us.p99 as f64 / 1e3),
+    ("worst-window", "service of the worst window, share", |r| {
+        r.worst_window
+    }),
+    ("p99", "latency of 99 in 100, ms", |r| {
+        r.latency_us.p99 as f64 / 1e3
+    }),
     ("load", "cores in use, share", |r| r.servers.mean),
 ];
 
@@ -104,22 +125,36 @@
     let scenarios: Vec<Scenario> = values
         .iter()
         .map(|value| {
-            let mut scenario =
-                vary.apply(&loaded.text, *value).map_err(|e| format!("{}: {e}", loaded.path.display()))?;
+            let mut scenario = vary
+                .apply(&loaded.text, *value)
+                .map_err(|e| format!("{}: {e}", loaded.path.display()))?;
             scenario.name = format!("{} {}={value:.6}", loaded.scenario.name, vary.path);
             Ok(scenario)
         })
         .collect::<Result<_, String>>()?;
     let (notes, stopped) = compare::play_grid(&scenarios, policies, seeds, out)?;
-    let title = format!("{}: {} from {} to {}", loaded.scenario.name, vary.path, vary.from, vary.to);
+    let title = format!(
+        "{}: {} from {} to {}",
+        loaded.scenario.name, vary.path, vary.from, vary.to
+    );
     let section = section(&title, vary, (&scenarios, &values), policies, &notes)?;
-    println!("{title}, {seeds} seeds, service\n{}", compare::plain_table(&section.head, &section.rows));
+    println!(
+        "{title}, {seeds} seeds, service\n{}",
+        compare::plain_table(&section.head, &section.rows)
+    );
     for ((name, ..), svg) in FIGURES.iter().zip(&section.pictures) {
         files::write(&out.join(format!("{name}.svg")), svg)?;
     }
-    files::write(&out.join("report.html"), &pictures::page(&title, &[section]))?;
+    files::write(
+        &out.join("report.html"),
+        &pictures::page(&title, &[section]),
+    )?;
     println!("written: {}", out.join("report.html").display());
-    Ok(if stopped { ExitCode::from(130) } else { ExitCode::SUCCESS })
+    Ok(if stopped {
+        ExitCode::from(130)
+    } else {
+        ExitCode::SUCCESS
+    })
 }
 
 fn section(
@@ -130,27 +165,45 @@
     notes: &[Note],
 ) -> Result<Section, String> {
     let of = |scenario: &Scenario, policy: PolicyName, figure: Figure| {
-        let fits = |n: &&Note| n.report.scenario == scenario.name && n.report.policy == policy.name();
-        mean(&notes.iter().filter(fits).map(|n| figure(&n.report)).collect::<Vec<_>>())
+        let fits =
+            |n: &&Note| n.report.scenario == scenario.name && n.report.policy == policy.name();
+        mean(
+            &notes
+                .iter()
+                .filter(fits)
+                .map(|n| figure(&n.report))
+                .collect::<Vec<_>>(),
+        )
     };
     let mut pictures = Vec::new();
     for (name, axis, figure) in FIGURES {
         let curve = |policy: &PolicyName| {
-            let points = scenarios.iter().zip(values).map(|(s, x)| (*x, of(s, *policy, figure).value));
-            Curve { name: policy.name().into(), points: points.filter(|p| p.1.is_finite()).collect() }
+            let points = scenarios
+                .iter()
+                .zip(values)
+                .map(|(s, x)| (*x, of(s, *policy, figure).value));
+            Curve {
+                name: policy.name().into(),
+                points: points.filter(|p| p.1.is_finite()).collect(),
+            }
         };
         let curves: Vec<Curve> = policies.iter().map(curve).collect();
         let title = format!("{title}: {name}");
         pictures.push(pictures::curves(&title, (&vary.path, axis), &curves, None)?);
     }
     let row = |(scenario, value): (&Scenario, &f64)| {
-        let cells = policies.iter().map(|p| of(scenario, *p, FIGURES[0].2).text());
+        let cells = policies
+            .iter()
+            .map(|p| of(scenario, *p, FIGURES[0].2).text());
         [format!("{value:.4}")].into_iter().chain(cells).collect()
     };
     Ok(Section {
         title: title.to_string(),
         note: "Service, mean and 95 % interval over the seeds.".into(),
-        head: [vary.path.clone()].into_iter().chain(policies.iter().map(|p| p.name().into())).collect(),
+        head: [vary.path.clone()]
+            .into_iter()
+            .chain(policies.iter().map(|p| p.name().into()))
+            .collect(),
         rows: scenarios.iter().zip(values).map(row).collect(),
         pictures,
     })
--- a/crates/testbed/tests/commands.rs
+++ b/crates/testbed/tests/commands.rs
@@ -4,7 +4,10 @@
 use std::process::{Command, Output};
 
 fn lab(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_ironmast-testbed")).args(args).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_ironmast-testbed"))
+        .args(args)
+        .output()
+        .expect("it runs")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -12,7 +15,9 @@
 }
 
 fn scenario(name: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios").join(format!("{name}.toml"));
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../../scenarios")
+        .join(format!("{name}.toml"));
     path.to_string_lossy().into_owned()
 }
 
@@ -28,14 +33,25 @@
 
 #[test]
 fn all_shipped_scenarios_are_sound() {
-    let files =
-        std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios")).expect("there");
-    let files: Vec<PathBuf> = files.flatten().map(|f| f.path()).filter(|p| p.is_file()).collect();
+    let files = std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios"))
+        .expect("there");
+    let files: Vec<PathBuf> = files
+        .flatten()
+        .map(|f| f.path())
+        .filter(|p| p.is_file())
+        .collect();
     assert!(files.len() >= 10);
     for file in files {
         let out = lab(&["check", &file.to_string_lossy()]);
-        let name = file.file_stem().expect("a name").to_string_lossy().into_owned();
-        assert!(out.status.success() && text(&out.stdout).starts_with(&format!("sound: {name} ")), "{out:?}");
+        let name = file
+            .file_stem()
+            .expect("a name")
+            .to_string_lossy()
+            .into_owned();
+        assert!(
+            out.status.success() && text(&out.stdout).starts_with(&format!("sound: {name} ")),
+            "{out:?}"
+        );
     }
 }
 
@@ -70,7 +86,10 @@
     }
     let q = &a["requests"];
     let count = |key: &str| q[key].as_u64().expect("a count");
-    assert_eq!(count("asked"), count("served") + count("late") + count("refused") + count("failed"));
+    assert_eq!(
+        count("asked"),
+        count("served") + count("late") + count("refused") + count("failed")
+    );
     assert!(count("asked") > 1_000 && a["rules_broken"].as_array().is_some_and(Vec::is_empty));
 }
 
@@ -80,20 +99,52 @@
     let file = short(folder.path(), "rolling-deploy", 12.0);
     let out = folder.path().join("out");
     let to = out.to_string_lossy();
-    let done = lab(&["compare", &file, "--policies", "module,random", "--seeds", "2", "--out", &to]);
+    let done = lab(&[
+        "compare",
+        &file,
+        "--policies",
+        "module,random",
+        "--seeds",
+        "2",
+        "--out",
+        &to,
+    ]);
     assert_eq!(done.status.code(), Some(0), "{}", text(&done.stderr));
-    assert!(text(&done.stdout).contains("service against module"), "{}", text(&done.stdout));
+    assert!(
+        text(&done.stdout).contains("service against module"),
+        "{}",
+        text(&done.stdout)
+    );
     let csv = std::fs::read_to_string(out.join("runs.csv")).expect("written");
     assert_eq!(csv.lines().count(), 5, "a head and four runs");
     let columns = csv.lines().next().expect("a head").split(',').count();
-    assert!(csv.lines().all(|l| l.split(',').count() == columns), "{csv}");
+    assert!(
+        csv.lines().all(|l| l.split(',').count() == columns),
+        "{csv}"
+    );
     let page = std::fs::read_to_string(out.join("report.html")).expect("written");
     assert_eq!(page.matches("<svg").count(), 5);
-    assert!(!page.contains("src=") && !page.contains("href="), "it needs no other file");
-    let vary = ["--vary", "clients.rate=100..400:3", "--policies", "module", "--seeds", "2"];
+    assert!(
+        !page.contains("src=") && !page.contains("href="),
+        "it needs no other file"
+    );
+    let vary = [
+        "--vary",
+        "clients.rate=100..400:3",
+        "--policies",
+        "module",
+        "--seeds",
+        "2",
+    ];
     let done = lab(&[&["sweep", file.as_str()], &vary[..], &["--out", &to]].concat());
     assert_eq!(done.status.code(), Some(0), "{}", text(&done.stderr));
-    assert_eq!(std::fs::read_to_string(out.join("runs.csv")).expect("written").lines().count(), 7);
+    assert_eq!(
+        std::fs::read_to_string(out.join("runs.csv"))
+            .expect("written")
+            .lines()
+            .count(),
+        7
+    );
     assert!(out.join("service.svg").exists() && out.join("p99.svg").exists());
 }
 
@@ -107,24 +158,56 @@
     let blocked = folder.path().join("file");
     std::fs::write(&blocked, "").expect("written");
     let inside = blocked.join("out").to_string_lossy().into_owned();
-    let line = sound.lines().position(|l| l.starts_with("rate")).expect("there") + 1;
+    let line = sound
+        .lines()
+        .position(|l| l.starts_with("rate"))
+        .expect("there")
+        + 1;
     for (args, told) in [
-        (vec!["check", &*bad], format!("line {line}: clients.rate is -1, expected")),
-        (vec!["check", "nowhere.toml"], "nowhere.toml: No such file".into()),
+        (
+            vec!["check", &*bad],
+            format!("line {line}: clients.rate is -1, expected"),
+        ),
+        (
+            vec!["check", "nowhere.toml"],
+            "nowhere.toml: No such file".into(),
+        ),
         // A run of these would take minutes: they are refused at once.
-        (vec!["compare", &large, "--out", &inside], "Not a directory".into()),
-        (vec!["emulate", &large, "--json", &inside], "Not a directory".into()),
-        (vec!["hunt", "--seeds", "0..1000000", "--out", &inside], "Not a directory".into()),
         (
-            vec!["sweep", &large, "--vary", "clients.speed=1..2", "--out", &inside],
+            vec!["compare", &large, "--out", &inside],
+            "Not a directory".into(),
+        ),
+        (
+            vec!["emulate", &large, "--json", &inside],
+            "Not a directory".into(),
+        ),
+        (
+            vec!["hunt", "--seeds", "0..1000000", "--out", &inside],
+            "Not a directory".into(),
+        ),
+        (
+            vec![
+                "sweep",
+                &large,
+                "--vary",
+                "clients.speed=1..2",
+                "--out",
+                &inside,
+            ],
             "unknown field `speed`".into(),
         ),
-        (vec!["compare", &quiet, &quiet, "--out", &inside], "two scenarios are called `quiet`".into()),
+        (
+            vec!["compare", &quiet, &quiet, "--out", &inside],
+            "two scenarios are called `quiet`".into(),
+        ),
     ] {
         let out = lab(&args);
         let said = text(&out.stderr);
         assert_eq!(out.status.code(), Some(2), "{args:?}: {said}");
-        assert!(said.lines().count() == 1 && said.contains(&told), "{args:?}: {said}");
+        assert!(
+            said.lines().count() == 1 && said.contains(&told),
+            "{args:?}: {said}"
+        );
     }
 }
 
@@ -134,11 +217,22 @@
     let folder = tempfile::tempdir().expect("a folder");
     let to = folder.path().to_string_lossy();
     let out = lab(&["hunt", "--seeds", "0..60", "--gap", "1", "--out", &to]);
-    assert_eq!(out.status.code(), Some(0), "{}{}", text(&out.stdout), text(&out.stderr));
-    assert!(text(&out.stdout).contains("60 of 60 seeds played"), "{}", text(&out.stdout));
+    assert_eq!(
+        out.status.code(),
+        Some(0),
+        "{}{}",
+        text(&out.stdout),
+        text(&out.stderr)
+    );
+    assert!(
+        text(&out.stdout).contains("60 of 60 seeds played"),
+        "{}",
+        text(&out.stdout)
+    );
 }
 
-/// A stand-in for the operators' bench: notes its call and prints a report that breaks a rule with seed 2.
+/// A stand-in for the operators' bench: notes its call and prints a report that breaks a rule with
+/// seed 2.
 #[cfg(unix)]
 fn stand_in_bench(folder: &Path) -> String {
     use std::os::unix::fs::PermissionsExt;
@@ -163,8 +257,21 @@
     let bench = stand_in_bench(folder.path());
     let out = folder.path().join("out").to_string_lossy().into_owned();
     let play = |seeds: &str| {
-        let given = ["--bench", &bench, "--site", "small.toml", "--seeds", seeds, "--jobs", "2"];
-        lab(&[&["days", "cut.toml", "--why", "a test", "--out", &out], &given[..]].concat())
+        let given = [
+            "--bench",
+            &bench,
+            "--site",
+            "small.toml",
+            "--seeds",
+            seeds,
+            "--jobs",
+            "2",
+        ];
+        lab(&[
+            &["days", "cut.toml", "--why", "a test", "--out", &out],
+            &given[..],
+        ]
+        .concat())
     };
     let calls = || {
         std::fs::read_to_string(folder.path().join("calls"))
@@ -176,11 +283,17 @@
 
     let sound = play("1");
     assert_eq!(sound.status.code(), Some(0), "{}", text(&sound.stderr));
-    assert_eq!(calls(), ["run small.toml cut.toml --jobs 1 --seed 1 --why a test"]);
+    assert_eq!(
+        calls(),
+        ["run small.toml cut.toml --jobs 1 --seed 1 --why a test"]
+    );
 
     let broken = play("3");
     assert_eq!(broken.status.code(), Some(1), "{}", text(&broken.stderr));
-    assert!(text(&broken.stdout).starts_with("cut on small, seed 2: worth 0.800, CONFIG 3\n"), "{broken:?}");
+    assert!(
+        text(&broken.stdout).starts_with("cut on small, seed 2: worth 0.800, CONFIG 3\n"),
+        "{broken:?}"
+    );
     assert_eq!(calls().len(), 3, "what is kept is not played again");
 
     play("3");
@@ -193,7 +306,10 @@
     let folder = tempfile::tempdir().expect("a folder");
     let bench = stand_in_bench(folder.path());
     let out = folder.path().join("out").to_string_lossy().into_owned();
-    let full = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("a device");
+    let full = std::fs::OpenOptions::new()
+        .write(true)
+        .open("/dev/full")
+        .expect("a device");
     let mut command = Command::new(env!("CARGO_BIN_EXE_ironmast-testbed"));
     command.args([
         "days",
@@ -207,7 +323,11 @@
         "--site",
         "small.toml",
     ]);
-    let played = command.args(["--first-seed", "3", "--seeds", "4"]).stderr(full).output().expect("it runs");
+    let played = command
+        .args(["--first-seed", "3", "--seeds", "4"])
+        .stderr(full)
+        .output()
+        .expect("it runs");
     assert_eq!(played.status.code(), Some(0), "{played:?}");
     assert!(
         text(&played.stdout).ends_with("cut  small      4       0      0          0       0.800\n"),
--- a/crates/transport/src/attempt.rs
+++ b/crates/transport/src/attempt.rs
@@ -1,5 +1,5 @@
-//! What is known of one attempt at a server: how much of the request has been written, whether it may still
-//! begin, and what has come of the answer.
+//! What is known of one attempt at a server: how much of the request has been written, whether it
+//! may still begin, and what has come of the answer.
 
 use std::cell::Cell;
 use std::fmt;
@@ -12,8 +12,8 @@
 use crate::clock::{Clock, Micros};
 use crate::sockets::StreamObserver;
 
-/// An answer that has begun and is held until it is whole goes on within this: guards against lengths longer
-/// than what comes.
+/// An answer that has begun and is held until it is whole goes on within this: guards against
+/// lengths longer than what comes.
 pub const REST: Duration = Duration::from_millis(100);
 
 tokio::task_local! {
@@ -36,8 +36,8 @@
 pub struct ExpectedHeader {
     /// Its name.
     pub name: &'static str,
-    /// Its value, byte for byte; none where the request had no such header: then an answer that names one belongs to
-    /// another request.
+    /// Its value, byte for byte; none where the request had no such header: then an answer that
+    /// names one belongs to another request.
     pub value: Option<Vec<u8>>,
 }
 
@@ -53,8 +53,8 @@
     pub admission: Option<Admission>,
     /// From when on its first byte is not written any more.
     pub begin_by: Option<(Clock, Micros)>,
-    /// With [`Delivery::PassThrough`]: answers that do not repeat this header belong to other requests and are
-    /// skipped.
+    /// With [`Delivery::PassThrough`]: answers that do not repeat this header belong to other
+    /// requests and are skipped.
     pub expected: Option<ExpectedHeader>,
     /// The method is `HEAD`: the answer has no body, whatever its headers say.
     pub without_body: bool,
@@ -76,7 +76,10 @@
 impl AttemptState {
     /// An attempt that has not begun.
     pub fn new(options: AttemptOptions) -> Rc<Self> {
-        Rc::new(AttemptState { options, ..AttemptState::default() })
+        Rc::new(AttemptState {
+            options,
+            ..AttemptState::default()
+        })
     }
 
     /// Runs the attempt: connections that are written to within `call` report here.
@@ -99,7 +102,8 @@
         self.flows.get()
     }
 
-    /// Whether the answer ends with its connection: whole by an orderly close, broken off by a reset.
+    /// Whether the answer ends with its connection: whole by an orderly close, broken off by a
+    /// reset.
     pub fn ends_with_connection(&self) -> bool {
         self.to_end.get()
     }
@@ -111,10 +115,15 @@
 
     /// Whether it has not begun by the moment from which on it must not.
     pub fn too_late(&self) -> bool {
-        self.written.get() == 0 && self.options.begin_by.is_some_and(|(clock, by)| clock.now() >= by)
+        self.written.get() == 0
+            && self
+                .options
+                .begin_by
+                .is_some_and(|(clock, by)| clock.now() >= by)
     }
 
-    /// Returns if the attempt has not begun by the moment from which on it must not: its client is told at once.
+    /// Returns if the attempt has not begun by the moment from which on it must not: its client is
+    /// told at once.
     pub async fn not_begun(&self) {
         if let Some((clock, by)) = self.options.begin_by {
             tokio::time::sleep_until(clock.at(by).into()).await;
@@ -125,10 +134,14 @@
         std::future::pending().await
     }
 
-    /// Returns once an answer that had begun has stopped short; until then, and once it flows, never.
+    /// Returns once an answer that had begun has stopped short; until then, and once it flows,
+    /// never.
     pub async fn fallen_silent(&self) {
         self.progress.notified().await;
-        while tokio::time::timeout(REST, self.progress.notified()).await.is_ok() {}
+        while tokio::time::timeout(REST, self.progress.notified())
+            .await
+            .is_ok()
+        {}
         if self.flows.get() {
             std::future::pending().await
         }
@@ -166,7 +179,12 @@
             return None;
         }
         // Guards drains: one was heard between the decision and this first byte.
-        if self.options.admission.as_ref().is_some_and(|admits| !admits()) {
+        if self
+            .options
+            .admission
+            .as_ref()
+            .is_some_and(|admits| !admits())
+        {
             return Some("it takes nothing new");
         }
         // Guards windows: a connection that comes up late would carry a repeat past its own.
@@ -176,12 +194,14 @@
 
 impl fmt::Debug for AttemptState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("AttemptState").field("written", &self.written).finish_non_exhaustive()
+        f.debug_struct("AttemptState")
+            .field("written", &self.written)
+            .finish_non_exhaustive()
     }
 }
 
-/// Tells the attempt at hand of its writes. A connection serves one attempt after another, and each is polled
-/// in a task of its own, so the task knows whose bytes these are.
+/// Tells the attempt at hand of its writes. A connection serves one attempt after another, and each
+/// is polled in a task of its own, so the task knows whose bytes these are.
 #[derive(Debug)]
 pub struct AttemptObserver;
 
--- a/crates/transport/src/bodies.rs
+++ b/crates/transport/src/bodies.rs
@@ -1,5 +1,5 @@
-//! Bodies that are too long to be held: how they flow, what is held of all of them, and how long a client may
-//! take over one.
+//! Bodies that are too long to be held: how they flow, what is held of all of them, and how long a
+//! client may take over one.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -25,14 +25,15 @@
 /// Of the memory a proxy may have, the part that bodies may hold: one in so many.
 const PART: usize = 3;
 
-/// A client sends at least so many bytes of a body a second (64,000 are agreed), after a start of so long.
+/// A client sends at least so many bytes of a body a second (64,000 are agreed), after a start of
+/// so long.
 const PACE: u64 = 60_000;
 const START: Micros = 500_000;
 /// A server that sends nothing more of an answer for this long has broken off.
 const BROKEN_OFF: Duration = Duration::from_secs(5);
 
-/// Bytes that bodies which flow may hold, over all connections. The one owner of that sum. Bodies that are held
-/// whole are not counted: the number of connections bounds them.
+/// Bytes that bodies which flow may hold, over all connections. The one owner of that sum. Bodies
+/// that are held whole are not counted: the number of connections bounds them.
 #[derive(Clone)]
 pub struct Held {
     most: usize,
@@ -44,7 +45,11 @@
     /// What a proxy with so many MB may hold.
     pub fn new(memory_mb: usize) -> Self {
         let most = ((memory_mb << 20) / PART).max(WINDOW);
-        Held { most, now: Rc::default(), returned: Rc::default() }
+        Held {
+            most,
+            now: Rc::default(),
+            returned: Rc::default(),
+        }
     }
 
     /// Waits until there is room for the window of one more body that flows, and counts it.
@@ -69,7 +74,8 @@
     }
 }
 
-/// How long a client may still take over a request's body, told what comes and when it is waited for.
+/// How long a client may still take over a request's body, told what comes and when it is waited
+/// for.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     /// Whatever the pace, it has until then: a short request may be written slowly.
@@ -80,10 +86,15 @@
 }
 
 impl Pace {
-    /// For a request whose first byte came at `begun` and whose head is whole; it has `patience` whatever its
-    /// pace.
+    /// For a request whose first byte came at `begun` and whose head is whole; it has `patience`
+    /// whatever its pace.
     pub fn new(begun: Micros, patience: Micros) -> Self {
-        Pace { first: begun + patience, received: 0, waited: 0, since: None }
+        Pace {
+            first: begun + patience,
+            received: 0,
+            waited: 0,
+            since: None,
+        }
     }
 
     /// More is waited for at `now`.
@@ -93,14 +104,18 @@
 
     /// So many bytes came, or the end.
     pub fn came(&mut self, now: Micros, bytes: usize) {
-        self.waited += self.since.take().map_or(0, |since| now.saturating_sub(since));
+        self.waited += self
+            .since
+            .take()
+            .map_or(0, |since| now.saturating_sub(since));
         self.received += bytes as u64;
     }
 
     /// When it is too late for more; never while nothing is waited for.
     pub fn late_at(&self) -> Option<Micros> {
         let may_take = START + self.received.saturating_mul(1_000_000) / PACE;
-        self.since.map(|since| self.first.max(since + may_take.saturating_sub(self.waited)))
+        self.since
+            .map(|since| self.first.max(since + may_take.saturating_sub(self.waited)))
     }
 }
 
@@ -125,7 +140,11 @@
     type Item = Result<Bytes, io::Error>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        let (polled, now, mut pace) = (self.parts.as_mut().poll_next(cx), self.clock.now(), self.pace.get());
+        let (polled, now, mut pace) = (
+            self.parts.as_mut().poll_next(cx),
+            self.clock.now(),
+            self.pace.get(),
+        );
         match &polled {
             Poll::Pending => pace.waits(now),
             Poll::Ready(Some(Ok(part))) => pace.came(now, part.len()),
@@ -176,7 +195,18 @@
         let come = Cell::new(first.len() as u64);
         let (first, rest) = (RefCell::new(first), RefCell::new(rest));
         let whole = RefCell::new(Some(Box::new(whole) as Box<dyn FnOnce()>));
-        Inflow { length, first, rest, come, drawn, ended, broken, broke, whole, _hold: hold }
+        Inflow {
+            length,
+            first,
+            rest,
+            come,
+            drawn,
+            ended,
+            broken,
+            broke,
+            whole,
+            _hold: hold,
+        }
     }
 
     /// Whether it is still held whole, so that another attempt may have it.
@@ -263,13 +293,21 @@
 impl Outflow {
     /// What comes of an answer that has begun.
     pub fn new(length: Option<u64>, parts: Parts, hold: Hold) -> Self {
-        Outflow { length, parts, silence: Box::pin(sleep(BROKEN_OFF)), waits: false, _hold: hold }
+        Outflow {
+            length,
+            parts,
+            silence: Box::pin(sleep(BROKEN_OFF)),
+            waits: false,
+            _hold: hold,
+        }
     }
 }
 
 impl fmt::Debug for Outflow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Outflow").field("length", &self.length).finish_non_exhaustive()
+        f.debug_struct("Outflow")
+            .field("length", &self.length)
+            .finish_non_exhaustive()
     }
 }
 
@@ -287,7 +325,10 @@
             self.silence.as_mut().reset(until);
         }
         ready!(self.silence.as_mut().poll(cx));
-        Poll::Ready(Some(Err(io::Error::new(io::ErrorKind::TimedOut, "the server fell silent"))))
+        Poll::Ready(Some(Err(io::Error::new(
+            io::ErrorKind::TimedOut,
+            "the server fell silent",
+        ))))
     }
 }
 
--- a/crates/transport/src/bodies/tests.rs
+++ b/crates/transport/src/bodies/tests.rs
@@ -12,18 +12,26 @@
     let mut now = 2_000_000;
     for _ in 0..2_000 {
         pace.waits(now);
-        assert!(pace.late_at().expect("waited for") > now + 100_000, "at {now}");
+        assert!(
+            pace.late_at().expect("waited for") > now + 100_000,
+            "at {now}"
+        );
         now += 100_000;
         pace.came(now, 6_400);
     }
 }
 
 #[test]
-fn a_client_that_stops_half_way_is_late_within_three_seconds_and_never_while_it_is_not_waited_for() {
+fn a_client_that_stops_half_way_is_late_within_three_seconds_and_never_while_it_is_not_waited_for()
+{
     for received in [0, 100, 32 * 1024, HELD_MOST] {
         let mut pace = Pace::new(0, PATIENCE);
         pace.came(10_000, received);
-        assert_eq!(pace.late_at(), None, "a slow pay server holds it up, not the client");
+        assert_eq!(
+            pace.late_at(),
+            None,
+            "a slow pay server holds it up, not the client"
+        );
         pace.waits(10_000);
         let late = pace.late_at().expect("waited for");
         assert!((PATIENCE..2_800_000).contains(&late), "{received}: {late}");
--- a/crates/transport/src/checked.rs
+++ b/crates/transport/src/checked.rs
@@ -1,7 +1,7 @@
-//! Checks on a server's answers before awc sees them. A stream lets through the answer to the request at hand and
-//! no other byte. Depending on the attempt it holds back what arrives until one whole, well-framed answer is
-//! there (an answer too long to be held is let through as it arrives), or lets all of it through as it arrives,
-//! checked on the way.
+//! Checks on a server's answers before awc sees them. A stream lets through the answer to the
+//! request at hand and no other byte. Depending on the attempt it holds back what arrives until one
+//! whole, well-framed answer is there (an answer too long to be held is let through as it arrives),
+//! or lets all of it through as it arrives, checked on the way.
 
 use std::io;
 use std::ops::Range;
@@ -19,8 +19,8 @@
 
 /// Read at a time.
 const PART: usize = 16 * 1024;
-/// A server that turns a request of more than this many bytes away may not have read all of it: what is left of the
-/// request still stands on the connection.
+/// A server that turns a request of more than this many bytes away may not have read all of it:
+/// what is left of the request still stands on the connection.
 const SURELY_READ: usize = 16 * 1024;
 /// The lowest status of an answer that turns a request away.
 const TURNED_AWAY: u16 = 400;
@@ -43,7 +43,8 @@
 /// A connection to a server that lets through the answers to what was asked.
 #[derive(Debug)]
 pub struct CheckedStream {
-    /// None once the connection must not be used again: it is closed at once, whoever holds this stream.
+    /// None once the connection must not be used again: it is closed at once, whoever holds this
+    /// stream.
     stream: Option<ObservedStream<AttemptObserver>>,
     /// Whose answer is waited for, where an attempt is at hand.
     attempt: Option<Rc<AttemptState>>,
@@ -54,7 +55,8 @@
     stage: Stage,
     /// When the answer at hand began.
     began: Option<Instant>,
-    /// More came than belongs to the answer, or the answer ends with it: the connection is not used again.
+    /// More came than belongs to the answer, or the answer ends with it: the connection is not used
+    /// again.
     spent: bool,
     /// How long the server keeps it after the answer at hand, where it says so.
     keep_alive: Option<Duration>,
@@ -62,7 +64,8 @@
     reuse_until: Option<Instant>,
     /// The answer came before the request was written: the rest of that is dropped.
     answered_early: bool,
-    /// A write failed, which uses up the system's note of a reset: an end that is read then may be no orderly one.
+    /// A write failed, which uses up the system's note of a reset: an end that is read then may be
+    /// no orderly one.
     write_failed: bool,
 }
 
@@ -91,8 +94,9 @@
         (self.keep_alive, self.reuse_until) = (None, None);
     }
 
-    /// While a request can't be written further: looks for its answer, as a server that rejects one need not read it.
-    /// `Ready` once it has come, or can't come any more. Nothing more is written then.
+    /// While a request can't be written further: looks for its answer, as a server that rejects one
+    /// need not read it. `Ready` once it has come, or can't come any more. Nothing more is written
+    /// then.
     fn poll_early(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if !matches!(self.stage, Stage::Head | Stage::Surplus(_)) || !self.passes_through() {
             return Poll::Pending;
@@ -123,7 +127,9 @@
     }
 
     fn passes_through(&self) -> bool {
-        self.attempt.as_ref().is_some_and(|attempt| attempt.options().delivery == Delivery::PassThrough)
+        self.attempt
+            .as_ref()
+            .is_some_and(|attempt| attempt.options().delivery == Delivery::PassThrough)
     }
 
     /// Reads what the server sent; nothing once the connection is closed.
@@ -165,13 +171,16 @@
         io::Error::new(io::ErrorKind::InvalidData, why)
     }
 
-    /// Whether an answer that does not tell its length has been coming for so long that it counts as a long one:
-    /// of those the first bytes are waited for. One that has stopped short never gets here.
+    /// Whether an answer that does not tell its length has been coming for so long that it counts
+    /// as a long one: of those the first bytes are waited for. One that has stopped short never
+    /// gets here.
     fn lasts(&self, follower: &Follower) -> bool {
-        !matches!(follower.framing, Framing::Sized(_)) && self.began.is_some_and(|at| at.elapsed() >= REST)
+        !matches!(follower.framing, Framing::Sized(_))
+            && self.began.is_some_and(|at| at.elapsed() >= REST)
     }
 
-    /// Looks for the head of the answer in what is held, past answers to other requests; how many bytes it has.
+    /// Looks for the head of the answer in what is held, past answers to other requests; how many
+    /// bytes it has.
     fn take_head(&mut self) -> Result<Option<usize>, Spoilt> {
         loop {
             if let Stage::Surplus(follower) = &mut self.stage {
@@ -182,7 +191,12 @@
                 }
                 self.stage = Stage::Head;
             }
-            let Some(Head { at, status, framing }) = head(&self.held, self.body_rules())? else {
+            let Some(Head {
+                at,
+                status,
+                framing,
+            }) = head(&self.held, self.body_rules())?
+            else {
                 return Ok(None);
             };
             if self.is_surplus(&self.held[at.clone()])? {
@@ -199,14 +213,25 @@
     }
 
     fn body_rules(&self) -> BodyRules {
-        let without_body = self.attempt.as_ref().is_some_and(|attempt| attempt.options().without_body);
-        BodyRules { without_body, unannounced_end: self.passes_through() }
+        let without_body = self
+            .attempt
+            .as_ref()
+            .is_some_and(|attempt| attempt.options().without_body);
+        BodyRules {
+            without_body,
+            unannounced_end: self.passes_through(),
+        }
     }
 
     /// Whether a head belongs to an answer to another request.
     fn is_surplus(&self, head: &[u8]) -> Result<bool, Spoilt> {
-        let expected = self.attempt.as_ref().and_then(|attempt| attempt.options().expected.as_ref());
-        let Some(expected) = expected else { return Ok(false) };
+        let expected = self
+            .attempt
+            .as_ref()
+            .and_then(|attempt| attempt.options().expected.as_ref());
+        let Some(expected) = expected else {
+            return Ok(false);
+        };
         match (&header_values(head, expected.name)[..], &expected.value) {
             ([one], Some(value)) => Ok(one != value),
             ([one], None) => Ok(!one.is_empty()),
@@ -227,7 +252,8 @@
             if framing == Framing::ToEnd {
                 attempt.note_ends_with_connection();
             }
-            self.spent |= passes_through && status >= TURNED_AWAY && attempt.written() > SURELY_READ;
+            self.spent |=
+                passes_through && status >= TURNED_AWAY && attempt.written() > SURELY_READ;
         }
         if passes_through {
             self.keep_alive = keep_alive(&self.held[at.clone()]);
@@ -241,14 +267,18 @@
         ended && *framing == Framing::ToEnd && !self.write_failed
     }
 
-    /// Looks at what has come since `from`, and whether the stream has ended; true where something of it may be
-    /// let through.
+    /// Looks at what has come since `from`, and whether the stream has ended; true where something
+    /// of it may be let through.
     fn take(&mut self, mut from: usize, ended: bool) -> Result<bool, Spoilt> {
         if matches!(self.stage, Stage::Head | Stage::Surplus(_)) {
-            let Some(length) = self.take_head()? else { return Ok(false) };
+            let Some(length) = self.take_head()? else {
+                return Ok(false);
+            };
             from = length;
         }
-        let Stage::Held(follower) = &mut self.stage else { return Ok(false) };
+        let Stage::Held(follower) = &mut self.stage else {
+            return Ok(false);
+        };
         let (used, whole) = follower.follow(&self.held[from..])?;
         self.free = 0..from + used;
         let to_end = match &self.stage {
@@ -260,7 +290,9 @@
             return Ok(true);
         }
         let flows = match &self.stage {
-            Stage::Held(follower) => self.passes_through() || follower.long() || self.lasts(follower),
+            Stage::Held(follower) => {
+                self.passes_through() || follower.long() || self.lasts(follower)
+            }
             _ => false,
         };
         if flows {
@@ -276,14 +308,20 @@
     }
 
     /// Reads on in an answer that flows.
-    fn poll_flowing(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_flowing(
+        &mut self,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(self.poll_stream(cx, buf))?;
         if let Some(attempt) = &self.attempt {
             attempt.note_progress();
         }
         let ended = buf.filled().len() == before;
-        let Stage::Flowing(follower) = &mut self.stage else { return Poll::Ready(Ok(())) };
+        let Stage::Flowing(follower) = &mut self.stage else {
+            return Poll::Ready(Ok(()));
+        };
         let followed = follower.follow(&buf.filled()[before..]);
         let to_end = match &self.stage {
             Stage::Flowing(follower) => self.ends_with(ended, &follower.framing),
@@ -305,11 +343,14 @@
 
     /// Whether it must not be used again.
     fn is_over(&self) -> bool {
-        self.spent || self.reuse_until.is_some_and(|until| Instant::now() >= until)
+        self.spent
+            || self
+                .reuse_until
+                .is_some_and(|until| Instant::now() >= until)
     }
 
-    /// Whether the attempt at hand reads on behind its answer: it then sees another end than the framing tells. The
-    /// look at an idle connection is another attempt's.
+    /// Whether the attempt at hand reads on behind its answer: it then sees another end than the
+    /// framing tells. The look at an idle connection is another attempt's.
     fn is_read_past_end(&self) -> bool {
         let reader = AttemptState::current();
         let is_own = |own| reader.as_ref().is_none_or(|reader| Rc::ptr_eq(reader, own));
@@ -338,8 +379,8 @@
         if matches!(self.stage, Stage::Flowing(_)) {
             return self.poll_flowing(cx, buf);
         }
-        // Idle: awc looks here before it uses the connection again. An end, or any byte, makes it let go.
-        // Guards the next request against what is left of this answer.
+        // Idle: awc looks here before it uses the connection again. An end, or any byte, makes it
+        // let go. Guards the next request against what is left of this answer.
         if self.is_over() {
             return Poll::Ready(Ok(()));
         }
@@ -351,11 +392,17 @@
 }
 
 impl AsyncWrite for CheckedStream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         if self.answered_early {
             return Poll::Ready(Ok(buf.len()));
         }
-        let Some(stream) = &mut self.stream else { return Poll::Ready(Err(closed())) };
+        let Some(stream) = &mut self.stream else {
+            return Poll::Ready(Err(closed()));
+        };
         let polled = Pin::new(stream).poll_write(cx, buf);
         if !matches!(polled, Poll::Ready(Ok(_))) {
             self.write_failed |= polled.is_ready();
@@ -389,15 +436,26 @@
 
 /// Why nothing can be written to a connection that must not be used again.
 fn closed() -> io::Error {
-    io::Error::new(io::ErrorKind::NotConnected, "the connection is not used again")
+    io::Error::new(
+        io::ErrorKind::NotConnected,
+        "the connection is not used again",
+    )
 }
 
 impl ActixStream for CheckedStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
-        self.stream.as_ref().map_or(Poll::Ready(Ok(Ready::READABLE)), |stream| stream.poll_read_ready(cx))
+        self.stream
+            .as_ref()
+            .map_or(Poll::Ready(Ok(Ready::READABLE)), |stream| {
+                stream.poll_read_ready(cx)
+            })
     }
 
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
-        self.stream.as_ref().map_or(Poll::Ready(Ok(Ready::WRITABLE)), |stream| stream.poll_write_ready(cx))
+        self.stream
+            .as_ref()
+            .map_or(Poll::Ready(Ok(Ready::WRITABLE)), |stream| {
+                stream.poll_write_ready(cx)
+            })
     }
 }
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -13,9 +13,9 @@
 use crate::attempt::AttemptObserver;
 use crate::sockets::{Budget, ObservedStream};
 
-/// An HTTP client without a will of its own: no time-out, redirect, extra header or cap; a connection must
-/// come up within `connect` and is not used again after `idle`. `wrap` decides what its streams let through.
-/// Its connections are closed when it is dropped.
+/// An HTTP client without a will of its own: no time-out, redirect, extra header or cap; a
+/// connection must come up within `connect` and is not used again after `idle`. `wrap` decides what
+/// its streams let through. Its connections are closed when it is dropped.
 pub fn client<Io: ActixStream + std::fmt::Debug + 'static>(
     budget: Budget,
     connect: Duration,
@@ -29,8 +29,12 @@
             let uri = info.request().clone();
             let address: Option<SocketAddr> = uri.authority().and_then(|a| a.as_str().parse().ok());
             let address = address.ok_or_else(|| refused("not an address"))?;
-            let slot = budget.take().ok_or_else(|| refused("no descriptor is free"))?;
-            let stream = TcpStream::connect(address).await.map_err(ConnectError::Io)?;
+            let slot = budget
+                .take()
+                .ok_or_else(|| refused("no descriptor is free"))?;
+            let stream = TcpStream::connect(address)
+                .await
+                .map_err(ConnectError::Io)?;
             let stream = ObservedStream::new(stream, AttemptObserver, slot);
             Ok::<_, ConnectError>(Connection::new(uri, wrap(stream)))
         }
@@ -42,5 +46,10 @@
         .conn_keep_alive(idle)
         .conn_lifetime(Duration::from_secs(365 * 86_400))
         .limit(0);
-    Client::builder().connector(connector).disable_timeout().disable_redirects().no_default_headers().finish()
+    Client::builder()
+        .connector(connector)
+        .disable_timeout()
+        .disable_redirects()
+        .no_default_headers()
+        .finish()
 }
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,4 +1,5 @@
-//! The one clock: Unix time at the start, moved on by the monotonic clock, so that it never goes back.
+//! The one clock: Unix time at the start, moved on by the monotonic clock, so that it never goes
+//! back.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -15,8 +16,13 @@
 impl Clock {
     /// A clock started now.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
-        Clock { start: Instant::now(), unix }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_micros() as Micros);
+        Clock {
+            start: Instant::now(),
+            unix,
+        }
     }
 
     /// The reading now.
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -11,20 +11,21 @@
 use crate::read_ahead::ReadAhead;
 use crate::sockets::StreamObserver;
 
-/// A new connection is not taken for a silent one before this, and one that is in the middle of a request not
-/// before it has stopped for that long.
+/// A new connection is not taken for a silent one before this, and one that is in the middle of a
+/// request not before it has stopped for that long.
 const FRESH: Micros = 50_000;
 const STOPPED: Micros = 500_000;
 
 /// Bounds on what a client may send, and on how long it may take or stay idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// A request's head must be whole this long after its first byte, its body too unless it keeps the agreed
-    /// pace.
+    /// A request's head must be whole this long after its first byte, its body too unless it keeps
+    /// the agreed pace.
     pub header_timeout: Micros,
     /// A connection without a request is closed after this.
     pub idle_timeout: Micros,
-    /// Names and values of a request's headers and its target hold no more bytes than this, together.
+    /// Names and values of a request's headers and its target hold no more bytes than this,
+    /// together.
     pub max_header_bytes: usize,
     /// A request's body holds no more bytes than this.
     pub max_body_bytes: usize,
@@ -38,7 +39,8 @@
     /// It has been answered before; bytes have come since.
     answered: Cell<bool>,
     begun: Cell<bool>,
-    /// A request of it has come to its last byte and waits: what follows is of no request that is open.
+    /// A request of it has come to its last byte and waits: what follows is of no request that is
+    /// open.
     whole: Cell<bool>,
     /// Some that nobody read has been thrown away.
     spoilt: Cell<bool>,
@@ -49,7 +51,8 @@
     ahead: ReadAhead,
     /// When bytes last came.
     moved: Cell<Micros>,
-    /// When it came, was last written to, or began its next request: its time limits count from then.
+    /// When it came, was last written to, or began its next request: its time limits count from
+    /// then.
     since: Cell<Micros>,
     /// How its client keeps up with the body at hand.
     pace: Rc<Cell<Pace>>,
@@ -86,8 +89,8 @@
         })
     }
 
-    /// A request of it is whole, or as much as will be held: it does not count as idle until the guard is
-    /// dropped.
+    /// A request of it is whole, or as much as will be held: it does not count as idle until the
+    /// guard is dropped.
     pub fn request(self: &Rc<Self>) -> ActiveRequest {
         self.asked.set(true);
         ActiveRequest(Rc::clone(self))
@@ -110,14 +113,19 @@
 
     /// The pace of the body at hand, which begins to count.
     pub(crate) fn begin_body(&self) -> Rc<Cell<Pace>> {
-        self.pace.set(Pace::new(self.since.get(), self.limits().header_timeout));
+        self.pace
+            .set(Pace::new(self.since.get(), self.limits().header_timeout));
         Rc::clone(&self.pace)
     }
 
     /// When it is to be closed; never while it waits for us.
     pub(crate) fn late_at(&self) -> Option<Micros> {
         let limits = self.limits();
-        let patience = if self.begun.get() { limits.header_timeout } else { limits.idle_timeout };
+        let patience = if self.begun.get() {
+            limits.header_timeout
+        } else {
+            limits.idle_timeout
+        };
         let idle = (!self.asked.get()).then(|| self.since.get() + patience);
         self.pace.get().late_at().or(idle)
     }
@@ -169,13 +177,15 @@
         self.answered.get() && !self.asked.get()
     }
 
-    /// A request of it is in hand until the guard is dropped: no more is read ahead than actix-http can hold.
+    /// A request of it is in hand until the guard is dropped: no more is read ahead than actix-http
+    /// can hold.
     pub(crate) fn take_in_hand(self: &Rc<Self>) -> InHand {
         self.ahead.request_started();
         InHand(Rc::clone(self))
     }
 
-    /// All that has come of the body of the request in hand is drawn, and more is waited for, at most `rest` bytes.
+    /// All that has come of the body of the request in hand is drawn, and more is waited for, at
+    /// most `rest` bytes.
     pub(crate) fn note_drawn(&self, rest: usize) {
         self.ahead.body_consumed(rest);
     }
@@ -213,9 +223,9 @@
         self.close.notified().await;
     }
 
-    /// The order in which idle connections are closed, the least first: those that never asked anything before
-    /// those that have been answered, each the oldest first; last those just accepted, whose first bytes are on
-    /// their way, and those slow in the middle of a request.
+    /// The order in which idle connections are closed, the least first: those that never asked
+    /// anything before those that have been answered, each the oldest first; last those just
+    /// accepted, whose first bytes are on their way, and those slow in the middle of a request.
     pub(crate) fn closing_rank(&self, now: Micros) -> (bool, bool, bool, Micros) {
         let fresh = !self.answered.get() && now < self.since.get() + FRESH;
         let moving = self.begun.get() && now < self.moved.get() + STOPPED;
@@ -258,8 +268,8 @@
 pub struct ActiveRequest(Rc<ClientConnection>);
 
 impl ActiveRequest {
-    /// Says whether the request has come to its last byte: what the client sends then and nobody reads is thrown
-    /// away, and the connection is not used again.
+    /// Says whether the request has come to its last byte: what the client sends then and nobody
+    /// reads is thrown away, and the connection is not used again.
     pub fn set_whole(&self, whole: bool) {
         self.0.whole.set(whole);
     }
--- a/crates/transport/src/frames.rs
+++ b/crates/transport/src/frames.rs
@@ -1,9 +1,10 @@
-//! Messages between the processes of the system: `postcard` values in frames, each a length of four bytes (big
-//! endian) and so many bytes, over connections that begin with a [`Hello`] in both directions.
+//! Messages between the processes of the system: `postcard` values in frames, each a length of four
+//! bytes (big endian) and so many bytes, over connections that begin with a [`Hello`] in both
+//! directions.
 //!
-//! [`MessageTransport`] is what a process sees of it. [`TcpTransport`] is the real one; [`MemoryTransport`] runs
-//! without sockets, under a clock and with faults of the caller's choice. `tests/message_transport.rs` is the
-//! contract that both keep.
+//! [`MessageTransport`] is what a process sees of it. [`TcpTransport`] is the real one;
+//! [`MemoryTransport`] runs without sockets, under a clock and with faults of the caller's choice.
+//! `tests/message_transport.rs` is the contract that both keep.
 
 mod codec;
 mod hello;
@@ -37,8 +38,8 @@
     pub max_waiting_events: usize,
     /// A link that is not up, with both greetings, within this has failed.
     pub connect_timeout: Duration,
-    /// A peer that acknowledges nothing for this long is gone. The system probes in whole seconds, so that it may
-    /// take up to two more where nothing is under way.
+    /// A peer that acknowledges nothing for this long is gone. The system probes in whole seconds,
+    /// so that it may take up to two more where nothing is under way.
     pub silence_timeout: Duration,
 }
 
@@ -84,6 +85,8 @@
 pub(crate) fn decode<M: DeserializeOwned>(frame: &[u8]) -> Result<M, FrameError> {
     match postcard::take_from_bytes(frame).map_err(FrameError::Malformed)? {
         (message, []) => Ok(message),
-        _ => Err(FrameError::Malformed(postcard::Error::DeserializeBadEncoding)),
+        _ => Err(FrameError::Malformed(
+            postcard::Error::DeserializeBadEncoding,
+        )),
     }
 }
--- a/crates/transport/src/frames/codec.rs
+++ b/crates/transport/src/frames/codec.rs
@@ -1,7 +1,7 @@
 //! Frames on the wire: a length of four bytes, big endian, and so many bytes.
 //!
-//! tokio-util's `LengthDelimitedCodec` is not used: it takes a connection that ends right behind a length for one that
-//! ends between frames.
+//! tokio-util's `LengthDelimitedCodec` is not used: it takes a connection that ends right behind a
+//! length for one that ends between frames.
 
 use bytes::{Buf as _, BufMut as _, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
@@ -23,7 +23,9 @@
     type Error = LinkCause;
 
     fn decode(&mut self, bytes: &mut BytesMut) -> Result<Option<BytesMut>, LinkCause> {
-        let Some(&length) = bytes.first_chunk::<LENGTH>() else { return Ok(None) };
+        let Some(&length) = bytes.first_chunk::<LENGTH>() else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes(length) as usize;
         // Guards the memory against lengths that are noise.
         if length > self.most {
@@ -49,7 +51,9 @@
     type Error = LinkCause;
 
     fn encode(&mut self, frame: Vec<u8>, bytes: &mut BytesMut) -> Result<(), LinkCause> {
-        let length = u32::try_from(frame.len()).ok().filter(|_| frame.len() <= self.most);
+        let length = u32::try_from(frame.len())
+            .ok()
+            .filter(|_| frame.len() <= self.most);
         let length = length.ok_or(FrameError::TooLong { most: self.most })?;
         bytes.reserve(LENGTH + frame.len());
         bytes.put_u32(length);
--- a/crates/transport/src/frames/hello.rs
+++ b/crates/transport/src/frames/hello.rs
@@ -72,10 +72,16 @@
             _ => return Err(HelloError::NoGreeting),
         };
         if theirs.protocol != self.protocol {
-            return Err(HelloError::Protocol { theirs: theirs.protocol, ours: self.protocol.clone() });
+            return Err(HelloError::Protocol {
+                theirs: theirs.protocol,
+                ours: self.protocol.clone(),
+            });
         }
         if theirs.version != self.version {
-            return Err(HelloError::Version { theirs: theirs.version, ours: self.version });
+            return Err(HelloError::Version {
+                theirs: theirs.version,
+                ours: self.version,
+            });
         }
         Ok(theirs)
     }
--- a/crates/transport/src/frames/hello/tests.rs
+++ b/crates/transport/src/frames/hello/tests.rs
@@ -3,13 +3,21 @@
 use super::*;
 
 fn hello(protocol: &str, version: u32) -> Hello {
-    Hello { protocol: protocol.into(), version, node: "one".into(), incarnation: 7 }
+    Hello {
+        protocol: protocol.into(),
+        version,
+        node: "one".into(),
+        incarnation: 7,
+    }
 }
 
 #[test]
 fn a_greeting_of_the_same_protocol_and_version_is_taken() {
     let frame = hello("core", 3).frame().expect("short");
-    let ours = Hello { node: "two".into(), ..hello("core", 3) };
+    let ours = Hello {
+        node: "two".into(),
+        ..hello("core", 3)
+    };
     assert_eq!(ours.check(&frame), Ok(hello("core", 3)));
 }
 
@@ -17,17 +25,32 @@
 fn any_other_greeting_is_refused_and_says_why() {
     let ours = hello("core", 3);
     let frame = |protocol, version| hello(protocol, version).frame().expect("short");
-    assert_eq!(ours.check(&frame("core", 4)), Err(HelloError::Version { theirs: 4, ours: 3 }));
-    let protocol = HelloError::Protocol { theirs: "agent".into(), ours: "core".into() };
+    assert_eq!(
+        ours.check(&frame("core", 4)),
+        Err(HelloError::Version { theirs: 4, ours: 3 })
+    );
+    let protocol = HelloError::Protocol {
+        theirs: "agent".into(),
+        ours: "core".into(),
+    };
     assert_eq!(ours.check(&frame("agent", 3)), Err(protocol));
     let later = encode(&(MAGIC, VERSION + 1, "anything"), HELLO_MOST).expect("short");
-    assert_eq!(ours.check(&later), Err(HelloError::GreetingVersion { theirs: VERSION + 1 }));
+    assert_eq!(
+        ours.check(&later),
+        Err(HelloError::GreetingVersion {
+            theirs: VERSION + 1
+        })
+    );
     for noise in [&b""[..], b"GET / HTTP/1.1\r\n", b"IRMT", b"IRMT\x01\xff"] {
         assert_eq!(ours.check(noise), Err(HelloError::NoGreeting), "{noise:?}");
     }
     let mut longer = frame("core", 3);
     longer.push(0);
-    assert_eq!(ours.check(&longer), Err(HelloError::NoGreeting), "bytes behind it");
+    assert_eq!(
+        ours.check(&longer),
+        Err(HelloError::NoGreeting),
+        "bytes behind it"
+    );
 }
 
 #[test]
--- a/crates/transport/src/frames/memory.rs
+++ b/crates/transport/src/frames/memory.rs
@@ -1,5 +1,5 @@
-//! Links without sockets, under a clock that moves when it is told to, with faults of the caller's choice. For
-//! tests of whatever speaks over a [`MessageTransport`].
+//! Links without sockets, under a clock that moves when it is told to, with faults of the caller's
+//! choice. For tests of whatever speaks over a [`MessageTransport`].
 
 mod state;
 
@@ -16,8 +16,8 @@
 
 use self::state::{End, Link, Node, State, Waiting};
 use super::{
-    Hello, LinkCause, LinkError, LinkEvent, LinkId, LinkOptions, LinkStep, MessageTransport, SendError, Sent,
-    decode, encode,
+    Hello, LinkCause, LinkError, LinkEvent, LinkId, LinkOptions, LinkStep, MessageTransport,
+    SendError, Sent, decode, encode,
 };
 
 /// Processes and what is between them. Copies are the same network.
@@ -26,12 +26,27 @@
 
 impl MemoryNetwork {
     /// A process that listens at an address, in place of any that did before.
-    pub fn listen<M>(&self, at: SocketAddr, hello: Hello, options: LinkOptions) -> MemoryTransport<M> {
+    pub fn listen<M>(
+        &self,
+        at: SocketAddr,
+        hello: Hello,
+        options: LinkOptions,
+    ) -> MemoryTransport<M> {
         self.crash(at);
         let wake = Rc::new(Notify::new());
-        let node = Node { hello, options, waiting: VecDeque::new(), wake: Rc::clone(&wake) };
+        let node = Node {
+            hello,
+            options,
+            waiting: VecDeque::new(),
+            wake: Rc::clone(&wake),
+        };
         self.0.borrow_mut().nodes.insert(at, node);
-        MemoryTransport { network: self.clone(), at, wake, message: PhantomData }
+        MemoryTransport {
+            network: self.clone(),
+            at,
+            wake,
+            message: PhantomData,
+        }
     }
 
     /// The clock's reading.
@@ -61,7 +76,8 @@
         self.0.borrow_mut().delays.insert((from, to), by);
     }
 
-    /// Nothing arrives from the one process at the other any more. Neither is told; links end by silence.
+    /// Nothing arrives from the one process at the other any more. Neither is told; links end by
+    /// silence.
     pub fn cut(&self, from: SocketAddr, to: SocketAddr) {
         let mut state = self.0.borrow_mut();
         let now = state.now;
@@ -106,13 +122,27 @@
         let mut state = self.network.0.borrow_mut();
         let waiting = state.node(self.at)?.waiting.pop_front()?;
         let event = match waiting {
-            Waiting::Up { link, peer, hello, dialed } => LinkEvent::Up { link, peer, hello, dialed },
+            Waiting::Up {
+                link,
+                peer,
+                hello,
+                dialed,
+            } => LinkEvent::Up {
+                link,
+                peer,
+                hello,
+                dialed,
+            },
             Waiting::Down { link, error } => LinkEvent::Down { link, error },
             Waiting::Frame { link, peer, frame } => match decode(&frame) {
                 Ok(message) => LinkEvent::Message { link, message },
                 Err(error) => {
                     state.forget(self.at, link);
-                    let error = LinkError { step: LinkStep::Read, peer, cause: error.into() };
+                    let error = LinkError {
+                        step: LinkStep::Read,
+                        peer,
+                        cause: error.into(),
+                    };
                     LinkEvent::Down { link, error }
                 }
             },
@@ -134,7 +164,9 @@
         let mut state = self.network.0.borrow_mut();
         state.links_begun += 1;
         let (id, began) = (LinkId(state.links_begun), state.now);
-        let Some((hello, limits)) = state.node(self.at).map(|node| (node.hello.clone(), node.options.queue))
+        let Some((hello, limits)) = state
+            .node(self.at)
+            .map(|node| (node.hello.clone(), node.options.queue))
         else {
             return id;
         };
@@ -155,9 +187,16 @@
     fn send(&mut self, link: LinkId, message: &M) -> Result<Sent, SendError> {
         let mut state = self.network.0.borrow_mut();
         let (at, end) = state.find(self.at, link).ok_or(SendError::NoLink)?;
-        let most = state.node(self.at).ok_or(SendError::NoLink)?.options.max_frame_bytes;
+        let most = state
+            .node(self.at)
+            .ok_or(SendError::NoLink)?
+            .options
+            .max_frame_bytes;
         let frame = encode(message, most)?;
-        let dropped = state.links[at].ends[end].queue.push(frame).map_err(|_| SendError::Full)?;
+        let dropped = state.links[at].ends[end]
+            .queue
+            .push(frame)
+            .map_err(|_| SendError::Full)?;
         state.settle();
         Ok(Sent { dropped })
     }
@@ -183,7 +222,13 @@
     fn drop(&mut self) {
         let mine = |node: &Node| Rc::ptr_eq(&node.wake, &self.wake);
         // Another process may listen there by now.
-        let there = self.network.0.borrow().nodes.get(&self.at).is_some_and(mine);
+        let there = self
+            .network
+            .0
+            .borrow()
+            .nodes
+            .get(&self.at)
+            .is_some_and(mine);
         if there {
             self.network.crash(self.at);
         }
--- a/crates/transport/src/frames/memory/state.rs
+++ b/crates/transport/src/frames/memory/state.rs
@@ -20,15 +20,29 @@
 
 /// What waits to be taken from a transport, before its bytes are read.
 pub(super) enum Waiting {
-    Up { link: LinkId, peer: SocketAddr, hello: Hello, dialed: bool },
-    Frame { link: LinkId, peer: SocketAddr, frame: Vec<u8> },
-    Down { link: LinkId, error: LinkError },
+    Up {
+        link: LinkId,
+        peer: SocketAddr,
+        hello: Hello,
+        dialed: bool,
+    },
+    Frame {
+        link: LinkId,
+        peer: SocketAddr,
+        frame: Vec<u8>,
+    },
+    Down {
+        link: LinkId,
+        error: LinkError,
+    },
 }
 
 impl Waiting {
     fn link(&self) -> LinkId {
         match self {
-            Waiting::Up { link, .. } | Waiting::Frame { link, .. } | Waiting::Down { link, .. } => *link,
+            Waiting::Up { link, .. } | Waiting::Frame { link, .. } | Waiting::Down { link, .. } => {
+                *link
+            }
         }
     }
 }
@@ -89,7 +103,11 @@
 
     /// The earliest moment after now at which something may happen by itself.
     pub(super) fn next_due(&self) -> Option<Duration> {
-        let arrivals = self.links.iter().flat_map(|link| &link.ends).flat_map(|end| end.on_the_way.front());
+        let arrivals = self
+            .links
+            .iter()
+            .flat_map(|link| &link.ends)
+            .flat_map(|end| end.on_the_way.front());
         let arrivals = arrivals.map(|(due, _)| *due);
         let ends = self.links.iter().filter_map(|link| self.gives_up_at(link));
         arrivals.chain(ends).filter(|&due| due > self.now).min()
@@ -98,8 +116,15 @@
     /// When a link ends by silence, if it goes on as it is.
     fn gives_up_at(&self, link: &Link) -> Option<Duration> {
         let [one, other] = [link.ends[0].address, link.ends[1].address];
-        let options = link.ends.iter().find_map(|end| self.nodes.get(&end.address))?.options;
-        let since = [(one, other), (other, one)].iter().filter_map(|way| self.cut.get(way)).min();
+        let options = link
+            .ends
+            .iter()
+            .find_map(|end| self.nodes.get(&end.address))?
+            .options;
+        let since = [(one, other), (other, one)]
+            .iter()
+            .filter_map(|way| self.cut.get(way))
+            .min();
         let silent = since.map(|&since| since.max(link.began) + options.silence_timeout);
         let up = link.ends.iter().all(|end| end.greeted);
         let connect = (!up).then_some(link.began + options.connect_timeout);
@@ -117,7 +142,8 @@
                     moved |= self.deliver(at, from);
                 }
             }
-            self.links.retain(|link| !link.ends.iter().all(|end| end.deaf));
+            self.links
+                .retain(|link| !link.ends.iter().all(|end| end.deaf));
             if !moved {
                 return;
             }
@@ -152,7 +178,13 @@
             return;
         }
         let (id, address, peer) = (link.id, link.ends[end].address, link.ends[1 - end].address);
-        self.tell(address, Waiting::Down { link: id, error: LinkError { step, peer, cause } });
+        self.tell(
+            address,
+            Waiting::Down {
+                link: id,
+                error: LinkError { step, peer, cause },
+            },
+        );
     }
 
     pub(super) fn reset(&mut self, which: impl Fn(&Link) -> bool) {
@@ -166,12 +198,16 @@
                 self.down(at, end, LinkStep::Read, LinkCause::Io(reset));
             }
         }
-        self.links.retain(|link| !link.ends.iter().all(|end| end.deaf));
+        self.links
+            .retain(|link| !link.ends.iter().all(|end| end.deaf));
     }
 
     /// Sends what one end has taken, unless its way is cut: then it waits, within its bounds.
     fn send(&mut self, at: usize, from: usize) -> bool {
-        let way = (self.links[at].ends[from].address, self.links[at].ends[1 - from].address);
+        let way = (
+            self.links[at].ends[from].address,
+            self.links[at].ends[1 - from].address,
+        );
         if self.cut.contains_key(&way) || !self.has_room(way.1) {
             return false;
         }
@@ -191,20 +227,30 @@
 
     /// Whether a process takes what comes: links to one that does not are not read.
     fn has_room(&self, at: SocketAddr) -> bool {
-        self.nodes.get(&at).is_some_and(|node| node.waiting.len() < node.options.max_waiting_events)
+        self.nodes
+            .get(&at)
+            .is_some_and(|node| node.waiting.len() < node.options.max_waiting_events)
     }
 
     /// Delivers what has arrived from one end at the other.
     fn deliver(&mut self, at: usize, from: usize) -> bool {
         let mut moved = false;
-        let way = (self.links[at].ends[from].address, self.links[at].ends[1 - from].address);
+        let way = (
+            self.links[at].ends[from].address,
+            self.links[at].ends[1 - from].address,
+        );
         loop {
             let link = &mut self.links[at];
-            let arrived = link.ends[from].on_the_way.front().is_some_and(|(due, _)| *due <= self.now);
+            let arrived = link.ends[from]
+                .on_the_way
+                .front()
+                .is_some_and(|(due, _)| *due <= self.now);
             if !arrived || self.cut.contains_key(&way) || !self.has_room(way.1) {
                 return moved;
             }
-            let Some((_, packet)) = self.links[at].ends[from].on_the_way.pop_front() else { return moved };
+            let Some((_, packet)) = self.links[at].ends[from].on_the_way.pop_front() else {
+                return moved;
+            };
             self.arrive(at, from, packet);
             moved = true;
         }
@@ -218,14 +264,24 @@
         }
         match packet {
             Packet::Hello(frame) => {
-                let Some(ours) = self.node(address).map(|node| node.hello.clone()) else { return };
+                let Some(ours) = self.node(address).map(|node| node.hello.clone()) else {
+                    return;
+                };
                 if !std::mem::replace(&mut self.links[at].ends[to].knows, true) {
                     self.greet(at, to, &ours);
                 }
                 match ours.check(&frame) {
                     Ok(hello) => {
                         self.links[at].ends[from].greeted = true;
-                        self.tell(address, Waiting::Up { link: id, peer, hello, dialed: to == 0 });
+                        self.tell(
+                            address,
+                            Waiting::Up {
+                                link: id,
+                                peer,
+                                hello,
+                                dialed: to == 0,
+                            },
+                        );
                     }
                     Err(error) => {
                         self.down(at, to, LinkStep::Greet, error.into());
@@ -234,16 +290,29 @@
                 }
             }
             Packet::Frame(frame) => {
-                let most = self.node(address).map_or(0, |node| node.options.max_frame_bytes);
+                let most = self
+                    .node(address)
+                    .map_or(0, |node| node.options.max_frame_bytes);
                 if frame.len() > most {
                     self.down(at, to, LinkStep::Read, FrameError::TooLong { most }.into());
                     return self.close(at, to);
                 }
-                self.tell(address, Waiting::Frame { link: id, peer, frame });
+                self.tell(
+                    address,
+                    Waiting::Frame {
+                        link: id,
+                        peer,
+                        frame,
+                    },
+                );
             }
             Packet::Close => {
                 let greeted = self.links[at].ends[from].greeted;
-                let step = if greeted { LinkStep::Read } else { LinkStep::Greet };
+                let step = if greeted {
+                    LinkStep::Read
+                } else {
+                    LinkStep::Greet
+                };
                 self.down(at, to, step, LinkCause::Closed);
                 self.close(at, to);
             }
@@ -252,7 +321,10 @@
 
     /// Sends a greeting.
     pub(super) fn greet(&mut self, at: usize, from: usize, hello: &Hello) {
-        let way = (self.links[at].ends[from].address, self.links[at].ends[1 - from].address);
+        let way = (
+            self.links[at].ends[from].address,
+            self.links[at].ends[1 - from].address,
+        );
         let arrives = self.now + self.delays.get(&way).copied().unwrap_or_default();
         // One that is too long is no greeting.
         let frame = hello.frame().unwrap_or_default();
@@ -265,10 +337,14 @@
         (end.deaf, end.closing) = (true, true);
     }
 
-    /// Where among the links one is, and which of its ends is at an address, while that hears of it.
+    /// Where among the links one is, and which of its ends is at an address, while that hears of
+    /// it.
     pub(super) fn find(&self, address: SocketAddr, id: LinkId) -> Option<(usize, usize)> {
         let at = self.links.iter().position(|link| link.id == id)?;
-        let end = self.links[at].ends.iter().position(|end| end.address == address && !end.deaf)?;
+        let end = self.links[at]
+            .ends
+            .iter()
+            .position(|end| end.address == address && !end.deaf)?;
         Some((at, end))
     }
 
@@ -287,7 +363,15 @@
     pub(super) fn new(address: SocketAddr, knows: bool, limits: QueueLimits) -> Self {
         let queue = OutgoingQueue::new(limits);
         let on_the_way = VecDeque::new();
-        End { address, knows, greeted: false, deaf: false, on_the_way, queue, closing: false }
+        End {
+            address,
+            knows,
+            greeted: false,
+            deaf: false,
+            on_the_way,
+            queue,
+            closing: false,
+        }
     }
 
     fn put(&mut self, arrives: Duration, packet: Packet) {
--- a/crates/transport/src/frames/message_transport.rs
+++ b/crates/transport/src/frames/message_transport.rs
@@ -31,8 +31,9 @@
         /// The message.
         message: M,
     },
-    /// The link is no more: nothing comes of it any more, and what was sent may have been lost from some message
-    /// on. Told once of every link that this side has not closed, also of one that was never up.
+    /// The link is no more: nothing comes of it any more, and what was sent may have been lost from
+    /// some message on. Told once of every link that this side has not closed, also of one that was
+    /// never up.
     Down {
         /// The link.
         link: LinkId,
--- a/crates/transport/src/frames/queue.rs
+++ b/crates/transport/src/frames/queue.rs
@@ -25,7 +25,11 @@
 
 impl Default for QueueLimits {
     fn default() -> Self {
-        QueueLimits { frames: 4_096, bytes: 32 << 20, overflow: Overflow::RefuseNewest }
+        QueueLimits {
+            frames: 4_096,
+            bytes: 32 << 20,
+            overflow: Overflow::RefuseNewest,
+        }
     }
 }
 
@@ -43,7 +47,11 @@
 
 impl OutgoingQueue {
     pub(super) fn new(limits: QueueLimits) -> Self {
-        OutgoingQueue { limits, frames: VecDeque::new(), bytes: 0 }
+        OutgoingQueue {
+            limits,
+            frames: VecDeque::new(),
+            bytes: 0,
+        }
     }
 
     /// Takes a frame; how many others it displaced.
@@ -53,7 +61,9 @@
             if self.limits.overflow == Overflow::RefuseNewest {
                 return Err(Full);
             }
-            let Some(oldest) = self.frames.pop_front() else { return Err(Full) };
+            let Some(oldest) = self.frames.pop_front() else {
+                return Err(Full);
+            };
             self.bytes -= oldest.len();
             dropped += 1;
         }
--- a/crates/transport/src/frames/queue/tests.rs
+++ b/crates/transport/src/frames/queue/tests.rs
@@ -3,7 +3,11 @@
 use super::*;
 
 fn queue(overflow: Overflow) -> OutgoingQueue {
-    OutgoingQueue::new(QueueLimits { frames: 3, bytes: 10, overflow })
+    OutgoingQueue::new(QueueLimits {
+        frames: 3,
+        bytes: 10,
+        overflow,
+    })
 }
 
 fn drain(queue: &mut OutgoingQueue) -> Vec<Vec<u8>> {
@@ -38,7 +42,10 @@
     for overflow in [Overflow::RefuseNewest, Overflow::DropOldest] {
         let mut queue = queue(overflow);
         assert_eq!(queue.push(vec![0; 50]), Ok(0));
-        assert_eq!(queue.push(vec![1]).is_ok(), overflow == Overflow::DropOldest);
+        assert_eq!(
+            queue.push(vec![1]).is_ok(),
+            overflow == Overflow::DropOldest
+        );
         assert!(queue.pop().is_some());
         assert_eq!((queue.pop(), queue.bytes), (None, 0));
     }
--- a/crates/transport/src/frames/tcp.rs
+++ b/crates/transport/src/frames/tcp.rs
@@ -1,4 +1,5 @@
-//! Links over TCP. Each is one task, which reads and writes; a peer without power is found by the system's probes.
+//! Links over TCP. Each is one task, which reads and writes; a peer without power is found by the
+//! system's probes.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,8 +23,8 @@
 use super::hello::HELLO_MOST;
 use super::queue::OutgoingQueue;
 use super::{
-    Hello, LinkCause, LinkError, LinkEvent, LinkId, LinkOptions, LinkStep, MessageTransport, SendError, Sent,
-    decode, encode,
+    Hello, LinkCause, LinkError, LinkEvent, LinkId, LinkOptions, LinkStep, MessageTransport,
+    SendError, Sent, decode, encode,
 };
 use crate::sockets;
 
@@ -114,10 +115,22 @@
         let listener = sockets::listen(at)?;
         let address = listener.local_addr()?;
         let (sender, reports) = mpsc::channel(options.max_waiting_events.max(1));
-        let context = Arc::new(Context { hello, options, reports: sender, numbers: AtomicU64::new(1) });
+        let context = Arc::new(Context {
+            hello,
+            options,
+            reports: sender,
+            numbers: AtomicU64::new(1),
+        });
         let accepting = tokio::spawn(accept(listener, Arc::clone(&context)));
         let (links, message) = Default::default();
-        Ok(TcpTransport { address, context, reports, links, accepting, message })
+        Ok(TcpTransport {
+            address,
+            context,
+            reports,
+            links,
+            accepting,
+            message,
+        })
     }
 }
 
@@ -145,7 +158,9 @@
     fn send(&mut self, link: LinkId, message: &M) -> Result<Sent, SendError> {
         let shared = self.links.get(&link).ok_or(SendError::NoLink)?;
         let frame = encode(message, self.context.options.max_frame_bytes)?;
-        let dropped = shared.with(|frames, _| frames.push(frame)).map_err(|_| SendError::Full)?;
+        let dropped = shared
+            .with(|frames, _| frames.push(frame))
+            .map_err(|_| SendError::Full)?;
         shared.wake.notify_one();
         Ok(Sent { dropped })
     }
@@ -160,7 +175,9 @@
     async fn next(&mut self) -> LinkEvent<M> {
         loop {
             // The transport itself holds a sender.
-            let Some(report) = self.reports.recv().await else { std::future::pending().await };
+            let Some(report) = self.reports.recv().await else {
+                std::future::pending().await
+            };
             let event = match report {
                 Report::Accepted(link, shared) => {
                     self.links.insert(link, shared);
@@ -169,7 +186,9 @@
                 Report::Event(event) => event,
             };
             let open = match &event {
-                LinkEvent::Up { link, .. } | LinkEvent::Message { link, .. } => self.links.contains_key(link),
+                LinkEvent::Up { link, .. } | LinkEvent::Message { link, .. } => {
+                    self.links.contains_key(link)
+                }
                 LinkEvent::Down { link, .. } => self.links.remove(link).is_some(),
             };
             // This side has closed it in the meantime.
@@ -180,7 +199,10 @@
     }
 }
 
-async fn accept<M: DeserializeOwned + Send + 'static>(listener: TcpListener, context: Arc<Context<M>>) {
+async fn accept<M: DeserializeOwned + Send + 'static>(
+    listener: TcpListener,
+    context: Arc<Context<M>>,
+) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
             // Guards against spinning where descriptors have run out.
@@ -190,7 +212,10 @@
         let (link, shared) = (context.number(), Shared::new(&context.options));
         let context = Arc::clone(&context);
         tokio::spawn(async move {
-            let _ = context.reports.send(Report::Accepted(link, Arc::clone(&shared))).await;
+            let _ = context
+                .reports
+                .send(Report::Accepted(link, Arc::clone(&shared)))
+                .await;
             run(link, peer, stream, false, shared, context).await;
         });
     }
@@ -207,7 +232,11 @@
         Ok(Err(error)) => error.into(),
         Err(_) => LinkCause::TimedOut,
     };
-    let error = LinkError { step: LinkStep::Connect, peer, cause };
+    let error = LinkError {
+        step: LinkStep::Connect,
+        peer,
+        cause,
+    };
     context.report(LinkEvent::Down { link, error }).await;
 }
 
@@ -225,10 +254,17 @@
     let _ = sockets::watch_peer(&stream, context.options.silence_timeout);
     let (reads, writes) = stream.into_split();
     let mut reader = FramedRead::new(reads, FrameCodec { most: HELLO_MOST });
-    let mut writer =
-        FramedWrite::new(writes, FrameCodec { most: context.options.max_frame_bytes.max(HELLO_MOST) });
-    let greeted =
-        timeout(context.options.connect_timeout, greet(&mut reader, &mut writer, &context.hello)).await;
+    let mut writer = FramedWrite::new(
+        writes,
+        FrameCodec {
+            most: context.options.max_frame_bytes.max(HELLO_MOST),
+        },
+    );
+    let greeted = timeout(
+        context.options.connect_timeout,
+        greet(&mut reader, &mut writer, &context.hello),
+    )
+    .await;
     let hello = match greeted.unwrap_or(Err(LinkCause::TimedOut)) {
         Ok(hello) => hello,
         Err(cause) => {
@@ -236,7 +272,14 @@
             return context.report(LinkEvent::Down { link, error }).await;
         }
     };
-    context.report(LinkEvent::Up { link, peer, hello, dialed }).await;
+    context
+        .report(LinkEvent::Up {
+            link,
+            peer,
+            hello,
+            dialed,
+        })
+        .await;
     reader.decoder_mut().most = context.options.max_frame_bytes;
     let error = tokio::select! {
         biased;
@@ -261,7 +304,11 @@
 }
 
 /// Passes messages on until none comes any more; why.
-async fn read<M: DeserializeOwned>(link: LinkId, reader: &mut Reader, context: &Context<M>) -> LinkCause {
+async fn read<M: DeserializeOwned>(
+    link: LinkId,
+    reader: &mut Reader,
+    context: &Context<M>,
+) -> LinkCause {
     loop {
         let frame = match reader.next().await {
             Some(Ok(frame)) => frame,
@@ -283,8 +330,11 @@
     futures_util::SinkExt::<Vec<u8>>::close(writer).await
 }
 
-/// Reads to the end what nobody wants any more. Guards what was written last: the system resets a connection that
-/// is closed with bytes unread.
+/// Reads to the end what nobody wants any more. Guards what was written last: the system resets a
+/// connection that is closed with bytes unread.
 async fn read_out(reader: &mut Reader, most: Duration) {
-    let _ = timeout(most, async { while let Some(Ok(_)) = reader.next().await {} }).await;
+    let _ = timeout(most, async {
+        while let Some(Ok(_)) = reader.next().await {}
+    })
+    .await;
 }
--- a/crates/transport/src/framing.rs
+++ b/crates/transport/src/framing.rs
@@ -1,5 +1,5 @@
-//! The framing of HTTP/1.1 answers (RFC 9112, sections 4 to 7): where an answer's head ends, how its body does,
-//! and which bytes belong to it.
+//! The framing of HTTP/1.1 answers (RFC 9112, sections 4 to 7): where an answer's head ends, how
+//! its body does, and which bytes belong to it.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -48,7 +48,8 @@
 }
 
 impl Follower {
-    /// Takes the next bytes; tells how many of them belong to the answer, and whether it is whole with them.
+    /// Takes the next bytes; tells how many of them belong to the answer, and whether it is whole
+    /// with them.
     pub(crate) fn follow(&mut self, bytes: &[u8]) -> Result<(usize, bool), Spoilt> {
         let most = BODY_MOST as u64 * 2;
         let (used, whole) = match &mut self.framing {
@@ -62,17 +63,26 @@
                 let mut at = 0;
                 let whole = loop {
                     let rest = &bytes[at..];
-                    let Some(&next) = rest.first() else { break false };
+                    let Some(&next) = rest.first() else {
+                        break false;
+                    };
                     match chunks {
                         Chunks::Size(line) => {
-                            let end = rest.iter().position(|&b| b == b'\n').map_or(rest.len(), |end| end + 1);
+                            let end = rest
+                                .iter()
+                                .position(|&b| b == b'\n')
+                                .map_or(rest.len(), |end| end + 1);
                             line.extend_from_slice(&rest[..end]);
                             at += end;
-                            let size =
-                                httparse::parse_chunk_size(line).map_err(|_| "a chunk can't be read")?;
+                            let size = httparse::parse_chunk_size(line)
+                                .map_err(|_| "a chunk can't be read")?;
                             match size {
-                                httparse::Status::Complete((_, 0)) => *chunks = Chunks::Trailer(0, 0),
-                                httparse::Status::Complete((_, size)) => *chunks = Chunks::Data(size),
+                                httparse::Status::Complete((_, 0)) => {
+                                    *chunks = Chunks::Trailer(0, 0)
+                                }
+                                httparse::Status::Complete((_, size)) => {
+                                    *chunks = Chunks::Data(size)
+                                }
                                 httparse::Status::Partial if line.len() > LINES_MOST => {
                                     return Err("a chunk's size does not end");
                                 }
@@ -80,7 +90,8 @@
                             }
                         }
                         Chunks::Data(left) => {
-                            let used = usize::try_from(*left).map_or(rest.len(), |left| left.min(rest.len()));
+                            let used = usize::try_from(*left)
+                                .map_or(rest.len(), |left| left.min(rest.len()));
                             at += used;
                             *left -= used as u64;
                             // Guards against chunks said to be huge: they are not waited for.
@@ -96,7 +107,11 @@
                                 return Err("a chunk does not end");
                             }
                             at += 1;
-                            *chunks = if *come == 0 { Chunks::End(1) } else { Chunks::Size(Vec::new()) };
+                            *chunks = if *come == 0 {
+                                Chunks::End(1)
+                            } else {
+                                Chunks::Size(Vec::new())
+                            };
                         }
                         Chunks::Trailer(line, all) => {
                             at += 1;
@@ -118,7 +133,11 @@
             }
         };
         self.seen += used as u64;
-        if self.seen > most { Err("its body is too long") } else { Ok((used, whole)) }
+        if self.seen > most {
+            Err("its body is too long")
+        } else {
+            Ok((used, whole))
+        }
     }
 
     /// True where it is known by now that the answer is too long to be held.
@@ -144,7 +163,8 @@
 pub(crate) struct BodyRules {
     /// The request was a `HEAD`: there is no body, whatever the head says.
     pub(crate) without_body: bool,
-    /// A body without a length may end with its connection also where the head does not announce the close.
+    /// A body without a length may end with its connection also where the head does not announce
+    /// the close.
     pub(crate) unannounced_end: bool,
 }
 
@@ -167,7 +187,11 @@
             100..=199 => start += head,
             _ => {
                 let framing = framing(&answer, rules)?;
-                return Ok(Some(Head { at: start..start + head, status, framing }));
+                return Ok(Some(Head {
+                    at: start..start + head,
+                    status,
+                    framing,
+                }));
             }
         }
         // Guards the memory against interim heads without end.
@@ -181,11 +205,24 @@
 fn framing(answer: &httparse::Response<'_, '_>, rules: BodyRules) -> Result<Framing, Spoilt> {
     const UNSOUND: Spoilt = "its framing is not sound";
     let values = |name: &'static str| -> Vec<String> {
-        let named = answer.headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
-        named.map(|h| std::str::from_utf8(h.value).unwrap_or("").trim().to_string()).collect()
+        let named = answer
+            .headers
+            .iter()
+            .filter(move |h| h.name.eq_ignore_ascii_case(name));
+        named
+            .map(|h| {
+                std::str::from_utf8(h.value)
+                    .unwrap_or("")
+                    .trim()
+                    .to_string()
+            })
+            .collect()
     };
     // The client library takes such an answer for one without a body.
-    if values("Upgrade").iter().any(|protocol| protocol.eq_ignore_ascii_case("websocket")) {
+    if values("Upgrade")
+        .iter()
+        .any(|protocol| protocol.eq_ignore_ascii_case("websocket"))
+    {
         return Err("it changes the protocol");
     }
     let (lengths, codings) = (values("Content-Length"), values("Transfer-Encoding"));
@@ -193,15 +230,24 @@
         ([one], []) if one.bytes().all(|b| b.is_ascii_digit()) => {
             // Guards against answers said to be huge: they are not waited for.
             let length = one.parse().ok().filter(|&n: &u64| n <= BODY_MOST as u64);
-            length.map(Framing::Sized).ok_or("its length does not fit")?
+            length
+                .map(Framing::Sized)
+                .ok_or("its length does not fit")?
         }
-        // HTTP/1.0 has no transfer codings: whoever reads it by that version takes the chunks for the body.
+        // HTTP/1.0 has no transfer codings: whoever reads it by that version takes the chunks for
+        // the body.
         ([], [_]) if answer.version == Some(0) => return Err(UNSOUND),
-        ([], [one]) if one.eq_ignore_ascii_case("chunked") => Framing::Chunked(Chunks::Size(Vec::new())),
+        ([], [one]) if one.eq_ignore_ascii_case("chunked") => {
+            Framing::Chunked(Chunks::Size(Vec::new()))
+        }
         ([], []) => Framing::ToEnd,
         _ => return Err(UNSOUND),
     };
-    let announced = || values("Connection").iter().any(|v| v.eq_ignore_ascii_case("close"));
+    let announced = || {
+        values("Connection")
+            .iter()
+            .any(|v| v.eq_ignore_ascii_case("close"))
+    };
     match (answer.code, framing) {
         (Some(204), Framing::Chunked(_) | Framing::Sized(1..)) => {
             Err("it has a body where there can be none")
@@ -221,13 +267,21 @@
     if answer.parse(head).is_err() {
         return Vec::new();
     }
-    answer.headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value).collect()
+    answer
+        .headers
+        .iter()
+        .filter(|h| h.name.eq_ignore_ascii_case(name))
+        .map(|h| h.value)
+        .collect()
 }
 
-/// How long the server keeps the connection after the answer, where its head says so: `timeout` of `Keep-Alive`.
+/// How long the server keeps the connection after the answer, where its head says so: `timeout` of
+/// `Keep-Alive`.
 pub(crate) fn keep_alive(head: &[u8]) -> Option<Duration> {
     let value = std::str::from_utf8(header_values(head, "Keep-Alive").first()?).ok()?;
-    let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.parse().ok())?;
+    let seconds = value
+        .split(',')
+        .find_map(|part| part.trim().strip_prefix("timeout=")?.parse().ok())?;
     Some(Duration::from_secs(seconds))
 }
 
--- a/crates/transport/src/framing/tests.rs
+++ b/crates/transport/src/framing/tests.rs
@@ -29,7 +29,8 @@
     Ok(None)
 }
 
-/// An answer is let through without what stands in front of it or right behind it, in whatever pieces.
+/// An answer is let through without what stands in front of it or right behind it, in whatever
+/// pieces.
 #[test]
 fn the_answer_is_found_among_what_does_not_belong_to_it() {
     let early = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
@@ -43,10 +44,18 @@
         "HTTP/1.1 204 No Content\r\n\r\n".to_string(),
     ] {
         for part in 1..answer.len() {
-            assert_eq!(whole(&answer.as_bytes()[..answer.len() - 1], part), Ok(None), "{part} of {answer}");
+            assert_eq!(
+                whole(&answer.as_bytes()[..answer.len() - 1], part),
+                Ok(None),
+                "{part} of {answer}"
+            );
             let bytes = format!("{early}{answer}{answer}");
             let found = early.len()..early.len() + answer.len();
-            assert_eq!(whole(bytes.as_bytes(), part), Ok(Some(found)), "{part} of {answer}");
+            assert_eq!(
+                whole(bytes.as_bytes(), part),
+                Ok(Some(found)),
+                "{part} of {answer}"
+            );
         }
     }
 }
@@ -58,7 +67,11 @@
         head(said.as_bytes(), BodyRules::default()).map(|h| h.map(|h| h.framing)),
         Ok(Some(Framing::ToEnd))
     );
-    assert_eq!(whole(said.as_bytes(), 1), Ok(None), "its end is not among its bytes");
+    assert_eq!(
+        whole(said.as_bytes(), 1),
+        Ok(None),
+        "its end is not among its bytes"
+    );
 }
 
 #[test]
@@ -66,7 +79,10 @@
     let follower = |framing| Follower { framing, seen: 0 };
     assert!(!follower(Framing::Sized(HELD_MOST as u64)).long());
     assert!(follower(Framing::Sized(HELD_MOST as u64 + 1)).long());
-    assert!(follower(Framing::Chunked(Chunks::Data(HELD_MOST as u64 + 1))).long(), "by its first chunk");
+    assert!(
+        follower(Framing::Chunked(Chunks::Data(HELD_MOST as u64 + 1))).long(),
+        "by its first chunk"
+    );
     let mut chunked = follower(Framing::Chunked(Chunks::Size(Vec::new())));
     let part = [b"8000\r\n".to_vec(), vec![b'x'; 0x8000], b"\r\n".to_vec()].concat();
     let long: Vec<bool> = (0..3)
@@ -91,35 +107,65 @@
         (OK, "Content-Length: -1\r\n\r\nhi".into()),
         (OK, "Content-Length: +2\r\n\r\nhi".into()),
         (OK, "Content-Length: 3000000000\r\n\r\nhi".into()),
-        (OK, "Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi".into()),
-        (OK, "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n".into()),
+        (
+            OK,
+            "Content-Length: 2\r\nContent-Length: 2\r\n\r\nhi".into(),
+        ),
+        (
+            OK,
+            "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n".into(),
+        ),
         (OK, chunked("5\r\nabcde\r\nzz\r\n")),
         (OK, chunked("2\r\nhi!\r\n")),
         (OK, chunked("ffffffff\r\nx")),
         (OK, chunked(&"1".repeat(9_000))),
-        (OK, chunked(&format!("0\r\n{}", "X-Pad: p\r\n".repeat(2_000)))),
+        (
+            OK,
+            chunked(&format!("0\r\n{}", "X-Pad: p\r\n".repeat(2_000))),
+        ),
         (OK, "X-Pad: p\r\n".repeat(2_000)),
         ("HTTP/1.0 200 OK\r\n", chunked("2\r\nhi\r\n0\r\n\r\n")),
-        ("HTTP/1.1 204 No Content\r\n", "Content-Length: 2\r\n\r\nhi".into()),
+        (
+            "HTTP/1.1 204 No Content\r\n",
+            "Content-Length: 2\r\n\r\nhi".into(),
+        ),
         ("HTTP/1.1 204 No Content\r\n", chunked("0\r\n\r\n")),
-        ("", "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n".repeat(1_000)),
+        (
+            "",
+            "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n".repeat(1_000),
+        ),
     ] {
         let bytes = format!("{head}{body}");
         let told = whole(bytes.as_bytes(), bytes.len());
-        assert!(told.is_err(), "{:.80}: {told:?}", bytes.escape_debug().to_string());
+        assert!(
+            told.is_err(),
+            "{:.80}: {told:?}",
+            bytes.escape_debug().to_string()
+        );
     }
 }
 
 #[test]
 fn an_answer_without_a_body_ends_with_its_head() {
-    let of_head = BodyRules { without_body: true, ..BodyRules::default() };
+    let of_head = BodyRules {
+        without_body: true,
+        ..BodyRules::default()
+    };
     for (status, framing, rules) in [
         ("200 OK", "Content-Length: 9\r\n", of_head),
         ("200 OK", "Transfer-Encoding: chunked\r\n", of_head),
         ("200 OK", "", of_head),
         ("204 No Content", "", BodyRules::default()),
-        ("204 No Content", "Content-Length: 0\r\n", BodyRules::default()),
-        ("304 Not Modified", "Content-Length: 9\r\n", BodyRules::default()),
+        (
+            "204 No Content",
+            "Content-Length: 0\r\n",
+            BodyRules::default(),
+        ),
+        (
+            "304 Not Modified",
+            "Content-Length: 9\r\n",
+            BodyRules::default(),
+        ),
     ] {
         let bytes = format!("HTTP/1.1 {status}\r\n{framing}\r\n");
         let found = head(bytes.as_bytes(), rules).map(|h| h.map(|h| h.framing));
@@ -132,7 +178,13 @@
 #[test]
 fn an_end_that_is_not_announced_is_taken_only_where_that_is_allowed() {
     let silent = format!("{OK}\r\nhi");
-    let allowed = BodyRules { unannounced_end: true, ..BodyRules::default() };
-    assert_eq!(head(silent.as_bytes(), allowed).map(|h| h.map(|h| h.framing)), Ok(Some(Framing::ToEnd)));
+    let allowed = BodyRules {
+        unannounced_end: true,
+        ..BodyRules::default()
+    };
+    assert_eq!(
+        head(silent.as_bytes(), allowed).map(|h| h.map(|h| h.framing)),
+        Ok(Some(Framing::ToEnd))
+    );
     assert!(head(silent.as_bytes(), BodyRules::default()).is_err());
 }
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -1,5 +1,5 @@
-//! A link between two processes of the system: whole `postcard` messages over TCP, in order, each behind its
-//! length, as [`frames`](crate::frames) writes them. Neither side greets.
+//! A link between two processes of the system: whole `postcard` messages over TCP, in order, each
+//! behind its length, as [`frames`](crate::frames) writes them. Neither side greets.
 
 use std::io;
 use std::marker::PhantomData;
@@ -22,8 +22,9 @@
 /// A connection whose peer acknowledges nothing for this long has failed.
 const SILENCE: Duration = Duration::from_secs(2);
 
-/// A connection that is not up after this is tried anew, beside the earlier tries. The system itself sends a lost first
-/// packet again only after a second, while a peer that gets its power back may listen within a tenth of that.
+/// A connection that is not up after this is tried anew, beside the earlier tries. The system
+/// itself sends a lost first packet again only after a second, while a peer that gets its power
+/// back may listen within a tenth of that.
 const DIAL_AGAIN: Duration = Duration::from_millis(200);
 
 type Frames = Framed<TcpStream, FrameCodec>;
@@ -46,7 +47,10 @@
 ///
 /// # Errors
 /// The step and the peer.
-pub async fn connect<In, Out>(peer: SocketAddr, within: Duration) -> Result<(Receiver<In>, Sender<Out>)> {
+pub async fn connect<In, Out>(
+    peer: SocketAddr,
+    within: Duration,
+) -> Result<(Receiver<In>, Sender<Out>)> {
     let connecting = tokio::time::timeout(within, dial(peer));
     let stream = match connecting.await {
         Ok(stream) => stream.wrap_err_with(|| format!("connecting to {peer}"))?,
@@ -73,12 +77,23 @@
 /// The system's, where the connection has ended.
 pub fn split<In, Out>(stream: TcpStream) -> io::Result<(Receiver<In>, Sender<Out>)> {
     let peer = stream.peer_addr()?;
-    // A peer without power says nothing, not even that it is gone. Without probes a side that only receives would
-    // wait for it for ever.
+    // A peer without power says nothing, not even that it is gone. Without probes a side that only
+    // receives would wait for it for ever.
     sockets::watch_peer(&stream, SILENCE)?;
     let (sink, source) = Framed::new(stream, FrameCodec { most: MESSAGE_MOST }).split();
-    let receiver = Receiver { frames: source, peer, message: PhantomData };
-    Ok((receiver, Sender { frames: sink, peer, message: PhantomData }))
+    let receiver = Receiver {
+        frames: source,
+        peer,
+        message: PhantomData,
+    };
+    Ok((
+        receiver,
+        Sender {
+            frames: sink,
+            peer,
+            message: PhantomData,
+        },
+    ))
 }
 
 impl<M: DeserializeOwned> Receiver<M> {
@@ -88,7 +103,9 @@
     /// The step and the peer.
     pub async fn next(&mut self) -> Result<Option<M>> {
         let peer = self.peer;
-        let Some(frame) = self.frames.next().await else { return Ok(None) };
+        let Some(frame) = self.frames.next().await else {
+            return Ok(None);
+        };
         let frame = frame.wrap_err_with(|| format!("receiving from {peer}"))?;
         let message = decode(&frame).wrap_err_with(|| format!("reading a message of {peer}"))?;
         Ok(Some(message))
@@ -102,8 +119,11 @@
     /// The step and the peer.
     pub async fn send(&mut self, message: &M) -> Result<()> {
         let peer = self.peer;
-        let frame =
-            encode(message, MESSAGE_MOST).wrap_err_with(|| format!("writing a message for {peer}"))?;
-        self.frames.send(frame).await.wrap_err_with(|| format!("sending to {peer}"))
+        let frame = encode(message, MESSAGE_MOST)
+            .wrap_err_with(|| format!("writing a message for {peer}"))?;
+        self.frames
+            .send(frame)
+            .await
+            .wrap_err_with(|| format!("sending to {peer}"))
     }
 }
--- a/crates/transport/src/read_ahead.rs
+++ b/crates/transport/src/read_ahead.rs
@@ -1,18 +1,21 @@
 //! How much of a client connection is read ahead of the request in hand.
 //!
-//! Once the buffer of actix-http (3.19 and 3.20, `h1/dispatcher.rs`, `read_available`) holds 128 KiB it reads no more and
-//! wakes its own task on each poll instead. That ends where a poll takes something out of the buffer. While a request
-//! is answered and 16 more are queued behind it none does, and the task is polled without end. So the buffer is kept
-//! from filling: what comes meanwhile is left unread, without a wake, until the answer is written.
+//! Once the buffer of actix-http (3.19 and 3.20, `h1/dispatcher.rs`, `read_available`) holds 128
+//! KiB it reads no more and wakes its own task on each poll instead. That ends where a poll takes
+//! something out of the buffer. While a request is answered and 16 more are queued behind it none
+//! does, and the task is polled without end. So the buffer is kept from filling: what comes
+//! meanwhile is left unread, without a wake, until the answer is written.
 //!
-//! What the buffer holds is known at two moments only: before a request is taken in hand all that has come is parsed,
-//! and where the request's body is waited for all of it has been drawn. Nothing in between has to be estimated.
+//! What the buffer holds is known at two moments only: before a request is taken in hand all that
+//! has come is parsed, and where the request's body is waited for all of it has been drawn. Nothing
+//! in between has to be estimated.
 
 use std::cell::{Cell, RefCell};
 use std::task::{Context, Poll, Waker};
 
-/// Bytes read at once before the connection parses what has come, and bytes read ahead of the request in hand.
-/// With as many left unparsed by the request before, and a part of a body, they are fewer than actix-http buffers.
+/// Bytes read at once before the connection parses what has come, and bytes read ahead of the
+/// request in hand. With as many left unparsed by the request before, and a part of a body, they
+/// are fewer than actix-http buffers.
 pub(crate) const MAX_READ_AHEAD_BYTES: usize = 32 * 1024;
 /// Bytes that may be read beyond [`MAX_READ_AHEAD_BYTES`] of a body whose reader waits for more.
 const BODY_PART_BYTES: usize = 32 * 1024;
@@ -44,11 +47,19 @@
     pub fn new() -> Self {
         let (in_hand, rested, parsed, behind) = Default::default();
         let (lines, reader) = Default::default();
-        ReadAhead { in_hand, rested, room: Cell::new(MAX_READ_AHEAD_BYTES), lines, parsed, behind, reader }
+        ReadAhead {
+            in_hand,
+            rested,
+            room: Cell::new(MAX_READ_AHEAD_BYTES),
+            lines,
+            parsed,
+            behind,
+            reader,
+        }
     }
 
-    /// How many bytes may be read now. Pending after a long go; and, without a wake, while a request is in hand and
-    /// enough has come behind it.
+    /// How many bytes may be read now. Pending after a long go; and, without a wake, while a
+    /// request is in hand and enough has come behind it.
     pub fn poll_room(&self, cx: &Context<'_>) -> Poll<usize> {
         match self.in_hand.get() {
             true => self.poll_behind(cx),
@@ -111,12 +122,14 @@
         }
     }
 
-    /// The handler has consumed all that has come of the request's body and waits for more: at most `rest` bytes.
+    /// The handler has consumed all that has come of the request's body and waits for more: at most
+    /// `rest` bytes.
     pub fn body_consumed(&self, rest: usize) {
         self.allow(MAX_READ_AHEAD_BYTES + rest.min(BODY_PART_BYTES));
     }
 
-    /// Nobody consumes the rest of the body, at most `rest` bytes: actix-http discards it as it comes.
+    /// Nobody consumes the rest of the body, at most `rest` bytes: actix-http discards it as it
+    /// comes.
     pub fn body_abandoned(&self, rest: usize) {
         self.allow(rest.saturating_add(MAX_READ_AHEAD_BYTES));
     }
@@ -137,8 +150,9 @@
         }
     }
 
-    /// The answer is written, or its client has left. Guards requests that have come meanwhile against waiting
-    /// until more come: actix-http looks at its buffer once before it writes the answer, and not after it.
+    /// The answer is written, or its client has left. Guards requests that have come meanwhile
+    /// against waiting until more come: actix-http looks at its buffer once before it writes the
+    /// answer, and not after it.
     pub fn request_finished(&self) {
         self.in_hand.set(false);
         if self.behind.get() {
@@ -156,7 +170,10 @@
 /// How many lines end in these bytes. Sums of one byte each, so that many are taken at once.
 fn lines_of(bytes: &[u8]) -> usize {
     let ends = |part: &[u8]| part.iter().map(|&byte| u8::from(byte == b'\n')).sum::<u8>();
-    bytes.chunks(usize::from(u8::MAX)).map(|part| usize::from(ends(part))).sum()
+    bytes
+        .chunks(usize::from(u8::MAX))
+        .map(|part| usize::from(ends(part)))
+        .sum()
 }
 
 #[cfg(test)]
--- a/crates/transport/src/read_ahead/tests.rs
+++ b/crates/transport/src/read_ahead/tests.rs
@@ -30,7 +30,8 @@
     }
 }
 
-/// Reads as a connection does that has `most` bytes of many lines at once, until it is to leave off; bytes read.
+/// Reads as a connection does that has `most` bytes of many lines at once, until it is to leave
+/// off; bytes read.
 fn read_all(ahead: &ReadAhead, most: usize, cx: &Context<'_>) -> usize {
     read_of(ahead, b'\n', most, cx)
 }
@@ -56,7 +57,10 @@
     let ahead = ReadAhead::new();
     assert_eq!(read_all(&ahead, 100, &cx), 100);
     ahead.request_started();
-    assert_eq!(read_all(&ahead, 10 * MAX_READ_AHEAD_BYTES, &cx), MAX_READ_AHEAD_BYTES);
+    assert_eq!(
+        read_all(&ahead, 10 * MAX_READ_AHEAD_BYTES, &cx),
+        MAX_READ_AHEAD_BYTES
+    );
     for _ in 0..100 {
         assert!(ahead.poll_room(&cx).is_pending());
     }
@@ -81,7 +85,11 @@
     }
     assert_eq!(read, MAX_READ_AHEAD_BYTES);
     ahead.request_finished();
-    assert_eq!(read_all(&ahead, PART, &cx), PART, "none is in hand: all is parsed");
+    assert_eq!(
+        read_all(&ahead, PART, &cx),
+        PART,
+        "none is in hand: all is parsed"
+    );
 }
 
 #[test]
@@ -95,7 +103,10 @@
     for turn in 1..=10 {
         ahead.body_consumed(100);
         assert_eq!(woken.times(), turn);
-        assert_eq!(read_all(&ahead, 10 * MAX_READ_AHEAD_BYTES, &cx), MAX_READ_AHEAD_BYTES + 100);
+        assert_eq!(
+            read_all(&ahead, 10 * MAX_READ_AHEAD_BYTES, &cx),
+            MAX_READ_AHEAD_BYTES + 100
+        );
     }
 }
 
@@ -122,7 +133,10 @@
     let cx = Context::from_waker(&waker);
     let ahead = ReadAhead::new();
     for turn in 1..=10 {
-        assert_eq!(read_all(&ahead, 10 * MAX_READ_AHEAD_BYTES, &cx), MAX_READ_AHEAD_BYTES);
+        assert_eq!(
+            read_all(&ahead, 10 * MAX_READ_AHEAD_BYTES, &cx),
+            MAX_READ_AHEAD_BYTES
+        );
         assert_eq!(woken.times(), turn, "each go ends with a wake");
     }
     ahead.request_started();
@@ -141,7 +155,10 @@
     read_of(&ahead, b'#', 100, &cx);
     ahead.socket_empty();
     ahead.request_started();
-    assert_eq!(read_of(&ahead, b'#', 10 * MAX_READ_AHEAD_BYTES, &cx), 10 * MAX_READ_AHEAD_BYTES);
+    assert_eq!(
+        read_of(&ahead, b'#', 10 * MAX_READ_AHEAD_BYTES, &cx),
+        10 * MAX_READ_AHEAD_BYTES
+    );
 }
 
 /// The queue may have come with the request itself, or have been left unparsed by the one before.
@@ -152,19 +169,28 @@
     read_all(&ahead, 100, &cx);
     ahead.socket_empty();
     ahead.request_started();
-    assert_eq!(read_of(&ahead, b'#', 10 * MAX_READ_AHEAD_BYTES, &cx), MAX_READ_AHEAD_BYTES);
+    assert_eq!(
+        read_of(&ahead, b'#', 10 * MAX_READ_AHEAD_BYTES, &cx),
+        MAX_READ_AHEAD_BYTES
+    );
     ahead.request_finished();
     read_of(&ahead, b'#', 100, &cx);
     ahead.socket_empty();
     ahead.request_started();
-    assert_eq!(read_of(&ahead, b'#', 10 * MAX_READ_AHEAD_BYTES, &cx), MAX_READ_AHEAD_BYTES);
+    assert_eq!(
+        read_of(&ahead, b'#', 10 * MAX_READ_AHEAD_BYTES, &cx),
+        MAX_READ_AHEAD_BYTES
+    );
     ahead.request_finished();
     for _ in 0..2 {
         read_of(&ahead, b'#', 100, &cx);
         ahead.socket_empty();
     }
     ahead.request_started();
-    assert_eq!(read_of(&ahead, b'#', 10 * MAX_READ_AHEAD_BYTES, &cx), 10 * MAX_READ_AHEAD_BYTES);
+    assert_eq!(
+        read_of(&ahead, b'#', 10 * MAX_READ_AHEAD_BYTES, &cx),
+        10 * MAX_READ_AHEAD_BYTES
+    );
 }
 
 #[test]
--- a/crates/transport/src/request_body.rs
+++ b/crates/transport/src/request_body.rs
@@ -32,11 +32,12 @@
     TooLong,
 }
 
-/// Reads a body of the `length` announced, if one is: whole up to `hold` bytes; a longer one goes on to flow
-/// within a window of `held`, and `whole` is called when its last byte has been drawn.
+/// Reads a body of the `length` announced, if one is: whole up to `hold` bytes; a longer one goes
+/// on to flow within a window of `held`, and `whole` is called when its last byte has been drawn.
 ///
 /// # Errors
-/// Where it does not come. One that breaks off or grows too long while it flows says so in its stream.
+/// Where it does not come. One that breaks off or grows too long while it flows says so in its
+/// stream.
 pub async fn read(
     payload: Payload,
     length: Option<u64>,
@@ -49,13 +50,19 @@
     if length.is_some_and(|length| length > most as u64) {
         return Err(RequestBodyError::TooLong);
     }
-    let parts = Box::pin(Drawn::new(payload, length.map_or(most, |length| length as usize), connection));
+    let parts = Box::pin(Drawn::new(
+        payload,
+        length.map_or(most, |length| length as usize),
+        connection,
+    ));
     let mut parts = Paced::new(parts, connection.clock(), connection.begin_body());
     let mut begun = BytesMut::new();
-    // Nothing goes to a server before there is more than can be held: guards its connections against clients
-    // that announce much and send little.
+    // Nothing goes to a server before there is more than can be held: guards its connections
+    // against clients that announce much and send little.
     let long = loop {
-        let Some(part) = parts.next().await else { break false };
+        let Some(part) = parts.next().await else {
+            break false;
+        };
         begun.extend_from_slice(&part.map_err(|_| RequestBodyError::Incomplete)?);
         if begun.len() > most {
             return Err(RequestBodyError::TooLong);
@@ -74,10 +81,17 @@
     let mut left = most - begun.len();
     let parts: Parts = Box::pin(parts.map(move |part| {
         let part = part?;
-        left = left.checked_sub(part.len()).ok_or_else(|| io::Error::other(RequestBodyError::TooLong))?;
+        left = left
+            .checked_sub(part.len())
+            .ok_or_else(|| io::Error::other(RequestBodyError::TooLong))?;
         Ok(part)
     }));
-    Ok(RequestBody::Flowing(Rc::new(Inflow::new((begun, parts), length, window, whole))))
+    Ok(RequestBody::Flowing(Rc::new(Inflow::new(
+        (begun, parts),
+        length,
+        window,
+        whole,
+    ))))
 }
 
 /// What comes of a body, its connection told how it is drawn.
@@ -90,7 +104,11 @@
 
 impl Drawn {
     fn new(payload: Payload, most: usize, connection: &Rc<ClientConnection>) -> Self {
-        Drawn { payload, rest: most, connection: Rc::clone(connection) }
+        Drawn {
+            payload,
+            rest: most,
+            connection: Rc::clone(connection),
+        }
     }
 }
 
@@ -110,7 +128,8 @@
 
 impl Drop for Drawn {
     fn drop(&mut self) {
-        // Guards a client that writes on against standing still: what it sends is to be thrown away.
+        // Guards a client that writes on against standing still: what it sends is to be thrown
+        // away.
         if self.rest > 0 {
             self.connection.note_abandoned(self.rest);
         }
--- a/crates/transport/src/sockets.rs
+++ b/crates/transport/src/sockets.rs
@@ -33,7 +33,8 @@
 /// The system's bound on unanswered probes.
 const PROBES_MOST: u32 = 127;
 
-/// Listens at the clients' address. A process that is started beside this one may listen there, too.
+/// Listens at the clients' address. A process that is started beside this one may listen there,
+/// too.
 ///
 /// # Errors
 /// The system's.
@@ -54,7 +55,11 @@
 /// # Errors
 /// The system's.
 pub fn datagrams(at: SocketAddr) -> io::Result<UdpSocket> {
-    let family = if at.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if at.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
     let socket = rustix::net::socket(family, SocketType::DGRAM, None)?;
     let _ = sockopt::set_socket_reuseport(&socket, true);
     rustix::net::bind(&socket, &at)?;
@@ -63,8 +68,9 @@
     UdpSocket::from_std(socket)
 }
 
-/// Lets small messages leave at once, and has the system end the connection once its peer has acknowledged nothing
-/// for `silence`: a peer without power says nothing. Probes go out in whole seconds.
+/// Lets small messages leave at once, and has the system end the connection once its peer has
+/// acknowledged nothing for `silence`: a peer without power says nothing. Probes go out in whole
+/// seconds.
 ///
 /// # Errors
 /// The system's; the connection works on without what failed.
@@ -75,7 +81,9 @@
     sockopt::set_socket_keepalive(stream, true)?;
     sockopt::set_tcp_keepidle(stream, PROBE_INTERVAL)?;
     sockopt::set_tcp_keepintvl(stream, PROBE_INTERVAL)?;
-    let probes = u32::try_from(silence.as_secs()).unwrap_or(PROBES_MOST).clamp(1, PROBES_MOST);
+    let probes = u32::try_from(silence.as_secs())
+        .unwrap_or(PROBES_MOST)
+        .clamp(1, PROBES_MOST);
     sockopt::set_tcp_keepcnt(stream, probes)?;
     Ok(())
 }
@@ -95,9 +103,9 @@
 }
 
 impl Budget {
-    /// The shares of clients and of servers in a program that may hold `limit` descriptors, of which `apart`
-    /// are no connections of either. Guards the way to the servers against hundreds of clients, and the other
-    /// way round.
+    /// The shares of clients and of servers in a program that may hold `limit` descriptors, of
+    /// which `apart` are no connections of either. Guards the way to the servers against hundreds
+    /// of clients, and the other way round.
     pub fn shares(limit: usize, apart: usize) -> (Self, Self) {
         let all = limit.saturating_sub(apart).max(2);
         let clients = (all * CLIENTS / 100).max(1);
@@ -107,7 +115,13 @@
     /// A share of so many descriptors.
     pub fn new(whole: usize) -> Self {
         let (size, used) = (Rc::new(Cell::new(whole)), Rc::default());
-        Budget { whole, size, used, returned: Rc::default(), trim: Rc::default() }
+        Budget {
+            whole,
+            size,
+            used,
+            returned: Rc::default(),
+            trim: Rc::default(),
+        }
     }
 
     /// How many there may be now.
@@ -115,10 +129,11 @@
         self.size.get()
     }
 
-    /// Keeps to this part of the share, in percent, from now on. Idle connections beyond it are closed; those
-    /// that are busy stay until they are done.
+    /// Keeps to this part of the share, in percent, from now on. Idle connections beyond it are
+    /// closed; those that are busy stay until they are done.
     pub async fn keep_to(&self, percent: u8) {
-        self.size.set((self.whole * usize::from(percent) / 100).max(1));
+        self.size
+            .set((self.whole * usize::from(percent) / 100).max(1));
         self.returned.notify_one();
         for _ in self.size.get()..self.used.get() {
             if self.used.get() <= self.size.get() {
@@ -170,8 +185,9 @@
     }
     /// So many were written.
     fn wrote(&self, _bytes: usize) {}
-    /// Asked before bytes are read, how many may be: none where the stream is to look as if it had ended. Pending
-    /// where they are to be left for now; the observer wakes the task when they may be read.
+    /// Asked before bytes are read, how many may be: none where the stream is to look as if it had
+    /// ended. Pending where they are to be left for now; the observer wakes the task when they may
+    /// be read.
     fn poll_may_read(&self, _cx: &mut Context<'_>) -> Poll<usize> {
         Poll::Ready(usize::MAX)
     }
@@ -222,8 +238,16 @@
     /// Takes bytes that nobody reads: keeps them for the reader while there is room.
     fn take_unread(&mut self) -> io::Result<Unread> {
         let mut part = [0; UNREAD_PART];
-        let room = if self.gap { 0 } else { KEPT_MOST.saturating_sub(self.kept.len()) };
-        let most = if room > 0 { room.min(UNREAD_PART) } else { UNREAD_PART };
+        let room = if self.gap {
+            0
+        } else {
+            KEPT_MOST.saturating_sub(self.kept.len())
+        };
+        let most = if room > 0 {
+            room.min(UNREAD_PART)
+        } else {
+            UNREAD_PART
+        };
         let bytes = self.stream.try_read(&mut part[..most])?;
         if bytes == 0 {
             return Ok(Unread::Ended);
@@ -252,11 +276,13 @@
 pub struct UnreadWatch(Weak<RefCell<Socket>>);
 
 impl UnreadWatch {
-    /// Waits until something has come that nobody reads. It is asked each time the task is polled whether that is to
-    /// be looked at `now`: the reader comes first.
+    /// Waits until something has come that nobody reads. It is asked each time the task is polled
+    /// whether that is to be looked at `now`: the reader comes first.
     pub async fn next(&self, now: impl Fn() -> bool) -> Unread {
         poll_fn(|cx| {
-            let Some(socket) = self.0.upgrade().filter(|_| now()) else { return Poll::Pending };
+            let Some(socket) = self.0.upgrade().filter(|_| now()) else {
+                return Poll::Pending;
+            };
             loop {
                 let ready = ready!(socket.borrow().stream.poll_read_ready(cx));
                 match ready.and_then(|()| socket.borrow_mut().take_unread()) {
@@ -283,8 +309,16 @@
     pub fn new(stream: TcpStream, observer: T, slot: Slot) -> Self {
         // Failing leaves a working, slower connection.
         let _ = stream.set_nodelay(true);
-        let socket = Socket { stream, kept: BytesMut::new(), gap: false };
-        ObservedStream { socket: Rc::new(RefCell::new(socket)), observer, _slot: slot }
+        let socket = Socket {
+            stream,
+            kept: BytesMut::new(),
+            gap: false,
+        };
+        ObservedStream {
+            socket: Rc::new(RefCell::new(socket)),
+            observer,
+            _slot: slot,
+        }
     }
 
     /// Watches what nobody reads, in the same task.
@@ -300,7 +334,11 @@
 }
 
 impl<T: StreamObserver> AsyncRead for ObservedStream<T> {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let most = ready!(self.observer.poll_may_read(cx));
         if most == 0 {
             return Poll::Ready(Ok(()));
@@ -319,7 +357,11 @@
 }
 
 impl<T: StreamObserver> AsyncWrite for ObservedStream<T> {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.observer.may_write()?;
         let polled = Pin::new(&mut self.socket.borrow_mut().stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(bytes)) = polled {
--- a/crates/transport/src/sockets/tests.rs
+++ b/crates/transport/src/sockets/tests.rs
@@ -22,18 +22,30 @@
     }
 
     fn got(&self, bytes: &[u8]) {
-        self.room.set(self.room.get().checked_sub(bytes.len()).expect("no more than allowed"));
+        self.room.set(
+            self.room
+                .get()
+                .checked_sub(bytes.len())
+                .expect("no more than allowed"),
+        );
     }
 }
 
 /// Plays with the other side of a stream that may read so much.
-fn play<F: Future<Output = ()>>(room: usize, test: impl FnOnce(TcpStream, ObservedStream<Allows>) -> F) {
+fn play<F: Future<Output = ()>>(
+    room: usize,
+    test: impl FnOnce(TcpStream, ObservedStream<Allows>) -> F,
+) {
     actix_rt::System::new().block_on(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port is free");
         let address = listener.local_addr().expect("bound");
         let other = TcpStream::connect(address).await.expect("it listens");
         let (stream, _) = listener.accept().await.expect("a connection");
-        let observer = Allows { room: Rc::new(Cell::new(room)) };
+        let observer = Allows {
+            room: Rc::new(Cell::new(room)),
+        };
         let slot = Budget::new(1).take().expect("free");
         test(other, ObservedStream::new(stream, observer, slot)).await;
     });
@@ -54,18 +66,27 @@
 fn what_is_left_unread_is_kept_in_order_and_then_thrown_away() {
     play(1, async |mut other, mut stream| {
         let unread = stream.watch_unread();
-        let sent: Vec<u8> = (0..KEPT_MOST + UNREAD_PART).map(|n| (n % 251) as u8).collect();
+        let sent: Vec<u8> = (0..KEPT_MOST + UNREAD_PART)
+            .map(|n| (n % 251) as u8)
+            .collect();
         let (written, ()) = tokio::join!(other.write_all(&sent), async {
             while unread.next(|| true).await == Unread::Kept {}
         });
         written.expect("written");
         stream.observer.room.set(KEPT_MOST);
         let mut read = vec![0; KEPT_MOST];
-        stream.read_exact(&mut read).await.expect("all that is kept");
+        stream
+            .read_exact(&mut read)
+            .await
+            .expect("all that is kept");
         assert!(read == sent[..KEPT_MOST], "in order");
         stream.observer.room.set(KEPT_MOST);
         other.write_all(b"behind the gap").await.expect("written");
-        assert_eq!(stream.read(&mut read).await.expect("an end"), 0, "it ends before what is lost");
+        assert_eq!(
+            stream.read(&mut read).await.expect("an end"),
+            0,
+            "it ends before what is lost"
+        );
         drop(other);
         while unread.next(|| true).await != Unread::Ended {}
     });
--- a/crates/transport/tests/link.rs
+++ b/crates/transport/tests/link.rs
@@ -11,7 +11,9 @@
 const WITHIN: Duration = Duration::from_secs(10);
 
 async fn listen() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port is free");
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
+        .await
+        .expect("a port is free");
     let address = listener.local_addr().expect("bound");
     (listener, address)
 }
@@ -52,13 +54,20 @@
 
 #[tokio::test]
 async fn what_breaks_off_is_an_error_and_never_an_end() {
-    let message = [&[0, 0, 0, 6][..], &postcard::to_stdvec("whole").expect("short")].concat();
+    let message = [
+        &[0, 0, 0, 6][..],
+        &postcard::to_stdvec("whole").expect("short"),
+    ]
+    .concat();
     assert_eq!(told(&message).await, Ok(Some("whole".into())));
     assert_eq!(told(b"").await, Ok(None));
     for end in 1..message.len() {
         assert!(told(&message[..end]).await.is_err(), "cut at {end}");
     }
-    assert!(told(b"GET / HTTP/1.1\r\n\r\n").await.is_err(), "read as a length");
+    assert!(
+        told(b"GET / HTTP/1.1\r\n\r\n").await.is_err(),
+        "read as a length"
+    );
     assert!(told(&[0, 0, 0, 1, 0xff]).await.is_err(), "no message");
 }
 
@@ -68,28 +77,40 @@
     let (listener, address) = listen().await;
     let dialed = TcpStream::connect(address).await.expect("up");
     let (accepted, _) = listener.accept().await.expect("it dials");
-    let same = std::os::fd::AsFd::as_fd(&accepted).try_clone_to_owned().expect("a descriptor is free");
+    let same = std::os::fd::AsFd::as_fd(&accepted)
+        .try_clone_to_owned()
+        .expect("a descriptor is free");
     let _link = link::split::<(), ()>(accepted).expect("open");
     assert!(sockopt::socket_keepalive(&same).expect("told"));
     assert_eq!(sockopt::tcp_user_timeout(&same).expect("told"), 2_000);
     drop(dialed);
 }
 
-/// A peer whose backlog is full answers nothing, as one without power. The system tries again after a second.
+/// A peer whose backlog is full answers nothing, as one without power. The system tries again after
+/// a second.
 #[tokio::test]
 async fn a_peer_that_was_not_there_is_dialed_anew_within_a_second() {
     let socket = tokio::net::TcpSocket::new_v4().expect("a descriptor is free");
-    socket.bind((Ipv4Addr::LOCALHOST, 0).into()).expect("a port is free");
+    socket
+        .bind((Ipv4Addr::LOCALHOST, 0).into())
+        .expect("a port is free");
     let listener = socket.listen(0).expect("bound");
     let address = listener.local_addr().expect("bound");
     let first = TcpStream::connect(address).await.expect("it takes one");
     let connecting = link::connect::<(), ()>(address, WITHIN);
     tokio::pin!(connecting);
     let silent = tokio::time::timeout(Duration::from_millis(1), &mut connecting);
-    assert!(silent.await.is_err(), "a full backlog drops the first packet");
+    assert!(
+        silent.await.is_err(),
+        "a full backlog drops the first packet"
+    );
     let there = std::time::Instant::now();
     listener.accept().await.expect("the first");
     connecting.await.expect("it is there again");
-    assert!(there.elapsed() < Duration::from_millis(700), "{:?}", there.elapsed());
+    assert!(
+        there.elapsed() < Duration::from_millis(700),
+        "{:?}",
+        there.elapsed()
+    );
     drop(first);
 }
--- a/crates/transport/tests/listener.rs
+++ b/crates/transport/tests/listener.rs
@@ -1,5 +1,5 @@
-//! Client connections against a listener, over sockets: what survives a drain, what limits end, what an answer that
-//! breaks off looks like.
+//! Client connections against a listener, over sockets: what survives a drain, what limits end,
+//! what an answer that breaks off looks like.
 
 #[path = "listener/floods.rs"]
 mod floods;
@@ -14,8 +14,8 @@
 const GET: &str = "GET /a HTTP/1.1\r\nHost: a\r\n\r\n";
 const POST: &str = "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nhelloworld";
 
-/// Cut anywhere behind its first byte, a request is read to its end during a drain and answered; the connection is
-/// closed with the answer.
+/// Cut anywhere behind its first byte, a request is read to its end during a drain and answered;
+/// the connection is closed with the answer.
 #[test]
 fn a_request_that_is_half_read_survives_a_drain() {
     play(async {
@@ -35,7 +35,10 @@
             assert_eq!(request.body, "helloworld", "cut at {cut}");
             request.answer("served");
             let answer = client.answer().await.expect("an answer");
-            assert!(answer.contains("connection: close") && answer.ends_with("served"), "{answer}");
+            assert!(
+                answer.contains("connection: close") && answer.ends_with("served"),
+                "{answer}"
+            );
             client.closed().await;
             drained.await.expect("all connections are closed");
         }
@@ -46,8 +49,11 @@
 fn a_drain_waits_for_requests_and_for_streams_and_closes_what_is_idle() {
     play(async {
         let stage = Stage::start(LIMITS).await;
-        let [mut waits, mut streams, mut idle] =
-            [stage.connect().await, stage.connect().await, stage.connect().await];
+        let [mut waits, mut streams, mut idle] = [
+            stage.connect().await,
+            stage.connect().await,
+            stage.connect().await,
+        ];
         idle.write(GET).await;
         stage.request().await.answer("idle");
         idle.answer().await.expect("an answer");
@@ -63,7 +69,13 @@
         stream.event("two").await;
         assert_eq!(streams.part().await.as_deref(), Some("two"));
         waiting.answer("served");
-        assert!(waits.answer().await.expect("an answer").contains("connection: close"));
+        assert!(
+            waits
+                .answer()
+                .await
+                .expect("an answer")
+                .contains("connection: close")
+        );
         waits.closed().await;
         stream.event("three").await;
         assert_eq!(streams.part().await.as_deref(), Some("three"));
@@ -99,7 +111,8 @@
     });
 }
 
-/// An answer that its client takes slowly is no idle connection to be closed for the sake of others.
+/// An answer that its client takes slowly is no idle connection to be closed for the sake of
+/// others.
 #[test]
 fn an_answer_is_written_to_its_end_where_descriptors_are_scarce() {
     play(async {
@@ -109,7 +122,11 @@
         let long = "x".repeat(100_000);
         stage.request().await.answer(&long);
         // The last has no room: somebody has to go, and these have only just come.
-        let _fresh = [stage.connect().await, stage.connect().await, stage.connect().await];
+        let _fresh = [
+            stage.connect().await,
+            stage.connect().await,
+            stage.connect().await,
+        ];
         let answer = slow.answer().await.expect("the whole answer");
         assert!(answer.ends_with(&long));
         slow.closed().await;
@@ -123,7 +140,11 @@
         let stage = Stage::start_with(LIMITS, 3).await;
         let mut first = stage.connect().await;
         first.write(&POST[..POST.len() - 1]).await;
-        let mut others = [stage.connect().await, stage.connect().await, stage.connect().await];
+        let mut others = [
+            stage.connect().await,
+            stage.connect().await,
+            stage.connect().await,
+        ];
         for other in &mut others {
             other.write(&POST[..POST.len() - 1]).await;
         }
@@ -152,7 +173,13 @@
         assert_eq!(client.part().await.as_deref(), Some(""));
         client.write(GET).await;
         stage.request().await.answer("next");
-        assert!(client.answer().await.expect("on the same connection").ends_with("next"));
+        assert!(
+            client
+                .answer()
+                .await
+                .expect("on the same connection")
+                .ends_with("next")
+        );
     });
 }
 
@@ -195,19 +222,28 @@
     play(async {
         let stage = Stage::start(LIMITS).await;
         let mut client = stage.connect().await;
-        let long = format!("GET /a HTTP/1.1\r\nHost: a\r\nX-Pad: {}\r\n\r\n", "x".repeat(1_000));
+        let long = format!(
+            "GET /a HTTP/1.1\r\nHost: a\r\nX-Pad: {}\r\n\r\n",
+            "x".repeat(1_000)
+        );
         client.write(&long).await;
         stage.request().await.answer("in time");
         client.answer().await.expect("an answer");
 
-        stage.listener.set_limits(ClientLimits { max_header_bytes: 500, max_body_bytes: 9, ..LIMITS });
+        stage.listener.set_limits(ClientLimits {
+            max_header_bytes: 500,
+            max_body_bytes: 9,
+            ..LIMITS
+        });
         client.write(&long).await;
         let refused = client.answer().await.expect("an answer");
-        assert!(refused.starts_with("HTTP/1.1 431") && refused.contains("connection: close"), "{refused}");
+        assert!(
+            refused.starts_with("HTTP/1.1 431") && refused.contains("connection: close"),
+            "{refused}"
+        );
         client.closed().await;
 
-        let chunked =
-            "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\na\r\nhelloworld\r\n0\r\n\r\n";
+        let chunked = "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\na\r\nhelloworld\r\n0\r\n\r\n";
         for request in [POST, chunked] {
             let mut client = stage.connect().await;
             client.write(request).await;
@@ -223,12 +259,20 @@
         let brief = 30_000;
         let (long, idle) = (LIMITS.header_timeout, LIMITS.idle_timeout);
         for (header_timeout, idle_timeout) in [(brief, idle), (long, brief)] {
-            let stage = Stage::start(ClientLimits { header_timeout, idle_timeout, ..LIMITS }).await;
+            let stage = Stage::start(ClientLimits {
+                header_timeout,
+                idle_timeout,
+                ..LIMITS
+            })
+            .await;
             let mut half = stage.connect().await;
             half.write(&GET[..10]).await;
             let mut silent = stage.connect().await;
-            let (first, mut second): (&mut Client, &mut Client) =
-                if header_timeout == brief { (&mut half, &mut silent) } else { (&mut silent, &mut half) };
+            let (first, mut second): (&mut Client, &mut Client) = if header_timeout == brief {
+                (&mut half, &mut silent)
+            } else {
+                (&mut silent, &mut half)
+            };
             first.closed().await;
             assert!(second.is_open(), "the other has its own limit");
             if header_timeout != brief {
@@ -248,8 +292,12 @@
 #[test]
 fn a_request_that_waits_is_bound_by_no_limit() {
     play(async {
-        let stage =
-            Stage::start(ClientLimits { header_timeout: 10_000, idle_timeout: 10_000, ..LIMITS }).await;
+        let stage = Stage::start(ClientLimits {
+            header_timeout: 10_000,
+            idle_timeout: 10_000,
+            ..LIMITS
+        })
+        .await;
         let mut client = stage.connect().await;
         client.write(GET).await;
         let request = stage.request().await;
--- a/crates/transport/tests/listener/floods.rs
+++ b/crates/transport/tests/listener/floods.rs
@@ -1,5 +1,5 @@
-//! Clients that send more than their turn: what comes behind a request in hand costs no processor and is not lost
-//! while it is bounded.
+//! Clients that send more than their turn: what comes behind a request in hand costs no processor
+//! and is not lost while it is bounded.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use crate::stage::{AT_ONCE, LIMITS, Stage, play};
 use crate::{GET, POST};
 
-/// More than is read ahead and kept; once it is there a connection that isn't left alone keeps a processor busy.
+/// More than is read ahead and kept; once it is there a connection that isn't left alone keeps a
+/// processor busy.
 const FLOOD: usize = 600_000;
 /// How long a processor's time is counted, and how much of it may go.
 const COUNTED: u64 = 1_000_000;
@@ -22,14 +23,24 @@
 /// How long this thread, which does everything, has been on a processor.
 fn busy() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("the system counts");
-    Duration::from_nanos(text.split(' ').next().and_then(|ns| ns.parse().ok()).expect("a number"))
+    Duration::from_nanos(
+        text.split(' ')
+            .next()
+            .and_then(|ns| ns.parse().ok())
+            .expect("a number"),
+    )
 }
 
 async fn start() -> Stage {
-    Stage::start(ClientLimits { idle_timeout: COUNTED, ..LIMITS }).await
+    Stage::start(ClientLimits {
+        idle_timeout: COUNTED,
+        ..LIMITS
+    })
+    .await
 }
 
-/// Holds where the listener costs little until a silent connection is closed, which takes as long as is counted.
+/// Holds where the listener costs little until a silent connection is closed, which takes as long
+/// as is counted.
 async fn rests(stage: &Stage, what: &str) {
     let mut silent = stage.connect().await;
     let before = busy();
@@ -60,7 +71,10 @@
         request.answer("served");
         let mut client = flooding.await.expect("all is taken");
         let answer = client.answer().await.expect("an answer");
-        assert!(answer.contains("connection: close") && answer.ends_with("served"), "{answer}");
+        assert!(
+            answer.contains("connection: close") && answer.ends_with("served"),
+            "{answer}"
+        );
     });
 }
 
@@ -68,13 +82,19 @@
 fn a_flood_in_one_go_with_its_first_request_costs_no_processor_while_that_waits() {
     play(async {
         let stage = start().await;
-        let flooding = stage.connect().await.write_meanwhile(format!("{POST}{}", flood()));
+        let flooding = stage
+            .connect()
+            .await
+            .write_meanwhile(format!("{POST}{}", flood()));
         let request = stage.request().await;
         rests(&stage, "in one go").await;
         request.answer("served");
         let mut client = flooding.await.expect("all is taken");
         let answer = client.answer().await.expect("an answer");
-        assert!(answer.contains("connection: close") && answer.ends_with("served"), "{answer}");
+        assert!(
+            answer.contains("connection: close") && answer.ends_with("served"),
+            "{answer}"
+        );
     });
 }
 
@@ -114,7 +134,10 @@
         let mut client = stage.connect().await;
         let (first, rest) = (70_000, 30_000);
         client
-            .write(&format!("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n", first + rest))
+            .write(&format!(
+                "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n",
+                first + rest
+            ))
             .await;
         client.write(&"x".repeat(first)).await;
         let request = stage.request().await;
@@ -141,11 +164,20 @@
         for turn in 0..count {
             request.answer(&format!("served {turn}"));
             let answer = client.answer().await.expect("an answer");
-            assert!(answer.ends_with(&format!("served {turn}")) && !answer.contains("close"), "{answer}");
+            assert!(
+                answer.ends_with(&format!("served {turn}")) && !answer.contains("close"),
+                "{answer}"
+            );
             request = stage.request().await;
         }
         request.answer("the last");
-        assert!(client.answer().await.expect("an answer").ends_with("the last"));
+        assert!(
+            client
+                .answer()
+                .await
+                .expect("an answer")
+                .ends_with("the last")
+        );
         assert!(client.is_open());
     });
 }
@@ -155,19 +187,26 @@
     play(async {
         let stage = Stage::start(LIMITS).await;
         let mut client = stage.connect().await;
-        let get = format!("GET /a HTTP/1.1\r\nHost: a\r\nX-Pad: {}\r\n\r\n", "x".repeat(500));
+        let get = format!(
+            "GET /a HTTP/1.1\r\nHost: a\r\nX-Pad: {}\r\n\r\n",
+            "x".repeat(500)
+        );
         client.write(&get).await;
         for turn in 0..1_000 {
             let request = stage.request().await;
             client.write(&get).await;
             request.answer(&format!("served {turn}"));
             let answer = client.answer().await.expect("an answer");
-            assert!(answer.ends_with(&format!("served {turn}")) && !answer.contains("close"), "{answer}");
+            assert!(
+                answer.ends_with(&format!("served {turn}")) && !answer.contains("close"),
+                "{answer}"
+            );
         }
     });
 }
 
-/// While 16 and more are queued, what comes is not parsed; nor is it when they are all answered at once.
+/// While 16 and more are queued, what comes is not parsed; nor is it when they are all answered at
+/// once.
 #[test]
 fn requests_behind_a_full_queue_do_not_wait_for_more_to_come() {
     play(async {
@@ -181,9 +220,21 @@
             looked_at(&stage).await;
         }
         request.answer("served");
-        assert!(client.answer().await.expect("an answer").ends_with("served"));
+        assert!(
+            client
+                .answer()
+                .await
+                .expect("an answer")
+                .ends_with("served")
+        );
         for _ in 0..40 {
-            assert!(client.answer().await.expect("an answer").ends_with("at once"));
+            assert!(
+                client
+                    .answer()
+                    .await
+                    .expect("an answer")
+                    .ends_with("at once")
+            );
         }
     });
 }
@@ -203,7 +254,11 @@
 }
 
 async fn start_for_long_bodies() -> Stage {
-    Stage::start(ClientLimits { max_body_bytes: 2 * LONG, ..LIMITS }).await
+    Stage::start(ClientLimits {
+        max_body_bytes: 2 * LONG,
+        ..LIMITS
+    })
+    .await
 }
 
 #[test]
@@ -221,10 +276,22 @@
             assert_eq!(drawn, LONG);
             request.answer("served");
             let mut client = writing.await.expect("all is taken");
-            assert!(client.answer().await.expect("an answer").ends_with("served"));
+            assert!(
+                client
+                    .answer()
+                    .await
+                    .expect("an answer")
+                    .ends_with("served")
+            );
             client.write(GET).await;
             stage.request().await.answer("next");
-            assert!(client.answer().await.expect("on the same connection").ends_with("next"));
+            assert!(
+                client
+                    .answer()
+                    .await
+                    .expect("on the same connection")
+                    .ends_with("next")
+            );
         }
     });
 }
--- a/crates/transport/tests/listener/stage.rs
+++ b/crates/transport/tests/listener/stage.rs
@@ -84,7 +84,10 @@
 
 impl Stream {
     pub async fn event(&mut self, text: &str) {
-        self.0.send(Ok(Bytes::copy_from_slice(text.as_bytes()))).await.expect("it is wanted");
+        self.0
+            .send(Ok(Bytes::copy_from_slice(text.as_bytes())))
+            .await
+            .expect("it is wanted");
     }
 
     /// The answer is whole.
@@ -92,7 +95,10 @@
 
     /// The server has broken off.
     pub async fn break_off(self) {
-        self.0.send(Err(io::ErrorKind::UnexpectedEof.into())).await.expect("it is wanted");
+        self.0
+            .send(Err(io::ErrorKind::UnexpectedEof.into()))
+            .await
+            .expect("it is wanted");
     }
 
     /// Waits until nobody wants more of it.
@@ -108,7 +114,11 @@
 }
 
 impl Service for Scripted {
-    async fn handle(&self, mut request: Request, connection: &Rc<ClientConnection>) -> Response<BoxBody> {
+    async fn handle(
+        &self,
+        mut request: Request,
+        connection: &Rc<ClientConnection>,
+    ) -> Response<BoxBody> {
         if request.path() == AT_ONCE {
             return Response::with_body(StatusCode::OK, "at once").map_into_boxed_body();
         }
@@ -125,9 +135,13 @@
         let active = connection.request();
         active.set_whole(flow.is_none());
         let (reply, answer) = oneshot::channel();
-        self.asked.send(Asked { body, flow, reply }).expect("the test goes on");
+        self.asked
+            .send(Asked { body, flow, reply })
+            .expect("the test goes on");
         match answer.await {
-            Ok(Reply::Whole(text)) => Response::with_body(StatusCode::OK, text).map_into_boxed_body(),
+            Ok(Reply::Whole(text)) => {
+                Response::with_body(StatusCode::OK, text).map_into_boxed_body()
+            }
             Ok(Reply::Stream(parts)) => stream(parts, active),
             Err(_) => plain(StatusCode::BAD_GATEWAY),
         }
@@ -138,7 +152,10 @@
     Response::new(status).map_into_boxed_body()
 }
 
-fn stream(mut parts: mpsc::Receiver<Result<Bytes, io::Error>>, active: ActiveRequest) -> Response<BoxBody> {
+fn stream(
+    mut parts: mpsc::Receiver<Result<Bytes, io::Error>>,
+    active: ActiveRequest,
+) -> Response<BoxBody> {
     let parts = futures_util::stream::poll_fn(move |cx| parts.poll_recv(cx));
     let body = BodyStream::new(parts.inspect(move |_| _ = &active));
     Response::with_body(StatusCode::OK, body).map_into_boxed_body()
@@ -160,29 +177,51 @@
 
     /// One that may hold so many connections.
     pub async fn start_with(limits: ClientLimits, descriptors: usize) -> Self {
-        let tcp = sockets::listen("127.0.0.1:0".parse().expect("an address")).expect("a port is free");
+        let tcp =
+            sockets::listen("127.0.0.1:0".parse().expect("an address")).expect("a port is free");
         // What it accepts has it, too.
         rustix::net::sockopt::set_socket_send_buffer_size(&tcp, LITTLE as usize).expect("set");
         let address = tcp.local_addr().expect("bound");
         let (asked, requests) = mpsc::unbounded_channel();
         let (serving, serves) = watch::channel(true);
-        let service = Rc::new(Scripted { asked, held: Held::new(64) });
+        let service = Rc::new(Scripted {
+            asked,
+            held: Held::new(64),
+        });
         let log = Logger::root(Discard, o!());
-        let listener = Listener::new(service, Clock::start(), log, Budget::new(descriptors), limits, serves);
+        let listener = Listener::new(
+            service,
+            Clock::start(),
+            log,
+            Budget::new(descriptors),
+            limits,
+            serves,
+        );
         let accepting = actix_rt::spawn(Rc::clone(&listener).accept(Rc::new(tcp)));
         let (asked, accepting) = (Mutex::new(requests), RefCell::new(Some(accepting)));
-        Stage { listener, address, asked, accepting, _serving: serving }
+        Stage {
+            listener,
+            address,
+            asked,
+            accepting,
+            _serving: serving,
+        }
     }
 
     pub async fn connect(&self) -> Client {
-        Client(BufReader::new(TcpStream::connect(self.address).await.expect("it listens")))
+        Client(BufReader::new(
+            TcpStream::connect(self.address).await.expect("it listens"),
+        ))
     }
 
     /// A client on whose connection little is on its way at once.
     pub async fn connect_with_little_room(&self) -> Client {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(LITTLE).expect("set");
-        Client(BufReader::with_capacity(64, socket.connect(self.address).await.expect("it listens")))
+        Client(BufReader::with_capacity(
+            64,
+            socket.connect(self.address).await.expect("it listens"),
+        ))
     }
 
     /// The next request that the service is handed.
@@ -215,13 +254,21 @@
     }
 
     pub async fn write(&mut self, text: &str) {
-        self.0.get_mut().write_all(text.as_bytes()).await.expect("written");
+        self.0
+            .get_mut()
+            .write_all(text.as_bytes())
+            .await
+            .expect("written");
     }
 
     async fn head(&mut self) -> Option<String> {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
-            self.0.read_line(&mut head).await.ok().filter(|&bytes| bytes > 0)?;
+            self.0
+                .read_line(&mut head)
+                .await
+                .ok()
+                .filter(|&bytes| bytes > 0)?;
         }
         Some(head.to_ascii_lowercase().replacen("http", "HTTP", 1))
     }
@@ -229,7 +276,10 @@
     /// A whole answer with a length: head and body.
     pub async fn answer(&mut self) -> Option<String> {
         let mut head = self.head().await?;
-        let length = head.lines().find_map(|line| line.strip_prefix("content-length: ")).expect("a length");
+        let length = head
+            .lines()
+            .find_map(|line| line.strip_prefix("content-length: "))
+            .expect("a length");
         let mut body = vec![0; length.parse().expect("a number")];
         self.0.read_exact(&mut body).await.ok()?;
         head.push_str(std::str::from_utf8(&body).expect("text"));
@@ -241,7 +291,11 @@
         let mut line = String::new();
         loop {
             line.clear();
-            self.0.read_line(&mut line).await.ok().filter(|&bytes| bytes > 0)?;
+            self.0
+                .read_line(&mut line)
+                .await
+                .ok()
+                .filter(|&bytes| bytes > 0)?;
             if let Ok(size) = usize::from_str_radix(line.trim(), 16) {
                 let mut chunk = vec![0; size + 2];
                 self.0.read_exact(&mut chunk).await.ok()?;
--- a/crates/transport/tests/memory_network.rs
+++ b/crates/transport/tests/memory_network.rs
@@ -23,18 +23,35 @@
     link: LinkId,
 }
 
-fn listen(network: &MemoryNetwork, at: ([u8; 4], u16), options: LinkOptions) -> MemoryTransport<u64> {
-    let hello = Hello { protocol: "memory".into(), version: 1, node: format!("{at:?}"), incarnation: 1 };
+fn listen(
+    network: &MemoryNetwork,
+    at: ([u8; 4], u16),
+    options: LinkOptions,
+) -> MemoryTransport<u64> {
+    let hello = Hello {
+        protocol: "memory".into(),
+        version: 1,
+        node: format!("{at:?}"),
+        incarnation: 1,
+    };
     network.listen(SocketAddr::from(at), hello, options)
 }
 
 fn linked(options: LinkOptions) -> Pair {
     let network = MemoryNetwork::default();
-    let (mut one, mut other) = (listen(&network, ONE, options), listen(&network, OTHER, options));
+    let (mut one, mut other) = (
+        listen(&network, ONE, options),
+        listen(&network, OTHER, options),
+    );
     let link = one.connect(other.local_address());
     assert_matches!(one.try_next(), Some(LinkEvent::Up { .. }));
     assert_matches!(other.try_next(), Some(LinkEvent::Up { .. }));
-    Pair { network, one, other, link }
+    Pair {
+        network,
+        one,
+        other,
+        link,
+    }
 }
 
 fn numbers(at: &mut MemoryTransport<u64>) -> Vec<u64> {
@@ -50,7 +67,12 @@
 
 #[test]
 fn what_is_delayed_arrives_at_its_time_and_nothing_overtakes() {
-    let Pair { network, mut one, mut other, link } = linked(LinkOptions::default());
+    let Pair {
+        network,
+        mut one,
+        mut other,
+        link,
+    } = linked(LinkOptions::default());
     let (here, there) = (one.local_address(), other.local_address());
     network.delay(here, there, ms(30));
     one.send(link, &1).expect("taken");
@@ -67,8 +89,16 @@
 
 #[test]
 fn a_one_way_cut_holds_back_one_way_and_ends_the_link_for_both_by_silence() {
-    let options = LinkOptions { silence_timeout: ms(100), ..LinkOptions::default() };
-    let Pair { network, mut one, mut other, link } = linked(options);
+    let options = LinkOptions {
+        silence_timeout: ms(100),
+        ..LinkOptions::default()
+    };
+    let Pair {
+        network,
+        mut one,
+        mut other,
+        link,
+    } = linked(options);
     network.cut(one.local_address(), other.local_address());
     one.send(link, &1).expect("taken");
     other.send(link, &2).expect("taken");
@@ -76,17 +106,27 @@
     assert_eq!((numbers(&mut one), numbers(&mut other)), (vec![2], vec![]));
     network.advance(ms(1));
     for end in [&mut one, &mut other] {
-        let Some(LinkEvent::Down { error, .. }) = end.try_next() else { panic!("not down") };
+        let Some(LinkEvent::Down { error, .. }) = end.try_next() else {
+            panic!("not down")
+        };
         assert_matches!(error.cause, LinkCause::TimedOut);
         assert!(end.try_next().is_none());
     }
     network.restore(one.local_address(), other.local_address());
-    assert!(other.try_next().is_none(), "what was held back is lost with its link");
+    assert!(
+        other.try_next().is_none(),
+        "what was held back is lost with its link"
+    );
 }
 
 #[test]
 fn a_short_cut_loses_nothing() {
-    let Pair { network, mut one, mut other, link } = linked(LinkOptions::default());
+    let Pair {
+        network,
+        mut one,
+        mut other,
+        link,
+    } = linked(LinkOptions::default());
     let (here, there) = (one.local_address(), other.local_address());
     network.cut(here, there);
     for n in 0..5 {
@@ -101,17 +141,39 @@
 #[test]
 fn a_cut_fills_the_queue_to_its_bound() {
     for overflow in [Overflow::RefuseNewest, Overflow::DropOldest] {
-        let queue = QueueLimits { frames: 3, bytes: 1_000, overflow };
-        let Pair { network, mut one, mut other, link } =
-            linked(LinkOptions { queue, ..LinkOptions::default() });
+        let queue = QueueLimits {
+            frames: 3,
+            bytes: 1_000,
+            overflow,
+        };
+        let Pair {
+            network,
+            mut one,
+            mut other,
+            link,
+        } = linked(LinkOptions {
+            queue,
+            ..LinkOptions::default()
+        });
         let (here, there) = (one.local_address(), other.local_address());
         network.cut(here, there);
-        let sent: Vec<_> = (0..5).map(|n| one.send(link, &n).map(|sent| sent.dropped)).collect();
+        let sent: Vec<_> = (0..5)
+            .map(|n| one.send(link, &n).map(|sent| sent.dropped))
+            .collect();
         network.restore(here, there);
         let come = numbers(&mut other);
         match overflow {
             Overflow::RefuseNewest => {
-                assert_eq!(sent, [Ok(0), Ok(0), Ok(0), Err(SendError::Full), Err(SendError::Full)]);
+                assert_eq!(
+                    sent,
+                    [
+                        Ok(0),
+                        Ok(0),
+                        Ok(0),
+                        Err(SendError::Full),
+                        Err(SendError::Full)
+                    ]
+                );
                 assert_eq!(come, [0, 1, 2]);
             }
             Overflow::DropOldest => {
@@ -124,7 +186,12 @@
 
 #[test]
 fn a_reset_is_told_to_both_and_loses_what_is_on_its_way() {
-    let Pair { network, mut one, mut other, link } = linked(LinkOptions::default());
+    let Pair {
+        network,
+        mut one,
+        mut other,
+        link,
+    } = linked(LinkOptions::default());
     network.delay(one.local_address(), other.local_address(), ms(10));
     one.send(link, &1).expect("taken");
     network.reset(other.local_address(), one.local_address());
@@ -138,15 +205,24 @@
 
 #[test]
 fn a_process_behind_a_cut_is_given_up_in_time_and_never_hears_of_it() {
-    let options = LinkOptions { connect_timeout: ms(50), silence_timeout: ms(500), ..LinkOptions::default() };
+    let options = LinkOptions {
+        connect_timeout: ms(50),
+        silence_timeout: ms(500),
+        ..LinkOptions::default()
+    };
     let network = MemoryNetwork::default();
-    let (mut one, mut other) = (listen(&network, ONE, options), listen(&network, OTHER, options));
+    let (mut one, mut other) = (
+        listen(&network, ONE, options),
+        listen(&network, OTHER, options),
+    );
     network.cut(one.local_address(), other.local_address());
     let link = one.connect(other.local_address());
     network.advance(ms(49));
     assert!(one.try_next().is_none());
     network.advance(ms(1));
-    let Some(LinkEvent::Down { link: which, error }) = one.try_next() else { panic!("not down") };
+    let Some(LinkEvent::Down { link: which, error }) = one.try_next() else {
+        panic!("not down")
+    };
     assert_eq!((which, error.step), (link, LinkStep::Connect));
     assert_matches!(error.cause, LinkCause::TimedOut);
     assert!(other.try_next().is_none());
@@ -156,7 +232,12 @@
 #[test]
 fn a_play_can_be_repeated() {
     let play = || {
-        let Pair { network, mut one, mut other, link } = linked(LinkOptions::default());
+        let Pair {
+            network,
+            mut one,
+            mut other,
+            link,
+        } = linked(LinkOptions::default());
         let (here, there) = (one.local_address(), other.local_address());
         let mut log = Vec::new();
         for step in 0..200u64 {
--- a/crates/transport/tests/message_transport.rs
+++ b/crates/transport/tests/message_transport.rs
@@ -1,4 +1,5 @@
-//! The contract of `MessageTransport`, kept by TCP and in memory; and that a transport which breaks it is caught.
+//! The contract of `MessageTransport`, kept by TCP and in memory; and that a transport which breaks
+//! it is caught.
 
 #[path = "message_transport/contract.rs"]
 mod contract;
@@ -16,8 +17,8 @@
 
 /// A contract that is not kept may wait for ever.
 const MOST: Duration = Duration::from_secs(20);
-/// A contract played in memory goes on whenever it is polled; one that has not ended after so many waits for what
-/// never comes.
+/// A contract played in memory goes on whenever it is polled; one that has not ended after so many
+/// waits for what never comes.
 const POLLS: usize = 100;
 
 macro_rules! kept_by_both {
@@ -56,7 +57,10 @@
 );
 
 async fn kept(contract: impl Future<Output = Contract>) {
-    tokio::time::timeout(MOST, contract).await.expect("in time").expect("kept");
+    tokio::time::timeout(MOST, contract)
+        .await
+        .expect("in time")
+        .expect("kept");
 }
 
 /// Whether a contract played in memory is broken.
@@ -72,7 +76,10 @@
 }
 
 fn faulty(fault: Fault) -> FaultyWorld<MemoryWorld> {
-    FaultyWorld { world: MemoryWorld::default(), fault }
+    FaultyWorld {
+        world: MemoryWorld::default(),
+        fault,
+    }
 }
 
 #[tokio::test]
@@ -85,12 +92,22 @@
 
 #[tokio::test]
 async fn a_transport_that_hides_the_end_of_a_link_is_caught() {
-    assert!(broken(contract::a_peer_that_is_gone_is_told_once(&mut faulty(Fault::HidesEnds))).await);
+    assert!(
+        broken(contract::a_peer_that_is_gone_is_told_once(&mut faulty(
+            Fault::HidesEnds
+        )))
+        .await
+    );
 }
 
 #[tokio::test]
 async fn a_transport_without_a_fault_is_not_taken_for_one_with() {
     let order = contract::messages_arrive_whole_and_in_order_both_ways;
     assert!(!broken(order(&mut faulty(Fault::None))).await);
-    assert!(!broken(contract::a_peer_that_is_gone_is_told_once(&mut faulty(Fault::None))).await);
+    assert!(
+        !broken(contract::a_peer_that_is_gone_is_told_once(&mut faulty(
+            Fault::None
+        )))
+        .await
+    );
 }
--- a/crates/transport/tests/message_transport/contract.rs
+++ b/crates/transport/tests/message_transport/contract.rs
@@ -4,8 +4,8 @@
 
 use futures_util::FutureExt as _;
 use ironmast_transport::frames::{
-    FrameError, Hello, LinkCause, LinkEvent, LinkId, LinkOptions, LinkStep, MessageTransport, Overflow,
-    QueueLimits, SendError,
+    FrameError, Hello, LinkCause, LinkEvent, LinkId, LinkOptions, LinkStep, MessageTransport,
+    Overflow, QueueLimits, SendError,
 };
 
 use crate::worlds::World;
@@ -15,11 +15,19 @@
 
 /// The greeting of a process of that name.
 pub fn hello(node: &str) -> Hello {
-    Hello { protocol: "contract".into(), version: 1, node: node.into(), incarnation: 5 }
+    Hello {
+        protocol: "contract".into(),
+        version: 1,
+        node: node.into(),
+        incarnation: 5,
+    }
 }
 
 fn small() -> LinkOptions {
-    LinkOptions { max_frame_bytes: 100_000, ..LinkOptions::default() }
+    LinkOptions {
+        max_frame_bytes: 100_000,
+        ..LinkOptions::default()
+    }
 }
 
 fn check(kept: bool, broken: impl FnOnce() -> String) -> Contract {
@@ -57,7 +65,10 @@
 }
 
 /// The next event, which has to be the end of that link; why.
-async fn down<T: MessageTransport>(of: &mut T, which: LinkId) -> Result<(LinkStep, LinkCause), String> {
+async fn down<T: MessageTransport>(
+    of: &mut T,
+    which: LinkId,
+) -> Result<(LinkStep, LinkCause), String> {
     match of.next().await {
         LinkEvent::Down { link, error } if link == which => Ok((error.step, error.cause)),
         LinkEvent::Down { .. } => Err("another link is down".into()),
@@ -70,13 +81,26 @@
     let mut one = world.listen::<u64>(hello("one"), small());
     let mut other = world.listen::<u64>(hello("other"), small());
     one.connect(other.local_address());
-    let (LinkEvent::Up { peer, hello: theirs, dialed, .. }, LinkEvent::Up { hello: ours, dialed: there, .. }) =
-        futures_util::future::join(one.next(), other.next()).await
+    let (
+        LinkEvent::Up {
+            peer,
+            hello: theirs,
+            dialed,
+            ..
+        },
+        LinkEvent::Up {
+            hello: ours,
+            dialed: there,
+            ..
+        },
+    ) = futures_util::future::join(one.next(), other.next()).await
     else {
         return Err("the link is not up".into());
     };
     check(peer == other.local_address(), || format!("{peer}"))?;
-    check(theirs == hello("other") && ours == hello("one"), || "who the other is".into())?;
+    check(theirs == hello("other") && ours == hello("one"), || {
+        "who the other is".into()
+    })?;
     check(dialed && !there, || "who began".into())
 }
 
@@ -89,12 +113,19 @@
     let value = |n: u64| (n, vec![n as u8; (n * 97 % 5_000) as usize]);
     for n in 0..COUNT {
         one.send(here, &value(n)).map_err(|e| e.to_string())?;
-        other.send(there, &value(n + 1)).map_err(|e| e.to_string())?;
+        other
+            .send(there, &value(n + 1))
+            .map_err(|e| e.to_string())?;
     }
     for n in 0..COUNT {
-        let (at_other, at_one) = futures_util::future::join(message(&mut other), message(&mut one)).await;
-        check(at_other? == value(n), || format!("message {n} at the other side"))?;
-        check(at_one? == value(n + 1), || format!("message {n} at the one side"))?;
+        let (at_other, at_one) =
+            futures_util::future::join(message(&mut other), message(&mut one)).await;
+        check(at_other? == value(n), || {
+            format!("message {n} at the other side")
+        })?;
+        check(at_one? == value(n + 1), || {
+            format!("message {n} at the one side")
+        })?;
     }
     breathe().await;
     let rest = one.next().now_or_never().is_some() || other.next().now_or_never().is_some();
@@ -109,7 +140,9 @@
         one.send(link, &n).map_err(|e| e.to_string())?;
     }
     let up = other.next().await;
-    check(matches!(up, LinkEvent::Up { .. }), || "a message before the link is up".into())?;
+    check(matches!(up, LinkEvent::Up { .. }), || {
+        "a message before the link is up".into()
+    })?;
     for n in 0..10 {
         check(message(&mut other).await? == n, || format!("message {n}"))?;
     }
@@ -126,22 +159,31 @@
     let longest = vec![7; small().max_frame_bytes - 3];
     let longer = vec![7; small().max_frame_bytes - 2];
     let refused = one.send(link, &longer);
-    let expected = Err(SendError::Frame(FrameError::TooLong { most: small().max_frame_bytes }));
+    let expected = Err(SendError::Frame(FrameError::TooLong {
+        most: small().max_frame_bytes,
+    }));
     check(refused == expected, || format!("{refused:?}"))?;
     one.send(link, &longest).map_err(|e| e.to_string())?;
-    check(message(&mut other).await? == longest, || "the longest".into())
+    check(message(&mut other).await? == longest, || {
+        "the longest".into()
+    })
 }
 
 pub async fn a_frame_beyond_the_receivers_bound_ends_the_link<W: World>(world: &mut W) -> Contract {
     let mut one = world.listen::<Vec<u8>>(hello("one"), small());
-    let tight = LinkOptions { max_frame_bytes: 1_000, ..small() };
+    let tight = LinkOptions {
+        max_frame_bytes: 1_000,
+        ..small()
+    };
     let mut other = world.listen::<Vec<u8>>(hello("other"), tight);
     let (here, there) = linked(&mut one, &mut other).await?;
     one.send(here, &vec![1; 500]).map_err(|e| e.to_string())?;
     one.send(here, &vec![2; 2_000]).map_err(|e| e.to_string())?;
     // Its end may be known here by now.
     let _ = one.send(here, &vec![3; 500]);
-    check(message(&mut other).await? == vec![1; 500], || "the first".into())?;
+    check(message(&mut other).await? == vec![1; 500], || {
+        "the first".into()
+    })?;
     let (step, cause) = down(&mut other, there).await?;
     let told = matches!(cause, LinkCause::Frame(FrameError::TooLong { most: 1_000 }));
     check(told && step == LinkStep::Read, || format!("{step} {cause}"))?;
@@ -152,7 +194,8 @@
     let mut one = world.listen::<String>(hello("one"), small());
     let mut other = world.listen::<bool>(hello("other"), small());
     let (here, there) = linked(&mut one, &mut other).await?;
-    one.send(here, &"neither true nor false".to_string()).map_err(|e| e.to_string())?;
+    one.send(here, &"neither true nor false".to_string())
+        .map_err(|e| e.to_string())?;
     let (step, cause) = down(&mut other, there).await?;
     let told = matches!(cause, LinkCause::Frame(FrameError::Malformed(_)));
     check(told && step == LinkStep::Read, || format!("{step} {cause}"))?;
@@ -168,7 +211,9 @@
     };
     check(which == link && error.peer == nobody, || format!("{error}"))?;
     check(error.step == LinkStep::Connect, || format!("{error}"))?;
-    check(one.send(link, &1) == Err(SendError::NoLink), || "the link still takes messages".into())
+    check(one.send(link, &1) == Err(SendError::NoLink), || {
+        "the link still takes messages".into()
+    })
 }
 
 pub async fn a_peer_that_is_gone_is_told_once<W: World>(world: &mut W) -> Contract {
@@ -179,47 +224,66 @@
     check(message(&mut one).await? == 1, || "its message".into())?;
     drop(other);
     down(&mut one, here).await?;
-    check(one.send(here, &1) == Err(SendError::NoLink), || "the link still takes messages".into())?;
+    check(one.send(here, &1) == Err(SendError::NoLink), || {
+        "the link still takes messages".into()
+    })?;
     breathe().await;
     check(one.next().now_or_never().is_none(), || "told twice".into())
 }
 
 pub async fn what_was_sent_before_a_close_arrives<W: World>(world: &mut W) -> Contract {
-    let few = LinkOptions { max_waiting_events: 5, ..small() };
+    let few = LinkOptions {
+        max_waiting_events: 5,
+        ..small()
+    };
     let mut one = world.listen::<(u64, Vec<u8>)>(hello("one"), few);
     let mut other = world.listen::<(u64, Vec<u8>)>(hello("other"), small());
     let (here, there) = linked(&mut one, &mut other).await?;
     // More than the one side takes, and on its way when that closes the link: nobody wants it.
     for n in 0..500 {
-        other.send(there, &(n, vec![0; 20_000])).map_err(|e| e.to_string())?;
+        other
+            .send(there, &(n, vec![0; 20_000]))
+            .map_err(|e| e.to_string())?;
     }
     breathe().await;
     for n in 0..1_000 {
-        one.send(here, &(n, vec![1; 500])).map_err(|e| e.to_string())?;
+        one.send(here, &(n, vec![1; 500]))
+            .map_err(|e| e.to_string())?;
     }
     one.close(here);
-    check(one.send(here, &(1, Vec::new())) == Err(SendError::NoLink), || {
-        "a closed link takes messages".into()
-    })?;
+    check(
+        one.send(here, &(1, Vec::new())) == Err(SendError::NoLink),
+        || "a closed link takes messages".into(),
+    )?;
     for n in 0..1_000 {
         check(message(&mut other).await?.0 == n, || format!("message {n}"))?;
     }
     let (_, cause) = down(&mut other, there).await?;
     check(matches!(cause, LinkCause::Closed), || format!("{cause}"))?;
     breathe().await;
-    check(one.next().now_or_never().is_none(), || "an event of a closed link".into())
+    check(one.next().now_or_never().is_none(), || {
+        "an event of a closed link".into()
+    })
 }
 
 pub async fn other_greetings_are_refused_on_both_sides<W: World>(world: &mut W) -> Contract {
-    let later = Hello { version: 2, ..hello("later") };
-    let stranger = Hello { protocol: "another".into(), ..hello("stranger") };
+    let later = Hello {
+        version: 2,
+        ..hello("later")
+    };
+    let stranger = Hello {
+        protocol: "another".into(),
+        ..hello("stranger")
+    };
     for theirs in [later, stranger] {
         let mut one = world.listen::<u64>(hello("one"), small());
         let mut other = world.listen::<u64>(theirs, small());
         one.connect(other.local_address());
         let (here, there) = futures_util::future::join(one.next(), other.next()).await;
         for event in [here, there] {
-            let LinkEvent::Down { error, .. } = event else { return Err("it is up".into()) };
+            let LinkEvent::Down { error, .. } = event else {
+                return Err("it is up".into());
+            };
             let told = matches!(error.cause, LinkCause::Hello(_));
             check(told && error.step == LinkStep::Greet, || format!("{error}"))?;
         }
@@ -227,8 +291,8 @@
     Ok(())
 }
 
-/// Sends numbers to a peer that takes nothing until `enough`; the numbers taken, in order, and how many were
-/// dropped for others.
+/// Sends numbers to a peer that takes nothing until `enough`; the numbers taken, in order, and how
+/// many were dropped for others.
 async fn pressed<T: MessageTransport<Message = (u64, Vec<u8>)>>(
     one: &mut T,
     link: LinkId,
@@ -236,7 +300,9 @@
 ) -> (Vec<u64>, usize) {
     let (mut taken, mut dropped) = (Vec::new(), 0);
     for n in 0.. {
-        let sent = one.send(link, &(n, vec![0; 20_000])).map(|sent| sent.dropped);
+        let sent = one
+            .send(link, &(n, vec![0; 20_000]))
+            .map(|sent| sent.dropped);
         if let Ok(others) = sent {
             taken.push(n);
             dropped += others;
@@ -250,8 +316,16 @@
 }
 
 fn pressing(overflow: Overflow) -> LinkOptions {
-    let queue = QueueLimits { frames: 50, bytes: 1 << 20, overflow };
-    LinkOptions { queue, max_waiting_events: 5, ..small() }
+    let queue = QueueLimits {
+        frames: 50,
+        bytes: 1 << 20,
+        overflow,
+    };
+    LinkOptions {
+        queue,
+        max_waiting_events: 5,
+        ..small()
+    }
 }
 
 pub async fn a_full_queue_refuses_and_nothing_taken_is_lost<W: World>(world: &mut W) -> Contract {
@@ -264,7 +338,9 @@
         let come = message(&mut other).await?.0;
         check(come == n, || format!("{come} in place of {n}"))?;
     }
-    one.send(link, &(0, Vec::new())).map(drop).map_err(|e| format!("there is room again: {e}"))
+    one.send(link, &(0, Vec::new()))
+        .map(drop)
+        .map_err(|e| format!("there is room again: {e}"))
 }
 
 pub async fn a_full_queue_drops_the_oldest_where_told_so<W: World>(world: &mut W) -> Contract {
@@ -282,8 +358,12 @@
     while come.len() < taken.len() - dropped {
         come.push(message(&mut other).await?.0);
     }
-    check(come.is_sorted_by(|a, b| a < b), || format!("out of order: {come:?}"))?;
-    check(come.last() == taken.last(), || "the newest is missing".into())
+    check(come.is_sorted_by(|a, b| a < b), || {
+        format!("out of order: {come:?}")
+    })?;
+    check(come.last() == taken.last(), || {
+        "the newest is missing".into()
+    })
 }
 
 pub async fn a_dropped_wait_loses_nothing<W: World>(world: &mut W) -> Contract {
@@ -302,9 +382,10 @@
             check(waits < 1_000_000, || format!("message {n} is lost"))?;
             tokio::task::yield_now().await;
         };
-        check(matches!(event, LinkEvent::Message { message, .. } if message == n), || {
-            format!("message {n}")
-        })?;
+        check(
+            matches!(event, LinkEvent::Message { message, .. } if message == n),
+            || format!("message {n}"),
+        )?;
     }
     Ok(())
 }
--- a/crates/transport/tests/message_transport/faulty.rs
+++ b/crates/transport/tests/message_transport/faulty.rs
@@ -2,7 +2,9 @@
 
 use std::net::SocketAddr;
 
-use ironmast_transport::frames::{Hello, LinkEvent, LinkId, LinkOptions, MessageTransport, SendError, Sent};
+use ironmast_transport::frames::{
+    Hello, LinkEvent, LinkId, LinkOptions, MessageTransport, SendError, Sent,
+};
 
 use crate::worlds::{Message, World};
 
@@ -34,7 +36,12 @@
 
     fn listen<M: Message>(&mut self, hello: Hello, options: LinkOptions) -> Self::Transport<M> {
         let transport = self.world.listen(hello, options);
-        Faulty { transport, fault: self.fault, sent: 0, late: None }
+        Faulty {
+            transport,
+            fault: self.fault,
+            sent: 0,
+            late: None,
+        }
     }
 
     fn nobody(&mut self) -> SocketAddr {
--- a/crates/transport/tests/pass_through.rs
+++ b/crates/transport/tests/pass_through.rs
@@ -1,4 +1,5 @@
-//! Answers that are passed through as they arrive, against a server that writes what the test says, over sockets.
+//! Answers that are passed through as they arrive, against a server that writes what the test says,
+//! over sockets.
 
 #[path = "pass_through/kept.rs"]
 mod kept;
@@ -13,7 +14,8 @@
 use futures_util::StreamExt as _;
 use ironmast_transport::attempt::{AttemptOptions, Delivery};
 use stage::{
-    CHUNKED, ID, SIZED, Stage, TO_END, asks_anew, attempt, event, exactly, head, passing, play, whole,
+    CHUNKED, ID, SIZED, Stage, TO_END, asks_anew, attempt, event, exactly, head, passing, play,
+    whole,
 };
 
 /// Longer than anything on the way that is not held back.
@@ -22,13 +24,26 @@
 /// Each event is read before the server writes the next: nothing is held back.
 async fn one_by_one(stage: &Stage, framing: &str, options: AttemptOptions) {
     let state = attempt(options);
-    let (answer, mut peer) = stage.exchange(&state, Method::GET, &head(ID, framing)).await;
+    let (answer, mut peer) = stage
+        .exchange(&state, Method::GET, &head(ID, framing))
+        .await;
     let mut answer = answer.expect("its head");
-    assert_eq!(answer.headers().get("X-Ironmast-Request-Id"), Some(&HeaderValue::from_static(ID)));
+    assert_eq!(
+        answer.headers().get("X-Ironmast-Request-Id"),
+        Some(&HeaderValue::from_static(ID))
+    );
     let events = if framing == SIZED { 2 } else { 20 };
     for n in 0..events {
-        let text = if framing == SIZED { ["hello", "world"][n].to_string() } else { event(n) };
-        let wire = if framing == CHUNKED { format!("{:x}\r\n{text}\r\n", text.len()) } else { text.clone() };
+        let text = if framing == SIZED {
+            ["hello", "world"][n].to_string()
+        } else {
+            event(n)
+        };
+        let wire = if framing == CHUNKED {
+            format!("{:x}\r\n{text}\r\n", text.len())
+        } else {
+            text.clone()
+        };
         peer.write(&wire).await;
         exactly(&mut answer, &text).await;
     }
@@ -53,15 +68,18 @@
 #[test]
 fn an_answer_that_is_held_until_it_is_whole_does_not_pass_for_one_that_is_passed_through() {
     play(async {
-        let held = AttemptOptions { delivery: Delivery::WholeIfShort, ..passing() };
+        let held = AttemptOptions {
+            delivery: Delivery::WholeIfShort,
+            ..passing()
+        };
         let stage = Stage::start().await;
         let played = tokio::time::timeout(HELD_BACK, one_by_one(&stage, CHUNKED, held)).await;
         assert!(played.is_err(), "it is held back");
     });
 }
 
-/// What a client reads of an answer of which the server writes this and closes: all that came, and whether it
-/// looked complete.
+/// What a client reads of an answer of which the server writes this and closes: all that came, and
+/// whether it looked complete.
 async fn cut(bytes: &str) -> (String, bool) {
     let stage = Stage::start().await;
     let state = attempt(passing());
@@ -71,7 +89,9 @@
         peer.write(bytes).await;
     };
     let (answer, ()) = futures_util::future::join(stage.ask(&state, Method::GET), serve).await;
-    let Ok(mut answer) = answer else { return (String::new(), false) };
+    let Ok(mut answer) = answer else {
+        return (String::new(), false);
+    };
     let mut come = String::new();
     while let Some(part) = answer.next().await {
         match part {
@@ -87,9 +107,17 @@
     play(async {
         let (one, two) = (event(1), event(2));
         let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
-        let chunked = format!("{}{}{}0\r\n\r\n", head(ID, CHUNKED), chunk(&one), chunk(&two));
+        let chunked = format!(
+            "{}{}{}0\r\n\r\n",
+            head(ID, CHUNKED),
+            chunk(&one),
+            chunk(&two)
+        );
         let sized = format!("{}helloworld", head(ID, SIZED));
-        for (answer, body) in [(chunked, format!("{one}{two}")), (sized, "helloworld".into())] {
+        for (answer, body) in [
+            (chunked, format!("{one}{two}")),
+            (sized, "helloworld".into()),
+        ] {
             for end in 0..answer.len() {
                 let (come, complete) = cut(&answer[..end]).await;
                 assert!(!complete, "cut at {end}: {come:?}");
@@ -131,8 +159,8 @@
     });
 }
 
-/// A server that stops is waited for: whose patience counts is the caller's to say, and dropping the answer closes
-/// the connection, by which the server knows.
+/// A server that stops is waited for: whose patience counts is the caller's to say, and dropping
+/// the answer closes the connection, by which the server knows.
 #[test]
 fn a_stalled_server_is_waited_for_until_the_answer_is_dropped() {
     play(async {
@@ -149,7 +177,10 @@
                 () = state.fallen_silent() => panic!("given up"),
             }
         };
-        assert!(tokio::time::timeout(HELD_BACK, stalled).await.is_err(), "it waits");
+        assert!(
+            tokio::time::timeout(HELD_BACK, stalled).await.is_err(),
+            "it waits"
+        );
         assert_eq!(state.last_progress(), Some(progress));
         peer.write("lo\r\n0\r\n\r\n").await;
         assert_eq!(whole(&mut answer).await, "lo");
@@ -170,14 +201,18 @@
 fn nothing_is_written_to_a_server_that_takes_nothing_new() {
     play(async {
         let stage = Stage::start().await;
-        let retired = AttemptOptions { admission: Some(Box::new(|| false)), ..passing() };
+        let retired = AttemptOptions {
+            admission: Some(Box::new(|| false)),
+            ..passing()
+        };
         let state = attempt(retired);
         assert!(stage.ask(&state, Method::GET).await.is_err());
         assert_eq!(state.written(), 0, "it has not run");
     });
 }
 
-/// The write that fails uses up the system's note of the reset: what is read behind it looks like an orderly end.
+/// The write that fails uses up the system's note of the reset: what is read behind it looks like
+/// an orderly end.
 #[test]
 fn an_early_answer_without_a_length_is_not_whole_after_a_reset() {
     play(async {
@@ -201,7 +236,8 @@
     });
 }
 
-/// A server that ends its side, or says what is no answer, while a request is written, is not waited for.
+/// A server that ends its side, or says what is no answer, while a request is written, is not
+/// waited for.
 #[test]
 fn a_request_that_can_have_no_answer_any_more_is_not_written_further() {
     play(async {
@@ -225,12 +261,16 @@
     });
 }
 
-/// A server that rejects a request need not read it: what it says is a promise that must not be lost.
+/// A server that rejects a request need not read it: what it says is a promise that must not be
+/// lost.
 #[test]
 fn an_answer_before_the_request_is_written_is_heard() {
     play(async {
-        let cases =
-            [("503 Service Unavailable", false), ("503 Service Unavailable", true), ("200 OK", false)];
+        let cases = [
+            ("503 Service Unavailable", false),
+            ("503 Service Unavailable", true),
+            ("200 OK", false),
+        ];
         for (status, closes) in cases {
             let stage = Stage::start().await;
             let state = attempt(passing());
@@ -238,7 +278,10 @@
                 let mut peer = stage.accept().await;
                 peer.request().await;
                 let rejected = format!("HTTP/1.1 {status}\r\nX-Ironmast-Not-Executed: 1\r\n");
-                peer.write(&format!("{rejected}X-Ironmast-Request-Id: {ID}\r\n{SIZED}\r\nhelloworld")).await;
+                peer.write(&format!(
+                    "{rejected}X-Ironmast-Request-Id: {ID}\r\n{SIZED}\r\nhelloworld"
+                ))
+                .await;
                 (!closes).then_some(peer)
             };
             let body = bytes::Bytes::from(vec![0; 8 << 20]);
@@ -249,7 +292,10 @@
             assert_eq!(whole(&mut answer).await, "helloworld");
             if let Some(mut peer) = peer {
                 peer.closed().await;
-                assert!(asks_anew(&stage, &mut peer).await, "part of a request stands on the old one");
+                assert!(
+                    asks_anew(&stage, &mut peer).await,
+                    "part of a request stands on the old one"
+                );
             }
         }
     });
