--- a/crates/transport/tests/pass_through/kept.rs
+++ b/crates/transport/tests/pass_through/kept.rs
@@ -7,7 +7,8 @@
 
 use crate::cut;
 use crate::stage::{
-    CHUNKED, ID, SIZED, Stage, TO_END, answered, answered_as, asks_anew, attempt, head, passing, play, whole,
+    CHUNKED, ID, SIZED, Stage, TO_END, answered, answered_as, asks_anew, attempt, head, passing,
+    play, whole,
 };
 
 #[test]
@@ -15,17 +16,26 @@
     play(async {
         let surplus = format!("{}helloworld", head("another", SIZED));
         for behind in ["x", "\r\n", "HTTP/1.1 200 OK\r\n", surplus.as_str()] {
-            for (framing, body) in [(SIZED, "helloworld"), (CHUNKED, "a\r\nhelloworld\r\n0\r\n\r\n")] {
+            for (framing, body) in [
+                (SIZED, "helloworld"),
+                (CHUNKED, "a\r\nhelloworld\r\n0\r\n\r\n"),
+            ] {
                 for flows in [false, true] {
                     let stage = Stage::start().await;
                     let mut peer = answered_as(&stage, framing, body, behind, flows).await;
-                    assert!(asks_anew(&stage, &mut peer).await, "{behind:?} behind {framing}");
+                    assert!(
+                        asks_anew(&stage, &mut peer).await,
+                        "{behind:?} behind {framing}"
+                    );
                 }
             }
         }
         let stage = Stage::start().await;
         let mut peer = answered(&stage, SIZED, "helloworld", "").await;
-        assert!(!asks_anew(&stage, &mut peer).await, "a clean one is used again");
+        assert!(
+            !asks_anew(&stage, &mut peer).await,
+            "a clean one is used again"
+        );
     });
 }
 
@@ -36,7 +46,10 @@
         let surplus = format!("{}helloworld", head("another", SIZED));
         for behind in ["x", surplus.as_str()] {
             let stage = Stage::start().await;
-            answered(&stage, SIZED, "helloworld", behind).await.closed().await;
+            answered(&stage, SIZED, "helloworld", behind)
+                .await
+                .closed()
+                .await;
         }
         let stage = Stage::start().await;
         let state = attempt(passing());
@@ -47,7 +60,8 @@
     });
 }
 
-/// What the client library takes for a body need not be one by the framing: bytes that come there belong to nobody.
+/// What the client library takes for a body need not be one by the framing: bytes that come there
+/// belong to nobody.
 #[test]
 fn nothing_is_read_behind_the_end_of_an_answer() {
     play(async {
@@ -56,9 +70,13 @@
         let unmodified = head(ID, SIZED).replace("200 OK", "304 Not Modified");
         let (answer, mut peer) = stage.exchange(&state, Method::GET, &unmodified).await;
         let mut answer = answer.expect("its head");
-        peer.write(&format!("{}helloworld", head("another", SIZED))).await;
+        peer.write(&format!("{}helloworld", head("another", SIZED)))
+            .await;
         peer.arrived().await;
-        assert!(answer.next().await.is_some_and(|part| part.is_err()), "not another's bytes");
+        assert!(
+            answer.next().await.is_some_and(|part| part.is_err()),
+            "not another's bytes"
+        );
         assert_eq!(state.spoilt(), Some("it is read past its end"));
     });
 }
@@ -69,7 +87,10 @@
     play(async {
         let stage = Stage::start().await;
         let state = attempt(passing());
-        let upgrade = format!("{}helloworld", head(ID, &format!("Upgrade: websocket\r\n{SIZED}")));
+        let upgrade = format!(
+            "{}helloworld",
+            head(ID, &format!("Upgrade: websocket\r\n{SIZED}"))
+        );
         let (answer, mut peer) = stage.exchange(&state, Method::GET, &upgrade).await;
         assert!(answer.is_err());
         assert_eq!(state.spoilt(), Some("it changes the protocol"));
@@ -92,8 +113,14 @@
         assert!(answer.is_err());
         assert_eq!(state.spoilt(), Some("it names several requests"));
 
-        let expected = ExpectedHeader { name: "X-Ironmast-Request-Id", value: None };
-        let nameless = AttemptOptions { expected: Some(expected), ..passing() };
+        let expected = ExpectedHeader {
+            name: "X-Ironmast-Request-Id",
+            value: None,
+        };
+        let nameless = AttemptOptions {
+            expected: Some(expected),
+            ..passing()
+        };
         let stage = Stage::start().await;
         let mut peer = answered(&stage, SIZED, "helloworld", "").await;
         let state = attempt(nameless);
@@ -133,12 +160,21 @@
     });
 }
 
-/// A kept connection on which the answer to another request comes in place of the next: what the client reads.
-async fn after_a_surplus(surplus: &str, parts: usize, options: AttemptOptions) -> Result<String, String> {
+/// A kept connection on which the answer to another request comes in place of the next: what the
+/// client reads.
+async fn after_a_surplus(
+    surplus: &str,
+    parts: usize,
+    options: AttemptOptions,
+) -> Result<String, String> {
     let stage = Stage::start().await;
     let mut peer = answered(&stage, SIZED, "helloworld", "").await;
     let state = attempt(options);
-    let bytes = format!("{surplus}{}{}\r\n", head(ID, "Content-Length: 6\r\n"), "mine");
+    let bytes = format!(
+        "{surplus}{}{}\r\n",
+        head(ID, "Content-Length: 6\r\n"),
+        "mine"
+    );
     let serve = async {
         assert!(peer.try_request().await, "on the same connection");
         for part in bytes.as_bytes().chunks(bytes.len().div_ceil(parts)) {
@@ -147,18 +183,33 @@
         }
     };
     let (answer, ()) = futures_util::future::join(stage.ask(&state, Method::GET), serve).await;
-    let Ok(mut answer) = answer else { return Err(state.spoilt().unwrap_or("broken off").into()) };
+    let Ok(mut answer) = answer else {
+        return Err(state.spoilt().unwrap_or("broken off").into());
+    };
     let read = whole(&mut answer).await;
-    assert!(asks_anew(&stage, &mut peer).await, "more of the same may come");
+    assert!(
+        asks_anew(&stage, &mut peer).await,
+        "more of the same may come"
+    );
     Ok(read)
 }
 
 fn surpluses() -> [String; 4] {
     [
         format!("{}helloworld", head("another", SIZED)),
-        format!("{}a\r\nhelloworld\r\n0\r\nX-Trailer: a\r\n\r\n", head("another", CHUNKED)),
-        format!("{}{}", head("another", "Content-Length: 0\r\n"), head("third", "Content-Length: 0\r\n")),
-        format!("HTTP/1.1 103 Early Hints\r\n\r\n{}helloworld", head("another", SIZED)),
+        format!(
+            "{}a\r\nhelloworld\r\n0\r\nX-Trailer: a\r\n\r\n",
+            head("another", CHUNKED)
+        ),
+        format!(
+            "{}{}",
+            head("another", "Content-Length: 0\r\n"),
+            head("third", "Content-Length: 0\r\n")
+        ),
+        format!(
+            "HTTP/1.1 103 Early Hints\r\n\r\n{}helloworld",
+            head("another", SIZED)
+        ),
     ]
 }
 
@@ -177,7 +228,10 @@
 #[test]
 fn without_the_id_a_surplus_answer_would_be_taken_for_the_next() {
     play(async {
-        let blind = AttemptOptions { expected: None, ..passing() };
+        let blind = AttemptOptions {
+            expected: None,
+            ..passing()
+        };
         let read = after_a_surplus(&surpluses()[0], 1, blind).await;
         assert_eq!(read.as_deref(), Ok("helloworld"));
     });
@@ -192,7 +246,10 @@
         let noise = after_a_surplus("noise\r\n\r\n", 1, passing()).await;
         assert_eq!(noise, Err("its head can't be read".into()));
         let endless = format!("{}to the end", head("another", TO_END));
-        assert!(!matches!(cut(&endless).await, (_, true)), "and no other can come behind it");
+        assert!(
+            !matches!(cut(&endless).await, (_, true)),
+            "and no other can come behind it"
+        );
     });
 }
 
@@ -200,10 +257,16 @@
 fn an_answer_to_head_has_no_body_and_its_connection_is_used_again() {
     play(async {
         let stage = Stage::start().await;
-        let state = attempt(AttemptOptions { without_body: true, ..passing() });
+        let state = attempt(AttemptOptions {
+            without_body: true,
+            ..passing()
+        });
         let (answer, mut peer) = stage.exchange(&state, Method::HEAD, &head(ID, SIZED)).await;
         let mut answer = answer.expect("its head");
-        assert_eq!(answer.headers().get(CONTENT_LENGTH), Some(&HeaderValue::from_static("10")));
+        assert_eq!(
+            answer.headers().get(CONTENT_LENGTH),
+            Some(&HeaderValue::from_static("10"))
+        );
         assert_eq!(whole(&mut answer).await, "");
         assert!(!asks_anew(&stage, &mut peer).await);
     });
--- a/crates/transport/tests/pass_through/stage.rs
+++ b/crates/transport/tests/pass_through/stage.rs
@@ -47,8 +47,15 @@
 
 /// What attempts here are made with.
 pub fn passing() -> AttemptOptions {
-    let expected = ExpectedHeader { name: "X-Ironmast-Request-Id", value: Some(ID.into()) };
-    AttemptOptions { delivery: Delivery::PassThrough, expected: Some(expected), ..AttemptOptions::default() }
+    let expected = ExpectedHeader {
+        name: "X-Ironmast-Request-Id",
+        value: Some(ID.into()),
+    };
+    AttemptOptions {
+        delivery: Delivery::PassThrough,
+        expected: Some(expected),
+        ..AttemptOptions::default()
+    }
 }
 
 pub fn attempt(options: AttemptOptions) -> Rc<AttemptState> {
@@ -64,28 +71,49 @@
 
 impl Stage {
     pub async fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port is free");
         let address = listener.local_addr().expect("bound");
         let second = Duration::from_secs(1);
         let client = client(Budget::new(16), second, 60 * second, CheckedStream::new);
-        Stage { listener, address, client }
+        Stage {
+            listener,
+            address,
+            client,
+        }
     }
 
     /// Sends a request, and waits for the head of its answer.
-    pub async fn ask(&self, state: &Rc<AttemptState>, method: Method) -> Result<Answer, SendRequestError> {
+    pub async fn ask(
+        &self,
+        state: &Rc<AttemptState>,
+        method: Method,
+    ) -> Result<Answer, SendRequestError> {
         // A turn of the poller: what has come on idle connections is seen.
         tokio::task::yield_now().await;
-        let call = self.client.request(method, format!("http://{}/", self.address)).no_decompress();
+        let call = self
+            .client
+            .request(method, format!("http://{}/", self.address))
+            .no_decompress();
         state.scope(call.send()).await
     }
 
     /// Sends a request with a body, and waits for the head of its answer.
-    pub async fn send(&self, state: &Rc<AttemptState>, body: Bytes) -> Result<Answer, SendRequestError> {
-        let call = self.client.post(format!("http://{}/", self.address)).no_decompress();
+    pub async fn send(
+        &self,
+        state: &Rc<AttemptState>,
+        body: Bytes,
+    ) -> Result<Answer, SendRequestError> {
+        let call = self
+            .client
+            .post(format!("http://{}/", self.address))
+            .no_decompress();
         state.scope(call.send_body(body)).await
     }
 
-    /// Sends a request, which the server answers by these bytes on a new connection; that connection, too.
+    /// Sends a request, which the server answers by these bytes on a new connection; that
+    /// connection, too.
     pub async fn exchange(
         &self,
         state: &Rc<AttemptState>,
@@ -203,18 +231,32 @@
     anew
 }
 
-/// A first answer on a connection, with these bytes behind it; then the connection. Its head is read before the
-/// rest is written, where it is to flow.
-pub async fn answered_as(stage: &Stage, framing: &str, body: &str, behind: &str, flows: bool) -> Peer {
+/// A first answer on a connection, with these bytes behind it; then the connection. Its head is
+/// read before the rest is written, where it is to flow.
+pub async fn answered_as(
+    stage: &Stage,
+    framing: &str,
+    body: &str,
+    behind: &str,
+    flows: bool,
+) -> Peer {
     let state = attempt(passing());
     let (first, rest) = (head(ID, framing), format!("{body}{behind}"));
-    let written = if flows { first } else { format!("{first}{rest}") };
+    let written = if flows {
+        first
+    } else {
+        format!("{first}{rest}")
+    };
     let (answer, mut peer) = stage.exchange(&state, Method::GET, &written).await;
     let mut answer = answer.expect("an answer");
     if flows {
         peer.write(&rest).await;
     }
-    assert_eq!(whole(&mut answer).await, "helloworld", "and nothing behind it");
+    assert_eq!(
+        whole(&mut answer).await,
+        "helloworld",
+        "and nothing behind it"
+    );
     peer
 }
 
--- a/crates/transport/tests/tcp_frames.rs
+++ b/crates/transport/tests/tcp_frames.rs
@@ -6,8 +6,8 @@
 
 use assert_matches::assert_matches;
 use ironmast_transport::frames::{
-    FrameError, Hello, HelloError, LinkCause, LinkError, LinkEvent, LinkOptions, LinkStep, MessageTransport,
-    TcpTransport,
+    FrameError, Hello, HelloError, LinkCause, LinkError, LinkEvent, LinkOptions, LinkStep,
+    MessageTransport, TcpTransport,
 };
 
 fn loopback() -> SocketAddr {
@@ -15,7 +15,12 @@
 }
 
 fn hello(node: &str) -> Hello {
-    Hello { protocol: "raw".into(), version: 1, node: node.into(), incarnation: 1 }
+    Hello {
+        protocol: "raw".into(),
+        version: 1,
+        node: node.into(),
+        incarnation: 1,
+    }
 }
 
 fn transport(options: LinkOptions) -> TcpTransport<String> {
@@ -33,7 +38,10 @@
 }
 
 async fn down(of: &mut TcpTransport<String>) -> LinkError {
-    match tokio::time::timeout(Duration::from_secs(10), of.next()).await.expect("in time") {
+    match tokio::time::timeout(Duration::from_secs(10), of.next())
+        .await
+        .expect("in time")
+    {
         LinkEvent::Down { error, .. } => error,
         other => panic!("not down: {other:?}"),
     }
@@ -53,24 +61,41 @@
     let noise = told(&frame(b"GET / HTTP/1.1\r\n\r\n")).await;
     assert_matches!(noise.cause, LinkCause::Hello(HelloError::NoGreeting));
     let http = told(b"GET / HTTP/1.1\r\n\r\n").await;
-    assert_matches!(http.cause, LinkCause::Frame(FrameError::TooLong { .. }), "read as a length");
+    assert_matches!(
+        http.cause,
+        LinkCause::Frame(FrameError::TooLong { .. }),
+        "read as a length"
+    );
     let other = frame(&postcard::to_stdvec(&(*b"IRMT", 9u16)).expect("short"));
-    assert_matches!(told(&other).await.cause, LinkCause::Hello(HelloError::GreetingVersion { theirs: 9 }));
+    assert_matches!(
+        told(&other).await.cause,
+        LinkCause::Hello(HelloError::GreetingVersion { theirs: 9 })
+    );
     assert_matches!(told(b"").await.cause, LinkCause::Closed);
-    assert_matches!(told(&greeting()[..9]).await.cause, LinkCause::Frame(FrameError::Cut));
+    assert_matches!(
+        told(&greeting()[..9]).await.cause,
+        LinkCause::Frame(FrameError::Cut)
+    );
     assert_eq!(noise.step, LinkStep::Greet);
 }
 
 /// A peer that greets and writes this: what is told up to the end of the link.
 async fn greeted(bytes: &[u8]) -> (Vec<String>, LinkError) {
-    let mut one = transport(LinkOptions { max_frame_bytes: 1_000, ..LinkOptions::default() });
+    let mut one = transport(LinkOptions {
+        max_frame_bytes: 1_000,
+        ..LinkOptions::default()
+    });
     let mut peer = TcpStream::connect(one.local_address()).expect("it listens");
-    peer.write_all(&[&greeting()[..], bytes].concat()).expect("written");
+    peer.write_all(&[&greeting()[..], bytes].concat())
+        .expect("written");
     peer.shutdown(std::net::Shutdown::Write).expect("open");
     assert_matches!(one.next().await, LinkEvent::Up { dialed: false, .. });
     let mut messages = Vec::new();
     loop {
-        match tokio::time::timeout(Duration::from_secs(10), one.next()).await.expect("in time") {
+        match tokio::time::timeout(Duration::from_secs(10), one.next())
+            .await
+            .expect("in time")
+        {
             LinkEvent::Message { message, .. } => messages.push(message),
             LinkEvent::Down { error, .. } => return (messages, error),
             LinkEvent::Up { .. } => panic!("up again"),
@@ -97,19 +122,28 @@
     for length in [1_001u32, u32::MAX] {
         let (messages, error) = greeted(&length.to_be_bytes()).await;
         assert!(messages.is_empty());
-        assert_matches!(error.cause, LinkCause::Frame(FrameError::TooLong { most: 1_000 }));
+        assert_matches!(
+            error.cause,
+            LinkCause::Frame(FrameError::TooLong { most: 1_000 })
+        );
         assert_eq!(error.step, LinkStep::Read);
     }
 }
 
 #[tokio::test]
 async fn a_peer_that_never_greets_is_given_up() {
-    let options = LinkOptions { connect_timeout: Duration::from_millis(30), ..LinkOptions::default() };
+    let options = LinkOptions {
+        connect_timeout: Duration::from_millis(30),
+        ..LinkOptions::default()
+    };
     let mut one = transport(options);
     let silent = TcpStream::connect(one.local_address()).expect("it listens");
     let error = down(&mut one).await;
     assert_matches!(error.cause, LinkCause::TimedOut);
-    assert_eq!((error.step, error.peer), (LinkStep::Greet, silent.local_addr().expect("connected")));
+    assert_eq!(
+        (error.step, error.peer),
+        (LinkStep::Greet, silent.local_addr().expect("connected"))
+    );
 }
 
 #[tokio::test]
@@ -126,22 +160,32 @@
         frame
     });
     let frame = accepted.await.expect("it greets");
-    let (magic, version, theirs): ([u8; 4], u16, Hello) = postcard::from_bytes(&frame).expect("a greeting");
+    let (magic, version, theirs): ([u8; 4], u16, Hello) =
+        postcard::from_bytes(&frame).expect("a greeting");
     assert_eq!((magic, version, theirs), (*b"IRMT", 1, hello("one")));
     assert_matches!(down(&mut one).await.cause, LinkCause::Closed);
 }
 
-/// A peer without power says nothing: what finds it is the system's, so that it is asked for must be seen.
+/// A peer without power says nothing: what finds it is the system's, so that it is asked for must
+/// be seen.
 #[tokio::test]
 async fn the_system_is_told_to_watch_the_peer() {
     use rustix::net::sockopt;
     let listener = TcpListener::bind(loopback()).expect("a port is free");
-    let stream = tokio::net::TcpStream::connect(listener.local_addr().expect("bound")).await.expect("up");
+    let stream = tokio::net::TcpStream::connect(listener.local_addr().expect("bound"))
+        .await
+        .expect("up");
     ironmast_transport::sockets::watch_peer(&stream, Duration::from_secs(3)).expect("it can");
     assert!(stream.nodelay().expect("told"));
     assert!(sockopt::socket_keepalive(&stream).expect("told"));
     assert_eq!(sockopt::tcp_user_timeout(&stream).expect("told"), 3_000);
-    assert_eq!(sockopt::tcp_keepidle(&stream).expect("told"), Duration::from_secs(1));
-    assert_eq!(sockopt::tcp_keepintvl(&stream).expect("told"), Duration::from_secs(1));
+    assert_eq!(
+        sockopt::tcp_keepidle(&stream).expect("told"),
+        Duration::from_secs(1)
+    );
+    assert_eq!(
+        sockopt::tcp_keepintvl(&stream).expect("told"),
+        Duration::from_secs(1)
+    );
     assert_eq!(sockopt::tcp_keepcnt(&stream).expect("told"), 3);
 }
