--- a/crates/admin/src/admin.rs
+++ b/crates/admin/src/admin.rs
@@ -49,6 +49,7 @@
 
 impl Admin {
     /// Takes up what an earlier process left.
+    #[must_use]
     pub fn new(bans: Bans) -> Self {
         Admin {
             bans,
@@ -57,11 +58,13 @@
     }
 
     /// What is to outlive the process.
+    #[must_use]
     pub fn bans(&self) -> &Bans {
         &self.bans
     }
 
     /// Discovery's list as last told, in its own form; a successor starts from it.
+    #[must_use]
     pub fn known(&self) -> Option<Value> {
         let targets: Vec<_> = self.listed.values().map(|e| &e.target).collect();
         self.rev
@@ -203,6 +206,7 @@
     }
 
     /// How one server stands, for the other process of a replacement.
+    #[must_use]
     pub fn change_of(&self, uid: &str) -> Change {
         let (out, back) = (
             self.bans.out.get(uid).copied(),
--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -54,6 +54,7 @@
 }
 
 /// The answer as it is written: one line that begins with `+OK` or `-ERR`.
+#[must_use]
 pub fn answer(reply: &Reply) -> String {
     let one_line = |text: &str| text.replace(['\r', '\n'], " ");
     match reply {
--- a/crates/admin/src/link.rs
+++ b/crates/admin/src/link.rs
@@ -60,6 +60,7 @@
 }
 
 /// Writes a message as a line.
+#[must_use]
 pub fn encode(message: &Message) -> String {
     let mut line = serde_json::to_string(message).expect("its keys are text");
     line.push('\n');
--- a/crates/admin/src/replacement.rs
+++ b/crates/admin/src/replacement.rs
@@ -59,6 +59,7 @@
 impl Replacement {
     /// A process that has just started, with a predecessor that speaks to it or without; what it
     /// does at once comes along.
+    #[must_use]
     pub fn start(predecessor: bool) -> (Self, Vec<Action>) {
         let (serving, successor, ending) = (!predecessor, Successor::None, false);
         let first = if predecessor {
@@ -78,11 +79,13 @@
     }
 
     /// Whether this process can serve, by what it knows of itself and its predecessor.
+    #[must_use]
     pub fn serves(&self) -> bool {
         self.serving && self.successor != Successor::Serving
     }
 
     /// Whether a successor may come now.
+    #[must_use]
     pub fn may_be_succeeded(&self) -> bool {
         self.serving && self.successor == Successor::None && !self.ending
     }
--- a/crates/agent/src/feed.rs
+++ b/crates/agent/src/feed.rs
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// The address that can't be listened at.
-pub async fn start(state: &Shared, at: SocketAddr) -> Result<()> {
+pub(crate) async fn start(state: &Shared, at: SocketAddr) -> Result<()> {
     let listener = TcpListener::bind(at)
         .await
         .wrap_err_with(|| format!("listening at {at}"))?;
@@ -41,7 +41,7 @@
 }
 
 /// Returns once no gate is linked.
-pub async fn gate_left(state: &Shared) {
+pub(crate) async fn gate_left(state: &Shared) {
     let left = Rc::clone(&state.borrow().gate_left);
     while state.borrow().gates_linked > 0 {
         left.notified().await;
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -14,7 +14,7 @@
 const VERSIONS_PER_STATUS: u64 = 4;
 
 /// All state of an agent.
-pub struct State {
+pub(crate) struct State {
     zone: String,
     region: String,
     entries: BTreeMap<Key, Entry>,
@@ -30,7 +30,7 @@
 
 impl State {
     /// The state at the start.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -48,7 +48,7 @@
     }
 
     /// Takes entries from the control plane and passes on those that are news.
-    pub fn merge(&mut self, entries: Vec<Entry>) {
+    pub(crate) fn merge(&mut self, entries: Vec<Entry>) {
         let mut news = Vec::new();
         for entry in entries {
             if self
@@ -82,13 +82,13 @@
     }
 
     /// Adds a gate; it gets all there is first.
-    pub fn subscribe(&mut self, gate: mpsc::UnboundedSender<ToGate>) {
+    pub(crate) fn subscribe(&mut self, gate: mpsc::UnboundedSender<ToGate>) {
         let _ = gate.send(ToGate::Entries(self.entries.values().cloned().collect()));
         self.gates.push(gate);
     }
 
     /// The gate beside this agent says where it serves and whether it takes new clients.
-    pub fn status(&mut self, frontend: SocketAddr, ready: bool, gone: bool) {
+    pub(crate) fn status(&mut self, frontend: SocketAddr, ready: bool, gone: bool) {
         self.version += VERSIONS_PER_STATUS;
         let record = GateRecord {
             zone: self.zone.clone(),
@@ -105,7 +105,7 @@
     }
 
     /// Says once more, under a higher version, what the gate last said.
-    pub fn repeat_status(&mut self) -> Option<Entry> {
+    pub(crate) fn repeat_status(&mut self) -> Option<Entry> {
         self.version += VERSIONS_PER_STATUS;
         let version = self.version;
         let mut status = self.status.borrow().clone()?;
@@ -114,7 +114,7 @@
     }
 
     /// Incarnations that have ended are not kept for good.
-    pub fn forget_ended(&mut self) {
+    pub(crate) fn forget_ended(&mut self) {
         let ended = |entry: &Entry| matches!(&entry.value, Value::Instance(record) if record.standing == Standing::Gone);
         let count = self.entries.values().filter(|entry| ended(entry)).count();
         if count > ENDED_MOST {
--- a/crates/agent/src/uplink.rs
+++ b/crates/agent/src/uplink.rs
@@ -47,13 +47,13 @@
 }
 
 /// Adds coordinators that weren't known.
-pub fn add(state: &Shared, coordinators: &[SocketAddr]) {
+pub(crate) fn add(state: &Shared, coordinators: &[SocketAddr]) {
     state.borrow_mut().coordinators.extend(coordinators);
 }
 
 /// Keeps a link to the nearest coordinator that is in contact with the majority, or else to the
 /// nearest.
-pub async fn keep(state: Shared) {
+pub(crate) async fn keep(state: Shared) {
     let mut next: Option<Uplink> = None;
     loop {
         if next.is_none() {
@@ -200,10 +200,7 @@
                 silence.as_mut().reset(Instant::now() + SILENCE);
                 let FromCoordinator::Alive { coordinators, in_contact, .. } = frame;
                 add(state, &coordinators);
-                match in_contact {
-                    true => search.stop(),
-                    false => search.start(),
-                }
+                if in_contact { search.stop() } else { search.start() }
             }
             better = search.found() => return Ok(better),
             _ = status.changed() => {
--- a/crates/balancer/benches/handle.rs
+++ b/crates/balancer/benches/handle.rs
@@ -148,7 +148,7 @@
             });
             let mut bed = Bed::new(size, agents);
             group.bench_function(BenchmarkId::new("beat", size), |b| {
-                b.iter(|| black_box(&mut bed).beat())
+                b.iter(|| black_box(&mut bed).beat());
             });
             let mut n = 0;
             group.bench_function(BenchmarkId::new("change", size), |b| {
--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -23,6 +23,7 @@
 
 impl ServerId {
     /// Derives the identity from the server's name (FNV-1a), so that agents agree on it unasked.
+    #[must_use]
     pub fn from_name(name: &str) -> Self {
         let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3);
         ServerId(name.bytes().fold(0xcbf2_9ce4_8422_2325, step))
@@ -247,9 +248,12 @@
 impl Settings {
     /// Checks that the settings make sense together.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let check = |name, fits: bool| match fits {
-            true => Ok(()),
-            false => Err(SettingsError::OutOfRange { name }),
+        let check = |name, fits: bool| {
+            if fits {
+                Ok(())
+            } else {
+                Err(SettingsError::OutOfRange { name })
+            }
         };
         let part = |name, v: f64| check(name, (0.0..=1.0).contains(&v));
         let positive = |name, v: f64| check(name, v.is_finite() && v > 0.0);
@@ -359,11 +363,13 @@
 
 impl Outcome {
     /// True where the outcome proves that the attempt never ran.
+    #[must_use]
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
     }
 
     /// True where the outcome tells of the server's load: it is an answer, or none came.
+    #[must_use]
     pub fn tells_load(self) -> bool {
         use Outcome::{ConnectFailed, Error, Full, Ok, Timeout};
         matches!(self, Ok | Error | Full | Timeout | ConnectFailed)
--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/balance.rs
@@ -7,7 +7,10 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::api::*;
+use crate::api::{
+    Action, ClassId, ClassSettings, Discovery, Effect, Event, Group, Listing, Micros, Outcome,
+    Phase, Request, RequestId, Scope, ServerId, Settings, SettingsError, Settled, TOLD,
+};
 use crate::silence::{self, Silence};
 use crate::state::{Attempt, Node, Open, Rng, Turn, Usual, follow, mix, unit};
 use crate::{fleet::Fleet, fleet::LOOKS, news::News};
@@ -139,7 +142,7 @@
             Event::Request(request) => self.request(request, out),
             Event::Settled(settled) => self.settled(settled, out),
             Event::Started { id, .. } => {
-                _ = self.open.get_mut(&id).map(|open| open.streaming = true)
+                _ = self.open.get_mut(&id).map(|open| open.streaming = true);
             }
             Event::Whole { id, expires } => self
                 .due
@@ -283,7 +286,7 @@
             .fleet
             .silent(class)
             .filter(here)
-            .fold(self.fleet.load(own), |l, n| l.without(n));
+            .fold(self.fleet.load(own), super::fleet::Load::without);
         let (out, all) = (load.out as f64, (load.fit + load.aside) as f64);
         if load.fit > 0 && self.news.in_sight(self.now) >= load.fit {
             return (out, load.fit_limit.value());
@@ -600,7 +603,7 @@
         );
     }
 
-    /// PreferClose: the usable servers of the own zone; if there are none, those of the whole
+    /// `PreferClose`: the usable servers of the own zone; if there are none, those of the whole
     /// fleet. If health leaves none at all, health is ignored. Servers at their limit count as
     /// usable until the request has waited as long as crossing zones is worth; then the zone test
     /// passes over them (spillover).
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -7,7 +7,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::api::*;
+use crate::api::{ClassId, Listing, Micros, Phase, Scope, Server, ServerId, ZoneId};
 use crate::state::{Mute, Node, mix};
 
 /// Below this a fading measurement counts as gone.
@@ -29,12 +29,12 @@
     }
 
     /// The sum.
-    pub fn value(self) -> f64 {
+    pub(crate) fn value(self) -> f64 {
         self.0 as f64 / UNITS
     }
 
     /// The sum of the others: what it is without one part.
-    pub fn without(mut self, part: f64) -> f64 {
+    pub(crate) fn without(mut self, part: f64) -> f64 {
         self.add(part, -1);
         self.value()
     }
@@ -85,12 +85,12 @@
     }
 
     /// Those that take requests.
-    pub fn ready(&self) -> usize {
+    pub(crate) fn ready(&self) -> usize {
         self.fit + self.aside
     }
 
     /// The same without one server.
-    pub fn without(mut self, node: &Node) -> Self {
+    pub(crate) fn without(mut self, node: &Node) -> Self {
         self.count(node, -1);
         self
     }
@@ -129,7 +129,7 @@
 
 impl Fleet {
     /// Nobody yet, seen from that zone.
-    pub fn new(own: ZoneId, classes: usize) -> Self {
+    pub(crate) fn new(own: ZoneId, classes: usize) -> Self {
         Fleet {
             own,
             hush: vec![Sum::default(); classes],
@@ -137,16 +137,16 @@
         }
     }
 
-    pub fn get(&self, id: ServerId) -> Option<&Node> {
+    pub(crate) fn get(&self, id: ServerId) -> Option<&Node> {
         self.nodes.get(&id)
     }
 
     /// One server, for changes to what is not summed; see [`Fleet::change`].
-    pub fn touch(&mut self, id: ServerId) -> Option<&mut Node> {
+    pub(crate) fn touch(&mut self, id: ServerId) -> Option<&mut Node> {
         self.nodes.get_mut(&id)
     }
 
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.nodes.len()
     }
 
@@ -160,7 +160,11 @@
     }
 
     /// Changes what is known of a server; it is looked after from now on.
-    pub fn change<R>(&mut self, id: ServerId, change: impl FnOnce(&mut Node) -> R) -> Option<R> {
+    pub(crate) fn change<R>(
+        &mut self,
+        id: ServerId,
+        change: impl FnOnce(&mut Node) -> R,
+    ) -> Option<R> {
         let node = self.nodes.get_mut(&id)?;
         let result = Self::recount(&mut self.zones, node, change);
         if !std::mem::replace(&mut node.awake, true) {
@@ -171,20 +175,20 @@
 
     /// This agent's part of what the servers of other zones and of its own carry changed: so do its
     /// limits.
-    pub fn scale(&mut self, by: [f64; 2]) {
+    pub(crate) fn scale(&mut self, by: [f64; 2]) {
         if by == [1.0; 2] {
             return;
         }
         for node in self.nodes.values_mut() {
             let by = by[usize::from(node.server.zone == self.own)];
             Self::recount(&mut self.zones, node, |n| {
-                (n.limit, n.mine) = (n.limit * by, n.mine * by)
+                (n.limit, n.mine) = (n.limit * by, n.mine * by);
             });
         }
     }
 
     /// Changes what is known of how a server answers a class.
-    pub fn change_mute<R>(
+    pub(crate) fn change_mute<R>(
         &mut self,
         id: ServerId,
         class: ClassId,
@@ -194,15 +198,16 @@
         self.hush[class].add(mute.failing, -1);
         let result = change(mute);
         self.hush[class].add(mute.failing, 1);
-        match mute.since > 0 {
-            true => self.silent.insert((class, id)),
-            false => self.silent.remove(&(class, id)),
+        if mute.since > 0 {
+            self.silent.insert((class, id))
+        } else {
+            self.silent.remove(&(class, id))
         };
         Some(result)
     }
 
     /// Takes a server in, in place of one of the same id.
-    pub fn insert(&mut self, node: Node) {
+    pub(crate) fn insert(&mut self, node: Node) {
         let id = node.server.id;
         self.remove(id);
         if node.server.zone >= self.zones.len() {
@@ -217,7 +222,7 @@
     }
 
     /// The list says something new of the same process.
-    pub fn update(&mut self, server: Server) {
+    pub(crate) fn update(&mut self, server: Server) {
         let Some(mut node) = self.take(server.id) else {
             return;
         };
@@ -226,7 +231,7 @@
     }
 
     /// Forgets a server.
-    pub fn remove(&mut self, id: ServerId) {
+    pub(crate) fn remove(&mut self, id: ServerId) {
         let Some(node) = self.take(id) else { return };
         for (class, mute) in &node.mute {
             self.hush[*class].add(mute.failing, -1);
@@ -237,7 +242,7 @@
     }
 
     /// Forgets who is missing from a whole list.
-    pub fn keep(&mut self, listing: &Listing) {
+    pub(crate) fn keep(&mut self, listing: &Listing) {
         if listing.scope == Scope::Changes {
             return;
         }
@@ -285,7 +290,7 @@
     }
 
     /// Another turn: the rings are put in another order.
-    pub fn turn(&mut self, turn: u64) {
+    pub(crate) fn turn(&mut self, turn: u64) {
         if turn == self.turn {
             return;
         }
@@ -297,17 +302,17 @@
     }
 
     /// Those of one zone together.
-    pub fn zone(&self, zone: ZoneId) -> Load {
+    pub(crate) fn zone(&self, zone: ZoneId) -> Load {
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
     /// The agent's own zone.
-    pub fn own(&self) -> ZoneId {
+    pub(crate) fn own(&self) -> ZoneId {
         self.own
     }
 
     /// Those of the own zone, or of all others.
-    pub fn load(&self, own: bool) -> Load {
+    pub(crate) fn load(&self, own: bool) -> Load {
         let mut load = Load::default();
         let side = self
             .zones
@@ -319,21 +324,21 @@
     }
 
     /// The mean of the sizes that are told; 0 where none is.
-    pub fn mean_size(&self) -> f64 {
+    pub(crate) fn mean_size(&self) -> f64 {
         let mut all = self.load(true);
         all.join(&self.load(false));
         all.size.value() / all.sized.max(1) as f64
     }
 
     /// Who takes requests in the own zone, or in all others, by id.
-    pub fn side(&self, own: bool) -> impl ExactSizeIterator<Item = &Node> {
+    pub(crate) fn side(&self, own: bool) -> impl ExactSizeIterator<Item = &Node> {
         self.sides[usize::from(own)]
             .iter()
             .map(|id| &self.nodes[id])
     }
 
     /// The same in this turn's order, from a place on, all the way round.
-    pub fn ring(&self, own: bool, from: usize) -> impl Iterator<Item = &Node> {
+    pub(crate) fn ring(&self, own: bool, from: usize) -> impl Iterator<Item = &Node> {
         let ring = &self.rings[usize::from(own)];
         let (before, after) = ring.split_at(if ring.is_empty() {
             0
@@ -345,7 +350,7 @@
 
     /// Those of a side that fit; of very many (where `from` says where this round has come to)
     /// some, with room if they have it.
-    pub fn some(
+    pub(crate) fn some(
         &self,
         own: bool,
         from: Option<usize>,
@@ -361,23 +366,23 @@
     }
 
     /// Those left out for a class, or tried again for it.
-    pub fn silent(&self, class: ClassId) -> impl Iterator<Item = &Node> {
+    pub(crate) fn silent(&self, class: ClassId) -> impl Iterator<Item = &Node> {
         let range = (class, ServerId(0))..=(class, ServerId(u64::MAX));
         self.silent.range(range).map(|(_, id)| &self.nodes[id])
     }
 
     /// The sum of all servers' silence on a class, as a part of attempts.
-    pub fn hush(&self, class: ClassId) -> Sum {
+    pub(crate) fn hush(&self, class: ClassId) -> Sum {
         self.hush[class]
     }
 
     /// Those of whom something fades, or that are set aside, by id.
-    pub fn awake(&self) -> impl Iterator<Item = &Node> {
+    pub(crate) fn awake(&self) -> impl Iterator<Item = &Node> {
         self.awake.iter().map(|id| &self.nodes[id])
     }
 
     /// Looks after each of them, by id; those of whom all has faded are left alone from then on.
-    pub fn look_after(&mut self, mut look: impl FnMut(&mut Node)) {
+    pub(crate) fn look_after(&mut self, mut look: impl FnMut(&mut Node)) {
         let nodes = &mut self.nodes;
         self.awake.retain(|id| {
             let Some(node) = nodes.get_mut(id) else {
@@ -395,7 +400,7 @@
 
     /// Those that started lately and are due to be granted requests, by id: each is to be granted
     /// some anew.
-    pub fn cold_due(&mut self, now: Micros) -> Vec<ServerId> {
+    pub(crate) fn cold_due(&mut self, now: Micros) -> Vec<ServerId> {
         if self.grants.first().is_none_or(|(at, _)| *at > now) {
             return Vec::new();
         }
@@ -407,7 +412,7 @@
     }
 
     /// A server is cold still: it is granted requests again at `at`.
-    pub fn grant(&mut self, id: ServerId, at: Micros) {
+    pub(crate) fn grant(&mut self, id: ServerId, at: Micros) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.cold_at = at;
             self.grants.insert((at, id));
@@ -415,7 +420,7 @@
     }
 
     /// Who takes requests: the own zone first.
-    pub fn ready(&self) -> impl Iterator<Item = &Node> {
+    pub(crate) fn ready(&self) -> impl Iterator<Item = &Node> {
         self.side(true).chain(self.side(false))
     }
 }
--- a/crates/balancer/src/fleet/tests.rs
+++ b/crates/balancer/src/fleet/tests.rs
@@ -39,8 +39,8 @@
             3 => _ = fleet.change(id, |n| n.aside = n.aside.is_none().then_some((step, step))),
             4 => {
                 _ = fleet.change(id, |n| {
-                    (n.out, n.failing) = (n.out + 1, n.failing / 2.0 + 0.3)
-                })
+                    (n.out, n.failing) = (n.out + 1, n.failing / 2.0 + 0.3);
+                });
             }
             5 => {
                 let change = |m: &mut Mute| (m.failing, m.since) = (m.failing + 0.1, phase);
--- a/crates/balancer/src/news.rs
+++ b/crates/balancer/src/news.rs
@@ -57,7 +57,7 @@
 impl News {
     /// Nothing heard yet. Only where agents are `many` is there need of news.
     /// Where keys are to stay warm, each agent uses all servers all the same.
-    pub fn new(settings: &Settings, many: bool, seed: u64) -> Self {
+    pub(crate) fn new(settings: &Settings, many: bool, seed: u64) -> Self {
         let (agents, me) = (settings.balancers.max(1) as usize, settings.me as usize);
         let talks = settings.limits.peers && many;
         News {
@@ -81,7 +81,7 @@
     }
 
     /// A request came.
-    pub fn asked(&mut self, now: Micros) {
+    pub(crate) fn asked(&mut self, now: Micros) {
         (self.asked, self.faded) = (self.left(now) + 1.0, now);
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// To how many servers of a side this agent keeps: to all, unless it is one of many.
-    pub fn in_sight(&self, now: Micros) -> usize {
+    pub(crate) fn in_sight(&self, now: Micros) -> usize {
         if self.few {
             (self.asked_of_late(now) * SUBSET.0).max(SUBSET.1) as usize
         } else {
@@ -117,7 +117,7 @@
     }
 
     /// The message to tell all others, when it is due. Agents speak at times of their own.
-    pub fn due(&mut self, now: Micros) -> Option<Vec<u8>> {
+    pub(crate) fn due(&mut self, now: Micros) -> Option<Vec<u8>> {
         if !self.talks || now < self.next {
             return None;
         }
@@ -132,7 +132,7 @@
     }
 
     /// Takes a message in; what is malformed, or from nobody known, is dropped.
-    pub fn hear(&mut self, now: Micros, from: u32, data: &[u8]) {
+    pub(crate) fn hear(&mut self, now: Micros, from: u32, data: &[u8]) {
         let Ok([VERSION, zone, rate @ ..]) = <[u8; LENGTH]>::try_from(data) else {
             return;
         };
@@ -150,7 +150,7 @@
 
     /// Follows this agent's parts; tells by what each changed. They never fall below an even part:
     /// guards agents with few requests against waiting for their turn.
-    pub fn follow(&mut self, now: Micros) -> [f64; 2] {
+    pub(crate) fn follow(&mut self, now: Micros) -> [f64; 2] {
         if !self.talks {
             return [1.0; 2];
         }
--- a/crates/balancer/src/silence.rs
+++ b/crates/balancer/src/silence.rs
@@ -14,7 +14,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::api::*;
+use crate::api::{ClassId, Micros, Outcome, ServerId, Settled, ZoneId};
 use crate::fleet::Fleet;
 use crate::state::{Mute, Node, Rng};
 
@@ -100,7 +100,7 @@
     }
 
     /// An attempt went out.
-    pub fn sent(&mut self, server: ServerId, zone: ZoneId, now: Micros) {
+    pub(crate) fn sent(&mut self, server: ServerId, zone: ZoneId, now: Micros) {
         self.zone(zone);
         let owing = self.owing.entry(server).or_insert(Owing {
             zone,
@@ -114,7 +114,7 @@
     }
 
     /// An attempt ended, whatever was heard.
-    pub fn ended(&mut self, server: ServerId) {
+    pub(crate) fn ended(&mut self, server: ServerId) {
         if let Some(owing) = self.owing.get_mut(&server) {
             owing.out = owing.out.saturating_sub(1);
             if owing.out == 0 {
@@ -124,7 +124,7 @@
     }
 
     /// A server gave a sign, or met nothing when it owed one.
-    pub fn heard(
+    pub(crate) fn heard(
         &mut self,
         fleet: &Fleet,
         server: ServerId,
@@ -169,7 +169,7 @@
 
     /// Whom to probe now: servers of quiet zones that owe answers for longer than `usual`, and one
     /// of each silent zone whose trial is due.
-    pub fn due(
+    pub(crate) fn due(
         &mut self,
         fleet: &Fleet,
         now: Micros,
@@ -295,13 +295,13 @@
     }
 
     /// Whether the whole zone is silent.
-    pub fn silent(&self, zone: ZoneId) -> bool {
+    pub(crate) fn silent(&self, zone: ZoneId) -> bool {
         self.zones.get(zone).is_some_and(|z| z.silent.is_some())
     }
 
     /// Whether every zone with servers that take requests is silent: then this agent itself is cut
     /// off.
-    pub fn all(&self, fleet: &Fleet) -> bool {
+    pub(crate) fn all(&self, fleet: &Fleet) -> bool {
         let any = self.zones.iter().any(|z| z.silent.is_some());
         any && fleet.ready().all(|n| self.silent(n.server.zone))
     }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -4,7 +4,10 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use crate::api::*;
+use crate::api::{
+    ClassId, ClassSettings, Effect, Group, Limits, Micros, Outcome, Request, RequestId, Safety,
+    Server, ServerId, Settings, SizeMeaning, ZoneId,
+};
 
 /// A held request's turn: by worth, then newest first.
 pub(crate) type Turn = (Reverse<u64>, Reverse<Micros>, RequestId);
@@ -20,12 +23,12 @@
 
 impl Attempt {
     /// Notes how it ended and tells when it was sent.
-    pub fn end(&mut self, outcome: Outcome) -> Micros {
+    pub(crate) fn end(&mut self, outcome: Outcome) -> Micros {
         self.outcome = Some(outcome);
         self.sent
     }
 
-    pub fn may_have_run(&self) -> bool {
+    pub(crate) fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|o| !o.never_ran())
     }
 }
@@ -48,7 +51,7 @@
 }
 
 impl Open {
-    pub fn new(
+    pub(crate) fn new(
         request: Request,
         turn: Turn,
         spill_at: Micros,
@@ -72,7 +75,7 @@
 
     /// Its last byte has come: aim and end count from now, and what is out was sent now. Tells when
     /// it is to be ended.
-    pub fn whole(&mut self, now: Micros, expires: Micros) -> (Micros, RequestId) {
+    pub(crate) fn whole(&mut self, now: Micros, expires: Micros) -> (Micros, RequestId) {
         let (margin, arrived) = (
             self.request.expires.saturating_sub(self.last),
             self.turn.1.0,
@@ -88,7 +91,7 @@
 
     /// The attempt out where `nothing` is heard, if the request may go elsewhere instead: it is not
     /// on its way to the client, repeats are harmless wherever they run, and tries are left.
-    pub fn stranded(
+    pub(crate) fn stranded(
         &self,
         class: &ClassSettings,
         limits: &Limits,
@@ -112,7 +115,7 @@
 
     /// Until when one more attempt may begin: a keyed class's repeats are dropped for its window,
     /// counted from the first attempt that may have run.
-    pub fn begin_by(&self, effect: Effect) -> Option<Micros> {
+    pub(crate) fn begin_by(&self, effect: Effect) -> Option<Micros> {
         let Effect::Guarded { window, .. } = effect else {
             return None;
         };
@@ -123,11 +126,11 @@
             .min()
     }
 
-    pub fn tries_left(&self, limits: &Limits) -> bool {
+    pub(crate) fn tries_left(&self, limits: &Limits) -> bool {
         self.attempts.len() < limits.most_tries as usize
     }
 
-    pub fn outstanding(&self) -> usize {
+    pub(crate) fn outstanding(&self) -> usize {
         self.attempts.iter().filter(|a| a.outcome.is_none()).count()
     }
 }
@@ -186,7 +189,7 @@
 impl Node {
     /// One that is new: `limit` is what all agents together may have in flight there, `mine` this
     /// one's part.
-    pub fn new(server: Server, credit: f64, limit: f64, mine: f64, now: Micros) -> Self {
+    pub(crate) fn new(server: Server, credit: f64, limit: f64, mine: f64, now: Micros) -> Self {
         Node {
             server,
             since: now,
@@ -214,7 +217,7 @@
 
 impl Node {
     /// Part of its capacity that it surely has: grows evenly from `cold_share` after a start.
-    pub fn warmth(&self, now: Micros, safety: &Safety) -> f64 {
+    pub(crate) fn warmth(&self, now: Micros, safety: &Safety) -> f64 {
         let (first, over) = (safety.cold_share, safety.cold.max(1) as f64);
         let age = self
             .server
@@ -224,7 +227,7 @@
     }
 
     /// Size against the mean, where the list tells sizes; momentary load in it is not wanted.
-    pub fn size(&self, settings: &Settings, mean: f64) -> f64 {
+    pub(crate) fn size(&self, settings: &Settings, mean: f64) -> f64 {
         let told = settings.sizes == SizeMeaning::Capacity && self.server.size > 0.0;
         if told {
             (self.server.size / mean).clamp(0.2, 5.0)
@@ -254,6 +257,7 @@
 }
 
 /// Stirs the bits of a number.
+#[must_use]
 pub fn mix(mut z: u64) -> u64 {
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -261,6 +265,7 @@
 }
 
 /// Maps bits to [0, 1).
+#[must_use]
 pub fn unit(bits: u64) -> f64 {
     (bits >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -6,14 +6,14 @@
 
 use ironmast_balancer::*;
 
-pub const MS: Micros = 1_000;
-pub const SECOND: Micros = 1_000_000;
+pub(crate) const MS: Micros = 1_000;
+pub(crate) const SECOND: Micros = 1_000_000;
 
-pub fn id(n: u64) -> ServerId {
+pub(crate) fn id(n: u64) -> ServerId {
     ServerId::from_name(&format!("10.0.0.{n}:80"))
 }
 
-pub fn server(n: u64, zone: ZoneId) -> Server {
+pub(crate) fn server(n: u64, zone: ZoneId) -> Server {
     Server {
         id: id(n),
         zone,
@@ -24,7 +24,7 @@
     }
 }
 
-pub fn class(effect: Effect) -> ClassSettings {
+pub(crate) fn class(effect: Effect) -> ClassSettings {
     ClassSettings {
         aim: 200 * MS,
         deadline: SECOND,
@@ -33,7 +33,7 @@
     }
 }
 
-pub fn settings(classes: Vec<ClassSettings>) -> Settings {
+pub(crate) fn settings(classes: Vec<ClassSettings>) -> Settings {
     Settings {
         classes,
         zones: 2,
@@ -42,7 +42,7 @@
     }
 }
 
-pub struct Driver {
+pub(crate) struct Driver {
     pub balancer: Balancer,
     pub now: Micros,
     pub actions: Vec<Action>,
@@ -61,11 +61,11 @@
 }
 
 impl Driver {
-    pub fn new(settings: Settings) -> Self {
+    pub(crate) fn new(settings: Settings) -> Self {
         Self::seeded(settings, 1)
     }
 
-    pub fn seeded(settings: Settings, seed: u64) -> Self {
+    pub(crate) fn seeded(settings: Settings, seed: u64) -> Self {
         Driver {
             balancer: Balancer::new(settings, seed).expect("sound settings"),
             now: 1_000 * SECOND,
@@ -83,7 +83,7 @@
         }
     }
 
-    pub fn event(&mut self, event: Event) {
+    pub(crate) fn event(&mut self, event: Event) {
         let mut out = Vec::new();
         self.balancer.handle(self.now, event, &mut out);
         for action in &out {
@@ -107,7 +107,7 @@
     }
 
     /// Lets time pass, firing timers as they fall due.
-    pub fn pass(&mut self, time: Micros) {
+    pub(crate) fn pass(&mut self, time: Micros) {
         let until = self.now + time;
         while let Some(&(at, token)) = self.timers.first().filter(|(at, _)| *at <= until) {
             self.timers.remove(&(at, token));
@@ -117,19 +117,19 @@
         self.now = until;
     }
 
-    pub fn list(&mut self, scope: Scope, servers: Vec<Server>) {
+    pub(crate) fn list(&mut self, scope: Scope, servers: Vec<Server>) {
         self.event(Event::Members(Listing { scope, servers }));
     }
 
-    pub fn request(&mut self, id: RequestId, class: ClassId) {
+    pub(crate) fn request(&mut self, id: RequestId, class: ClassId) {
         self.keyed(id, class, None);
     }
 
-    pub fn keyed(&mut self, id: RequestId, class: ClassId, key: Option<u64>) {
+    pub(crate) fn keyed(&mut self, id: RequestId, class: ClassId, key: Option<u64>) {
         self.ask(id, class, key, self.now + SECOND);
     }
 
-    pub fn request_until(&mut self, id: RequestId, class: ClassId, expires: Micros) {
+    pub(crate) fn request_until(&mut self, id: RequestId, class: ClassId, expires: Micros) {
         self.ask(id, class, None, expires);
     }
 
@@ -146,7 +146,7 @@
         }));
     }
 
-    pub fn settle(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
+    pub(crate) fn settle(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
         let &(sent, _, _, server) = self
             .sends
             .iter()
@@ -172,13 +172,13 @@
         }));
     }
 
-    pub fn hang_up(&mut self, id: RequestId) {
+    pub(crate) fn hang_up(&mut self, id: RequestId) {
         self.left.insert(id);
         self.event(Event::HungUp { id });
     }
 
     /// Sends a request and has it answered after a while; tells which server had it.
-    pub fn serve(&mut self, id: RequestId, class: ClassId, latency: Micros) -> ServerId {
+    pub(crate) fn serve(&mut self, id: RequestId, class: ClassId, latency: Micros) -> ServerId {
         self.request(id, class);
         let server = self.last_server(id);
         self.pass(latency);
@@ -186,7 +186,7 @@
         server
     }
 
-    pub fn last_server(&self, id: RequestId) -> ServerId {
+    pub(crate) fn last_server(&self, id: RequestId) -> ServerId {
         self.sends
             .iter()
             .rev()
@@ -195,11 +195,11 @@
             .3
     }
 
-    pub fn attempts(&self, id: RequestId) -> usize {
+    pub(crate) fn attempts(&self, id: RequestId) -> usize {
         self.sends.iter().filter(|s| s.1 == id).count()
     }
 
-    pub fn answered(&self, id: RequestId) -> bool {
+    pub(crate) fn answered(&self, id: RequestId) -> bool {
         self.served.contains(&id) || self.refused.contains_key(&id) || self.failed.contains_key(&id)
     }
 }
--- a/crates/client-proxy/src/config.rs
+++ b/crates/client-proxy/src/config.rs
@@ -116,6 +116,7 @@
     }
 
     /// What was read, in one line for the operator.
+    #[must_use]
     pub fn summary(&self) -> String {
         let Config {
             name,
@@ -147,6 +148,7 @@
     }
 
     /// The values that differ in `new` and hold only after a restart.
+    #[must_use]
     pub fn need_restart(&self, new: &Config) -> Vec<String> {
         let both: BTreeSet<&String> = self.written.keys().chain(new.written.keys()).collect();
         let differ = both
--- a/crates/client-proxy/src/discovery.rs
+++ b/crates/client-proxy/src/discovery.rs
@@ -19,9 +19,9 @@
 use crate::message::{Ask, Message, Queue};
 
 /// Calls wait their turn at discovery, which gives up on them after 3 s.
-const ANSWER: Duration = Duration::from_millis(4_000);
+const ANSWER: Duration = Duration::from_secs(4);
 /// A line comes every 2 s: guards against cut links, which give no sign.
-const SILENCE: Duration = Duration::from_millis(3_000);
+const SILENCE: Duration = Duration::from_secs(3);
 /// Where lists are pushed, what the agent has counts as told at once: a call that failed is made
 /// again after this.
 const PUSHED_AGAIN: Duration = Duration::from_millis(100);
@@ -134,7 +134,7 @@
 }
 
 /// Watches and fetches on behalf of the driver.
-pub struct Discovery {
+pub(crate) struct Discovery {
     address: SocketAddr,
     client: Client,
     zones: Vec<String>,
@@ -150,7 +150,7 @@
 
 impl Discovery {
     /// A client that holds nothing yet.
-    pub fn new(
+    pub(crate) fn new(
         address: SocketAddr,
         client: Client,
         zones: Vec<String>,
@@ -171,7 +171,7 @@
     }
 
     /// Tells the list that was held before this start; even an empty one sets the module going.
-    pub fn recall(&mut self, known: Option<&Value>) {
+    pub(crate) fn recall(&mut self, known: Option<&Value>) {
         let list = known.and_then(List::read);
         if known.is_some() && list.is_none() {
             warn!(self.log, "the list held before is malformed");
@@ -187,7 +187,7 @@
 
     /// Does what is asked until nobody can ask any more. Asked again, or interrupted by a fetch,
     /// the watch begins anew from the version held.
-    pub async fn run(mut self, mut asks: mpsc::UnboundedReceiver<Ask>) {
+    pub(crate) async fn run(mut self, mut asks: mpsc::UnboundedReceiver<Ask>) {
         let mut watching = self.pushed;
         loop {
             let ask = tokio::select! {
--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -23,7 +23,7 @@
 };
 
 /// Where orders go.
-pub struct Orders {
+pub(crate) struct Orders {
     /// To the connections to pay servers.
     pub upstream: mpsc::UnboundedSender<Order>,
     /// To discovery.
@@ -52,7 +52,7 @@
 }
 
 /// Drives one balancer.
-pub struct Driver {
+pub(crate) struct Driver {
     balancer: Balancer,
     settings: Settings,
     clock: Clock,
@@ -73,7 +73,7 @@
 
 impl Driver {
     /// A driver that holds no list yet.
-    pub fn new(
+    pub(crate) fn new(
         balancer: Balancer,
         settings: Settings,
         clock: Clock,
@@ -101,7 +101,7 @@
 
     /// Serves the queue until all that feed it are gone. `held` hears of the first list that names
     /// servers.
-    pub async fn run(
+    pub(crate) async fn run(
         mut self,
         mut queue: mpsc::UnboundedReceiver<Message>,
         mut urgent: mpsc::UnboundedReceiver<Urgent>,
@@ -189,7 +189,7 @@
                 }
             }
             Urgent::Describe(reply) => {
-                drop(reply.send((self.admin.bans().clone(), self.admin.known())))
+                drop(reply.send((self.admin.bans().clone(), self.admin.known())));
             }
         }
     }
@@ -421,7 +421,7 @@
                 self.forget(id);
             }
             Action::Cancel { id, attempt } => {
-                drop(self.orders.upstream.send(Order::Cancel(id, attempt)))
+                drop(self.orders.upstream.send(Order::Cancel(id, attempt)));
             }
             Action::Timer { delay, token } => {
                 self.timers
@@ -431,15 +431,15 @@
             Action::FetchAll => drop(self.orders.discovery.send(Ask::All)),
             Action::Probe { server } => match self.servers.get(&server) {
                 Some(&(address, _)) => {
-                    drop(self.orders.upstream.send(Order::Probe(server, address)))
+                    drop(self.orders.upstream.send(Order::Probe(server, address)));
                 }
                 None => {
-                    warn!(self.log, "a probe of a server that is not listed"; "server" => server.0)
+                    warn!(self.log, "a probe of a server that is not listed"; "server" => server.0);
                 }
             },
             Action::Tell { to, data } => drop(self.orders.peers.send((to, data))),
             Action::CloseIdle { server } => {
-                drop(self.orders.upstream.send(Order::CloseIdle(server)))
+                drop(self.orders.upstream.send(Order::CloseIdle(server)));
             }
             Action::Log(text) => info!(self.log, "{}", text),
         }
--- a/crates/client-proxy/src/handover.rs
+++ b/crates/client-proxy/src/handover.rs
@@ -35,7 +35,7 @@
 
 /// Where in `$TMPDIR` the processes of one proxy find each other and what they keep.
 #[derive(Clone)]
-pub struct Store {
+pub(crate) struct Store {
     folder: Option<PathBuf>,
     name: String,
 }
@@ -43,7 +43,7 @@
 impl Store {
     /// The place of the proxy that listens at `listen`. None of it outlives a port of the system's
     /// choice.
-    pub fn new(folder: Option<PathBuf>, listen: SocketAddr) -> Self {
+    pub(crate) fn new(folder: Option<PathBuf>, listen: SocketAddr) -> Self {
         let folder = folder.filter(|f| listen.port() != 0 && !f.as_os_str().is_empty());
         Store {
             folder,
@@ -62,7 +62,7 @@
     }
 
     /// What an earlier process wrote down; nothing, and a line of the log, where it can't be read.
-    pub fn load(&self, log: &Logger) -> Bans {
+    pub(crate) fn load(&self, log: &Logger) -> Bans {
         let Some(path) = self.path("bans") else {
             return Bans::default();
         };
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// Why it is not written, in one line.
-    pub fn save(&self, bans: &Bans) -> Result<(), String> {
+    pub(crate) fn save(&self, bans: &Bans) -> Result<(), String> {
         let (Some(path), Some(aside)) = (
             self.path("bans"),
             self.path(&format!("bans.{}", std::process::id())),
@@ -99,7 +99,7 @@
 }
 
 /// What a predecessor leaves to this process.
-pub struct Inherited {
+pub(crate) struct Inherited {
     /// Where clients come, open as it was.
     pub listener: TcpListener,
     /// Where datagrams come.
@@ -114,7 +114,7 @@
 
 /// Looks for a predecessor and greets it. None where nobody is there; where somebody is and it
 /// fails, a line of the log says so.
-pub fn greet(store: &Store, log: &Logger) -> Option<Inherited> {
+pub(crate) fn greet(store: &Store, log: &Logger) -> Option<Inherited> {
     let path = store.path("sock")?;
     let stream = match StdUnixStream::connect(&path) {
         Ok(stream) => stream,
@@ -212,7 +212,7 @@
 
 /// The other process of a replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub(crate) enum Side {
     /// The one before this.
     Predecessor,
     /// The one after it.
@@ -220,7 +220,7 @@
 }
 
 /// What comes over the Unix socket.
-pub enum Heard {
+pub(crate) enum Heard {
     /// A new process said hello and waits for its welcome; whether it answers claims.
     Came(UnixStream, bool),
     /// A partner said something.
@@ -231,7 +231,7 @@
 
 /// Who else of this proxy lives, and what they are told.
 #[derive(Default)]
-pub struct Partners {
+pub(crate) struct Partners {
     predecessor: RefCell<Option<mpsc::UnboundedSender<Message>>>,
     successor: RefCell<Option<mpsc::UnboundedSender<Message>>>,
     may_serve: Cell<bool>,
@@ -243,30 +243,30 @@
 
 impl Partners {
     /// Whether this process has taken up serving.
-    pub fn may_serve(&self) -> bool {
+    pub(crate) fn may_serve(&self) -> bool {
         self.may_serve.get()
     }
 
     /// Notes that this process takes up serving.
-    pub fn serve(&self) {
+    pub(crate) fn serve(&self) {
         self.may_serve.set(true);
     }
 
     /// Tells whoever lives.
-    pub fn tell(&self, message: Message) {
+    pub(crate) fn tell(&self, message: Message) {
         self.tell_predecessor(message.clone());
         self.tell_successor(message);
     }
 
     /// Tells the process before this.
-    pub fn tell_predecessor(&self, message: Message) {
+    pub(crate) fn tell_predecessor(&self, message: Message) {
         if let Some(to) = &*self.predecessor.borrow() {
             let _ = to.send(message);
         }
     }
 
     /// Tells the process after this.
-    pub fn tell_successor(&self, message: Message) {
+    pub(crate) fn tell_successor(&self, message: Message) {
         if let Some(to) = &*self.successor.borrow() {
             let _ = to.send(message);
         }
@@ -276,7 +276,7 @@
     /// is no successor or it does not answer claims, and this process decides alone. The answer is
     /// false where it does not come within `PATIENCE`: a name is rather refused than perhaps run
     /// twice.
-    pub fn claim(&self, txn: &str) -> Option<impl Future<Output = bool> + use<>> {
+    pub(crate) fn claim(&self, txn: &str) -> Option<impl Future<Output = bool> + use<>> {
         if !self.claims.get() || self.successor.borrow().is_none() {
             return None;
         }
@@ -293,7 +293,7 @@
     }
 
     /// The successor's answer to a claim.
-    pub fn claimed(&self, txn: &str, granted: bool) {
+    pub(crate) fn claimed(&self, txn: &str, granted: bool) {
         if let Some(waiting) = self.asked.borrow_mut().remove(txn) {
             let _ = waiting.send(granted);
         }
@@ -301,7 +301,7 @@
 
     /// Forgets a partner that is gone. Claims it has not answered are granted: nothing runs there
     /// any more.
-    pub fn lost(&self, side: Side) {
+    pub(crate) fn lost(&self, side: Side) {
         *self.slot(side).borrow_mut() = None;
         if side == Side::Successor {
             self.claims.set(false);
@@ -322,7 +322,7 @@
     ///
     /// # Errors
     /// The system's, where its socket can't be used.
-    pub fn follow(
+    pub(crate) fn follow(
         &self,
         (stream, rest): (StdUnixStream, Vec<u8>),
         heard: &mpsc::UnboundedSender<Heard>,
@@ -341,7 +341,7 @@
     ///
     /// # Errors
     /// The system's, where it has gone.
-    pub async fn welcome(
+    pub(crate) async fn welcome(
         &self,
         mut stream: UnixStream,
         (bans, known): (Bans, Option<Value>),
@@ -415,7 +415,11 @@
 
 /// Waits for a successor under the proxy's name. A name left behind by a dead process, or held by a
 /// predecessor, is taken over.
-pub async fn await_successor(store: Store, heard: mpsc::UnboundedSender<Heard>, log: Logger) {
+pub(crate) async fn await_successor(
+    store: Store,
+    heard: mpsc::UnboundedSender<Heard>,
+    log: Logger,
+) {
     let Some(path) = store.path("sock") else {
         return;
     };
@@ -455,7 +459,7 @@
 }
 
 /// Sends a successor away.
-pub async fn busy(mut stream: UnixStream, why: String) {
+pub(crate) async fn busy(mut stream: UnixStream, why: String) {
     let _ = timeout(
         PATIENCE,
         stream.write_all(link::encode(&Message::Busy(why)).as_bytes()),
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -31,7 +31,7 @@
 
 /// What clients may send, and how long they may take. The length of a head is bounded by
 /// actix-http.
-pub const LIMITS: ClientLimits = ClientLimits {
+pub(crate) const LIMITS: ClientLimits = ClientLimits {
     header_timeout: PATIENCE,
     idle_timeout: PATIENCE,
     max_header_bytes: usize::MAX,
@@ -39,7 +39,7 @@
 };
 
 /// What all requests share.
-pub struct Front {
+pub(crate) struct Front {
     /// The settings' names and classes.
     setup: Setup,
     /// The time.
@@ -82,7 +82,7 @@
 
 impl Front {
     /// A front without requests.
-    pub fn new(
+    pub(crate) fn new(
         setup: Setup,
         clock: Clock,
         queue: Queue,
@@ -104,22 +104,22 @@
     }
 
     /// Tells a successor which requests are open here.
-    pub fn tell_open(&self) {
+    pub(crate) fn tell_open(&self) {
         self.open.borrow().iter().for_each(|txn| {
             self.partners
-                .tell_successor(link::Message::Opened(txn.clone()))
+                .tell_successor(link::Message::Opened(txn.clone()));
         });
     }
 
     /// Answers the predecessor's claim of a name: granted where it is open in neither process, and
     /// then counted as open there.
-    pub fn grant(&self, txn: &str) -> bool {
+    pub(crate) fn grant(&self, txn: &str) -> bool {
         let free = !self.open.borrow().contains(txn);
         free && self.elsewhere.borrow_mut().insert(txn.to_string())
     }
 
     /// Notes that a request is open at the process before this, or not any more.
-    pub fn note_elsewhere(&self, txn: String, open: bool) {
+    pub(crate) fn note_elsewhere(&self, txn: String, open: bool) {
         let mut elsewhere = self.elsewhere.borrow_mut();
         if open {
             elsewhere.insert(txn)
@@ -129,7 +129,7 @@
     }
 
     /// Nobody else serves any more.
-    pub fn forget_elsewhere(&self) {
+    pub(crate) fn forget_elsewhere(&self) {
         self.elsewhere.borrow_mut().clear();
     }
 
--- a/crates/client-proxy/src/members.rs
+++ b/crates/client-proxy/src/members.rs
@@ -15,7 +15,7 @@
 use serde::Deserialize;
 
 /// Where the operators' file is, from the working directory.
-pub const FILE: &str = "deploy/membership.toml";
+pub(crate) const FILE: &str = "deploy/membership.toml";
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -25,7 +25,7 @@
 
 /// Reads the operators' file at `path`: whether membership is on. A file that is there but wrong is
 /// one line.
-pub fn enabled(path: &Path) -> Result<bool, String> {
+pub(crate) fn enabled(path: &Path) -> Result<bool, String> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(false),
@@ -38,7 +38,7 @@
 
 /// Membership for a proxy whose datagrams arrive at `listen`, of a tier of `peers`; none where
 /// `listen` is not an IPv4 address with a port (said in the error).
-pub fn start(
+pub(crate) fn start(
     listen: Option<SocketAddr>,
     peers: &[SocketAddr],
     seed: u64,
@@ -54,7 +54,7 @@
 }
 
 /// The IPv4 peers of the tier, for joining.
-pub fn v4(peers: &[SocketAddr]) -> Vec<SocketAddrV4> {
+pub(crate) fn v4(peers: &[SocketAddr]) -> Vec<SocketAddrV4> {
     peers
         .iter()
         .filter_map(|p| {
--- a/crates/client-proxy/src/message.rs
+++ b/crates/client-proxy/src/message.rs
@@ -10,16 +10,16 @@
 use ironmast_admin::listing::News;
 use ironmast_balancer::{ClassId, LoadReport, Micros, Outcome, RequestId, ServerId, TenantId};
 use ironmast_transport::bodies::{Body, Inflow};
-pub use ironmast_transport::request_body::RequestBody as Sent;
+pub(crate) use ironmast_transport::request_body::RequestBody as Sent;
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
 
 /// Names one request on its way from a listener to the driver.
-pub type Ticket = u64;
+pub(crate) type Ticket = u64;
 
 /// What a pay server needs of a request, passed through unchanged.
 #[derive(Debug)]
-pub struct Payload {
+pub(crate) struct Payload {
     /// True where the request may be repeated freely (it then has no body).
     pub safe: bool,
     /// Path and query, byte for byte.
@@ -36,7 +36,7 @@
 
 impl Payload {
     /// The body's flow, where it is not held whole from the start.
-    pub fn flow(&self) -> Option<&Rc<Inflow>> {
+    pub(crate) fn flow(&self) -> Option<&Rc<Inflow>> {
         match &self.body {
             Sent::Flowing(flow) => Some(flow),
             Sent::Whole(_) => None,
@@ -46,7 +46,7 @@
 
 /// A request that a client handed over.
 #[derive(Debug)]
-pub struct Arrival {
+pub(crate) struct Arrival {
     /// Its name in the queue.
     pub ticket: Ticket,
     /// Its class.
@@ -67,7 +67,7 @@
 
 /// The one final answer to a request.
 #[derive(Debug)]
-pub enum Answer {
+pub(crate) enum Answer {
     /// A pay server's answer, unchanged.
     Served(Body),
     /// Refused: trying again is harmless, after a while at best.
@@ -78,7 +78,7 @@
 
 /// One attempt at a request, for the pay server named.
 #[derive(Debug)]
-pub struct Attempt {
+pub(crate) struct Attempt {
     /// The request, and the attempt's number.
     pub id: RequestId,
     /// 0, 1, 2 ... in the order of the sends.
@@ -97,7 +97,7 @@
 
 /// How an attempt ended; its connection is given up or idle again by then.
 #[derive(Debug)]
-pub struct Ended {
+pub(crate) struct Ended {
     /// The request.
     pub id: RequestId,
     /// The attempt.
@@ -112,7 +112,7 @@
 
 /// To the driver.
 #[derive(Debug)]
-pub enum Message {
+pub(crate) enum Message {
     /// A request arrived.
     Arrived(Arrival),
     /// The last byte of a request's body has come.
@@ -131,7 +131,7 @@
 
 /// To the driver, ahead of all that is in the queue.
 #[derive(Debug)]
-pub enum Urgent {
+pub(crate) enum Urgent {
     /// An operator called.
     Called(Call, oneshot::Sender<Reply>),
     /// The other process of a replacement was called for this server.
@@ -144,7 +144,7 @@
 
 /// To the keeper of the connections to pay servers.
 #[derive(Debug)]
-pub enum Order {
+pub(crate) enum Order {
     /// Begin an attempt.
     Send(Attempt),
     /// Stop waiting for one.
@@ -164,7 +164,7 @@
 
 /// To discovery.
 #[derive(Debug)]
-pub enum Ask {
+pub(crate) enum Ask {
     /// Begin (or end) watching.
     Watch(bool),
     /// Fetch the whole list once.
@@ -174,18 +174,18 @@
 }
 
 /// To the peers: one of them, or all.
-pub type Tell = (Option<u32>, Vec<u8>);
+pub(crate) type Tell = (Option<u32>, Vec<u8>);
 
 /// The way to the driver, shared by all that feed it.
 #[derive(Clone)]
-pub struct Queue {
+pub(crate) struct Queue {
     to: mpsc::UnboundedSender<Message>,
     tickets: Rc<Cell<Ticket>>,
 }
 
 impl Queue {
     /// A queue and the end the driver reads.
-    pub fn new() -> (Self, mpsc::UnboundedReceiver<Message>) {
+    pub(crate) fn new() -> (Self, mpsc::UnboundedReceiver<Message>) {
         let (to, from) = mpsc::unbounded_channel();
         (
             Queue {
@@ -197,13 +197,13 @@
     }
 
     /// A ticket nobody else holds.
-    pub fn ticket(&self) -> Ticket {
+    pub(crate) fn ticket(&self) -> Ticket {
         self.tickets.set(self.tickets.get() + 1);
         self.tickets.get()
     }
 
     /// Says something to the driver. It outlives all that speak to it, so nothing is lost.
-    pub fn say(&self, message: Message) {
+    pub(crate) fn say(&self, message: Message) {
         let _ = self.to.send(message);
     }
 }
--- a/crates/client-proxy/src/ops.rs
+++ b/crates/client-proxy/src/ops.rs
@@ -16,7 +16,7 @@
 use crate::message::Urgent;
 
 /// Operators that may be connected at once; their descriptors are their own.
-pub const CALLERS: usize = 8;
+pub(crate) const CALLERS: usize = 8;
 /// A caller has this long for its line, and again for hearing the answer.
 const PATIENCE: Duration = Duration::from_millis(2_500);
 /// After an accept that failed, the next waits this long.
@@ -26,7 +26,11 @@
 type Callers = Rc<RefCell<VecDeque<(u64, oneshot::Sender<()>)>>>;
 
 /// Hears operators for as long as the process lives.
-pub async fn hear(listener: TcpListener, to_driver: mpsc::UnboundedSender<Urgent>, log: Logger) {
+pub(crate) async fn hear(
+    listener: TcpListener,
+    to_driver: mpsc::UnboundedSender<Urgent>,
+    log: Logger,
+) {
     let (callers, number) = (Callers::default(), Cell::new(0u64));
     loop {
         let stream = match listener.accept().await {
--- a/crates/client-proxy/src/peers.rs
+++ b/crates/client-proxy/src/peers.rs
@@ -15,7 +15,7 @@
 const MOST: usize = 256;
 
 /// The socket and who may speak on it.
-pub struct Peers {
+pub(crate) struct Peers {
     /// Bound to where datagrams arrive; they are sent from there too.
     pub socket: Option<Rc<UdpSocket>>,
     /// Every proxy of the tier, by number.
@@ -35,7 +35,7 @@
 
 impl Peers {
     /// Sends what is to be told and passes on what arrives.
-    pub async fn run(mut self, mut tells: mpsc::UnboundedReceiver<Tell>) {
+    pub(crate) async fn run(mut self, mut tells: mpsc::UnboundedReceiver<Tell>) {
         let mut buffer = [0; MOST + 1];
         let start = Instant::now();
         let mut joined = false;
@@ -136,7 +136,7 @@
                 }
             }
             _ => {
-                warn!(self.log, "a message to peers has no address or is too long"; "bytes" => data.len())
+                warn!(self.log, "a message to peers has no address or is too long"; "bytes" => data.len());
             }
         }
     }
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -120,13 +120,14 @@
     );
     let passed_socket = socket.clone();
     let (log_of_peers, to_queue, speaks) = (log.clone(), queue.clone(), serving.clone());
-    let membership = match crate::members::enabled(std::path::Path::new(crate::members::FILE))? {
-        true => Some(crate::members::start(
+    let membership = if crate::members::enabled(std::path::Path::new(crate::members::FILE))? {
+        Some(crate::members::start(
             config.peer_listen,
             &peers,
             config.seed,
-        )?),
-        false => None,
+        )?)
+    } else {
+        None
     };
     let peers = Peers {
         socket,
--- a/crates/client-proxy/src/upstream.rs
+++ b/crates/client-proxy/src/upstream.rs
@@ -41,7 +41,7 @@
 
 /// What the settings say of connections.
 #[derive(Clone)]
-pub struct Rules {
+pub(crate) struct Rules {
     /// A connection not up within this failed.
     pub connect: Duration,
     /// Pay servers close connections idle for this long.
@@ -54,7 +54,7 @@
 type Clients = BTreeMap<ServerId, (SocketAddr, Client, Micros)>;
 
 /// Keeps the connections to pay servers.
-pub struct Upstream {
+pub(crate) struct Upstream {
     rules: Rules,
     clock: Clock,
     log: Logger,
@@ -69,7 +69,7 @@
 
 impl Upstream {
     /// A keeper without connections.
-    pub fn new(
+    pub(crate) fn new(
         rules: Rules,
         clock: Clock,
         log: Logger,
@@ -107,7 +107,7 @@
     }
 
     /// Carries out orders until none can come any more.
-    pub async fn run(mut self, mut orders: mpsc::UnboundedReceiver<Order>) {
+    pub(crate) async fn run(mut self, mut orders: mpsc::UnboundedReceiver<Order>) {
         while let Some(order) = orders.recv().await {
             match order {
                 Order::Send(attempt) => self.send(attempt),
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -19,13 +19,13 @@
 const BODY_MOST: usize = 8 * 1024 * 1024;
 
 /// The way to the state.
-pub type Commands = mpsc::UnboundedSender<Command>;
+pub(crate) type Commands = mpsc::UnboundedSender<Command>;
 
 /// Listens where the operator, servers and clients call.
 ///
 /// # Errors
 /// The address that can't be listened at.
-pub fn start(
+pub(crate) fn start(
     control_plane: SocketAddr,
     directory: Option<SocketAddr>,
     commands: &Commands,
--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -6,22 +6,22 @@
 
 /// Reads the time since the start; copies agree.
 #[derive(Clone)]
-pub struct Clock(Rc<dyn Fn() -> Duration>);
+pub(crate) struct Clock(Rc<dyn Fn() -> Duration>);
 
 impl Clock {
     /// The time since `start`.
-    pub fn since(start: Instant) -> Self {
+    pub(crate) fn since(start: Instant) -> Self {
         Clock(Rc::new(move || start.elapsed()))
     }
 
     /// The time that `read` tells.
     #[cfg(test)]
-    pub fn read_by(read: impl Fn() -> Duration + 'static) -> Self {
+    pub(crate) fn read_by(read: impl Fn() -> Duration + 'static) -> Self {
         Clock(Rc::new(read))
     }
 
     /// The reading now.
-    pub fn now(&self) -> Duration {
+    pub(crate) fn now(&self) -> Duration {
         (self.0)()
     }
 }
--- a/crates/coordinator/src/confirm.rs
+++ b/crates/coordinator/src/confirm.rs
@@ -27,13 +27,13 @@
 
 /// The reports that aren't confirmed yet.
 #[derive(Debug, Default)]
-pub struct Confirmations {
+pub(crate) struct Confirmations {
     waiting: Vec<Unconfirmed>,
 }
 
 impl Confirmations {
     /// Adds a report about this key that came at `now`; `to` gets the answer.
-    pub fn add(&mut self, now: Duration, key: Key, to: oneshot::Sender<Reply>) {
+    pub(crate) fn add(&mut self, now: Duration, key: Key, to: oneshot::Sender<Reply>) {
         self.waiting.push(Unconfirmed {
             key,
             since: now,
@@ -42,14 +42,14 @@
     }
 
     /// The keys that the unconfirmed reports are about.
-    pub fn keys(&self) -> impl Iterator<Item = &Key> {
+    pub(crate) fn keys(&self) -> impl Iterator<Item = &Key> {
         self.waiting.iter().map(|waiting| &waiting.key)
     }
 
     /// Answers the confirmed reports, and 503 to those that have waited too long. `answered` is
     /// when the newest question that a majority has answered was asked: reports that came no later
     /// are confirmed.
-    pub fn settle(&mut self, now: Duration, answered: Option<Duration>) {
+    pub(crate) fn settle(&mut self, now: Duration, answered: Option<Duration>) {
         let is_confirmed =
             |waiting: &mut Unconfirmed| answered.is_some_and(|asked| waiting.since <= asked);
         for waiting in self.waiting.extract_if(.., is_confirmed) {
@@ -60,7 +60,7 @@
     }
 
     /// Answers 503 to all that wait.
-    pub fn refuse(&mut self) {
+    pub(crate) fn refuse(&mut self) {
         self.waiting.drain(..).for_each(refuse);
     }
 }
--- a/crates/coordinator/src/disk.rs
+++ b/crates/coordinator/src/disk.rs
@@ -22,7 +22,7 @@
 
 /// A record as it stands on disk; each holds the whole state of the replica.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Durable(pub Record<ControlValue>);
+pub(crate) struct Durable(pub Record<ControlValue>);
 
 impl Supersedes for Durable {
     fn supersedes(&self, _earlier: &Self) -> bool {
@@ -32,7 +32,7 @@
 
 /// What the folder holds at the start.
 #[derive(Debug)]
-pub enum Found {
+pub(crate) enum Found {
     /// No record.
     Nothing,
     /// A record that is durable.
@@ -45,10 +45,10 @@
 }
 
 /// Told when a record is durable, or that it isn't.
-pub type Persisted = Completion<PersistToken>;
+pub(crate) type Persisted = Completion<PersistToken>;
 
 /// The open log.
-pub struct Journal {
+pub(crate) struct Journal {
     writer: Writer<Durable, PersistToken>,
 }
 
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// The file and the step that failed.
-    pub fn open(
+    pub(crate) fn open(
         folder: &Path,
         disk_mb: u64,
         log: &Logger,
@@ -115,7 +115,7 @@
     }
 
     /// Writes a record; it is told when that is durable.
-    pub fn write(&self, record: Record<ControlValue>, token: PersistToken) {
+    pub(crate) fn write(&self, record: Record<ControlValue>, token: PersistToken) {
         self.writer.submit(Durable(record), token);
     }
 }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -41,7 +41,7 @@
 /// The part of the grace period in which a replica that leaves may hand its place over.
 const HANDOVER_PART: f64 = 0.4;
 /// Calls under way as the program ends are answered within this.
-const LAST_ANSWERS: Duration = Duration::from_millis(1_000);
+const LAST_ANSWERS: Duration = Duration::from_secs(1);
 
 /// Runs a coordinator until SIGTERM.
 ///
--- a/crates/coordinator/src/links.rs
+++ b/crates/coordinator/src/links.rs
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// The address that can't be listened at.
-pub async fn start(state: &Shared, own: SocketAddr, seeds: Vec<SocketAddr>) -> Result<()> {
+pub(crate) async fn start(state: &Shared, own: SocketAddr, seeds: Vec<SocketAddr>) -> Result<()> {
     let listener = TcpListener::bind(own)
         .await
         .wrap_err_with(|| format!("listening at {own}"))?;
@@ -47,7 +47,7 @@
 }
 
 /// Calls coordinators that weren't known.
-pub fn add(state: &Shared, coordinators: &[SocketAddr]) {
+pub(crate) fn add(state: &Shared, coordinators: &[SocketAddr]) {
     for address in coordinators {
         let is_new = state.borrow_mut().meet(*address);
         if is_new {
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -30,7 +30,7 @@
 
 /// What a replica asks of its coordinator.
 #[derive(Debug)]
-pub enum Effect {
+pub(crate) enum Effect {
     /// Send a message to another coordinator; it may be lost.
     Send(SocketAddr, Vec<u8>),
     /// A newer state is in force.
@@ -43,7 +43,7 @@
 
 /// What a caller has asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub(crate) enum Kind {
     /// A change of the operator's state.
     Change,
     /// The configuration in force.
@@ -51,7 +51,7 @@
 }
 
 /// The register's node with what it waits for.
-pub struct Replica {
+pub(crate) struct Replica {
     clock: Clock,
     node: Node<ControlValue>,
     journal: Journal,
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     /// The step that failed.
-    pub fn open(
+    pub(crate) fn open(
         settings: &Settings,
         own: SocketAddr,
         clock: Clock,
@@ -120,54 +120,54 @@
     }
 
     /// How many replicas there are, if this is one of them.
-    pub fn members(&self) -> Option<usize> {
+    pub(crate) fn members(&self) -> Option<usize> {
         let state = self.node.chosen().filter(|_| self.node.is_member())?;
         Some(state.members.latest().len())
     }
 
     /// Whether a write is under way.
     #[cfg(test)]
-    pub fn is_writing(&self) -> bool {
+    pub(crate) fn is_writing(&self) -> bool {
         self.write.is_some()
     }
 
     /// The coordinator's steady clock.
-    pub fn clock(&self) -> &Clock {
+    pub(crate) fn clock(&self) -> &Clock {
         &self.clock
     }
 
     /// Whether a majority of the replicas has answered a question asked within the bound.
-    pub fn is_in_contact(&self) -> bool {
+    pub(crate) fn is_in_contact(&self) -> bool {
         self.node.is_in_contact(self.clock.now())
     }
 
     /// When the newest question was asked that a majority of the replicas has answered.
-    pub fn contact_since(&self) -> Option<Duration> {
+    pub(crate) fn contact_since(&self) -> Option<Duration> {
         self.node.contact_since(self.clock.now())
     }
 
     /// Asks all coordinators at once whether they are there.
-    pub fn question(&mut self) -> Vec<Effect> {
+    pub(crate) fn question(&mut self) -> Vec<Effect> {
         self.handle(Event::Question)
     }
 
     /// Reads the newest state from a quorum; [`Effect::CaughtUp`] tells the end. A read begun
     /// before doesn't count any more.
-    pub fn catch_up(&mut self) -> Vec<Effect> {
+    pub(crate) fn catch_up(&mut self) -> Vec<Effect> {
         let id = self.next_operation();
         self.catching_up = Some(id);
         self.handle_submit(id, Operation::Read)
     }
 
     /// When [`Replica::wake`] is to be called.
-    pub fn wake_at(&self) -> Duration {
+    pub(crate) fn wake_at(&self) -> Duration {
         // The first event of a node is its timer.
         let timer = self.timer.unwrap_or_default();
         self.rewrite_at.map_or(timer, |at| at.min(timer))
     }
 
     /// Does what is due.
-    pub fn wake(&mut self) -> Vec<Effect> {
+    pub(crate) fn wake(&mut self) -> Vec<Effect> {
         let now = self.clock.now();
         if self.rewrite_at.is_some_and(|at| at <= now) {
             self.rewrite_at = None;
@@ -183,7 +183,7 @@
     }
 
     /// Submits a change; it is answered when its outcome is known, or in time that it isn't.
-    pub fn change(
+    pub(crate) fn change(
         &mut self,
         operation: Operation<ControlValue>,
         to: oneshot::Sender<Reply>,
@@ -192,7 +192,7 @@
     }
 
     /// Reads the configuration in force.
-    pub fn read(&mut self, to: oneshot::Sender<Reply>) -> Vec<Effect> {
+    pub(crate) fn read(&mut self, to: oneshot::Sender<Reply>) -> Vec<Effect> {
         self.submit(Kind::Read, Operation::Read, to)
     }
 
@@ -226,7 +226,7 @@
     }
 
     /// Takes a message of another coordinator.
-    pub fn receive(&mut self, bytes: &[u8]) -> Vec<Effect> {
+    pub(crate) fn receive(&mut self, bytes: &[u8]) -> Vec<Effect> {
         match postcard::from_bytes::<Message<ControlValue>>(bytes) {
             Ok(message) => self.handle(Event::Message(message)),
             Err(error) => {
@@ -237,19 +237,19 @@
     }
 
     /// The other coordinators that are known.
-    pub fn set_peers(&mut self, peers: Vec<SocketAddr>) -> Vec<Effect> {
+    pub(crate) fn set_peers(&mut self, peers: Vec<SocketAddr>) -> Vec<Effect> {
         self.handle(Event::Peers(peers))
     }
 
     /// This machine is about to stop.
-    pub fn leave(&mut self) -> Vec<Effect> {
+    pub(crate) fn leave(&mut self) -> Vec<Effect> {
         self.handle(Event::Leaving)
     }
 
     /// A write has ended. One that failed is written once more, whole, to a new file: until that is
     /// durable the replica gives no vote. [`ironmast_storage`] tells why that is safe after a
     /// failed sync.
-    pub fn persisted(&mut self, completion: Persisted) -> Vec<Effect> {
+    pub(crate) fn persisted(&mut self, completion: Persisted) -> Vec<Effect> {
         if self
             .write
             .as_ref()
@@ -330,7 +330,7 @@
 
 /// What is told in place of an answer that has come from a quorum, but too long ago to stand for
 /// the newest state.
-pub fn withheld(kind: Kind, reply: Reply) -> Reply {
+pub(crate) fn withheld(kind: Kind, reply: Reply) -> Reply {
     let is_success = reply.status < 300;
     match kind {
         Kind::Change if is_success => {
--- a/crates/coordinator/src/resolve.rs
+++ b/crates/coordinator/src/resolve.rs
@@ -19,7 +19,7 @@
 /// What a client asks.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
-pub struct Query {
+pub(crate) struct Query {
     /// The host that it wants.
     pub name: String,
     /// The region that it is in.
@@ -72,7 +72,7 @@
 }
 
 /// The addresses for a client.
-pub fn addresses(
+pub(crate) fn addresses(
     gates: &[Gate<'_>],
     configuration: Option<&Configuration>,
     query: &Query,
@@ -100,7 +100,7 @@
 /// the client's region that speak to this one. Where requests of the host must leave that region
 /// there are none: the region may be cut off from their homes, and another coordinator can tell who
 /// is there.
-pub fn addresses_heard_here(
+pub(crate) fn addresses_heard_here(
     gates: &[Gate<'_>],
     configuration: Option<&Configuration>,
     query: &Query,
@@ -124,11 +124,12 @@
     let in_zone = select(gates, |gate| {
         is_usable(gate) && gate.record.zone == query.zone
     });
-    match in_zone.is_empty() {
-        true => select(gates, |gate| {
+    if in_zone.is_empty() {
+        select(gates, |gate| {
             is_usable(gate) && gate.record.region == query.region
-        }),
-        false => in_zone,
+        })
+    } else {
+        in_zone
     }
 }
 
@@ -153,7 +154,7 @@
 }
 
 /// The reply that names these addresses.
-pub fn answer(addresses: &[SocketAddr], ttl_s: f64) -> Reply {
+pub(crate) fn answer(addresses: &[SocketAddr], ttl_s: f64) -> Reply {
     if addresses.is_empty() {
         return Reply::refused(503, "no gate is known that this client may go to");
     }
--- a/crates/coordinator/src/standing.rs
+++ b/crates/coordinator/src/standing.rs
@@ -21,7 +21,7 @@
 /// shortest bound of the rules: `config_apply_ms`, `drain_timeout_ms`, `evacuation_ms` or
 /// `contact_ms`. Its word may be as old as this bound before others notice, so that the bound is a
 /// third of the shortest.
-pub fn contact_bound(bounds: &TimingBounds) -> Duration {
+pub(crate) fn contact_bound(bounds: &TimingBounds) -> Duration {
     let shortest = [
         bounds.config_apply_ms,
         bounds.drain_timeout_ms,
@@ -36,7 +36,7 @@
 
 /// Where a coordinator stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub(crate) enum Standing {
     /// No majority has answered since the process began.
     Starting,
     /// A majority answers; the newest state has not been read from a quorum yet.
@@ -52,7 +52,7 @@
 impl Standing {
     /// All of them, in the order of the table.
     #[cfg(test)]
-    pub const ALL: [Standing; 5] = [
+    pub(crate) const ALL: [Standing; 5] = [
         Standing::Starting,
         Standing::CatchingUp,
         Standing::InContact,
@@ -61,7 +61,7 @@
     ];
 
     /// What follows from whether a majority has answered within the bound.
-    pub fn observed(self, majority_answers: bool) -> Standing {
+    pub(crate) fn observed(self, majority_answers: bool) -> Standing {
         match (self, majority_answers) {
             (Standing::Starting | Standing::OutOfContact, true) => Standing::CatchingUp,
             (Standing::CatchingUp | Standing::InContact, false) => Standing::OutOfContact,
@@ -70,7 +70,7 @@
     }
 
     /// What follows when the newest state has been read from a quorum.
-    pub fn caught_up(self) -> Standing {
+    pub(crate) fn caught_up(self) -> Standing {
         match self {
             Standing::CatchingUp => Standing::InContact,
             same => same,
@@ -78,7 +78,7 @@
     }
 
     /// What a request gets here. `docs/design/control.md` shows the table.
-    pub fn treatment(self, request: Request) -> Treatment {
+    pub(crate) fn treatment(self, request: Request) -> Treatment {
         match (request, self) {
             (
                 Request::Configuration | Request::Evacuation | Request::Read,
@@ -98,7 +98,7 @@
 
 /// What is asked of a coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Request {
+pub(crate) enum Request {
     /// `PUT /api/config`.
     Configuration,
     /// `POST` or `DELETE /api/evacuate/ZONE`.
@@ -119,7 +119,7 @@
 
 /// What a request gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Treatment {
+pub(crate) enum Treatment {
     /// The register decides by a quorum asked after the request came; without one in time a 5xx.
     Decide,
     /// 503 at once; nothing is proposed.
--- a/crates/coordinator/src/standing/tests.rs
+++ b/crates/coordinator/src/standing/tests.rs
@@ -51,13 +51,13 @@
 #[test]
 fn the_bound_is_a_third_of_the_shortest_bound_in_force_and_never_below_the_floor() {
     let usual = TimingBounds::default();
-    assert_eq!(contact_bound(&usual), Duration::from_millis(1_000));
+    assert_eq!(contact_bound(&usual), Duration::from_secs(1));
     let slow = TimingBounds {
         drain_timeout_ms: 12_000,
         config_apply_ms: 9_000,
         ..usual.clone()
     };
-    assert_eq!(contact_bound(&slow), Duration::from_millis(5_000) / 3);
+    assert_eq!(contact_bound(&slow), Duration::from_secs(5) / 3);
     let tight = TimingBounds {
         drain_timeout_ms: 500,
         ..usual
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -39,7 +39,7 @@
 
 /// What an HTTP handler asks for.
 #[derive(Debug)]
-pub enum Command {
+pub(crate) enum Command {
     /// A server's heartbeat.
     Heartbeat(String, Heartbeat, oneshot::Sender<Reply>),
     /// A server ends.
@@ -56,7 +56,7 @@
 
 /// What the handler answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reply {
+pub(crate) struct Reply {
     /// The status.
     pub status: u16,
     /// The body, JSON or one line.
@@ -65,7 +65,7 @@
 
 impl Reply {
     /// An answer with a JSON body.
-    pub fn json(body: impl Into<Vec<u8>>) -> Self {
+    pub(crate) fn json(body: impl Into<Vec<u8>>) -> Self {
         Reply {
             status: 200,
             body: body.into(),
@@ -73,7 +73,7 @@
     }
 
     /// A refusal in one line.
-    pub fn refused(status: u16, why: &str) -> Self {
+    pub(crate) fn refused(status: u16, why: &str) -> Self {
         Reply {
             status,
             body: format!("{why}\n").into_bytes(),
@@ -82,7 +82,7 @@
 }
 
 /// The relay tree, as the state uses it.
-pub trait Relay {
+pub(crate) trait Relay {
     /// Spreads an entry.
     fn publish(&self, entry: &Entry);
     /// Lets all nodes forget a key.
@@ -109,7 +109,7 @@
 type Subscriber = mpsc::UnboundedSender<FromCoordinator>;
 
 /// All state of a coordinator.
-pub struct State {
+pub(crate) struct State {
     log: Logger,
     standing: Standing,
     confirmations: Confirmations,
@@ -131,7 +131,7 @@
 
 impl State {
     /// The state at the start.
-    pub fn new(
+    pub(crate) fn new(
         settings: &Settings,
         own: SocketAddr,
         replica: Replica,
@@ -170,7 +170,7 @@
     }
 
     /// Carries out what a handler asks for.
-    pub fn command(&mut self, command: Command) {
+    pub(crate) fn command(&mut self, command: Command) {
         self.observe();
         match command {
             Command::Heartbeat(id, heartbeat, to) => self.heartbeat(id, heartbeat, to),
@@ -268,33 +268,33 @@
     }
 
     /// When [`State::wake`] is to be called.
-    pub fn wake_at(&self) -> Duration {
+    pub(crate) fn wake_at(&self) -> Duration {
         self.replica.wake_at()
     }
 
     /// Does what the register has due.
-    pub fn wake(&mut self) {
+    pub(crate) fn wake(&mut self) {
         self.observe();
         let effects = self.replica.wake();
         self.carry_out(effects);
     }
 
     /// A record is durable, or isn't.
-    pub fn persisted(&mut self, completion: Persisted) {
+    pub(crate) fn persisted(&mut self, completion: Persisted) {
         self.observe();
         let effects = self.replica.persisted(completion);
         self.carry_out(effects);
     }
 
     /// This machine is about to stop.
-    pub fn leave(&mut self) {
+    pub(crate) fn leave(&mut self) {
         self.enter(Standing::Leaving);
         let effects = self.replica.leave();
         self.carry_out(effects);
     }
 
     /// Whether the replica still has a place that another coordinator could take.
-    pub fn may_hand_over(&self) -> bool {
+    pub(crate) fn may_hand_over(&self) -> bool {
         let linked = self
             .outgoing
             .values()
@@ -307,7 +307,7 @@
 
     /// A link to another coordinator is up: what is sent there goes into this queue. Out of contact
     /// the new link may be the one that was missing, so that a majority is asked for at once.
-    pub fn linked(&mut self, to: SocketAddr, queue: mpsc::UnboundedSender<ToCoordinator>) {
+    pub(crate) fn linked(&mut self, to: SocketAddr, queue: mpsc::UnboundedSender<ToCoordinator>) {
         self.send_unconfirmed(&queue);
         self.outgoing.insert(to, queue);
         if self.standing != Standing::InContact {
@@ -318,12 +318,12 @@
     }
 
     /// Told when another coordinator has called this one, which then may call it without delay.
-    pub fn presence(&mut self, of: SocketAddr) -> Rc<Notify> {
+    pub(crate) fn presence(&mut self, of: SocketAddr) -> Rc<Notify> {
         Rc::clone(self.presences.entry(of).or_default())
     }
 
     /// Another coordinator has become known; true where it is new.
-    pub fn meet(&mut self, address: SocketAddr) -> bool {
+    pub(crate) fn meet(&mut self, address: SocketAddr) -> bool {
         if address == self.own || !self.coordinators.insert(address) {
             return false;
         }
@@ -342,7 +342,7 @@
     }
 
     /// Takes an entry that has come over the relay tree.
-    pub fn heard(&mut self, entry: &Entry) {
+    pub(crate) fn heard(&mut self, entry: &Entry) {
         let now = self.now();
         // Unchanged heartbeats aren't told, so that an older word may look newer to those that have
         // only that.
@@ -352,7 +352,7 @@
     }
 
     /// Looks for silence and tells who is alive.
-    pub fn tick(&mut self) {
+    pub(crate) fn tick(&mut self) {
         self.observe();
         let now = self.now();
         // Whoever isn't heard here may be heard by others, of whom nothing is known out of contact.
@@ -367,7 +367,7 @@
     }
 
     /// Adds a subscriber.
-    pub fn subscribe(&mut self, to: Subscriber, coordinator: bool) -> u64 {
+    pub(crate) fn subscribe(&mut self, to: Subscriber, coordinator: bool) -> u64 {
         let coordinators = self.coordinators.iter().copied().collect();
         let in_contact = self.is_feed_fresh();
         let _ = to.send(FromCoordinator::Alive {
@@ -382,12 +382,12 @@
     }
 
     /// Removes a subscriber.
-    pub fn unsubscribe(&mut self, number: u64) {
+    pub(crate) fn unsubscribe(&mut self, number: u64) {
         self.subscribers.remove(&number);
     }
 
     /// Takes a frame of a subscriber.
-    pub fn take_subscriber_frame(&mut self, frame: ToCoordinator) {
+    pub(crate) fn take_subscriber_frame(&mut self, frame: ToCoordinator) {
         let now = self.now();
         match frame {
             ToCoordinator::Hello(_) => {}
@@ -421,7 +421,7 @@
     }
 
     /// Takes a frame of another coordinator; returns the coordinators that it knows.
-    pub fn take_coordinator_frame(&mut self, frame: FromCoordinator) -> Vec<SocketAddr> {
+    pub(crate) fn take_coordinator_frame(&mut self, frame: FromCoordinator) -> Vec<SocketAddr> {
         let FromCoordinator::Alive {
             coordinators,
             heard,
--- a/crates/coordinator/src/state/tests/site.rs
+++ b/crates/coordinator/src/state/tests/site.rs
@@ -26,7 +26,7 @@
 
 /// What a coordinator has told its relay tree.
 #[derive(Debug, Default)]
-pub struct Told {
+pub(crate) struct Told {
     pub published: RefCell<Vec<Entry>>,
     pub in_contact: Cell<bool>,
 }
@@ -44,7 +44,7 @@
 }
 
 /// One coordinator.
-pub struct Member {
+pub(super) struct Member {
     pub state: State,
     pub told: Rc<Told>,
     /// What an agent that is linked to it hears.
@@ -56,7 +56,7 @@
 }
 
 /// All coordinators of a test.
-pub struct Site {
+pub(super) struct Site {
     pub members: Vec<Member>,
     /// Frames from the first to the second are lost.
     pub cuts: BTreeSet<(usize, usize)>,
@@ -95,7 +95,7 @@
 
 impl Site {
     /// Coordinators that start for the first time.
-    pub fn starting(count: usize) -> Self {
+    pub(super) fn starting(count: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let now = Rc::new(Cell::new(Duration::from_secs(1)));
         let members = (0..count)
@@ -117,14 +117,14 @@
     }
 
     /// Coordinators that are in contact.
-    pub fn new(count: usize) -> Self {
+    pub(super) fn new(count: usize) -> Self {
         let mut site = Site::starting(count);
         site.run(Duration::from_secs(2));
         site
     }
 
     /// A link comes up, in place of the one before.
-    pub fn link(&mut self, from: usize, to: usize) {
+    pub(super) fn link(&mut self, from: usize, to: usize) {
         let (queue, frames) = mpsc::unbounded_channel();
         let member = &mut self.members[from];
         member.outgoing.retain(|(other, _)| *other != to);
@@ -134,7 +134,7 @@
     }
 
     /// Cuts all frames from `from` to the others.
-    pub fn cut_from(&mut self, from: usize) {
+    pub(super) fn cut_from(&mut self, from: usize) {
         self.cuts.extend(
             (0..self.members.len())
                 .filter(|to| *to != from)
@@ -143,7 +143,7 @@
     }
 
     /// Cuts all frames from the others to `to`.
-    pub fn cut_to(&mut self, to: usize) {
+    pub(super) fn cut_to(&mut self, to: usize) {
         self.cuts.extend(
             (0..self.members.len())
                 .filter(|from| *from != to)
@@ -151,19 +151,19 @@
         );
     }
 
-    pub fn cut(&mut self, number: usize) {
+    pub(super) fn cut(&mut self, number: usize) {
         self.cut_from(number);
         self.cut_to(number);
     }
 
-    pub fn run(&mut self, time: Duration) {
+    pub(super) fn run(&mut self, time: Duration) {
         let end = self.now.get() + time;
         while self.now.get() < end {
             self.step();
         }
     }
 
-    pub fn step(&mut self) {
+    pub(super) fn step(&mut self) {
         self.now.set(self.now.get() + STEP);
         self.steps += 1;
         let is_tick = self.steps.is_multiple_of(STEPS_PER_TICK);
@@ -191,12 +191,12 @@
     }
 
     /// Time passes while nobody works.
-    pub fn stand_still(&mut self, time: Duration) {
+    pub(super) fn stand_still(&mut self, time: Duration) {
         self.now.set(self.now.get() + time);
     }
 
     /// Asks a coordinator; the answer may come later.
-    pub fn ask(
+    pub(super) fn ask(
         &mut self,
         number: usize,
         command: impl FnOnce(oneshot::Sender<Reply>) -> Command,
@@ -207,7 +207,7 @@
     }
 
     /// Asks a coordinator and waits for its answer for a second.
-    pub fn answer(
+    pub(super) fn answer(
         &mut self,
         number: usize,
         command: impl FnOnce(oneshot::Sender<Reply>) -> Command,
@@ -222,7 +222,7 @@
         reply.try_recv().expect("callers wait for a second")
     }
 
-    pub fn status(
+    pub(super) fn status(
         &mut self,
         number: usize,
         command: impl FnOnce(oneshot::Sender<Reply>) -> Command,
@@ -231,7 +231,7 @@
     }
 
     /// A gate of that region says to a coordinator that it takes clients.
-    pub fn gate_speaks(&mut self, to: usize, number: u16, region: &str) {
+    pub(super) fn gate_speaks(&mut self, to: usize, number: u16, region: &str) {
         let version = self.now.get().as_millis() as u64 * 4;
         let frontend = SocketAddr::from(([10, 0, 1, 1], number));
         let record = GateRecord {
@@ -251,7 +251,7 @@
     }
 
     /// Entries that are news go from the relay tree of one coordinator to the others.
-    pub fn spread(&mut self, from: usize) {
+    pub(super) fn spread(&mut self, from: usize) {
         let entries = std::mem::take(&mut *self.members[from].told.published.borrow_mut());
         for (number, member) in self
             .members
@@ -312,7 +312,7 @@
     }
 
     /// Whether an agent that is linked to it was last told that it is in contact.
-    pub fn says_in_contact(&mut self) -> Option<bool> {
+    pub(super) fn says_in_contact(&mut self) -> Option<bool> {
         let frames = std::iter::from_fn(|| self.heard.try_recv().ok());
         frames
             .last()
@@ -320,7 +320,7 @@
     }
 
     /// The configuration that the relay tree was last told.
-    pub fn published_generation(&self) -> Option<u64> {
+    pub(super) fn published_generation(&self) -> Option<u64> {
         let published = self.told.published.borrow();
         published.iter().rev().find_map(|entry| match &entry.value {
             Value::Control(state) => state
@@ -332,7 +332,7 @@
     }
 
     /// What the relay tree was last told of a server.
-    pub fn published(&self, id: &str) -> Option<Entry> {
+    pub(super) fn published(&self, id: &str) -> Option<Entry> {
         let key = Key::Instance(id.to_string());
         self.told
             .published
@@ -345,7 +345,7 @@
 }
 
 /// A heartbeat of a server.
-pub fn heartbeat(
+pub(super) fn heartbeat(
     id: &str,
     sequence: u64,
     state: InstanceState,
@@ -365,12 +365,12 @@
     move |to| Command::Heartbeat(id, heartbeat, to)
 }
 
-pub fn delete(id: &str) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
+pub(super) fn delete(id: &str) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
     let id = id.to_string();
     move |to| Command::Leave(id, to)
 }
 
-pub fn resolve(region: &str) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
+pub(super) fn resolve(region: &str) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
     let query = Query {
         region: region.to_string(),
         zone: "z".to_string(),
@@ -379,17 +379,20 @@
     move |to| Command::Resolve(query, to)
 }
 
-pub fn evacuate(zone: &str) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
+pub(super) fn evacuate(zone: &str) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
     let zone = zone.to_string();
     move |to| Command::Evacuate(zone, true, to)
 }
 
-pub fn configure(generation: u64, base: u64) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
+pub(super) fn configure(
+    generation: u64,
+    base: u64,
+) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
     let body = body(generation);
     move |to| Command::Configure(generation, body, base, to)
 }
 
 /// A configuration without routes.
-pub fn body(generation: u64) -> Vec<u8> {
+pub(super) fn body(generation: u64) -> Vec<u8> {
     format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#).into_bytes()
 }
--- a/crates/coordinator/src/value.rs
+++ b/crates/coordinator/src/value.rs
@@ -12,7 +12,7 @@
 
 /// The operator's state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ControlValue {
+pub(crate) struct ControlValue {
     /// The configuration in force.
     pub configuration: Option<Document>,
     /// Zones that get nothing.
@@ -23,7 +23,7 @@
 
 /// A configuration as the operator sent it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Document {
+pub(crate) struct Document {
     /// Its number.
     pub generation: u64,
     /// The body, byte for byte.
@@ -32,7 +32,7 @@
 
 /// Why a change is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub(crate) enum Refusal {
     /// It builds on another version.
     #[error("another version is in place")]
     OtherVersion,
@@ -43,7 +43,7 @@
 
 impl Refusal {
     /// The status that tells the operator.
-    pub fn status(self) -> u16 {
+    pub(crate) fn status(self) -> u16 {
         match self {
             Refusal::OtherVersion => 412,
             Refusal::OldGeneration => 400,
@@ -51,7 +51,7 @@
     }
 
     /// The refusal whose text this is.
-    pub fn of(reason: &str) -> Self {
+    pub(crate) fn of(reason: &str) -> Self {
         if reason == Refusal::OldGeneration.to_string() {
             Refusal::OldGeneration
         } else {
@@ -62,7 +62,7 @@
 
 impl ControlValue {
     /// The number of the configuration in force; 0 before the first.
-    pub fn generation(&self) -> u64 {
+    pub(crate) fn generation(&self) -> u64 {
         self.configuration
             .as_ref()
             .map_or(0, |document| document.generation)
@@ -72,7 +72,7 @@
     /// same byte for byte and on the same base, is acknowledged again, whatever has come since. One
     /// that is refused never comes into force later. Where neither can be promised, there is no
     /// answer.
-    pub fn configure(&self, document: &Document, base: u64) -> Decision<ControlValue> {
+    pub(crate) fn configure(&self, document: &Document, base: u64) -> Decision<ControlValue> {
         let order = Order::new(document, base);
         match self.history.past(&order) {
             Past::Taken => Decision::Keep,
@@ -100,17 +100,18 @@
     /// Refuses an order that builds on a version which may yet come, and remembers that it did.
     fn refuse_for_good(&self, order: &Order) -> Decision<ControlValue> {
         let mut next = self.clone();
-        match next.history.refuse(order) {
-            true => Decision::Refuse {
+        if next.history.refuse(order) {
+            Decision::Refuse {
                 value: next,
                 reason: Refusal::OtherVersion.to_string(),
-            },
-            false => Decision::Unclear,
+            }
+        } else {
+            Decision::Unclear
         }
     }
 
     /// Empties a zone, or takes that back.
-    pub fn evacuate(&self, zone: &str, out: bool) -> Decision<ControlValue> {
+    pub(crate) fn evacuate(&self, zone: &str, out: bool) -> Decision<ControlValue> {
         if self.evacuated.contains(zone) == out {
             return Decision::Keep;
         }
--- a/crates/coordinator/src/value/history.rs
+++ b/crates/coordinator/src/value/history.rs
@@ -110,9 +110,10 @@
             (refused.base, refused.generation, refused.digest)
                 == (order.base, order.generation, order.digest)
         };
-        match self.refused.iter().any(same) {
-            true => Past::Refused,
-            false => Past::Unknown,
+        if self.refused.iter().any(same) {
+            Past::Refused
+        } else {
+            Past::Unknown
         }
     }
 
--- a/crates/coordinator/src/value/tests.rs
+++ b/crates/coordinator/src/value/tests.rs
@@ -194,9 +194,10 @@
         let mut value = ControlValue::default();
         for number in 0..3_000 {
             let is_new = sent.is_empty() || random.random_bool(0.6);
-            let order = match is_new {
-                true => fresh(&value, number, &mut random),
-                false => sent[random.random_range(0..sent.len())].clone(),
+            let order = if is_new {
+                fresh(&value, number, &mut random)
+            } else {
+                sent[random.random_range(0..sent.len())].clone()
             };
             sent.push(order.clone());
             let current = value.generation();
--- a/crates/coordinator/tests/frames/mod.rs
+++ b/crates/coordinator/tests/frames/mod.rs
@@ -104,7 +104,7 @@
 }
 
 /// Every kind of frame, message of the register and record.
-pub fn samples() -> Vec<Vec<u8>> {
+pub(crate) fn samples() -> Vec<Vec<u8>> {
     let mut samples = register_messages();
     samples.extend(frames());
     samples.push(bytes(&record()));
@@ -112,7 +112,7 @@
 }
 
 /// Reads bytes as everything that comes from another process or from the disk.
-pub fn read(bytes: &[u8]) {
+pub(crate) fn read(bytes: &[u8]) {
     let _any = postcard::from_bytes::<Message<Control>>(bytes);
     let _any = postcard::from_bytes::<Record<Control>>(bytes);
     let _any = postcard::from_bytes::<ToCoordinator>(bytes);
--- a/crates/coordinator/tests/many_changes.rs
+++ b/crates/coordinator/tests/many_changes.rs
@@ -3,10 +3,10 @@
 //! lost, nothing old is fed, and what a coordinator keeps and reads at its start doesn't grow.
 
 mod many_changes {
-    pub mod fleet;
-    pub mod host;
-    pub mod operator;
-    pub mod value;
+    pub(crate) mod fleet;
+    pub(crate) mod host;
+    pub(crate) mod operator;
+    pub(crate) mod value;
 }
 
 use std::time::Duration;
--- a/crates/coordinator/tests/many_changes/fleet.rs
+++ b/crates/coordinator/tests/many_changes/fleet.rs
@@ -14,7 +14,7 @@
 use super::value::{Control, Put};
 
 /// Coordinators.
-pub const HOSTS: usize = 3;
+pub(crate) const HOSTS: usize = 3;
 /// A write that failed is tried again after this, as the coordinator does.
 const REWRITE: Duration = Duration::from_millis(200);
 /// An order is answered within this.
@@ -39,7 +39,7 @@
 }
 
 /// The deployment.
-pub struct Fleet {
+pub(crate) struct Fleet {
     pub now: Duration,
     pub random: Xoshiro256PlusPlus,
     pub hosts: Vec<Host>,
@@ -54,7 +54,7 @@
 
 impl Fleet {
     /// All start at once, on empty disks.
-    pub fn new(seed: u64, body_bytes: usize) -> Self {
+    pub(crate) fn new(seed: u64, body_bytes: usize) -> Self {
         let hosts = (0..)
             .take(HOSTS)
             .map(|index| Host::new(index, seed * 31 + u64::from(index)));
@@ -77,12 +77,12 @@
     }
 
     /// Lets the first start come to its end.
-    pub fn settle(&mut self) {
+    pub(crate) fn settle(&mut self) {
         self.run(Duration::from_secs(1));
     }
 
     /// Starts a host from its disk; false where that can't be read now.
-    pub fn start(&mut self, host: usize) -> bool {
+    pub(crate) fn start(&mut self, host: usize) -> bool {
         self.start_from(host, false)
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Ends a process; its files stay as they are.
-    pub fn kill(&mut self, host: usize) {
+    pub(crate) fn kill(&mut self, host: usize) {
         let operations = self.random.random_range(0..8);
         self.hosts[host].end(operations);
         self.hosts[host].disk.clear_faults();
@@ -110,7 +110,7 @@
     }
 
     /// Ends a process by a loss of power.
-    pub fn lose_power(&mut self, host: usize) {
+    pub(crate) fn lose_power(&mut self, host: usize) {
         let operations = self.random.random_range(0..8);
         self.hosts[host].end(operations);
         self.hosts[host].disk.lose_power();
@@ -118,13 +118,13 @@
     }
 
     /// A frozen process goes on; what came meanwhile is lost.
-    pub fn thaw(&mut self, host: usize) {
+    pub(crate) fn thaw(&mut self, host: usize) {
         self.hosts[host].frozen = false;
         self.handle(host, Event::Timer);
     }
 
     /// Sends an order to a host.
-    pub fn order(&mut self, host: usize, generation: u64) -> OperationId {
+    pub(crate) fn order(&mut self, host: usize, generation: u64) -> OperationId {
         self.serial += 1;
         let id = self.serial;
         self.orders.insert(id, (host, generation));
@@ -145,7 +145,7 @@
     }
 
     /// Waits for the outcome of an order; none where its host has ended or is frozen.
-    pub fn outcome(&mut self, id: OperationId) -> Option<Outcome<Control>> {
+    pub(crate) fn outcome(&mut self, id: OperationId) -> Option<Outcome<Control>> {
         let end = self.now + ANSWER_WITHIN + STEP;
         while self.now < end && !self.outcomes.contains_key(&id) && self.orders.contains_key(&id) {
             self.run(STEP);
@@ -155,7 +155,7 @@
     }
 
     /// Has changes acknowledged by one host, each following the one before.
-    pub fn change_through(&mut self, host: usize, changes: u64) {
+    pub(crate) fn change_through(&mut self, host: usize, changes: u64) {
         let newest = self.hosts[host].generation().expect("known");
         for generation in newest + 1..=newest + changes {
             let id = self.order(host, generation);
@@ -168,7 +168,7 @@
     }
 
     /// Time until a host knows that generation as chosen.
-    pub fn until_level(&mut self, host: usize, generation: u64) -> Duration {
+    pub(crate) fn until_level(&mut self, host: usize, generation: u64) -> Duration {
         let start = self.now;
         while self.hosts[host].generation() != Some(generation) {
             self.run(STEP);
@@ -177,12 +177,12 @@
         self.now - start
     }
 
-    pub fn received(&self, host: usize) -> Received {
+    pub(crate) fn received(&self, host: usize) -> Received {
         self.hosts[host].received
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, time: Duration) {
+    pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(&Reverse((at, serial))) = self.agenda.peek() {
             if at > end {
@@ -206,9 +206,10 @@
                 self.handle(to, Event::Message(message));
             }
             Happening::Written { host, life } if life == self.hosts[host].life => {
-                match self.hosts[host].frozen {
-                    true => self.schedule(self.now + REWRITE, Happening::Written { host, life }),
-                    false => self.end_write(host),
+                if self.hosts[host].frozen {
+                    self.schedule(self.now + REWRITE, Happening::Written { host, life })
+                } else {
+                    self.end_write(host)
                 }
             }
             Happening::Rings { host, life, at } if life == self.hosts[host].life => {
@@ -221,12 +222,11 @@
     }
 
     fn end_write(&mut self, host: usize) {
-        match self.hosts[host].end_write() {
-            Some(token) => self.handle(host, Event::Persisted(token)),
-            None => {
-                let life = self.hosts[host].life;
-                self.schedule(self.now + REWRITE, Happening::Written { host, life });
-            }
+        if let Some(token) = self.hosts[host].end_write() {
+            self.handle(host, Event::Persisted(token))
+        } else {
+            let life = self.hosts[host].life;
+            self.schedule(self.now + REWRITE, Happening::Written { host, life });
         }
     }
 
--- a/crates/coordinator/tests/many_changes/host.rs
+++ b/crates/coordinator/tests/many_changes/host.rs
@@ -12,7 +12,7 @@
 use super::value::Control;
 
 /// What the log may use of a disk of 128 MB.
-pub const SPACE_BYTES: u64 = 16 << 20;
+pub(crate) const SPACE_BYTES: u64 = 16 << 20;
 
 /// A write under way.
 struct Writing {
@@ -29,7 +29,7 @@
 
 /// What has come to a host.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Received {
+pub(crate) struct Received {
     /// Messages that hold a whole state.
     pub states: u64,
     /// Bytes of all messages.
@@ -37,7 +37,7 @@
 }
 
 /// A machine.
-pub struct Host {
+pub(crate) struct Host {
     pub address: SocketAddr,
     pub disk: Arc<FaultyDisk>,
     process: Option<Process>,
@@ -60,7 +60,7 @@
 }
 
 impl Host {
-    pub fn new(index: u16, seed: u64) -> Self {
+    pub(crate) fn new(index: u16, seed: u64) -> Self {
         Self {
             address: SocketAddr::from(([127, 0, 0, 1], 7_000 + index)),
             disk: Arc::new(FaultyDisk::new(seed)),
@@ -79,12 +79,12 @@
         }
     }
 
-    pub fn is_up(&self) -> bool {
+    pub(crate) fn is_up(&self) -> bool {
         self.process.is_some()
     }
 
     /// Starts the process from its disk; false where the folder can't be read.
-    pub fn start(&mut self, seeds: &[SocketAddr], bootstrap: bool, seed: u64) -> bool {
+    pub(crate) fn start(&mut self, seeds: &[SocketAddr], bootstrap: bool, seed: u64) -> bool {
         let settings = LogSettings::with_space("register", SPACE_BYTES).expect("settings");
         let disk = Arc::clone(&self.disk) as Arc<dyn Disk>;
         let Ok((log, recovered)) = Log::<Record<Control>>::open(disk, settings) else {
@@ -118,7 +118,7 @@
     }
 
     /// Ends the process; what it was writing may reach the disk in part.
-    pub fn end(&mut self, operations: u64) {
+    pub(crate) fn end(&mut self, operations: u64) {
         self.life += 1;
         let Some(mut process) = self.process.take() else {
             return;
@@ -129,12 +129,12 @@
         }
     }
 
-    pub fn generation(&self) -> Option<u64> {
+    pub(crate) fn generation(&self) -> Option<u64> {
         let process = self.process.as_ref()?;
         process.node.chosen().map(|state| state.value.generation)
     }
 
-    pub fn handle(&mut self, now: Duration, event: Event<Control>) -> Vec<Action<Control>> {
+    pub(crate) fn handle(&mut self, now: Duration, event: Event<Control>) -> Vec<Action<Control>> {
         let mut actions = Vec::new();
         if let Some(process) = &mut self.process {
             process.node.handle(now, event, &mut actions);
@@ -143,14 +143,14 @@
     }
 
     /// Hands a record in to be written.
-    pub fn begin_write(&mut self, token: PersistToken, record: Record<Control>) {
+    pub(crate) fn begin_write(&mut self, token: PersistToken, record: Record<Control>) {
         if let Some(process) = &mut self.process {
             process.writing = Some(Writing { token, record });
         }
     }
 
     /// Writes what was handed in; nothing if that failed and has to be tried again.
-    pub fn end_write(&mut self) -> Option<PersistToken> {
+    pub(crate) fn end_write(&mut self) -> Option<PersistToken> {
         let process = self.process.as_mut()?;
         let writing = process.writing.as_ref()?;
         self.writes += 1;
--- a/crates/coordinator/tests/many_changes/operator.rs
+++ b/crates/coordinator/tests/many_changes/operator.rs
@@ -16,7 +16,7 @@
 
 /// What a day is like.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub(crate) struct Day {
     /// Changes in all.
     pub changes: u64,
     /// Bytes of a configuration.
@@ -40,7 +40,7 @@
 
 /// What a day came to.
 #[derive(Clone, Debug, Default)]
-pub struct Report {
+pub(crate) struct Report {
     pub violations: Vec<String>,
     /// The longest time from a start until the host held what was acknowledged before it.
     pub level_within: Duration,
@@ -57,7 +57,7 @@
 }
 
 impl Report {
-    pub fn add(&mut self, other: &Report) {
+    pub(crate) fn add(&mut self, other: &Report) {
         self.level_within = self.level_within.max(other.level_within);
         self.peak_bytes = self.peak_bytes.max(other.peak_bytes);
         self.acknowledged += other.acknowledged;
@@ -72,7 +72,7 @@
     }
 
     /// Whether each kind of trouble came about.
-    pub fn is_full_of_trouble(&self) -> bool {
+    pub(crate) fn is_full_of_trouble(&self) -> bool {
         let counts = [
             self.sent_again,
             self.kills,
@@ -112,7 +112,7 @@
 
 impl Day {
     /// Plays the day of a seed.
-    pub fn play(&self, seed: u64) -> Report {
+    pub(crate) fn play(&self, seed: u64) -> Report {
         let mut fleet = Fleet::new(seed, self.body_bytes);
         fleet.settle();
         let mut play = Play {
@@ -167,7 +167,7 @@
         let host = self.any_up();
         let id = self.fleet.order(host, generation);
         match self.fleet.outcome(id) {
-            Some(Outcome::Kept(_)) | None | Some(Outcome::Expired | Outcome::Unknown) => {}
+            Some(Outcome::Kept(_) | Outcome::Expired | Outcome::Unknown) | None => {}
             other => self.violate(format!("{generation} sent again: {other:?}")),
         }
     }
--- a/crates/coordinator/tests/many_changes/value.rs
+++ b/crates/coordinator/tests/many_changes/value.rs
@@ -5,7 +5,7 @@
 
 /// A configuration in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Control {
+pub(crate) struct Control {
     /// Its number; 0 before the first.
     pub generation: u64,
     /// Its text, which follows from its number.
@@ -13,14 +13,14 @@
 }
 
 /// The text of a configuration.
-pub fn body(generation: u64, bytes: usize) -> String {
+pub(crate) fn body(generation: u64, bytes: usize) -> String {
     let line = format!("route of {generation}\n");
     line.repeat(bytes / line.len() + 1)
 }
 
 /// Puts a configuration in force that follows the one before it.
 #[derive(Clone, Debug)]
-pub struct Put {
+pub(crate) struct Put {
     /// Its number.
     pub generation: u64,
     /// Bytes of its text.
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -9,7 +9,7 @@
 
 /// A server as listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub(crate) struct Listed {
     /// The server's number.
     pub server: u32,
     /// Its place in its life.
@@ -21,7 +21,7 @@
 }
 
 /// The list and the calls.
-pub struct Discovery {
+pub(crate) struct Discovery {
     log: Vec<Listed>,
     listed: BTreeMap<u32, Listed>,
     per_call: f64,
@@ -33,7 +33,7 @@
 
 impl Discovery {
     /// An empty list.
-    pub fn new(spec: &DiscoverySpec) -> Self {
+    pub(crate) fn new(spec: &DiscoverySpec) -> Self {
         Discovery {
             log: Vec::new(),
             listed: BTreeMap::new(),
@@ -45,7 +45,7 @@
     }
 
     /// A change became visible.
-    pub fn list(&mut self, entry: Listed) {
+    pub(crate) fn list(&mut self, entry: Listed) {
         self.log.push(entry);
         match entry.phase {
             Phase::Gone => drop(self.listed.remove(&entry.server)),
@@ -54,17 +54,17 @@
     }
 
     /// Number of changes so far.
-    pub fn version(&self) -> usize {
+    pub(crate) fn version(&self) -> usize {
         self.log.len()
     }
 
     /// The changes after a version.
-    pub fn since(&self, version: usize) -> &[Listed] {
+    pub(crate) fn since(&self, version: usize) -> &[Listed] {
         &self.log[version.min(self.log.len())..]
     }
 
     /// What the list said at a version.
-    pub fn at(&self, version: usize) -> Vec<Listed> {
+    pub(crate) fn at(&self, version: usize) -> Vec<Listed> {
         if version >= self.log.len() {
             return self.listed.values().copied().collect();
         }
@@ -79,7 +79,7 @@
     }
 
     /// A call: when it is answered, and whether it is.
-    pub fn call(&mut self, now: Micros) -> (Micros, bool) {
+    pub(crate) fn call(&mut self, now: Micros) -> (Micros, bool) {
         if self.out {
             return (now, false);
         }
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -52,7 +52,7 @@
 
 /// How an operation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub(crate) enum Fate {
     /// Answered within its aim, or later.
     Served(Micros),
     /// Its last try was refused.
@@ -78,7 +78,7 @@
 
 /// Worth asked for and worth served in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Worth {
+pub(crate) struct Worth {
     /// Asked for.
     pub asked: f64,
     /// Served in time.
@@ -87,7 +87,7 @@
 
 impl Worth {
     /// Served over asked; 1 where nothing was asked.
-    pub fn share(self) -> f64 {
+    pub(crate) fn share(self) -> f64 {
         if self.asked > 0.0 {
             self.served / self.asked
         } else {
@@ -97,7 +97,7 @@
 }
 
 /// What the judge knows of one operation when it ends.
-pub struct Ended {
+pub(crate) struct Ended {
     /// Its number, in the order of asking.
     pub number: u64,
     /// The proxy asked.
@@ -121,7 +121,7 @@
 }
 
 /// Counts, checks and digests one run.
-pub struct Judge {
+pub(crate) struct Judge {
     origin: Micros,
     warm_until: Micros,
     length: Micros,
@@ -157,7 +157,7 @@
 
 impl Judge {
     /// A judge for a run of a scenario whose clock starts at `origin`.
-    pub fn new(scenario: &Scenario, origin: Micros) -> Self {
+    pub(crate) fn new(scenario: &Scenario, origin: Micros) -> Self {
         let window = seconds(scenario.window_s).max(1);
         let windows = seconds(scenario.length_s).div_ceil(window) as usize;
         let shares: f64 = scenario.class.iter().map(|c| c.share).sum();
@@ -196,7 +196,7 @@
     }
 
     /// Takes a fact into the digest.
-    pub fn fact(&mut self, kind: u8, parts: [u64; 3]) {
+    pub(crate) fn fact(&mut self, kind: u8, parts: [u64; 3]) {
         let mut bytes = [0; 25];
         bytes[0] = kind;
         for (to, part) in bytes[1..].chunks_exact_mut(8).zip(parts) {
@@ -206,12 +206,12 @@
     }
 
     /// The digest of all facts so far.
-    pub fn digest(&self) -> u64 {
+    pub(crate) fn digest(&self) -> u64 {
         self.digest.digest()
     }
 
     /// A rule was broken.
-    pub fn break_of(
+    pub(crate) fn break_of(
         &mut self,
         rule: Rule,
         at: Micros,
@@ -235,7 +235,7 @@
     }
 
     /// An operation ended.
-    pub fn ended(&mut self, ended: &Ended) {
+    pub(crate) fn ended(&mut self, ended: &Ended) {
         let Ended {
             number,
             proxy,
@@ -286,7 +286,7 @@
     }
 
     /// A send to a server that the proxy knew to be draining or gone since `told`.
-    pub fn sent_to_closing(
+    pub(crate) fn sent_to_closing(
         &mut self,
         at: Micros,
         told: Micros,
@@ -313,7 +313,7 @@
     /// over: beyond its budget of N requests of mean work only twice the root of N and two are put
     /// down to chance, from however many proxies they came. The rule is broken where two thirds of
     /// it came from proxies that knew of its start.
-    pub fn pressed(
+    pub(crate) fn pressed(
         &mut self,
         at: Micros,
         server: u32,
@@ -355,7 +355,7 @@
     }
 
     /// A server is warm, or gone: nothing is held against it any more.
-    pub fn relieved(&mut self, server: u32) {
+    pub(crate) fn relieved(&mut self, server: u32) {
         self.pressure.remove(&server);
     }
 }
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -7,7 +7,7 @@
 use crate::scenario::{Network as Spec, millis, seconds};
 
 /// Latency and cuts between zones.
-pub struct Network {
+pub(crate) struct Network {
     inside: f64,
     between: f64,
     jitter: f64,
@@ -22,7 +22,7 @@
 
 impl Network {
     /// A network without cuts.
-    pub fn new(spec: &Spec, zones: usize, seed: u64) -> Self {
+    pub(crate) fn new(spec: &Spec, zones: usize, seed: u64) -> Self {
         Network {
             inside: spec.inside_ms * 1e3,
             between: spec.between_ms * 1e3,
@@ -36,7 +36,7 @@
 
     /// One way from zone to zone. `what` names the message: the same one takes as long under every
     /// policy.
-    pub fn way(&self, from: usize, to: usize, what: [u64; 2]) -> Micros {
+    pub(crate) fn way(&self, from: usize, to: usize, what: [u64; 2]) -> Micros {
         let base = if from == to {
             self.inside
         } else {
@@ -49,7 +49,7 @@
     }
 
     /// One way without jitter.
-    pub fn plain_way(&self, from: usize, to: usize) -> Micros {
+    pub(crate) fn plain_way(&self, from: usize, to: usize) -> Micros {
         (if from == to {
             self.inside
         } else {
@@ -58,12 +58,12 @@
     }
 
     /// Cuts a zone off until then.
-    pub fn cut(&mut self, zone: usize, until: Micros) {
+    pub(crate) fn cut(&mut self, zone: usize, until: Micros) {
         self.cut_until[zone] = self.cut_until[zone].max(until);
     }
 
     /// Until when nothing passes between the two, if that is so now.
-    pub fn cut_between(&self, from: usize, to: usize, now: Micros) -> Option<Micros> {
+    pub(crate) fn cut_between(&self, from: usize, to: usize, now: Micros) -> Option<Micros> {
         let until = self.cut_until[from].max(self.cut_until[to]);
         (from != to && until > now).then_some(until)
     }
@@ -71,7 +71,7 @@
 
 /// Idle connections of one proxy to one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Idle {
+pub(crate) struct Idle {
     /// How many.
     pub count: u32,
     /// The life of the server that they lead to.
@@ -84,11 +84,11 @@
 
 /// Idle connections of one proxy, by server.
 #[derive(Default)]
-pub struct Connections(FxHashMap<u32, Idle>);
+pub(crate) struct Connections(FxHashMap<u32, Idle>);
 
 impl Connections {
     /// Takes an idle connection to that life of a server, if there is one.
-    pub fn take(&mut self, server: u32, life: u32) -> bool {
+    pub(crate) fn take(&mut self, server: u32, life: u32) -> bool {
         let Some(idle) = self
             .0
             .get_mut(&server)
@@ -101,7 +101,7 @@
     }
 
     /// Gives one back; true where a look at their age must be arranged.
-    pub fn give(&mut self, server: u32, life: u32, now: Micros) -> bool {
+    pub(crate) fn give(&mut self, server: u32, life: u32, now: Micros) -> bool {
         let idle = self.0.entry(server).or_default();
         if idle.life != life {
             (idle.count, idle.life) = (0, life);
@@ -112,7 +112,7 @@
     }
 
     /// Closes all to a server; how many of that life there were.
-    pub fn close(&mut self, server: u32, life: u32) -> u32 {
+    pub(crate) fn close(&mut self, server: u32, life: u32) -> u32 {
         let Some(idle) = self.0.get_mut(&server) else {
             return 0;
         };
@@ -122,7 +122,7 @@
     }
 
     /// Looks at the age of those to a server: closes them, or tells when to look again.
-    pub fn age(
+    pub(crate) fn age(
         &mut self,
         server: u32,
         life: u32,
@@ -140,7 +140,7 @@
     }
 
     /// Closes everything; tells how many to which life of which server.
-    pub fn drain(&mut self) -> impl Iterator<Item = (u32, Idle)> + '_ {
+    pub(crate) fn drain(&mut self) -> impl Iterator<Item = (u32, Idle)> + '_ {
         self.0.drain()
     }
 }
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -68,6 +68,7 @@
     ];
 
     /// Its name on the command line and in reports.
+    #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             PolicyName::Module => "module",
@@ -82,6 +83,7 @@
     }
 
     /// One instance of it.
+    #[must_use]
     pub fn build(self, settings: Settings, seed: u64) -> Box<dyn Policy> {
         match self {
             PolicyName::Module => Box::new(
@@ -238,9 +240,10 @@
         let turn = now / COLD_TURN;
         let rank =
             stir([known.server.id.0, turn, 1, 1]).wrapping_add(u64::from(self.settings.me)) % n;
-        match age < cold / 2 {
-            true => rank > 0 || known.sent_at / COLD_TURN == turn,
-            false => rank >= COLD_TOGETHER || known.out > 0 || now < known.sent_at + COLD_GAP,
+        if age < cold / 2 {
+            rank > 0 || known.sent_at / COLD_TURN == turn
+        } else {
+            rank >= COLD_TOGETHER || known.out > 0 || now < known.sent_at + COLD_GAP
         }
     }
 
--- a/crates/emulator/src/queue.rs
+++ b/crates/emulator/src/queue.rs
@@ -34,7 +34,7 @@
 }
 
 /// Events in the order of their times.
-pub struct Queue<E> {
+pub(crate) struct Queue<E> {
     heap: BinaryHeap<Entry<E>>,
     number: u64,
 }
@@ -50,7 +50,7 @@
 
 impl<E> Queue<E> {
     /// Puts an event in; among those of one time, the first put in comes out first.
-    pub fn push(&mut self, at: Micros, event: E) {
+    pub(crate) fn push(&mut self, at: Micros, event: E) {
         self.number += 1;
         self.heap.push(Entry {
             at,
@@ -60,12 +60,12 @@
     }
 
     /// Takes the earliest.
-    pub fn pop(&mut self) -> Option<(Micros, E)> {
+    pub(crate) fn pop(&mut self) -> Option<(Micros, E)> {
         self.heap.pop().map(|entry| (entry.at, entry.event))
     }
 
     /// How many were ever put in.
-    pub fn pushed(&self) -> u64 {
+    pub(crate) fn pushed(&self) -> u64 {
         self.number
     }
 }
--- a/crates/emulator/src/random.rs
+++ b/crates/emulator/src/random.rs
@@ -33,7 +33,7 @@
 pub struct Stream(Xoshiro256PlusPlus);
 
 /// A number that depends on its parts alone: for draws whose order would depend on the policy.
-pub fn stir(parts: [u64; 4]) -> u64 {
+pub(crate) fn stir(parts: [u64; 4]) -> u64 {
     let mut bytes = [0; 32];
     for (to, part) in bytes.chunks_exact_mut(8).zip(parts) {
         to.copy_from_slice(&part.to_le_bytes());
@@ -42,12 +42,13 @@
 }
 
 /// Maps bits to [0, 1).
-pub fn unit(bits: u64) -> f64 {
+pub(crate) fn unit(bits: u64) -> f64 {
     (bits >> 11) as f64 / (1u64 << 53) as f64
 }
 
 impl Stream {
     /// The stream of a concern; `index` tells apart those of one concern.
+    #[must_use]
     pub fn new(seed: u64, concern: Concern, index: u64) -> Self {
         Stream(Xoshiro256PlusPlus::seed_from_u64(stir([
             seed,
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -398,6 +398,7 @@
 
 impl Pool {
     /// Requests in work at once.
+    #[must_use]
     pub fn in_work(&self) -> u32 {
         if self.slots == 0 {
             self.cores
@@ -481,62 +482,64 @@
 }
 
 mod defaults {
-    pub fn window_s() -> f64 {
+    pub(super) fn window_s() -> f64 {
         10.0
     }
-    pub fn tenth() -> f64 {
+    pub(super) fn tenth() -> f64 {
         0.1
     }
-    pub fn half() -> f64 {
+    pub(super) fn half() -> f64 {
         0.5
     }
-    pub fn one() -> f64 {
+    pub(super) fn one() -> f64 {
         1.0
     }
-    pub fn two() -> f64 {
+    pub(super) fn two() -> f64 {
         2.0
     }
-    pub fn three() -> f64 {
+    pub(super) fn three() -> f64 {
         3.0
     }
-    pub fn four() -> f64 {
+    pub(super) fn four() -> f64 {
         4.0
     }
-    pub fn eight() -> f64 {
+    pub(super) fn eight() -> f64 {
         8.0
     }
-    pub fn retry_ms() -> f64 {
+    pub(super) fn retry_ms() -> f64 {
         100.0
     }
-    pub fn patience() -> (f64, f64) {
+    pub(super) fn patience() -> (f64, f64) {
         (1.0, 1.0)
     }
-    pub fn speed() -> (f64, f64) {
+    pub(super) fn speed() -> (f64, f64) {
         (1.0, 1.0)
     }
-    pub fn tries() -> u32 {
+    pub(super) fn tries() -> u32 {
         3
     }
-    pub fn queue() -> u32 {
+    pub(super) fn queue() -> u32 {
         64
     }
-    pub fn yes() -> bool {
+    pub(super) fn yes() -> bool {
         true
     }
-    pub fn everywhere() -> String {
+    pub(super) fn everywhere() -> String {
         "*".into()
     }
-    pub fn cross_zone() -> f64 {
+    pub(super) fn cross_zone() -> f64 {
         0.16
     }
 }
 
 /// Seconds as whole microseconds.
+#[must_use]
 pub fn seconds(s: f64) -> Micros {
     (s * 1e6) as Micros
 }
 
 /// Milliseconds as whole microseconds.
+#[must_use]
 pub fn millis(ms: f64) -> Micros {
     (ms * 1e3) as Micros
 }
@@ -578,6 +581,7 @@
     }
 
     /// The scenario as text that [`Scenario::read`] takes.
+    #[must_use]
     pub fn write(&self) -> String {
         toml::to_string(self).expect("plain tables and numbers")
     }
@@ -724,6 +728,7 @@
     }
 
     /// The rate against the mean at a second, by the curve.
+    #[must_use]
     pub fn curve(&self, at_s: f64) -> f64 {
         let curve = &self.clients.curve;
         let next = curve.partition_point(|p| p.0 <= at_s);
@@ -750,6 +755,7 @@
 
     /// Requests a second that all servers together can serve when warm, by mean work and mean
     /// speed.
+    #[must_use]
     pub fn capacity(&self) -> f64 {
         let cores: f64 = self
             .pool
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -15,13 +15,13 @@
 use crate::scenario::Pool;
 
 /// A job's place at its server.
-pub type JobKey = DefaultKey;
+pub(crate) type JobKey = DefaultKey;
 /// Steps in which a cold server's speed climbs.
 const RAMP_STEPS: f64 = 64.0;
 
 /// A request at a server.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub(crate) struct Job {
     /// The try it belongs to, and the attempt's number.
     pub request: u64,
     /// See `request`.
@@ -44,7 +44,7 @@
 
 /// What happened at a server.
 #[derive(Debug)]
-pub enum Happened {
+pub(crate) enum Happened {
     /// A job went into a slot.
     Began(JobKey),
     /// A job's work is done.
@@ -79,7 +79,7 @@
 }
 
 /// One server.
-pub struct Server {
+pub(crate) struct Server {
     cores: f64,
     slots: usize,
     queue_most: usize,
@@ -122,7 +122,7 @@
 
 impl Server {
     /// A server that is up and warm. `fine`: keep the distribution of how many are held.
-    pub fn new(pool: &Pool, speed: f64, now: Micros, fine: bool) -> Self {
+    pub(crate) fn new(pool: &Pool, speed: f64, now: Micros, fine: bool) -> Self {
         Server {
             cores: f64::from(pool.cores),
             slots: pool.in_work() as usize,
@@ -159,7 +159,7 @@
     }
 
     /// Part of its full speed that it has, 0 to 1.
-    pub fn warmth(&self, now: Micros) -> f64 {
+    pub(crate) fn warmth(&self, now: Micros) -> f64 {
         let (share, over, by_work) = self.cold;
         if self.started == 0 || share >= 1.0 {
             return 1.0;
@@ -175,7 +175,7 @@
     }
 
     /// Core-microseconds of work it can do in a microsecond, all cores together.
-    pub fn capacity(&self, now: Micros) -> f64 {
+    pub(crate) fn capacity(&self, now: Micros) -> f64 {
         let overdriven = if self.overdriven {
             self.overdrive.2
         } else {
@@ -186,18 +186,18 @@
     }
 
     /// Capacity when warm and well.
-    pub fn size(&self) -> f64 {
+    pub(crate) fn size(&self) -> f64 {
         self.cores * self.speed
     }
 
     /// Requests waiting or in work.
-    pub fn held(&self) -> usize {
+    pub(crate) fn held(&self) -> usize {
         self.waiting + self.in_work
     }
 
     /// Microseconds that a job that came now would wait, and until it would be done, if nothing
     /// else came: the true state.
-    pub fn would_take(&self, now: Micros, work: f64) -> (f64, f64) {
+    pub(crate) fn would_take(&self, now: Micros, work: f64) -> (f64, f64) {
         if !self.up || self.stopped {
             return (f64::INFINITY, f64::INFINITY);
         }
@@ -209,7 +209,7 @@
     }
 
     /// Whether one more would be more than it bears for long.
-    pub fn near_overdrive(&self) -> bool {
+    pub(crate) fn near_overdrive(&self) -> bool {
         self.overdrive.0 > 0.0 && self.held() as f64 + 1.0 > self.overdrive.0 * self.cores
     }
 
@@ -219,7 +219,7 @@
     }
 
     /// Lets time pass up to `now`.
-    pub fn advance(&mut self, now: Micros, out: &mut Vec<Happened>) {
+    pub(crate) fn advance(&mut self, now: Micros, out: &mut Vec<Happened>) {
         while self.now < now {
             // The next moment at which something changes by itself, or the end of the stretch.
             let next = self.due().map_or(now, |due| due.clamp(self.now + 1, now));
@@ -323,7 +323,7 @@
     }
 
     /// When it wants to be looked at, if nothing else happens.
-    pub fn due(&self) -> Option<Micros> {
+    pub(crate) fn due(&self) -> Option<Micros> {
         let mut due = Micros::MAX;
         let rate = self.rate();
         if let Some(&(Reverse(at), ..)) = self.running.peek()
@@ -349,7 +349,7 @@
     }
 
     /// Takes a job, or turns it away where the queue is full. Time has been passed up to now.
-    pub fn arrive(&mut self, job: Job, out: &mut Vec<Happened>) -> Option<JobKey> {
+    pub(crate) fn arrive(&mut self, job: Job, out: &mut Vec<Happened>) -> Option<JobKey> {
         if !self.up || self.in_work >= self.slots && self.waiting >= self.queue_most {
             return None;
         }
@@ -362,12 +362,12 @@
     }
 
     /// The job at a key.
-    pub fn job(&self, key: JobKey) -> Option<&Job> {
+    pub(crate) fn job(&self, key: JobKey) -> Option<&Job> {
         self.jobs.get(key)
     }
 
     /// Gives a job that has just begun other work: a repeat that the server only looks up.
-    pub fn shorten(&mut self, key: JobKey, work: f64) {
+    pub(crate) fn shorten(&mut self, key: JobKey, work: f64) {
         if self.jobs.get(key).is_some_and(|job| job.work > work) {
             self.number += 1;
             self.running.retain(|entry| entry.2 != key);
@@ -381,7 +381,7 @@
 
     /// Its proxy no longer waits for a job. It goes where the server notices that, and is given
     /// back.
-    pub fn cancel(&mut self, key: JobKey, out: &mut Vec<Happened>) -> Option<Job> {
+    pub(crate) fn cancel(&mut self, key: JobKey, out: &mut Vec<Happened>) -> Option<Job> {
         let job = self.jobs.get_mut(key)?;
         job.cancelled = true;
         if !self.drops.0 {
@@ -398,17 +398,17 @@
     }
 
     /// Owes some work before any job moves on.
-    pub fn owe(&mut self, work: f64) {
+    pub(crate) fn owe(&mut self, work: f64) {
         self.owed += work;
     }
 
     /// Sets how many times slower it is, and whether it stands still.
-    pub fn hamper(&mut self, slowness: f64, stopped: bool) {
+    pub(crate) fn hamper(&mut self, slowness: f64, stopped: bool) {
         (self.slowness, self.stopped) = (slowness, stopped);
     }
 
     /// Its process ends; what it held is given back.
-    pub fn end(&mut self) -> Vec<Job> {
+    pub(crate) fn end(&mut self) -> Vec<Job> {
         self.up = false;
         self.queue.clear();
         self.running.clear();
@@ -418,12 +418,12 @@
     }
 
     /// A process starts, cold.
-    pub fn start(&mut self, now: Micros) {
+    pub(crate) fn start(&mut self, now: Micros) {
         (self.up, self.started, self.now) = (true, now, now);
     }
 
     /// Whether it is on its way from cold to warm.
-    pub fn is_cold(&self, now: Micros) -> bool {
+    pub(crate) fn is_cold(&self, now: Micros) -> bool {
         self.started > 0 && self.warmth(now) < 1.0
     }
 }
--- a/crates/emulator/src/trouble.rs
+++ b/crates/emulator/src/trouble.rs
@@ -8,7 +8,7 @@
 
 /// One thing that begins or ends. Servers are named by their places, which outlive them.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub(crate) enum Step {
     /// The servers at these places are slower by a factor, or no longer; the number tells troubles
     /// apart.
     Slow(Vec<u32>, usize, Option<f64>),
@@ -37,7 +37,7 @@
 }
 
 /// What troubles may meet: the zone of each place and of each proxy.
-pub struct Ground<'a> {
+pub(crate) struct Ground<'a> {
     /// The places' zones.
     pub places: &'a [usize],
     /// The proxies' zones.
@@ -45,7 +45,7 @@
 }
 
 /// All steps of a scenario's troubles, from a clock that starts at `origin`.
-pub fn steps(
+pub(crate) fn steps(
     scenario: &Scenario,
     ground: &Ground,
     seed: u64,
@@ -70,7 +70,7 @@
 }
 
 /// How many times the clients' rate is raised at a second, by surges.
-pub fn surge(scenario: &Scenario, at_s: f64) -> f64 {
+pub(crate) fn surge(scenario: &Scenario, at_s: f64) -> f64 {
     let now =
         |t: &&Trouble| t.kind == TroubleKind::Surge && t.at_s <= at_s && at_s < t.at_s + t.for_s;
     scenario
@@ -82,7 +82,7 @@
 }
 
 /// No surge is ever higher than this.
-pub fn surge_most(scenario: &Scenario) -> f64 {
+pub(crate) fn surge_most(scenario: &Scenario) -> f64 {
     let surges = scenario
         .trouble
         .iter()
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -419,6 +419,7 @@
 
 impl<'a> World<'a> {
     /// A run of a checked scenario under one of the named policies.
+    #[must_use]
     pub fn new(scenario: &'a Scenario, policy: PolicyName, seed: u64) -> Self {
         let build = move |settings, seed| policy.build(settings, seed);
         let mut world = Self::with(scenario, policy.name(), seed, Box::new(build));
@@ -427,6 +428,7 @@
     }
 
     /// A run under a policy of the caller's own.
+    #[must_use]
     pub fn with(scenario: &'a Scenario, name: &str, seed: u64, build: Builder<'a>) -> Self {
         let zones = scenario.zones.len();
         let end = ORIGIN + seconds(scenario.length_s);
@@ -517,6 +519,7 @@
     }
 
     /// Events played so far.
+    #[must_use]
     pub fn events(&self) -> u64 {
         self.events
     }
@@ -656,6 +659,7 @@
     }
 
     /// Runs to the end and reports.
+    #[must_use]
     pub fn run(mut self) -> Report {
         while !self.run_to(f64::from(u32::MAX)) {}
         self.report()
@@ -1458,29 +1462,30 @@
             .way(zone, machine.zone, [number, u64::from(n) << 8 | 3]);
         let lost = sent + self.network.connect_timeout;
         if let Some(until) = self.network.cut_between(zone, machine.zone, self.now) {
-            return match fresh {
-                true => self.unreached(request, n, lost.max(self.now)),
-                // The transport repeats it once the link is back.
-                false => self.queue.push(until + way, What::Reach { request, n }),
+            return if fresh {
+                self.unreached(request, n, lost.max(self.now))
+            } else {
+                self.queue.push(until + way, What::Reach { request, n })
             };
         }
         if machine.vanished {
             // Nothing ever comes; a connection that was open is reset when the machine is back.
             return if fresh {
-                self.unreached(request, n, lost.max(self.now))
+                self.unreached(request, n, lost.max(self.now));
             };
         }
         if !machine.server.up || machine.life != life {
-            return match fresh {
-                true => self.unreached(request, n, self.now + way),
-                false => self.queue.push(
+            return if fresh {
+                self.unreached(request, n, self.now + way)
+            } else {
+                self.queue.push(
                     self.now + way,
                     What::Back {
                         request,
                         n,
                         outcome: Outcome::Reset,
                     },
-                ),
+                );
             };
         }
         let (pool, class) = (&self.scenario.pool[machine.pool], self.ops[op_key].class);
@@ -1856,7 +1861,7 @@
                     match factor {
                         Some(value) => drop(slow.insert(number, value)),
                         None => drop(slow.remove(&number)),
-                    };
+                    }
                     self.hamper(self.places[place as usize].machine);
                 }
             }
@@ -1866,7 +1871,7 @@
                     match what {
                         Some(value) => drop(grey.insert(number, value)),
                         None => drop(grey.remove(&number)),
-                    };
+                    }
                 }
             }
             Step::Stop(places, on) => {
@@ -2119,11 +2124,13 @@
     // ----------------------------------------------------------------------------------------
 
     /// Seconds of the scenario that have passed.
+    #[must_use]
     pub fn second(&self) -> f64 {
         (self.now - ORIGIN) as f64 / 1e6
     }
 
     /// Closes the books.
+    #[must_use]
     pub fn report(mut self) -> Report {
         for server in 0..self.machines.len() as u32 {
             self.advance(server);
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -120,12 +120,13 @@
                 for server in listing.servers {
                     // The one that sends to drains forgets nobody.
                     let gone = server.phase == Phase::Gone && self.sin != Sin::SendsToDraining;
-                    match gone {
-                        true => drop((
+                    if gone {
+                        drop((
                             self.servers.remove(&server.id),
                             self.started.remove(&server.id),
-                        )),
-                        false => drop(self.servers.insert(server.id, server.phase == Phase::Ready)),
+                        ));
+                    } else {
+                        drop(self.servers.insert(server.id, server.phase == Phase::Ready))
                     }
                     if let Some(at) = server.started.filter(|_| server.phase == Phase::Ready) {
                         self.started.insert(server.id, at);
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -81,6 +81,7 @@
 
 impl Catalog {
     /// An empty catalog.
+    #[must_use]
     pub fn new(now: Micros, patience: Patience) -> Self {
         let (entries, heard, fresh) = Default::default();
         Catalog {
@@ -94,11 +95,13 @@
     }
 
     /// Everything that is known.
+    #[must_use]
     pub fn entries(&self) -> Vec<Entry> {
         self.entries.values().cloned().collect()
     }
 
     /// What is known of one key.
+    #[must_use]
     pub fn get(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key)
     }
--- a/crates/endpoints/tests/simulation/world.rs
+++ b/crates/endpoints/tests/simulation/world.rs
@@ -26,7 +26,7 @@
 
 /// What a test can remove.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Guard {
+pub(crate) enum Guard {
     /// A coordinator that knows better tells it again.
     TellAgain,
     /// Nodes refuse older versions.
@@ -38,7 +38,7 @@
 /// What went wrong.
 #[derive(Debug)]
 #[expect(dead_code, reason = "shown when a seed fails")]
-pub enum Violation {
+pub(crate) enum Violation {
     /// An agent saw a server return from draining or its end.
     WayBack {
         agent: usize,
@@ -83,7 +83,7 @@
 }
 
 /// Coordinators first, then agents.
-pub struct World {
+pub(crate) struct World {
     now: Micros,
     random: Xoshiro256PlusPlus,
     removed: Option<Guard>,
@@ -102,7 +102,7 @@
 }
 
 impl World {
-    pub fn new(coordinators: usize, seed: u64, removed: Option<Guard>) -> Self {
+    pub(crate) fn new(coordinators: usize, seed: u64, removed: Option<Guard>) -> Self {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
         let servers = (0..SERVERS).map(|_| Server {
             life: Life::Ready,
@@ -131,7 +131,7 @@
         }
     }
 
-    pub fn play(&mut self) {
+    pub(crate) fn play(&mut self) {
         while self.now < END {
             self.now += STEP;
             self.deliver();
--- a/crates/fault-injection/src/expect.rs
+++ b/crates/fault-injection/src/expect.rs
@@ -159,6 +159,7 @@
     }
 
     /// What did not hold of a run, a line each; `sent` by proxy, times from the start of the load.
+    #[must_use]
     pub fn missed(&self, sent: &[Vec<Sent>], runs: &[Run]) -> Vec<String> {
         let mut missed = Vec::new();
         let mut all: Vec<Sent> = sent.iter().flatten().cloned().collect();
--- a/crates/fault-injection/src/failing.rs
+++ b/crates/fault-injection/src/failing.rs
@@ -52,6 +52,7 @@
 };
 
 /// The body made for a request.
+#[must_use]
 pub fn body_of(id: &str, length: usize) -> Vec<u8> {
     let mut body = format!("{id}.")
         .into_bytes()
@@ -146,6 +147,7 @@
     }
 
     /// What it has seen so far.
+    #[must_use]
     pub fn seen(&self) -> Seen {
         lock(&self.state.seen).clone()
     }
--- a/crates/fault-injection/src/failing/client.rs
+++ b/crates/fault-injection/src/failing/client.rs
@@ -59,6 +59,7 @@
 
 impl Received {
     /// The value of a header, its name in lower case.
+    #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         crate::standin::header(&self.head, name)
     }
@@ -144,9 +145,10 @@
             break;
         }
     }
-    let (body, whole) = match to_head || matches!(got.status, 204 | 304) {
-        true => (Vec::new(), true),
-        false => read_body(stream, come, &got),
+    let (body, whole) = if to_head || matches!(got.status, 204 | 304) {
+        (Vec::new(), true)
+    } else {
+        read_body(stream, come, &got)
     };
     got.body = String::from_utf8_lossy(&body).into_owned();
     got.ending = if whole { Ending::Whole } else { Ending::Broken };
--- a/crates/fault-injection/src/failing/script.rs
+++ b/crates/fault-injection/src/failing/script.rs
@@ -146,6 +146,7 @@
     }
 
     /// Takes a head apart; the header of that name holds its id.
+    #[must_use]
     pub fn parse(text: &str, id: &str) -> Asked {
         let header = |name: &str| header(text, name).map(str::to_string);
         Asked {
@@ -165,9 +166,10 @@
 
     /// Reads the body; whether it is the one made for this request.
     pub(super) fn read_body(&self, stream: &mut TcpStream, come: &mut Vec<u8>) -> io::Result<bool> {
-        let body = match self.chunked {
-            true => chunks(stream, come)?,
-            false => take(stream, come, self.length.unwrap_or(0))?,
+        let body = if self.chunked {
+            chunks(stream, come)?
+        } else {
+            take(stream, come, self.length.unwrap_or(0))?
         };
         Ok(body == body_of(self.id.as_deref().unwrap_or(""), body.len()))
     }
@@ -213,13 +215,15 @@
 /// What a server answers to a request that it serves.
 fn content(asked: &Asked) -> String {
     let id = asked.id.as_deref().unwrap_or("");
-    match asked.is_stream {
-        true => events(id, asked.last_event + 1),
-        false => format!("answer to {id}"),
+    if asked.is_stream {
+        events(id, asked.last_event + 1)
+    } else {
+        format!("answer to {id}")
     }
 }
 
 /// The events of the stream made for a request, from that one on.
+#[must_use]
 pub fn events(id: &str, from: u64) -> String {
     (from..=EVENTS)
         .map(|event| format!("id: {event}\ndata: {id}\n\n"))
@@ -233,9 +237,10 @@
 
 impl Writer<'_> {
     fn name(&self, id: &str) -> String {
-        match self.dialect.answers_name_it {
-            true => format!("{}: {id}\r\n", self.dialect.id),
-            false => String::new(),
+        if self.dialect.answers_name_it {
+            format!("{}: {id}\r\n", self.dialect.id)
+        } else {
+            String::new()
         }
     }
 
@@ -306,8 +311,14 @@
 }
 
 /// What a server does with a request.
+#[must_use]
 pub fn acts(failure: Option<Failure>, asked: &Asked, dialect: &Dialect) -> Vec<Act> {
-    use Failure::*;
+    use Failure::{
+        AfterAnswer, AfterInterim, BadChunk, BodyWithout204, BothFramings, EarlyError,
+        EarlyPromise, Foreign, ForeignAndSilence, ForeignFirst, ForeignInstead, ForeignLater,
+        InBody, InChunks, InHead, InInterim, Interim, Nameless, NoHead, Noise, None, OldChunks,
+        Promise, Silence, Status, Twice, TwoLengths, TwoNames, Unframed, Unstamped,
+    };
     let writer = Writer { dialect, asked };
     let whole = writer.whole("200 OK", "");
     let body = writer.body();
--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -93,6 +93,7 @@
 
 impl Fault {
     /// Whether it holds `now` seconds into the run.
+    #[must_use]
     pub fn holds_at(&self, now: f64) -> bool {
         self.at_s <= now && self.for_s.is_none_or(|d| now < self.at_s + d)
     }
@@ -137,6 +138,7 @@
 }
 
 /// Whether one side of a pattern (a name, or the beginning of one and `*`) names `name`.
+#[must_use]
 pub fn side_matches(pattern: &str, name: &str) -> bool {
     match pattern.strip_suffix('*') {
         Some(prefix) => name.starts_with(prefix),
@@ -145,6 +147,7 @@
 }
 
 /// Whether `pattern` (`FROM->TO`, sides with `*`) names the link `from->to`.
+#[must_use]
 pub fn link_matches(pattern: &str, from: &str, to: &str) -> bool {
     pattern
         .split_once("->")
@@ -153,6 +156,7 @@
 
 /// The first fault whose link names none of `links` (`FROM`, `TO`), in either direction: it would
 /// never hold.
+#[must_use]
 pub fn nowhere<'a>(faults: &'a [Fault], links: &[(String, String)]) -> Option<&'a Fault> {
     let names = |f: &Fault| {
         links
@@ -197,6 +201,7 @@
     }
 
     /// The faults, by their start.
+    #[must_use]
     pub fn faults(&self) -> &[Fault] {
         &self.faults
     }
@@ -210,6 +215,7 @@
     }
 
     /// The fault that holds on bytes from `from` to `to` at `elapsed`, if any.
+    #[must_use]
     pub fn fault(&self, from: &str, to: &str, elapsed: Duration) -> Option<&Fault> {
         let now = elapsed.as_secs_f64();
         self.faults
@@ -222,6 +228,7 @@
     /// the jitter.
     ///
     /// A `cut` on either direction swallows both; a `cut-one-way` only its own.
+    #[must_use]
     pub fn action(&self, from: &str, to: &str, elapsed: Duration, draw: f64) -> Action {
         let reverse = self
             .fault(to, from, elapsed)
@@ -245,6 +252,7 @@
     /// What to do with a datagram from `from` to `to` at `elapsed`; `draw` and `chance` are numbers
     /// in [0, 1), one for the jitter and one for the chance. A cut loses datagrams (nothing sends
     /// them again); a reset, a refusal and a rate mean nothing to them.
+    #[must_use]
     pub fn datagram(
         &self,
         from: &str,
--- a/crates/fault-injection/src/load.rs
+++ b/crates/fault-injection/src/load.rs
@@ -57,6 +57,7 @@
 impl Shape {
     /// A load with enough threads that none waits while requests wait their whole patience: the
     /// rate times the patience, and two more, at most 256.
+    #[must_use]
     pub fn new(rate: f64, length: Duration, path: &str, patience_ms: u64) -> Shape {
         let threads = ((rate * patience_ms as f64 / 1e3).ceil() as usize + 2).min(256);
         Shape {
@@ -79,6 +80,7 @@
 
 impl Report {
     /// Requests with this outcome.
+    #[must_use]
     pub fn count(&self, outcome: Outcome) -> usize {
         self.sent.iter().filter(|s| s.outcome == outcome).count()
     }
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -113,16 +113,19 @@
     }
 
     /// Its process id.
+    #[must_use]
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
     /// Every line of its log so far.
+    #[must_use]
     pub fn lines(&self) -> Vec<String> {
         self.log.lock().expect("not poisoned").clone()
     }
 
     /// The last `n` lines of its log, joined by ` | `.
+    #[must_use]
     pub fn tail(&self, n: usize) -> String {
         let log = self.log.lock().expect("not poisoned");
         log[log.len().saturating_sub(n)..].join(" | ")
@@ -147,6 +150,7 @@
     }
 
     /// Resident memory in bytes and open descriptors, from /proc; none once it has ended.
+    #[must_use]
     pub fn usage(&self) -> Option<(u64, usize)> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).ok()?;
         let kb: u64 = status
@@ -165,6 +169,7 @@
 
     /// Asks its operators' address `ready` until it says yes, at most `patience`; the time that
     /// took.
+    #[must_use]
     pub fn ready(&self, patience: Duration) -> Option<Duration> {
         let start = Instant::now();
         while start.elapsed() < patience {
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -31,6 +31,7 @@
 
 impl Faults {
     /// A run that begins now.
+    #[must_use]
     pub fn new(schedule: Schedule) -> Arc<Faults> {
         Arc::new(Faults {
             start: RwLock::new(Instant::now()),
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -69,6 +69,7 @@
     }
 
     /// The zones' names.
+    #[must_use]
     pub fn zones(&self) -> Vec<String> {
         self.zone.iter().map(|z| z.name.clone()).collect()
     }
@@ -284,6 +285,7 @@
 
 impl Played {
     /// Whether all holds: nothing twice, nothing made up, every signal sent, all as expected.
+    #[must_use]
     pub fn holds(&self) -> bool {
         let v = &self.verdict;
         v.twice.is_empty()
@@ -355,7 +357,10 @@
     let logs = stage
         .proxies
         .iter()
-        .map(|p| p.as_ref().map_or_else(Vec::new, |p| p.lines()))
+        .map(|p| {
+            p.as_ref()
+                .map_or_else(Vec::new, super::process::Proxy::lines)
+        })
         .collect();
     Ok(Played {
         sent,
--- a/crates/fault-injection/src/stage.rs
+++ b/crates/fault-injection/src/stage.rs
@@ -52,6 +52,7 @@
 
 impl Layout {
     /// Every link of the stage, as its two ends' names.
+    #[must_use]
     pub fn links(&self) -> Vec<(String, String)> {
         let servers = self
             .zones
@@ -71,6 +72,7 @@
 ///
 /// # Panics
 /// Where [`crate::CONFIG`] is no JSON or names no classes, which the crate's own test rules out.
+#[must_use]
 pub fn classes() -> Vec<String> {
     let config: serde_json::Value =
         serde_json::from_str(crate::CONFIG).expect("the template is JSON");
@@ -105,7 +107,7 @@
     _discoveries: Vec<Discovery>,
 }
 
-/// A port of the system's choice on 127.0.0.1, held without listening (SO_REUSEPORT) so that only
+/// A port of the system's choice on 127.0.0.1, held without listening (`SO_REUSEPORT`) so that only
 /// the proxies that listen there may have it; the port is given back when the descriptor is
 /// dropped.
 pub fn place() -> std::io::Result<(SocketAddr, OwnedFd)> {
@@ -221,26 +223,31 @@
     }
 
     /// Proxy `p`'s state directory (its `TMPDIR`): wipe or spoil it to restart from nothing.
+    #[must_use]
     pub fn state(&self, p: usize) -> PathBuf {
         self.folder.path().join(format!("proxy{p}.state"))
     }
 
     /// Where proxy `p`'s clients connect.
+    #[must_use]
     pub fn listen(&self, p: usize) -> SocketAddr {
         self.places[p].0
     }
 
     /// Proxy `p`; panics where it is down.
+    #[must_use]
     pub fn proxy(&self, p: usize) -> &Proxy {
         self.proxies[p].as_ref().expect("proxy is running")
     }
 
     /// The faults that hold on some link at `elapsed`.
+    #[must_use]
     pub fn faults_now(&self, elapsed: Duration) -> Vec<crate::fault::Fault> {
         self.faults.holding(elapsed)
     }
 
     /// The stage's own folder: configurations and state directories.
+    #[must_use]
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
--- a/crates/fault-injection/src/standin.rs
+++ b/crates/fault-injection/src/standin.rs
@@ -130,6 +130,7 @@
 }
 
 /// The value of a header in a head, by its name in lower case.
+#[must_use]
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines().find_map(|line| {
         let (n, v) = line.split_once(':')?;
@@ -281,6 +282,7 @@
 
 impl Registry {
     /// A list at revision 1.
+    #[must_use]
     pub fn new(targets: Vec<Target>) -> Arc<Registry> {
         Arc::new(Registry {
             state: Mutex::new((1, targets)),
--- a/crates/fault-injection/src/verdict.rs
+++ b/crates/fault-injection/src/verdict.rs
@@ -23,6 +23,7 @@
 }
 
 /// Judges `sent` against `runs`; a class in `free` may run twice.
+#[must_use]
 pub fn judge(sent: &[Sent], runs: &[Run], free: &[&str]) -> Verdict {
     let mut counts: HashMap<&str, (usize, &str)> = HashMap::new();
     for run in runs {
@@ -53,6 +54,7 @@
 
 /// The first moment at or after `from` from which every request meant to go was served for `span`:
 /// when service was back. None where it never came back.
+#[must_use]
 pub fn back(sent: &[Sent], from: Duration, span: Duration) -> Option<Duration> {
     let later: Vec<&Sent> = sent.iter().filter(|s| s.at >= from).collect();
     let last = later.last()?.at;
--- a/crates/gate/src/answer.rs
+++ b/crates/gate/src/answer.rs
@@ -17,7 +17,7 @@
 
 /// What a client gets.
 #[derive(Debug)]
-pub enum Answer {
+pub(crate) enum Answer {
     /// The request has not run and never will.
     Refused(Refusal),
     /// It failed here; nothing is promised.
@@ -30,7 +30,7 @@
 
 /// The head of a server's answer.
 #[derive(Debug, Clone)]
-pub struct Head {
+pub(crate) struct Head {
     /// Its status.
     pub status: StatusCode,
     /// Its headers for the client.
@@ -46,18 +46,18 @@
 
 /// Where the parts of an answer come from. It looks whole only if [`Outlet::end`] was called.
 #[derive(Debug)]
-pub struct Flow(mpsc::Receiver<Part>);
+pub(crate) struct Flow(mpsc::Receiver<Part>);
 
 /// Where the parts of an answer go.
 #[derive(Debug)]
-pub struct Outlet(mpsc::Sender<Part>);
+pub(crate) struct Outlet(mpsc::Sender<Part>);
 
 /// The client has left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Left;
+pub(crate) struct Left;
 
 /// An answer that flows; dropping the outlet breaks it off.
-pub fn flow() -> (Outlet, Flow) {
+pub(crate) fn flow() -> (Outlet, Flow) {
     let (sender, receiver) = mpsc::channel(WAITING_MOST);
     (Outlet(sender), Flow(receiver))
 }
@@ -67,17 +67,17 @@
     ///
     /// # Errors
     /// The client has left.
-    pub async fn pass(&self, bytes: Bytes) -> Result<(), Left> {
+    pub(crate) async fn pass(&self, bytes: Bytes) -> Result<(), Left> {
         self.0.send(Part::Bytes(bytes)).await.map_err(|_| Left)
     }
 
     /// The answer is whole.
-    pub async fn end(self) {
+    pub(crate) async fn end(self) {
         let _ = self.0.send(Part::End).await;
     }
 
     /// Returns when the client has left.
-    pub async fn left(&self) {
+    pub(crate) async fn left(&self) {
         self.0.closed().await;
     }
 }
@@ -108,7 +108,7 @@
 }
 
 /// The answer as it goes out; `active` keeps its connection busy until then.
-pub fn response(answer: Answer, active: ActiveRequest) -> Response<BoxBody> {
+pub(crate) fn response(answer: Answer, active: ActiveRequest) -> Response<BoxBody> {
     match answer {
         Answer::Refused(refusal) => refused(refusal.status.code(), &refusal.retry_after_seconds()),
         Answer::Failed(status) => Response::new(status),
@@ -124,7 +124,7 @@
 }
 
 /// A refusal with the time after which it is of use to come back, in s.
-pub fn refused(status: u16, after: &str) -> Response<BoxBody> {
+pub(crate) fn refused(status: u16, after: &str) -> Response<BoxBody> {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut response = Response::new(status);
     if let Ok(after) = HeaderValue::from_str(after) {
--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -23,7 +23,7 @@
 /// The server did not run the request and never will.
 const NOT_EXECUTED: &str = "x-ironmast-not-executed";
 /// The incarnation that answers.
-pub const INSTANCE_ID: &str = "x-ironmast-instance-id";
+pub(crate) const INSTANCE_ID: &str = "x-ironmast-instance-id";
 /// Requests running and waiting, and slots.
 const SERVER_LOAD: &str = "x-ironmast-server-load";
 /// The body of an answer that nobody wants is read up to this many bytes, and for this long, so
@@ -35,7 +35,7 @@
 
 /// What the head of an answer says.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Meaning {
+pub(crate) enum Meaning {
     /// It is served, once the body is whole.
     Success,
     /// The server has dealt with it otherwise; its answer may go to the client.
@@ -45,7 +45,7 @@
 }
 
 /// An answer that has begun.
-pub struct Begun {
+pub(crate) struct Begun {
     /// Its status.
     pub status: StatusCode,
     /// Its headers for the client.
@@ -66,7 +66,7 @@
 
 /// A body as far as it was held.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Held {
+pub(crate) struct Held {
     /// What has come.
     pub bytes: Bytes,
     /// It is all.
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 /// How the attempt ended without one.
-pub async fn begin(
+pub(crate) async fn begin(
     upstream: &Upstream,
     forward: &Forward,
     dispatch: &Dispatch,
@@ -113,9 +113,10 @@
     // The poller's turn first: the close of an idle connection is seen before it would be written
     // to.
     tokio::task::yield_now().await;
-    let sending = match forward.body.is_empty() {
-        true => state.scope(call.send()).await,
-        false => state.scope(call.send_body(forward.body.clone())).await,
+    let sending = if forward.body.is_empty() {
+        state.scope(call.send()).await
+    } else {
+        state.scope(call.send_body(forward.body.clone())).await
     };
     match sending {
         Ok(answer) => Ok(Begun::new(answer, state, forward, dispatch)),
@@ -166,7 +167,7 @@
     ///
     /// # Errors
     /// It broke off, or what came is no answer.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, Outcome> {
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Outcome> {
         if !self.has_body {
             return Ok(None);
         }
@@ -181,7 +182,7 @@
     ///
     /// # Errors
     /// As for [`Begun::next`].
-    pub async fn hold(&mut self, most: usize) -> Result<Held, Outcome> {
+    pub(crate) async fn hold(&mut self, most: usize) -> Result<Held, Outcome> {
         let mut bytes = BytesMut::new();
         while bytes.len() <= most {
             match self.next().await? {
@@ -202,7 +203,7 @@
 
     /// Reads the rest of an answer that nobody wants, where it is short: its connection is used
     /// again then.
-    pub fn discard(mut self) {
+    pub(crate) fn discard(mut self) {
         let work = async move { _ = self.hold(DISCARDED_MOST).await };
         let mut work = Box::pin(tokio::time::timeout(DISCARDED_WITHIN, work));
         if (&mut work).now_or_never().is_none() {
@@ -228,9 +229,10 @@
     let not_executed = headers.contains_key(NOT_EXECUTED);
     if status == StatusCode::MISDIRECTED_REQUEST {
         let same = text(headers, INSTANCE_ID) == Some(instance);
-        return Meaning::Ended(match expects_version && same {
-            true => Outcome::WrongVersion,
-            false => Outcome::WrongInstance,
+        return Meaning::Ended(if expects_version && same {
+            Outcome::WrongVersion
+        } else {
+            Outcome::WrongInstance
         });
     }
     if not_executed && !status.is_success() {
@@ -255,14 +257,15 @@
             Meaning::Ended(Outcome::Spoilt)
         };
     }
-    match status.is_server_error() {
-        true => Meaning::Settled(Outcome::ServerError),
-        false => Meaning::Settled(Outcome::Rejected),
+    if status.is_server_error() {
+        Meaning::Settled(Outcome::ServerError)
+    } else {
+        Meaning::Settled(Outcome::Rejected)
     }
 }
 
 /// Whether a status promises that the request has not run.
-pub fn promises(status: StatusCode) -> bool {
+pub(crate) fn promises(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
@@ -279,7 +282,7 @@
 }
 
 /// `running,waiting,slots`.
-pub fn load(value: &HeaderValue) -> Option<LoadReport> {
+pub(crate) fn load(value: &HeaderValue) -> Option<LoadReport> {
     let mut numbers = value
         .to_str()
         .ok()?
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -15,7 +15,7 @@
 const COME_MOST: f64 = 0.5;
 
 /// Ends a gate; returns once nobody waits for an answer, or the time is up.
-pub async fn run<S: Service>(gate: &Gate, listener: &Listener<S>) {
+pub(crate) async fn run<S: Service>(gate: &Gate, listener: &Listener<S>) {
     gate.ending.set(Some(gate.clock.now()));
     gate.status_changed.notify_one();
     let bounds = gate.settings.borrow().timing_bounds.clone();
--- a/crates/gate/src/events.rs
+++ b/crates/gate/src/events.rs
@@ -6,11 +6,11 @@
 use bytes::{Bytes, BytesMut};
 
 /// The longest event, in bytes.
-pub const EVENT_MOST: usize = 1024 * 1024;
+pub(crate) const EVENT_MOST: usize = 1024 * 1024;
 
 /// Why a stream is not followed any further.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum EventError {
+pub(crate) enum EventError {
     /// An id is not a number.
     #[error("an event's id is no number")]
     Id,
@@ -29,7 +29,7 @@
 
 /// Whole events, as the server wrote them.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Whole {
+pub(crate) struct Whole {
     /// Their bytes, with the empty line behind each.
     pub bytes: Bytes,
     /// The id of the last that has one.
@@ -38,7 +38,7 @@
 
 /// Takes the bytes of one stream and lets out whole events.
 #[derive(Debug, Default)]
-pub struct Events {
+pub(crate) struct Events {
     /// What has come of the event at hand.
     pending: BytesMut,
     /// Where in it the line at hand begins.
@@ -53,7 +53,7 @@
 
 impl Events {
     /// A stream whose next event follows `last`, where that is known.
-    pub fn after(last: Option<u64>) -> Self {
+    pub(crate) fn after(last: Option<u64>) -> Self {
         Events {
             last,
             ..Events::default()
@@ -62,7 +62,7 @@
 
     /// Takes what came next. The events that are whole now come out also where a later one is at
     /// fault.
-    pub fn push(&mut self, bytes: &[u8]) -> (Option<Whole>, Result<(), EventError>) {
+    pub(crate) fn push(&mut self, bytes: &[u8]) -> (Option<Whole>, Result<(), EventError>) {
         self.pending.extend_from_slice(bytes);
         let mut end = 0;
         let checked = self.follow(&mut end);
@@ -77,7 +77,7 @@
     }
 
     /// Whether nothing is left of an event that has begun.
-    pub fn is_between(&self) -> bool {
+    pub(crate) fn is_between(&self) -> bool {
         self.pending.is_empty()
     }
 
@@ -103,9 +103,10 @@
             self.seen = self.line;
         }
         self.seen = self.pending.len();
-        match self.pending.len() - *end > EVENT_MOST {
-            true => Err(EventError::TooLong),
-            false => Ok(()),
+        if self.pending.len() - *end > EVENT_MOST {
+            Err(EventError::TooLong)
+        } else {
+            Ok(())
         }
     }
 }
--- a/crates/gate/src/exchange.rs
+++ b/crates/gate/src/exchange.rs
@@ -48,7 +48,7 @@
 }
 
 /// One request under way.
-pub struct Exchange {
+pub(crate) struct Exchange {
     gate: Rc<Gate>,
     forward: Forward,
     call: Call,
@@ -62,7 +62,7 @@
 }
 
 /// Serves a request; the answer goes to `reply`, whose receiver the client's leaving drops.
-pub async fn run(
+pub(crate) async fn run(
     gate: Rc<Gate>,
     request: Request,
     forward: Forward,
--- a/crates/gate/src/feed.rs
+++ b/crates/gate/src/feed.rs
@@ -26,7 +26,7 @@
 const TOGETHER: Duration = Duration::from_millis(15);
 
 /// Keeps the link for as long as the gate lives; clients' limits go to `set_limits`.
-pub async fn run(gate: Rc<Gate>, frontend: SocketAddr, set_limits: impl Fn(ClientLimits)) {
+pub(crate) async fn run(gate: Rc<Gate>, frontend: SocketAddr, set_limits: impl Fn(ClientLimits)) {
     let mut known = Known::default();
     loop {
         let _ = follow(&gate, frontend, &mut known, &set_limits).await;
--- a/crates/gate/src/front.rs
+++ b/crates/gate/src/front.rs
@@ -23,14 +23,14 @@
 const ELSEWHERE: &str = "0.02";
 
 /// Answers clients.
-pub struct Front {
+pub(crate) struct Front {
     gate: Rc<Gate>,
     held: Held,
 }
 
 impl Front {
     /// A front of a gate that may use so much memory.
-    pub fn new(gate: Rc<Gate>, memory_mb: u64) -> Self {
+    pub(crate) fn new(gate: Rc<Gate>, memory_mb: u64) -> Self {
         Front {
             gate,
             held: Held::new(memory_mb as usize),
@@ -96,7 +96,7 @@
         let host = request
             .uri()
             .authority()
-            .map(|host| host.as_str())
+            .map(actix_http::uri::Authority::as_str)
             .or(named)
             .unwrap_or("");
         self.gate
@@ -168,7 +168,7 @@
 }
 
 /// The operator's limits as the listener keeps them.
-pub fn client_limits(told: Told) -> ClientLimits {
+pub(crate) fn client_limits(told: Told) -> ClientLimits {
     ClientLimits {
         header_timeout: told.header_timeout_ms.saturating_mul(1_000),
         idle_timeout: told.idle_timeout_ms.saturating_mul(1_000),
@@ -178,7 +178,7 @@
 }
 
 /// Answers the platform's readiness checks.
-pub struct Readiness(pub Rc<Gate>);
+pub(crate) struct Readiness(pub Rc<Gate>);
 
 impl Service for Readiness {
     async fn handle(&self, request: Request, _: &Rc<ClientConnection>) -> Response<BoxBody> {
--- a/crates/gate/src/gate.rs
+++ b/crates/gate/src/gate.rs
@@ -28,10 +28,10 @@
 /// After a start a configuration mostly comes within this.
 const CONFIGURED_WITHIN: Micros = 1_300_000;
 /// And if it has not come by then, it may at any time: it is worth asking again after this.
-pub const CONFIGURED_SOON: Duration = Duration::from_millis(400);
+pub(crate) const CONFIGURED_SOON: Duration = Duration::from_millis(400);
 
 /// The state of a gate.
-pub struct Gate {
+pub(crate) struct Gate {
     /// The settings file, as read last.
     pub settings: RefCell<Settings>,
     /// Where remarks go.
@@ -60,7 +60,7 @@
 
 impl Gate {
     /// A gate that knows nothing yet.
-    pub fn new(
+    pub(crate) fn new(
         settings: Settings,
         log: Logger,
         clock: Clock,
@@ -85,22 +85,22 @@
     }
 
     /// Whether it takes new clients.
-    pub fn is_ready(&self) -> bool {
+    pub(crate) fn is_ready(&self) -> bool {
         self.ending.get().is_none() && self.is_configured()
     }
 
     /// Whether a configuration is known.
-    pub fn is_configured(&self) -> bool {
+    pub(crate) fn is_configured(&self) -> bool {
         *self.configured.borrow()
     }
 
     /// A configuration is known, or is not any more; returns what held before.
-    pub fn set_configured(&self, configured: bool) -> bool {
+    pub(crate) fn set_configured(&self, configured: bool) -> bool {
         self.configured.send_replace(configured)
     }
 
     /// Waits for a configuration while one may come soon after the start; true where one is known.
-    pub async fn until_configured(&self) -> bool {
+    pub(crate) async fn until_configured(&self) -> bool {
         let mut configured = self.configured.subscribe();
         let expected = self
             .clock
@@ -113,7 +113,7 @@
     }
 
     /// Puts another table in force.
-    pub fn swap(&self, table: Table, tier: Tier) {
+    pub(crate) fn swap(&self, table: Table, tier: Tier) {
         let now = self.clock.now();
         let takes =
             |server: &&Arc<ServerSpec>| server.state == ServerState::Ready && !server.evacuated;
@@ -134,14 +134,14 @@
     }
 
     /// From now on all servers become known: each speaks once in an interval.
-    pub fn learn_servers(&self) {
+    pub(crate) fn learn_servers(&self) {
         let interval = self.settings.borrow().heartbeat_interval_ms as f64 * 1_000.0;
         let until = self.clock.now() + (interval * KNOWN_WITHIN) as Micros;
         self.decider.borrow_mut().learn_until(until);
     }
 
     /// Asked right before the first byte of an attempt decided at `decided` is written.
-    pub fn admission(self: &Rc<Self>, dispatch: &Dispatch, decided: Micros) -> Admission {
+    pub(crate) fn admission(self: &Rc<Self>, dispatch: &Dispatch, decided: Micros) -> Admission {
         let (gate, instance) = (Rc::clone(self), dispatch.expect_instance.clone());
         Box::new(move || gate.may_write(&instance, decided))
     }
@@ -156,24 +156,24 @@
     }
 
     /// Whether a server is in the table in force and takes requests.
-    pub fn is_open(&self, instance: &str) -> bool {
+    pub(crate) fn is_open(&self, instance: &str) -> bool {
         self.open.borrow().contains_key(instance)
     }
 
     /// The server of that incarnation, where it takes requests.
-    pub fn open_server(&self, instance: &str) -> Option<Arc<ServerSpec>> {
+    pub(crate) fn open_server(&self, instance: &str) -> Option<Arc<ServerSpec>> {
         self.open.borrow().get(instance).cloned()
     }
 
     /// When what is left is broken off, once it was told to end.
-    pub fn ends_at(&self) -> Option<Micros> {
+    pub(crate) fn ends_at(&self) -> Option<Micros> {
         self.ending
             .get()
             .map(|since| since + self.grace(GRACE_USED))
     }
 
     /// Whether a request that may take long is still taken.
-    pub fn takes_long(&self) -> bool {
+    pub(crate) fn takes_long(&self) -> bool {
         self.ending
             .get()
             .is_none_or(|since| self.clock.now() < since + self.grace(LONG_TAKEN))
--- a/crates/gate/src/head.rs
+++ b/crates/gate/src/head.rs
@@ -6,17 +6,17 @@
 use ironmast_routing::{Micros, PromptPart};
 
 /// The try's own id.
-pub const REQUEST_ID: &str = "x-ironmast-request-id";
+pub(crate) const REQUEST_ID: &str = "x-ironmast-request-id";
 /// What the client will wait, in ms.
-pub const DEADLINE: &str = "x-ironmast-deadline-ms";
+pub(crate) const DEADLINE: &str = "x-ironmast-deadline-ms";
 /// The incarnation that alone may run a request.
-pub const EXPECT_INSTANCE: &str = "x-ironmast-expect-instance";
+pub(crate) const EXPECT_INSTANCE: &str = "x-ironmast-expect-instance";
 /// The version of the weights that alone may serve a request.
-pub const EXPECT_VERSION: &str = "expect-version";
+pub(crate) const EXPECT_VERSION: &str = "expect-version";
 /// Its rank at the server.
-pub const PRIORITY: &str = "priority";
+pub(crate) const PRIORITY: &str = "priority";
 /// The event after which a stream is taken up.
-pub const LAST_EVENT: &str = "last-event-id";
+pub(crate) const LAST_EVENT: &str = "last-event-id";
 const MODEL: &str = "x-ironmast-model";
 const USAGE: &str = "x-ironmast-token-usage";
 const PREFIX: &str = "x-ironmast-prompt-prefix";
@@ -26,7 +26,7 @@
 
 /// A client's request as servers get it.
 #[derive(Debug)]
-pub struct Forward {
+pub(crate) struct Forward {
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -43,7 +43,7 @@
 
 /// What the decisions need of a head.
 #[derive(Debug, Default, PartialEq)]
-pub struct Hints {
+pub(crate) struct Hints {
     /// What the client will wait.
     pub deadline: Option<Micros>,
     /// The model's name.
@@ -58,7 +58,7 @@
 
 impl Hints {
     /// Reads a head; what can't be read is as if it weren't there.
-    pub fn read(headers: &HeaderMap) -> Self {
+    pub(crate) fn read(headers: &HeaderMap) -> Self {
         let text = |name: &str| {
             headers
                 .get(name)
@@ -103,7 +103,7 @@
 }
 
 /// The headers of a request that every attempt at it repeats.
-pub fn forwarded(headers: &HeaderMap) -> Vec<(HeaderName, HeaderValue)> {
+pub(crate) fn forwarded(headers: &HeaderMap) -> Vec<(HeaderName, HeaderValue)> {
     let named = named_by_connection(headers);
     let set_here = [DEADLINE, EXPECT_INSTANCE, PRIORITY, LAST_EVENT];
     let goes = |name: &HeaderName| {
@@ -116,7 +116,7 @@
 }
 
 /// The headers of an answer that its client gets.
-pub fn returned(headers: &HeaderMap) -> Vec<(HeaderName, HeaderValue)> {
+pub(crate) fn returned(headers: &HeaderMap) -> Vec<(HeaderName, HeaderValue)> {
     let named = named_by_connection(headers);
     let goes = |name: &HeaderName| {
         !is_hop_by_hop(name.as_str()) && !named.iter().any(|hop| hop.as_str() == name.as_str())
--- a/crates/gate/src/health.rs
+++ b/crates/gate/src/health.rs
@@ -16,7 +16,7 @@
 /// How often is looked for servers to be checked.
 const EVERY: Duration = Duration::from_millis(200);
 /// A check is given up after this.
-const WITHIN: Duration = Duration::from_millis(1_000);
+const WITHIN: Duration = Duration::from_secs(1);
 /// How much longer a server is cold, in ms.
 const WARMUP: &str = "x-ironmast-warmup-ms";
 /// Limits forget what is old once in so many looks.
@@ -30,7 +30,7 @@
 }
 
 /// Checks servers for as long as the gate lives.
-pub async fn run(gate: Rc<Gate>) {
+pub(crate) async fn run(gate: Rc<Gate>) {
     let mut probes = Vec::new();
     for round in 0_u32.. {
         tokio::time::sleep(EVERY).await;
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -111,7 +111,7 @@
     }
     let limited = Rc::clone(&listener);
     actix_rt::spawn(feed::run(Rc::clone(&gate), frontend, move |limits| {
-        limited.set_limits(limits)
+        limited.set_limits(limits);
     }));
     actix_rt::spawn(health::run(Rc::clone(&gate)));
     peers::start(&gate);
--- a/crates/gate/src/limits.rs
+++ b/crates/gate/src/limits.rs
@@ -17,7 +17,7 @@
 const RELAY_MOST: Duration = Duration::from_secs(1);
 
 /// Cold servers and repeats, within this gate's part of what all may do.
-pub struct Limits {
+pub(crate) struct Limits {
     overshoot: f64,
     tolerance: f64,
     /// Gates that repeats are divided by.
@@ -35,7 +35,7 @@
 
 impl Limits {
     /// The limits of a gate that starts now.
-    pub fn new(bounds: &TimingBounds, now: Micros) -> Self {
+    pub(crate) fn new(bounds: &TimingBounds, now: Micros) -> Self {
         let started = span(now);
         let terms = RetryTerms {
             ratio: bounds.retry_budget_ratio,
@@ -59,7 +59,7 @@
 
     /// The services in force and the gates, those that are not heard of among them: they may still
     /// send.
-    pub fn set(&mut self, now: Micros, tier: Tier, services: &[ServiceSpec]) {
+    pub(crate) fn set(&mut self, now: Micros, tier: Tier, services: &[ServiceSpec]) {
         let gates = tier.size().max(self.gates);
         if gates != self.gates {
             self.retry = ironmast_limits::RetryBudget::local(self.terms, gates, span(now));
@@ -81,18 +81,18 @@
     }
 
     /// Whether servers of a service are limited while they are cold.
-    pub fn is_limited(&self, service: &str) -> bool {
+    pub(crate) fn is_limited(&self, service: &str) -> bool {
         self.cold.contains_key(service)
     }
 
     /// A server said in a heartbeat how much longer it is cold.
-    pub fn heartbeat(&mut self, now: Micros, instance: &Arc<str>, left_ms: f64) {
+    pub(crate) fn heartbeat(&mut self, now: Micros, instance: &Arc<str>, left_ms: f64) {
         let said_at = span(now).saturating_sub(RELAY_MOST);
         self.told(now, instance, said_at, left_ms);
     }
 
     /// A server said so in a health check that was sent at `sent`.
-    pub fn health(&mut self, now: Micros, sent: Micros, instance: &Arc<str>, left_ms: f64) {
+    pub(crate) fn health(&mut self, now: Micros, sent: Micros, instance: &Arc<str>, left_ms: f64) {
         self.told(now, instance, span(sent), left_ms);
         self.disturbed.remove(instance);
     }
@@ -104,23 +104,23 @@
     }
 
     /// A server may have turned cold: nothing said before counts.
-    pub fn disturbed(&mut self, now: Micros, instance: &Arc<str>) {
+    pub(crate) fn disturbed(&mut self, now: Micros, instance: &Arc<str>) {
         self.tracker.disturbed(span(now), instance);
         self.disturbed.insert(instance.clone());
     }
 
     /// Takes the servers that are to be asked how cold they are.
-    pub fn take_disturbed(&mut self) -> Vec<Arc<str>> {
+    pub(crate) fn take_disturbed(&mut self) -> Vec<Arc<str>> {
         self.disturbed.drain().collect()
     }
 
     /// Whether a server is cold by what is known of it.
-    pub fn is_cold(&self, now: Micros, server: &ServerSpec) -> bool {
+    pub(crate) fn is_cold(&self, now: Micros, server: &ServerSpec) -> bool {
         self.is_limited(&server.service) && self.tracker.is_cold(span(now), &server.instance)
     }
 
     /// Forgets what is of no more use.
-    pub fn sweep(&mut self, now: Micros, known: impl Fn(&str) -> bool) {
+    pub(crate) fn sweep(&mut self, now: Micros, known: impl Fn(&str) -> bool) {
         self.cold
             .values_mut()
             .for_each(|(_, limiter)| limiter.sweep(span(now)));
@@ -131,7 +131,7 @@
 
     /// Whether a request that got its permit at `taken` may still be written: one that waited for
     /// its connection belongs to another second by now.
-    pub fn may_write(&mut self, now: Micros, taken: Micros, server: &ServerSpec) -> bool {
+    pub(crate) fn may_write(&mut self, now: Micros, taken: Micros, server: &ServerSpec) -> bool {
         let late = now > taken.saturating_add(PERMIT_HOLDS);
         !late || self.take(now, server).is_ok()
     }
--- a/crates/gate/src/peers.rs
+++ b/crates/gate/src/peers.rs
@@ -40,7 +40,7 @@
 }
 
 /// Tells and hears for as long as the gate lives. A gate that can't do so serves without.
-pub fn start(gate: &Rc<Gate>) {
+pub(crate) fn start(gate: &Rc<Gate>) {
     let gate = Rc::clone(gate);
     actix_rt::spawn(async move {
         let at = {
--- a/crates/gate/src/table.rs
+++ b/crates/gate/src/table.rs
@@ -23,7 +23,7 @@
 
 /// What happened to a server.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
+pub(crate) enum News {
     /// It said how much longer it is cold, in ms.
     Warmup(Arc<str>, f64),
     /// It may have turned cold without saying so.
@@ -32,7 +32,7 @@
 
 /// Everything that is known.
 #[derive(Debug, Default)]
-pub struct Known {
+pub(crate) struct Known {
     entries: BTreeMap<Key, Entry>,
     /// Since when servers are silent.
     silent: FxHashMap<Arc<str>, Micros>,
@@ -44,7 +44,7 @@
 
 impl Known {
     /// Takes entries; the newer version of each key stays. Tells what happened to servers.
-    pub fn merge(&mut self, now: Micros, entries: Vec<Entry>) -> Vec<News> {
+    pub(crate) fn merge(&mut self, now: Micros, entries: Vec<Entry>) -> Vec<News> {
         let mut news = Vec::new();
         for entry in entries {
             let known = self.entries.get(&entry.key);
@@ -119,24 +119,24 @@
     }
 
     /// The configuration in force.
-    pub fn configuration(&self) -> Option<&Configuration> {
+    pub(crate) fn configuration(&self) -> Option<&Configuration> {
         self.control()?.configuration.as_ref()
     }
 
     /// What clients may send.
-    pub fn client_limits(&self) -> Option<ClientLimits> {
+    pub(crate) fn client_limits(&self) -> Option<ClientLimits> {
         self.configuration()
             .map(|configuration| configuration.limits)
     }
 
     /// Gates that are there.
-    pub fn gates(&self) -> u32 {
+    pub(crate) fn gates(&self) -> u32 {
         let there = |entry: &&Entry| matches!(&entry.value, Value::Gate(gate) if !gate.gone);
         self.entries.values().filter(there).count() as u32
     }
 
     /// All gates that were ever told of, and the one at `own`.
-    pub fn tier(&self, settings: &Settings, own: SocketAddr) -> Tier {
+    pub(crate) fn tier(&self, settings: &Settings, own: SocketAddr) -> Tier {
         let mut gates: BTreeMap<SocketAddr, &str> = self
             .entries
             .iter()
@@ -153,7 +153,7 @@
     }
 
     /// Where the other gates of the region hear each other.
-    pub fn peers(&self, settings: &Settings) -> Vec<SocketAddr> {
+    pub(crate) fn peers(&self, settings: &Settings) -> Vec<SocketAddr> {
         let port = settings.internal_port(InternalPort::Gate);
         let there = self
             .entries
@@ -173,7 +173,7 @@
     }
 
     /// The servers that are there.
-    pub fn servers(&self, settings: &Settings) -> Vec<ServerSpec> {
+    pub(crate) fn servers(&self, settings: &Settings) -> Vec<ServerSpec> {
         let evacuated = self.control().map_or(&[][..], |control| &control.evacuated);
         let listed = self
             .instances()
@@ -215,7 +215,7 @@
     ///
     /// # Errors
     /// The configuration has a fault that no coordinator should have let through.
-    pub fn next(&mut self, settings: &Settings, table: &Table) -> Result<Table, TableError> {
+    pub(crate) fn next(&mut self, settings: &Settings, table: &Table) -> Result<Table, TableError> {
         let version = self.entries.get(&Key::Control).map(|entry| entry.version);
         let (gates, servers) = (self.gates(), self.servers(settings));
         if version == self.routes {
--- a/crates/gate/src/table/tests.rs
+++ b/crates/gate/src/table/tests.rs
@@ -21,7 +21,10 @@
 fn control(version: u64, evacuated: &[&str]) -> Entry {
     let configuration =
         Configuration::parse(CONFIGURATION.as_bytes()).expect("a sound configuration");
-    let evacuated = evacuated.iter().map(|zone| zone.to_string()).collect();
+    let evacuated = evacuated
+        .iter()
+        .map(std::string::ToString::to_string)
+        .collect();
     let control = ControlState {
         configuration: Some(configuration),
         evacuated,
--- a/crates/gate/src/upstream.rs
+++ b/crates/gate/src/upstream.rs
@@ -16,14 +16,14 @@
 const IDLE: Duration = Duration::from_secs(30);
 
 /// The connections of a gate.
-pub struct Upstream {
+pub(crate) struct Upstream {
     budget: Budget,
     clients: RefCell<BTreeMap<SocketAddr, Client>>,
 }
 
 impl Upstream {
     /// No connections yet.
-    pub fn new(budget: Budget) -> Self {
+    pub(crate) fn new(budget: Budget) -> Self {
         Upstream {
             budget,
             clients: RefCell::default(),
@@ -31,7 +31,7 @@
     }
 
     /// The client of a server.
-    pub fn client(&self, address: SocketAddr) -> Client {
+    pub(crate) fn client(&self, address: SocketAddr) -> Client {
         let fresh = || client(self.budget.clone(), CONNECT, IDLE, CheckedStream::new);
         self.clients
             .borrow_mut()
@@ -41,7 +41,7 @@
     }
 
     /// Closes the idle connections to all other addresses.
-    pub fn keep(&self, listed: impl Fn(&SocketAddr) -> bool) {
+    pub(crate) fn keep(&self, listed: impl Fn(&SocketAddr) -> bool) {
         self.clients
             .borrow_mut()
             .retain(|address, _| listed(address));
--- a/crates/gate/tests/answers.rs
+++ b/crates/gate/tests/answers.rs
@@ -328,7 +328,7 @@
                         .await
                         .map_err(|error| error.to_string())?,
                     Vec::new(),
-                )
+                );
             }
         }
     }
--- a/crates/gate/tests/support/client.rs
+++ b/crates/gate/tests/support/client.rs
@@ -6,14 +6,14 @@
 use tokio::net::TcpStream;
 
 /// A connection to the gate.
-pub struct Client {
+pub(crate) struct Client {
     stream: TcpStream,
     /// What came and was not taken yet.
     read: String,
 }
 
 impl Client {
-    pub async fn connect(address: SocketAddr) -> Self {
+    pub(crate) async fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).await.expect("the gate accepts");
         Client {
             stream,
@@ -21,7 +21,7 @@
         }
     }
 
-    pub async fn write(&mut self, text: &str) {
+    pub(crate) async fn write(&mut self, text: &str) {
         self.stream
             .write_all(text.as_bytes())
             .await
@@ -29,7 +29,7 @@
     }
 
     /// Sends a whole request.
-    pub async fn ask(&mut self, target: &str, id: &str, more: &str) {
+    pub(crate) async fn ask(&mut self, target: &str, id: &str, more: &str) {
         let body = "question";
         let request = format!(
             "POST {target} HTTP/1.1\r\nHost: a.example\r\nX-Ironmast-Request-Id: {id}\r\n\
@@ -48,7 +48,7 @@
     }
 
     /// Takes what comes up to and with `end`.
-    pub async fn until(&mut self, end: &str) -> String {
+    pub(crate) async fn until(&mut self, end: &str) -> String {
         while !self.read.contains(end) {
             assert!(
                 self.more().await,
@@ -62,12 +62,12 @@
     }
 
     /// Takes a head.
-    pub async fn head(&mut self) -> String {
+    pub(crate) async fn head(&mut self) -> String {
         self.until("\r\n\r\n").await.to_ascii_lowercase()
     }
 
     /// Takes a head and the body that it tells the length of.
-    pub async fn answer(&mut self) -> (String, String) {
+    pub(crate) async fn answer(&mut self) -> (String, String) {
         let head = self.head().await;
         let length = head
             .lines()
@@ -81,7 +81,7 @@
     }
 
     /// Everything that comes until the gate closes.
-    pub async fn rest(&mut self) -> String {
+    pub(crate) async fn rest(&mut self) -> String {
         while self.more().await {}
         std::mem::take(&mut self.read)
     }
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -21,17 +21,17 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-pub use client::Client;
-pub use server::Server;
+pub(crate) use client::Client;
+pub(crate) use server::Server;
 
 /// A play that does not end has failed.
 const MOST: Duration = Duration::from_secs(30);
 /// The zone of the gate, another of its region, and one of another region.
-pub const HERE: &str = "north-1";
-pub const ELSEWHERE: &str = "south-1";
+pub(crate) const HERE: &str = "north-1";
+pub(crate) const ELSEWHERE: &str = "south-1";
 
 /// Plays on the runtime that the gate needs.
-pub fn play(test: impl Future<Output = ()>) {
+pub(crate) fn play(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(async {
         tokio::time::timeout(MOST, test).await.expect("in time");
     });
@@ -78,7 +78,7 @@
 }
 
 /// A gate that serves.
-pub struct Stage {
+pub(crate) struct Stage {
     pub frontend: SocketAddr,
     pub readiness: SocketAddr,
     /// Where it hears the other gates of its region.
@@ -93,7 +93,7 @@
 
 impl Stage {
     /// A gate that knows these servers, each with its zone, and is ready.
-    pub async fn start(servers: &[(&Server, &str)]) -> Self {
+    pub(crate) async fn start(servers: &[(&Server, &str)]) -> Self {
         let listed = servers
             .iter()
             .map(|(server, zone)| (server.instance.as_str(), server.address, *zone));
@@ -101,14 +101,14 @@
     }
 
     /// The same with servers of another kind: their ids, addresses and zones.
-    pub async fn start_at(servers: &[(&str, SocketAddr, &str)]) -> Self {
+    pub(crate) async fn start_at(servers: &[(&str, SocketAddr, &str)]) -> Self {
         let mut stage = Stage::start_without_configuration().await;
         stage.configure(servers).await;
         stage
     }
 
     /// Tells it the configuration and these servers.
-    pub async fn configure(&mut self, servers: &[(&str, SocketAddr, &str)]) {
+    pub(crate) async fn configure(&mut self, servers: &[(&str, SocketAddr, &str)]) {
         let listed = servers
             .iter()
             .map(|&(id, address, zone)| listed(id, address, zone, 1, Standing::Present));
@@ -126,7 +126,7 @@
     }
 
     /// A gate that its agent has told nothing.
-    pub async fn start_without_configuration() -> Self {
+    pub(crate) async fn start_without_configuration() -> Self {
         let agent = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port is free");
@@ -168,7 +168,7 @@
     }
 
     /// News of the agent.
-    pub async fn tell(&mut self, entries: Vec<Entry>) {
+    pub(crate) async fn tell(&mut self, entries: Vec<Entry>) {
         self.sender
             .send(&ToGate::Entries(entries))
             .await
@@ -176,7 +176,7 @@
     }
 
     /// Waits until the gate says whether it is ready.
-    pub async fn until_ready(&mut self, wanted: bool) {
+    pub(crate) async fn until_ready(&mut self, wanted: bool) {
         loop {
             let frame = self.receiver.next().await.expect("the link holds");
             let Some(FromGate::Status { ready, .. }) = frame else {
@@ -189,27 +189,27 @@
     }
 
     /// What SIGTERM does.
-    pub fn terminate(&self) {
+    pub(crate) fn terminate(&self) {
         self.terminate.notify_one();
     }
 
     /// Waits until the gate has ended.
-    pub async fn ended(self) {
+    pub(crate) async fn ended(self) {
         self.served.await.expect("it ended well");
     }
 
-    pub async fn client(&self) -> Client {
+    pub(crate) async fn client(&self) -> Client {
         Client::connect(self.frontend).await
     }
 }
 
 /// What is known of a server.
-pub fn instance(server: &Server, zone: &str, version: u64, standing: Standing) -> Entry {
+pub(crate) fn instance(server: &Server, zone: &str, version: u64, standing: Standing) -> Entry {
     listed(&server.instance, server.address, zone, version, standing)
 }
 
 /// What is known of another gate of the region, at that address.
-pub fn gate(address: [u8; 4]) -> Entry {
+pub(crate) fn gate(address: [u8; 4]) -> Entry {
     let record = GateRecord {
         zone: HERE.to_string(),
         region: "north".to_string(),
@@ -225,8 +225,7 @@
 
 fn listed(id: &str, address: SocketAddr, zone: &str, version: u64, standing: Standing) -> Entry {
     let body = format!(
-        r#"{{"backend":"x","address":"{}","zone":"{zone}","capacity":8,"state":"ready","sequence":{version}}}"#,
-        address
+        r#"{{"backend":"x","address":"{address}","zone":"{zone}","capacity":8,"state":"ready","sequence":{version}}}"#
     );
     let heartbeat = Heartbeat::parse(body.as_bytes()).expect("a sound heartbeat");
     let record = InstanceRecord {
@@ -241,14 +240,14 @@
 }
 
 /// An event of a stream.
-pub fn event(id: u64) -> String {
+pub(crate) fn event(id: u64) -> String {
     format!("id: {id}\ndata: piece {id}\n\n")
 }
 
 /// A chunk of a body.
-pub fn chunk(text: &str) -> String {
+pub(crate) fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
 /// The last chunk.
-pub const LAST_CHUNK: &str = "0\r\n\r\n";
+pub(crate) const LAST_CHUNK: &str = "0\r\n\r\n";
--- a/crates/gate/tests/support/server.rs
+++ b/crates/gate/tests/support/server.rs
@@ -7,21 +7,21 @@
 use tokio::sync::mpsc;
 
 /// A server.
-pub struct Server {
+pub(crate) struct Server {
     pub instance: String,
     pub address: SocketAddr,
     asked: mpsc::UnboundedReceiver<Asked>,
 }
 
 /// A request at a server.
-pub struct Asked {
+pub(crate) struct Asked {
     head: String,
     pub body: String,
     stream: TcpStream,
 }
 
 impl Server {
-    pub async fn start(instance: &str) -> Self {
+    pub(crate) async fn start(instance: &str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port is free");
@@ -45,12 +45,12 @@
     }
 
     /// The next request on a new connection.
-    pub async fn asked(&mut self) -> Asked {
+    pub(crate) async fn asked(&mut self) -> Asked {
         self.asked.recv().await.expect("the server runs")
     }
 
     /// Whether no request has come.
-    pub fn is_idle(&mut self) -> bool {
+    pub(crate) fn is_idle(&mut self) -> bool {
         self.asked.try_recv().is_err()
     }
 }
@@ -80,18 +80,18 @@
     }
 
     /// The value of a header, its name in lower case.
-    pub fn header(&self, name: &str) -> Option<&str> {
+    pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.head
             .lines()
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
 
     /// The first line.
-    pub fn line(&self) -> &str {
+    pub(crate) fn line(&self) -> &str {
         self.head.lines().next().unwrap_or("")
     }
 
-    pub async fn write(&mut self, text: &str) {
+    pub(crate) async fn write(&mut self, text: &str) {
         self.stream
             .write_all(text.as_bytes())
             .await
@@ -99,7 +99,7 @@
     }
 
     /// A head with the request's id and a stamp.
-    pub async fn head(&mut self, status: &str, more: &str) {
+    pub(crate) async fn head(&mut self, status: &str, more: &str) {
         let id = self
             .header("x-ironmast-request-id")
             .unwrap_or("")
@@ -111,14 +111,14 @@
     }
 
     /// A whole answer.
-    pub async fn answer(&mut self, status: &str, more: &str, body: &str) {
+    pub(crate) async fn answer(&mut self, status: &str, more: &str, body: &str) {
         self.head(status, &format!("Content-Length: {}\r\n{more}", body.len()))
             .await;
         self.write(body).await;
     }
 
     /// The head of a stream of events.
-    pub async fn begin_events(&mut self) {
+    pub(crate) async fn begin_events(&mut self) {
         self.head(
             "200 OK",
             "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n",
@@ -127,12 +127,12 @@
     }
 
     /// The next request on the same connection.
-    pub async fn again(self) -> Asked {
+    pub(crate) async fn again(self) -> Asked {
         Asked::read(self.stream).await.expect("another request")
     }
 
     /// Waits until the gate closes the connection.
-    pub async fn closed(mut self) {
+    pub(crate) async fn closed(mut self) {
         let mut scratch = String::new();
         while more(&mut self.stream, &mut scratch).await.is_some() {}
     }
--- a/crates/ironmast/src/logging.rs
+++ b/crates/ironmast/src/logging.rs
@@ -9,7 +9,7 @@
 
 /// How a record is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum LogFormat {
+pub(crate) enum LogFormat {
     /// Time, level, message and values, for people.
     Text,
     /// One JSON object a line, for machines.
@@ -18,7 +18,7 @@
 
 /// The least grave records that are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum LogLevel {
+pub(crate) enum LogLevel {
     /// What is wrong.
     Warning,
     /// And what happens to the proxy: lists, servers set aside, restarts.
@@ -31,7 +31,7 @@
 const WAITING: (usize, usize) = (1_024, 65_536);
 
 /// The root logger. Records still queued are written when the guard is dropped.
-pub fn root(format: LogFormat, level: LogLevel, name: &str) -> (Logger, AsyncGuard) {
+pub(crate) fn root(format: LogFormat, level: LogLevel, name: &str) -> (Logger, AsyncGuard) {
     let (least, waiting) = match level {
         LogLevel::Warning => (Level::Warning, WAITING.0),
         LogLevel::Info => (Level::Info, WAITING.0),
--- a/crates/ironmast/src/main.rs
+++ b/crates/ironmast/src/main.rs
@@ -30,13 +30,13 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves until SIGTERM. Told by GW_CONFIG, and GW_NAME, GW_LISTEN, GW_DISCOVERY where that
+    /// Serves until SIGTERM. Told by `GW_CONFIG`, and `GW_NAME`, `GW_LISTEN`, `GW_DISCOVERY` where that
     /// file is silent.
     Run,
     /// Reads a configuration as `run` would, says what it found, and ends: 0 if it is sound, else
     /// 1.
     CheckConfig {
-        /// The file; GW_CONFIG where it is left out.
+        /// The file; `GW_CONFIG` where it is left out.
         path: Option<PathBuf>,
     },
 }
--- a/crates/ironmast/src/system.rs
+++ b/crates/ironmast/src/system.rs
@@ -13,7 +13,7 @@
 
 /// A program of the system.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Role {
+pub(crate) enum Role {
     /// Takes clients' requests.
     Gate,
     /// Feeds the gate beside it.
@@ -24,7 +24,7 @@
 
 impl Role {
     /// The role that a subcommand names.
-    pub fn named(name: &str) -> Option<Self> {
+    pub(crate) fn named(name: &str) -> Option<Self> {
         match name {
             "gate" => Some(Role::Gate),
             "agent" => Some(Role::Agent),
@@ -35,7 +35,7 @@
 }
 
 /// Runs a role with the arguments behind its name.
-pub fn main(role: Role, arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
+pub(crate) fn main(role: Role, arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     match run(role, arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
--- a/crates/ironmast/tests/common/mod.rs
+++ b/crates/ironmast/tests/common/mod.rs
@@ -7,11 +7,11 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
 /// What never comes fails the test after this.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
 /// A program that ends with the test, whatever becomes of it: one left over holds the test's own
 /// output open.
-pub struct Running(pub Child);
+pub(crate) struct Running(pub Child);
 
 impl Drop for Running {
     fn drop(&mut self) {
@@ -20,7 +20,7 @@
 }
 
 /// Reads the program's log on to the line that holds `text`.
-pub fn wait_log(log: &mut BufReader<ChildStderr>, text: &str) -> String {
+pub(crate) fn wait_log(log: &mut BufReader<ChildStderr>, text: &str) -> String {
     let patience = Timespec::try_from(PATIENCE).expect("in range");
     loop {
         if log.buffer().is_empty() {
--- a/crates/ironmast/tests/exchanges/player.rs
+++ b/crates/ironmast/tests/exchanges/player.rs
@@ -26,7 +26,7 @@
 
 use crate::common::{PATIENCE, Running, wait_log};
 
-pub struct Proxy {
+pub(crate) struct Proxy {
     child: Running,
     config: NamedTempFile,
     log: BufReader<ChildStderr>,
@@ -39,7 +39,7 @@
 }
 
 /// Runs the program with a configuration file of that text, for as long as it is needed.
-pub fn start(config: &str) -> (Child, NamedTempFile) {
+pub(crate) fn start(config: &str) -> (Child, NamedTempFile) {
     start_logging(config, "info")
 }
 
@@ -64,7 +64,7 @@
 }
 
 /// Reads the program's log on to where it says at which address it listens.
-pub fn listens_at(log: &mut BufReader<ChildStderr>) -> String {
+pub(crate) fn listens_at(log: &mut BufReader<ChildStderr>) -> String {
     let serving = wait_log(log, "listen: ");
     let address = |text: &str| {
         text.split(|c: char| !"0123456789.:".contains(c))
@@ -81,7 +81,7 @@
     ironmast_fault_injection::CONFIG.replace("{discovery}", discovery)
 }
 
-pub fn play(script: &str) -> String {
+pub(crate) fn play(script: &str) -> String {
     let names = ["discovery", "discovery2", "server1", "server2"];
     let bind = |name: &str| {
         (
@@ -307,7 +307,7 @@
 
 /// Reads one message: its first line and headers, and its body; none where the other side ends or
 /// falls silent before.
-pub fn message(from: &mut BufReader<TcpStream>) -> Option<(Vec<String>, Vec<u8>)> {
+pub(crate) fn message(from: &mut BufReader<TcpStream>) -> Option<(Vec<String>, Vec<u8>)> {
     let (mut head, mut length) = (Vec::new(), 0);
     loop {
         let mut line = String::new();
--- a/crates/ironmast/tests/stage/mod.rs
+++ b/crates/ironmast/tests/stage/mod.rs
@@ -12,7 +12,7 @@
 use crate::common::{PATIENCE, Running, wait_log};
 
 /// Where it all is.
-pub struct Stage {
+pub(crate) struct Stage {
     pub folder: tempfile::TempDir,
     pub listen: SocketAddr,
     discovery: SocketAddr,
@@ -22,19 +22,19 @@
 }
 
 /// One proxy.
-pub struct Process {
+pub(crate) struct Process {
     pub child: Running,
     pub log: BufReader<ChildStderr>,
     pub ops: SocketAddr,
 }
 
-pub fn patient(stream: TcpStream) -> TcpStream {
+pub(crate) fn patient(stream: TcpStream) -> TcpStream {
     stream.set_read_timeout(Some(PATIENCE)).expect("set");
     stream
 }
 
 /// Serves each connection in a thread of its own.
-pub fn listen(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+pub(crate) fn listen(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let serve = Arc::new(serve);
@@ -48,7 +48,7 @@
 }
 
 /// The head of the next message, or none at its end.
-pub fn head(from: &mut BufReader<TcpStream>) -> Option<String> {
+pub(crate) fn head(from: &mut BufReader<TcpStream>) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if from.read_line(&mut head).ok()? == 0 {
@@ -60,7 +60,7 @@
 
 impl Stage {
     /// With pay servers that listen there, named s-0, s-1 and so on.
-    pub fn new(servers: &[SocketAddr]) -> Stage {
+    pub(crate) fn new(servers: &[SocketAddr]) -> Stage {
         let target = |uid: &str, at: SocketAddr| {
             format!(
                 r#"{{"uid":"{uid}","endpoint":"{at}","az":"seattle","state":"up","capacity_hint":1.0}}"#
@@ -97,12 +97,12 @@
         }
     }
 
-    pub fn start(&self, tmpdir: Option<&Path>) -> Process {
+    pub(crate) fn start(&self, tmpdir: Option<&Path>) -> Process {
         self.start_with(tmpdir, &[])
     }
 
     /// The same, with variables of the environment.
-    pub fn start_with(&self, tmpdir: Option<&Path>, variables: &[(&str, &str)]) -> Process {
+    pub(crate) fn start_with(&self, tmpdir: Option<&Path>, variables: &[(&str, &str)]) -> Process {
         let config = self.folder.path().join("config.json");
         let text = ironmast_fault_injection::CONFIG
             .replace("{discovery}", &self.discovery.to_string())
@@ -136,12 +136,12 @@
         }
     }
 
-    pub fn place(&self) -> Option<&Path> {
+    pub(crate) fn place(&self) -> Option<&Path> {
         Some(self.folder.path())
     }
 
     /// One request on a connection of its own.
-    pub fn request(&self, txn: &str) -> String {
+    pub(crate) fn request(&self, txn: &str) -> String {
         let mut stream = patient(TcpStream::connect(self.listen).expect("it listens"));
         write!(
             stream,
@@ -155,7 +155,7 @@
 }
 
 impl Process {
-    pub fn call(&self, line: &str) -> String {
+    pub(crate) fn call(&self, line: &str) -> String {
         let mut stream = patient(TcpStream::connect(self.ops).expect("it hears operators"));
         stream.write_all(line.as_bytes()).expect("written");
         let mut answer = String::new();
@@ -164,7 +164,7 @@
     }
 
     /// Asks until it is ready.
-    pub fn ready(&self) {
+    pub(crate) fn ready(&self) {
         let start = Instant::now();
         while !self.call("ready\n").starts_with("+OK") {
             assert!(start.elapsed() < PATIENCE, "it never gets ready");
@@ -172,7 +172,7 @@
         }
     }
 
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let id = self.child.0.id().to_string();
         assert!(
             Command::new("kill")
--- a/crates/ironmast/tests/streams.rs
+++ b/crates/ironmast/tests/streams.rs
@@ -216,7 +216,7 @@
                 stage
                     .request(&format!("{before}-{n}"))
                     .starts_with("HTTP/1.1 200")
-            )
+            );
         });
     }
     assert!(
--- a/crates/ironmast/tests/system/client.rs
+++ b/crates/ironmast/tests/system/client.rs
@@ -9,10 +9,10 @@
 const ANSWER: Duration = Duration::from_secs(2);
 
 /// A status and a body; none where there was no whole answer in time.
-pub type Answer = Option<(u16, Vec<u8>)>;
+pub(crate) type Answer = Option<(u16, Vec<u8>)>;
 
 /// Sends one request on a connection of its own.
-pub fn call(
+pub(crate) fn call(
     method: Method,
     at: SocketAddr,
     path: &str,
@@ -32,23 +32,23 @@
 }
 
 /// The status of an answer.
-pub fn status(method: Method, at: SocketAddr, path: &str, body: &str) -> Option<u16> {
+pub(crate) fn status(method: Method, at: SocketAddr, path: &str, body: &str) -> Option<u16> {
     Some(call(method, at, path, &[], body)?.0)
 }
 
 /// Sends a configuration that builds on version `base`.
-pub fn put(at: SocketAddr, base: &str, body: &str) -> Option<u16> {
+pub(crate) fn put(at: SocketAddr, base: &str, body: &str) -> Option<u16> {
     Some(call(Method::PUT, at, "/api/config", &[("If-Match", base)], body)?.0)
 }
 
 /// The configuration that a coordinator gives.
-pub fn get(at: SocketAddr) -> Option<String> {
+pub(crate) fn get(at: SocketAddr) -> Option<String> {
     let (status, body) = call(Method::GET, at, "/api/config", &[], "")?;
     (status == 200).then(|| String::from_utf8(body).ok())?
 }
 
 /// A configuration with this number and one route.
-pub fn configuration(generation: u64) -> String {
+pub(crate) fn configuration(generation: u64) -> String {
     format!(
         "{{\"generation\": {generation}, \"routes\":[{{\"name\":\"r\",\"hostname\":\"a.example\",\
          \"path_prefix\":\"/x/\",\"type\":\"safe\",\"timeout_ms\":5000,\"target_latency_ms\":400,\
