--- a/crates/ironmast/tests/system/mod.rs
+++ b/crates/ironmast/tests/system/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
-pub mod client;
+pub(crate) mod client;
 
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
@@ -22,7 +22,7 @@
 const PORTS: u16 = 10;
 
 /// Asks until there is an answer.
-pub fn eventually<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
+pub(crate) fn eventually<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(answer) = ask() {
@@ -37,7 +37,7 @@
 }
 
 /// The machines of one test.
-pub struct Site {
+pub(crate) struct Site {
     folder: TempDir,
     network: [u8; 2],
     port: u16,
@@ -46,7 +46,7 @@
 
 impl Site {
     /// A site whose seeds are the first `coordinators` machines.
-    pub fn new(coordinators: u8) -> Self {
+    pub(crate) fn new(coordinators: u8) -> Self {
         static SITES: AtomicU8 = AtomicU8::new(1);
         // Addresses of a test process and a test of their own: ports that are free stay free.
         let network = [
@@ -79,22 +79,22 @@
     }
 
     /// Where the coordinator of a machine serves.
-    pub fn control_plane(&self, number: u8) -> SocketAddr {
+    pub(crate) fn control_plane(&self, number: u8) -> SocketAddr {
         SocketAddr::new(self.ip(number), self.port + 6)
     }
 
     /// Where the coordinator of a machine names gates.
-    pub fn directory(&self, number: u8) -> SocketAddr {
+    pub(crate) fn directory(&self, number: u8) -> SocketAddr {
         SocketAddr::new(self.ip(number), self.port + 7)
     }
 
     /// Where the gate of a machine serves clients.
-    pub fn frontend(&self, number: u8) -> SocketAddr {
+    pub(crate) fn frontend(&self, number: u8) -> SocketAddr {
         SocketAddr::new(self.ip(number), self.port + 8)
     }
 
     /// Where the gate of a machine tells whether it is ready.
-    pub fn readiness(&self, number: u8) -> SocketAddr {
+    pub(crate) fn readiness(&self, number: u8) -> SocketAddr {
         SocketAddr::new(self.ip(number), self.port + 9)
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Writes a machine's settings and starts a role of it.
-    pub fn start(&self, role: &str, number: u8, bootstrap: bool) -> Role {
+    pub(crate) fn start(&self, role: &str, number: u8, bootstrap: bool) -> Role {
         let path = self.folder.path().join(format!("{role}-{number}.yaml"));
         fs::create_dir_all(self.disk(number)).expect("a disk");
         fs::write(&path, self.settings(number, bootstrap)).expect("written");
@@ -118,7 +118,7 @@
     }
 
     /// Empties the disk of a machine.
-    pub fn wipe(&self, number: u8) {
+    pub(crate) fn wipe(&self, number: u8) {
         fs::remove_dir_all(self.disk(number)).expect("emptied");
     }
 
@@ -158,29 +158,29 @@
 }
 
 /// A role of a machine, running; dropping it kills it.
-pub struct Role {
+pub(crate) struct Role {
     child: Child,
 }
 
 impl Role {
     /// Stops its turn until [`Role::thaw`].
-    pub fn freeze(&self) {
+    pub(crate) fn freeze(&self) {
         kill_process(Pid::from_child(&self.child), Signal::STOP).expect("signalled");
     }
 
     /// Lets it go on.
-    pub fn thaw(&self) {
+    pub(crate) fn thaw(&self) {
         kill_process(Pid::from_child(&self.child), Signal::CONT).expect("signalled");
     }
 
     /// SIGKILL.
-    pub fn kill(mut self) {
+    pub(crate) fn kill(mut self) {
         self.child.kill().expect("killed");
         self.child.wait().expect("reaped");
     }
 
     /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
+    pub(crate) fn runs(&mut self) -> bool {
         self.child.try_wait().is_ok_and(|ended| ended.is_none())
     }
 }
--- a/crates/ironmast/tests/system_control.rs
+++ b/crates/ironmast/tests/system_control.rs
@@ -253,7 +253,7 @@
 }
 
 /// Contact is lost at this age, by the usual bounds in time.
-const CONTACT_BOUND: Duration = Duration::from_millis(1_000);
+const CONTACT_BOUND: Duration = Duration::from_secs(1);
 
 fn beat(sequence: u64, state: &str) -> String {
     format!(
--- a/crates/keyed-ownership/examples/permit_study.rs
+++ b/crates/keyed-ownership/examples/permit_study.rs
@@ -159,10 +159,10 @@
     };
     let shares_near = play.subject == Subject::Cold && pick(55_555, 2) == 1;
     Play {
+        keys,
         rate,
         reserved_percent,
         shares_near,
-        keys,
         ..play
     }
 }
--- a/crates/keyed-ownership/src/ledger.rs
+++ b/crates/keyed-ownership/src/ledger.rs
@@ -57,30 +57,30 @@
 
 impl Ledger {
     /// Drops what counts no more.
-    pub fn prune(&mut self, now: Duration) {
+    pub(crate) fn prune(&mut self, now: Duration) {
         self.charges.retain(|charge| now < charge.ends);
         self.demand.retain(|_, (_, at)| *at + DEMAND_SPAN > now);
     }
 
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.charges.is_empty() && self.pending.is_empty() && self.demand.is_empty()
     }
 
     /// Puts an ask at the end of those that wait; an earlier one of the same gate is dropped.
-    pub fn push(&mut self, ask: Pending) {
+    pub(crate) fn push(&mut self, ask: Pending) {
         self.demand.insert(ask.gate, (ask.want, ask.arrived));
         self.pending.retain(|other| other.gate != ask.gate);
         self.pending.push_back(ask);
     }
 
     /// Permits that may still count.
-    pub fn charged(&self) -> u32 {
+    pub(crate) fn charged(&self) -> u32 {
         self.charges.iter().map(|charge| charge.count).sum()
     }
 
     /// What a gate that wants `want` may have at once: all of it while the pool is enough for
     /// everybody, else its part by demand, and one at least.
-    pub fn fair(&self, want: u32, pool: u32) -> u32 {
+    pub(crate) fn fair(&self, want: u32, pool: u32) -> u32 {
         let total: u64 = self.wanted();
         if total <= u64::from(pool) {
             return want;
@@ -89,7 +89,7 @@
         u32::try_from(part).unwrap_or(want).max(1).min(want)
     }
 
-    pub fn charge(&mut self, ask: &Pending, count: u32, terms: &Terms) {
+    pub(crate) fn charge(&mut self, ask: &Pending, count: u32, terms: &Terms) {
         let ends = ask.arrived + terms.charged(ask.life);
         let Pending {
             gate,
@@ -110,7 +110,7 @@
     ///
     /// The gate sent the ask before it arrived here, so a use `last_used_after` the sending lies
     /// before `last_used_after` the arrival.
-    pub fn settle(&mut self, gate: &GateId, settled: &Settled, terms: &Terms) {
+    pub(crate) fn settle(&mut self, gate: &GateId, settled: &Settled, terms: &Terms) {
         let same =
             |charge: &&mut Charge| charge.gate == *gate && charge.sequence == settled.sequence;
         let Some(charge) = self.charges.iter_mut().find(same) else {
@@ -123,18 +123,18 @@
     }
 
     /// The first moment at which a permit counts no more.
-    pub fn next_free(&self) -> Option<Duration> {
+    pub(crate) fn next_free(&self) -> Option<Duration> {
         self.charges.iter().map(|charge| charge.ends).min()
     }
 
     /// Permits of a pool that will be free by `at` if none is given until then.
-    pub fn free_by(&self, at: Duration, pool: u32) -> u32 {
+    pub(crate) fn free_by(&self, at: Duration, pool: u32) -> u32 {
         let charges = self.charges.iter().filter(|charge| charge.ends > at);
         pool.saturating_sub(charges.map(|charge| charge.count).sum())
     }
 
     /// How long a refused gate must wait for its turn.
-    pub fn retry_after(&mut self, now: Duration, ask: &Pending, terms: &Terms) -> Duration {
+    pub(crate) fn retry_after(&mut self, now: Duration, ask: &Pending, terms: &Terms) -> Duration {
         let turn = self.turn.max(self.free_after_pending(now));
         let longest = now + LONGEST_WAIT;
         if turn >= longest || ask.pool == 0 {
--- a/crates/keyed-ownership/src/terms.rs
+++ b/crates/keyed-ownership/src/terms.rs
@@ -55,7 +55,7 @@
             COLD_SPAN,
             FLIGHT,
             Duration::from_millis(300),
-            Duration::from_millis(1000),
+            Duration::from_secs(1),
         )
     }
 
@@ -65,8 +65,8 @@
         Self::new(
             window,
             FLIGHT,
-            Duration::from_millis(1000),
-            Duration::from_millis(1000),
+            Duration::from_secs(1),
+            Duration::from_secs(1),
         )
     }
 
--- a/crates/keyed-ownership/tests/simulation/faults.rs
+++ b/crates/keyed-ownership/tests/simulation/faults.rs
@@ -11,7 +11,7 @@
 
 /// Whom a fault strikes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whom {
+pub(crate) enum Whom {
     /// The owner of a key by the newest view.
     Owner { key: usize },
     /// This gate.
@@ -22,7 +22,7 @@
 
 /// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub(crate) enum Fault {
     /// Killed, and started again after `down`.
     Kill { whom: Whom, down: Micros },
     /// Stopped, and continued after `span`; messages wait meanwhile.
@@ -38,7 +38,7 @@
 
 impl Fault {
     /// Whom it strikes and how long it lasts.
-    pub fn scope(&self) -> (Whom, Micros) {
+    pub(crate) fn scope(&self) -> (Whom, Micros) {
         match *self {
             Self::Kill { whom, down: span } => (whom, span),
             Self::Freeze { whom, span } | Self::CutOut { whom, span } => (whom, span),
@@ -48,7 +48,7 @@
 }
 
 /// Puts the faults of a run into the queue.
-pub fn schedule(play: &Play, queue: &mut Queue) {
+pub(crate) fn schedule(play: &Play, queue: &mut Queue) {
     if play.trouble == Trouble::Calm {
         return;
     }
--- a/crates/keyed-ownership/tests/simulation/judge.rs
+++ b/crates/keyed-ownership/tests/simulation/judge.rs
@@ -9,7 +9,7 @@
 const SECOND: Micros = 1_000_000;
 
 /// The most arrivals of one key in any second.
-pub fn worst_second(trace: &Trace, keys: usize) -> usize {
+pub(crate) fn worst_second(trace: &Trace, keys: usize) -> usize {
     (0..keys)
         .map(|key| worst_span(&arrivals(trace, key), SECOND))
         .max()
@@ -30,7 +30,7 @@
 
 /// By how much the repeats to a service go over what the rule allows in the worst window; 0 if in
 /// none.
-pub fn worst_excess(trace: &Trace, terms: &RetryTerms, keys: usize) -> f64 {
+pub(crate) fn worst_excess(trace: &Trace, terms: &RetryTerms, keys: usize) -> f64 {
     let excess = |key| excess(&requests(trace, key), &arrivals(trace, key), terms);
     (0..keys).map(excess).fold(0.0, f64::max)
 }
@@ -94,7 +94,12 @@
 
 /// (moment it came, wait) of each request, had an owner limited them that sees every gate at once:
 /// the same bound over `span`, first come first served, without messages.
-pub fn ideal_waits(trace: &Trace, key: usize, bound: usize, span: Micros) -> Vec<(Micros, Micros)> {
+pub(crate) fn ideal_waits(
+    trace: &Trace,
+    key: usize,
+    bound: usize,
+    span: Micros,
+) -> Vec<(Micros, Micros)> {
     let requests = requests(trace, key);
     let mut sent: Vec<Micros> = Vec::with_capacity(requests.len());
     for came in &requests {
@@ -111,7 +116,7 @@
 }
 
 /// The waits of the requests that came at or after `from`, in rising order.
-pub fn waits_from(waits: &[(Micros, Micros)], from: Micros) -> Vec<Micros> {
+pub(crate) fn waits_from(waits: &[(Micros, Micros)], from: Micros) -> Vec<Micros> {
     let mut waits: Vec<Micros> = waits
         .iter()
         .filter(|(came, _)| *came >= from)
@@ -122,7 +127,7 @@
 }
 
 /// The value below which the part `part` of sorted values lies.
-pub fn quantile(sorted: &[Micros], part: f64) -> Micros {
+pub(crate) fn quantile(sorted: &[Micros], part: f64) -> Micros {
     let place = (sorted.len() as f64 * part) as usize;
     sorted
         .get(place.min(sorted.len().saturating_sub(1)))
--- a/crates/keyed-ownership/tests/simulation/network.rs
+++ b/crates/keyed-ownership/tests/simulation/network.rs
@@ -12,7 +12,7 @@
 
 /// What happens in the world.
 #[derive(Clone, Debug)]
-pub enum Happening {
+pub(crate) enum Happening {
     /// A message reaches a gate.
     Deliver {
         to: usize,
@@ -84,13 +84,13 @@
 
 /// Events in the order of their moments.
 #[derive(Debug, Default)]
-pub struct Queue {
+pub(crate) struct Queue {
     heap: BinaryHeap<Entry>,
     number: u64,
 }
 
 impl Queue {
-    pub fn push(&mut self, at: Micros, what: Happening) {
+    pub(crate) fn push(&mut self, at: Micros, what: Happening) {
         self.number += 1;
         self.heap.push(Entry {
             at,
@@ -99,21 +99,21 @@
         });
     }
 
-    pub fn pop(&mut self) -> Option<(Micros, Happening)> {
+    pub(crate) fn pop(&mut self) -> Option<(Micros, Happening)> {
         self.heap.pop().map(|entry| (entry.at, entry.what))
     }
 }
 
 /// Regions that gates, servers and witnesses are spread over.
-pub const REGIONS: usize = 3;
+pub(crate) const REGIONS: usize = 3;
 
 /// The region of a gate, a server or a witness.
-pub fn region(place: usize) -> u32 {
+pub(crate) fn region(place: usize) -> u32 {
     (place % REGIONS) as u32
 }
 
 /// The time a message takes one way between two places, 0 to 60 ms.
-pub fn way(random: &mut Xoshiro256PlusPlus, from: usize, to: usize) -> Micros {
+pub(crate) fn way(random: &mut Xoshiro256PlusPlus, from: usize, to: usize) -> Micros {
     if from == to {
         return random.random_range(20..100);
     }
--- a/crates/keyed-ownership/tests/simulation/node.rs
+++ b/crates/keyed-ownership/tests/simulation/node.rs
@@ -15,13 +15,13 @@
 use super::{Micros, at};
 
 /// The address of a gate.
-pub fn address(number: usize) -> SocketAddr {
+pub(crate) fn address(number: usize) -> SocketAddr {
     let [.., high, low] = (number as u32).to_be_bytes();
     SocketAddr::from((Ipv4Addr::new(10, 0, high, low), 7000))
 }
 
 /// The number of the gate at an address.
-pub fn number(id: &GateId) -> usize {
+pub(crate) fn number(id: &GateId) -> usize {
     let SocketAddr::V4(address) = id.address else {
         return 0;
     };
@@ -31,7 +31,7 @@
 
 /// One life of a gate.
 #[derive(Debug)]
-pub struct Life {
+pub(crate) struct Life {
     pub id: GateId,
     pub owner: Owner<Instance>,
     pub permits: Either,
@@ -47,7 +47,7 @@
 }
 
 impl Life {
-    pub fn new(play: &Play, gate: usize, incarnation: u64, now: Micros) -> Self {
+    pub(crate) fn new(play: &Play, gate: usize, incarnation: u64, now: Micros) -> Self {
         let id = GateId {
             address: address(gate),
             incarnation,
@@ -79,7 +79,7 @@
     }
 
     /// Takes the permission for the first request that waits for `key`.
-    pub fn try_take(
+    pub(crate) fn try_take(
         &mut self,
         play: &Play,
         now: Micros,
@@ -114,19 +114,19 @@
 
 /// The permissions of a gate, by what it is limited in.
 #[derive(Debug)]
-pub enum Either {
+pub(crate) enum Either {
     Cold(Permits<Instance>),
     Retry(RetryPermits<Instance>),
 }
 
 impl Either {
-    pub fn on_request(&mut self, now: Duration, key: &Instance) {
+    pub(crate) fn on_request(&mut self, now: Duration, key: &Instance) {
         if let Self::Retry(permits) = self {
             permits.on_request(now, key);
         }
     }
 
-    pub fn handle(
+    pub(crate) fn handle(
         &mut self,
         now: Duration,
         event: Event<Instance>,
@@ -138,7 +138,7 @@
         }
     }
 
-    pub fn next_wake(&self) -> Option<Duration> {
+    pub(crate) fn next_wake(&self) -> Option<Duration> {
         match self {
             Self::Cold(permits) => permits.next_wake(),
             Self::Retry(permits) => permits.next_wake(),
@@ -147,7 +147,7 @@
 }
 
 /// A key as the crate knows it: a server in a region, whether an instance or all of a service.
-pub fn name(key: usize) -> Instance {
+pub(crate) fn name(key: usize) -> Instance {
     Instance {
         id: format!("i-{key}"),
         region: region(key),
@@ -156,7 +156,7 @@
 
 /// A gate over its lives.
 #[derive(Debug)]
-pub struct Node {
+pub(crate) struct Node {
     /// `None` while it is down.
     pub life: Option<Life>,
     pub incarnation: u64,
--- a/crates/keyed-ownership/tests/simulation/play.rs
+++ b/crates/keyed-ownership/tests/simulation/play.rs
@@ -7,7 +7,7 @@
 
 /// What the gates are limited in.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Subject {
+pub(crate) enum Subject {
     /// Requests to cold servers.
     Cold,
     /// Repeats to a service.
@@ -16,7 +16,7 @@
 
 /// Faults that a run may have, each at random moments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub(crate) enum Trouble {
     /// None, with one view all along.
     Calm,
     /// Gates killed, frozen and cut one way, owners first of all, with views that gates learn
@@ -28,7 +28,7 @@
 
 /// One run.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
+pub(crate) struct Play {
     pub seed: u64,
     pub gates: usize,
     pub subject: Subject,
@@ -60,7 +60,7 @@
 
 impl Play {
     /// Cold servers under faults, pressed well beyond the bound.
-    pub fn cold(seed: u64, gates: usize) -> Self {
+    pub(crate) fn cold(seed: u64, gates: usize) -> Self {
         Self {
             seed,
             gates,
@@ -86,7 +86,7 @@
     }
 
     /// A calm run at the rate a cold server is meant to get.
-    pub fn calm(seed: u64, gates: usize, rate: f64) -> Self {
+    pub(crate) fn calm(seed: u64, gates: usize, rate: f64) -> Self {
         Self {
             trouble: Trouble::Calm,
             rate,
@@ -96,7 +96,7 @@
     }
 
     /// Repeats under faults.
-    pub fn retry(seed: u64, gates: usize) -> Self {
+    pub(crate) fn retry(seed: u64, gates: usize) -> Self {
         let window = std::time::Duration::from_secs(3);
         let terms = RetryTerms {
             ratio: 0.2,
--- a/crates/keyed-ownership/tests/simulation/views.rs
+++ b/crates/keyed-ownership/tests/simulation/views.rs
@@ -13,17 +13,17 @@
 use super::{MS, Micros};
 
 /// Witnesses of the epoch.
-pub const WITNESSES: usize = 3;
+pub(crate) const WITNESSES: usize = 3;
 
 /// Coordinators that propose views. The second stands beside the last witness and acts when it is
 /// apart, and at times besides.
-pub const PROPOSERS: usize = 2;
+pub(crate) const PROPOSERS: usize = 2;
 
 /// How often a proposer counts the members of the view anew.
-pub const RECOUNT: Micros = 400 * MS;
+pub(crate) const RECOUNT: Micros = 400 * MS;
 
 /// The epoch of the view that all know at the start.
-pub const FIRST: u64 = 1 << 8;
+pub(crate) const FIRST: u64 = 1 << 8;
 
 /// How long a gate must be silent, or back, before a view says so.
 const DETECTION: Micros = 700 * MS;
@@ -39,13 +39,13 @@
 
 /// A coordinator that proposes views.
 #[derive(Clone, Debug)]
-pub struct Coordinator {
+pub(crate) struct Coordinator {
     proposer: Proposer,
     busy_until: Micros,
 }
 
 impl Coordinator {
-    pub fn new(number: usize, installed: Arc<View>) -> Self {
+    pub(crate) fn new(number: usize, installed: Arc<View>) -> Self {
         let mut proposer = Proposer::new(number as u8, WITNESSES, installed.epoch);
         proposer.learn(installed);
         Self {
--- a/crates/keyed-ownership/tests/simulation/world.rs
+++ b/crates/keyed-ownership/tests/simulation/world.rs
@@ -16,7 +16,7 @@
 
 /// What a run leaves for the judges.
 #[derive(Debug, Default)]
-pub struct Trace {
+pub(crate) struct Trace {
     /// (key, moment) of each client's request.
     pub requests: Vec<(usize, Micros)>,
     /// (key, arrival at the server) of each request or repeat that is limited.
@@ -38,7 +38,7 @@
 }
 
 /// All state of one run.
-pub struct World {
+pub(crate) struct World {
     pub(super) play: Play,
     pub(super) now: Micros,
     pub(super) random: Xoshiro256PlusPlus,
@@ -56,7 +56,7 @@
 }
 
 /// Plays a run to its end.
-pub fn run(play: Play) -> Trace {
+pub(crate) fn run(play: Play) -> Trace {
     let mut world = World::new(play);
     world.start();
     while let Some((moment, what)) = world.queue.pop() {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -106,6 +106,7 @@
 /// the size), datagrams of 256 bytes with the [`TAG`], and two members taken for down asked every 2
 /// s whether they are back (LAN: every 65 s). Without that, a member cut off one way and declared
 /// down never learns it and never rejoins once the cut heals (test `a_one_sided_cut_heals...`).
+#[must_use]
 pub fn config(size: u32) -> Config {
     let mut config = Config::new_lan(NonZeroU32::new(size.max(1)).expect("at least one"));
     config.max_packet_size = NonZeroUsize::new(DATAGRAM - TAG.len()).expect("not zero");
@@ -119,6 +120,7 @@
 impl Membership {
     /// `me` with these figures; `seed` draws whom to probe. Nobody is known until
     /// [`Membership::join`].
+    #[must_use]
     pub fn new(me: Member, config: Config, seed: u64) -> Membership {
         let foca = Foca::new(
             me,
@@ -167,7 +169,7 @@
         };
         let result = self.foca.handle_data(bytes, &mut self.runtime);
         let actions = self.drain();
-        result.map(|_| actions).map_err(|e| Refused(e.to_string()))
+        result.map(|()| actions).map_err(|e| Refused(e.to_string()))
     }
 
     /// The time has come to `now`: timers that are due fire.
@@ -186,21 +188,25 @@
     }
 
     /// When the next timer is due, if any: the driver need not call [`Membership::tick`] before.
+    #[must_use]
     pub fn next_due(&self) -> Option<Duration> {
         self.timers.peek().map(|Reverse((due, _, _))| *due)
     }
 
     /// Members taken for alive, not counting itself.
+    #[must_use]
     pub fn alive(&self) -> usize {
         self.foca.num_members()
     }
 
     /// The size of the tier as this proxy sees it: the members alive and itself.
+    #[must_use]
     pub fn tier(&self) -> usize {
         self.alive() + 1
     }
 
     /// Its own identity, with the incarnation it has now.
+    #[must_use]
     pub fn me(&self) -> Member {
         *self.foca.identity()
     }
@@ -238,6 +244,7 @@
 
 /// An incarnation for a proxy that starts now: seconds since the Unix epoch, so never one the tier
 /// saw of it before.
+#[must_use]
 pub fn incarnation_now() -> u32 {
     let since = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
--- a/crates/membership/src/tier.rs
+++ b/crates/membership/src/tier.rs
@@ -19,6 +19,7 @@
 pub type Loss = dyn Fn(usize, usize, Duration, u64) -> bool;
 
 /// No loss.
+#[must_use]
 pub fn none(_: usize, _: usize, _: Duration, _: u64) -> bool {
     false
 }
@@ -45,11 +46,13 @@
 }
 
 /// The address of member `n` (127.0.0.1, port 7000 + n).
+#[must_use]
 pub fn address(n: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7000 + n as u16)
 }
 
 /// The number of the member at `a`.
+#[must_use]
 pub fn index(a: SocketAddrV4) -> usize {
     usize::from(a.port() - 7000)
 }
@@ -141,6 +144,7 @@
     }
 
     /// The tier's size as each living member sees it.
+    #[must_use]
     pub fn tiers(&self) -> Vec<usize> {
         (0..self.members.len())
             .filter(|&n| !self.dead[n])
--- a/crates/overlay-transport/src/connections.rs
+++ b/crates/overlay-transport/src/connections.rs
@@ -10,11 +10,11 @@
 use crate::queue::Queue;
 
 /// Names a connection of this node.
-pub type ConnectionId = u64;
+pub(crate) type ConnectionId = u64;
 
 /// A frame between two nodes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Frame {
+pub(crate) enum Frame {
     /// The first frame of who has opened the connection: where it listens.
     Hello(SocketAddr),
     /// A message of the overlay.
@@ -23,20 +23,20 @@
 
 /// The connections of a node, by peer.
 #[derive(Debug, Default)]
-pub struct Connections {
+pub(crate) struct Connections {
     peers: BTreeMap<SocketAddr, Vec<(ConnectionId, Queue)>>,
 }
 
 impl Connections {
     /// Adds a connection; true where it is the first to its peer.
-    pub fn add(&mut self, peer: SocketAddr, id: ConnectionId, queue: Queue) -> bool {
+    pub(crate) fn add(&mut self, peer: SocketAddr, id: ConnectionId, queue: Queue) -> bool {
         let connections = self.peers.entry(peer).or_default();
         connections.push((id, queue));
         connections.len() == 1
     }
 
     /// A connection has ended; true where it was the last to its peer.
-    pub fn remove(&mut self, peer: SocketAddr, id: ConnectionId) -> bool {
+    pub(crate) fn remove(&mut self, peer: SocketAddr, id: ConnectionId) -> bool {
         let Some(connections) = self.peers.get_mut(&peer) else {
             return false;
         };
@@ -49,14 +49,14 @@
     }
 
     /// Closes the connections to a peer; what was sent before still leaves.
-    pub fn close(&mut self, peer: SocketAddr) {
+    pub(crate) fn close(&mut self, peer: SocketAddr) {
         self.peers.remove(&peer);
     }
 
     /// Queues a message; it is dropped where there is no connection. False where too much waits for
     /// the peer already.
     #[must_use]
-    pub fn send(&self, peer: SocketAddr, message: Message) -> bool {
+    pub(crate) fn send(&self, peer: SocketAddr, message: Message) -> bool {
         match self
             .peers
             .get(&peer)
@@ -68,7 +68,7 @@
     }
 
     /// Whether a message of this connection is still wanted.
-    pub fn holds(&self, peer: SocketAddr, id: ConnectionId) -> bool {
+    pub(crate) fn holds(&self, peer: SocketAddr, id: ConnectionId) -> bool {
         self.peers
             .get(&peer)
             .is_some_and(|connections| connections.iter().any(|(known, _)| *known == id))
--- a/crates/overlay-transport/src/driver.rs
+++ b/crates/overlay-transport/src/driver.rs
@@ -20,9 +20,9 @@
 use crate::queue::{Queue, queue};
 
 /// A connection must come up within this, and tell who opened it.
-const CONNECT: Duration = Duration::from_millis(1_000);
+const CONNECT: Duration = Duration::from_secs(1);
 /// What was sent before a connection is closed must have left within this.
-const FLUSH: Duration = Duration::from_millis(1_000);
+const FLUSH: Duration = Duration::from_secs(1);
 /// What connections may tell before the driver has heard it; then they read no more.
 const TOLD_MOST: usize = 256;
 /// After an accept that failed.
@@ -40,7 +40,7 @@
 type Tell = mpsc::Sender<Told>;
 
 /// A number that is higher at each start: the time of day in ms.
-pub fn incarnation() -> u64 {
+pub(crate) fn incarnation() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -61,7 +61,7 @@
 }
 
 /// Runs until the owner drops its handle.
-pub async fn run(
+pub(crate) async fn run(
     listener: TcpListener,
     me: Descriptor,
     mut commands: mpsc::UnboundedReceiver<Command>,
--- a/crates/overlay-transport/src/queue.rs
+++ b/crates/overlay-transport/src/queue.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Bytes that may wait for a peer, estimated: more than a peer that reads ever leaves waiting.
-pub const MAX_QUEUED_BYTES: usize = 2 * 1024 * 1024;
+pub(crate) const MAX_QUEUED_BYTES: usize = 2 * 1024 * 1024;
 
 /// Bytes that a message without entries counts as, and that each version listed in it adds.
 const MESSAGE_BYTES: usize = 256;
@@ -19,7 +19,7 @@
 
 /// The sending end, held by the driver; the connection ends when it is dropped.
 #[derive(Debug)]
-pub struct Queue {
+pub(crate) struct Queue {
     messages: mpsc::UnboundedSender<Message>,
     waiting_bytes: Rc<Cell<usize>>,
     /// Dropped with the queue, which tells the other end.
@@ -28,13 +28,13 @@
 
 /// The receiving end, held by the connection.
 #[derive(Debug)]
-pub struct QueueReceiver {
+pub(crate) struct QueueReceiver {
     messages: mpsc::UnboundedReceiver<Message>,
     waiting_bytes: Rc<Cell<usize>>,
 }
 
 /// A queue, its other end, and a future that ends when the queue is dropped.
-pub fn queue() -> (Queue, QueueReceiver, impl Future<Output = ()>) {
+pub(crate) fn queue() -> (Queue, QueueReceiver, impl Future<Output = ()>) {
     let (sender, receiver) = mpsc::unbounded_channel();
     let (open, dropped) = oneshot::channel();
     let waiting_bytes = Rc::new(Cell::new(0));
@@ -58,7 +58,7 @@
     /// Adds a message unless too much waits already; whether it was added. One message alone may be
     /// of any size.
     #[must_use]
-    pub fn push(&self, message: Message) -> bool {
+    pub(crate) fn push(&self, message: Message) -> bool {
         let waiting = self.waiting_bytes.get();
         let with_it = waiting + size(&message);
         if waiting > 0 && with_it > MAX_QUEUED_BYTES {
@@ -72,7 +72,7 @@
 
 impl QueueReceiver {
     /// The next message; none once the queue has been dropped and is empty.
-    pub async fn next(&mut self) -> Option<Message> {
+    pub(crate) async fn next(&mut self) -> Option<Message> {
         let message = self.messages.recv().await?;
         self.waiting_bytes
             .set(self.waiting_bytes.get() - size(&message));
--- a/crates/overlay/src/beats.rs
+++ b/crates/overlay/src/beats.rs
@@ -100,6 +100,7 @@
     }
 
     /// Time since the newest beat of any coordinator was sent; `None` before the first.
+    #[must_use]
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.newest.values().map(|newest| newest.age(now)).min()
     }
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! - [`Store`] holds an entry per key; the newest version wins, in whatever order versions arrive.
 //!   Stores are compared by digest.
-//! - [`View`] is a partial view of the nodes, kept fresh by shuffles (Cyclon, HyParView).
+//! - [`View`] is a partial view of the nodes, kept fresh by shuffles (Cyclon, `HyParView`).
 //! - [`Overlay`] holds the links, the tree over them (Plumtree) with one edge into each region,
 //!   heartbeats only where there is no other traffic, and the repair.
 //!
--- a/crates/overlay/src/link.rs
+++ b/crates/overlay/src/link.rs
@@ -52,7 +52,7 @@
 }
 
 impl Link {
-    pub fn new(now: Duration) -> Link {
+    pub(crate) fn new(now: Duration) -> Link {
         Link {
             node: None,
             opened_here: false,
@@ -78,12 +78,12 @@
         }
     }
 
-    pub fn is_coordinator(&self) -> bool {
+    pub(crate) fn is_coordinator(&self) -> bool {
         self.node.is_some_and(|node| node.is_coordinator())
     }
 
     /// The number and the confirmation for a heartbeat that leaves now.
-    pub fn number(&mut self, now: Duration) -> (u32, u32) {
+    pub(crate) fn number(&mut self, now: Duration) -> (u32, u32) {
         self.sequence += 1;
         self.status_sent = now;
         self.unconfirmed.get_or_insert((self.sequence, now));
@@ -91,7 +91,7 @@
     }
 
     /// Takes the neighbour's heartbeat in; whether its position changed.
-    pub fn heartbeat(&mut self, heartbeat: &Heartbeat) -> bool {
+    pub(crate) fn heartbeat(&mut self, heartbeat: &Heartbeat) -> bool {
         // The first one is answered at once: it is by the answer that the neighbour knows of both
         // ways.
         self.tell |= self.peer_sequence == 0;
@@ -112,12 +112,12 @@
     }
 
     /// Since when a heartbeat has waited for its confirmation.
-    pub fn unconfirmed_since(&self) -> Option<Duration> {
+    pub(crate) fn unconfirmed_since(&self) -> Option<Duration> {
         self.unconfirmed.map(|(_, at)| at)
     }
 
     /// Puts off all deadlines of the neighbour by the time that this node was stopped.
-    pub fn forgive(&mut self, stall: Duration) {
+    pub(crate) fn forgive(&mut self, stall: Duration) {
         self.opened += stall;
         self.heard += stall;
         if let Some((_, since)) = &mut self.unconfirmed {
@@ -126,23 +126,23 @@
     }
 
     /// When the last heartbeat was sent.
-    pub fn status_sent(&self) -> Duration {
+    pub(crate) fn status_sent(&self) -> Duration {
         self.status_sent
     }
 
     /// When the next heartbeat is due with this interval: the interval after the last message, and
     /// at the latest some intervals after the last heartbeat.
-    pub fn heartbeat_due(&self, interval: Duration) -> Duration {
+    pub(crate) fn heartbeat_due(&self, interval: Duration) -> Duration {
         (self.sent + interval).min(self.status_sent + interval * STATUS_INTERVALS)
     }
 
     /// When pending changes are pushed.
-    pub fn push_due(&self, batch: Duration) -> Option<Duration> {
+    pub(crate) fn push_due(&self, batch: Duration) -> Option<Duration> {
         (!self.eager.is_empty()).then_some(self.pushed + batch)
     }
 
     /// The neighbour has `key` in the version that we have, by its own word.
-    pub fn settle(&mut self, key: Key) {
+    pub(crate) fn settle(&mut self, key: Key) {
         self.lazy.remove(&key);
         self.eager.remove(&key);
         if self.lazy.is_empty() {
@@ -153,12 +153,14 @@
 
 impl Position {
     /// Whether a node at this position is fed, or a coordinator.
+    #[must_use]
     pub fn is_attached(&self) -> bool {
         !matches!(self, Position::Detached)
     }
 
     /// Whether a node at this position is fed by a coordinator in contact with a majority, or is
     /// one.
+    #[must_use]
     pub fn is_in_contact(&self) -> bool {
         matches!(
             self,
@@ -184,6 +186,7 @@
     }
 
     /// Hops from a coordinator; `None` when not fed.
+    #[must_use]
     pub fn depth(&self) -> Option<usize> {
         match self {
             Position::Root { .. } => Some(0),
--- a/crates/overlay/src/message.rs
+++ b/crates/overlay/src/message.rs
@@ -24,6 +24,7 @@
 
 impl Entry {
     /// About how many bytes it takes on the wire.
+    #[must_use]
     pub fn size(&self) -> usize {
         const HEAD: usize = 16;
         HEAD + self.payload.as_ref().map_or(0, |payload| payload.len())
@@ -181,7 +182,7 @@
 
 /// Payloads as byte strings, shared in memory.
 mod optional_bytes {
-    use super::*;
+    use super::{Arc, Deserialize, Deserializer, Serialize, Serializer};
     use serde::de::{Error, SeqAccess, Visitor};
 
     struct Bytes<'a>(&'a [u8]);
--- a/crates/overlay/src/node.rs
+++ b/crates/overlay/src/node.rs
@@ -30,6 +30,7 @@
 
 impl Place {
     /// The place with these names: 32-bit hashes of them.
+    #[must_use]
     pub fn named(region: &str, zone: &str) -> Place {
         let short = |name: &str| hash::bytes(name.as_bytes()) as u32;
         Place {
@@ -39,6 +40,7 @@
     }
 
     /// Whether `other` lies in the same region.
+    #[must_use]
     pub fn same_region(self, other: Place) -> bool {
         self.region == other.region
     }
@@ -59,23 +61,27 @@
 
 impl Descriptor {
     /// Its short identity.
+    #[must_use]
     pub fn id(&self) -> NodeId {
         hash::address(self.address) as u32
     }
 
     /// Identity of its beats: another one for each incarnation, so that counters may begin at 1
     /// again.
+    #[must_use]
     pub fn beat_source(&self) -> NodeId {
         hash::pair(hash::address(self.address), self.incarnation) as u32
     }
 
     /// Its rank among nodes that compete for a place at the head of a region or zone: the lowest
     /// stays. Never 0, which stands for a coordinator.
+    #[must_use]
     pub fn score(&self) -> u32 {
         ((hash::pair(hash::address(self.address), self.incarnation) >> 32) as u32).max(1)
     }
 
     /// Whether it is a coordinator.
+    #[must_use]
     pub fn is_coordinator(&self) -> bool {
         self.role == Role::Coordinator
     }
--- a/crates/overlay/src/overlay.rs
+++ b/crates/overlay/src/overlay.rs
@@ -187,6 +187,7 @@
 impl Overlay {
     /// A node that knows nobody yet. `now` is the time of a steady clock of this machine, `seed`
     /// starts its random choices and should differ between nodes.
+    #[must_use]
     pub fn new(me: Descriptor, settings: Settings, seed: u64, now: Duration) -> Overlay {
         let mut store = Store::new(settings.tombstone);
         if !settings.guards.version_check {
@@ -297,22 +298,26 @@
     }
 
     /// What is held of `key`: version and content.
+    #[must_use]
     pub fn get(&self, key: Key) -> Option<&Held> {
         self.store.get(key)
     }
 
     /// The entries held.
+    #[must_use]
     pub fn store(&self) -> &Store {
         &self.store
     }
 
     /// This node.
+    #[must_use]
     pub fn node(&self) -> &Descriptor {
         &self.me
     }
 
     /// Time since the newest beat of any coordinator left it, less the shortest time one was on its
     /// way; `None` before the first. Zero at a coordinator.
+    #[must_use]
     pub fn freshness(&self, now: Duration) -> Option<Duration> {
         if self.me.is_coordinator() {
             Some(Duration::ZERO)
@@ -327,11 +332,13 @@
     }
 
     /// Where the node stands in the tree.
+    #[must_use]
     pub fn position(&self) -> &Position {
         &self.feed.position
     }
 
     /// The node that pushes changes to this agent.
+    #[must_use]
     pub fn source(&self) -> Option<SocketAddr> {
         self.feed.source
     }
@@ -350,6 +357,7 @@
     }
 
     /// The nodes known besides the neighbours.
+    #[must_use]
     pub fn view(&self) -> &View {
         &self.view
     }
--- a/crates/overlay/src/overlay/flow.rs
+++ b/crates/overlay/src/overlay/flow.rs
@@ -125,7 +125,7 @@
         self.links
             .values()
             .filter_map(|link| link.node)
-            .filter(|node| node.is_coordinator())
+            .filter(super::super::node::Descriptor::is_coordinator)
     }
 
     /// The coordinators of the own region, and of each other region the one this node prefers.
--- a/crates/overlay/src/overlay/tree.rs
+++ b/crates/overlay/src/overlay/tree.rs
@@ -357,7 +357,7 @@
             .filter_map(|link| link.node);
         let near =
             fed.filter(|node| node.place.same_region(self.me.place) && !node.is_coordinator());
-        near.min_by_key(|node| node.score())
+        near.min_by_key(super::super::node::Descriptor::score)
             .map(|node| node.address)
     }
 
--- a/crates/overlay/src/overlay/upkeep.rs
+++ b/crates/overlay/src/overlay/upkeep.rs
@@ -258,7 +258,7 @@
             .filter(move |(peer, link)| !self.is_quiet(now, **peer, link));
         let linked = live
             .filter_map(|(_, link)| link.node)
-            .filter(|node| node.is_coordinator());
+            .filter(super::super::node::Descriptor::is_coordinator);
         let known = |peer: &SocketAddr| {
             self.view
                 .coordinators()
--- a/crates/overlay/src/store.rs
+++ b/crates/overlay/src/store.rs
@@ -61,6 +61,7 @@
 
 impl Store {
     /// An empty store that remembers removals for `tombstone`.
+    #[must_use]
     pub fn new(tombstone: Duration) -> Store {
         Store {
             entries: BTreeMap::new(),
@@ -74,6 +75,7 @@
 
     /// Test-only: takes every version as newer.
     #[doc(hidden)]
+    #[must_use]
     pub fn without_version_check(mut self) -> Store {
         self.check_versions = false;
         self
@@ -180,21 +182,25 @@
     }
 
     /// When [`Store::expire`] has work next.
+    #[must_use]
     pub fn next_expiry(&self) -> Option<Duration> {
         self.next_expiry
     }
 
     /// What is held of `key`, removals included.
+    #[must_use]
     pub fn get(&self, key: Key) -> Option<&Held> {
         self.entries.get(&key)
     }
 
     /// The version held of `key`, 0 for none.
+    #[must_use]
     pub fn version(&self, key: Key) -> Version {
         self.entries.get(&key).map_or(0, |held| held.version)
     }
 
     /// What is held of `key`, in the form in which it is sent.
+    #[must_use]
     pub fn entry(&self, now: Duration, key: Key) -> Option<Entry> {
         self.entries.get(&key).map(|held| held.entry(now, key))
     }
@@ -205,21 +211,25 @@
     }
 
     /// Number of entries that are not removed.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len() - self.tombstones
     }
 
     /// Whether nothing is held but removals.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
     /// Number of removals remembered.
+    #[must_use]
     pub fn tombstones(&self) -> usize {
         self.tombstones
     }
 
     /// Bytes of payload held.
+    #[must_use]
     pub fn payload_bytes(&self) -> usize {
         self.entries
             .values()
--- a/crates/overlay/src/store/digest.rs
+++ b/crates/overlay/src/store/digest.rs
@@ -23,6 +23,7 @@
 
 impl Store {
     /// One number for the whole content: equal for equal stores.
+    #[must_use]
     pub fn root(&self) -> u64 {
         self.buckets
             .iter()
@@ -30,6 +31,7 @@
     }
 
     /// The hashes of all buckets: 256 bytes and their count.
+    #[must_use]
     pub fn digest(&self) -> Buckets {
         Buckets(
             self.buckets
@@ -41,6 +43,7 @@
 
     /// The buckets that differ from `other`, one bit each. All, if the roots differ though no
     /// bucket seems to.
+    #[must_use]
     pub fn difference(&self, other: &Buckets) -> u64 {
         let mine = self.digest();
         let pairs = mine.0.iter().zip(other.0.iter()).enumerate();
@@ -55,6 +58,7 @@
     }
 
     /// The versions held in the buckets of `mask`, without removals that have left the digest.
+    #[must_use]
     pub fn list(&self, mask: u64) -> Vec<(Key, Version)> {
         let chosen = self
             .entries
@@ -65,6 +69,7 @@
 
     /// Compares the buckets of `mask` with the versions `listed` by another store: keys of which
     /// this one has newer entries, and keys of which the other has.
+    #[must_use]
     pub fn compare(&self, mask: u64, listed: &[(Key, Version)]) -> (Vec<Key>, Vec<Key>) {
         let theirs: std::collections::BTreeMap<Key, Version> = listed.iter().copied().collect();
         let newer =
@@ -83,6 +88,7 @@
 
     /// Entries of `keys` up to `limit` bytes of payload, at least one, and whether some were left
     /// out.
+    #[must_use]
     pub fn collect(&self, now: Duration, keys: &[Key], limit: usize) -> (Vec<Entry>, bool) {
         let mut entries = Vec::new();
         let mut size = 0;
--- a/crates/overlay/src/view.rs
+++ b/crates/overlay/src/view.rs
@@ -1,6 +1,6 @@
 //! Partial view of the nodes, kept fresh by shuffles.
 //!
-//! After Cyclon (Voulgaris, Gavidia and van Steen 2005) for the ages and HyParView (Leitão, Pereira
+//! After Cyclon (Voulgaris, Gavidia and van Steen 2005) for the ages and `HyParView` (Leitão, Pereira
 //! and Rodrigues 2007) for the split: the links are the active view and belong to
 //! [`crate::Overlay`], the passive view is here. It is kept in parts, as the choice of links needs
 //! all of them: the coordinators, nodes of the own region, nodes of others.
@@ -61,6 +61,7 @@
 
 impl View {
     /// An empty view of `me`.
+    #[must_use]
     pub fn new(me: Descriptor, settings: &Settings) -> View {
         let coordinator = me.is_coordinator();
         View {
@@ -147,6 +148,7 @@
     }
 
     /// What is known of the node at `address`.
+    #[must_use]
     pub fn get(&self, address: SocketAddr) -> Option<&Known> {
         let near = self.near.get(&address);
         near.or_else(|| self.far.get(&address))
@@ -169,11 +171,13 @@
     }
 
     /// Number of nodes in the view.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.near.len() + self.far.len() + self.coordinators.len()
     }
 
     /// Whether nobody is known.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/overlay/tests/overlay/plan.rs
+++ b/crates/overlay/tests/overlay/plan.rs
@@ -6,7 +6,7 @@
 
 /// A deployment: coordinators first, then agents, spread over the regions and zones in turn.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub(crate) struct Plan {
     pub coordinators: usize,
     pub agents: usize,
     pub regions: usize,
@@ -16,35 +16,35 @@
 }
 
 impl Plan {
-    pub const SMALL: Plan = Plan {
+    pub(crate) const SMALL: Plan = Plan {
         coordinators: 3,
         agents: 7,
         regions: 2,
         zones: 2,
         core_regions: 2,
     };
-    pub const TWENTY: Plan = Plan {
+    pub(crate) const TWENTY: Plan = Plan {
         coordinators: 3,
         agents: 20,
         regions: 3,
         zones: 2,
         core_regions: 2,
     };
-    pub const HUNDRED: Plan = Plan {
+    pub(crate) const HUNDRED: Plan = Plan {
         coordinators: 5,
         agents: 100,
         regions: 5,
         zones: 3,
         core_regions: 3,
     };
-    pub const FIVE_HUNDRED: Plan = Plan {
+    pub(crate) const FIVE_HUNDRED: Plan = Plan {
         coordinators: 5,
         agents: 500,
         regions: 10,
         zones: 4,
         core_regions: 5,
     };
-    pub const TWO_THOUSAND: Plan = Plan {
+    pub(crate) const TWO_THOUSAND: Plan = Plan {
         coordinators: 17,
         agents: 2_000,
         regions: 10,
@@ -52,11 +52,11 @@
         core_regions: 5,
     };
 
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.coordinators + self.agents
     }
 
-    pub fn descriptor(&self, index: usize) -> Descriptor {
+    pub(crate) fn descriptor(&self, index: usize) -> Descriptor {
         let role = if index < self.coordinators {
             Role::Coordinator
         } else {
@@ -81,11 +81,11 @@
     }
 }
 
-pub fn address(index: usize) -> SocketAddr {
+pub(crate) fn address(index: usize) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::from(0x0a00_0000 + index as u32), 7_000))
 }
 
-pub fn index(address: SocketAddr) -> usize {
+pub(crate) fn index(address: SocketAddr) -> usize {
     let SocketAddr::V4(address) = address else {
         panic!("version 4")
     };
--- a/crates/overlay/tests/overlay/sim.rs
+++ b/crates/overlay/tests/overlay/sim.rs
@@ -14,11 +14,11 @@
 use crate::plan::{Plan, address, index};
 use crate::traffic::{Traffic, wire_size};
 
-pub const fn ms(milliseconds: u64) -> Duration {
+pub(crate) const fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-pub struct Node {
+pub(crate) struct Node {
     pub descriptor: Descriptor,
     pub overlay: Option<Overlay>,
     pub sent: Traffic,
@@ -102,7 +102,7 @@
 
 /// What becomes of messages and connections across a cut.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Across {
+pub(crate) enum Across {
     /// Messages are lost, connections stay.
     #[default]
     Lost,
@@ -114,7 +114,7 @@
     Refused,
 }
 
-pub struct Sim {
+pub(crate) struct Sim {
     pub now: Duration,
     pub plan: Plan,
     pub settings: Settings,
@@ -142,7 +142,7 @@
 impl Sim {
     /// All nodes of `plan` started within a second of each other, with up to three coordinators as
     /// seeds.
-    pub fn start(plan: Plan, settings: Settings, seed: u64) -> Sim {
+    pub(crate) fn start(plan: Plan, settings: Settings, seed: u64) -> Sim {
         let mut sim = Sim::new(plan, settings, seed);
         for node in 0..plan.len() {
             sim.boot(node);
@@ -151,7 +151,7 @@
     }
 
     /// The nodes of `plan`, none of which runs.
-    pub fn new(plan: Plan, settings: Settings, seed: u64) -> Sim {
+    pub(crate) fn new(plan: Plan, settings: Settings, seed: u64) -> Sim {
         let nodes = (0..plan.len())
             .map(|at| Node::new(plan.descriptor(at)))
             .collect();
@@ -177,7 +177,7 @@
     }
 
     /// Starts the process of `node` with a new incarnation.
-    pub fn boot(&mut self, node: usize) {
+    pub(crate) fn boot(&mut self, node: usize) {
         self.nodes[node].descriptor.incarnation += 1;
         let seed = self.random.random();
         let overlay = Overlay::new(
@@ -194,19 +194,19 @@
     }
 
     /// Adds a node that was not part of the plan.
-    pub fn add(&mut self, descriptor: Descriptor) -> usize {
+    pub(crate) fn add(&mut self, descriptor: Descriptor) -> usize {
         self.place(descriptor);
         self.boot(self.nodes.len() - 1);
         self.nodes.len() - 1
     }
 
     /// Adds a node that does not run yet.
-    pub fn place(&mut self, descriptor: Descriptor) {
+    pub(crate) fn place(&mut self, descriptor: Descriptor) {
         self.nodes.push(Node::new(descriptor));
     }
 
     /// Ends a process: its neighbours see closed connections.
-    pub fn kill(&mut self, node: usize) {
+    pub(crate) fn kill(&mut self, node: usize) {
         let peers: Vec<(usize, u64)> = self.nodes[node]
             .connections
             .iter()
@@ -220,7 +220,7 @@
     }
 
     /// Ends a machine: its neighbours see nothing.
-    pub fn power_off(&mut self, node: usize) {
+    pub(crate) fn power_off(&mut self, node: usize) {
         self.nodes[node].dark = true;
         self.nodes[node].overlay = None;
         self.nodes[node].unread = None;
@@ -229,45 +229,45 @@
     }
 
     /// Running agents that nobody feeds.
-    pub fn unfed(&self) -> usize {
+    pub(crate) fn unfed(&self) -> usize {
         let running = self.nodes.iter().filter_map(|node| node.overlay.as_ref());
         running
             .filter(|overlay| !overlay.position().is_attached())
             .count()
     }
 
-    pub fn source(&self, agent: usize) -> Option<usize> {
+    pub(crate) fn source(&self, agent: usize) -> Option<usize> {
         self.nodes[agent].overlay.as_ref()?.source().map(index)
     }
 
     /// Whether the source of `agent` lies in another region.
-    pub fn is_fed_from_outside(&self, agent: usize) -> bool {
+    pub(crate) fn is_fed_from_outside(&self, agent: usize) -> bool {
         let place = self.nodes[agent].descriptor.place;
         self.source(agent)
             .is_some_and(|source| !self.nodes[source].descriptor.place.same_region(place))
     }
 
-    pub fn is_up(&self, node: usize) -> bool {
+    pub(crate) fn is_up(&self, node: usize) -> bool {
         self.nodes[node].overlay.is_some()
     }
 
     /// Stops a process; what is sent to it waits.
-    pub fn freeze(&mut self, node: usize) {
+    pub(crate) fn freeze(&mut self, node: usize) {
         self.nodes[node].unread = Some(Vec::new());
     }
 
     /// Lets a frozen process run on, which then reads what has waited.
-    pub fn thaw(&mut self, node: usize) {
+    pub(crate) fn thaw(&mut self, node: usize) {
         let unread = self.nodes[node].unread.take().unwrap_or_default();
         unread.into_iter().for_each(|event| self.give(node, event));
     }
 
-    pub fn cut(&mut self, cut: impl Fn(&Descriptor, &Descriptor) -> bool + 'static) {
+    pub(crate) fn cut(&mut self, cut: impl Fn(&Descriptor, &Descriptor) -> bool + 'static) {
         self.cut_with(Across::Lost, cut);
     }
 
     /// Cuts the pairs, of sender and receiver, that `cut` selects.
-    pub fn cut_with(
+    pub(crate) fn cut_with(
         &mut self,
         across: Across,
         cut: impl Fn(&Descriptor, &Descriptor) -> bool + 'static,
@@ -280,7 +280,7 @@
         }
     }
 
-    pub fn heal(&mut self) {
+    pub(crate) fn heal(&mut self) {
         self.cut(|_, _| false);
     }
 
@@ -323,11 +323,11 @@
     }
 
     /// Whether both nodes run and messages pass in both directions.
-    pub fn reaches(&self, from: usize, to: usize) -> bool {
+    pub(crate) fn reaches(&self, from: usize, to: usize) -> bool {
         self.is_up(from) && self.is_up(to) && !self.is_cut(from, to) && !self.is_cut(to, from)
     }
 
-    pub fn publish(&mut self, node: usize, key: u64, version: u64, size: usize) -> Duration {
+    pub(crate) fn publish(&mut self, node: usize, key: u64, version: u64, size: usize) -> Duration {
         let payload: Arc<[u8]> = Arc::from(vec![(key ^ version) as u8; size]);
         self.give(
             node,
@@ -340,7 +340,7 @@
         self.now
     }
 
-    pub fn run_for(&mut self, time: Duration) {
+    pub(crate) fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
         while self
             .queue
@@ -468,7 +468,7 @@
     }
 
     /// Gives an event to a node and carries out its actions.
-    pub fn give(&mut self, node: usize, event: Event) {
+    pub(crate) fn give(&mut self, node: usize, event: Event) {
         if let Some(unread) = &mut self.nodes[node].unread {
             return unread.push(event);
         }
--- a/crates/overlay/tests/overlay/spread.rs
+++ b/crates/overlay/tests/overlay/spread.rs
@@ -114,7 +114,7 @@
         .filter(|node| Some(*node) != source);
     let positions = others
         .filter_map(|node| sim.nodes[node].overlay.as_ref())
-        .map(|overlay| overlay.position());
+        .map(ironmast_overlay::Overlay::position);
     let independent = |position: &&Position| match position {
         Position::Root { .. } => true,
         Position::Detached => false,
--- a/crates/overlay/tests/overlay/traffic.rs
+++ b/crates/overlay/tests/overlay/traffic.rs
@@ -7,7 +7,7 @@
 const FRAME: u64 = 8;
 
 #[derive(Clone, Debug, Default)]
-pub struct Traffic {
+pub(crate) struct Traffic {
     pub messages: u64,
     pub bytes: u64,
     /// Bytes to other regions.
@@ -16,6 +16,6 @@
     pub far_entries: u64,
 }
 
-pub fn wire_size(message: &Message) -> u64 {
+pub(crate) fn wire_size(message: &Message) -> u64 {
     FRAME + postcard::serialize_with_flavor(message, Size::default()).expect("serializable") as u64
 }
--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -31,6 +31,7 @@
 
 impl<V> Record<V> {
     /// Record of a replica that is no member yet.
+    #[must_use]
     pub fn empty(identity: Identity) -> Self {
         Self {
             identity,
@@ -56,6 +57,7 @@
     }
 
     /// Whether the replica has promised, accepted or proposed anything beyond the initial state.
+    #[must_use]
     pub fn has_voted(&self) -> bool {
         let accepted = self
             .accepted
@@ -104,6 +106,7 @@
 
 impl<V: Clone> Acceptor<V> {
     /// An acceptor whose record is durable already.
+    #[must_use]
     pub fn recovered(record: Record<V>, guards: Guards) -> Self {
         Self {
             durable: record.clone(),
@@ -120,6 +123,7 @@
 
     /// An acceptor whose first record must become durable before anything is said: a new one, or
     /// one that was read and may stand in the page cache only.
+    #[must_use]
     pub fn fresh(record: Record<V>, guards: Guards) -> Self {
         let mut acceptor = Self::recovered(Record::empty(record.identity), guards);
         acceptor.record = record;
@@ -129,44 +133,53 @@
     }
 
     /// Identity of the replica.
+    #[must_use]
     pub fn identity(&self) -> Identity {
         self.record.identity
     }
 
     /// What is accepted and durable.
+    #[must_use]
     pub fn accepted(&self) -> Option<&Proposal<V>> {
         self.durable.accepted.as_ref()
     }
 
     /// The highest ballot promised, durable or not.
+    #[must_use]
     pub fn promised(&self) -> Ballot {
         self.record.promised
     }
 
     /// Highest ballot counter that the proposer of this node may use.
+    #[must_use]
     pub fn reserved(&self) -> u64 {
-        match self.guards.keeps(Guard::BallotReservation) {
-            true => self.durable.reserved,
-            false => u64::MAX,
+        if self.guards.keeps(Guard::BallotReservation) {
+            self.durable.reserved
+        } else {
+            u64::MAX
         }
     }
 
     /// Highest ballot counter that earlier lives may have used.
+    #[must_use]
     pub fn used(&self) -> u64 {
         self.record.reserved
     }
 
     /// Whether nothing is answered yet, since the first record isn't durable.
+    #[must_use]
     pub fn awaits_first_record(&self) -> bool {
         self.awaits_first_record
     }
 
     /// Whether the replica holds no state at all, durable or not.
+    #[must_use]
     pub fn is_blank(&self) -> bool {
         self.record.accepted.is_none()
     }
 
     /// Whether the replica has promised, accepted or proposed anything beyond the initial state.
+    #[must_use]
     pub fn has_voted(&self) -> bool {
         self.record.has_voted()
     }
@@ -191,9 +204,10 @@
             return None;
         }
         let round = request.round;
-        let sender = match self.guards.keeps(Guard::IdentityCheck) {
-            true => self.record.identity,
-            false => request.to,
+        let sender = if self.guards.keeps(Guard::IdentityCheck) {
+            self.record.identity
+        } else {
+            request.to
         };
         let (answer, durable) = self.answer(request, chosen);
         let addressed = Addressed {
--- a/crates/register/src/contact.rs
+++ b/crates/register/src/contact.rs
@@ -40,6 +40,7 @@
 
 impl Contact {
     /// No contact yet. `first` is the number of the first question; it must differ at each start.
+    #[must_use]
     pub fn new(bound: Duration, first: QuestionNumber) -> Self {
         Self {
             bound,
@@ -51,6 +52,7 @@
     }
 
     /// When the next question is due.
+    #[must_use]
     pub fn wake(&self) -> Duration {
         self.ask_at
     }
@@ -85,6 +87,7 @@
 
     /// When the newest question was asked that a majority of each set held has answered; `own` has,
     /// at every moment.
+    #[must_use]
     pub fn since(&self, now: Duration, own: Identity, members: &Membership) -> Option<Duration> {
         let current = self.since_majority(now, own, &members.current)?;
         match &members.next {
@@ -94,15 +97,19 @@
     }
 
     /// Whether contact is younger than the bound.
+    #[must_use]
     pub fn is_held(&self, now: Duration, own: Identity, members: &Membership) -> bool {
         self.since(now, own, members)
             .is_some_and(|since| now < since + self.bound)
     }
 
     fn since_majority(&self, now: Duration, own: Identity, set: &ReplicaSet) -> Option<Duration> {
-        let answered = |identity| match identity == own {
-            true => Some(now),
-            false => self.answered.get(&identity).copied(),
+        let answered = |identity| {
+            if identity == own {
+                Some(now)
+            } else {
+                self.answered.get(&identity).copied()
+            }
         };
         let mut times: Vec<Duration> = set
             .replicas()
--- a/crates/register/src/contact/tests.rs
+++ b/crates/register/src/contact/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 use crate::replicas::Replica;
 
-const BOUND: Duration = Duration::from_millis(1_000);
+const BOUND: Duration = Duration::from_secs(1);
 const OWN: Identity = Identity(1);
 
 fn ms(millis: u64) -> Duration {
--- a/crates/register/src/guard.rs
+++ b/crates/register/src/guard.rs
@@ -44,6 +44,7 @@
 impl Guards {
     /// All guards but one.
     #[cfg(feature = "mutations")]
+    #[must_use]
     pub fn without(guard: Guard) -> Self {
         Self {
             removed: Some(guard),
@@ -52,6 +53,7 @@
 
     /// Whether the guard is in force.
     #[cfg(feature = "mutations")]
+    #[must_use]
     pub fn keeps(self, guard: Guard) -> bool {
         self.removed != Some(guard)
     }
--- a/crates/register/src/learner.rs
+++ b/crates/register/src/learner.rs
@@ -26,11 +26,13 @@
 
 impl<V: Clone> Learner<V> {
     /// The newest proposal known as chosen.
+    #[must_use]
     pub fn chosen(&self) -> Option<&Proposal<V>> {
         self.chosen.as_ref()
     }
 
     /// Ballot of the newest proposal known as chosen.
+    #[must_use]
     pub fn ballot(&self) -> Ballot {
         self.chosen
             .as_ref()
@@ -38,6 +40,7 @@
     }
 
     /// Sequence of the newest proposal known as chosen.
+    #[must_use]
     pub fn sequence(&self) -> Option<u64> {
         self.chosen.as_ref().map(|proposal| proposal.state.sequence)
     }
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -1,6 +1,6 @@
 //! The compare-and-swap register: two quorum rounds, no log, no leader; without I/O.
 //!
-//! After CASPaxos (Rystsov 2018). A [`Node`] takes [`Event`]s with the time of a steady clock and
+//! After `CASPaxos` (Rystsov 2018). A [`Node`] takes [`Event`]s with the time of a steady clock and
 //! gives [`Action`]s; the caller sends messages, makes records durable and keeps one timer.
 #![forbid(unsafe_code)]
 
--- a/crates/register/src/node.rs
+++ b/crates/register/src/node.rs
@@ -308,7 +308,7 @@
         for effect in effects {
             match effect {
                 Effect::Send { to, request } => {
-                    self.send_request(now, to.address, request, actions)
+                    self.send_request(now, to.address, request, actions);
                 }
                 Effect::Done { id, outcome } => actions.push(Action::Completed { id, outcome }),
                 Effect::Chosen { proposal, announce } => {
--- a/crates/register/src/node/background.rs
+++ b/crates/register/src/node/background.rs
@@ -170,9 +170,10 @@
         if self.proposer.is_busy() {
             return;
         }
-        match is_joint {
-            true => self.settle(now),
-            false => self.read(now),
+        if is_joint {
+            self.settle(now)
+        } else {
+            self.read(now)
         }
     }
 
--- a/crates/register/src/node/bootstrap.rs
+++ b/crates/register/src/node/bootstrap.rs
@@ -22,9 +22,10 @@
             .first_start
             .as_ref()
             .is_some_and(|first_start| !first_start.has_returned);
-        match self.acceptor.is_blank() || is_new && self.acceptor.awaits_first_record() {
-            true => Past::Blank,
-            false => Past::Initial,
+        if self.acceptor.is_blank() || is_new && self.acceptor.awaits_first_record() {
+            Past::Blank
+        } else {
+            Past::Initial
         }
     }
 
--- a/crates/register/src/node/question.rs
+++ b/crates/register/src/node/question.rs
@@ -30,9 +30,10 @@
     ) {
         let own = self.echo(echo.number);
         let is_outdated = echo.newest > own.newest && echo.members != own.members;
-        match is_outdated {
-            true => self.fetch(now, address, echo.newest, actions),
-            false => self.contact.answer(sender, echo.number),
+        if is_outdated {
+            self.fetch(now, address, echo.newest, actions)
+        } else {
+            self.contact.answer(sender, echo.number)
         }
     }
 
--- a/crates/register/src/operation.rs
+++ b/crates/register/src/operation.rs
@@ -72,6 +72,7 @@
     pub const OUTDATED: &str = "the replica set has changed";
 
     /// The replica that is left out, if any.
+    #[must_use]
     pub fn leaves(&self) -> Option<Identity> {
         match self {
             Self::Add(_) => None,
--- a/crates/register/src/proposer/pacing.rs
+++ b/crates/register/src/proposer/pacing.rs
@@ -63,8 +63,9 @@
 /// Average of the time that a quorum takes. Rounds in which something may have been sent again tell
 /// nothing.
 pub(super) fn smoothed(average: Duration, sample: Duration, resend: Duration) -> Duration {
-    match sample < resend {
-        true => (average * 3 + sample) / 4,
-        false => average,
+    if sample < resend {
+        (average * 3 + sample) / 4
+    } else {
+        average
     }
 }
--- a/crates/register/src/proposer/rounds.rs
+++ b/crates/register/src/proposer/rounds.rs
@@ -113,7 +113,7 @@
             Stage::Accept => self.advance_accept(now, effects),
             Stage::Query | Stage::Prepare => match active.round.found() {
                 Some(found) if active.round.stage == Stage::Query => {
-                    self.advance_query(now, &found, effects)
+                    self.advance_query(now, &found, effects);
                 }
                 Some(found) => self.decide(now, &found, effects),
                 None => active.disagreed = None,
--- a/crates/register/src/random.rs
+++ b/crates/register/src/random.rs
@@ -1,4 +1,4 @@
-//! A small seeded generator for waits (SplitMix64, Steele, Lea and Flood 2014).
+//! A small seeded generator for waits (`SplitMix64`, Steele, Lea and Flood 2014).
 
 use std::time::Duration;
 
--- a/crates/register/src/replicas.rs
+++ b/crates/register/src/replicas.rs
@@ -42,42 +42,50 @@
     }
 
     /// The replicas, ordered by identity.
+    #[must_use]
     pub fn replicas(&self) -> &[Replica] {
         &self.0
     }
 
     /// Number of replicas.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
     /// Whether there is no replica.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
     /// Smallest number of replicas of which any two selections overlap.
+    #[must_use]
     pub fn majority(&self) -> usize {
         self.0.len() / 2 + 1
     }
 
     /// Whether the identity belongs to the set.
+    #[must_use]
     pub fn contains(&self, identity: Identity) -> bool {
         self.0.iter().any(|replica| replica.identity == identity)
     }
 
     /// Whether both sets hold the same identities.
+    #[must_use]
     pub fn has_same_identities(&self, other: &Self) -> bool {
         let identity = |replica: &Replica| replica.identity;
         self.0.iter().map(identity).eq(other.0.iter().map(identity))
     }
 
     /// The set with one replica more.
+    #[must_use]
     pub fn with(&self, replica: Replica) -> Self {
         Self::new(self.0.iter().cloned().chain([replica]))
     }
 
     /// The set without the replica of that identity.
+    #[must_use]
     pub fn without(&self, identity: Identity) -> Self {
         Self(
             self.0
@@ -109,6 +117,7 @@
 
 impl Membership {
     /// A membership of one set.
+    #[must_use]
     pub fn single(current: ReplicaSet) -> Self {
         Self {
             current,
@@ -117,6 +126,7 @@
     }
 
     /// A membership of two sets, both of which must agree.
+    #[must_use]
     pub fn joint(current: ReplicaSet, next: ReplicaSet) -> Self {
         Self {
             current,
@@ -125,28 +135,32 @@
     }
 
     /// Whether two sets are held.
+    #[must_use]
     pub fn is_joint(&self) -> bool {
         self.next.is_some()
     }
 
     /// The set that is in force or about to be.
+    #[must_use]
     pub fn latest(&self) -> &ReplicaSet {
         self.next.as_ref().unwrap_or(&self.current)
     }
 
     /// All replicas of the sets held, each once.
     pub fn replicas(&self) -> impl Iterator<Item = &Replica> {
-        let added = self.next.iter().flat_map(|set| set.replicas());
+        let added = self.next.iter().flat_map(ReplicaSet::replicas);
         let added = added.filter(|replica| !self.current.contains(replica.identity));
         self.current.replicas().iter().chain(added)
     }
 
     /// Whether the identity belongs to any set held.
+    #[must_use]
     pub fn contains(&self, identity: Identity) -> bool {
         self.replicas().any(|replica| replica.identity == identity)
     }
 
     /// A number that differs between memberships of different identities.
+    #[must_use]
     pub fn fingerprint(&self) -> u64 {
         let sets = [Some(&self.current), self.next.as_ref()]
             .into_iter()
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -61,6 +61,7 @@
 impl<V: Clone> Round<V> {
     /// A round of reports without promises. `base` is what the proposer knows as chosen, `view` the
     /// newest state that it has seen.
+    #[must_use]
     pub fn query(
         id: RoundId,
         base: Option<Proposal<V>>,
@@ -86,6 +87,7 @@
     }
 
     /// The round with promises in the ballot instead of mere reports.
+    #[must_use]
     pub fn with_promises(self, ballot: Ballot) -> Self {
         Self {
             stage: Stage::Prepare,
@@ -95,9 +97,10 @@
     }
 
     /// The replicas that have not answered yet.
+    #[must_use]
     pub fn unanswered(&self) -> Vec<Replica> {
         let mut replicas: Vec<Replica> = Vec::new();
-        for replica in self.asked().flat_map(|members| members.replicas()) {
+        for replica in self.asked().flat_map(super::replicas::Membership::replicas) {
             let listed = replicas
                 .iter()
                 .any(|listed| listed.identity == replica.identity);
@@ -109,6 +112,7 @@
     }
 
     /// What is asked of them.
+    #[must_use]
     pub fn ask(&self) -> Ask<V> {
         let known = self.known();
         match (self.stage, &self.proposal) {
@@ -147,6 +151,7 @@
     }
 
     /// The newest state that a quorum of its own members reports, once there is one.
+    #[must_use]
     pub fn found(&self) -> Option<Found<V>> {
         let proposal = self.newest.as_ref()?;
         let members = &proposal.state.members;
@@ -184,6 +189,7 @@
     }
 
     /// The proposal, once it is chosen.
+    #[must_use]
     pub fn chosen(&self) -> Option<&Proposal<V>> {
         let proposal = self.proposal.as_ref()?;
         let members = &proposal.state.members;
@@ -192,12 +198,14 @@
     }
 
     /// Whether the replicas that have not refused are too few.
+    #[must_use]
     pub fn is_lost(&self) -> bool {
         self.asked()
             .any(|members| !self.is_quorum(members, |identity| !self.refused.contains(&identity)))
     }
 
     /// Whether every replica asked has answered.
+    #[must_use]
     pub fn is_complete(&self) -> bool {
         self.unanswered().is_empty()
     }
--- a/crates/register/src/settings.rs
+++ b/crates/register/src/settings.rs
@@ -43,6 +43,7 @@
 
 impl Settings {
     /// Settings for a register that bears the loss of that many replicas at once.
+    #[must_use]
     pub fn bearing(losses: usize) -> Self {
         Self {
             target: 2 * losses + 1,
@@ -55,7 +56,7 @@
     fn default() -> Self {
         Self {
             resend: Duration::from_millis(150),
-            round_limit: Duration::from_millis(1_000),
+            round_limit: Duration::from_secs(1),
             patience: Duration::from_millis(60),
             deference: Duration::from_millis(300),
             backoff: Duration::from_millis(40),
@@ -66,7 +67,7 @@
             first_start: Duration::from_secs(3),
             unreachable: Duration::from_millis(1_500),
             steward_stagger: Duration::from_millis(400),
-            contact: Duration::from_millis(1_000),
+            contact: Duration::from_secs(1),
             target: 3,
             guards: Guards::default(),
         }
--- a/crates/register/src/state.rs
+++ b/crates/register/src/state.rs
@@ -53,6 +53,7 @@
 
     /// Whether a change, proposed in `ballot` as number `sequence`, is part of this state's
     /// history.
+    #[must_use]
     pub fn descends_from(&self, sequence: u64, ballot: Ballot) -> Descent {
         let Some(age) = self.sequence.checked_sub(sequence) else {
             return Descent::No;
--- a/crates/register/src/steward.rs
+++ b/crates/register/src/steward.rs
@@ -48,6 +48,7 @@
 
 impl Steward {
     /// A steward for this node's coordinator.
+    #[must_use]
     pub fn new(own: Replica, settings: &Settings) -> Self {
         Self {
             own,
@@ -124,6 +125,7 @@
     }
 
     /// The members that this node has not heard for a while.
+    #[must_use]
     pub fn silent(&self, now: Duration, members: &Membership) -> Vec<Identity> {
         let coordinators = self.coordinators(now, &members.current);
         let identities = members.replicas().map(|replica| replica.identity);
--- a/crates/register/tests/exhaustive/mod.rs
+++ b/crates/register/tests/exhaustive/mod.rs
@@ -13,7 +13,7 @@
 use ironmast_register::{Ballot, Identity, Membership, Replica, State};
 use stateright::{Model, Property};
 
-pub const ALL_DONE: &str = "all tasks can be done";
+pub(crate) const ALL_DONE: &str = "all tasks can be done";
 const MEMBERS: usize = 3;
 const SPARE: Identity = Identity(77);
 const EMPTIED: Identity = Identity(88);
@@ -22,7 +22,7 @@
 
 /// What a writer has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Task {
+pub(crate) enum Task {
     /// Add a content.
     Put(u8),
     /// Add a content as the one that follows that many others: an operator's order, which several
@@ -36,7 +36,7 @@
 
 /// Bounds of a check.
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub(crate) struct Bounds {
     /// One for each writer.
     pub tasks: Vec<Task>,
     /// Ballots of each writer.
@@ -53,7 +53,7 @@
 
 /// Whether the spare was added already, so that two sets are held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Joint {
+pub(crate) enum Joint {
     /// It wasn't.
     No,
     /// By one that left it half-done: the last writer's host and the spare hold it.
@@ -62,7 +62,7 @@
     Chosen,
 }
 
-pub struct Register {
+pub(crate) struct Register {
     pub bounds: Bounds,
     pub guards: Guards,
 }
@@ -92,7 +92,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Situation {
+pub(crate) struct Situation {
     hosts: Vec<Host>,
     writers: Vec<Writer>,
     /// Requests on their way, by writer and host.
@@ -109,7 +109,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
+pub(crate) enum Step {
     /// A writer begins a ballot, giving up the one before.
     Begin { writer: usize },
     /// A request arrives; its answer may be lost.
@@ -387,9 +387,10 @@
         if let Task::Order { content, .. } = state.task
             && state.done
         {
-            match chosen.state.value.contains(&content) {
-                true => situation.acknowledged.insert(content),
-                false => situation.refused.insert(content),
+            if chosen.state.value.contains(&content) {
+                situation.acknowledged.insert(content)
+            } else {
+                situation.refused.insert(content)
             };
         }
         state.base = chosen;
--- a/crates/register/tests/support/checks.rs
+++ b/crates/register/tests/support/checks.rs
@@ -10,7 +10,7 @@
 
 /// A broken property.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Violation {
+pub(crate) enum Violation {
     /// Two states of one sequence.
     TwoStates { sequence: u64 },
     /// A state doesn't contain what an earlier one did.
@@ -29,7 +29,7 @@
 
 /// What a client waits for.
 #[derive(Clone, Debug)]
-pub struct Request {
+pub(crate) struct Request {
     pub host: usize,
     pub change: Option<Change>,
     /// Highest sequence reported to any client when this began.
@@ -38,7 +38,7 @@
 
 /// Collects what is seen and what is broken by it.
 #[derive(Default)]
-pub struct Checks {
+pub(crate) struct Checks {
     states: BTreeMap<u64, Arc<State<Value>>>,
     acknowledged: BTreeMap<u64, u64>,
     /// Changes refused; sent again, they are refused again.
@@ -61,7 +61,7 @@
 
 impl Checks {
     /// A host says that the state is chosen.
-    pub fn see(&mut self, state: &Arc<State<Value>>) {
+    pub(crate) fn see(&mut self, state: &Arc<State<Value>>) {
         let sequence = state.sequence;
         if let Some(known) = self.states.get(&sequence) {
             if known != state {
@@ -74,14 +74,14 @@
     }
 
     /// A client sends a change.
-    pub fn begin(&mut self, change: Change) {
+    pub(crate) fn begin(&mut self, change: Change) {
         if !self.sent.insert(change.number()) {
             self.repeated.insert(change.number());
         }
     }
 
     /// A client's request has ended.
-    pub fn end(&mut self, request: &Request, outcome: &Outcome<Value>) {
+    pub(crate) fn end(&mut self, request: &Request, outcome: &Outcome<Value>) {
         match outcome {
             Outcome::Read(state) => {
                 self.read_count += 1;
@@ -110,7 +110,7 @@
     }
 
     /// Compares all that was acknowledged and refused with all states seen.
-    pub fn finish(&mut self) {
+    pub(crate) fn finish(&mut self) {
         let mut told = BTreeSet::new();
         let unsent: BTreeSet<u64> = self.expired.difference(&self.repeated).copied().collect();
         let refused: BTreeSet<u64> = self.refused.union(&unsent).copied().collect();
@@ -132,7 +132,7 @@
     }
 
     /// Times that the replica set was seen to change.
-    pub fn replica_changes(&self) -> u64 {
+    pub(crate) fn replica_changes(&self) -> u64 {
         let sets: Vec<_> = self.states.values().map(|state| &state.members).collect();
         sets.windows(2).filter(|pair| pair[0] != pair[1]).count() as u64
     }
--- a/crates/register/tests/support/day.rs
+++ b/crates/register/tests/support/day.rs
@@ -20,7 +20,7 @@
 
 /// What may happen in a day.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub(crate) struct Plan {
     pub members: usize,
     pub spares: usize,
     pub length: Duration,
@@ -39,7 +39,7 @@
 
 impl Plan {
     /// A day of that many members with faults of up to two seconds.
-    pub fn ordinary(members: usize) -> Self {
+    pub(crate) fn ordinary(members: usize) -> Self {
         let length = Duration::from_secs(16);
         Self {
             members,
@@ -54,7 +54,7 @@
     }
 
     /// A day of short faults that follow closely, on a network that loses much.
-    pub fn rough(members: usize) -> Self {
+    pub(crate) fn rough(members: usize) -> Self {
         let length = Duration::from_secs(10);
         Self {
             members,
@@ -69,7 +69,7 @@
     }
 
     /// A day on which mostly disks are lost, on a network that loses much.
-    pub fn wearing(members: usize) -> Self {
+    pub(crate) fn wearing(members: usize) -> Self {
         Self {
             losses: 90,
             loss: 20,
@@ -79,7 +79,7 @@
     }
 
     /// A wearing day on which emptied machines start as if for the first time.
-    pub fn misled(members: usize) -> Self {
+    pub(crate) fn misled(members: usize) -> Self {
         Self {
             misled: 100,
             ..Self::wearing(members)
@@ -87,14 +87,14 @@
     }
 
     /// The day on a network that loses up to that percentage of messages.
-    pub fn losing(self, loss: u64) -> Self {
+    pub(crate) fn losing(self, loss: u64) -> Self {
         Self { loss, ..self }
     }
 }
 
 /// What a day came to.
 #[derive(Debug)]
-pub struct Report {
+pub(crate) struct Report {
     pub violations: Vec<Violation>,
     pub acknowledged: u64,
     pub rejected: u64,
@@ -132,7 +132,7 @@
 }
 
 /// Plays the day of that seed.
-pub fn play(seed: u64, plan: Plan, settings: Settings) -> Report {
+pub(crate) fn play(seed: u64, plan: Plan, settings: Settings) -> Report {
     let mut world = World::new(seed, plan.members, plan.spares, settings);
     world.run(Duration::from_millis(800));
     world.weather = weather(&mut world, plan.loss);
--- a/crates/register/tests/support/first_start.rs
+++ b/crates/register/tests/support/first_start.rs
@@ -13,7 +13,7 @@
 
 /// Hosts 0 and 2 acknowledge a change, host 2 loses its disk and starts as if for the first time
 /// while only host 1, which has missed the change, is in reach. Whether the change is lost then.
-pub fn loses_a_change(guards: Guards) -> bool {
+pub(crate) fn loses_a_change(guards: Guards) -> bool {
     let settings = Settings {
         guards,
         ..Settings::default()
--- a/crates/register/tests/support/mod.rs
+++ b/crates/register/tests/support/mod.rs
@@ -2,10 +2,10 @@
 //! they see.
 #![allow(dead_code)]
 
-pub mod checks;
-pub mod day;
-pub mod first_start;
-pub mod random;
-pub mod redundancy;
-pub mod value;
-pub mod world;
+pub(crate) mod checks;
+pub(crate) mod day;
+pub(crate) mod first_start;
+pub(crate) mod random;
+pub(crate) mod redundancy;
+pub(crate) mod value;
+pub(crate) mod world;
--- a/crates/register/tests/support/redundancy.rs
+++ b/crates/register/tests/support/redundancy.rs
@@ -9,11 +9,11 @@
 use super::world::World;
 
 /// A new disk or machine must hold what it takes to bear the next loss within this time.
-pub const SYNC_TIME: Duration = Duration::from_secs(4);
+pub(crate) const SYNC_TIME: Duration = Duration::from_secs(4);
 const STEP: Duration = Duration::from_millis(5);
 
 /// A deployment that has taken a change and is calm.
-pub fn settled(seed: u64, members: usize, spares: usize) -> World {
+pub(crate) fn settled(seed: u64, members: usize, spares: usize) -> World {
     let mut world = World::new(seed, members, spares, Settings::bearing(members / 2));
     world.run(Duration::from_millis(500));
     world.submit(0, Some(Change::Mark { mark: 1 }), SYNC_TIME);
@@ -26,19 +26,19 @@
 }
 
 /// Whether the host is a member by what it knows itself.
-pub fn is_member(world: &World, host: usize) -> bool {
+pub(crate) fn is_member(world: &World, host: usize) -> bool {
     node(world, host).is_some_and(Node::is_member)
 }
 
 /// The newest state known as chosen anywhere.
-pub fn newest(world: &World) -> Option<Arc<State<Value>>> {
+pub(crate) fn newest(world: &World) -> Option<Arc<State<Value>>> {
     let known = world.up().filter_map(|host| node(world, host)?.chosen());
     known.max_by_key(|state| state.sequence).cloned()
 }
 
 /// Whether there is a single set of that many replicas, all of which run and know it, and a
 /// majority of which holds the newest state on its disk.
-pub fn is_redundant(world: &World, size: usize) -> bool {
+pub(crate) fn is_redundant(world: &World, size: usize) -> bool {
     let Some(state) = newest(world) else {
         return false;
     };
@@ -70,7 +70,7 @@
 ///
 /// # Panics
 /// It takes longer than [`SYNC_TIME`].
-pub fn time_to_redundancy(world: &mut World, size: usize) -> Duration {
+pub(crate) fn time_to_redundancy(world: &mut World, size: usize) -> Duration {
     let start = world.now;
     while !is_redundant(world, size) {
         world.run(STEP);
@@ -84,7 +84,7 @@
 }
 
 /// Every host that runs takes changes and reads, and nothing is broken.
-pub fn assert_well(world: &mut World, case: &str) {
+pub(crate) fn assert_well(world: &mut World, case: &str) {
     world.expect_progress(SYNC_TIME);
     world.checks.finish();
     assert_eq!(world.checks.violations, [], "{case}");
--- a/crates/register/tests/support/value.rs
+++ b/crates/register/tests/support/value.rs
@@ -7,7 +7,7 @@
 
 /// A register's value that remembers everything that was ever in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Value {
+pub(crate) struct Value {
     /// Contents in order; the version is their number.
     pub contents: Vec<u64>,
     /// Marks set, in order.
@@ -18,7 +18,7 @@
 }
 
 impl Value {
-    pub fn version(&self) -> u64 {
+    pub(crate) fn version(&self) -> u64 {
         self.contents.len() as u64
     }
 
@@ -28,17 +28,17 @@
     }
 
     /// Whether everything here is there too, in the same order.
-    pub fn is_prefix_of(&self, later: &Self) -> bool {
+    pub(crate) fn is_prefix_of(&self, later: &Self) -> bool {
         later.contents.starts_with(&self.contents)
             && later.marks.starts_with(&self.marks)
             && later.turns.starts_with(&self.turns)
     }
 
-    pub fn is_closed(&self) -> bool {
+    pub(crate) fn is_closed(&self) -> bool {
         !self.turns.len().is_multiple_of(2)
     }
 
-    pub fn all(&self) -> BTreeSet<u64> {
+    pub(crate) fn all(&self) -> BTreeSet<u64> {
         self.contents
             .iter()
             .chain(&self.marks)
@@ -50,7 +50,7 @@
 
 /// A change; each has a number of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub(crate) enum Change {
     /// Takes the place of the content of that version, if it is the newest. Sent again, it is kept
     /// for ever.
     Put { base: u64, content: u64 },
@@ -61,7 +61,7 @@
 }
 
 impl Change {
-    pub fn number(self) -> u64 {
+    pub(crate) fn number(self) -> u64 {
         match self {
             Self::Put { content, .. } => content,
             Self::Mark { mark } => mark,
@@ -70,7 +70,7 @@
     }
 
     /// Whether a value tells for ever that the change was made.
-    pub fn leaves_a_trace(self) -> bool {
+    pub(crate) fn leaves_a_trace(self) -> bool {
         !matches!(self, Self::Turn { .. })
     }
 }
--- a/crates/register/tests/support/world.rs
+++ b/crates/register/tests/support/world.rs
@@ -17,7 +17,7 @@
 
 /// Chances and times of the network and the disks.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
+pub(crate) struct Weather {
     /// Percent of messages lost.
     pub loss: u64,
     /// Percent of messages that arrive twice.
@@ -30,7 +30,7 @@
     pub distance: u64,
 }
 
-pub const CALM: Weather = Weather {
+pub(crate) const CALM: Weather = Weather {
     loss: 0,
     doubled: 0,
     jitter: 2,
@@ -39,7 +39,7 @@
 };
 
 /// All links are as long as those between distant regions, and disks are slow.
-pub const FAR: Weather = Weather {
+pub(crate) const FAR: Weather = Weather {
     sync: 5,
     distance: 55,
     ..CALM
@@ -48,7 +48,7 @@
 /// A write that has failed is tried again after this.
 const REWRITE: Duration = Duration::from_millis(200);
 
-pub struct Host {
+pub(crate) struct Host {
     pub address: SocketAddr,
     pub zone: String,
     pub disk: Option<Record<Value>>,
@@ -105,7 +105,7 @@
 }
 
 /// The simulated deployment.
-pub struct World {
+pub(crate) struct World {
     pub now: Duration,
     pub random: Random,
     pub weather: Weather,
@@ -125,7 +125,7 @@
 
 impl World {
     /// Hosts of which the first `members` are the initial members; the rest are not started.
-    pub fn new(seed: u64, members: usize, spares: usize, settings: Settings) -> Self {
+    pub(crate) fn new(seed: u64, members: usize, spares: usize, settings: Settings) -> Self {
         let mut world = Self {
             now: Duration::from_secs(1),
             random: Random(seed),
@@ -150,22 +150,21 @@
     }
 
     /// Starts a host whose settings say that the whole system starts for the first time.
-    pub fn start_first(&mut self, host: usize) {
-        match self.hosts[host].disk.is_some() {
-            true => self.start(host),
-            false => {
-                let origin = Origin::Bootstrap {
-                    members: self.seeds.clone(),
-                    value: Value::default(),
-                };
-                self.start_from(host, origin);
-                self.tell_peers();
-            }
+    pub(crate) fn start_first(&mut self, host: usize) {
+        if self.hosts[host].disk.is_some() {
+            self.start(host)
+        } else {
+            let origin = Origin::Bootstrap {
+                members: self.seeds.clone(),
+                value: Value::default(),
+            };
+            self.start_from(host, origin);
+            self.tell_peers();
         }
     }
 
     /// Starts a host from its disk; with a new identity if it is empty.
-    pub fn start(&mut self, host: usize) {
+    pub(crate) fn start(&mut self, host: usize) {
         let origin = match self.hosts[host].disk.clone() {
             Some(record) => Origin::Disk(record),
             None => Origin::Empty {
@@ -191,7 +190,7 @@
     }
 
     /// Starts a host that is told of those others only, while nobody is told of it but one host.
-    pub fn start_secluded(&mut self, host: usize, told: &[usize], known_by: usize) {
+    pub(crate) fn start_secluded(&mut self, host: usize, told: &[usize], known_by: usize) {
         let origin = Origin::Empty {
             identity: Identity(self.random.next()),
         };
@@ -226,12 +225,12 @@
         }
     }
 
-    pub fn up(&self) -> impl Iterator<Item = usize> {
+    pub(crate) fn up(&self) -> impl Iterator<Item = usize> {
         (0..self.hosts.len()).filter(|&host| self.hosts[host].node.is_some())
     }
 
     /// Ends a host at once. What is being written may or may not reach the disk.
-    pub fn kill(&mut self, host: usize) {
+    pub(crate) fn kill(&mut self, host: usize) {
         let reaches = self.random.chance(50);
         let entry = &mut self.hosts[host];
         entry.life += 1;
@@ -246,19 +245,24 @@
     }
 
     /// Ends a host and empties its disk.
-    pub fn wipe(&mut self, host: usize) {
+    pub(crate) fn wipe(&mut self, host: usize) {
         self.kill(host);
         self.hosts[host].disk = None;
     }
 
-    pub fn leave(&mut self, host: usize) {
+    pub(crate) fn leave(&mut self, host: usize) {
         if self.hosts[host].node.is_some() {
             self.handle(host, Event::Leaving);
         }
     }
 
     /// A client sends a change, or a read, to a host.
-    pub fn submit(&mut self, host: usize, change: Option<Change>, limit: Duration) -> OperationId {
+    pub(crate) fn submit(
+        &mut self,
+        host: usize,
+        change: Option<Change>,
+        limit: Duration,
+    ) -> OperationId {
         self.serial += 1;
         let id = self.serial;
         change
@@ -285,17 +289,17 @@
     }
 
     /// The client of a request has lost its connection: it hears no answer.
-    pub fn forget(&mut self, id: OperationId) {
+    pub(crate) fn forget(&mut self, id: OperationId) {
         self.requests.remove(&id);
     }
 
     /// Stops a host's process for a while; what comes to it waits.
-    pub fn freeze(&mut self, host: usize, time: Duration) {
+    pub(crate) fn freeze(&mut self, host: usize, time: Duration) {
         self.hosts[host].frozen_until = self.now + time;
     }
 
     /// Cuts a host off from all others in both directions.
-    pub fn isolate(&mut self, host: usize) {
+    pub(crate) fn isolate(&mut self, host: usize) {
         for other in 0..self.hosts.len() {
             self.cuts.insert((host, other));
             self.cuts.insert((other, host));
@@ -303,7 +307,7 @@
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, time: Duration) {
+    pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(&Reverse((at, serial))) = self.agenda.peek() {
             if at > end {
@@ -319,7 +323,7 @@
     }
 
     /// Every host that runs takes a change and a read within the limit.
-    pub fn expect_progress(&mut self, limit: Duration) {
+    pub(crate) fn expect_progress(&mut self, limit: Duration) {
         let hosts: Vec<usize> = self.up().collect();
         let mut ids = Vec::new();
         for host in hosts {
@@ -341,7 +345,7 @@
         }
     }
 
-    pub fn handle(&mut self, host: usize, event: Event<Value>) {
+    pub(crate) fn handle(&mut self, host: usize, event: Event<Value>) {
         let mut actions = Vec::new();
         let Some(node) = self.hosts[host].node.as_mut() else {
             return;
--- a/crates/routing/tests/model/mod.rs
+++ b/crates/routing/tests/model/mod.rs
@@ -58,7 +58,7 @@
 
 /// What befalls the first server from a third of the time on, until two thirds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub(crate) enum Fate {
     /// It is well.
     Well,
     /// It takes requests and gives no sign.
@@ -73,7 +73,7 @@
 
 /// What is played.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub(crate) struct Plan {
     /// Excess and floor of the affinity; an even draw without.
     pub affinity: Option<(f64, f64)>,
     /// Shared parts of each kind; the first ones are asked for more often.
@@ -96,7 +96,7 @@
 }
 
 #[derive(Default)]
-pub struct Played {
+pub(crate) struct Played {
     /// Times to the first byte, ascending.
     pub firsts: Vec<Micros>,
     shared: u64,
@@ -121,18 +121,23 @@
 
 impl Played {
     /// Part of the shared tokens that were read again though another server kept them.
-    pub fn again(&self) -> f64 {
+    pub(crate) fn again(&self) -> f64 {
         self.again as f64 / self.shared as f64
     }
 
     /// A quantile of the time to the first byte, in milliseconds.
-    pub fn first_ms(&self, part: f64) -> u64 {
+    pub(crate) fn first_ms(&self, part: f64) -> u64 {
         self.firsts[(part * self.firsts.len() as f64) as usize] / 1000
     }
 }
 
 /// Plays a region whose servers are all well.
-pub fn play(affinity: Option<(f64, f64)>, subjects: usize, press: f64, seconds: u64) -> Played {
+pub(crate) fn play(
+    affinity: Option<(f64, f64)>,
+    subjects: usize,
+    press: f64,
+    seconds: u64,
+) -> Played {
     play_plan(&Plan {
         affinity,
         subjects,
@@ -143,7 +148,7 @@
 }
 
 /// Plays a plan.
-pub fn play_plan(plan: &Plan) -> Played {
+pub(crate) fn play_plan(plan: &Plan) -> Played {
     let mut region = Region::new(*plan);
     while let Some(Reverse((now, step))) = region.steps.pop() {
         region.now = now;
--- a/crates/routing/tests/model/table.rs
+++ b/crates/routing/tests/model/table.rs
@@ -7,7 +7,7 @@
 use super::{SERVERS, SLOTS};
 
 /// The tables of the region; the keys of its routes count where `affinity` says so.
-pub fn table(affinity: bool) -> Table {
+pub(super) fn table(affinity: bool) -> Table {
     let route = |number: usize| RouteSpec {
         name: format!("{number}").into(),
         host: "a".into(),
--- a/crates/schema/src/configuration.rs
+++ b/crates/schema/src/configuration.rs
@@ -261,6 +261,7 @@
 
 impl Route {
     /// The services it may go to, with their weights.
+    #[must_use]
     pub fn splits(&self) -> Vec<(&str, f64)> {
         match (&self.backend, &self.traffic_split) {
             (Some(backend), _) => vec![(backend, 1.0)],
--- a/crates/schema/src/control.rs
+++ b/crates/schema/src/control.rs
@@ -101,6 +101,7 @@
 
 impl GateRecord {
     /// Whether it serves, and if not, whether it said so before.
+    #[must_use]
     pub fn presence(&self) -> GatePresence {
         match (self.gone, self.ready) {
             (false, true) => GatePresence::Ready,
--- a/crates/schema/src/settings.rs
+++ b/crates/schema/src/settings.rs
@@ -301,6 +301,7 @@
     }
 
     /// The port of the internal range for `what`.
+    #[must_use]
     pub fn internal_port(&self, what: InternalPort) -> u16 {
         let offset = match what {
             InternalPort::Coordinator => 0,
@@ -317,6 +318,7 @@
     }
 
     /// The seeds' addresses for traffic between coordinators and agents.
+    #[must_use]
     pub fn seed_coordinators(&self) -> Vec<SocketAddr> {
         let port = self.internal_port(InternalPort::Coordinator);
         self.seed_nodes
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -103,6 +103,7 @@
 
 impl LoadNames {
     /// A report of values in the order of the names.
+    #[must_use]
     pub fn row(&self, values: &[Option<f64>]) -> LoadReport {
         let pick = |name: &str| {
             let column = self.0.iter().position(|n| n == name);
@@ -115,6 +116,7 @@
     }
 
     /// Reads `TEXT inflight=7, util=0.61`; none where it holds nothing that is known.
+    #[must_use]
     pub fn report(&self, text: &str) -> Option<LoadReport> {
         let mut report = LoadReport::default();
         for pair in text.trim().trim_start_matches("TEXT").split(',') {
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -121,6 +121,7 @@
 
 impl Host {
     /// Builds a host without instances.
+    #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
@@ -148,12 +149,11 @@
                 };
             }
             let terminated = line.last() == Some(&b'\n');
-            let text = match std::str::from_utf8(&line) {
-                Ok(text) => text.trim_end_matches(['\n', '\r']),
-                Err(_) => {
-                    let problem = ("(line)".to_string(), "not UTF-8".to_string());
-                    return Err(malformed("(unreadable)", problem).into());
-                }
+            let text = if let Ok(text) = std::str::from_utf8(&line) {
+                text.trim_end_matches(['\n', '\r'])
+            } else {
+                let problem = ("(line)".to_string(), "not UTF-8".to_string());
+                return Err(malformed("(unreadable)", problem).into());
             };
             let message = text.split('\t').next().unwrap_or("");
             if !terminated && message != "OVER_TO_YOU" {
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -131,6 +131,7 @@
 
 impl DiskError {
     /// An error of the given kind.
+    #[must_use]
     pub fn new(file: &str, step: Step, kind: FailureKind, reason: &str) -> Self {
         Self {
             file: file.to_owned(),
@@ -141,6 +142,7 @@
     }
 
     /// Whether the disk had no room.
+    #[must_use]
     pub fn is_full(&self) -> bool {
         self.kind == FailureKind::Full
     }
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -186,6 +186,7 @@
     }
 
     /// Whether records are taken.
+    #[must_use]
     pub fn state(&self) -> LogState {
         match &self.failure {
             None => LogState::Ready,
--- a/crates/storage/src/log/damage.rs
+++ b/crates/storage/src/log/damage.rs
@@ -52,9 +52,10 @@
         remove(disk, &names::damaged(&settings.name, *sequence))?;
     }
     let is_too_long = disk.read(&segment)?.len() as u64 > settings.segment_bytes();
-    match is_too_long {
-        true => remove(disk, &segment)?,
-        false => disk.rename(&segment, &kept)?,
+    if is_too_long {
+        remove(disk, &segment)?
+    } else {
+        disk.rename(&segment, &kept)?
     }
     disk.sync_folder()?;
     Ok((!is_too_long).then_some(kept))
--- a/crates/storage/src/log/segments.rs
+++ b/crates/storage/src/log/segments.rs
@@ -169,9 +169,10 @@
         let Some(current) = &mut self.current else {
             return Ok(());
         };
-        let name = match current.complete {
-            true => names::segment(&self.settings.name, current.sequence),
-            false => names::temporary(&self.settings.name, current.sequence),
+        let name = if current.complete {
+            names::segment(&self.settings.name, current.sequence)
+        } else {
+            names::temporary(&self.settings.name, current.sequence)
         };
         self.disk.append(&name, &self.frame)?;
         current.length += self.frame.len() as u64;
--- a/crates/storage/src/settings.rs
+++ b/crates/storage/src/settings.rs
@@ -93,6 +93,7 @@
     /// Bytes that all files of the log hold together at most, less damaged segments that were set
     /// aside: each of those takes a quarter of this at most, and there are
     /// [`SET_ASIDE_MOST`](crate::SET_ASIDE_MOST).
+    #[must_use]
     pub fn space_bytes(&self) -> u64 {
         self.space_bytes
     }
--- a/crates/storage/src/testing/faulty.rs
+++ b/crates/storage/src/testing/faulty.rs
@@ -41,6 +41,7 @@
 
 impl FaultyDisk {
     /// An empty disk without faults so far.
+    #[must_use]
     pub fn new(seed: u64) -> Self {
         let state = State {
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
@@ -229,9 +230,10 @@
     fn append(&self, file: &str, bytes: &[u8]) -> Result<(), DiskError> {
         let (mut state, interruption) = self.begin(file, Step::Append)?;
         let refused = state.full;
-        let written = match refused {
-            true => state.random.random_range(0..=bytes.len()),
-            false => bytes.len(),
+        let written = if refused {
+            state.random.random_range(0..=bytes.len())
+        } else {
+            bytes.len()
         };
         state.inode(file, Step::Append)?.append(&bytes[..written]);
         if refused {
--- a/crates/storage/src/testing/faulty/names.rs
+++ b/crates/storage/src/testing/faulty/names.rs
@@ -86,9 +86,10 @@
     }
 
     fn refuse_taken(&self, file: &str, step: Step) -> Result<(), DiskError> {
-        match self.visible.contains_key(file) {
-            true => Err(taken(file, step)),
-            false => Ok(()),
+        if self.visible.contains_key(file) {
+            Err(taken(file, step))
+        } else {
+            Ok(())
         }
     }
 
--- a/crates/storage/src/testing/memory.rs
+++ b/crates/storage/src/testing/memory.rs
@@ -22,6 +22,7 @@
 
 impl MemoryDisk {
     /// An empty disk of `capacity` bytes.
+    #[must_use]
     pub fn new(capacity: u64) -> Self {
         Self {
             state: Mutex::new(State {
@@ -87,9 +88,10 @@
     }
 
     fn sync_file(&self, file: &str) -> Result<(), DiskError> {
-        match self.lock().files.contains_key(file) {
-            true => Ok(()),
-            false => Err(missing(file, Step::SyncFile)),
+        if self.lock().files.contains_key(file) {
+            Ok(())
+        } else {
+            Err(missing(file, Step::SyncFile))
         }
     }
 
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -104,6 +104,7 @@
     }
 
     /// State of the writer.
+    #[must_use]
     pub fn health(&self) -> Health {
         self.queue.health()
     }
--- a/crates/storage/tests/writer.rs
+++ b/crates/storage/tests/writer.rs
@@ -159,7 +159,7 @@
                 supersedes: false,
             },
             number,
-        )
+        );
     });
     let before = (
         bench.disk.count(Step::Append),
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -11,7 +11,7 @@
 use crate::statistics::{Figure, Mean, mean, paired};
 
 /// Runs of one scenario and policy, by seed.
-pub struct Group<'a> {
+pub(crate) struct Group<'a> {
     /// The policy.
     pub policy: PolicyName,
     /// The runs.
@@ -20,7 +20,7 @@
 
 impl Group<'_> {
     /// A figure of each run.
-    pub fn values(&self, figure: impl Fn(&Report) -> f64) -> Vec<f64> {
+    pub(crate) fn values(&self, figure: impl Fn(&Report) -> f64) -> Vec<f64> {
         self.runs.iter().map(|n| figure(&n.report)).collect()
     }
 }
@@ -34,7 +34,11 @@
 ];
 
 /// Runs of one scenario, by policy in the given order; only seeds that all policies have finished.
-pub fn groups<'a>(notes: &'a [Note], scenario: &str, policies: &[PolicyName]) -> Vec<Group<'a>> {
+pub(crate) fn groups<'a>(
+    notes: &'a [Note],
+    scenario: &str,
+    policies: &[PolicyName],
+) -> Vec<Group<'a>> {
     let of = |p: PolicyName, seed: u64| {
         let fits = move |n: &&Note| {
             n.report.scenario == scenario && n.report.policy == p.name() && n.report.seed == seed
@@ -54,7 +58,7 @@
 
 /// One row of the table for each policy: figures, and the difference in service from the first
 /// policy.
-pub fn rows(groups: &[Group]) -> Vec<Vec<String>> {
+pub(crate) fn rows(groups: &[Group]) -> Vec<Vec<String>> {
     let first = groups
         .first()
         .map(|g| g.values(FIGURES[0].1))
@@ -87,7 +91,7 @@
 }
 
 /// The table's head; `first` is the policy that others are held against.
-pub fn head(first: &str) -> Vec<String> {
+pub(crate) fn head(first: &str) -> Vec<String> {
     let figures = FIGURES.iter().map(|f| f.0.to_string());
     let against = format!("service against {first}");
     ["policy".to_string()]
@@ -98,7 +102,7 @@
 }
 
 /// Columns of equal width, for the terminal.
-pub fn plain_table(head: &[String], rows: &[Vec<String>]) -> String {
+pub(crate) fn plain_table(head: &[String], rows: &[Vec<String>]) -> String {
     let width = |c: usize| {
         rows.iter()
             .chain([&head.to_vec()])
@@ -122,7 +126,7 @@
 }
 
 /// One line a run.
-pub fn csv(notes: &[Note]) -> String {
+pub(crate) fn csv(notes: &[Note]) -> String {
     let mut text = String::from(
         "scenario,policy,seed,service,worst_window,worst_class,worst_zone,worst_proxy,asked,served,late,refused,\
          failed,p50_us,p90_us,p99_us,p999_us,max_us,mean_load,greatest_load,attempts,cross_zone,probes,breaks,\
@@ -166,7 +170,7 @@
 
 /// Plays every scenario under every policy and seeds 1 to `seeds`, and writes `runs.csv`: what was
 /// finished, and whether it was stopped.
-pub fn play_grid(
+pub(crate) fn play_grid(
     scenarios: &[Scenario],
     policies: &[PolicyName],
     seeds: u64,
@@ -194,7 +198,7 @@
 }
 
 /// Plays everything, and writes what was finished even where it was stopped.
-pub fn run(
+pub(crate) fn run(
     scenarios: Vec<Scenario>,
     policies: &[PolicyName],
     seeds: u64,
@@ -254,7 +258,7 @@
 }
 
 /// A name as part of a file's name.
-pub fn file_name(name: &str) -> String {
+pub(crate) fn file_name(name: &str) -> String {
     name.chars()
         .map(|c| {
             if c.is_ascii_alphanumeric() || "-_.".contains(c) {
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -22,7 +22,7 @@
 
 /// What is to be played.
 #[derive(clap::Args)]
-pub struct Days {
+pub(crate) struct Days {
     /// The bench's program.
     #[arg(long, value_name = "PATH")]
     bench: PathBuf,
@@ -72,7 +72,7 @@
 
 /// Plays what has no report yet, then lists all. Ends with 1 where a rule was broken or a play gave
 /// no report.
-pub fn run(days: &Days) -> Result<ExitCode, String> {
+pub(crate) fn run(days: &Days) -> Result<ExitCode, String> {
     files::folder(&days.out)?;
     let plays = plays(days);
     let missing: Vec<&Play> = plays
--- a/crates/testbed/src/days/report.rs
+++ b/crates/testbed/src/days/report.rs
@@ -9,7 +9,7 @@
 
 /// What came of one day.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Report {
+pub(super) struct Report {
     /// Worth earned of worth owed, less prices: at most 1, below 0 on a very bad day.
     pub worth: f64,
     /// Broken rules and how often; the bench counts a fault of the programs among them, once.
@@ -20,7 +20,7 @@
 
 impl Report {
     /// Whether no rule is broken and the day passes the gate.
-    pub fn is_clean(&self) -> bool {
+    pub(super) fn is_clean(&self) -> bool {
         self.broken.is_empty() && self.short.is_empty()
     }
 }
@@ -38,7 +38,7 @@
 }
 
 /// Reads a printed report. The day's line stands below the heading of the table of days.
-pub fn read(text: &str) -> Result<Report, String> {
+pub(super) fn read(text: &str) -> Result<Report, String> {
     let mut lines = text.lines();
     if !lines.any(is_heading) {
         return Err(text
--- a/crates/testbed/src/files.rs
+++ b/crates/testbed/src/files.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 /// A scenario and the text it was read from.
-pub struct Loaded {
+pub(crate) struct Loaded {
     /// Its file.
     pub path: PathBuf,
     /// The text.
@@ -16,7 +16,7 @@
 }
 
 /// Reads a scenario; an error is one line with file and line.
-pub fn load(path: &Path) -> Result<Loaded, String> {
+pub(crate) fn load(path: &Path) -> Result<Loaded, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let scenario = Scenario::read(&text).map_err(|e| format!("{}: {e}", path.display()))?;
     Ok(Loaded {
@@ -27,7 +27,7 @@
 }
 
 /// Makes sure that a folder is there and takes files.
-pub fn folder(path: &Path) -> Result<(), String> {
+pub(crate) fn folder(path: &Path) -> Result<(), String> {
     std::fs::create_dir_all(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let probe = path.join(".ironmast-testbed");
     let written = std::fs::write(&probe, b"").and_then(|()| std::fs::remove_file(&probe));
@@ -35,7 +35,7 @@
 }
 
 /// Makes sure that a file can be written, and leaves one that is there as it is.
-pub fn writable(path: &Path) -> Result<(), String> {
+pub(crate) fn writable(path: &Path) -> Result<(), String> {
     let there = path.exists();
     let opened = std::fs::OpenOptions::new()
         .append(true)
@@ -50,12 +50,12 @@
 }
 
 /// Writes a text.
-pub fn write(path: &Path, text: &str) -> Result<(), String> {
+pub(crate) fn write(path: &Path, text: &str) -> Result<(), String> {
     std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// Writes JSON to a file, or to standard output for `-`.
-pub fn write_json<T: Serialize>(path: &Path, value: &T) -> Result<(), String> {
+pub(crate) fn write_json<T: Serialize>(path: &Path, value: &T) -> Result<(), String> {
     let text = serde_json::to_string_pretty(value).map_err(|e| e.to_string())?;
     if path == Path::new("-") {
         println!("{text}");
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -27,7 +27,7 @@
 
 /// Seeds from one up to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seeds(pub u64, pub u64);
+pub(crate) struct Seeds(pub u64, pub u64);
 
 impl FromStr for Seeds {
     type Err = String;
@@ -44,7 +44,7 @@
 }
 
 /// What is hunted, and how.
-pub struct Hunt {
+pub(crate) struct Hunt {
     /// Troubles are drawn for it; whole scenarios are drawn where there is none.
     pub base: Option<Scenario>,
     /// The seeds, each a scenario of its own.
@@ -117,8 +117,11 @@
     let report = catch_unwind(AssertUnwindSafe(play)).map_err(|e| {
         let text = e.downcast_ref::<String>().cloned();
         Finding::Panicked(
-            text.or_else(|| e.downcast_ref::<&str>().map(|s| s.to_string()))
-                .unwrap_or_default(),
+            text.or_else(|| {
+                e.downcast_ref::<&str>()
+                    .map(std::string::ToString::to_string)
+            })
+            .unwrap_or_default(),
         )
     })??;
     match report.rules_broken.first() {
@@ -205,7 +208,7 @@
     all.push(with(&|s| {
         s.pool
             .iter_mut()
-            .for_each(|p| p.servers = p.servers.div_ceil(2))
+            .for_each(|p| p.servers = p.servers.div_ceil(2));
     }));
     all.push(with(&|s| s.clients.rate /= 2.0));
     all.push(with(&|s| s.proxies.count = s.proxies.count.div_ceil(2)));
@@ -232,10 +235,10 @@
     for i in 0..s.trouble.len() {
         all.push(with(&|s| s.trouble[i].for_s /= 2.0));
         all.push(with(&|s| {
-            s.trouble[i].share = (s.trouble[i].share / 2.0).max(0.01)
+            s.trouble[i].share = (s.trouble[i].share / 2.0).max(0.01);
         }));
         all.push(with(&|s| {
-            s.trouble[i].at_s = (s.trouble[i].at_s / 2.0).floor()
+            s.trouble[i].at_s = (s.trouble[i].at_s / 2.0).floor();
         }));
     }
     all
@@ -261,7 +264,7 @@
 /// Draws a scenario of its own.
 fn draw(seed: u64) -> Scenario {
     let r = &mut Stream::new(seed, Concern::Hunt, 0);
-    let zones: Vec<String> = (0..1 + r.below(4)).map(|z| format!("z{z}")).collect();
+    let zones: Vec<String> = (0..=r.below(4)).map(|z| format!("z{z}")).collect();
     let length_s = r.between((10.0, 30.0)).round();
     let classes = 1 + r.below(3);
     let class = (0..classes).map(|i| draw_class(r, i)).collect();
@@ -473,7 +476,7 @@
 }
 
 /// Hunts; prints and writes what it finds.
-pub fn run(hunt: &Hunt) -> Result<ExitCode, String> {
+pub(crate) fn run(hunt: &Hunt) -> Result<ExitCode, String> {
     files::folder(&hunt.out)?;
     if !(hunt.gap > 0.0 && hunt.gap <= 1.0) {
         return Err(format!(
@@ -506,17 +509,23 @@
             scenario.about = format!("Seed {seed} under {}: {finding}.", hunt.policy.name());
             found
                 .lock()
-                .unwrap_or_else(|e| e.into_inner())
+                .unwrap_or_else(std::sync::PoisonError::into_inner)
                 .push((seed, scenario, finding));
         }
-        *played.lock().unwrap_or_else(|e| e.into_inner()) += 1;
+        *played
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner) += 1;
         jobs.step();
         Some(())
     });
     std::panic::set_hook(hook);
     jobs.end();
-    let mut found = found.into_inner().unwrap_or_else(|e| e.into_inner());
-    let played = played.into_inner().unwrap_or_else(|e| e.into_inner());
+    let mut found = found
+        .into_inner()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
+    let played = played
+        .into_inner()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     found.sort_by_key(|f| f.0);
     for (seed, scenario, finding) in &found {
         let path = hunt.out.join(format!("found-{seed}.toml"));
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -13,7 +13,7 @@
 use ironmast_membership::tier::{Tier, index, none};
 
 /// What to play.
-pub struct Trial {
+pub(crate) struct Trial {
     pub members: usize,
     pub loss: f64,
     pub seconds: f64,
@@ -22,7 +22,7 @@
 }
 
 /// Plays the trial and prints one line (or JSON); code 1 where the death was not found within 60 s.
-pub fn run(trial: &Trial) -> Result<ExitCode, String> {
+pub(crate) fn run(trial: &Trial) -> Result<ExitCode, String> {
     if !(2..=5000).contains(&trial.members) {
         return Err(format!("--members {}: 2 to 5,000 expected", trial.members));
     }
--- a/crates/testbed/src/pictures.rs
+++ b/crates/testbed/src/pictures.rs
@@ -20,7 +20,7 @@
 ];
 
 /// One line of a picture.
-pub struct Curve {
+pub(crate) struct Curve {
     /// What the legend calls it.
     pub name: String,
     /// Its points.
@@ -66,7 +66,7 @@
 }
 
 /// Lines over plain axes.
-pub fn curves(
+pub(crate) fn curves(
     title: &str,
     (x_name, y_name): (&str, &str),
     curves: &[Curve],
@@ -115,12 +115,12 @@
 
 /// A percentile's place on an axis that gives each further nine the same room: 90 % is 1, 99 % is
 /// 2.
-pub fn nines(percentile: f64) -> f64 {
+pub(crate) fn nines(percentile: f64) -> f64 {
     -(1.0 - percentile / 100.0).log10()
 }
 
 /// Latency over the share of answers that are quicker, up to 99.99 %.
-pub fn latency(title: &str, curves: &[Curve]) -> Result<String, String> {
+pub(crate) fn latency(title: &str, curves: &[Curve]) -> Result<String, String> {
     let (y0, y1) = all(curves, |p| p.1);
     draw(|area| {
         let mut chart = ChartBuilder::on(area)
@@ -174,7 +174,7 @@
 const ROWS: usize = 100;
 
 /// Servers over time, one row a place, in the order of their zones.
-pub fn heat(title: &str, length_s: f64, servers: &[ServerReport]) -> Result<String, String> {
+pub(crate) fn heat(title: &str, length_s: f64, servers: &[ServerReport]) -> Result<String, String> {
     let places = servers
         .iter()
         .map(|s| s.place as usize + 1)
@@ -264,7 +264,7 @@
 }
 
 /// One part of the page.
-pub struct Section {
+pub(crate) struct Section {
     /// Its heading.
     pub title: String,
     /// What is to be known of the table.
@@ -284,7 +284,7 @@
 }
 
 /// One page with everything in it: no other file is needed to read it.
-pub fn page(title: &str, sections: &[Section]) -> String {
+pub(crate) fn page(title: &str, sections: &[Section]) -> String {
     let row = |cells: &[String], tag: &str| {
         let cells: String = cells
             .iter()
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -11,7 +11,7 @@
 
 /// What is to be played.
 #[derive(Clone)]
-pub struct Trial<'a> {
+pub(crate) struct Trial<'a> {
     /// The scenario.
     pub scenario: &'a Scenario,
     /// The policy.
@@ -22,7 +22,7 @@
 
 /// A result with what it took.
 #[derive(Clone, Serialize)]
-pub struct Note {
+pub(crate) struct Note {
     /// What the judge found.
     #[serde(flatten)]
     pub report: Report,
@@ -33,7 +33,7 @@
 }
 
 /// A report with time and memory beside it.
-pub fn note(report: Report, began: Instant) -> Note {
+pub(crate) fn note(report: Report, began: Instant) -> Note {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
     let kb = peak
@@ -47,14 +47,14 @@
 }
 
 /// Runs under way, their progress, and whether they are to end.
-pub struct Jobs {
+pub(crate) struct Jobs {
     bar: ProgressBar,
     stop: Arc<AtomicBool>,
 }
 
 impl Jobs {
     /// Shows progress on a terminal and listens for Ctrl-C.
-    pub fn begin(runs: u64) -> Result<Jobs, String> {
+    pub(crate) fn begin(runs: u64) -> Result<Jobs, String> {
         let bar = ProgressBar::with_draw_target(Some(runs * 100), ProgressDrawTarget::stderr());
         let style = ProgressStyle::with_template(
             "{bar:40} {percent:>3} % {elapsed_precise} left {eta} {msg}",
@@ -69,17 +69,17 @@
     }
 
     /// Whether Ctrl-C was pressed.
-    pub fn stopped(&self) -> bool {
+    pub(crate) fn stopped(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
     /// One run that is not played here is done.
-    pub fn step(&self) {
+    pub(crate) fn step(&self) {
         self.bar.inc(100);
     }
 
     /// Plays one run; none where it was told to stop.
-    pub fn play(&self, trial: &Trial) -> Option<Note> {
+    pub(crate) fn play(&self, trial: &Trial) -> Option<Note> {
         let began = Instant::now();
         let mut world = World::new(trial.scenario, trial.policy, trial.seed);
         for step in 1..=100 {
@@ -102,7 +102,7 @@
     }
 
     /// Plays many on all cores; those that were finished, in their order.
-    pub fn play_all(&self, trials: &[Trial]) -> Vec<Note> {
+    pub(crate) fn play_all(&self, trials: &[Trial]) -> Vec<Note> {
         let line = |note: &Note| {
             if self.bar.is_hidden() {
                 let (name, service) = (&note.report.scenario, note.report.service);
@@ -119,16 +119,16 @@
     }
 
     /// Says something above the bar, or as a plain line.
-    pub fn say(&self, text: &str) {
+    pub(crate) fn say(&self, text: &str) {
         if self.bar.is_hidden() {
-            eprintln!("{text}")
+            eprintln!("{text}");
         } else {
-            self.bar.println(text)
+            self.bar.println(text);
         }
     }
 
     /// Takes the bar away.
-    pub fn end(&self) {
+    pub(crate) fn end(&self) {
         self.bar.finish_and_clear();
     }
 }
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -13,10 +13,10 @@
 use ironmast_fault_injection::stage::Stage;
 
 /// The scenario that `demo` plays.
-pub const DEMO: &str = include_str!("../../../scenarios/stage/zone-cut.toml");
+pub(crate) const DEMO: &str = include_str!("../../../scenarios/stage/zone-cut.toml");
 
 /// What to play and where to write it.
-pub struct Play {
+pub(crate) struct Play {
     pub scenario: Option<PathBuf>,
     pub proxy: Option<PathBuf>,
     pub json: Option<PathBuf>,
@@ -53,9 +53,9 @@
         let (mut served, mut other) = (0, 0);
         window.for_each(|s| {
             if s.outcome == Outcome::Served {
-                served += 1
+                served += 1;
             } else {
-                other += 1
+                other += 1;
             }
         });
         text += &format!(" {served:>4} {other:>3}");
@@ -79,7 +79,7 @@
 
 /// Plays a scenario; exit 1 where something ran twice, was served without a run or is not as the
 /// scenario expects, 2 where it could not be played.
-pub fn run(play: Play) -> Result<ExitCode, String> {
+pub(crate) fn run(play: Play) -> Result<ExitCode, String> {
     let (text, from) = match &play.scenario {
         Some(path) => (
             std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?,
@@ -97,7 +97,7 @@
     let runs: Vec<String> = zones.iter().map(|z| format!(" {z:>9}")).collect();
     println!("time {}{}  faults", proxies.join(""), runs.join(""));
     let watch = |second, stage: &Stage, tallies: &[Tally]| {
-        println!("{}", line(second, stage, tallies, &zones))
+        println!("{}", line(second, stage, tallies, &zones));
     };
     let played = scenario::play(&scenario, schedule, program, watch).map_err(|e| e.to_string())?;
     let (sent, v) = (played.sent.concat(), &played.verdict);
--- a/crates/testbed/src/statistics.rs
+++ b/crates/testbed/src/statistics.rs
@@ -4,11 +4,11 @@
 use statrs::distribution::{ContinuousCDF as _, StudentsT};
 
 /// One figure of a run.
-pub type Figure = fn(&Report) -> f64;
+pub(crate) type Figure = fn(&Report) -> f64;
 
 /// A mean and the half width of its 95 % confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Mean {
+pub(crate) struct Mean {
     /// The mean.
     pub value: f64,
     /// Half of the interval's width; infinite for fewer than two values.
@@ -16,7 +16,7 @@
 }
 
 /// The mean of some values, with Student's t.
-pub fn mean(values: &[f64]) -> Mean {
+pub(crate) fn mean(values: &[f64]) -> Mean {
     let n = values.len() as f64;
     let value = values.iter().sum::<f64>() / n.max(1.0);
     if values.len() < 2 {
@@ -34,19 +34,19 @@
 }
 
 /// The mean difference of pairs, `a - b`.
-pub fn paired(a: &[f64], b: &[f64]) -> Mean {
+pub(crate) fn paired(a: &[f64], b: &[f64]) -> Mean {
     let differences: Vec<f64> = a.iter().zip(b).map(|(a, b)| a - b).collect();
     mean(&differences)
 }
 
 impl Mean {
     /// Whether it differs from zero by more than chance explains.
-    pub fn is_real(self) -> bool {
+    pub(crate) fn is_real(self) -> bool {
         self.value.abs() > self.half
     }
 
     /// `0.931 +- 0.004`.
-    pub fn text(self) -> String {
+    pub(crate) fn text(self) -> String {
         if self.half.is_finite() {
             format!("{:.4} +- {:.4}", self.value, self.half)
         } else {
--- a/crates/testbed/src/sweep.rs
+++ b/crates/testbed/src/sweep.rs
@@ -18,7 +18,7 @@
 
 /// What is varied, from where to where, in how many steps.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Vary {
+pub(crate) struct Vary {
     path: String,
     from: f64,
     to: f64,
@@ -114,7 +114,7 @@
 ];
 
 /// Plays all values, and writes what was finished even where it was stopped.
-pub fn run(
+pub(crate) fn run(
     loaded: &Loaded,
     vary: &Vary,
     policies: &[PolicyName],
--- a/crates/transport/src/attempt.rs
+++ b/crates/transport/src/attempt.rs
@@ -75,6 +75,7 @@
 
 impl AttemptState {
     /// An attempt that has not begun.
+    #[must_use]
     pub fn new(options: AttemptOptions) -> Rc<Self> {
         Rc::new(AttemptState {
             options,
--- a/crates/transport/src/bodies.rs
+++ b/crates/transport/src/bodies.rs
@@ -43,6 +43,7 @@
 
 impl Held {
     /// What a proxy with so many MB may hold.
+    #[must_use]
     pub fn new(memory_mb: usize) -> Self {
         let most = ((memory_mb << 20) / PART).max(WINDOW);
         Held {
@@ -88,6 +89,7 @@
 impl Pace {
     /// For a request whose first byte came at `begun` and whose head is whole; it has `patience`
     /// whatever its pace.
+    #[must_use]
     pub fn new(begun: Micros, patience: Micros) -> Self {
         Pace {
             first: begun + patience,
@@ -112,6 +114,7 @@
     }
 
     /// When it is too late for more; never while nothing is waited for.
+    #[must_use]
     pub fn late_at(&self) -> Option<Micros> {
         let may_take = START + self.received.saturating_mul(1_000_000) / PACE;
         self.since
@@ -292,6 +295,7 @@
 
 impl Outflow {
     /// What comes of an answer that has begun.
+    #[must_use]
     pub fn new(length: Option<u64>, parts: Parts, hold: Hold) -> Self {
         Outflow {
             length,
--- a/crates/transport/src/checked.rs
+++ b/crates/transport/src/checked.rs
@@ -71,6 +71,7 @@
 
 impl CheckedStream {
     /// Wraps a new connection.
+    #[must_use]
     pub fn new(stream: ObservedStream<AttemptObserver>) -> Self {
         CheckedStream {
             stream: Some(stream),
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -15,6 +15,7 @@
 
 impl Clock {
     /// A clock started now.
+    #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -26,11 +27,13 @@
     }
 
     /// The reading now.
+    #[must_use]
     pub fn now(&self) -> Micros {
         self.unix + self.start.elapsed().as_micros() as Micros
     }
 
     /// The moment of a reading.
+    #[must_use]
     pub fn at(&self, reading: Micros) -> Instant {
         self.start + Duration::from_micros(reading.saturating_sub(self.unix))
     }
--- a/crates/transport/src/frames/memory.rs
+++ b/crates/transport/src/frames/memory.rs
@@ -26,6 +26,7 @@
 
 impl MemoryNetwork {
     /// A process that listens at an address, in place of any that did before.
+    #[must_use]
     pub fn listen<M>(
         &self,
         at: SocketAddr,
@@ -50,6 +51,7 @@
     }
 
     /// The clock's reading.
+    #[must_use]
     pub fn now(&self) -> Duration {
         self.0.borrow().now
     }
@@ -67,6 +69,7 @@
     }
 
     /// The clock's reading at which something may next arrive or end by itself.
+    #[must_use]
     pub fn next_due(&self) -> Option<Duration> {
         self.0.borrow().next_due()
     }
--- a/crates/transport/src/frames/memory/state.rs
+++ b/crates/transport/src/frames/memory/state.rs
@@ -107,7 +107,7 @@
             .links
             .iter()
             .flat_map(|link| &link.ends)
-            .flat_map(|end| end.on_the_way.front());
+            .filter_map(|end| end.on_the_way.front());
         let arrivals = arrivals.map(|(due, _)| *due);
         let ends = self.links.iter().filter_map(|link| self.gives_up_at(link));
         arrivals.chain(ends).filter(|&due| due > self.now).min()
@@ -162,9 +162,10 @@
                 continue;
             }
             for end in 0..2 {
-                let step = match self.links[at].ends.iter().all(|end| end.greeted) {
-                    true => LinkStep::Read,
-                    false => LinkStep::Connect,
+                let step = if self.links[at].ends.iter().all(|end| end.greeted) {
+                    LinkStep::Read
+                } else {
+                    LinkStep::Connect
                 };
                 self.down(at, end, step, LinkCause::TimedOut);
             }
--- a/crates/transport/src/framing.rs
+++ b/crates/transport/src/framing.rs
@@ -13,7 +13,7 @@
 const LINES_MOST: usize = 8 * 1024;
 
 /// Why bytes are no answer.
-pub type Spoilt = &'static str;
+pub(crate) type Spoilt = &'static str;
 
 /// How the body of an answer ends.
 #[derive(Debug, PartialEq, Eq)]
--- a/crates/transport/src/framing/tests.rs
+++ b/crates/transport/src/framing/tests.rs
@@ -11,13 +11,14 @@
         let now = (come + part).min(bytes.len());
         let (start, mut at, mut body) = match follower.take() {
             Some((start, at, body)) => (start, at, body),
-            None => match head(&bytes[..now], BodyRules::default())? {
-                Some(Head { at, framing, .. }) => (at.start, at.end, Follower { framing, seen: 0 }),
-                None => {
+            None => {
+                if let Some(Head { at, framing, .. }) = head(&bytes[..now], BodyRules::default())? {
+                    (at.start, at.end, Follower { framing, seen: 0 })
+                } else {
                     come = now;
                     continue;
                 }
-            },
+            }
         };
         let (used, whole) = body.follow(&bytes[at..now])?;
         at += used;
--- a/crates/transport/src/listener.rs
+++ b/crates/transport/src/listener.rs
@@ -269,9 +269,10 @@
             });
         };
         let in_hand = connection.take_in_hand();
-        let mut response = match head_bytes(&request) > connection.limits().max_header_bytes {
-            true => too_large(),
-            false => self.service.handle(request, &connection).await,
+        let mut response = if head_bytes(&request) > connection.limits().max_header_bytes {
+            too_large()
+        } else {
+            self.service.handle(request, &connection).await
         };
         let serving = *self.serving.borrow();
         if self.closing.get() || connection.is_spoilt() || !serving || self.crowded() {
--- a/crates/transport/src/read_ahead.rs
+++ b/crates/transport/src/read_ahead.rs
@@ -44,7 +44,7 @@
 
 impl ReadAhead {
     /// A connection of which nothing has been read.
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         let (in_hand, rested, parsed, behind) = Default::default();
         let (lines, reader) = Default::default();
         ReadAhead {
@@ -60,10 +60,11 @@
 
     /// How many bytes may be read now. Pending after a long go; and, without a wake, while a
     /// request is in hand and enough has come behind it.
-    pub fn poll_room(&self, cx: &Context<'_>) -> Poll<usize> {
-        match self.in_hand.get() {
-            true => self.poll_behind(cx),
-            false => self.poll_go(cx),
+    pub(crate) fn poll_room(&self, cx: &Context<'_>) -> Poll<usize> {
+        if self.in_hand.get() {
+            self.poll_behind(cx)
+        } else {
+            self.poll_go(cx)
         }
     }
 
@@ -99,7 +100,7 @@
     }
 
     /// The socket has no bytes to read at the moment.
-    pub fn socket_empty(&self) {
+    pub(crate) fn socket_empty(&self) {
         self.parsed.set(!self.in_hand.get());
     }
 
@@ -111,7 +112,7 @@
     }
 
     /// These bytes have been read.
-    pub fn read(&self, bytes: &[u8]) {
+    pub(crate) fn read(&self, bytes: &[u8]) {
         self.room.set(self.room.get().saturating_sub(bytes.len()));
         // Nobody asks how many more there are. Guards the processor against long bodies.
         if self.lines.get() < QUEUED_LINES {
@@ -124,13 +125,13 @@
 
     /// The handler has consumed all that has come of the request's body and waits for more: at most
     /// `rest` bytes.
-    pub fn body_consumed(&self, rest: usize) {
+    pub(crate) fn body_consumed(&self, rest: usize) {
         self.allow(MAX_READ_AHEAD_BYTES + rest.min(BODY_PART_BYTES));
     }
 
     /// Nobody consumes the rest of the body, at most `rest` bytes: actix-http discards it as it
     /// comes.
-    pub fn body_abandoned(&self, rest: usize) {
+    pub(crate) fn body_abandoned(&self, rest: usize) {
         self.allow(rest.saturating_add(MAX_READ_AHEAD_BYTES));
     }
 
@@ -142,7 +143,7 @@
     }
 
     /// The handling of a request begins.
-    pub fn request_started(&self) {
+    pub(crate) fn request_started(&self) {
         self.in_hand.set(true);
         self.parsed.set(false);
         if self.rested.take() {
@@ -153,7 +154,7 @@
     /// The answer is written, or its client has left. Guards requests that have come meanwhile
     /// against waiting until more come: actix-http looks at its buffer once before it writes the
     /// answer, and not after it.
-    pub fn request_finished(&self) {
+    pub(crate) fn request_finished(&self) {
         self.in_hand.set(false);
         if self.behind.get() {
             self.wake();
--- a/crates/transport/src/sockets.rs
+++ b/crates/transport/src/sockets.rs
@@ -106,6 +106,7 @@
     /// The shares of clients and of servers in a program that may hold `limit` descriptors, of
     /// which `apart` are no connections of either. Guards the way to the servers against hundreds
     /// of clients, and the other way round.
+    #[must_use]
     pub fn shares(limit: usize, apart: usize) -> (Self, Self) {
         let all = limit.saturating_sub(apart).max(2);
         let clients = (all * CLIENTS / 100).max(1);
@@ -113,6 +114,7 @@
     }
 
     /// A share of so many descriptors.
+    #[must_use]
     pub fn new(whole: usize) -> Self {
         let (size, used) = (Rc::new(Cell::new(whole)), Rc::default());
         Budget {
@@ -125,6 +127,7 @@
     }
 
     /// How many there may be now.
+    #[must_use]
     pub fn size(&self) -> usize {
         self.size.get()
     }
@@ -150,6 +153,7 @@
     }
 
     /// Takes one, if there is one; near the end idle connections are closed first.
+    #[must_use]
     pub fn take(&self) -> Option<Slot> {
         if self.used.get() + self.size.get() / SCARCE >= self.size.get() {
             self.trim.borrow().iter().for_each(|trim| trim());
--- a/crates/transport/tests/listener.rs
+++ b/crates/transport/tests/listener.rs
@@ -275,13 +275,13 @@
             };
             first.closed().await;
             assert!(second.is_open(), "the other has its own limit");
-            if header_timeout != brief {
-                second.write(&GET[10..]).await;
+            if header_timeout == brief {
+                second = &mut silent;
+                second.write(GET).await;
                 stage.request().await.answer("served");
                 assert_matches!(second.answer().await, Some(_));
             } else {
-                second = &mut silent;
-                second.write(GET).await;
+                second.write(&GET[10..]).await;
                 stage.request().await.answer("served");
                 assert_matches!(second.answer().await, Some(_));
             }
--- a/crates/transport/tests/listener/stage.rs
+++ b/crates/transport/tests/listener/stage.rs
@@ -23,7 +23,7 @@
 use tokio::task::JoinHandle;
 
 /// Longer than any test.
-pub const LIMITS: ClientLimits = ClientLimits {
+pub(crate) const LIMITS: ClientLimits = ClientLimits {
     header_timeout: 60_000_000,
     idle_timeout: 60_000_000,
     max_header_bytes: 16 * 1024,
@@ -31,7 +31,7 @@
 };
 
 /// A request of this path is answered without the test.
-pub const AT_ONCE: &str = "/at-once";
+pub(crate) const AT_ONCE: &str = "/at-once";
 
 /// Room in a socket's buffers.
 const LITTLE: u32 = 2_048;
@@ -39,7 +39,7 @@
 const MOST: Duration = Duration::from_secs(30);
 
 /// Plays on the runtime that actix-http needs.
-pub fn play(test: impl Future<Output = ()>) {
+pub(crate) fn play(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(async {
         tokio::time::timeout(MOST, test).await.expect("in time");
     });
@@ -52,7 +52,7 @@
 }
 
 /// A request that waits for its answer.
-pub struct Asked {
+pub(crate) struct Asked {
     /// Its body, where it is held.
     pub body: String,
     /// Its body, where it is on its way.
@@ -62,28 +62,28 @@
 
 impl Asked {
     /// Answers at once.
-    pub fn answer(self, text: &str) {
+    pub(crate) fn answer(self, text: &str) {
         drop(self.reply.send(Reply::Whole(text.to_string())));
     }
 
     /// Answers by a stream.
-    pub fn stream(self) -> Stream {
+    pub(crate) fn stream(self) -> Stream {
         let (parts, stream) = mpsc::channel(1);
         drop(self.reply.send(Reply::Stream(stream)));
         Stream(parts)
     }
 
     /// Waits until nobody wants the answer.
-    pub async fn abandoned(&mut self) {
+    pub(crate) async fn abandoned(&mut self) {
         self.reply.closed().await;
     }
 }
 
 /// An answer on its way.
-pub struct Stream(mpsc::Sender<Result<Bytes, io::Error>>);
+pub(crate) struct Stream(mpsc::Sender<Result<Bytes, io::Error>>);
 
 impl Stream {
-    pub async fn event(&mut self, text: &str) {
+    pub(crate) async fn event(&mut self, text: &str) {
         self.0
             .send(Ok(Bytes::copy_from_slice(text.as_bytes())))
             .await
@@ -91,10 +91,10 @@
     }
 
     /// The answer is whole.
-    pub fn end(self) {}
+    pub(crate) fn end(self) {}
 
     /// The server has broken off.
-    pub async fn break_off(self) {
+    pub(crate) async fn break_off(self) {
         self.0
             .send(Err(io::ErrorKind::UnexpectedEof.into()))
             .await
@@ -102,13 +102,13 @@
     }
 
     /// Waits until nobody wants more of it.
-    pub async fn abandoned(&mut self) {
+    pub(crate) async fn abandoned(&mut self) {
         self.0.closed().await;
     }
 }
 
 /// Hands requests to the test.
-pub struct Scripted {
+pub(crate) struct Scripted {
     asked: mpsc::UnboundedSender<Asked>,
     held: Held,
 }
@@ -162,7 +162,7 @@
 }
 
 /// A listener that serves.
-pub struct Stage {
+pub(crate) struct Stage {
     pub listener: Rc<Listener<Scripted>>,
     address: SocketAddr,
     asked: Mutex<mpsc::UnboundedReceiver<Asked>>,
@@ -171,12 +171,12 @@
 }
 
 impl Stage {
-    pub async fn start(limits: ClientLimits) -> Self {
+    pub(crate) async fn start(limits: ClientLimits) -> Self {
         Stage::start_with(limits, 64).await
     }
 
     /// One that may hold so many connections.
-    pub async fn start_with(limits: ClientLimits, descriptors: usize) -> Self {
+    pub(crate) async fn start_with(limits: ClientLimits, descriptors: usize) -> Self {
         let tcp =
             sockets::listen("127.0.0.1:0".parse().expect("an address")).expect("a port is free");
         // What it accepts has it, too.
@@ -208,14 +208,14 @@
         }
     }
 
-    pub async fn connect(&self) -> Client {
+    pub(crate) async fn connect(&self) -> Client {
         Client(BufReader::new(
             TcpStream::connect(self.address).await.expect("it listens"),
         ))
     }
 
     /// A client on whose connection little is on its way at once.
-    pub async fn connect_with_little_room(&self) -> Client {
+    pub(crate) async fn connect_with_little_room(&self) -> Client {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(LITTLE).expect("set");
         Client(BufReader::with_capacity(
@@ -225,12 +225,12 @@
     }
 
     /// The next request that the service is handed.
-    pub async fn request(&self) -> Asked {
+    pub(crate) async fn request(&self) -> Asked {
         self.asked.lock().await.recv().await.expect("it serves")
     }
 
     /// Takes no new connection any more and lets the others finish; ends when none is left.
-    pub fn drain(&self) -> JoinHandle<()> {
+    pub(crate) fn drain(&self) -> JoinHandle<()> {
         let accepting = self.accepting.take().expect("drained once");
         let listener = Rc::clone(&self.listener);
         actix_rt::spawn(async move {
@@ -242,18 +242,18 @@
 }
 
 /// A client's connection.
-pub struct Client(BufReader<TcpStream>);
+pub(crate) struct Client(BufReader<TcpStream>);
 
 impl Client {
     /// Writes all of it while the test goes on, and gives the connection back.
-    pub fn write_meanwhile(mut self, text: String) -> JoinHandle<Client> {
+    pub(crate) fn write_meanwhile(mut self, text: String) -> JoinHandle<Client> {
         actix_rt::spawn(async move {
             self.write(&text).await;
             self
         })
     }
 
-    pub async fn write(&mut self, text: &str) {
+    pub(crate) async fn write(&mut self, text: &str) {
         self.0
             .get_mut()
             .write_all(text.as_bytes())
@@ -274,7 +274,7 @@
     }
 
     /// A whole answer with a length: head and body.
-    pub async fn answer(&mut self) -> Option<String> {
+    pub(crate) async fn answer(&mut self) -> Option<String> {
         let mut head = self.head().await?;
         let length = head
             .lines()
@@ -287,7 +287,7 @@
     }
 
     /// The next chunk of a stream, past its head; none where it breaks off.
-    pub async fn part(&mut self) -> Option<String> {
+    pub(crate) async fn part(&mut self) -> Option<String> {
         let mut line = String::new();
         loop {
             line.clear();
@@ -306,7 +306,7 @@
     }
 
     /// Waits until the other side has closed it.
-    pub async fn closed(&mut self) {
+    pub(crate) async fn closed(&mut self) {
         let mut rest = Vec::new();
         // A reset is a close, too.
         let _ = self.0.read_to_end(&mut rest).await;
@@ -314,7 +314,7 @@
     }
 
     /// Whether the other side has not closed it.
-    pub fn is_open(&self) -> bool {
+    pub(crate) fn is_open(&self) -> bool {
         let mut byte = [0];
         matches!(self.0.get_ref().try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
--- a/crates/transport/tests/message_transport/contract.rs
+++ b/crates/transport/tests/message_transport/contract.rs
@@ -11,10 +11,10 @@
 use crate::worlds::World;
 
 /// Kept, or what was broken.
-pub type Contract = Result<(), String>;
+pub(crate) type Contract = Result<(), String>;
 
 /// The greeting of a process of that name.
-pub fn hello(node: &str) -> Hello {
+pub(crate) fn hello(node: &str) -> Hello {
     Hello {
         protocol: "contract".into(),
         version: 1,
@@ -77,7 +77,7 @@
     }
 }
 
-pub async fn both_sides_learn_who_the_other_is<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn both_sides_learn_who_the_other_is<W: World>(world: &mut W) -> Contract {
     let mut one = world.listen::<u64>(hello("one"), small());
     let mut other = world.listen::<u64>(hello("other"), small());
     one.connect(other.local_address());
@@ -105,7 +105,9 @@
 }
 
 /// Sends while it receives: no side waits for the other's buffers.
-pub async fn messages_arrive_whole_and_in_order_both_ways<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn messages_arrive_whole_and_in_order_both_ways<W: World>(
+    world: &mut W,
+) -> Contract {
     const COUNT: u64 = 500;
     let mut one = world.listen::<(u64, Vec<u8>)>(hello("one"), small());
     let mut other = world.listen::<(u64, Vec<u8>)>(hello("other"), small());
@@ -132,7 +134,9 @@
     check(!rest, || "more than was sent".into())
 }
 
-pub async fn messages_sent_before_the_link_is_up_arrive<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn messages_sent_before_the_link_is_up_arrive<W: World>(
+    world: &mut W,
+) -> Contract {
     let mut one = world.listen::<u64>(hello("one"), small());
     let mut other = world.listen::<u64>(hello("other"), small());
     let link = one.connect(other.local_address());
@@ -149,7 +153,7 @@
     Ok(())
 }
 
-pub async fn a_message_beyond_the_bound_is_not_taken_and_the_link_goes_on<W: World>(
+pub(crate) async fn a_message_beyond_the_bound_is_not_taken_and_the_link_goes_on<W: World>(
     world: &mut W,
 ) -> Contract {
     let mut one = world.listen::<Vec<u8>>(hello("one"), small());
@@ -169,7 +173,9 @@
     })
 }
 
-pub async fn a_frame_beyond_the_receivers_bound_ends_the_link<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn a_frame_beyond_the_receivers_bound_ends_the_link<W: World>(
+    world: &mut W,
+) -> Contract {
     let mut one = world.listen::<Vec<u8>>(hello("one"), small());
     let tight = LinkOptions {
         max_frame_bytes: 1_000,
@@ -190,7 +196,9 @@
     down(&mut one, here).await.map(drop)
 }
 
-pub async fn a_frame_that_holds_no_message_ends_the_link<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn a_frame_that_holds_no_message_ends_the_link<W: World>(
+    world: &mut W,
+) -> Contract {
     let mut one = world.listen::<String>(hello("one"), small());
     let mut other = world.listen::<bool>(hello("other"), small());
     let (here, there) = linked(&mut one, &mut other).await?;
@@ -202,7 +210,7 @@
     down(&mut one, here).await.map(drop)
 }
 
-pub async fn nobody_there_is_told<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn nobody_there_is_told<W: World>(world: &mut W) -> Contract {
     let mut one = world.listen::<u64>(hello("one"), small());
     let nobody = world.nobody();
     let link = one.connect(nobody);
@@ -216,7 +224,7 @@
     })
 }
 
-pub async fn a_peer_that_is_gone_is_told_once<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn a_peer_that_is_gone_is_told_once<W: World>(world: &mut W) -> Contract {
     let mut one = world.listen::<u64>(hello("one"), small());
     let mut other = world.listen::<u64>(hello("other"), small());
     let (here, there) = linked(&mut one, &mut other).await?;
@@ -231,7 +239,7 @@
     check(one.next().now_or_never().is_none(), || "told twice".into())
 }
 
-pub async fn what_was_sent_before_a_close_arrives<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn what_was_sent_before_a_close_arrives<W: World>(world: &mut W) -> Contract {
     let few = LinkOptions {
         max_waiting_events: 5,
         ..small()
@@ -266,7 +274,7 @@
     })
 }
 
-pub async fn other_greetings_are_refused_on_both_sides<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn other_greetings_are_refused_on_both_sides<W: World>(world: &mut W) -> Contract {
     let later = Hello {
         version: 2,
         ..hello("later")
@@ -328,7 +336,9 @@
     }
 }
 
-pub async fn a_full_queue_refuses_and_nothing_taken_is_lost<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn a_full_queue_refuses_and_nothing_taken_is_lost<W: World>(
+    world: &mut W,
+) -> Contract {
     let options = pressing(Overflow::RefuseNewest);
     let mut one = world.listen(hello("one"), options);
     let mut other = world.listen::<(u64, Vec<u8>)>(hello("other"), options);
@@ -343,7 +353,9 @@
         .map_err(|e| format!("there is room again: {e}"))
 }
 
-pub async fn a_full_queue_drops_the_oldest_where_told_so<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn a_full_queue_drops_the_oldest_where_told_so<W: World>(
+    world: &mut W,
+) -> Contract {
     let options = pressing(Overflow::DropOldest);
     let mut one = world.listen(hello("one"), options);
     let mut other = world.listen::<(u64, Vec<u8>)>(hello("other"), options);
@@ -366,7 +378,7 @@
     })
 }
 
-pub async fn a_dropped_wait_loses_nothing<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn a_dropped_wait_loses_nothing<W: World>(world: &mut W) -> Contract {
     let mut one = world.listen::<u64>(hello("one"), small());
     let mut other = world.listen::<u64>(hello("other"), small());
     let (link, _) = linked(&mut one, &mut other).await?;
--- a/crates/transport/tests/message_transport/faulty.rs
+++ b/crates/transport/tests/message_transport/faulty.rs
@@ -10,7 +10,7 @@
 
 /// What a transport does wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub(crate) enum Fault {
     /// Nothing.
     None,
     /// Each tenth message is lost.
@@ -24,7 +24,7 @@
 }
 
 /// A world whose transports have a fault.
-pub struct FaultyWorld<W> {
+pub(crate) struct FaultyWorld<W> {
     /// The world without it.
     pub world: W,
     /// The fault.
@@ -50,7 +50,7 @@
 }
 
 /// A transport with a fault.
-pub struct Faulty<T: MessageTransport> {
+pub(crate) struct Faulty<T: MessageTransport> {
     transport: T,
     fault: Fault,
     sent: usize,
--- a/crates/transport/tests/message_transport/worlds.rs
+++ b/crates/transport/tests/message_transport/worlds.rs
@@ -9,11 +9,11 @@
 use serde::de::DeserializeOwned;
 
 /// What may travel.
-pub trait Message: Serialize + DeserializeOwned + Send + 'static {}
+pub(crate) trait Message: Serialize + DeserializeOwned + Send + 'static {}
 impl<M: Serialize + DeserializeOwned + Send + 'static> Message for M {}
 
 /// Makes transports that can reach each other.
-pub trait World {
+pub(crate) trait World {
     /// Its transports.
     type Transport<M: Message>: MessageTransport<Message = M>;
 
@@ -26,7 +26,7 @@
 
 /// Sockets on the loopback interface.
 #[derive(Default)]
-pub struct TcpWorld;
+pub(crate) struct TcpWorld;
 
 fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().expect("an address")
@@ -47,7 +47,7 @@
 
 /// A network in memory without delays.
 #[derive(Default)]
-pub struct MemoryWorld {
+pub(crate) struct MemoryWorld {
     network: MemoryNetwork,
     nodes: u8,
 }
--- a/crates/transport/tests/pass_through/stage.rs
+++ b/crates/transport/tests/pass_through/stage.rs
@@ -16,37 +16,37 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// An answer whose body is read by parts.
-pub type Answer = awc::ClientResponse;
+pub(crate) type Answer = awc::ClientResponse;
 
 /// The id of each request.
-pub const ID: &str = "9c41d07be2a35f68";
+pub(crate) const ID: &str = "9c41d07be2a35f68";
 /// How an answer's body ends.
-pub const CHUNKED: &str = "Transfer-Encoding: chunked\r\n";
-pub const SIZED: &str = "Content-Length: 10\r\n";
-pub const TO_END: &str = "Connection: close\r\n";
+pub(crate) const CHUNKED: &str = "Transfer-Encoding: chunked\r\n";
+pub(crate) const SIZED: &str = "Content-Length: 10\r\n";
+pub(crate) const TO_END: &str = "Connection: close\r\n";
 
 /// A play that does not end has failed.
 const MOST: Duration = Duration::from_secs(30);
 
 /// Plays on the runtime that awc needs.
-pub fn play(test: impl Future<Output = ()>) {
+pub(crate) fn play(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(async {
         tokio::time::timeout(MOST, test).await.expect("in time");
     });
 }
 
 /// An answer's head.
-pub fn head(id: &str, framing: &str) -> String {
+pub(crate) fn head(id: &str, framing: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nX-Ironmast-Request-Id: {id}\r\n{framing}\r\n")
 }
 
 /// An event of a stream.
-pub fn event(n: usize) -> String {
+pub(crate) fn event(n: usize) -> String {
     format!("id: {n}\ndata: piece {n}\n\n")
 }
 
 /// What attempts here are made with.
-pub fn passing() -> AttemptOptions {
+pub(crate) fn passing() -> AttemptOptions {
     let expected = ExpectedHeader {
         name: "X-Ironmast-Request-Id",
         value: Some(ID.into()),
@@ -58,19 +58,19 @@
     }
 }
 
-pub fn attempt(options: AttemptOptions) -> Rc<AttemptState> {
+pub(crate) fn attempt(options: AttemptOptions) -> Rc<AttemptState> {
     AttemptState::new(options)
 }
 
 /// The server and its client.
-pub struct Stage {
+pub(crate) struct Stage {
     listener: TcpListener,
     address: SocketAddr,
     client: awc::Client,
 }
 
 impl Stage {
-    pub async fn start() -> Self {
+    pub(crate) async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port is free");
@@ -85,7 +85,7 @@
     }
 
     /// Sends a request, and waits for the head of its answer.
-    pub async fn ask(
+    pub(crate) async fn ask(
         &self,
         state: &Rc<AttemptState>,
         method: Method,
@@ -100,7 +100,7 @@
     }
 
     /// Sends a request with a body, and waits for the head of its answer.
-    pub async fn send(
+    pub(crate) async fn send(
         &self,
         state: &Rc<AttemptState>,
         body: Bytes,
@@ -114,7 +114,7 @@
 
     /// Sends a request, which the server answers by these bytes on a new connection; that
     /// connection, too.
-    pub async fn exchange(
+    pub(crate) async fn exchange(
         &self,
         state: &Rc<AttemptState>,
         method: Method,
@@ -130,7 +130,7 @@
     }
 
     /// The next connection.
-    pub async fn accept(&self) -> Peer {
+    pub(crate) async fn accept(&self) -> Peer {
         let (stream, _) = self.listener.accept().await.expect("a connection");
         stream.set_nodelay(true).expect("set");
         Peer(stream)
@@ -138,16 +138,16 @@
 }
 
 /// The server's side of a connection.
-pub struct Peer(TcpStream);
+pub(crate) struct Peer(TcpStream);
 
 impl Peer {
     /// Reads a request's head.
-    pub async fn request(&mut self) {
+    pub(crate) async fn request(&mut self) {
         assert!(self.try_request().await, "a request");
     }
 
     /// Reads a request's head; false where the connection ends instead.
-    pub async fn try_request(&mut self) -> bool {
+    pub(crate) async fn try_request(&mut self) -> bool {
         let mut come = Vec::new();
         while !come.ends_with(b"\r\n\r\n") {
             match self.0.read_u8().await {
@@ -158,37 +158,37 @@
         true
     }
 
-    pub async fn write(&mut self, text: &str) {
+    pub(crate) async fn write(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).await.expect("written");
     }
 
     /// Lets the client take what was written.
-    pub async fn arrived(&self) {
+    pub(crate) async fn arrived(&self) {
         for _ in 0..3 {
             tokio::task::yield_now().await;
         }
     }
 
     /// Waits until the client has closed its side.
-    pub async fn closed(&mut self) {
+    pub(crate) async fn closed(&mut self) {
         let mut rest = Vec::new();
         // A reset is a close, too.
         let _ = self.0.read_to_end(&mut rest).await;
     }
 
     /// Ends its own side.
-    pub async fn end(&mut self) {
+    pub(crate) async fn end(&mut self) {
         self.0.shutdown().await.expect("ended");
     }
 
     /// Ends it by a reset.
-    pub fn reset(self) {
+    pub(crate) fn reset(self) {
         self.0.set_zero_linger().expect("set");
     }
 }
 
 /// Reads the parts of a body that has to end whole.
-pub async fn whole(answer: &mut Answer) -> String {
+pub(crate) async fn whole(answer: &mut Answer) -> String {
     let mut body = Vec::new();
     while let Some(part) = answer.next().await {
         body.extend_from_slice(&part.expect("whole"));
@@ -197,7 +197,7 @@
 }
 
 /// Reads so many bytes, and no others may be there.
-pub async fn exactly(answer: &mut Answer, text: &str) {
+pub(crate) async fn exactly(answer: &mut Answer, text: &str) {
     let mut come = String::new();
     while come.len() < text.len() {
         let part = answer.next().await.expect("more").expect("sound");
@@ -207,7 +207,7 @@
 }
 
 /// Asks once more; whether that comes on a connection of its own.
-pub async fn asks_anew(stage: &Stage, old: &mut Peer) -> bool {
+pub(crate) async fn asks_anew(stage: &Stage, old: &mut Peer) -> bool {
     let state = attempt(passing());
     let answer = format!("{}helloworld", head(ID, SIZED));
     let on_old = async {
@@ -233,7 +233,7 @@
 
 /// A first answer on a connection, with these bytes behind it; then the connection. Its head is
 /// read before the rest is written, where it is to flow.
-pub async fn answered_as(
+pub(crate) async fn answered_as(
     stage: &Stage,
     framing: &str,
     body: &str,
@@ -261,6 +261,6 @@
 }
 
 /// The same, all of it written at once.
-pub async fn answered(stage: &Stage, framing: &str, body: &str, behind: &str) -> Peer {
+pub(crate) async fn answered(stage: &Stage, framing: &str, body: &str, behind: &str) -> Peer {
     answered_as(stage, framing, body, behind, false).await
 }
