--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -13,7 +13,7 @@
 
 use eyre::{Result, WrapErr as _};
 use ironmast_overlay::Role;
-use ironmast_overlay_transport::Mesh;
+use ironmast_overlay_transport::OverlayHandle;
 use ironmast_schema::settings::{InternalPort, Settings};
 use slog::{Logger, info};
 use tokio::signal::unix::{SignalKind, signal};
@@ -42,7 +42,7 @@
     feed::start(&state, feed).await?;
     uplink::add(&state, &settings.seed_coordinators());
     actix_rt::spawn(uplink::keep(Rc::clone(&state)));
-    let (mesh, mut entries) = Mesh::start(&settings, Role::Agent, &log).await?;
+    let (mesh, mut entries) = OverlayHandle::start(&settings, Role::Agent, &log).await?;
     info!(log, "agent serves"; "feed" => %feed, "zone" => &settings.zone);
     loop {
         tokio::select! {
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -22,7 +22,7 @@
 
 use eyre::{Result, WrapErr as _};
 use ironmast_overlay::Role;
-use ironmast_overlay_transport::Mesh;
+use ironmast_overlay_transport::OverlayHandle;
 use ironmast_schema::control::Entry;
 use ironmast_schema::settings::{InternalPort, Settings, SettingsError};
 use slog::{Logger, info};
@@ -85,7 +85,7 @@
 struct Coordinator {
     clock: Instant,
     state: Rc<RefCell<State>>,
-    mesh: Mesh,
+    mesh: OverlayHandle,
     commands: mpsc::UnboundedReceiver<Command>,
     persisted: mpsc::UnboundedReceiver<Persisted>,
     entries: mpsc::UnboundedReceiver<Entry>,
@@ -101,7 +101,7 @@
         );
         let clock = Instant::now();
         let (replica, persisted) = Replica::open(settings, own, Clock::since(clock), log.clone())?;
-        let (mesh, entries) = Mesh::start(settings, Role::Coordinator, log).await?;
+        let (mesh, entries) = OverlayHandle::start(settings, Role::Coordinator, log).await?;
         let state = Rc::new(RefCell::new(State::new(
             settings,
             own,
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/state.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ironmast_endpoints::{Catalog, Merged, Micros, Patience};
-use ironmast_overlay_transport::Mesh;
+use ironmast_overlay_transport::OverlayHandle;
 use ironmast_register::{Operation, State as RegisterState};
 use ironmast_schema::configuration::Configuration;
 use ironmast_schema::control::{ControlState, Entry, FromCoordinator, Key, ToCoordinator, Value};
@@ -91,17 +91,17 @@
     fn set_in_contact(&self, in_contact: bool);
 }
 
-impl Relay for Mesh {
+impl Relay for OverlayHandle {
     fn publish(&self, entry: &Entry) {
-        Mesh::publish(self, entry);
+        OverlayHandle::publish(self, entry);
     }
 
     fn remove(&self, of: &Key, version: u64) {
-        Mesh::remove(self, of, version);
+        OverlayHandle::remove(self, of, version);
     }
 
     fn set_in_contact(&self, in_contact: bool) {
-        Mesh::set_in_contact(self, in_contact);
+        OverlayHandle::set_in_contact(self, in_contact);
     }
 }
 
--- a/crates/overlay-transport/src/lib.rs
+++ b/crates/overlay-transport/src/lib.rs
@@ -1,4 +1,4 @@
-//! The overlay on sockets. A [`Mesh`] owns the connections of one node (coordinator or agent) to
+//! The overlay on sockets. A [`OverlayHandle`] owns the connections of one node (coordinator or agent) to
 //! others, and carries the entries of [`ironmast_schema::control`] over the relay tree.
 #![forbid(unsafe_code)]
 
@@ -35,11 +35,11 @@
 
 /// The handle of a node's mesh; it ends when the handle is dropped.
 #[derive(Debug, Clone)]
-pub struct Mesh {
+pub struct OverlayHandle {
     commands: mpsc::UnboundedSender<Command>,
 }
 
-impl Mesh {
+impl OverlayHandle {
     /// Listens at the node's address and joins the others. Entries that are news here come out of
     /// the receiver.
     ///
@@ -67,7 +67,7 @@
         let (commands, inbox) = mpsc::unbounded_channel();
         let (news, entries) = mpsc::unbounded_channel();
         actix_rt::spawn(driver::run(listener, me, inbox, news, log.clone()));
-        let mesh = Mesh { commands };
+        let mesh = OverlayHandle { commands };
         mesh.set_seeds(settings);
         Ok((mesh, entries))
     }
@@ -102,7 +102,7 @@
     /// Tells a coordinator's mesh whether the coordinator is in contact with a majority of the
     /// coordinators. One that is not stops being a root of the relay tree, so that agents turn to
     /// others at once; what is published there still spreads. Until the first call it counts as in
-    /// contact: a coordinator calls this with `false` right after [`Mesh::start`], and at each
+    /// contact: a coordinator calls this with `false` right after [`OverlayHandle::start`], and at each
     /// change. May be called at any moment, also with the same value again.
     pub fn set_in_contact(&self, in_contact: bool) {
         self.tell(Command::InContact(in_contact));
