--- a/crates/gate/src/answer.rs
+++ b/crates/gate/src/answer.rs
@@ -8,7 +8,7 @@
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
 use futures_util::{Stream, StreamExt as _, stream};
-use ironmast_routing::Refusal;
+use ironmast_routing::Rejection;
 use ironmast_transport::connection::ActiveRequest;
 use tokio::sync::mpsc;
 
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub(crate) enum Answer {
     /// The request has not run and never will.
-    Refused(Refusal),
+    Refused(Rejection),
     /// It failed here; nothing is promised.
     Failed(StatusCode),
     /// A server's, whole.
--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -128,8 +128,8 @@
 fn unsent(error: &SendRequestError, state: &AttemptState) -> Outcome {
     match error {
         SendRequestError::Connect(_) if state.written() == 0 => Outcome::ConnectFailed,
-        _ if state.written() == 0 => Outcome::Unwritten,
-        _ if state.spoilt().is_some() => Outcome::Spoilt,
+        _ if state.written() == 0 => Outcome::NotSent,
+        _ if state.spoilt().is_some() => Outcome::MalformedResponse,
         _ => Outcome::Reset,
     }
 }
@@ -213,7 +213,7 @@
 
     fn broken(&self, _error: &PayloadError) -> Outcome {
         match self.state.spoilt() {
-            Some(_) => Outcome::Spoilt,
+            Some(_) => Outcome::MalformedResponse,
             None => Outcome::Reset,
         }
     }
@@ -242,7 +242,7 @@
                     retry_after: retry_after(headers),
                 })
             }
-            status if status.is_client_error() => Meaning::Settled(Outcome::Rejected),
+            status if status.is_client_error() => Meaning::Settled(Outcome::ClientError),
             _ => Meaning::Ended(Outcome::NotExecuted {
                 retry_after: retry_after(headers),
             }),
@@ -254,13 +254,13 @@
         return if counts {
             Meaning::Success
         } else {
-            Meaning::Ended(Outcome::Spoilt)
+            Meaning::Ended(Outcome::MalformedResponse)
         };
     }
     if status.is_server_error() {
         Meaning::Settled(Outcome::ServerError)
     } else {
-        Meaning::Settled(Outcome::Rejected)
+        Meaning::Settled(Outcome::ClientError)
     }
 }
 
--- a/crates/gate/src/attempt/tests.rs
+++ b/crates/gate/src/attempt/tests.rs
@@ -21,10 +21,10 @@
 #[test]
 fn a_success_needs_its_stamp_and_an_untouched_body() {
     assert_eq!(means(200, &[STAMP]), Meaning::Success);
-    assert_eq!(means(200, &[]), Meaning::Ended(Outcome::Spoilt));
+    assert_eq!(means(200, &[]), Meaning::Ended(Outcome::MalformedResponse));
     assert_eq!(
         means(200, &[STAMP, ("content-encoding", "gzip")]),
-        Meaning::Ended(Outcome::Spoilt)
+        Meaning::Ended(Outcome::MalformedResponse)
     );
 }
 
@@ -39,8 +39,8 @@
     );
     assert_eq!(means(503, &[STAMP]), Meaning::Settled(Outcome::ServerError));
     assert_eq!(means(504, &[STAMP]), Meaning::Settled(Outcome::ServerError));
-    assert_eq!(means(400, &[mark]), Meaning::Settled(Outcome::Rejected));
-    assert_eq!(means(400, &[STAMP]), Meaning::Settled(Outcome::Rejected));
+    assert_eq!(means(400, &[mark]), Meaning::Settled(Outcome::ClientError));
+    assert_eq!(means(400, &[STAMP]), Meaning::Settled(Outcome::ClientError));
 }
 
 #[test]
--- a/crates/gate/src/exchange.rs
+++ b/crates/gate/src/exchange.rs
@@ -9,7 +9,7 @@
 
 use actix_http::StatusCode;
 use bytes::Bytes;
-use ironmast_routing::{Call, Check, Decision, Dispatch, Micros, Outcome, Request};
+use ironmast_routing::{Call, Decision, Dispatch, Micros, Outcome, ProgressCheck, Request};
 use tokio::sync::oneshot;
 
 use crate::answer::{Answer, Flow, Head, Outlet, flow};
@@ -91,7 +91,7 @@
     fn drop(&mut self) {
         // Of no effect where the request has had its final decision.
         let now = self.gate.clock.now();
-        self.gate.decider.borrow_mut().abandon(now, &mut self.call);
+        self.gate.decider.borrow_mut().cancel(now, &mut self.call);
     }
 }
 
@@ -104,7 +104,7 @@
                     Ok(outcome) => self.settle(outcome),
                     Err(Stop::Left | Stop::Over) => return,
                 },
-                Decision::Hold { until } => match self.hold(until).await {
+                Decision::Delay { until } => match self.hold(until).await {
                     Ok(decision) => decision,
                     Err(_) => return,
                 },
@@ -124,7 +124,7 @@
         self.gate
             .decider
             .borrow_mut()
-            .settled(now, &mut self.call, outcome, &mut *limits)
+            .attempt_finished(now, &mut self.call, outcome, &mut *limits)
     }
 
     async fn hold(&mut self, until: Micros) -> Result<Decision, Stop> {
@@ -146,13 +146,16 @@
     /// The last decision: what the client gets, if it has not got it yet.
     async fn close(&mut self, decision: Decision) {
         let answer = match decision {
-            Decision::Refuse(refusal) => Answer::Refused(refusal),
-            Decision::PassOn => self.kept_answer(),
+            Decision::Reject(refusal) => Answer::Refused(refusal),
+            Decision::ForwardResponse => self.kept_answer(),
             Decision::Fail { status } => {
                 Answer::Failed(StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY))
             }
             // What is not ended by now is broken off as the exchange is dropped.
-            Decision::BreakOff | Decision::Finished | Decision::Send(_) | Decision::Hold { .. } => {
+            Decision::AbortResponse
+            | Decision::Finished
+            | Decision::Send(_)
+            | Decision::Delay { .. } => {
                 return;
             }
         };
@@ -206,9 +209,9 @@
     fn begin_answer(&mut self, dispatch: &Dispatch, begun: &Begun) {
         let now = self.gate.clock.now();
         let mut decider = self.gate.decider.borrow_mut();
-        decider.first_byte(now, &mut self.call);
+        decider.first_byte_received(now, &mut self.call);
         if let Some(load) = begun.load {
-            decider.report(now, dispatch.server, load);
+            decider.apply_load_report(now, dispatch.server, load);
         }
     }
 
@@ -216,7 +219,7 @@
     fn stopped(&self) -> Outcome {
         match self.client {
             Client::Waits(_) => Outcome::Timeout,
-            _ => Outcome::Cut { last_event: None },
+            _ => Outcome::Truncated { last_event: None },
         }
     }
 
@@ -229,7 +232,7 @@
     ) -> Result<Outcome, Stop> {
         // A stream that goes on elsewhere has had its head: this one is of no use.
         if !matches!(self.client, Client::Waits(_)) {
-            return Ok(Outcome::Cut { last_event: None });
+            return Ok(Outcome::Truncated { last_event: None });
         }
         let gate = Rc::clone(&self.gate);
         let held = guard(
@@ -245,7 +248,7 @@
                 self.kept = Some((head_of(&begun), held.bytes));
                 Ok(outcome)
             }
-            Ok(Ok(_)) => Ok(Outcome::Spoilt),
+            Ok(Ok(_)) => Ok(Outcome::MalformedResponse),
             Ok(Err(outcome)) => Ok(outcome),
             Err(Stop::Left) => Err(Stop::Left),
             Err(Stop::Over) => Ok(self.stopped()),
@@ -255,7 +258,7 @@
     /// Takes a success that is held until it is whole, or let through where it is long.
     async fn whole(&mut self, mut begun: Begun, watch: &mut Watch) -> Result<Outcome, Stop> {
         if !matches!(self.client, Client::Waits(_)) {
-            return Ok(Outcome::Cut { last_event: None });
+            return Ok(Outcome::Truncated { last_event: None });
         }
         let gate = Rc::clone(&self.gate);
         let held = guard(
@@ -291,7 +294,7 @@
         self.gate
             .decider
             .borrow_mut()
-            .passed(now, &mut self.call, None);
+            .response_forwarded(now, &mut self.call, None);
     }
 }
 
@@ -345,10 +348,10 @@
             return Err(Stop::Over);
         }
         if watch.check_at.is_some_and(|at| at <= now) {
-            watch.check_at = match gate.decider.borrow().check(now, call) {
-                Check::Move => return Err(Stop::Over),
-                Check::Wait { until } => Some(until.max(now + 1_000)),
-                Check::Leave => None,
+            watch.check_at = match gate.decider.borrow().check_progress(now, call) {
+                ProgressCheck::FailOver => return Err(Stop::Over),
+                ProgressCheck::Wait { until } => Some(until.max(now + 1_000)),
+                ProgressCheck::Ignore => None,
             };
         }
     }
--- a/crates/gate/src/exchange/relay.rs
+++ b/crates/gate/src/exchange/relay.rs
@@ -33,7 +33,7 @@
                 self.pass_events(&begun, watch, whole).await?;
             }
             if checked.is_err() {
-                return Ok(self.broken(Outcome::Spoilt));
+                return Ok(self.broken(Outcome::MalformedResponse));
             }
         }
     }
@@ -53,7 +53,7 @@
         self.gate
             .decider
             .borrow_mut()
-            .passed(now, &mut self.call, whole.last);
+            .response_forwarded(now, &mut self.call, whole.last);
         Ok(())
     }
 
@@ -73,7 +73,7 @@
     /// The server's body came to its proper end.
     async fn ended(&mut self, begun: &Begun, events: &Events) -> Outcome {
         if !events.is_between() {
-            return self.broken(Outcome::Spoilt);
+            return self.broken(Outcome::MalformedResponse);
         }
         if matches!(self.client, Client::Waits(_)) {
             self.pass_head(begun, None);
@@ -92,7 +92,7 @@
     fn broken(&self, outcome: Outcome) -> Outcome {
         match self.client {
             Client::Waits(_) => outcome,
-            _ => Outcome::Cut { last_event: None },
+            _ => Outcome::Truncated { last_event: None },
         }
     }
 
--- a/crates/gate/src/feed.rs
+++ b/crates/gate/src/feed.rs
@@ -114,7 +114,7 @@
     let draining = |server: &ServerSpec| server.state == ServerState::Draining;
     [
         table.servers().len(),
-        count(|server| server.silent_since.is_some()),
+        count(|server| server.heartbeats_missing_since.is_some()),
         count(draining),
         count(|s| s.evacuated),
     ]
--- a/crates/gate/src/front.rs
+++ b/crates/gate/src/front.rs
@@ -76,7 +76,7 @@
         let mut asked = ironmast_routing::Request::new(route);
         asked.model = hints.model;
         asked.parts = hints.parts.into();
-        (asked.tokens_in, asked.tokens_out) = hints.tokens;
+        (asked.prompt_tokens, asked.max_output_tokens) = hints.tokens;
         asked.deadline = hints.deadline.map(|deadline| began + deadline);
         asked.last_event = hints.last_event;
         let (reply, answered) = oneshot::channel();
--- a/crates/gate/src/gate.rs
+++ b/crates/gate/src/gate.rs
@@ -129,7 +129,7 @@
             .map(|server| server.address)
             .collect();
         self.upstream.keep(|address| addresses.contains(address));
-        self.decider.borrow_mut().swap(now, Arc::new(table));
+        self.decider.borrow_mut().update_table(now, Arc::new(table));
         self.status_changed.notify_one();
     }
 
@@ -137,7 +137,7 @@
     pub(crate) fn learn_servers(&self) {
         let interval = self.settings.borrow().heartbeat_interval_ms as f64 * 1_000.0;
         let until = self.clock.now() + (interval * KNOWN_WITHIN) as Micros;
-        self.decider.borrow_mut().learn_until(until);
+        self.decider.borrow_mut().allow_discovery_until(until);
     }
 
     /// Asked right before the first byte of an attempt decided at `decided` is written.
--- a/crates/gate/src/health.rs
+++ b/crates/gate/src/health.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use actix_http::StatusCode;
-use ironmast_routing::{Micros, Probe, ProbeOutcome};
+use ironmast_routing::{HealthCheck, HealthCheckOutcome, Micros};
 use ironmast_transport::attempt::{AttemptOptions, AttemptState, Delivery};
 
 use crate::attempt::INSTANCE_ID;
@@ -24,7 +24,7 @@
 
 /// What a check told.
 struct Told {
-    outcome: ProbeOutcome,
+    outcome: HealthCheckOutcome,
     /// Of a server that is well, how much longer it is cold, in ms.
     warmup_left: Option<f64>,
 }
@@ -36,7 +36,7 @@
         tokio::time::sleep(EVERY).await;
         gate.decider
             .borrow_mut()
-            .probes_due(gate.clock.now(), &mut probes);
+            .due_health_checks(gate.clock.now(), &mut probes);
         for probe in probes.drain(..) {
             actix_rt::spawn(check(Rc::clone(&gate), probe));
         }
@@ -51,14 +51,14 @@
     }
 }
 
-async fn check(gate: Rc<Gate>, probe: Probe) {
+async fn check(gate: Rc<Gate>, probe: HealthCheck) {
     let sent = gate.clock.now();
     let told = ask(&gate, probe.address, &probe.path, &probe.expect_instance).await;
     note_warmup(&gate, sent, &probe.expect_instance, &told);
     let now = gate.clock.now();
     gate.decider
         .borrow_mut()
-        .probed(now, probe.server, told.outcome);
+        .health_check_finished(now, probe.server, told.outcome);
 }
 
 /// Asks a server how much longer it is cold, where that matters.
@@ -108,7 +108,7 @@
     let asked = tokio::time::timeout(WITHIN, state.scope(call.send())).await;
     let Ok(Ok(mut answer)) = asked else {
         return Told {
-            outcome: ProbeOutcome::Unhealthy,
+            outcome: HealthCheckOutcome::Unhealthy,
             warmup_left: None,
         };
     };
@@ -124,15 +124,15 @@
         .and_then(|value| value.trim().parse().ok())
         .unwrap_or(0.0);
     let outcome = match answer.status() {
-        _ if !same => ProbeOutcome::WrongInstance,
-        StatusCode::OK => ProbeOutcome::Healthy,
-        _ if turned_away => ProbeOutcome::Full,
-        _ => ProbeOutcome::Unhealthy,
+        _ if !same => HealthCheckOutcome::WrongInstance,
+        StatusCode::OK => HealthCheckOutcome::Healthy,
+        _ if turned_away => HealthCheckOutcome::Full,
+        _ => HealthCheckOutcome::Unhealthy,
     };
     // Read to its end, so that the connection can be used again.
     let _ = tokio::time::timeout(WITHIN, answer.body()).await;
     Told {
         outcome,
-        warmup_left: (outcome == ProbeOutcome::Healthy).then_some(left),
+        warmup_left: (outcome == HealthCheckOutcome::Healthy).then_some(left),
     }
 }
--- a/crates/gate/src/limits.rs
+++ b/crates/gate/src/limits.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ironmast_limits::{ColdLimiter, ColdTracker, Report, RetryTerms, Tier, cold_bound};
-use ironmast_routing::{Micros, Permits, RetryBudget, ServerSpec, ServiceSpec, Wait};
+use ironmast_routing::{Micros, Permits, RetryAfter, RetryBudget, ServerSpec, ServiceSpec};
 use ironmast_schema::settings::TimingBounds;
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -133,12 +133,12 @@
     /// its connection belongs to another second by now.
     pub(crate) fn may_write(&mut self, now: Micros, taken: Micros, server: &ServerSpec) -> bool {
         let late = now > taken.saturating_add(PERMIT_HOLDS);
-        !late || self.take(now, server).is_ok()
+        !late || self.try_acquire(now, server).is_ok()
     }
 }
 
 impl Permits for Limits {
-    fn take(&mut self, now: Micros, server: &ServerSpec) -> Result<(), Wait> {
+    fn try_acquire(&mut self, now: Micros, server: &ServerSpec) -> Result<(), RetryAfter> {
         let cold = self.is_cold(now, server);
         let Some((bound, limiter)) = self.cold.get_mut(&server.service) else {
             return Ok(());
@@ -152,16 +152,16 @@
         let permits = self.tier.permits(*bound, &server.region, &server.instance);
         limiter
             .try_take_of(span(now), &server.instance, permits)
-            .map_err(|told| Wait(wait(told)))
+            .map_err(|told| RetryAfter(wait(told)))
     }
 }
 
 impl RetryBudget for Limits {
-    fn requested(&mut self, now: Micros, service: &ServiceSpec) {
+    fn deposit(&mut self, now: Micros, service: &ServiceSpec) {
         self.retry.on_request(span(now), &service.name);
     }
 
-    fn try_take(&mut self, now: Micros, service: &ServiceSpec) -> bool {
+    fn withdraw(&mut self, now: Micros, service: &ServiceSpec) -> bool {
         self.retry.try_take(span(now), &service.name).is_ok()
     }
 }
--- a/crates/gate/src/limits/tests.rs
+++ b/crates/gate/src/limits/tests.rs
@@ -26,8 +26,8 @@
         capacity: 64,
         state: ironmast_routing::ServerState::Ready,
         evacuated: false,
-        cold: true,
-        silent_since: None,
+        warming_up: true,
+        heartbeats_missing_since: None,
         models: Vec::new(),
         sequence: 1,
     }
@@ -61,7 +61,7 @@
 
 fn taken(limits: &mut Limits, now: Micros, server: &ServerSpec) -> usize {
     (0..100)
-        .take_while(|_| limits.take(now, server).is_ok())
+        .take_while(|_| limits.try_acquire(now, server).is_ok())
         .count()
 }
 
@@ -119,7 +119,7 @@
 fn a_send_that_waited_for_its_connection_needs_another_permit() {
     let mut limits = limits();
     let (now, server) = (START + 2 * SECOND, server("i", "cold"));
-    assert!(limits.take(now, &server).is_ok());
+    assert!(limits.try_acquire(now, &server).is_ok());
     assert!(limits.may_write(now + 10_000, now, &server));
     assert!(!limits.may_write(now + SECOND / 2, now, &server));
     assert!(limits.may_write(now + 2 * SECOND, now, &server));
@@ -130,9 +130,9 @@
     let mut limits = limits();
     let now = START + 60 * SECOND;
     let plain = service("plain", 0.0);
-    (0..100).for_each(|_| limits.requested(now, &plain));
+    (0..100).for_each(|_| limits.deposit(now, &plain));
     let repeats = (0..100)
-        .take_while(|_| limits.try_take(now, &plain))
+        .take_while(|_| limits.withdraw(now, &plain))
         .count();
     // Half of a ratio of 0.1; a burst of 10 leaves nothing for each of 16 gates.
     assert_eq!(repeats, 5);
--- a/crates/gate/src/peers.rs
+++ b/crates/gate/src/peers.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ironmast_routing::{GateNews, UnreadAt};
+use ironmast_routing::{PeerReport, PendingPrefill};
 use ironmast_schema::settings::InternalPort;
 use serde::{Deserialize, Serialize};
 use slog::warn;
@@ -75,22 +75,22 @@
             let now = gate.clock.now();
             gate.decider
                 .borrow_mut()
-                .told_news(now, peer_number(from.ip()), &told);
+                .apply_peer_report(now, peer_number(from.ip()), &told);
         }
     }
 }
 
 async fn tell(gate: &Gate, socket: &UdpSocket) {
-    let mut last = GateNews::default();
+    let mut last = PeerReport::default();
     let mut at = Instant::now();
     loop {
         let peers = gate.peers.borrow().clone();
         tokio::time::sleep(pause(peers.len())).await;
         let (news, is_due) = {
             let decider = gate.decider.borrow();
-            let news = decider.news(gate.clock.now());
-            let is_changed = decider.is_worth_telling(&last, &news);
-            let is_due = is_changed || news != GateNews::default() && at.elapsed() >= AGAIN;
+            let news = decider.peer_report(gate.clock.now());
+            let is_changed = decider.is_significant_change(&last, &news);
+            let is_due = is_changed || news != PeerReport::default() && at.elapsed() >= AGAIN;
             (news, is_due)
         };
         if !is_due {
@@ -112,9 +112,9 @@
     EVERY.mul_f64(more.max(1.0)).min(AGAIN)
 }
 
-fn encode(news: &GateNews) -> Vec<u8> {
+fn encode(news: &PeerReport) -> Vec<u8> {
     let unread = news
-        .unread
+        .pending_prefill
         .iter()
         .take(SERVERS_MOST)
         .map(|at| (at.server, at.tokens));
@@ -127,7 +127,7 @@
     postcard::to_stdvec(&told).unwrap_or_default()
 }
 
-fn parse(datagram: &[u8]) -> Option<GateNews> {
+fn parse(datagram: &[u8]) -> Option<PeerReport> {
     let told: Told = postcard::from_bytes(datagram).ok()?;
     let is_sound = told.version == VERSION
         && told.unread.len() <= SERVERS_MOST
@@ -135,9 +135,9 @@
     let unread = told
         .unread
         .into_iter()
-        .map(|(server, tokens)| UnreadAt { server, tokens });
-    is_sound.then(|| GateNews {
-        unread: unread.collect(),
+        .map(|(server, tokens)| PendingPrefill { server, tokens });
+    is_sound.then(|| PeerReport {
+        pending_prefill: unread.collect(),
         suspect: told.suspect,
     })
 }
--- a/crates/gate/src/peers/tests.rs
+++ b/crates/gate/src/peers/tests.rs
@@ -3,17 +3,17 @@
 #[test]
 fn what_is_told_is_heard() {
     let unread = vec![
-        UnreadAt {
+        PendingPrefill {
             server: u64::MAX,
             tokens: 12_000,
         },
-        UnreadAt {
+        PendingPrefill {
             server: 1,
             tokens: 3,
         },
     ];
-    let news = GateNews {
-        unread,
+    let news = PeerReport {
+        pending_prefill: unread,
         suspect: vec![2, u64::MAX],
     };
     assert_eq!(parse(&encode(&news)), Some(news));
@@ -22,20 +22,20 @@
 #[test]
 fn a_datagram_stays_short() {
     let unread = vec![
-        UnreadAt {
+        PendingPrefill {
             server: u64::MAX,
             tokens: u64::MAX
         };
         1_000
     ];
-    let datagram = encode(&GateNews {
-        unread,
+    let datagram = encode(&PeerReport {
+        pending_prefill: unread,
         suspect: vec![u64::MAX; 1_000],
     });
     assert!(datagram.len() <= DATAGRAM_MOST, "{}", datagram.len());
     let told = parse(&datagram).expect("a datagram");
     assert_eq!(
-        (told.unread.len(), told.suspect.len()),
+        (told.pending_prefill.len(), told.suspect.len()),
         (SERVERS_MOST, SERVERS_MOST)
     );
 }
--- a/crates/gate/src/table.rs
+++ b/crates/gate/src/table.rs
@@ -7,8 +7,8 @@
 
 use ironmast_limits::{GateNumber, Tier};
 use ironmast_routing::{
-    Micros, RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Split, Table, TableError,
-    TableSpec,
+    Micros, RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Table, TableError,
+    TableSpec, WeightedBackend,
 };
 use ironmast_schema::configuration::{ClientLimits, Configuration, Route, RouteType, Service};
 use ironmast_schema::control::{ControlState, Entry, InstanceRecord, Key, Standing, Value};
@@ -204,8 +204,8 @@
             },
             evacuated: evacuated.contains(&said.zone),
             // The limits know better from one moment to the next: they are asked for each request.
-            cold: true,
-            silent_since: self.silent.get(id).copied(),
+            warming_up: true,
+            heartbeats_missing_since: self.silent.get(id).copied(),
             models: Vec::new(),
             sequence: said.sequence,
         }
@@ -255,7 +255,7 @@
 }
 
 fn route(route: &Route) -> RouteSpec {
-    let split = |(service, weight): (&str, f64)| Split {
+    let split = |(service, weight): (&str, f64)| WeightedBackend {
         service: service.into(),
         weight: whole_weight(weight),
     };
@@ -264,17 +264,17 @@
         host: route.hostname.as_str().into(),
         prefix: route.path_prefix.as_str().into(),
         kind: match route.kind {
-            RouteType::Safe => RouteKind::Safe,
-            RouteType::Unsafe => RouteKind::Unsafe,
+            RouteType::Safe => RouteKind::Idempotent,
+            RouteType::Unsafe => RouteKind::NonIdempotent,
             RouteType::Streaming => RouteKind::Stream {
                 resumable: route.resumable,
             },
         },
-        splits: route.splits().into_iter().map(split).collect(),
+        backends: route.splits().into_iter().map(split).collect(),
         max_attempts: route.max_attempts,
         timeout_ms: route.timeout_ms,
         target_latency_ms: route.target_latency_ms.max(0.0) as u64,
-        gap_aim_ms: (route.gap_aim_ms > 0.0).then_some(route.gap_aim_ms as u64),
+        max_event_gap_ms: (route.gap_aim_ms > 0.0).then_some(route.gap_aim_ms as u64),
         priority: route.priority,
         affinity: route.session_affinity,
         allowed_regions: route
--- a/crates/gate/src/table/tests.rs
+++ b/crates/gate/src/table/tests.rs
@@ -87,7 +87,7 @@
         .expect("a route");
     assert_eq!(route.spec.kind, RouteKind::Stream { resumable: true });
     assert_eq!(
-        (route.spec.gap_aim_ms, route.spec.max_attempts),
+        (route.spec.max_event_gap_ms, route.spec.max_attempts),
         (Some(600), 2)
     );
     assert_eq!(route.spec.allowed_regions, ["north".into()]);
@@ -96,7 +96,7 @@
         .route("a.example", "/u/")
         .expect("a route")
         .spec
-        .splits;
+        .backends;
     assert_eq!((split[0].weight, split[1].weight), (90_000, 1));
     assert_eq!(
         (
@@ -137,7 +137,10 @@
     let mut known = Known::default();
     known.merge(5, vec![instance("i-1", 1, "ready", Standing::Silent)]);
     known.merge(7, vec![instance("i-1", 2, "ready", Standing::Silent)]);
-    assert_eq!(known.servers(&settings())[0].silent_since, Some(5));
+    assert_eq!(
+        known.servers(&settings())[0].heartbeats_missing_since,
+        Some(5)
+    );
     let news = known.merge(9, vec![instance("i-1", 3, "ready", Standing::Present)]);
     assert_eq!(
         news,
@@ -146,7 +149,7 @@
             News::Warmup("i-1".into(), 1_500.0)
         ]
     );
-    assert_eq!(known.servers(&settings())[0].silent_since, None);
+    assert_eq!(known.servers(&settings())[0].heartbeats_missing_since, None);
 }
 
 #[test]
--- a/crates/routing/examples/decisions.rs
+++ b/crates/routing/examples/decisions.rs
@@ -7,7 +7,7 @@
 
 use ironmast_routing::{
     Decider, Decision, LoadReport, Micros, Outcome, PromptPart, Request, RouteKind, RouteSpec,
-    ServerSpec, ServerState, ServiceSpec, Settings, Split, Table, TableSpec, Unlimited,
+    ServerSpec, ServerState, ServiceSpec, Settings, Table, TableSpec, Unlimited, WeightedBackend,
 };
 
 const REGIONS: usize = 10;
@@ -25,14 +25,14 @@
         kind: RouteKind::Stream {
             resumable: number.is_multiple_of(2),
         },
-        splits: vec![Split {
+        backends: vec![WeightedBackend {
             service: format!("service-{}", number % services).into(),
             weight: 1,
         }],
         max_attempts: 2,
         timeout_ms: 15_000,
         target_latency_ms: 1200,
-        gap_aim_ms: Some(600),
+        max_event_gap_ms: Some(600),
         priority: 1,
         affinity: number % 10 < 8,
         allowed_regions: Vec::new(),
@@ -63,8 +63,8 @@
         capacity: 64,
         state: ServerState::Ready,
         evacuated: false,
-        cold: false,
-        silent_since: None,
+        warming_up: false,
+        heartbeats_missing_since: None,
         models: vec!["model".into()],
         sequence: 1,
     }
@@ -101,7 +101,7 @@
         part(number % 500, 4500),
         part(number + 1000, 6000),
     ]);
-    (request.tokens_in, request.tokens_out) = (11_300, 400);
+    (request.prompt_tokens, request.max_output_tokens) = (11_300, 400);
     request.deadline = Some(now + 15_000_000);
     request
 }
@@ -121,21 +121,21 @@
         begin[number / BATCH] += start.elapsed();
         match black_box(decision) {
             Decision::Send(dispatch) => {
-                decider.first_byte(now, &mut call);
+                decider.first_byte_received(now, &mut call);
                 let load = LoadReport {
                     running: 3,
                     waiting: 0,
                     slots: Some(64),
                     kv_cache: None,
                 };
-                decider.report(now, dispatch.server, load);
+                decider.apply_load_report(now, dispatch.server, load);
                 open.push_back(call);
             }
             _ => refused += 1,
         }
         if open.len() > in_flight {
             let mut call = open.pop_front().expect("a call");
-            black_box(decider.settled(now, &mut call, Outcome::Success, &mut Unlimited));
+            black_box(decider.attempt_finished(now, &mut call, Outcome::Success, &mut Unlimited));
         }
         all[number / BATCH] += start.elapsed();
     }
@@ -147,7 +147,7 @@
         let settings = Settings::new("region-0", "zone-0-0");
         let mut decider = Decider::new(settings, 1).expect("sound settings");
         let first = Arc::new(table(servers, services));
-        decider.swap(0, first.clone());
+        decider.update_table(0, first.clone());
         let (begin, all, refused) = play(&mut decider, 200);
         let list: Vec<ServerSpec> = first
             .servers()
@@ -158,7 +158,7 @@
         let next = Arc::new(first.with_servers(360, list).expect("a sound table"));
         let built = start.elapsed();
         let start = Instant::now();
-        decider.swap(1, next);
+        decider.update_table(1, next);
         let swapped = start.elapsed();
         let each = |mut times: Vec<Duration>| {
             times.sort_unstable();
--- a/crates/routing/src/attempts.rs
+++ b/crates/routing/src/attempts.rs
@@ -26,7 +26,7 @@
 pub(crate) fn next(call: &Call, outcome: &Outcome, now: Micros) -> Next {
     match outcome {
         Outcome::Success | Outcome::Cancelled => Next::End(Decision::Finished),
-        Outcome::Rejected => Next::End(last_word(call, outcome)),
+        Outcome::ClientError => Next::End(last_word(call, outcome)),
         _ if may_repeat(call, outcome) && is_useful(call, now) => Next::Again,
         _ => Next::End(last_word(call, outcome)),
     }
@@ -42,7 +42,8 @@
     // Of an answer that has begun only a resumable stream goes on elsewhere.
     if call.head_passed {
         let resumable = call.request.route.spec.kind == RouteKind::Stream { resumable: true };
-        return resumable && (matches!(outcome, Outcome::Cut { .. }) || call.cut_at.is_some());
+        return resumable
+            && (matches!(outcome, Outcome::Truncated { .. }) || call.cut_at.is_some());
     }
     call.idempotent() || !call.may_have_run() || !Guard::Once.on()
 }
@@ -56,8 +57,8 @@
 /// the caller.
 pub(crate) fn last_word(call: &Call, outcome: &Outcome) -> Decision {
     match outcome {
-        _ if call.head_passed => Decision::BreakOff,
-        Outcome::Rejected | Outcome::ServerError => Decision::PassOn,
+        _ if call.head_passed => Decision::AbortResponse,
+        Outcome::ClientError | Outcome::ServerError => Decision::ForwardResponse,
         Outcome::Timeout => Decision::Fail { status: 504 },
         _ => Decision::Fail { status: 502 },
     }
--- a/crates/routing/src/decider.rs
+++ b/crates/routing/src/decider.rs
@@ -14,7 +14,9 @@
 use rustc_hash::FxHashMap;
 
 use crate::attempts::{self, Next};
-use crate::decision::{Check, Decision, Dispatch, HealthChange, Outcome, ServerHandle, Status};
+use crate::decision::{
+    Decision, Dispatch, EjectionChange, Outcome, ProgressCheck, RejectionStatus, ServerHandle,
+};
 use crate::draw::Deck;
 use crate::fleet::Fleet;
 use crate::guards::Guard;
@@ -25,11 +27,11 @@
 use crate::request::{Attempt, Call, Request};
 use crate::room::LoadReport;
 use crate::settings::{Settings, SettingsError};
-use crate::splits::Splits;
 use crate::table::Table;
+use crate::traffic_split::TrafficSplits;
 use crate::usual::Usuals;
 use pick::DeckKey;
-pub use prompts::{GateNews, UnreadAt};
+pub use prompts::{PeerReport, PendingPrefill};
 use search::{Found, Search};
 
 /// The rank of a request that goes at the end, the highest that the `Priority` header knows.
@@ -53,12 +55,12 @@
     paces: FxHashMap<Arc<str>, Pace>,
     decks: FxHashMap<DeckKey, Deck>,
     turns: Turns,
-    splits: Splits,
+    traffic_splits: TrafficSplits,
     paths: Paths,
     /// Until then servers may be there that the table does not list yet.
     learns_until: Micros,
     ejections: u64,
-    changes: Vec<HealthChange>,
+    changes: Vec<EjectionChange>,
 }
 
 impl Decider {
@@ -77,7 +79,7 @@
             paces: FxHashMap::default(),
             decks: FxHashMap::default(),
             turns: Turns::default(),
-            splits: Splits::default(),
+            traffic_splits: TrafficSplits::default(),
             paths: Paths::default(),
             learns_until: 0,
             ejections: 0,
@@ -91,8 +93,8 @@
     }
 
     /// Puts another table in force. What is known of servers that stay is kept.
-    pub fn swap(&mut self, now: Micros, table: Arc<Table>) {
-        self.fleet.swap(now, &table);
+    pub fn update_table(&mut self, now: Micros, table: Arc<Table>) {
+        self.fleet.apply_table(now, &table);
         if !self.table.shares_routes(&table) {
             let names: rustc_hash::FxHashSet<&str> = table
                 .router()
@@ -103,7 +105,7 @@
                 |name| names.contains(name),
                 |name| table.service(name).is_some(),
             );
-            self.splits.keep(|name| names.contains(name));
+            self.traffic_splits.keep(|name| names.contains(name));
             self.turns.keep(|name| table.service(name).is_some());
             self.decks.clear();
             self.paces.retain(|name, _| table.service(name).is_some());
@@ -113,7 +115,7 @@
 
     /// After a start servers become known one after the other: until that clock reading, a request
     /// for which none is listed waits for one.
-    pub fn learn_until(&mut self, until: Micros) {
+    pub fn allow_discovery_until(&mut self, until: Micros) {
         self.learns_until = until;
     }
 
@@ -144,7 +146,7 @@
     }
 
     /// The attempt that is out ended.
-    pub fn settled<L: Permits + RetryBudget>(
+    pub fn attempt_finished<L: Permits + RetryBudget>(
         &mut self,
         now: Micros,
         call: &mut Call,
@@ -161,7 +163,7 @@
     }
 
     /// The client left: frees what the request holds. Of no effect once a decision was final.
-    pub fn abandon(&mut self, now: Micros, call: &mut Call) {
+    pub fn cancel(&mut self, now: Micros, call: &mut Call) {
         if !call.done {
             self.end_attempt(now, call, &Outcome::Cancelled);
             call.done = true;
@@ -169,31 +171,31 @@
     }
 
     /// The head of a successful answer, or a whole event of a stream, was passed on to the client.
-    /// A failure's head is not: it is told by [`Decider::settled`] before a byte of it is passed
-    /// on, which says whether it is to be.
-    pub fn passed(&mut self, now: Micros, call: &mut Call, event: Option<u64>) {
+    /// A failure's head is not: it is told by [`Decider::attempt_finished`] before a byte of it is
+    /// passed on, which says whether it is to be.
+    pub fn response_forwarded(&mut self, now: Micros, call: &mut Call, event: Option<u64>) {
         call.head_passed = true;
         call.last_event = event.or(call.last_event);
         call.last_byte = now;
         call.cut_at = None;
         if let Some(server) = call.open().map(|attempt| attempt.server) {
-            self.sign(now, server);
+            self.record_liveness(now, server);
         }
     }
 
     /// A server told its load.
-    pub fn report(&mut self, now: Micros, server: ServerHandle, load: LoadReport) {
-        self.sign(now, server);
+    pub fn apply_load_report(&mut self, now: Micros, server: ServerHandle, load: LoadReport) {
+        self.record_liveness(now, server);
         if let Some(node) = self.fleet.get_mut(server) {
-            node.occupancy.report(now, load);
+            node.occupancy.record_load_report(now, load);
         }
     }
 
     /// Anything was heard of a server.
-    pub fn sign(&mut self, now: Micros, server: ServerHandle) {
+    pub fn record_liveness(&mut self, now: Micros, server: ServerHandle) {
         if let Some(node) = self.fleet.get_mut(server) {
             node.last_sign = now;
-            self.paths.sign(now, &node.spec.region);
+            self.paths.record_liveness(now, &node.spec.region);
         }
     }
 
@@ -229,7 +231,7 @@
             ),
             Search::Cold(wait) => self.hold(now, call, wait),
             Search::None(Reason::Nobody { until: None }) if self.may_learn(now, call) => {
-                Decision::Hold {
+                Decision::Delay {
                     until: now + LEARN_AGAIN,
                 }
             }
@@ -256,7 +258,7 @@
         let repeat = call.arrivals() > 0 && Guard::Budget.on();
         let node = self.fleet.get(found.server);
         let service = node.and_then(|node| self.table.service(&node.spec.service));
-        let take = |service: u32| limits.try_take(now, &self.table.services()[service as usize]);
+        let take = |service: u32| limits.withdraw(now, &self.table.services()[service as usize]);
         call.paid = !repeat || call.paid || service.is_some_and(take);
         call.paid
     }
@@ -277,7 +279,7 @@
         node.occupancy.take(need);
         self.paths.tried(now, &node.spec.region);
         let unread = reading::waits(
-            call.request.tokens_in,
+            call.request.prompt_tokens,
             if here { call.shared_tokens } else { 0 },
         );
         node.unread.take(unread);
@@ -290,7 +292,7 @@
             address: node.spec.address,
             expect_instance: node.spec.instance.clone(),
             service: node.spec.service.clone(),
-            cold: node.spec.cold,
+            warming_up: node.spec.warming_up,
             crosses_region: *node.spec.region != *self.settings.region,
             priority: rank.min(PRIORITY_LAST) as u8,
             timeout,
@@ -311,9 +313,9 @@
             unread,
             backlog,
         });
-        let check_at = match self.check(now, call) {
-            Check::Wait { until } => Some(until),
-            Check::Move | Check::Leave => None,
+        let check_at = match self.check_progress(now, call) {
+            ProgressCheck::Wait { until } => Some(until),
+            ProgressCheck::FailOver | ProgressCheck::Ignore => None,
         };
         Dispatch {
             check_at,
@@ -327,7 +329,7 @@
         let longest = (call.target() as f64 * self.settings.hold_share) as Micros;
         let short = until <= call.begun.saturating_add(longest) || !Guard::HoldShort.on();
         match short && until < call.ends() {
-            true => Decision::Hold { until },
+            true => Decision::Delay { until },
             false => self.give_up(now, call, Reason::Nobody { until: Some(wait) }),
         }
     }
@@ -340,7 +342,7 @@
             .filter(|cut| now < cut.saturating_add(RESUME_WITHIN));
         let again = now + RESUME_AGAIN;
         if cut.is_some() && again < call.ends() {
-            return Decision::Hold { until: again };
+            return Decision::Delay { until: again };
         }
         if !call.head_passed && (!call.may_have_run() || !Guard::Promise.on()) {
             return self.refuse(now, call, reason);
@@ -355,7 +357,7 @@
 
     /// The last decision on a request. Where nothing can have run it is a promise.
     fn close(&mut self, now: Micros, call: &mut Call, decision: Decision) -> Decision {
-        let fails = matches!(decision, Decision::Fail { .. } | Decision::PassOn);
+        let fails = matches!(decision, Decision::Fail { .. } | Decision::ForwardResponse);
         if fails && !call.head_passed && !call.may_have_run() {
             return self.refuse(
                 now,
@@ -385,14 +387,16 @@
             // Servers were there, but none is left: what they said of the wait is the best that is
             // known.
             Reason::Nobody { until: None } if call.told_wait > 0 => {
-                (Status::Unavailable, call.told_wait)
+                (RejectionStatus::Unavailable, call.told_wait)
+            }
+            Reason::Nobody { until } => (RejectionStatus::Unavailable, until.unwrap_or(most / 2)),
+            Reason::Spent { told } => (RejectionStatus::Unavailable, told),
+            Reason::Full { rest, gap } => (RejectionStatus::Unavailable, turn(gap).max(rest)),
+            Reason::Crowded { rest, gap } => {
+                (RejectionStatus::TooManyRequests, turn(gap).max(rest))
             }
-            Reason::Nobody { until } => (Status::Unavailable, until.unwrap_or(most / 2)),
-            Reason::Spent { told } => (Status::Unavailable, told),
-            Reason::Full { rest, gap } => (Status::Unavailable, turn(gap).max(rest)),
-            Reason::Crowded { rest, gap } => (Status::TooManyRequests, turn(gap).max(rest)),
         };
-        Decision::Refuse(refusal::refuse(
+        Decision::Reject(refusal::refuse(
             &self.settings,
             &mut self.rng,
             status,
--- a/crates/routing/src/decider/health.rs
+++ b/crates/routing/src/decider/health.rs
@@ -4,7 +4,7 @@
 use ironmast_balancer::Micros;
 
 use super::Decider;
-use crate::decision::{HealthChange, Outcome, ProbeOutcome, ServerHandle};
+use crate::decision::{EjectionChange, HealthCheckOutcome, Outcome, ServerHandle};
 use crate::ejection::{EjectionCause, FirstByte, Health, Peers};
 use crate::guards::Guard;
 use crate::request::{Attempt, Call};
@@ -17,7 +17,7 @@
 
 impl Decider {
     /// The first byte of an answer came from the server.
-    pub fn first_byte(&mut self, now: Micros, call: &mut Call) {
+    pub fn first_byte_received(&mut self, now: Micros, call: &mut Call) {
         call.last_byte = now;
         let route = call.request.route.clone();
         let Some(attempt) = call.open().filter(|attempt| attempt.first_byte.is_none()) else {
@@ -29,8 +29,8 @@
         let took = now.saturating_sub(sent);
         self.was_read(server, unread, backlog, took);
         let part = took as f64 / call.target().max(1) as f64;
-        let ratio = self.usuals.first_byte(&route, took);
-        self.sign(now, server);
+        let ratio = self.usuals.record_first_byte(&route, took);
+        self.record_liveness(now, server);
         let Some(node) = self.fleet.get(server) else {
             return;
         };
@@ -45,7 +45,9 @@
             false => Peers::default(),
         };
         let rests = self.settings.ejection;
-        self.change_health(server, |health| health.first_byte(now, byte, peers, rests));
+        self.change_health(server, |health| {
+            health.first_byte_received(now, byte, peers, rests)
+        });
     }
 
     /// What the end of an attempt tells of its server.
@@ -83,7 +85,7 @@
         let rests = self.settings.ejection;
         self.change_health(server, |health| {
             health.trial &= !attempt.trial;
-            health.settled(now, outcome, attempt.sent, peers, rests)
+            health.attempt_finished(now, outcome, attempt.sent, peers, rests)
         });
         let Some(node) = self.fleet.get_mut(server) else {
             return;
@@ -95,16 +97,18 @@
             _ => {}
         }
         use Outcome::{
-            ConnectFailed, NotExecuted, Rejected, ServerError, Success, Timeout, WrongVersion,
+            ClientError, ConnectFailed, NotExecuted, ServerError, Success, Timeout, WrongVersion,
         };
         match outcome {
             Success => node.broke_at = 0,
-            ConnectFailed | Outcome::Reset | Outcome::Spoilt | Timeout => node.broke_at = now,
+            ConnectFailed | Outcome::Reset | Outcome::MalformedResponse | Timeout => {
+                node.broke_at = now
+            }
             _ => {}
         }
         match outcome {
-            Success | Rejected | ServerError | NotExecuted { .. } | WrongVersion => {
-                self.sign(now, server)
+            Success | ClientError | ServerError | NotExecuted { .. } | WrongVersion => {
+                self.record_liveness(now, server)
             }
             ConnectFailed | Timeout => self.paths.unanswered(&node.spec.region),
             _ => {}
@@ -112,21 +116,29 @@
     }
 
     /// A health check ended. One that fails ejects a server only if it is dark as well.
-    pub fn probed(&mut self, now: Micros, server: ServerHandle, outcome: ProbeOutcome) {
+    pub fn health_check_finished(
+        &mut self,
+        now: Micros,
+        server: ServerHandle,
+        outcome: HealthCheckOutcome,
+    ) {
         let Some(node) = self.fleet.get(server) else {
             return;
         };
         let (dark, peers) = (self.is_dark(now, node), self.fleet.peers(node));
-        let well = matches!(outcome, ProbeOutcome::Healthy | ProbeOutcome::Full);
+        let well = matches!(
+            outcome,
+            HealthCheckOutcome::Healthy | HealthCheckOutcome::Full
+        );
         if well {
-            self.sign(now, server);
+            self.record_liveness(now, server);
         }
         if let Some(node) = self.fleet.get_mut(server) {
-            node.displaced |= outcome == ProbeOutcome::WrongInstance;
+            node.displaced |= outcome == HealthCheckOutcome::WrongInstance;
         }
         let rests = self.settings.ejection;
         self.change_health(server, |health| {
-            health.probed(now, well, rests);
+            health.health_check_finished(now, well, rests);
             if dark && !well {
                 health.dark(now, peers, rests)
             } else {
@@ -149,7 +161,7 @@
         let after = node.health.ejected().is_some();
         self.ejections += u64::from(cause.is_some());
         if before != after && self.changes.len() < CHANGES_MOST {
-            self.changes.push(HealthChange {
+            self.changes.push(EjectionChange {
                 server,
                 instance: node.spec.instance.clone(),
                 ejected: cause,
@@ -158,7 +170,7 @@
     }
 
     /// Takes the news of servers that health set aside or took back since they were taken last.
-    pub fn take_changes(&mut self) -> Vec<HealthChange> {
+    pub fn take_ejection_changes(&mut self) -> Vec<EjectionChange> {
         std::mem::take(&mut self.changes)
     }
 
--- a/crates/routing/src/decider/pick.rs
+++ b/crates/routing/src/decider/pick.rs
@@ -250,8 +250,8 @@
     node: &Node,
     limits: &mut L,
 ) -> Result<(), Micros> {
-    match node.spec.cold && Guard::Permit.on() {
-        true => limits.take(now, &node.spec).map_err(|wait| wait.0),
+    match node.spec.warming_up && Guard::Permit.on() {
+        true => limits.try_acquire(now, &node.spec).map_err(|wait| wait.0),
         false => Ok(()),
     }
 }
--- a/crates/routing/src/decider/prompts.rs
+++ b/crates/routing/src/decider/prompts.rs
@@ -16,9 +16,9 @@
 /// What a gate tells the other gates of its region. Servers go by the hash of their instance, the
 /// same at every gate.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct GateNews {
+pub struct PeerReport {
     /// What it has out that waits to be read.
-    pub unread: Vec<UnreadAt>,
+    pub pending_prefill: Vec<PendingPrefill>,
     /// Servers that seem out of order to it: they owe an answer and give no sign, or an attempt
     /// there has just broken off.
     pub suspect: Vec<u64>,
@@ -26,7 +26,7 @@
 
 /// Tokens of prompts that wait at one server, by the hash of its instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UnreadAt {
+pub struct PendingPrefill {
     /// The hash, the same at every gate.
     pub server: u64,
     /// The tokens.
@@ -35,15 +35,15 @@
 
 impl Decider {
     /// What this gate has to tell the other gates of its region.
-    pub fn news(&self, now: Micros) -> GateNews {
+    pub fn peer_report(&self, now: Micros) -> PeerReport {
         let waiting = self.fleet.listed().filter(|node| node.unread.own() > 0);
         let suspect = self
             .fleet
             .listed()
             .filter(|node| node.is_suspect(now, self.settings.quiet_after));
-        GateNews {
-            unread: waiting
-                .map(|node| UnreadAt {
+        PeerReport {
+            pending_prefill: waiting
+                .map(|node| PendingPrefill {
                     server: node.hash,
                     tokens: node.unread.own(),
                 })
@@ -54,12 +54,12 @@
 
     /// Whether what there is to tell now differs from what was told by as much as would change a
     /// decision.
-    pub fn is_worth_telling(&self, told: &GateNews, news: &GateNews) -> bool {
+    pub fn is_significant_change(&self, told: &PeerReport, news: &PeerReport) -> bool {
         if told.suspect != news.suspect {
             return true;
         }
-        let tokens = |of: &GateNews, server: u64| {
-            of.unread
+        let tokens = |of: &PeerReport, server: u64| {
+            of.pending_prefill
                 .iter()
                 .find(|unread| unread.server == server)
                 .map_or(0, |unread| unread.tokens)
@@ -77,10 +77,10 @@
     }
 
     /// A peer told the whole of its news.
-    pub fn told_news(&mut self, now: Micros, peer: u64, news: &GateNews) {
+    pub fn apply_peer_report(&mut self, now: Micros, peer: u64, news: &PeerReport) {
         for node in self.fleet.listed_mut() {
             let here = news
-                .unread
+                .pending_prefill
                 .iter()
                 .filter(|unread| unread.server == node.hash);
             node.unread.told(
--- a/crates/routing/src/decider/search.rs
+++ b/crates/routing/src/decider/search.rs
@@ -70,28 +70,28 @@
     ) -> SmallVec<[u32; 4]> {
         let route = call.request.route.clone();
         if call.service.is_none() {
-            let point = self.splits.next(&route.spec.name, &mut self.rng);
+            let point = self.traffic_splits.next(&route.spec.name, &mut self.rng);
             let mut point = (point * route.weight as f64) as u64;
-            let drawn = route.spec.splits.iter().find(|split| {
+            let drawn = route.spec.backends.iter().find(|split| {
                 let here = point < u64::from(split.weight);
                 point = point.saturating_sub(u64::from(split.weight));
                 here
             });
             call.service = drawn
-                .or(route.spec.splits.first())
+                .or(route.spec.backends.first())
                 .map(|split| split.service.clone());
             let service = call
                 .service
                 .as_deref()
                 .and_then(|name| self.table.service(name));
             if let Some(service) = service {
-                limits.requested(now, &self.table.services()[service as usize]);
+                limits.deposit(now, &self.table.services()[service as usize]);
             }
         }
         let drawn = call.service.clone();
         let others = route
             .spec
-            .splits
+            .backends
             .iter()
             .filter(|split| split.weight > 0)
             .map(|split| &split.service);
--- a/crates/routing/src/decider/tests/affinity.rs
+++ b/crates/routing/src/decider/tests/affinity.rs
@@ -154,9 +154,9 @@
         slots: Some(8),
         kv_cache: None,
     };
-    gate.decider.report(gate.now, server, load);
+    gate.decider.apply_load_report(gate.now, server, load);
     assert_ne!(gate.served(gate.prompt("a", 1)), home);
-    gate.decider.report(
+    gate.decider.apply_load_report(
         gate.now,
         server,
         LoadReport {
@@ -195,7 +195,7 @@
     let mut calls = Vec::new();
     for key in 0..20 {
         let mut request = gate.prompt("a", key);
-        (request.tokens_in, request.tokens_out) = (u64::MAX, u64::MAX);
+        (request.prompt_tokens, request.max_output_tokens) = (u64::MAX, u64::MAX);
         request
             .parts
             .iter_mut()
@@ -203,7 +203,7 @@
         calls.push(gate.begin(request).0);
     }
     for mut call in calls {
-        gate.decider.abandon(gate.now, &mut call);
+        gate.decider.cancel(gate.now, &mut call);
     }
     gate.served(gate.prompt("a", 1));
 }
@@ -211,10 +211,10 @@
 /// Has one prompt read, so that a pace is known, and ends it.
 fn learn(gate: &mut Gate) {
     let mut request = gate.prompt("a", 1_000);
-    request.tokens_in = 50_000;
+    request.prompt_tokens = 50_000;
     let (mut call, _) = gate.begin(request);
     gate.now += 1_000_000;
-    gate.decider.first_byte(gate.now, &mut call);
+    gate.decider.first_byte_received(gate.now, &mut call);
     gate.settle(&mut call, Outcome::Success);
 }
 
@@ -225,16 +225,17 @@
         learn(&mut gate);
         let home = gate.served(gate.prompt("a", 3));
         let (mut call, _) = gate.begin(Request {
-            tokens_in: 1,
+            prompt_tokens: 1,
             ..gate.prompt("a", 3)
         });
-        let mut told = gate.decider.news(gate.now);
+        let mut told = gate.decider.peer_report(gate.now);
         gate.settle(&mut call, Outcome::Success);
-        assert_eq!(told.unread.len(), 1);
-        told.unread[0].tokens = 1_000_000;
-        gate.decider.told_news(gate.now, 7, &told);
+        assert_eq!(told.pending_prefill.len(), 1);
+        told.pending_prefill[0].tokens = 1_000_000;
+        gate.decider.apply_peer_report(gate.now, 7, &told);
         let moved = gate.served(gate.prompt("a", 3)) != home;
-        gate.decider.told_news(gate.now, 7, &GateNews::default());
+        gate.decider
+            .apply_peer_report(gate.now, 7, &PeerReport::default());
         assert_eq!(gate.served(gate.prompt("a", 3)), home);
         moved
     });
@@ -246,12 +247,12 @@
     learn(&mut gate);
     let home = gate.served(gate.prompt("a", 3));
     let (mut call, _) = gate.begin(Request {
-        tokens_in: 1_000_000,
+        prompt_tokens: 1_000_000,
         ..gate.prompt("a", 3)
     });
-    let told = gate.decider.news(gate.now);
+    let told = gate.decider.peer_report(gate.now);
     gate.settle(&mut call, Outcome::Success);
-    gate.decider.told_news(gate.now, 7, &told);
+    gate.decider.apply_peer_report(gate.now, 7, &told);
     assert_ne!(gate.served(gate.prompt("a", 3)), home);
     gate.now += 600_000;
     assert_eq!(gate.served(gate.prompt("a", 3)), home);
@@ -266,16 +267,16 @@
     let mut gate = Gate::new(spec(vec![route("a", STREAM), home], fleet));
     learn(&mut gate);
     let unread = (0..2)
-        .map(|number| UnreadAt {
+        .map(|number| PendingPrefill {
             server: crate::affinity::hash(&format!("i-{number}")),
             tokens: waiting,
         })
         .collect();
-    gate.decider.told_news(
+    gate.decider.apply_peer_report(
         gate.now,
         7,
-        &GateNews {
-            unread,
+        &PeerReport {
+            pending_prefill: unread,
             suspect: Vec::new(),
         },
     );
@@ -296,25 +297,35 @@
     let mut gate = gate(6, 1);
     learn(&mut gate);
     let (mut call, _) = gate.begin(Request {
-        tokens_in: 10_000,
+        prompt_tokens: 10_000,
         ..gate.prompt("a", 3)
     });
-    let told = gate.decider.news(gate.now);
-    let with = |tokens: u64| GateNews {
-        unread: vec![UnreadAt {
+    let told = gate.decider.peer_report(gate.now);
+    let with = |tokens: u64| PeerReport {
+        pending_prefill: vec![PendingPrefill {
             tokens,
-            ..told.unread[0]
+            ..told.pending_prefill[0]
         }],
         suspect: Vec::new(),
     };
-    let waiting = told.unread[0].tokens;
-    assert!(!gate.decider.is_worth_telling(&told, &told));
-    assert!(!gate.decider.is_worth_telling(&told, &with(waiting + 10)));
-    assert!(gate.decider.is_worth_telling(&told, &with(waiting + 5_000)));
-    assert!(gate.decider.is_worth_telling(&told, &GateNews::default()));
-    assert!(gate.decider.is_worth_telling(
+    let waiting = told.pending_prefill[0].tokens;
+    assert!(!gate.decider.is_significant_change(&told, &told));
+    assert!(
+        !gate
+            .decider
+            .is_significant_change(&told, &with(waiting + 10))
+    );
+    assert!(
+        gate.decider
+            .is_significant_change(&told, &with(waiting + 5_000))
+    );
+    assert!(
+        gate.decider
+            .is_significant_change(&told, &PeerReport::default())
+    );
+    assert!(gate.decider.is_significant_change(
         &told,
-        &GateNews {
+        &PeerReport {
             suspect: vec![1],
             ..told.clone()
         }
--- a/crates/routing/src/decider/tests/attempts.rs
+++ b/crates/routing/src/decider/tests/attempts.rs
@@ -15,7 +15,7 @@
         Outcome::ServerError,
         Outcome::Reset,
         Outcome::Timeout,
-        Outcome::Spoilt,
+        Outcome::MalformedResponse,
     ]
 }
 
@@ -25,36 +25,40 @@
         Outcome::WrongInstance,
         Outcome::WrongVersion,
         Outcome::ConnectFailed,
-        Outcome::Unwritten,
+        Outcome::NotSent,
     ]
 }
 
 #[test]
 fn what_may_have_run_is_not_repeated() {
     guarded(Guard::Once, || {
-        [RouteKind::Unsafe, RouteKind::Stream { resumable: false }]
-            .into_iter()
-            .all(|kind| {
-                outcomes_that_may_have_run().iter().all(|outcome| {
-                    let mut gate = gate(kind, 3);
-                    let (tried, last) = gate.fails(gate.request("a"), outcome);
-                    tried.len() == 1 && matches!(last, Decision::Fail { .. } | Decision::PassOn)
-                })
+        [
+            RouteKind::NonIdempotent,
+            RouteKind::Stream { resumable: false },
+        ]
+        .into_iter()
+        .all(|kind| {
+            outcomes_that_may_have_run().iter().all(|outcome| {
+                let mut gate = gate(kind, 3);
+                let (tried, last) = gate.fails(gate.request("a"), outcome);
+                tried.len() == 1
+                    && matches!(last, Decision::Fail { .. } | Decision::ForwardResponse)
             })
+        })
     });
 }
 
 #[test]
 fn what_has_not_run_goes_to_other_servers() {
     for outcome in promises() {
-        let mut gate = gate(RouteKind::Unsafe, 2);
+        let mut gate = gate(RouteKind::NonIdempotent, 2);
         let (mut tried, last) = gate.fails(gate.request("a"), &outcome);
         assert!(tried.len() >= 2, "{outcome:?}");
-        assert!(matches!(last, Decision::Refuse(_)), "{outcome:?}: {last:?}");
+        assert!(matches!(last, Decision::Reject(_)), "{outcome:?}: {last:?}");
         let attempts = tried.len();
         tried.sort();
         tried.dedup();
-        let again = outcome == Outcome::Unwritten;
+        let again = outcome == Outcome::NotSent;
         assert!(
             again || tried.len() == attempts,
             "one server twice after {outcome:?}"
@@ -66,13 +70,13 @@
 fn a_connection_that_ended_unwritten_is_tried_again_at_the_same_server() {
     let mut gate = gate(RouteKind::Stream { resumable: false }, 1);
     let (mut call, first) = gate.begin(gate.prompt("a", 1));
-    let second = gate.settle(&mut call, Outcome::Unwritten);
+    let second = gate.settle(&mut call, Outcome::NotSent);
     assert_eq!(sent(&second).server, sent(&first).server);
 }
 
 #[test]
 fn idempotent_requests_are_repeated_after_any_failure() {
-    for kind in [RouteKind::Safe, RouteKind::Stream { resumable: true }] {
+    for kind in [RouteKind::Idempotent, RouteKind::Stream { resumable: true }] {
         for outcome in outcomes_that_may_have_run() {
             let mut gate = gate(kind, 3);
             assert_eq!(gate.fails(gate.request("a"), &outcome).0.len(), 3);
@@ -84,7 +88,7 @@
 fn no_more_servers_than_the_route_allows() {
     guarded(Guard::MaxAttempts, || {
         outcomes_that_may_have_run().iter().all(|outcome| {
-            let mut gate = gate(RouteKind::Safe, 2);
+            let mut gate = gate(RouteKind::Idempotent, 2);
             gate.fails(gate.request("a"), outcome).0.len() == 2
         })
     });
@@ -92,7 +96,7 @@
 
 #[test]
 fn failed_connections_end_too() {
-    let mut gate = gate(RouteKind::Safe, 1);
+    let mut gate = gate(RouteKind::Idempotent, 1);
     assert_eq!(
         gate.fails(gate.request("a"), &Outcome::ConnectFailed)
             .0
@@ -104,12 +108,12 @@
 #[test]
 fn repeats_are_paid_for_and_failed_connections_are_free() {
     guarded(Guard::Budget, || {
-        let mut gate = gate(RouteKind::Safe, 3);
+        let mut gate = gate(RouteKind::Idempotent, 3);
         gate.limits.repeats = 1;
         let (tried, last) = gate.fails(gate.request("a"), &Outcome::Reset);
         tried.len() == 2 && matches!(last, Decision::Fail { status: 502 })
     });
-    let mut gate = gate(RouteKind::Safe, 3);
+    let mut gate = gate(RouteKind::Idempotent, 3);
     gate.limits.repeats = 0;
     assert!(
         gate.fails(gate.request("a"), &Outcome::ConnectFailed)
@@ -123,23 +127,23 @@
 #[test]
 fn a_refusal_is_a_promise() {
     guarded(Guard::Promise, || {
-        let mut gate = gate(RouteKind::Safe, 3);
+        let mut gate = gate(RouteKind::Idempotent, 3);
         gate.limits.repeats = 0;
         let (_, last) = gate.fails(gate.request("a"), &Outcome::Reset);
-        !matches!(last, Decision::Refuse(_))
+        !matches!(last, Decision::Reject(_))
     });
 }
 
 #[test]
 fn a_servers_own_failure_is_passed_on() {
-    let mut gate = gate(RouteKind::Unsafe, 3);
+    let mut gate = gate(RouteKind::NonIdempotent, 3);
     assert_eq!(
         gate.fails(gate.request("a"), &Outcome::ServerError).1,
-        Decision::PassOn
+        Decision::ForwardResponse
     );
     assert_eq!(
-        gate.fails(gate.request("a"), &Outcome::Rejected).1,
-        Decision::PassOn
+        gate.fails(gate.request("a"), &Outcome::ClientError).1,
+        Decision::ForwardResponse
     );
 }
 
@@ -147,11 +151,12 @@
 fn a_cut_stream_goes_on_after_its_last_event_where_it_may() {
     let mut gate = gate(RouteKind::Stream { resumable: true }, 2);
     let (mut call, first) = gate.begin(gate.prompt("a", 1));
-    gate.decider.first_byte(gate.now, &mut call);
-    gate.decider.passed(gate.now, &mut call, Some(11));
+    gate.decider.first_byte_received(gate.now, &mut call);
+    gate.decider
+        .response_forwarded(gate.now, &mut call, Some(11));
     let second = gate.settle(
         &mut call,
-        Outcome::Cut {
+        Outcome::Truncated {
             last_event: Some(12),
         },
     );
@@ -160,26 +165,26 @@
     assert_eq!(
         gate.settle(
             &mut call,
-            Outcome::Cut {
+            Outcome::Truncated {
                 last_event: Some(20)
             }
         ),
-        Decision::BreakOff
+        Decision::AbortResponse
     );
 }
 
 #[test]
 fn no_failure_is_passed_on_behind_the_head_of_a_stream() {
-    for outcome in [Outcome::Rejected, Outcome::ServerError, Outcome::Reset] {
+    for outcome in [Outcome::ClientError, Outcome::ServerError, Outcome::Reset] {
         let mut gate = gate(RouteKind::Stream { resumable: true }, 2);
         let (mut call, _) = gate.begin(gate.prompt("a", 1));
         gate.settle(
             &mut call,
-            Outcome::Cut {
+            Outcome::Truncated {
                 last_event: Some(1),
             },
         );
-        assert_eq!(gate.settle(&mut call, outcome), Decision::BreakOff);
+        assert_eq!(gate.settle(&mut call, outcome), Decision::AbortResponse);
     }
 }
 
@@ -193,16 +198,16 @@
     let start = gate.now;
     let mut decision = gate.settle(
         &mut call,
-        Outcome::Cut {
+        Outcome::Truncated {
             last_event: Some(4),
         },
     );
-    while let Decision::Hold { until } = decision {
+    while let Decision::Delay { until } = decision {
         assert!(until > gate.now && until <= start + SECOND + 50 * MS);
         gate.now = until;
         decision = gate.decider.resume(gate.now, &mut call, &mut gate.limits);
     }
-    assert_eq!(decision, Decision::BreakOff);
+    assert_eq!(decision, Decision::AbortResponse);
     assert!(gate.now >= start + SECOND);
 
     let mut gate = Gate::new(table.clone());
@@ -210,11 +215,11 @@
     assert!(matches!(
         gate.settle(
             &mut call,
-            Outcome::Cut {
+            Outcome::Truncated {
                 last_event: Some(4)
             }
         ),
-        Decision::Hold { .. }
+        Decision::Delay { .. }
     ));
     gate.swap(spec(table.routes.clone(), servers(0, 2, "north")));
     let decision = gate.decider.resume(gate.now, &mut call, &mut gate.limits);
@@ -234,11 +239,11 @@
     assert_eq!(
         gate.settle(
             &mut call,
-            Outcome::Cut {
+            Outcome::Truncated {
                 last_event: Some(3)
             }
         ),
-        Decision::BreakOff
+        Decision::AbortResponse
     );
 }
 
@@ -259,7 +264,7 @@
 
 #[test]
 fn the_time_handed_on_is_what_is_left() {
-    let mut gate = gate(RouteKind::Safe, 3);
+    let mut gate = gate(RouteKind::Idempotent, 3);
     let request = Request {
         deadline: Some(gate.now + 4 * SECOND),
         ..gate.request("a")
@@ -285,48 +290,53 @@
 
 #[test]
 fn nothing_is_left_behind() {
-    let mut gate = gate(RouteKind::Safe, 3);
+    let mut gate = gate(RouteKind::Idempotent, 3);
     let (mut call, first) = gate.begin(gate.request("a"));
     let server = sent(&first).server;
     assert_eq!(gate.decider.in_flight(server), 1);
-    gate.decider.abandon(gate.now, &mut call);
+    gate.decider.cancel(gate.now, &mut call);
     assert_eq!(gate.decider.in_flight(server), 0);
-    gate.decider.abandon(gate.now, &mut call);
+    gate.decider.cancel(gate.now, &mut call);
     assert_eq!(gate.settle(&mut call, Outcome::Success), Decision::Finished);
     assert_eq!(gate.decider.in_flight(server), 0);
 }
 
 #[test]
 fn a_quiet_attempt_moves_only_where_its_server_is_quiet_too() {
-    let mut gate = gate(RouteKind::Safe, 2);
+    let mut gate = gate(RouteKind::Idempotent, 2);
     let (mut call, first) = gate.begin(gate.request("a"));
     let at = sent(&first).check_at.expect("a check");
     assert!(matches!(
-        gate.decider.check(at - 1, &call),
-        Check::Wait { .. }
+        gate.decider.check_progress(at - 1, &call),
+        ProgressCheck::Wait { .. }
     ));
-    assert_eq!(gate.decider.check(at, &call), Check::Move);
-    gate.decider.sign(at - 10, sent(&first).server);
-    assert!(matches!(gate.decider.check(at, &call), Check::Wait { until } if until > at));
+    assert_eq!(
+        gate.decider.check_progress(at, &call),
+        ProgressCheck::FailOver
+    );
+    gate.decider.record_liveness(at - 10, sent(&first).server);
+    assert!(
+        matches!(gate.decider.check_progress(at, &call), ProgressCheck::Wait { until } if until > at)
+    );
     gate.now = at;
     assert!(matches!(
         gate.settle(&mut call, Outcome::Timeout),
         Decision::Send(_)
     ));
     assert_eq!(
-        gate.decider.check(at + 20 * SECOND, &call),
-        Check::Leave,
+        gate.decider.check_progress(at + 20 * SECOND, &call),
+        ProgressCheck::Ignore,
         "no attempt is left"
     );
 }
 
 #[test]
 fn an_unsafe_request_is_not_moved() {
-    let mut gate = gate(RouteKind::Unsafe, 2);
+    let mut gate = gate(RouteKind::NonIdempotent, 2);
     let (call, first) = gate.begin(gate.request("a"));
     assert_eq!(sent(&first).check_at, None);
     assert_eq!(
-        gate.decider.check(gate.now + 9 * SECOND, &call),
-        Check::Leave
+        gate.decider.check_progress(gate.now + 9 * SECOND, &call),
+        ProgressCheck::Ignore
     );
 }
--- a/crates/routing/src/decider/tests/candidates.rs
+++ b/crates/routing/src/decider/tests/candidates.rs
@@ -56,8 +56,8 @@
     let (call, decision) = gate.begin(gate.prompt("a", 1));
     assert!(matches!(
         decision,
-        Decision::Refuse(Refusal {
-            status: Status::Unavailable,
+        Decision::Reject(Rejection {
+            status: RejectionStatus::Unavailable,
             ..
         })
     ));
@@ -73,7 +73,7 @@
         allowed_regions: vec!["north".into()],
         ..gate.prompt("a", 1)
     };
-    assert!(matches!(gate.begin(request).1, Decision::Refuse(_)));
+    assert!(matches!(gate.begin(request).1, Decision::Reject(_)));
 }
 
 /// Of two servers one is not to be used: the other gets all.
@@ -100,7 +100,9 @@
 
 #[test]
 fn silent_servers_get_nothing_while_others_are_heard() {
-    assert!(avoids(|server| server.silent_since = Some(SECOND)));
+    assert!(avoids(
+        |server| server.heartbeats_missing_since = Some(SECOND)
+    ));
 }
 
 #[test]
@@ -108,7 +110,7 @@
     let mut fleet = servers(0, 2, "north");
     fleet
         .iter_mut()
-        .for_each(|server| server.silent_since = Some(SECOND));
+        .for_each(|server| server.heartbeats_missing_since = Some(SECOND));
     let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
     gate.served(gate.prompt("a", 1));
 }
@@ -121,20 +123,20 @@
     let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
     assert!(matches!(
         gate.begin(gate.prompt("a", 1)).1,
-        Decision::Refuse(_)
+        Decision::Reject(_)
     ));
 }
 
 #[test]
 fn cold_servers_need_a_permit() {
-    guarded(Guard::Permit, || avoids(|server| server.cold = true));
+    guarded(Guard::Permit, || avoids(|server| server.warming_up = true));
     let mut fleet = servers(0, 1, "north");
-    fleet[0].cold = true;
+    fleet[0].warming_up = true;
     let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
     gate.limits.permits = 1;
     gate.served(gate.prompt("a", 1));
     assert!(
-        matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Hold { until } if until == gate.now + 100 * MS)
+        matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Delay { until } if until == gate.now + 100 * MS)
     );
 }
 
@@ -142,17 +144,17 @@
 fn a_request_waits_for_a_permit_for_a_short_part_of_its_objective_only() {
     guarded(Guard::HoldShort, || {
         let mut fleet = servers(0, 1, "north");
-        fleet[0].cold = true;
+        fleet[0].warming_up = true;
         let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
         let (mut call, mut decision) = gate.begin(gate.prompt("a", 1));
-        while let Decision::Hold { until } = decision {
+        while let Decision::Delay { until } = decision {
             gate.now = until;
             if gate.now > SECOND + 250 * MS {
                 return false;
             }
             decision = gate.decider.resume(gate.now, &mut call, &mut gate.limits);
         }
-        matches!(decision, Decision::Refuse(_))
+        matches!(decision, Decision::Reject(_))
     });
 }
 
@@ -163,9 +165,9 @@
         let mut gate = Gate::new(table.clone());
         let (mut call, _) = gate.begin(gate.prompt("a", 1));
         gate.settle(&mut call, Outcome::WrongInstance);
-        let dropped = matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Refuse(_));
+        let dropped = matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Reject(_));
         gate.swap(table.clone());
-        let dropped = dropped && matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Refuse(_));
+        let dropped = dropped && matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Reject(_));
         let mut anew = table;
         anew.servers[0].sequence = 2;
         gate.swap(anew);
@@ -185,13 +187,13 @@
 
 #[test]
 fn a_split_route_goes_by_weight_and_to_the_other_service_where_the_drawn_one_has_nobody() {
-    let mut split = route("a", RouteKind::Safe);
-    split.splits = vec![
-        Split {
+    let mut split = route("a", RouteKind::Idempotent);
+    split.backends = vec![
+        WeightedBackend {
             service: "desk".into(),
             weight: 90,
         },
-        Split {
+        WeightedBackend {
             service: "other".into(),
             weight: 10,
         },
@@ -212,32 +214,32 @@
 
 #[test]
 fn a_weight_of_zero_gets_nothing() {
-    let mut split = route("a", RouteKind::Safe);
-    split.splits = vec![
-        Split {
+    let mut split = route("a", RouteKind::Idempotent);
+    split.backends = vec![
+        WeightedBackend {
             service: "desk".into(),
             weight: 0,
         },
-        Split {
+        WeightedBackend {
             service: "other".into(),
             weight: 1,
         },
     ];
     let mut gate = Gate::new(spec(vec![split], servers(0, 2, "north")));
-    assert!((0..20).all(|_| matches!(gate.begin(gate.request("a")).1, Decision::Refuse(_))));
+    assert!((0..20).all(|_| matches!(gate.begin(gate.request("a")).1, Decision::Reject(_))));
 }
 
 #[test]
 fn a_silent_server_that_this_gate_hears_is_used_while_it_does() {
     let mut fleet = servers(0, 2, "north");
-    fleet[0].silent_since = Some(SECOND);
+    fleet[0].heartbeats_missing_since = Some(SECOND);
     let used = |gate: &mut Gate| (0..16).any(|key| &*gate.served(gate.prompt("a", key)) == "i-0");
     guarded(Guard::HeardIsThere, || {
         let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet.clone()));
         assert!(!used(&mut gate));
         gate.now += SECOND;
         let silent = gate.decider.server("i-0").expect("it is listed");
-        gate.decider.sign(gate.now, silent);
+        gate.decider.record_liveness(gate.now, silent);
         let heard = used(&mut gate);
         gate.now += 4 * SECOND;
         heard && !used(&mut gate)
@@ -294,14 +296,14 @@
     guarded(Guard::DarkRegion, || {
         let mut gate = away(8, 0);
         let _owed = cut_the_south(&mut gate, 2);
-        let is_refused = matches!(gate.begin(gate.request("home")).1, Decision::Refuse(_));
+        let is_refused = matches!(gate.begin(gate.request("home")).1, Decision::Reject(_));
         let mut probes = Vec::new();
-        gate.decider.probes_due(gate.now, &mut probes);
+        gate.decider.due_health_checks(gate.now, &mut probes);
         let Some(asked) = probes.first() else {
             return false;
         };
         gate.decider
-            .probed(gate.now, asked.server, ProbeOutcome::Healthy);
+            .health_check_finished(gate.now, asked.server, HealthCheckOutcome::Healthy);
         gate.served(gate.request("home"));
         is_refused
     });
@@ -313,19 +315,19 @@
     let _owed = cut_the_south(&mut gate, 2);
     let Gate { decider, now, .. } = &mut gate;
     let mut probes = Vec::new();
-    decider.probes_due(*now, &mut probes);
+    decider.due_health_checks(*now, &mut probes);
     assert_eq!(probes.len(), 1);
-    decider.probes_due(*now + 100 * MS, &mut probes);
+    decider.due_health_checks(*now + 100 * MS, &mut probes);
     assert_eq!(probes.len(), 1);
-    decider.probes_due(*now + 400 * MS, &mut probes);
+    decider.due_health_checks(*now + 400 * MS, &mut probes);
     assert_eq!(probes.len(), 2);
     assert_ne!(probes[0].server, probes[1].server);
 }
 
 /// A gate that knows no server; until a second from now some may become known.
 fn learner() -> Gate {
-    let mut gate = Gate::new(spec(vec![route("a", RouteKind::Unsafe)], Vec::new()));
-    gate.decider.learn_until(gate.now + SECOND);
+    let mut gate = Gate::new(spec(vec![route("a", RouteKind::NonIdempotent)], Vec::new()));
+    gate.decider.allow_discovery_until(gate.now + SECOND);
     gate
 }
 
@@ -334,12 +336,12 @@
     guarded(Guard::Learn, || {
         let mut gate = learner();
         let (mut call, decision) = gate.begin(gate.request("a"));
-        let Decision::Hold { until } = decision else {
+        let Decision::Delay { until } = decision else {
             return false;
         };
         gate.now = until;
         gate.swap(spec(
-            vec![route("a", RouteKind::Unsafe)],
+            vec![route("a", RouteKind::NonIdempotent)],
             servers(0, 1, "north"),
         ));
         let decision = gate.decider.resume(gate.now, &mut call, &mut gate.limits);
@@ -353,7 +355,7 @@
     gate.now += SECOND;
     assert!(matches!(
         gate.begin(gate.request("a")).1,
-        Decision::Refuse(_)
+        Decision::Reject(_)
     ));
 }
 
@@ -365,8 +367,8 @@
         deadline,
         ..gate.request("a")
     });
-    assert!(matches!(decision, Decision::Hold { .. }));
+    assert!(matches!(decision, Decision::Delay { .. }));
     gate.now += 200 * MS;
     let decision = gate.decider.resume(gate.now, &mut call, &mut gate.limits);
-    assert!(matches!(decision, Decision::Refuse(_)), "{decision:?}");
+    assert!(matches!(decision, Decision::Reject(_)), "{decision:?}");
 }
--- a/crates/routing/src/decider/tests/health.rs
+++ b/crates/routing/src/decider/tests/health.rs
@@ -51,11 +51,11 @@
             Outcome::Reset,
             Outcome::Timeout,
             Outcome::ConnectFailed,
-            Outcome::Spoilt,
+            Outcome::MalformedResponse,
         ]
         .into_iter()
         .all(|outcome| {
-            let mut gate = gate(RouteKind::Unsafe, 4);
+            let mut gate = gate(RouteKind::NonIdempotent, 4);
             play(&mut gate, 60, &["i-0"], |_| outcome.clone()) <= 6
         })
     });
@@ -64,7 +64,7 @@
 #[test]
 fn full_servers_are_not_ejected() {
     guarded(Guard::FullIsNoFailure, || {
-        let mut gate = gate(RouteKind::Safe, 4);
+        let mut gate = gate(RouteKind::Idempotent, 4);
         play(&mut gate, 200, &["i-0"], |_| Outcome::NotExecuted {
             retry_after: None,
         });
@@ -75,7 +75,7 @@
 #[test]
 fn a_server_that_answers_others_but_takes_no_connection_is_full() {
     guarded(Guard::NoConnectionIsFull, || {
-        let mut gate = gate(RouteKind::Safe, 2);
+        let mut gate = gate(RouteKind::Idempotent, 2);
         let server = gate.decider.server("i-0").expect("listed");
         // It works on one request and tells so.
         let mut first = gate.begin(gate.request("a"));
@@ -84,7 +84,7 @@
         }
         for _ in 0..30 {
             gate.now += 100 * MS;
-            gate.decider.sign(gate.now, server);
+            gate.decider.record_liveness(gate.now, server);
             let (mut call, decision) = gate.begin(gate.request("a"));
             let full = sent(&decision).server == server;
             gate.settle(
@@ -95,7 +95,7 @@
                     Outcome::Success
                 },
             );
-            gate.decider.abandon(gate.now, &mut call);
+            gate.decider.cancel(gate.now, &mut call);
         }
         !gate.decider.is_ejected(server)
     });
@@ -104,7 +104,7 @@
 #[test]
 fn at_most_half_of_a_group_is_ejected() {
     guarded(Guard::HalfEjected, || {
-        let mut gate = gate(RouteKind::Safe, 4);
+        let mut gate = gate(RouteKind::Idempotent, 4);
         play(&mut gate, 20, &["i-0", "i-1"], |_| Outcome::ConnectFailed);
         assert_eq!(ejected(&gate, 4), 2);
         slow_answers(&mut gate, 100, "i-2");
@@ -114,7 +114,7 @@
 
 #[test]
 fn a_server_that_fails_a_part_of_its_requests_is_found() {
-    let mut gate = gate(RouteKind::Safe, 4);
+    let mut gate = gate(RouteKind::Idempotent, 4);
     let part = |there: usize| {
         if there.is_multiple_of(3) {
             Outcome::ServerError
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_group_that_fails_alike_is_not_ejected() {
-    let mut gate = gate(RouteKind::Unsafe, 4);
+    let mut gate = gate(RouteKind::NonIdempotent, 4);
     // By chance, whichever server it is: the place in a round would tell of the server.
     let mut chance = ironmast_balancer::Rng(7);
     let mut part = move || {
@@ -142,10 +142,10 @@
     // What is usual must be known first; a health check ends an ejection before that.
     play(&mut gate, 300, &all, |_| part());
     let mut probes = Vec::new();
-    gate.decider.probes_due(gate.now, &mut probes);
+    gate.decider.due_health_checks(gate.now, &mut probes);
     for probe in &probes {
         gate.decider
-            .probed(gate.now, probe.server, ProbeOutcome::Healthy);
+            .health_check_finished(gate.now, probe.server, HealthCheckOutcome::Healthy);
     }
     let most = (0..100).map(|_| {
         play(&mut gate, 4, &all, |_| part());
@@ -156,7 +156,7 @@
 
 #[test]
 fn a_fast_failure_does_not_attract_load() {
-    let mut gate = gate(RouteKind::Unsafe, 3);
+    let mut gate = gate(RouteKind::NonIdempotent, 3);
     // Requests at sound servers stay in flight; the sick one fails at once and always looks idle.
     let mut there = 0;
     for _ in 0..12 {
@@ -172,7 +172,7 @@
 
 #[test]
 fn a_slow_server_is_set_aside() {
-    let mut gate = gate(RouteKind::Safe, 4);
+    let mut gate = gate(RouteKind::Idempotent, 4);
     let late = slow_answers(&mut gate, 200, "i-0");
     assert!(late < 30, "{late} of about 50");
 }
@@ -186,7 +186,7 @@
         late += usize::from(slow);
         let sent_at = gate.now;
         gate.now += if slow { 2 * SECOND } else { 100 * MS };
-        gate.decider.first_byte(gate.now, &mut call);
+        gate.decider.first_byte_received(gate.now, &mut call);
         gate.settle(&mut call, Outcome::Success);
         // The others' rests are not to end meanwhile.
         gate.now = sent_at + MS;
@@ -196,7 +196,7 @@
 
 #[test]
 fn a_region_whose_servers_are_all_ejected_is_used_all_the_same() {
-    let mut gate = gate(RouteKind::Unsafe, 2);
+    let mut gate = gate(RouteKind::NonIdempotent, 2);
     play(&mut gate, 40, &["i-0", "i-1"], |_| Outcome::ConnectFailed);
     assert_eq!(ejected(&gate, 2), 2);
     assert!(matches!(gate.begin(gate.request("a")).1, Decision::Send(_)));
@@ -204,7 +204,7 @@
 
 #[test]
 fn a_region_whose_servers_are_all_ejected_widens_first() {
-    let mut route = route("a", RouteKind::Unsafe);
+    let mut route = route("a", RouteKind::NonIdempotent);
     route.affinity = false;
     let fleet = [servers(0, 1, "north"), servers(1, 2, "south")].concat();
     let mut gate = Gate::new(spec(vec![route], fleet));
@@ -214,10 +214,13 @@
 
 #[test]
 fn a_server_that_left_is_kept_until_its_last_attempt_ends() {
-    let mut gate = gate(RouteKind::Safe, 1);
+    let mut gate = gate(RouteKind::Idempotent, 1);
     let (mut call, decision) = gate.begin(gate.request("a"));
     let server = sent(&decision).server;
-    let mut table = spec(vec![route("a", RouteKind::Safe)], servers(1, 1, "north"));
+    let mut table = spec(
+        vec![route("a", RouteKind::Idempotent)],
+        servers(1, 1, "north"),
+    );
     table.routes[0].affinity = false;
     gate.swap(table);
     assert_eq!(gate.decider.in_flight(server), 1);
@@ -230,7 +233,7 @@
 #[test]
 fn a_server_that_goes_dark_comes_after_its_peers_before_its_attempts_end() {
     guarded(Guard::Quiet, || {
-        let mut gate = gate(RouteKind::Unsafe, 3);
+        let mut gate = gate(RouteKind::NonIdempotent, 3);
         let (mut there, mut dark) = (0, Vec::new());
         for _ in 0..60 {
             gate.now += 50 * MS;
@@ -246,7 +249,7 @@
         let found = there <= 6;
         // A sign of life brings it back at once.
         let server = gate.decider.server("i-0").expect("listed");
-        gate.decider.sign(gate.now, server);
+        gate.decider.record_liveness(gate.now, server);
         let open = |gate: &mut Gate| sent(&gate.begin(gate.request("a")).1).server;
         found && (0..24).any(|_| open(&mut gate) == server)
     });
@@ -255,7 +258,7 @@
 #[test]
 fn a_crowded_server_is_not_taken_for_a_slow_one() {
     guarded(Guard::CrowdedIsNotSlow, || {
-        let mut gate = gate(RouteKind::Safe, 4);
+        let mut gate = gate(RouteKind::Idempotent, 4);
         for _ in 0..200 {
             let (mut call, decision) = gate.begin(gate.request("a"));
             let server = sent(&decision).server;
@@ -268,8 +271,8 @@
                 slots: Some(8),
                 kv_cache: None,
             };
-            gate.decider.report(gate.now, server, load);
-            gate.decider.first_byte(gate.now, &mut call);
+            gate.decider.apply_load_report(gate.now, server, load);
+            gate.decider.first_byte_received(gate.now, &mut call);
             gate.settle(&mut call, Outcome::Success);
             gate.now = sent_at + MS;
         }
@@ -280,7 +283,7 @@
 /// A gate that has sent one request to each of three servers, of which `i-0` gives no sign any
 /// more.
 fn with_dark() -> (Gate, ServerHandle, Vec<Call>) {
-    let mut gate = gate(RouteKind::Unsafe, 3);
+    let mut gate = gate(RouteKind::NonIdempotent, 3);
     let server = gate.decider.server("i-0").expect("listed");
     let mut dark = Vec::new();
     for _ in 0..6 {
@@ -299,17 +302,17 @@
     let (mut gate, server, _dark) = with_dark();
     let mut probes = Vec::new();
     gate.now += SECOND;
-    gate.decider.probes_due(gate.now, &mut probes);
+    gate.decider.due_health_checks(gate.now, &mut probes);
     assert!(probes.is_empty());
     gate.now += SECOND;
-    gate.decider.probes_due(gate.now, &mut probes);
-    gate.decider.probes_due(gate.now, &mut probes);
+    gate.decider.due_health_checks(gate.now, &mut probes);
+    gate.decider.due_health_checks(gate.now, &mut probes);
     assert_eq!(
         probes.iter().map(|probe| probe.server).collect::<Vec<_>>(),
         [server]
     );
     gate.decider
-        .probed(gate.now, server, ProbeOutcome::Unhealthy);
+        .health_check_finished(gate.now, server, HealthCheckOutcome::Unhealthy);
     assert!(gate.decider.is_ejected(server));
 }
 
@@ -318,12 +321,13 @@
     let (mut gate, server, _dark) = with_dark();
     let mut probes = Vec::new();
     gate.now += 2 * SECOND;
-    gate.decider.probes_due(gate.now, &mut probes);
-    gate.decider.probed(gate.now, server, ProbeOutcome::Healthy);
+    gate.decider.due_health_checks(gate.now, &mut probes);
+    gate.decider
+        .health_check_finished(gate.now, server, HealthCheckOutcome::Healthy);
     assert!(!gate.decider.is_ejected(server));
     probes.clear();
     gate.now += SECOND;
-    gate.decider.probes_due(gate.now, &mut probes);
+    gate.decider.due_health_checks(gate.now, &mut probes);
     assert!(probes.is_empty(), "not asked all the time");
 }
 
@@ -334,7 +338,7 @@
         for _ in 0..4 {
             gate.now += 3 * SECOND;
             for mut call in dark.drain(..) {
-                gate.decider.abandon(gate.now, &mut call);
+                gate.decider.cancel(gate.now, &mut call);
             }
             for _ in 0..6 {
                 let (mut call, decision) = gate.begin(gate.request("a"));
@@ -351,12 +355,12 @@
 
 #[test]
 fn clients_that_leave_at_once_do_not_count() {
-    let mut gate = gate(RouteKind::Unsafe, 3);
+    let mut gate = gate(RouteKind::NonIdempotent, 3);
     for _ in 0..100 {
         gate.now += 200 * MS;
         let (mut call, _) = gate.begin(gate.request("a"));
         gate.now += 200 * MS;
-        gate.decider.abandon(gate.now, &mut call);
+        gate.decider.cancel(gate.now, &mut call);
     }
     assert_eq!(ejected(&gate, 3), 0);
 }
@@ -364,18 +368,18 @@
 /// Requests of 200 that reach `i-0`, where so many other gates say that it is quiet. `heard` tells
 /// whether this gate has just heard of it.
 fn reach_quiet(tellers: u64, heard: bool) -> usize {
-    let mut gate = gate(RouteKind::Safe, 4);
+    let mut gate = gate(RouteKind::Idempotent, 4);
     gate.now += 1_000 * MS;
-    let quiet = GateNews {
+    let quiet = PeerReport {
         suspect: vec![crate::affinity::hash("i-0")],
-        ..GateNews::default()
+        ..PeerReport::default()
     };
     let server = gate.decider.server("i-0").expect("listed");
     let mut there = 0;
     for _ in 0..200 {
-        (0..tellers).for_each(|peer| gate.decider.told_news(gate.now, peer, &quiet));
+        (0..tellers).for_each(|peer| gate.decider.apply_peer_report(gate.now, peer, &quiet));
         if heard {
-            gate.decider.sign(gate.now, server);
+            gate.decider.record_liveness(gate.now, server);
         }
         there += usize::from(&*gate.served(gate.request("a")) == "i-0");
         gate.now += 10 * MS;
@@ -395,27 +399,30 @@
 
 #[test]
 fn a_server_is_used_again_once_other_gates_hear_it() {
-    let mut gate = gate(RouteKind::Safe, 2);
+    let mut gate = gate(RouteKind::Idempotent, 2);
     gate.now += 1_000 * MS;
-    let quiet = GateNews {
+    let quiet = PeerReport {
         suspect: vec![crate::affinity::hash("i-0")],
-        ..GateNews::default()
+        ..PeerReport::default()
     };
-    (0..2).for_each(|peer| gate.decider.told_news(gate.now, peer, &quiet));
+    (0..2).for_each(|peer| gate.decider.apply_peer_report(gate.now, peer, &quiet));
     assert_eq!(&*gate.served(gate.request("a")), "i-1");
-    (0..2).for_each(|peer| gate.decider.told_news(gate.now, peer, &GateNews::default()));
+    (0..2).for_each(|peer| {
+        gate.decider
+            .apply_peer_report(gate.now, peer, &PeerReport::default())
+    });
     let served: Vec<_> = (0..2).map(|_| gate.served(gate.request("a"))).collect();
     assert!(served.iter().any(|server| &**server == "i-0"));
 }
 
 #[test]
 fn a_gate_tells_which_servers_owe_it_an_answer_and_give_no_sign() {
-    let mut gate = gate(RouteKind::Safe, 2);
+    let mut gate = gate(RouteKind::Idempotent, 2);
     let (_call, decision) = gate.begin(gate.request("a"));
     let silent = crate::affinity::hash(&sent(&decision).expect_instance);
-    assert_eq!(gate.decider.news(gate.now).suspect, []);
+    assert_eq!(gate.decider.peer_report(gate.now).suspect, []);
     gate.now += 700 * MS;
-    assert_eq!(gate.decider.news(gate.now).suspect, [silent]);
+    assert_eq!(gate.decider.peer_report(gate.now).suspect, [silent]);
 }
 
 #[test]
@@ -423,24 +430,24 @@
     for outcome in [
         Outcome::Reset,
         Outcome::ConnectFailed,
-        Outcome::Spoilt,
+        Outcome::MalformedResponse,
         Outcome::Timeout,
     ] {
-        let mut gate = gate(RouteKind::Unsafe, 1);
+        let mut gate = gate(RouteKind::NonIdempotent, 1);
         let (mut call, _) = gate.begin(gate.request("a"));
         gate.settle(&mut call, outcome.clone());
         assert_eq!(
-            gate.decider.news(gate.now).suspect,
+            gate.decider.peer_report(gate.now).suspect,
             [crate::affinity::hash("i-0")],
             "{outcome:?}"
         );
         assert_eq!(
-            gate.decider.news(gate.now + 1_000 * MS).suspect,
+            gate.decider.peer_report(gate.now + 1_000 * MS).suspect,
             [],
             "{outcome:?} long ago"
         );
         gate.served(gate.request("a"));
-        assert_eq!(gate.decider.news(gate.now).suspect, []);
+        assert_eq!(gate.decider.peer_report(gate.now).suspect, []);
     }
 }
 
@@ -449,14 +456,14 @@
 fn a_repeat_goes_to_a_server_that_has_just_answered() {
     guarded(Guard::HeardFirst, || {
         (0..20).all(|seed| {
-            let mut route = route("a", RouteKind::Safe);
+            let mut route = route("a", RouteKind::Idempotent);
             route.affinity = false;
             let table = spec(vec![route], servers(0, 4, "north"));
             let mut gate = Gate::with(table, Settings::new("north", "z"), seed);
             gate.now += 5_000 * MS;
             for well in ["i-2", "i-3"] {
                 let server = gate.decider.server(well).expect("listed");
-                gate.decider.sign(gate.now, server);
+                gate.decider.record_liveness(gate.now, server);
             }
             let (mut call, mut decision) = gate.begin(gate.request("a"));
             while let Decision::Send(dispatch) = &decision {
--- a/crates/routing/src/decider/tests/properties.rs
+++ b/crates/routing/src/decider/tests/properties.rs
@@ -11,7 +11,7 @@
 
 /// 10,000 requests without a key, each served before the next or with some in flight.
 fn shares(servers_count: usize, in_flight: usize) -> Vec<usize> {
-    let mut route = route("a", RouteKind::Safe);
+    let mut route = route("a", RouteKind::Idempotent);
     route.affinity = false;
     let mut gate = Gate::new(spec(vec![route], servers(0, servers_count, "north")));
     let mut counts: BTreeMap<Arc<str>, usize> = BTreeMap::new();
@@ -49,7 +49,10 @@
 
 #[test]
 fn shares_of_many_keys_are_even() {
-    let mut table = spec(vec![route("a", RouteKind::Safe)], servers(0, 10, "north"));
+    let mut table = spec(
+        vec![route("a", RouteKind::Idempotent)],
+        servers(0, 10, "north"),
+    );
     table.routes[0].affinity = true;
     let mut gate = Gate::new(table);
     let mut counts: BTreeMap<Arc<str>, usize> = BTreeMap::new();
@@ -89,7 +92,7 @@
 
 impl Ord for ServerHandle {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.slot, self.life).cmp(&(other.slot, other.life))
+        (self.slot, self.incarnation).cmp(&(other.slot, other.incarnation))
     }
 }
 
@@ -110,8 +113,8 @@
 impl Play {
     fn new(seed: u64) -> Self {
         let kinds = [
-            RouteKind::Safe,
-            RouteKind::Unsafe,
+            RouteKind::Idempotent,
+            RouteKind::NonIdempotent,
             RouteKind::Stream { resumable: false },
             RouteKind::Stream { resumable: true },
         ];
@@ -154,8 +157,8 @@
                 ServerState::Ready
             };
             server.evacuated = (0.2..0.4).contains(&fate);
-            server.cold = (0.4..0.5).contains(&fate);
-            server.silent_since = (0.5..0.6).contains(&fate).then_some(self.gate.now);
+            server.warming_up = (0.4..0.5).contains(&fate);
+            server.heartbeats_missing_since = (0.5..0.6).contains(&fate).then_some(self.gate.now);
             if fate > 0.95 {
                 server.instance = format!("{}'", server.instance).into();
             }
@@ -177,13 +180,13 @@
             NotExecuted { retry_after: None },
             WrongInstance,
             ConnectFailed,
-            Unwritten,
+            NotSent,
             Reset,
             Timeout,
-            Spoilt,
-            Rejected,
+            MalformedResponse,
+            ClientError,
             Cancelled,
-            Cut {
+            Truncated {
                 last_event: Some(3),
             },
         ];
@@ -231,7 +234,7 @@
     fn go_on(&mut self) -> Result<(), &'static str> {
         let mut open = self.open.swap_remove(pick(&mut self.rng, self.open.len()));
         let permits = self.gate.limits.permits;
-        if matches!(open.decision, Decision::Hold { .. }) {
+        if matches!(open.decision, Decision::Delay { .. }) {
             open.decision =
                 self.gate
                     .decider
@@ -247,8 +250,8 @@
         open.arrived += usize::from(!outcome.never_arrived());
         open.may_have_run |= !outcome.never_ran();
         open.unspent = outcome.never_arrived();
-        open.head |= matches!(outcome, Outcome::Cut { .. });
-        if outcome == Outcome::Unwritten {
+        open.head |= matches!(outcome, Outcome::Truncated { .. });
+        if outcome == Outcome::NotSent {
             open.had.remove(&sent(&open.decision).server);
         }
         open.decision = self.gate.settle(&mut open.call, outcome);
@@ -259,10 +262,12 @@
     fn progress(&mut self, open: &mut Open) {
         let now = self.gate.now;
         if self.rng.unit() < 0.5 {
-            self.gate.decider.first_byte(now, &mut open.call);
+            self.gate.decider.first_byte_received(now, &mut open.call);
         }
         if self.rng.unit() < 0.3 {
-            self.gate.decider.passed(now, &mut open.call, Some(1));
+            self.gate
+                .decider
+                .response_forwarded(now, &mut open.call, Some(1));
             open.head = true;
         }
         if self.rng.unit() < 0.3 {
@@ -276,24 +281,26 @@
             };
             self.gate
                 .decider
-                .report(now, sent(&open.decision).server, load);
+                .apply_load_report(now, sent(&open.decision).server, load);
         }
     }
 
     /// Health checks that are due, some of which find nobody.
     fn probe(&mut self) {
         let mut probes = Vec::new();
-        self.gate.decider.probes_due(self.gate.now, &mut probes);
+        self.gate
+            .decider
+            .due_health_checks(self.gate.now, &mut probes);
         for probe in probes {
             let well = self.rng.unit() < 0.5;
             let outcome = if well {
-                ProbeOutcome::Healthy
+                HealthCheckOutcome::Healthy
             } else {
-                ProbeOutcome::Unhealthy
+                HealthCheckOutcome::Unhealthy
             };
             self.gate
                 .decider
-                .probed(self.gate.now, probe.server, outcome);
+                .health_check_finished(self.gate.now, probe.server, outcome);
         }
     }
 
@@ -316,7 +323,7 @@
                     open.allowed.is_empty() || open.allowed.iter().any(|r| **r == *server.region);
                 check(home, "outside of its regions")?;
                 check(
-                    !server.cold || permits > self.gate.limits.permits,
+                    !server.warming_up || permits > self.gate.limits.permits,
                     "cold without a permit",
                 )?;
                 check(open.arrived < open.most, "too many attempts")?;
@@ -328,11 +335,11 @@
                 let paid = self.gate.limits.taken > self.paid;
                 check(open.arrived == 0 || paid || open.unspent, "a repeat unpaid")?;
             }
-            Decision::Refuse(_) => check(!open.may_have_run, "refused though it may have run")?,
-            Decision::PassOn | Decision::Fail { .. } => {
+            Decision::Reject(_) => check(!open.may_have_run, "refused though it may have run")?,
+            Decision::ForwardResponse | Decision::Fail { .. } => {
                 check(!open.head, "an answer behind another's head")?
             }
-            Decision::BreakOff => check(open.head, "broken off without a head")?,
+            Decision::AbortResponse => check(open.head, "broken off without a head")?,
             _ => {}
         }
         self.paid = self.gate.limits.taken;
@@ -347,7 +354,7 @@
     /// Ends what is open; nothing may be left in flight.
     fn end(mut self) -> Result<(), &'static str> {
         for open in &mut self.open {
-            self.gate.decider.abandon(self.gate.now, &mut open.call);
+            self.gate.decider.cancel(self.gate.now, &mut open.call);
         }
         let instances = self
             .table
--- a/crates/routing/src/decider/tests/refusals.rs
+++ b/crates/routing/src/decider/tests/refusals.rs
@@ -13,18 +13,18 @@
 
 /// One server with 8 slots and routes of two ranks.
 fn gate() -> Gate {
-    let urgent = route("urgent", RouteKind::Safe);
-    let mut patient = route("patient", RouteKind::Safe);
+    let urgent = route("urgent", RouteKind::Idempotent);
+    let mut patient = route("patient", RouteKind::Idempotent);
     patient.priority = 4;
     exact(spec(vec![urgent, patient], servers(0, 1, "north")))
 }
 
 /// Requests that are taken before the first refusal, at most 100.
-fn taken(gate: &mut Gate, name: &str) -> (usize, Option<Refusal>) {
+fn taken(gate: &mut Gate, name: &str) -> (usize, Option<Rejection>) {
     for count in 0..100 {
         match gate.begin(gate.request(name)).1 {
             Decision::Send(_) => {}
-            Decision::Refuse(refusal) => return (count, Some(refusal)),
+            Decision::Reject(refusal) => return (count, Some(refusal)),
             other => panic!("{other:?}"),
         }
     }
@@ -36,7 +36,7 @@
     let mut gate = gate();
     let (count, refusal) = taken(&mut gate, "urgent");
     let refusal = refusal.expect("a refusal");
-    assert_eq!((count, refusal.status), (8, Status::Unavailable));
+    assert_eq!((count, refusal.status), (8, RejectionStatus::Unavailable));
     // A place of eight is free after an eighth of the usual second, spread by a quarter.
     assert!(
         (90 * MS..160 * MS).contains(&refusal.retry_after),
@@ -51,7 +51,8 @@
     guarded(Guard::PriorityRoom, || {
         let mut gate = gate();
         let (count, refusal) = taken(&mut gate, "patient");
-        let crowded = refusal.is_some_and(|refusal| refusal.status == Status::TooManyRequests);
+        let crowded =
+            refusal.is_some_and(|refusal| refusal.status == RejectionStatus::TooManyRequests);
         crowded && count == 7 && taken(&mut gate, "urgent").0 == 1
     });
 }
@@ -66,7 +67,7 @@
         slots: Some(8),
         kv_cache: None,
     };
-    gate.decider.report(gate.now, server, load);
+    gate.decider.apply_load_report(gate.now, server, load);
     assert_eq!(taken(&mut gate, "urgent").0, 2);
 }
 
@@ -95,10 +96,10 @@
         slots: Some(8),
         kv_cache: None,
     };
-    gate.decider.report(gate.now, server, load);
+    gate.decider.apply_load_report(gate.now, server, load);
     assert!(matches!(
         gate.begin(gate.request("urgent")).1,
-        Decision::Refuse(_)
+        Decision::Reject(_)
     ));
 }
 
@@ -106,7 +107,7 @@
 fn a_server_that_is_full_is_left_alone_for_a_while() {
     guarded(Guard::FullRest, || {
         let mut gate = exact(spec(
-            vec![route("a", RouteKind::Unsafe)],
+            vec![route("a", RouteKind::NonIdempotent)],
             servers(0, 2, "north"),
         ));
         let (mut call, decision) = gate.begin(gate.request("a"));
@@ -126,7 +127,7 @@
 #[test]
 fn another_region_is_used_for_want_of_room_while_it_has_plenty() {
     let fleet = [servers(0, 1, "north"), servers(1, 1, "south")].concat();
-    let mut gate = exact(spec(vec![route("a", RouteKind::Safe)], fleet));
+    let mut gate = exact(spec(vec![route("a", RouteKind::Idempotent)], fleet));
     let sent: Vec<bool> = (0..20)
         .filter_map(|_| match gate.begin(gate.request("a")).1 {
             Decision::Send(dispatch) => Some(dispatch.crosses_region),
@@ -147,7 +148,10 @@
 
 #[test]
 fn connections_are_shared_among_the_gates() {
-    let mut table = spec(vec![route("a", RouteKind::Safe)], servers(0, 1, "north"));
+    let mut table = spec(
+        vec![route("a", RouteKind::Idempotent)],
+        servers(0, 1, "north"),
+    );
     table.services[0].max_connections = 12;
     table.services[0].slots = 6;
     table.gates = 6;
@@ -162,7 +166,7 @@
         retry_after: Some(800 * MS),
     };
     let (_, last) = gate.fails(gate.request("urgent"), &outcome);
-    let Decision::Refuse(refusal) = last else {
+    let Decision::Reject(refusal) = last else {
         panic!("{last:?}")
     };
     assert!(
@@ -181,7 +185,7 @@
     let outcome = Outcome::NotExecuted {
         retry_after: Some(2 * SECOND),
     };
-    let Decision::Refuse(refusal) = gate.fails(request, &outcome).1 else {
+    let Decision::Reject(refusal) = gate.fails(request, &outcome).1 else {
         panic!("not refused")
     };
     assert!(refusal.retry_after <= 375 * MS, "{refusal:?}");
@@ -194,7 +198,7 @@
         deadline: Some(gate.now),
         ..gate.request("urgent")
     };
-    assert!(matches!(gate.begin(request).1, Decision::Refuse(_)));
+    assert!(matches!(gate.begin(request).1, Decision::Reject(_)));
 }
 
 #[test]
@@ -203,7 +207,7 @@
     taken(&mut gate, "urgent");
     let mut waits = Vec::new();
     for _ in 0..8 {
-        let Decision::Refuse(refusal) = gate.begin(gate.request("urgent")).1 else {
+        let Decision::Reject(refusal) = gate.begin(gate.request("urgent")).1 else {
             panic!("not refused")
         };
         waits.push(refusal.retry_after);
@@ -219,7 +223,7 @@
     for _ in 0..100 {
         gate.begin(gate.request("urgent"));
     }
-    let Decision::Refuse(refusal) = gate.begin(gate.request("urgent")).1 else {
+    let Decision::Reject(refusal) = gate.begin(gate.request("urgent")).1 else {
         panic!("not refused")
     };
     assert!(
@@ -227,7 +231,7 @@
         "no promise further off than the longest wait"
     );
     gate.now += 3 * SECOND;
-    let Decision::Refuse(refusal) = gate.begin(gate.request("urgent")).1 else {
+    let Decision::Reject(refusal) = gate.begin(gate.request("urgent")).1 else {
         panic!("not refused")
     };
     assert!(refusal.retry_after <= 160 * MS, "turns pass with time");
@@ -235,10 +239,10 @@
 
 #[test]
 fn a_promise_without_an_attempt_left_sends_the_client_back_at_once() {
-    let mut single = route("a", RouteKind::Unsafe);
+    let mut single = route("a", RouteKind::NonIdempotent);
     single.max_attempts = 1;
     let mut gate = exact(spec(vec![single], servers(0, 3, "north")));
-    let Decision::Refuse(refusal) = gate.fails(gate.request("a"), &Outcome::WrongInstance).1 else {
+    let Decision::Reject(refusal) = gate.fails(gate.request("a"), &Outcome::WrongInstance).1 else {
         panic!("not refused")
     };
     assert!(refusal.retry_after < 100 * MS, "{refusal:?}");
@@ -265,7 +269,10 @@
 
 #[test]
 fn a_few_wait_at_a_server_if_they_have_a_slot_in_time() {
-    let table = spec(vec![route("a", RouteKind::Safe)], servers(0, 1, "north"));
+    let table = spec(
+        vec![route("a", RouteKind::Idempotent)],
+        servers(0, 1, "north"),
+    );
     let settings = Settings {
         fill_ramp: 0.0,
         ..Settings::new("north", "north-0")
@@ -286,10 +293,13 @@
     };
     names.map(|name| {
         let sent = (0..1000u64).filter(|key| {
-            gate.decider
-                .report(gate.now, gate.decider.server("i-0").expect("listed"), load);
+            gate.decider.apply_load_report(
+                gate.now,
+                gate.decider.server("i-0").expect("listed"),
+                load,
+            );
             let (mut call, decision) = gate.begin(gate.prompt(name, *key));
-            gate.decider.abandon(gate.now, &mut call);
+            gate.decider.cancel(gate.now, &mut call);
             matches!(decision, Decision::Send(_))
         });
         sent.count() as f64 / 1000.0
@@ -299,10 +309,10 @@
 #[test]
 fn in_a_crowd_less_urgent_requests_are_refused_more_often_and_none_is_left_out() {
     guarded(Guard::PriorityRoom, || {
-        let mut patient = route("patient", RouteKind::Safe);
+        let mut patient = route("patient", RouteKind::Idempotent);
         patient.priority = 3;
         let table = spec(
-            vec![route("urgent", RouteKind::Safe), patient],
+            vec![route("urgent", RouteKind::Idempotent), patient],
             servers(0, 1, "north"),
         );
         let idle = sent_shares(table.clone(), 50, ["urgent", "patient"]);
@@ -313,11 +323,14 @@
 
 #[test]
 fn in_a_crowd_the_size_of_a_request_does_not_matter() {
-    let mut table = spec(vec![route("a", RouteKind::Safe)], servers(0, 1, "north"));
+    let mut table = spec(
+        vec![route("a", RouteKind::Idempotent)],
+        servers(0, 1, "north"),
+    );
     table.services[0].kv_cache_tokens = 10_000;
     let mut gate = Gate::new(table);
     let server = gate.decider.server("i-0").expect("listed");
-    let mut sent = |tokens_out| {
+    let mut sent = |max_output_tokens| {
         let sent = (0..1000u64).filter(|key| {
             let load = LoadReport {
                 running: 5,
@@ -325,13 +338,13 @@
                 slots: Some(8),
                 kv_cache: Some((11_500, 10_000)),
             };
-            gate.decider.report(gate.now, server, load);
+            gate.decider.apply_load_report(gate.now, server, load);
             let request = Request {
-                tokens_out,
+                max_output_tokens,
                 ..gate.prompt("a", *key)
             };
             let (mut call, decision) = gate.begin(request);
-            gate.decider.abandon(gate.now, &mut call);
+            gate.decider.cancel(gate.now, &mut call);
             matches!(decision, Decision::Send(_))
         });
         sent.count() as f64 / 1000.0
--- a/crates/routing/src/decider/tests/returns.rs
+++ b/crates/routing/src/decider/tests/returns.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn an_idempotent_request_tries_an_ejected_server_and_brings_it_back() {
-    let (mut gate, server) = with_ejected(RouteKind::Safe);
+    let (mut gate, server) = with_ejected(RouteKind::Idempotent);
     gate.now += 8 * SECOND;
     let (mut call, decision) = gate.begin(gate.request("a"));
     assert_eq!(sent(&decision).server, server);
@@ -30,12 +30,12 @@
 
 #[test]
 fn who_is_set_aside_and_who_is_back_is_told_once() {
-    let (mut gate, server) = with_ejected(RouteKind::Safe);
-    let changes = gate.decider.take_changes();
+    let (mut gate, server) = with_ejected(RouteKind::Idempotent);
+    let changes = gate.decider.take_ejection_changes();
     let ejected = Some(EjectionCause::Unreachable);
     assert_eq!(
         changes,
-        [HealthChange {
+        [EjectionChange {
             server,
             instance: "i-0".into(),
             ejected
@@ -44,20 +44,20 @@
     gate.now += 8 * SECOND;
     gate.served(gate.request("a"));
     assert_eq!(
-        gate.decider.take_changes(),
-        [HealthChange {
+        gate.decider.take_ejection_changes(),
+        [EjectionChange {
             server,
             instance: "i-0".into(),
             ejected: None
         }]
     );
-    assert!(gate.decider.take_changes().is_empty());
+    assert!(gate.decider.take_ejection_changes().is_empty());
 }
 
 #[test]
 fn an_unsafe_request_tries_no_ejected_server() {
     guarded(Guard::TrialIdempotent, || {
-        let (mut gate, server) = with_ejected(RouteKind::Unsafe);
+        let (mut gate, server) = with_ejected(RouteKind::NonIdempotent);
         gate.now += 8 * SECOND;
         (0..6).all(|_| sent(&gate.begin(gate.request("a")).1).server != server)
     });
@@ -66,15 +66,15 @@
 #[test]
 fn no_repeat_and_no_last_attempt_tries_an_ejected_server() {
     guarded(Guard::TrialFirst, || {
-        let (mut gate, server) = with_ejected(RouteKind::Safe);
+        let (mut gate, server) = with_ejected(RouteKind::Idempotent);
         let (mut call, _) = gate.begin(gate.request("a"));
         gate.now += 8 * SECOND;
         let repeat = gate.settle(&mut call, Outcome::Reset);
         sent(&repeat).server != server
     });
-    let mut single = route("a", RouteKind::Safe);
+    let mut single = route("a", RouteKind::Idempotent);
     (single.affinity, single.max_attempts) = (false, 1);
-    let (mut gate, server) = with_ejected(RouteKind::Safe);
+    let (mut gate, server) = with_ejected(RouteKind::Idempotent);
     gate.swap(spec(vec![single], servers(0, 3, "north")));
     gate.now += 8 * SECOND;
     assert!((0..9).all(|_| sent(&gate.begin(gate.request("a")).1).server != server));
@@ -82,7 +82,7 @@
 
 #[test]
 fn ejections_grow_longer() {
-    let (mut gate, server) = with_ejected(RouteKind::Safe);
+    let (mut gate, server) = with_ejected(RouteKind::Idempotent);
     let mut rests = Vec::new();
     for _ in 0..5 {
         let start = gate.now;
@@ -98,7 +98,7 @@
                     Outcome::Success
                 },
             );
-            gate.decider.abandon(gate.now, &mut call);
+            gate.decider.cancel(gate.now, &mut call);
             if trial {
                 break;
             }
@@ -117,12 +117,12 @@
 
 #[test]
 fn a_health_check_brings_a_server_back_where_no_request_may_try() {
-    let (mut gate, server) = with_ejected(RouteKind::Unsafe);
+    let (mut gate, server) = with_ejected(RouteKind::NonIdempotent);
     let mut probes = Vec::new();
-    gate.decider.probes_due(gate.now, &mut probes);
+    gate.decider.due_health_checks(gate.now, &mut probes);
     assert!(probes.is_empty());
     gate.now += 8 * SECOND;
-    gate.decider.probes_due(gate.now, &mut probes);
+    gate.decider.due_health_checks(gate.now, &mut probes);
     assert_eq!(probes.len(), 1);
     assert_eq!(
         (
@@ -132,21 +132,22 @@
         ),
         (server, "/healthz", "i-0")
     );
-    gate.decider.probes_due(gate.now, &mut probes);
+    gate.decider.due_health_checks(gate.now, &mut probes);
     assert_eq!(probes.len(), 1, "one at a time");
     gate.decider
-        .probed(gate.now, server, ProbeOutcome::Unhealthy);
+        .health_check_finished(gate.now, server, HealthCheckOutcome::Unhealthy);
     assert!(gate.decider.is_ejected(server));
     gate.now += 10 * SECOND;
-    gate.decider.probes_due(gate.now, &mut probes);
-    gate.decider.probed(gate.now, server, ProbeOutcome::Healthy);
+    gate.decider.due_health_checks(gate.now, &mut probes);
+    gate.decider
+        .health_check_finished(gate.now, server, HealthCheckOutcome::Healthy);
     assert!(!gate.decider.is_ejected(server));
 }
 
 #[test]
 fn what_is_known_of_a_server_outlives_a_table_and_a_new_instance_starts_anew() {
-    let (mut gate, server) = with_ejected(RouteKind::Safe);
-    let mut route = route("a", RouteKind::Safe);
+    let (mut gate, server) = with_ejected(RouteKind::Idempotent);
+    let mut route = route("a", RouteKind::Idempotent);
     route.affinity = false;
     let mut table = spec(vec![route], servers(0, 3, "north"));
     gate.swap(table.clone());
--- a/crates/routing/src/decider/tests/support.rs
+++ b/crates/routing/src/decider/tests/support.rs
@@ -17,14 +17,14 @@
         host: "desk.example".into(),
         prefix: format!("/{name}/").into(),
         kind,
-        splits: vec![Split {
+        backends: vec![WeightedBackend {
             service: "desk".into(),
             weight: 1,
         }],
         max_attempts: 2,
         timeout_ms: 10_000,
         target_latency_ms: 1000,
-        gap_aim_ms: Some(600),
+        max_event_gap_ms: Some(600),
         priority: 0,
         affinity: matches!(kind, RouteKind::Stream { .. }),
         allowed_regions: Vec::new(),
@@ -55,8 +55,8 @@
         capacity: 0,
         state: ServerState::Ready,
         evacuated: false,
-        cold: false,
-        silent_since: None,
+        warming_up: false,
+        heartbeats_missing_since: None,
         models: Vec::new(),
         sequence: 1,
     }
@@ -101,18 +101,18 @@
 }
 
 impl Permits for Counted {
-    fn take(&mut self, _now: Micros, _server: &ServerSpec) -> Result<(), Wait> {
-        self.permits = self.permits.checked_sub(1).ok_or(Wait(self.wait))?;
+    fn try_acquire(&mut self, _now: Micros, _server: &ServerSpec) -> Result<(), RetryAfter> {
+        self.permits = self.permits.checked_sub(1).ok_or(RetryAfter(self.wait))?;
         Ok(())
     }
 }
 
 impl RetryBudget for Counted {
-    fn requested(&mut self, _now: Micros, _service: &ServiceSpec) {
+    fn deposit(&mut self, _now: Micros, _service: &ServiceSpec) {
         self.requested += 1;
     }
 
-    fn try_take(&mut self, _now: Micros, _service: &ServiceSpec) -> bool {
+    fn withdraw(&mut self, _now: Micros, _service: &ServiceSpec) -> bool {
         self.taken += u32::from(self.repeats > 0);
         let there = self.repeats > 0;
         self.repeats = self.repeats.saturating_sub(1);
@@ -134,7 +134,7 @@
 
     pub fn with(table: TableSpec, settings: Settings, seed: u64) -> Self {
         let mut decider = Decider::new(settings, seed).expect("sound settings");
-        decider.swap(
+        decider.update_table(
             SECOND,
             Arc::new(Table::build(table).expect("a sound table")),
         );
@@ -146,7 +146,7 @@
     }
 
     pub fn swap(&mut self, table: TableSpec) {
-        self.decider.swap(
+        self.decider.update_table(
             self.now,
             Arc::new(Table::build(table).expect("a sound table")),
         );
@@ -169,8 +169,8 @@
         let parts = smallvec![part(7, 100), part(key, 400), part(u64::MAX - key, 50)];
         Request {
             parts,
-            tokens_in: 550,
-            tokens_out: 80,
+            prompt_tokens: 550,
+            max_output_tokens: 80,
             model: "m".into(),
             ..self.request(name)
         }
@@ -182,7 +182,7 @@
 
     pub fn settle(&mut self, call: &mut Call, outcome: Outcome) -> Decision {
         self.decider
-            .settled(self.now, call, outcome, &mut self.limits)
+            .attempt_finished(self.now, call, outcome, &mut self.limits)
     }
 
     /// A request from begin to success; the instance that had it.
--- a/crates/routing/src/decider/watch.rs
+++ b/crates/routing/src/decider/watch.rs
@@ -3,7 +3,7 @@
 use ironmast_balancer::Micros;
 
 use super::Decider;
-use crate::decision::{Check, Probe};
+use crate::decision::{HealthCheck, ProgressCheck};
 use crate::fleet::Node;
 use crate::request::Call;
 use crate::table::RouteKind;
@@ -23,13 +23,13 @@
 impl Decider {
     /// The attempt that is out has been quiet: whether to end it and go on elsewhere. Only where
     /// nothing at all is heard of its server, for one that works on others still works on this one.
-    pub fn check(&self, now: Micros, call: &Call) -> Check {
+    pub fn check_progress(&self, now: Micros, call: &Call) -> ProgressCheck {
         let open = call
             .attempts
             .last()
             .filter(|attempt| attempt.outcome.is_none() && !call.done);
         let Some((attempt, patience)) = open.zip(self.patience(call)) else {
-            return Check::Leave;
+            return ProgressCheck::Ignore;
         };
         let sign = self
             .fleet
@@ -37,8 +37,8 @@
             .map_or(0, |node| node.last_sign);
         let heard = sign.max(attempt.sent).max(call.last_byte);
         match heard + patience <= now {
-            true => Check::Move,
-            false => Check::Wait {
+            true => ProgressCheck::FailOver,
+            false => ProgressCheck::Wait {
                 until: heard + patience,
             },
         }
@@ -51,7 +51,9 @@
             return None;
         }
         if call.head_passed {
-            let gap = spec.gap_aim_ms.filter(|_| spec.kind != RouteKind::Safe)?;
+            let gap = spec
+                .max_event_gap_ms
+                .filter(|_| spec.kind != RouteKind::Idempotent)?;
             return Some((gap.saturating_mul(1000 * PAUSES)).max(PAUSE_LEAST));
         }
         let usual = self.usuals.first(&call.request.route) * PATIENCE;
@@ -61,7 +63,7 @@
     /// Appends the health checks that are due: of ejected servers that no request has tried since
     /// their rest ended, of servers that owe an answer and are quiet for long, and of one server of
     /// each region that gives no sign.
-    pub fn probes_due(&mut self, now: Micros, out: &mut Vec<Probe>) {
+    pub fn due_health_checks(&mut self, now: Micros, out: &mut Vec<HealthCheck>) {
         let first = out.len();
         let due = self
             .fleet
@@ -77,9 +79,9 @@
         }
     }
 
-    fn probe(&self, node: &Node) -> Option<Probe> {
+    fn probe(&self, node: &Node) -> Option<HealthCheck> {
         let service = self.table.service(&node.spec.service)?;
-        Some(Probe {
+        Some(HealthCheck {
             server: node.handle,
             address: node.spec.address,
             expect_instance: node.spec.instance.clone(),
@@ -89,7 +91,7 @@
 
     /// Asks the server of each dark region that was asked longest ago: the region counts as reached
     /// by its answer.
-    fn ask_dark_regions(&mut self, now: Micros, out: &mut Vec<Probe>) {
+    fn ask_dark_regions(&mut self, now: Micros, out: &mut Vec<HealthCheck>) {
         let patience = self.settings.quiet_after;
         let quiet = |region: &str| {
             let there = self
--- a/crates/routing/src/decision.rs
+++ b/crates/routing/src/decision.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ServerHandle {
     pub(crate) slot: u32,
-    pub(crate) life: u32,
+    pub(crate) incarnation: u32,
 }
 
 /// One attempt to be made.
@@ -27,9 +27,9 @@
     pub expect_instance: Arc<str>,
     /// Its service.
     pub service: Arc<str>,
-    /// It is cold: a permit was taken, or is to be taken when the request is written; see
+    /// It is warming_up: a permit was taken, or is to be taken when the request is written; see
     /// [`Permits`](crate::Permits).
-    pub cold: bool,
+    pub warming_up: bool,
     /// It is in another region than the gate.
     pub crosses_region: bool,
     /// The value of the `Priority` header, 0 to 9.
@@ -41,40 +41,40 @@
     pub deadline_ms: u64,
     /// The stream is to be taken up after this event (`Last-Event-Id`).
     pub resume_after: Option<u64>,
-    /// When to ask [`Decider::check`](crate::Decider::check) if nothing has come; `None` where it
-    /// can do nothing.
+    /// When to ask [`Decider::check_progress`](crate::Decider::check_progress) if nothing has come;
+    /// `None` where it can do nothing.
     pub check_at: Option<Micros>,
 }
 
-/// Status of a refusal.
+/// RejectionStatus of a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum RejectionStatus {
     /// 429: more urgent requests have what room there is.
     TooManyRequests,
     /// 503: no server is usable, or all are full.
     Unavailable,
 }
 
-impl Status {
+impl RejectionStatus {
     /// The code on the wire.
     pub fn code(self) -> u16 {
         match self {
-            Status::TooManyRequests => 429,
-            Status::Unavailable => 503,
+            RejectionStatus::TooManyRequests => 429,
+            RejectionStatus::Unavailable => 503,
         }
     }
 }
 
 /// The request has not run and never will; the client is told when to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Rejection {
     /// The status.
-    pub status: Status,
+    pub status: RejectionStatus,
     /// When it is of use to come back, from now.
     pub retry_after: Micros,
 }
 
-impl Refusal {
+impl Rejection {
     /// The value of `Retry-After`: seconds with a fraction.
     pub fn retry_after_seconds(&self) -> String {
         format!("{:.3}", self.retry_after as f64 / 1e6)
@@ -84,25 +84,25 @@
 /// What to do with a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Send it; the end goes to [`Decider::settled`](crate::Decider::settled).
+    /// Send it; the end goes to [`Decider::attempt_finished`](crate::Decider::attempt_finished).
     Send(Dispatch),
     /// Nothing can be done yet: ask [`Decider::resume`](crate::Decider::resume) at that clock
     /// reading.
-    Hold {
+    Delay {
         /// The clock reading.
         until: Micros,
     },
     /// Final: it has not run.
-    Refuse(Refusal),
+    Reject(Rejection),
     /// Final: pass the server's own answer on.
-    PassOn,
+    ForwardResponse,
     /// Final: an answer of the gate's own that promises nothing.
     Fail {
         /// 502 or 504.
         status: u16,
     },
     /// Final: end the answer so that it does not look whole.
-    BreakOff,
+    AbortResponse,
     /// Final: nothing is left to be done.
     Finished,
 }
@@ -110,7 +110,7 @@
 impl Decision {
     /// True where the request needs no further decision.
     pub fn is_final(&self) -> bool {
-        !matches!(self, Decision::Send(_) | Decision::Hold { .. })
+        !matches!(self, Decision::Send(_) | Decision::Delay { .. })
     }
 }
 
@@ -120,7 +120,7 @@
     /// A whole answer that counts as served.
     Success,
     /// The server found fault with the request (4xx without a promise); it has its answer.
-    Rejected,
+    ClientError,
     /// A 5xx of the server that counts as run.
     ServerError,
     /// `X-Ironmast-Not-Executed`: full, or out of time in its queue.
@@ -135,15 +135,15 @@
     /// No connection came up.
     ConnectFailed,
     /// The connection ended before a byte of the request was written.
-    Unwritten,
+    NotSent,
     /// The connection broke before the head of an answer.
     Reset,
     /// Bytes that are not an answer to this request, before a head was passed on.
-    Spoilt,
+    MalformedResponse,
     /// No answer in time.
     Timeout,
     /// The answer broke after its head was passed on.
-    Cut {
+    Truncated {
         /// The last whole event that was passed on.
         last_event: Option<u64>,
     },
@@ -154,37 +154,37 @@
 impl Outcome {
     /// True where the server did not run the request and never will.
     pub fn never_ran(&self) -> bool {
-        use Outcome::{ConnectFailed, NotExecuted, Unwritten, WrongInstance, WrongVersion};
+        use Outcome::{ConnectFailed, NotExecuted, NotSent, WrongInstance, WrongVersion};
         matches!(
             self,
-            NotExecuted { .. } | WrongInstance | WrongVersion | ConnectFailed | Unwritten
+            NotExecuted { .. } | WrongInstance | WrongVersion | ConnectFailed | NotSent
         )
     }
 
     /// True where no byte of the request went out.
     pub fn never_arrived(&self) -> bool {
-        matches!(self, Outcome::ConnectFailed | Outcome::Unwritten)
+        matches!(self, Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
 /// What to do with an attempt that has been quiet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Check {
+pub enum ProgressCheck {
     /// Leave it; ask again at that clock reading.
     Wait {
         /// The clock reading.
         until: Micros,
     },
-    /// End it and tell it as [`Outcome::Timeout`], or as [`Outcome::Cut`] where the client has the
-    /// head.
-    Move,
+    /// End it and tell it as [`Outcome::Timeout`], or as [`Outcome::Truncated`] where the client
+    /// has the head.
+    FailOver,
     /// Leave it; there is nothing to ask again.
-    Leave,
+    Ignore,
 }
 
 /// Health has set a server aside, or taken it back.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HealthChange {
+pub struct EjectionChange {
     /// The server.
     pub server: ServerHandle,
     /// Its instance.
@@ -195,7 +195,7 @@
 
 /// A health check to be made.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Probe {
+pub struct HealthCheck {
     /// The server.
     pub server: ServerHandle,
     /// Where it listens.
@@ -208,7 +208,7 @@
 
 /// How a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProbeOutcome {
+pub enum HealthCheckOutcome {
     /// 200 of the instance expected.
     Healthy,
     /// Turned away as full: it is there.
--- a/crates/routing/src/ejection.rs
+++ b/crates/routing/src/ejection.rs
@@ -142,7 +142,7 @@
 
     /// An attempt sent at `sent` ended. `trial` says that it decides the return. Tells why the
     /// server is ejected, if it is now.
-    pub fn settled(
+    pub fn attempt_finished(
         &mut self,
         now: Micros,
         outcome: &Outcome,
@@ -152,16 +152,16 @@
     ) -> Option<EjectionCause> {
         use Outcome::*;
         match outcome {
-            Success | Rejected => self.good(sent),
+            Success | ClientError => self.good(sent),
             ServerError | Timeout => self.bad(PACE_ERROR, true),
             ConnectFailed => {
                 self.unreachable = self.unreachable.saturating_add(1);
                 self.bad(PACE_UNREACHABLE, false);
             }
-            Reset | Spoilt | Cut { .. } => self.bad(PACE_BROKEN, true),
+            Reset | MalformedResponse | Truncated { .. } => self.bad(PACE_BROKEN, true),
             // Full is load, not ill health; the rest is the gate's or the client's doing.
             NotExecuted { .. } if !Guard::FullIsNoFailure.on() => self.bad(PACE_ERROR, true),
-            NotExecuted { .. } | WrongInstance | WrongVersion | Unwritten | Cancelled => {
+            NotExecuted { .. } | WrongInstance | WrongVersion | NotSent | Cancelled => {
                 return None;
             }
         }
@@ -174,7 +174,7 @@
     }
 
     /// A first byte came.
-    pub fn first_byte(
+    pub fn first_byte_received(
         &mut self,
         now: Micros,
         byte: FirstByte,
@@ -206,7 +206,7 @@
     }
 
     /// A probe found it well, or not.
-    pub fn probed(&mut self, now: Micros, well: bool, rests: (Micros, Micros)) {
+    pub fn health_check_finished(&mut self, now: Micros, well: bool, rests: (Micros, Micros)) {
         self.trial = false;
         if self.ejected.is_none() {
             return;
--- a/crates/routing/src/ejection/tests.rs
+++ b/crates/routing/src/ejection/tests.rs
@@ -27,7 +27,12 @@
     outcome: &Outcome,
     peers: Peers,
 ) -> Option<(u32, EjectionCause)> {
-    (1..=100).find_map(|count| Some((count, health.settled(10, outcome, 5, peers, RESTS)?)))
+    (1..=100).find_map(|count| {
+        Some((
+            count,
+            health.attempt_finished(10, outcome, 5, peers, RESTS)?,
+        ))
+    })
 }
 
 #[test]
@@ -42,8 +47,8 @@
     }
     for outcome in [
         Outcome::Reset,
-        Outcome::Spoilt,
-        Outcome::Cut { last_event: None },
+        Outcome::MalformedResponse,
+        Outcome::Truncated { last_event: None },
     ] {
         assert_eq!(count(outcome), Some((4, EjectionCause::Failing)));
     }
@@ -55,10 +60,10 @@
         Outcome::NotExecuted { retry_after: None },
         Outcome::WrongInstance,
         Outcome::WrongVersion,
-        Outcome::Unwritten,
+        Outcome::NotSent,
         Outcome::Cancelled,
         Outcome::Success,
-        Outcome::Rejected,
+        Outcome::ClientError,
     ];
     for outcome in promises {
         assert_eq!(
@@ -113,7 +118,9 @@
         } else {
             Outcome::Success
         };
-        ejected |= health.settled(10, &outcome, 5, well(), RESTS).is_some();
+        ejected |= health
+            .attempt_finished(10, &outcome, 5, well(), RESTS)
+            .is_some();
     }
     assert!(ejected);
 }
@@ -122,9 +129,9 @@
 fn an_answer_to_an_earlier_request_does_not_end_an_ejection() {
     let mut health = Health::default();
     until_ejected(&mut health, &Outcome::ConnectFailed, well());
-    health.settled(20, &Outcome::Success, 5, well(), RESTS);
+    health.attempt_finished(20, &Outcome::Success, 5, well(), RESTS);
     assert!(health.ejected().is_some());
-    health.settled(1200, &Outcome::Success, 1100, well(), RESTS);
+    health.attempt_finished(1200, &Outcome::Success, 1100, well(), RESTS);
     assert!(health.ejected().is_none());
 }
 
@@ -135,7 +142,7 @@
     let mut now = 0;
     for _ in 0..6 {
         while health
-            .settled(now, &Outcome::ConnectFailed, now, well(), RESTS)
+            .attempt_finished(now, &Outcome::ConnectFailed, now, well(), RESTS)
             .is_none()
         {}
         let ejected = health.ejected().expect("ejected");
@@ -145,7 +152,7 @@
     }
     assert_eq!(rests, [1000, 2000, 4000, 8000, 8000, 8000]);
     for _ in 0..40 {
-        health.settled(now, &Outcome::Success, now, well(), RESTS);
+        health.attempt_finished(now, &Outcome::Success, now, well(), RESTS);
     }
     until_ejected(&mut health, &Outcome::ConnectFailed, well());
     let ejected = health.ejected().expect("ejected");
@@ -157,7 +164,7 @@
     let mut health = Health::default();
     until_ejected(&mut health, &Outcome::ConnectFailed, well());
     health.trial = true;
-    health.probed(2000, false, RESTS);
+    health.health_check_finished(2000, false, RESTS);
     assert_eq!(
         health.ejected(),
         Some(Ejected {
@@ -166,9 +173,9 @@
         })
     );
     assert!(!health.trial);
-    health.probed(5000, true, RESTS);
+    health.health_check_finished(5000, true, RESTS);
     assert_eq!(health.ejected(), None);
-    health.probed(6000, false, RESTS);
+    health.health_check_finished(6000, false, RESTS);
     assert_eq!(
         health.ejected(),
         None,
@@ -180,7 +187,7 @@
 fn slowness_ejects_where_it_matters_and_a_slow_trial_prolongs_it() {
     let slow = |byte: FirstByte, peers| {
         let mut health = Health::default();
-        let ejected = (0..20).any(|_| health.first_byte(10, byte, peers, RESTS).is_some());
+        let ejected = (0..20).any(|_| health.first_byte_received(10, byte, peers, RESTS).is_some());
         (ejected, health)
     };
     let (ejected, mut health) = slow(byte(6.0), well());
@@ -241,7 +248,7 @@
         .0,
         "half are ejected"
     );
-    health.first_byte(1500, byte(6.0), well(), RESTS);
+    health.first_byte_received(1500, byte(6.0), well(), RESTS);
     assert_eq!(
         health.ejected(),
         Some(Ejected {
@@ -249,9 +256,9 @@
             until: 3500
         })
     );
-    health.settled(1600, &Outcome::Success, 1400, well(), RESTS);
+    health.attempt_finished(1600, &Outcome::Success, 1400, well(), RESTS);
     assert!(health.ejected().is_some());
-    health.first_byte(4000, byte(1.0), well(), RESTS);
-    health.settled(4100, &Outcome::Success, 3900, well(), RESTS);
+    health.first_byte_received(4000, byte(1.0), well(), RESTS);
+    health.attempt_finished(4100, &Outcome::Success, 3900, well(), RESTS);
     assert!(health.ejected().is_none());
 }
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/fleet.rs
@@ -96,7 +96,7 @@
     pub fn unheard(&self, now: Micros) -> bool {
         let since = self
             .spec
-            .silent_since
+            .heartbeats_missing_since
             .unwrap_or_default()
             .saturating_add(SILENT_SURELY);
         let heard = self.last_sign >= since && self.last_sign.saturating_add(HEARD_FOR) > now;
@@ -118,14 +118,14 @@
     /// Slots of the listed servers of each service and region.
     groups: Vec<Vec<u32>>,
     regions: usize,
-    lives: u32,
+    incarnations: u32,
     swaps: u64,
 }
 
 impl Fleet {
     /// Takes over another table. What is known of servers that stay is kept; those that left are
     /// kept without being listed until their last attempt ends.
-    pub fn swap(&mut self, now: Micros, table: &Table) {
+    pub fn apply_table(&mut self, now: Micros, table: &Table) {
         self.swaps += 1;
         self.regions = table.region_count();
         self.groups = vec![Vec::new(); table.services().len() * self.regions];
@@ -161,7 +161,7 @@
             self.nodes.push(None);
             self.nodes.len() as u32 - 1
         });
-        self.lives = self.lives.wrapping_add(1);
+        self.incarnations = self.incarnations.wrapping_add(1);
         let bounds = Bounds {
             slots: 0,
             kv_cache: 0,
@@ -172,7 +172,7 @@
             spec: spec.clone(),
             handle: ServerHandle {
                 slot,
-                life: self.lives,
+                incarnation: self.incarnations,
             },
             hash: hash(&spec.instance),
             models: spec.models.iter().map(|model| hash(model)).collect(),
@@ -230,7 +230,7 @@
         node.listed = true;
         node.draining = node.spec.state == ServerState::Draining;
         node.evacuated = node.spec.evacuated;
-        node.silent = node.spec.silent_since.is_some();
+        node.silent = node.spec.heartbeats_missing_since.is_some();
         node.region = region;
         node.bounds = Bounds {
             slots,
--- a/crates/routing/src/fleet/tests.rs
+++ b/crates/routing/src/fleet/tests.rs
@@ -22,8 +22,8 @@
         capacity: 0,
         state: ServerState::Ready,
         evacuated: false,
-        cold: false,
-        silent_since: None,
+        warming_up: false,
+        heartbeats_missing_since: None,
         models: Vec::new(),
         sequence: 0,
     }
@@ -55,12 +55,12 @@
         server(3, "b", "x"),
         server(4, "a", "x"),
     ]);
-    fleet.swap(0, &first);
+    fleet.apply_table(0, &first);
     assert_eq!(names(&fleet, 0, 0), ["i-1", "i-4"]);
     assert_eq!(names(&fleet, 0, 1), ["i-2"]);
     assert_eq!(names(&fleet, 1, 0), ["i-3"]);
     assert!(names(&fleet, 1, 1).is_empty() && names(&fleet, 7, 7).is_empty());
-    fleet.swap(1, &table(vec![server(2, "a", "y"), server(4, "b", "x")]));
+    fleet.apply_table(1, &table(vec![server(2, "a", "y"), server(4, "b", "x")]));
     assert_eq!(names(&fleet, 0, 0), ["i-2"], "regions are numbered anew");
     assert_eq!(names(&fleet, 1, 1), ["i-4"]);
     assert_eq!(fleet.listed().count(), 2);
@@ -69,10 +69,10 @@
 #[test]
 fn slots_are_used_again_and_handles_are_not() {
     let mut fleet = Fleet::default();
-    fleet.swap(0, &table(vec![server(1, "a", "x")]));
+    fleet.apply_table(0, &table(vec![server(1, "a", "x")]));
     let first = fleet.handle("i-1").expect("listed");
-    fleet.swap(1, &table(vec![server(2, "a", "x")]));
-    fleet.swap(2, &table(vec![server(3, "a", "x")]));
+    fleet.apply_table(1, &table(vec![server(2, "a", "x")]));
+    fleet.apply_table(2, &table(vec![server(3, "a", "x")]));
     let third = fleet.handle("i-3").expect("listed");
     assert!(fleet.get(first).is_none() && fleet.get(third).is_some());
     assert!(fleet.nodes.len() <= 2, "{}", fleet.nodes.len());
@@ -81,14 +81,14 @@
 #[test]
 fn a_server_that_left_stays_until_its_attempts_end_and_may_come_back() {
     let mut fleet = Fleet::default();
-    fleet.swap(0, &table(vec![server(1, "a", "x")]));
+    fleet.apply_table(0, &table(vec![server(1, "a", "x")]));
     let handle = fleet.handle("i-1").expect("listed");
     fleet
         .get_mut(handle)
         .expect("there")
         .occupancy
         .take(Default::default());
-    fleet.swap(1, &table(Vec::new()));
+    fleet.apply_table(1, &table(Vec::new()));
     assert!(
         fleet
             .get(handle)
@@ -96,7 +96,7 @@
     );
     fleet.release(handle);
     assert!(fleet.get(handle).is_some(), "an attempt is out");
-    fleet.swap(2, &table(vec![server(1, "a", "x")]));
+    fleet.apply_table(2, &table(vec![server(1, "a", "x")]));
     assert!(fleet.get(handle).is_some_and(Node::open));
     fleet
         .get_mut(handle)
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -15,7 +15,7 @@
 //! ```
 //! use std::sync::Arc;
 //! use ironmast_routing::{
-//!     Decider, Decision, Outcome, Request, RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Settings, Split,
+//!     Decider, Decision, Outcome, Request, RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Settings, WeightedBackend,
 //!     Table, TableSpec, Unlimited,
 //! };
 //!
@@ -23,12 +23,12 @@
 //!     name: "answers".into(),
 //!     host: "desk.example".into(),
 //!     prefix: "/answers/".into(),
-//!     kind: RouteKind::Safe,
-//!     splits: vec![Split { service: "desk".into(), weight: 1 }],
+//!     kind: RouteKind::Idempotent,
+//!     backends: vec![WeightedBackend { service: "desk".into(), weight: 1 }],
 //!     max_attempts: 2,
 //!     timeout_ms: 10_000,
 //!     target_latency_ms: 800,
-//!     gap_aim_ms: None,
+//!     max_event_gap_ms: None,
 //!     priority: 0,
 //!     affinity: false,
 //!     allowed_regions: Vec::new(),
@@ -50,24 +50,24 @@
 //!     capacity: 8,
 //!     state: ServerState::Ready,
 //!     evacuated: false,
-//!     cold: false,
-//!     silent_since: None,
+//!     warming_up: false,
+//!     heartbeats_missing_since: None,
 //!     models: Vec::new(),
 //!     sequence: 1,
 //! };
 //! let servers = vec![server("i-1", "10.0.0.1:80"), server("i-2", "10.0.0.2:80")];
 //! let table = Table::build(TableSpec { gates: 1, routes: vec![route], services: vec![service], servers })?;
 //! let mut decider = Decider::new(Settings::new("north", "hall"), 7)?;
-//! decider.swap(0, Arc::new(table));
+//! decider.update_table(0, Arc::new(table));
 //!
 //! let route = decider.table().router().route("Desk.example:8080", "/answers/7").expect("a route").clone();
 //! let (mut call, first) = decider.begin(1_000, Request::new(route), &mut Unlimited);
 //! let Decision::Send(first) = first else { panic!("{first:?}") };
 //! // Its connection broke: what is safe goes to the other server.
-//! let second = decider.settled(2_000, &mut call, Outcome::Reset, &mut Unlimited);
+//! let second = decider.attempt_finished(2_000, &mut call, Outcome::Reset, &mut Unlimited);
 //! let Decision::Send(second) = second else { panic!("{second:?}") };
 //! assert_ne!(first.expect_instance, second.expect_instance);
-//! assert_eq!(decider.settled(3_000, &mut call, Outcome::Success, &mut Unlimited), Decision::Finished);
+//! assert_eq!(decider.attempt_finished(3_000, &mut call, Outcome::Success, &mut Unlimited), Decision::Finished);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 #![forbid(unsafe_code)]
@@ -89,23 +89,23 @@
 mod room;
 mod router;
 mod settings;
-mod splits;
 mod table;
+mod traffic_split;
 mod usual;
 
-pub use decider::{Decider, GateNews, UnreadAt};
+pub use decider::{Decider, PeerReport, PendingPrefill};
 pub use decision::{
-    Check, Decision, Dispatch, HealthChange, Outcome, Probe, ProbeOutcome, Refusal, ServerHandle,
-    Status,
+    Decision, Dispatch, EjectionChange, HealthCheck, HealthCheckOutcome, Outcome, ProgressCheck,
+    Rejection, RejectionStatus, ServerHandle,
 };
 pub use ejection::EjectionCause;
 pub use ironmast_balancer::Micros;
-pub use limits::{Permits, RetryBudget, Unlimited, Wait};
+pub use limits::{Permits, RetryAfter, RetryBudget, Unlimited};
 pub use request::{Call, PromptPart, Request};
 pub use room::LoadReport;
 pub use router::Router;
 pub use settings::{Settings, SettingsError};
 pub use table::{
-    Route, RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Split, Table, TableError,
-    TableSpec,
+    Route, RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Table, TableError,
+    TableSpec, WeightedBackend,
 };
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -6,27 +6,27 @@
 
 /// How long until it is of use to ask again, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wait(pub Micros);
+pub struct RetryAfter(pub Micros);
 
 /// Permits to send a request to a cold server, counted over all gates.
 pub trait Permits {
     /// Takes one permit for one request to be sent now; it is spent also where the send fails.
     /// Where the bound is on the moment at which a request is written, this may only look whether
     /// there is one: the gate then takes it when it writes a [`Dispatch`](crate::Dispatch) that is
-    /// `cold`, and tells [`Outcome::Unwritten`](crate::Outcome) if there is none any more.
+    /// `cold`, and tells [`Outcome::NotSent`](crate::Outcome) if there is none any more.
     ///
     /// # Errors
     /// The wait after which one may be there.
-    fn take(&mut self, now: Micros, server: &ServerSpec) -> Result<(), Wait>;
+    fn try_acquire(&mut self, now: Micros, server: &ServerSpec) -> Result<(), RetryAfter>;
 }
 
 /// The budget for arrivals past the first of each request, counted over all gates.
 pub trait RetryBudget {
     /// A client's request for a service was taken; called once for each.
-    fn requested(&mut self, _now: Micros, _service: &ServiceSpec) {}
+    fn deposit(&mut self, _now: Micros, _service: &ServiceSpec) {}
 
     /// Takes one repeat out of the budget, if there is one.
-    fn try_take(&mut self, now: Micros, service: &ServiceSpec) -> bool;
+    fn withdraw(&mut self, now: Micros, service: &ServiceSpec) -> bool;
 }
 
 /// Grants everything: for tests and for fleets without limits.
@@ -34,13 +34,13 @@
 pub struct Unlimited;
 
 impl Permits for Unlimited {
-    fn take(&mut self, _now: Micros, _server: &ServerSpec) -> Result<(), Wait> {
+    fn try_acquire(&mut self, _now: Micros, _server: &ServerSpec) -> Result<(), RetryAfter> {
         Ok(())
     }
 }
 
 impl RetryBudget for Unlimited {
-    fn try_take(&mut self, _now: Micros, _service: &ServiceSpec) -> bool {
+    fn withdraw(&mut self, _now: Micros, _service: &ServiceSpec) -> bool {
         true
     }
 }
--- a/crates/routing/src/paths.rs
+++ b/crates/routing/src/paths.rs
@@ -45,7 +45,7 @@
     }
 
     /// Something was heard of a server of the region.
-    pub fn sign(&mut self, now: Micros, region: &Arc<str>) {
+    pub fn record_liveness(&mut self, now: Micros, region: &Arc<str>) {
         self.tried(now, region);
         if let Some(path) = self.0.get_mut(region) {
             (path.last_sign, path.unanswered) = (now, 0);
--- a/crates/routing/src/refusal.rs
+++ b/crates/routing/src/refusal.rs
@@ -5,7 +5,7 @@
 use ironmast_balancer::{Micros, Rng};
 use rustc_hash::FxHashMap;
 
-use crate::decision::{Refusal, Status};
+use crate::decision::{Rejection, RejectionStatus};
 use crate::guards::Guard;
 use crate::settings::Settings;
 
@@ -92,16 +92,16 @@
 pub(crate) fn refuse(
     settings: &Settings,
     rng: &mut Rng,
-    status: Status,
+    status: RejectionStatus,
     wait: Micros,
     left: Micros,
-) -> Refusal {
+) -> Rejection {
     let (least, most) = settings.retry_after;
     let honoured = (left as f64 * HONOURED) as Micros;
     let most = most.min(honoured).max(least);
     let spread = 1.0 + SPREAD * (2.0 * rng.unit() - 1.0);
     let retry_after = (wait.clamp(least, most) as f64 * spread) as Micros;
-    Refusal {
+    Rejection {
         status,
         retry_after,
     }
--- a/crates/routing/src/refusal/tests.rs
+++ b/crates/routing/src/refusal/tests.rs
@@ -90,8 +90,16 @@
 #[test]
 fn waits_are_spread_and_bounded() {
     let mut rng = Rng(1);
-    let mut wait =
-        |wait, left| refuse(&settings(), &mut rng, Status::Unavailable, wait, left).retry_after;
+    let mut wait = |wait, left| {
+        refuse(
+            &settings(),
+            &mut rng,
+            RejectionStatus::Unavailable,
+            wait,
+            left,
+        )
+        .retry_after
+    };
     let waits: Vec<Micros> = (0..200).map(|_| wait(SECOND, 60 * SECOND)).collect();
     assert!(
         waits
@@ -116,8 +124,8 @@
 
 #[test]
 fn the_header_has_seconds_with_a_fraction() {
-    let refusal = Refusal {
-        status: Status::TooManyRequests,
+    let refusal = Rejection {
+        status: RejectionStatus::TooManyRequests,
         retry_after: 1_250_400,
     };
     assert_eq!(
@@ -127,5 +135,5 @@
         ),
         ("1.250", 429)
     );
-    assert_eq!(Status::Unavailable.code(), 503);
+    assert_eq!(RejectionStatus::Unavailable.code(), 503);
 }
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -33,9 +33,9 @@
     /// The parts of the prompt in order; the last belongs to the request or its session.
     pub parts: SmallVec<[PromptPart; 4]>,
     /// Tokens of the prompt.
-    pub tokens_in: u64,
+    pub prompt_tokens: u64,
     /// Tokens of the answer at the most.
-    pub tokens_out: u64,
+    pub max_output_tokens: u64,
     /// Clock reading at which the client gives up.
     pub deadline: Option<Micros>,
     /// Further regions to keep to, such as the tenant's; all where empty.
@@ -51,8 +51,8 @@
             route,
             model: Box::default(),
             parts: SmallVec::new(),
-            tokens_in: 0,
-            tokens_out: 0,
+            prompt_tokens: 0,
+            max_output_tokens: 0,
             deadline: None,
             allowed_regions: Vec::new(),
             last_event: None,
@@ -93,7 +93,7 @@
 }
 
 /// A request that is owed an answer. The gate keeps it and hands it to the decider at each event;
-/// it must end in a final decision or in [`Decider::abandon`](crate::Decider::abandon).
+/// it must end in a final decision or in [`Decider::cancel`](crate::Decider::cancel).
 #[derive(Debug)]
 pub struct Call {
     pub(crate) request: Request,
@@ -153,8 +153,8 @@
         // Clients name these figures: sums of many must hold.
         let tokens = self
             .request
-            .tokens_in
-            .saturating_add(self.request.tokens_out)
+            .prompt_tokens
+            .saturating_add(self.request.max_output_tokens)
             .min(TOKENS_MOST);
         let shared = if self.key.is_some() {
             self.shared_tokens.min(tokens)
@@ -217,7 +217,7 @@
     /// tells nothing of its server: it was an idle one, or a permit was gone.
     pub(crate) fn tried(&self, server: ServerHandle) -> bool {
         let had = |attempt: &Attempt| {
-            attempt.server == server && attempt.outcome != Some(Outcome::Unwritten)
+            attempt.server == server && attempt.outcome != Some(Outcome::NotSent)
         };
         self.attempts.iter().any(had)
     }
@@ -228,7 +228,7 @@
         attempt.outcome = Some(outcome.clone());
         let attempt = attempt.clone();
         self.paid = attempt.repeat && outcome.never_arrived();
-        if let Outcome::Cut { last_event } = outcome {
+        if let Outcome::Truncated { last_event } = outcome {
             self.head_passed = true;
             self.last_event = last_event.or(self.last_event);
         }
--- a/crates/routing/src/room.rs
+++ b/crates/routing/src/room.rs
@@ -168,7 +168,7 @@
     }
 
     /// The server told its load.
-    pub fn report(&mut self, now: Micros, load: LoadReport) {
+    pub fn record_load_report(&mut self, now: Micros, load: LoadReport) {
         let active = f64::from(load.running) + f64::from(load.waiting);
         let known = self.report;
         let others_tokens = load
--- a/crates/routing/src/room/tests.rs
+++ b/crates/routing/src/room/tests.rs
@@ -57,7 +57,7 @@
 fn a_report_tells_of_other_gates_only_and_fades() {
     let mut here = Occupancy::default();
     here.take(need(1, 0, 100));
-    here.report(0, report(4, 1));
+    here.record_load_report(0, report(4, 1));
     assert_eq!(load(&here, 0).active, 5.0);
     here.take(need(1, 0, 100));
     assert_eq!(load(&here, 0).active, 6.0, "what was sent since is added");
@@ -70,7 +70,7 @@
 #[test]
 fn what_peers_tell_stands_in_for_what_a_server_does_not() {
     let (mut told, mut quiet) = (Occupancy::default(), Occupancy::default());
-    told.report(0, report(6, 0));
+    told.record_load_report(0, report(6, 0));
     quiet.take(need(1, 400, 200));
     let usage = Usage::of([&told, &quiet].into_iter(), 0, MEMORY);
     let load = quiet.load(0, MEMORY, &bounds(), usage);
@@ -80,14 +80,14 @@
 #[test]
 fn a_word_on_memory_outlives_reports_without_one() {
     let mut here = Occupancy::default();
-    here.report(
+    here.record_load_report(
         0,
         LoadReport {
             kv_cache: Some((4000, 20_000)),
             ..report(2, 0)
         },
     );
-    here.report(MEMORY / 2, report(2, 0));
+    here.record_load_report(MEMORY / 2, report(2, 0));
     let load = here.load(MEMORY / 2, MEMORY, &bounds(), Usage::default());
     assert_eq!((load.tokens, load.kv_cache), (2000.0, 20_000.0));
 }
@@ -136,7 +136,7 @@
     );
     assert_eq!(rests[7], FULL_LONGEST);
     let now = 7 * MEMORY * 10 + 1;
-    here.report(
+    here.record_load_report(
         now,
         LoadReport {
             slots: Some(8),
@@ -144,7 +144,7 @@
         },
     );
     assert!(here.full_until() > now);
-    here.report(
+    here.record_load_report(
         now,
         LoadReport {
             slots: Some(8),
--- a/crates/routing/src/router/tests.rs
+++ b/crates/routing/src/router/tests.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-use crate::table::{Route, RouteKind, RouteSpec, Split};
+use crate::table::{Route, RouteKind, RouteSpec, WeightedBackend};
 
 use super::Router;
 
@@ -9,15 +9,15 @@
         name: prefix.into(),
         host: host.into(),
         prefix: prefix.into(),
-        kind: RouteKind::Safe,
-        splits: vec![Split {
+        kind: RouteKind::Idempotent,
+        backends: vec![WeightedBackend {
             service: "desk".into(),
             weight: 1,
         }],
         max_attempts: 1,
         timeout_ms: 1,
         target_latency_ms: 1,
-        gap_aim_ms: None,
+        max_event_gap_ms: None,
         priority: 0,
         affinity: false,
         allowed_regions: Vec::new(),
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -19,9 +19,9 @@
         resumable: bool,
     },
     /// May run any number of times.
-    Safe,
+    Idempotent,
     /// May run once at the most.
-    Unsafe,
+    NonIdempotent,
 }
 
 impl RouteKind {
@@ -29,14 +29,14 @@
     pub fn idempotent(self) -> bool {
         matches!(
             self,
-            RouteKind::Safe | RouteKind::Stream { resumable: true }
+            RouteKind::Idempotent | RouteKind::Stream { resumable: true }
         )
     }
 }
 
 /// A service's part of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Split {
+pub struct WeightedBackend {
     /// The service's name.
     pub service: Arc<str>,
     /// Its weight against the others; none is sent to a weight of 0.
@@ -55,7 +55,7 @@
     /// What may be repeated.
     pub kind: RouteKind,
     /// The services behind it.
-    pub splits: Vec<Split>,
+    pub backends: Vec<WeightedBackend>,
     /// To how many servers one try of a client may be sent.
     pub max_attempts: u32,
     /// How long a request may be held at the most, in milliseconds.
@@ -63,7 +63,7 @@
     /// The latency objective, in milliseconds; 0 where none is told.
     pub target_latency_ms: u64,
     /// The longest pause between events of a stream that is in time, in milliseconds.
-    pub gap_aim_ms: Option<u64>,
+    pub max_event_gap_ms: Option<u64>,
     /// Rank; 0 is the most urgent.
     pub priority: u32,
     /// Requests with the same leading prompt parts belong to the same server.
@@ -118,9 +118,9 @@
     /// Its zone is evacuated.
     pub evacuated: bool,
     /// It may be sent a request only under a permit.
-    pub cold: bool,
+    pub warming_up: bool,
     /// Heartbeats are missing since; `None` while they come.
-    pub silent_since: Option<Micros>,
+    pub heartbeats_missing_since: Option<Micros>,
     /// Names of the models it holds; empty where it says nothing of models.
     pub models: Vec<Box<str>>,
     /// Rises with each word of the server; a newer one lists it anew after a 421.
@@ -393,7 +393,7 @@
 fn shortest_targets(routes: &[Arc<Route>], services: &FxHashMap<Arc<str>, u32>) -> Vec<u64> {
     let mut targets = vec![0; services.len()];
     for route in routes {
-        for split in &route.spec.splits {
+        for split in &route.spec.backends {
             let Some(service) = services.get(&split.service) else {
                 continue;
             };
@@ -415,7 +415,7 @@
 ) -> Result<Arc<Route>, TableError> {
     let route = spec.name.clone();
     if let Some(split) = spec
-        .splits
+        .backends
         .iter()
         .find(|split| !services.contains_key(&split.service))
     {
@@ -431,7 +431,7 @@
         return Err(TableError::NoTimeout { route });
     }
     let weight = spec
-        .splits
+        .backends
         .iter()
         .map(|split| u64::from(split.weight))
         .sum();
--- a/crates/routing/src/table/tests.rs
+++ b/crates/routing/src/table/tests.rs
@@ -16,15 +16,15 @@
         name: "r".into(),
         host: "a".into(),
         prefix: "/x/".into(),
-        kind: RouteKind::Safe,
-        splits: vec![Split {
+        kind: RouteKind::Idempotent,
+        backends: vec![WeightedBackend {
             service: "desk".into(),
             weight: 1,
         }],
         max_attempts: 1,
         timeout_ms: 1,
         target_latency_ms: 1,
-        gap_aim_ms: None,
+        max_event_gap_ms: None,
         priority: 0,
         affinity: false,
         allowed_regions: Vec::new(),
@@ -41,8 +41,8 @@
         capacity: 0,
         state: ServerState::Ready,
         evacuated: false,
-        cold: false,
-        silent_since: None,
+        warming_up: false,
+        heartbeats_missing_since: None,
         models: Vec::new(),
         sequence: 0,
     }
@@ -62,7 +62,7 @@
 #[test]
 fn unsound_routes_are_named() {
     let route: Arc<str> = "r".into();
-    let unknown = error(|route| route.splits[0].service = "none".into());
+    let unknown = error(|route| route.backends[0].service = "none".into());
     assert_eq!(
         unknown,
         TableError::UnknownService {
@@ -89,7 +89,7 @@
         }
     );
     assert_eq!(
-        error(|route| route.splits[0].weight = 0),
+        error(|route| route.backends[0].weight = 0),
         TableError::NoWeight { route }
     );
 }
--- a/crates/routing/src/splits.rs
+++ b/crates/routing/src/traffic_split.rs
@@ -13,9 +13,9 @@
 
 /// The last step of each route, by name.
 #[derive(Debug, Default)]
-pub(crate) struct Splits(FxHashMap<Arc<str>, f64>);
+pub(crate) struct TrafficSplits(FxHashMap<Arc<str>, f64>);
 
-impl Splits {
+impl TrafficSplits {
     /// The next point of a route, from 0 up to 1. The first is drawn: gates must not all begin with
     /// the same part.
     pub fn next(&mut self, route: &Arc<str>, rng: &mut Rng) -> f64 {
--- a/crates/routing/src/usual.rs
+++ b/crates/routing/src/usual.rs
@@ -40,7 +40,7 @@
     }
 
     /// An answer's first byte came after so long; tells that time as a multiple of the usual.
-    pub fn first_byte(&mut self, route: &Route, took: Micros) -> f64 {
+    pub fn record_first_byte(&mut self, route: &Route, took: Micros) -> f64 {
         let usual = self.first(route);
         self.first
             .insert(route.spec.name.clone(), follow(usual, took));
--- a/crates/routing/src/usual/tests.rs
+++ b/crates/routing/src/usual/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
-use crate::table::{RouteKind, RouteSpec, Split};
+use crate::table::{RouteKind, RouteSpec, WeightedBackend};
 
 fn route(name: &str) -> Route {
     let spec = RouteSpec {
         name: name.into(),
         host: "a".into(),
         prefix: "/".into(),
-        kind: RouteKind::Safe,
-        splits: vec![Split {
+        kind: RouteKind::Idempotent,
+        backends: vec![WeightedBackend {
             service: "desk".into(),
             weight: 1,
         }],
         max_attempts: 1,
         timeout_ms: 1000,
         target_latency_ms: 100,
-        gap_aim_ms: None,
+        max_event_gap_ms: None,
         priority: 0,
         affinity: false,
         allowed_regions: Vec::new(),
@@ -35,9 +35,9 @@
 fn first_bytes_follow_each_route_and_one_outlier_moves_them_little() {
     let mut usuals = Usuals::default();
     let (a, b) = (route("a"), route("b"));
-    (0..200).for_each(|_| _ = usuals.first_byte(&a, 10_000));
+    (0..200).for_each(|_| _ = usuals.record_first_byte(&a, 10_000));
     assert!((usuals.first(&a) - 10_000.0).abs() < 500.0);
-    assert!((usuals.first_byte(&a, 10_000_000) - 1000.0).abs() < 60.0);
+    assert!((usuals.record_first_byte(&a, 10_000_000) - 1000.0).abs() < 60.0);
     assert!(usuals.first(&a) < 12_000.0);
     assert_eq!(usuals.first(&b), 50_000.0);
 }
@@ -58,7 +58,7 @@
 #[test]
 fn what_is_gone_is_forgotten() {
     let mut usuals = Usuals::default();
-    usuals.first_byte(&route("a"), 10);
+    usuals.record_first_byte(&route("a"), 10);
     usuals.served(&Arc::from("desk"), &route("a"), 10);
     usuals.keep(|name| name == "b", |name| name == "desk");
     assert_eq!(usuals.first(&route("a")), 50_000.0);
--- a/crates/routing/tests/model/mod.rs
+++ b/crates/routing/tests/model/mod.rs
@@ -8,7 +8,7 @@
 
 use ironmast_balancer::Rng;
 use ironmast_routing::{
-    Call, Decider, Decision, LoadReport, Micros, Outcome, ProbeOutcome, PromptPart, Request,
+    Call, Decider, Decision, HealthCheckOutcome, LoadReport, Micros, Outcome, PromptPart, Request,
     Settings, Table, Unlimited,
 };
 
@@ -182,7 +182,7 @@
         }
         let gate = |seed| {
             let mut gate = Decider::new(settings.clone(), seed as u64).expect("settings");
-            gate.swap(0, table.clone());
+            gate.update_table(0, table.clone());
             gate
         };
         let arrivals = (0..KINDS.len()).map(|kind| Reverse((0, Step::Arrive(kind))));
@@ -218,7 +218,7 @@
             Step::End(number) => self.whole(number),
             Step::Leave(number) => self.leave(number),
             Step::Look(gate) => self.look(gate),
-            Step::Probed(gate, server) => self.probed(gate, server),
+            Step::Probed(gate, server) => self.health_check_finished(gate, server),
         }
     }
 
@@ -236,7 +236,7 @@
         self.played.asked[kind] += 1;
         loop {
             let Decision::Send(dispatch) = decision else {
-                return self.turned_away(matches!(decision, Decision::Refuse(_)));
+                return self.turned_away(matches!(decision, Decision::Reject(_)));
             };
             let server = dispatch.address.port() as usize - 8000;
             let Some(failure) = self.failure(server) else {
@@ -253,7 +253,8 @@
                     subject,
                 );
             };
-            decision = self.gates[gate].settled(self.now, &mut call, failure, &mut Unlimited);
+            decision =
+                self.gates[gate].attempt_finished(self.now, &mut call, failure, &mut Unlimited);
         }
     }
 
@@ -281,7 +282,7 @@
         let dark = self.fated(0, Fate::Dark);
         let heard = |flight: &&mut Flight| flight.began && !(dark && flight.server == 0);
         for flight in self.flights.values_mut().filter(heard) {
-            self.gates[flight.gate].passed(self.now, &mut flight.call, Some(1));
+            self.gates[flight.gate].response_forwarded(self.now, &mut flight.call, Some(1));
         }
     }
 
@@ -305,7 +306,7 @@
             part(subject, shared),
             part(self.number as u64 + 1_000_000, own),
         ]);
-        (request.tokens_in, request.tokens_out) = (shared + own, out);
+        (request.prompt_tokens, request.max_output_tokens) = (shared + own, out);
         request
     }
 
@@ -367,7 +368,12 @@
     fn finish(&mut self, number: usize, outcome: Outcome) {
         if let Some(mut flight) = self.flights.remove(&number) {
             self.servers[flight.server].running -= 1;
-            self.gates[flight.gate].settled(self.now, &mut flight.call, outcome, &mut Unlimited);
+            self.gates[flight.gate].attempt_finished(
+                self.now,
+                &mut flight.call,
+                outcome,
+                &mut Unlimited,
+            );
         }
     }
 
@@ -379,11 +385,11 @@
         flight.began = true;
         let (at, kind, took) = (flight.server, flight.kind, self.now - flight.sent);
         let gate = &mut self.gates[flight.gate];
-        gate.first_byte(self.now, &mut flight.call);
-        gate.passed(self.now, &mut flight.call, Some(1));
+        gate.first_byte_received(self.now, &mut flight.call);
+        gate.response_forwarded(self.now, &mut flight.call, Some(1));
         let handle = gate.server(&format!("i-{at}")).expect("listed");
         let running = self.servers[at].running;
-        gate.report(
+        gate.apply_load_report(
             self.now,
             handle,
             LoadReport {
@@ -409,13 +415,13 @@
         if let Some(mut flight) = self.flights.remove(&number) {
             self.played.lost += 1;
             self.servers[flight.server].running -= 1;
-            self.gates[flight.gate].abandon(self.now, &mut flight.call);
+            self.gates[flight.gate].cancel(self.now, &mut flight.call);
         }
     }
 
     fn look(&mut self, gate: usize) {
         let mut probes = Vec::new();
-        self.gates[gate].probes_due(self.now, &mut probes);
+        self.gates[gate].due_health_checks(self.now, &mut probes);
         for probe in probes {
             let server = probe.address.port() as usize - 8000;
             self.played.probes += 1;
@@ -433,17 +439,17 @@
         }
     }
 
-    fn probed(&mut self, gate: usize, server: usize) {
+    fn health_check_finished(&mut self, gate: usize, server: usize) {
         let ill = self.fated(server, Fate::Dark) || self.fated(server, Fate::Down);
         let handle = self.gates[gate]
             .server(&format!("i-{server}"))
             .expect("listed");
         let outcome = if ill {
-            ProbeOutcome::Unhealthy
+            HealthCheckOutcome::Unhealthy
         } else {
-            ProbeOutcome::Healthy
+            HealthCheckOutcome::Healthy
         };
-        self.gates[gate].probed(self.now, handle, outcome);
+        self.gates[gate].health_check_finished(self.now, handle, outcome);
     }
 
     fn end(mut self) -> Played {
--- a/crates/routing/tests/model/table.rs
+++ b/crates/routing/tests/model/table.rs
@@ -1,7 +1,7 @@
 //! The routes, the service and the servers of the region.
 
 use ironmast_routing::{
-    RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Split, Table, TableSpec,
+    RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Table, TableSpec, WeightedBackend,
 };
 
 use super::{SERVERS, SLOTS};
@@ -13,14 +13,14 @@
         host: "a".into(),
         prefix: format!("/{number}/").into(),
         kind: RouteKind::Stream { resumable: false },
-        splits: vec![Split {
+        backends: vec![WeightedBackend {
             service: "desk".into(),
             weight: 1,
         }],
         max_attempts: 1,
         timeout_ms: 15_000,
         target_latency_ms: [1200, 600, 800][number],
-        gap_aim_ms: Some(600),
+        max_event_gap_ms: Some(600),
         priority: [1, 0, 2][number],
         affinity,
         allowed_regions: Vec::new(),
@@ -44,8 +44,8 @@
         capacity: SLOTS,
         state: ServerState::Ready,
         evacuated: false,
-        cold: false,
-        silent_since: None,
+        warming_up: false,
+        heartbeats_missing_since: None,
         models: Vec::new(),
         sequence: 1,
     };
