--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use eyre::{Result, WrapErr as _, eyre};
-use ironmast_register::node::Place;
+use ironmast_register::node::NodeLocation;
 use ironmast_register::{
-    Action, Event, Identity, Message, Node, Operation, OperationId, Origin, Outcome, PersistToken,
-    Record, State,
+    Action, Event, Identity, Message, Node, Operation, OperationId, Outcome, PersistToken, Record,
+    RecordSource, State,
 };
 use ironmast_schema::settings::Settings;
 use slog::{Logger, warn};
@@ -82,24 +82,25 @@
             folder.ok_or_else(|| eyre!("data_directory is missing: a coordinator keeps files"))?;
         let (journal, found, persisted) = Journal::open(folder, settings.limits.disk_mb, &log)
             .wrap_err("reading the register's record")?;
-        let origin = match found {
-            Found::Durable(record) => Origin::Disk(record),
-            Found::Unconfirmed(record) => Origin::Unconfirmed(record),
-            Found::Nothing if settings.bootstrap => Origin::Bootstrap {
+        let source = match found {
+            Found::Durable(record) => RecordSource::Durable(record),
+            Found::Unconfirmed(record) => RecordSource::Unsynced(record),
+            Found::Nothing if settings.bootstrap => RecordSource::Bootstrap {
                 members: settings.seed_coordinators(),
                 value: ControlValue::default(),
             },
-            Found::Nothing | Found::Damage => Origin::Empty {
+            Found::Nothing | Found::Damage => RecordSource::Empty {
                 identity: Identity(rand::random()),
             },
         };
-        let place = Place {
+        let location = NodeLocation {
             address: own,
             zone: settings.zone.clone(),
         };
-        let mut times = ironmast_register::Settings::bearing(settings.fault_tolerance.hosts_lost);
-        times.contact = contact_bound(&settings.timing_bounds);
-        let node = Node::recover(origin, place, rand::random(), times);
+        let mut times =
+            ironmast_register::Settings::with_fault_tolerance(settings.fault_tolerance.hosts_lost);
+        times.quorum_lease = contact_bound(&settings.timing_bounds);
+        let node = Node::recover(source, location, rand::random(), times);
         let (pending, next_operation, catching_up) = Default::default();
         let (write, rewrite_at, timer) = (None, None, None);
         Ok((
@@ -138,17 +139,17 @@
 
     /// Whether a majority of the replicas has answered a question asked within the bound.
     pub(crate) fn is_in_contact(&self) -> bool {
-        self.node.is_in_contact(self.clock.now())
+        self.node.has_quorum_lease(self.clock.now())
     }
 
     /// When the newest question was asked that a majority of the replicas has answered.
     pub(crate) fn contact_since(&self) -> Option<Duration> {
-        self.node.contact_since(self.clock.now())
+        self.node.quorum_confirmed_at(self.clock.now())
     }
 
     /// Asks all coordinators at once whether they are there.
     pub(crate) fn question(&mut self) -> Vec<Effect> {
-        self.handle(Event::Question)
+        self.handle(Event::CheckQuorum)
     }
 
     /// Reads the newest state from a quorum; [`Effect::CaughtUp`] tells the end. A read begun
@@ -290,7 +291,7 @@
                 self.write = Some((write.token, write.record));
             }
             Action::Completed { id, outcome } => return self.completed(id, outcome),
-            Action::DiskWasLost => warn!(
+            Action::DiskLost => warn!(
                 self.log,
                 "the settings say that the system starts for the first time, but \
                 other coordinators know more: this replica begins anew under another identity"
@@ -315,7 +316,7 @@
             Some(document) => Reply::json(document.body.clone()),
             None => Reply::refused(404, "there is no configuration yet"),
         },
-        (_, Outcome::Written(_) | Outcome::Kept(_) | Outcome::Read(_)) => Reply::json("{}"),
+        (_, Outcome::Written(_) | Outcome::Unchanged(_) | Outcome::Read(_)) => Reply::json("{}"),
         (_, Outcome::Rejected { reason, .. }) => {
             Reply::refused(Refusal::of(&reason).status(), &reason)
         }
--- a/crates/coordinator/src/value.rs
+++ b/crates/coordinator/src/value.rs
@@ -75,9 +75,9 @@
     pub(crate) fn configure(&self, document: &Document, base: u64) -> Decision<ControlValue> {
         let order = Order::new(document, base);
         match self.history.past(&order) {
-            Past::Taken => Decision::Keep,
+            Past::Taken => Decision::Unchanged,
             Past::Refused => refuse(Refusal::OtherVersion),
-            Past::Forgotten => Decision::Unclear,
+            Past::Forgotten => Decision::Unknown,
             Past::Unknown if base == self.generation() => self.configure_next(document, &order),
             Past::Unknown if base > self.generation() && order.is_consistent() => {
                 self.refuse_for_good(&order)
@@ -101,19 +101,19 @@
     fn refuse_for_good(&self, order: &Order) -> Decision<ControlValue> {
         let mut next = self.clone();
         if next.history.refuse(order) {
-            Decision::Refuse {
+            Decision::RejectAndWrite {
                 value: next,
                 reason: Refusal::OtherVersion.to_string(),
             }
         } else {
-            Decision::Unclear
+            Decision::Unknown
         }
     }
 
     /// Empties a zone, or takes that back.
     pub(crate) fn evacuate(&self, zone: &str, out: bool) -> Decision<ControlValue> {
         if self.evacuated.contains(zone) == out {
-            return Decision::Keep;
+            return Decision::Unchanged;
         }
         let mut next = self.clone();
         if out {
--- a/crates/coordinator/src/value/tests.rs
+++ b/crates/coordinator/src/value/tests.rs
@@ -31,9 +31,9 @@
 fn a_configuration_sent_again_is_acknowledged_again_even_after_a_later_one() {
     let (first, second) = (document(3, "first"), document(6, "second"));
     let value = written(ControlValue::default().configure(&first, 0));
-    assert_matches!(value.configure(&first, 0), Decision::Keep);
+    assert_matches!(value.configure(&first, 0), Decision::Unchanged);
     let value = written(value.configure(&second, 3));
-    assert_matches!(value.configure(&first, 0), Decision::Keep);
+    assert_matches!(value.configure(&first, 0), Decision::Unchanged);
     assert_eq!(value.configuration, Some(second));
 }
 
@@ -62,9 +62,9 @@
 #[test]
 fn an_evacuation_is_idempotent_both_ways() {
     let value = written(ControlValue::default().evacuate("a", true));
-    assert_matches!(value.evacuate("a", true), Decision::Keep);
+    assert_matches!(value.evacuate("a", true), Decision::Unchanged);
     let value = written(value.evacuate("a", false));
-    assert_matches!(value.evacuate("a", false), Decision::Keep);
+    assert_matches!(value.evacuate("a", false), Decision::Unchanged);
     assert!(value.evacuated.is_empty());
 }
 
@@ -91,7 +91,7 @@
     for change in 0..1_001 {
         assert_matches!(
             value.configure(&nth(change), base(change)),
-            Decision::Keep,
+            Decision::Unchanged,
             "{change}"
         );
     }
@@ -103,7 +103,7 @@
     let value = after(changes);
     for change in 0..changes {
         let answer = value.configure(&nth(change), base(change));
-        assert_matches!(answer, Decision::Keep | Decision::Unclear, "{change}");
+        assert_matches!(answer, Decision::Unchanged | Decision::Unknown, "{change}");
     }
     assert_eq!(value.history.len(), TAKEN_MOST);
 }
@@ -127,14 +127,14 @@
     );
     assert_matches!(
         value.configure(&document(5, "another"), 4),
-        Decision::Unclear
+        Decision::Unknown
     );
 }
 
 #[test]
 fn the_same_content_on_another_base_is_another_order() {
     let value = after(3);
-    assert_matches!(value.configure(&nth(1), base(1)), Decision::Keep);
+    assert_matches!(value.configure(&nth(1), base(1)), Decision::Unchanged);
     assert_eq!(
         value.configure(&nth(1), base(1) + 1),
         refusal(Refusal::OtherVersion)
@@ -149,7 +149,7 @@
 fn an_order_refused_before_its_base_has_come_stays_refused() {
     let (early, other) = (document(9, "early"), document(9, "other"));
     let value = after(2);
-    let Decision::Refuse { value, reason } = value.configure(&early, 6) else {
+    let Decision::RejectAndWrite { value, reason } = value.configure(&early, 6) else {
         panic!("not refused for good");
     };
     assert_eq!(Refusal::of(&reason), Refusal::OtherVersion);
@@ -174,13 +174,13 @@
     let mut value = after(1);
     for number in 0..REFUSED_MOST as u64 {
         value = match value.configure(&document(100 + number, "early"), 50) {
-            Decision::Refuse { value, .. } => value,
+            Decision::RejectAndWrite { value, .. } => value,
             other => panic!("{other:?}"),
         };
     }
     assert_matches!(
         value.configure(&document(99, "early"), 50),
-        Decision::Unclear
+        Decision::Unknown
     );
 }
 
@@ -211,17 +211,17 @@
                     assert!(taken.insert(order));
                     value = next;
                 }
-                Decision::Keep => assert!(taken.contains(&order), "{order:?}"),
+                Decision::Unchanged => assert!(taken.contains(&order), "{order:?}"),
                 Decision::Reject(_) => {
                     assert!(!taken.contains(&order), "{order:?}");
                     refused.insert(order);
                 }
-                Decision::Refuse { value: next, .. } => {
+                Decision::RejectAndWrite { value: next, .. } => {
                     assert!(!taken.contains(&order), "{order:?}");
                     refused.insert(order);
                     value = next;
                 }
-                Decision::Unclear => {}
+                Decision::Unknown => {}
             }
         }
         assert!(taken.len() > 500, "{}", taken.len());
--- a/crates/coordinator/tests/frames/mod.rs
+++ b/crates/coordinator/tests/frames/mod.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use ironmast_register::message::{Ask, Body, Request};
+use ironmast_register::message::{MessageBody, Request, RequestBody};
 use ironmast_register::{Ballot, Identity, Message, Record};
 use ironmast_schema::control::{
     ControlState, Entry, FromCoordinator, FromGate, GateRecord, Hello, Key, ToCoordinator, ToGate,
@@ -35,14 +35,14 @@
     let accept = Request {
         round: 9,
         to: Identity(1),
-        ask: Ask::Accept {
+        body: RequestBody::Accept {
             proposal: proposal.clone(),
         },
     };
     let bodies = [
-        Body::Request(accept),
-        Body::State(proposal),
-        Body::Fetch {
+        MessageBody::Request(accept),
+        MessageBody::ChosenState(proposal),
+        MessageBody::FetchState {
             known: Ballot::ZERO,
         },
     ];
--- a/crates/coordinator/tests/many_changes/fleet.rs
+++ b/crates/coordinator/tests/many_changes/fleet.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ironmast_register::message::{Answer, Body, Reply, Report};
+use ironmast_register::message::{AcceptorState, MessageBody, Reply, ReplyBody};
 use ironmast_register::{Action, Event, Message, Operation, OperationId, Outcome};
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -270,7 +270,7 @@
         let Some((_, generation)) = self.orders.get(&id).copied() else {
             return;
         };
-        if let Outcome::Written(state) | Outcome::Kept(state) = &outcome {
+        if let Outcome::Written(state) | Outcome::Unchanged(state) = &outcome {
             if state.value.generation < generation {
                 self.violations.push(format!(
                     "{generation} acknowledged at {}",
@@ -303,14 +303,14 @@
 }
 
 /// Whether a message holds a whole state.
-fn holds_state(body: &Body<Control>) -> bool {
-    let in_report = |report: &Report<Control>| report.proposal.is_some();
+fn holds_state(body: &MessageBody<Control>) -> bool {
+    let in_reply = |state: &AcceptorState<Control>| state.proposal.is_some();
     match body {
-        Body::State(_) => true,
-        Body::Reply(Reply {
-            answer: Answer::Reported(report) | Answer::Promised { report, .. },
+        MessageBody::ChosenState(_) => true,
+        MessageBody::Reply(Reply {
+            body: ReplyBody::QueryResult(state) | ReplyBody::Promise { state, .. },
             ..
-        }) => in_report(report),
+        }) => in_reply(state),
         _ => false,
     }
 }
--- a/crates/coordinator/tests/many_changes/host.rs
+++ b/crates/coordinator/tests/many_changes/host.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ironmast_register::node::Place;
-use ironmast_register::{Action, Event, Node, Origin, PersistToken, Record, Settings};
+use ironmast_register::node::NodeLocation;
+use ironmast_register::{Action, Event, Node, PersistToken, Record, RecordSource, Settings};
 use ironmast_storage::testing::FaultyDisk;
 use ironmast_storage::{Disk, Log, LogSettings, LogState, Recovered};
 
@@ -90,24 +90,24 @@
         let Ok((log, recovered)) = Log::<Record<Control>>::open(disk, settings) else {
             return false;
         };
-        let origin = match recovered {
+        let source = match recovered {
             Recovered::Found {
                 record,
                 durable: true,
                 ..
-            } => Origin::Disk(record),
-            Recovered::Found { record, .. } => Origin::Unconfirmed(record),
-            Recovered::Empty if bootstrap => Origin::Bootstrap {
+            } => RecordSource::Durable(record),
+            Recovered::Found { record, .. } => RecordSource::Unsynced(record),
+            Recovered::Empty if bootstrap => RecordSource::Bootstrap {
                 members: seeds.to_vec(),
                 value: Control::default(),
             },
             Recovered::Empty => panic!("the record of {} is lost", self.address),
         };
-        let place = Place {
+        let location = NodeLocation {
             address: self.address,
             zone: self.address.port().to_string(),
         };
-        let node = Node::recover(origin, place, seed, Settings::bearing(1));
+        let node = Node::recover(source, location, seed, Settings::with_fault_tolerance(1));
         self.process = Some(Process {
             node,
             log,
--- a/crates/coordinator/tests/many_changes/operator.rs
+++ b/crates/coordinator/tests/many_changes/operator.rs
@@ -140,7 +140,7 @@
         loop {
             let id = self.fleet.order(host, generation);
             match self.fleet.outcome(id) {
-                Some(Outcome::Written(_) | Outcome::Kept(_)) => break,
+                Some(Outcome::Written(_) | Outcome::Unchanged(_)) => break,
                 Some(Outcome::Rejected { reason, .. }) => {
                     self.violate(format!("{generation} is refused: {reason}"));
                     break;
@@ -167,7 +167,7 @@
         let host = self.any_up();
         let id = self.fleet.order(host, generation);
         match self.fleet.outcome(id) {
-            Some(Outcome::Kept(_) | Outcome::Expired | Outcome::Unknown) | None => {}
+            Some(Outcome::Unchanged(_) | Outcome::Expired | Outcome::Unknown) | None => {}
             other => self.violate(format!("{generation} sent again: {other:?}")),
         }
     }
--- a/crates/coordinator/tests/many_changes/value.rs
+++ b/crates/coordinator/tests/many_changes/value.rs
@@ -30,7 +30,7 @@
 impl Transition<Control> for Put {
     fn apply(&self, value: &Control) -> Decision<Control> {
         if self.generation <= value.generation {
-            return Decision::Keep;
+            return Decision::Unchanged;
         }
         if self.generation != value.generation + 1 {
             return Decision::Reject(format!("{} is in force", value.generation));
--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -6,7 +6,7 @@
 
 use crate::ballot::{Ballot, Identity};
 use crate::guard::{Guard, Guards};
-use crate::message::{Answer, Ask, Reply, Report, Request};
+use crate::message::{AcceptorState, Reply, ReplyBody, Request, RequestBody};
 use crate::replicas::{Membership, ReplicaSet};
 use crate::state::{Proposal, State};
 
@@ -44,7 +44,7 @@
     /// Record of an initial member at the very first start. All initial members must pass the same
     /// addresses and an equal value.
     pub fn bootstrap(own: SocketAddr, members: &[SocketAddr], value: V) -> Self {
-        let members = Membership::single(ReplicaSet::of_seeds(members.iter().copied()));
+        let members = Membership::single(ReplicaSet::from_seed_addresses(members.iter().copied()));
         let state = State::initial(members, value).into();
         let accepted = Some(Proposal {
             ballot: Ballot::ZERO,
@@ -52,13 +52,13 @@
         });
         Self {
             accepted,
-            ..Self::empty(Identity::of_seed(own))
+            ..Self::empty(Identity::from_seed_address(own))
         }
     }
 
     /// Whether the replica has promised, accepted or proposed anything beyond the initial state.
     #[must_use]
-    pub fn has_voted(&self) -> bool {
+    pub fn has_participated(&self) -> bool {
         let accepted = self
             .accepted
             .as_ref()
@@ -69,7 +69,7 @@
 
 /// A reply and where it goes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Addressed<V> {
+pub struct AddressedReply<V> {
     /// Address of the asking node.
     pub to: SocketAddr,
     /// The replica that answers.
@@ -96,8 +96,8 @@
     durable: Record<V>,
     dirty: bool,
     writing: Option<Write<V>>,
-    waiting: Vec<Addressed<V>>,
-    covered: Vec<Addressed<V>>,
+    waiting: Vec<AddressedReply<V>>,
+    covered: Vec<AddressedReply<V>>,
     last_token: PersistToken,
     /// Whether the first record isn't durable yet: until then nothing is answered.
     awaits_first_record: bool,
@@ -180,8 +180,8 @@
 
     /// Whether the replica has promised, accepted or proposed anything beyond the initial state.
     #[must_use]
-    pub fn has_voted(&self) -> bool {
-        self.record.has_voted()
+    pub fn has_participated(&self) -> bool {
+        self.record.has_participated()
     }
 
     /// Asks for counters up to that one; they can be used once the record is durable.
@@ -199,7 +199,7 @@
         from: SocketAddr,
         request: Request<V>,
         chosen: Option<&Proposal<V>>,
-    ) -> Option<Addressed<V>> {
+    ) -> Option<AddressedReply<V>> {
         if self.awaits_first_record {
             return None;
         }
@@ -209,11 +209,11 @@
         } else {
             request.to
         };
-        let (answer, durable) = self.answer(request, chosen);
-        let addressed = Addressed {
+        let (body, durable) = self.answer(request, chosen);
+        let addressed = AddressedReply {
             to: from,
             sender,
-            reply: Reply { round, answer },
+            reply: Reply { round, body },
         };
         if durable || !self.guards.keeps(Guard::PersistBeforeReply) {
             return Some(addressed);
@@ -246,7 +246,7 @@
     }
 
     /// A write is durable: returns the replies that waited for it.
-    pub fn persisted(&mut self, token: PersistToken) -> Vec<Addressed<V>> {
+    pub fn persisted(&mut self, token: PersistToken) -> Vec<AddressedReply<V>> {
         match self.writing.take_if(|write| write.token == token) {
             Some(write) => {
                 self.durable = write.record;
@@ -258,53 +258,59 @@
     }
 
     /// The answer, and whether it may be sent before the next write.
-    fn answer(&mut self, request: Request<V>, chosen: Option<&Proposal<V>>) -> (Answer<V>, bool) {
+    fn answer(
+        &mut self,
+        request: Request<V>,
+        chosen: Option<&Proposal<V>>,
+    ) -> (ReplyBody<V>, bool) {
         let chosen_ballot = chosen.map_or(Ballot::ZERO, |proposal| proposal.ballot);
         if request.to != self.record.identity && self.guards.keeps(Guard::IdentityCheck) {
             return (
-                Answer::NotMember {
+                ReplyBody::NotMember {
                     chosen: chosen_ballot,
                 },
                 true,
             );
         }
-        match request.ask {
-            Ask::Query { known } => (
-                Answer::Reported(report(&self.durable, known, chosen_ballot)),
+        match request.body {
+            RequestBody::Query { known } => (
+                ReplyBody::QueryResult(acceptor_state(&self.durable, known, chosen_ballot)),
                 true,
             ),
-            Ask::Prepare { view, .. } if self.is_removed(view, chosen) => (
-                Answer::NotMember {
+            RequestBody::Prepare { view, .. } if self.is_removed(view, chosen) => (
+                ReplyBody::NotMember {
                     chosen: chosen_ballot,
                 },
                 true,
             ),
-            Ask::Prepare { ballot, known, .. } => self.promise(ballot, known, chosen_ballot),
-            Ask::Accept { proposal } => self.accept(proposal, chosen_ballot),
+            RequestBody::Prepare { ballot, known, .. } => {
+                self.promise(ballot, known, chosen_ballot)
+            }
+            RequestBody::Accept { proposal } => self.accept(proposal, chosen_ballot),
         }
     }
 
-    fn promise(&mut self, ballot: Ballot, known: Ballot, chosen: Ballot) -> (Answer<V>, bool) {
+    fn promise(&mut self, ballot: Ballot, known: Ballot, chosen: Ballot) -> (ReplyBody<V>, bool) {
         if ballot < self.record.promised {
             return (
-                Answer::Conflict {
+                ReplyBody::Conflict {
                     promised: self.record.promised,
                 },
                 true,
             );
         }
         self.record.promised = ballot;
-        let report = report(&self.record, known, chosen);
+        let state = acceptor_state(&self.record, known, chosen);
         let durable = self.is_durable();
         self.dirty |= !durable;
-        (Answer::Promised { ballot, report }, durable)
+        (ReplyBody::Promise { ballot, state }, durable)
     }
 
-    fn accept(&mut self, proposal: Proposal<V>, chosen: Ballot) -> (Answer<V>, bool) {
+    fn accept(&mut self, proposal: Proposal<V>, chosen: Ballot) -> (ReplyBody<V>, bool) {
         let ballot = proposal.ballot;
         if ballot < self.record.promised {
             return (
-                Answer::Conflict {
+                ReplyBody::Conflict {
                     promised: self.record.promised,
                 },
                 true,
@@ -312,13 +318,13 @@
         }
         let is_member = proposal.state.members.contains(self.record.identity);
         if !is_member && self.guards.keeps(Guard::IdentityCheck) {
-            return (Answer::NotMember { chosen }, true);
+            return (ReplyBody::NotMember { chosen }, true);
         }
         self.record.promised = ballot;
         self.record.accepted = Some(proposal);
         let durable = self.is_durable();
         self.dirty |= !durable;
-        (Answer::Accepted { ballot }, durable)
+        (ReplyBody::Accepted { ballot }, durable)
     }
 
     /// Whether the newest state known here, newer than the asker's view, doesn't name this replica.
@@ -340,13 +346,13 @@
     }
 }
 
-fn report<V: Clone>(record: &Record<V>, known: Ballot, chosen: Ballot) -> Report<V> {
+fn acceptor_state<V: Clone>(record: &Record<V>, known: Ballot, chosen: Ballot) -> AcceptorState<V> {
     let accepted = record.accepted.as_ref().map(|proposal| proposal.ballot);
     let proposal = record
         .accepted
         .as_ref()
         .filter(|proposal| proposal.ballot > known || known == Ballot::ZERO);
-    Report {
+    AcceptorState {
         accepted,
         proposal: proposal.cloned(),
         chosen,
--- a/crates/register/src/acceptor/tests.rs
+++ b/crates/register/src/acceptor/tests.rs
@@ -31,7 +31,7 @@
 }
 
 fn prepare(acceptor: &Acceptor<u8>, counter: u64) -> Request<u8> {
-    let ask = Ask::Prepare {
+    let body = RequestBody::Prepare {
         ballot: ballot(counter),
         view: Ballot::ZERO,
         known: Ballot::ZERO,
@@ -39,7 +39,7 @@
     Request {
         round: counter,
         to: acceptor.identity(),
-        ask,
+        body,
     }
 }
 
@@ -55,13 +55,13 @@
     Request {
         round: counter,
         to: acceptor.identity(),
-        ask: Ask::Accept { proposal },
+        body: RequestBody::Accept { proposal },
     }
 }
 
-fn answer(acceptor: &mut Acceptor<u8>, request: Request<u8>) -> Answer<u8> {
+fn answer(acceptor: &mut Acceptor<u8>, request: Request<u8>) -> ReplyBody<u8> {
     if let Some(addressed) = acceptor.request(ASKER, request, None) {
-        return addressed.reply.answer;
+        return addressed.reply.body;
     }
     let write = acceptor.next_write().expect("a write");
     acceptor
@@ -69,7 +69,7 @@
         .pop()
         .expect("a reply")
         .reply
-        .answer
+        .body
 }
 
 #[test]
@@ -83,9 +83,9 @@
     let replies = acceptor.persisted(write.token);
     assert_matches!(
         &replies[..],
-        [Addressed {
+        [AddressedReply {
             reply: Reply {
-                answer: Answer::Promised { .. },
+                body: ReplyBody::Promise { .. },
                 ..
             },
             ..
@@ -113,16 +113,16 @@
     let mut acceptor = member();
     assert_matches!(
         answer(&mut acceptor, prepare(&member(), 7)),
-        Answer::Promised { .. }
+        ReplyBody::Promise { .. }
     );
-    assert_matches!(answer(&mut acceptor, prepare(&member(), 6)), Answer::Conflict { promised } if promised == ballot(7));
+    assert_matches!(answer(&mut acceptor, prepare(&member(), 6)), ReplyBody::Conflict { promised } if promised == ballot(7));
     assert_matches!(
         answer(&mut acceptor, accept(&member(), 6, 1)),
-        Answer::Conflict { .. }
+        ReplyBody::Conflict { .. }
     );
     assert_matches!(
         answer(&mut acceptor, accept(&member(), 7, 1)),
-        Answer::Accepted { .. }
+        ReplyBody::Accepted { .. }
     );
 }
 
@@ -133,12 +133,12 @@
     let query = Request {
         round: 1,
         to: acceptor.identity(),
-        ask: Ask::Query {
+        body: RequestBody::Query {
             known: Ballot::ZERO,
         },
     };
     let reported = answer(&mut acceptor, query);
-    assert_matches!(reported, Answer::Reported(report) if report.accepted == Some(Ballot::ZERO));
+    assert_matches!(reported, ReplyBody::QueryResult(report) if report.accepted == Some(Ballot::ZERO));
 }
 
 #[test]
@@ -148,10 +148,10 @@
     let query = Request {
         round: 1,
         to: acceptor.identity(),
-        ask: Ask::Query { known: ballot(4) },
+        body: RequestBody::Query { known: ballot(4) },
     };
     let reported = answer(&mut acceptor, query);
-    assert_matches!(reported, Answer::Reported(Report { accepted: Some(held), proposal: None, .. }) if held == ballot(4));
+    assert_matches!(reported, ReplyBody::QueryResult(AcceptorState { accepted: Some(held), proposal: None, .. }) if held == ballot(4));
 }
 
 #[test]
@@ -160,7 +160,7 @@
     let refused = emptied
         .request(ASKER, prepare(&member(), 3), None)
         .expect("at once");
-    assert_matches!(refused.reply.answer, Answer::NotMember { .. });
+    assert_matches!(refused.reply.body, ReplyBody::NotMember { .. });
     assert_eq!(refused.sender, Identity(1));
 }
 
@@ -173,9 +173,9 @@
     };
     assert_matches!(
         standby.request(ASKER, request, None),
-        Some(Addressed {
+        Some(AddressedReply {
             reply: Reply {
-                answer: Answer::NotMember { .. },
+                body: ReplyBody::NotMember { .. },
                 ..
             },
             ..
@@ -198,7 +198,7 @@
     let refused = acceptor
         .request(ASKER, prepare(&member(), 12), Some(&chosen))
         .expect("at once");
-    assert_matches!(refused.reply.answer, Answer::NotMember { chosen } if chosen == ballot(9));
+    assert_matches!(refused.reply.body, ReplyBody::NotMember { chosen } if chosen == ballot(9));
 }
 
 #[test]
@@ -211,7 +211,7 @@
     assert_eq!(acceptor.persisted(write.token + 1), []);
     assert_matches!(
         &acceptor.persisted(write.token)[..],
-        [Addressed {
+        [AddressedReply {
             reply: Reply { round: 3, .. },
             ..
         }]
@@ -229,7 +229,7 @@
     let query = Request {
         round: 1,
         to: acceptor.identity(),
-        ask: Ask::Query {
+        body: RequestBody::Query {
             known: Ballot::ZERO,
         },
     };
@@ -237,10 +237,10 @@
     assert_eq!((acceptor.reserved(), acceptor.used()), (0, 9));
     let write = acceptor.next_write().expect("a write");
     assert_eq!(acceptor.persisted(write.token), []);
-    assert_matches!(answer(&mut acceptor, query), Answer::Reported(report) if report.accepted.is_some());
+    assert_matches!(answer(&mut acceptor, query), ReplyBody::QueryResult(report) if report.accepted.is_some());
     assert_matches!(
         answer(&mut acceptor, prepare(&member(), 6)),
-        Answer::Conflict { .. }
+        ReplyBody::Conflict { .. }
     );
 }
 
--- a/crates/register/src/ballot.rs
+++ b/crates/register/src/ballot.rs
@@ -13,7 +13,7 @@
     /// Identity of an initial member, which the other initial members derive from its address
     /// alone.
     #[must_use]
-    pub fn of_seed(address: SocketAddr) -> Self {
+    pub fn from_seed_address(address: SocketAddr) -> Self {
         const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
         const PRIME: u64 = 0x0000_0100_0000_01b3;
         let text = address.to_string();
--- a/crates/register/src/first_start.rs
+++ b/crates/register/src/bootstrap.rs
@@ -5,7 +5,7 @@
 //! one another's before they can agree on anything. A machine whose disk was lost, and whose
 //! settings still say that the system starts for the first time, would take the same identity again
 //! and vote as if it had promised nothing. It therefore gives no vote before the others have told
-//! of their past ([`Past`]):
+//! of their past ([`Participation`]):
 //!
 //! - One that has voted for something, or knows something beyond the initial state: the disk was
 //!   lost. The replica takes a new identity, and the members decide whether to take it in.
@@ -20,7 +20,7 @@
 //! majority with it: its votes tell the others that the system had started before them, and whoever
 //! hasn't yet then takes another identity and is a member again only after a change of the set.
 //! Until then the next loss would leave no majority. A member that comes back from its disk and has
-//! voted for nothing yet ([`FirstStart::returned`]) waits for a majority, too: the others may not
+//! voted for nothing yet ([`BootstrapCheck::returned`]) waits for a majority, too: the others may not
 //! have started.
 //!
 //! What remains unprotected: a loss of the disks of a majority, which loses the decisions
@@ -34,31 +34,31 @@
 
 use crate::acceptor::Record;
 use crate::ballot::Identity;
-use crate::message::Past;
+use crate::message::Participation;
 
 #[cfg(test)]
 mod tests;
 
 /// What the others' pasts show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum BootstrapVerdict {
     /// Not enough yet.
-    Open,
+    Undecided,
     /// The system starts for the first time.
-    First,
+    FirstStart,
     /// It has started before.
-    Later,
+    AlreadyStarted,
 }
 
 /// What has been heard of the others' pasts.
 #[derive(Clone, Debug)]
-pub(crate) struct FirstStart<V> {
+pub(crate) struct BootstrapCheck<V> {
     own: SocketAddr,
     members: Vec<SocketAddr>,
     value: V,
     patience: Duration,
     /// Of each initial member, its past when it was first heard.
-    heard: BTreeMap<SocketAddr, Past>,
+    heard: BTreeMap<SocketAddr, Participation>,
     is_later: bool,
     /// Other initial members that were heard to be members.
     members_heard: BTreeSet<SocketAddr>,
@@ -69,7 +69,7 @@
     since: Option<Duration>,
 }
 
-impl<V> FirstStart<V> {
+impl<V> BootstrapCheck<V> {
     pub(crate) fn new(
         own: SocketAddr,
         members: Vec<SocketAddr>,
@@ -96,7 +96,10 @@
     where
         V: Clone,
     {
-        let initial = record.accepted.as_ref().filter(|_| !record.has_voted())?;
+        let initial = record
+            .accepted
+            .as_ref()
+            .filter(|_| !record.has_participated())?;
         let replicas = initial.state.members.current.replicas();
         let members = replicas.iter().map(|replica| replica.address).collect();
         let value = V::clone(&initial.state.value);
@@ -114,12 +117,17 @@
 
     /// A coordinator tells of its past. One that stands at a member's address under another
     /// identity is no witness: it doesn't know what that member knew.
-    pub(crate) fn hear(&mut self, sender: Identity, address: SocketAddr, past: Past) {
-        self.is_later |= past == Past::Changed;
+    pub(crate) fn message_received(
+        &mut self,
+        sender: Identity,
+        address: SocketAddr,
+        past: Participation,
+    ) {
+        self.is_later |= past == Participation::Advanced;
         let is_member = address != self.own && self.members.contains(&address);
-        if is_member && sender == Identity::of_seed(address) {
+        if is_member && sender == Identity::from_seed_address(address) {
             self.heard.entry(address).or_insert(past);
-            if past != Past::Blank {
+            if past != Participation::Blank {
                 self.members_heard.insert(address);
             }
         }
@@ -145,18 +153,21 @@
     }
 
     /// What the others' pasts show so far.
-    pub(crate) fn verdict(&mut self, now: Duration) -> Verdict {
+    pub(crate) fn verdict(&mut self, now: Duration) -> BootstrapVerdict {
         let is_patience_over = self.is_patience_over(now);
-        let all_blank = self.heard.values().all(|past| *past == Past::Blank);
+        let all_blank = self
+            .heard
+            .values()
+            .all(|past| *past == Participation::Blank);
         let is_likely =
             is_patience_over && all_blank && self.heard.len() >= self.majority_of_others();
         match (
             self.is_later,
             self.heard.len() == self.others() || is_likely,
         ) {
-            (true, _) => Verdict::Later,
-            (false, true) => Verdict::First,
-            (false, false) => Verdict::Open,
+            (true, _) => BootstrapVerdict::AlreadyStarted,
+            (false, true) => BootstrapVerdict::FirstStart,
+            (false, false) => BootstrapVerdict::Undecided,
         }
     }
 
--- a/crates/register/src/guard.rs
+++ b/crates/register/src/guard.rs
@@ -10,7 +10,7 @@
     /// Ballot counters are reserved durably before use.
     BallotReservation,
     /// A proposer completes what it finds accepted before its own change.
-    CompleteFound,
+    CompleteAccepted,
     /// While two sets are held, both must have a majority.
     JointQuorum,
     /// The joint membership is known as chosen before the old set is left.
@@ -21,17 +21,17 @@
     /// was left half-done before the answer never comes into force after it.
     FenceBeforeAnswer,
     /// A member counts as lost only once a majority of the members has not heard it.
-    LostByMajority,
+    UnreachableByMajority,
     /// Time for which the own process stood still is no silence of the others.
-    OwnPause,
+    ProcessPause,
     /// An initial member on an empty disk asks the others before it votes under the initial
     /// identity.
-    FirstStart,
+    BootstrapCheck,
     /// An initial member that comes back from its disk without having voted waits, as at its first
     /// start, until a majority of the initial members is known to have started.
-    InitialReturn,
+    RestartBeforeFirstVote,
     /// A node that has started tells no state as learnt before it has read one from a majority.
-    ReadBeforeTold,
+    ReadBeforeLearned,
 }
 
 /// Which guard a mutation test has removed; none outside test builds.
--- a/crates/register/src/learner.rs
+++ b/crates/register/src/learner.rs
@@ -78,11 +78,7 @@
     }
 
     /// Since when the proposal of that ballot has been held without being known as chosen.
-    pub fn unconfirmed_since(
-        &mut self,
-        now: Duration,
-        accepted: Option<Ballot>,
-    ) -> Option<Duration> {
+    pub fn unchosen_since(&mut self, now: Duration, accepted: Option<Ballot>) -> Option<Duration> {
         let open = accepted.filter(|&ballot| self.chosen.is_none() || ballot > self.ballot());
         self.unconfirmed = match (open, self.unconfirmed) {
             (Some(ballot), Some((held, since))) if held == ballot => Some((ballot, since)),
--- a/crates/register/src/learner/tests.rs
+++ b/crates/register/src/learner/tests.rs
@@ -48,19 +48,10 @@
     let mut learner = Learner::default();
     learner.learn(&proposal(1, 1));
     let at = Duration::from_millis;
-    assert_eq!(learner.unconfirmed_since(at(1), Some(ballot(1))), None);
-    assert_eq!(
-        learner.unconfirmed_since(at(2), Some(ballot(2))),
-        Some(at(2))
-    );
-    assert_eq!(
-        learner.unconfirmed_since(at(9), Some(ballot(2))),
-        Some(at(2))
-    );
-    assert_eq!(
-        learner.unconfirmed_since(at(9), Some(ballot(3))),
-        Some(at(9))
-    );
+    assert_eq!(learner.unchosen_since(at(1), Some(ballot(1))), None);
+    assert_eq!(learner.unchosen_since(at(2), Some(ballot(2))), Some(at(2)));
+    assert_eq!(learner.unchosen_since(at(9), Some(ballot(2))), Some(at(2)));
+    assert_eq!(learner.unchosen_since(at(9), Some(ballot(3))), Some(at(9)));
     learner.learn(&proposal(3, 2));
-    assert_eq!(learner.unconfirmed_since(at(10), Some(ballot(3))), None);
+    assert_eq!(learner.unchosen_since(at(10), Some(ballot(3))), None);
 }
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -6,27 +6,27 @@
 
 pub mod acceptor;
 pub mod ballot;
-pub mod contact;
-mod first_start;
+mod bootstrap;
 pub mod guard;
 pub mod learner;
 pub mod message;
 pub mod node;
 pub mod operation;
 mod proposer;
+pub mod quorum_lease;
 mod random;
+pub mod reconfiguration;
 pub mod replicas;
 pub mod round;
 pub mod settings;
 pub mod state;
-pub mod steward;
 
 pub use acceptor::{PersistToken, Record, Write};
 pub use ballot::{Ballot, Identity};
 pub use message::Message;
-pub use node::{Action, Event, Node, Origin, Place};
+pub use node::{Action, Event, Node, NodeLocation, RecordSource};
 pub use operation::{Decision, Operation, OperationId, Outcome, ReplicaChange, Transition};
-pub use proposer::Counters;
+pub use proposer::ProposerMetrics;
 pub use replicas::{Membership, Replica, ReplicaSet};
 pub use settings::Settings;
 pub use state::State;
--- a/crates/register/src/message.rs
+++ b/crates/register/src/message.rs
@@ -1,14 +1,17 @@
-//! What the nodes tell one another. Any message may be lost, doubled or late.
+//! Messages between nodes. Any message may be lost, duplicated, delayed or reordered.
+//!
+//! Messages are encoded by position (postcard): the order of fields and variants is the wire
+//! format. Names may change, the order may not.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
 use crate::ballot::{Ballot, Identity};
-use crate::contact::QuestionNumber;
+use crate::quorum_lease::HeartbeatId;
 use crate::state::Proposal;
 
-/// Number of a proposer's round; replies to any round but the present one are ignored.
+/// Number of a proposer's round; replies to any other round than the current one are ignored.
 pub type RoundId = u64;
 
 /// A message with its sender.
@@ -16,62 +19,62 @@
 pub struct Message<V> {
     /// Identity of the sender.
     pub sender: Identity,
-    /// Address at which the sender listens; answers go there.
+    /// Address at which the sender listens; replies go there.
     pub address: SocketAddr,
     /// The content.
-    pub body: Body<V>,
+    pub body: MessageBody<V>,
 }
 
-/// What is asked of an acceptor. It answers only as the replica that is meant.
+/// A proposer's request to an acceptor, which answers only as the replica that is addressed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Request<V> {
-    /// Round of the asking proposer.
+    /// Round of the proposer.
     pub round: RoundId,
-    /// The replica that is meant.
+    /// The replica that is addressed.
     pub to: Identity,
-    /// What is asked.
-    pub ask: Ask<V>,
+    /// The content.
+    pub body: RequestBody<V>,
 }
 
-/// The question of a request.
+/// The content of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Ask<V> {
+pub enum RequestBody<V> {
     /// Report what is accepted, without a promise.
     Query {
-        /// Highest ballot known as chosen by the asker, which holds its state.
+        /// Highest ballot known as chosen by the proposer, which has its state.
         known: Ballot,
     },
-    /// Promise to accept nothing below the ballot and report what is accepted.
+    /// Promise to accept nothing below the ballot, and report what is accepted (phase 1).
     Prepare {
         /// The ballot.
         ballot: Ballot,
         /// Ballot of the state whose membership led to this replica.
         view: Ballot,
-        /// Highest ballot known as chosen by the asker, which holds its state.
+        /// Highest ballot known as chosen by the proposer, which has its state.
         known: Ballot,
     },
-    /// Accept the proposal.
+    /// Accept the proposal (phase 2).
     Accept {
         /// The proposal.
         proposal: Proposal<V>,
     },
 }
 
-/// An acceptor's answer to a request.
+/// An acceptor's reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Reply<V> {
     /// Round of the request.
     pub round: RoundId,
-    /// The answer.
-    pub answer: Answer<V>,
+    /// The content.
+    pub body: ReplyBody<V>,
 }
 
-/// What an acceptor holds as accepted.
+/// What an acceptor has accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Report<V> {
-    /// Ballot of what is accepted, if anything is.
+pub struct AcceptorState<V> {
+    /// Ballot of the accepted proposal, if there is one.
     pub accepted: Option<Ballot>,
-    /// What is accepted, where its ballot is above the one known by the asker.
+    /// The accepted proposal, if its ballot is above the one that the proposer knows.
     pub proposal: Option<Proposal<V>>,
     /// Highest ballot known as chosen by the acceptor's node.
     pub chosen: Ballot,
@@ -79,102 +82,103 @@
 
 /// The content of a reply.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Answer<V> {
-    /// To a query.
-    Reported(Report<V>),
-    /// Promised; nothing below the ballot will be accepted.
-    Promised {
+pub enum ReplyBody<V> {
+    /// Reply to a query.
+    QueryResult(AcceptorState<V>),
+    /// The promise is durable: nothing below the ballot will be accepted.
+    Promise {
         /// The promised ballot.
         ballot: Ballot,
-        /// What was accepted before.
-        report: Report<V>,
+        /// What was accepted before the promise.
+        state: AcceptorState<V>,
     },
-    /// Accepted and durable.
+    /// The proposal is accepted and durable.
     Accepted {
-        /// The ballot accepted.
+        /// The accepted ballot.
         ballot: Ballot,
     },
-    /// Refused: a higher ballot has been promised.
+    /// Rejected: a higher ballot has been promised.
     Conflict {
         /// The promised ballot.
         promised: Ballot,
     },
-    /// Refused: the replica that was meant isn't here, or isn't a member any more.
+    /// Rejected: the addressed replica isn't here, or isn't a member any more.
     NotMember {
-        /// Highest ballot known as chosen by the answering node.
+        /// Highest ballot known as chosen by the node that replies.
         chosen: Ballot,
     },
 }
 
-/// Names a chosen state without its value.
+/// Identifies a chosen state without its value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Digest {
+pub struct ChosenVersion {
     /// Ballot in which the state is known as chosen.
     pub ballot: Ballot,
-    /// Sequence of the state.
+    /// Sequence number of the state.
     pub sequence: u64,
 }
 
-/// What a node tells the others of itself.
+/// What a node periodically reports of itself to all other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Announcement {
+pub struct NodeStatus {
     /// The newest state known as chosen.
-    pub chosen: Option<Digest>,
+    pub chosen: Option<ChosenVersion>,
     /// Zone of the machine.
     pub zone: String,
-    /// Whether the node gives its place up: it is about to stop for good, or can't vote any more.
+    /// Whether the node gives up its membership: it is about to stop for good, or its disk is
+    /// stalled.
     pub leaving: bool,
-    /// Members that the node has not heard for
-    /// [`Settings::unreachable`](crate::Settings::unreachable).
-    pub silent: Vec<Identity>,
+    /// Members from which the node has received nothing for
+    /// [`Settings::unreachable_timeout`](crate::Settings::unreachable_timeout).
+    pub unreachable: Vec<Identity>,
     /// What the node's disk may have taken part in.
-    pub past: Past,
+    pub participation: Participation,
 }
 
-/// What a node may have taken part in, as far as it knows; for those who ask whether the system
-/// starts for the first time.
+/// What a node may have taken part in, as far as it knows. Nodes that check whether the system
+/// starts for the first time need it of the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Past {
-    /// Nothing: it has given no vote in this life and its disk was empty.
+pub enum Participation {
+    /// Nothing: its disk was empty, and it has promised and accepted nothing since it started.
     Blank,
     /// It is a member, but knows of no promise and of no state beyond the initial one.
     Initial,
     /// It has promised, accepted or proposed something, or knows a state beyond the initial one.
-    Changed,
+    Advanced,
 }
 
-/// The answer to a question, and what the answering node holds of the replica set.
+/// The response to a heartbeat, and what the responding node knows of the replica set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Echo {
-    /// Number of the question.
-    pub number: QuestionNumber,
-    /// Ballot of the newest state held, chosen or only accepted.
+pub struct HeartbeatResponse {
+    /// The heartbeat that is acknowledged.
+    pub id: HeartbeatId,
+    /// Ballot of the newest state known, chosen or only accepted.
     pub newest: Ballot,
     /// [`Membership::fingerprint`](crate::Membership::fingerprint) of that state; zero without one.
-    pub members: u64,
+    pub membership_fingerprint: u64,
 }
 
 /// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Body<V> {
-    /// A proposer asks an acceptor.
+pub enum MessageBody<V> {
+    /// From a proposer to an acceptor.
     Request(Request<V>),
-    /// An acceptor answers.
+    /// From an acceptor to a proposer.
     Reply(Reply<V>),
-    /// Announces the sender and what it knows as chosen.
-    Announce(Announcement),
+    /// The sender's status and the newest version that it knows as chosen.
+    Status(NodeStatus),
     /// Asks for the chosen state.
-    Fetch {
-        /// Highest ballot known as chosen by the asker.
+    FetchState {
+        /// Highest ballot known as chosen by the sender.
         known: Ballot,
     },
     /// A chosen state.
-    State(Proposal<V>),
-    /// Asks whether the replica is there.
-    Question {
-        /// Number of the question.
-        number: QuestionNumber,
+    ChosenState(Proposal<V>),
+    /// Asks the receiver to acknowledge, for the sender's quorum lease.
+    Heartbeat {
+        /// Identifies the heartbeat.
+        id: HeartbeatId,
     },
-    /// Answers a question, at once.
-    Echo(Echo),
+    /// Acknowledges a heartbeat at once.
+    HeartbeatResponse(HeartbeatResponse),
 }
--- a/crates/register/src/node.rs
+++ b/crates/register/src/node.rs
@@ -6,34 +6,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::acceptor::{Acceptor, Addressed, Record};
+use crate::acceptor::{Acceptor, AddressedReply, Record};
 use crate::ballot::{Ballot, Identity};
-use crate::contact::Contact;
-use crate::first_start::FirstStart;
+use crate::bootstrap::BootstrapCheck;
 use crate::guard::Guard;
 use crate::learner::Learner;
-use crate::message::{Answer, Body, Message, Reply, Request};
-use crate::proposer::{Context, Counters, Effect, Proposer};
+use crate::message::{Message, MessageBody, Reply, ReplyBody, Request};
+use crate::proposer::{Context, Effect, Proposer, ProposerMetrics};
+use crate::quorum_lease::QuorumLease;
 use crate::random::Random;
+use crate::reconfiguration::ReplicaSetController;
 use crate::replicas::{Membership, Replica};
 use crate::settings::Settings;
 use crate::state::{Proposal, State};
-use crate::steward::Steward;
 
-mod announce;
 mod background;
 mod bootstrap;
 mod event;
-mod question;
+mod heartbeat;
+mod status;
 
-pub use event::{Action, Event, Origin, Place};
+pub use event::{Action, Event, NodeLocation, RecordSource};
 
 /// Counters reserved by one write.
 const RESERVATION: u64 = 1_024;
 
 /// One coordinator's part in the register.
 pub struct Node<V> {
-    place: Place,
+    location: NodeLocation,
     settings: Settings,
     acceptor: Acceptor<V>,
     proposer: Proposer<V>,
@@ -41,69 +41,77 @@
     random: Random,
     peers: BTreeSet<SocketAddr>,
     leaving: bool,
-    steward: Steward,
+    controller: ReplicaSetController,
     /// Whether a state was read from a majority, or chosen by one, in this life. What others tell
     /// before may be older than what an earlier life has acknowledged, so it is not passed on.
     has_read: bool,
     /// Whether the whole system starts for the first time, while that isn't known; and until a
     /// majority of the initial members is known to have started. Until then the node gives no vote.
-    first_start: Option<FirstStart<V>>,
-    contact: Contact,
+    bootstrap_check: Option<BootstrapCheck<V>>,
+    quorum_lease: QuorumLease,
     background: background::Background,
     timer: Option<Duration>,
 }
 
 impl<V: Clone> Node<V> {
     /// A node as it starts. `seed` must differ at each start.
-    pub fn recover(origin: Origin<V>, place: Place, seed: u64, settings: Settings) -> Self {
+    pub fn recover(
+        origin: RecordSource<V>,
+        location: NodeLocation,
+        seed: u64,
+        settings: Settings,
+    ) -> Self {
         let mut random = Random::new(seed);
         let guards = settings.guards;
-        let mut first_start = match &origin {
-            Origin::Disk(record) | Origin::Unconfirmed(record)
-                if guards.keeps(Guard::InitialReturn) =>
+        let mut bootstrap_check = match &origin {
+            RecordSource::Durable(record) | RecordSource::Unsynced(record)
+                if guards.keeps(Guard::RestartBeforeFirstVote) =>
             {
-                FirstStart::returned(place.address, record, settings.first_start)
+                BootstrapCheck::returned(location.address, record, settings.bootstrap_timeout)
             }
             _ => None,
         };
         let acceptor = match origin {
-            Origin::Disk(record) => Acceptor::recovered(record, guards),
-            Origin::Unconfirmed(record) => Acceptor::fresh(record, guards),
-            Origin::Bootstrap { members, value } if guards.keeps(Guard::FirstStart) => {
-                first_start = Some(FirstStart::new(
-                    place.address,
+            RecordSource::Durable(record) => Acceptor::recovered(record, guards),
+            RecordSource::Unsynced(record) => Acceptor::fresh(record, guards),
+            RecordSource::Bootstrap { members, value } if guards.keeps(Guard::BootstrapCheck) => {
+                bootstrap_check = Some(BootstrapCheck::new(
+                    location.address,
                     members,
                     value,
-                    settings.first_start,
+                    settings.bootstrap_timeout,
                 ));
-                Acceptor::recovered(Record::empty(Identity::of_seed(place.address)), guards)
+                Acceptor::recovered(
+                    Record::empty(Identity::from_seed_address(location.address)),
+                    guards,
+                )
             }
-            Origin::Bootstrap { members, value } => {
-                Acceptor::fresh(Record::bootstrap(place.address, &members, value), guards)
+            RecordSource::Bootstrap { members, value } => {
+                Acceptor::fresh(Record::bootstrap(location.address, &members, value), guards)
             }
-            Origin::Empty { identity } => Acceptor::fresh(Record::empty(identity), guards),
+            RecordSource::Empty { identity } => Acceptor::fresh(Record::empty(identity), guards),
         };
         let used = acceptor.used();
         let replica = Replica {
             identity: acceptor.identity(),
-            address: place.address,
-            zone: place.zone.clone(),
+            address: location.address,
+            zone: location.zone.clone(),
         };
-        let steward = Steward::new(replica, &settings);
-        let contact = Contact::new(settings.contact, Random::new(!seed).next() >> 32);
+        let controller = ReplicaSetController::new(replica, &settings);
+        let quorum_lease = QuorumLease::new(settings.quorum_lease, Random::new(!seed).next() >> 32);
         let proposer = Proposer::new(acceptor.identity(), used, random.next(), settings.clone());
         Self {
-            place,
+            location,
             acceptor,
             proposer,
             learner: Learner::default(),
             random,
             peers: BTreeSet::new(),
             leaving: false,
-            steward,
-            first_start,
-            has_read: !guards.keeps(Guard::ReadBeforeTold),
-            contact,
+            controller,
+            bootstrap_check,
+            has_read: !guards.keeps(Guard::ReadBeforeLearned),
+            quorum_lease,
             background: background::Background::default(),
             timer: None,
             settings,
@@ -129,14 +137,15 @@
     /// When the newest question was asked that a majority of the replicas has answered; both
     /// majorities where two sets are held. Nothing before the first such answers, or before any
     /// replica set is known.
-    pub fn contact_since(&self, now: Duration) -> Option<Duration> {
-        self.contact.since(now, self.identity(), self.members()?)
+    pub fn quorum_confirmed_at(&self, now: Duration) -> Option<Duration> {
+        self.quorum_lease
+            .confirmed_at(now, self.identity(), self.members()?)
     }
 
     /// Whether a majority has answered a question asked within the bound of the settings.
-    pub fn is_in_contact(&self, now: Duration) -> bool {
+    pub fn has_quorum_lease(&self, now: Duration) -> bool {
         self.members()
-            .is_some_and(|members| self.contact.is_held(now, self.identity(), members))
+            .is_some_and(|members| self.quorum_lease.is_valid(now, self.identity(), members))
     }
 
     /// The newest state held, chosen or only accepted.
@@ -152,14 +161,14 @@
     }
 
     /// Counts of the proposer's rounds.
-    pub fn counters(&self) -> Counters {
-        self.proposer.counters()
+    pub fn proposer_metrics(&self) -> ProposerMetrics {
+        self.proposer.proposer_metrics()
     }
 
     /// Takes in an event at the time `now` of a steady clock, and adds what is to be done to
     /// `actions`.
     pub fn handle(&mut self, now: Duration, event: Event<V>, actions: &mut Vec<Action<V>>) {
-        self.notice_pause(now);
+        self.detect_process_pause(now);
         match event {
             Event::Message(message) => self.receive(now, message, actions),
             Event::Persisted(token) => {
@@ -175,7 +184,7 @@
             } => self.proposer.submit(Some(id), operation, deadline),
             Event::Peers(addresses) => self.set_peers(addresses),
             Event::Leaving => self.leave(actions),
-            Event::Question => self.contact.ask_at_once(),
+            Event::CheckQuorum => self.quorum_lease.expedite_heartbeat(),
             Event::Timer => self.timer = None,
         }
         self.tend(now, actions);
@@ -190,13 +199,13 @@
 
     fn leave(&mut self, actions: &mut Vec<Action<V>>) {
         self.leaving = true;
-        self.steward.set_leaving(true);
-        self.announce(actions);
+        self.controller.set_leaving(true);
+        self.broadcast_status(actions);
     }
 
-    /// Whether another coordinator is to take this replica's place.
-    fn gives_place_up(&self) -> bool {
-        self.leaving || self.background.disk_is_stuck
+    /// Whether another coordinator is to take this replica's location.
+    fn is_leaving(&self) -> bool {
+        self.leaving || self.background.is_disk_stalled
     }
 
     fn receive(&mut self, now: Duration, message: Message<V>, actions: &mut Vec<Action<V>>) {
@@ -205,9 +214,9 @@
             address,
             body,
         } = message;
-        self.steward.hear(now, sender, address);
+        self.controller.message_received(now, sender, address);
         match body {
-            Body::Request(request) if self.first_start.is_none() => {
+            MessageBody::Request(request) if self.bootstrap_check.is_none() => {
                 if let Some(addressed) =
                     self.acceptor
                         .request(address, request, self.learner.chosen())
@@ -215,39 +224,45 @@
                     self.send_reply(now, addressed, actions);
                 }
             }
-            Body::Request(_) => {}
-            Body::Reply(reply) => self.take_reply(now, sender, address, reply, actions),
-            Body::Announce(announcement) => {
-                self.steward.hear_of(sender, address, &announcement);
-                self.hear_past(sender, address, announcement.past);
-                self.take_announcement(now, address, &announcement, actions);
+            MessageBody::Request(_) => {}
+            MessageBody::Reply(reply) => self.receive_reply(now, sender, address, reply, actions),
+            MessageBody::Status(status) => {
+                self.controller.status_received(sender, address, &status);
+                self.participation_received(sender, address, status.participation);
+                self.receive_status(now, address, &status, actions);
             }
-            Body::Fetch { known } => {
+            MessageBody::FetchState { known } => {
                 if let Some(chosen) = self
                     .learner
                     .chosen()
                     .filter(|chosen| chosen.ballot > known || known == Ballot::ZERO)
                 {
-                    let body = Body::State(chosen.clone());
+                    let body = MessageBody::ChosenState(chosen.clone());
                     self.send(address, body, actions);
                 }
             }
-            Body::State(proposal) => self.learn(&proposal, actions),
-            Body::Question { number } if self.knows_its_record() => {
-                self.send(address, Body::Echo(self.echo(number)), actions);
+            MessageBody::ChosenState(proposal) => self.learn(&proposal, actions),
+            MessageBody::Heartbeat { id } if self.knows_its_record() => {
+                self.send(
+                    address,
+                    MessageBody::HeartbeatResponse(self.heartbeat_response(id)),
+                    actions,
+                );
+            }
+            MessageBody::Heartbeat { .. } => {}
+            MessageBody::HeartbeatResponse(response) => {
+                self.receive_heartbeat_response(now, sender, address, response, actions)
             }
-            Body::Question { .. } => {}
-            Body::Echo(echo) => self.take_echo(now, sender, address, echo, actions),
         }
     }
 
     /// Whether what this replica held is known, so that its silence about a newer replica set means
     /// that it holds none.
     fn knows_its_record(&self) -> bool {
-        self.first_start.is_none() && !self.acceptor.awaits_first_record()
+        self.bootstrap_check.is_none() && !self.acceptor.awaits_first_record()
     }
 
-    fn take_reply(
+    fn receive_reply(
         &mut self,
         now: Duration,
         sender: Identity,
@@ -255,7 +270,7 @@
         reply: Reply<V>,
         actions: &mut Vec<Action<V>>,
     ) {
-        if let Answer::NotMember { chosen } = reply.answer {
+        if let ReplyBody::NotMember { chosen } = reply.body {
             self.fetch(now, address, chosen, actions);
         }
         let mut effects = Vec::new();
@@ -270,7 +285,7 @@
     }
 
     /// Tells what is known once a majority has been read for the first time.
-    fn tell_first(&mut self, actions: &mut Vec<Action<V>>) {
+    fn report_first_read(&mut self, actions: &mut Vec<Action<V>>) {
         if !std::mem::replace(&mut self.has_read, true) {
             let state = self
                 .learner
@@ -285,11 +300,14 @@
         loop {
             let mut effects = Vec::new();
             let context = Context {
-                chosen: self.learner.chosen().filter(|_| self.first_start.is_none()),
+                chosen: self
+                    .learner
+                    .chosen()
+                    .filter(|_| self.bootstrap_check.is_none()),
                 accepted: self
                     .acceptor
                     .accepted()
-                    .filter(|_| self.first_start.is_none()),
+                    .filter(|_| self.bootstrap_check.is_none()),
                 reserved: self.acceptor.reserved(),
                 promised: self.acceptor.promised(),
             };
@@ -314,9 +332,9 @@
                 Effect::Chosen { proposal, announce } => {
                     let is_new = self.learner.ballot() < proposal.ballot;
                     self.learn(&proposal, actions);
-                    self.tell_first(actions);
+                    self.report_first_read(actions);
                     if announce && is_new {
-                        self.announce(actions);
+                        self.broadcast_status(actions);
                     }
                     if is_new && proposal.state.members.is_joint() {
                         self.settle(now);
@@ -334,8 +352,8 @@
         request: Request<V>,
         actions: &mut Vec<Action<V>>,
     ) {
-        if to != self.place.address {
-            self.send(to, Body::Request(request), actions);
+        if to != self.location.address {
+            self.send(to, MessageBody::Request(request), actions);
             return;
         }
         let chosen = self.learner.chosen();
@@ -344,13 +362,18 @@
         }
     }
 
-    fn send_reply(&mut self, now: Duration, addressed: Addressed<V>, actions: &mut Vec<Action<V>>) {
-        let Addressed { to, sender, reply } = addressed;
-        if to != self.place.address {
+    fn send_reply(
+        &mut self,
+        now: Duration,
+        addressed: AddressedReply<V>,
+        actions: &mut Vec<Action<V>>,
+    ) {
+        let AddressedReply { to, sender, reply } = addressed;
+        if to != self.location.address {
             let message = Message {
                 sender,
-                address: self.place.address,
-                body: Body::Reply(reply),
+                address: self.location.address,
+                body: MessageBody::Reply(reply),
             };
             actions.push(Action::Send { to, message });
             return;
@@ -364,16 +387,20 @@
     fn others(&self) -> BTreeSet<SocketAddr> {
         let members = self.members().into_iter().flat_map(Membership::replicas);
         let mut addresses = self.peers.clone();
-        addresses.extend(self.first_start.iter().flat_map(FirstStart::members));
+        addresses.extend(
+            self.bootstrap_check
+                .iter()
+                .flat_map(BootstrapCheck::members),
+        );
         addresses.extend(members.map(|replica| replica.address));
-        addresses.remove(&self.place.address);
+        addresses.remove(&self.location.address);
         addresses
     }
 
-    fn send(&self, to: SocketAddr, body: Body<V>, actions: &mut Vec<Action<V>>) {
+    fn send(&self, to: SocketAddr, body: MessageBody<V>, actions: &mut Vec<Action<V>>) {
         let message = Message {
             sender: self.identity(),
-            address: self.place.address,
+            address: self.location.address,
             body,
         };
         actions.push(Action::Send { to, message });
@@ -391,7 +418,7 @@
             .proposer
             .wake()
             .into_iter()
-            .chain([self.background.wake(), self.contact.wake()])
+            .chain([self.background.wake(), self.quorum_lease.wake()])
             .min();
         let due = due.map(|at| at.max(now));
         if due != self.timer {
--- a/crates/register/src/node/background.rs
+++ b/crates/register/src/node/background.rs
@@ -10,35 +10,35 @@
 use crate::operation::Operation;
 
 /// How often it is asked whether a replica change is due.
-const STEWARD_INTERVAL: Duration = Duration::from_millis(100);
-/// A node acts each [`STEWARD_INTERVAL`] at least: if it didn't for this long, its process stood
+const RECONFIGURATION_INTERVAL: Duration = Duration::from_millis(100);
+/// A node acts each [`RECONFIGURATION_INTERVAL`] at least: if it didn't for this long, its process stood
 /// still.
-const PAUSE: Duration = Duration::from_millis(300);
+const PROCESS_PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
 
 /// Times of the unasked work.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Background {
     started: bool,
-    pub(super) announce_at: Duration,
-    steward_at: Duration,
+    pub(super) status_at: Duration,
+    reconfigure_at: Duration,
     scrub_at: Option<Duration>,
     joint_since: Option<Duration>,
     fetching: Option<(Ballot, Duration)>,
     /// When the node acted last.
     acted_at: Duration,
     /// Members that are not heard, as the others were told.
-    pub(super) silent: Vec<Identity>,
+    pub(super) unreachable: Vec<Identity>,
     /// Since when the write under way waits for the disk.
     pub(super) writing_since: Option<Duration>,
     /// Whether the disk has taken nothing for so long that another is to vote in this replica's
     /// place.
-    pub(super) disk_is_stuck: bool,
+    pub(super) is_disk_stalled: bool,
 }
 
 impl Background {
     /// When the next unasked work is due.
     pub(super) fn wake(&self) -> Duration {
-        let regular = self.announce_at.min(self.steward_at);
+        let regular = self.status_at.min(self.reconfigure_at);
         self.scrub_at.map_or(regular, |scrub| scrub.min(regular))
     }
 
@@ -57,11 +57,11 @@
 
 impl<V: Clone> Node<V> {
     /// Time for which this process stood still says nothing of the others.
-    pub(super) fn notice_pause(&mut self, now: Duration) {
+    pub(super) fn detect_process_pause(&mut self, now: Duration) {
         let pause = now.saturating_sub(self.background.acted_at);
-        let is_paused = self.background.started && pause >= PAUSE;
-        if is_paused && self.settings.guards.keeps(Guard::OwnPause) {
-            self.steward.stood_still(pause);
+        let is_paused = self.background.started && pause >= PROCESS_PAUSE_THRESHOLD;
+        if is_paused && self.settings.guards.keeps(Guard::ProcessPause) {
+            self.controller.discount_process_pause(pause);
             self.background.writing_since =
                 self.background.writing_since.map(|since| since + pause);
         }
@@ -71,28 +71,28 @@
     pub(super) fn tend(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         if !self.background.started {
             self.background.started = true;
-            self.background.announce_at = now;
-            self.steward.start(now);
+            self.background.status_at = now;
+            self.controller.start(now);
             self.read(now);
         }
-        self.conclude_first_start(now, actions);
-        if now >= self.background.announce_at {
-            let interval = match self.first_start {
-                Some(_) => self.settings.announce_first,
-                None => self.settings.announce,
+        self.conclude_bootstrap_check(now, actions);
+        if now >= self.background.status_at {
+            let interval = match self.bootstrap_check {
+                Some(_) => self.settings.bootstrap_status_interval,
+                None => self.settings.status_interval,
             };
-            self.background.announce_at = now + interval;
-            self.announce(actions);
+            self.background.status_at = now + interval;
+            self.broadcast_status(actions);
         }
-        self.question(now, actions);
-        if self.first_start.is_some() {
-            self.background.steward_at = self.background.announce_at;
+        self.send_heartbeats(now, actions);
+        if self.bootstrap_check.is_some() {
+            self.background.reconfigure_at = self.background.status_at;
             return;
         }
-        if now >= self.background.steward_at {
-            self.background.steward_at = now + STEWARD_INTERVAL;
-            self.report_silent(now, actions);
-            self.report_disk(now, actions);
+        if now >= self.background.reconfigure_at {
+            self.background.reconfigure_at = now + RECONFIGURATION_INTERVAL;
+            self.report_unreachable(now, actions);
+            self.report_disk_stall(now, actions);
             self.change_replicas(now);
         }
         self.scrub(now);
@@ -102,32 +102,32 @@
     }
 
     /// Tells the others at once that a member has fallen silent, or is heard again.
-    fn report_silent(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
+    fn report_unreachable(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         let members = self
             .learner
             .chosen()
             .map(|proposal| &proposal.state.members);
-        let silent = members
-            .map(|members| self.steward.silent(now, members))
+        let unreachable = members
+            .map(|members| self.controller.unreachable_members(now, members))
             .unwrap_or_default();
-        if silent != self.background.silent {
-            self.background.silent = silent;
-            self.announce(actions);
+        if unreachable != self.background.unreachable {
+            self.background.unreachable = unreachable;
+            self.broadcast_status(actions);
         }
     }
 
     /// Gives the replica's place up while its disk takes no write: without a vote it is of no use
     /// as a member.
-    fn report_disk(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
-        let patience = self.settings.unreachable;
+    fn report_disk_stall(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
+        let patience = self.settings.unreachable_timeout;
         let is_stuck = self
             .background
             .writing_since
             .is_some_and(|since| now >= since + patience);
-        if is_stuck != self.background.disk_is_stuck {
-            self.background.disk_is_stuck = is_stuck;
-            self.steward.set_leaving(self.gives_place_up());
-            self.announce(actions);
+        if is_stuck != self.background.is_disk_stalled {
+            self.background.is_disk_stalled = is_stuck;
+            self.controller.set_leaving(self.is_leaving());
+            self.broadcast_status(actions);
         }
     }
 
@@ -140,10 +140,13 @@
         else {
             return;
         };
-        if let Some((from, change)) = self.steward.due(now, &state.members) {
-            let deadline = now + self.settings.round_limit * 2;
-            self.proposer
-                .submit(None, Operation::Replicas { from, change }, deadline);
+        if let Some((expected, change)) = self.controller.due(now, &state.members) {
+            let deadline = now + self.settings.round_timeout * 2;
+            self.proposer.submit(
+                None,
+                Operation::ChangeReplicas { expected, change },
+                deadline,
+            );
         }
     }
 
@@ -151,22 +154,22 @@
     /// held too long.
     fn scrub(&mut self, now: Duration) {
         let accepted = self.acceptor.accepted().map(|proposal| proposal.ballot);
-        let held = self.learner.unconfirmed_since(now, accepted);
+        let held = self.learner.unchosen_since(now, accepted);
         let is_joint = self.chosen().is_some_and(|state| state.members.is_joint());
         self.background.joint_since = is_joint.then(|| self.background.joint_since.unwrap_or(now));
         let Some(since) = held.into_iter().chain(self.background.joint_since).min() else {
             self.background.scrub_at = None;
             return;
         };
-        let jitter = self.random.below(self.settings.scrub);
+        let jitter = self.random.below(self.settings.read_repair_delay);
         let due = *self
             .background
             .scrub_at
-            .get_or_insert(since + self.settings.scrub + jitter);
+            .get_or_insert(since + self.settings.read_repair_delay + jitter);
         if now < due {
             return;
         }
-        self.background.scrub_at = Some(now + self.settings.scrub + jitter);
+        self.background.scrub_at = Some(now + self.settings.read_repair_delay + jitter);
         if self.proposer.is_busy() {
             return;
         }
@@ -179,12 +182,15 @@
 
     pub(super) fn read(&mut self, now: Duration) {
         self.proposer
-            .submit(None, Operation::Read, now + self.settings.round_limit * 2);
+            .submit(None, Operation::Read, now + self.settings.round_timeout * 2);
     }
 
     /// Asks for the old set of two to be left.
     pub(super) fn settle(&mut self, now: Duration) {
-        self.proposer
-            .submit(None, Operation::Settle, now + self.settings.round_limit * 2);
+        self.proposer.submit(
+            None,
+            Operation::LeaveJoint,
+            now + self.settings.round_timeout * 2,
+        );
     }
 }
--- a/crates/register/src/node/bootstrap.rs
+++ b/crates/register/src/node/bootstrap.rs
@@ -7,70 +7,75 @@
 
 use crate::acceptor::{Acceptor, Record};
 use crate::ballot::{Ballot, Identity};
-use crate::first_start::Verdict;
-use crate::message::Past;
+use crate::bootstrap::BootstrapVerdict;
+use crate::message::Participation;
 use crate::node::{Action, Node};
 
 impl<V: Clone> Node<V> {
     /// What this node's disk may have taken part in.
-    pub(super) fn past(&self) -> Past {
-        if self.acceptor.has_voted() || self.learner.ballot() > Ballot::ZERO {
-            return Past::Changed;
+    pub(super) fn participation(&self) -> Participation {
+        if self.acceptor.has_participated() || self.learner.ballot() > Ballot::ZERO {
+            return Participation::Advanced;
         }
         // Before the record of a new member is durable, a kill would make it blank again.
         let is_new = self
-            .first_start
+            .bootstrap_check
             .as_ref()
-            .is_some_and(|first_start| !first_start.has_returned);
+            .is_some_and(|bootstrap_check| !bootstrap_check.has_returned);
         if self.acceptor.is_blank() || is_new && self.acceptor.awaits_first_record() {
-            Past::Blank
+            Participation::Blank
         } else {
-            Past::Initial
+            Participation::Initial
         }
     }
 
     /// Another coordinator tells of its past.
-    pub(super) fn hear_past(&mut self, sender: Identity, address: SocketAddr, past: Past) {
-        if let Some(first_start) = &mut self.first_start {
-            first_start.hear(sender, address, past);
+    pub(super) fn participation_received(
+        &mut self,
+        sender: Identity,
+        address: SocketAddr,
+        past: Participation,
+    ) {
+        if let Some(bootstrap_check) = &mut self.bootstrap_check {
+            bootstrap_check.message_received(sender, address, past);
         }
     }
 
     /// Goes on as what the others' pasts show this node to be, once they do.
-    pub(super) fn conclude_first_start(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
-        let Some(first_start) = &mut self.first_start else {
+    pub(super) fn conclude_bootstrap_check(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
+        let Some(bootstrap_check) = &mut self.bootstrap_check else {
             return;
         };
-        if first_start.is_member {
+        if bootstrap_check.is_member {
             let is_changed = self.learner.ballot() > Ballot::ZERO;
-            if is_changed || first_start.may_vote(now) {
-                self.first_start = None;
+            if is_changed || bootstrap_check.may_vote(now) {
+                self.bootstrap_check = None;
                 self.read(now);
             }
             return;
         }
-        let record = match first_start.verdict(now) {
-            Verdict::Open => return,
-            Verdict::First => {
-                first_start.is_member = true;
-                first_start.record()
+        let record = match bootstrap_check.verdict(now) {
+            BootstrapVerdict::Undecided => return,
+            BootstrapVerdict::FirstStart => {
+                bootstrap_check.is_member = true;
+                bootstrap_check.record()
             }
-            Verdict::Later => {
-                self.first_start = None;
-                Record::empty(self.begin_anew(actions))
+            BootstrapVerdict::AlreadyStarted => {
+                self.bootstrap_check = None;
+                Record::empty(self.adopt_new_identity(actions))
             }
         };
         self.acceptor = Acceptor::fresh(record, self.settings.guards);
-        self.background.announce_at = now;
+        self.background.status_at = now;
         self.read(now);
     }
 
     /// Takes another identity.
-    fn begin_anew(&mut self, actions: &mut Vec<Action<V>>) -> Identity {
+    fn adopt_new_identity(&mut self, actions: &mut Vec<Action<V>>) -> Identity {
         let identity = Identity(self.random.next());
-        self.proposer.take_identity(identity);
-        self.steward.take_identity(identity);
-        actions.push(Action::DiskWasLost);
+        self.proposer.set_identity(identity);
+        self.controller.set_identity(identity);
+        actions.push(Action::DiskLost);
         identity
     }
 }
--- a/crates/register/src/node/event.rs
+++ b/crates/register/src/node/event.rs
@@ -31,9 +31,9 @@
     /// The machine is about to stop for good.
     Leaving,
     /// Whether a majority is there is to be asked at once:
-    /// [`Node::contact_since`](crate::Node::contact_since) rises to this moment when it has
+    /// [`Node::quorum_confirmed_at`](crate::Node::quorum_confirmed_at) rises to this moment when it has
     /// answered.
-    Question,
+    CheckQuorum,
     /// The time last asked for by [`Action::Timer`] has come. Must also be the first event of a
     /// node.
     Timer,
@@ -69,19 +69,19 @@
     Learned(Arc<State<V>>),
     /// The settings say that the whole system starts for the first time, but another coordinator
     /// knows more: this replica's disk was lost, and it takes another identity.
-    DiskWasLost,
+    DiskLost,
     /// Report [`Event::Timer`] at that time; replaces the one asked for before.
     Timer(Duration),
 }
 
 /// Where a node's record comes from.
 #[derive(Clone, Debug)]
-pub enum Origin<V> {
+pub enum RecordSource<V> {
     /// From the disk, and durable.
-    Disk(Record<V>),
+    Durable(Record<V>),
     /// From the disk, but perhaps from the page cache only: it has to be written again before it
     /// counts.
-    Unconfirmed(Record<V>),
+    Unsynced(Record<V>),
     /// The disk is empty and the settings say that the whole system starts for the first time, with
     /// these members.
     Bootstrap {
@@ -99,7 +99,7 @@
 
 /// The place of a node.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct NodeLocation {
     /// Address at which the others reach it.
     pub address: SocketAddr,
     /// Zone of its machine.
--- a/crates/register/src/node/announce.rs
+++ b/crates/register/src/node/status.rs
@@ -4,33 +4,33 @@
 use std::time::Duration;
 
 use crate::ballot::Ballot;
-use crate::message::{Announcement, Body, Digest};
+use crate::message::{ChosenVersion, MessageBody, NodeStatus};
 use crate::node::{Action, Node};
 use crate::state::Proposal;
 
 impl<V: Clone> Node<V> {
-    pub(super) fn take_announcement(
+    pub(super) fn receive_status(
         &mut self,
         now: Duration,
         from: SocketAddr,
-        announcement: &Announcement,
+        status: &NodeStatus,
         actions: &mut Vec<Action<V>>,
     ) {
-        let told = announcement.chosen;
+        let told = status.chosen;
         let is_behind = told.map(|digest| digest.sequence) < self.learner.sequence();
         if let Some(digest) = told {
-            self.take_digest(now, from, digest, actions);
+            self.receive_chosen_version(now, from, digest, actions);
         }
         if is_behind {
-            self.send(from, self.announcement(), actions);
+            self.send(from, self.status(), actions);
         }
     }
 
-    fn take_digest(
+    fn receive_chosen_version(
         &mut self,
         now: Duration,
         from: SocketAddr,
-        digest: Digest,
+        digest: ChosenVersion,
         actions: &mut Vec<Action<V>>,
     ) {
         if self.learner.learn_ballot(digest.ballot, digest.sequence) {
@@ -59,31 +59,35 @@
             .learner
             .chosen()
             .is_some_and(|chosen| chosen.ballot >= ballot);
-        if is_known || !self.background.may_fetch(now, ballot, self.settings.resend) {
+        if is_known
+            || !self
+                .background
+                .may_fetch(now, ballot, self.settings.retransmit_interval)
+        {
             return;
         }
         let known = self.learner.ballot();
-        self.send(from, Body::Fetch { known }, actions);
+        self.send(from, MessageBody::FetchState { known }, actions);
     }
 
-    fn announcement(&self) -> Body<V> {
-        let digest = |proposal: &Proposal<V>| Digest {
+    fn status(&self) -> MessageBody<V> {
+        let digest = |proposal: &Proposal<V>| ChosenVersion {
             ballot: proposal.ballot,
             sequence: proposal.state.sequence,
         };
-        Body::Announce(Announcement {
+        MessageBody::Status(NodeStatus {
             chosen: self.learner.chosen().map(digest),
-            zone: self.place.zone.clone(),
-            leaving: self.gives_place_up(),
-            silent: self.background.silent.clone(),
-            past: self.past(),
+            zone: self.location.zone.clone(),
+            leaving: self.is_leaving(),
+            unreachable: self.background.unreachable.clone(),
+            participation: self.participation(),
         })
     }
 
     /// Tells all coordinators known what is chosen here.
-    pub(super) fn announce(&self, actions: &mut Vec<Action<V>>) {
+    pub(super) fn broadcast_status(&self, actions: &mut Vec<Action<V>>) {
         for address in self.others() {
-            self.send(address, self.announcement(), actions);
+            self.send(address, self.status(), actions);
         }
     }
 }
--- a/crates/register/src/operation.rs
+++ b/crates/register/src/operation.rs
@@ -21,22 +21,22 @@
     /// The value that follows.
     Write(V),
     /// The value already shows the change.
-    Keep,
+    Unchanged,
     /// The change doesn't fit the value.
     Reject(Reason),
     /// The change doesn't fit the value, and the value that follows remembers that.
-    Refuse {
+    RejectAndWrite {
         /// The value that follows.
         value: V,
         /// Why the change doesn't fit.
         reason: Reason,
     },
     /// Whether the change was made before can't be told any more.
-    Unclear,
+    Unknown,
 }
 
 /// A change as a pure function of the value. It may be applied several times to different values,
-/// and must answer `Keep` for a value that already shows it.
+/// and must answer `Unchanged` for a value that already shows it.
 pub trait Transition<V>: Send + Sync {
     /// Decides what follows from the value.
     fn apply(&self, value: &V) -> Decision<V>;
@@ -59,11 +59,11 @@
     /// Leave out a replica.
     Remove(Identity),
     /// Leave out one replica and take in another.
-    Swap {
-        /// The replica that leaves.
-        leaves: Identity,
-        /// The replica that enters.
-        enters: Replica,
+    Replace {
+        /// The replica that is removed.
+        removed: Identity,
+        /// The replica that is added.
+        added: Replica,
     },
 }
 
@@ -73,10 +73,10 @@
 
     /// The replica that is left out, if any.
     #[must_use]
-    pub fn leaves(&self) -> Option<Identity> {
+    pub fn removed(&self) -> Option<Identity> {
         match self {
             Self::Add(_) => None,
-            Self::Remove(leaves) | Self::Swap { leaves, .. } => Some(*leaves),
+            Self::Remove(removed) | Self::Replace { removed, .. } => Some(*removed),
         }
     }
 
@@ -84,16 +84,16 @@
     ///
     /// # Errors
     /// The set has changed otherwise, or would be left empty.
-    pub fn applied_to(&self, set: &ReplicaSet) -> Result<Option<ReplicaSet>, Reason> {
+    pub fn apply_to(&self, set: &ReplicaSet) -> Result<Option<ReplicaSet>, Reason> {
         let next = match self {
             Self::Add(replica) if set.contains(replica.identity) => return Ok(None),
             Self::Add(replica) => set.with(replica.clone()),
             Self::Remove(identity) if !set.contains(*identity) => return Ok(None),
             Self::Remove(identity) => set.without(*identity),
-            Self::Swap { leaves, enters } => {
-                match (set.contains(*leaves), set.contains(enters.identity)) {
+            Self::Replace { removed, added } => {
+                match (set.contains(*removed), set.contains(added.identity)) {
                     (false, true) => return Ok(None),
-                    (true, false) => set.without(*leaves).with(enters.clone()),
+                    (true, false) => set.without(*removed).with(added.clone()),
                     _ => return Err(Self::OUTDATED.to_owned()),
                 }
             }
@@ -112,14 +112,14 @@
     /// A change of the value.
     Change(Arc<dyn Transition<V>>),
     /// A change of the replica set.
-    Replicas {
+    ChangeReplicas {
         /// The set that the change was made for; refused if another is in force.
-        from: ReplicaSet,
+        expected: ReplicaSet,
         /// The change.
         change: ReplicaChange,
     },
     /// Leave the old replica set, where two are held.
-    Settle,
+    LeaveJoint,
 }
 
 impl<V> Operation<V> {
@@ -134,11 +134,11 @@
         match self {
             Self::Read => Self::Read,
             Self::Change(transition) => Self::Change(Arc::clone(transition)),
-            Self::Replicas { from, change } => Self::Replicas {
-                from: from.clone(),
+            Self::ChangeReplicas { expected, change } => Self::ChangeReplicas {
+                expected: expected.clone(),
                 change: change.clone(),
             },
-            Self::Settle => Self::Settle,
+            Self::LeaveJoint => Self::LeaveJoint,
         }
     }
 }
@@ -148,8 +148,8 @@
         match self {
             Self::Read => formatter.write_str("Read"),
             Self::Change(_) => formatter.write_str("Change"),
-            Self::Replicas { change, .. } => write!(formatter, "Replicas({change:?})"),
-            Self::Settle => formatter.write_str("Settle"),
+            Self::ChangeReplicas { change, .. } => write!(formatter, "Replicas({change:?})"),
+            Self::LeaveJoint => formatter.write_str("Settle"),
         }
     }
 }
@@ -162,7 +162,7 @@
     /// The change is decided and part of this state's history.
     Written(Arc<State<V>>),
     /// The state already showed the change.
-    Kept(Arc<State<V>>),
+    Unchanged(Arc<State<V>>),
     /// The change doesn't fit the state and was never decided.
     Rejected {
         /// The change's reason.
--- a/crates/register/src/proposer.rs
+++ b/crates/register/src/proposer.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::ballot::{Ballot, Identity};
-use crate::message::{Answer, Reply, RoundId};
+use crate::message::{Reply, ReplyBody, RoundId};
 use crate::operation::Pending;
 use crate::proposer::batch::Batch;
 use crate::proposer::rounds::send;
@@ -21,7 +21,7 @@
 mod queue;
 mod rounds;
 
-pub use effect::Counters;
+pub use effect::ProposerMetrics;
 pub(crate) use effect::{Context, Effect};
 
 /// The round under way.
@@ -54,7 +54,7 @@
     /// The next round waits for a reserved counter or for any state at all.
     blocked: bool,
     round_trip: Duration,
-    counters: Counters,
+    counters: ProposerMetrics,
 }
 
 impl<V: Clone> Proposer<V> {
@@ -65,7 +65,7 @@
             identity,
             last_round: random.next(),
             random,
-            round_trip: settings.backoff,
+            round_trip: settings.initial_backoff,
             settings,
             queue: VecDeque::new(),
             active: None,
@@ -76,16 +76,16 @@
             deference: None,
             wait_until: Duration::ZERO,
             blocked: false,
-            counters: Counters::default(),
+            counters: ProposerMetrics::default(),
         }
     }
 
     /// Goes on under another identity; only while no ballot has been used.
-    pub(crate) fn take_identity(&mut self, identity: Identity) {
+    pub(crate) fn set_identity(&mut self, identity: Identity) {
         self.identity = identity;
     }
 
-    pub(crate) fn counters(&self) -> Counters {
+    pub(crate) fn proposer_metrics(&self) -> ProposerMetrics {
         self.counters
     }
 
@@ -102,7 +102,7 @@
         reply: Reply<V>,
         effects: &mut Vec<Effect<V>>,
     ) {
-        if let Answer::Conflict { promised } = &reply.answer {
+        if let ReplyBody::Conflict { promised } = &reply.body {
             self.last_counter = self.last_counter.max(promised.counter);
         }
         let Some(active) = self
@@ -113,7 +113,7 @@
             return;
         };
         let asked = active.round.unanswered();
-        active.round.answer(from, reply.answer);
+        active.round.answer(from, reply.body);
         let reached =
             |replica: &Replica| asked.iter().any(|known| known.identity == replica.identity);
         let found_more = active
@@ -153,8 +153,10 @@
     }
 
     fn round_wake(&self, active: &Active<V>) -> Duration {
-        let patience = active.disagreed.map(|since| since + self.settings.patience);
-        let limit = active.started + self.settings.round_limit;
+        let patience = active
+            .disagreed
+            .map(|since| since + self.settings.disagreement_timeout);
+        let limit = active.started + self.settings.round_timeout;
         active.resend.min(limit).min(patience.unwrap_or(limit))
     }
 }
--- a/crates/register/src/proposer/batch.rs
+++ b/crates/register/src/proposer/batch.rs
@@ -9,15 +9,15 @@
     Attempt, Decision, Operation, OperationId, Outcome, Pending, Reason, ReplicaChange,
 };
 use crate::replicas::{Membership, ReplicaSet};
-use crate::round::Found;
-use crate::state::{Descent, State};
+use crate::round::QuorumRead;
+use crate::state::{HistoryLookup, State};
 
 /// What an operation came to, to be reported once the state is chosen.
 #[derive(Clone, Debug)]
 enum Verdict {
     Read,
     Written,
-    Kept,
+    Unchanged,
     Rejected(Reason),
     Unknown,
     /// Something else has to be decided first.
@@ -46,7 +46,7 @@
     /// one found where nothing changes.
     pub(super) fn assemble(
         operations: impl Iterator<Item = Pending<V>>,
-        found: &Found<V>,
+        found: &QuorumRead<V>,
         ballot: Ballot,
         guards: Guards,
     ) -> (Self, Arc<State<V>>) {
@@ -85,7 +85,7 @@
     pub(super) fn answers_unchanged(&self) -> bool {
         let is_answer = |(pending, verdict): &(Pending<V>, Verdict)| {
             matches!(pending.operation, Operation::Change(_))
-                && matches!(verdict, Verdict::Kept | Verdict::Rejected(_))
+                && matches!(verdict, Verdict::Unchanged | Verdict::Rejected(_))
         };
         self.0.iter().any(is_answer)
     }
@@ -122,7 +122,7 @@
         match self {
             Self::Read => Some(Outcome::Read(state)),
             Self::Written => Some(Outcome::Written(state)),
-            Self::Kept => Some(Outcome::Kept(state)),
+            Self::Unchanged => Some(Outcome::Unchanged(state)),
             Self::Rejected(reason) => Some(Outcome::Rejected { reason, state }),
             Self::Unknown => Some(Outcome::Unknown),
             Self::Wait => None,
@@ -133,7 +133,7 @@
 impl<V: Clone> Draft<V> {
     /// Begins with the state found. Where it holds two replica sets and is known as chosen, the old
     /// one is left.
-    fn of(found: &Found<V>, guards: Guards) -> Self {
+    fn of(found: &QuorumRead<V>, guards: Guards) -> Self {
         let state = &found.proposal.state;
         let value = Arc::clone(&state.value);
         let settled = found.confirmed || !guards.keeps(Guard::JointChosenFirst);
@@ -155,29 +155,33 @@
 
     fn apply(&mut self, pending: &Pending<V>, found: &State<V>) -> Verdict {
         match earlier_attempts(pending, found) {
-            Descent::Yes => return Verdict::Written,
-            Descent::Forgotten => return Verdict::Unknown,
-            Descent::No => {}
+            HistoryLookup::Included => return Verdict::Written,
+            HistoryLookup::Truncated => return Verdict::Unknown,
+            HistoryLookup::Excluded => {}
         }
         match &pending.operation {
             Operation::Read => Verdict::Read,
-            Operation::Settle if self.members.is_joint() => Verdict::Wait,
-            Operation::Settle => Verdict::Kept,
+            Operation::LeaveJoint if self.members.is_joint() => Verdict::Wait,
+            Operation::LeaveJoint => Verdict::Unchanged,
             Operation::Change(transition) => {
                 let decision = transition.apply(&self.value);
                 self.decided(decision)
             }
-            Operation::Replicas { .. } if self.members.is_joint() || self.settled => Verdict::Wait,
-            Operation::Replicas { from, change } => self.change_replicas(from, change),
+            Operation::ChangeReplicas { .. } if self.members.is_joint() || self.settled => {
+                Verdict::Wait
+            }
+            Operation::ChangeReplicas { expected, change } => {
+                self.change_replicas(expected, change)
+            }
         }
     }
 
     /// Goes over to two sets.
-    fn change_replicas(&mut self, from: &ReplicaSet, change: &ReplicaChange) -> Verdict {
+    fn change_replicas(&mut self, expected: &ReplicaSet, change: &ReplicaChange) -> Verdict {
         let current = &self.members.current;
-        match change.applied_to(current) {
-            Ok(None) => Verdict::Kept,
-            Ok(Some(next)) if current.has_same_identities(from) => {
+        match change.apply_to(current) {
+            Ok(None) => Verdict::Unchanged,
+            Ok(Some(next)) if current.has_same_identities(expected) => {
                 self.members = Membership::joint(current.clone(), next);
                 self.changed = true;
                 Verdict::Written
@@ -193,14 +197,14 @@
                 self.write(value);
                 Verdict::Written
             }
-            Decision::Keep => Verdict::Kept,
+            Decision::Unchanged => Verdict::Unchanged,
             Decision::Reject(reason) => Verdict::Rejected(reason),
             // Not an attempt of the change: if this isn't chosen, the change is applied anew.
-            Decision::Refuse { value, reason } => {
+            Decision::RejectAndWrite { value, reason } => {
                 self.write(value);
                 Verdict::Rejected(reason)
             }
-            Decision::Unclear => Verdict::Unknown,
+            Decision::Unknown => Verdict::Unknown,
         }
     }
 
@@ -218,13 +222,13 @@
 }
 
 /// Whether an earlier attempt of the operation is part of the state's history.
-fn earlier_attempts<V>(pending: &Pending<V>, found: &State<V>) -> Descent {
-    let mut answer = Descent::No;
+fn earlier_attempts<V>(pending: &Pending<V>, found: &State<V>) -> HistoryLookup {
+    let mut answer = HistoryLookup::Excluded;
     for attempt in &pending.attempts {
-        match found.descends_from(attempt.sequence, attempt.ballot) {
-            Descent::Yes => return Descent::Yes,
-            Descent::Forgotten => answer = Descent::Forgotten,
-            Descent::No => {}
+        match found.lookup_change(attempt.sequence, attempt.ballot) {
+            HistoryLookup::Included => return HistoryLookup::Included,
+            HistoryLookup::Truncated => answer = HistoryLookup::Truncated,
+            HistoryLookup::Excluded => {}
         }
     }
     answer
--- a/crates/register/src/proposer/effect.rs
+++ b/crates/register/src/proposer/effect.rs
@@ -39,7 +39,7 @@
 
 /// Counts of what a proposer has done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counters {
+pub struct ProposerMetrics {
     /// Rounds of reports.
     pub queries: u64,
     /// Rounds of promises.
--- a/crates/register/src/proposer/pacing.rs
+++ b/crates/register/src/proposer/pacing.rs
@@ -18,10 +18,10 @@
             self.deference = None;
             return false;
         }
-        let pause = (self.round_trip * 2).max(self.settings.backoff);
+        let pause = (self.round_trip * 2).max(self.settings.initial_backoff);
         let (ballot, limit) = match self.deference {
             Some((ballot, limit)) => (ballot, limit),
-            None => (Ballot::ZERO, now + self.settings.deference),
+            None => (Ballot::ZERO, now + self.settings.max_deference),
         };
         if ballot == promised || now >= limit {
             return false;
@@ -54,9 +54,9 @@
 
     /// Bound of the wait after the conflicts so far: a write takes two round trips.
     fn backoff(&self) -> Duration {
-        let first = self.settings.backoff.max(self.round_trip * 2);
+        let first = self.settings.initial_backoff.max(self.round_trip * 2);
         let doubled = first * (1 << self.conflicts.saturating_sub(1).min(8));
-        doubled.min(self.settings.backoff_limit)
+        doubled.min(self.settings.max_backoff)
     }
 }
 
--- a/crates/register/src/proposer/queries.rs
+++ b/crates/register/src/proposer/queries.rs
@@ -6,7 +6,7 @@
 use super::pacing::smoothed;
 use super::{Context, Effect, Proposer};
 use crate::operation::Operation;
-use crate::round::{Found, Round};
+use crate::round::{QuorumRead, Round};
 use crate::state::Proposal;
 
 /// Queries that may end in disagreement before a read is completed by an acceptance.
@@ -50,14 +50,18 @@
     pub(super) fn advance_query(
         &mut self,
         now: Duration,
-        found: &Found<V>,
+        found: &QuorumRead<V>,
         effects: &mut Vec<Effect<V>>,
     ) {
         let Some(active) = &mut self.active else {
             return;
         };
         if found.confirmed {
-            self.round_trip = smoothed(self.round_trip, now - active.started, self.settings.resend);
+            self.round_trip = smoothed(
+                self.round_trip,
+                now - active.started,
+                self.settings.retransmit_interval,
+            );
             let horizon = active.horizon;
             self.finish_round();
             effects.push(Effect::Chosen {
@@ -68,9 +72,9 @@
             return;
         }
         let since = *active.disagreed.get_or_insert(now);
-        if active.round.is_complete() || now >= since + self.settings.patience {
+        if active.round.is_complete() || now >= since + self.settings.disagreement_timeout {
             self.disagreements += 1;
-            let wait = self.random.below(self.settings.patience);
+            let wait = self.random.below(self.settings.disagreement_timeout);
             self.give_up(now, wait);
         }
     }
--- a/crates/register/src/proposer/rounds.rs
+++ b/crates/register/src/proposer/rounds.rs
@@ -9,7 +9,7 @@
 use crate::guard::Guard;
 use crate::message::{Request, RoundId};
 use crate::replicas::Replica;
-use crate::round::{Found, Round, Stage};
+use crate::round::{Phase, QuorumRead, Round};
 use crate::state::Proposal;
 
 impl<V: Clone> Proposer<V> {
@@ -57,7 +57,7 @@
             round,
             horizon: self.arrivals,
             started: now,
-            resend: now + self.settings.resend,
+            resend: now + self.settings.retransmit_interval,
             disagreed: None,
             batch,
         });
@@ -92,13 +92,13 @@
         let Some(active) = &mut self.active else {
             return;
         };
-        if now >= active.started + self.settings.round_limit {
+        if now >= active.started + self.settings.round_timeout {
             self.counters.timeouts += 1;
             self.give_up(now, Duration::ZERO);
             return;
         }
         if now >= active.resend {
-            active.resend = now + self.settings.resend;
+            active.resend = now + self.settings.retransmit_interval;
             send(&active.round, active.round.unanswered(), effects);
         }
         self.advance(now, effects);
@@ -110,9 +110,9 @@
             return;
         };
         match active.round.stage {
-            Stage::Accept => self.advance_accept(now, effects),
-            Stage::Query | Stage::Prepare => match active.round.found() {
-                Some(found) if active.round.stage == Stage::Query => {
+            Phase::Accept => self.advance_accept(now, effects),
+            Phase::Query | Phase::Prepare => match active.round.found() {
+                Some(found) if active.round.stage == Phase::Query => {
                     self.advance_query(now, &found, effects);
                 }
                 Some(found) => self.decide(now, &found, effects),
@@ -130,11 +130,15 @@
     }
 
     /// Applies what waits to the state found, and proposes what follows unless nothing does.
-    fn decide(&mut self, now: Duration, found: &Found<V>, effects: &mut Vec<Effect<V>>) {
+    fn decide(&mut self, now: Duration, found: &QuorumRead<V>, effects: &mut Vec<Effect<V>>) {
         let Some(mut active) = self.active.take() else {
             return;
         };
-        self.round_trip = smoothed(self.round_trip, now - active.started, self.settings.resend);
+        self.round_trip = smoothed(
+            self.round_trip,
+            now - active.started,
+            self.settings.retransmit_interval,
+        );
         let ballot = active.round.ballot;
         let (batch, state) =
             Batch::assemble(self.queue.drain(..), found, ballot, self.settings.guards);
@@ -163,7 +167,11 @@
         let Some(proposal) = active.round.chosen().cloned() else {
             return;
         };
-        self.round_trip = smoothed(self.round_trip, now - active.started, self.settings.resend);
+        self.round_trip = smoothed(
+            self.round_trip,
+            now - active.started,
+            self.settings.retransmit_interval,
+        );
         let batch = std::mem::take(&mut active.batch);
         self.finish_round();
         effects.push(Effect::Chosen {
@@ -198,7 +206,7 @@
         let request = Request {
             round: round.id,
             to: to.identity,
-            ask: round.ask(),
+            body: round.ask(),
         };
         effects.push(Effect::Send { to, request });
     }
--- a/crates/register/src/contact.rs
+++ b/crates/register/src/quorum_lease.rs
@@ -19,29 +19,29 @@
 
 /// Number of a question; unique within one life of a node, and drawn so that lives don't share
 /// numbers.
-pub type QuestionNumber = u64;
+pub type HeartbeatId = u64;
 
 /// Questions asked within one bound.
-const QUESTIONS_PER_BOUND: u32 = 4;
+const HEARTBEATS_PER_LEASE: u32 = 4;
 /// Answers older than this many bounds are forgotten.
-const BOUNDS_REMEMBERED: u32 = 64;
+const ACK_RETENTION_LEASES: u32 = 64;
 
 /// The questions of one node and who has answered them.
 #[derive(Clone, Debug)]
-pub struct Contact {
+pub struct QuorumLease {
     bound: Duration,
-    next: QuestionNumber,
+    next: HeartbeatId,
     ask_at: Duration,
     /// Questions that may still be answered, with the time of asking; oldest first.
-    open: VecDeque<(QuestionNumber, Duration)>,
+    open: VecDeque<(HeartbeatId, Duration)>,
     /// When the newest question that a replica has answered was asked.
     answered: BTreeMap<Identity, Duration>,
 }
 
-impl Contact {
+impl QuorumLease {
     /// No contact yet. `first` is the number of the first question; it must differ at each start.
     #[must_use]
-    pub fn new(bound: Duration, first: QuestionNumber) -> Self {
+    pub fn new(bound: Duration, first: HeartbeatId) -> Self {
         Self {
             bound,
             next: first,
@@ -58,16 +58,16 @@
     }
 
     /// Makes a question due at once.
-    pub fn ask_at_once(&mut self) {
+    pub fn expedite_heartbeat(&mut self) {
         self.ask_at = Duration::ZERO;
     }
 
     /// The question to be asked now, if one is due.
-    pub fn ask(&mut self, now: Duration) -> Option<QuestionNumber> {
+    pub fn next_heartbeat(&mut self, now: Duration) -> Option<HeartbeatId> {
         if now < self.ask_at {
             return None;
         }
-        self.ask_at = now + self.bound / QUESTIONS_PER_BOUND;
+        self.ask_at = now + self.bound / HEARTBEATS_PER_LEASE;
         self.forget(now);
         let number = self.next;
         self.next = self.next.wrapping_add(1);
@@ -77,7 +77,7 @@
 
     /// A replica has answered. Answers to questions that were never asked, or too long ago, don't
     /// count.
-    pub fn answer(&mut self, from: Identity, number: QuestionNumber) {
+    pub fn acknowledge(&mut self, from: Identity, number: HeartbeatId) {
         let asked = self.open.iter().find(|(open, _)| *open == number);
         if let Some((_, at)) = asked {
             let newest = self.answered.entry(from).or_insert(*at);
@@ -88,22 +88,32 @@
     /// When the newest question was asked that a majority of each set held has answered; `own` has,
     /// at every moment.
     #[must_use]
-    pub fn since(&self, now: Duration, own: Identity, members: &Membership) -> Option<Duration> {
-        let current = self.since_majority(now, own, &members.current)?;
+    pub fn confirmed_at(
+        &self,
+        now: Duration,
+        own: Identity,
+        members: &Membership,
+    ) -> Option<Duration> {
+        let current = self.majority_confirmed_at(now, own, &members.current)?;
         match &members.next {
-            Some(next) => Some(current.min(self.since_majority(now, own, next)?)),
+            Some(next) => Some(current.min(self.majority_confirmed_at(now, own, next)?)),
             None => Some(current),
         }
     }
 
     /// Whether contact is younger than the bound.
     #[must_use]
-    pub fn is_held(&self, now: Duration, own: Identity, members: &Membership) -> bool {
-        self.since(now, own, members)
+    pub fn is_valid(&self, now: Duration, own: Identity, members: &Membership) -> bool {
+        self.confirmed_at(now, own, members)
             .is_some_and(|since| now < since + self.bound)
     }
 
-    fn since_majority(&self, now: Duration, own: Identity, set: &ReplicaSet) -> Option<Duration> {
+    fn majority_confirmed_at(
+        &self,
+        now: Duration,
+        own: Identity,
+        set: &ReplicaSet,
+    ) -> Option<Duration> {
         let answered = |identity| {
             if identity == own {
                 Some(now)
@@ -126,6 +136,6 @@
             self.open.pop_front();
         }
         self.answered
-            .retain(|_, at| now < *at + bound * BOUNDS_REMEMBERED);
+            .retain(|_, at| now < *at + bound * ACK_RETENTION_LEASES);
     }
 }
--- a/crates/register/src/steward.rs
+++ b/crates/register/src/reconfiguration.rs
@@ -7,11 +7,11 @@
 
 use crate::ballot::Identity;
 use crate::guard::{Guard, Guards};
-use crate::message::Announcement;
+use crate::message::NodeStatus;
 use crate::operation::ReplicaChange;
+use crate::reconfiguration::plan::{Coordinator, Plan, is_live};
 use crate::replicas::{Membership, Replica, ReplicaSet};
 use crate::settings::Settings;
-use crate::steward::plan::{Coordinator, Plan, is_live};
 
 mod plan;
 #[cfg(test)]
@@ -25,14 +25,14 @@
     last_heard: Duration,
     leaving: bool,
     /// Members that it has not heard.
-    silent: Vec<Identity>,
+    unreachable: Vec<Identity>,
     /// Identities that this address had before; late messages may still name them.
     retired: BTreeSet<Identity>,
 }
 
 /// Follows the coordinators and tells which replica change is due.
 #[derive(Clone, Debug)]
-pub struct Steward {
+pub struct ReplicaSetController {
     own: Replica,
     started: Duration,
     target: usize,
@@ -46,17 +46,17 @@
     guards: Guards,
 }
 
-impl Steward {
+impl ReplicaSetController {
     /// A steward for this node's coordinator.
     #[must_use]
     pub fn new(own: Replica, settings: &Settings) -> Self {
         Self {
             own,
             started: Duration::ZERO,
-            target: settings.target,
-            unreachable: settings.unreachable,
-            stagger: settings.steward_stagger,
-            pause: settings.round_limit,
+            target: settings.target_replicas,
+            unreachable: settings.unreachable_timeout,
+            stagger: settings.reconfiguration_stagger,
+            pause: settings.round_timeout,
             entries: BTreeMap::new(),
             leaving: false,
             wish: None,
@@ -66,7 +66,7 @@
     }
 
     /// The own replica goes on under another identity.
-    pub fn take_identity(&mut self, identity: Identity) {
+    pub fn set_identity(&mut self, identity: Identity) {
         self.own.identity = identity;
     }
 
@@ -82,13 +82,13 @@
     }
 
     /// A message of a coordinator has arrived.
-    pub fn hear(&mut self, now: Duration, identity: Identity, address: SocketAddr) {
+    pub fn message_received(&mut self, now: Duration, identity: Identity, address: SocketAddr) {
         let entry = self.entries.entry(address).or_insert_with(|| Entry {
             identity,
             zone: String::new(),
             last_heard: now,
             leaving: false,
-            silent: Vec::new(),
+            unreachable: Vec::new(),
             retired: BTreeSet::new(),
         });
         if entry.retired.contains(&identity) {
@@ -98,26 +98,31 @@
             entry.retired.insert(entry.identity);
             entry.identity = identity;
             entry.leaving = false;
-            entry.silent.clear();
+            entry.unreachable.clear();
         }
         entry.last_heard = now;
     }
 
     /// A coordinator tells of itself.
-    pub fn hear_of(&mut self, identity: Identity, address: SocketAddr, told: &Announcement) {
+    pub fn status_received(
+        &mut self,
+        identity: Identity,
+        address: SocketAddr,
+        status: &NodeStatus,
+    ) {
         if let Some(entry) = self
             .entries
             .get_mut(&address)
             .filter(|entry| entry.identity == identity)
         {
-            told.zone.clone_into(&mut entry.zone);
-            entry.leaving = told.leaving;
-            told.silent.clone_into(&mut entry.silent);
+            status.zone.clone_into(&mut entry.zone);
+            entry.leaving = status.leaving;
+            status.unreachable.clone_into(&mut entry.unreachable);
         }
     }
 
     /// The own process stood still for that time, in which the others could not be heard.
-    pub fn stood_still(&mut self, pause: Duration) {
+    pub fn discount_process_pause(&mut self, pause: Duration) {
         self.started += pause;
         for entry in self.entries.values_mut() {
             entry.last_heard += pause;
@@ -126,7 +131,7 @@
 
     /// The members that this node has not heard for a while.
     #[must_use]
-    pub fn silent(&self, now: Duration, members: &Membership) -> Vec<Identity> {
+    pub fn unreachable_members(&self, now: Duration, members: &Membership) -> Vec<Identity> {
         let coordinators = self.coordinators(now, &members.current);
         let identities = members.replicas().map(|replica| replica.identity);
         identities
@@ -184,12 +189,12 @@
             .values()
             .filter(|entry| set.contains(entry.identity));
         let live = told.filter(|entry| now < entry.last_heard + self.unreachable);
-        let mut reports: Vec<Vec<Identity>> = live.map(|entry| entry.silent.clone()).collect();
-        let own = self.silent(now, members);
+        let mut reports: Vec<Vec<Identity>> = live.map(|entry| entry.unreachable.clone()).collect();
+        let own = self.unreachable_members(now, members);
         if set.contains(self.own.identity) {
             reports.push(own.clone());
         }
-        let needed = if self.guards.keeps(Guard::LostByMajority) {
+        let needed = if self.guards.keeps(Guard::UnreachableByMajority) {
             set.majority()
         } else {
             0
@@ -236,7 +241,7 @@
     /// last. A coordinator that leaves proposes its own replacement at once.
     fn delay(&self, now: Duration, set: &ReplicaSet, change: &ReplicaChange) -> Duration {
         let own = self.own.identity;
-        if self.leaving && change.leaves() == Some(own) {
+        if self.leaving && change.removed() == Some(own) {
             return Duration::ZERO;
         }
         let coordinators = self.coordinators(now, set);
--- a/crates/register/src/steward/plan.rs
+++ b/crates/register/src/reconfiguration/plan.rs
@@ -172,7 +172,7 @@
                 .count();
             live >= set.majority()
         };
-        let next = change.applied_to(self.set);
+        let next = change.apply_to(self.set);
         has_majority(self.set) && next.is_ok_and(|next| next.as_ref().is_some_and(has_majority))
     }
 }
@@ -184,9 +184,9 @@
         .any(|known| known.is(identity) && known.is_live)
 }
 
-fn swap(leaves: &Replica, enters: &Replica) -> ReplicaChange {
-    ReplicaChange::Swap {
-        leaves: leaves.identity,
-        enters: enters.clone(),
+fn swap(removed: &Replica, added: &Replica) -> ReplicaChange {
+    ReplicaChange::Replace {
+        removed: removed.identity,
+        added: added.clone(),
     }
 }
--- /dev/null
+++ b/crates/register/src/reconfiguration/tests.rs
@@ -0,0 +1,176 @@
+//! Tests of the steward: one change at a time, never below a live majority.
+
+use assert_matches::assert_matches;
+
+use super::*;
+use crate::message::Participation;
+
+const NOW: Duration = Duration::from_secs(10);
+
+fn replica(number: u64, zone: &str) -> Replica {
+    let port = 7_000 + u16::try_from(number).expect("small");
+    Replica {
+        identity: Identity(number),
+        address: SocketAddr::from(([127, 0, 0, 1], port)),
+        zone: zone.to_owned(),
+    }
+}
+
+fn members(numbers: &[u64]) -> Membership {
+    Membership::single(ReplicaSet::new(
+        numbers.iter().map(|&number| replica(number, "")),
+    ))
+}
+
+/// What a coordinator tells of itself; it has heard neither replica 3 nor replica 4.
+fn told(zone: &str) -> NodeStatus {
+    NodeStatus {
+        chosen: None,
+        zone: zone.to_owned(),
+        leaving: false,
+        unreachable: vec![Identity(3), Identity(4)],
+        participation: Participation::Advanced,
+    }
+}
+
+/// The steward of replica 1, which has heard those others just now.
+fn controller(heard: &[(u64, &str)]) -> ReplicaSetController {
+    let mut controller = ReplicaSetController::new(replica(1, "a"), &Settings::default());
+    for &(number, zone) in heard {
+        let other = replica(number, zone);
+        controller.message_received(NOW, other.identity, other.address);
+        controller.status_received(other.identity, other.address, &told(zone));
+    }
+    controller
+}
+
+fn due(controller: &mut ReplicaSetController, members: &Membership) -> Option<ReplicaChange> {
+    controller.due(NOW, members).map(|(_, change)| change)
+}
+
+#[test]
+fn nothing_is_due_while_all_are_there() {
+    assert_eq!(
+        due(
+            &mut controller(&[(2, "b"), (3, "c"), (4, "a")]),
+            &members(&[1, 2, 3])
+        ),
+        None
+    );
+}
+
+#[test]
+fn an_emptied_disk_takes_the_place_of_its_former_self() {
+    let mut controller = controller(&[(2, "b"), (3, "c")]);
+    let address = replica(3, "c").address;
+    controller.message_received(NOW, Identity(33), address);
+    let change = due(&mut controller, &members(&[1, 2, 3]));
+    assert_matches!(change, Some(ReplicaChange::Replace { removed: Identity(3), added }) if added.identity == Identity(33));
+    controller.message_received(NOW, Identity(3), address);
+    assert_eq!(
+        controller.entries[&address].identity,
+        Identity(33),
+        "a late message changes nothing"
+    );
+}
+
+#[test]
+fn a_standby_of_a_zone_without_member_is_preferred() {
+    let mut controller = controller(&[(2, "b"), (4, "b"), (5, "c")]);
+    let change = due(&mut controller, &members(&[1, 2, 3]));
+    assert_matches!(change, Some(ReplicaChange::Replace { removed: Identity(3), added }) if added.identity == Identity(5));
+}
+
+#[test]
+fn one_that_leaves_is_swapped() {
+    let mut controller = controller(&[(2, "b"), (3, "c"), (4, "c")]);
+    let leaver = replica(3, "c");
+    let leaving = NodeStatus {
+        leaving: true,
+        unreachable: Vec::new(),
+        ..told("c")
+    };
+    controller.status_received(leaver.identity, leaver.address, &leaving);
+    assert_matches!(
+        due(&mut controller, &members(&[1, 2, 3])),
+        Some(ReplicaChange::Replace {
+            removed: Identity(3),
+            ..
+        })
+    );
+}
+
+#[test]
+fn a_set_below_the_target_grows() {
+    let mut even = controller(&[(2, "b"), (3, "c")]);
+    assert_matches!(due(&mut even, &members(&[1, 2])), Some(ReplicaChange::Add(added)) if added.identity == Identity(3));
+    assert_eq!(
+        due(&mut controller(&[(2, "b")]), &members(&[1])),
+        None,
+        "two bear no more than one"
+    );
+}
+
+#[test]
+fn a_set_above_the_target_drops_the_one_that_is_gone() {
+    let mut controller = controller(&[(2, "b"), (3, "c"), (5, "a")]);
+    assert_eq!(
+        due(&mut controller, &members(&[1, 2, 3, 4])),
+        Some(ReplicaChange::Remove(Identity(4)))
+    );
+}
+
+#[test]
+fn without_a_live_majority_nothing_is_due() {
+    let mut controller = controller(&[(4, "b"), (5, "c")]);
+    assert_eq!(due(&mut controller, &members(&[1, 2, 3])), None);
+}
+
+#[test]
+fn nothing_is_due_while_two_sets_are_held() {
+    let current = members(&[1, 2, 3]).current;
+    let joint = Membership::joint(current.clone(), current.without(Identity(3)));
+    assert_eq!(due(&mut controller(&[(2, "b"), (4, "c")]), &joint), None);
+}
+
+#[test]
+fn others_than_the_first_wait_and_a_change_is_not_repeated_at_once() {
+    let mut controller = controller(&[(2, "b"), (4, "c")]);
+    controller.own = replica(9, "a");
+    let one = replica(1, "a");
+    controller.message_received(NOW, one.identity, one.address);
+    controller.status_received(one.identity, one.address, &told("a"));
+    let set = members(&[1, 2, 9, 3]);
+    assert_eq!(controller.due(NOW, &set), None);
+    let later = NOW + Settings::default().reconfiguration_stagger * 2;
+    assert!(controller.due(later, &set).is_some());
+    assert_eq!(controller.due(later, &set), None);
+}
+
+#[test]
+fn a_member_that_others_hear_stays() {
+    let mut controller = controller(&[(2, "b"), (4, "c")]);
+    let two = replica(2, "b");
+    let well = NodeStatus {
+        unreachable: Vec::new(),
+        ..told("b")
+    };
+    controller.status_received(two.identity, two.address, &well);
+    assert_eq!(due(&mut controller, &members(&[1, 2, 3])), None);
+    controller.status_received(two.identity, two.address, &told("b"));
+    assert_matches!(
+        due(&mut controller, &members(&[1, 2, 3])),
+        Some(ReplicaChange::Replace { .. })
+    );
+}
+
+#[test]
+fn time_in_which_the_own_process_stood_still_is_no_silence() {
+    let mut controller = controller(&[(2, "b"), (3, "c"), (4, "a")]);
+    let pause = Duration::from_secs(20);
+    controller.discount_process_pause(pause);
+    assert_eq!(
+        controller.unreachable_members(NOW + pause, &members(&[1, 2, 3])),
+        []
+    );
+}
--- a/crates/register/src/replicas.rs
+++ b/crates/register/src/replicas.rs
@@ -32,9 +32,9 @@
     }
 
     /// The set of initial members, of which only the addresses are known.
-    pub fn of_seeds(addresses: impl IntoIterator<Item = SocketAddr>) -> Self {
+    pub fn from_seed_addresses(addresses: impl IntoIterator<Item = SocketAddr>) -> Self {
         let seed = |address| Replica {
-            identity: Identity::of_seed(address),
+            identity: Identity::from_seed_address(address),
             address,
             zone: String::new(),
         };
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -5,7 +5,7 @@
 
 use crate::ballot::{Ballot, Identity};
 use crate::guard::{Guard, Guards};
-use crate::message::{Answer, Ask, Report, RoundId};
+use crate::message::{AcceptorState, ReplyBody, RequestBody, RoundId};
 use crate::replicas::{Membership, Replica};
 use crate::state::Proposal;
 
@@ -14,7 +14,7 @@
 
 /// What a round waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Stage {
+pub enum Phase {
     /// Reports without promises.
     Query,
     /// Promises.
@@ -25,7 +25,7 @@
 
 /// The newest state that a quorum of its own membership reports.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Found<V> {
+pub struct QuorumRead<V> {
     /// The state, with the ballot in which it was accepted.
     pub proposal: Proposal<V>,
     /// Whether it is known as chosen.
@@ -38,7 +38,7 @@
     /// Number of the round.
     pub id: RoundId,
     /// What it waits for.
-    pub stage: Stage,
+    pub stage: Phase,
     /// Its ballot; zero for a query.
     pub ballot: Ballot,
     /// What the proposer knew as chosen at the start.
@@ -70,7 +70,7 @@
     ) -> Self {
         Self {
             id,
-            stage: Stage::Query,
+            stage: Phase::Query,
             ballot: Ballot::ZERO,
             chosen: base
                 .as_ref()
@@ -90,7 +90,7 @@
     #[must_use]
     pub fn with_promises(self, ballot: Ballot) -> Self {
         Self {
-            stage: Stage::Prepare,
+            stage: Phase::Prepare,
             ballot,
             ..self
         }
@@ -113,37 +113,37 @@
 
     /// What is asked of them.
     #[must_use]
-    pub fn ask(&self) -> Ask<V> {
+    pub fn ask(&self) -> RequestBody<V> {
         let known = self.known();
         match (self.stage, &self.proposal) {
-            (Stage::Accept, Some(proposal)) => Ask::Accept {
+            (Phase::Accept, Some(proposal)) => RequestBody::Accept {
                 proposal: proposal.clone(),
             },
-            (Stage::Prepare, _) => Ask::Prepare {
+            (Phase::Prepare, _) => RequestBody::Prepare {
                 ballot: self.ballot,
                 view: self.view.ballot,
                 known,
             },
-            (Stage::Query | Stage::Accept, _) => Ask::Query { known },
+            (Phase::Query | Phase::Accept, _) => RequestBody::Query { known },
         }
     }
 
     /// Counts an answer. Answers of replicas that were not asked don't count.
-    pub fn answer(&mut self, from: Identity, answer: Answer<V>) {
+    pub fn answer(&mut self, from: Identity, answer: ReplyBody<V>) {
         match (self.stage, answer) {
-            (Stage::Query, Answer::Reported(report)) => self.report(from, report),
-            (Stage::Prepare, Answer::Promised { ballot, report }) if ballot == self.ballot => {
-                self.report(from, report);
+            (Phase::Query, ReplyBody::QueryResult(state)) => self.record_state(from, state),
+            (Phase::Prepare, ReplyBody::Promise { ballot, state }) if ballot == self.ballot => {
+                self.record_state(from, state);
             }
-            (Stage::Accept, Answer::Accepted { ballot }) if ballot == self.ballot => {
+            (Phase::Accept, ReplyBody::Accepted { ballot }) if ballot == self.ballot => {
                 self.accepted.insert(from);
             }
-            (Stage::Prepare | Stage::Accept, Answer::Conflict { promised })
+            (Phase::Prepare | Phase::Accept, ReplyBody::Conflict { promised })
                 if promised > self.ballot =>
             {
                 self.refused.insert(from);
             }
-            (_, Answer::NotMember { .. }) => {
+            (_, ReplyBody::NotMember { .. }) => {
                 self.refused.insert(from);
             }
             _ => {}
@@ -152,7 +152,7 @@
 
     /// The newest state that a quorum of its own members reports, once there is one.
     #[must_use]
-    pub fn found(&self) -> Option<Found<V>> {
+    pub fn found(&self) -> Option<QuorumRead<V>> {
         let proposal = self.newest.as_ref()?;
         let members = &proposal.state.members;
         let reported = self.is_quorum(members, |identity| self.reports.contains_key(&identity));
@@ -160,14 +160,14 @@
             return None;
         }
         let confirmed = self.is_confirmed(proposal);
-        if !confirmed && !self.guards.keeps(Guard::CompleteFound) {
+        if !confirmed && !self.guards.keeps(Guard::CompleteAccepted) {
             let proposal = self.base.clone()?;
-            return Some(Found {
+            return Some(QuorumRead {
                 proposal,
                 confirmed: true,
             });
         }
-        Some(Found {
+        Some(QuorumRead {
             proposal: proposal.clone(),
             confirmed,
         })
@@ -183,7 +183,7 @@
 
     /// Goes over to acceptance of the proposal, which must follow from what was found.
     pub fn propose(&mut self, proposal: Proposal<V>) {
-        self.stage = Stage::Accept;
+        self.stage = Phase::Accept;
         self.refused.clear();
         self.proposal = Some(proposal);
     }
@@ -227,17 +227,17 @@
             .map(|proposal| &proposal.state.members)
     }
 
-    fn report(&mut self, from: Identity, report: Report<V>) {
+    fn record_state(&mut self, from: Identity, state: AcceptorState<V>) {
         if !self.is_asked(from) {
             return;
         }
-        self.chosen = self.chosen.max(report.chosen);
-        self.reports.insert(from, report.accepted);
+        self.chosen = self.chosen.max(state.chosen);
+        self.reports.insert(from, state.accepted);
         let base = self
             .base
             .clone()
-            .filter(|base| Some(base.ballot) == report.accepted);
-        let Some(proposal) = report.proposal.or(base) else {
+            .filter(|base| Some(base.ballot) == state.accepted);
+        let Some(proposal) = state.proposal.or(base) else {
             return;
         };
         if self
@@ -258,8 +258,8 @@
 
     fn has_answered(&self, identity: Identity) -> bool {
         let counted = match self.stage {
-            Stage::Accept => self.accepted.contains(&identity),
-            Stage::Query | Stage::Prepare => self.reports.contains_key(&identity),
+            Phase::Accept => self.accepted.contains(&identity),
+            Phase::Query | Phase::Prepare => self.reports.contains_key(&identity),
         };
         counted || self.refused.contains(&identity)
     }
--- a/crates/register/src/round/tests.rs
+++ b/crates/register/src/round/tests.rs
@@ -39,13 +39,13 @@
     Round::query(1, Some(base.clone()), base.clone(), Guards::default())
 }
 
-fn reported(held: &Proposal<u8>) -> Answer<u8> {
-    let report = Report {
+fn reported(held: &Proposal<u8>) -> ReplyBody<u8> {
+    let report = AcceptorState {
         accepted: Some(held.ballot),
         proposal: Some(held.clone()),
         chosen: Ballot::ZERO,
     };
-    Answer::Reported(report)
+    ReplyBody::QueryResult(report)
 }
 
 #[test]
@@ -58,7 +58,7 @@
     round.answer(Identity(1), reported(&newer));
     assert_eq!(round.found(), None, "an answer sent twice counts once");
     round.answer(Identity(2), reported(&newer));
-    assert_matches!(round.found(), Some(Found { proposal, confirmed: true }) if proposal == newer);
+    assert_matches!(round.found(), Some(QuorumRead { proposal, confirmed: true }) if proposal == newer);
 }
 
 #[test]
@@ -68,7 +68,7 @@
     let mut round = query(&base);
     round.answer(Identity(1), reported(&base));
     round.answer(Identity(2), reported(&newer));
-    assert_matches!(round.found(), Some(Found { proposal, confirmed: false }) if proposal == newer);
+    assert_matches!(round.found(), Some(QuorumRead { proposal, confirmed: false }) if proposal == newer);
 }
 
 #[test]
@@ -99,7 +99,7 @@
     round.answer(Identity(5), reported(&base));
     assert_matches!(
         round.found(),
-        Some(Found {
+        Some(QuorumRead {
             confirmed: false,
             ..
         })
@@ -123,10 +123,10 @@
     let base = proposal(1, Membership::single(set(&[1, 2, 3])));
     let mut round = query(&base).with_promises(ballot(5));
     round.propose(proposal(5, base.state.members.clone()));
-    round.answer(Identity(1), Answer::Accepted { ballot: ballot(4) });
-    round.answer(Identity(2), Answer::Accepted { ballot: ballot(5) });
+    round.answer(Identity(1), ReplyBody::Accepted { ballot: ballot(4) });
+    round.answer(Identity(2), ReplyBody::Accepted { ballot: ballot(5) });
     assert_eq!(round.chosen(), None);
-    round.answer(Identity(3), Answer::Accepted { ballot: ballot(5) });
+    round.answer(Identity(3), ReplyBody::Accepted { ballot: ballot(5) });
     assert!(round.chosen().is_some());
 }
 
@@ -136,14 +136,14 @@
     let mut round = query(&base).with_promises(ballot(5));
     round.answer(
         Identity(1),
-        Answer::Conflict {
+        ReplyBody::Conflict {
             promised: ballot(6),
         },
     );
     assert!(!round.is_lost());
     round.answer(
         Identity(2),
-        Answer::NotMember {
+        ReplyBody::NotMember {
             chosen: Ballot::ZERO,
         },
     );
--- a/crates/register/src/settings.rs
+++ b/crates/register/src/settings.rs
@@ -1,4 +1,7 @@
-//! Times of a node.
+//! Settings of a node, nearly all of them times of its steady clock.
+//!
+//! No setting bears on safety except [`Settings::guards`]: two nodes with different settings never
+//! decide differently. A bad value costs availability, latency or messages, as each field says.
 
 use std::time::Duration;
 
@@ -7,46 +10,69 @@
 /// Settings of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Requests without an answer are sent again after this time.
-    pub resend: Duration,
-    /// A round without a quorum is given up after this time.
-    pub round_limit: Duration,
-    /// How long a quorum that disagrees waits for the remaining reports.
-    pub patience: Duration,
-    /// A change waits for no longer than this while another proposer's round seems to be under way.
-    pub deference: Duration,
-    /// Bound of the first wait after a conflict; it doubles with each further one.
-    pub backoff: Duration,
-    /// Largest bound of a wait after a conflict.
-    pub backoff_limit: Duration,
-    /// A state that is held for longer without being known as chosen is read.
-    pub scrub: Duration,
-    /// What is known as chosen is announced this often.
-    pub announce: Duration,
-    /// A node that asks whether the whole system starts for the first time announces itself this
-    /// often.
-    pub announce_first: Duration,
-    /// An initial member on an empty disk waits this long to hear all others before a majority
-    /// suffices that is as empty as itself.
-    pub first_start: Duration,
-    /// A member that hasn't been heard for this time may be replaced.
-    pub unreachable: Duration,
-    /// Wait before a replica change, for each live member of smaller identity.
-    pub steward_stagger: Duration,
-    /// A majority that has answered no question asked within this time is out of contact.
-    pub contact: Duration,
-    /// Number of replicas aimed at.
-    pub target: usize,
-    /// Safety guards; all in force outside mutation tests.
+    /// Requests that are still unanswered after this time are sent again. Below the round trip time
+    /// between the replicas, each request is sent several times; far above it, one lost message
+    /// delays a round for that long.
+    pub retransmit_interval: Duration,
+    /// A round that has reached no quorum after this time is abandoned. Below two round trips plus
+    /// the time of a disk write, no change ever completes; far above, an operation behind a round
+    /// that can't complete runs into its deadline.
+    pub round_timeout: Duration,
+    /// How long a query whose quorum reports different ballots waits for the remaining replicas.
+    /// Too short, reads fall back to an acceptance (a disk write) under load; too long, reads that
+    /// race with a change are slow.
+    pub disagreement_timeout: Duration,
+    /// The longest time for which a change defers to another proposer's round that seems to be
+    /// under way. Zero lets concurrent proposers pre-empt one another (duelling proposers); too
+    /// long, a change waits for a proposer that has crashed.
+    pub max_deference: Duration,
+    /// Upper bound of the random wait after a first conflict; it doubles with each further
+    /// conflict. Too short, duelling proposers meet again; too long, a conflict costs latency.
+    pub initial_backoff: Duration,
+    /// Largest upper bound of a wait after a conflict. Below
+    /// [`initial_backoff`](Self::initial_backoff) it takes its place.
+    pub max_backoff: Duration,
+    /// An accepted state that isn't known as chosen after this time is read from a quorum, which
+    /// completes it (read repair); a joint membership of that age is left. Too short, rounds that
+    /// are under way are disturbed; too long, a change whose proposer crashed stays undecided, and
+    /// the replica set stays joint.
+    pub read_repair_delay: Duration,
+    /// Interval of the status messages. Too long, a replica that missed a change learns of it late;
+    /// must be well below [`unreachable_timeout`](Self::unreachable_timeout).
+    pub status_interval: Duration,
+    /// Interval of the status messages while a node checks whether the whole system starts for the
+    /// first time. Too long, the first start takes longer.
+    pub bootstrap_status_interval: Duration,
+    /// An initial member on an empty disk waits this long to hear from all other initial members
+    /// before a majority suffices whose disks are as empty as its own. Too short, members that
+    /// start a little later take another identity; too long, a first start with a machine missing
+    /// takes longer.
+    pub bootstrap_timeout: Duration,
+    /// A member from which no message has come for this time may be replaced. Too short, a member
+    /// is replaced because of a few lost messages; too long, the register bears no further loss for
+    /// that time.
+    pub unreachable_timeout: Duration,
+    /// Wait before a replica change is proposed, for each live member of smaller identity. Too
+    /// short, several nodes propose the same change and conflict; too long, a change that the first
+    /// member doesn't propose comes late.
+    pub reconfiguration_stagger: Duration,
+    /// Length of the quorum lease: a node that sent no heartbeat within this time that a majority
+    /// has acknowledged is without a quorum. Below a few round trips, nodes lose the lease by
+    /// chance; the longer it is, the longer a partitioned node goes on.
+    pub quorum_lease: Duration,
+    /// Number of replicas aimed at; odd. An even number costs a replica that bears no further loss.
+    pub target_replicas: usize,
+    /// Safety guards; all are in force outside mutation tests.
     pub guards: Guards,
 }
 
 impl Settings {
-    /// Settings for a register that bears the loss of that many replicas at once.
+    /// The default settings with as many replicas as are needed to stay available while that many
+    /// are lost at once: `2f + 1` (Rystsov 2018, section 2.1).
     #[must_use]
-    pub fn bearing(losses: usize) -> Self {
+    pub fn with_fault_tolerance(failures: usize) -> Self {
         Self {
-            target: 2 * losses + 1,
+            target_replicas: 2 * failures + 1,
             ..Self::default()
         }
     }
@@ -55,20 +81,20 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            resend: Duration::from_millis(150),
-            round_limit: Duration::from_secs(1),
-            patience: Duration::from_millis(60),
-            deference: Duration::from_millis(300),
-            backoff: Duration::from_millis(40),
-            backoff_limit: Duration::from_millis(640),
-            scrub: Duration::from_millis(300),
-            announce: Duration::from_millis(500),
-            announce_first: Duration::from_millis(100),
-            first_start: Duration::from_secs(3),
-            unreachable: Duration::from_millis(1_500),
-            steward_stagger: Duration::from_millis(400),
-            contact: Duration::from_secs(1),
-            target: 3,
+            retransmit_interval: Duration::from_millis(150),
+            round_timeout: Duration::from_secs(1),
+            disagreement_timeout: Duration::from_millis(60),
+            max_deference: Duration::from_millis(300),
+            initial_backoff: Duration::from_millis(40),
+            max_backoff: Duration::from_millis(640),
+            read_repair_delay: Duration::from_millis(300),
+            status_interval: Duration::from_millis(500),
+            bootstrap_status_interval: Duration::from_millis(100),
+            bootstrap_timeout: Duration::from_secs(3),
+            unreachable_timeout: Duration::from_millis(1_500),
+            reconfiguration_stagger: Duration::from_millis(400),
+            quorum_lease: Duration::from_secs(1),
+            target_replicas: 3,
             guards: Guards::default(),
         }
     }
--- a/crates/register/src/state.rs
+++ b/crates/register/src/state.rs
@@ -11,7 +11,7 @@
 mod tests;
 
 /// Changes of which a state remembers the ballot.
-pub const LINEAGE_LENGTH: usize = 32;
+pub const MAX_HISTORY: usize = 32;
 
 /// What the register holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -24,7 +24,7 @@
     pub value: Arc<V>,
     /// Ballots in which the latest changes were proposed first, oldest first; the last belongs to
     /// `sequence`.
-    pub lineage: Vec<Ballot>,
+    pub history: Vec<Ballot>,
 }
 
 impl<V> State<V> {
@@ -34,50 +34,50 @@
             sequence: 0,
             members,
             value: Arc::new(value),
-            lineage: Vec::new(),
+            history: Vec::new(),
         }
     }
 
     /// The state that follows by a change proposed in that ballot.
     pub fn successor(&self, ballot: Ballot, members: Membership, value: Arc<V>) -> Self {
-        let excess = (self.lineage.len() + 1).saturating_sub(LINEAGE_LENGTH);
-        let mut lineage = self.lineage[excess..].to_vec();
-        lineage.push(ballot);
+        let excess = (self.history.len() + 1).saturating_sub(MAX_HISTORY);
+        let mut history = self.history[excess..].to_vec();
+        history.push(ballot);
         Self {
             sequence: self.sequence + 1,
             members,
             value,
-            lineage,
+            history,
         }
     }
 
     /// Whether a change, proposed in `ballot` as number `sequence`, is part of this state's
     /// history.
     #[must_use]
-    pub fn descends_from(&self, sequence: u64, ballot: Ballot) -> Descent {
+    pub fn lookup_change(&self, sequence: u64, ballot: Ballot) -> HistoryLookup {
         let Some(age) = self.sequence.checked_sub(sequence) else {
-            return Descent::No;
+            return HistoryLookup::Excluded;
         };
         let index = usize::try_from(age)
             .ok()
-            .and_then(|age| self.lineage.len().checked_sub(age + 1));
+            .and_then(|age| self.history.len().checked_sub(age + 1));
         match index {
-            Some(index) if self.lineage[index] == ballot => Descent::Yes,
-            Some(_) => Descent::No,
-            None => Descent::Forgotten,
+            Some(index) if self.history[index] == ballot => HistoryLookup::Included,
+            Some(_) => HistoryLookup::Excluded,
+            None => HistoryLookup::Truncated,
         }
     }
 }
 
 /// Answer to whether a change is part of a state's history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Descent {
+pub enum HistoryLookup {
     /// It is.
-    Yes,
+    Included,
     /// Another change took its place.
-    No,
+    Excluded,
     /// It is longer ago than the state remembers.
-    Forgotten,
+    Truncated,
 }
 
 /// A state proposed in a ballot.
--- a/crates/register/src/state/tests.rs
+++ b/crates/register/src/state/tests.rs
@@ -19,10 +19,19 @@
         state = state.successor(ballot(counter), members.clone(), Arc::new(0));
     }
     assert_eq!(state.sequence, 100);
-    assert_eq!(state.lineage.len(), LINEAGE_LENGTH);
-    assert_eq!(state.descends_from(100, ballot(100)), Descent::Yes);
-    assert_eq!(state.descends_from(69, ballot(69)), Descent::Yes);
-    assert_eq!(state.descends_from(70, ballot(69)), Descent::No);
-    assert_eq!(state.descends_from(68, ballot(68)), Descent::Forgotten);
-    assert_eq!(state.descends_from(101, ballot(101)), Descent::No);
+    assert_eq!(state.history.len(), MAX_HISTORY);
+    assert_eq!(
+        state.lookup_change(100, ballot(100)),
+        HistoryLookup::Included
+    );
+    assert_eq!(state.lookup_change(69, ballot(69)), HistoryLookup::Included);
+    assert_eq!(state.lookup_change(70, ballot(69)), HistoryLookup::Excluded);
+    assert_eq!(
+        state.lookup_change(68, ballot(68)),
+        HistoryLookup::Truncated
+    );
+    assert_eq!(
+        state.lookup_change(101, ballot(101)),
+        HistoryLookup::Excluded
+    );
 }
--- a/crates/register/tests/calm.rs
+++ b/crates/register/tests/calm.rs
@@ -29,7 +29,11 @@
     let id = world.submit(0, None, LIMIT);
     world.run(Duration::from_millis(50));
     assert_matches!(&world.outcomes[&id], Outcome::Read(state) if state.sequence == 0);
-    let counters = world.hosts[0].node.as_ref().expect("runs").counters();
+    let counters = world.hosts[0]
+        .node
+        .as_ref()
+        .expect("runs")
+        .proposer_metrics();
     assert_eq!(counters.prepares, 0);
 }
 
@@ -55,7 +59,7 @@
     );
     world.run(LIMIT);
     assert_matches!(&world.outcomes[&read], Outcome::Read(state) if state.value.contents == [9]);
-    assert_matches!(world.outcomes[&kept], Outcome::Kept(_));
+    assert_matches!(world.outcomes[&kept], Outcome::Unchanged(_));
     assert_matches!(world.outcomes[&other], Outcome::Rejected { .. });
     assert_clean(&mut world);
 }
@@ -70,7 +74,11 @@
     for id in ids {
         assert_matches!(world.outcomes[&id], Outcome::Written(_));
     }
-    let counters = world.hosts[2].node.as_ref().expect("runs").counters();
+    let counters = world.hosts[2]
+        .node
+        .as_ref()
+        .expect("runs")
+        .proposer_metrics();
     assert!(counters.accepts <= 2, "{counters:?}");
     assert_clean(&mut world);
 }
@@ -122,7 +130,7 @@
                 .node
                 .as_ref()
                 .expect("runs")
-                .counters()
+                .proposer_metrics()
                 .prepares
         }));
         assert_clean(&mut world);
--- a/crates/register/tests/encoding.rs
+++ b/crates/register/tests/encoding.rs
@@ -3,7 +3,8 @@
 use std::net::SocketAddr;
 
 use ironmast_register::message::{
-    Announcement, Answer, Ask, Body, Digest, Echo, Past, Reply, Report, Request,
+    AcceptorState, ChosenVersion, HeartbeatResponse, MessageBody, NodeStatus, Participation, Reply,
+    ReplyBody, Request, RequestBody,
 };
 use ironmast_register::state::Proposal;
 use ironmast_register::{Ballot, Identity, Message, Record};
@@ -22,57 +23,57 @@
     Record::bootstrap(address(7_001), &members, "a value".to_owned())
 }
 
-fn bodies() -> Vec<Body<String>> {
+fn bodies() -> Vec<MessageBody<String>> {
     let proposal: Proposal<String> = record().accepted.expect("initial");
-    let report = Report {
+    let state = AcceptorState {
         accepted: Some(BALLOT),
         proposal: Some(proposal.clone()),
         chosen: Ballot::ZERO,
     };
-    let ask = |ask| {
-        Body::Request(Request {
+    let request = |body| {
+        MessageBody::Request(Request {
             round: 9,
             to: Identity(1),
-            ask,
+            body,
         })
     };
-    let reply = |answer| Body::Reply(Reply { round: 9, answer });
-    let chosen = Some(Digest {
+    let reply = |body| MessageBody::Reply(Reply { round: 9, body });
+    let chosen = Some(ChosenVersion {
         ballot: BALLOT,
         sequence: 4,
     });
     vec![
-        ask(Ask::Query { known: BALLOT }),
-        ask(Ask::Prepare {
+        request(RequestBody::Query { known: BALLOT }),
+        request(RequestBody::Prepare {
             ballot: BALLOT,
             view: Ballot::ZERO,
             known: BALLOT,
         }),
-        ask(Ask::Accept {
+        request(RequestBody::Accept {
             proposal: proposal.clone(),
         }),
-        reply(Answer::Reported(report.clone())),
-        reply(Answer::Promised {
+        reply(ReplyBody::QueryResult(state.clone())),
+        reply(ReplyBody::Promise {
             ballot: BALLOT,
-            report,
+            state,
         }),
-        reply(Answer::Accepted { ballot: BALLOT }),
-        reply(Answer::Conflict { promised: BALLOT }),
-        reply(Answer::NotMember { chosen: BALLOT }),
-        Body::Announce(Announcement {
+        reply(ReplyBody::Accepted { ballot: BALLOT }),
+        reply(ReplyBody::Conflict { promised: BALLOT }),
+        reply(ReplyBody::NotMember { chosen: BALLOT }),
+        MessageBody::Status(NodeStatus {
             chosen,
             zone: "a".to_owned(),
             leaving: true,
-            silent: vec![Identity(5)],
-            past: Past::Initial,
+            unreachable: vec![Identity(5)],
+            participation: Participation::Initial,
         }),
-        Body::Fetch { known: BALLOT },
-        Body::State(proposal),
-        Body::Question { number: 70_000 },
-        Body::Echo(Echo {
-            number: 70_000,
+        MessageBody::FetchState { known: BALLOT },
+        MessageBody::ChosenState(proposal),
+        MessageBody::Heartbeat { id: 70_000 },
+        MessageBody::HeartbeatResponse(HeartbeatResponse {
+            id: 70_000,
             newest: BALLOT,
-            members: u64::MAX,
+            membership_fingerprint: u64::MAX,
         }),
     ]
 }
--- a/crates/register/tests/exhaustive/mod.rs
+++ b/crates/register/tests/exhaustive/mod.rs
@@ -7,8 +7,8 @@
 
 use ironmast_register::acceptor::{Acceptor, Record};
 use ironmast_register::guard::{Guard, Guards};
-use ironmast_register::message::{Answer, Ask, Request};
-use ironmast_register::round::{Found, Round, Stage};
+use ironmast_register::message::{ReplyBody, Request, RequestBody};
+use ironmast_register::round::{Phase, QuorumRead, Round};
 use ironmast_register::state::Proposal;
 use ironmast_register::{Ballot, Identity, Membership, Replica, State};
 use stateright::{Model, Property};
@@ -81,7 +81,7 @@
     fn accepts(&self) -> bool {
         self.round
             .as_ref()
-            .is_some_and(|round| round.stage == Stage::Accept)
+            .is_some_and(|round| round.stage == Phase::Accept)
     }
 }
 
@@ -310,7 +310,7 @@
         state.round = Some(round);
         ask(situation, writer);
         let is_own = |(from, to, request): &(usize, usize, Request<Value>)| {
-            (*from, *to) == (writer, writer) && matches!(request.ask, Ask::Prepare { .. })
+            (*from, *to) == (writer, writer) && matches!(request.body, RequestBody::Prepare { .. })
         };
         if let Some(index) = situation.requests.iter().position(is_own) {
             self.arrive(situation, index, true);
@@ -334,10 +334,10 @@
         let Some(round) = state.round.as_mut().filter(|round| round.id == round_id) else {
             return;
         };
-        if let Answer::Conflict { promised } = &addressed.reply.answer {
+        if let ReplyBody::Conflict { promised } = &addressed.reply.body {
             state.counter = state.counter.max(promised.counter);
         }
-        round.answer(addressed.sender, addressed.reply.answer);
+        round.answer(addressed.sender, addressed.reply.body);
         self.advance(situation, writer);
     }
 
@@ -346,7 +346,7 @@
         let Some(round) = situation.writers[writer].round.as_mut() else {
             return;
         };
-        if round.stage == Stage::Accept {
+        if round.stage == Phase::Accept {
             if let Some(chosen) = round.chosen().cloned() {
                 self.decide(situation, writer, chosen);
             }
@@ -434,11 +434,11 @@
         let request = Request {
             round: round.id,
             to: replica.identity,
-            ask: round.ask(),
+            body: round.ask(),
         };
         let is_asked = situation.requests.iter().any(|(from, to, sent)| {
-            let same_stage =
-                matches!(sent.ask, Ask::Accept { .. }) == matches!(request.ask, Ask::Accept { .. });
+            let same_stage = matches!(sent.body, RequestBody::Accept { .. })
+                == matches!(request.body, RequestBody::Accept { .. });
             (*from, *to) == (writer, host) && sent.round == request.round && same_stage
         });
         if !is_asked {
@@ -450,7 +450,7 @@
             *from,
             *to,
             request.round,
-            matches!(request.ask, Ask::Accept { .. }),
+            matches!(request.body, RequestBody::Accept { .. }),
         )
     });
 }
@@ -458,10 +458,10 @@
 fn forget_prepares(situation: &mut Situation, writer: usize) {
     let round = situation.writers[writer].round.as_ref();
     let open = round
-        .filter(|round| round.stage == Stage::Prepare)
+        .filter(|round| round.stage == Phase::Prepare)
         .map(|round| round.id);
     situation.requests.retain(|(from, _, request)| {
-        let is_prepare = matches!(request.ask, Ask::Prepare { .. });
+        let is_prepare = matches!(request.body, RequestBody::Prepare { .. });
         *from != writer || !is_prepare || Some(request.round) == open
     });
 }
@@ -471,7 +471,7 @@
     written_reply(host);
 }
 
-fn written_reply(host: &mut Host) -> Option<ironmast_register::acceptor::Addressed<Value>> {
+fn written_reply(host: &mut Host) -> Option<ironmast_register::acceptor::AddressedReply<Value>> {
     let write = host.acceptor.next_write()?;
     host.disk = write.record;
     host.acceptor.persisted(write.token).pop()
@@ -479,7 +479,7 @@
 
 fn successor(
     task: Task,
-    found: &Found<Value>,
+    found: &QuorumRead<Value>,
     ballot: Ballot,
     guards: Guards,
 ) -> Arc<State<Value>> {
@@ -518,7 +518,7 @@
         zone: String::new(),
     };
     let next = current
-        .without(Identity::of_seed(address(MEMBERS - 1)))
+        .without(Identity::from_seed_address(address(MEMBERS - 1)))
         .with(spare);
     Arc::new(state.successor(
         ballot,
--- a/crates/register/tests/model.rs
+++ b/crates/register/tests/model.rs
@@ -181,7 +181,7 @@
     assert_notices(restarted(), Guard::PersistBeforeReply);
     assert_notices(restarted(), Guard::BallotReservation);
     assert_notices(emptied(), Guard::IdentityCheck);
-    assert_notices(retried(), Guard::CompleteFound);
+    assert_notices(retried(), Guard::CompleteAccepted);
     assert_notices(entered(), Guard::JointQuorum);
     assert_notices(half_done([2, 2]), Guard::JointChosenFirst);
 }
--- a/crates/register/tests/mutations.rs
+++ b/crates/register/tests/mutations.rs
@@ -8,9 +8,9 @@
 use ironmast_register::state::Proposal;
 use ironmast_register::{Ballot, Identity, Membership, Record, Replica, Settings};
 
+use support::bootstrap;
 use support::checks::Violation;
 use support::day::{Plan, play};
-use support::first_start;
 use support::value::Change;
 use support::world::World;
 
@@ -27,7 +27,7 @@
     let guards = Guards::without(guard);
     let settings = Settings {
         guards,
-        deference: Duration::ZERO,
+        max_deference: Duration::ZERO,
         ..Settings::default()
     };
     (0..MOST_SEEDS).find_map(|seed| {
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_half_done_write_passed_over_is_noticed() {
-    let found = first_violation(Guard::CompleteFound, &Plan::rough(3).losing(45));
+    let found = first_violation(Guard::CompleteAccepted, &Plan::rough(3).losing(45));
     println!("{found:?}");
     assert!(found.is_some());
 }
@@ -200,7 +200,7 @@
     };
     let current = state.members.current.clone();
     let next = current
-        .without(Identity::of_seed(world.hosts[2].address))
+        .without(Identity::from_seed_address(world.hosts[2].address))
         .with(enters.clone());
     let ballot = Ballot {
         counter: record.reserved + 1,
@@ -238,10 +238,10 @@
 
 #[test]
 fn a_vote_under_the_initial_identity_without_asking_is_noticed() {
-    let guards = Guards::without(Guard::FirstStart);
-    assert!(first_start::loses_a_change(guards));
-    assert!(!first_start::loses_a_change(Guards::default()));
-    let found = first_violation(Guard::FirstStart, &Plan::misled(3).losing(45));
+    let guards = Guards::without(Guard::BootstrapCheck);
+    assert!(bootstrap::loses_a_change(guards));
+    assert!(!bootstrap::loses_a_change(Guards::default()));
+    let found = first_violation(Guard::BootstrapCheck, &Plan::misled(3).losing(45));
     println!("{found:?}");
     assert!(found.is_some());
 }
--- a/crates/register/tests/orders.rs
+++ b/crates/register/tests/orders.rs
@@ -40,7 +40,12 @@
 ];
 
 fn start(seed: u64, members: usize) -> World {
-    let mut world = World::new(seed, members, SPARES, Settings::bearing(members / 2));
+    let mut world = World::new(
+        seed,
+        members,
+        SPARES,
+        Settings::with_fault_tolerance(members / 2),
+    );
     world.run(Duration::from_millis(500));
     world
 }
@@ -90,7 +95,7 @@
         let id = world.submit(host, Some(change), LIMIT);
         world.run(LIMIT);
         answers.push(match world.outcomes.get(&id) {
-            Some(Outcome::Kept(_)) => true,
+            Some(Outcome::Unchanged(_)) => true,
             Some(Outcome::Rejected { .. }) => false,
             other => panic!("{change:?} at {host}: {other:?}"),
         });
@@ -250,7 +255,7 @@
     world.run(LIMIT);
     assert!(matches!(
         world.outcomes.get(&open),
-        Some(Outcome::Kept(_) | Outcome::Written(_))
+        Some(Outcome::Unchanged(_) | Outcome::Written(_))
     ));
     world.cuts.clear();
     world.run(Duration::from_secs(3));
--- a/crates/register/tests/contact.rs
+++ b/crates/register/tests/quorum_lease.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ironmast_register::message::{Body, Echo};
+use ironmast_register::message::{HeartbeatResponse, MessageBody};
 use ironmast_register::{Ballot, Identity, Message, Settings};
 
 use support::value::Change;
@@ -16,12 +16,17 @@
 const LIMIT: Duration = Duration::from_secs(4);
 
 fn bound() -> Duration {
-    Settings::default().contact
+    Settings::default().quorum_lease
 }
 
 /// A settled register of that many members.
 fn world(seed: u64, members: usize, spares: usize) -> World {
-    let mut world = World::new(seed, members, spares, Settings::bearing(members / 2));
+    let mut world = World::new(
+        seed,
+        members,
+        spares,
+        Settings::with_fault_tolerance(members / 2),
+    );
     world.run(Duration::from_millis(500));
     world.submit(0, Some(Change::Mark { mark: 1 }), LIMIT);
     world.run(Duration::from_secs(2));
@@ -32,7 +37,7 @@
     world.hosts[host]
         .node
         .as_ref()
-        .is_some_and(|node| node.is_in_contact(world.now))
+        .is_some_and(|node| node.has_quorum_lease(world.now))
 }
 
 /// Cuts all messages from any of `from` to any of `to`.
@@ -174,7 +179,7 @@
 }
 
 /// Bytes of a message of the register as it is sent.
-fn bytes_of(body: Body<String>) -> usize {
+fn bytes_of(body: MessageBody<String>) -> usize {
     let address = SocketAddr::from(([10, 255, 255, 255], 7_000));
     let message = Message {
         sender: Identity(u64::MAX),
@@ -187,22 +192,22 @@
 /// What a member of three sends for contact alone: two questions and two answers in each interval.
 #[test]
 fn the_questions_of_a_member_of_three_cost_less_than_a_kilobyte_a_second() {
-    let number = u64::from(u32::MAX);
+    let id = u64::from(u32::MAX);
     let newest = Ballot {
         counter: 1_000_000,
         identity: Identity(u64::MAX),
     };
-    let question = bytes_of(Body::Question { number });
-    let echo = bytes_of(Body::Echo(Echo {
-        number,
+    let heartbeat = bytes_of(MessageBody::Heartbeat { id });
+    let response = bytes_of(MessageBody::HeartbeatResponse(HeartbeatResponse {
+        id,
         newest,
-        members: u64::MAX,
+        membership_fingerprint: u64::MAX,
     }));
     let interval = bound() / 4;
     let messages_a_second = 2.0 / interval.as_secs_f64();
-    let bytes_a_second = messages_a_second * (question + echo) as f64;
+    let bytes_a_second = messages_a_second * (heartbeat + response) as f64;
     assert!(
         bytes_a_second < 1_000.0,
-        "{question} and {echo} bytes, {bytes_a_second} a second"
+        "{heartbeat} and {response} bytes, {bytes_a_second} a second"
     );
 }
--- a/crates/register/tests/restart.rs
+++ b/crates/register/tests/restart.rs
@@ -55,7 +55,7 @@
 
 #[test]
 fn what_others_tell_passed_on_unread_is_noticed() {
-    let (alone, _) = told_after_restart(Guards::without(Guard::ReadBeforeTold));
+    let (alone, _) = told_after_restart(Guards::without(Guard::ReadBeforeLearned));
     assert!(alone.contains(&0), "{alone:?}");
 }
 
@@ -117,7 +117,7 @@
     world.start(0);
     world.submit(0, Some(Change::Mark { mark: 1 }), LIMIT);
     // The first read of a life goes before the order, and is given up.
-    world.run(Settings::default().round_limit + Duration::from_millis(100));
+    world.run(Settings::default().round_timeout + Duration::from_millis(100));
     assert!(
         world.hosts[1].disk.is_none() && world.hosts[2].disk.is_none(),
         "the others still have not"
@@ -141,7 +141,7 @@
 
 #[test]
 fn a_vote_right_after_an_early_return_is_noticed() {
-    let guards = Guards::without(Guard::InitialReturn);
+    let guards = Guards::without(Guard::RestartBeforeFirstVote);
     let stuck = (0..40)
         .filter(|&seed| !progresses_after_early_return(seed, guards))
         .count();
@@ -153,7 +153,7 @@
 fn untouched_without_host_2() -> World {
     let mut world = World::new(5, 3, 0, Settings::default());
     world.run(LIMIT);
-    let is_untouched = |record: &Record<Value>| !record.has_voted();
+    let is_untouched = |record: &Record<Value>| !record.has_participated();
     assert!(
         world
             .hosts
@@ -214,7 +214,7 @@
         world.hosts[0]
             .disk
             .as_ref()
-            .is_some_and(|record| !record.has_voted())
+            .is_some_and(|record| !record.has_participated())
     );
     world.start(0);
     world.run(LIMIT);
--- a/crates/register/tests/second_loss.rs
+++ b/crates/register/tests/second_loss.rs
@@ -292,7 +292,7 @@
 #[test]
 fn a_link_that_fails_in_one_direction_changes_no_replica_set() {
     assert_eq!(changes_under_one_way_cuts(Settings::default()), 0);
-    let changes = changes_under_one_way_cuts(without(Guard::LostByMajority));
+    let changes = changes_under_one_way_cuts(without(Guard::UnreachableByMajority));
     println!("{changes} changes without the guard");
     assert!(changes > 4);
 }
@@ -318,5 +318,7 @@
 #[test]
 fn members_that_stood_still_do_not_replace_one_that_was_well() {
     assert!(!replaces_a_member_after_own_pause(Settings::default()));
-    assert!(replaces_a_member_after_own_pause(without(Guard::OwnPause)));
+    assert!(replaces_a_member_after_own_pause(without(
+        Guard::ProcessPause
+    )));
 }
--- a/crates/register/tests/simulation.rs
+++ b/crates/register/tests/simulation.rs
@@ -11,7 +11,11 @@
     let mut total = [0_u64; 8];
     let mut broken = Vec::new();
     for seed in seeds {
-        let report = play(seed, plan.clone(), Settings::bearing(members / 2));
+        let report = play(
+            seed,
+            plan.clone(),
+            Settings::with_fault_tolerance(members / 2),
+        );
         if !report.violations.is_empty() {
             broken.push((seed, report.violations));
         }
--- a/crates/register/tests/support/checks.rs
+++ b/crates/register/tests/support/checks.rs
@@ -87,7 +87,7 @@
                 self.read_count += 1;
                 self.report(request, state);
             }
-            Outcome::Written(state) | Outcome::Kept(state) => {
+            Outcome::Written(state) | Outcome::Unchanged(state) => {
                 self.acknowledged_count += 1;
                 self.report(request, state);
                 if let Some(change) = request.change.filter(|change| change.leaves_a_trace()) {
--- a/crates/register/tests/support/day.rs
+++ b/crates/register/tests/support/day.rs
@@ -194,7 +194,7 @@
             .sent
             .iter()
             .filter_map(|(id, change)| match self.world.outcomes.get(id)? {
-                Outcome::Written(_) | Outcome::Kept(_) => Some((*change, true)),
+                Outcome::Written(_) | Outcome::Unchanged(_) => Some((*change, true)),
                 Outcome::Rejected { .. } => Some((*change, false)),
                 _ => None,
             })
@@ -213,14 +213,15 @@
         self.world.run(LIMIT);
         for (id, host, change, taken) in resent {
             let violation = match (self.world.outcomes.get(&id), taken) {
-                (Some(Outcome::Kept(_)), true) | (Some(Outcome::Rejected { .. }), false) => {
+                (Some(Outcome::Unchanged(_)), true) | (Some(Outcome::Rejected { .. }), false) => {
                     continue;
                 }
-                (Some(Outcome::Written(_) | Outcome::Kept(_) | Outcome::Rejected { .. }), _) => {
-                    Violation::AnsweredOtherwise {
-                        change: change.number(),
-                    }
-                }
+                (
+                    Some(Outcome::Written(_) | Outcome::Unchanged(_) | Outcome::Rejected { .. }),
+                    _,
+                ) => Violation::AnsweredOtherwise {
+                    change: change.number(),
+                },
                 _ => Violation::NoProgress {
                     host,
                     at: self.world.now,
--- a/crates/register/tests/support/mod.rs
+++ b/crates/register/tests/support/mod.rs
@@ -2,9 +2,9 @@
 //! they see.
 #![allow(dead_code)]
 
+pub(crate) mod bootstrap;
 pub(crate) mod checks;
 pub(crate) mod day;
-pub(crate) mod first_start;
 pub(crate) mod random;
 pub(crate) mod redundancy;
 pub(crate) mod value;
--- a/crates/register/tests/support/redundancy.rs
+++ b/crates/register/tests/support/redundancy.rs
@@ -14,7 +14,12 @@
 
 /// A deployment that has taken a change and is calm.
 pub(crate) fn settled(seed: u64, members: usize, spares: usize) -> World {
-    let mut world = World::new(seed, members, spares, Settings::bearing(members / 2));
+    let mut world = World::new(
+        seed,
+        members,
+        spares,
+        Settings::with_fault_tolerance(members / 2),
+    );
     world.run(Duration::from_millis(500));
     world.submit(0, Some(Change::Mark { mark: 1 }), SYNC_TIME);
     world.run(Duration::from_secs(2));
--- a/crates/register/tests/support/value.rs
+++ b/crates/register/tests/support/value.rs
@@ -81,12 +81,12 @@
         match *self {
             Self::Put { base, content } if value.version() == base => next.contents.push(content),
             Self::Put { base, content } if value.content_on(base) == Some(content) => {
-                return Decision::Keep;
+                return Decision::Unchanged;
             }
             Self::Put { .. } => return Decision::Reject("another version".to_owned()),
-            Self::Mark { mark } if value.marks.contains(&mark) => return Decision::Keep,
+            Self::Mark { mark } if value.marks.contains(&mark) => return Decision::Unchanged,
             Self::Mark { mark } => next.marks.push(mark),
-            Self::Turn { closed, .. } if value.is_closed() == closed => return Decision::Keep,
+            Self::Turn { closed, .. } if value.is_closed() == closed => return Decision::Unchanged,
             Self::Turn { number, .. } => next.turns.push(number),
         }
         Decision::Write(next)
--- a/crates/register/tests/support/world.rs
+++ b/crates/register/tests/support/world.rs
@@ -5,10 +5,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ironmast_register::node::Place;
+use ironmast_register::node::NodeLocation;
 use ironmast_register::{
-    Action, Event, Identity, Message, Node, Operation, OperationId, Origin, Outcome, PersistToken,
-    Record, Settings, Write,
+    Action, Event, Identity, Message, Node, Operation, OperationId, Outcome, PersistToken, Record,
+    RecordSource, Settings, Write,
 };
 
 use super::checks::{Checks, Request, Violation};
@@ -154,7 +154,7 @@
         if self.hosts[host].disk.is_some() {
             self.start(host)
         } else {
-            let origin = Origin::Bootstrap {
+            let origin = RecordSource::Bootstrap {
                 members: self.seeds.clone(),
                 value: Value::default(),
             };
@@ -166,8 +166,8 @@
     /// Starts a host from its disk; with a new identity if it is empty.
     pub(crate) fn start(&mut self, host: usize) {
         let origin = match self.hosts[host].disk.clone() {
-            Some(record) => Origin::Disk(record),
-            None => Origin::Empty {
+            Some(record) => RecordSource::Durable(record),
+            None => RecordSource::Empty {
                 identity: Identity(self.random.next()),
             },
         };
@@ -175,10 +175,10 @@
         self.tell_peers();
     }
 
-    fn start_from(&mut self, host: usize, origin: Origin<Value>) {
+    fn start_from(&mut self, host: usize, origin: RecordSource<Value>) {
         let seed = self.random.next();
         let settings = self.settings.clone();
-        let place = Place {
+        let place = NodeLocation {
             address: self.hosts[host].address,
             zone: self.hosts[host].zone.clone(),
         };
@@ -191,7 +191,7 @@
 
     /// Starts a host that is told of those others only, while nobody is told of it but one host.
     pub(crate) fn start_secluded(&mut self, host: usize, told: &[usize], known_by: usize) {
-        let origin = Origin::Empty {
+        let origin = RecordSource::Empty {
             identity: Identity(self.random.next()),
         };
         self.start_from(host, origin);
@@ -443,7 +443,7 @@
                 self.hosts[host].told.push(state.sequence);
                 self.checks.see(&state);
             }
-            Action::DiskWasLost => {}
+            Action::DiskLost => {}
             Action::Timer(at) => {
                 self.hosts[host].timer = at;
                 self.schedule(at, Happening::Rings { host, life, at });
