--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -460,7 +460,10 @@
         let number = open.attempts.len() as u32;
         // Guards rule 2 whatever the module asks: never more attempts, or together, than is
         // permitted.
-        let gone = open.payload.flow().is_some_and(|flow| !flow.held_whole());
+        let gone = open
+            .payload
+            .flow()
+            .is_some_and(|flow| !flow.is_replayable());
         let over = open.reply.is_none()
             || number >= self.settings.limits.most_tries
             || now >= open.expires
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -13,7 +13,7 @@
 use ironmast_admin::link;
 use ironmast_balancer::{Effect, Micros};
 use ironmast_settings::Setup;
-use ironmast_transport::bodies::{BODY_MOST, Body, HELD_MOST, Held};
+use ironmast_transport::body::{BodyMemory, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, ResponseBody};
 use ironmast_transport::clock::Clock;
 use ironmast_transport::connection::{ClientConnection, ClientLimits};
 use ironmast_transport::listener::Service;
@@ -35,7 +35,7 @@
     header_timeout: PATIENCE,
     idle_timeout: PATIENCE,
     max_header_bytes: usize::MAX,
-    max_body_bytes: BODY_MOST,
+    max_body_bytes: MAX_BODY_BYTES,
 };
 
 /// What all requests share.
@@ -49,7 +49,7 @@
     /// A list of servers is held.
     ready: Rc<Cell<bool>>,
     /// What is held of bodies.
-    held: Held,
+    held: BodyMemory,
     /// Hears which requests are open, where it is about to take over.
     partners: Rc<Partners>,
     /// The requests that wait for an answer, by the client's name for them.
@@ -87,7 +87,7 @@
         clock: Clock,
         queue: Queue,
         ready: Rc<Cell<bool>>,
-        held: Held,
+        held: BodyMemory,
         partners: Rc<Partners>,
     ) -> Rc<Self> {
         let (open, elsewhere) = Default::default();
@@ -192,7 +192,7 @@
         let client_retry = header("X-Resent") == Some(b"1");
         let announced: Option<u64> =
             header(CONTENT_LENGTH.as_str()).and_then(|v| std::str::from_utf8(v).ok()?.parse().ok());
-        if announced.is_some_and(|length| length > BODY_MOST as u64) {
+        if announced.is_some_and(|length| length > MAX_BODY_BYTES as u64) {
             return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 32 MB\n");
         }
         let query = request.uri().query().unwrap_or("");
@@ -207,13 +207,20 @@
         let ticket = self.queue.ticket();
         let (queue, payload) = (self.queue.clone(), request.take_payload());
         let whole = move || queue.say(Message::Whole(ticket));
-        let read = request_body::read(payload, announced, HELD_MOST, &self.held, connection, whole);
+        let read = request_body::read(
+            payload,
+            announced,
+            MAX_BUFFERED_BODY_BYTES,
+            &self.held,
+            connection,
+            whole,
+        );
         let Ok(body) = read.await else {
             return plain(StatusCode::BAD_REQUEST, "the body is incomplete\n");
         };
         let expires = self.clock.now()
             + left
-            + if matches!(body, Sent::Whole(_)) {
+            + if matches!(body, Sent::Buffered(_)) {
                 0
             } else {
                 FLOWS_MOST
@@ -273,7 +280,7 @@
         }
         let (reply, answer) = oneshot::channel();
         let flow = payload.flow().cloned();
-        active.set_whole(flow.is_none());
+        active.set_fully_received(flow.is_none());
         let arrival = Arrival {
             ticket,
             class,
@@ -292,7 +299,7 @@
         };
         let broken = async {
             match &flow {
-                Some(flow) => flow.broken().await,
+                Some(flow) => flow.aborted().await,
                 None => std::future::pending().await,
             }
         };
@@ -308,10 +315,10 @@
         };
         waiting.answered = true;
         match answer {
-            Ok(Answer::Served(Body::Whole(body))) => {
+            Ok(Answer::Served(ResponseBody::Buffered(body))) => {
                 Response::with_body(StatusCode::OK, body).map_into_boxed_body()
             }
-            Ok(Answer::Served(Body::Flowing(body))) => {
+            Ok(Answer::Served(ResponseBody::Streamed(body))) => {
                 let length = body.length;
                 // The connection is busy for as long as the answer flows.
                 let body = body.inspect(move |_| _ = &active);
--- a/crates/client-proxy/src/message.rs
+++ b/crates/client-proxy/src/message.rs
@@ -9,7 +9,7 @@
 use ironmast_admin::call::{Call, Reply};
 use ironmast_admin::listing::News;
 use ironmast_balancer::{ClassId, LoadReport, Micros, Outcome, RequestId, ServerId, TenantId};
-use ironmast_transport::bodies::{Body, Inflow};
+use ironmast_transport::body::{ResponseBody, StreamedRequestBody};
 pub(crate) use ironmast_transport::request_body::RequestBody as Sent;
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
@@ -36,10 +36,10 @@
 
 impl Payload {
     /// The body's flow, where it is not held whole from the start.
-    pub(crate) fn flow(&self) -> Option<&Rc<Inflow>> {
+    pub(crate) fn flow(&self) -> Option<&Rc<StreamedRequestBody>> {
         match &self.body {
-            Sent::Flowing(flow) => Some(flow),
-            Sent::Whole(_) => None,
+            Sent::Streamed(flow) => Some(flow),
+            Sent::Buffered(_) => None,
         }
     }
 }
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub(crate) enum Answer {
     /// A pay server's answer, unchanged.
-    Served(Body),
+    Served(ResponseBody),
     /// Refused: trying again is harmless, after a while at best.
     Refused(Option<Micros>),
     /// Failed, with no promise about effects.
@@ -105,7 +105,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The answer's body, where it was served.
-    pub body: Body,
+    pub body: ResponseBody,
     /// The load report, when one came along.
     pub load: Option<LoadReport>,
 }
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -14,11 +14,11 @@
 use ironmast_admin::link;
 use ironmast_admin::replacement::{Action, Event, Replacement};
 use ironmast_balancer::Balancer;
-use ironmast_transport::bodies::Held;
+use ironmast_transport::body::BodyMemory;
 use ironmast_transport::client::client;
 use ironmast_transport::clock::Clock;
 use ironmast_transport::listener::Listener;
-use ironmast_transport::sockets::{self, Budget};
+use ironmast_transport::sockets::{self, DescriptorBudget};
 use serde_json::Value;
 use slog::{Logger, debug, info, warn};
 use tokio::net::{TcpListener, UdpSocket};
@@ -77,7 +77,7 @@
     let listen = listener.local_addr().map_err(|e| e.to_string())?;
 
     let clock = Clock::start();
-    let (client_share, server_share) = Budget::shares(config.sockets, APART);
+    let (client_share, server_share) = DescriptorBudget::split(config.sockets, APART);
     let shares = [client_share.clone(), server_share.clone()];
     let (queue, messages) = Queue::new();
     let (to_driver, urgent) = mpsc::unbounded_channel();
@@ -103,7 +103,7 @@
         keepalive,
         load: setup.load.clone(),
     };
-    let held = Held::new(config.memory_mb);
+    let held = BodyMemory::new(config.memory_mb);
     let upstream = Upstream::new(
         rules,
         clock,
@@ -207,7 +207,7 @@
                 }
                 Action::Descriptors(percent) => {
                     for share in &shares {
-                        share.keep_to(percent).await;
+                        share.set_capacity_percent(percent).await;
                     }
                 }
                 Action::Finish { linger } => {
@@ -325,7 +325,9 @@
             None => None,
         };
         let open_datagrams = || match config.peer_listen {
-            Some(address) => sockets::datagrams(address).map(Some).map_err(at(address)),
+            Some(address) => sockets::bind_datagrams(address)
+                .map(Some)
+                .map_err(at(address)),
             None => Ok(None),
         };
         let Some(Inherited {
--- a/crates/client-proxy/src/upstream.rs
+++ b/crates/client-proxy/src/upstream.rs
@@ -18,11 +18,13 @@
 use ironmast_balancer::{LoadReport, Micros, Outcome, RequestId, ServerId};
 use ironmast_settings::LoadNames;
 use ironmast_transport::attempt::{Admission, AttemptOptions, AttemptState};
-use ironmast_transport::bodies::{Body, HELD_MOST, Held, Outflow};
-use ironmast_transport::checked::CheckedStream;
+use ironmast_transport::body::{
+    BodyMemory, MAX_BUFFERED_BODY_BYTES, ResponseBody, StreamedResponseBody,
+};
 use ironmast_transport::client::client;
 use ironmast_transport::clock::Clock;
-use ironmast_transport::sockets::Budget;
+use ironmast_transport::response_validation::ValidatingStream;
+use ironmast_transport::sockets::DescriptorBudget;
 use slog::{Logger, warn};
 use tokio::sync::{mpsc, oneshot};
 
@@ -58,8 +60,8 @@
     rules: Rules,
     clock: Clock,
     log: Logger,
-    budget: Budget,
-    held: Held,
+    budget: DescriptorBudget,
+    held: BodyMemory,
     queue: Queue,
     clients: Rc<RefCell<Clients>>,
     retired: Retired,
@@ -73,15 +75,15 @@
         rules: Rules,
         clock: Clock,
         log: Logger,
-        budget: Budget,
-        held: Held,
+        budget: DescriptorBudget,
+        held: BodyMemory,
         queue: Queue,
     ) -> Self {
         let clients: Rc<RefCell<Clients>> = Rc::default();
         let idle = Rc::downgrade(&clients);
         // One server's at a time, the longest unused first: guards against opening all of them anew
         // at once.
-        budget.when_scarce(move || {
+        budget.on_pressure(move || {
             let Some(clients) = idle.upgrade() else {
                 return;
             };
@@ -114,7 +116,7 @@
                 Order::Cancel(id, number) => drop(self.out.remove(&(id, number))),
                 Order::Over(id) => {
                     let begun = |&(of, _): &(RequestId, u32), state: &Rc<AttemptState>| {
-                        of != id || state.written() > 0
+                        of != id || state.bytes_written() > 0
                     };
                     self.out.retain(|attempt, out| begun(attempt, &out.1));
                 }
@@ -143,7 +145,7 @@
                 self.budget.clone(),
                 self.rules.connect,
                 idle,
-                CheckedStream::new,
+                ValidatingStream::new,
             );
             clients.insert(server, (address, client, 0));
         }
@@ -160,10 +162,10 @@
         // Guards rule 3: the drain may be heard between the decision and the first byte.
         let admission: Admission = Box::new(move || !retired.borrow().contains_key(&server));
         // Guards rule 2: a connection that comes up late would carry a repeat past its window.
-        let begin_by = attempt.begin_by.map(|by| (self.clock, by));
+        let start_deadline = attempt.begin_by.map(|by| (self.clock, by));
         let options = AttemptOptions {
             admission: Some(admission),
-            begin_by,
+            start_deadline,
             ..AttemptOptions::default()
         };
         let state = AttemptState::new(options);
@@ -183,25 +185,25 @@
             let (outcome, body, load) = tokio::select! {
                 biased;
                 ended = call => ended.unwrap_or_else(|()| {
-                    let outcome = match state.written() {
-                        0 if state.too_late() => Outcome::Moot,
+                    let outcome = match state.bytes_written() {
+                        0 if state.start_timed_out() => Outcome::Moot,
                         // Nothing written proves that it never ran; a part might be the whole.
                         0 => Outcome::ConnectFailed,
-                        _ if state.spoilt().is_some() => Outcome::Spoilt,
+                        _ if state.malformed().is_some() => Outcome::Spoilt,
                         _ => Outcome::Reset,
                     };
                     (outcome, nothing(), None)
                 }),
-                () = state.not_begun() => (Outcome::Moot, nothing(), None),
-                () = state.fallen_silent() => (Outcome::Spoilt, nothing(), None),
+                () = state.start_timeout() => (Outcome::Moot, nothing(), None),
+                () = state.response_stalled() => (Outcome::Spoilt, nothing(), None),
                 _ = cancelled => (Outcome::Cancelled, nothing(), None),
                 () = tokio::time::sleep_until(until) => (Outcome::Timeout, nothing(), None),
             };
             let outcome = match attempt.payload.flow() {
                 // The client's doing.
-                Some(flow) if outcome != Outcome::Ok && flow.is_broken() => Outcome::Cancelled,
+                Some(flow) if outcome != Outcome::Ok && flow.is_aborted() => Outcome::Cancelled,
                 // Its last byte can't have been written.
-                Some(flow) if outcome != Outcome::Cancelled && !flow.is_whole() => {
+                Some(flow) if outcome != Outcome::Cancelled && !flow.is_complete() => {
                     Outcome::ConnectFailed
                 }
                 _ => outcome,
@@ -228,7 +230,7 @@
                     .scope(call)
                     .await
                     .ok()?;
-                let body = answer.body().limit(HELD_MOST).await.ok()?;
+                let body = answer.body().limit(MAX_BUFFERED_BODY_BYTES).await.ok()?;
                 Some((
                     answer.status(),
                     names.report(std::str::from_utf8(&body).unwrap_or("")),
@@ -253,10 +255,10 @@
     }
 }
 
-type End = (Outcome, Body, Option<LoadReport>);
+type End = (Outcome, ResponseBody, Option<LoadReport>);
 
-fn nothing() -> Body {
-    Body::Whole(Bytes::new())
+fn nothing() -> ResponseBody {
+    ResponseBody::Buffered(Bytes::new())
 }
 
 /// Sends the request and reads the whole answer, or the beginning of a long one; an error where
@@ -267,7 +269,7 @@
     state: &AttemptState,
     clock: &Clock,
     names: &LoadNames,
-    held: &Held,
+    held: &BodyMemory,
 ) -> Result<End, ()> {
     let sent = &attempt.payload;
     let url = format!("http://{}{}", attempt.address, sent.target);
@@ -290,8 +292,8 @@
     call = call.insert_header(("X-Remaining", format!("{}u", left.saturating_sub(MARGIN))));
     let sending = match &sent.body {
         _ if sent.safe => call.send(),
-        Sent::Whole(body) => call.send_body(body.clone()),
-        Sent::Flowing(flow) => match flow.length {
+        Sent::Buffered(body) => call.send_body(body.clone()),
+        Sent::Streamed(flow) => match flow.length {
             Some(length) => call.send_body(SizedStream::new(length, Rc::clone(flow).stream())),
             None => call.send_body(BodyStream::new(Rc::clone(flow).stream())),
         },
@@ -308,18 +310,28 @@
         status if status.is_client_error() => Outcome::Rejected,
         _ => Outcome::Error,
     };
-    let body = match state.flows() {
+    let body = match state.is_streamed() {
         true if outcome == Outcome::Ok => {
             let length = answer
                 .headers()
                 .get(CONTENT_LENGTH)
                 .and_then(|v| v.to_str().ok()?.parse().ok());
             let parts = answer.map_err(|e| io::Error::other(e.to_string()));
-            Body::Flowing(Outflow::new(length, Box::pin(parts), held.window().await))
+            ResponseBody::Streamed(StreamedResponseBody::new(
+                length,
+                Box::pin(parts),
+                held.reserve().await,
+            ))
         }
         // Nobody wants it.
         true => nothing(),
-        false => Body::Whole(answer.body().limit(HELD_MOST).await.map_err(|_| ())?),
+        false => ResponseBody::Buffered(
+            answer
+                .body()
+                .limit(MAX_BUFFERED_BODY_BYTES)
+                .await
+                .map_err(|_| ())?,
+        ),
     };
     Ok((outcome, body, load))
 }
--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -91,7 +91,7 @@
     let state = AttemptState::new(AttemptOptions {
         delivery: Delivery::PassThrough,
         admission: Some(admission),
-        begin_by: None,
+        start_deadline: None,
         expected: Some(expected),
         without_body: forward.method == actix_http::Method::HEAD,
     });
@@ -127,9 +127,9 @@
 /// How an attempt ended that got no head.
 fn unsent(error: &SendRequestError, state: &AttemptState) -> Outcome {
     match error {
-        SendRequestError::Connect(_) if state.written() == 0 => Outcome::ConnectFailed,
-        _ if state.written() == 0 => Outcome::NotSent,
-        _ if state.spoilt().is_some() => Outcome::MalformedResponse,
+        SendRequestError::Connect(_) if state.bytes_written() == 0 => Outcome::ConnectFailed,
+        _ if state.bytes_written() == 0 => Outcome::NotSent,
+        _ if state.malformed().is_some() => Outcome::MalformedResponse,
         _ => Outcome::Reset,
     }
 }
@@ -212,7 +212,7 @@
     }
 
     fn broken(&self, _error: &PayloadError) -> Outcome {
-        match self.state.spoilt() {
+        match self.state.malformed() {
             Some(_) => Outcome::MalformedResponse,
             None => Outcome::Reset,
         }
--- a/crates/gate/src/front.rs
+++ b/crates/gate/src/front.rs
@@ -7,7 +7,7 @@
 use actix_http::{ConnectionType, HttpMessage as _, Request, Response, StatusCode};
 use ironmast_routing::Route;
 use ironmast_schema::configuration::ClientLimits as Told;
-use ironmast_transport::bodies::Held;
+use ironmast_transport::body::BodyMemory;
 use ironmast_transport::connection::{ClientConnection, ClientLimits};
 use ironmast_transport::listener::Service;
 use ironmast_transport::request_body::{self, RequestBody, RequestBodyError};
@@ -25,7 +25,7 @@
 /// Answers clients.
 pub(crate) struct Front {
     gate: Rc<Gate>,
-    held: Held,
+    held: BodyMemory,
 }
 
 impl Front {
@@ -33,7 +33,7 @@
     pub(crate) fn new(gate: Rc<Gate>, memory_mb: u64) -> Self {
         Front {
             gate,
-            held: Held::new(memory_mb as usize),
+            held: BodyMemory::new(memory_mb as usize),
         }
     }
 
@@ -42,7 +42,7 @@
         mut request: Request,
         connection: &Rc<ClientConnection>,
     ) -> Response<BoxBody> {
-        let began = connection.request_began().min(self.gate.clock.now());
+        let began = connection.request_started_at().min(self.gate.clock.now());
         let announced = announced(&request);
         let payload = request.take_payload();
         let read = request_body::read(
@@ -54,14 +54,14 @@
             || {},
         );
         let body = match read.await {
-            Ok(RequestBody::Whole(body)) => body,
-            Ok(RequestBody::Flowing(_)) | Err(RequestBodyError::TooLong) => {
+            Ok(RequestBody::Buffered(body)) => body,
+            Ok(RequestBody::Streamed(_)) | Err(RequestBodyError::TooLong) => {
                 return closing(StatusCode::PAYLOAD_TOO_LARGE);
             }
             Err(RequestBodyError::Incomplete) => return closing(StatusCode::BAD_REQUEST),
         };
         let active = connection.request();
-        active.set_whole(true);
+        active.set_fully_received(true);
         if !self.gate.until_configured().await {
             let wait = format!("{:.3}", CONFIGURED_SOON.as_secs_f64());
             return answer::refused(StatusCode::SERVICE_UNAVAILABLE.as_u16(), &wait);
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -30,7 +30,7 @@
 use ironmast_schema::settings::{Settings, SettingsError};
 use ironmast_transport::clock::Clock;
 use ironmast_transport::listener::Listener;
-use ironmast_transport::sockets::{self, Budget};
+use ironmast_transport::sockets::{self, DescriptorBudget};
 use slog::{Logger, info, warn};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
@@ -73,7 +73,7 @@
     let readiness = settings.listeners_map.readiness;
     let mut reload = signal(SignalKind::hangup()).wrap_err("waiting for SIGHUP")?;
     let clock = Clock::start();
-    let (clients, servers) = Budget::shares(settings.limits.max_fds, APART);
+    let (clients, servers) = DescriptorBudget::split(settings.limits.max_fds, APART);
     let decider = Decider::new(
         ironmast_routing::Settings::new(&settings.region, &settings.zone),
         seed(),
@@ -103,7 +103,7 @@
             service,
             clock,
             log.clone(),
-            Budget::new(READINESS_MOST),
+            DescriptorBudget::new(READINESS_MOST),
             bounds,
             serving,
         );
--- a/crates/gate/src/upstream.rs
+++ b/crates/gate/src/upstream.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use awc::Client;
-use ironmast_transport::checked::CheckedStream;
 use ironmast_transport::client::client;
-use ironmast_transport::sockets::Budget;
+use ironmast_transport::response_validation::ValidatingStream;
+use ironmast_transport::sockets::DescriptorBudget;
 
 /// A connection must come up within this.
 const CONNECT: Duration = Duration::from_millis(800);
@@ -17,13 +17,13 @@
 
 /// The connections of a gate.
 pub(crate) struct Upstream {
-    budget: Budget,
+    budget: DescriptorBudget,
     clients: RefCell<BTreeMap<SocketAddr, Client>>,
 }
 
 impl Upstream {
     /// No connections yet.
-    pub(crate) fn new(budget: Budget) -> Self {
+    pub(crate) fn new(budget: DescriptorBudget) -> Self {
         Upstream {
             budget,
             clients: RefCell::default(),
@@ -32,7 +32,7 @@
 
     /// The client of a server.
     pub(crate) fn client(&self, address: SocketAddr) -> Client {
-        let fresh = || client(self.budget.clone(), CONNECT, IDLE, CheckedStream::new);
+        let fresh = || client(self.budget.clone(), CONNECT, IDLE, ValidatingStream::new);
         self.clients
             .borrow_mut()
             .entry(address)
--- a/crates/transport/src/attempt.rs
+++ b/crates/transport/src/attempt.rs
@@ -14,7 +14,7 @@
 
 /// An answer that has begun and is held until it is whole goes on within this: guards against
 /// lengths longer than what comes.
-pub const REST: Duration = Duration::from_millis(100);
+pub const BUFFERED_RESPONSE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
 tokio::task_local! {
     /// The attempt polled at the moment.
@@ -26,7 +26,7 @@
 pub enum Delivery {
     /// A short answer is held until it is whole, a long one flows.
     #[default]
-    WholeIfShort,
+    BufferIfShort,
     /// Head and body are let through as they arrive, checked on the way.
     PassThrough,
 }
@@ -52,7 +52,7 @@
     /// Asked right before the first byte is written.
     pub admission: Option<Admission>,
     /// From when on its first byte is not written any more.
-    pub begin_by: Option<(Clock, Micros)>,
+    pub start_deadline: Option<(Clock, Micros)>,
     /// With [`Delivery::PassThrough`]: answers that do not repeat this header belong to other
     /// requests and are skipped.
     pub expected: Option<ExpectedHeader>,
@@ -89,23 +89,23 @@
     }
 
     /// Bytes of the request written so far. None proves that it has not run and will not.
-    pub fn written(&self) -> usize {
+    pub fn bytes_written(&self) -> usize {
         self.written.get()
     }
 
     /// Why what came is no answer, where it is none.
-    pub fn spoilt(&self) -> Option<&'static str> {
+    pub fn malformed(&self) -> Option<&'static str> {
         self.spoilt.get()
     }
 
     /// Whether the answer is let through before it is whole.
-    pub fn flows(&self) -> bool {
+    pub fn is_streamed(&self) -> bool {
         self.flows.get()
     }
 
     /// Whether the answer ends with its connection: whole by an orderly close, broken off by a
     /// reset.
-    pub fn ends_with_connection(&self) -> bool {
+    pub fn is_close_delimited(&self) -> bool {
         self.to_end.get()
     }
 
@@ -115,20 +115,20 @@
     }
 
     /// Whether it has not begun by the moment from which on it must not.
-    pub fn too_late(&self) -> bool {
+    pub fn start_timed_out(&self) -> bool {
         self.written.get() == 0
             && self
                 .options
-                .begin_by
+                .start_deadline
                 .is_some_and(|(clock, by)| clock.now() >= by)
     }
 
     /// Returns if the attempt has not begun by the moment from which on it must not: its client is
     /// told at once.
-    pub async fn not_begun(&self) {
-        if let Some((clock, by)) = self.options.begin_by {
+    pub async fn start_timeout(&self) {
+        if let Some((clock, by)) = self.options.start_deadline {
             tokio::time::sleep_until(clock.at(by).into()).await;
-            if self.too_late() {
+            if self.start_timed_out() {
                 return;
             }
         }
@@ -137,9 +137,9 @@
 
     /// Returns once an answer that had begun has stopped short; until then, and once it flows,
     /// never.
-    pub async fn fallen_silent(&self) {
+    pub async fn response_stalled(&self) {
         self.progress.notified().await;
-        while tokio::time::timeout(REST, self.progress.notified())
+        while tokio::time::timeout(BUFFERED_RESPONSE_IDLE_TIMEOUT, self.progress.notified())
             .await
             .is_ok()
         {}
@@ -170,7 +170,7 @@
         self.flows.set(true);
     }
 
-    pub(crate) fn note_ends_with_connection(&self) {
+    pub(crate) fn record_close_delimited(&self) {
         self.to_end.set(true);
     }
 
@@ -189,7 +189,8 @@
             return Some("it takes nothing new");
         }
         // Guards windows: a connection that comes up late would carry a repeat past its own.
-        self.too_late().then_some("the window of its class is over")
+        self.start_timed_out()
+            .then_some("the window of its class is over")
     }
 }
 
--- a/crates/transport/src/attempt/tests.rs
+++ b/crates/transport/src/attempt/tests.rs
@@ -9,7 +9,7 @@
     let clock = Clock::start();
     let attempt = |by| {
         AttemptState::new(AttemptOptions {
-            begin_by: Some((clock, by)),
+            start_deadline: Some((clock, by)),
             ..AttemptOptions::default()
         })
     };
--- a/crates/transport/src/bodies.rs
+++ b/crates/transport/src/body.rs
@@ -17,9 +17,9 @@
 use crate::clock::{Clock, Micros};
 
 /// A body of up to this many bytes is held whole: it can be checked and sent again.
-pub const HELD_MOST: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// A body holds no more than this many bytes: 32 MB by whatever count, and room for framing.
-pub const BODY_MOST: usize = 36 << 20;
+pub const MAX_BODY_BYTES: usize = 36 << 20;
 /// What a body that flows may hold at one time, in the libraries' buffers and ours.
 const WINDOW: usize = 256 * 1024;
 /// Of the memory a proxy may have, the part that bodies may hold: one in so many.
@@ -35,18 +35,18 @@
 /// Bytes that bodies which flow may hold, over all connections. The one owner of that sum. Bodies
 /// that are held whole are not counted: the number of connections bounds them.
 #[derive(Clone)]
-pub struct Held {
+pub struct BodyMemory {
     most: usize,
     now: Rc<Cell<usize>>,
     returned: Rc<Notify>,
 }
 
-impl Held {
+impl BodyMemory {
     /// What a proxy with so many MB may hold.
     #[must_use]
     pub fn new(memory_mb: usize) -> Self {
         let most = ((memory_mb << 20) / PART).max(WINDOW);
-        Held {
+        BodyMemory {
             most,
             now: Rc::default(),
             returned: Rc::default(),
@@ -54,21 +54,21 @@
     }
 
     /// Waits until there is room for the window of one more body that flows, and counts it.
-    pub async fn window(&self) -> Hold {
+    pub async fn reserve(&self) -> BodyMemoryPermit {
         while self.now.get() + WINDOW > self.most {
             self.returned.notified().await;
         }
         self.now.set(self.now.get() + WINDOW);
         // Whoever waits next looks for itself.
         self.returned.notify_one();
-        Hold(self.clone())
+        BodyMemoryPermit(self.clone())
     }
 }
 
 /// One window, given back on drop and nowhere else.
-pub struct Hold(Held);
+pub struct BodyMemoryPermit(BodyMemory);
 
-impl Drop for Hold {
+impl Drop for BodyMemoryPermit {
     fn drop(&mut self) {
         self.0.now.set(self.0.now.get() - WINDOW);
         self.0.returned.notify_one();
@@ -78,7 +78,7 @@
 /// How long a client may still take over a request's body, told what comes and when it is waited
 /// for.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct MinRateTimer {
     /// Whatever the pace, it has until then: a short request may be written slowly.
     first: Micros,
     received: u64,
@@ -86,12 +86,12 @@
     since: Option<Micros>,
 }
 
-impl Pace {
+impl MinRateTimer {
     /// For a request whose first byte came at `begun` and whose head is whole; it has `patience`
     /// whatever its pace.
     #[must_use]
     pub fn new(begun: Micros, patience: Micros) -> Self {
-        Pace {
+        MinRateTimer {
             first: begun + patience,
             received: 0,
             waited: 0,
@@ -123,23 +123,23 @@
 }
 
 /// What arrives of a body; an error where it breaks off.
-pub type Parts = Pin<Box<dyn Stream<Item = Result<Bytes, io::Error>>>>;
+pub type BodyChunks = Pin<Box<dyn Stream<Item = Result<Bytes, io::Error>>>>;
 
 /// The parts of a request's body, each wait for them told to its client's pace.
-pub struct Paced {
-    parts: Parts,
+pub struct MinRateStream {
+    parts: BodyChunks,
     clock: Clock,
-    pace: Rc<Cell<Pace>>,
+    pace: Rc<Cell<MinRateTimer>>,
 }
 
-impl Paced {
+impl MinRateStream {
     /// The same parts, watched.
-    pub fn new(parts: Parts, clock: Clock, pace: Rc<Cell<Pace>>) -> Self {
-        Paced { parts, clock, pace }
+    pub fn new(parts: BodyChunks, clock: Clock, pace: Rc<Cell<MinRateTimer>>) -> Self {
+        MinRateStream { parts, clock, pace }
     }
 }
 
-impl Stream for Paced {
+impl Stream for MinRateStream {
     type Item = Result<Bytes, io::Error>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
@@ -159,11 +159,11 @@
 }
 
 /// The body of a request that flows from its client to a server.
-pub struct Inflow {
+pub struct StreamedRequestBody {
     /// Its length, where the client told it.
     pub length: Option<u64>,
     first: RefCell<Bytes>,
-    rest: RefCell<Parts>,
+    rest: RefCell<BodyChunks>,
     /// Bytes that have come, the first part included.
     come: Cell<u64>,
     /// Some of the rest has been drawn: it can't be sent again.
@@ -174,31 +174,31 @@
     broke: Notify,
     /// Told once, when the last byte has been drawn.
     whole: RefCell<Option<Box<dyn FnOnce()>>>,
-    _hold: Hold,
+    _hold: BodyMemoryPermit,
 }
 
-impl fmt::Debug for Inflow {
+impl fmt::Debug for StreamedRequestBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Inflow")
+        f.debug_struct("StreamedRequestBody")
             .field("length", &self.length)
             .field("drawn", &self.drawn)
             .finish_non_exhaustive()
     }
 }
 
-impl Inflow {
+impl StreamedRequestBody {
     /// A body of which `first` has come; `whole` is called when its last byte has been drawn.
     pub fn new(
-        (first, rest): (Bytes, Parts),
+        (first, rest): (Bytes, BodyChunks),
         length: Option<u64>,
-        hold: Hold,
+        hold: BodyMemoryPermit,
         whole: impl FnOnce() + 'static,
     ) -> Self {
         let (drawn, ended, broken, broke) = Default::default();
         let come = Cell::new(first.len() as u64);
         let (first, rest) = (RefCell::new(first), RefCell::new(rest));
         let whole = RefCell::new(Some(Box::new(whole) as Box<dyn FnOnce()>));
-        Inflow {
+        StreamedRequestBody {
             length,
             first,
             rest,
@@ -213,22 +213,22 @@
     }
 
     /// Whether it is still held whole, so that another attempt may have it.
-    pub fn held_whole(&self) -> bool {
+    pub fn is_replayable(&self) -> bool {
         !self.drawn.get()
     }
 
     /// Whether its last byte has been drawn. Until then no attempt can have run.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.ended.get()
     }
 
     /// Whether the client broke off.
-    pub fn is_broken(&self) -> bool {
+    pub fn is_aborted(&self) -> bool {
         self.broken.get()
     }
 
     /// Waits until the client breaks off.
-    pub async fn broken(&self) {
+    pub async fn aborted(&self) {
         while !self.broken.get() {
             self.broke.notified().await;
         }
@@ -269,7 +269,7 @@
 
 struct Drawing {
     first: Option<Bytes>,
-    of: Rc<Inflow>,
+    of: Rc<StreamedRequestBody>,
 }
 
 impl Stream for Drawing {
@@ -284,20 +284,20 @@
 }
 
 /// The body of an answer that flows from a server to its client.
-pub struct Outflow {
+pub struct StreamedResponseBody {
     /// Its length, where the server told it.
     pub length: Option<u64>,
-    parts: Parts,
+    parts: BodyChunks,
     silence: Pin<Box<Sleep>>,
     waits: bool,
-    _hold: Hold,
+    _hold: BodyMemoryPermit,
 }
 
-impl Outflow {
+impl StreamedResponseBody {
     /// What comes of an answer that has begun.
     #[must_use]
-    pub fn new(length: Option<u64>, parts: Parts, hold: Hold) -> Self {
-        Outflow {
+    pub fn new(length: Option<u64>, parts: BodyChunks, hold: BodyMemoryPermit) -> Self {
+        StreamedResponseBody {
             length,
             parts,
             silence: Box::pin(sleep(BROKEN_OFF)),
@@ -307,15 +307,15 @@
     }
 }
 
-impl fmt::Debug for Outflow {
+impl fmt::Debug for StreamedResponseBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Outflow")
+        f.debug_struct("StreamedResponseBody")
             .field("length", &self.length)
             .finish_non_exhaustive()
     }
 }
 
-impl Stream for Outflow {
+impl Stream for StreamedResponseBody {
     type Item = Result<Bytes, io::Error>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
@@ -338,11 +338,11 @@
 
 /// The body of an answer.
 #[derive(Debug)]
-pub enum Body {
+pub enum ResponseBody {
     /// Held whole.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// On its way.
-    Flowing(Outflow),
+    Streamed(StreamedResponseBody),
 }
 
 #[cfg(test)]
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -11,13 +11,13 @@
 use awc::{Client, Connector};
 
 use crate::attempt::AttemptObserver;
-use crate::sockets::{Budget, ObservedStream};
+use crate::sockets::{DescriptorBudget, ObservedStream};
 
 /// An HTTP client without a will of its own: no time-out, redirect, extra header or cap; a
 /// connection must come up within `connect` and is not used again after `idle`. `wrap` decides what
 /// its streams let through. Its connections are closed when it is dropped.
 pub fn client<Io: ActixStream + std::fmt::Debug + 'static>(
-    budget: Budget,
+    budget: DescriptorBudget,
     connect: Duration,
     idle: Duration,
     wrap: fn(ObservedStream<AttemptObserver>) -> Io,
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::Notify;
 
-use crate::bodies::Pace;
+use crate::body::MinRateTimer;
 use crate::clock::{Clock, Micros};
 use crate::read_ahead::ReadAhead;
 use crate::sockets::StreamObserver;
@@ -55,7 +55,7 @@
     /// then.
     since: Cell<Micros>,
     /// How its client keeps up with the body at hand.
-    pace: Rc<Cell<Pace>>,
+    pace: Rc<Cell<MinRateTimer>>,
     close: Notify,
     clock: Clock,
     limits: Rc<Cell<ClientLimits>>,
@@ -69,7 +69,7 @@
         let (moved, close) = Default::default();
         let since = Cell::new(clock.now());
         let ahead = ReadAhead::new();
-        let pace = Rc::new(Cell::new(Pace::new(0, 0)));
+        let pace = Rc::new(Cell::new(MinRateTimer::new(0, 0)));
         Rc::new(ClientConnection {
             asked,
             left,
@@ -97,7 +97,7 @@
     }
 
     /// When the request at hand began: its first byte came then.
-    pub fn request_began(&self) -> Micros {
+    pub fn request_started_at(&self) -> Micros {
         self.since.get()
     }
 
@@ -112,9 +112,11 @@
     }
 
     /// The pace of the body at hand, which begins to count.
-    pub(crate) fn begin_body(&self) -> Rc<Cell<Pace>> {
-        self.pace
-            .set(Pace::new(self.since.get(), self.limits().header_timeout));
+    pub(crate) fn begin_body(&self) -> Rc<Cell<MinRateTimer>> {
+        self.pace.set(MinRateTimer::new(
+            self.since.get(),
+            self.limits().header_timeout,
+        ));
         Rc::clone(&self.pace)
     }
 
@@ -143,7 +145,7 @@
     }
 
     /// Whether its client has left.
-    pub(crate) fn has_left(&self) -> bool {
+    pub(crate) fn is_disconnected(&self) -> bool {
         self.left.get()
     }
 
@@ -158,7 +160,7 @@
     }
 
     /// Whether what comes now belongs to no open request.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_request_complete(&self) -> bool {
         self.whole.get()
     }
 
@@ -270,7 +272,7 @@
 impl ActiveRequest {
     /// Says whether the request has come to its last byte: what the client sends then and nobody
     /// reads is thrown away, and the connection is not used again.
-    pub fn set_whole(&self, whole: bool) {
+    pub fn set_fully_received(&self, whole: bool) {
         self.0.whole.set(whole);
     }
 }
--- a/crates/transport/src/frames.rs
+++ b/crates/transport/src/frames.rs
@@ -22,9 +22,9 @@
 pub use hello::{Hello, HelloError};
 pub use memory::{MemoryNetwork, MemoryTransport};
 pub use message_transport::{
-    LinkCause, LinkError, LinkEvent, LinkId, LinkStep, MessageTransport, SendError, Sent,
+    LinkError, LinkErrorKind, LinkEvent, LinkId, LinkPhase, MessageTransport, SendError, Sent,
 };
-pub use queue::{Overflow, QueueLimits};
+pub use queue::{OverflowPolicy, QueueLimits};
 pub use tcp::TcpTransport;
 
 /// Bounds of a transport's links.
@@ -69,7 +69,7 @@
     Malformed(postcard::Error),
     /// The connection ended within it.
     #[error("the connection ended within a frame")]
-    Cut,
+    Truncated,
 }
 
 /// The frame of a message, without its length.
--- a/crates/transport/src/frames/codec.rs
+++ b/crates/transport/src/frames/codec.rs
@@ -6,7 +6,7 @@
 use bytes::{Buf as _, BufMut as _, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
 
-use super::{FrameError, LinkCause};
+use super::{FrameError, LinkErrorKind};
 
 /// Bytes of a length.
 const LENGTH: usize = 4;
@@ -20,9 +20,9 @@
 
 impl Decoder for FrameCodec {
     type Item = BytesMut;
-    type Error = LinkCause;
+    type Error = LinkErrorKind;
 
-    fn decode(&mut self, bytes: &mut BytesMut) -> Result<Option<BytesMut>, LinkCause> {
+    fn decode(&mut self, bytes: &mut BytesMut) -> Result<Option<BytesMut>, LinkErrorKind> {
         let Some(&length) = bytes.first_chunk::<LENGTH>() else {
             return Ok(None);
         };
@@ -39,18 +39,18 @@
         Ok(Some(bytes.split_to(length)))
     }
 
-    fn decode_eof(&mut self, bytes: &mut BytesMut) -> Result<Option<BytesMut>, LinkCause> {
+    fn decode_eof(&mut self, bytes: &mut BytesMut) -> Result<Option<BytesMut>, LinkErrorKind> {
         match self.decode(bytes)? {
-            None if !bytes.is_empty() => Err(FrameError::Cut.into()),
+            None if !bytes.is_empty() => Err(FrameError::Truncated.into()),
             frame => Ok(frame),
         }
     }
 }
 
 impl Encoder<Vec<u8>> for FrameCodec {
-    type Error = LinkCause;
+    type Error = LinkErrorKind;
 
-    fn encode(&mut self, frame: Vec<u8>, bytes: &mut BytesMut) -> Result<(), LinkCause> {
+    fn encode(&mut self, frame: Vec<u8>, bytes: &mut BytesMut) -> Result<(), LinkErrorKind> {
         let length = u32::try_from(frame.len())
             .ok()
             .filter(|_| frame.len() <= self.most);
--- a/crates/transport/src/frames/memory.rs
+++ b/crates/transport/src/frames/memory.rs
@@ -16,7 +16,7 @@
 
 use self::state::{End, Link, Node, State, Waiting};
 use super::{
-    Hello, LinkCause, LinkError, LinkEvent, LinkId, LinkOptions, LinkStep, MessageTransport,
+    Hello, LinkError, LinkErrorKind, LinkEvent, LinkId, LinkOptions, LinkPhase, MessageTransport,
     SendError, Sent, decode, encode,
 };
 
@@ -142,7 +142,7 @@
                 Err(error) => {
                     state.forget(self.at, link);
                     let error = LinkError {
-                        step: LinkStep::Read,
+                        step: LinkPhase::Read,
                         peer,
                         cause: error.into(),
                     };
@@ -180,7 +180,7 @@
         state.greet(at, 0, &hello);
         if !reachable && !state.cut.contains_key(&(self.at, peer)) {
             let refused = std::io::ErrorKind::ConnectionRefused.into();
-            state.down(at, 0, LinkStep::Connect, LinkCause::Io(refused));
+            state.down(at, 0, LinkPhase::Connect, LinkErrorKind::Io(refused));
             state.links.remove(at);
         }
         state.settle();
--- a/crates/transport/src/frames/memory/state.rs
+++ b/crates/transport/src/frames/memory/state.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Notify;
 
 use crate::frames::queue::{OutgoingQueue, QueueLimits};
-use crate::frames::{FrameError, Hello, LinkCause, LinkError, LinkId, LinkOptions, LinkStep};
+use crate::frames::{FrameError, Hello, LinkError, LinkErrorKind, LinkId, LinkOptions, LinkPhase};
 
 /// What travels on a link, from one end to the other.
 #[derive(Debug)]
@@ -163,17 +163,17 @@
             }
             for end in 0..2 {
                 let step = if self.links[at].ends.iter().all(|end| end.greeted) {
-                    LinkStep::Read
+                    LinkPhase::Read
                 } else {
-                    LinkStep::Connect
+                    LinkPhase::Connect
                 };
-                self.down(at, end, step, LinkCause::TimedOut);
+                self.down(at, end, step, LinkErrorKind::TimedOut);
             }
         }
     }
 
     /// Ends a link for one of its ends.
-    pub(super) fn down(&mut self, at: usize, end: usize, step: LinkStep, cause: LinkCause) {
+    pub(super) fn down(&mut self, at: usize, end: usize, step: LinkPhase, cause: LinkErrorKind) {
         let link = &mut self.links[at];
         if std::mem::replace(&mut link.ends[end].deaf, true) || !link.ends[end].knows {
             return;
@@ -196,7 +196,7 @@
             for end in 0..2 {
                 self.links[at].ends[end].on_the_way.clear();
                 let reset = std::io::ErrorKind::ConnectionReset.into();
-                self.down(at, end, LinkStep::Read, LinkCause::Io(reset));
+                self.down(at, end, LinkPhase::Read, LinkErrorKind::Io(reset));
             }
         }
         self.links
@@ -285,7 +285,7 @@
                         );
                     }
                     Err(error) => {
-                        self.down(at, to, LinkStep::Greet, error.into());
+                        self.down(at, to, LinkPhase::Greet, error.into());
                         self.close(at, to);
                     }
                 }
@@ -295,7 +295,7 @@
                     .node(address)
                     .map_or(0, |node| node.options.max_frame_bytes);
                 if frame.len() > most {
-                    self.down(at, to, LinkStep::Read, FrameError::TooLong { most }.into());
+                    self.down(at, to, LinkPhase::Read, FrameError::TooLong { most }.into());
                     return self.close(at, to);
                 }
                 self.tell(
@@ -310,11 +310,11 @@
             Packet::Close => {
                 let greeted = self.links[at].ends[from].greeted;
                 let step = if greeted {
-                    LinkStep::Read
+                    LinkPhase::Read
                 } else {
-                    LinkStep::Greet
+                    LinkPhase::Greet
                 };
-                self.down(at, to, step, LinkCause::Closed);
+                self.down(at, to, step, LinkErrorKind::Closed);
                 self.close(at, to);
             }
         }
--- a/crates/transport/src/frames/message_transport.rs
+++ b/crates/transport/src/frames/message_transport.rs
@@ -44,7 +44,7 @@
 
 /// A step in the life of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkStep {
+pub enum LinkPhase {
     /// Opening its connection.
     Connect,
     /// Exchanging greetings.
@@ -55,13 +55,13 @@
     Write,
 }
 
-impl fmt::Display for LinkStep {
+impl fmt::Display for LinkPhase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            LinkStep::Connect => "connecting to",
-            LinkStep::Greet => "greeting",
-            LinkStep::Read => "reading from",
-            LinkStep::Write => "writing to",
+            LinkPhase::Connect => "connecting to",
+            LinkPhase::Greet => "greeting",
+            LinkPhase::Read => "reading from",
+            LinkPhase::Write => "writing to",
         })
     }
 }
@@ -71,16 +71,16 @@
 #[error("{step} {peer}: {cause}")]
 pub struct LinkError {
     /// At which step.
-    pub step: LinkStep,
+    pub step: LinkPhase,
     /// Of which peer.
     pub peer: SocketAddr,
     /// What happened.
-    pub cause: LinkCause,
+    pub cause: LinkErrorKind,
 }
 
 /// What ends a link.
 #[derive(Debug, thiserror::Error)]
-pub enum LinkCause {
+pub enum LinkErrorKind {
     /// The other side has closed it between two messages.
     #[error("the peer has closed the connection")]
     Closed,
@@ -98,11 +98,11 @@
     Io(io::Error),
 }
 
-impl From<io::Error> for LinkCause {
+impl From<io::Error> for LinkErrorKind {
     fn from(error: io::Error) -> Self {
         match error.kind() {
-            io::ErrorKind::TimedOut => LinkCause::TimedOut,
-            _ => LinkCause::Io(error),
+            io::ErrorKind::TimedOut => LinkErrorKind::TimedOut,
+            _ => LinkErrorKind::Io(error),
         }
     }
 }
--- a/crates/transport/src/frames/queue.rs
+++ b/crates/transport/src/frames/queue.rs
@@ -4,10 +4,10 @@
 
 /// What happens to a message for which there is no room.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Overflow {
+pub enum OverflowPolicy {
     /// It is not taken, and its sender is told.
     #[default]
-    RefuseNewest,
+    RejectNewest,
     /// Those that have waited longest are dropped for it, and its sender is told how many.
     DropOldest,
 }
@@ -20,7 +20,7 @@
     /// So many bytes; one message may wait whatever its length.
     pub bytes: usize,
     /// What happens beyond.
-    pub overflow: Overflow,
+    pub overflow: OverflowPolicy,
 }
 
 impl Default for QueueLimits {
@@ -28,7 +28,7 @@
         QueueLimits {
             frames: 4_096,
             bytes: 32 << 20,
-            overflow: Overflow::RefuseNewest,
+            overflow: OverflowPolicy::RejectNewest,
         }
     }
 }
@@ -58,7 +58,7 @@
     pub(super) fn push(&mut self, frame: Vec<u8>) -> Result<usize, Full> {
         let mut dropped = 0;
         while !self.has_room(frame.len()) {
-            if self.limits.overflow == Overflow::RefuseNewest {
+            if self.limits.overflow == OverflowPolicy::RejectNewest {
                 return Err(Full);
             }
             let Some(oldest) = self.frames.pop_front() else {
--- a/crates/transport/src/frames/queue/tests.rs
+++ b/crates/transport/src/frames/queue/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn queue(overflow: Overflow) -> OutgoingQueue {
+fn queue(overflow: OverflowPolicy) -> OutgoingQueue {
     OutgoingQueue::new(QueueLimits {
         frames: 3,
         bytes: 10,
@@ -16,7 +16,7 @@
 
 #[test]
 fn what_has_no_room_is_refused_and_the_rest_keeps_its_order() {
-    let mut queue = queue(Overflow::RefuseNewest);
+    let mut queue = queue(OverflowPolicy::RejectNewest);
     for n in 0..3 {
         assert_eq!(queue.push(vec![n]), Ok(0));
     }
@@ -29,7 +29,7 @@
 
 #[test]
 fn the_oldest_give_way_where_the_newest_counts_most() {
-    let mut queue = queue(Overflow::DropOldest);
+    let mut queue = queue(OverflowPolicy::DropOldest);
     for n in 0..5 {
         assert_eq!(queue.push(vec![n]), Ok(usize::from(n >= 3)));
     }
@@ -39,12 +39,12 @@
 
 #[test]
 fn one_message_may_wait_whatever_its_length() {
-    for overflow in [Overflow::RefuseNewest, Overflow::DropOldest] {
+    for overflow in [OverflowPolicy::RejectNewest, OverflowPolicy::DropOldest] {
         let mut queue = queue(overflow);
         assert_eq!(queue.push(vec![0; 50]), Ok(0));
         assert_eq!(
             queue.push(vec![1]).is_ok(),
-            overflow == Overflow::DropOldest
+            overflow == OverflowPolicy::DropOldest
         );
         assert!(queue.pop().is_some());
         assert_eq!((queue.pop(), queue.bytes), (None, 0));
--- a/crates/transport/src/frames/tcp.rs
+++ b/crates/transport/src/frames/tcp.rs
@@ -23,7 +23,7 @@
 use super::hello::HELLO_MOST;
 use super::queue::OutgoingQueue;
 use super::{
-    Hello, LinkCause, LinkError, LinkEvent, LinkId, LinkOptions, LinkStep, MessageTransport,
+    Hello, LinkError, LinkErrorKind, LinkEvent, LinkId, LinkOptions, LinkPhase, MessageTransport,
     SendError, Sent, decode, encode,
 };
 use crate::sockets;
@@ -56,7 +56,7 @@
     }
 
     /// The next frame to write; none once the link is to be closed.
-    async fn next(&self, writer: &mut Writer) -> Result<Option<Vec<u8>>, LinkCause> {
+    async fn next(&self, writer: &mut Writer) -> Result<Option<Vec<u8>>, LinkErrorKind> {
         loop {
             match self.with(|frames, closing| (frames.pop(), *closing)) {
                 (Some(frame), _) => return Ok(Some(frame)),
@@ -230,10 +230,10 @@
     let cause = match timeout(context.options.connect_timeout, TcpStream::connect(peer)).await {
         Ok(Ok(stream)) => return run(link, peer, stream, true, shared, context).await,
         Ok(Err(error)) => error.into(),
-        Err(_) => LinkCause::TimedOut,
+        Err(_) => LinkErrorKind::TimedOut,
     };
     let error = LinkError {
-        step: LinkStep::Connect,
+        step: LinkPhase::Connect,
         peer,
         cause,
     };
@@ -251,7 +251,7 @@
 ) {
     let failed = |step| move |cause| LinkError { step, peer, cause };
     // What fails here is found on reading.
-    let _ = sockets::watch_peer(&stream, context.options.silence_timeout);
+    let _ = sockets::set_peer_timeout(&stream, context.options.silence_timeout);
     let (reads, writes) = stream.into_split();
     let mut reader = FramedRead::new(reads, FrameCodec { most: HELLO_MOST });
     let mut writer = FramedWrite::new(
@@ -265,10 +265,10 @@
         greet(&mut reader, &mut writer, &context.hello),
     )
     .await;
-    let hello = match greeted.unwrap_or(Err(LinkCause::TimedOut)) {
+    let hello = match greeted.unwrap_or(Err(LinkErrorKind::TimedOut)) {
         Ok(hello) => hello,
         Err(cause) => {
-            let error = failed(LinkStep::Greet)(cause);
+            let error = failed(LinkPhase::Greet)(cause);
             return context.report(LinkEvent::Down { link, error }).await;
         }
     };
@@ -283,10 +283,10 @@
     reader.decoder_mut().most = context.options.max_frame_bytes;
     let error = tokio::select! {
         biased;
-        cause = read(link, &mut reader, &context) => failed(LinkStep::Read)(cause),
+        cause = read(link, &mut reader, &context) => failed(LinkPhase::Read)(cause),
         written = write(&mut writer, &shared) => match written {
             Ok(()) => return read_out(&mut reader, context.options.connect_timeout).await,
-            Err(cause) => failed(LinkStep::Write)(cause),
+            Err(cause) => failed(LinkPhase::Write)(cause),
         },
         () = context.reports.closed() => return,
     };
@@ -294,11 +294,15 @@
 }
 
 /// Both greetings: ours goes out before theirs is read.
-async fn greet(reader: &mut Reader, writer: &mut Writer, ours: &Hello) -> Result<Hello, LinkCause> {
+async fn greet(
+    reader: &mut Reader,
+    writer: &mut Writer,
+    ours: &Hello,
+) -> Result<Hello, LinkErrorKind> {
     writer.send(ours.frame()?).await?;
     let frame = match reader.next().await {
         Some(frame) => frame?,
-        None => return Err(LinkCause::Closed),
+        None => return Err(LinkErrorKind::Closed),
     };
     Ok(ours.check(&frame)?)
 }
@@ -308,12 +312,12 @@
     link: LinkId,
     reader: &mut Reader,
     context: &Context<M>,
-) -> LinkCause {
+) -> LinkErrorKind {
     loop {
         let frame = match reader.next().await {
             Some(Ok(frame)) => frame,
             Some(Err(cause)) => return cause,
-            None => return LinkCause::Closed,
+            None => return LinkErrorKind::Closed,
         };
         match decode(&frame) {
             Ok(message) => context.report(LinkEvent::Message { link, message }).await,
@@ -323,7 +327,7 @@
 }
 
 /// Writes what is to be written until the link is to be closed.
-async fn write(writer: &mut Writer, shared: &Shared) -> Result<(), LinkCause> {
+async fn write(writer: &mut Writer, shared: &Shared) -> Result<(), LinkErrorKind> {
     while let Some(frame) = shared.next(writer).await? {
         writer.feed(frame).await?;
     }
--- a/crates/transport/src/framing.rs
+++ b/crates/transport/src/framing.rs
@@ -4,7 +4,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use crate::bodies::{BODY_MOST, HELD_MOST};
+use crate::body::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 
 /// A head holds no more than this, and no more headers than that.
 const HEAD_MOST: usize = 16 * 1024;
@@ -51,7 +51,7 @@
     /// Takes the next bytes; tells how many of them belong to the answer, and whether it is whole
     /// with them.
     pub(crate) fn follow(&mut self, bytes: &[u8]) -> Result<(usize, bool), Spoilt> {
-        let most = BODY_MOST as u64 * 2;
+        let most = MAX_BODY_BYTES as u64 * 2;
         let (used, whole) = match &mut self.framing {
             Framing::ToEnd => (bytes.len(), false),
             Framing::Sized(left) => {
@@ -146,7 +146,7 @@
             Framing::Sized(left) | Framing::Chunked(Chunks::Data(left)) => left,
             _ => 0,
         };
-        self.seen.saturating_add(left) > HELD_MOST as u64
+        self.seen.saturating_add(left) > MAX_BUFFERED_BODY_BYTES as u64
     }
 }
 
@@ -229,7 +229,10 @@
     let framing = match (&lengths[..], &codings[..]) {
         ([one], []) if one.bytes().all(|b| b.is_ascii_digit()) => {
             // Guards against answers said to be huge: they are not waited for.
-            let length = one.parse().ok().filter(|&n: &u64| n <= BODY_MOST as u64);
+            let length = one
+                .parse()
+                .ok()
+                .filter(|&n: &u64| n <= MAX_BODY_BYTES as u64);
             length
                 .map(Framing::Sized)
                 .ok_or("its length does not fit")?
--- a/crates/transport/src/framing/tests.rs
+++ b/crates/transport/src/framing/tests.rs
@@ -78,10 +78,13 @@
 #[test]
 fn long_answers_are_known_by_their_length_or_once_they_are_long() {
     let follower = |framing| Follower { framing, seen: 0 };
-    assert!(!follower(Framing::Sized(HELD_MOST as u64)).long());
-    assert!(follower(Framing::Sized(HELD_MOST as u64 + 1)).long());
+    assert!(!follower(Framing::Sized(MAX_BUFFERED_BODY_BYTES as u64)).long());
+    assert!(follower(Framing::Sized(MAX_BUFFERED_BODY_BYTES as u64 + 1)).long());
     assert!(
-        follower(Framing::Chunked(Chunks::Data(HELD_MOST as u64 + 1))).long(),
+        follower(Framing::Chunked(Chunks::Data(
+            MAX_BUFFERED_BODY_BYTES as u64 + 1
+        )))
+        .long(),
         "by its first chunk"
     );
     let mut chunked = follower(Framing::Chunked(Chunks::Size(Vec::new())));
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! Towards clients, [`listener`] accepts and keeps connections ([`connection`] is one of them) and
 //! hands each request to a [`listener::Service`]; [`request_body`] reads what comes with it and
-//! [`bodies`] carries what is too long to be held. Towards servers, [`client`] makes the client of
-//! one server, whose streams ([`checked`]) let through answers and nothing else, and [`attempt`] is
+//! [`body`] carries what is too long to be held. Towards servers, [`client`] makes the client of
+//! one server, whose streams ([`response_validation`]) let through answers and nothing else, and [`attempt`] is
 //! what is known of one request on its way there. [`sockets`] counts descriptors and [`clock`]
 //! tells the time.
 //!
@@ -13,8 +13,7 @@
 #![forbid(unsafe_code)]
 
 pub mod attempt;
-pub mod bodies;
-pub mod checked;
+pub mod body;
 pub mod client;
 pub mod clock;
 pub mod connection;
@@ -24,4 +23,5 @@
 pub mod listener;
 mod read_ahead;
 pub mod request_body;
+pub mod response_validation;
 pub mod sockets;
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -79,7 +79,7 @@
     let peer = stream.peer_addr()?;
     // A peer without power says nothing, not even that it is gone. Without probes a side that only
     // receives would wait for it for ever.
-    sockets::watch_peer(&stream, SILENCE)?;
+    sockets::set_peer_timeout(&stream, SILENCE)?;
     let (sink, source) = Framed::new(stream, FrameCodec { most: MESSAGE_MOST }).split();
     let receiver = Receiver {
         frames: source,
--- a/crates/transport/src/listener.rs
+++ b/crates/transport/src/listener.rs
@@ -22,7 +22,7 @@
 
 use crate::clock::Clock;
 use crate::connection::{ClientConnection, ClientLimits, InHand};
-use crate::sockets::{Budget, ObservedStream, Unread};
+use crate::sockets::{DescriptorBudget, ObservedStream, Unread};
 
 /// After an accept that failed, the next waits this long; so does the next try to make room for
 /// one.
@@ -47,7 +47,7 @@
     clock: Clock,
     log: Logger,
     /// The clients' share of the descriptors.
-    budget: Budget,
+    budget: DescriptorBudget,
     limits: Rc<Cell<ClientLimits>>,
     /// Whether this process serves; where it does not, or no more, answers close their connections.
     serving: watch::Receiver<bool>,
@@ -67,7 +67,7 @@
         service: Rc<S>,
         clock: Clock,
         log: Logger,
-        budget: Budget,
+        budget: DescriptorBudget,
         limits: ClientLimits,
         serving: watch::Receiver<bool>,
     ) -> Rc<Self> {
@@ -122,7 +122,7 @@
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         let budget = self.budget.clone();
         let weak = Rc::downgrade(&self);
-        budget.when_scarce(move || {
+        budget.on_pressure(move || {
             if let Some(listener) = weak.upgrade() {
                 listener.close_oldest();
             }
@@ -208,7 +208,7 @@
                     _ = &mut served => break,
                     // What the connection has not read by now it does not read yet: guards against
                     // clients that leave behind what is no request, or more than is read.
-                    unread = unread.next(|| connection.is_whole()) => match unread {
+                    unread = unread.next(|| connection.is_request_complete()) => match unread {
                         Unread::Kept => {}
                         Unread::ThrownAway => connection.spoil(),
                         Unread::Ended => break,
@@ -224,7 +224,7 @@
                         let taken = self.is_taken(&connection);
                         // Guards clients whose request is half read against an answer that nothing
                         // more may follow.
-                        if connection.has_left() || !taken && connection.has_begun() { break }
+                        if connection.is_disconnected() || !taken && connection.has_begun() { break }
                         // It ends by itself then. Guards its last answer, of which bytes may wait
                         // for a slow client.
                         if !taken { connection.stop_reading() }
--- a/crates/transport/src/request_body.rs
+++ b/crates/transport/src/request_body.rs
@@ -9,16 +9,16 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::{Stream, StreamExt as _};
 
-use crate::bodies::{Held, Inflow, Paced, Parts};
+use crate::body::{BodyChunks, BodyMemory, MinRateStream, StreamedRequestBody};
 use crate::connection::ClientConnection;
 
 /// The body of a request.
 #[derive(Debug)]
 pub enum RequestBody {
     /// Held whole: it may be sent again.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// On its way from the client.
-    Flowing(Rc<Inflow>),
+    Streamed(Rc<StreamedRequestBody>),
 }
 
 /// Why a body did not come.
@@ -42,7 +42,7 @@
     payload: Payload,
     length: Option<u64>,
     hold: usize,
-    held: &Held,
+    held: &BodyMemory,
     connection: &Rc<ClientConnection>,
     whole: impl FnOnce() + 'static,
 ) -> Result<RequestBody, RequestBodyError> {
@@ -55,7 +55,7 @@
         length.map_or(most, |length| length as usize),
         connection,
     ));
-    let mut parts = Paced::new(parts, connection.clock(), connection.begin_body());
+    let mut parts = MinRateStream::new(parts, connection.clock(), connection.begin_body());
     let mut begun = BytesMut::new();
     // Nothing goes to a server before there is more than can be held: guards its connections
     // against clients that announce much and send little.
@@ -74,19 +74,19 @@
     };
     let begun = begun.freeze();
     if !long {
-        return Ok(RequestBody::Whole(begun));
+        return Ok(RequestBody::Buffered(begun));
     }
-    let window = held.window().await;
+    let window = held.reserve().await;
     // Guards against bodies without a length that never end.
     let mut left = most - begun.len();
-    let parts: Parts = Box::pin(parts.map(move |part| {
+    let parts: BodyChunks = Box::pin(parts.map(move |part| {
         let part = part?;
         left = left
             .checked_sub(part.len())
             .ok_or_else(|| io::Error::other(RequestBodyError::TooLong))?;
         Ok(part)
     }));
-    Ok(RequestBody::Flowing(Rc::new(Inflow::new(
+    Ok(RequestBody::Streamed(Rc::new(StreamedRequestBody::new(
         (begun, parts),
         length,
         window,
--- a/crates/transport/src/checked.rs
+++ b/crates/transport/src/response_validation.rs
@@ -13,7 +13,7 @@
 use actix_rt::net::{ActixStream, Ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-use crate::attempt::{AttemptObserver, AttemptState, Delivery, REST};
+use crate::attempt::{AttemptObserver, AttemptState, BUFFERED_RESPONSE_IDLE_TIMEOUT, Delivery};
 use crate::framing::{BodyRules, Follower, Framing, Head, Spoilt, head, header_values, keep_alive};
 use crate::sockets::ObservedStream;
 
@@ -42,7 +42,7 @@
 
 /// A connection to a server that lets through the answers to what was asked.
 #[derive(Debug)]
-pub struct CheckedStream {
+pub struct ValidatingStream {
     /// None once the connection must not be used again: it is closed at once, whoever holds this
     /// stream.
     stream: Option<ObservedStream<AttemptObserver>>,
@@ -69,11 +69,11 @@
     write_failed: bool,
 }
 
-impl CheckedStream {
+impl ValidatingStream {
     /// Wraps a new connection.
     #[must_use]
     pub fn new(stream: ObservedStream<AttemptObserver>) -> Self {
-        CheckedStream {
+        ValidatingStream {
             stream: Some(stream),
             attempt: None,
             held: Vec::new(),
@@ -177,7 +177,9 @@
     /// gets here.
     fn lasts(&self, follower: &Follower) -> bool {
         !matches!(follower.framing, Framing::Sized(_))
-            && self.began.is_some_and(|at| at.elapsed() >= REST)
+            && self
+                .began
+                .is_some_and(|at| at.elapsed() >= BUFFERED_RESPONSE_IDLE_TIMEOUT)
     }
 
     /// Looks for the head of the answer in what is held, past answers to other requests; how many
@@ -251,10 +253,10 @@
         let passes_through = self.passes_through();
         if let Some(attempt) = &self.attempt {
             if framing == Framing::ToEnd {
-                attempt.note_ends_with_connection();
+                attempt.record_close_delimited();
             }
             self.spent |=
-                passes_through && status >= TURNED_AWAY && attempt.written() > SURELY_READ;
+                passes_through && status >= TURNED_AWAY && attempt.bytes_written() > SURELY_READ;
         }
         if passes_through {
             self.keep_alive = keep_alive(&self.held[at.clone()]);
@@ -359,7 +361,7 @@
     }
 }
 
-impl AsyncRead for CheckedStream {
+impl AsyncRead for ValidatingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -392,7 +394,7 @@
     }
 }
 
-impl AsyncWrite for CheckedStream {
+impl AsyncWrite for ValidatingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -443,7 +445,7 @@
     )
 }
 
-impl ActixStream for CheckedStream {
+impl ActixStream for ValidatingStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         self.stream
             .as_ref()
--- a/crates/transport/src/sockets.rs
+++ b/crates/transport/src/sockets.rs
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// The system's.
-pub fn datagrams(at: SocketAddr) -> io::Result<UdpSocket> {
+pub fn bind_datagrams(at: SocketAddr) -> io::Result<UdpSocket> {
     let family = if at.is_ipv4() {
         AddressFamily::INET
     } else {
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 /// The system's; the connection works on without what failed.
-pub fn watch_peer(stream: &tokio::net::TcpStream, silence: Duration) -> io::Result<()> {
+pub fn set_peer_timeout(stream: &tokio::net::TcpStream, silence: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let milliseconds = u32::try_from(silence.as_millis()).unwrap_or(u32::MAX);
     sockopt::set_tcp_user_timeout(stream, milliseconds)?;
@@ -93,7 +93,7 @@
 
 /// Counts the connections of one share.
 #[derive(Clone)]
-pub struct Budget {
+pub struct DescriptorBudget {
     whole: usize,
     /// How many there may be now, and how many there are.
     size: Rc<Cell<usize>>,
@@ -102,22 +102,25 @@
     trim: Rc<RefCell<Vec<Trim>>>,
 }
 
-impl Budget {
+impl DescriptorBudget {
     /// The shares of clients and of servers in a program that may hold `limit` descriptors, of
-    /// which `apart` are no connections of either. Guards the way to the servers against hundreds
+    /// which `reserved` are no connections of either. Guards the way to the servers against hundreds
     /// of clients, and the other way round.
     #[must_use]
-    pub fn shares(limit: usize, apart: usize) -> (Self, Self) {
-        let all = limit.saturating_sub(apart).max(2);
+    pub fn split(limit: usize, reserved: usize) -> (Self, Self) {
+        let all = limit.saturating_sub(reserved).max(2);
         let clients = (all * CLIENTS / 100).max(1);
-        (Budget::new(clients), Budget::new(all - clients))
+        (
+            DescriptorBudget::new(clients),
+            DescriptorBudget::new(all - clients),
+        )
     }
 
     /// A share of so many descriptors.
     #[must_use]
     pub fn new(whole: usize) -> Self {
         let (size, used) = (Rc::new(Cell::new(whole)), Rc::default());
-        Budget {
+        DescriptorBudget {
             whole,
             size,
             used,
@@ -134,7 +137,7 @@
 
     /// Keeps to this part of the share, in percent, from now on. Idle connections beyond it are
     /// closed; those that are busy stay until they are done.
-    pub async fn keep_to(&self, percent: u8) {
+    pub async fn set_capacity_percent(&self, percent: u8) {
         self.size
             .set((self.whole * usize::from(percent) / 100).max(1));
         self.returned.notify_one();
@@ -148,13 +151,13 @@
     }
 
     /// Names something that closes idle connections when descriptors run short.
-    pub fn when_scarce(&self, trim: impl Fn() + 'static) {
+    pub fn on_pressure(&self, trim: impl Fn() + 'static) {
         self.trim.borrow_mut().push(Box::new(trim));
     }
 
     /// Takes one, if there is one; near the end idle connections are closed first.
     #[must_use]
-    pub fn take(&self) -> Option<Slot> {
+    pub fn take(&self) -> Option<DescriptorPermit> {
         if self.used.get() + self.size.get() / SCARCE >= self.size.get() {
             self.trim.borrow().iter().for_each(|trim| trim());
         }
@@ -162,7 +165,7 @@
             return None;
         }
         self.used.set(self.used.get() + 1);
-        Some(Slot(self.clone()))
+        Some(DescriptorPermit(self.clone()))
     }
 
     /// Waits until one comes back.
@@ -172,9 +175,9 @@
 }
 
 /// One descriptor of the budget, given back on drop and nowhere else.
-pub struct Slot(Budget);
+pub struct DescriptorPermit(DescriptorBudget);
 
-impl Drop for Slot {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.0.used.set(self.0.used.get() - 1);
         self.0.returned.notify_one();
@@ -305,12 +308,12 @@
     socket: Rc<RefCell<Socket>>,
     /// What watches it.
     pub observer: T,
-    _slot: Slot,
+    _slot: DescriptorPermit,
 }
 
 impl<T> ObservedStream<T> {
     /// Wraps a stream; small messages leave at once.
-    pub fn new(stream: TcpStream, observer: T, slot: Slot) -> Self {
+    pub fn new(stream: TcpStream, observer: T, slot: DescriptorPermit) -> Self {
         // Failing leaves a working, slower connection.
         let _ = stream.set_nodelay(true);
         let socket = Socket {
--- a/crates/transport/src/sockets/tests.rs
+++ b/crates/transport/src/sockets/tests.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::{Budget, KEPT_MOST, ObservedStream, StreamObserver, UNREAD_PART, Unread};
+use super::{DescriptorBudget, KEPT_MOST, ObservedStream, StreamObserver, UNREAD_PART, Unread};
 
 /// Lets so many bytes be read, and counts them.
 #[derive(Clone)]
@@ -46,7 +46,7 @@
         let observer = Allows {
             room: Rc::new(Cell::new(room)),
         };
-        let slot = Budget::new(1).take().expect("free");
+        let slot = DescriptorBudget::new(1).take().expect("free");
         test(other, ObservedStream::new(stream, observer, slot)).await;
     });
 }
--- a/crates/transport/tests/listener/stage.rs
+++ b/crates/transport/tests/listener/stage.rs
@@ -10,12 +10,12 @@
 use actix_http::{HttpMessage as _, Request, Response, StatusCode};
 use bytes::Bytes;
 use futures_util::StreamExt as _;
-use ironmast_transport::bodies::{Held, Inflow};
+use ironmast_transport::body::{BodyMemory, StreamedRequestBody};
 use ironmast_transport::clock::Clock;
 use ironmast_transport::connection::{ActiveRequest, ClientConnection, ClientLimits};
 use ironmast_transport::listener::{Listener, Service};
 use ironmast_transport::request_body::{self, RequestBody, RequestBodyError};
-use ironmast_transport::sockets::{self, Budget};
+use ironmast_transport::sockets::{self, DescriptorBudget};
 use slog::{Discard, Logger, o};
 use tokio::io::{AsyncBufReadExt as _, AsyncReadExt as _, AsyncWriteExt as _, BufReader};
 use tokio::net::{TcpSocket, TcpStream};
@@ -56,7 +56,7 @@
     /// Its body, where it is held.
     pub body: String,
     /// Its body, where it is on its way.
-    pub flow: Option<Rc<Inflow>>,
+    pub flow: Option<Rc<StreamedRequestBody>>,
     reply: oneshot::Sender<Reply>,
 }
 
@@ -110,7 +110,7 @@
 /// Hands requests to the test.
 pub(crate) struct Scripted {
     asked: mpsc::UnboundedSender<Asked>,
-    held: Held,
+    held: BodyMemory,
 }
 
 impl Service for Scripted {
@@ -127,13 +127,15 @@
         let payload = request.take_payload();
         let read = request_body::read(payload, length, 64 * 1024, &self.held, connection, || {});
         let (body, flow) = match read.await {
-            Ok(RequestBody::Whole(body)) => (String::from_utf8(body.to_vec()).expect("text"), None),
+            Ok(RequestBody::Buffered(body)) => {
+                (String::from_utf8(body.to_vec()).expect("text"), None)
+            }
             Err(RequestBodyError::TooLong) => return plain(StatusCode::PAYLOAD_TOO_LARGE),
             Err(RequestBodyError::Incomplete) => return plain(StatusCode::BAD_REQUEST),
-            Ok(RequestBody::Flowing(flow)) => (String::new(), Some(flow)),
+            Ok(RequestBody::Streamed(flow)) => (String::new(), Some(flow)),
         };
         let active = connection.request();
-        active.set_whole(flow.is_none());
+        active.set_fully_received(flow.is_none());
         let (reply, answer) = oneshot::channel();
         self.asked
             .send(Asked { body, flow, reply })
@@ -186,14 +188,14 @@
         let (serving, serves) = watch::channel(true);
         let service = Rc::new(Scripted {
             asked,
-            held: Held::new(64),
+            held: BodyMemory::new(64),
         });
         let log = Logger::root(Discard, o!());
         let listener = Listener::new(
             service,
             Clock::start(),
             log,
-            Budget::new(descriptors),
+            DescriptorBudget::new(descriptors),
             limits,
             serves,
         );
--- a/crates/transport/tests/memory_network.rs
+++ b/crates/transport/tests/memory_network.rs
@@ -5,8 +5,8 @@
 
 use assert_matches::assert_matches;
 use ironmast_transport::frames::{
-    Hello, LinkCause, LinkEvent, LinkId, LinkOptions, LinkStep, MemoryNetwork, MemoryTransport,
-    MessageTransport as _, Overflow, QueueLimits, SendError,
+    Hello, LinkErrorKind, LinkEvent, LinkId, LinkOptions, LinkPhase, MemoryNetwork,
+    MemoryTransport, MessageTransport as _, OverflowPolicy, QueueLimits, SendError,
 };
 
 const ONE: ([u8; 4], u16) = ([10, 0, 0, 1], 1);
@@ -109,7 +109,7 @@
         let Some(LinkEvent::Down { error, .. }) = end.try_next() else {
             panic!("not down")
         };
-        assert_matches!(error.cause, LinkCause::TimedOut);
+        assert_matches!(error.cause, LinkErrorKind::TimedOut);
         assert!(end.try_next().is_none());
     }
     network.restore(one.local_address(), other.local_address());
@@ -140,7 +140,7 @@
 
 #[test]
 fn a_cut_fills_the_queue_to_its_bound() {
-    for overflow in [Overflow::RefuseNewest, Overflow::DropOldest] {
+    for overflow in [OverflowPolicy::RejectNewest, OverflowPolicy::DropOldest] {
         let queue = QueueLimits {
             frames: 3,
             bytes: 1_000,
@@ -163,7 +163,7 @@
         network.restore(here, there);
         let come = numbers(&mut other);
         match overflow {
-            Overflow::RefuseNewest => {
+            OverflowPolicy::RejectNewest => {
                 assert_eq!(
                     sent,
                     [
@@ -176,7 +176,7 @@
                 );
                 assert_eq!(come, [0, 1, 2]);
             }
-            Overflow::DropOldest => {
+            OverflowPolicy::DropOldest => {
                 assert_eq!(sent, [Ok(0), Ok(0), Ok(0), Ok(1), Ok(1)]);
                 assert_eq!(come, [2, 3, 4]);
             }
@@ -223,8 +223,8 @@
     let Some(LinkEvent::Down { link: which, error }) = one.try_next() else {
         panic!("not down")
     };
-    assert_eq!((which, error.step), (link, LinkStep::Connect));
-    assert_matches!(error.cause, LinkCause::TimedOut);
+    assert_eq!((which, error.step), (link, LinkPhase::Connect));
+    assert_matches!(error.cause, LinkErrorKind::TimedOut);
     assert!(other.try_next().is_none());
 }
 
--- a/crates/transport/tests/message_transport/contract.rs
+++ b/crates/transport/tests/message_transport/contract.rs
@@ -4,8 +4,8 @@
 
 use futures_util::FutureExt as _;
 use ironmast_transport::frames::{
-    FrameError, Hello, LinkCause, LinkEvent, LinkId, LinkOptions, LinkStep, MessageTransport,
-    Overflow, QueueLimits, SendError,
+    FrameError, Hello, LinkErrorKind, LinkEvent, LinkId, LinkOptions, LinkPhase, MessageTransport,
+    OverflowPolicy, QueueLimits, SendError,
 };
 
 use crate::worlds::World;
@@ -68,7 +68,7 @@
 async fn down<T: MessageTransport>(
     of: &mut T,
     which: LinkId,
-) -> Result<(LinkStep, LinkCause), String> {
+) -> Result<(LinkPhase, LinkErrorKind), String> {
     match of.next().await {
         LinkEvent::Down { link, error } if link == which => Ok((error.step, error.cause)),
         LinkEvent::Down { .. } => Err("another link is down".into()),
@@ -191,8 +191,13 @@
         "the first".into()
     })?;
     let (step, cause) = down(&mut other, there).await?;
-    let told = matches!(cause, LinkCause::Frame(FrameError::TooLong { most: 1_000 }));
-    check(told && step == LinkStep::Read, || format!("{step} {cause}"))?;
+    let told = matches!(
+        cause,
+        LinkErrorKind::Frame(FrameError::TooLong { most: 1_000 })
+    );
+    check(told && step == LinkPhase::Read, || {
+        format!("{step} {cause}")
+    })?;
     down(&mut one, here).await.map(drop)
 }
 
@@ -205,8 +210,10 @@
     one.send(here, &"neither true nor false".to_string())
         .map_err(|e| e.to_string())?;
     let (step, cause) = down(&mut other, there).await?;
-    let told = matches!(cause, LinkCause::Frame(FrameError::Malformed(_)));
-    check(told && step == LinkStep::Read, || format!("{step} {cause}"))?;
+    let told = matches!(cause, LinkErrorKind::Frame(FrameError::Malformed(_)));
+    check(told && step == LinkPhase::Read, || {
+        format!("{step} {cause}")
+    })?;
     down(&mut one, here).await.map(drop)
 }
 
@@ -218,7 +225,7 @@
         return Err("up with nobody".into());
     };
     check(which == link && error.peer == nobody, || format!("{error}"))?;
-    check(error.step == LinkStep::Connect, || format!("{error}"))?;
+    check(error.step == LinkPhase::Connect, || format!("{error}"))?;
     check(one.send(link, &1) == Err(SendError::NoLink), || {
         "the link still takes messages".into()
     })
@@ -267,7 +274,9 @@
         check(message(&mut other).await?.0 == n, || format!("message {n}"))?;
     }
     let (_, cause) = down(&mut other, there).await?;
-    check(matches!(cause, LinkCause::Closed), || format!("{cause}"))?;
+    check(matches!(cause, LinkErrorKind::Closed), || {
+        format!("{cause}")
+    })?;
     breathe().await;
     check(one.next().now_or_never().is_none(), || {
         "an event of a closed link".into()
@@ -292,8 +301,10 @@
             let LinkEvent::Down { error, .. } = event else {
                 return Err("it is up".into());
             };
-            let told = matches!(error.cause, LinkCause::Hello(_));
-            check(told && error.step == LinkStep::Greet, || format!("{error}"))?;
+            let told = matches!(error.cause, LinkErrorKind::Hello(_));
+            check(told && error.step == LinkPhase::Greet, || {
+                format!("{error}")
+            })?;
         }
     }
     Ok(())
@@ -323,7 +334,7 @@
     (taken, dropped)
 }
 
-fn pressing(overflow: Overflow) -> LinkOptions {
+fn pressing(overflow: OverflowPolicy) -> LinkOptions {
     let queue = QueueLimits {
         frames: 50,
         bytes: 1 << 20,
@@ -339,7 +350,7 @@
 pub(crate) async fn a_full_queue_refuses_and_nothing_taken_is_lost<W: World>(
     world: &mut W,
 ) -> Contract {
-    let options = pressing(Overflow::RefuseNewest);
+    let options = pressing(OverflowPolicy::RejectNewest);
     let mut one = world.listen(hello("one"), options);
     let mut other = world.listen::<(u64, Vec<u8>)>(hello("other"), options);
     let (link, _) = linked(&mut one, &mut other).await?;
@@ -356,7 +367,7 @@
 pub(crate) async fn a_full_queue_drops_the_oldest_where_told_so<W: World>(
     world: &mut W,
 ) -> Contract {
-    let options = pressing(Overflow::DropOldest);
+    let options = pressing(OverflowPolicy::DropOldest);
     let mut one = world.listen(hello("one"), options);
     let mut other = world.listen::<(u64, Vec<u8>)>(hello("other"), options);
     let (link, _) = linked(&mut one, &mut other).await?;
--- a/crates/transport/tests/pass_through.rs
+++ b/crates/transport/tests/pass_through.rs
@@ -50,10 +50,10 @@
     if framing == CHUNKED {
         peer.write("0\r\n\r\n").await;
     }
-    assert_eq!(state.ends_with_connection(), framing == TO_END);
+    assert_eq!(state.is_close_delimited(), framing == TO_END);
     drop(peer);
     assert!(answer.next().await.is_none(), "its end");
-    assert!(state.flows() && state.spoilt().is_none() && state.written() > 0);
+    assert!(state.is_streamed() && state.malformed().is_none() && state.bytes_written() > 0);
 }
 
 #[test]
@@ -69,7 +69,7 @@
 fn an_answer_that_is_held_until_it_is_whole_does_not_pass_for_one_that_is_passed_through() {
     play(async {
         let held = AttemptOptions {
-            delivery: Delivery::WholeIfShort,
+            delivery: Delivery::BufferIfShort,
             ..passing()
         };
         let stage = Stage::start().await;
@@ -153,7 +153,7 @@
         exactly(&mut answer, "hello").await;
         peer.write("zz\r\nhello\r\n0\r\n\r\n").await;
         assert_matches!(answer.next().await, Some(Err(_)));
-        assert_eq!(state.spoilt(), Some("a chunk can't be read"));
+        assert_eq!(state.malformed(), Some("a chunk can't be read"));
         drop(answer);
         assert!(asks_anew(&stage, &mut peer).await);
     });
@@ -174,7 +174,7 @@
         let stalled = async {
             tokio::select! {
                 part = answer.next() => panic!("{part:?}"),
-                () = state.fallen_silent() => panic!("given up"),
+                () = state.response_stalled() => panic!("given up"),
             }
         };
         assert!(
@@ -207,7 +207,7 @@
         };
         let state = attempt(retired);
         assert!(stage.ask(&state, Method::GET).await.is_err());
-        assert_eq!(state.written(), 0, "it has not run");
+        assert_eq!(state.bytes_written(), 0, "it has not run");
     });
 }
 
@@ -256,7 +256,7 @@
             let body = bytes::Bytes::from(vec![0; 8 << 20]);
             let (answer, _peer) = futures_util::future::join(stage.send(&state, body), serve).await;
             assert!(answer.is_err());
-            assert_eq!(state.spoilt().is_some(), noise.is_some());
+            assert_eq!(state.malformed().is_some(), noise.is_some());
         }
     });
 }
--- a/crates/transport/tests/pass_through/stage.rs
+++ b/crates/transport/tests/pass_through/stage.rs
@@ -9,9 +9,9 @@
 use bytes::Bytes;
 use futures_util::StreamExt as _;
 use ironmast_transport::attempt::{AttemptOptions, AttemptState, Delivery, ExpectedHeader};
-use ironmast_transport::checked::CheckedStream;
 use ironmast_transport::client::client;
-use ironmast_transport::sockets::Budget;
+use ironmast_transport::response_validation::ValidatingStream;
+use ironmast_transport::sockets::DescriptorBudget;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -76,7 +76,12 @@
             .expect("a port is free");
         let address = listener.local_addr().expect("bound");
         let second = Duration::from_secs(1);
-        let client = client(Budget::new(16), second, 60 * second, CheckedStream::new);
+        let client = client(
+            DescriptorBudget::new(16),
+            second,
+            60 * second,
+            ValidatingStream::new,
+        );
         Stage {
             listener,
             address,
--- a/crates/transport/tests/tcp_frames.rs
+++ b/crates/transport/tests/tcp_frames.rs
@@ -6,7 +6,7 @@
 
 use assert_matches::assert_matches;
 use ironmast_transport::frames::{
-    FrameError, Hello, HelloError, LinkCause, LinkError, LinkEvent, LinkOptions, LinkStep,
+    FrameError, Hello, HelloError, LinkError, LinkErrorKind, LinkEvent, LinkOptions, LinkPhase,
     MessageTransport, TcpTransport,
 };
 
@@ -59,24 +59,24 @@
 #[tokio::test]
 async fn whoever_does_not_greet_is_refused() {
     let noise = told(&frame(b"GET / HTTP/1.1\r\n\r\n")).await;
-    assert_matches!(noise.cause, LinkCause::Hello(HelloError::NoGreeting));
+    assert_matches!(noise.cause, LinkErrorKind::Hello(HelloError::NoGreeting));
     let http = told(b"GET / HTTP/1.1\r\n\r\n").await;
     assert_matches!(
         http.cause,
-        LinkCause::Frame(FrameError::TooLong { .. }),
+        LinkErrorKind::Frame(FrameError::TooLong { .. }),
         "read as a length"
     );
     let other = frame(&postcard::to_stdvec(&(*b"IRMT", 9u16)).expect("short"));
     assert_matches!(
         told(&other).await.cause,
-        LinkCause::Hello(HelloError::GreetingVersion { theirs: 9 })
+        LinkErrorKind::Hello(HelloError::GreetingVersion { theirs: 9 })
     );
-    assert_matches!(told(b"").await.cause, LinkCause::Closed);
+    assert_matches!(told(b"").await.cause, LinkErrorKind::Closed);
     assert_matches!(
         told(&greeting()[..9]).await.cause,
-        LinkCause::Frame(FrameError::Cut)
+        LinkErrorKind::Frame(FrameError::Truncated)
     );
-    assert_eq!(noise.step, LinkStep::Greet);
+    assert_eq!(noise.step, LinkPhase::Greet);
 }
 
 /// A peer that greets and writes this: what is told up to the end of the link.
@@ -110,11 +110,15 @@
     for end in 1..cut.len() {
         let (messages, error) = greeted(&[&whole[..], &cut[..end]].concat()).await;
         assert_eq!(messages, ["whole"], "{end}");
-        assert_matches!(error.cause, LinkCause::Frame(FrameError::Cut), "{end}");
+        assert_matches!(
+            error.cause,
+            LinkErrorKind::Frame(FrameError::Truncated),
+            "{end}"
+        );
     }
     let (messages, error) = greeted(&[&whole[..], &cut[..]].concat()).await;
     assert_eq!(messages, ["whole", "cut off"]);
-    assert_matches!(error.cause, LinkCause::Closed);
+    assert_matches!(error.cause, LinkErrorKind::Closed);
 }
 
 #[tokio::test]
@@ -124,9 +128,9 @@
         assert!(messages.is_empty());
         assert_matches!(
             error.cause,
-            LinkCause::Frame(FrameError::TooLong { most: 1_000 })
+            LinkErrorKind::Frame(FrameError::TooLong { most: 1_000 })
         );
-        assert_eq!(error.step, LinkStep::Read);
+        assert_eq!(error.step, LinkPhase::Read);
     }
 }
 
@@ -139,10 +143,10 @@
     let mut one = transport(options);
     let silent = TcpStream::connect(one.local_address()).expect("it listens");
     let error = down(&mut one).await;
-    assert_matches!(error.cause, LinkCause::TimedOut);
+    assert_matches!(error.cause, LinkErrorKind::TimedOut);
     assert_eq!(
         (error.step, error.peer),
-        (LinkStep::Greet, silent.local_addr().expect("connected"))
+        (LinkPhase::Greet, silent.local_addr().expect("connected"))
     );
 }
 
@@ -163,7 +167,7 @@
     let (magic, version, theirs): ([u8; 4], u16, Hello) =
         postcard::from_bytes(&frame).expect("a greeting");
     assert_eq!((magic, version, theirs), (*b"IRMT", 1, hello("one")));
-    assert_matches!(down(&mut one).await.cause, LinkCause::Closed);
+    assert_matches!(down(&mut one).await.cause, LinkErrorKind::Closed);
 }
 
 /// A peer without power says nothing: what finds it is the system's, so that it is asked for must
@@ -175,7 +179,7 @@
     let stream = tokio::net::TcpStream::connect(listener.local_addr().expect("bound"))
         .await
         .expect("up");
-    ironmast_transport::sockets::watch_peer(&stream, Duration::from_secs(3)).expect("it can");
+    ironmast_transport::sockets::set_peer_timeout(&stream, Duration::from_secs(3)).expect("it can");
     assert!(stream.nodelay().expect("told"));
     assert!(sockopt::socket_keepalive(&stream).expect("told"));
     assert_eq!(sockopt::tcp_user_timeout(&stream).expect("told"), 3_000);
