--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -12,11 +12,11 @@
 use ironmast_schema::registration::Heartbeat;
 use tokio::sync::{mpsc, oneshot};
 
+use crate::node::{Command, Reply};
 use crate::resolve;
-use crate::state::{Command, Reply};
 
 /// The longest body, in bytes.
-const BODY_MOST: usize = 8 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 /// The way to the state.
 pub(crate) type Commands = mpsc::UnboundedSender<Command>;
@@ -47,7 +47,7 @@
         let commands = Data::new(commands.clone());
         App::new()
             .app_data(commands)
-            .app_data(PayloadConfig::new(BODY_MOST))
+            .app_data(PayloadConfig::new(MAX_BODY_BYTES))
             .configure(routes)
     };
     let server = HttpServer::new(app)
--- /dev/null
+++ b/crates/coordinator/src/contact/tests.rs
@@ -0,0 +1,123 @@
+//! The diagram of the states and the table of the answers, as `docs/design/control.md` shows them.
+
+use super::ContactState::*;
+use super::Request::*;
+use super::RequestPolicy::*;
+use super::*;
+
+#[test]
+fn the_table_of_answers() {
+    let table = [
+        (
+            Configuration,
+            [
+                DecideByQuorum,
+                DecideByQuorum,
+                DecideByQuorum,
+                Reject,
+                DecideByQuorum,
+            ],
+        ),
+        (
+            Evacuation,
+            [
+                DecideByQuorum,
+                DecideByQuorum,
+                DecideByQuorum,
+                Reject,
+                DecideByQuorum,
+            ],
+        ),
+        (
+            Read,
+            [
+                DecideByQuorum,
+                DecideByQuorum,
+                DecideByQuorum,
+                Reject,
+                DecideByQuorum,
+            ],
+        ),
+        (
+            Heartbeat,
+            [RecordOnly, RecordOnly, Acknowledge, RecordOnly, RecordOnly],
+        ),
+        (
+            Draining,
+            [
+                RecordOnly,
+                RecordOnly,
+                AcknowledgeByMajority,
+                RecordOnly,
+                RecordOnly,
+            ],
+        ),
+        (
+            Delete,
+            [
+                RecordOnly,
+                RecordOnly,
+                AcknowledgeByMajority,
+                RecordOnly,
+                RecordOnly,
+            ],
+        ),
+        (
+            Resolve,
+            [DirectGates, DirectGates, AllGates, DirectGates, AllGates],
+        ),
+        (
+            Subscription,
+            [
+                ForwardOnly,
+                ForwardOnly,
+                MarkFresh,
+                ForwardOnly,
+                ForwardOnly,
+            ],
+        ),
+    ];
+    for (request, row) in table {
+        assert_eq!(
+            ContactState::ALL.map(|standing| standing.policy(request)),
+            row,
+            "{request:?}"
+        );
+    }
+}
+
+#[test]
+fn the_diagram_of_the_states() {
+    let lost = ContactState::ALL.map(|standing| standing.observed(false));
+    assert_eq!(
+        lost,
+        [Starting, OutOfContact, OutOfContact, OutOfContact, Leaving]
+    );
+    let answered = ContactState::ALL.map(|standing| standing.observed(true));
+    assert_eq!(
+        answered,
+        [CatchingUp, CatchingUp, InContact, CatchingUp, Leaving]
+    );
+    let caught_up = ContactState::ALL.map(ContactState::caught_up);
+    assert_eq!(
+        caught_up,
+        [Starting, InContact, InContact, OutOfContact, Leaving]
+    );
+}
+
+#[test]
+fn the_bound_is_a_third_of_the_shortest_bound_in_force_and_never_below_the_floor() {
+    let usual = TimingBounds::default();
+    assert_eq!(contact_timeout(&usual), Duration::from_secs(1));
+    let slow = TimingBounds {
+        drain_timeout_ms: 12_000,
+        config_apply_ms: 9_000,
+        ..usual.clone()
+    };
+    assert_eq!(contact_timeout(&slow), Duration::from_secs(5) / 3);
+    let tight = TimingBounds {
+        drain_timeout_ms: 500,
+        ..usual
+    };
+    assert_eq!(contact_timeout(&tight), MIN_CONTACT_TIMEOUT);
+}
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -5,13 +5,13 @@
 
 mod api;
 mod clock;
-mod confirm;
-mod disk;
+mod contact;
 mod links;
+mod node;
+mod pending_reports;
+mod register_log;
 mod replica;
 mod resolve;
-mod standing;
-mod state;
 mod value;
 
 use std::cell::RefCell;
@@ -32,16 +32,16 @@
 
 use api::Commands;
 use clock::Clock;
-use disk::Persisted;
-use replica::Replica;
-use state::{Command, State};
+use node::{Command, CoordinatorNode};
+use register_log::Persisted;
+use replica::RegisterReplica;
 
 /// How often silence is looked for and liveness told.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// The part of the grace period in which a replica that leaves may hand its place over.
-const HANDOVER_PART: f64 = 0.4;
+const TRANSFER_FRACTION: f64 = 0.4;
 /// Calls under way as the program ends are answered within this.
-const LAST_ANSWERS: Duration = Duration::from_secs(1);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Runs a coordinator until SIGTERM.
 ///
@@ -61,14 +61,14 @@
     let directory = settings.listeners_map.directory_service;
     let mut terminate = signal(SignalKind::terminate()).wrap_err("waiting for SIGTERM")?;
     let reload = signal(SignalKind::hangup()).wrap_err("waiting for SIGHUP")?;
-    let (mut coordinator, commands) = Coordinator::start(&settings, reload, &log).await?;
+    let (mut coordinator, commands) = EventLoop::start(&settings, reload, &log).await?;
     let servers = api::start(control_plane, directory, &commands)?;
     info!(log, "coordinator serves"; "control_plane" => %control_plane, "zone" => &settings.zone);
     coordinator
         .run_until(async { _ = terminate.recv().await })
         .await;
     coordinator
-        .hand_over(settings.timing_bounds.grace_period_s * HANDOVER_PART)
+        .transfer_replica(settings.timing_bounds.grace_period_s * TRANSFER_FRACTION)
         .await;
     let stop = async {
         for server in servers {
@@ -76,15 +76,15 @@
         }
     };
     coordinator
-        .run_until(async { _ = tokio::time::timeout(LAST_ANSWERS, stop).await })
+        .run_until(async { _ = tokio::time::timeout(DRAIN_TIMEOUT, stop).await })
         .await;
     Ok(())
 }
 
 /// The state and everything that comes to it.
-struct Coordinator {
+struct EventLoop {
     clock: Instant,
-    state: Rc<RefCell<State>>,
+    state: Rc<RefCell<CoordinatorNode>>,
     mesh: OverlayHandle,
     commands: mpsc::UnboundedReceiver<Command>,
     persisted: mpsc::UnboundedReceiver<Persisted>,
@@ -93,16 +93,17 @@
     reload: Signal,
 }
 
-impl Coordinator {
+impl EventLoop {
     async fn start(settings: &Settings, reload: Signal, log: &Logger) -> Result<(Self, Commands)> {
         let own = SocketAddr::new(
             settings.ip_address,
             settings.internal_port(InternalPort::Coordinator),
         );
         let clock = Instant::now();
-        let (replica, persisted) = Replica::open(settings, own, Clock::since(clock), log.clone())?;
+        let (replica, persisted) =
+            RegisterReplica::open(settings, own, Clock::since(clock), log.clone())?;
         let (mesh, entries) = OverlayHandle::start(settings, Role::Coordinator, log).await?;
-        let state = Rc::new(RefCell::new(State::new(
+        let state = Rc::new(RefCell::new(CoordinatorNode::new(
             settings,
             own,
             replica,
@@ -111,9 +112,9 @@
         )));
         links::start(&state, own, settings.seed_coordinators()).await?;
         let (to, commands) = mpsc::unbounded_channel();
-        let tick = tokio::time::interval(TICK);
+        let tick = tokio::time::interval(TICK_INTERVAL);
         Ok((
-            Coordinator {
+            EventLoop {
                 clock,
                 state,
                 mesh,
@@ -154,12 +155,12 @@
 
     /// Tells the others that this machine leaves. Where another coordinator can take the replica's
     /// place, waits until it has, for so many seconds at most.
-    async fn hand_over(&mut self, seconds: f64) {
+    async fn transfer_replica(&mut self, seconds: f64) {
         self.state.borrow_mut().leave();
         self.mesh.leave();
         let deadline = Instant::now() + Duration::from_secs_f64(seconds);
-        while self.state.borrow().may_hand_over() && Instant::now() < deadline {
-            self.run_until(tokio::time::sleep(TICK)).await;
+        while self.state.borrow().can_transfer_replica() && Instant::now() < deadline {
+            self.run_until(tokio::time::sleep(TICK_INTERVAL)).await;
         }
     }
 }
--- a/crates/coordinator/src/links.rs
+++ b/crates/coordinator/src/links.rs
@@ -11,16 +11,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-use crate::state::State;
+use crate::node::CoordinatorNode;
 
 /// A coordinator that can't be reached is tried again after this.
-const RETRY: Duration = Duration::from_millis(300);
+const RECONNECT_DELAY: Duration = Duration::from_millis(300);
 /// A connection must come up within this.
-const CONNECT: Duration = Duration::from_millis(800);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// A link that says nothing for this long has failed.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-type Shared = Rc<RefCell<State>>;
+type Shared = Rc<RefCell<CoordinatorNode>>;
 
 /// Listens for agents and coordinators and calls the seeds.
 ///
@@ -38,7 +38,7 @@
                     let shared = Rc::clone(&shared);
                     actix_rt::spawn(async move { drop(accepted(shared, stream).await) });
                 }
-                Err(_) => tokio::time::sleep(RETRY).await,
+                Err(_) => tokio::time::sleep(RECONNECT_DELAY).await,
             }
         }
     });
@@ -49,7 +49,7 @@
 /// Calls coordinators that weren't known.
 pub(crate) fn add(state: &Shared, coordinators: &[SocketAddr]) {
     for address in coordinators {
-        let is_new = state.borrow_mut().meet(*address);
+        let is_new = state.borrow_mut().add_peer(*address);
         if is_new {
             actix_rt::spawn(keep_calling(Rc::clone(state), *address));
         }
@@ -57,11 +57,11 @@
 }
 
 async fn keep_calling(state: Shared, address: SocketAddr) {
-    let present = state.borrow_mut().presence(address);
+    let present = state.borrow_mut().inbound_notify(address);
     loop {
         let _ = call(&state, address).await;
         tokio::select! {
-            () = tokio::time::sleep(RETRY) => {}
+            () = tokio::time::sleep(RECONNECT_DELAY) => {}
             // It has called here: it listens by now.
             () = present.notified() => {}
         }
@@ -71,7 +71,7 @@
 /// Subscribes to another coordinator until the link fails.
 async fn call(state: &Shared, address: SocketAddr) -> Result<()> {
     let (mut receiver, mut sender) =
-        link::connect::<FromCoordinator, ToCoordinator>(address, CONNECT).await?;
+        link::connect::<FromCoordinator, ToCoordinator>(address, CONNECT_TIMEOUT).await?;
     let coordinator = Some(state.borrow().own);
     sender
         .send(&ToCoordinator::Hello(Hello {
@@ -80,13 +80,13 @@
         }))
         .await?;
     let (to, mut queue) = mpsc::unbounded_channel();
-    state.borrow_mut().linked(address, to);
-    let mut silence = Box::pin(tokio::time::sleep(SILENCE));
+    state.borrow_mut().link_established(address, to);
+    let mut silence = Box::pin(tokio::time::sleep(IDLE_TIMEOUT));
     loop {
         tokio::select! {
             frame = receiver.next() => {
                 let Some(frame) = frame? else { bail!("{address} closed the link") };
-                silence.as_mut().reset(tokio::time::Instant::now() + SILENCE);
+                silence.as_mut().reset(tokio::time::Instant::now() + IDLE_TIMEOUT);
                 let known = state.borrow_mut().take_coordinator_frame(frame);
                 add(state, &known);
             }
@@ -111,7 +111,7 @@
         .subscribe(to, hello.coordinator.is_some());
     add(&state, hello.coordinator.as_slice());
     if let Some(coordinator) = hello.coordinator {
-        state.borrow_mut().presence(coordinator).notify_one();
+        state.borrow_mut().inbound_notify(coordinator).notify_one();
     }
     let outcome: Result<()> = async {
         loop {
--- a/crates/coordinator/src/state.rs
+++ b/crates/coordinator/src/node.rs
@@ -15,24 +15,24 @@
 use slog::Logger;
 use tokio::sync::{Notify, mpsc, oneshot};
 
-use crate::confirm::Confirmations;
-use crate::disk::Persisted;
-use crate::replica::{Effect, Replica};
+use crate::contact::{ContactState, Request, RequestPolicy};
+use crate::pending_reports::PendingReports;
+use crate::register_log::Persisted;
+use crate::replica::{RegisterReplica, ReplicaOutput};
 use crate::resolve;
-use crate::standing::{Request, Standing, Treatment};
-use crate::value::{ControlValue, Document};
+use crate::value::{ConfigurationDocument, ControlValue};
 
 mod contact;
-mod servers;
+mod registrations;
 
 /// Heartbeats that a server may miss before it counts as silent.
-const HEARTBEATS_MISSED: u64 = 4;
+const MAX_MISSED_HEARTBEATS: u64 = 4;
 /// A gate that says nothing for this long gets no new clients.
-const GATE_PATIENCE: Micros = 1_300_000;
+const GATE_TIMEOUT_US: Micros = 1_300_000;
 
 /// Clients ask again after this many seconds at the latest: so long a gate that was lost may still
 /// get their requests.
-const TTL_MOST_S: f64 = 1.0;
+const MAX_TTL_S: f64 = 1.0;
 
 /// Why a word isn't acknowledged.
 const OUT_OF_CONTACT: &str = "no majority of the coordinators is in contact";
@@ -82,7 +82,7 @@
 }
 
 /// The relay tree, as the state uses it.
-pub(crate) trait Relay {
+pub(crate) trait EntryPublisher {
     /// Spreads an entry.
     fn publish(&self, entry: &Entry);
     /// Lets all nodes forget a key.
@@ -91,7 +91,7 @@
     fn set_in_contact(&self, in_contact: bool);
 }
 
-impl Relay for OverlayHandle {
+impl EntryPublisher for OverlayHandle {
     fn publish(&self, entry: &Entry) {
         OverlayHandle::publish(self, entry);
     }
@@ -109,59 +109,59 @@
 type Subscriber = mpsc::UnboundedSender<FromCoordinator>;
 
 /// All state of a coordinator.
-pub(crate) struct State {
+pub(crate) struct CoordinatorNode {
     log: Logger,
-    standing: Standing,
-    confirmations: Confirmations,
+    standing: ContactState,
+    pending_reports: PendingReports,
     pub(crate) own: SocketAddr,
     ttl_s: f64,
     catalog: Catalog,
-    replica: Replica,
-    relay: Box<dyn Relay>,
+    replica: RegisterReplica,
+    publisher: Box<dyn EntryPublisher>,
     /// The configuration in force, as sent and as read.
-    in_force: Option<(Document, Configuration)>,
+    in_force: Option<(ConfigurationDocument, Configuration)>,
     /// What waits for the links to other coordinators.
     outgoing: BTreeMap<SocketAddr, mpsc::UnboundedSender<ToCoordinator>>,
     subscribers: BTreeMap<u64, (Subscriber, bool)>,
     next_subscriber: u64,
     pub(crate) coordinators: BTreeSet<SocketAddr>,
     /// Told when another coordinator has called this one.
-    presences: BTreeMap<SocketAddr, Rc<Notify>>,
+    inbound_notifies: BTreeMap<SocketAddr, Rc<Notify>>,
 }
 
-impl State {
+impl CoordinatorNode {
     /// The state at the start.
     pub(crate) fn new(
         settings: &Settings,
         own: SocketAddr,
-        replica: Replica,
-        relay: Box<dyn Relay>,
+        replica: RegisterReplica,
+        publisher: Box<dyn EntryPublisher>,
         log: &Logger,
     ) -> Self {
-        relay.set_in_contact(false);
-        let instance = settings.heartbeat_interval_ms * 1_000 * HEARTBEATS_MISSED;
-        let ttl_s = (settings.timing_bounds.ttl_max_s / 2.0).min(TTL_MOST_S);
-        State {
+        publisher.set_in_contact(false);
+        let instance = settings.heartbeat_interval_ms * 1_000 * MAX_MISSED_HEARTBEATS;
+        let ttl_s = (settings.timing_bounds.ttl_max_s / 2.0).min(MAX_TTL_S);
+        CoordinatorNode {
             log: log.clone(),
-            standing: Standing::Starting,
-            confirmations: Confirmations::default(),
+            standing: ContactState::Starting,
+            pending_reports: PendingReports::default(),
             own,
             ttl_s,
             catalog: Catalog::new(
                 0,
                 Patience {
                     instance,
-                    gate: GATE_PATIENCE,
+                    gate: GATE_TIMEOUT_US,
                 },
             ),
             replica,
-            relay,
+            publisher,
             in_force: None,
             outgoing: BTreeMap::new(),
             subscribers: BTreeMap::new(),
             next_subscriber: 0,
             coordinators: BTreeSet::new(),
-            presences: BTreeMap::new(),
+            inbound_notifies: BTreeMap::new(),
         }
     }
 
@@ -176,7 +176,7 @@
             Command::Heartbeat(id, heartbeat, to) => self.heartbeat(id, heartbeat, to),
             Command::Leave(id, to) => self.server_leaves(id, to),
             Command::Configure(generation, body, base, to) => {
-                let document = Document { generation, body };
+                let document = ConfigurationDocument { generation, body };
                 let change =
                     Operation::change(move |value: &ControlValue| value.configure(&document, base));
                 self.decide(Request::Configuration, change, to);
@@ -199,21 +199,21 @@
         change: Operation<ControlValue>,
         to: oneshot::Sender<Reply>,
     ) {
-        if self.standing.treatment(request) == Treatment::Refuse {
+        if self.standing.policy(request) == RequestPolicy::Reject {
             let _ = to.send(Reply::refused(503, OUT_OF_CONTACT));
             return;
         }
-        let effects = self.replica.change(change, to);
-        self.carry_out(effects);
+        let outputs = self.replica.change(change, to);
+        self.carry_out(outputs);
     }
 
     fn read(&mut self, to: oneshot::Sender<Reply>) {
-        if self.standing.treatment(Request::Read) == Treatment::Refuse {
+        if self.standing.policy(Request::Read) == RequestPolicy::Reject {
             let _ = to.send(Reply::refused(503, OUT_OF_CONTACT));
             return;
         }
-        let effects = self.replica.read(to);
-        self.carry_out(effects);
+        let outputs = self.replica.read(to);
+        self.carry_out(outputs);
     }
 
     fn resolve(&self, query: &resolve::Query) -> Reply {
@@ -222,20 +222,22 @@
             .in_force
             .as_ref()
             .map(|(_, configuration)| configuration);
-        let addresses = match self.standing.treatment(Request::Resolve) {
-            Treatment::Everybody => resolve::addresses(&gates, configuration, query),
+        let addresses = match self.standing.policy(Request::Resolve) {
+            RequestPolicy::AllGates => resolve::addresses(&gates, configuration, query),
             _ => resolve::addresses_heard_here(&gates, configuration, query),
         };
         resolve::answer(&addresses, self.ttl_s)
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
-        for effect in effects {
-            match effect {
-                Effect::Send(to, bytes) => self.send(to, ToCoordinator::Register(bytes)),
-                Effect::Learned(learned) => self.learned(&learned),
-                Effect::Answered(kind, reply, to) => self.answered(kind, reply, to),
-                Effect::CaughtUp(holds_newest) => self.caught_up(holds_newest),
+    fn carry_out(&mut self, outputs: Vec<ReplicaOutput>) {
+        for output in outputs {
+            match output {
+                ReplicaOutput::Send(to, bytes) => self.send(to, ToCoordinator::Register(bytes)),
+                ReplicaOutput::StateChosen(apply_control_state) => {
+                    self.apply_control_state(&apply_control_state)
+                }
+                ReplicaOutput::Answered(kind, reply, to) => self.answered(kind, reply, to),
+                ReplicaOutput::CaughtUp(holds_newest) => self.caught_up(holds_newest),
             }
         }
     }
@@ -248,8 +250,8 @@
     }
 
     /// A newer state of the register is in force: all gates are to know it.
-    fn learned(&mut self, learned: &RegisterState<ControlValue>) {
-        let document = learned.value.configuration.as_ref();
+    fn apply_control_state(&mut self, apply_control_state: &RegisterState<ControlValue>) {
+        let document = apply_control_state.value.configuration.as_ref();
         if self.in_force.as_ref().map(|(document, _)| document) != document {
             self.in_force = document.and_then(|document| {
                 let configuration = Configuration::parse(&document.body).ok()?;
@@ -261,13 +263,20 @@
                 .in_force
                 .as_ref()
                 .map(|(_, configuration)| configuration.clone()),
-            evacuated: learned.value.evacuated.iter().cloned().collect(),
+            evacuated: apply_control_state
+                .value
+                .evacuated
+                .iter()
+                .cloned()
+                .collect(),
         };
-        let news = self.catalog.control(self.now(), learned.sequence, control);
+        let news = self
+            .catalog
+            .control(self.now(), apply_control_state.sequence, control);
         self.publish(news.into_iter().collect());
     }
 
-    /// When [`State::wake`] is to be called.
+    /// When [`CoordinatorNode::wake`] is to be called.
     pub(crate) fn wake_at(&self) -> Duration {
         self.replica.wake_at()
     }
@@ -275,69 +284,73 @@
     /// Does what the register has due.
     pub(crate) fn wake(&mut self) {
         self.observe();
-        let effects = self.replica.wake();
-        self.carry_out(effects);
+        let outputs = self.replica.wake();
+        self.carry_out(outputs);
     }
 
     /// A record is durable, or isn't.
     pub(crate) fn persisted(&mut self, completion: Persisted) {
         self.observe();
-        let effects = self.replica.persisted(completion);
-        self.carry_out(effects);
+        let outputs = self.replica.persisted(completion);
+        self.carry_out(outputs);
     }
 
     /// This machine is about to stop.
     pub(crate) fn leave(&mut self) {
-        self.enter(Standing::Leaving);
-        let effects = self.replica.leave();
-        self.carry_out(effects);
+        self.enter(ContactState::Leaving);
+        let outputs = self.replica.leave();
+        self.carry_out(outputs);
     }
 
     /// Whether the replica still has a place that another coordinator could take.
-    pub(crate) fn may_hand_over(&self) -> bool {
-        let linked = self
+    pub(crate) fn can_transfer_replica(&self) -> bool {
+        let link_established = self
             .outgoing
             .values()
             .filter(|queue| !queue.is_closed())
             .count();
         self.replica
             .members()
-            .is_some_and(|members| linked + 1 > members)
+            .is_some_and(|members| link_established + 1 > members)
     }
 
     /// A link to another coordinator is up: what is sent there goes into this queue. Out of contact
     /// the new link may be the one that was missing, so that a majority is asked for at once.
-    pub(crate) fn linked(&mut self, to: SocketAddr, queue: mpsc::UnboundedSender<ToCoordinator>) {
-        self.send_unconfirmed(&queue);
+    pub(crate) fn link_established(
+        &mut self,
+        to: SocketAddr,
+        queue: mpsc::UnboundedSender<ToCoordinator>,
+    ) {
+        self.send_pending_reports(&queue);
         self.outgoing.insert(to, queue);
-        if self.standing != Standing::InContact {
-            let effects = self.replica.question();
-            self.carry_out(effects);
+        if self.standing != ContactState::InContact {
+            let outputs = self.replica.question();
+            self.carry_out(outputs);
             self.observe();
         }
     }
 
     /// Told when another coordinator has called this one, which then may call it without delay.
-    pub(crate) fn presence(&mut self, of: SocketAddr) -> Rc<Notify> {
-        Rc::clone(self.presences.entry(of).or_default())
+    pub(crate) fn inbound_notify(&mut self, of: SocketAddr) -> Rc<Notify> {
+        Rc::clone(self.inbound_notifies.entry(of).or_default())
     }
 
     /// Another coordinator has become known; true where it is new.
-    pub(crate) fn meet(&mut self, address: SocketAddr) -> bool {
+    pub(crate) fn add_peer(&mut self, address: SocketAddr) -> bool {
         if address == self.own || !self.coordinators.insert(address) {
             return false;
         }
-        let effects = self
+        let outputs = self
             .replica
             .set_peers(self.coordinators.iter().copied().collect());
-        self.carry_out(effects);
+        self.carry_out(outputs);
         true
     }
 
     /// Spreads news over the relay tree.
     fn publish(&mut self, entries: Vec<Entry>) {
         for entry in &entries {
-            self.relay.publish(entry);
+            self.publisher.publish(entry);
         }
     }
 
@@ -356,14 +369,14 @@
         self.observe();
         let now = self.now();
         // Whoever isn't heard here may be heard by others, of whom nothing is known out of contact.
-        if self.standing == Standing::InContact {
+        if self.standing == ContactState::InContact {
             let news = self.catalog.expire(now);
             self.publish(news);
         }
         for (key, version) in self.catalog.forget(now) {
-            self.relay.remove(&key, version);
+            self.publisher.remove(&key, version);
         }
-        self.tell_alive();
+        self.broadcast_alive();
     }
 
     /// Adds a subscriber.
@@ -396,8 +409,8 @@
             }
             ToCoordinator::Register(bytes) => {
                 self.observe();
-                let effects = self.replica.receive(&bytes);
-                self.carry_out(effects);
+                let outputs = self.replica.receive(&bytes);
+                self.carry_out(outputs);
                 self.observe();
             }
             ToCoordinator::Alive(heard) => self.catalog.alive(now, &heard),
--- a/crates/coordinator/src/state/contact.rs
+++ b/crates/coordinator/src/node/contact.rs
@@ -7,44 +7,45 @@
 use slog::{info, warn};
 use tokio::sync::oneshot;
 
-use super::{Reply, State};
+use super::{CoordinatorNode, Reply};
+use crate::contact::{ContactState, Request, RequestPolicy};
 use crate::replica::{Kind, withheld};
-use crate::standing::{Request, Standing, Treatment};
 
-impl State {
+impl CoordinatorNode {
     /// Takes up what follows from the age of the contact. Called before anything is answered: a
     /// process that stood still has lost contact, though no timer could tell.
     pub(super) fn observe(&mut self) {
         let standing = self.standing.observed(self.replica.is_in_contact());
         self.enter(standing);
         let now = self.replica.clock().now();
-        self.confirmations.settle(now, self.replica.contact_since());
+        self.pending_reports
+            .settle(now, self.replica.contact_since());
     }
 
     /// Changes the standing, with what each change entails.
-    pub(super) fn enter(&mut self, standing: Standing) {
+    pub(super) fn enter(&mut self, standing: ContactState) {
         let before = std::mem::replace(&mut self.standing, standing);
         if before == standing {
             return;
         }
         match standing {
-            Standing::Starting => {}
-            Standing::CatchingUp => self.catch_up(),
-            Standing::InContact => self.contact_gained(),
-            Standing::OutOfContact => self.contact_lost(before),
-            Standing::Leaving => self.confirmations.refuse(),
+            ContactState::Starting => {}
+            ContactState::CatchingUp => self.catch_up(),
+            ContactState::InContact => self.contact_gained(),
+            ContactState::OutOfContact => self.contact_lost(before),
+            ContactState::Leaving => self.pending_reports.refuse(),
         }
         // Catching up may have changed the standing again.
-        if (before == Standing::InContact) != (self.standing == Standing::InContact) {
-            self.relay.set_in_contact(self.is_feed_fresh());
-            self.tell_alive();
+        if (before == ContactState::InContact) != (self.standing == ContactState::InContact) {
+            self.publisher.set_in_contact(self.is_feed_fresh());
+            self.broadcast_alive();
         }
     }
 
     /// Begins the read that makes up for what was decided out of contact.
     fn catch_up(&mut self) {
-        let effects = self.replica.catch_up();
-        self.carry_out(effects);
+        let outputs = self.replica.catch_up();
+        self.carry_out(outputs);
     }
 
     fn contact_gained(&mut self) {
@@ -52,14 +53,14 @@
         self.catalog.resume(self.now());
     }
 
-    fn contact_lost(&mut self, before: Standing) {
-        if before == Standing::InContact {
+    fn contact_lost(&mut self, before: ContactState) {
+        if before == ContactState::InContact {
             warn!(
                 self.log,
                 "out of contact with the majority of the coordinators: nothing is acknowledged"
             );
         }
-        self.confirmations.refuse();
+        self.pending_reports.refuse();
     }
 
     /// The read that catches up has ended.
@@ -67,7 +68,7 @@
         if holds_newest {
             return self.enter(self.standing.caught_up());
         }
-        if self.standing == Standing::CatchingUp {
+        if self.standing == ContactState::CatchingUp {
             self.catch_up();
         }
     }
@@ -75,7 +76,7 @@
     /// Passes on the register's answer to a request, or what may be said of it out of contact.
     pub(super) fn answered(&self, kind: Kind, reply: Reply, to: oneshot::Sender<Reply>) {
         let reply = match self.standing {
-            Standing::OutOfContact => withheld(kind, reply),
+            ContactState::OutOfContact => withheld(kind, reply),
             _ => reply,
         };
         let _ = to.send(reply);
@@ -83,11 +84,11 @@
 
     /// Whether subscribers may take what this coordinator tells as fresh.
     pub(super) fn is_feed_fresh(&self) -> bool {
-        self.standing.treatment(Request::Feed) == Treatment::Fresh
+        self.standing.policy(Request::Subscription) == RequestPolicy::MarkFresh
     }
 
     /// Tells all subscribers that this coordinator is there, and whether it is in contact.
-    pub(super) fn tell_alive(&mut self) {
+    pub(super) fn broadcast_alive(&mut self) {
         let in_contact = self.is_feed_fresh();
         let fresh = self.catalog.take_fresh();
         let coordinators: Vec<SocketAddr> = self.coordinators.iter().copied().collect();
--- a/crates/coordinator/src/state/servers.rs
+++ b/crates/coordinator/src/node/registrations.rs
@@ -4,13 +4,13 @@
 use ironmast_schema::registration::{Heartbeat, InstanceState};
 use tokio::sync::{mpsc, oneshot};
 
-use super::{OUT_OF_CONTACT, Reply, State};
-use crate::standing::{Request, Treatment};
+use super::{CoordinatorNode, OUT_OF_CONTACT, Reply};
+use crate::contact::{Request, RequestPolicy};
 
 /// Why a report of a server that the catalog doesn't hold isn't acknowledged.
 const UNKNOWN_SERVER: &str = "this server is not known here";
 
-impl State {
+impl CoordinatorNode {
     /// Takes a server's heartbeat and answers it.
     pub(super) fn heartbeat(
         &mut self,
@@ -36,9 +36,9 @@
 
     /// Answers a server whose report has been taken in.
     fn answer_server(&mut self, request: Request, key: Key, to: oneshot::Sender<Reply>) {
-        match self.standing.treatment(request) {
-            Treatment::Acknowledge => drop(to.send(Reply::json("{}"))),
-            Treatment::Confirm => self.confirm(key, to),
+        match self.standing.policy(request) {
+            RequestPolicy::Acknowledge => drop(to.send(Reply::json("{}"))),
+            RequestPolicy::AcknowledgeByMajority => self.confirm(key, to),
             _ => drop(to.send(Reply::refused(503, OUT_OF_CONTACT))),
         }
     }
@@ -53,17 +53,18 @@
         for queue in self.outgoing.values() {
             let _ = queue.send(ToCoordinator::Entries(vec![entry.clone()]));
         }
-        self.confirmations.add(self.replica.clock().now(), key, to);
-        let effects = self.replica.question();
-        self.carry_out(effects);
+        self.pending_reports
+            .add(self.replica.clock().now(), key, to);
+        let outputs = self.replica.question();
+        self.carry_out(outputs);
         self.observe();
     }
 
     /// Sends a coordinator that has just been linked the entries whose confirmation is still
     /// awaited.
-    pub(super) fn send_unconfirmed(&self, queue: &mpsc::UnboundedSender<ToCoordinator>) {
+    pub(super) fn send_pending_reports(&self, queue: &mpsc::UnboundedSender<ToCoordinator>) {
         let waiting = self
-            .confirmations
+            .pending_reports
             .keys()
             .filter_map(|key| self.catalog.get(key));
         for entry in waiting {
--- /dev/null
+++ b/crates/coordinator/src/node/tests.rs
@@ -0,0 +1,335 @@
+//! Whole coordinators without sockets: what each answers in and out of contact with the majority.
+
+mod cluster;
+
+use std::time::Duration;
+
+use ironmast_schema::control::{Standing as Presence, Value};
+use ironmast_schema::registration::InstanceState::{Draining, Ready};
+use ironmast_schema::settings::TimingBounds;
+
+use super::*;
+use crate::contact::contact_timeout;
+use cluster::{Cluster, body, configure, delete, evacuate, heartbeat, resolve};
+
+fn bound() -> Duration {
+    contact_timeout(&TimingBounds::default())
+}
+
+/// Contact has ended, and the timer that looks for it has run.
+fn loss() -> Duration {
+    bound() + Duration::from_millis(300)
+}
+
+/// One interval of the questions, and the read that catches up.
+const RETURN: Duration = Duration::from_millis(350);
+
+#[test]
+fn in_contact_everything_is_answered() {
+    let mut cluster = Cluster::new(3);
+    assert_eq!(cluster.status(0, configure(3, 0)), 200);
+    assert_eq!(cluster.status(0, evacuate("z9")), 200);
+    assert_eq!(cluster.answer(1, Command::ReadConfiguration).body, body(3));
+    assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
+    assert_eq!(cluster.status(0, heartbeat("i", 2, Draining)), 200);
+    assert_eq!(cluster.status(0, delete("i")), 200);
+    cluster.gate_speaks(1, 80, "r1");
+    cluster.spread(1);
+    assert_eq!(
+        cluster.status(0, resolve("r0")),
+        200,
+        "a gate of another region that others hear"
+    );
+    for member in &mut cluster.members {
+        assert!(member.told.in_contact.get());
+        assert_eq!(member.says_in_contact(), Some(true));
+    }
+}
+
+/// The cut is as each direction, or both.
+fn cut_each_way(assert: impl Fn(&mut Cluster)) {
+    for cut in [Cluster::cut, Cluster::cut_from, Cluster::cut_to] {
+        let mut cluster = Cluster::new(3);
+        assert_eq!(cluster.status(0, configure(3, 0)), 200);
+        cut(&mut cluster, 0);
+        cluster.run(loss());
+        assert(&mut cluster);
+    }
+}
+
+#[test]
+fn out_of_contact_nothing_is_acknowledged() {
+    cut_each_way(|cluster| {
+        assert_eq!(cluster.status(0, configure(5, 3)), 503);
+        assert_eq!(
+            cluster.status(0, configure(2, 3)),
+            503,
+            "no refusal out of old knowledge"
+        );
+        assert_eq!(cluster.status(0, evacuate("z9")), 503);
+        assert_eq!(cluster.status(0, Command::ReadConfiguration), 503);
+        assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 503);
+        assert_eq!(cluster.status(0, heartbeat("i", 2, Draining)), 503);
+        assert_eq!(cluster.status(0, delete("i")), 503);
+        assert_eq!(cluster.status(1, configure(6, 3)), 200);
+    });
+}
+
+#[test]
+fn out_of_contact_beats_make_nobody_fresh_and_agents_are_told() {
+    cut_each_way(|cluster| {
+        assert!(!cluster.members[0].told.in_contact.get());
+        assert_eq!(cluster.members[0].says_in_contact(), Some(false));
+        assert!(cluster.members[1].told.in_contact.get());
+        assert_eq!(cluster.members[1].says_in_contact(), Some(true));
+    });
+}
+
+#[test]
+fn out_of_contact_the_directory_names_only_gates_of_the_region_that_speak_there() {
+    cut_each_way(|cluster| {
+        cluster.gate_speaks(1, 80, "r0");
+        cluster.spread(1);
+        assert_eq!(
+            cluster.status(0, resolve("r0")),
+            503,
+            "heard of by others only"
+        );
+        cluster.gate_speaks(0, 81, "r0");
+        assert_eq!(cluster.status(0, resolve("r1")), 503, "of another region");
+        assert_eq!(
+            cluster.answer(0, resolve("r0")).body,
+            br#"{"addresses":["10.0.1.1:81"],"ttl_s":1.0}"#
+        );
+        cluster.run(Duration::from_secs(3));
+        assert_eq!(
+            cluster.status(0, resolve("r0")),
+            503,
+            "silent for longer than the patience"
+        );
+    });
+}
+
+#[test]
+fn what_is_heard_out_of_contact_is_kept_and_nobody_is_called_silent() {
+    let mut cluster = Cluster::new(3);
+    assert_eq!(cluster.status(0, heartbeat("here", 1, Ready)), 200);
+    assert_eq!(cluster.status(1, heartbeat("there", 1, Ready)), 200);
+    cluster.spread(1);
+    cluster.cut(0);
+    cluster.run(loss());
+    for sequence in 2..20 {
+        assert_eq!(cluster.status(0, heartbeat("here", sequence, Ready)), 503);
+        assert_eq!(cluster.status(1, heartbeat("there", sequence, Ready)), 200);
+        cluster.run(Duration::from_secs(1));
+    }
+    assert_eq!(cluster.status(0, heartbeat("new", 1, Ready)), 503);
+    assert!(cluster.members[0].published("new").is_some());
+    cluster.cuts.clear();
+    cluster.run(Duration::from_secs(2));
+    let entries = cluster.members[0].told.published.borrow();
+    let is_silent = |entry: &Entry| matches!(&entry.value, Value::Instance(record) if record.standing == Presence::Silent);
+    assert!(!entries.iter().any(is_silent));
+}
+
+#[test]
+fn on_return_it_serves_at_once_from_the_newest_state() {
+    let mut cluster = Cluster::new(3);
+    assert_eq!(cluster.status(0, configure(3, 0)), 200);
+    cluster.cut(0);
+    cluster.run(loss());
+    assert_eq!(cluster.status(1, configure(6, 3)), 200);
+    cluster.run(Duration::from_secs(20));
+    assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 503);
+    cluster.cuts.clear();
+    let mut steps = 0..RETURN.as_millis() / 10;
+    while !cluster.members[0].told.in_contact.get() {
+        assert!(steps.next().is_some(), "not in contact within {RETURN:?}");
+        cluster.step();
+    }
+    assert_eq!(
+        cluster.members[0].published_generation(),
+        Some(6),
+        "known before anything is called fresh"
+    );
+    assert_eq!(cluster.members[0].says_in_contact(), Some(true));
+    assert_eq!(cluster.status(0, heartbeat("i", 2, Ready)), 200);
+    assert_eq!(cluster.status(0, heartbeat("i", 3, Draining)), 200);
+    assert_eq!(cluster.answer(0, Command::ReadConfiguration).body, body(6));
+}
+
+/// The first thing that happens after the process stood still is a caller's request: no timer has
+/// run.
+#[test]
+fn a_process_that_stood_still_acknowledges_nothing_before_it_has_asked_again() {
+    let mut cluster = Cluster::new(3);
+    assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
+    cluster.stand_still(Duration::from_secs(5));
+    for command in [heartbeat("i", 2, Ready), heartbeat("i", 3, Draining)] {
+        let mut reply = cluster.ask(0, command);
+        assert_eq!(reply.try_recv().expect("at once").status, 503);
+    }
+    let mut reply = cluster.ask(0, configure(3, 0));
+    assert_eq!(reply.try_recv().expect("at once").status, 503);
+    assert!(!cluster.members[0].told.in_contact.get());
+    cluster.run(RETURN);
+    assert_eq!(cluster.status(0, heartbeat("i", 4, Ready)), 200);
+}
+
+/// The cut has come just now: contact is young enough, but the word of a server that leaves can't
+/// get out.
+#[test]
+fn a_server_that_leaves_is_acknowledged_only_when_a_majority_holds_its_word() {
+    for (sequence, cut) in [
+        (1, Cluster::cut as fn(&mut Cluster, usize)),
+        (2, Cluster::cut_from),
+        (3, Cluster::cut_to),
+    ] {
+        let mut cluster = Cluster::new(3);
+        assert_eq!(cluster.status(0, heartbeat("i", sequence, Ready)), 200);
+        cut(&mut cluster, 0);
+        assert_eq!(
+            cluster.status(0, heartbeat("i", sequence + 1, Draining)),
+            503
+        );
+    }
+    let mut cluster = Cluster::new(3);
+    assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
+    cluster.cut(0);
+    assert_eq!(cluster.status(0, delete("i")), 503);
+}
+
+/// The links come up anew while the word waits: what was sent on the old ones is lost, the
+/// questions are not.
+#[test]
+fn a_link_that_comes_up_carries_the_word_that_waits() {
+    let mut cluster = Cluster::new(3);
+    assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
+    cluster.cut_from(0);
+    let mut reply = cluster.ask(0, heartbeat("i", 2, Draining));
+    cluster.step();
+    cluster.cuts.clear();
+    [1, 2].into_iter().for_each(|to| cluster.link(0, to));
+    cluster.run(Duration::from_millis(400));
+    assert_eq!(reply.try_recv().expect("in time").status, 200);
+    assert!(
+        cluster.members[1].published("i").is_some() && cluster.members[2].published("i").is_some()
+    );
+}
+
+#[test]
+fn an_acknowledged_word_of_a_server_that_leaves_outlives_its_coordinator() {
+    let mut cluster = Cluster::new(3);
+    assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
+    cluster.cuts.extend([(0, 2), (2, 0)]);
+    assert_eq!(cluster.status(0, heartbeat("i", 2, Draining)), 200);
+    // What 0 gave to its own relay tree is lost with it.
+    let entry = cluster.members[1]
+        .published("i")
+        .expect("spread by another");
+    assert!(matches!(&entry.value, Value::Instance(record) if record.heartbeat.state == Draining));
+    assert_eq!(cluster.status(0, delete("i")), 200);
+    let entry = cluster.members[1]
+        .published("i")
+        .expect("spread by another");
+    assert!(matches!(&entry.value, Value::Instance(record) if record.standing == Presence::Gone));
+}
+
+#[test]
+fn the_end_of_a_server_that_is_not_known_is_not_acknowledged() {
+    let mut cluster = Cluster::new(3);
+    assert_eq!(cluster.status(0, delete("i")), 503);
+    assert_eq!(cluster.status(1, heartbeat("i", 1, Ready)), 200);
+    assert_eq!(cluster.status(1, delete("i")), 200);
+    assert_eq!(
+        cluster.status(1, delete("i")),
+        200,
+        "sent again after a lost answer"
+    );
+}
+
+/// An order meets a cut at each step of its two rounds.
+#[test]
+fn an_order_through_a_cut_gets_503_only_where_it_is_never_in_force() {
+    let mut statuses = BTreeSet::new();
+    for steps in 0..12 {
+        let mut cluster = Cluster::new(3);
+        let mut reply = cluster.ask(0, configure(3, 0));
+        (0..steps).for_each(|_| cluster.step());
+        cluster.cut_to(0);
+        cluster.run(Duration::from_secs(1));
+        let status = reply.try_recv().expect("in time").status;
+        cluster.cuts.clear();
+        cluster.run(Duration::from_secs(5));
+        let held = (0..3).map(|number| cluster.answer(number, Command::ReadConfiguration).status);
+        let held: BTreeSet<u16> = held.collect();
+        match status {
+            200 => assert_eq!(held, BTreeSet::from([200]), "after {steps} steps"),
+            503 => assert_eq!(held, BTreeSet::from([404]), "after {steps} steps"),
+            504 => {}
+            other => panic!("{other} after {steps} steps"),
+        }
+        statuses.insert(status);
+    }
+    assert_eq!(statuses, BTreeSet::from([200, 503, 504]));
+}
+
+#[test]
+fn before_the_first_contact_orders_wait_and_servers_are_refused() {
+    let mut cluster = Cluster::starting(3);
+    assert_eq!(
+        cluster
+            .ask(0, heartbeat("i", 1, Ready))
+            .try_recv()
+            .expect("at once")
+            .status,
+        503
+    );
+    assert_eq!(
+        cluster
+            .ask(0, delete("i"))
+            .try_recv()
+            .expect("at once")
+            .status,
+        503
+    );
+    assert_eq!(cluster.status(0, configure(3, 0)), 200);
+    cluster.run(RETURN);
+    assert!(cluster.members[0].told.in_contact.get());
+}
+
+#[test]
+fn one_that_leaves_sends_servers_on_and_still_decides_orders() {
+    let mut cluster = Cluster::new(3);
+    assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
+    cluster.members[0].state.leave();
+    assert_eq!(cluster.status(0, heartbeat("i", 2, Ready)), 503);
+    assert_eq!(cluster.status(0, heartbeat("i", 3, Draining)), 503);
+    assert_eq!(cluster.status(0, delete("i")), 503);
+    assert_eq!(cluster.status(0, configure(3, 0)), 200);
+    assert_eq!(cluster.members[0].says_in_contact(), Some(false));
+}
+
+#[test]
+fn the_only_coordinator_is_always_in_contact() {
+    let mut cluster = Cluster::new(1);
+    cluster.stand_still(Duration::from_secs(30));
+    assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
+    assert_eq!(cluster.status(0, heartbeat("i", 2, Draining)), 200);
+    assert_eq!(cluster.status(0, delete("i")), 200);
+    assert_eq!(cluster.status(0, configure(3, 0)), 200);
+}
+
+/// Nobody has a majority: each keeps what it hears and names the gates that speak to it.
+#[test]
+fn where_nobody_has_a_majority_clients_still_find_the_gates_that_speak() {
+    let mut cluster = Cluster::new(3);
+    (0..3).for_each(|number| cluster.cut(number));
+    cluster.run(loss());
+    for number in 0..3 {
+        let region = format!("r{number}");
+        cluster.gate_speaks(number, 80, &region);
+        assert_eq!(cluster.status(number, resolve(&region)), 200);
+        assert_eq!(cluster.status(number, heartbeat("i", 1, Ready)), 503);
+    }
+}
--- a/crates/coordinator/src/state/tests/site.rs
+++ b/crates/coordinator/src/node/tests/cluster.rs
@@ -15,10 +15,10 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::clock::Clock;
-use crate::disk::Persisted;
-use crate::replica::Replica;
+use crate::node::{Command, CoordinatorNode, EntryPublisher, Reply};
+use crate::register_log::Persisted;
+use crate::replica::RegisterReplica;
 use crate::resolve::Query;
-use crate::state::{Command, Relay, Reply, State};
 
 const STEP: Duration = Duration::from_millis(10);
 const STEPS_PER_TICK: u32 = 25;
@@ -26,12 +26,12 @@
 
 /// What a coordinator has told its relay tree.
 #[derive(Debug, Default)]
-pub(crate) struct Told {
+pub(crate) struct PublishedState {
     pub published: RefCell<Vec<Entry>>,
     pub in_contact: Cell<bool>,
 }
 
-impl Relay for Rc<Told> {
+impl EntryPublisher for Rc<PublishedState> {
     fn publish(&self, entry: &Entry) {
         self.published.borrow_mut().push(entry.clone());
     }
@@ -45,8 +45,8 @@
 
 /// One coordinator.
 pub(super) struct Member {
-    pub state: State,
-    pub told: Rc<Told>,
+    pub state: CoordinatorNode,
+    pub told: Rc<PublishedState>,
     /// What an agent that is linked to it hears.
     pub heard: mpsc::UnboundedReceiver<FromCoordinator>,
     pub is_frozen: bool,
@@ -56,7 +56,7 @@
 }
 
 /// All coordinators of a test.
-pub(super) struct Site {
+pub(super) struct Cluster {
     pub members: Vec<Member>,
     /// Frames from the first to the second are lost.
     pub cuts: BTreeSet<(usize, usize)>,
@@ -93,7 +93,7 @@
     Settings::parse(&disk, &text).expect("sound")
 }
 
-impl Site {
+impl Cluster {
     /// Coordinators that start for the first time.
     pub(super) fn starting(count: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
@@ -101,7 +101,7 @@
         let members = (0..count)
             .map(|number| member(&folder, &now, number, count))
             .collect();
-        let mut site = Site {
+        let mut cluster = Cluster {
             members,
             cuts: BTreeSet::new(),
             now,
@@ -111,16 +111,16 @@
         for from in 0..count {
             (0..count)
                 .filter(|to| *to != from)
-                .for_each(|to| site.link(from, to));
+                .for_each(|to| cluster.link(from, to));
         }
-        site
+        cluster
     }
 
     /// Coordinators that are in contact.
     pub(super) fn new(count: usize) -> Self {
-        let mut site = Site::starting(count);
-        site.run(Duration::from_secs(2));
-        site
+        let mut cluster = Cluster::starting(count);
+        cluster.run(Duration::from_secs(2));
+        cluster
     }
 
     /// A link comes up, in place of the one before.
@@ -128,8 +128,8 @@
         let (queue, frames) = mpsc::unbounded_channel();
         let member = &mut self.members[from];
         member.outgoing.retain(|(other, _)| *other != to);
-        member.state.meet(address(to));
-        member.state.linked(address(to), queue);
+        member.state.add_peer(address(to));
+        member.state.link_established(address(to), queue);
         member.outgoing.push((to, frames));
     }
 
@@ -271,9 +271,9 @@
     let clock = Rc::clone(now);
     let clock = Clock::read_by(move || clock.get());
     let (replica, persisted) =
-        Replica::open(&settings, address(number), clock, log.clone()).expect("a replica");
-    let told = Rc::new(Told::default());
-    let mut state = State::new(
+        RegisterReplica::open(&settings, address(number), clock, log.clone()).expect("a replica");
+    let told = Rc::new(PublishedState::default());
+    let mut state = CoordinatorNode::new(
         &settings,
         address(number),
         replica,
--- a/crates/coordinator/src/confirm.rs
+++ b/crates/coordinator/src/pending_reports.rs
@@ -11,14 +11,14 @@
 use ironmast_schema::control::Key;
 use tokio::sync::oneshot;
 
-use crate::state::Reply;
+use crate::node::Reply;
 
 /// A report is confirmed within this time or answered 503: servers wait for a second.
-const CONFIRM_WITHIN: Duration = Duration::from_millis(700);
+const REPLICATION_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// A report that isn't confirmed yet.
 #[derive(Debug)]
-struct Unconfirmed {
+struct PendingReport {
     key: Key,
     /// When it came, by the coordinator's steady clock.
     since: Duration,
@@ -27,14 +27,14 @@
 
 /// The reports that aren't confirmed yet.
 #[derive(Debug, Default)]
-pub(crate) struct Confirmations {
-    waiting: Vec<Unconfirmed>,
+pub(crate) struct PendingReports {
+    waiting: Vec<PendingReport>,
 }
 
-impl Confirmations {
+impl PendingReports {
     /// Adds a report about this key that came at `now`; `to` gets the answer.
     pub(crate) fn add(&mut self, now: Duration, key: Key, to: oneshot::Sender<Reply>) {
-        self.waiting.push(Unconfirmed {
+        self.waiting.push(PendingReport {
             key,
             since: now,
             to,
@@ -51,11 +51,11 @@
     /// are confirmed.
     pub(crate) fn settle(&mut self, now: Duration, answered: Option<Duration>) {
         let is_confirmed =
-            |waiting: &mut Unconfirmed| answered.is_some_and(|asked| waiting.since <= asked);
+            |waiting: &mut PendingReport| answered.is_some_and(|asked| waiting.since <= asked);
         for waiting in self.waiting.extract_if(.., is_confirmed) {
             let _ = waiting.to.send(Reply::json("{}"));
         }
-        let is_late = |waiting: &mut Unconfirmed| now >= waiting.since + CONFIRM_WITHIN;
+        let is_late = |waiting: &mut PendingReport| now >= waiting.since + REPLICATION_TIMEOUT;
         self.waiting.extract_if(.., is_late).for_each(refuse);
     }
 
@@ -65,7 +65,7 @@
     }
 }
 
-fn refuse(waiting: Unconfirmed) {
+fn refuse(waiting: PendingReport) {
     let _ = waiting.to.send(Reply::refused(
         503,
         "no majority of the coordinators has confirmed it in time",
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -18,26 +18,26 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::clock::Clock;
-use crate::disk::{Found, Journal, Persisted};
-use crate::standing::contact_bound;
-use crate::state::Reply;
-use crate::value::{ControlValue, Refusal};
+use crate::contact::contact_timeout;
+use crate::node::Reply;
+use crate::register_log::{Persisted, RecoveredRecord, RegisterLog};
+use crate::value::{ControlValue, Rejection};
 
 /// An operation is answered within this: callers wait for a second.
-const ANSWER_WITHIN: Duration = Duration::from_millis(900);
+const OPERATION_TIMEOUT: Duration = Duration::from_millis(900);
 /// After a write that failed, the next try on a new file.
-const REWRITE: Duration = Duration::from_millis(200);
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// What a replica asks of its coordinator.
 #[derive(Debug)]
-pub(crate) enum Effect {
+pub(crate) enum ReplicaOutput {
     /// Send a message to another coordinator; it may be lost.
     Send(SocketAddr, Vec<u8>),
     /// A newer state is in force.
-    Learned(Arc<State<ControlValue>>),
+    StateChosen(Arc<State<ControlValue>>),
     /// A caller's operation has ended, with this answer.
     Answered(Kind, Reply, oneshot::Sender<Reply>),
-    /// The read of [`Replica::catch_up`] has ended: whether it told the newest state.
+    /// The read of [`RegisterReplica::catch_up`] has ended: whether it told the newest state.
     CaughtUp(bool),
 }
 
@@ -51,22 +51,22 @@
 }
 
 /// The register's node with what it waits for.
-pub(crate) struct Replica {
+pub(crate) struct RegisterReplica {
     clock: Clock,
     node: Node<ControlValue>,
-    journal: Journal,
+    register_log: RegisterLog,
     pending: BTreeMap<OperationId, (Kind, oneshot::Sender<Reply>)>,
     next_operation: OperationId,
     /// The read by which this coordinator catches up.
     catching_up: Option<OperationId>,
     /// The write under way; kept until it is durable.
     write: Option<(PersistToken, Record<ControlValue>)>,
-    rewrite_at: Option<Duration>,
+    write_retry_at: Option<Duration>,
     timer: Option<Duration>,
     log: Logger,
 }
 
-impl Replica {
+impl RegisterReplica {
     /// Opens the disk and takes up what is there.
     ///
     /// # Errors
@@ -80,16 +80,17 @@
         let folder = settings.data_directory.as_deref();
         let folder: &Path =
             folder.ok_or_else(|| eyre!("data_directory is missing: a coordinator keeps files"))?;
-        let (journal, found, persisted) = Journal::open(folder, settings.limits.disk_mb, &log)
-            .wrap_err("reading the register's record")?;
+        let (register_log, found, persisted) =
+            RegisterLog::open(folder, settings.limits.disk_mb, &log)
+                .wrap_err("reading the register's record")?;
         let source = match found {
-            Found::Durable(record) => RecordSource::Durable(record),
-            Found::Unconfirmed(record) => RecordSource::Unsynced(record),
-            Found::Nothing if settings.bootstrap => RecordSource::Bootstrap {
+            RecoveredRecord::Durable(record) => RecordSource::Durable(record),
+            RecoveredRecord::NotDurable(record) => RecordSource::Unsynced(record),
+            RecoveredRecord::Missing if settings.bootstrap => RecordSource::Bootstrap {
                 members: settings.seed_coordinators(),
                 value: ControlValue::default(),
             },
-            Found::Nothing | Found::Damage => RecordSource::Empty {
+            RecoveredRecord::Missing | RecoveredRecord::Corrupted => RecordSource::Empty {
                 identity: Identity(rand::random()),
             },
         };
@@ -99,20 +100,20 @@
         };
         let mut times =
             ironmast_register::Settings::with_fault_tolerance(settings.fault_tolerance.hosts_lost);
-        times.quorum_lease = contact_bound(&settings.timing_bounds);
+        times.quorum_lease = contact_timeout(&settings.timing_bounds);
         let node = Node::recover(source, location, rand::random(), times);
         let (pending, next_operation, catching_up) = Default::default();
-        let (write, rewrite_at, timer) = (None, None, None);
+        let (write, write_retry_at, timer) = (None, None, None);
         Ok((
-            Replica {
+            RegisterReplica {
                 clock,
                 node,
-                journal,
+                register_log,
                 pending,
                 next_operation,
                 catching_up,
                 write,
-                rewrite_at,
+                write_retry_at,
                 timer,
                 log,
             },
@@ -148,32 +149,32 @@
     }
 
     /// Asks all coordinators at once whether they are there.
-    pub(crate) fn question(&mut self) -> Vec<Effect> {
+    pub(crate) fn question(&mut self) -> Vec<ReplicaOutput> {
         self.handle(Event::CheckQuorum)
     }
 
-    /// Reads the newest state from a quorum; [`Effect::CaughtUp`] tells the end. A read begun
+    /// Reads the newest state from a quorum; [`ReplicaOutput::CaughtUp`] tells the end. A read begun
     /// before doesn't count any more.
-    pub(crate) fn catch_up(&mut self) -> Vec<Effect> {
+    pub(crate) fn catch_up(&mut self) -> Vec<ReplicaOutput> {
         let id = self.next_operation();
         self.catching_up = Some(id);
         self.handle_submit(id, Operation::Read)
     }
 
-    /// When [`Replica::wake`] is to be called.
+    /// When [`RegisterReplica::wake`] is to be called.
     pub(crate) fn wake_at(&self) -> Duration {
         // The first event of a node is its timer.
         let timer = self.timer.unwrap_or_default();
-        self.rewrite_at.map_or(timer, |at| at.min(timer))
+        self.write_retry_at.map_or(timer, |at| at.min(timer))
     }
 
     /// Does what is due.
-    pub(crate) fn wake(&mut self) -> Vec<Effect> {
+    pub(crate) fn wake(&mut self) -> Vec<ReplicaOutput> {
         let now = self.clock.now();
-        if self.rewrite_at.is_some_and(|at| at <= now) {
-            self.rewrite_at = None;
+        if self.write_retry_at.is_some_and(|at| at <= now) {
+            self.write_retry_at = None;
             if let Some((token, record)) = &self.write {
-                self.journal.write(record.clone(), *token);
+                self.register_log.write(record.clone(), *token);
             }
         }
         if self.timer.is_some_and(|at| at > now) {
@@ -188,12 +189,12 @@
         &mut self,
         operation: Operation<ControlValue>,
         to: oneshot::Sender<Reply>,
-    ) -> Vec<Effect> {
+    ) -> Vec<ReplicaOutput> {
         self.submit(Kind::Change, operation, to)
     }
 
     /// Reads the configuration in force.
-    pub(crate) fn read(&mut self, to: oneshot::Sender<Reply>) -> Vec<Effect> {
+    pub(crate) fn read(&mut self, to: oneshot::Sender<Reply>) -> Vec<ReplicaOutput> {
         self.submit(Kind::Read, Operation::Read, to)
     }
 
@@ -202,7 +203,7 @@
         kind: Kind,
         operation: Operation<ControlValue>,
         to: oneshot::Sender<Reply>,
-    ) -> Vec<Effect> {
+    ) -> Vec<ReplicaOutput> {
         let id = self.next_operation();
         self.pending.insert(id, (kind, to));
         self.handle_submit(id, operation)
@@ -217,8 +218,8 @@
         &mut self,
         id: OperationId,
         operation: Operation<ControlValue>,
-    ) -> Vec<Effect> {
-        let deadline = self.clock.now() + ANSWER_WITHIN;
+    ) -> Vec<ReplicaOutput> {
+        let deadline = self.clock.now() + OPERATION_TIMEOUT;
         self.handle(Event::Submit {
             id,
             operation,
@@ -227,7 +228,7 @@
     }
 
     /// Takes a message of another coordinator.
-    pub(crate) fn receive(&mut self, bytes: &[u8]) -> Vec<Effect> {
+    pub(crate) fn receive(&mut self, bytes: &[u8]) -> Vec<ReplicaOutput> {
         match postcard::from_bytes::<Message<ControlValue>>(bytes) {
             Ok(message) => self.handle(Event::Message(message)),
             Err(error) => {
@@ -238,19 +239,19 @@
     }
 
     /// The other coordinators that are known.
-    pub(crate) fn set_peers(&mut self, peers: Vec<SocketAddr>) -> Vec<Effect> {
+    pub(crate) fn set_peers(&mut self, peers: Vec<SocketAddr>) -> Vec<ReplicaOutput> {
         self.handle(Event::Peers(peers))
     }
 
     /// This machine is about to stop.
-    pub(crate) fn leave(&mut self) -> Vec<Effect> {
+    pub(crate) fn leave(&mut self) -> Vec<ReplicaOutput> {
         self.handle(Event::Leaving)
     }
 
     /// A write has ended. One that failed is written once more, whole, to a new file: until that is
     /// durable the replica gives no vote. [`ironmast_storage`] tells why that is safe after a
     /// failed sync.
-    pub(crate) fn persisted(&mut self, completion: Persisted) -> Vec<Effect> {
+    pub(crate) fn persisted(&mut self, completion: Persisted) -> Vec<ReplicaOutput> {
         if self
             .write
             .as_ref()
@@ -265,13 +266,13 @@
             }
             Err(error) => {
                 warn!(self.log, "the register's record can't be written"; "why" => %error);
-                self.rewrite_at = Some(self.clock.now() + REWRITE);
+                self.write_retry_at = Some(self.clock.now() + WRITE_RETRY_DELAY);
                 Vec::new()
             }
         }
     }
 
-    fn handle(&mut self, event: Event<ControlValue>) -> Vec<Effect> {
+    fn handle(&mut self, event: Event<ControlValue>) -> Vec<ReplicaOutput> {
         let mut actions = Vec::new();
         self.node.handle(self.clock.now(), event, &mut actions);
         actions
@@ -280,14 +281,14 @@
             .collect()
     }
 
-    fn carry_out(&mut self, action: Action<ControlValue>) -> Option<Effect> {
+    fn carry_out(&mut self, action: Action<ControlValue>) -> Option<ReplicaOutput> {
         match action {
             Action::Send { to, message } => {
-                return Some(Effect::Send(to, postcard::to_stdvec(&message).ok()?));
+                return Some(ReplicaOutput::Send(to, postcard::to_stdvec(&message).ok()?));
             }
-            Action::Learned(state) => return Some(Effect::Learned(state)),
+            Action::Learned(state) => return Some(ReplicaOutput::StateChosen(state)),
             Action::Persist(write) => {
-                self.journal.write(write.record.clone(), write.token);
+                self.register_log.write(write.record.clone(), write.token);
                 self.write = Some((write.token, write.record));
             }
             Action::Completed { id, outcome } => return self.completed(id, outcome),
@@ -301,12 +302,16 @@
         None
     }
 
-    fn completed(&mut self, id: OperationId, outcome: Outcome<ControlValue>) -> Option<Effect> {
+    fn completed(
+        &mut self,
+        id: OperationId,
+        outcome: Outcome<ControlValue>,
+    ) -> Option<ReplicaOutput> {
         if self.catching_up.take_if(|read| *read == id).is_some() {
-            return Some(Effect::CaughtUp(matches!(outcome, Outcome::Read(_))));
+            return Some(ReplicaOutput::CaughtUp(matches!(outcome, Outcome::Read(_))));
         }
         let (kind, to) = self.pending.remove(&id)?;
-        Some(Effect::Answered(kind, reply(kind, outcome), to))
+        Some(ReplicaOutput::Answered(kind, reply(kind, outcome), to))
     }
 }
 
@@ -318,7 +323,7 @@
         },
         (_, Outcome::Written(_) | Outcome::Unchanged(_) | Outcome::Read(_)) => Reply::json("{}"),
         (_, Outcome::Rejected { reason, .. }) => {
-            Reply::refused(Refusal::of(&reason).status(), &reason)
+            Reply::refused(Rejection::of(&reason).status(), &reason)
         }
         (Kind::Change, Outcome::Unknown) => {
             Reply::refused(504, "it may be in force or come into force")
--- a/crates/coordinator/src/resolve.rs
+++ b/crates/coordinator/src/resolve.rs
@@ -11,10 +11,10 @@
 use ironmast_schema::control::GatePresence;
 use serde::{Deserialize, Serialize};
 
-use crate::state::Reply;
+use crate::node::Reply;
 
 /// An answer names no more addresses than this.
-const ADDRESSES_MOST: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 
 /// What a client asks.
 #[derive(Debug, Clone, Default, Deserialize)]
@@ -36,18 +36,18 @@
 
 /// Regions from which all requests of a host may be served.
 #[derive(Debug, PartialEq, Eq)]
-enum Homes {
+enum AllowedRegions {
     /// Its routes name none.
     Anywhere,
     /// Those that all routes with homes name.
     Regions(BTreeSet<String>),
 }
 
-impl Homes {
+impl AllowedRegions {
     /// The homes of a host; none as long as no configuration is known.
     fn of(host: &str, configuration: Option<&Configuration>) -> Self {
         let Some(configuration) = configuration else {
-            return Homes::Regions(BTreeSet::new());
+            return AllowedRegions::Regions(BTreeSet::new());
         };
         let of_host = configuration
             .routes
@@ -58,15 +58,15 @@
             .filter(|regions| !regions.is_empty());
         let named = named.map(|regions| regions.iter().cloned().collect::<BTreeSet<_>>());
         match named.reduce(|common, regions| &common & &regions) {
-            Some(common) => Homes::Regions(common),
-            None => Homes::Anywhere,
+            Some(common) => AllowedRegions::Regions(common),
+            None => AllowedRegions::Anywhere,
         }
     }
 
     fn admit(&self, region: &str) -> bool {
         match self {
-            Homes::Anywhere => true,
-            Homes::Regions(regions) => regions.contains(region),
+            AllowedRegions::Anywhere => true,
+            AllowedRegions::Regions(regions) => regions.contains(region),
         }
     }
 }
@@ -82,7 +82,7 @@
     if !near.is_empty() {
         return near;
     }
-    let homes = Homes::of(&query.name, configuration);
+    let homes = AllowedRegions::of(&query.name, configuration);
     let lost = was_lost(gates, &query.region);
     let elsewhere = select(gates, |gate| {
         is_ready(gate) && (lost || homes.admit(&gate.record.region))
@@ -105,7 +105,7 @@
     configuration: Option<&Configuration>,
     query: &Query,
 ) -> Vec<SocketAddr> {
-    let homes = Homes::of(&query.name, configuration);
+    let homes = AllowedRegions::of(&query.name, configuration);
     if configuration.is_some() && !homes.admit(&query.region) {
         return Vec::new();
     }
@@ -141,7 +141,7 @@
         .map(|gate| gate.frontend)
         .collect();
     addresses.sort_unstable();
-    addresses.truncate(ADDRESSES_MOST);
+    addresses.truncate(MAX_ADDRESSES);
     addresses
 }
 
--- a/crates/coordinator/src/value.rs
+++ b/crates/coordinator/src/value.rs
@@ -6,7 +6,7 @@
 use ironmast_register::Decision;
 use serde::{Deserialize, Serialize};
 
-use history::{History, Order, Past};
+use history::{ChangeId, History, PriorOutcome};
 
 mod history;
 
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ControlValue {
     /// The configuration in force.
-    pub configuration: Option<Document>,
+    pub configuration: Option<ConfigurationDocument>,
     /// Zones that get nothing.
     pub evacuated: BTreeSet<String>,
     /// The configurations taken before, and those refused that could still fit.
@@ -23,7 +23,7 @@
 
 /// A configuration as the operator sent it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Document {
+pub(crate) struct ConfigurationDocument {
     /// Its number.
     pub generation: u64,
     /// The body, byte for byte.
@@ -32,30 +32,30 @@
 
 /// Why a change is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum Refusal {
+pub(crate) enum Rejection {
     /// It builds on another version.
     #[error("another version is in place")]
-    OtherVersion,
+    VersionMismatch,
     /// Its number is not above the current one.
     #[error("the generation is not above the current one")]
-    OldGeneration,
+    StaleGeneration,
 }
 
-impl Refusal {
+impl Rejection {
     /// The status that tells the operator.
     pub(crate) fn status(self) -> u16 {
         match self {
-            Refusal::OtherVersion => 412,
-            Refusal::OldGeneration => 400,
+            Rejection::VersionMismatch => 412,
+            Rejection::StaleGeneration => 400,
         }
     }
 
     /// The refusal whose text this is.
     pub(crate) fn of(reason: &str) -> Self {
-        if reason == Refusal::OldGeneration.to_string() {
-            Refusal::OldGeneration
+        if reason == Rejection::StaleGeneration.to_string() {
+            Rejection::StaleGeneration
         } else {
-            Refusal::OtherVersion
+            Rejection::VersionMismatch
         }
     }
 }
@@ -72,38 +72,48 @@
     /// same byte for byte and on the same base, is acknowledged again, whatever has come since. One
     /// that is refused never comes into force later. Where neither can be promised, there is no
     /// answer.
-    pub(crate) fn configure(&self, document: &Document, base: u64) -> Decision<ControlValue> {
-        let order = Order::new(document, base);
-        match self.history.past(&order) {
-            Past::Taken => Decision::Unchanged,
-            Past::Refused => refuse(Refusal::OtherVersion),
-            Past::Forgotten => Decision::Unknown,
-            Past::Unknown if base == self.generation() => self.configure_next(document, &order),
-            Past::Unknown if base > self.generation() && order.is_consistent() => {
-                self.refuse_for_good(&order)
+    pub(crate) fn configure(
+        &self,
+        document: &ConfigurationDocument,
+        base: u64,
+    ) -> Decision<ControlValue> {
+        let change = ChangeId::new(document, base);
+        match self.history.outcome_of(&change) {
+            PriorOutcome::Applied => Decision::Unchanged,
+            PriorOutcome::Rejected => reject(Rejection::VersionMismatch),
+            PriorOutcome::Evicted => Decision::Unknown,
+            PriorOutcome::NotApplied if base == self.generation() => {
+                self.configure_next(document, &change)
             }
-            Past::Unknown => refuse(Refusal::OtherVersion),
+            PriorOutcome::NotApplied if base > self.generation() && change.is_consistent() => {
+                self.reject_permanently(&change)
+            }
+            PriorOutcome::NotApplied => reject(Rejection::VersionMismatch),
         }
     }
 
     /// Takes an order that builds on the current version.
-    fn configure_next(&self, document: &Document, order: &Order) -> Decision<ControlValue> {
+    fn configure_next(
+        &self,
+        document: &ConfigurationDocument,
+        change: &ChangeId,
+    ) -> Decision<ControlValue> {
         if document.generation <= self.generation() {
-            return refuse(Refusal::OldGeneration);
+            return reject(Rejection::StaleGeneration);
         }
         let mut next = self.clone();
         next.configuration = Some(document.clone());
-        next.history.take(order);
+        next.history.record_applied(change);
         Decision::Write(next)
     }
 
     /// Refuses an order that builds on a version which may yet come, and remembers that it did.
-    fn refuse_for_good(&self, order: &Order) -> Decision<ControlValue> {
+    fn reject_permanently(&self, change: &ChangeId) -> Decision<ControlValue> {
         let mut next = self.clone();
-        if next.history.refuse(order) {
+        if next.history.record_rejected(change) {
             Decision::RejectAndWrite {
                 value: next,
-                reason: Refusal::OtherVersion.to_string(),
+                reason: Rejection::VersionMismatch.to_string(),
             }
         } else {
             Decision::Unknown
@@ -125,8 +135,8 @@
     }
 }
 
-fn refuse(refusal: Refusal) -> Decision<ControlValue> {
-    Decision::Reject(refusal.to_string())
+fn reject(rejection: Rejection) -> Decision<ControlValue> {
+    Decision::Reject(rejection.to_string())
 }
 
 #[cfg(test)]
--- a/crates/coordinator/src/value/history.rs
+++ b/crates/coordinator/src/value/history.rs
@@ -10,18 +10,18 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::Document;
+use super::ConfigurationDocument;
 
 /// Orders taken that are remembered. An operator sends an order again until it is answered; at the
 /// 7,400 changes a day that are aimed at, this many are over six hours of other operators' changes.
-/// Each adds at most [`TAKEN_BYTES`] bytes to the value, which is written whole.
-pub(super) const TAKEN_MOST: usize = 2_048;
+/// Each adds at most [`MAX_APPLIED_BYTES`] bytes to the value, which is written whole.
+pub(super) const MAX_APPLIED: usize = 2_048;
 /// Largest size of an order taken in the encoded value: a number below 2^28 and a digest.
 #[cfg(test)]
-pub(super) const TAKEN_BYTES: usize = 4 + size_of::<Digest>();
+pub(super) const MAX_APPLIED_BYTES: usize = 4 + size_of::<Digest>();
 /// Orders refused that could still fit later. Each operator has at most eight orders under way at
 /// once.
-pub(super) const REFUSED_MOST: usize = 64;
+pub(super) const MAX_REJECTED: usize = 64;
 
 /// Digest of an order's content and base. Only compared where the numbers are equal too, so that
 /// two orders are mistaken for one another with a chance of 2^-64 for each pair of one number. Not
@@ -30,17 +30,17 @@
 
 /// A configuration as an operator sends it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Order {
+pub(super) struct ChangeId {
     pub(super) generation: u64,
     pub(super) base: u64,
     digest: Digest,
 }
 
-impl Order {
+impl ChangeId {
     /// The order to put a configuration in force on top of the version `base`.
-    pub(super) fn new(document: &Document, base: u64) -> Self {
+    pub(super) fn new(document: &ConfigurationDocument, base: u64) -> Self {
         let digest = xxh3_64_with_seed(&document.body, base).to_le_bytes();
-        Order {
+        ChangeId {
             generation: document.generation,
             base,
             digest,
@@ -55,14 +55,14 @@
 
 /// An order taken.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Taken {
+struct Applied {
     generation: u64,
     digest: Digest,
 }
 
 /// An order refused though its base may yet become the current version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Refused {
+struct Rejected {
     base: u64,
     generation: u64,
     digest: Digest,
@@ -70,81 +70,81 @@
 
 /// What became of an order that was sent before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Past {
+pub(super) enum PriorOutcome {
     /// It was taken.
-    Taken,
+    Applied,
     /// It was refused, and could be taken now or later.
-    Refused,
+    Rejected,
     /// It may have been taken, too long ago to tell.
-    Forgotten,
+    Evicted,
     /// It was not taken.
-    Unknown,
+    NotApplied,
 }
 
 /// The orders remembered.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct History {
     /// Orders taken, the latest last.
-    taken: VecDeque<Taken>,
+    applied: VecDeque<Applied>,
     /// Number of the latest order taken that isn't remembered any more; 0 if all are.
-    forgotten: u64,
-    refused: Vec<Refused>,
+    evicted_up_to: u64,
+    rejected: Vec<Rejected>,
 }
 
 impl History {
     /// What became of an order.
-    pub(super) fn past(&self, order: &Order) -> Past {
-        if !order.is_consistent() {
-            return Past::Unknown;
+    pub(super) fn outcome_of(&self, change: &ChangeId) -> PriorOutcome {
+        if !change.is_consistent() {
+            return PriorOutcome::NotApplied;
         }
-        if order.generation <= self.forgotten {
-            return Past::Forgotten;
+        if change.generation <= self.evicted_up_to {
+            return PriorOutcome::Evicted;
         }
         let found = self
-            .taken
-            .binary_search_by_key(&order.generation, |taken| taken.generation);
-        if found.is_ok_and(|index| self.taken[index].digest == order.digest) {
-            return Past::Taken;
+            .applied
+            .binary_search_by_key(&change.generation, |applied| applied.generation);
+        if found.is_ok_and(|index| self.applied[index].digest == change.digest) {
+            return PriorOutcome::Applied;
         }
-        let same = |refused: &Refused| {
-            (refused.base, refused.generation, refused.digest)
-                == (order.base, order.generation, order.digest)
+        let same = |rejected: &Rejected| {
+            (rejected.base, rejected.generation, rejected.digest)
+                == (change.base, change.generation, change.digest)
         };
-        if self.refused.iter().any(same) {
-            Past::Refused
+        if self.rejected.iter().any(same) {
+            PriorOutcome::Rejected
         } else {
-            Past::Unknown
+            PriorOutcome::NotApplied
         }
     }
 
     /// Remembers an order as taken.
-    pub(super) fn take(&mut self, order: &Order) {
-        self.taken.push_back(Taken {
-            generation: order.generation,
-            digest: order.digest,
+    pub(super) fn record_applied(&mut self, change: &ChangeId) {
+        self.applied.push_back(Applied {
+            generation: change.generation,
+            digest: change.digest,
         });
-        if self.taken.len() > TAKEN_MOST {
-            self.forgotten = self
-                .taken
+        if self.applied.len() > MAX_APPLIED {
+            self.evicted_up_to = self
+                .applied
                 .pop_front()
-                .map_or(self.forgotten, |taken| taken.generation);
+                .map_or(self.evicted_up_to, |applied| applied.generation);
         }
         // Versions only rise: what builds on an earlier one is refused for good.
-        self.refused
-            .retain(|refused| refused.base >= order.generation);
+        self.rejected
+            .retain(|rejected| rejected.base >= change.generation);
     }
 
     /// Remembers an order as refused; false if there is no room.
-    pub(super) fn refuse(&mut self, order: &Order) -> bool {
-        if self.refused.len() >= REFUSED_MOST {
+    pub(super) fn record_rejected(&mut self, change: &ChangeId) -> bool {
+        if self.rejected.len() >= MAX_REJECTED {
             return false;
         }
-        let Order {
+        let ChangeId {
             generation,
             base,
             digest,
-        } = *order;
-        self.refused.push(Refused {
+        } = *change;
+        self.rejected.push(Rejected {
             base,
             generation,
             digest,
@@ -155,16 +155,16 @@
     /// Number of orders taken that are remembered.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
-        self.taken.len()
+        self.applied.len()
     }
 
     /// Lets the memory hold that many orders taken, whatever its bound.
     #[cfg(test)]
-    pub(super) fn pad(&mut self, length: u64) {
-        let order = |number: u64| Taken {
+    pub(super) fn fill_unbounded(&mut self, length: u64) {
+        let change = |number: u64| Applied {
             generation: 2 * number,
             digest: number.wrapping_mul(0x9e37_79b9_7f4a_7c15).to_le_bytes(),
         };
-        self.taken = (1..=length).map(order).collect();
+        self.applied = (1..=length).map(change).collect();
     }
 }
--- a/crates/coordinator/src/value/tests.rs
+++ b/crates/coordinator/src/value/tests.rs
@@ -6,15 +6,15 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use super::history::{REFUSED_MOST, TAKEN_BYTES, TAKEN_MOST};
-use super::{ControlValue, Document, Refusal};
+use super::history::{MAX_APPLIED, MAX_APPLIED_BYTES, MAX_REJECTED};
+use super::{ConfigurationDocument, ControlValue, Rejection};
 
-fn refusal(refusal: Refusal) -> Decision<ControlValue> {
+fn refusal(refusal: Rejection) -> Decision<ControlValue> {
     Decision::Reject(refusal.to_string())
 }
 
-fn document(generation: u64, text: &str) -> Document {
-    Document {
+fn document(generation: u64, text: &str) -> ConfigurationDocument {
+    ConfigurationDocument {
         generation,
         body: text.as_bytes().to_vec(),
     }
@@ -43,7 +43,7 @@
     let value = written(value.configure(&document(5, "one"), 3));
     assert_eq!(
         value.configure(&document(5, "other"), 3),
-        Decision::Reject(Refusal::OtherVersion.to_string())
+        Decision::Reject(Rejection::VersionMismatch.to_string())
     );
 }
 
@@ -54,7 +54,7 @@
         let refused = value.configure(&document(generation, "next"), 3);
         assert_eq!(
             refused,
-            Decision::Reject(Refusal::OldGeneration.to_string())
+            Decision::Reject(Rejection::StaleGeneration.to_string())
         );
     }
 }
@@ -75,7 +75,7 @@
     })
 }
 
-fn nth(change: u64) -> Document {
+fn nth(change: u64) -> ConfigurationDocument {
     let generation = 2 * (change + 1);
     document(generation, &format!("version {generation}"))
 }
@@ -99,31 +99,31 @@
 
 #[test]
 fn an_order_taken_is_never_refused_however_long_ago_it_was() {
-    let changes = 3 * TAKEN_MOST as u64;
+    let changes = 3 * MAX_APPLIED as u64;
     let value = after(changes);
     for change in 0..changes {
         let answer = value.configure(&nth(change), base(change));
         assert_matches!(answer, Decision::Unchanged | Decision::Unknown, "{change}");
     }
-    assert_eq!(value.history.len(), TAKEN_MOST);
+    assert_eq!(value.history.len(), MAX_APPLIED);
 }
 
 #[test]
 fn an_order_that_can_not_have_been_taken_is_refused_however_old_it_looks() {
-    let value = after(3 * TAKEN_MOST as u64);
+    let value = after(3 * MAX_APPLIED as u64);
     let current = value.generation();
     assert_eq!(
         value.configure(&nth(0), current),
-        refusal(Refusal::OldGeneration)
+        refusal(Rejection::StaleGeneration)
     );
     assert_eq!(
         value.configure(&document(current + 2, "late"), 2),
-        refusal(Refusal::OtherVersion)
+        refusal(Rejection::VersionMismatch)
     );
     let rival = document(current - 2, "another");
     assert_eq!(
         value.configure(&rival, current - 4),
-        refusal(Refusal::OtherVersion)
+        refusal(Rejection::VersionMismatch)
     );
     assert_matches!(
         value.configure(&document(5, "another"), 4),
@@ -137,11 +137,11 @@
     assert_matches!(value.configure(&nth(1), base(1)), Decision::Unchanged);
     assert_eq!(
         value.configure(&nth(1), base(1) + 1),
-        refusal(Refusal::OtherVersion)
+        refusal(Rejection::VersionMismatch)
     );
     assert_eq!(
         value.configure(&nth(2), value.generation()),
-        refusal(Refusal::OldGeneration)
+        refusal(Rejection::StaleGeneration)
     );
 }
 
@@ -152,12 +152,21 @@
     let Decision::RejectAndWrite { value, reason } = value.configure(&early, 6) else {
         panic!("not refused for good");
     };
-    assert_eq!(Refusal::of(&reason), Refusal::OtherVersion);
-    assert_eq!(value.configure(&early, 6), refusal(Refusal::OtherVersion));
+    assert_eq!(Rejection::of(&reason), Rejection::VersionMismatch);
+    assert_eq!(
+        value.configure(&early, 6),
+        refusal(Rejection::VersionMismatch)
+    );
     let value = written(value.configure(&nth(2), base(2)));
-    assert_eq!(value.configure(&early, 6), refusal(Refusal::OtherVersion));
+    assert_eq!(
+        value.configure(&early, 6),
+        refusal(Rejection::VersionMismatch)
+    );
     let value = written(value.configure(&other, 6));
-    assert_eq!(value.configure(&early, 6), refusal(Refusal::OtherVersion));
+    assert_eq!(
+        value.configure(&early, 6),
+        refusal(Rejection::VersionMismatch)
+    );
     assert_eq!(
         value.history,
         after_with(&other, 6).history,
@@ -165,14 +174,14 @@
     );
 }
 
-fn after_with(document: &Document, base: u64) -> ControlValue {
+fn after_with(document: &ConfigurationDocument, base: u64) -> ControlValue {
     written(after(3).configure(document, base))
 }
 
 #[test]
 fn refusals_that_can_not_be_remembered_are_not_given() {
     let mut value = after(1);
-    for number in 0..REFUSED_MOST as u64 {
+    for number in 0..MAX_REJECTED as u64 {
         value = match value.configure(&document(100 + number, "early"), 50) {
             Decision::RejectAndWrite { value, .. } => value,
             other => panic!("{other:?}"),
@@ -259,8 +268,8 @@
     let (few, many) = (after(100), after(1_100));
     // Both hold a configuration of nearly the same length.
     let added = length(&many) - length(&few) - 2;
-    assert!(added <= 1_000 * TAKEN_BYTES, "{added}");
-    assert!(length(&after(3 * TAKEN_MOST as u64)) <= (TAKEN_MOST + 4) * TAKEN_BYTES);
+    assert!(added <= 1_000 * MAX_APPLIED_BYTES, "{added}");
+    assert!(length(&after(3 * MAX_APPLIED as u64)) <= (MAX_APPLIED + 4) * MAX_APPLIED_BYTES);
 }
 
 /// Run by hand for its figures: what the memory costs at each write.
@@ -269,7 +278,7 @@
 fn cost_of_the_memory() {
     for changes in [10, 100, 1_000, 10_000] {
         let mut value = after(1);
-        value.history.pad(changes);
+        value.history.fill_unbounded(changes);
         let encoded = postcard::to_stdvec(&value).expect("encoded");
         let start = Instant::now();
         for _ in 0..100 {
@@ -296,7 +305,7 @@
 
 #[test]
 fn each_refusal_is_found_again_by_its_text() {
-    for refusal in [Refusal::OtherVersion, Refusal::OldGeneration] {
-        assert_eq!(Refusal::of(&refusal.to_string()), refusal);
+    for refusal in [Rejection::VersionMismatch, Rejection::StaleGeneration] {
+        assert_eq!(Rejection::of(&refusal.to_string()), refusal);
     }
 }
