--- a/crates/gate/src/gate.rs
+++ b/crates/gate/src/gate.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ironmast_limits::Tier;
+use ironmast_limits::GateSet;
 use ironmast_routing::{Decider, Dispatch, Micros, ServerSpec, ServerState, Table};
 use ironmast_schema::settings::Settings;
 use ironmast_transport::attempt::Admission;
@@ -113,7 +113,7 @@
     }
 
     /// Puts another table in force.
-    pub(crate) fn swap(&self, table: Table, tier: Tier) {
+    pub(crate) fn swap(&self, table: Table, tier: GateSet) {
         let now = self.clock.now();
         let takes =
             |server: &&Arc<ServerSpec>| server.state == ServerState::Ready && !server.evacuated;
--- a/crates/gate/src/limits.rs
+++ b/crates/gate/src/limits.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ironmast_limits::{ColdLimiter, ColdTracker, Report, RetryTerms, Tier, cold_bound};
+use ironmast_limits::{
+    GateSet, RetryBudgetSettings, SlowStartLimiter, WarmupReport, WarmupTracker, slow_start_bound,
+};
 use ironmast_routing::{Micros, Permits, RetryAfter, RetryBudget, ServerSpec, ServiceSpec};
 use ironmast_schema::settings::TimingBounds;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -22,59 +24,69 @@
     tolerance: f64,
     /// Gates that repeats are divided by.
     gates: u32,
-    tier: Tier,
+    tier: GateSet,
     started: Duration,
     /// By service: the bound of one server, and what this gate has sent.
-    cold: FxHashMap<Arc<str>, (u32, ColdLimiter<Arc<str>>)>,
-    tracker: ColdTracker<Arc<str>>,
+    cold: FxHashMap<Arc<str>, (u32, SlowStartLimiter<Arc<str>>)>,
+    tracker: WarmupTracker<Arc<str>>,
     /// Instances of which nothing is known since they were disturbed.
     disturbed: FxHashSet<Arc<str>>,
     retry: ironmast_limits::RetryBudget<Arc<str>>,
-    terms: RetryTerms,
+    terms: RetryBudgetSettings,
 }
 
 impl Limits {
     /// The limits of a gate that starts now.
     pub(crate) fn new(bounds: &TimingBounds, now: Micros) -> Self {
         let started = span(now);
-        let terms = RetryTerms {
+        let terms = RetryBudgetSettings {
             ratio: bounds.retry_budget_ratio,
             burst: bounds.retry_burst as u32,
             window: Duration::from_secs_f64(bounds.retry_window_s),
         };
-        let tier = Tier::default();
+        let tier = GateSet::default();
         Limits {
             overshoot: bounds.warmup_overshoot,
             tolerance: bounds.warmup_tolerance,
-            gates: tier.size(),
+            gates: tier.divisor(),
             tier,
             started,
             cold: FxHashMap::default(),
-            tracker: ColdTracker::default(),
+            tracker: WarmupTracker::default(),
             disturbed: FxHashSet::default(),
-            retry: ironmast_limits::RetryBudget::local(terms, Tier::default().size(), started),
+            retry: ironmast_limits::RetryBudget::with_even_share(
+                terms,
+                GateSet::default().divisor(),
+                started,
+            ),
             terms,
         }
     }
 
     /// The services in force and the gates, those that are not heard of among them: they may still
     /// send.
-    pub(crate) fn set(&mut self, now: Micros, tier: Tier, services: &[ServiceSpec]) {
-        let gates = tier.size().max(self.gates);
+    pub(crate) fn set(&mut self, now: Micros, tier: GateSet, services: &[ServiceSpec]) {
+        let gates = tier.divisor().max(self.gates);
         if gates != self.gates {
-            self.retry = ironmast_limits::RetryBudget::local(self.terms, gates, span(now));
+            self.retry =
+                ironmast_limits::RetryBudget::with_even_share(self.terms, gates, span(now));
         }
         self.gates = gates;
         self.tier = tier;
         self.cold
             .retain(|name, _| services.iter().any(|service| service.name == *name));
         for service in services {
-            let bound = cold_bound(service.warmup_per_s, self.overshoot, self.tolerance);
+            let bound = slow_start_bound(service.warmup_per_s, self.overshoot, self.tolerance);
             if bound == 0 {
                 self.cold.remove(&service.name);
                 continue;
             }
-            let fresh = || (bound, ColdLimiter::static_share(bound, gates, self.started));
+            let fresh = || {
+                (
+                    bound,
+                    SlowStartLimiter::with_even_share(bound, gates, self.started),
+                )
+            };
             let (known, _) = self.cold.entry(service.name.clone()).or_insert_with(fresh);
             *known = bound;
         }
@@ -99,13 +111,19 @@
 
     fn told(&mut self, now: Micros, instance: &Arc<str>, said_at: Duration, left_ms: f64) {
         let left = Duration::try_from_secs_f64(left_ms.max(0.0) / 1_000.0).unwrap_or_default();
-        self.tracker
-            .report(span(now), instance, Report { said_at, left });
+        self.tracker.report(
+            span(now),
+            instance,
+            WarmupReport {
+                made_at: said_at,
+                remaining: left,
+            },
+        );
     }
 
     /// A server may have turned cold: nothing said before counts.
     pub(crate) fn disturbed(&mut self, now: Micros, instance: &Arc<str>) {
-        self.tracker.disturbed(span(now), instance);
+        self.tracker.reset(span(now), instance);
         self.disturbed.insert(instance.clone());
     }
 
@@ -116,7 +134,7 @@
 
     /// Whether a server is cold by what is known of it.
     pub(crate) fn is_cold(&self, now: Micros, server: &ServerSpec) -> bool {
-        self.is_limited(&server.service) && self.tracker.is_cold(span(now), &server.instance)
+        self.is_limited(&server.service) && self.tracker.is_warming_up(span(now), &server.instance)
     }
 
     /// Forgets what is of no more use.
@@ -148,21 +166,23 @@
             limiter.record(span(now), &server.instance);
             return Ok(());
         }
-        let wait = |wait: ironmast_limits::Wait| wait.after(span(now)).map_or(WAIT_UNKNOWN, micros);
-        let permits = self.tier.permits(*bound, &server.region, &server.instance);
+        let wait = |wait: ironmast_limits::LimitExceeded| {
+            wait.retry_delay(span(now)).map_or(WAIT_UNKNOWN, micros)
+        };
+        let permits = self.tier.quota(*bound, &server.region, &server.instance);
         limiter
-            .try_take_of(span(now), &server.instance, permits)
+            .try_acquire_within(span(now), &server.instance, permits)
             .map_err(|told| RetryAfter(wait(told)))
     }
 }
 
 impl RetryBudget for Limits {
     fn deposit(&mut self, now: Micros, service: &ServiceSpec) {
-        self.retry.on_request(span(now), &service.name);
+        self.retry.deposit(span(now), &service.name);
     }
 
     fn withdraw(&mut self, now: Micros, service: &ServiceSpec) -> bool {
-        self.retry.try_take(span(now), &service.name).is_ok()
+        self.retry.withdraw(span(now), &service.name).is_ok()
     }
 }
 
--- a/crates/gate/src/limits/tests.rs
+++ b/crates/gate/src/limits/tests.rs
@@ -1,3 +1,4 @@
+use ironmast_limits::{Gate, GateId};
 use ironmast_routing::{Permits as _, RetryBudget as _};
 
 use super::*;
@@ -34,11 +35,14 @@
 }
 
 /// So many gates, all but the first, which is this one, in the servers' region.
-fn gates(count: u64) -> Tier {
-    Tier::new(
-        0,
+fn gates(count: u64) -> GateSet {
+    GateSet::new(
+        GateId(0),
         (0..count)
-            .map(|gate| (if gate == 0 { "elsewhere" } else { "r" }.into(), gate))
+            .map(|gate| Gate {
+                region: if gate == 0 { "elsewhere" } else { "r" }.into(),
+                id: GateId(gate),
+            })
             .collect(),
     )
 }
--- a/crates/gate/src/table.rs
+++ b/crates/gate/src/table.rs
@@ -5,7 +5,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
-use ironmast_limits::{GateNumber, Tier};
+use ironmast_limits::{Gate, GateId, GateSet};
 use ironmast_routing::{
     Micros, RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Table, TableError,
     TableSpec, WeightedBackend,
@@ -136,7 +136,7 @@
     }
 
     /// All gates that were ever told of, and the one at `own`.
-    pub(crate) fn tier(&self, settings: &Settings, own: SocketAddr) -> Tier {
+    pub(crate) fn tier(&self, settings: &Settings, own: SocketAddr) -> GateSet {
         let mut gates: BTreeMap<SocketAddr, &str> = self
             .entries
             .iter()
@@ -146,10 +146,11 @@
             })
             .collect();
         gates.insert(own, &settings.region);
-        let gates = gates
-            .into_iter()
-            .map(|(at, region)| (region.into(), gate_number(at)));
-        Tier::new(gate_number(own), gates.collect())
+        let gates = gates.into_iter().map(|(at, region)| Gate {
+            region: region.into(),
+            id: gate_number(at),
+        });
+        GateSet::new(gate_number(own), gates.collect())
     }
 
     /// Where the other gates of the region hear each other.
@@ -235,12 +236,12 @@
 }
 
 /// A gate's number, the same at all gates: its address.
-fn gate_number(frontend: SocketAddr) -> GateNumber {
+fn gate_number(frontend: SocketAddr) -> GateId {
     let ip = match frontend.ip() {
         IpAddr::V4(ip) => u64::from(ip.to_bits()),
         IpAddr::V6(ip) => ip.to_bits() as u64,
     };
-    ip << u16::BITS | u64::from(frontend.port())
+    GateId(ip << u16::BITS | u64::from(frontend.port()))
 }
 
 fn spec(configuration: &Configuration, gates: u32, servers: Vec<ServerSpec>) -> TableSpec {
--- a/crates/gate/src/table/tests.rs
+++ b/crates/gate/src/table/tests.rs
@@ -193,7 +193,10 @@
     known.merge(5, others.clone().map(|port| gate(port, false)).collect());
     let before = known.tier(&settings(), own);
     // 17 gates of one region: an even part of 35 is 2.
-    assert_eq!((before.size(), before.permits(35, "south", "i-1")), (17, 2));
+    assert_eq!(
+        (before.divisor(), before.quota(35, "south", "i-1")),
+        (17, 2)
+    );
     known.merge(
         6,
         others
--- a/crates/keyed-ownership/src/client.rs
+++ b/crates/keyed-ownership/src/client.rs
@@ -9,8 +9,8 @@
 use crate::message::{Ask, Grant, Message, Return, Settled};
 use crate::terms::Terms;
 use crate::view::{GateId, Key, Token, View};
-use ironmast_limits::Wait;
-use ironmast_limits::window::Exact;
+use ironmast_limits::LimitExceeded;
+use ironmast_limits::sliding_window::SlidingLog;
 
 #[cfg(test)]
 mod tests;
@@ -82,7 +82,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Need {
-    uses: Exact,
+    uses: SlidingLog,
     held: Vec<Held>,
     asking: Option<Asking>,
     /// An owner refused; no ask before this moment.
@@ -149,7 +149,7 @@
     /// `waiting` is how many requests wait for a permit, this one counted.
     ///
     /// # Errors
-    /// [`Wait`] with the moment to try again, which [`Action::Ready`] may bring forward.
+    /// [`LimitExceeded`] with the moment to try again, which [`Action::Ready`] may bring forward.
     pub fn try_take(
         &mut self,
         now: Duration,
@@ -157,7 +157,7 @@
         pool: u32,
         waiting: u32,
         actions: &mut Vec<Action<K>>,
-    ) -> Result<(), Wait> {
+    ) -> Result<(), LimitExceeded> {
         let life = self.terms.life;
         let need = self.needs.entry(key.clone()).or_default();
         need.expire(now);
@@ -292,14 +292,14 @@
         actions.push(Action::Send(owner, Message::Ask(ask)));
     }
 
-    fn wait(&self, key: &K) -> Wait {
+    fn wait(&self, key: &K) -> LimitExceeded {
         let Some(need) = self.needs.get(key) else {
-            return Wait::Unknown;
+            return LimitExceeded::Indefinitely;
         };
         match need.asking {
-            Some(asking) => Wait::Until(asking.ends),
-            None if need.not_before > Duration::ZERO => Wait::Until(need.not_before),
-            None => Wait::Unknown,
+            Some(asking) => LimitExceeded::Until(asking.ends),
+            None if need.not_before > Duration::ZERO => LimitExceeded::Until(need.not_before),
+            None => LimitExceeded::Indefinitely,
         }
     }
 }
--- a/crates/keyed-ownership/src/client/tests.rs
+++ b/crates/keyed-ownership/src/client/tests.rs
@@ -8,7 +8,7 @@
 use crate::message::{Ask, Grant, Message, Settled};
 use crate::terms::Terms;
 use crate::view::{GateId, Token, View};
-use ironmast_limits::Wait;
+use ironmast_limits::LimitExceeded;
 
 type Actions = Vec<Action<String>>;
 
@@ -39,7 +39,11 @@
     client
 }
 
-fn take(client: &mut Client<String>, now: u64, waiting: u32) -> (Result<(), Wait>, Actions) {
+fn take(
+    client: &mut Client<String>,
+    now: u64,
+    waiting: u32,
+) -> (Result<(), LimitExceeded>, Actions) {
     let mut actions = Vec::new();
     let taken = client.try_take(ms(now), &key(), 10, waiting, &mut actions);
     (taken, actions)
@@ -99,7 +103,7 @@
     let mut client = Client::new(gate(2), Terms::cold());
     assert_eq!(
         client.try_take(ms(0), &key(), 10, 1, &mut Vec::new()),
-        Err(Wait::Unknown)
+        Err(LimitExceeded::Indefinitely)
     );
 }
 
@@ -107,7 +111,7 @@
 fn asks_for_what_waits_and_once_at_a_time() {
     let mut client = client();
     let (taken, actions) = take(&mut client, 100, 3);
-    assert_eq!(taken, Err(Wait::Until(ms(400))));
+    assert_eq!(taken, Err(LimitExceeded::Until(ms(400))));
     assert_eq!(the_ask(&actions).want, 3);
     assert_eq!(
         the_ask(&actions).token,
@@ -116,7 +120,7 @@
             owner: gate(1)
         }
     );
-    assert_matches!(take(&mut client, 150, 4), (Err(Wait::Until(_)), actions) if actions.is_empty());
+    assert_matches!(take(&mut client, 150, 4), (Err(LimitExceeded::Until(_)), actions) if actions.is_empty());
 }
 
 #[test]
@@ -194,7 +198,7 @@
     press(&mut client, 100, 1);
     granted(&mut client, 150, grant(1, 0));
     let (taken, actions) = take(&mut client, 849, 1);
-    assert_eq!(taken, Err(Wait::Until(ms(850))));
+    assert_eq!(taken, Err(LimitExceeded::Until(ms(850))));
     assert!(actions.is_empty());
     the_ask(&take(&mut client, 850, 1).1);
 }
--- a/crates/keyed-ownership/src/lib.rs
+++ b/crates/keyed-ownership/src/lib.rs
@@ -1,7 +1,7 @@
 //! One owner for each key, by lease and fencing token, without I/O.
 //!
 //! **No program uses this crate yet.** The gates divide the cold-start bound by rank
-//! (`ironmast_limits::tier`) and the retry budget by the number of gates. It is kept, with its
+//! (`ironmast_limits::quota`) and the retry budget by the number of gates. It is kept, with its
 //! proofs, for the singleton roles of the design: a bound whose pool one process owns, and other
 //! tasks that exactly one process may run.
 //!
--- a/crates/keyed-ownership/src/permits.rs
+++ b/crates/keyed-ownership/src/permits.rs
@@ -5,14 +5,14 @@
 use crate::client::{Action, Client, Event};
 use crate::terms::{Split, Terms};
 use crate::view::{GateId, Key};
-use ironmast_limits::Wait;
-use ironmast_limits::retry::{RetryBudget, RetryTerms};
-use ironmast_limits::share::ColdLimiter;
+use ironmast_limits::LimitExceeded;
+use ironmast_limits::retry_budget::{RetryBudget, RetryBudgetSettings};
+use ironmast_limits::slow_start::SlowStartLimiter;
 
 /// The permissions of one gate for requests to cold servers, by instance.
 #[derive(Clone, Debug)]
 pub struct Permits<K> {
-    local: ColdLimiter<K>,
+    local: SlowStartLimiter<K>,
     client: Client<K>,
 }
 
@@ -20,7 +20,7 @@
     /// The permits of the gate `me`, whose process started at `started`.
     #[must_use]
     pub fn new(me: GateId, terms: Terms, started: Duration) -> Self {
-        let local = ColdLimiter::with_span(0, terms.settles(), started);
+        let local = SlowStartLimiter::with_quota(0, terms.settles(), started);
         Self {
             local,
             client: Client::new(me, terms),
@@ -40,7 +40,7 @@
     /// one, this one counted.
     ///
     /// # Errors
-    /// [`Wait`] with the moment to try again, which [`Action::Ready`] may bring forward.
+    /// [`LimitExceeded`] with the moment to try again, which [`Action::Ready`] may bring forward.
     pub fn try_take(
         &mut self,
         now: Duration,
@@ -48,16 +48,16 @@
         split: Split,
         waiting: u32,
         actions: &mut Vec<Action<K>>,
-    ) -> Result<(), Wait> {
+    ) -> Result<(), LimitExceeded> {
         if self.client.holds(now, key) {
             return self.client.try_take(now, key, split.pool, waiting, actions);
         }
-        let Err(local) = self.local.try_take_of(now, key, split.share) else {
+        let Err(local) = self.local.try_acquire_within(now, key, split.share) else {
             return Ok(());
         };
         self.client
             .try_take(now, key, split.pool, waiting, actions)
-            .map_err(|wait| wait.sooner(local))
+            .map_err(|exceeded| exceeded.earlier(local))
     }
 
     /// Counts a request that went without permission against the share.
@@ -86,12 +86,12 @@
     #[must_use]
     pub fn new(
         me: GateId,
-        budget: RetryTerms,
+        budget: RetryBudgetSettings,
         split: Split,
         terms: Terms,
         started: Duration,
     ) -> Self {
-        let local = RetryBudget::with_share(budget, split.share, started);
+        let local = RetryBudget::with_burst_share(budget, split.share, started);
         Self {
             local,
             client: Client::new(me, terms),
@@ -101,7 +101,7 @@
 
     /// A client's request for a route of the service was read. Repeats must not be reported here.
     pub fn on_request(&mut self, now: Duration, service: &K) {
-        self.local.on_request(now, service);
+        self.local.deposit(now, service);
     }
 
     /// Takes an event of the client at `now`.
@@ -117,25 +117,25 @@
     /// one counted.
     ///
     /// # Errors
-    /// [`Wait`] with the moment to try again, which [`Action::Ready`] may bring forward.
+    /// [`LimitExceeded`] with the moment to try again, which [`Action::Ready`] may bring forward.
     pub fn try_take(
         &mut self,
         now: Duration,
         service: &K,
         waiting: u32,
         actions: &mut Vec<Action<K>>,
-    ) -> Result<(), Wait> {
+    ) -> Result<(), LimitExceeded> {
         if self.client.holds(now, service) {
             return self
                 .client
                 .try_take(now, service, self.pool, waiting, actions);
         }
-        let Err(local) = self.local.try_take(now, service) else {
+        let Err(local) = self.local.withdraw(now, service) else {
             return Ok(());
         };
         self.client
             .try_take(now, service, self.pool, waiting, actions)
-            .map_err(|wait| wait.sooner(local))
+            .map_err(|exceeded| exceeded.earlier(local))
     }
 
     /// When [`Event::Tick`] is due; `None` if there is nothing to wait for.
--- a/crates/keyed-ownership/src/terms.rs
+++ b/crates/keyed-ownership/src/terms.rs
@@ -8,7 +8,8 @@
 
 use std::time::Duration;
 
-use ironmast_limits::share::{COLD_SPAN, FLIGHT};
+use ironmast_limits::sliding_window::MAX_DELAY_VARIATION;
+use ironmast_limits::slow_start::WINDOW;
 
 #[cfg(test)]
 mod tests;
@@ -52,8 +53,8 @@
     #[must_use]
     pub fn cold() -> Self {
         Self::new(
-            COLD_SPAN,
-            FLIGHT,
+            WINDOW,
+            MAX_DELAY_VARIATION,
             Duration::from_millis(300),
             Duration::from_secs(1),
         )
@@ -64,7 +65,7 @@
     pub fn retry(window: Duration) -> Self {
         Self::new(
             window,
-            FLIGHT,
+            MAX_DELAY_VARIATION,
             Duration::from_secs(1),
             Duration::from_secs(1),
         )
--- a/crates/keyed-ownership/tests/retry_budget.rs
+++ b/crates/keyed-ownership/tests/retry_budget.rs
@@ -5,14 +5,14 @@
 
 use std::time::Duration;
 
-use ironmast_limits::{RetryBudget, RetryTerms};
+use ironmast_limits::{RetryBudget, RetryBudgetSettings};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use simulation::judge::worst_excess;
 use simulation::world::Trace;
 use simulation::{MS, Micros, at};
 
-const TERMS: RetryTerms = RetryTerms {
+const TERMS: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     burst: 20,
     window: Duration::from_secs(10),
@@ -37,11 +37,11 @@
 /// starts anew.
 fn excess(mut bursts: Vec<Burst>, restart: Option<(usize, Micros)>, factor: f64) -> f64 {
     bursts.sort_by_key(|burst| burst.moment + burst.to_gate);
-    let terms = RetryTerms {
+    let terms = RetryBudgetSettings {
         ratio: TERMS.ratio * factor,
         ..TERMS
     };
-    let born = |started| RetryBudget::local(terms, GATES as u32, started);
+    let born = |started| RetryBudget::with_even_share(terms, GATES as u32, started);
     let mut gates: Vec<_> = (0..GATES).map(|_| born(Duration::ZERO)).collect();
     let mut restart = restart;
     let mut trace = Trace::default();
@@ -52,10 +52,10 @@
         }
         let budget = &mut gates[burst.gate];
         for _ in 0..burst.requests {
-            budget.on_request(at(now), &"s");
+            budget.deposit(at(now), &"s");
             trace.requests.push((0, burst.moment));
         }
-        while budget.try_take(at(now), &"s").is_ok() {
+        while budget.withdraw(at(now), &"s").is_ok() {
             trace.arrivals.push((0, now + burst.to_server));
         }
     }
--- a/crates/keyed-ownership/tests/simulation/judge.rs
+++ b/crates/keyed-ownership/tests/simulation/judge.rs
@@ -1,6 +1,6 @@
 //! The judges: every span of the rule's length is counted, on the moments of arrival.
 
-use ironmast_limits::RetryTerms;
+use ironmast_limits::RetryBudgetSettings;
 
 use super::world::Trace;
 use super::{Micros, micros};
@@ -30,12 +30,12 @@
 
 /// By how much the repeats to a service go over what the rule allows in the worst window; 0 if in
 /// none.
-pub(crate) fn worst_excess(trace: &Trace, terms: &RetryTerms, keys: usize) -> f64 {
+pub(crate) fn worst_excess(trace: &Trace, terms: &RetryBudgetSettings, keys: usize) -> f64 {
     let excess = |key| excess(&requests(trace, key), &arrivals(trace, key), terms);
     (0..keys).map(excess).fold(0.0, f64::max)
 }
 
-fn excess(requests: &[Micros], repeats: &[Micros], terms: &RetryTerms) -> f64 {
+fn excess(requests: &[Micros], repeats: &[Micros], terms: &RetryBudgetSettings) -> f64 {
     let window = micros(terms.window);
     let mut worst: f64 = 0.0;
     // The excess changes only where an event enters or leaves one of the three windows.
--- a/crates/keyed-ownership/tests/simulation/node.rs
+++ b/crates/keyed-ownership/tests/simulation/node.rs
@@ -8,7 +8,7 @@
 use ironmast_keyed_ownership::{
     Confirmation, GateId, Instance, Owner, Permits, RetryPermits, Split,
 };
-use ironmast_limits::Wait;
+use ironmast_limits::LimitExceeded;
 
 use super::network::region;
 use super::play::{Play, Subject};
@@ -85,7 +85,7 @@
         now: Micros,
         key: usize,
         actions: &mut Vec<ClientAction<Instance>>,
-    ) -> Result<(), Wait> {
+    ) -> Result<(), LimitExceeded> {
         let name = name(key);
         let split = split(play, self.id.region, key);
         let waiting = self.waiting[key].len() as u32;
--- a/crates/keyed-ownership/tests/simulation/play.rs
+++ b/crates/keyed-ownership/tests/simulation/play.rs
@@ -1,7 +1,7 @@
 //! What one run plays: sizes, load, faults and the terms that the gates go by.
 
 use ironmast_keyed_ownership::Terms;
-use ironmast_limits::RetryTerms;
+use ironmast_limits::RetryBudgetSettings;
 
 use super::{MS, Micros};
 
@@ -11,7 +11,7 @@
     /// Requests to cold servers.
     Cold,
     /// Repeats to a service.
-    Retry(RetryTerms),
+    Retry(RetryBudgetSettings),
 }
 
 /// Faults that a run may have, each at random moments.
@@ -98,7 +98,7 @@
     /// Repeats under faults.
     pub(crate) fn retry(seed: u64, gates: usize) -> Self {
         let window = std::time::Duration::from_secs(3);
-        let terms = RetryTerms {
+        let terms = RetryBudgetSettings {
             ratio: 0.2,
             burst: 54,
             window,
--- a/crates/keyed-ownership/tests/simulation/requests.rs
+++ b/crates/keyed-ownership/tests/simulation/requests.rs
@@ -1,6 +1,6 @@
 //! Clients' requests, and the gates that send them on when they may.
 
-use ironmast_limits::Wait;
+use ironmast_limits::LimitExceeded;
 use rand::RngExt as _;
 
 use super::network::{Happening, REGIONS, way};
@@ -86,10 +86,10 @@
         }
     }
 
-    pub(super) fn try_again(&mut self, gate: usize, life: u64, key: usize, wait: Wait) {
+    pub(super) fn try_again(&mut self, gate: usize, life: u64, key: usize, wait: LimitExceeded) {
         let pause = match wait {
-            Wait::Until(moment) => micros(moment),
-            Wait::Unknown => self.now + 50 * MS,
+            LimitExceeded::Until(moment) => micros(moment),
+            LimitExceeded::Indefinitely => self.now + 50 * MS,
         };
         let due = pause.max(self.now + MS);
         let now = self.now;
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,19 +1,20 @@
-//! Limits over all gates together: the cold-start bound and the retry budget, without I/O.
+//! Limits that hold over all gates together: slow start and the retry budget, without I/O.
 //!
 //! Two bounds hold for the sum of what all gates send, whether or not the gates reach each other:
 //!
-//! - **Cold start**: a server that is warming up gets at most `warmup_per_s * warmup_overshoot +
-//!   warmup_tolerance` requests in any second.
-//! - **Retry budget**: a service gets, in any `retry_window_s`, at most `retry_budget_ratio` of its
-//!   requests plus `retry_burst` as retries.
+//! - **Slow start**: a server that is warming up receives at most `warmup_per_s *
+//!   warmup_overshoot + warmup_tolerance` requests in any second.
+//! - **Retry budget**: a service receives, in any `retry_window_s`, at most `retry_budget_ratio` of
+//!   its requests plus `retry_burst` as retries.
 //!
-//! Each gate has a part of either bound that needs nobody else ([`ColdLimiter`], [`RetryBudget`]):
-//! of the retry budget the bound divided by the largest number of gates that can exist, of the
-//! cold-start bound what its [`Tier`] says. [`ColdTracker`] says which servers are warming up.
+//! Each gate enforces its own part of either bound without asking anybody ([`SlowStartLimiter`],
+//! [`RetryBudget`]). The burst of the retry budget is divided by the largest number of gates that
+//! can exist; [`GateSet`] divides the slow-start bound. [`WarmupTracker`] says which servers are
+//! warming up.
 //!
 //! # What the caller must ensure
 //!
-//! - `now` is read after the event that it comes with, and a permission is used at once: when the
+//! - `now` is read after the event that it is passed with, and a permit is used at once: when the
 //!   request is written, not before a connection is made.
 //! - The number of gates by which bounds are divided is never below the number that run.
 //!
@@ -23,15 +24,15 @@
 //! nothing compares the clocks of two machines. Methods take `now` and never read a clock.
 #![forbid(unsafe_code)]
 
-pub mod cold;
-pub mod retry;
-pub mod share;
-pub mod tier;
-mod wait;
-pub mod window;
+mod error;
+pub mod quota;
+pub mod retry_budget;
+pub mod sliding_window;
+pub mod slow_start;
+pub mod warmup;
 
-pub use cold::{ColdTracker, Report};
-pub use retry::{RetryBudget, RetryTerms};
-pub use share::{ColdLimiter, cold_bound};
-pub use tier::{GateNumber, Tier};
-pub use wait::Wait;
+pub use error::LimitExceeded;
+pub use quota::{Gate, GateId, GateSet};
+pub use retry_budget::{RetryBudget, RetryBudgetSettings};
+pub use slow_start::{SlowStartLimiter, slow_start_bound};
+pub use warmup::{WarmupReport, WarmupTracker};
--- /dev/null
+++ b/crates/limits/src/retry_budget.rs
@@ -0,0 +1,151 @@
+//! A gate's part of the retry budget of each service.
+//!
+//! The retries that a gate sends to a service within the window stay below [`RATIO_SAFETY_FACTOR`]
+//! times the ratio of its own requests within the window, plus its share of the burst.
+//!
+//! The factor is needed because the rule compares the retries of a window with the requests of that
+//! window, of the one before it, or of the one half a window before it, over all gates together.
+//! The windows of two gates that end at their last retries lie anywhere in those two windows, so
+//! the sum of the gates' requests is at most twice the largest of the three counts; half of the
+//! ratio holds for any arrivals.
+//!
+//! Deposits and withdrawals are named after tower's and Finagle's retry budgets.
+
+use std::hash::Hash;
+use std::time::Duration;
+
+use rustc_hash::FxHashMap;
+
+use crate::error::LimitExceeded;
+use crate::sliding_window::{MAX_DELAY_VARIATION, Rounding, SlidingCounter, send_window};
+
+#[cfg(test)]
+mod tests;
+
+/// The part of the ratio that a gate applies to its own requests.
+pub const RATIO_SAFETY_FACTOR: f64 = 0.5;
+
+/// The bound of the retry budget for each service, over all gates together.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RetryBudgetSettings {
+    /// `retry_budget_ratio`: retries per request.
+    pub ratio: f64,
+    /// `retry_burst`: retries permitted in a window in addition to the ratio.
+    pub burst: u32,
+    /// `retry_window_s` as a duration.
+    pub window: Duration,
+}
+
+/// What a gate sent to one service within the window.
+#[derive(Clone, Debug)]
+struct Usage {
+    requests: SlidingCounter,
+    retries: SlidingCounter,
+}
+
+/// A gate's part of the retry budget, by key (the service).
+#[derive(Clone, Debug)]
+pub struct RetryBudget<K> {
+    ratio: f64,
+    burst_share: u32,
+    window: Duration,
+    /// The burst is not available before this moment: the previous process may have used it.
+    burst_from: Duration,
+    services: FxHashMap<K, Usage>,
+}
+
+impl<K: Eq + Hash + Clone> RetryBudget<K> {
+    /// The budget of a gate with an even share of the burst among `max_gates` gates, for a process
+    /// that started at `started`.
+    #[must_use]
+    pub fn with_even_share(
+        settings: RetryBudgetSettings,
+        max_gates: u32,
+        started: Duration,
+    ) -> Self {
+        Self::with_burst_share(settings, settings.burst / max_gates.max(1), started)
+    }
+
+    /// The budget of a gate that may use `burst_share` of the burst, for a process that started at
+    /// `started`.
+    #[must_use]
+    pub fn with_burst_share(
+        settings: RetryBudgetSettings,
+        burst_share: u32,
+        started: Duration,
+    ) -> Self {
+        Self {
+            ratio: settings.ratio * RATIO_SAFETY_FACTOR,
+            burst_share,
+            window: settings.window,
+            burst_from: started + send_window(settings.window),
+            services: FxHashMap::default(),
+        }
+    }
+
+    /// Retries that this gate may send in a window in addition to the ratio.
+    #[must_use]
+    pub fn burst_share(&self) -> u32 {
+        self.burst_share
+    }
+
+    /// Counts a client's request to the service, which raises the budget. Retries must not be
+    /// deposited.
+    pub fn deposit(&mut self, now: Duration, service: &K) {
+        self.usage(service).requests.record(now);
+    }
+
+    /// Withdraws one retry, which must be sent at once.
+    ///
+    /// # Errors
+    /// [`LimitExceeded`] with the first moment at which the budget may rise even without further
+    /// requests, where one is known.
+    pub fn withdraw(&mut self, now: Duration, service: &K) -> Result<(), LimitExceeded> {
+        self.check(now, service)?;
+        self.usage(service).retries.record(now);
+        Ok(())
+    }
+
+    /// Drops the services without requests and retries within the window. The caller does this
+    /// periodically.
+    pub fn sweep(&mut self, now: Duration) {
+        self.services
+            .retain(|_, usage| usage.requests.count(now) + usage.retries.count(now) > 0);
+    }
+
+    fn check(&mut self, now: Duration, service: &K) -> Result<(), LimitExceeded> {
+        let burst_available = now >= self.burst_from;
+        let burst = if burst_available { self.burst_share } else { 0 };
+        let ratio = self.ratio;
+        let usage = self.usage(service);
+        let allowed = ratio.mul_add(usage.requests.count(now) as f64, f64::from(burst));
+        if (usage.retries.count(now) + 1) as f64 <= allowed {
+            return Ok(());
+        }
+        let next_expiry = usage.retries.next_expiry();
+        let exceeded = next_expiry.map_or(LimitExceeded::Indefinitely, LimitExceeded::Until);
+        if burst_available || self.burst_share == 0 {
+            Err(exceeded)
+        } else {
+            Err(exceeded.earlier(LimitExceeded::Until(self.burst_from)))
+        }
+    }
+
+    fn usage(&mut self, service: &K) -> &mut Usage {
+        let window = self.window;
+        self.services
+            .entry(service.clone())
+            .or_insert_with(|| Usage::new(window))
+    }
+}
+
+impl Usage {
+    fn new(window: Duration) -> Self {
+        // A request is read up to its network delay after the client sent it.
+        let requests_window = window.saturating_sub(MAX_DELAY_VARIATION);
+        Self {
+            requests: SlidingCounter::new(requests_window, Rounding::Down),
+            retries: SlidingCounter::new(send_window(window), Rounding::Up),
+        }
+    }
+}
--- /dev/null
+++ b/crates/limits/src/retry_budget/tests.rs
@@ -0,0 +1,93 @@
+use std::time::Duration;
+
+use assert_matches::assert_matches;
+
+use super::{RetryBudget, RetryBudgetSettings};
+use crate::error::LimitExceeded;
+use crate::sliding_window::MAX_DELAY_VARIATION;
+
+const SETTINGS: RetryBudgetSettings = RetryBudgetSettings {
+    ratio: 0.2,
+    burst: 54,
+    window: Duration::from_secs(10),
+};
+
+fn ms(value: u64) -> Duration {
+    Duration::from_millis(value)
+}
+
+fn withdrawn(budget: &mut RetryBudget<&'static str>, now: Duration, attempts: usize) -> usize {
+    (0..attempts)
+        .filter(|_| budget.withdraw(now, &"s").is_ok())
+        .count()
+}
+
+#[test]
+fn burst_share_is_available_one_window_after_the_start() {
+    let mut budget = RetryBudget::with_even_share(SETTINGS, 8, ms(0));
+    assert_eq!(budget.burst_share(), 6);
+    assert_eq!(withdrawn(&mut budget, ms(20_000), 100), 6);
+}
+
+#[test]
+fn started_gate_has_only_the_ratio_for_one_window() {
+    let mut budget = RetryBudget::with_even_share(SETTINGS, 8, ms(5_000));
+    let burst_from = ms(15_000) + MAX_DELAY_VARIATION;
+    assert_eq!(
+        budget.withdraw(ms(6_000), &"s"),
+        Err(LimitExceeded::Until(burst_from))
+    );
+    for _ in 0..100 {
+        budget.deposit(ms(6_000), &"s");
+    }
+    assert_eq!(withdrawn(&mut budget, ms(6_000), 100), 10);
+    assert_eq!(withdrawn(&mut budget, burst_from, 100), 6);
+}
+
+#[test]
+fn requests_to_another_service_do_not_raise_the_budget() {
+    let mut budget = RetryBudget::with_even_share(
+        RetryBudgetSettings {
+            burst: 0,
+            ..SETTINGS
+        },
+        8,
+        ms(0),
+    );
+    for _ in 0..100 {
+        budget.deposit(ms(6_000), &"t");
+    }
+    assert_eq!(
+        budget.withdraw(ms(6_000), &"s"),
+        Err(LimitExceeded::Indefinitely)
+    );
+}
+
+#[test]
+fn rejection_names_the_moment_at_which_a_retry_is_permitted() {
+    let mut budget = RetryBudget::with_even_share(SETTINGS, 8, ms(0));
+    assert_eq!(withdrawn(&mut budget, ms(20_000), 100), 6);
+    let exceeded = budget
+        .withdraw(ms(20_001), &"s")
+        .expect_err("the budget is exhausted");
+    let LimitExceeded::Until(at) = exceeded else {
+        panic!("a moment is known")
+    };
+    assert!(at >= ms(30_000) + MAX_DELAY_VARIATION);
+    assert!(at <= ms(30_400));
+    assert_matches!(
+        budget.withdraw(at - Duration::from_nanos(1), &"s"),
+        Err(LimitExceeded::Until(_))
+    );
+    assert_eq!(budget.withdraw(at, &"s"), Ok(()));
+}
+
+#[test]
+fn sweep_retains_services_with_retries_in_the_window() {
+    let mut budget = RetryBudget::with_even_share(SETTINGS, 54, ms(0));
+    assert_eq!(withdrawn(&mut budget, ms(20_000), 5), 1);
+    budget.sweep(ms(25_000));
+    assert_eq!(withdrawn(&mut budget, ms(25_000), 5), 0);
+    budget.sweep(ms(31_000));
+    assert_eq!(withdrawn(&mut budget, ms(31_000), 5), 1);
+}
--- a/crates/limits/src/window/tests.rs
+++ b/crates/limits/src/sliding_window/tests.rs
@@ -1,14 +1,14 @@
 use std::time::Duration;
 
-use super::{Buckets, Exact, Partial};
+use super::{Rounding, SlidingCounter, SlidingLog};
 
 fn ms(value: u64) -> Duration {
     Duration::from_millis(value)
 }
 
 #[test]
-fn exact_drops_what_is_older_than_the_span() {
-    let mut window = Exact::default();
+fn log_drops_events_older_than_the_window() {
+    let mut window = SlidingLog::default();
     window.record(ms(0));
     window.record(ms(500));
     assert_eq!(window.count(ms(1000), ms(1000)), 2);
@@ -17,22 +17,22 @@
 }
 
 #[test]
-fn exact_names_the_moment_at_which_there_is_room() {
-    let mut window = Exact::default();
+fn log_gives_the_moment_at_which_fewer_events_than_the_limit_remain() {
+    let mut window = SlidingLog::default();
     window.record(ms(0));
     window.record(ms(300));
     window.record(ms(600));
-    let at = window.room_at(ms(1000), 2).expect("room comes");
+    let at = window.available_at(ms(1000), 2).expect("a moment is known");
     assert!(window.count(at, ms(1000)) < 2);
     assert_eq!(at, ms(1300) + Duration::from_nanos(1));
-    assert_eq!(window.room_at(ms(1000), 0), None);
+    assert_eq!(window.available_at(ms(1000), 0), None);
 }
 
 #[test]
-fn buckets_bracket_the_true_count() {
-    let span = ms(10_000);
-    let mut above = Buckets::new(span, Partial::Counts);
-    let mut below = Buckets::new(span, Partial::Ignored);
+fn counter_rounds_to_the_chosen_side_of_the_true_count() {
+    let window = ms(10_000);
+    let mut above = SlidingCounter::new(window, Rounding::Up);
+    let mut below = SlidingCounter::new(window, Rounding::Down);
     let mut moments = Vec::new();
     for step in 0..5_000_u64 {
         let now = ms(step * 7 + (step * step) % 5);
@@ -41,7 +41,7 @@
         moments.push(now);
         let exact = moments
             .iter()
-            .filter(|moment| **moment + span >= now)
+            .filter(|moment| **moment + window >= now)
             .count() as u64;
         assert!(above.count(now) >= exact);
         assert!(below.count(now) <= exact);
@@ -49,13 +49,13 @@
 }
 
 #[test]
-fn buckets_name_the_moment_at_which_the_oldest_leave() {
-    for partial in [Partial::Counts, Partial::Ignored] {
-        let mut window = Buckets::new(ms(1280), partial);
+fn counter_gives_the_moment_at_which_the_oldest_events_expire() {
+    for rounding in [Rounding::Up, Rounding::Down] {
+        let mut window = SlidingCounter::new(ms(1280), rounding);
         window.record(ms(5));
-        let at = window.next_leaves().expect("one is kept");
+        let at = window.next_expiry().expect("an event is stored");
         assert_eq!(window.count(at - Duration::from_nanos(1)), 1);
         assert_eq!(window.count(at), 0);
-        assert_eq!(window.next_leaves(), None);
+        assert_eq!(window.next_expiry(), None);
     }
 }
--- /dev/null
+++ b/crates/limits/src/slow_start.rs
@@ -0,0 +1,133 @@
+//! A gate's quota of the requests that a server may receive while it is warming up.
+//!
+//! The bound of each server is divided among all gates that can exist, so that the sum of their
+//! quotas stays within it whatever the gates know of each other. A gate that starts has lost the
+//! count of what its former process sent; it therefore sends nothing for one window.
+
+use std::hash::Hash;
+use std::time::Duration;
+
+use rustc_hash::FxHashMap;
+
+use crate::error::LimitExceeded;
+use crate::sliding_window::{SlidingLog, send_window};
+
+#[cfg(test)]
+mod tests;
+
+/// The window over which the slow-start bound counts requests.
+pub const WINDOW: Duration = Duration::from_secs(1);
+
+/// Requests per [`WINDOW`] that a server may receive from all gates together while it is warming
+/// up, rounded down.
+///
+/// The result is 0 if `per_second` is 0 or less: the service then has no bound, and its requests
+/// must not be passed to a limiter.
+#[must_use]
+pub fn slow_start_bound(per_second: f64, overshoot: f64, tolerance: f64) -> u32 {
+    if per_second <= 0.0 {
+        return 0;
+    }
+    let bound = per_second.mul_add(overshoot, tolerance).floor();
+    // A float that is too large saturates, a negative one becomes 0.
+    bound as u32
+}
+
+/// Limits what this gate sends to each server that is warming up, by key (the instance).
+#[derive(Clone, Debug)]
+pub struct SlowStartLimiter<K> {
+    quota: u32,
+    window: Duration,
+    /// No request is permitted before this moment: the previous process may have used the quota.
+    available_from: Duration,
+    sent: FxHashMap<K, SlidingLog>,
+}
+
+impl<K: Eq + Hash + Clone> SlowStartLimiter<K> {
+    /// A limiter with an even share of `bound` among `max_gates` gates, rounded down, for a process
+    /// that started at `started`.
+    ///
+    /// A quota of 0 rejects every request with [`LimitExceeded::Indefinitely`].
+    #[must_use]
+    pub fn with_even_share(bound: u32, max_gates: u32, started: Duration) -> Self {
+        let quota = bound / max_gates.max(1);
+        Self::with_quota(quota, send_window(WINDOW), started)
+    }
+
+    /// A limiter of `quota` requests in any `window`, for a process that started at `started`.
+    #[must_use]
+    pub fn with_quota(quota: u32, window: Duration, started: Duration) -> Self {
+        Self {
+            quota,
+            window,
+            available_from: started + window,
+            sent: FxHashMap::default(),
+        }
+    }
+
+    /// Requests that this gate may send to one server in one window.
+    #[must_use]
+    pub fn quota(&self) -> u32 {
+        self.quota
+    }
+
+    /// Acquires the permit for one request, which must be written to the server at once.
+    ///
+    /// # Errors
+    /// [`LimitExceeded`] with the moment of the next permit, where one is known.
+    pub fn try_acquire(&mut self, now: Duration, key: &K) -> Result<(), LimitExceeded> {
+        self.try_acquire_within(now, key, self.quota)
+    }
+
+    /// As [`try_acquire`](Self::try_acquire) with another quota, for a key that has its own.
+    ///
+    /// # Errors
+    /// As [`try_acquire`](Self::try_acquire).
+    pub fn try_acquire_within(
+        &mut self,
+        now: Duration,
+        key: &K,
+        quota: u32,
+    ) -> Result<(), LimitExceeded> {
+        self.check(now, key, quota as usize)?;
+        self.record(now, key);
+        Ok(())
+    }
+
+    /// Counts a request that was sent without a permit, such as one sent just before the server was
+    /// known to be warming up.
+    pub fn record(&mut self, now: Duration, key: &K) {
+        if let Some(log) = self.sent.get_mut(key) {
+            log.record(now);
+            return;
+        }
+        let mut log = SlidingLog::default();
+        log.record(now);
+        self.sent.insert(key.clone(), log);
+    }
+
+    /// Drops the keys to which nothing was sent within the window. The caller does this
+    /// periodically.
+    pub fn sweep(&mut self, now: Duration) {
+        let window = self.window;
+        self.sent.retain(|_, log| log.count(now, window) > 0);
+    }
+
+    fn check(&mut self, now: Duration, key: &K, quota: usize) -> Result<(), LimitExceeded> {
+        if quota == 0 {
+            return Err(LimitExceeded::Indefinitely);
+        }
+        if now < self.available_from {
+            return Err(LimitExceeded::Until(self.available_from));
+        }
+        let Some(log) = self.sent.get_mut(key) else {
+            return Ok(());
+        };
+        if log.count(now, self.window) < quota {
+            return Ok(());
+        }
+        Err(log
+            .available_at(self.window, quota)
+            .map_or(LimitExceeded::Indefinitely, LimitExceeded::Until))
+    }
+}
