--- a/crates/routing/src/affinity.rs
+++ b/crates/routing/src/affinity.rs
@@ -42,11 +42,11 @@
 
 /// A server that a key may go to.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Choice {
+pub(crate) struct Candidate {
     /// Hash of its name.
     pub hash: u64,
     /// Part of its room that is taken.
-    pub part: f64,
+    pub utilization: f64,
     /// How long prompts wait there until they are read, in microseconds.
     pub wait: f64,
 }
@@ -57,12 +57,12 @@
 /// wait is within `stay` of the shortest.
 pub(crate) fn choose(
     key: u64,
-    choices: &[Choice],
+    choices: &[Candidate],
     excess: f64,
     floor: f64,
     stay: f64,
 ) -> Option<usize> {
-    let mean = choices.iter().map(|choice| choice.part).sum::<f64>() / choices.len() as f64;
+    let mean = choices.iter().map(|choice| choice.utilization).sum::<f64>() / choices.len() as f64;
     let bound = if Guard::BoundedLoad.on() {
         ((1.0 + excess * (1.0 - mean * mean).max(0.0)) * mean).max(floor)
     } else {
@@ -72,13 +72,13 @@
         choices
             .iter()
             .enumerate()
-            .filter(|(_, choice)| choice.part <= bound)
+            .filter(|(_, choice)| choice.utilization <= bound)
     };
     let shortest = under()
         .map(|(_, choice)| choice.wait)
         .fold(f64::INFINITY, f64::min);
-    let soon =
-        under().filter(|(_, choice)| choice.wait <= shortest + stay || !Guard::ShortWait.on());
+    let soon = under()
+        .filter(|(_, choice)| choice.wait <= shortest + stay || !Guard::ShortPrefillWait.on());
     soon.max_by_key(|(_, choice)| rank(key, choice.hash))
         .map(|(place, _)| place)
 }
--- a/crates/routing/src/affinity/tests.rs
+++ b/crates/routing/src/affinity/tests.rs
@@ -7,12 +7,12 @@
     PromptPart { id, tokens }
 }
 
-fn idle(servers: &[u64]) -> Vec<Choice> {
+fn idle(servers: &[u64]) -> Vec<Candidate> {
     servers
         .iter()
-        .map(|hash| Choice {
+        .map(|hash| Candidate {
             hash: *hash,
-            part: 0.0,
+            utilization: 0.0,
             wait: 0.0,
         })
         .collect()
@@ -51,17 +51,19 @@
     let mut order = [0, 1, 2, 3];
     order.sort_by_key(|place| std::cmp::Reverse(rank(7, choices[*place].hash)));
     assert_eq!(choose(7, &choices, 0.5, 0.1, 0.0), Some(order[0]));
-    choices[order[0]].part = 0.1;
+    choices[order[0]].utilization = 0.1;
     assert_eq!(
         choose(7, &choices, 0.5, 0.1, 0.0),
         Some(order[0]),
         "at the floor"
     );
-    choices[order[0]].part = 0.5;
+    choices[order[0]].utilization = 0.5;
     assert_eq!(choose(7, &choices, 0.5, 0.1, 0.0), Some(order[1]));
-    choices[order[1]].part = 0.4;
+    choices[order[1]].utilization = 0.4;
     assert_eq!(choose(7, &choices, 0.5, 0.1, 0.0), Some(order[2]));
-    choices.iter_mut().for_each(|choice| choice.part = 0.9);
+    choices
+        .iter_mut()
+        .for_each(|choice| choice.utilization = 0.9);
     assert_eq!(
         choose(7, &choices, 0.5, 0.1, 0.0),
         Some(order[0]),
@@ -94,12 +96,12 @@
     /// Whatever the loads, the choice is within the bound, and there is one.
     #[test]
     fn the_choice_is_within_the_bound(key: u64, parts in prop::collection::vec(0.0..1.5f64, 1..40)) {
-        let choices: Vec<Choice> =
-            parts.iter().enumerate().map(|(hash, part)| Choice { hash: hash as u64, part: *part, wait: 0.0 }).collect();
+        let choices: Vec<Candidate> =
+            parts.iter().enumerate().map(|(hash, part)| Candidate { hash: hash as u64, utilization: *part, wait: 0.0 }).collect();
         let chosen = choices[choose(key, &choices, 0.5, 0.2, 0.0).expect("a server")];
         let mean = parts.iter().sum::<f64>() / parts.len() as f64;
-        prop_assert!(chosen.part <= (1.5 * mean).max(0.2));
-        prop_assert!(mean < 1.0 || chosen.part <= mean);
+        prop_assert!(chosen.utilization <= (1.5 * mean).max(0.2));
+        prop_assert!(mean < 1.0 || chosen.utilization <= mean);
     }
 }
 
@@ -110,11 +112,11 @@
     choose(7, &choices, 0.5, 0.1, stay) == Some(0)
 }
 
-fn servers_in_order(key: u64, count: u64) -> Vec<Choice> {
-    let mut choices: Vec<Choice> = (0..count)
-        .map(|hash| Choice {
+fn servers_in_order(key: u64, count: u64) -> Vec<Candidate> {
+    let mut choices: Vec<Candidate> = (0..count)
+        .map(|hash| Candidate {
             hash,
-            part: 0.0,
+            utilization: 0.0,
             wait: 0.0,
         })
         .collect();
@@ -127,5 +129,5 @@
     assert!(stays(0.0, 0.0));
     assert!(stays(100.0, 100.0));
     assert!(!stays(101.0, 100.0));
-    assert!(without(Guard::ShortWait, || stays(101.0, 100.0)));
+    assert!(without(Guard::ShortPrefillWait, || stays(101.0, 100.0)));
 }
--- a/crates/routing/src/candidates.rs
+++ b/crates/routing/src/candidates.rs
@@ -4,7 +4,7 @@
 use ironmast_balancer::Micros;
 use smallvec::SmallVec;
 
-use crate::fleet::{Fleet, Node};
+use crate::endpoints::{Endpoint, Endpoints};
 use crate::guards::Guard;
 use crate::request::Call;
 use crate::table::{RegionId, RegionSet};
@@ -14,27 +14,31 @@
 
 /// What is overlooked where nobody would be left otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trust {
+pub(crate) enum HealthFilter {
     /// Only servers that health and heartbeats speak for.
-    Usable,
-    /// Ejected ones too: where all are, health tells of something else.
-    Ejected,
+    Healthy,
+    /// Ejection ones too: where all are, health tells of something else.
+    AllowEjected,
     /// Those whose heartbeats are missing too.
-    Silent,
+    AllowMissingHeartbeats,
 }
 
-impl Trust {
+impl HealthFilter {
     /// From the strictest on.
-    pub const STEPS: [Trust; 3] = [Trust::Usable, Trust::Ejected, Trust::Silent];
+    pub const FALLBACK_ORDER: [HealthFilter; 3] = [
+        HealthFilter::Healthy,
+        HealthFilter::AllowEjected,
+        HealthFilter::AllowMissingHeartbeats,
+    ];
 }
 
 /// Which regions are looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reach {
+pub(crate) enum Locality {
     /// The gate's own region.
-    Own,
+    Local,
     /// Every other region that is allowed.
-    Others,
+    Remote,
 }
 
 /// Whose servers are asked for.
@@ -49,47 +53,51 @@
 
 impl Scope {
     /// The regions of a reach. Nothing outside the allowed ones, ever.
-    pub fn regions(&self, reach: Reach) -> impl Iterator<Item = RegionId> + '_ {
+    pub fn regions(&self, reach: Locality) -> impl Iterator<Item = RegionId> + '_ {
         let all = 0..self.regions as RegionId;
         let wanted = move |region: &RegionId| {
-            (Some(*region) == self.own && Guard::OwnRegion.on()) == (reach == Reach::Own)
+            (Some(*region) == self.own && Guard::OwnRegion.on()) == (reach == Locality::Local)
         };
         all.filter(wanted)
             .filter(|region| self.allowed.contains(*region) || !Guard::AllowedRegions.on())
     }
 
-    /// The listed servers of a reach.
-    pub fn servers<'a>(&'a self, fleet: &'a Fleet, reach: Reach) -> impl Iterator<Item = &'a Node> {
+    /// The in_table servers of a reach.
+    pub fn servers<'a>(
+        &'a self,
+        fleet: &'a Endpoints,
+        reach: Locality,
+    ) -> impl Iterator<Item = &'a Endpoint> {
         self.regions(reach)
             .flat_map(|region| fleet.members(self.service, region))
     }
 }
 
 /// True where a server may be sent the request at all.
-pub(crate) fn admits(node: &Node, call: &Call, trust: Trust, now: Micros) -> bool {
+pub(crate) fn admits(node: &Endpoint, call: &Call, trust: HealthFilter, now: Micros) -> bool {
     // Draining, evacuated and displaced ones never, whatever else is missing.
-    if !node.open() || call.tried(node.handle) {
+    if !node.is_eligible() || call.was_tried(node.handle) {
         return false;
     }
-    let silent = node.unheard(now);
+    let silent = node.is_presumed_lost(now);
     let ejected = node.health.ejected().is_some() && Guard::Ejected.on();
     match trust {
-        Trust::Usable => !silent && !ejected,
-        Trust::Ejected => !silent,
-        Trust::Silent => true,
+        HealthFilter::Healthy => !silent && !ejected,
+        HealthFilter::AllowEjected => !silent,
+        HealthFilter::AllowMissingHeartbeats => true,
     }
 }
 
 /// Who of a reach may be sent the request. Servers that do not name the model are left out if
 /// another names it, and those that `shun` holds for if another is left.
 pub(crate) fn pool(
-    fleet: &Fleet,
+    fleet: &Endpoints,
     scope: &Scope,
-    reach: Reach,
+    reach: Locality,
     call: &Call,
-    trust: Trust,
+    trust: HealthFilter,
     now: Micros,
-    shun: impl Fn(&Node) -> bool,
+    shun: impl Fn(&Endpoint) -> bool,
 ) -> Pool {
     let mut pool = Pool::new();
     // How good the best is so far: the pool holds only those that are as good.
@@ -98,7 +106,7 @@
         .servers(fleet, reach)
         .filter(|node| admits(node, call, trust, now))
     {
-        let grade = (node.holds(call.model), !shun(node));
+        let grade = (node.serves_model(call.model), !shun(node));
         if grade > best {
             pool.clear();
             best = grade;
@@ -111,13 +119,15 @@
 }
 
 /// A server whose ejection is over and that a request may try: only one that may run twice.
-pub(crate) fn trial(fleet: &Fleet, scope: &Scope, call: &Call, now: Micros) -> Option<u32> {
-    if !call.idempotent() && Guard::TrialIdempotent.on() {
+pub(crate) fn trial(fleet: &Endpoints, scope: &Scope, call: &Call, now: Micros) -> Option<u32> {
+    if !call.is_idempotent() && Guard::TrialIdempotent.on() {
         return None;
     }
-    let due = |node: &&Node| node.health.trial_due(now) && admits(node, call, Trust::Ejected, now);
+    let due = |node: &&Endpoint| {
+        node.health.trial_due(now) && admits(node, call, HealthFilter::AllowEjected, now)
+    };
     scope
-        .servers(fleet, Reach::Own)
+        .servers(fleet, Locality::Local)
         .find(due)
         .map(|node| node.handle.slot)
 }
--- a/crates/routing/src/decider.rs
+++ b/crates/routing/src/decider.rs
@@ -2,46 +2,46 @@
 //! request.
 
 mod health;
+mod liveness;
+mod peer_reports;
 mod pick;
-mod prompts;
-mod reach;
+mod reachability;
 mod search;
-mod watch;
 
 use std::sync::Arc;
 
 use ironmast_balancer::{Micros, Rng};
 use rustc_hash::FxHashMap;
 
-use crate::attempts::{self, Next};
 use crate::decision::{
     Decision, Dispatch, EjectionChange, Outcome, ProgressCheck, RejectionStatus, ServerHandle,
 };
-use crate::draw::Deck;
-use crate::fleet::Fleet;
+use crate::endpoints::Endpoints;
 use crate::guards::Guard;
+use crate::latency::LatencyBaselines;
 use crate::limits::{Permits, RetryBudget};
-use crate::paths::Paths;
-use crate::reading::{self, Pace};
-use crate::refusal::{self, Reason, Turns};
+use crate::load::LoadReport;
+use crate::prefill::{self, PrefillRate};
+use crate::reachability::RegionReachability;
+use crate::rejection::{self, RejectionReason, RetrySchedule};
 use crate::request::{Attempt, Call, Request};
-use crate::room::LoadReport;
+use crate::retry::{self, NextStep};
+use crate::round_robin::ShuffledRoundRobin;
 use crate::settings::{Settings, SettingsError};
 use crate::table::Table;
 use crate::traffic_split::TrafficSplits;
-use crate::usual::Usuals;
-use pick::DeckKey;
-pub use prompts::{PeerReport, PendingPrefill};
-use search::{Found, Search};
+pub use peer_reports::{PeerReport, PendingPrefill};
+use pick::RoundRobinKey;
+use search::{SelectedServer, Selection};
 
 /// The rank of a request that goes at the end, the highest that the `Priority` header knows.
-const PRIORITY_LAST: u32 = 9;
+const LOWEST_PRIORITY: u32 = 9;
 /// A cut stream that finds no server tries again after this long.
-const RESUME_AGAIN: Micros = 50_000;
+const RESUME_RETRY_DELAY: Micros = 50_000;
 /// So long it may try in all: half of the shortest silence that clients bear.
-const RESUME_WITHIN: Micros = 1_000_000;
+const MAX_RESUME_TIME: Micros = 1_000_000;
 /// A request for which no server is known yet looks again after this long.
-const LEARN_AGAIN: Micros = 30_000;
+const DISCOVERY_RETRY_DELAY: Micros = 30_000;
 
 /// The decisions of one gate.
 #[derive(Debug)]
@@ -49,16 +49,16 @@
     settings: Settings,
     rng: Rng,
     table: Arc<Table>,
-    fleet: Fleet,
-    usuals: Usuals,
+    endpoints: Endpoints,
+    baselines: LatencyBaselines,
     /// How fast prompts are read, by service.
-    paces: FxHashMap<Arc<str>, Pace>,
-    decks: FxHashMap<DeckKey, Deck>,
-    turns: Turns,
+    prefill_rates: FxHashMap<Arc<str>, PrefillRate>,
+    round_robins: FxHashMap<RoundRobinKey, ShuffledRoundRobin>,
+    retry_schedule: RetrySchedule,
     traffic_splits: TrafficSplits,
-    paths: Paths,
+    reachability: RegionReachability,
     /// Until then servers may be there that the table does not list yet.
-    learns_until: Micros,
+    discovery_until: Micros,
     ejections: u64,
     changes: Vec<EjectionChange>,
 }
@@ -74,14 +74,14 @@
             settings,
             rng: Rng(seed),
             table: Arc::default(),
-            fleet: Fleet::default(),
-            usuals: Usuals::default(),
-            paces: FxHashMap::default(),
-            decks: FxHashMap::default(),
-            turns: Turns::default(),
+            endpoints: Endpoints::default(),
+            baselines: LatencyBaselines::default(),
+            prefill_rates: FxHashMap::default(),
+            round_robins: FxHashMap::default(),
+            retry_schedule: RetrySchedule::default(),
             traffic_splits: TrafficSplits::default(),
-            paths: Paths::default(),
-            learns_until: 0,
+            reachability: RegionReachability::default(),
+            discovery_until: 0,
             ejections: 0,
             changes: Vec::new(),
         })
@@ -94,29 +94,31 @@
 
     /// Puts another table in force. What is known of servers that stay is kept.
     pub fn update_table(&mut self, now: Micros, table: Arc<Table>) {
-        self.fleet.apply_table(now, &table);
+        self.endpoints.apply_table(now, &table);
         if !self.table.shares_routes(&table) {
             let names: rustc_hash::FxHashSet<&str> = table
                 .router()
                 .routes()
                 .map(|route| route.spec.name.as_ref())
                 .collect();
-            self.usuals.keep(
+            self.baselines.keep(
                 |name| names.contains(name),
                 |name| table.service(name).is_some(),
             );
             self.traffic_splits.keep(|name| names.contains(name));
-            self.turns.keep(|name| table.service(name).is_some());
-            self.decks.clear();
-            self.paces.retain(|name, _| table.service(name).is_some());
+            self.retry_schedule
+                .keep(|name| table.service(name).is_some());
+            self.round_robins.clear();
+            self.prefill_rates
+                .retain(|name, _| table.service(name).is_some());
         }
         self.table = table;
     }
 
     /// After a start servers become known one after the other: until that clock reading, a request
-    /// for which none is listed waits for one.
+    /// for which none is in_table waits for one.
     pub fn allow_discovery_until(&mut self, until: Micros) {
-        self.learns_until = until;
+        self.discovery_until = until;
     }
 
     /// Takes a request. The call is to be handed back at each of its events until a decision is
@@ -139,7 +141,7 @@
         call: &mut Call,
         limits: &mut L,
     ) -> Decision {
-        match call.done || call.open().is_some() {
+        match call.done || call.attempt_in_flight().is_some() {
             true => Decision::Finished,
             false => self.place(now, call, limits),
         }
@@ -153,19 +155,19 @@
         outcome: Outcome,
         limits: &mut L,
     ) -> Decision {
-        if call.done || !self.end_attempt(now, call, &outcome) {
+        if call.done || !self.finish_attempt(now, call, &outcome) {
             return Decision::Finished;
         }
-        match attempts::next(call, &outcome, now) {
-            Next::Again => self.place(now, call, limits),
-            Next::End(decision) => self.close(now, call, decision),
+        match retry::next(call, &outcome, now) {
+            NextStep::Retry => self.place(now, call, limits),
+            NextStep::Finish(decision) => self.close(now, call, decision),
         }
     }
 
     /// The client left: frees what the request holds. Of no effect once a decision was final.
     pub fn cancel(&mut self, now: Micros, call: &mut Call) {
         if !call.done {
-            self.end_attempt(now, call, &Outcome::Cancelled);
+            self.finish_attempt(now, call, &Outcome::Cancelled);
             call.done = true;
         }
     }
@@ -174,11 +176,11 @@
     /// A failure's head is not: it is told by [`Decider::attempt_finished`] before a byte of it is
     /// passed on, which says whether it is to be.
     pub fn response_forwarded(&mut self, now: Micros, call: &mut Call, event: Option<u64>) {
-        call.head_passed = true;
+        call.head_forwarded = true;
         call.last_event = event.or(call.last_event);
-        call.last_byte = now;
-        call.cut_at = None;
-        if let Some(server) = call.open().map(|attempt| attempt.server) {
+        call.last_byte_at = now;
+        call.truncated_at = None;
+        if let Some(server) = call.attempt_in_flight().map(|attempt| attempt.server) {
             self.record_liveness(now, server);
         }
     }
@@ -186,27 +188,27 @@
     /// A server told its load.
     pub fn apply_load_report(&mut self, now: Micros, server: ServerHandle, load: LoadReport) {
         self.record_liveness(now, server);
-        if let Some(node) = self.fleet.get_mut(server) {
+        if let Some(node) = self.endpoints.get_mut(server) {
             node.occupancy.record_load_report(now, load);
         }
     }
 
     /// Anything was heard of a server.
     pub fn record_liveness(&mut self, now: Micros, server: ServerHandle) {
-        if let Some(node) = self.fleet.get_mut(server) {
-            node.last_sign = now;
-            self.paths.record_liveness(now, &node.spec.region);
+        if let Some(node) = self.endpoints.get_mut(server) {
+            node.last_heard = now;
+            self.reachability.record_liveness(now, &node.spec.region);
         }
     }
 
-    /// The handle of a listed instance.
+    /// The handle of a in_table instance.
     pub fn server(&self, instance: &str) -> Option<ServerHandle> {
-        self.fleet.handle(instance)
+        self.endpoints.handle(instance)
     }
 
     /// Attempts of this gate in flight at a server.
     pub fn in_flight(&self, server: ServerHandle) -> u32 {
-        self.fleet
+        self.endpoints
             .get(server)
             .map_or(0, |node| node.occupancy.in_flight)
     }
@@ -219,31 +221,33 @@
         limits: &mut L,
     ) -> Decision {
         match self.search(now, call, limits) {
-            Search::Found(found) if self.pay(now, call, found, limits) => {
+            Selection::Server(found) if self.pay(now, call, found, limits) => {
                 Decision::Send(self.dispatch(now, call, found))
             }
-            Search::Found(_) => self.give_up(
+            Selection::Server(_) => self.give_up(
                 now,
                 call,
-                Reason::Spent {
-                    told: call.told_wait,
+                RejectionReason::AttemptsExhausted {
+                    told: call.longest_retry_after,
                 },
             ),
-            Search::Cold(wait) => self.hold(now, call, wait),
-            Search::None(Reason::Nobody { until: None }) if self.may_learn(now, call) => {
+            Selection::PermitIn(wait) => self.hold(now, call, wait),
+            Selection::Unavailable(RejectionReason::NoServer { until: None })
+                if self.may_await_discovery(now, call) =>
+            {
                 Decision::Delay {
-                    until: now + LEARN_AGAIN,
+                    until: now + DISCOVERY_RETRY_DELAY,
                 }
             }
-            Search::None(reason) => self.give_up(now, call, reason),
+            Selection::Unavailable(reason) => self.give_up(now, call, reason),
         }
     }
 
     /// Whether a request may wait for a server to become known: no longer than for half of its
     /// time.
-    fn may_learn(&self, now: Micros, call: &Call) -> bool {
-        let half = call.begun + call.ends().saturating_sub(call.begun) / 2;
-        now < self.learns_until && now < half && call.attempts() == 0 && Guard::Learn.on()
+    fn may_await_discovery(&self, now: Micros, call: &Call) -> bool {
+        let half = call.started_at + call.deadline().saturating_sub(call.started_at) / 2;
+        now < self.discovery_until && now < half && call.attempts() == 0 && Guard::Discovery.on()
     }
 
     /// Takes a repeat out of the budget of the server's service. An attempt that no earlier one may
@@ -252,40 +256,40 @@
         &self,
         now: Micros,
         call: &mut Call,
-        found: Found,
+        found: SelectedServer,
         limits: &mut L,
     ) -> bool {
-        let repeat = call.arrivals() > 0 && Guard::Budget.on();
-        let node = self.fleet.get(found.server);
+        let repeat = call.arrived_attempts() > 0 && Guard::RetryBudget.on();
+        let node = self.endpoints.get(found.server);
         let service = node.and_then(|node| self.table.service(&node.spec.service));
         let take = |service: u32| limits.withdraw(now, &self.table.services()[service as usize]);
         call.paid = !repeat || call.paid || service.is_some_and(take);
         call.paid
     }
 
-    fn dispatch(&mut self, now: Micros, call: &mut Call, found: Found) -> Dispatch {
-        let need = call.need();
+    fn dispatch(&mut self, now: Micros, call: &mut Call, found: SelectedServer) -> Dispatch {
+        let need = call.token_demand();
         let spec = &call.request.route.spec;
         let shortest = self.shortest_objective(found.server);
-        let rank = reading::rank(spec.priority, call.target() as f64, shortest);
+        let rank = prefill::rank(spec.priority, call.latency_objective() as f64, shortest);
         let node = self
-            .fleet
+            .endpoints
             .get_mut(found.server)
             .expect("a server just found is there");
-        let here = node.occupancy.added(need) < need.all();
+        let here = node.occupancy.added_tokens(need) < need.all();
         if node.occupancy.in_flight == 0 {
-            node.owes_since = now;
+            node.in_flight_since = now;
         }
         node.occupancy.take(need);
-        self.paths.tried(now, &node.spec.region);
-        let unread = reading::waits(
+        self.reachability.record_attempt(now, &node.spec.region);
+        let unread = prefill::waits(
             call.request.prompt_tokens,
             if here { call.shared_tokens } else { 0 },
         );
         node.unread.take(unread);
         let backlog = node.unread.all(now);
         node.health.trial |= found.trial;
-        let timeout = call.ends().saturating_sub(now);
+        let timeout = call.deadline().saturating_sub(now);
         let dispatch = Dispatch {
             attempt: call.attempts.len() as u32 + 1,
             server: found.server,
@@ -294,15 +298,15 @@
             service: node.spec.service.clone(),
             warming_up: node.spec.warming_up,
             crosses_region: *node.spec.region != *self.settings.region,
-            priority: rank.min(PRIORITY_LAST) as u8,
+            priority: rank.min(LOWEST_PRIORITY) as u8,
             timeout,
             deadline_ms: (timeout / 1000).max(1),
             resume_after: call.last_event,
             check_at: None,
         };
         call.service = Some(dispatch.service.clone());
-        let (server, trial, repeat) = (found.server, found.trial, call.arrivals() > 0);
-        (call.paid, call.last_byte) = (false, now);
+        let (server, trial, repeat) = (found.server, found.trial, call.arrived_attempts() > 0);
+        (call.paid, call.last_byte_at) = (false, now);
         call.attempts.push(Attempt {
             server,
             sent: now,
@@ -326,44 +330,44 @@
     /// Nothing but cold servers without a permit is left: waits for one if that is soon.
     fn hold(&mut self, now: Micros, call: &mut Call, wait: Micros) -> Decision {
         let until = now.saturating_add(wait.max(1));
-        let longest = (call.target() as f64 * self.settings.hold_share) as Micros;
-        let short = until <= call.begun.saturating_add(longest) || !Guard::HoldShort.on();
-        match short && until < call.ends() {
+        let longest = (call.latency_objective() as f64 * self.settings.max_delay_share) as Micros;
+        let short = until <= call.started_at.saturating_add(longest) || !Guard::ShortDelay.on();
+        match short && until < call.deadline() {
             true => Decision::Delay { until },
-            false => self.give_up(now, call, Reason::Nobody { until: Some(wait) }),
+            false => self.give_up(now, call, RejectionReason::NoServer { until: Some(wait) }),
         }
     }
 
     /// No server takes it now.
-    fn give_up(&mut self, now: Micros, call: &mut Call, reason: Reason) -> Decision {
+    fn give_up(&mut self, now: Micros, call: &mut Call, reason: RejectionReason) -> Decision {
         // A cut stream is worth a few more looks.
         let cut = call
-            .cut_at
-            .filter(|cut| now < cut.saturating_add(RESUME_WITHIN));
-        let again = now + RESUME_AGAIN;
-        if cut.is_some() && again < call.ends() {
+            .truncated_at
+            .filter(|cut| now < cut.saturating_add(MAX_RESUME_TIME));
+        let again = now + RESUME_RETRY_DELAY;
+        if cut.is_some() && again < call.deadline() {
             return Decision::Delay { until: again };
         }
-        if !call.head_passed && (!call.may_have_run() || !Guard::Promise.on()) {
+        if !call.head_forwarded && (!call.may_have_run() || !Guard::RejectOnlyUnexecuted.on()) {
             return self.refuse(now, call, reason);
         }
         let outcome = call
             .attempts
             .last()
             .and_then(|attempt| attempt.outcome.clone());
-        let last = attempts::last_word(call, &outcome.unwrap_or(Outcome::Timeout));
+        let last = retry::final_decision(call, &outcome.unwrap_or(Outcome::Timeout));
         self.close(now, call, last)
     }
 
     /// The last decision on a request. Where nothing can have run it is a promise.
     fn close(&mut self, now: Micros, call: &mut Call, decision: Decision) -> Decision {
         let fails = matches!(decision, Decision::Fail { .. } | Decision::ForwardResponse);
-        if fails && !call.head_passed && !call.may_have_run() {
+        if fails && !call.head_forwarded && !call.may_have_run() {
             return self.refuse(
                 now,
                 call,
-                Reason::Spent {
-                    told: call.told_wait,
+                RejectionReason::AttemptsExhausted {
+                    told: call.longest_retry_after,
                 },
             );
         }
@@ -371,32 +375,36 @@
         decision
     }
 
-    fn refuse(&mut self, now: Micros, call: &mut Call, reason: Reason) -> Decision {
+    fn refuse(&mut self, now: Micros, call: &mut Call, reason: RejectionReason) -> Decision {
         call.done = true;
         let left = call
             .request
             .deadline
-            .unwrap_or(call.ends())
+            .unwrap_or(call.deadline())
             .saturating_sub(now);
         let most = self.settings.retry_after.1;
         let mut turn = |gap| match &call.service {
-            Some(service) => self.turns.next(now, service, gap, most),
+            Some(service) => self.retry_schedule.next(now, service, gap, most),
             None => gap,
         };
         let (status, wait) = match reason {
             // Servers were there, but none is left: what they said of the wait is the best that is
             // known.
-            Reason::Nobody { until: None } if call.told_wait > 0 => {
-                (RejectionStatus::Unavailable, call.told_wait)
+            RejectionReason::NoServer { until: None } if call.longest_retry_after > 0 => {
+                (RejectionStatus::Unavailable, call.longest_retry_after)
             }
-            Reason::Nobody { until } => (RejectionStatus::Unavailable, until.unwrap_or(most / 2)),
-            Reason::Spent { told } => (RejectionStatus::Unavailable, told),
-            Reason::Full { rest, gap } => (RejectionStatus::Unavailable, turn(gap).max(rest)),
-            Reason::Crowded { rest, gap } => {
+            RejectionReason::NoServer { until } => {
+                (RejectionStatus::Unavailable, until.unwrap_or(most / 2))
+            }
+            RejectionReason::AttemptsExhausted { told } => (RejectionStatus::Unavailable, told),
+            RejectionReason::Full { rest, gap } => {
+                (RejectionStatus::Unavailable, turn(gap).max(rest))
+            }
+            RejectionReason::ReservedForPriority { rest, gap } => {
                 (RejectionStatus::TooManyRequests, turn(gap).max(rest))
             }
         };
-        Decision::Reject(refusal::refuse(
+        Decision::Reject(rejection::refuse(
             &self.settings,
             &mut self.rng,
             status,
@@ -407,24 +415,24 @@
 
     /// Takes the attempt that is out off its server and judges the server by its end. False where
     /// none is out.
-    fn end_attempt(&mut self, now: Micros, call: &mut Call, outcome: &Outcome) -> bool {
-        let Some(attempt) = call.end(now, outcome) else {
+    fn finish_attempt(&mut self, now: Micros, call: &mut Call, outcome: &Outcome) -> bool {
+        let Some(attempt) = call.finish_attempt(now, outcome) else {
             return false;
         };
         if let (Outcome::Success, Some(service)) = (outcome, &call.service) {
-            self.usuals.served(
+            self.baselines.served(
                 service,
                 &call.request.route,
                 now.saturating_sub(attempt.sent),
             );
         }
-        let told = self.told_of(now, attempt.server, outcome);
+        let told = self.attributed_outcome(now, attempt.server, outcome);
         self.judge(now, &attempt, &told);
-        if let Some(node) = self.fleet.get_mut(attempt.server) {
-            node.occupancy.release(call.need());
+        if let Some(node) = self.endpoints.get_mut(attempt.server) {
+            node.occupancy.release(call.token_demand());
             node.unread.release(attempt.unread);
         }
-        self.fleet.release(attempt.server);
+        self.endpoints.release(attempt.server);
         true
     }
 }
--- a/crates/routing/src/decider/health.rs
+++ b/crates/routing/src/decider/health.rs
@@ -5,44 +5,47 @@
 
 use super::Decider;
 use crate::decision::{EjectionChange, HealthCheckOutcome, Outcome, ServerHandle};
-use crate::ejection::{EjectionCause, FirstByte, Health, Peers};
 use crate::guards::Guard;
+use crate::load::PeerAverages;
+use crate::outlier::{EjectionCause, FirstByte, OutlierDetector, PeerHealth};
 use crate::request::{Attempt, Call};
-use crate::room::Usage;
 
 /// A server that gave a sign within this is there.
-const THERE_FOR: Micros = 500_000;
+const LIVENESS_TTL: Micros = 500_000;
 /// News kept until they are taken; later ones are dropped.
-const CHANGES_MOST: usize = 256;
+const MAX_EJECTION_CHANGES: usize = 256;
 
 impl Decider {
     /// The first byte of an answer came from the server.
     pub fn first_byte_received(&mut self, now: Micros, call: &mut Call) {
-        call.last_byte = now;
+        call.last_byte_at = now;
         let route = call.request.route.clone();
-        let Some(attempt) = call.open().filter(|attempt| attempt.first_byte.is_none()) else {
+        let Some(attempt) = call
+            .attempt_in_flight()
+            .filter(|attempt| attempt.first_byte.is_none())
+        else {
             return;
         };
         attempt.first_byte = Some(now);
         let (server, sent) = (attempt.server, attempt.sent);
         let (unread, backlog) = (std::mem::take(&mut attempt.unread), attempt.backlog);
         let took = now.saturating_sub(sent);
-        self.was_read(server, unread, backlog, took);
-        let part = took as f64 / call.target().max(1) as f64;
-        let ratio = self.usuals.record_first_byte(&route, took);
+        self.record_prefill(server, unread, backlog, took);
+        let part = took as f64 / call.latency_objective().max(1) as f64;
+        let ratio = self.baselines.record_first_byte(&route, took);
         self.record_liveness(now, server);
-        let Some(node) = self.fleet.get(server) else {
+        let Some(node) = self.endpoints.get(server) else {
             return;
         };
-        let memory = self.settings.report_memory;
+        let memory = self.settings.load_report_max_age;
         let taken = node
             .occupancy
-            .load(now, memory, &node.bounds, Usage::default())
-            .part();
+            .load(now, memory, &node.bounds, PeerAverages::default())
+            .utilization();
         let byte = FirstByte { ratio, part, taken };
         let peers = match node.health.may_be_slow(byte.ratio) {
-            true => self.fleet.peers(node),
-            false => Peers::default(),
+            true => self.endpoints.peers(node),
+            false => PeerHealth::default(),
         };
         let rests = self.settings.ejection;
         self.change_health(server, |health| {
@@ -51,21 +54,28 @@
     }
 
     /// What the end of an attempt tells of its server.
-    pub(super) fn told_of(&self, now: Micros, server: ServerHandle, outcome: &Outcome) -> Outcome {
-        let Some(node) = self.fleet.get(server) else {
+    pub(super) fn attributed_outcome(
+        &self,
+        now: Micros,
+        server: ServerHandle,
+        outcome: &Outcome,
+    ) -> Outcome {
+        let Some(node) = self.endpoints.get(server) else {
             return outcome.clone();
         };
-        let there = node.last_sign.saturating_add(THERE_FOR) > now && node.occupancy.in_flight > 1;
+        let there =
+            node.last_heard.saturating_add(LIVENESS_TTL) > now && node.occupancy.in_flight > 1;
         match outcome {
             // A client that leaves after it heard nothing, unless the server works on others.
             Outcome::Cancelled
-                if node.quiet(now, self.settings.quiet_after) && Guard::SilenceCounts.on() =>
+                if node.is_unresponsive(now, self.settings.unresponsive_after)
+                    && Guard::UnresponsiveCancelCounts.on() =>
             {
                 Outcome::Timeout
             }
             // A server that answers others and takes no connection is crowded. A dead one breaks
             // them all.
-            Outcome::ConnectFailed if there && Guard::NoConnectionIsFull.on() => {
+            Outcome::ConnectFailed if there && Guard::ConnectFailureOfLiveServer.on() => {
                 Outcome::NotExecuted { retry_after: None }
             }
             _ => outcome.clone(),
@@ -75,19 +85,19 @@
     /// Judges a server by the end of an attempt, told as `outcome`.
     pub(super) fn judge(&mut self, now: Micros, attempt: &Attempt, outcome: &Outcome) {
         let server = attempt.server;
-        let Some(node) = self.fleet.get(server) else {
+        let Some(node) = self.endpoints.get(server) else {
             return;
         };
         let peers = match outcome {
-            Outcome::Success => Peers::default(),
-            _ => self.fleet.peers(node),
+            Outcome::Success => PeerHealth::default(),
+            _ => self.endpoints.peers(node),
         };
         let rests = self.settings.ejection;
         self.change_health(server, |health| {
             health.trial &= !attempt.trial;
             health.attempt_finished(now, outcome, attempt.sent, peers, rests)
         });
-        let Some(node) = self.fleet.get_mut(server) else {
+        let Some(node) = self.endpoints.get_mut(server) else {
             return;
         };
         match outcome {
@@ -100,9 +110,9 @@
             ClientError, ConnectFailed, NotExecuted, ServerError, Success, Timeout, WrongVersion,
         };
         match outcome {
-            Success => node.broke_at = 0,
+            Success => node.failed_at = 0,
             ConnectFailed | Outcome::Reset | Outcome::MalformedResponse | Timeout => {
-                node.broke_at = now
+                node.failed_at = now
             }
             _ => {}
         }
@@ -110,7 +120,7 @@
             Success | ClientError | ServerError | NotExecuted { .. } | WrongVersion => {
                 self.record_liveness(now, server)
             }
-            ConnectFailed | Timeout => self.paths.unanswered(&node.spec.region),
+            ConnectFailed | Timeout => self.reachability.unanswered(&node.spec.region),
             _ => {}
         }
     }
@@ -122,10 +132,10 @@
         server: ServerHandle,
         outcome: HealthCheckOutcome,
     ) {
-        let Some(node) = self.fleet.get(server) else {
+        let Some(node) = self.endpoints.get(server) else {
             return;
         };
-        let (dark, peers) = (self.is_dark(now, node), self.fleet.peers(node));
+        let (dark, peers) = (self.is_dark(now, node), self.endpoints.peers(node));
         let well = matches!(
             outcome,
             HealthCheckOutcome::Healthy | HealthCheckOutcome::Full
@@ -133,7 +143,7 @@
         if well {
             self.record_liveness(now, server);
         }
-        if let Some(node) = self.fleet.get_mut(server) {
+        if let Some(node) = self.endpoints.get_mut(server) {
             node.displaced |= outcome == HealthCheckOutcome::WrongInstance;
         }
         let rests = self.settings.ejection;
@@ -151,16 +161,16 @@
     fn change_health(
         &mut self,
         server: ServerHandle,
-        change: impl FnOnce(&mut Health) -> Option<EjectionCause>,
+        change: impl FnOnce(&mut OutlierDetector) -> Option<EjectionCause>,
     ) {
-        let Some(node) = self.fleet.get_mut(server) else {
+        let Some(node) = self.endpoints.get_mut(server) else {
             return;
         };
         let before = node.health.ejected().is_some();
         let cause = change(&mut node.health);
         let after = node.health.ejected().is_some();
         self.ejections += u64::from(cause.is_some());
-        if before != after && self.changes.len() < CHANGES_MOST {
+        if before != after && self.changes.len() < MAX_EJECTION_CHANGES {
             self.changes.push(EjectionChange {
                 server,
                 instance: node.spec.instance.clone(),
@@ -176,7 +186,7 @@
 
     /// True where health has set a server aside.
     pub fn is_ejected(&self, server: ServerHandle) -> bool {
-        self.fleet
+        self.endpoints
             .get(server)
             .is_some_and(|node| node.health.ejected().is_some())
     }
--- a/crates/routing/src/decider/prompts.rs
+++ b/crates/routing/src/decider/peer_reports.rs
@@ -6,12 +6,12 @@
 
 use super::Decider;
 use crate::decision::ServerHandle;
-use crate::fleet::Node;
-use crate::reading::Pace;
+use crate::endpoints::Endpoint;
+use crate::prefill::PrefillRate;
 
 /// A change of what waits at a server is worth telling from this part of the objective of its
 /// service on.
-const WORTH_TELLING: f64 = 0.02;
+const SIGNIFICANT_CHANGE: f64 = 0.02;
 
 /// What a gate tells the other gates of its region. Servers go by the hash of their instance, the
 /// same at every gate.
@@ -36,11 +36,11 @@
 impl Decider {
     /// What this gate has to tell the other gates of its region.
     pub fn peer_report(&self, now: Micros) -> PeerReport {
-        let waiting = self.fleet.listed().filter(|node| node.unread.own() > 0);
+        let waiting = self.endpoints.listed().filter(|node| node.unread.own() > 0);
         let suspect = self
-            .fleet
+            .endpoints
             .listed()
-            .filter(|node| node.is_suspect(now, self.settings.quiet_after));
+            .filter(|node| node.is_suspect(now, self.settings.unresponsive_after));
         PeerReport {
             pending_prefill: waiting
                 .map(|node| PendingPrefill {
@@ -64,21 +64,22 @@
                 .find(|unread| unread.server == server)
                 .map_or(0, |unread| unread.tokens)
         };
-        let weighs = |node: &Node| {
+        let weighs = |node: &Endpoint| {
             let change = tokens(told, node.hash).abs_diff(tokens(news, node.hash));
             let Some(service) = self.table.service(&node.spec.service) else {
                 return false;
             };
-            let least = self.table.target_ms(service) as f64 * 1_000.0 * WORTH_TELLING;
+            let least =
+                self.table.latency_objective_ms(service) as f64 * 1_000.0 * SIGNIFICANT_CHANGE;
             let time = self.pace(service).over(change);
             change > 0 && (time == 0.0 || time >= least)
         };
-        self.fleet.listed().any(weighs)
+        self.endpoints.listed().any(weighs)
     }
 
     /// A peer told the whole of its news.
     pub fn apply_peer_report(&mut self, now: Micros, peer: u64, news: &PeerReport) {
-        for node in self.fleet.listed_mut() {
+        for node in self.endpoints.listed_mut() {
             let here = news
                 .pending_prefill
                 .iter()
@@ -88,20 +89,20 @@
                 peer,
                 here.map(|unread| unread.tokens).max().unwrap_or(0),
             );
-            node.told_suspect
+            node.suspicions
                 .told(now, peer, news.suspect.contains(&node.hash));
         }
     }
 
     /// A prompt has been read at a server: it and what was in front of it took that long.
-    pub(super) fn was_read(
+    pub(super) fn record_prefill(
         &mut self,
         server: ServerHandle,
         unread: u64,
         backlog: u64,
         took: Micros,
     ) {
-        let Some(node) = self.fleet.get_mut(server) else {
+        let Some(node) = self.endpoints.get_mut(server) else {
             return;
         };
         node.unread.release(unread);
@@ -109,7 +110,7 @@
         let near = *node.spec.region == *self.settings.region;
         if backlog > 0 && near {
             let service = node.spec.service.clone();
-            self.paces
+            self.prefill_rates
                 .entry(service)
                 .or_default()
                 .measured(backlog, took);
@@ -119,20 +120,22 @@
     /// The shortest objective of the routes on a server's service, in microseconds.
     pub(super) fn shortest_objective(&self, server: ServerHandle) -> f64 {
         let service = self
-            .fleet
+            .endpoints
             .get(server)
             .and_then(|node| self.table.service(&node.spec.service));
-        service.map_or(0.0, |service| self.table.target_ms(service) as f64 * 1000.0)
+        service.map_or(0.0, |service| {
+            self.table.latency_objective_ms(service) as f64 * 1000.0
+        })
     }
 
     /// How fast servers of a service read.
-    pub(super) fn pace(&self, service: u32) -> Pace {
+    pub(super) fn pace(&self, service: u32) -> PrefillRate {
         let name: Option<&Arc<str>> = self
             .table
             .services()
             .get(service as usize)
             .map(|service| &service.name);
-        name.and_then(|name| self.paces.get(name))
+        name.and_then(|name| self.prefill_rates.get(name))
             .copied()
             .unwrap_or_default()
     }
--- a/crates/routing/src/decider/search.rs
+++ b/crates/routing/src/decider/search.rs
@@ -5,34 +5,34 @@
 use smallvec::SmallVec;
 
 use super::Decider;
-use super::pick::{Ask, Offer, Offers, crowded, permitted};
-use crate::candidates::{self, Pool, Reach, Scope, Trust};
+use super::pick::{CandidateLoad, CandidateLoads, PickArgs, crowded, permitted};
+use crate::candidates::{self, HealthFilter, Locality, Pool, Scope};
 use crate::decision::ServerHandle;
-use crate::fleet::Node;
+use crate::endpoints::Endpoint;
 use crate::guards::Guard;
 use crate::limits::{Permits, RetryBudget};
-use crate::paths;
-use crate::refusal::Reason;
+use crate::reachability;
+use crate::rejection::RejectionReason;
 use crate::request::Call;
 
 /// A server is quiet after this many times the usual time to a first byte.
-const QUIET_FOR: f64 = 2.0;
+const UNRESPONSIVE_FACTOR: f64 = 2.0;
 /// Another region is sooner where the wait known of there is by so many times shorter.
-const SPILL_LESS: f64 = 4.0;
+const SPILLOVER_WAIT_RATIO: f64 = 4.0;
 /// A server for a request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Found {
+pub(super) struct SelectedServer {
     pub server: ServerHandle,
     pub trial: bool,
 }
 
 /// The end of a search.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Search {
-    Found(Found),
+pub(super) enum Selection {
+    Server(SelectedServer),
     /// Only cold servers without a permit; one may be there after that long.
-    Cold(Micros),
-    None(Reason),
+    PermitIn(Micros),
+    Unavailable(RejectionReason),
 }
 
 impl Decider {
@@ -42,19 +42,19 @@
         now: Micros,
         call: &mut Call,
         limits: &mut L,
-    ) -> Search {
-        if call.ends() <= now {
-            return Search::None(Reason::Nobody { until: None });
+    ) -> Selection {
+        if call.deadline() <= now {
+            return Selection::Unavailable(RejectionReason::NoServer { until: None });
         }
-        let mut best = Search::None(Reason::Nobody { until: None });
+        let mut best = Selection::Unavailable(RejectionReason::NoServer { until: None });
         for service in self.services(now, call, limits) {
             match self.search_service(now, call, service, limits) {
-                Search::Found(found) => return Search::Found(found),
-                Search::Cold(wait) => best = Search::Cold(wait),
-                Search::None(reason) if !matches!(best, Search::Cold(_)) => {
-                    best = Search::None(reason)
+                Selection::Server(found) => return Selection::Server(found),
+                Selection::PermitIn(wait) => best = Selection::PermitIn(wait),
+                Selection::Unavailable(reason) if !matches!(best, Selection::PermitIn(_)) => {
+                    best = Selection::Unavailable(reason)
                 }
-                Search::None(_) => {}
+                Selection::Unavailable(_) => {}
             }
         }
         best
@@ -119,22 +119,22 @@
         call: &Call,
         service: u32,
         limits: &mut L,
-    ) -> Search {
+    ) -> Selection {
         let scope = self.scope(call, service);
-        if self.is_out_of_reach(now, &scope) {
-            return Search::None(Reason::Nobody {
-                until: Some(paths::GONE_ROUND_IN),
+        if self.is_only_in_unreachable_regions(now, &scope) {
+            return Selection::Unavailable(RejectionReason::NoServer {
+                until: Some(reachability::GATE_FAILOVER_TIME),
             });
         }
         if let Some(found) = self.trial(now, call, &scope, limits) {
-            return Search::Found(found);
+            return Selection::Server(found);
         }
-        for trust in Trust::STEPS {
+        for trust in HealthFilter::FALLBACK_ORDER {
             if let Some(search) = self.search_trusted(now, call, scope, trust, limits) {
                 return search;
             }
         }
-        Search::None(Reason::Nobody {
+        Selection::Unavailable(RejectionReason::NoServer {
             until: self.next_trial(now, &scope),
         })
     }
@@ -146,14 +146,14 @@
         call: &Call,
         scope: &Scope,
         limits: &mut L,
-    ) -> Option<Found> {
+    ) -> Option<SelectedServer> {
         // A trial may fail: the request must have another attempt, and nothing behind it yet.
         let most = call.request.route.spec.max_attempts as usize;
         let spare = call.attempts() == 0 && most > 1 || !Guard::TrialFirst.on();
-        let slot = candidates::trial(&self.fleet, scope, call, now).filter(|_| spare)?;
-        let node = self.fleet.at(slot)?;
+        let slot = candidates::trial(&self.endpoints, scope, call, now).filter(|_| spare)?;
+        let node = self.endpoints.at(slot)?;
         permitted(now, node, limits).ok()?;
-        Some(Found {
+        Some(SelectedServer {
             server: node.handle,
             trial: true,
         })
@@ -165,65 +165,65 @@
         now: Micros,
         call: &Call,
         scope: Scope,
-        trust: Trust,
+        trust: HealthFilter,
         limits: &mut L,
-    ) -> Option<Search> {
+    ) -> Option<Selection> {
         let level = self.level(
             call,
             scope.service,
             call.request.route.spec.priority,
             call.chance,
         );
-        let mut seen: Option<Search> = None;
-        let mut all = Offers::new();
+        let mut seen: Option<Selection> = None;
+        let mut all = CandidateLoads::new();
         let sooner = self.sooner_elsewhere(now, call, &scope, trust, level);
         for reach in if sooner {
-            [Reach::Others, Reach::Own]
+            [Locality::Remote, Locality::Local]
         } else {
-            [Reach::Own, Reach::Others]
+            [Locality::Local, Locality::Remote]
         } {
             let pool = self.pool(now, &scope, reach, call, trust);
             if pool.is_empty() {
                 continue;
             }
             // For want of room or for a wait another region is used only while it has plenty.
-            let spills =
-                reach == Reach::Others && (sooner || matches!(seen, Some(Search::None(_))));
-            let most = if spills {
-                self.settings.spill_fill
+            let spills_over = reach == Locality::Remote
+                && (sooner || matches!(seen, Some(Selection::Unavailable(_))));
+            let most = if spills_over {
+                self.settings.spillover_max_load
             } else {
                 f64::INFINITY
             };
-            let ask = Ask {
+            let ask = PickArgs {
                 scope,
                 reach,
                 any: false,
             };
             let offers = self.offers(now, call, scope.service, &pool, level.min(most));
             let found = self.pick(now, call, &offers, ask, limits);
-            if let Search::Found(found) = found {
-                return Some(Search::Found(found));
+            if let Selection::Server(found) = found {
+                return Some(Selection::Server(found));
             }
             all.extend(offers);
             // The shorter way to an answer is a permit.
             seen = seen
-                .filter(|seen| matches!(seen, Search::Cold(_)))
+                .filter(|seen| matches!(seen, Selection::PermitIn(_)))
                 .or(Some(found));
         }
-        let full = matches!(seen, Some(Search::None(_)));
+        let full = matches!(seen, Some(Selection::Unavailable(_)));
         // Guards streams under way, and requests while places are free, against refusals.
-        if full && (call.head_passed || Guard::PlacesFree.on() && !crowded(&all)) {
+        if full && (call.head_forwarded || Guard::FreeSlots.on() && !crowded(&all)) {
             let nearest = if scope
                 .own
                 .is_some_and(|own| all.iter().any(|o| self.in_region(o, own)))
             {
-                Reach::Own
+                Locality::Local
             } else {
-                Reach::Others
+                Locality::Remote
             };
             let pool = self.pool(now, &scope, nearest, call, trust);
             let offers = self.offers(now, call, scope.service, &pool, level);
-            let ask = Ask {
+            let ask = PickArgs {
                 scope,
                 reach: nearest,
                 any: true,
@@ -241,7 +241,7 @@
         now: Micros,
         call: &Call,
         scope: &Scope,
-        trust: Trust,
+        trust: HealthFilter,
         level: f64,
     ) -> bool {
         let shortest = |reach, most: f64| {
@@ -253,43 +253,52 @@
                 .map(|offer| offer.wait)
                 .min_by(f64::total_cmp)
         };
-        let long = call.target() as f64 * self.settings.spill_wait;
-        let here = shortest(Reach::Own, f64::INFINITY)
-            .filter(|wait| *wait > long && Guard::SpillWait.on());
+        let long = call.latency_objective() as f64 * self.settings.spillover_min_wait;
+        let here = shortest(Locality::Local, f64::INFINITY)
+            .filter(|wait| *wait > long && Guard::SpilloverWait.on());
         let Some(here) = here else { return false };
-        shortest(Reach::Others, self.settings.spill_fill)
-            .is_some_and(|there| there * SPILL_LESS <= here)
+        shortest(Locality::Remote, self.settings.spillover_max_load)
+            .is_some_and(|there| there * SPILLOVER_WAIT_RATIO <= here)
     }
 
     /// The candidates of a reach; quiet ones only where all are.
-    fn pool(&self, now: Micros, scope: &Scope, reach: Reach, call: &Call, trust: Trust) -> Pool {
-        let usual = self.usuals.first(&call.request.route) * QUIET_FOR;
-        let patience = self.settings.quiet_after.max(usual as Micros);
-        let dark = self.dark_regions(now, scope, reach);
-        let suspect = |node: &Node| node.quiet(now, patience) || node.is_suspect_to_others(now);
+    fn pool(
+        &self,
+        now: Micros,
+        scope: &Scope,
+        reach: Locality,
+        call: &Call,
+        trust: HealthFilter,
+    ) -> Pool {
+        let usual = self.baselines.first(&call.request.route) * UNRESPONSIVE_FACTOR;
+        let patience = self.settings.unresponsive_after.max(usual as Micros);
+        let dark = self.unreachable_regions(now, scope, reach);
+        let suspect = |node: &Endpoint| {
+            node.is_unresponsive(now, patience) || node.is_suspected_by_peers(now)
+        };
         // What has failed once goes where somebody is known to answer.
-        let is_again = call.arrivals() > 0 && Guard::HeardFirst.on();
-        let shun = |node: &Node| {
-            Guard::Quiet.on() && suspect(node)
+        let is_again = call.arrived_attempts() > 0 && Guard::RetryAtLiveServer.on();
+        let shun = |node: &Endpoint| {
+            Guard::UnresponsiveLast.on() && suspect(node)
                 || dark.contains(node.region)
-                || is_again && !node.is_heard(now)
+                || is_again && !node.was_heard_recently(now)
         };
-        candidates::pool(&self.fleet, scope, reach, call, trust, now, shun)
+        candidates::pool(&self.endpoints, scope, reach, call, trust, now, shun)
     }
 
-    fn in_region(&self, offer: &Offer, region: u8) -> bool {
-        self.fleet
+    fn in_region(&self, offer: &CandidateLoad, region: u8) -> bool {
+        self.endpoints
             .at(offer.slot)
             .is_some_and(|node| node.region == region)
     }
 
     /// When the next ejection ends.
     fn next_trial(&self, now: Micros, scope: &Scope) -> Option<Micros> {
-        let nodes = [Reach::Own, Reach::Others]
+        let nodes = [Locality::Local, Locality::Remote]
             .into_iter()
-            .flat_map(|reach| scope.servers(&self.fleet, reach));
+            .flat_map(|reach| scope.servers(&self.endpoints, reach));
         let until = nodes
-            .filter(|node| node.open())
+            .filter(|node| node.is_eligible())
             .filter_map(|node| node.health.ejected());
         until.map(|ejected| ejected.until.saturating_sub(now)).min()
     }
--- a/crates/routing/src/decider/tests/affinity.rs
+++ b/crates/routing/src/decider/tests/affinity.rs
@@ -96,7 +96,7 @@
     let mut table = spec(vec![route("a", STREAM)], servers(0, 6, "north"));
     table.services[0].slots = 64;
     let mut settings = Settings::new("north", "north-0");
-    (settings.affinity_excess, settings.affinity_floor) = (0.25, 0.15);
+    (settings.affinity_load_excess, settings.affinity_load_floor) = (0.25, 0.15);
     let mut gate = Gate::with(table, settings, 1);
     for number in 0..requests {
         // Half of all requests share one key.
@@ -175,7 +175,7 @@
     table.services[0].slots = 64;
     table.services[0].kv_cache_tokens = 2000;
     let mut settings = Settings::new("north", "north-0");
-    settings.affinity_excess = 10.0;
+    settings.affinity_load_excess = 10.0;
     let mut gate = Gate::with(table, settings, 1);
     // 500 shared and 130 of their own each: 500 + 11 * 130 fit into 2,000.
     let homes: Vec<Arc<str>> = (0..12)
@@ -220,7 +220,7 @@
 
 #[test]
 fn a_key_moves_on_where_peers_have_prompts_waiting_and_comes_back() {
-    guarded(Guard::ShortWait, || {
+    guarded(Guard::ShortPrefillWait, || {
         let mut gate = gate(6, 1);
         learn(&mut gate);
         let home = gate.served(gate.prompt("a", 3));
@@ -288,7 +288,7 @@
 
 #[test]
 fn a_long_wait_in_the_own_region_is_gone_round_by_another() {
-    guarded(Guard::SpillWait, || leave(50_000) == [true, false]);
+    guarded(Guard::SpilloverWait, || leave(50_000) == [true, false]);
     assert_eq!(leave(2_000), [false, false], "a short wait is none");
 }
 
--- a/crates/routing/src/decider/tests/attempts.rs
+++ b/crates/routing/src/decider/tests/attempts.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn what_may_have_run_is_not_repeated() {
-    guarded(Guard::Once, || {
+    guarded(Guard::AtMostOnce, || {
         [
             RouteKind::NonIdempotent,
             RouteKind::Stream { resumable: false },
@@ -107,7 +107,7 @@
 
 #[test]
 fn repeats_are_paid_for_and_failed_connections_are_free() {
-    guarded(Guard::Budget, || {
+    guarded(Guard::RetryBudget, || {
         let mut gate = gate(RouteKind::Idempotent, 3);
         gate.limits.repeats = 1;
         let (tried, last) = gate.fails(gate.request("a"), &Outcome::Reset);
@@ -126,7 +126,7 @@
 
 #[test]
 fn a_refusal_is_a_promise() {
-    guarded(Guard::Promise, || {
+    guarded(Guard::RejectOnlyUnexecuted, || {
         let mut gate = gate(RouteKind::Idempotent, 3);
         gate.limits.repeats = 0;
         let (_, last) = gate.fails(gate.request("a"), &Outcome::Reset);
--- a/crates/routing/src/decider/tests/candidates.rs
+++ b/crates/routing/src/decider/tests/candidates.rs
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_request_waits_for_a_permit_for_a_short_part_of_its_objective_only() {
-    guarded(Guard::HoldShort, || {
+    guarded(Guard::ShortDelay, || {
         let mut fleet = servers(0, 1, "north");
         fleet[0].warming_up = true;
         let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
@@ -234,7 +234,7 @@
     let mut fleet = servers(0, 2, "north");
     fleet[0].heartbeats_missing_since = Some(SECOND);
     let used = |gate: &mut Gate| (0..16).any(|key| &*gate.served(gate.prompt("a", key)) == "i-0");
-    guarded(Guard::HeardIsThere, || {
+    guarded(Guard::LivenessOverHeartbeats, || {
         let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet.clone()));
         assert!(!used(&mut gate));
         gate.now += SECOND;
@@ -277,7 +277,7 @@
 
 #[test]
 fn a_region_that_gives_no_sign_is_left_for_another() {
-    guarded(Guard::DarkRegion, || {
+    guarded(Guard::UnreachableRegion, || {
         let mut gate = away(8, 2);
         let _owed = cut_the_south(&mut gate, 2);
         (0..20).all(|_| gate.served(gate.request("home")).starts_with("i-2"))
@@ -293,7 +293,7 @@
 
 #[test]
 fn where_no_home_gives_a_sign_requests_are_refused_until_one_does() {
-    guarded(Guard::DarkRegion, || {
+    guarded(Guard::UnreachableRegion, || {
         let mut gate = away(8, 0);
         let _owed = cut_the_south(&mut gate, 2);
         let is_refused = matches!(gate.begin(gate.request("home")).1, Decision::Reject(_));
@@ -333,7 +333,7 @@
 
 #[test]
 fn after_a_start_a_request_waits_for_a_server_to_become_known() {
-    guarded(Guard::Learn, || {
+    guarded(Guard::Discovery, || {
         let mut gate = learner();
         let (mut call, decision) = gate.begin(gate.request("a"));
         let Decision::Delay { until } = decision else {
--- a/crates/routing/src/decider/tests/health.rs
+++ b/crates/routing/src/decider/tests/health.rs
@@ -63,7 +63,7 @@
 
 #[test]
 fn full_servers_are_not_ejected() {
-    guarded(Guard::FullIsNoFailure, || {
+    guarded(Guard::OverloadIsNoFailure, || {
         let mut gate = gate(RouteKind::Idempotent, 4);
         play(&mut gate, 200, &["i-0"], |_| Outcome::NotExecuted {
             retry_after: None,
@@ -74,7 +74,7 @@
 
 #[test]
 fn a_server_that_answers_others_but_takes_no_connection_is_full() {
-    guarded(Guard::NoConnectionIsFull, || {
+    guarded(Guard::ConnectFailureOfLiveServer, || {
         let mut gate = gate(RouteKind::Idempotent, 2);
         let server = gate.decider.server("i-0").expect("listed");
         // It works on one request and tells so.
@@ -103,7 +103,7 @@
 
 #[test]
 fn at_most_half_of_a_group_is_ejected() {
-    guarded(Guard::HalfEjected, || {
+    guarded(Guard::MaxEjectedShare, || {
         let mut gate = gate(RouteKind::Idempotent, 4);
         play(&mut gate, 20, &["i-0", "i-1"], |_| Outcome::ConnectFailed);
         assert_eq!(ejected(&gate, 4), 2);
@@ -232,7 +232,7 @@
 
 #[test]
 fn a_server_that_goes_dark_comes_after_its_peers_before_its_attempts_end() {
-    guarded(Guard::Quiet, || {
+    guarded(Guard::UnresponsiveLast, || {
         let mut gate = gate(RouteKind::NonIdempotent, 3);
         let (mut there, mut dark) = (0, Vec::new());
         for _ in 0..60 {
@@ -257,7 +257,7 @@
 
 #[test]
 fn a_crowded_server_is_not_taken_for_a_slow_one() {
-    guarded(Guard::CrowdedIsNotSlow, || {
+    guarded(Guard::LoadedIsNotSlow, || {
         let mut gate = gate(RouteKind::Idempotent, 4);
         for _ in 0..200 {
             let (mut call, decision) = gate.begin(gate.request("a"));
@@ -333,7 +333,7 @@
 
 #[test]
 fn clients_that_leave_a_silent_server_count_against_it() {
-    guarded(Guard::SilenceCounts, || {
+    guarded(Guard::UnresponsiveCancelCounts, || {
         let (mut gate, server, mut dark) = with_dark();
         for _ in 0..4 {
             gate.now += 3 * SECOND;
@@ -389,7 +389,7 @@
 
 #[test]
 fn a_server_that_is_quiet_to_several_other_gates_gets_nothing() {
-    guarded(Guard::Quiet, || reach_quiet(2, false) == 0);
+    guarded(Guard::UnresponsiveLast, || reach_quiet(2, false) == 0);
     assert!(
         reach_quiet(1, false) > 40,
         "the way of one gate may be at fault"
@@ -454,7 +454,7 @@
 /// Two of four servers break every attempt; the others have just been heard.
 #[test]
 fn a_repeat_goes_to_a_server_that_has_just_answered() {
-    guarded(Guard::HeardFirst, || {
+    guarded(Guard::RetryAtLiveServer, || {
         (0..20).all(|seed| {
             let mut route = route("a", RouteKind::Idempotent);
             route.affinity = false;
--- a/crates/routing/src/decider/tests/properties.rs
+++ b/crates/routing/src/decider/tests/properties.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn shares_are_even() {
-    guarded(Guard::Deck, || {
+    guarded(Guard::ShuffledRoundRobin, || {
         [(3, 0), (6, 10), (13, 20), (40, 100)]
             .into_iter()
             .all(|(servers, in_flight)| {
@@ -247,9 +247,9 @@
             self.displaced
                 .insert(sent(&open.decision).expect_instance.clone());
         }
-        open.arrived += usize::from(!outcome.never_arrived());
-        open.may_have_run |= !outcome.never_ran();
-        open.unspent = outcome.never_arrived();
+        open.arrived += usize::from(!outcome.never_sent());
+        open.may_have_run |= !outcome.never_executed();
+        open.unspent = outcome.never_sent();
         open.head |= matches!(outcome, Outcome::Truncated { .. });
         if outcome == Outcome::NotSent {
             open.had.remove(&sent(&open.decision).server);
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Health checks that are due, some of which find nobody.
+    /// OutlierDetector checks that are due, some of which find nobody.
     fn probe(&mut self) {
         let mut probes = Vec::new();
         self.gate
@@ -329,7 +329,7 @@
                 check(open.arrived < open.most, "too many attempts")?;
                 check(open.had.insert(dispatch.server), "a server twice")?;
                 check(
-                    open.kind.idempotent() || !open.may_have_run,
+                    open.kind.is_idempotent() || !open.may_have_run,
                     "repeated after it may have run",
                 )?;
                 let paid = self.gate.limits.taken > self.paid;
@@ -398,10 +398,13 @@
         (Guard::Evacuated, "evacuated"),
         (Guard::Displaced, "displaced"),
         (Guard::Permit, "cold without a permit"),
-        (Guard::Once, "repeated after it may have run"),
+        (Guard::AtMostOnce, "repeated after it may have run"),
         (Guard::MaxAttempts, "too many attempts"),
-        (Guard::Budget, "a repeat unpaid"),
-        (Guard::Promise, "refused though it may have run"),
+        (Guard::RetryBudget, "a repeat unpaid"),
+        (
+            Guard::RejectOnlyUnexecuted,
+            "refused though it may have run",
+        ),
     ];
     for (guard, rule) in caught {
         assert_eq!(
--- a/crates/routing/src/decider/tests/refusals.rs
+++ b/crates/routing/src/decider/tests/refusals.rs
@@ -7,7 +7,11 @@
 /// A gate that lets nothing wait at servers, where each rank has one level that leaves 0.05 less.
 fn exact(table: TableSpec) -> Gate {
     let mut settings = Settings::new("north", "north-0");
-    (settings.queue_wait, settings.fill_ramp, settings.fill_step) = (0.0, 0.0, 0.05);
+    (
+        settings.max_queue_time_share,
+        settings.rejection_ramp,
+        settings.priority_step,
+    ) = (0.0, 0.0, 0.05);
     Gate::with(table, settings, 1)
 }
 
@@ -48,7 +52,7 @@
 
 #[test]
 fn less_urgent_requests_leave_room() {
-    guarded(Guard::PriorityRoom, || {
+    guarded(Guard::PriorityReserve, || {
         let mut gate = gate();
         let (count, refusal) = taken(&mut gate, "patient");
         let crowded =
@@ -73,7 +77,7 @@
 
 #[test]
 fn nobody_is_refused_while_half_of_the_places_are_free() {
-    guarded(Guard::PlacesFree, || {
+    guarded(Guard::FreeSlots, || {
         let mut table = spec(
             vec![route("a", RouteKind::Stream { resumable: false })],
             servers(0, 2, "north"),
@@ -105,7 +109,7 @@
 
 #[test]
 fn a_server_that_is_full_is_left_alone_for_a_while() {
-    guarded(Guard::FullRest, || {
+    guarded(Guard::OverloadBackoff, || {
         let mut gate = exact(spec(
             vec![route("a", RouteKind::NonIdempotent)],
             servers(0, 2, "north"),
@@ -274,7 +278,7 @@
         servers(0, 1, "north"),
     );
     let settings = Settings {
-        fill_ramp: 0.0,
+        rejection_ramp: 0.0,
         ..Settings::new("north", "north-0")
     };
     // Each takes as long as its objective, as far as is known: two of eight places are free in a
@@ -308,7 +312,7 @@
 
 #[test]
 fn in_a_crowd_less_urgent_requests_are_refused_more_often_and_none_is_left_out() {
-    guarded(Guard::PriorityRoom, || {
+    guarded(Guard::PriorityReserve, || {
         let mut patient = route("patient", RouteKind::Idempotent);
         patient.priority = 3;
         let table = spec(
--- a/crates/routing/src/decision.rs
+++ b/crates/routing/src/decision.rs
@@ -5,7 +5,7 @@
 
 use ironmast_balancer::Micros;
 
-use crate::ejection::EjectionCause;
+use crate::outlier::EjectionCause;
 
 /// A server as the decider knows it; a later server never has the same handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -153,7 +153,7 @@
 
 impl Outcome {
     /// True where the server did not run the request and never will.
-    pub fn never_ran(&self) -> bool {
+    pub fn never_executed(&self) -> bool {
         use Outcome::{ConnectFailed, NotExecuted, NotSent, WrongInstance, WrongVersion};
         matches!(
             self,
@@ -162,7 +162,7 @@
     }
 
     /// True where no byte of the request went out.
-    pub fn never_arrived(&self) -> bool {
+    pub fn never_sent(&self) -> bool {
         matches!(self, Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
@@ -182,7 +182,7 @@
     Ignore,
 }
 
-/// Health has set a server aside, or taken it back.
+/// OutlierDetector has set a server aside, or taken it back.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EjectionChange {
     /// The server.
@@ -202,7 +202,7 @@
     pub address: SocketAddr,
     /// Who is expected there (`X-Ironmast-Instance-Id` of the answer).
     pub expect_instance: Arc<str>,
-    /// Path of the check.
+    /// RegionStatus of the check.
     pub path: Box<str>,
 }
 
--- a/crates/routing/src/fleet.rs
+++ b/crates/routing/src/endpoints.rs
@@ -9,25 +9,25 @@
 
 use crate::affinity::hash;
 use crate::decision::ServerHandle;
-use crate::ejection::{Health, Peers};
 use crate::guards::Guard;
-use crate::reading::{ToldSuspect, Unread};
-use crate::room::{Bounds, Occupancy};
+use crate::load::{CapacityLimits, Occupancy};
+use crate::outlier::{OutlierDetector, PeerHealth};
+use crate::prefill::{PeerSuspicions, PrefillBacklog};
 use crate::table::{RegionId, ServerSpec, ServerState, Table};
 
 /// A sign of a server counts against its silence from so long after that began.
-const SILENT_SURELY: Micros = 250_000;
+const HEARTBEAT_LOSS_GRACE: Micros = 250_000;
 /// And for so long.
-const HEARD_FOR: Micros = 3_000_000;
+const LIVENESS_OVER_HEARTBEATS: Micros = 3_000_000;
 
 /// A sign of a server speaks against what other gates tell of it for so long.
-const SIGN_HOLDS: Micros = 500_000;
+const LIVENESS_TTL: Micros = 500_000;
 /// An attempt that broke off speaks against its server for so long, unless another succeeds there.
-const BROKE_HOLDS: Micros = 1_000_000;
+const FAILURE_TTL: Micros = 1_000_000;
 
 /// One server.
 #[derive(Clone, Debug)]
-pub(crate) struct Node {
+pub(crate) struct Endpoint {
     pub spec: Arc<ServerSpec>,
     pub handle: ServerHandle,
     /// Hash of its instance, for ranks, and of the models it holds.
@@ -35,12 +35,12 @@
     pub models: SmallVec<[u64; 2]>,
     pub region: RegionId,
     pub group: u32,
-    pub bounds: Bounds,
+    pub bounds: CapacityLimits,
     pub occupancy: Occupancy,
-    pub unread: Unread,
-    pub health: Health,
+    pub unread: PrefillBacklog,
+    pub health: OutlierDetector,
     /// It is in the table in force.
-    pub listed: bool,
+    pub in_table: bool,
     /// What the table says of it, beside the rest of what a decision looks at.
     pub draining: bool,
     pub evacuated: bool,
@@ -48,83 +48,84 @@
     /// Another instance answered at its address; the table must say something new of it.
     pub displaced: bool,
     /// When anything was heard of it last.
-    pub last_sign: Micros,
+    pub last_heard: Micros,
     /// When an attempt there broke off last without an answer; 0 after a success.
-    pub broke_at: Micros,
+    pub failed_at: Micros,
     /// Other gates that find it out of order.
-    pub told_suspect: ToldSuspect,
+    pub suspicions: PeerSuspicions,
     /// Since when something of this gate's has been in flight there without a break.
-    pub owes_since: Micros,
+    pub in_flight_since: Micros,
     /// When it was asked for a sign last.
-    pub probed_at: Micros,
+    pub health_checked_at: Micros,
 }
 
-impl Node {
+impl Endpoint {
     /// Ready, in a zone that is in use, and not known to be another by now.
-    pub fn open(&self) -> bool {
+    pub fn is_eligible(&self) -> bool {
         let draining = self.draining && Guard::Draining.on();
         let evacuated = self.evacuated && Guard::Evacuated.on();
         let displaced = self.displaced && Guard::Displaced.on();
-        self.listed && !draining && !evacuated && !displaced
+        self.in_table && !draining && !evacuated && !displaced
     }
 
     /// True where it owes an answer and nothing was heard of it for that long.
-    pub fn quiet(&self, now: Micros, patience: Micros) -> bool {
-        let since = self.owes_since.max(self.last_sign);
+    pub fn is_unresponsive(&self, now: Micros, patience: Micros) -> bool {
+        let since = self.in_flight_since.max(self.last_heard);
         self.occupancy.in_flight > 0 && since.saturating_add(patience) <= now
     }
 
     /// True where it seems to be out of order to this gate: it owes an answer and gives no sign, or
     /// the last attempt there has just broken off.
     pub fn is_suspect(&self, now: Micros, patience: Micros) -> bool {
-        let broke = self.broke_at > 0 && self.broke_at.saturating_add(BROKE_HOLDS) > now;
-        broke || self.quiet(now, patience)
+        let broke = self.failed_at > 0 && self.failed_at.saturating_add(FAILURE_TTL) > now;
+        broke || self.is_unresponsive(now, patience)
     }
 
     /// True where it seems so to several other gates, and this one has no sign of it either.
-    pub fn is_suspect_to_others(&self, now: Micros) -> bool {
-        self.told_suspect.by_several(now) && !self.is_heard(now)
+    pub fn is_suspected_by_peers(&self, now: Micros) -> bool {
+        self.suspicions.is_confirmed(now) && !self.was_heard_recently(now)
     }
 
     /// True where it gave a sign just now.
-    pub fn is_heard(&self, now: Micros) -> bool {
-        self.last_sign.saturating_add(SIGN_HOLDS) > now
+    pub fn was_heard_recently(&self, now: Micros) -> bool {
+        self.last_heard.saturating_add(LIVENESS_TTL) > now
     }
 
     /// True where its heartbeats are missing and this gate has heard nothing of it either: what
     /// carries heartbeats may be at fault, and a server that answers is there.
-    pub fn unheard(&self, now: Micros) -> bool {
+    pub fn is_presumed_lost(&self, now: Micros) -> bool {
         let since = self
             .spec
             .heartbeats_missing_since
             .unwrap_or_default()
-            .saturating_add(SILENT_SURELY);
-        let heard = self.last_sign >= since && self.last_sign.saturating_add(HEARD_FOR) > now;
-        self.silent && !(heard && Guard::HeardIsThere.on())
+            .saturating_add(HEARTBEAT_LOSS_GRACE);
+        let heard = self.last_heard >= since
+            && self.last_heard.saturating_add(LIVENESS_OVER_HEARTBEATS) > now;
+        self.silent && !(heard && Guard::LivenessOverHeartbeats.on())
     }
 
     /// True where it says that it holds a model, or says nothing of models.
-    pub fn holds(&self, model: u64) -> bool {
+    pub fn serves_model(&self, model: u64) -> bool {
         self.models.is_empty() || self.models.contains(&model)
     }
 }
 
 /// All servers.
 #[derive(Debug, Default)]
-pub(crate) struct Fleet {
-    nodes: Vec<Option<Node>>,
+pub(crate) struct Endpoints {
+    nodes: Vec<Option<Endpoint>>,
     free: Vec<u32>,
     by_instance: FxHashMap<Arc<str>, u32>,
-    /// Slots of the listed servers of each service and region.
+    /// Slots of the in_table servers of each service and region.
     groups: Vec<Vec<u32>>,
     regions: usize,
     incarnations: u32,
     swaps: u64,
 }
 
-impl Fleet {
+impl Endpoints {
     /// Takes over another table. What is known of servers that stay is kept; those that left are
-    /// kept without being listed until their last attempt ends.
+    /// kept without being in_table until their last attempt ends.
     pub fn apply_table(&mut self, now: Micros, table: &Table) {
         self.swaps += 1;
         self.regions = table.region_count();
@@ -132,7 +133,7 @@
         self.nodes
             .iter_mut()
             .flatten()
-            .for_each(|node| node.listed = false);
+            .for_each(|node| node.in_table = false);
         for spec in table.servers() {
             let slot = match self.by_instance.get(&spec.instance) {
                 Some(slot) => self.update(*slot, spec),
@@ -140,7 +141,7 @@
             };
             self.place(slot, table);
         }
-        let quiet = |node: &Node| !node.listed && node.occupancy.in_flight == 0;
+        let quiet = |node: &Endpoint| !node.in_table && node.occupancy.in_flight == 0;
         let gone = self
             .nodes
             .iter()
@@ -162,13 +163,13 @@
             self.nodes.len() as u32 - 1
         });
         self.incarnations = self.incarnations.wrapping_add(1);
-        let bounds = Bounds {
+        let bounds = CapacityLimits {
             slots: 0,
             kv_cache: 0,
             connections: 0,
             gates: 1,
         };
-        self.nodes[slot as usize] = Some(Node {
+        self.nodes[slot as usize] = Some(Endpoint {
             spec: spec.clone(),
             handle: ServerHandle {
                 slot,
@@ -180,18 +181,18 @@
             group: 0,
             bounds,
             occupancy: Occupancy::default(),
-            unread: Unread::default(),
-            health: Health::default(),
-            listed: true,
+            unread: PrefillBacklog::default(),
+            health: OutlierDetector::default(),
+            in_table: true,
             draining: false,
             evacuated: false,
             silent: false,
             displaced: false,
-            last_sign: now,
-            broke_at: 0,
-            told_suspect: ToldSuspect::default(),
-            owes_since: now,
-            probed_at: 0,
+            last_heard: now,
+            failed_at: 0,
+            suspicions: PeerSuspicions::default(),
+            in_flight_since: now,
+            health_checked_at: 0,
         });
         self.by_instance.insert(spec.instance.clone(), slot);
         slot
@@ -210,7 +211,7 @@
         slot
     }
 
-    /// Puts a listed server into its group.
+    /// Puts a in_table server into its group.
     fn place(&mut self, slot: u32, table: &Table) {
         let Some(node) = self.nodes[slot as usize].as_mut() else {
             return;
@@ -227,12 +228,12 @@
         } else {
             limits.slots
         };
-        node.listed = true;
+        node.in_table = true;
         node.draining = node.spec.state == ServerState::Draining;
         node.evacuated = node.spec.evacuated;
         node.silent = node.spec.heartbeats_missing_since.is_some();
         node.region = region;
-        node.bounds = Bounds {
+        node.bounds = CapacityLimits {
             slots,
             kv_cache: limits.kv_cache_tokens,
             connections: limits.max_connections,
@@ -254,26 +255,26 @@
     pub fn release(&mut self, server: ServerHandle) {
         let gone = self
             .get(server)
-            .is_some_and(|node| !node.listed && node.occupancy.in_flight == 0);
+            .is_some_and(|node| !node.in_table && node.occupancy.in_flight == 0);
         if gone {
             self.remove(server.slot);
         }
     }
 
     /// A server, unless it was forgotten.
-    pub fn get(&self, server: ServerHandle) -> Option<&Node> {
+    pub fn get(&self, server: ServerHandle) -> Option<&Endpoint> {
         let node = self.nodes.get(server.slot as usize)?.as_ref()?;
         (node.handle == server).then_some(node)
     }
 
     /// The same, to change it.
-    pub fn get_mut(&mut self, server: ServerHandle) -> Option<&mut Node> {
+    pub fn get_mut(&mut self, server: ServerHandle) -> Option<&mut Endpoint> {
         let node = self.nodes.get_mut(server.slot as usize)?.as_mut()?;
         (node.handle == server).then_some(node)
     }
 
     /// The server in a slot.
-    pub fn at(&self, slot: u32) -> Option<&Node> {
+    pub fn at(&self, slot: u32) -> Option<&Endpoint> {
         self.nodes.get(slot as usize)?.as_ref()
     }
 
@@ -283,15 +284,15 @@
         self.at(slot).map(|node| node.handle)
     }
 
-    /// The listed servers of a service in a region.
-    pub fn members(&self, service: u32, region: RegionId) -> impl Iterator<Item = &Node> {
+    /// The in_table servers of a service in a region.
+    pub fn members(&self, service: u32, region: RegionId) -> impl Iterator<Item = &Endpoint> {
         let group = self.groups.get(self.group_place(service, region) as usize);
         let members = group.map(Vec::as_slice).unwrap_or_default();
         members.iter().filter_map(|slot| self.at(*slot))
     }
 
     /// The group of that number.
-    pub fn group(&self, group: u32) -> impl Iterator<Item = &Node> {
+    pub fn group(&self, group: u32) -> impl Iterator<Item = &Endpoint> {
         let members = self.groups.get(group as usize).map(Vec::as_slice);
         members
             .unwrap_or_default()
@@ -305,22 +306,22 @@
     }
 
     /// Every server in the table.
-    pub fn listed(&self) -> impl Iterator<Item = &Node> {
-        self.nodes.iter().flatten().filter(|node| node.listed)
+    pub fn listed(&self) -> impl Iterator<Item = &Endpoint> {
+        self.nodes.iter().flatten().filter(|node| node.in_table)
     }
 
     /// The same, to change them.
-    pub fn listed_mut(&mut self) -> impl Iterator<Item = &mut Node> {
-        self.nodes.iter_mut().flatten().filter(|node| node.listed)
+    pub fn listed_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
+        self.nodes.iter_mut().flatten().filter(|node| node.in_table)
     }
 
     /// What a server's group shows without it.
-    pub fn peers(&self, node: &Node) -> Peers {
+    pub fn peers(&self, node: &Endpoint) -> PeerHealth {
         let others = || {
             self.group(node.group)
                 .filter(|other| other.handle != node.handle)
         };
-        Peers {
+        PeerHealth {
             count: others().count() + 1,
             ejected: others()
                 .filter(|other| other.health.ejected().is_some())
--- a/crates/routing/src/fleet/tests.rs
+++ b/crates/routing/src/endpoints/tests.rs
@@ -39,7 +39,7 @@
     .expect("a table")
 }
 
-fn names(fleet: &Fleet, service: u32, region: RegionId) -> Vec<&str> {
+fn names(fleet: &Endpoints, service: u32, region: RegionId) -> Vec<&str> {
     fleet
         .members(service, region)
         .map(|node| &*node.spec.instance)
@@ -48,7 +48,7 @@
 
 #[test]
 fn groups_follow_the_table() {
-    let mut fleet = Fleet::default();
+    let mut fleet = Endpoints::default();
     let first = table(vec![
         server(1, "a", "x"),
         server(2, "a", "y"),
@@ -68,7 +68,7 @@
 
 #[test]
 fn slots_are_used_again_and_handles_are_not() {
-    let mut fleet = Fleet::default();
+    let mut fleet = Endpoints::default();
     fleet.apply_table(0, &table(vec![server(1, "a", "x")]));
     let first = fleet.handle("i-1").expect("listed");
     fleet.apply_table(1, &table(vec![server(2, "a", "x")]));
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_server_that_left_stays_until_its_attempts_end_and_may_come_back() {
-    let mut fleet = Fleet::default();
+    let mut fleet = Endpoints::default();
     fleet.apply_table(0, &table(vec![server(1, "a", "x")]));
     let handle = fleet.handle("i-1").expect("listed");
     fleet
@@ -92,12 +92,12 @@
     assert!(
         fleet
             .get(handle)
-            .is_some_and(|node| !node.listed && !node.open())
+            .is_some_and(|node| !node.in_table && !node.is_eligible())
     );
     fleet.release(handle);
     assert!(fleet.get(handle).is_some(), "an attempt is out");
     fleet.apply_table(2, &table(vec![server(1, "a", "x")]));
-    assert!(fleet.get(handle).is_some_and(Node::open));
+    assert!(fleet.get(handle).is_some_and(Endpoint::is_eligible));
     fleet
         .get_mut(handle)
         .expect("there")
@@ -117,10 +117,10 @@
 
 #[test]
 fn what_is_kept_of_1300_servers_is_under_a_megabyte() {
-    // Beside each record: its entry by instance, its place in a group and in two decks, the names
+    // Beside each record: its entry by instance, its place in a group and in two round_robins, the names
     // themselves.
     let beside = 24 + 16 + 3 * 4 + 64;
-    let record = size_of::<Option<Node>>() + size_of::<ServerSpec>() + beside;
+    let record = size_of::<Option<Endpoint>>() + size_of::<ServerSpec>() + beside;
     assert!(1300 * record < 1_000_000, "{record} bytes each");
     println!("{record} bytes each");
 }
--- a/crates/routing/src/guards.rs
+++ b/crates/routing/src/guards.rs
@@ -14,60 +14,60 @@
     Evacuated,
     /// A server that another took the place of gets nothing.
     Displaced,
-    /// Ejected servers are left out.
+    /// Ejection servers are left out.
     Ejected,
     /// A cold server gets a request only under a permit.
     Permit,
     /// What may have run is not repeated unless it may.
-    Once,
+    AtMostOnce,
     /// No more servers than the route allows.
     MaxAttempts,
     /// Repeats are paid for.
-    Budget,
+    RetryBudget,
     /// Keys move on from crowded servers.
     BoundedLoad,
     /// A server that this gate hears is there, whatever its heartbeats.
-    HeardIsThere,
+    LivenessOverHeartbeats,
     /// Keys move on from servers where prompts wait long.
-    ShortWait,
+    ShortPrefillWait,
     /// Keys have an order of servers.
     Rendezvous,
     /// Where prompts wait long in the own region, another one is used.
-    SpillWait,
-    /// Draws go round by shuffled decks.
-    Deck,
+    SpilloverWait,
+    /// Draws go round by shuffled round_robins.
+    ShuffledRoundRobin,
     /// At most half of a group is ejected for failures.
-    HalfEjected,
+    MaxEjectedShare,
     /// Refusals as full do not count against a server.
-    FullIsNoFailure,
+    OverloadIsNoFailure,
     /// A server that answers others but takes no connection is full, not gone.
-    NoConnectionIsFull,
+    ConnectFailureOfLiveServer,
     /// Only first attempts of requests with another one left try an ejected server.
     TrialFirst,
     /// A client that leaves a server without a sign counts as a time-out of it.
-    SilenceCounts,
+    UnresponsiveCancelCounts,
     /// A server is not ejected as slow while it is crowded.
-    CrowdedIsNotSlow,
+    LoadedIsNotSlow,
     /// Only what may run twice tries an ejected server.
     TrialIdempotent,
     /// No refusal for want of room while half of the places are free.
-    PlacesFree,
+    FreeSlots,
     /// Less urgent requests leave room for others.
-    PriorityRoom,
+    PriorityReserve,
     /// Servers that owe an answer and give no sign come last.
-    Quiet,
+    UnresponsiveLast,
     /// A repeat goes to a server that has just given a sign.
-    HeardFirst,
+    RetryAtLiveServer,
     /// A region that gives no sign is left out.
-    DarkRegion,
+    UnreachableRegion,
     /// A server that is full is left alone for a while.
-    FullRest,
+    OverloadBackoff,
     /// A request is held for a short part of its objective only.
-    HoldShort,
+    ShortDelay,
     /// After a start requests wait for servers to become known.
-    Learn,
+    Discovery,
     /// A refusal is made only where nothing can have run.
-    Promise,
+    RejectOnlyUnexecuted,
 }
 
 #[cfg(not(test))]
--- a/crates/routing/src/usual.rs
+++ b/crates/routing/src/latency.rs
@@ -7,23 +7,23 @@
 
 use crate::table::Route;
 
-/// Pace of the means.
+/// PrefillRate of the means.
 const PACE: f64 = 0.05;
 /// One answer moves a mean as if it took no longer than this many times the mean.
-const OUTLIER: f64 = 4.0;
+const MAX_SAMPLE_RATIO: f64 = 4.0;
 /// Before any answer the first byte is taken to come after this part of the objective.
 const FIRST_SHARE: f64 = 0.5;
 
 /// Usual times, in microseconds.
 #[derive(Debug, Default)]
-pub(crate) struct Usuals {
+pub(crate) struct LatencyBaselines {
     /// To the first byte, by route.
     first: FxHashMap<Arc<str>, f64>,
     /// Of a whole answer, by service: what its slots are taken for, whatever the mix.
     whole: FxHashMap<Arc<str>, f64>,
 }
 
-impl Usuals {
+impl LatencyBaselines {
     /// The usual time to the first byte on a route.
     pub fn first(&self, route: &Route) -> f64 {
         let hoped = (target(route) * FIRST_SHARE).max(1.0);
@@ -61,11 +61,11 @@
 }
 
 fn target(route: &Route) -> f64 {
-    route.target_ms() as f64 * 1000.0
+    route.latency_objective_ms() as f64 * 1000.0
 }
 
 fn follow(mean: f64, took: Micros) -> f64 {
-    mean + PACE * ((took as f64).clamp(1.0, OUTLIER * mean) - mean)
+    mean + PACE * ((took as f64).clamp(1.0, MAX_SAMPLE_RATIO * mean) - mean)
 }
 
 #[cfg(test)]
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -10,7 +10,7 @@
 //! What counts as usable beyond ready: not evacuated, not ejected by health, not silent, in its
 //! place (no 421), with room in slots and memory, and, if cold, under a permit. Inside the set a
 //! prompt goes to the server that its shared parts belong to by rendezvous hashing with bounded
-//! load, and everything else round by shuffled decks.
+//! load, and everything else round by shuffled round_robins.
 //!
 //! ```
 //! use std::sync::Arc;
@@ -73,36 +73,36 @@
 #![forbid(unsafe_code)]
 
 mod affinity;
-mod attempts;
 mod candidates;
 mod decider;
 mod decision;
-mod draw;
-mod ejection;
-mod fleet;
+mod endpoints;
 mod guards;
+mod latency;
 mod limits;
-mod paths;
-mod reading;
-mod refusal;
+mod load;
+mod outlier;
+mod prefill;
+mod reachability;
+mod rejection;
 mod request;
-mod room;
+mod retry;
+mod round_robin;
 mod router;
 mod settings;
 mod table;
 mod traffic_split;
-mod usual;
 
 pub use decider::{Decider, PeerReport, PendingPrefill};
 pub use decision::{
     Decision, Dispatch, EjectionChange, HealthCheck, HealthCheckOutcome, Outcome, ProgressCheck,
     Rejection, RejectionStatus, ServerHandle,
 };
-pub use ejection::EjectionCause;
 pub use ironmast_balancer::Micros;
 pub use limits::{Permits, RetryAfter, RetryBudget, Unlimited};
+pub use load::LoadReport;
+pub use outlier::EjectionCause;
 pub use request::{Call, PromptPart, Request};
-pub use room::LoadReport;
 pub use router::Router;
 pub use settings::{Settings, SettingsError};
 pub use table::{
--- a/crates/routing/src/room.rs
+++ b/crates/routing/src/load.rs
@@ -7,15 +7,15 @@
 use crate::guards::Guard;
 
 /// Slots of a server that nobody tells of.
-const SLOTS_UNKNOWN: u32 = 64;
+const DEFAULT_SLOTS: u32 = 64;
 /// A gate may use this many times its even part of a server's connections: gates are not equally
 /// busy.
-const CONNECTIONS_SHARE: f64 = 2.0;
+const MAX_CONNECTION_SHARE: f64 = 2.0;
 /// A server that turned a request away is left alone for this long at first; doubled each time in a
 /// row.
-const FULL_FIRST: Micros = 50_000;
+const INITIAL_BACKOFF: Micros = 50_000;
 /// The longest such rest.
-const FULL_LONGEST: Micros = 1_000_000;
+const MAX_BACKOFF: Micros = 1_000_000;
 
 /// A server's own account of its load, from an answer's `X-Ironmast-Server-Load` or from `GET
 /// /api/report`.
@@ -33,7 +33,7 @@
 
 /// What a service allows one of its servers.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bounds {
+pub(crate) struct CapacityLimits {
     /// Slots, where the server itself tells none.
     pub slots: u32,
     /// Memory in tokens; 0 where there is no such limit.
@@ -46,16 +46,20 @@
 
 /// What is taken for a server of which no fresh report tells.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Usage {
+pub(crate) struct PeerAverages {
     /// Other gates' requests at a server: the mean over all, those without a report taken as idle.
     others: f64,
     /// Tokens of a request beside its shared parts, as this gate's own have them.
     typical: f64,
 }
 
-impl Usage {
+impl PeerAverages {
     /// What servers of one pool tell of each other.
-    pub fn of<'a>(pool: impl Iterator<Item = &'a Occupancy>, now: Micros, memory: Micros) -> Usage {
+    pub fn of<'a>(
+        pool: impl Iterator<Item = &'a Occupancy>,
+        now: Micros,
+        memory: Micros,
+    ) -> PeerAverages {
         let (mut servers, mut others, mut in_flight, mut unshared) = (0, 0.0, 0, 0);
         for occupancy in pool {
             servers += 1;
@@ -66,7 +70,7 @@
             unshared += occupancy.unshared;
         }
         let typical = unshared as f64 / f64::from(in_flight.max(1));
-        Usage {
+        PeerAverages {
             others: others / f64::from(servers.max(1)),
             typical,
         }
@@ -75,13 +79,13 @@
 
 /// A request's need of memory.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Need {
+pub(crate) struct TokenDemand {
     pub key: Option<u64>,
     pub shared: u64,
     pub own: u64,
 }
 
-impl Need {
+impl TokenDemand {
     /// The whole of it.
     pub fn all(&self) -> u64 {
         self.shared + self.own
@@ -102,7 +106,7 @@
 
 impl Load {
     /// Part of its room that is taken; above 1 where requests wait.
-    pub fn part(&self) -> f64 {
+    pub fn utilization(&self) -> f64 {
         (self.active / self.slots).max(self.tokens / self.kv_cache)
     }
 }
@@ -119,8 +123,8 @@
     /// Keys in flight, how often, and the tokens of their shared parts.
     keys: SmallVec<[(u64, u32, u64); 2]>,
     report: Option<Report>,
-    full_until: Micros,
-    full_rest: Micros,
+    backoff_until: Micros,
+    backoff: Micros,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -136,7 +140,7 @@
 
 impl Occupancy {
     /// An attempt goes out.
-    pub fn take(&mut self, need: Need) {
+    pub fn take(&mut self, need: TokenDemand) {
         self.in_flight += 1;
         self.tokens += need.own;
         self.unshared += need.own;
@@ -151,7 +155,7 @@
     }
 
     /// An attempt ended.
-    pub fn release(&mut self, need: Need) {
+    pub fn release(&mut self, need: TokenDemand) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.tokens = self.tokens.saturating_sub(need.own);
         self.unshared = self.unshared.saturating_sub(need.own);
@@ -189,27 +193,27 @@
             .slots
             .is_some_and(|slots| load.running < slots && load.waiting == 0)
         {
-            self.full_until = self.full_until.min(now);
+            self.backoff_until = self.backoff_until.min(now);
         }
     }
 
     /// The server turned a request away as full.
     pub fn refused(&mut self, now: Micros, told: Option<Micros>) {
-        self.full_rest = (self.full_rest * 2).clamp(FULL_FIRST, FULL_LONGEST);
-        let rest = told.unwrap_or(0).clamp(self.full_rest, FULL_LONGEST);
-        if Guard::FullRest.on() {
-            self.full_until = self.full_until.max(now + rest);
+        self.backoff = (self.backoff * 2).clamp(INITIAL_BACKOFF, MAX_BACKOFF);
+        let rest = told.unwrap_or(0).clamp(self.backoff, MAX_BACKOFF);
+        if Guard::OverloadBackoff.on() {
+            self.backoff_until = self.backoff_until.max(now + rest);
         }
     }
 
     /// The server took a request.
     pub fn served(&mut self) {
-        self.full_rest = 0;
+        self.backoff = 0;
     }
 
     /// When it is asked again after it turned one away; passed where it is not resting.
-    pub fn full_until(&self) -> Micros {
-        self.full_until
+    pub fn backoff_until(&self) -> Micros {
+        self.backoff_until
     }
 
     /// How much a report still counts, and the report.
@@ -226,7 +230,13 @@
     }
 
     /// Its load now; `peers` stands in for what no fresh report tells.
-    pub fn load(&self, now: Micros, memory: Micros, bounds: &Bounds, peers: Usage) -> Load {
+    pub fn load(
+        &self,
+        now: Micros,
+        memory: Micros,
+        bounds: &CapacityLimits,
+        peers: PeerAverages,
+    ) -> Load {
         let (weight, told, told_tokens) = match self.fresh(now, memory) {
             Some((weight, report)) => (weight, report.others, report.others_tokens),
             None => (0.0, 0.0, None),
@@ -246,7 +256,7 @@
             .unwrap_or(bounds.kv_cache);
         Load {
             active: f64::from(self.in_flight) + others,
-            slots: f64::from(if slots == 0 { SLOTS_UNKNOWN } else { slots }),
+            slots: f64::from(if slots == 0 { DEFAULT_SLOTS } else { slots }),
             tokens: self.tokens as f64 + others_tokens,
             kv_cache: if kv_cache == 0 {
                 f64::INFINITY
@@ -257,7 +267,7 @@
     }
 
     /// Tokens that one more request would add.
-    pub fn added(&self, need: Need) -> u64 {
+    pub fn added_tokens(&self, need: TokenDemand) -> u64 {
         let here = need
             .key
             .is_some_and(|key| self.keys.iter().any(|(known, ..)| *known == key));
@@ -269,9 +279,10 @@
     }
 
     /// True where one more connection stays within this gate's share.
-    pub fn connects(&self, bounds: &Bounds) -> bool {
+    pub fn has_connection_capacity(&self, bounds: &CapacityLimits) -> bool {
         let even = f64::from(bounds.connections) / f64::from(bounds.gates.max(1));
-        bounds.connections == 0 || f64::from(self.in_flight) < (even * CONNECTIONS_SHARE).max(1.0)
+        bounds.connections == 0
+            || f64::from(self.in_flight) < (even * MAX_CONNECTION_SHARE).max(1.0)
     }
 }
 
@@ -281,7 +292,7 @@
 }
 
 /// True where the memory of a server with that load has room for `added` tokens more.
-pub(crate) fn fits(load: &Load, added: u64) -> bool {
+pub(crate) fn has_memory_for(load: &Load, added: u64) -> bool {
     load.tokens + added as f64 <= load.kv_cache
 }
 
--- a/crates/routing/src/room/tests.rs
+++ b/crates/routing/src/load/tests.rs
@@ -2,8 +2,8 @@
 
 const MEMORY: Micros = 1_000_000;
 
-fn bounds() -> Bounds {
-    Bounds {
+fn bounds() -> CapacityLimits {
+    CapacityLimits {
         slots: 8,
         kv_cache: 10_000,
         connections: 12,
@@ -11,8 +11,8 @@
     }
 }
 
-fn need(key: u64, shared: u64, own: u64) -> Need {
-    Need {
+fn need(key: u64, shared: u64, own: u64) -> TokenDemand {
+    TokenDemand {
         key: Some(key),
         shared,
         own,
@@ -29,7 +29,7 @@
 }
 
 fn load(occupancy: &Occupancy, now: Micros) -> Load {
-    let usage = Usage::of([occupancy].into_iter(), now, MEMORY);
+    let usage = PeerAverages::of([occupancy].into_iter(), now, MEMORY);
     occupancy.load(now, MEMORY, &bounds(), usage)
 }
 
@@ -41,7 +41,10 @@
     here.take(need(2, 300, 50));
     assert_eq!(load(&here, 0).tokens, 1050.0);
     assert_eq!(
-        (here.added(need(1, 500, 70)), here.added(need(3, 500, 70))),
+        (
+            here.added_tokens(need(1, 500, 70)),
+            here.added_tokens(need(3, 500, 70))
+        ),
         (70, 570)
     );
     here.release(need(1, 500, 100));
@@ -61,7 +64,7 @@
     assert_eq!(load(&here, 0).active, 5.0);
     here.take(need(1, 0, 100));
     assert_eq!(load(&here, 0).active, 6.0, "what was sent since is added");
-    let idle = Usage::default();
+    let idle = PeerAverages::default();
     assert_eq!(here.load(MEMORY / 2, MEMORY, &bounds(), idle).active, 4.0);
     assert_eq!(here.load(MEMORY, MEMORY, &bounds(), idle).active, 2.0);
     assert!(here.waiting(MEMORY / 2, MEMORY) && !here.waiting(MEMORY, MEMORY));
@@ -72,7 +75,7 @@
     let (mut told, mut quiet) = (Occupancy::default(), Occupancy::default());
     told.record_load_report(0, report(6, 0));
     quiet.take(need(1, 400, 200));
-    let usage = Usage::of([&told, &quiet].into_iter(), 0, MEMORY);
+    let usage = PeerAverages::of([&told, &quiet].into_iter(), 0, MEMORY);
     let load = quiet.load(0, MEMORY, &bounds(), usage);
     assert_eq!((load.active, load.tokens), (4.0, 600.0 + 3.0 * 200.0));
 }
@@ -88,7 +91,7 @@
         },
     );
     here.record_load_report(MEMORY / 2, report(2, 0));
-    let load = here.load(MEMORY / 2, MEMORY, &bounds(), Usage::default());
+    let load = here.load(MEMORY / 2, MEMORY, &bounds(), PeerAverages::default());
     assert_eq!((load.tokens, load.kv_cache), (2000.0, 20_000.0));
 }
 
@@ -101,7 +104,7 @@
             tokens,
             kv_cache: 1000.0,
         }
-        .part()
+        .utilization()
     };
     assert_eq!((load(4.0, 100.0), load(1.0, 750.0)), (0.5, 0.75));
 }
@@ -109,7 +112,7 @@
 #[test]
 fn a_request_fits_into_the_memory_that_is_left() {
     let fits = |tokens, added| {
-        super::fits(
+        super::has_memory_for(
             &Load {
                 active: 9.0,
                 slots: 8.0,
@@ -128,13 +131,18 @@
     let mut rests = Vec::new();
     for round in 0..8 {
         here.refused(round * MEMORY * 10, None);
-        rests.push(here.full_until() - round * MEMORY * 10);
+        rests.push(here.backoff_until() - round * MEMORY * 10);
     }
     assert_eq!(
         rests[..4],
-        [FULL_FIRST, FULL_FIRST * 2, FULL_FIRST * 4, FULL_FIRST * 8]
+        [
+            INITIAL_BACKOFF,
+            INITIAL_BACKOFF * 2,
+            INITIAL_BACKOFF * 4,
+            INITIAL_BACKOFF * 8
+        ]
     );
-    assert_eq!(rests[7], FULL_LONGEST);
+    assert_eq!(rests[7], MAX_BACKOFF);
     let now = 7 * MEMORY * 10 + 1;
     here.record_load_report(
         now,
@@ -143,7 +151,7 @@
             ..report(8, 1)
         },
     );
-    assert!(here.full_until() > now);
+    assert!(here.backoff_until() > now);
     here.record_load_report(
         now,
         LoadReport {
@@ -151,12 +159,12 @@
             ..report(3, 0)
         },
     );
-    assert!(here.full_until() <= now);
+    assert!(here.backoff_until() <= now);
     here.served();
-    here.refused(now, Some(FULL_FIRST * 3));
+    here.refused(now, Some(INITIAL_BACKOFF * 3));
     assert_eq!(
-        here.full_until(),
-        now + FULL_FIRST * 3,
+        here.backoff_until(),
+        now + INITIAL_BACKOFF * 3,
         "a told wait counts"
     );
 }
@@ -168,7 +176,7 @@
             in_flight,
             ..Occupancy::default()
         };
-        here.connects(&Bounds {
+        here.has_connection_capacity(&CapacityLimits {
             connections,
             gates,
             ..bounds()
--- a/crates/routing/src/ejection.rs
+++ b/crates/routing/src/outlier.rs
@@ -6,12 +6,12 @@
 use crate::decision::Outcome;
 use crate::guards::Guard;
 
-/// Pace of the quick mean of failures, by kind: one lost connection says less than an error, none
+/// PrefillRate of the quick mean of failures, by kind: one lost connection says less than an error, none
 /// up says more.
 const PACE_ERROR: f32 = 0.25;
 const PACE_UNREACHABLE: f32 = 0.3;
 const PACE_BROKEN: f32 = 0.15;
-/// Pace of the long mean of failures, which finds servers that fail a part of their requests.
+/// PrefillRate of the long mean of failures, which finds servers that fail a part of their requests.
 const PACE_LONG: f32 = 0.04;
 /// How far the quick mean must stand out from the peers' to eject.
 const FAILING: f32 = 0.5;
@@ -28,7 +28,7 @@
 const PEERS_FAIL: f32 = 0.1;
 /// Failed connections in a row that eject even if most peers are ejected: nothing is there.
 const UNREACHABLE_IN_A_ROW: u16 = 2;
-/// Pace of the mean of slowness, how far it must stand out from the peers', and after how many
+/// PrefillRate of the mean of slowness, how far it must stand out from the peers', and after how many
 /// first bytes.
 const PACE_SLOW: f32 = 0.1;
 const SLOW_ABOVE_PEERS: f32 = 3.0;
@@ -47,7 +47,7 @@
 
 /// What the others of a group show.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Peers {
+pub(crate) struct PeerHealth {
     /// The group's servers that are listed, this one among them, and the ejected ones of the
     /// others.
     pub count: usize,
@@ -58,10 +58,10 @@
     pub slowness: f32,
 }
 
-impl Peers {
+impl PeerHealth {
     /// At most half of a group is ejected.
     fn allow(&self) -> bool {
-        2 * (self.ejected + 1) <= self.count || !Guard::HalfEjected.on()
+        2 * (self.ejected + 1) <= self.count || !Guard::MaxEjectedShare.on()
     }
 }
 
@@ -76,7 +76,7 @@
 
 /// An ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Ejected {
+pub(crate) struct Ejection {
     pub since: Micros,
     pub until: Micros,
 }
@@ -91,12 +91,12 @@
     /// Its first bytes are late against its peers'.
     Slow,
     /// It owes answers, gives no sign and fails its health check.
-    Dark,
+    Unresponsive,
 }
 
 /// What is known of a server's health.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Health {
+pub(crate) struct OutlierDetector {
     quick: f32,
     long: f32,
     attempts: u32,
@@ -106,13 +106,13 @@
     /// Mean part of the objective that the first byte took.
     lateness: f32,
     first_bytes: u32,
-    ejected: Option<Ejected>,
+    ejected: Option<Ejection>,
     rest: Micros,
     /// A trial request or a probe is out.
     pub trial: bool,
 }
 
-impl Health {
+impl OutlierDetector {
     pub fn quick(&self) -> f32 {
         self.quick
     }
@@ -131,7 +131,7 @@
         self.ejected.is_some() || self.slowness > 1.5 || ratio > f64::from(SLOW_ABOVE_PEERS)
     }
 
-    pub fn ejected(&self) -> Option<Ejected> {
+    pub fn ejected(&self) -> Option<Ejection> {
         self.ejected
     }
 
@@ -147,7 +147,7 @@
         now: Micros,
         outcome: &Outcome,
         sent: Micros,
-        peers: Peers,
+        peers: PeerHealth,
         rests: (Micros, Micros),
     ) -> Option<EjectionCause> {
         use Outcome::*;
@@ -160,7 +160,7 @@
             }
             Reset | MalformedResponse | Truncated { .. } => self.bad(PACE_BROKEN, true),
             // Full is load, not ill health; the rest is the gate's or the client's doing.
-            NotExecuted { .. } if !Guard::FullIsNoFailure.on() => self.bad(PACE_ERROR, true),
+            NotExecuted { .. } if !Guard::OverloadIsNoFailure.on() => self.bad(PACE_ERROR, true),
             NotExecuted { .. } | WrongInstance | WrongVersion | NotSent | Cancelled => {
                 return None;
             }
@@ -178,7 +178,7 @@
         &mut self,
         now: Micros,
         byte: FirstByte,
-        peers: Peers,
+        peers: PeerHealth,
         rests: (Micros, Micros),
     ) -> Option<EjectionCause> {
         let ratio = (byte.ratio as f32).min(SLOW_MOST);
@@ -195,7 +195,7 @@
         // A slow trial prolongs the ejection: no answer to what was sent before now ends it.
         let trial = ratio > bound && byte.part as f32 > LATE_FROM;
         // A crowded server is slow for that, and ejecting it would crowd its peers.
-        let crowded = byte.taken > SLOW_BELOW && Guard::CrowdedIsNotSlow.on();
+        let crowded = byte.taken > SLOW_BELOW && Guard::LoadedIsNotSlow.on();
         let ejects = if self.ejected.is_some() {
             trial
         } else {
@@ -221,11 +221,11 @@
     pub fn dark(
         &mut self,
         now: Micros,
-        peers: Peers,
+        peers: PeerHealth,
         rests: (Micros, Micros),
     ) -> Option<EjectionCause> {
         (self.ejected.is_none() && peers.allow()).then(|| self.eject(now, rests))?;
-        Some(EjectionCause::Dark)
+        Some(EjectionCause::Unresponsive)
     }
 
     fn good(&mut self, sent: Micros) {
@@ -254,7 +254,7 @@
         self.long += PACE_LONG.max(1.0 / self.attempts as f32) * (failed - self.long);
     }
 
-    fn cause(&self, peers: Peers) -> Option<EjectionCause> {
+    fn cause(&self, peers: PeerHealth) -> Option<EjectionCause> {
         if self.unreachable >= UNREACHABLE_IN_A_ROW {
             return Some(EjectionCause::Unreachable);
         }
@@ -270,7 +270,7 @@
 
     fn eject(&mut self, now: Micros, (first, longest): (Micros, Micros)) {
         self.rest = (self.rest * 2).clamp(first, longest);
-        self.ejected = Some(Ejected {
+        self.ejected = Some(Ejection {
             since: now,
             until: now + self.rest,
         });
--- a/crates/routing/src/ejection/tests.rs
+++ b/crates/routing/src/outlier/tests.rs
@@ -3,8 +3,8 @@
 const RESTS: (Micros, Micros) = (1000, 8000);
 
 /// Four servers; the others are well.
-fn well() -> Peers {
-    Peers {
+fn well() -> PeerHealth {
+    PeerHealth {
         count: 4,
         ejected: 0,
         quick: 0.0,
@@ -23,9 +23,9 @@
 
 /// Attempts that end so until the server is ejected, at most 100.
 fn until_ejected(
-    health: &mut Health,
+    health: &mut OutlierDetector,
     outcome: &Outcome,
-    peers: Peers,
+    peers: PeerHealth,
 ) -> Option<(u32, EjectionCause)> {
     (1..=100).find_map(|count| {
         Some((
@@ -37,7 +37,7 @@
 
 #[test]
 fn each_kind_of_failure_ejects_after_a_few() {
-    let count = |outcome| until_ejected(&mut Health::default(), &outcome, well());
+    let count = |outcome| until_ejected(&mut OutlierDetector::default(), &outcome, well());
     assert_eq!(
         count(Outcome::ConnectFailed),
         Some((2, EjectionCause::Unreachable))
@@ -67,7 +67,7 @@
     ];
     for outcome in promises {
         assert_eq!(
-            until_ejected(&mut Health::default(), &outcome, well()),
+            until_ejected(&mut OutlierDetector::default(), &outcome, well()),
             None,
             "{outcome:?}"
         );
@@ -76,41 +76,52 @@
 
 #[test]
 fn at_most_half_are_ejected_unless_nothing_is_there() {
-    let half = Peers {
+    let half = PeerHealth {
         ejected: 2,
         ..well()
     };
     assert_eq!(
-        until_ejected(&mut Health::default(), &Outcome::ServerError, half),
+        until_ejected(&mut OutlierDetector::default(), &Outcome::ServerError, half),
         None
     );
-    assert!(until_ejected(&mut Health::default(), &Outcome::ConnectFailed, half).is_some());
-    let single = Peers {
+    assert!(
+        until_ejected(
+            &mut OutlierDetector::default(),
+            &Outcome::ConnectFailed,
+            half
+        )
+        .is_some()
+    );
+    let single = PeerHealth {
         count: 1,
-        ..Peers::default()
+        ..PeerHealth::default()
     };
     assert_eq!(
-        until_ejected(&mut Health::default(), &Outcome::ServerError, single),
+        until_ejected(
+            &mut OutlierDetector::default(),
+            &Outcome::ServerError,
+            single
+        ),
         None
     );
 }
 
 #[test]
 fn failures_that_the_peers_share_do_not_eject() {
-    let alike = Peers {
+    let alike = PeerHealth {
         quick: 0.9,
         long: 0.6,
         ..well()
     };
     assert_eq!(
-        until_ejected(&mut Health::default(), &Outcome::Timeout, alike),
+        until_ejected(&mut OutlierDetector::default(), &Outcome::Timeout, alike),
         None
     );
 }
 
 #[test]
 fn a_server_that_fails_a_quarter_is_found_in_the_long_run() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     let mut ejected = false;
     for number in 0..60 {
         let outcome = if number % 4 == 3 {
@@ -127,7 +138,7 @@
 
 #[test]
 fn an_answer_to_an_earlier_request_does_not_end_an_ejection() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     until_ejected(&mut health, &Outcome::ConnectFailed, well());
     health.attempt_finished(20, &Outcome::Success, 5, well(), RESTS);
     assert!(health.ejected().is_some());
@@ -137,7 +148,7 @@
 
 #[test]
 fn rests_double_up_to_the_longest_and_start_anew_after_a_good_time() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     let mut rests = Vec::new();
     let mut now = 0;
     for _ in 0..6 {
@@ -161,13 +172,13 @@
 
 #[test]
 fn a_probe_decides_the_return() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     until_ejected(&mut health, &Outcome::ConnectFailed, well());
     health.trial = true;
     health.health_check_finished(2000, false, RESTS);
     assert_eq!(
         health.ejected(),
-        Some(Ejected {
+        Some(Ejection {
             since: 2000,
             until: 4000
         })
@@ -186,7 +197,7 @@
 #[test]
 fn slowness_ejects_where_it_matters_and_a_slow_trial_prolongs_it() {
     let slow = |byte: FirstByte, peers| {
-        let mut health = Health::default();
+        let mut health = OutlierDetector::default();
         let ejected = (0..20).any(|_| health.first_byte_received(10, byte, peers, RESTS).is_some());
         (ejected, health)
     };
@@ -196,7 +207,7 @@
     assert!(
         !slow(
             byte(6.0),
-            Peers {
+            PeerHealth {
                 slowness: 3.0,
                 ..well()
             }
@@ -207,7 +218,7 @@
     assert!(
         !slow(
             byte(6.0),
-            Peers {
+            PeerHealth {
                 slowness: 0.0,
                 ..well()
             }
@@ -240,7 +251,7 @@
     assert!(
         !slow(
             byte(6.0),
-            Peers {
+            PeerHealth {
                 ejected: 2,
                 ..well()
             }
@@ -251,7 +262,7 @@
     health.first_byte_received(1500, byte(6.0), well(), RESTS);
     assert_eq!(
         health.ejected(),
-        Some(Ejected {
+        Some(Ejection {
             since: 1500,
             until: 3500
         })
--- a/crates/routing/src/reading.rs
+++ b/crates/routing/src/prefill.rs
@@ -5,30 +5,30 @@
 use smallvec::SmallVec;
 
 /// What a peer told counts for so long.
-const TOLD_HOLDS: Micros = 500_000;
-/// Peers that are remembered for one server.
-const PEERS_MOST: usize = 64;
+const PEER_REPORT_TTL: Micros = 500_000;
+/// PeerHealth that are remembered for one server.
+const MAX_PEERS: usize = 64;
 /// A server is out of order to others where this many gates say so.
-const SUSPECT_TO: usize = 2;
+const MIN_SUSPECTING_PEERS: usize = 2;
 /// What was measured before counts for this part at each further measurement.
-const FADES: f64 = 0.99;
+const DECAY: f64 = 0.99;
 /// A measurement counts as no longer than this many times what was to be expected.
-const OUTLIER: f64 = 4.0;
+const MAX_SAMPLE_RATIO: f64 = 4.0;
 /// Where prompts differ in length by less than this part, as a variance, all time counts as
 /// reading.
-const SPREAD_LEAST: f64 = 0.01;
+const MIN_VARIANCE_SHARE: f64 = 0.01;
 /// Tokens measured before a pace is known.
-const TOKENS_LEAST: f64 = 20_000.0;
+const MIN_TOKENS: f64 = 20_000.0;
 
 /// No prompt counts for more tokens than this, whatever its client says.
-const PROMPT_MOST: u64 = 1 << 20;
+const MAX_PROMPT_TOKENS: u64 = 1 << 20;
 /// Each doubling of the objective, against the shortest of the service, puts a request so many
 /// ranks later.
 const RANKS_PER_DOUBLING: f64 = 3.0;
 
 /// Tokens of a prompt that wait to be read where `kept` of it have been read already.
 pub(crate) fn waits(tokens: u64, kept: u64) -> u64 {
-    tokens.saturating_sub(kept).min(PROMPT_MOST)
+    tokens.saturating_sub(kept).min(MAX_PROMPT_TOKENS)
 }
 
 /// The rank of a request at a server: that of its route, and later for an objective longer than the
@@ -41,13 +41,13 @@
 
 /// Tokens that wait to be read at one server.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Unread {
+pub(crate) struct PrefillBacklog {
     own: u64,
     /// By peer: when it told, and its tokens.
     peers: SmallVec<[(u64, Micros, u64); 2]>,
 }
 
-impl Unread {
+impl PrefillBacklog {
     /// A prompt goes out.
     pub fn take(&mut self, tokens: u64) {
         self.own = self.own.saturating_add(tokens);
@@ -66,8 +66,8 @@
     /// A peer told its own.
     pub fn told(&mut self, now: Micros, peer: u64, tokens: u64) {
         self.peers
-            .retain(|(known, at, _)| *known != peer && at.saturating_add(TOLD_HOLDS) > now);
-        if tokens > 0 && self.peers.len() < PEERS_MOST {
+            .retain(|(known, at, _)| *known != peer && at.saturating_add(PEER_REPORT_TTL) > now);
+        if tokens > 0 && self.peers.len() < MAX_PEERS {
             self.peers.push((peer, now, tokens));
         }
     }
@@ -77,7 +77,7 @@
         let fresh = self
             .peers
             .iter()
-            .filter(|(_, at, _)| at.saturating_add(TOLD_HOLDS) > now);
+            .filter(|(_, at, _)| at.saturating_add(PEER_REPORT_TTL) > now);
         fresh
             .map(|(.., tokens)| tokens)
             .fold(self.own, |sum, tokens| sum.saturating_add(*tokens))
@@ -86,27 +86,27 @@
 
 /// Other gates that find a server out of order, and when each said so last.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ToldSuspect {
+pub(crate) struct PeerSuspicions {
     peers: SmallVec<[(u64, Micros); 2]>,
 }
 
-impl ToldSuspect {
+impl PeerSuspicions {
     /// A peer told whether it finds the server out of order.
     pub fn told(&mut self, now: Micros, peer: u64, suspect: bool) {
         self.peers
-            .retain(|(known, at)| *known != peer && at.saturating_add(TOLD_HOLDS) > now);
-        if suspect && self.peers.len() < PEERS_MOST {
+            .retain(|(known, at)| *known != peer && at.saturating_add(PEER_REPORT_TTL) > now);
+        if suspect && self.peers.len() < MAX_PEERS {
             self.peers.push((peer, now));
         }
     }
 
     /// True where so many find it so that it is not the way of one of them that is at fault.
-    pub fn by_several(&self, now: Micros) -> bool {
+    pub fn is_confirmed(&self, now: Micros) -> bool {
         self.peers
             .iter()
-            .filter(|(_, at)| at.saturating_add(TOLD_HOLDS) > now)
+            .filter(|(_, at)| at.saturating_add(PEER_REPORT_TTL) > now)
             .count()
-            >= SUSPECT_TO
+            >= MIN_SUSPECTING_PEERS
     }
 }
 
@@ -114,7 +114,7 @@
 /// fitted by least squares. What it takes without any token, such as the way there and back, is no
 /// reading.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Pace {
+pub(crate) struct PrefillRate {
     /// Sums over the measurements, the older ones faded: their number, tokens, times, squares and
     /// products.
     count: f64,
@@ -124,33 +124,33 @@
     tokens_took: f64,
 }
 
-impl Pace {
+impl PrefillRate {
     /// So many tokens, those in front among them, were read in that time.
     pub fn measured(&mut self, tokens: u64, took: Micros) {
         let (tokens, took) = (tokens as f64, self.bounded(tokens as f64, took as f64));
-        self.count = self.count * FADES + 1.0;
-        self.tokens = self.tokens * FADES + tokens;
-        self.took = self.took * FADES + took;
-        self.tokens_squared = self.tokens_squared * FADES + tokens * tokens;
-        self.tokens_took = self.tokens_took * FADES + tokens * took;
+        self.count = self.count * DECAY + 1.0;
+        self.tokens = self.tokens * DECAY + tokens;
+        self.took = self.took * DECAY + took;
+        self.tokens_squared = self.tokens_squared * DECAY + tokens * tokens;
+        self.tokens_took = self.tokens_took * DECAY + tokens * took;
     }
 
     /// One measurement counts as no longer than a multiple of what was to be expected.
     fn bounded(&self, tokens: f64, took: f64) -> f64 {
         match self.is_known() {
-            true => took.min(OUTLIER * (self.first() + self.of_token() * tokens)),
+            true => took.min(MAX_SAMPLE_RATIO * (self.first() + self.of_token() * tokens)),
             false => took,
         }
     }
 
     fn is_known(&self) -> bool {
-        self.tokens >= TOKENS_LEAST
+        self.tokens >= MIN_TOKENS
     }
 
     /// Microseconds over a token.
     fn of_token(&self) -> f64 {
         let spread = self.count * self.tokens_squared - self.tokens * self.tokens;
-        if spread <= self.tokens_squared * SPREAD_LEAST {
+        if spread <= self.tokens_squared * MIN_VARIANCE_SHARE {
             return self.took / self.tokens;
         }
         ((self.count * self.tokens_took - self.tokens * self.took) / spread).max(0.0)
--- a/crates/routing/src/paths.rs
+++ b/crates/routing/src/reachability.rs
@@ -8,18 +8,18 @@
 use rustc_hash::FxHashMap;
 
 /// So many servers or attempts without an answer speak for the region, not for one server.
-const UNANSWERED: usize = 2;
+const MIN_UNANSWERED: usize = 2;
 /// A region that can't be reached is asked for a sign this often.
-pub(crate) const ASK_EVERY: Micros = 400_000;
+pub(crate) const HEALTH_CHECK_INTERVAL: Micros = 400_000;
 /// A client whose requests are all at home in such regions has mostly found a gate elsewhere after
 /// this long: the directory forgets gates within about as much, and clients ask it as often.
-pub(crate) const GONE_ROUND_IN: Micros = 1_000_000;
+pub(crate) const GATE_FAILOVER_TIME: Micros = 1_000_000;
 
 /// The way to one region.
 #[derive(Clone, Copy, Debug, Default)]
-struct Path {
+struct RegionStatus {
     /// When any server there was heard last.
-    last_sign: Micros,
+    last_heard: Micros,
     /// Attempts that have ended without an answer since.
     unanswered: usize,
     asked_at: Micros,
@@ -27,18 +27,18 @@
 
 /// The ways to all regions, by name.
 #[derive(Debug, Default)]
-pub(crate) struct Paths(FxHashMap<Arc<str>, Path>);
+pub(crate) struct RegionReachability(FxHashMap<Arc<str>, RegionStatus>);
 
-impl Paths {
+impl RegionReachability {
     /// Something was sent to a server of the region: from the first time on an answer can be
     /// missed.
-    pub fn tried(&mut self, now: Micros, region: &Arc<str>) {
+    pub fn record_attempt(&mut self, now: Micros, region: &Arc<str>) {
         if !self.0.contains_key(region) {
             self.0.insert(
                 region.clone(),
-                Path {
-                    last_sign: now,
-                    ..Path::default()
+                RegionStatus {
+                    last_heard: now,
+                    ..RegionStatus::default()
                 },
             );
         }
@@ -46,9 +46,9 @@
 
     /// Something was heard of a server of the region.
     pub fn record_liveness(&mut self, now: Micros, region: &Arc<str>) {
-        self.tried(now, region);
+        self.record_attempt(now, region);
         if let Some(path) = self.0.get_mut(region) {
-            (path.last_sign, path.unanswered) = (now, 0);
+            (path.last_heard, path.unanswered) = (now, 0);
         }
     }
 
@@ -69,18 +69,18 @@
         let silent = self
             .0
             .get(region)
-            .filter(|path| path.last_sign.saturating_add(patience) <= now);
+            .filter(|path| path.last_heard.saturating_add(patience) <= now);
         silent.is_some_and(|path| {
-            path.unanswered >= UNANSWERED || path.unanswered + quiet() >= UNANSWERED
+            path.unanswered >= MIN_UNANSWERED || path.unanswered + quiet() >= MIN_UNANSWERED
         })
     }
 
-    /// Whether a dark region is to be asked for a sign now; the next time is [`ASK_EVERY`] later.
+    /// Whether a dark region is to be asked for a sign now; the next time is [`HEALTH_CHECK_INTERVAL`] later.
     pub fn ask(&mut self, now: Micros, region: &str) -> bool {
         let Some(path) = self.0.get_mut(region) else {
             return false;
         };
-        let is_due = path.asked_at.saturating_add(ASK_EVERY) <= now;
+        let is_due = path.asked_at.saturating_add(HEALTH_CHECK_INTERVAL) <= now;
         if is_due {
             path.asked_at = now;
         }
--- a/crates/routing/src/refusal.rs
+++ b/crates/routing/src/rejection.rs
@@ -11,32 +11,32 @@
 
 /// A refusal for want of room needs at least this part of the places to be taken, or requests that
 /// wait.
-pub(crate) const CROWDED_FROM: f64 = 0.5;
+pub(crate) const MIN_OVERLOAD_SHARE: f64 = 0.5;
 /// Clients honour a wait up to this part of the time they have left.
-const HONOURED: f64 = 1.0 / 3.0;
+const MAX_SHARE_OF_DEADLINE: f64 = 1.0 / 3.0;
 /// The wait is spread by this part of itself to either side: not all come back at once.
-const SPREAD: f64 = 0.25;
+const JITTER: f64 = 0.25;
 
 /// Why a request is turned away.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Reason {
+pub(crate) enum RejectionReason {
     /// Nobody is usable; somebody may be after that long, if that is known.
-    Nobody { until: Option<Micros> },
+    NoServer { until: Option<Micros> },
     /// The attempts are spent, on servers that named that wait, or none.
-    Spent { told: Micros },
+    AttemptsExhausted { told: Micros },
     /// All are full: the first rests for that long, and so long passes from one place to the next.
     Full { rest: Micros, gap: Micros },
     /// What room is left is for more urgent requests.
-    Crowded { rest: Micros, gap: Micros },
+    ReservedForPriority { rest: Micros, gap: Micros },
 }
 
 /// When places become free again, by service. Each request that is turned away for want of room is
 /// given the place after the one before it, so that those told to come back do not all find the
 /// same.
 #[derive(Debug, Default)]
-pub(crate) struct Turns(FxHashMap<Arc<str>, Micros>);
+pub(crate) struct RetrySchedule(FxHashMap<Arc<str>, Micros>);
 
-impl Turns {
+impl RetrySchedule {
     /// The wait for the next place of a service; places come `gap` apart. None is promised later
     /// than `most`.
     pub fn next(&mut self, now: Micros, service: &Arc<str>, gap: Micros, most: Micros) -> Micros {
@@ -57,7 +57,7 @@
 
 /// What the level of a request depends on.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Claim {
+pub(crate) struct AdmissionInputs {
     /// Rank of priority; 0 is the most urgent.
     pub rank: u32,
     /// The request's own chance, 0 to 1.
@@ -71,16 +71,16 @@
 /// level of its own: in a crowd requests are turned away one by one, the less urgent ones more
 /// often, but no kind and no size is left out. So many may wait for a slot that each has one in
 /// time. Never under half.
-pub(crate) fn level(settings: &Settings, claim: Claim) -> f64 {
-    let ranks = if Guard::PriorityRoom.on() {
+pub(crate) fn level(settings: &Settings, claim: AdmissionInputs) -> f64 {
+    let ranks = if Guard::PriorityReserve.on() {
         f64::from(claim.rank.min(9))
     } else {
         0.0
     };
-    let waiting =
-        (settings.queue_wait * claim.target / claim.whole.max(1.0)).min(settings.queue_most);
-    let most = settings.fill_most + waiting - ranks * settings.fill_step;
-    (most - claim.chance * settings.fill_ramp).max(CROWDED_FROM)
+    let waiting = (settings.max_queue_time_share * claim.target / claim.whole.max(1.0))
+        .min(settings.max_queue_share);
+    let most = settings.max_load + waiting - ranks * settings.priority_step;
+    (most - claim.chance * settings.rejection_ramp).max(MIN_OVERLOAD_SHARE)
 }
 
 /// Time from one place of this gate's to the next: what it has in flight takes `whole` each.
@@ -97,9 +97,9 @@
     left: Micros,
 ) -> Rejection {
     let (least, most) = settings.retry_after;
-    let honoured = (left as f64 * HONOURED) as Micros;
+    let honoured = (left as f64 * MAX_SHARE_OF_DEADLINE) as Micros;
     let most = most.min(honoured).max(least);
-    let spread = 1.0 + SPREAD * (2.0 * rng.unit() - 1.0);
+    let spread = 1.0 + JITTER * (2.0 * rng.unit() - 1.0);
     let retry_after = (wait.clamp(least, most) as f64 * spread) as Micros;
     Rejection {
         status,
--- a/crates/routing/src/refusal/tests.rs
+++ b/crates/routing/src/rejection/tests.rs
@@ -6,8 +6,8 @@
     Settings::new("r", "z")
 }
 
-fn claim() -> Claim {
-    Claim {
+fn claim() -> AdmissionInputs {
+    AdmissionInputs {
         rank: 0,
         chance: 0.0,
         whole: 1000.0,
@@ -15,42 +15,42 @@
     }
 }
 
-fn level(claim: Claim) -> f64 {
+fn level(claim: AdmissionInputs) -> f64 {
     super::level(&settings(), claim)
 }
 
 #[test]
 fn each_rank_has_a_lower_level_and_none_is_under_half() {
     let levels: Vec<f64> = (0..20)
-        .map(|rank| level(Claim { rank, ..claim() }))
+        .map(|rank| level(AdmissionInputs { rank, ..claim() }))
         .collect();
     assert_eq!(levels[0], 1.0);
     assert!(levels.windows(2).take(9).all(|pair| pair[1] < pair[0]));
     assert_eq!(levels[9], levels[19]);
     let settings = Settings {
-        fill_step: 0.5,
+        priority_step: 0.5,
         ..settings()
     };
     assert_eq!(
-        super::level(&settings, Claim { rank: 9, ..claim() }),
-        CROWDED_FROM
+        super::level(&settings, AdmissionInputs { rank: 9, ..claim() }),
+        MIN_OVERLOAD_SHARE
     );
 }
 
 #[test]
 fn ranks_overlap_so_that_none_is_left_out() {
-    let urgent_last = level(Claim {
+    let urgent_last = level(AdmissionInputs {
         chance: 1.0,
         ..claim()
     });
-    let patient_first = level(Claim { rank: 9, ..claim() });
+    let patient_first = level(AdmissionInputs { rank: 9, ..claim() });
     assert!(patient_first > urgent_last);
 }
 
 #[test]
 fn as_many_wait_as_have_a_slot_in_time() {
     let waiting = |whole, target| {
-        level(Claim {
+        level(AdmissionInputs {
             whole,
             target,
             ..claim()
@@ -66,7 +66,7 @@
 
 #[test]
 fn turns_follow_each_other_and_pass_with_time() {
-    let mut turns = Turns::default();
+    let mut turns = RetrySchedule::default();
     let (one, other): (Arc<str>, Arc<str>) = ("one".into(), "other".into());
     assert_eq!(
         [0, 0, 0].map(|_| turns.next(0, &one, 100, 1000)),
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -8,11 +8,11 @@
 
 use crate::affinity;
 use crate::decision::{Outcome, ServerHandle};
-use crate::room::Need;
+use crate::load::TokenDemand;
 use crate::table::Route;
 
 /// No request counts for more tokens than this.
-const TOKENS_MOST: u64 = 1 << 32;
+const MAX_TOKENS: u64 = 1 << 32;
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,14 +81,14 @@
     pub fn may_have_run(&self) -> bool {
         self.outcome
             .as_ref()
-            .is_none_or(|outcome| !outcome.never_ran())
+            .is_none_or(|outcome| !outcome.never_executed())
     }
 
     /// True where the request may have reached the server, be it to be turned away.
     pub fn may_have_arrived(&self) -> bool {
         self.outcome
             .as_ref()
-            .is_none_or(|outcome| !outcome.never_arrived())
+            .is_none_or(|outcome| !outcome.never_sent())
     }
 }
 
@@ -97,7 +97,7 @@
 #[derive(Debug)]
 pub struct Call {
     pub(crate) request: Request,
-    pub(crate) begun: Micros,
+    pub(crate) started_at: Micros,
     /// The affinity key, and the tokens of the parts that are shared.
     pub(crate) key: Option<u64>,
     pub(crate) shared_tokens: u64,
@@ -108,16 +108,16 @@
     pub(crate) service: Option<Arc<str>>,
     pub(crate) attempts: SmallVec<[Attempt; 2]>,
     /// The client has the head of an answer, and the last whole event if there was one.
-    pub(crate) head_passed: bool,
+    pub(crate) head_forwarded: bool,
     pub(crate) last_event: Option<u64>,
     /// When the stream was cut.
-    pub(crate) cut_at: Option<Micros>,
+    pub(crate) truncated_at: Option<Micros>,
     /// The longest wait that a server named when it turned the request away.
-    pub(crate) told_wait: Micros,
+    pub(crate) longest_retry_after: Micros,
     /// The budget has paid for the next attempt.
     pub(crate) paid: bool,
     /// When the last byte of the attempt that is out came.
-    pub(crate) last_byte: Micros,
+    pub(crate) last_byte_at: Micros,
     pub(crate) done: bool,
 }
 
@@ -130,38 +130,38 @@
             affinity::hash(&request.model)
         };
         Call {
-            begun: now,
+            started_at: now,
             key: affinity::key(model, &request.parts).filter(|_| affine),
             shared_tokens: affinity::shared_tokens(&request.parts),
             model,
             chance,
             service: None,
             attempts: SmallVec::new(),
-            head_passed: false,
+            head_forwarded: false,
             last_event: request.last_event,
-            cut_at: None,
-            told_wait: 0,
+            truncated_at: None,
+            longest_retry_after: 0,
             paid: false,
-            last_byte: now,
+            last_byte_at: now,
             done: false,
             request,
         }
     }
 
     /// Memory that it needs at a server.
-    pub(crate) fn need(&self) -> Need {
+    pub(crate) fn token_demand(&self) -> TokenDemand {
         // Clients name these figures: sums of many must hold.
         let tokens = self
             .request
             .prompt_tokens
             .saturating_add(self.request.max_output_tokens)
-            .min(TOKENS_MOST);
+            .min(MAX_TOKENS);
         let shared = if self.key.is_some() {
             self.shared_tokens.min(tokens)
         } else {
             0
         };
-        Need {
+        TokenDemand {
             key: self.key,
             shared,
             own: tokens - shared,
@@ -184,21 +184,24 @@
     }
 
     /// The time after which the request is no longer to be held.
-    pub(crate) fn ends(&self) -> Micros {
+    pub(crate) fn deadline(&self) -> Micros {
         let timeout = self
-            .begun
+            .started_at
             .saturating_add(self.request.route.spec.timeout_ms.saturating_mul(1000));
         self.request
             .deadline
             .map_or(timeout, |deadline| deadline.min(timeout))
     }
 
-    pub(crate) fn target(&self) -> Micros {
-        self.request.route.target_ms().saturating_mul(1000)
+    pub(crate) fn latency_objective(&self) -> Micros {
+        self.request
+            .route
+            .latency_objective_ms()
+            .saturating_mul(1000)
     }
 
-    pub(crate) fn idempotent(&self) -> bool {
-        self.request.route.spec.kind.idempotent()
+    pub(crate) fn is_idempotent(&self) -> bool {
+        self.request.route.spec.kind.is_idempotent()
     }
 
     pub(crate) fn may_have_run(&self) -> bool {
@@ -206,7 +209,7 @@
     }
 
     /// Servers that the request may have reached.
-    pub(crate) fn arrivals(&self) -> usize {
+    pub(crate) fn arrived_attempts(&self) -> usize {
         self.attempts
             .iter()
             .filter(|attempt| attempt.may_have_arrived())
@@ -215,7 +218,7 @@
 
     /// True where the server had an attempt. A connection that ended before a byte was written
     /// tells nothing of its server: it was an idle one, or a permit was gone.
-    pub(crate) fn tried(&self, server: ServerHandle) -> bool {
+    pub(crate) fn was_tried(&self, server: ServerHandle) -> bool {
         let had = |attempt: &Attempt| {
             attempt.server == server && attempt.outcome != Some(Outcome::NotSent)
         };
@@ -223,29 +226,29 @@
     }
 
     /// Notes the end of the attempt that is out, and tells which it was.
-    pub(crate) fn end(&mut self, now: Micros, outcome: &Outcome) -> Option<Attempt> {
-        let attempt = self.open()?;
+    pub(crate) fn finish_attempt(&mut self, now: Micros, outcome: &Outcome) -> Option<Attempt> {
+        let attempt = self.attempt_in_flight()?;
         attempt.outcome = Some(outcome.clone());
         let attempt = attempt.clone();
-        self.paid = attempt.repeat && outcome.never_arrived();
+        self.paid = attempt.repeat && outcome.never_sent();
         if let Outcome::Truncated { last_event } = outcome {
-            self.head_passed = true;
+            self.head_forwarded = true;
             self.last_event = last_event.or(self.last_event);
         }
-        if self.head_passed && !matches!(outcome, Outcome::Success | Outcome::Cancelled) {
-            self.cut_at.get_or_insert(now);
+        if self.head_forwarded && !matches!(outcome, Outcome::Success | Outcome::Cancelled) {
+            self.truncated_at.get_or_insert(now);
         }
         if let Outcome::NotExecuted {
             retry_after: Some(wait),
         } = outcome
         {
-            self.told_wait = self.told_wait.max(*wait);
+            self.longest_retry_after = self.longest_retry_after.max(*wait);
         }
         Some(attempt)
     }
 
     /// The attempt that is out.
-    pub(crate) fn open(&mut self) -> Option<&mut Attempt> {
+    pub(crate) fn attempt_in_flight(&mut self) -> Option<&mut Attempt> {
         self.attempts
             .last_mut()
             .filter(|attempt| attempt.outcome.is_none())
--- a/crates/routing/src/draw.rs
+++ b/crates/routing/src/round_robin.rs
@@ -7,22 +7,22 @@
 
 /// The order in which a group's servers are drawn.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Deck {
+pub(crate) struct ShuffledRoundRobin {
     /// The fleet's swap that it was last compared with.
     pub swap: u64,
-    cards: Vec<u32>,
+    order: Vec<u32>,
     next: usize,
 }
 
-impl Deck {
+impl ShuffledRoundRobin {
     /// Makes it a deck of these servers, in ascending order; what was drawn of an equal one stays
     /// drawn.
     pub fn keep(&mut self, servers: Vec<u32>) {
-        let mut held = self.cards.clone();
+        let mut held = self.order.clone();
         held.sort_unstable();
         if held != servers {
             self.next = servers.len();
-            self.cards = servers;
+            self.order = servers;
         }
     }
 
@@ -38,32 +38,32 @@
             self.shuffle(rng);
         }
         let (place, first) = self.usable_from(self.next, &load)?;
-        self.cards.swap(self.next, place);
+        self.order.swap(self.next, place);
         let Some((place, second)) = self.usable_from(self.next + 1, &load) else {
             self.next += 1;
-            return Some(self.cards[self.next - 1]);
+            return Some(self.order[self.next - 1]);
         };
-        let (one, other) = (self.cards[self.next], self.cards[place]);
+        let (one, other) = (self.order[self.next], self.order[place]);
         let nearer = second == first && near(other) && !near(one);
         if second < first || nearer {
-            self.cards.swap(self.next, place);
+            self.order.swap(self.next, place);
         }
-        let drawn = self.cards[self.next];
-        self.next += usize::from(Guard::Deck.on());
+        let drawn = self.order[self.next];
+        self.next += usize::from(Guard::ShuffledRoundRobin.on());
         Some(drawn)
     }
 
     /// The next card that may be drawn, and its load.
     fn usable_from(&self, from: usize, load: &impl Fn(u32) -> Option<f64>) -> Option<(usize, f64)> {
-        let rest = self.cards.iter().enumerate().skip(from);
+        let rest = self.order.iter().enumerate().skip(from);
         rest.filter_map(|(place, card)| Some((place, load(*card)?)))
             .next()
     }
 
     fn shuffle(&mut self, rng: &mut Rng) {
-        for place in (1..self.cards.len()).rev() {
+        for place in (1..self.order.len()).rev() {
             let other = (rng.unit() * (place + 1) as f64) as usize;
-            self.cards.swap(place, other);
+            self.order.swap(place, other);
         }
         self.next = 0;
     }
--- a/crates/routing/src/draw/tests.rs
+++ b/crates/routing/src/round_robin/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn deck(count: u32) -> Deck {
-    let mut deck = Deck::default();
+fn deck(count: u32) -> ShuffledRoundRobin {
+    let mut deck = ShuffledRoundRobin::default();
     deck.keep((0..count).collect());
     deck
 }
 
-fn round(deck: &mut Deck, rng: &mut Rng, count: usize) -> Vec<u32> {
+fn round(deck: &mut ShuffledRoundRobin, rng: &mut Rng, count: usize) -> Vec<u32> {
     (0..count)
         .filter_map(|_| deck.draw(rng, |_| Some(0.0), |_| false))
         .collect()
@@ -69,7 +69,7 @@
     }
     assert_eq!(deck.draw(&mut rng, |_| None, |_| false), None);
     assert_eq!(
-        Deck::default().draw(&mut rng, |_| Some(0.0), |_| false),
+        ShuffledRoundRobin::default().draw(&mut rng, |_| Some(0.0), |_| false),
         None
     );
 }
--- a/crates/routing/src/settings/tests.rs
+++ b/crates/routing/src/settings/tests.rs
@@ -16,20 +16,35 @@
 
 #[test]
 fn each_figure_out_of_range_is_named() {
-    assert_eq!(error(|s| s.affinity_excess = 0.0), Some("affinity_excess"));
     assert_eq!(
-        error(|s| s.affinity_floor = f64::NAN),
-        Some("affinity_floor")
+        error(|s| s.affinity_load_excess = 0.0),
+        Some("affinity_load_excess")
     );
-    assert_eq!(error(|s| s.fill_most = 0.4), Some("fill_most"));
-    assert_eq!(error(|s| s.queue_wait = 1.5), Some("queue_wait"));
-    assert_eq!(error(|s| s.queue_most = -1.0), Some("queue_most"));
-    assert_eq!(error(|s| s.fill_ramp = 2.0), Some("fill_ramp"));
-    assert_eq!(error(|s| s.fill_step = -0.1), Some("fill_step"));
-    assert_eq!(error(|s| s.spill_fill = 1.1), Some("spill_fill"));
-    assert_eq!(error(|s| s.hold_share = 0.3), Some("hold_share"));
+    assert_eq!(
+        error(|s| s.affinity_load_floor = f64::NAN),
+        Some("affinity_load_floor")
+    );
+    assert_eq!(error(|s| s.max_load = 0.4), Some("max_load"));
+    assert_eq!(
+        error(|s| s.max_queue_time_share = 1.5),
+        Some("max_queue_time_share")
+    );
+    assert_eq!(error(|s| s.max_queue_share = -1.0), Some("max_queue_share"));
+    assert_eq!(error(|s| s.rejection_ramp = 2.0), Some("rejection_ramp"));
+    assert_eq!(error(|s| s.priority_step = -0.1), Some("priority_step"));
+    assert_eq!(
+        error(|s| s.spillover_max_load = 1.1),
+        Some("spillover_max_load")
+    );
+    assert_eq!(error(|s| s.max_delay_share = 0.3), Some("max_delay_share"));
     assert_eq!(error(|s| s.retry_after = (0, 1)), Some("retry_after"));
     assert_eq!(error(|s| s.ejection = (2, 1)), Some("ejection"));
-    assert_eq!(error(|s| s.quiet_after = 0), Some("quiet_after"));
-    assert_eq!(error(|s| s.report_memory = 0), Some("report_memory"));
+    assert_eq!(
+        error(|s| s.unresponsive_after = 0),
+        Some("unresponsive_after")
+    );
+    assert_eq!(
+        error(|s| s.load_report_max_age = 0),
+        Some("load_report_max_age")
+    );
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -26,7 +26,7 @@
 
 impl RouteKind {
     /// True where a request that may have run may be sent again.
-    pub fn idempotent(self) -> bool {
+    pub fn is_idempotent(self) -> bool {
         matches!(
             self,
             RouteKind::Idempotent | RouteKind::Stream { resumable: true }
@@ -77,7 +77,7 @@
 pub struct ServiceSpec {
     /// Its name.
     pub name: Arc<str>,
-    /// Path of the health check.
+    /// RegionStatus of the health check.
     pub health_check: Box<str>,
     /// Slots of a server that tells no capacity of its own; 0 where unknown.
     pub slots: u32,
@@ -191,7 +191,7 @@
 }
 
 /// The latency objective of a route that tells none.
-const TARGET_UNTOLD_MS: u64 = 1000;
+const DEFAULT_LATENCY_OBJECTIVE_MS: u64 = 1000;
 
 /// A route of a table, shared with the requests on it.
 #[derive(Debug, PartialEq)]
@@ -205,9 +205,9 @@
 impl Route {
     /// The latency objective in milliseconds, never 0: one that is not told is a second, within the
     /// time-out.
-    pub(crate) fn target_ms(&self) -> u64 {
+    pub(crate) fn latency_objective_ms(&self) -> u64 {
         match self.spec.target_latency_ms {
-            0 => self.spec.timeout_ms.clamp(1, TARGET_UNTOLD_MS),
+            0 => self.spec.timeout_ms.clamp(1, DEFAULT_LATENCY_OBJECTIVE_MS),
             told => told,
         }
     }
@@ -224,7 +224,7 @@
     /// Every region.
     pub const ALL: RegionSet = RegionSet(u64::MAX);
     /// How many regions a set holds.
-    pub const MOST: usize = 64;
+    pub const CAPACITY: usize = 64;
 
     /// The set as a number.
     pub fn bits(self) -> u64 {
@@ -323,9 +323,9 @@
             }
             let next = regions.len();
             if !regions.contains_key(&server.region) {
-                if next == RegionSet::MOST {
+                if next == RegionSet::CAPACITY {
                     return Err(TableError::TooManyRegions {
-                        most: RegionSet::MOST,
+                        most: RegionSet::CAPACITY,
                     });
                 }
                 regions.insert(server.region.clone(), next as RegionId);
@@ -368,7 +368,7 @@
     }
 
     /// The shortest latency objective of a service's routes, in milliseconds; 0 where it has none.
-    pub(crate) fn target_ms(&self, service: u32) -> u64 {
+    pub(crate) fn latency_objective_ms(&self, service: u32) -> u64 {
         self.targets.get(service as usize).copied().unwrap_or(0)
     }
 
@@ -398,7 +398,7 @@
                 continue;
             };
             let target = &mut targets[*service as usize];
-            let here = route.target_ms();
+            let here = route.latency_objective_ms();
             *target = if *target == 0 {
                 here
             } else {
--- a/crates/routing/src/table/tests.rs
+++ b/crates/routing/src/table/tests.rs
@@ -192,7 +192,7 @@
             timeout_ms,
             ..route()
         };
-        Route { spec, weight: 1 }.target_ms()
+        Route { spec, weight: 1 }.latency_objective_ms()
     };
     assert_eq!(
         [target(300, 5000), target(0, 5000), target(0, 400)],
@@ -216,7 +216,11 @@
     })
     .expect("a table");
     assert_eq!(
-        [table.target_ms(0), table.target_ms(1), table.target_ms(9)],
+        [
+            table.latency_objective_ms(0),
+            table.latency_objective_ms(1),
+            table.latency_objective_ms(9)
+        ],
         [300, 0, 0]
     );
 }
--- a/crates/routing/tests/model/mod.rs
+++ b/crates/routing/tests/model/mod.rs
@@ -113,7 +113,7 @@
     /// Requests that ended without an answer, and those that took over a second to the first byte.
     pub lost: usize,
     pub late: usize,
-    /// Health checks.
+    /// OutlierDetector checks.
     pub probes: usize,
     /// Refusals while under half of all slots were taken and nothing waited.
     pub early: usize,
@@ -178,7 +178,7 @@
         let table = Arc::new(table::table(plan.affinity.is_some()));
         let mut settings = Settings::new("r", "z");
         if let Some(bounds) = plan.affinity {
-            (settings.affinity_excess, settings.affinity_floor) = bounds;
+            (settings.affinity_load_excess, settings.affinity_load_floor) = bounds;
         }
         let gate = |seed| {
             let mut gate = Decider::new(settings.clone(), seed as u64).expect("settings");
--- a/crates/routing/tests/region.rs
+++ b/crates/routing/tests/region.rs
@@ -8,7 +8,7 @@
 /// The bounds that a gate has by default.
 fn bounds() -> Option<(f64, f64)> {
     let settings = ironmast_routing::Settings::new("r", "z");
-    Some((settings.affinity_excess, settings.affinity_floor))
+    Some((settings.affinity_load_excess, settings.affinity_load_floor))
 }
 
 #[test]
