--- a/crates/agent/src/feed/tests.rs
+++ b/crates/agent/src/feed/tests.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use ironmast_schema::control::{GatePresence, Value};
+use ironmast_schema::control::{GateStatus, Value};
 use ironmast_schema::settings::Settings;
 
 use super::*;
@@ -15,7 +15,7 @@
 }
 
 /// What is told of a gate that said these things of itself and then closed its link.
-fn told_of(said: &[bool]) -> Option<GatePresence> {
+fn told_of(said: &[bool]) -> Option<GateStatus> {
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -39,7 +39,7 @@
         accepted(Rc::clone(&state), accepted_link.expect("accepted").0).await;
         let status = state.borrow().status.borrow().clone()?;
         match status.value {
-            Value::Gate(record) => Some(record.presence()),
+            Value::Gate(record) => Some(record.status()),
             _ => None,
         }
     })
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_gate_that_was_told_to_end_is_told_from_one_that_vanished() {
-    assert_eq!(told_of(&[true, false]), Some(GatePresence::Ended));
-    assert_eq!(told_of(&[false, true]), Some(GatePresence::Lost));
+    assert_eq!(told_of(&[true, false]), Some(GateStatus::Stopped));
+    assert_eq!(told_of(&[false, true]), Some(GateStatus::Lost));
     assert_eq!(told_of(&[]), None);
 }
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use ironmast_schema::control::{Entry, GateRecord, Key, Standing, ToGate, Value};
+use ironmast_schema::control::{Entry, GateRecord, Key, Liveness, ToGate, Value};
 use ironmast_schema::settings::Settings;
 use tokio::sync::{Notify, mpsc, watch};
 
@@ -94,7 +94,7 @@
             zone: self.zone.clone(),
             region: self.region.clone(),
             ready,
-            gone,
+            down: gone,
         };
         let entry = Entry {
             key: Key::Gate(frontend),
@@ -115,7 +115,7 @@
 
     /// Incarnations that have ended are not kept for good.
     pub(crate) fn forget_ended(&mut self) {
-        let ended = |entry: &Entry| matches!(&entry.value, Value::Instance(record) if record.standing == Standing::Gone);
+        let ended = |entry: &Entry| matches!(&entry.value, Value::Instance(record) if record.liveness == Liveness::Deregistered);
         let count = self.entries.values().filter(|entry| ended(entry)).count();
         if count > ENDED_MOST {
             self.entries.retain(|_, entry| !ended(entry));
--- a/crates/agent/src/uplink.rs
+++ b/crates/agent/src/uplink.rs
@@ -109,7 +109,7 @@
     else {
         bail!("{address} closed the link")
     };
-    let FromCoordinator::Alive {
+    let FromCoordinator::KeepAlive {
         coordinators,
         in_contact,
         ..
@@ -198,7 +198,7 @@
             frame = receiver.next() => {
                 let Some(frame) = frame? else { bail!("{address} closed the link") };
                 silence.as_mut().reset(Instant::now() + SILENCE);
-                let FromCoordinator::Alive { coordinators, in_contact, .. } = frame;
+                let FromCoordinator::KeepAlive { coordinators, in_contact, .. } = frame;
                 add(state, &coordinators);
                 if in_contact { search.stop() } else { search.start() }
             }
--- a/crates/agent/src/uplink/tests.rs
+++ b/crates/agent/src/uplink/tests.rs
@@ -36,7 +36,7 @@
     }
 
     fn alive(&self) -> FromCoordinator {
-        FromCoordinator::Alive {
+        FromCoordinator::KeepAlive {
             coordinators: Vec::new(),
             heard: Vec::new(),
             in_contact: self.in_contact,
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ironmast_endpoints::{Catalog, Merged, Micros, Patience};
+use ironmast_endpoints::{EndpointTable, ExpiryTimeouts, MergeOutcome, Micros};
 use ironmast_overlay_transport::OverlayHandle;
 use ironmast_register::{Operation, State as RegisterState};
 use ironmast_schema::configuration::Configuration;
@@ -115,7 +115,7 @@
     pending_reports: PendingReports,
     pub(crate) own: SocketAddr,
     ttl_s: f64,
-    catalog: Catalog,
+    catalog: EndpointTable,
     replica: RegisterReplica,
     publisher: Box<dyn EntryPublisher>,
     /// The configuration in force, as sent and as read.
@@ -147,9 +147,9 @@
             pending_reports: PendingReports::default(),
             own,
             ttl_s,
-            catalog: Catalog::new(
+            catalog: EndpointTable::new(
                 0,
-                Patience {
+                ExpiryTimeouts {
                     instance,
                     gate: GATE_TIMEOUT_US,
                 },
@@ -270,9 +270,9 @@
                 .cloned()
                 .collect(),
         };
-        let news = self
-            .catalog
-            .control(self.now(), apply_control_state.sequence, control);
+        let news =
+            self.catalog
+                .update_control_state(self.now(), apply_control_state.sequence, control);
         self.publish(news.into_iter().collect());
     }
 
@@ -359,7 +359,7 @@
         let now = self.now();
         // Unchanged heartbeats aren't told, so that an older word may look newer to those that have
         // only that.
-        if let Merged::Outdated(newer) = self.catalog.merge(now, entry) {
+        if let MergeOutcome::Stale(newer) = self.catalog.merge(now, entry) {
             self.publish(vec![*newer]);
         }
     }
@@ -373,7 +373,7 @@
             let news = self.catalog.expire(now);
             self.publish(news);
         }
-        for (key, version) in self.catalog.forget(now) {
+        for (key, version) in self.catalog.purge(now) {
             self.publisher.remove(&key, version);
         }
         self.broadcast_alive();
@@ -383,7 +383,7 @@
     pub(crate) fn subscribe(&mut self, to: Subscriber, coordinator: bool) -> u64 {
         let coordinators = self.coordinators.iter().copied().collect();
         let in_contact = self.is_feed_fresh();
-        let _ = to.send(FromCoordinator::Alive {
+        let _ = to.send(FromCoordinator::KeepAlive {
             coordinators,
             heard: Vec::new(),
             in_contact,
@@ -413,7 +413,7 @@
                 self.carry_out(outputs);
                 self.observe();
             }
-            ToCoordinator::Alive(heard) => self.catalog.alive(now, &heard),
+            ToCoordinator::KeepAlive(heard) => self.catalog.merge_observed(now, &heard),
         }
     }
 
@@ -422,11 +422,13 @@
     fn take_entry(&mut self, entry: Entry) {
         let now = self.now();
         let news = match entry.value {
-            Value::Gate(record) => self.catalog.gate(now, entry.key, entry.version, record),
+            Value::Gate(record) => self
+                .catalog
+                .update_gate(now, entry.key, entry.version, record),
             Value::Instance(_) => match self.catalog.merge(now, &entry) {
-                Merged::News => Some(entry),
-                Merged::Known => None,
-                Merged::Outdated(newer) => Some(*newer),
+                MergeOutcome::Newer => Some(entry),
+                MergeOutcome::Known => None,
+                MergeOutcome::Stale(newer) => Some(*newer),
             },
             Value::Control(_) => None,
         };
@@ -435,13 +437,13 @@
 
     /// Takes a frame of another coordinator; returns the coordinators that it knows.
     pub(crate) fn take_coordinator_frame(&mut self, frame: FromCoordinator) -> Vec<SocketAddr> {
-        let FromCoordinator::Alive {
+        let FromCoordinator::KeepAlive {
             coordinators,
             heard,
             ..
         } = frame;
         let now = self.now();
-        self.catalog.alive(now, &heard);
+        self.catalog.merge_observed(now, &heard);
         coordinators
     }
 }
--- a/crates/coordinator/src/node/contact.rs
+++ b/crates/coordinator/src/node/contact.rs
@@ -50,7 +50,7 @@
 
     fn contact_gained(&mut self) {
         info!(self.log, "in contact with a majority of the coordinators");
-        self.catalog.resume(self.now());
+        self.catalog.restart_expiry(self.now());
     }
 
     fn contact_lost(&mut self, before: ContactState) {
@@ -90,7 +90,7 @@
     /// Tells all subscribers that this coordinator is there, and whether it is in contact.
     pub(super) fn broadcast_alive(&mut self) {
         let in_contact = self.is_feed_fresh();
-        let fresh = self.catalog.take_fresh();
+        let fresh = self.catalog.take_observed();
         let coordinators: Vec<SocketAddr> = self.coordinators.iter().copied().collect();
         self.subscribers.retain(|_, (to, coordinator)| {
             let heard = if *coordinator {
@@ -98,7 +98,7 @@
             } else {
                 Vec::new()
             };
-            to.send(FromCoordinator::Alive {
+            to.send(FromCoordinator::KeepAlive {
                 coordinators: coordinators.clone(),
                 heard,
                 in_contact,
--- a/crates/coordinator/src/node/registrations.rs
+++ b/crates/coordinator/src/node/registrations.rs
@@ -22,14 +22,14 @@
             InstanceState::Draining => Request::Draining,
             InstanceState::Ready => Request::Heartbeat,
         };
-        let news = self.catalog.heartbeat(self.now(), &id, heartbeat);
+        let news = self.catalog.record_heartbeat(self.now(), &id, heartbeat);
         self.publish(news.into_iter().collect());
         self.answer_server(request, Key::Instance(id), to);
     }
 
     /// Takes a server's departure and answers it.
     pub(super) fn server_leaves(&mut self, id: String, to: oneshot::Sender<Reply>) {
-        let news = self.catalog.leave(self.now(), &id);
+        let news = self.catalog.deregister(self.now(), &id);
         self.publish(news.into_iter().collect());
         self.answer_server(Request::Delete, Key::Instance(id), to);
     }
--- a/crates/coordinator/src/node/tests.rs
+++ b/crates/coordinator/src/node/tests.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use ironmast_schema::control::{Standing as Presence, Value};
+use ironmast_schema::control::{Liveness, Value};
 use ironmast_schema::registration::InstanceState::{Draining, Ready};
 use ironmast_schema::settings::TimingBounds;
 
@@ -128,7 +128,7 @@
     cluster.cuts.clear();
     cluster.run(Duration::from_secs(2));
     let entries = cluster.members[0].told.published.borrow();
-    let is_silent = |entry: &Entry| matches!(&entry.value, Value::Instance(record) if record.standing == Presence::Silent);
+    let is_silent = |entry: &Entry| matches!(&entry.value, Value::Instance(record) if record.liveness == Liveness::Unreachable);
     assert!(!entries.iter().any(is_silent));
 }
 
@@ -232,7 +232,9 @@
     let entry = cluster.members[1]
         .published("i")
         .expect("spread by another");
-    assert!(matches!(&entry.value, Value::Instance(record) if record.standing == Presence::Gone));
+    assert!(
+        matches!(&entry.value, Value::Instance(record) if record.liveness == Liveness::Deregistered)
+    );
 }
 
 #[test]
--- a/crates/coordinator/src/node/tests/cluster.rs
+++ b/crates/coordinator/src/node/tests/cluster.rs
@@ -238,7 +238,7 @@
             zone: "z".to_string(),
             region: region.to_string(),
             ready: true,
-            gone: false,
+            down: false,
         };
         let entry = Entry {
             key: Key::Gate(frontend),
@@ -316,7 +316,7 @@
         let frames = std::iter::from_fn(|| self.heard.try_recv().ok());
         frames
             .last()
-            .map(|FromCoordinator::Alive { in_contact, .. }| in_contact)
+            .map(|FromCoordinator::KeepAlive { in_contact, .. }| in_contact)
     }
 
     /// The configuration that the relay tree was last told.
--- a/crates/coordinator/src/resolve.rs
+++ b/crates/coordinator/src/resolve.rs
@@ -8,7 +8,7 @@
 
 use ironmast_endpoints::Gate;
 use ironmast_schema::configuration::Configuration;
-use ironmast_schema::control::GatePresence;
+use ironmast_schema::control::GateStatus;
 use serde::{Deserialize, Serialize};
 
 use crate::node::Reply;
@@ -77,7 +77,7 @@
     configuration: Option<&Configuration>,
     query: &Query,
 ) -> Vec<SocketAddr> {
-    let is_ready = |gate: &Gate<'_>| gate.is_heard && gate.record.presence() == GatePresence::Ready;
+    let is_ready = |gate: &Gate<'_>| gate.is_reachable && gate.record.status() == GateStatus::Ready;
     let near = nearest(gates, query, is_ready);
     if !near.is_empty() {
         return near;
@@ -91,7 +91,7 @@
         return elsewhere;
     }
     select(gates, |gate| {
-        let unready = gate.is_heard && gate.record.presence() == GatePresence::Unready;
+        let unready = gate.is_reachable && gate.record.status() == GateStatus::NotReady;
         unready && gate.record.region == query.region
     })
 }
@@ -110,7 +110,7 @@
         return Vec::new();
     }
     nearest(gates, query, |gate| {
-        let ready = gate.is_heard_here && gate.record.presence() == GatePresence::Ready;
+        let ready = gate.is_directly_reachable && gate.record.status() == GateStatus::Ready;
         ready && gate.record.region == query.region
     })
 }
@@ -148,9 +148,9 @@
 /// Whether a region has no gate left because the last of them has gone without a word.
 fn was_lost(gates: &[Gate<'_>], region: &str) -> bool {
     let gates = || gates.iter().filter(|gate| gate.record.region == region);
-    let last = gates().max_by_key(|gate| gate.heard);
-    gates().all(|gate| gate.record.gone)
-        && last.is_some_and(|gate| gate.record.presence() == GatePresence::Lost)
+    let last = gates().max_by_key(|gate| gate.last_heard);
+    gates().all(|gate| gate.record.down)
+        && last.is_some_and(|gate| gate.record.status() == GateStatus::Lost)
 }
 
 /// The reply that names these addresses.
--- a/crates/coordinator/src/resolve/tests.rs
+++ b/crates/coordinator/src/resolve/tests.rs
@@ -6,13 +6,13 @@
 
 const ZONE: &str = "north-a";
 
-fn gate(zone: &str, ready: bool, gone: bool) -> GateRecord {
+fn gate(zone: &str, ready: bool, down: bool) -> GateRecord {
     let region = zone.split('-').next().expect("a region").to_string();
     GateRecord {
         zone: zone.to_string(),
         region,
         ready,
-        gone,
+        down,
     }
 }
 
@@ -63,9 +63,9 @@
         .map(|(number, record)| Gate {
             frontend: address(number),
             record,
-            heard: number as u64,
-            is_heard: true,
-            is_heard_here: false,
+            last_heard: number as u64,
+            is_reachable: true,
+            is_directly_reachable: false,
         })
         .collect();
     let query = Query {
@@ -205,9 +205,9 @@
             .map(|(number, record)| Gate {
                 frontend: address(number),
                 record,
-                heard: 0,
-                is_heard: true,
-                is_heard_here: speakers.contains(&number),
+                last_heard: 0,
+                is_reachable: true,
+                is_directly_reachable: speakers.contains(&number),
             })
             .collect();
         let name = "A.example".to_string();
@@ -251,9 +251,9 @@
     let gate = Gate {
         frontend,
         record: &record,
-        heard: 0,
-        is_heard: false,
-        is_heard_here: false,
+        last_heard: 0,
+        is_reachable: false,
+        is_directly_reachable: false,
     };
     let query = Query {
         name: String::new(),
@@ -264,7 +264,7 @@
     assert_eq!(
         addresses(
             &[Gate {
-                is_heard: true,
+                is_reachable: true,
                 ..gate
             }],
             None,
--- a/crates/coordinator/tests/frames/mod.rs
+++ b/crates/coordinator/tests/frames/mod.rs
@@ -62,7 +62,7 @@
         zone: "z".to_owned(),
         region: "r".to_owned(),
         ready: true,
-        gone: false,
+        down: false,
     };
     let control = ControlState {
         configuration: None,
@@ -89,8 +89,8 @@
         })),
         bytes(&ToCoordinator::Entries(entries.clone())),
         bytes(&ToCoordinator::Register(register_messages().remove(0))),
-        bytes(&ToCoordinator::Alive(heard.clone())),
-        bytes(&FromCoordinator::Alive {
+        bytes(&ToCoordinator::KeepAlive(heard.clone())),
+        bytes(&FromCoordinator::KeepAlive {
             coordinators,
             heard,
             in_contact: true,
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use ironmast_schema::control::{
-    ControlState, Entry, GateRecord, InstanceRecord, Key, Standing, Value,
+    ControlState, Entry, GateRecord, InstanceRecord, Key, Liveness, Value,
 };
 use ironmast_schema::registration::{Heartbeat, InstanceState};
 use rustc_hash::FxHashMap;
@@ -25,7 +25,7 @@
 
 /// How long silence takes to count.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
+pub struct ExpiryTimeouts {
     /// For server instances.
     pub instance: Micros,
     /// For gates.
@@ -43,13 +43,13 @@
 
 /// What an entry from elsewhere has led to.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Merged {
+pub enum MergeOutcome {
     /// It was news.
-    News,
+    Newer,
     /// It has been known, or differs in nothing that others must be told.
     Known,
     /// What is known here is newer and another thing: others must be told this.
-    Outdated(Box<Entry>),
+    Stale(Box<Entry>),
 }
 
 /// A gate that is known.
@@ -60,17 +60,17 @@
     /// The latest word about it.
     pub record: &'a GateRecord,
     /// When it was last heard of.
-    pub heard: Micros,
+    pub last_heard: Micros,
     /// Whether any coordinator has heard it within the patience.
-    pub is_heard: bool,
+    pub is_reachable: bool,
     /// Whether it has spoken to this coordinator itself within the patience.
-    pub is_heard_here: bool,
+    pub is_directly_reachable: bool,
 }
 
 /// The catalog of one coordinator.
 #[derive(Debug)]
-pub struct Catalog {
-    patience: Patience,
+pub struct EndpointTable {
+    patience: ExpiryTimeouts,
     started: Micros,
     entries: FxHashMap<Key, Entry>,
     heard: FxHashMap<Key, Heard>,
@@ -79,12 +79,12 @@
     fresh: FxHashMap<Key, u64>,
 }
 
-impl Catalog {
+impl EndpointTable {
     /// An empty catalog.
     #[must_use]
-    pub fn new(now: Micros, patience: Patience) -> Self {
+    pub fn new(now: Micros, patience: ExpiryTimeouts) -> Self {
         let (entries, heard, fresh) = Default::default();
-        Catalog {
+        EndpointTable {
             patience,
             started: now,
             entries,
@@ -107,7 +107,12 @@
     }
 
     /// Takes a server's heartbeat; returns what others must be told, if anything has changed.
-    pub fn heartbeat(&mut self, now: Micros, id: &str, heartbeat: Heartbeat) -> Option<Entry> {
+    pub fn record_heartbeat(
+        &mut self,
+        now: Micros,
+        id: &str,
+        heartbeat: Heartbeat,
+    ) -> Option<Entry> {
         let key = Key::Instance(id.to_string());
         let sequence = heartbeat.sequence;
         let version = version_of(sequence);
@@ -120,14 +125,14 @@
         }
         let changed = known.is_none_or(|entry| match &entry.value {
             Value::Instance(record) => {
-                record.standing != Standing::Present || differs(&record.heartbeat, &heartbeat)
+                record.liveness != Liveness::Alive || differs(&record.heartbeat, &heartbeat)
             }
             _ => true,
         });
         self.hear(now, &key, sequence);
         let value = Value::Instance(InstanceRecord {
             heartbeat,
-            standing: Standing::Present,
+            liveness: Liveness::Alive,
         });
         let entry = Entry {
             key: key.clone(),
@@ -139,16 +144,16 @@
     }
 
     /// Takes a server's word that it ends; returns what others must be told.
-    pub fn leave(&mut self, now: Micros, id: &str) -> Option<Entry> {
+    pub fn deregister(&mut self, now: Micros, id: &str) -> Option<Entry> {
         let key = Key::Instance(id.to_string());
         let entry = self.entries.get_mut(&key)?;
         let Value::Instance(record) = &mut entry.value else {
             return None;
         };
-        if record.standing == Standing::Gone {
+        if record.liveness == Liveness::Deregistered {
             return None;
         }
-        record.standing = Standing::Gone;
+        record.liveness = Liveness::Deregistered;
         entry.version = VERSION_GONE;
         let entry = entry.clone();
         note(&mut self.heard, now, &key, 0);
@@ -156,7 +161,7 @@
     }
 
     /// Takes what a gate says of itself; returns what others must be told, if anything has changed.
-    pub fn gate(
+    pub fn update_gate(
         &mut self,
         now: Micros,
         key: Key,
@@ -181,34 +186,39 @@
 
     /// Puts the operator's state under its version; returns what others must be told, if it is
     /// newer.
-    pub fn control(&mut self, now: Micros, version: u64, state: ControlState) -> Option<Entry> {
+    pub fn update_control_state(
+        &mut self,
+        now: Micros,
+        version: u64,
+        state: ControlState,
+    ) -> Option<Entry> {
         let entry = Entry {
             key: Key::Control,
             version,
             value: Value::Control(state),
         };
-        (self.merge(now, &entry) == Merged::News).then_some(entry)
+        (self.merge(now, &entry) == MergeOutcome::Newer).then_some(entry)
     }
 
     /// Takes an entry from elsewhere.
-    pub fn merge(&mut self, now: Micros, entry: &Entry) -> Merged {
+    pub fn merge(&mut self, now: Micros, entry: &Entry) -> MergeOutcome {
         if let Some(known) = self.entries.get(&entry.key) {
             if known.version > entry.version && differ(&entry.value, &known.value) {
-                return Merged::Outdated(Box::new(known.clone()));
+                return MergeOutcome::Stale(Box::new(known.clone()));
             }
             if known.version >= entry.version {
-                return Merged::Known;
+                return MergeOutcome::Known;
             }
         }
         note(&mut self.heard, now, &entry.key, 0);
         self.entries.insert(entry.key.clone(), entry.clone());
-        Merged::News
+        MergeOutcome::Newer
     }
 
     /// Another coordinator has heard of these. What they said comes as entries of their own, under
     /// the versions of these numbers, and may still be on its way: the entries here stay as they
     /// are.
-    pub fn alive(&mut self, now: Micros, heard: &[(Key, u64)]) {
+    pub fn merge_observed(&mut self, now: Micros, heard: &[(Key, u64)]) {
         for (key, sequence) in heard {
             let late = self
                 .heard
@@ -221,13 +231,13 @@
     }
 
     /// What has been heard of here since the last call, for the other coordinators.
-    pub fn take_fresh(&mut self) -> Vec<(Key, u64)> {
+    pub fn take_observed(&mut self) -> Vec<(Key, u64)> {
         self.fresh.drain().collect()
     }
 
     /// This coordinator has been without the others' word until now: nobody's silence before
     /// counts.
-    pub fn resume(&mut self, now: Micros) {
+    pub fn restart_expiry(&mut self, now: Micros) {
         self.started = now;
     }
 
@@ -246,17 +256,17 @@
             let heard = self.heard.get(key).copied().unwrap_or(unheard);
             let silent_since = heard.at.max(self.started);
             match &mut entry.value {
-                Value::Instance(record) if record.standing == Standing::Present => {
+                Value::Instance(record) if record.liveness == Liveness::Alive => {
                     if deaf || now <= silent_since + self.patience.instance {
                         continue;
                     }
-                    record.standing = Standing::Silent;
+                    record.liveness = Liveness::Unreachable;
                     entry.version =
                         entry.version.max(version_of(heard.sequence)) + VERSIONS_TO_SILENCE;
                     out.push(entry.clone());
                 }
-                Value::Gate(record) if !record.gone && now > silent_since + self.patience.gate => {
-                    record.gone = true;
+                Value::Gate(record) if !record.down && now > silent_since + self.patience.gate => {
+                    record.down = true;
                     entry.version = entry.version.max(heard.sequence) + VERSIONS_TO_SILENCE;
                     out.push(entry.clone());
                 }
@@ -278,9 +288,11 @@
                     Some(Gate {
                         frontend: *frontend,
                         record,
-                        heard: heard.map_or(self.started, |heard| heard.at),
-                        is_heard: heard.is_some_and(|heard| is_recent(heard.at)),
-                        is_heard_here: heard.and_then(|heard| heard.here).is_some_and(is_recent),
+                        last_heard: heard.map_or(self.started, |heard| heard.at),
+                        is_reachable: heard.is_some_and(|heard| is_recent(heard.at)),
+                        is_directly_reachable: heard
+                            .and_then(|heard| heard.here)
+                            .is_some_and(is_recent),
                     })
                 }
                 _ => None,
@@ -294,10 +306,10 @@
 
     /// Drops what has ended or been silent for long; returns the keys with the versions of their
     /// removal.
-    pub fn forget(&mut self, now: Micros) -> Vec<(Key, u64)> {
+    pub fn purge(&mut self, now: Micros) -> Vec<(Key, u64)> {
         let ended = |entry: &Entry| match &entry.value {
-            Value::Instance(record) => record.standing != Standing::Present,
-            Value::Gate(record) => record.gone,
+            Value::Instance(record) => record.liveness != Liveness::Alive,
+            Value::Gate(record) => record.down,
             Value::Control(_) => false,
         };
         let heard = &mut self.heard;
@@ -344,7 +356,7 @@
 fn differ(old: &Value, new: &Value) -> bool {
     match (old, new) {
         (Value::Instance(old), Value::Instance(new)) => {
-            old.standing != new.standing || differs(&old.heartbeat, &new.heartbeat)
+            old.liveness != new.liveness || differs(&old.heartbeat, &new.heartbeat)
         }
         _ => old != new,
     }
--- a/crates/endpoints/src/tests.rs
+++ b/crates/endpoints/src/tests.rs
@@ -2,7 +2,7 @@
 //! another order.
 
 use assert_matches::assert_matches;
-use ironmast_schema::control::{GatePresence, GateRecord, Key, Standing, Value};
+use ironmast_schema::control::{GateRecord, GateStatus, Key, Liveness, Value};
 use ironmast_schema::registration::{Heartbeat, InstanceState};
 use proptest::prelude::*;
 use rand::seq::SliceRandom as _;
@@ -12,7 +12,7 @@
 use super::*;
 
 const SECOND: Micros = 1_000_000;
-const PATIENCE: Patience = Patience {
+const PATIENCE: ExpiryTimeouts = ExpiryTimeouts {
     instance: 4 * SECOND,
     gate: 2 * SECOND,
 };
@@ -39,8 +39,8 @@
     beat(sequence, InstanceState::Draining)
 }
 
-fn catalog() -> Catalog {
-    Catalog::new(0, PATIENCE)
+fn catalog() -> EndpointTable {
+    EndpointTable::new(0, PATIENCE)
 }
 
 fn key(id: &str) -> Key {
@@ -56,31 +56,31 @@
         zone: "north-a".to_string(),
         region: "north".to_string(),
         ready,
-        gone: false,
+        down: false,
     }
 }
 
 /// The gates that take new clients and that any coordinator has heard lately.
-fn ready_gates(catalog: &Catalog, now: Micros) -> usize {
+fn ready_gates(catalog: &EndpointTable, now: Micros) -> usize {
     gates_taking_clients(catalog, now)
-        .filter(|gate| gate.is_heard)
+        .filter(|gate| gate.is_reachable)
         .count()
 }
 
 /// Those that have lately spoken to this coordinator itself.
-fn ready_gates_heard_here(catalog: &Catalog, now: Micros) -> usize {
+fn ready_gates_heard_here(catalog: &EndpointTable, now: Micros) -> usize {
     gates_taking_clients(catalog, now)
-        .filter(|gate| gate.is_heard_here)
+        .filter(|gate| gate.is_directly_reachable)
         .count()
 }
 
-fn gates_taking_clients(catalog: &Catalog, now: Micros) -> impl Iterator<Item = Gate<'_>> {
+fn gates_taking_clients(catalog: &EndpointTable, now: Micros) -> impl Iterator<Item = Gate<'_>> {
     catalog
         .gates(now)
-        .filter(|gate| gate.record.presence() == GatePresence::Ready)
+        .filter(|gate| gate.record.status() == GateStatus::Ready)
 }
 
-fn record<'a>(catalog: &'a Catalog, id: &str) -> &'a InstanceRecord {
+fn record<'a>(catalog: &'a EndpointTable, id: &str) -> &'a InstanceRecord {
     match catalog.get(&key(id)).map(|entry| &entry.value) {
         Some(Value::Instance(record)) => record,
         other => panic!("{id} is {other:?}"),
@@ -88,12 +88,12 @@
 }
 
 /// Lets `id` fall silent while `other` is heard; returns its entry.
-fn silence(catalog: &mut Catalog, from: Micros, id: &str) -> (Micros, Entry) {
+fn silence(catalog: &mut EndpointTable, from: Micros, id: &str) -> (Micros, Entry) {
     let mut sequence = 1_000;
     for second in 1..=20 {
         let now = from + second * SECOND;
         sequence += 1;
-        catalog.heartbeat(now, "other", ready(sequence));
+        catalog.record_heartbeat(now, "other", ready(sequence));
         if let Some(entry) = catalog
             .expire(now)
             .into_iter()
@@ -108,26 +108,26 @@
 #[test]
 fn unchanged_heartbeats_are_told_once() {
     let mut catalog = catalog();
-    assert!(catalog.heartbeat(0, "a", ready(1)).is_some());
-    assert_eq!(catalog.heartbeat(SECOND, "a", ready(2)), None);
+    assert!(catalog.record_heartbeat(0, "a", ready(1)).is_some());
+    assert_eq!(catalog.record_heartbeat(SECOND, "a", ready(2)), None);
 }
 
 #[test]
 fn a_late_heartbeat_changes_nothing() {
     let mut catalog = catalog();
-    catalog.heartbeat(0, "a", draining(5));
-    assert_eq!(catalog.heartbeat(SECOND, "a", ready(4)), None);
+    catalog.record_heartbeat(0, "a", draining(5));
+    assert_eq!(catalog.record_heartbeat(SECOND, "a", ready(4)), None);
     assert_eq!(record(&catalog, "a").heartbeat, draining(5));
 }
 
 #[test]
 fn draining_is_told_once() {
     let mut catalog = catalog();
-    catalog.heartbeat(0, "a", ready(1));
-    let told = catalog.heartbeat(1, "a", draining(2)).expect("told");
+    catalog.record_heartbeat(0, "a", ready(1));
+    let told = catalog.record_heartbeat(1, "a", draining(2)).expect("told");
     assert_matches!(&told.value, Value::Instance(record) if record.heartbeat.state == InstanceState::Draining);
-    assert_eq!(catalog.heartbeat(2, "a", draining(2)), None);
-    assert_eq!(catalog.heartbeat(3, "a", draining(3)), None);
+    assert_eq!(catalog.record_heartbeat(2, "a", draining(2)), None);
+    assert_eq!(catalog.record_heartbeat(3, "a", draining(3)), None);
 }
 
 #[test]
@@ -137,8 +137,8 @@
         remaining_ms: Some(ms),
         ..draining(sequence)
     };
-    assert!(catalog.heartbeat(0, "a", left(1, 900.0)).is_some());
-    assert!(catalog.heartbeat(1, "a", left(2, 800.0)).is_some());
+    assert!(catalog.record_heartbeat(0, "a", left(1, 900.0)).is_some());
+    assert!(catalog.record_heartbeat(1, "a", left(2, 800.0)).is_some());
 }
 
 #[test]
@@ -151,36 +151,36 @@
     for (sequence, left) in [(1, 900.0), (2, 400.0), (3, 0.0)] {
         assert!(
             catalog
-                .heartbeat(sequence, "a", cold(sequence, left))
+                .record_heartbeat(sequence, "a", cold(sequence, left))
                 .is_some()
         );
     }
-    assert_eq!(catalog.heartbeat(4, "a", cold(4, 0.0)), None);
+    assert_eq!(catalog.record_heartbeat(4, "a", cold(4, 0.0)), None);
 }
 
 #[test]
 fn the_end_of_an_incarnation_is_final() {
     let mut catalog = catalog();
-    catalog.heartbeat(0, "a", draining(1));
-    let gone = catalog.leave(1, "a").expect("told");
-    assert_eq!(catalog.leave(2, "a"), None);
-    assert_eq!(catalog.heartbeat(3, "a", ready(u64::MAX)), None);
-    catalog.alive(4, &[(key("a"), u64::MAX)]);
+    catalog.record_heartbeat(0, "a", draining(1));
+    let gone = catalog.deregister(1, "a").expect("told");
+    assert_eq!(catalog.deregister(2, "a"), None);
+    assert_eq!(catalog.record_heartbeat(3, "a", ready(u64::MAX)), None);
+    catalog.merge_observed(4, &[(key("a"), u64::MAX)]);
     assert_eq!(catalog.get(&key("a")), Some(&gone));
 }
 
 #[test]
 fn the_highest_number_does_not_outlive_the_end() {
     let mut catalog = catalog();
-    catalog.heartbeat(0, "a", ready(u64::MAX));
-    let gone = catalog.leave(1, "a").expect("told");
+    catalog.record_heartbeat(0, "a", ready(u64::MAX));
+    let gone = catalog.deregister(1, "a").expect("told");
     assert!(gone.version > catalog_version(&ready(u64::MAX)));
 }
 
 fn catalog_version(heartbeat: &Heartbeat) -> u64 {
     let mut catalog = catalog();
     catalog
-        .heartbeat(0, "a", heartbeat.clone())
+        .record_heartbeat(0, "a", heartbeat.clone())
         .expect("told")
         .version
 }
@@ -188,58 +188,60 @@
 #[test]
 fn silence_is_found_while_others_are_heard() {
     let mut catalog = catalog();
-    let heard = catalog.heartbeat(0, "a", ready(1)).expect("told");
+    let heard = catalog.record_heartbeat(0, "a", ready(1)).expect("told");
     let (at, silent) = silence(&mut catalog, 0, "a");
     assert!(at > PATIENCE.instance);
     assert!(silent.version > heard.version);
-    assert_matches!(&silent.value, Value::Instance(record) if record.standing == Standing::Silent);
+    assert_matches!(&silent.value, Value::Instance(record) if record.liveness == Liveness::Unreachable);
 }
 
 #[test]
 fn a_coordinator_that_hears_nobody_calls_nobody_silent() {
     let mut catalog = catalog();
-    catalog.heartbeat(0, "a", ready(1));
-    catalog.heartbeat(0, "b", ready(1));
+    catalog.record_heartbeat(0, "a", ready(1));
+    catalog.record_heartbeat(0, "b", ready(1));
     assert_eq!(catalog.expire(100 * SECOND), []);
 }
 
 #[test]
 fn silence_waits_for_the_first_patience_after_a_start() {
-    let mut fresh = Catalog::new(50 * SECOND, PATIENCE);
+    let mut fresh = EndpointTable::new(50 * SECOND, PATIENCE);
     let mut earlier = catalog();
-    let entry = earlier.heartbeat(0, "a", ready(1)).expect("told");
+    let entry = earlier.record_heartbeat(0, "a", ready(1)).expect("told");
     fresh.merge(50 * SECOND, &entry);
-    fresh.heartbeat(53 * SECOND, "b", ready(1));
+    fresh.record_heartbeat(53 * SECOND, "b", ready(1));
     assert_eq!(fresh.expire(53 * SECOND), []);
 }
 
 #[test]
 fn a_silent_server_that_returns_has_a_higher_version() {
     let mut catalog = catalog();
-    catalog.heartbeat(0, "a", ready(1));
+    catalog.record_heartbeat(0, "a", ready(1));
     let (at, silent) = silence(&mut catalog, 0, "a");
-    let back = catalog.heartbeat(at + 1, "a", ready(2)).expect("told");
+    let back = catalog
+        .record_heartbeat(at + 1, "a", ready(2))
+        .expect("told");
     assert!(back.version > silent.version);
-    assert_eq!(record(&catalog, "a").standing, Standing::Present);
+    assert_eq!(record(&catalog, "a").liveness, Liveness::Alive);
 }
 
 #[test]
 fn a_late_heartbeat_does_not_bring_a_silent_server_back() {
     let mut catalog = catalog();
-    catalog.heartbeat(0, "a", ready(1));
+    catalog.record_heartbeat(0, "a", ready(1));
     let (at, silent) = silence(&mut catalog, 0, "a");
-    assert_eq!(catalog.heartbeat(at + 1, "a", ready(1)), None);
+    assert_eq!(catalog.record_heartbeat(at + 1, "a", ready(1)), None);
     assert_eq!(catalog.get(&key("a")), Some(&silent));
 }
 
 #[test]
 fn who_is_heard_by_another_coordinator_is_not_silent() {
     let mut catalog = catalog();
-    catalog.heartbeat(0, "a", ready(1));
+    catalog.record_heartbeat(0, "a", ready(1));
     for second in 1..=20 {
         let now = second * SECOND;
-        catalog.heartbeat(now, "other", ready(second));
-        catalog.alive(now, &[(key("a"), second + 1)]);
+        catalog.record_heartbeat(now, "other", ready(second));
+        catalog.merge_observed(now, &[(key("a"), second + 1)]);
         assert_eq!(catalog.expire(now), []);
     }
 }
@@ -247,10 +249,10 @@
 #[test]
 fn late_news_of_a_life_does_not_count() {
     let mut catalog = catalog();
-    catalog.heartbeat(0, "a", ready(9));
+    catalog.record_heartbeat(0, "a", ready(9));
     for second in 1..=5 {
-        catalog.alive(second * SECOND, &[(key("a"), 8)]);
-        catalog.heartbeat(second * SECOND, "other", ready(second));
+        catalog.merge_observed(second * SECOND, &[(key("a"), 8)]);
+        catalog.record_heartbeat(second * SECOND, "other", ready(second));
     }
     assert_eq!(catalog.expire(5 * SECOND).len(), 1);
 }
@@ -259,22 +261,26 @@
 #[test]
 fn a_number_that_comes_before_its_word_does_not_hide_the_word() {
     let (mut here, mut there) = (catalog(), catalog());
-    let first = there.heartbeat(0, "a", ready(1)).expect("told");
+    let first = there.record_heartbeat(0, "a", ready(1)).expect("told");
     here.merge(0, &first);
-    let second = there.heartbeat(1, "a", draining(2)).expect("told");
-    here.alive(2, &there.take_fresh());
-    assert_eq!(here.merge(3, &second), Merged::News);
+    let second = there.record_heartbeat(1, "a", draining(2)).expect("told");
+    here.merge_observed(2, &there.take_observed());
+    assert_eq!(here.merge(3, &second), MergeOutcome::Newer);
     assert_eq!(record(&here, "a").heartbeat, draining(2));
 }
 
 #[test]
 fn a_gates_number_that_comes_before_its_word_does_not_hide_the_word() {
     let (mut here, mut there) = (catalog(), catalog());
-    let first = there.gate(0, gate_key(), 4, gate(true)).expect("told");
+    let first = there
+        .update_gate(0, gate_key(), 4, gate(true))
+        .expect("told");
     here.merge(0, &first);
-    let second = there.gate(1, gate_key(), 8, gate(false)).expect("told");
-    here.alive(2, &there.take_fresh());
-    assert_eq!(here.merge(3, &second), Merged::News);
+    let second = there
+        .update_gate(1, gate_key(), 8, gate(false))
+        .expect("told");
+    here.merge_observed(2, &there.take_observed());
+    assert_eq!(here.merge(3, &second), MergeOutcome::Newer);
     assert_eq!(ready_gates(&here, 3), 0);
 }
 
@@ -282,8 +288,8 @@
 #[test]
 fn silence_is_above_every_number_heard() {
     let mut catalog = catalog();
-    catalog.heartbeat(0, "a", ready(1));
-    catalog.alive(1, &[(key("a"), 7)]);
+    catalog.record_heartbeat(0, "a", ready(1));
+    catalog.merge_observed(1, &[(key("a"), 7)]);
     let (_, silent) = silence(&mut catalog, 0, "a");
     assert!(silent.version > catalog_version(&ready(7)));
     assert!(silent.version < catalog_version(&ready(8)));
@@ -293,40 +299,40 @@
 #[test]
 fn who_knows_better_tells_it_again() {
     let (mut cut_off, mut hears) = (catalog(), catalog());
-    let first = hears.heartbeat(0, "a", ready(1)).expect("told");
+    let first = hears.record_heartbeat(0, "a", ready(1)).expect("told");
     cut_off.merge(0, &first);
     for sequence in 2..10 {
         assert_eq!(
-            hears.heartbeat(sequence * SECOND, "a", ready(sequence)),
+            hears.record_heartbeat(sequence * SECOND, "a", ready(sequence)),
             None
         );
     }
     let (_, silent) = silence(&mut cut_off, 0, "a");
     let again =
-        assert_matches!(hears.merge(10 * SECOND, &silent), Merged::Outdated(again) => again);
-    assert_eq!(cut_off.merge(10 * SECOND, &again), Merged::News);
-    assert_eq!(record(&cut_off, "a").standing, Standing::Present);
+        assert_matches!(hears.merge(10 * SECOND, &silent), MergeOutcome::Stale(again) => again);
+    assert_eq!(cut_off.merge(10 * SECOND, &again), MergeOutcome::Newer);
+    assert_eq!(record(&cut_off, "a").liveness, Liveness::Alive);
 }
 
 #[test]
 fn an_older_word_that_says_the_same_is_not_told_again() {
     let (mut here, mut there) = (catalog(), catalog());
-    let first = there.heartbeat(0, "a", ready(1)).expect("told");
-    here.heartbeat(1, "a", ready(2));
-    assert_eq!(here.merge(2, &first), Merged::Known);
+    let first = there.record_heartbeat(0, "a", ready(1)).expect("told");
+    here.record_heartbeat(1, "a", ready(2));
+    assert_eq!(here.merge(2, &first), MergeOutcome::Known);
 }
 
 #[test]
 fn a_gate_that_says_nothing_takes_no_new_clients_until_it_speaks() {
     let mut catalog = catalog();
-    catalog.gate(0, gate_key(), 4, gate(true));
+    catalog.update_gate(0, gate_key(), 4, gate(true));
     assert_eq!(ready_gates(&catalog, 0), 1);
     let gone = catalog.expire(3 * SECOND);
     assert_matches!(&gone[..], [entry] if entry.version > 4 && entry.version < 8);
     assert_eq!(ready_gates(&catalog, 3 * SECOND), 0);
     assert!(
         catalog
-            .gate(4 * SECOND, gate_key(), 8, gate(true))
+            .update_gate(4 * SECOND, gate_key(), 8, gate(true))
             .is_some()
     );
     assert_eq!(ready_gates(&catalog, 4 * SECOND), 1);
@@ -335,16 +341,18 @@
 #[test]
 fn gates_that_speak_here_are_told_from_those_that_others_hear() {
     let (mut here, mut there) = (catalog(), catalog());
-    let told = there.gate(0, gate_key(), 4, gate(true)).expect("told");
+    let told = there
+        .update_gate(0, gate_key(), 4, gate(true))
+        .expect("told");
     here.merge(0, &told);
     assert_eq!(
         (ready_gates(&here, 0), ready_gates_heard_here(&here, 0)),
         (1, 0)
     );
-    here.gate(SECOND, gate_key(), 8, gate(true));
+    here.update_gate(SECOND, gate_key(), 8, gate(true));
     assert_eq!(ready_gates_heard_here(&here, SECOND), 1);
-    there.gate(4 * SECOND, gate_key(), 12, gate(true));
-    here.alive(4 * SECOND, &there.take_fresh());
+    there.update_gate(4 * SECOND, gate_key(), 12, gate(true));
+    here.merge_observed(4 * SECOND, &there.take_observed());
     assert_eq!(
         (
             ready_gates(&here, 4 * SECOND),
@@ -363,32 +371,32 @@
 #[test]
 fn silence_before_the_return_of_the_others_does_not_count() {
     let mut catalog = catalog();
-    catalog.heartbeat(0, "a", ready(1));
-    catalog.gate(0, gate_key(), 4, gate(true));
+    catalog.record_heartbeat(0, "a", ready(1));
+    catalog.update_gate(0, gate_key(), 4, gate(true));
     let back = 30 * SECOND;
-    catalog.resume(back);
-    catalog.heartbeat(back, "b", ready(1));
+    catalog.restart_expiry(back);
+    catalog.record_heartbeat(back, "b", ready(1));
     assert_eq!(catalog.expire(back), []);
     assert_eq!(catalog.expire(back + PATIENCE.gate), []);
-    catalog.heartbeat(back + PATIENCE.instance, "b", ready(2));
+    catalog.record_heartbeat(back + PATIENCE.instance, "b", ready(2));
     assert_eq!(catalog.expire(back + PATIENCE.instance + 1).len(), 2);
 }
 
-fn presence(catalog: &Catalog) -> Option<GatePresence> {
-    Some(catalog.gates(3 * SECOND).next()?.record.presence())
+fn presence(catalog: &EndpointTable) -> Option<GateStatus> {
+    Some(catalog.gates(3 * SECOND).next()?.record.status())
 }
 
 /// The directory sends clients to another region only where a region was lost, not where it
 /// restarts.
 #[test]
 fn a_gate_that_ends_is_told_from_one_that_is_lost() {
-    for (ready, then) in [(true, GatePresence::Lost), (false, GatePresence::Ended)] {
+    for (ready, then) in [(true, GateStatus::Lost), (false, GateStatus::Stopped)] {
         let mut catalog = catalog();
-        catalog.gate(0, gate_key(), 4, gate(ready));
+        catalog.update_gate(0, gate_key(), 4, gate(ready));
         catalog.expire(3 * SECOND);
         assert_eq!(presence(&catalog), Some(then));
         assert_eq!(
-            catalog.gates(3 * SECOND).next().map(|gate| gate.heard),
+            catalog.gates(3 * SECOND).next().map(|gate| gate.last_heard),
             Some(0)
         );
     }
@@ -397,24 +405,24 @@
 #[test]
 fn what_has_ended_is_forgotten_with_removals_above_its_version() {
     let mut catalog = catalog();
-    catalog.heartbeat(0, "a", ready(1));
-    let gone = catalog.leave(1, "a").expect("told");
-    catalog.heartbeat(1, "b", ready(1));
-    assert_eq!(catalog.forget(FORGET_AFTER), []);
+    catalog.record_heartbeat(0, "a", ready(1));
+    let gone = catalog.deregister(1, "a").expect("told");
+    catalog.record_heartbeat(1, "b", ready(1));
+    assert_eq!(catalog.purge(FORGET_AFTER), []);
     assert_eq!(
-        catalog.forget(2 + FORGET_AFTER),
+        catalog.purge(2 + FORGET_AFTER),
         [(key("a"), gone.version + 1)]
     );
-    assert_eq!(catalog.forget(3 + FORGET_AFTER), []);
+    assert_eq!(catalog.purge(3 + FORGET_AFTER), []);
     assert!(catalog.get(&key("b")).is_some());
 }
 
 #[test]
 fn a_gate_that_speaks_after_its_removal_is_above_it() {
     let mut catalog = catalog();
-    catalog.gate(0, gate_key(), 4, gate(true));
+    catalog.update_gate(0, gate_key(), 4, gate(true));
     catalog.expire(3 * SECOND);
-    let removed = catalog.forget(10 * SECOND + FORGET_AFTER);
+    let removed = catalog.purge(10 * SECOND + FORGET_AFTER);
     assert_matches!(&removed[..], [(_, version)] if *version < 8);
 }
 
@@ -425,8 +433,16 @@
         configuration: None,
         evacuated: vec!["north-a".to_string()],
     };
-    assert!(catalog.control(0, 2, evacuated.clone()).is_some());
-    assert!(catalog.control(1, 1, ControlState::default()).is_none());
+    assert!(
+        catalog
+            .update_control_state(0, 2, evacuated.clone())
+            .is_some()
+    );
+    assert!(
+        catalog
+            .update_control_state(1, 1, ControlState::default())
+            .is_none()
+    );
     let held = catalog.get(&Key::Control).expect("held");
     assert_eq!(held.value, Value::Control(evacuated));
 }
@@ -443,10 +459,17 @@
         let id = ["a", "b", "c"][random.random_range(0..3)];
         let state = [InstanceState::Ready, InstanceState::Draining][random.random_range(0..2)];
         match random.random_range(0..10) {
-            0 => entries.extend(source.leave(now, id)),
-            1 => entries.extend(source.gate(now, gate_key(), 4 * sequence, gate(random.random()))),
-            2 => entries.extend(source.control(now, sequence, ControlState::default())),
-            _ => entries.extend(source.heartbeat(now, id, beat(sequence, state))),
+            0 => entries.extend(source.deregister(now, id)),
+            1 => entries.extend(source.update_gate(
+                now,
+                gate_key(),
+                4 * sequence,
+                gate(random.random()),
+            )),
+            2 => {
+                entries.extend(source.update_control_state(now, sequence, ControlState::default()))
+            }
+            _ => entries.extend(source.record_heartbeat(now, id, beat(sequence, state))),
         }
         entries.extend(source.expire(now));
     }
@@ -471,7 +494,7 @@
             let after = other.get(&entry.key).map(|held| held.version);
             prop_assert!(after >= before, "{:?} went back", entry.key);
         }
-        let held = |catalog: &Catalog| {
+        let held = |catalog: &EndpointTable| {
             let mut entries = catalog.entries();
             entries.sort_by(|a, b| a.key.cmp(&b.key));
             entries
@@ -489,9 +512,9 @@
             let now = at as Micros * SECOND;
             let state = if drains { InstanceState::Draining } else { InstanceState::Ready };
             match kind {
-                0 => catalog.alive(now, &[(key("a"), sequence)]),
-                1 => drop(catalog.heartbeat(now, "other", ready(at as u64))),
-                _ => drop(catalog.heartbeat(now, "a", beat(sequence, state))),
+                0 => catalog.merge_observed(now, &[(key("a"), sequence)]),
+                1 => drop(catalog.record_heartbeat(now, "other", ready(at as u64))),
+                _ => drop(catalog.record_heartbeat(now, "a", beat(sequence, state))),
             }
             catalog.expire(now);
             let version = catalog.get(&key("a")).map_or(0, |entry| entry.version);
--- a/crates/endpoints/tests/simulation/world.rs
+++ b/crates/endpoints/tests/simulation/world.rs
@@ -3,8 +3,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use ironmast_endpoints::{Catalog, Merged, Micros, Patience};
-use ironmast_schema::control::{Entry, InstanceRecord, Key, Standing, Value};
+use ironmast_endpoints::{EndpointTable, ExpiryTimeouts, MergeOutcome, Micros};
+use ironmast_schema::control::{Entry, InstanceRecord, Key, Liveness, Value};
 use ironmast_schema::registration::{Heartbeat, InstanceState};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -14,7 +14,7 @@
 const AGENTS: usize = 20;
 const SERVERS: usize = 8;
 const INTERVAL: Micros = 1_200 * MS;
-const PATIENCE: Patience = Patience {
+const PATIENCE: ExpiryTimeouts = ExpiryTimeouts {
     instance: 4 * INTERVAL,
     gate: 2_500 * MS,
 };
@@ -55,7 +55,7 @@
     Wrong {
         node: usize,
         server: usize,
-        held: Option<Standing>,
+        held: Option<Liveness>,
     },
 }
 
@@ -87,7 +87,7 @@
     now: Micros,
     random: Xoshiro256PlusPlus,
     removed: Option<Guard>,
-    catalogs: Vec<Catalog>,
+    catalogs: Vec<EndpointTable>,
     stores: Vec<BTreeMap<Key, Entry>>,
     servers: Vec<Server>,
     parcels: BTreeMap<u64, (usize, Parcel)>,
@@ -117,7 +117,7 @@
             random,
             removed,
             catalogs: (0..coordinators)
-                .map(|_| Catalog::new(0, PATIENCE))
+                .map(|_| EndpointTable::new(0, PATIENCE))
                 .collect(),
             stores: vec![BTreeMap::new(); coordinators + AGENTS],
             parcels: BTreeMap::new(),
@@ -164,7 +164,7 @@
         }
         let coordinator = self.random.random_range(0..self.coordinators());
         if self.random.random_bool(0.3) {
-            self.catalogs[coordinator] = Catalog::new(self.now, PATIENCE);
+            self.catalogs[coordinator] = EndpointTable::new(self.now, PATIENCE);
             self.stores[coordinator].clear();
             return;
         }
@@ -213,14 +213,14 @@
         }
         let to = self.servers[server].calls;
         let heartbeat = heartbeat(&self.servers[server]);
-        let news = self.catalogs[to].heartbeat(self.now, &name(server), heartbeat);
+        let news = self.catalogs[to].record_heartbeat(self.now, &name(server), heartbeat);
         news.into_iter().for_each(|entry| self.publish(to, entry));
     }
 
     fn end(&mut self, server: usize) {
         let to = self.random.random_range(0..self.coordinators());
         // One that doesn't know the server has nothing to say of it: it is called again.
-        if let Some(entry) = self.catalogs[to].leave(self.now, &name(server)) {
+        if let Some(entry) = self.catalogs[to].deregister(self.now, &name(server)) {
             self.servers[server].life = Life::Ended;
             self.publish(to, entry);
         }
@@ -231,7 +231,7 @@
             for entry in self.catalogs[coordinator].expire(self.now) {
                 self.publish(coordinator, entry);
             }
-            let fresh = self.catalogs[coordinator].take_fresh();
+            let fresh = self.catalogs[coordinator].take_observed();
             for to in 0..self.coordinators() {
                 if to != coordinator {
                     self.send(coordinator, to, Parcel::Alive(fresh.clone()));
@@ -281,7 +281,9 @@
             };
             match self.parcels.remove(&serial) {
                 Some((to, Parcel::Entry(entry))) => self.store(to, entry),
-                Some((to, Parcel::Alive(heard))) => self.catalogs[to].alive(self.now, &heard),
+                Some((to, Parcel::Alive(heard))) => {
+                    self.catalogs[to].merge_observed(self.now, &heard)
+                }
                 None => {}
             }
         }
@@ -304,7 +306,7 @@
         self.stores[node].insert(entry.key.clone(), entry.clone());
         if node < self.coordinators() {
             let merged = self.catalogs[node].merge(self.now, &entry);
-            if let (Merged::Outdated(newer), true) =
+            if let (MergeOutcome::Stale(newer), true) =
                 (merged, self.removed != Some(Guard::TellAgain))
             {
                 self.publish(node, *newer);
@@ -337,15 +339,15 @@
     fn check_end(&mut self) {
         for server in 0..SERVERS {
             let wanted = match self.servers[server].life {
-                Life::Ready | Life::Draining => Standing::Present,
-                Life::Crashed => Standing::Silent,
-                Life::Ended => Standing::Gone,
+                Life::Ready | Life::Draining => Liveness::Alive,
+                Life::Crashed => Liveness::Unreachable,
+                Life::Ended => Liveness::Deregistered,
             };
             let key = Key::Instance(name(server));
             for node in 0..self.stores.len() {
-                let held = self.stores[node].get(&key).map(standing);
+                let held = self.stores[node].get(&key).map(liveness);
                 // One that crashed before anyone stored its word stays unknown.
-                if held != Some(wanted) && !(held.is_none() && wanted == Standing::Silent) {
+                if held != Some(wanted) && !(held.is_none() && wanted == Liveness::Unreachable) {
                     self.violations
                         .push(Violation::Wrong { node, server, held });
                 }
@@ -390,16 +392,16 @@
     }
 }
 
-fn standing(entry: &Entry) -> Standing {
-    record(entry).standing
+fn liveness(entry: &Entry) -> Liveness {
+    record(entry).liveness
 }
 
 /// Whether an incarnation has said that it drains or ends.
 fn is_over(entry: &Entry) -> bool {
     let record = record(entry);
-    record.standing == Standing::Gone || record.heartbeat.state == InstanceState::Draining
+    record.liveness == Liveness::Deregistered || record.heartbeat.state == InstanceState::Draining
 }
 
 fn is_usable(entry: &Entry) -> bool {
-    standing(entry) == Standing::Present && !is_over(entry)
+    liveness(entry) == Liveness::Alive && !is_over(entry)
 }
--- a/crates/gate/src/table.rs
+++ b/crates/gate/src/table.rs
@@ -11,7 +11,7 @@
     TableSpec, WeightedBackend,
 };
 use ironmast_schema::configuration::{ClientLimits, Configuration, Route, RouteType, Service};
-use ironmast_schema::control::{ControlState, Entry, InstanceRecord, Key, Standing, Value};
+use ironmast_schema::control::{ControlState, Entry, InstanceRecord, Key, Liveness, Value};
 use ironmast_schema::registration::InstanceState;
 use ironmast_schema::settings::{InternalPort, Settings};
 use rustc_hash::FxHashMap;
@@ -62,10 +62,10 @@
     }
 
     fn note(&mut self, now: Micros, id: Arc<str>, record: &InstanceRecord, news: &mut Vec<News>) {
-        match record.standing {
-            Standing::Silent => _ = self.silent.entry(id).or_insert(now),
-            Standing::Gone => _ = self.silent.remove(&id),
-            Standing::Present => {
+        match record.liveness {
+            Liveness::Unreachable => _ = self.silent.entry(id).or_insert(now),
+            Liveness::Deregistered => _ = self.silent.remove(&id),
+            Liveness::Alive => {
                 if self.silent.remove(&id).is_some() {
                     news.push(News::Disturbed(id.clone()));
                 }
@@ -96,7 +96,7 @@
 
     /// Incarnations that have ended are not kept for good.
     fn forget_ended(&mut self) {
-        let ended = |entry: &Entry| matches!(&entry.value, Value::Instance(record) if record.standing == Standing::Gone);
+        let ended = |entry: &Entry| matches!(&entry.value, Value::Instance(record) if record.liveness == Liveness::Deregistered);
         if self.entries.values().filter(|entry| ended(entry)).count() > ENDED_MOST {
             self.entries.retain(|_, entry| !ended(entry));
         }
@@ -131,7 +131,7 @@
 
     /// Gates that are there.
     pub(crate) fn gates(&self) -> u32 {
-        let there = |entry: &&Entry| matches!(&entry.value, Value::Gate(gate) if !gate.gone);
+        let there = |entry: &&Entry| matches!(&entry.value, Value::Gate(gate) if !gate.down);
         self.entries.values().filter(there).count() as u32
     }
 
@@ -161,7 +161,7 @@
             .iter()
             .filter_map(|(key, entry)| match (key, &entry.value) {
                 (Key::Gate(at), Value::Gate(gate))
-                    if !gate.gone && gate.region == settings.region =>
+                    if !gate.down && gate.region == settings.region =>
                 {
                     Some(at.ip())
                 }
@@ -178,7 +178,7 @@
         let evacuated = self.control().map_or(&[][..], |control| &control.evacuated);
         let listed = self
             .instances()
-            .filter(|(_, record)| record.standing != Standing::Gone);
+            .filter(|(_, record)| record.liveness != Liveness::Deregistered);
         listed
             .map(|(id, record)| self.server(settings, evacuated, id, record))
             .collect()
--- a/crates/gate/src/table/tests.rs
+++ b/crates/gate/src/table/tests.rs
@@ -36,7 +36,7 @@
     }
 }
 
-fn instance(id: &str, version: u64, state: &str, standing: Standing) -> Entry {
+fn instance(id: &str, version: u64, state: &str, liveness: Liveness) -> Entry {
     let body = format!(
         r#"{{"backend":"x","address":"10.0.0.9:80","zone":"s-1","capacity":64,"state":"{state}",
             "warmup_left_ms":1500,"sequence":{version}}}"#
@@ -45,7 +45,7 @@
         .expect("a sound heartbeat");
     let record = InstanceRecord {
         heartbeat,
-        standing,
+        liveness,
     };
     Entry {
         key: Key::Instance(id.to_string()),
@@ -59,7 +59,7 @@
         zone: "n-1".to_string(),
         region: "north".to_string(),
         ready: true,
-        gone,
+        down: gone,
     };
     let key = Key::Gate(([10, 0, 0, 1], port).into());
     Entry {
@@ -76,7 +76,7 @@
         5,
         vec![
             control(1, &[]),
-            instance("i-1", 1, "ready", Standing::Present),
+            instance("i-1", 1, "ready", Liveness::Alive),
             gate(80, false),
         ],
     );
@@ -116,9 +116,9 @@
 #[test]
 fn an_older_word_changes_nothing() {
     let mut known = Known::default();
-    known.merge(5, vec![instance("i-1", 3, "draining", Standing::Present)]);
+    known.merge(5, vec![instance("i-1", 3, "draining", Liveness::Alive)]);
     assert_eq!(
-        known.merge(6, vec![instance("i-1", 2, "ready", Standing::Present)]),
+        known.merge(6, vec![instance("i-1", 2, "ready", Liveness::Alive)]),
         []
     );
     assert_eq!(known.servers(&settings())[0].state, ServerState::Draining);
@@ -127,21 +127,21 @@
 #[test]
 fn a_server_that_is_gone_is_not_listed() {
     let mut known = Known::default();
-    known.merge(5, vec![instance("i-1", 1, "ready", Standing::Present)]);
-    known.merge(6, vec![instance("i-1", 2, "ready", Standing::Gone)]);
+    known.merge(5, vec![instance("i-1", 1, "ready", Liveness::Alive)]);
+    known.merge(6, vec![instance("i-1", 2, "ready", Liveness::Deregistered)]);
     assert_eq!(known.servers(&settings()), []);
 }
 
 #[test]
 fn silence_is_timed_and_its_end_may_leave_a_server_cold() {
     let mut known = Known::default();
-    known.merge(5, vec![instance("i-1", 1, "ready", Standing::Silent)]);
-    known.merge(7, vec![instance("i-1", 2, "ready", Standing::Silent)]);
+    known.merge(5, vec![instance("i-1", 1, "ready", Liveness::Unreachable)]);
+    known.merge(7, vec![instance("i-1", 2, "ready", Liveness::Unreachable)]);
     assert_eq!(
         known.servers(&settings())[0].heartbeats_missing_since,
         Some(5)
     );
-    let news = known.merge(9, vec![instance("i-1", 3, "ready", Standing::Present)]);
+    let news = known.merge(9, vec![instance("i-1", 3, "ready", Liveness::Alive)]);
     assert_eq!(
         news,
         [
@@ -159,7 +159,7 @@
         5,
         vec![
             control(1, &["s-1"]),
-            instance("i-1", 1, "ready", Standing::Present),
+            instance("i-1", 1, "ready", Liveness::Alive),
         ],
     );
     assert!(known.servers(&settings())[0].evacuated);
@@ -178,7 +178,7 @@
 #[test]
 fn without_a_configuration_there_is_no_route() {
     let mut known = Known::default();
-    known.merge(5, vec![instance("i-1", 1, "ready", Standing::Present)]);
+    known.merge(5, vec![instance("i-1", 1, "ready", Liveness::Alive)]);
     let table = known.next(&settings(), &Table::default());
     assert_matches!(table, Ok(table) if table.router().is_empty());
     assert_eq!(known.configuration(), None);
--- a/crates/gate/tests/pages.rs
+++ b/crates/gate/tests/pages.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use ironmast_schema::configuration::Configuration;
-use ironmast_schema::control::{ControlState, Entry, Key, Standing, Value};
+use ironmast_schema::control::{ControlState, Entry, Key, Liveness, Value};
 use support::{Client, ELSEWHERE, HERE, LAST_CHUNK, Server, Stage, chunk, event, instance, play};
 
 /// The deadline that [`Client::ask`] names, in ms, and the `timeout_ms` of the routes.
@@ -211,7 +211,7 @@
         let mut server = Server::start("i-1").await;
         let mut stage = Stage::start_without_configuration().await;
         stage
-            .tell(vec![brief(), instance(&server, HERE, 1, Standing::Present)])
+            .tell(vec![brief(), instance(&server, HERE, 1, Liveness::Alive)])
             .await;
         stage.until_ready(true).await;
         for target in ["/safe/a", "/unsafe/a", "/once/a"] {
@@ -287,7 +287,7 @@
         let mut waiting = first.asked().await;
         // The end is known at the gate once a request goes to the other region.
         stage
-            .tell(vec![instance(&first, HERE, 2, Standing::Gone)])
+            .tell(vec![instance(&first, HERE, 2, Liveness::Deregistered)])
             .await;
         let mut later = stage.client().await;
         for id in 3.. {
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -12,7 +12,7 @@
 
 use ironmast_schema::configuration::Configuration;
 use ironmast_schema::control::{
-    ControlState, Entry, FromGate, GateRecord, InstanceRecord, Key, Standing, ToGate, Value,
+    ControlState, Entry, FromGate, GateRecord, InstanceRecord, Key, Liveness, ToGate, Value,
 };
 use ironmast_schema::registration::Heartbeat;
 use ironmast_schema::settings::Settings;
@@ -111,7 +111,7 @@
     pub(crate) async fn configure(&mut self, servers: &[(&str, SocketAddr, &str)]) {
         let listed = servers
             .iter()
-            .map(|&(id, address, zone)| listed(id, address, zone, 1, Standing::Present));
+            .map(|&(id, address, zone)| listed(id, address, zone, 1, Liveness::Alive));
         let control = ControlState {
             configuration: Some(configuration()),
             evacuated: Vec::new(),
@@ -204,8 +204,8 @@
 }
 
 /// What is known of a server.
-pub(crate) fn instance(server: &Server, zone: &str, version: u64, standing: Standing) -> Entry {
-    listed(&server.instance, server.address, zone, version, standing)
+pub(crate) fn instance(server: &Server, zone: &str, version: u64, liveness: Liveness) -> Entry {
+    listed(&server.instance, server.address, zone, version, liveness)
 }
 
 /// What is known of another gate of the region, at that address.
@@ -214,7 +214,7 @@
         zone: HERE.to_string(),
         region: "north".to_string(),
         ready: true,
-        gone: false,
+        down: false,
     };
     Entry {
         key: Key::Gate(SocketAddr::from((address, 80))),
@@ -223,14 +223,14 @@
     }
 }
 
-fn listed(id: &str, address: SocketAddr, zone: &str, version: u64, standing: Standing) -> Entry {
+fn listed(id: &str, address: SocketAddr, zone: &str, version: u64, liveness: Liveness) -> Entry {
     let body = format!(
         r#"{{"backend":"x","address":"{address}","zone":"{zone}","capacity":8,"state":"ready","sequence":{version}}}"#
     );
     let heartbeat = Heartbeat::parse(body.as_bytes()).expect("a sound heartbeat");
     let record = InstanceRecord {
         heartbeat,
-        standing,
+        liveness,
     };
     Entry {
         key: Key::Instance(id.to_string()),
--- a/crates/schema/src/control.rs
+++ b/crates/schema/src/control.rs
@@ -1,5 +1,8 @@
-//! The frames between coordinators, agents and gates. What is distributed is versioned state by
-//! key: the higher version of a key wins, wherever it comes from.
+//! The control plane's frames between coordinators, agents and gates. They distribute versioned
+//! state by key: for each key the highest version wins, whichever node it comes from.
+//!
+//! Frames are encoded with postcard, which is positional: names may change, the order of fields and
+//! variants may not.
 
 use std::net::SocketAddr;
 
@@ -8,164 +11,164 @@
 use crate::configuration::Configuration;
 use crate::registration::Heartbeat;
 
-/// The version of these frames.
+/// The version of the frame format; both ends of a connection must agree on it.
 pub const PROTOCOL_VERSION: u16 = 2;
 
-/// Names one piece of distributed state.
+/// Identifies one entry of the distributed state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Key {
-    /// The configuration and the evacuated zones, as the register holds them.
+    /// The configuration and the evacuated zones, as stored in the register.
     Control,
     /// One incarnation of a server.
     Instance(String),
-    /// One gate, by its frontend address.
+    /// One gate, identified by its frontend address.
     Gate(SocketAddr),
 }
 
-/// What a key stands for.
+/// The value stored under a key; its variant matches the variant of the key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Value {
-    /// For [`Key::Control`].
+    /// The value of [`Key::Control`].
     Control(ControlState),
-    /// For [`Key::Instance`].
+    /// The value of [`Key::Instance`].
     Instance(InstanceRecord),
-    /// For [`Key::Gate`].
+    /// The value of [`Key::Gate`].
     Gate(GateRecord),
 }
 
-/// One piece of distributed state.
+/// One versioned entry of the distributed state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// What it is of.
+    /// The key that the entry is stored under.
     pub key: Key,
-    /// Rises with each change of it.
+    /// Increases with each change of the value.
     pub version: u64,
-    /// What it is.
+    /// The value as of this version.
     pub value: Value,
 }
 
-/// The operator's state.
+/// The state that operators set: configuration and evacuated zones.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ControlState {
-    /// The configuration in force.
+    /// The configuration in force; `None` before the first one is set.
     pub configuration: Option<Configuration>,
-    /// Zones that get nothing.
+    /// Zones that receive no traffic.
     pub evacuated: Vec<String>,
 }
 
-/// The latest word about one incarnation of a server.
+/// The latest known state of one incarnation of a server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InstanceRecord {
-    /// What it last said.
+    /// The last heartbeat that the server sent.
     pub heartbeat: Heartbeat,
-    /// What is known beyond that.
-    pub standing: Standing,
+    /// Whether the server is still alive.
+    pub liveness: Liveness,
 }
 
-/// Whether an incarnation is there.
+/// Whether an incarnation of a server is alive, as the coordinators see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
-    /// It is heard.
-    Present,
-    /// No coordinator has heard it for some intervals.
-    Silent,
-    /// It has said that it ends.
-    Gone,
+pub enum Liveness {
+    /// Its heartbeats arrive.
+    Alive,
+    /// No coordinator has received a heartbeat from it within the expiry timeout.
+    Unreachable,
+    /// It has deregistered itself; this is final for the incarnation.
+    Deregistered,
 }
 
-/// What is known of a gate.
+/// The latest known state of a gate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GateRecord {
-    /// Its zone.
+    /// The zone that the gate runs in.
     pub zone: String,
-    /// Its region.
+    /// The region that the gate runs in.
     pub region: String,
-    /// It takes new clients; of one that has gone, whether it did when last heard.
+    /// Whether the gate accepts new clients; once it is down, whether it did when last heard from.
     pub ready: bool,
-    /// It has gone.
-    pub gone: bool,
+    /// Whether the gate is down: its status updates have stopped.
+    pub down: bool,
 }
 
-/// Whether a gate serves, and if not, whether it said so before.
+/// Whether a gate serves, and if it is down, whether it had announced that.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GatePresence {
-    /// It takes new clients.
+pub enum GateStatus {
+    /// It accepts new clients.
     Ready,
-    /// It is there and takes no new clients: it starts, or finishes its last requests.
-    Unready,
-    /// It has ended, and had stopped taking clients before.
-    Ended,
-    /// It has gone without a word.
+    /// It is up but accepts no new clients: it is starting, or draining its last requests.
+    NotReady,
+    /// It is down after it had stopped accepting clients: an orderly shutdown.
+    Stopped,
+    /// It is down without having announced it: a crash or a lost connection.
     Lost,
 }
 
 impl GateRecord {
-    /// Whether it serves, and if not, whether it said so before.
+    /// Derives the gate's status from the record's flags.
     #[must_use]
-    pub fn presence(&self) -> GatePresence {
-        match (self.gone, self.ready) {
-            (false, true) => GatePresence::Ready,
-            (false, false) => GatePresence::Unready,
-            (true, false) => GatePresence::Ended,
-            (true, true) => GatePresence::Lost,
+    pub fn status(&self) -> GateStatus {
+        match (self.down, self.ready) {
+            (false, true) => GateStatus::Ready,
+            (false, false) => GateStatus::NotReady,
+            (true, false) => GateStatus::Stopped,
+            (true, true) => GateStatus::Lost,
         }
     }
 }
 
-/// From an agent or a coordinator to a coordinator.
+/// A frame from an agent or a coordinator to a coordinator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToCoordinator {
-    /// The first frame: who calls.
+    /// The first frame of a connection: identifies the sender.
     Hello(Hello),
-    /// News.
+    /// Entries that are new or have changed.
     Entries(Vec<Entry>),
-    /// A message of the register, for its node.
+    /// An encoded message of the register protocol, for the receiver's replica.
     Register(Vec<u8>),
-    /// It is still there; of what it has heard of since the last such frame, the sequence or
-    /// version.
-    Alive(Vec<(Key, u64)>),
+    /// Periodic liveness frame, with the keys that the sender has heard from since its last such
+    /// frame and the heartbeat sequence (instances) or version (gates) of each.
+    KeepAlive(Vec<(Key, u64)>),
 }
 
-/// From a coordinator to whoever called it.
+/// A frame from a coordinator to the agent or coordinator that connected to it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FromCoordinator {
-    /// It is still there.
-    Alive {
-        /// The coordinators that it knows.
+    /// Periodic liveness frame.
+    KeepAlive {
+        /// The coordinators that the sender knows.
         coordinators: Vec<SocketAddr>,
-        /// Of what it has heard of since the last such frame, the sequence or version; for
-        /// coordinators only.
+        /// The keys that the sender has heard from since its last such frame, with the heartbeat
+        /// sequence or version of each; empty unless the receiver is a coordinator.
         heard: Vec<(Key, u64)>,
-        /// It is in contact with a majority of the register's replicas and holds their newest
-        /// state.
+        /// Whether the sender is in contact with a majority of the register's replicas and holds
+        /// their newest state.
         in_contact: bool,
     },
 }
 
-/// Who calls.
+/// Identifies the node that opened a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// [`PROTOCOL_VERSION`].
+    /// The [`PROTOCOL_VERSION`] that the sender speaks.
     pub protocol: u16,
-    /// Where other coordinators reach the caller, where it is one.
+    /// The address at which other coordinators reach the sender, if it is a coordinator.
     pub coordinator: Option<SocketAddr>,
 }
 
-/// From an agent to the gate beside it.
+/// A frame from an agent to a gate on the same machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToGate {
-    /// News; the first frame on a connection holds everything.
+    /// Entries that are new or have changed; the first frame of a connection holds all entries.
     Entries(Vec<Entry>),
 }
 
-/// From a gate to the agent beside it.
+/// A frame from a gate to the agent on the same machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FromGate {
-    /// Where it serves and whether it takes new clients.
+    /// The gate's address and readiness.
     Status {
-        /// Its frontend address.
+        /// The frontend address, where clients connect.
         frontend: SocketAddr,
-        /// It takes new clients.
+        /// Whether the gate accepts new clients.
         ready: bool,
     },
 }
--- a/crates/schema/src/control/tests.rs
+++ b/crates/schema/src/control/tests.rs
@@ -70,10 +70,10 @@
 }
 
 fn value() -> impl Strategy<Value = Value> {
-    let standing = prop_oneof![
-        Just(Standing::Present),
-        Just(Standing::Silent),
-        Just(Standing::Gone)
+    let liveness = prop_oneof![
+        Just(Liveness::Alive),
+        Just(Liveness::Unreachable),
+        Just(Liveness::Deregistered)
     ];
     prop_oneof![
         (any::<bool>(), prop::collection::vec(".{0,8}", 0..3)).prop_map(|(with, evacuated)| {
@@ -83,16 +83,16 @@
                 evacuated,
             })
         }),
-        (heartbeat(), standing).prop_map(|(heartbeat, standing)| Value::Instance(InstanceRecord {
+        (heartbeat(), liveness).prop_map(|(heartbeat, liveness)| Value::Instance(InstanceRecord {
             heartbeat,
-            standing
+            liveness
         })),
-        (".{0,8}", any::<bool>(), any::<bool>()).prop_map(|(zone, ready, gone)| {
+        (".{0,8}", any::<bool>(), any::<bool>()).prop_map(|(zone, ready, down)| {
             Value::Gate(GateRecord {
                 region: zone.clone(),
                 zone,
                 ready,
-                gone,
+                down,
             })
         }),
     ]
@@ -130,7 +130,7 @@
         protocol: u16,
         coordinator in prop::option::of(address()),
     ) {
-        assert_whole(&ToCoordinator::Alive(heard));
+        assert_whole(&ToCoordinator::KeepAlive(heard));
         assert_whole(&ToCoordinator::Register(bytes));
         assert_whole(&ToCoordinator::Hello(Hello { protocol, coordinator }));
     }
@@ -141,7 +141,7 @@
         coordinators in prop::collection::vec(address(), 0..5),
         in_contact: bool,
     ) {
-        assert_whole(&FromCoordinator::Alive { coordinators, heard, in_contact });
+        assert_whole(&FromCoordinator::KeepAlive { coordinators, heard, in_contact });
     }
 
     #[test]
