--- a/crates/client-proxy/src/members.rs
+++ b/crates/client-proxy/src/members.rs
@@ -11,7 +11,7 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::path::Path;
 
-use ironmast_membership::{Member, Membership, config, incarnation_now};
+use ironmast_membership::{Member, Membership, config, new_incarnation};
 use serde::Deserialize;
 
 /// Where the operators' file is, from the working directory.
@@ -48,7 +48,7 @@
     };
     let me = Member {
         address,
-        incarnation: incarnation_now(),
+        incarnation: new_incarnation(),
     };
     Ok(Membership::new(me, config(peers.len().max(1) as u32), seed))
 }
--- a/crates/client-proxy/src/peers.rs
+++ b/crates/client-proxy/src/peers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use ironmast_membership::{Action, Membership, TAG};
+use ironmast_membership::{Action, Membership, PROTOCOL_TAG};
 use slog::{Logger, debug, info, warn};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
@@ -61,7 +61,7 @@
             let due = self
                 .membership
                 .as_ref()
-                .and_then(Membership::next_due)
+                .and_then(Membership::next_deadline)
                 .map(|d| start + d);
             let timer = async move {
                 match due {
@@ -86,10 +86,10 @@
                     // An error speaks of an earlier datagram that found nobody.
                     let Ok((bytes, from)) = received else { continue };
                     let known = self.peers.contains(&from);
-                    if let (true, Some(membership)) = (known && buffer.starts_with(&TAG), self.membership.as_mut()) {
-                        match membership.on_datagram(&buffer[..bytes], start.elapsed()) {
+                    if let (true, Some(membership)) = (known && buffer.starts_with(&PROTOCOL_TAG), self.membership.as_mut()) {
+                        match membership.handle_datagram(&buffer[..bytes], start.elapsed()) {
                             Ok(actions) => self.carry(&socket, actions).await,
-                            Err(why) => debug!(self.log, "a member's datagram is refused"; "why" => why.0),
+                            Err(why) => debug!(self.log, "a member's datagram is refused"; "why" => %why),
                         }
                         continue;
                     }
@@ -106,18 +106,18 @@
 
     /// Sends what membership asks for and logs who came and went.
     async fn carry(&self, socket: &UdpSocket, actions: Vec<Action>) {
-        let tier = self.membership.as_ref().map_or(0, Membership::tier);
+        let tier = self.membership.as_ref().map_or(0, Membership::cluster_size);
         for action in actions {
             match action {
-                Action::Send(to, bytes) => {
-                    if let Err(error) = socket.send_to(&bytes, to).await {
+                Action::Send { to, datagram } => {
+                    if let Err(error) = socket.send_to(&datagram, to).await {
                         debug!(self.log, "a member's datagram is lost"; "why" => %error);
                     }
                 }
-                Action::Up(m) => {
+                Action::MemberUp(m) => {
                     info!(self.log, "a member of the tier is up"; "member" => %m.address, "incarnation" => m.incarnation, "tier" => tier);
                 }
-                Action::Down(m) => {
+                Action::MemberDown(m) => {
                     info!(self.log, "a member of the tier is down"; "member" => %m.address, "incarnation" => m.incarnation, "tier" => tier);
                 }
             }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,115 +1,100 @@
-//! Membership among client proxies: who of the tier is alive, as events in and actions out, no I/O.
+//! Membership among client proxies: which of them are alive, as events in and actions out, without
+//! I/O.
 //!
 //! The protocol is SWIM (Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style
-//! Process Group Membership Protocol", 2002) as the `foca` library implements it: a probe a period
-//! to one member drawn at random, indirect probes through `k` others when it does not answer,
-//! suspicion before a member is declared down, refutation by a higher incarnation, and news
-//! piggybacked on every message. Datagrams hold at most [`DATAGRAM`] bytes, the platform's bound
-//! between proxies, encoded with postcard.
+//! Process Group Membership Protocol", 2002) as the `foca` library implements it: one probe per
+//! period to a member chosen at random, indirect probes through `k` others when it does not answer,
+//! suspicion before a member is declared down, refutation by a higher incarnation, and updates
+//! piggybacked on every message. Datagrams hold at most [`MAX_DATAGRAM_BYTES`], the platform's
+//! limit between proxies, and are encoded with postcard.
 //!
-//! The driver owns the socket and the clock: it hands in datagrams ([`Membership::on_datagram`])
-//! and the time ([`Membership::tick`]), and carries out the [`Action`]s it gets back. Times are
-//! [`Duration`]s since any fixed start.
+//! The driver owns the socket and the clock: it passes in datagrams
+//! ([`Membership::handle_datagram`]) and the time ([`Membership::tick`]), and carries out the
+//! [`Action`]s that it gets back. Times are [`Duration`]s since any fixed start.
 
 #![forbid(unsafe_code)]
 
-pub mod tier;
+mod member;
+pub mod simulation;
+mod timers;
 
-use std::cmp::Reverse;
-use std::collections::BinaryHeap;
 use std::net::SocketAddrV4;
 use std::num::{NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-use foca::{
-    AccumulatingRuntime, Config, Foca, OwnedNotification, PeriodicParams, PostcardCodec, Timer,
-};
+use foca::{AccumulatingRuntime, Config, Foca, OwnedNotification, PeriodicParams, PostcardCodec};
 use rand::SeedableRng as _;
 use rand::seq::SliceRandom as _;
 use rand_xoshiro::Xoshiro256PlusPlus;
-use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-/// The largest datagram between proxies, in bytes (protocol page, "Between client proxies").
-pub const DATAGRAM: usize = 256;
-
-/// The first bytes of each membership datagram: a kind and a version. Others on the same socket
-/// (the proxies' rates) and other versions are told apart by them and refused before any decoding.
-pub const TAG: [u8; 2] = *b"M1";
-
-/// Peers a member announces itself to when it joins.
-pub const JOIN_FANOUT: usize = 3;
-
-/// A member: its peer address and its incarnation, which a restart must never reuse.
-///
-/// `incarnation` is drawn at start from the clock (seconds since the Unix epoch) so that a proxy
-/// restarted from nothing comes back above every value the tier has seen of it; a refutation renews
-/// it by one.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Member {
-    /// Where its datagrams come from and go to.
-    pub address: SocketAddrV4,
-    /// Its incarnation.
-    pub incarnation: u32,
-}
+pub use member::{Member, new_incarnation};
 
-impl foca::Identity for Member {
-    type Addr = SocketAddrV4;
+use crate::timers::TimerQueue;
 
-    fn renew(&self) -> Option<Self> {
-        Some(Member {
-            address: self.address,
-            incarnation: self.incarnation.wrapping_add(1),
-        })
-    }
+/// The largest datagram between proxies, in bytes (protocol page, "Between client proxies").
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 
-    fn addr(&self) -> SocketAddrV4 {
-        self.address
-    }
+/// The first bytes of each membership datagram: the protocol and its version. They distinguish it
+/// from the other datagrams on the same socket (the proxies' rates) and from other versions before
+/// anything is decoded.
+pub const PROTOCOL_TAG: [u8; 2] = *b"M1";
 
-    fn win_addr_conflict(&self, adversary: &Self) -> bool {
-        self.incarnation > adversary.incarnation
-    }
-}
+/// The number of peers to which a member announces itself when it joins.
+pub const JOIN_FANOUT: usize = 3;
 
 /// What the driver must do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send these bytes (at most [`DATAGRAM`]) to that address.
-    Send(SocketAddrV4, Vec<u8>),
-    /// This member is now taken for alive.
-    Up(Member),
-    /// This member is now taken for down.
-    Down(Member),
+    /// Send a datagram.
+    Send {
+        /// The address of the member that receives it.
+        to: SocketAddrV4,
+        /// At most [`MAX_DATAGRAM_BYTES`] bytes.
+        datagram: Vec<u8>,
+    },
+    /// This member is now considered alive.
+    MemberUp(Member),
+    /// This member is now considered down.
+    MemberDown(Member),
 }
 
-/// An error of the protocol, for the log; nothing is lost by it.
-#[derive(Debug)]
-pub struct Refused(pub String);
+/// A datagram was rejected. The membership is unharmed, so the error is only for the log.
+#[derive(Debug, Error)]
+pub enum DatagramError {
+    /// It does not begin with [`PROTOCOL_TAG`].
+    #[error("not a membership datagram of version 1")]
+    UnknownProtocol,
+    /// It cannot be decoded, or it contradicts the protocol.
+    #[error(transparent)]
+    Protocol(#[from] foca::Error),
+}
 
-/// One proxy's view of the tier.
+/// One proxy's view of the cluster.
 pub struct Membership {
     foca: Foca<Member, PostcardCodec, Xoshiro256PlusPlus, foca::NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Member>,
-    timers: BinaryHeap<Reverse<(Duration, u64, TimerSlot)>>,
-    slots: Vec<Option<Timer<Member>>>,
-    sequence: u64,
+    timers: TimerQueue,
     now: Duration,
-    actions: Vec<Action>,
-    draws: Xoshiro256PlusPlus,
+    random: Xoshiro256PlusPlus,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct TimerSlot(usize);
-
-/// The protocol's figures for a tier of `size` proxies on one site: foca's LAN figures (a probe a
-/// second, 500 ms for its answer, 3 indirect probes, suspicion for 4 periods scaled by the log of
-/// the size), datagrams of 256 bytes with the [`TAG`], and two members taken for down asked every 2
-/// s whether they are back (LAN: every 65 s). Without that, a member cut off one way and declared
-/// down never learns it and never rejoins once the cut heals (test `a_one_sided_cut_heals...`).
+/// The protocol's parameters for a cluster of `size` proxies at one site.
+///
+/// They are foca's LAN parameters (a probe every second, 500 ms for its answer, 3 indirect probes,
+/// suspicion for 4 periods scaled by the logarithm of the size) with datagrams of
+/// [`MAX_DATAGRAM_BYTES`], and with an announcement every 2 s to two members that are considered
+/// down (LAN: every 65 s). Without the latter, a member that is partitioned in one direction and
+/// declared down never learns of it and never rejoins after the partition heals (test
+/// `one_way_partition_heals_into_a_complete_cluster`).
+///
+/// # Panics
+/// Never: the constants are not zero.
 #[must_use]
 pub fn config(size: u32) -> Config {
     let mut config = Config::new_lan(NonZeroU32::new(size.max(1)).expect("at least one"));
-    config.max_packet_size = NonZeroUsize::new(DATAGRAM - TAG.len()).expect("not zero");
+    config.max_packet_size =
+        NonZeroUsize::new(MAX_DATAGRAM_BYTES - PROTOCOL_TAG.len()).expect("not zero");
     config.periodic_announce_to_down_members = Some(PeriodicParams {
         frequency: Duration::from_secs(2),
         num_members: NonZeroUsize::new(2).expect("two"),
@@ -118,136 +103,120 @@
 }
 
 impl Membership {
-    /// `me` with these figures; `seed` draws whom to probe. Nobody is known until
-    /// [`Membership::join`].
+    /// The membership of `identity`; `seed` determines which members are probed. No other member is
+    /// known until [`Membership::join`].
     #[must_use]
-    pub fn new(me: Member, config: Config, seed: u64) -> Membership {
-        let foca = Foca::new(
-            me,
-            config,
-            Xoshiro256PlusPlus::seed_from_u64(seed),
-            PostcardCodec,
-        );
+    pub fn new(identity: Member, config: Config, seed: u64) -> Membership {
+        let probe_random = Xoshiro256PlusPlus::seed_from_u64(seed);
         Membership {
-            foca,
+            foca: Foca::new(identity, config, probe_random, PostcardCodec),
             runtime: AccumulatingRuntime::default(),
-            timers: BinaryHeap::new(),
-            slots: Vec::new(),
-            sequence: 0,
+            timers: TimerQueue::default(),
             now: Duration::ZERO,
-            actions: Vec::new(),
-            draws: Xoshiro256PlusPlus::seed_from_u64(seed ^ 0x6a09_e667_f3bc_c908),
+            random: Xoshiro256PlusPlus::seed_from_u64(seed ^ 0x6a09_e667_f3bc_c908),
         }
     }
 
-    /// Announces itself to [`JOIN_FANOUT`] peers drawn from those of the configuration (`peers`);
-    /// they answer with what they know; its own address is skipped. Drawn, not the first ones, so
-    /// that a tier that restarts at once spreads its joins.
+    /// Announces this member to [`JOIN_FANOUT`] of the configured `peers`, which answer with what
+    /// they know. Its own address is skipped. The peers are chosen at random rather than from the
+    /// head of the list, so that the joins are spread when the whole cluster restarts at once.
     pub fn join(&mut self, peers: &[SocketAddrV4], now: Duration) -> Vec<Action> {
         self.now = now;
-        let me = self.me().address;
-        let mut peers: Vec<SocketAddrV4> = peers.iter().copied().filter(|&a| a != me).collect();
-        peers.shuffle(&mut self.draws);
+        let own_address = self.identity().address;
+        let mut peers: Vec<SocketAddrV4> = peers
+            .iter()
+            .copied()
+            .filter(|&address| address != own_address)
+            .collect();
+        peers.shuffle(&mut self.random);
         for &address in peers.iter().take(JOIN_FANOUT) {
-            // The incarnation is not known yet; a join to a member is by address alone.
-            let _ = self.foca.announce(
-                Member {
-                    address,
-                    incarnation: 0,
-                },
-                &mut self.runtime,
-            );
+            // A join goes to the address alone: the peer's incarnation is not known yet.
+            let peer = Member {
+                address,
+                incarnation: 0,
+            };
+            let _ = self.foca.announce(peer, &mut self.runtime);
         }
-        self.drain()
+        self.take_actions()
     }
 
-    /// A datagram from a peer. Garbage and foreign versions are refused without harm.
-    pub fn on_datagram(&mut self, bytes: &[u8], now: Duration) -> Result<Vec<Action>, Refused> {
+    /// Processes a datagram from a peer.
+    ///
+    /// # Errors
+    /// [`DatagramError`] if it is malformed or of another version. It then changes nothing.
+    pub fn handle_datagram(
+        &mut self,
+        datagram: &[u8],
+        now: Duration,
+    ) -> Result<Vec<Action>, DatagramError> {
         self.now = now;
-        let Some(bytes) = bytes.strip_prefix(&TAG) else {
-            return Err(Refused("not a membership datagram of version 1".into()));
+        let Some(message) = datagram.strip_prefix(&PROTOCOL_TAG) else {
+            return Err(DatagramError::UnknownProtocol);
         };
-        let result = self.foca.handle_data(bytes, &mut self.runtime);
-        let actions = self.drain();
-        result.map(|()| actions).map_err(|e| Refused(e.to_string()))
+        let result = self.foca.handle_data(message, &mut self.runtime);
+        let actions = self.take_actions();
+        result?;
+        Ok(actions)
     }
 
-    /// The time has come to `now`: timers that are due fire.
+    /// Fires the timers that are due at `now`.
     pub fn tick(&mut self, now: Duration) -> Vec<Action> {
         self.now = now;
-        while let Some(Reverse((due, _, slot))) = self.timers.peek().copied() {
-            if due > now {
-                break;
-            }
-            self.timers.pop();
-            if let Some(timer) = self.slots[slot.0].take() {
-                let _ = self.foca.handle_timer(timer, &mut self.runtime);
-            }
+        while let Some(timer) = self.timers.pop_due(now) {
+            let _ = self.foca.handle_timer(timer, &mut self.runtime);
         }
-        self.drain()
+        self.take_actions()
     }
 
-    /// When the next timer is due, if any: the driver need not call [`Membership::tick`] before.
+    /// When the next timer is due, if there is one: the driver need not call [`Membership::tick`]
+    /// before.
     #[must_use]
-    pub fn next_due(&self) -> Option<Duration> {
-        self.timers.peek().map(|Reverse((due, _, _))| *due)
+    pub fn next_deadline(&self) -> Option<Duration> {
+        self.timers.next_deadline()
     }
 
-    /// Members taken for alive, not counting itself.
+    /// The number of members considered alive, without this one.
     #[must_use]
-    pub fn alive(&self) -> usize {
+    pub fn alive_peers(&self) -> usize {
         self.foca.num_members()
     }
 
-    /// The size of the tier as this proxy sees it: the members alive and itself.
+    /// The number of members considered alive, with this one.
     #[must_use]
-    pub fn tier(&self) -> usize {
-        self.alive() + 1
+    pub fn cluster_size(&self) -> usize {
+        self.alive_peers() + 1
     }
 
-    /// Its own identity, with the incarnation it has now.
+    /// This member, with its present incarnation.
     #[must_use]
-    pub fn me(&self) -> Member {
+    pub fn identity(&self) -> Member {
         *self.foca.identity()
     }
 
-    fn drain(&mut self) -> Vec<Action> {
-        while let Some((after, timer)) = self.runtime.to_schedule() {
-            let slot = self
-                .slots
-                .iter()
-                .position(Option::is_none)
-                .unwrap_or_else(|| {
-                    self.slots.push(None);
-                    self.slots.len() - 1
-                });
-            self.slots[slot] = Some(timer);
-            self.sequence += 1;
-            self.timers
-                .push(Reverse((self.now + after, self.sequence, TimerSlot(slot))));
+    /// Schedules the timers that foca asked for and takes what the driver must do.
+    fn take_actions(&mut self) -> Vec<Action> {
+        while let Some((delay, timer)) = self.runtime.to_schedule() {
+            self.timers.push(self.now + delay, timer);
         }
-        while let Some((to, bytes)) = self.runtime.to_send() {
-            let datagram: Vec<u8> = TAG.iter().chain(bytes.iter()).copied().collect();
-            debug_assert!(datagram.len() <= DATAGRAM, "foca keeps to max_packet_size");
-            self.actions.push(Action::Send(to.address, datagram));
+        let mut actions = Vec::new();
+        while let Some((to, message)) = self.runtime.to_send() {
+            let datagram: Vec<u8> = PROTOCOL_TAG.iter().chain(message.iter()).copied().collect();
+            debug_assert!(
+                datagram.len() <= MAX_DATAGRAM_BYTES,
+                "foca keeps to max_packet_size"
+            );
+            actions.push(Action::Send {
+                to: to.address,
+                datagram,
+            });
         }
         while let Some(notification) = self.runtime.to_notify() {
             match notification {
-                OwnedNotification::MemberUp(m) => self.actions.push(Action::Up(m)),
-                OwnedNotification::MemberDown(m) => self.actions.push(Action::Down(m)),
+                OwnedNotification::MemberUp(member) => actions.push(Action::MemberUp(member)),
+                OwnedNotification::MemberDown(member) => actions.push(Action::MemberDown(member)),
                 _ => {}
             }
         }
-        std::mem::take(&mut self.actions)
+        actions
     }
 }
-
-/// An incarnation for a proxy that starts now: seconds since the Unix epoch, so never one the tier
-/// saw of it before.
-#[must_use]
-pub fn incarnation_now() -> u32 {
-    let since = std::time::SystemTime::now()
-        .duration_since(std::time::UNIX_EPOCH)
-        .unwrap_or_default();
-    since.as_secs() as u32
-}
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -1,4 +1,4 @@
-//! `ironmast-testbed membership`: the membership protocol in simulated time at a tier's size and a
+//! `ironmast-testbed membership`: the membership protocol in simulated time at the size of a cluster and a
 //! share of loss.
 //!
 //! Three phases: 10 s of quiet to join; `seconds` at `loss` (each datagram lost with that chance,
@@ -9,8 +9,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use ironmast_membership::DATAGRAM;
-use ironmast_membership::tier::{Tier, index, none};
+use ironmast_membership::MAX_DATAGRAM_BYTES;
+use ironmast_membership::simulation::{SimulatedCluster, lossless};
 
 /// What to play.
 pub(crate) struct Trial {
@@ -29,41 +29,37 @@
     if !(0.0..=0.9).contains(&trial.loss) || !(1.0..=3600.0).contains(&trial.seconds) {
         return Err("--loss 0 to 0.9 and --seconds 1 to 3,600 expected".into());
     }
-    let mut tier = Tier::new(trial.members);
-    tier.run(Duration::from_secs(10), &none);
+    let mut cluster = SimulatedCluster::new(trial.members);
+    cluster.run(Duration::from_secs(10), &lossless);
     let (seed, share) = (trial.seed, (trial.loss * 1e6) as u64);
     let lossy = move |a: usize, b: usize, _: Duration, draw: u64| {
         let h = (draw ^ seed.rotate_left(17) ^ (a as u64) << 40 ^ (b as u64) << 52)
             .wrapping_mul(0x9e37_79b9_7f4a_7c15);
         (h >> 20) % 1_000_000 < share
     };
-    let sent_before: usize = tier.sent.iter().sum();
-    let lossy_from = tier.now;
-    tier.run(Duration::from_secs_f64(trial.seconds), &lossy);
-    let bytes_a_second = (tier.sent.iter().sum::<usize>() - sent_before) as f64
-        / (tier.now - lossy_from).as_secs_f64()
+    let sent_before: usize = cluster.sent_bytes.iter().sum();
+    let lossy_from = cluster.now;
+    cluster.run(Duration::from_secs_f64(trial.seconds), &lossy);
+    let bytes_a_second = (cluster.sent_bytes.iter().sum::<usize>() - sent_before) as f64
+        / (cluster.now - lossy_from).as_secs_f64()
         / trial.members as f64;
-    let living = |tier: &Tier, m: &ironmast_membership::Member| {
-        tier.members[index(m.address)].me().incarnation == m.incarnation
-            && !tier.dead[index(m.address)]
-    };
-    let false_downs = tier
+    let false_downs = cluster
         .downs
         .iter()
-        .filter(|(_, _, m)| living(&tier, m))
+        .filter(|down| cluster.is_alive(&down.member))
         .count();
-    tier.downs.clear();
-    tier.dead[0] = true;
-    let died = tier.now;
+    cluster.downs.clear();
+    cluster.crashed[0] = true;
+    let died = cluster.now;
     let (mut found, mut knowing) = (None, 0);
-    while tier.now - died < Duration::from_secs(60) {
-        tier.run(Duration::from_millis(100), &lossy);
-        // Who takes member 0 for down now: it no longer counts it in the tier.
+    while cluster.now - died < Duration::from_secs(60) {
+        cluster.run(Duration::from_millis(100), &lossy);
+        // Who takes member 0 for down now: it no longer counts it in the cluster.
         knowing = (1..trial.members)
-            .filter(|&n| tier.members[n].tier() < trial.members)
+            .filter(|&n| cluster.members[n].cluster_size() < trial.members)
             .count();
         if knowing == trial.members - 1 {
-            found = Some(tier.now - died);
+            found = Some(cluster.now - died);
             break;
         }
     }
@@ -73,8 +69,8 @@
             "{}",
             serde_json::json!({"members": trial.members, "loss": trial.loss, "seconds": trial.seconds,
                 "seed": trial.seed, "false_downs": false_downs, "detection_s": found_s,
-                "bytes_per_s_a_member": bytes_a_second, "datagram_bound": DATAGRAM,
-                "refused": tier.refused, "knowing": knowing})
+                "bytes_per_s_a_member": bytes_a_second, "datagram_bound": MAX_DATAGRAM_BYTES,
+                "refused": cluster.rejected, "knowing": knowing})
         );
     } else {
         let found = found_s.map_or(
@@ -86,7 +82,7 @@
             trial.members,
             trial.loss * 100.0,
             trial.seconds,
-            tier.refused
+            cluster.rejected
         );
     }
     Ok(if found.is_some() {
