--- a/crates/register/src/bootstrap.rs
+++ b/crates/register/src/bootstrap.rs
@@ -1,27 +1,28 @@
-//! Whether the whole system starts for the first time: asked by an initial member whose disk is
-//! empty.
+//! The bootstrap check: whether the whole system starts for the first time. An initial member whose
+//! disk is empty needs to know.
 //!
-//! The identity of an initial member follows from its address, for the initial members have to know
-//! one another's before they can agree on anything. A machine whose disk was lost, and whose
-//! settings still say that the system starts for the first time, would take the same identity again
-//! and vote as if it had promised nothing. It therefore gives no vote before the others have told
-//! of their past ([`Participation`]):
+//! The identity of an initial member follows from its address, since the initial members must know
+//! each other's identities before they can agree on anything. A machine whose disk was lost, and
+//! whose settings still say `bootstrap`, would take the same identity again and vote as if it had
+//! promised nothing: the check guards against that. The member therefore gives no vote before the
+//! others have reported their [`Participation`]:
 //!
-//! - One that has voted for something, or knows something beyond the initial state: the disk was
-//!   lost. The replica takes a new identity, and the members decide whether to take it in.
-//! - All other initial members have voted for nothing: nor has this one's earlier life in any
-//!   decision, for each decision has a majority, and so another member. It is an initial member.
-//! - Some are out of reach: if those that are heard make a majority with this one, and all of them
-//!   had empty disks too when they were first heard, the system starts with machines missing. This
-//!   is believed only after a while. Else it waits: the one that is missing may be the only other
+//! - One of them has voted, or knows a state beyond the initial one: the disk was lost. The replica
+//!   takes a new identity, and the members decide whether to add it.
+//! - All other initial members have voted for nothing: then no earlier incarnation of this one was
+//!   part of a decision either, since each decision has a majority, and so another member. It is an
+//!   initial member.
+//! - Some are unreachable: if those heard from are a majority together with this one, and all of them
+//!   had empty disks too when first heard from, the system starts with machines missing. This is
+//!   assumed only after a time-out. Otherwise the check waits: the missing one may be the only other
 //!   that knows a decision.
 //!
-//! A replica that has become a member votes only once all initial members have, or after a while a
-//! majority with it: its votes tell the others that the system had started before them, and whoever
-//! hasn't yet then takes another identity and is a member again only after a change of the set.
-//! Until then the next loss would leave no majority. A member that comes back from its disk and has
-//! voted for nothing yet ([`BootstrapCheck::returned`]) waits for a majority, too: the others may not
-//! have started.
+//! A replica that has become a member votes only once all initial members are, or after the time-out
+//! a majority: its votes would tell the others that the system had started before them, and one that
+//! isn't a member yet would then take another identity and be a member again only after a change of
+//! the replica set. Until then the next loss would leave no majority. A member that restarts from its
+//! disk and has voted for nothing yet ([`BootstrapCheck::restarted`]) waits for a majority, too: the
+//! others may not have started.
 //!
 //! What remains unprotected: a loss of the disks of a majority, which loses the decisions
 //! themselves; and a promise to a coordinator that is no initial member, given and lost with the
@@ -39,148 +40,133 @@
 #[cfg(test)]
 mod tests;
 
-/// What the others' pasts show.
+/// What the participation of the others shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BootstrapVerdict {
-    /// Not enough yet.
+    /// Not enough is known yet.
     Undecided,
     /// The system starts for the first time.
     FirstStart,
-    /// It has started before.
+    /// The system has started before: the disk of this node was lost.
     AlreadyStarted,
 }
 
-/// What has been heard of the others' pasts.
+/// What is known of the participation of the others.
 #[derive(Clone, Debug)]
 pub(crate) struct BootstrapCheck<V> {
     own: SocketAddr,
     members: Vec<SocketAddr>,
     value: V,
-    patience: Duration,
-    /// Of each initial member, its past when it was first heard.
-    heard: BTreeMap<SocketAddr, Participation>,
-    is_later: bool,
-    /// Other initial members that were heard to be members.
-    members_heard: BTreeSet<SocketAddr>,
+    timeout: Duration,
+    /// The participation that each other initial member reported first.
+    first_reports: BTreeMap<SocketAddr, Participation>,
+    /// Whether any node has reported more than the initial state.
+    is_already_started: bool,
+    /// Other initial members that have reported to be members.
+    reported_members: BTreeSet<SocketAddr>,
     /// Whether this replica has become a member.
     pub(crate) is_member: bool,
-    /// Whether it was one before this life.
-    pub(crate) has_returned: bool,
+    /// Whether it was a member before it started.
+    pub(crate) has_restarted: bool,
+    /// When the wait for the others began.
     since: Option<Duration>,
 }
 
 impl<V> BootstrapCheck<V> {
+    /// The check of an initial member whose disk is empty.
     pub(crate) fn new(
         own: SocketAddr,
         members: Vec<SocketAddr>,
         value: V,
-        patience: Duration,
+        timeout: Duration,
     ) -> Self {
         Self {
             own,
             members,
             value,
-            patience,
-            heard: BTreeMap::new(),
-            is_later: false,
-            members_heard: BTreeSet::new(),
+            timeout,
+            first_reports: BTreeMap::new(),
+            is_already_started: false,
+            reported_members: BTreeSet::new(),
             is_member: false,
-            has_returned: false,
+            has_restarted: false,
             since: None,
         }
     }
 
-    /// For an initial member that comes back from its disk and has voted for nothing; none for any
-    /// other record.
-    pub(crate) fn returned(own: SocketAddr, record: &Record<V>, patience: Duration) -> Option<Self>
+    /// The check of an initial member that restarts from its disk and has voted for nothing; none
+    /// for any other record.
+    pub(crate) fn restarted(own: SocketAddr, record: &Record<V>, timeout: Duration) -> Option<Self>
     where
         V: Clone,
     {
-        let initial = record
-            .accepted
-            .as_ref()
-            .filter(|_| !record.has_participated())?;
-        let replicas = initial.state.members.current.replicas();
+        if record.has_participated() {
+            return None;
+        }
+        let initial = &record.accepted.as_ref()?.state;
+        let replicas = initial.members.current.replicas();
         let members = replicas.iter().map(|replica| replica.address).collect();
-        let value = V::clone(&initial.state.value);
+        let value = V::clone(&initial.value);
         Some(Self {
             is_member: true,
-            has_returned: true,
-            ..Self::new(own, members, value, patience)
+            has_restarted: true,
+            ..Self::new(own, members, value, timeout)
         })
     }
 
-    /// Addresses of the initial members, which are asked.
+    /// Addresses of the initial members.
     pub(crate) fn members(&self) -> impl Iterator<Item = SocketAddr> {
         self.members.iter().copied()
     }
 
-    /// A coordinator tells of its past. One that stands at a member's address under another
-    /// identity is no witness: it doesn't know what that member knew.
-    pub(crate) fn message_received(
+    /// A coordinator has reported its participation. A node at a member's address with another
+    /// identity proves nothing about that member, unless it knows a later state.
+    pub(crate) fn participation_received(
         &mut self,
         sender: Identity,
         address: SocketAddr,
-        past: Participation,
+        participation: Participation,
     ) {
-        self.is_later |= past == Participation::Advanced;
-        let is_member = address != self.own && self.members.contains(&address);
-        if is_member && sender == Identity::from_seed_address(address) {
-            self.heard.entry(address).or_insert(past);
-            if past != Participation::Blank {
-                self.members_heard.insert(address);
+        self.is_already_started |= participation == Participation::Advanced;
+        let is_other_member = address != self.own && self.members.contains(&address);
+        if is_other_member && sender == Identity::from_seed_address(address) {
+            self.first_reports.entry(address).or_insert(participation);
+            if participation != Participation::Blank {
+                self.reported_members.insert(address);
             }
         }
     }
 
-    /// Number of the other initial members.
-    fn others(&self) -> usize {
-        self.members
-            .iter()
-            .filter(|member| **member != self.own)
-            .count()
-    }
-
-    /// Number of the other initial members that make a majority with this one.
-    fn majority_of_others(&self) -> usize {
-        self.members.len() / 2
-    }
-
-    /// Whether the others have been waited for long enough; the wait begins with the first
-    /// question.
-    fn is_patience_over(&mut self, now: Duration) -> bool {
-        now >= *self.since.get_or_insert(now) + self.patience
-    }
-
-    /// What the others' pasts show so far.
+    /// What the participation of the others shows so far.
     pub(crate) fn verdict(&mut self, now: Duration) -> BootstrapVerdict {
-        let is_patience_over = self.is_patience_over(now);
-        let all_blank = self
-            .heard
+        let has_timed_out = self.has_timed_out(now);
+        if self.is_already_started {
+            return BootstrapVerdict::AlreadyStarted;
+        }
+        let reports = self.first_reports.len();
+        let are_all_blank = self
+            .first_reports
             .values()
-            .all(|past| *past == Participation::Blank);
-        let is_likely =
-            is_patience_over && all_blank && self.heard.len() >= self.majority_of_others();
-        match (
-            self.is_later,
-            self.heard.len() == self.others() || is_likely,
-        ) {
-            (true, _) => BootstrapVerdict::AlreadyStarted,
-            (false, true) => BootstrapVerdict::FirstStart,
-            (false, false) => BootstrapVerdict::Undecided,
+            .all(|participation| *participation == Participation::Blank);
+        let suffices_after_timeout =
+            has_timed_out && are_all_blank && reports >= self.majority_of_others();
+        if reports == self.others() || suffices_after_timeout {
+            BootstrapVerdict::FirstStart
+        } else {
+            BootstrapVerdict::Undecided
         }
     }
 
-    /// Whether this member may vote: all initial members are members, or after a while a majority
-    /// of them is.
+    /// Whether this member may vote: all initial members are members, or after the time-out, or after
+    /// a restart, a majority of them is.
     pub(crate) fn may_vote(&mut self, now: Duration) -> bool {
-        let majority_suffices = self.is_patience_over(now) || self.has_returned;
+        let majority_suffices = self.has_timed_out(now) || self.has_restarted;
         let needed = if majority_suffices {
             self.majority_of_others()
         } else {
             self.others()
         };
-        self.is_member && self.members_heard.len() >= needed
+        self.is_member && self.reported_members.len() >= needed
     }
 
     /// The record of an initial member.
@@ -190,4 +176,22 @@
     {
         Record::bootstrap(self.own, &self.members, self.value.clone())
     }
+
+    /// Number of the other initial members.
+    fn others(&self) -> usize {
+        self.members
+            .iter()
+            .filter(|member| **member != self.own)
+            .count()
+    }
+
+    /// Number of the other initial members that are a majority together with this one.
+    fn majority_of_others(&self) -> usize {
+        self.members.len() / 2
+    }
+
+    /// Whether the time-out has passed; it begins with the first call.
+    fn has_timed_out(&mut self, now: Duration) -> bool {
+        now >= *self.since.get_or_insert(now) + self.timeout
+    }
 }
--- a/crates/register/src/node.rs
+++ b/crates/register/src/node.rs
@@ -67,7 +67,7 @@
             RecordSource::Durable(record) | RecordSource::Unsynced(record)
                 if guards.keeps(Guard::RestartBeforeFirstVote) =>
             {
-                BootstrapCheck::returned(location.address, record, settings.bootstrap_timeout)
+                BootstrapCheck::restarted(location.address, record, settings.bootstrap_timeout)
             }
             _ => None,
         };
@@ -228,7 +228,9 @@
             MessageBody::Reply(reply) => self.receive_reply(now, sender, address, reply, actions),
             MessageBody::Status(status) => {
                 self.controller.status_received(sender, address, &status);
-                self.participation_received(sender, address, status.participation);
+                if let Some(check) = &mut self.bootstrap_check {
+                    check.participation_received(sender, address, status.participation);
+                }
                 self.receive_status(now, address, &status, actions);
             }
             MessageBody::FetchState { known } => {
@@ -384,7 +386,7 @@
     }
 
     /// Addresses of all other coordinators known, members or not.
-    fn others(&self) -> BTreeSet<SocketAddr> {
+    fn other_addresses(&self) -> BTreeSet<SocketAddr> {
         let members = self.members().into_iter().flat_map(Membership::replicas);
         let mut addresses = self.peers.clone();
         addresses.extend(
@@ -418,7 +420,10 @@
             .proposer
             .wake()
             .into_iter()
-            .chain([self.background.wake(), self.quorum_lease.wake()])
+            .chain([
+                self.background.wake(),
+                self.quorum_lease.next_heartbeat_at(),
+            ])
             .min();
         let due = due.map(|at| at.max(now));
         if due != self.timer {
--- a/crates/register/src/node/background.rs
+++ b/crates/register/src/node/background.rs
@@ -8,6 +8,7 @@
 use crate::guard::Guard;
 use crate::node::{Action, Node};
 use crate::operation::Operation;
+use crate::reconfiguration::DueChange;
 
 /// How often it is asked whether a replica change is due.
 const RECONFIGURATION_INTERVAL: Duration = Duration::from_millis(100);
@@ -140,7 +141,9 @@
         else {
             return;
         };
-        if let Some((expected, change)) = self.controller.due(now, &state.members) {
+        if let Some(DueChange { expected, change }) =
+            self.controller.due_change(now, &state.members)
+        {
             let deadline = now + self.settings.round_timeout * 2;
             self.proposer.submit(
                 None,
--- a/crates/register/src/node/bootstrap.rs
+++ b/crates/register/src/node/bootstrap.rs
@@ -1,8 +1,7 @@
-//! The start of an initial member on an empty disk: it becomes a member, or begins anew under
-//! another identity. And the wait of a member that has voted for nothing until a majority has
-//! started.
+//! The start of an initial member on an empty disk: it becomes a member, or starts over under a new
+//! identity. Also the wait of a member that has voted for nothing until a majority has started. The
+//! rules and their reasons are those of [`crate::bootstrap`].
 
-use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::acceptor::{Acceptor, Record};
@@ -17,11 +16,11 @@
         if self.acceptor.has_participated() || self.learner.ballot() > Ballot::ZERO {
             return Participation::Advanced;
         }
-        // Before the record of a new member is durable, a kill would make it blank again.
+        // Before the record of a new member is durable, a crash would make it blank again.
         let is_new = self
             .bootstrap_check
             .as_ref()
-            .is_some_and(|bootstrap_check| !bootstrap_check.has_returned);
+            .is_some_and(|check| !check.has_restarted);
         if self.acceptor.is_blank() || is_new && self.acceptor.awaits_first_record() {
             Participation::Blank
         } else {
@@ -29,36 +28,24 @@
         }
     }
 
-    /// Another coordinator tells of its past.
-    pub(super) fn participation_received(
-        &mut self,
-        sender: Identity,
-        address: SocketAddr,
-        past: Participation,
-    ) {
-        if let Some(bootstrap_check) = &mut self.bootstrap_check {
-            bootstrap_check.message_received(sender, address, past);
-        }
-    }
-
-    /// Goes on as what the others' pasts show this node to be, once they do.
+    /// Goes on as what the bootstrap check shows this node to be, once it does.
     pub(super) fn conclude_bootstrap_check(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
-        let Some(bootstrap_check) = &mut self.bootstrap_check else {
+        let Some(check) = &mut self.bootstrap_check else {
             return;
         };
-        if bootstrap_check.is_member {
-            let is_changed = self.learner.ballot() > Ballot::ZERO;
-            if is_changed || bootstrap_check.may_vote(now) {
+        if check.is_member {
+            let is_advanced = self.learner.ballot() > Ballot::ZERO;
+            if is_advanced || check.may_vote(now) {
                 self.bootstrap_check = None;
                 self.read(now);
             }
             return;
         }
-        let record = match bootstrap_check.verdict(now) {
+        let record = match check.verdict(now) {
             BootstrapVerdict::Undecided => return,
             BootstrapVerdict::FirstStart => {
-                bootstrap_check.is_member = true;
-                bootstrap_check.record()
+                check.is_member = true;
+                check.record()
             }
             BootstrapVerdict::AlreadyStarted => {
                 self.bootstrap_check = None;
@@ -70,7 +57,7 @@
         self.read(now);
     }
 
-    /// Takes another identity.
+    /// Takes another identity, under which this node has promised nothing.
     fn adopt_new_identity(&mut self, actions: &mut Vec<Action<V>>) -> Identity {
         let identity = Identity(self.random.next());
         self.proposer.set_identity(identity);
--- a/crates/register/src/node/heartbeat.rs
+++ b/crates/register/src/node/heartbeat.rs
@@ -1,25 +1,28 @@
-//! Questions whether the others are there, and their answers, by which contact with a majority is
-//! measured.
+//! Heartbeats and their responses, by which the quorum lease is measured.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::ballot::{Ballot, Identity};
+use crate::ballot::Identity;
 use crate::message::{HeartbeatResponse, MessageBody};
 use crate::node::{Action, Node};
 use crate::quorum_lease::HeartbeatId;
+use crate::state::ballot_of;
 
 impl<V: Clone> Node<V> {
+    /// The response of this node to a heartbeat.
     pub(super) fn heartbeat_response(&self, id: HeartbeatId) -> HeartbeatResponse {
         let newest = self.newest();
         HeartbeatResponse {
             id,
-            newest: newest.map_or(Ballot::ZERO, |held| held.ballot),
-            membership_fingerprint: newest.map_or(0, |held| held.state.members.fingerprint()),
+            newest: ballot_of(newest),
+            membership_fingerprint: newest
+                .map_or(0, |proposal| proposal.state.members.fingerprint()),
         }
     }
 
-    /// Counts an answer, unless its sender holds a newer replica set: that is asked for first.
+    /// Counts a response, unless its sender has a newer replica set: then that set is fetched first,
+    /// so that no lease rests on an outdated set.
     pub(super) fn receive_heartbeat_response(
         &mut self,
         now: Duration,
@@ -32,18 +35,18 @@
         let is_outdated = response.newest > own.newest
             && response.membership_fingerprint != own.membership_fingerprint;
         if is_outdated {
-            self.fetch(now, address, response.newest, actions)
+            self.fetch(now, address, response.newest, actions);
         } else {
-            self.quorum_lease.acknowledge(sender, response.id)
+            self.quorum_lease.acknowledge(sender, response.id);
         }
     }
 
-    /// Asks all coordinators known whether they are there, when it is time.
+    /// Sends a heartbeat to all other coordinators, if one is due.
     pub(super) fn send_heartbeats(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         let Some(id) = self.quorum_lease.next_heartbeat(now) else {
             return;
         };
-        for address in self.others() {
+        for address in self.other_addresses() {
             self.send(address, MessageBody::Heartbeat { id }, actions);
         }
     }
--- a/crates/register/src/node/status.rs
+++ b/crates/register/src/node/status.rs
@@ -86,7 +86,7 @@
 
     /// Tells all coordinators known what is chosen here.
     pub(super) fn broadcast_status(&self, actions: &mut Vec<Action<V>>) {
-        for address in self.others() {
+        for address in self.other_addresses() {
             self.send(address, self.status(), actions);
         }
     }
--- a/crates/register/src/quorum_lease.rs
+++ b/crates/register/src/quorum_lease.rs
@@ -1,12 +1,14 @@
-//! Contact with a majority: when this node last asked a question that a majority of the replicas
-//! has answered.
+//! The quorum lease: by which time this node last sent a heartbeat that a majority of the replicas
+//! has acknowledged. Compare raft-rs's `check_quorum` and Gray and Cheriton's leases (1989).
 //!
-//! A node asks all coordinators that it knows at regular intervals. Its contact is as old as the
-//! *asking* of the newest question that a majority has answered, by the node's own steady clock:
-//! the time an answer was on its way, or waited while this process stood still, counts as time
-//! without contact. An answer counts only if its sender holds no newer replica set than the asker,
-//! so that a quorum of an outdated set gives no contact: any newer set is accepted by a majority of
-//! the one before it, and one of those would have told.
+//! A node sends heartbeats to all coordinators that it knows, at regular intervals. Its lease counts
+//! from the *sending* of the newest heartbeat that a majority has acknowledged, by the node's own
+//! steady clock: time in which a response was in transit, or waited while this process was paused,
+//! shortens the lease. No two clocks are compared.
+//!
+//! A response counts only if its sender has no newer replica set than this node. This guards against
+//! a lease by the quorum of an outdated set: any newer set is accepted by a majority of the one
+//! before it, so one of the replicas that respond would report it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -17,76 +19,84 @@
 #[cfg(test)]
 mod tests;
 
-/// Number of a question; unique within one life of a node, and drawn so that lives don't share
-/// numbers.
+/// Identifies a heartbeat; unique within one incarnation of a node, and seeded so that incarnations
+/// don't share identifiers.
 pub type HeartbeatId = u64;
 
-/// Questions asked within one bound.
+/// Heartbeats sent within the length of a lease.
 const HEARTBEATS_PER_LEASE: u32 = 4;
-/// Answers older than this many bounds are forgotten.
+/// Acknowledgements older than this many lengths of a lease are dropped.
 const ACK_RETENTION_LEASES: u32 = 64;
 
-/// The questions of one node and who has answered them.
+/// A heartbeat that may still be acknowledged.
+#[derive(Clone, Copy, Debug)]
+struct Heartbeat {
+    id: HeartbeatId,
+    sent_at: Duration,
+}
+
+/// The heartbeats of one node and which replicas have acknowledged them.
 #[derive(Clone, Debug)]
 pub struct QuorumLease {
-    bound: Duration,
-    next: HeartbeatId,
-    ask_at: Duration,
-    /// Questions that may still be answered, with the time of asking; oldest first.
-    open: VecDeque<(HeartbeatId, Duration)>,
-    /// When the newest question that a replica has answered was asked.
-    answered: BTreeMap<Identity, Duration>,
+    length: Duration,
+    next_id: HeartbeatId,
+    next_at: Duration,
+    /// Heartbeats that may still be acknowledged, oldest first.
+    in_flight: VecDeque<Heartbeat>,
+    /// When the newest heartbeat that a replica has acknowledged was sent.
+    acknowledged: BTreeMap<Identity, Duration>,
 }
 
 impl QuorumLease {
-    /// No contact yet. `first` is the number of the first question; it must differ at each start.
+    /// No lease yet. `first_id` is the identifier of the first heartbeat; it must differ at each
+    /// start.
     #[must_use]
-    pub fn new(bound: Duration, first: HeartbeatId) -> Self {
+    pub fn new(length: Duration, first_id: HeartbeatId) -> Self {
         Self {
-            bound,
-            next: first,
-            ask_at: Duration::ZERO,
-            open: VecDeque::new(),
-            answered: BTreeMap::new(),
+            length,
+            next_id: first_id,
+            next_at: Duration::ZERO,
+            in_flight: VecDeque::new(),
+            acknowledged: BTreeMap::new(),
         }
     }
 
-    /// When the next question is due.
+    /// When the next heartbeat is due.
     #[must_use]
-    pub fn wake(&self) -> Duration {
-        self.ask_at
+    pub fn next_heartbeat_at(&self) -> Duration {
+        self.next_at
     }
 
-    /// Makes a question due at once.
+    /// Makes a heartbeat due at once.
     pub fn expedite_heartbeat(&mut self) {
-        self.ask_at = Duration::ZERO;
+        self.next_at = Duration::ZERO;
     }
 
-    /// The question to be asked now, if one is due.
+    /// The heartbeat to send now, if one is due.
     pub fn next_heartbeat(&mut self, now: Duration) -> Option<HeartbeatId> {
-        if now < self.ask_at {
+        if now < self.next_at {
             return None;
         }
-        self.ask_at = now + self.bound / HEARTBEATS_PER_LEASE;
-        self.forget(now);
-        let number = self.next;
-        self.next = self.next.wrapping_add(1);
-        self.open.push_back((number, now));
-        Some(number)
+        self.next_at = now + self.length / HEARTBEATS_PER_LEASE;
+        self.drop_expired(now);
+        let id = self.next_id;
+        self.next_id = self.next_id.wrapping_add(1);
+        self.in_flight.push_back(Heartbeat { id, sent_at: now });
+        Some(id)
     }
 
-    /// A replica has answered. Answers to questions that were never asked, or too long ago, don't
-    /// count.
-    pub fn acknowledge(&mut self, from: Identity, number: HeartbeatId) {
-        let asked = self.open.iter().find(|(open, _)| *open == number);
-        if let Some((_, at)) = asked {
-            let newest = self.answered.entry(from).or_insert(*at);
-            *newest = (*newest).max(*at);
+    /// A replica has acknowledged a heartbeat. Responses to heartbeats that were never sent, or too
+    /// long ago, don't count.
+    pub fn acknowledge(&mut self, from: Identity, id: HeartbeatId) {
+        let heartbeat = self.in_flight.iter().find(|heartbeat| heartbeat.id == id);
+        if let Some(&Heartbeat { sent_at, .. }) = heartbeat {
+            let newest = self.acknowledged.entry(from).or_insert(sent_at);
+            *newest = (*newest).max(sent_at);
         }
     }
 
-    /// When the newest question was asked that a majority of each set held has answered; `own` has,
-    /// at every moment.
+    /// When the newest heartbeat was sent that a majority of each replica set has acknowledged; the
+    /// replica `own` has, at every moment.
     #[must_use]
     pub fn confirmed_at(
         &self,
@@ -101,11 +111,11 @@
         }
     }
 
-    /// Whether contact is younger than the bound.
+    /// Whether the lease has not expired.
     #[must_use]
     pub fn is_valid(&self, now: Duration, own: Identity, members: &Membership) -> bool {
         self.confirmed_at(now, own, members)
-            .is_some_and(|since| now < since + self.bound)
+            .is_some_and(|confirmed_at| now < confirmed_at + self.length)
     }
 
     fn majority_confirmed_at(
@@ -114,28 +124,30 @@
         own: Identity,
         set: &ReplicaSet,
     ) -> Option<Duration> {
-        let answered = |identity| {
+        let acknowledged = |identity| {
             if identity == own {
                 Some(now)
             } else {
-                self.answered.get(&identity).copied()
+                self.acknowledged.get(&identity).copied()
             }
         };
         let mut times: Vec<Duration> = set
             .replicas()
             .iter()
-            .filter_map(|replica| answered(replica.identity))
+            .filter_map(|replica| acknowledged(replica.identity))
             .collect();
         times.sort_unstable_by(|one, other| other.cmp(one));
         times.get(set.majority() - 1).copied()
     }
 
-    fn forget(&mut self, now: Duration) {
-        let bound = self.bound;
-        while self.open.front().is_some_and(|(_, at)| now >= *at + bound) {
-            self.open.pop_front();
+    /// Keeps the memory bounded.
+    fn drop_expired(&mut self, now: Duration) {
+        let length = self.length;
+        let is_expired = |heartbeat: &Heartbeat| now >= heartbeat.sent_at + length;
+        while self.in_flight.front().is_some_and(is_expired) {
+            self.in_flight.pop_front();
         }
-        self.answered
-            .retain(|_, at| now < *at + bound * ACK_RETENTION_LEASES);
+        self.acknowledged
+            .retain(|_, sent_at| now < *sent_at + length * ACK_RETENTION_LEASES);
     }
 }
--- a/crates/register/src/quorum_lease/tests.rs
+++ b/crates/register/src/quorum_lease/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the measure of contact, without a node.
+//! Tests of the quorum lease, without a node.
 
 use std::net::SocketAddr;
 
 use super::*;
 use crate::replicas::Replica;
 
-const BOUND: Duration = Duration::from_secs(1);
+const LENGTH: Duration = Duration::from_secs(1);
 const OWN: Identity = Identity(1);
 
 fn ms(millis: u64) -> Duration {
@@ -27,172 +27,176 @@
     Membership::single(set(numbers))
 }
 
-/// Asks at that time; these replicas answer.
-fn exchange(contact: &mut QuorumLease, at: u64, answering: &[u64]) {
-    let number = contact.next_heartbeat(ms(at)).expect("a question is due");
-    answering
-        .iter()
-        .for_each(|&from| contact.acknowledge(Identity(from), number));
+/// Sends a heartbeat at that time; these replicas respond.
+fn exchange(lease: &mut QuorumLease, at: u64, responding: &[u64]) {
+    let id = lease.next_heartbeat(ms(at)).expect("a heartbeat is due");
+    for &from in responding {
+        lease.acknowledge(Identity(from), id);
+    }
 }
 
-fn contact() -> QuorumLease {
-    QuorumLease::new(BOUND, 70)
+fn lease() -> QuorumLease {
+    QuorumLease::new(LENGTH, 70)
 }
 
 #[test]
-fn there_is_no_contact_before_a_majority_has_answered() {
-    let mut contact = contact();
-    assert_eq!(contact.confirmed_at(ms(0), OWN, &members(&[1, 2, 3])), None);
-    exchange(&mut contact, 0, &[]);
-    assert!(!contact.is_valid(ms(1), OWN, &members(&[1, 2, 3])));
-    exchange(&mut contact, 250, &[2]);
+fn there_is_no_lease_before_a_majority_has_acknowledged() {
+    let mut lease = lease();
+    assert_eq!(lease.confirmed_at(ms(0), OWN, &members(&[1, 2, 3])), None);
+    exchange(&mut lease, 0, &[]);
+    assert!(!lease.is_valid(ms(1), OWN, &members(&[1, 2, 3])));
+    exchange(&mut lease, 250, &[2]);
     assert_eq!(
-        contact.confirmed_at(ms(300), OWN, &members(&[1, 2, 3])),
+        lease.confirmed_at(ms(300), OWN, &members(&[1, 2, 3])),
         Some(ms(250))
     );
     assert_eq!(
-        contact.confirmed_at(ms(300), OWN, &members(&[1, 2, 3, 4])),
+        lease.confirmed_at(ms(300), OWN, &members(&[1, 2, 3, 4])),
         None,
         "of four, three are a majority"
     );
 }
 
 #[test]
-fn contact_is_as_old_as_the_asking_not_as_the_answer() {
-    let mut contact = contact();
-    let number = contact.next_heartbeat(ms(0)).expect("due");
-    let _later = contact.next_heartbeat(ms(250)).expect("due");
-    contact.acknowledge(Identity(2), number);
+fn the_lease_counts_from_the_sending_of_the_heartbeat_not_from_the_response() {
+    let mut lease = lease();
+    let id = lease.next_heartbeat(ms(0)).expect("due");
+    let _later = lease.next_heartbeat(ms(250)).expect("due");
+    lease.acknowledge(Identity(2), id);
     assert_eq!(
-        contact.confirmed_at(ms(900), OWN, &members(&[1, 2, 3])),
+        lease.confirmed_at(ms(900), OWN, &members(&[1, 2, 3])),
         Some(ms(0))
     );
-    assert!(contact.is_valid(ms(999), OWN, &members(&[1, 2, 3])));
+    assert!(lease.is_valid(ms(999), OWN, &members(&[1, 2, 3])));
     assert!(
-        !contact.is_valid(ms(1_000), OWN, &members(&[1, 2, 3])),
-        "at the bound it is over"
+        !lease.is_valid(ms(1_000), OWN, &members(&[1, 2, 3])),
+        "at its full length it has expired"
     );
 }
 
 #[test]
-fn a_cut_ends_contact_after_the_bound_and_one_answer_restores_it() {
-    let mut contact = contact();
-    exchange(&mut contact, 0, &[2, 3]);
+fn a_partition_lets_the_lease_expire_and_one_response_renews_it() {
+    let mut lease = lease();
+    exchange(&mut lease, 0, &[2, 3]);
     for at in (250..=5_000).step_by(250) {
-        exchange(&mut contact, at, &[]);
+        exchange(&mut lease, at, &[]);
         assert_eq!(
-            contact.is_valid(ms(at), OWN, &members(&[1, 2, 3])),
+            lease.is_valid(ms(at), OWN, &members(&[1, 2, 3])),
             at < 1_000,
             "{at}"
         );
     }
-    exchange(&mut contact, 5_250, &[3]);
-    assert!(contact.is_valid(ms(5_250), OWN, &members(&[1, 2, 3])));
+    exchange(&mut lease, 5_250, &[3]);
+    assert!(lease.is_valid(ms(5_250), OWN, &members(&[1, 2, 3])));
 }
 
-/// The process stands still while its question is out: the answer that waits for it then is worth
-/// nothing.
+/// The process is paused while its heartbeat is in flight: the response that waits for it then
+/// doesn't count.
 #[test]
-fn a_freeze_of_the_own_process_is_loss() {
-    let mut contact = contact();
-    exchange(&mut contact, 0, &[2, 3]);
-    let before = contact.next_heartbeat(ms(250)).expect("due");
-    assert!(!contact.is_valid(ms(9_000), OWN, &members(&[1, 2, 3])));
-    contact.acknowledge(Identity(2), before);
-    assert!(!contact.is_valid(ms(9_000), OWN, &members(&[1, 2, 3])));
-    exchange(&mut contact, 9_000, &[]);
-    contact.acknowledge(Identity(3), before);
+fn a_response_received_after_a_process_pause_does_not_renew_the_lease() {
+    let mut lease = lease();
+    exchange(&mut lease, 0, &[2, 3]);
+    let before = lease.next_heartbeat(ms(250)).expect("due");
+    assert!(!lease.is_valid(ms(9_000), OWN, &members(&[1, 2, 3])));
+    lease.acknowledge(Identity(2), before);
+    assert!(!lease.is_valid(ms(9_000), OWN, &members(&[1, 2, 3])));
+    exchange(&mut lease, 9_000, &[]);
+    lease.acknowledge(Identity(3), before);
     assert_eq!(
-        contact.confirmed_at(ms(9_000), OWN, &members(&[1, 2, 3])),
+        lease.confirmed_at(ms(9_000), OWN, &members(&[1, 2, 3])),
         Some(ms(250))
     );
 }
 
 #[test]
-fn while_two_sets_are_held_both_need_a_majority() {
+fn a_joint_membership_needs_a_majority_of_both_sets() {
     let joint = Membership::joint(set(&[1, 2, 3]), set(&[1, 4, 5]));
-    let mut contact = contact();
-    exchange(&mut contact, 0, &[2, 3]);
-    assert!(!contact.is_valid(ms(1), OWN, &joint));
-    exchange(&mut contact, 250, &[4]);
+    let mut lease = lease();
+    exchange(&mut lease, 0, &[2, 3]);
+    assert!(!lease.is_valid(ms(1), OWN, &joint));
+    exchange(&mut lease, 250, &[4]);
     assert_eq!(
-        contact.confirmed_at(ms(300), OWN, &joint),
+        lease.confirmed_at(ms(300), OWN, &joint),
         Some(ms(0)),
         "the older of both"
     );
-    exchange(&mut contact, 500, &[2, 5]);
-    assert_eq!(contact.confirmed_at(ms(600), OWN, &joint), Some(ms(500)));
+    exchange(&mut lease, 500, &[2, 5]);
+    assert_eq!(lease.confirmed_at(ms(600), OWN, &joint), Some(ms(500)));
 }
 
 #[test]
-fn a_peer_with_a_new_identity_does_not_answer_for_its_old_one() {
-    let mut contact = contact();
-    exchange(&mut contact, 0, &[22]);
-    assert!(!contact.is_valid(ms(1), OWN, &members(&[1, 2, 3])));
-    assert!(contact.is_valid(ms(1), OWN, &members(&[1, 22, 3])));
+fn a_response_under_a_new_identity_does_not_count_for_the_old_one() {
+    let mut lease = lease();
+    exchange(&mut lease, 0, &[22]);
+    assert!(!lease.is_valid(ms(1), OWN, &members(&[1, 2, 3])));
+    assert!(lease.is_valid(ms(1), OWN, &members(&[1, 22, 3])));
 }
 
 #[test]
-fn one_that_is_no_member_needs_a_majority_of_the_others() {
-    let mut contact = contact();
-    exchange(&mut contact, 0, &[2]);
-    assert!(!contact.is_valid(ms(1), OWN, &members(&[2, 3, 4])));
-    exchange(&mut contact, 250, &[2, 4]);
-    assert!(contact.is_valid(ms(251), OWN, &members(&[2, 3, 4])));
+fn a_node_that_is_no_member_needs_a_majority_of_the_members() {
+    let mut lease = lease();
+    exchange(&mut lease, 0, &[2]);
+    assert!(!lease.is_valid(ms(1), OWN, &members(&[2, 3, 4])));
+    exchange(&mut lease, 250, &[2, 4]);
+    assert!(lease.is_valid(ms(251), OWN, &members(&[2, 3, 4])));
 }
 
 #[test]
-fn the_only_member_is_always_in_contact() {
-    let contact = contact();
-    assert!(contact.is_valid(ms(77_000), OWN, &members(&[1])));
-    assert!(!contact.is_valid(ms(77_000), OWN, &members(&[2])));
+fn the_only_member_always_has_the_lease() {
+    let lease = lease();
+    assert!(lease.is_valid(ms(77_000), OWN, &members(&[1])));
+    assert!(!lease.is_valid(ms(77_000), OWN, &members(&[2])));
 }
 
 #[test]
-fn answers_to_questions_never_asked_do_not_count() {
-    let mut contact = contact();
-    let number = contact.next_heartbeat(ms(0)).expect("due");
-    contact.acknowledge(Identity(2), number + 1);
-    contact.acknowledge(Identity(2), number - 1);
-    assert_eq!(contact.confirmed_at(ms(0), OWN, &members(&[1, 2, 3])), None);
+fn responses_to_heartbeats_never_sent_do_not_count() {
+    let mut lease = lease();
+    let id = lease.next_heartbeat(ms(0)).expect("due");
+    lease.acknowledge(Identity(2), id + 1);
+    lease.acknowledge(Identity(2), id - 1);
+    assert_eq!(lease.confirmed_at(ms(0), OWN, &members(&[1, 2, 3])), None);
 }
 
 #[test]
-fn answers_out_of_order_do_not_make_contact_older() {
-    let mut contact = contact();
-    let first = contact.next_heartbeat(ms(0)).expect("due");
-    let second = contact.next_heartbeat(ms(250)).expect("due");
-    contact.acknowledge(Identity(2), second);
-    contact.acknowledge(Identity(2), first);
+fn a_reordered_older_response_does_not_shorten_the_lease() {
+    let mut lease = lease();
+    let first = lease.next_heartbeat(ms(0)).expect("due");
+    let second = lease.next_heartbeat(ms(250)).expect("due");
+    lease.acknowledge(Identity(2), second);
+    lease.acknowledge(Identity(2), first);
     assert_eq!(
-        contact.confirmed_at(ms(300), OWN, &members(&[1, 2, 3])),
+        lease.confirmed_at(ms(300), OWN, &members(&[1, 2, 3])),
         Some(ms(250))
     );
 }
 
 #[test]
-fn a_question_can_be_asked_before_its_time() {
-    let mut contact = contact();
-    exchange(&mut contact, 0, &[2]);
-    assert_eq!(contact.next_heartbeat(ms(20)), None);
-    contact.expedite_heartbeat();
-    exchange(&mut contact, 20, &[2]);
+fn an_expedited_heartbeat_is_due_at_once() {
+    let mut lease = lease();
+    exchange(&mut lease, 0, &[2]);
+    assert_eq!(lease.next_heartbeat(ms(20)), None);
+    lease.expedite_heartbeat();
+    exchange(&mut lease, 20, &[2]);
     assert_eq!(
-        contact.confirmed_at(ms(21), OWN, &members(&[1, 2, 3])),
+        lease.confirmed_at(ms(21), OWN, &members(&[1, 2, 3])),
         Some(ms(20))
     );
-    assert_eq!(contact.next_heartbeat(ms(21)), None);
+    assert_eq!(lease.next_heartbeat(ms(21)), None);
 }
 
 #[test]
-fn questions_come_at_intervals_and_nothing_grows() {
-    let mut contact = contact();
-    assert!(contact.next_heartbeat(ms(0)).is_some());
-    assert_eq!(contact.next_heartbeat(ms(249)), None);
-    assert_eq!(contact.wake(), ms(250));
+fn heartbeats_are_due_at_intervals_and_memory_is_bounded() {
+    let mut lease = lease();
+    assert!(lease.next_heartbeat(ms(0)).is_some());
+    assert_eq!(lease.next_heartbeat(ms(249)), None);
+    assert_eq!(lease.next_heartbeat_at(), ms(250));
     for at in (250..1_000_000).step_by(250) {
-        exchange(&mut contact, at, &[at / 250]);
+        exchange(&mut lease, at, &[at / 250]);
     }
-    assert!(contact.open.len() <= 5, "{}", contact.open.len());
-    assert!(contact.answered.len() <= 257, "{}", contact.answered.len());
+    assert!(lease.in_flight.len() <= 5, "{}", lease.in_flight.len());
+    assert!(
+        lease.acknowledged.len() <= 257,
+        "{}",
+        lease.acknowledged.len()
+    );
 }
--- a/crates/register/src/reconfiguration.rs
+++ b/crates/register/src/reconfiguration.rs
@@ -1,5 +1,9 @@
-//! The steward: which replica change is due, by what is heard of the coordinators. Safety never
-//! depends on it.
+//! Replica-set reconfiguration: decides which change of the replica set is due, by the messages
+//! received from the coordinators and by their status.
+//!
+//! Safety never depends on it: a change is decided like any other, by the majorities of a joint
+//! membership. It guards against a register that bears no further loss, because a lost replica isn't
+//! replaced, and against needless changes, because one node alone can't hear a healthy member.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,117 +23,144 @@
 
 /// What is known of the coordinator at one address.
 #[derive(Clone, Debug)]
-struct Entry {
+struct Peer {
     identity: Identity,
     zone: String,
     last_heard: Duration,
     leaving: bool,
-    /// Members that it has not heard.
+    /// Members from which it has received nothing for a while.
     unreachable: Vec<Identity>,
     /// Identities that this address had before; late messages may still name them.
     retired: BTreeSet<Identity>,
 }
 
-/// Follows the coordinators and tells which replica change is due.
+impl Peer {
+    fn new(identity: Identity, last_heard: Duration) -> Self {
+        Self {
+            identity,
+            zone: String::new(),
+            last_heard,
+            leaving: false,
+            unreachable: Vec::new(),
+            retired: BTreeSet::new(),
+        }
+    }
+
+    /// The address has another identity from now on.
+    fn set_identity(&mut self, identity: Identity) {
+        self.retired.insert(self.identity);
+        self.identity = identity;
+        self.leaving = false;
+        self.unreachable.clear();
+    }
+}
+
+/// A replica change to propose.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DueChange {
+    /// The replica set that the change is made for.
+    pub expected: ReplicaSet,
+    /// The change.
+    pub change: ReplicaChange,
+}
+
+/// A change that is needed, and since when.
+#[derive(Clone, Debug)]
+struct NeededChange {
+    change: ReplicaChange,
+    since: Duration,
+}
+
+/// Follows the coordinators and decides which replica change is due.
 #[derive(Clone, Debug)]
 pub struct ReplicaSetController {
     own: Replica,
-    started: Duration,
+    started_at: Duration,
     target: usize,
-    unreachable: Duration,
+    unreachable_timeout: Duration,
     stagger: Duration,
-    pause: Duration,
-    entries: BTreeMap<SocketAddr, Entry>,
+    proposal_interval: Duration,
+    peers: BTreeMap<SocketAddr, Peer>,
     leaving: bool,
-    wish: Option<(ReplicaChange, Duration)>,
-    paused_until: Duration,
+    needed: Option<NeededChange>,
+    next_proposal_at: Duration,
     guards: Guards,
 }
 
 impl ReplicaSetController {
-    /// A steward for this node's coordinator.
+    /// The controller of the node of that replica.
     #[must_use]
     pub fn new(own: Replica, settings: &Settings) -> Self {
         Self {
             own,
-            started: Duration::ZERO,
+            started_at: Duration::ZERO,
             target: settings.target_replicas,
-            unreachable: settings.unreachable_timeout,
+            unreachable_timeout: settings.unreachable_timeout,
             stagger: settings.reconfiguration_stagger,
-            pause: settings.round_timeout,
-            entries: BTreeMap::new(),
+            proposal_interval: settings.round_timeout,
+            peers: BTreeMap::new(),
             leaving: false,
-            wish: None,
-            paused_until: Duration::ZERO,
+            needed: None,
+            next_proposal_at: Duration::ZERO,
             guards: settings.guards,
         }
     }
 
-    /// The own replica goes on under another identity.
+    /// The own replica continues under another identity.
     pub fn set_identity(&mut self, identity: Identity) {
         self.own.identity = identity;
     }
 
-    /// The node starts to listen: members that are never heard count as silent from here on.
+    /// The node starts to receive messages: the time-out of members never heard from begins.
     pub fn start(&mut self, now: Duration) {
-        self.started = now;
+        self.started_at = now;
     }
 
-    /// Whether this coordinator gives its place up: it is about to stop for good, or can't vote any
-    /// more.
+    /// Sets whether this coordinator gives up its membership: it is about to stop for good, or its
+    /// disk is stalled.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
     /// A message of a coordinator has arrived.
     pub fn message_received(&mut self, now: Duration, identity: Identity, address: SocketAddr) {
-        let entry = self.entries.entry(address).or_insert_with(|| Entry {
-            identity,
-            zone: String::new(),
-            last_heard: now,
-            leaving: false,
-            unreachable: Vec::new(),
-            retired: BTreeSet::new(),
-        });
-        if entry.retired.contains(&identity) {
+        let peer = self
+            .peers
+            .entry(address)
+            .or_insert_with(|| Peer::new(identity, now));
+        if peer.retired.contains(&identity) {
             return;
         }
-        if entry.identity != identity {
-            entry.retired.insert(entry.identity);
-            entry.identity = identity;
-            entry.leaving = false;
-            entry.unreachable.clear();
+        if peer.identity != identity {
+            peer.set_identity(identity);
         }
-        entry.last_heard = now;
+        peer.last_heard = now;
     }
 
-    /// A coordinator tells of itself.
+    /// A coordinator has reported its status.
     pub fn status_received(
         &mut self,
         identity: Identity,
         address: SocketAddr,
         status: &NodeStatus,
     ) {
-        if let Some(entry) = self
-            .entries
-            .get_mut(&address)
-            .filter(|entry| entry.identity == identity)
-        {
-            status.zone.clone_into(&mut entry.zone);
-            entry.leaving = status.leaving;
-            status.unreachable.clone_into(&mut entry.unreachable);
+        let peer = self.peers.get_mut(&address);
+        if let Some(peer) = peer.filter(|peer| peer.identity == identity) {
+            status.zone.clone_into(&mut peer.zone);
+            peer.leaving = status.leaving;
+            status.unreachable.clone_into(&mut peer.unreachable);
         }
     }
 
-    /// The own process stood still for that time, in which the others could not be heard.
+    /// The own process was paused for that time, in which it couldn't receive anything.
     pub fn discount_process_pause(&mut self, pause: Duration) {
-        self.started += pause;
-        for entry in self.entries.values_mut() {
-            entry.last_heard += pause;
+        self.started_at += pause;
+        for peer in self.peers.values_mut() {
+            peer.last_heard += pause;
         }
     }
 
-    /// The members that this node has not heard for a while.
+    /// The members from which this node has received nothing within the time-out.
     #[must_use]
     pub fn unreachable_members(&self, now: Duration, members: &Membership) -> Vec<Identity> {
         let coordinators = self.coordinators(now, &members.current);
@@ -139,57 +170,59 @@
             .collect()
     }
 
-    /// The change to be proposed now, with the replica set that it changes. One at a time; after
-    /// each a pause.
-    pub fn due(
-        &mut self,
-        now: Duration,
-        members: &Membership,
-    ) -> Option<(ReplicaSet, ReplicaChange)> {
-        let change = self.wished(now, members);
-        let Some(change) = change else {
-            self.wish = None;
+    /// The change to be proposed now. Changes are proposed one at a time, each a while after the one
+    /// before.
+    pub fn due_change(&mut self, now: Duration, members: &Membership) -> Option<DueChange> {
+        let Some(change) = self.needed_change(now, members) else {
+            self.needed = None;
             return None;
         };
-        let since = match &self.wish {
-            Some((wish, since)) if *wish == change => *since,
+        let since = match &self.needed {
+            Some(needed) if needed.change == change => needed.since,
             _ => now,
         };
-        self.wish = Some((change.clone(), since));
+        self.needed = Some(NeededChange {
+            change: change.clone(),
+            since,
+        });
         let delay = self.delay(now, &members.current, &change);
-        if now < since + delay || now < self.paused_until {
+        if now < since + delay || now < self.next_proposal_at {
             return None;
         }
-        self.paused_until = now + self.pause;
-        Some((members.current.clone(), change))
+        self.next_proposal_at = now + self.proposal_interval;
+        Some(DueChange {
+            expected: members.current.clone(),
+            change,
+        })
     }
 
-    fn wished(&self, now: Duration, members: &Membership) -> Option<ReplicaChange> {
+    /// The change that the replica set needs; none while the membership is joint.
+    fn needed_change(&self, now: Duration, members: &Membership) -> Option<ReplicaChange> {
         if members.is_joint() {
             return None;
         }
         let set = &members.current;
         let coordinators = self.coordinators(now, set);
-        let missed = self.missed(now, members);
+        let lost = self.lost_members(now, members);
         Plan {
             set,
             coordinators: &coordinators,
-            missed: &missed,
+            lost: &lost,
             target: self.target,
         }
         .change()
     }
 
-    /// Members that a majority of the members has not heard. What a single node doesn't hear may be
-    /// well, behind a link that fails in one direction.
-    fn missed(&self, now: Duration, members: &Membership) -> BTreeSet<Identity> {
+    /// Members that a majority of the members can't reach. One that only a single node can't reach
+    /// may be healthy, behind a link that fails in one direction.
+    fn lost_members(&self, now: Duration, members: &Membership) -> BTreeSet<Identity> {
         let set = &members.current;
-        let told = self
-            .entries
+        let mut reports: Vec<Vec<Identity>> = self
+            .peers
             .values()
-            .filter(|entry| set.contains(entry.identity));
-        let live = told.filter(|entry| now < entry.last_heard + self.unreachable);
-        let mut reports: Vec<Vec<Identity>> = live.map(|entry| entry.unreachable.clone()).collect();
+            .filter(|peer| set.contains(peer.identity) && self.is_reachable(now, peer))
+            .map(|peer| peer.unreachable.clone())
+            .collect();
         let own = self.unreachable_members(now, members);
         if set.contains(self.own.identity) {
             reports.push(own.clone());
@@ -199,39 +232,43 @@
         } else {
             0
         };
-        let is_missed = |member: &Identity| {
-            reports
+        let is_lost = |member: &Identity| {
+            let count = reports
                 .iter()
                 .filter(|report| report.contains(member))
-                .count()
-                >= needed
+                .count();
+            count >= needed
         };
-        own.into_iter().filter(is_missed).collect()
+        own.into_iter().filter(is_lost).collect()
+    }
+
+    fn is_reachable(&self, now: Duration, peer: &Peer) -> bool {
+        now < peer.last_heard + self.unreachable_timeout
     }
 
-    /// What is heard at each address, and the members that were never heard.
+    /// The coordinator known at each address, this one, and the members never heard from.
     fn coordinators(&self, now: Duration, set: &ReplicaSet) -> Vec<Coordinator> {
-        let heard = self.entries.iter().map(|(&address, entry)| Coordinator {
+        let heard = self.peers.iter().map(|(&address, peer)| Coordinator {
             replica: Replica {
-                identity: entry.identity,
+                identity: peer.identity,
                 address,
-                zone: entry.zone.clone(),
+                zone: peer.zone.clone(),
             },
-            is_live: now < entry.last_heard + self.unreachable,
-            leaving: entry.leaving,
+            is_live: self.is_reachable(now, peer),
+            leaving: peer.leaving,
         });
         let own = Coordinator {
             replica: self.own.clone(),
             is_live: true,
             leaving: self.leaving,
         };
-        let is_new = now < self.started + self.unreachable;
+        let has_just_started = now < self.started_at + self.unreachable_timeout;
         let unheard = set.replicas().iter().filter(|replica| {
-            replica.address != self.own.address && !self.entries.contains_key(&replica.address)
+            replica.address != self.own.address && !self.peers.contains_key(&replica.address)
         });
         let unheard = unheard.map(|replica| Coordinator {
             replica: replica.clone(),
-            is_live: is_new,
+            is_live: has_just_started,
             leaving: false,
         });
         heard.chain([own]).chain(unheard).collect()
@@ -245,13 +282,12 @@
             return Duration::ZERO;
         }
         let coordinators = self.coordinators(now, set);
-        let live = set
+        let earlier = set
             .replicas()
             .iter()
-            .filter(|replica| is_live(&coordinators, replica.identity));
-        let before = live
+            .filter(|replica| is_live(&coordinators, replica.identity))
             .filter(|replica| !set.contains(own) || replica.identity < own)
             .count();
-        self.stagger * u32::try_from(before).unwrap_or(u32::MAX)
+        self.stagger * u32::try_from(earlier).unwrap_or(u32::MAX)
     }
 }
--- a/crates/register/src/reconfiguration/plan.rs
+++ b/crates/register/src/reconfiguration/plan.rs
@@ -1,4 +1,4 @@
-//! The change that a replica set needs, as a function of the coordinators.
+//! The change that a replica set needs, as a pure function of the coordinators.
 
 use std::collections::BTreeSet;
 
@@ -10,77 +10,76 @@
 #[derive(Clone, Debug)]
 pub(super) struct Coordinator {
     pub(super) replica: Replica,
-    /// Heard lately.
+    /// A message came from it within the time-out.
     pub(super) is_live: bool,
-    /// About to stop for good.
+    /// It gives up its membership.
     pub(super) leaving: bool,
 }
 
 impl Coordinator {
-    pub(super) fn is(&self, identity: Identity) -> bool {
+    fn has_identity(&self, identity: Identity) -> bool {
         self.replica.identity == identity
     }
 }
 
-/// A replica set and the coordinators there are.
+/// A replica set and the coordinators that are known.
 pub(super) struct Plan<'a> {
     pub(super) set: &'a ReplicaSet,
     pub(super) coordinators: &'a [Coordinator],
-    /// Members that are to be given up for lost.
-    pub(super) missed: &'a BTreeSet<Identity>,
+    /// Members that count as lost.
+    pub(super) lost: &'a BTreeSet<Identity>,
     /// Number of replicas aimed at.
     pub(super) target: usize,
 }
 
 impl Plan<'_> {
-    /// The most urgent change of which the result has a live majority.
+    /// The most urgent change after which live members are still a majority.
     pub(super) fn change(&self) -> Option<ReplicaChange> {
         let candidates = [
-            self.renew(),
+            self.replace_emptied(),
             self.shrink(),
-            self.swap(),
+            self.replace_lost(),
             self.grow(),
-            self.even_out(),
+            self.make_odd(),
         ];
         candidates
             .into_iter()
             .flatten()
-            .find(|change| self.is_bearable(change))
+            .find(|change| self.keeps_live_majority(change))
     }
 
-    /// A member whose disk was emptied: its address has another identity.
-    fn renew(&self) -> Option<ReplicaChange> {
-        let renewed = |replica: &Replica| {
-            let at = |known: &&Coordinator| known.replica.address == replica.address;
-            let known = self.coordinators.iter().find(at)?;
+    /// Replaces a member whose disk was lost: its address has another identity.
+    fn replace_emptied(&self) -> Option<ReplicaChange> {
+        let replacement = |member: &Replica| {
+            let at_address = |known: &&Coordinator| known.replica.address == member.address;
+            let known = self.coordinators.iter().find(at_address)?;
             let is_new = known.is_live
-                && !known.is(replica.identity)
+                && !known.has_identity(member.identity)
                 && !self.set.contains(known.replica.identity);
-            is_new.then(|| swap(replica, &known.replica))
+            is_new.then(|| replace(member, &known.replica))
         };
-        self.set.replicas().iter().find_map(renewed)
+        self.set.replicas().iter().find_map(replacement)
     }
 
-    /// More members than wanted, one of which is gone or leaves.
+    /// Removes a member that is lost or leaves, if there are more members than aimed at.
     fn shrink(&self) -> Option<ReplicaChange> {
         if self.set.len() <= self.target {
             return None;
         }
-        self.lost()
+        self.lost_or_leaving()
             .map(|replica| ReplicaChange::Remove(replica.identity))
     }
 
-    /// A member that is gone or leaves, and a coordinator in its place.
-    fn swap(&self) -> Option<ReplicaChange> {
-        let lost = self.lost()?;
-        let standby = self
-            .standbys(&self.set.without(lost.identity))
-            .into_iter()
-            .next()?;
-        Some(swap(lost, &standby))
+    /// Replaces a member that is lost or leaves by a standby.
+    fn replace_lost(&self) -> Option<ReplicaChange> {
+        let lost = self.lost_or_leaving()?;
+        let remaining = self.set.without(lost.identity);
+        let standby = self.standbys(&remaining).into_iter().next()?;
+        Some(replace(lost, &standby))
     }
 
-    /// Fewer members than wanted. An odd set grows only if the next odd size can be reached.
+    /// Adds a standby, if there are fewer members than aimed at. An odd set grows only if the next
+    /// odd size can be reached, since an even set bears no more losses.
     fn grow(&self) -> Option<ReplicaChange> {
         if self.set.len() >= self.target {
             return None;
@@ -97,94 +96,93 @@
         standbys.into_iter().next().map(ReplicaChange::Add)
     }
 
-    /// An even set with a member gone and nobody in its place bears as much without it.
-    fn even_out(&self) -> Option<ReplicaChange> {
+    /// Removes a lost member of an even set that nobody can replace: the set bears as many losses
+    /// without it.
+    fn make_odd(&self) -> Option<ReplicaChange> {
         if !self.set.len().is_multiple_of(2) || self.set.len() <= 2 {
             return None;
         }
-        self.lost()
+        self.lost_or_leaving()
             .map(|replica| ReplicaChange::Remove(replica.identity))
     }
 
-    /// A member that is given up for lost, or else one that leaves.
-    fn lost(&self) -> Option<&Replica> {
+    /// A member that counts as lost, or else one that leaves.
+    fn lost_or_leaving(&self) -> Option<&Replica> {
         let replicas = self.set.replicas();
-        let dead = replicas
+        let lost = replicas
             .iter()
-            .find(|replica| self.missed.contains(&replica.identity));
+            .find(|replica| self.lost.contains(&replica.identity));
         let leaving = replicas.iter().find(|replica| {
             self.coordinators
                 .iter()
-                .any(|known| known.is(replica.identity) && known.leaving)
+                .any(|known| known.has_identity(replica.identity) && known.leaving)
         });
-        dead.or(leaving)
+        lost.or(leaving)
     }
 
-    /// Live coordinators that could become members of the set: those of zones without a member come
-    /// first.
+    /// Live coordinators that could become members of the set: those in zones without a member
+    /// first, then by identity.
     fn standbys(&self, set: &ReplicaSet) -> Vec<Replica> {
         let zones: BTreeSet<&str> = set
             .replicas()
             .iter()
             .map(|replica| self.zone(replica))
             .collect();
-        let is_free = |known: &&Coordinator| {
+        let is_standby = |known: &&Coordinator| {
             let address = known.replica.address;
-            let holds_address = self
+            let is_member_address = self
                 .set
                 .replicas()
                 .iter()
                 .any(|replica| replica.address == address);
-            known.is_live && !known.leaving && !holds_address
+            known.is_live && !known.leaving && !is_member_address
         };
         let mut standbys: Vec<Replica> = self
             .coordinators
             .iter()
-            .filter(is_free)
+            .filter(is_standby)
             .map(|known| known.replica.clone())
             .collect();
         standbys.sort_by_key(|replica| (zones.contains(replica.zone.as_str()), replica.identity));
         standbys
     }
 
-    /// The zone that the coordinator tells, or else the one in the replica set.
+    /// The zone that the coordinator reports, or else the one in the replica set.
     fn zone<'a>(&'a self, replica: &'a Replica) -> &'a str {
-        let told = self
+        let reported = self
             .coordinators
             .iter()
-            .find(|known| known.is(replica.identity));
-        told.map(|known| known.replica.zone.as_str())
+            .find(|known| known.has_identity(replica.identity));
+        reported
+            .map(|known| known.replica.zone.as_str())
             .filter(|zone| !zone.is_empty())
             .unwrap_or(&replica.zone)
     }
 
-    fn is_live(&self, identity: Identity) -> bool {
-        is_live(self.coordinators, identity)
-    }
-
-    /// Whether live members are a majority of the set before and after.
-    fn is_bearable(&self, change: &ReplicaChange) -> bool {
-        let has_majority = |set: &ReplicaSet| {
+    /// Whether live members are a majority of the set before and after the change.
+    fn keeps_live_majority(&self, change: &ReplicaChange) -> bool {
+        let has_live_majority = |set: &ReplicaSet| {
             let live = set
                 .replicas()
                 .iter()
-                .filter(|replica| self.is_live(replica.identity))
+                .filter(|replica| is_live(self.coordinators, replica.identity))
                 .count();
             live >= set.majority()
         };
         let next = change.apply_to(self.set);
-        has_majority(self.set) && next.is_ok_and(|next| next.as_ref().is_some_and(has_majority))
+        has_live_majority(self.set)
+            && next.is_ok_and(|next| next.as_ref().is_some_and(has_live_majority))
     }
 }
 
-/// Whether the replica of this identity has been heard lately.
+/// Whether a message of the replica of this identity came within the time-out.
 pub(super) fn is_live(coordinators: &[Coordinator], identity: Identity) -> bool {
     coordinators
         .iter()
-        .any(|known| known.is(identity) && known.is_live)
+        .any(|known| known.has_identity(identity) && known.is_live)
 }
 
-fn swap(removed: &Replica, added: &Replica) -> ReplicaChange {
+fn replace(removed: &Replica, added: &Replica) -> ReplicaChange {
     ReplicaChange::Replace {
         removed: removed.identity,
         added: added.clone(),
--- a/crates/register/src/reconfiguration/tests.rs
+++ b/crates/register/src/reconfiguration/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the steward: one change at a time, never below a live majority.
+//! Tests of the reconfiguration: one change at a time, never below a live majority.
 
 use assert_matches::assert_matches;
 
@@ -22,8 +22,8 @@
     ))
 }
 
-/// What a coordinator tells of itself; it has heard neither replica 3 nor replica 4.
-fn told(zone: &str) -> NodeStatus {
+/// The status of a coordinator that can reach neither replica 3 nor replica 4.
+fn status(zone: &str) -> NodeStatus {
     NodeStatus {
         chosen: None,
         zone: zone.to_owned(),
@@ -33,23 +33,23 @@
     }
 }
 
-/// The steward of replica 1, which has heard those others just now.
+/// The controller of replica 1, which has just received messages of those others.
 fn controller(heard: &[(u64, &str)]) -> ReplicaSetController {
     let mut controller = ReplicaSetController::new(replica(1, "a"), &Settings::default());
     for &(number, zone) in heard {
         let other = replica(number, zone);
         controller.message_received(NOW, other.identity, other.address);
-        controller.status_received(other.identity, other.address, &told(zone));
+        controller.status_received(other.identity, other.address, &status(zone));
     }
     controller
 }
 
 fn due(controller: &mut ReplicaSetController, members: &Membership) -> Option<ReplicaChange> {
-    controller.due(NOW, members).map(|(_, change)| change)
+    controller.due_change(NOW, members).map(|due| due.change)
 }
 
 #[test]
-fn nothing_is_due_while_all_are_there() {
+fn no_change_is_due_while_all_members_are_reachable() {
     assert_eq!(
         due(
             &mut controller(&[(2, "b"), (3, "c"), (4, "a")]),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_emptied_disk_takes_the_place_of_its_former_self() {
+fn a_member_on_an_emptied_disk_replaces_its_old_identity() {
     let mut controller = controller(&[(2, "b"), (3, "c")]);
     let address = replica(3, "c").address;
     controller.message_received(NOW, Identity(33), address);
@@ -68,29 +68,29 @@
     assert_matches!(change, Some(ReplicaChange::Replace { removed: Identity(3), added }) if added.identity == Identity(33));
     controller.message_received(NOW, Identity(3), address);
     assert_eq!(
-        controller.entries[&address].identity,
+        controller.peers[&address].identity,
         Identity(33),
         "a late message changes nothing"
     );
 }
 
 #[test]
-fn a_standby_of_a_zone_without_member_is_preferred() {
+fn a_standby_in_a_zone_without_a_member_is_preferred() {
     let mut controller = controller(&[(2, "b"), (4, "b"), (5, "c")]);
     let change = due(&mut controller, &members(&[1, 2, 3]));
     assert_matches!(change, Some(ReplicaChange::Replace { removed: Identity(3), added }) if added.identity == Identity(5));
 }
 
 #[test]
-fn one_that_leaves_is_swapped() {
+fn a_member_that_leaves_is_replaced() {
     let mut controller = controller(&[(2, "b"), (3, "c"), (4, "c")]);
-    let leaver = replica(3, "c");
+    let leaving_member = replica(3, "c");
     let leaving = NodeStatus {
         leaving: true,
         unreachable: Vec::new(),
-        ..told("c")
+        ..status("c")
     };
-    controller.status_received(leaver.identity, leaver.address, &leaving);
+    controller.status_received(leaving_member.identity, leaving_member.address, &leaving);
     assert_matches!(
         due(&mut controller, &members(&[1, 2, 3])),
         Some(ReplicaChange::Replace {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_set_above_the_target_drops_the_one_that_is_gone() {
+fn a_set_above_the_target_removes_the_lost_member() {
     let mut controller = controller(&[(2, "b"), (3, "c"), (5, "a")]);
     assert_eq!(
         due(&mut controller, &members(&[1, 2, 3, 4])),
@@ -121,43 +121,43 @@
 }
 
 #[test]
-fn without_a_live_majority_nothing_is_due() {
+fn no_change_is_due_without_a_live_majority() {
     let mut controller = controller(&[(4, "b"), (5, "c")]);
     assert_eq!(due(&mut controller, &members(&[1, 2, 3])), None);
 }
 
 #[test]
-fn nothing_is_due_while_two_sets_are_held() {
+fn no_change_is_due_while_the_membership_is_joint() {
     let current = members(&[1, 2, 3]).current;
     let joint = Membership::joint(current.clone(), current.without(Identity(3)));
     assert_eq!(due(&mut controller(&[(2, "b"), (4, "c")]), &joint), None);
 }
 
 #[test]
-fn others_than_the_first_wait_and_a_change_is_not_repeated_at_once() {
+fn a_later_member_waits_for_its_stagger_and_does_not_repeat_a_change_at_once() {
     let mut controller = controller(&[(2, "b"), (4, "c")]);
     controller.own = replica(9, "a");
     let one = replica(1, "a");
     controller.message_received(NOW, one.identity, one.address);
-    controller.status_received(one.identity, one.address, &told("a"));
+    controller.status_received(one.identity, one.address, &status("a"));
     let set = members(&[1, 2, 9, 3]);
-    assert_eq!(controller.due(NOW, &set), None);
+    assert_eq!(controller.due_change(NOW, &set), None);
     let later = NOW + Settings::default().reconfiguration_stagger * 2;
-    assert!(controller.due(later, &set).is_some());
-    assert_eq!(controller.due(later, &set), None);
+    assert!(controller.due_change(later, &set).is_some());
+    assert_eq!(controller.due_change(later, &set), None);
 }
 
 #[test]
-fn a_member_that_others_hear_stays() {
+fn a_member_that_others_reach_is_not_replaced() {
     let mut controller = controller(&[(2, "b"), (4, "c")]);
     let two = replica(2, "b");
-    let well = NodeStatus {
+    let reaches_all = NodeStatus {
         unreachable: Vec::new(),
-        ..told("b")
+        ..status("b")
     };
-    controller.status_received(two.identity, two.address, &well);
+    controller.status_received(two.identity, two.address, &reaches_all);
     assert_eq!(due(&mut controller, &members(&[1, 2, 3])), None);
-    controller.status_received(two.identity, two.address, &told("b"));
+    controller.status_received(two.identity, two.address, &status("b"));
     assert_matches!(
         due(&mut controller, &members(&[1, 2, 3])),
         Some(ReplicaChange::Replace { .. })
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn time_in_which_the_own_process_stood_still_is_no_silence() {
+fn a_pause_of_the_own_process_makes_no_member_unreachable() {
     let mut controller = controller(&[(2, "b"), (3, "c"), (4, "a")]);
     let pause = Duration::from_secs(20);
     controller.discount_process_pause(pause);
