--- a/crates/overlay-transport/src/driver/tests.rs
+++ b/crates/overlay-transport/src/driver/tests.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-use ironmast_overlay::{Heartbeat, Place, Position, Role};
+use ironmast_overlay::{Heartbeat, Locality, Role, TreePosition};
 
 use super::*;
 
@@ -34,7 +34,7 @@
 fn descriptor(address: SocketAddr, role: Role) -> Descriptor {
     Descriptor {
         address,
-        place: Place { region: 1, zone: 1 },
+        locality: Locality { region: 1, zone: 1 },
         role,
         incarnation: 1,
     }
@@ -92,13 +92,13 @@
 }
 
 fn is_answer(message: &Message) -> bool {
-    matches!(message, Message::Shuffle { answer: true, .. })
+    matches!(message, Message::Shuffle { is_reply: true, .. })
 }
 
 async fn ask(says: &mut Says) {
     says.send(&Frame::Message(Message::Shuffle {
         sample: Vec::new(),
-        answer: false,
+        is_reply: false,
     }))
     .await
     .expect("open");
@@ -155,24 +155,24 @@
 
 /// Takes the node as the source.
 async fn graft(hearing: &mut Hears, says: &mut Says) {
-    let position = Position::Detached;
-    let (beats, room) = Default::default();
+    let position = TreePosition::Detached;
+    let (root_heartbeats, spare_capacity) = Default::default();
     let heartbeat = Heartbeat {
         sequence: 1,
         echo: 1,
         position,
-        room,
-        deputy: false,
-        root: 0,
-        beats,
+        spare_capacity,
+        is_successor: false,
+        root_hash: 0,
+        root_heartbeats,
     };
     says.send(&Frame::Message(Message::Heartbeat(heartbeat)))
         .await
         .expect("open");
-    says.send(&Frame::Message(Message::Graft { root: 0 }))
+    says.send(&Frame::Message(Message::Graft { root_hash: 0 }))
         .await
         .expect("open");
-    assert!(hears(hearing, |message| *message == Message::Grafted).await);
+    assert!(hears(hearing, |message| *message == Message::GraftAccepted).await);
 }
 
 /// Entries of 32 KiB, more of them than the system's buffers and the queue hold together.
--- a/crates/overlay-transport/src/lib.rs
+++ b/crates/overlay-transport/src/lib.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use eyre::{Result, WrapErr as _};
-use ironmast_overlay::{Descriptor, Key as OverlayKey, Place, Role};
+use ironmast_overlay::{Descriptor, Key as OverlayKey, Locality, Role};
 use ironmast_schema::control::{Entry, Key};
 use ironmast_schema::settings::{InternalPort, Settings};
 use slog::Logger;
@@ -57,10 +57,10 @@
         let listener = TcpListener::bind(address)
             .await
             .wrap_err_with(|| format!("listening at {address}"))?;
-        let place = Place::named(&settings.region, &settings.zone);
+        let locality = Locality::from_names(&settings.region, &settings.zone);
         let me = Descriptor {
             address,
-            place,
+            locality,
             role,
             incarnation: driver::incarnation(),
         };
--- a/crates/overlay-transport/src/queue.rs
+++ b/crates/overlay-transport/src/queue.rs
@@ -86,10 +86,10 @@
         Message::Entries { entries, .. } => {
             MESSAGE_BYTES + entries.iter().map(Entry::size).sum::<usize>()
         }
-        Message::Announce { versions } | Message::Listing { versions, .. } => {
+        Message::Announce { versions } | Message::VersionList { versions, .. } => {
             MESSAGE_BYTES + VERSION_BYTES * versions.len()
         }
-        Message::Want { keys } => MESSAGE_BYTES + VERSION_BYTES * keys.len(),
+        Message::Request { keys } => MESSAGE_BYTES + VERSION_BYTES * keys.len(),
         _ => MESSAGE_BYTES,
     }
 }
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -1,36 +1,42 @@
 //! Distribution of small versioned state from a few coordinators to all agents, over a relay tree
-//! that the nodes build among themselves. No I/O, no clock: [`Overlay::handle`] takes events with
-//! the time and appends actions.
+//! that the nodes build among themselves. The crate performs no I/O and reads no clock:
+//! [`Overlay::handle`] takes events with the time and appends actions.
 //!
-//! - [`Store`] holds an entry per key; the newest version wins, in whatever order versions arrive.
-//!   Stores are compared by digest.
-//! - [`View`] is a partial view of the nodes, kept fresh by shuffles (Cyclon, `HyParView`).
+//! - [`Store`] keeps one entry for each key; the newest version wins, in whatever order versions
+//!   arrive. Stores are compared by digest.
+//! - [`PassiveView`] is a partial view of the nodes, refreshed by shuffles (Cyclon, `HyParView`).
 //! - [`Overlay`] holds the links, the tree over them (Plumtree) with one edge into each region,
-//!   heartbeats only where there is no other traffic, and the repair.
+//!   heartbeats where there is no other traffic, and anti-entropy.
 //!
-//! The caller owns the connections. A node is named by the address it listens at; a connection
-//! begins with a preamble of the caller's in which the opener says its own. When two nodes open one
-//! to each other at once, the caller keeps either and reports [`Event::Disconnected`] only when
-//! none is left.
+//! The caller owns the connections. A node is identified by the address it listens at; a connection
+//! begins with a preamble of the caller's in which the opener states its own. When two nodes open a
+//! connection to each other at once, the caller may use either and reports
+//! [`Event::Disconnected`] only when none is left.
 
 #![forbid(unsafe_code)]
 
-mod beats;
+mod digest;
+mod entry;
+mod freshness;
 mod hash;
 mod link;
 mod message;
 mod node;
 mod overlay;
+mod passive_view;
+mod position;
 mod settings;
 mod store;
-mod view;
 
-pub use beats::Beats;
-pub use message::{Aged, Beat, Entry, Heartbeat, Message, Position};
-pub use node::{Descriptor, NodeId, Place, Role};
+pub use digest::{BUCKETS, Buckets};
+pub use entry::{Entry, Key, Version};
+pub use freshness::FreshnessTable;
+pub use message::{AgedDescriptor, Heartbeat, Message, RootHeartbeat};
+pub use node::{Descriptor, Locality, NodeId, Role};
 pub use overlay::{Action, Event, Overlay};
+pub use passive_view::{PassiveView, ViewEntry, ViewUpdate};
+pub use position::TreePosition;
 #[doc(hidden)]
 pub use settings::Guards;
 pub use settings::Settings;
-pub use store::{BUCKETS, Buckets, Held, Key, Merged, Store, Version};
-pub use view::{Known, Learned, View};
+pub use store::{Collected, Comparison, MergeOutcome, Store, StoredEntry};
--- a/crates/overlay/src/link.rs
+++ b/crates/overlay/src/link.rs
@@ -1,220 +1,187 @@
-//! What a node keeps about one neighbour.
+//! State of the link to one neighbour.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::beats::Sent;
-use crate::message::{Heartbeat, Position};
-use crate::node::{Descriptor, NodeId};
-use crate::store::Key;
+use crate::entry::Key;
+use crate::freshness::SentHeartbeats;
+use crate::message::Heartbeat;
+use crate::node::Descriptor;
+use crate::position::TreePosition;
 
-/// Heartbeat intervals after which one is sent even on a link with other traffic, as only it
-/// carries the position.
+/// Number of heartbeat intervals after which a heartbeat is sent even on a link with other traffic,
+/// as only heartbeats carry the position.
 const STATUS_INTERVALS: u32 = 3;
 
-/// A connection to a neighbour.
+/// A heartbeat that the neighbour has not acknowledged.
+#[derive(Clone, Copy, Debug)]
+struct Unacknowledged {
+    sequence: u32,
+    sent_at: Duration,
+}
+
+/// The numbers that a heartbeat carries.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct HeartbeatNumbers {
+    /// Sequence number of the heartbeat.
+    pub sequence: u32,
+    /// Sequence number of the neighbour's heartbeat that it acknowledges.
+    pub echo: u32,
+}
+
+/// The link to a neighbour.
 #[derive(Debug)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "the flags are independent of each other"
+)]
 pub(crate) struct Link {
-    /// The neighbour, once it has said who it is.
+    /// The neighbour, once its `Hello` has arrived.
     pub node: Option<Descriptor>,
     /// Whether this node opened the connection.
-    pub opened_here: bool,
-    pub opened: Duration,
-    pub heard: Duration,
-    pub sent: Duration,
-    status_sent: Duration,
+    pub is_outbound: bool,
+    /// When the connection was established.
+    pub opened_at: Duration,
+    /// When the last message arrived.
+    pub last_received: Duration,
+    /// When the last message was sent.
+    pub last_sent: Duration,
+    last_heartbeat_sent: Duration,
     sequence: u32,
     peer_sequence: u32,
-    /// Oldest heartbeat the neighbour has not confirmed, and when it was sent.
-    unconfirmed: Option<(u32, Duration)>,
-    /// Whether the neighbour has confirmed a heartbeat of ours, so that the link works both ways.
-    pub confirmed: bool,
-    pub position: Position,
-    pub room: u8,
-    /// We push changes to the neighbour.
-    pub feeds: bool,
+    /// The oldest heartbeat that the neighbour has not acknowledged.
+    unacknowledged: Option<Unacknowledged>,
+    /// Whether the neighbour has acknowledged a heartbeat, so that the link works in both
+    /// directions.
+    pub is_bidirectional: bool,
+    /// The neighbour's position in the tree.
+    pub position: TreePosition,
+    /// How many more children the neighbour accepts.
+    pub spare_capacity: u8,
+    /// Whether the neighbour is a child of this node, so that changes are pushed to it.
+    pub is_child: bool,
     /// Changes to push.
-    pub eager: BTreeSet<Key>,
-    /// When the last push left.
-    pub pushed: Duration,
+    pub pending_push: BTreeSet<Key>,
+    /// When the last push was sent.
+    pub last_push: Duration,
     /// Changes to announce.
-    pub lazy: BTreeSet<Key>,
+    pub pending_announce: BTreeSet<Key>,
     /// When they are announced.
     pub announce_at: Option<Duration>,
-    /// Until when the neighbour is not asked to be the source: it refused or failed as one.
-    pub avoid_until: Duration,
-    /// Beats sent on this link.
-    pub beats: Sent,
-    /// Heartbeats in a row whose digest differs from ours.
-    pub differing: u32,
-    /// A change of our state that the neighbour must be told.
-    pub tell: bool,
+    /// Until when the neighbour is not grafted, as it rejected a graft or failed as a parent.
+    pub avoid_as_parent_until: Duration,
+    /// Root heartbeats sent on this link.
+    pub sent_heartbeats: SentHeartbeats,
+    /// Consecutive heartbeats with a root hash that differs from the local one.
+    pub digest_mismatches: u32,
+    /// Whether the local state has changed in a way that the neighbour must learn of soon.
+    pub heartbeat_pending: bool,
 }
 
 impl Link {
+    /// A link that is established at `now`, before the first message.
     pub(crate) fn new(now: Duration) -> Link {
         Link {
             node: None,
-            opened_here: false,
-            opened: now,
-            heard: now,
-            sent: now,
-            status_sent: now,
+            is_outbound: false,
+            opened_at: now,
+            last_received: now,
+            last_sent: now,
+            last_heartbeat_sent: now,
             sequence: 0,
             peer_sequence: 0,
-            unconfirmed: None,
-            confirmed: false,
-            position: Position::Detached,
-            room: 0,
-            feeds: false,
-            eager: BTreeSet::new(),
-            pushed: Duration::ZERO,
-            lazy: BTreeSet::new(),
+            unacknowledged: None,
+            is_bidirectional: false,
+            position: TreePosition::Detached,
+            spare_capacity: 0,
+            is_child: false,
+            pending_push: BTreeSet::new(),
+            last_push: Duration::ZERO,
+            pending_announce: BTreeSet::new(),
             announce_at: None,
-            avoid_until: Duration::ZERO,
-            beats: Sent::default(),
-            differing: 0,
-            tell: true,
+            avoid_as_parent_until: Duration::ZERO,
+            sent_heartbeats: SentHeartbeats::default(),
+            digest_mismatches: 0,
+            heartbeat_pending: true,
         }
     }
 
+    /// Whether the neighbour is known to be a coordinator.
     pub(crate) fn is_coordinator(&self) -> bool {
         self.node.is_some_and(|node| node.is_coordinator())
     }
 
-    /// The number and the confirmation for a heartbeat that leaves now.
-    pub(crate) fn number(&mut self, now: Duration) -> (u32, u32) {
+    /// Assigns the numbers of a heartbeat that is sent at `now`.
+    pub(crate) fn next_heartbeat(&mut self, now: Duration) -> HeartbeatNumbers {
         self.sequence += 1;
-        self.status_sent = now;
-        self.unconfirmed.get_or_insert((self.sequence, now));
-        (self.sequence, self.peer_sequence)
+        self.last_heartbeat_sent = now;
+        self.unacknowledged.get_or_insert(Unacknowledged {
+            sequence: self.sequence,
+            sent_at: now,
+        });
+        HeartbeatNumbers {
+            sequence: self.sequence,
+            echo: self.peer_sequence,
+        }
     }
 
-    /// Takes the neighbour's heartbeat in; whether its position changed.
-    pub(crate) fn heartbeat(&mut self, heartbeat: &Heartbeat) -> bool {
-        // The first one is answered at once: it is by the answer that the neighbour knows of both
-        // ways.
-        self.tell |= self.peer_sequence == 0;
+    /// Takes over the state in a heartbeat of the neighbour.
+    pub(crate) fn on_heartbeat(&mut self, heartbeat: &Heartbeat) {
+        // The first heartbeat is answered at once: from the echo the neighbour learns that the link
+        // works in both directions.
+        self.heartbeat_pending |= self.peer_sequence == 0;
         self.peer_sequence = heartbeat.sequence;
         if heartbeat.echo > 0 {
-            self.confirmed = true;
+            self.is_bidirectional = true;
         }
         if self
-            .unconfirmed
-            .is_some_and(|(sequence, _)| heartbeat.echo >= sequence)
+            .unacknowledged
+            .is_some_and(|unacknowledged| heartbeat.echo >= unacknowledged.sequence)
         {
-            self.unconfirmed = None;
+            self.unacknowledged = None;
         }
-        self.room = heartbeat.room;
-        let changed = self.position != heartbeat.position;
+        self.spare_capacity = heartbeat.spare_capacity;
         self.position = heartbeat.position.clone();
-        changed
     }
 
-    /// Since when a heartbeat has waited for its confirmation.
-    pub(crate) fn unconfirmed_since(&self) -> Option<Duration> {
-        self.unconfirmed.map(|(_, at)| at)
+    /// Since when a heartbeat has been waiting for its acknowledgement.
+    pub(crate) fn unacknowledged_since(&self) -> Option<Duration> {
+        self.unacknowledged
+            .map(|unacknowledged| unacknowledged.sent_at)
     }
 
-    /// Puts off all deadlines of the neighbour by the time that this node was stopped.
-    pub(crate) fn forgive(&mut self, stall: Duration) {
-        self.opened += stall;
-        self.heard += stall;
-        if let Some((_, since)) = &mut self.unconfirmed {
-            *since += stall;
+    /// Extends all deadlines of the neighbour by the time for which this process was paused.
+    pub(crate) fn extend_deadlines(&mut self, pause: Duration) {
+        self.opened_at += pause;
+        self.last_received += pause;
+        if let Some(unacknowledged) = &mut self.unacknowledged {
+            unacknowledged.sent_at += pause;
         }
     }
 
     /// When the last heartbeat was sent.
-    pub(crate) fn status_sent(&self) -> Duration {
-        self.status_sent
+    pub(crate) fn last_heartbeat_sent(&self) -> Duration {
+        self.last_heartbeat_sent
     }
 
-    /// When the next heartbeat is due with this interval: the interval after the last message, and
-    /// at the latest some intervals after the last heartbeat.
+    /// When the next heartbeat is due: `interval` after the last message, and at the latest
+    /// [`STATUS_INTERVALS`] intervals after the last heartbeat.
     pub(crate) fn heartbeat_due(&self, interval: Duration) -> Duration {
-        (self.sent + interval).min(self.status_sent + interval * STATUS_INTERVALS)
+        let after_heartbeat = self.last_heartbeat_sent + interval * STATUS_INTERVALS;
+        (self.last_sent + interval).min(after_heartbeat)
     }
 
-    /// When pending changes are pushed.
-    pub(crate) fn push_due(&self, batch: Duration) -> Option<Duration> {
-        (!self.eager.is_empty()).then_some(self.pushed + batch)
+    /// When pending changes are pushed, where changes are batched for `batch_interval`.
+    pub(crate) fn push_due(&self, batch_interval: Duration) -> Option<Duration> {
+        (!self.pending_push.is_empty()).then_some(self.last_push + batch_interval)
     }
 
-    /// The neighbour has `key` in the version that we have, by its own word.
-    pub(crate) fn settle(&mut self, key: Key) {
-        self.lazy.remove(&key);
-        self.eager.remove(&key);
-        if self.lazy.is_empty() {
+    /// Drops pending work for `key`, as the neighbour has stated that it stores the local version.
+    pub(crate) fn mark_up_to_date(&mut self, key: Key) {
+        self.pending_announce.remove(&key);
+        self.pending_push.remove(&key);
+        if self.pending_announce.is_empty() {
             self.announce_at = None;
         }
     }
 }
-
-impl Position {
-    /// Whether a node at this position is fed, or a coordinator.
-    #[must_use]
-    pub fn is_attached(&self) -> bool {
-        !matches!(self, Position::Detached)
-    }
-
-    /// Whether a node at this position is fed by a coordinator in contact with a majority, or is
-    /// one.
-    #[must_use]
-    pub fn is_in_contact(&self) -> bool {
-        matches!(
-            self,
-            Position::Root { in_contact: true }
-                | Position::Under {
-                    in_contact: true,
-                    ..
-                }
-        )
-    }
-
-    /// The coordinator at the start of the path to an agent.
-    pub(crate) fn root(&self) -> Option<NodeId> {
-        match self {
-            Position::Under { path, .. } => path.first().copied(),
-            Position::Root { .. } | Position::Detached => None,
-        }
-    }
-
-    /// Whether the way to a node at this position leads over `node`.
-    pub(crate) fn passes(&self, node: NodeId) -> bool {
-        matches!(self, Position::Under { path, .. } if path.contains(&node))
-    }
-
-    /// Hops from a coordinator; `None` when not fed.
-    #[must_use]
-    pub fn depth(&self) -> Option<usize> {
-        match self {
-            Position::Root { .. } => Some(0),
-            Position::Detached => None,
-            Position::Under { path, .. } => Some(path.len()),
-        }
-    }
-
-    /// The position of `me` when fed by `source`, which stands at this one.
-    pub(crate) fn below(&self, source: &Descriptor, me: &Descriptor) -> Position {
-        let near = source.place.same_region(me.place);
-        let close = source.place == me.place;
-        let (mut path, region_head, zone_head) = match self {
-            Position::Detached => return Position::Detached,
-            Position::Root { .. } => (Vec::new(), 0, 0),
-            Position::Under {
-                path,
-                region_head,
-                zone_head,
-                ..
-            } => (path.clone(), *region_head, *zone_head),
-        };
-        path.push(source.id());
-        Position::Under {
-            path,
-            region_head: if near { region_head } else { me.score() },
-            zone_head: if close { zone_head } else { me.score() },
-            in_contact: self.is_in_contact(),
-        }
-    }
-}
--- a/crates/overlay/src/message.rs
+++ b/crates/overlay/src/message.rs
@@ -1,238 +1,138 @@
-//! What nodes tell each other. Every message travels over the link between two nodes and needs no
-//! order among links.
+//! The messages of the overlay. Each travels over the link between two nodes; no order is assumed
+//! between links.
+//!
+//! Messages are encoded by position with postcard: the order of variants and fields is part of the
+//! wire format.
 
-use std::sync::Arc;
-
-use serde::{Deserialize, Deserializer, Serialize, Serializer};
+use serde::{Deserialize, Serialize};
 
+use crate::digest::Buckets;
+use crate::entry::{Entry, Key, Version};
 use crate::node::{Descriptor, NodeId};
-use crate::store::{Buckets, Key, Version};
-
-/// One version of one key.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
-    /// The key.
-    pub key: Key,
-    /// The version.
-    pub version: Version,
-    /// For a removal, seconds since it was made; 0 otherwise.
-    pub removed_s: u32,
-    /// The content, `None` for a removal.
-    #[serde(with = "optional_bytes")]
-    pub payload: Option<Arc<[u8]>>,
-}
-
-impl Entry {
-    /// About how many bytes it takes on the wire.
-    #[must_use]
-    pub fn size(&self) -> usize {
-        const HEAD: usize = 16;
-        HEAD + self.payload.as_ref().map_or(0, |payload| payload.len())
-    }
-}
+use crate::position::TreePosition;
 
-/// Where a node stands in the tree.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Position {
-    /// A coordinator.
-    Root {
-        /// Whether it is in contact with a majority of the coordinators.
-        in_contact: bool,
-    },
-    /// An agent that is fed by nobody.
-    #[default]
-    Detached,
-    /// An agent that is fed.
-    Under {
-        /// The nodes between, from the coordinator to the agent's own source.
-        path: Vec<NodeId>,
-        /// Score of the agent through which its region is fed, 0 when fed by a coordinator in the
-        /// region.
-        region_head: u32,
-        /// Score of the agent through which its zone is fed, 0 when fed by a coordinator in the
-        /// zone.
-        zone_head: u32,
-        /// Whether the coordinator at the start of the path is in contact with a majority, as far
-        /// as is known here.
-        in_contact: bool,
-    },
-}
-
-/// The beat of one coordinator, as relayed.
+/// The heartbeat of one coordinator, as relayed down the tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
-    /// The coordinator and its incarnation, see [`Descriptor::beat_source`].
-    pub source: NodeId,
-    /// Milliseconds from the start of this incarnation, on its clock, to the beat; at least 1.
+pub struct RootHeartbeat {
+    /// The coordinator and its incarnation, see [`Descriptor::incarnation_id`].
+    pub coordinator: NodeId,
+    /// Milliseconds from the start of this incarnation to the heartbeat, on the coordinator's
+    /// clock; at least 1.
     pub elapsed_ms: u64,
 }
 
-/// Heartbeat on a link, with what changes about the sender.
+/// The heartbeat on a link, which also carries the state of the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Number of this heartbeat on this link.
+    /// Sequence number of this heartbeat on this link.
     pub sequence: u32,
-    /// Number of the last heartbeat heard from the receiver, 0 for none.
+    /// Sequence number of the last heartbeat received from the receiver, 0 for none. It
+    /// acknowledges all heartbeats up to that one.
     pub echo: u32,
-    /// Where the sender stands.
-    pub position: Position,
-    /// How many more nodes the sender would feed.
-    pub room: u8,
-    /// Whether the receiver is to stand in for the sender: it keeps a link to a coordinator ready.
-    pub deputy: bool,
-    /// Upper half of the digest of the sender's store, for the nodes it feeds.
-    pub root: u32,
-    /// The newest beats the sender knows and has not sent on this link.
-    pub beats: Vec<Beat>,
+    /// The sender's position in the tree.
+    pub position: TreePosition,
+    /// How many more children the sender accepts.
+    pub spare_capacity: u8,
+    /// Whether the receiver is the sender's designated successor: it keeps a standby link to a
+    /// coordinator, so that it can attach the region when the sender fails.
+    pub is_successor: bool,
+    /// Upper half of the root hash of the sender's store, which its children compare.
+    pub root_hash: u32,
+    /// The newest root heartbeats that the sender has not sent on this link yet.
+    pub root_heartbeats: Vec<RootHeartbeat>,
 }
 
-/// A descriptor with the time since its owner was last heard of.
+/// A descriptor with the time since its node was last heard from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Aged {
+pub struct AgedDescriptor {
     /// The node.
     pub node: Descriptor,
-    /// Seconds since the node itself was heard.
+    /// Seconds since the node was last heard from.
     pub age_s: u16,
 }
 
 /// A message between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// First message on a link, from both ends.
+    /// The first message on a link, sent by both ends.
     Hello {
         /// The sender.
         node: Descriptor,
     },
-    /// Nodes the receiver may connect to, as an answer to its `Hello`.
+    /// Nodes that the receiver may connect to, as the reply to its `Hello`.
     Nodes {
-        /// Some of the receiver's region first, then coordinators.
-        sample: Vec<Aged>,
+        /// Some nodes of the receiver's region, then coordinators.
+        sample: Vec<AgedDescriptor>,
     },
-    /// The sender has no room for this link and closes it.
-    Full {
-        /// Others to turn to.
-        sample: Vec<Aged>,
+    /// The sender has no capacity for this link and closes it.
+    LinkRejected {
+        /// Other nodes that the receiver may connect to.
+        sample: Vec<AgedDescriptor>,
     },
-    /// Heartbeat.
+    /// The heartbeat of the link.
     Heartbeat(Heartbeat),
-    /// Push changes to me from now on.
+    /// Requests that the receiver become the sender's parent and push changes eagerly (Plumtree's
+    /// GRAFT).
     Graft {
-        /// Digest of the sender's store.
-        root: u64,
+        /// Root hash of the sender's store.
+        root_hash: u64,
     },
-    /// Answer to `Graft`: changes will be pushed.
-    Grafted,
-    /// Answer to `Graft`: no room, or the sender is fed by the receiver.
-    Refused {
-        /// Nodes fed by the sender, to turn to instead.
-        sample: Vec<Aged>,
+    /// Accepts a `Graft`: the sender is now the receiver's parent.
+    GraftAccepted,
+    /// Rejects a `Graft`, as the sender has no capacity or is a descendant of the receiver.
+    GraftRejected {
+        /// Children of the sender, which the receiver may graft instead.
+        sample: Vec<AgedDescriptor>,
     },
-    /// Push changes to me no more.
+    /// Requests that the receiver stop pushing changes to the sender (Plumtree's PRUNE).
     Prune,
     /// Entries.
     Entries {
-        /// Newest versions at the sender.
+        /// The newest versions at the sender.
         entries: Vec<Entry>,
-        /// Whether they were pushed along the tree, not asked for.
+        /// Whether the entries were pushed along the tree, as opposed to requested.
         pushed: bool,
-        /// Whether there are more that differ: compare again.
+        /// Whether more entries differ, so that the stores must be compared again.
         more: bool,
     },
-    /// Versions the sender holds since its last announcement.
+    /// Versions that the sender has stored since its last announcement (Plumtree's IHAVE).
     Announce {
         /// Keys and versions.
         versions: Vec<(Key, Version)>,
     },
-    /// Send me these keys.
-    Want {
+    /// Requests the entries of these keys.
+    Request {
         /// The keys.
         keys: Vec<Key>,
     },
-    /// Digest of the whole store, for comparison.
+    /// Root hash of the sender's store, which starts a comparison.
     Digest {
-        /// See [`crate::Store::root`].
-        root: u64,
+        /// See [`crate::Store::root_hash`].
+        root_hash: u64,
     },
-    /// The stores differ; digest of all buckets.
+    /// Bucket hashes of the sender's store, sent when the root hashes differ.
     Buckets(Buckets),
     /// Versions in the buckets that differ.
-    Listing {
+    VersionList {
         /// The buckets, one bit each.
         mask: u64,
-        /// All versions the sender holds in them.
+        /// All versions that the sender stores in them.
         versions: Vec<(Key, Version)>,
     },
-    /// Part of the sender's view, for part of the receiver's.
+    /// A sample of the sender's view, exchanged for one of the receiver's (Cyclon).
     Shuffle {
-        /// The part.
-        sample: Vec<Aged>,
-        /// Whether this answers a shuffle.
-        answer: bool,
+        /// The sample.
+        sample: Vec<AgedDescriptor>,
+        /// Whether this is the reply to a shuffle.
+        is_reply: bool,
     },
-    /// A node has joined or come back.
+    /// A node has joined, possibly with a new incarnation.
     Joined {
         /// The node.
         node: Descriptor,
-        /// Links it may still travel, for agents; news of coordinators reach all.
+        /// Remaining hops of the random walk, for an agent; a join of a coordinator is flooded.
         hops: u8,
     },
-    /// The sender leaves for good.
+    /// The sender leaves the overlay.
     Leave,
 }
-
-/// Payloads as byte strings, shared in memory.
-mod optional_bytes {
-    use super::{Arc, Deserialize, Deserializer, Serialize, Serializer};
-    use serde::de::{Error, SeqAccess, Visitor};
-
-    struct Bytes<'a>(&'a [u8]);
-
-    impl Serialize for Bytes<'_> {
-        fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-            serializer.serialize_bytes(self.0)
-        }
-    }
-
-    struct Owned(Arc<[u8]>);
-
-    struct OwnedVisitor;
-
-    impl<'de> Visitor<'de> for OwnedVisitor {
-        type Value = Owned;
-
-        fn expecting(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
-            formatter.write_str("bytes")
-        }
-
-        fn visit_bytes<E: Error>(self, bytes: &[u8]) -> Result<Owned, E> {
-            Ok(Owned(Arc::from(bytes)))
-        }
-
-        fn visit_seq<A: SeqAccess<'de>>(self, mut items: A) -> Result<Owned, A::Error> {
-            let mut bytes = Vec::new();
-            while let Some(byte) = items.next_element()? {
-                bytes.push(byte);
-            }
-            Ok(Owned(Arc::from(bytes)))
-        }
-    }
-
-    impl<'de> Deserialize<'de> for Owned {
-        fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Owned, D::Error> {
-            deserializer.deserialize_bytes(OwnedVisitor)
-        }
-    }
-
-    pub(super) fn serialize<S: Serializer>(
-        bytes: &Option<Arc<[u8]>>,
-        serializer: S,
-    ) -> Result<S::Ok, S::Error> {
-        bytes.as_deref().map(Bytes).serialize(serializer)
-    }
-
-    pub(super) fn deserialize<'de, D: Deserializer<'de>>(
-        deserializer: D,
-    ) -> Result<Option<Arc<[u8]>>, D::Error> {
-        Ok(Option::<Owned>::deserialize(deserializer)?.map(|owned| owned.0))
-    }
-}
--- a/crates/overlay/src/node.rs
+++ b/crates/overlay/src/node.rs
@@ -1,4 +1,4 @@
-//! Who takes part: address, place, role and incarnation of a node.
+//! Identity of the nodes: address, locality, role and incarnation.
 
 use std::net::SocketAddr;
 
@@ -6,81 +6,81 @@
 
 use crate::hash;
 
-/// Short identity of a node on the wire: a hash of its address. Two nodes with the same one only
-/// avoid each other as sources, so a collision costs a choice and no safety.
+/// Short identity of a node on the wire: a hash of its address. Two nodes with the same identity
+/// only avoid each other as parents, so a collision costs a choice of parent but no correctness.
 pub type NodeId = u32;
 
-/// What a node is in the control plane.
+/// Role of a node in the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Role {
-    /// Publishes entries and beats; a root of the tree.
+    /// Publishes entries and root heartbeats; a root of the tree.
     Coordinator,
     /// Receives entries and relays them.
     Agent,
 }
 
-/// Region and zone of a node, as numbers that all nodes derive alike.
+/// Region and zone of a node (Envoy's locality), as numbers that all nodes derive in the same way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Place {
+pub struct Locality {
     /// The region.
     pub region: u32,
     /// The zone; only compared together with the region.
     pub zone: u32,
 }
 
-impl Place {
-    /// The place with these names: 32-bit hashes of them.
+impl Locality {
+    /// The locality with these names: 32-bit hashes of them.
     #[must_use]
-    pub fn named(region: &str, zone: &str) -> Place {
+    pub fn from_names(region: &str, zone: &str) -> Locality {
         let short = |name: &str| hash::bytes(name.as_bytes()) as u32;
-        Place {
+        Locality {
             region: short(region),
             zone: short(zone),
         }
     }
 
-    /// Whether `other` lies in the same region.
+    /// Whether `other` is in the same region.
     #[must_use]
-    pub fn same_region(self, other: Place) -> bool {
+    pub fn same_region(self, other: Locality) -> bool {
         self.region == other.region
     }
 }
 
-/// All that others need to know of a node.
+/// Everything that other nodes need to know of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Descriptor {
-    /// Where it listens; also its identity.
+    /// The address it listens at, which is also its identity.
     pub address: SocketAddr,
-    /// Where it stands.
-    pub place: Place,
-    /// What it is.
+    /// Its region and zone.
+    pub locality: Locality,
+    /// Its role.
     pub role: Role,
-    /// Higher at each start of the process at this address.
+    /// Incarnation of the process at this address; higher at each start.
     pub incarnation: u64,
 }
 
 impl Descriptor {
-    /// Its short identity.
+    /// The short identity of the node.
     #[must_use]
     pub fn id(&self) -> NodeId {
         hash::address(self.address) as u32
     }
 
-    /// Identity of its beats: another one for each incarnation, so that counters may begin at 1
-    /// again.
+    /// The short identity of this incarnation of the node, which differs between incarnations so
+    /// that the counters of each may start at 1.
     #[must_use]
-    pub fn beat_source(&self) -> NodeId {
+    pub fn incarnation_id(&self) -> NodeId {
         hash::pair(hash::address(self.address), self.incarnation) as u32
     }
 
-    /// Its rank among nodes that compete for a place at the head of a region or zone: the lowest
-    /// stays. Never 0, which stands for a coordinator.
+    /// Rank among the nodes that compete to be the head of a region or zone: the lowest score wins.
+    /// Never 0, which represents a coordinator.
     #[must_use]
     pub fn score(&self) -> u32 {
         ((hash::pair(hash::address(self.address), self.incarnation) >> 32) as u32).max(1)
     }
 
-    /// Whether it is a coordinator.
+    /// Whether the node is a coordinator.
     #[must_use]
     pub fn is_coordinator(&self) -> bool {
         self.role == Role::Coordinator
--- /dev/null
+++ b/crates/overlay/src/overlay/parent_selection.rs
@@ -0,0 +1,221 @@
+//! Selection of the parent among the neighbours.
+
+use std::cmp::Reverse;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use super::Overlay;
+use crate::link::Link;
+use crate::position::TreePosition;
+
+/// Minimum time an agent keeps a parent before it changes for a path that is a single hop shorter.
+const MIN_PARENT_DWELL: Duration = Duration::from_secs(10);
+
+/// A neighbour that could be the parent, and the position that this agent would then have.
+#[derive(Clone, Copy, Debug)]
+struct Candidate {
+    peer: SocketAddr,
+    same_region: bool,
+    same_zone: bool,
+    region_head: u32,
+    zone_head: u32,
+    depth: usize,
+    in_contact: bool,
+    spare_capacity: u8,
+    /// Rendezvous weight, which breaks ties.
+    preference: u64,
+}
+
+impl Candidate {
+    /// Sort key of the candidates in a region: the lowest is the best.
+    fn rank(&self) -> (u32, Reverse<bool>, u32, usize, Reverse<u8>, u64) {
+        (
+            self.region_head,
+            Reverse(self.same_zone),
+            self.zone_head,
+            self.depth,
+            Reverse(self.spare_capacity),
+            self.preference,
+        )
+    }
+
+    /// The part of the rank for which a parent is changed at once.
+    fn head_rank(&self) -> (u32, Reverse<bool>, u32) {
+        (self.region_head, Reverse(self.same_zone), self.zone_head)
+    }
+}
+
+impl Overlay {
+    /// A neighbour to graft instead of the current parent.
+    pub(super) fn better_parent(&self, now: Duration) -> Option<SocketAddr> {
+        let mut candidates: Vec<Candidate> = self
+            .links
+            .iter()
+            .filter_map(|(peer, link)| self.candidate(now, *peer, link))
+            .collect();
+        let mut current = self.current_parent(now);
+        // A root out of contact with the majority is accepted only where there is no other.
+        if candidates
+            .iter()
+            .chain(&current)
+            .any(|candidate| candidate.in_contact)
+        {
+            candidates.retain(|candidate| candidate.in_contact);
+            current = current.filter(|current| current.in_contact);
+        }
+        if !self.settings.guards.region_heads {
+            return shallower_parent(current, &candidates);
+        }
+        let in_region = candidates
+            .iter()
+            .filter(|candidate| candidate.same_region)
+            .min_by_key(|candidate| candidate.rank());
+        let Some(best) = in_region else {
+            return self.best_remote(now, current, &candidates);
+        };
+        let best = self.keep_zone_head(current, *best, &candidates);
+        self.is_better(now, current, &best).then_some(best.peer)
+    }
+
+    /// The candidate to compare with the current parent. An agent that is the head of its zone
+    /// remains so unless there is a path with a lower score in its zone.
+    fn keep_zone_head(
+        &self,
+        current: Option<Candidate>,
+        best: Candidate,
+        candidates: &[Candidate],
+    ) -> Candidate {
+        let Some(current) = current else { return best };
+        let is_zone_head =
+            current.same_region && !current.same_zone && current.region_head == best.region_head;
+        if !is_zone_head || !best.same_zone || best.zone_head < self.local_node.score() {
+            return best;
+        }
+        candidates
+            .iter()
+            .filter(|candidate| candidate.same_region && !candidate.same_zone)
+            .min_by_key(|candidate| candidate.rank())
+            .copied()
+            .unwrap_or(current)
+    }
+
+    /// The best candidate in another region, coordinators first, if the agent has no parent.
+    fn best_remote(
+        &self,
+        now: Duration,
+        current: Option<Candidate>,
+        candidates: &[Candidate],
+    ) -> Option<SocketAddr> {
+        if current.is_some() || !self.may_attach_remotely(now) {
+            return None;
+        }
+        candidates
+            .iter()
+            .min_by_key(|candidate| (candidate.depth, candidate.preference))
+            .map(|candidate| candidate.peer)
+    }
+
+    /// Whether `best` is worth a change from the current parent.
+    fn is_better(&self, now: Duration, current: Option<Candidate>, best: &Candidate) -> bool {
+        let Some(current) = current else { return true };
+        if current.peer == best.peer {
+            return false;
+        }
+        if !current.same_region {
+            return best.region_head < self.local_node.score();
+        }
+        if best.head_rank() != current.head_rank() {
+            return best.head_rank() < current.head_rank();
+        }
+        let has_dwelt = self.tree.parent_since + MIN_PARENT_DWELL <= now;
+        best.depth + 2 <= current.depth || has_dwelt && best.depth < current.depth
+    }
+
+    /// The current parent, if this agent is attached through it.
+    fn current_parent(&self, now: Duration) -> Option<Candidate> {
+        let peer = self.tree.parent?;
+        let link = self.links.get(&peer)?;
+        if link.avoid_as_parent_until > now || !self.derived_position(now).is_attached() {
+            return None;
+        }
+        self.candidate_through(peer, link)
+    }
+
+    /// The neighbour as a candidate, if it is eligible as a parent.
+    fn candidate(&self, now: Duration, peer: SocketAddr, link: &Link) -> Option<Candidate> {
+        let is_parent = self.tree.parent == Some(peer);
+        let has_capacity = link.spare_capacity > 0 || is_parent;
+        let usable = link.is_bidirectional
+            && link.avoid_as_parent_until <= now
+            && has_capacity
+            && !self.is_silent(now, peer, link)
+            && !self.is_lost_parent_on_path(now, link);
+        let too_deep = link
+            .position
+            .depth()
+            .is_none_or(|depth| depth >= self.settings.max_depth);
+        if !usable || too_deep || link.position.path_contains(self.local_node.id()) {
+            return None;
+        }
+        self.candidate_through(peer, link)
+    }
+
+    /// Whether the path of the neighbour contains the parent that is silent or was just lost, which
+    /// the neighbour may not have noticed yet.
+    fn is_lost_parent_on_path(&self, now: Duration, link: &Link) -> bool {
+        let silent = self
+            .parent_link()
+            .filter(|parent| self.is_suspect(now, parent))
+            .and_then(|parent| parent.node)
+            .map(|parent| parent.id());
+        let lost = self
+            .tree
+            .lost_parent
+            .filter(|lost| lost.avoid_until > now)
+            .map(|lost| lost.node);
+        [silent, lost]
+            .into_iter()
+            .flatten()
+            .any(|node| link.position.path_contains(node))
+    }
+
+    /// The neighbour as a candidate, `None` if it is not attached itself.
+    fn candidate_through(&self, peer: SocketAddr, link: &Link) -> Option<Candidate> {
+        let node = link.node?;
+        let TreePosition::Descendant {
+            path,
+            region_head,
+            zone_head,
+            in_contact,
+        } = link.position.child_position(&node, &self.local_node)
+        else {
+            return None;
+        };
+        Some(Candidate {
+            peer,
+            same_region: self.is_in_region(&node),
+            same_zone: self.is_in_zone(&node),
+            region_head,
+            zone_head,
+            depth: path.len(),
+            in_contact,
+            spare_capacity: link.spare_capacity,
+            preference: self.preference(&node),
+        })
+    }
+
+    /// Whether no neighbour is attached independently of this node.
+    pub(super) fn has_no_candidates(&self) -> bool {
+        !self.links.values().any(|link| {
+            link.position.is_attached() && !link.position.path_contains(self.local_node.id())
+        })
+    }
+}
+
+/// The candidate with the shortest path, if it is shorter than the current one.
+fn shallower_parent(current: Option<Candidate>, candidates: &[Candidate]) -> Option<SocketAddr> {
+    let shallowest = candidates.iter().min_by_key(|candidate| candidate.depth)?;
+    current
+        .is_none_or(|current| shallowest.depth < current.depth)
+        .then_some(shallowest.peer)
+}
--- /dev/null
+++ b/crates/overlay/src/overlay/remote_attach.rs
@@ -0,0 +1,116 @@
+//! When an agent without a suitable parent in its region takes one in another region.
+//!
+//! The agents of a region do so in the order of their scores, so that one of them becomes the head
+//! of the region and the others find a parent below it.
+
+use std::time::Duration;
+
+use rand::seq::IndexedRandom as _;
+
+use super::{Action, Overlay};
+use crate::node::Descriptor;
+
+/// Interval between attempts of a detached agent.
+const RETRY_DETACHED: Duration = Duration::from_millis(500);
+
+/// Interval between attempts of an agent whose root is not in contact with a majority, if the agent
+/// keeps a standby link anyway.
+const RETRY_STANDBY: Duration = Duration::from_secs(5);
+
+/// The same for an agent that keeps no standby link: others of its region look for a better parent,
+/// below which it can then attach.
+const RETRY_ATTACHED: Duration = Duration::from_secs(60);
+
+/// Delay before the first attempt of an agent that keeps no standby link.
+const DELAY_ATTACHED: Duration = Duration::from_secs(10);
+
+/// Maximum number of coordinators that one attempt opens a connection to.
+const MAX_COORDINATORS_PER_ATTEMPT: usize = 2;
+
+impl Overlay {
+    /// Whether an agent without a parent may take one in another region. The agents of a region may
+    /// in the order of their scores; the designated successor of the lost parent at once; an agent
+    /// whose parent is alive but detached, late. A parent below a root that is out of contact with
+    /// the majority counts as lost, but only agents that keep a standby link leave it at once.
+    pub(super) fn may_attach_remotely(&self, now: Duration) -> bool {
+        self.remote_attach_at(now).is_some_and(|at| at <= now)
+    }
+
+    fn remote_attach_at(&self, now: Duration) -> Option<Duration> {
+        let since = self.tree.orphaned_since?;
+        if !self.settings.guards.region_heads {
+            return Some(since);
+        }
+        let detached = !self.tree.position.is_attached();
+        let parent_is_alive = detached && self.was_parent_alive_at(since);
+        if self.tree.is_successor && !parent_is_alive {
+            return Some(since);
+        }
+        let preceding = u32::try_from(self.count_preceding(now)).unwrap_or(u32::MAX);
+        let delay =
+            self.settings.remote_parent_delay + self.settings.remote_parent_delay_step * preceding;
+        let can_wait = !detached && !self.needs_standby();
+        let extra_delay = match (parent_is_alive, can_wait) {
+            (true, _) => self.settings.dead_timeout,
+            (false, true) => DELAY_ATTACHED,
+            (false, false) => Duration::ZERO,
+        };
+        Some(since + delay + extra_delay)
+    }
+
+    /// Whether the parent had not been silent for the suspicion timeout at the time `since`.
+    fn was_parent_alive_at(&self, since: Duration) -> bool {
+        self.parent_link()
+            .is_some_and(|link| link.last_received + self.settings.suspect_timeout > since)
+    }
+
+    /// Number of live neighbours of the region that attach remotely before this agent.
+    fn count_preceding(&self, now: Duration) -> usize {
+        self.links
+            .values()
+            .filter(|link| link.last_received + self.settings.lazy_suspect_timeout > now)
+            .filter_map(|link| link.node)
+            .filter(|node| self.precedes(node))
+            .count()
+    }
+
+    /// When the next attempt is due.
+    pub(super) fn next_remote_attempt(&self, now: Duration) -> Option<Duration> {
+        let retry_at = self
+            .tree
+            .last_remote_attempt
+            .map(|at| at + self.remote_retry_interval());
+        self.remote_attach_at(now)
+            .map(|at| retry_at.map_or(at, |retry_at| at.max(retry_at)))
+    }
+
+    fn remote_retry_interval(&self) -> Duration {
+        match (self.tree.position.is_attached(), self.needs_standby()) {
+            (false, _) => RETRY_DETACHED,
+            (true, true) => RETRY_STANDBY,
+            (true, false) => RETRY_ATTACHED,
+        }
+    }
+
+    /// Opens connections to coordinators anywhere, and from the second attempt on to an agent of
+    /// another region too, as all coordinators known here may be gone.
+    pub(super) fn seek_remote_parent(&mut self, now: Duration, out: &mut Vec<Action>) {
+        if self
+            .tree
+            .last_remote_attempt
+            .is_some_and(|at| at + self.remote_retry_interval() > now)
+        {
+            return;
+        }
+        let is_retry = self.tree.last_remote_attempt.replace(now).is_some();
+        let mut nodes = self.coordinators_by_preference(now);
+        nodes.truncate(MAX_COORDINATORS_PER_ATTEMPT);
+        if is_retry || nodes.len() < MAX_COORDINATORS_PER_ATTEMPT {
+            let remote: Vec<Descriptor> = self.view.remote_agents().copied().collect();
+            nodes.extend(remote.choose(&mut self.random));
+        }
+        for node in nodes {
+            self.open(now, node.address, out);
+        }
+    }
+}
--- a/crates/overlay/src/overlay/tree.rs
+++ b/crates/overlay/src/overlay/tree.rs
@@ -1,381 +1,231 @@
-//! The tree: which neighbour pushes changes to an agent, after Plumtree (Leitão, Pereira and
+//! The relay tree: which neighbour pushes changes to an agent, after Plumtree (Leitão, Pereira and
 //! Rodrigues 2007).
 //!
-//! An agent is fed by one neighbour, its source, and hears announcements from all others. It grafts
-//! another neighbour as soon as the source is silent, detached or farther than it need be. Each
-//! agent tells its path from a coordinator, so that nobody takes a source that it feeds itself.
+//! An agent is the child of one neighbour, its parent, and receives announcements from all others.
+//! It grafts another neighbour as soon as the parent is silent, detached or farther away than
+//! necessary. Each agent sends its path from the root to its neighbours, so that no node takes one
+//! of its own descendants as its parent.
 //!
-//! One agent of a region is fed from outside, the others inside. As in the spanning tree protocol
-//! (Perlman 1985) a path carries the score of the agent at the head of its region and zone, and the
-//! lower score wins: where two agents are fed from outside, the one with the higher score sees the
-//! other's region and is fed inside from then on. A source is preferred in the zone, then in the
-//! region, for the same reason.
+//! One agent of a region has a parent outside, the others inside. As in the spanning tree protocol
+//! (Perlman 1985) a path carries the scores of the agents at the head of its region and zone, and
+//! the lower score wins: of two agents with a parent outside, the one with the higher score sees
+//! the other's score and takes a parent inside from then on. A parent in the zone is preferred,
+//! then one in the region, for the same reason.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use rand::seq::IndexedRandom as _;
-
+use super::state::LostParent;
 use super::{Action, Overlay};
 use crate::link::Link;
-use crate::message::{Aged, Message, Position};
+use crate::message::Message;
 use crate::node::Descriptor;
-
-/// How long a neighbour that refused is not asked again.
-const AVOID_REFUSED: Duration = Duration::from_secs(3);
-
-/// Interval between attempts of an agent that is fed by nobody to be fed from another region.
-const LEAVE_AGAIN: Duration = Duration::from_millis(500);
-
-/// The same of an agent whose source is not in contact with a majority, if it keeps a link out of
-/// its region anyway.
-const LEAVE_AGAIN_FED: Duration = Duration::from_secs(5);
-
-/// The same of one that need not: others of its region look for a better source, from which it is
-/// then fed.
-const LEAVE_AGAIN_SPARED: Duration = Duration::from_secs(60);
-
-/// How long such a one leaves it to the others at first.
-const LEAVE_SPARED: Duration = Duration::from_secs(10);
-
-/// Coordinators a connection is opened to in one attempt.
-const OPENED_AT_ONCE: usize = 2;
+use crate::position::TreePosition;
 
 impl Overlay {
-    /// Checks the source and takes a better one where there is one.
-    pub(super) fn review_source(&mut self, now: Duration, out: &mut Vec<Action>) {
-        if self.me.is_coordinator() {
+    /// Checks the parent and grafts a better one where there is one.
+    pub(super) fn review_parent(&mut self, now: Duration, out: &mut Vec<Action>) {
+        if self.local_node.is_coordinator() {
             return;
         }
         self.break_loop(now, out);
         self.update_position(now);
-        if self.feed.asked.is_some_and(|(_, until)| until <= now) {
-            self.give_up_asked(now);
+        if self
+            .tree
+            .pending_graft
+            .is_some_and(|graft| graft.deadline <= now)
+        {
+            self.abandon_graft(now);
         }
-        if self.feed.asked.is_some() {
+        if self.tree.pending_graft.is_some() {
             return;
         }
-        if let Some(better) = self.better_source(now) {
+        if let Some(better) = self.better_parent(now) {
             return self.graft(now, better, out);
         }
-        if self.may_leave_region(now) {
-            self.leave_region(now, out);
+        if self.may_attach_remotely(now) {
+            self.seek_remote_parent(now, out);
+        }
+    }
+
+    /// When the parent must be reviewed at the latest.
+    pub(super) fn next_parent_review(&self, now: Duration) -> Option<Duration> {
+        if self.local_node.is_coordinator() {
+            return None;
         }
+        let attached = self.tree.position.is_attached();
+        let suspect_at = self
+            .parent_link()
+            .filter(|_| attached)
+            .map(|link| link.last_received + self.settings.suspect_timeout);
+        let graft_deadline = self.tree.pending_graft.map(|graft| graft.deadline);
+        let deadlines = [suspect_at, graft_deadline, self.next_remote_attempt(now)];
+        deadlines.into_iter().flatten().min()
     }
 
-    /// A coordinator that loses contact with the majority stops being a root at once, and is one
-    /// again on its return.
+    /// Sets whether this coordinator is in contact with a majority. One that loses contact stops
+    /// being a root at once, and is a root again as soon as contact returns.
     pub(super) fn set_in_contact(&mut self, now: Duration, in_contact: bool) {
-        if !self.me.is_coordinator() || self.in_contact == in_contact {
+        if !self.local_node.is_coordinator() || self.in_contact == in_contact {
             return;
         }
         self.in_contact = in_contact;
-        self.schedule.beat = now;
+        self.schedule.root_heartbeat = now;
         if !self.settings.guards.contact {
             return;
         }
-        self.feed.position = Position::Root { in_contact };
-        for link in self.links.values_mut() {
-            link.tell = true;
-        }
+        self.tree.position = TreePosition::Root { in_contact };
+        self.request_heartbeats();
     }
 
-    /// Drops a source whose own path leads over this node.
+    /// Drops a parent whose own path contains this node.
     fn break_loop(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let Some(source) = self.feed.source else {
+        let Some(parent) = self.tree.parent else {
             return;
         };
         if self
-            .links
-            .get(&source)
-            .is_some_and(|link| link.position.passes(self.me.id()))
+            .parent_link()
+            .is_some_and(|link| link.position.path_contains(self.local_node.id()))
         {
-            self.feed.source = None;
-            self.send(now, source, Message::Prune, out);
+            self.tree.parent = None;
+            self.send(now, parent, Message::Prune, out);
         }
     }
 
-    fn update_position(&mut self, now: Duration) {
+    pub(super) fn update_position(&mut self, now: Duration) {
         let position = self.derived_position(now);
         if position.is_in_contact() {
-            self.feed.orphan_since = None;
-            self.feed.left_region = None;
+            self.tree.orphaned_since = None;
+            self.tree.last_remote_attempt = None;
         } else {
-            self.feed.orphan_since.get_or_insert(now);
+            self.tree.orphaned_since.get_or_insert(now);
         }
-        if position == self.feed.position {
+        if position == self.tree.position {
             return;
         }
-        self.feed.position = position;
+        self.tree.position = position;
+        self.request_heartbeats();
+    }
+
+    /// Marks a heartbeat as pending on all links, as the local position has changed.
+    fn request_heartbeats(&mut self) {
         for link in self.links.values_mut() {
-            link.tell = true;
+            link.heartbeat_pending = true;
         }
     }
 
-    pub(super) fn derived_position(&self, now: Duration) -> Position {
-        let source = self.feed.source.and_then(|source| self.links.get(&source));
-        let Some(link) = source.filter(|link| !self.is_suspect(now, link)) else {
-            return Position::Detached;
+    /// The position of this agent as it follows from its parent's.
+    pub(super) fn derived_position(&self, now: Duration) -> TreePosition {
+        let parent = self.parent_link();
+        let Some(link) = parent.filter(|link| !self.is_suspect(now, link)) else {
+            return TreePosition::Detached;
         };
         let Some(node) = link.node else {
-            return Position::Detached;
+            return TreePosition::Detached;
         };
-        let position = link.position.below(&node, &self.me);
+        let position = link.position.child_position(&node, &self.local_node);
         if position
             .depth()
-            .is_some_and(|depth| depth > self.settings.depth)
+            .is_some_and(|depth| depth > self.settings.max_depth)
         {
-            Position::Detached
+            TreePosition::Detached
         } else {
             position
         }
     }
 
-    /// Whether the neighbour has been silent for too long to be taken as a source, or kept as one.
-    pub(super) fn is_quiet(&self, now: Duration, peer: SocketAddr, link: &Link) -> bool {
-        let source = self.feed.source == Some(peer);
-        link.heard + self.settings.lazy_suspect <= now || source && self.is_suspect(now, link)
-    }
-
-    /// Whether the source on this link has been silent for too long.
-    pub(super) fn is_suspect(&self, now: Duration, link: &Link) -> bool {
-        self.settings.guards.suspicion && link.heard + self.settings.suspect <= now
-    }
-
-    /// Whether an agent without a source may take one from another region. Agents of a region do so
-    /// in the order of their scores; the deputy of the lost source at once; an agent whose source
-    /// lives but has none itself, late. A source that is out of contact with the majority counts as
-    /// lost, but only those that keep a link out of the region turn away from it at once.
-    pub(super) fn may_leave_region(&self, now: Duration) -> bool {
-        self.leave_region_at(now).is_some_and(|at| at <= now)
-    }
-
-    fn leave_region_at(&self, now: Duration) -> Option<Duration> {
-        let since = self.feed.orphan_since?;
-        if !self.settings.guards.region_heads {
-            return Some(since);
-        }
-        let source = self.feed.source.and_then(|source| self.links.get(&source));
-        let alive = source.is_some_and(|link| link.heard + self.settings.suspect > since);
-        let alive = alive && !self.feed.position.is_attached();
-        if self.feed.deputy && !alive {
-            return Some(since);
-        }
-        let alive_links = self
-            .links
-            .values()
-            .filter(|link| link.heard + self.settings.lazy_suspect > now);
-        let better = alive_links
-            .filter_map(|link| link.node)
-            .filter(|node| self.precedes(node))
-            .count();
-        let wait = self.settings.leave_region
-            + self.settings.leave_region_step * u32::try_from(better).unwrap_or(u32::MAX);
-        let spared = self.feed.position.is_attached() && !self.needs_standby();
-        let longer = match (alive, spared) {
-            (true, _) => self.settings.dead,
-            (false, true) => LEAVE_SPARED,
-            (false, false) => Duration::ZERO,
-        };
-        Some(since + wait + longer)
-    }
-
-    /// Whether `node` is an agent of this region with a better score.
-    pub(super) fn precedes(&self, node: &Descriptor) -> bool {
-        !node.is_coordinator()
-            && node.place.same_region(self.me.place)
-            && node.score() < self.me.score()
-    }
-
-    fn leave_again(&self) -> Duration {
-        match (self.feed.position.is_attached(), self.needs_standby()) {
-            (false, _) => LEAVE_AGAIN,
-            (true, true) => LEAVE_AGAIN_FED,
-            (true, false) => LEAVE_AGAIN_SPARED,
-        }
-    }
-
-    /// Opens connections to coordinators anywhere, and from the second attempt on to an agent of
-    /// another region too, as the coordinators known here may all be gone.
-    fn leave_region(&mut self, now: Duration, out: &mut Vec<Action>) {
+    /// Handles the loss of the link with `peer`.
+    pub(super) fn on_link_lost(
+        &mut self,
+        now: Duration,
+        peer: SocketAddr,
+        node: Option<Descriptor>,
+    ) {
         if self
-            .feed
-            .left_region
-            .is_some_and(|at| at + self.leave_again() > now)
+            .tree
+            .pending_graft
+            .is_some_and(|graft| graft.peer == peer)
         {
-            return;
+            self.tree.pending_graft = None;
         }
-        let again = self.feed.left_region.replace(now).is_some();
-        let mut nodes = self.coordinators_by_preference(now);
-        nodes.truncate(OPENED_AT_ONCE);
-        if again || nodes.len() < OPENED_AT_ONCE {
-            let far: Vec<Descriptor> = self.view.far().copied().collect();
-            nodes.extend(far.choose(&mut self.random));
-        }
-        for node in nodes {
-            self.open(now, node.address, out);
+        if self.tree.parent == Some(peer) {
+            self.tree.parent = None;
+            self.tree.lost_parent = node.map(|node| LostParent {
+                node: node.id(),
+                avoid_until: now + self.settings.suspect_timeout,
+            });
+            self.tree.orphaned_since.get_or_insert(now);
         }
     }
 
-    fn graft(&mut self, now: Duration, peer: SocketAddr, out: &mut Vec<Action>) {
-        self.feed.asked = Some((peer, now + self.settings.suspect / 2));
-        let root = self.store.root();
-        self.send(now, peer, Message::Graft { root }, out);
+    /// The link with the parent.
+    pub(super) fn parent_link(&self) -> Option<&Link> {
+        self.tree.parent.and_then(|parent| self.links.get(&parent))
     }
 
-    fn give_up_asked(&mut self, now: Duration) {
-        let Some((peer, _)) = self.feed.asked.take() else {
-            return;
-        };
-        if let Some(link) = self.links.get_mut(&peer) {
-            link.avoid_until = now + AVOID_REFUSED;
-        }
+    /// Whether the neighbour has been silent for too long to become or to remain the parent.
+    pub(super) fn is_silent(&self, now: Duration, peer: SocketAddr, link: &Link) -> bool {
+        let is_parent = self.tree.parent == Some(peer);
+        link.last_received + self.settings.lazy_suspect_timeout <= now
+            || is_parent && self.is_suspect(now, link)
     }
 
-    pub(super) fn on_graft(
-        &mut self,
-        now: Duration,
-        from: SocketAddr,
-        root: u64,
-        out: &mut Vec<Action>,
-    ) {
-        let Some(node) = self.links.get(&from).and_then(|link| link.node) else {
-            return;
-        };
-        let fed = self.links.get(&from).is_some_and(|link| link.feeds);
-        let looped = self.feed.position.passes(node.id()) || self.feed.source == Some(from);
-        if looped || !self.feed.position.is_attached() || !fed && self.room() == 0 {
-            let sample = self.fed_near(now, &node);
-            return self.send(now, from, Message::Refused { sample }, out);
-        }
-        self.send(now, from, Message::Grafted, out);
-        if let Some(link) = self.links.get_mut(&from) {
-            link.feeds = true;
-            link.tell = true;
-        }
-        self.on_digest(now, from, root, out);
+    /// Whether the parent on this link has been silent for too long.
+    pub(super) fn is_suspect(&self, now: Duration, link: &Link) -> bool {
+        self.settings.guards.suspicion && link.last_received + self.settings.suspect_timeout <= now
     }
 
-    /// Nodes fed by this one, to which `node` may turn instead.
-    fn fed_near(&self, now: Duration, node: &Descriptor) -> Vec<Aged> {
-        let fed = self.links.values().filter(|link| link.feeds);
-        let fed = fed.filter_map(|link| link.node.map(|node| (node, link.heard)));
-        let near = fed.filter(|(other, _)| {
-            other.place.same_region(node.place) && other.address != node.address
-        });
-        let aged = |heard: Duration| {
-            u16::try_from(now.saturating_sub(heard).as_secs()).unwrap_or(u16::MAX)
-        };
-        near.map(|(node, heard)| Aged {
-            node,
-            age_s: aged(heard),
-        })
-        .take(self.settings.shuffle_size)
-        .collect()
+    /// Whether `node` is in the region of this node.
+    pub(super) fn is_in_region(&self, node: &Descriptor) -> bool {
+        node.locality.same_region(self.local_node.locality)
     }
 
-    pub(super) fn on_grafted(&mut self, now: Duration, from: SocketAddr, out: &mut Vec<Action>) {
-        if self.feed.source == Some(from) {
-            return;
-        }
-        if self.feed.asked.is_none_or(|(peer, _)| peer != from) {
-            return self.send(now, from, Message::Prune, out);
-        }
-        self.feed.asked = None;
-        if let Some(old) = self.feed.source.replace(from) {
-            self.send(now, old, Message::Prune, out);
-        }
-        self.feed.since = now;
-        self.feed.gaps = 0;
-        self.schedule.maintain = self.schedule.maintain.min(now + self.settings.batch);
-        self.update_position(now);
+    /// Whether `node` is in the zone of this node.
+    pub(super) fn is_in_zone(&self, node: &Descriptor) -> bool {
+        node.locality == self.local_node.locality
     }
 
-    pub(super) fn on_refused(
-        &mut self,
-        now: Duration,
-        from: SocketAddr,
-        sample: &[Aged],
-        out: &mut Vec<Action>,
-    ) {
-        self.learn_all(now, from, sample, out);
-        if self.feed.asked.is_some_and(|(peer, _)| peer == from) {
-            self.give_up_asked(now);
-        }
+    /// Whether `node` is an agent of this region with a lower score.
+    pub(super) fn precedes(&self, node: &Descriptor) -> bool {
+        !node.is_coordinator() && self.is_in_region(node) && node.score() < self.local_node.score()
     }
 
-    pub(super) fn on_prune(&mut self, from: SocketAddr) {
-        if let Some(link) = self.links.get_mut(&from) {
-            link.feeds = false;
-            link.eager.clear();
-        }
+    /// Whether this agent is the head of its region: its parent is in another region.
+    pub(super) fn is_region_head(&self) -> bool {
+        let parent = self.parent_link().and_then(|link| link.node);
+        parent.is_some_and(|parent| !self.is_in_region(&parent))
     }
 
-    /// The link with `peer` is gone.
-    pub(super) fn lost_source(
-        &mut self,
-        now: Duration,
-        peer: SocketAddr,
-        node: Option<Descriptor>,
-    ) {
-        if self.feed.asked.is_some_and(|(asked, _)| asked == peer) {
-            self.feed.asked = None;
-        }
-        if self.feed.source == Some(peer) {
-            self.feed.source = None;
-            self.feed.lost = node.map(|node| (node.id(), now + self.settings.suspect));
-            self.feed.orphan_since.get_or_insert(now);
-        }
+    /// Whether changes enter the region through this node, so that its loss may detach the region.
+    fn is_region_entry(&self) -> bool {
+        self.local_node.is_coordinator() || self.is_region_head()
     }
 
-    /// How many more nodes this one would feed.
-    pub(super) fn room(&self) -> u8 {
-        let limit = if self.me.is_coordinator() {
+    /// How many more children this node accepts.
+    pub(super) fn spare_capacity(&self) -> u8 {
+        let limit = if self.local_node.is_coordinator() {
             self.settings.coordinator_fanout
         } else {
             self.settings.fanout
         };
-        let fed = self.links.values().filter(|link| link.feeds).count();
-        let room = if self.settings.guards.fanout_bound {
-            limit.saturating_sub(fed)
+        let children = self.links.values().filter(|link| link.is_child).count();
+        let spare = if self.settings.guards.fanout_bound {
+            limit.saturating_sub(children)
         } else {
             usize::MAX
         };
-        u8::try_from(room).unwrap_or(u8::MAX)
+        u8::try_from(spare).unwrap_or(u8::MAX)
     }
 
-    /// The agent asked to stand in for this node: of those fed inside the region, the one with the
-    /// best score.
-    pub(super) fn deputy(&self) -> Option<SocketAddr> {
-        if !self.feeds_region() {
+    /// The designated successor of this node: of its children inside the region, the one with the
+    /// lowest score.
+    pub(super) fn successor(&self) -> Option<SocketAddr> {
+        if !self.is_region_entry() {
             return None;
         }
-        let fed = self
-            .links
-            .values()
-            .filter(|link| link.feeds)
-            .filter_map(|link| link.node);
-        let near =
-            fed.filter(|node| node.place.same_region(self.me.place) && !node.is_coordinator());
-        near.min_by_key(super::super::node::Descriptor::score)
+        self.children()
+            .filter(|node| self.is_in_region(node) && !node.is_coordinator())
+            .min_by_key(Descriptor::score)
             .map(|node| node.address)
     }
-
-    /// When the source must be looked at again, at the latest.
-    pub(super) fn next_review(&self, now: Duration) -> Option<Duration> {
-        if self.me.is_coordinator() {
-            return None;
-        }
-        let source = self.feed.source.and_then(|source| self.links.get(&source));
-        let attached = self.feed.position.is_attached();
-        let suspect = source
-            .filter(|_| attached)
-            .map(|link| link.heard + self.settings.suspect);
-        let asked = self.feed.asked.map(|(_, until)| until);
-        let again = self.feed.left_region.map(|at| at + self.leave_again());
-        let leave = self
-            .leave_region_at(now)
-            .map(|at| again.map_or(at, |again| at.max(again)));
-        [suspect, asked, leave].into_iter().flatten().min()
-    }
 }
--- a/crates/overlay/src/view/tests.rs
+++ b/crates/overlay/src/passive_view/tests.rs
@@ -3,13 +3,13 @@
 use rand::SeedableRng as _;
 
 use super::*;
-use crate::node::{Place, Role};
+use crate::node::{Locality, Role};
 
 fn node(index: u32, region: u32, role: Role) -> Descriptor {
     let address = SocketAddr::from((Ipv4Addr::from(0x0a00_0000 + index), 7_000));
     Descriptor {
         address,
-        place: Place {
+        locality: Locality {
             region,
             zone: region,
         },
@@ -28,18 +28,18 @@
 
 #[test]
 fn the_oldest_make_room() {
-    let mut view = View::new(agent(0, 1), &Settings::default());
+    let mut view = PassiveView::new(agent(0, 1), &Settings::default());
     for index in 1..=100 {
-        view.learn(seconds(1_000), agent(index, 1), seconds(u64::from(index)));
-        view.learn(
+        view.record(seconds(1_000), agent(index, 1), seconds(u64::from(index)));
+        view.record(
             seconds(1_000),
             agent(1_000 + index, 2),
             seconds(u64::from(index)),
         );
     }
     let settings = Settings::default();
-    assert_eq!(view.near().count(), settings.passive);
-    assert_eq!(view.far().count(), settings.passive / 2);
+    assert_eq!(view.local_agents().count(), settings.passive_view_size);
+    assert_eq!(view.remote_agents().count(), settings.passive_view_size / 2);
     assert!(view.get(agent(1, 1).address).is_some());
     assert!(view.get(agent(100, 1).address).is_none());
 }
@@ -47,34 +47,37 @@
 #[test]
 fn a_coordinator_remembers_nodes_of_every_region() {
     let settings = Settings::default();
-    let mut view = View::new(node(0, 0, Role::Coordinator), &settings);
+    let mut view = PassiveView::new(node(0, 0, Role::Coordinator), &settings);
     for index in 1..=500 {
-        view.learn(seconds(1), agent(index, index % 10), Duration::ZERO);
+        view.record(seconds(1), agent(index, index % 10), Duration::ZERO);
     }
     for region in 1..10 {
         let known = view
-            .far()
-            .filter(|node| node.place.region == region)
+            .remote_agents()
+            .filter(|node| node.locality.region == region)
             .count();
-        assert_eq!(known, settings.passive_region);
+        assert_eq!(known, settings.region_passive_view_size);
     }
 }
 
 #[test]
 fn a_higher_incarnation_is_news_and_a_lower_one_is_not() {
-    let mut view = View::new(agent(0, 1), &Settings::default());
+    let mut view = PassiveView::new(agent(0, 1), &Settings::default());
     let again = Descriptor {
         incarnation: 2,
         ..agent(1, 1)
     };
     assert_eq!(
-        view.learn(seconds(1), agent(1, 1), Duration::ZERO),
-        Learned::New
+        view.record(seconds(1), agent(1, 1), Duration::ZERO),
+        ViewUpdate::Added
     );
-    assert_eq!(view.learn(seconds(1), again, Duration::ZERO), Learned::New);
     assert_eq!(
-        view.learn(seconds(1), agent(1, 1), Duration::ZERO),
-        Learned::Known
+        view.record(seconds(1), again, Duration::ZERO),
+        ViewUpdate::Added
+    );
+    assert_eq!(
+        view.record(seconds(1), agent(1, 1), Duration::ZERO),
+        ViewUpdate::Unchanged
     );
     assert_eq!(
         view.get(again.address).map(|known| known.node.incarnation),
@@ -84,26 +87,29 @@
 
 #[test]
 fn nodes_nobody_hears_of_are_forgotten() {
-    let mut view = View::new(agent(0, 1), &Settings::default());
-    view.learn(seconds(0), agent(1, 1), Duration::ZERO);
-    view.learn(seconds(0), node(2, 1, Role::Coordinator), Duration::ZERO);
+    let mut view = PassiveView::new(agent(0, 1), &Settings::default());
+    view.record(seconds(0), agent(1, 1), Duration::ZERO);
+    view.record(seconds(0), node(2, 1, Role::Coordinator), Duration::ZERO);
     view.expire(seconds(301));
-    assert_eq!((view.near().count(), view.coordinators().count()), (0, 1));
     assert_eq!(
-        view.learn(seconds(400), agent(3, 1), seconds(301)),
-        Learned::Known
+        (view.local_agents().count(), view.coordinators().count()),
+        (0, 1)
+    );
+    assert_eq!(
+        view.record(seconds(400), agent(3, 1), seconds(301)),
+        ViewUpdate::Unchanged
     );
     assert_eq!(view.len(), 1);
 }
 
 #[test]
 fn a_sample_has_nodes_of_the_receivers_region_first() {
-    let mut view = View::new(node(0, 0, Role::Coordinator), &Settings::default());
+    let mut view = PassiveView::new(node(0, 0, Role::Coordinator), &Settings::default());
     let mut random = Xoshiro256PlusPlus::seed_from_u64(1);
     for index in 1..=40 {
-        view.learn(seconds(1), agent(index, index % 4), Duration::ZERO);
+        view.record(seconds(1), agent(index, index % 4), Duration::ZERO);
     }
-    view.learn(seconds(1), node(99, 2, Role::Coordinator), Duration::ZERO);
+    view.record(seconds(1), node(99, 2, Role::Coordinator), Duration::ZERO);
     let receiver = agent(50, 3);
     let sample = view.sample(seconds(1), &receiver, 7, &mut random);
     assert_eq!(sample.len(), 7);
@@ -112,7 +118,7 @@
     };
     assert_eq!(count(&|node| node.is_coordinator()), 1);
     assert_eq!(
-        count(&|node| !node.is_coordinator() && node.place.region == 3),
+        count(&|node| !node.is_coordinator() && node.locality.region == 3),
         5
     );
 }
--- a/crates/overlay/src/settings.rs
+++ b/crates/overlay/src/settings.rs
@@ -1,80 +1,84 @@
-//! The figures of the overlay, with defaults for a few to 2,000 agents.
+//! Settings of the overlay, with defaults for a few to 2,000 agents.
 
 use std::time::Duration;
 
-/// Intervals, bounds and sizes. All nodes of a deployment use the same ones.
+/// Intervals, timeouts and limits. All nodes of a deployment use the same ones.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Interval of a coordinator's beats, and of a source's heartbeat to those fed by it.
-    pub beat: Duration,
+    /// Interval of a coordinator's root heartbeats, and of heartbeats on tree edges.
+    pub tree_heartbeat_interval: Duration,
     /// Interval of heartbeats on all other links.
-    pub lazy_beat: Duration,
-    /// Silence of the source after which another one is asked.
-    pub suspect: Duration,
-    /// Silence of the source after which its link is closed; also the longest wait for a heartbeat
-    /// to be confirmed.
-    pub dead: Duration,
-    /// Silence of any other link after which it is no longer considered as a source.
-    pub lazy_suspect: Duration,
-    /// Silence of any other link after which it is closed.
-    pub lazy_dead: Duration,
-    /// Changes closer together than this leave in one message.
-    pub batch: Duration,
-    /// Interval at which changes are announced on links that don't push them.
-    pub announce: Duration,
-    /// Interval at which changes are announced on an agent's link out of its region that doesn't
-    /// push them.
-    pub announce_far: Duration,
-    /// How long an announced version may take to arrive by the tree before it is asked for.
-    pub graft_delay: Duration,
+    pub lazy_heartbeat_interval: Duration,
+    /// Time without a message from the parent after which another node is grafted.
+    pub suspect_timeout: Duration,
+    /// Time without a message from the parent after which its link is closed.
+    pub dead_timeout: Duration,
+    /// Time without a message on any other link after which its neighbour is not considered as a
+    /// parent.
+    pub lazy_suspect_timeout: Duration,
+    /// Time without a message on any other link after which it is closed; also the timeout of the
+    /// acknowledgement of a heartbeat on every link.
+    pub lazy_dead_timeout: Duration,
+    /// Changes within this interval are pushed in one message.
+    pub push_batch_interval: Duration,
+    /// Interval of announcements on links over which changes are not pushed.
+    pub announce_interval: Duration,
+    /// The same on an agent's link to another region.
+    pub remote_announce_interval: Duration,
+    /// Time that an announced version may take to arrive over the tree before it is requested.
+    pub missing_timeout: Duration,
     /// Interval of digest exchanges with a random neighbour.
-    pub scrub: Duration,
+    pub anti_entropy_interval: Duration,
     /// Interval of view shuffles.
-    pub shuffle: Duration,
-    /// Interval at which missing links are looked for.
-    pub maintain: Duration,
-    /// Longest wait for a connection, and for the first message on it.
-    pub connect: Duration,
-    /// First wait after a failed connection; doubled by each further one up to `backoff_limit`.
-    pub backoff: Duration,
-    /// Longest wait after failed connections.
-    pub backoff_limit: Duration,
-    /// Wait before an unfed agent turns to another region, so that one of its own region may appear
-    /// first.
-    pub leave_region: Duration,
-    /// Added to `leave_region` for each known agent of the region with a better score.
-    pub leave_region_step: Duration,
-    /// How long a removed entry is remembered, so that older versions of it are refused.
-    pub tombstone: Duration,
-    /// Links an agent keeps inside its region.
-    pub active: usize,
-    /// Nodes an agent remembers of its own region; of the other regions together it remembers half
-    /// as many.
-    pub passive: usize,
-    /// Nodes a coordinator remembers of each region.
-    pub passive_region: usize,
+    pub shuffle_interval: Duration,
+    /// Interval at which missing links are opened and surplus ones closed.
+    pub maintenance_interval: Duration,
+    /// Timeout of connecting, and of the first message on a connection.
+    pub connect_timeout: Duration,
+    /// Backoff after the first failed connection; doubled for each further one.
+    pub initial_backoff: Duration,
+    /// Longest backoff after failed connections.
+    pub max_backoff: Duration,
+    /// Delay before a detached agent takes a parent in another region, so that one in its own may
+    /// appear first.
+    pub remote_parent_delay: Duration,
+    /// Added to `remote_parent_delay` for each known agent of the region with a lower score.
+    pub remote_parent_delay_step: Duration,
+    /// Time for which a tombstone is kept, so that older versions of the entry are rejected.
+    pub tombstone_retention: Duration,
+    /// Links that an agent keeps inside its region (`HyParView`'s active view).
+    pub active_view_size: usize,
+    /// Nodes of its own region that an agent keeps in its passive view; of all other regions
+    /// together it keeps half as many.
+    pub passive_view_size: usize,
+    /// Nodes of each region that a coordinator keeps in its passive view.
+    pub region_passive_view_size: usize,
     /// Descriptors in a shuffle.
     pub shuffle_size: usize,
-    /// Agents fed by one agent.
+    /// Maximum number of children of an agent.
     pub fanout: usize,
-    /// Agents linked to one coordinator.
+    /// Maximum number of agents linked to a coordinator.
     pub coordinator_fanout: usize,
-    /// Beats of different coordinators in one message.
-    pub beat_sources: usize,
-    /// Longest path from a coordinator to an agent, in hops.
-    pub depth: usize,
-    /// Bytes of payload in one message of entries, unless a single entry is longer.
-    pub message_bytes: usize,
-    /// Bytes of payload sent in one round of repair.
-    pub sync_bytes: usize,
-    /// Mechanisms that a test can take out to show that it would notice.
+    /// Maximum number of root heartbeats in one message.
+    pub max_root_heartbeats: usize,
+    /// Maximum number of hops from a coordinator to an agent.
+    pub max_depth: usize,
+    /// Maximum payload bytes in one message of entries, unless a single entry is larger.
+    pub max_message_bytes: usize,
+    /// Maximum payload bytes sent in reply to one request.
+    pub max_repair_bytes: usize,
+    /// Mechanisms that a test can disable to show that it detects their absence.
     #[doc(hidden)]
     pub guards: Guards,
 }
 
-/// Mechanisms whose absence tests must catch. All on in service.
+/// Mechanisms whose absence the tests must detect. All are enabled in production.
 #[doc(hidden)]
 #[derive(Clone, Debug)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "each mechanism is disabled independently"
+)]
 pub struct Guards {
     pub lazy_repair: bool,
     pub anti_entropy: bool,
@@ -108,35 +112,35 @@
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            beat: Duration::from_millis(400),
-            lazy_beat: Duration::from_secs(1),
-            suspect: Duration::from_secs(1),
-            dead: Duration::from_millis(2_500),
-            lazy_suspect: Duration::from_millis(1_500),
-            lazy_dead: Duration::from_secs(5),
-            batch: Duration::from_millis(20),
-            announce: Duration::from_millis(500),
-            announce_far: Duration::from_millis(100),
-            graft_delay: Duration::from_millis(150),
-            scrub: Duration::from_secs(2),
-            shuffle: Duration::from_secs(5),
-            maintain: Duration::from_millis(500),
-            connect: Duration::from_millis(1_500),
-            backoff: Duration::from_millis(250),
-            backoff_limit: Duration::from_secs(4),
-            leave_region: Duration::from_millis(250),
-            leave_region_step: Duration::from_millis(150),
-            tombstone: Duration::from_secs(4 * 3_600),
-            active: 5,
-            passive: 30,
-            passive_region: 8,
+            tree_heartbeat_interval: Duration::from_millis(400),
+            lazy_heartbeat_interval: Duration::from_secs(1),
+            suspect_timeout: Duration::from_secs(1),
+            dead_timeout: Duration::from_millis(2_500),
+            lazy_suspect_timeout: Duration::from_millis(1_500),
+            lazy_dead_timeout: Duration::from_secs(5),
+            push_batch_interval: Duration::from_millis(20),
+            announce_interval: Duration::from_millis(500),
+            remote_announce_interval: Duration::from_millis(100),
+            missing_timeout: Duration::from_millis(150),
+            anti_entropy_interval: Duration::from_secs(2),
+            shuffle_interval: Duration::from_secs(5),
+            maintenance_interval: Duration::from_millis(500),
+            connect_timeout: Duration::from_millis(1_500),
+            initial_backoff: Duration::from_millis(250),
+            max_backoff: Duration::from_secs(4),
+            remote_parent_delay: Duration::from_millis(250),
+            remote_parent_delay_step: Duration::from_millis(150),
+            tombstone_retention: Duration::from_secs(4 * 3_600),
+            active_view_size: 5,
+            passive_view_size: 30,
+            region_passive_view_size: 8,
             shuffle_size: 8,
             fanout: 6,
             coordinator_fanout: 12,
-            beat_sources: 6,
-            depth: 16,
-            message_bytes: 32 * 1_024,
-            sync_bytes: 256 * 1_024,
+            max_root_heartbeats: 6,
+            max_depth: 16,
+            max_message_bytes: 32 * 1_024,
+            max_repair_bytes: 256 * 1_024,
             guards: Guards::default(),
         }
     }
--- a/crates/overlay/src/store.rs
+++ b/crates/overlay/src/store.rs
@@ -1,11 +1,11 @@
-//! Versioned entries by key: the newest version wins, whatever the order in which versions arrive.
+//! Versioned entries by key: the newest version wins, in whatever order versions arrive.
 //!
-//! [`Store::merge`] is commutative, associative and idempotent, so stores that have seen the same
-//! entries are equal. Equal versions with different contents can't come from one publisher; should
-//! they come, a removal wins over a payload and the greater payload over the lesser, so that all
-//! stores still agree.
+//! [`Store::merge`] is commutative, associative and idempotent, so stores that have merged the same
+//! entries are equal. A single publisher never publishes different payloads under one version;
+//! should they appear, a tombstone wins over a payload and the greater payload over the lesser, so
+//! that all stores still agree.
 
-mod digest;
+mod comparison;
 #[cfg(test)]
 mod tests;
 
@@ -14,66 +14,62 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub use digest::{BUCKETS, Buckets};
+pub use comparison::{Collected, Comparison};
 
+use crate::digest::Digest;
+use crate::entry::{Entry, Key, Version};
 use crate::hash;
-use crate::message::Entry;
-
-/// A key, chosen by the user of the overlay.
-pub type Key = u64;
-
-/// A version of a key: higher is newer.
-pub type Version = u64;
 
 /// What the store holds of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
-    /// Its version.
+pub struct StoredEntry {
+    /// The version.
     pub version: Version,
-    /// Its content; `None` when it was removed.
+    /// The payload; `None` for a tombstone.
     pub payload: Option<Arc<[u8]>>,
     removed_at: Duration,
     hash: u64,
-    counted: bool,
+    /// Whether the digest counts the entry; a tombstone leaves it before it is dropped.
+    in_digest: bool,
 }
 
-/// What became of an entry given to [`Store::merge`].
+/// Outcome of [`Store::merge`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merged {
-    /// It is newer than what was held and took its place.
+pub enum MergeOutcome {
+    /// The entry is newer than the stored one and has replaced it.
     Newer,
-    /// It is what was held.
+    /// The entry equals the stored one.
     Same,
-    /// What was held is newer.
+    /// The stored entry is newer.
     Older,
 }
 
-/// Entries by key, with a digest kept up to date at each change.
+/// Entries by key, with a digest that is updated at each change.
 #[derive(Clone, Debug)]
 pub struct Store {
-    entries: BTreeMap<Key, Held>,
-    buckets: [u64; BUCKETS],
-    tombstone: Duration,
+    entries: BTreeMap<Key, StoredEntry>,
+    digest: Digest,
+    tombstone_retention: Duration,
     tombstones: usize,
     next_expiry: Option<Duration>,
     check_versions: bool,
 }
 
 impl Store {
-    /// An empty store that remembers removals for `tombstone`.
+    /// An empty store that keeps tombstones for `tombstone_retention`.
     #[must_use]
-    pub fn new(tombstone: Duration) -> Store {
+    pub fn new(tombstone_retention: Duration) -> Store {
         Store {
             entries: BTreeMap::new(),
-            buckets: [0; BUCKETS],
-            tombstone,
+            digest: Digest::new(),
+            tombstone_retention,
             tombstones: 0,
             next_expiry: None,
             check_versions: true,
         }
     }
 
-    /// Test-only: takes every version as newer.
+    /// For tests: accepts every version as newer.
     #[doc(hidden)]
     #[must_use]
     pub fn without_version_check(mut self) -> Store {
@@ -81,165 +77,163 @@
         self
     }
 
-    /// Takes `entry` in if it is newer than what is held.
-    pub fn merge(&mut self, now: Duration, entry: &Entry) -> Merged {
+    /// Stores `entry` if it is newer than the stored one.
+    pub fn merge(&mut self, now: Duration, entry: &Entry) -> MergeOutcome {
         let order = self.order(entry);
         if order == Ordering::Equal {
-            return Merged::Same;
+            return MergeOutcome::Same;
         }
         if order == Ordering::Less && self.check_versions {
-            return Merged::Older;
+            return MergeOutcome::Older;
         }
         self.put(now, entry);
-        Merged::Newer
+        MergeOutcome::Newer
     }
 
-    /// How `entry` compares with what is held.
+    /// How `entry` compares with the stored one.
     fn order(&self, entry: &Entry) -> Ordering {
-        let Some(held) = self.entries.get(&entry.key) else {
+        let Some(stored) = self.entries.get(&entry.key) else {
             return Ordering::Greater;
         };
-        let removed = entry.payload.is_none().cmp(&held.payload.is_none());
+        let removed = entry.payload.is_none().cmp(&stored.payload.is_none());
         entry
             .version
-            .cmp(&held.version)
+            .cmp(&stored.version)
             .then(removed)
-            .then_with(|| entry.payload.cmp(&held.payload))
+            .then_with(|| entry.payload.cmp(&stored.payload))
     }
 
     fn put(&mut self, now: Duration, entry: &Entry) {
         let age = Duration::from_secs(u64::from(entry.removed_s));
-        let held = Held {
+        let stored = StoredEntry {
             version: entry.version,
             payload: entry.payload.clone(),
             removed_at: now.saturating_sub(age),
             hash: content_hash(entry),
-            counted: true,
+            in_digest: true,
         };
-        if held.payload.is_none() {
+        if stored.payload.is_none() {
             self.tombstones += 1;
-            self.expect_expiry(held.removed_at + self.tombstone / 2);
+            self.schedule_expiry(stored.removed_at + self.tombstone_retention / 2);
         }
-        let bucket = digest::bucket(entry.key);
-        self.buckets[bucket] = self.buckets[bucket].wrapping_add(held.hash);
-        if let Some(old) = self.entries.insert(entry.key, held) {
-            self.forget(bucket, &old);
+        self.digest.add(entry.key, stored.hash);
+        if let Some(replaced) = self.entries.insert(entry.key, stored) {
+            self.discount(entry.key, &replaced);
         }
     }
 
-    /// Takes what `old` added out of the digest and the count of removals.
-    fn forget(&mut self, bucket: usize, old: &Held) {
-        if old.counted {
-            self.buckets[bucket] = self.buckets[bucket].wrapping_sub(old.hash);
+    /// Removes an entry that is no longer stored from the digest and from the count of tombstones.
+    fn discount(&mut self, key: Key, dropped: &StoredEntry) {
+        if dropped.in_digest {
+            self.digest.remove(key, dropped.hash);
         }
-        if old.payload.is_none() {
+        if dropped.payload.is_none() {
             self.tombstones -= 1;
         }
     }
 
-    fn expect_expiry(&mut self, at: Duration) {
+    fn schedule_expiry(&mut self, at: Duration) {
         self.next_expiry = Some(self.next_expiry.map_or(at, |next| next.min(at)));
     }
 
-    /// Drops removals whose time is over. A removal leaves the digest after half of its time and
-    /// the store at the end, so that stores that learned of it at different moments don't send it
-    /// to each other again.
+    /// Drops expired tombstones. A tombstone leaves the digest after half of the retention time and
+    /// the store at its end, so that stores that received it at different times do not send it to
+    /// each other again.
     pub fn expire(&mut self, now: Duration) {
         if self.next_expiry.is_none_or(|next| next > now) {
             return;
         }
         self.next_expiry = None;
-        let gone: Vec<Key> = self
+        let tombstones: Vec<Key> = self
             .entries
             .iter()
-            .filter(|(_, held)| held.payload.is_none())
+            .filter(|(_, stored)| stored.payload.is_none())
             .map(|(key, _)| *key)
             .collect();
-        for key in gone {
-            self.expire_one(now, key);
+        for key in tombstones {
+            self.expire_tombstone(now, key);
         }
     }
 
-    fn expire_one(&mut self, now: Duration, key: Key) {
-        let bucket = digest::bucket(key);
-        let Some(held) = self.entries.get_mut(&key) else {
+    fn expire_tombstone(&mut self, now: Duration, key: Key) {
+        let Some(stored) = self.entries.get_mut(&key) else {
             return;
         };
-        let half = held.removed_at + self.tombstone / 2;
-        let end = held.removed_at + self.tombstone;
-        if now >= end {
-            let held = self.entries.remove(&key).expect("present");
-            self.forget(bucket, &held);
-        } else if now >= half {
-            if held.counted {
-                held.counted = false;
-                self.buckets[bucket] = self.buckets[bucket].wrapping_sub(held.hash);
+        let leaves_digest_at = stored.removed_at + self.tombstone_retention / 2;
+        let expires_at = stored.removed_at + self.tombstone_retention;
+        if now >= expires_at {
+            let expired = self.entries.remove(&key).expect("present");
+            self.discount(key, &expired);
+        } else if now >= leaves_digest_at {
+            if stored.in_digest {
+                stored.in_digest = false;
+                self.digest.remove(key, stored.hash);
             }
-            self.expect_expiry(end);
+            self.schedule_expiry(expires_at);
         } else {
-            self.expect_expiry(half);
+            self.schedule_expiry(leaves_digest_at);
         }
     }
 
-    /// When [`Store::expire`] has work next.
+    /// When [`Store::expire`] next has tombstones to process.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Duration> {
         self.next_expiry
     }
 
-    /// What is held of `key`, removals included.
+    /// The stored entry of `key`, possibly a tombstone.
     #[must_use]
-    pub fn get(&self, key: Key) -> Option<&Held> {
+    pub fn get(&self, key: Key) -> Option<&StoredEntry> {
         self.entries.get(&key)
     }
 
-    /// The version held of `key`, 0 for none.
+    /// The stored version of `key`, 0 for none.
     #[must_use]
     pub fn version(&self, key: Key) -> Version {
-        self.entries.get(&key).map_or(0, |held| held.version)
+        self.entries.get(&key).map_or(0, |stored| stored.version)
     }
 
-    /// What is held of `key`, in the form in which it is sent.
+    /// The stored entry of `key`, in the form in which it is sent.
     #[must_use]
     pub fn entry(&self, now: Duration, key: Key) -> Option<Entry> {
-        self.entries.get(&key).map(|held| held.entry(now, key))
+        self.entries.get(&key).map(|stored| stored.entry(now, key))
     }
 
-    /// All that is held in order of the keys, removals included.
-    pub fn iter(&self) -> impl Iterator<Item = (Key, &Held)> {
-        self.entries.iter().map(|(key, held)| (*key, held))
+    /// All stored entries in the order of their keys, tombstones included.
+    pub fn iter(&self) -> impl Iterator<Item = (Key, &StoredEntry)> {
+        self.entries.iter().map(|(key, stored)| (*key, stored))
     }
 
-    /// Number of entries that are not removed.
+    /// Number of entries that are not tombstones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len() - self.tombstones
     }
 
-    /// Whether nothing is held but removals.
+    /// Whether the store has no entries except tombstones.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Number of removals remembered.
+    /// Number of tombstones.
     #[must_use]
     pub fn tombstones(&self) -> usize {
         self.tombstones
     }
 
-    /// Bytes of payload held.
+    /// Total payload bytes.
     #[must_use]
     pub fn payload_bytes(&self) -> usize {
         self.entries
             .values()
-            .filter_map(|held| held.payload.as_ref())
+            .filter_map(|stored| stored.payload.as_ref())
             .map(|payload| payload.len())
             .sum()
     }
 }
 
-impl Held {
+impl StoredEntry {
     fn entry(&self, now: Duration, key: Key) -> Entry {
         let removed_s = match self.payload {
             Some(_) => 0,
--- a/crates/overlay/src/store/tests.rs
+++ b/crates/overlay/src/store/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-const KEEP: Duration = Duration::from_secs(100);
+const RETENTION: Duration = Duration::from_secs(100);
 
 fn entry(key: Key, version: Version, content: Option<u8>) -> Entry {
     Entry {
@@ -16,8 +16,8 @@
     }
 }
 
-fn filled(entries: &[Entry]) -> Store {
-    let mut store = Store::new(KEEP);
+fn store_of(entries: &[Entry]) -> Store {
+    let mut store = Store::new(RETENTION);
     for entry in entries {
         store.merge(Duration::ZERO, entry);
     }
@@ -25,23 +25,23 @@
 }
 
 #[test]
-fn newest_version_wins() {
-    let mut store = Store::new(KEEP);
+fn merge_keeps_the_newest_version() {
+    let mut store = Store::new(RETENTION);
     assert_eq!(
         store.merge(Duration::ZERO, &entry(1, 5, Some(1))),
-        Merged::Newer
+        MergeOutcome::Newer
     );
     assert_eq!(
         store.merge(Duration::ZERO, &entry(1, 5, Some(1))),
-        Merged::Same
+        MergeOutcome::Same
     );
     assert_eq!(
         store.merge(Duration::ZERO, &entry(1, 4, Some(9))),
-        Merged::Older
+        MergeOutcome::Older
     );
     assert_eq!(
         store.merge(Duration::ZERO, &entry(1, 6, None)),
-        Merged::Newer
+        MergeOutcome::Newer
     );
     assert_eq!(
         (store.len(), store.tombstones(), store.version(1)),
@@ -50,57 +50,57 @@
 }
 
 #[test]
-fn without_the_version_check_an_older_version_comes_back() {
-    let mut store = Store::new(KEEP).without_version_check();
+fn older_version_wins_without_the_version_check() {
+    let mut store = Store::new(RETENTION).without_version_check();
     store.merge(Duration::ZERO, &entry(1, 5, Some(1)));
     store.merge(Duration::ZERO, &entry(1, 4, Some(9)));
     assert_eq!(store.version(1), 4);
 }
 
 #[test]
-fn removals_expire_in_two_steps() {
-    let mut store = filled(&[entry(1, 1, Some(1)), entry(1, 2, None)]);
-    let counted = store.root();
-    store.expire(KEEP / 2);
+fn tombstone_leaves_the_digest_before_the_store() {
+    let mut store = store_of(&[entry(1, 1, Some(1)), entry(1, 2, None)]);
+    let before_expiry = store.root_hash();
+    store.expire(RETENTION / 2);
     assert_eq!(
-        store.root(),
-        Store::new(KEEP).root(),
-        "the digest forgets at half time"
+        store.root_hash(),
+        Store::new(RETENTION).root_hash(),
+        "the digest drops it at half time"
     );
-    assert_ne!(counted, store.root());
+    assert_ne!(before_expiry, store.root_hash());
     assert_eq!(
-        store.merge(KEEP / 2, &entry(1, 1, Some(1))),
-        Merged::Older,
-        "the store still refuses"
+        store.merge(RETENTION / 2, &entry(1, 1, Some(1))),
+        MergeOutcome::Older,
+        "the store still rejects it"
     );
     assert!(store.list(u64::MAX).is_empty());
-    store.expire(KEEP);
+    store.expire(RETENTION);
     assert_eq!(store.get(1), None);
     assert_eq!(store.next_expiry(), None);
 }
 
 #[test]
-fn a_removal_keeps_its_age_on_the_way() {
+fn tombstone_keeps_its_age_when_merged_elsewhere() {
     let now = Duration::from_secs(1_000);
-    let mut late = Store::new(KEEP);
-    late.merge(
+    let mut store = Store::new(RETENTION);
+    store.merge(
         now,
         &Entry {
             removed_s: 60,
             ..entry(1, 2, None)
         },
     );
-    late.expire(now);
-    assert_eq!(late.root(), Store::new(KEEP).root());
-    assert_eq!(late.entry(now, 1).map(|entry| entry.removed_s), Some(60));
+    store.expire(now);
+    assert_eq!(store.root_hash(), Store::new(RETENTION).root_hash());
+    assert_eq!(store.entry(now, 1).map(|entry| entry.removed_s), Some(60));
 }
 
 #[test]
-fn equal_stores_of_two_thousand_keys_compare_in_under_300_bytes() {
+fn digest_of_two_thousand_keys_is_under_300_bytes() {
     let entries: Vec<Entry> = (0..2_000)
         .map(|key| entry(key * 7_919, key, Some(key as u8)))
         .collect();
-    let store = filled(&entries);
+    let store = store_of(&entries);
     let digest = postcard::to_stdvec(&store.digest()).expect("serializable");
     assert!(digest.len() < 300, "{} bytes", digest.len());
     let mut other = store.clone();
@@ -109,23 +109,25 @@
     assert_eq!(mask.count_ones(), 1);
     let listing = postcard::to_stdvec(&other.list(mask)).expect("serializable");
     assert!(listing.len() < 500, "{} bytes", listing.len());
+    let (newer, missing) = (vec![], vec![7_919]);
     assert_eq!(
         store.compare(mask, &other.list(mask)),
-        (vec![], vec![7_919])
+        Comparison { newer, missing }
     );
+    let (newer, missing) = (vec![7_919], vec![]);
     assert_eq!(
         other.compare(mask, &store.list(mask)),
-        (vec![7_919], vec![])
+        Comparison { newer, missing }
     );
 }
 
 #[test]
-fn collect_sends_at_least_one_entry_and_says_when_there_are_more() {
-    let store = filled(&[entry(1, 1, Some(1)), entry(2, 1, Some(1))]);
-    let (entries, more) = store.collect(Duration::ZERO, &[1, 2], 1);
-    assert_eq!((entries.len(), more), (1, true));
-    let (entries, more) = store.collect(Duration::ZERO, &[1, 2, 3], 1_000);
-    assert_eq!((entries.len(), more), (2, false));
+fn collect_returns_at_least_one_entry_and_reports_truncation() {
+    let store = store_of(&[entry(1, 1, Some(1)), entry(2, 1, Some(1))]);
+    let collected = store.collect(Duration::ZERO, &[1, 2], 1);
+    assert_eq!((collected.entries.len(), collected.truncated), (1, true));
+    let collected = store.collect(Duration::ZERO, &[1, 2, 3], 1_000);
+    assert_eq!((collected.entries.len(), collected.truncated), (2, false));
 }
 
 fn any_entry() -> impl Strategy<Value = Entry> {
@@ -137,40 +139,44 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_order_of_versions_does_not_matter(
+    fn merge_result_does_not_depend_on_the_order(
         entries in proptest::collection::vec(any_entry(), 0..30),
         seed in any::<u64>(),
     ) {
-        let first = filled(&entries);
+        let first = store_of(&entries);
         let mut shuffled = entries.clone();
         shuffled.sort_by_key(|entry| hash::pair(seed, content_hash(entry)));
         shuffled.extend(entries.iter().take(5).cloned());
-        let second = filled(&shuffled);
-        prop_assert_eq!(first.root(), second.root());
+        let second = store_of(&shuffled);
+        prop_assert_eq!(first.root_hash(), second.root_hash());
         prop_assert_eq!(first.iter().collect::<Vec<_>>(), second.iter().collect::<Vec<_>>());
     }
 
     #[test]
-    fn one_exchange_makes_two_stores_equal(
+    fn one_exchange_makes_the_versions_of_two_stores_equal(
         mine in proptest::collection::vec(any_entry(), 0..30),
         other in proptest::collection::vec(any_entry(), 0..30),
     ) {
-        let (mut mine, mut other) = (filled(&mine), filled(&other));
+        let (mut mine, mut other) = (store_of(&mine), store_of(&other));
         let mask = mine.difference(&other.digest());
-        let (newer, lacking) = mine.compare(mask, &other.list(mask));
-        let (sent, _) = mine.collect(Duration::ZERO, &newer, usize::MAX);
-        let (answered, _) = other.collect(Duration::ZERO, &lacking, usize::MAX);
-        sent.iter().for_each(|entry| { other.merge(Duration::ZERO, entry); });
-        answered.iter().for_each(|entry| { mine.merge(Duration::ZERO, entry); });
+        let Comparison { newer, missing } = mine.compare(mask, &other.list(mask));
+        let sent = mine.collect(Duration::ZERO, &newer, usize::MAX).entries;
+        let answered = other.collect(Duration::ZERO, &missing, usize::MAX).entries;
+        for entry in &sent {
+            other.merge(Duration::ZERO, entry);
+        }
+        for entry in &answered {
+            mine.merge(Duration::ZERO, entry);
+        }
         // Versions are compared, not contents: two contents of one version are told apart only by
         // who publishes.
-        for (key, held) in mine.iter() {
-            prop_assert_eq!(held.version, other.version(key));
+        for (key, stored) in mine.iter() {
+            prop_assert_eq!(stored.version, other.version(key));
         }
     }
 
     #[test]
-    fn entries_survive_the_wire(entry in any_entry()) {
+    fn entry_round_trips_through_postcard(entry in any_entry()) {
         let bytes = postcard::to_stdvec(&entry).expect("serializable");
         prop_assert_eq!(postcard::from_bytes::<Entry>(&bytes).expect("the same"), entry);
     }
--- a/crates/overlay/tests/messages.rs
+++ b/crates/overlay/tests/messages.rs
@@ -3,14 +3,14 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use ironmast_overlay::{Action, Descriptor, Event, Message, Overlay, Place, Role, Settings};
+use ironmast_overlay::{Action, Descriptor, Event, Locality, Message, Overlay, Role, Settings};
 use proptest::prelude::*;
 
 fn node(index: u8, role: Role) -> Descriptor {
     let address = SocketAddr::from((Ipv4Addr::new(10, 0, 0, index), 7_000));
     Descriptor {
         address,
-        place: Place::named("north", "hall"),
+        locality: Locality::from_names("north", "hall"),
         role,
         incarnation: 1,
     }
--- a/crates/overlay/tests/overlay/contact.rs
+++ b/crates/overlay/tests/overlay/contact.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use ironmast_overlay::{Descriptor, Event, Guards, Place, Position, Role, Settings};
+use ironmast_overlay::{Descriptor, Event, Guards, Locality, Role, Settings, TreePosition};
 use rand::seq::SliceRandom as _;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -104,7 +104,7 @@
             How::Lost => Across::Lost,
             How::Reset => Across::Reset,
             How::Refused => Across::Refused,
-            _ => Across::Held,
+            _ => Across::StoredEntry,
         }
     }
 
@@ -120,7 +120,7 @@
         let core = from.is_coordinator() && to.is_coordinator();
         match self {
             How::All => true,
-            How::Near => core || from.place != to.place,
+            How::Near => core || from.locality != to.locality,
             How::Outgoing => core && alone(from),
             How::Incoming => core && alone(to),
             _ => core,
@@ -165,16 +165,17 @@
             ..Settings::default()
         };
         let mut sim = Sim::new(COORDINATORS, settings, seed);
-        let places = (0..ELSEWHERE).map(|agent| Place {
+        let localities = (0..ELSEWHERE).map(|agent| Locality {
             region: 0,
             zone: agent as u32 % 2,
         });
-        let places = places.chain((0..lone).map(|_| COORDINATORS.descriptor(ALONE).place));
-        for (agent, place) in places.enumerate() {
+        let localities =
+            localities.chain((0..lone).map(|_| COORDINATORS.descriptor(ALONE).locality));
+        for (agent, locality) in localities.enumerate() {
             let address = address(COORDINATORS.coordinators + agent);
-            sim.place(Descriptor {
+            sim.locality(Descriptor {
                 address,
-                place,
+                locality,
                 role: Role::Agent,
                 incarnation: 0,
             });
@@ -256,7 +257,7 @@
 
     /// Runs the day; how long each change took to each agent that counts, sorted.
     fn run(mut self) -> Vec<Duration> {
-        self.sim.cut_with(Across::Held, |_, _| false);
+        self.sim.cut_with(Across::StoredEntry, |_, _| false);
         for (at, step) in std::mem::take(&mut self.script) {
             self.run_until(at);
             self.act(step);
@@ -279,7 +280,7 @@
                 self.sim
                     .cut_with(how.across(), move |from, to| how.cuts(from, to));
             }
-            Step::Heal => self.sim.cut_with(Across::Held, |_, _| false),
+            Step::Heal => self.sim.cut_with(Across::StoredEntry, |_, _| false),
             Step::NewSeeds => {
                 self.sim.seeds.sort_by_key(|seed| *seed != address(ALONE));
                 for node in 0..self.sim.nodes.len() {
@@ -462,14 +463,14 @@
 }
 
 /// Delays of a plain cut that nobody notices, with these guards, in a region of five to ten agents.
-fn unnoticed(guards: Guards) -> Vec<Duration> {
-    delays(3..9, &[How::Core], &guards, false)
+fn unnoticed(guards: &Guards) -> Vec<Duration> {
+    delays(3..9, &[How::Core], guards, false)
 }
 
 #[test]
 fn lookouts_whoever_feeds_them_bring_news_in_time() {
-    assert!(quantile(&unnoticed(Guards::default()), 1_000) <= LIMIT);
-    let without = unnoticed(Guards {
+    assert!(quantile(&unnoticed(&Guards::default()), 1_000) <= LIMIT);
+    let without = unnoticed(&Guards {
         stable_standby: false,
         ..Guards::default()
     });
@@ -478,9 +479,9 @@
 
 #[test]
 fn quick_announcements_bring_news_sooner() {
-    let usual = quantile(&unnoticed(Guards::default()), 990);
+    let usual = quantile(&unnoticed(&Guards::default()), 990);
     let slow = quantile(
-        &unnoticed(Guards {
+        &unnoticed(&Guards {
             quick_announce: false,
             ..Guards::default()
         }),
@@ -508,8 +509,7 @@
 fn under_alone(sim: &Sim) -> usize {
     let alone = sim.nodes[ALONE].descriptor.id();
     let running = sim.nodes.iter().filter_map(|node| node.overlay.as_ref());
-    let under =
-        |position: &Position| matches!(position, Position::Under { path, .. } if path[0] == alone);
+    let under = |position: &TreePosition| matches!(position, TreePosition::Descendant { path, .. } if path[0] == alone);
     running.filter(|overlay| under(overlay.position())).count()
 }
 
@@ -534,7 +534,7 @@
             oldest_news(&sim)
         );
     }
-    sim.cut_with(Across::Held, |_, _| false);
+    sim.cut_with(Across::StoredEntry, |_, _| false);
     sim.give(ALONE, Event::InContact(true));
     sim.run_for(ms(1_000));
     assert_eq!(under_alone(&sim), 6);
@@ -578,7 +578,7 @@
     sim.run_for(ms(8_000));
     let cut_off = move |node: &Descriptor| node.is_coordinator() && index(node.address) < alone;
     let core = |from: &Descriptor, to: &Descriptor| from.is_coordinator() && to.is_coordinator();
-    sim.cut_with(Across::Held, move |from, to| {
+    sim.cut_with(Across::StoredEntry, move |from, to| {
         core(from, to) && (cut_off(from) || cut_off(to))
     });
     let noticed = sim.now + NOTICED;
@@ -617,14 +617,14 @@
 }
 
 /// The slowest in a hundred where agents have only each other, eight to ten of them.
-fn among_agents(guards: Guards) -> Duration {
-    quantile(&delays(6..9, &[How::Near], &guards, false), 990)
+fn among_agents(guards: &Guards) -> Duration {
+    quantile(&delays(6..9, &[How::Near], guards, false), 990)
 }
 
 #[test]
 fn relays_bring_news_sooner_among_agents() {
-    let usual = among_agents(Guards::default());
-    let lazy = among_agents(Guards {
+    let usual = among_agents(&Guards::default());
+    let lazy = among_agents(&Guards {
         eager_relay: false,
         ..Guards::default()
     });
@@ -652,7 +652,7 @@
     sim.run_for(ms(8_000));
     let calm = far_bytes(&mut sim, SECONDS);
     let core = |from: &Descriptor, to: &Descriptor| from.is_coordinator() && to.is_coordinator();
-    sim.cut_with(Across::Held, core);
+    sim.cut_with(Across::StoredEntry, core);
     (0..LARGE.coordinators).for_each(|node| sim.give(node, Event::InContact(false)));
     let alone = far_bytes(&mut sim, SECONDS);
     println!("bytes between regions in {SECONDS} s: {calm}, without a majority {alone}");
--- a/crates/overlay/tests/overlay/faults.rs
+++ b/crates/overlay/tests/overlay/faults.rs
@@ -160,7 +160,7 @@
 fn a_region_is_cut_off_and_comes_back() {
     for seed in 0..3 {
         let mut sim = started(Plan::HUNDRED, seed);
-        sim.cut(|from, to| (from.place.region == 4) != (to.place.region == 4));
+        sim.cut(|from, to| (from.locality.region == 4) != (to.locality.region == 4));
         sim.run_for(ms(20_000));
         sim.publish(0, KEY, 1, 100);
         sim.run_for(ms(5_000));
@@ -233,7 +233,7 @@
             sim.nodes[*agent]
                 .overlay
                 .as_ref()
-                .is_some_and(|node| node.fed().count() > 0)
+                .is_some_and(|node| node.children().count() > 0)
         });
         let agent = agent.expect("some agent feeds others");
         sim.freeze(agent);
--- a/crates/overlay/tests/overlay/guards.rs
+++ b/crates/overlay/tests/overlay/guards.rs
@@ -58,7 +58,7 @@
 fn lacking_after_blackout(guards: Guards) -> usize {
     // No source is suspected, as the digest in a graft would repair too.
     let settings = Settings {
-        suspect: ms(2_500),
+        suspect_timeout: ms(2_500),
         ..with(guards)
     };
     let mut sim = Sim::start(Plan::HUNDRED, settings, 1);
@@ -119,7 +119,7 @@
     let fed = agents
         .iter()
         .filter_map(|node| node.overlay.as_ref())
-        .map(|overlay| overlay.fed().count());
+        .map(|overlay| overlay.children().count());
     (linked.max().unwrap_or(0), fed.max().unwrap_or(0))
 }
 
--- a/crates/overlay/tests/overlay/hunt.rs
+++ b/crates/overlay/tests/overlay/hunt.rs
@@ -138,8 +138,9 @@
 
     fn cut_region(&mut self) {
         let region = self.random.random_range(0..self.sim.plan.regions as u32);
-        self.sim
-            .cut(move |from, to| (from.place.region == region) != (to.place.region == region));
+        self.sim.cut(move |from, to| {
+            (from.locality.region == region) != (to.locality.region == region)
+        });
     }
 
     /// Ends all faults and waits.
--- a/crates/overlay/tests/overlay/plan.rs
+++ b/crates/overlay/tests/overlay/plan.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-use ironmast_overlay::{Descriptor, Place, Role};
+use ironmast_overlay::{Descriptor, Locality, Role};
 
 /// A deployment: coordinators first, then agents, spread over the regions and zones in turn.
 #[derive(Clone, Copy, Debug)]
@@ -68,13 +68,13 @@
         };
         let region = position % regions;
         let zone = position / regions % self.zones;
-        let place = Place {
+        let locality = Locality {
             region: region as u32,
             zone: (region * self.zones + zone) as u32,
         };
         Descriptor {
             address: address(index),
-            place,
+            locality,
             role,
             incarnation: 1,
         }
--- a/crates/overlay/tests/overlay/sim.rs
+++ b/crates/overlay/tests/overlay/sim.rs
@@ -1,4 +1,4 @@
-//! A deterministic network of nodes: latency by place, loss, cuts by direction, crashes and
+//! A deterministic network of nodes: latency by locality, loss, cuts by direction, crashes and
 //! restarts.
 
 use std::cmp::Reverse;
@@ -107,7 +107,7 @@
     #[default]
     Lost,
     /// Messages arrive after the cut, unless the connection has been given up.
-    Held,
+    StoredEntry,
     /// Connections are reset as the cut begins; new ones hang.
     Reset,
     /// Connections are reset as the cut begins; new ones are refused.
@@ -195,13 +195,13 @@
 
     /// Adds a node that was not part of the plan.
     pub(crate) fn add(&mut self, descriptor: Descriptor) -> usize {
-        self.place(descriptor);
+        self.locality(descriptor);
         self.boot(self.nodes.len() - 1);
         self.nodes.len() - 1
     }
 
     /// Adds a node that does not run yet.
-    pub(crate) fn place(&mut self, descriptor: Descriptor) {
+    pub(crate) fn locality(&mut self, descriptor: Descriptor) {
         self.nodes.push(Node::new(descriptor));
     }
 
@@ -237,14 +237,14 @@
     }
 
     pub(crate) fn source(&self, agent: usize) -> Option<usize> {
-        self.nodes[agent].overlay.as_ref()?.source().map(index)
+        self.nodes[agent].overlay.as_ref()?.parent().map(index)
     }
 
     /// Whether the source of `agent` lies in another region.
     pub(crate) fn is_fed_from_outside(&self, agent: usize) -> bool {
-        let place = self.nodes[agent].descriptor.place;
+        let locality = self.nodes[agent].descriptor.locality;
         self.source(agent)
-            .is_some_and(|source| !self.nodes[source].descriptor.place.same_region(place))
+            .is_some_and(|source| !self.nodes[source].descriptor.locality.same_region(locality))
     }
 
     pub(crate) fn is_up(&self, node: usize) -> bool {
@@ -259,7 +259,9 @@
     /// Lets a frozen process run on, which then reads what has waited.
     pub(crate) fn thaw(&mut self, node: usize) {
         let unread = self.nodes[node].unread.take().unwrap_or_default();
-        unread.into_iter().for_each(|event| self.give(node, event));
+        for event in unread {
+            self.give(node, event);
+        }
     }
 
     pub(crate) fn cut(&mut self, cut: impl Fn(&Descriptor, &Descriptor) -> bool + 'static) {
@@ -366,7 +368,7 @@
             } => {
                 if self.nodes[to].connections.get(&from) == Some(&connection) {
                     self.deliver(from, to, *message);
-                } else if self.across == Across::Held {
+                } else if self.across == Across::StoredEntry {
                     self.tell_closed(to, from, connection);
                 }
             }
@@ -519,7 +521,7 @@
             return;
         };
         self.count(from, to, &message);
-        if self.across == Across::Held && self.is_blocked(from, to, connection) {
+        if self.across == Across::StoredEntry && self.is_blocked(from, to, connection) {
             self.held.push((from, to, connection, message));
             return;
         }
@@ -560,8 +562,8 @@
         let size = wire_size(message);
         let far = !self.nodes[from]
             .descriptor
-            .place
-            .same_region(self.nodes[to].descriptor.place);
+            .locality
+            .same_region(self.nodes[to].descriptor.locality);
         let sent = &mut self.nodes[from].sent;
         sent.messages += 1;
         sent.bytes += size;
@@ -599,8 +601,8 @@
 
     fn latency(&mut self, from: usize, to: usize) -> Duration {
         let (from, to) = (
-            self.nodes[from].descriptor.place,
-            self.nodes[to].descriptor.place,
+            self.nodes[from].descriptor.locality,
+            self.nodes[to].descriptor.locality,
         );
         let base = match (from == to, from.same_region(to)) {
             (true, _) => 250,
--- a/crates/overlay/tests/overlay/spread.rs
+++ b/crates/overlay/tests/overlay/spread.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use ironmast_overlay::{Position, Settings};
+use ironmast_overlay::{Settings, TreePosition};
 
 use crate::plan::{Plan, index};
 use crate::sim::{Sim, ms};
@@ -71,14 +71,14 @@
 /// Agents fed from another zone, and zones that have agents but no coordinator.
 fn zone_edges(sim: &Sim) -> (usize, usize) {
     let agents = sim.plan.coordinators..sim.plan.len();
-    let place = |node: usize| sim.nodes[node].descriptor.place;
+    let locality = |node: usize| sim.nodes[node].descriptor.locality;
     let apart = |agent: &usize| {
         sim.source(*agent)
-            .is_some_and(|source| place(source) != place(*agent))
+            .is_some_and(|source| locality(source) != locality(*agent))
     };
-    let zones: BTreeSet<u32> = agents.clone().map(|agent| place(agent).zone).collect();
+    let zones: BTreeSet<u32> = agents.clone().map(|agent| locality(agent).zone).collect();
     let with: BTreeSet<u32> = (0..sim.plan.coordinators)
-        .map(|node| place(node).zone)
+        .map(|node| locality(node).zone)
         .collect();
     (
         agents.filter(apart).count(),
@@ -105,7 +105,7 @@
     let Some(overlay) = &sim.nodes[agent].overlay else {
         return 0;
     };
-    let source = overlay.source().map(index);
+    let source = overlay.parent().map(index);
     let avoided =
         [Some(agent), source].map(|node| node.map(|node| sim.nodes[node].descriptor.id()));
     let others = overlay
@@ -115,17 +115,19 @@
     let positions = others
         .filter_map(|node| sim.nodes[node].overlay.as_ref())
         .map(ironmast_overlay::Overlay::position);
-    let independent = |position: &&Position| match position {
-        Position::Root { .. } => true,
-        Position::Detached => false,
-        Position::Under { path, .. } => !path.iter().any(|node| avoided.contains(&Some(*node))),
+    let independent = |position: &&TreePosition| match position {
+        TreePosition::Root { .. } => true,
+        TreePosition::Detached => false,
+        TreePosition::Descendant { path, .. } => {
+            !path.iter().any(|node| avoided.contains(&Some(*node)))
+        }
     };
     positions.filter(independent).count()
 }
 
 /// Nodes that feed a region alone: the only coordinator in it, or the agent fed from outside.
 fn single_feeders(sim: &Sim) -> Vec<usize> {
-    let region = |node: usize| sim.nodes[node].descriptor.place.region;
+    let region = |node: usize| sim.nodes[node].descriptor.locality.region;
     let core = 0..sim.plan.coordinators;
     let alone = |node: &usize| {
         core.clone()
@@ -158,7 +160,7 @@
         println!("{} agents: {without} without a second source", plan.agents);
         assert!(without * 100 <= plan.agents);
         for node in single {
-            let region = |node: usize| sim.nodes[node].descriptor.place.region;
+            let region = |node: usize| sim.nodes[node].descriptor.locality.region;
             let fed = agents.iter().filter(|agent| {
                 sim.source(**agent) == Some(node) && region(**agent) == region(node)
             });
