--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -1,5 +1,5 @@
-//! The end of a gate: clients are sent elsewhere, what was taken is answered, idle connections are
-//! closed.
+//! The graceful shutdown of a gate: new clients are sent to other gates, requests in progress are
+//! finished, and idle connections are closed.
 
 use std::time::Duration;
 
@@ -8,25 +8,31 @@
 
 use crate::gate::Gate;
 
-/// Clients keep coming for about half of the time that their list of addresses holds, and a little
-/// longer.
-const STILL_COME: f64 = 0.5;
-/// Of the time that a process has to end, clients may come for no more than this part.
-const COME_MOST: f64 = 0.5;
+/// Clients keep connecting for about this part of the time for which they may keep a list of
+/// addresses.
+const ACCEPT_PER_TTL: f64 = 0.5;
+/// The largest part of the grace period in which clients are accepted.
+const MAX_ACCEPT_PART: f64 = 0.5;
 
-/// Ends a gate; returns once nobody waits for an answer, or the time is up.
+/// Shuts a gate down. Returns once no client waits for a response, or when the time is up.
 pub(crate) async fn run<S: Service>(gate: &Gate, listener: &Listener<S>) {
-    gate.ending.set(Some(gate.clock.now()));
-    gate.status_changed.notify_one();
-    let bounds = gate.settings.borrow().timing_bounds.clone();
-    let come = (bounds.ttl_max_s * STILL_COME).min(bounds.grace_period_s * COME_MOST);
-    info!(gate.log, "ending"; "clients_come_for_s" => come);
-    let ends = gate.ends_at().unwrap_or_default();
+    gate.begin_shutdown();
+    let accept_s = accept_seconds(gate);
+    info!(gate.log, "ending"; "clients_come_for_s" => accept_s);
+    let deadline = gate.shutdown_deadline().unwrap_or_default();
     let finish = async {
-        tokio::time::sleep(Duration::from_secs_f64(come)).await;
+        tokio::time::sleep(Duration::from_secs_f64(accept_s)).await;
         listener.stop.notify_one();
         listener.finish(IdleConnections::CloseNow).await;
     };
-    let _ = tokio::time::timeout_at(gate.clock.at(ends).into(), finish).await;
+    // A shutdown that takes too long aborts what is left.
+    let _ = tokio::time::timeout_at(gate.clock.at(deadline).into(), finish).await;
     info!(gate.log, "ended");
 }
+
+/// How long clients are still accepted.
+fn accept_seconds(gate: &Gate) -> f64 {
+    let settings = gate.settings.borrow();
+    let bounds = &settings.timing_bounds;
+    (bounds.ttl_max_s * ACCEPT_PER_TTL).min(bounds.grace_period_s * MAX_ACCEPT_PART)
+}
--- /dev/null
+++ b/crates/gate/src/entry_store.rs
@@ -0,0 +1,239 @@
+//! The entries that the agent has sent: the newest of each key, and what follows from them for
+//! the gate.
+//!
+//! Entries of different keys may arrive in any order and more than once. A version decides which
+//! entry of a key is newer, so that an old one never replaces a newer one.
+
+use std::collections::BTreeMap;
+use std::net::{IpAddr, SocketAddr};
+use std::sync::Arc;
+
+use ironmast_limits::{Gate, GateId, GateSet};
+use ironmast_routing::{Micros, ServerSpec, Table, TableError, TableSpec};
+use ironmast_schema::configuration::{ClientLimits, Configuration};
+use ironmast_schema::control::{
+    ControlState, Entry, GateRecord, InstanceRecord, Key, Liveness, Value,
+};
+use ironmast_schema::settings::{InternalPort, Settings};
+use rustc_hash::FxHashMap;
+
+use crate::table_spec::{ServerStatus, server_spec, table_spec};
+
+/// The largest number of ended incarnations that are remembered.
+const MAX_ENDED_INSTANCES: usize = 2_000;
+
+/// Something that happened to a server and concerns its warm-up.
+#[derive(Debug, Clone, PartialEq)]
+pub(crate) enum WarmupEvent {
+    /// The server reported its warm-up.
+    Reported {
+        /// The incarnation.
+        instance: Arc<str>,
+        /// How much longer it is warming up, in ms.
+        remaining_ms: f64,
+    },
+    /// Earlier reports of this incarnation are void: it may have to warm up again.
+    Invalidated(Arc<str>),
+}
+
+/// The newest entry of each key.
+#[derive(Debug, Default)]
+pub(crate) struct EntryStore {
+    entries: BTreeMap<Key, Entry>,
+    /// Since when the heartbeats of servers are missing.
+    unreachable_since: FxHashMap<Arc<str>, Micros>,
+    /// The version of the configuration that the current table was built from.
+    table_version: Option<u64>,
+    /// The zones that were evacuated when entries were merged last.
+    evacuated: Vec<String>,
+}
+
+impl EntryStore {
+    /// Merges entries; the newer version of each key is kept. Returns what happened to servers.
+    pub(crate) fn merge(&mut self, now: Micros, entries: Vec<Entry>) -> Vec<WarmupEvent> {
+        let mut events = Vec::new();
+        for entry in entries {
+            let stored = self.entries.get(&entry.key);
+            if stored.is_some_and(|stored| stored.version >= entry.version) {
+                continue;
+            }
+            if let (Key::Instance(id), Value::Instance(record)) = (&entry.key, &entry.value) {
+                self.track_reachability(now, id.as_str().into(), record, &mut events);
+            }
+            self.entries.insert(entry.key.clone(), entry);
+        }
+        self.track_evacuation(&mut events);
+        self.forget_ended_instances();
+        events
+    }
+
+    /// A server whose heartbeats were missing may have to warm up again.
+    fn track_reachability(
+        &mut self,
+        now: Micros,
+        instance: Arc<str>,
+        record: &InstanceRecord,
+        events: &mut Vec<WarmupEvent>,
+    ) {
+        match record.liveness {
+            Liveness::Unreachable => _ = self.unreachable_since.entry(instance).or_insert(now),
+            Liveness::Deregistered => _ = self.unreachable_since.remove(&instance),
+            Liveness::Alive => {
+                if self.unreachable_since.remove(&instance).is_some() {
+                    events.push(WarmupEvent::Invalidated(instance.clone()));
+                }
+                events.push(WarmupEvent::Reported {
+                    instance,
+                    remaining_ms: record.heartbeat.warmup_left_ms,
+                });
+            }
+        }
+    }
+
+    /// Servers whose zone is no longer evacuated may have to warm up again.
+    fn track_evacuation(&mut self, events: &mut Vec<WarmupEvent>) {
+        let evacuated = self.evacuated_zones().to_vec();
+        let restored: Vec<String> = self
+            .evacuated
+            .iter()
+            .filter(|zone| !evacuated.contains(zone))
+            .cloned()
+            .collect();
+        let invalidated = self
+            .instances()
+            .filter(|(_, record)| restored.contains(&record.heartbeat.zone))
+            .map(|(id, _)| WarmupEvent::Invalidated(id.into()));
+        events.extend(invalidated);
+        self.evacuated = evacuated;
+    }
+
+    fn forget_ended_instances(&mut self) {
+        let has_ended = |entry: &Entry| matches!(&entry.value, Value::Instance(record) if record.liveness == Liveness::Deregistered);
+        let ended = self.entries.values().filter(|entry| has_ended(entry));
+        if ended.count() > MAX_ENDED_INSTANCES {
+            self.entries.retain(|_, entry| !has_ended(entry));
+        }
+    }
+
+    fn control(&self) -> Option<&ControlState> {
+        match &self.entries.get(&Key::Control)?.value {
+            Value::Control(control) => Some(control),
+            _ => None,
+        }
+    }
+
+    fn evacuated_zones(&self) -> &[String] {
+        self.control().map_or(&[], |control| &control.evacuated)
+    }
+
+    fn instances(&self) -> impl Iterator<Item = (&str, &InstanceRecord)> {
+        self.entries
+            .iter()
+            .filter_map(|(key, entry)| match (key, &entry.value) {
+                (Key::Instance(id), Value::Instance(record)) => Some((id.as_str(), record)),
+                _ => None,
+            })
+    }
+
+    fn gates(&self) -> impl Iterator<Item = (SocketAddr, &GateRecord)> {
+        self.entries
+            .iter()
+            .filter_map(|(key, entry)| match (key, &entry.value) {
+                (Key::Gate(frontend), Value::Gate(record)) => Some((*frontend, record)),
+                _ => None,
+            })
+    }
+
+    /// The current configuration.
+    pub(crate) fn configuration(&self) -> Option<&Configuration> {
+        self.control()?.configuration.as_ref()
+    }
+
+    /// The limits on clients of the current configuration.
+    pub(crate) fn client_limits(&self) -> Option<ClientLimits> {
+        self.configuration()
+            .map(|configuration| configuration.limits)
+    }
+
+    /// The number of gates that are present.
+    pub(crate) fn gate_count(&self) -> u32 {
+        self.gates().filter(|(_, record)| !record.down).count() as u32
+    }
+
+    /// All gates that were ever listed, and the gate at `own_frontend`.
+    pub(crate) fn tier(&self, settings: &Settings, own_frontend: SocketAddr) -> GateSet {
+        let mut gates: BTreeMap<SocketAddr, &str> = self
+            .gates()
+            .map(|(frontend, record)| (frontend, record.region.as_str()))
+            .collect();
+        gates.insert(own_frontend, &settings.region);
+        let gates = gates.into_iter().map(|(frontend, region)| Gate {
+            region: region.into(),
+            id: gate_id(frontend),
+        });
+        GateSet::new(gate_id(own_frontend), gates.collect())
+    }
+
+    /// The addresses at which the other gates of the region receive peers' load.
+    pub(crate) fn peers(&self, settings: &Settings) -> Vec<SocketAddr> {
+        let port = settings.internal_port(InternalPort::Gate);
+        self.gates()
+            .filter(|(_, record)| !record.down && record.region == settings.region)
+            .map(|(frontend, _)| frontend.ip())
+            .filter(|ip| *ip != settings.ip_address)
+            .map(|ip| SocketAddr::new(ip, port))
+            .collect()
+    }
+
+    /// The servers that have not ended.
+    pub(crate) fn servers(&self, settings: &Settings) -> Vec<ServerSpec> {
+        let evacuated = self.evacuated_zones();
+        let status = |id: &str, record: &InstanceRecord| ServerStatus {
+            evacuated: evacuated.contains(&record.heartbeat.zone),
+            heartbeats_missing_since: self.unreachable_since.get(id).copied(),
+        };
+        self.instances()
+            .filter(|(_, record)| record.liveness != Liveness::Deregistered)
+            .map(|(id, record)| server_spec(settings, id, &record.heartbeat, status(id, record)))
+            .collect()
+    }
+
+    /// Builds the table that follows `table`. Its routes are built anew only if the configuration
+    /// has changed.
+    ///
+    /// # Errors
+    /// The configuration is invalid, which coordinators should have found.
+    pub(crate) fn next_table(
+        &mut self,
+        settings: &Settings,
+        table: &Table,
+    ) -> Result<Table, TableError> {
+        let version = self.entries.get(&Key::Control).map(|entry| entry.version);
+        let (gates, servers) = (self.gate_count(), self.servers(settings));
+        if version == self.table_version {
+            return table.with_servers(gates, servers);
+        }
+        let spec = match self.configuration() {
+            Some(configuration) => table_spec(configuration, gates, servers),
+            None => TableSpec {
+                gates,
+                ..TableSpec::default()
+            },
+        };
+        let table = Table::build(spec)?;
+        self.table_version = version;
+        Ok(table)
+    }
+}
+
+/// The id of a gate, which is the same at all gates: its address.
+fn gate_id(frontend: SocketAddr) -> GateId {
+    let ip = match frontend.ip() {
+        IpAddr::V4(ip) => u64::from(ip.to_bits()),
+        IpAddr::V6(ip) => ip.to_bits() as u64,
+    };
+    GateId(ip << u16::BITS | u64::from(frontend.port()))
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/gate/src/table/tests.rs
+++ b/crates/gate/src/entry_store/tests.rs
@@ -1,5 +1,5 @@
 use assert_matches::assert_matches;
-use ironmast_schema::control::GateRecord;
+use ironmast_routing::{RouteKind, ServerState};
 
 use super::*;
 
@@ -70,9 +70,9 @@
 }
 
 #[test]
-fn routes_services_and_servers_are_taken_over() {
-    let mut known = Known::default();
-    known.merge(
+fn table_has_the_routes_services_and_servers_of_the_entries() {
+    let mut store = EntryStore::default();
+    store.merge(
         5,
         vec![
             control(1, &[]),
@@ -80,7 +80,9 @@
             gate(80, false),
         ],
     );
-    let table = known.next(&settings(), &Table::default()).expect("a table");
+    let table = store
+        .next_table(&settings(), &Table::default())
+        .expect("a table");
     let route = table
         .router()
         .route("A.example:80", "/s/1?q=/u/")
@@ -110,94 +112,97 @@
         (&*server.instance, &*server.region, server.state),
         ("i-1", "south", ServerState::Ready)
     );
-    assert_eq!(known.gates(), 1);
+    assert_eq!(store.gate_count(), 1);
 }
 
 #[test]
-fn an_older_word_changes_nothing() {
-    let mut known = Known::default();
-    known.merge(5, vec![instance("i-1", 3, "draining", Liveness::Alive)]);
+fn entry_with_an_older_version_is_ignored() {
+    let mut store = EntryStore::default();
+    store.merge(5, vec![instance("i-1", 3, "draining", Liveness::Alive)]);
     assert_eq!(
-        known.merge(6, vec![instance("i-1", 2, "ready", Liveness::Alive)]),
+        store.merge(6, vec![instance("i-1", 2, "ready", Liveness::Alive)]),
         []
     );
-    assert_eq!(known.servers(&settings())[0].state, ServerState::Draining);
+    assert_eq!(store.servers(&settings())[0].state, ServerState::Draining);
 }
 
 #[test]
-fn a_server_that_is_gone_is_not_listed() {
-    let mut known = Known::default();
-    known.merge(5, vec![instance("i-1", 1, "ready", Liveness::Alive)]);
-    known.merge(6, vec![instance("i-1", 2, "ready", Liveness::Deregistered)]);
-    assert_eq!(known.servers(&settings()), []);
+fn ended_server_is_not_in_the_table() {
+    let mut store = EntryStore::default();
+    store.merge(5, vec![instance("i-1", 1, "ready", Liveness::Alive)]);
+    store.merge(6, vec![instance("i-1", 2, "ready", Liveness::Deregistered)]);
+    assert_eq!(store.servers(&settings()), []);
 }
 
 #[test]
-fn silence_is_timed_and_its_end_may_leave_a_server_cold() {
-    let mut known = Known::default();
-    known.merge(5, vec![instance("i-1", 1, "ready", Liveness::Unreachable)]);
-    known.merge(7, vec![instance("i-1", 2, "ready", Liveness::Unreachable)]);
+fn time_without_heartbeats_is_tracked_and_its_end_invalidates_the_warmup() {
+    let mut store = EntryStore::default();
+    store.merge(5, vec![instance("i-1", 1, "ready", Liveness::Unreachable)]);
+    store.merge(7, vec![instance("i-1", 2, "ready", Liveness::Unreachable)]);
     assert_eq!(
-        known.servers(&settings())[0].heartbeats_missing_since,
+        store.servers(&settings())[0].heartbeats_missing_since,
         Some(5)
     );
-    let news = known.merge(9, vec![instance("i-1", 3, "ready", Liveness::Alive)]);
+    let events = store.merge(9, vec![instance("i-1", 3, "ready", Liveness::Alive)]);
     assert_eq!(
-        news,
+        events,
         [
-            News::Disturbed("i-1".into()),
-            News::Warmup("i-1".into(), 1_500.0)
+            WarmupEvent::Invalidated("i-1".into()),
+            WarmupEvent::Reported {
+                instance: "i-1".into(),
+                remaining_ms: 1_500.0
+            }
         ]
     );
-    assert_eq!(known.servers(&settings())[0].heartbeats_missing_since, None);
+    assert_eq!(store.servers(&settings())[0].heartbeats_missing_since, None);
 }
 
 #[test]
-fn an_evacuated_zone_is_marked_and_its_servers_may_return_cold() {
-    let mut known = Known::default();
-    known.merge(
+fn servers_of_an_evacuated_zone_are_marked_and_their_warmup_is_invalidated_afterwards() {
+    let mut store = EntryStore::default();
+    store.merge(
         5,
         vec![
             control(1, &["s-1"]),
             instance("i-1", 1, "ready", Liveness::Alive),
         ],
     );
-    assert!(known.servers(&settings())[0].evacuated);
-    let news = known.merge(6, vec![control(2, &[])]);
-    assert_eq!(news, [News::Disturbed("i-1".into())]);
-    assert!(!known.servers(&settings())[0].evacuated);
+    assert!(store.servers(&settings())[0].evacuated);
+    let events = store.merge(6, vec![control(2, &[])]);
+    assert_eq!(events, [WarmupEvent::Invalidated("i-1".into())]);
+    assert!(!store.servers(&settings())[0].evacuated);
 }
 
 #[test]
-fn gates_that_have_gone_do_not_count() {
-    let mut known = Known::default();
-    known.merge(5, vec![gate(80, false), gate(81, false), gate(82, true)]);
-    assert_eq!(known.gates(), 2);
+fn gates_that_have_ended_are_not_counted() {
+    let mut store = EntryStore::default();
+    store.merge(5, vec![gate(80, false), gate(81, false), gate(82, true)]);
+    assert_eq!(store.gate_count(), 2);
 }
 
 #[test]
-fn without_a_configuration_there_is_no_route() {
-    let mut known = Known::default();
-    known.merge(5, vec![instance("i-1", 1, "ready", Liveness::Alive)]);
-    let table = known.next(&settings(), &Table::default());
+fn table_without_a_configuration_has_no_route() {
+    let mut store = EntryStore::default();
+    store.merge(5, vec![instance("i-1", 1, "ready", Liveness::Alive)]);
+    let table = store.next_table(&settings(), &Table::default());
     assert_matches!(table, Ok(table) if table.router().is_empty());
-    assert_eq!(known.configuration(), None);
+    assert_eq!(store.configuration(), None);
 }
 
-/// The agent may not hear of a gate that still sends.
+/// The agent may have lost contact with a gate that still sends.
 #[test]
-fn a_gate_that_is_not_heard_of_any_more_keeps_its_part() {
+fn gate_that_has_ended_keeps_its_share_of_the_tier() {
     let own: SocketAddr = ([10, 0, 0, 1], 80).into();
-    let mut known = Known::default();
+    let mut store = EntryStore::default();
     let others = 81..=96;
-    known.merge(5, others.clone().map(|port| gate(port, false)).collect());
-    let before = known.tier(&settings(), own);
+    store.merge(5, others.clone().map(|port| gate(port, false)).collect());
+    let before = store.tier(&settings(), own);
     // 17 gates of one region: an even part of 35 is 2.
     assert_eq!(
         (before.divisor(), before.quota(35, "south", "i-1")),
         (17, 2)
     );
-    known.merge(
+    store.merge(
         6,
         others
             .map(|port| Entry {
@@ -206,6 +211,6 @@
             })
             .collect(),
     );
-    assert_eq!(known.gates(), 0);
-    assert_eq!(known.tier(&settings(), own), before);
+    assert_eq!(store.gate_count(), 0);
+    assert_eq!(store.tier(&settings(), own), before);
 }
--- a/crates/gate/src/exchange/relay.rs
+++ b/crates/gate/src/exchange/relay.rs
@@ -1,120 +1,94 @@
-//! Answers that flow: events are passed on as they become whole; a long answer as it arrives.
-
-use std::rc::Rc;
+//! Streams a response to the client: server-sent events as each becomes complete, and any other
+//! long body as it arrives.
 
 use bytes::Bytes;
 use ironmast_routing::Outcome;
 
-use super::{Client, Exchange, Stop, Watch, guard};
-use crate::attempt::Begun;
-use crate::events::{Events, Whole};
+use super::downstream::Downstream;
+use super::state::{Ended, Exchange};
+use super::watch::AttemptWatch;
+use crate::attempt::UpstreamResponse;
+use crate::response::Disconnected;
+use crate::sse::{CompleteEvents, EventFramer, Framed};
 
 impl Exchange {
-    /// Passes on the events of a stream.
-    pub(super) async fn relay(
+    /// Relays an event stream.
+    pub(super) async fn relay_events(
         &mut self,
-        mut begun: Begun,
-        watch: &mut Watch,
-    ) -> Result<Outcome, Stop> {
-        let gate = Rc::clone(&self.gate);
-        let mut events = Events::after(self.last_event);
-        loop {
-            let part = match guard(&gate, &self.call, &mut self.client, watch, begun.next()).await {
-                Ok(Ok(part)) => part,
-                Ok(Err(outcome)) => return Ok(self.broken(outcome)),
-                Err(Stop::Left) => return Err(Stop::Left),
-                Err(Stop::Over) => return Ok(self.stopped()),
-            };
-            let Some(part) = part else {
-                return Ok(self.ended(&begun, &events).await);
-            };
-            let (whole, checked) = events.push(&part);
-            if let Some(whole) = whole {
-                self.pass_events(&begun, watch, whole).await?;
+        mut response: UpstreamResponse,
+        watch: &mut AttemptWatch,
+    ) -> Result<Outcome, Ended> {
+        let mut framer = EventFramer::resuming_after(self.last_event);
+        while let Some(chunk) = self.next_chunk(&mut response, watch).await? {
+            let Framed { complete, validity } = framer.push(&chunk);
+            if let Some(events) = complete {
+                self.send_events(&response, watch, events).await?;
             }
-            if checked.is_err() {
-                return Ok(self.broken(Outcome::MalformedResponse));
+            if validity.is_err() {
+                return Ok(self.outcome_or_cut(Outcome::MalformedResponse));
             }
         }
-    }
-
-    async fn pass_events(
-        &mut self,
-        begun: &Begun,
-        watch: &mut Watch,
-        whole: Whole,
-    ) -> Result<(), Stop> {
-        if matches!(self.client, Client::Waits(_)) {
-            self.pass_head(begun, None);
+        if !framer.is_at_event_boundary() {
+            return Ok(self.outcome_or_cut(Outcome::MalformedResponse));
         }
-        self.pass(watch, whole.bytes).await?;
-        self.last_event = whole.last.or(self.last_event);
-        let now = self.gate.clock.now();
-        self.gate
-            .decider
-            .borrow_mut()
-            .response_forwarded(now, &mut self.call, whole.last);
-        Ok(())
-    }
-
-    /// Gives bytes to the client, who may be slow.
-    async fn pass(&mut self, watch: &mut Watch, bytes: Bytes) -> Result<(), Stop> {
-        let Client::Reads(outlet) = &self.client else {
-            return Err(Stop::Left);
-        };
-        let ends = self.gate.clock.at(watch.ends);
-        match tokio::time::timeout_at(ends.into(), outlet.pass(bytes)).await {
-            Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) => Err(Stop::Left),
-            Err(_) => Err(Stop::Over),
+        if self.downstream.is_awaiting_head() {
+            self.start_streaming(&response, None);
         }
+        self.downstream.finish().await;
+        Ok(Outcome::Success)
     }
 
-    /// The server's body came to its proper end.
-    async fn ended(&mut self, begun: &Begun, events: &Events) -> Outcome {
-        if !events.is_between() {
-            return self.broken(Outcome::MalformedResponse);
-        }
-        if matches!(self.client, Client::Waits(_)) {
-            self.pass_head(begun, None);
+    /// Relays the rest of a body that is too long to be buffered, after its `first` bytes.
+    pub(super) async fn relay_rest(
+        &mut self,
+        mut response: UpstreamResponse,
+        watch: &mut AttemptWatch,
+        first: Bytes,
+    ) -> Result<Outcome, Ended> {
+        let mut next = Some(first);
+        while let Some(chunk) = next {
+            self.send_chunk(watch, chunk).await?;
+            next = self.next_chunk(&mut response, watch).await?;
         }
-        self.end().await;
-        Outcome::Success
+        self.downstream.finish().await;
+        Ok(Outcome::Success)
     }
 
-    async fn end(&mut self) {
-        if let Client::Reads(outlet) = std::mem::replace(&mut self.client, Client::Done) {
-            outlet.end().await;
-        }
+    async fn next_chunk(
+        &mut self,
+        response: &mut UpstreamResponse,
+        watch: &mut AttemptWatch,
+    ) -> Result<Option<Bytes>, Ended> {
+        self.guarded(watch, response.next_chunk())
+            .await?
+            .map_err(|outcome| Ended::Attempt(self.outcome_or_cut(outcome)))
     }
 
-    /// An answer broke: what that means depends on whether its client has anything of it.
-    fn broken(&self, outcome: Outcome) -> Outcome {
-        match self.client {
-            Client::Waits(_) => outcome,
-            _ => Outcome::Truncated { last_event: None },
+    async fn send_events(
+        &mut self,
+        response: &UpstreamResponse,
+        watch: &AttemptWatch,
+        events: CompleteEvents,
+    ) -> Result<(), Ended> {
+        if self.downstream.is_awaiting_head() {
+            self.start_streaming(response, None);
         }
+        self.send_chunk(watch, events.bytes).await?;
+        self.last_event = events.last_id.or(self.last_event);
+        self.report_progress(events.last_id);
+        Ok(())
     }
 
-    /// Passes on the rest of an answer too long to be held.
-    pub(super) async fn pass_long(
-        &mut self,
-        mut begun: Begun,
-        watch: &mut Watch,
-        first: Bytes,
-    ) -> Result<Outcome, Stop> {
-        let gate = Rc::clone(&self.gate);
-        let mut next = Some(first);
-        while let Some(part) = next {
-            self.pass(watch, part).await?;
-            next = match guard(&gate, &self.call, &mut self.client, watch, begun.next()).await {
-                Ok(Ok(part)) => part,
-                Ok(Err(outcome)) => return Ok(self.broken(outcome)),
-                Err(Stop::Left) => return Err(Stop::Left),
-                Err(Stop::Over) => return Ok(self.stopped()),
-            };
+    /// Sends a chunk to the client. One that does not read it before the attempt's deadline ends
+    /// the request.
+    async fn send_chunk(&mut self, watch: &AttemptWatch, chunk: Bytes) -> Result<(), Ended> {
+        let Downstream::Streaming(body) = &self.downstream else {
+            return Err(Ended::Request);
+        };
+        let deadline = self.gate.clock.at(watch.deadline);
+        match tokio::time::timeout_at(deadline.into(), body.send(chunk)).await {
+            Ok(Ok(())) => Ok(()),
+            Ok(Err(Disconnected)) | Err(_) => Err(Ended::Request),
         }
-        self.end().await;
-        Ok(Outcome::Success)
     }
 }
--- /dev/null
+++ b/crates/gate/src/exchange/state.rs
@@ -0,0 +1,116 @@
+//! The state of an exchange, and the steps that all of its parts share.
+
+use std::rc::Rc;
+use std::sync::Arc;
+
+use bytes::Bytes;
+use ironmast_routing::{Call, Outcome};
+
+use super::downstream::Downstream;
+use super::watch::{AttemptWatch, Interruption};
+use crate::attempt::UpstreamResponse;
+use crate::gate::Gate;
+use crate::request::ForwardedRequest;
+use crate::response::{DownstreamResponse, ResponseHead, body_channel};
+
+/// One request in progress.
+pub(super) struct Exchange {
+    /// The gate that serves it.
+    pub gate: Rc<Gate>,
+    /// The request as servers get it.
+    pub forwarded: ForwardedRequest,
+    /// The decider's state of the request.
+    pub call: Call,
+    /// The client's side.
+    pub downstream: Downstream,
+    /// An error response of a server, which the client gets if no attempt succeeds.
+    pub saved: Option<SavedResponse>,
+    /// The incarnation of the server that the latest attempt went to.
+    pub instance: Option<Arc<str>>,
+    /// The id of the last event that the client has.
+    pub last_event: Option<u64>,
+}
+
+/// A server's complete response that may go to the client.
+pub(super) struct SavedResponse {
+    /// Status and headers.
+    pub head: ResponseHead,
+    /// The whole body.
+    pub body: Bytes,
+}
+
+/// What ended before its proper end.
+pub(super) enum Ended {
+    /// The attempt ended so; another one may follow.
+    Attempt(Outcome),
+    /// The whole request ended: its client has disconnected or reads too slowly.
+    Request,
+}
+
+impl Drop for Exchange {
+    fn drop(&mut self) {
+        // Of no effect where the request has had its final decision.
+        let now = self.gate.clock.now();
+        self.gate.decider.borrow_mut().cancel(now, &mut self.call);
+    }
+}
+
+impl Exchange {
+    /// Runs one step of an attempt under `watch`.
+    pub(super) async fn guarded<T>(
+        &mut self,
+        watch: &mut AttemptWatch,
+        step: impl Future<Output = T>,
+    ) -> Result<T, Ended> {
+        watch
+            .guard(&self.gate, &self.call, &mut self.downstream, step)
+            .await
+            .map_err(|interruption| self.interrupted(interruption))
+    }
+
+    /// What an interruption of a step ends.
+    pub(super) fn interrupted(&self, interruption: Interruption) -> Ended {
+        match interruption {
+            Interruption::Disconnected => Ended::Request,
+            Interruption::TimedOut => Ended::Attempt(self.outcome_or_cut(Outcome::Timeout)),
+        }
+    }
+
+    /// `outcome` if the client has nothing of a response; otherwise the response was cut.
+    pub(super) fn outcome_or_cut(&self, outcome: Outcome) -> Outcome {
+        if self.downstream.is_awaiting_head() {
+            outcome
+        } else {
+            Outcome::Truncated { last_event: None }
+        }
+    }
+
+    /// Sends the head of a response; the chunks of its body follow.
+    pub(super) fn start_streaming(&mut self, response: &UpstreamResponse, length: Option<u64>) {
+        let (sender, receiver) = body_channel();
+        self.downstream.respond(DownstreamResponse::Streaming {
+            head: head_of(response),
+            length,
+            body: receiver,
+        });
+        self.downstream = Downstream::Streaming(sender);
+        self.report_progress(None);
+    }
+
+    /// Reports that the client has got a head, or events up to `last_event`.
+    pub(super) fn report_progress(&mut self, last_event: Option<u64>) {
+        let now = self.gate.clock.now();
+        self.gate
+            .decider
+            .borrow_mut()
+            .response_forwarded(now, &mut self.call, last_event);
+    }
+}
+
+/// The head of a server's response as its client gets it.
+pub(super) fn head_of(response: &UpstreamResponse) -> ResponseHead {
+    ResponseHead {
+        status: response.status,
+        headers: response.headers.clone(),
+    }
+}
--- /dev/null
+++ b/crates/gate/src/exchange/watch.rs
@@ -0,0 +1,75 @@
+//! Watches an attempt while it runs: it is interrupted when its client disconnects, when its time
+//! is up, and when the decider finds that another server would be faster.
+
+use std::time::Instant;
+
+use ironmast_routing::{Call, Micros, ProgressCheck};
+
+use super::downstream::Downstream;
+use crate::gate::Gate;
+
+/// The decider's checks of one attempt are at least this far apart.
+const MIN_CHECK_INTERVAL: Micros = 1_000;
+
+/// Why an attempt is interrupted.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Interruption {
+    /// The client has disconnected.
+    Disconnected,
+    /// The attempt's time is up, or another server is expected to be faster.
+    TimedOut,
+}
+
+/// When an attempt is checked next, and when it ends at the latest.
+pub(super) struct AttemptWatch {
+    /// When the attempt's time is up.
+    pub deadline: Micros,
+    /// When the decider checks the attempt next.
+    pub check_at: Option<Micros>,
+}
+
+impl AttemptWatch {
+    /// Runs one step of an attempt.
+    ///
+    /// # Errors
+    /// Why the step was interrupted, in which case it is dropped.
+    pub(super) async fn guard<T>(
+        &mut self,
+        gate: &Gate,
+        call: &Call,
+        downstream: &mut Downstream,
+        step: impl Future<Output = T>,
+    ) -> Result<T, Interruption> {
+        tokio::pin!(step);
+        loop {
+            let wake_at: Instant = gate.clock.at(self.next_wake());
+            tokio::select! {
+                biased;
+                done = &mut step => return Ok(done),
+                () = downstream.disconnected() => return Err(Interruption::Disconnected),
+                () = tokio::time::sleep_until(wake_at.into()) => {}
+            }
+            self.check(gate, call)?;
+        }
+    }
+
+    fn next_wake(&self) -> Micros {
+        self.check_at
+            .map_or(self.deadline, |at| at.min(self.deadline))
+    }
+
+    fn check(&mut self, gate: &Gate, call: &Call) -> Result<(), Interruption> {
+        let now = gate.clock.now();
+        if now >= self.deadline {
+            return Err(Interruption::TimedOut);
+        }
+        if self.check_at.is_some_and(|at| at <= now) {
+            self.check_at = match gate.decider.borrow().check_progress(now, call) {
+                ProgressCheck::FailOver => return Err(Interruption::TimedOut),
+                ProgressCheck::Wait { until } => Some(until.max(now + MIN_CHECK_INTERVAL)),
+                ProgressCheck::Ignore => None,
+            };
+        }
+        Ok(())
+    }
+}
--- a/crates/gate/src/feed.rs
+++ b/crates/gate/src/feed.rs
@@ -1,5 +1,7 @@
-//! The link to the agent beside the gate: entries come in, the gate's status goes out. While the
-//! agent is away the gate serves on with what it has.
+//! The link to the agent beside the gate: entries come in, the gate's status goes out.
+//!
+//! The link is set up again whenever it breaks. Until then the gate keeps serving with the entries
+//! that it has.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -14,116 +16,155 @@
 use slog::{info, warn};
 use tokio::time::Instant;
 
-use crate::front::client_limits;
+use crate::client_limits::client_limits;
+use crate::entry_store::{EntryStore, WarmupEvent};
 use crate::gate::Gate;
-use crate::table::{Known, News};
 
-/// An agent that can't be reached is tried again after this.
-const RETRY: Duration = Duration::from_millis(50);
-/// A connection must come up within this.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Entries that come within this of each other go into one table.
-const TOGETHER: Duration = Duration::from_millis(15);
+/// The delay before the gate connects to its agent again.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// A connection must be established within this time.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Entries that arrive within this time of each other go into one table.
+const BATCH_WINDOW: Duration = Duration::from_millis(15);
 
-/// Keeps the link for as long as the gate lives; clients' limits go to `set_limits`.
+/// Keeps the link up for as long as the gate runs. The limits on clients of each configuration go
+/// to `set_limits`.
 pub(crate) async fn run(gate: Rc<Gate>, frontend: SocketAddr, set_limits: impl Fn(ClientLimits)) {
-    let mut known = Known::default();
+    let mut feed = Feed {
+        gate,
+        frontend,
+        set_limits,
+        store: EntryStore::default(),
+    };
     loop {
-        let _ = follow(&gate, frontend, &mut known, &set_limits).await;
-        tokio::time::sleep(RETRY).await;
+        // An agent that is away is expected while it is replaced: the error is not reported.
+        let _ = feed.follow_agent().await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-async fn follow(
-    gate: &Gate,
+/// The gate's side of the link; the entries outlive a connection.
+struct Feed<F> {
+    gate: Rc<Gate>,
     frontend: SocketAddr,
-    known: &mut Known,
-    set_limits: &impl Fn(ClientLimits),
-) -> Result<()> {
-    let port = gate.settings.borrow().internal_port(InternalPort::Feed);
-    let agent = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
-    let (mut receiver, mut sender) = link::connect::<ToGate, FromGate>(agent, CONNECT).await?;
-    let (mut told, mut rebuild_at) = (None, None::<Instant>);
-    loop {
-        let ready = gate.is_ready();
-        if told != Some(ready) {
-            told = Some(ready);
-            sender.send(&FromGate::Status { frontend, ready }).await?;
-        }
-        let due = rebuild_at;
-        tokio::select! {
-            biased;
-            () = async { tokio::time::sleep_until(due.unwrap_or_else(Instant::now)).await }, if due.is_some() => {
-                rebuild_at = None;
-                rebuild(gate, frontend, known, set_limits);
+    set_limits: F,
+    store: EntryStore,
+}
+
+impl<F: Fn(ClientLimits)> Feed<F> {
+    /// Connects to the agent, and serves the link until it breaks.
+    async fn follow_agent(&mut self) -> Result<()> {
+        let port = self
+            .gate
+            .settings
+            .borrow()
+            .internal_port(InternalPort::Feed);
+        let agent = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
+        let (mut receiver, mut sender) =
+            link::connect::<ToGate, FromGate>(agent, CONNECT_TIMEOUT).await?;
+        let (mut last_sent, mut rebuild_at) = (None, None::<Instant>);
+        loop {
+            let ready = self.gate.is_ready();
+            if last_sent != Some(ready) {
+                last_sent = Some(ready);
+                let frontend = self.frontend;
+                sender.send(&FromGate::Status { frontend, ready }).await?;
             }
-            frame = receiver.next() => {
-                let Some(ToGate::Entries(entries)) = frame? else { bail!("{agent} closed the link") };
-                let news = known.merge(gate.clock.now(), entries);
-                note(gate, news);
-                rebuild_at.get_or_insert_with(|| Instant::now() + TOGETHER);
+            let due = rebuild_at;
+            tokio::select! {
+                biased;
+                () = async { tokio::time::sleep_until(due.unwrap_or_else(Instant::now)).await }, if due.is_some() => {
+                    rebuild_at = None;
+                    self.rebuild_table();
+                }
+                frame = receiver.next() => {
+                    let Some(ToGate::Entries(entries)) = frame? else { bail!("{agent} closed the link") };
+                    let events = self.store.merge(self.gate.clock.now(), entries);
+                    self.apply_warmup_events(events);
+                    rebuild_at.get_or_insert_with(|| Instant::now() + BATCH_WINDOW);
+                }
+                () = self.gate.status_changed.notified() => {}
             }
-            () = gate.status_changed.notified() => {}
         }
     }
-}
 
-fn note(gate: &Gate, news: Vec<News>) {
-    let now = gate.clock.now();
-    let mut limits = gate.limits.borrow_mut();
-    for news in news {
-        match news {
-            News::Warmup(instance, left) => limits.heartbeat(now, &instance, left),
-            News::Disturbed(instance) => limits.disturbed(now, &instance),
+    fn apply_warmup_events(&self, events: Vec<WarmupEvent>) {
+        let now = self.gate.clock.now();
+        let mut limits = self.gate.limits.borrow_mut();
+        for event in events {
+            match event {
+                WarmupEvent::Reported {
+                    instance,
+                    remaining_ms,
+                } => limits.record_heartbeat(now, &instance, remaining_ms),
+                WarmupEvent::Invalidated(instance) => limits.invalidate_warmup(now, &instance),
+            }
         }
     }
-}
 
-fn rebuild(
-    gate: &Gate,
-    frontend: SocketAddr,
-    known: &mut Known,
-    set_limits: &impl Fn(ClientLimits),
-) {
-    let before = gate.decider.borrow().table().clone();
-    let table = match known.next(&gate.settings.borrow(), &before) {
-        Ok(table) => table,
-        Err(error) => return warn!(gate.log, "the configuration can't be used"; "why" => %error),
-    };
-    if let Some(limits) = known.client_limits() {
-        set_limits(client_limits(limits));
-    }
-    tell_servers(gate, &before, &table);
-    gate.peers.replace(known.peers(&gate.settings.borrow()));
-    let routes = table.router().len();
-    let tier = known.tier(&gate.settings.borrow(), frontend);
-    gate.swap(table, tier);
-    // Requests may wait for it: only now that the table is in force.
-    let configured = known.configuration().is_some();
-    if !gate.set_configured(configured) && configured {
-        info!(gate.log, "a configuration is in force"; "routes" => routes);
-        gate.learn_servers();
-        gate.status_changed.notify_one();
+    /// Installs the table that follows from the entries; an invalid configuration changes nothing.
+    fn rebuild_table(&mut self) {
+        let gate = &self.gate;
+        let previous = gate.decider.borrow().table().clone();
+        let table = match self.store.next_table(&gate.settings.borrow(), &previous) {
+            Ok(table) => table,
+            Err(error) => {
+                return warn!(gate.log, "the configuration can't be used"; "why" => %error);
+            }
+        };
+        if let Some(limits) = self.store.client_limits() {
+            (self.set_limits)(client_limits(limits));
+        }
+        log_server_changes(gate, &previous, &table);
+        gate.peers
+            .replace(self.store.peers(&gate.settings.borrow()));
+        let routes = table.router().len();
+        let tier = self.store.tier(&gate.settings.borrow(), self.frontend);
+        gate.install_table(table, tier);
+        // Requests may wait for the configuration, so it counts as known only now that its table
+        // is installed.
+        let configured = self.store.configuration().is_some();
+        if !gate.set_configured(configured) && configured {
+            info!(gate.log, "a configuration is in force"; "routes" => routes);
+            gate.begin_server_discovery();
+            gate.status_changed.notify_one();
+        }
     }
 }
 
-/// How many servers are listed, and how many of them are silent, draining or in an evacuated zone.
-fn counts(table: &Table) -> [usize; 4] {
-    let count =
-        |is: fn(&ServerSpec) -> bool| table.servers().iter().filter(|server| is(server)).count();
-    let draining = |server: &ServerSpec| server.state == ServerState::Draining;
-    [
-        table.servers().len(),
-        count(|server| server.heartbeats_missing_since.is_some()),
-        count(draining),
-        count(|s| s.evacuated),
-    ]
+/// Numbers of servers in a table.
+#[derive(Debug, PartialEq, Eq)]
+struct ServerCounts {
+    listed: usize,
+    /// Servers whose heartbeats are missing.
+    silent: usize,
+    draining: usize,
+    /// Servers in evacuated zones.
+    evacuated: usize,
+}
+
+impl ServerCounts {
+    fn of(table: &Table) -> Self {
+        let count = |is_counted: fn(&ServerSpec) -> bool| {
+            table
+                .servers()
+                .iter()
+                .filter(|server| is_counted(server))
+                .count()
+        };
+        ServerCounts {
+            listed: table.servers().len(),
+            silent: count(|server| server.heartbeats_missing_since.is_some()),
+            draining: count(|server| server.state == ServerState::Draining),
+            evacuated: count(|server| server.evacuated),
+        }
+    }
 }
 
-/// A remark where the servers in use have changed.
-fn tell_servers(gate: &Gate, before: &Table, now: &Table) {
-    let [listed, silent, draining, evacuated] = counts(now);
-    if counts(before) != [listed, silent, draining, evacuated] {
-        info!(gate.log, "servers"; "listed" => listed, "silent" => silent, "draining" => draining, "evacuated" => evacuated);
+/// Logs the numbers of servers if they have changed.
+fn log_server_changes(gate: &Gate, previous: &Table, next: &Table) {
+    let counts = ServerCounts::of(next);
+    if ServerCounts::of(previous) != counts {
+        info!(gate.log, "servers"; "listed" => counts.listed, "silent" => counts.silent, "draining" => counts.draining, "evacuated" => counts.evacuated);
     }
 }
--- a/crates/gate/src/gate.rs
+++ b/crates/gate/src/gate.rs
@@ -1,4 +1,4 @@
-//! What the parts of a gate share. All of it lives on one thread.
+//! The state that the parts of a gate share. All of it lives on one thread.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,175 +11,186 @@
 use ironmast_schema::settings::Settings;
 use ironmast_transport::attempt::Admission;
 use ironmast_transport::clock::Clock;
-use rustc_hash::FxHashMap;
+use rustc_hash::{FxHashMap, FxHashSet};
 use slog::Logger;
 use tokio::sync::{Notify, watch};
 
 use crate::limits::Limits;
-use crate::upstream::Upstream;
+use crate::upstream::UpstreamClients;
 
-/// Of the time that a process has to end, the part after which what is left is broken off.
-const GRACE_USED: f64 = 0.95;
-/// The part in which long requests are still taken.
-const LONG_TAKEN: f64 = 0.35;
+/// The part of the grace period after which the requests still in progress are aborted.
+const ABORT_AFTER: f64 = 0.95;
+/// The part of the grace period in which long requests are still accepted.
+const ACCEPT_LONG_FOR: f64 = 0.35;
 
-/// After a start servers have become known within this many heartbeat intervals.
-const KNOWN_WITHIN: f64 = 1.25;
-/// After a start a configuration mostly comes within this.
-const CONFIGURED_WITHIN: Micros = 1_300_000;
-/// And if it has not come by then, it may at any time: it is worth asking again after this.
-pub(crate) const CONFIGURED_SOON: Duration = Duration::from_millis(400);
+/// All servers are known this many heartbeat intervals after the first configuration.
+const DISCOVERY_INTERVALS: f64 = 1.25;
+/// Requests wait this long after the start for the first configuration.
+const CONFIGURATION_WAIT: Micros = 1_300_000;
+/// The retry delay that clients are told while no configuration is known.
+pub(crate) const CONFIGURATION_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// The state of a gate.
 pub(crate) struct Gate {
     /// The settings file, as read last.
     pub settings: RefCell<Settings>,
-    /// Where remarks go.
+    /// The log.
     pub log: Logger,
-    /// The time.
+    /// The clock of all its times.
     pub clock: Clock,
-    /// The decisions.
+    /// The routing decisions.
     pub decider: RefCell<Decider>,
-    /// The limits over all gates.
+    /// The limits that hold over all gates together.
     pub limits: RefCell<Limits>,
-    /// Connections to servers.
-    pub upstream: Upstream,
-    /// When it started.
-    started: Micros,
-    /// A configuration is known.
-    configured: watch::Sender<bool>,
-    /// When it was told to end.
-    pub ending: Cell<Option<Micros>>,
-    /// The agent is to be told anew whether this gate is ready.
+    /// The connections to servers.
+    pub upstream: UpstreamClients,
+    /// Notified when the agent must learn whether this gate is ready.
     pub status_changed: Notify,
-    /// Where the other gates of the region hear what this one has out.
+    /// The addresses at which the other gates of the region receive this one's load.
     pub peers: RefCell<Vec<SocketAddr>>,
-    /// Servers that take requests by the table in force.
-    open: RefCell<FxHashMap<Arc<str>, Arc<ServerSpec>>>,
+    /// When the gate started.
+    started_at: Micros,
+    /// Whether a configuration is known.
+    configured: watch::Sender<bool>,
+    /// When the shutdown began.
+    shutdown_began_at: Cell<Option<Micros>>,
+    /// The servers of the current table that accept requests, by incarnation.
+    accepting: RefCell<FxHashMap<Arc<str>, Arc<ServerSpec>>>,
 }
 
 impl Gate {
-    /// A gate that knows nothing yet.
+    /// A gate without a configuration.
     pub(crate) fn new(
         settings: Settings,
         log: Logger,
         clock: Clock,
         decider: Decider,
         limits: Limits,
-        upstream: Upstream,
+        upstream: UpstreamClients,
     ) -> Rc<Self> {
         Rc::new(Gate {
             settings: RefCell::new(settings),
             log,
-            started: clock.now(),
+            started_at: clock.now(),
             clock,
             decider: RefCell::new(decider),
             limits: RefCell::new(limits),
             upstream,
             configured: watch::Sender::new(false),
-            ending: Cell::new(None),
+            shutdown_began_at: Cell::new(None),
             status_changed: Notify::new(),
             peers: RefCell::default(),
-            open: RefCell::default(),
+            accepting: RefCell::default(),
         })
     }
 
-    /// Whether it takes new clients.
+    /// Whether the gate accepts new clients.
     pub(crate) fn is_ready(&self) -> bool {
-        self.ending.get().is_none() && self.is_configured()
+        !self.is_shutting_down() && *self.configured.borrow()
     }
 
-    /// Whether a configuration is known.
-    pub(crate) fn is_configured(&self) -> bool {
-        *self.configured.borrow()
-    }
-
-    /// A configuration is known, or is not any more; returns what held before.
+    /// Sets whether a configuration is known; returns what was set before.
     pub(crate) fn set_configured(&self, configured: bool) -> bool {
         self.configured.send_replace(configured)
     }
 
-    /// Waits for a configuration while one may come soon after the start; true where one is known.
-    pub(crate) async fn until_configured(&self) -> bool {
+    /// Waits for the first configuration, but not longer than one usually takes after the start.
+    /// Returns whether one is known.
+    pub(crate) async fn wait_for_configuration(&self) -> bool {
         let mut configured = self.configured.subscribe();
-        let expected = self
+        let deadline = self
             .clock
-            .at(self.started.saturating_add(CONFIGURED_WITHIN));
-        let known = configured.wait_for(|configured| *configured);
+            .at(self.started_at.saturating_add(CONFIGURATION_WAIT));
+        let configured = configured.wait_for(|configured| *configured);
         matches!(
-            tokio::time::timeout_at(expected.into(), known).await,
+            tokio::time::timeout_at(deadline.into(), configured).await,
             Ok(Ok(_))
         )
     }
 
-    /// Puts another table in force.
-    pub(crate) fn swap(&self, table: Table, tier: GateSet) {
+    /// Replaces the table that decisions are based on.
+    pub(crate) fn install_table(&self, table: Table, tier: GateSet) {
         let now = self.clock.now();
-        let takes =
+        let accepts_requests =
             |server: &&Arc<ServerSpec>| server.state == ServerState::Ready && !server.evacuated;
-        let open = table.servers().iter().filter(takes);
-        self.open.replace(
-            open.map(|server| (server.instance.clone(), server.clone()))
-                .collect(),
-        );
-        self.limits.borrow_mut().set(now, tier, table.services());
-        let addresses: rustc_hash::FxHashSet<_> = table
+        let accepting = table
+            .servers()
+            .iter()
+            .filter(accepts_requests)
+            .map(|server| (server.instance.clone(), server.clone()))
+            .collect();
+        self.accepting.replace(accepting);
+        self.limits.borrow_mut().update(now, tier, table.services());
+        let addresses: FxHashSet<_> = table
             .servers()
             .iter()
             .map(|server| server.address)
             .collect();
-        self.upstream.keep(|address| addresses.contains(address));
+        self.upstream.retain(|address| addresses.contains(address));
         self.decider.borrow_mut().update_table(now, Arc::new(table));
         self.status_changed.notify_one();
     }
 
-    /// From now on all servers become known: each speaks once in an interval.
-    pub(crate) fn learn_servers(&self) {
+    /// Lets the decider expect further servers until each has had time for a heartbeat.
+    pub(crate) fn begin_server_discovery(&self) {
         let interval = self.settings.borrow().heartbeat_interval_ms as f64 * 1_000.0;
-        let until = self.clock.now() + (interval * KNOWN_WITHIN) as Micros;
+        let until = self.clock.now() + (interval * DISCOVERY_INTERVALS) as Micros;
         self.decider.borrow_mut().allow_discovery_until(until);
     }
 
-    /// Asked right before the first byte of an attempt decided at `decided` is written.
-    pub(crate) fn admission(self: &Rc<Self>, dispatch: &Dispatch, decided: Micros) -> Admission {
+    /// The check that is made right before the first byte of an attempt is written, where the
+    /// attempt was decided on at `decided_at`.
+    pub(crate) fn admission(self: &Rc<Self>, dispatch: &Dispatch, decided_at: Micros) -> Admission {
         let (gate, instance) = (Rc::clone(self), dispatch.expect_instance.clone());
-        Box::new(move || gate.may_write(&instance, decided))
+        Box::new(move || gate.may_write(&instance, decided_at))
     }
 
-    fn may_write(&self, instance: &Arc<str>, decided: Micros) -> bool {
-        let Some(server) = self.open.borrow().get(instance).cloned() else {
+    fn may_write(&self, instance: &str, decided_at: Micros) -> bool {
+        let Some(server) = self.accepting_server(instance) else {
             return false;
         };
         self.limits
             .borrow_mut()
-            .may_write(self.clock.now(), decided, &server)
+            .may_write(self.clock.now(), decided_at, &server)
+    }
+
+    /// Whether a server is in the current table and accepts requests.
+    pub(crate) fn is_accepting(&self, instance: &str) -> bool {
+        self.accepting.borrow().contains_key(instance)
     }
 
-    /// Whether a server is in the table in force and takes requests.
-    pub(crate) fn is_open(&self, instance: &str) -> bool {
-        self.open.borrow().contains_key(instance)
+    /// The server of this incarnation, if it accepts requests.
+    pub(crate) fn accepting_server(&self, instance: &str) -> Option<Arc<ServerSpec>> {
+        self.accepting.borrow().get(instance).cloned()
+    }
+
+    /// Begins the shutdown: from now on the gate is not ready.
+    pub(crate) fn begin_shutdown(&self) {
+        self.shutdown_began_at.set(Some(self.clock.now()));
+        self.status_changed.notify_one();
     }
 
-    /// The server of that incarnation, where it takes requests.
-    pub(crate) fn open_server(&self, instance: &str) -> Option<Arc<ServerSpec>> {
-        self.open.borrow().get(instance).cloned()
+    /// Whether the shutdown has begun.
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.shutdown_began_at.get().is_some()
     }
 
-    /// When what is left is broken off, once it was told to end.
-    pub(crate) fn ends_at(&self) -> Option<Micros> {
-        self.ending
+    /// When the requests still in progress are aborted, if the shutdown has begun.
+    pub(crate) fn shutdown_deadline(&self) -> Option<Micros> {
+        self.shutdown_began_at
             .get()
-            .map(|since| since + self.grace(GRACE_USED))
+            .map(|began_at| began_at + self.grace_period(ABORT_AFTER))
     }
 
-    /// Whether a request that may take long is still taken.
-    pub(crate) fn takes_long(&self) -> bool {
-        self.ending
+    /// Whether a request that may take long is still accepted.
+    pub(crate) fn accepts_long_requests(&self) -> bool {
+        self.shutdown_began_at
             .get()
-            .is_none_or(|since| self.clock.now() < since + self.grace(LONG_TAKEN))
+            .is_none_or(|began_at| self.clock.now() < began_at + self.grace_period(ACCEPT_LONG_FOR))
     }
 
-    fn grace(&self, part: f64) -> Micros {
+    /// A part of the grace period.
+    fn grace_period(&self, part: f64) -> Micros {
         (self.settings.borrow().timing_bounds.grace_period_s * part * 1e6) as Micros
     }
 }
--- a/crates/gate/src/health.rs
+++ b/crates/gate/src/health.rs
@@ -1,5 +1,5 @@
-//! Health checks of servers: of those set aside that no request tries, and of those that may have
-//! turned cold.
+//! Health checks of servers: of those that are ejected and that no request tries, and of those that
+//! may have to warm up again.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,132 +7,148 @@
 use std::time::Duration;
 
 use actix_http::StatusCode;
+use actix_http::header::HeaderMap;
 use ironmast_routing::{HealthCheck, HealthCheckOutcome, Micros};
 use ironmast_transport::attempt::{AttemptOptions, AttemptState, Delivery};
 
-use crate::attempt::INSTANCE_ID;
 use crate::gate::Gate;
+use crate::headers;
 
-/// How often is looked for servers to be checked.
-const EVERY: Duration = Duration::from_millis(200);
-/// A check is given up after this.
-const WITHIN: Duration = Duration::from_secs(1);
-/// How much longer a server is cold, in ms.
-const WARMUP: &str = "x-ironmast-warmup-ms";
-/// Limits forget what is old once in so many looks.
-const SWEEP: u32 = 25;
+/// The time between two searches for servers that are due for a check.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// The time-out of a check.
+const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
+/// The limits are swept once in this many rounds.
+const SWEEP_ROUNDS: u32 = 25;
 
-/// What a check told.
-struct Told {
+/// The result of a health check.
+struct HealthCheckResult {
     outcome: HealthCheckOutcome,
-    /// Of a server that is well, how much longer it is cold, in ms.
-    warmup_left: Option<f64>,
+    /// How much longer a healthy server is warming up, in ms.
+    warmup_remaining_ms: Option<f64>,
 }
 
-/// Checks servers for as long as the gate lives.
+/// Checks servers for as long as the gate runs.
 pub(crate) async fn run(gate: Rc<Gate>) {
-    let mut probes = Vec::new();
+    let mut due = Vec::new();
     for round in 0_u32.. {
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         gate.decider
             .borrow_mut()
-            .due_health_checks(gate.clock.now(), &mut probes);
-        for probe in probes.drain(..) {
-            actix_rt::spawn(check(Rc::clone(&gate), probe));
+            .due_health_checks(gate.clock.now(), &mut due);
+        for check in due.drain(..) {
+            actix_rt::spawn(check_ejected(Rc::clone(&gate), check));
         }
-        let disturbed = gate.limits.borrow_mut().take_disturbed();
-        for instance in disturbed {
-            ask_warmup(&gate, instance);
+        let invalidated = gate.limits.borrow_mut().take_invalidated();
+        for instance in invalidated {
+            query_warmup(&gate, instance);
         }
-        if round % SWEEP == 0 {
-            let known = |instance: &str| gate.is_open(instance);
-            gate.limits.borrow_mut().sweep(gate.clock.now(), known);
+        if round % SWEEP_ROUNDS == 0 {
+            let is_known = |instance: &str| gate.is_accepting(instance);
+            gate.limits.borrow_mut().sweep(gate.clock.now(), is_known);
         }
     }
 }
 
-async fn check(gate: Rc<Gate>, probe: HealthCheck) {
-    let sent = gate.clock.now();
-    let told = ask(&gate, probe.address, &probe.path, &probe.expect_instance).await;
-    note_warmup(&gate, sent, &probe.expect_instance, &told);
+async fn check_ejected(gate: Rc<Gate>, check: HealthCheck) {
+    let sent_at = gate.clock.now();
+    let result = send_check(&gate, check.address, &check.path, &check.expect_instance).await;
+    record_warmup(&gate, sent_at, &check.expect_instance, &result);
     let now = gate.clock.now();
     gate.decider
         .borrow_mut()
-        .health_check_finished(now, probe.server, told.outcome);
+        .health_check_finished(now, check.server, result.outcome);
 }
 
-/// Asks a server how much longer it is cold, where that matters.
-fn ask_warmup(gate: &Rc<Gate>, instance: Arc<str>) {
-    let Some(server) = gate.open_server(&instance) else {
+/// Checks a server to learn how much longer it is warming up, if its service limits that.
+fn query_warmup(gate: &Rc<Gate>, instance: Arc<str>) {
+    let Some(server) = gate.accepting_server(&instance) else {
         return;
     };
     if !gate.limits.borrow().is_limited(&server.service) {
         return;
     }
-    let table = Arc::clone(gate.decider.borrow().table());
-    let Some(service) = table
-        .services()
-        .iter()
-        .find(|service| service.name == server.service)
-    else {
+    let Some(path) = health_check_path(gate, &server.service) else {
         return;
     };
-    let path = service.health_check.clone();
     let gate = Rc::clone(gate);
     actix_rt::spawn(async move {
-        let sent = gate.clock.now();
-        let told = ask(&gate, server.address, &path, &instance).await;
-        note_warmup(&gate, sent, &instance, &told);
+        let sent_at = gate.clock.now();
+        let result = send_check(&gate, server.address, &path, &instance).await;
+        record_warmup(&gate, sent_at, &instance, &result);
     });
 }
 
-fn note_warmup(gate: &Gate, sent: Micros, instance: &Arc<str>, told: &Told) {
-    if let Some(left) = told.warmup_left {
-        gate.limits
-            .borrow_mut()
-            .health(gate.clock.now(), sent, instance, left);
+fn health_check_path(gate: &Gate, name: &str) -> Option<Box<str>> {
+    let table = Arc::clone(gate.decider.borrow().table());
+    let service = table
+        .services()
+        .iter()
+        .find(|service| *service.name == *name)?;
+    Some(service.health_check.clone())
+}
+
+fn record_warmup(gate: &Gate, sent_at: Micros, instance: &Arc<str>, result: &HealthCheckResult) {
+    if let Some(remaining_ms) = result.warmup_remaining_ms {
+        gate.limits.borrow_mut().record_health_check(
+            gate.clock.now(),
+            sent_at,
+            instance,
+            remaining_ms,
+        );
     }
 }
 
-async fn ask(gate: &Gate, address: SocketAddr, path: &str, instance: &str) -> Told {
+/// Sends one health check and waits for its result.
+async fn send_check(
+    gate: &Gate,
+    address: SocketAddr,
+    path: &str,
+    instance: &str,
+) -> HealthCheckResult {
     let state = AttemptState::new(AttemptOptions {
         delivery: Delivery::PassThrough,
         ..AttemptOptions::default()
     });
-    let call = gate
+    let request = gate
         .upstream
         .client(address)
         .get(format!("http://{address}{path}"))
         .no_decompress();
+    // As for an attempt: the close of an idle connection is noticed first.
     tokio::task::yield_now().await;
-    let asked = tokio::time::timeout(WITHIN, state.scope(call.send())).await;
-    let Ok(Ok(mut answer)) = asked else {
-        return Told {
+    let sent = tokio::time::timeout(CHECK_TIMEOUT, state.scope(request.send())).await;
+    let Ok(Ok(mut response)) = sent else {
+        return HealthCheckResult {
             outcome: HealthCheckOutcome::Unhealthy,
-            warmup_left: None,
+            warmup_remaining_ms: None,
         };
     };
-    let text = |name: &str| {
-        answer
-            .headers()
-            .get(name)
-            .and_then(|value| value.to_str().ok())
-    };
-    let same = text(INSTANCE_ID).is_none_or(|id| id == instance);
-    let turned_away = answer.headers().contains_key("x-ironmast-not-executed");
-    let left = text(WARMUP)
-        .and_then(|value| value.trim().parse().ok())
-        .unwrap_or(0.0);
-    let outcome = match answer.status() {
-        _ if !same => HealthCheckOutcome::WrongInstance,
+    let outcome = outcome_of(response.status(), response.headers(), instance);
+    let warmup_remaining_ms = warmup_remaining_ms(response.headers());
+    // The body is read to its end, so that the connection can be reused.
+    let _ = tokio::time::timeout(CHECK_TIMEOUT, response.body()).await;
+    HealthCheckResult {
+        outcome,
+        warmup_remaining_ms: (outcome == HealthCheckOutcome::Healthy)
+            .then_some(warmup_remaining_ms),
+    }
+}
+
+fn outcome_of(status: StatusCode, headers: &HeaderMap, instance: &str) -> HealthCheckOutcome {
+    let is_same_instance =
+        headers::text(headers, headers::INSTANCE_ID).is_none_or(|id| id == instance);
+    let is_rejected = headers.contains_key(headers::NOT_EXECUTED);
+    match status {
+        _ if !is_same_instance => HealthCheckOutcome::WrongInstance,
         StatusCode::OK => HealthCheckOutcome::Healthy,
-        _ if turned_away => HealthCheckOutcome::Full,
+        _ if is_rejected => HealthCheckOutcome::Full,
         _ => HealthCheckOutcome::Unhealthy,
-    };
-    // Read to its end, so that the connection can be used again.
-    let _ = tokio::time::timeout(WITHIN, answer.body()).await;
-    Told {
-        outcome,
-        warmup_left: (outcome == HealthCheckOutcome::Healthy).then_some(left),
     }
 }
+
+fn warmup_remaining_ms(headers: &HeaderMap) -> f64 {
+    headers::text(headers, headers::WARMUP)
+        .and_then(|value| value.parse().ok())
+        .unwrap_or(0.0)
+}
--- a/crates/gate/src/limits.rs
+++ b/crates/gate/src/limits.rs
@@ -1,5 +1,9 @@
-//! The limits that hold over all gates together, as the decisions ask for them: this gate's part of
-//! each.
+//! The limits that hold over all gates together, of which this gate uses its share: how many
+//! requests servers get while they are warming up, and how many retries a service gets.
+//!
+//! A server that warms up is slow, and all gates together would overload it if each knew only its
+//! own requests; retries of all gates together would amplify an outage. `ironmast-limits` holds
+//! the arithmetic, this module the state of one gate and the answers to the routing decisions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,187 +15,223 @@
 use ironmast_schema::settings::TimingBounds;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// A permit holds for a send within this; one that is later needs another.
-const PERMIT_HOLDS: Micros = 40_000;
-/// The wait where none is known.
-const WAIT_UNKNOWN: Micros = 1_000_000;
-/// The longest time that a heartbeat is on its way to a gate.
-const RELAY_MOST: Duration = Duration::from_secs(1);
+/// How long a permit is valid. A request that is written later needs another one.
+const PERMIT_LIFETIME: Micros = 40_000;
+/// The retry delay where none is known.
+const DEFAULT_WAIT: Micros = 1_000_000;
+/// The longest time that a heartbeat takes to reach a gate.
+const MAX_HEARTBEAT_DELAY: Duration = Duration::from_secs(1);
 
-/// Cold servers and repeats, within this gate's part of what all may do.
+/// This gate's share of the warm-up limits and the retry budgets.
 pub(crate) struct Limits {
+    /// The factor by which all gates together may exceed a warm-up limit.
     overshoot: f64,
+    /// The number of requests by which they may exceed it in addition.
     tolerance: f64,
-    /// Gates that repeats are divided by.
+    /// The number of gates that share the retry budgets.
     gates: u32,
+    /// The gates that share the warm-up limits.
     tier: GateSet,
     started: Duration,
-    /// By service: the bound of one server, and what this gate has sent.
-    cold: FxHashMap<Arc<str>, (u32, SlowStartLimiter<Arc<str>>)>,
+    /// The warm-up limit of each service that has one.
+    warmup: FxHashMap<Arc<str>, WarmupLimit>,
+    /// What is known of each server's warm-up.
     tracker: WarmupTracker<Arc<str>>,
-    /// Instances of which nothing is known since they were disturbed.
-    disturbed: FxHashSet<Arc<str>>,
+    /// The incarnations whose warm-up must be queried, because earlier reports are void.
+    invalidated: FxHashSet<Arc<str>>,
     retry: ironmast_limits::RetryBudget<Arc<str>>,
-    terms: RetryBudgetSettings,
+    retry_terms: RetryBudgetSettings,
+}
+
+/// The warm-up limit of a service's servers.
+struct WarmupLimit {
+    /// What one server may get from all gates together in a second.
+    bound: u32,
+    /// What this gate has sent to each server.
+    limiter: SlowStartLimiter<Arc<str>>,
 }
 
 impl Limits {
     /// The limits of a gate that starts now.
     pub(crate) fn new(bounds: &TimingBounds, now: Micros) -> Self {
-        let started = span(now);
-        let terms = RetryBudgetSettings {
+        let started = to_duration(now);
+        let retry_terms = RetryBudgetSettings {
             ratio: bounds.retry_budget_ratio,
             burst: bounds.retry_burst as u32,
             window: Duration::from_secs_f64(bounds.retry_window_s),
         };
         let tier = GateSet::default();
+        let gates = tier.divisor();
         Limits {
             overshoot: bounds.warmup_overshoot,
             tolerance: bounds.warmup_tolerance,
-            gates: tier.divisor(),
+            gates,
             tier,
             started,
-            cold: FxHashMap::default(),
+            warmup: FxHashMap::default(),
             tracker: WarmupTracker::default(),
-            disturbed: FxHashSet::default(),
-            retry: ironmast_limits::RetryBudget::with_even_share(
-                terms,
-                GateSet::default().divisor(),
-                started,
-            ),
-            terms,
+            invalidated: FxHashSet::default(),
+            retry: ironmast_limits::RetryBudget::with_even_share(retry_terms, gates, started),
+            retry_terms,
         }
     }
 
-    /// The services in force and the gates, those that are not heard of among them: they may still
-    /// send.
-    pub(crate) fn set(&mut self, now: Micros, tier: GateSet, services: &[ServiceSpec]) {
+    /// Sets the current services and the gates that share the limits. Gates that are no longer
+    /// known count as well, because they may still send.
+    pub(crate) fn update(&mut self, now: Micros, tier: GateSet, services: &[ServiceSpec]) {
         let gates = tier.divisor().max(self.gates);
         if gates != self.gates {
-            self.retry =
-                ironmast_limits::RetryBudget::with_even_share(self.terms, gates, span(now));
+            self.retry = ironmast_limits::RetryBudget::with_even_share(
+                self.retry_terms,
+                gates,
+                to_duration(now),
+            );
         }
         self.gates = gates;
         self.tier = tier;
-        self.cold
+        self.warmup
             .retain(|name, _| services.iter().any(|service| service.name == *name));
         for service in services {
-            let bound = slow_start_bound(service.warmup_per_s, self.overshoot, self.tolerance);
-            if bound == 0 {
-                self.cold.remove(&service.name);
-                continue;
-            }
-            let fresh = || {
-                (
-                    bound,
-                    SlowStartLimiter::with_even_share(bound, gates, self.started),
-                )
-            };
-            let (known, _) = self.cold.entry(service.name.clone()).or_insert_with(fresh);
-            *known = bound;
+            self.update_warmup(service);
+        }
+    }
+
+    fn update_warmup(&mut self, service: &ServiceSpec) {
+        let bound = slow_start_bound(service.warmup_per_s, self.overshoot, self.tolerance);
+        if bound == 0 {
+            self.warmup.remove(&service.name);
+            return;
         }
+        let create = || WarmupLimit {
+            bound,
+            limiter: SlowStartLimiter::with_even_share(bound, self.gates, self.started),
+        };
+        let limit = self
+            .warmup
+            .entry(service.name.clone())
+            .or_insert_with(create);
+        limit.bound = bound;
     }
 
-    /// Whether servers of a service are limited while they are cold.
+    /// Whether servers of a service are limited while they are warming up.
     pub(crate) fn is_limited(&self, service: &str) -> bool {
-        self.cold.contains_key(service)
+        self.warmup.contains_key(service)
     }
 
-    /// A server said in a heartbeat how much longer it is cold.
-    pub(crate) fn heartbeat(&mut self, now: Micros, instance: &Arc<str>, left_ms: f64) {
-        let said_at = span(now).saturating_sub(RELAY_MOST);
-        self.told(now, instance, said_at, left_ms);
+    /// Records what a server's heartbeat says: how much longer it is warming up, in ms.
+    pub(crate) fn record_heartbeat(&mut self, now: Micros, instance: &Arc<str>, remaining_ms: f64) {
+        let made_at = to_duration(now).saturating_sub(MAX_HEARTBEAT_DELAY);
+        self.record_report(now, instance, made_at, remaining_ms);
     }
 
-    /// A server said so in a health check that was sent at `sent`.
-    pub(crate) fn health(&mut self, now: Micros, sent: Micros, instance: &Arc<str>, left_ms: f64) {
-        self.told(now, instance, span(sent), left_ms);
-        self.disturbed.remove(instance);
+    /// Records the same of a health check that was sent at `sent_at`.
+    pub(crate) fn record_health_check(
+        &mut self,
+        now: Micros,
+        sent_at: Micros,
+        instance: &Arc<str>,
+        remaining_ms: f64,
+    ) {
+        self.record_report(now, instance, to_duration(sent_at), remaining_ms);
+        self.invalidated.remove(instance);
     }
 
-    fn told(&mut self, now: Micros, instance: &Arc<str>, said_at: Duration, left_ms: f64) {
-        let left = Duration::try_from_secs_f64(left_ms.max(0.0) / 1_000.0).unwrap_or_default();
+    fn record_report(
+        &mut self,
+        now: Micros,
+        instance: &Arc<str>,
+        made_at: Duration,
+        remaining_ms: f64,
+    ) {
+        let remaining =
+            Duration::try_from_secs_f64(remaining_ms.max(0.0) / 1_000.0).unwrap_or_default();
         self.tracker.report(
-            span(now),
+            to_duration(now),
             instance,
-            WarmupReport {
-                made_at: said_at,
-                remaining: left,
-            },
+            WarmupReport { made_at, remaining },
         );
     }
 
-    /// A server may have turned cold: nothing said before counts.
-    pub(crate) fn disturbed(&mut self, now: Micros, instance: &Arc<str>) {
-        self.tracker.reset(span(now), instance);
-        self.disturbed.insert(instance.clone());
+    /// Makes all reports up to now void: the server may have to warm up again.
+    pub(crate) fn invalidate_warmup(&mut self, now: Micros, instance: &Arc<str>) {
+        self.tracker.reset(to_duration(now), instance);
+        self.invalidated.insert(instance.clone());
     }
 
-    /// Takes the servers that are to be asked how cold they are.
-    pub(crate) fn take_disturbed(&mut self) -> Vec<Arc<str>> {
-        self.disturbed.drain().collect()
+    /// Takes the servers whose warm-up must be queried.
+    pub(crate) fn take_invalidated(&mut self) -> Vec<Arc<str>> {
+        self.invalidated.drain().collect()
     }
 
-    /// Whether a server is cold by what is known of it.
-    pub(crate) fn is_cold(&self, now: Micros, server: &ServerSpec) -> bool {
-        self.is_limited(&server.service) && self.tracker.is_warming_up(span(now), &server.instance)
+    /// Whether a server is limited because it is warming up, as far as is known.
+    pub(crate) fn is_warming_up(&self, now: Micros, server: &ServerSpec) -> bool {
+        self.is_limited(&server.service)
+            && self
+                .tracker
+                .is_warming_up(to_duration(now), &server.instance)
     }
 
-    /// Forgets what is of no more use.
-    pub(crate) fn sweep(&mut self, now: Micros, known: impl Fn(&str) -> bool) {
-        self.cold
-            .values_mut()
-            .for_each(|(_, limiter)| limiter.sweep(span(now)));
-        self.retry.sweep(span(now));
-        self.tracker.retain(|instance| known(instance));
-        self.disturbed.retain(|instance| known(instance));
+    /// Drops state that is no longer of use, and that of servers for which `is_known` is false.
+    pub(crate) fn sweep(&mut self, now: Micros, is_known: impl Fn(&str) -> bool) {
+        let now = to_duration(now);
+        for limit in self.warmup.values_mut() {
+            limit.limiter.sweep(now);
+        }
+        self.retry.sweep(now);
+        self.tracker.retain(|instance| is_known(instance));
+        self.invalidated.retain(|instance| is_known(instance));
     }
 
-    /// Whether a request that got its permit at `taken` may still be written: one that waited for
-    /// its connection belongs to another second by now.
-    pub(crate) fn may_write(&mut self, now: Micros, taken: Micros, server: &ServerSpec) -> bool {
-        let late = now > taken.saturating_add(PERMIT_HOLDS);
-        !late || self.try_acquire(now, server).is_ok()
+    /// Whether a request that got its permit at `permitted_at` may still be written. One that
+    /// waited for its connection counts towards another second by now and needs another permit.
+    pub(crate) fn may_write(
+        &mut self,
+        now: Micros,
+        permitted_at: Micros,
+        server: &ServerSpec,
+    ) -> bool {
+        let is_expired = now > permitted_at.saturating_add(PERMIT_LIFETIME);
+        !is_expired || self.try_acquire(now, server).is_ok()
     }
 }
 
 impl Permits for Limits {
     fn try_acquire(&mut self, now: Micros, server: &ServerSpec) -> Result<(), RetryAfter> {
-        let cold = self.is_cold(now, server);
-        let Some((bound, limiter)) = self.cold.get_mut(&server.service) else {
+        let is_warming_up = self.is_warming_up(now, server);
+        let Some(WarmupLimit { bound, limiter }) = self.warmup.get_mut(&server.service) else {
             return Ok(());
         };
-        if !cold {
-            // It may turn out to be cold: what it got by then counts.
-            limiter.record(span(now), &server.instance);
+        let now = to_duration(now);
+        if !is_warming_up {
+            // It may turn out to be warming up: the requests that it gets until then count.
+            limiter.record(now, &server.instance);
             return Ok(());
         }
-        let wait = |wait: ironmast_limits::LimitExceeded| {
-            wait.retry_delay(span(now)).map_or(WAIT_UNKNOWN, micros)
-        };
         let permits = self.tier.quota(*bound, &server.region, &server.instance);
         limiter
-            .try_acquire_within(span(now), &server.instance, permits)
-            .map_err(|told| RetryAfter(wait(told)))
+            .try_acquire_within(now, &server.instance, permits)
+            .map_err(|exceeded| {
+                RetryAfter(exceeded.retry_delay(now).map_or(DEFAULT_WAIT, to_micros))
+            })
     }
 }
 
 impl RetryBudget for Limits {
     fn deposit(&mut self, now: Micros, service: &ServiceSpec) {
-        self.retry.deposit(span(now), &service.name);
+        self.retry.deposit(to_duration(now), &service.name);
     }
 
     fn withdraw(&mut self, now: Micros, service: &ServiceSpec) -> bool {
-        self.retry.withdraw(span(now), &service.name).is_ok()
+        self.retry.withdraw(to_duration(now), &service.name).is_ok()
     }
 }
 
-fn span(at: Micros) -> Duration {
+fn to_duration(at: Micros) -> Duration {
     Duration::from_micros(at)
 }
 
-fn micros(span: Duration) -> Micros {
-    u64::try_from(span.as_micros()).unwrap_or(Micros::MAX)
+fn to_micros(duration: Duration) -> Micros {
+    u64::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
 
 #[cfg(test)]
--- a/crates/gate/src/limits/tests.rs
+++ b/crates/gate/src/limits/tests.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// So many gates, all but the first, which is this one, in the servers' region.
-fn gates(count: u64) -> GateSet {
+/// A tier of `count` gates; all but the first, which is this one, are in the servers' region.
+fn tier(count: u64) -> GateSet {
     GateSet::new(
         GateId(0),
         (0..count)
@@ -47,7 +47,8 @@
     )
 }
 
-/// Limits of 10 a second, by 1.5 and 5 more, with 16 gates: 1 for each.
+/// A warm-up limit of 10 a second, with an overshoot of 1.5 and a tolerance of 5, for 16 gates:
+/// each gate gets 1.
 fn limits() -> Limits {
     let bounds = TimingBounds {
         warmup_overshoot: 1.5,
@@ -55,72 +56,75 @@
         ..TimingBounds::default()
     };
     let mut limits = Limits::new(&bounds, START);
-    limits.set(
+    limits.update(
         START,
-        gates(16),
+        tier(16),
         &[service("cold", 10.0), service("plain", 0.0)],
     );
     limits
 }
 
-fn taken(limits: &mut Limits, now: Micros, server: &ServerSpec) -> usize {
+fn count_permits(limits: &mut Limits, now: Micros, server: &ServerSpec) -> usize {
     (0..100)
         .take_while(|_| limits.try_acquire(now, server).is_ok())
         .count()
 }
 
 #[test]
-fn a_new_server_is_cold_and_gets_this_gates_part() {
+fn new_server_is_warming_up_and_gets_this_gates_share() {
     let mut limits = limits();
     let now = START + 2 * SECOND;
-    assert_eq!(taken(&mut limits, now, &server("i", "cold")), 1);
+    assert_eq!(count_permits(&mut limits, now, &server("i", "cold")), 1);
     assert_eq!(
-        taken(&mut limits, now + SECOND / 2, &server("i", "cold")),
+        count_permits(&mut limits, now + SECOND / 2, &server("i", "cold")),
         0
     );
     assert_eq!(
-        taken(&mut limits, now + 2 * SECOND, &server("i", "cold")),
+        count_permits(&mut limits, now + 2 * SECOND, &server("i", "cold")),
         1
     );
 }
 
 #[test]
-fn a_service_without_a_bound_is_not_limited() {
+fn service_without_a_warmup_limit_is_not_limited() {
     assert_eq!(
-        taken(&mut limits(), START + 2 * SECOND, &server("i", "plain")),
+        count_permits(&mut limits(), START + 2 * SECOND, &server("i", "plain")),
         100
     );
 }
 
 #[test]
-fn a_warm_server_is_not_limited_until_it_is_disturbed() {
+fn warm_server_is_not_limited_until_its_warmup_is_invalidated() {
     let mut limits = limits();
     let now = START + 2 * SECOND;
-    limits.heartbeat(now, &"i".into(), 0.0);
-    assert_eq!(taken(&mut limits, now, &server("i", "cold")), 100);
-    limits.disturbed(now, &"i".into());
-    // What it got while it was thought to be warm counts.
-    assert_eq!(taken(&mut limits, now, &server("i", "cold")), 0);
-    assert_eq!(limits.take_disturbed(), ["i".into()]);
-    limits.health(now + SECOND, now + SECOND / 2, &"i".into(), 0.0);
-    assert_eq!(taken(&mut limits, now + SECOND, &server("i", "cold")), 100);
+    limits.record_heartbeat(now, &"i".into(), 0.0);
+    assert_eq!(count_permits(&mut limits, now, &server("i", "cold")), 100);
+    limits.invalidate_warmup(now, &"i".into());
+    // The requests that it got while it was considered warm count.
+    assert_eq!(count_permits(&mut limits, now, &server("i", "cold")), 0);
+    assert_eq!(limits.take_invalidated(), ["i".into()]);
+    limits.record_health_check(now + SECOND, now + SECOND / 2, &"i".into(), 0.0);
+    assert_eq!(
+        count_permits(&mut limits, now + SECOND, &server("i", "cold")),
+        100
+    );
 }
 
 #[test]
-fn what_was_said_before_the_disturbance_does_not_end_it() {
+fn report_from_before_the_invalidation_does_not_end_the_warmup() {
     let mut limits = limits();
     let now = START + 2 * SECOND;
-    limits.heartbeat(now, &"i".into(), 0.0);
-    limits.disturbed(now + 10, &"i".into());
-    // Received after it, but it may have been on its way for a second.
-    limits.heartbeat(now + SECOND / 2, &"i".into(), 0.0);
-    assert!(limits.is_cold(now + SECOND, &server("i", "cold")));
-    limits.heartbeat(now + 2 * SECOND, &"i".into(), 0.0);
-    assert!(!limits.is_cold(now + 2 * SECOND, &server("i", "cold")));
+    limits.record_heartbeat(now, &"i".into(), 0.0);
+    limits.invalidate_warmup(now + 10, &"i".into());
+    // Received after the invalidation, but it may have been in flight for a second.
+    limits.record_heartbeat(now + SECOND / 2, &"i".into(), 0.0);
+    assert!(limits.is_warming_up(now + SECOND, &server("i", "cold")));
+    limits.record_heartbeat(now + 2 * SECOND, &"i".into(), 0.0);
+    assert!(!limits.is_warming_up(now + 2 * SECOND, &server("i", "cold")));
 }
 
 #[test]
-fn a_send_that_waited_for_its_connection_needs_another_permit() {
+fn request_that_waited_for_its_connection_needs_another_permit() {
     let mut limits = limits();
     let (now, server) = (START + 2 * SECOND, server("i", "cold"));
     assert!(limits.try_acquire(now, &server).is_ok());
@@ -130,14 +134,14 @@
 }
 
 #[test]
-fn repeats_stay_within_this_gates_part() {
+fn retries_stay_within_this_gates_share() {
     let mut limits = limits();
     let now = START + 60 * SECOND;
     let plain = service("plain", 0.0);
     (0..100).for_each(|_| limits.deposit(now, &plain));
-    let repeats = (0..100)
+    let retries = (0..100)
         .take_while(|_| limits.withdraw(now, &plain))
         .count();
     // Half of a ratio of 0.1; a burst of 10 leaves nothing for each of 16 gates.
-    assert_eq!(repeats, 5);
+    assert_eq!(retries, 5);
 }
--- a/crates/gate/src/peers.rs
+++ b/crates/gate/src/peers.rs
@@ -1,7 +1,9 @@
-//! What the gates of a region tell each other, by datagrams: the prompts that each has out and that
-//! wait to be read, and servers that seem out of order to it. A datagram holds all of it, so one
-//! that is lost is made up for by the next. In a larger region each gate tells less often, so that
-//! what a gate hears in a second does not grow with the region.
+//! What the gates of a region send each other in datagrams: the prompts that each has in flight and
+//! that wait for prefill, and the servers that seem unhealthy to it.
+//!
+//! A datagram holds the whole state, so the next one makes up for one that was lost. In a larger
+//! region each gate sends less often, so that what a gate receives in a second does not grow with
+//! the region.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -18,127 +20,136 @@
 
 /// The version of the datagrams.
 const VERSION: u8 = 2;
-/// News is told at most this often to [`PEERS_FEW`] peers and fewer, and less often in proportion
-/// to more.
-const EVERY: Duration = Duration::from_millis(50);
-const PEERS_FEW: usize = 16;
-/// What has not changed is told again after this: peers forget it after half a second.
-const AGAIN: Duration = Duration::from_millis(250);
-/// Servers in one datagram.
-const SERVERS_MOST: usize = 64;
+/// The shortest time between two datagrams. It holds for up to [`PEERS_AT_FULL_RATE`] peers and
+/// grows in proportion for more.
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(50);
+/// The largest number of peers to which a gate sends at the full rate.
+const PEERS_AT_FULL_RATE: usize = 16;
+/// A state that has not changed is sent again after this time: peers forget it after half a second.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
+/// The largest number of servers in each list of a datagram.
+const MAX_SERVERS: usize = 64;
 /// The longest datagram that is read, in bytes.
-const DATAGRAM_MOST: usize = 2_048;
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// What a gate has out.
+/// The contents of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Told {
+struct Datagram {
     version: u8,
-    /// Hashes of servers, and the tokens that wait there.
+    /// Hashes of servers, and the tokens that wait for prefill at each.
     unread: Vec<(u64, u64)>,
-    /// Hashes of servers that seem out of order.
+    /// Hashes of servers that seem unhealthy.
     suspect: Vec<u64>,
 }
 
-/// Tells and hears for as long as the gate lives. A gate that can't do so serves without.
+/// Sends and receives for as long as the gate runs. A gate that can't bind its port serves without.
 pub(crate) fn start(gate: &Rc<Gate>) {
     let gate = Rc::clone(gate);
     actix_rt::spawn(async move {
-        let at = {
+        let address = {
             let settings = gate.settings.borrow();
             SocketAddr::new(
                 settings.ip_address,
                 settings.internal_port(InternalPort::Gate),
             )
         };
-        match UdpSocket::bind(at).await {
+        match UdpSocket::bind(address).await {
             Ok(socket) => {
-                tokio::join!(hear(&gate, &socket), tell(&gate, &socket));
+                tokio::join!(receive_all(&gate, &socket), send_all(&gate, &socket));
+            }
+            Err(error) => {
+                warn!(gate.log, "gates are not heard"; "at" => %address, "why" => %error);
             }
-            Err(error) => warn!(gate.log, "gates are not heard"; "at" => %at, "why" => %error),
         }
     });
 }
 
-async fn hear(gate: &Gate, socket: &UdpSocket) {
-    let mut datagram = [0; DATAGRAM_MOST];
+async fn receive_all(gate: &Gate, socket: &UdpSocket) {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
-        let Ok((length, from)) = socket.recv_from(&mut datagram).await else {
-            tokio::time::sleep(EVERY).await;
+        let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
+            tokio::time::sleep(MIN_SEND_INTERVAL).await;
             continue;
         };
-        let known = gate
+        let is_peer = gate
             .peers
             .borrow()
             .iter()
-            .any(|peer| peer.ip() == from.ip());
-        if let Some(told) = parse(&datagram[..length]).filter(|_| known) {
+            .any(|peer| peer.ip() == sender.ip());
+        if let Some(state) = decode(&buffer[..length]).filter(|_| is_peer) {
             let now = gate.clock.now();
             gate.decider
                 .borrow_mut()
-                .apply_peer_report(now, peer_number(from.ip()), &told);
+                .apply_peer_report(now, peer_number(sender.ip()), &state);
         }
     }
 }
 
-async fn tell(gate: &Gate, socket: &UdpSocket) {
-    let mut last = PeerReport::default();
-    let mut at = Instant::now();
+async fn send_all(gate: &Gate, socket: &UdpSocket) {
+    let mut last_sent = PeerReport::default();
+    let mut last_sent_at = Instant::now();
     loop {
         let peers = gate.peers.borrow().clone();
-        tokio::time::sleep(pause(peers.len())).await;
-        let (news, is_due) = {
-            let decider = gate.decider.borrow();
-            let news = decider.peer_report(gate.clock.now());
-            let is_changed = decider.is_significant_change(&last, &news);
-            let is_due = is_changed || news != PeerReport::default() && at.elapsed() >= AGAIN;
-            (news, is_due)
-        };
-        if !is_due {
+        tokio::time::sleep(send_interval(peers.len())).await;
+        let Some(state) = state_to_send(gate, &last_sent, last_sent_at) else {
             continue;
-        }
-        let datagram = encode(&news);
+        };
+        let datagram = encode(&state);
         for peer in peers {
-            // One that is lost is told again.
+            // A datagram that is lost is made up for by the next one.
             let _ = socket.try_send_to(&datagram, peer);
         }
-        last = news;
-        at = Instant::now();
+        last_sent = state;
+        last_sent_at = Instant::now();
     }
 }
 
-/// The time from one datagram to the next.
-fn pause(peers: usize) -> Duration {
-    let more = peers as f64 / PEERS_FEW as f64;
-    EVERY.mul_f64(more.max(1.0)).min(AGAIN)
+/// This gate's state, if it has changed enough or must be refreshed.
+fn state_to_send(gate: &Gate, last_sent: &PeerReport, last_sent_at: Instant) -> Option<PeerReport> {
+    let decider = gate.decider.borrow();
+    let state = decider.peer_report(gate.clock.now());
+    let is_changed = decider.is_significant_change(last_sent, &state);
+    let is_due =
+        is_changed || state != PeerReport::default() && last_sent_at.elapsed() >= REFRESH_INTERVAL;
+    is_due.then_some(state)
+}
+
+/// The time between two datagrams.
+fn send_interval(peers: usize) -> Duration {
+    let factor = peers as f64 / PEERS_AT_FULL_RATE as f64;
+    MIN_SEND_INTERVAL
+        .mul_f64(factor.max(1.0))
+        .min(REFRESH_INTERVAL)
 }
 
-fn encode(news: &PeerReport) -> Vec<u8> {
-    let unread = news
+fn encode(state: &PeerReport) -> Vec<u8> {
+    let unread = state
         .pending_prefill
         .iter()
-        .take(SERVERS_MOST)
+        .take(MAX_SERVERS)
         .map(|at| (at.server, at.tokens));
-    let suspect = news.suspect.iter().take(SERVERS_MOST).copied();
-    let told = Told {
+    let suspect = state.suspect.iter().take(MAX_SERVERS).copied();
+    let datagram = Datagram {
         version: VERSION,
         unread: unread.collect(),
         suspect: suspect.collect(),
     };
-    postcard::to_stdvec(&told).unwrap_or_default()
+    postcard::to_stdvec(&datagram).unwrap_or_default()
 }
 
-fn parse(datagram: &[u8]) -> Option<PeerReport> {
-    let told: Told = postcard::from_bytes(datagram).ok()?;
-    let is_sound = told.version == VERSION
-        && told.unread.len() <= SERVERS_MOST
-        && told.suspect.len() <= SERVERS_MOST;
-    let unread = told
+/// The state in a datagram, or `None` if it is not a valid one of this version.
+fn decode(bytes: &[u8]) -> Option<PeerReport> {
+    let datagram: Datagram = postcard::from_bytes(bytes).ok()?;
+    let is_valid = datagram.version == VERSION
+        && datagram.unread.len() <= MAX_SERVERS
+        && datagram.suspect.len() <= MAX_SERVERS;
+    let unread = datagram
         .unread
         .into_iter()
         .map(|(server, tokens)| PendingPrefill { server, tokens });
-    is_sound.then(|| PeerReport {
+    is_valid.then(|| PeerReport {
         pending_prefill: unread.collect(),
-        suspect: told.suspect,
+        suspect: datagram.suspect,
     })
 }
 
--- a/crates/gate/src/peers/tests.rs
+++ b/crates/gate/src/peers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_told_is_heard() {
+fn encoded_state_is_decoded_unchanged() {
     let unread = vec![
         PendingPrefill {
             server: u64::MAX,
@@ -12,15 +12,15 @@
             tokens: 3,
         },
     ];
-    let news = PeerReport {
+    let state = PeerReport {
         pending_prefill: unread,
         suspect: vec![2, u64::MAX],
     };
-    assert_eq!(parse(&encode(&news)), Some(news));
+    assert_eq!(decode(&encode(&state)), Some(state));
 }
 
 #[test]
-fn a_datagram_stays_short() {
+fn datagram_of_many_servers_fits_the_maximum() {
     let unread = vec![
         PendingPrefill {
             server: u64::MAX,
@@ -32,28 +32,31 @@
         pending_prefill: unread,
         suspect: vec![u64::MAX; 1_000],
     });
-    assert!(datagram.len() <= DATAGRAM_MOST, "{}", datagram.len());
-    let told = parse(&datagram).expect("a datagram");
+    assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "{}", datagram.len());
+    let decoded = decode(&datagram).expect("a datagram");
     assert_eq!(
-        (told.pending_prefill.len(), told.suspect.len()),
-        (SERVERS_MOST, SERVERS_MOST)
+        (decoded.pending_prefill.len(), decoded.suspect.len()),
+        (MAX_SERVERS, MAX_SERVERS)
     );
 }
 
 #[test]
-fn what_is_no_datagram_is_passed_over() {
-    assert_eq!(parse(&[]), None);
-    assert_eq!(parse(&[9, 0, 0]), None);
-    assert_eq!(parse(&[VERSION, 200, 1]), None);
+fn invalid_datagram_is_ignored() {
+    assert_eq!(decode(&[]), None);
+    assert_eq!(decode(&[9, 0, 0]), None);
+    assert_eq!(decode(&[VERSION, 200, 1]), None);
 }
 
 #[test]
-fn what_a_gate_hears_in_a_second_does_not_grow_with_its_region() {
-    let heard = |peers: usize| peers as f64 / pause(peers).as_secs_f64();
-    assert_eq!(pause(0), EVERY);
-    assert_eq!(pause(PEERS_FEW), EVERY);
+fn datagrams_received_in_a_second_do_not_grow_with_the_region() {
+    let received_per_s = |peers: usize| peers as f64 / send_interval(peers).as_secs_f64();
+    assert_eq!(send_interval(0), MIN_SEND_INTERVAL);
+    assert_eq!(send_interval(PEERS_AT_FULL_RATE), MIN_SEND_INTERVAL);
     for peers in [17, 25, 36, 80] {
-        assert!((heard(peers) - heard(PEERS_FEW)).abs() < 1.0, "{peers}");
+        assert!(
+            (received_per_s(peers) - received_per_s(PEERS_AT_FULL_RATE)).abs() < 1.0,
+            "{peers}"
+        );
     }
-    assert_eq!(pause(1_000), AGAIN);
+    assert_eq!(send_interval(1_000), REFRESH_INTERVAL);
 }
--- /dev/null
+++ b/crates/gate/src/serve.rs
@@ -0,0 +1,159 @@
+//! Starts a gate, serves until it is told to stop, and shuts it down.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use eyre::{Result, WrapErr as _};
+use ironmast_routing::Decider;
+use ironmast_schema::configuration::ClientLimits;
+use ironmast_schema::settings::{Settings, SettingsError};
+use ironmast_transport::clock::Clock;
+use ironmast_transport::descriptors::DescriptorBudget;
+use ironmast_transport::listener::{Listener, Service};
+use ironmast_transport::sockets;
+use slog::{Logger, info, warn};
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::watch;
+
+use crate::client_limits::client_limits;
+use crate::frontend::Frontend;
+use crate::gate::Gate;
+use crate::limits::Limits;
+use crate::readiness::ReadinessService;
+use crate::upstream::UpstreamClients;
+use crate::{drain, feed, health, peers};
+
+/// Descriptors that are not connections: files, the poller, listeners, the link to the agent.
+const RESERVED_DESCRIPTORS: usize = 240;
+/// The largest number of connections of the platform's checks.
+const MAX_READINESS_CONNECTIONS: usize = 16;
+
+/// Runs a gate until SIGTERM.
+///
+/// # Errors
+/// What prevents the gate from starting.
+pub fn run(settings: Settings, log: Logger) -> Result<()> {
+    actix_rt::System::new().block_on(async {
+        let mut terminate = signal(SignalKind::terminate()).wrap_err("waiting for SIGTERM")?;
+        serve(settings, log, async { _ = terminate.recv().await }).await
+    })
+}
+
+/// Serves until `terminate` is done, and then for as long as a request in progress needs or the
+/// grace period lasts.
+///
+/// # Errors
+/// What prevents the gate from starting.
+pub async fn serve(
+    settings: Settings,
+    log: Logger,
+    terminate: impl Future<Output = ()>,
+) -> Result<()> {
+    let frontend = settings
+        .listeners_map
+        .frontend
+        .ok_or(SettingsError::NoListener { name: "frontend" })?;
+    let readiness = settings.listeners_map.readiness;
+    let reload = signal(SignalKind::hangup()).wrap_err("waiting for SIGHUP")?;
+    let memory_mb = settings.limits.memory_mb;
+    let (client_budget, upstream_budget) =
+        DescriptorBudget::split(settings.limits.max_fds, RESERVED_DESCRIPTORS);
+    let gate = new_gate(settings, log, upstream_budget)?;
+
+    // The listeners accept connections for as long as this sender lives.
+    let (_serving, is_serving) = watch::channel(true);
+    let service = Rc::new(Frontend::new(Rc::clone(&gate), memory_mb));
+    let listener = listen(&gate, frontend, service, client_budget, is_serving.clone())?;
+    if let Some(address) = readiness {
+        let service = Rc::new(ReadinessService::new(Rc::clone(&gate)));
+        let budget = DescriptorBudget::new(MAX_READINESS_CONNECTIONS);
+        listen(&gate, address, service, budget, is_serving)?;
+    }
+    spawn_background_tasks(&gate, frontend, &listener);
+    info!(gate.log, "gate serves"; "frontend" => %frontend);
+    reload_until(terminate, reload, &gate).await;
+    drain::run(&gate, &listener).await;
+    Ok(())
+}
+
+fn new_gate(
+    settings: Settings,
+    log: Logger,
+    upstream_budget: DescriptorBudget,
+) -> Result<Rc<Gate>> {
+    let clock = Clock::start();
+    let decider = Decider::new(
+        ironmast_routing::Settings::new(&settings.region, &settings.zone),
+        random_seed(),
+    )
+    .wrap_err("setting up the decisions")?;
+    let limits = Limits::new(&settings.timing_bounds, clock.now());
+    let upstream = UpstreamClients::new(upstream_budget);
+    Ok(Gate::new(settings, log, clock, decider, limits, upstream))
+}
+
+/// Binds an address and accepts connections there in the background.
+fn listen<S: Service + 'static>(
+    gate: &Gate,
+    address: SocketAddr,
+    service: Rc<S>,
+    budget: DescriptorBudget,
+    is_serving: watch::Receiver<bool>,
+) -> Result<Rc<Listener<S>>> {
+    let limits = client_limits(ClientLimits::default());
+    let listener = Listener::new(
+        service,
+        gate.clock,
+        gate.log.clone(),
+        budget,
+        limits,
+        is_serving,
+    );
+    let socket = sockets::listen(address).wrap_err_with(|| format!("listening at {address}"))?;
+    actix_rt::spawn(Rc::clone(&listener).accept(Rc::new(socket)));
+    Ok(listener)
+}
+
+/// Starts the tasks that run for as long as the gate's thread does.
+fn spawn_background_tasks(
+    gate: &Rc<Gate>,
+    frontend: SocketAddr,
+    listener: &Rc<Listener<Frontend>>,
+) {
+    let listener = Rc::clone(listener);
+    let set_limits = move |limits| listener.set_limits(limits);
+    actix_rt::spawn(feed::run(Rc::clone(gate), frontend, set_limits));
+    actix_rt::spawn(health::run(Rc::clone(gate)));
+    peers::start(gate);
+}
+
+/// Reloads the settings at each SIGHUP until `terminate` is done.
+async fn reload_until(terminate: impl Future<Output = ()>, mut reload: Signal, gate: &Gate) {
+    tokio::pin!(terminate);
+    loop {
+        tokio::select! {
+            _ = reload.recv() => reload_settings(gate),
+            () = &mut terminate => return,
+        }
+    }
+}
+
+/// Reads the settings file again; an invalid one changes nothing.
+fn reload_settings(gate: &Gate) {
+    match Settings::from_environment() {
+        Ok(settings) => {
+            gate.settings.replace(settings);
+            info!(gate.log, "settings read again");
+        }
+        Err(error) => warn!(gate.log, "settings not taken, the old ones stay"; "why" => %error),
+    }
+}
+
+/// A seed for the decider's random choices: gates that start together must not choose alike.
+fn random_seed() -> u64 {
+    let since_epoch = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
+    since_epoch.as_nanos() as u64 ^ u64::from(std::process::id()) << 32
+}
--- /dev/null
+++ b/crates/gate/src/table_spec.rs
@@ -0,0 +1,118 @@
+//! Converts the operators' configuration and servers' heartbeats into the specifications from which
+//! `ironmast-routing` builds its tables.
+
+use ironmast_routing::{
+    Micros, RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, TableSpec, WeightedBackend,
+};
+use ironmast_schema::configuration::{Configuration, Route, RouteType, Service};
+use ironmast_schema::registration::{Heartbeat, InstanceState};
+use ironmast_schema::settings::Settings;
+
+/// Weights are kept as whole numbers: a weight of 1 is this number.
+const WEIGHT_SCALE: f64 = 1_000.0;
+
+/// The routes and services of a configuration, with these gates and servers.
+pub(crate) fn table_spec(
+    configuration: &Configuration,
+    gates: u32,
+    servers: Vec<ServerSpec>,
+) -> TableSpec {
+    TableSpec {
+        gates,
+        routes: configuration.routes.iter().map(route_spec).collect(),
+        services: configuration.services.iter().map(service_spec).collect(),
+        servers,
+    }
+}
+
+/// What is known of a server besides its heartbeat.
+pub(crate) struct ServerStatus {
+    /// Whether its zone is evacuated.
+    pub evacuated: bool,
+    /// Since when its heartbeats are missing.
+    pub heartbeats_missing_since: Option<Micros>,
+}
+
+/// The server of the incarnation `id`.
+pub(crate) fn server_spec(
+    settings: &Settings,
+    id: &str,
+    heartbeat: &Heartbeat,
+    status: ServerStatus,
+) -> ServerSpec {
+    ServerSpec {
+        instance: id.into(),
+        service: heartbeat.backend.as_str().into(),
+        address: heartbeat.address,
+        zone: heartbeat.zone.as_str().into(),
+        region: settings.region_of(&heartbeat.zone).into(),
+        capacity: u32::try_from(heartbeat.capacity).unwrap_or(u32::MAX),
+        state: match heartbeat.state {
+            InstanceState::Ready => ServerState::Ready,
+            InstanceState::Draining => ServerState::Draining,
+        },
+        evacuated: status.evacuated,
+        // Whether it is warming up changes between tables: the limits are asked at each request.
+        warming_up: true,
+        heartbeats_missing_since: status.heartbeats_missing_since,
+        models: Vec::new(),
+        sequence: heartbeat.sequence,
+    }
+}
+
+fn route_spec(route: &Route) -> RouteSpec {
+    let split = |(service, weight): (&str, f64)| WeightedBackend {
+        service: service.into(),
+        weight: fixed_point_weight(weight),
+    };
+    RouteSpec {
+        name: route.name.as_str().into(),
+        host: route.hostname.as_str().into(),
+        prefix: route.path_prefix.as_str().into(),
+        kind: match route.kind {
+            RouteType::Safe => RouteKind::Idempotent,
+            RouteType::Unsafe => RouteKind::NonIdempotent,
+            RouteType::Streaming => RouteKind::Stream {
+                resumable: route.resumable,
+            },
+        },
+        backends: route.splits().into_iter().map(split).collect(),
+        max_attempts: route.max_attempts,
+        timeout_ms: route.timeout_ms,
+        target_latency_ms: route.target_latency_ms.max(0.0) as u64,
+        max_event_gap_ms: (route.gap_aim_ms > 0.0).then_some(route.gap_aim_ms as u64),
+        priority: route.priority,
+        affinity: route.session_affinity,
+        allowed_regions: route
+            .allowed_regions
+            .iter()
+            .map(|region| region.as_str().into())
+            .collect(),
+    }
+}
+
+/// A weight as a whole number. One above 0 stays above 0.
+fn fixed_point_weight(weight: f64) -> u32 {
+    let scaled = (weight * WEIGHT_SCALE)
+        .round()
+        .clamp(0.0, f64::from(u32::MAX / 1_000));
+    if weight > 0.0 {
+        (scaled as u32).max(1)
+    } else {
+        0
+    }
+}
+
+fn service_spec(service: &Service) -> ServiceSpec {
+    let runtime = service.runtime.as_ref();
+    ServiceSpec {
+        name: service.name.as_str().into(),
+        health_check: service.health_check.as_str().into(),
+        slots: runtime.map_or(0, |runtime| {
+            u32::try_from(runtime.capacity).unwrap_or(u32::MAX)
+        }),
+        kv_cache_tokens: runtime.map_or(0, |runtime| runtime.kv_cache_tokens),
+        max_connections: u32::try_from(service.max_connections).unwrap_or(u32::MAX),
+        warmup_per_s: service.warmup_per_s,
+    }
+}
--- a/crates/gate/src/upstream.rs
+++ b/crates/gate/src/upstream.rs
@@ -1,4 +1,5 @@
-//! Connections to servers: one client for each address holds those that are idle.
+//! Connections to upstream servers: one HTTP client for each address keeps that address's idle
+//! connections.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,40 +11,48 @@
 use ironmast_transport::descriptors::DescriptorBudget;
 use ironmast_transport::response_validation::ValidatingStream;
 
-/// A connection must come up within this.
-const CONNECT: Duration = Duration::from_millis(800);
-/// A connection idle for this long is not used again, unless its server names a shorter time.
-const IDLE: Duration = Duration::from_secs(30);
+/// A connection must be established within this time.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+/// A connection that has been idle for this long is not reused, unless its server names a shorter
+/// time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The connections of a gate.
-pub(crate) struct Upstream {
+/// The HTTP clients of a gate, by the address of the server.
+pub(crate) struct UpstreamClients {
     budget: DescriptorBudget,
-    clients: RefCell<BTreeMap<SocketAddr, Client>>,
+    by_address: RefCell<BTreeMap<SocketAddr, Client>>,
 }
 
-impl Upstream {
-    /// No connections yet.
+impl UpstreamClients {
+    /// Without connections yet; together they may use `budget` descriptors.
     pub(crate) fn new(budget: DescriptorBudget) -> Self {
-        Upstream {
+        UpstreamClients {
             budget,
-            clients: RefCell::default(),
+            by_address: RefCell::default(),
         }
     }
 
-    /// The client of a server.
+    /// The client for an address, created where there is none.
     pub(crate) fn client(&self, address: SocketAddr) -> Client {
-        let fresh = || client(self.budget.clone(), CONNECT, IDLE, ValidatingStream::new);
-        self.clients
+        let create = || {
+            client(
+                self.budget.clone(),
+                CONNECT_TIMEOUT,
+                IDLE_TIMEOUT,
+                ValidatingStream::new,
+            )
+        };
+        self.by_address
             .borrow_mut()
             .entry(address)
-            .or_insert_with(fresh)
+            .or_insert_with(create)
             .clone()
     }
 
-    /// Closes the idle connections to all other addresses.
-    pub(crate) fn keep(&self, listed: impl Fn(&SocketAddr) -> bool) {
-        self.clients
+    /// Closes the idle connections to all addresses for which `is_listed` is false.
+    pub(crate) fn retain(&self, is_listed: impl Fn(&SocketAddr) -> bool) {
+        self.by_address
             .borrow_mut()
-            .retain(|address, _| listed(address));
+            .retain(|address, _| is_listed(address));
     }
 }
