--- a/crates/coordinator/src/register_log/tests.rs
+++ b/crates/coordinator/src/register_log/tests.rs
@@ -9,6 +9,8 @@
 
 use super::*;
 
+mod stored_format;
+
 const DISK: u64 = 8;
 
 fn open(
