--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -1,5 +1,7 @@
-//! HTTP: the operator's API, servers' registrations, and address resolution. Bodies are read and
-//! checked here; the rest is the state's.
+//! The HTTP API: the operator's changes, servers' registrations and address resolution.
+//!
+//! Requests are parsed and validated here and submitted to the node as [`Command`]s. [`reply`] maps
+//! the outcomes to statuses and bodies; no other module knows any.
 
 use std::net::SocketAddr;
 
@@ -12,19 +14,24 @@
 use ironmast_schema::registration::Heartbeat;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::node::{Command, Reply};
+use crate::command::Command;
 use crate::resolve;
+use crate::value::{ConfigurationDocument, ZoneState};
 
-/// The longest body, in bytes.
+use reply::Reply;
+
+pub(crate) mod reply;
+
+/// Upper limit of the size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// The way to the state.
+/// Submits commands to the node.
 pub(crate) type Commands = mpsc::UnboundedSender<Command>;
 
-/// Listens where the operator, servers and clients call.
+/// Starts the server for the operator and the servers and, if it has an address, the one for clients.
 ///
 /// # Errors
-/// The address that can't be listened at.
+/// An address cannot be bound; the error names it.
 pub(crate) fn start(
     control_plane: SocketAddr,
     directory: Option<SocketAddr>,
@@ -66,99 +73,113 @@
 fn control_routes(routes: &mut ServiceConfig) {
     routes
         .route("/api/instances/{id}", web::put().to(heartbeat))
-        .route("/api/instances/{id}", web::delete().to(leave))
+        .route("/api/instances/{id}", web::delete().to(deregister))
         .route("/api/config", web::put().to(configure))
         .route("/api/config", web::get().to(read_configuration))
         .route("/api/evacuate/{zone}", web::post().to(evacuate))
-        .route("/api/evacuate/{zone}", web::delete().to(take_back));
+        .route("/api/evacuate/{zone}", web::delete().to(restore));
 }
 
 fn directory_routes(routes: &mut ServiceConfig) {
     routes.route("/api/resolve", web::get().to(resolve));
 }
 
-async fn ask(
+/// Submits a command and waits for its outcome.
+async fn submit<Outcome>(
     commands: &Commands,
-    command: impl FnOnce(oneshot::Sender<Reply>) -> Command,
-) -> HttpResponse {
-    let (to, reply) = oneshot::channel();
-    let _ = commands.send(command(to));
-    respond(
-        reply
-            .await
-            .unwrap_or(Reply::refused(503, "the coordinator ends")),
-    )
+    command: impl FnOnce(oneshot::Sender<Outcome>) -> Command,
+) -> HttpResponse
+where
+    Reply: From<Outcome>,
+{
+    let (reply, outcome) = oneshot::channel();
+    let _ = commands.send(command(reply));
+    outcome
+        .await
+        .map_or_else(
+            |_| Reply::error(StatusCode::SERVICE_UNAVAILABLE, "the coordinator ends"),
+            Reply::from,
+        )
+        .into()
 }
 
-fn respond(reply: Reply) -> HttpResponse {
-    let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let content = if status.is_success() {
-        "application/json"
-    } else {
-        "text/plain"
-    };
-    HttpResponse::build(status)
-        .content_type(content)
-        .body(reply.body)
+/// The response to a request that is not valid.
+fn bad_request(error: impl ToString) -> HttpResponse {
+    Reply::error(StatusCode::BAD_REQUEST, error).into()
 }
 
 async fn heartbeat(commands: Data<Commands>, id: Path<String>, body: Bytes) -> HttpResponse {
-    match Heartbeat::parse(&body) {
-        Ok(heartbeat) => {
-            ask(&commands, |to| {
-                Command::Heartbeat(id.into_inner(), heartbeat, to)
-            })
-            .await
-        }
-        Err(error) => respond(Reply::refused(400, &error.to_string())),
-    }
+    let heartbeat = match Heartbeat::parse(&body) {
+        Ok(heartbeat) => heartbeat,
+        Err(error) => return bad_request(error),
+    };
+    submit(&commands, |reply| Command::Heartbeat {
+        id: id.into_inner(),
+        heartbeat,
+        reply,
+    })
+    .await
 }
 
-async fn leave(commands: Data<Commands>, id: Path<String>) -> HttpResponse {
-    ask(&commands, |to| Command::Leave(id.into_inner(), to)).await
+async fn deregister(commands: Data<Commands>, id: Path<String>) -> HttpResponse {
+    submit(&commands, |reply| Command::Deregister {
+        id: id.into_inner(),
+        reply,
+    })
+    .await
 }
 
 async fn configure(commands: Data<Commands>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    let base = request
-        .headers()
-        .get("If-Match")
-        .and_then(|v| v.to_str().ok()?.trim_matches('"').parse().ok());
-    let Some(base) = base else {
-        return respond(Reply::refused(
-            400,
-            "If-Match must hold the version that this one builds on, 0 at first",
-        ));
+    let Some(base) = if_match(&request) else {
+        return bad_request("If-Match must hold the version that this one builds on, 0 at first");
     };
-    match Configuration::parse(&body) {
-        Ok(configuration) => {
-            let generation = configuration.generation;
-            ask(&commands, |to| {
-                Command::Configure(generation, body.to_vec(), base, to)
-            })
-            .await
-        }
-        Err(error) => respond(Reply::refused(400, &error.to_string())),
-    }
+    let generation = match Configuration::parse(&body) {
+        Ok(configuration) => configuration.generation,
+        Err(error) => return bad_request(error),
+    };
+    let document = ConfigurationDocument {
+        generation,
+        body: body.to_vec(),
+    };
+    submit(&commands, |reply| Command::Configure {
+        document,
+        base,
+        reply,
+    })
+    .await
+}
+
+/// The generation in the `If-Match` header, with or without quotation marks.
+fn if_match(request: &HttpRequest) -> Option<u64> {
+    let header = request.headers().get("If-Match")?;
+    header.to_str().ok()?.trim_matches('"').parse().ok()
 }
 
 async fn read_configuration(commands: Data<Commands>) -> HttpResponse {
-    ask(&commands, Command::ReadConfiguration).await
+    submit(&commands, |reply| Command::ReadConfiguration { reply }).await
 }
 
 async fn evacuate(commands: Data<Commands>, zone: Path<String>) -> HttpResponse {
-    ask(&commands, |to| {
-        Command::Evacuate(zone.into_inner(), true, to)
-    })
-    .await
+    set_zone_state(&commands, zone, ZoneState::Evacuated).await
+}
+
+async fn restore(commands: Data<Commands>, zone: Path<String>) -> HttpResponse {
+    set_zone_state(&commands, zone, ZoneState::InService).await
 }
 
-async fn take_back(commands: Data<Commands>, zone: Path<String>) -> HttpResponse {
-    ask(&commands, |to| {
-        Command::Evacuate(zone.into_inner(), false, to)
+async fn set_zone_state(commands: &Commands, zone: Path<String>, state: ZoneState) -> HttpResponse {
+    submit(commands, |reply| Command::SetZoneState {
+        zone: zone.into_inner(),
+        state,
+        reply,
     })
     .await
 }
 
 async fn resolve(commands: Data<Commands>, query: Query<resolve::Query>) -> HttpResponse {
-    ask(&commands, |to| Command::Resolve(query.into_inner(), to)).await
+    submit(&commands, |reply| Command::Resolve {
+        query: query.into_inner(),
+        reply,
+    })
+    .await
 }
--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -1,26 +1,26 @@
-//! The steady clock of a coordinator; tests set it by hand.
+//! The monotonic clock of a coordinator. Tests set it by hand.
 
 use std::fmt;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Reads the time since the start; copies agree.
+/// Reads the time since the start of the process; all clones read the same time.
 #[derive(Clone)]
 pub(crate) struct Clock(Rc<dyn Fn() -> Duration>);
 
 impl Clock {
-    /// The time since `start`.
+    /// A clock that reads the time since `start`.
     pub(crate) fn since(start: Instant) -> Self {
         Clock(Rc::new(move || start.elapsed()))
     }
 
-    /// The time that `read` tells.
+    /// A clock that reads the time returned by `read`.
     #[cfg(test)]
     pub(crate) fn read_by(read: impl Fn() -> Duration + 'static) -> Self {
         Clock(Rc::new(read))
     }
 
-    /// The reading now.
+    /// The current time.
     pub(crate) fn now(&self) -> Duration {
         (self.0)()
     }
--- a/crates/coordinator/src/contact.rs
+++ b/crates/coordinator/src/contact.rs
@@ -1,5 +1,9 @@
-//! Where a coordinator stands with the majority of the register's replicas, and what it answers
-//! there.
+//! The state of the contact with a majority of the register's replicas, and the policy for each
+//! request in each state.
+//!
+//! The states guard against a coordinator that is partitioned from the majority and still
+//! acknowledges changes or serves outdated state. `docs/design/control.md` shows the state diagram
+//! and the table of policies.
 
 use std::time::Duration;
 
@@ -8,19 +12,19 @@
 #[cfg(test)]
 mod tests;
 
-/// Parts of the shortest bound in time: one for the loss of contact to be noticed, two for the news
-/// to travel.
+/// The shortest bound is divided by this: one part for the loss of contact to be noticed, two for
+/// updates to propagate.
 const CONTACT_TIMEOUT_DIVISOR: u32 = 3;
-/// Shorter than this, slow links and busy processors would look like cuts: four questions, each
-/// with a round trip round the world, or one packet sent again after a timeout.
+/// With a shorter timeout, slow links and busy processors would look like partitions: it leaves
+/// time for four contact checks, each with a round trip around the world or one retransmission.
 const MIN_CONTACT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// The age at which contact with a majority counts as lost.
 ///
-/// What a coordinator says in its last moment of contact must reach every gate in touch within the
-/// shortest bound of the rules: `config_apply_ms`, `drain_timeout_ms`, `evacuation_ms` or
-/// `contact_ms`. Its word may be as old as this bound before others notice, so that the bound is a
-/// third of the shortest.
+/// What a coordinator publishes in its last moment of contact must reach every reachable gate
+/// within the shortest of the bounds `config_apply_ms`, `drain_timeout_ms`, `evacuation_ms` and
+/// `contact_ms`. Other nodes may treat its state as fresh for this long after its last contact, so
+/// that the timeout is a third of the shortest bound.
 pub(crate) fn contact_timeout(bounds: &TimingBounds) -> Duration {
     let shortest = [
         bounds.config_apply_ms,
@@ -34,23 +38,23 @@
     (Duration::from_millis(shortest) / CONTACT_TIMEOUT_DIVISOR).max(MIN_CONTACT_TIMEOUT)
 }
 
-/// Where a coordinator stands.
+/// State of the contact with a majority of the register's replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum ContactState {
-    /// No majority has answered since the process began.
+    /// No majority has answered since the process started.
     Starting,
     /// A majority answers; the newest state has not been read from a quorum yet.
     CatchingUp,
-    /// A majority answers and the newest state was read from a quorum since it does.
+    /// A majority answers, and the newest state has been read from a quorum since.
     InContact,
-    /// No majority has answered a question asked within [`contact_timeout`].
+    /// No majority has answered a contact check sent within [`contact_timeout`].
     OutOfContact,
-    /// The process was told to end.
+    /// The process is shutting down.
     Leaving,
 }
 
 impl ContactState {
-    /// All of them, in the order of the table.
+    /// All states, in the order of the table in `docs/design/control.md`.
     #[cfg(test)]
     pub(crate) const ALL: [ContactState; 5] = [
         ContactState::Starting,
@@ -60,8 +64,9 @@
         ContactState::Leaving,
     ];
 
-    /// What follows from whether a majority has answered within the bound.
-    pub(crate) fn observed(self, majority_answers: bool) -> ContactState {
+    /// The state after a contact check, given whether a majority has answered within
+    /// [`contact_timeout`].
+    pub(crate) fn after_check(self, majority_answers: bool) -> ContactState {
         match (self, majority_answers) {
             (ContactState::Starting | ContactState::OutOfContact, true) => ContactState::CatchingUp,
             (ContactState::CatchingUp | ContactState::InContact, false) => {
@@ -71,15 +76,15 @@
         }
     }
 
-    /// What follows when the newest state has been read from a quorum.
-    pub(crate) fn caught_up(self) -> ContactState {
+    /// The state after the newest state has been read from a quorum.
+    pub(crate) fn after_catch_up(self) -> ContactState {
         match self {
             ContactState::CatchingUp => ContactState::InContact,
             same => same,
         }
     }
 
-    /// What a request gets here. `docs/design/control.md` shows the table.
+    /// The policy for a request in this state.
     pub(crate) fn policy(self, request: Request) -> RequestPolicy {
         match (request, self) {
             (
@@ -106,7 +111,7 @@
     }
 }
 
-/// What is asked of a coordinator.
+/// Kind of a request to a coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Request {
     /// `PUT /api/config`.
@@ -123,30 +128,31 @@
     Delete,
     /// `GET /api/resolve`.
     Resolve,
-    /// News and beats for agents.
+    /// Updates and heartbeats for agents.
     Subscription,
 }
 
-/// What a request gets.
+/// How a coordinator handles a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum RequestPolicy {
-    /// The register decides by a quorum asked after the request came; without one in time a 5xx.
+    /// The register decides by a quorum contacted after the request arrived. Without a quorum in
+    /// time the answer is a 5xx status.
     DecideByQuorum,
-    /// 503 at once; nothing is proposed.
+    /// Answered 503 at once; nothing is proposed.
     Reject,
-    /// Taken in and acknowledged.
+    /// Recorded and acknowledged.
     Acknowledge,
-    /// Taken in; acknowledged once a majority of the coordinators holds it.
+    /// Recorded; acknowledged once a majority of the coordinators has it.
     AcknowledgeByMajority,
-    /// Taken in, so that nobody is called silent who spoke, and answered 503.
+    /// Recorded, so that the server does not count as silent, and answered 503.
     RecordOnly,
-    /// Names the gates that any coordinator has heard lately.
+    /// Returns gates that have reported to any coordinator within the gate timeout.
     AllGates,
-    /// Names gates of the client's region whose agents have lately spoken to this coordinator
-    /// itself; without any, 503.
+    /// Returns gates of the client's region that have reported to this coordinator itself within
+    /// the gate timeout; without any, 503.
     DirectGates,
-    /// News is relayed, and beats say that it is fresh.
+    /// Updates are forwarded, and heartbeats mark them as fresh.
     MarkFresh,
-    /// News is relayed; beats make nobody fresh.
+    /// Updates are forwarded; heartbeats do not mark them as fresh.
     ForwardOnly,
 }
--- a/crates/coordinator/src/contact/tests.rs
+++ b/crates/coordinator/src/contact/tests.rs
@@ -88,17 +88,17 @@
 
 #[test]
 fn the_diagram_of_the_states() {
-    let lost = ContactState::ALL.map(|standing| standing.observed(false));
+    let lost = ContactState::ALL.map(|standing| standing.after_check(false));
     assert_eq!(
         lost,
         [Starting, OutOfContact, OutOfContact, OutOfContact, Leaving]
     );
-    let answered = ContactState::ALL.map(|standing| standing.observed(true));
+    let answered = ContactState::ALL.map(|standing| standing.after_check(true));
     assert_eq!(
         answered,
         [CatchingUp, CatchingUp, InContact, CatchingUp, Leaving]
     );
-    let caught_up = ContactState::ALL.map(ContactState::caught_up);
+    let caught_up = ContactState::ALL.map(ContactState::after_catch_up);
     assert_eq!(
         caught_up,
         [Starting, InContact, InContact, OutOfContact, Leaving]
--- /dev/null
+++ b/crates/coordinator/src/event_loop.rs
@@ -0,0 +1,116 @@
+//! The event loop: passes everything that happens to the node, one event at a time.
+
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use eyre::Result;
+use ironmast_overlay::Role;
+use ironmast_overlay_transport::OverlayHandle;
+use ironmast_schema::control::Entry;
+use ironmast_schema::settings::{InternalPort, Settings};
+use slog::Logger;
+use tokio::signal::unix::Signal;
+use tokio::sync::mpsc;
+use tokio::time::Interval;
+
+use crate::clock::Clock;
+use crate::command::Command;
+use crate::links;
+use crate::node::CoordinatorNode;
+use crate::peers::Peers;
+use crate::register_log::Persisted;
+use crate::replica::{OpenedReplica, RegisterReplica};
+
+/// Interval of the node's periodic work: expiry of endpoints and keep-alive frames.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+
+/// The node and the sources of its events.
+pub(crate) struct EventLoop {
+    started: Instant,
+    node: Rc<RefCell<CoordinatorNode>>,
+    overlay: OverlayHandle,
+    commands: mpsc::UnboundedReceiver<Command>,
+    completions: mpsc::UnboundedReceiver<Persisted>,
+    entries: mpsc::UnboundedReceiver<Entry>,
+    tick: Interval,
+    reload: Signal,
+}
+
+impl EventLoop {
+    /// Recovers the replica, joins the overlay and starts the links.
+    ///
+    /// # Errors
+    /// The register's log cannot be opened, or an address cannot be bound.
+    pub(crate) async fn start(
+        settings: &Settings,
+        commands: mpsc::UnboundedReceiver<Command>,
+        reload: Signal,
+        log: &Logger,
+    ) -> Result<Self> {
+        let own = SocketAddr::new(
+            settings.ip_address,
+            settings.internal_port(InternalPort::Coordinator),
+        );
+        let started = Instant::now();
+        let OpenedReplica {
+            replica,
+            completions,
+        } = RegisterReplica::open(settings, own, Clock::since(started), log.clone())?;
+        let (overlay, entries) = OverlayHandle::start(settings, Role::Coordinator, log).await?;
+        let publisher = Box::new(overlay.clone());
+        let node = CoordinatorNode::new(settings, Peers::new(own), replica, publisher, log);
+        let node = Rc::new(RefCell::new(node));
+        links::start(&node, &settings.seed_coordinators()).await?;
+        Ok(EventLoop {
+            started,
+            node,
+            overlay,
+            commands,
+            completions,
+            entries,
+            tick: tokio::time::interval(TICK_INTERVAL),
+            reload,
+        })
+    }
+
+    /// Handles events until `end` completes.
+    pub(crate) async fn run_until(&mut self, end: impl Future<Output = ()>) {
+        let mut end = pin!(end);
+        loop {
+            let wake_at = self.started + self.node.borrow().wake_at();
+            tokio::select! {
+                Some(completion) = self.completions.recv() => {
+                    self.node.borrow_mut().persisted(completion);
+                }
+                () = tokio::time::sleep_until(wake_at.into()) => self.node.borrow_mut().wake(),
+                Some(entry) = self.entries.recv() => self.node.borrow_mut().receive_entry(&entry),
+                Some(command) = self.commands.recv() => self.node.borrow_mut().execute(command),
+                _ = self.tick.tick() => self.node.borrow_mut().tick(),
+                _ = self.reload.recv() => self.reload_seeds(),
+                () = &mut end => return,
+            }
+        }
+    }
+
+    /// Reads the seeds from the settings again. Settings that are not valid are ignored.
+    fn reload_seeds(&self) {
+        if let Ok(settings) = Settings::from_environment() {
+            self.overlay.set_seeds(&settings);
+            links::connect(&self.node, &settings.seed_coordinators());
+        }
+    }
+
+    /// Announces the shutdown to the other nodes. If another coordinator can take the replica's
+    /// place, waits for that, for `timeout` at most.
+    pub(crate) async fn leave(&mut self, timeout: Duration) {
+        self.node.borrow_mut().leave();
+        self.overlay.leave();
+        let deadline = Instant::now() + timeout;
+        while self.node.borrow().can_transfer_replica() && Instant::now() < deadline {
+            self.run_until(tokio::time::sleep(TICK_INTERVAL)).await;
+        }
+    }
+}
--- a/crates/coordinator/src/links.rs
+++ b/crates/coordinator/src/links.rs
@@ -1,4 +1,8 @@
-//! Links to other coordinators, and from agents and other coordinators to this one.
+//! Links between nodes: connections to the other coordinators, and connections of agents and other
+//! coordinators to this one.
+//!
+//! This module owns the sockets, the reconnect delay and the timeouts. The frames are handled by
+//! [`CoordinatorNode`].
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -12,122 +16,127 @@
 use tokio::sync::mpsc;
 
 use crate::node::CoordinatorNode;
+use crate::subscribers::SubscriberKind;
 
-/// A coordinator that can't be reached is tried again after this.
+/// Delay before a failed connection, or a failed accept, is retried.
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
-/// A connection must come up within this.
+/// Time within which a connection must be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// A link that says nothing for this long has failed.
+/// A link on which nothing is received for this long has failed.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-type Shared = Rc<RefCell<CoordinatorNode>>;
+type SharedNode = Rc<RefCell<CoordinatorNode>>;
 
-/// Listens for agents and coordinators and calls the seeds.
+/// Listens for agents and coordinators, and connects to the seeds.
 ///
 /// # Errors
-/// The address that can't be listened at.
-pub(crate) async fn start(state: &Shared, own: SocketAddr, seeds: Vec<SocketAddr>) -> Result<()> {
+/// The own address cannot be bound.
+pub(crate) async fn start(node: &SharedNode, seeds: &[SocketAddr]) -> Result<()> {
+    let own = node.borrow().own_address();
     let listener = TcpListener::bind(own)
         .await
         .wrap_err_with(|| format!("listening at {own}"))?;
-    let shared = Rc::clone(state);
-    actix_rt::spawn(async move {
-        loop {
-            match listener.accept().await {
-                Ok((stream, _)) => {
-                    let shared = Rc::clone(&shared);
-                    actix_rt::spawn(async move { drop(accepted(shared, stream).await) });
-                }
-                Err(_) => tokio::time::sleep(RECONNECT_DELAY).await,
-            }
-        }
-    });
-    add(state, &seeds);
+    actix_rt::spawn(accept(Rc::clone(node), listener));
+    connect(node, seeds);
     Ok(())
 }
 
-/// Calls coordinators that weren't known.
-pub(crate) fn add(state: &Shared, coordinators: &[SocketAddr]) {
+/// Connects to those of the coordinators that were not known.
+pub(crate) fn connect(node: &SharedNode, coordinators: &[SocketAddr]) {
     for address in coordinators {
-        let is_new = state.borrow_mut().add_peer(*address);
+        let is_new = node.borrow_mut().add_peer(*address);
         if is_new {
-            actix_rt::spawn(keep_calling(Rc::clone(state), *address));
+            actix_rt::spawn(keep_connected(Rc::clone(node), *address));
+        }
+    }
+}
+
+async fn accept(node: SharedNode, listener: TcpListener) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                let node = Rc::clone(&node);
+                actix_rt::spawn(async move { drop(serve_subscriber(node, stream).await) });
+            }
+            Err(_) => tokio::time::sleep(RECONNECT_DELAY).await,
         }
     }
 }
 
-async fn keep_calling(state: Shared, address: SocketAddr) {
-    let present = state.borrow_mut().inbound_notify(address);
+async fn keep_connected(node: SharedNode, address: SocketAddr) {
+    let inbound = node.borrow_mut().inbound_notify(address);
     loop {
-        let _ = call(&state, address).await;
+        let _ = run_peer_link(&node, address).await;
         tokio::select! {
             () = tokio::time::sleep(RECONNECT_DELAY) => {}
-            // It has called here: it listens by now.
-            () = present.notified() => {}
+            // The peer has connected to this coordinator: it is listening by now.
+            () = inbound.notified() => {}
         }
     }
 }
 
-/// Subscribes to another coordinator until the link fails.
-async fn call(state: &Shared, address: SocketAddr) -> Result<()> {
+/// Connects to another coordinator and runs the link until it fails.
+async fn run_peer_link(node: &SharedNode, address: SocketAddr) -> Result<()> {
     let (mut receiver, mut sender) =
         link::connect::<FromCoordinator, ToCoordinator>(address, CONNECT_TIMEOUT).await?;
-    let coordinator = Some(state.borrow().own);
+    let coordinator = Some(node.borrow().own_address());
     sender
         .send(&ToCoordinator::Hello(Hello {
             protocol: PROTOCOL_VERSION,
             coordinator,
         }))
         .await?;
-    let (to, mut queue) = mpsc::unbounded_channel();
-    state.borrow_mut().link_established(address, to);
-    let mut silence = Box::pin(tokio::time::sleep(IDLE_TIMEOUT));
+    let (queue, mut outgoing) = mpsc::unbounded_channel();
+    node.borrow_mut().link_established(address, queue);
+    let mut idle = Box::pin(tokio::time::sleep(IDLE_TIMEOUT));
     loop {
         tokio::select! {
             frame = receiver.next() => {
                 let Some(frame) = frame? else { bail!("{address} closed the link") };
-                silence.as_mut().reset(tokio::time::Instant::now() + IDLE_TIMEOUT);
-                let known = state.borrow_mut().take_coordinator_frame(frame);
-                add(state, &known);
+                idle.as_mut().reset(tokio::time::Instant::now() + IDLE_TIMEOUT);
+                let known = node.borrow_mut().receive_peer_frame(frame);
+                connect(node, &known);
             }
-            Some(frame) = queue.recv() => sender.send(&frame).await?,
-            () = &mut silence => bail!("{address} says nothing"),
+            Some(frame) = outgoing.recv() => sender.send(&frame).await?,
+            () = &mut idle => bail!("{address} sent nothing for {IDLE_TIMEOUT:?}"),
         }
     }
 }
 
-/// Serves one subscriber until its link fails.
-async fn accepted(state: Shared, stream: TcpStream) -> Result<()> {
+/// Serves a subscriber until its link fails.
+async fn serve_subscriber(node: SharedNode, stream: TcpStream) -> Result<()> {
     let (mut receiver, mut sender) = link::split::<ToCoordinator, FromCoordinator>(stream)?;
     let Some(ToCoordinator::Hello(hello)) = receiver.next().await? else {
-        bail!("no hello")
+        bail!("the first frame is no hello")
     };
     if hello.protocol != PROTOCOL_VERSION {
-        bail!("another version of the protocol: {}", hello.protocol);
+        bail!("unsupported protocol version {}", hello.protocol);
     }
-    let (to, mut queue) = mpsc::unbounded_channel();
-    let number = state
-        .borrow_mut()
-        .subscribe(to, hello.coordinator.is_some());
-    add(&state, hello.coordinator.as_slice());
+    let kind = match hello.coordinator {
+        Some(_) => SubscriberKind::Coordinator,
+        None => SubscriberKind::Agent,
+    };
+    let (queue, mut outgoing) = mpsc::unbounded_channel();
+    let id = node.borrow_mut().subscribe(queue, kind);
+    connect(&node, hello.coordinator.as_slice());
     if let Some(coordinator) = hello.coordinator {
-        state.borrow_mut().inbound_notify(coordinator).notify_one();
+        node.borrow_mut().inbound_notify(coordinator).notify_one();
     }
-    let outcome: Result<()> = async {
+    let result: Result<()> = async {
         loop {
             tokio::select! {
-                frame = queue.recv() => match frame {
+                frame = outgoing.recv() => match frame {
                     Some(frame) => sender.send(&frame).await?,
                     None => return Ok(()),
                 },
                 frame = receiver.next() => match frame? {
-                    Some(frame) => state.borrow_mut().take_subscriber_frame(frame),
+                    Some(frame) => node.borrow_mut().receive_subscriber_frame(frame),
                     None => return Ok(()),
                 },
             }
         }
     }
     .await;
-    state.borrow_mut().unsubscribe(number);
-    outcome
+    node.borrow_mut().unsubscribe(id);
+    result
 }
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -1,450 +1,225 @@
-//! All state of a coordinator, and what is done to it.
+//! The coordinator's node: composes the register replica, the endpoint table, the peers, the
+//! subscribers and the directory, and keeps them consistent with the state of the quorum contact.
+//!
+//! One thread owns the node and calls its methods; none of them blocks. Each entry point checks the
+//! quorum contact before it answers anything, because no timer can report the loss of contact while
+//! the process is suspended. `docs/design/control.md` describes the states and the answers.
+//!
+//! This file holds the event handling; [`commands`] adds the commands of HTTP clients, and
+//! [`links`] the frames of peers and subscribers.
 
-use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddr;
-use std::rc::Rc;
 use std::time::Duration;
 
-use ironmast_endpoints::{EndpointTable, ExpiryTimeouts, MergeOutcome, Micros};
-use ironmast_overlay_transport::OverlayHandle;
-use ironmast_register::{Operation, State as RegisterState};
-use ironmast_schema::configuration::Configuration;
-use ironmast_schema::control::{ControlState, Entry, FromCoordinator, Key, ToCoordinator, Value};
-use ironmast_schema::registration::Heartbeat;
+use ironmast_register::State as RegisterState;
+use ironmast_schema::control::{Entry, ToCoordinator};
 use ironmast_schema::settings::Settings;
-use slog::Logger;
-use tokio::sync::{Notify, mpsc, oneshot};
+use slog::{Logger, info, warn};
 
+use crate::clock::Clock;
 use crate::contact::{ContactState, Request, RequestPolicy};
+use crate::directory::Directory;
+use crate::outcome::{change_after_contact_loss, read_after_contact_loss};
+use crate::peers::Peers;
 use crate::pending_reports::PendingReports;
+use crate::published_endpoints::PublishedEndpoints;
+use crate::publisher::EntryPublisher;
 use crate::register_log::Persisted;
-use crate::replica::{RegisterReplica, ReplicaOutput};
-use crate::resolve;
-use crate::value::{ConfigurationDocument, ControlValue};
+use crate::replica::{CatchUp, RegisterReplica, ReplicaOutput};
+use crate::subscribers::{KeepAlive, Subscribers};
+use crate::value::ControlValue;
 
-mod contact;
-mod registrations;
+mod commands;
+mod links;
 
-/// Heartbeats that a server may miss before it counts as silent.
-const MAX_MISSED_HEARTBEATS: u64 = 4;
-/// A gate that says nothing for this long gets no new clients.
-const GATE_TIMEOUT_US: Micros = 1_300_000;
-
-/// Clients ask again after this many seconds at the latest: so long a gate that was lost may still
-/// get their requests.
-const MAX_TTL_S: f64 = 1.0;
-
-/// Why a word isn't acknowledged.
-const OUT_OF_CONTACT: &str = "no majority of the coordinators is in contact";
-
-/// What an HTTP handler asks for.
-#[derive(Debug)]
-pub(crate) enum Command {
-    /// A server's heartbeat.
-    Heartbeat(String, Heartbeat, oneshot::Sender<Reply>),
-    /// A server ends.
-    Leave(String, oneshot::Sender<Reply>),
-    /// The operator's configuration, checked: its number, its body, and the version it builds on.
-    Configure(u64, Vec<u8>, u64, oneshot::Sender<Reply>),
-    /// The configuration in force.
-    ReadConfiguration(oneshot::Sender<Reply>),
-    /// Empty a zone, or take that back.
-    Evacuate(String, bool, oneshot::Sender<Reply>),
-    /// Where a client may go.
-    Resolve(resolve::Query, oneshot::Sender<Reply>),
-}
-
-/// What the handler answers.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Reply {
-    /// The status.
-    pub status: u16,
-    /// The body, JSON or one line.
-    pub body: Vec<u8>,
-}
-
-impl Reply {
-    /// An answer with a JSON body.
-    pub(crate) fn json(body: impl Into<Vec<u8>>) -> Self {
-        Reply {
-            status: 200,
-            body: body.into(),
-        }
-    }
-
-    /// A refusal in one line.
-    pub(crate) fn refused(status: u16, why: &str) -> Self {
-        Reply {
-            status,
-            body: format!("{why}\n").into_bytes(),
-        }
-    }
-}
-
-/// The relay tree, as the state uses it.
-pub(crate) trait EntryPublisher {
-    /// Spreads an entry.
-    fn publish(&self, entry: &Entry);
-    /// Lets all nodes forget a key.
-    fn remove(&self, of: &Key, version: u64);
-    /// Tells whether beats make their hearers fresh.
-    fn set_in_contact(&self, in_contact: bool);
-}
-
-impl EntryPublisher for OverlayHandle {
-    fn publish(&self, entry: &Entry) {
-        OverlayHandle::publish(self, entry);
-    }
-
-    fn remove(&self, of: &Key, version: u64) {
-        OverlayHandle::remove(self, of, version);
-    }
-
-    fn set_in_contact(&self, in_contact: bool) {
-        OverlayHandle::set_in_contact(self, in_contact);
-    }
-}
-
-/// A subscriber's queue.
-type Subscriber = mpsc::UnboundedSender<FromCoordinator>;
-
-/// All state of a coordinator.
+/// A coordinator without its sockets, timers and threads.
 pub(crate) struct CoordinatorNode {
     log: Logger,
-    standing: ContactState,
-    pending_reports: PendingReports,
-    pub(crate) own: SocketAddr,
-    ttl_s: f64,
-    catalog: EndpointTable,
+    clock: Clock,
+    contact: ContactState,
     replica: RegisterReplica,
-    publisher: Box<dyn EntryPublisher>,
-    /// The configuration in force, as sent and as read.
-    in_force: Option<(ConfigurationDocument, Configuration)>,
-    /// What waits for the links to other coordinators.
-    outgoing: BTreeMap<SocketAddr, mpsc::UnboundedSender<ToCoordinator>>,
-    subscribers: BTreeMap<u64, (Subscriber, bool)>,
-    next_subscriber: u64,
-    pub(crate) coordinators: BTreeSet<SocketAddr>,
-    /// Told when another coordinator has called this one.
-    inbound_notifies: BTreeMap<SocketAddr, Rc<Notify>>,
+    pending_reports: PendingReports,
+    endpoints: PublishedEndpoints,
+    directory: Directory,
+    peers: Peers,
+    subscribers: Subscribers,
 }
 
 impl CoordinatorNode {
-    /// The state at the start.
+    /// A node that has just started.
     pub(crate) fn new(
         settings: &Settings,
-        own: SocketAddr,
+        peers: Peers,
         replica: RegisterReplica,
         publisher: Box<dyn EntryPublisher>,
         log: &Logger,
     ) -> Self {
-        publisher.set_in_contact(false);
-        let instance = settings.heartbeat_interval_ms * 1_000 * MAX_MISSED_HEARTBEATS;
-        let ttl_s = (settings.timing_bounds.ttl_max_s / 2.0).min(MAX_TTL_S);
+        let clock = replica.clock().clone();
         CoordinatorNode {
             log: log.clone(),
-            standing: ContactState::Starting,
+            contact: ContactState::Starting,
             pending_reports: PendingReports::default(),
-            own,
-            ttl_s,
-            catalog: EndpointTable::new(
-                0,
-                ExpiryTimeouts {
-                    instance,
-                    gate: GATE_TIMEOUT_US,
-                },
-            ),
+            endpoints: PublishedEndpoints::new(settings, clock.clone(), publisher),
+            directory: Directory::new(&settings.timing_bounds),
+            peers,
+            subscribers: Subscribers::default(),
+            clock,
             replica,
-            publisher,
-            in_force: None,
-            outgoing: BTreeMap::new(),
-            subscribers: BTreeMap::new(),
-            next_subscriber: 0,
-            coordinators: BTreeSet::new(),
-            inbound_notifies: BTreeMap::new(),
-        }
-    }
-
-    fn now(&self) -> Micros {
-        self.replica.clock().now().as_micros() as Micros
-    }
-
-    /// Carries out what a handler asks for.
-    pub(crate) fn command(&mut self, command: Command) {
-        self.observe();
-        match command {
-            Command::Heartbeat(id, heartbeat, to) => self.heartbeat(id, heartbeat, to),
-            Command::Leave(id, to) => self.server_leaves(id, to),
-            Command::Configure(generation, body, base, to) => {
-                let document = ConfigurationDocument { generation, body };
-                let change =
-                    Operation::change(move |value: &ControlValue| value.configure(&document, base));
-                self.decide(Request::Configuration, change, to);
-            }
-            Command::Evacuate(zone, out, to) => {
-                let change =
-                    Operation::change(move |value: &ControlValue| value.evacuate(&zone, out));
-                self.decide(Request::Evacuation, change, to);
-            }
-            Command::ReadConfiguration(to) => self.read(to),
-            Command::Resolve(query, to) => {
-                let _ = to.send(self.resolve(&query));
-            }
-        }
-    }
-
-    fn decide(
-        &mut self,
-        request: Request,
-        change: Operation<ControlValue>,
-        to: oneshot::Sender<Reply>,
-    ) {
-        if self.standing.policy(request) == RequestPolicy::Reject {
-            let _ = to.send(Reply::refused(503, OUT_OF_CONTACT));
-            return;
-        }
-        let outputs = self.replica.change(change, to);
-        self.carry_out(outputs);
-    }
-
-    fn read(&mut self, to: oneshot::Sender<Reply>) {
-        if self.standing.policy(Request::Read) == RequestPolicy::Reject {
-            let _ = to.send(Reply::refused(503, OUT_OF_CONTACT));
-            return;
-        }
-        let outputs = self.replica.read(to);
-        self.carry_out(outputs);
-    }
-
-    fn resolve(&self, query: &resolve::Query) -> Reply {
-        let gates: Vec<_> = self.catalog.gates(self.now()).collect();
-        let configuration = self
-            .in_force
-            .as_ref()
-            .map(|(_, configuration)| configuration);
-        let addresses = match self.standing.policy(Request::Resolve) {
-            RequestPolicy::AllGates => resolve::addresses(&gates, configuration, query),
-            _ => resolve::addresses_heard_here(&gates, configuration, query),
-        };
-        resolve::answer(&addresses, self.ttl_s)
-    }
-
-    fn carry_out(&mut self, outputs: Vec<ReplicaOutput>) {
-        for output in outputs {
-            match output {
-                ReplicaOutput::Send(to, bytes) => self.send(to, ToCoordinator::Register(bytes)),
-                ReplicaOutput::StateChosen(apply_control_state) => {
-                    self.apply_control_state(&apply_control_state)
-                }
-                ReplicaOutput::Answered(kind, reply, to) => self.answered(kind, reply, to),
-                ReplicaOutput::CaughtUp(holds_newest) => self.caught_up(holds_newest),
-            }
-        }
-    }
-
-    /// Queues a frame for another coordinator; it is lost where there is no link.
-    fn send(&mut self, to: SocketAddr, frame: ToCoordinator) {
-        if let Some(queue) = self.outgoing.get(&to) {
-            let _ = queue.send(frame);
-        }
-    }
-
-    /// A newer state of the register is in force: all gates are to know it.
-    fn apply_control_state(&mut self, apply_control_state: &RegisterState<ControlValue>) {
-        let document = apply_control_state.value.configuration.as_ref();
-        if self.in_force.as_ref().map(|(document, _)| document) != document {
-            self.in_force = document.and_then(|document| {
-                let configuration = Configuration::parse(&document.body).ok()?;
-                Some((document.clone(), configuration))
-            });
         }
-        let control = ControlState {
-            configuration: self
-                .in_force
-                .as_ref()
-                .map(|(_, configuration)| configuration.clone()),
-            evacuated: apply_control_state
-                .value
-                .evacuated
-                .iter()
-                .cloned()
-                .collect(),
-        };
-        let news =
-            self.catalog
-                .update_control_state(self.now(), apply_control_state.sequence, control);
-        self.publish(news.into_iter().collect());
     }
 
-    /// When [`CoordinatorNode::wake`] is to be called.
+    /// When to call [`CoordinatorNode::wake`] next, by the node's clock.
     pub(crate) fn wake_at(&self) -> Duration {
         self.replica.wake_at()
     }
 
-    /// Does what the register has due.
+    /// Runs the register's timers that are due.
     pub(crate) fn wake(&mut self) {
-        self.observe();
+        self.check_contact();
         let outputs = self.replica.wake();
-        self.carry_out(outputs);
+        self.apply(outputs);
     }
 
-    /// A record is durable, or isn't.
+    /// Handles the completion of a write of the register's record.
     pub(crate) fn persisted(&mut self, completion: Persisted) {
-        self.observe();
+        self.check_contact();
         let outputs = self.replica.persisted(completion);
-        self.carry_out(outputs);
+        self.apply(outputs);
+    }
+
+    /// Runs the periodic work: expires endpoints and sends the keep-alive frames.
+    pub(crate) fn tick(&mut self) {
+        self.check_contact();
+        // An endpoint that does not report here may report to other coordinators, of which nothing
+        // is known out of contact.
+        if self.contact == ContactState::InContact {
+            self.endpoints.expire();
+        }
+        self.endpoints.remove_ended();
+        self.broadcast_keep_alive();
+    }
+
+    /// Merges an entry that was received over the overlay.
+    pub(crate) fn receive_entry(&mut self, entry: &Entry) {
+        self.endpoints.merge_published(entry);
     }
 
-    /// This machine is about to stop.
+    /// Begins the graceful shutdown.
     pub(crate) fn leave(&mut self) {
         self.enter(ContactState::Leaving);
         let outputs = self.replica.leave();
-        self.carry_out(outputs);
+        self.apply(outputs);
     }
 
-    /// Whether the replica still has a place that another coordinator could take.
+    /// Whether this node is a member of the replica set and another coordinator could take its
+    /// place.
     pub(crate) fn can_transfer_replica(&self) -> bool {
-        let link_established = self
-            .outgoing
-            .values()
-            .filter(|queue| !queue.is_closed())
-            .count();
         self.replica
             .members()
-            .is_some_and(|members| link_established + 1 > members)
+            .is_some_and(|members| self.peers.open_links() + 1 > members)
     }
 
-    /// A link to another coordinator is up: what is sent there goes into this queue. Out of contact
-    /// the new link may be the one that was missing, so that a majority is asked for at once.
-    pub(crate) fn link_established(
-        &mut self,
-        to: SocketAddr,
-        queue: mpsc::UnboundedSender<ToCoordinator>,
-    ) {
-        self.send_pending_reports(&queue);
-        self.outgoing.insert(to, queue);
-        if self.standing != ContactState::InContact {
-            let outputs = self.replica.question();
-            self.carry_out(outputs);
-            self.observe();
-        }
-    }
-
-    /// Told when another coordinator has called this one, which then may call it without delay.
-    pub(crate) fn inbound_notify(&mut self, of: SocketAddr) -> Rc<Notify> {
-        Rc::clone(self.inbound_notifies.entry(of).or_default())
+    /// Updates the state of the quorum contact by its age, and completes pending reports.
+    fn check_contact(&mut self) {
+        let state = self.contact.after_check(self.replica.is_in_contact());
+        self.enter(state);
+        self.pending_reports
+            .complete(self.clock.now(), self.replica.quorum_checked_at());
     }
 
-    /// Another coordinator has become known; true where it is new.
-    pub(crate) fn add_peer(&mut self, address: SocketAddr) -> bool {
-        if address == self.own || !self.coordinators.insert(address) {
-            return false;
+    /// Changes the state of the quorum contact.
+    fn enter(&mut self, state: ContactState) {
+        let previous = std::mem::replace(&mut self.contact, state);
+        if previous == state {
+            return;
         }
-        let outputs = self
-            .replica
-            .set_peers(self.coordinators.iter().copied().collect());
-        self.carry_out(outputs);
-        true
-    }
-
-    /// Spreads news over the relay tree.
-    fn publish(&mut self, entries: Vec<Entry>) {
-        for entry in &entries {
-            self.publisher.publish(entry);
+        match state {
+            ContactState::Starting => {}
+            ContactState::CatchingUp => self.catch_up(),
+            ContactState::InContact => self.on_contact_gained(),
+            ContactState::OutOfContact => self.on_contact_lost(previous),
+            ContactState::Leaving => self.pending_reports.reject_all(),
+        }
+        // The catch-up read may have completed at once and changed the state again.
+        let was_in_contact = previous == ContactState::InContact;
+        if was_in_contact != (self.contact == ContactState::InContact) {
+            self.endpoints.set_in_contact(self.is_fresh());
+            self.broadcast_keep_alive();
         }
     }
 
-    /// Takes an entry that has come over the relay tree.
-    pub(crate) fn heard(&mut self, entry: &Entry) {
-        let now = self.now();
-        // Unchanged heartbeats aren't told, so that an older word may look newer to those that have
-        // only that.
-        if let MergeOutcome::Stale(newer) = self.catalog.merge(now, entry) {
-            self.publish(vec![*newer]);
-        }
+    /// Starts the read of the state that was chosen while this node was out of contact.
+    fn catch_up(&mut self) {
+        let outputs = self.replica.catch_up();
+        self.apply(outputs);
     }
 
-    /// Looks for silence and tells who is alive.
-    pub(crate) fn tick(&mut self) {
-        self.observe();
-        let now = self.now();
-        // Whoever isn't heard here may be heard by others, of whom nothing is known out of contact.
-        if self.standing == ContactState::InContact {
-            let news = self.catalog.expire(now);
-            self.publish(news);
+    fn on_catch_up_completed(&mut self, result: CatchUp) {
+        match result {
+            CatchUp::Succeeded => self.enter(self.contact.after_catch_up()),
+            CatchUp::Failed if self.contact == ContactState::CatchingUp => self.catch_up(),
+            CatchUp::Failed => {}
         }
-        for (key, version) in self.catalog.purge(now) {
-            self.publisher.remove(&key, version);
-        }
-        self.broadcast_alive();
     }
 
-    /// Adds a subscriber.
-    pub(crate) fn subscribe(&mut self, to: Subscriber, coordinator: bool) -> u64 {
-        let coordinators = self.coordinators.iter().copied().collect();
-        let in_contact = self.is_feed_fresh();
-        let _ = to.send(FromCoordinator::KeepAlive {
-            coordinators,
-            heard: Vec::new(),
-            in_contact,
-        });
-        self.next_subscriber += 1;
-        self.subscribers
-            .insert(self.next_subscriber, (to, coordinator));
-        self.next_subscriber
+    fn on_contact_gained(&mut self) {
+        info!(self.log, "in contact with a majority of the coordinators");
+        self.endpoints.restart_timeouts();
     }
 
-    /// Removes a subscriber.
-    pub(crate) fn unsubscribe(&mut self, number: u64) {
-        self.subscribers.remove(&number);
+    fn on_contact_lost(&mut self, previous: ContactState) {
+        if previous == ContactState::InContact {
+            warn!(
+                self.log,
+                "out of contact with the majority of the coordinators: nothing is acknowledged"
+            );
+        }
+        self.pending_reports.reject_all();
     }
 
-    /// Takes a frame of a subscriber.
-    pub(crate) fn take_subscriber_frame(&mut self, frame: ToCoordinator) {
-        let now = self.now();
-        match frame {
-            ToCoordinator::Hello(_) => {}
-            ToCoordinator::Entries(entries) => {
-                entries.into_iter().for_each(|entry| self.take_entry(entry));
-            }
-            ToCoordinator::Register(bytes) => {
-                self.observe();
-                let outputs = self.replica.receive(&bytes);
-                self.carry_out(outputs);
-                self.observe();
+    /// Applies what the replica has put out, in order.
+    fn apply(&mut self, outputs: Vec<ReplicaOutput>) {
+        for output in outputs {
+            match output {
+                ReplicaOutput::Send { to, message } => {
+                    self.peers.send(to, ToCoordinator::Register(message));
+                }
+                ReplicaOutput::StateChosen(state) => self.apply_control_state(&state),
+                ReplicaOutput::ChangeCompleted { outcome, reply } => {
+                    let _ = reply.send(match self.contact {
+                        ContactState::OutOfContact => change_after_contact_loss(outcome),
+                        _ => outcome,
+                    });
+                }
+                ReplicaOutput::ReadCompleted { outcome, reply } => {
+                    let _ = reply.send(match self.contact {
+                        ContactState::OutOfContact => read_after_contact_loss(outcome),
+                        _ => outcome,
+                    });
+                }
+                ReplicaOutput::CatchUpCompleted(result) => self.on_catch_up_completed(result),
             }
-            ToCoordinator::KeepAlive(heard) => self.catalog.merge_observed(now, &heard),
         }
     }
 
-    /// Takes an entry that came directly: an agent's word of its gate, or another coordinator's of
-    /// a server that leaves.
-    fn take_entry(&mut self, entry: Entry) {
-        let now = self.now();
-        let news = match entry.value {
-            Value::Gate(record) => self
-                .catalog
-                .update_gate(now, entry.key, entry.version, record),
-            Value::Instance(_) => match self.catalog.merge(now, &entry) {
-                MergeOutcome::Newer => Some(entry),
-                MergeOutcome::Known => None,
-                MergeOutcome::Stale(newer) => Some(*newer),
-            },
-            Value::Control(_) => None,
-        };
-        self.publish(news.into_iter().collect());
+    /// Puts a newer state of the register in force and publishes it to all gates.
+    fn apply_control_state(&mut self, state: &RegisterState<ControlValue>) {
+        let control = self.directory.apply(&state.value);
+        self.endpoints.set_control_state(state.sequence, control);
     }
 
-    /// Takes a frame of another coordinator; returns the coordinators that it knows.
-    pub(crate) fn take_coordinator_frame(&mut self, frame: FromCoordinator) -> Vec<SocketAddr> {
-        let FromCoordinator::KeepAlive {
-            coordinators,
-            heard,
-            ..
-        } = frame;
-        let now = self.now();
-        self.catalog.merge_observed(now, &heard);
-        coordinators
+    /// Whether subscribers may treat this node's state as fresh.
+    fn is_fresh(&self) -> bool {
+        self.contact.policy(Request::Subscription) == RequestPolicy::MarkFresh
+    }
+
+    /// Sends all subscribers a keep-alive frame.
+    fn broadcast_keep_alive(&mut self) {
+        let keep_alive = KeepAlive {
+            coordinators: self.peers.addresses(),
+            refreshed: self.endpoints.take_refreshed(),
+            in_contact: self.is_fresh(),
+        };
+        self.subscribers.broadcast(&keep_alive);
     }
 }
 
--- /dev/null
+++ b/crates/coordinator/src/node/commands.rs
@@ -0,0 +1,120 @@
+//! Commands of HTTP clients: what each does, and when it is acknowledged.
+
+use ironmast_register::Operation;
+use ironmast_schema::control::{Key, ToCoordinator};
+use ironmast_schema::registration::{Heartbeat, InstanceState};
+use tokio::sync::oneshot;
+
+use super::CoordinatorNode;
+use crate::command::Command;
+use crate::contact::{Request, RequestPolicy};
+use crate::outcome::{
+    ChangeError, ChangeOutcome, ReadError, ReadOutcome, RegistrationError, RegistrationOutcome,
+};
+use crate::value::ControlValue;
+
+impl CoordinatorNode {
+    /// Executes a command. Its outcome is sent at once or later; a caller that has gone is ignored.
+    pub(crate) fn execute(&mut self, command: Command) {
+        self.check_contact();
+        match command {
+            Command::Heartbeat {
+                id,
+                heartbeat,
+                reply,
+            } => self.heartbeat(id, heartbeat, reply),
+            Command::Deregister { id, reply } => self.deregister(id, reply),
+            Command::Configure {
+                document,
+                base,
+                reply,
+            } => {
+                let change =
+                    Operation::change(move |value: &ControlValue| value.configure(&document, base));
+                self.change(Request::Configuration, change, reply);
+            }
+            Command::SetZoneState { zone, state, reply } => {
+                let change = Operation::change(move |value: &ControlValue| {
+                    value.set_zone_state(&zone, state)
+                });
+                self.change(Request::Evacuation, change, reply);
+            }
+            Command::ReadConfiguration { reply } => self.read(reply),
+            Command::Resolve { query, reply } => {
+                let policy = self.contact.policy(Request::Resolve);
+                let gates = self.endpoints.gates();
+                let _ = reply.send(self.directory.resolve(policy, &gates, &query));
+            }
+        }
+    }
+
+    fn change(
+        &mut self,
+        request: Request,
+        change: Operation<ControlValue>,
+        reply: oneshot::Sender<ChangeOutcome>,
+    ) {
+        if self.contact.policy(request) == RequestPolicy::Reject {
+            let _ = reply.send(Err(ChangeError::OutOfContact));
+            return;
+        }
+        let outputs = self.replica.change(change, reply);
+        self.apply(outputs);
+    }
+
+    fn read(&mut self, reply: oneshot::Sender<ReadOutcome>) {
+        if self.contact.policy(Request::Read) == RequestPolicy::Reject {
+            let _ = reply.send(Err(ReadError::OutOfContact));
+            return;
+        }
+        let outputs = self.replica.read(reply);
+        self.apply(outputs);
+    }
+
+    fn heartbeat(
+        &mut self,
+        id: String,
+        heartbeat: Heartbeat,
+        reply: oneshot::Sender<RegistrationOutcome>,
+    ) {
+        let request = match heartbeat.state {
+            InstanceState::Draining => Request::Draining,
+            InstanceState::Ready => Request::Heartbeat,
+        };
+        self.endpoints.record_heartbeat(&id, heartbeat);
+        self.acknowledge(request, Key::Instance(id), reply);
+    }
+
+    fn deregister(&mut self, id: String, reply: oneshot::Sender<RegistrationOutcome>) {
+        self.endpoints.deregister(&id);
+        self.acknowledge(Request::Delete, Key::Instance(id), reply);
+    }
+
+    /// Answers a server whose report has been recorded.
+    fn acknowledge(
+        &mut self,
+        request: Request,
+        key: Key,
+        reply: oneshot::Sender<RegistrationOutcome>,
+    ) {
+        match self.contact.policy(request) {
+            RequestPolicy::Acknowledge => drop(reply.send(Ok(()))),
+            RequestPolicy::AcknowledgeByMajority => self.replicate(key, reply),
+            _ => drop(reply.send(Err(RegistrationError::OutOfContact))),
+        }
+    }
+
+    /// Sends the entry of a server to all peers; the server is answered once a majority has it.
+    fn replicate(&mut self, key: Key, reply: oneshot::Sender<RegistrationOutcome>) {
+        let Some(entry) = self.endpoints.get(&key).cloned() else {
+            // Another coordinator may know the server, and would not learn of this report.
+            let _ = reply.send(Err(RegistrationError::UnknownServer));
+            return;
+        };
+        self.peers.broadcast(&ToCoordinator::Entries(vec![entry]));
+        self.pending_reports.add(self.clock.now(), key, reply);
+        let outputs = self.replica.check_quorum();
+        self.apply(outputs);
+        self.check_contact();
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/node/links.rs
@@ -0,0 +1,106 @@
+//! Links: peers and subscribers that connect, and the frames received from them.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use ironmast_schema::control::{FromCoordinator, ToCoordinator};
+use tokio::sync::Notify;
+
+use super::CoordinatorNode;
+use crate::contact::ContactState;
+use crate::peers::PeerQueue;
+use crate::subscribers::{KeepAlive, SubscriberId, SubscriberKind, SubscriberQueue};
+
+impl CoordinatorNode {
+    /// The address of this coordinator.
+    pub(crate) fn own_address(&self) -> SocketAddr {
+        self.peers.own_address()
+    }
+
+    /// Adds another coordinator; returns whether it was unknown.
+    pub(crate) fn add_peer(&mut self, address: SocketAddr) -> bool {
+        if !self.peers.add(address) {
+            return false;
+        }
+        let outputs = self.replica.set_peers(self.peers.addresses());
+        self.apply(outputs);
+        true
+    }
+
+    /// Notified when that coordinator has connected to this one.
+    pub(crate) fn inbound_notify(&mut self, peer: SocketAddr) -> Rc<Notify> {
+        self.peers.inbound_notify(peer)
+    }
+
+    /// A link to a peer has been established; frames for it go into `queue`. Out of contact the new
+    /// link may be the one that was missing, so that the contact is checked at once.
+    pub(crate) fn link_established(&mut self, to: SocketAddr, queue: PeerQueue) {
+        self.send_pending_reports(&queue);
+        self.peers.set_queue(to, queue);
+        if self.contact != ContactState::InContact {
+            let outputs = self.replica.check_quorum();
+            self.apply(outputs);
+            self.check_contact();
+        }
+    }
+
+    /// Adds a subscriber and sends it the first keep-alive.
+    pub(crate) fn subscribe(
+        &mut self,
+        queue: SubscriberQueue,
+        kind: SubscriberKind,
+    ) -> SubscriberId {
+        let keep_alive = KeepAlive {
+            coordinators: self.peers.addresses(),
+            refreshed: Vec::new(),
+            in_contact: self.is_fresh(),
+        };
+        self.subscribers.add(queue, kind, &keep_alive)
+    }
+
+    /// Removes a subscriber.
+    pub(crate) fn unsubscribe(&mut self, id: SubscriberId) {
+        self.subscribers.remove(id);
+    }
+
+    /// Handles a frame of a subscriber.
+    pub(crate) fn receive_subscriber_frame(&mut self, frame: ToCoordinator) {
+        match frame {
+            ToCoordinator::Hello(_) => {}
+            ToCoordinator::Entries(entries) => {
+                for entry in entries {
+                    self.endpoints.merge_direct(entry);
+                }
+            }
+            ToCoordinator::Register(message) => {
+                self.check_contact();
+                let outputs = self.replica.receive(&message);
+                self.apply(outputs);
+                self.check_contact();
+            }
+            ToCoordinator::KeepAlive(reports) => self.endpoints.refresh(&reports),
+        }
+    }
+
+    /// Handles a keep-alive of a peer; returns the coordinators that it knows.
+    pub(crate) fn receive_peer_frame(&mut self, frame: FromCoordinator) -> Vec<SocketAddr> {
+        let FromCoordinator::KeepAlive {
+            coordinators,
+            heard,
+            ..
+        } = frame;
+        self.endpoints.refresh(&heard);
+        coordinators
+    }
+
+    /// Sends a peer whose link was just established the entries that pending reports are about.
+    fn send_pending_reports(&self, queue: &PeerQueue) {
+        let entries = self
+            .pending_reports
+            .keys()
+            .filter_map(|key| self.endpoints.get(key));
+        for entry in entries {
+            let _ = queue.send(ToCoordinator::Entries(vec![entry.clone()]));
+        }
+    }
+}
--- a/crates/coordinator/src/node/tests.rs
+++ b/crates/coordinator/src/node/tests.rs
@@ -1,7 +1,9 @@
-//! Whole coordinators without sockets: what each answers in and out of contact with the majority.
+//! Coordinators without sockets: the response to each request in and out of contact with the
+//! majority.
 
 mod cluster;
 
+use std::collections::BTreeSet;
 use std::time::Duration;
 
 use ironmast_schema::control::{Liveness, Value};
@@ -10,7 +12,7 @@
 
 use super::*;
 use crate::contact::contact_timeout;
-use cluster::{Cluster, body, configure, delete, evacuate, heartbeat, resolve};
+use cluster::{Cluster, body, configure, delete, evacuate, heartbeat, read_configuration, resolve};
 
 fn bound() -> Duration {
     contact_timeout(&TimingBounds::default())
@@ -29,29 +31,33 @@
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, configure(3, 0)), 200);
     assert_eq!(cluster.status(0, evacuate("z9")), 200);
-    assert_eq!(cluster.answer(1, Command::ReadConfiguration).body, body(3));
+    assert_eq!(cluster.response(1, read_configuration()).body, body(3));
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
     assert_eq!(cluster.status(0, heartbeat("i", 2, Draining)), 200);
     assert_eq!(cluster.status(0, delete("i")), 200);
-    cluster.gate_speaks(1, 80, "r1");
-    cluster.spread(1);
+    cluster.report_gate(1, 80, "r1");
+    cluster.deliver_published(1);
     assert_eq!(
         cluster.status(0, resolve("r0")),
         200,
         "a gate of another region that others hear"
     );
     for member in &mut cluster.members {
-        assert!(member.told.in_contact.get());
-        assert_eq!(member.says_in_contact(), Some(true));
+        assert!(member.published.in_contact.get());
+        assert_eq!(member.keep_alive_in_contact(), Some(true));
     }
 }
 
 /// The cut is as each direction, or both.
-fn cut_each_way(assert: impl Fn(&mut Cluster)) {
-    for cut in [Cluster::cut, Cluster::cut_from, Cluster::cut_to] {
+fn for_each_partition(assert: impl Fn(&mut Cluster)) {
+    for partition in [
+        Cluster::partition,
+        Cluster::partition_from,
+        Cluster::partition_to,
+    ] {
         let mut cluster = Cluster::new(3);
         assert_eq!(cluster.status(0, configure(3, 0)), 200);
-        cut(&mut cluster, 0);
+        partition(&mut cluster, 0);
         cluster.run(loss());
         assert(&mut cluster);
     }
@@ -59,7 +65,7 @@
 
 #[test]
 fn out_of_contact_nothing_is_acknowledged() {
-    cut_each_way(|cluster| {
+    for_each_partition(|cluster| {
         assert_eq!(cluster.status(0, configure(5, 3)), 503);
         assert_eq!(
             cluster.status(0, configure(2, 3)),
@@ -67,7 +73,7 @@
             "no refusal out of old knowledge"
         );
         assert_eq!(cluster.status(0, evacuate("z9")), 503);
-        assert_eq!(cluster.status(0, Command::ReadConfiguration), 503);
+        assert_eq!(cluster.status(0, read_configuration()), 503);
         assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 503);
         assert_eq!(cluster.status(0, heartbeat("i", 2, Draining)), 503);
         assert_eq!(cluster.status(0, delete("i")), 503);
@@ -77,28 +83,28 @@
 
 #[test]
 fn out_of_contact_beats_make_nobody_fresh_and_agents_are_told() {
-    cut_each_way(|cluster| {
-        assert!(!cluster.members[0].told.in_contact.get());
-        assert_eq!(cluster.members[0].says_in_contact(), Some(false));
-        assert!(cluster.members[1].told.in_contact.get());
-        assert_eq!(cluster.members[1].says_in_contact(), Some(true));
+    for_each_partition(|cluster| {
+        assert!(!cluster.members[0].published.in_contact.get());
+        assert_eq!(cluster.members[0].keep_alive_in_contact(), Some(false));
+        assert!(cluster.members[1].published.in_contact.get());
+        assert_eq!(cluster.members[1].keep_alive_in_contact(), Some(true));
     });
 }
 
 #[test]
 fn out_of_contact_the_directory_names_only_gates_of_the_region_that_speak_there() {
-    cut_each_way(|cluster| {
-        cluster.gate_speaks(1, 80, "r0");
-        cluster.spread(1);
+    for_each_partition(|cluster| {
+        cluster.report_gate(1, 80, "r0");
+        cluster.deliver_published(1);
         assert_eq!(
             cluster.status(0, resolve("r0")),
             503,
             "heard of by others only"
         );
-        cluster.gate_speaks(0, 81, "r0");
+        cluster.report_gate(0, 81, "r0");
         assert_eq!(cluster.status(0, resolve("r1")), 503, "of another region");
         assert_eq!(
-            cluster.answer(0, resolve("r0")).body,
+            cluster.response(0, resolve("r0")).body,
             br#"{"addresses":["10.0.1.1:81"],"ttl_s":1.0}"#
         );
         cluster.run(Duration::from_secs(3));
@@ -115,8 +121,8 @@
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, heartbeat("here", 1, Ready)), 200);
     assert_eq!(cluster.status(1, heartbeat("there", 1, Ready)), 200);
-    cluster.spread(1);
-    cluster.cut(0);
+    cluster.deliver_published(1);
+    cluster.partition(0);
     cluster.run(loss());
     for sequence in 2..20 {
         assert_eq!(cluster.status(0, heartbeat("here", sequence, Ready)), 503);
@@ -124,10 +130,10 @@
         cluster.run(Duration::from_secs(1));
     }
     assert_eq!(cluster.status(0, heartbeat("new", 1, Ready)), 503);
-    assert!(cluster.members[0].published("new").is_some());
-    cluster.cuts.clear();
+    assert!(cluster.members[0].published_instance("new").is_some());
+    cluster.partitions.clear();
     cluster.run(Duration::from_secs(2));
-    let entries = cluster.members[0].told.published.borrow();
+    let entries = cluster.members[0].published.entries.borrow();
     let is_silent = |entry: &Entry| matches!(&entry.value, Value::Instance(record) if record.liveness == Liveness::Unreachable);
     assert!(!entries.iter().any(is_silent));
 }
@@ -136,14 +142,14 @@
 fn on_return_it_serves_at_once_from_the_newest_state() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, configure(3, 0)), 200);
-    cluster.cut(0);
+    cluster.partition(0);
     cluster.run(loss());
     assert_eq!(cluster.status(1, configure(6, 3)), 200);
     cluster.run(Duration::from_secs(20));
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 503);
-    cluster.cuts.clear();
+    cluster.partitions.clear();
     let mut steps = 0..RETURN.as_millis() / 10;
-    while !cluster.members[0].told.in_contact.get() {
+    while !cluster.members[0].published.in_contact.get() {
         assert!(steps.next().is_some(), "not in contact within {RETURN:?}");
         cluster.step();
     }
@@ -152,10 +158,10 @@
         Some(6),
         "known before anything is called fresh"
     );
-    assert_eq!(cluster.members[0].says_in_contact(), Some(true));
+    assert_eq!(cluster.members[0].keep_alive_in_contact(), Some(true));
     assert_eq!(cluster.status(0, heartbeat("i", 2, Ready)), 200);
     assert_eq!(cluster.status(0, heartbeat("i", 3, Draining)), 200);
-    assert_eq!(cluster.answer(0, Command::ReadConfiguration).body, body(6));
+    assert_eq!(cluster.response(0, read_configuration()).body, body(6));
 }
 
 /// The first thing that happens after the process stood still is a caller's request: no timer has
@@ -164,14 +170,14 @@
 fn a_process_that_stood_still_acknowledges_nothing_before_it_has_asked_again() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
-    cluster.stand_still(Duration::from_secs(5));
+    cluster.pause_processes(Duration::from_secs(5));
     for command in [heartbeat("i", 2, Ready), heartbeat("i", 3, Draining)] {
-        let mut reply = cluster.ask(0, command);
+        let mut reply = cluster.submit(0, command);
         assert_eq!(reply.try_recv().expect("at once").status, 503);
     }
-    let mut reply = cluster.ask(0, configure(3, 0));
+    let mut reply = cluster.submit(0, configure(3, 0));
     assert_eq!(reply.try_recv().expect("at once").status, 503);
-    assert!(!cluster.members[0].told.in_contact.get());
+    assert!(!cluster.members[0].published.in_contact.get());
     cluster.run(RETURN);
     assert_eq!(cluster.status(0, heartbeat("i", 4, Ready)), 200);
 }
@@ -180,14 +186,14 @@
 /// get out.
 #[test]
 fn a_server_that_leaves_is_acknowledged_only_when_a_majority_holds_its_word() {
-    for (sequence, cut) in [
-        (1, Cluster::cut as fn(&mut Cluster, usize)),
-        (2, Cluster::cut_from),
-        (3, Cluster::cut_to),
+    for (sequence, partition) in [
+        (1, Cluster::partition as fn(&mut Cluster, usize)),
+        (2, Cluster::partition_from),
+        (3, Cluster::partition_to),
     ] {
         let mut cluster = Cluster::new(3);
         assert_eq!(cluster.status(0, heartbeat("i", sequence, Ready)), 200);
-        cut(&mut cluster, 0);
+        partition(&mut cluster, 0);
         assert_eq!(
             cluster.status(0, heartbeat("i", sequence + 1, Draining)),
             503
@@ -195,7 +201,7 @@
     }
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
-    cluster.cut(0);
+    cluster.partition(0);
     assert_eq!(cluster.status(0, delete("i")), 503);
 }
 
@@ -205,15 +211,16 @@
 fn a_link_that_comes_up_carries_the_word_that_waits() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
-    cluster.cut_from(0);
-    let mut reply = cluster.ask(0, heartbeat("i", 2, Draining));
+    cluster.partition_from(0);
+    let mut reply = cluster.submit(0, heartbeat("i", 2, Draining));
     cluster.step();
-    cluster.cuts.clear();
+    cluster.partitions.clear();
     [1, 2].into_iter().for_each(|to| cluster.link(0, to));
     cluster.run(Duration::from_millis(400));
     assert_eq!(reply.try_recv().expect("in time").status, 200);
     assert!(
-        cluster.members[1].published("i").is_some() && cluster.members[2].published("i").is_some()
+        cluster.members[1].published_instance("i").is_some()
+            && cluster.members[2].published_instance("i").is_some()
     );
 }
 
@@ -221,16 +228,16 @@
 fn an_acknowledged_word_of_a_server_that_leaves_outlives_its_coordinator() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
-    cluster.cuts.extend([(0, 2), (2, 0)]);
+    cluster.partitions.extend([(0, 2), (2, 0)]);
     assert_eq!(cluster.status(0, heartbeat("i", 2, Draining)), 200);
     // What 0 gave to its own relay tree is lost with it.
     let entry = cluster.members[1]
-        .published("i")
+        .published_instance("i")
         .expect("spread by another");
     assert!(matches!(&entry.value, Value::Instance(record) if record.heartbeat.state == Draining));
     assert_eq!(cluster.status(0, delete("i")), 200);
     let entry = cluster.members[1]
-        .published("i")
+        .published_instance("i")
         .expect("spread by another");
     assert!(
         matches!(&entry.value, Value::Instance(record) if record.liveness == Liveness::Deregistered)
@@ -256,14 +263,14 @@
     let mut statuses = BTreeSet::new();
     for steps in 0..12 {
         let mut cluster = Cluster::new(3);
-        let mut reply = cluster.ask(0, configure(3, 0));
+        let mut reply = cluster.submit(0, configure(3, 0));
         (0..steps).for_each(|_| cluster.step());
-        cluster.cut_to(0);
+        cluster.partition_to(0);
         cluster.run(Duration::from_secs(1));
         let status = reply.try_recv().expect("in time").status;
-        cluster.cuts.clear();
+        cluster.partitions.clear();
         cluster.run(Duration::from_secs(5));
-        let held = (0..3).map(|number| cluster.answer(number, Command::ReadConfiguration).status);
+        let held = (0..3).map(|number| cluster.response(number, read_configuration()).status);
         let held: BTreeSet<u16> = held.collect();
         match status {
             200 => assert_eq!(held, BTreeSet::from([200]), "after {steps} steps"),
@@ -281,7 +288,7 @@
     let mut cluster = Cluster::starting(3);
     assert_eq!(
         cluster
-            .ask(0, heartbeat("i", 1, Ready))
+            .submit(0, heartbeat("i", 1, Ready))
             .try_recv()
             .expect("at once")
             .status,
@@ -289,7 +296,7 @@
     );
     assert_eq!(
         cluster
-            .ask(0, delete("i"))
+            .submit(0, delete("i"))
             .try_recv()
             .expect("at once")
             .status,
@@ -297,25 +304,25 @@
     );
     assert_eq!(cluster.status(0, configure(3, 0)), 200);
     cluster.run(RETURN);
-    assert!(cluster.members[0].told.in_contact.get());
+    assert!(cluster.members[0].published.in_contact.get());
 }
 
 #[test]
 fn one_that_leaves_sends_servers_on_and_still_decides_orders() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
-    cluster.members[0].state.leave();
+    cluster.members[0].node.leave();
     assert_eq!(cluster.status(0, heartbeat("i", 2, Ready)), 503);
     assert_eq!(cluster.status(0, heartbeat("i", 3, Draining)), 503);
     assert_eq!(cluster.status(0, delete("i")), 503);
     assert_eq!(cluster.status(0, configure(3, 0)), 200);
-    assert_eq!(cluster.members[0].says_in_contact(), Some(false));
+    assert_eq!(cluster.members[0].keep_alive_in_contact(), Some(false));
 }
 
 #[test]
 fn the_only_coordinator_is_always_in_contact() {
     let mut cluster = Cluster::new(1);
-    cluster.stand_still(Duration::from_secs(30));
+    cluster.pause_processes(Duration::from_secs(30));
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
     assert_eq!(cluster.status(0, heartbeat("i", 2, Draining)), 200);
     assert_eq!(cluster.status(0, delete("i")), 200);
@@ -326,11 +333,11 @@
 #[test]
 fn where_nobody_has_a_majority_clients_still_find_the_gates_that_speak() {
     let mut cluster = Cluster::new(3);
-    (0..3).for_each(|number| cluster.cut(number));
+    (0..3).for_each(|number| cluster.partition(number));
     cluster.run(loss());
     for number in 0..3 {
         let region = format!("r{number}");
-        cluster.gate_speaks(number, 80, &region);
+        cluster.report_gate(number, 80, &region);
         assert_eq!(cluster.status(number, resolve(&region)), 200);
         assert_eq!(cluster.status(number, heartbeat("i", 1, Ready)), 503);
     }
--- a/crates/coordinator/src/node/tests/cluster.rs
+++ b/crates/coordinator/src/node/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! Coordinators in one process: their clock is set by hand, their links are queues that the test
-//! empties.
+//! Coordinators in one process. The test sets their clock by hand, and their links are queues that
+//! the test drains.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
@@ -14,26 +14,33 @@
 use tempfile::TempDir;
 use tokio::sync::{mpsc, oneshot};
 
+use crate::api::reply::Reply;
 use crate::clock::Clock;
-use crate::node::{Command, CoordinatorNode, EntryPublisher, Reply};
+use crate::command::Command;
+use crate::node::CoordinatorNode;
+use crate::outcome::{ChangeOutcome, ReadOutcome, RegistrationOutcome, ResolveOutcome};
+use crate::peers::Peers;
+use crate::publisher::EntryPublisher;
 use crate::register_log::Persisted;
-use crate::replica::RegisterReplica;
+use crate::replica::{OpenedReplica, RegisterReplica};
 use crate::resolve::Query;
+use crate::subscribers::SubscriberKind;
+use crate::value::{ConfigurationDocument, ZoneState};
 
 const STEP: Duration = Duration::from_millis(10);
 const STEPS_PER_TICK: u32 = 25;
 const PORT: u16 = 7_000;
 
-/// What a coordinator has told its relay tree.
+/// What a coordinator has published to the overlay.
 #[derive(Debug, Default)]
 pub(crate) struct PublishedState {
-    pub published: RefCell<Vec<Entry>>,
+    pub entries: RefCell<Vec<Entry>>,
     pub in_contact: Cell<bool>,
 }
 
 impl EntryPublisher for Rc<PublishedState> {
     fn publish(&self, entry: &Entry) {
-        self.published.borrow_mut().push(entry.clone());
+        self.entries.borrow_mut().push(entry.clone());
     }
 
     fn remove(&self, _of: &Key, _version: u64) {}
@@ -43,14 +50,36 @@
     }
 }
 
+/// An HTTP response, as the API makes it of an outcome.
+#[derive(Debug)]
+pub(super) struct Response {
+    pub status: u16,
+    pub body: Vec<u8>,
+}
+
+/// A response that may come later.
+pub(super) struct PendingResponse<Outcome>(oneshot::Receiver<Outcome>);
+
+impl<Outcome> PendingResponse<Outcome>
+where
+    Reply: From<Outcome>,
+{
+    pub(super) fn try_recv(&mut self) -> Result<Response, oneshot::error::TryRecvError> {
+        let reply = Reply::from(self.0.try_recv()?);
+        Ok(Response {
+            status: reply.status.as_u16(),
+            body: reply.body,
+        })
+    }
+}
+
 /// One coordinator.
 pub(super) struct Member {
-    pub state: CoordinatorNode,
-    pub told: Rc<PublishedState>,
-    /// What an agent that is linked to it hears.
-    pub heard: mpsc::UnboundedReceiver<FromCoordinator>,
-    pub is_frozen: bool,
-    persisted: mpsc::UnboundedReceiver<Persisted>,
+    pub node: CoordinatorNode,
+    pub published: Rc<PublishedState>,
+    /// Keep-alive frames for an agent that has subscribed.
+    pub keep_alives: mpsc::UnboundedReceiver<FromCoordinator>,
+    completions: mpsc::UnboundedReceiver<Persisted>,
     outgoing: Vec<(usize, mpsc::UnboundedReceiver<ToCoordinator>)>,
     inbox: VecDeque<ToCoordinator>,
 }
@@ -59,7 +88,7 @@
 pub(super) struct Cluster {
     pub members: Vec<Member>,
     /// Frames from the first to the second are lost.
-    pub cuts: BTreeSet<(usize, usize)>,
+    pub partitions: BTreeSet<(usize, usize)>,
     now: Rc<Cell<Duration>>,
     steps: u32,
     _folder: TempDir,
@@ -103,7 +132,7 @@
             .collect();
         let mut cluster = Cluster {
             members,
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             now,
             steps: 0,
             _folder: folder,
@@ -123,37 +152,38 @@
         cluster
     }
 
-    /// A link comes up, in place of the one before.
+    /// Establishes a link in place of the earlier one.
     pub(super) fn link(&mut self, from: usize, to: usize) {
         let (queue, frames) = mpsc::unbounded_channel();
         let member = &mut self.members[from];
         member.outgoing.retain(|(other, _)| *other != to);
-        member.state.add_peer(address(to));
-        member.state.link_established(address(to), queue);
+        member.node.add_peer(address(to));
+        member.node.link_established(address(to), queue);
         member.outgoing.push((to, frames));
     }
 
-    /// Cuts all frames from `from` to the others.
-    pub(super) fn cut_from(&mut self, from: usize) {
-        self.cuts.extend(
+    /// Drops all frames from `from` to the others.
+    pub(super) fn partition_from(&mut self, from: usize) {
+        self.partitions.extend(
             (0..self.members.len())
                 .filter(|to| *to != from)
                 .map(|to| (from, to)),
         );
     }
 
-    /// Cuts all frames from the others to `to`.
-    pub(super) fn cut_to(&mut self, to: usize) {
-        self.cuts.extend(
+    /// Drops all frames from the others to `to`.
+    pub(super) fn partition_to(&mut self, to: usize) {
+        self.partitions.extend(
             (0..self.members.len())
                 .filter(|from| *from != to)
                 .map(|from| (from, to)),
         );
     }
 
-    pub(super) fn cut(&mut self, number: usize) {
-        self.cut_from(number);
-        self.cut_to(number);
+    /// Drops all frames from and to a member.
+    pub(super) fn partition(&mut self, number: usize) {
+        self.partition_from(number);
+        self.partition_to(number);
     }
 
     pub(super) fn run(&mut self, time: Duration) {
@@ -168,70 +198,74 @@
         self.steps += 1;
         let is_tick = self.steps.is_multiple_of(STEPS_PER_TICK);
         for number in 0..self.members.len() {
-            self.carry(number);
+            self.deliver_frames(number);
             let now = self.now.get();
-            let member = &mut self.members[number];
-            if !member.is_frozen {
-                member.work(now, is_tick);
-            }
+            self.members[number].handle_events(now, is_tick);
         }
     }
 
-    /// Takes the frames of a member to the others.
-    fn carry(&mut self, from: usize) {
+    /// Delivers the frames of a member to the others.
+    fn deliver_frames(&mut self, from: usize) {
         let mut frames = Vec::new();
         for (to, queue) in &mut self.members[from].outgoing {
             frames.extend(std::iter::from_fn(|| queue.try_recv().ok()).map(|frame| (*to, frame)));
         }
         for (to, frame) in frames {
-            if !self.cuts.contains(&(from, to)) {
+            if !self.partitions.contains(&(from, to)) {
                 self.members[to].inbox.push_back(frame);
             }
         }
     }
 
-    /// Time passes while nobody works.
-    pub(super) fn stand_still(&mut self, time: Duration) {
+    /// Lets time pass while all processes are paused.
+    pub(super) fn pause_processes(&mut self, time: Duration) {
         self.now.set(self.now.get() + time);
     }
 
-    /// Asks a coordinator; the answer may come later.
-    pub(super) fn ask(
+    /// Submits a command to a coordinator.
+    pub(super) fn submit<Outcome>(
         &mut self,
         number: usize,
-        command: impl FnOnce(oneshot::Sender<Reply>) -> Command,
-    ) -> oneshot::Receiver<Reply> {
-        let (to, reply) = oneshot::channel();
-        self.members[number].state.command(command(to));
-        reply
+        command: impl FnOnce(oneshot::Sender<Outcome>) -> Command,
+    ) -> PendingResponse<Outcome> {
+        let (reply, outcome) = oneshot::channel();
+        self.members[number].node.execute(command(reply));
+        PendingResponse(outcome)
     }
 
-    /// Asks a coordinator and waits for its answer for a second.
-    pub(super) fn answer(
+    /// Submits a command to a coordinator and waits for its response for one second.
+    pub(super) fn response<Outcome>(
         &mut self,
         number: usize,
-        command: impl FnOnce(oneshot::Sender<Reply>) -> Command,
-    ) -> Reply {
-        let mut reply = self.ask(number, command);
+        command: impl FnOnce(oneshot::Sender<Outcome>) -> Command,
+    ) -> Response
+    where
+        Reply: From<Outcome>,
+    {
+        let mut pending = self.submit(number, command);
         for _ in 0..100 {
-            match reply.try_recv() {
-                Ok(reply) => return reply,
+            match pending.try_recv() {
+                Ok(response) => return response,
                 Err(_) => self.step(),
             }
         }
-        reply.try_recv().expect("callers wait for a second")
+        pending.try_recv().expect("callers wait for a second")
     }
 
-    pub(super) fn status(
+    /// Status of the response to a command.
+    pub(super) fn status<Outcome>(
         &mut self,
         number: usize,
-        command: impl FnOnce(oneshot::Sender<Reply>) -> Command,
-    ) -> u16 {
-        self.answer(number, command).status
+        command: impl FnOnce(oneshot::Sender<Outcome>) -> Command,
+    ) -> u16
+    where
+        Reply: From<Outcome>,
+    {
+        self.response(number, command).status
     }
 
-    /// A gate of that region says to a coordinator that it takes clients.
-    pub(super) fn gate_speaks(&mut self, to: usize, number: u16, region: &str) {
+    /// A gate of a region reports to a coordinator that it is ready.
+    pub(super) fn report_gate(&mut self, to: usize, number: u16, region: &str) {
         let version = self.now.get().as_millis() as u64 * 4;
         let frontend = SocketAddr::from(([10, 0, 1, 1], number));
         let record = GateRecord {
@@ -246,13 +280,13 @@
             value: Value::Gate(record),
         };
         self.members[to]
-            .state
-            .take_subscriber_frame(ToCoordinator::Entries(vec![entry]));
+            .node
+            .receive_subscriber_frame(ToCoordinator::Entries(vec![entry]));
     }
 
-    /// Entries that are news go from the relay tree of one coordinator to the others.
-    pub(super) fn spread(&mut self, from: usize) {
-        let entries = std::mem::take(&mut *self.members[from].told.published.borrow_mut());
+    /// Delivers the entries that a coordinator has published to the others.
+    pub(super) fn deliver_published(&mut self, from: usize) {
+        let entries = std::mem::take(&mut *self.members[from].published.entries.borrow_mut());
         for (number, member) in self
             .members
             .iter_mut()
@@ -260,7 +294,9 @@
             .filter(|(number, _)| *number != from)
         {
             assert_ne!(number, from);
-            entries.iter().for_each(|entry| member.state.heard(entry));
+            entries
+                .iter()
+                .for_each(|entry| member.node.receive_entry(entry));
         }
     }
 }
@@ -270,59 +306,60 @@
     let log = Logger::root(Discard, o!());
     let clock = Rc::clone(now);
     let clock = Clock::read_by(move || clock.get());
-    let (replica, persisted) =
-        RegisterReplica::open(&settings, address(number), clock, log.clone()).expect("a replica");
-    let told = Rc::new(PublishedState::default());
-    let mut state = CoordinatorNode::new(
+    let OpenedReplica {
+        replica,
+        completions,
+    } = RegisterReplica::open(&settings, address(number), clock, log.clone()).expect("a replica");
+    let published = Rc::new(PublishedState::default());
+    let mut node = CoordinatorNode::new(
         &settings,
-        address(number),
+        Peers::new(address(number)),
         replica,
-        Box::new(Rc::clone(&told)),
+        Box::new(Rc::clone(&published)),
         &log,
     );
-    let (to, heard) = mpsc::unbounded_channel();
-    state.subscribe(to, false);
+    let (queue, keep_alives) = mpsc::unbounded_channel();
+    node.subscribe(queue, SubscriberKind::Agent);
     let (outgoing, inbox) = Default::default();
     Member {
-        state,
-        told,
-        heard,
-        is_frozen: false,
-        persisted,
+        node,
+        published,
+        keep_alives,
+        completions,
         outgoing,
         inbox,
     }
 }
 
 impl Member {
-    fn work(&mut self, now: Duration, is_tick: bool) {
+    fn handle_events(&mut self, now: Duration, is_tick: bool) {
         while let Some(frame) = self.inbox.pop_front() {
-            self.state.take_subscriber_frame(frame);
+            self.node.receive_subscriber_frame(frame);
         }
-        if self.state.wake_at() <= now {
-            self.state.wake();
+        if self.node.wake_at() <= now {
+            self.node.wake();
         }
-        while self.state.replica.is_writing() {
-            let completion = self.persisted.blocking_recv().expect("the writer tells");
-            self.state.persisted(completion);
+        while self.node.replica.is_writing() {
+            let completion = self.completions.blocking_recv().expect("a completion");
+            self.node.persisted(completion);
         }
         if is_tick {
-            self.state.tick();
+            self.node.tick();
         }
     }
 
-    /// Whether an agent that is linked to it was last told that it is in contact.
-    pub(super) fn says_in_contact(&mut self) -> Option<bool> {
-        let frames = std::iter::from_fn(|| self.heard.try_recv().ok());
+    /// Whether the latest keep-alive frame to an agent marks the state as fresh.
+    pub(super) fn keep_alive_in_contact(&mut self) -> Option<bool> {
+        let frames = std::iter::from_fn(|| self.keep_alives.try_recv().ok());
         frames
             .last()
             .map(|FromCoordinator::KeepAlive { in_contact, .. }| in_contact)
     }
 
-    /// The configuration that the relay tree was last told.
+    /// Generation of the configuration published last.
     pub(super) fn published_generation(&self) -> Option<u64> {
-        let published = self.told.published.borrow();
-        published.iter().rev().find_map(|entry| match &entry.value {
+        let entries = self.published.entries.borrow();
+        entries.iter().rev().find_map(|entry| match &entry.value {
             Value::Control(state) => state
                 .configuration
                 .as_ref()
@@ -331,11 +368,11 @@
         })
     }
 
-    /// What the relay tree was last told of a server.
-    pub(super) fn published(&self, id: &str) -> Option<Entry> {
+    /// The entry of a server published last.
+    pub(super) fn published_instance(&self, id: &str) -> Option<Entry> {
         let key = Key::Instance(id.to_string());
-        self.told
-            .published
+        self.published
+            .entries
             .borrow()
             .iter()
             .rev()
@@ -344,12 +381,12 @@
     }
 }
 
-/// A heartbeat of a server.
+/// A server's heartbeat.
 pub(super) fn heartbeat(
     id: &str,
     sequence: u64,
     state: InstanceState,
-) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
+) -> impl FnOnce(oneshot::Sender<RegistrationOutcome>) -> Command {
     let heartbeat = Heartbeat {
         backend: "app".to_string(),
         address: "10.0.0.9:80".parse().expect("an address"),
@@ -362,37 +399,61 @@
         remaining_ms: None,
     };
     let id = id.to_string();
-    move |to| Command::Heartbeat(id, heartbeat, to)
+    move |reply| Command::Heartbeat {
+        id,
+        heartbeat,
+        reply,
+    }
 }
 
-pub(super) fn delete(id: &str) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
+/// A server's deregistration.
+pub(super) fn delete(id: &str) -> impl FnOnce(oneshot::Sender<RegistrationOutcome>) -> Command {
     let id = id.to_string();
-    move |to| Command::Leave(id, to)
+    move |reply| Command::Deregister { id, reply }
 }
 
-pub(super) fn resolve(region: &str) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
+/// A resolution by a client of a region.
+pub(super) fn resolve(region: &str) -> impl FnOnce(oneshot::Sender<ResolveOutcome>) -> Command {
     let query = Query {
         region: region.to_string(),
         zone: "z".to_string(),
         ..Query::default()
     };
-    move |to| Command::Resolve(query, to)
+    move |reply| Command::Resolve { query, reply }
 }
 
-pub(super) fn evacuate(zone: &str) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
+/// The evacuation of a zone.
+pub(super) fn evacuate(zone: &str) -> impl FnOnce(oneshot::Sender<ChangeOutcome>) -> Command {
     let zone = zone.to_string();
-    move |to| Command::Evacuate(zone, true, to)
+    move |reply| Command::SetZoneState {
+        zone,
+        state: ZoneState::Evacuated,
+        reply,
+    }
 }
 
+/// A change of the configuration.
 pub(super) fn configure(
     generation: u64,
     base: u64,
-) -> impl FnOnce(oneshot::Sender<Reply>) -> Command {
-    let body = body(generation);
-    move |to| Command::Configure(generation, body, base, to)
+) -> impl FnOnce(oneshot::Sender<ChangeOutcome>) -> Command {
+    let document = ConfigurationDocument {
+        generation,
+        body: body(generation),
+    };
+    move |reply| Command::Configure {
+        document,
+        base,
+        reply,
+    }
+}
+
+/// A read of the configuration in force.
+pub(super) fn read_configuration() -> impl FnOnce(oneshot::Sender<ReadOutcome>) -> Command {
+    |reply| Command::ReadConfiguration { reply }
 }
 
-/// A configuration without routes.
+/// Body of a configuration without routes.
 pub(super) fn body(generation: u64) -> Vec<u8> {
     format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#).into_bytes()
 }
--- /dev/null
+++ b/crates/coordinator/src/peers.rs
@@ -0,0 +1,80 @@
+//! The other coordinators: their addresses, the queues of the links to them, and the notifications
+//! that let a link be established without delay.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use ironmast_schema::control::ToCoordinator;
+use tokio::sync::{Notify, mpsc};
+
+/// Frames queued for one link to another coordinator.
+pub(crate) type PeerQueue = mpsc::UnboundedSender<ToCoordinator>;
+
+/// The known coordinators, without this one.
+pub(crate) struct Peers {
+    own_address: SocketAddr,
+    addresses: BTreeSet<SocketAddr>,
+    queues: BTreeMap<SocketAddr, PeerQueue>,
+    inbound: BTreeMap<SocketAddr, Rc<Notify>>,
+}
+
+impl Peers {
+    /// No peers yet.
+    pub(crate) fn new(own_address: SocketAddr) -> Self {
+        Peers {
+            own_address,
+            addresses: BTreeSet::new(),
+            queues: BTreeMap::new(),
+            inbound: BTreeMap::new(),
+        }
+    }
+
+    /// The address of this coordinator.
+    pub(crate) fn own_address(&self) -> SocketAddr {
+        self.own_address
+    }
+
+    /// Adds a peer; returns whether it was unknown. The own address is no peer.
+    pub(crate) fn add(&mut self, address: SocketAddr) -> bool {
+        address != self.own_address && self.addresses.insert(address)
+    }
+
+    /// The addresses of all peers, in ascending order.
+    pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
+        self.addresses.iter().copied().collect()
+    }
+
+    /// Sets the queue of the link to a peer, in place of an earlier link's.
+    pub(crate) fn set_queue(&mut self, to: SocketAddr, queue: PeerQueue) {
+        self.queues.insert(to, queue);
+    }
+
+    /// Queues a frame for a peer. It is lost if there is no link.
+    pub(crate) fn send(&self, to: SocketAddr, frame: ToCoordinator) {
+        if let Some(queue) = self.queues.get(&to) {
+            let _ = queue.send(frame);
+        }
+    }
+
+    /// Queues a frame for every peer with a link.
+    pub(crate) fn broadcast(&self, frame: &ToCoordinator) {
+        for queue in self.queues.values() {
+            let _ = queue.send(frame.clone());
+        }
+    }
+
+    /// Number of links that are up.
+    pub(crate) fn open_links(&self) -> usize {
+        self.queues
+            .values()
+            .filter(|queue| !queue.is_closed())
+            .count()
+    }
+
+    /// Notified when a peer has connected to this coordinator: it is listening by then, so that a
+    /// connection to it need not wait for the reconnect delay.
+    pub(crate) fn inbound_notify(&mut self, peer: SocketAddr) -> Rc<Notify> {
+        Rc::clone(self.inbound.entry(peer).or_default())
+    }
+}
--- a/crates/coordinator/src/pending_reports.rs
+++ b/crates/coordinator/src/pending_reports.rs
@@ -1,73 +1,82 @@
-//! Reports of servers that drain or leave, which are acknowledged once a majority of the
-//! coordinators holds them.
+//! Reports of servers that are draining or have ended, pending until a majority of the coordinators
+//! has acknowledged them.
 //!
-//! A report goes to every other coordinator, and a question behind it on the same link. Whoever
-//! answers the question has received the report before, and published it: it outlives the
-//! coordinator that acknowledges it. A link that comes up meanwhile carries the report before
-//! anything else.
+//! A report is sent to every other coordinator, followed by a contact check on the same link. A
+//! coordinator that answers the check has therefore received and published the report, so that it
+//! outlives the coordinator that acknowledges it to the server. A link that is established meanwhile
+//! carries the pending reports first.
 
 use std::time::Duration;
 
 use ironmast_schema::control::Key;
 use tokio::sync::oneshot;
 
-use crate::node::Reply;
+use crate::outcome::{RegistrationError, RegistrationOutcome};
 
-/// A report is confirmed within this time or answered 503: servers wait for a second.
+/// Time within which a majority must acknowledge a report. Servers wait for one second.
 const REPLICATION_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A report that isn't confirmed yet.
+/// A report that no majority has acknowledged yet.
 #[derive(Debug)]
 struct PendingReport {
     key: Key,
-    /// When it came, by the coordinator's steady clock.
-    since: Duration,
-    to: oneshot::Sender<Reply>,
+    /// Time of arrival by the coordinator's monotonic clock.
+    received_at: Duration,
+    reply: oneshot::Sender<RegistrationOutcome>,
 }
 
-/// The reports that aren't confirmed yet.
+impl PendingReport {
+    fn complete(self, outcome: RegistrationOutcome) {
+        let _ = self.reply.send(outcome);
+    }
+}
+
+/// All reports that no majority has acknowledged yet.
 #[derive(Debug, Default)]
 pub(crate) struct PendingReports {
-    waiting: Vec<PendingReport>,
+    reports: Vec<PendingReport>,
 }
 
 impl PendingReports {
-    /// Adds a report about this key that came at `now`; `to` gets the answer.
-    pub(crate) fn add(&mut self, now: Duration, key: Key, to: oneshot::Sender<Reply>) {
-        self.waiting.push(PendingReport {
+    /// Adds a report about `key` that was received at `now`.
+    pub(crate) fn add(
+        &mut self,
+        now: Duration,
+        key: Key,
+        reply: oneshot::Sender<RegistrationOutcome>,
+    ) {
+        self.reports.push(PendingReport {
             key,
-            since: now,
-            to,
+            received_at: now,
+            reply,
         });
     }
 
-    /// The keys that the unconfirmed reports are about.
+    /// The keys that the pending reports are about.
     pub(crate) fn keys(&self) -> impl Iterator<Item = &Key> {
-        self.waiting.iter().map(|waiting| &waiting.key)
+        self.reports.iter().map(|report| &report.key)
     }
 
-    /// Answers the confirmed reports, and 503 to those that have waited too long. `answered` is
-    /// when the newest question that a majority has answered was asked: reports that came no later
-    /// are confirmed.
-    pub(crate) fn settle(&mut self, now: Duration, answered: Option<Duration>) {
-        let is_confirmed =
-            |waiting: &mut PendingReport| answered.is_some_and(|asked| waiting.since <= asked);
-        for waiting in self.waiting.extract_if(.., is_confirmed) {
-            let _ = waiting.to.send(Reply::json("{}"));
+    /// Acknowledges reports received no later than `quorum_checked_at`, the time at which the newest
+    /// contact check that a majority has answered was sent. Rejects reports that have timed out.
+    pub(crate) fn complete(&mut self, now: Duration, quorum_checked_at: Option<Duration>) {
+        let is_replicated = |report: &mut PendingReport| {
+            quorum_checked_at.is_some_and(|checked_at| report.received_at <= checked_at)
+        };
+        for report in self.reports.extract_if(.., is_replicated) {
+            report.complete(Ok(()));
+        }
+        let has_timed_out =
+            |report: &mut PendingReport| now >= report.received_at + REPLICATION_TIMEOUT;
+        for report in self.reports.extract_if(.., has_timed_out) {
+            report.complete(Err(RegistrationError::NotReplicated));
         }
-        let is_late = |waiting: &mut PendingReport| now >= waiting.since + REPLICATION_TIMEOUT;
-        self.waiting.extract_if(.., is_late).for_each(refuse);
     }
 
-    /// Answers 503 to all that wait.
-    pub(crate) fn refuse(&mut self) {
-        self.waiting.drain(..).for_each(refuse);
+    /// Rejects all pending reports.
+    pub(crate) fn reject_all(&mut self) {
+        for report in self.reports.drain(..) {
+            report.complete(Err(RegistrationError::NotReplicated));
+        }
     }
 }
-
-fn refuse(waiting: PendingReport) {
-    let _ = waiting.to.send(Reply::refused(
-        503,
-        "no majority of the coordinators has confirmed it in time",
-    ));
-}
--- /dev/null
+++ b/crates/coordinator/src/published_endpoints.rs
@@ -0,0 +1,150 @@
+//! The endpoint table of this coordinator, with each change of it published to the overlay.
+//!
+//! A change that is not published would leave gates with an outdated endpoint list. The table is
+//! therefore private to this module, and every method that changes an entry publishes the result.
+
+use ironmast_endpoints::{EndpointTable, ExpiryTimeouts, Gate, MergeOutcome, Micros};
+use ironmast_schema::control::{ControlState, Entry, Key, Value};
+use ironmast_schema::registration::Heartbeat;
+use ironmast_schema::settings::Settings;
+
+use crate::clock::Clock;
+use crate::publisher::EntryPublisher;
+
+/// Number of heartbeat intervals without a heartbeat after which a server counts as silent.
+const MAX_MISSED_HEARTBEATS: u64 = 4;
+/// Time in microseconds without a report after which a gate receives no new clients.
+const GATE_TIMEOUT_US: Micros = 1_300_000;
+
+/// The endpoint table and its publisher.
+pub(crate) struct PublishedEndpoints {
+    clock: Clock,
+    table: EndpointTable,
+    publisher: Box<dyn EntryPublisher>,
+}
+
+impl PublishedEndpoints {
+    /// An empty table. Receivers treat what it publishes as not fresh until
+    /// [`PublishedEndpoints::set_in_contact`] says otherwise.
+    pub(crate) fn new(
+        settings: &Settings,
+        clock: Clock,
+        publisher: Box<dyn EntryPublisher>,
+    ) -> Self {
+        publisher.set_in_contact(false);
+        let timeouts = ExpiryTimeouts {
+            instance: settings.heartbeat_interval_ms * 1_000 * MAX_MISSED_HEARTBEATS,
+            gate: GATE_TIMEOUT_US,
+        };
+        PublishedEndpoints {
+            clock,
+            table: EndpointTable::new(0, timeouts),
+            publisher,
+        }
+    }
+
+    /// Records a server's heartbeat.
+    pub(crate) fn record_heartbeat(&mut self, id: &str, heartbeat: Heartbeat) {
+        let update = self.table.record_heartbeat(self.now(), id, heartbeat);
+        self.publish(update);
+    }
+
+    /// Records that a server has ended. Does nothing for an unknown server.
+    pub(crate) fn deregister(&mut self, id: &str) {
+        let update = self.table.deregister(self.now(), id);
+        self.publish(update);
+    }
+
+    /// Replaces the operator's state by a newer one; `version` is the register's sequence number.
+    pub(crate) fn set_control_state(&mut self, version: u64, state: ControlState) {
+        let update = self.table.update_control_state(self.now(), version, state);
+        self.publish(update);
+    }
+
+    /// Merges an entry that was received over the overlay.
+    ///
+    /// An outdated entry is answered with the newer one. Unchanged heartbeats are not published, so
+    /// that an older entry may look newer to nodes that have only that one.
+    pub(crate) fn merge_published(&mut self, entry: &Entry) {
+        if let MergeOutcome::Stale(newer) = self.table.merge(self.now(), entry) {
+            self.publish(Some(*newer));
+        }
+    }
+
+    /// Merges an entry that was received over a direct link: an agent's report of its gate, or
+    /// another coordinator's report of a server that is draining or has ended.
+    pub(crate) fn merge_direct(&mut self, entry: Entry) {
+        let now = self.now();
+        let update = match entry.value {
+            Value::Gate(record) => self
+                .table
+                .update_gate(now, entry.key, entry.version, record),
+            Value::Instance(_) => match self.table.merge(now, &entry) {
+                MergeOutcome::Newer => Some(entry),
+                MergeOutcome::Known => None,
+                MergeOutcome::Stale(newer) => Some(*newer),
+            },
+            Value::Control(_) => None,
+        };
+        self.publish(update);
+    }
+
+    /// Records that other nodes have recently received reports of these keys, each with the
+    /// sequence number or version of the report.
+    pub(crate) fn refresh(&mut self, reports: &[(Key, u64)]) {
+        let now = self.now();
+        self.table.merge_observed(now, reports);
+    }
+
+    /// Removes and returns the keys reported to this coordinator since the last call, each with the
+    /// sequence number or version of the report.
+    pub(crate) fn take_refreshed(&mut self) -> Vec<(Key, u64)> {
+        self.table.take_observed()
+    }
+
+    /// Restarts the timeouts of all endpoints.
+    pub(crate) fn restart_timeouts(&mut self) {
+        let now = self.now();
+        self.table.restart_expiry(now);
+    }
+
+    /// Marks endpoints without a report within their timeout as silent.
+    pub(crate) fn expire(&mut self) {
+        let now = self.now();
+        let updates = self.table.expire(now);
+        self.publish(updates);
+    }
+
+    /// Removes entries of endpoints that ended long ago.
+    pub(crate) fn remove_ended(&mut self) {
+        let now = self.now();
+        for (key, version) in self.table.purge(now) {
+            self.publisher.remove(&key, version);
+        }
+    }
+
+    /// The entry of a key.
+    pub(crate) fn get(&self, key: &Key) -> Option<&Entry> {
+        self.table.get(key)
+    }
+
+    /// All gates.
+    pub(crate) fn gates(&self) -> Vec<Gate<'_>> {
+        self.table.gates(self.now()).collect()
+    }
+
+    /// Sets whether receivers may treat what this coordinator publishes as fresh.
+    pub(crate) fn set_in_contact(&self, in_contact: bool) {
+        self.publisher.set_in_contact(in_contact);
+    }
+
+    fn publish(&self, updates: impl IntoIterator<Item = Entry>) {
+        for entry in updates {
+            self.publisher.publish(&entry);
+        }
+    }
+
+    fn now(&self) -> Micros {
+        self.clock.now().as_micros() as Micros
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/record_writer.rs
@@ -0,0 +1,94 @@
+//! Writes the replica's record: one write in flight, retried until it is durable.
+//!
+//! A write that failed is retried with the whole record on a new file, and the replica accepts
+//! nothing until that is durable. [`ironmast_storage`] explains why this is safe after a failed
+//! sync.
+
+use std::time::Duration;
+
+use ironmast_register::{PersistToken, Record};
+use slog::{Logger, warn};
+
+use crate::register_log::{Persisted, RegisterLog};
+use crate::value::ControlValue;
+
+/// Delay before a failed write is retried.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(200);
+
+/// A write whose record is not durable yet.
+struct PendingWrite {
+    token: PersistToken,
+    record: Record<ControlValue>,
+}
+
+/// The register's log and the write in flight.
+pub(crate) struct RecordWriter {
+    register_log: RegisterLog,
+    pending: Option<PendingWrite>,
+    /// When to retry the pending write, by the coordinator's clock.
+    retry_at: Option<Duration>,
+    log: Logger,
+}
+
+impl RecordWriter {
+    /// A writer to an open log.
+    pub(crate) fn new(register_log: RegisterLog, log: Logger) -> Self {
+        RecordWriter {
+            register_log,
+            pending: None,
+            retry_at: None,
+            log,
+        }
+    }
+
+    /// Whether a write is in flight.
+    #[cfg(test)]
+    pub(crate) fn is_writing(&self) -> bool {
+        self.pending.is_some()
+    }
+
+    /// Writes a record in place of the pending one.
+    pub(crate) fn write(&mut self, token: PersistToken, record: Record<ControlValue>) {
+        self.register_log.write(record.clone(), token);
+        self.pending = Some(PendingWrite { token, record });
+    }
+
+    /// When to call [`RecordWriter::retry_if_due`].
+    pub(crate) fn retry_at(&self) -> Option<Duration> {
+        self.retry_at
+    }
+
+    /// Retries a failed write whose delay has passed.
+    pub(crate) fn retry_if_due(&mut self, now: Duration) {
+        if self.retry_at.take_if(|at| *at <= now).is_none() {
+            return;
+        }
+        if let Some(write) = &self.pending {
+            self.register_log.write(write.record.clone(), write.token);
+        }
+    }
+
+    /// Handles the completion of a write; returns its token if the record is now durable.
+    /// Completions of superseded writes are ignored.
+    #[must_use]
+    pub(crate) fn completed(
+        &mut self,
+        now: Duration,
+        completion: Persisted,
+    ) -> Option<PersistToken> {
+        self.pending
+            .as_ref()
+            .filter(|write| write.token == completion.token)?;
+        match completion.result {
+            Ok(()) => {
+                self.pending = None;
+                Some(completion.token)
+            }
+            Err(error) => {
+                warn!(self.log, "the register's record can't be written"; "why" => %error);
+                self.retry_at = Some(now + WRITE_RETRY_DELAY);
+                None
+            }
+        }
+    }
+}
--- a/crates/coordinator/src/register_log.rs
+++ b/crates/coordinator/src/register_log.rs
@@ -1,4 +1,4 @@
-//! The replica's record on disk: opened at the start, written by a thread of its own.
+//! The register's log on disk: recovered at start, written by a thread of its own.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -15,12 +15,12 @@
 
 use crate::value::ControlValue;
 
-/// The name of the log in the folder.
+/// Name of the log in the data directory; its files on disk are named by it.
 const LOG_NAME: &str = "register";
-/// What a coordinator without a limit in its settings may use, in MB.
+/// Disk space in MB that the log may use if the settings give no limit.
 const DEFAULT_DISK_MB: u64 = 128;
 
-/// A record as it stands on disk; each holds the whole state of the replica.
+/// A record of the log; each holds the whole state of the replica.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct LogRecord(pub Record<ControlValue>);
 
@@ -30,39 +30,46 @@
     }
 }
 
-/// What the folder holds at the start.
+/// What was recovered from the data directory at start.
 #[derive(Debug)]
 pub(crate) enum RecoveredRecord {
-    /// No record.
+    /// There is no record.
     Missing,
-    /// A record that is durable.
+    /// A durable record.
     Durable(Record<ControlValue>),
-    /// A record that could be read but not written again (the disk is full, say), and may stand in
-    /// the page cache only: no vote may rest on it before it is durable.
+    /// A record that was read but could not be written again (for example because the disk is
+    /// full), and that may exist in the page cache only: the replica must not accept anything on
+    /// the basis of it before it is durable.
     NotDurable(Record<ControlValue>),
-    /// A damaged record, now or before: the replica can't go on as the one that it was.
+    /// The record is corrupted, or was at an earlier start: the replica cannot keep its identity.
     Corrupted,
 }
 
-/// Told when a record is durable, or that it isn't.
+/// Completion of a write: the record is durable, or writing it has failed.
 pub(crate) type Persisted = Completion<PersistToken>;
 
+/// A log that was opened, and what was recovered from it.
+pub(crate) struct OpenedLog {
+    /// The log.
+    pub register_log: RegisterLog,
+    /// The newest record.
+    pub recovered: RecoveredRecord,
+    /// Completions of the log's writes, in order.
+    pub completions: mpsc::UnboundedReceiver<Persisted>,
+}
+
 /// The open log.
 pub(crate) struct RegisterLog {
     writer: Writer<LogRecord, PersistToken>,
 }
 
 impl RegisterLog {
-    /// Opens the log in a folder and tells what was found. Damage is treated like a lost disk, but
-    /// the damaged file is kept under another name.
+    /// Opens the log in a folder and recovers its newest record. A corrupted log is handled like a
+    /// lost disk, but the corrupted file is kept under another name.
     ///
     /// # Errors
-    /// The file and the step that failed.
-    pub(crate) fn open(
-        folder: &Path,
-        disk_mb: u64,
-        log: &Logger,
-    ) -> Result<(Self, RecoveredRecord, mpsc::UnboundedReceiver<Persisted>)> {
+    /// The folder or the log cannot be opened; the error names the file and the step.
+    pub(crate) fn open(folder: &Path, disk_mb: u64, log: &Logger) -> Result<OpenedLog> {
         let disk: Arc<dyn Disk> = Arc::new(
             RealDisk::open(folder).wrap_err_with(|| format!("opening {}", folder.display()))?,
         );
@@ -73,56 +80,72 @@
         };
         let settings = LogSettings::new(LOG_NAME, megabytes << 20)
             .wrap_err("sizing the log of the register")?;
-        let open = || Log::<LogRecord>::open(Arc::clone(&disk), settings.clone());
-        let (file, recovered) = match open() {
-            Err(OpenError::Corrupted {
-                file,
-                offset,
-                reason,
-            }) => {
-                let kept = Log::<LogRecord>::set_aside(disk.as_ref(), &settings)
-                    .wrap_err_with(|| format!("setting the damaged {file} aside"))?;
-                warn!(log, "the register's log is damaged and begun anew";
-                    "file" => file, "offset" => offset, "reason" => %reason,
-                    "kept_as" => kept.map(|kept| folder.join(kept).display().to_string()));
-                let (file, _) = open().wrap_err("opening the log of the register anew")?;
-                (file, None)
-            }
-            opened => {
-                let (file, recovered) = opened.wrap_err("opening the log of the register")?;
-                (file, Some(recovered))
-            }
-        };
-        let was_damaged = !Log::<LogRecord>::files_set_aside(disk.as_ref(), &settings)
-            .wrap_err("looking for damaged logs")?
-            .is_empty();
-        let found = match recovered {
-            None => RecoveredRecord::Corrupted,
-            Some(Recovered::Empty) if was_damaged => RecoveredRecord::Corrupted,
-            Some(Recovered::Empty) => RecoveredRecord::Missing,
-            Some(Recovered::Found {
-                record,
-                durable: true,
-                ..
-            }) => RecoveredRecord::Durable(record.0),
-            Some(Recovered::Found { record, .. }) => {
-                warn!(log, "the register's record can't be made durable yet"; "state" => ?file.state());
-                RecoveredRecord::NotDurable(record.0)
-            }
-        };
-        let (to, completions) = mpsc::unbounded_channel();
+        let (file, recovered) = recover(folder, &disk, &settings, log)?;
+        let (queue, completions) = mpsc::unbounded_channel();
         let clock = Instant::now();
-        let complete = move |completion| drop(to.send(completion));
+        let complete = move |completion| drop(queue.send(completion));
         let writer = Writer::spawn(file, move || clock.elapsed(), complete)
             .wrap_err("starting the log's thread")?;
-        Ok((RegisterLog { writer }, found, completions))
+        Ok(OpenedLog {
+            register_log: RegisterLog { writer },
+            recovered,
+            completions,
+        })
     }
 
-    /// Writes a record; it is told when that is durable.
+    /// Starts to write a record; its completion carries `token`.
     pub(crate) fn write(&self, record: Record<ControlValue>, token: PersistToken) {
         self.writer.submit(LogRecord(record), token);
     }
 }
 
+/// Opens the log's files and reads the newest record. Corruption at an earlier start is detected by
+/// the file that was kept.
+fn recover(
+    folder: &Path,
+    disk: &Arc<dyn Disk>,
+    settings: &LogSettings,
+    log: &Logger,
+) -> Result<(Log<LogRecord>, RecoveredRecord)> {
+    let open = || Log::<LogRecord>::open(Arc::clone(disk), settings.clone());
+    let (file, recovered) = match open() {
+        Err(OpenError::Corrupted {
+            file,
+            offset,
+            reason,
+        }) => {
+            let kept = Log::<LogRecord>::set_aside(disk.as_ref(), settings)
+                .wrap_err_with(|| format!("setting the damaged {file} aside"))?;
+            warn!(log, "the register's log is damaged and begun anew";
+                "file" => file, "offset" => offset, "reason" => %reason,
+                "kept_as" => kept.map(|kept| folder.join(kept).display().to_string()));
+            let (file, _) = open().wrap_err("opening the log of the register anew")?;
+            (file, None)
+        }
+        opened => {
+            let (file, recovered) = opened.wrap_err("opening the log of the register")?;
+            (file, Some(recovered))
+        }
+    };
+    let was_corrupted = !Log::<LogRecord>::files_set_aside(disk.as_ref(), settings)
+        .wrap_err("looking for damaged logs")?
+        .is_empty();
+    let recovered = match recovered {
+        None => RecoveredRecord::Corrupted,
+        Some(Recovered::Empty) if was_corrupted => RecoveredRecord::Corrupted,
+        Some(Recovered::Empty) => RecoveredRecord::Missing,
+        Some(Recovered::Found {
+            record,
+            durable: true,
+            ..
+        }) => RecoveredRecord::Durable(record.0),
+        Some(Recovered::Found { record, .. }) => {
+            warn!(log, "the register's record can't be made durable yet"; "state" => ?file.state());
+            RecoveredRecord::NotDurable(record.0)
+        }
+    };
+    Ok((file, recovered))
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/coordinator/src/register_log/tests.rs
+++ b/crates/coordinator/src/register_log/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is found in a folder at the start.
+//! Recovery of the record at start.
 
 use std::fs;
 use std::path::PathBuf;
@@ -13,19 +13,17 @@
 
 const DISK: u64 = 8;
 
-fn open(
-    folder: &Path,
-) -> (
-    RegisterLog,
-    RecoveredRecord,
-    mpsc::UnboundedReceiver<Persisted>,
-) {
+fn open(folder: &Path) -> OpenedLog {
     RegisterLog::open(folder, DISK, &Logger::root(Discard, o!())).expect("open")
 }
 
-/// Opens the folder, and writes a record durably.
+/// Opens the log and writes a record durably.
 fn write(folder: &Path, identity: u64) {
-    let (register_log, _, mut completions) = open(folder);
+    let OpenedLog {
+        register_log,
+        mut completions,
+        ..
+    } = open(folder);
     register_log.write(Record::empty(Identity(identity)), 1);
     let completion = completions.blocking_recv().expect("a completion");
     assert_eq!((completion.token, completion.result), (1, Ok(())));
@@ -46,12 +44,12 @@
 #[test]
 fn a_record_that_was_written_is_found_durable() {
     let folder = tempfile::tempdir().expect("folder");
-    assert_matches!(open(folder.path()).1, RecoveredRecord::Missing);
+    assert_matches!(open(folder.path()).recovered, RecoveredRecord::Missing);
     write(folder.path(), 5);
-    assert_matches!(open(folder.path()).1, RecoveredRecord::Durable(record) if record.identity == Identity(5));
+    assert_matches!(open(folder.path()).recovered, RecoveredRecord::Durable(record) if record.identity == Identity(5));
 }
 
-/// Nor does the next start take the folder for one that never held anything.
+/// The next start does not treat the folder as one that never held a record either.
 #[test]
 fn a_damaged_record_is_kept_under_another_name_and_never_forgotten() {
     let folder = tempfile::tempdir().expect("folder");
@@ -60,15 +58,15 @@
     let mut bytes = fs::read(&segment).expect("read");
     bytes[30] ^= 1;
     fs::write(&segment, &bytes).expect("written");
-    assert_matches!(open(folder.path()).1, RecoveredRecord::Corrupted);
+    assert_matches!(open(folder.path()).recovered, RecoveredRecord::Corrupted);
     let kept = files(folder.path(), "damaged");
     assert_eq!(kept.len(), 1);
     assert_eq!(fs::read(&kept[0]).expect("read"), bytes);
     assert_matches!(
-        open(folder.path()).1,
+        open(folder.path()).recovered,
         RecoveredRecord::Corrupted,
         "before anything else was written"
     );
     write(folder.path(), 6);
-    assert_matches!(open(folder.path()).1, RecoveredRecord::Durable(record) if record.identity == Identity(6));
+    assert_matches!(open(folder.path()).recovered, RecoveredRecord::Durable(record) if record.identity == Identity(6));
 }
--- a/crates/coordinator/src/register_log/tests/stored_format.rs
+++ b/crates/coordinator/src/register_log/tests/stored_format.rs
@@ -41,7 +41,7 @@
     let log = Logger::root(Discard, o!());
     RegisterLog::open(folder, FIXTURE_DISK_MB, &log)
         .expect("open")
-        .1
+        .recovered
 }
 
 fn durable_record() -> Record<ControlValue> {
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -1,17 +1,15 @@
-//! The register's node on this coordinator: its messages, its record on disk, and the operators'
-//! changes that wait for their outcome.
+//! The register's replica on this coordinator: its protocol node, its record on disk, and the
+//! operations that await their outcome.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
 
 use eyre::{Result, WrapErr as _, eyre};
 use ironmast_register::node::NodeLocation;
 use ironmast_register::{
-    Action, Event, Identity, Message, Node, Operation, OperationId, Outcome, PersistToken, Record,
-    RecordSource, State,
+    Action, Event, Identity, Message, Node, Operation, OperationId, Outcome, RecordSource, State,
 };
 use ironmast_schema::settings::Settings;
 use slog::{Logger, warn};
@@ -19,164 +17,181 @@
 
 use crate::clock::Clock;
 use crate::contact::contact_timeout;
-use crate::node::Reply;
-use crate::register_log::{Persisted, RecoveredRecord, RegisterLog};
+use crate::outcome::{ChangeError, ChangeOutcome, ReadError, ReadOutcome};
+use crate::record_writer::RecordWriter;
+use crate::register_log::{OpenedLog, Persisted, RecoveredRecord, RegisterLog};
 use crate::value::{ControlValue, Rejection};
 
-/// An operation is answered within this: callers wait for a second.
+/// Deadline of an operation. Callers wait for one second.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(900);
-/// After a write that failed, the next try on a new file.
-const WRITE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What a replica asks of its coordinator.
+/// Output of the replica, for the coordinator to apply.
 #[derive(Debug)]
 pub(crate) enum ReplicaOutput {
-    /// Send a message to another coordinator; it may be lost.
-    Send(SocketAddr, Vec<u8>),
-    /// A newer state is in force.
+    /// Send a message to another coordinator. Delivery is not guaranteed.
+    Send {
+        /// The receiver.
+        to: SocketAddr,
+        /// The encoded message.
+        message: Vec<u8>,
+    },
+    /// A newer state is known to be chosen.
     StateChosen(Arc<State<ControlValue>>),
-    /// A caller's operation has ended, with this answer.
-    Answered(Kind, Reply, oneshot::Sender<Reply>),
-    /// The read of [`RegisterReplica::catch_up`] has ended: whether it told the newest state.
-    CaughtUp(bool),
+    /// A change has completed.
+    ChangeCompleted {
+        /// Its outcome.
+        outcome: ChangeOutcome,
+        /// The caller's channel.
+        reply: oneshot::Sender<ChangeOutcome>,
+    },
+    /// A read of the configuration has completed.
+    ReadCompleted {
+        /// Its outcome.
+        outcome: ReadOutcome,
+        /// The caller's channel.
+        reply: oneshot::Sender<ReadOutcome>,
+    },
+    /// The read started by [`RegisterReplica::catch_up`] has completed.
+    CatchUpCompleted(CatchUp),
 }
 
-/// What a caller has asked for.
+/// Result of the read by which a replica catches up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Kind {
-    /// A change of the operator's state.
-    Change,
-    /// The configuration in force.
-    Read,
+pub(crate) enum CatchUp {
+    /// The newest state was read from a quorum.
+    Succeeded,
+    /// No quorum answered in time.
+    Failed,
 }
 
-/// The register's node with what it waits for.
+/// An operation that awaits its outcome.
+enum PendingOperation {
+    Change(oneshot::Sender<ChangeOutcome>),
+    Read(oneshot::Sender<ReadOutcome>),
+}
+
+/// A replica opened from disk.
+pub(crate) struct OpenedReplica {
+    /// The replica.
+    pub replica: RegisterReplica,
+    /// Completions of its writes, to be passed to [`RegisterReplica::persisted`].
+    pub completions: mpsc::UnboundedReceiver<Persisted>,
+}
+
+/// The register's protocol node with its record and its pending operations.
 pub(crate) struct RegisterReplica {
     clock: Clock,
     node: Node<ControlValue>,
-    register_log: RegisterLog,
-    pending: BTreeMap<OperationId, (Kind, oneshot::Sender<Reply>)>,
-    next_operation: OperationId,
-    /// The read by which this coordinator catches up.
+    writer: RecordWriter,
+    pending: BTreeMap<OperationId, PendingOperation>,
+    last_operation: OperationId,
+    /// The read by which this replica catches up.
     catching_up: Option<OperationId>,
-    /// The write under way; kept until it is durable.
-    write: Option<(PersistToken, Record<ControlValue>)>,
-    write_retry_at: Option<Duration>,
+    /// When the protocol node's timer is due.
     timer: Option<Duration>,
     log: Logger,
 }
 
 impl RegisterReplica {
-    /// Opens the disk and takes up what is there.
+    /// Opens the log in the data directory and recovers the replica from it.
     ///
     /// # Errors
-    /// The step that failed.
+    /// The settings name no data directory, or the log could not be opened; the error names the
+    /// step that failed.
     pub(crate) fn open(
         settings: &Settings,
         own: SocketAddr,
         clock: Clock,
         log: Logger,
-    ) -> Result<(Self, mpsc::UnboundedReceiver<Persisted>)> {
-        let folder = settings.data_directory.as_deref();
-        let folder: &Path =
-            folder.ok_or_else(|| eyre!("data_directory is missing: a coordinator keeps files"))?;
-        let (register_log, found, persisted) =
-            RegisterLog::open(folder, settings.limits.disk_mb, &log)
-                .wrap_err("reading the register's record")?;
-        let source = match found {
-            RecoveredRecord::Durable(record) => RecordSource::Durable(record),
-            RecoveredRecord::NotDurable(record) => RecordSource::Unsynced(record),
-            RecoveredRecord::Missing if settings.bootstrap => RecordSource::Bootstrap {
-                members: settings.seed_coordinators(),
-                value: ControlValue::default(),
-            },
-            RecoveredRecord::Missing | RecoveredRecord::Corrupted => RecordSource::Empty {
-                identity: Identity(rand::random()),
-            },
-        };
+    ) -> Result<OpenedReplica> {
+        let folder = settings
+            .data_directory
+            .as_deref()
+            .ok_or_else(|| eyre!("data_directory is missing: a coordinator keeps files"))?;
+        let opened = RegisterLog::open(folder, settings.limits.disk_mb, &log)
+            .wrap_err("reading the register's record")?;
+        let OpenedLog {
+            register_log,
+            recovered,
+            completions,
+        } = opened;
+        let source = record_source(recovered, settings);
         let location = NodeLocation {
             address: own,
             zone: settings.zone.clone(),
         };
-        let mut times =
+        let mut register_settings =
             ironmast_register::Settings::with_fault_tolerance(settings.fault_tolerance.hosts_lost);
-        times.quorum_lease = contact_timeout(&settings.timing_bounds);
-        let node = Node::recover(source, location, rand::random(), times);
-        let (pending, next_operation, catching_up) = Default::default();
-        let (write, write_retry_at, timer) = (None, None, None);
-        Ok((
-            RegisterReplica {
-                clock,
-                node,
-                register_log,
-                pending,
-                next_operation,
-                catching_up,
-                write,
-                write_retry_at,
-                timer,
-                log,
-            },
-            persisted,
-        ))
+        register_settings.quorum_lease = contact_timeout(&settings.timing_bounds);
+        let node = Node::recover(source, location, rand::random(), register_settings);
+        let replica = RegisterReplica {
+            clock,
+            node,
+            writer: RecordWriter::new(register_log, log.clone()),
+            pending: BTreeMap::new(),
+            last_operation: OperationId::default(),
+            catching_up: None,
+            timer: None,
+            log,
+        };
+        Ok(OpenedReplica {
+            replica,
+            completions,
+        })
     }
 
-    /// How many replicas there are, if this is one of them.
+    /// Size of the replica set, if this replica is a member.
     pub(crate) fn members(&self) -> Option<usize> {
         let state = self.node.chosen().filter(|_| self.node.is_member())?;
         Some(state.members.latest().len())
     }
 
-    /// Whether a write is under way.
+    /// Whether a write is in flight.
     #[cfg(test)]
     pub(crate) fn is_writing(&self) -> bool {
-        self.write.is_some()
+        self.writer.is_writing()
     }
 
-    /// The coordinator's steady clock.
+    /// The coordinator's monotonic clock.
     pub(crate) fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// Whether a majority of the replicas has answered a question asked within the bound.
+    /// Whether a majority of the replicas has answered a contact check sent within
+    /// [`contact_timeout`].
     pub(crate) fn is_in_contact(&self) -> bool {
         self.node.has_quorum_lease(self.clock.now())
     }
 
-    /// When the newest question was asked that a majority of the replicas has answered.
-    pub(crate) fn contact_since(&self) -> Option<Duration> {
+    /// When the newest contact check that a majority of the replicas has answered was sent.
+    pub(crate) fn quorum_checked_at(&self) -> Option<Duration> {
         self.node.quorum_confirmed_at(self.clock.now())
     }
 
-    /// Asks all coordinators at once whether they are there.
-    pub(crate) fn question(&mut self) -> Vec<ReplicaOutput> {
+    /// Sends a contact check to all coordinators at once.
+    pub(crate) fn check_quorum(&mut self) -> Vec<ReplicaOutput> {
         self.handle(Event::CheckQuorum)
     }
 
-    /// Reads the newest state from a quorum; [`ReplicaOutput::CaughtUp`] tells the end. A read begun
-    /// before doesn't count any more.
+    /// Starts a read of the newest state from a quorum; [`ReplicaOutput::CatchUpCompleted`] reports
+    /// its result. The result of a read started earlier is discarded.
     pub(crate) fn catch_up(&mut self) -> Vec<ReplicaOutput> {
         let id = self.next_operation();
         self.catching_up = Some(id);
-        self.handle_submit(id, Operation::Read)
+        self.submit(id, Operation::Read)
     }
 
-    /// When [`RegisterReplica::wake`] is to be called.
+    /// When to call [`RegisterReplica::wake`] next.
     pub(crate) fn wake_at(&self) -> Duration {
         // The first event of a node is its timer.
         let timer = self.timer.unwrap_or_default();
-        self.write_retry_at.map_or(timer, |at| at.min(timer))
+        self.writer.retry_at().map_or(timer, |at| at.min(timer))
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due.
     pub(crate) fn wake(&mut self) -> Vec<ReplicaOutput> {
         let now = self.clock.now();
-        if self.write_retry_at.is_some_and(|at| at <= now) {
-            self.write_retry_at = None;
-            if let Some((token, record)) = &self.write {
-                self.register_log.write(record.clone(), *token);
-            }
-        }
+        self.writer.retry_if_due(now);
         if self.timer.is_some_and(|at| at > now) {
             return Vec::new();
         }
@@ -184,50 +199,26 @@
         self.handle(Event::Timer)
     }
 
-    /// Submits a change; it is answered when its outcome is known, or in time that it isn't.
+    /// Submits a change of the operator's state. It completes by [`OPERATION_TIMEOUT`] at the
+    /// latest.
     pub(crate) fn change(
         &mut self,
         operation: Operation<ControlValue>,
-        to: oneshot::Sender<Reply>,
-    ) -> Vec<ReplicaOutput> {
-        self.submit(Kind::Change, operation, to)
-    }
-
-    /// Reads the configuration in force.
-    pub(crate) fn read(&mut self, to: oneshot::Sender<Reply>) -> Vec<ReplicaOutput> {
-        self.submit(Kind::Read, Operation::Read, to)
-    }
-
-    fn submit(
-        &mut self,
-        kind: Kind,
-        operation: Operation<ControlValue>,
-        to: oneshot::Sender<Reply>,
+        reply: oneshot::Sender<ChangeOutcome>,
     ) -> Vec<ReplicaOutput> {
         let id = self.next_operation();
-        self.pending.insert(id, (kind, to));
-        self.handle_submit(id, operation)
-    }
-
-    fn next_operation(&mut self) -> OperationId {
-        self.next_operation += 1;
-        self.next_operation
+        self.pending.insert(id, PendingOperation::Change(reply));
+        self.submit(id, operation)
     }
 
-    fn handle_submit(
-        &mut self,
-        id: OperationId,
-        operation: Operation<ControlValue>,
-    ) -> Vec<ReplicaOutput> {
-        let deadline = self.clock.now() + OPERATION_TIMEOUT;
-        self.handle(Event::Submit {
-            id,
-            operation,
-            deadline,
-        })
+    /// Submits a read of the configuration in force.
+    pub(crate) fn read(&mut self, reply: oneshot::Sender<ReadOutcome>) -> Vec<ReplicaOutput> {
+        let id = self.next_operation();
+        self.pending.insert(id, PendingOperation::Read(reply));
+        self.submit(id, Operation::Read)
     }
 
-    /// Takes a message of another coordinator.
+    /// Handles a message of another coordinator's replica.
     pub(crate) fn receive(&mut self, bytes: &[u8]) -> Vec<ReplicaOutput> {
         match postcard::from_bytes::<Message<ControlValue>>(bytes) {
             Ok(message) => self.handle(Event::Message(message)),
@@ -238,60 +229,61 @@
         }
     }
 
-    /// The other coordinators that are known.
+    /// Sets the other coordinators that are known.
     pub(crate) fn set_peers(&mut self, peers: Vec<SocketAddr>) -> Vec<ReplicaOutput> {
         self.handle(Event::Peers(peers))
     }
 
-    /// This machine is about to stop.
+    /// Begins the graceful shutdown: the replica asks to be replaced.
     pub(crate) fn leave(&mut self) -> Vec<ReplicaOutput> {
         self.handle(Event::Leaving)
     }
 
-    /// A write has ended. One that failed is written once more, whole, to a new file: until that is
-    /// durable the replica gives no vote. [`ironmast_storage`] tells why that is safe after a
-    /// failed sync.
+    /// Handles the completion of a write.
     pub(crate) fn persisted(&mut self, completion: Persisted) -> Vec<ReplicaOutput> {
-        if self
-            .write
-            .as_ref()
-            .is_none_or(|(token, _)| *token != completion.token)
-        {
-            return Vec::new();
-        }
-        match completion.result {
-            Ok(()) => {
-                self.write = None;
-                self.handle(Event::Persisted(completion.token))
-            }
-            Err(error) => {
-                warn!(self.log, "the register's record can't be written"; "why" => %error);
-                self.write_retry_at = Some(self.clock.now() + WRITE_RETRY_DELAY);
-                Vec::new()
-            }
+        match self.writer.completed(self.clock.now(), completion) {
+            Some(token) => self.handle(Event::Persisted(token)),
+            None => Vec::new(),
         }
     }
 
+    fn next_operation(&mut self) -> OperationId {
+        self.last_operation += 1;
+        self.last_operation
+    }
+
+    fn submit(
+        &mut self,
+        id: OperationId,
+        operation: Operation<ControlValue>,
+    ) -> Vec<ReplicaOutput> {
+        let deadline = self.clock.now() + OPERATION_TIMEOUT;
+        self.handle(Event::Submit {
+            id,
+            operation,
+            deadline,
+        })
+    }
+
     fn handle(&mut self, event: Event<ControlValue>) -> Vec<ReplicaOutput> {
         let mut actions = Vec::new();
         self.node.handle(self.clock.now(), event, &mut actions);
         actions
             .into_iter()
-            .filter_map(|action| self.carry_out(action))
+            .filter_map(|action| self.perform(action))
             .collect()
     }
 
-    fn carry_out(&mut self, action: Action<ControlValue>) -> Option<ReplicaOutput> {
+    /// Performs an action of the protocol node, or turns it into an output.
+    fn perform(&mut self, action: Action<ControlValue>) -> Option<ReplicaOutput> {
         match action {
             Action::Send { to, message } => {
-                return Some(ReplicaOutput::Send(to, postcard::to_stdvec(&message).ok()?));
+                let message = postcard::to_stdvec(&message).ok()?;
+                return Some(ReplicaOutput::Send { to, message });
             }
             Action::Learned(state) => return Some(ReplicaOutput::StateChosen(state)),
-            Action::Persist(write) => {
-                self.register_log.write(write.record.clone(), write.token);
-                self.write = Some((write.token, write.record));
-            }
-            Action::Completed { id, outcome } => return self.completed(id, outcome),
+            Action::Persist(write) => self.writer.write(write.token, write.record),
+            Action::Completed { id, outcome } => return self.complete(id, outcome),
             Action::DiskLost => warn!(
                 self.log,
                 "the settings say that the system starts for the first time, but \
@@ -302,49 +294,63 @@
         None
     }
 
-    fn completed(
+    fn complete(
         &mut self,
         id: OperationId,
         outcome: Outcome<ControlValue>,
     ) -> Option<ReplicaOutput> {
         if self.catching_up.take_if(|read| *read == id).is_some() {
-            return Some(ReplicaOutput::CaughtUp(matches!(outcome, Outcome::Read(_))));
+            return Some(ReplicaOutput::CatchUpCompleted(match outcome {
+                Outcome::Read(_) => CatchUp::Succeeded,
+                _ => CatchUp::Failed,
+            }));
         }
-        let (kind, to) = self.pending.remove(&id)?;
-        Some(ReplicaOutput::Answered(kind, reply(kind, outcome), to))
+        Some(match self.pending.remove(&id)? {
+            PendingOperation::Change(reply) => ReplicaOutput::ChangeCompleted {
+                outcome: change_outcome(outcome),
+                reply,
+            },
+            PendingOperation::Read(reply) => ReplicaOutput::ReadCompleted {
+                outcome: read_outcome(outcome),
+                reply,
+            },
+        })
     }
 }
 
-fn reply(kind: Kind, outcome: Outcome<ControlValue>) -> Reply {
-    match (kind, outcome) {
-        (Kind::Read, Outcome::Read(state)) => match &state.value.configuration {
-            Some(document) => Reply::json(document.body.clone()),
-            None => Reply::refused(404, "there is no configuration yet"),
+/// What the protocol node starts from. Only an empty disk may be the one of a first start.
+fn record_source(recovered: RecoveredRecord, settings: &Settings) -> RecordSource<ControlValue> {
+    match recovered {
+        RecoveredRecord::Durable(record) => RecordSource::Durable(record),
+        RecoveredRecord::NotDurable(record) => RecordSource::Unsynced(record),
+        RecoveredRecord::Missing if settings.bootstrap => RecordSource::Bootstrap {
+            members: settings.seed_coordinators(),
+            value: ControlValue::default(),
+        },
+        RecoveredRecord::Missing | RecoveredRecord::Corrupted => RecordSource::Empty {
+            identity: Identity(rand::random()),
         },
-        (_, Outcome::Written(_) | Outcome::Unchanged(_) | Outcome::Read(_)) => Reply::json("{}"),
-        (_, Outcome::Rejected { reason, .. }) => {
-            Reply::refused(Rejection::of(&reason).status(), &reason)
-        }
-        (Kind::Change, Outcome::Unknown) => {
-            Reply::refused(504, "it may be in force or come into force")
-        }
-        (_, Outcome::Expired | Outcome::Unknown) => {
-            Reply::refused(503, "no majority of the coordinators has answered in time")
-        }
     }
 }
 
-/// What is told in place of an answer that has come from a quorum, but too long ago to stand for
-/// the newest state.
-pub(crate) fn withheld(kind: Kind, reply: Reply) -> Reply {
-    let is_success = reply.status < 300;
-    match kind {
-        Kind::Change if is_success => {
-            Reply::refused(504, "it may be in force; contact was lost meanwhile")
-        }
-        _ if reply.status < 500 => {
-            Reply::refused(503, "contact with the other coordinators was lost")
-        }
-        _ => reply,
+fn change_outcome(outcome: Outcome<ControlValue>) -> ChangeOutcome {
+    match outcome {
+        Outcome::Written(_) | Outcome::Unchanged(_) | Outcome::Read(_) => Ok(()),
+        Outcome::Rejected { reason, .. } => Err(Rejection::from_reason(&reason).into()),
+        Outcome::Expired => Err(ChangeError::NoQuorum),
+        Outcome::Unknown => Err(ChangeError::Unknown),
+    }
+}
+
+fn read_outcome(outcome: Outcome<ControlValue>) -> ReadOutcome {
+    match outcome {
+        Outcome::Read(state) | Outcome::Written(state) | Outcome::Unchanged(state) => state
+            .value
+            .configuration
+            .as_ref()
+            .map(|document| document.body.clone())
+            .ok_or(ReadError::NoConfiguration),
+        // A read is never rejected.
+        Outcome::Rejected { .. } | Outcome::Expired | Outcome::Unknown => Err(ReadError::NoQuorum),
     }
 }
--- a/crates/coordinator/src/resolve.rs
+++ b/crates/coordinator/src/resolve.rs
@@ -1,7 +1,10 @@
-//! Which gates a client may go to: those of its own zone, else of its region. A client is sent to
-//! another region only where every request of its host may be served from there, or where its own
-//! region was lost; while its region's gates restart it gets those that are about to stop or to
-//! serve, or no answer, and so keeps the one that it has.
+//! Selection of the gates that a client may connect to.
+//!
+//! A client is given the gates of its own zone, otherwise those of its region. Gates of another
+//! region are selected only if all requests of the client's host may be served from there, or if
+//! the client's own region was lost. While the gates of its region restart, the client is given
+//! gates that are not ready (about to start or to stop), or no address; it then keeps the addresses
+//! that it has.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,109 +12,103 @@
 use ironmast_endpoints::Gate;
 use ironmast_schema::configuration::Configuration;
 use ironmast_schema::control::GateStatus;
-use serde::{Deserialize, Serialize};
+use serde::Deserialize;
 
-use crate::node::Reply;
-
-/// An answer names no more addresses than this.
+/// Upper limit of the number of addresses in an answer.
 const MAX_ADDRESSES: usize = 64;
 
-/// What a client asks.
+/// Parameters of a resolution.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Query {
-    /// The host that it wants.
+    /// The host name that the client connects to.
     pub name: String,
-    /// The region that it is in.
+    /// The client's region.
     pub region: String,
-    /// The zone that it is in.
+    /// The client's zone.
     pub zone: String,
 }
 
-#[derive(Serialize)]
-struct Answer<'a> {
-    addresses: &'a [SocketAddr],
-    ttl_s: f64,
-}
-
 /// Regions from which all requests of a host may be served.
 #[derive(Debug, PartialEq, Eq)]
 enum AllowedRegions {
-    /// Its routes name none.
-    Anywhere,
-    /// Those that all routes with homes name.
-    Regions(BTreeSet<String>),
+    /// No route of the host restricts its regions.
+    All,
+    /// The regions that are allowed by every route of the host that restricts them.
+    Only(BTreeSet<String>),
 }
 
 impl AllowedRegions {
-    /// The homes of a host; none as long as no configuration is known.
+    /// The allowed regions of a host; none while no configuration is known.
     fn of(host: &str, configuration: Option<&Configuration>) -> Self {
         let Some(configuration) = configuration else {
-            return AllowedRegions::Regions(BTreeSet::new());
+            return AllowedRegions::Only(BTreeSet::new());
         };
-        let of_host = configuration
+        configuration
             .routes
             .iter()
-            .filter(|route| route.hostname.eq_ignore_ascii_case(host));
-        let named = of_host
-            .map(|route| &route.allowed_regions)
-            .filter(|regions| !regions.is_empty());
-        let named = named.map(|regions| regions.iter().cloned().collect::<BTreeSet<_>>());
-        match named.reduce(|common, regions| &common & &regions) {
-            Some(common) => AllowedRegions::Regions(common),
-            None => AllowedRegions::Anywhere,
-        }
+            .filter(|route| route.hostname.eq_ignore_ascii_case(host))
+            .filter(|route| !route.allowed_regions.is_empty())
+            .map(|route| {
+                route
+                    .allowed_regions
+                    .iter()
+                    .cloned()
+                    .collect::<BTreeSet<_>>()
+            })
+            .reduce(|common, regions| &common & &regions)
+            .map_or(AllowedRegions::All, AllowedRegions::Only)
     }
 
-    fn admit(&self, region: &str) -> bool {
+    fn contains(&self, region: &str) -> bool {
         match self {
-            AllowedRegions::Anywhere => true,
-            AllowedRegions::Regions(regions) => regions.contains(region),
+            AllowedRegions::All => true,
+            AllowedRegions::Only(regions) => regions.contains(region),
         }
     }
 }
 
-/// The addresses for a client.
+/// The addresses for a client, selected from all gates.
 pub(crate) fn addresses(
     gates: &[Gate<'_>],
     configuration: Option<&Configuration>,
     query: &Query,
 ) -> Vec<SocketAddr> {
     let is_ready = |gate: &Gate<'_>| gate.is_reachable && gate.record.status() == GateStatus::Ready;
-    let near = nearest(gates, query, is_ready);
-    if !near.is_empty() {
-        return near;
+    let nearest = nearest(gates, query, is_ready);
+    if !nearest.is_empty() {
+        return nearest;
     }
-    let homes = AllowedRegions::of(&query.name, configuration);
-    let lost = was_lost(gates, &query.region);
-    let elsewhere = select(gates, |gate| {
-        is_ready(gate) && (lost || homes.admit(&gate.record.region))
+    let allowed = AllowedRegions::of(&query.name, configuration);
+    let is_region_lost = is_region_lost(gates, &query.region);
+    let remote = select(gates, |gate| {
+        is_ready(gate) && (is_region_lost || allowed.contains(&gate.record.region))
     });
-    if !elsewhere.is_empty() {
-        return elsewhere;
+    if !remote.is_empty() {
+        return remote;
     }
     select(gates, |gate| {
-        let unready = gate.is_reachable && gate.record.status() == GateStatus::NotReady;
-        unready && gate.record.region == query.region
+        let is_not_ready = gate.is_reachable && gate.record.status() == GateStatus::NotReady;
+        is_not_ready && gate.record.region == query.region
     })
 }
 
-/// The addresses for a client at a coordinator that knows of no other coordinator's news: gates of
-/// the client's region that speak to this one. Where requests of the host must leave that region
-/// there are none: the region may be cut off from their homes, and another coordinator can tell who
-/// is there.
-pub(crate) fn addresses_heard_here(
+/// The addresses for a client while this coordinator does not know what other coordinators know:
+/// gates of the client's region that report to this coordinator. There are none if requests of the
+/// host must leave that region: the region may be partitioned from the allowed ones, and another
+/// coordinator knows which gates are reachable.
+pub(crate) fn addresses_of_direct_gates(
     gates: &[Gate<'_>],
     configuration: Option<&Configuration>,
     query: &Query,
 ) -> Vec<SocketAddr> {
-    let homes = AllowedRegions::of(&query.name, configuration);
-    if configuration.is_some() && !homes.admit(&query.region) {
+    let allowed = AllowedRegions::of(&query.name, configuration);
+    if configuration.is_some() && !allowed.contains(&query.region) {
         return Vec::new();
     }
     nearest(gates, query, |gate| {
-        let ready = gate.is_directly_reachable && gate.record.status() == GateStatus::Ready;
-        ready && gate.record.region == query.region
+        let is_ready = gate.is_directly_reachable && gate.record.status() == GateStatus::Ready;
+        is_ready && gate.record.region == query.region
     })
 }
 
@@ -133,11 +130,11 @@
     }
 }
 
-/// The first addresses, in order, of the gates that fit.
-fn select(gates: &[Gate<'_>], fits: impl Fn(&Gate<'_>) -> bool) -> Vec<SocketAddr> {
+/// The lowest [`MAX_ADDRESSES`] addresses of the gates that match, in ascending order.
+fn select(gates: &[Gate<'_>], matches: impl Fn(&Gate<'_>) -> bool) -> Vec<SocketAddr> {
     let mut addresses: Vec<SocketAddr> = gates
         .iter()
-        .filter(|gate| fits(gate))
+        .filter(|gate| matches(gate))
         .map(|gate| gate.frontend)
         .collect();
     addresses.sort_unstable();
@@ -145,22 +142,13 @@
     addresses
 }
 
-/// Whether a region has no gate left because the last of them has gone without a word.
-fn was_lost(gates: &[Gate<'_>], region: &str) -> bool {
-    let gates = || gates.iter().filter(|gate| gate.record.region == region);
-    let last = gates().max_by_key(|gate| gate.last_heard);
-    gates().all(|gate| gate.record.down)
+/// Whether all gates of a region are down and the last one was lost, rather than shut down.
+fn is_region_lost(gates: &[Gate<'_>], region: &str) -> bool {
+    let in_region = || gates.iter().filter(|gate| gate.record.region == region);
+    let last = in_region().max_by_key(|gate| gate.last_heard);
+    in_region().all(|gate| gate.record.down)
         && last.is_some_and(|gate| gate.record.status() == GateStatus::Lost)
 }
 
-/// The reply that names these addresses.
-pub(crate) fn answer(addresses: &[SocketAddr], ttl_s: f64) -> Reply {
-    if addresses.is_empty() {
-        return Reply::refused(503, "no gate is known that this client may go to");
-    }
-    serde_json::to_vec(&Answer { addresses, ttl_s })
-        .map_or(Reply::refused(500, "no answer"), Reply::json)
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/coordinator/src/resolve/tests.rs
+++ b/crates/coordinator/src/resolve/tests.rs
@@ -172,22 +172,6 @@
     assert_eq!(resolved(&[], &gates).len(), 64);
 }
 
-#[test]
-fn the_answer_holds_addresses_and_how_long_they_count() {
-    let reply = answer(&["10.0.0.1:80".parse().expect("an address")], 2.0);
-    assert_eq!(reply.status, 200);
-    let body: serde_json::Value = serde_json::from_slice(&reply.body).expect("JSON");
-    assert_eq!(
-        body,
-        serde_json::json!({"addresses": ["10.0.0.1:80"], "ttl_s": 2.0})
-    );
-}
-
-#[test]
-fn no_gate_is_no_answer() {
-    assert_eq!(answer(&[], 2.0).status, 503);
-}
-
 #[test]
 fn without_contact_only_gates_of_the_region_that_speak_here_are_named() {
     let records = [
@@ -216,7 +200,7 @@
             region: "north".to_string(),
             zone: ZONE.to_string(),
         };
-        addresses_heard_here(&gates, configuration.as_ref(), &query)
+        addresses_of_direct_gates(&gates, configuration.as_ref(), &query)
     };
     let heard_here = |speakers: &[usize]| heard_by(None, speakers);
     assert_eq!(
--- a/crates/coordinator/src/value.rs
+++ b/crates/coordinator/src/value.rs
@@ -1,5 +1,8 @@
-//! The value that the register holds: the operator's state; and the changes that can be made to it,
-//! as pure functions.
+//! The value that the register holds: the operator's state, and the changes of it as pure
+//! functions.
+//!
+//! Values are stored on disk and sent between coordinators by postcard, which encodes fields and
+//! variants by position: their order must not change.
 
 use std::collections::BTreeSet;
 
@@ -8,6 +11,9 @@
 
 use history::{ChangeId, History, PriorOutcome};
 
+pub(crate) use document::ConfigurationDocument;
+
+mod document;
 mod history;
 
 /// The operator's state.
@@ -15,43 +21,35 @@
 pub(crate) struct ControlValue {
     /// The configuration in force.
     pub configuration: Option<ConfigurationDocument>,
-    /// Zones that get nothing.
+    /// Zones that receive no traffic.
     pub evacuated: BTreeSet<String>,
-    /// The configurations taken before, and those refused that could still fit.
+    /// Outcomes of earlier changes of the configuration.
     history: History,
 }
 
-/// A configuration as the operator sent it.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ConfigurationDocument {
-    /// Its number.
-    pub generation: u64,
-    /// The body, byte for byte.
-    pub body: Vec<u8>,
+/// Whether a zone receives traffic.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum ZoneState {
+    /// The zone receives traffic.
+    InService,
+    /// The zone receives no traffic.
+    Evacuated,
 }
 
-/// Why a change is refused.
+/// Reason why a change is rejected. Operators see the texts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Rejection {
-    /// It builds on another version.
+    /// The change builds on another generation than the current one.
     #[error("another version is in place")]
     VersionMismatch,
-    /// Its number is not above the current one.
+    /// The generation of the new configuration is not above the current one.
     #[error("the generation is not above the current one")]
     StaleGeneration,
 }
 
 impl Rejection {
-    /// The status that tells the operator.
-    pub(crate) fn status(self) -> u16 {
-        match self {
-            Rejection::VersionMismatch => 412,
-            Rejection::StaleGeneration => 400,
-        }
-    }
-
-    /// The refusal whose text this is.
-    pub(crate) fn of(reason: &str) -> Self {
+    /// The rejection that a register's reason stands for: the register carries it as its text.
+    pub(crate) fn from_reason(reason: &str) -> Self {
         if reason == Rejection::StaleGeneration.to_string() {
             Rejection::StaleGeneration
         } else {
@@ -61,17 +59,18 @@
 }
 
 impl ControlValue {
-    /// The number of the configuration in force; 0 before the first.
+    /// The generation of the configuration in force; 0 before the first.
     pub(crate) fn generation(&self) -> u64 {
         self.configuration
             .as_ref()
             .map_or(0, |document| document.generation)
     }
 
-    /// Puts a configuration that builds on version `base` in force. One that was taken before, the
-    /// same byte for byte and on the same base, is acknowledged again, whatever has come since. One
-    /// that is refused never comes into force later. Where neither can be promised, there is no
-    /// answer.
+    /// Replaces the configuration of generation `base`.
+    ///
+    /// A change that was applied before, the same byte for byte and on the same base, is
+    /// acknowledged again, whatever was applied since. A change that was rejected is never applied
+    /// later. Where neither can be guaranteed, the decision is [`Decision::Unknown`].
     pub(crate) fn configure(
         &self,
         document: &ConfigurationDocument,
@@ -92,7 +91,7 @@
         }
     }
 
-    /// Takes an order that builds on the current version.
+    /// Applies a change that builds on the current generation.
     fn configure_next(
         &self,
         document: &ConfigurationDocument,
@@ -107,30 +106,30 @@
         Decision::Write(next)
     }
 
-    /// Refuses an order that builds on a version which may yet come, and remembers that it did.
+    /// Rejects a change that builds on a generation which may still come, and records the
+    /// rejection, so that it holds when that generation has come.
     fn reject_permanently(&self, change: &ChangeId) -> Decision<ControlValue> {
         let mut next = self.clone();
-        if next.history.record_rejected(change) {
-            Decision::RejectAndWrite {
+        match next.history.record_rejected(change) {
+            Ok(()) => Decision::RejectAndWrite {
                 value: next,
                 reason: Rejection::VersionMismatch.to_string(),
-            }
-        } else {
-            Decision::Unknown
+            },
+            Err(history::RejectionsFull) => Decision::Unknown,
         }
     }
 
-    /// Empties a zone, or takes that back.
-    pub(crate) fn evacuate(&self, zone: &str, out: bool) -> Decision<ControlValue> {
-        if self.evacuated.contains(zone) == out {
+    /// Evacuates a zone, or puts it back in service.
+    pub(crate) fn set_zone_state(&self, zone: &str, state: ZoneState) -> Decision<ControlValue> {
+        let is_evacuated = self.evacuated.contains(zone);
+        if is_evacuated == (state == ZoneState::Evacuated) {
             return Decision::Unchanged;
         }
         let mut next = self.clone();
-        if out {
-            next.evacuated.insert(zone.to_string());
-        } else {
-            next.evacuated.remove(zone);
-        }
+        match state {
+            ZoneState::Evacuated => next.evacuated.insert(zone.to_string()),
+            ZoneState::InService => next.evacuated.remove(zone),
+        };
         Decision::Write(next)
     }
 }
--- a/crates/coordinator/src/value/history.rs
+++ b/crates/coordinator/src/value/history.rs
@@ -1,34 +1,40 @@
-//! What is remembered of the configurations that were sent, so that one sent again gets the answer
-//! that it had.
+//! Outcomes of earlier changes of the configuration, so that a change submitted again gets the
+//! answer that it had.
 //!
-//! An order is known by its whole content and its base. It is taken only if its number is above the
-//! current one and its base is the current one, so base < number for every order taken, and numbers
-//! rise from one to the next.
+//! A change is identified by its whole content and its base. It is applied only if its generation is
+//! above the current one and its base is the current one, so that base < generation holds for every
+//! applied change, and generations increase from one applied change to the next.
+//!
+//! The history is part of the register's value: postcard encodes its fields by position, so that
+//! their order must not change.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::ConfigurationDocument;
+use super::document::ConfigurationDocument;
 
-/// Orders taken that are remembered. An operator sends an order again until it is answered; at the
-/// 7,400 changes a day that are aimed at, this many are over six hours of other operators' changes.
-/// Each adds at most [`MAX_APPLIED_BYTES`] bytes to the value, which is written whole.
+/// Upper limit of the applied changes that are remembered. An operator submits a change again until
+/// it is acknowledged; at the target of 7,400 changes a day, these are more than six hours of other
+/// operators' changes. Each adds at most `MAX_APPLIED_BYTES` bytes to the value, which is written
+/// as a whole.
 pub(super) const MAX_APPLIED: usize = 2_048;
-/// Largest size of an order taken in the encoded value: a number below 2^28 and a digest.
+/// Upper limit of the encoded size of an applied change, in bytes: a generation below 2^28 and a
+/// digest.
 #[cfg(test)]
 pub(super) const MAX_APPLIED_BYTES: usize = 4 + size_of::<Digest>();
-/// Orders refused that could still fit later. Each operator has at most eight orders under way at
-/// once.
+/// Upper limit of the rejected changes that are remembered because their base may still come. Each
+/// operator has at most eight changes in flight at once.
 pub(super) const MAX_REJECTED: usize = 64;
 
-/// Digest of an order's content and base. Only compared where the numbers are equal too, so that
-/// two orders are mistaken for one another with a chance of 2^-64 for each pair of one number. Not
-/// meant to resist operators that look for collisions.
+/// Digest of a change's content and base. It is only compared between changes of equal generation,
+/// so that two changes are mistaken for each other with a probability of 2^-64 for each pair of one
+/// generation. It does not resist operators who search for collisions.
 type Digest = [u8; 8];
 
-/// A configuration as an operator sends it.
+/// Identity of a change of the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ChangeId {
     pub(super) generation: u64,
@@ -37,7 +43,7 @@
 }
 
 impl ChangeId {
-    /// The order to put a configuration in force on top of the version `base`.
+    /// Identifies the change that replaces the configuration of generation `base` by `document`.
     pub(super) fn new(document: &ConfigurationDocument, base: u64) -> Self {
         let digest = xxh3_64_with_seed(&document.body, base).to_le_bytes();
         ChangeId {
@@ -47,20 +53,20 @@
         }
     }
 
-    /// Whether it could be taken if its base were the current version.
+    /// Whether the change could be applied if its base were the current generation.
     pub(super) fn is_consistent(&self) -> bool {
         self.generation > self.base
     }
 }
 
-/// An order taken.
+/// An applied change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Applied {
     generation: u64,
     digest: Digest,
 }
 
-/// An order refused though its base may yet become the current version.
+/// A change that was rejected although its base may still become the current generation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Rejected {
     base: u64,
@@ -68,31 +74,42 @@
     digest: Digest,
 }
 
-/// What became of an order that was sent before.
+impl Rejected {
+    fn is(&self, change: &ChangeId) -> bool {
+        (self.base, self.generation, self.digest) == (change.base, change.generation, change.digest)
+    }
+}
+
+/// Outcome of an earlier submission of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PriorOutcome {
-    /// It was taken.
+    /// The change was applied.
     Applied,
-    /// It was refused, and could be taken now or later.
+    /// The change was rejected, and its base is current or may still come.
     Rejected,
-    /// It may have been taken, too long ago to tell.
+    /// The change may have been applied so long ago that the record of it was evicted.
     Evicted,
-    /// It was not taken.
+    /// The change was not applied.
     NotApplied,
 }
 
-/// The orders remembered.
+/// No further rejection can be remembered.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[error("{MAX_REJECTED} rejected changes are remembered already")]
+pub(super) struct RejectionsFull;
+
+/// The remembered changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct History {
-    /// Orders taken, the latest last.
+    /// Applied changes, in ascending order of generation.
     applied: VecDeque<Applied>,
-    /// Number of the latest order taken that isn't remembered any more; 0 if all are.
+    /// Generation of the newest applied change that was evicted; 0 if none was.
     evicted_up_to: u64,
     rejected: Vec<Rejected>,
 }
 
 impl History {
-    /// What became of an order.
+    /// The outcome of an earlier submission of a change.
     pub(super) fn outcome_of(&self, change: &ChangeId) -> PriorOutcome {
         if !change.is_consistent() {
             return PriorOutcome::NotApplied;
@@ -100,24 +117,24 @@
         if change.generation <= self.evicted_up_to {
             return PriorOutcome::Evicted;
         }
-        let found = self
-            .applied
-            .binary_search_by_key(&change.generation, |applied| applied.generation);
-        if found.is_ok_and(|index| self.applied[index].digest == change.digest) {
+        if self.was_applied(change) {
             return PriorOutcome::Applied;
         }
-        let same = |rejected: &Rejected| {
-            (rejected.base, rejected.generation, rejected.digest)
-                == (change.base, change.generation, change.digest)
-        };
-        if self.rejected.iter().any(same) {
+        if self.rejected.iter().any(|rejected| rejected.is(change)) {
             PriorOutcome::Rejected
         } else {
             PriorOutcome::NotApplied
         }
     }
 
-    /// Remembers an order as taken.
+    fn was_applied(&self, change: &ChangeId) -> bool {
+        let position = self
+            .applied
+            .binary_search_by_key(&change.generation, |applied| applied.generation);
+        position.is_ok_and(|index| self.applied[index].digest == change.digest)
+    }
+
+    /// Records a change as applied, and evicts the oldest one if there are too many.
     pub(super) fn record_applied(&mut self, change: &ChangeId) {
         self.applied.push_back(Applied {
             generation: change.generation,
@@ -129,15 +146,18 @@
                 .pop_front()
                 .map_or(self.evicted_up_to, |applied| applied.generation);
         }
-        // Versions only rise: what builds on an earlier one is refused for good.
+        // Generations only increase: a change on an earlier base is rejected in any case.
         self.rejected
             .retain(|rejected| rejected.base >= change.generation);
     }
 
-    /// Remembers an order as refused; false if there is no room.
-    pub(super) fn record_rejected(&mut self, change: &ChangeId) -> bool {
+    /// Records a change as rejected.
+    ///
+    /// # Errors
+    /// [`MAX_REJECTED`] rejected changes are remembered already.
+    pub(super) fn record_rejected(&mut self, change: &ChangeId) -> Result<(), RejectionsFull> {
         if self.rejected.len() >= MAX_REJECTED {
-            return false;
+            return Err(RejectionsFull);
         }
         let ChangeId {
             generation,
@@ -149,16 +169,16 @@
             generation,
             digest,
         });
-        true
+        Ok(())
     }
 
-    /// Number of orders taken that are remembered.
+    /// Number of applied changes that are remembered.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.applied.len()
     }
 
-    /// Lets the memory hold that many orders taken, whatever its bound.
+    /// Replaces the applied changes by `length` others, regardless of [`MAX_APPLIED`].
     #[cfg(test)]
     pub(super) fn fill_unbounded(&mut self, length: u64) {
         let change = |number: u64| Applied {
--- a/crates/coordinator/src/value/tests.rs
+++ b/crates/coordinator/src/value/tests.rs
@@ -7,7 +7,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 use super::history::{MAX_APPLIED, MAX_APPLIED_BYTES, MAX_REJECTED};
-use super::{ConfigurationDocument, ControlValue, Rejection};
+use super::{ConfigurationDocument, ControlValue, Rejection, ZoneState};
 
 fn refusal(refusal: Rejection) -> Decision<ControlValue> {
     Decision::Reject(refusal.to_string())
@@ -61,10 +61,16 @@
 
 #[test]
 fn an_evacuation_is_idempotent_both_ways() {
-    let value = written(ControlValue::default().evacuate("a", true));
-    assert_matches!(value.evacuate("a", true), Decision::Unchanged);
-    let value = written(value.evacuate("a", false));
-    assert_matches!(value.evacuate("a", false), Decision::Unchanged);
+    let value = written(ControlValue::default().set_zone_state("a", ZoneState::Evacuated));
+    assert_matches!(
+        value.set_zone_state("a", ZoneState::Evacuated),
+        Decision::Unchanged
+    );
+    let value = written(value.set_zone_state("a", ZoneState::InService));
+    assert_matches!(
+        value.set_zone_state("a", ZoneState::InService),
+        Decision::Unchanged
+    );
     assert!(value.evacuated.is_empty());
 }
 
@@ -152,7 +158,7 @@
     let Decision::RejectAndWrite { value, reason } = value.configure(&early, 6) else {
         panic!("not refused for good");
     };
-    assert_eq!(Rejection::of(&reason), Rejection::VersionMismatch);
+    assert_eq!(Rejection::from_reason(&reason), Rejection::VersionMismatch);
     assert_eq!(
         value.configure(&early, 6),
         refusal(Rejection::VersionMismatch)
@@ -256,9 +262,9 @@
 #[test]
 fn of_an_evacuation_and_its_end_the_last_one_counts() {
     // They carry no number: one that comes late is a new one.
-    let value = written(ControlValue::default().evacuate("a", true));
-    let value = written(value.evacuate("a", false));
-    let value = written(value.evacuate("a", true));
+    let value = written(ControlValue::default().set_zone_state("a", ZoneState::Evacuated));
+    let value = written(value.set_zone_state("a", ZoneState::InService));
+    let value = written(value.set_zone_state("a", ZoneState::Evacuated));
     assert!(value.evacuated.contains("a"));
 }
 
@@ -306,6 +312,6 @@
 #[test]
 fn each_refusal_is_found_again_by_its_text() {
     for refusal in [Rejection::VersionMismatch, Rejection::StaleGeneration] {
-        assert_eq!(Rejection::of(&refusal.to_string()), refusal);
+        assert_eq!(Rejection::from_reason(&refusal.to_string()), refusal);
     }
 }
