--- a/crates/coordinator/src/contact/tests.rs
+++ b/crates/coordinator/src/contact/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 
 #[test]
-fn the_table_of_answers() {
+fn each_request_has_its_policy_in_each_state() {
     let table = [
         (
             Configuration,
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn the_diagram_of_the_states() {
+fn contact_state_transitions_follow_the_diagram() {
     let lost = ContactState::ALL.map(|standing| standing.after_check(false));
     assert_eq!(
         lost,
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_bound_is_a_third_of_the_shortest_bound_in_force_and_never_below_the_floor() {
+fn contact_timeout_is_a_third_of_the_shortest_bound_and_never_below_the_minimum() {
     let usual = TimingBounds::default();
     assert_eq!(contact_timeout(&usual), Duration::from_secs(1));
     let slow = TimingBounds {
--- a/crates/coordinator/src/node/tests.rs
+++ b/crates/coordinator/src/node/tests.rs
@@ -27,7 +27,7 @@
 const RETURN: Duration = Duration::from_millis(350);
 
 #[test]
-fn in_contact_everything_is_answered() {
+fn in_contact_all_requests_are_acknowledged() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, configure(3, 0)), 200);
     assert_eq!(cluster.status(0, evacuate("z9")), 200);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn out_of_contact_beats_make_nobody_fresh_and_agents_are_told() {
+fn out_of_contact_keep_alives_are_not_marked_fresh() {
     for_each_partition(|cluster| {
         assert!(!cluster.members[0].published.in_contact.get());
         assert_eq!(cluster.members[0].keep_alive_in_contact(), Some(false));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn out_of_contact_the_directory_names_only_gates_of_the_region_that_speak_there() {
+fn out_of_contact_resolve_returns_only_direct_gates_of_the_region() {
     for_each_partition(|cluster| {
         cluster.report_gate(1, 80, "r0");
         cluster.deliver_published(1);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn what_is_heard_out_of_contact_is_kept_and_nobody_is_called_silent() {
+fn out_of_contact_reports_are_recorded_and_no_server_expires() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, heartbeat("here", 1, Ready)), 200);
     assert_eq!(cluster.status(1, heartbeat("there", 1, Ready)), 200);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn on_return_it_serves_at_once_from_the_newest_state() {
+fn after_contact_returns_the_newest_state_is_served_at_once() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, configure(3, 0)), 200);
     cluster.partition(0);
@@ -167,7 +167,7 @@
 /// The first thing that happens after the process stood still is a caller's request: no timer has
 /// run.
 #[test]
-fn a_process_that_stood_still_acknowledges_nothing_before_it_has_asked_again() {
+fn after_a_process_pause_nothing_is_acknowledged_before_a_new_contact_check() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
     cluster.pause_processes(Duration::from_secs(5));
@@ -185,7 +185,7 @@
 /// The cut has come just now: contact is young enough, but the word of a server that leaves can't
 /// get out.
 #[test]
-fn a_server_that_leaves_is_acknowledged_only_when_a_majority_holds_its_word() {
+fn a_draining_server_is_acknowledged_only_after_replication_to_a_majority() {
     for (sequence, partition) in [
         (1, Cluster::partition as fn(&mut Cluster, usize)),
         (2, Cluster::partition_from),
@@ -208,7 +208,7 @@
 /// The links come up anew while the word waits: what was sent on the old ones is lost, the
 /// questions are not.
 #[test]
-fn a_link_that_comes_up_carries_the_word_that_waits() {
+fn a_new_link_carries_pending_reports_first() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
     cluster.partition_from(0);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn an_acknowledged_word_of_a_server_that_leaves_outlives_its_coordinator() {
+fn an_acknowledged_draining_report_survives_the_loss_of_its_coordinator() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
     cluster.partitions.extend([(0, 2), (2, 0)]);
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn the_end_of_a_server_that_is_not_known_is_not_acknowledged() {
+fn deregistration_of_an_unknown_server_is_not_acknowledged() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, delete("i")), 503);
     assert_eq!(cluster.status(1, heartbeat("i", 1, Ready)), 200);
@@ -259,7 +259,7 @@
 
 /// An order meets a cut at each step of its two rounds.
 #[test]
-fn an_order_through_a_cut_gets_503_only_where_it_is_never_in_force() {
+fn a_change_during_a_partition_gets_503_only_if_it_is_never_applied() {
     let mut statuses = BTreeSet::new();
     for steps in 0..12 {
         let mut cluster = Cluster::new(3);
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn before_the_first_contact_orders_wait_and_servers_are_refused() {
+fn before_first_contact_changes_wait_and_server_reports_get_503() {
     let mut cluster = Cluster::starting(3);
     assert_eq!(
         cluster
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn one_that_leaves_sends_servers_on_and_still_decides_orders() {
+fn while_leaving_server_reports_get_503_and_changes_are_decided() {
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
     cluster.members[0].node.leave();
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn the_only_coordinator_is_always_in_contact() {
+fn a_single_coordinator_is_always_in_contact() {
     let mut cluster = Cluster::new(1);
     cluster.pause_processes(Duration::from_secs(30));
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 200);
@@ -331,7 +331,7 @@
 
 /// Nobody has a majority: each keeps what it hears and names the gates that speak to it.
 #[test]
-fn where_nobody_has_a_majority_clients_still_find_the_gates_that_speak() {
+fn without_any_majority_clients_still_resolve_direct_gates() {
     let mut cluster = Cluster::new(3);
     (0..3).for_each(|number| cluster.partition(number));
     cluster.run(loss());
--- a/crates/coordinator/src/register_log/tests.rs
+++ b/crates/coordinator/src/register_log/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_record_that_was_written_is_found_durable() {
+fn a_written_record_is_recovered_as_durable() {
     let folder = tempfile::tempdir().expect("folder");
     assert_matches!(open(folder.path()).recovered, RecoveredRecord::Missing);
     write(folder.path(), 5);
@@ -51,7 +51,7 @@
 
 /// The next start does not treat the folder as one that never held a record either.
 #[test]
-fn a_damaged_record_is_kept_under_another_name_and_never_forgotten() {
+fn a_corrupted_record_is_kept_under_another_name_and_reported_at_later_starts() {
     let folder = tempfile::tempdir().expect("folder");
     write(folder.path(), 5);
     let segment = files(folder.path(), "segment").remove(0);
--- a/crates/coordinator/src/resolve/tests.rs
+++ b/crates/coordinator/src/resolve/tests.rs
@@ -93,13 +93,13 @@
 const SOUTH: &[&str] = &["south"];
 
 #[test]
-fn the_gates_of_the_zone_come_first() {
+fn gates_of_the_clients_zone_are_preferred() {
     let gates = [ready("north-b"), ready(ZONE), ready("south-a"), ready(ZONE)];
     assert_eq!(resolved(&[], &gates), [1, 3]);
 }
 
 #[test]
-fn else_those_of_the_region() {
+fn without_a_ready_gate_in_the_zone_gates_of_the_region_are_selected() {
     let gates = [
         ready("north-b"),
         unready(ZONE),
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn else_all_where_no_route_of_the_host_has_homes() {
+fn without_allowed_regions_gates_of_all_regions_are_selected() {
     let gates = [
         ended("north-b"),
         unready(ZONE),
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_region_that_restarts_does_not_lose_its_clients_to_a_region_that_is_no_home() {
+fn a_restarting_region_is_not_replaced_by_a_region_that_is_not_allowed() {
     let gates = [
         ended("north-b"),
         unready(ZONE),
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_region_that_restarts_may_be_stood_in_for_by_the_homes() {
+fn a_restarting_region_is_replaced_by_allowed_regions() {
     let gates = [
         ended("north-b"),
         unready(ZONE),
@@ -149,14 +149,14 @@
 }
 
 #[test]
-fn a_region_that_was_lost_is_stood_in_for_by_all() {
+fn a_lost_region_is_replaced_by_all_regions() {
     let gates = [ended("north-b"), lost(ZONE), ready("south-a")];
     assert_eq!(resolved(&[NORTH], &gates), [2]);
 }
 
 /// A coordinator that has just started knows neither the region's gates nor its routes' homes.
 #[test]
-fn where_nothing_is_known_no_other_region_is_named() {
+fn without_a_configuration_no_other_region_is_selected() {
     let gates = [ready("south-a")];
     assert!(resolved(&[NORTH], &gates).is_empty());
     assert!(resolved_with(None, &gates).is_empty());
@@ -167,13 +167,13 @@
 }
 
 #[test]
-fn an_answer_names_64_at_most() {
+fn at_most_64_addresses_are_selected() {
     let gates = vec![ready(ZONE); 100];
     assert_eq!(resolved(&[], &gates).len(), 64);
 }
 
 #[test]
-fn without_contact_only_gates_of_the_region_that_speak_here_are_named() {
+fn out_of_contact_only_direct_gates_of_the_region_are_selected() {
     let records = [
         ready("north-b"),
         ready("north-a"),
@@ -229,7 +229,7 @@
 
 /// A gate whose last word is old may be long gone.
 #[test]
-fn a_gate_that_nobody_has_heard_lately_is_not_named() {
+fn an_unreachable_gate_is_not_selected() {
     let record = ready("north-a");
     let frontend = SocketAddr::from(([10, 0, 0, 1], 80));
     let gate = Gate {
--- a/crates/coordinator/src/value/tests.rs
+++ b/crates/coordinator/src/value/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_configuration_sent_again_is_acknowledged_again_even_after_a_later_one() {
+fn a_resubmitted_configuration_is_acknowledged_again_after_a_later_one() {
     let (first, second) = (document(3, "first"), document(6, "second"));
     let value = written(ControlValue::default().configure(&first, 0));
     assert_matches!(value.configure(&first, 0), Decision::Unchanged);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn of_two_changes_with_one_number_on_one_base_the_second_is_refused() {
+fn of_two_changes_with_the_same_generation_and_base_the_second_is_rejected() {
     let value = written(ControlValue::default().configure(&document(3, "first"), 0));
     let value = written(value.configure(&document(5, "one"), 3));
     assert_eq!(
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_number_that_is_not_above_the_current_one_is_refused() {
+fn a_generation_not_above_the_current_one_is_rejected() {
     let value = written(ControlValue::default().configure(&document(3, "first"), 0));
     for generation in [1, 3] {
         let refused = value.configure(&document(generation, "next"), 3);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_evacuation_is_idempotent_both_ways() {
+fn evacuating_and_restoring_a_zone_are_idempotent() {
     let value = written(ControlValue::default().set_zone_state("a", ZoneState::Evacuated));
     assert_matches!(
         value.set_zone_state("a", ZoneState::Evacuated),
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn an_order_taken_is_acknowledged_again_after_a_thousand_others() {
+fn an_applied_change_is_acknowledged_again_after_a_thousand_others() {
     let value = after(1_001);
     for change in 0..1_001 {
         assert_matches!(
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_order_taken_is_never_refused_however_long_ago_it_was() {
+fn an_applied_change_is_never_rejected_however_old() {
     let changes = 3 * MAX_APPLIED as u64;
     let value = after(changes);
     for change in 0..changes {
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn an_order_that_can_not_have_been_taken_is_refused_however_old_it_looks() {
+fn a_change_that_cannot_have_been_applied_is_rejected_however_old() {
     let value = after(3 * MAX_APPLIED as u64);
     let current = value.generation();
     assert_eq!(
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn the_same_content_on_another_base_is_another_order() {
+fn the_same_content_on_another_base_is_another_change() {
     let value = after(3);
     assert_matches!(value.configure(&nth(1), base(1)), Decision::Unchanged);
     assert_eq!(
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn an_order_refused_before_its_base_has_come_stays_refused() {
+fn a_change_rejected_before_its_base_exists_stays_rejected() {
     let (early, other) = (document(9, "early"), document(9, "other"));
     let value = after(2);
     let Decision::RejectAndWrite { value, reason } = value.configure(&early, 6) else {
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn refusals_that_can_not_be_remembered_are_not_given() {
+fn a_rejection_that_cannot_be_recorded_has_unknown_outcome() {
     let mut value = after(1);
     for number in 0..MAX_REJECTED as u64 {
         value = match value.configure(&document(100 + number, "early"), 50) {
@@ -201,7 +201,7 @@
 
 /// Orders of three operators, each sent again now and then, against a memory without bound.
 #[test]
-fn of_orders_sent_at_random_each_keeps_its_answer() {
+fn random_resubmitted_changes_keep_their_outcomes() {
     for seed in 0..20 {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
         let (mut taken, mut refused) = (BTreeSet::new(), BTreeSet::new());
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn of_an_evacuation_and_its_end_the_last_one_counts() {
+fn the_last_decided_zone_state_wins() {
     // They carry no number: one that comes late is a new one.
     let value = written(ControlValue::default().set_zone_state("a", ZoneState::Evacuated));
     let value = written(value.set_zone_state("a", ZoneState::InService));
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn the_memory_of_one_order_is_a_few_bytes() {
+fn history_size_per_change_is_bounded() {
     let length = |value: &ControlValue| postcard::to_stdvec(value).expect("encoded").len();
     let (few, many) = (after(100), after(1_100));
     // Both hold a configuration of nearly the same length.
@@ -281,7 +281,7 @@
 /// Run by hand for its figures: what the memory costs at each write.
 #[test]
 #[ignore = "prints figures"]
-fn cost_of_the_memory() {
+fn history_encoding_cost() {
     for changes in [10, 100, 1_000, 10_000] {
         let mut value = after(1);
         value.history.fill_unbounded(changes);
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn each_refusal_is_found_again_by_its_text() {
+fn each_rejection_is_recovered_from_its_reason() {
     for refusal in [Rejection::VersionMismatch, Rejection::StaleGeneration] {
         assert_eq!(Rejection::from_reason(&refusal.to_string()), refusal);
     }
--- a/crates/coordinator/tests/arbitrary_frames.rs
+++ b/crates/coordinator/tests/arbitrary_frames.rs
@@ -25,12 +25,12 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in vec(any::<u8>(), 0..400)) {
         read(&bytes);
     }
 
     #[test]
-    fn changed_frames_are_read_or_refused(
+    fn mutated_frames_are_decoded_or_rejected(
         which in any::<Index>(),
         changes in vec((any::<Index>(), any::<u8>()), 1..6),
         cut in any::<Index>(),
--- a/crates/coordinator/tests/frame_lengths.rs
+++ b/crates/coordinator/tests/frame_lengths.rs
@@ -26,7 +26,7 @@
 
 /// Every byte of every frame is taken for the start of a length of 4 GB, of 2^42, and of 2^63.
 #[test]
-fn a_length_of_gigabytes_reserves_no_memory() {
+fn a_length_prefix_of_gigabytes_allocates_no_memory() {
     let lengths: [&[u8]; 3] = [
         &[0xff, 0xff, 0xff, 0xff, 0x0f],
         &[0xff, 0xff, 0xff, 0xff, 0xff, 0x7f],
--- a/crates/coordinator/tests/many_changes.rs
+++ b/crates/coordinator/tests/many_changes.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_thousand_changes_of_350_routes_with_every_trouble() {
+fn a_thousand_changes_of_350_routes_survive_every_fault() {
     let day = Day {
         changes: 1_000,
         body_bytes: ROUTES_350,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_thousand_small_changes_with_every_trouble_on_many_seeds() {
+fn a_thousand_small_changes_survive_every_fault_on_many_seeds() {
     let day = Day {
         changes: 1_000,
         body_bytes: 300,
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn troubles_that_follow_closely_on_many_seeds() {
+fn frequent_faults_violate_no_invariant_on_many_seeds() {
     let day = Day {
         changes: 120,
         body_bytes: 2_000,
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn one_that_missed_hundreds_of_changes_catches_up_in_one_exchange() {
+fn a_replica_that_missed_hundreds_of_changes_catches_up_in_one_exchange() {
     for changes in [1, 100, 800] {
         let (states, bytes, level) = catch_up(changes);
         println!("{changes} changes missed: {states} states, {bytes} bytes, level after {level:?}");
@@ -110,7 +110,7 @@
 
 /// A change costs each replica two writes of the whole record: its promise, and its acceptance.
 #[test]
-fn a_change_is_written_twice_and_no_more() {
+fn a_change_is_written_at_most_twice() {
     let changes = 200;
     let mut fleet = Fleet::new(3, ROUTES_350);
     fleet.settle();
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn what_a_start_reads_does_not_grow_with_the_changes() {
+fn bytes_read_at_start_do_not_grow_with_the_number_of_changes() {
     for changes in [10, 100, 600] {
         let (bytes, reads) = files_after(changes);
         println!("{changes} changes: {bytes} bytes, {reads} files read");
