--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor: gives promises and acceptances (Rystsov 2018, section 2.2), each of which is
+//! The acceptor: gives promises and acceptances (Rystsov 2018, section 2), each of which is
 //! durable before the reply is sent.
 //!
 //! Guards against a replica that takes back a promise after a crash, and against one whose disk was
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Phase 1 (Rystsov 2018, section 2.2): promises the ballot unless a higher one is promised.
+    /// Phase 1 (Rystsov 2018, section 2): promises the ballot unless a higher one is promised.
     fn promise(&mut self, ballot: Ballot, known: Ballot, chosen: Ballot) -> Readiness<V> {
         if ballot < self.record.promised {
             return self.conflict();
@@ -312,7 +312,7 @@
         self.after_write_unless_durable(ReplyBody::Promise { ballot, state })
     }
 
-    /// Phase 2 (Rystsov 2018, section 2.2): accepts the proposal unless a higher ballot is promised
+    /// Phase 2 (Rystsov 2018, section 2): accepts the proposal unless a higher ballot is promised
     /// or this replica isn't one of its members.
     fn accept(&mut self, proposal: Proposal<V>, chosen: Ballot) -> Readiness<V> {
         let ballot = proposal.ballot;
--- a/crates/register/src/ballot.rs
+++ b/crates/register/src/ballot.rs
@@ -32,7 +32,7 @@
 }
 
 /// Orders proposals: by counter, then by the proposer's identity, so that two proposers never use
-/// the same one (Rystsov 2018, section 2.2).
+/// the same one (Rystsov 2018, section 2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     /// Raised by a proposer for every attempt.
--- a/crates/register/src/node/event.rs
+++ b/crates/register/src/node/event.rs
@@ -1,4 +1,4 @@
-//! What a node is told and what it wants done.
+//! The events that a node handles, the actions that it returns, and what it starts from.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,25 +17,23 @@
     Message(Message<V>),
     /// The write of that token is durable.
     Persisted(PersistToken),
-    /// An operation is asked for.
+    /// An operation is submitted.
     Submit {
-        /// The caller's number of it.
+        /// Identifies the operation in [`Action::Completed`].
         id: OperationId,
         /// The operation.
         operation: Operation<V>,
-        /// When it is reported as [`Outcome::Expired`] or [`Outcome::Unknown`] at the latest.
+        /// When it is completed as [`Outcome::Expired`] or [`Outcome::Unknown`] at the latest.
         deadline: Duration,
     },
-    /// Addresses of the other coordinators known, members or not. Replaces those told before.
+    /// Addresses of the other coordinators known, members or not. Replaces those set before.
     Peers(Vec<SocketAddr>),
     /// The machine is about to stop for good.
     Leaving,
-    /// Whether a majority is there is to be asked at once:
-    /// [`Node::quorum_confirmed_at`](crate::Node::quorum_confirmed_at) rises to this moment when it has
-    /// answered.
+    /// A heartbeat is to be sent at once: once a majority has acknowledged it,
+    /// [`Node::quorum_confirmed_at`](crate::Node::quorum_confirmed_at) is this moment.
     CheckQuorum,
-    /// The time last asked for by [`Action::Timer`] has come. Must also be the first event of a
-    /// node.
+    /// The time last set by [`Action::Timer`] has come. Must also be the first event of a node.
     Timer,
 }
 
@@ -44,33 +42,33 @@
 pub enum Action<V> {
     /// Send a message; it may be lost.
     Send {
-        /// Where to.
+        /// The address of the receiver.
         to: SocketAddr,
         /// The message.
         message: Message<V>,
     },
-    /// Make the record durable in place of the one before, then report [`Event::Persisted`]. One
-    /// write is under way at a time.
+    /// Make the record durable in place of the one before, then report [`Event::Persisted`]. At most
+    /// one write is in flight at a time.
     ///
     /// A write or sync that fails is not reported: the caller writes the whole record again, to
-    /// another file, until that is durable. Until then the replica votes for nothing new. That is
-    /// safe since a failed write is like one that a crash interrupts: the record may be found on
-    /// the disk later or not, and no reply rests on it.
+    /// another file, until that is durable. Until then the replica promises and accepts nothing new.
+    /// That is safe since a failed write is like one that a crash interrupts: the record may be found
+    /// on the disk later or not, and no reply depends on it.
     Persist(Write<V>),
     /// An operation has ended.
     Completed {
-        /// The caller's number of it.
+        /// The operation that was submitted.
         id: OperationId,
         /// How it ended.
         outcome: Outcome<V>,
     },
-    /// A newer state is known as chosen. The first one of a life was read from a majority, so that
-    /// none is older than what an earlier life has acknowledged.
+    /// A newer state is known as chosen. The first one after a start was read from a majority, so
+    /// that none is older than what the node acknowledged before it restarted.
     Learned(Arc<State<V>>),
     /// The settings say that the whole system starts for the first time, but another coordinator
-    /// knows more: this replica's disk was lost, and it takes another identity.
+    /// knows more: this replica's disk was lost, and it takes a new identity.
     DiskLost,
-    /// Report [`Event::Timer`] at that time; replaces the one asked for before.
+    /// Report [`Event::Timer`] at that time; replaces the time set before.
     Timer(Duration),
 }
 
@@ -90,14 +88,14 @@
         /// The initial value; equal at each of them.
         value: V,
     },
-    /// The disk is empty: a replica of a new identity, which is no member.
+    /// The disk is empty: a replica of a new identity, which isn't a member.
     Empty {
         /// The identity, drawn at random.
         identity: Identity,
     },
 }
 
-/// The place of a node.
+/// Where a node runs.
 #[derive(Clone, Debug)]
 pub struct NodeLocation {
     /// Address at which the others reach it.
--- /dev/null
+++ b/crates/register/src/node/reconfiguration.rs
@@ -0,0 +1,53 @@
+//! The node's part in the reconfiguration of the replica set: it reports what the decision needs,
+//! and proposes the change that is due.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use crate::node::{Action, Node};
+use crate::operation::Operation;
+use crate::reconfiguration::DueChange;
+
+impl<V: Clone> Node<V> {
+    /// Reports to the others at once that a member has become unreachable, or reachable again.
+    pub(super) fn report_unreachable(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
+        let members = self
+            .learner
+            .chosen()
+            .map(|proposal| &proposal.state.members);
+        let unreachable = members
+            .map(|members| self.controller.unreachable_members(now, members))
+            .unwrap_or_default();
+        if unreachable != self.background.unreachable {
+            self.background.unreachable = unreachable;
+            self.broadcast_status(actions);
+        }
+    }
+
+    /// Gives up the membership while the disk completes no write: a replica that can't vote is of no
+    /// use as a member.
+    pub(super) fn report_disk_stall(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
+        let timeout = self.settings.unreachable_timeout;
+        let is_stalled = self
+            .background
+            .writing_since
+            .is_some_and(|since| now >= since + timeout);
+        if is_stalled != self.background.is_disk_stalled {
+            self.background.is_disk_stalled = is_stalled;
+            self.controller.set_leaving(self.is_leaving());
+            self.broadcast_status(actions);
+        }
+    }
+
+    /// Proposes the replica change that is due, if any.
+    pub(super) fn change_replicas(&mut self, now: Duration) {
+        let Some(state) = self.chosen().map(Arc::clone) else {
+            return;
+        };
+        if let Some(DueChange { expected, change }) =
+            self.controller.due_change(now, &state.members)
+        {
+            self.submit_internal(now, Operation::ChangeReplicas { expected, change });
+        }
+    }
+}
--- /dev/null
+++ b/crates/register/src/node/recovery.rs
@@ -0,0 +1,61 @@
+//! How a node starts from its record, or without one.
+
+use std::net::SocketAddr;
+
+use crate::acceptor::{Acceptor, Record};
+use crate::ballot::Identity;
+use crate::bootstrap::BootstrapCheck;
+use crate::guard::Guard;
+use crate::node::RecordSource;
+use crate::settings::Settings;
+
+/// What a node starts with.
+pub(super) struct Recovery<V> {
+    pub(super) acceptor: Acceptor<V>,
+    /// The bootstrap check, if one is needed before the node may vote.
+    pub(super) bootstrap_check: Option<BootstrapCheck<V>>,
+}
+
+impl<V: Clone> Recovery<V> {
+    /// Starts a node at the address from the source.
+    pub(super) fn new(source: RecordSource<V>, own: SocketAddr, settings: &Settings) -> Self {
+        let guards = settings.guards;
+        match source {
+            RecordSource::Durable(record) => Self {
+                bootstrap_check: Self::restart_check(own, &record, settings),
+                acceptor: Acceptor::recovered(record, guards),
+            },
+            RecordSource::Unsynced(record) => Self {
+                bootstrap_check: Self::restart_check(own, &record, settings),
+                acceptor: Acceptor::unsynced(record, guards),
+            },
+            RecordSource::Bootstrap { members, value } if guards.keeps(Guard::BootstrapCheck) => {
+                let timeout = settings.bootstrap_timeout;
+                let blank = Record::empty(Identity::from_seed_address(own));
+                Self {
+                    bootstrap_check: Some(BootstrapCheck::new(own, members, value, timeout)),
+                    acceptor: Acceptor::recovered(blank, guards),
+                }
+            }
+            RecordSource::Bootstrap { members, value } => Self {
+                bootstrap_check: None,
+                acceptor: Acceptor::unsynced(Record::bootstrap(own, &members, value), guards),
+            },
+            RecordSource::Empty { identity } => Self {
+                bootstrap_check: None,
+                acceptor: Acceptor::unsynced(Record::empty(identity), guards),
+            },
+        }
+    }
+
+    fn restart_check(
+        own: SocketAddr,
+        record: &Record<V>,
+        settings: &Settings,
+    ) -> Option<BootstrapCheck<V>> {
+        if !settings.guards.keeps(Guard::RestartBeforeFirstVote) {
+            return None;
+        }
+        BootstrapCheck::restarted(own, record, settings.bootstrap_timeout)
+    }
+}
--- a/crates/register/src/node/status.rs
+++ b/crates/register/src/node/status.rs
@@ -1,4 +1,5 @@
-//! What the nodes tell one another of themselves, and how one that is behind learns what is chosen.
+//! Status messages: each node reports its own status to all others, and one that is behind fetches
+//! the chosen state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,45 +10,32 @@
 use crate::state::Proposal;
 
 impl<V: Clone> Node<V> {
-    pub(super) fn receive_status(
-        &mut self,
-        now: Duration,
-        from: SocketAddr,
-        status: &NodeStatus,
-        actions: &mut Vec<Action<V>>,
-    ) {
-        let told = status.chosen;
-        let is_behind = told.map(|digest| digest.sequence) < self.learner.sequence();
-        if let Some(digest) = told {
-            self.receive_chosen_version(now, from, digest, actions);
-        }
-        if is_behind {
-            self.send(from, self.status(), actions);
+    /// Sends the status of this node to all other coordinators.
+    pub(super) fn broadcast_status(&self, actions: &mut Vec<Action<V>>) {
+        for address in self.other_addresses() {
+            self.send(address, self.status(), actions);
         }
     }
 
-    fn receive_chosen_version(
+    /// Compares what another node knows as chosen with what this one does: the one that is behind
+    /// is brought up to date.
+    pub(super) fn compare_chosen(
         &mut self,
         now: Duration,
         from: SocketAddr,
-        digest: ChosenVersion,
+        reported: Option<ChosenVersion>,
         actions: &mut Vec<Action<V>>,
     ) {
-        if self.learner.learn_ballot(digest.ballot, digest.sequence) {
-            return;
+        let is_sender_behind = reported.map(|version| version.sequence) < self.learner.sequence();
+        if let Some(version) = reported {
+            self.learn_version(now, from, version, actions);
         }
-        match self
-            .acceptor
-            .accepted()
-            .filter(|held| held.ballot == digest.ballot)
-            .cloned()
-        {
-            Some(held) => self.learn(&held, actions),
-            None => self.fetch(now, from, digest.ballot, actions),
+        if is_sender_behind {
+            self.send(from, self.status(), actions);
         }
     }
 
-    /// Asks for a chosen state, unless it is known or was asked for just now.
+    /// Fetches a chosen state, unless it is known or being fetched.
     pub(super) fn fetch(
         &mut self,
         now: Duration,
@@ -59,35 +47,46 @@
             .learner
             .chosen()
             .is_some_and(|chosen| chosen.ballot >= ballot);
-        if is_known
-            || !self
-                .background
-                .may_fetch(now, ballot, self.settings.retransmit_interval)
-        {
+        let timeout = self.settings.retransmit_interval;
+        if is_known || !self.background.begin_fetch(now, ballot, timeout) {
             return;
         }
         let known = self.learner.ballot();
         self.send(from, MessageBody::FetchState { known }, actions);
     }
 
+    /// Learns that a version is chosen; its state is fetched only if this node hasn't accepted it
+    /// itself.
+    fn learn_version(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        version: ChosenVersion,
+        actions: &mut Vec<Action<V>>,
+    ) {
+        let is_state_known = self.learner.learn_ballot(version.ballot, version.sequence);
+        if is_state_known {
+            return;
+        }
+        let accepted = self.acceptor.accepted();
+        let accepted = accepted.filter(|accepted| accepted.ballot == version.ballot);
+        match accepted.cloned() {
+            Some(accepted) => self.learn(&accepted, actions),
+            None => self.fetch(now, from, version.ballot, actions),
+        }
+    }
+
     fn status(&self) -> MessageBody<V> {
-        let digest = |proposal: &Proposal<V>| ChosenVersion {
+        let version = |proposal: &Proposal<V>| ChosenVersion {
             ballot: proposal.ballot,
             sequence: proposal.state.sequence,
         };
         MessageBody::Status(NodeStatus {
-            chosen: self.learner.chosen().map(digest),
+            chosen: self.learner.chosen().map(version),
             zone: self.location.zone.clone(),
             leaving: self.is_leaving(),
             unreachable: self.background.unreachable.clone(),
             participation: self.participation(),
         })
     }
-
-    /// Tells all coordinators known what is chosen here.
-    pub(super) fn broadcast_status(&self, actions: &mut Vec<Action<V>>) {
-        for address in self.other_addresses() {
-            self.send(address, self.status(), actions);
-        }
-    }
 }
--- a/crates/register/src/operation.rs
+++ b/crates/register/src/operation.rs
@@ -35,7 +35,7 @@
     Unknown,
 }
 
-/// A change as a pure function of the value (the change function of Rystsov 2018, section 2.2). It
+/// A change as a pure function of the value (the change function of Rystsov 2018, section 2). It
 /// may be applied several times to different values, and must return [`Decision::Unchanged`] for a
 /// value that already contains it: this makes it idempotent.
 pub trait Transition<V>: Send + Sync {
--- a/crates/register/src/proposer.rs
+++ b/crates/register/src/proposer.rs
@@ -1,14 +1,15 @@
-//! The proposer: a queue of operations, one round at a time, all that wait decided by one
-//! acceptance.
+//! The proposer: a queue of operations and one round at a time; all operations in the queue are
+//! decided by one acceptance (Rystsov 2018, section 2).
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::ballot::{Ballot, Identity};
+use crate::ballot::Identity;
 use crate::message::{Reply, ReplyBody, RoundId};
 use crate::operation::Pending;
 use crate::proposer::batch::Batch;
-use crate::proposer::rounds::send;
+use crate::proposer::pacing::Deference;
+use crate::proposer::rounds::{Start, send_requests};
 use crate::random::Random;
 use crate::replicas::Replica;
 use crate::round::Round;
@@ -24,15 +25,15 @@
 pub use effect::ProposerMetrics;
 pub(crate) use effect::{Context, Effect};
 
-/// The round under way.
+/// The active round.
 struct Active<V> {
     round: Round<V>,
-    /// Arrivals below this one were there when the round began.
-    horizon: u64,
-    started: Duration,
-    resend: Duration,
+    /// Operations of this arrival number and later weren't submitted yet when the round began.
+    first_excluded_arrival: u64,
+    started_at: Duration,
+    retransmit_at: Duration,
     /// When a quorum was found to disagree.
-    disagreed: Option<Duration>,
+    disagreed_at: Option<Duration>,
     batch: Batch<V>,
 }
 
@@ -43,23 +44,33 @@
     random: Random,
     queue: VecDeque<Pending<V>>,
     active: Option<Active<V>>,
+    /// Number of operations submitted.
     arrivals: u64,
     last_round: RoundId,
+    /// Highest ballot counter used or seen in a conflict.
     last_counter: u64,
+    /// Conflicts since a round last had a result.
     conflicts: u32,
+    /// Queries that ended in disagreement since a round last had a result.
     disagreements: u32,
-    /// Another proposer's ballot that is given way to, and until when any is.
-    deference: Option<(Ballot, Duration)>,
+    deference: Option<Deference>,
+    /// No round begins before this.
     wait_until: Duration,
-    /// The next round waits for a reserved counter or for any state at all.
-    blocked: bool,
+    /// Whether the next round waits for a reserved counter or a first state.
+    is_blocked: bool,
+    /// Average round trip time of a quorum.
     round_trip: Duration,
-    counters: ProposerMetrics,
+    metrics: ProposerMetrics,
 }
 
 impl<V: Clone> Proposer<V> {
-    /// A proposer whose earlier lives used counters up to `used`.
-    pub(crate) fn new(identity: Identity, used: u64, seed: u64, settings: Settings) -> Self {
+    /// A proposer whose earlier incarnations may have used counters up to `used_counter`.
+    pub(crate) fn new(
+        identity: Identity,
+        used_counter: u64,
+        seed: u64,
+        settings: Settings,
+    ) -> Self {
         let mut random = Random::new(seed);
         Self {
             identity,
@@ -70,31 +81,33 @@
             queue: VecDeque::new(),
             active: None,
             arrivals: 0,
-            last_counter: used,
+            last_counter: used_counter,
             conflicts: 0,
             disagreements: 0,
             deference: None,
             wait_until: Duration::ZERO,
-            blocked: false,
-            counters: ProposerMetrics::default(),
+            is_blocked: false,
+            metrics: ProposerMetrics::default(),
         }
     }
 
-    /// Goes on under another identity; only while no ballot has been used.
+    /// Continues under another identity; only while no ballot has been used.
     pub(crate) fn set_identity(&mut self, identity: Identity) {
         self.identity = identity;
     }
 
-    pub(crate) fn proposer_metrics(&self) -> ProposerMetrics {
-        self.counters
+    /// Counts of the rounds.
+    pub(crate) fn metrics(&self) -> ProposerMetrics {
+        self.metrics
     }
 
-    /// Whether any operation is on its way.
+    /// Whether any operation is queued or in a round.
     pub(crate) fn is_busy(&self) -> bool {
         !self.queue.is_empty() || self.active.is_some()
     }
 
-    /// Counts a reply to the round under way.
+    /// Counts a reply to the active round. A reply may show a newer membership; its replicas then
+    /// receive the request too.
     pub(crate) fn reply(
         &mut self,
         now: Duration,
@@ -112,20 +125,23 @@
         else {
             return;
         };
-        let asked = active.round.awaiting_reply();
+        let requested = active.round.awaiting_reply();
         active.round.record_reply(from, reply.body);
-        let reached =
-            |replica: &Replica| asked.iter().any(|known| known.identity == replica.identity);
-        let found_more = active
+        let is_requested = |replica: &Replica| {
+            requested
+                .iter()
+                .any(|known| known.identity == replica.identity)
+        };
+        let added = active
             .round
             .awaiting_reply()
             .into_iter()
-            .filter(|replica| !reached(replica));
-        send(&active.round, found_more.collect(), effects);
+            .filter(|replica| !is_requested(replica));
+        send_requests(&active.round, added.collect(), effects);
         self.advance(now, effects);
     }
 
-    /// Does what time and the queue call for.
+    /// Does what the time and the queue require.
     pub(crate) fn poll(
         &mut self,
         now: Duration,
@@ -136,27 +152,30 @@
         self.check_round(now, effects);
         self.end_deference(now, context);
         let is_due = self.active.is_none() && now >= self.wait_until && !self.queue.is_empty();
-        self.blocked = is_due && !self.start(now, context, effects);
+        self.is_blocked = is_due && self.start(now, context, effects) == Start::Blocked;
     }
 
     /// When `poll` is due next.
-    pub(crate) fn wake(&self) -> Option<Duration> {
-        let deadlines = self.queue.iter().map(|pending| pending.deadline);
-        let batch = self
+    pub(crate) fn next_wakeup(&self) -> Option<Duration> {
+        let queued = self.queue.iter().map(|pending| pending.deadline);
+        let batched = self
             .active
             .iter()
             .flat_map(|active| active.batch.deadlines());
-        let round = self.active.iter().map(|active| self.round_wake(active));
-        let is_idle = self.active.is_none() && !self.queue.is_empty() && !self.blocked;
-        let wait = is_idle.then_some(self.wait_until);
-        deadlines.chain(batch).chain(round).chain(wait).min()
+        let round = self.active.iter().map(|active| self.round_wakeup(active));
+        let is_waiting = self.active.is_none() && !self.queue.is_empty() && !self.is_blocked;
+        let wait = is_waiting.then_some(self.wait_until);
+        queued.chain(batched).chain(round).chain(wait).min()
     }
 
-    fn round_wake(&self, active: &Active<V>) -> Duration {
-        let patience = active
-            .disagreed
+    fn round_wakeup(&self, active: &Active<V>) -> Duration {
+        let timeout = active.started_at + self.settings.round_timeout;
+        let disagreement = active
+            .disagreed_at
             .map(|since| since + self.settings.disagreement_timeout);
-        let limit = active.started + self.settings.round_timeout;
-        active.resend.min(limit).min(patience.unwrap_or(limit))
+        active
+            .retransmit_at
+            .min(timeout)
+            .min(disagreement.unwrap_or(timeout))
     }
 }
--- a/crates/register/src/proposer/batch.rs
+++ b/crates/register/src/proposer/batch.rs
@@ -1,4 +1,5 @@
-//! Operations that one acceptance decides together.
+//! Operations that one acceptance decides together: each is applied to the result of the ones before
+//! it. Batching lets any number of queued operations share two round trips.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,20 +14,60 @@
 use crate::round::QuorumRead;
 use crate::state::{HistoryLookup, State};
 
-/// What an operation came to, to be reported once the state is chosen.
+/// The result of an operation, valid once the batch's state is chosen.
 #[derive(Clone, Debug)]
-enum Verdict {
+enum TentativeResult {
     Read,
     Written,
     Unchanged,
     Rejected(RejectionReason),
     Unknown,
     /// Something else has to be decided first.
-    Wait,
+    Deferred,
 }
 
-/// Operations with their verdicts.
-pub(super) struct Batch<V>(Vec<(Pending<V>, Verdict)>);
+impl TentativeResult {
+    /// The outcome by the chosen state; none for a deferred operation.
+    fn outcome<V>(self, state: &Arc<State<V>>) -> Option<Outcome<V>> {
+        let state = Arc::clone(state);
+        match self {
+            Self::Read => Some(Outcome::Read(state)),
+            Self::Written => Some(Outcome::Written(state)),
+            Self::Unchanged => Some(Outcome::Unchanged(state)),
+            Self::Rejected(reason) => Some(Outcome::Rejected { reason, state }),
+            Self::Unknown => Some(Outcome::Unknown),
+            Self::Deferred => None,
+        }
+    }
+}
+
+/// An operation of a batch with its result.
+struct Entry<V> {
+    pending: Pending<V>,
+    result: TentativeResult,
+}
+
+/// Operations that are decided together.
+pub(super) struct Batch<V>(Vec<Entry<V>>);
+
+/// A batch and the state by which its operations are decided.
+pub(super) struct Assembled<V> {
+    pub(super) batch: Batch<V>,
+    pub(super) state: Arc<State<V>>,
+}
+
+/// What a chosen state makes of a batch.
+pub(super) struct Completion<V> {
+    pub(super) completed: Vec<Completed<V>>,
+    /// Operations that have to wait for another round.
+    pub(super) undecided: Vec<Pending<V>>,
+}
+
+/// A completed operation.
+pub(super) struct Completed<V> {
+    pub(super) id: Option<OperationId>,
+    pub(super) outcome: Outcome<V>,
+}
 
 impl<V> Default for Batch<V> {
     fn default() -> Self {
@@ -34,142 +75,134 @@
     }
 }
 
-/// The state as it grows by the operations of a batch.
-struct Draft<V> {
-    members: Membership,
-    value: Arc<V>,
-    changed: bool,
-    settled: bool,
-}
-
 impl<V: Clone> Batch<V> {
-    /// Applies the operations to the state found. Returns them with the state to be accepted: the
-    /// one found where nothing changes.
+    /// Applies the operations to the state that was read. The state to be accepted is the one that
+    /// was read if nothing changes.
     pub(super) fn assemble(
         operations: impl Iterator<Item = Pending<V>>,
-        found: &QuorumRead<V>,
+        read: &QuorumRead<V>,
         ballot: Ballot,
         guards: Guards,
-    ) -> (Self, Arc<State<V>>) {
-        let state = &found.proposal.state;
-        let mut draft = Draft::of(found, guards);
+    ) -> Assembled<V> {
+        let state = &read.proposal.state;
+        let mut draft = Draft::new(read, guards);
         let mut entries = Vec::new();
         for mut pending in operations {
-            let verdict = draft.apply(&pending, state);
-            if matches!(verdict, Verdict::Written) {
+            let result = draft.apply(&pending, state);
+            if matches!(result, TentativeResult::Written) {
                 pending.attempts.push(Attempt {
                     sequence: state.sequence + 1,
                     ballot,
                 });
             }
-            entries.push((pending, verdict));
+            entries.push(Entry { pending, result });
+        }
+        Assembled {
+            batch: Self(entries),
+            state: draft.finish(state, ballot),
         }
-        (Self(entries), draft.finish(state, ballot))
     }
 
-    /// Takes out the operations whose deadline has passed.
-    pub(super) fn expire(&mut self, now: Duration) -> Vec<(Option<OperationId>, Outcome<V>)> {
-        let is_late = |(pending, _): &mut (Pending<V>, Verdict)| pending.deadline <= now;
-        let late = self.0.extract_if(.., is_late);
-        late.map(|(pending, _)| {
-            let outcome = if pending.attempts.is_empty() {
-                Outcome::Expired
-            } else {
-                Outcome::Unknown
-            };
-            (pending.id, outcome)
-        })
-        .collect()
+    /// Removes the operations whose deadline has passed.
+    pub(super) fn expire(&mut self, now: Duration) -> Vec<Pending<V>> {
+        self.0
+            .extract_if(.., |entry| entry.pending.deadline <= now)
+            .map(|entry| entry.pending)
+            .collect()
     }
 
-    /// Whether a change gets its answer from the state as it was found.
+    /// Whether a change of the value is answered although it alters nothing.
     pub(super) fn answers_unchanged(&self) -> bool {
-        let is_answer = |(pending, verdict): &(Pending<V>, Verdict)| {
-            matches!(pending.operation, Operation::Change(_))
-                && matches!(verdict, Verdict::Unchanged | Verdict::Rejected(_))
-        };
-        self.0.iter().any(is_answer)
+        self.0.iter().any(|entry| {
+            matches!(entry.pending.operation, Operation::Change(_))
+                && matches!(
+                    entry.result,
+                    TentativeResult::Unchanged | TentativeResult::Rejected(_)
+                )
+        })
     }
 
+    /// The deadlines of the operations.
     pub(super) fn deadlines(&self) -> impl Iterator<Item = Duration> {
-        self.0.iter().map(|(pending, _)| pending.deadline)
+        self.0.iter().map(|entry| entry.pending.deadline)
     }
 
     /// The operations, undecided.
     pub(super) fn into_pending(self) -> Vec<Pending<V>> {
-        self.0.into_iter().map(|(pending, _)| pending).collect()
+        self.0.into_iter().map(|entry| entry.pending).collect()
     }
 
-    /// The outcomes by a chosen state, and the operations that must wait: those from the horizon
-    /// on.
-    pub(super) fn settle(self, horizon: u64, state: &Arc<State<V>>) -> Settled<V> {
-        let (mut outcomes, mut waiting) = (Vec::new(), Vec::new());
-        for (pending, verdict) in self.0 {
-            match verdict.outcome(state).filter(|_| pending.arrival < horizon) {
-                Some(outcome) => outcomes.push((pending.id, outcome)),
-                None => waiting.push(pending),
+    /// The outcomes by a chosen state. Deferred operations and those that arrived from
+    /// `first_excluded` on stay undecided.
+    pub(super) fn complete(self, first_excluded: u64, state: &Arc<State<V>>) -> Completion<V> {
+        let (mut completed, mut undecided) = (Vec::new(), Vec::new());
+        for Entry { pending, result } in self.0 {
+            let outcome = result.outcome(state);
+            match outcome.filter(|_| pending.arrival < first_excluded) {
+                Some(outcome) => completed.push(Completed {
+                    id: pending.id,
+                    outcome,
+                }),
+                None => undecided.push(pending),
             }
         }
-        (outcomes, waiting)
+        Completion {
+            completed,
+            undecided,
+        }
     }
 }
 
-/// Outcomes to report and operations that wait on.
-type Settled<V> = (Vec<(Option<OperationId>, Outcome<V>)>, Vec<Pending<V>>);
-
-impl Verdict {
-    fn outcome<V>(self, state: &Arc<State<V>>) -> Option<Outcome<V>> {
-        let state = Arc::clone(state);
-        match self {
-            Self::Read => Some(Outcome::Read(state)),
-            Self::Written => Some(Outcome::Written(state)),
-            Self::Unchanged => Some(Outcome::Unchanged(state)),
-            Self::Rejected(reason) => Some(Outcome::Rejected { reason, state }),
-            Self::Unknown => Some(Outcome::Unknown),
-            Self::Wait => None,
-        }
-    }
+/// The state as the operations of a batch change it.
+struct Draft<V> {
+    members: Membership,
+    value: Arc<V>,
+    is_changed: bool,
+    /// Whether a joint membership is left.
+    leaves_joint: bool,
 }
 
 impl<V: Clone> Draft<V> {
-    /// Begins with the state found. Where it holds two replica sets and is known as chosen, the old
-    /// one is left.
-    fn of(found: &QuorumRead<V>, guards: Guards) -> Self {
-        let state = &found.proposal.state;
+    /// Begins with the state that was read. If its membership is joint and it is chosen, the old set
+    /// is left. While it isn't chosen, an older state may still be, by the old set alone (Raft,
+    /// Ongaro and Ousterhout 2014, section 6).
+    fn new(read: &QuorumRead<V>, guards: Guards) -> Self {
+        let state = &read.proposal.state;
         let value = Arc::clone(&state.value);
-        let settled = found.is_chosen || !guards.keeps(Guard::JointChosenFirst);
+        let may_leave = read.is_chosen || !guards.keeps(Guard::JointChosenFirst);
         match &state.members.next {
-            Some(next) if settled => Self {
+            Some(next) if may_leave => Self {
                 members: Membership::single(next.clone()),
                 value,
-                changed: true,
-                settled: true,
+                is_changed: true,
+                leaves_joint: true,
             },
             _ => Self {
                 members: state.members.clone(),
                 value,
-                changed: false,
-                settled: false,
+                is_changed: false,
+                leaves_joint: false,
             },
         }
     }
 
-    fn apply(&mut self, pending: &Pending<V>, found: &State<V>) -> Verdict {
-        match earlier_attempts(pending, found) {
-            HistoryLookup::Included => return Verdict::Written,
-            HistoryLookup::Truncated => return Verdict::Unknown,
+    fn apply(&mut self, pending: &Pending<V>, read: &State<V>) -> TentativeResult {
+        match lookup_attempts(pending, read) {
+            HistoryLookup::Included => return TentativeResult::Written,
+            HistoryLookup::Truncated => return TentativeResult::Unknown,
             HistoryLookup::Excluded => {}
         }
         match &pending.operation {
-            Operation::Read => Verdict::Read,
-            Operation::LeaveJoint if self.members.is_joint() => Verdict::Wait,
-            Operation::LeaveJoint => Verdict::Unchanged,
+            Operation::Read => TentativeResult::Read,
+            Operation::LeaveJoint if self.members.is_joint() => TentativeResult::Deferred,
+            Operation::LeaveJoint => TentativeResult::Unchanged,
             Operation::Change(transition) => {
                 let decision = transition.apply(&self.value);
-                self.decided(decision)
+                self.apply_decision(decision)
             }
-            Operation::ChangeReplicas { .. } if self.members.is_joint() || self.settled => {
-                Verdict::Wait
+            // One change of the replica set at a time.
+            Operation::ChangeReplicas { .. } if self.members.is_joint() || self.leaves_joint => {
+                TentativeResult::Deferred
             }
             Operation::ChangeReplicas { expected, change } => {
                 self.change_replicas(expected, change)
@@ -177,60 +210,64 @@
         }
     }
 
-    /// Goes over to two sets.
-    fn change_replicas(&mut self, expected: &ReplicaSet, change: &ReplicaChange) -> Verdict {
+    /// Makes the membership joint.
+    fn change_replicas(
+        &mut self,
+        expected: &ReplicaSet,
+        change: &ReplicaChange,
+    ) -> TentativeResult {
         let current = &self.members.current;
         match change.apply_to(current) {
-            Ok(None) => Verdict::Unchanged,
+            Ok(None) => TentativeResult::Unchanged,
             Ok(Some(next)) if current.has_same_identities(expected) => {
                 self.members = Membership::joint(current.clone(), next);
-                self.changed = true;
-                Verdict::Written
+                self.is_changed = true;
+                TentativeResult::Written
             }
-            Ok(Some(_)) => Verdict::Rejected(ReplicaChangeError::Outdated.to_string()),
-            Err(error) => Verdict::Rejected(error.to_string()),
+            Ok(Some(_)) => TentativeResult::Rejected(ReplicaChangeError::Outdated.to_string()),
+            Err(error) => TentativeResult::Rejected(error.to_string()),
         }
     }
 
-    fn decided(&mut self, decision: Decision<V>) -> Verdict {
+    fn apply_decision(&mut self, decision: Decision<V>) -> TentativeResult {
         match decision {
             Decision::Write(value) => {
                 self.write(value);
-                Verdict::Written
+                TentativeResult::Written
             }
-            Decision::Unchanged => Verdict::Unchanged,
-            Decision::Reject(reason) => Verdict::Rejected(reason),
-            // Not an attempt of the change: if this isn't chosen, the change is applied anew.
+            Decision::Unchanged => TentativeResult::Unchanged,
+            Decision::Reject(reason) => TentativeResult::Rejected(reason),
+            // Not an attempt of the change: if this isn't chosen, the change is applied again.
             Decision::RejectAndWrite { value, reason } => {
                 self.write(value);
-                Verdict::Rejected(reason)
+                TentativeResult::Rejected(reason)
             }
-            Decision::Unknown => Verdict::Unknown,
+            Decision::Unknown => TentativeResult::Unknown,
         }
     }
 
     fn write(&mut self, value: V) {
         self.value = Arc::new(value);
-        self.changed = true;
+        self.is_changed = true;
     }
 
-    fn finish(self, found: &Arc<State<V>>, ballot: Ballot) -> Arc<State<V>> {
-        if !self.changed {
-            return Arc::clone(found);
+    fn finish(self, read: &Arc<State<V>>, ballot: Ballot) -> Arc<State<V>> {
+        if !self.is_changed {
+            return Arc::clone(read);
         }
-        Arc::new(found.successor(ballot, self.members, self.value))
+        Arc::new(read.successor(ballot, self.members, self.value))
     }
 }
 
 /// Whether an earlier attempt of the operation is part of the state's history.
-fn earlier_attempts<V>(pending: &Pending<V>, found: &State<V>) -> HistoryLookup {
-    let mut answer = HistoryLookup::Excluded;
+fn lookup_attempts<V>(pending: &Pending<V>, read: &State<V>) -> HistoryLookup {
+    let mut result = HistoryLookup::Excluded;
     for attempt in &pending.attempts {
-        match found.lookup_change(attempt.sequence, attempt.ballot) {
+        match read.lookup_change(attempt.sequence, attempt.ballot) {
             HistoryLookup::Included => return HistoryLookup::Included,
-            HistoryLookup::Truncated => answer = HistoryLookup::Truncated,
+            HistoryLookup::Truncated => result = HistoryLookup::Truncated,
             HistoryLookup::Excluded => {}
         }
     }
-    answer
+    result
 }
--- a/crates/register/src/proposer/effect.rs
+++ b/crates/register/src/proposer/effect.rs
@@ -1,4 +1,4 @@
-//! What the proposer is told by its node and what it wants done.
+//! What the proposer needs from its node and the effects that it returns.
 
 use crate::ballot::Ballot;
 use crate::message::Request;
@@ -10,44 +10,42 @@
 pub(crate) struct Context<'a, V> {
     /// Newest proposal known as chosen.
     pub(crate) chosen: Option<&'a Proposal<V>>,
-    /// What the node's own acceptor holds.
+    /// The proposal accepted by the node's own acceptor.
     pub(crate) accepted: Option<&'a Proposal<V>>,
     /// Highest counter that may be used in a ballot.
-    pub(crate) reserved: u64,
+    pub(crate) reserved_counter: u64,
     /// Highest ballot promised by the node's own acceptor.
     pub(crate) promised: Ballot,
 }
 
 /// What the proposer wants done.
 pub(crate) enum Effect<V> {
-    Send {
-        to: Replica,
-        request: Request<V>,
-    },
-    Done {
+    /// Send a request to a replica.
+    Send { to: Replica, request: Request<V> },
+    /// An operation has ended.
+    Completed {
         id: OperationId,
         outcome: Outcome<V>,
     },
-    Chosen {
-        proposal: Proposal<V>,
-        announce: bool,
-    },
-    Reserve {
-        counter: u64,
-    },
+    /// A quorum has reported a proposal that is chosen.
+    ReadChosen(Proposal<V>),
+    /// A quorum has accepted the proposal of this proposer: it is chosen, and others are to know.
+    Decided(Proposal<V>),
+    /// Reserve ballot counters up to this one and further.
+    Reserve { counter: u64 },
 }
 
-/// Counts of what a proposer has done.
+/// Counts of what a proposer has done since the node started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProposerMetrics {
-    /// Rounds of reports.
+    /// Rounds of queries begun.
     pub queries: u64,
-    /// Rounds of promises.
+    /// Prepare phases begun.
     pub prepares: u64,
-    /// Rounds of acceptances.
+    /// Accept phases begun.
     pub accepts: u64,
-    /// Rounds lost to a higher ballot.
+    /// Rounds lost to a higher ballot or a change of the replica set.
     pub conflicts: u64,
-    /// Rounds given up for want of answers.
+    /// Rounds abandoned because no quorum replied in time.
     pub timeouts: u64,
 }
--- a/crates/register/src/proposer/queries.rs
+++ b/crates/register/src/proposer/queries.rs
@@ -1,25 +1,25 @@
-//! Queries: reads completed without an acceptance, as long as quorums agree.
+//! Queries: reads completed without an acceptance, as long as the quorums agree. A read then costs
+//! one round trip and no disk write.
 
 use std::time::Duration;
 
 use super::batch::Batch;
-use super::pacing::smoothed;
 use super::{Context, Effect, Proposer};
 use crate::operation::Operation;
 use crate::round::{QuorumRead, Round};
 use crate::state::Proposal;
 
-/// Queries that may end in disagreement before a read is completed by an acceptance.
-const DISAGREEMENTS: u32 = 2;
+/// Number of queries that may end in disagreement before a read is completed by an acceptance.
+const MAX_DISAGREEMENTS: u32 = 2;
 
 impl<V: Clone> Proposer<V> {
-    /// Whether only reads wait, and queries haven't disagreed too often.
+    /// Whether the queue consists of reads only, and queries haven't disagreed too often.
     pub(super) fn may_query(&self) -> bool {
-        let reads_only = self
+        let are_all_reads = self
             .queue
             .iter()
             .all(|pending| matches!(pending.operation, Operation::Read));
-        reads_only && self.disagreements < DISAGREEMENTS
+        are_all_reads && self.disagreements < MAX_DISAGREEMENTS
     }
 
     /// A query of the members by the newest state known here.
@@ -40,42 +40,37 @@
         view: &Proposal<V>,
         effects: &mut Vec<Effect<V>>,
     ) {
-        self.counters.queries += 1;
+        self.metrics.queries += 1;
         let round = self.query(context, view);
         self.begin(now, round, Batch::default(), effects);
     }
 
-    /// Completes reads by what is confirmed; where a quorum disagrees, asks again or goes over to
-    /// promises.
+    /// Completes the reads with a chosen state. If the quorum disagrees, the round is abandoned after
+    /// a while, and the reads go to another query or to a prepare.
     pub(super) fn advance_query(
         &mut self,
         now: Duration,
-        found: &QuorumRead<V>,
+        read: &QuorumRead<V>,
         effects: &mut Vec<Effect<V>>,
     ) {
         let Some(active) = &mut self.active else {
             return;
         };
-        if found.is_chosen {
-            self.round_trip = smoothed(
-                self.round_trip,
-                now - active.started,
-                self.settings.retransmit_interval,
-            );
-            let horizon = active.horizon;
+        if read.is_chosen {
+            let sample = now - active.started_at;
+            let first_excluded = active.first_excluded_arrival;
+            self.record_round_trip(sample);
             self.finish_round();
-            effects.push(Effect::Chosen {
-                proposal: found.proposal.clone(),
-                announce: false,
-            });
-            self.complete_reads(horizon, &found.proposal.state, effects);
+            effects.push(Effect::ReadChosen(read.proposal.clone()));
+            self.complete_reads(first_excluded, &read.proposal.state, effects);
             return;
         }
-        let since = *active.disagreed.get_or_insert(now);
-        if active.round.have_all_replied() || now >= since + self.settings.disagreement_timeout {
+        let since = *active.disagreed_at.get_or_insert(now);
+        let timeout = self.settings.disagreement_timeout;
+        if active.round.have_all_replied() || now >= since + timeout {
             self.disagreements += 1;
-            let wait = self.random.below(self.settings.disagreement_timeout);
-            self.give_up(now, wait);
+            let wait = self.random.below(timeout);
+            self.abandon_round(now, wait);
         }
     }
 }
--- a/crates/register/src/proposer/queue.rs
+++ b/crates/register/src/proposer/queue.rs
@@ -5,13 +5,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::batch::Batch;
+use super::batch::{Batch, Completion};
 use super::{Effect, Proposer};
 use crate::operation::{Operation, OperationId, Outcome, Pending};
 use crate::state::State;
 
 impl<V: Clone> Proposer<V> {
-    /// Queues an operation; `deadline` is a time of the node's clock.
+    /// Queues an operation; `deadline` is a time of the node's clock. Nobody awaits the outcome of an
+    /// operation without `id`.
     pub(crate) fn submit(
         &mut self,
         id: Option<OperationId>,
@@ -29,72 +30,71 @@
         });
     }
 
-    /// Reports the operations whose deadline has passed.
+    /// Completes the operations whose deadline has passed.
     pub(super) fn expire(&mut self, now: Duration, effects: &mut Vec<Effect<V>>) {
         let (expired, live): (VecDeque<_>, VecDeque<_>) = self
             .queue
             .drain(..)
             .partition(|pending| pending.deadline <= now);
         self.queue = live;
-        for pending in expired {
-            let outcome = if pending.attempts.is_empty() {
-                Outcome::Expired
-            } else {
-                Outcome::Unknown
-            };
-            done(pending.id, outcome, effects);
-        }
-        if let Some(active) = &mut self.active {
-            for (id, outcome) in active.batch.expire(now) {
-                done(id, outcome, effects);
-            }
+        let expired_in_round = match &mut self.active {
+            Some(active) => active.batch.expire(now),
+            None => Vec::new(),
+        };
+        for pending in expired.into_iter().chain(expired_in_round) {
+            complete(pending.id, pending.outcome_at_deadline(), effects);
         }
     }
 
-    /// Answers the reads that arrived before `horizon` by a confirmed state.
+    /// Completes the reads that arrived before `first_excluded` with a chosen state. A read that
+    /// arrived after the round began could miss a change that was acknowledged before it arrived.
     pub(super) fn complete_reads(
         &mut self,
-        horizon: u64,
+        first_excluded: u64,
         state: &Arc<State<V>>,
         effects: &mut Vec<Effect<V>>,
     ) {
         let is_served = |pending: &Pending<V>| {
-            pending.arrival < horizon && matches!(pending.operation, Operation::Read)
+            pending.arrival < first_excluded && matches!(pending.operation, Operation::Read)
         };
         let (served, rest): (VecDeque<_>, VecDeque<_>) = self.queue.drain(..).partition(is_served);
         self.queue = rest;
         for pending in served {
-            done(pending.id, Outcome::Read(Arc::clone(state)), effects);
+            complete(pending.id, Outcome::Read(Arc::clone(state)), effects);
         }
     }
 
-    /// Reports the outcomes of a batch by a chosen state; what arrived after the horizon waits on.
-    pub(super) fn settle(
+    /// Completes the operations of a batch with a chosen state; those that arrived from
+    /// `first_excluded` on return to the queue.
+    pub(super) fn complete_batch(
         &mut self,
         batch: Batch<V>,
-        horizon: u64,
+        first_excluded: u64,
         state: &Arc<State<V>>,
         effects: &mut Vec<Effect<V>>,
     ) {
-        let (outcomes, waiting) = batch.settle(horizon, state);
-        for (id, outcome) in outcomes {
-            done(id, outcome, effects);
+        let Completion {
+            completed,
+            undecided,
+        } = batch.complete(first_excluded, state);
+        for operation in completed {
+            complete(operation.id, operation.outcome, effects);
         }
-        self.requeue(waiting);
+        self.requeue(undecided);
     }
 
-    /// Puts undecided operations back in the order of their arrival.
-    pub(super) fn requeue(&mut self, waiting: Vec<Pending<V>>) {
-        self.queue.extend(waiting);
+    /// Returns undecided operations to the queue in the order of their arrival.
+    pub(super) fn requeue(&mut self, undecided: Vec<Pending<V>>) {
+        self.queue.extend(undecided);
         self.queue
             .make_contiguous()
             .sort_by_key(|pending| pending.arrival);
     }
 }
 
-/// Reports the outcome of an operation that somebody waits for.
-fn done<V>(id: Option<OperationId>, outcome: Outcome<V>, effects: &mut Vec<Effect<V>>) {
+/// Reports the outcome of an operation whose outcome is awaited.
+fn complete<V>(id: Option<OperationId>, outcome: Outcome<V>, effects: &mut Vec<Effect<V>>) {
     if let Some(id) = id {
-        effects.push(Effect::Done { id, outcome });
+        effects.push(Effect::Completed { id, outcome });
     }
 }
--- a/crates/register/src/proposer/rounds.rs
+++ b/crates/register/src/proposer/rounds.rs
@@ -1,49 +1,55 @@
-//! Rounds: begun one at a time, sent again where replies are missing, decided by one acceptance.
+//! Rounds: begun one at a time, with requests sent again where replies are missing, decided by one
+//! acceptance.
 
 use std::time::Duration;
 
-use super::batch::Batch;
-use super::pacing::smoothed;
+use super::batch::{Assembled, Batch};
 use super::{Active, Context, Effect, Proposer};
 use crate::ballot::Ballot;
 use crate::guard::Guard;
 use crate::message::{Request, RoundId};
 use crate::replicas::Replica;
 use crate::round::{Phase, QuorumRead, Round};
-use crate::state::Proposal;
+use crate::state::{Proposal, newest};
+
+/// Whether the next round could begin.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Start {
+    /// It has begun, or waits for another proposer's round.
+    Possible,
+    /// A reserved counter or a first state is missing.
+    Blocked,
+}
 
 impl<V: Clone> Proposer<V> {
-    /// Begins the next round; false if a counter or a first state is missing.
+    /// Begins the next round, if it can.
     pub(super) fn start(
         &mut self,
         now: Duration,
         context: &Context<'_, V>,
         effects: &mut Vec<Effect<V>>,
-    ) -> bool {
-        let view = [context.chosen, context.accepted]
-            .into_iter()
-            .flatten()
-            .max_by_key(|held| held.ballot);
-        let Some(view) = view else {
-            return false;
+    ) -> Start {
+        let Some(view) = newest(context.chosen, context.accepted) else {
+            return Start::Blocked;
         };
         if self.may_query() {
             self.start_query(now, context, view, effects);
-            return true;
+            return Start::Possible;
         }
-        if self.gives_way(now, context) {
-            return true;
+        if self.defers(now, context) {
+            return Start::Possible;
         }
-        let Some(ballot) = self.next_ballot(view.ballot.counter, context.reserved, effects) else {
-            return false;
+        let reserved = context.reserved_counter;
+        let Some(ballot) = self.next_ballot(view.ballot.counter, reserved, effects) else {
+            return Start::Blocked;
         };
-        self.counters.prepares += 1;
+        self.metrics.prepares += 1;
         let query = self.query(context, view);
         self.begin(now, query.into_prepare(ballot), Batch::default(), effects);
-        true
+        Start::Possible
     }
 
-    /// Sends the round's requests and makes it the one under way.
+    /// Sends the round's requests and makes it the active one.
     pub(super) fn begin(
         &mut self,
         now: Duration,
@@ -51,18 +57,19 @@
         batch: Batch<V>,
         effects: &mut Vec<Effect<V>>,
     ) {
-        send(&round, round.awaiting_reply(), effects);
+        send_requests(&round, round.awaiting_reply(), effects);
         self.deference = None;
         self.active = Some(Active {
             round,
-            horizon: self.arrivals,
-            started: now,
-            resend: now + self.settings.retransmit_interval,
-            disagreed: None,
+            first_excluded_arrival: self.arrivals,
+            started_at: now,
+            retransmit_at: now + self.settings.retransmit_interval,
+            disagreed_at: None,
             batch,
         });
     }
 
+    /// The number of the next round.
     pub(super) fn next_round(&mut self) -> RoundId {
         self.last_round = self.last_round.wrapping_add(1);
         self.last_round
@@ -71,11 +78,11 @@
     /// A ballot above all seen, if its counter is reserved.
     fn next_ballot(
         &mut self,
-        seen: u64,
+        highest_seen: u64,
         reserved: u64,
         effects: &mut Vec<Effect<V>>,
     ) -> Option<Ballot> {
-        let counter = self.last_counter.max(seen) + 1;
+        let counter = self.last_counter.max(highest_seen) + 1;
         if counter > reserved {
             effects.push(Effect::Reserve { counter });
             return None;
@@ -87,24 +94,24 @@
         })
     }
 
-    /// Ends the round under way at its time limit, or sends again what is unanswered.
+    /// Abandons the active round at its time-out, or sends again the requests without a reply.
     pub(super) fn check_round(&mut self, now: Duration, effects: &mut Vec<Effect<V>>) {
         let Some(active) = &mut self.active else {
             return;
         };
-        if now >= active.started + self.settings.round_timeout {
-            self.counters.timeouts += 1;
-            self.give_up(now, Duration::ZERO);
+        if now >= active.started_at + self.settings.round_timeout {
+            self.metrics.timeouts += 1;
+            self.abandon_round(now, Duration::ZERO);
             return;
         }
-        if now >= active.resend {
-            active.resend = now + self.settings.retransmit_interval;
-            send(&active.round, active.round.awaiting_reply(), effects);
+        if now >= active.retransmit_at {
+            active.retransmit_at = now + self.settings.retransmit_interval;
+            send_requests(&active.round, active.round.awaiting_reply(), effects);
         }
         self.advance(now, effects);
     }
 
-    /// Takes the round under way as far as its replies permit.
+    /// Advances the active round as far as its replies permit.
     pub(super) fn advance(&mut self, now: Duration, effects: &mut Vec<Effect<V>>) {
         let Some(active) = &mut self.active else {
             return;
@@ -112,54 +119,49 @@
         match active.round.phase {
             Phase::Accept => self.advance_accept(now, effects),
             Phase::Query | Phase::Prepare => match active.round.quorum_read() {
-                Some(found) if active.round.phase == Phase::Query => {
-                    self.advance_query(now, &found, effects);
+                Some(read) if active.round.phase == Phase::Query => {
+                    self.advance_query(now, &read, effects);
                 }
-                Some(found) => self.decide(now, &found, effects),
-                None => active.disagreed = None,
+                Some(read) => self.decide(now, &read, effects),
+                None => active.disagreed_at = None,
             },
         }
-        if self
+        let is_lost = self
             .active
             .as_ref()
-            .is_some_and(|active| active.round.is_lost())
-        {
+            .is_some_and(|active| active.round.is_lost());
+        if is_lost {
             let wait = self.wait_after_conflict();
-            self.give_up(now, wait);
+            self.abandon_round(now, wait);
         }
     }
 
-    /// Applies what waits to the state found, and proposes what follows unless nothing does.
-    fn decide(&mut self, now: Duration, found: &QuorumRead<V>, effects: &mut Vec<Effect<V>>) {
+    /// Applies the queue to the state that was read, and proposes the result unless nothing has to
+    /// be accepted.
+    fn decide(&mut self, now: Duration, read: &QuorumRead<V>, effects: &mut Vec<Effect<V>>) {
         let Some(mut active) = self.active.take() else {
             return;
         };
-        self.round_trip = smoothed(
-            self.round_trip,
-            now - active.started,
-            self.settings.retransmit_interval,
-        );
+        self.record_round_trip(now - active.started_at);
         let ballot = active.round.ballot;
-        let (batch, state) =
-            Batch::assemble(self.queue.drain(..), found, ballot, self.settings.guards);
-        let unchanged = state.sequence == found.proposal.state.sequence;
-        let is_fenced =
-            self.settings.guards.keeps(Guard::FenceBeforeAnswer) && batch.answers_unchanged();
-        if unchanged && found.is_chosen && !is_fenced {
-            effects.push(Effect::Chosen {
-                proposal: found.proposal.clone(),
-                announce: false,
-            });
-            self.settle(batch, active.horizon, &found.proposal.state, effects);
+        let guards = self.settings.guards;
+        let Assembled { batch, state } =
+            Batch::assemble(self.queue.drain(..), read, ballot, guards);
+        let is_unchanged = state.sequence == read.proposal.state.sequence;
+        let needs_fence = guards.keeps(Guard::FenceBeforeAnswer) && batch.answers_unchanged();
+        if is_unchanged && read.is_chosen && !needs_fence {
+            effects.push(Effect::ReadChosen(read.proposal.clone()));
+            let first_excluded = active.first_excluded_arrival;
+            self.complete_batch(batch, first_excluded, &read.proposal.state, effects);
             self.finish_round();
             return;
         }
-        self.counters.accepts += 1;
+        self.metrics.accepts += 1;
         active.round.start_accept(Proposal { ballot, state });
         self.begin(now, active.round, batch, effects);
     }
 
-    /// Reports what a quorum has accepted.
+    /// Completes the batch once a quorum has accepted the proposal.
     fn advance_accept(&mut self, now: Duration, effects: &mut Vec<Effect<V>>) {
         let Some(active) = &mut self.active else {
             return;
@@ -167,28 +169,23 @@
         let Some(proposal) = active.round.chosen().cloned() else {
             return;
         };
-        self.round_trip = smoothed(
-            self.round_trip,
-            now - active.started,
-            self.settings.retransmit_interval,
-        );
+        let sample = now - active.started_at;
         let batch = std::mem::take(&mut active.batch);
+        self.record_round_trip(sample);
         self.finish_round();
-        effects.push(Effect::Chosen {
-            proposal: proposal.clone(),
-            announce: true,
-        });
-        self.settle(batch, u64::MAX, &proposal.state, effects);
+        effects.push(Effect::Decided(proposal.clone()));
+        self.complete_batch(batch, u64::MAX, &proposal.state, effects);
     }
 
+    /// Ends the active round with a result.
     pub(super) fn finish_round(&mut self) {
         self.active = None;
         self.conflicts = 0;
         self.disagreements = 0;
     }
 
-    /// Ends the round without a result; its operations wait for the next one.
-    pub(super) fn give_up(&mut self, now: Duration, wait: Duration) {
+    /// Ends the active round without a result; its operations return to the queue.
+    pub(super) fn abandon_round(&mut self, now: Duration, wait: Duration) {
         if let Some(active) = self.active.take() {
             self.requeue(active.batch.into_pending());
         }
@@ -196,8 +193,8 @@
     }
 }
 
-/// Sends the round's present request to replicas.
-pub(super) fn send<V: Clone>(
+/// Sends the request of the round's current phase to replicas.
+pub(super) fn send_requests<V: Clone>(
     round: &Round<V>,
     replicas: Vec<Replica>,
     effects: &mut Vec<Effect<V>>,
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -1,5 +1,5 @@
 //! One round of a proposer: the replies counted so far and what follows from them (Rystsov 2018,
-//! section 2.2). A round knows no time and sends nothing itself.
+//! section 2). A round knows no time and sends nothing itself.
 //!
 //! A round either queries (reads without a promise), or prepares (phase 1) and then accepts
 //! (phase 2). Its quorums are those of the newest membership that it has seen: this guards against a
--- a/crates/register/src/settings.rs
+++ b/crates/register/src/settings.rs
@@ -68,7 +68,7 @@
 
 impl Settings {
     /// The default settings with as many replicas as are needed to stay available while that many
-    /// are lost at once: `2f + 1` (Rystsov 2018, section 2.1).
+    /// are lost at once: `2f + 1` (Rystsov 2018, section 2).
     #[must_use]
     pub fn with_fault_tolerance(failures: usize) -> Self {
         Self {
