--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,29 +1,30 @@
-//! What follows the end of an attempt: whether the request may go to another server, and what the
-//! client gets if not.
+//! Retries: whether a request may go to another server after an attempt ended, and what its client
+//! receives if not.
 
 use ironmast_balancer::Micros;
 
-use crate::decision::{Decision, Outcome};
+use crate::decision::Decision;
 use crate::guards::Guard;
+use crate::outcome::Outcome;
 use crate::request::Call;
 use crate::table::RouteKind;
 
-/// Connections that may fail for one request before it is given up.
-const MAX_FAILED_CONNECTS: usize = 4;
-/// With less than this part of the objective left, no further attempt is made.
+/// Number of attempts of one request that may end before the request arrives at a server.
+const MAX_UNSENT_ATTEMPTS: usize = 4;
+/// With less than this fraction of the latency objective left, no further attempt is made.
 const MIN_USEFUL_SHARE: f64 = 0.1;
 
-/// What may be done next.
+/// What follows the end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum NextStep {
-    /// The request has its final answer.
+    /// The request has its final decision.
     Finish(Decision),
-    /// It may be sent to another server.
+    /// The request may be sent to another server.
     Retry,
 }
 
-/// What the end of the latest attempt means for the request.
-pub(crate) fn next(call: &Call, outcome: &Outcome, now: Micros) -> NextStep {
+/// What follows the end of the latest attempt.
+pub(crate) fn next_step(call: &Call, outcome: &Outcome, now: Micros) -> NextStep {
     match outcome {
         Outcome::Success | Outcome::Cancelled => NextStep::Finish(Decision::Finished),
         Outcome::ClientError => NextStep::Finish(final_decision(call, outcome)),
@@ -32,29 +33,33 @@
     }
 }
 
-/// True where another attempt keeps every promise.
+/// True if another attempt is within the limits and cannot execute a request twice that must not
+/// be.
 fn may_retry(call: &Call, outcome: &Outcome) -> bool {
-    let tries_left = call.arrived_attempts() < call.request.route.spec.max_attempts.max(1) as usize;
-    let dials_left = call.attempts() - call.arrived_attempts() < MAX_FAILED_CONNECTS;
-    if !tries_left && Guard::MaxAttempts.on() || !dials_left {
+    let spec = &call.request.route.spec;
+    let arrived = call.arrived_attempts();
+    let may_arrive_again = arrived < spec.max_attempts.max(1) as usize;
+    let may_fail_to_arrive = call.attempts() - arrived < MAX_UNSENT_ATTEMPTS;
+    if !may_arrive_again && Guard::MaxAttempts.on() || !may_fail_to_arrive {
         return false;
     }
-    // Of an answer that has begun only a resumable stream goes on elsewhere.
+    // Once an answer has begun, only a resumable stream can continue at another server.
     if call.head_forwarded {
-        let resumable = call.request.route.spec.kind == RouteKind::Stream { resumable: true };
-        return resumable
-            && (matches!(outcome, Outcome::Truncated { .. }) || call.truncated_at.is_some());
+        let is_resumable = spec.kind == RouteKind::Stream { resumable: true };
+        let is_truncated = matches!(outcome, Outcome::Truncated { .. });
+        return is_resumable && (is_truncated || call.truncated_at.is_some());
     }
     call.is_idempotent() || !call.may_have_run() || !Guard::AtMostOnce.on()
 }
 
-/// True where an answer could still be of worth.
+/// True if an answer could still arrive in time to be of value.
 fn is_useful(call: &Call, now: Micros) -> bool {
-    now as f64 + MIN_USEFUL_SHARE * call.latency_objective() as f64 <= call.deadline() as f64
+    let min_time = MIN_USEFUL_SHARE * call.latency_objective() as f64;
+    now as f64 + min_time <= call.deadline() as f64
 }
 
-/// The final answer where no attempt is left. Where nothing can have run, the refusal is made by
-/// the caller.
+/// The final decision if no attempt is left. If nothing can have been executed, the caller rejects
+/// the request instead.
 pub(crate) fn final_decision(call: &Call, outcome: &Outcome) -> Decision {
     match outcome {
         _ if call.head_forwarded => Decision::AbortResponse,
--- a/crates/routing/src/round_robin.rs
+++ b/crates/routing/src/round_robin.rs
@@ -1,69 +1,71 @@
-//! An even draw without a key: a shuffled deck of a group's servers, of which the next two usable
-//! ones are compared.
+//! Load balancing without a key: shuffled round robin combined with a choice of two. A group's
+//! servers are used in a shuffled order, and of the next two usable ones the less loaded is taken.
 
 use ironmast_balancer::Rng;
 
 use crate::guards::Guard;
 
-/// The order in which a group's servers are drawn.
+/// The order in which a group's servers are used.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ShuffledRoundRobin {
-    /// The fleet's swap that it was last compared with.
-    pub swap: u64,
+    /// Version of the table that the members were last compared with.
+    pub(crate) table_version: u64,
+    /// Slots of the servers; those before `next` have been used in this round.
     order: Vec<u32>,
     next: usize,
 }
 
 impl ShuffledRoundRobin {
-    /// Makes it a deck of these servers, in ascending order; what was drawn of an equal one stays
-    /// drawn.
-    pub fn keep(&mut self, servers: Vec<u32>) {
-        let mut held = self.order.clone();
-        held.sort_unstable();
-        if held != servers {
+    /// Sets the members, given in ascending order. The round goes on if they are the same.
+    pub(crate) fn set_members(&mut self, servers: Vec<u32>) {
+        let mut members = self.order.clone();
+        members.sort_unstable();
+        if members != servers {
             self.next = servers.len();
             self.order = servers;
         }
     }
 
-    /// Draws one server. `load` tells the load of those that may be drawn: of the next two, the
-    /// less loaded is taken, of equals the one that `near` holds for, and the other stays next.
-    pub fn draw(
+    /// Picks a server. `load` returns the load of a usable server and `None` for others. Of the
+    /// next two usable servers the less loaded one is picked, of equals the one that
+    /// `is_preferred` holds for; the other one stays next.
+    pub(crate) fn pick(
         &mut self,
         rng: &mut Rng,
         load: impl Fn(u32) -> Option<f64>,
-        near: impl Fn(u32) -> bool,
+        is_preferred: impl Fn(u32) -> bool,
     ) -> Option<u32> {
-        if self.usable_from(self.next, &load).is_none() {
+        if self.next_usable(self.next, &load).is_none() {
             self.shuffle(rng);
         }
-        let (place, first) = self.usable_from(self.next, &load)?;
-        self.order.swap(self.next, place);
-        let Some((place, second)) = self.usable_from(self.next + 1, &load) else {
+        let (index, first_load) = self.next_usable(self.next, &load)?;
+        self.order.swap(self.next, index);
+        let Some((index, second_load)) = self.next_usable(self.next + 1, &load) else {
             self.next += 1;
             return Some(self.order[self.next - 1]);
         };
-        let (one, other) = (self.order[self.next], self.order[place]);
-        let nearer = second == first && near(other) && !near(one);
-        if second < first || nearer {
-            self.order.swap(self.next, place);
+        let (first, second) = (self.order[self.next], self.order[index]);
+        let second_preferred =
+            second_load == first_load && is_preferred(second) && !is_preferred(first);
+        if second_load < first_load || second_preferred {
+            self.order.swap(self.next, index);
         }
-        let drawn = self.order[self.next];
+        let picked = self.order[self.next];
         self.next += usize::from(Guard::ShuffledRoundRobin.on());
-        Some(drawn)
+        Some(picked)
     }
 
-    /// The next card that may be drawn, and its load.
-    fn usable_from(&self, from: usize, load: &impl Fn(u32) -> Option<f64>) -> Option<(usize, f64)> {
-        let rest = self.order.iter().enumerate().skip(from);
-        rest.filter_map(|(place, card)| Some((place, load(*card)?)))
-            .next()
+    /// Index and load of the first usable server from an index on.
+    fn next_usable(&self, from: usize, load: &impl Fn(u32) -> Option<f64>) -> Option<(usize, f64)> {
+        let mut rest = self.order.iter().enumerate().skip(from);
+        rest.find_map(|(index, server)| Some((index, load(*server)?)))
     }
 
+    /// Starts a new round in another order (Fisher and Yates).
     fn shuffle(&mut self, rng: &mut Rng) {
-        for place in (1..self.order.len()).rev() {
-            let other = (rng.unit() * (place + 1) as f64) as usize;
-            self.order.swap(place, other);
+        for index in (1..self.order.len()).rev() {
+            let other = (rng.unit() * (index + 1) as f64) as usize;
+            self.order.swap(index, other);
         }
         self.next = 0;
     }
--- a/crates/routing/src/round_robin/tests.rs
+++ b/crates/routing/src/round_robin/tests.rs
@@ -1,23 +1,23 @@
 use super::*;
 
-fn deck(count: u32) -> ShuffledRoundRobin {
-    let mut deck = ShuffledRoundRobin::default();
-    deck.keep((0..count).collect());
-    deck
+fn round_robin(count: u32) -> ShuffledRoundRobin {
+    let mut round_robin = ShuffledRoundRobin::default();
+    round_robin.set_members((0..count).collect());
+    round_robin
 }
 
-fn round(deck: &mut ShuffledRoundRobin, rng: &mut Rng, count: usize) -> Vec<u32> {
+fn round(round_robin: &mut ShuffledRoundRobin, rng: &mut Rng, count: usize) -> Vec<u32> {
     (0..count)
-        .filter_map(|_| deck.draw(rng, |_| Some(0.0), |_| false))
+        .filter_map(|_| round_robin.pick(rng, |_| Some(0.0), |_| false))
         .collect()
 }
 
 #[test]
 fn a_round_has_each_server_once() {
-    let (mut deck, mut rng) = (deck(7), Rng(1));
+    let (mut round_robin, mut rng) = (round_robin(7), Rng(1));
     let mut orders = Vec::new();
     for _ in 0..20 {
-        let order = round(&mut deck, &mut rng, 7);
+        let order = round(&mut round_robin, &mut rng, 7);
         let mut sorted = order.clone();
         sorted.sort_unstable();
         assert_eq!(sorted, [0, 1, 2, 3, 4, 5, 6]);
@@ -29,12 +29,12 @@
 
 #[test]
 fn of_the_next_two_the_less_loaded_is_taken() {
-    let (mut deck, mut rng) = (deck(2), Rng(1));
+    let (mut round_robin, mut rng) = (round_robin(2), Rng(1));
     for _ in 0..10 {
         let load = |server| Some(if server == 0 { 0.5 } else { 0.1 });
-        assert_eq!(deck.draw(&mut rng, load, |_| false), Some(1));
+        assert_eq!(round_robin.pick(&mut rng, load, |_| false), Some(1));
         assert_eq!(
-            deck.draw(&mut rng, load, |_| false),
+            round_robin.pick(&mut rng, load, |_| false),
             Some(0),
             "but it is even in the end"
         );
@@ -43,14 +43,14 @@
 
 #[test]
 fn of_equals_the_nearer_is_first() {
-    let (mut deck, mut rng) = (deck(2), Rng(1));
+    let (mut round_robin, mut rng) = (round_robin(2), Rng(1));
     for _ in 0..10 {
         assert_eq!(
-            deck.draw(&mut rng, |_| Some(0.0), |server| server == 1),
+            round_robin.pick(&mut rng, |_| Some(0.0), |server| server == 1),
             Some(1)
         );
         assert_eq!(
-            deck.draw(&mut rng, |_| Some(0.0), |server| server == 1),
+            round_robin.pick(&mut rng, |_| Some(0.0), |server| server == 1),
             Some(0)
         );
     }
@@ -58,30 +58,30 @@
 
 #[test]
 fn who_may_not_be_drawn_is_passed_over() {
-    let (mut deck, mut rng) = (deck(5), Rng(1));
+    let (mut round_robin, mut rng) = (round_robin(5), Rng(1));
     for _ in 0..50 {
-        let drawn = deck.draw(
+        let drawn = round_robin.pick(
             &mut rng,
             |server| (server == 2 || server == 3).then_some(0.0),
             |_| false,
         );
         assert!(matches!(drawn, Some(2 | 3)));
     }
-    assert_eq!(deck.draw(&mut rng, |_| None, |_| false), None);
+    assert_eq!(round_robin.pick(&mut rng, |_| None, |_| false), None);
     assert_eq!(
-        ShuffledRoundRobin::default().draw(&mut rng, |_| Some(0.0), |_| false),
+        ShuffledRoundRobin::default().pick(&mut rng, |_| Some(0.0), |_| false),
         None
     );
 }
 
 #[test]
 fn a_deck_of_the_same_servers_goes_on() {
-    let (mut deck, mut rng) = (deck(6), Rng(1));
-    let mut drawn = round(&mut deck, &mut rng, 4);
-    deck.keep((0..6).collect());
-    drawn.extend(round(&mut deck, &mut rng, 2));
+    let (mut round_robin, mut rng) = (round_robin(6), Rng(1));
+    let mut drawn = round(&mut round_robin, &mut rng, 4);
+    round_robin.set_members((0..6).collect());
+    drawn.extend(round(&mut round_robin, &mut rng, 2));
     drawn.sort_unstable();
     assert_eq!(drawn, [0, 1, 2, 3, 4, 5]);
-    deck.keep((0..3).collect());
-    assert_eq!(round(&mut deck, &mut rng, 3).iter().max(), Some(&2));
+    round_robin.set_members((0..3).collect());
+    assert_eq!(round(&mut round_robin, &mut rng, 3).iter().max(), Some(&2));
 }
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -1,52 +1,62 @@
-//! What a decider is built from.
+//! Settings of one gate's decisions.
 
 use ironmast_balancer::Micros;
 use thiserror::Error;
 
-/// Settings of one gate's decisions. Start from [`Settings::new`].
+/// A lower and an upper bound of a duration, in microseconds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DurationBounds {
+    /// The lower bound.
+    pub min: Micros,
+    /// The upper bound.
+    pub max: Micros,
+}
+
+/// Settings of one gate's decisions. [`Settings::new`] has the defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The gate's own region.
     pub region: Box<str>,
     /// The gate's own zone.
     pub zone: Box<str>,
-    /// How far a server's load may pass the mean of its peers before a key goes on to its next
-    /// server, as a part.
+    /// Prefix affinity: fraction by which a server's utilization may exceed the mean of the
+    /// candidates before a key moves on to its next server.
     pub affinity_load_excess: f64,
-    /// A key's first server is kept while prompts wait there longer than elsewhere by no more than
-    /// this many times the reading of the key's shared parts.
+    /// Prefix affinity: a key stays with its first server while the prefill wait there exceeds the
+    /// shortest one by at most this multiple of the prefill time of the key's shared parts.
     pub affinity_wait_factor: f64,
-    /// Below this part of its room no server passes a key on, however idle its peers are.
+    /// Prefix affinity: below this utilization a key never moves on, however idle other servers
+    /// are.
     pub affinity_load_floor: f64,
-    /// Part of a server's room up to which requests are sent to it.
+    /// Utilization up to which requests are sent to a server.
     pub max_load: f64,
-    /// Requests are turned away one by one over this part of the room below, so that no kind is
-    /// left out.
+    /// Range of utilization below the limit over which requests are rejected one by one, so that no
+    /// kind of request is excluded.
     pub rejection_ramp: f64,
-    /// More may wait at a server, for this part of their latency objective.
+    /// More requests may wait in a server's queue, for this fraction of their latency objective.
     pub max_queue_time_share: f64,
-    /// As many as this part of its slots at the most.
+    /// Maximum number of requests that wait in a server's queue, as a fraction of its slots.
     pub max_queue_share: f64,
-    /// By how much earlier that begins for each further rank of priority.
+    /// Amount by which the limit is lower for each rank of priority.
     pub priority_step: f64,
-    /// Another region is used for want of room only up to this part of its slots.
+    /// Another region is used for want of capacity only up to this utilization of its servers.
     pub spillover_max_load: f64,
-    /// Another region is used for a wait in the own one that is longer than this part of the
-    /// latency objective.
+    /// Another region is used because of the prefill wait only if the wait in the own region
+    /// exceeds this fraction of the latency objective.
     pub spillover_min_wait: f64,
-    /// A request may be held for this part of its latency objective at the most.
+    /// Longest delay before a first attempt, as a fraction of the latency objective.
     pub max_delay_share: f64,
-    /// CapacityLimits of the time that a client is told to stay away.
-    pub retry_after: (Micros, Micros),
-    /// First and longest ejection; it doubles from one to the next.
-    pub ejection: (Micros, Micros),
-    /// A server whose ejection is over and that no request has tried since is probed after this
-    /// long.
+    /// Bounds of the retry delay that rejected clients are given.
+    pub retry_after: DurationBounds,
+    /// First and longest ejection of a server. Each ejection is twice as long as the one before.
+    pub ejection: DurationBounds,
+    /// Time after the end of an ejection at which the server is sent a health check if no request
+    /// has tried it.
     pub health_check_after: Micros,
-    /// A server that owes an answer and gave no sign for this long, or for twice the usual, comes
-    /// after its peers.
+    /// A server that owes an answer and was silent for this long, or for twice the average time to
+    /// the first byte if that is longer, is used only if no other is left.
     pub unresponsive_after: Micros,
-    /// A load report counts for less and less until it is this old.
+    /// Age at which a load report no longer counts. Its weight falls linearly until then.
     pub load_report_max_age: Micros,
 }
 
@@ -54,83 +64,89 @@
 #[derive(Debug, Error, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// A figure makes no sense.
+    /// A setting is out of range.
     #[error("the setting `{name}` is out of range")]
     OutOfRange {
-        /// The setting's name.
+        /// Name of the setting.
         name: &'static str,
     },
 }
 
 impl Settings {
-    /// The usual settings of a gate in that region and zone.
+    /// The default settings of a gate in that region and zone.
+    #[must_use]
     pub fn new(region: &str, zone: &str) -> Self {
         Settings {
             region: region.into(),
             zone: zone.into(),
             affinity_load_excess: 0.5,
-            affinity_load_floor: 0.4,
             affinity_wait_factor: 8.0,
+            affinity_load_floor: 0.4,
             max_load: 1.0,
+            rejection_ramp: 0.15,
             max_queue_time_share: 0.25,
             max_queue_share: 0.5,
-            rejection_ramp: 0.15,
             priority_step: 0.01,
             spillover_max_load: 0.8,
             spillover_min_wait: 0.3,
             max_delay_share: 0.2,
-            retry_after: (50_000, 2_000_000),
-            ejection: (1_000_000, 8_000_000),
+            retry_after: DurationBounds {
+                min: 50_000,
+                max: 2_000_000,
+            },
+            ejection: DurationBounds {
+                min: 1_000_000,
+                max: 8_000_000,
+            },
             health_check_after: 200_000,
             unresponsive_after: 600_000,
             load_report_max_age: 4_000_000,
         }
     }
 
-    /// Checks every figure.
+    /// Checks the range of every setting.
     ///
     /// # Errors
-    /// Names the first figure that makes no sense.
+    /// Names the first setting that is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let within = |name, value: f64, least: f64, most: f64| match (least..=most).contains(&value)
-        {
-            true => Ok(()),
-            false => Err(SettingsError::OutOfRange { name }),
-        };
-        let ordered = |name, (first, last): (Micros, Micros)| match first > 0 && first <= last {
-            true => Ok(()),
-            false => Err(SettingsError::OutOfRange { name }),
-        };
-        within(
+        check_range(
             "affinity_load_excess",
             self.affinity_load_excess,
             0.01,
             10.0,
         )?;
-        within("affinity_wait_factor", self.affinity_wait_factor, 0.0, 1e6)?;
-        within("affinity_load_floor", self.affinity_load_floor, 0.0, 1.0)?;
-        within("max_load", self.max_load, 0.5, 4.0)?;
-        within("max_queue_time_share", self.max_queue_time_share, 0.0, 1.0)?;
-        within("max_queue_share", self.max_queue_share, 0.0, 4.0)?;
-        within("rejection_ramp", self.rejection_ramp, 0.0, 1.0)?;
-        within("priority_step", self.priority_step, 0.0, 0.5)?;
-        within("spillover_max_load", self.spillover_max_load, 0.0, 1.0)?;
-        within("spillover_min_wait", self.spillover_min_wait, 0.0, 10.0)?;
-        within("max_delay_share", self.max_delay_share, 0.0, 0.25)?;
-        ordered("retry_after", self.retry_after)?;
-        ordered("ejection", self.ejection)?;
-        within(
-            "unresponsive_after",
-            self.unresponsive_after as f64,
-            1.0,
-            1e12,
-        )?;
-        within(
-            "load_report_max_age",
-            self.load_report_max_age as f64,
-            1.0,
-            1e12,
-        )
+        check_range("affinity_wait_factor", self.affinity_wait_factor, 0.0, 1e6)?;
+        check_range("affinity_load_floor", self.affinity_load_floor, 0.0, 1.0)?;
+        check_range("max_load", self.max_load, 0.5, 4.0)?;
+        check_range("max_queue_time_share", self.max_queue_time_share, 0.0, 1.0)?;
+        check_range("max_queue_share", self.max_queue_share, 0.0, 4.0)?;
+        check_range("rejection_ramp", self.rejection_ramp, 0.0, 1.0)?;
+        check_range("priority_step", self.priority_step, 0.0, 0.5)?;
+        check_range("spillover_max_load", self.spillover_max_load, 0.0, 1.0)?;
+        check_range("spillover_min_wait", self.spillover_min_wait, 0.0, 10.0)?;
+        check_range("max_delay_share", self.max_delay_share, 0.0, 0.25)?;
+        check_order("retry_after", self.retry_after)?;
+        check_order("ejection", self.ejection)?;
+        let unresponsive_after = self.unresponsive_after as f64;
+        check_range("unresponsive_after", unresponsive_after, 1.0, 1e12)?;
+        let max_age = self.load_report_max_age as f64;
+        check_range("load_report_max_age", max_age, 1.0, 1e12)
+    }
+}
+
+fn check_range(name: &'static str, value: f64, min: f64, max: f64) -> Result<(), SettingsError> {
+    if (min..=max).contains(&value) {
+        Ok(())
+    } else {
+        Err(SettingsError::OutOfRange { name })
+    }
+}
+
+fn check_order(name: &'static str, bounds: DurationBounds) -> Result<(), SettingsError> {
+    if bounds.min > 0 && bounds.min <= bounds.max {
+        Ok(())
+    } else {
+        Err(SettingsError::OutOfRange { name })
     }
 }
 
--- a/crates/routing/src/settings/tests.rs
+++ b/crates/routing/src/settings/tests.rs
@@ -37,8 +37,14 @@
         Some("spillover_max_load")
     );
     assert_eq!(error(|s| s.max_delay_share = 0.3), Some("max_delay_share"));
-    assert_eq!(error(|s| s.retry_after = (0, 1)), Some("retry_after"));
-    assert_eq!(error(|s| s.ejection = (2, 1)), Some("ejection"));
+    assert_eq!(
+        error(|s| s.retry_after = DurationBounds { min: 0, max: 1 }),
+        Some("retry_after")
+    );
+    assert_eq!(
+        error(|s| s.ejection = DurationBounds { min: 2, max: 1 }),
+        Some("ejection")
+    );
     assert_eq!(
         error(|s| s.unresponsive_after = 0),
         Some("unresponsive_after")
--- a/crates/routing/src/router/tests.rs
+++ b/crates/routing/src/table/router/tests.rs
@@ -1,28 +1,17 @@
 use std::sync::Arc;
 
-use crate::table::{Route, RouteKind, RouteSpec, WeightedBackend};
-
 use super::Router;
+use crate::table::{Route, RouteKind, RouteSpec};
+use crate::test_support;
 
 fn route(host: &str, prefix: &str) -> Arc<Route> {
     let spec = RouteSpec {
-        name: prefix.into(),
         host: host.into(),
         prefix: prefix.into(),
-        kind: RouteKind::Idempotent,
-        backends: vec![WeightedBackend {
-            service: "desk".into(),
-            weight: 1,
-        }],
-        max_attempts: 1,
-        timeout_ms: 1,
-        target_latency_ms: 1,
-        max_event_gap_ms: None,
-        priority: 0,
-        affinity: false,
-        allowed_regions: Vec::new(),
+        ..test_support::route(prefix, RouteKind::Idempotent)
     };
-    Arc::new(Route { spec, weight: 1 })
+    let total_weight = 1;
+    Arc::new(Route { spec, total_weight })
 }
 
 fn router(routes: &[(&str, &str)]) -> Router {
--- /dev/null
+++ b/crates/routing/src/table/spec.rs
@@ -0,0 +1,139 @@
+//! The declarative input of a [`Table`](super::Table): routes and services as the operator wrote
+//! them, and servers as the membership lists them.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use ironmast_balancer::Micros;
+
+/// Whether a request of a route may be executed more than once.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RouteKind {
+    /// A stream of server-sent events. Where `resumable`, another server may continue it.
+    Stream {
+        /// Another server may continue after the last complete event.
+        resumable: bool,
+    },
+    /// A request may be executed any number of times.
+    Idempotent,
+    /// A request may be executed at most once.
+    NonIdempotent,
+}
+
+impl RouteKind {
+    /// True if a request that may already have been executed may be sent again.
+    #[must_use]
+    pub fn is_idempotent(self) -> bool {
+        matches!(
+            self,
+            RouteKind::Idempotent | RouteKind::Stream { resumable: true }
+        )
+    }
+}
+
+/// One service behind a route and its weight in the traffic split.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct WeightedBackend {
+    /// Name of the service.
+    pub service: Arc<str>,
+    /// Weight relative to the route's other backends. A backend of weight 0 receives no requests.
+    pub weight: u32,
+}
+
+/// A route as the operator wrote it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RouteSpec {
+    /// Name of the route, unique in its table.
+    pub name: Arc<str>,
+    /// Host that the route matches. A host with a port matches only requests that name the port.
+    pub host: Box<str>,
+    /// Path prefix that the route matches. It begins and ends with a slash.
+    pub prefix: Box<str>,
+    /// Whether requests may be executed more than once.
+    pub kind: RouteKind,
+    /// The services behind the route.
+    pub backends: Vec<WeightedBackend>,
+    /// Maximum number of servers that one request may reach, the first attempt included.
+    pub max_attempts: u32,
+    /// Time-out of a request, in milliseconds.
+    pub timeout_ms: u64,
+    /// Latency objective, in milliseconds. 0 means that none is configured.
+    pub target_latency_ms: u64,
+    /// Longest acceptable gap between two events of a stream, in milliseconds.
+    pub max_event_gap_ms: Option<u64>,
+    /// Priority; 0 is the most urgent.
+    pub priority: u32,
+    /// Requests that share leading prompt parts go to the same server.
+    pub affinity: bool,
+    /// Regions whose servers may serve the route. Empty means every region.
+    pub allowed_regions: Vec<Box<str>>,
+}
+
+/// A service as the operator wrote it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ServiceSpec {
+    /// Name of the service, unique in its table.
+    pub name: Arc<str>,
+    /// Path of the health check.
+    pub health_check: Box<str>,
+    /// Slots of a server that reports no capacity of its own. 0 means unknown.
+    pub slots: u32,
+    /// KV-cache capacity of a server, in tokens. 0 means that there is no such limit.
+    pub kv_cache_tokens: u64,
+    /// Connections that a server accepts from all gates together. 0 means unlimited.
+    pub max_connections: u32,
+    /// Requests per second that a server sustains while it warms up.
+    pub warmup_per_s: f64,
+}
+
+/// The state that a server announced.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ServerState {
+    /// It accepts requests.
+    Ready,
+    /// It is shutting down gracefully and receives no new requests.
+    Draining,
+}
+
+/// One incarnation of a server.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ServerSpec {
+    /// Identity of the incarnation.
+    pub instance: Arc<str>,
+    /// The service that it belongs to.
+    pub service: Arc<str>,
+    /// Address that it listens on.
+    pub address: SocketAddr,
+    /// Zone of the server.
+    pub zone: Arc<str>,
+    /// Region of the zone.
+    pub region: Arc<str>,
+    /// Number of slots. 0 means the service's default.
+    pub capacity: u32,
+    /// The state that it announced last.
+    pub state: ServerState,
+    /// Its zone is evacuated.
+    pub evacuated: bool,
+    /// It is warming up, and may be sent a request only under a permit.
+    pub warming_up: bool,
+    /// Clock reading since which heartbeats are missing; `None` while they arrive.
+    pub heartbeats_missing_since: Option<Micros>,
+    /// Names of the models that it serves. Empty means that it announces no models.
+    pub models: Vec<Box<str>>,
+    /// Increases with each announcement of the server. A newer one makes a server that answered
+    /// 421 eligible again.
+    pub sequence: u64,
+}
+
+/// Everything that a table is built from.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct TableSpec {
+    /// Number of gates that share the servers. 0 counts as 1.
+    pub gates: u32,
+    /// The routes.
+    pub routes: Vec<RouteSpec>,
+    /// The services.
+    pub services: Vec<ServiceSpec>,
+    /// The servers.
+    pub servers: Vec<ServerSpec>,
+}
--- a/crates/routing/src/table/tests.rs
+++ b/crates/routing/src/table/tests.rs
@@ -1,33 +1,12 @@
 use super::*;
-
-fn service(name: &str) -> ServiceSpec {
-    ServiceSpec {
-        name: name.into(),
-        health_check: "/healthz".into(),
-        slots: 8,
-        kv_cache_tokens: 0,
-        max_connections: 0,
-        warmup_per_s: 0.0,
-    }
-}
+use crate::test_support::{self, service};
 
 fn route() -> RouteSpec {
     RouteSpec {
-        name: "r".into(),
-        host: "a".into(),
         prefix: "/x/".into(),
-        kind: RouteKind::Idempotent,
-        backends: vec![WeightedBackend {
-            service: "desk".into(),
-            weight: 1,
-        }],
-        max_attempts: 1,
         timeout_ms: 1,
         target_latency_ms: 1,
-        max_event_gap_ms: None,
-        priority: 0,
-        affinity: false,
-        allowed_regions: Vec::new(),
+        ..test_support::route("r", RouteKind::Idempotent)
     }
 }
 
@@ -35,16 +14,7 @@
     ServerSpec {
         instance: instance.into(),
         service: service.into(),
-        address: "10.0.0.1:80".parse().expect("an address"),
-        zone: "z".into(),
-        region: region.into(),
-        capacity: 0,
-        state: ServerState::Ready,
-        evacuated: false,
-        warming_up: false,
-        heartbeats_missing_since: None,
-        models: Vec::new(),
-        sequence: 0,
+        ..test_support::server(1, region)
     }
 }
 
@@ -192,7 +162,11 @@
             timeout_ms,
             ..route()
         };
-        Route { spec, weight: 1 }.latency_objective_ms()
+        Route {
+            spec,
+            total_weight: 1,
+        }
+        .latency_objective_ms()
     };
     assert_eq!(
         [target(300, 5000), target(0, 5000), target(0, 400)],
--- a/crates/routing/src/decider/tests/support.rs
+++ b/crates/routing/src/test_support.rs
@@ -1,17 +1,17 @@
-//! Small fleets, and a gate that hands its calls back.
+//! Set-up shared by the unit tests: routes, services and servers, limits that count, and a gate that
+//! passes its calls back to the decider.
 
 use std::sync::Arc;
 
 use smallvec::smallvec;
 
-use super::super::Decider;
 use crate::*;
 
-pub const MS: Micros = 1000;
-pub const SECOND: Micros = 1_000_000;
+pub(crate) const MS: Micros = 1000;
+pub(crate) const SECOND: Micros = 1_000_000;
 
 /// A route that the tests change.
-pub fn route(name: &str, kind: RouteKind) -> RouteSpec {
+pub(crate) fn route(name: &str, kind: RouteKind) -> RouteSpec {
     RouteSpec {
         name: name.into(),
         host: "desk.example".into(),
@@ -31,7 +31,7 @@
     }
 }
 
-pub fn service(name: &str) -> ServiceSpec {
+pub(crate) fn service(name: &str) -> ServiceSpec {
     ServiceSpec {
         name: name.into(),
         health_check: "/healthz".into(),
@@ -43,7 +43,7 @@
 }
 
 /// A ready server of the service `desk`.
-pub fn server(number: usize, region: &str) -> ServerSpec {
+pub(crate) fn server(number: usize, region: &str) -> ServerSpec {
     ServerSpec {
         instance: format!("i-{number}").into(),
         service: "desk".into(),
@@ -63,13 +63,13 @@
 }
 
 /// So many servers of a region, numbered from `first` on.
-pub fn servers(first: usize, count: usize, region: &str) -> Vec<ServerSpec> {
+pub(crate) fn servers(first: usize, count: usize, region: &str) -> Vec<ServerSpec> {
     (first..first + count)
         .map(|number| server(number, region))
         .collect()
 }
 
-pub fn spec(routes: Vec<RouteSpec>, servers: Vec<ServerSpec>) -> TableSpec {
+pub(crate) fn spec(routes: Vec<RouteSpec>, servers: Vec<ServerSpec>) -> TableSpec {
     TableSpec {
         gates: 1,
         routes,
@@ -80,12 +80,12 @@
 
 /// Permits and budget by count, with a record of what was asked.
 #[derive(Clone, Debug)]
-pub struct Counted {
-    pub permits: u32,
-    pub wait: Micros,
-    pub repeats: u32,
-    pub requested: u32,
-    pub taken: u32,
+pub(crate) struct Counted {
+    pub(crate) permits: u32,
+    pub(crate) wait: Micros,
+    pub(crate) repeats: u32,
+    pub(crate) requested: u32,
+    pub(crate) taken: u32,
 }
 
 impl Default for Counted {
@@ -121,18 +121,18 @@
 }
 
 /// A gate in region `north`, zone `north-0`.
-pub struct Gate {
-    pub decider: Decider,
-    pub limits: Counted,
-    pub now: Micros,
+pub(crate) struct Gate {
+    pub(crate) decider: Decider,
+    pub(crate) limits: Counted,
+    pub(crate) now: Micros,
 }
 
 impl Gate {
-    pub fn new(table: TableSpec) -> Self {
+    pub(crate) fn new(table: TableSpec) -> Self {
         Gate::with(table, Settings::new("north", "north-0"), 1)
     }
 
-    pub fn with(table: TableSpec, settings: Settings, seed: u64) -> Self {
+    pub(crate) fn with(table: TableSpec, settings: Settings, seed: u64) -> Self {
         let mut decider = Decider::new(settings, seed).expect("sound settings");
         decider.update_table(
             SECOND,
@@ -145,14 +145,14 @@
         }
     }
 
-    pub fn swap(&mut self, table: TableSpec) {
+    pub(crate) fn swap(&mut self, table: TableSpec) {
         self.decider.update_table(
             self.now,
             Arc::new(Table::build(table).expect("a sound table")),
         );
     }
 
-    pub fn request(&self, name: &str) -> Request {
+    pub(crate) fn request(&self, name: &str) -> Request {
         let path = format!("/{name}/x");
         let route = self
             .decider
@@ -164,7 +164,7 @@
     }
 
     /// A request whose shared part is `key`.
-    pub fn prompt(&self, name: &str, key: u64) -> Request {
+    pub(crate) fn prompt(&self, name: &str, key: u64) -> Request {
         let part = |id, tokens| PromptPart { id, tokens };
         let parts = smallvec![part(7, 100), part(key, 400), part(u64::MAX - key, 50)];
         Request {
@@ -176,17 +176,17 @@
         }
     }
 
-    pub fn begin(&mut self, request: Request) -> (Call, Decision) {
+    pub(crate) fn begin(&mut self, request: Request) -> (Call, Decision) {
         self.decider.begin(self.now, request, &mut self.limits)
     }
 
-    pub fn settle(&mut self, call: &mut Call, outcome: Outcome) -> Decision {
+    pub(crate) fn settle(&mut self, call: &mut Call, outcome: Outcome) -> Decision {
         self.decider
             .attempt_finished(self.now, call, outcome, &mut self.limits)
     }
 
     /// A request from begin to success; the instance that had it.
-    pub fn served(&mut self, request: Request) -> Arc<str> {
+    pub(crate) fn served(&mut self, request: Request) -> Arc<str> {
         let (mut call, decision) = self.begin(request);
         let instance = sent(&decision).expect_instance.clone();
         assert_eq!(self.settle(&mut call, Outcome::Success), Decision::Finished);
@@ -195,7 +195,11 @@
 
     /// A request that fails so, with all that follows; the instances that had it, and the last
     /// decision.
-    pub fn fails(&mut self, request: Request, outcome: &Outcome) -> (Vec<Arc<str>>, Decision) {
+    pub(crate) fn fails(
+        &mut self,
+        request: Request,
+        outcome: &Outcome,
+    ) -> (Vec<Arc<str>>, Decision) {
         let (mut call, mut decision) = self.begin(request);
         let mut instances = Vec::new();
         while let Decision::Send(dispatch) = &decision {
@@ -208,7 +212,7 @@
 }
 
 /// The dispatch of a decision that sends.
-pub fn sent(decision: &Decision) -> &Dispatch {
+pub(crate) fn sent(decision: &Decision) -> &Dispatch {
     match decision {
         Decision::Send(dispatch) => dispatch,
         other => panic!("not sent: {other:?}"),
@@ -216,7 +220,7 @@
 }
 
 /// Holds with the protection, and fails without it.
-pub fn guarded(guard: crate::guards::Guard, check: impl Fn() -> bool) {
+pub(crate) fn guarded(guard: crate::guards::Guard, check: impl Fn() -> bool) {
     assert!(check(), "the check fails with {guard:?} in place");
     assert!(
         !crate::guards::without(guard, &check),
--- a/crates/routing/src/traffic_split.rs
+++ b/crates/routing/src/traffic_split.rs
@@ -1,32 +1,32 @@
-//! The part of a split route that a request goes to. Drawn by chance, the parts of a few hundred
-//! requests would stray by several hundredths from their weights; taken by equal steps, each gate's
-//! stray by one request.
+//! Traffic splitting by weight. With random draws the shares of a few hundred requests would
+//! deviate from the weights by several percentage points. Steps of a low-discrepancy sequence keep
+//! each gate within about one request of them.
 
 use std::sync::Arc;
 
 use ironmast_balancer::Rng;
 use rustc_hash::FxHashMap;
 
-/// The golden ratio: multiples of it, less their whole part, fall evenly between 0 and 1 however
-/// many there are.
+/// Inverse of the golden ratio. The fractional parts of its multiples are spread evenly over
+/// `[0, 1)` for any number of multiples (Kronecker sequence).
 const STEP: f64 = 0.618_033_988_749_894_9;
 
-/// The last step of each route, by name.
+/// The latest point of each route's sequence, by the name of the route.
 #[derive(Debug, Default)]
 pub(crate) struct TrafficSplits(FxHashMap<Arc<str>, f64>);
 
 impl TrafficSplits {
-    /// The next point of a route, from 0 up to 1. The first is drawn: gates must not all begin with
-    /// the same part.
-    pub fn next(&mut self, route: &Arc<str>, rng: &mut Rng) -> f64 {
+    /// The next point of a route's sequence, in `[0, 1)`. The first one is random, so that the
+    /// gates do not all begin with the same backend.
+    pub(crate) fn next_point(&mut self, route: &Arc<str>, rng: &mut Rng) -> f64 {
         let point = self.0.entry(route.clone()).or_insert_with(|| rng.unit());
         *point = (*point + STEP).fract();
         *point
     }
 
-    /// Forgets routes that are gone.
-    pub fn keep(&mut self, known: impl Fn(&str) -> bool) {
-        self.0.retain(|route, _| known(route));
+    /// Drops routes that no longer exist.
+    pub(crate) fn retain(&mut self, exists: impl Fn(&str) -> bool) {
+        self.0.retain(|route, _| exists(route));
     }
 }
 
--- a/crates/routing/src/traffic_split/tests.rs
+++ b/crates/routing/src/traffic_split/tests.rs
@@ -3,8 +3,11 @@
 #[test]
 fn each_part_gets_its_share_of_a_few_requests() {
     for seed in 0..50 {
-        let (mut splits, mut rng, route) = (TrafficSplits::default(), Rng(seed), "a".into());
-        let points: Vec<f64> = (0..100).map(|_| splits.next(&route, &mut rng)).collect();
+        let (mut traffic_splits, mut rng, route) =
+            (TrafficSplits::default(), Rng(seed), "a".into());
+        let points: Vec<f64> = (0..100)
+            .map(|_| traffic_splits.next_point(&route, &mut rng))
+            .collect();
         assert!(points.iter().all(|point| (0.0..1.0).contains(point)));
         let below = points.iter().filter(|point| **point < 0.9).count();
         assert!((88..=92).contains(&below), "{below} of 90");
@@ -13,6 +16,6 @@
 
 #[test]
 fn gates_do_not_begin_alike() {
-    let first = |seed| TrafficSplits::default().next(&"a".into(), &mut Rng(seed));
+    let first = |seed| TrafficSplits::default().next_point(&"a".into(), &mut Rng(seed));
     assert_ne!(first(1), first(2));
 }
