--- a/crates/admin/src/link/tests.rs
+++ b/crates/admin/src/link/tests.rs
@@ -70,3 +70,23 @@
         assert!(!why.contains('\n'), "{why}");
     }
 }
+
+/// The lines are those that processes of earlier builds write and expect.
+#[test]
+fn lines_of_earlier_builds_are_read_and_written_alike() {
+    for line in [
+        r#"{"hello":{"version":1,"claims":true}}"#,
+        r#"{"welcome":{"version":1,"bans":{"out":{"s1":7},"back":{"s2":[3,5]}},"known":null}}"#,
+        r#"{"busy":"why"}"#,
+        r#""serving""#,
+        r#"{"admin":{"uid":"s1","out":7,"back":null}}"#,
+        r#"{"admin":{"uid":"s2","out":null,"back":[3,5]}}"#,
+        r#"{"opened":"00ff"}"#,
+        r#"{"closed":"00ff"}"#,
+        r#"{"claim":"00ff"}"#,
+        r#"{"claimed":{"txn":"00ff","granted":true}}"#,
+    ] {
+        let message = decode(line.as_bytes()).expect("a message");
+        assert_eq!(encode(&message), format!("{line}\n"));
+    }
+}
