--- a/crates/admin/src/call/tests.rs
+++ b/crates/admin/src/command/tests.rs
@@ -1,30 +1,28 @@
-//! Tests of `call.rs`.
-
 use super::*;
 
 #[test]
-fn lines_are_read_as_the_calls_they_are() {
-    for (line, call) in [
-        (&b"ready\n"[..], Call::Ready),
-        (b"ready\r\n", Call::Ready),
-        (b"  ready", Call::Ready),
+fn lines_are_parsed_as_their_commands() {
+    for (line, command) in [
+        (&b"ready\n"[..], Command::Ready),
+        (b"ready\r\n", Command::Ready),
+        (b"  ready", Command::Ready),
         (
             b"disable-server s-5be2a07c\n",
-            Call::Disable("s-5be2a07c".into()),
+            Command::DisableServer("s-5be2a07c".into()),
         ),
         (
             b"enable-server\ts-5be2a07c \r\n",
-            Call::Enable("s-5be2a07c".into()),
+            Command::EnableServer("s-5be2a07c".into()),
         ),
     ] {
-        assert_eq!(parse(line), Ok(call));
+        assert_eq!(parse(line), Ok(command));
     }
 }
 
 #[test]
-fn a_bad_line_is_told_what_was_expected() {
-    let long = [b"disable-server ", &[b'x'; LINE_MOST][..]].concat();
-    for (line, told) in [
+fn invalid_line_is_rejected_with_what_was_expected() {
+    let long = [b"disable-server ", &[b'x'; MAX_LINE_BYTES][..]].concat();
+    for (line, expected) in [
         (&b"\n"[..], "empty"),
         (b"reboot\n", "`reboot` is not a call"),
         (b"READY\n", "is not a call"),
@@ -36,9 +34,9 @@
         (b"disable-server a\0\n", "not plain text"),
         (&long, "over 512 bytes"),
     ] {
-        let why = parse(line).expect_err("a bad line");
-        assert!(why.contains(told), "{why}");
-        let written = answer(&Err(why));
+        let error = parse(line).expect_err("a bad line");
+        assert!(error.to_string().contains(expected), "{error}");
+        let written = format_reply(&Err(error.into()));
         assert!(
             written.starts_with("-ERR ") && written.lines().count() == 1,
             "{written}"
--- a/crates/admin/src/link/tests.rs
+++ b/crates/admin/src/handover/tests.rs
@@ -1,62 +1,65 @@
-//! Tests of `link.rs`.
-
 use super::*;
+use crate::overrides::Reenabled;
 
 #[test]
-fn messages_survive_the_way() {
-    let mut bans = Bans::default();
-    bans.out.insert("s1".into(), 7);
-    bans.back.insert("s2".into(), (3, 5));
-    let known = Some(serde_json::json!({"rev": 1, "all": true, "targets": []}));
+fn messages_survive_encoding_and_decoding() {
+    let mut overrides = OverrideState::default();
+    let reenabled = Reenabled {
+        disabled_at: 3,
+        enabled_at: 5,
+    };
+    overrides.disabled.insert("s1".into(), 7);
+    overrides.reenabled.insert("s2".into(), reenabled);
+    let endpoints = Some(serde_json::json!({"rev": 1, "all": true, "targets": []}));
     for message in [
         Message::Hello {
-            version: VERSION,
-            claims: true,
+            version: PROTOCOL_VERSION,
+            answers_claims: true,
         },
         Message::Hello {
-            version: VERSION,
-            claims: false,
+            version: PROTOCOL_VERSION,
+            answers_claims: false,
         },
         Message::Welcome {
-            version: VERSION,
-            bans,
-            known,
+            version: PROTOCOL_VERSION,
+            overrides,
+            endpoints,
         },
         Message::Busy("why\nnot".into()),
         Message::Serving,
-        Message::Admin(Change {
+        Message::Override(ServerOverride {
             uid: "s\u{e9}\n".into(),
-            out: None,
-            back: Some((1, 2)),
+            disabled_at: None,
+            reenabled: Some(reenabled),
         }),
         Message::Opened("00ff".into()),
         Message::Closed("00ff".into()),
         Message::Claim("00ff".into()),
         Message::Claimed {
-            txn: "00ff".into(),
+            request_name: "00ff".into(),
             granted: true,
         },
     ] {
         let line = encode(&message);
         assert_eq!(line.matches('\n').count(), 1, "{line}");
-        assert_eq!(decode(line.as_bytes()), Ok(message));
+        assert_eq!(decode(line.as_bytes()).expect("a message"), message);
     }
 }
 
 #[test]
-fn a_greeting_of_a_process_built_before_claims_is_read_as_one_without() {
+fn hello_without_the_claims_field_is_decoded_as_answering_none() {
     let old = br#"{"hello":{"version":1}}"#;
     assert_eq!(
-        decode(old),
-        Ok(Message::Hello {
+        decode(old).expect("a message"),
+        Message::Hello {
             version: 1,
-            claims: false
-        })
+            answers_claims: false
+        }
     );
 }
 
 #[test]
-fn what_is_no_message_is_told_in_one_line() {
+fn malformed_line_is_rejected_with_an_error_of_one_line() {
     for line in [
         &b""[..],
         b"{}",
@@ -64,16 +67,16 @@
         b"{\"serving\":",
         b"\xff\xfe",
         b"{\"hello\":{}}",
-        &[b'['; 100_000],
+        &vec![b'['; 100_000],
     ] {
-        let why = decode(line).expect_err("no message");
-        assert!(!why.contains('\n'), "{why}");
+        let error = decode(line).expect_err("no message").to_string();
+        assert!(!error.contains('\n'), "{error}");
     }
 }
 
-/// The lines are those that processes of earlier builds write and expect.
+/// The lines are those that processes of earlier builds write and read.
 #[test]
-fn lines_of_earlier_builds_are_read_and_written_alike() {
+fn lines_of_earlier_builds_are_decoded_and_encoded_unchanged() {
     for line in [
         r#"{"hello":{"version":1,"claims":true}}"#,
         r#"{"welcome":{"version":1,"bans":{"out":{"s1":7},"back":{"s2":[3,5]}},"known":null}}"#,
--- a/crates/client-proxy/src/discovery.rs
+++ b/crates/client-proxy/src/discovery.rs
@@ -8,7 +8,7 @@
 use awc::error::PayloadError;
 use bytes::Bytes;
 use futures_util::{Stream, StreamExt as _};
-use ironmast_admin::listing::{Entry, News, Target};
+use ironmast_admin::endpoint::{Endpoint, EndpointUpdate, Target};
 use ironmast_balancer::Scope;
 use serde::Deserialize;
 use serde_json::Value;
@@ -57,10 +57,13 @@
     }
 
     /// Its entries in the module's terms; bad ones are skipped and logged.
-    fn entries(&self, zones: &mut Vec<String>, log: &Logger) -> Vec<Entry> {
+    fn entries(&self, zones: &mut Vec<String>, log: &Logger) -> Vec<Endpoint> {
         let read = |value: &Value| {
             let target = Target::deserialize(value).map_err(|e| e.to_string());
-            let entry = target.and_then(|t| t.entry(|az| zone(zones, az)));
+            let entry = target.and_then(|t| {
+                t.into_endpoint(|az| zone(zones, az))
+                    .map_err(|e| e.to_string())
+            });
             entry
                 .map_err(|why| warn!(log, "an entry of the list is skipped"; "why" => why))
                 .ok()
@@ -178,10 +181,10 @@
         }
         self.rev = list.as_ref().map(|list| list.rev);
         let entries = list.map_or_else(Vec::new, |list| list.entries(&mut self.zones, &self.log));
-        self.queue.say(Message::Listed(News {
+        self.queue.say(Message::Listed(EndpointUpdate {
             scope: Scope::Cached,
-            rev: self.rev,
-            entries,
+            revision: self.rev,
+            endpoints: entries,
         }));
     }
 
@@ -227,10 +230,10 @@
     fn failed(&self, why: &str) {
         info!(self.log, "discovery failed"; "why" => why);
         let (scope, rev, entries) = (Scope::Failed, None, Vec::new());
-        self.queue.say(Message::Listed(News {
+        self.queue.say(Message::Listed(EndpointUpdate {
             scope,
-            rev,
-            entries,
+            revision: rev,
+            endpoints: entries,
         }));
     }
 
@@ -245,10 +248,10 @@
             Scope::Changes
         };
         let entries = list.entries(&mut self.zones, &self.log);
-        self.queue.say(Message::Listed(News {
+        self.queue.say(Message::Listed(EndpointUpdate {
             scope,
-            rev: self.rev,
-            entries,
+            revision: self.rev,
+            endpoints: entries,
         }));
         Ok(())
     }
--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -5,10 +5,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use ironmast_admin::admin::Admin;
-use ironmast_admin::call::{Call, Reply};
-use ironmast_admin::link;
-use ironmast_admin::listing::{Entry, News};
+use ironmast_admin::command::{Command, CommandError, Reply};
+use ironmast_admin::endpoint::{Endpoint, EndpointUpdate};
+use ironmast_admin::handover;
+use ironmast_admin::overrides::ServerOverrides;
 use ironmast_balancer::{
     Action, Balancer, Event, Listing, Micros, Outcome, Phase, Request, RequestId, Scope, ServerId,
     Settings, Settled,
@@ -58,7 +58,7 @@
     clock: Clock,
     log: Logger,
     orders: Orders,
-    admin: Admin,
+    admin: ServerOverrides,
     store: Store,
     partners: Rc<Partners>,
     timers: BTreeSet<(Micros, u64)>,
@@ -79,7 +79,7 @@
         clock: Clock,
         log: Logger,
         orders: Orders,
-        (admin, store, partners): (Admin, Store, Rc<Partners>),
+        (admin, store, partners): (ServerOverrides, Store, Rc<Partners>),
     ) -> Self {
         Driver {
             balancer,
@@ -158,7 +158,7 @@
             }
             Message::Peer(from, data) => self.event(Event::Peer { from, data }),
             Message::Listed(news) => {
-                let news = self.admin.listed(news);
+                let news = self.admin.apply_discovery(news);
                 self.show(news);
             }
         }
@@ -168,13 +168,13 @@
         match urgent {
             Urgent::Called(call, reply) => {
                 let answer = self.called(call);
-                info!(self.log, "operator's call answered"; "answer" => ?answer);
+                info!(self.log, "operator's call answered"; "answer" => ?answer.as_ref().map_err(ToString::to_string));
                 // A caller that has gone has no use for it; what it asked for is done.
                 let _ = reply.send(answer);
             }
             Urgent::Adopted(change) => {
-                info!(self.log, "the other process was called"; "server" => &change.uid, "out" => change.out.is_some());
-                if let Some(news) = self.admin.adopt(change) {
+                info!(self.log, "the other process was called"; "server" => &change.uid, "out" => change.disabled_at.is_some());
+                if let Some(news) = self.admin.apply_override(change) {
                     self.show(news);
                 }
                 let _ = self.keep();
@@ -183,43 +183,41 @@
                 let cold = self.settings.safety.cold;
                 if let Some(news) = self
                     .admin
-                    .leave_cold(on.then(|| self.clock.now().saturating_sub(cold)))
+                    .delegate_started_after(on.then(|| self.clock.now().saturating_sub(cold)))
                 {
                     self.show(news);
                 }
             }
             Urgent::Describe(reply) => {
-                drop(reply.send((self.admin.bans().clone(), self.admin.known())));
+                drop(reply.send((self.admin.state().clone(), self.admin.discovered())));
             }
         }
     }
 
-    fn called(&mut self, call: Call) -> Reply {
+    fn called(&mut self, call: Command) -> Reply {
         let now = self.clock.now();
         let uid = match &call {
-            Call::Ready if self.servers.is_empty() => {
-                return Err("no list of servers is held".to_string());
+            Command::Ready if self.servers.is_empty() => return Err(CommandError::NoEndpoints),
+            Command::Ready if !self.partners.may_serve() => {
+                return Err(CommandError::PredecessorServing);
             }
-            Call::Ready if !self.partners.may_serve() => {
-                return Err("the process before still serves".to_string());
-            }
-            Call::Ready => return Ok("ready".to_string()),
-            Call::Disable(uid) | Call::Enable(uid) => uid,
+            Command::Ready => return Ok("ready".to_string()),
+            Command::DisableServer(uid) | Command::EnableServer(uid) => uid,
         };
-        let before = self.admin.change_of(uid);
-        let (reply, news) = match &call {
-            Call::Disable(uid) => self.admin.disable(uid, now),
-            _ => self.admin.enable(uid, now),
+        let before = self.admin.override_of(uid);
+        let applied = match &call {
+            Command::DisableServer(uid) => self.admin.disable(uid, now)?,
+            _ => self.admin.enable(uid, now)?,
         };
-        let said = reply?;
-        if let Some(news) = news {
+        let said = applied.remark;
+        if let Some(news) = applied.update {
             self.show(news);
         }
-        let after = self.admin.change_of(uid);
+        let after = self.admin.override_of(uid);
         if after == before {
             return Ok(said);
         }
-        self.partners.tell(link::Message::Admin(after));
+        self.partners.tell(handover::Message::Override(after));
         // On disk before the yes: guards bans against this process' end.
         Ok(if self.keep() {
             said
@@ -230,7 +228,7 @@
 
     /// Writes the admin state down; false where that failed.
     fn keep(&self) -> bool {
-        let kept = self.store.save(self.admin.bans());
+        let kept = self.store.save(self.admin.state());
         if let Err(why) = &kept {
             warn!(self.log, "servers out of use could not be written down"; "why" => why);
         }
@@ -326,12 +324,17 @@
     }
 
     /// Takes news as the module is to see them.
-    fn show(&mut self, News { scope, entries, .. }: News) {
+    fn show(
+        &mut self,
+        EndpointUpdate {
+            scope, endpoints, ..
+        }: EndpointUpdate,
+    ) {
         let mut gone: BTreeSet<ServerId> = match scope {
             Scope::Complete | Scope::Cached => self.servers.keys().copied().collect(),
             _ => BTreeSet::new(),
         };
-        for Entry { server, target } in &entries {
+        for Endpoint { server, target } in &endpoints {
             gone.remove(&server.id);
             let takes = server.phase == Phase::Ready;
             // Guards the memory against every server that ever left: nobody is sent to it again.
@@ -352,7 +355,7 @@
             self.servers.remove(&id);
             let _ = self.orders.upstream.send(Order::Retire(id));
         }
-        let servers: Vec<_> = entries.into_iter().map(|e| e.server).collect();
+        let servers: Vec<_> = endpoints.into_iter().map(|e| e.server).collect();
         let entries = servers.len();
         for server in &servers {
             debug!(self.log, "listed"; "at" => self.clock.now(), "server" => format_args!("{:016x}", server.id.0),
--- a/crates/client-proxy/src/handover.rs
+++ b/crates/client-proxy/src/handover.rs
@@ -1,6 +1,6 @@
 //! The way from an old process to its successor: a Unix socket in `$TMPDIR` on which the listening
 //! sockets themselves are passed, and the file that keeps servers out of use. What is said is
-//! `ironmast_admin::link`, who serves when is `ironmast_admin::replacement`.
+//! `ironmast_admin::handover`, who serves when is `ironmast_admin::hot_restart`.
 //!
 //! A platform without `$TMPDIR` or without Unix sockets costs one line of the log, and each process
 //! goes alone.
@@ -15,8 +15,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use ironmast_admin::admin::Bans;
-use ironmast_admin::link::{self, LINE_MOST, Message, VERSION};
+use ironmast_admin::handover::{self, MAX_LINE_BYTES, Message, PROTOCOL_VERSION};
+use ironmast_admin::overrides::OverrideState;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags, recvmsg, sendmsg,
@@ -62,21 +62,23 @@
     }
 
     /// What an earlier process wrote down; nothing, and a line of the log, where it can't be read.
-    pub(crate) fn load(&self, log: &Logger) -> Bans {
+    pub(crate) fn load(&self, log: &Logger) -> OverrideState {
         let Some(path) = self.path("bans") else {
-            return Bans::default();
+            return OverrideState::default();
         };
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
-            Err(error) if error.kind() == io::ErrorKind::NotFound => return Bans::default(),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => {
+                return OverrideState::default();
+            }
             Err(error) => {
                 warn!(log, "servers out of use can't be read"; "file" => %path.display(), "why" => %error);
-                return Bans::default();
+                return OverrideState::default();
             }
         };
         serde_json::from_str(&text).unwrap_or_else(|error| {
             warn!(log, "servers out of use are malformed, all are in use"; "file" => %path.display(), "why" => %error);
-            Bans::default()
+            OverrideState::default()
         })
     }
 
@@ -84,7 +86,7 @@
     ///
     /// # Errors
     /// Why it is not written, in one line.
-    pub(crate) fn save(&self, bans: &Bans) -> Result<(), String> {
+    pub(crate) fn save(&self, bans: &OverrideState) -> Result<(), String> {
         let (Some(path), Some(aside)) = (
             self.path("bans"),
             self.path(&format!("bans.{}", std::process::id())),
@@ -105,7 +107,7 @@
     /// Where datagrams come.
     pub datagrams: Option<UdpSocket>,
     /// Servers out of use.
-    pub bans: Bans,
+    pub bans: OverrideState,
     /// Discovery's list as last held there.
     pub known: Option<Value>,
     /// The conversation with it, and what it has said beyond its welcome.
@@ -146,9 +148,9 @@
     stream.set_write_timeout(Some(PATIENCE)).map_err(plain)?;
     stream
         .write_all(
-            link::encode(&Message::Hello {
-                version: VERSION,
-                claims: true,
+            handover::encode(&Message::Hello {
+                version: PROTOCOL_VERSION,
+                answers_claims: true,
             })
             .as_bytes(),
         )
@@ -175,16 +177,18 @@
         }
         match stream.read(&mut part).map_err(plain)? {
             0 => return Err("it left in the middle of a word".to_string()),
-            _ if line.len() > LINE_MOST => return Err("its first line does not end".to_string()),
+            _ if line.len() > MAX_LINE_BYTES => {
+                return Err("its first line does not end".to_string());
+            }
             bytes => line.extend_from_slice(&part[..bytes]),
         }
     };
     let rest = line.split_off(end + 1);
-    match link::decode(&line)? {
+    match handover::decode(&line).map_err(|e| e.to_string())? {
         Message::Welcome {
-            version: VERSION,
-            bans,
-            known,
+            version: PROTOCOL_VERSION,
+            overrides: bans,
+            endpoints: known,
         } => {
             let mut fds = fds.into_iter();
             let listener = TcpListener::from(fds.next().ok_or("it passed no listening socket")?);
@@ -202,9 +206,9 @@
                 link: (stream, rest),
             })
         }
-        Message::Welcome { version, .. } => {
-            Err(format!("it speaks version {version}, this one {VERSION}"))
-        }
+        Message::Welcome { version, .. } => Err(format!(
+            "it speaks version {version}, this one {PROTOCOL_VERSION}"
+        )),
         Message::Busy(why) => Err(why),
         _ => Err("it does not answer a greeting".to_string()),
     }
@@ -344,15 +348,15 @@
     pub(crate) async fn welcome(
         &self,
         mut stream: UnixStream,
-        (bans, known): (Bans, Option<Value>),
+        (bans, known): (OverrideState, Option<Value>),
         sockets: &[BorrowedFd<'_>],
         claims: bool,
         heard: &mpsc::UnboundedSender<Heard>,
     ) -> io::Result<()> {
-        let line = link::encode(&Message::Welcome {
-            version: VERSION,
-            bans,
-            known,
+        let line = handover::encode(&Message::Welcome {
+            version: PROTOCOL_VERSION,
+            overrides: bans,
+            endpoints: known,
         });
         let send = || {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(PASSED_MOST))];
@@ -382,7 +386,7 @@
         actix_rt::spawn(async move {
             while let Some(message) = tells.recv().await {
                 if writes
-                    .write_all(link::encode(&message).as_bytes())
+                    .write_all(handover::encode(&message).as_bytes())
                     .await
                     .is_err()
                 {
@@ -396,11 +400,11 @@
             loop {
                 let mut line = Vec::new();
                 let read = (&mut lines)
-                    .take(LINE_MOST as u64 + 1)
+                    .take(MAX_LINE_BYTES as u64 + 1)
                     .read_until(b'\n', &mut line)
                     .await;
                 let message = match read {
-                    Ok(bytes) if bytes > 0 => link::decode(&line),
+                    Ok(bytes) if bytes > 0 => handover::decode(&line),
                     _ => break,
                 };
                 let Ok(message) = message else { break };
@@ -436,13 +440,13 @@
                 .map(|_| line)
         });
         let hello = match hello.await {
-            Ok(Ok(line)) => link::decode(&line),
+            Ok(Ok(line)) => handover::decode(&line).map_err(|e| e.to_string()),
             _ => Err("no greeting came".to_string()),
         };
         match hello {
             Ok(Message::Hello {
-                version: VERSION,
-                claims,
+                version: PROTOCOL_VERSION,
+                answers_claims: claims,
             }) => {
                 if heard.send(Heard::Came(stream, claims)).is_err() {
                     return;
@@ -450,7 +454,7 @@
             }
             Ok(Message::Hello { version, .. }) => {
                 warn!(log, "a successor speaks another version"; "version" => version);
-                busy(stream, format!("it speaks version {VERSION}")).await;
+                busy(stream, format!("it speaks version {PROTOCOL_VERSION}")).await;
             }
             Ok(_) => warn!(log, "a successor did not greet"),
             Err(why) => warn!(log, "a successor did not greet"; "why" => why),
@@ -462,7 +466,7 @@
 pub(crate) async fn busy(mut stream: UnixStream, why: String) {
     let _ = timeout(
         PATIENCE,
-        stream.write_all(link::encode(&Message::Busy(why)).as_bytes()),
+        stream.write_all(handover::encode(&Message::Busy(why)).as_bytes()),
     )
     .await;
 }
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -10,7 +10,7 @@
 use actix_http::{ConnectionType, HttpMessage as _, Method, Request, Response, StatusCode};
 use bytes::Bytes;
 use futures_util::StreamExt as _;
-use ironmast_admin::link;
+use ironmast_admin::handover;
 use ironmast_balancer::{Effect, Micros};
 use ironmast_settings::Setup;
 use ironmast_transport::body::{BodyMemory, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, ResponseBody};
@@ -107,7 +107,7 @@
     pub(crate) fn tell_open(&self) {
         self.open.borrow().iter().for_each(|txn| {
             self.partners
-                .tell_successor(link::Message::Opened(txn.clone()));
+                .tell_successor(handover::Message::Opened(txn.clone()));
         });
     }
 
@@ -276,7 +276,7 @@
             }
             None => self
                 .partners
-                .tell_successor(link::Message::Opened(named.txn.clone())),
+                .tell_successor(handover::Message::Opened(named.txn.clone())),
         }
         let (reply, answer) = oneshot::channel();
         let flow = payload.flow().cloned();
@@ -384,7 +384,7 @@
         self.front.open.borrow_mut().remove(&self.txn);
         self.front
             .partners
-            .tell_successor(link::Message::Closed(self.txn.clone()));
+            .tell_successor(handover::Message::Closed(self.txn.clone()));
     }
 }
 
--- a/crates/client-proxy/src/message.rs
+++ b/crates/client-proxy/src/message.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use ironmast_admin::admin::{Bans, Change};
-use ironmast_admin::call::{Call, Reply};
-use ironmast_admin::listing::News;
+use ironmast_admin::command::{Command, Reply};
+use ironmast_admin::endpoint::EndpointUpdate;
+use ironmast_admin::overrides::{OverrideState, ServerOverride};
 use ironmast_balancer::{ClassId, LoadReport, Micros, Outcome, RequestId, ServerId, TenantId};
 use ironmast_transport::body::{ResponseBody, StreamedRequestBody};
 pub(crate) use ironmast_transport::request_body::RequestBody as Sent;
@@ -124,7 +124,7 @@
     /// A probe ended: of whom, how, after how long, with which report.
     Probed(ServerId, Outcome, Micros, Option<LoadReport>),
     /// News from discovery.
-    Listed(News),
+    Listed(EndpointUpdate),
     /// A datagram from the peer of that number.
     Peer(u32, Vec<u8>),
 }
@@ -133,13 +133,13 @@
 #[derive(Debug)]
 pub(crate) enum Urgent {
     /// An operator called.
-    Called(Call, oneshot::Sender<Reply>),
+    Called(Command, oneshot::Sender<Reply>),
     /// The other process of a replacement was called for this server.
-    Adopted(Change),
+    Adopted(ServerOverride),
     /// Whether cold servers are left to a successor.
     LeaveCold(bool),
     /// A successor asks for the admin state and the list.
-    Describe(oneshot::Sender<(Bans, Option<Value>)>),
+    Describe(oneshot::Sender<(OverrideState, Option<Value>)>),
 }
 
 /// To the keeper of the connections to pay servers.
--- a/crates/client-proxy/src/ops.rs
+++ b/crates/client-proxy/src/ops.rs
@@ -1,12 +1,12 @@
 //! Operators' calls: one line in, one line out. Sockets only; what a line means is
-//! `ironmast_admin::call`.
+//! `ironmast_admin::command`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
 
-use ironmast_admin::call::{self, LINE_MOST, Reply};
+use ironmast_admin::command::{self, CommandError, MAX_LINE_BYTES, Reply};
 use slog::{Logger, debug, warn};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
@@ -66,14 +66,16 @@
     let reply = match timeout(PATIENCE, line(&mut stream)).await {
         Ok(Some(line)) => ask(&line, to_driver).await,
         Ok(None) => return,
-        Err(_) => Err(format!("no whole line came within {PATIENCE:?}")),
+        Err(_) => Err(CommandError::LineTimeout(PATIENCE)),
     };
     // A caller that does not listen has itself to blame.
     let _ = timeout(PATIENCE, async {
-        let _ = stream.write_all(call::answer(&reply).as_bytes()).await;
+        let _ = stream
+            .write_all(command::format_reply(&reply).as_bytes())
+            .await;
         let _ = stream.shutdown().await;
         // Reads on: guards the answer against being reset away by bytes behind the line.
-        let mut rest = [0; LINE_MOST];
+        let mut rest = [0; MAX_LINE_BYTES];
         while stream.read(&mut rest).await.is_ok_and(|bytes| bytes > 0) {}
     })
     .await;
@@ -81,7 +83,7 @@
 
 /// The first line, or as much of it as is too much; none where the caller left without a word.
 async fn line(stream: &mut TcpStream) -> Option<Vec<u8>> {
-    let (mut line, mut part) = (Vec::new(), [0; LINE_MOST]);
+    let (mut line, mut part) = (Vec::new(), [0; MAX_LINE_BYTES]);
     loop {
         let bytes = stream.read(&mut part).await.ok()?;
         line.extend_from_slice(&part[..bytes]);
@@ -89,17 +91,17 @@
             line.truncate(end + 1);
             return Some(line);
         }
-        if line.len() > LINE_MOST || bytes == 0 {
+        if line.len() > MAX_LINE_BYTES || bytes == 0 {
             return Some(line).filter(|line| !line.is_empty());
         }
     }
 }
 
 async fn ask(line: &[u8], to_driver: mpsc::UnboundedSender<Urgent>) -> Reply {
-    let call = call::parse(line)?;
+    let call = command::parse(line)?;
     let (reply, answer) = oneshot::channel();
     let _ = to_driver.send(Urgent::Called(call, reply));
     answer
         .await
-        .unwrap_or_else(|_| Err("the process is ending".to_string()))
+        .unwrap_or_else(|_| Err(CommandError::ShuttingDown))
 }
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use actix_rt::task::JoinHandle;
-use ironmast_admin::admin::{Admin, Bans};
-use ironmast_admin::link;
-use ironmast_admin::replacement::{Action, Event, Replacement};
+use ironmast_admin::handover::Message;
+use ironmast_admin::hot_restart::{self, Action, Event, HotRestart, Predecessor};
+use ironmast_admin::overrides::{OverrideState, ServerOverrides};
 use ironmast_balancer::Balancer;
 use ironmast_transport::body::BodyMemory;
 use ironmast_transport::client::client;
@@ -70,7 +70,12 @@
     {
         config.discovery = told.discovery;
     }
-    let (mut part, first) = Replacement::start(inherited.is_some());
+    let predecessor = if inherited.is_some() {
+        Predecessor::Running
+    } else {
+        Predecessor::None
+    };
+    let mut part = HotRestart::new(predecessor);
     let sockets = Sockets::open(&config, inherited, &partners, &to_heard)?;
     let bans = sockets.bans.unwrap_or_else(|| store.load(&log));
     let known = sockets.known.or(config.known.take());
@@ -149,7 +154,11 @@
         discovery: to_discovery,
         peers: to_peers,
     };
-    let admin = (Admin::new(bans), store.clone(), Rc::clone(&partners));
+    let admin = (
+        ServerOverrides::new(bans),
+        store.clone(),
+        Rc::clone(&partners),
+    );
     let driver = Driver::new(
         balancer,
         setup.settings.clone(),
@@ -184,12 +193,12 @@
     info!(log, "serving"; "listen" => listen);
 
     let (mut successors, mut finished) = (None::<JoinHandle<()>>, None::<JoinHandle<()>>);
-    let mut actions = VecDeque::from(first);
+    let mut actions = VecDeque::from([HotRestart::initial_action(predecessor)]);
     loop {
         while let Some(action) = actions.pop_front() {
             debug!(log, "replacement"; "does" => ?action);
             match action {
-                Action::Serve => {
+                Action::StartServing => {
                     partners.serve();
                     turn.send_replace(true);
                     let _ = to_driver.send(Urgent::LeaveCold(false));
@@ -199,24 +208,23 @@
                         before.abort();
                     }
                 }
-                Action::TellServing => partners.tell_predecessor(link::Message::Serving),
-                Action::StandBack => {
+                Action::NotifyPredecessor => partners.tell_predecessor(Message::Serving),
+                Action::StopServing => {
                     info!(log, "a successor serves");
                     turn.send_replace(false);
                     let _ = to_driver.send(Urgent::LeaveCold(true));
                     front.tell_open();
                 }
-                Action::Descriptors(percent) => {
+                Action::SetDescriptorPercent(percent) => {
                     for share in &shares {
                         share.set_capacity_percent(percent).await;
                     }
                 }
-                Action::Finish { linger } => {
+                Action::Shutdown { idle_connections } => {
                     info!(log, "ending");
-                    let idle = if linger {
-                        IdleConnections::KeepUntilTimeout
-                    } else {
-                        IdleConnections::CloseNow
+                    let idle = match idle_connections {
+                        hot_restart::IdleConnections::Linger => IdleConnections::KeepUntilTimeout,
+                        hot_restart::IdleConnections::Close => IdleConnections::CloseNow,
                     };
                     // Nobody comes after this process any more who could be left it.
                     listener = None;
@@ -236,25 +244,25 @@
             }
         }
         let event = tokio::select! {
-            _ = term.recv() => Some(Event::Term),
-            _ = interrupt.recv() => Some(Event::Term),
+            _ = term.recv() => Some(Event::Terminate),
+            _ = interrupt.recv() => Some(Event::Terminate),
             _ = hang_up.recv() => {
                 reload(&mut config, &to_new_address, &log);
                 None
             }
-            () = told.notified() => Some(Event::Held),
+            () = told.notified() => Some(Event::EndpointsReceived),
             _ = &mut driving => return Err(DRIVERLESS.to_string()),
             // Until then it goes on hearing its successor: bans made there hold here, too.
             _ = async { finished.as_mut().expect("checked").await }, if finished.is_some() => return Ok(()),
             Some(heard) = heard.recv() => match heard {
-                Heard::Came(stream, claims) if part.may_be_succeeded() => {
+                Heard::Came(stream, claims) if part.accepts_successor() => {
                     let (reply, described) = oneshot::channel();
                     let _ = to_driver.send(Urgent::Describe(reply));
                     let Ok(described) = described.await else { return Err(DRIVERLESS.to_string()) };
                     let mut passed: Vec<_> = listener.iter().map(|listener| listener.as_fd()).collect();
                     passed.extend(passed_socket.as_ref().map(|socket| socket.as_fd()));
                     match partners.welcome(stream, described, &passed, claims, &to_heard).await {
-                        Ok(()) => Some(Event::SuccessorCame),
+                        Ok(()) => Some(Event::SuccessorConnected),
                         Err(error) => {
                             warn!(log, "a successor left before its welcome"; "why" => %error);
                             None
@@ -265,25 +273,25 @@
                     handover::busy(stream, "it can't be replaced now".to_string()).await;
                     None
                 }
-                Heard::Said(Side::Successor, link::Message::Serving) => Some(Event::SuccessorServes),
-                Heard::Said(_, link::Message::Admin(change)) => {
+                Heard::Said(Side::Successor, Message::Serving) => Some(Event::SuccessorServing),
+                Heard::Said(_, Message::Override(change)) => {
                     let _ = to_driver.send(Urgent::Adopted(change));
                     None
                 }
-                Heard::Said(Side::Predecessor, link::Message::Opened(txn)) => {
+                Heard::Said(Side::Predecessor, Message::Opened(txn)) => {
                     front.note_elsewhere(txn, true);
                     None
                 }
-                Heard::Said(Side::Predecessor, link::Message::Closed(txn)) => {
+                Heard::Said(Side::Predecessor, Message::Closed(txn)) => {
                     front.note_elsewhere(txn, false);
                     None
                 }
-                Heard::Said(Side::Predecessor, link::Message::Claim(txn)) => {
+                Heard::Said(Side::Predecessor, Message::Claim(txn)) => {
                     let granted = front.grant(&txn);
-                    partners.tell_predecessor(link::Message::Claimed { txn, granted });
+                    partners.tell_predecessor(Message::Claimed { request_name: txn, granted });
                     None
                 }
-                Heard::Said(Side::Successor, link::Message::Claimed { txn, granted }) => {
+                Heard::Said(Side::Successor, Message::Claimed { request_name: txn, granted }) => {
                     partners.claimed(&txn, granted);
                     None
                 }
@@ -304,7 +312,7 @@
                 }
             },
         };
-        actions.extend(event.map(|event| part.on(event)).unwrap_or_default());
+        actions.extend(event.map(|event| part.handle(event)).unwrap_or_default());
     }
 }
 
@@ -313,7 +321,7 @@
     listener: TcpListener,
     datagrams: Option<UdpSocket>,
     operators: Option<TcpListener>,
-    bans: Option<Bans>,
+    bans: Option<OverrideState>,
     known: Option<Value>,
 }
 
