--- /dev/null
+++ b/crates/endpoints/src/contacts.rs
@@ -0,0 +1,62 @@
+//! When each endpoint was last heard from, by this coordinator or by another one.
+
+use ironmast_schema::control::Key;
+use rustc_hash::FxHashMap;
+
+use crate::Micros;
+
+/// The last contact with one endpoint.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Contact {
+    /// When any coordinator last heard from it.
+    pub(crate) last: Micros,
+    /// The highest heartbeat sequence (instances) or version (gates) heard of.
+    pub(crate) sequence: u64,
+    /// When this coordinator itself last heard from it.
+    pub(crate) last_direct: Option<Micros>,
+}
+
+/// The last contacts with all endpoints.
+#[derive(Debug, Default)]
+pub(crate) struct Contacts {
+    by_key: FxHashMap<Key, Contact>,
+    /// Sequences of direct contacts that the other coordinators haven't been sent yet.
+    unreported: FxHashMap<Key, u64>,
+}
+
+impl Contacts {
+    pub(crate) fn get(&self, key: &Key) -> Option<&Contact> {
+        self.by_key.get(key)
+    }
+
+    /// Records a message that the endpoint sent to this coordinator.
+    pub(crate) fn record_direct(&mut self, now: Micros, key: &Key, sequence: u64) {
+        self.record(now, key, sequence).last_direct = Some(now);
+        self.unreported.insert(key.clone(), sequence);
+    }
+
+    /// Records that another coordinator has heard from the endpoint.
+    pub(crate) fn record_indirect(&mut self, now: Micros, key: &Key, sequence: u64) {
+        self.record(now, key, sequence);
+    }
+
+    pub(crate) fn remove(&mut self, key: &Key) {
+        self.by_key.remove(key);
+    }
+
+    /// The direct contacts since the last call, each with its sequence.
+    pub(crate) fn take_unreported(&mut self) -> Vec<(Key, u64)> {
+        self.unreported.drain().collect()
+    }
+
+    fn record(&mut self, now: Micros, key: &Key, sequence: u64) -> &mut Contact {
+        let contact = self.by_key.entry(key.clone()).or_insert(Contact {
+            last: now,
+            sequence,
+            last_direct: None,
+        });
+        contact.last = contact.last.max(now);
+        contact.sequence = contact.sequence.max(sequence);
+        contact
+    }
+}
--- /dev/null
+++ b/crates/endpoints/src/expiry.rs
@@ -0,0 +1,103 @@
+//! Expiry of endpoints that haven't been heard from, and removal of entries that are over.
+
+use ironmast_schema::control::{Entry, Key, Liveness, Value};
+
+use crate::contacts::Contact;
+use crate::{EndpointTable, ExpiryTimeouts, Micros, versions};
+
+/// How long the entry of an endpoint that is deregistered, unreachable or down is kept after its
+/// last contact. Until then it keeps late updates of the endpoint from bringing it back.
+pub(crate) const RETENTION: Micros = 120_000_000;
+
+impl EndpointTable {
+    /// Starts all expiry timeouts anew. Called when this coordinator regains contact with the
+    /// others: it can't tell who was silent before.
+    pub fn restart_expiry(&mut self, now: Micros) {
+        self.expiry_since = now;
+    }
+
+    /// Expires the endpoints whose timeout has passed; returns their entries to send to the other
+    /// nodes.
+    pub fn expire(&mut self, now: Micros) -> Vec<Entry> {
+        let may_expire_instances = self.may_expire_instances(now);
+        let (timeouts, since) = (self.timeouts, self.expiry_since);
+        let mut expired = Vec::new();
+        for (key, entry) in &mut self.entries {
+            let contact = self.contacts.get(key).copied().unwrap_or(Contact {
+                last: since,
+                sequence: 0,
+                last_direct: None,
+            });
+            let silent_for = now.saturating_sub(contact.last.max(since));
+            let is_instance = matches!(entry.value, Value::Instance(_));
+            if is_instance && !may_expire_instances {
+                continue;
+            }
+            if expire_entry(entry, silent_for, contact.sequence, timeouts) {
+                expired.push(entry.clone());
+            }
+        }
+        expired
+    }
+
+    /// Whether instances may expire. While this coordinator itself receives no heartbeats, or has
+    /// just started, it is more likely cut off than all servers are down: expiring them would empty
+    /// the table.
+    fn may_expire_instances(&self, now: Micros) -> bool {
+        let timeout = self.timeouts.instance;
+        now >= self.expiry_since + timeout && now <= self.last_heartbeat + timeout / 2
+    }
+
+    /// Removes the entries that are over and whose retention has passed; returns their keys with
+    /// the versions of the removals.
+    pub fn purge(&mut self, now: Micros) -> Vec<(Key, u64)> {
+        let contacts = &mut self.contacts;
+        let mut removed = Vec::new();
+        self.entries.retain(|key, entry| {
+            let is_retained = contacts
+                .get(key)
+                .is_some_and(|contact| now <= contact.last + RETENTION);
+            let keep = !is_over(&entry.value) || is_retained;
+            if !keep {
+                contacts.remove(key);
+                removed.push((key.clone(), entry.version + versions::REMOVAL_INCREMENT));
+            }
+            keep
+        });
+        removed
+    }
+}
+
+/// Marks an entry as unreachable or down if it has been silent for longer than its timeout; returns
+/// whether it has changed. The new version is above that of the last contact.
+fn expire_entry(
+    entry: &mut Entry,
+    silent_for: Micros,
+    last_sequence: u64,
+    timeouts: ExpiryTimeouts,
+) -> bool {
+    let last_version = match &mut entry.value {
+        Value::Instance(record)
+            if record.liveness == Liveness::Alive && silent_for > timeouts.instance =>
+        {
+            record.liveness = Liveness::Unreachable;
+            versions::of_sequence(last_sequence)
+        }
+        Value::Gate(record) if !record.down && silent_for > timeouts.gate => {
+            record.down = true;
+            last_sequence
+        }
+        _ => return false,
+    };
+    entry.version = entry.version.max(last_version) + versions::EXPIRY_INCREMENT;
+    true
+}
+
+/// Whether an endpoint is deregistered, unreachable or down.
+fn is_over(value: &Value) -> bool {
+    match value {
+        Value::Instance(record) => record.liveness != Liveness::Alive,
+        Value::Gate(record) => record.down,
+        Value::Control(_) => false,
+    }
+}
--- /dev/null
+++ b/crates/endpoints/src/gates.rs
@@ -0,0 +1,77 @@
+//! Gates: their status updates, and a view of them for address resolution.
+
+use std::net::SocketAddr;
+
+use ironmast_schema::control::{Entry, GateRecord, Key, Value};
+
+use crate::contacts::Contact;
+use crate::{EndpointTable, Micros};
+
+/// A gate of the table, with its reachability.
+#[derive(Debug, Clone, Copy)]
+pub struct Gate<'a> {
+    /// The frontend address, where clients connect.
+    pub frontend: SocketAddr,
+    /// The latest state of the gate.
+    pub record: &'a GateRecord,
+    /// When any coordinator last heard from it.
+    pub last_heard: Micros,
+    /// Whether any coordinator has heard from it within the expiry timeout.
+    pub is_reachable: bool,
+    /// Whether this coordinator itself has heard from it within the expiry timeout.
+    pub is_directly_reachable: bool,
+}
+
+impl EndpointTable {
+    /// Records a gate's status update; returns the entry to send to the other nodes if they need to
+    /// learn of the change.
+    pub fn update_gate(
+        &mut self,
+        now: Micros,
+        key: Key,
+        version: u64,
+        record: GateRecord,
+    ) -> Option<Entry> {
+        if self.has_version(&key, version) {
+            return None;
+        }
+        let value = Value::Gate(record);
+        let entry = Entry {
+            key,
+            version,
+            value,
+        };
+        self.store_direct(now, entry, version)
+    }
+
+    /// The gates of the table, including those that are down.
+    pub fn gates(&self, now: Micros) -> impl Iterator<Item = Gate<'_>> {
+        self.entries
+            .iter()
+            .filter_map(move |(key, entry)| match (key, &entry.value) {
+                (Key::Gate(frontend), Value::Gate(record)) => {
+                    Some(self.gate_view(now, *frontend, record, self.contacts.get(key)))
+                }
+                _ => None,
+            })
+    }
+
+    fn gate_view<'a>(
+        &self,
+        now: Micros,
+        frontend: SocketAddr,
+        record: &'a GateRecord,
+        contact: Option<&Contact>,
+    ) -> Gate<'a> {
+        let is_recent = |at: Micros| now <= at + self.timeouts.gate;
+        Gate {
+            frontend,
+            record,
+            last_heard: contact.map_or(self.expiry_since, |contact| contact.last),
+            is_reachable: contact.is_some_and(|contact| is_recent(contact.last)),
+            is_directly_reachable: contact
+                .and_then(|contact| contact.last_direct)
+                .is_some_and(is_recent),
+        }
+    }
+}
--- /dev/null
+++ b/crates/endpoints/src/instances.rs
@@ -0,0 +1,54 @@
+//! Registration of server instances: heartbeats and deregistration.
+
+use ironmast_schema::control::{Entry, InstanceRecord, Key, Liveness, Value};
+use ironmast_schema::registration::Heartbeat;
+
+use crate::{EndpointTable, Micros, versions};
+
+impl EndpointTable {
+    /// Records a server's heartbeat; returns the entry to send to the other nodes if they need to
+    /// learn of the change.
+    pub fn record_heartbeat(
+        &mut self,
+        now: Micros,
+        id: &str,
+        heartbeat: Heartbeat,
+    ) -> Option<Entry> {
+        let key = Key::Instance(id.to_string());
+        let sequence = heartbeat.sequence;
+        let version = versions::of_sequence(sequence);
+        self.last_heartbeat = now;
+        // The heartbeat is late, a duplicate, or of an incarnation that has deregistered.
+        if self.has_version(&key, version) {
+            return None;
+        }
+        let value = Value::Instance(InstanceRecord {
+            heartbeat,
+            liveness: Liveness::Alive,
+        });
+        let entry = Entry {
+            key,
+            version,
+            value,
+        };
+        self.store_direct(now, entry, sequence)
+    }
+
+    /// Records that a server has deregistered; returns the entry to send to the other nodes, or
+    /// `None` if the server is unknown or has deregistered before.
+    pub fn deregister(&mut self, now: Micros, id: &str) -> Option<Entry> {
+        let key = Key::Instance(id.to_string());
+        let entry = self.entries.get_mut(&key)?;
+        let Value::Instance(record) = &mut entry.value else {
+            return None;
+        };
+        if record.liveness == Liveness::Deregistered {
+            return None;
+        }
+        record.liveness = Liveness::Deregistered;
+        entry.version = versions::DEREGISTERED;
+        let entry = entry.clone();
+        self.contacts.record_indirect(now, &key, 0);
+        Some(entry)
+    }
+}
--- a/crates/endpoints/tests/simulation/main.rs
+++ b/crates/endpoints/tests/simulation/main.rs
@@ -1,60 +1,61 @@
-//! Catalogs of several coordinators with servers that call any of them, over a network that delays,
-//! reorders and cuts: what agents are told, and what is left once it is calm.
+//! Endpoint tables of several coordinators, with servers that send heartbeats to any of them, over a
+//! network that delays, reorders and partitions: agents never see a server revived, learn of drains
+//! in time, and all nodes converge once the faults end.
 
 mod world;
 
 use world::{Guard, Violation, World};
 
 const SEEDS: u64 = 200;
-/// Seeds in which a removed guard must be noticed at least once.
-const SEEDS_TO_NOTICE: u64 = 60;
+/// Seeds in which a removed guard must be detected at least once.
+const SEEDS_TO_DETECT: u64 = 60;
 
 fn violations(coordinators: usize, seed: u64, removed: Option<Guard>) -> Vec<Violation> {
     let mut world = World::new(coordinators, seed, removed);
-    world.play();
+    world.run();
     world.violations
 }
 
-fn assert_kept(coordinators: usize) {
+fn assert_no_violation(coordinators: usize) {
     for seed in 0..SEEDS {
         let found = violations(coordinators, seed, None);
         assert!(found.is_empty(), "seed {seed}: {found:?}");
     }
 }
 
-fn assert_noticed(removed: Guard, is_sign: impl Fn(&Violation) -> bool) {
-    let noticed =
-        (0..SEEDS_TO_NOTICE).any(|seed| violations(3, seed, Some(removed)).iter().any(&is_sign));
-    assert!(noticed, "nobody notices that {removed:?} is missing");
+fn assert_detected(removed: Guard, is_symptom: impl Fn(&Violation) -> bool) {
+    let detected =
+        (0..SEEDS_TO_DETECT).any(|seed| violations(3, seed, Some(removed)).iter().any(&is_symptom));
+    assert!(detected, "no seed detects that {removed:?} is missing");
 }
 
 #[test]
-fn agents_of_three_coordinators_are_told_the_truth() {
-    assert_kept(3);
+fn agents_of_three_coordinators_converge() {
+    assert_no_violation(3);
 }
 
 #[test]
-fn agents_of_five_coordinators_are_told_the_truth() {
-    assert_kept(5);
+fn agents_of_five_coordinators_converge() {
+    assert_no_violation(5);
 }
 
 #[test]
-fn it_is_noticed_when_who_knows_better_says_nothing() {
-    assert_noticed(Guard::TellAgain, |violation| {
-        matches!(violation, Violation::Wrong { .. })
+fn missing_resend_of_newer_entries_is_detected() {
+    assert_detected(Guard::ResendNewer, |violation| {
+        matches!(violation, Violation::Diverged { .. })
     });
 }
 
 #[test]
-fn it_is_noticed_when_agents_take_older_versions() {
-    assert_noticed(Guard::Versions, |violation| {
-        matches!(violation, Violation::WayBack { .. })
+fn missing_version_check_is_detected() {
+    assert_detected(Guard::Versions, |violation| {
+        matches!(violation, Violation::Revived { .. })
     });
 }
 
 #[test]
-fn it_is_noticed_when_nothing_is_repaired() {
-    assert_noticed(Guard::Repair, |violation| {
-        matches!(violation, Violation::Wrong { .. })
+fn missing_anti_entropy_is_detected() {
+    assert_detected(Guard::AntiEntropy, |violation| {
+        matches!(violation, Violation::Diverged { .. })
     });
 }
--- a/crates/endpoints/tests/simulation/world.rs
+++ b/crates/endpoints/tests/simulation/world.rs
@@ -1,4 +1,5 @@
-//! Coordinators, agents and servers in simulated time.
+//! Coordinators, agents and servers in simulated time, with a network that delays, drops and
+//! partitions.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -14,53 +15,53 @@
 const AGENTS: usize = 20;
 const SERVERS: usize = 8;
 const INTERVAL: Micros = 1_200 * MS;
-const PATIENCE: ExpiryTimeouts = ExpiryTimeouts {
+const TIMEOUTS: ExpiryTimeouts = ExpiryTimeouts {
     instance: 4 * INTERVAL,
     gate: 2_500 * MS,
 };
-/// Trouble ends here.
-const CALM_AT: Micros = 30_000 * MS;
+/// No fault begins after this.
+const LAST_FAULT_AT: Micros = 30_000 * MS;
 const END: Micros = 45_000 * MS;
-/// A draining server's word is everywhere within this.
-const DRAIN_WITHIN: Micros = 3_000 * MS;
+/// A draining server's state reaches every agent within this.
+const DRAIN_DEADLINE: Micros = 3_000 * MS;
 
-/// What a test can remove.
+/// A mechanism that a test can remove to see that it is missed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Guard {
-    /// A coordinator that knows better tells it again.
-    TellAgain,
-    /// Nodes refuse older versions.
+    /// A coordinator that holds a newer entry sends it again.
+    ResendNewer,
+    /// Nodes ignore older versions.
     Versions,
-    /// Nodes compare what they hold now and then.
-    Repair,
+    /// Nodes send all their entries to another one periodically (anti-entropy).
+    AntiEntropy,
 }
 
-/// What went wrong.
+/// A violated invariant.
 #[derive(Debug)]
 #[expect(dead_code, reason = "shown when a seed fails")]
 pub(crate) enum Violation {
-    /// An agent saw a server return from draining or its end.
-    WayBack {
+    /// At an agent, a server became usable again after it had drained or deregistered.
+    Revived {
         agent: usize,
         server: usize,
         at: Micros,
     },
-    /// An agent had not heard in time that a server drains.
+    /// An agent had not learned in time that a server drains.
     DrainLate {
         agent: usize,
         server: usize,
         at: Micros,
     },
-    /// At the end a node holds something else than what is so.
-    Wrong {
+    /// At the end a node holds another state than the actual one.
+    Diverged {
         node: usize,
         server: usize,
-        held: Option<Liveness>,
+        stored: Option<Liveness>,
     },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Life {
+enum Phase {
     Ready,
     Draining,
     Ended,
@@ -68,18 +69,18 @@
 }
 
 struct Server {
-    life: Life,
+    phase: Phase,
     sequence: u64,
     next: Micros,
-    /// The coordinator that it calls.
-    calls: usize,
-    /// When it drains, ends or crashes next.
-    turn: Micros,
+    /// The coordinator that it sends heartbeats to.
+    coordinator: usize,
+    /// When it drains, deregisters or crashes next.
+    transition_at: Micros,
 }
 
-enum Parcel {
+enum Message {
     Entry(Entry),
-    Alive(Vec<(Key, u64)>),
+    Observed(Vec<(Key, u64)>),
 }
 
 /// Coordinators first, then agents.
@@ -87,16 +88,16 @@
     now: Micros,
     random: Xoshiro256PlusPlus,
     removed: Option<Guard>,
-    catalogs: Vec<EndpointTable>,
+    tables: Vec<EndpointTable>,
     stores: Vec<BTreeMap<Key, Entry>>,
     servers: Vec<Server>,
-    parcels: BTreeMap<u64, (usize, Parcel)>,
+    messages: BTreeMap<u64, (usize, Message)>,
     due: BinaryHeap<Reverse<(Micros, u64)>>,
     serial: u64,
-    /// One coordinator hears nothing of the others, or they nothing of it, or both.
-    cut: Option<(usize, bool, bool)>,
-    trouble_at: Micros,
-    last_trouble: Micros,
+    /// One coordinator is partitioned from the others: outgoing, incoming, or both.
+    partition: Option<(usize, bool, bool)>,
+    next_fault_at: Micros,
+    last_fault: Micros,
     drains: Vec<(usize, Micros)>,
     pub violations: Vec<Violation>,
 }
@@ -105,43 +106,43 @@
     pub(crate) fn new(coordinators: usize, seed: u64, removed: Option<Guard>) -> Self {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
         let servers = (0..SERVERS).map(|_| Server {
-            life: Life::Ready,
+            phase: Phase::Ready,
             sequence: 0,
             next: random.random_range(0..INTERVAL),
-            calls: random.random_range(0..coordinators),
-            turn: random.random_range(5_000 * MS..80_000 * MS),
+            coordinator: random.random_range(0..coordinators),
+            transition_at: random.random_range(5_000 * MS..80_000 * MS),
         });
         World {
             now: 0,
             servers: servers.collect(),
             random,
             removed,
-            catalogs: (0..coordinators)
-                .map(|_| EndpointTable::new(0, PATIENCE))
+            tables: (0..coordinators)
+                .map(|_| EndpointTable::new(0, TIMEOUTS))
                 .collect(),
             stores: vec![BTreeMap::new(); coordinators + AGENTS],
-            parcels: BTreeMap::new(),
+            messages: BTreeMap::new(),
             due: BinaryHeap::new(),
             serial: 0,
-            cut: None,
-            trouble_at: 4_000 * MS,
-            last_trouble: 0,
+            partition: None,
+            next_fault_at: 4_000 * MS,
+            last_fault: 0,
             drains: Vec::new(),
             violations: Vec::new(),
         }
     }
 
-    pub(crate) fn play(&mut self) {
+    pub(crate) fn run(&mut self) {
         while self.now < END {
             self.now += STEP;
             self.deliver();
-            self.trouble();
-            (0..SERVERS).for_each(|server| self.turn(server));
+            self.inject_faults();
+            (0..SERVERS).for_each(|server| self.advance(server));
             if self.now.is_multiple_of(250 * MS) {
                 self.tick();
             }
-            if self.now.is_multiple_of(500 * MS) && self.removed != Some(Guard::Repair) {
-                self.repair();
+            if self.now.is_multiple_of(500 * MS) && self.removed != Some(Guard::AntiEntropy) {
+                self.run_anti_entropy();
             }
             self.check_drains();
         }
@@ -149,124 +150,128 @@
     }
 
     fn coordinators(&self) -> usize {
-        self.catalogs.len()
+        self.tables.len()
     }
 
-    /// Coordinators are cut off from one another for a while, or one starts anew with nothing.
-    fn trouble(&mut self) {
-        if self.now < self.trouble_at {
+    /// Partitions a coordinator from the others for a while, or restarts one with an empty table.
+    fn inject_faults(&mut self) {
+        if self.now < self.next_fault_at {
             return;
         }
-        self.trouble_at = self.now + self.random.random_range(1_000 * MS..8_000 * MS);
-        self.last_trouble = self.now;
-        if self.cut.take().is_some() || self.now >= CALM_AT {
+        self.next_fault_at = self.now + self.random.random_range(1_000 * MS..8_000 * MS);
+        self.last_fault = self.now;
+        if self.partition.take().is_some() || self.now >= LAST_FAULT_AT {
             return;
         }
         let coordinator = self.random.random_range(0..self.coordinators());
         if self.random.random_bool(0.3) {
-            self.catalogs[coordinator] = EndpointTable::new(self.now, PATIENCE);
+            self.tables[coordinator] = EndpointTable::new(self.now, TIMEOUTS);
             self.stores[coordinator].clear();
             return;
         }
         let ways = [(true, true), (true, false), (false, true)][self.random.random_range(0..3)];
-        self.cut = Some((coordinator, ways.0, ways.1));
+        self.partition = Some((coordinator, ways.0, ways.1));
     }
 
-    /// Coordinators are cut off from each other only; agents reach all.
-    fn is_cut(&self, from: usize, to: usize) -> bool {
+    /// Only coordinators are partitioned, from each other; agents reach all of them.
+    fn is_partitioned(&self, from: usize, to: usize) -> bool {
         let both = from < self.coordinators() && to < self.coordinators();
         both && self
-            .cut
+            .partition
             .is_some_and(|(node, out, into)| out && from == node || into && to == node)
     }
 
-    fn turn(&mut self, server: usize) {
-        let due = self.now >= self.servers[server].turn && self.now < CALM_AT;
-        match self.servers[server].life {
-            Life::Ended | Life::Crashed => return,
-            Life::Ready if due && self.random.random_bool(0.3) => {
-                self.servers[server].life = Life::Crashed;
+    fn advance(&mut self, server: usize) {
+        let due = self.now >= self.servers[server].transition_at && self.now < LAST_FAULT_AT;
+        match self.servers[server].phase {
+            Phase::Ended | Phase::Crashed => return,
+            Phase::Ready if due && self.random.random_bool(0.3) => {
+                self.servers[server].phase = Phase::Crashed;
                 return;
             }
-            Life::Ready if due => {
-                self.servers[server].life = Life::Draining;
-                self.servers[server].turn = self.now + 4_000 * MS;
+            Phase::Ready if due => {
+                self.servers[server].phase = Phase::Draining;
+                self.servers[server].transition_at = self.now + 4_000 * MS;
                 self.servers[server].next = self.now;
-                if self.cut.is_none() && self.now > self.last_trouble + 5_000 * MS {
+                if self.partition.is_none() && self.now > self.last_fault + 5_000 * MS {
                     self.drains.push((server, self.now));
                 }
             }
-            Life::Draining if self.now >= self.servers[server].turn => return self.end(server),
-            Life::Ready | Life::Draining => {}
+            Phase::Draining if self.now >= self.servers[server].transition_at => {
+                return self.deregister(server);
+            }
+            Phase::Ready | Phase::Draining => {}
         }
         if self.now >= self.servers[server].next {
-            self.beat(server);
+            self.send_heartbeat(server);
         }
     }
 
-    fn beat(&mut self, server: usize) {
+    fn send_heartbeat(&mut self, server: usize) {
         self.servers[server].sequence += 1;
         self.servers[server].next = self.now + INTERVAL;
-        // Servers stay with a coordinator while it answers.
+        // Servers keep to one coordinator, and change it now and then.
         if self.random.random_bool(0.02) {
-            self.servers[server].calls = self.random.random_range(0..self.coordinators());
+            self.servers[server].coordinator = self.random.random_range(0..self.coordinators());
         }
-        let to = self.servers[server].calls;
+        let to = self.servers[server].coordinator;
         let heartbeat = heartbeat(&self.servers[server]);
-        let news = self.catalogs[to].record_heartbeat(self.now, &name(server), heartbeat);
-        news.into_iter().for_each(|entry| self.publish(to, entry));
+        let changed = self.tables[to].record_heartbeat(self.now, &name(server), heartbeat);
+        if let Some(entry) = changed {
+            self.publish(to, &entry);
+        }
     }
 
-    fn end(&mut self, server: usize) {
+    fn deregister(&mut self, server: usize) {
         let to = self.random.random_range(0..self.coordinators());
-        // One that doesn't know the server has nothing to say of it: it is called again.
-        if let Some(entry) = self.catalogs[to].deregister(self.now, &name(server)) {
-            self.servers[server].life = Life::Ended;
-            self.publish(to, entry);
+        // A coordinator that doesn't know the server can't deregister it: the server tries again.
+        if let Some(entry) = self.tables[to].deregister(self.now, &name(server)) {
+            self.servers[server].phase = Phase::Ended;
+            self.publish(to, &entry);
         }
     }
 
     fn tick(&mut self) {
         for coordinator in 0..self.coordinators() {
-            for entry in self.catalogs[coordinator].expire(self.now) {
-                self.publish(coordinator, entry);
+            for entry in self.tables[coordinator].expire(self.now) {
+                self.publish(coordinator, &entry);
             }
-            let fresh = self.catalogs[coordinator].take_observed();
+            let observed = self.tables[coordinator].take_observed();
             for to in 0..self.coordinators() {
                 if to != coordinator {
-                    self.send(coordinator, to, Parcel::Alive(fresh.clone()));
+                    self.send(coordinator, to, Message::Observed(observed.clone()));
                 }
             }
         }
     }
 
-    /// Each node sends what it holds to another.
-    fn repair(&mut self) {
+    /// Each node sends all its entries to another one.
+    fn run_anti_entropy(&mut self) {
         for from in 0..self.stores.len() {
             let to = self.random.random_range(0..self.stores.len());
             for entry in self.stores[from].values().cloned().collect::<Vec<_>>() {
-                self.send(from, to, Parcel::Entry(entry));
+                self.send(from, to, Message::Entry(entry));
             }
         }
     }
 
-    fn publish(&mut self, from: usize, entry: Entry) {
-        self.store(from, entry.clone());
+    fn publish(&mut self, from: usize, entry: &Entry) {
+        self.store(from, entry);
         for to in 0..self.stores.len() {
-            // Now and then a node is left out until the next repair.
+            // Some messages are lost; anti-entropy makes up for them.
             if to != from && self.random.random_bool(0.95) {
-                self.send(from, to, Parcel::Entry(entry.clone()));
+                self.send(from, to, Message::Entry(entry.clone()));
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, parcel: Parcel) {
-        if self.is_cut(from, to) {
+    fn send(&mut self, from: usize, to: usize, message: Message) {
+        if self.is_partitioned(from, to) {
             return;
         }
         self.serial += 1;
         let at = self.now + self.random.random_range(MS..400 * MS);
-        self.parcels.insert(self.serial, (to, parcel));
+        self.messages.insert(self.serial, (to, message));
         self.due.push(Reverse((at, self.serial)));
     }
 
@@ -279,25 +284,25 @@
             let Some(Reverse((_, serial))) = self.due.pop() else {
                 return;
             };
-            match self.parcels.remove(&serial) {
-                Some((to, Parcel::Entry(entry))) => self.store(to, entry),
-                Some((to, Parcel::Alive(heard))) => {
-                    self.catalogs[to].merge_observed(self.now, &heard)
+            match self.messages.remove(&serial) {
+                Some((to, Message::Entry(entry))) => self.store(to, &entry),
+                Some((to, Message::Observed(heard))) => {
+                    self.tables[to].merge_observed(self.now, &heard);
                 }
                 None => {}
             }
         }
     }
 
-    fn store(&mut self, node: usize, entry: Entry) {
-        let held = self.stores[node].get(&entry.key);
-        let old = held.is_some_and(|held| held.version >= entry.version);
-        if old && self.removed != Some(Guard::Versions) {
+    fn store(&mut self, node: usize, entry: &Entry) {
+        let stored = self.stores[node].get(&entry.key);
+        let is_old = stored.is_some_and(|stored| stored.version >= entry.version);
+        if is_old && self.removed != Some(Guard::Versions) {
             return;
         }
-        if node >= self.coordinators() && held.is_some_and(is_over) && is_usable(&entry) {
+        if node >= self.coordinators() && stored.is_some_and(is_over) && is_usable(entry) {
             let server = number(&entry.key);
-            self.violations.push(Violation::WayBack {
+            self.violations.push(Violation::Revived {
                 agent: node,
                 server,
                 at: self.now,
@@ -305,27 +310,27 @@
         }
         self.stores[node].insert(entry.key.clone(), entry.clone());
         if node < self.coordinators() {
-            let merged = self.catalogs[node].merge(self.now, &entry);
+            let merged = self.tables[node].merge(self.now, entry);
             if let (MergeOutcome::Stale(newer), true) =
-                (merged, self.removed != Some(Guard::TellAgain))
+                (merged, self.removed != Some(Guard::ResendNewer))
             {
-                self.publish(node, *newer);
+                self.publish(node, &newer);
             }
         }
     }
 
     fn check_drains(&mut self) {
-        let (now, last_trouble) = (self.now, self.last_trouble);
+        let (now, last_fault) = (self.now, self.last_fault);
         let ended: Vec<(usize, Micros)> = self
             .drains
-            .extract_if(.., |(_, at)| now >= *at + DRAIN_WITHIN)
+            .extract_if(.., |(_, at)| now >= *at + DRAIN_DEADLINE)
             .collect();
-        for (server, _) in ended.into_iter().filter(|(_, at)| last_trouble < *at) {
+        for (server, _) in ended.into_iter().filter(|(_, at)| last_fault < *at) {
             for agent in self.coordinators()..self.stores.len() {
-                let told = self.stores[agent]
+                let learned = self.stores[agent]
                     .get(&Key::Instance(name(server)))
                     .is_some_and(is_over);
-                if !told {
+                if !learned {
                     self.violations.push(Violation::DrainLate {
                         agent,
                         server,
@@ -338,18 +343,23 @@
 
     fn check_end(&mut self) {
         for server in 0..SERVERS {
-            let wanted = match self.servers[server].life {
-                Life::Ready | Life::Draining => Liveness::Alive,
-                Life::Crashed => Liveness::Unreachable,
-                Life::Ended => Liveness::Deregistered,
+            let expected = match self.servers[server].phase {
+                Phase::Ready | Phase::Draining => Liveness::Alive,
+                Phase::Crashed => Liveness::Unreachable,
+                Phase::Ended => Liveness::Deregistered,
             };
             let key = Key::Instance(name(server));
             for node in 0..self.stores.len() {
-                let held = self.stores[node].get(&key).map(liveness);
-                // One that crashed before anyone stored its word stays unknown.
-                if held != Some(wanted) && !(held.is_none() && wanted == Liveness::Unreachable) {
-                    self.violations
-                        .push(Violation::Wrong { node, server, held });
+                let stored = self.stores[node].get(&key).map(liveness);
+                // A server that crashed before any node stored its heartbeat stays unknown.
+                if stored != Some(expected)
+                    && !(stored.is_none() && expected == Liveness::Unreachable)
+                {
+                    self.violations.push(Violation::Diverged {
+                        node,
+                        server,
+                        stored,
+                    });
                 }
             }
         }
@@ -363,7 +373,7 @@
         zone: "north-a".to_string(),
         generation: "v1".to_string(),
         capacity: 8,
-        state: if server.life == Life::Draining {
+        state: if server.phase == Phase::Draining {
             InstanceState::Draining
         } else {
             InstanceState::Ready
@@ -396,7 +406,7 @@
     record(entry).liveness
 }
 
-/// Whether an incarnation has said that it drains or ends.
+/// Whether an incarnation has announced that it drains, or has deregistered.
 fn is_over(entry: &Entry) -> bool {
     let record = record(entry);
     record.liveness == Liveness::Deregistered || record.heartbeat.state == InstanceState::Draining
--- a/crates/schema/src/configuration.rs
+++ b/crates/schema/src/configuration.rs
@@ -296,6 +296,10 @@
     }
 }
 
+#[expect(
+    clippy::trivially_copy_pass_by_ref,
+    reason = "garde passes the context by reference"
+)]
 fn slashes(prefix: &str, _: &()) -> garde::Result {
     if prefix.starts_with('/') && prefix.ends_with('/') {
         return Ok(());
--- a/crates/schema/src/settings.rs
+++ b/crates/schema/src/settings.rs
@@ -331,6 +331,10 @@
 /// Internal ports that the programs use.
 const PORTS_NEEDED: u16 = 4;
 
+#[expect(
+    clippy::trivially_copy_pass_by_ref,
+    reason = "garde passes both by reference"
+)]
 fn ordered(range: &[u16; 2], _: &()) -> garde::Result {
     if range[1] >= range[0] && range[1] - range[0] + 1 >= PORTS_NEEDED {
         return Ok(());
