--- a/crates/overlay-transport/src/driver.rs
+++ b/crates/overlay-transport/src/driver.rs
@@ -1,105 +1,67 @@
-//! Drives the overlay: its events come from connections, the clock and the owner; its actions go to
-//! connections.
+//! Drives the overlay of one node: events of connections, clock and owner go in, and the resulting
+//! actions are carried out.
 
 #[cfg(test)]
 mod tests;
 
 use std::net::SocketAddr;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
-use eyre::{Result, bail};
 use ironmast_overlay::{Action, Descriptor, Event, Message, Overlay, Settings};
 use ironmast_schema::control::Entry;
-use ironmast_transport::link;
 use slog::{Logger, debug};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
 use crate::Command;
-use crate::connections::{ConnectionId, Connections, Frame};
-use crate::queue::{Queue, queue};
+use crate::connection::{self, ConnectionEvent, ConnectionId, EventSender};
+use crate::connection_table::ConnectionTable;
 
-/// A connection must come up within this, and tell who opened it.
-const CONNECT: Duration = Duration::from_secs(1);
-/// What was sent before a connection is closed must have left within this.
-const FLUSH: Duration = Duration::from_secs(1);
-/// What connections may tell before the driver has heard it; then they read no more.
-const TOLD_MOST: usize = 256;
-/// After an accept that failed.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Maximum number of events that wait for the driver; connections stop reading while it is reached.
+const MAX_PENDING_EVENTS: usize = 256;
 
-/// What a connection tells the driver.
-#[derive(Debug)]
-enum Told {
-    Opened(SocketAddr, ConnectionId, Queue),
-    Received(SocketAddr, ConnectionId, Message),
-    Closed(SocketAddr, ConnectionId),
-    Failed(SocketAddr),
-}
-
-type Tell = mpsc::Sender<Told>;
+/// Backoff after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// A number that is higher at each start: the time of day in ms.
-pub(crate) fn incarnation() -> u64 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
-        .as_millis() as u64
-}
+/// Time for which the timer is set while the overlay has not requested one.
+const IDLE_TIMER: Duration = Duration::from_secs(3_600);
 
-/// Everything that one node's driver holds.
+/// State of the driver.
 struct Driver {
     clock: Instant,
     overlay: Overlay,
-    own: SocketAddr,
-    connections: Connections,
-    next_connection: ConnectionId,
+    connections: ConnectionTable,
+    last_connection: ConnectionId,
+    /// When the overlay is to be woken, as requested by it, on `clock`.
     timer: Option<Duration>,
-    tell: Tell,
-    news: mpsc::UnboundedSender<Entry>,
+    events: EventSender,
+    updates: mpsc::UnboundedSender<Entry>,
     log: Logger,
 }
 
-/// Runs until the owner drops its handle.
+/// Runs the node until the owner drops its handle.
 pub(crate) async fn run(
     listener: TcpListener,
-    me: Descriptor,
+    local_node: Descriptor,
     mut commands: mpsc::UnboundedReceiver<Command>,
-    news: mpsc::UnboundedSender<Entry>,
+    updates: mpsc::UnboundedSender<Entry>,
     log: Logger,
 ) {
-    let clock = Instant::now();
-    let (tell, mut told) = mpsc::channel(TOLD_MOST);
-    let own = me.address;
-    let overlay = Overlay::new(me, Settings::default(), rand::random(), clock.elapsed());
-    let (connections, next_connection, timer) = Default::default();
-    let mut driver = Driver {
-        clock,
-        overlay,
-        own,
-        connections,
-        next_connection,
-        timer,
-        tell,
-        news,
-        log,
-    };
+    let (event_sender, mut events) = mpsc::channel(MAX_PENDING_EVENTS);
+    let mut driver = Driver::new(local_node, event_sender, updates, log);
     driver.handle(Event::Timer);
     loop {
-        let timer = driver
-            .timer
-            .map_or(clock + Duration::from_secs(3_600), |at| clock + at);
         tokio::select! {
             command = commands.recv() => match command {
-                Some(command) => driver.command(command),
+                Some(command) => driver.on_command(command),
                 None => return,
             },
-            Some(told) = told.recv() => driver.told(told),
+            Some(event) = events.recv() => driver.on_connection_event(event),
             accepted = listener.accept() => match accepted {
-                Ok((stream, _)) => driver.accepted(stream),
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Ok((stream, _)) => driver.accept(stream),
+                Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
             },
-            () = tokio::time::sleep_until(timer.into()) => {
+            () = tokio::time::sleep_until(driver.wake_at().into()) => {
                 driver.timer = None;
                 driver.handle(Event::Timer);
             }
@@ -108,41 +70,71 @@
 }
 
 impl Driver {
-    fn command(&mut self, command: Command) {
-        match command {
-            Command::Publish(key, version, payload) => self.handle(Event::Publish {
+    fn new(
+        local_node: Descriptor,
+        events: EventSender,
+        updates: mpsc::UnboundedSender<Entry>,
+        log: Logger,
+    ) -> Driver {
+        let clock = Instant::now();
+        let seed = rand::random();
+        Driver {
+            clock,
+            overlay: Overlay::new(local_node, Settings::default(), seed, clock.elapsed()),
+            connections: ConnectionTable::default(),
+            last_connection: 0,
+            timer: None,
+            events,
+            updates,
+            log,
+        }
+    }
+
+    fn wake_at(&self) -> Instant {
+        self.clock + self.timer.unwrap_or(IDLE_TIMER)
+    }
+
+    fn on_command(&mut self, command: Command) {
+        self.handle(match command {
+            Command::Publish {
                 key,
                 version,
                 payload,
-            }),
-            Command::Remove(key, version) => self.handle(Event::Remove { key, version }),
-            Command::Seeds(seeds) => self.handle(Event::Seeds(seeds)),
-            Command::InContact(in_contact) => self.handle(Event::InContact(in_contact)),
-            Command::Leave => self.handle(Event::Leave),
-        }
+            } => Event::Publish {
+                key,
+                version,
+                payload,
+            },
+            Command::Remove { key, version } => Event::Remove { key, version },
+            Command::SetSeeds(seeds) => Event::Seeds(seeds),
+            Command::SetInContact(in_contact) => Event::InContact(in_contact),
+            Command::Leave => Event::Leave,
+        });
     }
 
-    fn told(&mut self, told: Told) {
-        match told {
-            Told::Opened(peer, id, queue) => {
+    fn on_connection_event(&mut self, event: ConnectionEvent) {
+        match event {
+            ConnectionEvent::Established { peer, id, queue } => {
                 if self.connections.add(peer, id, queue) {
                     self.handle(Event::Connected(peer));
                 }
             }
-            Told::Received(from, id, message) => {
-                if self.connections.holds(from, id) {
+            ConnectionEvent::Received { peer, id, message } => {
+                if self.connections.contains(peer, id) {
+                    let from = peer;
                     self.handle(Event::Message { from, message });
                 }
             }
-            Told::Closed(peer, id) => {
+            ConnectionEvent::Closed { peer, id } => {
                 if self.connections.remove(peer, id) {
                     self.handle(Event::Disconnected(peer));
                 }
             }
-            Told::Failed(peer) => self.handle(Event::Disconnected(peer)),
+            ConnectionEvent::ConnectFailed { peer } => self.handle(Event::Disconnected(peer)),
         }
     }
 
+    /// Passes an event to the overlay and carries out the resulting actions.
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.overlay
@@ -152,107 +144,52 @@
         }
     }
 
-    /// Lets go of a peer that doesn't read; it is connected to again as to one that has failed.
-    fn send(&mut self, to: SocketAddr, message: Message) {
-        if !self.connections.send(to, message) {
-            debug!(self.log, "a peer does not read"; "peer" => %to);
-            self.connections.close(to);
-            self.handle(Event::Disconnected(to));
-        }
-    }
-
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { to, message } => self.send(to, message),
-            Action::Connect(to) => self.connect(to),
+            Action::Connect(peer) => self.connect(peer),
             Action::Disconnect(peer) => self.connections.close(peer),
             Action::Changed {
                 payload: Some(payload),
                 ..
-            } => self.tell_news(&payload),
+            } => self.report_update(&payload),
             Action::Changed { payload: None, .. } => {}
             Action::Timer(at) => self.timer = Some(at),
         }
     }
 
-    fn tell_news(&self, payload: &[u8]) {
-        match postcard::from_bytes(payload) {
-            Ok(entry) => drop(self.news.send(entry)),
-            Err(error) => debug!(self.log, "an entry can't be read"; "why" => %error),
+    /// Sends a message. A peer that does not read is disconnected, and connected to again later
+    /// like one that has failed.
+    fn send(&mut self, to: SocketAddr, message: Message) {
+        if let Err(error) = self.connections.send(to, message) {
+            debug!(self.log, "disconnecting a peer that does not read"; "peer" => %to, "error" => %error);
+            self.connections.close(to);
+            self.handle(Event::Disconnected(to));
         }
     }
 
-    fn connect(&mut self, to: SocketAddr) {
-        let (id, tell, own) = (self.number(), self.tell.clone(), self.own);
-        actix_rt::spawn(async move {
-            if open(to, id, own, &tell).await.is_err() {
-                let _ = tell.send(Told::Failed(to)).await;
-            }
-        });
+    /// Passes an entry that has changed to the owner.
+    fn report_update(&self, payload: &[u8]) {
+        match postcard::from_bytes(payload) {
+            Ok(entry) => drop(self.updates.send(entry)),
+            Err(error) => debug!(self.log, "cannot decode an entry"; "error" => %error),
+        }
     }
 
-    fn accepted(&mut self, stream: TcpStream) {
-        let (id, tell) = (self.number(), self.tell.clone());
-        actix_rt::spawn(async move { drop(accept(stream, id, &tell).await) });
+    fn connect(&mut self, peer: SocketAddr) {
+        let id = self.next_connection();
+        let local_address = self.overlay.node().address;
+        let events = self.events.clone();
+        actix_rt::spawn(connection::open(peer, id, local_address, events));
     }
 
-    fn number(&mut self) -> ConnectionId {
-        self.next_connection += 1;
-        self.next_connection
+    fn accept(&mut self, stream: TcpStream) {
+        let id = self.next_connection();
+        actix_rt::spawn(connection::accept(stream, id, self.events.clone()));
     }
-}
 
-/// Opens a connection and serves it to its end; an error only where it never came up.
-async fn open(to: SocketAddr, id: ConnectionId, own: SocketAddr, tell: &Tell) -> Result<()> {
-    let (receiver, mut sender) = link::connect::<Frame, Frame>(to, CONNECT).await?;
-    sender.send(&Frame::Hello(own)).await?;
-    serve(to, id, receiver, sender, tell).await;
-    Ok(())
-}
-
-async fn accept(stream: TcpStream, id: ConnectionId, tell: &Tell) -> Result<()> {
-    let (mut receiver, sender) = link::split::<Frame, Frame>(stream)?;
-    let Ok(hello) = tokio::time::timeout(CONNECT, receiver.next()).await else {
-        bail!("no hello")
-    };
-    let Some(Frame::Hello(peer)) = hello? else {
-        bail!("no hello")
-    };
-    serve(peer, id, receiver, sender, tell).await;
-    Ok(())
-}
-
-/// Serves a connection until it ends on either side.
-async fn serve(
-    peer: SocketAddr,
-    id: ConnectionId,
-    mut receiver: link::Receiver<Frame>,
-    mut sender: link::Sender<Frame>,
-    tell: &Tell,
-) {
-    let (to, mut queue, closed) = queue();
-    let _ = tell.send(Told::Opened(peer, id, to)).await;
-    let sending = async {
-        // Ends once the driver has let go of the connection and everything queued has left.
-        while let Some(message) = queue.next().await {
-            sender.send(&Frame::Message(message)).await?;
-        }
-        Ok::<(), eyre::Report>(())
-    };
-    let receiving = async {
-        while let Some(Frame::Message(message)) = receiver.next().await? {
-            let _ = tell.send(Told::Received(peer, id, message)).await;
-        }
-        Ok::<(), eyre::Report>(())
-    };
-    let flushed = async {
-        closed.await;
-        tokio::time::sleep(FLUSH).await;
-    };
-    tokio::select! {
-        _ = sending => {}
-        _ = receiving => {}
-        () = flushed => {}
+    fn next_connection(&mut self) -> ConnectionId {
+        self.last_connection += 1;
+        self.last_connection
     }
-    let _ = tell.send(Told::Closed(peer, id)).await;
 }
--- a/crates/overlay-transport/src/driver/tests.rs
+++ b/crates/overlay-transport/src/driver/tests.rs
@@ -4,23 +4,25 @@
 use std::sync::Arc;
 
 use ironmast_overlay::{Heartbeat, Locality, Role, TreePosition};
+use ironmast_transport::link;
 
 use super::*;
+use crate::connection::Frame;
 
-/// Longest wait for anything that must happen.
-const WITHIN: Duration = Duration::from_secs(10);
+/// Timeout of everything that a test waits for.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Messages read before the one that a test waits for, at most.
-const READ_MOST: usize = 2_000;
+/// Maximum number of messages read before the one that a test waits for.
+const MAX_MESSAGES_READ: usize = 2_000;
 
-type Hears = link::Receiver<Frame>;
-type Says = link::Sender<Frame>;
+type Receiver = link::Receiver<Frame>;
+type Sender = link::Sender<Frame>;
 
-/// A coordinator's driver, and what its owner holds of it.
-struct Node {
+/// A coordinator that runs, and the channels of its owner.
+struct RunningNode {
     address: SocketAddr,
     commands: mpsc::UnboundedSender<Command>,
-    _news: mpsc::UnboundedReceiver<Entry>,
+    _updates: mpsc::UnboundedReceiver<Entry>,
 }
 
 async fn listen() -> (TcpListener, SocketAddr) {
@@ -40,121 +42,131 @@
     }
 }
 
-async fn coordinator() -> Node {
+async fn start_coordinator() -> RunningNode {
     let (listener, address) = listen().await;
-    let (commands, inbox) = mpsc::unbounded_channel();
-    let (news, entries) = mpsc::unbounded_channel();
+    let (commands, command_receiver) = mpsc::unbounded_channel();
+    let (updates, entries) = mpsc::unbounded_channel();
     let log = Logger::root(slog::Discard, slog::o!());
     actix_rt::spawn(run(
         listener,
         descriptor(address, Role::Coordinator),
-        inbox,
-        news,
+        command_receiver,
+        updates,
         log,
     ));
-    Node {
+    RunningNode {
         address,
         commands,
-        _news: entries,
+        _updates: entries,
     }
 }
 
-/// A connection to `node` opened by an agent that listens at `own`.
-async fn dial(node: &Node, own: SocketAddr) -> (Hears, Says) {
-    let (hears, mut says) = link::connect::<Frame, Frame>(node.address, WITHIN)
+/// A connection to `node` opened by an agent that listens at `peer_address`.
+async fn dial(node: &RunningNode, peer_address: SocketAddr) -> (Receiver, Sender) {
+    let (receiver, mut sender) = link::connect::<Frame, Frame>(node.address, TIMEOUT)
         .await
         .expect("up");
-    says.send(&Frame::Hello(own)).await.expect("open");
+    sender
+        .send(&Frame::Hello(peer_address))
+        .await
+        .expect("open");
     let hello = Message::Hello {
-        node: descriptor(own, Role::Agent),
+        node: descriptor(peer_address, Role::Agent),
     };
-    says.send(&Frame::Message(hello)).await.expect("open");
-    (hears, says)
+    sender.send(&Frame::Message(hello)).await.expect("open");
+    (receiver, sender)
 }
 
-/// Reads until a message that `wanted` selects; false where the connection ends first.
-async fn hears(hears: &mut Hears, wanted: impl Fn(&Message) -> bool) -> bool {
-    for _ in 0..READ_MOST {
-        match tokio::time::timeout(WITHIN, hears.next())
+/// Reads until a message that `is_wanted` selects. Returns false if the connection closes first.
+async fn receives(receiver: &mut Receiver, is_wanted: impl Fn(&Message) -> bool) -> bool {
+    for _ in 0..MAX_MESSAGES_READ {
+        match tokio::time::timeout(TIMEOUT, receiver.next())
             .await
             .expect("in time")
         {
-            Ok(Some(Frame::Message(message))) if wanted(&message) => return true,
+            Ok(Some(Frame::Message(message))) if is_wanted(&message) => return true,
             Ok(Some(_)) => {}
             Ok(None) | Err(_) => return false,
         }
     }
-    panic!("not among {READ_MOST} messages");
+    panic!("not among {MAX_MESSAGES_READ} messages");
 }
 
 fn is_hello(message: &Message) -> bool {
     matches!(message, Message::Hello { .. })
 }
 
-fn is_answer(message: &Message) -> bool {
+fn is_shuffle_reply(message: &Message) -> bool {
     matches!(message, Message::Shuffle { is_reply: true, .. })
 }
 
-async fn ask(says: &mut Says) {
-    says.send(&Frame::Message(Message::Shuffle {
-        sample: Vec::new(),
-        is_reply: false,
-    }))
-    .await
-    .expect("open");
+async fn request_shuffle(sender: &mut Sender) {
+    sender
+        .send(&Frame::Message(Message::Shuffle {
+            sample: Vec::new(),
+            is_reply: false,
+        }))
+        .await
+        .expect("open");
 }
 
-fn system(test: impl Future<Output = ()>) {
+fn run_in_system(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(test);
 }
 
 #[test]
-fn of_two_connections_opened_at_once_either_may_end() {
-    system(async {
-        let node = coordinator().await;
-        let (listener, own) = listen().await;
+fn peer_stays_connected_when_either_of_two_connections_closes() {
+    run_in_system(async {
+        let node = start_coordinator().await;
+        let (listener, peer_address) = listen().await;
         node.commands
-            .send(Command::Seeds(vec![own]))
+            .send(Command::SetSeeds(vec![peer_address]))
             .expect("it runs");
         let (accepted, _) = listener.accept().await.expect("it dials");
-        let (mut first_hears, mut first_says) =
+        let (mut first_receiver, mut first_sender) =
             link::split::<Frame, Frame>(accepted).expect("open");
         let hello = Message::Hello {
-            node: descriptor(own, Role::Agent),
+            node: descriptor(peer_address, Role::Agent),
         };
-        first_says.send(&Frame::Message(hello)).await.expect("open");
-        assert!(hears(&mut first_hears, is_hello).await);
-        let (mut second_hears, mut second_says) = dial(&node, own).await;
-        ask(&mut second_says).await;
+        first_sender
+            .send(&Frame::Message(hello))
+            .await
+            .expect("open");
+        assert!(receives(&mut first_receiver, is_hello).await);
+        let (mut second_receiver, mut second_sender) = dial(&node, peer_address).await;
+        request_shuffle(&mut second_sender).await;
         assert!(
-            hears(&mut first_hears, is_answer).await,
-            "one of them carries what is sent"
+            receives(&mut first_receiver, is_shuffle_reply).await,
+            "the first connection carries the messages"
         );
-        drop((first_hears, first_says));
-        ask(&mut second_says).await;
-        ask(&mut second_says).await;
+        drop((first_receiver, first_sender));
+        request_shuffle(&mut second_sender).await;
+        request_shuffle(&mut second_sender).await;
         assert!(
-            hears(&mut second_hears, is_answer).await,
-            "the link goes on over the other"
+            receives(&mut second_receiver, is_shuffle_reply).await,
+            "the second connection carries them now"
         );
     });
 }
 
 #[test]
-fn what_was_sent_arrives_before_the_end() {
-    system(async {
-        let node = coordinator().await;
-        let (_listener, own) = listen().await;
-        let (mut hearing, _says) = dial(&node, own).await;
-        assert!(hears(&mut hearing, is_hello).await);
+fn queued_messages_are_sent_before_the_connection_closes() {
+    run_in_system(async {
+        let node = start_coordinator().await;
+        let (_listener, peer_address) = listen().await;
+        let (mut receiver, _sender) = dial(&node, peer_address).await;
+        assert!(receives(&mut receiver, is_hello).await);
         node.commands.send(Command::Leave).expect("it runs");
-        assert!(hears(&mut hearing, |message| *message == Message::Leave).await);
-        assert!(!hears(&mut hearing, |_| true).await, "then it ends");
+        assert!(receives(&mut receiver, |message| *message == Message::Leave).await);
+        assert!(
+            !receives(&mut receiver, |_| true).await,
+            "then the connection closes"
+        );
     });
 }
 
-/// Takes the node as the source.
-async fn graft(hearing: &mut Hears, says: &mut Says) {
+/// Grafts the node as the parent.
+async fn graft(receiver: &mut Receiver, sender: &mut Sender) {
     let position = TreePosition::Detached;
     let (root_heartbeats, spare_capacity) = Default::default();
     let heartbeat = Heartbeat {
@@ -166,47 +178,53 @@
         root_hash: 0,
         root_heartbeats,
     };
-    says.send(&Frame::Message(Message::Heartbeat(heartbeat)))
+    sender
+        .send(&Frame::Message(Message::Heartbeat(heartbeat)))
         .await
         .expect("open");
-    says.send(&Frame::Message(Message::Graft { root_hash: 0 }))
+    sender
+        .send(&Frame::Message(Message::Graft { root_hash: 0 }))
         .await
         .expect("open");
-    assert!(hears(hearing, |message| *message == Message::GraftAccepted).await);
+    assert!(receives(receiver, |message| *message == Message::GraftAccepted).await);
 }
 
 /// Entries of 32 KiB, more of them than the system's buffers and the queue hold together.
-const MANY: u64 = 1_500;
+const PUBLISHED_ENTRIES: u64 = 1_500;
 
-fn publish_many(node: &Node) {
-    for key in 0..MANY {
+fn publish_entries(node: &RunningNode) {
+    for key in 0..PUBLISHED_ENTRIES {
         let payload = Arc::from(vec![0; 32 * 1024]);
         node.commands
-            .send(Command::Publish(key, 1, payload))
+            .send(Command::Publish {
+                key,
+                version: 1,
+                payload,
+            })
             .expect("it runs");
     }
 }
 
 #[test]
-fn a_peer_that_does_not_read_is_let_go_of() {
-    system(async {
-        let node = coordinator().await;
-        let (_listener, own) = listen().await;
-        let (mut slow, mut slow_says) = dial(&node, own).await;
-        graft(&mut slow, &mut slow_says).await;
-        publish_many(&node);
-        // Another one is served meanwhile.
-        let (_other, other_own) = listen().await;
-        let (mut quick, _says) = dial(&node, other_own).await;
-        assert!(hears(&mut quick, is_hello).await);
+fn peer_that_does_not_read_is_disconnected() {
+    run_in_system(async {
+        let node = start_coordinator().await;
+        let (_listener, peer_address) = listen().await;
+        let (mut slow, mut slow_sender) = dial(&node, peer_address).await;
+        graft(&mut slow, &mut slow_sender).await;
+        publish_entries(&node);
+        // Another peer is still served.
+        let (_other, other_address) = listen().await;
+        let (mut quick, _sender) = dial(&node, other_address).await;
+        assert!(receives(&mut quick, is_hello).await);
         let mut arrived = 0;
-        while hears(&mut slow, |message| {
+        while receives(&mut slow, |message| {
             matches!(message, Message::Entries { .. })
         })
         .await
         {
             arrived += 1;
         }
-        assert!(arrived > 0 && arrived < MANY, "{arrived}");
+        assert!(arrived > 0 && arrived < PUBLISHED_ENTRIES, "{arrived}");
     });
 }
--- a/crates/overlay-transport/src/lib.rs
+++ b/crates/overlay-transport/src/lib.rs
@@ -1,16 +1,23 @@
-//! The overlay on sockets. A [`OverlayHandle`] owns the connections of one node (coordinator or agent) to
-//! others, and carries the entries of [`ironmast_schema::control`] over the relay tree.
+//! The overlay on sockets: it owns the connections of one node (coordinator or agent) to others and
+//! carries the entries of [`ironmast_schema::control`] over the relay tree.
+//!
+//! [`ironmast_overlay`] decides, this crate performs the I/O: the driver passes events of
+//! connections, clock and owner to the overlay and carries out its actions. A peer that does not
+//! read is disconnected, so that it neither blocks the others nor fills the memory.
+
 #![forbid(unsafe_code)]
 
-mod connections;
+mod connection;
+mod connection_table;
 mod driver;
-mod queue;
+mod send_queue;
 
+use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
+use std::time::{SystemTime, UNIX_EPOCH};
 
-use eyre::{Result, WrapErr as _};
-use ironmast_overlay::{Descriptor, Key as OverlayKey, Locality, Role};
+use ironmast_overlay::{Descriptor, Key as OverlayKey, Locality, Role, Version};
 use ironmast_schema::control::{Entry, Key};
 use ironmast_schema::settings::{InternalPort, Settings};
 use slog::Logger;
@@ -18,61 +25,84 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What the owner of a mesh tells it.
+/// A command of the owner to the driver.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// State that others are to hold.
-    Publish(OverlayKey, u64, Arc<[u8]>),
-    /// State that others may forget.
-    Remove(OverlayKey, u64),
-    /// Where coordinators are.
-    Seeds(Vec<SocketAddr>),
-    /// Whether this coordinator is in contact with a majority of the coordinators.
-    InContact(bool),
-    /// The node is about to end.
+    /// Publish a version of a key.
+    Publish {
+        /// The key.
+        key: OverlayKey,
+        /// The version.
+        version: Version,
+        /// The encoded entry.
+        payload: Arc<[u8]>,
+    },
+    /// Publish a tombstone of a key.
+    Remove {
+        /// The key.
+        key: OverlayKey,
+        /// The version of the tombstone.
+        version: Version,
+    },
+    /// Replace the addresses of the seed nodes.
+    SetSeeds(Vec<SocketAddr>),
+    /// Set whether this coordinator is in contact with a majority of the coordinators.
+    SetInContact(bool),
+    /// Notify the neighbours that this node leaves.
     Leave,
 }
 
-/// The handle of a node's mesh; it ends when the handle is dropped.
+/// The listening address of a node cannot be bound.
+#[derive(Debug, thiserror::Error)]
+#[error("listening at {address}")]
+pub struct BindError {
+    address: SocketAddr,
+    source: io::Error,
+}
+
+/// The handle of a node of the overlay, which runs until the last clone of the handle is dropped.
 #[derive(Debug, Clone)]
 pub struct OverlayHandle {
     commands: mpsc::UnboundedSender<Command>,
 }
 
 impl OverlayHandle {
-    /// Listens at the node's address and joins the others. Entries that are news here come out of
-    /// the receiver.
+    /// Listens at the node's address and joins the overlay. The receiver yields the entries that
+    /// are newer than the node's own.
     ///
     /// # Errors
-    /// The address that can't be listened at.
+    /// The listening address cannot be bound.
     pub async fn start(
         settings: &Settings,
         role: Role,
         log: &Logger,
-    ) -> Result<(Self, mpsc::UnboundedReceiver<Entry>)> {
-        let address = SocketAddr::new(
-            settings.ip_address,
-            settings.internal_port(InternalPort::Agent),
-        );
+    ) -> Result<(Self, mpsc::UnboundedReceiver<Entry>), BindError> {
+        let port = settings.internal_port(InternalPort::Agent);
+        let address = SocketAddr::new(settings.ip_address, port);
         let listener = TcpListener::bind(address)
             .await
-            .wrap_err_with(|| format!("listening at {address}"))?;
-        let locality = Locality::from_names(&settings.region, &settings.zone);
-        let me = Descriptor {
+            .map_err(|source| BindError { address, source })?;
+        let local_node = Descriptor {
             address,
-            locality,
+            locality: Locality::from_names(&settings.region, &settings.zone),
             role,
-            incarnation: driver::incarnation(),
+            incarnation: incarnation(),
         };
-        let (commands, inbox) = mpsc::unbounded_channel();
-        let (news, entries) = mpsc::unbounded_channel();
-        actix_rt::spawn(driver::run(listener, me, inbox, news, log.clone()));
-        let mesh = OverlayHandle { commands };
-        mesh.set_seeds(settings);
-        Ok((mesh, entries))
+        let (commands, command_receiver) = mpsc::unbounded_channel();
+        let (updates, entries) = mpsc::unbounded_channel();
+        actix_rt::spawn(driver::run(
+            listener,
+            local_node,
+            command_receiver,
+            updates,
+            log.clone(),
+        ));
+        let handle = OverlayHandle { commands };
+        handle.set_seeds(settings);
+        Ok((handle, entries))
     }
 
-    /// Takes the seeds of the settings file as they stand now.
+    /// Replaces the seed nodes by those of the settings.
     pub fn set_seeds(&self, settings: &Settings) {
         let port = settings.internal_port(InternalPort::Agent);
         let seeds = settings
@@ -80,45 +110,55 @@
             .iter()
             .map(|seed| SocketAddr::new(seed.ip(), port))
             .collect();
-        self.tell(Command::Seeds(seeds));
+        self.send(Command::SetSeeds(seeds));
     }
 
-    /// Spreads an entry.
+    /// Publishes an entry.
     pub fn publish(&self, entry: &Entry) {
         if let Ok(payload) = postcard::to_stdvec(entry) {
-            self.tell(Command::Publish(
-                key(&entry.key),
-                entry.version,
-                Arc::from(payload),
-            ));
+            self.send(Command::Publish {
+                key: overlay_key(&entry.key),
+                version: entry.version,
+                payload: Arc::from(payload),
+            });
         }
     }
 
-    /// Lets all nodes forget a key; `version` must be above the one that they hold.
-    pub fn remove(&self, of: &Key, version: u64) {
-        self.tell(Command::Remove(key(of), version));
+    /// Publishes a tombstone of a key, after which all nodes drop the key; `version` must be higher
+    /// than the published ones.
+    pub fn remove(&self, key: &Key, version: u64) {
+        let key = overlay_key(key);
+        self.send(Command::Remove { key, version });
     }
 
-    /// Tells a coordinator's mesh whether the coordinator is in contact with a majority of the
-    /// coordinators. One that is not stops being a root of the relay tree, so that agents turn to
-    /// others at once; what is published there still spreads. Until the first call it counts as in
-    /// contact: a coordinator calls this with `false` right after [`OverlayHandle::start`], and at each
-    /// change. May be called at any moment, also with the same value again.
+    /// Sets whether this coordinator is in contact with a majority of the coordinators. A
+    /// coordinator that is not stops being a root of the relay tree, so that agents choose other
+    /// parents at once; entries published at it are still disseminated. Until the first call the
+    /// coordinator counts as in contact: call this with `false` right after
+    /// [`OverlayHandle::start`], and at each change. Repeating a value has no effect.
     pub fn set_in_contact(&self, in_contact: bool) {
-        self.tell(Command::InContact(in_contact));
+        self.send(Command::SetInContact(in_contact));
     }
 
-    /// Tells the neighbours that this node ends.
+    /// Notifies the neighbours that this node leaves.
     pub fn leave(&self) {
-        self.tell(Command::Leave);
+        self.send(Command::Leave);
     }
 
-    fn tell(&self, command: Command) {
+    fn send(&self, command: Command) {
         let _ = self.commands.send(command);
     }
 }
 
-/// The overlay's key of a key.
-fn key(key: &Key) -> OverlayKey {
+/// The overlay's key of an entry's key.
+fn overlay_key(key: &Key) -> OverlayKey {
     xxh3_64(&postcard::to_stdvec(key).unwrap_or_default())
 }
+
+/// Incarnation of a process that starts now: the time of day in milliseconds.
+fn incarnation() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
+}
