--- a/crates/routing/src/admission/tests.rs
+++ b/crates/routing/src/admission/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn each_rank_has_a_lower_level_and_none_is_under_half() {
+fn each_lower_priority_has_a_lower_limit_and_none_is_below_half() {
     let limits: Vec<f64> = (0..20)
         .map(|priority| {
             limit(AdmissionInputs {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn ranks_overlap_so_that_none_is_left_out() {
+fn limits_of_priorities_overlap_so_that_none_is_excluded() {
     let urgent_last = limit(AdmissionInputs {
         chance: 1.0,
         ..inputs()
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn as_many_wait_as_have_a_slot_in_time() {
+fn as_many_requests_queue_as_get_a_slot_in_time() {
     let waiting = |response_time, objective| {
         limit(AdmissionInputs {
             response_time,
--- a/crates/routing/src/affinity/tests.rs
+++ b/crates/routing/src/affinity/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_crowded_server_passes_the_key_on_to_the_next_in_its_order() {
+fn an_overloaded_server_passes_the_key_to_the_next_in_its_order() {
     let mut choices = idle(&[11, 22, 33, 44]);
     let mut order = [0, 1, 2, 3];
     order.sort_by_key(|place| std::cmp::Reverse(rendezvous_weight(7, choices[*place].hash)));
@@ -58,7 +58,7 @@
 
     /// A key moves only where its server leaves, or to one that comes.
     #[test]
-    fn keys_move_only_with_their_server(key: u64, servers in prop::collection::hash_set(any::<u64>(), 2..40)) {
+    fn when_a_server_leaves_only_its_own_keys_move(key: u64, servers in prop::collection::hash_set(any::<u64>(), 2..40)) {
         let servers: Vec<u64> = servers.into_iter().collect();
         let all = idle(&servers);
         let home = all[choose(key, &all, bounds(0.5, 0.1, 0.0)).expect("a server")].hash;
@@ -72,7 +72,7 @@
 
     /// Whatever the loads, the choice is within the bound, and there is one.
     #[test]
-    fn the_choice_is_within_the_bound(key: u64, parts in prop::collection::vec(0.0..1.5f64, 1..40)) {
+    fn the_chosen_server_is_within_the_load_bound(key: u64, parts in prop::collection::vec(0.0..1.5f64, 1..40)) {
         let choices: Vec<Candidate> =
             parts.iter().enumerate().map(|(hash, part)| Candidate { hash: hash as u64, utilization: *part, prefill_wait: 0.0 }).collect();
         let chosen = choices[choose(key, &choices, bounds(0.5, 0.2, 0.0)).expect("a server")];
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_key_moves_on_where_its_prompt_would_wait_longer_than_reading_it_anew() {
+fn a_key_moves_on_when_the_extra_prefill_wait_exceeds_the_bound() {
     assert!(stays(0.0, 0.0));
     assert!(stays(100.0, 100.0));
     assert!(!stays(101.0, 100.0));
--- a/crates/routing/src/decider.rs
+++ b/crates/routing/src/decider.rs
@@ -140,6 +140,10 @@
     }
 
     /// Takes the end of the attempt in flight, and decides what follows.
+    #[expect(
+        clippy::needless_pass_by_value,
+        reason = "the outcome is an event that the decider consumes"
+    )]
     pub fn attempt_finished<L: Permits + RetryBudget>(
         &mut self,
         now: Micros,
--- a/crates/routing/src/decider/liveness.rs
+++ b/crates/routing/src/decider/liveness.rs
@@ -116,16 +116,13 @@
             listed.filter(|endpoint| endpoint.is_eligible() && !endpoint.outlier.has_trial);
         for endpoint in eligible {
             let region = &endpoint.spec.region;
-            match servers
-                .iter_mut()
-                .find(|known| known.spec.region == *region)
-            {
-                Some(known) if endpoint.health_checked_at < known.health_checked_at => {
+            let mut known = servers.iter_mut();
+            if let Some(known) = known.find(|known| known.spec.region == *region) {
+                if endpoint.health_checked_at < known.health_checked_at {
                     *known = endpoint;
                 }
-                Some(_) => {}
-                None if self.is_unreachable_region(now, region) => servers.push(endpoint),
-                None => {}
+            } else if self.is_unreachable_region(now, region) {
+                servers.push(endpoint);
             }
         }
         servers
@@ -151,20 +148,16 @@
         if !endpoint.is_eligible() || endpoint.outlier.has_trial {
             return false;
         }
-        match endpoint.outlier.ejection() {
-            Some(ejection) => {
-                ejection
-                    .until
-                    .saturating_add(self.settings.health_check_after)
-                    <= now
-            }
-            None => {
-                let due_at = endpoint
-                    .health_checked_at
-                    .saturating_add(HEALTH_CHECK_INTERVAL);
-                self.is_long_unresponsive(now, endpoint) && due_at <= now
-            }
+        if let Some(ejection) = endpoint.outlier.ejection() {
+            let due_at = ejection
+                .until
+                .saturating_add(self.settings.health_check_after);
+            return due_at <= now;
         }
+        let due_at = endpoint
+            .health_checked_at
+            .saturating_add(HEALTH_CHECK_INTERVAL);
+        self.is_long_unresponsive(now, endpoint) && due_at <= now
     }
 
     /// True if a server owes an answer and has been silent for much longer than makes it
--- a/crates/routing/src/decider/tests.rs
+++ b/crates/routing/src/decider/tests.rs
@@ -6,5 +6,5 @@
 mod candidates;
 mod health;
 mod properties;
-mod refusals;
+mod rejections;
 mod returns;
--- a/crates/routing/src/decider/tests/affinity.rs
+++ b/crates/routing/src/decider/tests/affinity.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_key_keeps_to_its_server_at_every_gate() {
+fn a_key_stays_with_its_server_at_every_gate() {
     let homes = |seed| -> Vec<Arc<str>> {
         let mut gate = gate(6, seed);
         (0..50)
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_own_part_is_not_part_of_the_key() {
+fn the_last_prompt_part_is_not_part_of_the_key() {
     let mut gate = gate(8, 1);
     let mut other = gate.prompt("a", 3);
     other.parts[2].id = 99;
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn keys_stay_when_another_server_comes_or_leaves() {
+fn keys_stay_when_another_server_joins_or_leaves() {
     guarded(Guard::Rendezvous, || {
         let homes = |count| -> Vec<Arc<str>> {
             let mut gate = gate(count, 1);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_hot_key_does_not_crowd_its_server() {
+fn a_hot_key_does_not_overload_its_server() {
     guarded(Guard::BoundedLoad, || {
         let loads = hot(240);
         let most = *loads.iter().max().expect("servers");
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_hot_key_stays_while_its_server_has_room() {
+fn a_hot_key_stays_while_its_server_has_capacity() {
     let mut table = spec(vec![route("a", STREAM)], servers(0, 6, "north"));
     table.services[0].slots = 64;
     let mut gate = Gate::new(table);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_key_passes_over_a_server_without_room_and_comes_back() {
+fn a_key_skips_a_server_at_capacity_and_returns() {
     let mut gate = gate(4, 1);
     let home = gate.served(gate.prompt("a", 1));
     let server = gate.decider.server(&home).expect("listed");
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn memory_is_room_too_and_shared_parts_count_once() {
+fn kv_cache_limits_capacity_and_shared_prefixes_count_once() {
     let mut table = spec(vec![route("a", STREAM)], servers(0, 2, "north"));
     table.services[0].slots = 64;
     table.services[0].kv_cache_tokens = 2000;
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn absurd_sizes_do_no_harm() {
+fn excessive_token_counts_do_not_overflow() {
     let mut gate = gate(3, 1);
     let mut calls = Vec::new();
     for key in 0..20 {
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_key_moves_on_where_peers_have_prompts_waiting_and_comes_back() {
+fn a_key_moves_on_when_peers_have_pending_prefill_and_returns() {
     guarded(Guard::ShortPrefillWait, || {
         let mut gate = gate(6, 1);
         learn(&mut gate);
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn what_a_peer_told_long_ago_counts_no_more() {
+fn an_expired_peer_report_does_not_count() {
     let mut gate = gate(6, 1);
     learn(&mut gate);
     let home = gate.served(gate.prompt("a", 3));
@@ -287,13 +287,13 @@
 }
 
 #[test]
-fn a_long_wait_in_the_own_region_is_gone_round_by_another() {
+fn a_long_prefill_wait_in_the_own_region_spills_over_to_another() {
     guarded(Guard::SpilloverWait, || leave(50_000) == [true, false]);
     assert_eq!(leave(2_000), [false, false], "a short wait is none");
 }
 
 #[test]
-fn small_changes_are_not_worth_telling() {
+fn small_changes_of_the_peer_report_are_not_significant() {
     let mut gate = gate(6, 1);
     learn(&mut gate);
     let (mut call, _) = gate.begin(Request {
--- a/crates/routing/src/decider/tests/attempts.rs
+++ b/crates/routing/src/decider/tests/attempts.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_repeated() {
+fn a_non_idempotent_request_that_may_have_run_is_not_retried() {
     guarded(Guard::AtMostOnce, || {
         [
             RouteKind::NonIdempotent,
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_has_not_run_goes_to_other_servers() {
+fn a_request_that_was_not_executed_is_retried_at_other_servers() {
     for outcome in promises() {
         let mut gate = gate(RouteKind::NonIdempotent, 2);
         let (mut tried, last) = gate.fails(gate.request("a"), &outcome);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_connection_that_ended_unwritten_is_tried_again_at_the_same_server() {
+fn an_attempt_that_was_not_sent_is_retried_at_the_same_server() {
     let mut gate = gate(RouteKind::Stream { resumable: false }, 1);
     let (mut call, first) = gate.begin(gate.prompt("a", 1));
     let second = gate.settle(&mut call, Outcome::NotSent);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn idempotent_requests_are_repeated_after_any_failure() {
+fn idempotent_requests_are_retried_after_any_failure() {
     for kind in [RouteKind::Idempotent, RouteKind::Stream { resumable: true }] {
         for outcome in outcomes_that_may_have_run() {
             let mut gate = gate(kind, 3);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn no_more_servers_than_the_route_allows() {
+fn a_request_reaches_no_more_servers_than_the_route_allows() {
     guarded(Guard::MaxAttempts, || {
         outcomes_that_may_have_run().iter().all(|outcome| {
             let mut gate = gate(RouteKind::Idempotent, 2);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn failed_connections_end_too() {
+fn the_number_of_failed_connects_is_bounded() {
     let mut gate = gate(RouteKind::Idempotent, 1);
     assert_eq!(
         gate.fails(gate.request("a"), &Outcome::ConnectFailed)
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn repeats_are_paid_for_and_failed_connections_are_free() {
+fn retries_are_charged_to_the_budget_and_failed_connects_are_not() {
     guarded(Guard::RetryBudget, || {
         let mut gate = gate(RouteKind::Idempotent, 3);
         gate.limits.repeats = 1;
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_refusal_is_a_promise() {
+fn a_request_is_rejected_only_if_it_was_not_executed() {
     guarded(Guard::RejectOnlyUnexecuted, || {
         let mut gate = gate(RouteKind::Idempotent, 3);
         gate.limits.repeats = 0;
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_servers_own_failure_is_passed_on() {
+fn a_servers_own_failure_is_forwarded() {
     let mut gate = gate(RouteKind::NonIdempotent, 3);
     assert_eq!(
         gate.fails(gate.request("a"), &Outcome::ServerError).1,
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_cut_stream_goes_on_after_its_last_event_where_it_may() {
+fn a_truncated_resumable_stream_continues_after_its_last_event() {
     let mut gate = gate(RouteKind::Stream { resumable: true }, 2);
     let (mut call, first) = gate.begin(gate.prompt("a", 1));
     gate.decider.first_byte_received(gate.now, &mut call);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn no_failure_is_passed_on_behind_the_head_of_a_stream() {
+fn no_failure_is_forwarded_after_the_head_of_a_stream() {
     for outcome in [Outcome::ClientError, Outcome::ServerError, Outcome::Reset] {
         let mut gate = gate(RouteKind::Stream { resumable: true }, 2);
         let (mut call, _) = gate.begin(gate.prompt("a", 1));
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_cut_stream_without_a_server_looks_again_for_a_while() {
+fn a_truncated_stream_without_a_server_searches_again_for_a_while() {
     let mut resumable = route("a", RouteKind::Stream { resumable: true });
     resumable.max_attempts = 3;
     let table = spec(vec![resumable], servers(0, 1, "north"));
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_cut_stream_that_may_not_go_on_is_broken_off() {
+fn a_truncated_stream_that_cannot_resume_is_aborted() {
     let mut gate = gate(RouteKind::Stream { resumable: false }, 3);
     let (mut call, _) = gate.begin(gate.prompt("a", 1));
     assert_eq!(
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn the_clients_own_last_event_is_handed_on() {
+fn the_clients_own_last_event_is_forwarded() {
     let mut gate = gate(RouteKind::Stream { resumable: true }, 2);
     let request = Request {
         last_event: Some(5),
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn the_time_handed_on_is_what_is_left() {
+fn the_forwarded_deadline_is_the_remaining_time() {
     let mut gate = gate(RouteKind::Idempotent, 3);
     let request = Request {
         deadline: Some(gate.now + 4 * SECOND),
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn nothing_is_left_behind() {
+fn nothing_stays_in_flight_after_requests_end() {
     let mut gate = gate(RouteKind::Idempotent, 3);
     let (mut call, first) = gate.begin(gate.request("a"));
     let server = sent(&first).server;
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn a_quiet_attempt_moves_only_where_its_server_is_quiet_too() {
+fn a_stalled_attempt_fails_over_only_if_its_server_is_silent_too() {
     let mut gate = gate(RouteKind::Idempotent, 2);
     let (mut call, first) = gate.begin(gate.request("a"));
     let at = sent(&first).check_at.expect("a check");
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn an_unsafe_request_is_not_moved() {
+fn a_non_idempotent_request_does_not_fail_over() {
     let mut gate = gate(RouteKind::NonIdempotent, 2);
     let (call, first) = gate.begin(gate.request("a"));
     assert_eq!(sent(&first).check_at, None);
--- a/crates/routing/src/decider/tests/candidates.rs
+++ b/crates/routing/src/decider/tests/candidates.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_region_without_a_usable_server_widens_to_all() {
+fn other_regions_are_used_when_the_own_has_no_eligible_server() {
     let mut fleet = fleet();
     fleet
         .iter_mut()
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_route_keeps_to_its_regions() {
+fn a_route_uses_only_its_allowed_regions() {
     guarded(Guard::AllowedRegions, || {
         let mut home = route("a", STREAM);
         home.allowed_regions = vec!["south".into()];
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_route_whose_regions_have_no_server_is_refused() {
+fn a_route_whose_regions_have_no_server_is_rejected() {
     let mut home = route("a", STREAM);
     home.allowed_regions = vec!["east".into()];
     let mut gate = Gate::new(spec(vec![home], fleet()));
@@ -85,28 +85,28 @@
 }
 
 #[test]
-fn draining_servers_get_nothing() {
+fn draining_servers_get_no_requests() {
     guarded(Guard::Draining, || {
         avoids(|server| server.state = ServerState::Draining)
     });
 }
 
 #[test]
-fn evacuated_servers_get_nothing() {
+fn evacuated_servers_get_no_requests() {
     guarded(Guard::Evacuated, || {
         avoids(|server| server.evacuated = true)
     });
 }
 
 #[test]
-fn silent_servers_get_nothing_while_others_are_heard() {
+fn servers_without_heartbeats_get_no_requests_while_others_have_them() {
     assert!(avoids(
         |server| server.heartbeats_missing_since = Some(SECOND)
     ));
 }
 
 #[test]
-fn servers_all_silent_are_used_all_the_same() {
+fn servers_without_heartbeats_are_used_when_all_lack_them() {
     let mut fleet = servers(0, 2, "north");
     fleet
         .iter_mut()
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn draining_and_evacuated_servers_are_not_used_for_want_of_others() {
+fn draining_and_evacuated_servers_are_not_used_even_if_no_other_is_left() {
     let mut fleet = servers(0, 2, "north");
     fleet[0].state = ServerState::Draining;
     fleet[1].evacuated = true;
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn cold_servers_need_a_permit() {
+fn servers_that_warm_up_need_a_permit() {
     guarded(Guard::Permit, || avoids(|server| server.warming_up = true));
     let mut fleet = servers(0, 1, "north");
     fleet[0].warming_up = true;
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_request_waits_for_a_permit_for_a_short_part_of_its_objective_only() {
+fn a_request_is_delayed_for_a_permit_only_for_a_short_part_of_its_objective() {
     guarded(Guard::ShortDelay, || {
         let mut fleet = servers(0, 1, "north");
         fleet[0].warming_up = true;
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_server_that_another_took_the_place_of_is_dropped_until_it_is_listed_anew() {
+fn a_displaced_server_is_not_used_until_it_is_announced_again() {
     guarded(Guard::Displaced, || {
         let table = spec(vec![route("a", STREAM)], servers(0, 1, "north"));
         let mut gate = Gate::new(table.clone());
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn servers_that_name_the_model_come_first() {
+fn servers_that_announce_the_model_come_first() {
     let mut fleet = servers(0, 3, "north");
     fleet[0].models = vec!["other".into()];
     fleet[1].models = vec!["m".into()];
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_split_route_goes_by_weight_and_to_the_other_service_where_the_drawn_one_has_nobody() {
+fn a_traffic_split_follows_the_weights_and_falls_back_to_the_other_service() {
     let mut split = route("a", RouteKind::Idempotent);
     split.backends = vec![
         WeightedBackend {
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_weight_of_zero_gets_nothing() {
+fn a_backend_of_weight_zero_gets_no_requests() {
     let mut split = route("a", RouteKind::Idempotent);
     split.backends = vec![
         WeightedBackend {
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_silent_server_that_this_gate_hears_is_used_while_it_does() {
+fn a_server_without_heartbeats_is_used_while_this_gate_hears_it() {
     let mut fleet = servers(0, 2, "north");
     fleet[0].heartbeats_missing_since = Some(SECOND);
     let used = |gate: &mut Gate| (0..16).any(|key| &*gate.served(gate.prompt("a", key)) == "i-0");
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn a_region_that_gives_no_sign_is_left_for_another() {
+fn an_unreachable_region_is_left_for_another() {
     guarded(Guard::UnreachableRegion, || {
         let mut gate = away(8, 2);
         let _owed = cut_the_south(&mut gate, 2);
@@ -285,14 +285,14 @@
 }
 
 #[test]
-fn one_server_that_gives_no_sign_is_not_its_region() {
+fn one_unresponsive_server_does_not_make_its_region_unreachable() {
     let mut gate = away(8, 0);
     let _owed = cut_the_south(&mut gate, 1);
     assert!(gate.served(gate.request("home")).starts_with("i-1"));
 }
 
 #[test]
-fn where_no_home_gives_a_sign_requests_are_refused_until_one_does() {
+fn requests_are_rejected_while_all_allowed_regions_are_unreachable() {
     guarded(Guard::UnreachableRegion, || {
         let mut gate = away(8, 0);
         let _owed = cut_the_south(&mut gate, 2);
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn a_region_that_gives_no_sign_is_asked_by_one_probe_at_a_time() {
+fn an_unreachable_region_gets_one_health_check_at_a_time() {
     let mut gate = away(8, 0);
     let _owed = cut_the_south(&mut gate, 2);
     let Gate { decider, now, .. } = &mut gate;
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn after_a_start_a_request_waits_for_a_server_to_become_known() {
+fn after_a_start_a_request_waits_for_a_server_to_be_discovered() {
     guarded(Guard::Discovery, || {
         let mut gate = learner();
         let (mut call, decision) = gate.begin(gate.request("a"));
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn a_request_waits_for_servers_no_longer_than_they_take_to_become_known() {
+fn a_request_waits_for_servers_no_longer_than_discovery_takes() {
     let mut gate = learner();
     gate.now += SECOND;
     assert!(matches!(
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn a_request_waits_for_servers_no_longer_than_half_of_its_time() {
+fn a_request_waits_for_servers_at_most_half_of_its_time() {
     let mut gate = learner();
     let deadline = Some(gate.now + 400 * MS);
     let (mut call, decision) = gate.begin(Request {
--- a/crates/routing/src/decider/tests/health.rs
+++ b/crates/routing/src/decider/tests/health.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn failing_servers_are_left_out() {
+fn failing_servers_are_ejected() {
     guarded(Guard::Ejected, || {
         [
             Outcome::ServerError,
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn full_servers_are_not_ejected() {
+fn servers_at_capacity_are_not_ejected() {
     guarded(Guard::OverloadIsNoFailure, || {
         let mut gate = gate(RouteKind::Idempotent, 4);
         play(&mut gate, 200, &["i-0"], |_| Outcome::NotExecuted {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_server_that_answers_others_but_takes_no_connection_is_full() {
+fn a_failed_connect_to_a_server_that_answers_others_counts_as_overload() {
     guarded(Guard::ConnectFailureOfLiveServer, || {
         let mut gate = gate(RouteKind::Idempotent, 2);
         let server = gate.decider.server("i-0").expect("listed");
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_server_that_fails_a_part_of_its_requests_is_found() {
+fn a_server_that_fails_a_part_of_its_requests_is_ejected() {
     let mut gate = gate(RouteKind::Idempotent, 4);
     let part = |there: usize| {
         if there.is_multiple_of(3) {
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_group_that_fails_alike_is_not_ejected() {
+fn a_group_whose_servers_fail_alike_is_not_ejected() {
     let mut gate = gate(RouteKind::NonIdempotent, 4);
     // By chance, whichever server it is: the place in a round would tell of the server.
     let mut chance = ironmast_balancer::Rng(7);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_slow_server_is_set_aside() {
+fn a_slow_server_is_ejected() {
     let mut gate = gate(RouteKind::Idempotent, 4);
     let late = slow_answers(&mut gate, 200, "i-0");
     assert!(late < 30, "{late} of about 50");
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_region_whose_servers_are_all_ejected_is_used_all_the_same() {
+fn servers_of_a_region_are_used_when_all_are_ejected() {
     let mut gate = gate(RouteKind::NonIdempotent, 2);
     play(&mut gate, 40, &["i-0", "i-1"], |_| Outcome::ConnectFailed);
     assert_eq!(ejected(&gate, 2), 2);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_region_whose_servers_are_all_ejected_widens_first() {
+fn another_region_is_used_before_ejected_servers_of_the_own() {
     let mut route = route("a", RouteKind::NonIdempotent);
     route.affinity = false;
     let fleet = [servers(0, 1, "north"), servers(1, 2, "south")].concat();
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_server_that_left_is_kept_until_its_last_attempt_ends() {
+fn a_removed_server_is_kept_until_its_last_attempt_ends() {
     let mut gate = gate(RouteKind::Idempotent, 1);
     let (mut call, decision) = gate.begin(gate.request("a"));
     let server = sent(&decision).server;
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_server_that_goes_dark_comes_after_its_peers_before_its_attempts_end() {
+fn an_unresponsive_server_is_used_last_before_its_attempts_end() {
     guarded(Guard::UnresponsiveLast, || {
         let mut gate = gate(RouteKind::NonIdempotent, 3);
         let (mut there, mut dark) = (0, Vec::new());
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn a_crowded_server_is_not_taken_for_a_slow_one() {
+fn a_loaded_server_is_not_ejected_as_slow() {
     guarded(Guard::LoadedIsNotSlow, || {
         let mut gate = gate(RouteKind::Idempotent, 4);
         for _ in 0..200 {
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_dark_server_is_asked_for_a_sign_and_ejected_if_there_is_none() {
+fn an_unresponsive_server_is_checked_and_ejected_when_the_check_fails() {
     let (mut gate, server, _dark) = with_dark();
     let mut probes = Vec::new();
     gate.now += SECOND;
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_dark_server_that_answers_its_health_check_is_left_alone() {
+fn an_unresponsive_server_that_passes_its_health_check_is_not_ejected() {
     let (mut gate, server, _dark) = with_dark();
     let mut probes = Vec::new();
     gate.now += 2 * SECOND;
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn clients_that_leave_a_silent_server_count_against_it() {
+fn disconnects_from_a_silent_server_count_as_timeouts() {
     guarded(Guard::UnresponsiveCancelCounts, || {
         let (mut gate, server, mut dark) = with_dark();
         for _ in 0..4 {
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn clients_that_leave_at_once_do_not_count() {
+fn immediate_disconnects_do_not_count_as_failures() {
     let mut gate = gate(RouteKind::NonIdempotent, 3);
     for _ in 0..100 {
         gate.now += 200 * MS;
@@ -388,7 +388,7 @@
 }
 
 #[test]
-fn a_server_that_is_quiet_to_several_other_gates_gets_nothing() {
+fn a_server_suspected_by_several_gates_gets_no_requests() {
     guarded(Guard::UnresponsiveLast, || reach_quiet(2, false) == 0);
     assert!(
         reach_quiet(1, false) > 40,
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn a_server_is_used_again_once_other_gates_hear_it() {
+fn a_server_is_used_again_once_other_gates_withdraw_their_suspicion() {
     let mut gate = gate(RouteKind::Idempotent, 2);
     gate.now += 1_000 * MS;
     let quiet = PeerReport {
@@ -416,7 +416,7 @@
 }
 
 #[test]
-fn a_gate_tells_which_servers_owe_it_an_answer_and_give_no_sign() {
+fn a_gate_reports_unresponsive_servers_as_suspect() {
     let mut gate = gate(RouteKind::Idempotent, 2);
     let (_call, decision) = gate.begin(gate.request("a"));
     let silent = crate::affinity::name_hash(&sent(&decision).expect_instance);
@@ -426,7 +426,7 @@
 }
 
 #[test]
-fn a_gate_tells_of_a_server_where_an_attempt_broke_off_until_another_succeeds() {
+fn a_gate_reports_a_server_as_suspect_after_a_broken_attempt_until_a_success() {
     for outcome in [
         Outcome::Reset,
         Outcome::ConnectFailed,
@@ -453,7 +453,7 @@
 
 /// Two of four servers break every attempt; the others have just been heard.
 #[test]
-fn a_repeat_goes_to_a_server_that_has_just_answered() {
+fn a_retry_goes_to_a_server_that_has_just_answered() {
     guarded(Guard::RetryAtLiveServer, || {
         (0..20).all(|seed| {
             let mut route = route("a", RouteKind::Idempotent);
--- a/crates/routing/src/decider/tests/properties.rs
+++ b/crates/routing/src/decider/tests/properties.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn shares_are_even() {
+fn round_robin_shares_are_even() {
     guarded(Guard::ShuffledRoundRobin, || {
         [(3, 0), (6, 10), (13, 20), (40, 100)]
             .into_iter()
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn shares_of_many_keys_are_even() {
+fn affinity_shares_of_many_keys_are_even() {
     let mut table = spec(
         vec![route("a", RouteKind::Idempotent)],
         servers(0, 10, "north"),
@@ -285,7 +285,7 @@
         }
     }
 
-    /// OutlierDetector checks that are due, some of which find nobody.
+    /// Health checks that are due, some of which find nobody.
     fn probe(&mut self) {
         let mut probes = Vec::new();
         self.gate
@@ -386,12 +386,12 @@
 }
 
 #[test]
-fn every_rule_holds_whatever_happens() {
+fn every_invariant_holds_for_random_events() {
     assert_eq!(played(60), Ok(()));
 }
 
 #[test]
-fn the_judge_notices_each_protection_that_is_gone() {
+fn the_invariants_notice_each_missing_protection() {
     let caught = [
         (Guard::AllowedRegions, "outside of its regions"),
         (Guard::Draining, "draining"),
--- a/crates/routing/src/decider/tests/refusals.rs
+++ b/crates/routing/src/decider/tests/rejections.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_full_fleet_refuses_at_once_and_says_when_to_come_back() {
+fn when_all_servers_are_full_requests_are_rejected_at_once_with_a_retry_delay() {
     let mut gate = gate();
     let (count, refusal) = taken(&mut gate, "urgent");
     let refusal = refusal.expect("a refusal");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn less_urgent_requests_leave_room() {
+fn less_urgent_requests_leave_capacity() {
     guarded(Guard::PriorityReserve, || {
         let mut gate = gate();
         let (count, refusal) = taken(&mut gate, "patient");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn places_are_counted_over_all_gates() {
+fn slots_are_counted_over_all_gates() {
     let mut gate = gate();
     let server = gate.decider.server("i-0").expect("listed");
     let load = LoadReport {
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn nobody_is_refused_while_half_of_the_places_are_free() {
+fn no_request_is_rejected_while_half_of_the_slots_are_free() {
     guarded(Guard::FreeSlots, || {
         let mut table = spec(
             vec![route("a", RouteKind::Stream { resumable: false })],
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn requests_that_wait_at_a_server_allow_refusals() {
+fn a_queue_at_a_server_allows_rejections() {
     let mut gate = gate();
     let server = gate.decider.server("i-0").expect("listed");
     let (mut call, _) = gate.begin(gate.request("urgent"));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_server_that_is_full_is_left_alone_for_a_while() {
+fn a_full_server_is_left_alone_during_its_backoff() {
     guarded(Guard::OverloadBackoff, || {
         let mut gate = exact(spec(
             vec![route("a", RouteKind::NonIdempotent)],
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn another_region_is_used_for_want_of_room_while_it_has_plenty() {
+fn another_region_is_used_for_want_of_capacity_while_it_has_ample() {
     let fleet = [servers(0, 1, "north"), servers(1, 1, "south")].concat();
     let mut gate = exact(spec(vec![route("a", RouteKind::Idempotent)], fleet));
     let sent: Vec<bool> = (0..20)
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn what_a_full_server_says_of_the_wait_is_handed_on() {
+fn the_retry_after_of_a_full_server_is_forwarded() {
     let mut gate = gate();
     let outcome = Outcome::NotExecuted {
         retry_after: Some(800 * MS),
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_wait_is_no_longer_than_clients_honour() {
+fn a_retry_delay_is_no_longer_than_clients_honour() {
     let mut gate = gate();
     let request = Request {
         deadline: Some(gate.now + 900 * MS),
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_request_out_of_time_is_refused() {
+fn a_request_past_its_deadline_is_rejected() {
     let mut gate = gate();
     let request = Request {
         deadline: Some(gate.now),
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn those_turned_away_are_told_to_come_back_one_after_the_other() {
+fn rejected_clients_are_told_to_retry_one_after_the_other() {
     let mut gate = gate();
     taken(&mut gate, "urgent");
     let mut waits = Vec::new();
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_promise_without_an_attempt_left_sends_the_client_back_at_once() {
+fn a_request_that_was_not_executed_without_attempts_left_may_be_retried_at_once() {
     let mut single = route("a", RouteKind::NonIdempotent);
     single.max_attempts = 1;
     let mut gate = exact(spec(vec![single], servers(0, 3, "north")));
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn less_urgent_requests_leave_memory_too() {
+fn less_urgent_requests_leave_kv_cache_too() {
     let mut patient = route("patient", RouteKind::Stream { resumable: false });
     patient.priority = 4;
     let urgent = route("urgent", RouteKind::Stream { resumable: false });
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_few_wait_at_a_server_if_they_have_a_slot_in_time() {
+fn a_few_requests_queue_at_a_server_if_they_get_a_slot_in_time() {
     let table = spec(
         vec![route("a", RouteKind::Idempotent)],
         servers(0, 1, "north"),
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn in_a_crowd_less_urgent_requests_are_refused_more_often_and_none_is_left_out() {
+fn under_overload_less_urgent_requests_are_rejected_more_often_and_none_is_excluded() {
     guarded(Guard::PriorityReserve, || {
         let mut patient = route("patient", RouteKind::Idempotent);
         patient.priority = 3;
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn in_a_crowd_the_size_of_a_request_does_not_matter() {
+fn under_overload_the_size_of_a_request_does_not_matter() {
     let mut table = spec(
         vec![route("a", RouteKind::Idempotent)],
         servers(0, 1, "north"),
--- a/crates/routing/src/decider/tests/returns.rs
+++ b/crates/routing/src/decider/tests/returns.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_idempotent_request_tries_an_ejected_server_and_brings_it_back() {
+fn a_trial_by_an_idempotent_request_returns_an_ejected_server_to_service() {
     let (mut gate, server) = with_ejected(RouteKind::Idempotent);
     gate.now += 8 * SECOND;
     let (mut call, decision) = gate.begin(gate.request("a"));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn who_is_set_aside_and_who_is_back_is_told_once() {
+fn each_ejection_and_each_return_is_reported_once() {
     let (mut gate, server) = with_ejected(RouteKind::Idempotent);
     let changes = gate.decider.take_ejection_changes();
     let ejected = Some(EjectionCause::Unreachable);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_unsafe_request_tries_no_ejected_server() {
+fn a_non_idempotent_request_tries_no_ejected_server() {
     guarded(Guard::TrialIdempotent, || {
         let (mut gate, server) = with_ejected(RouteKind::NonIdempotent);
         gate.now += 8 * SECOND;
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn no_repeat_and_no_last_attempt_tries_an_ejected_server() {
+fn no_retry_and_no_last_attempt_tries_an_ejected_server() {
     guarded(Guard::TrialFirst, || {
         let (mut gate, server) = with_ejected(RouteKind::Idempotent);
         let (mut call, _) = gate.begin(gate.request("a"));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn ejections_grow_longer() {
+fn consecutive_ejections_grow_longer() {
     let (mut gate, server) = with_ejected(RouteKind::Idempotent);
     let mut rests = Vec::new();
     for _ in 0..5 {
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_health_check_brings_a_server_back_where_no_request_may_try() {
+fn a_health_check_returns_a_server_to_service_that_no_request_may_try() {
     let (mut gate, server) = with_ejected(RouteKind::NonIdempotent);
     let mut probes = Vec::new();
     gate.decider.due_health_checks(gate.now, &mut probes);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn what_is_known_of_a_server_outlives_a_table_and_a_new_instance_starts_anew() {
+fn health_outlives_a_table_update_and_a_new_instance_starts_fresh() {
     let (mut gate, server) = with_ejected(RouteKind::Idempotent);
     let mut route = route("a", RouteKind::Idempotent);
     route.affinity = false;
--- a/crates/routing/src/endpoints/tests.rs
+++ b/crates/routing/src/endpoints/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::load::TokenDemand;
 use crate::table::TableSpec;
 use crate::test_support::{self, service};
 
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn slots_are_used_again_and_handles_are_not() {
+fn slots_are_reused_and_handles_are_not() {
     let mut endpoints = Endpoints::default();
     endpoints.apply_table(0, &table(vec![server(1, "a", "x")]));
     let first = endpoints.handle("i-1").expect("listed");
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn a_server_that_left_stays_until_its_attempts_end_and_may_come_back() {
+fn a_removed_server_stays_until_its_attempts_end_and_may_return() {
     let mut endpoints = Endpoints::default();
     endpoints.apply_table(0, &table(vec![server(1, "a", "x")]));
     let handle = endpoints.handle("i-1").expect("listed");
@@ -71,7 +72,7 @@
         .get_mut(handle)
         .expect("there")
         .occupancy
-        .add(Default::default());
+        .add(TokenDemand::default());
     endpoints.apply_table(1, &table(Vec::new()));
     assert!(
         endpoints
@@ -86,13 +87,13 @@
         .get_mut(handle)
         .expect("there")
         .occupancy
-        .remove(Default::default());
+        .remove(TokenDemand::default());
     endpoints.remove_if_obsolete(handle);
     assert!(endpoints.get(handle).is_some(), "it is listed");
 }
 
 #[test]
-fn the_median_is_of_the_others() {
+fn the_median_is_the_lower_one_and_zero_without_values() {
     assert_eq!(median([].into_iter()), 0.0);
     assert_eq!(median([3.0].into_iter()), 3.0);
     assert_eq!(median([5.0, 1.0, 3.0].into_iter()), 3.0);
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn what_is_kept_of_1300_servers_is_under_a_megabyte() {
+fn state_of_1300_servers_takes_less_than_a_megabyte() {
     // Beside each record: its entry by instance, its place in a group and in two round_robins, the names
     // themselves.
     let beside = 24 + 16 + 3 * 4 + 64;
--- a/crates/routing/src/guards.rs
+++ b/crates/routing/src/guards.rs
@@ -1,79 +1,80 @@
-//! The protections that tests take away one at a time, to show that they are caught. In a build for
-//! use each is always on, and nothing is left of this module.
+//! Protections that unit tests switch off one at a time, to show that a test notices when a
+//! protection is missing. In other builds each is always on and the checks compile to nothing.
 
 /// A protection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Guard {
-    /// A route keeps to its regions.
+    /// A route uses only its allowed regions.
     AllowedRegions,
     /// The gate's own region comes first.
     OwnRegion,
-    /// Draining servers get nothing new.
+    /// Draining servers receive no new requests.
     Draining,
-    /// Servers of evacuated zones get nothing.
+    /// Servers in evacuated zones receive no new requests.
     Evacuated,
-    /// A server that another took the place of gets nothing.
+    /// Servers whose address another instance took over receive no new requests.
     Displaced,
-    /// Ejection servers are left out.
+    /// Ejected servers are left out.
     Ejected,
-    /// A cold server gets a request only under a permit.
+    /// A server that is warming up receives a request only under a permit.
     Permit,
-    /// What may have run is not repeated unless it may.
+    /// A request that may have been executed is retried only if it is idempotent.
     AtMostOnce,
-    /// No more servers than the route allows.
+    /// A request reaches no more servers than the route allows.
     MaxAttempts,
-    /// Repeats are paid for.
+    /// Retries are charged to the retry budget.
     RetryBudget,
-    /// Keys move on from crowded servers.
+    /// Affinity keys move on from overloaded servers.
     BoundedLoad,
-    /// A server that this gate hears is there, whatever its heartbeats.
+    /// A server from which this gate receives anything is alive, whatever its heartbeats.
     LivenessOverHeartbeats,
-    /// Keys move on from servers where prompts wait long.
+    /// Affinity keys move on from servers with a long prefill wait.
     ShortPrefillWait,
-    /// Keys have an order of servers.
+    /// Each affinity key has an order of servers of its own.
     Rendezvous,
-    /// Where prompts wait long in the own region, another one is used.
+    /// If the prefill wait is long in the own region, another region is used.
     SpilloverWait,
-    /// Draws go round by shuffled round_robins.
+    /// Round robin advances after each pick.
     ShuffledRoundRobin,
     /// At most half of a group is ejected for failures.
     MaxEjectedShare,
-    /// Refusals as full do not count against a server.
+    /// Rejections for want of capacity do not count as failures.
     OverloadIsNoFailure,
-    /// A server that answers others but takes no connection is full, not gone.
+    /// A failed connect to a server that answers other requests counts as overload.
     ConnectFailureOfLiveServer,
-    /// Only first attempts of requests with another one left try an ejected server.
+    /// Only first attempts of requests that have another one left try an ejected server.
     TrialFirst,
-    /// A client that leaves a server without a sign counts as a time-out of it.
+    /// The disconnection of a client from an unresponsive server counts as a time-out.
     UnresponsiveCancelCounts,
-    /// A server is not ejected as slow while it is crowded.
+    /// A loaded server is not ejected for slowness.
     LoadedIsNotSlow,
-    /// Only what may run twice tries an ejected server.
+    /// Only idempotent requests try an ejected server.
     TrialIdempotent,
-    /// No refusal for want of room while half of the places are free.
+    /// No request is rejected for want of capacity while half of the slots are free.
     FreeSlots,
-    /// Less urgent requests leave room for others.
+    /// Less urgent requests leave capacity for more urgent ones.
     PriorityReserve,
-    /// Servers that owe an answer and give no sign come last.
+    /// Unresponsive and suspected servers are used last.
     UnresponsiveLast,
-    /// A repeat goes to a server that has just given a sign.
+    /// A retry goes to a server from which something was received recently.
     RetryAtLiveServer,
-    /// A region that gives no sign is left out.
+    /// An unreachable region is left out.
     UnreachableRegion,
-    /// A server that is full is left alone for a while.
+    /// A server that rejected a request for want of capacity is left alone for a while.
     OverloadBackoff,
-    /// A request is held for a short part of its objective only.
+    /// A request is delayed only for a short part of its latency objective.
     ShortDelay,
-    /// After a start requests wait for servers to become known.
+    /// After a start, requests wait for servers to be discovered.
     Discovery,
-    /// A refusal is made only where nothing can have run.
+    /// A request is rejected only if nothing can have been executed.
     RejectOnlyUnexecuted,
 }
 
 #[cfg(not(test))]
 impl Guard {
-    /// True unless a test has taken it away.
-    pub const fn on(self) -> bool {
+    /// True unless a test has switched the protection off.
+    #[expect(clippy::unused_self, reason = "the test build looks the guard up")]
+    pub(crate) const fn on(self) -> bool {
         true
     }
 }
@@ -91,13 +92,13 @@
     }
 
     impl Guard {
-        /// True unless the running test has taken it away.
-        pub fn on(self) -> bool {
+        /// True unless the running test has switched the protection off.
+        pub(crate) fn on(self) -> bool {
             REMOVED.get() != Some(self)
         }
     }
 
-    /// Runs a check without one protection.
+    /// Runs a check with one protection switched off.
     pub(crate) fn without<R>(guard: Guard, check: impl FnOnce() -> R) -> R {
         REMOVED.set(Some(guard));
         let result = check();
--- a/crates/routing/src/latency/tests.rs
+++ b/crates/routing/src/latency/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn before_any_answer_the_objective_tells() {
+fn before_any_sample_the_baselines_follow_the_latency_objective() {
     let baselines = LatencyBaselines::default();
     assert_eq!(
         (
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn first_bytes_follow_each_route_and_one_outlier_moves_them_little() {
+fn first_byte_baseline_is_per_route_and_one_outlier_moves_it_little() {
     let mut baselines = LatencyBaselines::default();
     let (a, b) = (route("a"), route("b"));
     (0..200).for_each(|_| _ = baselines.record_first_byte(&a, 10_000));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn whole_answers_follow_the_mix_of_a_service() {
+fn response_baseline_follows_the_mix_of_a_services_routes() {
     let mut baselines = LatencyBaselines::default();
     let (desk, a, b) = (Arc::from("desk"), route("a"), route("b"));
     for _ in 0..200 {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_is_gone_is_forgotten() {
+fn routes_and_services_that_no_longer_exist_are_dropped() {
     let mut baselines = LatencyBaselines::default();
     baselines.record_first_byte(&route("a"), 10);
     baselines.record_response(&Arc::from("desk"), &route("a"), 10);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,16 +1,18 @@
-//! The decision module of a gate: candidates, shares, retries and refusals, without I/O.
+//! The decision module of a gate: candidates, load balancing, retries, rejections and outlier
+//! detection, without I/O.
 //!
 //! For every request the [`Decider`] picks a server of the route's service, after KEP-4444
-//! `PreferClose` with the region as the unit of locality: the candidates are the usable servers of
-//! the gate's own region, or, where it has none, those of every region that the route allows. It is
-//! fed immutable [`Table`]s that are swapped whole, requests, the ends of attempts and load
-//! reports. It reads no clock, does no I/O and keeps no state outside itself; all times are
-//! microseconds of one steady clock.
+//! `PreferClose` with the region as the unit of locality: the candidates are the eligible servers
+//! of the gate's own region or, if it has none, those of every region that the route allows. The
+//! decider takes immutable [`Table`]s, which are replaced as a whole, requests, the ends of
+//! attempts, and load reports. It reads no clock, does no I/O and keeps no state outside itself.
+//! All times are microseconds of one monotonic clock.
 //!
-//! What counts as usable beyond ready: not evacuated, not ejected by health, not silent, in its
-//! place (no 421), with room in slots and memory, and, if cold, under a permit. Inside the set a
-//! prompt goes to the server that its shared parts belong to by rendezvous hashing with bounded
-//! load, and everything else round by shuffled round_robins.
+//! Apart from being ready, an eligible server is not evacuated, not ejected by outlier detection,
+//! not missing its heartbeats, not displaced by another instance (421), has slots and KV cache
+//! left, and has a permit if it is warming up. Among the candidates a prompt goes to the server
+//! that rendezvous hashing with bounded loads assigns its shared prefix to, and every other request
+//! is balanced by shuffled round robin.
 //!
 //! ```
 //! use std::sync::Arc;
@@ -63,7 +65,7 @@
 //! let route = decider.table().router().route("Desk.example:8080", "/answers/7").expect("a route").clone();
 //! let (mut call, first) = decider.begin(1_000, Request::new(route), &mut Unlimited);
 //! let Decision::Send(first) = first else { panic!("{first:?}") };
-//! // Its connection broke: what is safe goes to the other server.
+//! // The connection broke: an idempotent request goes to the other server.
 //! let second = decider.attempt_finished(2_000, &mut call, Outcome::Reset, &mut Unlimited);
 //! let Decision::Send(second) = second else { panic!("{second:?}") };
 //! assert_ne!(first.expect_instance, second.expect_instance);
--- a/crates/routing/src/occupancy.rs
+++ b/crates/routing/src/occupancy.rs
@@ -107,17 +107,16 @@
         self.tokens += demand.own;
         self.unshared_tokens += demand.own;
         let Some(key) = demand.key else { return };
-        match self.prefixes.iter_mut().find(|prefix| prefix.key == key) {
-            Some(prefix) => prefix.attempts += 1,
-            None => {
-                self.prefixes.push(SharedPrefix {
-                    key,
-                    attempts: 1,
-                    tokens: demand.shared,
-                });
-                self.tokens += demand.shared;
-            }
+        if let Some(prefix) = self.prefixes.iter_mut().find(|prefix| prefix.key == key) {
+            prefix.attempts += 1;
+            return;
         }
+        self.tokens += demand.shared;
+        self.prefixes.push(SharedPrefix {
+            key,
+            attempts: 1,
+            tokens: demand.shared,
+        });
     }
 
     /// Removes an attempt that ended.
--- a/crates/routing/src/occupancy/tests.rs
+++ b/crates/routing/src/occupancy/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn shared_parts_count_once_for_as_long_as_one_needs_them() {
+fn a_shared_prefix_counts_once_while_any_attempt_uses_it() {
     let mut here = Occupancy::default();
     here.add(demand(1, 500, 100));
     here.add(demand(1, 500, 100));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_report_tells_of_other_gates_only_and_fades() {
+fn a_load_report_counts_for_other_gates_and_decays_with_age() {
     let mut here = Occupancy::default();
     here.add(demand(1, 0, 100));
     here.record_load_report(0, report(4, 1));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn what_peers_tell_stands_in_for_what_a_server_does_not() {
+fn pool_averages_stand_in_for_a_server_without_a_report() {
     let (mut told, mut quiet) = (Occupancy::default(), Occupancy::default());
     told.record_load_report(0, report(6, 0));
     quiet.add(demand(1, 400, 200));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_word_on_memory_outlives_reports_without_one() {
+fn kv_cache_usage_outlives_reports_without_it() {
     let mut here = Occupancy::default();
     here.record_load_report(
         0,
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn the_fuller_of_slots_and_memory_is_the_load() {
+fn utilization_is_the_higher_of_slots_and_kv_cache() {
     let load = |active, tokens| {
         Load {
             active,
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_request_fits_into_the_memory_that_is_left() {
+fn a_request_fits_into_the_remaining_kv_cache() {
     let fits = |tokens, added| {
         Load {
             active: 9.0,
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_full_server_rests_longer_each_time_and_a_report_of_room_ends_the_rest() {
+fn backoff_doubles_with_each_overload_and_ends_when_a_report_shows_capacity() {
     let mut here = Occupancy::default();
     let mut rests = Vec::new();
     for round in 0..8 {
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn connections_are_twice_the_even_share_and_one_at_least() {
+fn connections_are_limited_to_twice_the_even_share_and_at_least_one() {
     let connects = |in_flight, connections, gates| {
         let here = Occupancy {
             in_flight,
--- a/crates/routing/src/outlier/tests.rs
+++ b/crates/routing/src/outlier/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn each_kind_of_failure_ejects_after_a_few() {
+fn each_kind_of_failure_ejects_after_a_few_attempts() {
     let count = |outcome| until_ejected(&mut OutlierDetector::default(), &outcome, well());
     assert_eq!(
         count(Outcome::ConnectFailed),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_is_not_the_servers_failure_never_ejects() {
+fn outcomes_that_are_not_the_servers_fault_never_eject() {
     let promises = [
         Outcome::NotExecuted { retry_after: None },
         Outcome::WrongInstance,
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn at_most_half_are_ejected_unless_nothing_is_there() {
+fn at_most_half_of_a_group_is_ejected_except_for_failed_connects() {
     let half = GroupHealth {
         ejected: 2,
         ..well()
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn failures_that_the_peers_share_do_not_eject() {
+fn failures_that_the_group_shares_do_not_eject() {
     let alike = GroupHealth {
         short_term_failures: 0.9,
         long_term_failures: 0.6,
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_server_that_fails_a_quarter_is_found_in_the_long_run() {
+fn a_server_that_fails_a_quarter_of_its_requests_is_ejected_in_the_long_term() {
     let mut health = OutlierDetector::default();
     let mut ejected = false;
     for number in 0..60 {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn an_answer_to_an_earlier_request_does_not_end_an_ejection() {
+fn an_answer_to_a_request_from_before_the_ejection_does_not_end_it() {
     let mut health = OutlierDetector::default();
     until_ejected(&mut health, &Outcome::ConnectFailed, well());
     health.attempt_finished(20, &Outcome::Success, 5, well(), EJECTION_TIME);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn rests_double_up_to_the_longest_and_start_anew_after_a_good_time() {
+fn ejection_time_doubles_up_to_the_maximum_and_resets_after_recovery() {
     let mut health = OutlierDetector::default();
     let mut rests = Vec::new();
     let mut now = 0;
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_probe_decides_the_return() {
+fn a_health_check_decides_the_return_to_service() {
     let mut health = OutlierDetector::default();
     until_ejected(&mut health, &Outcome::ConnectFailed, well());
     health.has_trial = true;
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn slowness_ejects_where_it_matters_and_a_slow_trial_prolongs_it() {
+fn slowness_against_the_group_ejects_and_a_slow_trial_prolongs_the_ejection() {
     let slow = |byte: FirstByte, peers| {
         let mut health = OutlierDetector::default();
         let ejected = (0..20).any(|_| {
--- a/crates/routing/src/prefill/tests.rs
+++ b/crates/routing/src/prefill/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn tokens_of_peers_count_while_they_are_fresh() {
+fn peer_tokens_count_while_their_report_is_fresh() {
     let mut backlog = PrefillBacklog::default();
     backlog.add(100);
     backlog.record_peer(0, 1, 50);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_peer_that_has_none_is_forgotten() {
+fn a_peer_without_pending_tokens_is_dropped() {
     let mut backlog = PrefillBacklog::default();
     backlog.record_peer(0, 1, 50);
     backlog.record_peer(1, 1, 0);
@@ -23,14 +23,14 @@
 }
 
 #[test]
-fn the_memory_of_peers_is_bounded() {
+fn the_number_of_remembered_peers_is_bounded() {
     let mut backlog = PrefillBacklog::default();
     (0..1_000).for_each(|peer| backlog.record_peer(0, peer, 1));
     assert_eq!(backlog.total(0), MAX_PEERS as u64);
 }
 
 #[test]
-fn absurd_lengths_are_bounded() {
+fn excessive_prompt_lengths_are_bounded() {
     assert_eq!(pending_tokens(u64::MAX, 0), MAX_PROMPT_TOKENS);
     assert_eq!(pending_tokens(10, 20), 0);
 }
--- a/crates/routing/src/prefill_rate/tests.rs
+++ b/crates/routing/src/prefill_rate/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_pace_is_known_after_enough_tokens() {
+fn the_rate_is_known_after_enough_tokens() {
     let mut rate = PrefillRate::default();
     rate.record(10_000, 200_000);
     assert_eq!(rate.time_for(1_000), 0.0);
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_way_there_and_back_is_no_reading() {
+fn the_round_trip_is_not_attributed_to_prefill() {
     let mut rate = PrefillRate::default();
     for tokens in [500, 20_000, 1_000, 3_000, 12_000, 700] {
         rate.record(tokens, 60_000 + 7 * tokens);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn prompts_of_one_length_tell_a_pace_too() {
+fn prompts_of_equal_length_yield_a_rate_too() {
     let mut rate = PrefillRate::default();
     (0..10).for_each(|_| rate.record(5_000, 50_000));
     assert!((rate.time_for(1_000) - 10_000.0).abs() < 1.0);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn one_answer_that_takes_for_ever_hardly_changes_the_pace() {
+fn one_outlier_hardly_changes_the_rate() {
     let mut rate = PrefillRate::default();
     (0..50).for_each(|n| rate.record(1_000 + 100 * n, 60_000 + 7 * (1_000 + 100 * n)));
     rate.record(1_000, 10_000_000);
--- a/crates/routing/src/priority/tests.rs
+++ b/crates/routing/src/priority/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_longer_objective_comes_later() {
+fn a_longer_objective_lowers_the_priority() {
     assert_eq!(queue_priority(0, 600.0, 600.0), 0);
     assert_eq!(queue_priority(2, 800.0, 600.0), 3);
     assert_eq!(queue_priority(1, 1_200.0, 600.0), 4);
--- a/crates/routing/src/reachability/tests.rs
+++ b/crates/routing/src/reachability/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_region_that_nobody_tried_is_not_dark() {
+fn a_region_without_attempts_is_not_unreachable() {
     assert!(!is_unreachable(
         &RegionReachability::default(),
         10 * TIMEOUT,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_region_is_dark_after_two_answers_are_owed_and_none_has_come() {
+fn a_region_is_unreachable_when_two_answers_are_outstanding_beyond_the_timeout() {
     let (mut reachability, south) = (RegionReachability::default(), "south".into());
     reachability.record_liveness(1, &south);
     assert!(
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_dark_region_is_asked_now_and_then() {
+fn an_unreachable_region_is_checked_at_intervals() {
     let mut reachability = RegionReachability::default();
     reachability.record_liveness(1, &"south".into());
     assert!(reachability.start_health_check(HEALTH_CHECK_INTERVAL, "south"));
--- a/crates/routing/src/rejection/tests.rs
+++ b/crates/routing/src/rejection/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn turns_follow_each_other_and_pass_with_time() {
+fn promised_slots_follow_each_other_and_expire_with_time() {
     let mut schedule = RetrySchedule::default();
     let (one, other): (Arc<str>, Arc<str>) = ("one".into(), "other".into());
     assert_eq!(
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn waits_are_spread_and_bounded() {
+fn retry_delays_are_bounded_and_have_jitter() {
     let mut rng = Rng(1);
     let mut wait = |wait, left| {
         reject(
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn places_come_free_at_the_pace_of_what_is_in_flight() {
+fn slots_become_free_at_the_rate_of_the_requests_in_flight() {
     assert_eq!(
         (slot_interval(1000.0, 10.0), slot_interval(1000.0, 0.0)),
         (100, 1000)
--- a/crates/routing/src/round_robin/tests.rs
+++ b/crates/routing/src/round_robin/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_round_has_each_server_once() {
+fn each_round_uses_each_server_once() {
     let (mut round_robin, mut rng) = (round_robin(7), Rng(1));
     let mut orders = Vec::new();
     for _ in 0..20 {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn of_the_next_two_the_less_loaded_is_taken() {
+fn of_the_next_two_the_less_loaded_is_picked() {
     let (mut round_robin, mut rng) = (round_robin(2), Rng(1));
     for _ in 0..10 {
         let load = |server| Some(if server == 0 { 0.5 } else { 0.1 });
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn of_equals_the_nearer_is_first() {
+fn of_equally_loaded_servers_the_preferred_one_is_picked() {
     let (mut round_robin, mut rng) = (round_robin(2), Rng(1));
     for _ in 0..10 {
         assert_eq!(
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn who_may_not_be_drawn_is_passed_over() {
+fn unusable_servers_are_never_picked() {
     let (mut round_robin, mut rng) = (round_robin(5), Rng(1));
     for _ in 0..50 {
         let drawn = round_robin.pick(
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_deck_of_the_same_servers_goes_on() {
+fn a_round_continues_when_the_members_stay_the_same() {
     let (mut round_robin, mut rng) = (round_robin(6), Rng(1));
     let mut drawn = round(&mut round_robin, &mut rng, 4);
     round_robin.set_members((0..6).collect());
--- a/crates/routing/src/settings/tests.rs
+++ b/crates/routing/src/settings/tests.rs
@@ -10,12 +10,12 @@
 }
 
 #[test]
-fn the_usual_settings_are_sound() {
+fn the_default_settings_are_valid() {
     assert_eq!(error(|_| {}), None);
 }
 
 #[test]
-fn each_figure_out_of_range_is_named() {
+fn each_setting_out_of_range_is_named() {
     assert_eq!(
         error(|s| s.affinity_load_excess = 0.0),
         Some("affinity_load_excess")
--- a/crates/routing/src/table/router/tests.rs
+++ b/crates/routing/src/table/router/tests.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_query_is_no_part_of_the_path() {
+fn a_query_is_not_part_of_the_path() {
     let router = router(&[("a", "/x/"), ("a", "/x/y/")]);
     assert_eq!(found(&router, "a", "/x/1?to=/x/y/"), Some("/x/"));
     assert_eq!(found(&router, "a", "/x?/"), None);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_host_with_a_port_is_for_requests_that_name_it() {
+fn a_host_with_a_port_matches_only_requests_that_name_the_port() {
     let router = router(&[("a:80", "/x/"), ("a", "/x/"), ("a", "/"), ("b:80", "/x/")]);
     let host = |host| router.route(host, "/x/1").map(|route| &*route.spec.host);
     assert_eq!(
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn the_root_takes_what_no_other_prefix_begins() {
+fn the_root_prefix_matches_what_no_other_prefix_does() {
     let router = router(&[("a", "/"), ("a", "/x/")]);
     assert_eq!(found(&router, "a", "/"), Some("/"));
     assert_eq!(found(&router, "a", "/y"), Some("/"));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn paths_beyond_ascii_are_looked_up_too() {
+fn non_ascii_paths_are_matched() {
     let router = router(&[("a", "/ä/"), ("a", "/ab/")]);
     assert_eq!(found(&router, "a", "/ä/1"), Some("/ä/"));
     assert_eq!(found(&router, "a", "/aä/"), None);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn one_host_and_prefix_twice_is_an_error() {
+fn a_duplicate_host_and_prefix_is_an_error() {
     let build = |hosts: [&str; 2]| Router::build(hosts.map(|host| route(host, "/x/")).into());
     assert!(build(["a", "A"]).is_err() && build(["a:80", "A:80"]).is_err());
     assert!(build(["a", "a:80"]).is_ok());
@@ -131,7 +131,7 @@
 
     /// The same as a look at every prefix.
     #[test]
-    fn it_finds_what_a_look_at_every_prefix_finds(
+    fn lookup_agrees_with_a_search_over_every_prefix(
         prefixes in proptest::collection::btree_set("(/[ab]{1,2}){0,4}/", 1..12),
         path in "(/[abc]{1,2}){0,5}/?",
     ) {
--- a/crates/routing/src/table/tests.rs
+++ b/crates/routing/src/table/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn unsound_routes_are_named() {
+fn invalid_routes_are_named() {
     let route: Arc<str> = "r".into();
     let unknown = error(|route| route.backends[0].service = "none".into());
     assert_eq!(
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_service_twice_is_an_error() {
+fn a_duplicate_service_is_an_error() {
     let spec = TableSpec {
         services: vec![service("desk"), service("desk")],
         ..TableSpec::default()
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn servers_of_unknown_services_and_second_entries_are_left_out() {
+fn servers_of_unknown_services_and_duplicate_instances_are_left_out() {
     let servers = vec![
         server("i-1", "desk", "a"),
         server("i-2", "none", "a"),
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn another_list_of_servers_keeps_the_routes() {
+fn replacing_the_servers_keeps_the_routes() {
     let spec = TableSpec {
         routes: vec![route()],
         services: vec![service("desk")],
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_set_of_unknown_regions_is_empty_and_none_named_means_all() {
+fn a_set_of_unknown_regions_is_empty_and_no_names_mean_all() {
     let spec = TableSpec {
         services: vec![service("desk")],
         servers: vec![server("i-1", "desk", "a"), server("i-2", "desk", "b")],
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_route_without_an_objective_has_a_second_within_its_time_out() {
+fn a_route_without_an_objective_defaults_to_a_second_within_its_timeout() {
     let target = |target_latency_ms, timeout_ms| {
         let spec = RouteSpec {
             target_latency_ms,
--- a/crates/routing/src/traffic_split/tests.rs
+++ b/crates/routing/src/traffic_split/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_part_gets_its_share_of_a_few_requests() {
+fn each_backend_gets_its_share_of_a_few_requests() {
     for seed in 0..50 {
         let (mut traffic_splits, mut rng, route) =
             (TrafficSplits::default(), Rng(seed), "a".into());
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn gates_do_not_begin_alike() {
+fn gates_start_at_different_points() {
     let first = |seed| TrafficSplits::default().next_point(&"a".into(), &mut Rng(seed));
     assert_ne!(first(1), first(2));
 }
--- a/crates/routing/tests/model/mod.rs
+++ b/crates/routing/tests/model/mod.rs
@@ -113,7 +113,7 @@
     /// Requests that ended without an answer, and those that took over a second to the first byte.
     pub lost: usize,
     pub late: usize,
-    /// OutlierDetector checks.
+    /// Health checks.
     pub probes: usize,
     /// Refusals while under half of all slots were taken and nothing waited.
     pub early: usize,
--- a/crates/routing/tests/region.rs
+++ b/crates/routing/tests/region.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn shared_parts_are_hardly_read_again_at_the_usual_load() {
+fn at_normal_load_shared_prefixes_are_hardly_prefilled_again() {
     for subjects in [6, 30, 150] {
         let (even, affine) = (
             play(None, subjects, 1.0, 60),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn under_pressure_no_server_is_crowded_for_it() {
+fn under_high_load_affinity_overloads_no_server() {
     for subjects in [6, 30, 150] {
         let (even, affine) = (
             play(None, subjects, 4.0, 40),
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn without_a_bound_a_hot_part_crowds_its_server() {
+fn without_a_load_bound_a_hot_prefix_overloads_its_server() {
     let (bound, unbound) = (
         play(bounds(), 6, 4.0, 40),
         play(Some((10.0, 1.0)), 6, 4.0, 40),
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_crowd_is_turned_away_evenly_and_the_urgent_first_served() {
+fn under_overload_rejections_are_even_and_urgent_requests_come_first() {
     for (subjects, press) in [(6, 16.0), (150, 24.0)] {
         let played = play(bounds(), subjects, press, 40);
         let [patient, urgent, last] =
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_server_that_is_dark_or_down_costs_a_few_requests() {
+fn an_unresponsive_or_crashed_server_costs_a_few_requests() {
     for fate in [Fate::Dark, Fate::Down] {
         for press in [1.0, 4.0] {
             let played = ill(fate, press);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_server_that_fails_a_third_or_is_slow_is_left_out_too() {
+fn a_server_that_fails_a_third_or_is_slow_is_ejected() {
     let grey = ill(Fate::Grey, 4.0);
     assert!(
         grey.ejected > 0 && grey.lost < 60,
