--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -16,7 +16,9 @@
     Action, Balancer, Event, Listing, LoadReport, Micros, Outcome, Phase, Request, Scope, Server,
     ServerId, Settled,
 };
-use ironmast_settings::{Flaw, LoadNames, Parsed, Setup, finite, flaw, number, setup};
+use ironmast_settings::{
+    DeploymentSettings, FieldError, LoadReportColumns, parse_finite, parse_number,
+};
 
 /// What is wrong with a line, and with which of its fields.
 #[derive(Debug, Error)]
@@ -49,42 +51,42 @@
 }
 
 impl<'a> Fields<'a> {
-    fn text(&mut self, field: &str) -> Parsed<&'a str> {
+    fn text(&mut self, field: &str) -> Result<&'a str, FieldError> {
         match self.rest.next() {
             Some(value) => Ok(value),
-            None => flaw(field, "missing"),
+            None => invalid(field, "missing"),
         }
     }
 
-    fn named(&mut self, field: &str) -> Parsed<&'a str> {
+    fn named(&mut self, field: &str) -> Result<&'a str, FieldError> {
         match self.text(field)? {
-            "" | "-" => flaw(field, "must not be absent"),
+            "" | "-" => invalid(field, "must not be absent"),
             value => Ok(value),
         }
     }
 
-    fn number<T: std::str::FromStr>(&mut self, field: &str) -> Parsed<T> {
-        number(field, self.text(field)?)
+    fn number<T: std::str::FromStr>(&mut self, field: &str) -> Result<T, FieldError> {
+        parse_number(field, self.text(field)?)
     }
 
-    fn optional<T: std::str::FromStr>(&mut self, field: &str) -> Parsed<Option<T>> {
+    fn optional<T: std::str::FromStr>(&mut self, field: &str) -> Result<Option<T>, FieldError> {
         match self.text(field)? {
             "-" => Ok(None),
-            value => number(field, value).map(Some),
+            value => parse_number(field, value).map(Some),
         }
     }
 
-    fn bool(&mut self, field: &str) -> Parsed<bool> {
+    fn bool(&mut self, field: &str) -> Result<bool, FieldError> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            value => flaw(field, format!("`{value}` is not 0 or 1")),
+            value => invalid(field, format!("`{value}` is not 0 or 1")),
         }
     }
 
-    fn end(&mut self) -> Parsed<()> {
+    fn end(&mut self) -> Result<(), FieldError> {
         match self.rest.next() {
-            Some(extra) => flaw("(end)", format!("unexpected further field `{extra}`")),
+            Some(extra) => invalid("(end)", format!("unexpected further field `{extra}`")),
             None => Ok(()),
         }
     }
@@ -105,7 +107,7 @@
     classes: Vec<String>,
     tenants: Vec<String>,
     zones: Vec<String>,
-    load: LoadNames,
+    load: LoadReportColumns,
 }
 
 /// Hosts any number of instances on one input and output.
@@ -136,11 +138,11 @@
         loop {
             line.clear();
             count += 1;
-            let malformed = |message: &str, (field, problem): Flaw| Malformed {
+            let malformed = |message: &str, error: FieldError| Malformed {
                 line: count,
                 message: message.to_string(),
-                field,
-                problem,
+                field: error.field,
+                problem: error.problem,
             };
             if input.read_until(b'\n', &mut line)? == 0 {
                 return match self.batch {
@@ -152,7 +154,7 @@
             let text = if let Ok(text) = std::str::from_utf8(&line) {
                 text.trim_end_matches(['\n', '\r'])
             } else {
-                let problem = ("(line)".to_string(), "not UTF-8".to_string());
+                let problem = FieldError::new("(line)", "not UTF-8");
                 return Err(malformed("(unreadable)", problem).into());
             };
             let message = text.split('\t').next().unwrap_or("");
@@ -172,14 +174,14 @@
     }
 
     /// Takes one line; true where it ends a batch.
-    fn line(&mut self, text: &str) -> Parsed<bool> {
+    fn line(&mut self, text: &str) -> Result<bool, FieldError> {
         let mut fields = Fields {
             rest: text.split('\t'),
         };
         let message = fields.text("(message)")?;
         if let Some((page, left)) = self.filling {
             if message != "ITEM" {
-                return flaw("elements", format!("{left} more ITEM lines were announced"));
+                return invalid("elements", format!("{left} more ITEM lines were announced"));
             }
             let item = item(&mut fields)?;
             self.sheets.entry(page).or_default().push(item);
@@ -188,13 +190,13 @@
         }
         if message == "CLOCK" {
             if self.batch.is_some() {
-                return flaw("(message)", "the batch before has not ended");
+                return invalid("(message)", "the batch before has not ended");
             }
             self.batch = Some((fields.number("clock")?, fields.number("batch")?));
             return fields.end().map(|()| false);
         }
         let Some((now, batch)) = self.batch else {
-            return flaw("(message)", "outside of a batch, or not known");
+            return invalid("(message)", "outside of a batch, or not known");
         };
         match message {
             "OVER_TO_YOU" => {
@@ -206,7 +208,7 @@
             "SHEET" => {
                 let page: u8 = fields.number("page")?;
                 if page > 15 {
-                    return flaw("page", "lists are numbered 0 to 15");
+                    return invalid("page", "lists are numbered 0 to 15");
                 }
                 let count = fields.number("elements")?;
                 fields.end()?;
@@ -214,7 +216,7 @@
                 self.filling = (count > 0).then_some((page, count));
                 Ok(false)
             }
-            "ITEM" => flaw("(message)", "no SHEET announces it"),
+            "ITEM" => invalid("(message)", "no SHEET announces it"),
             "CREATE" => {
                 let who = fields.number("who")?;
                 let instance = create(&mut fields)?;
@@ -234,18 +236,18 @@
                     "INBOX",
                 ];
                 if !event_known.contains(&message) {
-                    return flaw("(message)", "not a known message");
+                    return invalid("(message)", "not a known message");
                 }
                 let who = fields.number("who")?;
                 if message == "DOWN" {
                     fields.end()?;
                     return match self.instances.remove(&who) {
                         Some(_) => Ok(false),
-                        None => flaw("who", format!("no instance {who} was created")),
+                        None => invalid("who", format!("no instance {who} was created")),
                     };
                 }
                 let Some(instance) = self.instances.get_mut(&who) else {
-                    return flaw("who", format!("no instance {who} was created"));
+                    return invalid("who", format!("no instance {who} was created"));
                 };
                 let event = instance.event(message, &mut fields, &self.sheets)?;
                 fields.end()?;
@@ -259,14 +261,15 @@
     }
 }
 
-fn cut_off() -> Flaw {
-    (
-        "(end)".to_string(),
-        "the input ends inside a batch".to_string(),
-    )
+fn cut_off() -> FieldError {
+    FieldError::new("(end)", "the input ends inside a batch")
+}
+
+fn invalid<T>(field: &str, problem: impl Into<String>) -> Result<T, FieldError> {
+    Err(FieldError::new(field, problem))
 }
 
-fn item(fields: &mut Fields) -> Parsed<Item> {
+fn item(fields: &mut Fields) -> Result<Item, FieldError> {
     let name = fields.named("backend")?.to_string();
     let zone = fields.text("region_part")?.to_string();
     fields.text("flavor")?;
@@ -275,11 +278,11 @@
         "in_service" => Phase::Ready,
         "terminating" => Phase::Draining,
         "terminated" => Phase::Gone,
-        other => return flaw("phase", format!("`{other}` is not a known phase")),
+        other => return invalid("phase", format!("`{other}` is not a known phase")),
     };
     let size = match fields.text("scale")? {
         "-" => 1.0,
-        value => finite("scale", value)?,
+        value => parse_finite("scale", value)?,
     };
     let started = fields.optional("came_up")?.filter(|&at: &Micros| at > 0);
     fields.end()?;
@@ -298,25 +301,25 @@
     })
 }
 
-fn create(fields: &mut Fields) -> Parsed<Instance> {
+fn create(fields: &mut Fields) -> Result<Instance, FieldError> {
     let seed = fields.number("init_seed")?;
     let mut pairs = BTreeMap::new();
     for pair in fields.rest.by_ref() {
         match pair.split_once('=') {
             Some((path, value)) => pairs.insert(path, value),
             None if pair.is_empty() => None,
-            None => return flaw("params", format!("`{pair}` is not path=value")),
+            None => return invalid("params", format!("`{pair}` is not path=value")),
         };
     }
-    let Setup {
+    let DeploymentSettings {
         settings,
         classes,
         tenants,
         zones,
-        load,
+        load_report: load,
         ..
-    } = setup(pairs)?;
-    let balancer = Balancer::new(settings, seed).or_else(|e| flaw("params", e.to_string()))?;
+    } = DeploymentSettings::from_pairs(pairs)?;
+    let balancer = Balancer::new(settings, seed).or_else(|e| invalid("params", e.to_string()))?;
     Ok(Instance {
         servers: BTreeMap::new(),
         classes,
@@ -327,7 +330,7 @@
     })
 }
 
-fn outcome(fields: &mut Fields) -> Parsed<Outcome> {
+fn outcome(fields: &mut Fields) -> Result<Outcome, FieldError> {
     Ok(match fields.text("ending")? {
         "pass" => Outcome::Ok,
         "fault" => Outcome::Error,
@@ -337,7 +340,7 @@
         "cut" => Outcome::Reset,
         "undone" => Outcome::Cancelled,
         "stale_send" => Outcome::Moot,
-        other => return flaw("ending", format!("`{other}` is not a known ending")),
+        other => return invalid("ending", format!("`{other}` is not a known ending")),
     })
 }
 
@@ -347,7 +350,7 @@
         message: &str,
         fields: &mut Fields,
         sheets: &BTreeMap<u8, Vec<Item>>,
-    ) -> Parsed<Event> {
+    ) -> Result<Event, FieldError> {
         Ok(match message {
             "REQ" => self.request(fields)?,
             "SETTLED" => {
@@ -393,11 +396,11 @@
         })
     }
 
-    fn request(&self, fields: &mut Fields) -> Parsed<Event> {
+    fn request(&self, fields: &mut Fields) -> Result<Event, FieldError> {
         let id = fields.number("handle")?;
         let name = fields.text("band")?;
         let Some(class) = self.classes.iter().position(|c| c == name) else {
-            return flaw("band", format!("`{name}` is not a class of the settings"));
+            return invalid("band", format!("`{name}` is not a class of the settings"));
         };
         let flags: u64 = fields.number("flags")?;
         let key = fields.optional("subject")?;
@@ -414,14 +417,18 @@
         }))
     }
 
-    fn view(&mut self, fields: &mut Fields, sheets: &BTreeMap<u8, Vec<Item>>) -> Parsed<Event> {
+    fn view(
+        &mut self,
+        fields: &mut Fields,
+        sheets: &BTreeMap<u8, Vec<Item>>,
+    ) -> Result<Event, FieldError> {
         fields.optional::<u64>("stamp")?;
         let scope = match fields.text("scope")? {
             "D" => Scope::Changes,
             "F" => Scope::Complete,
             "C" => Scope::Cached,
             "X" => Scope::Failed,
-            other => return flaw("scope", format!("`{other}` is not a known scope")),
+            other => return invalid("scope", format!("`{other}` is not a known scope")),
         };
         let page = fields.text("page")?;
         if scope == Scope::Failed {
@@ -430,8 +437,8 @@
                 servers: Vec::new(),
             }));
         }
-        let Some(items) = sheets.get(&number("page", page)?) else {
-            return flaw("page", format!("no list {page} was given"));
+        let Some(items) = sheets.get(&parse_number("page", page)?) else {
+            return invalid("page", format!("no list {page} was given"));
         };
         let mut servers = Vec::with_capacity(items.len());
         for item in items {
@@ -454,7 +461,7 @@
         Ok(Event::Members(Listing { scope, servers }))
     }
 
-    fn report(&self, fields: &mut Fields) -> Parsed<Option<LoadReport>> {
+    fn report(&self, fields: &mut Fields) -> Result<Option<LoadReport>, FieldError> {
         let row = match fields.text("feedback")? {
             "-" | "" => return Ok(None),
             row => row,
@@ -464,16 +471,16 @@
             values.push(if value == "-" {
                 None
             } else {
-                Some(finite("feedback", value)?)
+                Some(parse_finite("feedback", value)?)
             });
         }
-        Ok(Some(self.load.row(&values)))
+        Ok(Some(self.load.report(&values)))
     }
 
-    fn write(&self, who: u64, action: &Action, out: &mut String) -> Parsed<()> {
+    fn write(&self, who: u64, action: &Action, out: &mut String) -> Result<(), FieldError> {
         let name = |server: &ServerId| match self.servers.get(server) {
             Some(name) => Ok(name.as_str()),
-            None => flaw(
+            None => invalid(
                 "backend",
                 "the module named a server that no list has named",
             ),
@@ -526,7 +533,7 @@
     }
 }
 
-fn bytes(hex: &str) -> Parsed<Vec<u8>> {
+fn bytes(hex: &str) -> Result<Vec<u8>, FieldError> {
     if hex == "-" {
         return Ok(Vec::new());
     }
@@ -538,7 +545,7 @@
         Some(digits) if digits.len() % 2 == 0 => {
             Ok(digits.chunks(2).map(|d| d[0] << 4 | d[1]).collect())
         }
-        _ => flaw("raw", format!("`{hex}` is not pairs of hex digits")),
+        _ => invalid("raw", format!("`{hex}` is not pairs of hex digits")),
     }
 }
 
