--- a/crates/coordinator/src/register_log.rs
+++ b/crates/coordinator/src/register_log.rs
@@ -114,7 +114,7 @@
             offset,
             reason,
         }) => {
-            let kept = Log::<LogRecord>::set_aside(disk.as_ref(), settings)
+            let kept = Log::<LogRecord>::quarantine(disk.as_ref(), settings)
                 .wrap_err_with(|| format!("setting the damaged {file} aside"))?;
             warn!(log, "the register's log is damaged and begun anew";
                 "file" => file, "offset" => offset, "reason" => %reason,
@@ -127,7 +127,7 @@
             (file, Some(recovered))
         }
     };
-    let was_corrupted = !Log::<LogRecord>::files_set_aside(disk.as_ref(), settings)
+    let was_corrupted = !Log::<LogRecord>::quarantined_files(disk.as_ref(), settings)
         .wrap_err("looking for damaged logs")?
         .is_empty();
     let recovered = match recovered {
--- a/crates/coordinator/tests/many_changes.rs
+++ b/crates/coordinator/tests/many_changes.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use ironmast_storage::Step;
+use ironmast_storage::DiskOperation;
 use many_changes::cluster::Cluster;
 use many_changes::host::LOG_SPACE_BYTES;
 use many_changes::workload::{Report, Workload};
@@ -145,9 +145,9 @@
     cluster.change_through(0, changes);
     cluster.kill(0);
     let disk = std::sync::Arc::clone(&cluster.hosts[0].disk);
-    let (bytes, reads) = (disk.used_bytes(), disk.count(Step::Read));
+    let (bytes, reads) = (disk.used_bytes(), disk.count(DiskOperation::Read));
     assert!(cluster.start(0));
-    (bytes, disk.count(Step::Read) - reads)
+    (bytes, disk.count(DiskOperation::Read) - reads)
 }
 
 #[test]
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -65,7 +65,7 @@
 
 /// The operation of [`Disk`] that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
+pub enum DiskOperation {
     /// Opening the folder.
     Open,
     /// [`Disk::list`].
@@ -86,18 +86,18 @@
     SyncFolder,
 }
 
-impl fmt::Display for Step {
+impl fmt::Display for DiskOperation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Step::Open => "open folder",
-            Step::List => "list",
-            Step::Read => "read",
-            Step::Create => "create",
-            Step::Append => "append",
-            Step::SyncFile => "sync file",
-            Step::Rename => "rename",
-            Step::Remove => "remove",
-            Step::SyncFolder => "sync folder",
+            DiskOperation::Open => "open folder",
+            DiskOperation::List => "list",
+            DiskOperation::Read => "read",
+            DiskOperation::Create => "create",
+            DiskOperation::Append => "append",
+            DiskOperation::SyncFile => "sync file",
+            DiskOperation::Rename => "rename",
+            DiskOperation::Remove => "remove",
+            DiskOperation::SyncFolder => "sync folder",
         })
     }
 }
@@ -117,12 +117,12 @@
 
 /// A failed operation: its file, its step and the reason the system gave.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{step} failed at {file}: {reason}")]
+#[error("{operation} failed at {file}: {reason}")]
 pub struct DiskError {
     /// Name of the file, or of the folder for steps on all of it.
     pub file: String,
     /// The operation.
-    pub step: Step,
+    pub operation: DiskOperation,
     /// The kind of failure.
     pub kind: FailureKind,
     /// The system's words.
@@ -132,10 +132,10 @@
 impl DiskError {
     /// An error of the given kind.
     #[must_use]
-    pub fn new(file: &str, step: Step, kind: FailureKind, reason: &str) -> Self {
+    pub fn new(file: &str, operation: DiskOperation, kind: FailureKind, reason: &str) -> Self {
         Self {
             file: file.to_owned(),
-            step,
+            operation,
             kind,
             reason: reason.to_owned(),
         }
--- a/crates/storage/src/disk/real.rs
+++ b/crates/storage/src/disk/real.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use super::{Disk, DiskError, FailureKind, Step};
+use super::{Disk, DiskError, DiskOperation, FailureKind};
 
 /// Name used for the folder itself in errors.
 const FOLDER: &str = ".";
@@ -26,7 +26,7 @@
     /// When the folder cannot be made or is no folder.
     pub fn open(folder: &Path) -> Result<Self, DiskError> {
         if !folder.is_dir() {
-            make(folder).map_err(failed(FOLDER, Step::Open))?;
+            make(folder).map_err(failed(FOLDER, DiskOperation::Open))?;
         }
         Ok(Self {
             folder: folder.to_owned(),
@@ -42,15 +42,15 @@
     fn with_open<T>(
         &self,
         file: &str,
-        step: Step,
-        operation: impl FnOnce(&File) -> io::Result<T>,
+        operation: DiskOperation,
+        run: impl FnOnce(&File) -> io::Result<T>,
     ) -> Result<T, DiskError> {
-        let handle = self.handle(file, step)?;
-        operation(&handle).map_err(failed(file, step))
+        let handle = self.handle(file, operation)?;
+        run(&handle).map_err(failed(file, operation))
     }
 
     /// The kept descriptor, shared so that the table is not locked while the disk works.
-    fn handle(&self, file: &str, step: Step) -> Result<Arc<File>, DiskError> {
+    fn handle(&self, file: &str, operation: DiskOperation) -> Result<Arc<File>, DiskError> {
         let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(handle) = open.get(file) {
             return Ok(Arc::clone(handle));
@@ -59,15 +59,15 @@
             .append(true)
             .open(self.path(file))
             .map(Arc::new)
-            .map_err(failed(file, step))
+            .map_err(failed(file, operation))
     }
 }
 
 impl Disk for RealDisk {
     fn list(&self) -> Result<Vec<String>, DiskError> {
         let mut names = Vec::new();
-        for entry in fs::read_dir(&self.folder).map_err(failed(FOLDER, Step::List))? {
-            let entry = entry.map_err(failed(FOLDER, Step::List))?;
+        for entry in fs::read_dir(&self.folder).map_err(failed(FOLDER, DiskOperation::List))? {
+            let entry = entry.map_err(failed(FOLDER, DiskOperation::List))?;
             if let Ok(name) = entry.file_name().into_string() {
                 names.push(name);
             }
@@ -76,7 +76,7 @@
     }
 
     fn read(&self, file: &str) -> Result<Vec<u8>, DiskError> {
-        fs::read(self.path(file)).map_err(failed(file, Step::Read))
+        fs::read(self.path(file)).map_err(failed(file, DiskOperation::Read))
     }
 
     fn create(&self, file: &str) -> Result<(), DiskError> {
@@ -84,7 +84,7 @@
             .append(true)
             .create_new(true)
             .open(self.path(file))
-            .map_err(failed(file, Step::Create))?;
+            .map_err(failed(file, DiskOperation::Create))?;
         self.open
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -93,27 +93,29 @@
     }
 
     fn append(&self, file: &str, bytes: &[u8]) -> Result<(), DiskError> {
-        self.with_open(file, Step::Append, |mut handle| handle.write_all(bytes))
+        self.with_open(file, DiskOperation::Append, |mut handle| {
+            handle.write_all(bytes)
+        })
     }
 
     fn sync_file(&self, file: &str) -> Result<(), DiskError> {
-        self.with_open(file, Step::SyncFile, File::sync_data)
+        self.with_open(file, DiskOperation::SyncFile, File::sync_data)
     }
 
     fn rename(&self, from: &str, to: &str) -> Result<(), DiskError> {
         if self
             .path(to)
             .try_exists()
-            .map_err(failed(to, Step::Rename))?
+            .map_err(failed(to, DiskOperation::Rename))?
         {
             return Err(DiskError::new(
                 to,
-                Step::Rename,
+                DiskOperation::Rename,
                 FailureKind::Exists,
                 "the name is taken",
             ));
         }
-        fs::rename(self.path(from), self.path(to)).map_err(failed(from, Step::Rename))?;
+        fs::rename(self.path(from), self.path(to)).map_err(failed(from, DiskOperation::Rename))?;
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(handle) = open.remove(from) {
             open.insert(to.to_owned(), handle);
@@ -126,12 +128,14 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .remove(file);
-        fs::remove_file(self.path(file)).map_err(failed(file, Step::Remove))
+        fs::remove_file(self.path(file)).map_err(failed(file, DiskOperation::Remove))
     }
 
     fn sync_folder(&self) -> Result<(), DiskError> {
-        let folder = File::open(&self.folder).map_err(failed(FOLDER, Step::SyncFolder))?;
-        folder.sync_all().map_err(failed(FOLDER, Step::SyncFolder))
+        let folder = File::open(&self.folder).map_err(failed(FOLDER, DiskOperation::SyncFolder))?;
+        folder
+            .sync_all()
+            .map_err(failed(FOLDER, DiskOperation::SyncFolder))
     }
 }
 
@@ -145,9 +149,9 @@
 }
 
 /// Turns a system error into one with file and step.
-fn failed(file: &str, step: Step) -> impl Fn(io::Error) -> DiskError {
+fn failed(file: &str, operation: DiskOperation) -> impl Fn(io::Error) -> DiskError {
     let file = file.to_owned();
-    move |error| DiskError::new(&file, step, kind_of(&error), &error.to_string())
+    move |error| DiskError::new(&file, operation, kind_of(&error), &error.to_string())
 }
 
 fn kind_of(error: &io::Error) -> FailureKind {
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -110,7 +110,7 @@
 
 /// Where a frame stands and what was synced before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct FramePosition {
     /// Sequence number of the segment.
     pub(crate) sequence: u64,
     /// First byte of the frame in the segment.
@@ -125,14 +125,18 @@
 }
 
 /// Writes a frame behind `out`. The payload's length must fit into 32 bits.
-pub(crate) fn push_frame(out: &mut Vec<u8>, place: Place, payload: &[u8]) {
+pub(crate) fn push_frame(out: &mut Vec<u8>, position: FramePosition, payload: &[u8]) {
     let mut header = [0; FRAME_HEADER_BYTES];
     header[..4].copy_from_slice(&FRAME_MAGIC);
     header[4..8].copy_from_slice(&(payload.len() as u32).to_le_bytes());
-    header[8..16].copy_from_slice(&place.synced_end.to_le_bytes());
-    let payload_checksum = checksum(place.sequence, place.offset, &[&header[4..16], payload]);
+    header[8..16].copy_from_slice(&position.synced_end.to_le_bytes());
+    let payload_checksum = checksum(
+        position.sequence,
+        position.offset,
+        &[&header[4..16], payload],
+    );
     header[16..20].copy_from_slice(&payload_checksum.to_le_bytes());
-    let header_checksum = checksum(place.sequence, place.offset, &[&header[..20]]);
+    let header_checksum = checksum(position.sequence, position.offset, &[&header[..20]]);
     header[20..].copy_from_slice(&header_checksum.to_le_bytes());
     out.extend_from_slice(&header);
     out.extend_from_slice(payload);
--- a/crates/storage/src/format/scan.rs
+++ b/crates/storage/src/format/scan.rs
@@ -54,7 +54,7 @@
         scan.newest = frame.payload;
         scan.frames += 1;
     }
-    refuse_synced_damage(bytes, scan.valid_end, sequence, checksums)?;
+    check_synced_frames(bytes, scan.valid_end, sequence, checksums)?;
     Ok(scan)
 }
 
@@ -62,7 +62,7 @@
 /// valid.
 ///
 /// Frames that were never synced may be lost in any order, so a valid frame alone is no proof.
-fn refuse_synced_damage(
+fn check_synced_frames(
     bytes: &[u8],
     valid_end: usize,
     sequence: u64,
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -26,10 +26,10 @@
 pub enum IdentityError {
     /// There is one already; it is never replaced.
     #[error("an identity is stored already; empty the data directory to begin anew")]
-    Stored,
+    AlreadyStored,
     /// There is none to confirm.
     #[error("no identity is stored yet")]
-    Missing,
+    NotStored,
     /// It could not be made durable; another try may succeed.
     #[error(transparent)]
     Log(#[from] LogError),
@@ -62,10 +62,10 @@
     /// Stores the identity, durably.
     ///
     /// # Errors
-    /// [`IdentityError::Stored`] when there is one, [`IdentityError::Log`] when the disk failed.
+    /// [`IdentityError::AlreadyStored`] when there is one, [`IdentityError::Log`] when the disk failed.
     pub fn store(&mut self, identity: I) -> Result<(), IdentityError> {
         if self.stored.is_some() {
-            return Err(IdentityError::Stored);
+            return Err(IdentityError::AlreadyStored);
         }
         self.log.reopen(&identity)?;
         self.stored = Some(identity);
@@ -75,9 +75,9 @@
     /// Tries again to make the stored identity durable after [`IdentityFile::open`] could not.
     ///
     /// # Errors
-    /// [`IdentityError::Missing`] when there is none, [`IdentityError::Log`] when the disk failed.
-    pub fn confirm(&mut self) -> Result<(), IdentityError> {
-        let identity = self.stored.as_ref().ok_or(IdentityError::Missing)?;
+    /// [`IdentityError::NotStored`] when there is none, [`IdentityError::Log`] when the disk failed.
+    pub fn make_durable(&mut self) -> Result<(), IdentityError> {
+        let identity = self.stored.as_ref().ok_or(IdentityError::NotStored)?;
         if self.log.state() != LogState::Ready {
             self.log.reopen(identity)?;
         }
@@ -94,5 +94,5 @@
 }
 
 fn settings() -> LogSettings {
-    LogSettings::constant(NAME, SPACE_BYTES)
+    LogSettings::new_unchecked(NAME, SPACE_BYTES)
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -13,7 +13,7 @@
 //! - What recovery reads may come from the page cache only, so it is written again and synced
 //!   before it counts.
 //! - Damage in what had been synced is an error and never taken for the torn end that a loss of
-//!   power leaves. [`Log::set_aside`] keeps the damaged file under another name, for it may be the
+//!   power leaves. [`Log::quarantine`] keeps the damaged file under another name, for it may be the
 //!   only copy.
 //!
 //! A write or sync that fails needs no end of the replica whose votes the records are, as long as
@@ -53,10 +53,10 @@
 pub mod testing;
 mod writer;
 
-pub use disk::{Disk, DiskError, FailureKind, RealDisk, Step};
+pub use disk::{Disk, DiskError, DiskOperation, FailureKind, RealDisk};
 pub use format::CorruptionReason;
 pub use identity::{IdentityError, IdentityFile};
-pub use log::{Log, LogError, LogState, SET_ASIDE_MOST};
+pub use log::{Log, LogError, LogState, MAX_QUARANTINED_SEGMENTS};
 pub use recovery::{OpenError, Recovered};
 pub use settings::{LogSettings, SettingsError};
 pub use writer::{Activity, Completion, Health, Supersedes, Writer};
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -10,7 +10,7 @@
 //! file to be freed when the disk is full: the log's own use is bounded, and a disk that refuses
 //! every write refuses into a freed file too.
 
-mod damage;
+mod quarantine;
 mod segments;
 #[cfg(test)]
 mod tests;
@@ -23,11 +23,11 @@
 
 use crate::disk::{Disk, DiskError};
 use crate::encode::encode;
-use crate::recovery::{self, Newest, OpenError, Recovered};
+use crate::recovery::{self, NewestRecord, OpenError, Recovered};
 use crate::settings::{LogSettings, OnOpen};
 
-pub use damage::SET_ASIDE_MOST;
-use segments::{Segments, fits};
+pub use quarantine::MAX_QUARANTINED_SEGMENTS;
+use segments::{Segments, check_size};
 
 /// The newest of a row of records, durable in checksummed segments.
 pub struct Log<R> {
@@ -87,7 +87,7 @@
         disk: Arc<dyn Disk>,
         settings: LogSettings,
     ) -> Result<(Self, Recovered<R>), OpenError> {
-        let files = recovery::files(disk.as_ref(), &settings.name)?;
+        let files = recovery::list_files(disk.as_ref(), &settings.name)?;
         let newest = match files.segments.last() {
             Some(sequence) => Some(recovery::read_newest(disk.as_ref(), &settings, *sequence)?),
             None => None,
@@ -111,7 +111,7 @@
                 .segments
                 .resume_newest(newest.file_bytes, newest.valid_bytes),
         }
-        let found = log.found(newest);
+        let found = log.recovered(newest);
         Ok((log, found))
     }
 
@@ -124,18 +124,21 @@
     /// # Errors
     /// When a file cannot be removed or the folder cannot be synced; some files may be gone then.
     pub fn erase(disk: &dyn Disk, settings: &LogSettings) -> Result<(), DiskError> {
-        damage::erase(disk, settings)
+        quarantine::erase(disk, settings)
     }
 
     /// Sets the damaged newest segment aside under another name and removes what it superseded, so
-    /// that the log can be opened anew, empty. At most [`SET_ASIDE_MOST`] segments are kept so, and
+    /// that the log can be opened anew, empty. At most [`MAX_QUARANTINED_SEGMENTS`] segments are kept so, and
     /// none that is longer than a segment may be; the oldest go first. Returns the name of the
     /// file, unless it was too long to keep.
     ///
     /// # Errors
     /// When a step fails; the damaged segment is then still found under one of its names.
-    pub fn set_aside(disk: &dyn Disk, settings: &LogSettings) -> Result<Option<String>, DiskError> {
-        damage::set_aside(disk, settings)
+    pub fn quarantine(
+        disk: &dyn Disk,
+        settings: &LogSettings,
+    ) -> Result<Option<String>, DiskError> {
+        quarantine::quarantine(disk, settings)
     }
 
     /// Names of the damaged segments that were set aside: evidence that this folder has held a log
@@ -143,11 +146,11 @@
     ///
     /// # Errors
     /// When the folder cannot be read.
-    pub fn files_set_aside(
+    pub fn quarantined_files(
         disk: &dyn Disk,
         settings: &LogSettings,
     ) -> Result<Vec<String>, DiskError> {
-        damage::files_set_aside(disk, settings)
+        quarantine::quarantined_files(disk, settings)
     }
 
     /// Writes a record. It is durable once a later [`Log::sync`] succeeds.
@@ -156,11 +159,11 @@
     /// After [`LogError::Full`] and [`LogError::Disk`] the log is in [`LogState::Failed`]; the
     /// other errors leave it as it was.
     pub fn append(&mut self, record: &R) -> Result<(), LogError> {
-        self.refuse_when_failed()?;
+        self.check_not_failed()?;
         let payload = self.encode(record)?;
         let appended = self.segments.append(&payload);
         self.payload = payload;
-        self.note(appended)
+        self.check_outcome(appended)
     }
 
     /// Makes all appended records durable; with nothing new this does nothing.
@@ -169,9 +172,9 @@
     /// After an error whether the records are on the disk is not known, and the log is in
     /// [`LogState::Failed`].
     pub fn sync(&mut self) -> Result<(), LogError> {
-        self.refuse_when_failed()?;
+        self.check_not_failed()?;
         let synced = self.segments.sync();
-        self.note(synced)
+        self.check_outcome(synced)
     }
 
     /// Begins a new segment with `record` and makes it durable, also after a failure.
@@ -196,14 +199,14 @@
 
     fn rewrite(&mut self, payload: &[u8]) -> Result<(), LogError> {
         self.failure = None;
-        self.segments.leave_current();
+        self.segments.close_current();
         let appended = self.segments.append(payload);
-        self.note(appended)?;
+        self.check_outcome(appended)?;
         let synced = self.segments.sync();
-        self.note(synced)
+        self.check_outcome(synced)
     }
 
-    fn found(&self, newest: Newest<R>) -> Recovered<R> {
+    fn recovered(&self, newest: NewestRecord<R>) -> Recovered<R> {
         Recovered::Found {
             record: newest.record,
             durable: self.failure.is_none(),
@@ -216,11 +219,11 @@
         let buffer = std::mem::take(&mut self.payload);
         let payload =
             encode(record, buffer).map_err(|error| LogError::Encode(error.to_string()))?;
-        fits(payload.len(), self.segments.segment_bytes())?;
+        check_size(payload.len(), self.segments.segment_bytes())?;
         Ok(payload)
     }
 
-    fn refuse_when_failed(&self) -> Result<(), LogError> {
+    fn check_not_failed(&self) -> Result<(), LogError> {
         match &self.failure {
             None => Ok(()),
             Some(failure) => Err(LogError::Failed(failure.clone())),
@@ -228,10 +231,10 @@
     }
 
     /// Keeps a failure, after which no file written so far is written to again.
-    fn note(&mut self, outcome: Result<(), DiskError>) -> Result<(), LogError> {
+    fn check_outcome(&mut self, outcome: Result<(), DiskError>) -> Result<(), LogError> {
         let Err(failure) = outcome else { return Ok(()) };
         if self.segments.stops_after_failure() {
-            self.segments.leave_current();
+            self.segments.close_current();
             self.failure = Some(failure.clone());
         }
         Err(if failure.is_full() {
--- a/crates/storage/src/log/damage.rs
+++ b/crates/storage/src/log/quarantine.rs
@@ -7,18 +7,18 @@
 
 use crate::disk::{Disk, DiskError, FailureKind};
 use crate::names;
-use crate::recovery::{self, Files};
+use crate::recovery::{self, LogFiles};
 use crate::settings::LogSettings;
 
 /// Most damaged segments that are kept.
-pub const SET_ASIDE_MOST: usize = 2;
+pub const MAX_QUARANTINED_SEGMENTS: usize = 2;
 
 /// Removes all files of a log.
 pub(super) fn erase(disk: &dyn Disk, settings: &LogSettings) -> Result<(), DiskError> {
-    let files = recovery::files(disk, &settings.name)?;
+    let files = recovery::list_files(disk, &settings.name)?;
     remove_superseded(disk, settings, &files)?;
-    for sequence in &files.damaged {
-        remove(disk, &names::damaged(&settings.name, *sequence))?;
+    for sequence in &files.quarantined {
+        remove(disk, &names::quarantined(&settings.name, *sequence))?;
     }
     if let Some(newest) = files.segments.last() {
         remove(disk, &names::segment(&settings.name, *newest))?;
@@ -27,29 +27,29 @@
 }
 
 /// Gives the newest segment a name under which it is kept but never read.
-pub(super) fn set_aside(
+pub(super) fn quarantine(
     disk: &dyn Disk,
     settings: &LogSettings,
 ) -> Result<Option<String>, DiskError> {
-    let files = recovery::files(disk, &settings.name)?;
+    let files = recovery::list_files(disk, &settings.name)?;
     let Some(newest) = files.segments.last().copied() else {
         return Ok(None);
     };
     remove_superseded(disk, settings, &files)?;
     let segment = names::segment(&settings.name, newest);
-    let kept = names::damaged(&settings.name, newest);
+    let kept = names::quarantined(&settings.name, newest);
     // A crash may have left both names of an earlier try.
     remove(disk, &kept)?;
     let earlier: Vec<u64> = files
-        .damaged
+        .quarantined
         .into_iter()
         .filter(|sequence| *sequence != newest)
         .collect();
     for sequence in earlier
         .iter()
-        .take((earlier.len() + 1).saturating_sub(SET_ASIDE_MOST))
+        .take((earlier.len() + 1).saturating_sub(MAX_QUARANTINED_SEGMENTS))
     {
-        remove(disk, &names::damaged(&settings.name, *sequence))?;
+        remove(disk, &names::quarantined(&settings.name, *sequence))?;
     }
     let is_too_long = disk.read(&segment)?.len() as u64 > settings.segment_bytes();
     if is_too_long {
@@ -62,15 +62,15 @@
 }
 
 /// Names of the segments set aside.
-pub(super) fn files_set_aside(
+pub(super) fn quarantined_files(
     disk: &dyn Disk,
     settings: &LogSettings,
 ) -> Result<Vec<String>, DiskError> {
-    let files = recovery::files(disk, &settings.name)?;
+    let files = recovery::list_files(disk, &settings.name)?;
     Ok(files
-        .damaged
+        .quarantined
         .into_iter()
-        .map(|sequence| names::damaged(&settings.name, sequence))
+        .map(|sequence| names::quarantined(&settings.name, sequence))
         .collect())
 }
 
@@ -78,7 +78,7 @@
 fn remove_superseded(
     disk: &dyn Disk,
     settings: &LogSettings,
-    files: &Files,
+    files: &LogFiles,
 ) -> Result<(), DiskError> {
     let older = files.segments.len().saturating_sub(1);
     for sequence in &files.segments[..older] {
--- a/crates/storage/src/log/segments.rs
+++ b/crates/storage/src/log/segments.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use crate::disk::{Disk, DiskError, FailureKind};
-use crate::format::{Place, SEGMENT_HEADER_BYTES, frame_bytes, push_frame, segment_header};
+use crate::format::{FramePosition, SEGMENT_HEADER_BYTES, frame_bytes, push_frame, segment_header};
 use crate::names;
-use crate::recovery::Files;
+use crate::recovery::LogFiles;
 use crate::settings::LogSettings;
 
 use super::LogError;
@@ -17,7 +17,7 @@
     next_sequence: u64,
     current: Option<Current>,
     /// Older complete segments, kept until a newer one is durable.
-    kept: Vec<u64>,
+    retained: Vec<u64>,
     /// Files that nothing depends on, removed once the next segment's file has been made.
     obsolete: Vec<String>,
     frame: Vec<u8>,
@@ -33,7 +33,7 @@
 }
 
 /// Refuses a record that no segment can hold.
-pub(super) fn fits(payload: usize, limit: u64) -> Result<(), LogError> {
+pub(super) fn check_size(payload: usize, limit: u64) -> Result<(), LogError> {
     let bytes = SEGMENT_HEADER_BYTES as u64 + frame_bytes(payload);
     if bytes > limit || u32::try_from(payload).is_err() {
         return Err(LogError::TooLarge { bytes, limit });
@@ -44,13 +44,13 @@
 impl Segments {
     /// Takes over what was found. Any of the segments may be the durable one, so that all are kept
     /// at first.
-    pub(super) fn new(disk: Arc<dyn Disk>, settings: LogSettings, files: Files) -> Self {
+    pub(super) fn new(disk: Arc<dyn Disk>, settings: LogSettings, files: LogFiles) -> Self {
         Self {
             disk,
             settings,
             next_sequence: files.next_sequence,
             current: None,
-            kept: files.segments,
+            retained: files.segments,
             obsolete: files.temporary,
             frame: Vec::new(),
         }
@@ -66,7 +66,7 @@
 
     /// Goes on in the newest segment found; only for tests of what this would break.
     pub(super) fn resume_newest(&mut self, length: u64, synced_end: u64) {
-        let Some(sequence) = self.kept.pop() else {
+        let Some(sequence) = self.retained.pop() else {
             return;
         };
         self.current = Some(Current {
@@ -101,17 +101,17 @@
             self.disk
                 .sync_file(&names::segment(&self.settings.name, current.sequence))?;
         }
-        self.note_synced();
+        self.mark_synced();
         Ok(())
     }
 
     /// Writes no more to the current segment.
-    pub(super) fn leave_current(&mut self) {
+    pub(super) fn close_current(&mut self) {
         let Some(current) = self.current.take() else {
             return;
         };
         if current.complete {
-            self.kept.push(current.sequence);
+            self.retained.push(current.sequence);
         } else {
             self.obsolete
                 .push(names::temporary(&self.settings.name, current.sequence));
@@ -124,8 +124,8 @@
     /// a number given twice could let a removed segment come back after a loss of power and win
     /// over a newer one.
     fn begin(&mut self, payload: &[u8]) -> Result<(), DiskError> {
-        self.leave_current();
-        if !self.settings.guards.highest_stays {
+        self.close_current();
+        if !self.settings.guards.create_before_remove {
             self.remove_obsolete()?;
         }
         let sequence = self.next_sequence;
@@ -142,12 +142,12 @@
         self.frame.clear();
         self.frame
             .extend_from_slice(&segment_header(&self.settings.name, sequence));
-        let place = Place {
+        let position = FramePosition {
             sequence,
             offset: SEGMENT_HEADER_BYTES as u64,
             synced_end: 0,
         };
-        push_frame(&mut self.frame, place, payload);
+        push_frame(&mut self.frame, position, payload);
         self.write_frame()
     }
 
@@ -155,13 +155,13 @@
         let Some(current) = &self.current else {
             return Ok(());
         };
-        let place = Place {
+        let position = FramePosition {
             sequence: current.sequence,
             offset: current.length,
             synced_end: current.synced_end,
         };
         self.frame.clear();
-        push_frame(&mut self.frame, place, payload);
+        push_frame(&mut self.frame, position, payload);
         self.write_frame()
     }
 
@@ -187,19 +187,19 @@
         let sequence = current.sequence;
         self.disk
             .sync_file(&names::temporary(&self.settings.name, sequence))?;
-        self.give_name(sequence)
-            .inspect_err(|_| self.withdraw_name(sequence))?;
+        self.publish(sequence)
+            .inspect_err(|_| self.unpublish(sequence))?;
         let superseded = self
-            .kept
+            .retained
             .drain(..)
             .map(|sequence| names::segment(&self.settings.name, sequence));
         self.obsolete.extend(superseded);
-        self.note_synced();
+        self.mark_synced();
         let _tried_again_later = self.remove_obsolete();
         Ok(())
     }
 
-    fn give_name(&self, sequence: u64) -> Result<(), DiskError> {
+    fn publish(&self, sequence: u64) -> Result<(), DiskError> {
         let temporary = names::temporary(&self.settings.name, sequence);
         self.disk
             .rename(&temporary, &names::segment(&self.settings.name, sequence))?;
@@ -208,7 +208,7 @@
 
     /// Takes back a name that may not be durable, as far as the disk allows, so that failures over
     /// many starts don't add up to many segments.
-    fn withdraw_name(&mut self, sequence: u64) {
+    fn unpublish(&mut self, sequence: u64) {
         let segment = names::segment(&self.settings.name, sequence);
         let _may_not_be_there = self
             .disk
@@ -216,7 +216,7 @@
         self.obsolete.push(segment);
     }
 
-    fn note_synced(&mut self) {
+    fn mark_synced(&mut self) {
         if let Some(current) = &mut self.current {
             current.complete = true;
             current.synced_end = current.length;
--- a/crates/storage/src/log/tests.rs
+++ b/crates/storage/src/log/tests.rs
@@ -1,22 +1,22 @@
 //! Random histories of records, syncs, losses of power, kills and disk failures, against what was
 //! reported.
 
-mod damage;
 mod failures;
 mod history;
+mod quarantine;
 
 use std::sync::Arc;
 
 use crate::disk::Disk;
 use crate::settings::{Guards, LogSettings, OnOpen};
-use crate::testing::{CarelessDisk, Carelessness, FaultyDisk};
+use crate::testing::{FaultyDisk, Safeguard, UnsafeDisk};
 use history::{Setup, Violation, play};
 
 /// Histories that a sound log is played through.
 const HISTORIES: u64 = 4_000;
 
 fn settings() -> LogSettings {
-    LogSettings::constant("history", 4096)
+    LogSettings::new_unchecked("history", 4096)
 }
 
 fn unchanged(disk: Arc<FaultyDisk>) -> Arc<dyn Disk> {
@@ -34,10 +34,10 @@
     (0..HISTORIES).find_map(|seed| play(seed, setup).err().map(|violation| (seed, violation)))
 }
 
-fn careless(carelessness: Carelessness) -> Setup {
+fn without_safeguard(omitted: Safeguard) -> Setup {
     Setup {
         settings: settings(),
-        disk: Box::new(move |disk| Arc::new(CarelessDisk::new(disk, carelessness))),
+        disk: Box::new(move |disk| Arc::new(UnsafeDisk::new(disk, omitted))),
     }
 }
 
@@ -57,17 +57,17 @@
 
 #[test]
 fn histories_catch_a_folder_that_is_not_synced() {
-    assert_caught(&careless(Carelessness::NoFolderSync));
+    assert_caught(&without_safeguard(Safeguard::FolderSync));
 }
 
 #[test]
 fn histories_catch_files_that_are_not_synced() {
-    assert_caught(&careless(Carelessness::NoFileSync));
+    assert_caught(&without_safeguard(Safeguard::FileSync));
 }
 
 #[test]
 fn histories_catch_a_failed_sync_that_is_tried_again() {
-    assert_caught(&careless(Carelessness::RetriedSync));
+    assert_caught(&without_safeguard(Safeguard::StopAfterFailedSync));
 }
 
 #[test]
--- a/crates/storage/src/log/tests/failures.rs
+++ b/crates/storage/src/log/tests/failures.rs
@@ -4,7 +4,7 @@
 
 use assert_matches::assert_matches;
 
-use crate::disk::{Disk, Step};
+use crate::disk::{Disk, DiskOperation};
 use crate::log::{Log, LogError, LogState};
 use crate::recovery::Recovered;
 use crate::settings::{LogSettings, OnOpen};
@@ -12,7 +12,7 @@
 
 fn open(disk: &Arc<FaultyDisk>) -> (Log<u64>, Recovered<u64>) {
     let disk: Arc<dyn Disk> = disk.clone();
-    Log::open(disk, LogSettings::constant("failures", 4096)).expect("open")
+    Log::open(disk, LogSettings::new_unchecked("failures", 4096)).expect("open")
 }
 
 fn found(record: u64, durable: bool) -> Recovered<u64> {
@@ -30,7 +30,7 @@
     log.reopen(&1).expect("reopen");
     disk.fail_file_syncs(1);
     log.append(&2).expect("append");
-    assert_matches!(log.sync(), Err(LogError::Disk(error)) if error.step == Step::SyncFile);
+    assert_matches!(log.sync(), Err(LogError::Disk(error)) if error.operation == DiskOperation::SyncFile);
     assert_matches!(log.append(&3), Err(LogError::Failed(_)));
     assert_matches!(log.sync(), Err(LogError::Failed(_)));
     log.reopen(&3).expect("reopen");
@@ -71,7 +71,7 @@
 #[test]
 fn a_record_larger_than_a_segment_is_refused_and_nothing_fails() {
     let disk: Arc<dyn Disk> = Arc::new(MemoryDisk::new(1 << 20));
-    let settings = LogSettings::constant("failures", 4096);
+    let settings = LogSettings::new_unchecked("failures", 4096);
     let (mut log, _) = Log::<String>::open(disk, settings).expect("open");
     assert_matches!(
         log.append(&"x".repeat(1024)),
@@ -105,7 +105,7 @@
 #[test]
 fn a_disk_too_small_refuses_and_takes_records_again_once_it_grew() {
     let disk = Arc::new(MemoryDisk::new(1_000));
-    let settings = LogSettings::constant("failures", 4096);
+    let settings = LogSettings::new_unchecked("failures", 4096);
     let (mut log, _) = Log::<String>::open(disk.clone(), settings).expect("open");
     log.reopen(&"x".repeat(700)).expect("reopen");
     assert_matches!(log.append(&"y".repeat(300)), Err(LogError::Full(_)));
@@ -122,7 +122,7 @@
         disk.fail_folder_syncs(u32::MAX);
         let (mut log, recovered) = open(&disk);
         assert_eq!(recovered, found(1, false));
-        assert_matches!(log.reopen(&1), Err(LogError::Disk(error)) if error.step == Step::SyncFolder);
+        assert_matches!(log.reopen(&1), Err(LogError::Disk(error)) if error.operation == DiskOperation::SyncFolder);
         assert!(disk.list().expect("list").len() <= 2);
     }
     disk.clear_faults();
@@ -137,17 +137,17 @@
     log.sync().expect("sync");
     log.append(&1).expect("append");
     log.sync().expect("sync");
-    let before = disk.count(Step::SyncFile);
+    let before = disk.count(DiskOperation::SyncFile);
     log.sync().expect("sync");
-    assert_eq!(disk.count(Step::SyncFile), before);
+    assert_eq!(disk.count(DiskOperation::SyncFile), before);
 }
 
 /// Three segments in a row get names that may or may not be durable, a fourth can't be made, and
 /// the process is killed. Then record 5 is reported as durable and power is lost.
-fn find_after_failed_names(seed: u64, highest_stays: bool) -> Recovered<u64> {
+fn find_after_failed_names(seed: u64, create_before_remove: bool) -> Recovered<u64> {
     let disk = Arc::new(FaultyDisk::new(seed));
-    let mut settings = LogSettings::constant("failures", 4096);
-    settings.guards.highest_stays = highest_stays;
+    let mut settings = LogSettings::new_unchecked("failures", 4096);
+    settings.guards.create_before_remove = create_before_remove;
     let open = || Log::open(disk.clone() as Arc<dyn Disk>, settings.clone()).expect("open");
     let (mut log, _) = open();
     log.reopen(&1).expect("reopen");
@@ -187,7 +187,7 @@
 /// reported as durable.
 fn find_after_torn_end(seed: u64, on_open: OnOpen) -> Option<u64> {
     let disk = Arc::new(FaultyDisk::new(seed));
-    let mut settings = LogSettings::constant("failures", 4096);
+    let mut settings = LogSettings::new_unchecked("failures", 4096);
     settings.guards.on_open = on_open;
     let open = || Log::open(disk.clone() as Arc<dyn Disk>, settings.clone());
     let (mut log, _) = open().expect("open");
--- a/crates/storage/src/log/tests/damage.rs
+++ b/crates/storage/src/log/tests/quarantine.rs
@@ -5,7 +5,7 @@
 use assert_matches::assert_matches;
 
 use crate::disk::{Disk, DiskError};
-use crate::log::{Log, SET_ASIDE_MOST};
+use crate::log::{Log, MAX_QUARANTINED_SEGMENTS};
 use crate::names;
 use crate::recovery::{OpenError, Recovered};
 use crate::settings::LogSettings;
@@ -17,7 +17,7 @@
 const OPERATIONS: u64 = 16;
 
 fn settings() -> LogSettings {
-    LogSettings::constant(LOG, SPACE_BYTES)
+    LogSettings::new_unchecked(LOG, SPACE_BYTES)
 }
 
 fn open(disk: &Arc<FaultyDisk>) -> Result<(Log<u64>, Recovered<u64>), OpenError> {
@@ -79,7 +79,7 @@
 #[test]
 fn an_older_record_is_never_found_once_the_newest_is_set_aside() {
     assert_eq!(
-        older_found(|disk| Log::<u64>::set_aside(disk, &settings()).map(drop)),
+        older_found(|disk| Log::<u64>::quarantine(disk, &settings()).map(drop)),
         []
     );
 }
@@ -91,23 +91,23 @@
 
 #[test]
 fn files_removed_with_one_sync_for_all_would_let_an_older_record_be_found() {
-    let careless = |disk: &FaultyDisk| {
+    let without_safeguard = |disk: &FaultyDisk| {
         disk.list()?.iter().try_for_each(|name| disk.remove(name))?;
         disk.sync_folder()
     };
-    assert!(!older_found(careless).is_empty());
+    assert!(!older_found(without_safeguard).is_empty());
 }
 
 #[test]
 fn the_damaged_bytes_are_kept_under_the_name_that_is_told() {
     let disk = damaged_disk(1);
     let bytes = disk.read(&names::segment(LOG, 1)).expect("read");
-    let kept = Log::<u64>::set_aside(disk.as_ref(), &settings())
+    let kept = Log::<u64>::quarantine(disk.as_ref(), &settings())
         .expect("set aside")
         .expect("kept");
     assert_eq!(disk.read(&kept).expect("read"), bytes);
     assert_eq!(
-        Log::<u64>::files_set_aside(disk.as_ref(), &settings()).expect("list"),
+        Log::<u64>::quarantined_files(disk.as_ref(), &settings()).expect("list"),
         std::slice::from_ref(&kept)
     );
     let (mut log, found) = open(&disk).expect("open");
@@ -125,7 +125,7 @@
 fn damage_again_and_again_keeps_the_newest_two_within_bounds() {
     let disk = damaged_disk(2);
     for number in 3..9 {
-        Log::<u64>::set_aside(disk.as_ref(), &settings()).expect("set aside");
+        Log::<u64>::quarantine(disk.as_ref(), &settings()).expect("set aside");
         let (mut log, _) = open(&disk).expect("open");
         log.reopen(&number).expect("reopen");
         let name = disk
@@ -138,12 +138,12 @@
             panic!("a segment")
         };
         damage(&disk, sequence);
-        let kept = Log::<u64>::files_set_aside(disk.as_ref(), &settings()).expect("list");
-        assert!(kept.len() <= SET_ASIDE_MOST, "{kept:?}");
+        let kept = Log::<u64>::quarantined_files(disk.as_ref(), &settings()).expect("list");
+        assert!(kept.len() <= MAX_QUARANTINED_SEGMENTS, "{kept:?}");
     }
-    let kept = Log::<u64>::files_set_aside(disk.as_ref(), &settings()).expect("list");
-    assert_eq!(kept.len(), SET_ASIDE_MOST);
-    assert!(disk.used_bytes() <= SPACE_BYTES + SPACE_BYTES / 4 * SET_ASIDE_MOST as u64);
+    let kept = Log::<u64>::quarantined_files(disk.as_ref(), &settings()).expect("list");
+    assert_eq!(kept.len(), MAX_QUARANTINED_SEGMENTS);
+    assert!(disk.used_bytes() <= SPACE_BYTES + SPACE_BYTES / 4 * MAX_QUARANTINED_SEGMENTS as u64);
 }
 
 #[test]
@@ -153,7 +153,7 @@
     disk.append(&name, &vec![7; SPACE_BYTES as usize])
         .expect("append");
     assert_eq!(
-        Log::<u64>::set_aside(disk.as_ref(), &settings()).expect("set aside"),
+        Log::<u64>::quarantine(disk.as_ref(), &settings()).expect("set aside"),
         None
     );
     assert_eq!(disk.used_bytes(), 0);
--- a/crates/storage/src/names.rs
+++ b/crates/storage/src/names.rs
@@ -6,7 +6,7 @@
 /// Ending of a segment that is being written.
 const TEMPORARY: &str = ".tmp";
 /// Ending of a damaged segment that was set aside.
-const DAMAGED: &str = ".damaged";
+const QUARANTINED: &str = ".damaged";
 /// Hexadecimal digits of a sequence number.
 const DIGITS: usize = 16;
 
@@ -18,7 +18,7 @@
     /// A segment that never became complete.
     Temporary(u64),
     /// A damaged segment that was set aside and is never read.
-    Damaged(u64),
+    Quarantined(u64),
 }
 
 impl LogFile {
@@ -27,7 +27,7 @@
         match self {
             LogFile::Segment(sequence)
             | LogFile::Temporary(sequence)
-            | LogFile::Damaged(sequence) => sequence,
+            | LogFile::Quarantined(sequence) => sequence,
         }
     }
 }
@@ -43,8 +43,8 @@
 }
 
 /// Name of a damaged segment that was set aside.
-pub(crate) fn damaged(log: &str, sequence: u64) -> String {
-    format!("{log}-{sequence:016x}{DAMAGED}")
+pub(crate) fn quarantined(log: &str, sequence: u64) -> String {
+    format!("{log}-{sequence:016x}{QUARANTINED}")
 }
 
 /// What a name says; nothing when the file is none of this log's.
@@ -55,7 +55,7 @@
     match ending {
         SEGMENT => Some(LogFile::Segment(sequence)),
         TEMPORARY => Some(LogFile::Temporary(sequence)),
-        DAMAGED => Some(LogFile::Damaged(sequence)),
+        QUARANTINED => Some(LogFile::Quarantined(sequence)),
         _ => None,
     }
 }
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -32,7 +32,7 @@
     /// The folder or a segment could not be read; worth another try.
     #[error("{0}; check the disk and start again")]
     Disk(#[from] DiskError),
-    /// Durable state is damaged. Nothing was changed; [`Log::set_aside`](crate::Log::set_aside)
+    /// Durable state is damaged. Nothing was changed; [`Log::quarantine`](crate::Log::quarantine)
     /// allows a new beginning, which for a replica means a new identity.
     #[error(
         "{file} is damaged at byte {offset}: {reason}; the replica has to begin anew as after the loss of its disk"
@@ -49,19 +49,19 @@
 
 /// The files of a log, by what they are.
 #[derive(Debug, Default)]
-pub(crate) struct Files {
+pub(crate) struct LogFiles {
     /// Sequence numbers of complete segments, in rising order.
     pub(crate) segments: Vec<u64>,
     /// Names of segments that never became complete.
     pub(crate) temporary: Vec<String>,
     /// Sequence numbers of damaged segments that were set aside, in rising order.
-    pub(crate) damaged: Vec<u64>,
+    pub(crate) quarantined: Vec<u64>,
     /// The first sequence number above all that were seen.
     pub(crate) next_sequence: u64,
 }
 
 /// The newest segment, read.
-pub(crate) struct Newest<R> {
+pub(crate) struct NewestRecord<R> {
     pub(crate) record: R,
     pub(crate) payload: Vec<u8>,
     pub(crate) file_bytes: u64,
@@ -69,8 +69,8 @@
 }
 
 /// Sorts the files of a log out from all in the folder.
-pub(crate) fn files(disk: &dyn Disk, log: &str) -> Result<Files, DiskError> {
-    let mut files = Files::default();
+pub(crate) fn list_files(disk: &dyn Disk, log: &str) -> Result<LogFiles, DiskError> {
+    let mut files = LogFiles::default();
     for name in disk.list()? {
         let Some(file) = names::parse(log, &name) else {
             continue;
@@ -79,11 +79,11 @@
         match file {
             LogFile::Segment(sequence) => files.segments.push(sequence),
             LogFile::Temporary(_) => files.temporary.push(name),
-            LogFile::Damaged(sequence) => files.damaged.push(sequence),
+            LogFile::Quarantined(sequence) => files.quarantined.push(sequence),
         }
     }
     files.segments.sort_unstable();
-    files.damaged.sort_unstable();
+    files.quarantined.sort_unstable();
     Ok(files)
 }
 
@@ -95,7 +95,7 @@
     disk: &dyn Disk,
     settings: &LogSettings,
     sequence: u64,
-) -> Result<Newest<R>, OpenError> {
+) -> Result<NewestRecord<R>, OpenError> {
     let file = names::segment(&settings.name, sequence);
     let bytes = disk.read(&file)?;
     let corrupted = |damage: Corruption| OpenError::Corrupted {
@@ -113,7 +113,7 @@
             reason: CorruptionReason::Record,
         })
     })?;
-    Ok(Newest {
+    Ok(NewestRecord {
         record,
         payload,
         file_bytes: bytes.len() as u64,
--- a/crates/storage/src/settings.rs
+++ b/crates/storage/src/settings.rs
@@ -1,12 +1,12 @@
 //! Settings of a log.
 
 /// Part of the disk that a log may use by default: one eighth.
-const SHARE_OF_DISK: u64 = 8;
+const DISK_FRACTION: u64 = 8;
 /// The space holds the current segment, one being written, and two that a lost folder sync may
 /// bring back.
-const PARTS: u64 = 4;
+const SEGMENTS_PER_SPACE: u64 = 4;
 /// Least space of a log, in bytes.
-const LEAST_SPACE_BYTES: u64 = 4096;
+const MIN_SPACE_BYTES: u64 = 4096;
 
 /// Settings of a log.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
     /// No file is written again after a failure.
     pub(crate) stop_after_failure: bool,
     /// The next segment's file is made before others are removed.
-    pub(crate) highest_stays: bool,
+    pub(crate) create_before_remove: bool,
     /// What becomes of the newest record when a log is opened.
     pub(crate) on_open: OnOpen,
 }
@@ -52,7 +52,7 @@
     /// When the name has characters other than lower-case letters, digits and `_`, or the space is
     /// under 4 KiB.
     pub fn new(name: &str, disk_bytes: u64) -> Result<Self, SettingsError> {
-        Self::with_space(name, disk_bytes / SHARE_OF_DISK)
+        Self::with_space(name, disk_bytes / DISK_FRACTION)
     }
 
     /// Settings of a log that uses `space_bytes` at most.
@@ -69,18 +69,18 @@
                 name: name.to_owned(),
             });
         }
-        if space_bytes < LEAST_SPACE_BYTES {
+        if space_bytes < MIN_SPACE_BYTES {
             return Err(SettingsError::Space { space_bytes });
         }
-        Ok(Self::constant(name, space_bytes))
+        Ok(Self::new_unchecked(name, space_bytes))
     }
 
     /// Settings known to be sound.
-    pub(crate) fn constant(name: &str, space_bytes: u64) -> Self {
+    pub(crate) fn new_unchecked(name: &str, space_bytes: u64) -> Self {
         let guards = Guards {
             checksum: true,
             stop_after_failure: true,
-            highest_stays: true,
+            create_before_remove: true,
             on_open: OnOpen::Rewrite,
         };
         Self {
@@ -92,7 +92,7 @@
 
     /// Bytes that all files of the log hold together at most, less damaged segments that were set
     /// aside: each of those takes a quarter of this at most, and there are
-    /// [`SET_ASIDE_MOST`](crate::SET_ASIDE_MOST).
+    /// [`MAX_QUARANTINED_SEGMENTS`](crate::MAX_QUARANTINED_SEGMENTS).
     #[must_use]
     pub fn space_bytes(&self) -> u64 {
         self.space_bytes
@@ -100,7 +100,7 @@
 
     /// Bytes of a segment at most, and so of a record with its frame.
     pub(crate) fn segment_bytes(&self) -> u64 {
-        self.space_bytes / PARTS
+        self.space_bytes / SEGMENTS_PER_SPACE
     }
 }
 
--- a/crates/storage/src/testing.rs
+++ b/crates/storage/src/testing.rs
@@ -1,27 +1,27 @@
 //! Disks for tests, and the checks that every disk must pass.
 
-mod careless;
 mod contract;
 mod faulty;
-mod gate;
 mod inode;
 mod memory;
+mod stall;
+mod unsafe_disk;
 
-pub use careless::{CarelessDisk, Carelessness};
 pub use contract::contract;
 pub use faulty::FaultyDisk;
 pub use memory::MemoryDisk;
+pub use unsafe_disk::{Safeguard, UnsafeDisk};
 
-use crate::disk::{DiskError, FailureKind, Step};
+use crate::disk::{DiskError, DiskOperation, FailureKind};
 
-fn missing(file: &str, step: Step) -> DiskError {
-    DiskError::new(file, step, FailureKind::NotFound, "no such file")
+fn not_found(file: &str, operation: DiskOperation) -> DiskError {
+    DiskError::new(file, operation, FailureKind::NotFound, "no such file")
 }
 
-fn taken(file: &str, step: Step) -> DiskError {
-    DiskError::new(file, step, FailureKind::Exists, "the name is taken")
+fn name_exists(file: &str, operation: DiskOperation) -> DiskError {
+    DiskError::new(file, operation, FailureKind::Exists, "the name is taken")
 }
 
-fn full(file: &str, step: Step) -> DiskError {
-    DiskError::new(file, step, FailureKind::Full, "no room")
+fn full(file: &str, operation: DiskOperation) -> DiskError {
+    DiskError::new(file, operation, FailureKind::Full, "no room")
 }
--- a/crates/storage/src/testing/contract.rs
+++ b/crates/storage/src/testing/contract.rs
@@ -157,7 +157,7 @@
 }
 
 fn settings() -> LogSettings {
-    LogSettings::constant(LOG, SPACE_BYTES)
+    LogSettings::new_unchecked(LOG, SPACE_BYTES)
 }
 
 fn open(disk: &Arc<dyn Disk>) -> (Log<Record>, Recovered<Record>) {
--- a/crates/storage/src/testing/faulty.rs
+++ b/crates/storage/src/testing/faulty.rs
@@ -8,10 +8,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use super::gate::Gate;
 use super::inode::Inode;
-use super::{full, missing};
-use crate::disk::{Disk, DiskError, FailureKind, Step};
+use super::stall::StallGate;
+use super::{full, not_found};
+use crate::disk::{Disk, DiskError, DiskOperation, FailureKind};
 use names::Names;
 
 /// A disk in memory that misbehaves as told, at random from a seed.
@@ -22,7 +22,7 @@
 /// back under both names or none.
 #[derive(Debug)]
 pub struct FaultyDisk {
-    gate: Gate,
+    gate: StallGate,
     state: Mutex<State>,
 }
 
@@ -36,7 +36,7 @@
     operations_left: Option<u64>,
     failing_file_syncs: u32,
     failing_folder_syncs: u32,
-    counts: HashMap<Step, u64>,
+    counts: HashMap<DiskOperation, u64>,
 }
 
 impl FaultyDisk {
@@ -55,7 +55,7 @@
             counts: HashMap::new(),
         };
         Self {
-            gate: Gate::default(),
+            gate: StallGate::default(),
             state: Mutex::new(state),
         }
     }
@@ -109,8 +109,12 @@
     }
 
     /// Operations of a kind so far, failed ones included.
-    pub fn count(&self, step: Step) -> u64 {
-        self.lock().counts.get(&step).copied().unwrap_or_default()
+    pub fn count(&self, operation: DiskOperation) -> u64 {
+        self.lock()
+            .counts
+            .get(&operation)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Bytes of all files that programs see.
@@ -135,12 +139,12 @@
     fn begin(
         &self,
         file: &str,
-        step: Step,
+        operation: DiskOperation,
     ) -> Result<(MutexGuard<'_, State>, Interruption), DiskError> {
         self.gate.pass();
         let mut state = self.lock();
-        *state.counts.entry(step).or_default() += 1;
-        let interruption = state.begin(file, step)?;
+        *state.counts.entry(operation).or_default() += 1;
+        let interruption = state.begin(file, operation)?;
         Ok((state, interruption))
     }
 }
@@ -159,8 +163,8 @@
 }
 
 impl State {
-    fn begin(&mut self, file: &str, step: Step) -> Result<Interruption, DiskError> {
-        let stopped = DiskError::new(file, step, FailureKind::Other, "no power");
+    fn begin(&mut self, file: &str, operation: DiskOperation) -> Result<Interruption, DiskError> {
+        let stopped = DiskError::new(file, operation, FailureKind::Other, "no power");
         if !self.powered {
             return Err(stopped);
         }
@@ -196,31 +200,31 @@
         self.failing_folder_syncs = 0;
     }
 
-    fn inode(&mut self, file: &str, step: Step) -> Result<&mut Inode, DiskError> {
-        let number = self.names.find(file, step)?;
+    fn inode(&mut self, file: &str, operation: DiskOperation) -> Result<&mut Inode, DiskError> {
+        let number = self.names.find(file, operation)?;
         self.inodes
             .get_mut(&number)
-            .ok_or_else(|| missing(file, step))
+            .ok_or_else(|| not_found(file, operation))
     }
 }
 
 impl Disk for FaultyDisk {
     fn list(&self) -> Result<Vec<String>, DiskError> {
-        let (state, interruption) = self.begin("", Step::List)?;
+        let (state, interruption) = self.begin("", DiskOperation::List)?;
         interruption.end()?;
         Ok(state.names.visible().keys().cloned().collect())
     }
 
     fn read(&self, file: &str) -> Result<Vec<u8>, DiskError> {
-        let (mut state, interruption) = self.begin(file, Step::Read)?;
+        let (mut state, interruption) = self.begin(file, DiskOperation::Read)?;
         interruption.end()?;
-        Ok(state.inode(file, Step::Read)?.cached.clone())
+        Ok(state.inode(file, DiskOperation::Read)?.cached.clone())
     }
 
     fn create(&self, file: &str) -> Result<(), DiskError> {
-        let (mut state, interruption) = self.begin(file, Step::Create)?;
+        let (mut state, interruption) = self.begin(file, DiskOperation::Create)?;
         if state.full {
-            return Err(full(file, Step::Create));
+            return Err(full(file, DiskOperation::Create));
         }
         let number = state.names.create(file)?;
         state.inodes.insert(number, Inode::default());
@@ -228,54 +232,58 @@
     }
 
     fn append(&self, file: &str, bytes: &[u8]) -> Result<(), DiskError> {
-        let (mut state, interruption) = self.begin(file, Step::Append)?;
+        let (mut state, interruption) = self.begin(file, DiskOperation::Append)?;
         let refused = state.full;
         let written = if refused {
             state.random.random_range(0..=bytes.len())
         } else {
             bytes.len()
         };
-        state.inode(file, Step::Append)?.append(&bytes[..written]);
+        state
+            .inode(file, DiskOperation::Append)?
+            .append(&bytes[..written]);
         if refused {
-            return Err(full(file, Step::Append));
+            return Err(full(file, DiskOperation::Append));
         }
         interruption.end()
     }
 
     fn sync_file(&self, file: &str) -> Result<(), DiskError> {
-        let (mut state, interruption) = self.begin(file, Step::SyncFile)?;
+        let (mut state, interruption) = self.begin(file, DiskOperation::SyncFile)?;
         if state.failing_file_syncs > 0 {
             state.failing_file_syncs -= 1;
             let mut random = state.random.clone();
-            state.inode(file, Step::SyncFile)?.fail_sync(&mut random);
+            state
+                .inode(file, DiskOperation::SyncFile)?
+                .fail_sync(&mut random);
             state.random = random;
             return Err(DiskError::new(
                 file,
-                Step::SyncFile,
+                DiskOperation::SyncFile,
                 FailureKind::Other,
                 "input/output error",
             ));
         }
         if !interruption.is_due() || state.random.random_bool(0.5) {
-            state.inode(file, Step::SyncFile)?.sync();
+            state.inode(file, DiskOperation::SyncFile)?.sync();
         }
         interruption.end()
     }
 
     fn rename(&self, from: &str, to: &str) -> Result<(), DiskError> {
-        let (mut state, interruption) = self.begin(from, Step::Rename)?;
+        let (mut state, interruption) = self.begin(from, DiskOperation::Rename)?;
         state.names.rename(from, to)?;
         interruption.end()
     }
 
     fn remove(&self, file: &str) -> Result<(), DiskError> {
-        let (mut state, interruption) = self.begin(file, Step::Remove)?;
+        let (mut state, interruption) = self.begin(file, DiskOperation::Remove)?;
         state.names.remove(file)?;
         interruption.end()
     }
 
     fn sync_folder(&self) -> Result<(), DiskError> {
-        let (mut state, interruption) = self.begin("", Step::SyncFolder)?;
+        let (mut state, interruption) = self.begin("", DiskOperation::SyncFolder)?;
         if state.failing_folder_syncs > 0 {
             state.failing_folder_syncs -= 1;
             let mut random = state.random.clone();
@@ -283,7 +291,7 @@
             state.random = random;
             return Err(DiskError::new(
                 "",
-                Step::SyncFolder,
+                DiskOperation::SyncFolder,
                 FailureKind::Other,
                 "input/output error",
             ));
--- a/crates/storage/src/testing/faulty/names.rs
+++ b/crates/storage/src/testing/faulty/names.rs
@@ -5,8 +5,8 @@
 use rand::RngExt;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::disk::{DiskError, Step};
-use crate::testing::{missing, taken};
+use crate::disk::{DiskError, DiskOperation};
+use crate::testing::{name_exists, not_found};
 
 /// Names and the numbers of the files they stand for.
 #[derive(Debug, Default)]
@@ -30,16 +30,16 @@
         &self.visible
     }
 
-    pub(super) fn find(&self, file: &str, step: Step) -> Result<u64, DiskError> {
+    pub(super) fn find(&self, file: &str, operation: DiskOperation) -> Result<u64, DiskError> {
         self.visible
             .get(file)
             .copied()
-            .ok_or_else(|| missing(file, step))
+            .ok_or_else(|| not_found(file, operation))
     }
 
     /// Makes a name for a file with a new number.
     pub(super) fn create(&mut self, file: &str) -> Result<u64, DiskError> {
-        self.refuse_taken(file, Step::Create)?;
+        self.check_is_free(file, DiskOperation::Create)?;
         let number = self.next_number;
         self.next_number += 1;
         self.change(Change::Add(file.to_owned(), number));
@@ -47,15 +47,15 @@
     }
 
     pub(super) fn rename(&mut self, from: &str, to: &str) -> Result<(), DiskError> {
-        self.refuse_taken(to, Step::Rename)?;
-        let number = self.find(from, Step::Rename)?;
+        self.check_is_free(to, DiskOperation::Rename)?;
+        let number = self.find(from, DiskOperation::Rename)?;
         self.change(Change::Remove(from.to_owned()));
         self.change(Change::Add(to.to_owned(), number));
         Ok(())
     }
 
     pub(super) fn remove(&mut self, file: &str) -> Result<(), DiskError> {
-        self.find(file, Step::Remove)?;
+        self.find(file, DiskOperation::Remove)?;
         self.change(Change::Remove(file.to_owned()));
         Ok(())
     }
@@ -85,9 +85,9 @@
         self.visible = self.durable.clone();
     }
 
-    fn refuse_taken(&self, file: &str, step: Step) -> Result<(), DiskError> {
+    fn check_is_free(&self, file: &str, operation: DiskOperation) -> Result<(), DiskError> {
         if self.visible.contains_key(file) {
-            Err(taken(file, step))
+            Err(name_exists(file, operation))
         } else {
             Ok(())
         }
--- a/crates/storage/src/testing/memory.rs
+++ b/crates/storage/src/testing/memory.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use super::{full, missing, taken};
-use crate::disk::{Disk, DiskError, Step};
+use super::{full, name_exists, not_found};
+use crate::disk::{Disk, DiskError, DiskOperation};
 
 /// A disk in memory. Nothing is ever lost; what does not fit is refused.
 #[derive(Debug)]
@@ -59,13 +59,13 @@
             .files
             .get(file)
             .cloned()
-            .ok_or_else(|| missing(file, Step::Read))
+            .ok_or_else(|| not_found(file, DiskOperation::Read))
     }
 
     fn create(&self, file: &str) -> Result<(), DiskError> {
         let mut state = self.lock();
         if state.files.contains_key(file) {
-            return Err(taken(file, Step::Create));
+            return Err(name_exists(file, DiskOperation::Create));
         }
         state.files.insert(file.to_owned(), Vec::new());
         Ok(())
@@ -75,12 +75,12 @@
         let mut state = self.lock();
         let used = state.used + bytes.len() as u64;
         if used > state.capacity {
-            return Err(full(file, Step::Append));
+            return Err(full(file, DiskOperation::Append));
         }
         state
             .files
             .get_mut(file)
-            .ok_or_else(|| missing(file, Step::Append))?
+            .ok_or_else(|| not_found(file, DiskOperation::Append))?
             .extend_from_slice(bytes);
         state.used = used;
         state.peak = state.peak.max(used);
@@ -91,19 +91,19 @@
         if self.lock().files.contains_key(file) {
             Ok(())
         } else {
-            Err(missing(file, Step::SyncFile))
+            Err(not_found(file, DiskOperation::SyncFile))
         }
     }
 
     fn rename(&self, from: &str, to: &str) -> Result<(), DiskError> {
         let mut state = self.lock();
         if state.files.contains_key(to) {
-            return Err(taken(to, Step::Rename));
+            return Err(name_exists(to, DiskOperation::Rename));
         }
         let bytes = state
             .files
             .remove(from)
-            .ok_or_else(|| missing(from, Step::Rename))?;
+            .ok_or_else(|| not_found(from, DiskOperation::Rename))?;
         state.files.insert(to.to_owned(), bytes);
         Ok(())
     }
@@ -113,7 +113,7 @@
         let bytes = state
             .files
             .remove(file)
-            .ok_or_else(|| missing(file, Step::Remove))?;
+            .ok_or_else(|| not_found(file, DiskOperation::Remove))?;
         state.used -= bytes.len() as u64;
         Ok(())
     }
--- a/crates/storage/src/testing/gate.rs
+++ b/crates/storage/src/testing/stall.rs
@@ -4,7 +4,7 @@
 
 /// A gate that operations pass.
 #[derive(Debug, Default)]
-pub(super) struct Gate {
+pub(super) struct StallGate {
     state: Mutex<State>,
     changed: Condvar,
 }
@@ -15,7 +15,7 @@
     waiting: usize,
 }
 
-impl Gate {
+impl StallGate {
     /// Opens or closes the gate.
     pub(super) fn set_closed(&self, closed: bool) {
         self.lock().closed = closed;
--- a/crates/storage/src/testing/careless.rs
+++ b/crates/storage/src/testing/unsafe_disk.rs
@@ -6,43 +6,43 @@
 
 /// The safeguard that is left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Carelessness {
+pub enum Safeguard {
     /// The folder is never synced.
-    NoFolderSync,
+    FolderSync,
     /// Files are never synced.
-    NoFileSync,
+    FileSync,
     /// A failed sync is tried again and then believed.
-    RetriedSync,
+    StopAfterFailedSync,
 }
 
 /// Passes everything on but the safeguard left out. A check that passes on it is too weak.
-pub struct CarelessDisk {
+pub struct UnsafeDisk {
     disk: Arc<dyn Disk>,
-    carelessness: Carelessness,
+    omitted: Safeguard,
 }
 
-impl CarelessDisk {
+impl UnsafeDisk {
     /// Leaves a safeguard out of what `disk` is asked for.
-    pub fn new(disk: Arc<dyn Disk>, carelessness: Carelessness) -> Self {
-        Self { disk, carelessness }
+    pub fn new(disk: Arc<dyn Disk>, omitted: Safeguard) -> Self {
+        Self { disk, omitted }
     }
 
     fn sync(
         &self,
-        left_out: Carelessness,
+        left_out: Safeguard,
         sync: impl Fn() -> Result<(), DiskError>,
     ) -> Result<(), DiskError> {
-        if self.carelessness == left_out {
+        if self.omitted == left_out {
             return Ok(());
         }
         match sync() {
-            Err(_) if self.carelessness == Carelessness::RetriedSync => sync(),
+            Err(_) if self.omitted == Safeguard::StopAfterFailedSync => sync(),
             outcome => outcome,
         }
     }
 }
 
-impl Disk for CarelessDisk {
+impl Disk for UnsafeDisk {
     fn list(&self) -> Result<Vec<String>, DiskError> {
         self.disk.list()
     }
@@ -60,7 +60,7 @@
     }
 
     fn sync_file(&self, file: &str) -> Result<(), DiskError> {
-        self.sync(Carelessness::NoFileSync, || self.disk.sync_file(file))
+        self.sync(Safeguard::FileSync, || self.disk.sync_file(file))
     }
 
     fn rename(&self, from: &str, to: &str) -> Result<(), DiskError> {
@@ -72,6 +72,6 @@
     }
 
     fn sync_folder(&self) -> Result<(), DiskError> {
-        self.sync(Carelessness::NoFolderSync, || self.disk.sync_folder())
+        self.sync(Safeguard::FolderSync, || self.disk.sync_folder())
     }
 }
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -40,7 +40,7 @@
         since: Duration,
     },
     /// The thread has ended.
-    Ended,
+    Stopped,
 }
 
 /// State of the writer.
@@ -139,10 +139,10 @@
     Complete: FnMut(Completion<T>),
 {
     fn run(mut self) {
-        let _ended = EndNote(Arc::clone(&self.queue));
+        let _stopped = StoppedOnDrop(Arc::clone(&self.queue));
         while let Some(batch) = self.queue.take(&self.clock) {
             let result = write(&mut self.log, &batch.records);
-            self.queue.finished(failure(&self.log));
+            self.queue.finish_batch(failure(&self.log));
             self.report(batch, &result);
         }
     }
@@ -158,11 +158,11 @@
 }
 
 /// Notes the end of the thread, also after a panic.
-struct EndNote<R, T>(Arc<Queue<R, T>>);
+struct StoppedOnDrop<R, T>(Arc<Queue<R, T>>);
 
-impl<R, T> Drop for EndNote<R, T> {
+impl<R, T> Drop for StoppedOnDrop<R, T> {
     fn drop(&mut self) {
-        self.0.ended();
+        self.0.set_stopped();
     }
 }
 
--- a/crates/storage/src/writer/queue.rs
+++ b/crates/storage/src/writer/queue.rs
@@ -80,14 +80,14 @@
         Some(Batch { records, tokens })
     }
 
-    pub(super) fn finished(&self, failure: Option<DiskError>) {
+    pub(super) fn finish_batch(&self, failure: Option<DiskError>) {
         let mut state = self.lock();
         state.activity = Activity::Idle;
         state.failure = failure;
     }
 
-    pub(super) fn ended(&self) {
-        self.lock().activity = Activity::Ended;
+    pub(super) fn set_stopped(&self) {
+        self.lock().activity = Activity::Stopped;
     }
 
     fn lock(&self) -> MutexGuard<'_, State<R, T>> {
--- a/crates/storage/tests/failed_sync.rs
+++ b/crates/storage/tests/failed_sync.rs
@@ -9,7 +9,7 @@
 
 use std::sync::Arc;
 
-use ironmast_storage::testing::{CarelessDisk, Carelessness, FaultyDisk};
+use ironmast_storage::testing::{FaultyDisk, Safeguard, UnsafeDisk};
 use ironmast_storage::{Disk, Log, LogError, LogSettings, LogState, OpenError, Recovered};
 
 const SEEDS: u64 = 24;
@@ -158,7 +158,7 @@
 
 #[test]
 fn a_failed_sync_that_is_tried_again_and_believed_loses_what_was_reported() {
-    let broken = broken(|disk| Arc::new(CarelessDisk::new(disk, Carelessness::RetriedSync)));
+    let broken = broken(|disk| Arc::new(UnsafeDisk::new(disk, Safeguard::StopAfterFailedSync)));
     println!("{} cases, first {:?}", broken.len(), broken.first());
     assert!(!broken.is_empty());
 }
--- a/crates/storage/tests/identity.rs
+++ b/crates/storage/tests/identity.rs
@@ -43,9 +43,12 @@
     disk.set_full(true);
     let mut file = open(&disk);
     assert_eq!((file.get(), file.is_durable()), (Some(&identity(1)), false));
-    assert_matches!(file.confirm(), Err(IdentityError::Log(LogError::Full(_))));
+    assert_matches!(
+        file.make_durable(),
+        Err(IdentityError::Log(LogError::Full(_)))
+    );
     disk.set_full(false);
-    file.confirm().expect("confirm");
+    file.make_durable().expect("make durable");
     assert!(file.is_durable());
 }
 
@@ -53,9 +56,9 @@
 fn an_identity_is_never_replaced_but_by_erasing() {
     let disk = Arc::new(FaultyDisk::new(1));
     let mut file = open(&disk);
-    assert_eq!(file.confirm(), Err(IdentityError::Missing));
+    assert_eq!(file.make_durable(), Err(IdentityError::NotStored));
     file.store(identity(1)).expect("store");
-    assert_eq!(file.store(identity(2)), Err(IdentityError::Stored));
+    assert_eq!(file.store(identity(2)), Err(IdentityError::AlreadyStored));
     IdentityFile::<(u64, String)>::erase(disk.as_ref()).expect("erase");
     disk.lose_power();
     assert_eq!(open(&disk).get(), None);
--- a/crates/storage/tests/writer.rs
+++ b/crates/storage/tests/writer.rs
@@ -8,7 +8,8 @@
 use assert_matches::assert_matches;
 use ironmast_storage::testing::FaultyDisk;
 use ironmast_storage::{
-    Activity, Completion, Disk, Log, LogError, LogSettings, Recovered, Step, Supersedes, Writer,
+    Activity, Completion, Disk, DiskOperation, Log, LogError, LogSettings, Recovered, Supersedes,
+    Writer,
 };
 use serde::{Deserialize, Serialize};
 
@@ -132,14 +133,14 @@
     bench.disk.wait_for_stalled_operation();
     (2..50).for_each(|number| bench.submit(number));
     let before = (
-        bench.disk.count(Step::Append),
-        bench.disk.count(Step::SyncFile),
+        bench.disk.count(DiskOperation::Append),
+        bench.disk.count(DiskOperation::SyncFile),
     );
     bench.disk.release();
     assert_eq!(bench.durable(49), (1..50).collect::<Vec<_>>());
     let after = (
-        bench.disk.count(Step::Append),
-        bench.disk.count(Step::SyncFile),
+        bench.disk.count(DiskOperation::Append),
+        bench.disk.count(DiskOperation::SyncFile),
     );
     assert_eq!((after.0 - before.0, after.1 - before.1), (2, 2));
     assert_eq!(bench.finish_and_lose_power(), Some(49));
@@ -162,14 +163,14 @@
         );
     });
     let before = (
-        bench.disk.count(Step::Append),
-        bench.disk.count(Step::SyncFile),
+        bench.disk.count(DiskOperation::Append),
+        bench.disk.count(DiskOperation::SyncFile),
     );
     bench.disk.release();
     assert_eq!(bench.durable(4), [1, 2, 3, 4]);
     let after = (
-        bench.disk.count(Step::Append),
-        bench.disk.count(Step::SyncFile),
+        bench.disk.count(DiskOperation::Append),
+        bench.disk.count(DiskOperation::SyncFile),
     );
     assert_eq!((after.0 - before.0, after.1 - before.1), (4, 2));
 }
@@ -179,7 +180,7 @@
     let bench = bench();
     bench.submit_and_wait(1).expect("durable");
     bench.disk.fail_file_syncs(1);
-    assert_matches!(bench.submit_and_wait(2), Err(LogError::Disk(error)) if error.step == Step::SyncFile);
+    assert_matches!(bench.submit_and_wait(2), Err(LogError::Disk(error)) if error.operation == DiskOperation::SyncFile);
     assert!(bench.writer.health().failure.is_some());
     bench.submit_and_wait(3).expect("durable");
     assert_eq!(bench.writer.health().failure, None);
--- a/crates/storage/tests/writer_histories.rs
+++ b/crates/storage/tests/writer_histories.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use ironmast_storage::testing::{CarelessDisk, Carelessness, FaultyDisk};
+use ironmast_storage::testing::{FaultyDisk, Safeguard, UnsafeDisk};
 use ironmast_storage::{
     Completion, Disk, Log, LogSettings, OpenError, Recovered, Supersedes, Writer,
 };
@@ -115,12 +115,12 @@
 #[test]
 fn lives_catch_each_safeguard_left_out() {
     for left_out in [
-        Carelessness::NoFileSync,
-        Carelessness::NoFolderSync,
-        Carelessness::RetriedSync,
+        Safeguard::FileSync,
+        Safeguard::FolderSync,
+        Safeguard::StopAfterFailedSync,
     ] {
         let wrap = move |disk: Arc<FaultyDisk>| -> Arc<dyn Disk> {
-            Arc::new(CarelessDisk::new(disk, left_out))
+            Arc::new(UnsafeDisk::new(disk, left_out))
         };
         assert!(
             (0..HISTORIES).any(|seed| loses(seed, &wrap)),
