--- a/crates/client-proxy/src/upstream.rs
+++ b/crates/client-proxy/src/upstream.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use futures_util::TryStreamExt as _;
 use ironmast_balancer::{LoadReport, Micros, Outcome, RequestId, ServerId};
-use ironmast_settings::parse_load_report;
+use ironmast_settings::LoadNames;
 use ironmast_transport::attempt::{Admission, AttemptOptions, AttemptState};
 use ironmast_transport::body::{
     BodyMemory, MAX_BUFFERED_BODY_BYTES, ResponseBody, StreamedResponseBody,
@@ -48,6 +48,8 @@
     pub connect: Duration,
     /// Pay servers close connections idle for this long.
     pub keepalive: Duration,
+    /// The names in load reports.
+    pub load: LoadNames,
 }
 
 /// Of each server: its address, its connections, and when they were last asked for.
@@ -169,7 +171,7 @@
         let state = AttemptState::new(options);
         self.out
             .insert((attempt.id, attempt.number), (cancel, Rc::clone(&state)));
-        let (clock, queue) = (self.clock, self.queue.clone());
+        let (clock, queue, names) = (self.clock, self.queue.clone(), self.rules.load.clone());
         let held = self.held.clone();
         actix_rt::spawn(async move {
             // One turn of the poller first: guards against writing to an idle connection whose
@@ -178,7 +180,7 @@
             tokio::task::yield_now().await;
             let (id, number) = (attempt.id, attempt.number);
             let until = clock.at(attempt.until).into();
-            let call = state.scope(exchange(&client, &attempt, &state, &clock, &held));
+            let call = state.scope(exchange(&client, &attempt, &state, &clock, &names, &held));
             // What loses here is dropped before the end is told, and its connection with it.
             let (outcome, body, load) = tokio::select! {
                 biased;
@@ -218,7 +220,7 @@
 
     fn probe(&self, server: ServerId, address: SocketAddr) {
         let client = self.client(server, address);
-        let (clock, queue) = (self.clock, self.queue.clone());
+        let (clock, queue, names) = (self.clock, self.queue.clone(), self.rules.load.clone());
         let log = self.log.clone();
         actix_rt::spawn(async move {
             let sent = clock.now();
@@ -231,7 +233,7 @@
                 let body = answer.body().limit(MAX_BUFFERED_BODY_BYTES).await.ok()?;
                 Some((
                     answer.status(),
-                    parse_load_report(std::str::from_utf8(&body).unwrap_or("")),
+                    names.report(std::str::from_utf8(&body).unwrap_or("")),
                 ))
             };
             let (outcome, load) = match tokio::time::timeout(PROBE, call).await {
@@ -266,6 +268,7 @@
     attempt: &Attempt,
     state: &AttemptState,
     clock: &Clock,
+    names: &LoadNames,
     held: &BodyMemory,
 ) -> Result<End, ()> {
     let sent = &attempt.payload;
@@ -296,7 +299,7 @@
         },
     };
     let mut answer = sending.await.map_err(|_| ())?;
-    let (status, load) = (answer.status(), load(answer.headers()));
+    let (status, load) = (answer.status(), load(answer.headers(), names));
     let turned = answer
         .headers()
         .get("X-Turned-Away")
@@ -333,6 +336,6 @@
     Ok((outcome, body, load))
 }
 
-fn load(headers: &HeaderMap) -> Option<LoadReport> {
-    parse_load_report(headers.get("X-Pressure")?.to_str().ok()?)
+fn load(headers: &HeaderMap, names: &LoadNames) -> Option<LoadReport> {
+    names.report(headers.get("X-Pressure")?.to_str().ok()?)
 }
--- /dev/null
+++ b/crates/ironmast/tests/pages.rs
@@ -0,0 +1,92 @@
+//! Holds the pages that lead into the code against the code: paths and crates of
+//! `docs/ARCHITECTURE.md`, and names of `docs/glossary.md`.
+
+use std::fs;
+use std::path::{Path, PathBuf};
+
+fn workspace() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+fn read(page: &str) -> String {
+    fs::read_to_string(workspace().join(page)).expect("the page")
+}
+
+fn crates() -> Vec<String> {
+    let folder = fs::read_dir(workspace().join("crates")).expect("the crates");
+    folder
+        .map(|entry| entry.expect("a crate").file_name())
+        .map(|name| name.to_string_lossy().into_owned())
+        .collect()
+}
+
+/// The spans of a text that stand between backticks.
+fn code_spans(text: &str) -> impl Iterator<Item = &str> {
+    text.split('`').skip(1).step_by(2)
+}
+
+/// All sources below a folder, one after the other.
+fn sources(folder: &Path) -> String {
+    let mut text = String::new();
+    for entry in fs::read_dir(folder).expect("a folder of sources") {
+        let path = entry.expect("an entry").path();
+        if path.is_dir() {
+            text.push_str(&sources(&path));
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            text.push_str(&fs::read_to_string(&path).expect("a source file"));
+        }
+    }
+    text
+}
+
+/// Whether `text` holds `name` as a whole word.
+fn has_word(text: &str, name: &str) -> bool {
+    let is_part = |character: char| character.is_alphanumeric() || character == '_';
+    text.match_indices(name).any(|(at, _)| {
+        !text[..at].chars().next_back().is_some_and(is_part)
+            && !text[at + name.len()..].chars().next().is_some_and(is_part)
+    })
+}
+
+#[test]
+fn each_source_file_named_by_the_architecture_exists() {
+    let page = read("docs/ARCHITECTURE.md");
+    let mut checked = 0;
+    for path in code_spans(&page).filter(|span| span.contains("/src/") || span.contains("/tests/"))
+    {
+        let path = path.strip_prefix("crates/").unwrap_or(path);
+        assert!(workspace().join("crates").join(path).is_file(), "{path}");
+        checked += 1;
+    }
+    assert!(checked > 0, "the page names no file");
+}
+
+#[test]
+fn each_crate_has_a_row_in_the_architecture() {
+    let page = read("docs/ARCHITECTURE.md");
+    let rows: Vec<&str> = page
+        .lines()
+        .filter(|line| line.starts_with("| `"))
+        .collect();
+    for name in crates() {
+        let cell = format!("`{name}`");
+        assert!(rows.iter().any(|row| row.contains(&cell)), "{name}");
+    }
+}
+
+#[test]
+fn each_name_in_the_glossary_is_in_the_code() {
+    let page = read("docs/glossary.md");
+    let crates = crates();
+    let code = sources(&workspace().join("crates"));
+    let mut checked = 0;
+    for row in page.lines().filter(|line| line.starts_with("| ")) {
+        let in_code = row.split(" | ").nth(2).unwrap_or_default();
+        for name in code_spans(in_code) {
+            let exists = crates.iter().any(|known| known == name) || has_word(&code, name);
+            assert!(exists, "{name}");
+            checked += 1;
+        }
+    }
+    assert!(checked > 0, "the glossary names nothing");
+}
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -16,9 +16,7 @@
     Action, Balancer, Event, Listing, LoadReport, Micros, Outcome, Phase, Request, Scope, Server,
     ServerId, Settled,
 };
-use ironmast_settings::{
-    DeploymentSettings, FieldError, LoadReportColumns, parse_finite, parse_number,
-};
+use ironmast_settings::{Flaw, LoadNames, Parsed, Setup, finite, flaw, number, setup};
 
 /// What is wrong with a line, and with which of its fields.
 #[derive(Debug, Error)]
@@ -51,42 +49,42 @@
 }
 
 impl<'a> Fields<'a> {
-    fn text(&mut self, field: &str) -> Result<&'a str, FieldError> {
+    fn text(&mut self, field: &str) -> Parsed<&'a str> {
         match self.rest.next() {
             Some(value) => Ok(value),
-            None => invalid(field, "missing"),
+            None => flaw(field, "missing"),
         }
     }
 
-    fn named(&mut self, field: &str) -> Result<&'a str, FieldError> {
+    fn named(&mut self, field: &str) -> Parsed<&'a str> {
         match self.text(field)? {
-            "" | "-" => invalid(field, "must not be absent"),
+            "" | "-" => flaw(field, "must not be absent"),
             value => Ok(value),
         }
     }
 
-    fn number<T: std::str::FromStr>(&mut self, field: &str) -> Result<T, FieldError> {
-        parse_number(field, self.text(field)?)
+    fn number<T: std::str::FromStr>(&mut self, field: &str) -> Parsed<T> {
+        number(field, self.text(field)?)
     }
 
-    fn optional<T: std::str::FromStr>(&mut self, field: &str) -> Result<Option<T>, FieldError> {
+    fn optional<T: std::str::FromStr>(&mut self, field: &str) -> Parsed<Option<T>> {
         match self.text(field)? {
             "-" => Ok(None),
-            value => parse_number(field, value).map(Some),
+            value => number(field, value).map(Some),
         }
     }
 
-    fn bool(&mut self, field: &str) -> Result<bool, FieldError> {
+    fn bool(&mut self, field: &str) -> Parsed<bool> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            value => invalid(field, format!("`{value}` is not 0 or 1")),
+            value => flaw(field, format!("`{value}` is not 0 or 1")),
         }
     }
 
-    fn end(&mut self) -> Result<(), FieldError> {
+    fn end(&mut self) -> Parsed<()> {
         match self.rest.next() {
-            Some(extra) => invalid("(end)", format!("unexpected further field `{extra}`")),
+            Some(extra) => flaw("(end)", format!("unexpected further field `{extra}`")),
             None => Ok(()),
         }
     }
@@ -107,7 +105,7 @@
     classes: Vec<String>,
     tenants: Vec<String>,
     zones: Vec<String>,
-    load: LoadReportColumns,
+    load: LoadNames,
 }
 
 /// Hosts any number of instances on one input and output.
@@ -138,11 +136,11 @@
         loop {
             line.clear();
             count += 1;
-            let malformed = |message: &str, error: FieldError| Malformed {
+            let malformed = |message: &str, (field, problem): Flaw| Malformed {
                 line: count,
                 message: message.to_string(),
-                field: error.field,
-                problem: error.problem,
+                field,
+                problem,
             };
             if input.read_until(b'\n', &mut line)? == 0 {
                 return match self.batch {
@@ -154,7 +152,7 @@
             let text = if let Ok(text) = std::str::from_utf8(&line) {
                 text.trim_end_matches(['\n', '\r'])
             } else {
-                let problem = FieldError::new("(line)", "not UTF-8");
+                let problem = ("(line)".to_string(), "not UTF-8".to_string());
                 return Err(malformed("(unreadable)", problem).into());
             };
             let message = text.split('\t').next().unwrap_or("");
@@ -174,14 +172,14 @@
     }
 
     /// Takes one line; true where it ends a batch.
-    fn line(&mut self, text: &str) -> Result<bool, FieldError> {
+    fn line(&mut self, text: &str) -> Parsed<bool> {
         let mut fields = Fields {
             rest: text.split('\t'),
         };
         let message = fields.text("(message)")?;
         if let Some((page, left)) = self.filling {
             if message != "ITEM" {
-                return invalid("elements", format!("{left} more ITEM lines were announced"));
+                return flaw("elements", format!("{left} more ITEM lines were announced"));
             }
             let item = item(&mut fields)?;
             self.sheets.entry(page).or_default().push(item);
@@ -190,13 +188,13 @@
         }
         if message == "CLOCK" {
             if self.batch.is_some() {
-                return invalid("(message)", "the batch before has not ended");
+                return flaw("(message)", "the batch before has not ended");
             }
             self.batch = Some((fields.number("clock")?, fields.number("batch")?));
             return fields.end().map(|()| false);
         }
         let Some((now, batch)) = self.batch else {
-            return invalid("(message)", "outside of a batch, or not known");
+            return flaw("(message)", "outside of a batch, or not known");
         };
         match message {
             "OVER_TO_YOU" => {
@@ -208,7 +206,7 @@
             "SHEET" => {
                 let page: u8 = fields.number("page")?;
                 if page > 15 {
-                    return invalid("page", "lists are numbered 0 to 15");
+                    return flaw("page", "lists are numbered 0 to 15");
                 }
                 let count = fields.number("elements")?;
                 fields.end()?;
@@ -216,7 +214,7 @@
                 self.filling = (count > 0).then_some((page, count));
                 Ok(false)
             }
-            "ITEM" => invalid("(message)", "no SHEET announces it"),
+            "ITEM" => flaw("(message)", "no SHEET announces it"),
             "CREATE" => {
                 let who = fields.number("who")?;
                 let instance = create(&mut fields)?;
@@ -236,18 +234,18 @@
                     "INBOX",
                 ];
                 if !event_known.contains(&message) {
-                    return invalid("(message)", "not a known message");
+                    return flaw("(message)", "not a known message");
                 }
                 let who = fields.number("who")?;
                 if message == "DOWN" {
                     fields.end()?;
                     return match self.instances.remove(&who) {
                         Some(_) => Ok(false),
-                        None => invalid("who", format!("no instance {who} was created")),
+                        None => flaw("who", format!("no instance {who} was created")),
                     };
                 }
                 let Some(instance) = self.instances.get_mut(&who) else {
-                    return invalid("who", format!("no instance {who} was created"));
+                    return flaw("who", format!("no instance {who} was created"));
                 };
                 let event = instance.event(message, &mut fields, &self.sheets)?;
                 fields.end()?;
@@ -261,15 +259,14 @@
     }
 }
 
-fn cut_off() -> FieldError {
-    FieldError::new("(end)", "the input ends inside a batch")
-}
-
-fn invalid<T>(field: &str, problem: impl Into<String>) -> Result<T, FieldError> {
-    Err(FieldError::new(field, problem))
+fn cut_off() -> Flaw {
+    (
+        "(end)".to_string(),
+        "the input ends inside a batch".to_string(),
+    )
 }
 
-fn item(fields: &mut Fields) -> Result<Item, FieldError> {
+fn item(fields: &mut Fields) -> Parsed<Item> {
     let name = fields.named("backend")?.to_string();
     let zone = fields.text("region_part")?.to_string();
     fields.text("flavor")?;
@@ -278,11 +275,11 @@
         "in_service" => Phase::Ready,
         "terminating" => Phase::Draining,
         "terminated" => Phase::Gone,
-        other => return invalid("phase", format!("`{other}` is not a known phase")),
+        other => return flaw("phase", format!("`{other}` is not a known phase")),
     };
     let size = match fields.text("scale")? {
         "-" => 1.0,
-        value => parse_finite("scale", value)?,
+        value => finite("scale", value)?,
     };
     let started = fields.optional("came_up")?.filter(|&at: &Micros| at > 0);
     fields.end()?;
@@ -301,25 +298,25 @@
     })
 }
 
-fn create(fields: &mut Fields) -> Result<Instance, FieldError> {
+fn create(fields: &mut Fields) -> Parsed<Instance> {
     let seed = fields.number("init_seed")?;
     let mut pairs = BTreeMap::new();
     for pair in fields.rest.by_ref() {
         match pair.split_once('=') {
             Some((path, value)) => pairs.insert(path, value),
             None if pair.is_empty() => None,
-            None => return invalid("params", format!("`{pair}` is not path=value")),
+            None => return flaw("params", format!("`{pair}` is not path=value")),
         };
     }
-    let DeploymentSettings {
+    let Setup {
         settings,
         classes,
         tenants,
         zones,
-        load_report: load,
+        load,
         ..
-    } = DeploymentSettings::from_pairs(pairs)?;
-    let balancer = Balancer::new(settings, seed).or_else(|e| invalid("params", e.to_string()))?;
+    } = setup(pairs)?;
+    let balancer = Balancer::new(settings, seed).or_else(|e| flaw("params", e.to_string()))?;
     Ok(Instance {
         servers: BTreeMap::new(),
         classes,
@@ -330,7 +327,7 @@
     })
 }
 
-fn outcome(fields: &mut Fields) -> Result<Outcome, FieldError> {
+fn outcome(fields: &mut Fields) -> Parsed<Outcome> {
     Ok(match fields.text("ending")? {
         "pass" => Outcome::Ok,
         "fault" => Outcome::Error,
@@ -340,7 +337,7 @@
         "cut" => Outcome::Reset,
         "undone" => Outcome::Cancelled,
         "stale_send" => Outcome::Moot,
-        other => return invalid("ending", format!("`{other}` is not a known ending")),
+        other => return flaw("ending", format!("`{other}` is not a known ending")),
     })
 }
 
@@ -350,7 +347,7 @@
         message: &str,
         fields: &mut Fields,
         sheets: &BTreeMap<u8, Vec<Item>>,
-    ) -> Result<Event, FieldError> {
+    ) -> Parsed<Event> {
         Ok(match message {
             "REQ" => self.request(fields)?,
             "SETTLED" => {
@@ -396,11 +393,11 @@
         })
     }
 
-    fn request(&self, fields: &mut Fields) -> Result<Event, FieldError> {
+    fn request(&self, fields: &mut Fields) -> Parsed<Event> {
         let id = fields.number("handle")?;
         let name = fields.text("band")?;
         let Some(class) = self.classes.iter().position(|c| c == name) else {
-            return invalid("band", format!("`{name}` is not a class of the settings"));
+            return flaw("band", format!("`{name}` is not a class of the settings"));
         };
         let flags: u64 = fields.number("flags")?;
         let key = fields.optional("subject")?;
@@ -417,18 +414,14 @@
         }))
     }
 
-    fn view(
-        &mut self,
-        fields: &mut Fields,
-        sheets: &BTreeMap<u8, Vec<Item>>,
-    ) -> Result<Event, FieldError> {
+    fn view(&mut self, fields: &mut Fields, sheets: &BTreeMap<u8, Vec<Item>>) -> Parsed<Event> {
         fields.optional::<u64>("stamp")?;
         let scope = match fields.text("scope")? {
             "D" => Scope::Changes,
             "F" => Scope::Complete,
             "C" => Scope::Cached,
             "X" => Scope::Failed,
-            other => return invalid("scope", format!("`{other}` is not a known scope")),
+            other => return flaw("scope", format!("`{other}` is not a known scope")),
         };
         let page = fields.text("page")?;
         if scope == Scope::Failed {
@@ -437,8 +430,8 @@
                 servers: Vec::new(),
             }));
         }
-        let Some(items) = sheets.get(&parse_number("page", page)?) else {
-            return invalid("page", format!("no list {page} was given"));
+        let Some(items) = sheets.get(&number("page", page)?) else {
+            return flaw("page", format!("no list {page} was given"));
         };
         let mut servers = Vec::with_capacity(items.len());
         for item in items {
@@ -461,7 +454,7 @@
         Ok(Event::Members(Listing { scope, servers }))
     }
 
-    fn report(&self, fields: &mut Fields) -> Result<Option<LoadReport>, FieldError> {
+    fn report(&self, fields: &mut Fields) -> Parsed<Option<LoadReport>> {
         let row = match fields.text("feedback")? {
             "-" | "" => return Ok(None),
             row => row,
@@ -471,16 +464,16 @@
             values.push(if value == "-" {
                 None
             } else {
-                Some(parse_finite("feedback", value)?)
+                Some(finite("feedback", value)?)
             });
         }
-        Ok(Some(self.load.report(&values)))
+        Ok(Some(self.load.row(&values)))
     }
 
-    fn write(&self, who: u64, action: &Action, out: &mut String) -> Result<(), FieldError> {
+    fn write(&self, who: u64, action: &Action, out: &mut String) -> Parsed<()> {
         let name = |server: &ServerId| match self.servers.get(server) {
             Some(name) => Ok(name.as_str()),
-            None => invalid(
+            None => flaw(
                 "backend",
                 "the module named a server that no list has named",
             ),
@@ -533,7 +526,7 @@
     }
 }
 
-fn bytes(hex: &str) -> Result<Vec<u8>, FieldError> {
+fn bytes(hex: &str) -> Parsed<Vec<u8>> {
     if hex == "-" {
         return Ok(Vec::new());
     }
@@ -545,7 +538,7 @@
         Some(digits) if digits.len() % 2 == 0 => {
             Ok(digits.chunks(2).map(|d| d[0] << 4 | d[1]).collect())
         }
-        _ => invalid("raw", format!("`{hex}` is not pairs of hex digits")),
+        _ => flaw("raw", format!("`{hex}` is not pairs of hex digits")),
     }
 }
 
