--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -17,6 +17,7 @@
 mod node;
 mod outcome;
 mod peers;
+mod pending_operations;
 mod pending_reports;
 mod published_endpoints;
 mod publisher;
--- a/crates/coordinator/src/links.rs
+++ b/crates/coordinator/src/links.rs
@@ -27,7 +27,8 @@
 
 type SharedNode = Rc<RefCell<CoordinatorNode>>;
 
-/// Listens for agents and coordinators, and connects to the seeds.
+/// Listens for agents and coordinators, and connects to the seeds. The tasks run until the process
+/// ends.
 ///
 /// # Errors
 /// The own address cannot be bound.
@@ -51,6 +52,7 @@
     }
 }
 
+/// Accepts subscribers.
 async fn accept(node: SharedNode, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -63,6 +65,7 @@
     }
 }
 
+/// Keeps a link to another coordinator.
 async fn keep_connected(node: SharedNode, address: SocketAddr) {
     let inbound = node.borrow_mut().inbound_notify(address);
     loop {
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -20,11 +20,12 @@
 use crate::directory::Directory;
 use crate::outcome::{change_error_out_of_contact, read_error_out_of_contact};
 use crate::peers::Peers;
+use crate::pending_operations::{CatchUp, CompletedOperation};
 use crate::pending_reports::PendingReports;
 use crate::published_endpoints::PublishedEndpoints;
 use crate::publisher::EntryPublisher;
 use crate::register_log::Persisted;
-use crate::replica::{CatchUp, RegisterReplica, ReplicaOutput};
+use crate::replica::{RegisterReplica, ReplicaOutput};
 use crate::subscribers::{KeepAlive, Subscribers};
 use crate::value::ControlValue;
 
@@ -184,20 +185,31 @@
                     self.peers.send(to, ToCoordinator::Register(message));
                 }
                 ReplicaOutput::StateChosen(state) => self.apply_control_state(&state),
-                ReplicaOutput::ChangeCompleted { outcome, reply } => {
-                    let _ = reply.send(match self.contact {
-                        ContactState::OutOfContact => Err(change_error_out_of_contact(outcome)),
-                        _ => outcome,
-                    });
-                }
-                ReplicaOutput::ReadCompleted { outcome, reply } => {
-                    let _ = reply.send(match self.contact {
-                        ContactState::OutOfContact => Err(read_error_out_of_contact(&outcome)),
-                        _ => outcome,
-                    });
-                }
-                ReplicaOutput::CatchUpCompleted(result) => self.on_catch_up_completed(result),
+                ReplicaOutput::Completed(operation) => self.complete(operation),
+            }
+        }
+    }
+
+    /// Answers the caller of an operation. What a quorum answered need not hold any more out of
+    /// contact, so that the outcome is then replaced by an error.
+    fn complete(&mut self, operation: CompletedOperation) {
+        let is_out_of_contact = self.contact == ContactState::OutOfContact;
+        match operation {
+            CompletedOperation::Change { outcome, reply } => {
+                let _ = reply.send(if is_out_of_contact {
+                    Err(change_error_out_of_contact(outcome))
+                } else {
+                    outcome
+                });
+            }
+            CompletedOperation::Read { outcome, reply } => {
+                let _ = reply.send(if is_out_of_contact {
+                    Err(read_error_out_of_contact(&outcome))
+                } else {
+                    outcome
+                });
             }
+            CompletedOperation::CatchUp(result) => self.on_catch_up_completed(result),
         }
     }
 
--- a/crates/coordinator/src/node/commands.rs
+++ b/crates/coordinator/src/node/commands.rs
@@ -14,7 +14,7 @@
 use crate::value::ControlValue;
 
 impl CoordinatorNode {
-    /// Executes a command. Its outcome is sent at once or later; a caller that has gone is ignored.
+    /// Executes a command. Its outcome is sent at once or later; a caller that has disconnected is ignored.
     pub(crate) fn execute(&mut self, command: Command) {
         self.check_contact();
         match command {
@@ -98,9 +98,13 @@
         reply: oneshot::Sender<RegistrationOutcome>,
     ) {
         match self.contact.policy(request) {
-            RequestPolicy::Acknowledge => drop(reply.send(Ok(()))),
             RequestPolicy::AcknowledgeByMajority => self.replicate(key, reply),
-            _ => drop(reply.send(Err(RegistrationError::OutOfContact))),
+            RequestPolicy::Acknowledge => {
+                let _ = reply.send(Ok(()));
+            }
+            _ => {
+                let _ = reply.send(Err(RegistrationError::OutOfContact));
+            }
         }
     }
 
--- a/crates/coordinator/src/register_log.rs
+++ b/crates/coordinator/src/register_log.rs
@@ -99,39 +99,20 @@
     }
 }
 
-/// Opens the log's files and reads the newest record. Corruption at an earlier start is detected by
-/// the file that was kept.
+/// Opens the log's files and determines what they hold.
 fn recover(
     folder: &Path,
     disk: &Arc<dyn Disk>,
     settings: &LogSettings,
     log: &Logger,
 ) -> Result<(Log<LogRecord>, RecoveredRecord)> {
-    let open = || Log::<LogRecord>::open(Arc::clone(disk), settings.clone());
-    let (file, recovered) = match open() {
-        Err(OpenError::Corrupted {
-            file,
-            offset,
-            reason,
-        }) => {
-            let kept = Log::<LogRecord>::quarantine(disk.as_ref(), settings)
-                .wrap_err_with(|| format!("setting the damaged {file} aside"))?;
-            warn!(log, "the register's log is damaged and begun anew";
-                "file" => file, "offset" => offset, "reason" => %reason,
-                "kept_as" => kept.map(|kept| folder.join(kept).display().to_string()));
-            let (file, _) = open().wrap_err("opening the log of the register anew")?;
-            (file, None)
-        }
-        opened => {
-            let (file, recovered) = opened.wrap_err("opening the log of the register")?;
-            (file, Some(recovered))
-        }
-    };
+    let (file, recovered) = open_or_replace(folder, disk, settings, log)?;
     let was_corrupted = !Log::<LogRecord>::quarantined_files(disk.as_ref(), settings)
         .wrap_err("looking for damaged logs")?
         .is_empty();
-    let recovered = match recovered {
+    let record = match recovered {
         None => RecoveredRecord::Corrupted,
+        // The log was started anew after an earlier corruption.
         Some(Recovered::Empty) if was_corrupted => RecoveredRecord::Corrupted,
         Some(Recovered::Empty) => RecoveredRecord::Missing,
         Some(Recovered::Found {
@@ -144,7 +125,37 @@
             RecoveredRecord::NotDurable(record.0)
         }
     };
-    Ok((file, recovered))
+    Ok((file, record))
+}
+
+/// Opens the log's files. A corrupted log is replaced by an empty one, and `None` returned for its
+/// record.
+fn open_or_replace(
+    folder: &Path,
+    disk: &Arc<dyn Disk>,
+    settings: &LogSettings,
+    log: &Logger,
+) -> Result<(Log<LogRecord>, Option<Recovered<LogRecord>>)> {
+    let open = || Log::<LogRecord>::open(Arc::clone(disk), settings.clone());
+    match open() {
+        Err(OpenError::Corrupted {
+            file,
+            offset,
+            reason,
+        }) => {
+            let kept = Log::<LogRecord>::quarantine(disk.as_ref(), settings)
+                .wrap_err_with(|| format!("setting the damaged {file} aside"))?;
+            warn!(log, "the register's log is damaged and begun anew";
+                "file" => file, "offset" => offset, "reason" => %reason,
+                "kept_as" => kept.map(|kept| folder.join(kept).display().to_string()));
+            let (file, _) = open().wrap_err("opening the log of the register anew")?;
+            Ok((file, None))
+        }
+        opened => {
+            let (file, recovered) = opened.wrap_err("opening the log of the register")?;
+            Ok((file, Some(recovered)))
+        }
+    }
 }
 
 #[cfg(test)]
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -1,7 +1,6 @@
 //! The register's replica on this coordinator: its protocol node, its record on disk, and the
 //! operations that await their outcome.
 
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +8,7 @@
 use eyre::{Result, WrapErr as _, eyre};
 use ironmast_register::node::NodeLocation;
 use ironmast_register::{
-    Action, Event, Identity, Message, Node, Operation, OperationId, Outcome, RecordSource, State,
+    Action, Event, Identity, Message, Node, Operation, OperationId, RecordSource, State,
 };
 use ironmast_schema::settings::Settings;
 use slog::{Logger, warn};
@@ -17,10 +16,11 @@
 
 use crate::clock::Clock;
 use crate::contact::contact_timeout;
-use crate::outcome::{ChangeError, ChangeOutcome, ReadError, ReadOutcome};
+use crate::outcome::{ChangeOutcome, ReadOutcome};
+use crate::pending_operations::{CompletedOperation, PendingOperations};
 use crate::record_writer::RecordWriter;
 use crate::register_log::{OpenedLog, Persisted, RecoveredRecord, RegisterLog};
-use crate::value::{ControlValue, Rejection};
+use crate::value::ControlValue;
 
 /// Deadline of an operation. Callers wait for one second.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(900);
@@ -37,37 +37,8 @@
     },
     /// A newer state is known to be chosen.
     StateChosen(Arc<State<ControlValue>>),
-    /// A change has completed.
-    ChangeCompleted {
-        /// Its outcome.
-        outcome: ChangeOutcome,
-        /// The caller's channel.
-        reply: oneshot::Sender<ChangeOutcome>,
-    },
-    /// A read of the configuration has completed.
-    ReadCompleted {
-        /// Its outcome.
-        outcome: ReadOutcome,
-        /// The caller's channel.
-        reply: oneshot::Sender<ReadOutcome>,
-    },
-    /// The read started by [`RegisterReplica::catch_up`] has completed.
-    CatchUpCompleted(CatchUp),
-}
-
-/// Result of the read by which a replica catches up.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum CatchUp {
-    /// The newest state was read from a quorum.
-    Succeeded,
-    /// No quorum answered in time.
-    Failed,
-}
-
-/// An operation that awaits its outcome.
-enum PendingOperation {
-    Change(oneshot::Sender<ChangeOutcome>),
-    Read(oneshot::Sender<ReadOutcome>),
+    /// An operation has completed.
+    Completed(CompletedOperation),
 }
 
 /// A replica opened from disk.
@@ -83,10 +54,7 @@
     clock: Clock,
     node: Node<ControlValue>,
     writer: RecordWriter,
-    pending: BTreeMap<OperationId, PendingOperation>,
-    last_operation: OperationId,
-    /// The read by which this replica catches up.
-    catching_up: Option<OperationId>,
+    pending: PendingOperations,
     /// When the protocol node's timer is due.
     timer: Option<Duration>,
     log: Logger,
@@ -128,9 +96,7 @@
             clock,
             node,
             writer: RecordWriter::new(register_log, log.clone()),
-            pending: BTreeMap::new(),
-            last_operation: OperationId::default(),
-            catching_up: None,
+            pending: PendingOperations::default(),
             timer: None,
             log,
         };
@@ -173,11 +139,10 @@
         self.handle(Event::CheckQuorum)
     }
 
-    /// Starts a read of the newest state from a quorum; [`ReplicaOutput::CatchUpCompleted`] reports
+    /// Starts a read of the newest state from a quorum; [`CompletedOperation::CatchUp`] reports
     /// its result. The result of a read started earlier is discarded.
     pub(crate) fn catch_up(&mut self) -> Vec<ReplicaOutput> {
-        let id = self.next_operation();
-        self.catching_up = Some(id);
+        let id = self.pending.add_catch_up();
         self.submit(id, Operation::Read)
     }
 
@@ -206,15 +171,13 @@
         operation: Operation<ControlValue>,
         reply: oneshot::Sender<ChangeOutcome>,
     ) -> Vec<ReplicaOutput> {
-        let id = self.next_operation();
-        self.pending.insert(id, PendingOperation::Change(reply));
+        let id = self.pending.add_change(reply);
         self.submit(id, operation)
     }
 
     /// Submits a read of the configuration in force.
     pub(crate) fn read(&mut self, reply: oneshot::Sender<ReadOutcome>) -> Vec<ReplicaOutput> {
-        let id = self.next_operation();
-        self.pending.insert(id, PendingOperation::Read(reply));
+        let id = self.pending.add_read(reply);
         self.submit(id, Operation::Read)
     }
 
@@ -247,11 +210,6 @@
         }
     }
 
-    fn next_operation(&mut self) -> OperationId {
-        self.last_operation += 1;
-        self.last_operation
-    }
-
     fn submit(
         &mut self,
         id: OperationId,
@@ -283,7 +241,10 @@
             }
             Action::Learned(state) => return Some(ReplicaOutput::StateChosen(state)),
             Action::Persist(write) => self.writer.write(write.token, write.record),
-            Action::Completed { id, outcome } => return self.complete(id, outcome),
+            Action::Completed { id, outcome } => {
+                let completed = self.pending.complete(id, outcome)?;
+                return Some(ReplicaOutput::Completed(completed));
+            }
             Action::DiskLost => warn!(
                 self.log,
                 "the settings say that the system starts for the first time, but \
@@ -293,29 +254,6 @@
         }
         None
     }
-
-    fn complete(
-        &mut self,
-        id: OperationId,
-        outcome: Outcome<ControlValue>,
-    ) -> Option<ReplicaOutput> {
-        if self.catching_up.take_if(|read| *read == id).is_some() {
-            return Some(ReplicaOutput::CatchUpCompleted(match outcome {
-                Outcome::Read(_) => CatchUp::Succeeded,
-                _ => CatchUp::Failed,
-            }));
-        }
-        Some(match self.pending.remove(&id)? {
-            PendingOperation::Change(reply) => ReplicaOutput::ChangeCompleted {
-                outcome: change_outcome(outcome),
-                reply,
-            },
-            PendingOperation::Read(reply) => ReplicaOutput::ReadCompleted {
-                outcome: read_outcome(outcome),
-                reply,
-            },
-        })
-    }
 }
 
 /// What the protocol node starts from. Only an empty disk may be the one of a first start.
@@ -332,25 +270,3 @@
         },
     }
 }
-
-fn change_outcome(outcome: Outcome<ControlValue>) -> ChangeOutcome {
-    match outcome {
-        Outcome::Written(_) | Outcome::Unchanged(_) | Outcome::Read(_) => Ok(()),
-        Outcome::Rejected { reason, .. } => Err(Rejection::from_reason(&reason).into()),
-        Outcome::Expired => Err(ChangeError::NoQuorum),
-        Outcome::Unknown => Err(ChangeError::Unknown),
-    }
-}
-
-fn read_outcome(outcome: Outcome<ControlValue>) -> ReadOutcome {
-    match outcome {
-        Outcome::Read(state) | Outcome::Written(state) | Outcome::Unchanged(state) => state
-            .value
-            .configuration
-            .as_ref()
-            .map(|document| document.body.clone())
-            .ok_or(ReadError::NoConfiguration),
-        // A read is never rejected.
-        Outcome::Rejected { .. } | Outcome::Expired | Outcome::Unknown => Err(ReadError::NoQuorum),
-    }
-}
--- a/crates/coordinator/tests/many_changes/cluster.rs
+++ b/crates/coordinator/tests/many_changes/cluster.rs
@@ -190,21 +190,21 @@
     /// Advances the time and processes the events that are due.
     pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
-        while let Some(&Reverse((at, last_id))) = self.due.peek() {
+        while let Some(&Reverse((at, id))) = self.due.peek() {
             if at > end {
                 break;
             }
             self.due.pop();
             self.now = at;
-            if let Some(event_due) = self.events.remove(&last_id) {
-                self.process(event_due);
+            if let Some(event) = self.events.remove(&id) {
+                self.process(event);
             }
         }
         self.now = end;
     }
 
-    fn process(&mut self, event_due: SimulatedEvent) {
-        match event_due {
+    fn process(&mut self, event: SimulatedEvent) {
+        match event {
             SimulatedEvent::MessageDelivered { to, message, bytes } => {
                 let received = &mut self.hosts[to].received;
                 received.bytes += bytes;
@@ -269,10 +269,12 @@
             }
             Action::Completed { id, outcome } => self.complete(host, id, outcome),
             Action::Learned(state) => {
-                let (fed, acknowledged) = (state.value.generation, self.hosts[host].acknowledged);
-                if fed < acknowledged {
-                    let what =
-                        format!("host {host} feeds {fed} after it acknowledged {acknowledged}");
+                let (published, acknowledged) =
+                    (state.value.generation, self.hosts[host].acknowledged);
+                if published < acknowledged {
+                    let what = format!(
+                        "host {host} publishes {published} after it acknowledged {acknowledged}"
+                    );
                     self.violations.push(format!("{what}, at {:?}", self.now));
                 }
             }
@@ -288,7 +290,8 @@
                 );
             }
             other @ Action::DiskLost => {
-                self.violations.push(format!("host {host} wants {other:?}"));
+                self.violations
+                    .push(format!("host {host} requests {other:?}"));
             }
         }
     }
@@ -325,9 +328,9 @@
         );
     }
 
-    fn schedule(&mut self, at: Duration, event_due: SimulatedEvent) {
+    fn schedule(&mut self, at: Duration, event: SimulatedEvent) {
         self.last_id += 1;
-        self.events.insert(self.last_id, event_due);
+        self.events.insert(self.last_id, event);
         self.due.push(Reverse((at, self.last_id)));
     }
 }
--- a/crates/coordinator/tests/many_changes/workload.rs
+++ b/crates/coordinator/tests/many_changes/workload.rs
@@ -207,11 +207,11 @@
             self.fault_in_progress = None;
             self.clear(fault);
             self.await_catch_up();
-            let pause = self
+            let gap = self
                 .cluster
                 .random
                 .random_range(0..self.workload.changes_between_faults * 2);
-            self.next_fault = generation + pause;
+            self.next_fault = generation + gap;
         }
         if generation >= self.next_fault {
             let until = generation
@@ -336,7 +336,7 @@
         }
         for (host, start, acknowledged_before) in std::mem::take(&mut self.starting) {
             self.record_violation(&format!(
-                "host {host}, started at {start:?}, never came to {acknowledged_before}"
+                "host {host}, started at {start:?}, never reached {acknowledged_before}"
             ));
         }
         if limit > self.cluster.now {
