--- a/crates/routing/examples/decisions.rs
+++ b/crates/routing/examples/decisions.rs
@@ -1,5 +1,5 @@
-//! Times decisions and table swaps at the size ahead: 1,300 servers in ten regions, 360 routes. Run
-//! in release.
+//! Measures the time of decisions and of table updates at the planned size: 1,300 servers in ten
+//! regions, 360 routes. Run in release.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -13,8 +13,8 @@
 const REGIONS: usize = 10;
 const ROUTES: usize = 360;
 const REQUESTS: usize = 200_000;
-/// Times are told of the median batch of so many requests: other work on the machine falls into a
-/// few.
+/// Times are those of the median batch of this many requests, because other work on the machine
+/// affects a few batches.
 const BATCH: usize = 500;
 
 fn route(number: usize, services: usize) -> RouteSpec {
@@ -106,11 +106,11 @@
     request
 }
 
-/// Plays requests with some in flight; the times spent in begin alone and in all calls, by batch of
-/// requests.
-fn play(decider: &mut Decider, in_flight: usize) -> (Vec<Duration>, Vec<Duration>, usize) {
+/// Runs requests with some in flight. Returns the time spent in `begin` and in all calls, by batch,
+/// and the number of rejected requests.
+fn run(decider: &mut Decider, in_flight: usize) -> (Vec<Duration>, Vec<Duration>, usize) {
     let batches = vec![Duration::ZERO; REQUESTS / BATCH];
-    let (mut begin, mut all, mut refused) = (batches.clone(), batches, 0);
+    let (mut begin, mut all, mut rejected) = (batches.clone(), batches, 0);
     let mut open = std::collections::VecDeque::new();
     let mut now = 1_000_000;
     for number in 0..REQUESTS {
@@ -131,7 +131,7 @@
                 decider.apply_load_report(now, dispatch.server, load);
                 open.push_back(call);
             }
-            _ => refused += 1,
+            _ => rejected += 1,
         }
         if open.len() > in_flight {
             let mut call = open.pop_front().expect("a call");
@@ -139,7 +139,7 @@
         }
         all[number / BATCH] += start.elapsed();
     }
-    (begin, all, refused)
+    (begin, all, rejected)
 }
 
 fn main() {
@@ -148,7 +148,7 @@
         let mut decider = Decider::new(settings, 1).expect("sound settings");
         let first = Arc::new(table(servers, services));
         decider.update_table(0, first.clone());
-        let (begin, all, refused) = play(&mut decider, 200);
+        let (begin, all, rejected) = run(&mut decider, 200);
         let list: Vec<ServerSpec> = first
             .servers()
             .iter()
@@ -165,7 +165,7 @@
             times[times.len() / 2].as_secs_f64() * 1e6 / BATCH as f64
         };
         println!(
-            "{servers:6} servers, {services} services: begin {:.2} us, whole request {:.2} us, refused {refused}, \
+            "{servers:6} servers, {services} services: begin {:.2} us, whole request {:.2} us, rejected {rejected}, \
              list built in {built:.0?}, swapped in {swapped:.0?}",
             each(begin),
             each(all),
--- a/crates/routing/src/affinity/tests.rs
+++ b/crates/routing/src/affinity/tests.rs
@@ -38,9 +38,9 @@
     assert_eq!(choose(7, &choices, bounds(0.5, 0.1, 0.0)), Some(order[1]));
     choices[order[1]].utilization = 0.4;
     assert_eq!(choose(7, &choices, bounds(0.5, 0.1, 0.0)), Some(order[2]));
-    choices
-        .iter_mut()
-        .for_each(|choice| choice.utilization = 0.9);
+    for choice in &mut choices {
+        choice.utilization = 0.9;
+    }
     assert_eq!(
         choose(7, &choices, bounds(0.5, 0.1, 0.0)),
         Some(order[0]),
@@ -56,7 +56,7 @@
         ..Default::default()
     })]
 
-    /// A key moves only where its server leaves, or to one that comes.
+    /// A key moves only if its own server leaves.
     #[test]
     fn when_a_server_leaves_only_its_own_keys_move(key: u64, servers in prop::collection::hash_set(any::<u64>(), 2..40)) {
         let servers: Vec<u64> = servers.into_iter().collect();
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whatever the loads, the choice is within the bound, and there is one.
+    /// For any loads a server is chosen, and it is within the load bound.
     #[test]
     fn the_chosen_server_is_within_the_load_bound(key: u64, parts in prop::collection::vec(0.0..1.5f64, 1..40)) {
         let choices: Vec<Candidate> =
@@ -82,7 +82,7 @@
     }
 }
 
-/// Two servers with those waits; whether the key's first one is chosen.
+/// Whether the key's first server of two is chosen when its prefill wait is longer by `wait`.
 fn stays(wait: f64, stay: f64) -> bool {
     let mut choices = servers_in_order(7, 2);
     choices[0].prefill_wait = wait;
--- a/crates/routing/src/decider/dispatch.rs
+++ b/crates/routing/src/decider/dispatch.rs
@@ -144,8 +144,8 @@
     }
 }
 
-/// Adds the request to the server's occupancy and prefill backlog. Returns the number of tokens that
-/// it adds to the backlog.
+/// Adds the request to the server's occupancy and prefill backlog. Returns the number of tokens
+/// that it adds to the backlog.
 fn occupy(now: Micros, endpoint: &mut Endpoint, call: &Call) -> u64 {
     let demand = call.token_demand();
     let shares_prefix = endpoint.occupancy.added_tokens(demand) < demand.total();
--- a/crates/routing/src/decider/health.rs
+++ b/crates/routing/src/decider/health.rs
@@ -70,7 +70,8 @@
         let is_alive = endpoint.last_heard.saturating_add(LIVENESS_TTL) > now
             && endpoint.occupancy.in_flight > 1;
         match outcome {
-            // A client that disconnects after it received nothing, unless the server answers others.
+            // A client that disconnects after it received nothing, unless the server answers
+            // others.
             Outcome::Cancelled
                 if endpoint.is_unresponsive(now, self.settings.unresponsive_after)
                     && Guard::UnresponsiveCancelCounts.on() =>
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Takes the end of a health check. One that fails ejects a server in service only if the server
-    /// has been unresponsive for long as well.
+    /// Takes the end of a health check. One that fails ejects a server in service only if the
+    /// server has been unresponsive for long as well.
     pub fn health_check_finished(
         &mut self,
         now: Micros,
--- a/crates/routing/src/decider/tests.rs
+++ b/crates/routing/src/decider/tests.rs
@@ -1,5 +1,5 @@
-//! The rules of the decisions, event by event, and by property. Checks of a protection are run
-//! again without it.
+//! Unit tests of the decisions, by events and by property. Tests of a protection check that they
+//! fail without it.
 
 mod affinity;
 mod attempts;
--- a/crates/routing/src/decider/tests/affinity.rs
+++ b/crates/routing/src/decider/tests/affinity.rs
@@ -1,4 +1,4 @@
-//! Keys and their servers.
+//! Prefix affinity: affinity keys and their servers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 fn gate(count: usize, seed: u64) -> Gate {
     let table = spec(vec![route("a", STREAM)], servers(0, count, "north"));
-    Gate::with(table, Settings::new("north", "north-0"), seed)
+    Gate::with_settings(table, Settings::new("north", "north-0"), seed)
 }
 
 #[test]
@@ -19,7 +19,7 @@
     let homes = |seed| -> Vec<Arc<str>> {
         let mut gate = gate(6, seed);
         (0..50)
-            .map(|key| gate.served(gate.prompt("a", key % 10)))
+            .map(|key| gate.serve(gate.prompt("a", key % 10)))
             .collect()
     };
     let first = homes(1);
@@ -35,7 +35,7 @@
             model: "n".into(),
             ..gate.prompt("a", key)
         };
-        gate.served(gate.prompt("a", key)) != gate.served(other)
+        gate.serve(gate.prompt("a", key)) != gate.serve(other)
     };
     assert!((0..20).filter(|key| differs(*key)).count() > 10);
 }
@@ -45,15 +45,15 @@
     let mut gate = gate(8, 1);
     let mut other = gate.prompt("a", 3);
     other.parts[2].id = 99;
-    assert_eq!(gate.served(gate.prompt("a", 3)), gate.served(other));
+    assert_eq!(gate.serve(gate.prompt("a", 3)), gate.serve(other));
 }
 
-/// Moves of 500 keys when a server comes to ten or leaves them.
+/// Number of 500 keys that move when a server joins ten others or leaves them.
 fn moved(from: usize, to: usize) -> usize {
     let homes = |count| -> Vec<Arc<str>> {
         let mut gate = gate(count, 1);
         (0..500)
-            .map(|key| gate.served(gate.prompt("a", key)))
+            .map(|key| gate.serve(gate.prompt("a", key)))
             .collect()
     };
     let (before, after) = (homes(from), homes(to));
@@ -66,19 +66,19 @@
 
 #[test]
 fn keys_stay_when_another_server_joins_or_leaves() {
-    guarded(Guard::Rendezvous, || {
+    assert_guarded(Guard::Rendezvous, || {
         let homes = |count| -> Vec<Arc<str>> {
             let mut gate = gate(count, 1);
             (0..500)
-                .map(|key| gate.served(gate.prompt("a", key)))
+                .map(|key| gate.serve(gate.prompt("a", key)))
                 .collect()
         };
         let (ten, nine) = (homes(10), homes(9));
         let even = |homes: &[Arc<str>], servers: usize| {
             let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-            homes
-                .iter()
-                .for_each(|home| *counts.entry(home).or_default() += 1);
+            for home in homes {
+                *counts.entry(home).or_default() += 1;
+            }
             counts.len() == servers && counts.values().all(|count| *count > 500 / servers / 2)
         };
         let stay = ten
@@ -91,13 +91,13 @@
     assert_eq!(moved(9, 10), moved(10, 9));
 }
 
-/// Requests in flight of one key among others, by server.
+/// Requests in flight by server, when half of them share one key.
 fn hot(requests: u64) -> Vec<u32> {
     let mut table = spec(vec![route("a", STREAM)], servers(0, 6, "north"));
     table.services[0].slots = 64;
     let mut settings = Settings::new("north", "north-0");
     (settings.affinity_load_excess, settings.affinity_load_floor) = (0.25, 0.15);
-    let mut gate = Gate::with(table, settings, 1);
+    let mut gate = Gate::with_settings(table, settings, 1);
     for number in 0..requests {
         // Half of all requests share one key.
         let key = if number % 2 == 0 { 1_000_000 } else { number };
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_hot_key_does_not_overload_its_server() {
-    guarded(Guard::BoundedLoad, || {
+    assert_guarded(Guard::BoundedLoad, || {
         let loads = hot(240);
         let most = *loads.iter().max().expect("servers");
         f64::from(most) <= 1.25 * 240.0 / 6.0 + 1.0
@@ -130,7 +130,7 @@
     let mut gate = Gate::new(table);
     let mut homes: Vec<Arc<str>> = (0..9)
         .map(|_| {
-            sent(&gate.begin(gate.prompt("a", 1)).1)
+            dispatch_of(&gate.begin(gate.prompt("a", 1)).1)
                 .expect_instance
                 .clone()
         })
@@ -146,7 +146,7 @@
 #[test]
 fn a_key_skips_a_server_at_capacity_and_returns() {
     let mut gate = gate(4, 1);
-    let home = gate.served(gate.prompt("a", 1));
+    let home = gate.serve(gate.prompt("a", 1));
     let server = gate.decider.server(&home).expect("listed");
     let load = LoadReport {
         running: 8,
@@ -155,7 +155,7 @@
         kv_cache: None,
     };
     gate.decider.apply_load_report(gate.now, server, load);
-    assert_ne!(gate.served(gate.prompt("a", 1)), home);
+    assert_ne!(gate.serve(gate.prompt("a", 1)), home);
     gate.decider.apply_load_report(
         gate.now,
         server,
@@ -166,7 +166,7 @@
             kv_cache: None,
         },
     );
-    assert_eq!(gate.served(gate.prompt("a", 1)), home);
+    assert_eq!(gate.serve(gate.prompt("a", 1)), home);
 }
 
 #[test]
@@ -176,11 +176,11 @@
     table.services[0].kv_cache_tokens = 2000;
     let mut settings = Settings::new("north", "north-0");
     settings.affinity_load_excess = 10.0;
-    let mut gate = Gate::with(table, settings, 1);
+    let mut gate = Gate::with_settings(table, settings, 1);
     // 500 shared and 130 of their own each: 500 + 11 * 130 fit into 2,000.
     let homes: Vec<Arc<str>> = (0..12)
         .map(|_| {
-            sent(&gate.begin(gate.prompt("a", 1)).1)
+            dispatch_of(&gate.begin(gate.prompt("a", 1)).1)
                 .expect_instance
                 .clone()
         })
@@ -205,38 +205,38 @@
     for mut call in calls {
         gate.decider.cancel(gate.now, &mut call);
     }
-    gate.served(gate.prompt("a", 1));
+    gate.serve(gate.prompt("a", 1));
 }
 
-/// Has one prompt read, so that a pace is known, and ends it.
-fn learn(gate: &mut Gate) {
+/// Runs one request with a first byte, so that the prefill rate is known.
+fn discover(gate: &mut Gate) {
     let mut request = gate.prompt("a", 1_000);
     request.prompt_tokens = 50_000;
     let (mut call, _) = gate.begin(request);
     gate.now += 1_000_000;
     gate.decider.first_byte_received(gate.now, &mut call);
-    gate.settle(&mut call, Outcome::Success);
+    gate.finish_attempt(&mut call, Outcome::Success);
 }
 
 #[test]
 fn a_key_moves_on_when_peers_have_pending_prefill_and_returns() {
-    guarded(Guard::ShortPrefillWait, || {
+    assert_guarded(Guard::ShortPrefillWait, || {
         let mut gate = gate(6, 1);
-        learn(&mut gate);
-        let home = gate.served(gate.prompt("a", 3));
+        discover(&mut gate);
+        let home = gate.serve(gate.prompt("a", 3));
         let (mut call, _) = gate.begin(Request {
             prompt_tokens: 1,
             ..gate.prompt("a", 3)
         });
         let mut told = gate.decider.peer_report(gate.now);
-        gate.settle(&mut call, Outcome::Success);
+        gate.finish_attempt(&mut call, Outcome::Success);
         assert_eq!(told.pending_prefill.len(), 1);
         told.pending_prefill[0].tokens = 1_000_000;
         gate.decider.apply_peer_report(gate.now, 7, &told);
-        let moved = gate.served(gate.prompt("a", 3)) != home;
+        let moved = gate.serve(gate.prompt("a", 3)) != home;
         gate.decider
             .apply_peer_report(gate.now, 7, &PeerReport::default());
-        assert_eq!(gate.served(gate.prompt("a", 3)), home);
+        assert_eq!(gate.serve(gate.prompt("a", 3)), home);
         moved
     });
 }
@@ -244,28 +244,28 @@
 #[test]
 fn an_expired_peer_report_does_not_count() {
     let mut gate = gate(6, 1);
-    learn(&mut gate);
-    let home = gate.served(gate.prompt("a", 3));
+    discover(&mut gate);
+    let home = gate.serve(gate.prompt("a", 3));
     let (mut call, _) = gate.begin(Request {
         prompt_tokens: 1_000_000,
         ..gate.prompt("a", 3)
     });
     let told = gate.decider.peer_report(gate.now);
-    gate.settle(&mut call, Outcome::Success);
+    gate.finish_attempt(&mut call, Outcome::Success);
     gate.decider.apply_peer_report(gate.now, 7, &told);
-    assert_ne!(gate.served(gate.prompt("a", 3)), home);
+    assert_ne!(gate.serve(gate.prompt("a", 3)), home);
     gate.now += 600_000;
-    assert_eq!(gate.served(gate.prompt("a", 3)), home);
+    assert_eq!(gate.serve(gate.prompt("a", 3)), home);
 }
 
-/// Whether prompts leave a region where so many tokens wait at each server, of routes that may and
-/// that may not.
+/// Whether requests leave a region in which that many tokens are pending at each server, on a route
+/// that may leave it and on one that may not.
 fn leave(waiting: u64) -> [bool; 2] {
     let mut home = route("home", STREAM);
     home.allowed_regions = vec!["north".into()];
     let fleet = [servers(0, 2, "north"), servers(10, 2, "south")].concat();
     let mut gate = Gate::new(spec(vec![route("a", STREAM), home], fleet));
-    learn(&mut gate);
+    discover(&mut gate);
     let unread = (0..2)
         .map(|number| PendingPrefill {
             server: crate::affinity::name_hash(&format!("i-{number}")),
@@ -282,20 +282,20 @@
     );
     ["a", "home"].map(|name| {
         let (_, decision) = gate.begin(gate.prompt(name, 3));
-        sent(&decision).crosses_region
+        dispatch_of(&decision).crosses_region
     })
 }
 
 #[test]
 fn a_long_prefill_wait_in_the_own_region_spills_over_to_another() {
-    guarded(Guard::SpilloverWait, || leave(50_000) == [true, false]);
+    assert_guarded(Guard::SpilloverWait, || leave(50_000) == [true, false]);
     assert_eq!(leave(2_000), [false, false], "a short wait is none");
 }
 
 #[test]
 fn small_changes_of_the_peer_report_are_not_significant() {
     let mut gate = gate(6, 1);
-    learn(&mut gate);
+    discover(&mut gate);
     let (mut call, _) = gate.begin(Request {
         prompt_tokens: 10_000,
         ..gate.prompt("a", 3)
@@ -330,5 +330,5 @@
             ..told.clone()
         }
     ));
-    gate.settle(&mut call, Outcome::Success);
+    gate.finish_attempt(&mut call, Outcome::Success);
 }
--- a/crates/routing/src/decider/tests/attempts.rs
+++ b/crates/routing/src/decider/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What follows the end of an attempt.
+//! Retries: what follows the end of an attempt.
 
 use crate::guards::Guard;
 use crate::test_support::*;
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_non_idempotent_request_that_may_have_run_is_not_retried() {
-    guarded(Guard::AtMostOnce, || {
+    assert_guarded(Guard::AtMostOnce, || {
         [
             RouteKind::NonIdempotent,
             RouteKind::Stream { resumable: false },
@@ -40,7 +40,7 @@
         .all(|kind| {
             outcomes_that_may_have_run().iter().all(|outcome| {
                 let mut gate = gate(kind, 3);
-                let (tried, last) = gate.fails(gate.request("a"), outcome);
+                let (tried, last) = gate.fail_all_attempts(gate.request("a"), outcome);
                 tried.len() == 1
                     && matches!(last, Decision::Fail { .. } | Decision::ForwardResponse)
             })
@@ -52,7 +52,7 @@
 fn a_request_that_was_not_executed_is_retried_at_other_servers() {
     for outcome in promises() {
         let mut gate = gate(RouteKind::NonIdempotent, 2);
-        let (mut tried, last) = gate.fails(gate.request("a"), &outcome);
+        let (mut tried, last) = gate.fail_all_attempts(gate.request("a"), &outcome);
         assert!(tried.len() >= 2, "{outcome:?}");
         assert!(matches!(last, Decision::Reject(_)), "{outcome:?}: {last:?}");
         let attempts = tried.len();
@@ -70,8 +70,8 @@
 fn an_attempt_that_was_not_sent_is_retried_at_the_same_server() {
     let mut gate = gate(RouteKind::Stream { resumable: false }, 1);
     let (mut call, first) = gate.begin(gate.prompt("a", 1));
-    let second = gate.settle(&mut call, Outcome::NotSent);
-    assert_eq!(sent(&second).server, sent(&first).server);
+    let second = gate.finish_attempt(&mut call, Outcome::NotSent);
+    assert_eq!(dispatch_of(&second).server, dispatch_of(&first).server);
 }
 
 #[test]
@@ -79,17 +79,20 @@
     for kind in [RouteKind::Idempotent, RouteKind::Stream { resumable: true }] {
         for outcome in outcomes_that_may_have_run() {
             let mut gate = gate(kind, 3);
-            assert_eq!(gate.fails(gate.request("a"), &outcome).0.len(), 3);
+            assert_eq!(
+                gate.fail_all_attempts(gate.request("a"), &outcome).0.len(),
+                3
+            );
         }
     }
 }
 
 #[test]
 fn a_request_reaches_no_more_servers_than_the_route_allows() {
-    guarded(Guard::MaxAttempts, || {
+    assert_guarded(Guard::MaxAttempts, || {
         outcomes_that_may_have_run().iter().all(|outcome| {
             let mut gate = gate(RouteKind::Idempotent, 2);
-            gate.fails(gate.request("a"), outcome).0.len() == 2
+            gate.fail_all_attempts(gate.request("a"), outcome).0.len() == 2
         })
     });
 }
@@ -98,7 +101,7 @@
 fn the_number_of_failed_connects_is_bounded() {
     let mut gate = gate(RouteKind::Idempotent, 1);
     assert_eq!(
-        gate.fails(gate.request("a"), &Outcome::ConnectFailed)
+        gate.fail_all_attempts(gate.request("a"), &Outcome::ConnectFailed)
             .0
             .len(),
         4
@@ -107,29 +110,29 @@
 
 #[test]
 fn retries_are_charged_to_the_budget_and_failed_connects_are_not() {
-    guarded(Guard::RetryBudget, || {
+    assert_guarded(Guard::RetryBudget, || {
         let mut gate = gate(RouteKind::Idempotent, 3);
-        gate.limits.repeats = 1;
-        let (tried, last) = gate.fails(gate.request("a"), &Outcome::Reset);
+        gate.limits.retries = 1;
+        let (tried, last) = gate.fail_all_attempts(gate.request("a"), &Outcome::Reset);
         tried.len() == 2 && matches!(last, Decision::Fail { status: 502 })
     });
     let mut gate = gate(RouteKind::Idempotent, 3);
-    gate.limits.repeats = 0;
+    gate.limits.retries = 0;
     assert!(
-        gate.fails(gate.request("a"), &Outcome::ConnectFailed)
+        gate.fail_all_attempts(gate.request("a"), &Outcome::ConnectFailed)
             .0
             .len()
             > 1
     );
-    assert_eq!(gate.limits.requested, 1);
+    assert_eq!(gate.limits.deposits, 1);
 }
 
 #[test]
 fn a_request_is_rejected_only_if_it_was_not_executed() {
-    guarded(Guard::RejectOnlyUnexecuted, || {
+    assert_guarded(Guard::RejectOnlyUnexecuted, || {
         let mut gate = gate(RouteKind::Idempotent, 3);
-        gate.limits.repeats = 0;
-        let (_, last) = gate.fails(gate.request("a"), &Outcome::Reset);
+        gate.limits.retries = 0;
+        let (_, last) = gate.fail_all_attempts(gate.request("a"), &Outcome::Reset);
         !matches!(last, Decision::Reject(_))
     });
 }
@@ -138,11 +141,13 @@
 fn a_servers_own_failure_is_forwarded() {
     let mut gate = gate(RouteKind::NonIdempotent, 3);
     assert_eq!(
-        gate.fails(gate.request("a"), &Outcome::ServerError).1,
+        gate.fail_all_attempts(gate.request("a"), &Outcome::ServerError)
+            .1,
         Decision::ForwardResponse
     );
     assert_eq!(
-        gate.fails(gate.request("a"), &Outcome::ClientError).1,
+        gate.fail_all_attempts(gate.request("a"), &Outcome::ClientError)
+            .1,
         Decision::ForwardResponse
     );
 }
@@ -154,16 +159,16 @@
     gate.decider.first_byte_received(gate.now, &mut call);
     gate.decider
         .response_forwarded(gate.now, &mut call, Some(11));
-    let second = gate.settle(
+    let second = gate.finish_attempt(
         &mut call,
         Outcome::Truncated {
             last_event: Some(12),
         },
     );
-    assert_eq!(sent(&second).resume_after, Some(12));
-    assert_ne!(sent(&second).server, sent(&first).server);
+    assert_eq!(dispatch_of(&second).resume_after, Some(12));
+    assert_ne!(dispatch_of(&second).server, dispatch_of(&first).server);
     assert_eq!(
-        gate.settle(
+        gate.finish_attempt(
             &mut call,
             Outcome::Truncated {
                 last_event: Some(20)
@@ -178,13 +183,16 @@
     for outcome in [Outcome::ClientError, Outcome::ServerError, Outcome::Reset] {
         let mut gate = gate(RouteKind::Stream { resumable: true }, 2);
         let (mut call, _) = gate.begin(gate.prompt("a", 1));
-        gate.settle(
+        gate.finish_attempt(
             &mut call,
             Outcome::Truncated {
                 last_event: Some(1),
             },
         );
-        assert_eq!(gate.settle(&mut call, outcome), Decision::AbortResponse);
+        assert_eq!(
+            gate.finish_attempt(&mut call, outcome),
+            Decision::AbortResponse
+        );
     }
 }
 
@@ -196,7 +204,7 @@
     let mut gate = Gate::new(table.clone());
     let (mut call, _) = gate.begin(gate.prompt("a", 1));
     let start = gate.now;
-    let mut decision = gate.settle(
+    let mut decision = gate.finish_attempt(
         &mut call,
         Outcome::Truncated {
             last_event: Some(4),
@@ -213,7 +221,7 @@
     let mut gate = Gate::new(table.clone());
     let (mut call, _) = gate.begin(gate.prompt("a", 1));
     assert!(matches!(
-        gate.settle(
+        gate.finish_attempt(
             &mut call,
             Outcome::Truncated {
                 last_event: Some(4)
@@ -221,12 +229,12 @@
         ),
         Decision::Delay { .. }
     ));
-    gate.swap(spec(table.routes.clone(), servers(0, 2, "north")));
+    gate.update_table(spec(table.routes.clone(), servers(0, 2, "north")));
     let decision = gate.decider.resume(gate.now, &mut call, &mut gate.limits);
     assert_eq!(
         (
-            &*sent(&decision).expect_instance,
-            sent(&decision).resume_after
+            &*dispatch_of(&decision).expect_instance,
+            dispatch_of(&decision).resume_after
         ),
         ("i-1", Some(4))
     );
@@ -237,7 +245,7 @@
     let mut gate = gate(RouteKind::Stream { resumable: false }, 3);
     let (mut call, _) = gate.begin(gate.prompt("a", 1));
     assert_eq!(
-        gate.settle(
+        gate.finish_attempt(
             &mut call,
             Outcome::Truncated {
                 last_event: Some(3)
@@ -255,9 +263,9 @@
         ..gate.prompt("a", 1)
     };
     let (mut call, first) = gate.begin(request);
-    assert_eq!(sent(&first).resume_after, Some(5));
+    assert_eq!(dispatch_of(&first).resume_after, Some(5));
     assert_eq!(
-        sent(&gate.settle(&mut call, Outcome::Reset)).resume_after,
+        dispatch_of(&gate.finish_attempt(&mut call, Outcome::Reset)).resume_after,
         Some(5)
     );
 }
@@ -271,33 +279,40 @@
     };
     let (mut call, first) = gate.begin(request);
     assert_eq!(
-        (sent(&first).timeout, sent(&first).deadline_ms),
+        (dispatch_of(&first).timeout, dispatch_of(&first).deadline_ms),
         (4 * SECOND, 4000)
     );
     gate.now += SECOND;
     assert_eq!(
-        sent(&gate.settle(&mut call, Outcome::Reset)).timeout,
+        dispatch_of(&gate.finish_attempt(&mut call, Outcome::Reset)).timeout,
         3 * SECOND
     );
     gate.now += 3 * SECOND;
     assert_eq!(
-        gate.settle(&mut call, Outcome::Timeout),
+        gate.finish_attempt(&mut call, Outcome::Timeout),
         Decision::Fail { status: 504 }
     );
     let (_, later) = gate.begin(gate.request("a"));
-    assert_eq!(sent(&later).timeout, 10 * SECOND, "the route's time-out");
+    assert_eq!(
+        dispatch_of(&later).timeout,
+        10 * SECOND,
+        "the route's time-out"
+    );
 }
 
 #[test]
 fn nothing_stays_in_flight_after_requests_end() {
     let mut gate = gate(RouteKind::Idempotent, 3);
     let (mut call, first) = gate.begin(gate.request("a"));
-    let server = sent(&first).server;
+    let server = dispatch_of(&first).server;
     assert_eq!(gate.decider.in_flight(server), 1);
     gate.decider.cancel(gate.now, &mut call);
     assert_eq!(gate.decider.in_flight(server), 0);
     gate.decider.cancel(gate.now, &mut call);
-    assert_eq!(gate.settle(&mut call, Outcome::Success), Decision::Finished);
+    assert_eq!(
+        gate.finish_attempt(&mut call, Outcome::Success),
+        Decision::Finished
+    );
     assert_eq!(gate.decider.in_flight(server), 0);
 }
 
@@ -305,7 +320,7 @@
 fn a_stalled_attempt_fails_over_only_if_its_server_is_silent_too() {
     let mut gate = gate(RouteKind::Idempotent, 2);
     let (mut call, first) = gate.begin(gate.request("a"));
-    let at = sent(&first).check_at.expect("a check");
+    let at = dispatch_of(&first).check_at.expect("a check");
     assert!(matches!(
         gate.decider.check_progress(at - 1, &call),
         ProgressCheck::Wait { .. }
@@ -314,13 +329,14 @@
         gate.decider.check_progress(at, &call),
         ProgressCheck::FailOver
     );
-    gate.decider.record_liveness(at - 10, sent(&first).server);
+    gate.decider
+        .record_liveness(at - 10, dispatch_of(&first).server);
     assert!(
         matches!(gate.decider.check_progress(at, &call), ProgressCheck::Wait { until } if until > at)
     );
     gate.now = at;
     assert!(matches!(
-        gate.settle(&mut call, Outcome::Timeout),
+        gate.finish_attempt(&mut call, Outcome::Timeout),
         Decision::Send(_)
     ));
     assert_eq!(
@@ -334,7 +350,7 @@
 fn a_non_idempotent_request_does_not_fail_over() {
     let mut gate = gate(RouteKind::NonIdempotent, 2);
     let (call, first) = gate.begin(gate.request("a"));
-    assert_eq!(sent(&first).check_at, None);
+    assert_eq!(dispatch_of(&first).check_at, None);
     assert_eq!(
         gate.decider.check_progress(gate.now + 9 * SECOND, &call),
         ProgressCheck::Ignore
--- a/crates/routing/src/decider/tests/candidates.rs
+++ b/crates/routing/src/decider/tests/candidates.rs
@@ -1,4 +1,4 @@
-//! Who may serve a request.
+//! Candidates: which servers may serve a request.
 
 use crate::guards::Guard;
 use crate::test_support::*;
@@ -10,18 +10,18 @@
     [servers(0, 3, "north"), servers(10, 3, "south")].concat()
 }
 
-/// The regions that so many requests went to.
+/// Whether each of `count` requests went to another region.
 fn regions(gate: &mut Gate, name: &str, requests: u64) -> Vec<bool> {
     let south = |gate: &mut Gate, key| {
         let (_, decision) = gate.begin(gate.prompt(name, key));
-        sent(&decision).crosses_region
+        dispatch_of(&decision).crosses_region
     };
     (0..requests).map(|key| south(gate, key)).collect()
 }
 
 #[test]
 fn the_own_region_comes_first() {
-    guarded(Guard::OwnRegion, || {
+    assert_guarded(Guard::OwnRegion, || {
         let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet()));
         !regions(&mut gate, "a", 12).contains(&true)
     });
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_route_uses_only_its_allowed_regions() {
-    guarded(Guard::AllowedRegions, || {
+    assert_guarded(Guard::AllowedRegions, || {
         let mut home = route("a", STREAM);
         home.allowed_regions = vec!["south".into()];
         let mut gate = Gate::new(spec(vec![home], fleet()));
@@ -76,24 +76,24 @@
     assert!(matches!(gate.begin(request).1, Decision::Reject(_)));
 }
 
-/// Of two servers one is not to be used: the other gets all.
+/// True if the other one of two servers gets every request after a change to one.
 fn avoids(change: impl Fn(&mut ServerSpec)) -> bool {
     let mut fleet = servers(0, 2, "north");
     change(&mut fleet[0]);
     let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
-    (0..8).all(|key| &*gate.served(gate.prompt("a", key)) == "i-1")
+    (0..8).all(|key| &*gate.serve(gate.prompt("a", key)) == "i-1")
 }
 
 #[test]
 fn draining_servers_get_no_requests() {
-    guarded(Guard::Draining, || {
+    assert_guarded(Guard::Draining, || {
         avoids(|server| server.state = ServerState::Draining)
     });
 }
 
 #[test]
 fn evacuated_servers_get_no_requests() {
-    guarded(Guard::Evacuated, || {
+    assert_guarded(Guard::Evacuated, || {
         avoids(|server| server.evacuated = true)
     });
 }
@@ -108,11 +108,11 @@
 #[test]
 fn servers_without_heartbeats_are_used_when_all_lack_them() {
     let mut fleet = servers(0, 2, "north");
-    fleet
-        .iter_mut()
-        .for_each(|server| server.heartbeats_missing_since = Some(SECOND));
+    for server in &mut fleet {
+        server.heartbeats_missing_since = Some(SECOND);
+    }
     let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
-    gate.served(gate.prompt("a", 1));
+    gate.serve(gate.prompt("a", 1));
 }
 
 #[test]
@@ -129,12 +129,12 @@
 
 #[test]
 fn servers_that_warm_up_need_a_permit() {
-    guarded(Guard::Permit, || avoids(|server| server.warming_up = true));
+    assert_guarded(Guard::Permit, || avoids(|server| server.warming_up = true));
     let mut fleet = servers(0, 1, "north");
     fleet[0].warming_up = true;
     let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
     gate.limits.permits = 1;
-    gate.served(gate.prompt("a", 1));
+    gate.serve(gate.prompt("a", 1));
     assert!(
         matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Delay { until } if until == gate.now + 100 * MS)
     );
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_request_is_delayed_for_a_permit_only_for_a_short_part_of_its_objective() {
-    guarded(Guard::ShortDelay, || {
+    assert_guarded(Guard::ShortDelay, || {
         let mut fleet = servers(0, 1, "north");
         fleet[0].warming_up = true;
         let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
@@ -160,17 +160,17 @@
 
 #[test]
 fn a_displaced_server_is_not_used_until_it_is_announced_again() {
-    guarded(Guard::Displaced, || {
+    assert_guarded(Guard::Displaced, || {
         let table = spec(vec![route("a", STREAM)], servers(0, 1, "north"));
         let mut gate = Gate::new(table.clone());
         let (mut call, _) = gate.begin(gate.prompt("a", 1));
-        gate.settle(&mut call, Outcome::WrongInstance);
+        gate.finish_attempt(&mut call, Outcome::WrongInstance);
         let dropped = matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Reject(_));
-        gate.swap(table.clone());
+        gate.update_table(table.clone());
         let dropped = dropped && matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Reject(_));
         let mut anew = table;
         anew.servers[0].sequence = 2;
-        gate.swap(anew);
+        gate.update_table(anew);
         dropped && matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Send(_))
     });
 }
@@ -182,7 +182,7 @@
     fleet[1].models = vec!["m".into()];
     fleet[2].models = vec!["other".into()];
     let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
-    assert!((0..6).all(|key| &*gate.served(gate.prompt("a", key)) == "i-1"));
+    assert!((0..6).all(|key| &*gate.serve(gate.prompt("a", key)) == "i-1"));
 }
 
 #[test]
@@ -205,11 +205,11 @@
     let both = spec(vec![split.clone()], vec![server(0, "north"), other.clone()]);
     let mut gate = Gate::new(both);
     let desk = (0..2000)
-        .filter(|_| &*gate.served(gate.request("a")) == "i-0")
+        .filter(|_| &*gate.serve(gate.request("a")) == "i-0")
         .count();
     assert!((1740..1860).contains(&desk), "{desk} of 2000");
     let mut gate = Gate::new(spec(vec![split], vec![other]));
-    assert!((0..50).all(|_| &*gate.served(gate.request("a")) == "i-5"));
+    assert!((0..50).all(|_| &*gate.serve(gate.request("a")) == "i-5"));
 }
 
 #[test]
@@ -233,8 +233,8 @@
 fn a_server_without_heartbeats_is_used_while_this_gate_hears_it() {
     let mut fleet = servers(0, 2, "north");
     fleet[0].heartbeats_missing_since = Some(SECOND);
-    let used = |gate: &mut Gate| (0..16).any(|key| &*gate.served(gate.prompt("a", key)) == "i-0");
-    guarded(Guard::LivenessOverHeartbeats, || {
+    let used = |gate: &mut Gate| (0..16).any(|key| &*gate.serve(gate.prompt("a", key)) == "i-0");
+    assert_guarded(Guard::LivenessOverHeartbeats, || {
         let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet.clone()));
         assert!(!used(&mut gate));
         gate.now += SECOND;
@@ -246,8 +246,8 @@
     });
 }
 
-/// A gate of the north whose route is at home in the south and the west, where so many servers each
-/// serve it.
+/// A gate in the north with a route that is allowed in the south and the west, with that many
+/// servers in each.
 fn away(south: usize, west: usize) -> Gate {
     let mut home = route("home", RouteKind::Stream { resumable: false });
     home.allowed_regions = vec!["south".into(), "west".into()];
@@ -260,15 +260,15 @@
     Gate::new(spec(vec![home], fleet))
 }
 
-/// Sends requests until so many are owed an answer by the south, which gives no sign for long from
-/// then on.
-fn cut_the_south(gate: &mut Gate, owed: usize) -> Vec<Call> {
+/// Sends requests until that many are in flight in the south, which is silent from then on.
+fn partition_south(gate: &mut Gate, owed: usize) -> Vec<Call> {
     let mut calls = Vec::new();
     while calls.len() < owed {
         let (mut call, decision) = gate.begin(gate.request("home"));
-        match sent(&decision).expect_instance.starts_with("i-1") {
-            true => calls.push(call),
-            false => _ = gate.settle(&mut call, Outcome::Success),
+        if dispatch_of(&decision).expect_instance.starts_with("i-1") {
+            calls.push(call);
+        } else {
+            gate.finish_attempt(&mut call, Outcome::Success);
         }
     }
     gate.now += 700 * MS;
@@ -277,34 +277,34 @@
 
 #[test]
 fn an_unreachable_region_is_left_for_another() {
-    guarded(Guard::UnreachableRegion, || {
+    assert_guarded(Guard::UnreachableRegion, || {
         let mut gate = away(8, 2);
-        let _owed = cut_the_south(&mut gate, 2);
-        (0..20).all(|_| gate.served(gate.request("home")).starts_with("i-2"))
+        let _owed = partition_south(&mut gate, 2);
+        (0..20).all(|_| gate.serve(gate.request("home")).starts_with("i-2"))
     });
 }
 
 #[test]
 fn one_unresponsive_server_does_not_make_its_region_unreachable() {
     let mut gate = away(8, 0);
-    let _owed = cut_the_south(&mut gate, 1);
-    assert!(gate.served(gate.request("home")).starts_with("i-1"));
+    let _owed = partition_south(&mut gate, 1);
+    assert!(gate.serve(gate.request("home")).starts_with("i-1"));
 }
 
 #[test]
 fn requests_are_rejected_while_all_allowed_regions_are_unreachable() {
-    guarded(Guard::UnreachableRegion, || {
+    assert_guarded(Guard::UnreachableRegion, || {
         let mut gate = away(8, 0);
-        let _owed = cut_the_south(&mut gate, 2);
+        let _owed = partition_south(&mut gate, 2);
         let is_refused = matches!(gate.begin(gate.request("home")).1, Decision::Reject(_));
-        let mut probes = Vec::new();
-        gate.decider.due_health_checks(gate.now, &mut probes);
-        let Some(asked) = probes.first() else {
+        let mut checks = Vec::new();
+        gate.decider.due_health_checks(gate.now, &mut checks);
+        let Some(asked) = checks.first() else {
             return false;
         };
         gate.decider
             .health_check_finished(gate.now, asked.server, HealthCheckOutcome::Healthy);
-        gate.served(gate.request("home"));
+        gate.serve(gate.request("home"));
         is_refused
     });
 }
@@ -312,20 +312,20 @@
 #[test]
 fn an_unreachable_region_gets_one_health_check_at_a_time() {
     let mut gate = away(8, 0);
-    let _owed = cut_the_south(&mut gate, 2);
+    let _owed = partition_south(&mut gate, 2);
     let Gate { decider, now, .. } = &mut gate;
-    let mut probes = Vec::new();
-    decider.due_health_checks(*now, &mut probes);
-    assert_eq!(probes.len(), 1);
-    decider.due_health_checks(*now + 100 * MS, &mut probes);
-    assert_eq!(probes.len(), 1);
-    decider.due_health_checks(*now + 400 * MS, &mut probes);
-    assert_eq!(probes.len(), 2);
-    assert_ne!(probes[0].server, probes[1].server);
+    let mut checks = Vec::new();
+    decider.due_health_checks(*now, &mut checks);
+    assert_eq!(checks.len(), 1);
+    decider.due_health_checks(*now + 100 * MS, &mut checks);
+    assert_eq!(checks.len(), 1);
+    decider.due_health_checks(*now + 400 * MS, &mut checks);
+    assert_eq!(checks.len(), 2);
+    assert_ne!(checks[0].server, checks[1].server);
 }
 
-/// A gate that knows no server; until a second from now some may become known.
-fn learner() -> Gate {
+/// A gate that knows no server yet; some may be discovered within a second.
+fn discovering_gate() -> Gate {
     let mut gate = Gate::new(spec(vec![route("a", RouteKind::NonIdempotent)], Vec::new()));
     gate.decider.allow_discovery_until(gate.now + SECOND);
     gate
@@ -333,25 +333,25 @@
 
 #[test]
 fn after_a_start_a_request_waits_for_a_server_to_be_discovered() {
-    guarded(Guard::Discovery, || {
-        let mut gate = learner();
+    assert_guarded(Guard::Discovery, || {
+        let mut gate = discovering_gate();
         let (mut call, decision) = gate.begin(gate.request("a"));
         let Decision::Delay { until } = decision else {
             return false;
         };
         gate.now = until;
-        gate.swap(spec(
+        gate.update_table(spec(
             vec![route("a", RouteKind::NonIdempotent)],
             servers(0, 1, "north"),
         ));
         let decision = gate.decider.resume(gate.now, &mut call, &mut gate.limits);
-        &*sent(&decision).expect_instance == "i-0"
+        &*dispatch_of(&decision).expect_instance == "i-0"
     });
 }
 
 #[test]
 fn a_request_waits_for_servers_no_longer_than_discovery_takes() {
-    let mut gate = learner();
+    let mut gate = discovering_gate();
     gate.now += SECOND;
     assert!(matches!(
         gate.begin(gate.request("a")).1,
@@ -361,7 +361,7 @@
 
 #[test]
 fn a_request_waits_for_servers_at_most_half_of_its_time() {
-    let mut gate = learner();
+    let mut gate = discovering_gate();
     let deadline = Some(gate.now + 400 * MS);
     let (mut call, decision) = gate.begin(Request {
         deadline,
--- a/crates/routing/src/decider/tests/health.rs
+++ b/crates/routing/src/decider/tests/health.rs
@@ -1,20 +1,21 @@
-//! Ejection by what attempts show, and the return.
+//! Outlier detection: ejection by what attempts, first bytes and health checks show.
 
 use crate::guards::Guard;
 use crate::test_support::*;
 use crate::*;
 
-pub fn gate(kind: RouteKind, count: usize) -> Gate {
+pub(super) fn gate(kind: RouteKind, count: usize) -> Gate {
     let mut route = route("a", kind);
     route.affinity = false;
     Gate::new(spec(vec![route], servers(0, count, "north")))
 }
 
-/// Serves so many requests; the attempts at `sick` end as told, by the number of the attempt there.
-pub fn play(
+/// Runs requests. Attempts at the `faulty` servers end with the outcome for the number of the
+/// attempt there, others succeed. Returns the number of attempts at the faulty servers.
+pub(super) fn serve_with_faults(
     gate: &mut Gate,
     requests: usize,
-    sick: &[&str],
+    faulty: &[&str],
     mut outcome: impl FnMut(usize) -> Outcome,
 ) -> usize {
     let mut there = 0;
@@ -22,20 +23,20 @@
         gate.now += 10 * MS;
         let (mut call, mut decision) = gate.begin(gate.request("a"));
         while let Decision::Send(dispatch) = &decision {
-            let ill = sick.contains(&&*dispatch.expect_instance);
-            there += usize::from(ill);
-            let end = if ill {
+            let is_faulty = faulty.contains(&&*dispatch.expect_instance);
+            there += usize::from(is_faulty);
+            let end = if is_faulty {
                 outcome(there)
             } else {
                 Outcome::Success
             };
-            decision = gate.settle(&mut call, end);
+            decision = gate.finish_attempt(&mut call, end);
         }
     }
     there
 }
 
-pub fn ejected(gate: &Gate, count: usize) -> usize {
+pub(super) fn ejected_count(gate: &Gate, count: usize) -> usize {
     let handle = |number| gate.decider.server(&format!("i-{number}"));
     (0..count)
         .filter_map(handle)
@@ -45,7 +46,7 @@
 
 #[test]
 fn failing_servers_are_ejected() {
-    guarded(Guard::Ejected, || {
+    assert_guarded(Guard::Ejected, || {
         [
             Outcome::ServerError,
             Outcome::Reset,
@@ -56,38 +57,38 @@
         .into_iter()
         .all(|outcome| {
             let mut gate = gate(RouteKind::NonIdempotent, 4);
-            play(&mut gate, 60, &["i-0"], |_| outcome.clone()) <= 6
+            serve_with_faults(&mut gate, 60, &["i-0"], |_| outcome.clone()) <= 6
         })
     });
 }
 
 #[test]
 fn servers_at_capacity_are_not_ejected() {
-    guarded(Guard::OverloadIsNoFailure, || {
+    assert_guarded(Guard::OverloadIsNoFailure, || {
         let mut gate = gate(RouteKind::Idempotent, 4);
-        play(&mut gate, 200, &["i-0"], |_| Outcome::NotExecuted {
+        serve_with_faults(&mut gate, 200, &["i-0"], |_| Outcome::NotExecuted {
             retry_after: None,
         });
-        ejected(&gate, 4) == 0
+        ejected_count(&gate, 4) == 0
     });
 }
 
 #[test]
 fn a_failed_connect_to_a_server_that_answers_others_counts_as_overload() {
-    guarded(Guard::ConnectFailureOfLiveServer, || {
+    assert_guarded(Guard::ConnectFailureOfLiveServer, || {
         let mut gate = gate(RouteKind::Idempotent, 2);
         let server = gate.decider.server("i-0").expect("listed");
-        // It works on one request and tells so.
+        // It serves one request, and load reports show that it is alive.
         let mut first = gate.begin(gate.request("a"));
-        while sent(&first.1).server != server {
+        while dispatch_of(&first.1).server != server {
             first = gate.begin(gate.request("a"));
         }
         for _ in 0..30 {
             gate.now += 100 * MS;
             gate.decider.record_liveness(gate.now, server);
             let (mut call, decision) = gate.begin(gate.request("a"));
-            let full = sent(&decision).server == server;
-            gate.settle(
+            let full = dispatch_of(&decision).server == server;
+            gate.finish_attempt(
                 &mut call,
                 if full {
                     Outcome::ConnectFailed
@@ -103,12 +104,12 @@
 
 #[test]
 fn at_most_half_of_a_group_is_ejected() {
-    guarded(Guard::MaxEjectedShare, || {
+    assert_guarded(Guard::MaxEjectedShare, || {
         let mut gate = gate(RouteKind::Idempotent, 4);
-        play(&mut gate, 20, &["i-0", "i-1"], |_| Outcome::ConnectFailed);
-        assert_eq!(ejected(&gate, 4), 2);
+        serve_with_faults(&mut gate, 20, &["i-0", "i-1"], |_| Outcome::ConnectFailed);
+        assert_eq!(ejected_count(&gate, 4), 2);
         slow_answers(&mut gate, 100, "i-2");
-        ejected(&gate, 4) == 2
+        ejected_count(&gate, 4) == 2
     });
 }
 
@@ -122,14 +123,15 @@
             Outcome::Success
         }
     };
-    let there = play(&mut gate, 400, &["i-0"], part);
+    let there = serve_with_faults(&mut gate, 400, &["i-0"], part);
     assert!(there < 70, "{there} of about 100");
 }
 
 #[test]
 fn a_group_whose_servers_fail_alike_is_not_ejected() {
     let mut gate = gate(RouteKind::NonIdempotent, 4);
-    // By chance, whichever server it is: the place in a round would tell of the server.
+    // At random rather than by number, because the number would follow the server's position in the
+    // round.
     let mut chance = ironmast_balancer::Rng(7);
     let mut part = move || {
         if chance.unit() < 0.25 {
@@ -139,17 +141,17 @@
         }
     };
     let all = ["i-0", "i-1", "i-2", "i-3"];
-    // What is usual must be known first; a health check ends an ejection before that.
-    play(&mut gate, 300, &all, |_| part());
-    let mut probes = Vec::new();
-    gate.decider.due_health_checks(gate.now, &mut probes);
-    for probe in &probes {
+    // The baseline must be known first; a health check ends any ejection before that.
+    serve_with_faults(&mut gate, 300, &all, |_| part());
+    let mut checks = Vec::new();
+    gate.decider.due_health_checks(gate.now, &mut checks);
+    for check in &checks {
         gate.decider
-            .health_check_finished(gate.now, probe.server, HealthCheckOutcome::Healthy);
+            .health_check_finished(gate.now, check.server, HealthCheckOutcome::Healthy);
     }
     let most = (0..100).map(|_| {
-        play(&mut gate, 4, &all, |_| part());
-        ejected(&gate, 4)
+        serve_with_faults(&mut gate, 4, &all, |_| part());
+        ejected_count(&gate, 4)
     });
     assert_eq!(most.max(), Some(0));
 }
@@ -157,14 +159,14 @@
 #[test]
 fn a_fast_failure_does_not_attract_load() {
     let mut gate = gate(RouteKind::NonIdempotent, 3);
-    // Requests at sound servers stay in flight; the sick one fails at once and always looks idle.
+    // Requests at healthy servers stay in flight; the faulty one fails at once and looks idle.
     let mut there = 0;
     for _ in 0..12 {
         gate.now += 10 * MS;
         let (mut call, decision) = gate.begin(gate.request("a"));
-        if &*sent(&decision).expect_instance == "i-0" {
+        if &*dispatch_of(&decision).expect_instance == "i-0" {
             there += 1;
-            gate.settle(&mut call, Outcome::ServerError);
+            gate.finish_attempt(&mut call, Outcome::ServerError);
         }
     }
     assert!(there <= 4, "{there} of 12");
@@ -177,18 +179,19 @@
     assert!(late < 30, "{late} of about 50");
 }
 
-/// Serves so many requests, one server taking twenty times as long as the others; how many it had.
+/// Runs requests, of which one server takes twenty times as long as the others. Returns the number
+/// of requests that it got.
 fn slow_answers(gate: &mut Gate, requests: usize, slow: &str) -> usize {
     let mut late = 0;
     for _ in 0..requests {
         let (mut call, decision) = gate.begin(gate.request("a"));
-        let slow = &*sent(&decision).expect_instance == slow;
+        let slow = &*dispatch_of(&decision).expect_instance == slow;
         late += usize::from(slow);
         let sent_at = gate.now;
         gate.now += if slow { 2 * SECOND } else { 100 * MS };
         gate.decider.first_byte_received(gate.now, &mut call);
-        gate.settle(&mut call, Outcome::Success);
-        // The others' rests are not to end meanwhile.
+        gate.finish_attempt(&mut call, Outcome::Success);
+        // The other servers' ejections must not end meanwhile.
         gate.now = sent_at + MS;
     }
     late
@@ -197,8 +200,8 @@
 #[test]
 fn servers_of_a_region_are_used_when_all_are_ejected() {
     let mut gate = gate(RouteKind::NonIdempotent, 2);
-    play(&mut gate, 40, &["i-0", "i-1"], |_| Outcome::ConnectFailed);
-    assert_eq!(ejected(&gate, 2), 2);
+    serve_with_faults(&mut gate, 40, &["i-0", "i-1"], |_| Outcome::ConnectFailed);
+    assert_eq!(ejected_count(&gate, 2), 2);
     assert!(matches!(gate.begin(gate.request("a")).1, Decision::Send(_)));
 }
 
@@ -208,61 +211,64 @@
     route.affinity = false;
     let fleet = [servers(0, 1, "north"), servers(1, 2, "south")].concat();
     let mut gate = Gate::new(spec(vec![route], fleet));
-    play(&mut gate, 20, &["i-0"], |_| Outcome::ConnectFailed);
-    assert!(sent(&gate.begin(gate.request("a")).1).crosses_region);
+    serve_with_faults(&mut gate, 20, &["i-0"], |_| Outcome::ConnectFailed);
+    assert!(dispatch_of(&gate.begin(gate.request("a")).1).crosses_region);
 }
 
 #[test]
 fn a_removed_server_is_kept_until_its_last_attempt_ends() {
     let mut gate = gate(RouteKind::Idempotent, 1);
     let (mut call, decision) = gate.begin(gate.request("a"));
-    let server = sent(&decision).server;
+    let server = dispatch_of(&decision).server;
     let mut table = spec(
         vec![route("a", RouteKind::Idempotent)],
         servers(1, 1, "north"),
     );
     table.routes[0].affinity = false;
-    gate.swap(table);
+    gate.update_table(table);
     assert_eq!(gate.decider.in_flight(server), 1);
-    assert_eq!(&*gate.served(gate.request("a")), "i-1");
-    assert_eq!(gate.settle(&mut call, Outcome::Success), Decision::Finished);
+    assert_eq!(&*gate.serve(gate.request("a")), "i-1");
+    assert_eq!(
+        gate.finish_attempt(&mut call, Outcome::Success),
+        Decision::Finished
+    );
     assert_eq!(gate.decider.in_flight(server), 0);
     assert!(gate.decider.server("i-0").is_none());
 }
 
 #[test]
 fn an_unresponsive_server_is_used_last_before_its_attempts_end() {
-    guarded(Guard::UnresponsiveLast, || {
+    assert_guarded(Guard::UnresponsiveLast, || {
         let mut gate = gate(RouteKind::NonIdempotent, 3);
         let (mut there, mut dark) = (0, Vec::new());
         for _ in 0..60 {
             gate.now += 50 * MS;
             let (mut call, decision) = gate.begin(gate.request("a"));
-            if &*sent(&decision).expect_instance == "i-0" {
+            if &*dispatch_of(&decision).expect_instance == "i-0" {
                 there += 1;
                 dark.push(call);
             } else {
-                gate.settle(&mut call, Outcome::Success);
+                gate.finish_attempt(&mut call, Outcome::Success);
             }
         }
-        // It was dark from the start, and was found out after some 0.6 to 1 s of 3.
+        // It was silent from the start, and was detected after 0.6 s to 1 s of 3 s.
         let found = there <= 6;
-        // A sign of life brings it back at once.
+        // Anything received from it makes it usable at once.
         let server = gate.decider.server("i-0").expect("listed");
         gate.decider.record_liveness(gate.now, server);
-        let open = |gate: &mut Gate| sent(&gate.begin(gate.request("a")).1).server;
+        let open = |gate: &mut Gate| dispatch_of(&gate.begin(gate.request("a")).1).server;
         found && (0..24).any(|_| open(&mut gate) == server)
     });
 }
 
 #[test]
 fn a_loaded_server_is_not_ejected_as_slow() {
-    guarded(Guard::LoadedIsNotSlow, || {
+    assert_guarded(Guard::LoadedIsNotSlow, || {
         let mut gate = gate(RouteKind::Idempotent, 4);
         for _ in 0..200 {
             let (mut call, decision) = gate.begin(gate.request("a"));
-            let server = sent(&decision).server;
-            let crowded = &*sent(&decision).expect_instance == "i-0";
+            let server = dispatch_of(&decision).server;
+            let crowded = &*dispatch_of(&decision).expect_instance == "i-0";
             let sent_at = gate.now;
             gate.now += if crowded { 2 * SECOND } else { 100 * MS };
             let load = LoadReport {
@@ -273,25 +279,24 @@
             };
             gate.decider.apply_load_report(gate.now, server, load);
             gate.decider.first_byte_received(gate.now, &mut call);
-            gate.settle(&mut call, Outcome::Success);
+            gate.finish_attempt(&mut call, Outcome::Success);
             gate.now = sent_at + MS;
         }
-        ejected(&gate, 4) == 0
+        ejected_count(&gate, 4) == 0
     });
 }
 
-/// A gate that has sent one request to each of three servers, of which `i-0` gives no sign any
-/// more.
-fn with_dark() -> (Gate, ServerHandle, Vec<Call>) {
+/// A gate that has sent one request to each of three servers, of which `i-0` has gone silent.
+fn gate_with_unresponsive_server() -> (Gate, ServerHandle, Vec<Call>) {
     let mut gate = gate(RouteKind::NonIdempotent, 3);
     let server = gate.decider.server("i-0").expect("listed");
     let mut dark = Vec::new();
     for _ in 0..6 {
         let (mut call, decision) = gate.begin(gate.request("a"));
-        if sent(&decision).server == server {
+        if dispatch_of(&decision).server == server {
             dark.push(call);
         } else {
-            gate.settle(&mut call, Outcome::Success);
+            gate.finish_attempt(&mut call, Outcome::Success);
         }
     }
     (gate, server, dark)
@@ -299,16 +304,16 @@
 
 #[test]
 fn an_unresponsive_server_is_checked_and_ejected_when_the_check_fails() {
-    let (mut gate, server, _dark) = with_dark();
-    let mut probes = Vec::new();
+    let (mut gate, server, _dark) = gate_with_unresponsive_server();
+    let mut checks = Vec::new();
     gate.now += SECOND;
-    gate.decider.due_health_checks(gate.now, &mut probes);
-    assert!(probes.is_empty());
+    gate.decider.due_health_checks(gate.now, &mut checks);
+    assert!(checks.is_empty());
     gate.now += SECOND;
-    gate.decider.due_health_checks(gate.now, &mut probes);
-    gate.decider.due_health_checks(gate.now, &mut probes);
+    gate.decider.due_health_checks(gate.now, &mut checks);
+    gate.decider.due_health_checks(gate.now, &mut checks);
     assert_eq!(
-        probes.iter().map(|probe| probe.server).collect::<Vec<_>>(),
+        checks.iter().map(|check| check.server).collect::<Vec<_>>(),
         [server]
     );
     gate.decider
@@ -318,23 +323,23 @@
 
 #[test]
 fn an_unresponsive_server_that_passes_its_health_check_is_not_ejected() {
-    let (mut gate, server, _dark) = with_dark();
-    let mut probes = Vec::new();
+    let (mut gate, server, _dark) = gate_with_unresponsive_server();
+    let mut checks = Vec::new();
     gate.now += 2 * SECOND;
-    gate.decider.due_health_checks(gate.now, &mut probes);
+    gate.decider.due_health_checks(gate.now, &mut checks);
     gate.decider
         .health_check_finished(gate.now, server, HealthCheckOutcome::Healthy);
     assert!(!gate.decider.is_ejected(server));
-    probes.clear();
+    checks.clear();
     gate.now += SECOND;
-    gate.decider.due_health_checks(gate.now, &mut probes);
-    assert!(probes.is_empty(), "not asked all the time");
+    gate.decider.due_health_checks(gate.now, &mut checks);
+    assert!(checks.is_empty(), "not asked all the time");
 }
 
 #[test]
 fn disconnects_from_a_silent_server_count_as_timeouts() {
-    guarded(Guard::UnresponsiveCancelCounts, || {
-        let (mut gate, server, mut dark) = with_dark();
+    assert_guarded(Guard::UnresponsiveCancelCounts, || {
+        let (mut gate, server, mut dark) = gate_with_unresponsive_server();
         for _ in 0..4 {
             gate.now += 3 * SECOND;
             for mut call in dark.drain(..) {
@@ -342,10 +347,10 @@
             }
             for _ in 0..6 {
                 let (mut call, decision) = gate.begin(gate.request("a"));
-                if sent(&decision).server == server {
+                if dispatch_of(&decision).server == server {
                     dark.push(call);
                 } else {
-                    gate.settle(&mut call, Outcome::Success);
+                    gate.finish_attempt(&mut call, Outcome::Success);
                 }
             }
         }
@@ -362,12 +367,12 @@
         gate.now += 200 * MS;
         gate.decider.cancel(gate.now, &mut call);
     }
-    assert_eq!(ejected(&gate, 3), 0);
+    assert_eq!(ejected_count(&gate, 3), 0);
 }
 
-/// Requests of 200 that reach `i-0`, where so many other gates say that it is quiet. `heard` tells
-/// whether this gate has just heard of it.
-fn reach_quiet(tellers: u64, heard: bool) -> usize {
+/// Number of 200 requests that reach `i-0` while other gates suspect it. `heard` says whether this
+/// gate has just received something from it.
+fn reach_suspected(tellers: u64, heard: bool) -> usize {
     let mut gate = gate(RouteKind::Idempotent, 4);
     gate.now += 1_000 * MS;
     let quiet = PeerReport {
@@ -381,7 +386,7 @@
         if heard {
             gate.decider.record_liveness(gate.now, server);
         }
-        there += usize::from(&*gate.served(gate.request("a")) == "i-0");
+        there += usize::from(&*gate.serve(gate.request("a")) == "i-0");
         gate.now += 10 * MS;
     }
     there
@@ -389,12 +394,12 @@
 
 #[test]
 fn a_server_suspected_by_several_gates_gets_no_requests() {
-    guarded(Guard::UnresponsiveLast, || reach_quiet(2, false) == 0);
+    assert_guarded(Guard::UnresponsiveLast, || reach_suspected(2, false) == 0);
     assert!(
-        reach_quiet(1, false) > 40,
+        reach_suspected(1, false) > 40,
         "the way of one gate may be at fault"
     );
-    assert!(reach_quiet(2, true) > 40, "this gate hears it");
+    assert!(reach_suspected(2, true) > 40, "this gate hears it");
 }
 
 #[test]
@@ -406,12 +411,12 @@
         ..PeerReport::default()
     };
     (0..2).for_each(|peer| gate.decider.apply_peer_report(gate.now, peer, &quiet));
-    assert_eq!(&*gate.served(gate.request("a")), "i-1");
+    assert_eq!(&*gate.serve(gate.request("a")), "i-1");
     (0..2).for_each(|peer| {
         gate.decider
-            .apply_peer_report(gate.now, peer, &PeerReport::default())
+            .apply_peer_report(gate.now, peer, &PeerReport::default());
     });
-    let served: Vec<_> = (0..2).map(|_| gate.served(gate.request("a"))).collect();
+    let served: Vec<_> = (0..2).map(|_| gate.serve(gate.request("a"))).collect();
     assert!(served.iter().any(|server| &**server == "i-0"));
 }
 
@@ -419,7 +424,7 @@
 fn a_gate_reports_unresponsive_servers_as_suspect() {
     let mut gate = gate(RouteKind::Idempotent, 2);
     let (_call, decision) = gate.begin(gate.request("a"));
-    let silent = crate::affinity::name_hash(&sent(&decision).expect_instance);
+    let silent = crate::affinity::name_hash(&dispatch_of(&decision).expect_instance);
     assert_eq!(gate.decider.peer_report(gate.now).suspect, []);
     gate.now += 700 * MS;
     assert_eq!(gate.decider.peer_report(gate.now).suspect, [silent]);
@@ -435,7 +440,7 @@
     ] {
         let mut gate = gate(RouteKind::NonIdempotent, 1);
         let (mut call, _) = gate.begin(gate.request("a"));
-        gate.settle(&mut call, outcome.clone());
+        gate.finish_attempt(&mut call, outcome.clone());
         assert_eq!(
             gate.decider.peer_report(gate.now).suspect,
             [crate::affinity::name_hash("i-0")],
@@ -446,20 +451,20 @@
             [],
             "{outcome:?} long ago"
         );
-        gate.served(gate.request("a"));
+        gate.serve(gate.request("a"));
         assert_eq!(gate.decider.peer_report(gate.now).suspect, []);
     }
 }
 
-/// Two of four servers break every attempt; the others have just been heard.
+/// Two of four servers break every attempt; something was just received from the others.
 #[test]
 fn a_retry_goes_to_a_server_that_has_just_answered() {
-    guarded(Guard::RetryAtLiveServer, || {
+    assert_guarded(Guard::RetryAtLiveServer, || {
         (0..20).all(|seed| {
             let mut route = route("a", RouteKind::Idempotent);
             route.affinity = false;
             let table = spec(vec![route], servers(0, 4, "north"));
-            let mut gate = Gate::with(table, Settings::new("north", "z"), seed);
+            let mut gate = Gate::with_settings(table, Settings::new("north", "z"), seed);
             gate.now += 5_000 * MS;
             for well in ["i-2", "i-3"] {
                 let server = gate.decider.server(well).expect("listed");
@@ -468,7 +473,7 @@
             let (mut call, mut decision) = gate.begin(gate.request("a"));
             while let Decision::Send(dispatch) = &decision {
                 let is_well = matches!(&*dispatch.expect_instance, "i-2" | "i-3");
-                decision = gate.settle(
+                decision = gate.finish_attempt(
                     &mut call,
                     if is_well {
                         Outcome::Success
--- a/crates/routing/src/decider/tests/properties.rs
+++ b/crates/routing/src/decider/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties over many fleets and fates: a gate at random, and a judge that knows what must hold.
+//! Invariants under random events: a gate driven at random, and a check of every decision.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -9,7 +9,8 @@
 use crate::test_support::*;
 use crate::*;
 
-/// 10,000 requests without a key, each served before the next or with some in flight.
+/// Number of requests that each server gets of 10,000 without an affinity key, with a number of
+/// them in flight.
 fn shares(servers_count: usize, in_flight: usize) -> Vec<usize> {
     let mut route = route("a", RouteKind::Idempotent);
     route.affinity = false;
@@ -20,12 +21,12 @@
         gate.now += MS;
         let (call, decision) = gate.begin(gate.request("a"));
         *counts
-            .entry(sent(&decision).expect_instance.clone())
+            .entry(dispatch_of(&decision).expect_instance.clone())
             .or_default() += 1;
         open.push_back(call);
         if open.len() > in_flight {
             let mut call = open.pop_front().expect("a call");
-            gate.settle(&mut call, Outcome::Success);
+            gate.finish_attempt(&mut call, Outcome::Success);
         }
     }
     counts.into_values().collect()
@@ -33,7 +34,7 @@
 
 #[test]
 fn round_robin_shares_are_even() {
-    guarded(Guard::ShuffledRoundRobin, || {
+    assert_guarded(Guard::ShuffledRoundRobin, || {
         [(3, 0), (6, 10), (13, 20), (40, 100)]
             .into_iter()
             .all(|(servers, in_flight)| {
@@ -57,9 +58,7 @@
     let mut gate = Gate::new(table);
     let mut counts: BTreeMap<Arc<str>, usize> = BTreeMap::new();
     for key in 0..10_000 {
-        *counts
-            .entry(gate.served(gate.prompt("a", key)))
-            .or_default() += 1;
+        *counts.entry(gate.serve(gate.prompt("a", key))).or_default() += 1;
     }
     assert!(
         counts.values().all(|count| (900..1100).contains(count)),
@@ -67,20 +66,20 @@
     );
 }
 
-/// A request that is open, with what the judge knows of it.
+/// A request in progress, with what the invariants depend on.
 struct Open {
     call: Call,
     allowed: Vec<Box<str>>,
     kind: RouteKind,
     most: usize,
-    /// Attempts that may have arrived, and servers that had one.
+    /// Number of attempts that may have arrived.
     arrived: usize,
-    had: BTreeSet<ServerHandle>,
+    tried: BTreeSet<ServerHandle>,
     may_have_run: bool,
-    /// The client has the head of an answer.
+    /// The client has received the head of an answer.
     head: bool,
-    /// The latest attempt never arrived: what it paid is left to the next.
-    unspent: bool,
+    /// The latest attempt never arrived, so its charge to the budget counts for the next.
+    has_unused_charge: bool,
     decision: Decision,
 }
 
@@ -97,7 +96,7 @@
 }
 
 /// A gate driven at random.
-struct Play {
+struct RandomRun {
     gate: Gate,
     rng: Rng,
     table: TableSpec,
@@ -110,7 +109,7 @@
     (rng.unit() * count as f64) as usize
 }
 
-impl Play {
+impl RandomRun {
     fn new(seed: u64) -> Self {
         let kinds = [
             RouteKind::Idempotent,
@@ -134,9 +133,9 @@
         ]
         .concat();
         let table = spec(routes, fleet);
-        let gate = Gate::with(table.clone(), Settings::new("north", "north-0"), seed);
+        let gate = Gate::with_settings(table.clone(), Settings::new("north", "north-0"), seed);
         let (open, displaced) = (Vec::new(), BTreeSet::new());
-        Play {
+        RandomRun {
             gate,
             rng: Rng(seed),
             table,
@@ -146,7 +145,7 @@
         }
     }
 
-    /// Another state of some servers; at times one leaves and another takes its place.
+    /// Changes the state of servers. At times an instance is replaced by another.
     fn change(&mut self) {
         for number in 0..self.table.servers.len() {
             let fate = self.rng.unit();
@@ -167,7 +166,7 @@
                 self.displaced.remove(&server.instance);
             }
         }
-        self.gate.swap(self.table.clone());
+        self.gate.update_table(self.table.clone());
     }
 
     fn outcome(&mut self) -> Outcome {
@@ -193,16 +192,16 @@
         all[pick(&mut self.rng, all.len())].clone()
     }
 
-    /// One step; an error names what did not hold.
+    /// One random event. An error names the invariant that does not hold.
     fn step(&mut self) -> Result<(), &'static str> {
         self.gate.now += pick(&mut self.rng, 80) as u64 * MS;
         self.gate.limits.permits = u32::from(self.rng.unit() < 0.3);
-        self.gate.limits.repeats = u32::from(self.rng.unit() < 0.7);
+        self.gate.limits.retries = u32::from(self.rng.unit() < 0.7);
         match pick(&mut self.rng, 20) {
             0 => self.change(),
-            9 => self.probe(),
+            9 => self.check(),
             1..9 => return self.begin(),
-            _ if !self.open.is_empty() => return self.go_on(),
+            _ if !self.open.is_empty() => return self.advance(),
             _ => {}
         }
         Ok(())
@@ -215,23 +214,23 @@
         let request = self.gate.prompt(&name, pick(&mut self.rng, 6) as u64);
         let permits = self.gate.limits.permits;
         let (call, decision) = self.gate.begin(request);
-        let (had, may_have_run, unspent, head) = (BTreeSet::new(), false, false, false);
+        let (tried, may_have_run, has_unused_charge, head) = (BTreeSet::new(), false, false, false);
         let open = Open {
             call,
             allowed,
             kind,
             most,
             arrived: 0,
-            had,
+            tried,
             may_have_run,
             head,
-            unspent,
+            has_unused_charge,
             decision,
         };
-        self.judge(open, permits)
+        self.verify(open, permits)
     }
 
-    fn go_on(&mut self) -> Result<(), &'static str> {
+    fn advance(&mut self) -> Result<(), &'static str> {
         let mut open = self.open.swap_remove(pick(&mut self.rng, self.open.len()));
         let permits = self.gate.limits.permits;
         if matches!(open.decision, Decision::Delay { .. }) {
@@ -239,26 +238,26 @@
                 self.gate
                     .decider
                     .resume(self.gate.now, &mut open.call, &mut self.gate.limits);
-            return self.judge(open, permits);
+            return self.verify(open, permits);
         }
         self.progress(&mut open);
         let outcome = self.outcome();
         if outcome == Outcome::WrongInstance {
             self.displaced
-                .insert(sent(&open.decision).expect_instance.clone());
+                .insert(dispatch_of(&open.decision).expect_instance.clone());
         }
         open.arrived += usize::from(!outcome.never_sent());
         open.may_have_run |= !outcome.never_executed();
-        open.unspent = outcome.never_sent();
+        open.has_unused_charge = outcome.never_sent();
         open.head |= matches!(outcome, Outcome::Truncated { .. });
         if outcome == Outcome::NotSent {
-            open.had.remove(&sent(&open.decision).server);
+            open.tried.remove(&dispatch_of(&open.decision).server);
         }
-        open.decision = self.gate.settle(&mut open.call, outcome);
-        self.judge(open, permits)
+        open.decision = self.gate.finish_attempt(&mut open.call, outcome);
+        self.verify(open, permits)
     }
 
-    /// What may come before an attempt ends.
+    /// Events that may come before an attempt ends.
     fn progress(&mut self, open: &mut Open) {
         let now = self.gate.now;
         if self.rng.unit() < 0.5 {
@@ -281,17 +280,17 @@
             };
             self.gate
                 .decider
-                .apply_load_report(now, sent(&open.decision).server, load);
+                .apply_load_report(now, dispatch_of(&open.decision).server, load);
         }
     }
 
-    /// Health checks that are due, some of which find nobody.
-    fn probe(&mut self) {
-        let mut probes = Vec::new();
+    /// Runs the health checks that are due, some of which fail.
+    fn check(&mut self) {
+        let mut checks = Vec::new();
         self.gate
             .decider
-            .due_health_checks(self.gate.now, &mut probes);
-        for probe in probes {
+            .due_health_checks(self.gate.now, &mut checks);
+        for check in checks {
             let well = self.rng.unit() < 0.5;
             let outcome = if well {
                 HealthCheckOutcome::Healthy
@@ -300,12 +299,12 @@
             };
             self.gate
                 .decider
-                .health_check_finished(self.gate.now, probe.server, outcome);
+                .health_check_finished(self.gate.now, check.server, outcome);
         }
     }
 
-    /// What must hold of a decision.
-    fn judge(&mut self, mut open: Open, permits: u32) -> Result<(), &'static str> {
+    /// Checks the invariants of a decision.
+    fn verify(&mut self, mut open: Open, permits: u32) -> Result<(), &'static str> {
         let check = |holds: bool, rule| if holds { Ok(()) } else { Err(rule) };
         match &open.decision {
             Decision::Send(dispatch) => {
@@ -321,28 +320,31 @@
                 check(!self.displaced.contains(&server.instance), "displaced")?;
                 let home =
                     open.allowed.is_empty() || open.allowed.iter().any(|r| **r == *server.region);
-                check(home, "outside of its regions")?;
+                check(home, "outside of the allowed regions")?;
                 check(
                     !server.warming_up || permits > self.gate.limits.permits,
-                    "cold without a permit",
+                    "warming up without a permit",
                 )?;
                 check(open.arrived < open.most, "too many attempts")?;
-                check(open.had.insert(dispatch.server), "a server twice")?;
+                check(open.tried.insert(dispatch.server), "a server twice")?;
                 check(
                     open.kind.is_idempotent() || !open.may_have_run,
-                    "repeated after it may have run",
+                    "retried although it may have run",
+                )?;
+                let paid = self.gate.limits.withdrawals > self.paid;
+                check(
+                    open.arrived == 0 || paid || open.has_unused_charge,
+                    "a retry that was not charged",
                 )?;
-                let paid = self.gate.limits.taken > self.paid;
-                check(open.arrived == 0 || paid || open.unspent, "a repeat unpaid")?;
             }
-            Decision::Reject(_) => check(!open.may_have_run, "refused though it may have run")?,
+            Decision::Reject(_) => check(!open.may_have_run, "rejected although it may have run")?,
             Decision::ForwardResponse | Decision::Fail { .. } => {
-                check(!open.head, "an answer behind another's head")?
+                check(!open.head, "an answer after the head of another")?;
             }
-            Decision::AbortResponse => check(open.head, "broken off without a head")?,
+            Decision::AbortResponse => check(open.head, "aborted without a head")?,
             _ => {}
         }
-        self.paid = self.gate.limits.taken;
+        self.paid = self.gate.limits.withdrawals;
         if open.decision.is_final() {
             check(open.call.is_done(), "a final decision on an open call")?;
         } else {
@@ -351,7 +353,7 @@
         Ok(())
     }
 
-    /// Ends what is open; nothing may be left in flight.
+    /// Cancels every open request; nothing may stay in flight.
     fn end(mut self) -> Result<(), &'static str> {
         for open in &mut self.open {
             self.gate.decider.cancel(self.gate.now, &mut open.call);
@@ -373,10 +375,10 @@
     }
 }
 
-/// Plays so many seeds; the first rule that did not hold.
-fn played(seeds: u64) -> Result<(), &'static str> {
+/// Runs that many seeds. An error names the first invariant that does not hold.
+fn run_seeds(seeds: u64) -> Result<(), &'static str> {
     for seed in 0..seeds {
-        let mut play = Play::new(seed);
+        let mut play = RandomRun::new(seed);
         for _ in 0..400 {
             play.step()?;
         }
@@ -387,28 +389,28 @@
 
 #[test]
 fn every_invariant_holds_for_random_events() {
-    assert_eq!(played(60), Ok(()));
+    assert_eq!(run_seeds(60), Ok(()));
 }
 
 #[test]
 fn the_invariants_notice_each_missing_protection() {
     let caught = [
-        (Guard::AllowedRegions, "outside of its regions"),
+        (Guard::AllowedRegions, "outside of the allowed regions"),
         (Guard::Draining, "draining"),
         (Guard::Evacuated, "evacuated"),
         (Guard::Displaced, "displaced"),
-        (Guard::Permit, "cold without a permit"),
-        (Guard::AtMostOnce, "repeated after it may have run"),
+        (Guard::Permit, "warming up without a permit"),
+        (Guard::AtMostOnce, "retried although it may have run"),
         (Guard::MaxAttempts, "too many attempts"),
-        (Guard::RetryBudget, "a repeat unpaid"),
+        (Guard::RetryBudget, "a retry that was not charged"),
         (
             Guard::RejectOnlyUnexecuted,
-            "refused though it may have run",
+            "rejected although it may have run",
         ),
     ];
     for (guard, rule) in caught {
         assert_eq!(
-            without(guard, || played(60)),
+            without(guard, || run_seeds(60)),
             Err(rule),
             "without {guard:?}"
         );
--- a/crates/routing/src/decider/tests/rejections.rs
+++ b/crates/routing/src/decider/tests/rejections.rs
@@ -4,7 +4,7 @@
 use crate::test_support::*;
 use crate::*;
 
-/// A gate that lets nothing wait at servers, where each rank has one level that leaves 0.05 less.
+/// A gate that lets no request queue at servers, with one limit for each priority, 0.05 apart.
 fn exact(table: TableSpec) -> Gate {
     let mut settings = Settings::new("north", "north-0");
     (
@@ -12,10 +12,10 @@
         settings.rejection_ramp,
         settings.priority_step,
     ) = (0.0, 0.0, 0.05);
-    Gate::with(table, settings, 1)
+    Gate::with_settings(table, settings, 1)
 }
 
-/// One server with 8 slots and routes of two ranks.
+/// One server with 8 slots and routes of two priorities.
 fn gate() -> Gate {
     let urgent = route("urgent", RouteKind::Idempotent);
     let mut patient = route("patient", RouteKind::Idempotent);
@@ -23,12 +23,12 @@
     exact(spec(vec![urgent, patient], servers(0, 1, "north")))
 }
 
-/// Requests that are taken before the first refusal, at most 100.
-fn taken(gate: &mut Gate, name: &str) -> (usize, Option<Rejection>) {
+/// Requests that are taken before the first rejection, at most 100.
+fn accepted_before_rejection(gate: &mut Gate, name: &str) -> (usize, Option<Rejection>) {
     for count in 0..100 {
         match gate.begin(gate.request(name)).1 {
             Decision::Send(_) => {}
-            Decision::Reject(refusal) => return (count, Some(refusal)),
+            Decision::Reject(rejection) => return (count, Some(rejection)),
             other => panic!("{other:?}"),
         }
     }
@@ -38,26 +38,26 @@
 #[test]
 fn when_all_servers_are_full_requests_are_rejected_at_once_with_a_retry_delay() {
     let mut gate = gate();
-    let (count, refusal) = taken(&mut gate, "urgent");
-    let refusal = refusal.expect("a refusal");
-    assert_eq!((count, refusal.status), (8, RejectionStatus::Unavailable));
-    // A place of eight is free after an eighth of the usual second, spread by a quarter.
+    let (count, rejection) = accepted_before_rejection(&mut gate, "urgent");
+    let rejection = rejection.expect("a rejection");
+    assert_eq!((count, rejection.status), (8, RejectionStatus::Unavailable));
+    // One of eight slots is free after an eighth of the average second, with jitter of a quarter.
     assert!(
-        (90 * MS..160 * MS).contains(&refusal.retry_after),
-        "{refusal:?}"
+        (90 * MS..160 * MS).contains(&rejection.retry_after),
+        "{rejection:?}"
     );
-    let seconds: f64 = refusal.retry_after_seconds().parse().expect("a number");
-    assert!((seconds * 1e6 - refusal.retry_after as f64).abs() < 1000.0);
+    let seconds: f64 = rejection.retry_after_seconds().parse().expect("a number");
+    assert!((seconds * 1e6 - rejection.retry_after as f64).abs() < 1000.0);
 }
 
 #[test]
 fn less_urgent_requests_leave_capacity() {
-    guarded(Guard::PriorityReserve, || {
+    assert_guarded(Guard::PriorityReserve, || {
         let mut gate = gate();
-        let (count, refusal) = taken(&mut gate, "patient");
+        let (count, rejection) = accepted_before_rejection(&mut gate, "patient");
         let crowded =
-            refusal.is_some_and(|refusal| refusal.status == RejectionStatus::TooManyRequests);
-        crowded && count == 7 && taken(&mut gate, "urgent").0 == 1
+            rejection.is_some_and(|rejection| rejection.status == RejectionStatus::TooManyRequests);
+        crowded && count == 7 && accepted_before_rejection(&mut gate, "urgent").0 == 1
     });
 }
 
@@ -72,12 +72,12 @@
         kv_cache: None,
     };
     gate.decider.apply_load_report(gate.now, server, load);
-    assert_eq!(taken(&mut gate, "urgent").0, 2);
+    assert_eq!(accepted_before_rejection(&mut gate, "urgent").0, 2);
 }
 
 #[test]
 fn no_request_is_rejected_while_half_of_the_slots_are_free() {
-    guarded(Guard::FreeSlots, || {
+    assert_guarded(Guard::FreeSlots, || {
         let mut table = spec(
             vec![route("a", RouteKind::Stream { resumable: false })],
             servers(0, 2, "north"),
@@ -93,7 +93,7 @@
     let mut gate = gate();
     let server = gate.decider.server("i-0").expect("listed");
     let (mut call, _) = gate.begin(gate.request("urgent"));
-    gate.settle(&mut call, Outcome::NotExecuted { retry_after: None });
+    gate.finish_attempt(&mut call, Outcome::NotExecuted { retry_after: None });
     let load = LoadReport {
         running: 1,
         waiting: 3,
@@ -109,22 +109,24 @@
 
 #[test]
 fn a_full_server_is_left_alone_during_its_backoff() {
-    guarded(Guard::OverloadBackoff, || {
+    assert_guarded(Guard::OverloadBackoff, || {
         let mut gate = exact(spec(
             vec![route("a", RouteKind::NonIdempotent)],
             servers(0, 2, "north"),
         ));
         let (mut call, decision) = gate.begin(gate.request("a"));
-        let full = sent(&decision).expect_instance.clone();
-        gate.settle(
+        let full = dispatch_of(&decision).expect_instance.clone();
+        gate.finish_attempt(
             &mut call,
             Outcome::NotExecuted {
                 retry_after: Some(30 * MS),
             },
         );
-        let others = (0..4).all(|_| sent(&gate.begin(gate.request("a")).1).expect_instance != full);
+        let others =
+            (0..4).all(|_| dispatch_of(&gate.begin(gate.request("a")).1).expect_instance != full);
         gate.now += 200 * MS;
-        others && (0..4).any(|_| sent(&gate.begin(gate.request("a")).1).expect_instance == full)
+        others
+            && (0..4).any(|_| dispatch_of(&gate.begin(gate.request("a")).1).expect_instance == full)
     });
 }
 
@@ -160,7 +162,11 @@
     table.services[0].slots = 6;
     table.gates = 6;
     let mut gate = exact(table);
-    assert_eq!(taken(&mut gate, "a").0, 4, "twice the even share");
+    assert_eq!(
+        accepted_before_rejection(&mut gate, "a").0,
+        4,
+        "twice the even share"
+    );
 }
 
 #[test]
@@ -169,13 +175,13 @@
     let outcome = Outcome::NotExecuted {
         retry_after: Some(800 * MS),
     };
-    let (_, last) = gate.fails(gate.request("urgent"), &outcome);
-    let Decision::Reject(refusal) = last else {
+    let (_, last) = gate.fail_all_attempts(gate.request("urgent"), &outcome);
+    let Decision::Reject(rejection) = last else {
         panic!("{last:?}")
     };
     assert!(
-        (600 * MS..=1000 * MS).contains(&refusal.retry_after),
-        "{refusal:?}"
+        (600 * MS..=1000 * MS).contains(&rejection.retry_after),
+        "{rejection:?}"
     );
 }
 
@@ -189,10 +195,10 @@
     let outcome = Outcome::NotExecuted {
         retry_after: Some(2 * SECOND),
     };
-    let Decision::Reject(refusal) = gate.fails(request, &outcome).1 else {
+    let Decision::Reject(rejection) = gate.fail_all_attempts(request, &outcome).1 else {
         panic!("not refused")
     };
-    assert!(refusal.retry_after <= 375 * MS, "{refusal:?}");
+    assert!(rejection.retry_after <= 375 * MS, "{rejection:?}");
 }
 
 #[test]
@@ -208,15 +214,15 @@
 #[test]
 fn rejected_clients_are_told_to_retry_one_after_the_other() {
     let mut gate = gate();
-    taken(&mut gate, "urgent");
+    accepted_before_rejection(&mut gate, "urgent");
     let mut waits = Vec::new();
     for _ in 0..8 {
-        let Decision::Reject(refusal) = gate.begin(gate.request("urgent")).1 else {
+        let Decision::Reject(rejection) = gate.begin(gate.request("urgent")).1 else {
             panic!("not refused")
         };
-        waits.push(refusal.retry_after);
+        waits.push(rejection.retry_after);
     }
-    // A place of eight comes each eighth of a second; each is spread by a quarter to either side.
+    // One of eight slots becomes free each eighth of a second, with jitter of a quarter.
     for (number, wait) in waits.iter().enumerate() {
         let turn = (number as u64 + 2) * 125 * MS;
         assert!(
@@ -227,18 +233,18 @@
     for _ in 0..100 {
         gate.begin(gate.request("urgent"));
     }
-    let Decision::Reject(refusal) = gate.begin(gate.request("urgent")).1 else {
+    let Decision::Reject(rejection) = gate.begin(gate.request("urgent")).1 else {
         panic!("not refused")
     };
     assert!(
-        refusal.retry_after <= 2500 * MS,
+        rejection.retry_after <= 2500 * MS,
         "no promise further off than the longest wait"
     );
     gate.now += 3 * SECOND;
-    let Decision::Reject(refusal) = gate.begin(gate.request("urgent")).1 else {
+    let Decision::Reject(rejection) = gate.begin(gate.request("urgent")).1 else {
         panic!("not refused")
     };
-    assert!(refusal.retry_after <= 160 * MS, "turns pass with time");
+    assert!(rejection.retry_after <= 160 * MS, "turns pass with time");
 }
 
 #[test]
@@ -246,10 +252,13 @@
     let mut single = route("a", RouteKind::NonIdempotent);
     single.max_attempts = 1;
     let mut gate = exact(spec(vec![single], servers(0, 3, "north")));
-    let Decision::Reject(refusal) = gate.fails(gate.request("a"), &Outcome::WrongInstance).1 else {
+    let Decision::Reject(rejection) = gate
+        .fail_all_attempts(gate.request("a"), &Outcome::WrongInstance)
+        .1
+    else {
         panic!("not refused")
     };
-    assert!(refusal.retry_after < 100 * MS, "{refusal:?}");
+    assert!(rejection.retry_after < 100 * MS, "{rejection:?}");
 }
 
 #[test]
@@ -266,7 +275,7 @@
             .take_while(|key| matches!(gate.begin(gate.prompt(name, *key)).1, Decision::Send(_)))
             .count()
     };
-    // 630 tokens each: 8 take less than 0.8 of the memory, 11 less than the whole.
+    // 630 tokens each: 8 take less than 0.8 of the KV cache, 11 less than all of it.
     assert_eq!(count(&mut gate, "patient", 0), 9);
     assert_eq!(count(&mut gate, "urgent", 50), 3);
 }
@@ -281,12 +290,16 @@
         rejection_ramp: 0.0,
         ..Settings::new("north", "north-0")
     };
-    // Each takes as long as its objective, as far as is known: two of eight places are free in a
-    // quarter of it.
-    assert_eq!(taken(&mut Gate::with(table, settings, 1), "a").0, 10);
+    // Each is assumed to take as long as its objective: two of eight slots become free in a quarter
+    // of it.
+    assert_eq!(
+        accepted_before_rejection(&mut Gate::with_settings(table, settings, 1), "a").0,
+        10
+    );
 }
 
-/// Parts of the requests of each route that are sent while so much of every server's room is taken.
+/// Fraction of the requests of each route that are sent while that much of every server's capacity
+/// is in use.
 fn sent_shares(table: TableSpec, running: u32, names: [&str; 2]) -> [f64; 2] {
     let mut gate = Gate::new(table);
     let load = LoadReport {
@@ -312,7 +325,7 @@
 
 #[test]
 fn under_overload_less_urgent_requests_are_rejected_more_often_and_none_is_excluded() {
-    guarded(Guard::PriorityReserve, || {
+    assert_guarded(Guard::PriorityReserve, || {
         let mut patient = route("patient", RouteKind::Idempotent);
         patient.priority = 3;
         let table = spec(
@@ -334,7 +347,7 @@
     table.services[0].kv_cache_tokens = 10_000;
     let mut gate = Gate::new(table);
     let server = gate.decider.server("i-0").expect("listed");
-    let mut sent = |max_output_tokens| {
+    let mut count_sent = |max_output_tokens| {
         let sent = (0..1000u64).filter(|key| {
             let load = LoadReport {
                 running: 5,
@@ -356,7 +369,7 @@
         });
         sent.count() as f64 / 1000.0
     };
-    let (small, large) = (sent(10), sent(5000));
+    let (small, large) = (count_sent(10), count_sent(5000));
     assert!(
         (small - large).abs() < 0.06 && (0.2..0.8).contains(&small),
         "{small} against {large}"
--- a/crates/routing/src/decider/tests/returns.rs
+++ b/crates/routing/src/decider/tests/returns.rs
@@ -1,16 +1,16 @@
-//! The way back of a server that health has set aside.
+//! The return of ejected servers to service.
 
 use std::sync::Arc;
 
-use super::health::{gate, play};
+use super::health::{gate, serve_with_faults};
 use crate::guards::Guard;
 use crate::test_support::*;
 use crate::*;
 
-/// A gate whose `i-0` has just been ejected, and the time of that.
-fn with_ejected(kind: RouteKind) -> (Gate, ServerHandle) {
+/// A gate whose `i-0` has just been ejected, and the handle of that server.
+fn gate_with_ejected_server(kind: RouteKind) -> (Gate, ServerHandle) {
     let mut gate = gate(kind, 3);
-    play(&mut gate, 40, &["i-0"], |_| Outcome::ConnectFailed);
+    serve_with_faults(&mut gate, 40, &["i-0"], |_| Outcome::ConnectFailed);
     let server = gate.decider.server("i-0").expect("listed");
     assert!(gate.decider.is_ejected(server));
     (gate, server)
@@ -18,19 +18,19 @@
 
 #[test]
 fn a_trial_by_an_idempotent_request_returns_an_ejected_server_to_service() {
-    let (mut gate, server) = with_ejected(RouteKind::Idempotent);
+    let (mut gate, server) = gate_with_ejected_server(RouteKind::Idempotent);
     gate.now += 8 * SECOND;
     let (mut call, decision) = gate.begin(gate.request("a"));
-    assert_eq!(sent(&decision).server, server);
+    assert_eq!(dispatch_of(&decision).server, server);
     let (_, other) = gate.begin(gate.request("a"));
-    assert_ne!(sent(&other).server, server, "one trial at a time");
-    gate.settle(&mut call, Outcome::Success);
+    assert_ne!(dispatch_of(&other).server, server, "one trial at a time");
+    gate.finish_attempt(&mut call, Outcome::Success);
     assert!(!gate.decider.is_ejected(server));
 }
 
 #[test]
 fn each_ejection_and_each_return_is_reported_once() {
-    let (mut gate, server) = with_ejected(RouteKind::Idempotent);
+    let (mut gate, server) = gate_with_ejected_server(RouteKind::Idempotent);
     let changes = gate.decider.take_ejection_changes();
     let ejected = Some(EjectionCause::Unreachable);
     assert_eq!(
@@ -42,7 +42,7 @@
         }]
     );
     gate.now += 8 * SECOND;
-    gate.served(gate.request("a"));
+    gate.serve(gate.request("a"));
     assert_eq!(
         gate.decider.take_ejection_changes(),
         [EjectionChange {
@@ -56,41 +56,41 @@
 
 #[test]
 fn a_non_idempotent_request_tries_no_ejected_server() {
-    guarded(Guard::TrialIdempotent, || {
-        let (mut gate, server) = with_ejected(RouteKind::NonIdempotent);
+    assert_guarded(Guard::TrialIdempotent, || {
+        let (mut gate, server) = gate_with_ejected_server(RouteKind::NonIdempotent);
         gate.now += 8 * SECOND;
-        (0..6).all(|_| sent(&gate.begin(gate.request("a")).1).server != server)
+        (0..6).all(|_| dispatch_of(&gate.begin(gate.request("a")).1).server != server)
     });
 }
 
 #[test]
 fn no_retry_and_no_last_attempt_tries_an_ejected_server() {
-    guarded(Guard::TrialFirst, || {
-        let (mut gate, server) = with_ejected(RouteKind::Idempotent);
+    assert_guarded(Guard::TrialFirst, || {
+        let (mut gate, server) = gate_with_ejected_server(RouteKind::Idempotent);
         let (mut call, _) = gate.begin(gate.request("a"));
         gate.now += 8 * SECOND;
-        let repeat = gate.settle(&mut call, Outcome::Reset);
-        sent(&repeat).server != server
+        let repeat = gate.finish_attempt(&mut call, Outcome::Reset);
+        dispatch_of(&repeat).server != server
     });
     let mut single = route("a", RouteKind::Idempotent);
     (single.affinity, single.max_attempts) = (false, 1);
-    let (mut gate, server) = with_ejected(RouteKind::Idempotent);
-    gate.swap(spec(vec![single], servers(0, 3, "north")));
+    let (mut gate, server) = gate_with_ejected_server(RouteKind::Idempotent);
+    gate.update_table(spec(vec![single], servers(0, 3, "north")));
     gate.now += 8 * SECOND;
-    assert!((0..9).all(|_| sent(&gate.begin(gate.request("a")).1).server != server));
+    assert!((0..9).all(|_| dispatch_of(&gate.begin(gate.request("a")).1).server != server));
 }
 
 #[test]
 fn consecutive_ejections_grow_longer() {
-    let (mut gate, server) = with_ejected(RouteKind::Idempotent);
-    let mut rests = Vec::new();
+    let (mut gate, server) = gate_with_ejected_server(RouteKind::Idempotent);
+    let mut durations = Vec::new();
     for _ in 0..5 {
         let start = gate.now;
         loop {
             gate.now += 50 * MS;
             let (mut call, decision) = gate.begin(gate.request("a"));
-            let trial = sent(&decision).server == server;
-            gate.settle(
+            let trial = dispatch_of(&decision).server == server;
+            gate.finish_attempt(
                 &mut call,
                 if trial {
                     Outcome::ConnectFailed
@@ -103,42 +103,42 @@
                 break;
             }
         }
-        rests.push(gate.now - start);
+        durations.push(gate.now - start);
     }
     assert!(
-        rests.windows(2).skip(1).all(|pair| pair[1] >= pair[0]),
-        "{rests:?}"
+        durations.windows(2).skip(1).all(|pair| pair[1] >= pair[0]),
+        "{durations:?}"
     );
     assert!(
-        *rests.last().expect("rests") > 7 * SECOND && rests[4] < 9 * SECOND,
-        "{rests:?}"
+        *durations.last().expect("durations") > 7 * SECOND && durations[4] < 9 * SECOND,
+        "{durations:?}"
     );
 }
 
 #[test]
 fn a_health_check_returns_a_server_to_service_that_no_request_may_try() {
-    let (mut gate, server) = with_ejected(RouteKind::NonIdempotent);
-    let mut probes = Vec::new();
-    gate.decider.due_health_checks(gate.now, &mut probes);
-    assert!(probes.is_empty());
+    let (mut gate, server) = gate_with_ejected_server(RouteKind::NonIdempotent);
+    let mut checks = Vec::new();
+    gate.decider.due_health_checks(gate.now, &mut checks);
+    assert!(checks.is_empty());
     gate.now += 8 * SECOND;
-    gate.decider.due_health_checks(gate.now, &mut probes);
-    assert_eq!(probes.len(), 1);
+    gate.decider.due_health_checks(gate.now, &mut checks);
+    assert_eq!(checks.len(), 1);
     assert_eq!(
         (
-            probes[0].server,
-            &*probes[0].path,
-            &*probes[0].expect_instance
+            checks[0].server,
+            &*checks[0].path,
+            &*checks[0].expect_instance
         ),
         (server, "/healthz", "i-0")
     );
-    gate.decider.due_health_checks(gate.now, &mut probes);
-    assert_eq!(probes.len(), 1, "one at a time");
+    gate.decider.due_health_checks(gate.now, &mut checks);
+    assert_eq!(checks.len(), 1, "one at a time");
     gate.decider
         .health_check_finished(gate.now, server, HealthCheckOutcome::Unhealthy);
     assert!(gate.decider.is_ejected(server));
     gate.now += 10 * SECOND;
-    gate.decider.due_health_checks(gate.now, &mut probes);
+    gate.decider.due_health_checks(gate.now, &mut checks);
     gate.decider
         .health_check_finished(gate.now, server, HealthCheckOutcome::Healthy);
     assert!(!gate.decider.is_ejected(server));
@@ -146,14 +146,14 @@
 
 #[test]
 fn health_outlives_a_table_update_and_a_new_instance_starts_fresh() {
-    let (mut gate, server) = with_ejected(RouteKind::Idempotent);
+    let (mut gate, server) = gate_with_ejected_server(RouteKind::Idempotent);
     let mut route = route("a", RouteKind::Idempotent);
     route.affinity = false;
     let mut table = spec(vec![route], servers(0, 3, "north"));
-    gate.swap(table.clone());
+    gate.update_table(table.clone());
     assert!(gate.decider.is_ejected(server));
     table.servers[0].instance = Arc::from("i-new");
-    gate.swap(table);
+    gate.update_table(table);
     let anew = gate.decider.server("i-new").expect("listed");
     assert!(!gate.decider.is_ejected(anew) && gate.decider.server("i-0").is_none());
 }
--- a/crates/routing/src/endpoints/tests.rs
+++ b/crates/routing/src/endpoints/tests.rs
@@ -102,8 +102,8 @@
 
 #[test]
 fn state_of_1300_servers_takes_less_than_a_megabyte() {
-    // Beside each record: its entry by instance, its place in a group and in two round_robins, the names
-    // themselves.
+    // Besides each record: its entry by instance, its slot in a group and in two round robins, and
+    // the names themselves.
     let beside = 24 + 16 + 3 * 4 + 64;
     let record = size_of::<Option<Endpoint>>() + size_of::<ServerSpec>() + beside;
     assert!(1300 * record < 1_000_000, "{record} bytes each");
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -17,8 +17,8 @@
 //! ```
 //! use std::sync::Arc;
 //! use ironmast_routing::{
-//!     Decider, Decision, Outcome, Request, RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Settings, WeightedBackend,
-//!     Table, TableSpec, Unlimited,
+//!     Decider, Decision, Outcome, Request, RouteKind, RouteSpec, ServerSpec, ServerState,
+//!     ServiceSpec, Settings, Table, TableSpec, Unlimited, WeightedBackend,
 //! };
 //!
 //! let route = RouteSpec {
@@ -58,18 +58,21 @@
 //!     sequence: 1,
 //! };
 //! let servers = vec![server("i-1", "10.0.0.1:80"), server("i-2", "10.0.0.2:80")];
-//! let table = Table::build(TableSpec { gates: 1, routes: vec![route], services: vec![service], servers })?;
+//! let (routes, services) = (vec![route], vec![service]);
+//! let table = Table::build(TableSpec { gates: 1, routes, services, servers })?;
 //! let mut decider = Decider::new(Settings::new("north", "hall"), 7)?;
 //! decider.update_table(0, Arc::new(table));
 //!
-//! let route = decider.table().router().route("Desk.example:8080", "/answers/7").expect("a route").clone();
+//! let router = decider.table().router();
+//! let route = router.route("Desk.example:8080", "/answers/7").expect("a route").clone();
 //! let (mut call, first) = decider.begin(1_000, Request::new(route), &mut Unlimited);
 //! let Decision::Send(first) = first else { panic!("{first:?}") };
 //! // The connection broke: an idempotent request goes to the other server.
 //! let second = decider.attempt_finished(2_000, &mut call, Outcome::Reset, &mut Unlimited);
 //! let Decision::Send(second) = second else { panic!("{second:?}") };
 //! assert_ne!(first.expect_instance, second.expect_instance);
-//! assert_eq!(decider.attempt_finished(3_000, &mut call, Outcome::Success, &mut Unlimited), Decision::Finished);
+//! let last = decider.attempt_finished(3_000, &mut call, Outcome::Success, &mut Unlimited);
+//! assert_eq!(last, Decision::Finished);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 #![forbid(unsafe_code)]
--- a/crates/routing/src/outlier/tests.rs
+++ b/crates/routing/src/outlier/tests.rs
@@ -5,7 +5,7 @@
     max: 8000,
 };
 
-/// Four servers; the others are well.
+/// A group of four servers of which the others are healthy.
 fn well() -> GroupHealth {
     GroupHealth {
         count: 4,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Attempts that end so until the server is ejected, at most 100.
+/// Number of attempts with that outcome until the server is ejected, at most 100, and the cause.
 fn until_ejected(
     health: &mut OutlierDetector,
     outcome: &Outcome,
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -1,5 +1,7 @@
 //! Settings of one gate's decisions.
 
+use std::ops::RangeInclusive;
+
 use ironmast_balancer::Micros;
 use thiserror::Error;
 
@@ -109,36 +111,44 @@
     /// # Errors
     /// Names the first setting that is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        check_range(
-            "affinity_load_excess",
-            self.affinity_load_excess,
-            0.01,
-            10.0,
-        )?;
-        check_range("affinity_wait_factor", self.affinity_wait_factor, 0.0, 1e6)?;
-        check_range("affinity_load_floor", self.affinity_load_floor, 0.0, 1.0)?;
-        check_range("max_load", self.max_load, 0.5, 4.0)?;
-        check_range("max_queue_time_share", self.max_queue_time_share, 0.0, 1.0)?;
-        check_range("max_queue_share", self.max_queue_share, 0.0, 4.0)?;
-        check_range("rejection_ramp", self.rejection_ramp, 0.0, 1.0)?;
-        check_range("priority_step", self.priority_step, 0.0, 0.5)?;
-        check_range("spillover_max_load", self.spillover_max_load, 0.0, 1.0)?;
-        check_range("spillover_min_wait", self.spillover_min_wait, 0.0, 10.0)?;
-        check_range("max_delay_share", self.max_delay_share, 0.0, 0.25)?;
+        let unresponsive_after = self.unresponsive_after as f64;
+        let load_report_max_age = self.load_report_max_age as f64;
+        let fractions = [
+            (
+                "affinity_load_excess",
+                self.affinity_load_excess,
+                0.01..=10.0,
+            ),
+            ("affinity_wait_factor", self.affinity_wait_factor, 0.0..=1e6),
+            ("affinity_load_floor", self.affinity_load_floor, 0.0..=1.0),
+            ("max_load", self.max_load, 0.5..=4.0),
+            ("max_queue_time_share", self.max_queue_time_share, 0.0..=1.0),
+            ("max_queue_share", self.max_queue_share, 0.0..=4.0),
+            ("rejection_ramp", self.rejection_ramp, 0.0..=1.0),
+            ("priority_step", self.priority_step, 0.0..=0.5),
+            ("spillover_max_load", self.spillover_max_load, 0.0..=1.0),
+            ("spillover_min_wait", self.spillover_min_wait, 0.0..=10.0),
+            ("max_delay_share", self.max_delay_share, 0.0..=0.25),
+        ];
+        let durations = [
+            ("unresponsive_after", unresponsive_after, 1.0..=1e12),
+            ("load_report_max_age", load_report_max_age, 1.0..=1e12),
+        ];
+        check_ranges(&fractions)?;
         check_order("retry_after", self.retry_after)?;
         check_order("ejection", self.ejection)?;
-        let unresponsive_after = self.unresponsive_after as f64;
-        check_range("unresponsive_after", unresponsive_after, 1.0, 1e12)?;
-        let max_age = self.load_report_max_age as f64;
-        check_range("load_report_max_age", max_age, 1.0, 1e12)
+        check_ranges(&durations)
     }
 }
 
-fn check_range(name: &'static str, value: f64, min: f64, max: f64) -> Result<(), SettingsError> {
-    if (min..=max).contains(&value) {
-        Ok(())
-    } else {
-        Err(SettingsError::OutOfRange { name })
+/// Checks that each named value is in its range.
+fn check_ranges(
+    settings: &[(&'static str, f64, RangeInclusive<f64>)],
+) -> Result<(), SettingsError> {
+    let mut settings = settings.iter();
+    match settings.find(|(_, value, range)| !range.contains(value)) {
+        Some((name, ..)) => Err(SettingsError::OutOfRange { name }),
+        None => Ok(()),
     }
 }
 
--- a/crates/routing/src/table/router/tests.rs
+++ b/crates/routing/src/table/router/tests.rs
@@ -129,7 +129,7 @@
         ..Default::default()
     })]
 
-    /// The same as a look at every prefix.
+    /// The lookup agrees with a linear search over every prefix.
     #[test]
     fn lookup_agrees_with_a_search_over_every_prefix(
         prefixes in proptest::collection::btree_set("(/[ab]{1,2}){0,4}/", 1..12),
--- a/crates/routing/src/table/tests.rs
+++ b/crates/routing/src/table/tests.rs
@@ -158,8 +158,8 @@
 fn a_route_without_an_objective_defaults_to_a_second_within_its_timeout() {
     let target = |target_latency_ms, timeout_ms| {
         let spec = RouteSpec {
-            target_latency_ms,
             timeout_ms,
+            target_latency_ms,
             ..route()
         };
         Route {
--- a/crates/routing/src/test_support.rs
+++ b/crates/routing/src/test_support.rs
@@ -1,5 +1,5 @@
-//! Set-up shared by the unit tests: routes, services and servers, limits that count, and a gate that
-//! passes its calls back to the decider.
+//! Set-up shared by the unit tests: routes, services and servers, limits that count, and a gate
+//! that passes its calls back to the decider.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 pub(crate) const MS: Micros = 1000;
 pub(crate) const SECOND: Micros = 1_000_000;
 
-/// A route that the tests change.
+/// A route of the service `desk` with usual figures, for tests to change.
 pub(crate) fn route(name: &str, kind: RouteKind) -> RouteSpec {
     RouteSpec {
         name: name.into(),
@@ -31,6 +31,7 @@
     }
 }
 
+/// A service with eight slots and no other limit.
 pub(crate) fn service(name: &str) -> ServiceSpec {
     ServiceSpec {
         name: name.into(),
@@ -62,13 +63,14 @@
     }
 }
 
-/// So many servers of a region, numbered from `first` on.
+/// `count` ready servers of a region, numbered from `first` on.
 pub(crate) fn servers(first: usize, count: usize, region: &str) -> Vec<ServerSpec> {
     (first..first + count)
         .map(|number| server(number, region))
         .collect()
 }
 
+/// A table of the services `desk` and `other`.
 pub(crate) fn spec(routes: Vec<RouteSpec>, servers: Vec<ServerSpec>) -> TableSpec {
     TableSpec {
         gates: 1,
@@ -78,44 +80,44 @@
     }
 }
 
-/// Permits and budget by count, with a record of what was asked.
+/// Permits and a retry budget with a fixed number left, and a record of the calls.
 #[derive(Clone, Debug)]
-pub(crate) struct Counted {
+pub(crate) struct CountingLimits {
     pub(crate) permits: u32,
     pub(crate) wait: Micros,
-    pub(crate) repeats: u32,
-    pub(crate) requested: u32,
-    pub(crate) taken: u32,
+    pub(crate) retries: u32,
+    pub(crate) deposits: u32,
+    pub(crate) withdrawals: u32,
 }
 
-impl Default for Counted {
+impl Default for CountingLimits {
     fn default() -> Self {
-        Counted {
+        CountingLimits {
             permits: 0,
             wait: 100 * MS,
-            repeats: u32::MAX,
-            requested: 0,
-            taken: 0,
+            retries: u32::MAX,
+            deposits: 0,
+            withdrawals: 0,
         }
     }
 }
 
-impl Permits for Counted {
+impl Permits for CountingLimits {
     fn try_acquire(&mut self, _now: Micros, _server: &ServerSpec) -> Result<(), RetryAfter> {
         self.permits = self.permits.checked_sub(1).ok_or(RetryAfter(self.wait))?;
         Ok(())
     }
 }
 
-impl RetryBudget for Counted {
+impl RetryBudget for CountingLimits {
     fn deposit(&mut self, _now: Micros, _service: &ServiceSpec) {
-        self.requested += 1;
+        self.deposits += 1;
     }
 
     fn withdraw(&mut self, _now: Micros, _service: &ServiceSpec) -> bool {
-        self.taken += u32::from(self.repeats > 0);
-        let there = self.repeats > 0;
-        self.repeats = self.repeats.saturating_sub(1);
+        self.withdrawals += u32::from(self.retries > 0);
+        let there = self.retries > 0;
+        self.retries = self.retries.saturating_sub(1);
         there
     }
 }
@@ -123,16 +125,16 @@
 /// A gate in region `north`, zone `north-0`.
 pub(crate) struct Gate {
     pub(crate) decider: Decider,
-    pub(crate) limits: Counted,
+    pub(crate) limits: CountingLimits,
     pub(crate) now: Micros,
 }
 
 impl Gate {
     pub(crate) fn new(table: TableSpec) -> Self {
-        Gate::with(table, Settings::new("north", "north-0"), 1)
+        Gate::with_settings(table, Settings::new("north", "north-0"), 1)
     }
 
-    pub(crate) fn with(table: TableSpec, settings: Settings, seed: u64) -> Self {
+    pub(crate) fn with_settings(table: TableSpec, settings: Settings, seed: u64) -> Self {
         let mut decider = Decider::new(settings, seed).expect("sound settings");
         decider.update_table(
             SECOND,
@@ -140,12 +142,12 @@
         );
         Gate {
             decider,
-            limits: Counted::default(),
+            limits: CountingLimits::default(),
             now: SECOND,
         }
     }
 
-    pub(crate) fn swap(&mut self, table: TableSpec) {
+    pub(crate) fn update_table(&mut self, table: TableSpec) {
         self.decider.update_table(
             self.now,
             Arc::new(Table::build(table).expect("a sound table")),
@@ -163,7 +165,7 @@
         Request::new(route.clone())
     }
 
-    /// A request whose shared part is `key`.
+    /// A request with three prompt parts, of which `key` is the last shared one.
     pub(crate) fn prompt(&self, name: &str, key: u64) -> Request {
         let part = |id, tokens| PromptPart { id, tokens };
         let parts = smallvec![part(7, 100), part(key, 400), part(u64::MAX - key, 50)];
@@ -180,22 +182,25 @@
         self.decider.begin(self.now, request, &mut self.limits)
     }
 
-    pub(crate) fn settle(&mut self, call: &mut Call, outcome: Outcome) -> Decision {
+    pub(crate) fn finish_attempt(&mut self, call: &mut Call, outcome: Outcome) -> Decision {
         self.decider
             .attempt_finished(self.now, call, outcome, &mut self.limits)
     }
 
-    /// A request from begin to success; the instance that had it.
-    pub(crate) fn served(&mut self, request: Request) -> Arc<str> {
+    /// Runs a request to success, and returns the instance that served it.
+    pub(crate) fn serve(&mut self, request: Request) -> Arc<str> {
         let (mut call, decision) = self.begin(request);
-        let instance = sent(&decision).expect_instance.clone();
-        assert_eq!(self.settle(&mut call, Outcome::Success), Decision::Finished);
+        let instance = dispatch_of(&decision).expect_instance.clone();
+        assert_eq!(
+            self.finish_attempt(&mut call, Outcome::Success),
+            Decision::Finished
+        );
         instance
     }
 
-    /// A request that fails so, with all that follows; the instances that had it, and the last
-    /// decision.
-    pub(crate) fn fails(
+    /// Runs a request whose attempts all end with that outcome. Returns the instances that were
+    /// tried and the last decision.
+    pub(crate) fn fail_all_attempts(
         &mut self,
         request: Request,
         outcome: &Outcome,
@@ -205,22 +210,22 @@
         while let Decision::Send(dispatch) = &decision {
             instances.push(dispatch.expect_instance.clone());
             assert!(instances.len() < 20, "attempts without end");
-            decision = self.settle(&mut call, outcome.clone());
+            decision = self.finish_attempt(&mut call, outcome.clone());
         }
         (instances, decision)
     }
 }
 
-/// The dispatch of a decision that sends.
-pub(crate) fn sent(decision: &Decision) -> &Dispatch {
+/// The dispatch of a decision to send.
+pub(crate) fn dispatch_of(decision: &Decision) -> &Dispatch {
     match decision {
         Decision::Send(dispatch) => dispatch,
         other => panic!("not sent: {other:?}"),
     }
 }
 
-/// Holds with the protection, and fails without it.
-pub(crate) fn guarded(guard: crate::guards::Guard, check: impl Fn() -> bool) {
+/// Asserts that a check holds with a protection and fails without it.
+pub(crate) fn assert_guarded(guard: crate::guards::Guard, check: impl Fn() -> bool) {
     assert!(check(), "the check fails with {guard:?} in place");
     assert!(
         !crate::guards::without(guard, &check),
--- a/crates/routing/tests/model/mod.rs
+++ b/crates/routing/tests/model/mod.rs
@@ -1,6 +1,6 @@
-//! One region's gates over model servers that read prompts one after the other and keep the shared
-//! parts for a while: how much is read again, how long the first byte takes, and how crowded the
-//! fullest server is.
+//! A simulation of one region's gates over model servers that prefill prompts one after the other
+//! and keep shared prefixes cached for a while. It measures how much is prefilled again, the time
+//! to the first byte, and the load of the most loaded server.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -18,18 +18,18 @@
 const GATES: usize = 4;
 const SERVERS: usize = 6;
 const SLOTS: u32 = 64;
-/// Prompt tokens read in a millisecond, and the shortest step, in microseconds.
-const READ_PER_MS: f64 = 56.6;
+/// Prompt tokens prefilled in a millisecond.
+const PREFILL_PER_MS: f64 = 56.6;
 const STEP: f64 = 3790.0;
-/// A step takes this part longer for each further running request.
+/// Fraction by which a decode step takes longer for each further running request.
 const SLOWER: f64 = 0.01;
-/// A part that was used this long ago at the latest need not be read again.
-const KEPT: Micros = 10 * SECOND;
+/// Time for which a prompt part stays in the prefix cache after its last use, in microseconds.
+const PREFIX_CACHE_TTL: Micros = 10 * SECOND;
 
-/// Clients give a stream up after this silence.
+/// Silence after which clients give up a stream, in microseconds.
 const SILENCE: Micros = 2_400_000;
 
-/// A kind of request: its rate a second, shared and own tokens in, tokens out.
+/// The kinds of requests: rate per second, shared and own prompt tokens, output tokens.
 const KINDS: [(f64, u64, u64, u64); 3] = [
     (5.2, 5382, 1228, 385),
     (8.6, 198, 430, 294),
@@ -46,44 +46,44 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Arrive(usize),
-    First(usize),
+    FirstByte(usize),
     End(usize),
-    /// The client may leave after a silence.
-    Leave(usize),
-    /// A gate looks for probes that are due.
-    Look(usize),
-    /// A probe of a gate at a server ends.
-    Probed(usize, usize),
+    /// The client may disconnect after a silence.
+    Disconnect(usize),
+    /// A gate runs the health checks that are due.
+    HealthChecks(usize),
+    /// A health check of a server by a gate ends.
+    HealthChecked(usize, usize),
 }
 
-/// What befalls the first server from a third of the time on, until two thirds.
+/// The fault of the first server during the second third of the simulated time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
-    /// It is well.
-    Well,
-    /// It takes requests and gives no sign.
-    Dark,
-    /// Its requests break, and nobody listens any more.
-    Down,
-    /// It fails every third request after a while.
-    Grey,
-    /// It takes twenty times as long.
+pub(crate) enum Fault {
+    /// None.
+    None,
+    /// It accepts requests and goes silent.
+    Silent,
+    /// It crashes: its requests break, and connects fail.
+    Crashed,
+    /// It fails a third of its requests.
+    Partial,
+    /// It is twenty times as slow.
     Slow,
 }
 
-/// What is played.
+/// What is simulated.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Plan {
-    /// Excess and floor of the affinity; an even draw without.
+    /// Excess and floor of the load bounds of the affinity; round robin if `None`.
     pub affinity: Option<(f64, f64)>,
-    /// Shared parts of each kind; the first ones are asked for more often.
+    /// Number of shared prefixes of each kind; the first ones are more frequent.
     pub subjects: usize,
-    /// Multiple of the usual rates.
-    pub press: f64,
-    /// How long.
+    /// Multiple of the normal request rates.
+    pub load_factor: f64,
+    /// Simulated time.
     pub seconds: u64,
-    /// What befalls the first server.
-    pub fate: Fate,
+    /// The fault of the first server.
+    pub fault: Fault,
 }
 
 struct Flight {
@@ -96,84 +96,86 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Played {
+pub(crate) struct Results {
     /// Times to the first byte, ascending.
-    pub firsts: Vec<Micros>,
+    pub first_bytes: Vec<Micros>,
     shared: u64,
     again: u64,
-    /// Requests running at the fullest server.
+    /// Maximum number of requests running at one server.
     pub most: u32,
-    /// Requests refused.
-    pub refused: usize,
-    /// How often a gate's health set a server aside.
+    /// Number of rejected requests.
+    pub rejected: usize,
+    /// Number of ejections.
     pub ejected: u64,
-    /// Requests of each kind, and those of them that were taken.
+    /// Requests of each kind, and those of them that were accepted.
     pub asked: [usize; 3],
     pub taken: [usize; 3],
-    /// Requests that ended without an answer, and those that took over a second to the first byte.
+    /// Requests that ended without an answer, and those that elapsed over a second to the first
+    /// byte.
     pub lost: usize,
     pub late: usize,
     /// Health checks.
-    pub probes: usize,
-    /// Refusals while under half of all slots were taken and nothing waited.
+    pub health_checks: usize,
+    /// Number of rejections while less than half of all slots were in use.
     pub early: usize,
 }
 
-impl Played {
-    /// Part of the shared tokens that were read again though another server kept them.
-    pub(crate) fn again(&self) -> f64 {
+impl Results {
+    /// Fraction of the shared tokens that were prefilled again although another server had them
+    /// cached.
+    pub(crate) fn prefilled_again(&self) -> f64 {
         self.again as f64 / self.shared as f64
     }
 
     /// A quantile of the time to the first byte, in milliseconds.
     pub(crate) fn first_ms(&self, part: f64) -> u64 {
-        self.firsts[(part * self.firsts.len() as f64) as usize] / 1000
+        self.first_bytes[(part * self.first_bytes.len() as f64) as usize] / 1000
     }
 }
 
-/// Plays a region whose servers are all well.
-pub(crate) fn play(
+/// Simulates a region whose servers are all healthy.
+pub(crate) fn simulate(
     affinity: Option<(f64, f64)>,
     subjects: usize,
-    press: f64,
+    load_factor: f64,
     seconds: u64,
-) -> Played {
-    play_plan(&Plan {
+) -> Results {
+    simulate_plan(&Plan {
         affinity,
         subjects,
-        press,
+        load_factor,
         seconds,
-        fate: Fate::Well,
+        fault: Fault::None,
     })
 }
 
-/// Plays a plan.
-pub(crate) fn play_plan(plan: &Plan) -> Played {
-    let mut region = Region::new(*plan);
-    while let Some(Reverse((now, step))) = region.steps.pop() {
-        region.now = now;
-        region.step(step);
+/// Simulates a plan.
+pub(crate) fn simulate_plan(plan: &Plan) -> Results {
+    let mut simulation = Simulation::new(*plan);
+    while let Some(Reverse((now, step))) = simulation.steps.pop() {
+        simulation.now = now;
+        simulation.step(&step);
     }
-    region.end()
+    simulation.end()
 }
 
-/// A region while it is played.
-struct Region {
+/// The state of a simulation.
+struct Simulation {
     plan: Plan,
     now: Micros,
     table: Arc<Table>,
     gates: Vec<Decider>,
     rng: Rng,
     servers: Vec<Server>,
-    /// When each part was used last, at whatever server.
+    /// When each shared prefix was last used, at any server.
     read: HashMap<u64, Micros>,
     flights: HashMap<usize, Flight>,
     steps: BinaryHeap<Reverse<(Micros, Step)>>,
     number: usize,
-    played: Played,
+    results: Results,
 }
 
-impl Region {
+impl Simulation {
     fn new(plan: Plan) -> Self {
         let table = Arc::new(table::table(plan.affinity.is_some()));
         let mut settings = Settings::new("r", "z");
@@ -186,8 +188,8 @@
             gate
         };
         let arrivals = (0..KINDS.len()).map(|kind| Reverse((0, Step::Arrive(kind))));
-        let looks = (0..GATES).map(|gate| Reverse((0, Step::Look(gate))));
-        Region {
+        let checks = (0..GATES).map(|gate| Reverse((0, Step::HealthChecks(gate))));
+        Simulation {
             plan,
             now: 0,
             gates: (0..GATES).map(gate).collect(),
@@ -196,51 +198,51 @@
             servers: (0..SERVERS).map(|_| Server::default()).collect(),
             read: HashMap::new(),
             flights: HashMap::new(),
-            steps: arrivals.chain(looks).collect(),
+            steps: arrivals.chain(checks).collect(),
             number: 0,
-            played: Played::default(),
+            results: Results::default(),
         }
     }
 
-    fn after(&mut self, time: Micros, step: Step) {
+    fn schedule(&mut self, time: Micros, step: Step) {
         self.steps.push(Reverse((self.now + time, step)));
     }
 
-    fn fated(&self, server: usize, fate: Fate) -> bool {
+    fn has_fault(&self, server: usize, fault: Fault) -> bool {
         let third = self.plan.seconds * SECOND / 3;
-        server == 0 && self.plan.fate == fate && (third..2 * third).contains(&self.now)
+        server == 0 && self.plan.fault == fault && (third..2 * third).contains(&self.now)
     }
 
-    fn step(&mut self, step: Step) {
-        match step {
+    fn step(&mut self, step: &Step) {
+        match *step {
             Step::Arrive(kind) => self.arrive(kind),
-            Step::First(number) => self.first(number),
-            Step::End(number) => self.whole(number),
-            Step::Leave(number) => self.leave(number),
-            Step::Look(gate) => self.look(gate),
-            Step::Probed(gate, server) => self.health_check_finished(gate, server),
+            Step::FirstByte(number) => self.first_byte(number),
+            Step::End(number) => self.complete(number),
+            Step::Disconnect(number) => self.disconnect(number),
+            Step::HealthChecks(gate) => self.run_health_checks(gate),
+            Step::HealthChecked(gate, server) => self.health_check_finished(gate, server),
         }
     }
 
     fn arrive(&mut self, kind: usize) {
-        let pause =
-            -self.rng.unit().max(1e-9).ln() / (KINDS[kind].0 * self.plan.press) * SECOND as f64;
+        let pause = -self.rng.unit().max(1e-9).ln() / (KINDS[kind].0 * self.plan.load_factor)
+            * SECOND as f64;
         if self.now + (pause as Micros) < self.plan.seconds * SECOND {
-            self.after(pause as Micros, Step::Arrive(kind));
+            self.schedule(pause as Micros, Step::Arrive(kind));
         }
         self.events();
         let subject = self.subject(kind);
         let request = self.request(kind, subject);
         let gate = (self.rng.unit() * GATES as f64) as usize;
         let (mut call, mut decision) = self.gates[gate].begin(self.now, request, &mut Unlimited);
-        self.played.asked[kind] += 1;
+        self.results.asked[kind] += 1;
         loop {
             let Decision::Send(dispatch) = decision else {
-                return self.turned_away(matches!(decision, Decision::Reject(_)));
+                return self.rejected_or_lost(matches!(decision, Decision::Reject(_)));
             };
             let server = dispatch.address.port() as usize - 8000;
             let Some(failure) = self.failure(server) else {
-                self.played.taken[kind] += 1;
+                self.results.taken[kind] += 1;
                 return self.send(
                     Flight {
                         gate,
@@ -258,28 +260,28 @@
         }
     }
 
-    /// How a request to a server ends at once, if it does.
+    /// How a request to a server fails at once, if it does.
     fn failure(&mut self, server: usize) -> Option<Outcome> {
-        if self.fated(server, Fate::Down) {
+        if self.has_fault(server, Fault::Crashed) {
             return Some(Outcome::ConnectFailed);
         }
-        let grey = self.fated(server, Fate::Grey) && self.rng.unit() < 1.0 / 3.0;
+        let grey = self.has_fault(server, Fault::Partial) && self.rng.unit() < 1.0 / 3.0;
         grey.then_some(Outcome::ServerError)
     }
 
-    fn turned_away(&mut self, refused: bool) {
-        if !refused {
-            self.played.lost += 1;
+    fn rejected_or_lost(&mut self, rejected: bool) {
+        if !rejected {
+            self.results.lost += 1;
             return;
         }
-        self.played.refused += 1;
+        self.results.rejected += 1;
         let running: u32 = self.servers.iter().map(|server| server.running).sum();
-        self.played.early += usize::from(2 * running < SLOTS * SERVERS as u32);
+        self.results.early += usize::from(2 * running < SLOTS * SERVERS as u32);
     }
 
-    /// Events of every stream that has begun come all the time.
+    /// Forwards an event of every stream that has begun.
     fn events(&mut self) {
-        let dark = self.fated(0, Fate::Dark);
+        let dark = self.has_fault(0, Fault::Silent);
         let heard = |flight: &&mut Flight| flight.began && !(dark && flight.server == 0);
         for flight in self.flights.values_mut().filter(heard) {
             self.gates[flight.gate].response_forwarded(self.now, &mut flight.call, Some(1));
@@ -310,9 +312,9 @@
         request
     }
 
-    /// Time that a server takes for a step, or anything else, against a sound and idle one.
-    fn pace(&self, server: usize) -> f64 {
-        let slow = if self.fated(server, Fate::Slow) {
+    /// Time of a decode step at a server, as a multiple of that at a healthy idle one.
+    fn slowdown(&self, server: usize) -> f64 {
+        let slow = if self.has_fault(server, Fault::Slow) {
             20.0
         } else {
             1.0
@@ -323,42 +325,42 @@
     fn send(&mut self, flight: Flight, subject: u64) {
         let (_, shared, own, _) = KINDS[flight.kind];
         let (now, number, at) = (self.now, self.number, flight.server);
-        let kept = |at: Option<&Micros>| at.is_some_and(|used| used + KEPT > now);
+        let kept = |at: Option<&Micros>| at.is_some_and(|used| used + PREFIX_CACHE_TTL > now);
         let server = &mut self.servers[at];
         server.running += 1;
-        self.played.most = self.played.most.max(server.running);
+        self.results.most = self.results.most.max(server.running);
         let here = kept(server.parts.get(&subject));
-        self.played.shared += shared;
+        self.results.shared += shared;
         if !here && kept(self.read.get(&subject)) {
-            self.played.again += shared;
+            self.results.again += shared;
         }
         server.parts.insert(subject, now);
         self.read.insert(subject, now);
         self.flights.insert(number, flight);
-        let slow = if self.fated(at, Fate::Slow) {
+        let slow = if self.has_fault(at, Fault::Slow) {
             20.0
         } else {
             1.0
         };
         let tokens = own + if here { 0 } else { shared };
-        let reading = slow * tokens as f64 / READ_PER_MS * 1000.0;
+        let prefill = slow * tokens as f64 / PREFILL_PER_MS * 1000.0;
         let server = &mut self.servers[at];
-        server.free_at = server.free_at.max(now) + reading as Micros;
-        let first = server.free_at - now + (STEP * self.pace(at)) as Micros;
-        self.after(first, Step::First(number));
+        server.free_at = server.free_at.max(now) + prefill as Micros;
+        let first = server.free_at - now + (STEP * self.slowdown(at)) as Micros;
+        self.schedule(first, Step::FirstByte(number));
     }
 
-    /// What comes from a server that is down or dark is lost. True where it is.
-    fn breaks(&mut self, number: usize) -> bool {
+    /// Returns true if the event is lost because its server has crashed or is silent.
+    fn loses_event(&mut self, number: usize) -> bool {
         let Some(server) = self.flights.get(&number).map(|flight| flight.server) else {
             return true;
         };
-        if self.fated(server, Fate::Dark) {
-            self.after(SILENCE, Step::Leave(number));
+        if self.has_fault(server, Fault::Silent) {
+            self.schedule(SILENCE, Step::Disconnect(number));
             return true;
         }
-        if self.fated(server, Fate::Down) {
-            self.played.lost += 1;
+        if self.has_fault(server, Fault::Crashed) {
+            self.results.lost += 1;
             self.finish(number, Outcome::Reset);
             return true;
         }
@@ -377,13 +379,13 @@
         }
     }
 
-    fn first(&mut self, number: usize) {
-        if self.breaks(number) {
+    fn first_byte(&mut self, number: usize) {
+        if self.loses_event(number) {
             return;
         }
         let flight = self.flights.get_mut(&number).expect("in flight");
         flight.began = true;
-        let (at, kind, took) = (flight.server, flight.kind, self.now - flight.sent);
+        let (at, kind, elapsed) = (flight.server, flight.kind, self.now - flight.sent);
         let gate = &mut self.gates[flight.gate];
         gate.first_byte_received(self.now, &mut flight.call);
         gate.response_forwarded(self.now, &mut flight.call, Some(1));
@@ -399,52 +401,53 @@
                 kv_cache: None,
             },
         );
-        self.played.firsts.push(took);
-        self.played.late += usize::from(took > SECOND);
-        let decode = KINDS[kind].3 as f64 * STEP * self.pace(at);
-        self.after(decode as Micros, Step::End(number));
+        self.results.first_bytes.push(elapsed);
+        self.results.late += usize::from(elapsed > SECOND);
+        let decode = KINDS[kind].3 as f64 * STEP * self.slowdown(at);
+        self.schedule(decode as Micros, Step::End(number));
     }
 
-    fn whole(&mut self, number: usize) {
-        if !self.breaks(number) {
+    fn complete(&mut self, number: usize) {
+        if !self.loses_event(number) {
             self.finish(number, Outcome::Success);
         }
     }
 
-    fn leave(&mut self, number: usize) {
+    fn disconnect(&mut self, number: usize) {
         if let Some(mut flight) = self.flights.remove(&number) {
-            self.played.lost += 1;
+            self.results.lost += 1;
             self.servers[flight.server].running -= 1;
             self.gates[flight.gate].cancel(self.now, &mut flight.call);
         }
     }
 
-    fn look(&mut self, gate: usize) {
-        let mut probes = Vec::new();
-        self.gates[gate].due_health_checks(self.now, &mut probes);
-        for probe in probes {
-            let server = probe.address.port() as usize - 8000;
-            self.played.probes += 1;
-            self.after(
-                if self.fated(server, Fate::Dark) {
+    fn run_health_checks(&mut self, gate: usize) {
+        let mut checks = Vec::new();
+        self.gates[gate].due_health_checks(self.now, &mut checks);
+        for check in checks {
+            let server = check.address.port() as usize - 8000;
+            self.results.health_checks += 1;
+            self.schedule(
+                if self.has_fault(server, Fault::Silent) {
                     SECOND
                 } else {
                     5000
                 },
-                Step::Probed(gate, server),
+                Step::HealthChecked(gate, server),
             );
         }
         if self.now < self.plan.seconds * SECOND {
-            self.after(SECOND / 5, Step::Look(gate));
+            self.schedule(SECOND / 5, Step::HealthChecks(gate));
         }
     }
 
     fn health_check_finished(&mut self, gate: usize, server: usize) {
-        let ill = self.fated(server, Fate::Dark) || self.fated(server, Fate::Down);
+        let is_faulty =
+            self.has_fault(server, Fault::Silent) || self.has_fault(server, Fault::Crashed);
         let handle = self.gates[gate]
             .server(&format!("i-{server}"))
             .expect("listed");
-        let outcome = if ill {
+        let outcome = if is_faulty {
             HealthCheckOutcome::Unhealthy
         } else {
             HealthCheckOutcome::Healthy
@@ -452,9 +455,9 @@
         self.gates[gate].health_check_finished(self.now, handle, outcome);
     }
 
-    fn end(mut self) -> Played {
-        self.played.firsts.sort_unstable();
-        self.played.ejected = self.gates.iter().map(Decider::ejections).sum();
-        self.played
+    fn end(mut self) -> Results {
+        self.results.first_bytes.sort_unstable();
+        self.results.ejected = self.gates.iter().map(Decider::ejections).sum();
+        self.results
     }
 }
--- a/crates/routing/tests/model/table.rs
+++ b/crates/routing/tests/model/table.rs
@@ -1,4 +1,4 @@
-//! The routes, the service and the servers of the region.
+//! The routes, the service and the servers of the simulated region.
 
 use ironmast_routing::{
     RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, Table, TableSpec, WeightedBackend,
@@ -6,7 +6,7 @@
 
 use super::{SERVERS, SLOTS};
 
-/// The tables of the region; the keys of its routes count where `affinity` says so.
+/// The routing table of the region. `affinity` says whether its routes use prefix affinity.
 pub(super) fn table(affinity: bool) -> Table {
     let route = |number: usize| RouteSpec {
         name: format!("{number}").into(),
--- a/crates/routing/tests/region.rs
+++ b/crates/routing/tests/region.rs
@@ -1,12 +1,17 @@
-//! Several gates that do not talk, over the servers of a region: shared parts are read once and no
-//! server is crowded for it, a crowd is turned away evenly, and an ill server costs little.
+//! Several gates that do not communicate, over the servers of one region: shared prefixes are
+//! prefilled once without overloading a server, rejections under overload are even, and a faulty
+//! server costs few requests.
 
 mod model;
 
-use model::{Fate, Plan, play, play_plan};
+use model::{Fault, Plan, simulate, simulate_plan};
 
-/// The bounds that a gate has by default.
-fn bounds() -> Option<(f64, f64)> {
+/// The default load bounds of the affinity: excess and floor.
+#[expect(
+    clippy::unnecessary_wraps,
+    reason = "a simulation without bounds uses round robin"
+)]
+fn default_bounds() -> Option<(f64, f64)> {
     let settings = ironmast_routing::Settings::new("r", "z");
     Some((settings.affinity_load_excess, settings.affinity_load_floor))
 }
@@ -15,18 +20,18 @@
 fn at_normal_load_shared_prefixes_are_hardly_prefilled_again() {
     for subjects in [6, 30, 150] {
         let (even, affine) = (
-            play(None, subjects, 1.0, 60),
-            play(bounds(), subjects, 1.0, 60),
+            simulate(None, subjects, 1.0, 60),
+            simulate(default_bounds(), subjects, 1.0, 60),
         );
         assert!(
-            even.again() > 0.1,
-            "the even draw reads {} again",
-            even.again()
+            even.prefilled_again() > 0.1,
+            "round robin prefills {} again",
+            even.prefilled_again()
         );
         assert!(
-            affine.again() < 0.02,
-            "{subjects} subjects: {} is read again",
-            affine.again()
+            affine.prefilled_again() < 0.02,
+            "{subjects} subjects: {} is prefilled again",
+            affine.prefilled_again()
         );
         assert!(affine.first_ms(0.9) <= even.first_ms(0.9));
     }
@@ -36,13 +41,13 @@
 fn under_high_load_affinity_overloads_no_server() {
     for subjects in [6, 30, 150] {
         let (even, affine) = (
-            play(None, subjects, 4.0, 40),
-            play(bounds(), subjects, 4.0, 40),
+            simulate(None, subjects, 4.0, 40),
+            simulate(default_bounds(), subjects, 4.0, 40),
         );
         assert!(
-            affine.again() < 0.06,
-            "{subjects} subjects: {} is read again",
-            affine.again()
+            affine.prefilled_again() < 0.06,
+            "{subjects} subjects: {} is prefilled again",
+            affine.prefilled_again()
         );
         assert!(
             affine.most <= even.most * 3 / 2,
@@ -50,15 +55,15 @@
             affine.most,
             even.most
         );
-        assert_eq!((affine.refused, affine.ejected), (0, 0));
+        assert_eq!((affine.rejected, affine.ejected), (0, 0));
     }
 }
 
 #[test]
 fn without_a_load_bound_a_hot_prefix_overloads_its_server() {
     let (bound, unbound) = (
-        play(bounds(), 6, 4.0, 40),
-        play(Some((10.0, 1.0)), 6, 4.0, 40),
+        simulate(default_bounds(), 6, 4.0, 40),
+        simulate(Some((10.0, 1.0)), 6, 4.0, 40),
     );
     assert!(
         unbound.most > bound.most * 3 / 2,
@@ -70,61 +75,61 @@
 
 #[test]
 fn under_overload_rejections_are_even_and_urgent_requests_come_first() {
-    for (subjects, press) in [(6, 16.0), (150, 24.0)] {
-        let played = play(bounds(), subjects, press, 40);
+    for (subjects, load_factor) in [(6, 16.0), (150, 24.0)] {
+        let results = simulate(default_bounds(), subjects, load_factor, 40);
         let [patient, urgent, last] =
-            [0, 1, 2].map(|kind| played.taken[kind] as f64 / played.asked[kind] as f64);
+            [0, 1, 2].map(|kind| results.taken[kind] as f64 / results.asked[kind] as f64);
         let shares = format!("{subjects} subjects: {urgent:.2} {patient:.2} {last:.2}");
         assert!(
-            played.refused > 1000 && played.early == 0,
+            results.rejected > 1000 && results.early == 0,
             "{shares}, {} early",
-            played.early
+            results.early
         );
         assert!(urgent + 0.05 > patient && patient + 0.05 > last, "{shares}");
         assert!(last > urgent / 3.0, "{shares}");
     }
 }
 
-/// A minute in which one of six servers is ill for twenty seconds.
-fn ill(fate: Fate, press: f64) -> model::Played {
-    play_plan(&Plan {
-        affinity: bounds(),
+/// Simulates a minute in which one of six servers is faulty for twenty seconds.
+fn with_faulty_server(fault: Fault, load_factor: f64) -> model::Results {
+    simulate_plan(&Plan {
+        affinity: default_bounds(),
         subjects: 30,
-        press,
+        load_factor,
         seconds: 60,
-        fate,
+        fault,
     })
 }
 
 #[test]
 fn an_unresponsive_or_crashed_server_costs_a_few_requests() {
-    for fate in [Fate::Dark, Fate::Down] {
-        for press in [1.0, 4.0] {
-            let played = ill(fate, press);
+    for fault in [Fault::Silent, Fault::Crashed] {
+        for load_factor in [1.0, 4.0] {
+            let results = with_faulty_server(fault, load_factor);
             assert!(
-                (1..=16).contains(&played.lost),
-                "{fate:?} at {press}: {} lost",
-                played.lost
+                (1..=16).contains(&results.lost),
+                "{fault:?} at {load_factor}: {} lost",
+                results.lost
             );
             assert!(
-                played.probes <= 40,
-                "{fate:?} at {press}: {} probes",
-                played.probes
+                results.health_checks <= 40,
+                "{fault:?} at {load_factor}: {} health checks",
+                results.health_checks
             );
-            assert!(played.refused == 0 && played.again() < 0.03);
+            assert!(results.rejected == 0 && results.prefilled_again() < 0.03);
         }
     }
 }
 
 #[test]
 fn a_server_that_fails_a_third_or_is_slow_is_ejected() {
-    let grey = ill(Fate::Grey, 4.0);
+    let partial = with_faulty_server(Fault::Partial, 4.0);
     assert!(
-        grey.ejected > 0 && grey.lost < 60,
+        partial.ejected > 0 && partial.lost < 60,
         "{} lost of about 95",
-        grey.lost
+        partial.lost
     );
-    let slow = ill(Fate::Slow, 4.0);
+    let slow = with_faulty_server(Fault::Slow, 4.0);
     assert!(
         slow.ejected > 0 && slow.late < 70 && slow.lost == 0,
         "{} late of about 280",
