--- a/crates/overlay/tests/overlay/contact.rs
+++ b/crates/overlay/tests/overlay/contact.rs
@@ -8,16 +8,17 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::plan::{Plan, address, index};
-use crate::sim::{Across, Sim, ms};
+use crate::support::cuts::CutEffect;
+use crate::support::deployment::{Deployment, address, index};
+use crate::support::simulation::{Simulation, ms};
 
 /// Two coordinators in the first region and one in the second, each in a zone of its own.
-const COORDINATORS: Plan = Plan {
+const COORDINATORS: Deployment = Deployment {
     coordinators: 3,
     agents: 0,
     regions: 2,
     zones: 2,
-    core_regions: 2,
+    coordinator_regions: 2,
 };
 
 /// The coordinator that is cut off; the lone one of its region.
@@ -99,12 +100,12 @@
 ];
 
 impl How {
-    fn across(self) -> Across {
+    fn cut_effect(self) -> CutEffect {
         match self {
-            How::Lost => Across::Lost,
-            How::Reset => Across::Reset,
-            How::Refused => Across::Refused,
-            _ => Across::StoredEntry,
+            How::Lost => CutEffect::Lost,
+            How::Reset => CutEffect::Reset,
+            How::Refused => CutEffect::Refused,
+            _ => CutEffect::Delayed,
         }
     }
 
@@ -146,7 +147,7 @@
 }
 
 struct Day {
-    sim: Sim,
+    sim: Simulation,
     how: How,
     random: Xoshiro256PlusPlus,
     script: Vec<(Duration, Step)>,
@@ -164,7 +165,7 @@
             guards,
             ..Settings::default()
         };
-        let mut sim = Sim::new(COORDINATORS, settings, seed);
+        let mut sim = Simulation::new(COORDINATORS, settings, seed);
         let localities = (0..ELSEWHERE).map(|agent| Locality {
             region: 0,
             zone: agent as u32 % 2,
@@ -173,7 +174,7 @@
             localities.chain((0..lone).map(|_| COORDINATORS.descriptor(ALONE).locality));
         for (agent, locality) in localities.enumerate() {
             let address = address(COORDINATORS.coordinators + agent);
-            sim.locality(Descriptor {
+            sim.add_stopped(Descriptor {
                 address,
                 locality,
                 role: Role::Agent,
@@ -257,7 +258,7 @@
 
     /// Runs the day; how long each change took to each agent that counts, sorted.
     fn run(mut self) -> Vec<Duration> {
-        self.sim.cut_with(Across::StoredEntry, |_, _| false);
+        self.sim.cut_with(CutEffect::Delayed, |_, _| false);
         for (at, step) in std::mem::take(&mut self.script) {
             self.run_until(at);
             self.act(step);
@@ -270,7 +271,7 @@
 
     fn act(&mut self, step: Step) {
         match step {
-            Step::Boot(node) => self.boot(node),
+            Step::Boot(node) => self.start_node(node),
             Step::Kill(node) => {
                 self.restarts.push((node, self.sim.now));
                 self.sim.kill(node);
@@ -278,28 +279,28 @@
             Step::Cut => {
                 let how = self.how;
                 self.sim
-                    .cut_with(how.across(), move |from, to| how.cuts(from, to));
+                    .cut_with(how.cut_effect(), move |from, to| how.cuts(from, to));
             }
-            Step::Heal => self.sim.cut_with(Across::StoredEntry, |_, _| false),
+            Step::Heal => self.sim.cut_with(CutEffect::Delayed, |_, _| false),
             Step::NewSeeds => {
                 self.sim.seeds.sort_by_key(|seed| *seed != address(ALONE));
                 for node in 0..self.sim.nodes.len() {
                     let seeds = self.sim.seeds.clone();
-                    self.sim.give(node, Event::Seeds(seeds));
+                    self.sim.dispatch(node, Event::Seeds(seeds));
                 }
             }
             Step::Publish => self.publish(),
         }
     }
 
-    fn boot(&mut self, node: usize) {
+    fn start_node(&mut self, node: usize) {
         self.restarts.push((node, self.sim.now));
-        self.sim.boot(node);
+        self.sim.start_node(node);
         if node >= COORDINATORS.coordinators {
             return;
         }
         if self.notices {
-            self.sim.give(node, Event::InContact(false));
+            self.sim.dispatch(node, Event::InContact(false));
         }
         self.lost_since[node] = Some(Duration::ZERO);
         // From its disk.
@@ -316,7 +317,7 @@
     fn publish(&mut self) {
         let others: Vec<usize> = [0, 2]
             .into_iter()
-            .filter(|node| self.sim.is_up(*node))
+            .filter(|node| self.sim.is_running(*node))
             .collect();
         let Some(by) = others
             .get(self.random.random_range(0..2) % others.len().max(1))
@@ -344,12 +345,12 @@
                 .count();
             if reached >= 2 {
                 if self.lost_since[node].take().is_some() {
-                    self.sim.give(node, Event::InContact(true));
+                    self.sim.dispatch(node, Event::InContact(true));
                 }
             } else {
                 let since = *self.lost_since[node].get_or_insert(self.sim.now);
                 if self.sim.now >= since + NOTICED {
-                    self.sim.give(node, Event::InContact(false));
+                    self.sim.dispatch(node, Event::InContact(false));
                 }
             }
         }
@@ -492,7 +493,7 @@
 }
 
 /// The lone coordinator told that it is out of contact while the others cannot reach it.
-fn alone(guards: Guards) -> Sim {
+fn alone(guards: Guards) -> Simulation {
     let mut day = Day::new(How::Core, 6, guards, false, 1);
     day.script.retain(|(_, step)| matches!(step, Step::Boot(_)));
     for (at, step) in std::mem::take(&mut day.script) {
@@ -501,19 +502,19 @@
     }
     day.run_until(ms(10_000));
     day.act(Step::Cut);
-    day.sim.give(ALONE, Event::InContact(false));
+    day.sim.dispatch(ALONE, Event::InContact(false));
     day.sim
 }
 
 /// Agents whose path begins at the lone coordinator.
-fn under_alone(sim: &Sim) -> usize {
+fn under_alone(sim: &Simulation) -> usize {
     let alone = sim.nodes[ALONE].descriptor.id();
     let running = sim.nodes.iter().filter_map(|node| node.overlay.as_ref());
     let under = |position: &TreePosition| matches!(position, TreePosition::Descendant { path, .. } if path[0] == alone);
     running.filter(|overlay| under(overlay.position())).count()
 }
 
-fn oldest_news(sim: &Sim) -> Duration {
+fn oldest_news(sim: &Simulation) -> Duration {
     let agents = &sim.nodes[COORDINATORS.coordinators..];
     let ages = agents
         .iter()
@@ -534,8 +535,8 @@
             oldest_news(&sim)
         );
     }
-    sim.cut_with(Across::StoredEntry, |_, _| false);
-    sim.give(ALONE, Event::InContact(true));
+    sim.cut_with(CutEffect::Delayed, |_, _| false);
+    sim.dispatch(ALONE, Event::InContact(true));
     sim.run_for(ms(1_000));
     assert_eq!(under_alone(&sim), 6);
 }
@@ -556,18 +557,18 @@
 }
 
 /// Regions of thirty agents, half of them with one coordinator.
-const LARGE: Plan = Plan {
+const LARGE: Deployment = Deployment {
     coordinators: 5,
     agents: 300,
     regions: 10,
     zones: 4,
-    core_regions: 5,
+    coordinator_regions: 5,
 };
 
 /// Cuts the first `alone` coordinators off from the others and returns the longest that a change
 /// took.
 fn large(alone: usize, notices: bool, guards: Guards) -> Duration {
-    let mut sim = Sim::start(
+    let mut sim = Simulation::start(
         LARGE,
         Settings {
             guards,
@@ -578,14 +579,14 @@
     sim.run_for(ms(8_000));
     let cut_off = move |node: &Descriptor| node.is_coordinator() && index(node.address) < alone;
     let core = |from: &Descriptor, to: &Descriptor| from.is_coordinator() && to.is_coordinator();
-    sim.cut_with(Across::StoredEntry, move |from, to| {
+    sim.cut_with(CutEffect::Delayed, move |from, to| {
         core(from, to) && (cut_off(from) || cut_off(to))
     });
     let noticed = sim.now + NOTICED;
     let mut worst = Duration::ZERO;
     for version in 1..=12 {
         if notices && sim.now >= noticed {
-            (0..alone).for_each(|node| sim.give(node, Event::InContact(false)));
+            (0..alone).for_each(|node| sim.dispatch(node, Event::InContact(false)));
         }
         let at = sim.publish(
             alone + version as usize % (LARGE.coordinators - alone),
@@ -633,11 +634,11 @@
 }
 
 /// Bytes between regions in these seconds.
-fn far_bytes(sim: &mut Sim, seconds: u64) -> u64 {
-    let total = |sim: &Sim| {
+fn inter_region_bytes(sim: &mut Simulation, seconds: u64) -> u64 {
+    let total = |sim: &Simulation| {
         sim.nodes
             .iter()
-            .map(|node| node.sent.far_bytes)
+            .map(|node| node.sent.inter_region_bytes)
             .sum::<u64>()
     };
     let before = total(sim);
@@ -648,13 +649,13 @@
 #[test]
 fn a_large_deployment_without_any_majority_stays_calm_and_carries_entries() {
     const SECONDS: u64 = 20;
-    let mut sim = Sim::start(LARGE, Settings::default(), 1);
+    let mut sim = Simulation::start(LARGE, Settings::default(), 1);
     sim.run_for(ms(8_000));
-    let calm = far_bytes(&mut sim, SECONDS);
+    let calm = inter_region_bytes(&mut sim, SECONDS);
     let core = |from: &Descriptor, to: &Descriptor| from.is_coordinator() && to.is_coordinator();
-    sim.cut_with(Across::StoredEntry, core);
-    (0..LARGE.coordinators).for_each(|node| sim.give(node, Event::InContact(false)));
-    let alone = far_bytes(&mut sim, SECONDS);
+    sim.cut_with(CutEffect::Delayed, core);
+    (0..LARGE.coordinators).for_each(|node| sim.dispatch(node, Event::InContact(false)));
+    let alone = inter_region_bytes(&mut sim, SECONDS);
     println!("bytes between regions in {SECONDS} s: {calm}, without a majority {alone}");
     let mut worst = Duration::ZERO;
     for version in 1..=10 {
@@ -666,5 +667,5 @@
     }
     println!("without a majority a change takes {worst:?} at worst");
     assert!(alone < 4 * calm);
-    assert_eq!(sim.unfed(), 0);
+    assert_eq!(sim.detached_agents(), 0);
 }
--- a/crates/overlay/tests/overlay/costs.rs
+++ b/crates/overlay/tests/overlay/costs.rs
@@ -3,8 +3,9 @@
 
 use ironmast_overlay::Settings;
 
-use crate::plan::Plan;
-use crate::sim::{Node, Sim, ms};
+use crate::support::deployment::Deployment;
+use crate::support::node::Node;
+use crate::support::simulation::{Simulation, ms};
 
 /// Seconds over which traffic is counted.
 const SECONDS: u64 = 30;
@@ -23,9 +24,9 @@
     bytes_in: u64,
     messages_out: u64,
     messages_in: u64,
-    wakes: u64,
-    far_bytes: u64,
-    far_entries: u64,
+    events_handled: u64,
+    inter_region_bytes: u64,
+    inter_region_entry_bytes: u64,
 }
 
 fn total(node: &Node) -> Rate {
@@ -34,9 +35,9 @@
         bytes_in: node.received.bytes,
         messages_out: node.sent.messages,
         messages_in: node.received.messages,
-        wakes: node.wakes,
-        far_bytes: node.sent.far_bytes,
-        far_entries: node.sent.far_entries,
+        events_handled: node.events_handled,
+        inter_region_bytes: node.sent.inter_region_bytes,
+        inter_region_entry_bytes: node.sent.inter_region_entry_bytes,
     }
 }
 
@@ -48,9 +49,12 @@
             bytes_in: per_second(self.bytes_in, before.bytes_in),
             messages_out: per_second(self.messages_out, before.messages_out),
             messages_in: per_second(self.messages_in, before.messages_in),
-            wakes: per_second(self.wakes, before.wakes),
-            far_bytes: per_second(self.far_bytes, before.far_bytes),
-            far_entries: per_second(self.far_entries, before.far_entries),
+            events_handled: per_second(self.events_handled, before.events_handled),
+            inter_region_bytes: per_second(self.inter_region_bytes, before.inter_region_bytes),
+            inter_region_entry_bytes: per_second(
+                self.inter_region_entry_bytes,
+                before.inter_region_entry_bytes,
+            ),
         }
     }
 
@@ -60,7 +64,7 @@
 }
 
 /// Rates of all nodes over the time in which `load` runs the simulation.
-fn measure(sim: &mut Sim, load: impl Fn(&mut Sim)) -> Vec<Rate> {
+fn measure(sim: &mut Simulation, load: impl Fn(&mut Simulation)) -> Vec<Rate> {
     let before: Vec<Rate> = sim.nodes.iter().map(total).collect();
     load(sim);
     sim.nodes
@@ -70,16 +74,21 @@
         .collect()
 }
 
-fn change(sim: &mut Sim) {
+fn change(sim: &mut Simulation) {
     for at in 0..CHANGES {
         let (key, version) = (at * 37 % ENTRIES, 2 + at / ENTRIES);
-        sim.publish(at as usize % sim.plan.coordinators, key, version, SIZE);
+        sim.publish(
+            at as usize % sim.deployment.coordinators,
+            key,
+            version,
+            SIZE,
+        );
         sim.run_for(ms(SECONDS * 1_000 / CHANGES));
     }
 }
 
-fn print(name: &str, plan: Plan, rates: &[Rate]) -> u64 {
-    let (coordinators, agents) = rates.split_at(plan.coordinators);
+fn print(name: &str, deployment: Deployment, rates: &[Rate]) -> u64 {
+    let (coordinators, agents) = rates.split_at(deployment.coordinators);
     let mut agents = agents.to_vec();
     agents.sort_by_key(Rate::both);
     let at = |part: usize| agents[(agents.len() - 1) * part / 100];
@@ -88,8 +97,8 @@
         .max_by_key(|rate| rate.both())
         .copied()
         .unwrap_or_default();
-    let far: u64 = rates.iter().map(|rate| rate.far_bytes).sum();
-    let entries: u64 = rates.iter().map(|rate| rate.far_entries).sum();
+    let far: u64 = rates.iter().map(|rate| rate.inter_region_bytes).sum();
+    let entries: u64 = rates.iter().map(|rate| rate.inter_region_entry_bytes).sum();
     for (who, rate) in [
         ("agent p50", at(50)),
         ("agent p99", at(99)),
@@ -98,17 +107,17 @@
     ] {
         println!(
             "{:>5} agents, {name}: {who:<15} {:>6} B/s out {:>6} B/s in {:>3} messages/s out {:>3} in {:>3} events/s",
-            plan.agents,
+            deployment.agents,
             rate.bytes_out,
             rate.bytes_in,
             rate.messages_out,
             rate.messages_in,
-            rate.wakes
+            rate.events_handled
         );
     }
     println!(
         "{:>5} agents, {name}: between regions {far} B/s in all, of which entries {entries} B/s",
-        plan.agents
+        deployment.agents
     );
     at(100).both()
 }
@@ -135,41 +144,46 @@
         .unwrap_or(0)
 }
 
-fn costs(plan: Plan) -> u64 {
+fn costs(deployment: Deployment) -> u64 {
     let memory = resident();
-    let mut sim = Sim::start(plan, Settings::default(), 1);
+    let mut sim = Simulation::start(deployment, Settings::default(), 1);
     sim.run_for(ms(20_000));
     let idle = measure(&mut sim, |sim| sim.run_for(ms(SECONDS * 1_000)));
-    print("no entries, idle", plan, &idle);
+    print("no entries, idle", deployment, &idle);
     for key in 0..ENTRIES {
-        sim.publish(key as usize % plan.coordinators, key, 1, SIZE);
+        sim.publish(key as usize % deployment.coordinators, key, 1, SIZE);
     }
     sim.run_for(ms(20_000));
     let grown = resident().saturating_sub(memory) / sim.nodes.len() as u64;
     let before = processor();
-    let events: u64 = sim.nodes.iter().map(|node| node.wakes).sum();
+    let events: u64 = sim.nodes.iter().map(|node| node.events_handled).sum();
     let loaded = measure(&mut sim, change);
-    let worst = print("2,000 entries, 0.85 changes/s", plan, &loaded);
-    let events = sim.nodes.iter().map(|node| node.wakes).sum::<u64>() - events;
+    let worst = print("2,000 entries, 0.85 changes/s", deployment, &loaded);
+    let events = sim
+        .nodes
+        .iter()
+        .map(|node| node.events_handled)
+        .sum::<u64>()
+        - events;
     let spent = (processor() - before) / events.max(1);
     println!(
         "{:>5} agents: {spent} ns of processor an event with the simulation's share, {grown} B of memory a node with its share and payloads shared",
-        plan.agents
+        deployment.agents
     );
-    assert_eq!(sim.setbacks, 0);
+    assert_eq!(sim.regressions, 0);
     worst
 }
 
 #[test]
 fn an_agent_costs_less_than_nine_kilobytes_a_second() {
-    assert!(costs(Plan::TWENTY) < 9_000);
-    assert!(costs(Plan::HUNDRED) < 9_000);
+    assert!(costs(Deployment::TWENTY) < 9_000);
+    assert!(costs(Deployment::HUNDRED) < 9_000);
 }
 
 #[test]
 #[ignore = "for the figures in docs/CAPACITY.md; in release"]
 fn costs_of_larger_deployments() {
-    assert!(costs(Plan::SMALL) < 9_000);
-    assert!(costs(Plan::FIVE_HUNDRED) < 9_000);
-    assert!(costs(Plan::TWO_THOUSAND) < 9_000);
+    assert!(costs(Deployment::SMALL) < 9_000);
+    assert!(costs(Deployment::FIVE_HUNDRED) < 9_000);
+    assert!(costs(Deployment::TWO_THOUSAND) < 9_000);
 }
--- a/crates/overlay/tests/overlay/guards.rs
+++ b/crates/overlay/tests/overlay/guards.rs
@@ -2,8 +2,8 @@
 
 use ironmast_overlay::{Guards, Settings};
 
-use crate::plan::Plan;
-use crate::sim::{Sim, ms};
+use crate::support::deployment::Deployment;
+use crate::support::simulation::{Simulation, ms};
 
 const KEY: u64 = 7;
 
@@ -14,7 +14,7 @@
     }
 }
 
-fn holders(sim: &Sim, key: u64, version: u64) -> usize {
+fn holders(sim: &Simulation, key: u64, version: u64) -> usize {
     let running = sim.nodes.iter().filter_map(|node| node.overlay.as_ref());
     running
         .filter(|overlay| overlay.store().version(key) == version)
@@ -23,14 +23,14 @@
 
 /// Changes under loss that reached all nodes within 2.5 s, of ten.
 fn in_time_under_loss(guards: Guards) -> usize {
-    let mut sim = Sim::start(Plan::HUNDRED, with(guards), 1);
+    let mut sim = Simulation::start(Deployment::HUNDRED, with(guards), 1);
     sim.run_for(ms(8_000));
     sim.loss = 0.1;
     let mut in_time = 0;
     for version in 1..=10 {
         sim.publish(version as usize % 5, KEY, version, 100);
         sim.run_for(ms(2_500));
-        in_time += usize::from(holders(&sim, KEY, version) == sim.plan.len());
+        in_time += usize::from(holders(&sim, KEY, version) == sim.deployment.len());
     }
     in_time
 }
@@ -61,14 +61,14 @@
         suspect_timeout: ms(2_500),
         ..with(guards)
     };
-    let mut sim = Sim::start(Plan::HUNDRED, settings, 1);
+    let mut sim = Simulation::start(Deployment::HUNDRED, settings, 1);
     sim.run_for(ms(40_000));
     sim.loss = 1.0;
     sim.publish(0, KEY, 1, 100);
     sim.run_for(ms(520));
     sim.loss = 0.0;
     sim.run_for(ms(10_000));
-    sim.plan.len() - holders(&sim, KEY, 1)
+    sim.deployment.len() - holders(&sim, KEY, 1)
 }
 
 #[test]
@@ -83,21 +83,21 @@
 }
 
 /// Older versions told after newer ones when a coordinator publishes from an old disk.
-fn setbacks(guards: Guards) -> usize {
-    let mut sim = Sim::start(Plan::TWENTY, with(guards), 1);
+fn regressions(guards: Guards) -> usize {
+    let mut sim = Simulation::start(Deployment::TWENTY, with(guards), 1);
     sim.run_for(ms(5_000));
     sim.publish(0, KEY, 5, 100);
     sim.run_for(ms(1_000));
     sim.publish(1, KEY, 4, 100);
     sim.run_for(ms(1_000));
-    sim.setbacks
+    sim.regressions
 }
 
 #[test]
 fn the_version_check_keeps_older_versions_out() {
-    assert_eq!(setbacks(Guards::default()), 0);
+    assert_eq!(regressions(Guards::default()), 0);
     assert!(
-        setbacks(Guards {
+        regressions(Guards {
             version_check: false,
             ..Guards::default()
         }) > 0
@@ -106,9 +106,9 @@
 
 /// Most agents linked to one coordinator, and most nodes fed by one agent.
 fn most_linked(guards: Guards) -> (usize, usize) {
-    let mut sim = Sim::start(Plan::HUNDRED, with(guards), 1);
+    let mut sim = Simulation::start(Deployment::HUNDRED, with(guards), 1);
     sim.run_for(ms(15_000));
-    let (coordinators, agents) = sim.nodes.split_at(sim.plan.coordinators);
+    let (coordinators, agents) = sim.nodes.split_at(sim.deployment.coordinators);
     let linked = coordinators.iter().filter_map(|node| node.overlay.as_ref());
     let linked = linked.map(|overlay| {
         overlay
@@ -142,12 +142,12 @@
 /// Bytes of entries between regions for ten changes, for each byte of payload.
 fn crossings(guards: Guards) -> f64 {
     const SIZE: usize = 5_000;
-    let mut sim = Sim::start(Plan::HUNDRED, with(guards), 1);
+    let mut sim = Simulation::start(Deployment::HUNDRED, with(guards), 1);
     sim.run_for(ms(8_000));
-    let far = |sim: &Sim| {
+    let far = |sim: &Simulation| {
         sim.nodes
             .iter()
-            .map(|node| node.sent.far_entries)
+            .map(|node| node.sent.inter_region_entry_bytes)
             .sum::<u64>()
     };
     let before = far(&sim);
@@ -158,7 +158,7 @@
     println!(
         "{} agents are fed from outside",
         (5..105)
-            .filter(|agent| sim.is_fed_from_outside(*agent))
+            .filter(|agent| sim.has_remote_parent(*agent))
             .count()
     );
     (far(&sim) - before) as f64 / (10 * SIZE) as f64
@@ -178,15 +178,15 @@
 
 /// Milliseconds until nobody waits for the head of a region that has crashed.
 fn failover(guards: Guards) -> u64 {
-    let mut sim = Sim::start(Plan::HUNDRED, with(guards), 1);
+    let mut sim = Simulation::start(Deployment::HUNDRED, with(guards), 1);
     sim.run_for(ms(8_000));
     let head = (5..105)
-        .find(|agent| sim.is_fed_from_outside(*agent))
+        .find(|agent| sim.has_remote_parent(*agent))
         .expect("two regions have no coordinator");
     sim.power_off(head);
     let start = sim.now;
-    while (5..105).any(|agent| sim.is_up(agent) && sim.source(agent) == Some(head))
-        || sim.unfed() > 0
+    while (5..105).any(|agent| sim.is_running(agent) && sim.parent(agent) == Some(head))
+        || sim.detached_agents() > 0
     {
         sim.run_for(ms(20));
     }
--- a/crates/overlay/tests/overlay/load.rs
+++ b/crates/overlay/tests/overlay/load.rs
@@ -4,22 +4,22 @@
 
 use ironmast_overlay::Settings;
 
-use crate::plan::Plan;
-use crate::sim::{Sim, ms};
+use crate::support::deployment::Deployment;
+use crate::support::simulation::{Simulation, ms};
 
-fn settled(plan: Plan) -> Sim {
-    let mut sim = Sim::start(plan, Settings::default(), 1);
+fn settled(deployment: Deployment) -> Simulation {
+    let mut sim = Simulation::start(deployment, Settings::default(), 1);
     sim.run_for(ms(8_000));
     sim
 }
 
-fn holds_all(sim: &Sim, node: usize, keys: u64) -> bool {
+fn holds_all(sim: &Simulation, node: usize, keys: u64) -> bool {
     let overlay = sim.nodes[node].overlay.as_ref().expect("running");
     (0..keys).all(|key| overlay.store().version(key) > 0)
 }
 
 /// Time until `node` holds all `keys`, looked at every 10 ms.
-fn until_held(sim: &mut Sim, nodes: &[usize], keys: u64) -> Duration {
+fn until_held(sim: &mut Simulation, nodes: &[usize], keys: u64) -> Duration {
     let start = sim.now;
     while !nodes.iter().all(|node| holds_all(sim, *node, keys)) {
         assert!(sim.now - start < ms(10_000), "not within ten seconds");
@@ -30,7 +30,7 @@
 
 #[test]
 fn changes_close_together_travel_as_one_message() {
-    let mut sim = settled(Plan::HUNDRED);
+    let mut sim = settled(Deployment::HUNDRED);
     let before: Vec<u64> = sim.nodes.iter().map(|node| node.pushes).collect();
     for key in 0..200 {
         sim.publish(0, key, 1, 100);
@@ -45,14 +45,14 @@
     let most = pushes.max().expect("nodes");
     println!("200 changes within 20 ms reach a node in {most} messages at most");
     assert!(most <= 4);
-    assert!((0..sim.plan.len()).all(|node| holds_all(&sim, node, 200)));
+    assert!((0..sim.deployment.len()).all(|node| holds_all(&sim, node, 200)));
 }
 
 #[test]
 fn a_large_entry_is_everywhere_within_a_second() {
-    let mut sim = settled(Plan::HUNDRED);
+    let mut sim = settled(Deployment::HUNDRED);
     sim.publish(0, 0, 1, 50_000);
-    let all: Vec<usize> = (0..sim.plan.len()).collect();
+    let all: Vec<usize> = (0..sim.deployment.len()).collect();
     let time = until_held(&mut sim, &all, 1);
     println!("an entry of 50 kB is everywhere after {time:?} (bandwidth not counted)");
     assert!(time < ms(400));
@@ -61,43 +61,43 @@
 #[test]
 fn a_node_that_starts_learns_all_in_a_second() {
     const KEYS: u64 = 2_000;
-    let mut sim = settled(Plan::HUNDRED);
+    let mut sim = settled(Deployment::HUNDRED);
     for key in 0..KEYS {
         sim.publish(key as usize % 5, key, 1, 300);
     }
     sim.run_for(ms(3_000));
     let agents: Vec<usize> = (5..105)
-        .filter(|agent| sim.is_fed_from_outside(*agent))
+        .filter(|agent| sim.has_remote_parent(*agent))
         .chain([5, 50])
         .collect();
     let mut worst = Duration::ZERO;
     for agent in agents {
         sim.kill(agent);
         sim.run_for(ms(500));
-        sim.boot(agent);
+        sim.start_node(agent);
         worst = worst.max(until_held(&mut sim, &[agent], KEYS));
     }
     println!("an agent started anew holds 2,000 entries after {worst:?} at worst");
     assert!(worst < ms(2_000));
     sim.kill(1);
     sim.run_for(ms(500));
-    sim.boot(1);
+    sim.start_node(1);
     let time = until_held(&mut sim, &[1], KEYS);
     println!("a coordinator started anew holds 2,000 entries after {time:?}");
     assert!(time < ms(2_000));
 }
 
 /// Median, 99 % and worst time for 20 changes to be everywhere, and how many were not within 5 s.
-fn spread(plan: Plan, loss: f64) -> (Vec<Duration>, usize) {
-    let mut sim = settled(plan);
+fn spread(deployment: Deployment, loss: f64) -> (Vec<Duration>, usize) {
+    let mut sim = settled(deployment);
     sim.loss = loss;
     let mut delays = Vec::new();
     let mut late = 0;
     for version in 1..=20 {
-        let at = sim.publish(version as usize % plan.coordinators, 7, version, 300);
+        let at = sim.publish(version as usize % deployment.coordinators, 7, version, 300);
         sim.run_for(ms(5_000));
         let arrivals = &sim.arrivals[&(7, version)];
-        late += plan.len() - arrivals.len();
+        late += deployment.len() - arrivals.len();
         delays.extend(arrivals.values().map(|arrival| *arrival - at));
     }
     delays.sort();
@@ -109,16 +109,16 @@
 fn spread_by_size_and_loss() {
     let regions = |agents: usize| if agents < 50 { 2 } else { 10 };
     for agents in [7, 30, 100, 300, 1_000] {
-        let core_regions = if agents < 50 { 2 } else { 5 };
-        let plan = Plan {
+        let coordinator_regions = if agents < 50 { 2 } else { 5 };
+        let deployment = Deployment {
             coordinators: 5,
             agents,
             regions: regions(agents),
             zones: 4,
-            core_regions,
+            coordinator_regions,
         };
         for loss in [0.0, 0.01, 0.1] {
-            let (delays, late) = spread(plan, loss);
+            let (delays, late) = spread(deployment, loss);
             let at = |part: usize| delays[(delays.len() - 1) * part / 100];
             println!(
                 "{agents:>5} agents, loss {loss}: median {:?} 99 % {:?} worst {:?}, {late} of {} later than 5 s",
--- a/crates/overlay/tests/overlay/main.rs
+++ b/crates/overlay/tests/overlay/main.rs
@@ -1,13 +1,11 @@
-//! The overlay in a simulated network: distribution, faults and costs.
+//! The overlay in a simulated network: dissemination, faults and costs.
 
-mod plan;
-mod sim;
-mod traffic;
+mod support;
 
 mod contact;
 mod costs;
+mod dissemination;
 mod faults;
 mod guards;
-mod hunt;
 mod load;
-mod spread;
+mod random_faults;
--- a/crates/overlay/tests/overlay/hunt.rs
+++ b/crates/overlay/tests/overlay/random_faults.rs
@@ -7,8 +7,8 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::plan::Plan;
-use crate::sim::{Sim, ms};
+use crate::support::deployment::Deployment;
+use crate::support::simulation::{Simulation, ms};
 
 /// Steps of a script, and the time of one in milliseconds.
 const STEPS: usize = 40;
@@ -20,16 +20,16 @@
 /// A run: the simulation, what was published and by which coordinator, which keeps it over a
 /// restart.
 struct Script {
-    sim: Sim,
+    sim: Simulation,
     random: Xoshiro256PlusPlus,
     disks: Vec<BTreeMap<u64, (u64, bool)>>,
     version: u64,
 }
 
 impl Script {
-    fn new(plan: Plan, seed: u64) -> Script {
-        let sim = Sim::start(plan, Settings::default(), seed);
-        let disks = vec![BTreeMap::new(); plan.coordinators];
+    fn new(deployment: Deployment, seed: u64) -> Script {
+        let sim = Simulation::start(deployment, Settings::default(), seed);
+        let disks = vec![BTreeMap::new(); deployment.coordinators];
         Script {
             sim,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
@@ -39,7 +39,7 @@
     }
 
     fn any_node(&mut self) -> usize {
-        self.random.random_range(0..self.sim.plan.len())
+        self.random.random_range(0..self.sim.deployment.len())
     }
 
     fn step(&mut self) {
@@ -67,7 +67,7 @@
 
     fn kill(&mut self) {
         let many = if self.random.random_bool(0.1) {
-            self.sim.plan.len()
+            self.sim.deployment.len()
         } else {
             2
         };
@@ -84,23 +84,23 @@
 
     fn leave(&mut self) {
         let node = self.any_node();
-        self.sim.give(node, Event::Leave);
+        self.sim.dispatch(node, Event::Leave);
         self.sim.power_off(node);
     }
 
     fn boot_one(&mut self) {
-        let down: Vec<usize> = (0..self.sim.plan.len())
-            .filter(|node| !self.sim.is_up(*node))
+        let down: Vec<usize> = (0..self.sim.deployment.len())
+            .filter(|node| !self.sim.is_running(*node))
             .collect();
         if !down.is_empty() {
             let node = down[self.random.random_range(0..down.len())];
-            self.boot(node);
+            self.start_node(node);
         }
     }
 
     /// Starts a node; a coordinator publishes again what it has on its disk.
-    fn boot(&mut self, node: usize) {
-        self.sim.boot(node);
+    fn start_node(&mut self, node: usize) {
+        self.sim.start_node(node);
         for (key, (version, removed)) in self.disks.get(node).cloned().unwrap_or_default() {
             self.tell(node, key, version, removed);
         }
@@ -108,15 +108,17 @@
 
     fn tell(&mut self, node: usize, key: u64, version: u64, removed: bool) {
         if removed {
-            self.sim.give(node, Event::Remove { key, version });
+            self.sim.dispatch(node, Event::Remove { key, version });
         } else {
             self.sim.publish(node, key, version, 50);
         }
     }
 
     fn publish(&mut self) {
-        let node = self.random.random_range(0..self.sim.plan.coordinators);
-        if !self.sim.is_up(node) {
+        let node = self
+            .random
+            .random_range(0..self.sim.deployment.coordinators);
+        if !self.sim.is_running(node) {
             return;
         }
         self.version += 1;
@@ -137,7 +139,9 @@
     }
 
     fn cut_region(&mut self) {
-        let region = self.random.random_range(0..self.sim.plan.regions as u32);
+        let region = self
+            .random
+            .random_range(0..self.sim.deployment.regions as u32);
         self.sim.cut(move |from, to| {
             (from.locality.region == region) != (to.locality.region == region)
         });
@@ -147,9 +151,9 @@
     fn settle(&mut self) {
         self.sim.heal();
         self.sim.loss = 0.0;
-        for node in 0..self.sim.plan.len() {
-            if !self.sim.is_up(node) {
-                self.boot(node);
+        for node in 0..self.sim.deployment.len() {
+            if !self.sim.is_running(node) {
+                self.start_node(node);
             }
         }
         self.sim.run_for(ms(12_000));
@@ -165,8 +169,12 @@
                     *held = *version.max(held);
                     newest
                 });
-        assert_eq!(self.sim.setbacks, 0, "seed {seed}: a version went back");
-        assert_eq!(self.sim.unfed(), 0, "seed {seed}: agents without a source");
+        assert_eq!(self.sim.regressions, 0, "seed {seed}: a version went back");
+        assert_eq!(
+            self.sim.detached_agents(),
+            0,
+            "seed {seed}: agents without a source"
+        );
         for (at, node) in self.sim.nodes.iter().enumerate() {
             let overlay = node.overlay.as_ref().expect("running");
             for (key, version) in &newest {
@@ -181,9 +189,9 @@
                 "seed {seed}: node {at} is stale"
             );
         }
-        let heads = (self.sim.plan.coordinators..self.sim.plan.len())
-            .filter(|agent| self.sim.is_fed_from_outside(*agent));
-        let without = self.sim.plan.regions - self.sim.plan.core_regions;
+        let heads = (self.sim.deployment.coordinators..self.sim.deployment.len())
+            .filter(|agent| self.sim.has_remote_parent(*agent));
+        let without = self.sim.deployment.regions - self.sim.deployment.coordinator_regions;
         assert_eq!(
             heads.count(),
             without,
@@ -192,26 +200,26 @@
     }
 }
 
-fn hunt(plan: Plan, seeds: std::ops::Range<u64>) {
+fn hunt(deployment: Deployment, seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        let mut script = Script::new(plan, seed);
+        let mut script = Script::new(deployment, seed);
         (0..STEPS).for_each(|_| script.step());
         script.settle();
         script.check(seed);
     }
 }
 
-const FIVE: Plan = Plan {
+const FIVE: Deployment = Deployment {
     coordinators: 5,
     agents: 20,
     regions: 4,
     zones: 2,
-    core_regions: 3,
+    coordinator_regions: 3,
 };
 
 #[test]
 fn three_coordinators_under_random_faults() {
-    hunt(Plan::TWENTY, 0..30);
+    hunt(Deployment::TWENTY, 0..30);
 }
 
 #[test]
@@ -221,13 +229,13 @@
 
 #[test]
 fn a_small_deployment_under_random_faults() {
-    hunt(Plan::SMALL, 0..30);
+    hunt(Deployment::SMALL, 0..30);
 }
 
 #[test]
 #[ignore = "minutes; in release"]
 fn a_thousand_seeds_each() {
-    hunt(Plan::SMALL, 1_000..2_000);
-    hunt(Plan::TWENTY, 1_000..2_000);
+    hunt(Deployment::SMALL, 1_000..2_000);
+    hunt(Deployment::TWENTY, 1_000..2_000);
     hunt(FIVE, 1_000..2_000);
 }
--- /dev/null
+++ b/crates/overlay/tests/overlay/support/delivery.rs
@@ -0,0 +1,272 @@
+//! How the simulated network runs: events of nodes, delivery of messages and connections.
+
+use std::time::Duration;
+
+use ironmast_overlay::{Action, Event, Message};
+use rand::RngExt as _;
+
+use super::cuts::CutEffect;
+use super::deployment::{address, index};
+use super::event_queue::NetworkEvent;
+use super::simulation::{DelayedMessage, Simulation};
+use super::traffic::wire_size;
+
+impl Simulation {
+    /// Runs the network for `time`.
+    pub(crate) fn run_for(&mut self, time: Duration) {
+        let until = self.now + time;
+        while let Some((at, event)) = self.events.pop_until(until) {
+            self.now = at;
+            self.process(event);
+        }
+        self.now = until;
+    }
+
+    pub(super) fn process(&mut self, event: NetworkEvent) {
+        match event {
+            NetworkEvent::Deliver {
+                from,
+                to,
+                connection,
+                message,
+            } => {
+                if self.nodes[to].connections.get(&from) == Some(&connection) {
+                    self.deliver(from, to, *message);
+                } else if self.cut_effect == CutEffect::Delayed {
+                    self.notify_closed(to, from, connection);
+                }
+            }
+            NetworkEvent::Unacknowledged {
+                node,
+                peer,
+                connection,
+            } => {
+                if self.is_cut(node, peer) || self.is_cut(peer, node) {
+                    self.process(NetworkEvent::Disconnected {
+                        node,
+                        peer,
+                        connection: Some(connection),
+                    });
+                }
+            }
+            NetworkEvent::Establish { from, to } => self.establish(from, to),
+            NetworkEvent::Connected {
+                node,
+                peer,
+                connection,
+            } => {
+                self.half_open.remove(&(peer, node));
+                if self.is_running(node) {
+                    self.nodes[node].connections.insert(peer, connection);
+                    self.dispatch(node, Event::Connected(address(peer)));
+                }
+            }
+            NetworkEvent::Disconnected {
+                node,
+                peer,
+                connection,
+            } => {
+                let current = self.nodes[node].connections.get(&peer).copied();
+                if current == connection && self.is_running(node) {
+                    self.nodes[node].connections.remove(&peer);
+                    self.dispatch(node, Event::Disconnected(address(peer)));
+                }
+            }
+            NetworkEvent::Timer { node } => {
+                if self.nodes[node].timer == Some(self.now) {
+                    self.nodes[node].timer = None;
+                    self.dispatch(node, Event::Timer);
+                }
+            }
+        }
+    }
+
+    pub(super) fn deliver(&mut self, from: usize, to: usize, message: Message) {
+        let size = wire_size(&message);
+        self.nodes[to].received.messages += 1;
+        self.nodes[to].pushes +=
+            u64::from(matches!(message, Message::Entries { pushed: true, .. }));
+        self.nodes[to].received.bytes += size;
+        self.dispatch(
+            to,
+            Event::Message {
+                from: address(from),
+                message,
+            },
+        );
+    }
+
+    /// The opening packet of a connection has come back.
+    pub(super) fn establish(&mut self, from: usize, to: usize) {
+        let cut = self.is_cut(from, to) || self.is_cut(to, from);
+        let refused = self.cut_effect == CutEffect::Refused;
+        if !self.is_running(from) || self.nodes[to].is_powered_off || cut && !refused {
+            return;
+        }
+        if !self.is_running(to) || cut {
+            return self.process(NetworkEvent::Disconnected {
+                node: from,
+                peer: to,
+                connection: None,
+            });
+        }
+        if self.nodes[from].connections.contains_key(&to) || self.half_open.contains(&(to, from)) {
+            return;
+        }
+        self.half_open.insert((from, to));
+        self.connections += 1;
+        let connection = self.connections;
+        let latency = self.latency(from, to);
+        self.schedule(
+            self.now + latency,
+            NetworkEvent::Connected {
+                node: to,
+                peer: from,
+                connection,
+            },
+        );
+        self.last_arrival.insert((from, to), self.now + latency);
+        self.process(NetworkEvent::Connected {
+            node: from,
+            peer: to,
+            connection,
+        });
+    }
+
+    /// Gives an event to a node and carries out its actions.
+    pub(crate) fn dispatch(&mut self, node: usize, event: Event) {
+        if let Some(unread) = &mut self.nodes[node].unread {
+            return unread.push(event);
+        }
+        let Some(overlay) = self.nodes[node].overlay.as_mut() else {
+            return;
+        };
+        let mut actions = Vec::new();
+        overlay.handle(self.now, event, &mut actions);
+        self.nodes[node].events_handled += 1;
+        for action in actions {
+            self.carry_out(node, action);
+        }
+    }
+
+    pub(super) fn carry_out(&mut self, node: usize, action: Action) {
+        match action {
+            Action::Send { to, message } => self.send(node, index(to), message),
+            Action::Connect(to) => {
+                let to = index(to);
+                let latency = self.latency(node, to) * 2;
+                self.schedule(
+                    self.now + latency,
+                    NetworkEvent::Establish { from: node, to },
+                );
+            }
+            Action::Disconnect(to) => {
+                if let Some(connection) = self.nodes[node].connections.remove(&index(to)) {
+                    self.notify_closed(node, index(to), connection);
+                }
+            }
+            Action::Changed { key, version, .. } => self.changed(node, key, version),
+            Action::Timer(at) => {
+                self.nodes[node].timer = Some(at);
+                self.schedule(at, NetworkEvent::Timer { node });
+            }
+        }
+    }
+
+    pub(super) fn changed(&mut self, node: usize, key: u64, version: u64) {
+        let before = self.nodes[node].versions.insert(key, version);
+        self.regressions += usize::from(before.is_some_and(|before| before >= version));
+        self.arrivals
+            .entry((key, version))
+            .or_default()
+            .entry(node)
+            .or_insert(self.now);
+    }
+
+    pub(super) fn send(&mut self, from: usize, to: usize, message: Message) {
+        let Some(connection) = self.nodes[from].connections.get(&to).copied() else {
+            return;
+        };
+        self.count_traffic(from, to, &message);
+        if self.cut_effect == CutEffect::Delayed && self.is_delayed(from, to, connection) {
+            self.delayed.push(DelayedMessage {
+                from,
+                to,
+                connection,
+                message,
+            });
+            return;
+        }
+        if self.is_cut(from, to) || self.loss > 0.0 && self.random.random_bool(self.loss) {
+            return;
+        }
+        let at = self.arrival(from, to);
+        self.schedule(
+            at,
+            NetworkEvent::Deliver {
+                from,
+                to,
+                connection,
+                message: Box::new(message),
+            },
+        );
+    }
+
+    pub(super) fn count_traffic(&mut self, from: usize, to: usize, message: &Message) {
+        let size = wire_size(message);
+        let far = !self.nodes[from]
+            .descriptor
+            .locality
+            .same_region(self.nodes[to].descriptor.locality);
+        let sent = &mut self.nodes[from].sent;
+        sent.messages += 1;
+        sent.bytes += size;
+        if far {
+            sent.inter_region_bytes += size;
+            sent.inter_region_entry_bytes += if matches!(message, Message::Entries { .. }) {
+                size
+            } else {
+                0
+            };
+        }
+    }
+
+    pub(super) fn notify_closed(&mut self, node: usize, peer: usize, connection: u64) {
+        if !self.is_cut(node, peer) {
+            let at = self.arrival(node, peer);
+            self.schedule(
+                at,
+                NetworkEvent::Disconnected {
+                    node: peer,
+                    peer: node,
+                    connection: Some(connection),
+                },
+            );
+        }
+    }
+
+    /// When something sent now arrives: after the latency, and after what was sent before it.
+    pub(super) fn arrival(&mut self, from: usize, to: usize) -> Duration {
+        let at = self.now + self.latency(from, to);
+        let last = self.last_arrival.entry((from, to)).or_default();
+        *last = at.max(*last);
+        *last
+    }
+
+    pub(super) fn latency(&mut self, from: usize, to: usize) -> Duration {
+        let (from, to) = (
+            self.nodes[from].descriptor.locality,
+            self.nodes[to].descriptor.locality,
+        );
+        let base = match (from == to, from.same_region(to)) {
+            (true, _) => 250,
+            (_, true) => 1_400,
+            _ => 55_000,
+        };
+        Duration::from_micros(base + self.random.random_range(0..=base / 5))
+    }
+
+    pub(super) fn schedule(&mut self, at: Duration, event: NetworkEvent) {
+        self.events.schedule(at, event);
+    }
+}
--- a/crates/overlay/tests/overlay/plan.rs
+++ b/crates/overlay/tests/overlay/support/deployment.rs
@@ -6,50 +6,50 @@
 
 /// A deployment: coordinators first, then agents, spread over the regions and zones in turn.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Plan {
+pub(crate) struct Deployment {
     pub coordinators: usize,
     pub agents: usize,
     pub regions: usize,
     pub zones: usize,
     /// Regions that have coordinators.
-    pub core_regions: usize,
+    pub coordinator_regions: usize,
 }
 
-impl Plan {
-    pub(crate) const SMALL: Plan = Plan {
+impl Deployment {
+    pub(crate) const SMALL: Deployment = Deployment {
         coordinators: 3,
         agents: 7,
         regions: 2,
         zones: 2,
-        core_regions: 2,
+        coordinator_regions: 2,
     };
-    pub(crate) const TWENTY: Plan = Plan {
+    pub(crate) const TWENTY: Deployment = Deployment {
         coordinators: 3,
         agents: 20,
         regions: 3,
         zones: 2,
-        core_regions: 2,
+        coordinator_regions: 2,
     };
-    pub(crate) const HUNDRED: Plan = Plan {
+    pub(crate) const HUNDRED: Deployment = Deployment {
         coordinators: 5,
         agents: 100,
         regions: 5,
         zones: 3,
-        core_regions: 3,
+        coordinator_regions: 3,
     };
-    pub(crate) const FIVE_HUNDRED: Plan = Plan {
+    pub(crate) const FIVE_HUNDRED: Deployment = Deployment {
         coordinators: 5,
         agents: 500,
         regions: 10,
         zones: 4,
-        core_regions: 5,
+        coordinator_regions: 5,
     };
-    pub(crate) const TWO_THOUSAND: Plan = Plan {
+    pub(crate) const TWO_THOUSAND: Deployment = Deployment {
         coordinators: 17,
         agents: 2_000,
         regions: 10,
         zones: 4,
-        core_regions: 5,
+        coordinator_regions: 5,
     };
 
     pub(crate) fn len(&self) -> usize {
@@ -63,7 +63,7 @@
             Role::Agent
         };
         let (position, regions) = match role {
-            Role::Coordinator => (index, self.core_regions),
+            Role::Coordinator => (index, self.coordinator_regions),
             Role::Agent => (index - self.coordinators, self.regions),
         };
         let region = position % regions;
--- a/crates/overlay/tests/overlay/traffic.rs
+++ b/crates/overlay/tests/overlay/support/traffic.rs
@@ -11,9 +11,9 @@
     pub messages: u64,
     pub bytes: u64,
     /// Bytes to other regions.
-    pub far_bytes: u64,
+    pub inter_region_bytes: u64,
     /// Bytes of entries to other regions.
-    pub far_entries: u64,
+    pub inter_region_entry_bytes: u64,
 }
 
 pub(crate) fn wire_size(message: &Message) -> u64 {
