--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,4 +1,5 @@
-//! The file operations that the log needs, and their errors.
+//! The file operations that the log needs, and their errors. A trait, so that tests can run the log
+//! on disks that lose power, fill up, stall or fail to sync.
 
 mod real;
 
@@ -17,22 +18,22 @@
     /// When the folder cannot be read.
     fn list(&self) -> Result<Vec<String>, DiskError>;
 
-    /// Whole content of a file.
+    /// The content of a file.
     ///
     /// # Errors
     /// [`FailureKind::NotFound`] when there is no such file, else what the disk reports.
     fn read(&self, file: &str) -> Result<Vec<u8>, DiskError>;
 
-    /// Makes an empty file that [`Disk::append`] can write to.
+    /// Creates an empty file that [`Disk::append`] can write to.
     ///
     /// # Errors
-    /// [`FailureKind::Exists`] when the name is taken, [`FailureKind::Full`] when there is no room.
+    /// [`FailureKind::Exists`] when the name is in use, [`FailureKind::Full`] when there is no space.
     fn create(&self, file: &str) -> Result<(), DiskError>;
 
     /// Writes bytes at the end of a file.
     ///
     /// # Errors
-    /// [`FailureKind::Full`] when there is no room. After any error a part of the bytes may have
+    /// [`FailureKind::Full`] when there is no space. After any error a part of the bytes may have
     /// been written.
     fn append(&self, file: &str, bytes: &[u8]) -> Result<(), DiskError>;
 
@@ -43,10 +44,10 @@
     /// succeeds.
     fn sync_file(&self, file: &str) -> Result<(), DiskError>;
 
-    /// Gives a file a new name, which must be free.
+    /// Renames a file; the new name must not be in use.
     ///
     /// # Errors
-    /// [`FailureKind::Exists`] when the new name is taken, [`FailureKind::NotFound`] when there is
+    /// [`FailureKind::Exists`] when the new name is in use, [`FailureKind::NotFound`] when there is
     /// no such file.
     fn rename(&self, from: &str, to: &str) -> Result<(), DiskError>;
 
@@ -56,7 +57,7 @@
     /// [`FailureKind::NotFound`] when there is no such file.
     fn remove(&self, file: &str) -> Result<(), DiskError>;
 
-    /// Makes the names of the folder durable: files made, renamed and removed.
+    /// Makes the names in the folder durable: files created, renamed and removed.
     ///
     /// # Errors
     /// After an error the names may be lost even if a later sync succeeds.
@@ -102,30 +103,30 @@
     }
 }
 
-/// What kind of failure an operation met.
+/// The kind of a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FailureKind {
-    /// The disk or the quota has no room.
+    /// The disk or the quota is full.
     Full,
     /// There is no such file.
     NotFound,
-    /// The name is taken.
+    /// The name is in use.
     Exists,
     /// Anything else.
     Other,
 }
 
-/// A failed operation: its file, its step and the reason the system gave.
+/// A failed operation: the file, the operation and the reason that the system gave.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{operation} failed at {file}: {reason}")]
 pub struct DiskError {
-    /// Name of the file, or of the folder for steps on all of it.
+    /// Name of the file, or of the folder for operations on the folder.
     pub file: String,
     /// The operation.
     pub operation: DiskOperation,
     /// The kind of failure.
     pub kind: FailureKind,
-    /// The system's words.
+    /// The error text of the system.
     pub reason: String,
 }
 
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Whether the disk had no room.
+    /// Whether the disk was full.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.kind == FailureKind::Full
--- a/crates/storage/src/disk/real.rs
+++ b/crates/storage/src/disk/real.rs
@@ -11,8 +11,8 @@
 /// Name used for the folder itself in errors.
 const FOLDER: &str = ".";
 
-/// A folder of the file system, with a descriptor kept for each file that was made through it and
-/// is still there.
+/// A folder of the file system. Keeps a descriptor open for each file that was created through it,
+/// until the file is removed.
 #[derive(Debug)]
 pub struct RealDisk {
     folder: PathBuf,
@@ -20,13 +20,13 @@
 }
 
 impl RealDisk {
-    /// Uses a folder, which is made, durably, when it is missing.
+    /// Opens a folder, which is created durably if it is missing.
     ///
     /// # Errors
-    /// When the folder cannot be made or is no folder.
+    /// When the folder cannot be created, or the path is not a folder.
     pub fn open(folder: &Path) -> Result<Self, DiskError> {
         if !folder.is_dir() {
-            make(folder).map_err(failed(FOLDER, DiskOperation::Open))?;
+            create_folder(folder).map_err(failed(FOLDER, DiskOperation::Open))?;
         }
         Ok(Self {
             folder: folder.to_owned(),
@@ -38,7 +38,7 @@
         self.folder.join(file)
     }
 
-    /// Runs an operation on the descriptor of a file that was made here.
+    /// Runs a system call on the descriptor of a file.
     fn with_open<T>(
         &self,
         file: &str,
@@ -49,7 +49,8 @@
         run(&handle).map_err(failed(file, operation))
     }
 
-    /// The kept descriptor, shared so that the table is not locked while the disk works.
+    /// The open descriptor of a file, shared so that the table is not locked during the system call;
+    /// opened anew for a file that wasn't created through this disk.
     fn handle(&self, file: &str, operation: DiskOperation) -> Result<Arc<File>, DiskError> {
         let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(handle) = open.get(file) {
@@ -139,8 +140,8 @@
     }
 }
 
-/// Makes a folder and syncs the one that it is in.
-fn make(folder: &Path) -> io::Result<()> {
+/// Creates a folder and syncs its parent.
+fn create_folder(folder: &Path) -> io::Result<()> {
     fs::create_dir_all(folder)?;
     match folder.parent() {
         Some(parent) if !parent.as_os_str().is_empty() => File::open(parent)?.sync_all(),
@@ -148,7 +149,7 @@
     }
 }
 
-/// Turns a system error into one with file and step.
+/// Adds the file and the operation to a system error.
 fn failed(file: &str, operation: DiskOperation) -> impl Fn(io::Error) -> DiskError {
     let file = file.to_owned();
     move |error| DiskError::new(&file, operation, kind_of(&error), &error.to_string())
@@ -156,8 +157,9 @@
 
 fn kind_of(error: &io::Error) -> FailureKind {
     match error.kind() {
-        io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => FailureKind::Full,
-        io::ErrorKind::FileTooLarge => FailureKind::Full,
+        io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
+            FailureKind::Full
+        }
         io::ErrorKind::NotFound => FailureKind::NotFound,
         io::ErrorKind::AlreadyExists => FailureKind::Exists,
         _ => FailureKind::Other,
--- a/crates/storage/src/encode.rs
+++ b/crates/storage/src/encode.rs
@@ -1,16 +1,16 @@
-//! Encodes records into a buffer that is kept.
+//! Encodes records into a reused buffer.
 
 use postcard::ser_flavors::Flavor;
 use serde::Serialize;
 
-/// Encodes a record into `buffer`, whose old content goes but whose memory stays.
+/// Encodes a record into `buffer`; its content is replaced, its memory reused.
 pub(crate) fn encode<R: Serialize>(record: &R, mut buffer: Vec<u8>) -> postcard::Result<Vec<u8>> {
     buffer.clear();
     postcard::serialize_with_flavor(record, Buffer(buffer))
 }
 
-/// Copies slices whole; the flavour for any [`Extend`] copies byte by byte where nothing is
-/// optimised.
+/// Copies slices at once: postcard's flavor for any [`Extend`] copies byte by byte in unoptimised
+/// builds.
 struct Buffer(Vec<u8>);
 
 impl Flavor for Buffer {
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -1,14 +1,14 @@
 //! The bytes of a segment: a header, then frames of one record each.
 //!
-//! All integers are little-endian. Both checksums of a frame are begun with the segment's sequence
-//! number and the frame's offset, so that bytes of a frame found elsewhere (inside a record, in
-//! another segment) are no frame.
+//! All integers are little-endian, all checksums CRC-32. Both checksums of a frame are seeded with
+//! the segment's sequence number and the frame's offset, so that a frame's bytes in another place
+//! (inside a record, in another segment) aren't a valid frame.
 //!
 //! | Segment header | bytes | Frame header | bytes |
 //! |---|---|---|---|
 //! | magic `IRONMLOG` | 8 | magic `FRAM` | 4 |
 //! | format version | 4 | payload length | 4 |
-//! | checksum of the log's name | 4 | end of what was synced when this frame was written | 8 |
+//! | checksum of the log's name | 4 | end of the synced bytes when the frame was written | 8 |
 //! | sequence number | 8 | checksum of length, synced end and payload | 4 |
 //! | checksum of the above | 4 | checksum of the header | 4 |
 
@@ -28,19 +28,18 @@
 const SEGMENT_MAGIC: [u8; 8] = *b"IRONMLOG";
 const FRAME_MAGIC: [u8; 4] = *b"FRAM";
 
-/// Why a segment is damaged.
+/// The kind of corruption in a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CorruptionReason {
-    /// The segment header is short or its checksum is wrong.
+    /// The segment header is truncated or its checksum is wrong.
     SegmentHeader,
-    /// The segment header belongs to another log or another sequence number than the file name
-    /// tells.
+    /// The segment header names another log or sequence number than the file name.
     WrongSegment,
-    /// The format version is not known.
+    /// The format version is unknown.
     Version(u32),
-    /// The first frame, synced before the segment got its name, is damaged.
+    /// The first frame, which was synced before the segment got its final name, is corrupted.
     FirstFrame,
-    /// A frame is damaged that a later valid frame knows to have been synced.
+    /// A frame is corrupted that had been synced, as a later valid frame shows.
     SyncedFrame,
     /// The checksums are right but the record cannot be decoded.
     Record,
@@ -65,12 +64,12 @@
     }
 }
 
-/// Damage in a segment.
+/// Corruption in a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Corruption {
-    /// Byte in the segment.
+    /// Offset in the segment, in bytes.
     pub(crate) offset: u64,
-    /// What is wrong there.
+    /// The kind of corruption.
     pub(crate) reason: CorruptionReason,
 }
 
@@ -86,7 +85,7 @@
     header
 }
 
-/// Checks the header of a segment against its name.
+/// Checks the header of a segment against its file name.
 pub(crate) fn check_segment_header(
     bytes: &[u8],
     log: &str,
@@ -108,23 +107,23 @@
     Ok(())
 }
 
-/// Where a frame stands and what was synced before it.
+/// The position of a frame, and the synced bytes before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FramePosition {
     /// Sequence number of the segment.
     pub(crate) sequence: u64,
-    /// First byte of the frame in the segment.
+    /// Offset of the frame in the segment, in bytes.
     pub(crate) offset: u64,
-    /// End of what was synced when the frame was written.
+    /// End of the synced bytes when the frame was written.
     pub(crate) synced_end: u64,
 }
 
-/// Bytes of a frame with a payload of this length.
+/// Size of a frame with a payload of this length, in bytes.
 pub(crate) fn frame_bytes(payload: usize) -> u64 {
     FRAME_HEADER_BYTES as u64 + payload as u64
 }
 
-/// Writes a frame behind `out`. The payload's length must fit into 32 bits.
+/// Appends a frame to `out`. The payload's length must fit into 32 bits.
 pub(crate) fn push_frame(out: &mut Vec<u8>, position: FramePosition, payload: &[u8]) {
     let mut header = [0; FRAME_HEADER_BYTES];
     header[..4].copy_from_slice(&FRAME_MAGIC);
--- a/crates/storage/src/format/scan.rs
+++ b/crates/storage/src/format/scan.rs
@@ -1,10 +1,10 @@
-//! Reads a segment: its newest record, the torn end a loss of power leaves, or damage in what had
-//! been synced.
+//! Scans a segment for its newest record, and tells the torn end that a power loss leaves from
+//! corruption of synced bytes.
 //!
-//! A frame proves that what stands before it had been synced, and the segment's complete name
-//! proves it of the first frame. Nothing proves it of the last of several frames, so that damage
-//! there reads as a torn end; a mark written after each sync would, at the price of a second write
-//! for each record.
+//! Each frame records how far the segment had been synced when it was written, and the segment's
+//! final name shows that the first frame had been synced. Nothing shows that for the last of several
+//! frames, so corruption there is taken for a torn end; a marker written after each sync would show
+//! it, at the cost of a second write for each record.
 
 use std::ops::Range;
 
@@ -13,14 +13,14 @@
     check_segment_header, checksum, u32_at, u64_at,
 };
 
-/// What a sound segment holds.
+/// The content of an intact segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Scan {
-    /// Bytes of the newest record.
+    /// Byte range of the newest record.
     pub(crate) newest: Range<usize>,
-    /// Valid frames from the start.
+    /// Number of valid frames.
     pub(crate) frames: usize,
-    /// End of the last valid frame; what follows is the torn end.
+    /// End of the last valid frame; the bytes after it are the torn end.
     pub(crate) valid_end: usize,
 }
 
@@ -30,8 +30,7 @@
     synced_end: u64,
 }
 
-/// Reads a segment that stands under its complete name, so that header and first frame had been
-/// synced.
+/// Scans a complete segment, of which at least the header and the first frame had been synced.
 pub(crate) fn scan(
     bytes: &[u8],
     log: &str,
@@ -58,10 +57,10 @@
     Ok(scan)
 }
 
-/// Refuses a segment in which a frame behind `valid_end` shows that more had been synced than is
-/// valid.
+/// Rejects a segment in which a frame after `valid_end` shows that more bytes had been synced than
+/// are valid.
 ///
-/// Frames that were never synced may be lost in any order, so a valid frame alone is no proof.
+/// Unsynced frames may be lost in any order, so a valid frame after an invalid one isn't enough.
 fn check_synced_frames(
     bytes: &[u8],
     valid_end: usize,
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,4 +1,4 @@
-//! The record that is written once: who the replica is.
+//! A record that is written once: the identity of a replica.
 
 use std::sync::Arc;
 
@@ -24,19 +24,19 @@
 /// Why an identity was not stored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IdentityError {
-    /// There is one already; it is never replaced.
+    /// An identity is already stored; it is never replaced.
     #[error("an identity is stored already; empty the data directory to begin anew")]
     AlreadyStored,
-    /// There is none to confirm.
+    /// No identity is stored.
     #[error("no identity is stored yet")]
     NotStored,
-    /// It could not be made durable; another try may succeed.
+    /// The identity could not be made durable; a retry may succeed.
     #[error(transparent)]
     Log(#[from] LogError),
 }
 
 impl<I: Serialize + DeserializeOwned> IdentityFile<I> {
-    /// Reads the identity in a folder, if there is one, and makes it durable again.
+    /// Reads the identity in a folder, if one is stored, and makes it durable again.
     ///
     /// # Errors
     /// As [`Log::open`].
@@ -49,12 +49,12 @@
         Ok(Self { log, stored })
     }
 
-    /// The identity stored.
+    /// The stored identity.
     pub fn get(&self) -> Option<&I> {
         self.stored.as_ref()
     }
 
-    /// Whether the identity stored is durable. It must not be used before.
+    /// Whether the stored identity is durable. It must not be used before it is.
     pub fn is_durable(&self) -> bool {
         self.stored.is_some() && self.log.state() == LogState::Ready
     }
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    /// Tries again to make the stored identity durable after [`IdentityFile::open`] could not.
+    /// Makes the stored identity durable if [`IdentityFile::open`] could not.
     ///
     /// # Errors
     /// [`IdentityError::NotStored`] when there is none, [`IdentityError::Log`] when the disk failed.
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    /// Removes the identity, also a damaged one. To be done before the logs are erased.
+    /// Removes the identity, also a corrupted one. Callers do this before they erase the logs.
     ///
     /// # Errors
     /// As [`Log::erase`].
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,28 +1,30 @@
-//! Durable storage of a process's control state on a small disk.
+//! Durable storage of a process's control state on a small disk: a write-ahead log of whole records,
+//! of which only the newest counts.
 //!
-//! [`Log`] keeps the newest of a row of records in checksummed segments. A record is durable once
+//! [`Log`] keeps the newest of a sequence of records in checksummed segments. A record is durable once
 //! [`Log::sync`] has returned: it is then found after a kill and after a loss of power. [`Writer`]
-//! owns a log on a thread of its own and syncs once for all that is queued. [`IdentityFile`] keeps
-//! the one record that is written once.
+//! owns a log on a thread of its own and syncs once for each batch of queued records (group commit).
+//! [`IdentityFile`] stores a record that is written once.
 //!
 //! Three rules follow from «Can Applications Recover from fsync Failures?» (Rebello et al., ATC
 //! 2020) and «Protocol-Aware Recovery for Consensus-Based Storage» (Alagappan et al., FAST 2018):
 //!
-//! - After a failed write or sync nothing is written to the same file again; [`Log::reopen`] begins
+//! - After a failed write or sync nothing is written to the same file again; [`Log::reopen`] starts
 //!   a new one.
 //! - What recovery reads may come from the page cache only, so it is written again and synced
 //!   before it counts.
-//! - Damage in what had been synced is an error and never taken for the torn end that a loss of
-//!   power leaves. [`Log::quarantine`] keeps the damaged file under another name, for it may be the
-//!   only copy.
+//! - Corruption of synced data is an error, and never mistaken for the torn end that a power loss
+//!   leaves. [`Log::quarantine`] keeps the corrupted file under another name, as it may be
+//!   the only copy.
 //!
-//! A write or sync that fails needs no end of the replica whose votes the records are, as long as
-//! no answer rests on the record before [`Log::reopen`] has succeeded with it. Until then the
-//! failure is like a crash in the midst of the write: the file that failed may hold the record or
-//! not, so that a later start finds it or the one before it, and writes it again before it counts;
+//! A replica that stores its votes here may survive a failed write or sync, as long as it sends no
+//! answer that relies on the record before [`Log::reopen`] has succeeded with it. Until then the
+//! failure is like a crash in the middle of the write: the failed file may or may not hold the
+//! record, so a later start recovers it or the previous one, and rewrites it before it counts;
 //! neither contradicts an answer. The new file doesn't share a page with the one that failed, its
-//! sync covers all of its bytes, and its number is the highest, so that it wins over whatever
-//! became of the other. `tests/failed_sync.rs` ends the process or the power at each step of that.
+//! sync covers all of its bytes, and its sequence number is the highest, so that it
+//! supersedes the failed one in any state. `tests/failed_sync.rs` kills the process or cuts the power
+//! after each operation of this sequence.
 //!
 //! ```
 //! use std::sync::Arc;
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -1,14 +1,13 @@
 //! The log: appends the newest record and makes it durable.
 //!
-//! Every segment begins with a whole record, so that the segment with the highest sequence number
-//! is enough to recover from; a separate snapshot would be a second copy of the same bytes. A
-//! segment is written under a temporary name, synced, renamed, and the folder is synced; only then
-//! may older segments be removed. A segment under its complete name is therefore known to have a
-//! synced first frame.
+//! Every segment begins with a complete record, so that the segment with the highest sequence number
+//! suffices for recovery; a separate snapshot would be a second copy of the same bytes. A segment is
+//! written under a temporary name, synced and renamed, and the folder is synced; only then may older
+//! segments be removed. A segment under its final name therefore has a synced first frame.
 //!
-//! No file is appended to by two runs, and none after a failed write or sync. There is no reserve
-//! file to be freed when the disk is full: the log's own use is bounded, and a disk that refuses
-//! every write refuses into a freed file too.
+//! No file is appended to by two runs of the process, and none after a failed write or sync. There is
+//! no reserve file to release when the disk is full: the log's own use is bounded, and a disk that
+//! rejects every write also rejects writes into released space.
 
 mod quarantine;
 mod segments;
@@ -29,7 +28,7 @@
 pub use quarantine::MAX_QUARANTINED_SEGMENTS;
 use segments::{Segments, check_size};
 
-/// The newest of a row of records, durable in checksummed segments.
+/// The newest of a sequence of records, durable in checksummed segments.
 pub struct Log<R> {
     segments: Segments,
     failure: Option<DiskError>,
@@ -37,24 +36,23 @@
     record: PhantomData<fn(R) -> R>,
 }
 
-/// Whether a log takes records.
+/// Whether a log accepts records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogState {
-    /// Records are taken.
+    /// Records are accepted.
     Ready,
-    /// A write or sync failed; every append is refused until [`Log::reopen`] succeeds.
+    /// A write or sync failed; every append is rejected until [`Log::reopen`] succeeds.
     Failed(DiskError),
 }
 
-/// Why a record was not taken or not made durable.
+/// Why a record was not written or not made durable.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
-    /// The disk has no room. What was durable stays so; [`Log::reopen`] succeeds once there is
-    /// room.
+    /// The disk is full. Durable records stay durable; [`Log::reopen`] succeeds once there is space.
     #[error("{0}; free room on the disk")]
     Full(DiskError),
-    /// The disk failed. Whether unsynced records are on it is not known; [`Log::reopen`] begins
-    /// anew.
+    /// The disk failed. Whether it holds the unsynced records is unknown; [`Log::reopen`] starts a
+    /// new segment.
     #[error("{0}; records are refused until a new segment is written")]
     Disk(DiskError),
     /// An earlier operation failed and the log has not been reopened.
@@ -70,18 +68,18 @@
     },
     /// The record cannot be encoded.
     #[error("record cannot be encoded: {0}")]
-    Encode(String),
+    Encode(postcard::Error),
 }
 
 impl<R: Serialize + DeserializeOwned> Log<R> {
-    /// Opens the log in a folder, finds its newest record and writes that into a new segment.
+    /// Opens the log in a folder, recovers its newest record and rewrites it into a new segment.
     ///
-    /// The record may have been read from the page cache alone (after a failed sync and a kill,
-    /// say), so it counts as durable only once it has been written again. When that fails the log
+    /// The record may exist in the page cache only (for example after a failed sync and a kill), so
+    /// it counts as durable only once it has been rewritten. When that fails the log
     /// is returned in [`LogState::Failed`].
     ///
     /// # Errors
-    /// [`OpenError::Corrupted`] for damaged durable state, [`OpenError::Disk`] when the folder
+    /// [`OpenError::Corrupted`] for corrupted durable state, [`OpenError::Disk`] when the folder
     /// cannot be read.
     pub fn open(
         disk: Arc<dyn Disk>,
@@ -115,25 +113,26 @@
         Ok((log, found))
     }
 
-    /// Removes all files of a log, also damaged ones, so that the replica can begin anew under a
-    /// new identity.
+    /// Removes all files of a log, including quarantined ones, so that the replica can start anew
+    /// under a new identity.
     ///
-    /// The identity goes first, by [`IdentityFile::erase`](crate::IdentityFile::erase): with the
-    /// log gone alone, a crash would leave a replica that has forgotten its promises.
+    /// The caller erases the identity first, by
+    /// [`IdentityFile::erase`](crate::IdentityFile::erase): with only the log erased, a crash would
+    /// leave a replica that has forgotten its promises.
     ///
     /// # Errors
-    /// When a file cannot be removed or the folder cannot be synced; some files may be gone then.
+    /// When a file cannot be removed or the folder cannot be synced; some files may be removed then.
     pub fn erase(disk: &dyn Disk, settings: &LogSettings) -> Result<(), DiskError> {
         quarantine::erase(disk, settings)
     }
 
-    /// Sets the damaged newest segment aside under another name and removes what it superseded, so
-    /// that the log can be opened anew, empty. At most [`MAX_QUARANTINED_SEGMENTS`] segments are kept so, and
-    /// none that is longer than a segment may be; the oldest go first. Returns the name of the
-    /// file, unless it was too long to keep.
+    /// Renames the corrupted newest segment so that it is kept but never read, and removes the
+    /// segments that it superseded; the log can then be opened anew, empty. At most
+    /// [`MAX_QUARANTINED_SEGMENTS`] segments are kept, the newest ones, and none that is longer than
+    /// a segment may be. Returns the name of the file, or `None` if it was too long to keep.
     ///
     /// # Errors
-    /// When a step fails; the damaged segment is then still found under one of its names.
+    /// When a disk operation fails; the corrupted segment still exists under one of its names then.
     pub fn quarantine(
         disk: &dyn Disk,
         settings: &LogSettings,
@@ -141,8 +140,7 @@
         quarantine::quarantine(disk, settings)
     }
 
-    /// Names of the damaged segments that were set aside: evidence that this folder has held a log
-    /// before.
+    /// Names of the quarantined segments: evidence that this folder has held a log before.
     ///
     /// # Errors
     /// When the folder cannot be read.
@@ -166,10 +164,10 @@
         self.check_outcome(appended)
     }
 
-    /// Makes all appended records durable; with nothing new this does nothing.
+    /// Makes all appended records durable; does nothing if there are none.
     ///
     /// # Errors
-    /// After an error whether the records are on the disk is not known, and the log is in
+    /// After an error it is unknown whether the disk holds the records, and the log is in
     /// [`LogState::Failed`].
     pub fn sync(&mut self) -> Result<(), LogError> {
         self.check_not_failed()?;
@@ -177,10 +175,10 @@
         self.check_outcome(synced)
     }
 
-    /// Begins a new segment with `record` and makes it durable, also after a failure.
+    /// Starts a new segment with `record` and makes it durable; also works after a failure.
     ///
     /// # Errors
-    /// As [`Log::append`] and [`Log::sync`]; what was durable before stays so.
+    /// As [`Log::append`] and [`Log::sync`]; records that were durable before stay durable.
     pub fn reopen(&mut self, record: &R) -> Result<(), LogError> {
         let payload = self.encode(record)?;
         let rewritten = self.rewrite(&payload);
@@ -188,7 +186,7 @@
         rewritten
     }
 
-    /// Whether records are taken.
+    /// Whether the log accepts records.
     #[must_use]
     pub fn state(&self) -> LogState {
         match &self.failure {
@@ -214,11 +212,10 @@
         }
     }
 
-    /// Encodes into the kept buffer, which the caller puts back.
+    /// Encodes into the reused buffer, which the caller puts back into `self.payload`.
     fn encode(&mut self, record: &R) -> Result<Vec<u8>, LogError> {
         let buffer = std::mem::take(&mut self.payload);
-        let payload =
-            encode(record, buffer).map_err(|error| LogError::Encode(error.to_string()))?;
+        let payload = encode(record, buffer).map_err(LogError::Encode)?;
         check_size(payload.len(), self.segments.segment_bytes())?;
         Ok(payload)
     }
@@ -230,7 +227,8 @@
         }
     }
 
-    /// Keeps a failure, after which no file written so far is written to again.
+    /// Converts the outcome of a disk operation, and remembers a failure: no file written so far is
+    /// written to again then.
     fn check_outcome(&mut self, outcome: Result<(), DiskError>) -> Result<(), LogError> {
         let Err(failure) = outcome else { return Ok(()) };
         if self.segments.stops_after_failure() {
--- a/crates/storage/src/log/quarantine.rs
+++ b/crates/storage/src/log/quarantine.rs
@@ -1,16 +1,16 @@
-//! What becomes of a log that is damaged: it is set aside, or erased.
+//! Quarantine and erasure of a corrupted log.
 //!
-//! The newest segment under its complete name decides what a log holds, so an older one that is
-//! still there (its removal failed, or was lost with the power) must never outlive it: it would be
-//! found as the newest, and a replica would vote by promises that it has since outgrown. Older
-//! segments therefore go first, durably.
+//! Recovery reads the segment with the highest sequence number, so an older one that still exists
+//! (its removal failed, or was undone by a power loss) must never outlive the newest: recovery would
+//! read it, and a replica would vote by outdated promises. Older segments are therefore removed
+//! first, durably.
 
 use crate::disk::{Disk, DiskError, FailureKind};
 use crate::names;
 use crate::recovery::{self, LogFiles};
 use crate::settings::LogSettings;
 
-/// Most damaged segments that are kept.
+/// The largest number of corrupted segments that are kept.
 pub const MAX_QUARANTINED_SEGMENTS: usize = 2;
 
 /// Removes all files of a log.
@@ -26,7 +26,7 @@
     disk.sync_folder()
 }
 
-/// Gives the newest segment a name under which it is kept but never read.
+/// Renames the newest segment so that it is kept but never read.
 pub(super) fn quarantine(
     disk: &dyn Disk,
     settings: &LogSettings,
@@ -37,9 +37,9 @@
     };
     remove_superseded(disk, settings, &files)?;
     let segment = names::segment(&settings.name, newest);
-    let kept = names::quarantined(&settings.name, newest);
-    // A crash may have left both names of an earlier try.
-    remove(disk, &kept)?;
+    let quarantined = names::quarantined(&settings.name, newest);
+    // A crash may have left both names of an earlier attempt.
+    remove(disk, &quarantined)?;
     let earlier: Vec<u64> = files
         .quarantined
         .into_iter()
@@ -53,15 +53,15 @@
     }
     let is_too_long = disk.read(&segment)?.len() as u64 > settings.segment_bytes();
     if is_too_long {
-        remove(disk, &segment)?
+        remove(disk, &segment)?;
     } else {
-        disk.rename(&segment, &kept)?
+        disk.rename(&segment, &quarantined)?;
     }
     disk.sync_folder()?;
-    Ok((!is_too_long).then_some(kept))
+    Ok((!is_too_long).then_some(quarantined))
 }
 
-/// Names of the segments set aside.
+/// Names of the quarantined segments.
 pub(super) fn quarantined_files(
     disk: &dyn Disk,
     settings: &LogSettings,
@@ -74,7 +74,7 @@
         .collect())
 }
 
-/// Removes, durably, what the newest segment supersedes.
+/// Durably removes the files that the newest segment supersedes.
 fn remove_superseded(
     disk: &dyn Disk,
     settings: &LogSettings,
--- a/crates/storage/src/log/segments.rs
+++ b/crates/storage/src/log/segments.rs
@@ -1,4 +1,4 @@
-//! The segments of a log: which one is written, when a new one begins, which ones are removed.
+//! The segments of a log: which one is written, when a new one is started, which ones are removed.
 
 use std::sync::Arc;
 
@@ -26,13 +26,13 @@
 /// The segment that is written.
 struct Current {
     sequence: u64,
-    /// Whether it stands durably under its complete name.
+    /// Whether it exists durably under its final name.
     complete: bool,
     length: u64,
     synced_end: u64,
 }
 
-/// Refuses a record that no segment can hold.
+/// Rejects a record that doesn't fit into a segment.
 pub(super) fn check_size(payload: usize, limit: u64) -> Result<(), LogError> {
     let bytes = SEGMENT_HEADER_BYTES as u64 + frame_bytes(payload);
     if bytes > limit || u32::try_from(payload).is_err() {
@@ -42,8 +42,8 @@
 }
 
 impl Segments {
-    /// Takes over what was found. Any of the segments may be the durable one, so that all are kept
-    /// at first.
+    /// Starts from the files found. Any of the segments may be the durable one, so all are retained
+    /// until a new one is complete.
     pub(super) fn new(disk: Arc<dyn Disk>, settings: LogSettings, files: LogFiles) -> Self {
         Self {
             disk,
@@ -64,7 +64,7 @@
         self.settings.guards.stop_after_failure
     }
 
-    /// Goes on in the newest segment found; only for tests of what this would break.
+    /// Continues the newest segment found; only for tests, to show what that would break.
     pub(super) fn resume_newest(&mut self, length: u64, synced_end: u64) {
         let Some(sequence) = self.retained.pop() else {
             return;
@@ -77,19 +77,21 @@
         });
     }
 
-    /// Writes a record behind the last one, or as the first of a new segment.
+    /// Appends a record to the current segment, or starts a new segment with it.
     pub(super) fn append(&mut self, payload: &[u8]) -> Result<(), DiskError> {
-        let room = self
+        let remaining = self
             .current
             .as_ref()
             .map(|current| self.segment_bytes().saturating_sub(current.length));
-        match room {
-            Some(room) if frame_bytes(payload.len()) <= room => self.append_frame(payload),
+        match remaining {
+            Some(remaining) if frame_bytes(payload.len()) <= remaining => {
+                self.append_frame(payload)
+            }
             _ => self.begin(payload),
         }
     }
 
-    /// Makes what was appended durable.
+    /// Makes all appended records durable.
     pub(super) fn sync(&mut self) -> Result<(), DiskError> {
         let Some(current) = &self.current else {
             return Ok(());
@@ -105,7 +107,7 @@
         Ok(())
     }
 
-    /// Writes no more to the current segment.
+    /// Closes the current segment: nothing is written to it any more.
     pub(super) fn close_current(&mut self) {
         let Some(current) = self.current.take() else {
             return;
@@ -118,11 +120,11 @@
         }
     }
 
-    /// Begins a segment under a temporary name.
+    /// Starts a segment under a temporary name.
     ///
-    /// The file is made before others are removed, so that the highest number used is always seen:
-    /// a number given twice could let a removed segment come back after a loss of power and win
-    /// over a newer one.
+    /// The file is created before others are removed, so that the highest sequence number in use is
+    /// always visible: if a number were reused, a removed segment that reappears after a power loss
+    /// could supersede a newer one.
     fn begin(&mut self, payload: &[u8]) -> Result<(), DiskError> {
         self.close_current();
         if !self.settings.guards.create_before_remove {
@@ -179,7 +181,7 @@
         Ok(())
     }
 
-    /// Gives the new segment its name, durably, and removes what it supersedes.
+    /// Durably gives the new segment its final name, and removes the files that it supersedes.
     fn complete(&mut self) -> Result<(), DiskError> {
         let Some(current) = &self.current else {
             return Ok(());
@@ -195,7 +197,7 @@
             .map(|sequence| names::segment(&self.settings.name, sequence));
         self.obsolete.extend(superseded);
         self.mark_synced();
-        let _tried_again_later = self.remove_obsolete();
+        let _retried_with_next_segment = self.remove_obsolete();
         Ok(())
     }
 
@@ -206,11 +208,11 @@
         self.disk.sync_folder()
     }
 
-    /// Takes back a name that may not be durable, as far as the disk allows, so that failures over
-    /// many starts don't add up to many segments.
+    /// Reverts a rename that may not be durable, as far as the disk allows, so that repeated failures
+    /// don't accumulate segments.
     fn unpublish(&mut self, sequence: u64) {
         let segment = names::segment(&self.settings.name, sequence);
-        let _may_not_be_there = self
+        let _may_not_exist = self
             .disk
             .rename(&segment, &names::temporary(&self.settings.name, sequence));
         self.obsolete.push(segment);
@@ -223,8 +225,7 @@
         }
     }
 
-    /// Removes what nothing depends on. A file that a loss of power brings back can't win, being
-    /// older.
+    /// Removes the obsolete files. One that a power loss restores is never read, being older.
     fn remove_obsolete(&mut self) -> Result<(), DiskError> {
         while let Some(name) = self.obsolete.last() {
             match self.disk.remove(name) {
--- a/crates/storage/src/log/tests.rs
+++ b/crates/storage/src/log/tests.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_was_reported_durable_is_found_and_nothing_is_invented() {
+fn durable_records_are_recovered_and_no_others() {
     let setup = Setup {
         settings: settings(),
         disk: Box::new(unchanged),
@@ -56,22 +56,22 @@
 }
 
 #[test]
-fn histories_catch_a_folder_that_is_not_synced() {
+fn histories_detect_a_folder_that_is_not_synced() {
     assert_caught(&without_safeguard(Safeguard::FolderSync));
 }
 
 #[test]
-fn histories_catch_files_that_are_not_synced() {
+fn histories_detect_files_that_are_not_synced() {
     assert_caught(&without_safeguard(Safeguard::FileSync));
 }
 
 #[test]
-fn histories_catch_a_failed_sync_that_is_tried_again() {
+fn histories_detect_a_failed_sync_that_is_retried() {
     assert_caught(&without_safeguard(Safeguard::StopAfterFailedSync));
 }
 
 #[test]
-fn histories_catch_a_log_that_goes_on_after_a_failure() {
+fn histories_detect_a_log_that_continues_after_a_failure() {
     let settings = guards(|guards| guards.stop_after_failure = false);
     assert_caught(&Setup {
         settings,
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn histories_catch_frames_that_are_not_checked() {
+fn histories_detect_frames_that_are_not_checked() {
     let settings = guards(|guards| guards.checksum = false);
     assert_caught(&Setup {
         settings,
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn histories_catch_records_appended_behind_a_torn_end() {
+fn histories_detect_records_appended_after_a_torn_end() {
     let settings = guards(|guards| guards.on_open = OnOpen::AppendBehind);
     assert_caught(&Setup {
         settings,
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn histories_catch_a_record_trusted_as_read_from_the_page_cache() {
+fn histories_detect_a_record_trusted_as_read_from_the_page_cache() {
     let settings = guards(|guards| guards.on_open = OnOpen::Trust);
     assert_caught(&Setup {
         settings,
--- a/crates/storage/src/log/tests/failures.rs
+++ b/crates/storage/src/log/tests/failures.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn after_a_failed_sync_records_are_refused_until_a_new_segment_is_written() {
+fn after_a_failed_sync_records_are_rejected_until_a_new_segment_is_written() {
     let disk = Arc::new(FaultyDisk::new(1));
     let (mut log, _) = open(&disk);
     log.reopen(&1).expect("reopen");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_full_disk_refuses_records_and_keeps_what_was_durable() {
+fn a_full_disk_rejects_records_and_keeps_durable_ones() {
     let disk = Arc::new(FaultyDisk::new(2));
     let (mut log, _) = open(&disk);
     log.reopen(&1).expect("reopen");
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_log_opened_on_a_full_disk_reads_and_says_that_nothing_is_durable_yet() {
+fn a_log_opened_on_a_full_disk_recovers_its_record_as_not_durable() {
     let disk = Arc::new(FaultyDisk::new(3));
     open(&disk).0.reopen(&1).expect("reopen");
     disk.set_full(true);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_record_larger_than_a_segment_is_refused_and_nothing_fails() {
+fn a_record_larger_than_a_segment_is_rejected_without_a_failure() {
     let disk: Arc<dyn Disk> = Arc::new(MemoryDisk::new(1 << 20));
     let settings = LogSettings::new_unchecked("failures", 4096);
     let (mut log, _) = Log::<String>::open(disk, settings).expect("open");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_disk_too_small_refuses_and_takes_records_again_once_it_grew() {
+fn a_disk_too_small_rejects_records_until_it_has_grown() {
     let disk = Arc::new(MemoryDisk::new(1_000));
     let settings = LogSettings::new_unchecked("failures", 4096);
     let (mut log, _) = Log::<String>::open(disk.clone(), settings).expect("open");
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn starts_on_a_folder_that_cannot_be_synced_add_no_files() {
+fn repeated_starts_on_a_folder_that_cannot_be_synced_add_no_files() {
     let disk = Arc::new(FaultyDisk::new(4));
     open(&disk).0.reopen(&1).expect("reopen");
     for _ in 0..20 {
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn with_nothing_new_a_sync_leaves_the_disk_alone() {
+fn a_sync_without_new_records_does_not_touch_the_disk() {
     let disk = Arc::new(FaultyDisk::new(5));
     let (mut log, _) = open(&disk);
     log.sync().expect("sync");
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_removed_segment_that_comes_back_never_wins() {
+fn a_removed_segment_that_reappears_is_never_recovered() {
     for seed in 0..200 {
         assert_eq!(
             find_after_failed_names(seed, true),
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_segment_number_given_twice_would_let_a_removed_segment_win() {
+fn a_reused_segment_number_would_let_a_removed_segment_be_recovered() {
     let wrong = (0..200).filter(|seed| find_after_failed_names(*seed, false) != found(5, true));
     assert!(wrong.count() > 0);
 }
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_record_is_never_appended_behind_a_torn_end() {
+fn a_record_is_never_appended_after_a_torn_end() {
     assert!((0..50).all(|seed| find_after_torn_end(seed, OnOpen::Rewrite) == Some(3)));
     assert!((0..50).any(|seed| find_after_torn_end(seed, OnOpen::AppendBehind) != Some(3)));
 }
--- a/crates/storage/src/log/tests/quarantine.rs
+++ b/crates/storage/src/log/tests/quarantine.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_older_record_is_never_found_once_the_newest_is_set_aside() {
+fn no_older_record_is_recovered_after_quarantine() {
     assert_eq!(
         older_found(|disk| Log::<u64>::quarantine(disk, &settings()).map(drop)),
         []
@@ -85,12 +85,12 @@
 }
 
 #[test]
-fn an_older_record_is_never_found_once_the_log_is_erased() {
+fn no_older_record_is_recovered_after_erasure() {
     assert_eq!(older_found(|disk| Log::<u64>::erase(disk, &settings())), []);
 }
 
 #[test]
-fn files_removed_with_one_sync_for_all_would_let_an_older_record_be_found() {
+fn removing_all_files_with_one_sync_would_let_an_older_record_be_recovered() {
     let without_safeguard = |disk: &FaultyDisk| {
         disk.list()?.iter().try_for_each(|name| disk.remove(name))?;
         disk.sync_folder()
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn the_damaged_bytes_are_kept_under_the_name_that_is_told() {
+fn corrupted_bytes_are_kept_under_the_returned_name() {
     let disk = damaged_disk(1);
     let bytes = disk.read(&names::segment(LOG, 1)).expect("read");
     let kept = Log::<u64>::quarantine(disk.as_ref(), &settings())
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn damage_again_and_again_keeps_the_newest_two_within_bounds() {
+fn repeated_corruption_keeps_the_newest_two_segments_within_the_space() {
     let disk = damaged_disk(2);
     for number in 3..9 {
         Log::<u64>::quarantine(disk.as_ref(), &settings()).expect("set aside");
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_file_longer_than_a_segment_may_be_is_not_kept() {
+fn a_file_longer_than_a_segment_is_not_kept() {
     let disk = damaged_disk(3);
     let name = names::segment(LOG, 1);
     disk.append(&name, &vec![7; SPACE_BYTES as usize])
--- a/crates/storage/src/names.rs
+++ b/crates/storage/src/names.rs
@@ -1,23 +1,23 @@
-//! Names of a log's files: `NAME-SEQUENCE.segment`, `.tmp` until a segment is complete, `.damaged`
-//! once it is set aside.
+//! Names of a log's files: `NAME-SEQUENCE.segment` for complete segments, `.tmp` for segments being
+//! written, `.damaged` for quarantined ones.
 
-/// Ending of a complete segment.
+/// Extension of a complete segment.
 const SEGMENT: &str = ".segment";
-/// Ending of a segment that is being written.
+/// Extension of a segment that is being written.
 const TEMPORARY: &str = ".tmp";
-/// Ending of a damaged segment that was set aside.
+/// Extension of a quarantined segment.
 const QUARANTINED: &str = ".damaged";
 /// Hexadecimal digits of a sequence number.
 const DIGITS: usize = 16;
 
-/// A file of a log, told from its name.
+/// A file of a log, identified by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LogFile {
     /// A complete segment.
     Segment(u64),
-    /// A segment that never became complete.
+    /// A segment that was never completed.
     Temporary(u64),
-    /// A damaged segment that was set aside and is never read.
+    /// A corrupted segment that is kept but never read.
     Quarantined(u64),
 }
 
@@ -42,17 +42,17 @@
     format!("{log}-{sequence:016x}{TEMPORARY}")
 }
 
-/// Name of a damaged segment that was set aside.
+/// Name of a quarantined segment.
 pub(crate) fn quarantined(log: &str, sequence: u64) -> String {
     format!("{log}-{sequence:016x}{QUARANTINED}")
 }
 
-/// What a name says; nothing when the file is none of this log's.
+/// Parses a file name; `None` if the file doesn't belong to this log.
 pub(crate) fn parse(log: &str, file: &str) -> Option<LogFile> {
     let rest = file.strip_prefix(log)?.strip_prefix('-')?;
-    let (stem, ending) = rest.split_at_checked(DIGITS)?;
-    let sequence = sequence(stem)?;
-    match ending {
+    let (stem, extension) = rest.split_at_checked(DIGITS)?;
+    let sequence = parse_sequence(stem)?;
+    match extension {
         SEGMENT => Some(LogFile::Segment(sequence)),
         TEMPORARY => Some(LogFile::Temporary(sequence)),
         QUARANTINED => Some(LogFile::Quarantined(sequence)),
@@ -60,11 +60,11 @@
     }
 }
 
-fn sequence(digits: &str) -> Option<u64> {
-    let plain = digits
+fn parse_sequence(digits: &str) -> Option<u64> {
+    let is_lowercase_hex = digits
         .bytes()
         .all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
-    if digits.len() != DIGITS || !plain {
+    if digits.len() != DIGITS || !is_lowercase_hex {
         return None;
     }
     u64::from_str_radix(digits, 16).ok()
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What a folder holds when a log is opened.
+//! Recovery: reads the newest record of a log from the files in its folder.
 
 use serde::de::DeserializeOwned;
 
@@ -7,13 +7,13 @@
 use crate::names::{self, LogFile};
 use crate::settings::LogSettings;
 
-/// What was found when a log was opened.
+/// The result of recovery when a log is opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Recovered<R> {
-    /// No segment: the log was never written to, or its first record was never reported as durable.
-    /// Such a record may still be found after a later loss of power.
+    /// There is no segment: the log was never written to, or its first record was never reported as
+    /// durable. Such a record may still appear after a later power loss.
     Empty,
-    /// The newest record.
+    /// The newest record was read.
     Found {
         /// The record.
         record: R,
@@ -21,7 +21,7 @@
         /// reason, and the record must not be relied on before [`Log::reopen`](crate::Log::reopen)
         /// has succeeded with it.
         durable: bool,
-        /// Bytes of the torn end that were dropped.
+        /// Length of the torn end that was dropped, in bytes.
         dropped_bytes: u64,
     },
 }
@@ -29,38 +29,39 @@
 /// Why a log could not be opened.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OpenError {
-    /// The folder or a segment could not be read; worth another try.
+    /// The folder or a segment could not be read; a retry may succeed.
     #[error("{0}; check the disk and start again")]
     Disk(#[from] DiskError),
-    /// Durable state is damaged. Nothing was changed; [`Log::quarantine`](crate::Log::quarantine)
-    /// allows a new beginning, which for a replica means a new identity.
+    /// Durable state is corrupted. Nothing was changed; after
+    /// [`Log::quarantine`](crate::Log::quarantine) the log can be opened anew, which for a replica
+    /// requires a new identity.
     #[error(
         "{file} is damaged at byte {offset}: {reason}; the replica has to begin anew as after the loss of its disk"
     )]
     Corrupted {
         /// Name of the segment.
         file: String,
-        /// Byte in the segment.
+        /// Offset of the corruption in the segment, in bytes.
         offset: u64,
-        /// What is wrong there.
+        /// The kind of corruption.
         reason: CorruptionReason,
     },
 }
 
-/// The files of a log, by what they are.
+/// The files of a log, by kind.
 #[derive(Debug, Default)]
 pub(crate) struct LogFiles {
-    /// Sequence numbers of complete segments, in rising order.
+    /// Sequence numbers of complete segments, in ascending order.
     pub(crate) segments: Vec<u64>,
-    /// Names of segments that never became complete.
+    /// Names of segments that were never completed.
     pub(crate) temporary: Vec<String>,
-    /// Sequence numbers of damaged segments that were set aside, in rising order.
+    /// Sequence numbers of quarantined segments, in ascending order.
     pub(crate) quarantined: Vec<u64>,
-    /// The first sequence number above all that were seen.
+    /// The lowest sequence number above all those in use.
     pub(crate) next_sequence: u64,
 }
 
-/// The newest segment, read.
+/// The newest record, with the sizes of the segment that it was read from.
 pub(crate) struct NewestRecord<R> {
     pub(crate) record: R,
     pub(crate) payload: Vec<u8>,
@@ -68,7 +69,7 @@
     pub(crate) valid_bytes: u64,
 }
 
-/// Sorts the files of a log out from all in the folder.
+/// Lists the files of one log among all files in the folder.
 pub(crate) fn list_files(disk: &dyn Disk, log: &str) -> Result<LogFiles, DiskError> {
     let mut files = LogFiles::default();
     for name in disk.list()? {
@@ -87,10 +88,10 @@
     Ok(files)
 }
 
-/// Reads a segment that stands under its complete name.
+/// Reads the newest record from a complete segment.
 ///
-/// Older segments are never read: whatever a lost folder sync brought back has a lower sequence
-/// number.
+/// Only the newest segment is read: files that a lost folder sync restored have lower sequence
+/// numbers.
 pub(crate) fn read_newest<R: DeserializeOwned>(
     disk: &dyn Disk,
     settings: &LogSettings,
@@ -98,10 +99,10 @@
 ) -> Result<NewestRecord<R>, OpenError> {
     let file = names::segment(&settings.name, sequence);
     let bytes = disk.read(&file)?;
-    let corrupted = |damage: Corruption| OpenError::Corrupted {
+    let corrupted = |corruption: Corruption| OpenError::Corrupted {
         file: file.clone(),
-        offset: damage.offset,
-        reason: damage.reason,
+        offset: corruption.offset,
+        reason: corruption.reason,
     };
     let scan =
         scan(&bytes, &settings.name, sequence, settings.guards.checksum).map_err(corrupted)?;
--- a/crates/storage/src/settings.rs
+++ b/crates/storage/src/settings.rs
@@ -1,11 +1,11 @@
 //! Settings of a log.
 
-/// Part of the disk that a log may use by default: one eighth.
+/// The fraction of the disk that a log may use by default is one eighth.
 const DISK_FRACTION: u64 = 8;
-/// The space holds the current segment, one being written, and two that a lost folder sync may
-/// bring back.
+/// The space holds four segments: the current one, the one being written, and two that a lost folder
+/// sync may restore.
 const SEGMENTS_PER_SPACE: u64 = 4;
-/// Least space of a log, in bytes.
+/// The smallest space of a log, in bytes.
 const MIN_SPACE_BYTES: u64 = 4096;
 
 /// Settings of a log.
@@ -16,31 +16,34 @@
     pub(crate) guards: Guards,
 }
 
-/// What keeps the log safe. Tests switch one off to see that it is missed.
+/// The safeguards of the log. Tests switch one off to show that its absence is detected.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Guards {
-    /// Frames with a wrong checksum are refused.
+    /// Whether frames with a wrong checksum are rejected.
     pub(crate) checksum: bool,
-    /// No file is written again after a failure.
+    /// Whether writing to a file stops after a failure.
     pub(crate) stop_after_failure: bool,
-    /// The next segment's file is made before others are removed.
+    /// Whether the next segment's file is created before others are removed.
     pub(crate) create_before_remove: bool,
-    /// What becomes of the newest record when a log is opened.
+    /// How the newest record is treated when a log is opened.
     pub(crate) on_open: OnOpen,
 }
 
-/// What becomes of the newest record when a log is opened.
+/// How the newest record is treated when a log is opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(
     not(test),
-    expect(dead_code, reason = "the other ways are there to be seen failing")
+    expect(
+        dead_code,
+        reason = "the unsafe variants exist for tests that show them failing"
+    )
 )]
 pub(crate) enum OnOpen {
-    /// It is written into a new segment.
+    /// It is rewritten into a new segment.
     Rewrite,
-    /// It is trusted as read; the next record begins a new segment.
+    /// It is trusted as read; the next record starts a new segment.
     Trust,
-    /// It is trusted as read, and the next record is appended behind whatever the segment ends
+    /// It is trusted as read, and the next record is appended to its segment, whatever that ends
     /// with.
     AppendBehind,
 }
@@ -61,10 +64,10 @@
     /// When the name has characters other than lower-case letters, digits and `_`, or the space is
     /// under 4 KiB.
     pub fn with_space(name: &str, space_bytes: u64) -> Result<Self, SettingsError> {
-        let plain = name
+        let is_valid = name
             .bytes()
             .all(|byte| matches!(byte, b'a'..=b'z' | b'0'..=b'9' | b'_'));
-        if name.is_empty() || !plain {
+        if name.is_empty() || !is_valid {
             return Err(SettingsError::Name {
                 name: name.to_owned(),
             });
@@ -75,7 +78,7 @@
         Ok(Self::new_unchecked(name, space_bytes))
     }
 
-    /// Settings known to be sound.
+    /// Settings that the caller knows to be valid.
     pub(crate) fn new_unchecked(name: &str, space_bytes: u64) -> Self {
         let guards = Guards {
             checksum: true,
@@ -90,30 +93,30 @@
         }
     }
 
-    /// Bytes that all files of the log hold together at most, less damaged segments that were set
-    /// aside: each of those takes a quarter of this at most, and there are
+    /// The largest total size of the log's files, in bytes, without quarantined segments: each of
+    /// those takes a quarter of this at most, and there are at most
     /// [`MAX_QUARANTINED_SEGMENTS`](crate::MAX_QUARANTINED_SEGMENTS).
     #[must_use]
     pub fn space_bytes(&self) -> u64 {
         self.space_bytes
     }
 
-    /// Bytes of a segment at most, and so of a record with its frame.
+    /// The largest size of a segment, and so of a record with its frame, in bytes.
     pub(crate) fn segment_bytes(&self) -> u64 {
         self.space_bytes / SEGMENTS_PER_SPACE
     }
 }
 
-/// Settings that no log can have.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// The name would not make a safe file name.
+    /// The name has characters that aren't allowed in file names.
     #[error("log name {name:?}: use lower-case letters, digits and _")]
     Name {
         /// The name given.
         name: String,
     },
-    /// Too little space.
+    /// The space is too small.
     #[error("log space of {space_bytes} bytes: give 4096 at least")]
     Space {
         /// The space given, in bytes.
--- a/crates/storage/src/testing.rs
+++ b/crates/storage/src/testing.rs
@@ -1,4 +1,5 @@
-//! Disks for tests, and the checks that every disk must pass.
+//! Simulated disks for tests, and the contract that every disk must fulfil. Public, for the tests of
+//! other crates that store data.
 
 mod contract;
 mod faulty;
@@ -7,7 +8,7 @@
 mod stall;
 mod unsafe_disk;
 
-pub use contract::contract;
+pub use contract::check_disk_contract;
 pub use faulty::FaultyDisk;
 pub use memory::MemoryDisk;
 pub use unsafe_disk::{Safeguard, UnsafeDisk};
--- a/crates/storage/src/testing/contract.rs
+++ b/crates/storage/src/testing/contract.rs
@@ -1,4 +1,4 @@
-//! What every disk must do, and what a log must do on every disk.
+//! The contract of [`Disk`]: how every disk behaves, and how a log behaves on every disk.
 
 use std::sync::Arc;
 
@@ -9,26 +9,26 @@
 use crate::settings::LogSettings;
 use crate::{CorruptionReason, IdentityFile};
 
-/// Name of the log in these checks.
+/// Name of the log.
 const LOG: &str = "contract";
-/// Its space, small so that segments change often.
+/// Space of the log, in bytes; small, so that segments change often.
 const SPACE_BYTES: u64 = 4096;
 
-/// Checks a kind of disk; `make_disk` gives a new, empty one at each call.
+/// Checks an implementation of [`Disk`]; `make_disk` returns a new, empty one at each call.
 ///
 /// # Panics
 /// When the disk, or a log on it, breaks the contract.
-pub fn contract(mut make_disk: impl FnMut() -> Arc<dyn Disk>) {
-    files_keep_what_is_written(make_disk().as_ref());
-    names_are_kept_apart(make_disk().as_ref());
-    the_newest_record_is_found(&make_disk());
+pub fn check_disk_contract(mut make_disk: impl FnMut() -> Arc<dyn Disk>) {
+    files_keep_written_bytes(make_disk().as_ref());
+    names_in_use_and_unknown_names_are_rejected(make_disk().as_ref());
+    the_newest_record_is_recovered(&make_disk());
     space_is_bounded(&make_disk());
-    leftovers_are_removed(&make_disk());
-    damage_is_reported(&make_disk());
+    superseded_and_temporary_files_are_removed(&make_disk());
+    corruption_is_reported(&make_disk());
     logs_share_a_folder(&make_disk());
 }
 
-fn files_keep_what_is_written(disk: &dyn Disk) {
+fn files_keep_written_bytes(disk: &dyn Disk) {
     disk.create("a").expect("create");
     disk.append("a", b"one").expect("append");
     disk.append("a", b" two").expect("append");
@@ -42,7 +42,7 @@
     assert!(disk.list().expect("list").is_empty());
 }
 
-fn names_are_kept_apart(disk: &dyn Disk) {
+fn names_in_use_and_unknown_names_are_rejected(disk: &dyn Disk) {
     let kind = |outcome: Result<(), crate::DiskError>| outcome.map_err(|error| error.kind);
     disk.create("a").expect("create");
     disk.create("b").expect("create");
@@ -58,7 +58,7 @@
     );
 }
 
-fn the_newest_record_is_found(disk: &Arc<dyn Disk>) {
+fn the_newest_record_is_recovered(disk: &Arc<dyn Disk>) {
     let (mut log, found) = open(disk);
     assert_eq!(found, Recovered::Empty);
     for number in 0..100_u64 {
@@ -86,7 +86,7 @@
     }
 }
 
-fn leftovers_are_removed(disk: &Arc<dyn Disk>) {
+fn superseded_and_temporary_files_are_removed(disk: &Arc<dyn Disk>) {
     let (mut log, _) = open(disk);
     log.reopen(&record(1)).expect("reopen");
     let old = segment_names(disk.as_ref());
@@ -104,7 +104,7 @@
     assert_eq!(disk.list().expect("list"), [names::segment(LOG, 91)]);
 }
 
-fn damage_is_reported(disk: &Arc<dyn Disk>) {
+fn corruption_is_reported(disk: &Arc<dyn Disk>) {
     let (mut log, _) = open(disk);
     for number in 0..3 {
         log.append(&record(number)).expect("append");
@@ -112,21 +112,21 @@
     }
     drop(log);
     let name = segment_names(disk.as_ref()).remove(0);
-    let sound = disk.read(&name).expect("read");
-    let frame = (sound.len() - crate::format::SEGMENT_HEADER_BYTES) / 3;
+    let intact = disk.read(&name).expect("read");
+    let frame = (intact.len() - crate::format::SEGMENT_HEADER_BYTES) / 3;
     let second = crate::format::SEGMENT_HEADER_BYTES + frame;
     for (position, reason) in [
         (0, CorruptionReason::SegmentHeader),
         (second - 1, CorruptionReason::FirstFrame),
         (second + 5, CorruptionReason::SyncedFrame),
     ] {
-        let mut damaged = sound.clone();
+        let mut damaged = intact.clone();
         damaged[position] ^= 1;
         replace_file(disk.as_ref(), &name, &damaged);
         let found = Log::<Record>::open(Arc::clone(disk), settings()).map(|(_, found)| found);
         let matches = matches!(&found, Err(OpenError::Corrupted { file, reason: given, .. })
             if *file == name && *given == reason);
-        assert!(matches, "damage at {position}: {found:?}");
+        assert!(matches, "corruption at {position}: {found:?}");
     }
     Log::<Record>::erase(disk.as_ref(), &settings()).expect("erase");
     assert_eq!(open(disk).1, Recovered::Empty);
@@ -149,7 +149,7 @@
     );
 }
 
-/// Number and filler of a record.
+/// Number and padding of a record.
 type Record = (u64, String);
 
 fn record(number: u64) -> Record {
--- a/crates/storage/src/testing/faulty.rs
+++ b/crates/storage/src/testing/faulty.rs
@@ -14,12 +14,12 @@
 use crate::disk::{Disk, DiskError, DiskOperation, FailureKind};
 use names::Names;
 
-/// A disk in memory that misbehaves as told, at random from a seed.
+/// A disk in memory with injected faults, of which the details are random, from a seed.
 ///
-/// A loss of power keeps what the last sync of a file covered. Each later write is present, missing
-/// or torn on its own, or all are gone. Of names made, renamed and removed since the last sync of
-/// the folder each is kept or lost on its own; a rename is two changes, so that a file may come
-/// back under both names or none.
+/// A power loss keeps the synced content of each file. Each later write is independently present,
+/// missing or torn, or all are lost. Each name created, renamed or removed since the last sync of
+/// the folder is kept or lost independently; a rename is two changes, so that a file may reappear
+/// under both names or none.
 #[derive(Debug)]
 pub struct FaultyDisk {
     gate: StallGate,
@@ -60,55 +60,55 @@
         }
     }
 
-    /// Loses power and starts again, without armed faults.
+    /// Simulates a power loss and a restart; ends all injected faults.
     pub fn lose_power(&self) {
         self.lock().lose_power();
     }
 
-    /// Stops in the midst of the operation that follows the next `operations`; from then on every
-    /// one fails until [`FaultyDisk::lose_power`] or [`FaultyDisk::clear_faults`].
+    /// Lets `operations` more succeed, interrupts the next one midway and fails all later ones, until
+    /// [`FaultyDisk::lose_power`] or [`FaultyDisk::clear_faults`].
     pub fn stop_after(&self, operations: u64) {
         self.lock().operations_left = Some(operations);
     }
 
-    /// Refuses every write, of which a part may have been written, or takes writes again.
+    /// Makes the disk full or not. A full disk rejects each write after a part of it.
     pub fn set_full(&self, full: bool) {
         self.lock().full = full;
     }
 
-    /// The next syncs of files fail. The pages are then marked as synced, whether or not they are
-    /// on the disk.
+    /// Makes the next `count` syncs of files fail. The pages are marked as clean then, whether or not
+    /// they are on the disk.
     pub fn fail_file_syncs(&self, count: u32) {
         self.lock().failing_file_syncs = count;
     }
 
-    /// The next syncs of the folder fail. The names are then marked as synced, whether or not they
-    /// are on the disk.
+    /// Makes the next `count` syncs of the folder fail. The names are marked as synced then, whether
+    /// or not they are on the disk.
     pub fn fail_folder_syncs(&self, count: u32) {
         self.lock().failing_folder_syncs = count;
     }
 
-    /// Ends all faults. What programs see stays, as after a kill.
+    /// Ends all injected faults. The cached content stays, as after a kill of the process.
     pub fn clear_faults(&self) {
         self.lock().clear_faults();
     }
 
-    /// Holds every operation back until [`FaultyDisk::release`].
+    /// Blocks every operation until [`FaultyDisk::release`].
     pub fn stall(&self) {
         self.gate.set_closed(true);
     }
 
-    /// Lets operations go on.
+    /// Unblocks operations.
     pub fn release(&self) {
         self.gate.set_closed(false);
     }
 
-    /// Waits until an operation is held back by [`FaultyDisk::stall`].
+    /// Waits until [`FaultyDisk::stall`] blocks an operation.
     pub fn wait_for_stalled_operation(&self) {
         self.gate.wait_for_operation();
     }
 
-    /// Operations of a kind so far, failed ones included.
+    /// Number of operations of a kind so far, including failed ones.
     pub fn count(&self, operation: DiskOperation) -> u64 {
         self.lock()
             .counts
@@ -117,7 +117,7 @@
             .unwrap_or_default()
     }
 
-    /// Bytes of all files that programs see.
+    /// Total size of all visible files, in bytes.
     pub fn used_bytes(&self) -> u64 {
         let state = self.lock();
         let numbers = state.names.visible().values();
@@ -135,7 +135,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Passes the gate and takes part in the count of operations.
+    /// Passes the gate and counts the operation.
     fn begin(
         &self,
         file: &str,
@@ -149,11 +149,11 @@
     }
 }
 
-/// Whether the disk stops in the midst of the operation.
+/// Whether the operation is interrupted midway.
 struct Interruption(Option<DiskError>);
 
 impl Interruption {
-    fn is_due(&self) -> bool {
+    fn is_pending(&self) -> bool {
         self.0.is_some()
     }
 
@@ -164,15 +164,15 @@
 
 impl State {
     fn begin(&mut self, file: &str, operation: DiskOperation) -> Result<Interruption, DiskError> {
-        let stopped = DiskError::new(file, operation, FailureKind::Other, "no power");
+        let no_power = DiskError::new(file, operation, FailureKind::Other, "no power");
         if !self.powered {
-            return Err(stopped);
+            return Err(no_power);
         }
         match &mut self.operations_left {
             None => Ok(Interruption(None)),
             Some(0) => {
                 self.powered = false;
-                Ok(Interruption(Some(stopped)))
+                Ok(Interruption(Some(no_power)))
             }
             Some(left) => {
                 *left -= 1;
@@ -233,8 +233,8 @@
 
     fn append(&self, file: &str, bytes: &[u8]) -> Result<(), DiskError> {
         let (mut state, interruption) = self.begin(file, DiskOperation::Append)?;
-        let refused = state.full;
-        let written = if refused {
+        let is_full = state.full;
+        let written = if is_full {
             state.random.random_range(0..=bytes.len())
         } else {
             bytes.len()
@@ -242,7 +242,7 @@
         state
             .inode(file, DiskOperation::Append)?
             .append(&bytes[..written]);
-        if refused {
+        if is_full {
             return Err(full(file, DiskOperation::Append));
         }
         interruption.end()
@@ -264,7 +264,7 @@
                 "input/output error",
             ));
         }
-        if !interruption.is_due() || state.random.random_bool(0.5) {
+        if !interruption.is_pending() || state.random.random_bool(0.5) {
             state.inode(file, DiskOperation::SyncFile)?.sync();
         }
         interruption.end()
@@ -296,7 +296,7 @@
                 "input/output error",
             ));
         }
-        if !interruption.is_due() || state.random.random_bool(0.5) {
+        if !interruption.is_pending() || state.random.random_bool(0.5) {
             state.names.sync();
         }
         interruption.end()
--- a/crates/storage/src/testing/faulty/names.rs
+++ b/crates/storage/src/testing/faulty/names.rs
@@ -1,4 +1,4 @@
-//! The names of a folder, as running programs see them and as a loss of power leaves them.
+//! The names in a folder: in the cache, and after a power loss.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::disk::{DiskError, DiskOperation};
 use crate::testing::{name_exists, not_found};
 
-/// Names and the numbers of the files they stand for.
+/// The names with their inode numbers.
 #[derive(Debug, Default)]
 pub(super) struct Names {
     visible: BTreeMap<String, u64>,
@@ -25,7 +25,7 @@
 }
 
 impl Names {
-    /// What programs see.
+    /// The names that programs see.
     pub(super) fn visible(&self) -> &BTreeMap<String, u64> {
         &self.visible
     }
@@ -37,7 +37,7 @@
             .ok_or_else(|| not_found(file, operation))
     }
 
-    /// Makes a name for a file with a new number.
+    /// Adds a name with a new inode number.
     pub(super) fn create(&mut self, file: &str) -> Result<u64, DiskError> {
         self.check_is_free(file, DiskOperation::Create)?;
         let number = self.next_number;
@@ -60,14 +60,14 @@
         Ok(())
     }
 
-    /// Makes all changes durable that are still marked as unsynced.
+    /// Makes all unsynced changes durable.
     pub(super) fn sync(&mut self) {
         for change in std::mem::take(&mut self.changes) {
             apply(&mut self.durable, change);
         }
     }
 
-    /// A sync that fails: each change is on the disk or not, and all are marked as synced.
+    /// A sync that fails: each change reaches the disk or not, and all are marked as synced.
     pub(super) fn fail_sync(&mut self, random: &mut Xoshiro256PlusPlus) {
         for change in std::mem::take(&mut self.changes) {
             if random.random_bool(0.5) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Each unsynced change is kept or lost, or all are lost.
+    /// A power loss: each unsynced change is kept or lost, or all are lost.
     pub(super) fn lose_power(&mut self, random: &mut Xoshiro256PlusPlus) {
         if random.random_bool(0.25) {
             self.changes.clear();
--- a/crates/storage/src/testing/inode.rs
+++ b/crates/storage/src/testing/inode.rs
@@ -1,19 +1,19 @@
-//! A file's bytes, as running programs see them and as a loss of power leaves them.
+//! The content of a file: in the page cache, and after a power loss.
 
 use rand::RngExt;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// Bytes that tear together; small, so that small records tear.
+/// Size of the units that are written atomically, in bytes; small, so that small records can tear.
 const SECTOR_BYTES: usize = 16;
 
 /// A file without its name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Inode {
-    /// What programs read.
+    /// The content in the page cache.
     pub(super) cached: Vec<u8>,
-    /// What the last sync covered.
+    /// The content on the disk.
     durable: Vec<u8>,
-    /// Writes since then that a sync would cover.
+    /// The writes since the last sync (dirty pages).
     writes: Vec<Write>,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Inode {
-    /// Writes at the end.
+    /// Appends to the file.
     pub(super) fn append(&mut self, bytes: &[u8]) {
         let offset = self.cached.len();
         self.cached.extend_from_slice(bytes);
@@ -34,14 +34,14 @@
         });
     }
 
-    /// Makes all writes durable that are still marked as unsynced.
+    /// Makes all dirty writes durable.
     pub(super) fn sync(&mut self) {
         for write in std::mem::take(&mut self.writes) {
             self.keep(write.offset, &write.bytes);
         }
     }
 
-    /// A sync that fails: each write is on the disk or not, and all are marked as synced.
+    /// A sync that fails: each write reaches the disk or not, and all are marked as clean.
     pub(super) fn fail_sync(&mut self, random: &mut Xoshiro256PlusPlus) {
         for write in std::mem::take(&mut self.writes) {
             if random.random_bool(0.5) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Each unsynced write is present, missing or torn, or all are gone.
+    /// A power loss: each unsynced write is present, missing or torn, or all are lost.
     pub(super) fn lose_power(&mut self, random: &mut Xoshiro256PlusPlus) {
         let writes = std::mem::take(&mut self.writes);
         if !random.random_bool(0.25) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Puts bytes on the disk; a gap before them reads as zeros.
+    /// Puts bytes on the disk; a gap before them is filled with zeros.
     fn keep(&mut self, offset: usize, bytes: &[u8]) {
         let end = offset + bytes.len();
         if self.durable.len() < end {
--- a/crates/storage/src/testing/memory.rs
+++ b/crates/storage/src/testing/memory.rs
@@ -6,7 +6,7 @@
 use super::{full, name_exists, not_found};
 use crate::disk::{Disk, DiskError, DiskOperation};
 
-/// A disk in memory. Nothing is ever lost; what does not fit is refused.
+/// A disk in memory. Nothing is ever lost; writes that don't fit are rejected.
 #[derive(Debug)]
 pub struct MemoryDisk {
     state: Mutex<State>,
@@ -39,7 +39,7 @@
         self.lock().capacity = capacity;
     }
 
-    /// The most bytes that all files held together so far.
+    /// The largest total size of all files so far, in bytes.
     pub fn peak_bytes(&self) -> u64 {
         self.lock().peak
     }
--- a/crates/storage/src/testing/stall.rs
+++ b/crates/storage/src/testing/stall.rs
@@ -1,8 +1,8 @@
-//! Holds operations back until they are released.
+//! Simulates a stalled disk: blocks operations until they are released.
 
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 
-/// A gate that operations pass.
+/// A gate that every operation passes, and that blocks them while it is closed.
 #[derive(Debug, Default)]
 pub(super) struct StallGate {
     state: Mutex<State>,
@@ -39,7 +39,7 @@
         state.waiting -= 1;
     }
 
-    /// Waits until an operation is held back.
+    /// Waits until an operation is blocked.
     pub(super) fn wait_for_operation(&self) {
         let mut state = self.lock();
         while state.waiting == 0 {
--- a/crates/storage/src/testing/unsafe_disk.rs
+++ b/crates/storage/src/testing/unsafe_disk.rs
@@ -1,38 +1,38 @@
-//! A disk used as by a program that leaves a safeguard out.
+//! A disk without durability guarantees: it omits one safeguard, as a faulty program would.
 
 use std::sync::Arc;
 
 use crate::disk::{Disk, DiskError};
 
-/// The safeguard that is left out.
+/// A safeguard that an [`UnsafeDisk`] omits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Safeguard {
-    /// The folder is never synced.
+    /// Syncing the folder.
     FolderSync,
-    /// Files are never synced.
+    /// Syncing files.
     FileSync,
-    /// A failed sync is tried again and then believed.
+    /// Giving up a file after a failed sync: the sync is retried and its success believed.
     StopAfterFailedSync,
 }
 
-/// Passes everything on but the safeguard left out. A check that passes on it is too weak.
+/// Forwards all operations except for the omitted safeguard. A test that passes on it is too weak.
 pub struct UnsafeDisk {
     disk: Arc<dyn Disk>,
     omitted: Safeguard,
 }
 
 impl UnsafeDisk {
-    /// Leaves a safeguard out of what `disk` is asked for.
+    /// Wraps a disk and omits a safeguard.
     pub fn new(disk: Arc<dyn Disk>, omitted: Safeguard) -> Self {
         Self { disk, omitted }
     }
 
     fn sync(
         &self,
-        left_out: Safeguard,
+        safeguard: Safeguard,
         sync: impl Fn() -> Result<(), DiskError>,
     ) -> Result<(), DiskError> {
-        if self.omitted == left_out {
+        if self.omitted == safeguard {
             return Ok(());
         }
         match sync() {
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -1,4 +1,4 @@
-//! A thread that owns a log, so that no caller waits for the disk.
+//! A thread that owns a log, so that no caller blocks on the disk.
 
 mod queue;
 
@@ -13,55 +13,55 @@
 use crate::log::{Log, LogError, LogState};
 use queue::{Batch, Queue};
 
-/// Whether a record makes an earlier one unneeded, so that only the newer one is written.
+/// Records that can make earlier ones obsolete, so that only the newer one is written.
 pub trait Supersedes {
-    /// Whether `earlier` need not be written once `self` is.
+    /// Whether `earlier` need not be written if `self` is.
     fn supersedes(&self, earlier: &Self) -> bool;
 }
 
-/// The outcome for one record handed in.
+/// The outcome of one submitted record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion<T> {
-    /// What the caller gave with the record.
+    /// The token that the caller submitted with the record.
     pub token: T,
-    /// Whether the record, or one that supersedes it, is durable. After an error neither may be
-    /// relied on.
+    /// `Ok` if the record, or one that supersedes it, is durable. After an error the caller may rely
+    /// on neither.
     pub result: Result<(), LogError>,
 }
 
-/// What the thread does.
+/// The activity of the writer's thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Activity {
-    /// Nothing is to be written.
+    /// It waits for records.
     Idle,
-    /// A batch is being written and synced.
+    /// It writes and syncs a batch.
     Busy {
-        /// Start of the batch, on the clock given to [`Writer::spawn`].
+        /// When the batch was started, on the clock passed to [`Writer::spawn`].
         since: Duration,
     },
-    /// The thread has ended.
+    /// It has ended.
     Stopped,
 }
 
-/// State of the writer.
+/// The state of a writer, for monitoring.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Health {
-    /// What the thread does.
+    /// The activity of the writer's thread.
     pub activity: Activity,
-    /// The failure that the log has not been reopened after; the next record handed in tries to.
+    /// The failure after which the log hasn't been reopened yet; the next submitted record tries to.
     pub failure: Option<DiskError>,
-    /// Records handed in that no batch has taken yet.
+    /// Submitted records that no batch includes yet.
     pub queued: usize,
 }
 
-/// Owner of a log on a thread of its own.
+/// Owns a log on a thread of its own, with group commit.
 ///
-/// Records are taken in batches: all that are queued are written, less those superseded, and synced
-/// once. Completions come in the order in which records were handed in. While the disk stalls none
-/// come. After a failure the next batch begins a new segment.
+/// Each batch takes all queued records, writes those that aren't superseded, and syncs once.
+/// Completions arrive in the order of submission, and none while the disk stalls. After a failure
+/// the next batch starts a new segment.
 ///
-/// Dropping the writer lets the thread end after the records already handed in, without waiting for
-/// it.
+/// Dropping the writer ends the thread once it has written the records submitted so far, without
+/// waiting for it.
 pub struct Writer<R, T> {
     queue: Arc<Queue<R, T>>,
     thread: Option<JoinHandle<()>>,
@@ -72,11 +72,11 @@
     R: Serialize + DeserializeOwned + Supersedes + Send + 'static,
     T: Send + 'static,
 {
-    /// Starts the thread. `clock` is a steady clock; `complete` is called on the thread and must
+    /// Starts the thread. `clock` is a monotonic clock; `complete` is called on the thread and must
     /// not block.
     ///
     /// # Errors
-    /// When the system refuses a thread.
+    /// When the system cannot start a thread.
     pub fn spawn(
         log: Log<R>,
         clock: impl Fn() -> Duration + Send + 'static,
@@ -98,18 +98,18 @@
         })
     }
 
-    /// Hands a record in. Its completion comes with the token.
+    /// Submits a record; its completion carries the token.
     pub fn submit(&self, record: R, token: T) {
         self.queue.push(record, token);
     }
 
-    /// State of the writer.
+    /// The current state of the writer.
     #[must_use]
     pub fn health(&self) -> Health {
         self.queue.health()
     }
 
-    /// Writes what was handed in and waits for the thread to end.
+    /// Waits until the submitted records are written and the thread has ended.
     pub fn finish(mut self) {
         self.queue.close();
         if let Some(thread) = self.thread.take() {
@@ -124,7 +124,7 @@
     }
 }
 
-/// The thread's side.
+/// The state of the thread.
 struct Worker<R, T, Clock, Complete> {
     log: Log<R>,
     queue: Arc<Queue<R, T>>,
@@ -157,7 +157,7 @@
     }
 }
 
-/// Notes the end of the thread, also after a panic.
+/// Records that the thread has ended, also after a panic.
 struct StoppedOnDrop<R, T>(Arc<Queue<R, T>>);
 
 impl<R, T> Drop for StoppedOnDrop<R, T> {
@@ -166,7 +166,7 @@
     }
 }
 
-/// Writes the records and syncs once; after a failure the first begins a new segment.
+/// Writes the records and syncs once; after a failure the first record starts a new segment.
 fn write<R: Serialize + DeserializeOwned>(log: &mut Log<R>, records: &[R]) -> Result<(), LogError> {
     let mut rest = records.iter();
     if log.state() != LogState::Ready {
--- a/crates/storage/src/writer/queue.rs
+++ b/crates/storage/src/writer/queue.rs
@@ -1,4 +1,4 @@
-//! What has been handed to the writer and not been written yet.
+//! The queue of submitted records that haven't been written yet.
 
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -7,16 +7,16 @@
 
 use super::{Activity, Health, Supersedes};
 
-/// Records that are written together, with the tokens of all that they stand for.
+/// Records that are written together, with the tokens of these and of the ones they superseded.
 pub(super) struct Batch<R, T> {
     pub(super) records: Vec<R>,
     pub(super) tokens: Vec<T>,
 }
 
-/// The queue between callers and the thread.
+/// The queue between the callers and the writer's thread.
 ///
-/// A superseded record is dropped at once, so that a stalled disk costs the memory of one register
-/// record only.
+/// A superseded record is dropped at once, so that while the disk stalls, records that supersede
+/// each other take the memory of one only.
 pub(super) struct Queue<R, T> {
     state: Mutex<State<R, T>>,
     changed: Condvar,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Waits for records; nothing once the queue is closed and empty.
+    /// Waits for records; `None` once the queue is closed and empty.
     pub(super) fn take(&self, clock: &impl Fn() -> Duration) -> Option<Batch<R, T>> {
         let mut state = self.lock();
         while state.batch.tokens.is_empty() && !state.closed {
--- a/crates/storage/tests/arbitrary_bytes.rs
+++ b/crates/storage/tests/arbitrary_bytes.rs
@@ -113,19 +113,21 @@
     #![proptest_config(config())]
 
     #[test]
-    fn bytes_that_no_log_wrote_are_damage(bytes in vec(any::<u8>(), 0..2_000)) {
+    fn arbitrary_bytes_are_reported_as_corruption(bytes in vec(any::<u8>(), 0..2_000)) {
         let outcome = open(&bytes);
         prop_assert!(is_damage(&outcome), "{:?}", outcome);
     }
 
     #[test]
-    fn a_damaged_segment_gives_a_written_record_or_an_error(
+    fn a_corrupted_segment_yields_a_written_record_or_an_error(
         fillers in vec("[a-zF ]{0,80}", 1..8),
         damages in vec(damage(), 1..4),
     ) {
         let records = records(fillers);
         let mut bytes = segment(&records);
-        damages.into_iter().for_each(|damage| apply(&mut bytes, damage));
+        for damage in damages {
+            apply(&mut bytes, damage);
+        }
         match open(&bytes) {
             Ok(Recovered::Found { record, .. }) => prop_assert!(records.contains(&record)),
             Ok(Recovered::Empty) => prop_assert!(false, "a damaged segment is not an empty folder"),
@@ -134,7 +136,7 @@
     }
 
     #[test]
-    fn a_bit_that_rots_before_the_last_frame_is_reported(
+    fn a_flipped_bit_before_the_last_frame_is_reported(
         fillers in vec("[a-z]{0,80}", 2..8),
         at in any::<prop::sample::Index>(),
         bit in 0..8_u32,
@@ -148,7 +150,7 @@
     }
 
     #[test]
-    fn a_cut_segment_gives_the_last_whole_record(
+    fn a_truncated_segment_yields_the_last_complete_record(
         fillers in vec("[a-z]{0,80}", 2..8),
         cut in any::<prop::sample::Index>(),
     ) {
@@ -168,7 +170,7 @@
 }
 
 #[test]
-fn a_segment_without_its_first_frame_is_damage() {
+fn a_segment_without_its_first_frame_is_corrupted() {
     let bytes = segment(&[(1, "x".to_owned())]);
     assert_matches!(
         open(&bytes[..SEGMENT_HEADER]),
@@ -178,7 +180,7 @@
 }
 
 #[test]
-fn a_segment_under_another_name_is_damage() {
+fn a_segment_under_another_name_is_corrupted() {
     let bytes = segment(&[(1, "x".to_owned())]);
     let disk = Arc::new(MemoryDisk::new(1 << 20));
     disk.create("bytes-0000000000000009.segment")
@@ -192,7 +194,7 @@
 }
 
 #[test]
-fn a_frame_inside_a_record_is_no_frame() {
+fn a_frame_inside_a_record_is_not_taken_for_a_frame() {
     let mut inner = segment(&[
         (7, "x".repeat(200)),
         (8, "known to be synced up to here".to_owned()),
--- a/crates/storage/tests/contract.rs
+++ b/crates/storage/tests/contract.rs
@@ -3,12 +3,12 @@
 use std::sync::Arc;
 
 use ironmast_storage::RealDisk;
-use ironmast_storage::testing::{FaultyDisk, MemoryDisk, contract};
+use ironmast_storage::testing::{FaultyDisk, MemoryDisk, check_disk_contract};
 
 #[test]
-fn a_folder_of_the_file_system_passes() {
+fn a_real_disk_fulfils_the_contract() {
     let mut folders = Vec::new();
-    contract(|| {
+    check_disk_contract(|| {
         folders.push(tempfile::tempdir().expect("folder"));
         let folder = folders.last().expect("folder");
         Arc::new(RealDisk::open(folder.path()).expect("open"))
@@ -16,11 +16,11 @@
 }
 
 #[test]
-fn a_disk_in_memory_passes() {
-    contract(|| Arc::new(MemoryDisk::new(1 << 20)));
+fn a_memory_disk_fulfils_the_contract() {
+    check_disk_contract(|| Arc::new(MemoryDisk::new(1 << 20)));
 }
 
 #[test]
-fn a_faulty_disk_without_faults_passes() {
-    contract(|| Arc::new(FaultyDisk::new(7)));
+fn a_faulty_disk_without_faults_fulfils_the_contract() {
+    check_disk_contract(|| Arc::new(FaultyDisk::new(7)));
 }
--- a/crates/storage/tests/failed_sync.rs
+++ b/crates/storage/tests/failed_sync.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_record_written_again_to_another_file_is_kept_whatever_ends_it() {
+fn a_record_rewritten_to_another_file_survives_any_interruption() {
     let broken = broken(|disk| disk);
     assert!(
         broken.is_empty(),
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_failed_sync_that_is_tried_again_and_believed_loses_what_was_reported() {
+fn retrying_a_failed_sync_loses_reported_records() {
     let broken = broken(|disk| Arc::new(UnsafeDisk::new(disk, Safeguard::StopAfterFailedSync)));
     println!("{} cases, first {:?}", broken.len(), broken.first());
     assert!(!broken.is_empty());
--- a/crates/storage/tests/identity.rs
+++ b/crates/storage/tests/identity.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_stored_identity_outlasts_losses_of_power_wherever_they_come() {
+fn a_stored_identity_survives_power_loss_at_any_operation() {
     for seed in 0..200 {
         let disk = Arc::new(FaultyDisk::new(seed));
         disk.stop_after(seed % 20);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn an_identity_read_on_a_full_disk_is_confirmed_once_there_is_room() {
+fn an_identity_read_on_a_full_disk_becomes_durable_once_there_is_space() {
     let disk = Arc::new(FaultyDisk::new(1));
     open(&disk).store(identity(1)).expect("store");
     disk.set_full(true);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_identity_is_never_replaced_but_by_erasing() {
+fn an_identity_is_only_replaced_after_erasure() {
     let disk = Arc::new(FaultyDisk::new(1));
     let mut file = open(&disk);
     assert_eq!(file.make_durable(), Err(IdentityError::NotStored));
--- a/crates/storage/tests/kill.rs
+++ b/crates/storage/tests/kill.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_killed_process_finds_what_it_reported() {
+fn a_killed_process_recovers_the_records_it_reported() {
     let folder = tempfile::tempdir().expect("folder");
     for kill in 0..KILLS {
         let reported = kill_after(start(folder.path()), 3 + 7 * kill as usize);
--- a/crates/storage/tests/real_disk.rs
+++ b/crates/storage/tests/real_disk.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn records_handed_to_the_writer_are_found_again_and_completed_in_order() {
+fn submitted_records_are_recovered_and_completed_in_order() {
     let folder = tempfile::tempdir().expect("folder");
     let (log, found) = Log::<Register>::open(disk(&folder), settings()).expect("open");
     assert_eq!(found, Recovered::Empty);
--- a/crates/storage/tests/writer.rs
+++ b/crates/storage/tests/writer.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_stalled_disk_holds_completions_back_and_health_tells_since_when() {
+fn a_stalled_disk_delays_completions_and_health_reports_since_when() {
     let bench = bench();
     bench.disk.stall();
     bench.now.store(5, Ordering::Relaxed);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn of_what_queued_up_only_the_newest_is_written_and_synced_once() {
+fn only_the_newest_queued_record_is_written_and_synced_once() {
     let bench = bench();
     bench.submit_and_wait(0).expect("durable");
     bench.disk.stall();
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn after_a_failed_sync_the_next_record_begins_anew() {
+fn after_a_failed_sync_the_next_record_starts_a_new_segment() {
     let bench = bench();
     bench.submit_and_wait(1).expect("durable");
     bench.disk.fail_file_syncs(1);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_full_disk_refuses_until_there_is_room_and_keeps_what_was_durable() {
+fn a_full_disk_rejects_records_until_there_is_space_and_keeps_durable_ones() {
     let bench = bench();
     bench.submit_and_wait(1).expect("durable");
     bench.disk.set_full(true);
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_full_disk_and_a_loss_of_power_leave_what_was_durable() {
+fn durable_records_survive_a_full_disk_and_a_power_loss() {
     let bench = bench();
     bench.submit_and_wait(1).expect("durable");
     bench.disk.set_full(true);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_dropped_writer_still_writes_what_was_handed_in_and_then_ends() {
+fn a_dropped_writer_writes_submitted_records_and_ends() {
     let bench = bench();
     bench.disk.stall();
     bench.submit(1);
--- a/crates/storage/tests/writer_histories.rs
+++ b/crates/storage/tests/writer_histories.rs
@@ -107,13 +107,13 @@
 }
 
 #[test]
-fn what_a_writer_completed_is_found_in_the_next_life() {
+fn completed_records_are_recovered_by_the_next_incarnation() {
     let lost = (0..HISTORIES).find(|seed| loses(*seed, &|disk| disk));
     assert_eq!(lost, None);
 }
 
 #[test]
-fn lives_catch_each_safeguard_left_out() {
+fn histories_detect_each_omitted_safeguard() {
     for left_out in [
         Safeguard::FileSync,
         Safeguard::FolderSync,
