--- a/crates/balancer/benches/handle.rs
+++ b/crates/balancer/benches/handle.rs
@@ -8,8 +8,8 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use ironmast_balancer::{
-    Action, Balancer, ClassSettings, Effect, Event, Listing, Micros, Outcome, Phase, Request,
-    Scope, Server, ServerId, Settings, Settled,
+    Action, AttemptEnded, Balancer, ClassSettings, Effect, Event, Listing, Micros, Outcome, Phase,
+    Request, Scope, Server, ServerId, Settings,
 };
 
 const SIZES: [u64; 4] = [10, 100, 1_000, 10_000];
@@ -26,14 +26,14 @@
 impl Bed {
     fn new(servers: u64, balancers: u32) -> Self {
         let class = |effect| ClassSettings {
-            aim: 400_000,
+            latency_target: 400_000,
             deadline: 800_000,
             effect,
             ..ClassSettings::default()
         };
         let settings = Settings {
             balancers,
-            classes: vec![class(Effect::Free), class(Effect::SingleShot)],
+            classes: vec![class(Effect::Idempotent), class(Effect::NonIdempotent)],
             zones: 3,
             ..Settings::default()
         };
@@ -99,7 +99,7 @@
         });
         if let Some(server) = sent {
             let (finished, load) = (outcome == Outcome::Ok, None);
-            let settled = Settled {
+            let settled = AttemptEnded {
                 id,
                 server,
                 attempt: 0,
@@ -108,9 +108,9 @@
                 finished,
                 load,
             };
-            self.event(Event::Settled(settled));
+            self.event(Event::AttemptEnded(settled));
             if !finished {
-                self.event(Event::HungUp { id });
+                self.event(Event::ClientDisconnected { id });
             }
         }
     }
@@ -144,7 +144,7 @@
                 b.iter(|| black_box(&mut bed).request(Outcome::Ok));
             });
             group.bench_function(BenchmarkId::new("settled", size), |b| {
-                b.iter(|| black_box(&mut bed).request(Outcome::Error));
+                b.iter(|| black_box(&mut bed).request(Outcome::ServerError));
             });
             let mut bed = Bed::new(size, agents);
             group.bench_function(BenchmarkId::new("beat", size), |b| {
--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -34,16 +34,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Safe to repeat anywhere, any number of times.
-    Free,
+    Idempotent,
     /// Repeats are dropped by one group of servers for a while.
-    Guarded {
+    Deduplicated {
         /// The group that drops repeats.
         group: Group,
         /// For how long after the first attempt that may have run.
         window: Micros,
     },
     /// Must never run twice.
-    SingleShot,
+    NonIdempotent,
 }
 
 /// The servers that drop repeats of a guarded request.
@@ -61,28 +61,28 @@
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
     /// Answers within this earn their worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// The longest a client waits, over all its tries.
     pub deadline: Micros,
     /// Whether it may run again.
     pub effect: Effect,
     /// What one answer in time is worth.
-    pub worth: f64,
+    pub value: f64,
     /// Part of the worth that an answer past the aim still earns.
-    pub late_share: f64,
+    pub late_value_share: f64,
     /// Answers arrive as streams that announce their start.
     pub streaming: bool,
 }
 
 impl Default for ClassSettings {
     fn default() -> Self {
-        let effect = Effect::Free;
+        let effect = Effect::Idempotent;
         ClassSettings {
-            aim: 500_000,
+            latency_target: 500_000,
             deadline: 2_000_000,
             effect,
-            worth: 1.0,
-            late_share: 0.0,
+            value: 1.0,
+            late_value_share: 0.0,
             streaming: false,
         }
     }
@@ -119,7 +119,7 @@
 
 /// What discovery has to tell counts as told so long after it could be reached, whatever failed
 /// meanwhile: the platform's figure, the same for every deployment.
-pub const TOLD: Micros = 6_000_000;
+pub const MAX_DISCOVERY_DELAY: Micros = 6_000_000;
 
 /// Everything a balancer is told at its start.
 #[derive(Clone, Debug)]
@@ -127,13 +127,13 @@
     /// Number of agents sending to the same servers, this one included.
     pub balancers: u32,
     /// This agent's number among them.
-    pub me: u32,
+    pub balancer_index: u32,
     /// The classes of requests.
     pub classes: Vec<ClassSettings>,
     /// The tenants; may be empty.
     pub tenants: Vec<TenantSettings>,
     /// Worth of a request beyond its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_share_value: f64,
     /// Number of configured zones.
     pub zones: usize,
     /// The zone this agent lives in.
@@ -143,7 +143,7 @@
     /// What [`Server::size`] means.
     pub sizes: SizeMeaning,
     /// Servers that met a key lately do less work for it.
-    pub warm_keys: bool,
+    pub key_affinity: bool,
     /// Shortest time between two deliveries of events.
     pub tick: Micros,
     /// What the operator permits.
@@ -158,14 +158,14 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Attempts for one request at most.
-    pub most_tries: u32,
+    pub max_attempts: u32,
     /// Two attempts of one request may be out at once.
-    pub may_duplicate: bool,
+    pub allow_hedging: bool,
     /// [`Action::Cancel`] is permitted.
     pub cancel: bool,
     /// [`Action::Probe`] is permitted.
     pub probes: bool,
-    /// [`Action::Tell`] is permitted.
+    /// [`Action::SendToPeers`] is permitted.
     pub peers: bool,
     /// Clients are told how long to stay away after a refusal.
     pub retry_after: bool,
@@ -179,18 +179,18 @@
     /// How long after a request's end a final answer still counts.
     pub answer_slack: Micros,
     /// Without a subscription, discovery must be asked at least this often.
-    pub ask_within: Micros,
+    pub discovery_interval: Micros,
     /// A restarted server begins with at least this part of its capacity.
-    pub cold_share: f64,
+    pub initial_capacity: f64,
     /// It is warm no later than this after its start.
-    pub cold: Micros,
+    pub warm_up: Micros,
     /// Sends to a draining server must stop within this.
     pub drain_grace: Micros,
-    /// A cold server falls over when sent more than `fall_multiple` times its capacity for this
+    /// A cold server falls over when sent more than `overload_multiple` times its capacity for this
     /// long.
-    pub fall: Micros,
+    pub overload_window: Micros,
     /// See `fall`.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
 }
 
 /// Points taken off the result, as parts of the whole.
@@ -208,19 +208,19 @@
     fn default() -> Self {
         Settings {
             balancers: 1,
-            me: 0,
+            balancer_index: 0,
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_share_value: 1.0,
             zones: 1,
             zone: 0,
             discovery: Discovery::Pushed,
             sizes: SizeMeaning::Unknown,
-            warm_keys: false,
+            key_affinity: false,
             tick: 5_000,
             limits: Limits {
-                most_tries: 3,
-                may_duplicate: false,
+                max_attempts: 3,
+                allow_hedging: false,
                 cancel: true,
                 probes: false,
                 peers: false,
@@ -229,12 +229,12 @@
             },
             safety: Safety {
                 answer_slack: 20_000,
-                ask_within: 10_000_000,
-                cold_share: 0.2,
-                cold: 20_000_000,
+                discovery_interval: 10_000_000,
+                initial_capacity: 0.2,
+                warm_up: 20_000_000,
                 drain_grace: 500_000,
-                fall: 1_000_000,
-                fall_multiple: 3.0,
+                overload_window: 1_000_000,
+                overload_multiple: 3.0,
             },
             penalties: Penalties {
                 cross_zone: 0.0,
@@ -263,15 +263,15 @@
             return Err(SettingsError::NoClasses);
         }
         for class in &self.classes {
-            positive("aim", class.aim as f64)?;
-            duration("aim", class.aim)?;
+            positive("aim", class.latency_target as f64)?;
+            duration("aim", class.latency_target)?;
             duration("deadline", class.deadline)?;
-            if let Effect::Guarded { window, .. } = class.effect {
+            if let Effect::Deduplicated { window, .. } = class.effect {
                 duration("window", window)?;
             }
             positive("deadline", class.deadline as f64)?;
-            positive("worth", class.worth + f64::MIN_POSITIVE)?;
-            part("late_share", class.late_share)?;
+            positive("worth", class.value + f64::MIN_POSITIVE)?;
+            part("late_share", class.late_value_share)?;
         }
         for tenant in &self.tenants {
             positive(
@@ -284,17 +284,17 @@
             return Err(SettingsError::UnknownZone);
         }
         positive("balancers", f64::from(self.balancers))?;
-        positive("most_tries", f64::from(self.limits.most_tries))?;
+        positive("most_tries", f64::from(self.limits.max_attempts))?;
         positive("tick", self.tick as f64)?;
         duration("tick", self.tick)?;
-        duration("ask_within", self.safety.ask_within)?;
-        duration("cold", self.safety.cold)?;
-        duration("fall", self.safety.fall)?;
-        positive("fall_multiple", self.safety.fall_multiple)?;
-        positive("fall", self.safety.fall as f64)?;
-        positive("cold_share", self.safety.cold_share)?;
-        part("cold_share", self.safety.cold_share)?;
-        part("over_share_worth", self.over_share_worth)?;
+        duration("ask_within", self.safety.discovery_interval)?;
+        duration("cold", self.safety.warm_up)?;
+        duration("fall", self.safety.overload_window)?;
+        positive("fall_multiple", self.safety.overload_multiple)?;
+        positive("fall", self.safety.overload_window as f64)?;
+        positive("cold_share", self.safety.initial_capacity)?;
+        part("cold_share", self.safety.initial_capacity)?;
+        part("over_share_worth", self.over_share_value)?;
         positive("cross_zone", self.penalties.cross_zone + f64::MIN_POSITIVE)
     }
 }
@@ -342,9 +342,9 @@
     /// Served.
     Ok,
     /// An error answer; may have run.
-    Error,
+    ServerError,
     /// Turned away unseen.
-    Full,
+    Overloaded,
     /// No answer in time; may have run or run still.
     Timeout,
     /// No connection: never ran.
@@ -352,27 +352,33 @@
     /// The connection broke; may have run.
     Reset,
     /// An answer came that can't be read or is not whole; may have run. The server is up.
-    Spoilt,
+    MalformedResponse,
     /// The server finds fault with the request itself (4xx); nobody else would take it.
-    Rejected,
+    ClientError,
     /// Cancelled; may have run.
     Cancelled,
     /// Never sent: the request was over, out of time or out of attempts.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// True where the outcome proves that the attempt never ran.
     #[must_use]
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(
+            self,
+            Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 
     /// True where the outcome tells of the server's load: it is an answer, or none came.
     #[must_use]
-    pub fn tells_load(self) -> bool {
-        use Outcome::{ConnectFailed, Error, Full, Ok, Timeout};
-        matches!(self, Ok | Error | Full | Timeout | ConnectFailed)
+    pub fn indicates_load(self) -> bool {
+        use Outcome::{ConnectFailed, Ok, Overloaded, ServerError, Timeout};
+        matches!(
+            self,
+            Ok | ServerError | Overloaded | Timeout | ConnectFailed
+        )
     }
 }
 
@@ -437,7 +443,7 @@
 
 /// The end of one attempt.
 #[derive(Clone, Debug)]
-pub struct Settled {
+pub struct AttemptEnded {
     /// The request.
     pub id: RequestId,
     /// The server that had the attempt.
@@ -460,9 +466,9 @@
     /// A request arrived; it is owed exactly one final answer.
     Request(Request),
     /// An attempt ended.
-    Settled(Settled),
+    AttemptEnded(AttemptEnded),
     /// The answer of a streamed request began: the attempt now belongs to the client.
-    Started {
+    ResponseStarted {
         /// The request.
         id: RequestId,
         /// The attempt.
@@ -470,14 +476,14 @@
     },
     /// The last byte of a request has come that arrived while its body was still on the way: its
     /// client's time counts from now, and no attempt at it has run before.
-    Whole {
+    RequestComplete {
         /// The request.
         id: RequestId,
         /// Clock reading at which the client gives up.
         expires: Micros,
     },
     /// The client left; nothing more is owed.
-    HungUp {
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
@@ -489,7 +495,7 @@
     /// News from discovery.
     Members(Listing),
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The server.
         server: ServerId,
         /// How it ended.
@@ -500,7 +506,7 @@
         load: Option<LoadReport>,
     },
     /// A message from another agent.
-    Peer {
+    PeerMessage {
         /// The sender's number.
         from: u32,
         /// What it said.
@@ -521,11 +527,11 @@
         timeout: Option<Micros>,
         /// Clock reading from which on it must not begin any more: a repeat of a keyed class, once
         /// its window is over. An attempt that has not written its first byte by then ends as
-        /// [`Outcome::Moot`].
-        begin_by: Option<Micros>,
+        /// [`Outcome::NotSent`].
+        start_deadline: Option<Micros>,
     },
     /// Final answer: turned away; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// How long the client had better stay away.
@@ -560,7 +566,7 @@
         server: ServerId,
     },
     /// Tells one agent, or all others, something short.
-    Tell {
+    SendToPeers {
         /// The receiver; `None` for all.
         to: Option<u32>,
         /// The message.
--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/balance.rs
@@ -8,14 +8,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::{
-    Action, ClassId, ClassSettings, Discovery, Effect, Event, Group, Listing, Micros, Outcome,
-    Phase, Request, RequestId, Scope, ServerId, Settings, SettingsError, Settled, TOLD,
+    Action, AttemptEnded, ClassId, ClassSettings, Discovery, Effect, Event, Group, Listing,
+    MAX_DISCOVERY_DELAY, Micros, Outcome, Phase, Request, RequestId, Scope, ServerId, Settings,
+    SettingsError,
 };
 use crate::silence::{self, Silence};
 use crate::state::{Attempt, Node, Open, Rng, Turn, Usual, follow, mix, unit};
 use crate::{fleet::Fleet, fleet::LOOKS, news::News};
 
-/// Beats in the shortest aim: how often measurements fade and cold servers are granted requests.
+/// Beats in the shortest latency_target: how often measurements fade and cold servers are granted requests.
 const BEATS_PER_AIM: u64 = 10;
 /// A request that reached no server is given up at this part of its time: later, nobody gains by
 /// the wait.
@@ -37,7 +38,7 @@
 const MINE_PACE: f64 = 0.05;
 /// A hashed draw may pass the even share by this part before the key's next server takes over.
 const HASH_BOUND: f64 = 0.1;
-/// Requests that all agents together may send a cold server in a window of `safety.fall` on no
+/// Requests that all agents together may send a cold server in a window of `safety.overload_window` on no
 /// evidence.
 const COLD_LEAST: f64 = 4.0;
 /// Those that one of many agents keeps to change after this: each agent, too, is even in the end.
@@ -63,7 +64,7 @@
 const BUDGET: (f64, f64) = (0.03, 2.0);
 const WON: (f64, f64) = (0.3, 0.4);
 const BUDGET_MOST: f64 = 20.0;
-/// Discovery is asked again after `ask_within` over these: at first, and at the longest.
+/// Discovery is asked again after `discovery_interval` over these: at first, and at the longest.
 const ASK_AGAIN: (u64, u64) = (16, 2);
 
 /// The balancer: one for each agent.
@@ -103,10 +104,15 @@
     /// Builds a balancer that knows no server yet.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or(1);
+        let aim = settings
+            .classes
+            .iter()
+            .map(|c| c.latency_target)
+            .min()
+            .unwrap_or(1);
         let usual = |c: &ClassSettings| Usual {
-            median: c.aim as f64 * 0.2,
-            high: c.aim as f64 * 0.4,
+            median: c.latency_target as f64 * 0.2,
+            high: c.latency_target as f64 * 0.4,
         };
         Ok(Balancer {
             rng: Rng(seed),
@@ -128,7 +134,7 @@
             budget: 0.0,
             won: WON.1,
             ask_at: (settings.discovery == Discovery::Subscribed).then_some(0),
-            ask_wait: settings.safety.ask_within / ASK_AGAIN.0,
+            ask_wait: settings.safety.discovery_interval / ASK_AGAIN.0,
             settings,
         })
     }
@@ -140,23 +146,23 @@
             .turn(self.salt ^ mix((self.now + self.salt % SUBSET_TURN) / SUBSET_TURN));
         match event {
             Event::Request(request) => self.request(request, out),
-            Event::Settled(settled) => self.settled(settled, out),
-            Event::Started { id, .. } => {
+            Event::AttemptEnded(settled) => self.settled(settled, out),
+            Event::ResponseStarted { id, .. } => {
                 _ = self.open.get_mut(&id).map(|open| open.streaming = true);
             }
-            Event::Whole { id, expires } => self
+            Event::RequestComplete { id, expires } => self
                 .due
                 .extend(self.open.get_mut(&id).map(|o| o.whole(self.now, expires))),
-            Event::HungUp { id } => self.close(id, out),
+            Event::ClientDisconnected { id } => self.close(id, out),
             Event::Timer { token } => self.armed = self.armed.filter(|at| *at != token),
             Event::Members(listing) => self.members(listing, out),
-            Event::Probed {
+            Event::ProbeEnded {
                 server,
                 outcome,
                 latency,
                 ..
             } => self.probed(server, outcome, latency, out),
-            Event::Peer { from, data } => self.news.hear(self.now, from, &data),
+            Event::PeerMessage { from, data } => self.news.hear(self.now, from, &data),
         }
         self.run_due(out);
     }
@@ -166,7 +172,7 @@
         if self.ask_at.is_some_and(|at| at <= self.now) {
             // Asked again unless a list comes: an answer that never arrives must not end the
             // asking.
-            self.ask_at = Some(self.now + self.settings.safety.ask_within / ASK_AGAIN.1);
+            self.ask_at = Some(self.now + self.settings.safety.discovery_interval / ASK_AGAIN.1);
             out.push(Action::Subscribe(true));
         }
         if self.next_beat <= self.now {
@@ -207,8 +213,9 @@
 
     fn members(&mut self, listing: Listing, out: &mut Vec<Action>) {
         // A failure keeps the list. Asked again ever later, agents apart; wait and a call's turn
-        // fit `TOLD`.
-        let longest = (self.settings.safety.ask_within / ASK_AGAIN.1).min(TOLD / 4);
+        // fit `MAX_DISCOVERY_DELAY`.
+        let longest =
+            (self.settings.safety.discovery_interval / ASK_AGAIN.1).min(MAX_DISCOVERY_DELAY / 4);
         if listing.scope == Scope::Failed {
             let wait = self.ask_wait.min(longest) as f64 * (0.5 + self.rng.unit());
             (self.ask_at, self.ask_wait) = (
@@ -218,7 +225,8 @@
             return;
         }
         if listing.scope != Scope::Cached {
-            (self.ask_at, self.ask_wait) = (None, self.settings.safety.ask_within / ASK_AGAIN.0);
+            (self.ask_at, self.ask_wait) =
+                (None, self.settings.safety.discovery_interval / ASK_AGAIN.0);
         }
         self.fleet.keep(&listing);
         for server in listing.servers {
@@ -260,7 +268,7 @@
     ) -> Vec<&Node> {
         let few = self.news.in_sight(self.now);
         if few == usize::MAX {
-            let from = (!self.settings.warm_keys).then_some(self.round);
+            let from = (!self.settings.key_affinity).then_some(self.round);
             return self.fleet.some(own, from, fits, room);
         }
         // Guards against waiting for cold ones while others further on have room.
@@ -319,8 +327,8 @@
     /// each keep one ready for the same.
     fn refill_cold(&mut self) {
         let (multiple, fall) = (
-            self.settings.safety.fall_multiple,
-            self.settings.safety.fall as f64,
+            self.settings.safety.overload_multiple,
+            self.settings.safety.overload_window as f64,
         );
         let least = COLD_LEAST / f64::from(self.settings.balancers) / fall;
         let due = self.fleet.cold_due(self.now);
@@ -354,7 +362,7 @@
     /// Judges a server by the end of an attempt.
     fn note(
         &mut self,
-        e: &Settled,
+        e: &AttemptEnded,
         class: Option<ClassId>,
         sent: Option<Micros>,
         out: &mut Vec<Action>,
@@ -383,7 +391,7 @@
             node.idle_since = Some(now);
             // Guards good servers' shares and limits: what is no answer, or our doing, tells
             // nothing of load.
-            let told = e.outcome.tells_load();
+            let told = e.outcome.indicates_load();
             if told || overdue {
                 node.lag += LAG_PACE
                     * (f64::from(u8::from(overdue || e.outcome != Outcome::Ok)) - node.lag);
@@ -391,16 +399,17 @@
             // "Full" is load, not ill health; a cancelled or moot attempt is our own doing.
             let (failed, pace) = match e.outcome {
                 Outcome::Ok => (0.0, 0.25),
-                Outcome::Error | Outcome::Timeout => (1.0, 0.25),
+                Outcome::ServerError | Outcome::Timeout => (1.0, 0.25),
                 // Twice in a row, whatever else broke: guards good servers against one lost
                 // connection.
                 Outcome::ConnectFailed => (1.0, 0.3),
                 // Guards good servers against one spoilt or broken answer: a dead one refuses the
                 // next.
-                Outcome::Reset | Outcome::Spoilt => (1.0, 0.1),
-                Outcome::Full | Outcome::Cancelled | Outcome::Moot | Outcome::Rejected => {
-                    (0.0, 0.0)
-                }
+                Outcome::Reset | Outcome::MalformedResponse => (1.0, 0.1),
+                Outcome::Overloaded
+                | Outcome::Cancelled
+                | Outcome::NotSent
+                | Outcome::ClientError => (0.0, 0.0),
             };
             node.failing += pace * (failed - node.failing);
             if e.outcome == Outcome::Ok {
@@ -443,7 +452,7 @@
             // quickest answer tells it, is not load. Else their limits stay at the least and the
             // fleet is no way out.
             node.quickest = node.quickest.min(e.latency);
-            let aim = self.settings.classes[class].aim as f64;
+            let aim = self.settings.classes[class].latency_target as f64;
             let way = if own {
                 0.0
             } else {
@@ -466,7 +475,7 @@
                 };
                 node.limit += (up * node.mine).min(1.0);
             }
-            if e.outcome == Outcome::Full {
+            if e.outcome == Outcome::Overloaded {
                 // Guards against black holes: who refuses at once always has room, and is sent ever
                 // more.
                 node.full_until = now + self.usual[class].median as Micros;
@@ -494,7 +503,10 @@
     /// each time. Who failed is back on probation: a probe tells that it is there, not that it
     /// serves.
     fn probed(&mut self, server: ServerId, outcome: Outcome, took: Micros, out: &mut Vec<Action>) {
-        let (now, there) = (self.now, matches!(outcome, Outcome::Ok | Outcome::Full));
+        let (now, there) = (
+            self.now,
+            matches!(outcome, Outcome::Ok | Outcome::Overloaded),
+        );
         // Guards against coming home late to a zone of which nothing is usable.
         let none = self
             .fleet
@@ -599,7 +611,7 @@
         out.extend(
             self.news
                 .due(now)
-                .map(|data| Action::Tell { to: None, data }),
+                .map(|data| Action::SendToPeers { to: None, data }),
         );
     }
 
@@ -609,7 +621,7 @@
     /// passes over them (spillover).
     fn candidates(&self, open: &Open) -> Vec<ServerId> {
         let effect = self.settings.classes[open.request.class].effect;
-        let free = effect == Effect::Free && !self.settings.limits.probes;
+        let free = effect == Effect::Idempotent && !self.settings.limits.probes;
         // Guards against many agents that each send a server one request at a time and bury it
         // together.
         let zones = [false, true].map(|own| {
@@ -653,17 +665,17 @@
     fn allowed(&self, open: &Open, node: &Node) -> bool {
         let effect = self.settings.classes[open.request.class].effect;
         let harmless = |a: &Attempt| match effect {
-            Effect::Free => true,
-            Effect::SingleShot => false,
-            Effect::Guarded {
+            Effect::Idempotent => true,
+            Effect::NonIdempotent => false,
+            Effect::Deduplicated {
                 group: Group::Zone, ..
             } if a.zone != node.server.zone => false,
-            Effect::Guarded {
+            Effect::Deduplicated {
                 group: Group::Cell, ..
             } if a.cell != node.server.cell => false,
-            Effect::Guarded { window, .. } => self.now < a.sent + window,
+            Effect::Deduplicated { window, .. } => self.now < a.sent + window,
         };
-        let alone = self.settings.limits.may_duplicate || open.outstanding() == 0;
+        let alone = self.settings.limits.allow_hedging || open.outstanding() == 0;
         alone
             && open
                 .attempts
@@ -676,7 +688,7 @@
     /// server chosen. With warm keys the key's rendezvous order chooses, among those not beyond
     /// their bound.
     fn draw(&mut self, set: Vec<ServerId>, key: Option<u64>) -> Option<ServerId> {
-        let key = key.filter(|_| self.settings.warm_keys);
+        let key = key.filter(|_| self.settings.key_affinity);
         let members = || set.iter().filter_map(|id| self.fleet.get(*id));
         let usual = members().map(|n| n.lag).sum::<f64>() / set.len().max(1) as f64;
         let trim = |n: &Node| (1.0 - TRIM.0 * (n.lag - usual)).clamp(TRIM.1, 1.0);
@@ -726,12 +738,13 @@
         self.due.insert((last, id));
         let class = &self.settings.classes[request.class];
         let turn = (
-            Reverse((class.worth * 1000.0) as u64),
+            Reverse((class.value * 1000.0) as u64),
             Reverse(self.now),
             id,
         );
         // Room in the own zone is waited for as much of the aim as crossing costs of the worth.
-        let spill_at = self.now + (self.settings.penalties.cross_zone * class.aim as f64) as Micros;
+        let spill_at =
+            self.now + (self.settings.penalties.cross_zone * class.latency_target as f64) as Micros;
         let unsent_until =
             self.now + ((request.expires - self.now) as f64 * UNSENT_UNTIL) as Micros;
         self.open.insert(
@@ -740,7 +753,7 @@
                 request,
                 turn,
                 spill_at,
-                self.now + class.aim,
+                self.now + class.latency_target,
                 unsent_until,
                 last,
             ),
@@ -792,7 +805,7 @@
                 .filter(|m| m.since > 0 && m.until <= now);
             let timeout = mute.map(|m| {
                 m.until = now + m.backoff;
-                self.settings.classes[class].aim
+                self.settings.classes[class].latency_target
             });
             (node.server.zone, node.server.cell, timeout)
         });
@@ -801,7 +814,7 @@
         };
         self.silence.sent(server, zone, now);
         self.held.remove(&open.turn);
-        let begin_by = open.begin_by(self.settings.classes[class].effect);
+        let start_deadline = open.start_deadline(self.settings.classes[class].effect);
         open.attempts.push(Attempt {
             server,
             zone,
@@ -813,9 +826,9 @@
             id,
             server,
             timeout,
-            begin_by,
+            start_deadline,
         });
-        if open.attempts.len() == 1 && self.settings.limits.may_duplicate {
+        if open.attempts.len() == 1 && self.settings.limits.allow_hedging {
             self.due
                 .insert((now + self.usual[class].high as Micros, id));
         }
@@ -834,8 +847,8 @@
             .iter()
             .all(|a| a.outcome == Some(Outcome::ConnectFailed));
         let useful = useful && !(unseen && self.now >= open.unsent_until);
-        let may_copy =
-            self.settings.classes[open.request.class].effect == Effect::Free && self.budget >= 1.0;
+        let may_copy = self.settings.classes[open.request.class].effect == Effect::Idempotent
+            && self.budget >= 1.0;
         match open.outstanding() {
             _ if self.now >= open.last => self.end(id, out),
             0 if useful => _ = self.place(id, out),
@@ -851,7 +864,7 @@
         }
     }
 
-    fn settled(&mut self, e: Settled, out: &mut Vec<Action>) {
+    fn settled(&mut self, e: AttemptEnded, out: &mut Vec<Action>) {
         let open = self.open.get_mut(&e.id);
         let class = open.as_ref().map(|o| o.request.class);
         let attempt = open.and_then(|o| o.attempts.get_mut(e.attempt as usize));
@@ -860,7 +873,7 @@
             .map(|a| a.end(e.outcome));
         self.note(&e, class, sent, out);
         if let Some((class, at)) = class.zip(sent) {
-            let aim = self.settings.classes[class].aim;
+            let aim = self.settings.classes[class].latency_target;
             let silent = silence::hear(&mut self.fleet, (&e, class, at), (self.now, aim), ASIDE);
             out.extend(silent.map(Action::Log));
             self.silence.ended(e.server);
@@ -908,7 +921,7 @@
             1.0
         };
         let hopeless =
-            self.now >= open.last.min(open.aim_at) || !somewhere || outcome == Outcome::Rejected;
+            self.now >= open.last.min(open.aim_at) || !somewhere || outcome == Outcome::ClientError;
         if hopeless || !open.tries_left(&self.settings.limits) || self.budget < price {
             return self.end(id, out);
         }
@@ -970,7 +983,7 @@
         };
         let spread = 0.5 + unit(mix(self.salt ^ id));
         let most = self.settings.limits.max_retry_after;
-        Action::Refuse {
+        Action::Reject {
             id,
             retry_after: Some(((wait * spread) as Micros).min(most)),
         }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -8,7 +8,7 @@
 //! use ironmast_balancer::{Action, Balancer, ClassSettings, Event, Listing, Phase, Scope, Server, ServerId, Settings};
 //!
 //! let settings = Settings {
-//!     classes: vec![ClassSettings { aim: 200_000, deadline: 1_000_000, ..ClassSettings::default() }],
+//!     classes: vec![ClassSettings { latency_target: 200_000, deadline: 1_000_000, ..ClassSettings::default() }],
 //!     zones: 2,
 //!     zone: 0,
 //!     ..Settings::default()
--- a/crates/balancer/src/news.rs
+++ b/crates/balancer/src/news.rs
@@ -39,7 +39,7 @@
     /// Whether agents talk at all, how many there are, and who this one is.
     talks: bool,
     agents: usize,
-    me: usize,
+    balancer_index: usize,
     zone: u8,
     /// Requests, fading over `MEMORY`, up to when they are faded, and when the shares were first
     /// followed.
@@ -58,14 +58,17 @@
     /// Nothing heard yet. Only where agents are `many` is there need of news.
     /// Where keys are to stay warm, each agent uses all servers all the same.
     pub(crate) fn new(settings: &Settings, many: bool, seed: u64) -> Self {
-        let (agents, me) = (settings.balancers.max(1) as usize, settings.me as usize);
+        let (agents, balancer_index) = (
+            settings.balancers.max(1) as usize,
+            settings.balancer_index as usize,
+        );
         let talks = settings.limits.peers && many;
         News {
             rng: Rng(mix(!seed)),
-            few: many && !settings.warm_keys,
+            few: many && !settings.key_affinity,
             talks,
             agents,
-            me,
+            balancer_index,
             zone: u8::try_from(settings.zone).unwrap_or(u8::MAX),
             asked: 0.0,
             faded: 0,
@@ -137,7 +140,7 @@
             return;
         };
         let from = from as usize;
-        if from != self.me
+        if from != self.balancer_index
             && let Some(heard) = self.heard.get_mut(from)
         {
             *heard = Some((
--- a/crates/balancer/src/news/tests.rs
+++ b/crates/balancer/src/news/tests.rs
@@ -13,7 +13,7 @@
 fn news(agents: u32, me: u32) -> News {
     let mut settings = Settings {
         balancers: agents,
-        me,
+        balancer_index: me,
         classes: vec![ClassSettings::default()],
         ..Settings::default()
     };
--- a/crates/balancer/src/silence.rs
+++ b/crates/balancer/src/silence.rs
@@ -14,7 +14,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::api::{ClassId, Micros, Outcome, ServerId, Settled, ZoneId};
+use crate::api::{AttemptEnded, ClassId, Micros, Outcome, ServerId, ZoneId};
 use crate::fleet::Fleet;
 use crate::state::{Mute, Node, Rng};
 
@@ -333,11 +333,13 @@
 /// either way.
 pub(crate) fn gave_sign(outcome: Outcome, latency: Micros) -> Option<bool> {
     match outcome {
-        Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Spoilt | Outcome::Rejected => {
-            Some(true)
-        }
+        Outcome::Ok
+        | Outcome::ServerError
+        | Outcome::Overloaded
+        | Outcome::MalformedResponse
+        | Outcome::ClientError => Some(true),
         Outcome::ConnectFailed => Some(latency < NEVER_CAME_UP),
-        Outcome::Reset | Outcome::Timeout | Outcome::Cancelled | Outcome::Moot => None,
+        Outcome::Reset | Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => None,
     }
 }
 
@@ -347,7 +349,7 @@
 /// a line for the log where it is from now on.
 pub(crate) fn hear(
     fleet: &mut Fleet,
-    (e, class, at): (&Settled, ClassId, Micros),
+    (e, class, at): (&AttemptEnded, ClassId, Micros),
     (now, aim): (Micros, Micros),
     rest: (Micros, Micros),
 ) -> Option<String> {
--- a/crates/balancer/src/silence/tests.rs
+++ b/crates/balancer/src/silence/tests.rs
@@ -143,7 +143,7 @@
     assert_eq!(gave_sign(Outcome::ConnectFailed, 20 * MS), Some(true));
     assert_eq!(gave_sign(Outcome::ConnectFailed, 200 * MS), Some(false));
     assert_eq!(
-        gave_sign(Outcome::Error, 5_000 * MS),
+        gave_sign(Outcome::ServerError, 5_000 * MS),
         Some(true),
         "however late"
     );
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -99,8 +99,8 @@
     ) -> Option<u32> {
         let harmless = matches!(
             class.effect,
-            Effect::Free
-                | Effect::Guarded {
+            Effect::Idempotent
+                | Effect::Deduplicated {
                     group: Group::All,
                     ..
                 }
@@ -115,8 +115,8 @@
 
     /// Until when one more attempt may begin: a keyed class's repeats are dropped for its window,
     /// counted from the first attempt that may have run.
-    pub(crate) fn begin_by(&self, effect: Effect) -> Option<Micros> {
-        let Effect::Guarded { window, .. } = effect else {
+    pub(crate) fn start_deadline(&self, effect: Effect) -> Option<Micros> {
+        let Effect::Deduplicated { window, .. } = effect else {
             return None;
         };
         self.attempts
@@ -127,7 +127,7 @@
     }
 
     pub(crate) fn tries_left(&self, limits: &Limits) -> bool {
-        self.attempts.len() < limits.most_tries as usize
+        self.attempts.len() < limits.max_attempts as usize
     }
 
     pub(crate) fn outstanding(&self) -> usize {
@@ -216,9 +216,9 @@
 }
 
 impl Node {
-    /// Part of its capacity that it surely has: grows evenly from `cold_share` after a start.
+    /// Part of its capacity that it surely has: grows evenly from `initial_capacity` after a start.
     pub(crate) fn warmth(&self, now: Micros, safety: &Safety) -> f64 {
-        let (first, over) = (safety.cold_share, safety.cold.max(1) as f64);
+        let (first, over) = (safety.initial_capacity, safety.warm_up.max(1) as f64);
         let age = self
             .server
             .started
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -26,7 +26,7 @@
 
 pub(crate) fn class(effect: Effect) -> ClassSettings {
     ClassSettings {
-        aim: 200 * MS,
+        latency_target: 200 * MS,
         deadline: SECOND,
         effect,
         ..ClassSettings::default()
@@ -93,7 +93,7 @@
                     self.sends.push((self.now, id, *tries, server));
                     *tries += 1;
                 }
-                Action::Refuse { id, .. } => drop(self.refused.insert(id, self.now)),
+                Action::Reject { id, .. } => drop(self.refused.insert(id, self.now)),
                 Action::Fail { id } => drop(self.failed.insert(id, self.now)),
                 Action::Cancel { id, attempt } => drop(self.cancelled.insert((id, attempt))),
                 Action::Timer { delay, token } => {
@@ -161,7 +161,7 @@
             self.served.insert(id);
         }
         let load = self.load;
-        self.event(Event::Settled(Settled {
+        self.event(Event::AttemptEnded(AttemptEnded {
             id,
             server,
             attempt,
@@ -174,7 +174,7 @@
 
     pub(crate) fn hang_up(&mut self, id: RequestId) {
         self.left.insert(id);
-        self.event(Event::HungUp { id });
+        self.event(Event::ClientDisconnected { id });
     }
 
     /// Sends a request and has it answered after a while; tells which server had it.
--- a/crates/balancer/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -42,7 +42,7 @@
 /// A taught balancer that may send copies.
 fn copying() -> Driver {
     let mut s = settings(free());
-    s.limits.may_duplicate = true;
+    s.limits.allow_hedging = true;
     let mut d = Driver::new(s);
     d.list(Scope::Complete, fleet());
     teach(&mut d);
@@ -50,7 +50,7 @@
 }
 
 fn free() -> Vec<ClassSettings> {
-    vec![class(Effect::Free)]
+    vec![class(Effect::Idempotent)]
 }
 
 #[test]
@@ -76,13 +76,13 @@
 #[test]
 fn the_busiest_of_many_agents_may_use_what_the_others_leave() {
     let at_once = |told: bool| {
-        let mut settings = settings(vec![class(Effect::Free)]);
+        let mut settings = settings(vec![class(Effect::Idempotent)]);
         (settings.balancers, settings.limits.peers) = (100, true);
         let mut d = Driver::new(settings);
         d.list(Scope::Complete, (1..=20).map(|n| server(n, 0)).collect());
         for n in 0..100 {
             if told && n % 50 == 0 {
-                let quiet = |from| Event::Peer {
+                let quiet = |from| Event::PeerMessage {
                     from,
                     data: vec![1, 0, 0xe8, 3, 0, 0],
                 }; // one request a second
@@ -174,7 +174,7 @@
         d.request(n, 0);
         for attempt in 0..6 {
             if d.attempts(n) > attempt as usize {
-                d.settle(n, attempt, Outcome::Full);
+                d.settle(n, attempt, Outcome::Overloaded);
             }
         }
         d.pass(50 * MS);
@@ -271,7 +271,7 @@
 #[test]
 fn a_key_keeps_its_server_and_agents_agree_on_it() {
     let mut s = settings(free());
-    s.warm_keys = true;
+    s.key_affinity = true;
     let mut agree = 0;
     let (mut a, mut b) = (Driver::seeded(s.clone(), 1), Driver::seeded(s, 2));
     for d in [&mut a, &mut b] {
@@ -325,7 +325,7 @@
 
 #[test]
 fn one_broken_answer_sets_nobody_aside() {
-    let mut d = ready(vec![class(Effect::SingleShot)]);
+    let mut d = ready(vec![class(Effect::NonIdempotent)]);
     (1_000..1_060).for_each(|n| _ = d.serve(n, 0, 10 * MS));
     for n in 0..3 {
         d.request(n, 0);
@@ -338,7 +338,7 @@
 
 #[test]
 fn a_few_broken_connections_in_a_row_set_nobody_aside() {
-    let mut d = ready(vec![class(Effect::SingleShot)]);
+    let mut d = ready(vec![class(Effect::NonIdempotent)]);
     (1_000..1_060).for_each(|n| _ = d.serve(n, 0, 10 * MS));
     for n in 0..12 {
         d.request(n, 0);
@@ -353,7 +353,7 @@
 
 #[test]
 fn one_lost_connection_after_some_broken_answers_sets_nobody_aside() {
-    let mut d = ready(vec![class(Effect::SingleShot)]);
+    let mut d = ready(vec![class(Effect::NonIdempotent)]);
     (1_000..1_060).for_each(|n| _ = d.serve(n, 0, 10 * MS));
     let mut hits = 0;
     for n in 0..36 {
@@ -382,7 +382,7 @@
 
 #[test]
 fn who_is_set_aside_comes_back_by_a_probe_though_nothing_may_be_repeated() {
-    let mut s = settings(vec![class(Effect::SingleShot)]);
+    let mut s = settings(vec![class(Effect::NonIdempotent)]);
     s.limits.probes = true;
     let mut d = Driver::new(s);
     d.list(Scope::Complete, fleet());
@@ -416,7 +416,7 @@
         let before = probes(d);
         d.pass(9 * SECOND);
         assert!(probes(d) > before, "a probe is its trial");
-        d.event(Event::Probed {
+        d.event(Event::ProbeEnded {
             server: id(1),
             outcome,
             latency: MS,
@@ -433,7 +433,10 @@
 
 #[test]
 fn a_server_silent_on_one_class_is_left_out_for_that_class_alone() {
-    let mut d = ready(vec![class(Effect::SingleShot), class(Effect::SingleShot)]);
+    let mut d = ready(vec![
+        class(Effect::NonIdempotent),
+        class(Effect::NonIdempotent),
+    ]);
     (1_000..1_120).for_each(|n| _ = d.serve(n, (n % 2) as usize, 10 * MS));
     let mut lost = 0;
     for n in 0..120 {
@@ -477,7 +480,7 @@
 
 #[test]
 fn who_is_silent_on_a_class_holds_nobody_elses_limit_down() {
-    let mut d = Driver::new(settings(vec![class(Effect::SingleShot)]));
+    let mut d = Driver::new(settings(vec![class(Effect::NonIdempotent)]));
     d.list(Scope::Complete, vec![server(1, 0), server(2, 0)]);
     let ask = |d: &mut Driver, numbers: std::ops::Range<u64>| {
         numbers.clone().for_each(|n| d.request(n, 0));
@@ -510,11 +513,11 @@
 fn failures_of_the_whole_zone_alike_do_not_empty_it() {
     // Guards against overload: time-outs everywhere are load, and the other zone would go down
     // next.
-    let mut d = ready(vec![class(Effect::SingleShot)]);
+    let mut d = ready(vec![class(Effect::NonIdempotent)]);
     for n in 0..60 {
         d.request(n, 0);
         d.pass(5 * MS);
-        d.settle(n, 0, Outcome::Error);
+        d.settle(n, 0, Outcome::ServerError);
     }
     let own = d
         .sends
@@ -600,7 +603,7 @@
     let mut d = Driver::new(s);
     d.list(Scope::Complete, fleet());
     for n in 0..200 {
-        d.request(n, 0); // every answer comes at the aim: the servers are crowded
+        d.request(n, 0); // every answer comes at the latency_target: the servers are crowded
         d.pass(200 * MS);
         if d.attempts(n) == 1 {
             d.settle(n, 0, Outcome::Ok);
@@ -618,7 +621,7 @@
 /// The newest held request, too new to cross zones, kept older ones from crossing when room came.
 #[test]
 fn held_requests_that_may_cross_zones_do_not_wait_behind_newer_ones() {
-    let mut s = settings(vec![class(Effect::SingleShot)]);
+    let mut s = settings(vec![class(Effect::NonIdempotent)]);
     s.penalties.cross_zone = 0.2;
     let mut d = Driver::new(s);
     d.list(Scope::Complete, vec![server(1, 0), server(2, 1)]);
@@ -647,14 +650,14 @@
 fn limits_that_sum_below_one_become_pauses() {
     let class = ClassSettings {
         deadline: 10 * SECOND,
-        ..class(Effect::SingleShot)
+        ..class(Effect::NonIdempotent)
     };
     let mut d = crowd(140, 4, vec![class], 1);
     let mut settled = 0;
     for n in 0..600 {
         d.request_until(n, 0, d.now + 10 * SECOND);
         d.pass(50 * MS);
-        // Every answer comes at the aim: the zone is jammed. One at a time would make 150 in all.
+        // Every answer comes at the latency_target: the zone is jammed. One at a time would make 150 in all.
         while d
             .sends
             .get(settled)
@@ -678,7 +681,7 @@
     let far = |n| server(n, usize::from(n >= 30));
     let class = ClassSettings {
         deadline: 10 * SECOND,
-        ..class(Effect::Free)
+        ..class(Effect::Idempotent)
     };
     let penalties = Penalties {
         cross_zone: 0.2,
@@ -716,7 +719,7 @@
 
 #[test]
 fn full_servers_do_not_send_each_of_very_many_agents_on_to_all_others() {
-    let d = one_of_very_many(8, |_| (Outcome::Full, 0));
+    let d = one_of_very_many(8, |_| (Outcome::Overloaded, 0));
     let (sends, far) = (d.sends.len(), far_sends(&d));
     assert!(
         (8..=50).contains(&sends),
@@ -730,7 +733,7 @@
 
 #[test]
 fn what_one_of_very_many_agents_knows_of_few_servers_counts_for_the_zone() {
-    // All answers come at their aim: limits never heard of must not keep the sends up.
+    // All answers come at their latency_target: limits never heard of must not keep the sends up.
     let d = one_of_very_many(1, |_| (Outcome::Ok, 200 * MS));
     assert!(
         (2..=10).contains(&d.sends.len()),
@@ -750,7 +753,7 @@
     let sends = |latency| {
         let class = ClassSettings {
             deadline: 10 * SECOND,
-            ..class(Effect::Free)
+            ..class(Effect::Idempotent)
         };
         let penalties = Penalties {
             cross_zone: 0.2,
@@ -805,7 +808,7 @@
 /// seconds.
 #[test]
 fn many_agents_first_growth_is_shared_too() {
-    let mut d = crowd(160, 10, vec![class(Effect::SingleShot)], 1);
+    let mut d = crowd(160, 10, vec![class(Effect::NonIdempotent)], 1);
     for n in 0..4 {
         (0..12).for_each(|i| d.request(12 * n + i, 0));
         for _ in 0..20 {
@@ -870,7 +873,7 @@
         d.request(n, 0); // the others never answer and are soon at their limits
         for attempt in 0..3 {
             if d.attempts(n) == attempt as usize + 1 && d.last_server(n) == id(1) {
-                d.settle(n, attempt, Outcome::Full);
+                d.settle(n, attempt, Outcome::Overloaded);
             }
         }
         d.pass(MS);
@@ -947,8 +950,8 @@
     assert!(d.attempts(1) == 1 || d.refused.contains_key(&1));
     let broken = Settings {
         classes: vec![ClassSettings {
-            aim: u64::MAX,
-            ..class(Effect::Free)
+            latency_target: u64::MAX,
+            ..class(Effect::Idempotent)
         }],
         ..settings(free())
     };
@@ -1005,7 +1008,7 @@
         d.list(Scope::Changes, vec![back]);
         let started = d.now;
         d.pass(100 * MS);
-        while d.now < started + 4 * safety.fall {
+        while d.now < started + 4 * safety.overload_window {
             let at = d.now - started;
             if serve(&mut d) == id(9) {
                 sent.push(at);
@@ -1013,8 +1016,8 @@
         }
     }
     // Each warm server answers a quarter of one request a second from each agent.
-    let carried = f64::from(agents) / 4.0 * safety.fall as f64 / SECOND as f64;
-    let bearable = safety.fall_multiple * safety.cold_share * carried;
+    let carried = f64::from(agents) / 4.0 * safety.overload_window as f64 / SECOND as f64;
+    let bearable = safety.overload_multiple * safety.initial_capacity * carried;
     assert!(
         (sent.len() as f64) < bearable,
         "{} sent, {bearable} bearable",
@@ -1065,18 +1068,19 @@
         }
     }
     // Each of ten servers had a tenth of a hundred agents' five requests a second.
-    let carried = 4.5 * f64::from(agents) / 10.0 * safety.fall as f64 / SECOND as f64;
+    let carried = 4.5 * f64::from(agents) / 10.0 * safety.overload_window as f64 / SECOND as f64;
     let warmth = |age: Micros| {
-        safety.cold_share + (1.0 - safety.cold_share) * age as f64 / safety.cold as f64
+        safety.initial_capacity
+            + (1.0 - safety.initial_capacity) * age as f64 / safety.warm_up as f64
     };
     for n in 21..=26 {
         let times = sent.get(&id(n)).cloned().unwrap_or_default();
         for at in &times {
             let window = times
                 .iter()
-                .filter(|t| (*at..at + safety.fall).contains(t))
+                .filter(|t| (*at..at + safety.overload_window).contains(t))
                 .count();
-            let bearable = safety.fall_multiple * warmth(at + 500 * MS) * carried;
+            let bearable = safety.overload_multiple * warmth(at + 500 * MS) * carried;
             assert!(
                 (window as f64) < bearable,
                 "{window} sent to one, {bearable} bearable"
@@ -1096,10 +1100,10 @@
 
 #[test]
 fn a_single_shot_request_is_sent_again_only_when_it_cannot_have_run() {
-    let mut d = ready(vec![class(Effect::SingleShot)]);
+    let mut d = ready(vec![class(Effect::NonIdempotent)]);
     teach(&mut d);
     d.request(1, 0);
-    d.settle(1, 0, Outcome::Full);
+    d.settle(1, 0, Outcome::Overloaded);
     assert_eq!(d.attempts(1), 2);
     d.settle(1, 1, Outcome::Reset);
     assert_eq!(d.attempts(1), 2);
@@ -1111,7 +1115,7 @@
 
 #[test]
 fn a_guarded_request_stays_in_its_group_and_window() {
-    let guarded = |group, window| vec![class(Effect::Guarded { group, window })];
+    let guarded = |group, window| vec![class(Effect::Deduplicated { group, window })];
     let mut d = ready(guarded(Group::Zone, SECOND));
     d.request(1, 0);
     d.settle(1, 0, Outcome::Reset);
@@ -1121,7 +1125,7 @@
     for n in 0..20 {
         d.request(n, 0);
         let first = d.last_server(n);
-        d.settle(n, 0, Outcome::Error);
+        d.settle(n, 0, Outcome::ServerError);
         let second = d.last_server(n);
         let cell = |s| u64::from(s != id(1));
         assert_eq!(cell(first), cell(second), "cells of servers 1 | 2, 3");
@@ -1130,7 +1134,7 @@
     teach(&mut d);
     d.request(1, 0);
     d.pass(60 * MS);
-    d.settle(1, 0, Outcome::Error);
+    d.settle(1, 0, Outcome::ServerError);
     assert_eq!(d.attempts(1), 1, "the window has passed");
 }
 
@@ -1221,7 +1225,7 @@
     let mut d = ready(free());
     d.request(1, 0);
     d.hang_up(1);
-    d.settle(1, 0, Outcome::Error);
+    d.settle(1, 0, Outcome::ServerError);
     d.pass(2 * SECOND);
     assert_eq!(d.attempts(1), 1);
     assert!(!d.answered(1));
@@ -1231,13 +1235,13 @@
 fn a_started_stream_has_no_deadline_and_no_copies() {
     let mut s = settings(vec![ClassSettings {
         streaming: true,
-        ..class(Effect::Free)
+        ..class(Effect::Idempotent)
     }]);
-    s.limits.may_duplicate = true;
+    s.limits.allow_hedging = true;
     let mut d = Driver::new(s);
     d.list(Scope::Complete, fleet());
     d.request(1, 0);
-    d.event(Event::Started { id: 1, attempt: 0 });
+    d.event(Event::ResponseStarted { id: 1, attempt: 0 });
     d.pass(5 * SECOND);
     assert!(!d.answered(1) && d.attempts(1) == 1 && d.cancelled.is_empty());
 }
@@ -1245,10 +1249,10 @@
 #[test]
 fn most_worth_goes_first_when_there_is_room_again() {
     let classes = vec![
-        class(Effect::Free),
+        class(Effect::Idempotent),
         ClassSettings {
-            worth: 9.0,
-            ..class(Effect::Free)
+            value: 9.0,
+            ..class(Effect::Idempotent)
         },
     ];
     let mut d = Driver::new(settings(classes));
@@ -1269,7 +1273,10 @@
         let asked = d.subscribed.len();
         d.list(Scope::Failed, vec![]);
         d.pass(10 * SECOND);
-        assert!(d.subscribed.len() > asked, "asked again within ask_within");
+        assert!(
+            d.subscribed.len() > asked,
+            "asked again within discovery_interval"
+        );
     }
     let asked = d.subscribed.len();
     d.list(Scope::Changes, vec![]);
@@ -1282,21 +1289,21 @@
 }
 
 /// Whatever failed before, discovery is asked again so soon that a call which waits its turn there,
-/// for half of `TOLD` at most, is answered within `TOLD` of its return.
+/// for half of `MAX_DISCOVERY_DELAY` at most, is answered within `MAX_DISCOVERY_DELAY` of its return.
 #[test]
 fn after_any_number_of_failures_discovery_is_asked_within_half_of_told() {
-    for ask_within in [3 * SECOND, 10 * SECOND, 60 * SECOND] {
+    for discovery_interval in [3 * SECOND, 10 * SECOND, 60 * SECOND] {
         let mut s = settings(free());
-        (s.discovery, s.safety.ask_within) = (Discovery::Subscribed, ask_within);
+        (s.discovery, s.safety.discovery_interval) = (Discovery::Subscribed, discovery_interval);
         let mut d = Driver::new(s);
         d.list(Scope::Cached, fleet());
         for failure in 0..40 {
             let asked = d.subscribed.len();
             d.list(Scope::Failed, vec![]);
-            d.pass(TOLD / 2);
+            d.pass(MAX_DISCOVERY_DELAY / 2);
             assert!(
                 d.subscribed.len() > asked,
-                "{ask_within} us: not asked after failure {failure}"
+                "{discovery_interval} us: not asked after failure {failure}"
             );
         }
     }
@@ -1325,11 +1332,11 @@
     );
     assert_eq!(broken(|s| s.zone = 2), Some(SettingsError::UnknownZone));
     assert_eq!(
-        broken(|s| s.classes[0].aim = 0),
+        broken(|s| s.classes[0].latency_target = 0),
         Some(SettingsError::OutOfRange { name: "aim" })
     );
     assert_eq!(
-        broken(|s| s.safety.cold_share = 0.0),
+        broken(|s| s.safety.initial_capacity = 0.0),
         Some(SettingsError::OutOfRange { name: "cold_share" })
     );
     assert_eq!(broken(|_| ()), None);
@@ -1343,8 +1350,8 @@
 #[test]
 fn what_no_server_has_seen_is_refused_early_with_a_stay_away_of_its_own() {
     let slow = ClassSettings {
-        aim: 800 * MS,
-        ..class(Effect::SingleShot)
+        latency_target: 800 * MS,
+        ..class(Effect::NonIdempotent)
     };
     let mut d = Driver::new(settings(vec![slow]));
     d.list(Scope::Complete, vec![server(1, 0)]);
@@ -1363,7 +1370,7 @@
     );
     let mut away = BTreeSet::new();
     for action in &d.actions {
-        if let Action::Refuse { retry_after, .. } = action {
+        if let Action::Reject { retry_after, .. } = action {
             away.insert(retry_after.expect("a stay-away"));
         }
     }
@@ -1378,12 +1385,12 @@
 /// server's.
 #[test]
 fn a_request_whose_body_still_comes_has_its_time_from_the_last_byte() {
-    let single = || vec![class(Effect::SingleShot)];
+    let single = || vec![class(Effect::NonIdempotent)];
     let mut d = ready(single());
     d.request_until(1, 0, d.now + 600 * SECOND);
     d.pass(20 * SECOND);
     assert!(!d.answered(1), "nothing is late while it comes");
-    d.event(Event::Whole {
+    d.event(Event::RequestComplete {
         id: 1,
         expires: d.now + SECOND,
     });
@@ -1399,7 +1406,7 @@
     );
     assert!(d.cancelled.contains(&(1, 0)));
     // Of a request that is over nobody hears again.
-    d.event(Event::Whole {
+    d.event(Event::RequestComplete {
         id: 1,
         expires: d.now + SECOND,
     });
@@ -1407,15 +1414,15 @@
     d.pass(2 * SECOND);
     assert_eq!((d.failed.len(), d.attempts(1)), (1, 1));
     // It is tried again while an answer can still come in time, counted from there.
-    let mut d = ready(vec![class(Effect::Free)]);
+    let mut d = ready(vec![class(Effect::Idempotent)]);
     (1_000..1_100).for_each(|n| _ = d.serve(n, 0, 5 * MS));
     d.request_until(1, 0, d.now + 600 * SECOND);
     d.pass(20 * SECOND);
-    d.event(Event::Whole {
+    d.event(Event::RequestComplete {
         id: 1,
         expires: d.now + SECOND,
     });
     d.pass(10 * MS);
-    d.settle(1, 0, Outcome::Error);
+    d.settle(1, 0, Outcome::ServerError);
     assert_eq!(d.attempts(1), 2);
 }
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -20,8 +20,8 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let outcome = prop_oneof![
         4 => Just(Outcome::Ok),
-        1 => Just(Outcome::Error),
-        1 => Just(Outcome::Full),
+        1 => Just(Outcome::ServerError),
+        1 => Just(Outcome::Overloaded),
         1 => Just(Outcome::Timeout),
         1 => Just(Outcome::ConnectFailed),
         1 => Just(Outcome::Reset),
@@ -37,13 +37,13 @@
 }
 
 fn classes() -> Vec<ClassSettings> {
-    let guarded = |group| Effect::Guarded {
+    let guarded = |group| Effect::Deduplicated {
         group,
         window: 100 * MS,
     };
     [
-        Effect::Free,
-        Effect::SingleShot,
+        Effect::Idempotent,
+        Effect::NonIdempotent,
         guarded(Group::Zone),
         guarded(Group::Cell),
     ]
@@ -54,9 +54,9 @@
 /// Every attempt as the driver knows it: request, server, when sent, how it ended.
 type Attempt = (RequestId, u32, ServerId, Micros, Option<Outcome>);
 
-fn check(steps: &[Step], may_duplicate: bool) -> Result<(), TestCaseError> {
+fn check(steps: &[Step], allow_hedging: bool) -> Result<(), TestCaseError> {
     let mut s = settings(classes());
-    s.limits.may_duplicate = may_duplicate;
+    s.limits.allow_hedging = allow_hedging;
     s.balancers = 1;
     let place = |n: ServerId| {
         (1..7)
@@ -133,7 +133,7 @@
             );
             let outstanding = before.iter().any(|a| a.4.is_none());
             prop_assert!(
-                may_duplicate || !outstanding,
+                allow_hedging || !outstanding,
                 "rule 2: two attempts at once"
             );
             let same = |a: &&&Attempt| match class {
@@ -180,7 +180,7 @@
     Ok(())
 }
 
-fn hold(may_duplicate: bool) {
+fn hold(allow_hedging: bool) {
     let config = Config {
         cases: 400,
         failure_persistence: None,
@@ -189,7 +189,7 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     runner
-        .run(&steps(), |steps| check(&steps, may_duplicate))
+        .run(&steps(), |steps| check(&steps, allow_hedging))
         .unwrap_or_else(|e| panic!("{e}"));
 }
 
--- a/crates/balancer/tests/silence.rs
+++ b/crates/balancer/tests/silence.rs
@@ -35,7 +35,7 @@
 impl Play {
     fn new(effect: Effect) -> Play {
         let class = ClassSettings {
-            aim: 400 * MS,
+            latency_target: 400 * MS,
             deadline: SECOND,
             effect,
             ..ClassSettings::default()
@@ -95,7 +95,7 @@
                     Zone::Silent => (SECOND, Outcome::Timeout),
                 };
                 let (latency, finished) = (after, outcome == Outcome::Ok);
-                let settled = Settled {
+                let settled = AttemptEnded {
                     id: request,
                     server,
                     attempt,
@@ -106,7 +106,7 @@
                 };
                 self.later(
                     after - (self.d.now - sent).min(after),
-                    Event::Settled(settled),
+                    Event::AttemptEnded(settled),
                 );
             }
             while let Some(action) = self.d.actions.get(self.actions).cloned() {
@@ -119,7 +119,7 @@
                     };
                     self.later(
                         latency,
-                        Event::Probed {
+                        Event::ProbeEnded {
                             server,
                             outcome,
                             latency,
@@ -127,17 +127,17 @@
                         },
                     );
                 } else if let Action::Cancel { id, attempt } = action {
-                    let this = |e: &Event| matches!(e, Event::Settled(s) if s.id == id && s.attempt == attempt);
+                    let this = |e: &Event| matches!(e, Event::AttemptEnded(s) if s.id == id && s.attempt == attempt);
                     let Some(key) = self.due.iter().find(|(_, e)| this(e)).map(|(key, _)| *key)
                     else {
                         continue;
                     };
-                    let Some(Event::Settled(mut settled)) = self.due.remove(&key) else {
+                    let Some(Event::AttemptEnded(mut settled)) = self.due.remove(&key) else {
                         continue;
                     };
                     settled.outcome = Outcome::Cancelled;
                     settled.finished = self.d.answered(id);
-                    self.later(0, Event::Settled(settled));
+                    self.later(0, Event::AttemptEnded(settled));
                 }
             }
             while let Some((key, event)) = self.due.pop_first() {
@@ -145,7 +145,7 @@
                     self.due.insert(key, event);
                     break;
                 }
-                if let Event::Settled(s) = &event
+                if let Event::AttemptEnded(s) = &event
                     && s.outcome == Outcome::Ok
                 {
                     self.d.served.insert(s.id);
@@ -171,9 +171,9 @@
 #[test]
 fn a_silent_zone_opens_the_fleet_and_one_that_is_back_closes_it() {
     for effect in [
-        Effect::SingleShot,
-        Effect::Free,
-        Effect::Guarded {
+        Effect::NonIdempotent,
+        Effect::Idempotent,
+        Effect::Deduplicated {
             group: ALL,
             window: 4 * SECOND,
         },
@@ -209,7 +209,7 @@
 /// never sent again.
 #[test]
 fn what_is_out_in_a_silent_zone_moves_only_where_that_is_harmless() {
-    for (effect, moves) in [(Effect::Free, true), (Effect::SingleShot, false)] {
+    for (effect, moves) in [(Effect::Idempotent, true), (Effect::NonIdempotent, false)] {
         let mut p = Play::new(effect);
         p.play(2 * SECOND, [WELL; 3]);
         let first = p.asked + 1;
@@ -228,11 +228,11 @@
 
 #[test]
 fn slowness_opens_nothing_whoever_is_slow() {
-    let mut p = Play::new(Effect::Free);
+    let mut p = Play::new(Effect::Idempotent);
     p.play(2 * SECOND, [WELL; 3]);
     p.play(4 * SECOND, [Zone::Answers(312 * MS), WELL, WELL]);
     assert_eq!(p.logged("silent"), 0, "7.8 times slower but answering");
-    let mut p = Play::new(Effect::Free);
+    let mut p = Play::new(Effect::Idempotent);
     p.play(2 * SECOND, [WELL; 3]);
     p.play(4 * SECOND, [Zone::Answers(112 * MS); 3]);
     assert!(
@@ -244,7 +244,7 @@
 
 #[test]
 fn a_zone_whose_processes_are_gone_is_not_silent_and_is_left_all_the_same() {
-    let mut p = Play::new(Effect::SingleShot);
+    let mut p = Play::new(Effect::NonIdempotent);
     p.play(2 * SECOND, [WELL; 3]);
     p.play(SECOND, [Zone::Refuses, WELL, WELL]);
     p.play(2 * SECOND, [Zone::Refuses, WELL, WELL]);
@@ -257,7 +257,7 @@
 
 #[test]
 fn two_zones_of_three_may_be_silent_at_once() {
-    let mut p = Play::new(Effect::SingleShot);
+    let mut p = Play::new(Effect::NonIdempotent);
     p.play(2 * SECOND, [WELL; 3]);
     p.play(3 * SECOND / 2, [Zone::Silent, Zone::Silent, WELL]);
     p.play(2 * SECOND, [Zone::Silent, Zone::Silent, WELL]);
@@ -266,7 +266,7 @@
 
 #[test]
 fn an_agent_that_hears_nobody_refuses_at_once_and_serves_when_it_hears_again() {
-    let mut p = Play::new(Effect::Free);
+    let mut p = Play::new(Effect::Idempotent);
     p.play(2 * SECOND, [WELL; 3]);
     p.play(2 * SECOND, [Zone::Silent; 3]);
     let first = p.asked + 1;
@@ -277,7 +277,7 @@
         .count();
     assert!(refused >= 99, "{refused} of 100 refused");
     let told =
-        |a: &Action| matches!(a, Action::Refuse { retry_after: Some(after), .. } if *after > 0);
+        |a: &Action| matches!(a, Action::Reject { retry_after: Some(after), .. } if *after > 0);
     assert!(
         p.d.actions.iter().filter(|a| told(a)).count() >= refused,
         "each is told when to come back"
@@ -290,7 +290,7 @@
 /// It is left no later than the first time, and comes home each time.
 #[test]
 fn a_zone_that_comes_and_goes_costs_no_more_each_time() {
-    let mut p = Play::new(Effect::SingleShot);
+    let mut p = Play::new(Effect::NonIdempotent);
     p.play(2 * SECOND, [WELL; 3]);
     let mut lost = Vec::new();
     for _ in 0..4 {
@@ -309,10 +309,10 @@
 /// Without the probes that tell silence from slowness nobody finds it: the guard's own test.
 #[test]
 fn where_probes_are_not_permitted_silence_is_not_found_at_once() {
-    let mut p = Play::new(Effect::SingleShot);
+    let mut p = Play::new(Effect::NonIdempotent);
     let mut settings = settings(vec![ClassSettings {
-        aim: 400 * MS,
-        ..class(Effect::SingleShot)
+        latency_target: 400 * MS,
+        ..class(Effect::NonIdempotent)
     }]);
     settings.zones = 3;
     p.d = Driver::new(settings);
--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -10,8 +10,8 @@
 use ironmast_admin::handover;
 use ironmast_admin::overrides::ServerOverrides;
 use ironmast_balancer::{
-    Action, Balancer, Event, Listing, Micros, Outcome, Phase, Request, RequestId, Scope, ServerId,
-    Settings, Settled,
+    Action, AttemptEnded, Balancer, Event, Listing, Micros, Outcome, Phase, Request, RequestId,
+    Scope, ServerId, Settings,
 };
 use ironmast_transport::clock::Clock;
 use slog::{Logger, debug, info, warn};
@@ -140,7 +140,7 @@
                 {
                     open.reply = None;
                     let _ = self.orders.upstream.send(Order::Over(id));
-                    self.event(Event::HungUp { id });
+                    self.event(Event::ClientDisconnected { id });
                     self.forget(id);
                 }
             }
@@ -149,14 +149,14 @@
             Message::Probed(server, outcome, latency, load) => {
                 debug!(self.log, "probed"; "at" => self.clock.now(), "server" => format_args!("{:016x}", server.0),
                     "outcome" => ?outcome, "took" => latency);
-                self.event(Event::Probed {
+                self.event(Event::ProbeEnded {
                     server,
                     outcome,
                     latency,
                     load,
                 });
             }
-            Message::Peer(from, data) => self.event(Event::Peer { from, data }),
+            Message::Peer(from, data) => self.event(Event::PeerMessage { from, data }),
             Message::Listed(news) => {
                 let news = self.admin.apply_discovery(news);
                 self.show(news);
@@ -180,7 +180,7 @@
                 let _ = self.keep();
             }
             Urgent::LeaveCold(on) => {
-                let cold = self.settings.safety.cold;
+                let cold = self.settings.safety.warm_up;
                 if let Some(news) = self
                     .admin
                     .delegate_started_after(on.then(|| self.clock.now().saturating_sub(cold)))
@@ -284,7 +284,7 @@
         (open.whole, open.expires) = (now, now + open.payload.left);
         let expires = open.expires;
         debug!(self.log, "whole"; "at" => now, "request" => id, "expires" => expires);
-        self.event(Event::Whole { id, expires });
+        self.event(Event::RequestComplete { id, expires });
     }
 
     fn ended(&mut self, ended: Ended) {
@@ -311,7 +311,7 @@
         let latency = self.clock.now().saturating_sub(sent);
         debug!(self.log, "ended"; "at" => self.clock.now(), "request" => id, "attempt" => number,
             "server" => format_args!("{:016x}", server.0), "outcome" => ?outcome, "took" => latency);
-        self.event(Event::Settled(Settled {
+        self.event(Event::AttemptEnded(AttemptEnded {
             id,
             server,
             attempt: number,
@@ -413,9 +413,9 @@
                 id,
                 server,
                 timeout,
-                begin_by,
+                start_deadline: begin_by,
             } => self.send(id, server, timeout, begin_by),
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.answer(id, Answer::Refused(retry_after));
                 self.forget(id);
             }
@@ -440,7 +440,7 @@
                     warn!(self.log, "a probe of a server that is not listed"; "server" => server.0);
                 }
             },
-            Action::Tell { to, data } => drop(self.orders.peers.send((to, data))),
+            Action::SendToPeers { to, data } => drop(self.orders.peers.send((to, data))),
             Action::CloseIdle { server } => {
                 drop(self.orders.upstream.send(Order::CloseIdle(server)));
             }
@@ -468,10 +468,10 @@
             .flow()
             .is_some_and(|flow| !flow.is_replayable());
         let over = open.reply.is_none()
-            || number >= self.settings.limits.most_tries
+            || number >= self.settings.limits.max_attempts
             || now >= open.expires
             || gone;
-        let together = !self.settings.limits.may_duplicate && open.out();
+        let together = !self.settings.limits.allow_hedging && open.out();
         let address = self.servers.get(&server).map(|s| s.0);
         let (true, Some(address)) = (!over && !together, address) else {
             let why = if gone {
@@ -481,9 +481,9 @@
             };
             debug!(self.log, "a send that may not be"; "request" => id, "server" => server.0, "why" => why);
             open.attempts.push((server, now, false));
-            let (outcome, finished) = (Outcome::Moot, open.reply.is_none());
+            let (outcome, finished) = (Outcome::NotSent, open.reply.is_none());
             let (attempt, latency, load) = (number, 0, None);
-            let settled = Settled {
+            let settled = AttemptEnded {
                 id,
                 server,
                 attempt,
@@ -492,7 +492,7 @@
                 finished,
                 load,
             };
-            return self.pending.push_back(Event::Settled(settled));
+            return self.pending.push_back(Event::AttemptEnded(settled));
         };
         debug!(self.log, "sent"; "at" => now, "request" => id, "attempt" => number,
             "server" => format_args!("{:016x}", server.0));
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -162,7 +162,7 @@
             return plain(StatusCode::NOT_FOUND, "no such class\n");
         };
         let settings = &self.setup.settings.classes[class];
-        let safe = settings.effect == Effect::Free;
+        let safe = settings.effect == Effect::Idempotent;
         let method = if safe { Method::GET } else { Method::POST };
         if *request.method() != method {
             return Err(not_allowed(if safe { "GET" } else { "POST" }));
@@ -175,7 +175,7 @@
             return plain(StatusCode::BAD_REQUEST, "X-Txn is missing\n");
         };
         let key = header("Idempotency-Key").map(<[u8]>::to_vec);
-        if matches!(settings.effect, Effect::Guarded { .. }) && key.is_none() {
+        if matches!(settings.effect, Effect::Deduplicated { .. }) && key.is_none() {
             return plain(StatusCode::BAD_REQUEST, "Idempotency-Key is missing\n");
         }
         let left = match header("X-Remaining").map(remaining) {
--- a/crates/client-proxy/src/upstream.rs
+++ b/crates/client-proxy/src/upstream.rs
@@ -186,16 +186,16 @@
                 biased;
                 ended = call => ended.unwrap_or_else(|()| {
                     let outcome = match state.bytes_written() {
-                        0 if state.start_timed_out() => Outcome::Moot,
+                        0 if state.start_timed_out() => Outcome::NotSent,
                         // Nothing written proves that it never ran; a part might be the whole.
                         0 => Outcome::ConnectFailed,
-                        _ if state.malformed().is_some() => Outcome::Spoilt,
+                        _ if state.malformed().is_some() => Outcome::MalformedResponse,
                         _ => Outcome::Reset,
                     };
                     (outcome, nothing(), None)
                 }),
-                () = state.start_timeout() => (Outcome::Moot, nothing(), None),
-                () = state.response_stalled() => (Outcome::Spoilt, nothing(), None),
+                () = state.start_timeout() => (Outcome::NotSent, nothing(), None),
+                () = state.response_stalled() => (Outcome::MalformedResponse, nothing(), None),
                 _ = cancelled => (Outcome::Cancelled, nothing(), None),
                 () = tokio::time::sleep_until(until) => (Outcome::Timeout, nothing(), None),
             };
@@ -240,7 +240,7 @@
                 Ok(Some((StatusCode::OK, load))) => (Outcome::Ok, load),
                 Ok(Some((status, _))) => {
                     warn!(log, "a probe was turned away"; "status" => status.as_u16());
-                    (Outcome::Full, None)
+                    (Outcome::Overloaded, None)
                 }
                 Ok(None) => (Outcome::ConnectFailed, None),
                 Err(_) => (Outcome::Timeout, None),
@@ -306,9 +306,11 @@
         .is_some_and(|v| v.as_bytes() == b"1");
     let outcome = match status {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned => Outcome::Full,
-        status if status.is_client_error() => Outcome::Rejected,
-        _ => Outcome::Error,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned => {
+            Outcome::Overloaded
+        }
+        status if status.is_client_error() => Outcome::ClientError,
+        _ => Outcome::ServerError,
     };
     let body = match state.is_streamed() {
         true if outcome == Outcome::Ok => {
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -222,7 +222,7 @@
 
     /// Guards rule 4: proxies take turns with a cold server.
     fn spare(&self, now: Micros, known: &Known) -> bool {
-        let cold = self.settings.safety.cold;
+        let cold = self.settings.safety.warm_up;
         let Some(age) = known
             .server
             .started
@@ -238,8 +238,9 @@
             .map_or(cold, |at| now.saturating_sub(at));
         let n = u64::from(self.settings.balancers);
         let turn = now / COLD_TURN;
-        let rank =
-            stir([known.server.id.0, turn, 1, 1]).wrapping_add(u64::from(self.settings.me)) % n;
+        let rank = stir([known.server.id.0, turn, 1, 1])
+            .wrapping_add(u64::from(self.settings.balancer_index))
+            % n;
         if age < cold / 2 {
             rank > 0 || known.sent_at / COLD_TURN == turn
         } else {
@@ -250,9 +251,9 @@
     fn may_go(&self, now: Micros, open: &Open, known: &Known) -> bool {
         let class = &self.settings.classes[open.request.class];
         let harmless = |s: &Sent| match class.effect {
-            Effect::Free => true,
-            Effect::SingleShot => false,
-            Effect::Guarded { group, window } => {
+            Effect::Idempotent => true,
+            Effect::NonIdempotent => false,
+            Effect::Deduplicated { group, window } => {
                 now < s.at + window && (group == Group::All || s.zone == known.server.zone)
             }
         };
@@ -276,7 +277,7 @@
         let (a, b) = match self.rule {
             PolicyName::RoundRobin | PolicyName::ZoneRoundRobin => {
                 self.turn += 1;
-                (self.turn + self.settings.me as usize, 0)
+                (self.turn + self.settings.balancer_index as usize, 0)
             }
             _ => (self.random.below(count), self.random.below(count)),
         };
@@ -328,14 +329,14 @@
                 let ((waits, takes), id) = timed.min_by(|a, b| a.0.1.total_cmp(&b.0.1))?;
                 let class = &self.settings.classes[class];
                 // Where not all can be served, what earns little for its work goes first.
-                let earns = class.worth / work.max(1.0);
+                let earns = class.value / work.max(1.0);
                 let patience = if self.earns > 0.0 {
                     (earns / self.earns).clamp(0.1, 1.0)
                 } else {
                     1.0
                 };
                 self.earns += CEILING_PACE * (earns - self.earns);
-                let most = CEILING_MARGIN * class.aim as f64;
+                let most = CEILING_MARGIN * class.latency_target as f64;
                 (takes <= most && waits <= most * patience).then_some(id)
             }
         }
@@ -371,7 +372,7 @@
             id,
             server,
             timeout: None,
-            begin_by: None,
+            start_deadline: None,
         });
     }
 
@@ -389,7 +390,7 @@
         out.push(if ran {
             Action::Fail { id }
         } else {
-            Action::Refuse {
+            Action::Reject {
                 id,
                 retry_after: spread,
             }
@@ -443,7 +444,7 @@
                 );
                 self.place(now, id, truth, out);
             }
-            Event::Settled(settled) => {
+            Event::AttemptEnded(settled) => {
                 if let Some(known) = self.servers.get_mut(&settled.server) {
                     known.out = known.out.saturating_sub(1);
                 }
@@ -453,12 +454,12 @@
                 if let Some(sent) = open.sent.get_mut(settled.attempt as usize) {
                     sent.outcome = Some(settled.outcome);
                 }
-                let tries = open.sent.len() < self.settings.limits.most_tries as usize;
+                let tries = open.sent.len() < self.settings.limits.max_attempts as usize;
                 if settled.finished || open.over {
                     self.stop(settled.id, out);
                 } else if open.sent.iter().all(|s| s.outcome.is_some()) {
                     let harmless = match self.settings.classes[open.request.class].effect {
-                        Effect::SingleShot => settled.outcome.never_ran(),
+                        Effect::NonIdempotent => settled.outcome.never_ran(),
                         _ => true,
                     };
                     if tries && harmless {
@@ -468,7 +469,7 @@
                     }
                 }
             }
-            Event::HungUp { id } => self.stop(id, out),
+            Event::ClientDisconnected { id } => self.stop(id, out),
             Event::Timer { token: LOOK } => {
                 self.looking = false;
                 for id in std::mem::take(&mut self.waiting) {
@@ -479,10 +480,10 @@
             }
             Event::Timer { token: ASK } => out.push(Action::Subscribe(true)),
             Event::Timer { token } => self.end(token, out),
-            Event::Started { .. }
-            | Event::Whole { .. }
-            | Event::Probed { .. }
-            | Event::Peer { .. } => {}
+            Event::ResponseStarted { .. }
+            | Event::RequestComplete { .. }
+            | Event::ProbeEnded { .. }
+            | Event::PeerMessage { .. } => {}
         }
     }
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -7,9 +7,9 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use ironmast_balancer::{
-    Action, ClassSettings, Discovery as Watching, Effect, Event, Group, Limits, Listing,
-    LoadReport, Micros, Outcome, Penalties, Phase, Request, Safety, Scope, Server as ListedServer,
-    ServerId, Settings, Settled, SizeMeaning,
+    Action, AttemptEnded, ClassSettings, Discovery as Watching, Effect, Event, Group, Limits,
+    Listing, LoadReport, Micros, Outcome, Penalties, Phase, Request, Safety, Scope,
+    Server as ListedServer, ServerId, Settings, SizeMeaning,
 };
 use rustc_hash::FxHashMap;
 use slotmap::{DefaultKey, Key as _, KeyData, SlotMap};
@@ -324,9 +324,9 @@
 
 fn effect(class: &Class) -> Effect {
     match class.effect {
-        EffectSpec::Free => Effect::Free,
-        EffectSpec::Once => Effect::SingleShot,
-        EffectSpec::Keyed => Effect::Guarded {
+        EffectSpec::Free => Effect::Idempotent,
+        EffectSpec::Once => Effect::NonIdempotent,
+        EffectSpec::Keyed => Effect::Deduplicated {
             group: match class.group {
                 GroupSpec::All => Group::All,
                 GroupSpec::Zone => Group::Zone,
@@ -343,19 +343,19 @@
         scenario.pool.iter().map(value).fold(start, f)
     };
     let classes = scenario.class.iter().map(|c| ClassSettings {
-        aim: millis(c.aim_ms),
+        latency_target: millis(c.aim_ms),
         deadline: millis(c.deadline_ms),
         effect: effect(c),
-        worth: c.worth,
-        late_share: 0.0,
+        value: c.worth,
+        late_value_share: 0.0,
         streaming: false,
     });
     Settings {
         balancers: p.count,
-        me,
+        balancer_index: me,
         classes: classes.collect(),
         tenants: Vec::new(),
-        over_share_worth: 1.0,
+        over_share_value: 1.0,
         zones: scenario.zones.len(),
         zone,
         discovery: if scenario.discovery.watch {
@@ -368,11 +368,11 @@
         } else {
             SizeMeaning::Unknown
         },
-        warm_keys: false,
+        key_affinity: false,
         tick: 5_000,
         limits: Limits {
-            most_tries: p.most_tries,
-            may_duplicate: p.may_duplicate,
+            max_attempts: p.most_tries,
+            allow_hedging: p.may_duplicate,
             cancel: p.cancel,
             probes: p.probes,
             peers: p.peers,
@@ -381,12 +381,12 @@
         },
         safety: Safety {
             answer_slack: millis(scenario.rules.answer_slack_ms),
-            ask_within: seconds(scenario.rules.ask_within_s),
-            cold_share: cold(f64::min, 1.0, |p| p.cold_share),
-            cold: seconds(cold(f64::max, 0.0, |p| p.cold_s)),
+            discovery_interval: seconds(scenario.rules.ask_within_s),
+            initial_capacity: cold(f64::min, 1.0, |p| p.cold_share),
+            warm_up: seconds(cold(f64::max, 0.0, |p| p.cold_s)),
             drain_grace: millis(scenario.rules.drain_grace_ms),
-            fall: seconds(scenario.rules.cold_window_s),
-            fall_multiple: scenario.rules.cold_multiple,
+            overload_window: seconds(scenario.rules.cold_window_s),
+            overload_multiple: scenario.rules.cold_multiple,
         },
         penalties: Penalties {
             cross_zone: p.cross_zone,
@@ -741,7 +741,7 @@
                     self.peer_bytes += data.len() as u64;
                     self.tell(
                         to,
-                        Event::Peer {
+                        Event::PeerMessage {
                             from,
                             data: data.into_vec(),
                         },
@@ -1038,7 +1038,7 @@
         if !self.ops[op].ended {
             self.after_try(op, if late { End::Unanswered } else { End::Walked });
         }
-        self.tell(proxy, Event::HungUp { id: request });
+        self.tell(proxy, Event::ClientDisconnected { id: request });
         self.drop_try(request);
     }
 
@@ -1153,13 +1153,13 @@
                 timeout,
                 ..
             } => self.send(proxy, id, server, timeout, pending),
-            Action::Refuse { id, retry_after } => self.answer(proxy, id, End::Refused(retry_after)),
+            Action::Reject { id, retry_after } => self.answer(proxy, id, End::Refused(retry_after)),
             Action::Fail { id } => self.answer(proxy, id, End::Failed),
             Action::Cancel { id, attempt } => {
                 let n = attempt as u8;
                 if self.attempt(id, n).is_some_and(|a| a.out) {
                     self.call_off(id, n);
-                    pending.push_back(Event::Settled(self.settled(id, n, Outcome::Cancelled)));
+                    pending.push_back(Event::AttemptEnded(self.settled(id, n, Outcome::Cancelled)));
                     self.drop_try(id);
                 }
             }
@@ -1195,7 +1195,7 @@
                     },
                 );
             }
-            Action::Tell { to, data } => self.spread(proxy, to, &data),
+            Action::SendToPeers { to, data } => self.spread(proxy, to, &data),
             Action::CloseIdle { server } => {
                 let machine = &mut self.machines[number_of(server) as usize];
                 let closed = self.proxies[proxy as usize]
@@ -1322,7 +1322,11 @@
                 outcome: None,
             };
             self.tries[key(request)].attempts.push(gone);
-            return pending.push_back(Event::Settled(self.settled(request, n, Outcome::Moot)));
+            return pending.push_back(Event::AttemptEnded(self.settled(
+                request,
+                n,
+                Outcome::NotSent,
+            )));
         }
         self.check_drain(proxy, server, number);
         self.check_repeat(proxy, server, request, n);
@@ -1557,7 +1561,7 @@
                 What::Back {
                     request,
                     n,
-                    outcome: Outcome::Full,
+                    outcome: Outcome::Overloaded,
                 },
             ),
         }
@@ -1605,19 +1609,19 @@
                 self.after_try(op, End::Served);
             }
             let settled = self.settled(request, n, outcome);
-            self.tell(proxy, Event::Settled(settled));
+            self.tell(proxy, Event::AttemptEnded(settled));
             return self.drop_try(request);
         }
         self.settle(request, n, outcome);
     }
 
-    fn settled(&mut self, request: u64, n: u8, outcome: Outcome) -> Settled {
+    fn settled(&mut self, request: u64, n: u8, outcome: Outcome) -> AttemptEnded {
         let held = &mut self.tries[key(request)];
         let attempt = &mut held.attempts[n as usize];
         attempt.outcome = Some(outcome);
         let (id, server) = (request, self.machines[attempt.server as usize].id);
         let (latency, finished) = (self.now - attempt.sent, held.over);
-        Settled {
+        AttemptEnded {
             id,
             server,
             attempt: u32::from(n),
@@ -1633,7 +1637,7 @@
             self.settled(request, n, outcome),
             self.tries[key(request)].proxy,
         );
-        self.tell(proxy, Event::Settled(settled));
+        self.tell(proxy, Event::AttemptEnded(settled));
         self.drop_try(request);
     }
 
@@ -1685,7 +1689,7 @@
             match what {
                 Happened::Began(job) => self.began(server, job),
                 Happened::Finished(job) => self.left_server(server, &job, Outcome::Ok),
-                Happened::Dropped(job) => self.left_server(server, &job, Outcome::Full),
+                Happened::Dropped(job) => self.left_server(server, &job, Outcome::Overloaded),
             }
         }
         self.happened = happened;
@@ -2111,7 +2115,7 @@
         let (server, latency) = (self.machines[server as usize].id, self.now - sent);
         self.tell(
             proxy,
-            Event::Probed {
+            Event::ProbeEnded {
                 server,
                 outcome,
                 latency,
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -101,7 +101,7 @@
                 id,
                 server,
                 timeout: Some(150_000),
-                begin_by: None,
+                start_deadline: None,
             });
         }
     }
@@ -148,7 +148,7 @@
                     self.send(id, out);
                 }
             }
-            Event::Settled(settled) if settled.finished => {
+            Event::AttemptEnded(settled) if settled.finished => {
                 self.tries.remove(&settled.id);
                 if settled.outcome == Outcome::Ok {
                     match self.sin {
@@ -158,7 +158,7 @@
                     }
                 }
             }
-            Event::Settled(settled) => {
+            Event::AttemptEnded(settled) => {
                 let tries = self.tries.get(&settled.id).copied().unwrap_or(9);
                 let again = match self.sin {
                     Sin::RepeatsWhatMayHaveRun | Sin::RepeatsTooLate => tries < 3,
@@ -170,7 +170,7 @@
                     true => self.send(settled.id, out),
                     // Said to be harmless, whatever may have run: the client tries again.
                     false if self.sin == Sin::RefusesWhatRan => {
-                        out.push(Action::Refuse {
+                        out.push(Action::Reject {
                             id: settled.id,
                             retry_after: None,
                         });
@@ -184,7 +184,7 @@
             Event::Timer { token } if self.tries.remove(&token).is_some() => {
                 out.push(Action::Fail { id: token });
             }
-            Event::HungUp { id } => drop(self.tries.remove(&id)),
+            Event::ClientDisconnected { id } => drop(self.tries.remove(&id)),
             _ => {}
         }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -191,8 +191,8 @@
     fn class(&self, i: usize) -> Parsed<ClassSettings> {
         let at = |key: &str| format!("classes.{i}.{key}");
         let effect = match self.get(&at("effect")).unwrap_or("free") {
-            "free" => Effect::Free,
-            "single_shot" => Effect::SingleShot,
+            "free" => Effect::Idempotent,
+            "single_shot" => Effect::NonIdempotent,
             "guarded" => {
                 let group = match self.get(&at("dedup_scope")).unwrap_or("all") {
                     "all" => Group::All,
@@ -205,7 +205,7 @@
                         );
                     }
                 };
-                Effect::Guarded {
+                Effect::Deduplicated {
                     group,
                     window: self.whole(&at("dedup_window"), 0)?,
                 }
@@ -213,11 +213,11 @@
             other => return flaw(&at("effect"), format!("`{other}` is not a known effect")),
         };
         Ok(ClassSettings {
-            aim: number(&at("objective"), self.needed(&at("objective"))?)?,
+            latency_target: number(&at("objective"), self.needed(&at("objective"))?)?,
             deadline: number(&at("hard_limit"), self.needed(&at("hard_limit"))?)?,
             effect,
-            worth: self.real(&at("worth"), 1.0)?,
-            late_share: self.real(&at("late_share"), 0.0)?,
+            value: self.real(&at("worth"), 1.0)?,
+            late_value_share: self.real(&at("late_share"), 0.0)?,
             streaming: self.flag(&at("streaming"), false)?,
         })
     }
@@ -225,7 +225,7 @@
     fn settings(&self) -> Parsed<Settings> {
         let mut s = Settings::default();
         s.balancers = self.count("balancers", s.balancers)?;
-        s.me = self.count("me", s.me)?;
+        s.balancer_index = self.count("me", s.balancer_index)?;
         let classes = self.items("classes", "name")?.len();
         s.classes = (0..classes).map(|i| self.class(i)).collect::<Parsed<_>>()?;
         for i in 0..self.items("tenants", "name")?.len() {
@@ -236,7 +236,7 @@
                 share,
             });
         }
-        s.over_share_worth = self.real("over_share_worth", s.over_share_worth)?;
+        s.over_share_value = self.real("over_share_worth", s.over_share_value)?;
         let zones = self.list("zones");
         let zone = self.needed("zone")?;
         s.zones = zones.len();
@@ -254,11 +254,11 @@
             "live" => SizeMeaning::Live,
             _ => SizeMeaning::Unknown,
         };
-        s.warm_keys = self.flag("specifics.warm_keys", false)?;
+        s.key_affinity = self.flag("specifics.warm_keys", false)?;
         s.tick = self.whole("tick", s.tick)?;
         let l = &mut s.limits;
-        l.most_tries = self.count("limits.most_tries", l.most_tries)?;
-        l.may_duplicate = self.flag("limits.may_duplicate", l.may_duplicate)?;
+        l.max_attempts = self.count("limits.most_tries", l.max_attempts)?;
+        l.allow_hedging = self.flag("limits.may_duplicate", l.allow_hedging)?;
         l.cancel = self.flag("limits.cancelling", l.cancel)?;
         l.probes = self.flag("limits.probes", l.probes)?;
         l.peers = self.flag("limits.peers", l.peers)?;
@@ -266,12 +266,12 @@
         l.max_retry_after = self.whole("limits.max_retry_after", l.max_retry_after)?;
         let f = &mut s.safety;
         f.answer_slack = self.whole("safety.answer_slack", f.answer_slack)?;
-        f.ask_within = self.whole("safety.ask_within", f.ask_within)?;
-        f.cold_share = self.real("safety.cold_share", f.cold_share)?;
-        f.cold = self.whole("safety.cold", f.cold)?;
+        f.discovery_interval = self.whole("safety.ask_within", f.discovery_interval)?;
+        f.initial_capacity = self.real("safety.cold_share", f.initial_capacity)?;
+        f.warm_up = self.whole("safety.cold", f.warm_up)?;
         f.drain_grace = self.whole("safety.drain_grace", f.drain_grace)?;
-        f.fall = self.whole("safety.fall", f.fall)?;
-        f.fall_multiple = self.real("safety.fall_multiple", f.fall_multiple)?;
+        f.overload_window = self.whole("safety.fall", f.overload_window)?;
+        f.overload_multiple = self.real("safety.fall_multiple", f.overload_multiple)?;
         let p = &mut s.penalties;
         p.cross_zone = self.real("penalties.cross_zone", p.cross_zone)?;
         p.waste = self.real("penalties.waste", p.waste)?;
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -13,8 +13,8 @@
 use thiserror::Error;
 
 use ironmast_balancer::{
-    Action, Balancer, Event, Listing, LoadReport, Micros, Outcome, Phase, Request, Scope, Server,
-    ServerId, Settled,
+    Action, AttemptEnded, Balancer, Event, Listing, LoadReport, Micros, Outcome, Phase, Request,
+    Scope, Server, ServerId,
 };
 use ironmast_settings::{Flaw, LoadNames, Parsed, Setup, finite, flaw, number, setup};
 
@@ -330,13 +330,13 @@
 fn outcome(fields: &mut Fields) -> Parsed<Outcome> {
     Ok(match fields.text("ending")? {
         "pass" => Outcome::Ok,
-        "fault" => Outcome::Error,
-        "no_room" => Outcome::Full,
+        "fault" => Outcome::ServerError,
+        "no_room" => Outcome::Overloaded,
         "too_slow" => Outcome::Timeout,
         "no_route" => Outcome::ConnectFailed,
         "cut" => Outcome::Reset,
         "undone" => Outcome::Cancelled,
-        "stale_send" => Outcome::Moot,
+        "stale_send" => Outcome::NotSent,
         other => return flaw("ending", format!("`{other}` is not a known ending")),
     })
 }
@@ -353,7 +353,7 @@
             "SETTLED" => {
                 let id = fields.number("handle")?;
                 let outcome = outcome(fields)?;
-                Event::Settled(Settled {
+                Event::AttemptEnded(AttemptEnded {
                     id,
                     outcome,
                     server: ServerId::from_name(fields.named("backend")?),
@@ -367,9 +367,9 @@
                 let (id, attempt) = (fields.number("handle")?, fields.number("hop")?);
                 fields.named("backend")?;
                 fields.number::<Micros>("lag")?;
-                Event::Started { id, attempt }
+                Event::ResponseStarted { id, attempt }
             }
-            "HANGUP" => Event::HungUp {
+            "HANGUP" => Event::ClientDisconnected {
                 id: fields.number("handle")?,
             },
             "DEADLINE_HIT" => Event::Timer {
@@ -378,14 +378,14 @@
             "CHECKED" => {
                 let server = ServerId::from_name(fields.named("backend")?);
                 let outcome = outcome(fields)?;
-                Event::Probed {
+                Event::ProbeEnded {
                     server,
                     outcome,
                     latency: fields.number("lag")?,
                     load: self.report(fields)?,
                 }
             }
-            "INBOX" => Event::Peer {
+            "INBOX" => Event::PeerMessage {
                 from: fields.number("from")?,
                 data: bytes(fields.text("raw")?)?,
             },
@@ -493,7 +493,7 @@
                     timeout.unwrap_or(0)
                 )
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 writeln!(out, "NOT_NOW\t{who}\t{id}\t{}", retry_after.unwrap_or(0))
             }
             Action::Fail { id } => writeln!(out, "END_FAILED\t{who}\t{id}"),
@@ -502,7 +502,7 @@
             Action::Subscribe(on) => writeln!(out, "WATCH\t{who}\t{}", u8::from(*on)),
             Action::FetchAll => writeln!(out, "QUERY_ALL\t{who}"),
             Action::Probe { server } => writeln!(out, "HEALTH_CHECK\t{who}\t{}", name(server)?),
-            Action::Tell { to, data } => {
+            Action::SendToPeers { to, data } => {
                 let _ = match to {
                     Some(peer) => write!(out, "PUBLISH\t{who}\t{peer}\t"),
                     None => write!(out, "PUBLISH\t{who}\t-1\t"),
--- a/crates/simulator-adapter/src/tests.rs
+++ b/crates/simulator-adapter/src/tests.rs
@@ -18,7 +18,7 @@
                 id: 9,
                 server,
                 timeout: Some(5),
-                begin_by: None,
+                start_deadline: None,
             },
             "SEND\t3\t9\tb:1\t5\n",
         ),
@@ -27,12 +27,12 @@
                 id: 9,
                 server,
                 timeout: None,
-                begin_by: None,
+                start_deadline: None,
             },
             "SEND\t3\t9\tb:1\t0\n",
         ),
         (
-            Action::Refuse {
+            Action::Reject {
                 id: 9,
                 retry_after: None,
             },
@@ -45,14 +45,14 @@
         (Action::FetchAll, "QUERY_ALL\t3\n"),
         (Action::Probe { server }, "HEALTH_CHECK\t3\tb:1\n"),
         (
-            Action::Tell {
+            Action::SendToPeers {
                 to: None,
                 data: data.clone(),
             },
             "PUBLISH\t3\t-1\t0aff\n",
         ),
         (
-            Action::Tell {
+            Action::SendToPeers {
                 to: Some(2),
                 data: Vec::new(),
             },
