--- a/crates/overlay/tests/overlay/costs.rs
+++ b/crates/overlay/tests/overlay/costs.rs
@@ -1,5 +1,5 @@
-//! What the overlay costs: bytes and messages a second, processor time, memory. The asserts are the
-//! bounds of the deployment; the printed rows are for docs/CAPACITY.md.
+//! Costs of the overlay: bytes and messages a second, processor time, memory. The assertions are
+//! the limits of the deployment; the printed rows are for docs/CAPACITY.md.
 
 use ironmast_overlay::Settings;
 
@@ -10,10 +10,10 @@
 /// Seconds over which traffic is counted.
 const SECONDS: u64 = 30;
 
-/// Changes in that time: ten times the pace of 7,400 a day.
-const CHANGES: u64 = 26;
+/// Updates in that time: ten times the pace of 7,400 a day.
+const UPDATES: u64 = 26;
 
-/// Entries held and their size in bytes.
+/// Number of entries, and their size in bytes.
 const ENTRIES: u64 = 2_000;
 const SIZE: usize = 300;
 
@@ -58,7 +58,7 @@
         }
     }
 
-    fn both(&self) -> u64 {
+    fn total_bytes(&self) -> u64 {
         self.bytes_out + self.bytes_in
     }
 }
@@ -74,8 +74,8 @@
         .collect()
 }
 
-fn change(sim: &mut Simulation) {
-    for at in 0..CHANGES {
+fn publish_updates(sim: &mut Simulation) {
+    for at in 0..UPDATES {
         let (key, version) = (at * 37 % ENTRIES, 2 + at / ENTRIES);
         sim.publish(
             at as usize % sim.deployment.coordinators,
@@ -83,18 +83,18 @@
             version,
             SIZE,
         );
-        sim.run_for(ms(SECONDS * 1_000 / CHANGES));
+        sim.run_for(ms(SECONDS * 1_000 / UPDATES));
     }
 }
 
 fn print(name: &str, deployment: Deployment, rates: &[Rate]) -> u64 {
     let (coordinators, agents) = rates.split_at(deployment.coordinators);
     let mut agents = agents.to_vec();
-    agents.sort_by_key(Rate::both);
+    agents.sort_by_key(Rate::total_bytes);
     let at = |part: usize| agents[(agents.len() - 1) * part / 100];
     let busiest = coordinators
         .iter()
-        .max_by_key(|rate| rate.both())
+        .max_by_key(|rate| rate.total_bytes())
         .copied()
         .unwrap_or_default();
     let far: u64 = rates.iter().map(|rate| rate.inter_region_bytes).sum();
@@ -119,7 +119,7 @@
         "{:>5} agents, {name}: between regions {far} B/s in all, of which entries {entries} B/s",
         deployment.agents
     );
-    at(100).both()
+    at(100).total_bytes()
 }
 
 /// Resident memory of this process in bytes.
@@ -157,7 +157,7 @@
     let grown = resident().saturating_sub(memory) / sim.nodes.len() as u64;
     let before = processor();
     let events: u64 = sim.nodes.iter().map(|node| node.events_handled).sum();
-    let loaded = measure(&mut sim, change);
+    let loaded = measure(&mut sim, publish_updates);
     let worst = print("2,000 entries, 0.85 changes/s", deployment, &loaded);
     let events = sim
         .nodes
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn an_agent_costs_less_than_nine_kilobytes_a_second() {
+fn agent_traffic_is_below_nine_kilobytes_a_second() {
     assert!(costs(Deployment::TWENTY) < 9_000);
     assert!(costs(Deployment::HUNDRED) < 9_000);
 }
--- a/crates/overlay/tests/overlay/dissemination.rs
+++ b/crates/overlay/tests/overlay/dissemination.rs
@@ -1,4 +1,4 @@
-//! Distribution without faults.
+//! Dissemination without faults.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use crate::support::deployment::{Deployment, index};
 use crate::support::simulation::{Simulation, ms};
 
-/// Publishes one change a second at changing coordinators and returns how long each took to reach
-/// each node, sorted.
+/// Publishes one update a second at changing coordinators and returns the delays of all updates to
+/// all nodes, sorted.
 fn delays(sim: &mut Simulation, changes: u64) -> Vec<Duration> {
     let mut delays = Vec::new();
     for version in 1..=changes {
@@ -32,7 +32,7 @@
     delays
 }
 
-fn check(deployment: Deployment, seed: u64) {
+fn check_delays(deployment: Deployment, seed: u64) {
     let mut sim = Simulation::start(deployment, Settings::default(), seed);
     sim.run_for(ms(5_000));
     assert_eq!(sim.detached_agents(), 0);
@@ -50,73 +50,73 @@
 }
 
 #[test]
-fn a_change_reaches_a_small_deployment() {
+fn updates_reach_small_deployments_in_time() {
     for seed in 0..10 {
-        check(Deployment::SMALL, seed);
-        check(Deployment::TWENTY, seed);
+        check_delays(Deployment::SMALL, seed);
+        check_delays(Deployment::TWENTY, seed);
     }
 }
 
 #[test]
-fn a_change_reaches_a_hundred_agents() {
-    check(Deployment::HUNDRED, 1);
+fn updates_reach_a_hundred_agents_in_time() {
+    check_delays(Deployment::HUNDRED, 1);
 }
 
 #[test]
-fn a_change_reaches_five_hundred_agents() {
-    check(Deployment::FIVE_HUNDRED, 1);
+fn updates_reach_five_hundred_agents_in_time() {
+    check_delays(Deployment::FIVE_HUNDRED, 1);
 }
 
 #[test]
 #[ignore = "a minute; for the figures in docs/CAPACITY.md"]
-fn a_change_reaches_two_thousand_agents() {
-    check(Deployment::TWO_THOUSAND, 1);
+fn updates_reach_two_thousand_agents_in_time() {
+    check_delays(Deployment::TWO_THOUSAND, 1);
 }
 
-/// Agents fed from another zone, and zones that have agents but no coordinator.
+/// Number of agents with a parent in another zone, and of zones with agents but no coordinator.
 fn zone_edges(sim: &Simulation) -> (usize, usize) {
     let agents = sim.deployment.coordinators..sim.deployment.len();
     let locality = |node: usize| sim.nodes[node].descriptor.locality;
-    let apart = |agent: &usize| {
+    let has_parent_in_other_zone = |agent: &usize| {
         sim.parent(*agent)
-            .is_some_and(|source| locality(source) != locality(*agent))
+            .is_some_and(|parent| locality(parent) != locality(*agent))
     };
     let zones: BTreeSet<u32> = agents.clone().map(|agent| locality(agent).zone).collect();
-    let with: BTreeSet<u32> = (0..sim.deployment.coordinators)
+    let with_coordinator: BTreeSet<u32> = (0..sim.deployment.coordinators)
         .map(|node| locality(node).zone)
         .collect();
     (
-        agents.filter(apart).count(),
-        zones.difference(&with).count(),
+        agents.filter(has_parent_in_other_zone).count(),
+        zones.difference(&with_coordinator).count(),
     )
 }
 
 #[test]
-fn few_edges_cross_zones() {
+fn tree_edges_between_zones_are_few() {
     for deployment in [Deployment::SMALL, Deployment::TWENTY, Deployment::HUNDRED] {
         let mut sim = Simulation::start(deployment, Settings::default(), 1);
         sim.run_for(ms(15_000));
         let (edges, least) = zone_edges(&sim);
         println!(
-            "{} agents: {edges} are fed from another zone, {least} at least",
+            "{} agents: {edges} have a parent in another zone, {least} at least",
             deployment.agents
         );
         assert!(edges <= least + least / 4 + 1);
     }
 }
 
-/// Neighbours besides the source whose own path leads neither over `agent` nor over its source.
-fn other_sources(sim: &Simulation, agent: usize) -> usize {
+/// Number of neighbours other than the parent whose own path contains neither `agent` nor its parent.
+fn independent_parents(sim: &Simulation, agent: usize) -> usize {
     let Some(overlay) = &sim.nodes[agent].overlay else {
         return 0;
     };
-    let source = overlay.parent().map(index);
+    let parent = overlay.parent().map(index);
     let avoided =
-        [Some(agent), source].map(|node| node.map(|node| sim.nodes[node].descriptor.id()));
+        [Some(agent), parent].map(|node| node.map(|node| sim.nodes[node].descriptor.id()));
     let others = overlay
         .neighbours()
         .map(|node| index(node.address))
-        .filter(|node| Some(*node) != source);
+        .filter(|node| Some(*node) != parent);
     let positions = others
         .filter_map(|node| sim.nodes[node].overlay.as_ref())
         .map(ironmast_overlay::Overlay::position);
@@ -130,49 +130,58 @@
     positions.filter(independent).count()
 }
 
-/// Nodes that feed a region alone: the only coordinator in it, or the agent fed from outside.
-fn single_feeders(sim: &Simulation) -> Vec<usize> {
+/// Nodes through which alone updates enter a region: the only coordinator in it, or its head.
+fn single_region_entries(sim: &Simulation) -> Vec<usize> {
     let region = |node: usize| sim.nodes[node].descriptor.locality.region;
-    let core = 0..sim.deployment.coordinators;
-    let alone = |node: &usize| {
-        core.clone()
+    let coordinators = 0..sim.deployment.coordinators;
+    let is_only_coordinator = |node: &usize| {
+        coordinators
+            .clone()
             .filter(|other| region(*other) == region(*node))
             .count()
             == 1
     };
     let heads = (sim.deployment.coordinators..sim.deployment.len())
         .filter(|agent| sim.has_remote_parent(*agent));
-    core.clone().filter(alone).chain(heads).collect()
+    coordinators
+        .clone()
+        .filter(is_only_coordinator)
+        .chain(heads)
+        .collect()
 }
 
 #[test]
-fn nearly_all_agents_have_a_second_source_that_does_not_depend_on_the_first() {
+fn agents_have_an_alternative_parent_independent_of_the_first() {
     for deployment in [Deployment::SMALL, Deployment::HUNDRED] {
         let mut sim = Simulation::start(deployment, Settings::default(), 1);
         sim.run_for(ms(15_000));
-        let single = single_feeders(&sim);
+        let single = single_region_entries(&sim);
         let agents: Vec<usize> = (deployment.coordinators..deployment.len()).collect();
-        // Where one node feeds a region, the deputy among those it feeds holds the second source
-        // for all.
-        let spared = |agent: &&usize| {
+        // Where one node is the entry of a region, its successor keeps the alternative parent for
+        // all.
+        let depends_on_single_entry = |agent: &&usize| {
             sim.parent(**agent)
-                .is_some_and(|source| single.contains(&source))
+                .is_some_and(|parent| single.contains(&parent))
         };
         let without = agents
             .iter()
-            .filter(|agent| !spared(agent) && other_sources(&sim, **agent) == 0)
+            .filter(|agent| {
+                !depends_on_single_entry(agent) && independent_parents(&sim, **agent) == 0
+            })
             .count();
         println!(
-            "{} agents: {without} without a second source",
+            "{} agents: {without} without an alternative parent",
             deployment.agents
         );
         assert!(without * 100 <= deployment.agents);
         for node in single {
             let region = |node: usize| sim.nodes[node].descriptor.locality.region;
-            let fed = agents.iter().filter(|agent| {
+            let children = agents.iter().filter(|agent| {
                 sim.parent(**agent) == Some(node) && region(**agent) == region(node)
             });
-            let others: Vec<usize> = fed.map(|agent| other_sources(&sim, *agent)).collect();
+            let others: Vec<usize> = children
+                .map(|agent| independent_parents(&sim, *agent))
+                .collect();
             assert!(
                 others.is_empty() || others.iter().any(|others| *others > 0),
                 "node {node}"
--- a/crates/overlay/tests/overlay/faults.rs
+++ b/crates/overlay/tests/overlay/faults.rs
@@ -1,4 +1,4 @@
-//! Distribution under faults.
+//! Dissemination under faults.
 
 use std::time::Duration;
 
@@ -10,25 +10,29 @@
 /// The key that tests publish.
 const KEY: u64 = 7;
 
-fn started(deployment: Deployment, seed: u64) -> Simulation {
+fn start_converged(deployment: Deployment, seed: u64) -> Simulation {
     let mut sim = Simulation::start(deployment, Settings::default(), seed);
     sim.run_for(ms(8_000));
     assert_eq!(sim.detached_agents(), 0);
     sim
 }
 
-/// Time until `done`, looked at every 20 ms.
-fn until(sim: &mut Simulation, limit: Duration, done: impl Fn(&Simulation) -> bool) -> Duration {
+/// Runs until `is_done`, checked every 20 ms, and returns the time that it took.
+fn run_until(
+    sim: &mut Simulation,
+    limit: Duration,
+    is_done: impl Fn(&Simulation) -> bool,
+) -> Duration {
     let start = sim.now;
-    while !done(sim) {
+    while !is_done(sim) {
         assert!(sim.now - start < limit, "not within {limit:?}");
         sim.run_for(ms(20));
     }
     sim.now - start
 }
 
-/// Whether all running nodes hold `version`.
-fn all_hold(sim: &Simulation, key: u64, version: u64) -> bool {
+/// Whether all running nodes store `version`.
+fn all_store(sim: &Simulation, key: u64, version: u64) -> bool {
     let running = sim.nodes.iter().filter_map(|node| node.overlay.as_ref());
     running
         .into_iter()
@@ -42,49 +46,55 @@
         .all(|overlay| overlay.freshness(sim.now).is_some_and(|fresh| fresh <= age))
 }
 
-/// Agents fed from another region.
-fn heads(sim: &Simulation) -> Vec<usize> {
+/// Agents with a parent in another region.
+fn region_heads(sim: &Simulation) -> Vec<usize> {
     (sim.deployment.coordinators..sim.nodes.len())
         .filter(|agent| sim.has_remote_parent(*agent))
         .collect()
 }
 
 #[test]
-fn one_agent_feeds_a_region_without_coordinators() {
+fn region_without_coordinators_has_one_head() {
     for seed in 0..5 {
-        let sim = started(Deployment::HUNDRED, seed);
+        let sim = start_converged(Deployment::HUNDRED, seed);
         assert_eq!(
-            heads(&sim).len(),
+            region_heads(&sim).len(),
             2,
             "two of five regions have no coordinator"
         );
     }
 }
 
-/// Takes the head of a region away, publishes a change and returns how long it takes to be
-/// everywhere.
-fn without_head(seed: u64, leaves: bool) -> Duration {
-    let mut sim = started(Deployment::HUNDRED, seed);
-    let head = heads(&sim)[0];
-    if leaves {
+/// How a node departs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Departure {
+    Leave,
+    Crash,
+}
+
+/// Removes the head of a region, publishes an update and returns the time until all nodes store it.
+fn delay_without_region_head(seed: u64, departure: Departure) -> Duration {
+    let mut sim = start_converged(Deployment::HUNDRED, seed);
+    let head = region_heads(&sim)[0];
+    if departure == Departure::Leave {
         sim.dispatch(head, Event::Leave);
     }
     sim.power_off(head);
     sim.run_for(ms(50));
     sim.publish(0, KEY, 1, 100);
-    let time = until(&mut sim, ms(4_000), |sim| all_hold(sim, KEY, 1));
-    until(&mut sim, ms(3_000), |sim| {
+    let time = run_until(&mut sim, ms(4_000), |sim| all_store(sim, KEY, 1));
+    run_until(&mut sim, ms(3_000), |sim| {
         sim.detached_agents() == 0 && all_fresh(sim, ms(900))
     });
     sim.run_for(ms(3_000));
-    assert_eq!(heads(&sim).len(), 2);
+    assert_eq!(region_heads(&sim).len(), 2);
     time
 }
 
 #[test]
-fn another_agent_takes_over_when_the_head_of_a_region_dies() {
+fn another_agent_becomes_head_when_the_region_head_crashes() {
     let worst = (0..5)
-        .map(|seed| without_head(seed, false))
+        .map(|seed| delay_without_region_head(seed, Departure::Crash))
         .max()
         .expect("five seeds");
     println!("head crashed: a change just after is everywhere after {worst:?} at worst");
@@ -92,9 +102,9 @@
 }
 
 #[test]
-fn a_departure_is_felt_less_than_a_crash() {
+fn graceful_leave_of_a_region_head_delays_updates_less_than_a_crash() {
     let worst = (0..5)
-        .map(|seed| without_head(seed, true))
+        .map(|seed| delay_without_region_head(seed, Departure::Leave))
         .max()
         .expect("five seeds");
     println!("head left: a change just after is everywhere after {worst:?} at worst");
@@ -102,15 +112,15 @@
 }
 
 #[test]
-fn half_of_all_nodes_crash_at_once() {
+fn deployment_recovers_when_half_of_all_nodes_crash() {
     for seed in 0..3 {
-        let mut sim = started(Deployment::HUNDRED, seed);
+        let mut sim = start_converged(Deployment::HUNDRED, seed);
         for node in (0..sim.deployment.len()).filter(|node| node % 2 == 1) {
             sim.power_off(node);
         }
         sim.publish(0, KEY, 1, 100);
-        let time = until(&mut sim, ms(12_000), |sim| all_hold(sim, KEY, 1));
-        let fed = until(&mut sim, ms(12_000), |sim| {
+        let time = run_until(&mut sim, ms(12_000), |sim| all_store(sim, KEY, 1));
+        let fed = run_until(&mut sim, ms(12_000), |sim| {
             sim.detached_agents() == 0 && all_fresh(sim, ms(1_000))
         });
         println!("half crashed: change everywhere after {time:?}, all fed {fed:?} later");
@@ -118,25 +128,25 @@
 }
 
 #[test]
-fn all_processes_restart_at_once() {
+fn deployment_recovers_when_all_processes_restart() {
     for seed in 0..3 {
-        let mut sim = started(Deployment::HUNDRED, seed);
+        let mut sim = start_converged(Deployment::HUNDRED, seed);
         sim.publish(0, KEY, 1, 100);
         sim.run_for(ms(1_000));
         (0..sim.deployment.len()).for_each(|node| sim.kill(node));
         sim.run_for(ms(200));
         (0..sim.deployment.len()).for_each(|node| sim.start_node(node));
-        let fed = until(&mut sim, ms(5_000), |sim| sim.detached_agents() == 0);
+        let fed = run_until(&mut sim, ms(5_000), |sim| sim.detached_agents() == 0);
         sim.publish(0, KEY, 2, 100);
-        let time = until(&mut sim, ms(1_000), |sim| all_hold(sim, KEY, 2));
+        let time = run_until(&mut sim, ms(1_000), |sim| all_store(sim, KEY, 2));
         println!("all restarted: all fed after {fed:?}, a change then takes {time:?}");
         assert_eq!(sim.regressions, 0);
     }
 }
 
 #[test]
-fn coordinators_are_replaced_and_the_seeds_are_dead() {
-    let mut sim = started(Deployment::TWENTY, 1);
+fn agents_find_new_coordinators_when_all_old_ones_and_their_seeds_are_gone() {
+    let mut sim = start_converged(Deployment::TWENTY, 1);
     let agents: Vec<usize> = (sim.deployment.coordinators..sim.deployment.len()).collect();
     (0..sim.deployment.coordinators).for_each(|node| sim.power_off(node));
     sim.seeds = vec![address(agents[4]), address(agents[9])];
@@ -149,17 +159,17 @@
         sim.add(descriptor);
     }
     sim.publish(first, KEY, 1, 100);
-    let time = until(&mut sim, ms(15_000), |sim| all_hold(sim, KEY, 1));
-    let fed = until(&mut sim, ms(15_000), |sim| {
+    let time = run_until(&mut sim, ms(15_000), |sim| all_store(sim, KEY, 1));
+    let fed = run_until(&mut sim, ms(15_000), |sim| {
         sim.detached_agents() == 0 && all_fresh(sim, ms(1_000))
     });
     println!("coordinators replaced: a change is everywhere after {time:?}, all fed {fed:?} later");
 }
 
 #[test]
-fn a_region_is_cut_off_and_comes_back() {
+fn region_catches_up_after_a_partition() {
     for seed in 0..3 {
-        let mut sim = started(Deployment::HUNDRED, seed);
+        let mut sim = start_converged(Deployment::HUNDRED, seed);
         sim.cut(|from, to| (from.locality.region == 4) != (to.locality.region == 4));
         sim.run_for(ms(20_000));
         sim.publish(0, KEY, 1, 100);
@@ -174,50 +184,50 @@
                 .all(|overlay| overlay.freshness(sim.now) > Some(ms(20_000)))
         );
         sim.heal();
-        let time = until(&mut sim, ms(8_000), |sim| all_hold(sim, KEY, 1));
+        let time = run_until(&mut sim, ms(8_000), |sim| all_store(sim, KEY, 1));
         sim.run_for(ms(5_000));
         println!(
-            "region back: change everywhere after {time:?}, {:?} fed from outside",
-            heads(&sim)
+            "region back: change everywhere after {time:?}, {:?} with a remote parent",
+            region_heads(&sim)
         );
-        assert_eq!((heads(&sim).len(), sim.detached_agents()), (2, 0));
+        assert_eq!((region_heads(&sim).len(), sim.detached_agents()), (2, 0));
     }
 }
 
 #[test]
-fn a_link_cut_one_way_is_not_used() {
+fn agent_leaves_a_parent_whose_link_is_cut_in_one_direction() {
     for towards_agent in [true, false] {
-        let mut sim = started(Deployment::TWENTY, 3);
+        let mut sim = start_converged(Deployment::TWENTY, 3);
         let agent = (3..23)
             .find(|agent| sim.parent(*agent).is_some())
-            .expect("all are fed");
-        let feeding = address(sim.parent(agent).expect("fed"));
-        let fed = address(agent);
+            .expect("all are attached");
+        let parent = address(sim.parent(agent).expect("attached"));
+        let child = address(agent);
         let (from, to) = if towards_agent {
-            (feeding, fed)
+            (parent, child)
         } else {
-            (fed, feeding)
+            (child, parent)
         };
         sim.cut(move |sender, receiver| sender.address == from && receiver.address == to);
         sim.run_for(ms(300));
         sim.publish(0, KEY, 1, 100);
-        let time = until(&mut sim, ms(2_500), |sim| all_hold(sim, KEY, 1));
+        let time = run_until(&mut sim, ms(2_500), |sim| all_store(sim, KEY, 1));
         println!("one-way cut: change everywhere after {time:?}");
         sim.run_for(ms(10_000));
-        assert_ne!(sim.parent(agent), Some(index(feeding)));
+        assert_ne!(sim.parent(agent), Some(index(parent)));
         assert_eq!(sim.detached_agents(), 0);
     }
 }
 
 #[test]
-fn changes_get_through_when_one_message_in_ten_is_lost() {
-    let mut sim = started(Deployment::HUNDRED, 1);
+fn updates_arrive_when_one_message_in_ten_is_lost() {
+    let mut sim = start_converged(Deployment::HUNDRED, 1);
     sim.loss = 0.1;
     for version in 1..=20 {
         sim.publish(version as usize % 5, KEY, version, 100);
         sim.run_for(ms(1_000));
     }
-    let time = until(&mut sim, ms(4_000), |sim| all_hold(sim, KEY, 20));
+    let time = run_until(&mut sim, ms(4_000), |sim| all_store(sim, KEY, 20));
     println!(
         "one in ten lost: the last of 20 changes is everywhere after {:?}",
         time + ms(1_000)
@@ -226,16 +236,16 @@
 }
 
 #[test]
-fn a_frozen_agent_knows_how_stale_it_is_and_comes_back() {
+fn paused_agent_reports_its_staleness_and_catches_up() {
     for seconds in [1, 2, 4, 10] {
-        let mut sim = started(Deployment::TWENTY, 2);
+        let mut sim = start_converged(Deployment::TWENTY, 2);
         let agent = (3..23).find(|agent| {
             sim.nodes[*agent]
                 .overlay
                 .as_ref()
                 .is_some_and(|node| node.children().count() > 0)
         });
-        let agent = agent.expect("some agent feeds others");
+        let agent = agent.expect("some agent has children");
         sim.pause(agent);
         sim.publish(0, KEY, 1, 100);
         sim.run_for(ms(seconds * 1_000));
@@ -245,20 +255,20 @@
             .overlay
             .as_ref()
             .and_then(|node| node.freshness(now))
-            .expect("there were beats");
-        println!("frozen for {seconds} s: newest beat {age:?} old on return");
-        // Neighbours send on until they close the link: to those it feeds it is silent.
+            .expect("heartbeats were recorded");
+        println!("frozen for {seconds} s: newest heartbeat {age:?} old on return");
+        // Neighbours continue to send until they close the link; to its children it is silent.
         assert!(age + ms(5_500) > ms(seconds * 1_000));
-        let time = until(&mut sim, ms(3_000), |sim| {
-            all_hold(sim, KEY, 1) && sim.detached_agents() == 0
+        let time = run_until(&mut sim, ms(3_000), |sim| {
+            all_store(sim, KEY, 1) && sim.detached_agents() == 0
         });
         println!("frozen for {seconds} s: change everywhere, all fed {time:?} after the return");
     }
 }
 
 #[test]
-fn a_coordinator_that_stops_its_beats_makes_agents_stale() {
-    let mut sim = started(Deployment::TWENTY, 2);
+fn agents_become_stale_when_root_heartbeats_stop() {
+    let mut sim = start_converged(Deployment::TWENTY, 2);
     for coordinator in 0..3 {
         sim.dispatch(coordinator, Event::InContact(false));
     }
@@ -271,8 +281,8 @@
 }
 
 #[test]
-fn agents_of_a_coordinator_cut_off_from_the_others_are_fed_elsewhere() {
-    let mut sim = started(Deployment::TWENTY, 2);
+fn agents_stay_fresh_when_their_coordinator_is_out_of_contact() {
+    let mut sim = start_converged(Deployment::TWENTY, 2);
     sim.dispatch(1, Event::InContact(false));
     let alone = address(1);
     sim.cut(move |from, to| {
@@ -293,19 +303,21 @@
     sim.run_for(ms(3_000));
     let arrivals = &sim.arrivals[&(KEY, 1)];
     let slowest = arrivals.values().map(|arrival| *arrival - at).max();
-    println!("coordinator alone: newest beat {worst:?} old at worst, a change takes {slowest:?}");
+    println!(
+        "coordinator alone: newest heartbeat {worst:?} old at worst, a change takes {slowest:?}"
+    );
     assert_eq!(arrivals.len(), sim.deployment.len());
     assert!(worst < ms(5_000));
 }
 
 #[test]
-fn agents_that_start_long_before_the_coordinators_are_fed_soon_after_these_start() {
+fn agents_attach_soon_after_coordinators_that_start_late() {
     let mut sim = Simulation::start(Deployment::SMALL, Settings::default(), 4);
     (0..3).for_each(|coordinator| sim.kill(coordinator));
     sim.run_for(ms(30_000));
     assert_eq!(sim.detached_agents(), 7);
     (0..3).for_each(|coordinator| sim.start_node(coordinator));
-    let time = until(&mut sim, ms(5_000), |sim| sim.detached_agents() == 0);
+    let time = run_until(&mut sim, ms(5_000), |sim| sim.detached_agents() == 0);
     println!("coordinators up after 30 s: all fed {time:?} later");
     assert!(time < ms(2_500));
 }
--- a/crates/overlay/tests/overlay/guards.rs
+++ b/crates/overlay/tests/overlay/guards.rs
@@ -1,4 +1,4 @@
-//! Each mechanism taken out in turn: the property it keeps is then seen to break.
+//! Each mechanism is disabled in turn, and the property that it maintains is shown to break.
 
 use ironmast_overlay::{Guards, Settings};
 
@@ -7,14 +7,14 @@
 
 const KEY: u64 = 7;
 
-fn with(guards: Guards) -> Settings {
+fn settings_with(guards: Guards) -> Settings {
     Settings {
         guards,
         ..Settings::default()
     }
 }
 
-fn holders(sim: &Simulation, key: u64, version: u64) -> usize {
+fn count_storing(sim: &Simulation, key: u64, version: u64) -> usize {
     let running = sim.nodes.iter().filter_map(|node| node.overlay.as_ref());
     running
         .filter(|overlay| overlay.store().version(key) == version)
@@ -23,21 +23,21 @@
 
 /// Changes under loss that reached all nodes within 2.5 s, of ten.
 fn in_time_under_loss(guards: Guards) -> usize {
-    let mut sim = Simulation::start(Deployment::HUNDRED, with(guards), 1);
+    let mut sim = Simulation::start(Deployment::HUNDRED, settings_with(guards), 1);
     sim.run_for(ms(8_000));
     sim.loss = 0.1;
     let mut in_time = 0;
     for version in 1..=10 {
         sim.publish(version as usize % 5, KEY, version, 100);
         sim.run_for(ms(2_500));
-        in_time += usize::from(holders(&sim, KEY, version) == sim.deployment.len());
+        in_time += usize::from(count_storing(&sim, KEY, version) == sim.deployment.len());
     }
     in_time
 }
 
 #[test]
-fn lazy_repair_brings_changes_in_time_under_loss() {
-    // Comparison of stores would repair too, a little later.
+fn lazy_repair_keeps_updates_in_time_under_loss() {
+    // Anti-entropy would repair the stores too, a little later.
     let with_it = in_time_under_loss(Guards {
         anti_entropy: false,
         ..Guards::default()
@@ -53,13 +53,13 @@
     assert!(with_it >= 9 && without <= 4);
 }
 
-/// Nodes that lack a change 10 s after half a second in which its push and its announcement were
+/// Number of nodes that lack an update 10 s after half a second in which its push and its announcement were
 /// lost.
-fn lacking_after_blackout(guards: Guards) -> usize {
-    // No source is suspected, as the digest in a graft would repair too.
+fn missing_after_blackout(guards: Guards) -> usize {
+    // No parent is suspected, as the digest in a graft would repair the stores too.
     let settings = Settings {
         suspect_timeout: ms(2_500),
-        ..with(guards)
+        ..settings_with(guards)
     };
     let mut sim = Simulation::start(Deployment::HUNDRED, settings, 1);
     sim.run_for(ms(40_000));
@@ -68,13 +68,13 @@
     sim.run_for(ms(520));
     sim.loss = 0.0;
     sim.run_for(ms(10_000));
-    sim.deployment.len() - holders(&sim, KEY, 1)
+    sim.deployment.len() - count_storing(&sim, KEY, 1)
 }
 
 #[test]
-fn anti_entropy_finds_what_was_lost_and_not_announced_again() {
-    assert_eq!(lacking_after_blackout(Guards::default()), 0);
-    let without = lacking_after_blackout(Guards {
+fn anti_entropy_delivers_updates_whose_push_and_announcement_were_lost() {
+    assert_eq!(missing_after_blackout(Guards::default()), 0);
+    let without = missing_after_blackout(Guards {
         anti_entropy: false,
         ..Guards::default()
     });
@@ -82,9 +82,9 @@
     assert!(without > 0);
 }
 
-/// Older versions told after newer ones when a coordinator publishes from an old disk.
+/// Number of older versions reported after newer ones when a coordinator publishes an old version.
 fn regressions(guards: Guards) -> usize {
-    let mut sim = Simulation::start(Deployment::TWENTY, with(guards), 1);
+    let mut sim = Simulation::start(Deployment::TWENTY, settings_with(guards), 1);
     sim.run_for(ms(5_000));
     sim.publish(0, KEY, 5, 100);
     sim.run_for(ms(1_000));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_version_check_keeps_older_versions_out() {
+fn version_check_rejects_older_versions() {
     assert_eq!(regressions(Guards::default()), 0);
     assert!(
         regressions(Guards {
@@ -104,9 +104,9 @@
     );
 }
 
-/// Most agents linked to one coordinator, and most nodes fed by one agent.
-fn most_linked(guards: Guards) -> (usize, usize) {
-    let mut sim = Simulation::start(Deployment::HUNDRED, with(guards), 1);
+/// Most agents linked to one coordinator, and most children of one agent.
+fn max_links_and_children(guards: Guards) -> (usize, usize) {
+    let mut sim = Simulation::start(Deployment::HUNDRED, settings_with(guards), 1);
     sim.run_for(ms(15_000));
     let (coordinators, agents) = sim.nodes.split_at(sim.deployment.coordinators);
     let linked = coordinators.iter().filter_map(|node| node.overlay.as_ref());
@@ -116,22 +116,22 @@
             .filter(|node| !node.is_coordinator())
             .count()
     });
-    let fed = agents
+    let children = agents
         .iter()
         .filter_map(|node| node.overlay.as_ref())
         .map(|overlay| overlay.children().count());
-    (linked.max().unwrap_or(0), fed.max().unwrap_or(0))
+    (linked.max().unwrap_or(0), children.max().unwrap_or(0))
 }
 
 #[test]
-fn the_fanout_bound_holds() {
+fn fanout_bound_limits_links_and_children() {
     let settings = Settings::default();
-    let (linked, fed) = most_linked(Guards::default());
+    let (linked, children) = max_links_and_children(Guards::default());
     assert!(
-        linked <= settings.coordinator_fanout && fed <= settings.fanout,
-        "{linked} {fed}"
+        linked <= settings.coordinator_fanout && children <= settings.fanout,
+        "{linked} {children}"
     );
-    let (unbound, _) = most_linked(Guards {
+    let (unbound, _) = max_links_and_children(Guards {
         fanout_bound: false,
         ..Guards::default()
     });
@@ -140,9 +140,9 @@
 }
 
 /// Bytes of entries between regions for ten changes, for each byte of payload.
-fn crossings(guards: Guards) -> f64 {
+fn region_crossings(guards: Guards) -> f64 {
     const SIZE: usize = 5_000;
-    let mut sim = Simulation::start(Deployment::HUNDRED, with(guards), 1);
+    let mut sim = Simulation::start(Deployment::HUNDRED, settings_with(guards), 1);
     sim.run_for(ms(8_000));
     let far = |sim: &Simulation| {
         sim.nodes
@@ -156,7 +156,7 @@
         sim.run_for(ms(1_000));
     }
     println!(
-        "{} agents are fed from outside",
+        "{} agents have a remote parent",
         (5..105)
             .filter(|agent| sim.has_remote_parent(*agent))
             .count()
@@ -165,9 +165,9 @@
 }
 
 #[test]
-fn a_change_crosses_into_each_region_once() {
-    let with_them = crossings(Guards::default());
-    let without = crossings(Guards {
+fn region_heads_let_each_update_enter_a_region_once() {
+    let with_them = region_crossings(Guards::default());
+    let without = region_crossings(Guards {
         region_heads: false,
         ..Guards::default()
     });
@@ -176,9 +176,9 @@
     assert!(with_them < 4.5 && without > with_them + 2.0);
 }
 
-/// Milliseconds until nobody waits for the head of a region that has crashed.
-fn failover(guards: Guards) -> u64 {
-    let mut sim = Simulation::start(Deployment::HUNDRED, with(guards), 1);
+/// Milliseconds until no agent depends on the head of a region that has crashed.
+fn failover_ms(guards: Guards) -> u64 {
+    let mut sim = Simulation::start(Deployment::HUNDRED, settings_with(guards), 1);
     sim.run_for(ms(8_000));
     let head = (5..105)
         .find(|agent| sim.has_remote_parent(*agent))
@@ -194,12 +194,12 @@
 }
 
 #[test]
-fn suspicion_shortens_the_loss_of_a_source() {
-    let with_it = failover(Guards::default());
-    let without = failover(Guards {
+fn suspicion_shortens_the_failover_of_a_parent() {
+    let with_it = failover_ms(Guards::default());
+    let without = failover_ms(Guards {
         suspicion: false,
         ..Guards::default()
     });
-    println!("head crashed: all fed again after {with_it} ms, without suspicion {without} ms");
+    println!("head crashed: all attached again after {with_it} ms, without suspicion {without} ms");
     assert!(with_it < 1_800 && without > 2_200);
 }
--- a/crates/overlay/tests/overlay/load.rs
+++ b/crates/overlay/tests/overlay/load.rs
@@ -1,4 +1,4 @@
-//! Many changes at once, large ones, and nodes that have all to learn.
+//! Bursts of updates, large entries, and nodes that start without any entry.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 use crate::support::deployment::Deployment;
 use crate::support::simulation::{Simulation, ms};
 
-fn settled(deployment: Deployment) -> Simulation {
+fn start_converged(deployment: Deployment) -> Simulation {
     let mut sim = Simulation::start(deployment, Settings::default(), 1);
     sim.run_for(ms(8_000));
     sim
 }
 
-fn holds_all(sim: &Simulation, node: usize, keys: u64) -> bool {
+fn stores_all(sim: &Simulation, node: usize, keys: u64) -> bool {
     let overlay = sim.nodes[node].overlay.as_ref().expect("running");
     (0..keys).all(|key| overlay.store().version(key) > 0)
 }
 
-/// Time until `node` holds all `keys`, looked at every 10 ms.
-fn until_held(sim: &mut Simulation, nodes: &[usize], keys: u64) -> Duration {
+/// Runs until all `nodes` store all `keys`, checked every 10 ms, and returns the time.
+fn run_until_stored(sim: &mut Simulation, nodes: &[usize], keys: u64) -> Duration {
     let start = sim.now;
-    while !nodes.iter().all(|node| holds_all(sim, *node, keys)) {
+    while !nodes.iter().all(|node| stores_all(sim, *node, keys)) {
         assert!(sim.now - start < ms(10_000), "not within ten seconds");
         sim.run_for(ms(10));
     }
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn changes_close_together_travel_as_one_message() {
-    let mut sim = settled(Deployment::HUNDRED);
+fn updates_close_together_are_pushed_in_one_message() {
+    let mut sim = start_converged(Deployment::HUNDRED);
     let before: Vec<u64> = sim.nodes.iter().map(|node| node.pushes).collect();
     for key in 0..200 {
         sim.publish(0, key, 1, 100);
@@ -45,23 +45,23 @@
     let most = pushes.max().expect("nodes");
     println!("200 changes within 20 ms reach a node in {most} messages at most");
     assert!(most <= 4);
-    assert!((0..sim.deployment.len()).all(|node| holds_all(&sim, node, 200)));
+    assert!((0..sim.deployment.len()).all(|node| stores_all(&sim, node, 200)));
 }
 
 #[test]
-fn a_large_entry_is_everywhere_within_a_second() {
-    let mut sim = settled(Deployment::HUNDRED);
+fn large_entry_reaches_all_nodes_in_time() {
+    let mut sim = start_converged(Deployment::HUNDRED);
     sim.publish(0, 0, 1, 50_000);
     let all: Vec<usize> = (0..sim.deployment.len()).collect();
-    let time = until_held(&mut sim, &all, 1);
+    let time = run_until_stored(&mut sim, &all, 1);
     println!("an entry of 50 kB is everywhere after {time:?} (bandwidth not counted)");
     assert!(time < ms(400));
 }
 
 #[test]
-fn a_node_that_starts_learns_all_in_a_second() {
+fn restarted_node_receives_all_entries_in_time() {
     const KEYS: u64 = 2_000;
-    let mut sim = settled(Deployment::HUNDRED);
+    let mut sim = start_converged(Deployment::HUNDRED);
     for key in 0..KEYS {
         sim.publish(key as usize % 5, key, 1, 300);
     }
@@ -75,21 +75,21 @@
         sim.kill(agent);
         sim.run_for(ms(500));
         sim.start_node(agent);
-        worst = worst.max(until_held(&mut sim, &[agent], KEYS));
+        worst = worst.max(run_until_stored(&mut sim, &[agent], KEYS));
     }
     println!("an agent started anew holds 2,000 entries after {worst:?} at worst");
     assert!(worst < ms(2_000));
     sim.kill(1);
     sim.run_for(ms(500));
     sim.start_node(1);
-    let time = until_held(&mut sim, &[1], KEYS);
+    let time = run_until_stored(&mut sim, &[1], KEYS);
     println!("a coordinator started anew holds 2,000 entries after {time:?}");
     assert!(time < ms(2_000));
 }
 
-/// Median, 99 % and worst time for 20 changes to be everywhere, and how many were not within 5 s.
-fn spread(deployment: Deployment, loss: f64) -> (Vec<Duration>, usize) {
-    let mut sim = settled(deployment);
+/// The sorted delays of 20 updates to all nodes, and the number that exceeded 5 s.
+fn delays_and_late(deployment: Deployment, loss: f64) -> (Vec<Duration>, usize) {
+    let mut sim = start_converged(deployment);
     sim.loss = loss;
     let mut delays = Vec::new();
     let mut late = 0;
@@ -106,7 +106,7 @@
 
 #[test]
 #[ignore = "for the figures in docs/CAPACITY.md; in release"]
-fn spread_by_size_and_loss() {
+fn delays_by_size_and_loss() {
     let regions = |agents: usize| if agents < 50 { 2 } else { 10 };
     for agents in [7, 30, 100, 300, 1_000] {
         let coordinator_regions = if agents < 50 { 2 } else { 5 };
@@ -118,7 +118,7 @@
             coordinator_regions,
         };
         for loss in [0.0, 0.01, 0.1] {
-            let (delays, late) = spread(deployment, loss);
+            let (delays, late) = delays_and_late(deployment, loss);
             let at = |part: usize| delays[(delays.len() - 1) * part / 100];
             println!(
                 "{agents:>5} agents, loss {loss}: median {:?} 99 % {:?} worst {:?}, {late} of {} later than 5 s",
--- a/crates/overlay/tests/overlay/random_faults.rs
+++ b/crates/overlay/tests/overlay/random_faults.rs
@@ -1,5 +1,5 @@
-//! Random faults, many seeds: after the last one all nodes come to agree, and no version ever goes
-//! back.
+//! Random faults over many seeds: after the last fault all nodes converge, and no node ever reports
+//! an older version after a newer one.
 
 use std::collections::BTreeMap;
 
@@ -46,7 +46,7 @@
         match self.random.random_range(0..12) {
             0 => self.kill(),
             1 => self.power_off(),
-            2 | 3 => self.boot_one(),
+            2 | 3 => self.start_one(),
             4 => self.cut_one_way(),
             5 => self.cut_region(),
             6 => self.sim.heal(),
@@ -88,7 +88,7 @@
         self.sim.power_off(node);
     }
 
-    fn boot_one(&mut self) {
+    fn start_one(&mut self) {
         let down: Vec<usize> = (0..self.sim.deployment.len())
             .filter(|node| !self.sim.is_running(*node))
             .collect();
@@ -98,15 +98,15 @@
         }
     }
 
-    /// Starts a node; a coordinator publishes again what it has on its disk.
+    /// Starts a node; a coordinator publishes the versions on its disk again.
     fn start_node(&mut self, node: usize) {
         self.sim.start_node(node);
         for (key, (version, removed)) in self.disks.get(node).cloned().unwrap_or_default() {
-            self.tell(node, key, version, removed);
+            self.publish_version(node, key, version, removed);
         }
     }
 
-    fn tell(&mut self, node: usize, key: u64, version: u64, removed: bool) {
+    fn publish_version(&mut self, node: usize, key: u64, version: u64, removed: bool) {
         if removed {
             self.sim.dispatch(node, Event::Remove { key, version });
         } else {
@@ -127,7 +127,7 @@
             self.random.random_bool(0.2),
         );
         self.disks[node].insert(key, (self.version, removed));
-        self.tell(node, key, self.version, removed);
+        self.publish_version(node, key, self.version, removed);
     }
 
     fn cut_one_way(&mut self) {
@@ -147,8 +147,8 @@
         });
     }
 
-    /// Ends all faults and waits.
-    fn settle(&mut self) {
+    /// Ends all faults and waits for convergence.
+    fn converge(&mut self) {
         self.sim.heal();
         self.sim.loss = 0.0;
         for node in 0..self.sim.deployment.len() {
@@ -200,11 +200,11 @@
     }
 }
 
-fn hunt(deployment: Deployment, seeds: std::ops::Range<u64>) {
+fn check_seeds(deployment: Deployment, seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let mut script = Script::new(deployment, seed);
         (0..STEPS).for_each(|_| script.step());
-        script.settle();
+        script.converge();
         script.check(seed);
     }
 }
@@ -218,24 +218,24 @@
 };
 
 #[test]
-fn three_coordinators_under_random_faults() {
-    hunt(Deployment::TWENTY, 0..30);
+fn three_coordinators_converge_after_random_faults() {
+    check_seeds(Deployment::TWENTY, 0..30);
 }
 
 #[test]
-fn five_coordinators_under_random_faults() {
-    hunt(FIVE, 0..30);
+fn five_coordinators_converge_after_random_faults() {
+    check_seeds(FIVE, 0..30);
 }
 
 #[test]
-fn a_small_deployment_under_random_faults() {
-    hunt(Deployment::SMALL, 0..30);
+fn small_deployment_converges_after_random_faults() {
+    check_seeds(Deployment::SMALL, 0..30);
 }
 
 #[test]
 #[ignore = "minutes; in release"]
-fn a_thousand_seeds_each() {
-    hunt(Deployment::SMALL, 1_000..2_000);
-    hunt(Deployment::TWENTY, 1_000..2_000);
-    hunt(FIVE, 1_000..2_000);
+fn deployments_converge_over_a_thousand_seeds_each() {
+    check_seeds(Deployment::SMALL, 1_000..2_000);
+    check_seeds(Deployment::TWENTY, 1_000..2_000);
+    check_seeds(FIVE, 1_000..2_000);
 }
--- a/crates/overlay/tests/overlay/support/mod.rs
+++ b/crates/overlay/tests/overlay/support.rs
@@ -6,4 +6,5 @@
 mod event_queue;
 pub(crate) mod node;
 pub(crate) mod simulation;
+pub(crate) mod statistics;
 pub(crate) mod traffic;
--- a/crates/overlay/tests/overlay/support/cuts.rs
+++ b/crates/overlay/tests/overlay/support/cuts.rs
@@ -11,7 +11,7 @@
 pub(super) type CutPredicate = Box<dyn Fn(&Descriptor, &Descriptor) -> bool>;
 
 /// Time for which sent bytes may stay unacknowledged before the sender closes the connection
-/// (TCP_USER_TIMEOUT).
+/// (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = ms(2_000);
 
 /// What happens to messages and connections across a cut.
