--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -99,16 +99,16 @@
 enum Readiness<V> {
     /// At once: it tells nothing that isn't durable.
     Immediate(ReplyBody<V>),
-    /// Once the record as it stands now is durable.
+    /// Once the current record is durable.
     AfterWrite(ReplyBody<V>),
 }
 
 /// One replica's promises and acceptances.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor<V> {
-    /// The record as it stands in memory.
+    /// The current record, in memory.
     record: Record<V>,
-    /// The record as it is known to stand on the disk.
+    /// The record that is known to be durable.
     durable: Record<V>,
     /// Whether `record` has changed since the last write began.
     is_dirty: bool,
@@ -334,8 +334,8 @@
         })
     }
 
-    /// A reply that tells the record as it stands: a promise or an acceptance given before may be
-    /// durable already.
+    /// The readiness of a reply that reports the current record. A promise or an acceptance that
+    /// was given before may be durable already.
     fn after_write_unless_durable(&mut self, body: ReplyBody<V>) -> Readiness<V> {
         let is_durable = self.record.promised == self.durable.promised
             && self.record.accepted_ballot() == self.durable.accepted_ballot();
--- a/crates/register/src/acceptor/tests.rs
+++ b/crates/register/src/acceptor/tests.rs
@@ -118,7 +118,10 @@
         reply_after_write(&mut acceptor, prepare(&member(), 7)),
         ReplyBody::Promise { .. }
     );
-    assert_matches!(reply_after_write(&mut acceptor, prepare(&member(), 6)), ReplyBody::Conflict { promised } if promised == ballot(7));
+    assert_matches!(
+        reply_after_write(&mut acceptor, prepare(&member(), 6)),
+        ReplyBody::Conflict { promised } if promised == ballot(7)
+    );
     assert_matches!(
         reply_after_write(&mut acceptor, accept(&member(), 6, 1)),
         ReplyBody::Conflict { .. }
@@ -154,7 +157,14 @@
         body: RequestBody::Query { known: ballot(4) },
     };
     let result = reply_after_write(&mut acceptor, query);
-    assert_matches!(result, ReplyBody::QueryResult(AcceptorState { accepted: Some(accepted), proposal: None, .. }) if accepted == ballot(4));
+    assert_matches!(
+        result,
+        ReplyBody::QueryResult(AcceptorState {
+            accepted: Some(accepted),
+            proposal: None,
+            ..
+        }) if accepted == ballot(4)
+    );
 }
 
 #[test]
@@ -246,7 +256,10 @@
     );
     let write = acceptor.next_write().expect("a write");
     assert_eq!(acceptor.persisted(write.token), []);
-    assert_matches!(reply_after_write(&mut acceptor, query), ReplyBody::QueryResult(state) if state.accepted.is_some());
+    assert_matches!(
+        reply_after_write(&mut acceptor, query),
+        ReplyBody::QueryResult(state) if state.accepted.is_some()
+    );
     assert_matches!(
         reply_after_write(&mut acceptor, prepare(&member(), 6)),
         ReplyBody::Conflict { .. }
--- a/crates/register/src/bootstrap.rs
+++ b/crates/register/src/bootstrap.rs
@@ -12,17 +12,17 @@
 //! - All other initial members have voted for nothing: then no earlier incarnation of this one was
 //!   part of a decision either, since each decision has a majority, and so another member. It is an
 //!   initial member.
-//! - Some are unreachable: if those heard from are a majority together with this one, and all of them
-//!   had empty disks too when first heard from, the system starts with machines missing. This is
-//!   assumed only after a time-out. Otherwise the check waits: the missing one may be the only other
-//!   that knows a decision.
+//! - Some are unreachable: if those heard from are a majority together with this one, and all of
+//!   them had empty disks too when first heard from, the system starts with machines missing. This
+//!   is assumed only after a time-out. Otherwise the check waits: the missing one may be the only
+//!   other that knows a decision.
 //!
-//! A replica that has become a member votes only once all initial members are, or after the time-out
-//! a majority: its votes would tell the others that the system had started before them, and one that
-//! isn't a member yet would then take another identity and be a member again only after a change of
-//! the replica set. Until then the next loss would leave no majority. A member that restarts from its
-//! disk and has voted for nothing yet ([`BootstrapCheck::restarted`]) waits for a majority, too: the
-//! others may not have started.
+//! A replica that has become a member votes only once all initial members are, or after the
+//! time-out a majority: its votes would tell the others that the system had started before them,
+//! and one that isn't a member yet would then take another identity and be a member again only
+//! after a change of the replica set. Until then the next loss would leave no majority. A member
+//! that restarts from its disk and has voted for nothing yet ([`BootstrapCheck::restarted`]) waits
+//! for a majority, too: the others may not have started.
 //!
 //! What remains unprotected: a loss of the disks of a majority, which loses the decisions
 //! themselves; and a promise to a coordinator that is no initial member, given and lost with the
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Whether this member may vote: all initial members are members, or after the time-out, or after
-    /// a restart, a majority of them is.
+    /// Whether this member may vote: all initial members are members, or after the time-out, or
+    /// after a restart, a majority of them is.
     pub(crate) fn may_vote(&mut self, now: Duration) -> bool {
         let majority_suffices = self.has_timed_out(now) || self.has_restarted;
         let needed = if majority_suffices {
--- a/crates/register/src/learner.rs
+++ b/crates/register/src/learner.rs
@@ -1,5 +1,5 @@
-//! The learner: what a node knows as chosen, and since when it has held an accepted proposal that
-//! it doesn't know as chosen.
+//! The learner: what a node knows as chosen, and since when it has had an accepted proposal that it
+//! doesn't know as chosen.
 
 use std::time::Duration;
 
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -1,7 +1,18 @@
-//! The compare-and-swap register: two quorum rounds, no log, no leader; without I/O.
+//! The compare-and-swap register: a replicated, linearizable state that is changed in two quorum
+//! rounds, without a log and without a leader (`CASPaxos`, Rystsov 2018).
 //!
-//! After `CASPaxos` (Rystsov 2018). A [`Node`] takes [`Event`]s with the time of a steady clock and
-//! gives [`Action`]s; the caller sends messages, makes records durable and keeps one timer.
+//! The crate performs no I/O and reads no clock. A [`Node`] handles [`Event`]s at times of a steady
+//! clock and returns [`Action`]s; the caller sends the messages, makes the records durable and
+//! keeps one timer. This lets a simulation repeat every run from its seed.
+//!
+//! Where to read on:
+//!
+//! - [`acceptor`], [`round`], [`learner`]: the roles of Paxos; the proposer drives the rounds.
+//! - [`operation`]: what can be asked of the register, and how it ends.
+//! - [`replicas`], [`reconfiguration`]: the replica set, and when it is changed.
+//! - [`quorum_lease`]: whether a majority of the replicas is reachable.
+//! - [`message`], [`Record`]: the formats on the wire and the disk.
+//! - [`guard`]: the rules of safety, which mutation tests remove one at a time.
 #![forbid(unsafe_code)]
 
 pub mod acceptor;
--- a/crates/register/src/node.rs
+++ b/crates/register/src/node.rs
@@ -1,5 +1,5 @@
-//! One coordinator's part in the register: acceptor, proposer, learner, quorum lease and replica-set
-//! controller behind one interface.
+//! One coordinator's part in the register: acceptor, proposer, learner, quorum lease and
+//! replica-set controller behind one interface.
 //!
 //! A node performs no I/O. It handles one [`Event`] at a time and returns [`Action`]s; it reads no
 //! clock, so a simulation can repeat every run.
@@ -50,8 +50,8 @@
     leaving: bool,
     controller: ReplicaSetController,
     /// Whether a state was read from a majority, or chosen by one, since the node started. What
-    /// others report before may be older than what this node acknowledged before it restarted, so it
-    /// is not reported as learned.
+    /// others report before may be older than what this node acknowledged before it restarted, so
+    /// it is not reported as learned.
     has_read: bool,
     /// The bootstrap check, until it is concluded; the node gives no vote before.
     bootstrap_check: Option<BootstrapCheck<V>>,
@@ -124,8 +124,8 @@
     }
 
     /// When the newest heartbeat was sent that a majority of the replicas has acknowledged; of both
-    /// sets while the membership is joint. Nothing before the first such acknowledgements, or before
-    /// any replica set is known.
+    /// sets while the membership is joint. Nothing before the first such acknowledgements, or
+    /// before any replica set is known.
     #[must_use]
     pub fn quorum_confirmed_at(&self, now: Duration) -> Option<Duration> {
         self.quorum_lease
--- a/crates/register/src/node/event.rs
+++ b/crates/register/src/node/event.rs
@@ -10,7 +10,7 @@
 use crate::operation::{Operation, OperationId, Outcome};
 use crate::state::State;
 
-/// What happened.
+/// An event that a node handles.
 #[derive(Debug)]
 pub enum Event<V> {
     /// A message arrived.
@@ -37,7 +37,7 @@
     Timer,
 }
 
-/// What is to be done.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action<V> {
     /// Send a message; it may be lost.
@@ -47,13 +47,13 @@
         /// The message.
         message: Message<V>,
     },
-    /// Make the record durable in place of the one before, then report [`Event::Persisted`]. At most
-    /// one write is in flight at a time.
+    /// Make the record durable in place of the one before, then report [`Event::Persisted`]. At
+    /// most one write is in flight at a time.
     ///
     /// A write or sync that fails is not reported: the caller writes the whole record again, to
-    /// another file, until that is durable. Until then the replica promises and accepts nothing new.
-    /// That is safe since a failed write is like one that a crash interrupts: the record may be found
-    /// on the disk later or not, and no reply depends on it.
+    /// another file, until that is durable. Until then the replica promises and accepts nothing
+    /// new. That is safe since a failed write is like one that a crash interrupts: the record may
+    /// be found on the disk later or not, and no reply depends on it.
     Persist(Write<V>),
     /// An operation has ended.
     Completed {
--- a/crates/register/src/node/heartbeat.rs
+++ b/crates/register/src/node/heartbeat.rs
@@ -21,8 +21,8 @@
         }
     }
 
-    /// Counts a response, unless its sender has a newer replica set: then that set is fetched first,
-    /// so that no lease rests on an outdated set.
+    /// Counts a response, unless its sender has a newer replica set: then that set is fetched
+    /// first, so that no lease rests on an outdated set.
     pub(super) fn receive_heartbeat_response(
         &mut self,
         now: Duration,
--- a/crates/register/src/node/read_repair.rs
+++ b/crates/register/src/node/read_repair.rs
@@ -1,6 +1,6 @@
 //! Read repair: a proposal that was accepted here but isn't known as chosen is read from a quorum,
-//! which completes it, and a joint membership is left. Guards against a change that stays undecided,
-//! and a replica set that stays joint, because the proposer crashed.
+//! which completes it, and a joint membership is left. Guards against a change that stays
+//! undecided, and a replica set that stays joint, because the proposer crashed.
 
 use std::time::Duration;
 
--- a/crates/register/src/node/reconfiguration.rs
+++ b/crates/register/src/node/reconfiguration.rs
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Gives up the membership while the disk completes no write: a replica that can't vote is of no
-    /// use as a member.
+    /// Gives up the membership while the disk completes no write: a replica that can't vote is of
+    /// no use as a member.
     pub(super) fn report_disk_stall(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         let timeout = self.settings.unreachable_timeout;
         let is_stalled = self
--- a/crates/register/src/proposer/batch.rs
+++ b/crates/register/src/proposer/batch.rs
@@ -1,5 +1,5 @@
-//! Operations that one acceptance decides together: each is applied to the result of the ones before
-//! it. Batching lets any number of queued operations share two round trips.
+//! Operations that one acceptance decides together: each is applied to the result of the ones
+//! before it. Batching lets any number of queued operations share two round trips.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -163,8 +163,8 @@
 }
 
 impl<V: Clone> Draft<V> {
-    /// Begins with the state that was read. If its membership is joint and it is chosen, the old set
-    /// is left. While it isn't chosen, an older state may still be, by the old set alone (Raft,
+    /// Begins with the state that was read. If its membership is joint and it is chosen, the old
+    /// set is left. While it isn't chosen, an older state may still be, by the old set alone (Raft,
     /// Ongaro and Ousterhout 2014, section 6).
     fn new(read: &QuorumRead<V>, guards: Guards) -> Self {
         let state = &read.proposal.state;
--- a/crates/register/src/proposer/pacing.rs
+++ b/crates/register/src/proposer/pacing.rs
@@ -1,6 +1,7 @@
 //! Pacing among proposers: deference to another's ballot, backoff after conflicts, and the measured
-//! round trip time. It guards against duelling proposers, which pre-empt each other's rounds so that
-//! none completes (Lamport 2001, "Paxos Made Simple", section 2.4). Safety never depends on it.
+//! round trip time. It guards against duelling proposers, which pre-empt each other's rounds so
+//! that none completes (Lamport 2001, "Paxos Made Simple", section 2.4). Safety never depends on
+//! it.
 
 use std::time::Duration;
 
--- a/crates/register/src/proposer/queries.rs
+++ b/crates/register/src/proposer/queries.rs
@@ -45,8 +45,8 @@
         self.begin(now, round, Batch::default(), effects);
     }
 
-    /// Completes the reads with a chosen state. If the quorum disagrees, the round is abandoned after
-    /// a while, and the reads go to another query or to a prepare.
+    /// Completes the reads with a chosen state. If the quorum disagrees, the round is abandoned
+    /// after a while, and the reads go to another query or to a prepare.
     pub(super) fn advance_query(
         &mut self,
         now: Duration,
--- a/crates/register/src/proposer/queue.rs
+++ b/crates/register/src/proposer/queue.rs
@@ -11,8 +11,8 @@
 use crate::state::State;
 
 impl<V: Clone> Proposer<V> {
-    /// Queues an operation; `deadline` is a time of the node's clock. Nobody awaits the outcome of an
-    /// operation without `id`.
+    /// Queues an operation; `deadline` is a time of the node's clock. Nobody awaits the outcome of
+    /// an operation without `id`.
     pub(crate) fn submit(
         &mut self,
         id: Option<OperationId>,
--- a/crates/register/src/quorum_lease.rs
+++ b/crates/register/src/quorum_lease.rs
@@ -1,14 +1,14 @@
 //! The quorum lease: by which time this node last sent a heartbeat that a majority of the replicas
 //! has acknowledged. Compare raft-rs's `check_quorum` and Gray and Cheriton's leases (1989).
 //!
-//! A node sends heartbeats to all coordinators that it knows, at regular intervals. Its lease counts
-//! from the *sending* of the newest heartbeat that a majority has acknowledged, by the node's own
-//! steady clock: time in which a response was in transit, or waited while this process was paused,
-//! shortens the lease. No two clocks are compared.
+//! A node sends heartbeats to all coordinators that it knows, at regular intervals. Its lease
+//! counts from the *sending* of the newest heartbeat that a majority has acknowledged, by the
+//! node's own steady clock: time in which a response was in transit, or waited while this process
+//! was paused, shortens the lease. No two clocks are compared.
 //!
-//! A response counts only if its sender has no newer replica set than this node. This guards against
-//! a lease by the quorum of an outdated set: any newer set is accepted by a majority of the one
-//! before it, so one of the replicas that respond would report it.
+//! A response counts only if its sender has no newer replica set than this node. This guards
+//! against a lease by the quorum of an outdated set: any newer set is accepted by a majority of the
+//! one before it, so one of the replicas that respond would report it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
--- a/crates/register/src/reconfiguration.rs
+++ b/crates/register/src/reconfiguration.rs
@@ -2,8 +2,9 @@
 //! received from the coordinators and by their status.
 //!
 //! Safety never depends on it: a change is decided like any other, by the majorities of a joint
-//! membership. It guards against a register that bears no further loss, because a lost replica isn't
-//! replaced, and against needless changes, because one node alone can't hear a healthy member.
+//! membership. It guards against a register that tolerates no further loss because a lost replica
+//! isn't replaced, and against needless changes because one node alone can't reach a healthy
+//! member.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -170,8 +171,8 @@
             .collect()
     }
 
-    /// The change to be proposed now. Changes are proposed one at a time, each a while after the one
-    /// before.
+    /// The change to be proposed now. Changes are proposed one at a time, each a while after the
+    /// one before.
     pub fn due_change(&mut self, now: Duration, members: &Membership) -> Option<DueChange> {
         let Some(change) = self.needed_change(now, members) else {
             self.needed = None;
--- a/crates/register/src/reconfiguration/plan.rs
+++ b/crates/register/src/reconfiguration/plan.rs
@@ -79,7 +79,7 @@
     }
 
     /// Adds a standby, if there are fewer members than aimed at. An odd set grows only if the next
-    /// odd size can be reached, since an even set bears no more losses.
+    /// odd size can be reached, since an even set tolerates no more losses.
     fn grow(&self) -> Option<ReplicaChange> {
         if self.set.len() >= self.target {
             return None;
@@ -96,8 +96,8 @@
         standbys.into_iter().next().map(ReplicaChange::Add)
     }
 
-    /// Removes a lost member of an even set that nobody can replace: the set bears as many losses
-    /// without it.
+    /// Removes a lost member of an even set that nobody can replace: the set tolerates as many
+    /// losses without it.
     fn make_odd(&self) -> Option<ReplicaChange> {
         if !self.set.len().is_multiple_of(2) || self.set.len() <= 2 {
             return None;
--- a/crates/register/src/reconfiguration/tests.rs
+++ b/crates/register/src/reconfiguration/tests.rs
@@ -65,7 +65,11 @@
     let address = replica(3, "c").address;
     controller.message_received(NOW, Identity(33), address);
     let change = due(&mut controller, &members(&[1, 2, 3]));
-    assert_matches!(change, Some(ReplicaChange::Replace { removed: Identity(3), added }) if added.identity == Identity(33));
+    assert_matches!(
+        change,
+        Some(ReplicaChange::Replace { removed: Identity(3), added })
+            if added.identity == Identity(33)
+    );
     controller.message_received(NOW, Identity(3), address);
     assert_eq!(
         controller.peers[&address].identity,
@@ -78,7 +82,11 @@
 fn a_standby_in_a_zone_without_a_member_is_preferred() {
     let mut controller = controller(&[(2, "b"), (4, "b"), (5, "c")]);
     let change = due(&mut controller, &members(&[1, 2, 3]));
-    assert_matches!(change, Some(ReplicaChange::Replace { removed: Identity(3), added }) if added.identity == Identity(5));
+    assert_matches!(
+        change,
+        Some(ReplicaChange::Replace { removed: Identity(3), added })
+            if added.identity == Identity(5)
+    );
 }
 
 #[test]
@@ -103,11 +111,14 @@
 #[test]
 fn a_set_below_the_target_grows() {
     let mut even = controller(&[(2, "b"), (3, "c")]);
-    assert_matches!(due(&mut even, &members(&[1, 2])), Some(ReplicaChange::Add(added)) if added.identity == Identity(3));
+    assert_matches!(
+        due(&mut even, &members(&[1, 2])),
+        Some(ReplicaChange::Add(added)) if added.identity == Identity(3)
+    );
     assert_eq!(
         due(&mut controller(&[(2, "b")]), &members(&[1])),
         None,
-        "two bear no more than one"
+        "two replicas tolerate no more losses than one"
     );
 }
 
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -1,8 +1,8 @@
 //! One round of a proposer: the replies counted so far and what follows from them (Rystsov 2018,
 //! section 2). A round knows no time and sends nothing itself.
 //!
-//! A round either queries (reads without a promise), or prepares (phase 1) and then accepts
-//! (phase 2). Its quorums are those of the newest membership that it has seen: this guards against a
+//! A round either queries (reads without a promise), or prepares (phase 1) and then accepts (phase
+//! 2). Its quorums are those of the newest membership that it has seen: this guards against a
 //! decision by a replica set that is no longer in force.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,8 +32,8 @@
 pub struct QuorumRead<V> {
     /// The state, with the ballot in which it was accepted.
     pub proposal: Proposal<V>,
-    /// Whether it is known as chosen. If it isn't, it may have been chosen or may yet be, and has to
-    /// be accepted again before it is reported.
+    /// Whether it is known as chosen. If it isn't, it may have been chosen or may yet be, and has
+    /// to be accepted again before it is reported.
     pub is_chosen: bool,
 }
 
@@ -207,8 +207,8 @@
     }
 
     /// The memberships whose replicas receive the requests. In the accept phase it is that of the
-    /// proposal. Before, it is that of the newest proposal seen, which may not be chosen, and that of
-    /// the newest one reported or known as chosen, which may be another.
+    /// proposal. Before, it is that of the newest proposal seen, which may not be chosen, and that
+    /// of the newest one reported or known as chosen, which may be another.
     fn memberships(&self) -> impl Iterator<Item = &Membership> {
         let reported_or_known = newest(self.newest.as_ref(), self.known.as_ref());
         let read = std::iter::once(&self.view)
@@ -245,8 +245,8 @@
         }
     }
 
-    /// Whether the newest proposal reported is known as chosen: because a node said so, or because a
-    /// quorum has accepted it.
+    /// Whether the newest proposal reported is known as chosen: because a node said so, or because
+    /// a quorum has accepted it.
     fn is_known_as_chosen(&self, proposal: &Proposal<V>) -> bool {
         let has_accepted = |identity| self.reported.get(&identity) == Some(&Some(proposal.ballot));
         proposal.ballot <= self.chosen
--- a/crates/register/src/round/tests.rs
+++ b/crates/register/src/round/tests.rs
@@ -58,7 +58,10 @@
     round.record_reply(Identity(1), query_result(&newer));
     assert_eq!(round.quorum_read(), None, "a duplicate reply counts once");
     round.record_reply(Identity(2), query_result(&newer));
-    assert_matches!(round.quorum_read(), Some(QuorumRead { proposal, is_chosen: true }) if proposal == newer);
+    assert_matches!(
+        round.quorum_read(),
+        Some(QuorumRead { proposal, is_chosen: true }) if proposal == newer
+    );
 }
 
 #[test]
@@ -68,7 +71,10 @@
     let mut round = query(&known);
     round.record_reply(Identity(1), query_result(&known));
     round.record_reply(Identity(2), query_result(&newer));
-    assert_matches!(round.quorum_read(), Some(QuorumRead { proposal, is_chosen: false }) if proposal == newer);
+    assert_matches!(
+        round.quorum_read(),
+        Some(QuorumRead { proposal, is_chosen: false }) if proposal == newer
+    );
 }
 
 #[test]
--- a/crates/register/src/settings.rs
+++ b/crates/register/src/settings.rs
@@ -1,7 +1,8 @@
 //! Settings of a node, nearly all of them times of its steady clock.
 //!
-//! No setting bears on safety except [`Settings::guards`]: two nodes with different settings never
-//! decide differently. A bad value costs availability, latency or messages, as each field says.
+//! The decisions of the register are safe with any values, also if nodes have different ones; only
+//! [`Settings::guards`] could change that. A bad value costs availability, latency or messages, as
+//! each field says.
 
 use std::time::Duration;
 
@@ -49,8 +50,8 @@
     /// takes longer.
     pub bootstrap_timeout: Duration,
     /// A member from which no message has come for this time may be replaced. Too short, a member
-    /// is replaced because of a few lost messages; too long, the register bears no further loss for
-    /// that time.
+    /// is replaced because of a few lost messages; too long, the register tolerates no further loss
+    /// for that time.
     pub unreachable_timeout: Duration,
     /// Wait before a replica change is proposed, for each live member of smaller identity. Too
     /// short, several nodes propose the same change and conflict; too long, a change that the first
@@ -60,7 +61,8 @@
     /// has acknowledged is without a quorum. Below a few round trips, nodes lose the lease by
     /// chance; the longer it is, the longer a partitioned node goes on.
     pub quorum_lease: Duration,
-    /// Number of replicas aimed at; odd. An even number costs a replica that bears no further loss.
+    /// Number of replicas aimed at; odd. An even number costs one more replica and tolerates no
+    /// more losses.
     pub target_replicas: usize,
     /// Safety guards; all are in force outside mutation tests.
     pub guards: Guards,
--- a/crates/register/src/state.rs
+++ b/crates/register/src/state.rs
@@ -39,6 +39,7 @@
     }
 
     /// The state that results from a change proposed in that ballot.
+    #[must_use]
     pub fn successor(&self, ballot: Ballot, members: Membership, value: Arc<V>) -> Self {
         let excess = (self.history.len() + 1).saturating_sub(MAX_HISTORY);
         let mut history = self.history[excess..].to_vec();
--- a/crates/register/tests/exhaustive/mod.rs
+++ b/crates/register/tests/exhaustive/mod.rs
@@ -1,5 +1,5 @@
-//! The register as a model: hosts with an acceptor each, proposers on the first of them, and requests
-//! in transit.
+//! The register as a model: hosts with an acceptor each, proposers on the first of them, and
+//! requests in transit.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,8 +25,8 @@
 pub(crate) enum Task {
     /// Append a content.
     Put(u8),
-    /// Append a content if there are that many others: an operator's change on a base version, which
-    /// several proposers may have.
+    /// Append a content if there are that many others: an operator's change on a base version,
+    /// which several proposers may have.
     ConditionalPut { base: u8, content: u8 },
     /// Make the membership joint; in the next set the spare replaces the last member.
     EnterJoint,
@@ -42,8 +42,8 @@
     /// Ballots of each proposer.
     pub ballots: Vec<u8>,
     /// Whether a proposer begins another round only if its round is lost or forgotten, and not also
-    /// while it waits for acceptances. Before the accept phase, an abandoned round is the same as one
-    /// whose replies are late.
+    /// while it waits for acceptances. Before the accept phase, an abandoned round is the same as
+    /// one whose replies are late.
     pub waits_for_acceptances: bool,
     pub restarts: u8,
     pub wipes: u8,
@@ -56,7 +56,7 @@
 pub(crate) enum Joint {
     /// It wasn't.
     None,
-    /// By one that left it half-completed: the last proposer's host and the spare hold it.
+    /// The change is incomplete: the last proposer's host and the spare have accepted it.
     Incomplete,
     /// It is chosen, and only the last proposer knows.
     Chosen,
@@ -353,7 +353,7 @@
         };
         if round.phase == Phase::Accept {
             if let Some(chosen) = round.chosen().cloned() {
-                self.decide(model_state, proposer, chosen);
+                Self::decide(model_state, proposer, chosen);
             }
             return;
         }
@@ -365,7 +365,7 @@
         let next = successor(task, &read, ballot, self.guards);
         let is_answer = matches!(task, Task::ConditionalPut { .. }) && is_completed(task, &next);
         if read.is_chosen && next == read.proposal.state && !is_answer {
-            self.decide(model_state, proposer, read.proposal);
+            Self::decide(model_state, proposer, read.proposal);
             return;
         }
         round.start_accept(Proposal {
@@ -376,7 +376,7 @@
     }
 
     /// A state is known as chosen; the proposer has completed its task if the state shows it.
-    fn decide(&self, model_state: &mut ModelState, proposer: usize, chosen: Proposal<Value>) {
+    fn decide(model_state: &mut ModelState, proposer: usize, chosen: Proposal<Value>) {
         let known = model_state
             .decided
             .entry(chosen.state.sequence)
@@ -427,8 +427,8 @@
 }
 
 /// Sends the proposer's current request to all replicas that have not received it. Of its earlier
-/// requests only those to accept may still be delivered: a promise that no round awaits is the same as
-/// one more lost reply.
+/// requests only those to accept may still be delivered: a promise that no round awaits is the same
+/// as one more lost reply.
 fn send_requests(model_state: &mut ModelState, proposer: usize) {
     forget_prepares(model_state, proposer);
     let Some(round) = &model_state.proposers[proposer].round else {
--- a/crates/register/tests/model.rs
+++ b/crates/register/tests/model.rs
@@ -68,7 +68,8 @@
     }
 }
 
-/// A replica change was left incomplete; a proposer that finds it continues it while another writes.
+/// A replica change was left incomplete; a proposer that finds it continues it while another
+/// writes.
 fn incomplete_joint(ballots: [u8; 2]) -> Bounds {
     Bounds {
         tasks: vec![Task::Put(1), Task::LeaveJoint],
--- a/crates/register/tests/orders.rs
+++ b/crates/register/tests/orders.rs
@@ -82,8 +82,8 @@
     world.submit(host, Some(change), LIMIT)
 }
 
-/// Submits a change to every host that runs, without faults; returns whether all of them acknowledge
-/// it.
+/// Submits a change to every host that runs, without faults; returns whether all of them
+/// acknowledge it.
 fn is_acknowledged(world: &mut World, change: Change) -> bool {
     let hosts: Vec<usize> = world.up().collect();
     let mut answers = Vec::new();
--- a/crates/register/tests/quorum_lease.rs
+++ b/crates/register/tests/quorum_lease.rs
@@ -144,8 +144,8 @@
     );
 }
 
-/// 0 was replaced by 3 while it was partitioned, and then reaches only 2: a majority of the set that
-/// 0 knows, but not of the one in force.
+/// 0 was replaced by 3 while it was partitioned, and then reaches only 2: a majority of the set
+/// that 0 knows, but not of the one in force.
 #[test]
 fn a_majority_of_an_outdated_set_gives_no_lease() {
     for seed in 0..30 {
--- a/crates/register/tests/redundancy.rs
+++ b/crates/register/tests/redundancy.rs
@@ -88,7 +88,8 @@
                     let (median, worst) = (times[times.len() / 2], times[times.len() - 1]);
                     let high = times[times.len() * 99 / 100];
                     println!(
-                        "{members} members, {loss:?}, {name}, busy {busy}: median {median:?}, 99 % {high:?}, worst {worst:?}"
+                        "{members} members, {loss:?}, {name}, busy {busy}: median {median:?}, \
+                         99 % {high:?}, worst {worst:?}"
                     );
                     assert!(worst < SYNC_TIME);
                     if !busy && name == "near" {
--- a/crates/register/tests/restart.rs
+++ b/crates/register/tests/restart.rs
@@ -75,8 +75,8 @@
     world
 }
 
-/// Host 0 hears from the others before they hear from it, and has a change at once: it must not vote
-/// before they are members.
+/// Host 0 hears from the others before they hear from it, and has a change at once: it must not
+/// vote before they are members.
 #[test]
 fn a_change_during_the_first_start_leaves_all_initial_members_members() {
     for seed in 0..40 {
--- a/crates/register/tests/simulation.rs
+++ b/crates/register/tests/simulation.rs
@@ -47,7 +47,8 @@
             .for_each(|(total, count)| *total += count);
     }
     println!(
-        "acknowledged, rejected, unknown, expired, reads, replica changes, failed writes, messages: {total:?}"
+        "acknowledged, rejected, unknown, expired, reads, replica changes, failed writes, \
+         messages: {total:?}"
     );
     assert!(
         violated.is_empty(),
--- a/crates/register/tests/support/checks.rs
+++ b/crates/register/tests/support/checks.rs
@@ -114,14 +114,14 @@
         let unsent: BTreeSet<u64> = self.expired.difference(&self.repeated).copied().collect();
         let rejected: BTreeSet<u64> = self.rejected.union(&unsent).copied().collect();
         for (&sequence, state) in &self.states {
-            let held = state.value.all();
+            let changes = state.value.all();
             for (&change, &since) in &self.acknowledged {
-                if sequence >= since && !held.contains(&change) && reported.insert(change) {
+                if sequence >= since && !changes.contains(&change) && reported.insert(change) {
                     self.violations
                         .push(Violation::AcknowledgedMissing { change, sequence });
                 }
             }
-            for &change in rejected.intersection(&held) {
+            for &change in rejected.intersection(&changes) {
                 if reported.insert(change) {
                     self.violations
                         .push(Violation::RejectedInForce { change, sequence });
--- a/crates/register/tests/support/redundancy.rs
+++ b/crates/register/tests/support/redundancy.rs
@@ -42,7 +42,7 @@
 }
 
 /// Whether there is a single set of that many replicas, all of which run and know it, and a
-/// majority of which holds the newest state on its disk.
+/// majority of which has the newest state on its disk.
 pub(crate) fn is_redundant(world: &World, size: usize) -> bool {
     let Some(state) = newest(world) else {
         return false;
@@ -57,18 +57,18 @@
         let chosen = node(world, host).and_then(Node::chosen);
         chosen.is_some_and(|known| known.members == state.members)
     };
-    let holds = |host: &&usize| {
+    let has_newest = |host: &&usize| {
         let accepted = world.hosts[**host]
             .disk
             .as_ref()
             .and_then(|record| record.accepted.as_ref());
-        accepted.is_some_and(|held| held.state.sequence >= state.sequence)
+        accepted.is_some_and(|proposal| proposal.state.sequence >= state.sequence)
     };
     !state.members.is_joint()
         && state.members.current.len() == size
         && members.len() == size
         && members.iter().all(knows)
-        && members.iter().filter(holds).count() >= state.members.current.majority()
+        && members.iter().filter(has_newest).count() >= state.members.current.majority()
 }
 
 /// Time until the deployment is redundant.
--- a/crates/register/tests/support/value.rs
+++ b/crates/register/tests/support/value.rs
@@ -51,7 +51,8 @@
 /// A change; each has a unique number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Change {
-    /// Replaces the content of that version, if it is the newest. Retried, it is unchanged for ever.
+    /// Replaces the content of that version, if it is the newest. Retried, it is unchanged for
+    /// ever.
     Put { base: u64, content: u64 },
     /// Sets a mark.
     Mark { mark: u64 },
--- a/crates/register/tests/support/world.rs
+++ b/crates/register/tests/support/world.rs
@@ -154,7 +154,7 @@
     /// Starts a host whose settings say that the whole system starts for the first time.
     pub(crate) fn start_bootstrapping(&mut self, host: usize) {
         if self.hosts[host].disk.is_some() {
-            self.start(host)
+            self.start(host);
         } else {
             let origin = RecordSource::Bootstrap {
                 members: self.seeds.clone(),
@@ -277,9 +277,9 @@
     ) -> OperationId {
         self.serial += 1;
         let id = self.serial;
-        change
-            .into_iter()
-            .for_each(|change| self.checks.begin(change));
+        if let Some(change) = change {
+            self.checks.begin(change);
+        }
         let floor = self.checks.reported;
         self.requests.insert(
             id,
@@ -374,7 +374,8 @@
         assert_eq!(self.checks.violations, [], "{case}");
     }
 
-    /// Every host that runs takes a change and a read within the limit, and no property is violated.
+    /// Every host that runs takes a change and a read within the limit, and no property is
+    /// violated.
     ///
     /// # Panics
     /// Otherwise.
@@ -480,7 +481,7 @@
     fn act(&mut self, host: usize, action: Action<Value>) {
         let incarnation = self.hosts[host].incarnation;
         match action {
-            Action::Send { to, message } => self.send(host, to, message),
+            Action::Send { to, message } => self.send(host, to, &message),
             Action::Persist(write) => {
                 let token = write.token;
                 self.hosts[host].writing = Some(write);
@@ -520,7 +521,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: SocketAddr, message: Message<Value>) {
+    fn send(&mut self, from: usize, to: SocketAddr, message: &Message<Value>) {
         let Some(target) = self.hosts.iter().position(|host| host.address == to) else {
             return;
         };
