--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -53,12 +53,13 @@
 }
 
 async fn serve(settings: Settings, log: Logger) -> Result<()> {
-    let control_plane = settings
-        .listeners_map
-        .control_plane
-        .ok_or(SettingsError::NoListener {
-            name: "control_plane",
-        })?;
+    let control_plane =
+        settings
+            .listeners_map
+            .control_plane
+            .ok_or(SettingsError::MissingListener {
+                name: "control_plane",
+            })?;
     let directory = settings.listeners_map.directory_service;
     let mut terminate = signal(SignalKind::terminate()).wrap_err("waiting for SIGTERM")?;
     let reload = signal(SignalKind::hangup()).wrap_err("waiting for SIGHUP")?;
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -53,7 +53,7 @@
     let frontend = settings
         .listeners_map
         .frontend
-        .ok_or(SettingsError::NoListener { name: "frontend" })?;
+        .ok_or(SettingsError::MissingListener { name: "frontend" })?;
     let readiness = settings.listeners_map.readiness;
     let reload = signal(SignalKind::hangup()).wrap_err("waiting for SIGHUP")?;
     let memory_mb = settings.limits.memory_mb;
--- a/crates/schema/src/configuration.rs
+++ b/crates/schema/src/configuration.rs
@@ -1,201 +1,201 @@
-//! The operator's configuration: routes, services and limits, and what makes one invalid
-//! (PROTOCOL.md, "The operator's API").
+//! Operators' configurations: routes, services and limits, and their validation (PROTOCOL.md, "The
+//! operator's API").
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 
-/// Why a configuration is refused, in one line.
+/// Why a configuration is rejected. Each message is one line.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum ConfigurationError {
-    /// The body is no configuration.
+    /// The body is not the JSON of a configuration; holds the parser's message.
     #[error("the configuration can't be read: {0}")]
-    Unreadable(String),
-    /// A value is out of range.
+    Malformed(String),
+    /// Values are out of range; holds the fields with their reasons.
     #[error("the configuration is invalid: {0}")]
     OutOfRange(String),
-    /// Two services have one name.
+    /// Two services have the same name.
     #[error("service {0} is named twice")]
-    ServiceTwice(String),
-    /// A route names a service that isn't there.
+    DuplicateService(String),
+    /// A route names a service that the configuration doesn't define.
     #[error("route {route} names the unknown service {service}")]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// What it names.
+        /// Name of the missing service.
         service: String,
     },
-    /// Two routes have one host and prefix.
+    /// Two routes have the same host and path prefix.
     #[error("routes {first} and {second} have the same host and prefix")]
-    SamePlace {
-        /// The first of them.
+    DuplicateRoute {
+        /// Name of the first route.
         first: String,
-        /// The second.
+        /// Name of the second route.
         second: String,
     },
-    /// Nothing would be sent anywhere.
+    /// The weights of a route's services don't sum to a positive, finite number.
     #[error("the weights of route {0} sum to 0")]
-    NoWeight(String),
-    /// A route names neither a service nor a split, or both.
+    ZeroWeightSum(String),
+    /// A route has neither a backend nor a traffic split, or both.
     #[error("route {0} needs either a backend or a traffic_split")]
-    NoBackend(String),
-    /// A time-out of 0.
+    BackendOrSplit(String),
+    /// The timeout of a route is 0.
     #[error("timeout_ms of route {0} is 0")]
-    NoTimeout(String),
+    ZeroTimeout(String),
 }
 
-/// A whole configuration.
+/// A configuration of the system, as operators send it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Configuration {
-    /// The operator's number for it.
+    /// Version number, chosen by the operator; it must increase with each configuration.
     #[garde(skip)]
     pub generation: u64,
-    /// Which requests go to which services.
+    /// The routes, which select a service for a request.
     #[garde(dive)]
     pub routes: Vec<Route>,
-    /// The services.
+    /// The services that routes refer to.
     #[garde(dive)]
     pub services: Vec<Service>,
-    /// What a client may send.
+    /// Limits on what clients send.
     #[serde(default)]
     #[garde(skip)]
     pub limits: ClientLimits,
 }
 
-/// What the kind of a request allows.
+/// The kind of a route's requests, which decides on retries and hedging.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RouteType {
-    /// May run more than once.
+    /// Idempotent: may run more than once.
     Safe,
-    /// Runs at most once.
+    /// Not idempotent: runs at most once.
     Unsafe,
-    /// A stream of events.
+    /// The response is a stream of events.
     Streaming,
 }
 
-/// One route.
+/// A route: matches requests by host and path prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     #[garde(skip)]
     pub name: String,
-    /// The `Host` it is for.
+    /// The `Host` header that it matches.
     #[garde(length(min = 1))]
     pub hostname: String,
-    /// The beginning of the paths it is for; begins and ends with a slash.
-    #[garde(custom(slashes))]
+    /// The path prefix that it matches; begins and ends with a slash.
+    #[garde(custom(validate_path_prefix))]
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Kind of its requests.
     #[serde(rename = "type")]
     #[garde(skip)]
     pub kind: RouteType,
-    /// The longest time a request is held, in ms.
+    /// Timeout of a request, in ms.
     #[garde(skip)]
     pub timeout_ms: u64,
-    /// An answer within this earns its full worth, in ms.
+    /// Latency target: a response within this has full value, in ms.
     #[serde(default)]
     #[garde(skip)]
     pub target_latency_ms: f64,
-    /// Its rank, 0 is the highest.
+    /// Priority; 0 is the highest.
     #[serde(default)]
     #[garde(skip)]
     pub priority: u32,
-    /// The one service that serves it.
+    /// The service, if there is only one.
     #[serde(default)]
     #[garde(skip)]
     pub backend: Option<String>,
-    /// Or several, by weight.
+    /// The services with their weights, if there are several.
     #[serde(default)]
     #[garde(dive)]
     pub traffic_split: Option<Vec<Split>>,
-    /// The most servers that one request may be sent to.
-    #[serde(default = "one")]
+    /// The largest number of attempts for a request, each on another server.
+    #[serde(default = "default_max_attempts")]
     #[garde(range(min = 1))]
     pub max_attempts: u32,
-    /// Requests carry prompt prefixes by which servers are chosen.
+    /// Whether servers are selected by the prompt prefix, for their KV caches.
     #[serde(default)]
     #[garde(skip)]
     pub session_affinity: bool,
-    /// A stream may be taken up elsewhere.
+    /// Whether an interrupted stream may resume on another server.
     #[serde(default)]
     #[garde(skip)]
     pub resumable: bool,
-    /// The longest pause between events that is in time, in ms.
+    /// Target for the longest gap between events of a stream, in ms.
     #[serde(default)]
     #[garde(skip)]
     pub gap_aim_ms: f64,
-    /// Regions that may serve it; empty means all.
+    /// Regions whose servers may serve it; empty means all.
     #[serde(default)]
     #[garde(skip)]
     pub allowed_regions: Vec<String>,
 }
 
-/// A part of a route's requests.
+/// The share of a route's requests that goes to one service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Split {
-    /// The service.
+    /// Name of the service.
     #[garde(skip)]
     pub backend: String,
-    /// Its weight against the others'.
+    /// Weight relative to the route's other services.
     #[garde(range(min = 0.0))]
     pub weight: f64,
 }
 
-/// One service.
+/// A service: a group of interchangeable servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     #[garde(length(min = 1))]
     pub name: String,
-    /// The path of its health check.
+    /// Path of its health check.
     #[serde(default = "default_health_check")]
     #[garde(skip)]
     pub health_check: String,
-    /// Connections that each of its servers accepts from all callers.
+    /// Connections that each server accepts, over all gates.
     #[serde(default)]
     #[garde(skip)]
     pub max_connections: u64,
-    /// How long its servers stay cold after a start, in s.
+    /// Duration of a server's warmup (slow start) after its start, in s.
     #[serde(default)]
     #[garde(skip)]
     pub warmup_s: f64,
-    /// Requests a second that a cold server bears; 0 where it isn't limited.
+    /// Rate limit of a server that is warming up, in requests per second; 0 means none.
     #[serde(default)]
     #[garde(skip)]
     pub warmup_per_s: f64,
-    /// What its model servers are made of.
+    /// Properties of its model servers, if it has such.
     #[serde(default)]
     #[garde(skip)]
     pub runtime: Option<Runtime>,
 }
 
-/// A model server's figures.
+/// Properties of a model server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Runtime {
-    /// Requests that run at once.
+    /// Number of requests that run concurrently.
     #[serde(default)]
     pub capacity: u64,
-    /// Tokens that its memory holds.
+    /// Size of its KV cache, in tokens.
     #[serde(default)]
     pub kv_cache_tokens: u64,
-    /// Tokens in one event.
+    /// Number of tokens in one event of the stream.
     #[serde(default)]
     pub stride: u64,
 }
 
-/// What a client may send and how long it may take.
+/// Limits on the size and duration of clients' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ClientLimits {
-    /// The head of a request, in bytes.
+    /// Largest size of a request's head, in bytes.
     pub max_header_bytes: u64,
-    /// Its body, in bytes.
+    /// Largest size of a request's body, in bytes.
     pub max_body_bytes: u64,
-    /// Until its head is whole, in ms.
+    /// Timeout until a request's head is complete, in ms.
     pub header_timeout_ms: u64,
-    /// Between requests, in ms.
+    /// Idle timeout of a connection between requests, in ms.
     pub idle_timeout_ms: u64,
 }
 
@@ -211,38 +211,38 @@
 }
 
 impl Configuration {
-    /// Reads and checks a body.
+    /// Parses and validates the JSON body of a configuration.
     ///
     /// # Errors
-    /// Why it is invalid.
+    /// When the body is malformed or the configuration invalid.
     pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
         let configuration: Configuration = serde_json::from_slice(body)
-            .map_err(|error| ConfigurationError::Unreadable(error.to_string()))?;
+            .map_err(|error| ConfigurationError::Malformed(error.to_string()))?;
         configuration.check()?;
         Ok(configuration)
     }
 
-    /// Whether it may be in force; its number is checked where it is known which one is in force
-    /// now.
+    /// Validates the configuration by itself. Its generation is checked by the caller that knows the
+    /// generation in force.
     ///
     /// # Errors
-    /// Why not.
+    /// The first problem found.
     pub fn check(&self) -> Result<(), ConfigurationError> {
         self.validate().map_err(|report| {
             let lines: Vec<String> = report.to_string().lines().map(str::to_string).collect();
             ConfigurationError::OutOfRange(lines.join("; "))
         })?;
         let services = self.service_names()?;
-        let mut places: BTreeMap<(String, &str), &str> = BTreeMap::new();
+        let mut routes_by_match: BTreeMap<(String, &str), &str> = BTreeMap::new();
         for route in &self.routes {
             route.check(&services)?;
-            let place = (
+            let matched = (
                 route.hostname.to_ascii_lowercase(),
                 route.path_prefix.as_str(),
             );
-            if let Some(first) = places.insert(place, &route.name) {
+            if let Some(first) = routes_by_match.insert(matched, &route.name) {
                 let (first, second) = (first.to_string(), route.name.clone());
-                return Err(ConfigurationError::SamePlace { first, second });
+                return Err(ConfigurationError::DuplicateRoute { first, second });
             }
         }
         Ok(())
@@ -252,7 +252,7 @@
         let mut names = BTreeSet::new();
         for service in &self.services {
             if !names.insert(service.name.as_str()) {
-                return Err(ConfigurationError::ServiceTwice(service.name.clone()));
+                return Err(ConfigurationError::DuplicateService(service.name.clone()));
             }
         }
         Ok(names)
@@ -260,14 +260,14 @@
 }
 
 impl Route {
-    /// The services it may go to, with their weights.
+    /// The services of the route with their weights.
     #[must_use]
     pub fn splits(&self) -> Vec<(&str, f64)> {
         match (&self.backend, &self.traffic_split) {
             (Some(backend), _) => vec![(backend, 1.0)],
             (None, Some(splits)) => splits
                 .iter()
-                .map(|s| (s.backend.as_str(), s.weight))
+                .map(|split| (split.backend.as_str(), split.weight))
                 .collect(),
             (None, None) => Vec::new(),
         }
@@ -275,7 +275,7 @@
 
     fn check(&self, services: &BTreeSet<&str>) -> Result<(), ConfigurationError> {
         if self.backend.is_some() == self.traffic_split.is_some() {
-            return Err(ConfigurationError::NoBackend(self.name.clone()));
+            return Err(ConfigurationError::BackendOrSplit(self.name.clone()));
         }
         let splits = self.splits();
         if let Some((service, _)) = splits
@@ -287,10 +287,10 @@
         }
         let sum: f64 = splits.iter().map(|split| split.1).sum();
         if !(sum > 0.0 && sum.is_finite()) {
-            return Err(ConfigurationError::NoWeight(self.name.clone()));
+            return Err(ConfigurationError::ZeroWeightSum(self.name.clone()));
         }
         if self.timeout_ms == 0 {
-            return Err(ConfigurationError::NoTimeout(self.name.clone()));
+            return Err(ConfigurationError::ZeroTimeout(self.name.clone()));
         }
         Ok(())
     }
@@ -300,14 +300,14 @@
     clippy::trivially_copy_pass_by_ref,
     reason = "garde passes the context by reference"
 )]
-fn slashes(prefix: &str, _: &()) -> garde::Result {
+fn validate_path_prefix(prefix: &str, _: &()) -> garde::Result {
     if prefix.starts_with('/') && prefix.ends_with('/') {
         return Ok(());
     }
     Err(garde::Error::new("begins and ends with a slash"))
 }
 
-fn one() -> u32 {
+fn default_max_attempts() -> u32 {
     1
 }
 
--- a/crates/schema/src/configuration/tests.rs
+++ b/crates/schema/src/configuration/tests.rs
@@ -1,11 +1,11 @@
-//! Configurations: what is taken, and each kind that is refused.
+//! Configurations that are accepted, and one for each reason of rejection.
 
 use assert_matches::assert_matches;
 use serde_json::{Value, json};
 
 use super::*;
 
-fn sound() -> Value {
+fn valid() -> Value {
     json!({
         "generation": 7,
         "routes": [
@@ -27,18 +27,18 @@
     Configuration::parse(value.to_string().as_bytes())
 }
 
-/// The refusal of the sound configuration with one value exchanged; it is one line.
-fn refusal(pointer: &str, instead: Value) -> ConfigurationError {
-    let mut value = sound();
+/// The rejection of the valid configuration with one value replaced; it is one line.
+fn rejection(pointer: &str, instead: Value) -> ConfigurationError {
+    let mut value = valid();
     *value.pointer_mut(pointer).expect("there") = instead;
-    let error = parse(&value).expect_err("refused");
+    let error = parse(&value).expect_err("rejected");
     assert!(!error.to_string().contains('\n'), "{error}");
     error
 }
 
 #[test]
-fn a_sound_one_is_taken_and_unknown_keys_are_ignored() {
-    let configuration = parse(&sound()).expect("sound");
+fn a_valid_configuration_is_accepted_and_unknown_keys_are_ignored() {
+    let configuration = parse(&valid()).expect("valid");
     assert_eq!(configuration.generation, 7);
     assert_eq!(
         configuration.routes[1].splits(),
@@ -49,112 +49,115 @@
 }
 
 #[test]
-fn one_cut_short_anywhere_is_refused() {
-    let body = sound().to_string();
+fn a_truncated_configuration_is_rejected() {
+    let body = valid().to_string();
     for end in 0..body.len() {
-        let error = Configuration::parse(&body.as_bytes()[..end]).expect_err("cut short");
-        assert_matches!(error, ConfigurationError::Unreadable(_));
+        let error = Configuration::parse(&body.as_bytes()[..end]).expect_err("truncated");
+        assert_matches!(error, ConfigurationError::Malformed(_));
     }
 }
 
 #[test]
-fn more_behind_the_end_is_refused() {
-    let body = format!("{}{{", sound());
+fn trailing_characters_are_rejected() {
+    let body = format!("{}{{", valid());
     assert_matches!(
         Configuration::parse(body.as_bytes()),
-        Err(ConfigurationError::Unreadable(_))
+        Err(ConfigurationError::Malformed(_))
     );
 }
 
 #[test]
-fn an_unknown_service_is_refused() {
-    let error = refusal("/routes/0/backend", json!("nobody"));
+fn an_unknown_service_is_rejected() {
+    let error = rejection("/routes/0/backend", json!("nobody"));
     assert_matches!(error, ConfigurationError::UnknownService { route, service } if route == "one" && service == "nobody");
-    let error = refusal("/routes/1/traffic_split/1/backend", json!("nobody"));
+    let error = rejection("/routes/1/traffic_split/1/backend", json!("nobody"));
     assert_matches!(error, ConfigurationError::UnknownService { route, .. } if route == "two");
 }
 
 #[test]
-fn the_same_host_and_prefix_are_refused() {
-    let error = refusal("/routes/1/path_prefix", json!("/x/"));
-    assert_matches!(error, ConfigurationError::SamePlace { first, second } if first == "one" && second == "two");
+fn routes_with_the_same_host_and_prefix_are_rejected() {
+    let error = rejection("/routes/1/path_prefix", json!("/x/"));
+    assert_matches!(error, ConfigurationError::DuplicateRoute { first, second } if first == "one" && second == "two");
 }
 
 #[test]
-fn hosts_are_the_same_in_either_case() {
-    let mut value = sound();
+fn hosts_are_compared_case_insensitively() {
+    let mut value = valid();
     value["routes"][1]["path_prefix"] = json!("/x/");
     value["routes"][1]["hostname"] = json!("A.Example");
-    assert_matches!(parse(&value), Err(ConfigurationError::SamePlace { .. }));
+    assert_matches!(
+        parse(&value),
+        Err(ConfigurationError::DuplicateRoute { .. })
+    );
 }
 
 #[test]
-fn the_same_prefix_on_another_host_is_taken() {
-    let mut value = sound();
+fn the_same_prefix_on_another_host_is_accepted() {
+    let mut value = valid();
     value["routes"][1]["path_prefix"] = json!("/x/");
     value["routes"][1]["hostname"] = json!("b.example");
     assert_matches!(parse(&value), Ok(_));
 }
 
 #[test]
-fn weights_that_sum_to_0_are_refused() {
-    let error = refusal("/routes/1/traffic_split/0/weight", json!(0));
-    assert_matches!(error, ConfigurationError::NoWeight(route) if route == "two");
-    let error = refusal("/routes/1/traffic_split", json!([]));
-    assert_matches!(error, ConfigurationError::NoWeight(_));
-    let error = refusal("/routes/1/traffic_split/0/weight", json!(-1));
+fn weights_that_sum_to_0_are_rejected() {
+    let error = rejection("/routes/1/traffic_split/0/weight", json!(0));
+    assert_matches!(error, ConfigurationError::ZeroWeightSum(route) if route == "two");
+    let error = rejection("/routes/1/traffic_split", json!([]));
+    assert_matches!(error, ConfigurationError::ZeroWeightSum(_));
+    let error = rejection("/routes/1/traffic_split/0/weight", json!(-1));
     assert_matches!(error, ConfigurationError::OutOfRange(_));
 }
 
 #[test]
-fn a_timeout_of_0_is_refused() {
-    let error = refusal("/routes/0/timeout_ms", json!(0));
-    assert_matches!(error, ConfigurationError::NoTimeout(route) if route == "one");
+fn a_timeout_of_0_is_rejected() {
+    let error = rejection("/routes/0/timeout_ms", json!(0));
+    assert_matches!(error, ConfigurationError::ZeroTimeout(route) if route == "one");
 }
 
 #[test]
-fn a_service_named_twice_is_refused() {
-    let error = refusal("/services/1/name", json!("model"));
-    assert_matches!(error, ConfigurationError::ServiceTwice(name) if name == "model");
+fn a_duplicate_service_is_rejected() {
+    let error = rejection("/services/1/name", json!("model"));
+    assert_matches!(error, ConfigurationError::DuplicateService(name) if name == "model");
 }
 
 #[test]
-fn a_route_needs_one_place_to_go_to() {
+fn a_route_without_exactly_one_of_backend_and_split_is_rejected() {
     assert_matches!(
-        refusal("/routes/0/backend", Value::Null),
-        ConfigurationError::NoBackend(_)
+        rejection("/routes/0/backend", Value::Null),
+        ConfigurationError::BackendOrSplit(_)
     );
 }
 
 #[test]
-fn values_out_of_range_are_refused() {
+fn values_out_of_range_are_rejected() {
     assert_matches!(
-        refusal("/routes/0/path_prefix", json!("x/")),
+        rejection("/routes/0/path_prefix", json!("x/")),
         ConfigurationError::OutOfRange(_)
     );
     assert_matches!(
-        refusal("/routes/0/hostname", json!("")),
+        rejection("/routes/0/hostname", json!("")),
         ConfigurationError::OutOfRange(_)
     );
     assert_matches!(
-        refusal("/routes/0/type", json!("other")),
-        ConfigurationError::Unreadable(_)
+        rejection("/routes/0/type", json!("other")),
+        ConfigurationError::Malformed(_)
     );
     assert_matches!(
-        refusal("/generation", json!(-1)),
-        ConfigurationError::Unreadable(_)
+        rejection("/generation", json!(-1)),
+        ConfigurationError::Malformed(_)
     );
 }
 
 #[test]
-fn hundreds_of_routes_are_taken() {
-    let mut value = sound();
+fn hundreds_of_routes_are_accepted() {
+    let mut value = valid();
     let routes = (0..350).map(|number| {
-        let mut route = sound()["routes"][number % 2].clone();
+        let mut route = valid()["routes"][number % 2].clone();
         route["name"] = json!(format!("r{number}"));
         route["path_prefix"] = json!(format!("/r{number}/"));
         route
     });
     value["routes"] = routes.collect();
-    assert_eq!(parse(&value).expect("sound").routes.len(), 350);
+    assert_eq!(parse(&value).expect("valid").routes.len(), 350);
 }
--- a/crates/schema/src/control/tests.rs
+++ b/crates/schema/src/control/tests.rs
@@ -1,4 +1,4 @@
-//! Frames are the same after they were written and read.
+//! Frames round-trip through their encoding, and truncated frames are rejected.
 
 use std::fmt::Debug;
 use std::net::Ipv4Addr;
@@ -9,14 +9,14 @@
 use super::*;
 use crate::registration::InstanceState;
 
-fn assert_whole<T: Serialize + DeserializeOwned + PartialEq + Debug>(frame: &T) {
+fn assert_round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(frame: &T) {
     let bytes = postcard::to_stdvec(frame).expect("written");
     let read: T = postcard::from_bytes(&bytes).expect("read");
     assert_eq!(&read, frame);
-    if let Some(cut) = bytes.len().checked_sub(1) {
+    if let Some(shortened) = bytes.len().checked_sub(1) {
         assert!(
-            postcard::from_bytes::<T>(&bytes[..cut]).is_err(),
-            "cut short and read all the same"
+            postcard::from_bytes::<T>(&bytes[..shortened]).is_err(),
+            "a truncated frame is read"
         );
     }
 }
@@ -43,13 +43,13 @@
         any::<bool>(),
     )
         .prop_map(
-            |(name, address, warmup_left_ms, sequence, remaining_ms, drains)| Heartbeat {
+            |(name, address, warmup_left_ms, sequence, remaining_ms, is_draining)| Heartbeat {
                 backend: name.clone(),
                 address,
                 zone: name.clone(),
                 generation: name,
                 capacity: sequence / 2,
-                state: if drains {
+                state: if is_draining {
                     InstanceState::Draining
                 } else {
                     InstanceState::Ready
@@ -112,40 +112,40 @@
 }
 
 #[test]
-fn the_strategies_hold_a_configuration() {
+fn the_strategies_include_a_configuration() {
     assert!(configuration().is_some());
 }
 
 proptest! {
     #[test]
-    fn entries_come_whole(entries in entries()) {
-        assert_whole(&ToCoordinator::Entries(entries.clone()));
-        assert_whole(&ToGate::Entries(entries));
+    fn entry_frames_round_trip(entries in entries()) {
+        assert_round_trip(&ToCoordinator::Entries(entries.clone()));
+        assert_round_trip(&ToGate::Entries(entries));
     }
 
     #[test]
-    fn what_goes_to_a_coordinator_comes_whole(
+    fn frames_to_a_coordinator_round_trip(
         heard in heard(),
         bytes: Vec<u8>,
         protocol: u16,
         coordinator in prop::option::of(address()),
     ) {
-        assert_whole(&ToCoordinator::KeepAlive(heard));
-        assert_whole(&ToCoordinator::Register(bytes));
-        assert_whole(&ToCoordinator::Hello(Hello { protocol, coordinator }));
+        assert_round_trip(&ToCoordinator::KeepAlive(heard));
+        assert_round_trip(&ToCoordinator::Register(bytes));
+        assert_round_trip(&ToCoordinator::Hello(Hello { protocol, coordinator }));
     }
 
     #[test]
-    fn what_a_coordinator_says_comes_whole(
+    fn frames_from_a_coordinator_round_trip(
         heard in heard(),
         coordinators in prop::collection::vec(address(), 0..5),
         in_contact: bool,
     ) {
-        assert_whole(&FromCoordinator::KeepAlive { coordinators, heard, in_contact });
+        assert_round_trip(&FromCoordinator::KeepAlive { coordinators, heard, in_contact });
     }
 
     #[test]
-    fn what_a_gate_says_comes_whole(frontend in address(), ready: bool) {
-        assert_whole(&FromGate::Status { frontend, ready });
+    fn frames_from_a_gate_round_trip(frontend in address(), ready: bool) {
+        assert_round_trip(&FromGate::Status { frontend, ready });
     }
 }
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -1,5 +1,8 @@
-//! What the programs of the system read and tell each other: settings files, the operator's
-//! configurations, server registrations, and the frames between coordinators, agents and gates.
+//! The data formats that the programs of the system share: settings files (YAML), operators'
+//! configurations and server heartbeats (JSON), and the control plane's frames (postcard).
+//!
+//! One crate for all of them, so that two programs can't disagree on a format. Keys and the order of
+//! fields and variants are part of the formats.
 #![forbid(unsafe_code)]
 
 pub mod configuration;
--- a/crates/schema/src/registration.rs
+++ b/crates/schema/src/registration.rs
@@ -1,62 +1,61 @@
-//! What a server says of itself (PROTOCOL.md, "Service discovery"), and the record kept of it.
+//! Registration of servers by heartbeats (PROTOCOL.md, "Service discovery").
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Why a heartbeat is refused.
+/// Why a heartbeat is rejected.
 #[derive(Debug, thiserror::Error)]
-pub enum RegistrationError {
-    /// The body is no heartbeat.
+pub enum HeartbeatError {
+    /// The body is not the JSON of a heartbeat; holds the parser's message.
     #[error("the heartbeat can't be read: {0}")]
-    Unreadable(String),
+    Malformed(String),
 }
 
-/// Whether a server takes new requests.
+/// Whether a server accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceState {
-    /// It does.
+    /// It accepts requests.
     Ready,
-    /// It is about to end.
+    /// It finishes its requests and accepts no new ones (graceful shutdown).
     Draining,
 }
 
 /// The body of `PUT /api/instances/ID`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Its service.
+    /// Name of its service.
     pub backend: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone that it runs in.
     pub zone: String,
-    /// The generation of its software.
+    /// Version of its software.
     #[serde(default)]
     pub generation: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     #[serde(default)]
     pub capacity: u64,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: InstanceState,
-    /// How much longer it is cold, in ms.
+    /// Remaining duration of its warmup, in ms.
     #[serde(default)]
     pub warmup_left_ms: f64,
-    /// Rises with each call.
+    /// Sequence number; increases with each heartbeat.
     pub sequence: u64,
-    /// What is left before it is taken away, in ms.
+    /// Remaining time before it is terminated, in ms; `None` while that is not planned.
     #[serde(default)]
     pub remaining_ms: Option<f64>,
 }
 
 impl Heartbeat {
-    /// Reads a body.
+    /// Parses the JSON body of a heartbeat.
     ///
     /// # Errors
-    /// Why it is none.
-    pub fn parse(body: &[u8]) -> Result<Self, RegistrationError> {
-        serde_json::from_slice(body)
-            .map_err(|error| RegistrationError::Unreadable(error.to_string()))
+    /// When the body is malformed.
+    pub fn parse(body: &[u8]) -> Result<Self, HeartbeatError> {
+        serde_json::from_slice(body).map_err(|error| HeartbeatError::Malformed(error.to_string()))
     }
 }
 
--- a/crates/schema/src/registration/tests.rs
+++ b/crates/schema/src/registration/tests.rs
@@ -10,17 +10,17 @@
 
 #[test]
 fn a_heartbeat_is_read_and_unknown_keys_are_ignored() {
-    let heartbeat = Heartbeat::parse(BODY.as_bytes()).expect("sound");
+    let heartbeat = Heartbeat::parse(BODY.as_bytes()).expect("valid");
     assert_eq!(heartbeat.state, InstanceState::Draining);
     assert_eq!((heartbeat.sequence, heartbeat.capacity), (4, 64));
     assert_eq!(heartbeat.remaining_ms, Some(1_500.0));
 }
 
 #[test]
-fn what_a_server_may_leave_out_has_its_default() {
+fn optional_fields_of_a_heartbeat_have_defaults() {
     let short =
         r#"{"backend":"a","address":"10.0.0.9:80","zone":"z","state":"ready","sequence":0}"#;
-    let heartbeat = Heartbeat::parse(short.as_bytes()).expect("sound");
+    let heartbeat = Heartbeat::parse(short.as_bytes()).expect("valid");
     assert_eq!(
         (heartbeat.warmup_left_ms, heartbeat.remaining_ms),
         (0.0, None)
@@ -28,15 +28,15 @@
 }
 
 #[test]
-fn a_body_cut_short_is_refused_in_one_line() {
+fn a_truncated_heartbeat_is_rejected_in_one_line() {
     for end in 0..BODY.len() {
-        let error = Heartbeat::parse(&BODY.as_bytes()[..end]).expect_err("cut short");
-        assert_matches!(error, RegistrationError::Unreadable(reason) if !reason.contains('\n'));
+        let error = Heartbeat::parse(&BODY.as_bytes()[..end]).expect_err("truncated");
+        assert_matches!(error, HeartbeatError::Malformed(reason) if !reason.contains('\n'));
     }
 }
 
 #[test]
-fn wrong_values_are_refused() {
+fn invalid_values_are_rejected() {
     for (piece, instead) in [
         ("10.0.0.9:8080", "nowhere"),
         ("draining", "asleep"),
--- a/crates/schema/src/settings.rs
+++ b/crates/schema/src/settings.rs
@@ -8,43 +8,43 @@
 use garde::Validate;
 use serde::Deserialize;
 
-/// The variable that names the settings file.
+/// The environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "IRONMAST_CONFIG";
 
-/// Why a settings file can't be used. Each message is one line: path, reason and what to do.
+/// Why a settings file can't be used. Each message is one line with path, reason and remedy.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The variable is missing.
+    /// The environment variable isn't set.
     #[error("{SETTINGS_VARIABLE} is not set: set it to the path of the settings file")]
-    NoVariable,
+    VariableNotSet,
     /// The file can't be read.
     #[error("{path}: cannot be read: {source}", path = .path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's reason.
+        /// The error of the system.
         source: std::io::Error,
     },
-    /// The file is no YAML of this form.
+    /// The file is not the YAML of settings.
     #[error("{path}: {reason}", path = .path.display())]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The parser's reason, with the place.
+        /// The parser's message with line and column.
         reason: String,
     },
-    /// A value is out of range.
+    /// Values are out of range.
     #[error("{path}: {reason}", path = .path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Each field and what is wrong with it.
+        /// The fields with their reasons.
         reason: String,
     },
-    /// A role needs an address that the file doesn't give.
+    /// The file lacks the address of a listener that the role needs.
     #[error("listeners_map.{name} is missing: this role serves it")]
-    NoListener {
-        /// The name of the listener.
+    MissingListener {
+        /// Key of the listener.
         name: &'static str,
     },
 }
@@ -52,83 +52,83 @@
 /// The settings of one process.
 #[derive(Debug, Clone, Deserialize, Validate)]
 pub struct Settings {
-    /// The machine's name.
+    /// Name of the machine.
     #[garde(length(min = 1))]
     pub node_name: String,
-    /// The address that other machines reach it at.
+    /// Address at which other machines reach this one.
     #[garde(skip)]
     pub ip_address: IpAddr,
-    /// Its zone.
+    /// Zone of the machine.
     #[garde(length(min = 1))]
     pub zone: String,
-    /// Its region.
+    /// Region of the machine.
     #[garde(length(min = 1))]
     pub region: String,
-    /// The region of every zone.
+    /// Regions by zone.
     #[serde(default)]
     #[garde(skip)]
     pub zones: BTreeMap<String, String>,
-    /// Where the role serves what it serves.
+    /// Addresses of the listeners.
     #[serde(default)]
     #[garde(skip)]
     pub listeners_map: Listeners,
-    /// First and last port for the system's own traffic, on every machine the same.
-    #[garde(custom(ordered))]
+    /// First and last port for the system's internal traffic; the same on every machine.
+    #[garde(custom(validate_port_range))]
     pub internal_port_range: [u16; 2],
-    /// `control_plane` addresses known when the file was written.
+    /// `control_plane` addresses of the coordinators known when the file was written.
     #[serde(default)]
     #[garde(skip)]
     pub seed_nodes: Vec<SocketAddr>,
-    /// The whole system starts for the first time, with empty disks.
+    /// Whether the whole system starts for the first time, with empty disks.
     #[serde(default)]
     #[garde(skip)]
     pub bootstrap: bool,
-    /// What the process may use.
+    /// Resource limits of the process.
     #[serde(default)]
     #[garde(dive)]
     pub limits: Limits,
-    /// Where files may be kept.
+    /// Folder for the process's data.
     #[serde(default)]
     #[garde(skip)]
     pub data_directory: Option<PathBuf>,
-    /// About how often a server sends a heartbeat, in ms.
-    #[serde(default = "default_heartbeat")]
+    /// Approximate interval of a server's heartbeats, in ms.
+    #[serde(default = "default_heartbeat_interval_ms")]
     #[garde(range(min = 50, max = 60_000))]
     pub heartbeat_interval_ms: u64,
-    /// What may be lost at once.
+    /// Failures that the system tolerates.
     #[serde(default)]
     #[garde(skip)]
     pub fault_tolerance: FaultTolerance,
-    /// Figures of the rules in force.
+    /// Timing bounds that the system has to keep.
     #[serde(default)]
     #[garde(dive)]
     pub timing_bounds: TimingBounds,
 }
 
-/// Addresses of a process's listeners; those a role doesn't serve are absent.
+/// Addresses of a process's listeners; `None` for those that its role doesn't serve.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Listeners {
-    /// Clients' requests.
+    /// Serves clients' requests.
     pub frontend: Option<SocketAddr>,
-    /// The platform's readiness checks.
+    /// Serves the platform's readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// Servers and the operator.
+    /// Serves servers' heartbeats and the operators' API.
     pub control_plane: Option<SocketAddr>,
-    /// Clients that resolve a name.
+    /// Serves clients' address resolution.
     pub directory_service: Option<SocketAddr>,
 }
 
-/// What a process may use.
+/// Resource limits of a process.
 #[derive(Debug, Clone, Deserialize, Validate)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory, in MB.
+    /// Memory limit, in MB.
     #[garde(range(min = 1))]
     pub memory_mb: u64,
-    /// Descriptors.
+    /// Largest number of file descriptors.
     #[garde(range(min = 64))]
     pub max_fds: usize,
-    /// Disk, in MB; 0 where there is none.
+    /// Disk space, in MB; 0 if the process has no disk.
     #[garde(skip)]
     pub disk_mb: u64,
 }
@@ -143,13 +143,13 @@
     }
 }
 
-/// What may be lost at once while every rule is kept.
+/// The failures that the system tolerates at the same time.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct FaultTolerance {
-    /// Machines that count for the quorum.
+    /// Number of machines of the quorum that may fail.
     pub hosts_lost: usize,
-    /// Zones.
+    /// Number of zones that may fail.
     pub zones: usize,
 }
 
@@ -162,62 +162,62 @@
     }
 }
 
-/// Figures of the rules in force; keys carry their unit.
+/// Timing bounds that the system has to keep; the keys carry their units.
 #[derive(Debug, Clone, Deserialize, Validate)]
 #[serde(default)]
 pub struct TimingBounds {
-    /// How old the operators' list of machines may be, in s.
+    /// Largest age of the operators' list of machines, in s.
     #[garde(skip)]
     pub seed_staleness_s: f64,
-    /// After this a server's address may belong to another, in s.
+    /// Time after which a server's address may be reused by another server, in s.
     #[garde(skip)]
     pub address_reuse_s: f64,
-    /// A machine is in touch after so long without trouble, in ms.
-    #[serde(deserialize_with = "whole")]
+    /// Time without faults after which a machine counts as in contact, in ms.
+    #[serde(deserialize_with = "truncated_ms")]
     #[garde(range(min = 1))]
     pub contact_ms: u64,
-    /// Orders are acknowledged within this, in ms.
-    #[serde(deserialize_with = "whole")]
+    /// Timeout for the acknowledgement of an operator's change, in ms.
+    #[serde(deserialize_with = "truncated_ms")]
     #[garde(range(min = 1))]
     pub ack_timeout_ms: u64,
-    /// A machine that came back counts as whole after this, in s.
+    /// Time after which a machine that returned counts as synchronised, in s.
     #[garde(skip)]
     pub sync_time_s: f64,
-    /// Nothing reaches a draining server later than this after its word, in ms.
-    #[serde(deserialize_with = "whole")]
+    /// Time after a server's announcement to drain, after which it receives no request, in ms.
+    #[serde(deserialize_with = "truncated_ms")]
     #[garde(range(min = 1))]
     pub drain_timeout_ms: u64,
-    /// From SIGTERM to SIGKILL, in s.
+    /// Time from SIGTERM to SIGKILL, in s.
     #[garde(range(min = 0.1))]
     pub grace_period_s: f64,
-    /// A configuration is in force everywhere within this, in ms.
-    #[serde(deserialize_with = "whole")]
+    /// Time within which a configuration is in force everywhere, in ms.
+    #[serde(deserialize_with = "truncated_ms")]
     #[garde(range(min = 1))]
     pub config_apply_ms: u64,
-    /// Repeats, as a part of the requests.
+    /// Retry budget, as a fraction of the requests.
     #[garde(range(min = 0.0))]
     pub retry_budget_ratio: f64,
-    /// The window of the retry budget, in s.
+    /// Window of the retry budget, in s.
     #[garde(range(min = 0.1))]
     pub retry_window_s: f64,
-    /// Repeats allowed beyond the ratio in a window.
+    /// Retries allowed beyond the ratio in a window.
     #[garde(range(min = 0.0))]
     pub retry_burst: f64,
-    /// Factor on a cold server's rate.
+    /// Factor on the rate limit of a server that is warming up.
     #[garde(range(min = 0.0))]
     pub warmup_overshoot: f64,
-    /// Requests a second beyond that.
+    /// Tolerance added to that rate limit, in requests per second.
     #[garde(range(min = 0.0))]
     pub warmup_tolerance: f64,
-    /// Nothing reaches an evacuated zone later than this, in ms.
-    #[serde(deserialize_with = "whole")]
+    /// Time after an evacuation, after which the zone receives no request, in ms.
+    #[serde(deserialize_with = "truncated_ms")]
     #[garde(range(min = 1))]
     pub evacuation_ms: u64,
-    /// An event is passed on within this, in ms.
-    #[serde(deserialize_with = "whole")]
+    /// Time within which an event of a stream is forwarded, in ms.
+    #[serde(deserialize_with = "truncated_ms")]
     #[garde(range(min = 1))]
     pub pass_ms: u64,
-    /// The longest time to live of an address answer, in s.
+    /// Largest time to live of a resolved address, in s.
     #[garde(range(min = 0.1))]
     pub ttl_max_s: f64,
 }
@@ -245,33 +245,33 @@
     }
 }
 
-/// Ports of the internal range, by what listens there.
+/// The ports of the internal range, by listener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InternalPort {
-    /// Coordinators, for one another and for agents.
+    /// A coordinator, for other coordinators and agents.
     Coordinator,
-    /// Agents, for one another.
+    /// An agent, for other agents.
     Agent,
-    /// An agent, for the gate beside it, on loopback only.
+    /// An agent, for the gate on the same machine; on loopback only.
     Feed,
-    /// Gates, for one another, by datagrams.
+    /// A gate, for datagrams of other gates.
     Gate,
 }
 
 impl Settings {
-    /// Reads the file that the environment names.
+    /// Reads the settings file that [`SETTINGS_VARIABLE`] names.
     ///
     /// # Errors
-    /// Why it can't be used, in one line.
+    /// Why the settings can't be used, in one line.
     pub fn from_environment() -> Result<Self, SettingsError> {
-        let path = std::env::var_os(SETTINGS_VARIABLE).ok_or(SettingsError::NoVariable)?;
+        let path = std::env::var_os(SETTINGS_VARIABLE).ok_or(SettingsError::VariableNotSet)?;
         Settings::read(Path::new(&path))
     }
 
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// Why it can't be used, in one line.
+    /// Why the settings can't be used, in one line.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
             path: path.to_path_buf(),
@@ -280,10 +280,10 @@
         Settings::parse(path, &text)
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses and validates the text of a settings file; the path is for error messages.
     ///
     /// # Errors
-    /// Why it can't be used, in one line.
+    /// Why the settings can't be used, in one line.
     pub fn parse(path: &Path, text: &str) -> Result<Self, SettingsError> {
         let one_line = |text: String| text.lines().map(str::trim).collect::<Vec<_>>().join("; ");
         let settings: Settings =
@@ -300,10 +300,10 @@
         Ok(settings)
     }
 
-    /// The port of the internal range for `what`.
+    /// The port of the internal range for a listener.
     #[must_use]
-    pub fn internal_port(&self, what: InternalPort) -> u16 {
-        let offset = match what {
+    pub fn internal_port(&self, listener: InternalPort) -> u16 {
+        let offset = match listener {
             InternalPort::Coordinator => 0,
             InternalPort::Agent => 1,
             InternalPort::Feed => 2,
@@ -312,12 +312,12 @@
         self.internal_port_range[0] + offset
     }
 
-    /// The region of a zone; unknown zones are regions of their own.
+    /// The region of a zone; an unknown zone is a region of its own.
     pub fn region_of<'a>(&'a self, zone: &'a str) -> &'a str {
         self.zones.get(zone).map_or(zone, String::as_str)
     }
 
-    /// The seeds' addresses for traffic between coordinators and agents.
+    /// The addresses of the seed nodes for internal traffic of coordinators and agents.
     #[must_use]
     pub fn seed_coordinators(&self) -> Vec<SocketAddr> {
         let port = self.internal_port(InternalPort::Coordinator);
@@ -328,28 +328,28 @@
     }
 }
 
-/// Internal ports that the programs use.
-const PORTS_NEEDED: u16 = 4;
+/// Number of internal ports that the programs use.
+const MIN_INTERNAL_PORTS: u16 = 4;
 
 #[expect(
     clippy::trivially_copy_pass_by_ref,
     reason = "garde passes both by reference"
 )]
-fn ordered(range: &[u16; 2], _: &()) -> garde::Result {
-    if range[1] >= range[0] && range[1] - range[0] + 1 >= PORTS_NEEDED {
+fn validate_port_range(range: &[u16; 2], _: &()) -> garde::Result {
+    if range[1] >= range[0] && range[1] - range[0] + 1 >= MIN_INTERNAL_PORTS {
         return Ok(());
     }
     Err(garde::Error::new(format!(
-        "needs {PORTS_NEEDED} ports, first to last"
+        "needs {MIN_INTERNAL_PORTS} ports, first to last"
     )))
 }
 
-/// Reads a figure in ms; figures may have a fraction, which is less than the clock shows.
-fn whole<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
-    f64::deserialize(deserializer).map(|figure| figure as u64)
+/// Reads a number of ms, and truncates a fraction, which is below the resolution of the clock.
+fn truncated_ms<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
+    f64::deserialize(deserializer).map(|milliseconds| milliseconds as u64)
 }
 
-fn default_heartbeat() -> u64 {
+fn default_heartbeat_interval_ms() -> u64 {
     1_200
 }
 
--- a/crates/schema/src/settings/tests.rs
+++ b/crates/schema/src/settings/tests.rs
@@ -6,7 +6,7 @@
 
 const PATH: &str = "/etc/ironmast/local.yaml";
 
-const SOUND: &str = r#"
+const VALID: &str = r#"
 node_name: "core-1"
 role: "coordinator"
 tier:
@@ -46,18 +46,18 @@
     Settings::parse(Path::new(PATH), text)
 }
 
-/// The refusal of the sound file with one piece of it exchanged.
-fn refusal(piece: &str, instead: &str) -> String {
-    assert!(SOUND.contains(piece), "{piece}");
-    match parse(&SOUND.replacen(piece, instead, 1)) {
-        Ok(_) => panic!("{instead:?} is taken"),
+/// The rejection of the valid file with one piece of it replaced.
+fn rejection(piece: &str, instead: &str) -> String {
+    assert!(VALID.contains(piece), "{piece}");
+    match parse(&VALID.replacen(piece, instead, 1)) {
+        Ok(_) => panic!("{instead:?} is accepted"),
         Err(error) => error.to_string(),
     }
 }
 
 #[test]
-fn a_whole_file_is_read_and_unknown_keys_are_ignored() {
-    let settings = parse(SOUND).expect("sound");
+fn a_complete_file_is_read_and_unknown_keys_are_ignored() {
+    let settings = parse(VALID).expect("valid");
     assert_eq!(settings.node_name, "core-1");
     assert_eq!(settings.internal_port(InternalPort::Feed), 7662);
     assert_eq!(
@@ -69,9 +69,9 @@
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
+fn missing_optional_keys_have_defaults() {
     let short = "node_name: a\nip_address: 10.0.0.1\nzone: z\nregion: r\ninternal_port_range: [7000, 7009]\n";
-    let settings = parse(short).expect("sound");
+    let settings = parse(short).expect("valid");
     assert!(!settings.bootstrap);
     assert_eq!(settings.heartbeat_interval_ms, 1_200);
     assert_eq!(settings.fault_tolerance.hosts_lost, 1);
@@ -80,20 +80,20 @@
 }
 
 #[test]
-fn keys_without_a_value_have_their_default() {
-    let settings = parse(&SOUND.replace("\"/var/lib/ironmast\"", "null")).expect("sound");
+fn keys_without_a_value_have_defaults() {
+    let settings = parse(&VALID.replace("\"/var/lib/ironmast\"", "null")).expect("valid");
     assert_eq!(settings.data_directory, None);
 }
 
 #[test]
-fn regions_are_told_by_zone_and_an_unknown_zone_is_its_own() {
-    let settings = parse(SOUND).expect("sound");
+fn an_unknown_zone_is_its_own_region() {
+    let settings = parse(VALID).expect("valid");
     assert_eq!(settings.region_of("south-a"), "south");
     assert_eq!(settings.region_of("west-a"), "west-a");
 }
 
 #[test]
-fn every_wrong_field_gives_one_line_with_path_and_reason() {
+fn each_invalid_field_yields_one_line_with_path_and_reason() {
     let cases = [
         ("\"core-1\"", "\"\"", "node_name"),
         ("zone: \"north-a\"\nregion", "zone: \"\"\nregion", "zone"),
@@ -116,7 +116,7 @@
         ),
     ];
     for (piece, instead, field) in cases {
-        let line = refusal(piece, instead);
+        let line = rejection(piece, instead);
         assert!(line.starts_with(PATH), "{line}");
         assert!(line.contains(field), "{instead:?}: {line}");
         assert!(!line.contains('\n'), "{line:?}");
@@ -124,8 +124,8 @@
 }
 
 #[test]
-fn several_wrong_fields_are_one_line() {
-    let text = SOUND
+fn several_invalid_fields_yield_one_line() {
+    let text = VALID
         .replace("\"core-1\"", "\"\"")
         .replace("memory_mb: 260", "memory_mb: 0");
     let line = parse(&text).expect_err("wrong").to_string();
@@ -137,14 +137,14 @@
 
 #[test]
 fn a_missing_field_is_named() {
-    let line = refusal("node_name: \"core-1\"\n", "");
+    let line = rejection("node_name: \"core-1\"\n", "");
     assert!(line.contains("node_name"), "{line}");
 }
 
 #[test]
-fn a_file_cut_short_is_malformed() {
-    let cut = SOUND.find("/var").expect("there") + 2;
-    assert_matches!(parse(&SOUND[..cut]), Err(SettingsError::Malformed { .. }));
+fn a_truncated_file_is_malformed() {
+    let cut = VALID.find("/var").expect("there") + 2;
+    assert_matches!(parse(&VALID[..cut]), Err(SettingsError::Malformed { .. }));
 }
 
 #[test]
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_told_with_its_path() {
+fn a_missing_file_is_reported_with_its_path() {
     let error = Settings::read(Path::new("/nonexistent/settings.yaml")).expect_err("not there");
     assert!(
         error
@@ -165,17 +165,17 @@
 
 /// Figures are whole numbers or fractions.
 #[test]
-fn figures_with_a_fraction_are_read() {
-    let text = SOUND
+fn fractions_of_milliseconds_are_truncated() {
+    let text = VALID
         .replace("contact_ms: 5000", "contact_ms: 5000.5")
         .replace("3000", "3000.0");
-    let bounds = parse(&text).expect("sound").timing_bounds;
+    let bounds = parse(&text).expect("valid").timing_bounds;
     assert_eq!((bounds.contact_ms, bounds.drain_timeout_ms), (5_000, 3_000));
 }
 
 #[test]
 fn a_missing_listener_is_named() {
-    let line = SettingsError::NoListener {
+    let line = SettingsError::MissingListener {
         name: "control_plane",
     }
     .to_string();
