--- a/crates/keyed-ownership/tests/permits.rs
+++ b/crates/keyed-ownership/tests/permits.rs
@@ -1,5 +1,5 @@
-//! Both bounds, summed over all gates, in simulated faults; and each guard removed, which must be
-//! caught.
+//! Both bounds, summed over all gates, under simulated faults; and with each safeguard removed,
+//! which must exceed a bound.
 
 mod simulation;
 
@@ -7,77 +7,76 @@
 use std::time::Duration;
 
 use simulation::MS;
-use simulation::judge::{ideal_waits, quantile, waits_from, worst_excess, worst_second};
-use simulation::play::{Play, Subject};
+use simulation::checks::{
+    exceeds_bound, ideal_waits, max_arrivals_per_second, quantile, waits_from,
+};
+use simulation::scenario::Scenario;
 use simulation::world::run;
 
-/// Whether a run goes over its bound.
-fn over(play: Play) -> bool {
-    let trace = run(play);
-    match play.subject {
-        Subject::Cold => worst_second(&trace, play.keys) > play.bound as usize,
-        Subject::Retry(terms) => worst_excess(&trace, &terms, play.keys) > 0.0,
-    }
+fn run_exceeds_bound(scenario: &Scenario) -> bool {
+    exceeds_bound(scenario, &run(scenario))
 }
 
-fn holds(seeds: Range<u64>, play: impl Fn(u64) -> Play) {
+fn assert_bound_holds(seeds: Range<u64>, scenario: impl Fn(u64) -> Scenario) {
     for seed in seeds {
-        assert!(!over(play(seed)), "seed {seed}");
+        assert!(!run_exceeds_bound(&scenario(seed)), "seed {seed}");
     }
 }
 
-fn caught(seeds: Range<u64>, play: impl Fn(u64) -> Play) -> bool {
-    seeds.into_iter().any(|seed| over(play(seed)))
+fn exceeds_bound_for_some_seed(seeds: Range<u64>, scenario: impl Fn(u64) -> Scenario) -> bool {
+    seeds
+        .into_iter()
+        .any(|seed| run_exceeds_bound(&scenario(seed)))
 }
 
 #[test]
-fn cold_bound_holds_with_5_gates() {
-    holds(0..200, |seed| Play::cold(seed, 5));
+fn slow_start_bound_holds_with_5_gates() {
+    assert_bound_holds(0..200, |seed| Scenario::slow_start(seed, 5));
 }
 
 #[test]
-fn cold_bound_holds_with_5_gates_on_further_seeds() {
-    holds(200..400, |seed| Play::cold(seed, 5));
+fn slow_start_bound_holds_with_5_gates_on_further_seeds() {
+    assert_bound_holds(200..400, |seed| Scenario::slow_start(seed, 5));
 }
 
 #[test]
-fn cold_bound_holds_with_30_gates() {
-    holds(0..140, |seed| Play::cold(seed, 30));
+fn slow_start_bound_holds_with_30_gates() {
+    assert_bound_holds(0..140, |seed| Scenario::slow_start(seed, 30));
 }
 
 #[test]
-fn cold_bound_holds_with_300_gates() {
-    holds(0..20, |seed| Play::cold(seed, 300));
+fn slow_start_bound_holds_with_300_gates() {
+    assert_bound_holds(0..20, |seed| Scenario::slow_start(seed, 300));
 }
 
 #[test]
-fn cold_bound_holds_with_2000_gates() {
-    holds(0..3, |seed| Play::cold(seed, 2000));
+fn slow_start_bound_holds_with_2000_gates() {
+    assert_bound_holds(0..3, |seed| Scenario::slow_start(seed, 2000));
 }
 
 #[test]
 fn retry_budget_holds_with_5_gates() {
-    holds(0..300, |seed| Play::retry(seed, 5));
+    assert_bound_holds(0..300, |seed| Scenario::retry(seed, 5));
 }
 
 #[test]
 fn retry_budget_holds_with_30_gates() {
-    holds(0..140, |seed| Play::retry(seed, 30));
+    assert_bound_holds(0..140, |seed| Scenario::retry(seed, 30));
 }
 
 #[test]
 fn retry_budget_holds_with_300_gates() {
-    holds(0..10, |seed| Play::retry(seed, 300));
+    assert_bound_holds(0..10, |seed| Scenario::retry(seed, 300));
 }
 
 #[test]
 fn retry_budget_holds_with_2000_gates() {
-    holds(0..2, |seed| Play::retry(seed, 2000));
+    assert_bound_holds(0..2, |seed| Scenario::retry(seed, 2000));
 }
 
 #[test]
-fn calm_wait_is_about_a_round_trip_between_regions() {
-    let trace = run(Play::calm(1, 30, 10.0));
+fn median_wait_without_faults_is_about_a_round_trip_between_regions() {
+    let trace = run(&Scenario::without_faults(1, 30, 10.0));
     let waits = waits_from(&trace.waits, 4_000 * MS);
     assert!(quantile(&waits, 0.5) <= 120 * MS);
     let ideal = waits_from(&ideal_waits(&trace, 0, 20, 1_100 * MS), 4_000 * MS);
@@ -85,83 +84,102 @@
 }
 
 #[test]
-fn views_change_and_proposals_meet() {
-    let traces: Vec<_> = (0..40).map(|seed| run(Play::cold(seed, 30))).collect();
+fn simulations_install_views_and_reject_competing_proposals() {
+    let traces: Vec<_> = (0..40)
+        .map(|seed| run(&Scenario::slow_start(seed, 30)))
+        .collect();
     let installed: u64 = traces.iter().map(|trace| trace.installed).sum();
-    let refused: u64 = traces.iter().map(|trace| trace.refused).sum();
+    let rejected: u64 = traces.iter().map(|trace| trace.rejected).sum();
     let sent: usize = traces.iter().map(|trace| trace.arrivals.len()).sum();
     assert!(installed >= 100, "{installed} views installed");
-    assert!(refused >= 10, "{refused} proposals refused");
+    assert!(rejected >= 10, "{rejected} proposals rejected");
     assert!(sent >= 40 * 100, "{sent} requests sent");
 }
 
 #[test]
-fn the_bound_is_used_up() {
-    let full = |seed| worst_second(&run(Play::cold(seed, 5)), 2) == 20;
-    let runs = (0..40).filter(|seed| full(*seed)).count();
+fn load_reaches_the_bound_in_most_runs() {
+    let reaches_bound =
+        |seed| max_arrivals_per_second(&run(&Scenario::slow_start(seed, 5)), 2) == 20;
+    let runs = (0..40).filter(|seed| reaches_bound(*seed)).count();
     assert!(
         runs >= 30,
         "the load reached the bound in {runs} of 40 runs"
     );
 }
 
-// Guards removed.
+// Without safeguards.
 
 #[test]
-fn new_owner_without_quiet_period_is_caught() {
-    let removed = |mut play: Play| {
-        play.owner.takeover_delay = Duration::ZERO;
-        play
+fn bound_is_exceeded_without_the_takeover_delay() {
+    let removed = |mut scenario: Scenario| {
+        scenario.owner_timing.takeover_delay = Duration::ZERO;
+        scenario
     };
-    assert!(caught(0..60, |seed| removed(Play::cold(seed, 30))));
-    assert!(caught(0..60, |seed| removed(Play::retry(seed, 5))));
+    assert!(exceeds_bound_for_some_seed(0..60, |seed| removed(
+        Scenario::slow_start(seed, 30)
+    )));
+    assert!(exceeds_bound_for_some_seed(0..60, |seed| removed(
+        Scenario::retry(seed, 5)
+    )));
 }
 
 #[test]
-fn owner_without_lease_is_caught() {
-    let removed = |mut play: Play| {
-        play.owner.lease_duration = Duration::from_secs(3600);
-        play
+fn bound_is_exceeded_without_lease_expiry() {
+    let removed = |mut scenario: Scenario| {
+        scenario.owner_timing.lease_duration = Duration::from_secs(3600);
+        scenario
     };
-    assert!(caught(0..60, |seed| removed(Play::cold(seed, 30))));
-    assert!(caught(0..60, |seed| removed(Play::retry(seed, 5))));
+    assert!(exceeds_bound_for_some_seed(0..60, |seed| removed(
+        Scenario::slow_start(seed, 30)
+    )));
+    assert!(exceeds_bound_for_some_seed(0..60, |seed| removed(
+        Scenario::retry(seed, 5)
+    )));
 }
 
 #[test]
-fn confirmation_by_one_witness_is_caught() {
-    let removed = |seed| Play {
-        witnesses_asked: 1,
-        ..Play::cold(seed, 30)
+fn bound_is_exceeded_with_confirmation_by_one_acceptor() {
+    let removed = |seed| Scenario {
+        acceptors_counted: 1,
+        ..Scenario::slow_start(seed, 30)
     };
-    assert!(caught(0..60, removed));
+    assert!(exceeds_bound_for_some_seed(0..60, removed));
 }
 
 #[test]
-fn permits_without_expiry_are_caught() {
-    let removed = |mut play: Play| {
-        play.client.lifetime = Duration::from_secs(20);
-        play.client.min_lifetime = Duration::from_secs(20);
-        play
+fn bound_is_exceeded_without_permit_expiry() {
+    let removed = |mut scenario: Scenario| {
+        scenario.client_timing.lifetime = Duration::from_secs(20);
+        scenario.client_timing.min_lifetime = Duration::from_secs(20);
+        scenario
     };
-    assert!(caught(0..60, |seed| removed(Play::cold(seed, 30))));
+    assert!(exceeds_bound_for_some_seed(0..60, |seed| removed(
+        Scenario::slow_start(seed, 30)
+    )));
 }
 
 #[test]
-fn permits_without_margin_for_the_way_are_caught() {
-    let removed = |mut play: Play| {
-        play.owner.delay_variation = Duration::ZERO;
-        play.client.delay_variation = Duration::ZERO;
-        play
+fn bound_is_exceeded_without_the_delay_variation() {
+    let removed = |mut scenario: Scenario| {
+        scenario.owner_timing.delay_variation = Duration::ZERO;
+        scenario.client_timing.delay_variation = Duration::ZERO;
+        scenario
     };
-    assert!(caught(0..60, |seed| removed(Play::cold(seed, 30))));
+    assert!(exceeds_bound_for_some_seed(0..60, |seed| removed(
+        Scenario::slow_start(seed, 30)
+    )));
 }
 
 #[test]
-fn share_given_anew_by_a_restart_is_caught() {
-    let removed = |play: Play| Play {
-        quiet_share: false,
-        ..play
+fn bound_is_exceeded_when_a_restart_renews_the_quota() {
+    let removed = |scenario: Scenario| Scenario {
+        start_delay: false,
+        ..scenario
     };
-    assert!(caught(0..200, |seed| removed(Play::cold(seed, 5))));
-    assert!(caught(0..200, |seed| removed(Play::retry(seed, 5))));
+    assert!(exceeds_bound_for_some_seed(0..200, |seed| removed(
+        Scenario::slow_start(seed, 5)
+    )));
+    assert!(exceeds_bound_for_some_seed(0..200, |seed| removed(
+        Scenario::retry(seed, 5)
+    )));
 }
--- a/crates/keyed-ownership/tests/retry_budget.rs
+++ b/crates/keyed-ownership/tests/retry_budget.rs
@@ -1,5 +1,5 @@
-//! The gates' own parts of the retry budget, summed, against every window; at arrivals chosen to
-//! break them.
+//! The gates' parts of the retry budget, summed and checked against every window, for arrivals that
+//! are chosen to exceed the rule.
 
 mod simulation;
 
@@ -8,11 +8,11 @@
 use ironmast_limits::{RetryBudget, RetryBudgetSettings};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use simulation::judge::worst_excess;
+use simulation::checks::max_budget_excess;
 use simulation::world::Trace;
 use simulation::{MS, Micros, at};
 
-const TERMS: RetryBudgetSettings = RetryBudgetSettings {
+const SETTINGS: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     burst: 20,
     window: Duration::from_secs(10),
@@ -20,7 +20,7 @@
 
 const GATES: usize = 4;
 
-/// Requests that come to one gate at one moment; each is to be repeated as often as the budget
+/// Requests that are sent to one gate at one moment; each is retried as often as the budget
 /// permits.
 #[derive(Clone, Copy, Debug)]
 struct Burst {
@@ -33,22 +33,22 @@
     to_server: Micros,
 }
 
-/// By how much the repeats go over the rule, if every gate sends all it may and, at `restart`, one
-/// starts anew.
+/// By how much the retries exceed the rule if every gate sends all that it may and, at `restart`,
+/// one gate restarts.
 fn excess(mut bursts: Vec<Burst>, restart: Option<(usize, Micros)>, factor: f64) -> f64 {
     bursts.sort_by_key(|burst| burst.moment + burst.to_gate);
-    let terms = RetryBudgetSettings {
-        ratio: TERMS.ratio * factor,
-        ..TERMS
+    let settings = RetryBudgetSettings {
+        ratio: SETTINGS.ratio * factor,
+        ..SETTINGS
     };
-    let born = |started| RetryBudget::with_even_share(terms, GATES as u32, started);
-    let mut gates: Vec<_> = (0..GATES).map(|_| born(Duration::ZERO)).collect();
+    let start = |started| RetryBudget::with_even_share(settings, GATES as u32, started);
+    let mut gates: Vec<_> = (0..GATES).map(|_| start(Duration::ZERO)).collect();
     let mut restart = restart;
     let mut trace = Trace::default();
     for burst in bursts {
         let now = burst.moment + burst.to_gate;
         if let Some((gate, _)) = restart.take_if(|(_, moment)| *moment <= now) {
-            gates[gate] = born(at(now));
+            gates[gate] = start(at(now));
         }
         let budget = &mut gates[burst.gate];
         for _ in 0..burst.requests {
@@ -59,7 +59,7 @@
             trace.arrivals.push((0, now + burst.to_server));
         }
     }
-    worst_excess(&trace, &TERMS, 1)
+    max_budget_excess(&trace, &SETTINGS, 1)
 }
 
 fn burst(gate: usize, moment: Micros, requests: u32) -> Burst {
@@ -72,9 +72,9 @@
     }
 }
 
-/// Two gates have their requests most of a window apart, and all repeats within one.
+/// Two gates receive their requests most of a window apart and send all retries within one.
 #[test]
-fn whole_ratio_is_caught() {
+fn rule_is_violated_at_twice_the_safe_ratio() {
     let mut bursts = vec![
         burst(0, 20_000 * MS, 0),
         burst(1, 20_000 * MS, 0),
@@ -103,7 +103,7 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(39), ..ProptestConfig::default() })]
 
     #[test]
-    fn any_arrivals_stay_under_the_rule(
+    fn arbitrary_arrivals_stay_within_the_rule(
         bursts in prop::collection::vec(any_burst(), 1..40),
         restart in prop::option::of((0..GATES, 0..60_000 * MS)),
     ) {
--- a/crates/keyed-ownership/tests/simulation/faults.rs
+++ b/crates/keyed-ownership/tests/simulation/faults.rs
@@ -1,17 +1,17 @@
-//! Faults of gates and the moments at which a run has them.
+//! Faults of gates, and the moments at which a run injects them.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use super::network::{Happening, Queue};
-use super::node::{Life, name, number};
-use super::play::{Play, Trouble};
+use super::gate::{GateProcess, gate_index, instance};
+use super::network::{Queue, WorldEvent};
+use super::scenario::{FaultPlan, Scenario};
 use super::world::World;
 use super::{MS, Micros};
 
-/// Whom a fault strikes.
+/// The gates that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Whom {
+pub(crate) enum FaultTarget {
     /// The owner of a key by the newest view.
     Owner { key: usize },
     /// This gate.
@@ -23,131 +23,158 @@
 /// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Killed, and started again after `down`.
-    Kill { whom: Whom, down: Micros },
-    /// Stopped, and continued after `span`; messages wait meanwhile.
-    Freeze { whom: Whom, span: Micros },
-    /// What it sends to gates and witnesses is lost for `span`.
-    CutOut { whom: Whom, span: Micros },
-    /// What is sent to it by gates and witnesses is lost for `span`.
-    CutIn { whom: Whom, span: Micros },
-    /// Cut off both ways for `span` from all but each other: the gate struck, one witness, and each
-    /// other gate with a chance of `part` in 100.
-    Partition { whom: Whom, span: Micros, part: u32 },
+    /// Killed, and started again after `duration`.
+    Kill {
+        target: FaultTarget,
+        duration: Micros,
+    },
+    /// Stopped, and continued after `duration`; its messages wait in the meantime.
+    Pause {
+        target: FaultTarget,
+        duration: Micros,
+    },
+    /// What it sends to gates and acceptors is lost for `duration`.
+    OutboundPartition {
+        target: FaultTarget,
+        duration: Micros,
+    },
+    /// What gates and acceptors send to it is lost for `duration`.
+    InboundPartition {
+        target: FaultTarget,
+        duration: Micros,
+    },
+    /// Partitioned for `duration` from all but each other: the target, one acceptor, and each
+    /// other gate with a probability of `percent`.
+    Partition {
+        target: FaultTarget,
+        duration: Micros,
+        percent: u32,
+    },
 }
 
 impl Fault {
-    /// Whom it strikes and how long it lasts.
-    pub(crate) fn scope(&self) -> (Whom, Micros) {
+    /// The target and how long the fault lasts.
+    pub(crate) fn scope(&self) -> (FaultTarget, Micros) {
         match *self {
-            Self::Kill { whom, down: span } => (whom, span),
-            Self::Freeze { whom, span } | Self::CutOut { whom, span } => (whom, span),
-            Self::CutIn { whom, span } | Self::Partition { whom, span, .. } => (whom, span),
+            Self::Kill { target, duration }
+            | Self::Pause { target, duration }
+            | Self::OutboundPartition { target, duration }
+            | Self::InboundPartition { target, duration }
+            | Self::Partition {
+                target, duration, ..
+            } => (target, duration),
         }
     }
 }
 
-/// Puts the faults of a run into the queue.
-pub(crate) fn schedule(play: &Play, queue: &mut Queue) {
-    if play.trouble == Trouble::Calm {
+/// Queues the faults of a run.
+pub(crate) fn schedule(scenario: &Scenario, queue: &mut Queue) {
+    if scenario.fault_plan == FaultPlan::None {
         return;
     }
-    let mut random = Xoshiro256PlusPlus::seed_from_u64(play.seed ^ 0xfa17);
+    let mut random = Xoshiro256PlusPlus::seed_from_u64(scenario.seed ^ 0xfa17);
     for _ in 0..random.random_range(2..6) {
-        let at = random.random_range(1_000 * MS..play.length * 3 / 4);
-        queue.push(at, Happening::Fault(draw(play, &mut random)));
+        let at = random.random_range(1_000 * MS..scenario.length * 3 / 4);
+        queue.push(at, WorldEvent::Fault(draw(scenario, &mut random)));
     }
-    if play.trouble == Trouble::Herd {
-        let at = random.random_range(3_000 * MS..play.length / 2);
+    if scenario.fault_plan == FaultPlan::MixedAndMassRestart {
+        let at = random.random_range(3_000 * MS..scenario.length / 2);
         let fault = Fault::Kill {
-            whom: Whom::All,
-            down: random.random_range(5 * MS..900 * MS),
+            target: FaultTarget::All,
+            duration: random.random_range(5 * MS..900 * MS),
         };
-        queue.push(at, Happening::Fault(fault));
+        queue.push(at, WorldEvent::Fault(fault));
     }
 }
 
-fn draw(play: &Play, random: &mut Xoshiro256PlusPlus) -> Fault {
-    let whom = if random.random_bool(0.7) {
-        Whom::Owner {
-            key: random.random_range(0..play.keys),
+fn draw(scenario: &Scenario, random: &mut Xoshiro256PlusPlus) -> Fault {
+    let target = if random.random_bool(0.7) {
+        FaultTarget::Owner {
+            key: random.random_range(0..scenario.keys),
         }
     } else {
-        Whom::Gate(random.random_range(0..play.gates))
+        FaultTarget::Gate(random.random_range(0..scenario.gates))
     };
-    let span = random.random_range(100 * MS..4_000 * MS);
+    let duration = random.random_range(100 * MS..4_000 * MS);
     let longer = random.random_range(4_000 * MS..8_000 * MS);
     match random.random_range(0..6) {
         0 => Fault::Kill {
-            whom,
-            down: random.random_range(5 * MS..2_500 * MS),
+            target,
+            duration: random.random_range(5 * MS..2_500 * MS),
         },
-        1 => Fault::Freeze { whom, span },
-        2 => Fault::CutOut { whom, span },
-        3 => Fault::CutIn { whom, span },
+        1 => Fault::Pause { target, duration },
+        2 => Fault::OutboundPartition { target, duration },
+        3 => Fault::InboundPartition { target, duration },
         _ => Fault::Partition {
-            whom,
-            span: longer,
-            part: random.random_range(10..70),
+            target,
+            duration: longer,
+            percent: random.random_range(10..70),
         },
     }
 }
 
 impl World {
-    pub(super) fn fault(&mut self, fault: Fault) {
-        let (whom, span) = fault.scope();
-        let until = self.now + span;
-        if matches!(fault, Fault::Partition { .. }) && self.witness_apart_until > self.now {
+    pub(super) fn inject(&mut self, fault: Fault) {
+        let (target, duration) = fault.scope();
+        let until = self.now + duration;
+        if matches!(fault, Fault::Partition { .. }) && self.acceptor_partitioned_until > self.now {
             return;
         }
-        for gate in self.struck(whom) {
-            let node = &mut self.nodes[gate];
+        for gate in self.targets(target) {
+            let gate_state = &mut self.gates[gate];
             match fault {
-                Fault::Freeze { .. } => node.frozen_until = until,
-                Fault::CutOut { .. } => node.out_cut_until = until,
-                Fault::CutIn { .. } => node.in_cut_until = until,
+                Fault::Pause { .. } => gate_state.paused_until = until,
+                Fault::OutboundPartition { .. } => gate_state.outbound_partition_until = until,
+                Fault::InboundPartition { .. } => gate_state.inbound_partition_until = until,
                 Fault::Kill { .. } => self.kill(gate, until),
-                Fault::Partition { part, .. } => self.part(gate, until, part),
+                Fault::Partition { percent, .. } => self.partition(gate, until, percent),
             }
-            self.nodes[gate].changed = self.now;
+            self.gates[gate].changed_at = self.now;
         }
     }
 
-    /// A gate that is down comes up as a new life: its old timers and messages find another
-    /// incarnation.
+    /// Kills a gate, which starts again at `up` as a new incarnation. Its old timers and messages
+    /// name the incarnation before and are ignored.
     pub(super) fn kill(&mut self, gate: usize, up: Micros) {
         let now = self.now;
-        let node = &mut self.nodes[gate];
-        let lost = node.life.take().map_or(0, |life| {
-            life.waiting.iter().map(|queue| queue.len() as u64).sum()
+        let gate_state = &mut self.gates[gate];
+        let abandoned = gate_state.process.take().map_or(0, |process| {
+            process.waiting.iter().map(|queue| queue.len() as u64).sum()
         });
-        self.trace.given_up += lost;
-        node.incarnation += 1;
-        node.frozen_until = 0;
-        let mut life = Life::new(&self.play, gate, node.incarnation, up);
-        life.wakes = None;
-        node.life = Some(life);
-        node.frozen_until = up.max(now);
+        self.trace.abandoned += abandoned;
+        gate_state.incarnation += 1;
+        gate_state.paused_until = 0;
+        let mut process = GateProcess::new(&self.scenario, gate, gate_state.incarnation, up);
+        process.timer_at = None;
+        gate_state.process = Some(process);
+        gate_state.paused_until = up.max(now);
         let view = self.view.clone();
-        self.queue.push(up, Happening::Learn { to: gate, view });
+        self.queue
+            .push(up, WorldEvent::LearnView { to: gate, view });
     }
 
-    pub(super) fn part(&mut self, gate: usize, until: Micros, part: u32) {
-        self.witness_apart_until = until;
-        let chance = f64::from(part) / 100.0;
-        for other in 0..self.nodes.len() {
-            if other == gate || self.random.random_bool(chance) {
-                self.nodes[other].apart_until = until;
-                self.nodes[other].changed = self.now;
+    pub(super) fn partition(&mut self, gate: usize, until: Micros, percent: u32) {
+        self.acceptor_partitioned_until = until;
+        let probability = f64::from(percent) / 100.0;
+        for other in 0..self.gates.len() {
+            if other == gate || self.random.random_bool(probability) {
+                self.gates[other].partitioned_until = until;
+                self.gates[other].changed_at = self.now;
             }
         }
     }
 
-    pub(super) fn struck(&self, whom: Whom) -> Vec<usize> {
-        match whom {
-            Whom::Gate(gate) => vec![gate],
-            Whom::All => (0..self.nodes.len()).collect(),
-            Whom::Owner { key } => self.view.owner(&name(key)).iter().map(number).collect(),
+    /// The indexes of the gates that a fault affects.
+    pub(super) fn targets(&self, target: FaultTarget) -> Vec<usize> {
+        match target {
+            FaultTarget::Gate(gate) => vec![gate],
+            FaultTarget::All => (0..self.gates.len()).collect(),
+            FaultTarget::Owner { key } => self
+                .view
+                .owner(&instance(key))
+                .iter()
+                .map(gate_index)
+                .collect(),
         }
     }
 }
--- a/crates/keyed-ownership/tests/simulation/mod.rs
+++ b/crates/keyed-ownership/tests/simulation/mod.rs
@@ -1,14 +1,14 @@
-//! A deterministic simulation of gates, owners and witnesses under faults, and the judges of both
-//! bounds.
-#![allow(dead_code, reason = "the tests and the study each use a part")]
+//! A deterministic simulation of gates, owners and acceptors under faults, and the checks of
+//! both bounds.
+#![allow(dead_code, reason = "the tests and the study each use a part of it")]
 
+pub(crate) mod checks;
 pub(crate) mod faults;
-pub(crate) mod judge;
+pub(crate) mod gate;
 pub(crate) mod messages;
 pub(crate) mod network;
-pub(crate) mod node;
-pub(crate) mod play;
 pub(crate) mod requests;
+pub(crate) mod scenario;
 pub(crate) mod views;
 pub(crate) mod world;
 
@@ -18,12 +18,12 @@
 /// One millisecond.
 pub(crate) const MS: Micros = 1_000;
 
-/// A moment as the crate takes it.
+/// A simulated moment as the crate represents it.
 pub(crate) fn at(now: Micros) -> std::time::Duration {
     std::time::Duration::from_micros(now)
 }
 
-/// A span or moment of the crate in microseconds, rounded up.
-pub(crate) fn micros(span: std::time::Duration) -> Micros {
-    span.as_nanos().div_ceil(1_000) as Micros
+/// A duration or moment of the crate in microseconds, rounded up.
+pub(crate) fn micros(duration: std::time::Duration) -> Micros {
+    duration.as_nanos().div_ceil(1_000) as Micros
 }
--- a/crates/keyed-ownership/tests/simulation/network.rs
+++ b/crates/keyed-ownership/tests/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The queue of events and the time that messages take.
+//! The queue of events and the delays of messages.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -10,110 +10,115 @@
 
 use super::{MS, Micros};
 
-/// What happens in the world.
+/// What happens in a run.
 #[derive(Clone, Debug)]
-pub(crate) enum Happening {
+pub(crate) enum WorldEvent {
     /// A message reaches a gate.
     Deliver {
         to: usize,
         message: Message<Instance>,
     },
     /// A gate learns a view.
-    Learn { to: usize, view: Arc<View> },
-    /// A proposed view reaches a witness.
+    LearnView { to: usize, view: Arc<View> },
+    /// A proposed view reaches an acceptor.
     Propose {
         proposer: usize,
-        witness: usize,
+        acceptor: usize,
         view: Arc<View>,
     },
-    /// A witness is told a view that was installed.
-    CatchUp { witness: usize, view: Arc<View> },
-    /// A question of a gate reaches a witness.
-    Question {
+    /// An acceptor learns a view that was installed.
+    CatchUp { acceptor: usize, view: Arc<View> },
+    /// A gate's query for the newest epoch reaches an acceptor.
+    EpochQuery {
         from: usize,
-        life: u64,
-        question: u64,
-        witness: usize,
+        incarnation: u64,
+        confirmation_id: u64,
+        acceptor: usize,
     },
-    /// A witness's answer reaches a gate.
-    Answer {
+    /// An acceptor's answer reaches a gate.
+    EpochReply {
         to: usize,
-        life: u64,
-        question: u64,
-        witness: usize,
+        incarnation: u64,
+        confirmation_id: u64,
+        acceptor: usize,
         newest: u64,
     },
-    /// A gate's timer.
-    Wake { gate: usize, life: u64 },
+    /// A gate's timer fires.
+    Timer { gate: usize, incarnation: u64 },
     /// A gate tries its waiting requests for a key again.
-    Again { gate: usize, life: u64, key: usize },
-    /// A client's request for a key.
+    Retry {
+        gate: usize,
+        incarnation: u64,
+        key: usize,
+    },
+    /// A client's request for a key arrives.
     Request { key: usize },
     /// A fault begins.
     Fault(super::faults::Fault),
-    /// A proposer counts the members of the view anew.
-    Recount { proposer: usize },
+    /// A proposer determines the members of the next view.
+    Reconfigure { proposer: usize },
 }
 
 #[derive(Clone, Debug)]
-struct Entry {
+struct QueuedEvent {
     at: Micros,
-    number: u64,
-    what: Happening,
+    /// Events of the same moment are handled in the order in which they were queued.
+    sequence: u64,
+    event: WorldEvent,
 }
 
-impl PartialEq for Entry {
+impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
-        self.number == other.number
+        self.sequence == other.sequence
     }
 }
 
-impl Eq for Entry {}
+impl Eq for QueuedEvent {}
 
-impl PartialOrd for Entry {
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
 /// Events in the order of their moments.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    heap: BinaryHeap<Entry>,
-    number: u64,
+    heap: BinaryHeap<QueuedEvent>,
+    sequence: u64,
 }
 
 impl Queue {
-    pub(crate) fn push(&mut self, at: Micros, what: Happening) {
-        self.number += 1;
-        self.heap.push(Entry {
+    pub(crate) fn push(&mut self, at: Micros, event: WorldEvent) {
+        self.sequence += 1;
+        self.heap.push(QueuedEvent {
             at,
-            number: self.number,
-            what,
+            sequence: self.sequence,
+            event,
         });
     }
 
-    pub(crate) fn pop(&mut self) -> Option<(Micros, Happening)> {
-        self.heap.pop().map(|entry| (entry.at, entry.what))
+    pub(crate) fn pop(&mut self) -> Option<(Micros, WorldEvent)> {
+        self.heap.pop().map(|entry| (entry.at, entry.event))
     }
 }
 
-/// Regions that gates, servers and witnesses are spread over.
+/// The number of regions that gates, servers and acceptors are distributed over.
 pub(crate) const REGIONS: usize = 3;
 
-/// The region of a gate, a server or a witness.
-pub(crate) fn region(place: usize) -> u32 {
-    (place % REGIONS) as u32
+/// The region of a gate, a server or an acceptor.
+pub(crate) fn region(index: usize) -> u32 {
+    (index % REGIONS) as u32
 }
 
-/// The time a message takes one way between two places, 0 to 60 ms.
-pub(crate) fn way(random: &mut Xoshiro256PlusPlus, from: usize, to: usize) -> Micros {
+/// The one-way delay of a message between two processes, 0 to 60 ms.
+pub(crate) fn network_delay(random: &mut Xoshiro256PlusPlus, from: usize, to: usize) -> Micros {
     if from == to {
         return random.random_range(20..100);
     }
--- a/crates/keyed-ownership/tests/simulation/world.rs
+++ b/crates/keyed-ownership/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The world of one run: gates, witnesses and views, driven by the queue of events.
+//! The state of one run: gates, acceptors and views, driven by the queue of events.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,178 +9,184 @@
 
 use super::Micros;
 use super::faults;
-use super::network::{Happening, Queue, region};
-use super::node::{Life, Node, address};
-use super::play::{Play, Trouble};
-use super::views::{Coordinator, FIRST, PROPOSERS, RECOUNT, WITNESSES};
+use super::gate::{GateProcess, SimulatedGate, address};
+use super::network::{Queue, WorldEvent, region};
+use super::scenario::{FaultPlan, Scenario};
+use super::views::{ACCEPTORS, Coordinator, FIRST_EPOCH, PROPOSERS, RECONFIGURE_INTERVAL};
 
-/// What a run leaves for the judges.
+/// What a run records for the checks.
 #[derive(Debug, Default)]
 pub(crate) struct Trace {
     /// (key, moment) of each client's request.
     pub requests: Vec<(usize, Micros)>,
-    /// (key, arrival at the server) of each request or repeat that is limited.
+    /// (key, arrival at the server) of each request or retry that is limited.
     pub arrivals: Vec<(usize, Micros)>,
-    /// (moment it came, time it waited for its permission) of each of them.
+    /// (arrival at the gate, time it waited for its permit) of each of them.
     pub waits: Vec<(Micros, Micros)>,
-    /// Requests that went elsewhere, or whose gate died.
-    pub given_up: u64,
+    /// Requests that waited too long, or whose gate was killed.
+    pub abandoned: u64,
     /// Messages that gates sent to owners and owners to gates.
     pub messages: u64,
     /// Messages that each gate sent and received as owner.
     pub owner_messages: Vec<u64>,
-    /// Views that a majority of the witnesses took.
+    /// Views that a majority of the acceptors accepted.
     pub installed: u64,
-    /// Proposals that no majority could take.
-    pub refused: u64,
-    /// Questions to witnesses, each to one of them.
-    pub questions: u64,
+    /// Proposals that no majority could accept.
+    pub rejected: u64,
+    /// Queries for the newest epoch, each to one acceptor.
+    pub epoch_queries: u64,
 }
 
 /// All state of one run.
 pub(crate) struct World {
-    pub(super) play: Play,
+    pub(super) scenario: Scenario,
     pub(super) now: Micros,
     pub(super) random: Xoshiro256PlusPlus,
     pub(super) queue: Queue,
-    pub(super) nodes: Vec<Node>,
-    pub(super) witnesses: [Acceptor; WITNESSES],
+    pub(super) gates: Vec<SimulatedGate>,
+    pub(super) acceptors: [Acceptor; ACCEPTORS],
     pub(super) coordinators: Vec<Coordinator>,
     /// Views by the epochs that were used.
-    pub(super) used: BTreeMap<u64, Arc<View>>,
-    /// Until when the last witness is on the side of the gates that are apart.
-    pub(super) witness_apart_until: Micros,
+    pub(super) views_by_epoch: BTreeMap<u64, Arc<View>>,
+    /// Until when the last acceptor is on the side of the partitioned gates.
+    pub(super) acceptor_partitioned_until: Micros,
     /// The view that was installed last.
     pub(super) view: Arc<View>,
     pub trace: Trace,
 }
 
-/// Plays a run to its end.
-pub(crate) fn run(play: Play) -> Trace {
-    let mut world = World::new(play);
+/// Simulates a run to its end.
+pub(crate) fn run(scenario: &Scenario) -> Trace {
+    let mut world = World::new(scenario);
     world.start();
-    while let Some((moment, what)) = world.queue.pop() {
-        if moment > play.length {
+    while let Some((moment, event)) = world.queue.pop() {
+        if moment > scenario.length {
             break;
         }
         world.now = moment;
-        world.happen(what);
+        world.handle(event);
     }
     world.trace
 }
 
 impl World {
-    fn new(play: Play) -> Self {
-        let life = |gate| Node {
-            life: Some(Life::new(&play, gate, 1, 0)),
+    fn new(scenario: &Scenario) -> Self {
+        let simulated_gate = |gate| SimulatedGate {
+            process: Some(GateProcess::new(scenario, gate, 1, 0)),
             incarnation: 1,
-            frozen_until: 0,
-            out_cut_until: 0,
-            in_cut_until: 0,
-            apart_until: 0,
-            changed: 0,
+            paused_until: 0,
+            outbound_partition_until: 0,
+            inbound_partition_until: 0,
+            partitioned_until: 0,
+            changed_at: 0,
         };
-        let gates = (0..play.gates).map(|gate| GateId {
+        let members = (0..scenario.gates).map(|gate| GateId {
             address: address(gate),
             incarnation: 1,
             region: region(gate),
         });
         let view = Arc::new(View {
-            epoch: FIRST,
+            epoch: FIRST_EPOCH,
             follows: None,
-            gates: gates.collect(),
+            gates: members.collect(),
         });
         Self {
-            play,
+            scenario: *scenario,
             now: 0,
-            random: Xoshiro256PlusPlus::seed_from_u64(play.seed),
+            random: Xoshiro256PlusPlus::seed_from_u64(scenario.seed),
             queue: Queue::default(),
-            nodes: (0..play.gates).map(life).collect(),
-            witnesses: std::array::from_fn(|_| Acceptor::restore(Some(view.clone()))),
+            gates: (0..scenario.gates).map(simulated_gate).collect(),
+            acceptors: std::array::from_fn(|_| Acceptor::restore(Some(view.clone()))),
             coordinators: (0..PROPOSERS)
                 .map(|number| Coordinator::new(number, view.clone()))
                 .collect(),
-            used: BTreeMap::new(),
-            witness_apart_until: 0,
+            views_by_epoch: BTreeMap::new(),
+            acceptor_partitioned_until: 0,
             view,
             trace: Trace {
-                owner_messages: vec![0; play.gates],
+                owner_messages: vec![0; scenario.gates],
                 ..Trace::default()
             },
         }
     }
 
     fn start(&mut self) {
-        for to in 0..self.play.gates {
+        for to in 0..self.scenario.gates {
             let view = self.view.clone();
-            self.queue.push(0, Happening::Learn { to, view });
+            self.queue.push(0, WorldEvent::LearnView { to, view });
         }
-        for key in 0..self.play.keys {
-            self.queue.push(0, Happening::Request { key });
+        for key in 0..self.scenario.keys {
+            self.queue.push(0, WorldEvent::Request { key });
         }
-        if self.play.trouble != Trouble::Calm {
+        if self.scenario.fault_plan != FaultPlan::None {
             for proposer in 0..PROPOSERS {
-                self.queue.push(RECOUNT, Happening::Recount { proposer });
+                self.queue
+                    .push(RECONFIGURE_INTERVAL, WorldEvent::Reconfigure { proposer });
             }
         }
-        faults::schedule(&self.play, &mut self.queue);
+        faults::schedule(&self.scenario, &mut self.queue);
     }
 
-    pub(super) fn happen(&mut self, what: Happening) {
-        if let Some(gate) = self.concerns(&what) {
-            let thaws = self.nodes[gate].frozen_until;
-            if thaws > self.now {
-                self.queue.push(thaws, what);
+    pub(super) fn handle(&mut self, event: WorldEvent) {
+        if let Some(gate) = gate_of(&event) {
+            let resumes = self.gates[gate].paused_until;
+            if resumes > self.now {
+                self.queue.push(resumes, event);
                 return;
             }
         }
-        match what {
-            Happening::Deliver { to, message } => self.deliver(to, message),
-            Happening::Learn { to, view } => self.learn(to, view),
-            Happening::Propose {
+        match event {
+            WorldEvent::Deliver { to, message } => self.deliver(to, message),
+            WorldEvent::LearnView { to, view } => self.on_view(to, view),
+            WorldEvent::Propose {
                 proposer,
-                witness,
+                acceptor,
                 view,
-            } => self.propose(proposer, witness, view),
-            Happening::CatchUp { witness, view } => self.catch_up(witness, view),
-            Happening::Question {
+            } => self.propose(proposer, acceptor, &view),
+            WorldEvent::CatchUp { acceptor, view } => self.catch_up(acceptor, view),
+            WorldEvent::EpochQuery {
                 from,
-                life,
-                question,
-                witness,
-            } => self.question(from, life, question, witness),
-            Happening::Answer {
+                incarnation,
+                confirmation_id,
+                acceptor,
+            } => self.on_epoch_query(from, incarnation, confirmation_id, acceptor),
+            WorldEvent::EpochReply {
                 to,
-                life,
-                question,
-                witness,
+                incarnation,
+                confirmation_id,
+                acceptor,
                 newest,
             } => {
-                self.answer(to, life, question, witness, newest);
+                self.on_epoch_reply(to, incarnation, confirmation_id, acceptor, newest);
             }
-            Happening::Wake { gate, life } => self.wake(gate, life),
-            Happening::Again { gate, life, key } => self.again(gate, life, key),
-            Happening::Request { key } => self.request(key),
-            Happening::Fault(fault) => self.fault(fault),
-            Happening::Recount { proposer } => self.recount(proposer),
+            WorldEvent::Timer { gate, incarnation } => self.on_timer(gate, incarnation),
+            WorldEvent::Retry {
+                gate,
+                incarnation,
+                key,
+            } => self.retry(gate, incarnation, key),
+            WorldEvent::Request { key } => self.on_client_request(key),
+            WorldEvent::Fault(fault) => self.inject(fault),
+            WorldEvent::Reconfigure { proposer } => self.reconfigure(proposer),
         }
     }
 
-    /// The gate whose process an event needs.
-    pub(super) fn concerns(&self, what: &Happening) -> Option<usize> {
-        match what {
-            Happening::Deliver { to, .. }
-            | Happening::Learn { to, .. }
-            | Happening::Answer { to, .. } => Some(*to),
-            Happening::Wake { gate, .. } | Happening::Again { gate, .. } => Some(*gate),
-            _ => None,
-        }
+    /// The process of a gate, if it still has this incarnation.
+    pub(super) fn process(&mut self, gate: usize, incarnation: u64) -> Option<&mut GateProcess> {
+        self.gates[gate]
+            .process
+            .as_mut()
+            .filter(|process| process.id.incarnation == incarnation)
     }
+}
 
-    pub(super) fn life(&mut self, gate: usize, life: u64) -> Option<&mut Life> {
-        self.nodes[gate]
-            .life
-            .as_mut()
-            .filter(|one| one.id.incarnation == life)
+/// The gate whose process handles an event.
+fn gate_of(event: &WorldEvent) -> Option<usize> {
+    match event {
+        WorldEvent::Deliver { to, .. }
+        | WorldEvent::LearnView { to, .. }
+        | WorldEvent::EpochReply { to, .. } => Some(*to),
+        WorldEvent::Timer { gate, .. } | WorldEvent::Retry { gate, .. } => Some(*gate),
+        _ => None,
     }
 }
