--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt at a server: the request is sent, and the head of the response comes back.
 //!
-//! [`classify`](mod@classify) decides what the head means, and [`response`] reads the body.
+//! The module `classify` decides what the head means, and `response` reads the body.
 
 mod classify;
 mod response;
@@ -20,8 +20,8 @@
 pub(crate) use classify::{ResponseClass, implies_not_executed};
 pub(crate) use response::{BufferedBody, UpstreamResponse};
 
-/// Sends a request and waits for the head of its response. `deadline_ms` is what the server is
-/// told; `admission` is asked right before the first byte is written.
+/// Sends a request and waits for the head of its response. `deadline_ms` goes into the
+/// deadline header; `admission` is asked right before the first byte is written.
 ///
 /// # Errors
 /// How the attempt ended, if no head came.
--- a/crates/gate/src/attempt/response.rs
+++ b/crates/gate/src/attempt/response.rs
@@ -46,7 +46,7 @@
 pub(crate) struct BufferedBody {
     /// The bytes so far.
     pub bytes: Bytes,
-    /// Whether this is the whole body.
+    /// Whether this is the complete body.
     pub is_complete: bool,
 }
 
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -25,7 +25,7 @@
         listener.stop.notify_one();
         listener.finish(IdleConnections::CloseNow).await;
     };
-    // A shutdown that takes too long aborts what is left.
+    // The requests still in progress at the deadline are aborted.
     let _ = tokio::time::timeout_at(gate.clock.at(deadline).into(), finish).await;
     info!(gate.log, "ended");
 }
--- a/crates/gate/src/entry_store.rs
+++ b/crates/gate/src/entry_store.rs
@@ -22,7 +22,7 @@
 /// The largest number of ended incarnations that are remembered.
 const MAX_ENDED_INSTANCES: usize = 2_000;
 
-/// Something that happened to a server and concerns its warm-up.
+/// A change in what is known of a server's warm-up.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum WarmupEvent {
     /// The server reported its warm-up.
@@ -49,7 +49,8 @@
 }
 
 impl EntryStore {
-    /// Merges entries; the newer version of each key is kept. Returns what happened to servers.
+    /// Merges entries; the newer version of each key wins. Returns the changes of
+    /// servers' warm-ups.
     pub(crate) fn merge(&mut self, now: Micros, entries: Vec<Entry>) -> Vec<WarmupEvent> {
         let mut events = Vec::new();
         for entry in entries {
@@ -161,7 +162,7 @@
     }
 
     /// All gates that were ever listed, and the gate at `own_frontend`.
-    pub(crate) fn tier(&self, settings: &Settings, own_frontend: SocketAddr) -> GateSet {
+    pub(crate) fn gate_set(&self, settings: &Settings, own_frontend: SocketAddr) -> GateSet {
         let mut gates: BTreeMap<SocketAddr, &str> = self
             .gates()
             .map(|(frontend, record)| (frontend, record.region.as_str()))
@@ -194,7 +195,7 @@
         };
         self.instances()
             .filter(|(_, record)| record.liveness != Liveness::Deregistered)
-            .map(|(id, record)| server_spec(settings, id, &record.heartbeat, status(id, record)))
+            .map(|(id, record)| server_spec(settings, id, &record.heartbeat, &status(id, record)))
             .collect()
     }
 
--- a/crates/gate/src/entry_store/tests.rs
+++ b/crates/gate/src/entry_store/tests.rs
@@ -191,12 +191,12 @@
 
 /// The agent may have lost contact with a gate that still sends.
 #[test]
-fn gate_that_has_ended_keeps_its_share_of_the_tier() {
+fn gate_that_has_ended_keeps_its_share_of_the_limits() {
     let own: SocketAddr = ([10, 0, 0, 1], 80).into();
     let mut store = EntryStore::default();
     let others = 81..=96;
     store.merge(5, others.clone().map(|port| gate(port, false)).collect());
-    let before = store.tier(&settings(), own);
+    let before = store.gate_set(&settings(), own);
     // 17 gates of one region: an even part of 35 is 2.
     assert_eq!(
         (before.divisor(), before.quota(35, "south", "i-1")),
@@ -212,5 +212,5 @@
             .collect(),
     );
     assert_eq!(store.gate_count(), 0);
-    assert_eq!(store.tier(&settings(), own), before);
+    assert_eq!(store.gate_set(&settings(), own), before);
 }
--- a/crates/gate/src/exchange.rs
+++ b/crates/gate/src/exchange.rs
@@ -52,13 +52,13 @@
 }
 
 impl Exchange {
-    /// Carries out decisions until one is final, or until nobody is left to respond to.
+    /// Carries out decisions until one is final, or until the client can get no further response.
     async fn follow(&mut self, mut decision: Decision) {
         loop {
             let next = match decision {
                 Decision::Send(dispatch) => self.attempt_and_report(dispatch).await,
                 Decision::Delay { until } => self.wait_until(until).await,
-                last => return self.respond(last),
+                last => return self.finish(&last),
             };
             let Some(next) = next else { return };
             decision = next;
@@ -102,12 +102,12 @@
     }
 
     /// Responds as the final decision says, if the client has no response yet.
-    fn respond(&mut self, decision: Decision) {
+    fn finish(&mut self, decision: &Decision) {
         let response = match decision {
-            Decision::Reject(refusal) => DownstreamResponse::Rejected(refusal),
+            Decision::Reject(rejection) => DownstreamResponse::Rejected(*rejection),
             Decision::ForwardResponse => self.take_saved_response(),
             Decision::Fail { status } => DownstreamResponse::Failed(
-                StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY),
+                StatusCode::from_u16(*status).unwrap_or(StatusCode::BAD_GATEWAY),
             ),
             // A response that has not finished by now is aborted as the exchange is dropped.
             Decision::AbortResponse
--- a/crates/gate/src/exchange/attempt.rs
+++ b/crates/gate/src/exchange/attempt.rs
@@ -9,12 +9,12 @@
 
 /// A response of up to this many bytes is buffered until it is complete.
 const MAX_BUFFERED_BYTES: usize = 512 * 1024;
-/// Servers are told a deadline that is this much earlier, because their response has to travel
-/// back.
+/// The deadline for servers is earlier by this much, because their response has to travel back.
 const RESPONSE_TRANSIT_TIME: Micros = 5_000;
 
 impl Exchange {
-    /// Makes one attempt. Returns how it ended, or `None` if nobody is left to respond to.
+    /// Makes one attempt. Returns how it ended, or `None` if the client can get no further
+    /// response.
     pub(super) async fn attempt(&mut self, dispatch: Dispatch) -> Option<Outcome> {
         match self.send_and_receive(&dispatch).await {
             Ok(outcome) | Err(Ended::Attempt(outcome)) => Some(outcome),
--- a/crates/gate/src/exchange/relay.rs
+++ b/crates/gate/src/exchange/relay.rs
@@ -25,11 +25,11 @@
                 self.send_events(&response, watch, events).await?;
             }
             if validity.is_err() {
-                return Ok(self.outcome_or_cut(Outcome::MalformedResponse));
+                return Ok(self.outcome_or_truncated(Outcome::MalformedResponse));
             }
         }
         if !framer.is_at_event_boundary() {
-            return Ok(self.outcome_or_cut(Outcome::MalformedResponse));
+            return Ok(self.outcome_or_truncated(Outcome::MalformedResponse));
         }
         if self.downstream.is_awaiting_head() {
             self.start_streaming(&response, None);
@@ -61,7 +61,7 @@
     ) -> Result<Option<Bytes>, Ended> {
         self.guarded(watch, response.next_chunk())
             .await?
-            .map_err(|outcome| Ended::Attempt(self.outcome_or_cut(outcome)))
+            .map_err(|outcome| Ended::Attempt(self.outcome_or_truncated(outcome)))
     }
 
     async fn send_events(
--- a/crates/gate/src/exchange/state.rs
+++ b/crates/gate/src/exchange/state.rs
@@ -35,15 +35,15 @@
 pub(super) struct SavedResponse {
     /// Status and headers.
     pub head: ResponseHead,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// What ended before its proper end.
+/// What a step ended early.
 pub(super) enum Ended {
     /// The attempt ended so; another one may follow.
     Attempt(Outcome),
-    /// The whole request ended: its client has disconnected or reads too slowly.
+    /// The request ended: its client has disconnected or reads too slowly.
     Request,
 }
 
@@ -72,12 +72,12 @@
     pub(super) fn interrupted(&self, interruption: Interruption) -> Ended {
         match interruption {
             Interruption::Disconnected => Ended::Request,
-            Interruption::TimedOut => Ended::Attempt(self.outcome_or_cut(Outcome::Timeout)),
+            Interruption::TimedOut => Ended::Attempt(self.outcome_or_truncated(Outcome::Timeout)),
         }
     }
 
-    /// `outcome` if the client has nothing of a response; otherwise the response was cut.
-    pub(super) fn outcome_or_cut(&self, outcome: Outcome) -> Outcome {
+    /// `outcome` if the client has nothing of a response; otherwise the response was truncated.
+    pub(super) fn outcome_or_truncated(&self, outcome: Outcome) -> Outcome {
         if self.downstream.is_awaiting_head() {
             outcome
         } else {
--- a/crates/gate/src/feed.rs
+++ b/crates/gate/src/feed.rs
@@ -119,8 +119,8 @@
         gate.peers
             .replace(self.store.peers(&gate.settings.borrow()));
         let routes = table.router().len();
-        let tier = self.store.tier(&gate.settings.borrow(), self.frontend);
-        gate.install_table(table, tier);
+        let gates = self.store.gate_set(&gate.settings.borrow(), self.frontend);
+        gate.install_table(table, gates);
         // Requests may wait for the configuration, so it counts as known only now that its table
         // is installed.
         let configured = self.store.configuration().is_some();
--- a/crates/gate/src/frontend.rs
+++ b/crates/gate/src/frontend.rs
@@ -1,5 +1,5 @@
 //! The client's side: each request is read completely, its route is found, and an
-//! [exchange](crate::exchange) obtains its response.
+//! [`exchange`] obtains its response.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -141,7 +141,7 @@
     }
 }
 
-/// Whether a request of this route may take longer than a gate that shuts down has left.
+/// Whether a request of this route may take longer than the rest of a grace period.
 fn is_long(route: &Route) -> bool {
     matches!(route.spec.kind, RouteKind::Stream { .. })
 }
--- a/crates/gate/src/gate.rs
+++ b/crates/gate/src/gate.rs
@@ -27,7 +27,7 @@
 const DISCOVERY_INTERVALS: f64 = 1.25;
 /// Requests wait this long after the start for the first configuration.
 const CONFIGURATION_WAIT: Micros = 1_300_000;
-/// The retry delay that clients are told while no configuration is known.
+/// The retry delay in rejections while no configuration is known.
 pub(crate) const CONFIGURATION_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// The state of a gate.
@@ -108,8 +108,8 @@
         )
     }
 
-    /// Replaces the table that decisions are based on.
-    pub(crate) fn install_table(&self, table: Table, tier: GateSet) {
+    /// Replaces the table that decisions are based on, and the gates that share the limits.
+    pub(crate) fn install_table(&self, table: Table, gates: GateSet) {
         let now = self.clock.now();
         let accepts_requests =
             |server: &&Arc<ServerSpec>| server.state == ServerState::Ready && !server.evacuated;
@@ -120,7 +120,9 @@
             .map(|server| (server.instance.clone(), server.clone()))
             .collect();
         self.accepting.replace(accepting);
-        self.limits.borrow_mut().update(now, tier, table.services());
+        self.limits
+            .borrow_mut()
+            .update(now, gates, table.services());
         let addresses: FxHashSet<_> = table
             .servers()
             .iter()
--- a/crates/gate/src/limits.rs
+++ b/crates/gate/src/limits.rs
@@ -28,10 +28,11 @@
     overshoot: f64,
     /// The number of requests by which they may exceed it in addition.
     tolerance: f64,
-    /// The number of gates that share the retry budgets.
-    gates: u32,
     /// The gates that share the warm-up limits.
-    tier: GateSet,
+    gates: GateSet,
+    /// The number of gates that the limits are divided by; it never falls, because gates that are no
+    /// longer known may still send.
+    divisor: u32,
     started: Duration,
     /// The warm-up limit of each service that has one.
     warmup: FxHashMap<Arc<str>, WarmupLimit>,
@@ -40,7 +41,7 @@
     /// The incarnations whose warm-up must be queried, because earlier reports are void.
     invalidated: FxHashSet<Arc<str>>,
     retry: ironmast_limits::RetryBudget<Arc<str>>,
-    retry_terms: RetryBudgetSettings,
+    retry_settings: RetryBudgetSettings,
 }
 
 /// The warm-up limit of a service's servers.
@@ -55,40 +56,40 @@
     /// The limits of a gate that starts now.
     pub(crate) fn new(bounds: &TimingBounds, now: Micros) -> Self {
         let started = to_duration(now);
-        let retry_terms = RetryBudgetSettings {
+        let retry_settings = RetryBudgetSettings {
             ratio: bounds.retry_budget_ratio,
             burst: bounds.retry_burst as u32,
             window: Duration::from_secs_f64(bounds.retry_window_s),
         };
-        let tier = GateSet::default();
-        let gates = tier.divisor();
+        let gates = GateSet::default();
+        let divisor = gates.divisor();
         Limits {
             overshoot: bounds.warmup_overshoot,
             tolerance: bounds.warmup_tolerance,
             gates,
-            tier,
+            divisor,
             started,
             warmup: FxHashMap::default(),
             tracker: WarmupTracker::default(),
             invalidated: FxHashSet::default(),
-            retry: ironmast_limits::RetryBudget::with_even_share(retry_terms, gates, started),
-            retry_terms,
+            retry: ironmast_limits::RetryBudget::with_even_share(retry_settings, divisor, started),
+            retry_settings,
         }
     }
 
     /// Sets the current services and the gates that share the limits. Gates that are no longer
     /// known count as well, because they may still send.
-    pub(crate) fn update(&mut self, now: Micros, tier: GateSet, services: &[ServiceSpec]) {
-        let gates = tier.divisor().max(self.gates);
-        if gates != self.gates {
+    pub(crate) fn update(&mut self, now: Micros, gates: GateSet, services: &[ServiceSpec]) {
+        let divisor = gates.divisor().max(self.divisor);
+        if divisor != self.divisor {
             self.retry = ironmast_limits::RetryBudget::with_even_share(
-                self.retry_terms,
-                gates,
+                self.retry_settings,
+                divisor,
                 to_duration(now),
             );
         }
+        self.divisor = divisor;
         self.gates = gates;
-        self.tier = tier;
         self.warmup
             .retain(|name, _| services.iter().any(|service| service.name == *name));
         for service in services {
@@ -104,7 +105,7 @@
         }
         let create = || WarmupLimit {
             bound,
-            limiter: SlowStartLimiter::with_even_share(bound, self.gates, self.started),
+            limiter: SlowStartLimiter::with_even_share(bound, self.divisor, self.started),
         };
         let limit = self
             .warmup
@@ -207,7 +208,7 @@
             limiter.record(now, &server.instance);
             return Ok(());
         }
-        let permits = self.tier.quota(*bound, &server.region, &server.instance);
+        let permits = self.gates.quota(*bound, &server.region, &server.instance);
         limiter
             .try_acquire_within(now, &server.instance, permits)
             .map_err(|exceeded| {
--- a/crates/gate/src/limits/tests.rs
+++ b/crates/gate/src/limits/tests.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// A tier of `count` gates; all but the first, which is this one, are in the servers' region.
-fn tier(count: u64) -> GateSet {
+/// A set of `count` gates; all but the first, which is this one, are in the servers' region.
+fn gate_set(count: u64) -> GateSet {
     GateSet::new(
         GateId(0),
         (0..count)
@@ -58,7 +58,7 @@
     let mut limits = Limits::new(&bounds, START);
     limits.update(
         START,
-        tier(16),
+        gate_set(16),
         &[service("cold", 10.0), service("plain", 0.0)],
     );
     limits
--- a/crates/gate/src/peers.rs
+++ b/crates/gate/src/peers.rs
@@ -1,7 +1,7 @@
 //! What the gates of a region send each other in datagrams: the prompts that each has in flight and
 //! that wait for prefill, and the servers that seem unhealthy to it.
 //!
-//! A datagram holds the whole state, so the next one makes up for one that was lost. In a larger
+//! A datagram holds the complete state, so the next one makes up for one that was lost. In a larger
 //! region each gate sends less often, so that what a gate receives in a second does not grow with
 //! the region.
 
--- a/crates/gate/src/response.rs
+++ b/crates/gate/src/response.rs
@@ -29,7 +29,7 @@
     Complete {
         /// Status and headers.
         head: ResponseHead,
-        /// The whole body.
+        /// The complete body.
         body: Bytes,
     },
     /// A server's, passed on as it arrives.
@@ -133,8 +133,8 @@
     /// response has been written.
     pub(crate) fn into_http(self, active: ActiveRequest) -> Response<BoxBody> {
         match self {
-            Self::Rejected(refusal) => {
-                rejection(refusal.status.code(), &refusal.retry_after_seconds())
+            Self::Rejected(reason) => {
+                rejection(reason.status.code(), &reason.retry_after_seconds())
             }
             Self::Failed(status) => Response::new(status),
             Self::Complete { head, body } => with_head(head, BoxBody::new(body)),
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a gate, serves until it is told to stop, and shuts it down.
+//! Starts a gate, serves until it must terminate, and shuts it down.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/gate/src/table_spec.rs
+++ b/crates/gate/src/table_spec.rs
@@ -8,7 +8,7 @@
 use ironmast_schema::registration::{Heartbeat, InstanceState};
 use ironmast_schema::settings::Settings;
 
-/// Weights are kept as whole numbers: a weight of 1 is this number.
+/// Weights are fixed-point numbers: a weight of 1 is this integer.
 const WEIGHT_SCALE: f64 = 1_000.0;
 
 /// The routes and services of a configuration, with these gates and servers.
@@ -38,7 +38,7 @@
     settings: &Settings,
     id: &str,
     heartbeat: &Heartbeat,
-    status: ServerStatus,
+    status: &ServerStatus,
 ) -> ServerSpec {
     ServerSpec {
         instance: id.into(),
@@ -91,7 +91,7 @@
     }
 }
 
-/// A weight as a whole number. One above 0 stays above 0.
+/// A weight as a fixed-point number. One above 0 stays above 0.
 fn fixed_point_weight(weight: f64) -> u32 {
     let scaled = (weight * WEIGHT_SCALE)
         .round()
