--- a/crates/gate/tests/answers.rs
+++ b/crates/gate/tests/answers.rs
@@ -1,6 +1,6 @@
-//! Answers and their requests in random interleavings: clients with kept connections, one request
-//! after another or all at once, over a few connections to servers that delay, break and send what
-//! nobody asked for. Each answer is made for its request; none may reach another.
+//! Responses and their requests in random interleavings: clients with persistent connections, one
+//! request after another or pipelined, over a few connections to servers that delay, break and send
+//! what was not requested. Each response is made for its request; none may reach another.
 
 mod support;
 
@@ -15,38 +15,42 @@
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use support::{ELSEWHERE, HERE, Stage, play};
+use support::{LOCAL_ZONE, REMOTE_ZONE, TestGate, run_test};
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Plans played with one seed, that seed in CI, and how many there are in the long run of 10,000
-/// plans.
+/// Plans that are run with one seed.
 const PLANS: u32 = 400;
-const FIRST_SEED: u8 = 47;
-const SEEDS_LONG: u8 = 25;
-/// The variable that sets another seed.
-const SEED: &str = "ANSWERS_SEED";
+/// The seed in CI.
+const DEFAULT_SEED: u8 = 47;
+/// The number of seeds in the long run of 10,000 plans.
+const LONG_RUN_SEEDS: u8 = 25;
+/// The environment variable that sets another seed.
+const SEED_VARIABLE: &str = "ANSWERS_SEED";
 
-/// How a server deals with a request at each of its arrivals; those behind the last are served.
+/// What servers do with a request.
 #[derive(Clone, Debug)]
-struct Dealt {
+struct Treatment {
+    /// The failure at each arrival of the request; later arrivals are served.
     failures: Vec<Failure>,
-    /// Turns that others have before it answers, and between the pieces of the answer.
-    turns: usize,
-    pieces: usize,
+    /// How often other tasks run before each chunk of the response.
+    yields: usize,
+    /// The number of chunks in which the response is written.
+    chunks: usize,
 }
 
 #[derive(Clone, Debug)]
-struct Planned {
+struct RequestPlan {
     route: &'static str,
     body: usize,
-    dealt: Dealt,
+    treatment: Treatment,
 }
 
 #[derive(Clone, Debug)]
-struct PlannedClient {
-    at_once: bool,
-    requests: Vec<Planned>,
+struct ClientPlan {
+    /// Whether all requests are sent before the first response is read.
+    pipelined: bool,
+    requests: Vec<RequestPlan>,
 }
 
 fn failure() -> impl Strategy<Value = Failure> {
@@ -76,27 +80,35 @@
     ]
 }
 
-fn planned() -> impl Strategy<Value = Planned> {
+fn request_plan() -> impl Strategy<Value = RequestPlan> {
     let route = prop::sample::select(vec!["safe", "unsafe", "stream", "once"]);
     let body = prop_oneof![Just(0_usize), 1_usize..64, 20_000_usize..60_000];
-    let dealt = (
+    let treatment = (
         prop::collection::vec(failure(), 0..3),
         0_usize..12,
         1_usize..4,
     );
-    (route, body, dealt).prop_map(|(route, body, (failures, turns, pieces))| {
-        let dealt = Dealt {
+    (route, body, treatment).prop_map(|(route, body, (failures, yields, chunks))| {
+        let treatment = Treatment {
             failures,
-            turns,
-            pieces,
+            yields,
+            chunks,
         };
-        Planned { route, body, dealt }
+        RequestPlan {
+            route,
+            body,
+            treatment,
+        }
     })
 }
 
-fn plan() -> impl Strategy<Value = Vec<PlannedClient>> {
-    let client = (any::<bool>(), prop::collection::vec(planned(), 1..5))
-        .prop_map(|(at_once, requests)| PlannedClient { at_once, requests });
+fn plan() -> impl Strategy<Value = Vec<ClientPlan>> {
+    let client = (any::<bool>(), prop::collection::vec(request_plan(), 1..5)).prop_map(
+        |(pipelined, requests)| ClientPlan {
+            pipelined,
+            requests,
+        },
+    );
     prop::collection::vec(client, 1..5)
 }
 
@@ -105,27 +117,27 @@
     format!("c{client}-r{request}")
 }
 
-/// What servers do, and saw.
+/// What the servers do, and what they have observed.
 #[derive(Default)]
-struct Ground {
-    dealt: BTreeMap<String, Dealt>,
+struct ServerState {
+    treatments: BTreeMap<String, Treatment>,
     arrivals: BTreeMap<String, usize>,
     runs: BTreeMap<String, usize>,
-    wrong: Vec<String>,
+    violations: Vec<String>,
 }
 
-type Shared = Rc<RefCell<Ground>>;
+type SharedState = Rc<RefCell<ServerState>>;
 
-async fn serve(listener: TcpListener, ground: Shared) {
+async fn serve(listener: TcpListener, state: SharedState) {
     while let Ok((stream, _)) = listener.accept().await {
-        actix_rt::spawn(serve_connection(stream, Rc::clone(&ground)));
+        actix_rt::spawn(serve_connection(stream, Rc::clone(&state)));
     }
 }
 
-async fn serve_connection(mut stream: TcpStream, ground: Shared) {
+async fn serve_connection(mut stream: TcpStream, state: SharedState) {
     let _ = stream.set_nodelay(true);
-    let mut come = Vec::new();
-    while let Some(head) = read_until(&mut stream, &mut come, b"\r\n\r\n").await {
+    let mut buffer = Vec::new();
+    while let Some(head) = read_until(&mut stream, &mut buffer, b"\r\n\r\n").await {
         let asked = Asked::parse(&head, GATE.id);
         let Some(id) = asked.id.clone() else {
             let healthy = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -134,57 +146,59 @@
             }
             continue;
         };
-        let (failure, dealt) = {
-            let mut ground = ground.borrow_mut();
-            let arrival = ground.arrivals.entry(id.clone()).or_default();
+        let (failure, treatment) = {
+            let mut state = state.borrow_mut();
+            let arrival = state.arrivals.entry(id.clone()).or_default();
             *arrival += 1;
             let arrival = *arrival;
-            let Some(dealt) = ground.dealt.get(&id).cloned() else {
-                ground.wrong.push(format!("{id} was asked by nobody"));
+            let Some(treatment) = state.treatments.get(&id).cloned() else {
+                state.violations.push(format!("{id} was asked by nobody"));
                 return;
             };
-            (dealt.failures.get(arrival - 1).copied(), dealt)
+            (treatment.failures.get(arrival - 1).copied(), treatment)
         };
         for act in acts(failure, &asked, &GATE) {
-            if !perform(act, &mut stream, &mut come, &asked, &dealt, &ground).await {
+            if !perform(act, &mut stream, &mut buffer, &asked, &treatment, &state).await {
                 return;
             }
         }
     }
 }
 
-/// Does one step; false where the connection is over.
+/// Takes one step; returns false if the connection has ended.
 async fn perform(
     act: Act,
     stream: &mut TcpStream,
-    come: &mut Vec<u8>,
+    buffer: &mut Vec<u8>,
     asked: &Asked,
-    dealt: &Dealt,
-    ground: &Shared,
+    treatment: &Treatment,
+    state: &SharedState,
 ) -> bool {
     let id = asked.id.clone().unwrap_or_default();
     match act {
         Act::ReadBody { runs } => {
             let length = asked.length.unwrap_or(0);
-            while come.len() < length {
-                if !more(stream, come).await {
+            while buffer.len() < length {
+                if !read_more(stream, buffer).await {
                     return false;
                 }
             }
-            let body: Vec<u8> = come.drain(..length).collect();
-            let mut ground = ground.borrow_mut();
+            let body: Vec<u8> = buffer.drain(..length).collect();
+            let mut state = state.borrow_mut();
             if body != body_of(&id, length) {
-                ground.wrong.push(format!("the body of {id} is another's"));
+                state
+                    .violations
+                    .push(format!("the body of {id} is another's"));
             }
             if runs {
-                *ground.runs.entry(id).or_default() += 1;
+                *state.runs.entry(id).or_default() += 1;
             }
             true
         }
         Act::Write(bytes) => {
-            let piece = bytes.len().div_ceil(dealt.pieces).max(1);
+            let piece = bytes.len().div_ceil(treatment.chunks).max(1);
             for part in bytes.chunks(piece) {
-                for _ in 0..dealt.turns {
+                for _ in 0..treatment.yields {
                     tokio::task::yield_now().await;
                 }
                 if stream.write_all(part).await.is_err() {
@@ -195,7 +209,7 @@
         }
         Act::Close => {
             let _ = stream.shutdown().await;
-            while more(stream, &mut Vec::new()).await {}
+            while read_more(stream, &mut Vec::new()).await {}
             false
         }
         Act::Reset => {
@@ -206,23 +220,23 @@
     }
 }
 
-async fn more(stream: &mut TcpStream, come: &mut Vec<u8>) -> bool {
-    stream.read_buf(come).await.is_ok_and(|bytes| bytes > 0)
+async fn read_more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
+    stream.read_buf(buffer).await.is_ok_and(|bytes| bytes > 0)
 }
 
-async fn read_until(stream: &mut TcpStream, come: &mut Vec<u8>, end: &[u8]) -> Option<String> {
+async fn read_until(stream: &mut TcpStream, buffer: &mut Vec<u8>, end: &[u8]) -> Option<String> {
     loop {
-        if let Some(at) = come.windows(end.len()).position(|part| part == end) {
-            let head: Vec<u8> = come.drain(..at + end.len()).collect();
+        if let Some(at) = buffer.windows(end.len()).position(|part| part == end) {
+            let head: Vec<u8> = buffer.drain(..at + end.len()).collect();
             return Some(String::from_utf8_lossy(&head).into_owned());
         }
-        if !more(stream, come).await {
+        if !read_more(stream, buffer).await {
             return None;
         }
     }
 }
 
-fn text_of(planned: &Planned, id: &str) -> Vec<u8> {
+fn request_bytes(planned: &RequestPlan, id: &str) -> Vec<u8> {
     let head = format!(
         "POST /{}/a HTTP/1.1\r\nHost: a.example\r\n{}: {id}\r\nX-Ironmast-Deadline-Ms: 20000\r\nContent-Length: {}\r\n\r\n",
         planned.route, GATE.id, planned.body
@@ -230,9 +244,12 @@
     [head.into_bytes(), body_of(id, planned.body)].concat()
 }
 
-/// A whole answer, or none where it broke off or never came.
-async fn answer(stream: &mut TcpStream, come: &mut Vec<u8>) -> Option<(u16, String, String)> {
-    let head = read_until(stream, come, b"\r\n\r\n")
+/// Reads a complete response, or returns `None` if it broke off or never came.
+async fn read_response(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+) -> Option<(u16, String, String)> {
+    let head = read_until(stream, buffer, b"\r\n\r\n")
         .await?
         .to_ascii_lowercase();
     let status = head.split(' ').nth(1)?.parse().ok()?;
@@ -242,23 +259,23 @@
     let mut body = Vec::new();
     if let Some(length) = length {
         let length: usize = length.parse().ok()?;
-        while come.len() < length {
-            if !more(stream, come).await {
+        while buffer.len() < length {
+            if !read_more(stream, buffer).await {
                 return None;
             }
         }
-        body = come.drain(..length).collect();
+        body = buffer.drain(..length).collect();
     } else if head.contains("transfer-encoding: chunked") {
         loop {
-            let line = read_until(stream, come, b"\r\n").await?;
+            let line = read_until(stream, buffer, b"\r\n").await?;
             let size = usize::from_str_radix(line.trim(), 16).ok()?;
-            while come.len() < size + 2 {
-                if !more(stream, come).await {
+            while buffer.len() < size + 2 {
+                if !read_more(stream, buffer).await {
                     return None;
                 }
             }
-            body.extend(come.drain(..size));
-            come.drain(..2);
+            body.extend(buffer.drain(..size));
+            buffer.drain(..2);
             if size == 0 {
                 break;
             }
@@ -267,9 +284,9 @@
     Some((status, head, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// What a client sees that it must not.
-fn misfit(
-    planned: &Planned,
+/// Describes a response that the client must not get.
+fn violation(
+    planned: &RequestPlan,
     id: &str,
     (status, head, body): &(u16, String, String),
 ) -> Option<String> {
@@ -281,49 +298,52 @@
         .lines()
         .find_map(|line| line.strip_prefix("x-ironmast-request-id: "));
     let fits = match status {
-        200 => *body == own && named == Some(id),
-        500 => *body == own && named == Some(id),
+        200 | 500 => *body == own && named == Some(id),
         502..=504 | 429 => body.is_empty() && named.is_none(),
         _ => false,
     };
     (!fits).then(|| format!("{id} got {status} {head:?} {body:?}"))
 }
 
-/// One client's requests over one connection, and over a new one where that ends; what it saw that
-/// it must not.
-async fn run_client(
-    to: SocketAddr,
-    client: usize,
-    planned: PlannedClient,
-) -> Result<usize, String> {
+/// Sends one client's requests over one connection, and over a new one where that ends. Returns the
+/// number of requests that were served.
+///
+/// # Errors
+/// A response that the client must not get.
+async fn run_client(to: SocketAddr, client: usize, planned: ClientPlan) -> Result<usize, String> {
     let mut served = 0;
-    let (mut stream, mut come) = (
+    let (mut stream, mut buffer) = (
         TcpStream::connect(to)
             .await
             .map_err(|error| error.to_string())?,
         Vec::new(),
     );
-    if planned.at_once {
+    if planned.pipelined {
         let all = planned.requests.iter().enumerate();
         let bytes: Vec<u8> = all
-            .flat_map(|(n, request)| text_of(request, &id_of(client, n)))
+            .flat_map(|(n, request)| request_bytes(request, &id_of(client, n)))
             .collect();
         // A gate that closes early need not read all of it.
         let _ = stream.write_all(&bytes).await;
     }
     for (n, request) in planned.requests.iter().enumerate() {
         let id = id_of(client, n);
-        if !planned.at_once && stream.write_all(&text_of(request, &id)).await.is_err() {
+        if !planned.pipelined
+            && stream
+                .write_all(&request_bytes(request, &id))
+                .await
+                .is_err()
+        {
             return Ok(served);
         }
-        match answer(&mut stream, &mut come).await {
-            Some(got) => match misfit(request, &id, &got) {
+        match read_response(&mut stream, &mut buffer).await {
+            Some(got) => match violation(request, &id, &got) {
                 Some(wrong) => return Err(wrong),
                 None => served += usize::from(got.0 == 200),
             },
-            None if planned.at_once => return Ok(served),
+            None if planned.pipelined => return Ok(served),
             None => {
-                (stream, come) = (
+                (stream, buffer) = (
                     TcpStream::connect(to)
                         .await
                         .map_err(|error| error.to_string())?,
@@ -335,52 +355,56 @@
     Ok(served)
 }
 
-/// Plays a plan; how many requests were served.
-fn play_plan(clients: Vec<PlannedClient>) -> Result<usize, String> {
-    let told = Rc::new(RefCell::new(Ok(0)));
-    let result = Rc::clone(&told);
-    play(async move {
-        let ground = Shared::default();
+/// Runs a plan; returns the number of requests that were served.
+fn run_plan(clients: Vec<ClientPlan>) -> Result<usize, String> {
+    let result = Rc::new(RefCell::new(Ok(0)));
+    let written_result = Rc::clone(&result);
+    run_test(async move {
+        let state = SharedState::default();
         for (client, planned) in clients.iter().enumerate() {
             for (n, request) in planned.requests.iter().enumerate() {
-                ground
+                state
                     .borrow_mut()
-                    .dealt
-                    .insert(id_of(client, n), request.dealt.clone());
+                    .treatments
+                    .insert(id_of(client, n), request.treatment.clone());
             }
         }
         let mut servers = Vec::new();
-        for (id, zone) in [("i-1", HERE), ("i-2", HERE), ("i-3", ELSEWHERE)] {
+        for (id, zone) in [
+            ("i-1", LOCAL_ZONE),
+            ("i-2", LOCAL_ZONE),
+            ("i-3", REMOTE_ZONE),
+        ] {
             let listener = TcpListener::bind("127.0.0.1:0")
                 .await
                 .expect("a port is free");
             servers.push((id, listener.local_addr().expect("bound"), zone));
-            actix_rt::spawn(serve(listener, Rc::clone(&ground)));
+            actix_rt::spawn(serve(listener, Rc::clone(&state)));
         }
-        let stage = Stage::start_at(&servers).await;
+        let gate = TestGate::start_with(&servers).await;
         let all = clients.iter().cloned().enumerate();
-        let all = all.map(|(client, planned)| run_client(stage.frontend, client, planned));
-        let ends: Result<Vec<usize>, String> = futures_util::future::join_all(all)
+        let all = all.map(|(client, planned)| run_client(gate.frontend, client, planned));
+        let served: Result<Vec<usize>, String> = futures_util::future::join_all(all)
             .await
             .into_iter()
             .collect();
-        let ground = ground.borrow();
+        let state = state.borrow();
         let twice = clients.iter().enumerate().find_map(|(client, planned)| {
             let requests = planned.requests.iter().enumerate();
             let once = requests.filter(|(_, request)| matches!(request.route, "unsafe" | "once"));
             once.map(|(n, _)| id_of(client, n))
-                .find(|id| ground.runs.get(id).is_some_and(|&runs| runs > 1))
+                .find(|id| state.runs.get(id).is_some_and(|&runs| runs > 1))
         });
-        *result.borrow_mut() = match (twice, ground.wrong.first()) {
+        *written_result.borrow_mut() = match (twice, state.violations.first()) {
             (Some(id), _) => Err(format!("{id} ran twice")),
             (_, Some(wrong)) => Err(wrong.clone()),
-            _ => ends.map(|ends| ends.iter().sum()),
+            _ => served.map(|served| served.iter().sum()),
         };
     });
-    told.borrow().clone()
+    result.borrow().clone()
 }
 
-fn play_plans(seed: u8) {
+fn run_plans(seed: u8) {
     let config = Config {
         cases: PLANS,
         failure_persistence: None,
@@ -390,7 +414,7 @@
     let (plans, answers) = (Cell::new(0), Cell::new(0));
     TestRunner::new_with_rng(config, rng)
         .run(&plan(), |clients| {
-            let served = play_plan(clients).map_err(TestCaseError::fail)?;
+            let served = run_plan(clients).map_err(TestCaseError::fail)?;
             plans.set(plans.get() + 1);
             answers.set(answers.get() + served);
             Ok(())
@@ -406,8 +430,10 @@
 
 #[test]
 fn each_answer_reaches_the_request_that_it_was_made_for() {
-    let seed = std::env::var(SEED).ok().and_then(|seed| seed.parse().ok());
-    play_plans(seed.unwrap_or(FIRST_SEED));
+    let seed = std::env::var(SEED_VARIABLE)
+        .ok()
+        .and_then(|seed| seed.parse().ok());
+    run_plans(seed.unwrap_or(DEFAULT_SEED));
 }
 
 /// The same for longer, each seed in a process of its own: gates that were dropped leave
@@ -416,11 +442,11 @@
 #[ignore = "minutes"]
 fn each_answer_reaches_the_request_that_it_was_made_for_in_ten_thousand_plans() {
     let name = "each_answer_reaches_the_request_that_it_was_made_for";
-    for seed in 1..=SEEDS_LONG {
+    for seed in 1..=LONG_RUN_SEEDS {
         let mut command = Command::new(std::env::current_exe().expect("this program"));
         let ended = command
             .args(["--exact", name, "--nocapture"])
-            .env(SEED, seed.to_string())
+            .env(SEED_VARIABLE, seed.to_string())
             .status();
         assert!(ended.expect("it starts").success(), "seed {seed}");
     }
--- a/crates/gate/tests/failing_servers.rs
+++ b/crates/gate/tests/failing_servers.rs
@@ -1,6 +1,6 @@
 //! Servers that fail at each step of an exchange, for each class of request and form of body: how
-//! often the request runs, what its client gets, and whether the connection to the server is used
-//! again.
+//! often the request is executed, what its client gets, and whether the connection to the server is
+//! reused.
 
 mod support;
 
@@ -9,14 +9,14 @@
 use ironmast_fault_injection::failing::{
     Ask, Connection, Ending, FailingServer, Failure, GATE, Received, RequestBody, ask, events,
 };
-use support::{ELSEWHERE, HERE, Stage, play};
+use support::{LOCAL_ZONE, REMOTE_ZONE, TestGate, run_test};
 
 use Connection::{Closed, Kept, Reset};
 
-/// More than a server that turns a request away is taken to have read.
-const LONG: usize = 300_000;
+/// More bytes than a server that rejects a request is assumed to have read.
+const LONG_BODY: usize = 300_000;
 
-/// A class of requests, by the route that it goes to.
+/// A class of requests, by the route that they take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Class {
     Safe,
@@ -37,12 +37,12 @@
         }
     }
 
-    fn may_repeat(self) -> bool {
+    fn is_idempotent(self) -> bool {
         matches!(self, Class::Safe | Class::Resumable)
     }
 
-    /// What a request of it is answered with.
-    fn content(self, id: &str) -> String {
+    /// The body of the response to a request of this class.
+    fn response_body(self, id: &str) -> String {
         match self {
             Class::Safe | Class::Unsafe => format!("answer to {id}"),
             Class::Once | Class::Resumable => events(id, 1),
@@ -55,82 +55,106 @@
     ("GET", RequestBody::None),
     ("POST", RequestBody::Sized(8)),
     ("PUT", RequestBody::Chunked(3_000)),
-    ("PATCH", RequestBody::Sized(LONG)),
+    ("PATCH", RequestBody::Sized(LONG_BODY)),
     ("DELETE", RequestBody::None),
 ];
 
-/// Those that a failure is played with: few where each takes the whole time that its client has.
-fn forms(meaning: Meaning) -> &'static [(&'static str, RequestBody)] {
-    if meaning == Meaning::Late {
+/// The forms with which a failure is tested: few where each takes until the client's deadline.
+fn forms_for(effect: Effect) -> &'static [(&'static str, RequestBody)] {
+    if effect == Effect::TimedOut {
         &FORMS[1..3]
     } else {
         &FORMS
     }
 }
 
-/// What the failure of the server that is asked first means.
+/// The effect of a failure of the server that gets the first attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Meaning {
-    /// The answer is whole all the same.
+enum Effect {
+    /// None: the response is complete.
     Served,
-    /// The request has not run.
-    NotRun,
-    /// It may have run, and nothing of an answer is of use.
-    Unknown,
-    /// The same, and some of a stream has been passed on.
-    Cut,
-    /// The server fails in its own words, which go to the client.
-    Failed,
-    /// It fails in words that would promise what it has not, and its status is that of the client's
-    /// fault.
-    Untrue,
-    /// No answer in the time that the client has.
-    Late,
+    /// The request has not been executed.
+    NotExecuted,
+    /// The request may have been executed, and there is no valid response.
+    MaybeExecuted,
+    /// The same, and a part of a stream has been relayed.
+    Truncated,
+    /// The server's error response goes to the client.
+    ServerError,
+    /// The server's response is a client error whose status would imply, without saying so, that
+    /// the request has not been executed.
+    MisleadingStatus,
+    /// No response before the client's deadline.
+    TimedOut,
 }
 
-/// Every failure, what it means, and whether the connection is used again.
-fn table() -> Vec<(Failure, Meaning, bool)> {
+/// A failure, and what follows from it.
+#[derive(Clone, Copy)]
+struct Case {
+    failure: Failure,
+    effect: Effect,
+    is_connection_reused: bool,
+}
+
+/// Every failure.
+fn cases() -> Vec<Case> {
+    let case = |(failure, effect, is_connection_reused)| Case {
+        failure,
+        effect,
+        is_connection_reused,
+    };
+    effects_and_reuse().into_iter().map(case).collect()
+}
+
+/// Every failure, its effect, and whether the connection is reused.
+fn effects_and_reuse() -> Vec<(Failure, Effect, bool)> {
+    use Effect::*;
     use Failure::*;
-    use Meaning::*;
     let mut rows = vec![
         (None, Served, true),
-        (Silence, Late, false),
+        (Silence, TimedOut, false),
         (Interim(100), Served, true),
         (Interim(102), Served, true),
         (Interim(103), Served, true),
-        (AfterInterim(101, Kept), Unknown, false),
+        (AfterInterim(101, Kept), MaybeExecuted, false),
         (Noise, Served, false),
         (Twice, Served, false),
         (Foreign, Served, false),
         (ForeignFirst, Served, false),
-        (ForeignInstead, Unknown, false),
-        (ForeignAndSilence, Late, false),
-        (Nameless, Unknown, false),
-        (TwoNames, Unknown, false),
-        (BothFramings, Unknown, false),
-        (TwoLengths, Unknown, false),
-        (BadChunk, Unknown, false),
-        (OldChunks, Unknown, false),
-        (BodyWithout204, Unknown, false),
-        (Unstamped, Unknown, false),
-        (Promise(503), NotRun, true),
-        (Promise(429), NotRun, true),
-        (Promise(421), NotRun, true),
-        (Failure::Status(421), NotRun, true),
-        (Failure::Status(500), Failed, true),
-        (Failure::Status(504), Failed, true),
-        (Failure::Status(503), Unknown, true),
-        (Failure::Status(429), Untrue, true),
-        (Failure::Status(408), Untrue, true),
+        (ForeignInstead, MaybeExecuted, false),
+        (ForeignAndSilence, TimedOut, false),
+        (Nameless, MaybeExecuted, false),
+        (TwoNames, MaybeExecuted, false),
+        (BothFramings, MaybeExecuted, false),
+        (TwoLengths, MaybeExecuted, false),
+        (BadChunk, MaybeExecuted, false),
+        (OldChunks, MaybeExecuted, false),
+        (BodyWithout204, MaybeExecuted, false),
+        (Unstamped, MaybeExecuted, false),
+        (Promise(503), NotExecuted, true),
+        (Promise(429), NotExecuted, true),
+        (Promise(421), NotExecuted, true),
+        (Failure::Status(421), NotExecuted, true),
+        (Failure::Status(500), ServerError, true),
+        (Failure::Status(504), ServerError, true),
+        (Failure::Status(503), MaybeExecuted, true),
+        (Failure::Status(429), MisleadingStatus, true),
+        (Failure::Status(408), MisleadingStatus, true),
     ];
     for end in [Closed, Reset] {
-        rows.extend([(NoHead(end), Unknown, false), (InHead(end), Unknown, false)]);
         rows.extend([
-            (InInterim(end), Unknown, false),
-            (AfterInterim(103, end), Unknown, false),
+            (NoHead(end), MaybeExecuted, false),
+            (InHead(end), MaybeExecuted, false),
+        ]);
+        rows.extend([
+            (InInterim(end), MaybeExecuted, false),
+            (AfterInterim(103, end), MaybeExecuted, false),
+        ]);
+        rows.extend([
+            (InBody(end), Truncated, false),
+            (InChunks(end), Truncated, false),
         ]);
-        rows.extend([(InBody(end), Cut, false), (InChunks(end), Cut, false)]);
-        rows.extend([(EarlyPromise(503, end), NotRun, false)]);
+        rows.extend([(EarlyPromise(503, end), NotExecuted, false)]);
     }
     for announced in [false, true] {
         rows.push((
@@ -146,73 +170,76 @@
                 announced,
                 end: Reset,
             },
-            Cut,
+            Truncated,
             false,
         ));
     }
     rows
 }
 
-/// What a request must come to, with a second server that serves.
+/// What the client gets and how often the request is executed, with a second server that serves.
 #[derive(Debug, PartialEq, Eq)]
-struct Exchange {
+struct ExchangeResult {
     status: u16,
     ending: Ending,
     body: String,
-    /// Runs at the first and at the second server.
+    /// Executions at the first and at the second server.
     runs: (usize, usize),
 }
 
-fn result(failure: Failure, meaning: Meaning, class: Class, id: &str) -> Exchange {
-    let whole = |runs| Exchange {
+fn expected_result(failure: Failure, effect: Effect, class: Class, id: &str) -> ExchangeResult {
+    let complete = |runs| ExchangeResult {
         status: 200,
         ending: Ending::Whole,
-        body: class.content(id),
+        body: class.response_body(id),
         runs,
     };
-    let failed = |status| Exchange {
+    let failed = |status| ExchangeResult {
         status,
         ending: Ending::Whole,
         body: String::new(),
         runs: (1, 0),
     };
     let is_stream = matches!(class, Class::Once | Class::Resumable);
-    match meaning {
-        Meaning::Served => whole((1, 0)),
-        Meaning::NotRun => whole((0, 1)),
-        Meaning::Late => failed(504),
-        Meaning::Untrue => failed(502),
-        Meaning::Cut if class == Class::Once => {
-            // The event that was cut is not passed on.
+    match effect {
+        Effect::Served => complete((1, 0)),
+        Effect::NotExecuted => complete((0, 1)),
+        Effect::TimedOut => failed(504),
+        Effect::Truncated if class == Class::Once => {
+            // The partial event is not relayed.
             let body = if matches!(failure, Failure::InBody(_)) {
                 "id: 1\n"
             } else {
                 "id: 2\n"
             };
             let body = class
-                .content(id)
+                .response_body(id)
                 .split_once(body)
                 .map(|(before, _)| before.to_string() + body);
             let body = body.expect("it is there") + &format!("data: {id}\n\n");
-            Exchange {
+            ExchangeResult {
                 status: 200,
                 ending: Ending::Broken,
                 body,
                 runs: (1, 0),
             }
         }
-        Meaning::Unknown | Meaning::Cut | Meaning::Failed if class.may_repeat() => whole((1, 1)),
-        Meaning::Unknown | Meaning::Cut => failed(502),
-        Meaning::Failed => {
+        Effect::MaybeExecuted | Effect::Truncated | Effect::ServerError
+            if class.is_idempotent() =>
+        {
+            complete((1, 1))
+        }
+        Effect::MaybeExecuted | Effect::Truncated | Effect::MisleadingStatus => failed(502),
+        Effect::ServerError => {
             let Failure::Status(status) = failure else {
-                panic!("{failure:?} has no words of its own")
+                panic!("{failure:?} is no response of the server's own")
             };
             let body = if is_stream {
                 events(id, 1)
             } else {
-                class.content(id)
+                class.response_body(id)
             };
-            Exchange {
+            ExchangeResult {
                 status,
                 ending: Ending::Whole,
                 body,
@@ -222,14 +249,9 @@
     }
 }
 
-fn request<'a>(
-    class: Class,
-    form: (&'a str, RequestBody),
-    id: &'a str,
-    meaning: Meaning,
-) -> Ask<'a> {
-    let headers = match meaning {
-        Meaning::Late => "X-Ironmast-Deadline-Ms: 400\r\n",
+fn request<'a>(class: Class, form: (&'a str, RequestBody), id: &'a str, effect: Effect) -> Ask<'a> {
+    let headers = match effect {
+        Effect::TimedOut => "X-Ironmast-Deadline-Ms: 400\r\n",
         _ => "X-Ironmast-Deadline-Ms: 20000\r\n",
     };
     Ask {
@@ -242,52 +264,69 @@
     }
 }
 
-/// What such a client waits for, on a thread of its own: the gate runs on this one.
+/// A gate with one server that fails so.
+async fn start_one_server(failures: &[Failure]) -> (FailingServer, TestGate) {
+    let server = FailingServer::start(GATE, failures).expect("a port");
+    let gate = TestGate::start_with(&[("i-1", server.address, LOCAL_ZONE)]).await;
+    (server, gate)
+}
+
+/// A gate with a server that fails so, and one in another region that serves.
+async fn start_two_servers(failures: &[Failure]) -> (FailingServer, FailingServer, TestGate) {
+    let first = FailingServer::start(GATE, failures).expect("a port");
+    let second = FailingServer::start(GATE, &[]).expect("a port");
+    let servers = [
+        ("i-1", first.address, LOCAL_ZONE),
+        ("i-2", second.address, REMOTE_ZONE),
+    ];
+    let gate = TestGate::start_with(&servers).await;
+    (first, second, gate)
+}
+
+/// Runs blocking work of a client on a thread of its own: the gate runs on this one.
 async fn blocking<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> T {
     actix_rt::task::spawn_blocking(work).await.expect("it ends")
 }
 
-async fn asked(
+async fn first_exchange(
     to: SocketAddr,
     class: Class,
     form: (&'static str, RequestBody),
-    meaning: Meaning,
+    effect: Effect,
 ) -> Received {
-    blocking(move || ask(to, &request(class, form, "r1", meaning)).expect("a connection")).await
+    blocking(move || ask(to, &request(class, form, "r1", effect)).expect("a connection")).await
 }
 
-/// Whatever fails, nothing that may have run runs again unless it may, and the client gets one
-/// whole answer, an answer that is visibly broken off, or a failure that promises nothing.
+/// Whatever fails, only an idempotent request is executed again after it may have been executed, and
+/// the client gets one complete response, a visibly truncated response, or an error that implies
+/// nothing about the execution.
 #[test]
-fn each_failure_of_a_server_for_each_class_and_form() {
-    for (failure, meaning, _) in table() {
-        play(async move {
+fn each_failure_of_a_server_has_its_expected_result_for_each_class_and_form() {
+    for Case {
+        failure, effect, ..
+    } in cases()
+    {
+        run_test(async move {
             for class in CLASSES {
-                for &form in forms(meaning) {
-                    let first = FailingServer::start(GATE, &[failure]).expect("a port");
-                    let second = FailingServer::start(GATE, &[]).expect("a port");
-                    let servers = [
-                        ("i-1", first.address, HERE),
-                        ("i-2", second.address, ELSEWHERE),
-                    ];
-                    let stage = Stage::start_at(&servers).await;
-                    let got = asked(stage.frontend, class, form, meaning).await;
+                for &form in forms_for(effect) {
+                    let (first, second, gate) = start_two_servers(&[failure]).await;
+                    let got = first_exchange(gate.frontend, class, form, effect).await;
                     let (first, second) = (first.seen(), second.seen());
                     let runs = (first.runs.len(), second.runs.len());
-                    let told = Exchange {
+                    let observed = ExchangeResult {
                         status: got.status,
                         ending: got.ending,
                         body: got.body.clone(),
                         runs,
                     };
-                    let wanted = result(failure, meaning, class, "r1");
-                    assert_eq!(told, wanted, "{failure:?}, {class:?}, {form:?}");
+                    let expected = expected_result(failure, effect, class, "r1");
+                    assert_eq!(observed, expected, "{failure:?}, {class:?}, {form:?}");
                     assert!(
                         first.wrong.is_empty() && second.wrong.is_empty(),
                         "{failure:?}: {first:?} {second:?}"
                     );
                     let stamped = got.header("x-ironmast-server-signature").is_some();
-                    let of_server = got.status == 200 || meaning == Meaning::Failed;
+                    let of_server = got.status == 200 || effect == Effect::ServerError;
                     assert_eq!(stamped, of_server, "{failure:?}, {class:?}: {}", got.head);
                 }
             }
@@ -295,20 +334,24 @@
     }
 }
 
-/// A connection on which anything is in doubt carries no further request; a sound one does.
+/// A connection whose state is in doubt carries no further request; any other one does.
 #[test]
-fn a_connection_is_used_again_only_after_a_sound_answer() {
-    for (failure, meaning, again) in table() {
-        play(async move {
+fn connection_is_reused_only_after_a_valid_response() {
+    for Case {
+        failure,
+        effect,
+        is_connection_reused,
+    } in cases()
+    {
+        run_test(async move {
             for class in [Class::Unsafe, Class::Resumable] {
-                for &form in forms(meaning) {
-                    let server = FailingServer::start(GATE, &[failure]).expect("a port");
-                    let stage = Stage::start_at(&[("i-1", server.address, HERE)]).await;
-                    asked(stage.frontend, class, form, meaning).await;
-                    let to = stage.frontend;
+                for &form in forms_for(effect) {
+                    let (server, gate) = start_one_server(&[failure]).await;
+                    first_exchange(gate.frontend, class, form, effect).await;
+                    let to = gate.frontend;
                     let next = Ask {
                         id: "r2",
-                        ..request(Class::Unsafe, FORMS[1], "r2", Meaning::Served)
+                        ..request(Class::Unsafe, FORMS[1], "r2", Effect::Served)
                     };
                     let got = blocking(move || ask(to, &next).expect("a connection")).await;
                     let seen = server.seen();
@@ -318,10 +361,10 @@
                     };
                     let of_next = connection("r2");
                     if got.status == 503 && of_next.is_empty() {
-                        // It is let rest after a refusal: the connections of refusals are another
-                        // test's.
+                        // The server is not used for a while after a rejection: another test covers the
+                        // connections of rejections.
                         assert!(
-                            meaning == Meaning::NotRun,
+                            effect == Effect::NotExecuted,
                             "{failure:?}, {class:?}, {form:?}: {got:?}"
                         );
                         continue;
@@ -331,12 +374,12 @@
                         (200, "answer to r2"),
                         "{failure:?}, {class:?}"
                     );
-                    let used_again = connection("r1").last() == of_next.last();
-                    let long = form.1 == RequestBody::Sized(LONG);
-                    let turned_away = matches!(failure, Failure::Status(_) | Failure::Promise(_));
+                    let is_reused = connection("r1").last() == of_next.last();
+                    let is_long = form.1 == RequestBody::Sized(LONG_BODY);
+                    let is_rejection = matches!(failure, Failure::Status(_) | Failure::Promise(_));
                     assert_eq!(
-                        used_again,
-                        again && !(long && turned_away),
+                        is_reused,
+                        is_connection_reused && !(is_long && is_rejection),
                         "{failure:?}, {class:?}, {form:?}"
                     );
                 }
@@ -345,25 +388,24 @@
     }
 }
 
-/// What a server that is asked over a kept connection does with it in between.
+/// The server closes or misuses an idle connection before the next request.
 #[test]
-fn a_kept_connection_that_its_server_has_forgotten_costs_no_request() {
+fn idle_connection_that_its_server_closed_costs_no_request() {
     for failure in [
         Failure::AfterAnswer(Closed),
         Failure::AfterAnswer(Reset),
         Failure::ForeignLater,
     ] {
-        play(async move {
+        run_test(async move {
             for class in CLASSES {
                 for form in FORMS {
-                    let server = FailingServer::start(GATE, &[failure]).expect("a port");
-                    let stage = Stage::start_at(&[("i-1", server.address, HERE)]).await;
-                    let to = stage.frontend;
+                    let (server, gate) = start_one_server(&[failure]).await;
+                    let to = gate.frontend;
                     let (first, next, seen) = blocking(move || {
                         let first =
-                            ask(to, &request(Class::Unsafe, FORMS[1], "r1", Meaning::Served));
+                            ask(to, &request(Class::Unsafe, FORMS[1], "r1", Effect::Served));
                         server.go_on();
-                        let next = ask(to, &request(class, form, "r2", Meaning::Served));
+                        let next = ask(to, &request(class, form, "r2", Effect::Served));
                         (
                             first.expect("a connection"),
                             next.expect("a connection"),
@@ -372,17 +414,17 @@
                     })
                     .await;
                     assert_eq!((first.status, first.body.as_str()), (200, "answer to r1"));
-                    let wanted = (200, class.content("r2"), Ending::Whole);
+                    let expected = (200, class.response_body("r2"), Ending::Whole);
                     assert_eq!(
                         (next.status, next.body, next.ending),
-                        wanted,
+                        expected,
                         "{failure:?}, {class:?}, {form:?}"
                     );
                     assert_eq!(seen.runs, ["r1", "r2"], "{failure:?}, {class:?}, {form:?}");
                     assert_eq!(
                         seen.arrivals.last().map(|(_, number)| *number),
                         Some(1),
-                        "on one of its own"
+                        "on a connection of its own"
                     );
                 }
             }
@@ -390,43 +432,37 @@
     }
 }
 
-/// The server resets a kept connection as a request is on it: whether that was read can't be known.
+/// The server breaks a reused connection after a request was written: whether the server has read
+/// it can't be known.
 #[test]
-fn a_kept_connection_that_breaks_under_a_request_counts_as_one_that_ran() {
+fn request_on_a_reused_connection_that_breaks_may_have_been_executed() {
     for end in [Closed, Reset] {
-        play(async move {
+        run_test(async move {
             for class in CLASSES {
                 for form in FORMS {
-                    let first = FailingServer::start(GATE, &[Failure::None, Failure::NoHead(end)])
-                        .expect("a port");
-                    let second = FailingServer::start(GATE, &[]).expect("a port");
-                    let servers = [
-                        ("i-1", first.address, HERE),
-                        ("i-2", second.address, ELSEWHERE),
-                    ];
-                    let stage = Stage::start_at(&servers).await;
-                    let to = stage.frontend;
+                    let (first, second, gate) =
+                        start_two_servers(&[Failure::None, Failure::NoHead(end)]).await;
+                    let to = gate.frontend;
                     let next = blocking(move || {
-                        let warm =
-                            ask(to, &request(Class::Unsafe, FORMS[1], "r1", Meaning::Served));
+                        let warm = ask(to, &request(Class::Unsafe, FORMS[1], "r1", Effect::Served));
                         assert_eq!(warm.expect("a connection").body, "answer to r1");
-                        ask(to, &request(class, form, "r2", Meaning::Served)).expect("a connection")
+                        ask(to, &request(class, form, "r2", Effect::Served)).expect("a connection")
                     })
                     .await;
                     let arrivals = first.seen().arrivals;
                     assert_eq!(
                         arrivals,
                         [("r1".to_string(), 0), ("r2".to_string(), 0)],
-                        "on the kept one"
+                        "on the reused connection"
                     );
-                    let wanted = if class.may_repeat() {
+                    let expected = if class.is_idempotent() {
                         (200, 1)
                     } else {
                         (502, 0)
                     };
                     assert_eq!(
                         (next.status, second.seen().runs.len()),
-                        wanted,
+                        expected,
                         "{end:?}, {class:?}, {form:?}"
                     );
                 }
@@ -435,48 +471,42 @@
     }
 }
 
-/// A server may answer before it has read a long body, and read on later.
+/// A server may respond before it has read a long body, and read on later.
 #[test]
-fn an_early_answer_leaves_no_other_bytes_where_the_rest_of_a_body_is_due() {
+fn early_response_leaves_no_other_bytes_where_the_rest_of_a_body_is_due() {
     for failure in [
         Failure::EarlyPromise(503, Kept),
         Failure::EarlyPromise(429, Kept),
         Failure::EarlyPromise(421, Kept),
         Failure::EarlyError(Kept),
     ] {
-        play(async move {
+        run_test(async move {
             for body in [
                 RequestBody::Sized(8),
-                RequestBody::Sized(LONG),
+                RequestBody::Sized(LONG_BODY),
                 RequestBody::Sized(4_000_000),
             ] {
                 for class in CLASSES {
-                    let first = FailingServer::start(GATE, &[failure]).expect("a port");
-                    let second = FailingServer::start(GATE, &[]).expect("a port");
-                    let servers = [
-                        ("i-1", first.address, HERE),
-                        ("i-2", second.address, ELSEWHERE),
-                    ];
-                    let stage = Stage::start_at(&servers).await;
-                    let to = stage.frontend;
+                    let (first, second, gate) = start_two_servers(&[failure]).await;
+                    let to = gate.frontend;
                     for id in ["r1", "r2", "r3"] {
                         let got = blocking(move || {
-                            ask(to, &request(class, ("POST", body), id, Meaning::Served))
+                            ask(to, &request(class, ("POST", body), id, Effect::Served))
                                 .expect("a connection")
                         })
                         .await;
                         let early = id == "r1" && matches!(failure, Failure::EarlyError(_));
-                        let wanted = if early && !class.may_repeat() {
+                        let expected = if early && !class.is_idempotent() {
                             500
                         } else {
                             200
                         };
                         assert_eq!(
                             (got.status, got.ending),
-                            (wanted, Ending::Whole),
+                            (expected, Ending::Whole),
                             "{failure:?}, {class:?}, {id}"
                         );
-                        assert_eq!(got.body, class.content(id));
+                        assert_eq!(got.body, class.response_body(id));
                     }
                     let (first, second) = (first.seen(), second.seen());
                     assert!(
@@ -490,8 +520,11 @@
                             .chain(&second.runs)
                             .filter(|of| *of == id)
                             .count();
-                        let most = if class.may_repeat() { 2 } else { 1 };
-                        assert!(runs <= most, "{failure:?}, {class:?}: {first:?} {second:?}");
+                        let max_runs = if class.is_idempotent() { 2 } else { 1 };
+                        assert!(
+                            runs <= max_runs,
+                            "{failure:?}, {class:?}: {first:?} {second:?}"
+                        );
                     }
                 }
             }
@@ -499,10 +532,10 @@
     }
 }
 
-/// An answer to `HEAD` ends with its head, whatever that says of a body.
+/// A response to `HEAD` ends with its head, whatever that says of a body.
 #[test]
-fn an_answer_to_head_is_whole_with_its_head() {
-    play(async {
+fn response_to_head_is_complete_with_its_head() {
+    run_test(async {
         for failure in [
             Failure::None,
             Failure::InBody(Closed),
@@ -515,13 +548,12 @@
             for class in [Class::Unsafe, Class::Once] {
                 // Each on a connection of its own: the server may close the last one as the next
                 // request is written.
-                let server = FailingServer::start(GATE, &[failure]).expect("a port");
-                let stage = Stage::start_at(&[("i-1", server.address, HERE)]).await;
-                let got = asked(
-                    stage.frontend,
+                let (_server, gate) = start_one_server(&[failure]).await;
+                let got = first_exchange(
+                    gate.frontend,
                     class,
                     ("HEAD", RequestBody::None),
-                    Meaning::Served,
+                    Effect::Served,
                 )
                 .await;
                 assert_eq!(
--- a/crates/gate/tests/lifecycle.rs
+++ b/crates/gate/tests/lifecycle.rs
@@ -1,77 +1,71 @@
-//! The beginning and the end of a gate.
+//! The start and the graceful shutdown of a gate.
 
 mod support;
 
-use support::{Client, HERE, LAST_CHUNK, Server, Stage, chunk, event, play};
+use support::{LOCAL_ZONE, OneServer, Server, TestGate, run_test};
 
 #[test]
-fn without_a_configuration_clients_are_told_to_come_back() {
-    play(async {
-        let stage = Stage::start_without_configuration().await;
-        let mut client = stage.client().await;
-        client.ask("/safe/a", "r1", "").await;
-        let (head, _) = client.answer().await;
+fn without_a_configuration_requests_are_rejected_with_a_retry_delay() {
+    run_test(async {
+        let gate = TestGate::start_without_configuration().await;
+        let mut client = gate.connect().await;
+        client.send_request("/safe/a", "r1").await;
+        let (head, _) = client.read_response().await;
         assert!(
             head.starts_with("http/1.1 503") && head.contains("retry-after: "),
             "{head}"
         );
-        let mut checks = Client::connect(stage.readiness).await;
-        checks
-            .write("GET /api/readyz HTTP/1.1\r\nHost: x\r\n\r\n")
-            .await;
-        assert!(checks.answer().await.0.starts_with("http/1.1 503"));
+        let readiness = gate.connect_readiness().await.check_readiness().await;
+        assert!(readiness.starts_with("http/1.1 503"));
     });
 }
 
 #[test]
-fn a_request_that_comes_before_the_configuration_waits_for_it() {
-    play(async {
+fn request_that_arrives_before_the_configuration_waits_for_it() {
+    run_test(async {
         let mut server = Server::start("i-1").await;
-        let mut stage = Stage::start_without_configuration().await;
-        let mut client = stage.client().await;
-        client.ask("/unsafe/a", "r1", "").await;
-        // Its head is read by the time at which the gate has answered another.
-        let mut checks = Client::connect(stage.readiness).await;
-        checks
-            .write("GET /api/readyz HTTP/1.1\r\nHost: x\r\n\r\n")
-            .await;
-        assert!(checks.answer().await.0.starts_with("http/1.1 503"));
-        stage
-            .configure(&[(&server.instance, server.address, HERE)])
+        let mut gate = TestGate::start_without_configuration().await;
+        let mut client = gate.connect().await;
+        client.send_request("/unsafe/a", "r1").await;
+        // Its head has been read by the time the gate has answered another request.
+        let readiness = gate.connect_readiness().await.check_readiness().await;
+        assert!(readiness.starts_with("http/1.1 503"));
+        gate.configure(&[(&server.instance, server.address, LOCAL_ZONE)])
             .await;
-        server.asked().await.answer("200 OK", "", "served").await;
-        let (head, body) = client.answer().await;
+        server.next_request().await.serve("served").await;
+        let (head, body) = client.read_response().await;
         assert!(head.starts_with("http/1.1 200"), "{head}");
         assert_eq!(body, "served");
     });
 }
 
 #[test]
-fn a_path_without_a_route_is_not_found() {
-    play(async {
-        let server = Server::start("i-1").await;
-        let stage = Stage::start(&[(&server, HERE)]).await;
-        let mut client = stage.client().await;
-        client.ask("/none/a", "r1", "").await;
-        assert!(client.answer().await.0.starts_with("http/1.1 404"));
-        let mut checks = Client::connect(stage.readiness).await;
-        checks
-            .write("GET /api/readyz HTTP/1.1\r\nHost: x\r\n\r\n")
-            .await;
-        assert!(checks.answer().await.0.starts_with("http/1.1 200"));
+fn path_without_a_route_is_not_found() {
+    run_test(async {
+        let OneServer {
+            server: _server,
+            gate,
+            mut client,
+        } = OneServer::start().await;
+        client.send_request("/none/a", "r1").await;
+        assert!(client.read_response().await.0.starts_with("http/1.1 404"));
+        let readiness = gate.connect_readiness().await.check_readiness().await;
+        assert!(readiness.starts_with("http/1.1 200"));
     });
 }
 
 #[test]
-fn a_body_beyond_the_limit_is_refused() {
-    play(async {
-        let server = Server::start("i-1").await;
-        let stage = Stage::start(&[(&server, HERE)]).await;
-        let mut client = stage.client().await;
+fn body_over_the_limit_is_too_large() {
+    run_test(async {
+        let OneServer {
+            server: _server,
+            gate: _gate,
+            mut client,
+        } = OneServer::start().await;
         client
             .write("POST /safe/a HTTP/1.1\r\nHost: a.example\r\nContent-Length: 9000000\r\n\r\n")
             .await;
-        let (head, _) = client.answer().await;
+        let (head, _) = client.read_response().await;
         assert!(
             head.starts_with("http/1.1 413") && head.contains("connection: close"),
             "{head}"
@@ -80,52 +74,57 @@
 }
 
 #[test]
-fn a_terminated_gate_finishes_its_streams_and_then_ends() {
-    play(async {
-        let mut server = Server::start("i-1").await;
-        let mut stage = Stage::start(&[(&server, HERE)]).await;
-        let mut client = stage.client().await;
-        client.ask("/once/a", "r1", "").await;
-        let mut asked = server.asked().await;
-        asked.begin_events().await;
-        asked.write(&chunk(&event(1))).await;
-        client.until(&event(1)).await;
-        stage.terminate();
-        stage.until_ready(false).await;
-        // Clients whose list is old still come, and are told not to stay.
-        let mut late = stage.client().await;
-        late.ask("/unsafe/a", "r2", "").await;
-        server.asked().await.answer("200 OK", "", "late").await;
-        let (head, body) = late.answer().await;
+fn terminated_gate_finishes_its_streams_before_it_shuts_down() {
+    run_test(async {
+        let OneServer {
+            mut server,
+            mut gate,
+            mut client,
+        } = OneServer::start().await;
+        client.send_request("/once/a", "r1").await;
+        let mut stream = server.next_request().await;
+        stream.start_events("").await;
+        stream.send_event(1).await;
+        client.read_event(1).await;
+        gate.terminate().await;
+        // Clients with an outdated list of addresses still connect, and must not stay connected.
+        let mut late = gate.connect().await;
+        late.send_request("/unsafe/a", "r2").await;
+        server.next_request().await.serve("late").await;
+        let (head, body) = late.read_response().await;
         assert!(head.contains("connection: close"), "{head}");
-        assert_eq!((body.as_str(), late.rest().await.as_str()), ("late", ""));
-        asked.write(&chunk(&event(2))).await;
-        asked.write(LAST_CHUNK).await;
-        client.until(&event(2)).await;
-        client.until("\r\n0\r\n\r\n").await;
-        stage.ended().await;
+        assert_eq!(
+            (body.as_str(), late.read_to_end().await.as_str()),
+            ("late", "")
+        );
+        stream.send_event(2).await;
+        stream.end_events().await;
+        client.read_event(2).await;
+        client.read_end_of_stream().await;
+        gate.wait_for_shutdown().await;
     });
 }
 
 #[test]
-fn a_request_half_read_is_answered_by_a_gate_that_ends() {
-    play(async {
-        let mut server = Server::start("i-1").await;
-        let mut stage = Stage::start(&[(&server, HERE)]).await;
-        let mut client = stage.client().await;
+fn terminated_gate_serves_a_request_that_was_received_in_part() {
+    run_test(async {
+        let OneServer {
+            mut server,
+            mut gate,
+            mut client,
+        } = OneServer::start().await;
         client
             .write("POST /unsafe/a HTTP/1.1\r\nHost: a.example\r\nX-Ironmast-Request-Id: r1\r\nContent-Length: 8\r\n\r\nques")
             .await;
-        let mut idle = stage.client().await;
-        stage.terminate();
-        stage.until_ready(false).await;
-        // The idle one is closed when no more clients are awaited.
-        assert_eq!(idle.rest().await, "");
+        let mut idle = gate.connect().await;
+        gate.terminate().await;
+        // The idle connection is closed when no more clients are expected.
+        assert_eq!(idle.read_to_end().await, "");
         client.write("tion").await;
-        let mut asked = server.asked().await;
-        assert_eq!(asked.body, "question");
-        asked.answer("200 OK", "", "answer").await;
-        assert_eq!(client.answer().await.1, "answer");
-        stage.ended().await;
+        let mut request = server.next_request().await;
+        assert_eq!(request.body, "question");
+        request.serve("answer").await;
+        assert_eq!(client.read_response().await.1, "answer");
+        gate.wait_for_shutdown().await;
     });
 }
--- a/crates/gate/tests/peers.rs
+++ b/crates/gate/tests/peers.rs
@@ -1,98 +1,98 @@
-//! What gates of a region tell each other, over real datagrams that the test loses or passes on.
+//! What the gates of a region send each other, in real datagrams that the test drops or forwards.
 
 mod support;
 
 use std::net::Ipv4Addr;
 
-use support::{HERE, Server, Stage, gate, play};
+use support::entries::gate;
+use support::{LOCAL_ZONE, Server, TestGate, next_request_at_either, run_test};
 use tokio::net::UdpSocket;
 
-/// Other gates of the region, as far as the two gates of a play know.
-const OTHERS: [[u8; 4]; 2] = [[127, 0, 0, 2], [127, 0, 0, 3]];
-/// How often the datagram is passed on, a quarter of a second apart: the second gate has then heard
-/// nothing of the servers itself for long enough.
-const PASSED_ON: usize = 2;
+/// Other gates of the region, as far as the two gates of a test know.
+const OTHER_GATES: [[u8; 4]; 2] = [[127, 0, 0, 2], [127, 0, 0, 3]];
+/// How often the datagram is forwarded, a quarter of a second apart: the second gate's own
+/// knowledge of the servers is old enough by then.
+const FORWARDED_COPIES: usize = 2;
 const REQUESTS: usize = 6;
 
 /// A gate that knows the servers and the other gates.
-async fn start(servers: &[Server; 2]) -> Stage {
-    let [one, other] = servers;
-    let mut stage = Stage::start(&[(one, HERE), (other, HERE)]).await;
-    stage.tell(OTHERS.map(gate).to_vec()).await;
-    stage
+async fn start_gate([first, second]: &[Server; 2]) -> TestGate {
+    let mut test_gate = TestGate::start(&[(first, LOCAL_ZONE), (second, LOCAL_ZONE)]).await;
+    test_gate.send_entries(OTHER_GATES.map(gate).to_vec()).await;
+    test_gate
 }
 
-/// Breaks off a request at one of the servers; its place.
-async fn break_off(stage: &Stage, servers: &mut [Server; 2]) -> usize {
-    let mut client = stage.client().await;
-    client.ask("/unsafe/a", "r1", "").await;
-    let [one, other] = servers;
-    let (broken, asked) = tokio::select! {
-        asked = one.asked() => (0, asked),
-        asked = other.asked() => (1, asked),
-    };
-    drop(asked);
-    assert!(client.answer().await.0.starts_with("http/1.1 502"));
-    broken
+/// Breaks off a request at one of the servers; returns that server's position.
+async fn fail_one_server(gate: &TestGate, [first, second]: &mut [Server; 2]) -> usize {
+    let mut client = gate.connect().await;
+    client.send_request("/unsafe/a", "r1").await;
+    let (failed, request) = next_request_at_either(first, second).await;
+    drop(request);
+    assert!(client.read_response().await.0.starts_with("http/1.1 502"));
+    failed
+}
+
+async fn bind(address: [u8; 4], port: u16) -> UdpSocket {
+    UdpSocket::bind((Ipv4Addr::from(address), port))
+        .await
+        .expect("a port is free")
 }
 
 async fn receive(socket: &UdpSocket) -> Vec<u8> {
     let mut datagram = [0; 2_048];
-    let length = socket.recv(&mut datagram).await.expect("it tells");
+    let length = socket.recv(&mut datagram).await.expect("a datagram");
     datagram[..length].to_vec()
 }
 
-/// Whether a second gate uses a server of which the first gate's datagrams tell, passed on in the
-/// name of `tellers`. The first datagram is lost.
-async fn uses(tellers: &[[u8; 4]]) -> bool {
+/// Whether a gate still uses a server that another gate's datagrams report as suspect, if these are
+/// forwarded in the name of `senders`. The first datagram is lost.
+async fn second_gate_uses_the_suspect_server(senders: &[[u8; 4]]) -> bool {
     let mut servers = [Server::start("i-1").await, Server::start("i-2").await];
-    let (first, second) = (start(&servers).await, start(&servers).await);
-    let heard = UdpSocket::bind((Ipv4Addr::from(OTHERS[0]), first.peers.port()))
-        .await
-        .expect("a port is free");
-    let broken = break_off(&first, &mut servers).await;
-    let mut names = Vec::new();
-    for teller in tellers {
-        names.push(
-            UdpSocket::bind((Ipv4Addr::from(*teller), 0))
-                .await
-                .expect("a port is free"),
-        );
+    let (first_gate, second_gate) = (start_gate(&servers).await, start_gate(&servers).await);
+    let receiver = bind(OTHER_GATES[0], first_gate.peers.port()).await;
+    let suspect = fail_one_server(&first_gate, &mut servers).await;
+    let mut sender_sockets = Vec::new();
+    for sender in senders {
+        sender_sockets.push(bind(*sender, 0).await);
     }
-    let lost = receive(&heard).await;
-    let told_again = receive(&heard).await;
-    assert_eq!(told_again, lost, "all of it is told each time");
-    // The next ones only tell that time has passed.
-    for _ in 0..PASSED_ON {
-        for name in &names {
-            name.send_to(&told_again, second.peers).await.expect("sent");
+    let lost = receive(&receiver).await;
+    let repeated = receive(&receiver).await;
+    assert_eq!(repeated, lost, "each datagram holds the complete state");
+    // The next datagrams are awaited only to let time pass.
+    for _ in 0..FORWARDED_COPIES {
+        for socket in &sender_sockets {
+            socket
+                .send_to(&repeated, second_gate.peers)
+                .await
+                .expect("sent");
         }
-        receive(&heard).await;
+        receive(&receiver).await;
     }
+    is_used(&second_gate, suspect, servers).await
+}
+
+/// Whether any of some requests goes to the server at this position.
+async fn is_used(gate: &TestGate, position: usize, [mut first, mut second]: [Server; 2]) -> bool {
     let mut is_used = false;
-    let [one, other] = &mut servers;
-    for request in 0..REQUESTS {
-        let mut client = second.client().await;
-        client.ask("/unsafe/a", &format!("s{request}"), "").await;
-        let (place, mut asked) = tokio::select! {
-            asked = one.asked() => (0, asked),
-            asked = other.asked() => (1, asked),
-        };
-        is_used |= place == broken;
-        asked
-            .answer("200 OK", "Connection: close\r\n", "served")
+    for number in 0..REQUESTS {
+        let mut client = gate.connect().await;
+        client
+            .send_request("/unsafe/a", &format!("s{number}"))
             .await;
-        assert!(client.answer().await.0.starts_with("http/1.1 200"));
+        let (server, mut request) = next_request_at_either(&mut first, &mut second).await;
+        is_used |= server == position;
+        request.serve_and_close("served").await;
+        assert!(client.read_response().await.0.starts_with("http/1.1 200"));
     }
     is_used
 }
 
 #[test]
-fn a_server_that_two_gates_find_out_of_order_gets_nothing_though_a_datagram_was_lost() {
-    play(async { assert!(!uses(&OTHERS).await) });
+fn server_that_two_gates_suspect_is_not_used_though_a_datagram_was_lost() {
+    run_test(async { assert!(!second_gate_uses_the_suspect_server(&OTHER_GATES).await) });
 }
 
 #[test]
-fn the_word_of_one_gate_is_not_enough() {
-    play(async { assert!(uses(&OTHERS[..1]).await) });
+fn server_that_only_one_gate_suspects_is_used() {
+    run_test(async { assert!(second_gate_uses_the_suspect_server(&OTHER_GATES[..1]).await) });
 }
--- a/crates/gate/tests/streams.rs
+++ b/crates/gate/tests/streams.rs
@@ -1,143 +1,152 @@
-//! Streams through a gate: event by event, cut and taken up, cut and seen to be cut.
+//! Streams through a gate: relayed event by event, resumed on another server, and visibly truncated
+//! where neither is possible.
 
 mod support;
 
-use support::{ELSEWHERE, HERE, LAST_CHUNK, Server, Stage, chunk, event, play};
+use support::messages::{END_OF_CHUNKS, chunk, event};
+use support::{OneServer, TwoServers, run_test};
 
 #[test]
-fn events_are_passed_on_one_by_one() {
-    play(async {
-        let mut server = Server::start("i-1").await;
-        let stage = Stage::start(&[(&server, HERE)]).await;
-        let mut client = stage.client().await;
-        client.ask("/stream/a", "r1", "").await;
-        let mut asked = server.asked().await;
-        assert_eq!(asked.header("x-ironmast-expect-instance"), Some("i-1"));
-        assert_eq!(asked.header("priority"), Some("1"));
-        assert_eq!(asked.body, "question");
-        asked.begin_events().await;
+fn events_are_relayed_one_by_one() {
+    run_test(async {
+        let OneServer {
+            mut server,
+            gate: _gate,
+            mut client,
+        } = OneServer::start().await;
+        client.send_request("/stream/a", "r1").await;
+        let mut request = server.next_request().await;
+        assert_eq!(request.header("x-ironmast-expect-instance"), Some("i-1"));
+        assert_eq!(request.header("priority"), Some("1"));
+        assert_eq!(request.body, "question");
+        request.start_events("").await;
         for id in 1..4 {
-            asked.write(&chunk(&event(id))).await;
-            // The next is not written before this one is there.
-            client.until(&event(id)).await;
+            request.send_event(id).await;
+            // The next event is not written before this one has arrived.
+            client.read_event(id).await;
         }
-        asked.write(LAST_CHUNK).await;
-        client.until("\r\n0\r\n\r\n").await;
+        request.end_events().await;
+        client.read_end_of_stream().await;
     });
 }
 
 #[test]
-fn half_an_event_is_not_passed_on_and_the_stream_goes_on_elsewhere() {
-    play(async {
-        let mut first = Server::start("i-1").await;
-        let mut second = Server::start("i-2").await;
-        // The other region is asked only once its own has nobody left.
-        let stage = Stage::start(&[(&first, HERE), (&second, ELSEWHERE)]).await;
-        let mut client = stage.client().await;
-        client.ask("/stream/a", "r1", "Last-Event-Id: 4\r\n").await;
-        let mut asked = first.asked().await;
-        assert_eq!(asked.header("last-event-id"), Some("4"));
-        asked.begin_events().await;
-        asked.write(&chunk(&event(5))).await;
-        let head = client.head().await;
+fn partial_event_is_withheld_and_the_stream_resumes_on_another_server() {
+    run_test(async {
+        let TwoServers {
+            mut local,
+            mut remote,
+            gate: _gate,
+            mut client,
+        } = TwoServers::start().await;
+        client
+            .send_request_with("/stream/a", "r1", "Last-Event-Id: 4\r\n")
+            .await;
+        let mut request = local.next_request().await;
+        assert_eq!(request.header("last-event-id"), Some("4"));
+        request.start_events("").await;
+        request.send_event(5).await;
+        let head = client.read_head().await;
         assert!(
             head.contains("x-ironmast-server-signature: stamp"),
             "{head}"
         );
-        let mut body = client.until(&event(5)).await;
-        asked.write(&chunk("id: 6\ndata: pie")).await;
-        drop(asked);
-        let mut asked = second.asked().await;
-        assert_eq!(asked.header("last-event-id"), Some("5"));
-        assert_eq!(asked.header("x-ironmast-expect-instance"), Some("i-2"));
-        asked.begin_events().await;
-        asked.write(&chunk(&event(6))).await;
-        asked.write(LAST_CHUNK).await;
-        body += &client.until("\r\n0\r\n\r\n").await;
-        assert_eq!(body, chunk(&event(5)) + &chunk(&event(6)) + LAST_CHUNK);
+        let mut body = client.read_event(5).await;
+        request.write(&chunk("id: 6\ndata: pie")).await;
+        drop(request);
+        let mut request = remote.next_request().await;
+        assert_eq!(request.header("last-event-id"), Some("5"));
+        assert_eq!(request.header("x-ironmast-expect-instance"), Some("i-2"));
+        request.start_events("").await;
+        request.send_event(6).await;
+        request.end_events().await;
+        body += &client.read_end_of_stream().await;
+        assert_eq!(body, chunk(&event(5)) + &chunk(&event(6)) + END_OF_CHUNKS);
     });
 }
 
 #[test]
-fn a_stream_that_may_not_be_resumed_is_visibly_cut() {
-    play(async {
-        let mut first = Server::start("i-1").await;
-        let mut second = Server::start("i-2").await;
-        let stage = Stage::start(&[(&first, HERE), (&second, ELSEWHERE)]).await;
-        let mut client = stage.client().await;
-        client.ask("/once/a", "r1", "").await;
-        let mut asked = first.asked().await;
-        asked.begin_events().await;
-        asked.write(&chunk(&event(1))).await;
-        client.until(&event(1)).await;
-        asked.write(&chunk("id: 2\nda")).await;
-        drop(asked);
-        let rest = client.rest().await;
+fn stream_that_is_not_resumable_is_visibly_truncated() {
+    run_test(async {
+        let TwoServers {
+            mut local,
+            mut remote,
+            gate: _gate,
+            mut client,
+        } = TwoServers::start().await;
+        client.send_request("/once/a", "r1").await;
+        let mut request = local.next_request().await;
+        request.start_events("").await;
+        request.send_event(1).await;
+        client.read_event(1).await;
+        request.write(&chunk("id: 2\nda")).await;
+        drop(request);
+        let rest = client.read_to_end().await;
         assert!(
             !rest.contains("0\r\n\r\n") && !rest.contains("id: 2"),
             "{rest:?}"
         );
-        assert!(second.is_idle());
+        assert!(remote.has_no_request());
     });
 }
 
 #[test]
-fn an_event_that_comes_twice_breaks_the_stream_off() {
-    play(async {
-        let mut server = Server::start("i-1").await;
-        let stage = Stage::start(&[(&server, HERE)]).await;
-        let mut client = stage.client().await;
-        client.ask("/once/a", "r1", "").await;
-        let mut asked = server.asked().await;
-        asked.begin_events().await;
-        asked
-            .write(&(chunk(&event(1)) + &chunk(&event(1)) + LAST_CHUNK))
-            .await;
-        let all = client.rest().await;
-        assert_eq!(all.matches("id: 1\n").count(), 1);
-        assert!(!all.contains("0\r\n\r\n"), "{all:?}");
+fn duplicate_event_aborts_the_stream() {
+    run_test(async {
+        let response = response_to_event_stream(&[event(1), event(1)]).await;
+        assert_eq!(response.matches("id: 1\n").count(), 1);
+        assert!(!response.contains("0\r\n\r\n"), "{response:?}");
     });
 }
 
 #[test]
-fn a_body_that_ends_within_an_event_is_not_whole() {
-    play(async {
-        let mut server = Server::start("i-1").await;
-        let stage = Stage::start(&[(&server, HERE)]).await;
-        let mut client = stage.client().await;
-        client.ask("/once/a", "r1", "").await;
-        let mut asked = server.asked().await;
-        asked.begin_events().await;
-        asked
-            .write(&(chunk(&event(1)) + &chunk("id: 2\n") + LAST_CHUNK))
-            .await;
-        let all = client.rest().await;
+fn body_that_ends_within_an_event_is_truncated() {
+    run_test(async {
+        let response = response_to_event_stream(&[event(1), "id: 2\n".to_string()]).await;
         assert!(
-            all.contains("id: 1\n") && !all.contains("id: 2\n"),
-            "{all:?}"
+            response.contains("id: 1\n") && !response.contains("id: 2\n"),
+            "{response:?}"
         );
-        assert!(!all.contains("0\r\n\r\n"), "{all:?}");
+        assert!(!response.contains("0\r\n\r\n"), "{response:?}");
     });
 }
 
+/// All that a client gets of a stream that is not resumable, where the server sends these chunks
+/// and ends the body.
+async fn response_to_event_stream(chunks: &[String]) -> String {
+    let OneServer {
+        mut server,
+        gate: _gate,
+        mut client,
+    } = OneServer::start().await;
+    client.send_request("/once/a", "r1").await;
+    let mut request = server.next_request().await;
+    request.start_events("").await;
+    let body: String = chunks.iter().map(|text| chunk(text)).collect();
+    request.write(&(body + END_OF_CHUNKS)).await;
+    client.read_to_end().await
+}
+
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
-    play(async {
-        let mut server = Server::start("i-1").await;
-        let stage = Stage::start(&[(&server, HERE)]).await;
-        let mut client = stage.client().await;
-        client.ask("/stream/a", "r1", "").await;
-        let mut asked = server.asked().await;
-        asked.begin_events().await;
-        asked.write(&chunk(&event(1))).await;
-        client.until(&event(1)).await;
+fn attempt_ends_when_its_client_disconnects() {
+    run_test(async {
+        let OneServer {
+            mut server,
+            gate,
+            mut client,
+        } = OneServer::start().await;
+        client.send_request("/stream/a", "r1").await;
+        let mut request = server.next_request().await;
+        request.start_events("").await;
+        request.send_event(1).await;
+        client.read_event(1).await;
         drop(client);
-        asked.closed().await;
-        // Before its head, too.
-        let mut client = stage.client().await;
-        client.ask("/unsafe/a", "r2", "").await;
-        let asked = server.asked().await;
+        request.wait_until_closed().await;
+        // The same before the head of the response.
+        let mut client = gate.connect().await;
+        client.send_request("/unsafe/a", "r2").await;
+        let request = server.next_request().await;
         drop(client);
-        asked.closed().await;
+        request.wait_until_closed().await;
     });
 }
--- a/crates/gate/tests/support/client.rs
+++ b/crates/gate/tests/support/client.rs
@@ -5,11 +5,13 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 
+use super::messages::{END_OF_CHUNKS, content_length, event};
+
 /// A connection to the gate.
 pub(crate) struct Client {
     stream: TcpStream,
-    /// What came and was not taken yet.
-    read: String,
+    /// Bytes that have come and were not returned yet.
+    buffered: String,
 }
 
 impl Client {
@@ -17,7 +19,7 @@
         let stream = TcpStream::connect(address).await.expect("the gate accepts");
         Client {
             stream,
-            read: String::new(),
+            buffered: String::new(),
         }
     }
 
@@ -28,61 +30,80 @@
             .expect("the gate reads");
     }
 
-    /// Sends a whole request.
-    pub(crate) async fn ask(&mut self, target: &str, id: &str, more: &str) {
+    /// Sends a complete request with the body `question`.
+    pub(crate) async fn send_request(&mut self, target: &str, id: &str) {
+        self.send_request_with(target, id, "").await;
+    }
+
+    /// The same with further header lines.
+    pub(crate) async fn send_request_with(&mut self, target: &str, id: &str, headers: &str) {
         let body = "question";
         let request = format!(
             "POST {target} HTTP/1.1\r\nHost: a.example\r\nX-Ironmast-Request-Id: {id}\r\n\
-             X-Ironmast-Deadline-Ms: 20000\r\nContent-Length: {}\r\n{more}\r\n{body}",
+             X-Ironmast-Deadline-Ms: 20000\r\nContent-Length: {}\r\n{headers}\r\n{body}",
             body.len()
         );
         self.write(&request).await;
     }
 
-    async fn more(&mut self) -> bool {
-        let mut part = [0; 4096];
-        let count = self.stream.read(&mut part).await.unwrap_or(0);
-        self.read
-            .push_str(std::str::from_utf8(&part[..count]).expect("text"));
+    /// Sends one of the platform's readiness checks; returns the head of the response.
+    pub(crate) async fn check_readiness(&mut self) -> String {
+        self.write("GET /api/readyz HTTP/1.1\r\nHost: x\r\n\r\n")
+            .await;
+        self.read_response().await.0
+    }
+
+    async fn read_more(&mut self) -> bool {
+        let mut chunk = [0; 4096];
+        let count = self.stream.read(&mut chunk).await.unwrap_or(0);
+        self.buffered
+            .push_str(std::str::from_utf8(&chunk[..count]).expect("text"));
         count > 0
     }
 
-    /// Takes what comes up to and with `end`.
-    pub(crate) async fn until(&mut self, end: &str) -> String {
-        while !self.read.contains(end) {
+    /// Reads up to and including `end`.
+    pub(crate) async fn read_until(&mut self, end: &str) -> String {
+        while !self.buffered.contains(end) {
             assert!(
-                self.more().await,
+                self.read_more().await,
                 "closed before {end:?} came, after {:?}",
-                self.read
+                self.buffered
             );
         }
-        let at = self.read.find(end).expect("it is there") + end.len();
-        let rest = self.read.split_off(at);
-        std::mem::replace(&mut self.read, rest)
+        let length = self.buffered.find(end).expect("it is there") + end.len();
+        let rest = self.buffered.split_off(length);
+        std::mem::replace(&mut self.buffered, rest)
+    }
+
+    /// Reads a head.
+    pub(crate) async fn read_head(&mut self) -> String {
+        self.read_until("\r\n\r\n").await.to_ascii_lowercase()
+    }
+
+    /// Reads up to and including the event with this id.
+    pub(crate) async fn read_event(&mut self, id: u64) -> String {
+        self.read_until(&event(id)).await
     }
 
-    /// Takes a head.
-    pub(crate) async fn head(&mut self) -> String {
-        self.until("\r\n\r\n").await.to_ascii_lowercase()
+    /// Reads up to and including the last chunk of a stream.
+    pub(crate) async fn read_end_of_stream(&mut self) -> String {
+        self.read_until(&format!("\r\n{END_OF_CHUNKS}")).await
     }
 
-    /// Takes a head and the body that it tells the length of.
-    pub(crate) async fn answer(&mut self) -> (String, String) {
-        let head = self.head().await;
-        let length = head
-            .lines()
-            .find_map(|line| line.strip_prefix("content-length: "));
-        let length: usize = length.map_or(0, |length| length.parse().expect("a length"));
-        while self.read.len() < length {
-            assert!(self.more().await, "closed in the body");
+    /// Reads a head and the body whose length the head announces.
+    pub(crate) async fn read_response(&mut self) -> (String, String) {
+        let head = self.read_head().await;
+        let length = content_length(&head).unwrap_or(0);
+        while self.buffered.len() < length {
+            assert!(self.read_more().await, "closed in the body");
         }
-        let rest = self.read.split_off(length);
-        (head, std::mem::replace(&mut self.read, rest))
+        let rest = self.buffered.split_off(length);
+        (head, std::mem::replace(&mut self.buffered, rest))
     }
 
-    /// Everything that comes until the gate closes.
-    pub(crate) async fn rest(&mut self) -> String {
-        while self.more().await {}
-        std::mem::take(&mut self.read)
+    /// Reads everything that comes until the gate closes.
+    pub(crate) async fn read_to_end(&mut self) -> String {
+        while self.read_more().await {}
+        std::mem::take(&mut self.buffered)
     }
 }
--- a/crates/gate/tests/support/server.rs
+++ b/crates/gate/tests/support/server.rs
@@ -1,4 +1,4 @@
-//! A server whose every answer the test writes.
+//! A server whose every response the test writes.
 
 use std::net::SocketAddr;
 
@@ -6,15 +6,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
+use super::messages::{END_OF_CHUNKS, chunk, content_length, event};
+
+/// The header by which a server says that it has not executed a request.
+const NOT_EXECUTED: &str = "X-Ironmast-Not-Executed: 1\r\n";
+
 /// A server.
 pub(crate) struct Server {
     pub instance: String,
     pub address: SocketAddr,
-    asked: mpsc::UnboundedReceiver<Asked>,
+    requests: mpsc::UnboundedReceiver<ReceivedRequest>,
 }
 
-/// A request at a server.
-pub(crate) struct Asked {
+/// A request that a server has received.
+pub(crate) struct ReceivedRequest {
     head: String,
     pub body: String,
     stream: TcpStream,
@@ -26,13 +31,13 @@
             .await
             .expect("a port is free");
         let address = listener.local_addr().expect("bound");
-        let (to, asked) = mpsc::unbounded_channel();
+        let (sender, requests) = mpsc::unbounded_channel();
         actix_rt::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let to = to.clone();
+                let sender = sender.clone();
                 actix_rt::spawn(async move {
-                    if let Some(asked) = Asked::read(stream).await {
-                        let _ = to.send(asked);
+                    if let Some(request) = ReceivedRequest::read(stream).await {
+                        let _ = sender.send(request);
                     }
                 });
             }
@@ -40,41 +45,38 @@
         Server {
             instance: instance.to_string(),
             address,
-            asked,
+            requests,
         }
     }
 
     /// The next request on a new connection.
-    pub(crate) async fn asked(&mut self) -> Asked {
-        self.asked.recv().await.expect("the server runs")
+    pub(crate) async fn next_request(&mut self) -> ReceivedRequest {
+        self.requests.recv().await.expect("the server runs")
     }
 
-    /// Whether no request has come.
-    pub(crate) fn is_idle(&mut self) -> bool {
-        self.asked.try_recv().is_err()
+    /// Whether no further request has come.
+    pub(crate) fn has_no_request(&mut self) -> bool {
+        self.requests.try_recv().is_err()
     }
 }
 
-impl Asked {
-    async fn read(mut stream: TcpStream) -> Option<Asked> {
-        let mut read = String::new();
-        let head_ends = loop {
-            if let Some(at) = read.find("\r\n\r\n") {
+impl ReceivedRequest {
+    async fn read(mut stream: TcpStream) -> Option<ReceivedRequest> {
+        let mut text = String::new();
+        let head_length = loop {
+            if let Some(at) = text.find("\r\n\r\n") {
                 break at + 4;
             }
-            more(&mut stream, &mut read).await?;
+            read_more(&mut stream, &mut text).await?;
         };
-        let head = read[..head_ends].to_ascii_lowercase();
-        let length = head
-            .lines()
-            .find_map(|line| line.strip_prefix("content-length: "));
-        let length: usize = length.map_or(Some(0), |length| length.parse().ok())?;
-        while read.len() < head_ends + length {
-            more(&mut stream, &mut read).await?;
+        let head = text[..head_length].to_ascii_lowercase();
+        let body_length = content_length(&head).unwrap_or(0);
+        while text.len() < head_length + body_length {
+            read_more(&mut stream, &mut text).await?;
         }
-        Some(Asked {
+        Some(ReceivedRequest {
             head,
-            body: read[head_ends..].to_string(),
+            body: text[head_length..].to_string(),
             stream,
         })
     }
@@ -86,8 +88,8 @@
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
 
-    /// The first line.
-    pub(crate) fn line(&self) -> &str {
+    /// The request line in lower case.
+    pub(crate) fn request_line(&self) -> &str {
         self.head.lines().next().unwrap_or("")
     }
 
@@ -98,53 +100,80 @@
             .expect("the gate reads");
     }
 
-    /// A head with the request's id and a stamp.
-    pub(crate) async fn head(&mut self, status: &str, more: &str) {
+    /// Writes a head with the request's id, a signature and these header lines.
+    pub(crate) async fn write_head(&mut self, status: &str, headers: &str) {
         let id = self
             .header("x-ironmast-request-id")
             .unwrap_or("")
             .to_string();
         let head = format!(
-            "HTTP/1.1 {status}\r\nX-Ironmast-Request-Id: {id}\r\nX-Ironmast-Server-Signature: stamp\r\n{more}\r\n"
+            "HTTP/1.1 {status}\r\nX-Ironmast-Request-Id: {id}\r\nX-Ironmast-Server-Signature: stamp\r\n{headers}\r\n"
         );
         self.write(&head).await;
     }
 
-    /// A whole answer.
-    pub(crate) async fn answer(&mut self, status: &str, more: &str, body: &str) {
-        self.head(status, &format!("Content-Length: {}\r\n{more}", body.len()))
-            .await;
+    /// Writes a complete response.
+    pub(crate) async fn respond(&mut self, status: &str, headers: &str, body: &str) {
+        let headers = format!("Content-Length: {}\r\n{headers}", body.len());
+        self.write_head(status, &headers).await;
         self.write(body).await;
     }
 
-    /// The head of a stream of events.
-    pub(crate) async fn begin_events(&mut self) {
-        self.head(
-            "200 OK",
-            "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n",
-        )
-        .await;
+    /// Serves the request and keeps the connection open.
+    pub(crate) async fn serve(&mut self, body: &str) {
+        self.respond("200 OK", "", body).await;
+    }
+
+    /// Serves the request and announces that the connection closes, so that the next request comes
+    /// on a new one.
+    pub(crate) async fn serve_and_close(&mut self, body: &str) {
+        self.respond("200 OK", "Connection: close\r\n", body).await;
+    }
+
+    /// Rejects the request as not executed.
+    pub(crate) async fn reject(&mut self) {
+        self.respond("503 Service Unavailable", NOT_EXECUTED, "")
+            .await;
+    }
+
+    /// Writes the head of an event stream, with further header lines.
+    pub(crate) async fn start_events(&mut self, headers: &str) {
+        let headers =
+            format!("{headers}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n");
+        self.write_head("200 OK", &headers).await;
+    }
+
+    /// Writes the event with this id.
+    pub(crate) async fn send_event(&mut self, id: u64) {
+        self.write(&chunk(&event(id))).await;
+    }
+
+    /// Writes the end of an event stream.
+    pub(crate) async fn end_events(&mut self) {
+        self.write(END_OF_CHUNKS).await;
     }
 
     /// The next request on the same connection.
-    pub(crate) async fn again(self) -> Asked {
-        Asked::read(self.stream).await.expect("another request")
+    pub(crate) async fn next_on_connection(self) -> ReceivedRequest {
+        ReceivedRequest::read(self.stream)
+            .await
+            .expect("another request")
     }
 
     /// Waits until the gate closes the connection.
-    pub(crate) async fn closed(mut self) {
-        let mut scratch = String::new();
-        while more(&mut self.stream, &mut scratch).await.is_some() {}
+    pub(crate) async fn wait_until_closed(mut self) {
+        let mut ignored = String::new();
+        while read_more(&mut self.stream, &mut ignored).await.is_some() {}
     }
 }
 
-async fn more(stream: &mut TcpStream, read: &mut String) -> Option<()> {
-    let mut part = [0; 4096];
+async fn read_more(stream: &mut TcpStream, text: &mut String) -> Option<()> {
+    let mut chunk = [0; 4096];
     let count = stream
-        .read(&mut part)
+        .read(&mut chunk)
         .await
         .ok()
         .filter(|count| *count > 0)?;
-    read.push_str(std::str::from_utf8(&part[..count]).ok()?);
+    text.push_str(std::str::from_utf8(&chunk[..count]).ok()?);
     Some(())
 }
