--- a/crates/routing/src/decider/tests/affinity.rs
+++ b/crates/routing/src/decider/tests/affinity.rs
@@ -49,7 +49,7 @@
 }
 
 /// Number of 500 keys that move when a server joins ten others or leaves them.
-fn moved(from: usize, to: usize) -> usize {
+fn moved_keys(from: usize, to: usize) -> usize {
     let homes = |count| -> Vec<Arc<str>> {
         let mut gate = gate(count, 1);
         (0..500)
@@ -87,12 +87,16 @@
             .all(|(ten, nine)| &**ten == "i-9" || ten == nine);
         stay && even(&ten, 10) && even(&nine, 9)
     });
-    assert!((25..=80).contains(&moved(10, 9)), "{}", moved(10, 9));
-    assert_eq!(moved(9, 10), moved(10, 9));
+    assert!(
+        (25..=80).contains(&moved_keys(10, 9)),
+        "{}",
+        moved_keys(10, 9)
+    );
+    assert_eq!(moved_keys(9, 10), moved_keys(10, 9));
 }
 
 /// Requests in flight by server, when half of them share one key.
-fn hot(requests: u64) -> Vec<u32> {
+fn in_flight_with_hot_key(requests: u64) -> Vec<u32> {
     let mut table = spec(vec![route("a", STREAM)], servers(0, 6, "north"));
     table.services[0].slots = 64;
     let mut settings = Settings::new("north", "north-0");
@@ -117,7 +121,7 @@
 #[test]
 fn a_hot_key_does_not_overload_its_server() {
     assert_guarded(Guard::BoundedLoad, || {
-        let loads = hot(240);
+        let loads = in_flight_with_hot_key(240);
         let most = *loads.iter().max().expect("servers");
         f64::from(most) <= 1.25 * 240.0 / 6.0 + 1.0
     });
@@ -136,11 +140,7 @@
         })
         .collect();
     homes.dedup();
-    assert_eq!(
-        homes.len(),
-        1,
-        "under the floor of 0.25 of 64 slots nothing is passed on"
-    );
+    assert_eq!(homes.len(), 1, "below the load floor the key stays");
 }
 
 #[test]
@@ -209,7 +209,7 @@
 }
 
 /// Runs one request with a first byte, so that the prefill rate is known.
-fn discover(gate: &mut Gate) {
+fn measure_prefill_rate(gate: &mut Gate) {
     let mut request = gate.prompt("a", 1_000);
     request.prompt_tokens = 50_000;
     let (mut call, _) = gate.begin(request);
@@ -222,17 +222,17 @@
 fn a_key_moves_on_when_peers_have_pending_prefill_and_returns() {
     assert_guarded(Guard::ShortPrefillWait, || {
         let mut gate = gate(6, 1);
-        discover(&mut gate);
+        measure_prefill_rate(&mut gate);
         let home = gate.serve(gate.prompt("a", 3));
         let (mut call, _) = gate.begin(Request {
             prompt_tokens: 1,
             ..gate.prompt("a", 3)
         });
-        let mut told = gate.decider.peer_report(gate.now);
+        let mut report = gate.decider.peer_report(gate.now);
         gate.finish_attempt(&mut call, Outcome::Success);
-        assert_eq!(told.pending_prefill.len(), 1);
-        told.pending_prefill[0].tokens = 1_000_000;
-        gate.decider.apply_peer_report(gate.now, 7, &told);
+        assert_eq!(report.pending_prefill.len(), 1);
+        report.pending_prefill[0].tokens = 1_000_000;
+        gate.decider.apply_peer_report(gate.now, 7, &report);
         let moved = gate.serve(gate.prompt("a", 3)) != home;
         gate.decider
             .apply_peer_report(gate.now, 7, &PeerReport::default());
@@ -244,15 +244,15 @@
 #[test]
 fn an_expired_peer_report_does_not_count() {
     let mut gate = gate(6, 1);
-    discover(&mut gate);
+    measure_prefill_rate(&mut gate);
     let home = gate.serve(gate.prompt("a", 3));
     let (mut call, _) = gate.begin(Request {
         prompt_tokens: 1_000_000,
         ..gate.prompt("a", 3)
     });
-    let told = gate.decider.peer_report(gate.now);
+    let report = gate.decider.peer_report(gate.now);
     gate.finish_attempt(&mut call, Outcome::Success);
-    gate.decider.apply_peer_report(gate.now, 7, &told);
+    gate.decider.apply_peer_report(gate.now, 7, &report);
     assert_ne!(gate.serve(gate.prompt("a", 3)), home);
     gate.now += 600_000;
     assert_eq!(gate.serve(gate.prompt("a", 3)), home);
@@ -260,13 +260,13 @@
 
 /// Whether requests leave a region in which that many tokens are pending at each server, on a route
 /// that may leave it and on one that may not.
-fn leave(waiting: u64) -> [bool; 2] {
+fn leaves_region(waiting: u64) -> [bool; 2] {
     let mut home = route("home", STREAM);
     home.allowed_regions = vec!["north".into()];
-    let fleet = [servers(0, 2, "north"), servers(10, 2, "south")].concat();
-    let mut gate = Gate::new(spec(vec![route("a", STREAM), home], fleet));
-    discover(&mut gate);
-    let unread = (0..2)
+    let listed = [servers(0, 2, "north"), servers(10, 2, "south")].concat();
+    let mut gate = Gate::new(spec(vec![route("a", STREAM), home], listed));
+    measure_prefill_rate(&mut gate);
+    let pending = (0..2)
         .map(|number| PendingPrefill {
             server: crate::affinity::name_hash(&format!("i-{number}")),
             tokens: waiting,
@@ -276,7 +276,7 @@
         gate.now,
         7,
         &PeerReport {
-            pending_prefill: unread,
+            pending_prefill: pending,
             suspect: Vec::new(),
         },
     );
@@ -288,46 +288,52 @@
 
 #[test]
 fn a_long_prefill_wait_in_the_own_region_spills_over_to_another() {
-    assert_guarded(Guard::SpilloverWait, || leave(50_000) == [true, false]);
-    assert_eq!(leave(2_000), [false, false], "a short wait is none");
+    assert_guarded(Guard::SpilloverWait, || {
+        leaves_region(50_000) == [true, false]
+    });
+    assert_eq!(
+        leaves_region(2_000),
+        [false, false],
+        "a short wait is tolerated"
+    );
 }
 
 #[test]
 fn small_changes_of_the_peer_report_are_not_significant() {
     let mut gate = gate(6, 1);
-    discover(&mut gate);
+    measure_prefill_rate(&mut gate);
     let (mut call, _) = gate.begin(Request {
         prompt_tokens: 10_000,
         ..gate.prompt("a", 3)
     });
-    let told = gate.decider.peer_report(gate.now);
+    let report = gate.decider.peer_report(gate.now);
     let with = |tokens: u64| PeerReport {
         pending_prefill: vec![PendingPrefill {
             tokens,
-            ..told.pending_prefill[0]
+            ..report.pending_prefill[0]
         }],
         suspect: Vec::new(),
     };
-    let waiting = told.pending_prefill[0].tokens;
-    assert!(!gate.decider.is_significant_change(&told, &told));
+    let waiting = report.pending_prefill[0].tokens;
+    assert!(!gate.decider.is_significant_change(&report, &report));
     assert!(
         !gate
             .decider
-            .is_significant_change(&told, &with(waiting + 10))
+            .is_significant_change(&report, &with(waiting + 10))
     );
     assert!(
         gate.decider
-            .is_significant_change(&told, &with(waiting + 5_000))
+            .is_significant_change(&report, &with(waiting + 5_000))
     );
     assert!(
         gate.decider
-            .is_significant_change(&told, &PeerReport::default())
+            .is_significant_change(&report, &PeerReport::default())
     );
     assert!(gate.decider.is_significant_change(
-        &told,
+        &report,
         &PeerReport {
             suspect: vec![1],
-            ..told.clone()
+            ..report.clone()
         }
     ));
     gate.finish_attempt(&mut call, Outcome::Success);
--- a/crates/routing/src/decider/tests/attempts.rs
+++ b/crates/routing/src/decider/tests/attempts.rs
@@ -4,9 +4,9 @@
 use crate::test_support::*;
 use crate::*;
 
-fn gate(kind: RouteKind, most: u32) -> Gate {
+fn gate(kind: RouteKind, max_attempts: u32) -> Gate {
     let mut route = route("a", kind);
-    route.max_attempts = most;
+    route.max_attempts = max_attempts;
     Gate::new(spec(vec![route], servers(0, 5, "north")))
 }
 
@@ -19,7 +19,7 @@
     ]
 }
 
-fn promises() -> Vec<Outcome> {
+fn outcomes_that_never_ran() -> Vec<Outcome> {
     vec![
         Outcome::NotExecuted { retry_after: None },
         Outcome::WrongInstance,
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_request_that_was_not_executed_is_retried_at_other_servers() {
-    for outcome in promises() {
+    for outcome in outcomes_that_never_ran() {
         let mut gate = gate(RouteKind::NonIdempotent, 2);
         let (mut tried, last) = gate.fail_all_attempts(gate.request("a"), &outcome);
         assert!(tried.len() >= 2, "{outcome:?}");
@@ -58,9 +58,9 @@
         let attempts = tried.len();
         tried.sort();
         tried.dedup();
-        let again = outcome == Outcome::NotSent;
+        let may_repeat = outcome == Outcome::NotSent;
         assert!(
-            again || tried.len() == attempts,
+            may_repeat || tried.len() == attempts,
             "one server twice after {outcome:?}"
         );
     }
--- a/crates/routing/src/decider/tests/candidates.rs
+++ b/crates/routing/src/decider/tests/candidates.rs
@@ -6,53 +6,53 @@
 
 const STREAM: RouteKind = RouteKind::Stream { resumable: false };
 
-fn fleet() -> Vec<ServerSpec> {
+fn north_and_south() -> Vec<ServerSpec> {
     [servers(0, 3, "north"), servers(10, 3, "south")].concat()
 }
 
-/// Whether each of `count` requests went to another region.
-fn regions(gate: &mut Gate, name: &str, requests: u64) -> Vec<bool> {
-    let south = |gate: &mut Gate, key| {
+/// Sends requests, and returns for each whether it went to another region.
+fn crossings(gate: &mut Gate, name: &str, requests: u64) -> Vec<bool> {
+    let crosses = |gate: &mut Gate, key| {
         let (_, decision) = gate.begin(gate.prompt(name, key));
         dispatch_of(&decision).crosses_region
     };
-    (0..requests).map(|key| south(gate, key)).collect()
+    (0..requests).map(|key| crosses(gate, key)).collect()
 }
 
 #[test]
 fn the_own_region_comes_first() {
     assert_guarded(Guard::OwnRegion, || {
-        let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet()));
-        !regions(&mut gate, "a", 12).contains(&true)
+        let mut gate = Gate::new(spec(vec![route("a", STREAM)], north_and_south()));
+        !crossings(&mut gate, "a", 12).contains(&true)
     });
 }
 
 #[test]
 fn other_regions_are_used_when_the_own_has_no_eligible_server() {
-    let mut fleet = fleet();
-    fleet
+    let mut listed = north_and_south();
+    listed
         .iter_mut()
         .take(3)
         .for_each(|server| server.state = ServerState::Draining);
-    let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
-    assert!(!regions(&mut gate, "a", 6).contains(&false));
+    let mut gate = Gate::new(spec(vec![route("a", STREAM)], listed));
+    assert!(!crossings(&mut gate, "a", 6).contains(&false));
 }
 
 #[test]
 fn a_route_uses_only_its_allowed_regions() {
     assert_guarded(Guard::AllowedRegions, || {
-        let mut home = route("a", STREAM);
-        home.allowed_regions = vec!["south".into()];
-        let mut gate = Gate::new(spec(vec![home], fleet()));
-        !regions(&mut gate, "a", 12).contains(&false)
+        let mut restricted = route("a", STREAM);
+        restricted.allowed_regions = vec!["south".into()];
+        let mut gate = Gate::new(spec(vec![restricted], north_and_south()));
+        !crossings(&mut gate, "a", 12).contains(&false)
     });
 }
 
 #[test]
 fn a_route_whose_regions_have_no_server_is_rejected() {
-    let mut home = route("a", STREAM);
-    home.allowed_regions = vec!["east".into()];
-    let mut gate = Gate::new(spec(vec![home], fleet()));
+    let mut restricted = route("a", STREAM);
+    restricted.allowed_regions = vec!["east".into()];
+    let mut gate = Gate::new(spec(vec![restricted], north_and_south()));
     let (call, decision) = gate.begin(gate.prompt("a", 1));
     assert!(matches!(
         decision,
@@ -66,9 +66,9 @@
 
 #[test]
 fn regions_of_route_and_request_both_bind() {
-    let mut home = route("a", STREAM);
-    home.allowed_regions = vec!["south".into()];
-    let mut gate = Gate::new(spec(vec![home], fleet()));
+    let mut restricted = route("a", STREAM);
+    restricted.allowed_regions = vec!["south".into()];
+    let mut gate = Gate::new(spec(vec![restricted], north_and_south()));
     let request = Request {
         allowed_regions: vec!["north".into()],
         ..gate.prompt("a", 1)
@@ -77,50 +77,50 @@
 }
 
 /// True if the other one of two servers gets every request after a change to one.
-fn avoids(change: impl Fn(&mut ServerSpec)) -> bool {
-    let mut fleet = servers(0, 2, "north");
-    change(&mut fleet[0]);
-    let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
+fn is_avoided(change: impl Fn(&mut ServerSpec)) -> bool {
+    let mut listed = servers(0, 2, "north");
+    change(&mut listed[0]);
+    let mut gate = Gate::new(spec(vec![route("a", STREAM)], listed));
     (0..8).all(|key| &*gate.serve(gate.prompt("a", key)) == "i-1")
 }
 
 #[test]
 fn draining_servers_get_no_requests() {
     assert_guarded(Guard::Draining, || {
-        avoids(|server| server.state = ServerState::Draining)
+        is_avoided(|server| server.state = ServerState::Draining)
     });
 }
 
 #[test]
 fn evacuated_servers_get_no_requests() {
     assert_guarded(Guard::Evacuated, || {
-        avoids(|server| server.evacuated = true)
+        is_avoided(|server| server.evacuated = true)
     });
 }
 
 #[test]
 fn servers_without_heartbeats_get_no_requests_while_others_have_them() {
-    assert!(avoids(
+    assert!(is_avoided(
         |server| server.heartbeats_missing_since = Some(SECOND)
     ));
 }
 
 #[test]
 fn servers_without_heartbeats_are_used_when_all_lack_them() {
-    let mut fleet = servers(0, 2, "north");
-    for server in &mut fleet {
+    let mut listed = servers(0, 2, "north");
+    for server in &mut listed {
         server.heartbeats_missing_since = Some(SECOND);
     }
-    let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
+    let mut gate = Gate::new(spec(vec![route("a", STREAM)], listed));
     gate.serve(gate.prompt("a", 1));
 }
 
 #[test]
 fn draining_and_evacuated_servers_are_not_used_even_if_no_other_is_left() {
-    let mut fleet = servers(0, 2, "north");
-    fleet[0].state = ServerState::Draining;
-    fleet[1].evacuated = true;
-    let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
+    let mut listed = servers(0, 2, "north");
+    listed[0].state = ServerState::Draining;
+    listed[1].evacuated = true;
+    let mut gate = Gate::new(spec(vec![route("a", STREAM)], listed));
     assert!(matches!(
         gate.begin(gate.prompt("a", 1)).1,
         Decision::Reject(_)
@@ -129,10 +129,12 @@
 
 #[test]
 fn servers_that_warm_up_need_a_permit() {
-    assert_guarded(Guard::Permit, || avoids(|server| server.warming_up = true));
-    let mut fleet = servers(0, 1, "north");
-    fleet[0].warming_up = true;
-    let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
+    assert_guarded(Guard::Permit, || {
+        is_avoided(|server| server.warming_up = true)
+    });
+    let mut listed = servers(0, 1, "north");
+    listed[0].warming_up = true;
+    let mut gate = Gate::new(spec(vec![route("a", STREAM)], listed));
     gate.limits.permits = 1;
     gate.serve(gate.prompt("a", 1));
     assert!(
@@ -143,9 +145,9 @@
 #[test]
 fn a_request_is_delayed_for_a_permit_only_for_a_short_part_of_its_objective() {
     assert_guarded(Guard::ShortDelay, || {
-        let mut fleet = servers(0, 1, "north");
-        fleet[0].warming_up = true;
-        let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
+        let mut listed = servers(0, 1, "north");
+        listed[0].warming_up = true;
+        let mut gate = Gate::new(spec(vec![route("a", STREAM)], listed));
         let (mut call, mut decision) = gate.begin(gate.prompt("a", 1));
         while let Decision::Delay { until } = decision {
             gate.now = until;
@@ -177,11 +179,11 @@
 
 #[test]
 fn servers_that_announce_the_model_come_first() {
-    let mut fleet = servers(0, 3, "north");
-    fleet[0].models = vec!["other".into()];
-    fleet[1].models = vec!["m".into()];
-    fleet[2].models = vec!["other".into()];
-    let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet));
+    let mut listed = servers(0, 3, "north");
+    listed[0].models = vec!["other".into()];
+    listed[1].models = vec!["m".into()];
+    listed[2].models = vec!["other".into()];
+    let mut gate = Gate::new(spec(vec![route("a", STREAM)], listed));
     assert!((0..6).all(|key| &*gate.serve(gate.prompt("a", key)) == "i-1"));
 }
 
@@ -231,11 +233,11 @@
 
 #[test]
 fn a_server_without_heartbeats_is_used_while_this_gate_hears_it() {
-    let mut fleet = servers(0, 2, "north");
-    fleet[0].heartbeats_missing_since = Some(SECOND);
+    let mut listed = servers(0, 2, "north");
+    listed[0].heartbeats_missing_since = Some(SECOND);
     let used = |gate: &mut Gate| (0..16).any(|key| &*gate.serve(gate.prompt("a", key)) == "i-0");
     assert_guarded(Guard::LivenessOverHeartbeats, || {
-        let mut gate = Gate::new(spec(vec![route("a", STREAM)], fleet.clone()));
+        let mut gate = Gate::new(spec(vec![route("a", STREAM)], listed.clone()));
         assert!(!used(&mut gate));
         gate.now += SECOND;
         let silent = gate.decider.server("i-0").expect("it is listed");
@@ -248,22 +250,22 @@
 
 /// A gate in the north with a route that is allowed in the south and the west, with that many
 /// servers in each.
-fn away(south: usize, west: usize) -> Gate {
-    let mut home = route("home", RouteKind::Stream { resumable: false });
-    home.allowed_regions = vec!["south".into(), "west".into()];
-    let fleet = [
+fn gate_with_remote_route(south: usize, west: usize) -> Gate {
+    let mut restricted = route("home", RouteKind::Stream { resumable: false });
+    restricted.allowed_regions = vec!["south".into(), "west".into()];
+    let listed = [
         servers(0, 3, "north"),
         servers(10, south, "south"),
         servers(20, west, "west"),
     ]
     .concat();
-    Gate::new(spec(vec![home], fleet))
+    Gate::new(spec(vec![restricted], listed))
 }
 
 /// Sends requests until that many are in flight in the south, which is silent from then on.
-fn partition_south(gate: &mut Gate, owed: usize) -> Vec<Call> {
+fn partition_south(gate: &mut Gate, count: usize) -> Vec<Call> {
     let mut calls = Vec::new();
-    while calls.len() < owed {
+    while calls.len() < count {
         let (mut call, decision) = gate.begin(gate.request("home"));
         if dispatch_of(&decision).expect_instance.starts_with("i-1") {
             calls.push(call);
@@ -278,41 +280,41 @@
 #[test]
 fn an_unreachable_region_is_left_for_another() {
     assert_guarded(Guard::UnreachableRegion, || {
-        let mut gate = away(8, 2);
-        let _owed = partition_south(&mut gate, 2);
+        let mut gate = gate_with_remote_route(8, 2);
+        let _in_flight = partition_south(&mut gate, 2);
         (0..20).all(|_| gate.serve(gate.request("home")).starts_with("i-2"))
     });
 }
 
 #[test]
 fn one_unresponsive_server_does_not_make_its_region_unreachable() {
-    let mut gate = away(8, 0);
-    let _owed = partition_south(&mut gate, 1);
+    let mut gate = gate_with_remote_route(8, 0);
+    let _in_flight = partition_south(&mut gate, 1);
     assert!(gate.serve(gate.request("home")).starts_with("i-1"));
 }
 
 #[test]
 fn requests_are_rejected_while_all_allowed_regions_are_unreachable() {
     assert_guarded(Guard::UnreachableRegion, || {
-        let mut gate = away(8, 0);
-        let _owed = partition_south(&mut gate, 2);
-        let is_refused = matches!(gate.begin(gate.request("home")).1, Decision::Reject(_));
+        let mut gate = gate_with_remote_route(8, 0);
+        let _in_flight = partition_south(&mut gate, 2);
+        let is_rejected = matches!(gate.begin(gate.request("home")).1, Decision::Reject(_));
         let mut checks = Vec::new();
         gate.decider.due_health_checks(gate.now, &mut checks);
-        let Some(asked) = checks.first() else {
+        let Some(check) = checks.first() else {
             return false;
         };
         gate.decider
-            .health_check_finished(gate.now, asked.server, HealthCheckOutcome::Healthy);
+            .health_check_finished(gate.now, check.server, HealthCheckOutcome::Healthy);
         gate.serve(gate.request("home"));
-        is_refused
+        is_rejected
     });
 }
 
 #[test]
 fn an_unreachable_region_gets_one_health_check_at_a_time() {
-    let mut gate = away(8, 0);
-    let _owed = partition_south(&mut gate, 2);
+    let mut gate = gate_with_remote_route(8, 0);
+    let _in_flight = partition_south(&mut gate, 2);
     let Gate { decider, now, .. } = &mut gate;
     let mut checks = Vec::new();
     decider.due_health_checks(*now, &mut checks);
--- a/crates/routing/src/decider/tests/health.rs
+++ b/crates/routing/src/decider/tests/health.rs
@@ -18,22 +18,22 @@
     faulty: &[&str],
     mut outcome: impl FnMut(usize) -> Outcome,
 ) -> usize {
-    let mut there = 0;
+    let mut attempts = 0;
     for _ in 0..requests {
         gate.now += 10 * MS;
         let (mut call, mut decision) = gate.begin(gate.request("a"));
         while let Decision::Send(dispatch) = &decision {
             let is_faulty = faulty.contains(&&*dispatch.expect_instance);
-            there += usize::from(is_faulty);
+            attempts += usize::from(is_faulty);
             let end = if is_faulty {
-                outcome(there)
+                outcome(attempts)
             } else {
                 Outcome::Success
             };
             decision = gate.finish_attempt(&mut call, end);
         }
     }
-    there
+    attempts
 }
 
 pub(super) fn ejected_count(gate: &Gate, count: usize) -> usize {
@@ -116,15 +116,15 @@
 #[test]
 fn a_server_that_fails_a_part_of_its_requests_is_ejected() {
     let mut gate = gate(RouteKind::Idempotent, 4);
-    let part = |there: usize| {
-        if there.is_multiple_of(3) {
+    let part = |attempts: usize| {
+        if attempts.is_multiple_of(3) {
             Outcome::ServerError
         } else {
             Outcome::Success
         }
     };
-    let there = serve_with_faults(&mut gate, 400, &["i-0"], part);
-    assert!(there < 70, "{there} of about 100");
+    let attempts = serve_with_faults(&mut gate, 400, &["i-0"], part);
+    assert!(attempts < 70, "{attempts} of about 100");
 }
 
 #[test]
@@ -132,9 +132,9 @@
     let mut gate = gate(RouteKind::NonIdempotent, 4);
     // At random rather than by number, because the number would follow the server's position in the
     // round.
-    let mut chance = ironmast_balancer::Rng(7);
+    let mut rng = ironmast_balancer::Rng(7);
     let mut part = move || {
-        if chance.unit() < 0.25 {
+        if rng.unit() < 0.25 {
             Outcome::ServerError
         } else {
             Outcome::Success
@@ -149,44 +149,44 @@
         gate.decider
             .health_check_finished(gate.now, check.server, HealthCheckOutcome::Healthy);
     }
-    let most = (0..100).map(|_| {
+    let ejected = (0..100).map(|_| {
         serve_with_faults(&mut gate, 4, &all, |_| part());
         ejected_count(&gate, 4)
     });
-    assert_eq!(most.max(), Some(0));
+    assert_eq!(ejected.max(), Some(0));
 }
 
 #[test]
 fn a_fast_failure_does_not_attract_load() {
     let mut gate = gate(RouteKind::NonIdempotent, 3);
     // Requests at healthy servers stay in flight; the faulty one fails at once and looks idle.
-    let mut there = 0;
+    let mut attempts = 0;
     for _ in 0..12 {
         gate.now += 10 * MS;
         let (mut call, decision) = gate.begin(gate.request("a"));
         if &*dispatch_of(&decision).expect_instance == "i-0" {
-            there += 1;
+            attempts += 1;
             gate.finish_attempt(&mut call, Outcome::ServerError);
         }
     }
-    assert!(there <= 4, "{there} of 12");
+    assert!(attempts <= 4, "{attempts} of 12");
 }
 
 #[test]
 fn a_slow_server_is_ejected() {
     let mut gate = gate(RouteKind::Idempotent, 4);
-    let late = slow_answers(&mut gate, 200, "i-0");
-    assert!(late < 30, "{late} of about 50");
+    let slow_answered = slow_answers(&mut gate, 200, "i-0");
+    assert!(slow_answered < 30, "{slow_answered} of about 50");
 }
 
 /// Runs requests, of which one server takes twenty times as long as the others. Returns the number
 /// of requests that it got.
 fn slow_answers(gate: &mut Gate, requests: usize, slow: &str) -> usize {
-    let mut late = 0;
+    let mut slow_answered = 0;
     for _ in 0..requests {
         let (mut call, decision) = gate.begin(gate.request("a"));
         let slow = &*dispatch_of(&decision).expect_instance == slow;
-        late += usize::from(slow);
+        slow_answered += usize::from(slow);
         let sent_at = gate.now;
         gate.now += if slow { 2 * SECOND } else { 100 * MS };
         gate.decider.first_byte_received(gate.now, &mut call);
@@ -194,7 +194,7 @@
         // The other servers' ejections must not end meanwhile.
         gate.now = sent_at + MS;
     }
-    late
+    slow_answered
 }
 
 #[test]
@@ -209,8 +209,8 @@
 fn another_region_is_used_before_ejected_servers_of_the_own() {
     let mut route = route("a", RouteKind::NonIdempotent);
     route.affinity = false;
-    let fleet = [servers(0, 1, "north"), servers(1, 2, "south")].concat();
-    let mut gate = Gate::new(spec(vec![route], fleet));
+    let listed = [servers(0, 1, "north"), servers(1, 2, "south")].concat();
+    let mut gate = Gate::new(spec(vec![route], listed));
     serve_with_faults(&mut gate, 20, &["i-0"], |_| Outcome::ConnectFailed);
     assert!(dispatch_of(&gate.begin(gate.request("a")).1).crosses_region);
 }
@@ -240,24 +240,24 @@
 fn an_unresponsive_server_is_used_last_before_its_attempts_end() {
     assert_guarded(Guard::UnresponsiveLast, || {
         let mut gate = gate(RouteKind::NonIdempotent, 3);
-        let (mut there, mut dark) = (0, Vec::new());
+        let (mut attempts, mut in_flight) = (0, Vec::new());
         for _ in 0..60 {
             gate.now += 50 * MS;
             let (mut call, decision) = gate.begin(gate.request("a"));
             if &*dispatch_of(&decision).expect_instance == "i-0" {
-                there += 1;
-                dark.push(call);
+                attempts += 1;
+                in_flight.push(call);
             } else {
                 gate.finish_attempt(&mut call, Outcome::Success);
             }
         }
         // It was silent from the start, and was detected after 0.6 s to 1 s of 3 s.
-        let found = there <= 6;
+        let is_detected = attempts <= 6;
         // Anything received from it makes it usable at once.
         let server = gate.decider.server("i-0").expect("listed");
         gate.decider.record_liveness(gate.now, server);
         let open = |gate: &mut Gate| dispatch_of(&gate.begin(gate.request("a")).1).server;
-        found && (0..24).any(|_| open(&mut gate) == server)
+        is_detected && (0..24).any(|_| open(&mut gate) == server)
     });
 }
 
@@ -268,9 +268,9 @@
         for _ in 0..200 {
             let (mut call, decision) = gate.begin(gate.request("a"));
             let server = dispatch_of(&decision).server;
-            let crowded = &*dispatch_of(&decision).expect_instance == "i-0";
+            let is_loaded = &*dispatch_of(&decision).expect_instance == "i-0";
             let sent_at = gate.now;
-            gate.now += if crowded { 2 * SECOND } else { 100 * MS };
+            gate.now += if is_loaded { 2 * SECOND } else { 100 * MS };
             let load = LoadReport {
                 running: 5,
                 waiting: 0,
@@ -290,21 +290,21 @@
 fn gate_with_unresponsive_server() -> (Gate, ServerHandle, Vec<Call>) {
     let mut gate = gate(RouteKind::NonIdempotent, 3);
     let server = gate.decider.server("i-0").expect("listed");
-    let mut dark = Vec::new();
+    let mut in_flight = Vec::new();
     for _ in 0..6 {
         let (mut call, decision) = gate.begin(gate.request("a"));
         if dispatch_of(&decision).server == server {
-            dark.push(call);
+            in_flight.push(call);
         } else {
             gate.finish_attempt(&mut call, Outcome::Success);
         }
     }
-    (gate, server, dark)
+    (gate, server, in_flight)
 }
 
 #[test]
 fn an_unresponsive_server_is_checked_and_ejected_when_the_check_fails() {
-    let (mut gate, server, _dark) = gate_with_unresponsive_server();
+    let (mut gate, server, _in_flight) = gate_with_unresponsive_server();
     let mut checks = Vec::new();
     gate.now += SECOND;
     gate.decider.due_health_checks(gate.now, &mut checks);
@@ -323,7 +323,7 @@
 
 #[test]
 fn an_unresponsive_server_that_passes_its_health_check_is_not_ejected() {
-    let (mut gate, server, _dark) = gate_with_unresponsive_server();
+    let (mut gate, server, _in_flight) = gate_with_unresponsive_server();
     let mut checks = Vec::new();
     gate.now += 2 * SECOND;
     gate.decider.due_health_checks(gate.now, &mut checks);
@@ -333,22 +333,22 @@
     checks.clear();
     gate.now += SECOND;
     gate.decider.due_health_checks(gate.now, &mut checks);
-    assert!(checks.is_empty(), "not asked all the time");
+    assert!(checks.is_empty(), "not checked all the time");
 }
 
 #[test]
 fn disconnects_from_a_silent_server_count_as_timeouts() {
     assert_guarded(Guard::UnresponsiveCancelCounts, || {
-        let (mut gate, server, mut dark) = gate_with_unresponsive_server();
+        let (mut gate, server, mut in_flight) = gate_with_unresponsive_server();
         for _ in 0..4 {
             gate.now += 3 * SECOND;
-            for mut call in dark.drain(..) {
+            for mut call in in_flight.drain(..) {
                 gate.decider.cancel(gate.now, &mut call);
             }
             for _ in 0..6 {
                 let (mut call, decision) = gate.begin(gate.request("a"));
                 if dispatch_of(&decision).server == server {
-                    dark.push(call);
+                    in_flight.push(call);
                 } else {
                     gate.finish_attempt(&mut call, Outcome::Success);
                 }
@@ -372,24 +372,25 @@
 
 /// Number of 200 requests that reach `i-0` while other gates suspect it. `heard` says whether this
 /// gate has just received something from it.
-fn reach_suspected(tellers: u64, heard: bool) -> usize {
+fn reach_suspected(suspecting_gates: u64, heard: bool) -> usize {
     let mut gate = gate(RouteKind::Idempotent, 4);
     gate.now += 1_000 * MS;
-    let quiet = PeerReport {
+    let report = PeerReport {
         suspect: vec![crate::affinity::name_hash("i-0")],
         ..PeerReport::default()
     };
     let server = gate.decider.server("i-0").expect("listed");
-    let mut there = 0;
+    let mut attempts = 0;
     for _ in 0..200 {
-        (0..tellers).for_each(|peer| gate.decider.apply_peer_report(gate.now, peer, &quiet));
+        (0..suspecting_gates)
+            .for_each(|peer| gate.decider.apply_peer_report(gate.now, peer, &report));
         if heard {
             gate.decider.record_liveness(gate.now, server);
         }
-        there += usize::from(&*gate.serve(gate.request("a")) == "i-0");
+        attempts += usize::from(&*gate.serve(gate.request("a")) == "i-0");
         gate.now += 10 * MS;
     }
-    there
+    attempts
 }
 
 #[test]
@@ -397,20 +398,20 @@
     assert_guarded(Guard::UnresponsiveLast, || reach_suspected(2, false) == 0);
     assert!(
         reach_suspected(1, false) > 40,
-        "the way of one gate may be at fault"
+        "the network path of one gate may be at fault"
     );
-    assert!(reach_suspected(2, true) > 40, "this gate hears it");
+    assert!(reach_suspected(2, true) > 40, "this gate has heard from it");
 }
 
 #[test]
 fn a_server_is_used_again_once_other_gates_withdraw_their_suspicion() {
     let mut gate = gate(RouteKind::Idempotent, 2);
     gate.now += 1_000 * MS;
-    let quiet = PeerReport {
+    let report = PeerReport {
         suspect: vec![crate::affinity::name_hash("i-0")],
         ..PeerReport::default()
     };
-    (0..2).for_each(|peer| gate.decider.apply_peer_report(gate.now, peer, &quiet));
+    (0..2).for_each(|peer| gate.decider.apply_peer_report(gate.now, peer, &report));
     assert_eq!(&*gate.serve(gate.request("a")), "i-1");
     (0..2).for_each(|peer| {
         gate.decider
@@ -466,16 +467,16 @@
             let table = spec(vec![route], servers(0, 4, "north"));
             let mut gate = Gate::with_settings(table, Settings::new("north", "z"), seed);
             gate.now += 5_000 * MS;
-            for well in ["i-2", "i-3"] {
-                let server = gate.decider.server(well).expect("listed");
+            for healthy in ["i-2", "i-3"] {
+                let server = gate.decider.server(healthy).expect("listed");
                 gate.decider.record_liveness(gate.now, server);
             }
             let (mut call, mut decision) = gate.begin(gate.request("a"));
             while let Decision::Send(dispatch) = &decision {
-                let is_well = matches!(&*dispatch.expect_instance, "i-2" | "i-3");
+                let is_healthy = matches!(&*dispatch.expect_instance, "i-2" | "i-3");
                 decision = gate.finish_attempt(
                     &mut call,
-                    if is_well {
+                    if is_healthy {
                         Outcome::Success
                     } else {
                         Outcome::Reset
--- a/crates/routing/src/decider/tests/rejections.rs
+++ b/crates/routing/src/decider/tests/rejections.rs
@@ -5,7 +5,7 @@
 use crate::*;
 
 /// A gate that lets no request queue at servers, with one limit for each priority, 0.05 apart.
-fn exact(table: TableSpec) -> Gate {
+fn gate_without_queue(table: TableSpec) -> Gate {
     let mut settings = Settings::new("north", "north-0");
     (
         settings.max_queue_time_share,
@@ -20,7 +20,7 @@
     let urgent = route("urgent", RouteKind::Idempotent);
     let mut patient = route("patient", RouteKind::Idempotent);
     patient.priority = 4;
-    exact(spec(vec![urgent, patient], servers(0, 1, "north")))
+    gate_without_queue(spec(vec![urgent, patient], servers(0, 1, "north")))
 }
 
 /// Requests that are taken before the first rejection, at most 100.
@@ -55,9 +55,9 @@
     assert_guarded(Guard::PriorityReserve, || {
         let mut gate = gate();
         let (count, rejection) = accepted_before_rejection(&mut gate, "patient");
-        let crowded =
+        let is_reserved =
             rejection.is_some_and(|rejection| rejection.status == RejectionStatus::TooManyRequests);
-        crowded && count == 7 && accepted_before_rejection(&mut gate, "urgent").0 == 1
+        is_reserved && count == 7 && accepted_before_rejection(&mut gate, "urgent").0 == 1
     });
 }
 
@@ -83,7 +83,7 @@
             servers(0, 2, "north"),
         );
         table.services[0].kv_cache_tokens = 1000;
-        let mut gate = exact(table);
+        let mut gate = gate_without_queue(table);
         (0..8).all(|key| matches!(gate.begin(gate.prompt("a", key)).1, Decision::Send(_)))
     });
 }
@@ -110,7 +110,7 @@
 #[test]
 fn a_full_server_is_left_alone_during_its_backoff() {
     assert_guarded(Guard::OverloadBackoff, || {
-        let mut gate = exact(spec(
+        let mut gate = gate_without_queue(spec(
             vec![route("a", RouteKind::NonIdempotent)],
             servers(0, 2, "north"),
         ));
@@ -132,8 +132,8 @@
 
 #[test]
 fn another_region_is_used_for_want_of_capacity_while_it_has_ample() {
-    let fleet = [servers(0, 1, "north"), servers(1, 1, "south")].concat();
-    let mut gate = exact(spec(vec![route("a", RouteKind::Idempotent)], fleet));
+    let listed = [servers(0, 1, "north"), servers(1, 1, "south")].concat();
+    let mut gate = gate_without_queue(spec(vec![route("a", RouteKind::Idempotent)], listed));
     let sent: Vec<bool> = (0..20)
         .filter_map(|_| match gate.begin(gate.request("a")).1 {
             Decision::Send(dispatch) => Some(dispatch.crosses_region),
@@ -144,7 +144,7 @@
     assert_eq!(
         sent.iter().filter(|crosses| **crosses).count(),
         7,
-        "until 0.8 of its slots are taken"
+        "until 0.8 of its slots are in use"
     );
     assert!(
         sent[..8].iter().all(|crosses| !crosses),
@@ -161,7 +161,7 @@
     table.services[0].max_connections = 12;
     table.services[0].slots = 6;
     table.gates = 6;
-    let mut gate = exact(table);
+    let mut gate = gate_without_queue(table);
     assert_eq!(
         accepted_before_rejection(&mut gate, "a").0,
         4,
@@ -196,7 +196,7 @@
         retry_after: Some(2 * SECOND),
     };
     let Decision::Reject(rejection) = gate.fail_all_attempts(request, &outcome).1 else {
-        panic!("not refused")
+        panic!("not rejected")
     };
     assert!(rejection.retry_after <= 375 * MS, "{rejection:?}");
 }
@@ -215,48 +215,51 @@
 fn rejected_clients_are_told_to_retry_one_after_the_other() {
     let mut gate = gate();
     accepted_before_rejection(&mut gate, "urgent");
-    let mut waits = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..8 {
         let Decision::Reject(rejection) = gate.begin(gate.request("urgent")).1 else {
-            panic!("not refused")
+            panic!("not rejected")
         };
-        waits.push(rejection.retry_after);
+        delays.push(rejection.retry_after);
     }
     // One of eight slots becomes free each eighth of a second, with jitter of a quarter.
-    for (number, wait) in waits.iter().enumerate() {
-        let turn = (number as u64 + 2) * 125 * MS;
+    for (number, delay) in delays.iter().enumerate() {
+        let slot_at = (number as u64 + 2) * 125 * MS;
         assert!(
-            (turn * 3 / 4..=turn * 5 / 4).contains(wait),
-            "{number}: {wait}"
+            (slot_at * 3 / 4..=slot_at * 5 / 4).contains(delay),
+            "{number}: {delay}"
         );
     }
     for _ in 0..100 {
         gate.begin(gate.request("urgent"));
     }
     let Decision::Reject(rejection) = gate.begin(gate.request("urgent")).1 else {
-        panic!("not refused")
+        panic!("not rejected")
     };
     assert!(
         rejection.retry_after <= 2500 * MS,
-        "no promise further off than the longest wait"
+        "no promise beyond the longest delay"
     );
     gate.now += 3 * SECOND;
     let Decision::Reject(rejection) = gate.begin(gate.request("urgent")).1 else {
-        panic!("not refused")
+        panic!("not rejected")
     };
-    assert!(rejection.retry_after <= 160 * MS, "turns pass with time");
+    assert!(
+        rejection.retry_after <= 160 * MS,
+        "promised slots expire with time"
+    );
 }
 
 #[test]
 fn a_request_that_was_not_executed_without_attempts_left_may_be_retried_at_once() {
     let mut single = route("a", RouteKind::NonIdempotent);
     single.max_attempts = 1;
-    let mut gate = exact(spec(vec![single], servers(0, 3, "north")));
+    let mut gate = gate_without_queue(spec(vec![single], servers(0, 3, "north")));
     let Decision::Reject(rejection) = gate
         .fail_all_attempts(gate.request("a"), &Outcome::WrongInstance)
         .1
     else {
-        panic!("not refused")
+        panic!("not rejected")
     };
     assert!(rejection.retry_after < 100 * MS, "{rejection:?}");
 }
@@ -269,7 +272,7 @@
     let mut table = spec(vec![urgent, patient], servers(0, 1, "north"));
     table.services[0].slots = 16;
     table.services[0].kv_cache_tokens = 7000;
-    let mut gate = exact(table);
+    let mut gate = gate_without_queue(table);
     let count = |gate: &mut Gate, name: &str, from: u64| {
         (from..100)
             .take_while(|key| matches!(gate.begin(gate.prompt(name, *key)).1, Decision::Send(_)))
@@ -333,8 +336,8 @@
             servers(0, 1, "north"),
         );
         let idle = sent_shares(table.clone(), 50, ["urgent", "patient"]);
-        let crowd = sent_shares(table, 117, ["urgent", "patient"]);
-        idle == [1.0, 1.0] && crowd[0] > crowd[1] + 0.1 && crowd[1] > 0.15
+        let overloaded = sent_shares(table, 117, ["urgent", "patient"]);
+        idle == [1.0, 1.0] && overloaded[0] > overloaded[1] + 0.1 && overloaded[1] > 0.15
     });
 }
 
--- a/crates/routing/src/endpoints/tests.rs
+++ b/crates/routing/src/endpoints/tests.rs
@@ -80,7 +80,7 @@
             .is_some_and(|endpoint| !endpoint.is_listed && !endpoint.is_eligible())
     );
     endpoints.remove_if_obsolete(handle);
-    assert!(endpoints.get(handle).is_some(), "an attempt is out");
+    assert!(endpoints.get(handle).is_some(), "an attempt is in flight");
     endpoints.apply_table(2, &table(vec![server(1, "a", "x")]));
     assert!(endpoints.get(handle).is_some_and(Endpoint::is_eligible));
     endpoints
--- a/crates/routing/src/occupancy/tests.rs
+++ b/crates/routing/src/occupancy/tests.rs
@@ -30,61 +30,75 @@
 }
 
 fn load(occupancy: &Occupancy, now: Micros) -> Load {
-    let usage = PoolAverages::of([occupancy].into_iter(), now, MAX_AGE);
-    occupancy.load(now, MAX_AGE, &limits(), usage)
+    let averages = PoolAverages::of([occupancy].into_iter(), now, MAX_AGE);
+    occupancy.load(now, MAX_AGE, &limits(), averages)
 }
 
 #[test]
 fn a_shared_prefix_counts_once_while_any_attempt_uses_it() {
-    let mut here = Occupancy::default();
-    here.add(demand(1, 500, 100));
-    here.add(demand(1, 500, 100));
-    here.add(demand(2, 300, 50));
-    assert_eq!(load(&here, 0).tokens, 1050.0);
+    let mut occupancy = Occupancy::default();
+    occupancy.add(demand(1, 500, 100));
+    occupancy.add(demand(1, 500, 100));
+    occupancy.add(demand(2, 300, 50));
+    assert_eq!(load(&occupancy, 0).tokens, 1050.0);
     assert_eq!(
         (
-            here.added_tokens(demand(1, 500, 70)),
-            here.added_tokens(demand(3, 500, 70))
+            occupancy.added_tokens(demand(1, 500, 70)),
+            occupancy.added_tokens(demand(3, 500, 70))
         ),
         (70, 570)
     );
-    here.remove(demand(1, 500, 100));
-    assert_eq!(load(&here, 0).tokens, 950.0);
-    here.remove(demand(1, 500, 100));
-    here.remove(demand(2, 300, 50));
-    assert_eq!((load(&here, 0).tokens, here.in_flight), (0.0, 0));
-    here.remove(demand(2, 300, 50));
-    assert_eq!(load(&here, 0).active, 0.0, "one too many does no harm");
+    occupancy.remove(demand(1, 500, 100));
+    assert_eq!(load(&occupancy, 0).tokens, 950.0);
+    occupancy.remove(demand(1, 500, 100));
+    occupancy.remove(demand(2, 300, 50));
+    assert_eq!((load(&occupancy, 0).tokens, occupancy.in_flight), (0.0, 0));
+    occupancy.remove(demand(2, 300, 50));
+    assert_eq!(
+        load(&occupancy, 0).active,
+        0.0,
+        "one removal too many has no effect"
+    );
 }
 
 #[test]
 fn a_load_report_counts_for_other_gates_and_decays_with_age() {
-    let mut here = Occupancy::default();
-    here.add(demand(1, 0, 100));
-    here.record_load_report(0, report(4, 1));
-    assert_eq!(load(&here, 0).active, 5.0);
-    here.add(demand(1, 0, 100));
-    assert_eq!(load(&here, 0).active, 6.0, "what was sent since is added");
+    let mut occupancy = Occupancy::default();
+    occupancy.add(demand(1, 0, 100));
+    occupancy.record_load_report(0, report(4, 1));
+    assert_eq!(load(&occupancy, 0).active, 5.0);
+    occupancy.add(demand(1, 0, 100));
+    assert_eq!(
+        load(&occupancy, 0).active,
+        6.0,
+        "what was sent since is added"
+    );
     let idle = PoolAverages::default();
-    assert_eq!(here.load(MAX_AGE / 2, MAX_AGE, &limits(), idle).active, 4.0);
-    assert_eq!(here.load(MAX_AGE, MAX_AGE, &limits(), idle).active, 2.0);
-    assert!(here.has_queue(MAX_AGE / 2, MAX_AGE) && !here.has_queue(MAX_AGE, MAX_AGE));
+    assert_eq!(
+        occupancy.load(MAX_AGE / 2, MAX_AGE, &limits(), idle).active,
+        4.0
+    );
+    assert_eq!(
+        occupancy.load(MAX_AGE, MAX_AGE, &limits(), idle).active,
+        2.0
+    );
+    assert!(occupancy.has_queue(MAX_AGE / 2, MAX_AGE) && !occupancy.has_queue(MAX_AGE, MAX_AGE));
 }
 
 #[test]
 fn pool_averages_stand_in_for_a_server_without_a_report() {
-    let (mut told, mut quiet) = (Occupancy::default(), Occupancy::default());
-    told.record_load_report(0, report(6, 0));
-    quiet.add(demand(1, 400, 200));
-    let usage = PoolAverages::of([&told, &quiet].into_iter(), 0, MAX_AGE);
-    let load = quiet.load(0, MAX_AGE, &limits(), usage);
+    let (mut reported, mut silent) = (Occupancy::default(), Occupancy::default());
+    reported.record_load_report(0, report(6, 0));
+    silent.add(demand(1, 400, 200));
+    let averages = PoolAverages::of([&reported, &silent].into_iter(), 0, MAX_AGE);
+    let load = silent.load(0, MAX_AGE, &limits(), averages);
     assert_eq!((load.active, load.tokens), (4.0, 600.0 + 3.0 * 200.0));
 }
 
 #[test]
 fn kv_cache_usage_outlives_reports_without_it() {
-    let mut here = Occupancy::default();
-    here.record_load_report(
+    let mut occupancy = Occupancy::default();
+    occupancy.record_load_report(
         0,
         LoadReport {
             kv_cache: Some(KvCacheUsage {
@@ -94,8 +108,8 @@
             ..report(2, 0)
         },
     );
-    here.record_load_report(MAX_AGE / 2, report(2, 0));
-    let load = here.load(MAX_AGE / 2, MAX_AGE, &limits(), PoolAverages::default());
+    occupancy.record_load_report(MAX_AGE / 2, report(2, 0));
+    let load = occupancy.load(MAX_AGE / 2, MAX_AGE, &limits(), PoolAverages::default());
     assert_eq!((load.tokens, load.kv_cache), (2000.0, 20_000.0));
 }
 
@@ -129,14 +143,14 @@
 
 #[test]
 fn backoff_doubles_with_each_overload_and_ends_when_a_report_shows_capacity() {
-    let mut here = Occupancy::default();
-    let mut rests = Vec::new();
+    let mut occupancy = Occupancy::default();
+    let mut backoffs = Vec::new();
     for round in 0..8 {
-        here.record_overload(round * MAX_AGE * 10, None);
-        rests.push(here.backoff_until() - round * MAX_AGE * 10);
+        occupancy.record_overload(round * MAX_AGE * 10, None);
+        backoffs.push(occupancy.backoff_until() - round * MAX_AGE * 10);
     }
     assert_eq!(
-        rests[..4],
+        backoffs[..4],
         [
             INITIAL_BACKOFF,
             INITIAL_BACKOFF * 2,
@@ -144,41 +158,41 @@
             INITIAL_BACKOFF * 8
         ]
     );
-    assert_eq!(rests[7], MAX_BACKOFF);
+    assert_eq!(backoffs[7], MAX_BACKOFF);
     let now = 7 * MAX_AGE * 10 + 1;
-    here.record_load_report(
+    occupancy.record_load_report(
         now,
         LoadReport {
             slots: Some(8),
             ..report(8, 1)
         },
     );
-    assert!(here.backoff_until() > now);
-    here.record_load_report(
+    assert!(occupancy.backoff_until() > now);
+    occupancy.record_load_report(
         now,
         LoadReport {
             slots: Some(8),
             ..report(3, 0)
         },
     );
-    assert!(here.backoff_until() <= now);
-    here.record_success();
-    here.record_overload(now, Some(INITIAL_BACKOFF * 3));
+    assert!(occupancy.backoff_until() <= now);
+    occupancy.record_success();
+    occupancy.record_overload(now, Some(INITIAL_BACKOFF * 3));
     assert_eq!(
-        here.backoff_until(),
+        occupancy.backoff_until(),
         now + INITIAL_BACKOFF * 3,
-        "a told wait counts"
+        "the delay that the server asks for counts"
     );
 }
 
 #[test]
 fn connections_are_limited_to_twice_the_even_share_and_at_least_one() {
     let connects = |in_flight, connections, gates| {
-        let here = Occupancy {
+        let occupancy = Occupancy {
             in_flight,
             ..Occupancy::default()
         };
-        here.has_connection_capacity(&CapacityLimits {
+        occupancy.has_connection_capacity(&CapacityLimits {
             connections,
             gates,
             ..limits()
--- a/crates/routing/src/rejection/tests.rs
+++ b/crates/routing/src/rejection/tests.rs
@@ -18,7 +18,7 @@
     assert_eq!(
         schedule.next_slot(0, &other, 100, 1000),
         100,
-        "services do not share schedule"
+        "services do not share slots"
     );
     assert_eq!(schedule.next_slot(150, &one, 100, 1000), 250);
     assert_eq!(schedule.next_slot(9000, &one, 100, 1000), 100);
@@ -35,31 +35,31 @@
 #[test]
 fn retry_delays_are_bounded_and_have_jitter() {
     let mut rng = Rng(1);
-    let mut wait = |wait, left| {
+    let mut delay = |delay, time_left| {
         reject(
             &settings(),
             &mut rng,
             RejectionStatus::Unavailable,
-            wait,
-            left,
+            delay,
+            time_left,
         )
         .retry_after
     };
-    let waits: Vec<Micros> = (0..200).map(|_| wait(SECOND, 60 * SECOND)).collect();
+    let delays: Vec<Micros> = (0..200).map(|_| delay(SECOND, 60 * SECOND)).collect();
     assert!(
-        waits
+        delays
             .iter()
-            .all(|wait| (750_000..=1_250_000).contains(wait))
+            .all(|delay| (750_000..=1_250_000).contains(delay))
     );
-    assert!(waits.iter().max().expect("waits") - waits.iter().min().expect("waits") > 400_000);
+    assert!(delays.iter().max().expect("delays") - delays.iter().min().expect("delays") > 400_000);
     let DurationBounds { min, max } = settings().retry_after;
-    assert!(wait(0, SECOND) >= min * 3 / 4);
-    assert!(wait(60 * SECOND, 60 * SECOND) <= max * 5 / 4);
+    assert!(delay(0, SECOND) >= min * 3 / 4);
+    assert!(delay(60 * SECOND, 60 * SECOND) <= max * 5 / 4);
     assert!(
-        wait(SECOND, SECOND) <= SECOND / 3 * 5 / 4,
-        "a third of what is left"
+        delay(SECOND, SECOND) <= SECOND / 3 * 5 / 4,
+        "a third of the time left"
     );
-    assert!(wait(SECOND, 0) <= min * 5 / 4);
+    assert!(delay(SECOND, 0) <= min * 5 / 4);
 }
 
 #[test]
