--- a/crates/transport/src/frames.rs
+++ b/crates/transport/src/frames.rs
@@ -1,10 +1,15 @@
-//! Messages between the processes of the system: `postcard` values in frames, each a length of four
-//! bytes (big endian) and so many bytes, over connections that begin with a [`Hello`] in both
-//! directions.
+//! Messages between processes over many links: `postcard` values in frames, each a length of four
+//! bytes (big endian) followed by that many bytes, over connections that begin with a [`Hello`] in
+//! both directions.
 //!
-//! [`MessageTransport`] is what a process sees of it. [`TcpTransport`] is the real one;
-//! [`MemoryTransport`] runs without sockets, under a clock and with faults of the caller's choice.
-//! `tests/message_transport.rs` is the contract that both keep.
+//! [`MessageTransport`] is the interface. [`TcpTransport`] implements it over sockets;
+//! [`MemoryTransport`] implements it in memory, under a simulated clock and with faults that the
+//! caller injects. `tests/message_transport.rs` is the contract that both fulfil.
+//!
+//! Used by: no process of the system at present; its codec and the encoding of messages are those
+//! of [`link`](crate::link), which the processes use and which has no handshake. The two differ in
+//! what they write first on a connection, so neither can replace the other without a change of
+//! protocol.
 
 mod codec;
 mod hello;
@@ -27,20 +32,20 @@
 pub use queue::{OverflowPolicy, QueueLimits};
 pub use tcp::TcpTransport;
 
-/// Bounds of a transport's links.
+/// Limits of a transport's links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkOptions {
-    /// A message takes no more bytes than this; a longer frame ends the link before it is read.
+    /// The longest message in bytes; a longer frame ends the link before it is read.
     pub max_frame_bytes: usize,
-    /// What may wait to be written on one link.
+    /// Limits of the send queue of one link.
     pub queue: QueueLimits,
-    /// Events that may wait to be taken from a transport; links are not read while so many do.
-    pub max_waiting_events: usize,
-    /// A link that is not up, with both greetings, within this has failed.
+    /// Events that may be queued for the owner of a transport; links are not read while so many are.
+    pub max_queued_events: usize,
+    /// A link that is not up, with both handshakes, within this has failed.
     pub connect_timeout: Duration,
-    /// A peer that acknowledges nothing for this long is gone. The system probes in whole seconds,
-    /// so that it may take up to two more where nothing is under way.
-    pub silence_timeout: Duration,
+    /// A peer that acknowledges nothing for this long has failed. TCP keepalive counts in whole
+    /// seconds, so it may take up to two seconds more where nothing is in flight.
+    pub peer_timeout: Duration,
 }
 
 impl Default for LinkOptions {
@@ -48,23 +53,23 @@
         LinkOptions {
             max_frame_bytes: 8 << 20,
             queue: QueueLimits::default(),
-            max_waiting_events: 1_024,
+            max_queued_events: 1_024,
             connect_timeout: Duration::from_secs(1),
-            silence_timeout: Duration::from_secs(3),
+            peer_timeout: Duration::from_secs(3),
         }
     }
 }
 
-/// Why a frame holds no message, or a message no frame.
+/// Why a frame does not hold a message, or a message does not fit into a frame.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// It is longer than the bound.
-    #[error("a frame is longer than {most} bytes")]
+    /// It is longer than the limit.
+    #[error("a frame is longer than {max_bytes} bytes")]
     TooLong {
-        /// The bound.
-        most: usize,
+        /// The limit.
+        max_bytes: usize,
     },
-    /// Its bytes are not those of a message.
+    /// Its bytes do not encode a message of the expected type.
     #[error("a frame does not hold a message: {0}")]
     Malformed(postcard::Error),
     /// The connection ended within it.
@@ -72,16 +77,16 @@
     Truncated,
 }
 
-/// The frame of a message, without its length.
-pub(crate) fn encode(message: &impl Serialize, most: usize) -> Result<Vec<u8>, FrameError> {
+/// Encodes a message as the payload of a frame.
+pub(crate) fn encode(message: &impl Serialize, max_bytes: usize) -> Result<Vec<u8>, FrameError> {
     let frame = postcard::to_stdvec(message).map_err(FrameError::Malformed)?;
     match frame.len() {
-        bytes if bytes > most => Err(FrameError::TooLong { most }),
+        bytes if bytes > max_bytes => Err(FrameError::TooLong { max_bytes }),
         _ => Ok(frame),
     }
 }
 
-/// The message of a frame: all of its bytes.
+/// Decodes a message from the payload of a frame, of which it must take all bytes.
 pub(crate) fn decode<M: DeserializeOwned>(frame: &[u8]) -> Result<M, FrameError> {
     match postcard::take_from_bytes(frame).map_err(FrameError::Malformed)? {
         (message, []) => Ok(message),
--- a/crates/transport/src/frames/codec.rs
+++ b/crates/transport/src/frames/codec.rs
@@ -1,4 +1,4 @@
-//! Frames on the wire: a length of four bytes, big endian, and so many bytes.
+//! Frames on the wire: a length of four bytes, big endian, followed by that many bytes.
 //!
 //! tokio-util's `LengthDelimitedCodec` is not used: it takes a connection that ends right behind a
 //! length for one that ends between frames.
@@ -8,14 +8,14 @@
 
 use super::{FrameError, LinkErrorKind};
 
-/// Bytes of a length.
-const LENGTH: usize = 4;
+/// Bytes of the length in front of a frame.
+const LENGTH_BYTES: usize = 4;
 
-/// Reads and writes frames up to a bound.
+/// Reads and writes frames up to a limit.
 #[derive(Debug)]
 pub(crate) struct FrameCodec {
-    /// A frame holds no more bytes than this.
-    pub(crate) most: usize,
+    /// The longest frame in bytes.
+    pub(crate) max_bytes: usize,
 }
 
 impl Decoder for FrameCodec {
@@ -23,19 +23,22 @@
     type Error = LinkErrorKind;
 
     fn decode(&mut self, bytes: &mut BytesMut) -> Result<Option<BytesMut>, LinkErrorKind> {
-        let Some(&length) = bytes.first_chunk::<LENGTH>() else {
+        let Some(&length) = bytes.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(length) as usize;
-        // Guards the memory against lengths that are noise.
-        if length > self.most {
-            return Err(FrameError::TooLong { most: self.most }.into());
+        // Guards the memory against lengths that are not lengths, such as another protocol's bytes.
+        if length > self.max_bytes {
+            return Err(FrameError::TooLong {
+                max_bytes: self.max_bytes,
+            }
+            .into());
         }
-        if bytes.len() < LENGTH + length {
-            bytes.reserve(LENGTH + length - bytes.len());
+        if bytes.len() < LENGTH_BYTES + length {
+            bytes.reserve(LENGTH_BYTES + length - bytes.len());
             return Ok(None);
         }
-        bytes.advance(LENGTH);
+        bytes.advance(LENGTH_BYTES);
         Ok(Some(bytes.split_to(length)))
     }
 
@@ -53,9 +56,11 @@
     fn encode(&mut self, frame: Vec<u8>, bytes: &mut BytesMut) -> Result<(), LinkErrorKind> {
         let length = u32::try_from(frame.len())
             .ok()
-            .filter(|_| frame.len() <= self.most);
-        let length = length.ok_or(FrameError::TooLong { most: self.most })?;
-        bytes.reserve(LENGTH + frame.len());
+            .filter(|_| frame.len() <= self.max_bytes);
+        let length = length.ok_or(FrameError::TooLong {
+            max_bytes: self.max_bytes,
+        })?;
+        bytes.reserve(LENGTH_BYTES + frame.len());
         bytes.put_u32(length);
         bytes.put_slice(&frame);
         Ok(())
--- a/crates/transport/src/frames/hello.rs
+++ b/crates/transport/src/frames/hello.rs
@@ -1,4 +1,4 @@
-//! The greeting: the first frame in each direction.
+//! The handshake: the first frame in each direction.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,12 +6,12 @@
 
 /// Four bytes that no other protocol begins with.
 const MAGIC: [u8; 4] = *b"IRMT";
-/// The greeting's own version: what stands behind it may change with it.
+/// The version of the handshake itself; what follows it may change with the version.
 const VERSION: u16 = 1;
-/// A greeting takes no more bytes than this.
-pub(super) const HELLO_MOST: usize = 1_024;
+/// The longest handshake in bytes.
+pub(super) const MAX_HELLO_BYTES: usize = 1_024;
 
-/// Who speaks, and which protocol.
+/// The identity of a process, and the protocol it speaks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// The protocol's name; both sides must give the same.
@@ -20,17 +20,17 @@
     pub version: u32,
     /// The sender's name.
     pub node: String,
-    /// Which life of the sender this is: it rises with every start.
+    /// The sender's incarnation, which increases with every start.
     pub incarnation: u64,
 }
 
-/// Why a greeting is refused.
+/// Why a handshake is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HelloError {
-    /// It does not begin as one.
+    /// The frame is not a handshake.
     #[error("it does not greet")]
     NoGreeting,
-    /// It is of another version of the greeting.
+    /// It is of another version of the handshake.
     #[error("its greeting is of version {theirs}, ours is {VERSION}")]
     GreetingVersion {
         /// The other side's.
@@ -55,15 +55,18 @@
 }
 
 impl Hello {
-    /// The frame of this greeting.
+    /// Encodes the handshake as the payload of a frame.
     ///
     /// # Errors
     /// Where its names are too long.
     pub(super) fn frame(&self) -> Result<Vec<u8>, FrameError> {
-        encode(&(MAGIC, VERSION, self), HELLO_MOST)
+        encode(&(MAGIC, VERSION, self), MAX_HELLO_BYTES)
     }
 
-    /// Reads the other side's greeting and checks that both speak the same.
+    /// Decodes the peer's handshake and checks that both sides speak the same protocol.
+    ///
+    /// # Errors
+    /// Where they do not.
     pub(super) fn check(&self, frame: &[u8]) -> Result<Hello, HelloError> {
         let (start, rest) = postcard::take_from_bytes::<([u8; 4], u16)>(frame).unwrap_or_default();
         let theirs = match start {
--- a/crates/transport/src/frames/hello/tests.rs
+++ b/crates/transport/src/frames/hello/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_greeting_of_the_same_protocol_and_version_is_taken() {
+fn a_handshake_of_the_same_protocol_and_version_is_accepted() {
     let frame = hello("core", 3).frame().expect("short");
     let ours = Hello {
         node: "two".into(),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn any_other_greeting_is_refused_and_says_why() {
+fn any_other_handshake_is_rejected_with_the_reason() {
     let ours = hello("core", 3);
     let frame = |protocol, version| hello(protocol, version).frame().expect("short");
     assert_eq!(
@@ -34,7 +34,7 @@
         ours: "core".into(),
     };
     assert_eq!(ours.check(&frame("agent", 3)), Err(protocol));
-    let later = encode(&(MAGIC, VERSION + 1, "anything"), HELLO_MOST).expect("short");
+    let later = encode(&(MAGIC, VERSION + 1, "anything"), MAX_HELLO_BYTES).expect("short");
     assert_eq!(
         ours.check(&later),
         Err(HelloError::GreetingVersion {
@@ -54,6 +54,6 @@
 }
 
 #[test]
-fn a_greeting_has_a_bound() {
-    assert!(hello(&"x".repeat(HELLO_MOST), 1).frame().is_err());
+fn a_handshake_longer_than_the_limit_is_rejected() {
+    assert!(hello(&"x".repeat(MAX_HELLO_BYTES), 1).frame().is_err());
 }
--- a/crates/transport/src/frames/memory.rs
+++ b/crates/transport/src/frames/memory.rs
@@ -1,5 +1,5 @@
-//! Links without sockets, under a clock that moves when it is told to, with faults of the caller's
-//! choice. For tests of whatever speaks over a [`MessageTransport`].
+//! Links in memory, under a simulated clock and with injected faults: delays, partitions, resets and
+//! crashes. For tests of what uses a [`MessageTransport`]. The same calls give the same events.
 
 mod state;
 
@@ -14,18 +14,18 @@
 use serde::de::DeserializeOwned;
 use tokio::sync::Notify;
 
-use self::state::{End, Link, Node, State, Waiting};
+use self::state::{Link, LinkEnd, Node, QueuedEvent, State};
 use super::{
     Hello, LinkError, LinkErrorKind, LinkEvent, LinkId, LinkOptions, LinkPhase, MessageTransport,
     SendError, Sent, decode, encode,
 };
 
-/// Processes and what is between them. Copies are the same network.
+/// A network of processes. Clones are the same network.
 #[derive(Clone, Default)]
 pub struct MemoryNetwork(Rc<RefCell<State>>);
 
 impl MemoryNetwork {
-    /// A process that listens at an address, in place of any that did before.
+    /// Starts a process that listens at an address; one that did before is crashed.
     #[must_use]
     pub fn listen<M>(
         &self,
@@ -34,18 +34,18 @@
         options: LinkOptions,
     ) -> MemoryTransport<M> {
         self.crash(at);
-        let wake = Rc::new(Notify::new());
+        let changed = Rc::new(Notify::new());
         let node = Node {
             hello,
             options,
-            waiting: VecDeque::new(),
-            wake: Rc::clone(&wake),
+            events: VecDeque::new(),
+            changed: Rc::clone(&changed),
         };
         self.0.borrow_mut().nodes.insert(at, node);
         MemoryTransport {
             network: self.clone(),
             at,
-            wake,
+            changed,
             message: PhantomData,
         }
     }
@@ -56,45 +56,46 @@
         self.0.borrow().now
     }
 
-    /// Moves the clock on, and delivers what arrives by then.
+    /// Advances the clock, and delivers what arrives by then.
     pub fn advance(&self, by: Duration) {
         let mut state = self.0.borrow_mut();
         let until = state.now + by;
         while let Some(next) = state.next_due().filter(|&next| next <= until) {
             state.now = next.max(state.now);
-            state.settle();
+            state.run_due();
         }
         state.now = until;
-        state.settle();
+        state.run_due();
     }
 
-    /// The clock's reading at which something may next arrive or end by itself.
+    /// The clock's reading at which the next message arrives or the next timeout passes.
     #[must_use]
     pub fn next_due(&self) -> Option<Duration> {
         self.0.borrow().next_due()
     }
 
-    /// From now on what goes from one process to the other takes so long.
-    pub fn delay(&self, from: SocketAddr, to: SocketAddr, by: Duration) {
-        self.0.borrow_mut().delays.insert((from, to), by);
+    /// Sets the latency of messages sent from one process to another from now on.
+    pub fn delay(&self, from: SocketAddr, to: SocketAddr, latency: Duration) {
+        self.0.borrow_mut().delays.insert((from, to), latency);
     }
 
-    /// Nothing arrives from the one process at the other any more. Neither is told; links end by
-    /// silence.
-    pub fn cut(&self, from: SocketAddr, to: SocketAddr) {
+    /// Partitions the network in one direction: nothing arrives from `from` at `to` any more. Neither
+    /// side gets an event; their links time out.
+    pub fn partition(&self, from: SocketAddr, to: SocketAddr) {
         let mut state = self.0.borrow_mut();
         let now = state.now;
-        state.cut.entry((from, to)).or_insert(now);
+        state.partitions.entry((from, to)).or_insert(now);
     }
 
-    /// What is sent again and again meanwhile arrives now.
-    pub fn restore(&self, from: SocketAddr, to: SocketAddr) {
+    /// Ends a partition; what was sent meanwhile arrives now, as TCP retransmits it.
+    pub fn heal(&self, from: SocketAddr, to: SocketAddr) {
         let mut state = self.0.borrow_mut();
-        state.cut.remove(&(from, to));
-        state.settle();
+        state.partitions.remove(&(from, to));
+        state.run_due();
     }
 
-    /// Resets all links between two processes: what is on its way is lost, both are told.
+    /// Resets all links between two processes: messages in flight are lost, and both sides get an
+    /// event.
     pub fn reset(&self, one: SocketAddr, other: SocketAddr) {
         let between = |link: &Link| {
             let ends = [link.ends[0].address, link.ends[1].address];
@@ -103,7 +104,7 @@
         self.0.borrow_mut().reset(between);
     }
 
-    /// Ends a process: its links are reset, and nobody listens there.
+    /// Crashes a process: its links are reset, and nothing listens at its address.
     pub fn crash(&self, at: SocketAddr) {
         let mut state = self.0.borrow_mut();
         state.nodes.remove(&at);
@@ -111,21 +112,21 @@
     }
 }
 
-/// One process's links.
+/// The links of one process. Dropping the transport crashes the process.
 pub struct MemoryTransport<M> {
     network: MemoryNetwork,
     at: SocketAddr,
-    wake: Rc<Notify>,
+    changed: Rc<Notify>,
     message: PhantomData<M>,
 }
 
 impl<M: Serialize + DeserializeOwned> MemoryTransport<M> {
-    /// The next event, if there is one now.
+    /// The next event, if one is queued.
     pub fn try_next(&mut self) -> Option<LinkEvent<M>> {
         let mut state = self.network.0.borrow_mut();
-        let waiting = state.node(self.at)?.waiting.pop_front()?;
-        let event = match waiting {
-            Waiting::Up {
+        let queued = state.node(self.at)?.events.pop_front()?;
+        let event = match queued {
+            QueuedEvent::Up {
                 link,
                 peer,
                 hello,
@@ -136,22 +137,22 @@
                 hello,
                 dialed,
             },
-            Waiting::Down { link, error } => LinkEvent::Down { link, error },
-            Waiting::Frame { link, peer, frame } => match decode(&frame) {
+            QueuedEvent::Down { link, error } => LinkEvent::Down { link, error },
+            QueuedEvent::Frame { link, peer, frame } => match decode(&frame) {
                 Ok(message) => LinkEvent::Message { link, message },
                 Err(error) => {
-                    state.forget(self.at, link);
+                    state.close_link(self.at, link);
                     let error = LinkError {
-                        step: LinkPhase::Read,
+                        phase: LinkPhase::Read,
                         peer,
-                        cause: error.into(),
+                        kind: error.into(),
                     };
                     LinkEvent::Down { link, error }
                 }
             },
         };
-        // There is room again.
-        state.settle();
+        // There is space for another event now.
+        state.run_due();
         Some(event)
     }
 }
@@ -165,8 +166,8 @@
 
     fn connect(&mut self, peer: SocketAddr) -> LinkId {
         let mut state = self.network.0.borrow_mut();
-        state.links_begun += 1;
-        let (id, began) = (LinkId(state.links_begun), state.now);
+        state.links_opened += 1;
+        let (id, opened) = (LinkId(state.links_opened), state.now);
         let Some((hello, limits)) = state
             .node(self.at)
             .map(|node| (node.hello.clone(), node.options.queue))
@@ -174,40 +175,40 @@
             return id;
         };
         let reachable = state.nodes.contains_key(&peer);
-        let ends = [self.at, peer].map(|address| End::new(address, address == self.at, limits));
-        state.links.push(Link { id, ends, began });
+        let ends = [self.at, peer].map(|address| LinkEnd::new(address, address == self.at, limits));
+        state.links.push(Link { id, ends, opened });
         let at = state.links.len() - 1;
-        state.greet(at, 0, &hello);
-        if !reachable && !state.cut.contains_key(&(self.at, peer)) {
+        state.send_hello(at, 0, &hello);
+        if !reachable && !state.partitions.contains_key(&(self.at, peer)) {
             let refused = std::io::ErrorKind::ConnectionRefused.into();
-            state.down(at, 0, LinkPhase::Connect, LinkErrorKind::Io(refused));
+            state.end_link(at, 0, LinkPhase::Connect, LinkErrorKind::Io(refused));
             state.links.remove(at);
         }
-        state.settle();
+        state.run_due();
         id
     }
 
     fn send(&mut self, link: LinkId, message: &M) -> Result<Sent, SendError> {
         let mut state = self.network.0.borrow_mut();
         let (at, end) = state.find(self.at, link).ok_or(SendError::NoLink)?;
-        let most = state
+        let max_bytes = state
             .node(self.at)
             .ok_or(SendError::NoLink)?
             .options
             .max_frame_bytes;
-        let frame = encode(message, most)?;
+        let frame = encode(message, max_bytes)?;
         let dropped = state.links[at].ends[end]
             .queue
             .push(frame)
             .map_err(|_| SendError::Full)?;
-        state.settle();
+        state.run_due();
         Ok(Sent { dropped })
     }
 
     fn close(&mut self, link: LinkId) {
         let mut state = self.network.0.borrow_mut();
-        state.forget(self.at, link);
-        state.settle();
+        state.close_link(self.at, link);
+        state.run_due();
     }
 
     async fn next(&mut self) -> LinkEvent<M> {
@@ -215,24 +216,24 @@
             if let Some(event) = self.try_next() {
                 return event;
             }
-            let wake = Rc::clone(&self.wake);
-            wake.notified().await;
+            let changed = Rc::clone(&self.changed);
+            changed.notified().await;
         }
     }
 }
 
 impl<M> Drop for MemoryTransport<M> {
     fn drop(&mut self) {
-        let mine = |node: &Node| Rc::ptr_eq(&node.wake, &self.wake);
-        // Another process may listen there by now.
-        let there = self
+        let is_own = |node: &Node| Rc::ptr_eq(&node.changed, &self.changed);
+        // Another process may listen at the address by now.
+        let is_running = self
             .network
             .0
             .borrow()
             .nodes
             .get(&self.at)
-            .is_some_and(mine);
-        if there {
+            .is_some_and(is_own);
+        if is_running {
             self.network.crash(self.at);
         }
     }
--- a/crates/transport/src/frames/memory/state.rs
+++ b/crates/transport/src/frames/memory/state.rs
@@ -1,4 +1,4 @@
-//! The state of a network in memory: what is on its way, and what happens as the clock moves.
+//! The state of an in-memory network: what is in flight, and what happens as the clock advances.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use crate::frames::queue::{OutgoingQueue, QueueLimits};
 use crate::frames::{FrameError, Hello, LinkError, LinkErrorKind, LinkId, LinkOptions, LinkPhase};
 
-/// What travels on a link, from one end to the other.
+/// What is sent on a link, from one end to the other.
 #[derive(Debug)]
 enum Packet {
     Hello(Vec<u8>),
@@ -18,8 +18,8 @@
     Close,
 }
 
-/// What waits to be taken from a transport, before its bytes are read.
-pub(super) enum Waiting {
+/// An event that is queued for a transport, before its frame is decoded.
+pub(super) enum QueuedEvent {
     Up {
         link: LinkId,
         peer: SocketAddr,
@@ -37,55 +37,62 @@
     },
 }
 
-impl Waiting {
+impl QueuedEvent {
     fn link(&self) -> LinkId {
         match self {
-            Waiting::Up { link, .. } | Waiting::Frame { link, .. } | Waiting::Down { link, .. } => {
-                *link
-            }
+            QueuedEvent::Up { link, .. }
+            | QueuedEvent::Frame { link, .. }
+            | QueuedEvent::Down { link, .. } => *link,
         }
     }
 }
 
 /// One end of a link.
-pub(super) struct End {
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "four independent facts; most combinations occur"
+)]
+pub(super) struct LinkEnd {
     pub(super) address: SocketAddr,
-    /// It has heard of the link.
-    knows: bool,
-    /// Its greeting has come and fits.
-    greeted: bool,
-    /// This end does not hear of the link any more.
-    deaf: bool,
-    /// Sent and on its way, each with the moment at which it arrives.
-    on_the_way: VecDeque<(Duration, Packet)>,
-    /// Taken and not sent.
+    /// The first packet of the link has arrived here, or was sent from here.
+    is_aware: bool,
+    /// Its handshake has arrived at the other end and matches.
+    handshake_done: bool,
+    /// The link has ended for this end: it gets no further events.
+    is_ended: bool,
+    /// Sent and not arrived, each with the time at which it arrives.
+    in_flight: VecDeque<(Duration, Packet)>,
+    /// Queued and not sent.
     pub(super) queue: OutgoingQueue,
-    /// To be closed once all that was taken has been sent.
+    /// To be closed once all that is queued has been sent.
     closing: bool,
 }
 
 pub(super) struct Link {
     pub(super) id: LinkId,
-    pub(super) ends: [End; 2],
-    pub(super) began: Duration,
+    pub(super) ends: [LinkEnd; 2],
+    /// When the link was opened.
+    pub(super) opened: Duration,
 }
 
 /// One process.
 pub(super) struct Node {
     pub(super) hello: Hello,
     pub(super) options: LinkOptions,
-    pub(super) waiting: VecDeque<Waiting>,
-    pub(super) wake: Rc<Notify>,
+    pub(super) events: VecDeque<QueuedEvent>,
+    /// Notified when an event is queued.
+    pub(super) changed: Rc<Notify>,
 }
 
 #[derive(Default)]
 pub(super) struct State {
     pub(super) now: Duration,
-    pub(super) links_begun: u64,
+    pub(super) links_opened: u64,
     pub(super) nodes: BTreeMap<SocketAddr, Node>,
     pub(super) links: Vec<Link>,
-    /// Directions on which nothing arrives, and since when.
-    pub(super) cut: BTreeMap<(SocketAddr, SocketAddr), Duration>,
+    /// Directions in which nothing arrives, and since when.
+    pub(super) partitions: BTreeMap<(SocketAddr, SocketAddr), Duration>,
+    /// Latencies by direction.
     pub(super) delays: BTreeMap<(SocketAddr, SocketAddr), Duration>,
 }
 
@@ -94,27 +101,27 @@
         self.nodes.get_mut(&at)
     }
 
-    fn tell(&mut self, at: SocketAddr, waiting: Waiting) {
+    fn queue_event(&mut self, at: SocketAddr, event: QueuedEvent) {
         if let Some(node) = self.node(at) {
-            node.waiting.push_back(waiting);
-            node.wake.notify_one();
+            node.events.push_back(event);
+            node.changed.notify_one();
         }
     }
 
-    /// The earliest moment after now at which something may happen by itself.
+    /// The earliest time after now at which a packet arrives or a link times out.
     pub(super) fn next_due(&self) -> Option<Duration> {
         let arrivals = self
             .links
             .iter()
             .flat_map(|link| &link.ends)
-            .filter_map(|end| end.on_the_way.front());
+            .filter_map(|end| end.in_flight.front());
         let arrivals = arrivals.map(|(due, _)| *due);
-        let ends = self.links.iter().filter_map(|link| self.gives_up_at(link));
-        arrivals.chain(ends).filter(|&due| due > self.now).min()
+        let timeouts = self.links.iter().filter_map(|link| self.times_out_at(link));
+        arrivals.chain(timeouts).filter(|&due| due > self.now).min()
     }
 
-    /// When a link ends by silence, if it goes on as it is.
-    fn gives_up_at(&self, link: &Link) -> Option<Duration> {
+    /// When a link times out if nothing changes.
+    fn times_out_at(&self, link: &Link) -> Option<Duration> {
         let [one, other] = [link.ends[0].address, link.ends[1].address];
         let options = link
             .ends
@@ -123,38 +130,38 @@
             .options;
         let since = [(one, other), (other, one)]
             .iter()
-            .filter_map(|way| self.cut.get(way))
+            .filter_map(|way| self.partitions.get(way))
             .min();
-        let silent = since.map(|&since| since.max(link.began) + options.silence_timeout);
-        let up = link.ends.iter().all(|end| end.greeted);
-        let connect = (!up).then_some(link.began + options.connect_timeout);
-        [silent, connect].into_iter().flatten().min()
+        let peer_timeout = since.map(|&since| since.max(link.opened) + options.peer_timeout);
+        let is_up = link.ends.iter().all(|end| end.handshake_done);
+        let connect_timeout = (!is_up).then_some(link.opened + options.connect_timeout);
+        [peer_timeout, connect_timeout].into_iter().flatten().min()
     }
 
-    /// Carries out all that happens by now.
-    pub(super) fn settle(&mut self) {
-        self.give_up();
+    /// Carries out all that is due by now.
+    pub(super) fn run_due(&mut self) {
+        self.end_timed_out_links();
         loop {
-            let mut moved = false;
+            let mut has_changed = false;
             for at in 0..self.links.len() {
                 for from in 0..2 {
-                    moved |= self.send(at, from);
-                    moved |= self.deliver(at, from);
+                    has_changed |= self.send(at, from);
+                    has_changed |= self.deliver(at, from);
                 }
             }
             self.links
-                .retain(|link| !link.ends.iter().all(|end| end.deaf));
-            if !moved {
+                .retain(|link| !link.ends.iter().all(|end| end.is_ended));
+            if !has_changed {
                 return;
             }
         }
     }
 
-    fn give_up(&mut self) {
+    fn end_timed_out_links(&mut self) {
         let late: BTreeSet<_> = self
             .links
             .iter()
-            .filter(|link| self.gives_up_at(link).is_some_and(|at| at <= self.now))
+            .filter(|link| self.times_out_at(link).is_some_and(|at| at <= self.now))
             .map(|link| link.id)
             .collect();
         for at in 0..self.links.len() {
@@ -162,80 +169,87 @@
                 continue;
             }
             for end in 0..2 {
-                let step = if self.links[at].ends.iter().all(|end| end.greeted) {
+                let phase = if self.links[at].ends.iter().all(|end| end.handshake_done) {
                     LinkPhase::Read
                 } else {
                     LinkPhase::Connect
                 };
-                self.down(at, end, step, LinkErrorKind::TimedOut);
+                self.end_link(at, end, phase, LinkErrorKind::TimedOut);
             }
         }
     }
 
-    /// Ends a link for one of its ends.
-    pub(super) fn down(&mut self, at: usize, end: usize, step: LinkPhase, cause: LinkErrorKind) {
+    /// Ends a link for one of its ends, which gets an event if it is aware of the link.
+    pub(super) fn end_link(
+        &mut self,
+        at: usize,
+        end: usize,
+        phase: LinkPhase,
+        kind: LinkErrorKind,
+    ) {
         let link = &mut self.links[at];
-        if std::mem::replace(&mut link.ends[end].deaf, true) || !link.ends[end].knows {
+        if std::mem::replace(&mut link.ends[end].is_ended, true) || !link.ends[end].is_aware {
             return;
         }
         let (id, address, peer) = (link.id, link.ends[end].address, link.ends[1 - end].address);
-        self.tell(
+        self.queue_event(
             address,
-            Waiting::Down {
+            QueuedEvent::Down {
                 link: id,
-                error: LinkError { step, peer, cause },
+                error: LinkError { phase, peer, kind },
             },
         );
     }
 
+    /// Resets links: what is in flight on them is lost.
     pub(super) fn reset(&mut self, which: impl Fn(&Link) -> bool) {
         for at in 0..self.links.len() {
             if !which(&self.links[at]) {
                 continue;
             }
             for end in 0..2 {
-                self.links[at].ends[end].on_the_way.clear();
+                self.links[at].ends[end].in_flight.clear();
                 let reset = std::io::ErrorKind::ConnectionReset.into();
-                self.down(at, end, LinkPhase::Read, LinkErrorKind::Io(reset));
+                self.end_link(at, end, LinkPhase::Read, LinkErrorKind::Io(reset));
             }
         }
         self.links
-            .retain(|link| !link.ends.iter().all(|end| end.deaf));
+            .retain(|link| !link.ends.iter().all(|end| end.is_ended));
     }
 
-    /// Sends what one end has taken, unless its way is cut: then it waits, within its bounds.
+    /// Sends what is queued at one end, unless the network is partitioned: then it stays queued.
     fn send(&mut self, at: usize, from: usize) -> bool {
         let way = (
             self.links[at].ends[from].address,
             self.links[at].ends[1 - from].address,
         );
-        if self.cut.contains_key(&way) || !self.has_room(way.1) {
+        if self.partitions.contains_key(&way) || !self.has_space(way.1) {
             return false;
         }
         let arrives = self.now + self.delays.get(&way).copied().unwrap_or_default();
         let end = &mut self.links[at].ends[from];
-        let mut moved = false;
+        let mut has_changed = false;
         while let Some(frame) = end.queue.pop() {
-            end.put(arrives, Packet::Frame(frame));
-            moved = true;
+            end.send(arrives, Packet::Frame(frame));
+            has_changed = true;
         }
         if std::mem::take(&mut end.closing) {
-            end.put(arrives, Packet::Close);
-            moved = true;
+            end.send(arrives, Packet::Close);
+            has_changed = true;
         }
-        moved
+        has_changed
     }
 
-    /// Whether a process takes what comes: links to one that does not are not read.
-    fn has_room(&self, at: SocketAddr) -> bool {
+    /// Whether a process has space for events: links to one that has none are not read.
+    fn has_space(&self, at: SocketAddr) -> bool {
         self.nodes
             .get(&at)
-            .is_some_and(|node| node.waiting.len() < node.options.max_waiting_events)
+            .is_some_and(|node| node.events.len() < node.options.max_queued_events)
     }
 
     /// Delivers what has arrived from one end at the other.
     fn deliver(&mut self, at: usize, from: usize) -> bool {
-        let mut moved = false;
+        let mut has_changed = false;
         let way = (
             self.links[at].ends[from].address,
             self.links[at].ends[1 - from].address,
@@ -243,24 +257,25 @@
         loop {
             let link = &mut self.links[at];
             let arrived = link.ends[from]
-                .on_the_way
+                .in_flight
                 .front()
                 .is_some_and(|(due, _)| *due <= self.now);
-            if !arrived || self.cut.contains_key(&way) || !self.has_room(way.1) {
-                return moved;
+            if !arrived || self.partitions.contains_key(&way) || !self.has_space(way.1) {
+                return has_changed;
             }
-            let Some((_, packet)) = self.links[at].ends[from].on_the_way.pop_front() else {
-                return moved;
+            let Some((_, packet)) = self.links[at].ends[from].in_flight.pop_front() else {
+                return has_changed;
             };
-            self.arrive(at, from, packet);
-            moved = true;
+            self.receive(at, from, packet);
+            has_changed = true;
         }
     }
 
-    fn arrive(&mut self, at: usize, from: usize, packet: Packet) {
+    /// Handles a packet that has arrived at an end.
+    fn receive(&mut self, at: usize, from: usize, packet: Packet) {
         let (to, link) = (1 - from, &self.links[at]);
         let (id, peer, address) = (link.id, link.ends[from].address, link.ends[to].address);
-        if link.ends[to].deaf {
+        if link.ends[to].is_ended {
             return;
         }
         match packet {
@@ -268,15 +283,15 @@
                 let Some(ours) = self.node(address).map(|node| node.hello.clone()) else {
                     return;
                 };
-                if !std::mem::replace(&mut self.links[at].ends[to].knows, true) {
-                    self.greet(at, to, &ours);
+                if !std::mem::replace(&mut self.links[at].ends[to].is_aware, true) {
+                    self.send_hello(at, to, &ours);
                 }
                 match ours.check(&frame) {
                     Ok(hello) => {
-                        self.links[at].ends[from].greeted = true;
-                        self.tell(
+                        self.links[at].ends[from].handshake_done = true;
+                        self.queue_event(
                             address,
-                            Waiting::Up {
+                            QueuedEvent::Up {
                                 link: id,
                                 peer,
                                 hello,
@@ -285,22 +300,27 @@
                         );
                     }
                     Err(error) => {
-                        self.down(at, to, LinkPhase::Greet, error.into());
+                        self.end_link(at, to, LinkPhase::Handshake, error.into());
                         self.close(at, to);
                     }
                 }
             }
             Packet::Frame(frame) => {
-                let most = self
+                let max_bytes = self
                     .node(address)
                     .map_or(0, |node| node.options.max_frame_bytes);
-                if frame.len() > most {
-                    self.down(at, to, LinkPhase::Read, FrameError::TooLong { most }.into());
+                if frame.len() > max_bytes {
+                    self.end_link(
+                        at,
+                        to,
+                        LinkPhase::Read,
+                        FrameError::TooLong { max_bytes }.into(),
+                    );
                     return self.close(at, to);
                 }
-                self.tell(
+                self.queue_event(
                     address,
-                    Waiting::Frame {
+                    QueuedEvent::Frame {
                         link: id,
                         peer,
                         frame,
@@ -308,51 +328,50 @@
                 );
             }
             Packet::Close => {
-                let greeted = self.links[at].ends[from].greeted;
-                let step = if greeted {
+                let handshake_done = self.links[at].ends[from].handshake_done;
+                let phase = if handshake_done {
                     LinkPhase::Read
                 } else {
-                    LinkPhase::Greet
+                    LinkPhase::Handshake
                 };
-                self.down(at, to, step, LinkErrorKind::Closed);
+                self.end_link(at, to, phase, LinkErrorKind::Closed);
                 self.close(at, to);
             }
         }
     }
 
-    /// Sends a greeting.
-    pub(super) fn greet(&mut self, at: usize, from: usize, hello: &Hello) {
+    /// Sends a handshake.
+    pub(super) fn send_hello(&mut self, at: usize, from: usize, hello: &Hello) {
         let way = (
             self.links[at].ends[from].address,
             self.links[at].ends[1 - from].address,
         );
         let arrives = self.now + self.delays.get(&way).copied().unwrap_or_default();
-        // One that is too long is no greeting.
+        // An empty frame, which is no handshake, in place of one that is too long.
         let frame = hello.frame().unwrap_or_default();
-        self.links[at].ends[from].put(arrives, Packet::Hello(frame));
+        self.links[at].ends[from].send(arrives, Packet::Hello(frame));
     }
 
-    /// Closes a link from one end, once what that has taken is sent.
+    /// Closes a link from one end, once what is queued there is sent.
     pub(super) fn close(&mut self, at: usize, end: usize) {
         let end = &mut self.links[at].ends[end];
-        (end.deaf, end.closing) = (true, true);
+        (end.is_ended, end.closing) = (true, true);
     }
 
-    /// Where among the links one is, and which of its ends is at an address, while that hears of
-    /// it.
+    /// The index of a link, and of its end at an address, unless the link has ended there.
     pub(super) fn find(&self, address: SocketAddr, id: LinkId) -> Option<(usize, usize)> {
         let at = self.links.iter().position(|link| link.id == id)?;
         let end = self.links[at]
             .ends
             .iter()
-            .position(|end| end.address == address && !end.deaf)?;
+            .position(|end| end.address == address && !end.is_ended)?;
         Some((at, end))
     }
 
-    /// Closes a link from an address, where nothing more of it is to be heard.
-    pub(super) fn forget(&mut self, address: SocketAddr, id: LinkId) {
+    /// Closes a link from an address, which gets no further events of it.
+    pub(super) fn close_link(&mut self, address: SocketAddr, id: LinkId) {
         if let Some(node) = self.node(address) {
-            node.waiting.retain(|waiting| waiting.link() != id);
+            node.events.retain(|event| event.link() != id);
         }
         if let Some((at, end)) = self.find(address, id) {
             self.close(at, end);
@@ -360,24 +379,24 @@
     }
 }
 
-impl End {
-    pub(super) fn new(address: SocketAddr, knows: bool, limits: QueueLimits) -> Self {
+impl LinkEnd {
+    pub(super) fn new(address: SocketAddr, is_aware: bool, limits: QueueLimits) -> Self {
         let queue = OutgoingQueue::new(limits);
-        let on_the_way = VecDeque::new();
-        End {
+        let in_flight = VecDeque::new();
+        LinkEnd {
             address,
-            knows,
-            greeted: false,
-            deaf: false,
-            on_the_way,
+            is_aware,
+            handshake_done: false,
+            is_ended: false,
+            in_flight,
             queue,
             closing: false,
         }
     }
 
-    fn put(&mut self, arrives: Duration, packet: Packet) {
-        // Nothing overtakes.
-        let last = self.on_the_way.back().map_or(arrives, |(due, _)| *due);
-        self.on_the_way.push_back((arrives.max(last), packet));
+    fn send(&mut self, arrives: Duration, packet: Packet) {
+        // Packets of one direction do not overtake each other.
+        let last = self.in_flight.back().map_or(arrives, |(due, _)| *due);
+        self.in_flight.push_back((arrives.max(last), packet));
     }
 }
--- a/crates/transport/src/frames/message_transport.rs
+++ b/crates/transport/src/frames/message_transport.rs
@@ -1,4 +1,4 @@
-//! What a process sees of its links to others.
+//! The interface to a process's links, and the events on them.
 
 use std::fmt;
 use std::io;
@@ -6,33 +6,33 @@
 
 use super::{FrameError, Hello, HelloError};
 
-/// Names one link at one transport; never used twice.
+/// Identifies a link at one transport; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// What happens on links.
+/// An event on a link.
 #[derive(Debug)]
 pub enum LinkEvent<M> {
-    /// Both sides have greeted each other.
+    /// The handshake is complete in both directions.
     Up {
         /// The link.
         link: LinkId,
-        /// Where the other side is.
+        /// The peer's address.
         peer: SocketAddr,
-        /// What it said of itself.
+        /// The peer's handshake.
         hello: Hello,
-        /// This side began it.
+        /// Whether this side opened the link.
         dialed: bool,
     },
-    /// A message came, whole, in the order of its link.
+    /// A complete message arrived. The messages of a link arrive in order.
     Message {
         /// The link.
         link: LinkId,
         /// The message.
         message: M,
     },
-    /// The link is no more: nothing comes of it any more, and what was sent may have been lost from
-    /// some message on. Told once of every link that this side has not closed, also of one that was
+    /// The link has ended: it has no further events, and from some message on, what was sent may have
+    /// been lost. Reported once for each link that this side has not closed, also for one that was
     /// never up.
     Down {
         /// The link.
@@ -42,16 +42,16 @@
     },
 }
 
-/// A step in the life of a link.
+/// The phase in which a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkPhase {
-    /// Opening its connection.
+    /// The connection was being opened.
     Connect,
-    /// Exchanging greetings.
-    Greet,
-    /// Reading a message.
+    /// The handshakes were being exchanged.
+    Handshake,
+    /// A message was being read.
     Read,
-    /// Writing a message.
+    /// A message was being written.
     Write,
 }
 
@@ -59,41 +59,41 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             LinkPhase::Connect => "connecting to",
-            LinkPhase::Greet => "greeting",
+            LinkPhase::Handshake => "greeting",
             LinkPhase::Read => "reading from",
             LinkPhase::Write => "writing to",
         })
     }
 }
 
-/// Why a link is no more.
+/// Why a link ended.
 #[derive(Debug, thiserror::Error)]
-#[error("{step} {peer}: {cause}")]
+#[error("{phase} {peer}: {kind}")]
 pub struct LinkError {
-    /// At which step.
-    pub step: LinkPhase,
-    /// Of which peer.
+    /// The phase in which it ended.
+    pub phase: LinkPhase,
+    /// The peer's address.
     pub peer: SocketAddr,
     /// What happened.
-    pub cause: LinkErrorKind,
+    pub kind: LinkErrorKind,
 }
 
 /// What ends a link.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkErrorKind {
-    /// The other side has closed it between two messages.
+    /// The peer closed it between two messages.
     #[error("the peer has closed the connection")]
     Closed,
-    /// The other side says nothing.
+    /// The peer did not answer in time.
     #[error("no sign of the peer in time")]
     TimedOut,
-    /// The greetings do not fit.
+    /// The handshakes do not match.
     #[error("{0}")]
     Hello(#[from] HelloError),
-    /// What came is no message.
+    /// What arrived is not a message.
     #[error("{0}")]
     Frame(#[from] FrameError),
-    /// The system says so.
+    /// The operating system reported an error.
     #[error("{0}")]
     Io(io::Error),
 }
@@ -107,20 +107,20 @@
     }
 }
 
-/// A message has been taken.
+/// A message has been queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sent {
-    /// Messages of the link that were dropped for it.
+    /// Queued messages of the link that were dropped for it.
     pub dropped: usize,
 }
 
-/// Why a message is not taken.
+/// Why a message is not queued.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
-    /// There is no such link, or no more.
+    /// There is no such link, or it has ended.
     #[error("there is no such link")]
     NoLink,
-    /// Too much waits to be written on the link.
+    /// The link's send queue is full.
     #[error("too much waits on the link")]
     Full,
     /// It does not fit into a frame.
@@ -128,26 +128,26 @@
     Frame(#[from] FrameError),
 }
 
-/// Links to other processes, on which messages travel whole and in order, or not at all.
+/// Links to other processes, which deliver messages complete and in order, or not at all.
 pub trait MessageTransport {
-    /// What travels.
+    /// The type of the messages.
     type Message;
 
-    /// Where others find this one.
+    /// The address at which this transport listens.
     fn local_address(&self) -> SocketAddr;
 
-    /// Begins a link; what comes of it is an event. Messages may be sent on it right away.
+    /// Opens a link; its outcome is an event. Messages may be sent on it right away.
     fn connect(&mut self, peer: SocketAddr) -> LinkId;
 
-    /// Takes a message for a link. It is not known whether it arrives.
+    /// Queues a message for a link. Delivery is not confirmed.
     ///
     /// # Errors
-    /// Where it is not taken; the link goes on.
+    /// Where it is not queued; the link stays open.
     fn send(&mut self, link: LinkId, message: &Self::Message) -> Result<Sent, SendError>;
 
-    /// Closes a link once what has been taken for it is written. No event of it comes any more.
+    /// Closes a link once its queued messages are written. It has no further events.
     fn close(&mut self, link: LinkId);
 
-    /// The next event. Nothing is lost where the future is dropped before it is ready.
+    /// The next event. This is cancel safe: no event is lost if the future is dropped.
     fn next(&mut self) -> impl Future<Output = LinkEvent<Self::Message>>;
 }
--- a/crates/transport/src/frames/queue.rs
+++ b/crates/transport/src/frames/queue.rs
@@ -1,43 +1,43 @@
-//! What waits to be written on one link: bounded, in order.
+//! The send queue of one link: bounded, first in, first out.
 
 use std::collections::VecDeque;
 
-/// What happens to a message for which there is no room.
+/// What happens to a message for which the queue has no space.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OverflowPolicy {
-    /// It is not taken, and its sender is told.
+    /// It is rejected, and its sender gets an error.
     #[default]
     RejectNewest,
-    /// Those that have waited longest are dropped for it, and its sender is told how many.
+    /// The oldest messages are dropped for it; its sender learns how many.
     DropOldest,
 }
 
-/// Bounds of what waits.
+/// Limits of a send queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// So many messages.
-    pub frames: usize,
-    /// So many bytes; one message may wait whatever its length.
-    pub bytes: usize,
-    /// What happens beyond.
+    /// The largest number of messages.
+    pub max_frames: usize,
+    /// The largest sum of their lengths in bytes; a single message is queued whatever its length.
+    pub max_bytes: usize,
+    /// What happens beyond these limits.
     pub overflow: OverflowPolicy,
 }
 
 impl Default for QueueLimits {
     fn default() -> Self {
         QueueLimits {
-            frames: 4_096,
-            bytes: 32 << 20,
+            max_frames: 4_096,
+            max_bytes: 32 << 20,
             overflow: OverflowPolicy::RejectNewest,
         }
     }
 }
 
-/// There is no room.
+/// The queue has no space.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Full;
 
-/// Frames that wait, the oldest first.
+/// The frames of one link that are not written yet, the oldest first.
 #[derive(Debug)]
 pub(super) struct OutgoingQueue {
     limits: QueueLimits,
@@ -54,10 +54,10 @@
         }
     }
 
-    /// Takes a frame; how many others it displaced.
+    /// Adds a frame; returns how many others were dropped for it.
     pub(super) fn push(&mut self, frame: Vec<u8>) -> Result<usize, Full> {
         let mut dropped = 0;
-        while !self.has_room(frame.len()) {
+        while !self.has_space(frame.len()) {
             if self.limits.overflow == OverflowPolicy::RejectNewest {
                 return Err(Full);
             }
@@ -72,16 +72,16 @@
         Ok(dropped)
     }
 
-    /// The oldest frame.
+    /// Removes the oldest frame.
     pub(super) fn pop(&mut self) -> Option<Vec<u8>> {
         let frame = self.frames.pop_front()?;
         self.bytes -= frame.len();
         Some(frame)
     }
 
-    fn has_room(&self, bytes: usize) -> bool {
-        let fits = self.frames.is_empty() || self.bytes + bytes <= self.limits.bytes;
-        fits && self.frames.len() < self.limits.frames
+    fn has_space(&self, bytes: usize) -> bool {
+        let fits = self.frames.is_empty() || self.bytes + bytes <= self.limits.max_bytes;
+        fits && self.frames.len() < self.limits.max_frames
     }
 }
 
--- a/crates/transport/src/frames/queue/tests.rs
+++ b/crates/transport/src/frames/queue/tests.rs
@@ -4,8 +4,8 @@
 
 fn queue(overflow: OverflowPolicy) -> OutgoingQueue {
     OutgoingQueue::new(QueueLimits {
-        frames: 3,
-        bytes: 10,
+        max_frames: 3,
+        max_bytes: 10,
         overflow,
     })
 }
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn what_has_no_room_is_refused_and_the_rest_keeps_its_order() {
+fn a_full_queue_rejects_the_newest_frame_and_keeps_the_order_of_the_others() {
     let mut queue = queue(OverflowPolicy::RejectNewest);
     for n in 0..3 {
         assert_eq!(queue.push(vec![n]), Ok(0));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_oldest_give_way_where_the_newest_counts_most() {
+fn a_full_queue_drops_the_oldest_frames_under_drop_oldest() {
     let mut queue = queue(OverflowPolicy::DropOldest);
     for n in 0..5 {
         assert_eq!(queue.push(vec![n]), Ok(usize::from(n >= 3)));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn one_message_may_wait_whatever_its_length() {
+fn a_single_frame_is_queued_whatever_its_length() {
     for overflow in [OverflowPolicy::RejectNewest, OverflowPolicy::DropOldest] {
         let mut queue = queue(overflow);
         assert_eq!(queue.push(vec![0; 50]), Ok(0));
--- a/crates/transport/src/frames/tcp.rs
+++ b/crates/transport/src/frames/tcp.rs
@@ -1,12 +1,15 @@
-//! Links over TCP. Each is one task, which reads and writes; a peer without power is found by the
-//! system's probes.
+//! Links over TCP. One task per link reads and writes; a peer that loses power is detected by TCP
+//! keepalive.
+//!
+//! The tasks of links end when the transport is dropped, as the channel of their events closes; the
+//! accepting task is aborted.
 
 use std::collections::BTreeMap;
 use std::io;
 use std::marker::PhantomData;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use futures_util::{SinkExt as _, StreamExt as _};
@@ -20,7 +23,7 @@
 use tokio_util::codec::{FramedRead, FramedWrite};
 
 use super::codec::FrameCodec;
-use super::hello::HELLO_MOST;
+use super::hello::MAX_HELLO_BYTES;
 use super::queue::OutgoingQueue;
 use super::{
     Hello, LinkError, LinkErrorKind, LinkEvent, LinkId, LinkOptions, LinkPhase, MessageTransport,
@@ -28,116 +31,129 @@
 };
 use crate::sockets;
 
-/// After an accept that failed, the next waits this long.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Delay after an accept that failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 type Reader = FramedRead<OwnedReadHalf, FrameCodec>;
 type Writer = FramedWrite<OwnedWriteHalf, FrameCodec>;
 
-/// What of a link its owner and its task share.
+/// The state that a link's owner and its task share.
 struct Shared {
-    queue: Mutex<(OutgoingQueue, bool)>,
-    /// There is something to write, or it is to be closed.
-    wake: Notify,
+    outgoing: Mutex<Outgoing>,
+    /// Notified when a frame is queued or the link is to be closed.
+    changed: Notify,
+}
+
+/// What a link's task is to write.
+struct Outgoing {
+    queue: OutgoingQueue,
+    /// The link is to be closed once the queue is empty.
+    closing: bool,
 }
 
 impl Shared {
     fn new(options: &LinkOptions) -> Arc<Self> {
         Arc::new(Shared {
-            queue: Mutex::new((OutgoingQueue::new(options.queue), false)),
-            wake: Notify::new(),
+            outgoing: Mutex::new(Outgoing {
+                queue: OutgoingQueue::new(options.queue),
+                closing: false,
+            }),
+            changed: Notify::new(),
         })
     }
 
-    fn with<T>(&self, look: impl FnOnce(&mut OutgoingQueue, &mut bool) -> T) -> T {
-        let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
-        let (frames, closing) = &mut *queue;
-        look(frames, closing)
+    fn outgoing(&self) -> MutexGuard<'_, Outgoing> {
+        self.outgoing.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Removes the next frame; also returns whether the link is to be closed.
+    fn pop(&self) -> (Option<Vec<u8>>, bool) {
+        let mut outgoing = self.outgoing();
+        (outgoing.queue.pop(), outgoing.closing)
     }
 
-    /// The next frame to write; none once the link is to be closed.
+    /// The next frame to write; `None` once the link is to be closed.
     async fn next(&self, writer: &mut Writer) -> Result<Option<Vec<u8>>, LinkErrorKind> {
         loop {
-            match self.with(|frames, closing| (frames.pop(), *closing)) {
+            match self.pop() {
                 (Some(frame), _) => return Ok(Some(frame)),
                 (None, true) => return Ok(None),
                 (None, false) => {}
             }
-            // All that was there is on its way before more is waited for.
+            // Everything queued is flushed before more is waited for.
             futures_util::SinkExt::<Vec<u8>>::flush(writer).await?;
-            self.wake.notified().await;
+            self.changed.notified().await;
         }
     }
 }
 
-/// An event on its way from a link's task.
+/// What the tasks report to the transport.
 enum Report<M> {
     Accepted(LinkId, Arc<Shared>),
     Event(LinkEvent<M>),
 }
 
-/// What the tasks of all links share.
+/// The state that the tasks of all links share.
 struct Context<M> {
     hello: Hello,
     options: LinkOptions,
     reports: mpsc::Sender<Report<M>>,
-    numbers: AtomicU64,
+    next_link: AtomicU64,
 }
 
 impl<M> Context<M> {
-    fn number(&self) -> LinkId {
-        LinkId(self.numbers.fetch_add(1, Ordering::Relaxed))
+    fn next_link(&self) -> LinkId {
+        LinkId(self.next_link.fetch_add(1, Ordering::Relaxed))
     }
 
     async fn report(&self, event: LinkEvent<M>) {
-        // Nobody hears it where the transport has been dropped.
+        // The receiver is gone where the transport has been dropped.
         let _ = self.reports.send(Report::Event(event)).await;
     }
 }
 
-/// Links over TCP. Dropping it breaks them all off.
+/// Links over TCP. Dropping the transport closes all of them.
 pub struct TcpTransport<M> {
     address: SocketAddr,
     context: Arc<Context<M>>,
     reports: mpsc::Receiver<Report<M>>,
     links: BTreeMap<LinkId, Arc<Shared>>,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
     message: PhantomData<M>,
 }
 
 impl<M: Serialize + DeserializeOwned + Send + 'static> TcpTransport<M> {
-    /// Listens at an address; greets as `hello` says.
+    /// Listens at an address; `hello` is the handshake for all links.
     ///
     /// # Errors
-    /// The system's; and where the greeting's names are too long.
-    pub fn listen(at: SocketAddr, hello: Hello, options: LinkOptions) -> io::Result<Self> {
+    /// The operating system's error, or that the handshake's names are too long.
+    pub fn listen(address: SocketAddr, hello: Hello, options: LinkOptions) -> io::Result<Self> {
         hello.frame().map_err(io::Error::other)?;
-        let listener = sockets::listen(at)?;
+        let listener = sockets::listen(address)?;
         let address = listener.local_addr()?;
-        let (sender, reports) = mpsc::channel(options.max_waiting_events.max(1));
+        let (sender, reports) = mpsc::channel(options.max_queued_events.max(1));
         let context = Arc::new(Context {
             hello,
             options,
             reports: sender,
-            numbers: AtomicU64::new(1),
+            next_link: AtomicU64::new(1),
         });
-        let accepting = tokio::spawn(accept(listener, Arc::clone(&context)));
-        let (links, message) = Default::default();
+        let accept_task = tokio::spawn(accept(listener, Arc::clone(&context)));
         Ok(TcpTransport {
             address,
             context,
             reports,
-            links,
-            accepting,
-            message,
+            links: BTreeMap::new(),
+            accept_task,
+            message: PhantomData,
         })
     }
 }
 
 impl<M> Drop for TcpTransport<M> {
     fn drop(&mut self) {
-        // The tasks of its links end as nobody hears them any more.
-        self.accepting.abort();
+        // The tasks of its links end as the channel of their reports closes.
+        self.accept_task.abort();
     }
 }
 
@@ -149,26 +165,25 @@
     }
 
     fn connect(&mut self, peer: SocketAddr) -> LinkId {
-        let (link, shared) = (self.context.number(), Shared::new(&self.context.options));
+        let (link, shared) = (self.context.next_link(), Shared::new(&self.context.options));
         self.links.insert(link, Arc::clone(&shared));
-        tokio::spawn(dial(link, peer, shared, Arc::clone(&self.context)));
+        tokio::spawn(connect(link, peer, shared, Arc::clone(&self.context)));
         link
     }
 
     fn send(&mut self, link: LinkId, message: &M) -> Result<Sent, SendError> {
         let shared = self.links.get(&link).ok_or(SendError::NoLink)?;
         let frame = encode(message, self.context.options.max_frame_bytes)?;
-        let dropped = shared
-            .with(|frames, _| frames.push(frame))
-            .map_err(|_| SendError::Full)?;
-        shared.wake.notify_one();
+        let pushed = shared.outgoing().queue.push(frame);
+        let dropped = pushed.map_err(|_| SendError::Full)?;
+        shared.changed.notify_one();
         Ok(Sent { dropped })
     }
 
     fn close(&mut self, link: LinkId) {
         if let Some(shared) = self.links.remove(&link) {
-            shared.with(|_, closing| *closing = true);
-            shared.wake.notify_one();
+            shared.outgoing().closing = true;
+            shared.changed.notify_one();
         }
     }
 
@@ -185,14 +200,14 @@
                 }
                 Report::Event(event) => event,
             };
-            let open = match &event {
+            let is_open = match &event {
                 LinkEvent::Up { link, .. } | LinkEvent::Message { link, .. } => {
                     self.links.contains_key(link)
                 }
                 LinkEvent::Down { link, .. } => self.links.remove(link).is_some(),
             };
-            // This side has closed it in the meantime.
-            if open {
+            // Otherwise this side has closed the link in the meantime.
+            if is_open {
                 return event;
             }
         }
@@ -206,10 +221,10 @@
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
             // Guards against spinning where descriptors have run out.
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let (link, shared) = (context.number(), Shared::new(&context.options));
+        let (link, shared) = (context.next_link(), Shared::new(&context.options));
         let context = Arc::clone(&context);
         tokio::spawn(async move {
             let _ = context
@@ -221,26 +236,26 @@
     }
 }
 
-async fn dial<M: DeserializeOwned + Send + 'static>(
+async fn connect<M: DeserializeOwned + Send + 'static>(
     link: LinkId,
     peer: SocketAddr,
     shared: Arc<Shared>,
     context: Arc<Context<M>>,
 ) {
-    let cause = match timeout(context.options.connect_timeout, TcpStream::connect(peer)).await {
+    let kind = match timeout(context.options.connect_timeout, TcpStream::connect(peer)).await {
         Ok(Ok(stream)) => return run(link, peer, stream, true, shared, context).await,
         Ok(Err(error)) => error.into(),
         Err(_) => LinkErrorKind::TimedOut,
     };
     let error = LinkError {
-        step: LinkPhase::Connect,
+        phase: LinkPhase::Connect,
         peer,
-        cause,
+        kind,
     };
     context.report(LinkEvent::Down { link, error }).await;
 }
 
-/// Greets, then reads and writes until the link ends.
+/// Shakes hands, then reads and writes until the link ends.
 async fn run<M: DeserializeOwned + Send + 'static>(
     link: LinkId,
     peer: SocketAddr,
@@ -249,26 +264,31 @@
     shared: Arc<Shared>,
     context: Arc<Context<M>>,
 ) {
-    let failed = |step| move |cause| LinkError { step, peer, cause };
-    // What fails here is found on reading.
-    let _ = sockets::set_peer_timeout(&stream, context.options.silence_timeout);
+    let error_in = |phase| move |kind| LinkError { phase, peer, kind };
+    // An error here also shows when the connection is read.
+    let _ = sockets::set_peer_timeout(&stream, context.options.peer_timeout);
     let (reads, writes) = stream.into_split();
-    let mut reader = FramedRead::new(reads, FrameCodec { most: HELLO_MOST });
+    let mut reader = FramedRead::new(
+        reads,
+        FrameCodec {
+            max_bytes: MAX_HELLO_BYTES,
+        },
+    );
     let mut writer = FramedWrite::new(
         writes,
         FrameCodec {
-            most: context.options.max_frame_bytes.max(HELLO_MOST),
+            max_bytes: context.options.max_frame_bytes.max(MAX_HELLO_BYTES),
         },
     );
-    let greeted = timeout(
+    let handshake = timeout(
         context.options.connect_timeout,
-        greet(&mut reader, &mut writer, &context.hello),
+        shake_hands(&mut reader, &mut writer, &context.hello),
     )
     .await;
-    let hello = match greeted.unwrap_or(Err(LinkErrorKind::TimedOut)) {
+    let hello = match handshake.unwrap_or(Err(LinkErrorKind::TimedOut)) {
         Ok(hello) => hello,
-        Err(cause) => {
-            let error = failed(LinkPhase::Greet)(cause);
+        Err(kind) => {
+            let error = error_in(LinkPhase::Handshake)(kind);
             return context.report(LinkEvent::Down { link, error }).await;
         }
     };
@@ -280,21 +300,21 @@
             dialed,
         })
         .await;
-    reader.decoder_mut().most = context.options.max_frame_bytes;
+    reader.decoder_mut().max_bytes = context.options.max_frame_bytes;
     let error = tokio::select! {
         biased;
-        cause = read(link, &mut reader, &context) => failed(LinkPhase::Read)(cause),
+        kind = read(link, &mut reader, &context) => error_in(LinkPhase::Read)(kind),
         written = write(&mut writer, &shared) => match written {
-            Ok(()) => return read_out(&mut reader, context.options.connect_timeout).await,
-            Err(cause) => failed(LinkPhase::Write)(cause),
+            Ok(()) => return drain(&mut reader, context.options.connect_timeout).await,
+            Err(kind) => error_in(LinkPhase::Write)(kind),
         },
         () = context.reports.closed() => return,
     };
     context.report(LinkEvent::Down { link, error }).await;
 }
 
-/// Both greetings: ours goes out before theirs is read.
-async fn greet(
+/// Exchanges handshakes: ours is written before theirs is read.
+async fn shake_hands(
     reader: &mut Reader,
     writer: &mut Writer,
     ours: &Hello,
@@ -307,7 +327,7 @@
     Ok(ours.check(&frame)?)
 }
 
-/// Passes messages on until none comes any more; why.
+/// Reports messages until none can be read any more; returns why.
 async fn read<M: DeserializeOwned>(
     link: LinkId,
     reader: &mut Reader,
@@ -316,7 +336,7 @@
     loop {
         let frame = match reader.next().await {
             Some(Ok(frame)) => frame,
-            Some(Err(cause)) => return cause,
+            Some(Err(kind)) => return kind,
             None => return LinkErrorKind::Closed,
         };
         match decode(&frame) {
@@ -326,7 +346,7 @@
     }
 }
 
-/// Writes what is to be written until the link is to be closed.
+/// Writes queued frames until the link is to be closed.
 async fn write(writer: &mut Writer, shared: &Shared) -> Result<(), LinkErrorKind> {
     while let Some(frame) = shared.next(writer).await? {
         writer.feed(frame).await?;
@@ -334,10 +354,10 @@
     futures_util::SinkExt::<Vec<u8>>::close(writer).await
 }
 
-/// Reads to the end what nobody wants any more. Guards what was written last: the system resets a
-/// connection that is closed with bytes unread.
-async fn read_out(reader: &mut Reader, most: Duration) {
-    let _ = timeout(most, async {
+/// Reads and discards what still arrives on a closed link. Guards what was written last: the kernel
+/// resets a connection that is closed with bytes unread.
+async fn drain(reader: &mut Reader, time_limit: Duration) {
+    let _ = timeout(time_limit, async {
         while let Some(Ok(_)) = reader.next().await {}
     })
     .await;
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -1,12 +1,17 @@
-//! A link between two processes of the system: whole `postcard` messages over TCP, in order, each
-//! behind its length, as [`frames`](crate::frames) writes them. Neither side greets.
+//! A link between two processes of the system: `postcard` messages over one TCP connection, in
+//! order, each complete or not at all. There is no handshake.
+//!
+//! Used by: the gate and the agent (the gate's feed), the agent and the coordinator (reports and
+//! orders), and the overlay's transport. [`frames`](crate::frames) is the other way to carry
+//! messages: it adds a handshake, bounded send queues and an in-memory network. The bytes on the
+//! wire differ by that handshake, so neither can replace the other without a change of protocol.
+//! The framing and the codec of messages are shared.
 
 use std::io;
 use std::marker::PhantomData;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use eyre::{Result, WrapErr as _, bail};
 use futures_util::stream::{FuturesUnordered, SplitSink, SplitStream};
 use futures_util::{SinkExt as _, StreamExt as _};
 use serde::Serialize;
@@ -14,21 +19,77 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
 
-use crate::frames::{FrameCodec, decode, encode};
+use crate::frames::{FrameCodec, FrameError, LinkErrorKind, decode, encode};
 use crate::sockets;
 
 /// The longest message, in bytes.
-const MESSAGE_MOST: usize = 8 * 1024 * 1024;
+const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 /// A connection whose peer acknowledges nothing for this long has failed.
-const SILENCE: Duration = Duration::from_secs(2);
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A connection that is not up after this is tried anew, beside the earlier tries. The system
-/// itself sends a lost first packet again only after a second, while a peer that gets its power
-/// back may listen within a tenth of that.
-const DIAL_AGAIN: Duration = Duration::from_millis(200);
+/// A connection that is not established after this is attempted anew, beside the earlier attempts.
+/// The kernel itself retransmits a lost first packet only after a second, while a peer whose power
+/// returns may listen within a tenth of that.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 type Frames = Framed<TcpStream, FrameCodec>;
 
+/// Why a link could not be used: the step that failed, and the peer.
+#[derive(Debug, thiserror::Error)]
+pub enum Error {
+    /// The peer rejected the connection, or the network did.
+    #[error("connecting to {peer}")]
+    Connect {
+        /// The peer.
+        peer: SocketAddr,
+        /// The operating system's error.
+        source: io::Error,
+    },
+    /// The connection was not established in time.
+    #[error("connecting to {peer}: no answer within {timeout:?}")]
+    ConnectTimeout {
+        /// The peer.
+        peer: SocketAddr,
+        /// The time it had.
+        timeout: Duration,
+    },
+    /// An established connection had ended before it could be used.
+    #[error(transparent)]
+    Setup(#[from] io::Error),
+    /// The connection failed, or a frame was malformed, while a message was received.
+    #[error("receiving from {peer}")]
+    Receive {
+        /// The peer.
+        peer: SocketAddr,
+        /// What failed.
+        source: LinkErrorKind,
+    },
+    /// A frame does not hold a message of the expected type.
+    #[error("reading a message of {peer}")]
+    Decode {
+        /// The peer.
+        peer: SocketAddr,
+        /// What is wrong with it.
+        source: FrameError,
+    },
+    /// A message does not fit into a frame.
+    #[error("writing a message for {peer}")]
+    Encode {
+        /// The peer.
+        peer: SocketAddr,
+        /// What is wrong with it.
+        source: FrameError,
+    },
+    /// The connection failed while a message was sent.
+    #[error("sending to {peer}")]
+    Send {
+        /// The peer.
+        peer: SocketAddr,
+        /// What failed.
+        source: LinkErrorKind,
+    },
+}
+
 /// The half that receives messages of type `M`.
 pub struct Receiver<M> {
     frames: SplitStream<Frames>,
@@ -43,71 +104,72 @@
     message: PhantomData<M>,
 }
 
-/// Connects to a peer, which may only just be starting.
+/// Connects to a peer, which may be about to start; gives up after `timeout`.
 ///
 /// # Errors
-/// The step and the peer.
+/// Where the peer rejects the connection or does not answer in time, or the connection has ended
+/// already.
 pub async fn connect<In, Out>(
     peer: SocketAddr,
-    within: Duration,
-) -> Result<(Receiver<In>, Sender<Out>)> {
-    let connecting = tokio::time::timeout(within, dial(peer));
-    let stream = match connecting.await {
-        Ok(stream) => stream.wrap_err_with(|| format!("connecting to {peer}"))?,
-        Err(_) => bail!("connecting to {peer}: no answer within {within:?}"),
+    timeout: Duration,
+) -> Result<(Receiver<In>, Sender<Out>), Error> {
+    let stream = match tokio::time::timeout(timeout, connect_with_retries(peer)).await {
+        Ok(connected) => connected.map_err(|source| Error::Connect { peer, source })?,
+        Err(_) => return Err(Error::ConnectTimeout { peer, timeout }),
     };
-    split(stream).wrap_err_with(|| format!("setting up the link to {peer}"))
+    Ok(split(stream)?)
 }
 
-/// The first connection to a peer that comes up or is refused.
-async fn dial(peer: SocketAddr) -> io::Result<TcpStream> {
-    let mut tries = FuturesUnordered::new();
+/// The first of several connection attempts that succeeds or is rejected.
+async fn connect_with_retries(peer: SocketAddr) -> io::Result<TcpStream> {
+    let mut attempts = FuturesUnordered::new();
     loop {
-        tries.push(TcpStream::connect(peer));
+        attempts.push(TcpStream::connect(peer));
         tokio::select! {
-            Some(outcome) = tries.next() => return outcome,
-            () = tokio::time::sleep(DIAL_AGAIN) => {}
+            Some(outcome) = attempts.next() => return outcome,
+            () = tokio::time::sleep(CONNECT_RETRY_DELAY) => {}
         }
     }
 }
 
-/// Makes a link of a connection.
+/// Makes a link of an established connection.
 ///
 /// # Errors
-/// The system's, where the connection has ended.
+/// The operating system's error, where the connection has ended.
 pub fn split<In, Out>(stream: TcpStream) -> io::Result<(Receiver<In>, Sender<Out>)> {
     let peer = stream.peer_addr()?;
-    // A peer without power says nothing, not even that it is gone. Without probes a side that only
-    // receives would wait for it for ever.
-    sockets::set_peer_timeout(&stream, SILENCE)?;
-    let (sink, source) = Framed::new(stream, FrameCodec { most: MESSAGE_MOST }).split();
+    // A peer that loses power sends nothing, not even the end of its connections. Without this, a
+    // side that only receives would wait forever.
+    sockets::set_peer_timeout(&stream, PEER_TIMEOUT)?;
+    let codec = FrameCodec {
+        max_bytes: MAX_MESSAGE_BYTES,
+    };
+    let (sink, source) = Framed::new(stream, codec).split();
     let receiver = Receiver {
         frames: source,
         peer,
         message: PhantomData,
     };
-    Ok((
-        receiver,
-        Sender {
-            frames: sink,
-            peer,
-            message: PhantomData,
-        },
-    ))
+    let sender = Sender {
+        frames: sink,
+        peer,
+        message: PhantomData,
+    };
+    Ok((receiver, sender))
 }
 
 impl<M: DeserializeOwned> Receiver<M> {
-    /// The next message; none where the peer has closed.
+    /// The next message; `None` where the peer has closed the link between two messages.
     ///
     /// # Errors
-    /// The step and the peer.
-    pub async fn next(&mut self) -> Result<Option<M>> {
+    /// Where the connection fails or what arrives is not a message.
+    pub async fn next(&mut self) -> Result<Option<M>, Error> {
         let peer = self.peer;
         let Some(frame) = self.frames.next().await else {
             return Ok(None);
         };
-        let frame = frame.wrap_err_with(|| format!("receiving from {peer}"))?;
-        let message = decode(&frame).wrap_err_with(|| format!("reading a message of {peer}"))?;
+        let frame = frame.map_err(|source| Error::Receive { peer, source })?;
+        let message = decode(&frame).map_err(|source| Error::Decode { peer, source })?;
         Ok(Some(message))
     }
 }
@@ -116,14 +178,14 @@
     /// Sends a message.
     ///
     /// # Errors
-    /// The step and the peer.
-    pub async fn send(&mut self, message: &M) -> Result<()> {
+    /// Where the message is too long or the connection fails.
+    pub async fn send(&mut self, message: &M) -> Result<(), Error> {
         let peer = self.peer;
-        let frame = encode(message, MESSAGE_MOST)
-            .wrap_err_with(|| format!("writing a message for {peer}"))?;
+        let frame =
+            encode(message, MAX_MESSAGE_BYTES).map_err(|source| Error::Encode { peer, source })?;
         self.frames
             .send(frame)
             .await
-            .wrap_err_with(|| format!("sending to {peer}"))
+            .map_err(|source| Error::Send { peer, source })
     }
 }
--- a/crates/transport/tests/link.rs
+++ b/crates/transport/tests/link.rs
@@ -19,9 +19,9 @@
 }
 
 #[tokio::test]
-async fn messages_arrive_in_order_both_ways_and_the_end_is_told() {
+async fn messages_arrive_in_order_in_both_directions_and_a_close_is_reported() {
     let (listener, address) = listen().await;
-    let (mut hears, mut says): (Receiver<String>, Sender<u64>) =
+    let (mut receiver, mut says): (Receiver<String>, Sender<u64>) =
         link::connect(address, WITHIN).await.expect("up");
     let (stream, _) = listener.accept().await.expect("it dials");
     let (mut heard, mut answers) = link::split::<u64, String>(stream).expect("open");
@@ -31,21 +31,21 @@
     }
     for n in 0..100 {
         assert_eq!(heard.next().await.expect("open"), Some(n));
-        assert_eq!(hears.next().await.expect("open"), Some(format!("{n}")));
+        assert_eq!(receiver.next().await.expect("open"), Some(format!("{n}")));
     }
-    drop((hears, says));
+    drop((receiver, says));
     assert_eq!(heard.next().await.expect("a clean end"), None);
 }
 
-/// A peer that writes this and closes: what is told, by name of the peer.
-async fn told(bytes: &[u8]) -> Result<Option<String>, String> {
+/// What a link reports of a peer that writes this and closes; an error names the peer.
+async fn received(bytes: &[u8]) -> Result<Option<String>, String> {
     let (listener, address) = listen().await;
     let mut peer = std::net::TcpStream::connect(address).expect("it listens");
     peer.write_all(bytes).expect("written");
     peer.shutdown(Shutdown::Write).expect("open");
     let (stream, from) = listener.accept().await.expect("it dials");
-    let (mut hears, _says) = link::split::<String, ()>(stream).expect("open");
-    hears.next().await.map_err(|error| {
+    let (mut receiver, _says) = link::split::<String, ()>(stream).expect("open");
+    receiver.next().await.map_err(|error| {
         let text = format!("{error:#}");
         assert!(text.contains(&from.to_string()), "{text}");
         text
@@ -53,27 +53,27 @@
 }
 
 #[tokio::test]
-async fn what_breaks_off_is_an_error_and_never_an_end() {
+async fn a_truncated_message_is_an_error_and_never_an_end() {
     let message = [
         &[0, 0, 0, 6][..],
         &postcard::to_stdvec("whole").expect("short"),
     ]
     .concat();
-    assert_eq!(told(&message).await, Ok(Some("whole".into())));
-    assert_eq!(told(b"").await, Ok(None));
+    assert_eq!(received(&message).await, Ok(Some("whole".into())));
+    assert_eq!(received(b"").await, Ok(None));
     for end in 1..message.len() {
-        assert!(told(&message[..end]).await.is_err(), "cut at {end}");
+        assert!(received(&message[..end]).await.is_err(), "cut at {end}");
     }
     assert!(
-        told(b"GET / HTTP/1.1\r\n\r\n").await.is_err(),
+        received(b"GET / HTTP/1.1\r\n\r\n").await.is_err(),
         "read as a length"
     );
-    assert!(told(&[0, 0, 0, 1, 0xff]).await.is_err(), "no message");
+    assert!(received(&[0, 0, 0, 1, 0xff]).await.is_err(), "no message");
 }
 
 /// A side that only receives finds a peer without power by the system's probes.
 #[tokio::test]
-async fn the_system_is_told_to_watch_the_peer() {
+async fn a_link_sets_keepalive_and_the_user_timeout() {
     let (listener, address) = listen().await;
     let dialed = TcpStream::connect(address).await.expect("up");
     let (accepted, _) = listener.accept().await.expect("it dials");
@@ -89,7 +89,7 @@
 /// A peer whose backlog is full answers nothing, as one without power. The system tries again after
 /// a second.
 #[tokio::test]
-async fn a_peer_that_was_not_there_is_dialed_anew_within_a_second() {
+async fn a_silent_peer_is_connected_to_within_a_second_of_its_return() {
     let socket = tokio::net::TcpSocket::new_v4().expect("a descriptor is free");
     socket
         .bind((Ipv4Addr::LOCALHOST, 0).into())
--- a/crates/transport/tests/listener.rs
+++ b/crates/transport/tests/listener.rs
@@ -1,26 +1,22 @@
-//! Client connections against a listener, over sockets: what survives a drain, what limits end,
-//! what an answer that breaks off looks like.
+//! Client connections to a listener, over sockets: draining, limits, streams and disconnects.
 
 #[path = "listener/floods.rs"]
 mod floods;
-#[path = "listener/stage.rs"]
-mod stage;
+#[path = "listener/support.rs"]
+mod support;
 
 use assert_matches::assert_matches;
-use stage::{Client, LIMITS, Stage, play};
+use support::{Client, GET, LIMITS, POST, Stage, play};
 
 use ironmast_transport::connection::ClientLimits;
 
-const GET: &str = "GET /a HTTP/1.1\r\nHost: a\r\n\r\n";
-const POST: &str = "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nhelloworld";
-
 /// Cut anywhere behind its first byte, a request is read to its end during a drain and answered;
 /// the connection is closed with the answer.
 #[test]
-fn a_request_that_is_half_read_survives_a_drain() {
+fn a_partly_received_request_is_answered_during_a_drain() {
     play(async {
         for cut in [1, 20, POST.len() - 10, POST.len() - 1] {
-            let stage = Stage::start(LIMITS).await;
+            let stage = Stage::start(LIMITS);
             let mut client = stage.connect().await;
             client.write(&POST[..cut]).await;
             let mut other = stage.connect().await;
@@ -34,11 +30,7 @@
             let request = stage.request().await;
             assert_eq!(request.body, "helloworld", "cut at {cut}");
             request.answer("served");
-            let answer = client.answer().await.expect("an answer");
-            assert!(
-                answer.contains("connection: close") && answer.ends_with("served"),
-                "{answer}"
-            );
+            client.expect_last_answer("served").await;
             client.closed().await;
             drained.await.expect("all connections are closed");
         }
@@ -46,9 +38,9 @@
 }
 
 #[test]
-fn a_drain_waits_for_requests_and_for_streams_and_closes_what_is_idle() {
+fn a_drain_waits_for_requests_and_streams_and_closes_idle_connections() {
     play(async {
-        let stage = Stage::start(LIMITS).await;
+        let stage = Stage::start(LIMITS);
         let [mut waits, mut streams, mut idle] = [
             stage.connect().await,
             stage.connect().await,
@@ -89,9 +81,9 @@
 
 /// The last bytes of an answer may wait for a slow client when the service has given them all.
 #[test]
-fn a_long_stream_is_written_to_its_end_before_a_drain_closes_its_connection() {
+fn a_drain_closes_a_connection_only_after_its_stream_is_written_to_a_slow_client() {
     play(async {
-        let stage = Stage::start(LIMITS).await;
+        let stage = Stage::start(LIMITS);
         let mut client = stage.connect_with_little_room().await;
         client.write(GET).await;
         let mut stream = stage.request().await.stream();
@@ -114,9 +106,9 @@
 /// An answer that its client takes slowly is no idle connection to be closed for the sake of
 /// others.
 #[test]
-fn an_answer_is_written_to_its_end_where_descriptors_are_scarce() {
+fn a_response_to_a_slow_client_is_completed_when_descriptors_are_scarce() {
     play(async {
-        let stage = Stage::start_with(LIMITS, 3).await;
+        let stage = Stage::start_with(LIMITS, 3);
         let mut slow = stage.connect_with_little_room().await;
         slow.write(GET).await;
         let long = "x".repeat(100_000);
@@ -135,9 +127,9 @@
 
 /// Who is closed in the middle of a request knows that nobody has read it: there is no answer.
 #[test]
-fn a_request_that_is_half_read_gets_no_answer_where_descriptors_are_scarce() {
+fn a_partly_received_request_is_closed_without_a_response_when_descriptors_are_scarce() {
     play(async {
-        let stage = Stage::start_with(LIMITS, 3).await;
+        let stage = Stage::start_with(LIMITS, 3);
         let mut first = stage.connect().await;
         first.write(&POST[..POST.len() - 1]).await;
         let mut others = [
@@ -158,12 +150,10 @@
 }
 
 #[test]
-fn events_reach_the_client_one_by_one() {
+fn streamed_events_reach_the_client_one_by_one() {
     play(async {
-        let stage = Stage::start(LIMITS).await;
-        let mut client = stage.connect().await;
-        client.write(GET).await;
-        let mut stream = stage.request().await.stream();
+        let stage = Stage::start(LIMITS);
+        let (mut client, mut stream) = stage.start_stream().await;
         for n in 0..50 {
             let event = format!("id: {n}\ndata: piece {n}\n\n");
             stream.event(&event).await;
@@ -173,43 +163,31 @@
         assert_eq!(client.part().await.as_deref(), Some(""));
         client.write(GET).await;
         stage.request().await.answer("next");
-        assert!(
-            client
-                .answer()
-                .await
-                .expect("on the same connection")
-                .ends_with("next")
-        );
+        client.expect_answer("next").await;
     });
 }
 
 #[test]
-fn a_stream_that_breaks_off_does_not_look_complete() {
+fn an_aborted_stream_ends_without_its_last_chunk() {
     play(async {
-        let stage = Stage::start(LIMITS).await;
-        let mut client = stage.connect().await;
-        client.write(GET).await;
-        let mut stream = stage.request().await.stream();
+        let stage = Stage::start(LIMITS);
+        let (mut client, mut stream) = stage.start_stream().await;
         stream.event("one").await;
-        assert_eq!(client.part().await.as_deref(), Some("one"));
+        client.expect_part("one").await;
         stream.break_off().await;
         assert_eq!(client.part().await, None, "no last chunk");
     });
 }
 
 #[test]
-fn a_client_that_leaves_is_known_while_its_request_waits_and_while_its_answer_flows() {
+fn a_disconnect_is_noticed_while_a_request_is_pending_and_while_its_response_is_streamed() {
     play(async {
-        let stage = Stage::start(LIMITS).await;
-        let mut client = stage.connect().await;
-        client.write(GET).await;
-        let mut request = stage.request().await;
+        let stage = Stage::start(LIMITS);
+        let (client, mut request) = stage.start_request().await;
         drop(client);
         request.abandoned().await;
 
-        let mut client = stage.connect().await;
-        client.write(GET).await;
-        let mut stream = stage.request().await.stream();
+        let (mut client, mut stream) = stage.start_stream().await;
         stream.event("one").await;
         client.part().await;
         drop(client);
@@ -218,9 +196,9 @@
 }
 
 #[test]
-fn limits_on_sizes_are_kept_and_may_change_on_open_connections() {
+fn size_limits_are_enforced_and_may_change_on_open_connections() {
     play(async {
-        let stage = Stage::start(LIMITS).await;
+        let stage = Stage::start(LIMITS);
         let mut client = stage.connect().await;
         let long = format!(
             "GET /a HTTP/1.1\r\nHost: a\r\nX-Pad: {}\r\n\r\n",
@@ -254,7 +232,7 @@
 }
 
 #[test]
-fn limits_on_times_end_half_requests_and_idle_connections_each_by_its_own() {
+fn partial_requests_and_idle_connections_time_out_each_by_its_own_limit() {
     play(async {
         let brief = 30_000;
         let (long, idle) = (LIMITS.header_timeout, LIMITS.idle_timeout);
@@ -263,8 +241,7 @@
                 header_timeout,
                 idle_timeout,
                 ..LIMITS
-            })
-            .await;
+            });
             let mut half = stage.connect().await;
             half.write(&GET[..10]).await;
             let mut silent = stage.connect().await;
@@ -290,22 +267,19 @@
 }
 
 #[test]
-fn a_request_that_waits_is_bound_by_no_limit() {
+fn a_pending_request_has_no_time_limit() {
     play(async {
         let stage = Stage::start(ClientLimits {
             header_timeout: 10_000,
             idle_timeout: 10_000,
             ..LIMITS
-        })
-        .await;
-        let mut client = stage.connect().await;
-        client.write(GET).await;
-        let request = stage.request().await;
+        });
+        let (mut client, request) = stage.start_request().await;
         let mut silent = stage.connect().await;
         silent.closed().await;
         let mut silent = stage.connect().await;
         silent.closed().await;
         request.answer("late");
-        assert!(client.answer().await.expect("an answer").ends_with("late"));
+        client.expect_answer("late").await;
     });
 }
--- a/crates/transport/tests/listener/floods.rs
+++ b/crates/transport/tests/listener/floods.rs
@@ -1,27 +1,26 @@
-//! Clients that send more than their turn: what comes behind a request in hand costs no processor
-//! and is not lost while it is bounded.
+//! Clients that send far ahead of the responses: what arrives behind a request in progress costs no
+//! CPU time, and none of it is lost while it is within the limits.
 
 use std::time::Duration;
 
 use futures_util::StreamExt as _;
 use ironmast_transport::connection::ClientLimits;
 
-use crate::stage::{AT_ONCE, LIMITS, Stage, play};
-use crate::{GET, POST};
+use crate::support::{AT_ONCE, GET, LIMITS, POST, Stage, play};
 
-/// More than is read ahead and kept; once it is there a connection that isn't left alone keeps a
-/// processor busy.
-const FLOOD: usize = 600_000;
-/// How long a processor's time is counted, and how much of it may go.
-const COUNTED: u64 = 1_000_000;
+/// More than is read ahead and kept; once it has arrived, a connection that is polled in a busy
+/// loop occupies a CPU.
+const FLOOD_BYTES: usize = 600_000;
+/// How long the CPU time is measured, in microseconds, and how much of it may be used.
+const MEASURED_TIME: u64 = 1_000_000;
 const MAX_CPU_TIME: Duration = Duration::from_millis(200);
 
 fn flood() -> String {
-    GET.repeat(FLOOD / GET.len())
+    GET.repeat(FLOOD_BYTES / GET.len())
 }
 
-/// How long this thread, which does everything, has been on a processor.
-fn busy() -> Duration {
+/// CPU time of this thread, which runs the test and the listener.
+fn cpu_time() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("the system counts");
     Duration::from_nanos(
         text.split(' ')
@@ -31,26 +30,25 @@
     )
 }
 
-async fn start() -> Stage {
+fn start() -> Stage {
     Stage::start(ClientLimits {
-        idle_timeout: COUNTED,
+        idle_timeout: MEASURED_TIME,
         ..LIMITS
     })
-    .await
 }
 
-/// Holds where the listener costs little until a silent connection is closed, which takes as long
-/// as is counted.
-async fn rests(stage: &Stage, what: &str) {
+/// Asserts that the listener uses little CPU time until a silent connection is closed, which takes
+/// the measured time.
+async fn assert_idle(stage: &Stage, what: &str) {
     let mut silent = stage.connect().await;
-    let before = busy();
+    let before = cpu_time();
     silent.closed().await;
-    let spent = busy() - before;
-    assert!(spent < MAX_CPU_TIME, "{what}: {spent:?} on a processor");
+    let spent = cpu_time() - before;
+    assert!(spent < MAX_CPU_TIME, "{what}: {spent:?} of CPU time");
 }
 
-/// What was written before has been looked at once another client is answered.
-async fn looked_at(stage: &Stage) {
+/// Waits until what was written before has been read: another client is answered then.
+async fn wait_until_read(stage: &Stage) {
     let mut other = stage.connect().await;
     for _ in 0..2 {
         other.write(GET).await;
@@ -60,77 +58,65 @@
 }
 
 #[test]
-fn a_flood_costs_no_processor_while_a_request_waits() {
+fn a_flood_behind_a_pending_request_uses_no_cpu_time() {
     play(async {
-        let stage = start().await;
-        let mut client = stage.connect().await;
-        client.write(GET).await;
-        let request = stage.request().await;
+        let stage = start();
+        let (client, request) = stage.start_request().await;
         let flooding = client.write_meanwhile(flood());
-        rests(&stage, "behind one that waits").await;
+        assert_idle(&stage, "behind one that waits").await;
         request.answer("served");
         let mut client = flooding.await.expect("all is taken");
-        let answer = client.answer().await.expect("an answer");
-        assert!(
-            answer.contains("connection: close") && answer.ends_with("served"),
-            "{answer}"
-        );
+        client.expect_last_answer("served").await;
     });
 }
 
 #[test]
-fn a_flood_in_one_go_with_its_first_request_costs_no_processor_while_that_waits() {
+fn a_flood_written_together_with_its_first_request_uses_no_cpu_time() {
     play(async {
-        let stage = start().await;
+        let stage = start();
         let flooding = stage
             .connect()
             .await
             .write_meanwhile(format!("{POST}{}", flood()));
         let request = stage.request().await;
-        rests(&stage, "in one go").await;
+        assert_idle(&stage, "in one go").await;
         request.answer("served");
         let mut client = flooding.await.expect("all is taken");
-        let answer = client.answer().await.expect("an answer");
-        assert!(
-            answer.contains("connection: close") && answer.ends_with("served"),
-            "{answer}"
-        );
+        client.expect_last_answer("served").await;
     });
 }
 
 #[test]
-fn a_flood_costs_no_processor_while_an_answer_flows() {
+fn a_flood_behind_a_streamed_response_uses_no_cpu_time() {
     play(async {
-        let stage = start().await;
-        let mut client = stage.connect().await;
-        client.write(GET).await;
-        let mut stream = stage.request().await.stream();
+        let stage = start();
+        let (mut client, mut stream) = stage.start_stream().await;
         stream.event("one").await;
-        assert_eq!(client.part().await.as_deref(), Some("one"));
+        client.expect_part("one").await;
         let flooding = client.write_meanwhile(flood());
-        rests(&stage, "behind a stream").await;
+        assert_idle(&stage, "behind a stream").await;
         stream.event("two").await;
         let mut client = flooding.await.expect("all is taken");
-        assert_eq!(client.part().await.as_deref(), Some("two"));
+        client.expect_part("two").await;
     });
 }
 
 #[test]
-fn a_flood_costs_no_processor_while_its_client_does_not_read() {
+fn a_flood_of_a_client_that_does_not_read_its_response_uses_no_cpu_time() {
     play(async {
-        let stage = start().await;
+        let stage = start();
         let mut client = stage.connect_with_little_room().await;
         client.write(GET).await;
         stage.request().await.answer(&"x".repeat(1_000_000));
         let _flooding = client.write_meanwhile(flood());
-        rests(&stage, "behind an answer that nobody reads").await;
+        assert_idle(&stage, "behind an answer that nobody reads").await;
     });
 }
 
 #[test]
-fn a_flood_costs_no_processor_while_a_long_body_is_not_drawn() {
+fn a_flood_behind_a_long_body_that_is_not_consumed_uses_no_cpu_time() {
     play(async {
-        let stage = start().await;
+        let stage = start();
         let mut client = stage.connect().await;
         let (first, rest) = (70_000, 30_000);
         client
@@ -143,49 +129,37 @@
         let request = stage.request().await;
         assert!(request.flow.is_some(), "on its way");
         let _flooding = client.write_meanwhile(format!("{}{}", "x".repeat(rest), flood()));
-        rests(&stage, "behind a body that nobody draws").await;
+        assert_idle(&stage, "behind a body that nobody draws").await;
     });
 }
 
 /// More than is read ahead, less than that and what is kept.
 #[test]
-fn requests_sent_far_ahead_are_answered_each_in_its_turn() {
+fn pipelined_requests_within_the_read_ahead_limit_are_answered_in_order() {
     play(async {
         const AHEAD: usize = 100 * 1024;
-        let stage = Stage::start(LIMITS).await;
-        let mut client = stage.connect().await;
-        client.write(GET).await;
-        let mut request = stage.request().await;
+        let stage = Stage::start(LIMITS);
+        let (mut client, mut request) = stage.start_request().await;
         let count = AHEAD / GET.len();
         for _ in 0..count {
             client.write(GET).await;
         }
-        looked_at(&stage).await;
+        wait_until_read(&stage).await;
         for turn in 0..count {
             request.answer(&format!("served {turn}"));
-            let answer = client.answer().await.expect("an answer");
-            assert!(
-                answer.ends_with(&format!("served {turn}")) && !answer.contains("close"),
-                "{answer}"
-            );
+            client.expect_open_answer(&format!("served {turn}")).await;
             request = stage.request().await;
         }
         request.answer("the last");
-        assert!(
-            client
-                .answer()
-                .await
-                .expect("an answer")
-                .ends_with("the last")
-        );
+        client.expect_answer("the last").await;
         assert!(client.is_open());
     });
 }
 
 #[test]
-fn requests_sent_one_ahead_for_any_time_are_all_answered() {
+fn requests_pipelined_one_ahead_are_all_answered() {
     play(async {
-        let stage = Stage::start(LIMITS).await;
+        let stage = Stage::start(LIMITS);
         let mut client = stage.connect().await;
         let get = format!(
             "GET /a HTTP/1.1\r\nHost: a\r\nX-Pad: {}\r\n\r\n",
@@ -196,11 +170,7 @@
             let request = stage.request().await;
             client.write(&get).await;
             request.answer(&format!("served {turn}"));
-            let answer = client.answer().await.expect("an answer");
-            assert!(
-                answer.ends_with(&format!("served {turn}")) && !answer.contains("close"),
-                "{answer}"
-            );
+            client.expect_open_answer(&format!("served {turn}")).await;
         }
     });
 }
@@ -208,63 +178,50 @@
 /// While 16 and more are queued, what comes is not parsed; nor is it when they are all answered at
 /// once.
 #[test]
-fn requests_behind_a_full_queue_do_not_wait_for_more_to_come() {
+fn requests_behind_a_full_queue_are_answered_without_further_input() {
     play(async {
-        let stage = Stage::start(LIMITS).await;
-        let mut client = stage.connect().await;
-        client.write(GET).await;
-        let request = stage.request().await;
+        let stage = Stage::start(LIMITS);
+        let (mut client, request) = stage.start_request().await;
         let batch = format!("GET {AT_ONCE} HTTP/1.1\r\nHost: a\r\n\r\n").repeat(20);
         for _ in 0..2 {
             client.write(&batch).await;
-            looked_at(&stage).await;
+            wait_until_read(&stage).await;
         }
         request.answer("served");
-        assert!(
-            client
-                .answer()
-                .await
-                .expect("an answer")
-                .ends_with("served")
-        );
+        client.expect_answer("served").await;
         for _ in 0..40 {
-            assert!(
-                client
-                    .answer()
-                    .await
-                    .expect("an answer")
-                    .ends_with("at once")
-            );
+            client.expect_answer("at once").await;
         }
     });
 }
 
-/// More than the system's buffers hold on both sides.
-const LONG: usize = 20_000_000;
+/// More than the kernel's buffers hold on both sides.
+const LONG_BODY_BYTES: usize = 20_000_000;
 
 /// A request with a long body, of a length told or not.
 fn long_posts() -> [String; 2] {
     // Of many lines: of few it might be one long head.
-    let body = "x\n".repeat(LONG / 2);
+    let body = "x\n".repeat(LONG_BODY_BYTES / 2);
     let head = "POST /a HTTP/1.1\r\nHost: a\r\n";
     [
-        format!("{head}Content-Length: {LONG}\r\n\r\n{body}"),
-        format!("{head}Transfer-Encoding: chunked\r\n\r\n{LONG:x}\r\n{body}\r\n0\r\n\r\n"),
+        format!("{head}Content-Length: {LONG_BODY_BYTES}\r\n\r\n{body}"),
+        format!(
+            "{head}Transfer-Encoding: chunked\r\n\r\n{LONG_BODY_BYTES:x}\r\n{body}\r\n0\r\n\r\n"
+        ),
     ]
 }
 
-async fn start_for_long_bodies() -> Stage {
+fn start_for_long_bodies() -> Stage {
     Stage::start(ClientLimits {
-        max_body_bytes: 2 * LONG,
+        max_body_bytes: 2 * LONG_BODY_BYTES,
         ..LIMITS
     })
-    .await
 }
 
 #[test]
-fn a_long_body_is_read_on_as_it_is_drawn() {
+fn a_long_body_is_read_as_it_is_consumed() {
     play(async {
-        let stage = start_for_long_bodies().await;
+        let stage = start_for_long_bodies();
         for post in long_posts() {
             let writing = stage.connect().await.write_meanwhile(post);
             let mut request = stage.request().await;
@@ -273,34 +230,22 @@
             while let Some(part) = parts.next().await {
                 drawn += part.expect("it does not break off").len();
             }
-            assert_eq!(drawn, LONG);
+            assert_eq!(drawn, LONG_BODY_BYTES);
             request.answer("served");
             let mut client = writing.await.expect("all is taken");
-            assert!(
-                client
-                    .answer()
-                    .await
-                    .expect("an answer")
-                    .ends_with("served")
-            );
+            client.expect_answer("served").await;
             client.write(GET).await;
             stage.request().await.answer("next");
-            assert!(
-                client
-                    .answer()
-                    .await
-                    .expect("on the same connection")
-                    .ends_with("next")
-            );
+            client.expect_answer("next").await;
         }
     });
 }
 
 /// A client may well read only when it has written everything.
 #[test]
-fn a_long_body_that_nobody_draws_is_taken_to_its_end_while_the_answer_flows() {
+fn a_long_body_that_is_not_consumed_is_read_to_its_end_while_the_response_is_streamed() {
     play(async {
-        let stage = start_for_long_bodies().await;
+        let stage = start_for_long_bodies();
         for post in long_posts() {
             let writing = stage.connect().await.write_meanwhile(post);
             let mut request = stage.request().await;
@@ -308,7 +253,7 @@
             let mut stream = request.stream();
             stream.event("one").await;
             let mut client = writing.await.expect("all is taken");
-            assert_eq!(client.part().await.as_deref(), Some("one"));
+            client.expect_part("one").await;
             stream.end();
             assert_eq!(client.part().await.as_deref(), Some(""));
         }
@@ -317,12 +262,10 @@
 
 /// What is not read hides its end.
 #[test]
-fn a_client_that_leaves_behind_a_flood_is_known_at_once() {
+fn the_disconnect_of_a_client_behind_a_flood_is_noticed() {
     play(async {
-        let stage = Stage::start(LIMITS).await;
-        let mut client = stage.connect().await;
-        client.write(GET).await;
-        let mut request = stage.request().await;
+        let stage = Stage::start(LIMITS);
+        let (client, mut request) = stage.start_request().await;
         drop(client.write_meanwhile(flood()).await.expect("all is taken"));
         request.abandoned().await;
     });
--- a/crates/transport/tests/listener/stage.rs
+++ b/crates/transport/tests/listener/support.rs
@@ -1,4 +1,5 @@
-//! A listener whose service answers when the test says so, and clients of it.
+//! The set-up of the listener tests: a listener whose service answers when the test says so, and
+//! clients of it.
 
 use std::cell::RefCell;
 use std::io;
@@ -31,6 +32,9 @@
     max_body_bytes: 4 << 20,
 };
 
+pub(crate) const GET: &str = "GET /a HTTP/1.1\r\nHost: a\r\n\r\n";
+pub(crate) const POST: &str = "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nhelloworld";
+
 /// A request of this path is answered without the test.
 pub(crate) const AT_ONCE: &str = "/at-once";
 
@@ -91,8 +95,10 @@
             .expect("it is wanted");
     }
 
-    /// The answer is whole.
-    pub(crate) fn end(self) {}
+    /// Completes the answer.
+    pub(crate) fn end(self) {
+        drop(self);
+    }
 
     /// The server has broken off.
     pub(crate) async fn break_off(self) {
@@ -174,12 +180,12 @@
 }
 
 impl Stage {
-    pub(crate) async fn start(limits: ClientLimits) -> Self {
-        Stage::start_with(limits, 64).await
+    pub(crate) fn start(limits: ClientLimits) -> Self {
+        Stage::start_with(limits, 64)
     }
 
     /// One that may hold so many connections.
-    pub(crate) async fn start_with(limits: ClientLimits, descriptors: usize) -> Self {
+    pub(crate) fn start_with(limits: ClientLimits, descriptors: usize) -> Self {
         let tcp =
             sockets::listen("127.0.0.1:0".parse().expect("an address")).expect("a port is free");
         // What it accepts has it, too.
@@ -217,6 +223,19 @@
         ))
     }
 
+    /// A new client whose request is pending.
+    pub(crate) async fn start_request(&self) -> (Client, Asked) {
+        let mut client = self.connect().await;
+        client.write(GET).await;
+        (client, self.request().await)
+    }
+
+    /// A new client whose response is being streamed.
+    pub(crate) async fn start_stream(&self) -> (Client, Stream) {
+        let (client, request) = self.start_request().await;
+        (client, request.stream())
+    }
+
     /// A client on whose connection little is on its way at once.
     pub(crate) async fn connect_with_little_room(&self) -> Client {
         let socket = TcpSocket::new_v4().expect("a socket");
@@ -289,6 +308,35 @@
         Some(head)
     }
 
+    /// Asserts that a response arrives, with this at its end.
+    pub(crate) async fn expect_answer(&mut self, ending: &str) {
+        let answer = self.answer().await.expect("an answer");
+        assert!(answer.ends_with(ending), "{answer}");
+    }
+
+    /// Asserts the same, and that the connection closes with it.
+    pub(crate) async fn expect_last_answer(&mut self, ending: &str) {
+        let answer = self.answer().await.expect("an answer");
+        assert!(
+            answer.contains("connection: close") && answer.ends_with(ending),
+            "{answer}"
+        );
+    }
+
+    /// Asserts the same, and that the connection stays open.
+    pub(crate) async fn expect_open_answer(&mut self, ending: &str) {
+        let answer = self.answer().await.expect("an answer");
+        assert!(
+            answer.ends_with(ending) && !answer.contains("close"),
+            "{answer}"
+        );
+    }
+
+    /// Asserts that the next chunk of a stream is this.
+    pub(crate) async fn expect_part(&mut self, text: &str) {
+        assert_eq!(self.part().await.as_deref(), Some(text));
+    }
+
     /// The next chunk of a stream, past its head; none where it breaks off.
     pub(crate) async fn part(&mut self) -> Option<String> {
         let mut line = String::new();
--- a/crates/transport/tests/memory_network.rs
+++ b/crates/transport/tests/memory_network.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_is_delayed_arrives_at_its_time_and_nothing_overtakes() {
+fn delayed_messages_arrive_on_time_and_in_order() {
     let Pair {
         network,
         mut one,
@@ -88,9 +88,9 @@
 }
 
 #[test]
-fn a_one_way_cut_holds_back_one_way_and_ends_the_link_for_both_by_silence() {
+fn a_one_way_partition_stops_one_direction_and_the_link_times_out_on_both_sides() {
     let options = LinkOptions {
-        silence_timeout: ms(100),
+        peer_timeout: ms(100),
         ..LinkOptions::default()
     };
     let Pair {
@@ -99,7 +99,7 @@
         mut other,
         link,
     } = linked(options);
-    network.cut(one.local_address(), other.local_address());
+    network.partition(one.local_address(), other.local_address());
     one.send(link, &1).expect("taken");
     other.send(link, &2).expect("taken");
     network.advance(ms(99));
@@ -109,10 +109,10 @@
         let Some(LinkEvent::Down { error, .. }) = end.try_next() else {
             panic!("not down")
         };
-        assert_matches!(error.cause, LinkErrorKind::TimedOut);
+        assert_matches!(error.kind, LinkErrorKind::TimedOut);
         assert!(end.try_next().is_none());
     }
-    network.restore(one.local_address(), other.local_address());
+    network.heal(one.local_address(), other.local_address());
     assert!(
         other.try_next().is_none(),
         "what was held back is lost with its link"
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_short_cut_loses_nothing() {
+fn a_short_partition_loses_no_message() {
     let Pair {
         network,
         mut one,
@@ -128,22 +128,22 @@
         link,
     } = linked(LinkOptions::default());
     let (here, there) = (one.local_address(), other.local_address());
-    network.cut(here, there);
+    network.partition(here, there);
     for n in 0..5 {
         one.send(link, &n).expect("taken");
     }
     network.advance(ms(500));
     assert!(numbers(&mut other).is_empty());
-    network.restore(here, there);
+    network.heal(here, there);
     assert_eq!(numbers(&mut other), [0, 1, 2, 3, 4]);
 }
 
 #[test]
-fn a_cut_fills_the_queue_to_its_bound() {
+fn a_partition_fills_the_send_queue_up_to_its_limit() {
     for overflow in [OverflowPolicy::RejectNewest, OverflowPolicy::DropOldest] {
         let queue = QueueLimits {
-            frames: 3,
-            bytes: 1_000,
+            max_frames: 3,
+            max_bytes: 1_000,
             overflow,
         };
         let Pair {
@@ -156,11 +156,11 @@
             ..LinkOptions::default()
         });
         let (here, there) = (one.local_address(), other.local_address());
-        network.cut(here, there);
+        network.partition(here, there);
         let sent: Vec<_> = (0..5)
             .map(|n| one.send(link, &n).map(|sent| sent.dropped))
             .collect();
-        network.restore(here, there);
+        network.heal(here, there);
         let come = numbers(&mut other);
         match overflow {
             OverflowPolicy::RejectNewest => {
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_reset_is_told_to_both_and_loses_what_is_on_its_way() {
+fn a_reset_is_reported_to_both_sides_and_loses_messages_in_flight() {
     let Pair {
         network,
         mut one,
@@ -204,10 +204,10 @@
 }
 
 #[test]
-fn a_process_behind_a_cut_is_given_up_in_time_and_never_hears_of_it() {
+fn connecting_to_a_partitioned_process_times_out_and_it_gets_no_event() {
     let options = LinkOptions {
         connect_timeout: ms(50),
-        silence_timeout: ms(500),
+        peer_timeout: ms(500),
         ..LinkOptions::default()
     };
     let network = MemoryNetwork::default();
@@ -215,7 +215,7 @@
         listen(&network, ONE, options),
         listen(&network, OTHER, options),
     );
-    network.cut(one.local_address(), other.local_address());
+    network.partition(one.local_address(), other.local_address());
     let link = one.connect(other.local_address());
     network.advance(ms(49));
     assert!(one.try_next().is_none());
@@ -223,14 +223,14 @@
     let Some(LinkEvent::Down { link: which, error }) = one.try_next() else {
         panic!("not down")
     };
-    assert_eq!((which, error.step), (link, LinkPhase::Connect));
-    assert_matches!(error.cause, LinkErrorKind::TimedOut);
+    assert_eq!((which, error.phase), (link, LinkPhase::Connect));
+    assert_matches!(error.kind, LinkErrorKind::TimedOut);
     assert!(other.try_next().is_none());
 }
 
 /// The same steps come out the same: what runs on it can be played again.
 #[test]
-fn a_play_can_be_repeated() {
+fn the_same_steps_give_the_same_events() {
     let play = || {
         let Pair {
             network,
@@ -243,8 +243,8 @@
         for step in 0..200u64 {
             match step % 7 {
                 0 => network.delay(here, there, ms(step % 13)),
-                3 => network.cut(there, here),
-                5 => network.restore(there, here),
+                3 => network.partition(there, here),
+                5 => network.heal(there, here),
                 _ => {}
             }
             let _ = one.send(link, &step);
--- a/crates/transport/tests/message_transport.rs
+++ b/crates/transport/tests/message_transport.rs
@@ -41,19 +41,19 @@
 }
 
 kept_by_both!(
-    both_sides_learn_who_the_other_is,
-    messages_arrive_whole_and_in_order_both_ways,
+    both_sides_receive_the_handshake_of_the_other,
+    messages_arrive_complete_and_in_order_in_both_directions,
     messages_sent_before_the_link_is_up_arrive,
-    a_message_beyond_the_bound_is_not_taken_and_the_link_goes_on,
-    a_frame_beyond_the_receivers_bound_ends_the_link,
+    a_message_longer_than_the_limit_is_rejected_and_the_link_stays_open,
+    a_frame_longer_than_the_receivers_limit_ends_the_link,
     a_frame_that_holds_no_message_ends_the_link,
-    nobody_there_is_told,
-    a_peer_that_is_gone_is_told_once,
+    a_connection_to_nobody_is_reported,
+    the_end_of_a_peer_is_reported_once,
     what_was_sent_before_a_close_arrives,
-    other_greetings_are_refused_on_both_sides,
-    a_full_queue_refuses_and_nothing_taken_is_lost,
-    a_full_queue_drops_the_oldest_where_told_so,
-    a_dropped_wait_loses_nothing,
+    a_mismatched_handshake_is_rejected_on_both_sides,
+    a_full_queue_rejects_and_loses_no_queued_message,
+    a_full_queue_drops_the_oldest_under_drop_oldest,
+    a_dropped_next_future_loses_no_event,
 );
 
 async fn kept(contract: impl Future<Output = Contract>) {
@@ -83,17 +83,17 @@
 }
 
 #[tokio::test]
-async fn a_transport_that_loses_repeats_or_swaps_messages_is_caught() {
+async fn the_contract_fails_for_a_transport_that_loses_repeats_or_swaps_messages() {
     for fault in [Fault::Loses, Fault::Repeats, Fault::Swaps] {
-        let contract = contract::messages_arrive_whole_and_in_order_both_ways;
+        let contract = contract::messages_arrive_complete_and_in_order_in_both_directions;
         assert!(broken(contract(&mut faulty(fault))).await, "{fault:?}");
     }
 }
 
 #[tokio::test]
-async fn a_transport_that_hides_the_end_of_a_link_is_caught() {
+async fn the_contract_fails_for_a_transport_that_hides_the_end_of_a_link() {
     assert!(
-        broken(contract::a_peer_that_is_gone_is_told_once(&mut faulty(
+        broken(contract::the_end_of_a_peer_is_reported_once(&mut faulty(
             Fault::HidesEnds
         )))
         .await
@@ -101,11 +101,11 @@
 }
 
 #[tokio::test]
-async fn a_transport_without_a_fault_is_not_taken_for_one_with() {
-    let order = contract::messages_arrive_whole_and_in_order_both_ways;
+async fn the_contract_holds_for_the_faulty_wrapper_without_a_fault() {
+    let order = contract::messages_arrive_complete_and_in_order_in_both_directions;
     assert!(!broken(order(&mut faulty(Fault::None))).await);
     assert!(
-        !broken(contract::a_peer_that_is_gone_is_told_once(&mut faulty(
+        !broken(contract::the_end_of_a_peer_is_reported_once(&mut faulty(
             Fault::None
         )))
         .await
--- a/crates/transport/tests/message_transport/contract.rs
+++ b/crates/transport/tests/message_transport/contract.rs
@@ -70,14 +70,16 @@
     which: LinkId,
 ) -> Result<(LinkPhase, LinkErrorKind), String> {
     match of.next().await {
-        LinkEvent::Down { link, error } if link == which => Ok((error.step, error.cause)),
+        LinkEvent::Down { link, error } if link == which => Ok((error.phase, error.kind)),
         LinkEvent::Down { .. } => Err("another link is down".into()),
         LinkEvent::Up { .. } => Err("up in place of down".into()),
         LinkEvent::Message { .. } => Err("a message in place of down".into()),
     }
 }
 
-pub(crate) async fn both_sides_learn_who_the_other_is<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn both_sides_receive_the_handshake_of_the_other<W: World>(
+    world: &mut W,
+) -> Contract {
     let mut one = world.listen::<u64>(hello("one"), small());
     let mut other = world.listen::<u64>(hello("other"), small());
     one.connect(other.local_address());
@@ -105,7 +107,7 @@
 }
 
 /// Sends while it receives: no side waits for the other's buffers.
-pub(crate) async fn messages_arrive_whole_and_in_order_both_ways<W: World>(
+pub(crate) async fn messages_arrive_complete_and_in_order_in_both_directions<W: World>(
     world: &mut W,
 ) -> Contract {
     const COUNT: u64 = 500;
@@ -153,7 +155,9 @@
     Ok(())
 }
 
-pub(crate) async fn a_message_beyond_the_bound_is_not_taken_and_the_link_goes_on<W: World>(
+pub(crate) async fn a_message_longer_than_the_limit_is_rejected_and_the_link_stays_open<
+    W: World,
+>(
     world: &mut W,
 ) -> Contract {
     let mut one = world.listen::<Vec<u8>>(hello("one"), small());
@@ -164,7 +168,7 @@
     let longer = vec![7; small().max_frame_bytes - 2];
     let refused = one.send(link, &longer);
     let expected = Err(SendError::Frame(FrameError::TooLong {
-        most: small().max_frame_bytes,
+        max_bytes: small().max_frame_bytes,
     }));
     check(refused == expected, || format!("{refused:?}"))?;
     one.send(link, &longest).map_err(|e| e.to_string())?;
@@ -173,7 +177,7 @@
     })
 }
 
-pub(crate) async fn a_frame_beyond_the_receivers_bound_ends_the_link<W: World>(
+pub(crate) async fn a_frame_longer_than_the_receivers_limit_ends_the_link<W: World>(
     world: &mut W,
 ) -> Contract {
     let mut one = world.listen::<Vec<u8>>(hello("one"), small());
@@ -190,13 +194,13 @@
     check(message(&mut other).await? == vec![1; 500], || {
         "the first".into()
     })?;
-    let (step, cause) = down(&mut other, there).await?;
+    let (phase, kind) = down(&mut other, there).await?;
     let told = matches!(
-        cause,
-        LinkErrorKind::Frame(FrameError::TooLong { most: 1_000 })
+        kind,
+        LinkErrorKind::Frame(FrameError::TooLong { max_bytes: 1_000 })
     );
-    check(told && step == LinkPhase::Read, || {
-        format!("{step} {cause}")
+    check(told && phase == LinkPhase::Read, || {
+        format!("{phase} {kind}")
     })?;
     down(&mut one, here).await.map(drop)
 }
@@ -209,15 +213,15 @@
     let (here, there) = linked(&mut one, &mut other).await?;
     one.send(here, &"neither true nor false".to_string())
         .map_err(|e| e.to_string())?;
-    let (step, cause) = down(&mut other, there).await?;
-    let told = matches!(cause, LinkErrorKind::Frame(FrameError::Malformed(_)));
-    check(told && step == LinkPhase::Read, || {
-        format!("{step} {cause}")
+    let (phase, kind) = down(&mut other, there).await?;
+    let told = matches!(kind, LinkErrorKind::Frame(FrameError::Malformed(_)));
+    check(told && phase == LinkPhase::Read, || {
+        format!("{phase} {kind}")
     })?;
     down(&mut one, here).await.map(drop)
 }
 
-pub(crate) async fn nobody_there_is_told<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn a_connection_to_nobody_is_reported<W: World>(world: &mut W) -> Contract {
     let mut one = world.listen::<u64>(hello("one"), small());
     let nobody = world.nobody();
     let link = one.connect(nobody);
@@ -225,13 +229,13 @@
         return Err("up with nobody".into());
     };
     check(which == link && error.peer == nobody, || format!("{error}"))?;
-    check(error.step == LinkPhase::Connect, || format!("{error}"))?;
+    check(error.phase == LinkPhase::Connect, || format!("{error}"))?;
     check(one.send(link, &1) == Err(SendError::NoLink), || {
         "the link still takes messages".into()
     })
 }
 
-pub(crate) async fn a_peer_that_is_gone_is_told_once<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn the_end_of_a_peer_is_reported_once<W: World>(world: &mut W) -> Contract {
     let mut one = world.listen::<u64>(hello("one"), small());
     let mut other = world.listen::<u64>(hello("other"), small());
     let (here, there) = linked(&mut one, &mut other).await?;
@@ -248,7 +252,7 @@
 
 pub(crate) async fn what_was_sent_before_a_close_arrives<W: World>(world: &mut W) -> Contract {
     let few = LinkOptions {
-        max_waiting_events: 5,
+        max_queued_events: 5,
         ..small()
     };
     let mut one = world.listen::<(u64, Vec<u8>)>(hello("one"), few);
@@ -273,17 +277,17 @@
     for n in 0..1_000 {
         check(message(&mut other).await?.0 == n, || format!("message {n}"))?;
     }
-    let (_, cause) = down(&mut other, there).await?;
-    check(matches!(cause, LinkErrorKind::Closed), || {
-        format!("{cause}")
-    })?;
+    let (_, kind) = down(&mut other, there).await?;
+    check(matches!(kind, LinkErrorKind::Closed), || format!("{kind}"))?;
     breathe().await;
     check(one.next().now_or_never().is_none(), || {
         "an event of a closed link".into()
     })
 }
 
-pub(crate) async fn other_greetings_are_refused_on_both_sides<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn a_mismatched_handshake_is_rejected_on_both_sides<W: World>(
+    world: &mut W,
+) -> Contract {
     let later = Hello {
         version: 2,
         ..hello("later")
@@ -301,8 +305,8 @@
             let LinkEvent::Down { error, .. } = event else {
                 return Err("it is up".into());
             };
-            let told = matches!(error.cause, LinkErrorKind::Hello(_));
-            check(told && error.step == LinkPhase::Greet, || {
+            let told = matches!(error.kind, LinkErrorKind::Hello(_));
+            check(told && error.phase == LinkPhase::Handshake, || {
                 format!("{error}")
             })?;
         }
@@ -336,18 +340,18 @@
 
 fn pressing(overflow: OverflowPolicy) -> LinkOptions {
     let queue = QueueLimits {
-        frames: 50,
-        bytes: 1 << 20,
+        max_frames: 50,
+        max_bytes: 1 << 20,
         overflow,
     };
     LinkOptions {
         queue,
-        max_waiting_events: 5,
+        max_queued_events: 5,
         ..small()
     }
 }
 
-pub(crate) async fn a_full_queue_refuses_and_nothing_taken_is_lost<W: World>(
+pub(crate) async fn a_full_queue_rejects_and_loses_no_queued_message<W: World>(
     world: &mut W,
 ) -> Contract {
     let options = pressing(OverflowPolicy::RejectNewest);
@@ -364,7 +368,7 @@
         .map_err(|e| format!("there is room again: {e}"))
 }
 
-pub(crate) async fn a_full_queue_drops_the_oldest_where_told_so<W: World>(
+pub(crate) async fn a_full_queue_drops_the_oldest_under_drop_oldest<W: World>(
     world: &mut W,
 ) -> Contract {
     let options = pressing(OverflowPolicy::DropOldest);
@@ -389,7 +393,7 @@
     })
 }
 
-pub(crate) async fn a_dropped_wait_loses_nothing<W: World>(world: &mut W) -> Contract {
+pub(crate) async fn a_dropped_next_future_loses_no_event<W: World>(world: &mut W) -> Contract {
     let mut one = world.listen::<u64>(hello("one"), small());
     let mut other = world.listen::<u64>(hello("other"), small());
     let (link, _) = linked(&mut one, &mut other).await?;
@@ -398,7 +402,7 @@
         let mut waits = 0;
         // Polled once and dropped, again and again.
         let event = loop {
-            if let Some(event) = poll_once(other.next()).await {
+            if let Some(event) = poll_once(other.next()) {
                 break event;
             }
             waits += 1;
@@ -413,6 +417,6 @@
     Ok(())
 }
 
-async fn poll_once<F: Future>(future: F) -> Option<F::Output> {
+fn poll_once<F: Future>(future: F) -> Option<F::Output> {
     future.now_or_never()
 }
--- a/crates/transport/tests/pass_through.rs
+++ b/crates/transport/tests/pass_through.rs
@@ -1,10 +1,10 @@
 //! Answers that are passed through as they arrive, against a server that writes what the test says,
 //! over sockets.
 
-#[path = "pass_through/kept.rs"]
-mod kept;
-#[path = "pass_through/stage.rs"]
-mod stage;
+#[path = "pass_through/connection_reuse.rs"]
+mod connection_reuse;
+#[path = "pass_through/support.rs"]
+mod support;
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use assert_matches::assert_matches;
 use futures_util::StreamExt as _;
 use ironmast_transport::attempt::{AttemptOptions, Delivery};
-use stage::{
+use support::{
     CHUNKED, ID, SIZED, Stage, TO_END, asks_anew, attempt, event, exactly, head, passing, play,
     reason, whole,
 };
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn events_arrive_one_by_one_as_the_server_writes_them() {
+fn events_are_delivered_one_by_one_as_the_server_writes_them() {
     play(async {
         for framing in [CHUNKED, SIZED, TO_END] {
             one_by_one(&Stage::start().await, framing, passing()).await;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_answer_that_is_held_until_it_is_whole_does_not_pass_for_one_that_is_passed_through() {
+fn a_buffered_response_fails_the_test_for_a_passed_through_one() {
     play(async {
         let held = AttemptOptions {
             delivery: Delivery::BufferIfShort,
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_answer_cut_at_any_byte_is_an_error_and_never_an_end() {
+fn a_response_truncated_at_any_byte_is_an_error_and_never_an_end() {
     play(async {
         let (one, two) = (event(1), event(2));
         let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn an_answer_that_is_reset_is_an_error_even_where_its_connection_ends_it() {
+fn a_reset_is_an_error_even_for_a_close_delimited_response() {
     play(async {
         let stage = Stage::start().await;
         let state = attempt(passing());
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_chunk_that_is_not_sound_ends_the_answer_with_an_error() {
+fn a_malformed_chunk_ends_the_response_with_an_error() {
     play(async {
         let stage = Stage::start().await;
         let state = attempt(passing());
@@ -162,7 +162,7 @@
 /// A server that stops is waited for: whose patience counts is the caller's to say, and dropping
 /// the answer closes the connection, by which the server knows.
 #[test]
-fn a_stalled_server_is_waited_for_until_the_answer_is_dropped() {
+fn a_stalled_server_is_waited_for_until_the_response_is_dropped() {
     play(async {
         let stage = Stage::start().await;
         let state = attempt(passing());
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn nothing_is_written_to_a_server_that_takes_nothing_new() {
+fn nothing_is_written_to_a_server_that_admits_no_new_request() {
     play(async {
         let stage = Stage::start().await;
         let retired = AttemptOptions {
@@ -214,7 +214,7 @@
 /// The write that fails uses up the system's note of the reset: what is read behind it looks like
 /// an orderly end.
 #[test]
-fn an_early_answer_without_a_length_is_not_whole_after_a_reset() {
+fn an_early_response_without_a_length_is_incomplete_after_a_reset() {
     play(async {
         let stage = Stage::start().await;
         let state = attempt(passing());
@@ -239,7 +239,7 @@
 /// A server that ends its side, or says what is no answer, while a request is written, is not
 /// waited for.
 #[test]
-fn a_request_that_can_have_no_answer_any_more_is_not_written_further() {
+fn a_request_whose_response_cannot_arrive_any_more_is_not_written_further() {
     play(async {
         for noise in [None, Some("noise\r\n\r\n")] {
             let stage = Stage::start().await;
@@ -264,7 +264,7 @@
 /// A server that rejects a request need not read it: what it says is a promise that must not be
 /// lost.
 #[test]
-fn an_answer_before_the_request_is_written_is_heard() {
+fn a_response_that_arrives_before_the_request_is_written_is_delivered() {
     play(async {
         let cases = [
             ("503 Service Unavailable", false),
--- a/crates/transport/tests/pass_through/kept.rs
+++ b/crates/transport/tests/pass_through/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! Kept connections: what stands between one answer and the next reaches nobody.
+//! Reused connections: bytes between one response and the next are delivered to nobody.
 
 use actix_http::Method;
 use actix_http::header::{CONTENT_LENGTH, HeaderValue};
@@ -6,13 +6,13 @@
 use ironmast_transport::attempt::{AttemptOptions, ExpectedHeader};
 
 use crate::cut;
-use crate::stage::{
+use crate::support::{
     CHUNKED, ID, SIZED, Stage, TO_END, answered, answered_as, asks_anew, attempt, head, passing,
     play, reason, whole,
 };
 
 #[test]
-fn what_follows_an_answer_reaches_nobody_and_spends_the_connection() {
+fn bytes_behind_a_response_are_not_delivered_and_end_the_reuse_of_the_connection() {
     play(async {
         let surplus = format!("{}helloworld", head("another", SIZED));
         for behind in ["x", "\r\n", "HTTP/1.1 200 OK\r\n", surplus.as_str()] {
@@ -41,7 +41,7 @@
 
 /// Nobody waits for the next request to find it out: the server has its place back at once.
 #[test]
-fn a_connection_in_doubt_is_closed_at_once() {
+fn a_connection_that_must_not_be_reused_is_closed_at_once() {
     play(async {
         let surplus = format!("{}helloworld", head("another", SIZED));
         for behind in ["x", surplus.as_str()] {
@@ -63,7 +63,7 @@
 /// What the client library takes for a body need not be one by the framing: bytes that come there
 /// belong to nobody.
 #[test]
-fn nothing_is_read_behind_the_end_of_an_answer() {
+fn reading_behind_the_end_of_a_response_is_an_error() {
     play(async {
         let stage = Stage::start().await;
         let state = attempt(passing());
@@ -83,7 +83,7 @@
 
 /// The client library sees no body behind such a head, whatever its framing says.
 #[test]
-fn an_answer_that_offers_another_protocol_is_none() {
+fn a_response_that_switches_the_protocol_is_rejected() {
     play(async {
         let stage = Stage::start().await;
         let state = attempt(passing());
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn an_answer_that_names_two_requests_or_one_where_none_was_named_is_not_taken() {
+fn a_response_with_two_request_ids_or_an_unrequested_one_is_rejected() {
     play(async {
         let stage = Stage::start().await;
         let mut peer = answered(&stage, SIZED, "helloworld", "").await;
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn what_comes_on_an_idle_connection_spends_it() {
+fn bytes_on_an_idle_connection_end_its_reuse() {
     play(async {
         let stage = Stage::start().await;
         let mut peer = answered(&stage, SIZED, "helloworld", "").await;
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_server_that_says_how_long_it_keeps_a_connection_is_believed() {
+fn a_connection_is_not_reused_past_the_keep_alive_timeout_of_its_server() {
     play(async {
         for (seconds, anew) in [(0, true), (30, false)] {
             let stage = Stage::start().await;
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_surplus_answer_in_place_of_the_next_is_skipped() {
+fn a_surplus_response_in_place_of_the_expected_one_is_skipped() {
     play(async {
         for surplus in surpluses() {
             for parts in [1, 2, 7, surplus.len()] {
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn without_the_id_a_surplus_answer_would_be_taken_for_the_next() {
+fn without_a_request_id_a_surplus_response_is_taken_for_the_next() {
     play(async {
         let blind = AttemptOptions {
             expected: None,
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn an_answer_that_does_not_say_whose_it_is_is_none() {
+fn a_response_without_the_expected_request_id_is_rejected() {
     play(async {
         let unnamed = format!("HTTP/1.1 200 OK\r\n{SIZED}\r\nhelloworld");
         let read = after_a_surplus(&unnamed, 1, passing()).await;
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn an_answer_to_head_has_no_body_and_its_connection_is_used_again() {
+fn a_response_to_head_has_no_body_and_its_connection_is_reused() {
     play(async {
         let stage = Stage::start().await;
         let state = attempt(AttemptOptions {
--- a/crates/transport/tests/tcp_frames.rs
+++ b/crates/transport/tests/tcp_frames.rs
@@ -57,26 +57,26 @@
 }
 
 #[tokio::test]
-async fn whoever_does_not_greet_is_refused() {
+async fn a_peer_without_a_handshake_is_rejected() {
     let noise = told(&frame(b"GET / HTTP/1.1\r\n\r\n")).await;
-    assert_matches!(noise.cause, LinkErrorKind::Hello(HelloError::NoGreeting));
+    assert_matches!(noise.kind, LinkErrorKind::Hello(HelloError::NoGreeting));
     let http = told(b"GET / HTTP/1.1\r\n\r\n").await;
     assert_matches!(
-        http.cause,
+        http.kind,
         LinkErrorKind::Frame(FrameError::TooLong { .. }),
         "read as a length"
     );
     let other = frame(&postcard::to_stdvec(&(*b"IRMT", 9u16)).expect("short"));
     assert_matches!(
-        told(&other).await.cause,
+        told(&other).await.kind,
         LinkErrorKind::Hello(HelloError::GreetingVersion { theirs: 9 })
     );
-    assert_matches!(told(b"").await.cause, LinkErrorKind::Closed);
+    assert_matches!(told(b"").await.kind, LinkErrorKind::Closed);
     assert_matches!(
-        told(&greeting()[..9]).await.cause,
+        told(&greeting()[..9]).await.kind,
         LinkErrorKind::Frame(FrameError::Truncated)
     );
-    assert_eq!(noise.step, LinkPhase::Greet);
+    assert_eq!(noise.phase, LinkPhase::Handshake);
 }
 
 /// A peer that greets and writes this: what is told up to the end of the link.
@@ -104,38 +104,38 @@
 }
 
 #[tokio::test]
-async fn a_message_that_breaks_off_is_none_wherever_it_does() {
+async fn a_message_truncated_at_any_byte_is_not_delivered() {
     let word = |text: &str| frame(&postcard::to_stdvec(text).expect("short"));
     let (whole, cut) = (word("whole"), word("cut off"));
     for end in 1..cut.len() {
         let (messages, error) = greeted(&[&whole[..], &cut[..end]].concat()).await;
         assert_eq!(messages, ["whole"], "{end}");
         assert_matches!(
-            error.cause,
+            error.kind,
             LinkErrorKind::Frame(FrameError::Truncated),
             "{end}"
         );
     }
     let (messages, error) = greeted(&[&whole[..], &cut[..]].concat()).await;
     assert_eq!(messages, ["whole", "cut off"]);
-    assert_matches!(error.cause, LinkErrorKind::Closed);
+    assert_matches!(error.kind, LinkErrorKind::Closed);
 }
 
 #[tokio::test]
-async fn a_length_beyond_the_bound_is_not_waited_for() {
+async fn a_frame_longer_than_the_limit_ends_the_link_at_its_length() {
     for length in [1_001u32, u32::MAX] {
         let (messages, error) = greeted(&length.to_be_bytes()).await;
         assert!(messages.is_empty());
         assert_matches!(
-            error.cause,
-            LinkErrorKind::Frame(FrameError::TooLong { most: 1_000 })
+            error.kind,
+            LinkErrorKind::Frame(FrameError::TooLong { max_bytes: 1_000 })
         );
-        assert_eq!(error.step, LinkPhase::Read);
+        assert_eq!(error.phase, LinkPhase::Read);
     }
 }
 
 #[tokio::test]
-async fn a_peer_that_never_greets_is_given_up() {
+async fn a_peer_that_never_sends_a_handshake_times_out() {
     let options = LinkOptions {
         connect_timeout: Duration::from_millis(30),
         ..LinkOptions::default()
@@ -143,15 +143,18 @@
     let mut one = transport(options);
     let silent = TcpStream::connect(one.local_address()).expect("it listens");
     let error = down(&mut one).await;
-    assert_matches!(error.cause, LinkErrorKind::TimedOut);
+    assert_matches!(error.kind, LinkErrorKind::TimedOut);
     assert_eq!(
-        (error.step, error.peer),
-        (LinkPhase::Greet, silent.local_addr().expect("connected"))
+        (error.phase, error.peer),
+        (
+            LinkPhase::Handshake,
+            silent.local_addr().expect("connected")
+        )
     );
 }
 
 #[tokio::test]
-async fn one_that_dials_greets_at_once() {
+async fn the_connecting_side_sends_its_handshake_at_once() {
     let mut one = transport(LinkOptions::default());
     let listener = TcpListener::bind(loopback()).expect("a port is free");
     one.connect(listener.local_addr().expect("bound"));
@@ -167,13 +170,13 @@
     let (magic, version, theirs): ([u8; 4], u16, Hello) =
         postcard::from_bytes(&frame).expect("a greeting");
     assert_eq!((magic, version, theirs), (*b"IRMT", 1, hello("one")));
-    assert_matches!(down(&mut one).await.cause, LinkErrorKind::Closed);
+    assert_matches!(down(&mut one).await.kind, LinkErrorKind::Closed);
 }
 
 /// A peer without power says nothing: what finds it is the system's, so that it is asked for must
 /// be seen.
 #[tokio::test]
-async fn the_system_is_told_to_watch_the_peer() {
+async fn set_peer_timeout_sets_keepalive_and_the_user_timeout() {
     use rustix::net::sockopt;
     let listener = TcpListener::bind(loopback()).expect("a port is free");
     let stream = tokio::net::TcpStream::connect(listener.local_addr().expect("bound"))
