--- /dev/null
+++ b/crates/agent/src/entry_table.rs
@@ -0,0 +1,64 @@
+//! The newest entry of each key, and the gate connections that receive updates of them.
+
+use std::collections::BTreeMap;
+
+use ironmast_schema::control::{Entry, Key, Liveness, ToGate, Value};
+use tokio::sync::mpsc;
+
+/// Number of deregistered instances above which they are dropped.
+const MAX_DEREGISTERED: usize = 2_000;
+
+/// The newest entry of each key, with its subscribers.
+#[derive(Default)]
+pub(crate) struct EntryTable {
+    entries: BTreeMap<Key, Entry>,
+    subscribers: Vec<mpsc::UnboundedSender<ToGate>>,
+}
+
+impl EntryTable {
+    /// Stores the entries that are newer than the stored ones, sends them to the subscribers and
+    /// returns them.
+    pub(crate) fn merge(&mut self, entries: Vec<Entry>) -> Vec<Entry> {
+        let mut updates = Vec::new();
+        for entry in entries {
+            if self.is_newer(&entry) {
+                self.entries.insert(entry.key.clone(), entry.clone());
+                updates.push(entry);
+            }
+        }
+        if !updates.is_empty() {
+            self.subscribers
+                .retain(|gate| gate.send(ToGate::Entries(updates.clone())).is_ok());
+        }
+        updates
+    }
+
+    fn is_newer(&self, entry: &Entry) -> bool {
+        self.entries
+            .get(&entry.key)
+            .is_none_or(|stored| stored.version < entry.version)
+    }
+
+    /// Adds a subscriber, which receives all entries first and updates from then on.
+    pub(crate) fn subscribe(&mut self, gate: mpsc::UnboundedSender<ToGate>) {
+        let _ = gate.send(ToGate::Entries(self.entries.values().cloned().collect()));
+        self.subscribers.push(gate);
+    }
+
+    /// Drops the entries of deregistered instances if there are too many, so that they do not
+    /// accumulate.
+    pub(crate) fn drop_deregistered(&mut self) {
+        let count = self
+            .entries
+            .values()
+            .filter(|entry| is_deregistered(entry))
+            .count();
+        if count > MAX_DEREGISTERED {
+            self.entries.retain(|_, entry| !is_deregistered(entry));
+        }
+    }
+}
+
+fn is_deregistered(entry: &Entry) -> bool {
+    matches!(&entry.value, Value::Instance(record) if record.liveness == Liveness::Deregistered)
+}
--- /dev/null
+++ b/crates/agent/src/gate_link.rs
@@ -0,0 +1,112 @@
+//! The connection of the gate beside the agent, over loopback: entries go to the gate, its status
+//! comes back.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use eyre::{Result, WrapErr as _};
+use ironmast_schema::control::{FromGate, ToGate};
+use ironmast_transport::link;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc;
+
+use crate::gate_reporter::ReportedStatus;
+use crate::state::SharedState;
+
+/// Backoff after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+
+/// Listens for the gate at `address`.
+///
+/// # Errors
+/// The address cannot be bound.
+pub(crate) async fn start(state: &SharedState, address: SocketAddr) -> Result<()> {
+    let listener = TcpListener::bind(address)
+        .await
+        .wrap_err_with(|| format!("listening at {address}"))?;
+    actix_rt::spawn(accept(Rc::clone(state), listener));
+    Ok(())
+}
+
+async fn accept(state: SharedState, listener: TcpListener) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => {
+                actix_rt::spawn(serve(Rc::clone(&state), stream));
+            }
+            Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
+        }
+    }
+}
+
+/// Completes once no gate is connected.
+pub(crate) async fn disconnected(state: &SharedState) {
+    let gate_disconnected = Rc::clone(&state.borrow().gate_disconnected);
+    while state.borrow().connected_gates > 0 {
+        gate_disconnected.notified().await;
+    }
+}
+
+/// Serves a gate until its connection closes.
+async fn serve(state: SharedState, stream: TcpStream) {
+    let mut session = GateSession::new(state);
+    let _ = session.run(stream).await;
+}
+
+/// A connected gate. When the session ends, the gate is reported as down, so that no client is sent
+/// there any more.
+struct GateSession {
+    state: SharedState,
+    last_status: Option<ReportedStatus>,
+}
+
+impl GateSession {
+    fn new(state: SharedState) -> Self {
+        state.borrow_mut().connected_gates += 1;
+        GateSession {
+            state,
+            last_status: None,
+        }
+    }
+
+    /// Exchanges frames with the gate until its connection closes.
+    async fn run(&mut self, stream: TcpStream) -> Result<()> {
+        let (mut receiver, mut sender) = link::split::<FromGate, ToGate>(stream)?;
+        let (updates, mut outgoing) = mpsc::unbounded_channel();
+        self.state.borrow_mut().entries.subscribe(updates);
+        loop {
+            tokio::select! {
+                frame = outgoing.recv() => match frame {
+                    Some(frame) => sender.send(&frame).await?,
+                    None => return Ok(()),
+                },
+                frame = receiver.next() => match frame? {
+                    Some(FromGate::Status { frontend, ready }) => {
+                        self.on_status(ReportedStatus { frontend, ready });
+                    }
+                    None => return Ok(()),
+                },
+            }
+        }
+    }
+
+    fn on_status(&mut self, status: ReportedStatus) {
+        self.last_status = Some(status);
+        self.state.borrow_mut().gate_reporter.report_up(status);
+    }
+}
+
+impl Drop for GateSession {
+    fn drop(&mut self) {
+        let mut state = self.state.borrow_mut();
+        state.connected_gates -= 1;
+        if let Some(last_status) = self.last_status {
+            state.gate_reporter.report_down(last_status);
+        }
+        state.gate_disconnected.notify_one();
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/agent/src/gate_reporter.rs
@@ -0,0 +1,100 @@
+//! The status of the gate beside the agent, as a versioned entry for the coordinators.
+
+use std::net::SocketAddr;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use ironmast_schema::control::{Entry, GateRecord, Key, Value};
+use ironmast_schema::settings::Settings;
+use tokio::sync::watch;
+
+/// Distance between the versions of consecutive statuses. Coordinators use the versions in between
+/// for the gate's loss and its removal, which they detect by themselves.
+const VERSIONS_PER_STATUS: u64 = 4;
+
+/// What a gate has stated of itself.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ReportedStatus {
+    /// Frontend address, where clients connect.
+    pub(crate) frontend: SocketAddr,
+    /// Whether the gate accepts new clients.
+    pub(crate) ready: bool,
+}
+
+/// The newest status of the gate beside this agent.
+pub(crate) struct GateReporter {
+    zone: String,
+    region: String,
+    latest: watch::Sender<Option<Entry>>,
+    version: u64,
+}
+
+impl GateReporter {
+    /// A reporter without a status. Versions start at the time of day in milliseconds.
+    pub(crate) fn new(settings: &Settings) -> Self {
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        GateReporter {
+            zone: settings.zone.clone(),
+            region: settings.region.clone(),
+            latest: watch::Sender::new(None),
+            version: now.as_millis() as u64,
+        }
+    }
+
+    /// Reports that the gate is up.
+    pub(crate) fn report_up(&mut self, status: ReportedStatus) {
+        self.report(status, false);
+    }
+
+    /// Reports that the gate's connection has closed. Whether it was ready until then distinguishes
+    /// a crash from an orderly shutdown.
+    pub(crate) fn report_down(&mut self, last_status: ReportedStatus) {
+        self.report(last_status, true);
+    }
+
+    fn report(&mut self, status: ReportedStatus, down: bool) {
+        let version = self.next_version();
+        let record = GateRecord {
+            zone: self.zone.clone(),
+            region: self.region.clone(),
+            ready: status.ready,
+            down,
+        };
+        self.latest.send_replace(Some(Entry {
+            key: Key::Gate(status.frontend),
+            version,
+            value: Value::Gate(record),
+        }));
+    }
+
+    /// The newest status under a new version, which shows the coordinators that the gate is alive.
+    pub(crate) fn renew(&mut self) -> Option<Entry> {
+        let version = self.next_version();
+        let status = self.latest.borrow().clone()?;
+        Some(Entry { version, ..status })
+    }
+
+    fn next_version(&mut self) -> u64 {
+        self.version += VERSIONS_PER_STATUS;
+        self.version
+    }
+
+    /// Continues above the version of `entry` if it is a status of this gate: an earlier
+    /// incarnation of this agent may have used higher versions.
+    pub(crate) fn advance_past(&mut self, entry: &Entry) {
+        let is_own = self
+            .latest
+            .borrow()
+            .as_ref()
+            .is_some_and(|status| status.key == entry.key);
+        if is_own {
+            self.version = self.version.max(entry.version);
+        }
+    }
+
+    /// Subscribes to new statuses; renewed ones are not included.
+    pub(crate) fn subscribe(&self) -> watch::Receiver<Option<Entry>> {
+        self.latest.subscribe()
+    }
+}
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,10 +1,20 @@
-//! The agent beside a gate: keeps the link to the control plane and feeds the gate over loopback.
-//! The gate serves on with what it has while its agent is away.
+//! The agent beside a gate: it receives the control plane's entries over the relay tree, passes
+//! them to the gate over loopback, and reports the gate's status to a coordinator.
+//!
+//! The gate continues with its last entries while its agent is down, so an agent may be restarted
+//! at any time.
+
 #![forbid(unsafe_code)]
 
-mod feed;
+mod coordinator_connection;
+mod coordinator_link;
+mod coordinator_search;
+mod entry_table;
+mod gate_link;
+mod gate_reporter;
 mod state;
-mod uplink;
+#[cfg(test)]
+mod test_support;
 
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,57 +24,93 @@
 use eyre::{Result, WrapErr as _};
 use ironmast_overlay::Role;
 use ironmast_overlay_transport::OverlayHandle;
+use ironmast_schema::control::Entry;
 use ironmast_schema::settings::{InternalPort, Settings};
 use slog::{Logger, info};
-use tokio::signal::unix::{SignalKind, signal};
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::mpsc;
 
-use state::State;
+use state::{AgentState, SharedState};
 
-/// The part of the grace period that the agent waits for its gate.
-const GRACE_USED: f64 = 0.9;
+/// Fraction of the grace period for which a terminating agent waits for its gate.
+const GATE_GRACE_FRACTION: f64 = 0.9;
 
 /// Runs an agent until SIGTERM.
 ///
 /// # Errors
-/// What keeps it from starting.
+/// A signal handler cannot be installed, or an address cannot be bound.
 pub fn run(settings: Settings, log: Logger) -> Result<()> {
-    actix_rt::System::new().block_on(serve(settings, log))
+    actix_rt::System::new().block_on(Agent::start_and_run(settings, log))
+}
+
+/// A running agent.
+struct Agent {
+    state: SharedState,
+    overlay: OverlayHandle,
+    /// Entries that the overlay has received.
+    entries: mpsc::UnboundedReceiver<Entry>,
 }
 
-async fn serve(settings: Settings, log: Logger) -> Result<()> {
-    let mut terminate = signal(SignalKind::terminate()).wrap_err("waiting for SIGTERM")?;
-    let mut reload = signal(SignalKind::hangup()).wrap_err("waiting for SIGHUP")?;
-    let state = Rc::new(RefCell::new(State::new(&settings)));
-    let feed = SocketAddr::from((
-        Ipv4Addr::LOCALHOST,
-        settings.internal_port(InternalPort::Feed),
-    ));
-    feed::start(&state, feed).await?;
-    uplink::add(&state, &settings.seed_coordinators());
-    actix_rt::spawn(uplink::keep(Rc::clone(&state)));
-    let (mesh, mut entries) = OverlayHandle::start(&settings, Role::Agent, &log).await?;
-    info!(log, "agent serves"; "feed" => %feed, "zone" => &settings.zone);
-    loop {
-        tokio::select! {
-            Some(entry) = entries.recv() => state.borrow_mut().merge(vec![entry]),
-            _ = reload.recv() => {
-                if let Ok(settings) = Settings::from_environment() {
-                    mesh.set_seeds(&settings);
-                    uplink::add(&state, &settings.seed_coordinators());
-                }
+impl Agent {
+    async fn start_and_run(settings: Settings, log: Logger) -> Result<()> {
+        let terminate = signal(SignalKind::terminate()).wrap_err("waiting for SIGTERM")?;
+        let reload = signal(SignalKind::hangup()).wrap_err("waiting for SIGHUP")?;
+        let mut agent = Agent::start(&settings, &log).await?;
+        agent.run_until_terminated(terminate, reload).await;
+        let grace_period = settings.timing_bounds.grace_period_s * GATE_GRACE_FRACTION;
+        agent.drain(Duration::from_secs_f64(grace_period)).await;
+        Ok(())
+    }
+
+    async fn start(settings: &Settings, log: &Logger) -> Result<Agent> {
+        let state = Rc::new(RefCell::new(AgentState::new(settings)));
+        let feed_port = settings.internal_port(InternalPort::Feed);
+        let feed = SocketAddr::from((Ipv4Addr::LOCALHOST, feed_port));
+        gate_link::start(&state, feed).await?;
+        state
+            .borrow_mut()
+            .add_coordinators(&settings.seed_coordinators());
+        actix_rt::spawn(coordinator_link::run(Rc::clone(&state)));
+        let (overlay, entries) = OverlayHandle::start(settings, Role::Agent, log).await?;
+        info!(log, "agent started"; "feed" => %feed, "zone" => &settings.zone);
+        Ok(Agent {
+            state,
+            overlay,
+            entries,
+        })
+    }
+
+    async fn run_until_terminated(&mut self, mut terminate: Signal, mut reload: Signal) {
+        loop {
+            tokio::select! {
+                Some(entry) = self.entries.recv() => self.state.borrow_mut().merge(vec![entry]),
+                _ = reload.recv() => self.reload(),
+                _ = terminate.recv() => return,
             }
-            _ = terminate.recv() => break,
         }
     }
-    // The gate beside it finishes what it has taken and still wants news.
-    let grace = Duration::from_secs_f64(settings.timing_bounds.grace_period_s * GRACE_USED);
-    let mut end = std::pin::pin!(tokio::time::timeout(grace, feed::gate_left(&state)));
-    loop {
-        tokio::select! {
-            Some(entry) = entries.recv() => state.borrow_mut().merge(vec![entry]),
-            _ = &mut end => break,
+
+    /// Takes over the seeds of the settings file; a file that cannot be read is ignored.
+    fn reload(&self) {
+        if let Ok(settings) = Settings::from_environment() {
+            self.overlay.set_seeds(&settings);
+            self.state
+                .borrow_mut()
+                .add_coordinators(&settings.seed_coordinators());
+        }
+    }
+
+    /// Continues until the gate has disconnected, or for `grace_period` at most, as the gate still
+    /// needs updates while it drains. Then leaves the overlay.
+    async fn drain(mut self, grace_period: Duration) {
+        let gate_disconnected = gate_link::disconnected(&self.state);
+        let mut end = std::pin::pin!(tokio::time::timeout(grace_period, gate_disconnected));
+        loop {
+            tokio::select! {
+                Some(entry) = self.entries.recv() => self.state.borrow_mut().merge(vec![entry]),
+                _ = &mut end => break,
+            }
         }
+        self.overlay.leave();
     }
-    mesh.leave();
-    Ok(())
 }
--- a/crates/agent/src/state/tests.rs
+++ b/crates/agent/src/state/tests.rs
@@ -1,17 +1,12 @@
-//! What an agent holds and tells its gate.
+//! What an agent stores and sends to its gate.
 
-use std::path::Path;
-
-use ironmast_schema::control::ControlState;
+use ironmast_schema::control::{ControlState, Key, ToGate, Value};
+use tokio::sync::mpsc;
 
 use super::*;
+use crate::test_support::{agent_state, ready_status};
 
-fn state() -> State {
-    let text = "node_name: a\nip_address: 10.0.0.1\nzone: z\nregion: r\ninternal_port_range: [7000, 7009]\n";
-    State::new(&Settings::parse(Path::new("local.yaml"), text).expect("sound"))
-}
-
-fn control(version: u64) -> Entry {
+fn control_entry(version: u64) -> Entry {
     Entry {
         key: Key::Control,
         version,
@@ -19,56 +14,61 @@
     }
 }
 
-fn frontend() -> SocketAddr {
-    "10.0.0.1:80".parse().expect("an address")
-}
-
-/// What a gate is told.
-fn told(queue: &mut mpsc::UnboundedReceiver<ToGate>) -> Vec<Vec<Entry>> {
+/// The frames that have been sent to a gate.
+fn sent_frames(queue: &mut mpsc::UnboundedReceiver<ToGate>) -> Vec<Vec<Entry>> {
     std::iter::from_fn(|| queue.try_recv().ok())
         .map(|ToGate::Entries(entries)| entries)
         .collect()
 }
 
+/// The newest status of the gate.
+fn latest_status(state: &AgentState) -> Entry {
+    let latest = state.gate_reporter.subscribe();
+    let status = latest.borrow().clone();
+    status.expect("a status was reported")
+}
+
 #[test]
-fn a_gate_gets_all_first_and_then_only_news() {
-    let mut state = state();
-    state.merge(vec![control(3)]);
+fn gate_receives_all_entries_first_and_then_only_updates() {
+    let mut state = agent_state();
+    state.merge(vec![control_entry(3)]);
     let (gate, mut queue) = mpsc::unbounded_channel();
-    state.subscribe(gate);
+    state.entries.subscribe(gate);
     for version in [2, 3, 4, 4] {
-        state.merge(vec![control(version)]);
+        state.merge(vec![control_entry(version)]);
     }
-    assert_eq!(told(&mut queue), [vec![control(3)], vec![control(4)]]);
+    assert_eq!(
+        sent_frames(&mut queue),
+        [vec![control_entry(3)], vec![control_entry(4)]]
+    );
 }
 
 #[test]
-fn a_gate_that_starts_before_there_is_news_gets_an_empty_frame() {
-    let mut state = state();
+fn gate_receives_an_empty_frame_when_there_are_no_entries() {
+    let mut state = agent_state();
     let (gate, mut queue) = mpsc::unbounded_channel();
-    state.subscribe(gate);
-    assert_eq!(told(&mut queue), [vec![]]);
+    state.entries.subscribe(gate);
+    assert_eq!(sent_frames(&mut queue), [vec![]]);
 }
 
 #[test]
-fn each_status_leaves_room_for_silence_and_removal() {
-    let mut state = state();
-    state.status(frontend(), true, false);
-    let first = state.status.borrow().as_ref().expect("told").version;
-    let second = state.repeat_status().expect("told").version;
+fn consecutive_statuses_leave_versions_for_loss_and_removal() {
+    let mut state = agent_state();
+    state.gate_reporter.report_up(ready_status());
+    let first = latest_status(&state).version;
+    let second = state.gate_reporter.renew().expect("reported").version;
     assert!(second > first + 2);
 }
 
-/// An earlier life of the agent has used higher versions.
 #[test]
-fn versions_go_on_above_those_of_an_earlier_life() {
-    let mut state = state();
-    state.status(frontend(), true, false);
-    let own = state.status.borrow().clone().expect("told");
+fn versions_continue_above_those_of_an_earlier_incarnation() {
+    let mut state = agent_state();
+    state.gate_reporter.report_up(ready_status());
+    let own = latest_status(&state);
     let earlier = Entry {
         version: own.version + 1_000,
         ..own
     };
     state.merge(vec![earlier.clone()]);
-    assert!(state.repeat_status().expect("told").version > earlier.version + 2);
+    assert!(state.gate_reporter.renew().expect("reported").version > earlier.version + 2);
 }
