--- a/crates/agent/src/coordinator_link/tests.rs
+++ b/crates/agent/src/coordinator_link/tests.rs
@@ -34,7 +34,7 @@
     fn keep_alive(&self) -> FromCoordinator {
         FromCoordinator::KeepAlive {
             coordinators: Vec::new(),
-            heard: Vec::new(),
+            observed: Vec::new(),
             in_contact: self.in_contact,
         }
     }
--- a/crates/coordinator/src/node/links.rs
+++ b/crates/coordinator/src/node/links.rs
@@ -86,10 +86,10 @@
     pub(crate) fn receive_peer_frame(&mut self, frame: FromCoordinator) -> Vec<SocketAddr> {
         let FromCoordinator::KeepAlive {
             coordinators,
-            heard,
+            observed,
             ..
         } = frame;
-        self.endpoints.refresh(&heard);
+        self.endpoints.refresh(&observed);
         coordinators
     }
 
--- a/crates/coordinator/src/published_endpoints.rs
+++ b/crates/coordinator/src/published_endpoints.rs
@@ -4,7 +4,7 @@
 //! therefore private to this module, and every method that changes an entry publishes the result.
 
 use ironmast_endpoints::{EndpointTable, ExpiryTimeouts, Gate, MergeOutcome, Micros};
-use ironmast_schema::control::{ControlState, Entry, Key, Value};
+use ironmast_schema::control::{ControlState, Entry, Key, Observation, Value};
 use ironmast_schema::registration::Heartbeat;
 use ironmast_schema::settings::Settings;
 
@@ -91,14 +91,14 @@
 
     /// Records that other nodes have recently received reports of these keys, each with the
     /// sequence number or version of the report.
-    pub(crate) fn refresh(&mut self, reports: &[(Key, u64)]) {
+    pub(crate) fn refresh(&mut self, reports: &[Observation]) {
         let now = self.now();
         self.table.merge_observed(now, reports);
     }
 
     /// Removes and returns the keys reported to this coordinator since the last call, each with the
     /// sequence number or version of the report.
-    pub(crate) fn take_refreshed(&mut self) -> Vec<(Key, u64)> {
+    pub(crate) fn take_refreshed(&mut self) -> Vec<Observation> {
         self.table.take_observed()
     }
 
@@ -118,8 +118,8 @@
     /// Removes entries of endpoints that ended long ago.
     pub(crate) fn remove_ended(&mut self) {
         let now = self.now();
-        for (key, version) in self.table.purge(now) {
-            self.publisher.remove(&key, version);
+        for removal in self.table.purge(now) {
+            self.publisher.remove(&removal.key, removal.version);
         }
     }
 
--- a/crates/coordinator/src/subscribers.rs
+++ b/crates/coordinator/src/subscribers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use ironmast_schema::control::{FromCoordinator, Key};
+use ironmast_schema::control::{FromCoordinator, Observation};
 use tokio::sync::mpsc;
 
 /// Frames queued for one subscriber.
@@ -29,7 +29,7 @@
     pub coordinators: Vec<SocketAddr>,
     /// Endpoints that have reported since the previous keep-alive, each with the sequence number or
     /// version of the report. Sent to coordinators only.
-    pub refreshed: Vec<(Key, u64)>,
+    pub refreshed: Vec<Observation>,
     /// Whether the subscriber may treat this coordinator's state as fresh.
     pub in_contact: bool,
 }
@@ -38,7 +38,7 @@
     fn to_frame(&self, kind: SubscriberKind) -> FromCoordinator {
         FromCoordinator::KeepAlive {
             coordinators: self.coordinators.clone(),
-            heard: match kind {
+            observed: match kind {
                 SubscriberKind::Agent => Vec::new(),
                 SubscriberKind::Coordinator => self.refreshed.clone(),
             },
--- a/crates/coordinator/tests/frames/mod.rs
+++ b/crates/coordinator/tests/frames/mod.rs
@@ -5,8 +5,8 @@
 use ironmast_register::message::{MessageBody, Request, RequestBody};
 use ironmast_register::{Ballot, Identity, Message, Record};
 use ironmast_schema::control::{
-    ControlState, Entry, FromCoordinator, FromGate, GateRecord, Hello, Key, ToCoordinator, ToGate,
-    Value,
+    ControlState, Entry, FromCoordinator, FromGate, GateRecord, Hello, Key, Observation,
+    ToCoordinator, ToGate, Value,
 };
 use serde::Serialize;
 
@@ -80,7 +80,11 @@
             value: Value::Gate(gate),
         },
     ];
-    let heard = vec![(Key::Instance("i-1".to_owned()), 4), (Key::Control, 5)];
+    let observation = |key, sequence| Observation { key, sequence };
+    let observed = vec![
+        observation(Key::Instance("i-1".to_owned()), 4),
+        observation(Key::Control, 5),
+    ];
     let coordinators = vec![address(7_000), address(7_001)];
     vec![
         bytes(&ToCoordinator::Hello(Hello {
@@ -89,10 +93,10 @@
         })),
         bytes(&ToCoordinator::Entries(entries.clone())),
         bytes(&ToCoordinator::Register(register_messages().remove(0))),
-        bytes(&ToCoordinator::KeepAlive(heard.clone())),
+        bytes(&ToCoordinator::KeepAlive(observed.clone())),
         bytes(&FromCoordinator::KeepAlive {
             coordinators,
-            heard,
+            observed,
             in_contact: true,
         }),
         bytes(&ToGate::Entries(entries)),
--- a/crates/endpoints/src/contacts.rs
+++ b/crates/endpoints/src/contacts.rs
@@ -1,6 +1,6 @@
 //! When each endpoint was last heard from, by this coordinator or by another one.
 
-use ironmast_schema::control::Key;
+use ironmast_schema::control::{Key, Observation};
 use rustc_hash::FxHashMap;
 
 use crate::Micros;
@@ -44,9 +44,12 @@
         self.by_key.remove(key);
     }
 
-    /// The direct contacts since the last call, each with its sequence.
-    pub(crate) fn take_unreported(&mut self) -> Vec<(Key, u64)> {
-        self.unreported.drain().collect()
+    /// The direct contacts since the last call.
+    pub(crate) fn take_unreported(&mut self) -> Vec<Observation> {
+        let unreported = self.unreported.drain();
+        unreported
+            .map(|(key, sequence)| Observation { key, sequence })
+            .collect()
     }
 
     fn record(&mut self, now: Micros, key: &Key, sequence: u64) -> &mut Contact {
--- a/crates/endpoints/src/expiry.rs
+++ b/crates/endpoints/src/expiry.rs
@@ -5,6 +5,15 @@
 use crate::contacts::Contact;
 use crate::{EndpointTable, ExpiryTimeouts, Micros, versions};
 
+/// The removal of an entry.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Removal {
+    /// The key of the removed entry.
+    pub key: Key,
+    /// The version of the removal, which is above that of the entry.
+    pub version: u64,
+}
+
 /// How long the entry of an endpoint that is deregistered, unreachable or down is kept after its
 /// last contact. Until then it keeps late updates of the endpoint from bringing it back.
 pub(crate) const RETENTION: Micros = 120_000_000;
@@ -48,9 +57,9 @@
         now >= self.expiry_since + timeout && now <= self.last_heartbeat + timeout / 2
     }
 
-    /// Removes the entries that are over and whose retention has passed; returns their keys with
-    /// the versions of the removals.
-    pub fn purge(&mut self, now: Micros) -> Vec<(Key, u64)> {
+    /// Removes the entries that are over and whose retention has passed; returns the
+    /// removals to send to the other nodes.
+    pub fn purge(&mut self, now: Micros) -> Vec<Removal> {
         let contacts = &mut self.contacts;
         let mut removed = Vec::new();
         self.entries.retain(|key, entry| {
@@ -60,7 +69,10 @@
             let keep = !is_over(&entry.value) || is_retained;
             if !keep {
                 contacts.remove(key);
-                removed.push((key.clone(), entry.version + versions::REMOVAL_INCREMENT));
+                removed.push(Removal {
+                    key: key.clone(),
+                    version: entry.version + versions::REMOVAL_INCREMENT,
+                });
             }
             keep
         });
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -17,6 +17,7 @@
 mod table;
 mod versions;
 
+pub use expiry::Removal;
 pub use gates::Gate;
 pub use table::{EndpointTable, ExpiryTimeouts, MergeOutcome};
 
--- a/crates/endpoints/src/table.rs
+++ b/crates/endpoints/src/table.rs
@@ -1,6 +1,6 @@
 //! The table itself: entries by key, and the merge of entries from other nodes.
 
-use ironmast_schema::control::{ControlState, Entry, Key, Value};
+use ironmast_schema::control::{ControlState, Entry, Key, Observation, Value};
 use rustc_hash::FxHashMap;
 
 use crate::Micros;
@@ -95,11 +95,10 @@
         MergeOutcome::Newer
     }
 
-    /// Records that another coordinator has heard from these keys, each with its heartbeat sequence
-    /// or version. Entries stay as they are: the contents of those heartbeats come as entries of
+    /// Records that another coordinator has heard from these endpoints. Entries stay as they are: the contents of those heartbeats come as entries of
     /// their own, perhaps later.
-    pub fn merge_observed(&mut self, now: Micros, observed: &[(Key, u64)]) {
-        for (key, sequence) in observed {
+    pub fn merge_observed(&mut self, now: Micros, observed: &[Observation]) {
+        for Observation { key, sequence } in observed {
             let is_late = self
                 .contacts
                 .get(key)
@@ -110,9 +109,9 @@
         }
     }
 
-    /// The keys that this coordinator has heard from since the last call, each with its heartbeat
-    /// sequence or version, to send to the other coordinators.
-    pub fn take_observed(&mut self) -> Vec<(Key, u64)> {
+    /// The endpoints that this coordinator has heard from since the last call, to send to the other
+    /// coordinators.
+    pub fn take_observed(&mut self) -> Vec<Observation> {
         self.contacts.take_unreported()
     }
 
--- a/crates/endpoints/src/tests.rs
+++ b/crates/endpoints/src/tests.rs
@@ -3,7 +3,7 @@
 
 use assert_matches::assert_matches;
 use ironmast_schema::control::{
-    ControlState, Entry, GateRecord, GateStatus, InstanceRecord, Key, Liveness, Value,
+    ControlState, Entry, GateRecord, GateStatus, InstanceRecord, Key, Liveness, Observation, Value,
 };
 use ironmast_schema::registration::{Heartbeat, InstanceState};
 use proptest::prelude::*;
@@ -50,6 +50,13 @@
     Key::Instance(id.to_string())
 }
 
+fn observation(id: &str, sequence: u64) -> Observation {
+    Observation {
+        key: key(id),
+        sequence,
+    }
+}
+
 fn gate_key() -> Key {
     Key::Gate("10.0.0.9:80".parse().expect("an address"))
 }
@@ -170,7 +177,7 @@
     let gone = table.deregister(1, "a").expect("distributed");
     assert_eq!(table.deregister(2, "a"), None);
     assert_eq!(table.record_heartbeat(3, "a", ready(u64::MAX)), None);
-    table.merge_observed(4, &[(key("a"), u64::MAX)]);
+    table.merge_observed(4, &[observation("a", u64::MAX)]);
     assert_eq!(table.get(&key("a")), Some(&gone));
 }
 
@@ -250,7 +257,7 @@
     for second in 1..=20 {
         let now = second * SECOND;
         table.record_heartbeat(now, "other", ready(second));
-        table.merge_observed(now, &[(key("a"), second + 1)]);
+        table.merge_observed(now, &[observation("a", second + 1)]);
         assert_eq!(table.expire(now), []);
     }
 }
@@ -260,7 +267,7 @@
     let mut table = table();
     table.record_heartbeat(0, "a", ready(9));
     for second in 1..=5 {
-        table.merge_observed(second * SECOND, &[(key("a"), 8)]);
+        table.merge_observed(second * SECOND, &[observation("a", 8)]);
         table.record_heartbeat(second * SECOND, "other", ready(second));
     }
     assert_eq!(table.expire(5 * SECOND).len(), 1);
@@ -302,7 +309,7 @@
 fn expiry_is_above_every_observed_sequence() {
     let mut table = table();
     table.record_heartbeat(0, "a", ready(1));
-    table.merge_observed(1, &[(key("a"), 7)]);
+    table.merge_observed(1, &[observation("a", 7)]);
     let (_, silent) = expire_instance(&mut table, 0, "a");
     assert!(silent.version > version_of(&ready(7)));
     assert!(silent.version < version_of(&ready(8)));
@@ -426,7 +433,11 @@
     let gone = table.deregister(1, "a").expect("distributed");
     table.record_heartbeat(1, "b", ready(1));
     assert_eq!(table.purge(RETENTION), []);
-    assert_eq!(table.purge(2 + RETENTION), [(key("a"), gone.version + 1)]);
+    let removal = Removal {
+        key: key("a"),
+        version: gone.version + 1,
+    };
+    assert_eq!(table.purge(2 + RETENTION), [removal]);
     assert_eq!(table.purge(3 + RETENTION), []);
     assert!(table.get(&key("b")).is_some());
 }
@@ -437,7 +448,7 @@
     table.update_gate(0, gate_key(), 4, gate(true));
     table.expire(3 * SECOND);
     let removed = table.purge(10 * SECOND + RETENTION);
-    assert_matches!(&removed[..], [(_, version)] if *version < 8);
+    assert_matches!(&removed[..], [removal] if removal.version < 8);
 }
 
 #[test]
@@ -520,7 +531,7 @@
             let now = at as Micros * SECOND;
             let state = if drains { InstanceState::Draining } else { InstanceState::Ready };
             match kind {
-                0 => table.merge_observed(now, &[(key("a"), sequence)]),
+                0 => table.merge_observed(now, &[observation("a", sequence)]),
                 1 => drop(table.record_heartbeat(now, "other", ready(at as u64))),
                 _ => drop(table.record_heartbeat(now, "a", heartbeat(sequence, state))),
             }
--- a/crates/endpoints/tests/simulation/world.rs
+++ b/crates/endpoints/tests/simulation/world.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use ironmast_endpoints::{EndpointTable, ExpiryTimeouts, MergeOutcome, Micros};
-use ironmast_schema::control::{Entry, InstanceRecord, Key, Liveness, Value};
+use ironmast_schema::control::{Entry, InstanceRecord, Key, Liveness, Observation, Value};
 use ironmast_schema::registration::{Heartbeat, InstanceState};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -80,7 +80,7 @@
 
 enum Message {
     Entry(Entry),
-    Observed(Vec<(Key, u64)>),
+    Observed(Vec<Observation>),
 }
 
 /// Coordinators first, then agents.
--- a/crates/schema/src/control.rs
+++ b/crates/schema/src/control.rs
@@ -115,6 +115,16 @@
     }
 }
 
+/// That a coordinator has heard from an endpoint. Sent instead of the endpoint's entry where that
+/// hasn't changed.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Observation {
+    /// The endpoint.
+    pub key: Key,
+    /// The sequence of the heartbeat (instances) or the version of the update (gates).
+    pub sequence: u64,
+}
+
 /// A frame from an agent or a coordinator to a coordinator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToCoordinator {
@@ -124,9 +134,9 @@
     Entries(Vec<Entry>),
     /// An encoded message of the register protocol, for the receiver's replica.
     Register(Vec<u8>),
-    /// Periodic liveness frame, with the keys that the sender has heard from since its last such
-    /// frame and the heartbeat sequence (instances) or version (gates) of each.
-    KeepAlive(Vec<(Key, u64)>),
+    /// Periodic liveness frame, with the endpoints that the sender has heard from since its last such
+    /// frame.
+    KeepAlive(Vec<Observation>),
 }
 
 /// A frame from a coordinator to the agent or coordinator that connected to it.
@@ -136,9 +146,9 @@
     KeepAlive {
         /// The coordinators that the sender knows.
         coordinators: Vec<SocketAddr>,
-        /// The keys that the sender has heard from since its last such frame, with the heartbeat
-        /// sequence or version of each; empty unless the receiver is a coordinator.
-        heard: Vec<(Key, u64)>,
+        /// The endpoints that the sender has heard from since its last such frame; empty unless the
+        /// receiver is a coordinator.
+        observed: Vec<Observation>,
         /// Whether the sender is in contact with a majority of the register's replicas and holds
         /// their newest state.
         in_contact: bool,
--- a/crates/schema/src/control/tests.rs
+++ b/crates/schema/src/control/tests.rs
@@ -107,8 +107,10 @@
     prop::collection::vec(entry, 0..4)
 }
 
-fn heard() -> impl Strategy<Value = Vec<(Key, u64)>> {
-    prop::collection::vec((key(), any::<u64>()), 0..4)
+fn observed() -> impl Strategy<Value = Vec<Observation>> {
+    let observation =
+        (key(), any::<u64>()).prop_map(|(key, sequence)| Observation { key, sequence });
+    prop::collection::vec(observation, 0..4)
 }
 
 #[test]
@@ -125,27 +127,37 @@
 
     #[test]
     fn frames_to_a_coordinator_round_trip(
-        heard in heard(),
+        observed in observed(),
         bytes: Vec<u8>,
         protocol: u16,
         coordinator in prop::option::of(address()),
     ) {
-        assert_round_trip(&ToCoordinator::KeepAlive(heard));
+        assert_round_trip(&ToCoordinator::KeepAlive(observed));
         assert_round_trip(&ToCoordinator::Register(bytes));
         assert_round_trip(&ToCoordinator::Hello(Hello { protocol, coordinator }));
     }
 
     #[test]
     fn frames_from_a_coordinator_round_trip(
-        heard in heard(),
+        observed in observed(),
         coordinators in prop::collection::vec(address(), 0..5),
         in_contact: bool,
     ) {
-        assert_round_trip(&FromCoordinator::KeepAlive { coordinators, heard, in_contact });
+        assert_round_trip(&FromCoordinator::KeepAlive { coordinators, observed, in_contact });
     }
 
     #[test]
     fn frames_from_a_gate_round_trip(frontend in address(), ready: bool) {
         assert_round_trip(&FromGate::Status { frontend, ready });
     }
+
+    /// Earlier releases send observations as pairs.
+    #[test]
+    fn an_observation_is_encoded_as_a_pair_of_key_and_sequence(key in key(), sequence: u64) {
+        let observation = Observation { key: key.clone(), sequence };
+        prop_assert_eq!(
+            postcard::to_stdvec(&observation).expect("encoded"),
+            postcard::to_stdvec(&(key, sequence)).expect("encoded")
+        );
+    }
 }
