--- a/crates/client-proxy/src/config.rs
+++ b/crates/client-proxy/src/config.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use ironmast_settings::Setup;
+use ironmast_settings::DeploymentSettings;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -34,7 +34,7 @@
     /// The list as last held, in discovery's form; may be old.
     pub known: Option<Value>,
     /// The settings.
-    pub setup: Setup,
+    pub setup: DeploymentSettings,
     /// All that the file says of values that hold until a restart, flattened.
     written: BTreeMap<String, String>,
 }
@@ -110,7 +110,12 @@
             peers: file.peers,
             peers_all: file.peers_all,
             known: file.known,
-            setup: Setup::read(&pairs).map_err(|e| format!("{path}: settings: {e}"))?,
+            setup: DeploymentSettings::from_pairs(
+                pairs
+                    .iter()
+                    .map(|(path, value)| (path.as_str(), value.as_str())),
+            )
+            .map_err(|e| format!("{path}: settings: {e}"))?,
             written,
         })
     }
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -12,7 +12,7 @@
 use futures_util::StreamExt as _;
 use ironmast_admin::handover;
 use ironmast_balancer::{Effect, Micros};
-use ironmast_settings::Setup;
+use ironmast_settings::DeploymentSettings;
 use ironmast_transport::body::{BodyMemory, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, ResponseBody};
 use ironmast_transport::clock::Clock;
 use ironmast_transport::connection::{ClientConnection, ClientLimits};
@@ -41,7 +41,7 @@
 /// What all requests share.
 pub(crate) struct Front {
     /// The settings' names and classes.
-    setup: Setup,
+    setup: DeploymentSettings,
     /// The time.
     clock: Clock,
     /// To the driver.
@@ -83,7 +83,7 @@
 impl Front {
     /// A front without requests.
     pub(crate) fn new(
-        setup: Setup,
+        setup: DeploymentSettings,
         clock: Clock,
         queue: Queue,
         ready: Rc<Cell<bool>>,
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -104,11 +104,7 @@
     discovery.pushed = setup.settings.discovery == ironmast_balancer::Discovery::Pushed;
     actix_rt::spawn(discovery.run(asks));
 
-    let rules = upstream::Rules {
-        connect,
-        keepalive,
-        load: setup.load.clone(),
-    };
+    let rules = upstream::Rules { connect, keepalive };
     let held = BodyMemory::new(config.memory_mb);
     let upstream = Upstream::new(
         rules,
--- a/crates/client-proxy/src/upstream.rs
+++ b/crates/client-proxy/src/upstream.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use futures_util::TryStreamExt as _;
 use ironmast_balancer::{LoadReport, Micros, Outcome, RequestId, ServerId};
-use ironmast_settings::LoadNames;
+use ironmast_settings::parse_load_report;
 use ironmast_transport::attempt::{Admission, AttemptOptions, AttemptState};
 use ironmast_transport::body::{
     BodyMemory, MAX_BUFFERED_BODY_BYTES, ResponseBody, StreamedResponseBody,
@@ -48,8 +48,6 @@
     pub connect: Duration,
     /// Pay servers close connections idle for this long.
     pub keepalive: Duration,
-    /// The names in load reports.
-    pub load: LoadNames,
 }
 
 /// Of each server: its address, its connections, and when they were last asked for.
@@ -171,7 +169,7 @@
         let state = AttemptState::new(options);
         self.out
             .insert((attempt.id, attempt.number), (cancel, Rc::clone(&state)));
-        let (clock, queue, names) = (self.clock, self.queue.clone(), self.rules.load.clone());
+        let (clock, queue) = (self.clock, self.queue.clone());
         let held = self.held.clone();
         actix_rt::spawn(async move {
             // One turn of the poller first: guards against writing to an idle connection whose
@@ -180,7 +178,7 @@
             tokio::task::yield_now().await;
             let (id, number) = (attempt.id, attempt.number);
             let until = clock.at(attempt.until).into();
-            let call = state.scope(exchange(&client, &attempt, &state, &clock, &names, &held));
+            let call = state.scope(exchange(&client, &attempt, &state, &clock, &held));
             // What loses here is dropped before the end is told, and its connection with it.
             let (outcome, body, load) = tokio::select! {
                 biased;
@@ -220,7 +218,7 @@
 
     fn probe(&self, server: ServerId, address: SocketAddr) {
         let client = self.client(server, address);
-        let (clock, queue, names) = (self.clock, self.queue.clone(), self.rules.load.clone());
+        let (clock, queue) = (self.clock, self.queue.clone());
         let log = self.log.clone();
         actix_rt::spawn(async move {
             let sent = clock.now();
@@ -233,7 +231,7 @@
                 let body = answer.body().limit(MAX_BUFFERED_BODY_BYTES).await.ok()?;
                 Some((
                     answer.status(),
-                    names.report(std::str::from_utf8(&body).unwrap_or("")),
+                    parse_load_report(std::str::from_utf8(&body).unwrap_or("")),
                 ))
             };
             let (outcome, load) = match tokio::time::timeout(PROBE, call).await {
@@ -268,7 +266,6 @@
     attempt: &Attempt,
     state: &AttemptState,
     clock: &Clock,
-    names: &LoadNames,
     held: &BodyMemory,
 ) -> Result<End, ()> {
     let sent = &attempt.payload;
@@ -299,7 +296,7 @@
         },
     };
     let mut answer = sending.await.map_err(|_| ())?;
-    let (status, load) = (answer.status(), load(answer.headers(), names));
+    let (status, load) = (answer.status(), load(answer.headers()));
     let turned = answer
         .headers()
         .get("X-Turned-Away")
@@ -338,6 +335,6 @@
     Ok((outcome, body, load))
 }
 
-fn load(headers: &HeaderMap, names: &LoadNames) -> Option<LoadReport> {
-    names.report(headers.get("X-Pressure")?.to_str().ok()?)
+fn load(headers: &HeaderMap) -> Option<LoadReport> {
+    parse_load_report(headers.get("X-Pressure")?.to_str().ok()?)
 }
