--- a/crates/register/tests/redundancy.rs
+++ b/crates/register/tests/redundancy.rs
@@ -6,12 +6,12 @@
 
 use ironmast_register::Settings;
 
-use support::redundancy::{SYNC_TIME, assert_healthy, is_member, stable_world, time_to_redundancy};
+use support::redundancy::{
+    SYNC_TIME, assert_healthy, is_member, run_until, stable_world, time_to_redundancy,
+};
 use support::value::Change;
 use support::world::{Conditions, LOCAL, WIDE_AREA, World};
 
-const STEP: Duration = Duration::from_millis(5);
-
 /// How a disk is lost.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
@@ -121,14 +121,12 @@
             world.start(members);
             world.run(Duration::from_millis(200));
             world.leave(host);
-            let start = world.now;
-            while is_member(&world, host) {
-                world.run(STEP);
-                assert!(
-                    world.now - start < Duration::from_secs(1),
-                    "{host} is still a member"
-                );
-            }
+            run_until(
+                &mut world,
+                Duration::from_secs(1),
+                |_| format!("{host} is still a member"),
+                |world| !is_member(world, host),
+            );
             world.wipe(host);
             time_to_redundancy(&mut world, members);
             assert_healthy(&mut world, &format!("{members} members, {host} left"));
--- a/crates/register/tests/second_loss.rs
+++ b/crates/register/tests/second_loss.rs
@@ -9,12 +9,12 @@
 
 use support::guards::settings_with;
 use support::redundancy::{
-    SYNC_TIME, assert_healthy, is_member, is_redundant, newest, stable_world, time_to_redundancy,
+    SYNC_TIME, assert_healthy, is_member, is_redundant, newest, run_until, stable_world,
+    time_to_redundancy,
 };
 use support::value::Change;
 use support::world::{LOCAL, WIDE_AREA, World};
 
-const STEP: Duration = Duration::from_millis(5);
 /// A coordinator that leaves waits at most this long until it is replaced.
 const HANDOVER: Duration = Duration::from_millis(3_200);
 
@@ -142,14 +142,12 @@
             world.blocked_links.clear();
             world.start(members);
             world.leave(0);
-            let start = world.now;
-            while is_member(&world, 0) {
-                world.run(STEP);
-                assert!(
-                    world.now - start < HANDOVER,
-                    "seed {seed}, {members} members"
-                );
-            }
+            run_until(
+                &mut world,
+                HANDOVER,
+                |_| format!("seed {seed}, {members} members"),
+                |world| !is_member(world, 0),
+            );
             world.wipe(0);
             let state = newest(&world).expect("known");
             assert!(state.value.marks.contains(&2));
@@ -178,14 +176,12 @@
             let mut world = with_two_standbys(seed, members);
             world.leave(0);
             world.leave(1);
-            let start = world.now;
-            while is_member(&world, 0) || is_member(&world, 1) {
-                world.run(STEP);
-                assert!(
-                    world.now - start < HANDOVER,
-                    "seed {seed}, {members} members"
-                );
-            }
+            run_until(
+                &mut world,
+                HANDOVER,
+                |_| format!("seed {seed}, {members} members"),
+                |world| !is_member(world, 0) && !is_member(world, 1),
+            );
             world.wipe(0);
             world.wipe(1);
             time_to_redundancy(&mut world, members);
@@ -270,13 +266,14 @@
     }
 }
 
-/// Runs until the host isn't a member any more.
+/// Runs until the host isn't a member any more and the deployment is redundant without it.
 fn run_to_redundancy_without(world: &mut World, host: usize) {
-    let start = world.now;
-    while is_member(world, host) || !is_redundant(world, 3) {
-        world.run(STEP);
-        assert!(world.now - start < SYNC_TIME, "{host} is still a member");
-    }
+    run_until(
+        world,
+        SYNC_TIME,
+        |_| format!("{host} is still a member"),
+        |world| !is_member(world, host) && is_redundant(world, 3),
+    );
 }
 
 fn without(guard: Guard) -> Settings {
--- a/crates/register/tests/support/redundancy.rs
+++ b/crates/register/tests/support/redundancy.rs
@@ -76,14 +76,27 @@
 /// # Panics
 /// It takes longer than [`SYNC_TIME`].
 pub(crate) fn time_to_redundancy(world: &mut World, size: usize) -> Duration {
+    let case = |world: &World| {
+        let members = newest(world).map(|state| state.members.clone());
+        format!("not redundant in time: {members:?}")
+    };
+    run_until(world, SYNC_TIME, case, |world| is_redundant(world, size))
+}
+
+/// Runs until a condition holds; returns the time that it took.
+///
+/// # Panics
+/// It takes as long as the limit or longer; `case` describes the world then.
+pub(crate) fn run_until(
+    world: &mut World,
+    limit: Duration,
+    case: impl Fn(&World) -> String,
+    is_reached: impl Fn(&World) -> bool,
+) -> Duration {
     let start = world.now;
-    while !is_redundant(world, size) {
+    while !is_reached(world) {
         world.run(STEP);
-        assert!(
-            world.now - start < SYNC_TIME,
-            "not redundant in time: {:?}",
-            newest(world).map(|state| state.members.clone())
-        );
+        assert!(world.now - start < limit, "{}", case(world));
     }
     world.now - start
 }
