--- a/crates/coordinator/tests/frames/mod.rs
+++ b/crates/coordinator/tests/frames/mod.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use ironmast_register::message::{MessageBody, Request, RequestBody};
+use ironmast_register::message::{MessageBody, Request, RequestBody, RoundId};
 use ironmast_register::{Ballot, Identity, Message, Record};
 use ironmast_schema::control::{
     ControlState, Entry, FromCoordinator, FromGate, GateRecord, Hello, Key, Observation,
@@ -33,7 +33,7 @@
 fn register_messages() -> Vec<Vec<u8>> {
     let proposal = record().accepted.expect("initial");
     let accept = Request {
-        round: 9,
+        round: RoundId(9),
         to: Identity(1),
         body: RequestBody::Accept {
             proposal: proposal.clone(),
--- a/crates/register/src/acceptor/tests.rs
+++ b/crates/register/src/acceptor/tests.rs
@@ -6,6 +6,7 @@
 use assert_matches::assert_matches;
 
 use super::*;
+use crate::message::RoundId;
 
 const PROPOSER: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9_000);
@@ -37,7 +38,7 @@
         known: Ballot::ZERO,
     };
     Request {
-        round: counter,
+        round: RoundId(counter),
         to: acceptor.identity(),
         body,
     }
@@ -53,7 +54,7 @@
         state,
     };
     Request {
-        round: counter,
+        round: RoundId(counter),
         to: acceptor.identity(),
         body: RequestBody::Accept { proposal },
     }
@@ -137,7 +138,7 @@
     let mut acceptor = member();
     acceptor.request(PROPOSER, accept(&member(), 4, 1), None);
     let query = Request {
-        round: 1,
+        round: RoundId(1),
         to: acceptor.identity(),
         body: RequestBody::Query {
             known: Ballot::ZERO,
@@ -152,7 +153,7 @@
     let mut acceptor = member();
     reply_after_write(&mut acceptor, accept(&member(), 4, 1));
     let query = Request {
-        round: 1,
+        round: RoundId(1),
         to: acceptor.identity(),
         body: RequestBody::Query { known: ballot(4) },
     };
@@ -228,7 +229,10 @@
     assert_matches!(
         &acceptor.persisted(write.token)[..],
         [AddressedReply {
-            reply: Reply { round: 3, .. },
+            reply: Reply {
+                round: RoundId(3),
+                ..
+            },
             ..
         }]
     );
@@ -243,7 +247,7 @@
     };
     let mut acceptor = Acceptor::unsynced(promised, Guards::default());
     let query = Request {
-        round: 1,
+        round: RoundId(1),
         to: acceptor.identity(),
         body: RequestBody::Query {
             known: Ballot::ZERO,
--- a/crates/register/src/message.rs
+++ b/crates/register/src/message.rs
@@ -12,7 +12,16 @@
 use crate::state::Proposal;
 
 /// Number of a proposer's round; replies to any other round than the current one are ignored.
-pub type RoundId = u64;
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct RoundId(pub u64);
+
+impl RoundId {
+    /// The number of the next round.
+    #[must_use]
+    pub fn next(self) -> Self {
+        Self(self.0.wrapping_add(1))
+    }
+}
 
 /// A message with its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/register/src/node.rs
+++ b/crates/register/src/node.rs
@@ -18,7 +18,7 @@
 use crate::node::background::Background;
 use crate::node::recovery::Recovery;
 use crate::proposer::{Proposer, ProposerMetrics};
-use crate::quorum_lease::QuorumLease;
+use crate::quorum_lease::{HeartbeatId, QuorumLease};
 use crate::random::Random;
 use crate::reconfiguration::ReplicaSetController;
 use crate::replicas::{Membership, Replica};
@@ -80,7 +80,7 @@
             address: location.address,
             zone: location.zone.clone(),
         };
-        let first_heartbeat = Random::new(!seed).next() >> 32;
+        let first_heartbeat = HeartbeatId(Random::new(!seed).next() >> 32);
         Self {
             controller: ReplicaSetController::new(replica, &settings),
             quorum_lease: QuorumLease::new(settings.quorum_lease, first_heartbeat),
--- a/crates/register/src/proposer.rs
+++ b/crates/register/src/proposer.rs
@@ -74,7 +74,7 @@
         let mut random = Random::new(seed);
         Self {
             identity,
-            last_round: random.next(),
+            last_round: RoundId(random.next()),
             random,
             round_trip: settings.initial_backoff,
             settings,
--- a/crates/register/src/proposer/rounds.rs
+++ b/crates/register/src/proposer/rounds.rs
@@ -71,7 +71,7 @@
 
     /// The number of the next round.
     pub(super) fn next_round(&mut self) -> RoundId {
-        self.last_round = self.last_round.wrapping_add(1);
+        self.last_round = self.last_round.next();
         self.last_round
     }
 
--- a/crates/register/src/quorum_lease.rs
+++ b/crates/register/src/quorum_lease.rs
@@ -13,6 +13,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
+use serde::{Deserialize, Serialize};
+
 use crate::ballot::Identity;
 use crate::replicas::{Membership, ReplicaSet};
 
@@ -21,7 +23,8 @@
 
 /// Identifies a heartbeat; unique within one incarnation of a node, and seeded so that incarnations
 /// don't share identifiers.
-pub type HeartbeatId = u64;
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct HeartbeatId(pub u64);
 
 /// Heartbeats sent within the length of a lease.
 const HEARTBEATS_PER_LEASE: u32 = 4;
@@ -80,7 +83,7 @@
         self.next_at = now + self.length / HEARTBEATS_PER_LEASE;
         self.drop_expired(now);
         let id = self.next_id;
-        self.next_id = self.next_id.wrapping_add(1);
+        self.next_id = HeartbeatId(id.0.wrapping_add(1));
         self.in_flight.push_back(Heartbeat { id, sent_at: now });
         Some(id)
     }
--- a/crates/register/src/quorum_lease/tests.rs
+++ b/crates/register/src/quorum_lease/tests.rs
@@ -36,7 +36,7 @@
 }
 
 fn lease() -> QuorumLease {
-    QuorumLease::new(LENGTH, 70)
+    QuorumLease::new(LENGTH, HeartbeatId(70))
 }
 
 #[test]
@@ -152,8 +152,8 @@
 fn responses_to_heartbeats_never_sent_do_not_count() {
     let mut lease = lease();
     let id = lease.next_heartbeat(ms(0)).expect("due");
-    lease.acknowledge(Identity(2), id + 1);
-    lease.acknowledge(Identity(2), id - 1);
+    lease.acknowledge(Identity(2), HeartbeatId(id.0 + 1));
+    lease.acknowledge(Identity(2), HeartbeatId(id.0 - 1));
     assert_eq!(lease.confirmed_at(ms(0), OWN, &members(&[1, 2, 3])), None);
 }
 
--- a/crates/register/src/round/tests.rs
+++ b/crates/register/src/round/tests.rs
@@ -36,7 +36,12 @@
 }
 
 fn query(known: &Proposal<u8>) -> Round<u8> {
-    Round::query(1, Some(known.clone()), known.clone(), Guards::default())
+    Round::query(
+        RoundId(1),
+        Some(known.clone()),
+        known.clone(),
+        Guards::default(),
+    )
 }
 
 fn query_result(accepted: &Proposal<u8>) -> ReplyBody<u8> {
--- a/crates/register/tests/encoding.rs
+++ b/crates/register/tests/encoding.rs
@@ -4,8 +4,9 @@
 
 use ironmast_register::message::{
     AcceptorState, ChosenVersion, HeartbeatResponse, MessageBody, NodeStatus, Participation, Reply,
-    ReplyBody, Request, RequestBody,
+    ReplyBody, Request, RequestBody, RoundId,
 };
+use ironmast_register::quorum_lease::HeartbeatId;
 use ironmast_register::state::Proposal;
 use ironmast_register::{Ballot, Identity, Message, Record};
 
@@ -32,12 +33,17 @@
     };
     let request = |body| {
         MessageBody::Request(Request {
-            round: 9,
+            round: RoundId(9),
             to: Identity(1),
             body,
         })
     };
-    let reply = |body| MessageBody::Reply(Reply { round: 9, body });
+    let reply = |body| {
+        MessageBody::Reply(Reply {
+            round: RoundId(9),
+            body,
+        })
+    };
     let chosen = Some(ChosenVersion {
         ballot: BALLOT,
         sequence: 4,
@@ -69,9 +75,11 @@
         }),
         MessageBody::FetchState { known: BALLOT },
         MessageBody::ChosenState(proposal),
-        MessageBody::Heartbeat { id: 70_000 },
+        MessageBody::Heartbeat {
+            id: HeartbeatId(70_000),
+        },
         MessageBody::HeartbeatResponse(HeartbeatResponse {
-            id: 70_000,
+            id: HeartbeatId(70_000),
             newest: BALLOT,
             membership_fingerprint: u64::MAX,
         }),
--- a/crates/register/tests/exhaustive/mod.rs
+++ b/crates/register/tests/exhaustive/mod.rs
@@ -7,7 +7,7 @@
 
 use ironmast_register::acceptor::{Acceptor, Record};
 use ironmast_register::guard::{Guard, Guards};
-use ironmast_register::message::{ReplyBody, Request, RequestBody};
+use ironmast_register::message::{ReplyBody, Request, RequestBody, RoundId};
 use ironmast_register::round::{Phase, QuorumRead, Round};
 use ironmast_register::state::Proposal;
 use ironmast_register::{Ballot, Identity, Membership, Replica, State};
@@ -309,7 +309,7 @@
             identity: host.acceptor.identity(),
         };
         let known = state.known.clone();
-        let id = u64::from(state.ballots);
+        let id = RoundId(u64::from(state.ballots));
         let round = Round::query(id, Some(known.clone()), known, self.guards).into_prepare(ballot);
         state.round = Some(round);
         send_requests(model_state, proposer);
@@ -454,7 +454,7 @@
         (
             *from,
             *to,
-            request.round,
+            request.round.0,
             matches!(request.body, RequestBody::Accept { .. }),
         )
     });
--- a/crates/register/tests/quorum_lease.rs
+++ b/crates/register/tests/quorum_lease.rs
@@ -7,6 +7,7 @@
 use std::time::Duration;
 
 use ironmast_register::message::{HeartbeatResponse, MessageBody};
+use ironmast_register::quorum_lease::HeartbeatId;
 use ironmast_register::{Ballot, Identity, Message, Settings};
 
 use support::redundancy::stable_world;
@@ -184,7 +185,7 @@
 /// interval.
 #[test]
 fn the_heartbeats_of_a_member_of_three_cost_less_than_a_kilobyte_a_second() {
-    let id = u64::from(u32::MAX);
+    let id = HeartbeatId(u64::from(u32::MAX));
     let newest = Ballot {
         counter: 1_000_000,
         identity: Identity(u64::MAX),
