--- a/crates/gate/tests/attempts.rs
+++ b/crates/gate/tests/attempts.rs
@@ -3,19 +3,14 @@
 mod support;
 
 use support::{
-    LOCAL_ZONE, OneServer, REMOTE_ZONE, Server, TestGate, TwoServers, next_request_at_either,
-    run_test,
+    LOCAL_ZONE, REMOTE_ZONE, Server, TestGate, next_request_at_either, run_test,
+    start_with_one_server, start_with_two_servers,
 };
 
 #[test]
 fn request_that_was_not_executed_is_retried_on_another_server() {
     run_test(async {
-        let TwoServers {
-            mut local,
-            mut remote,
-            gate: _gate,
-            mut client,
-        } = TwoServers::start().await;
+        let (mut local, mut remote, _gate, mut client) = start_with_two_servers().await;
         client.send_request("/unsafe/a?q=1", "r1").await;
         local.next_request().await.reject().await;
         let mut request = remote.next_request().await;
@@ -66,12 +61,7 @@
 #[test]
 fn request_that_may_have_been_executed_is_retried_only_if_idempotent() {
     run_test(async {
-        let TwoServers {
-            mut local,
-            mut remote,
-            gate: _gate,
-            mut client,
-        } = TwoServers::start().await;
+        let (mut local, mut remote, _gate, mut client) = start_with_two_servers().await;
         client.send_request("/unsafe/a", "r1").await;
         drop(local.next_request().await);
         let (head, _) = client.read_response().await;
@@ -90,12 +80,7 @@
 #[test]
 fn request_misdirected_to_another_incarnation_is_retried_elsewhere() {
     run_test(async {
-        let TwoServers {
-            mut local,
-            mut remote,
-            gate: _gate,
-            mut client,
-        } = TwoServers::start().await;
+        let (mut local, mut remote, _gate, mut client) = start_with_two_servers().await;
         client.send_request("/unsafe/a", "r1").await;
         local
             .next_request()
@@ -119,11 +104,7 @@
 #[test]
 fn late_response_to_another_request_is_ignored() {
     run_test(async {
-        let OneServer {
-            mut server,
-            gate: _gate,
-            mut client,
-        } = OneServer::start().await;
+        let (mut server, _gate, mut client) = start_with_one_server().await;
         client.send_request("/unsafe/a", "r1").await;
         let mut request = server.next_request().await;
         request
@@ -141,11 +122,7 @@
 #[test]
 fn idle_connection_is_reused() {
     run_test(async {
-        let OneServer {
-            mut server,
-            gate: _gate,
-            mut client,
-        } = OneServer::start().await;
+        let (mut server, _gate, mut client) = start_with_one_server().await;
         client.send_request("/unsafe/a", "r1").await;
         let mut request = server.next_request().await;
         request.serve("one").await;
@@ -161,11 +138,7 @@
 #[test]
 fn success_that_is_unsigned_or_encoded_is_a_bad_gateway() {
     run_test(async {
-        let OneServer {
-            mut server,
-            gate: _gate,
-            mut client,
-        } = OneServer::start().await;
+        let (mut server, _gate, mut client) = start_with_one_server().await;
         client.send_request("/unsafe/a", "r1").await;
         server
             .next_request()
@@ -186,11 +159,7 @@
 #[test]
 fn servers_error_is_returned_unless_its_status_implies_not_executed() {
     run_test(async {
-        let OneServer {
-            mut server,
-            gate: _gate,
-            mut client,
-        } = OneServer::start().await;
+        let (mut server, _gate, mut client) = start_with_one_server().await;
         client.send_request("/unsafe/a", "r1").await;
         server
             .next_request()
@@ -220,12 +189,7 @@
 #[test]
 fn request_is_sent_to_its_routes_allowed_regions_only() {
     run_test(async {
-        let TwoServers {
-            mut local,
-            mut remote,
-            gate: _gate,
-            mut client,
-        } = TwoServers::start().await;
+        let (mut local, mut remote, _gate, mut client) = start_with_two_servers().await;
         client.send_request("/away/a", "r1").await;
         remote.next_request().await.serve("far").await;
         assert_eq!(client.read_response().await.1, "far");
--- a/crates/gate/tests/lifecycle.rs
+++ b/crates/gate/tests/lifecycle.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use support::{LOCAL_ZONE, OneServer, Server, TestGate, run_test};
+use support::{LOCAL_ZONE, Server, TestGate, run_test, start_with_one_server};
 
 #[test]
 fn without_a_configuration_requests_are_rejected_with_a_retry_delay() {
@@ -42,11 +42,7 @@
 #[test]
 fn path_without_a_route_is_not_found() {
     run_test(async {
-        let OneServer {
-            server: _server,
-            gate,
-            mut client,
-        } = OneServer::start().await;
+        let (_server, gate, mut client) = start_with_one_server().await;
         client.send_request("/none/a", "r1").await;
         assert!(client.read_response().await.0.starts_with("http/1.1 404"));
         let readiness = gate.connect_readiness().await.check_readiness().await;
@@ -57,11 +53,7 @@
 #[test]
 fn body_over_the_limit_is_too_large() {
     run_test(async {
-        let OneServer {
-            server: _server,
-            gate: _gate,
-            mut client,
-        } = OneServer::start().await;
+        let (_server, _gate, mut client) = start_with_one_server().await;
         client
             .write("POST /safe/a HTTP/1.1\r\nHost: a.example\r\nContent-Length: 9000000\r\n\r\n")
             .await;
@@ -76,11 +68,7 @@
 #[test]
 fn terminated_gate_finishes_its_streams_before_it_shuts_down() {
     run_test(async {
-        let OneServer {
-            mut server,
-            mut gate,
-            mut client,
-        } = OneServer::start().await;
+        let (mut server, mut gate, mut client) = start_with_one_server().await;
         client.send_request("/once/a", "r1").await;
         let mut stream = server.next_request().await;
         stream.start_events("").await;
@@ -108,11 +96,7 @@
 #[test]
 fn terminated_gate_serves_a_request_that_was_received_in_part() {
     run_test(async {
-        let OneServer {
-            mut server,
-            mut gate,
-            mut client,
-        } = OneServer::start().await;
+        let (mut server, mut gate, mut client) = start_with_one_server().await;
         client
             .write("POST /unsafe/a HTTP/1.1\r\nHost: a.example\r\nX-Ironmast-Request-Id: r1\r\nContent-Length: 8\r\n\r\nques")
             .await;
--- a/crates/gate/tests/requirements.rs
+++ b/crates/gate/tests/requirements.rs
@@ -9,8 +9,8 @@
 use ironmast_schema::control::{Entry, Liveness};
 use support::messages::chunk;
 use support::{
-    Client, LOCAL_ZONE, OneServer, Server, TestGate, TwoServers, entries, next_request_at_either,
-    run_test,
+    Client, LOCAL_ZONE, Server, TestGate, entries, next_request_at_either, run_test,
+    start_with_one_server, start_with_two_servers,
 };
 
 /// The deadline in [`Client::send_request`], in ms, and the `timeout_ms` of the routes.
@@ -40,12 +40,7 @@
 #[test]
 fn servers_get_the_rest_of_the_deadline() {
     run_test(async {
-        let TwoServers {
-            mut local,
-            mut remote,
-            gate,
-            client: _client,
-        } = TwoServers::start().await;
+        let (mut local, mut remote, gate, _client) = start_with_two_servers().await;
         for target in ["/safe/a", "/stream/a"] {
             let mut client = gate.connect().await;
             let sent_at = Instant::now();
@@ -72,11 +67,7 @@
 #[test]
 fn without_a_deadline_servers_get_the_routes_timeout() {
     run_test(async {
-        let OneServer {
-            mut server,
-            gate: _gate,
-            mut client,
-        } = OneServer::start().await;
+        let (mut server, _gate, mut client) = start_with_one_server().await;
         client
             .write("GET /safe/a HTTP/1.1\r\nHost: a.example\r\nX-Ironmast-Request-Id: r1\r\n\r\n")
             .await;
@@ -92,11 +83,7 @@
 #[test]
 fn headers_about_the_prompt_are_forwarded_unchanged() {
     run_test(async {
-        let OneServer {
-            mut server,
-            gate: _gate,
-            mut client,
-        } = OneServer::start().await;
+        let (mut server, _gate, mut client) = start_with_one_server().await;
         let valid = [
             ("x-ironmast-model", "m/7 b"),
             ("x-ironmast-token-usage", "1460, 80"),
@@ -131,11 +118,7 @@
 #[test]
 fn priority_at_servers_is_the_routes_whatever_the_client_sends() {
     run_test(async {
-        let OneServer {
-            mut server,
-            gate: _gate,
-            mut client,
-        } = OneServer::start().await;
+        let (mut server, _gate, mut client) = start_with_one_server().await;
         client
             .send_request_with("/safe/a", "r1", "Priority: 0\r\n")
             .await;
@@ -146,11 +129,7 @@
 #[test]
 fn version_of_the_weights_is_relayed() {
     run_test(async {
-        let OneServer {
-            mut server,
-            gate: _gate,
-            mut client,
-        } = OneServer::start().await;
+        let (mut server, _gate, mut client) = start_with_one_server().await;
         client.send_request("/once/a", "r1").await;
         let mut request = server.next_request().await;
         request.start_events("Versions: 4\r\n").await;
@@ -166,12 +145,7 @@
 #[test]
 fn resumed_stream_has_its_first_head_only() {
     run_test(async {
-        let TwoServers {
-            mut local,
-            mut remote,
-            gate: _gate,
-            mut client,
-        } = TwoServers::start().await;
+        let (mut local, mut remote, _gate, mut client) = start_with_two_servers().await;
         client.send_request("/stream/a", "r1").await;
         let mut request = local.next_request().await;
         request.start_events("Versions: 1\r\n").await;
@@ -231,12 +205,7 @@
 #[test]
 fn request_of_a_disconnected_client_is_neither_retried_nor_continued() {
     run_test(async {
-        let TwoServers {
-            mut local,
-            mut remote,
-            gate,
-            client: _client,
-        } = TwoServers::start().await;
+        let (mut local, mut remote, gate, _client) = start_with_two_servers().await;
         for target in ["/safe/a", "/stream/a", "/unsafe/a"] {
             let mut client = gate.connect().await;
             client.send_request(target, "r1").await;
@@ -257,12 +226,7 @@
 #[test]
 fn deregistered_server_finishes_its_requests_and_gets_no_new_one() {
     run_test(async {
-        let TwoServers {
-            mut local,
-            mut remote,
-            mut gate,
-            client: mut stream_client,
-        } = TwoServers::start().await;
+        let (mut local, mut remote, mut gate, mut stream_client) = start_with_two_servers().await;
         stream_client.send_request("/once/a", "r1").await;
         let mut stream = local.next_request().await;
         stream.start_events("").await;
@@ -308,11 +272,7 @@
 #[test]
 fn gate_without_its_agent_serves_with_the_last_configuration() {
     run_test(async {
-        let OneServer {
-            mut server,
-            gate,
-            client: _client,
-        } = OneServer::start().await;
+        let (mut server, gate, _client) = start_with_one_server().await;
         let (frontend, readiness) = (gate.frontend, gate.readiness);
         // The link closes and the agent does not listen any more; the gate itself goes on.
         drop(gate);
@@ -332,11 +292,7 @@
 #[test]
 fn terminated_gate_fails_its_next_readiness_check() {
     run_test(async {
-        let OneServer {
-            mut server,
-            mut gate,
-            mut client,
-        } = OneServer::start().await;
+        let (mut server, mut gate, mut client) = start_with_one_server().await;
         let mut checks = gate.connect_readiness().await;
         assert!(checks.check_readiness().await.starts_with("http/1.1 200"));
         // A request in progress keeps the gate from shutting down.
--- a/crates/gate/tests/streams.rs
+++ b/crates/gate/tests/streams.rs
@@ -4,16 +4,12 @@
 mod support;
 
 use support::messages::{END_OF_CHUNKS, chunk, event};
-use support::{OneServer, TwoServers, run_test};
+use support::{run_test, start_with_one_server, start_with_two_servers};
 
 #[test]
 fn events_are_relayed_one_by_one() {
     run_test(async {
-        let OneServer {
-            mut server,
-            gate: _gate,
-            mut client,
-        } = OneServer::start().await;
+        let (mut server, _gate, mut client) = start_with_one_server().await;
         client.send_request("/stream/a", "r1").await;
         let mut request = server.next_request().await;
         assert_eq!(request.header("x-ironmast-expect-instance"), Some("i-1"));
@@ -33,12 +29,7 @@
 #[test]
 fn partial_event_is_withheld_and_the_stream_resumes_on_another_server() {
     run_test(async {
-        let TwoServers {
-            mut local,
-            mut remote,
-            gate: _gate,
-            mut client,
-        } = TwoServers::start().await;
+        let (mut local, mut remote, _gate, mut client) = start_with_two_servers().await;
         client
             .send_request_with("/stream/a", "r1", "Last-Event-Id: 4\r\n")
             .await;
@@ -68,12 +59,7 @@
 #[test]
 fn stream_that_is_not_resumable_is_visibly_truncated() {
     run_test(async {
-        let TwoServers {
-            mut local,
-            mut remote,
-            gate: _gate,
-            mut client,
-        } = TwoServers::start().await;
+        let (mut local, mut remote, _gate, mut client) = start_with_two_servers().await;
         client.send_request("/once/a", "r1").await;
         let mut request = local.next_request().await;
         request.start_events("").await;
@@ -114,11 +100,7 @@
 /// All that a client gets of a stream that is not resumable, where the server sends these chunks
 /// and ends the body.
 async fn response_to_event_stream(chunks: &[String]) -> String {
-    let OneServer {
-        mut server,
-        gate: _gate,
-        mut client,
-    } = OneServer::start().await;
+    let (mut server, _gate, mut client) = start_with_one_server().await;
     client.send_request("/once/a", "r1").await;
     let mut request = server.next_request().await;
     request.start_events("").await;
@@ -130,11 +112,7 @@
 #[test]
 fn attempt_ends_when_its_client_disconnects() {
     run_test(async {
-        let OneServer {
-            mut server,
-            gate,
-            mut client,
-        } = OneServer::start().await;
+        let (mut server, gate, mut client) = start_with_one_server().await;
         client.send_request("/stream/a", "r1").await;
         let mut request = server.next_request().await;
         request.start_events("").await;
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -38,48 +38,22 @@
     });
 }
 
-/// A gate with one server, and a client of the gate.
-pub(crate) struct OneServer {
-    pub server: Server,
-    pub gate: TestGate,
-    pub client: Client,
+/// A server, a gate that knows it, and a client of the gate.
+pub(crate) async fn start_with_one_server() -> (Server, TestGate, Client) {
+    let server = Server::start("i-1").await;
+    let gate = TestGate::start(&[(&server, LOCAL_ZONE)]).await;
+    let client = gate.connect().await;
+    (server, gate, client)
 }
 
-impl OneServer {
-    pub(crate) async fn start() -> Self {
-        let server = Server::start("i-1").await;
-        let gate = TestGate::start(&[(&server, LOCAL_ZONE)]).await;
-        let client = gate.connect().await;
-        OneServer {
-            server,
-            gate,
-            client,
-        }
-    }
-}
-
-/// A gate with one server in its own region and one in another, and a client of the gate. The
-/// remote server gets a request only once no local one is left for it.
-pub(crate) struct TwoServers {
-    pub local: Server,
-    pub remote: Server,
-    pub gate: TestGate,
-    pub client: Client,
-}
-
-impl TwoServers {
-    pub(crate) async fn start() -> Self {
-        let local = Server::start("i-1").await;
-        let remote = Server::start("i-2").await;
-        let gate = TestGate::start(&[(&local, LOCAL_ZONE), (&remote, REMOTE_ZONE)]).await;
-        let client = gate.connect().await;
-        TwoServers {
-            local,
-            remote,
-            gate,
-            client,
-        }
-    }
+/// A server in the gate's region, one in another region, the gate, and a client of it. The remote
+/// server gets a request only once no local one is left for it.
+pub(crate) async fn start_with_two_servers() -> (Server, Server, TestGate, Client) {
+    let local = Server::start("i-1").await;
+    let remote = Server::start("i-2").await;
+    let gate = TestGate::start(&[(&local, LOCAL_ZONE), (&remote, REMOTE_ZONE)]).await;
+    let client = gate.connect().await;
+    (local, remote, gate, client)
 }
 
 /// The next request at either of two servers, and the position of that server.
