--- a/crates/overlay/tests/messages.rs
+++ b/crates/overlay/tests/messages.rs
@@ -1,9 +1,13 @@
-//! Malformed bytes are rejected, and a node handles any message in any state.
+//! The wire format of messages: tags and order of fields are stable, malformed bytes are rejected,
+//! and a node handles any message in any state.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use ironmast_overlay::{Action, Descriptor, Event, Locality, Message, Overlay, Role, Settings};
+use ironmast_overlay::{
+    Action, Descriptor, Event, Heartbeat, Locality, Message, Overlay, Role, RootHeartbeat,
+    Settings, Store, TreePosition,
+};
 use proptest::prelude::*;
 
 fn node(index: u8, role: Role) -> Descriptor {
@@ -33,6 +37,84 @@
     actions
 }
 
+/// One message of each variant, in the order of the wire format.
+fn one_of_each_variant() -> Vec<Message> {
+    let sample = Vec::new;
+    let heartbeat = Heartbeat {
+        sequence: 1,
+        echo: 0,
+        position: TreePosition::Detached,
+        spare_capacity: 0,
+        is_successor: false,
+        root_hash: 0,
+        root_heartbeats: Vec::new(),
+    };
+    let buckets = Store::new(Duration::ZERO).digest();
+    let node = node(1, Role::Agent);
+    vec![
+        Message::Hello { node },
+        Message::Nodes { sample: sample() },
+        Message::LinkRejected { sample: sample() },
+        Message::Heartbeat(heartbeat),
+        Message::Graft { root_hash: 0 },
+        Message::GraftAccepted,
+        Message::GraftRejected { sample: sample() },
+        Message::Prune,
+        Message::Entries {
+            entries: Vec::new(),
+            pushed: true,
+            more: false,
+        },
+        Message::Announce {
+            versions: Vec::new(),
+        },
+        Message::Request { keys: Vec::new() },
+        Message::Digest { root_hash: 0 },
+        Message::Buckets(buckets),
+        Message::VersionList {
+            mask: 0,
+            versions: Vec::new(),
+        },
+        Message::Shuffle {
+            sample: sample(),
+            is_reply: false,
+        },
+        Message::Joined { node, hops: 0 },
+        Message::Leave,
+    ]
+}
+
+#[test]
+fn message_variants_keep_their_wire_tags() {
+    for (tag, message) in one_of_each_variant().iter().enumerate() {
+        let bytes = postcard::to_stdvec(message).expect("serializable");
+        assert_eq!(usize::from(bytes[0]), tag, "{message:?}");
+    }
+}
+
+#[test]
+fn heartbeat_fields_keep_their_wire_order() {
+    let heartbeat = Heartbeat {
+        sequence: 1,
+        echo: 2,
+        position: TreePosition::Descendant {
+            path: vec![3],
+            region_head: 4,
+            zone_head: 5,
+            in_contact: true,
+        },
+        spare_capacity: 6,
+        is_successor: true,
+        root_hash: 7,
+        root_heartbeats: vec![RootHeartbeat {
+            coordinator: 8,
+            elapsed_ms: 9,
+        }],
+    };
+    let bytes = postcard::to_stdvec(&Message::Heartbeat(heartbeat)).expect("serializable");
+    assert_eq!(bytes, [3, 1, 2, 2, 1, 3, 4, 5, 1, 6, 1, 7, 1, 8, 9]);
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
--- a/crates/overlay/tests/overlay/faults.rs
+++ b/crates/overlay/tests/overlay/faults.rs
@@ -120,10 +120,10 @@
         }
         sim.publish(0, KEY, 1, 100);
         let time = run_until(&mut sim, ms(12_000), |sim| all_store(sim, KEY, 1));
-        let fed = run_until(&mut sim, ms(12_000), |sim| {
+        let attached = run_until(&mut sim, ms(12_000), |sim| {
             sim.detached_agents() == 0 && all_fresh(sim, ms(1_000))
         });
-        println!("half crashed: change everywhere after {time:?}, all fed {fed:?} later");
+        println!("half crashed: change everywhere after {time:?}, all attached {attached:?} later");
     }
 }
 
@@ -136,10 +136,10 @@
         (0..sim.deployment.len()).for_each(|node| sim.kill(node));
         sim.run_for(ms(200));
         (0..sim.deployment.len()).for_each(|node| sim.start_node(node));
-        let fed = run_until(&mut sim, ms(5_000), |sim| sim.detached_agents() == 0);
+        let attached = run_until(&mut sim, ms(5_000), |sim| sim.detached_agents() == 0);
         sim.publish(0, KEY, 2, 100);
         let time = run_until(&mut sim, ms(1_000), |sim| all_store(sim, KEY, 2));
-        println!("all restarted: all fed after {fed:?}, a change then takes {time:?}");
+        println!("all restarted: all attached after {attached:?}, a change then takes {time:?}");
         assert_eq!(sim.regressions, 0);
     }
 }
@@ -160,10 +160,12 @@
     }
     sim.publish(first, KEY, 1, 100);
     let time = run_until(&mut sim, ms(15_000), |sim| all_store(sim, KEY, 1));
-    let fed = run_until(&mut sim, ms(15_000), |sim| {
+    let attached = run_until(&mut sim, ms(15_000), |sim| {
         sim.detached_agents() == 0 && all_fresh(sim, ms(1_000))
     });
-    println!("coordinators replaced: a change is everywhere after {time:?}, all fed {fed:?} later");
+    println!(
+        "coordinators replaced: a change is everywhere after {time:?}, all attached {attached:?} later"
+    );
 }
 
 #[test]
@@ -256,13 +258,15 @@
             .as_ref()
             .and_then(|node| node.freshness(now))
             .expect("heartbeats were recorded");
-        println!("frozen for {seconds} s: newest heartbeat {age:?} old on return");
+        println!("paused for {seconds} s: newest heartbeat {age:?} old on return");
         // Neighbours continue to send until they close the link; to its children it is silent.
         assert!(age + ms(5_500) > ms(seconds * 1_000));
         let time = run_until(&mut sim, ms(3_000), |sim| {
             all_store(sim, KEY, 1) && sim.detached_agents() == 0
         });
-        println!("frozen for {seconds} s: change everywhere, all fed {time:?} after the return");
+        println!(
+            "paused for {seconds} s: change everywhere, all attached {time:?} after the return"
+        );
     }
 }
 
@@ -318,6 +322,6 @@
     assert_eq!(sim.detached_agents(), 7);
     (0..3).for_each(|coordinator| sim.start_node(coordinator));
     let time = run_until(&mut sim, ms(5_000), |sim| sim.detached_agents() == 0);
-    println!("coordinators up after 30 s: all fed {time:?} later");
+    println!("coordinators up after 30 s: all attached {time:?} later");
     assert!(time < ms(2_500));
 }
--- a/crates/overlay/tests/overlay/load.rs
+++ b/crates/overlay/tests/overlay/load.rs
@@ -77,13 +77,13 @@
         sim.start_node(agent);
         worst = worst.max(run_until_stored(&mut sim, &[agent], KEYS));
     }
-    println!("an agent started anew holds 2,000 entries after {worst:?} at worst");
+    println!("a restarted agent stores 2,000 entries after {worst:?} at worst");
     assert!(worst < ms(2_000));
     sim.kill(1);
     sim.run_for(ms(500));
     sim.start_node(1);
     let time = run_until_stored(&mut sim, &[1], KEYS);
-    println!("a coordinator started anew holds 2,000 entries after {time:?}");
+    println!("a restarted coordinator stores 2,000 entries after {time:?}");
     assert!(time < ms(2_000));
 }
 
--- a/crates/overlay/tests/overlay/random_faults.rs
+++ b/crates/overlay/tests/overlay/random_faults.rs
@@ -165,15 +165,15 @@
                 .iter()
                 .flatten()
                 .fold(BTreeMap::new(), |mut newest, (key, (version, _))| {
-                    let held = newest.entry(*key).or_insert(0);
-                    *held = *version.max(held);
+                    let version_of_key = newest.entry(*key).or_insert(0);
+                    *version_of_key = *version.max(version_of_key);
                     newest
                 });
         assert_eq!(self.sim.regressions, 0, "seed {seed}: a version went back");
         assert_eq!(
             self.sim.detached_agents(),
             0,
-            "seed {seed}: agents without a source"
+            "seed {seed}: agents without a parent"
         );
         for (at, node) in self.sim.nodes.iter().enumerate() {
             let overlay = node.overlay.as_ref().expect("running");
@@ -192,11 +192,7 @@
         let heads = (self.sim.deployment.coordinators..self.sim.deployment.len())
             .filter(|agent| self.sim.has_remote_parent(*agent));
         let without = self.sim.deployment.regions - self.sim.deployment.coordinator_regions;
-        assert_eq!(
-            heads.count(),
-            without,
-            "seed {seed}: agents fed from outside"
-        );
+        assert_eq!(heads.count(), without, "seed {seed}: heads of regions");
     }
 }
 
--- a/crates/overlay/tests/overlay/support/simulation.rs
+++ b/crates/overlay/tests/overlay/support/simulation.rs
@@ -170,7 +170,7 @@
     pub(crate) fn has_remote_parent(&self, agent: usize) -> bool {
         let locality = self.nodes[agent].descriptor.locality;
         self.parent(agent)
-            .is_some_and(|source| !self.nodes[source].descriptor.locality.same_region(locality))
+            .is_some_and(|parent| !self.nodes[parent].descriptor.locality.same_region(locality))
     }
 
     pub(crate) fn is_running(&self, node: usize) -> bool {
