--- /dev/null
+++ b/crates/endpoints/src/clock.rs
@@ -0,0 +1,4 @@
+//! The unit of time.
+
+/// Microseconds of a monotonic clock.
+pub type Micros = u64;
--- a/crates/endpoints/src/contacts.rs
+++ b/crates/endpoints/src/contacts.rs
@@ -3,7 +3,7 @@
 use ironmast_schema::control::{Key, Observation};
 use rustc_hash::FxHashMap;
 
-use crate::Micros;
+use crate::clock::Micros;
 
 /// The last contact with one endpoint.
 #[derive(Debug, Clone, Copy)]
--- a/crates/endpoints/src/expiry.rs
+++ b/crates/endpoints/src/expiry.rs
@@ -2,8 +2,10 @@
 
 use ironmast_schema::control::{Entry, Key, Liveness, Value};
 
+use crate::clock::Micros;
 use crate::contacts::Contact;
-use crate::{EndpointTable, ExpiryTimeouts, Micros, versions};
+use crate::table::{EndpointTable, ExpiryTimeouts};
+use crate::versions;
 
 /// The removal of an entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/endpoints/src/gates.rs
+++ b/crates/endpoints/src/gates.rs
@@ -4,8 +4,9 @@
 
 use ironmast_schema::control::{Entry, GateRecord, Key, Value};
 
+use crate::clock::Micros;
 use crate::contacts::Contact;
-use crate::{EndpointTable, Micros};
+use crate::table::EndpointTable;
 
 /// A gate of the table, with its reachability.
 #[derive(Debug, Clone, Copy)]
--- a/crates/endpoints/src/instances.rs
+++ b/crates/endpoints/src/instances.rs
@@ -3,7 +3,9 @@
 use ironmast_schema::control::{Entry, InstanceRecord, Key, Liveness, Value};
 use ironmast_schema::registration::Heartbeat;
 
-use crate::{EndpointTable, Micros, versions};
+use crate::clock::Micros;
+use crate::table::EndpointTable;
+use crate::versions;
 
 impl EndpointTable {
     /// Records a server's heartbeat; returns the entry to send to the other nodes if they need to
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -9,6 +9,7 @@
 //! The crate does no I/O: the caller passes the time and sends what the methods return.
 #![forbid(unsafe_code)]
 
+mod clock;
 mod contacts;
 mod diff;
 mod expiry;
@@ -17,12 +18,10 @@
 mod table;
 mod versions;
 
+pub use clock::Micros;
 pub use expiry::Removal;
 pub use gates::Gate;
 pub use table::{EndpointTable, ExpiryTimeouts, MergeOutcome};
 
-/// Microseconds of a monotonic clock.
-pub type Micros = u64;
-
 #[cfg(test)]
 mod tests;
--- a/crates/endpoints/src/table.rs
+++ b/crates/endpoints/src/table.rs
@@ -3,7 +3,7 @@
 use ironmast_schema::control::{ControlState, Entry, Key, Observation, Value};
 use rustc_hash::FxHashMap;
 
-use crate::Micros;
+use crate::clock::Micros;
 use crate::contacts::Contacts;
 use crate::diff::is_relevant_change;
 
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,10 +1,6 @@
 //! The file operations that the log needs, and their errors. A trait, so that tests can run the log
 //! on disks that lose power, fill up, stall or fail to sync.
 
-mod real;
-
-pub use real::RealDisk;
-
 use std::fmt;
 
 /// One folder of files on a disk.
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -12,10 +12,6 @@
 //! | sequence number | 8 | checksum of length, synced end and payload | 4 |
 //! | checksum of the above | 4 | checksum of the header | 4 |
 
-mod scan;
-
-pub(crate) use scan::scan;
-
 use std::fmt;
 
 /// Version of the format.
@@ -25,8 +21,10 @@
 /// Bytes of a frame header.
 pub(crate) const FRAME_HEADER_BYTES: usize = 24;
 
+/// First bytes of a segment.
 const SEGMENT_MAGIC: [u8; 8] = *b"IRONMLOG";
-const FRAME_MAGIC: [u8; 4] = *b"FRAM";
+/// First bytes of a frame.
+pub(crate) const FRAME_MAGIC: [u8; 4] = *b"FRAM";
 
 /// The kind of corruption in a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -141,7 +139,8 @@
     out.extend_from_slice(payload);
 }
 
-fn checksum(sequence: u64, offset: u64, parts: &[&[u8]]) -> u32 {
+/// Checksum of a frame's bytes, seeded with the frame's position.
+pub(crate) fn checksum(sequence: u64, offset: u64, parts: &[&[u8]]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&sequence.to_le_bytes());
     hasher.update(&offset.to_le_bytes());
@@ -151,13 +150,15 @@
     hasher.finalize()
 }
 
-fn u32_at(bytes: &[u8], at: usize) -> u32 {
+/// The little-endian integer at an offset. Panics if the slice is too short.
+pub(crate) fn u32_at(bytes: &[u8], at: usize) -> u32 {
     let mut word = [0; 4];
     word.copy_from_slice(&bytes[at..at + 4]);
     u32::from_le_bytes(word)
 }
 
-fn u64_at(bytes: &[u8], at: usize) -> u64 {
+/// The little-endian integer at an offset. Panics if the slice is too short.
+pub(crate) fn u64_at(bytes: &[u8], at: usize) -> u64 {
     let mut word = [0; 8];
     word.copy_from_slice(&bytes[at..at + 8]);
     u64::from_le_bytes(word)
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -9,6 +9,7 @@
 //! no reserve file to release when the disk is full: the log's own use is bounded, and a disk that
 //! rejects every write also rejects writes into released space.
 
+mod error;
 mod quarantine;
 mod segments;
 #[cfg(test)]
@@ -25,6 +26,7 @@
 use crate::recovery::{self, NewestRecord, OpenError, Recovered};
 use crate::settings::{LogSettings, OnOpen};
 
+pub use error::LogError;
 pub use quarantine::MAX_QUARANTINED_SEGMENTS;
 use segments::{Segments, check_size};
 
@@ -45,32 +47,6 @@
     Failed(DiskError),
 }
 
-/// Why a record was not written or not made durable.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum LogError {
-    /// The disk is full. Durable records stay durable; [`Log::reopen`] succeeds once there is space.
-    #[error("{0}; free room on the disk")]
-    Full(DiskError),
-    /// The disk failed. Whether it holds the unsynced records is unknown; [`Log::reopen`] starts a
-    /// new segment.
-    #[error("{0}; records are refused until a new segment is written")]
-    Disk(DiskError),
-    /// An earlier operation failed and the log has not been reopened.
-    #[error("the log failed before and was not reopened: {0}")]
-    Failed(DiskError),
-    /// The record is larger than a segment may be.
-    #[error("record of {bytes} bytes in a frame, {limit} allowed; raise the log's space")]
-    TooLarge {
-        /// Bytes of the record with its frame and the segment header.
-        bytes: u64,
-        /// Bytes allowed.
-        limit: u64,
-    },
-    /// The record cannot be encoded.
-    #[error("record cannot be encoded: {0}")]
-    Encode(postcard::Error),
-}
-
 impl<R: Serialize + DeserializeOwned> Log<R> {
     /// Opens the log in a folder, recovers its newest record and rewrites it into a new segment.
     ///
--- a/crates/storage/src/log/segments.rs
+++ b/crates/storage/src/log/segments.rs
@@ -8,7 +8,7 @@
 use crate::recovery::LogFiles;
 use crate::settings::LogSettings;
 
-use super::LogError;
+use super::error::LogError;
 
 /// The segments of one log.
 pub(super) struct Segments {
--- a/crates/storage/src/log/tests.rs
+++ b/crates/storage/src/log/tests.rs
@@ -8,6 +8,7 @@
 use std::sync::Arc;
 
 use crate::disk::Disk;
+use crate::scan::Checksums;
 use crate::settings::{Guards, LogSettings, OnOpen};
 use crate::testing::{FaultyDisk, Safeguard, UnsafeDisk};
 use history::{Setup, Violation, play};
@@ -81,7 +82,7 @@
 
 #[test]
 fn histories_detect_frames_that_are_not_checked() {
-    let settings = guards(|guards| guards.checksum = false);
+    let settings = guards(|guards| guards.checksums = Checksums::Ignore);
     assert_caught(&Setup {
         settings,
         disk: Box::new(unchanged),
--- a/crates/storage/src/disk/real.rs
+++ b/crates/storage/src/real_disk.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use super::{Disk, DiskError, DiskOperation, FailureKind};
+use crate::disk::{Disk, DiskError, DiskOperation, FailureKind};
 
 /// Name used for the folder itself in errors.
 const FOLDER: &str = ".";
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -3,8 +3,9 @@
 use serde::de::DeserializeOwned;
 
 use crate::disk::{Disk, DiskError};
-use crate::format::{Corruption, CorruptionReason, scan};
+use crate::format::{Corruption, CorruptionReason};
 use crate::names::{self, LogFile};
+use crate::scan::scan;
 use crate::settings::LogSettings;
 
 /// The result of recovery when a log is opened.
@@ -105,7 +106,7 @@
         reason: corruption.reason,
     };
     let scan =
-        scan(&bytes, &settings.name, sequence, settings.guards.checksum).map_err(corrupted)?;
+        scan(&bytes, &settings.name, sequence, settings.guards.checksums).map_err(corrupted)?;
     let offset = scan.newest.start as u64;
     let payload = bytes[scan.newest].to_vec();
     let record = postcard::from_bytes(&payload).map_err(|_| {
--- a/crates/storage/src/format/scan.rs
+++ b/crates/storage/src/scan.rs
@@ -8,11 +8,28 @@
 
 use std::ops::Range;
 
-use super::{
+use crate::format::{
     Corruption, CorruptionReason, FRAME_HEADER_BYTES, FRAME_MAGIC, SEGMENT_HEADER_BYTES,
     check_segment_header, checksum, u32_at, u64_at,
 };
 
+/// Whether the checksums of frames are verified. Only tests ignore them, to show that corruption is
+/// missed then.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[cfg_attr(
+    not(test),
+    expect(
+        dead_code,
+        reason = "the unsafe variant exists for tests that show it failing"
+    )
+)]
+pub(crate) enum Checksums {
+    /// Frames with a wrong checksum are rejected.
+    Verify,
+    /// All frames are accepted.
+    Ignore,
+}
+
 /// The content of an intact segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Scan {
@@ -35,7 +52,7 @@
     bytes: &[u8],
     log: &str,
     sequence: u64,
-    checksums: bool,
+    checksums: Checksums,
 ) -> Result<Scan, Corruption> {
     check_segment_header(bytes, log, sequence)
         .map_err(|reason| Corruption { offset: 0, reason })?;
@@ -65,7 +82,7 @@
     bytes: &[u8],
     valid_end: usize,
     sequence: u64,
-    checksums: bool,
+    checksums: Checksums,
 ) -> Result<(), Corruption> {
     let mut at = valid_end + 1;
     while let Some(found) = find_magic(bytes, at) {
@@ -90,7 +107,7 @@
         .map(|position| from + position)
 }
 
-fn frame_at(bytes: &[u8], at: usize, sequence: u64, checksums: bool) -> Option<Frame> {
+fn frame_at(bytes: &[u8], at: usize, sequence: u64, checksums: Checksums) -> Option<Frame> {
     let start = at.checked_add(FRAME_HEADER_BYTES)?;
     let header = bytes.get(at..start)?;
     if header[..4] != FRAME_MAGIC {
@@ -98,11 +115,15 @@
     }
     let end = start.checked_add(u32_at(header, 4) as usize)?;
     let offset = at as u64;
-    if checksums && checksum(sequence, offset, &[&header[..20]]) != u32_at(header, 20) {
+    if checksums == Checksums::Verify
+        && checksum(sequence, offset, &[&header[..20]]) != u32_at(header, 20)
+    {
         return None;
     }
     let payload = bytes.get(start..end)?;
-    if checksums && checksum(sequence, offset, &[&header[4..16], payload]) != u32_at(header, 16) {
+    if checksums == Checksums::Verify
+        && checksum(sequence, offset, &[&header[4..16], payload]) != u32_at(header, 16)
+    {
         return None;
     }
     Some(Frame {
--- a/crates/storage/src/settings.rs
+++ b/crates/storage/src/settings.rs
@@ -1,5 +1,7 @@
 //! Settings of a log.
 
+use crate::scan::Checksums;
+
 /// The fraction of the disk that a log may use by default is one eighth.
 const DISK_FRACTION: u64 = 8;
 /// The space holds four segments: the current one, the one being written, and two that a lost folder
@@ -19,8 +21,8 @@
 /// The safeguards of the log. Tests switch one off to show that its absence is detected.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Guards {
-    /// Whether frames with a wrong checksum are rejected.
-    pub(crate) checksum: bool,
+    /// Whether the checksums of frames are verified.
+    pub(crate) checksums: Checksums,
     /// Whether writing to a file stops after a failure.
     pub(crate) stop_after_failure: bool,
     /// Whether the next segment's file is created before others are removed.
@@ -81,7 +83,7 @@
     /// Settings that the caller knows to be valid.
     pub(crate) fn new_unchecked(name: &str, space_bytes: u64) -> Self {
         let guards = Guards {
-            checksum: true,
+            checksums: Checksums::Verify,
             stop_after_failure: true,
             create_before_remove: true,
             on_open: OnOpen::Rewrite,
--- a/crates/storage/src/testing.rs
+++ b/crates/storage/src/testing.rs
@@ -2,6 +2,7 @@
 //! other crates that store data.
 
 mod contract;
+mod errors;
 mod faulty;
 mod inode;
 mod memory;
@@ -12,17 +13,3 @@
 pub use faulty::FaultyDisk;
 pub use memory::MemoryDisk;
 pub use unsafe_disk::{Safeguard, UnsafeDisk};
-
-use crate::disk::{DiskError, DiskOperation, FailureKind};
-
-fn not_found(file: &str, operation: DiskOperation) -> DiskError {
-    DiskError::new(file, operation, FailureKind::NotFound, "no such file")
-}
-
-fn name_exists(file: &str, operation: DiskOperation) -> DiskError {
-    DiskError::new(file, operation, FailureKind::Exists, "the name is taken")
-}
-
-fn full(file: &str, operation: DiskOperation) -> DiskError {
-    DiskError::new(file, operation, FailureKind::Full, "no room")
-}
--- /dev/null
+++ b/crates/storage/src/testing/errors.rs
@@ -0,0 +1,15 @@
+//! The errors of simulated disks.
+
+use crate::disk::{DiskError, DiskOperation, FailureKind};
+
+pub(super) fn not_found(file: &str, operation: DiskOperation) -> DiskError {
+    DiskError::new(file, operation, FailureKind::NotFound, "no such file")
+}
+
+pub(super) fn name_exists(file: &str, operation: DiskOperation) -> DiskError {
+    DiskError::new(file, operation, FailureKind::Exists, "the name is taken")
+}
+
+pub(super) fn full(file: &str, operation: DiskOperation) -> DiskError {
+    DiskError::new(file, operation, FailureKind::Full, "no room")
+}
--- a/crates/storage/src/testing/faulty.rs
+++ b/crates/storage/src/testing/faulty.rs
@@ -8,9 +8,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
+use super::errors::{full, not_found};
 use super::inode::Inode;
 use super::stall::StallGate;
-use super::{full, not_found};
 use crate::disk::{Disk, DiskError, DiskOperation, FailureKind};
 use names::Names;
 
--- a/crates/storage/src/testing/faulty/names.rs
+++ b/crates/storage/src/testing/faulty/names.rs
@@ -6,7 +6,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 use crate::disk::{DiskError, DiskOperation};
-use crate::testing::{name_exists, not_found};
+use crate::testing::errors::{name_exists, not_found};
 
 /// The names with their inode numbers.
 #[derive(Debug, Default)]
--- a/crates/storage/src/testing/memory.rs
+++ b/crates/storage/src/testing/memory.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use super::{full, name_exists, not_found};
+use super::errors::{full, name_exists, not_found};
 use crate::disk::{Disk, DiskError, DiskOperation};
 
 /// A disk in memory. Nothing is ever lost; writes that don't fit are rejected.
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -1,5 +1,6 @@
 //! A thread that owns a log, so that no caller blocks on the disk.
 
+mod health;
 mod queue;
 
 use std::sync::Arc;
@@ -11,14 +12,10 @@
 
 use crate::disk::DiskError;
 use crate::log::{Log, LogError, LogState};
+pub use health::{Activity, Health};
+pub use queue::Supersedes;
 use queue::{Batch, Queue};
 
-/// Records that can make earlier ones obsolete, so that only the newer one is written.
-pub trait Supersedes {
-    /// Whether `earlier` need not be written if `self` is.
-    fn supersedes(&self, earlier: &Self) -> bool;
-}
-
 /// The outcome of one submitted record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion<T> {
@@ -29,31 +26,6 @@
     pub result: Result<(), LogError>,
 }
 
-/// The activity of the writer's thread.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Activity {
-    /// It waits for records.
-    Idle,
-    /// It writes and syncs a batch.
-    Busy {
-        /// When the batch was started, on the clock passed to [`Writer::spawn`].
-        since: Duration,
-    },
-    /// It has ended.
-    Stopped,
-}
-
-/// The state of a writer, for monitoring.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Health {
-    /// The activity of the writer's thread.
-    pub activity: Activity,
-    /// The failure after which the log hasn't been reopened yet; the next submitted record tries to.
-    pub failure: Option<DiskError>,
-    /// Submitted records that no batch includes yet.
-    pub queued: usize,
-}
-
 /// Owns a log on a thread of its own, with group commit.
 ///
 /// Each batch takes all queued records, writes those that aren't superseded, and syncs once.
--- a/crates/storage/src/writer/queue.rs
+++ b/crates/storage/src/writer/queue.rs
@@ -5,7 +5,13 @@
 
 use crate::disk::DiskError;
 
-use super::{Activity, Health, Supersedes};
+use super::health::{Activity, Health};
+
+/// Records that can make earlier ones obsolete, so that only the newer one is written.
+pub trait Supersedes {
+    /// Whether `earlier` need not be written if `self` is.
+    fn supersedes(&self, earlier: &Self) -> bool;
+}
 
 /// Records that are written together, with the tokens of these and of the ones they superseded.
 pub(super) struct Batch<R, T> {
