--- a/crates/fault-injection/src/datagrams.rs
+++ b/crates/fault-injection/src/datagrams.rs
@@ -48,6 +48,9 @@
 
 impl DatagramRelay {
     /// Between `a` (named `a_name` in links) and `b`; both on loopback. `seed` draws the chances.
+    ///
+    /// # Errors
+    /// A socket cannot be opened.
     pub fn start(
         (a_name, a): (&str, SocketAddr),
         (b_name, b): (&str, SocketAddr),
--- a/crates/fault-injection/src/failing/script.rs
+++ b/crates/fault-injection/src/failing/script.rs
@@ -225,9 +225,9 @@
 /// The events of the stream made for a request, from that one on.
 #[must_use]
 pub fn events(id: &str, from: u64) -> String {
-    (from..=EVENTS)
-        .map(|event| format!("id: {event}\ndata: {id}\n\n"))
-        .collect()
+    (from..=EVENTS).fold(String::new(), |stream, event| {
+        stream + &format!("id: {event}\ndata: {id}\n\n")
+    })
 }
 
 struct Writer<'a> {
@@ -312,6 +312,7 @@
 
 /// What a server does with a request.
 #[must_use]
+#[expect(clippy::too_many_lines, reason = "one arm for each kind of failure")]
 pub fn acts(failure: Option<Failure>, asked: &Asked, dialect: &Dialect) -> Vec<Act> {
     use Failure::{
         AfterAnswer, AfterInterim, BadChunk, BodyWithout204, BothFramings, EarlyError,
--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -168,6 +168,9 @@
 
 impl Schedule {
     /// Checks each fault; sorts them by their start.
+    ///
+    /// # Errors
+    /// A fault that contradicts another one or names an impossible value.
     pub fn new(mut faults: Vec<Fault>) -> Result<Schedule, FaultError> {
         for (n, fault) in faults.iter().enumerate() {
             let parts = fault.link.split_once("->");
@@ -207,6 +210,9 @@
     }
 
     /// Adds a fault that begins at once; used for faults set on a call during a run.
+    ///
+    /// # Errors
+    /// As for [`Schedule::new`].
     pub fn push(&mut self, fault: Fault) -> Result<(), FaultError> {
         let mut all = std::mem::take(&mut self.faults);
         all.push(fault);
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -18,6 +18,10 @@
 //! - [`stage`]: all of it laid out and started together; [`scenario`]: read from a file and played.
 
 #![forbid(unsafe_code)]
+#![expect(
+    clippy::missing_panics_doc,
+    reason = "test support: a poisoned lock or a failed set-up ends the test"
+)]
 
 pub mod backlog;
 pub mod datagrams;
@@ -42,6 +46,9 @@
 pub const CONFIG: &str = include_str!("proxy.json");
 
 /// Refuses any address off loopback: the stage sends nothing elsewhere.
+///
+/// # Errors
+/// The address is not a loopback address.
 pub fn loopback(address: SocketAddr) -> std::io::Result<()> {
     if address.ip().is_loopback() {
         Ok(())
@@ -55,6 +62,9 @@
 
 /// One line to a proxy's operators' address and its answer's line (`+OK ...` or `-ERR ...`), within
 /// 1 s.
+///
+/// # Errors
+/// The connection fails or gives no answer in time.
 pub fn call(ops: SocketAddr, line: &str) -> std::io::Result<String> {
     loopback(ops)?;
     let mut stream = TcpStream::connect_timeout(&ops, Duration::from_secs(1))?;
--- a/crates/fault-injection/src/load.rs
+++ b/crates/fault-injection/src/load.rs
@@ -155,11 +155,17 @@
 
 /// Plays a load on `address`; `name` prefixes each `X-Txn` (hex digits are added). Refuses an
 /// address off loopback.
+///
+/// # Errors
+/// The address is not a loopback address.
 pub fn play(address: SocketAddr, name: &str, shape: &Shape) -> std::io::Result<Report> {
     play_into(address, name, shape, Instant::now(), &Tally::default())
 }
 
 /// The same, with times counted from `start` and each request added to `sent` as it ends.
+///
+/// # Errors
+/// The address is not a loopback address.
 pub fn play_into(
     address: SocketAddr,
     name: &str,
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -51,6 +51,9 @@
     /// and `TMPDIR` at `state` (its state directory, where a successor finds it, and its working
     /// directory, where it reads `deploy/membership.toml`), and waits (at most `patience`) until it
     /// tells where operators call.
+    ///
+    /// # Errors
+    /// The program cannot be started.
     pub fn start(
         name: &str,
         program: &Path,
@@ -132,6 +135,9 @@
     }
 
     /// Sends it a signal; an error where it has already been reaped.
+    ///
+    /// # Errors
+    /// The process has ended.
     pub fn signal(&self, sent: Sent) -> std::io::Result<()> {
         let signal = match sent {
             Sent::Kill => Signal::KILL,
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -50,6 +50,9 @@
     }
 
     /// Sets a fault that begins now (`at_s` is ignored), as on an operator's call during a run.
+    ///
+    /// # Errors
+    /// As for [`Schedule::push`].
     pub fn set(&self, mut fault: Fault) -> Result<(), FaultError> {
         fault.at_s = self.elapsed().as_secs_f64();
         self.schedule.write().expect("not poisoned").push(fault)
@@ -115,6 +118,9 @@
 
 impl Relay {
     /// A relay from `from` to `to` at `target`. Refuses a target off loopback.
+    ///
+    /// # Errors
+    /// The listening socket cannot be opened.
     pub fn start(
         from: &str,
         to: &str,
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -179,8 +179,11 @@
     }
     let mut zones = scenario.zones();
     zones.sort();
-    if let Some(twice) = zones.windows(2).find(|pair| pair[0] == pair[1]) {
-        return Err(format!("{from}: zone.name: `{}` is there twice", twice[0]));
+    if let Some([twice, _]) = zones
+        .windows(2)
+        .find(|pair| matches!(pair, [first, second] if first == second))
+    {
+        return Err(format!("{from}: zone.name: `{twice}` is there twice"));
     }
     let class = scenario.load.path[1..]
         .split(['/', '?'])
@@ -347,9 +350,9 @@
         }
     });
     let mut latency = Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid bounds");
-    reports
-        .iter()
-        .for_each(|r| latency.add(&r.latency).expect("same bounds"));
+    for report in &reports {
+        latency.add(&report.latency).expect("same bounds");
+    }
     let sent: Vec<Vec<Request>> = reports.into_iter().map(|r| r.sent).collect();
     let runs = stage.record.runs();
     let verdict = verdict::judge(&sent.concat(), &runs, &["balance"]);
--- a/crates/fault-injection/src/stage.rs
+++ b/crates/fault-injection/src/stage.rs
@@ -110,6 +110,9 @@
 /// A port of the system's choice on 127.0.0.1, held without listening (`SO_REUSEPORT`) so that only
 /// the proxies that listen there may have it; the port is given back when the descriptor is
 /// dropped.
+///
+/// # Errors
+/// No loopback port is free.
 pub fn place() -> std::io::Result<(SocketAddr, OwnedFd)> {
     let port = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None)?;
     set_socket_reuseport(&port, true)?;
@@ -145,6 +148,9 @@
 impl Stage {
     /// Sets up a stage under `schedule` and starts every proxy, each with a configuration from
     /// [`crate::CONFIG`] in which the zones are the layout's.
+    ///
+    /// # Errors
+    /// A stand-in, a relay or a file cannot be set up.
     pub fn new(layout: Layout, schedule: Schedule) -> Result<Stage, StageError> {
         if layout.zones.is_empty() || layout.proxies == 0 {
             return Err(StageError::Io(std::io::Error::other(
@@ -210,6 +216,9 @@
 
     /// Starts proxy `p` (again, on the same clients' address and state directory) and waits for its
     /// yes; how long the yes took.
+    ///
+    /// # Errors
+    /// The proxy cannot be started or is not ready in time.
     pub fn start(&mut self, p: usize) -> Result<Duration, StageError> {
         let (name, state) = (format!("proxy{p}"), self.state(p));
         let (program, patience) = (&self.layout.program, self.layout.patience);
--- a/crates/fault-injection/src/standin.rs
+++ b/crates/fault-injection/src/standin.rs
@@ -140,6 +140,9 @@
 
 impl PayServer {
     /// Starts one that runs each request for `work`.
+    ///
+    /// # Errors
+    /// The listening socket cannot be opened.
     pub fn start(uid: &str, work: Duration, record: Arc<Record>) -> std::io::Result<PayServer> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -200,6 +203,10 @@
     }
 }
 
+#[expect(
+    clippy::needless_pass_by_value,
+    reason = "the connection ends with this function"
+)]
 fn serve(stream: TcpStream, uid: &str, work: &AtomicU64, mood: &AtomicU8, record: &Record) {
     let _ = stream.set_read_timeout(Some(Duration::from_secs(60)));
     let Ok(reading) = stream.try_clone() else {
@@ -326,6 +333,9 @@
 
 impl Discovery {
     /// Serves `registry` with these endpoints for its pay servers.
+    ///
+    /// # Errors
+    /// The listening socket cannot be opened.
     pub fn start(
         registry: Arc<Registry>,
         endpoints: HashMap<String, SocketAddr>,
@@ -359,6 +369,10 @@
     }
 }
 
+#[expect(
+    clippy::needless_pass_by_value,
+    reason = "the connection ends with this function"
+)]
 fn answer(
     stream: TcpStream,
     registry: &Registry,
--- a/crates/ironmast/tests/exchanges/deployments.rs
+++ b/crates/ironmast/tests/exchanges/deployments.rs
@@ -153,6 +153,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one deployment after the other, from its settings to a served request"
+)]
 fn each_deployment_is_read_and_each_of_its_classes_is_served() {
     for deployment in &DEPLOYMENTS {
         let name = deployment.name;
--- a/crates/ironmast/tests/exchanges/player.rs
+++ b/crates/ironmast/tests/exchanges/player.rs
@@ -139,6 +139,10 @@
 }
 
 impl Proxy {
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one arm for each step of an exchange"
+    )]
     fn step(&mut self, line: &str) {
         let mut words = line.splitn(3, ' ');
         let (party, verb) = (
--- a/crates/ironmast/tests/log_messages.rs
+++ b/crates/ironmast/tests/log_messages.rs
@@ -30,7 +30,8 @@
             .unwrap_or_default();
         if path.is_dir() && name != "tests" {
             sources(&path, found);
-        } else if name.ends_with(".rs") && name != "tests.rs" {
+        } else if path.extension().is_some_and(|extension| extension == "rs") && name != "tests.rs"
+        {
             found.push(path);
         }
     }
--- a/crates/ironmast/tests/stage/mod.rs
+++ b/crates/ironmast/tests/stage/mod.rs
@@ -136,6 +136,10 @@
         }
     }
 
+    #[expect(
+        clippy::unnecessary_wraps,
+        reason = "callers pass it where a folder is optional"
+    )]
     pub(crate) fn place(&self) -> Option<&Path> {
         Some(self.folder.path())
     }
--- a/crates/ironmast/tests/streams.rs
+++ b/crates/ironmast/tests/streams.rs
@@ -249,7 +249,7 @@
             .write_all(&[first, vec![b'x'; 1_000]].concat())
             .expect("written");
         wait.lock().expect("free").recv().expect("told to go on");
-        stream.write_all(&[b'x'; 50_000]).expect("written");
+        stream.write_all(&vec![b'x'; 50_000]).expect("written");
         false
     });
     let (stage, _process) = started(&[slow]);
@@ -276,7 +276,7 @@
     let tries = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&tries);
     let breaks = listen(move |mut stream| {
-        let mut part = [0; 128 * 1024];
+        let mut part = vec![0; 128 * 1024];
         let mut come = 0;
         while come < 300_000 {
             match stream.read(&mut part) {
@@ -369,7 +369,7 @@
         .expect("written");
         stream
             .get_mut()
-            .write_all(&[b'x'; 300_000])
+            .write_all(&vec![b'x'; 300_000])
             .expect("written");
         assert!(
             head(&mut stream)
@@ -393,7 +393,7 @@
     .expect("written");
     stream
         .get_mut()
-        .write_all(&[b'x'; 100_000])
+        .write_all(&vec![b'x'; 100_000])
         .expect("written");
     let _ = stream.read_to_end(&mut Vec::new());
     assert!(start.elapsed() < Duration::from_secs(10), "closed on");
--- a/crates/ironmast/tests/system_control.rs
+++ b/crates/ironmast/tests/system_control.rs
@@ -299,7 +299,9 @@
     };
     eventually("contact", || heartbeat(1).filter(|status| *status == 200));
     let others: Vec<&Role> = coordinators[1..].iter().flatten().collect();
-    others.iter().for_each(|other| other.freeze());
+    for other in &others {
+        other.freeze();
+    }
     let frozen = Instant::now();
     let refused = eventually("the bound", || {
         let is_late = frozen.elapsed() >= CONTACT_BOUND;
@@ -308,7 +310,9 @@
     });
     assert_eq!(refused, Some(503));
     assert_eq!(statuses(&site, 1, 3), [Some(503); 7]);
-    others.iter().for_each(|other| other.thaw());
+    for other in &others {
+        other.thaw();
+    }
     eventually("contact", || heartbeat(9).filter(|status| *status == 200));
     let [
         heartbeat,
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -198,6 +198,10 @@
 }
 
 /// Plays everything, and writes what was finished even where it was stopped.
+#[expect(
+    clippy::needless_pass_by_value,
+    reason = "the command line hands its scenarios over"
+)]
 pub(crate) fn run(
     scenarios: Vec<Scenario>,
     policies: &[PolicyName],
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -30,6 +30,10 @@
     #[arg(long = "site", value_name = "FILE", required = true)]
     sites: Vec<PathBuf>,
     /// The day files (see scenarios/system/).
+    #[expect(
+        clippy::struct_field_names,
+        reason = "the name of the argument on the command line"
+    )]
     #[arg(required = true)]
     days: Vec<PathBuf>,
     /// The first seed.
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -39,6 +39,7 @@
     /// Plays a stage scenario with real proxies on loopback: a table a second, then one verdict.
     /// Ends with 1 where something ran twice, was served without a run, or is not as the scenario's
     /// [expect] table says.
+    #[allow(rustdoc::broken_intra_doc_links, reason = "printed by --help as it is")]
     Stage {
         /// The stage scenario's file (see scenarios/stage/).
         scenario: PathBuf,
@@ -109,6 +110,7 @@
         scenario: PathBuf,
         /// What to vary: PATH=FROM..TO[:STEPS], as in clients.rate=100..900:9 or
         /// trouble.0.factor=1..8.
+        #[allow(rustdoc::broken_intra_doc_links, reason = "printed by --help as it is")]
         #[arg(long)]
         vary: sweep::Vary,
         #[command(flatten)]
@@ -171,6 +173,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "one arm for each subcommand")]
 fn run(command: Command) -> Result<ExitCode, String> {
     match command {
         Command::Check { scenario } => {
