--- a/crates/endpoints/src/tests.rs
+++ b/crates/endpoints/src/tests.rs
@@ -1,5 +1,5 @@
-//! The table by itself: heartbeats, silence, gates, and catalogs that got the same words in
-//! another order.
+//! Tests of the endpoint table by itself: heartbeats, expiry, gates, and tables that merge the same
+//! entries in different orders.
 
 use assert_matches::assert_matches;
 use ironmast_schema::control::{
--- a/crates/storage/src/log/tests.rs
+++ b/crates/storage/src/log/tests.rs
@@ -1,5 +1,5 @@
-//! Random histories of records, syncs, losses of power, kills and disk failures, against what was
-//! reported.
+//! Random histories of appends, syncs, power losses, kills and disk failures: the recovered record
+//! never contradicts what was reported as durable.
 
 mod failures;
 mod history;
@@ -11,9 +11,9 @@
 use crate::scan::Checksums;
 use crate::settings::{Guards, LogSettings, OnOpen};
 use crate::testing::{FaultyDisk, Safeguard, UnsafeDisk};
-use history::{Setup, Violation, play};
+use history::{Setup, Violation, run_history};
 
-/// Histories that a sound log is played through.
+/// Number of histories per test.
 const HISTORIES: u64 = 4_000;
 
 fn settings() -> LogSettings {
@@ -30,9 +30,13 @@
     settings
 }
 
-/// The first violation in as many histories as a sound log is played through.
+/// The first violation among all histories, with its seed.
 fn first_violation(setup: &Setup) -> Option<(u64, Violation)> {
-    (0..HISTORIES).find_map(|seed| play(seed, setup).err().map(|violation| (seed, violation)))
+    (0..HISTORIES).find_map(|seed| {
+        run_history(seed, setup)
+            .err()
+            .map(|violation| (seed, violation))
+    })
 }
 
 fn without_safeguard(omitted: Safeguard) -> Setup {
@@ -42,9 +46,12 @@
     }
 }
 
-fn assert_caught(setup: &Setup) {
-    let caught = first_violation(setup);
-    assert!(caught.is_some(), "no history found what is missing");
+fn assert_detected(setup: &Setup) {
+    let violation = first_violation(setup);
+    assert!(
+        violation.is_some(),
+        "no history detects the missing safeguard"
+    );
 }
 
 #[test]
@@ -58,23 +65,23 @@
 
 #[test]
 fn histories_detect_a_folder_that_is_not_synced() {
-    assert_caught(&without_safeguard(Safeguard::FolderSync));
+    assert_detected(&without_safeguard(Safeguard::FolderSync));
 }
 
 #[test]
 fn histories_detect_files_that_are_not_synced() {
-    assert_caught(&without_safeguard(Safeguard::FileSync));
+    assert_detected(&without_safeguard(Safeguard::FileSync));
 }
 
 #[test]
 fn histories_detect_a_failed_sync_that_is_retried() {
-    assert_caught(&without_safeguard(Safeguard::StopAfterFailedSync));
+    assert_detected(&without_safeguard(Safeguard::StopAfterFailedSync));
 }
 
 #[test]
 fn histories_detect_a_log_that_continues_after_a_failure() {
     let settings = guards(|guards| guards.stop_after_failure = false);
-    assert_caught(&Setup {
+    assert_detected(&Setup {
         settings,
         disk: Box::new(unchanged),
     });
@@ -83,7 +90,7 @@
 #[test]
 fn histories_detect_frames_that_are_not_checked() {
     let settings = guards(|guards| guards.checksums = Checksums::Ignore);
-    assert_caught(&Setup {
+    assert_detected(&Setup {
         settings,
         disk: Box::new(unchanged),
     });
@@ -92,7 +99,7 @@
 #[test]
 fn histories_detect_records_appended_after_a_torn_end() {
     let settings = guards(|guards| guards.on_open = OnOpen::AppendBehind);
-    assert_caught(&Setup {
+    assert_detected(&Setup {
         settings,
         disk: Box::new(unchanged),
     });
@@ -101,7 +108,7 @@
 #[test]
 fn histories_detect_a_record_trusted_as_read_from_the_page_cache() {
     let settings = guards(|guards| guards.on_open = OnOpen::Trust);
-    assert_caught(&Setup {
+    assert_detected(&Setup {
         settings,
         disk: Box::new(unchanged),
     });
--- a/crates/storage/src/log/tests/failures.rs
+++ b/crates/storage/src/log/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Single failures, step by step.
+//! Individual failures.
 
 use std::sync::Arc;
 
@@ -142,9 +142,9 @@
     assert_eq!(disk.count(DiskOperation::SyncFile), before);
 }
 
-/// Three segments in a row get names that may or may not be durable, a fourth can't be made, and
-/// the process is killed. Then record 5 is reported as durable and power is lost.
-fn find_after_failed_names(seed: u64, create_before_remove: bool) -> Recovered<u64> {
+/// Three segments in a row get names that may or may not be durable, a fourth can't be created, and
+/// the process is killed. Then record 5 is reported as durable and the power is lost.
+fn recover_after_failed_renames(seed: u64, create_before_remove: bool) -> Recovered<u64> {
     let disk = Arc::new(FaultyDisk::new(seed));
     let mut settings = LogSettings::new_unchecked("failures", 4096);
     settings.guards.create_before_remove = create_before_remove;
@@ -170,7 +170,7 @@
 fn a_removed_segment_that_reappears_is_never_recovered() {
     for seed in 0..200 {
         assert_eq!(
-            find_after_failed_names(seed, true),
+            recover_after_failed_renames(seed, true),
             found(5, true),
             "seed {seed}"
         );
@@ -179,13 +179,14 @@
 
 #[test]
 fn a_reused_segment_number_would_let_a_removed_segment_be_recovered() {
-    let wrong = (0..200).filter(|seed| find_after_failed_names(*seed, false) != found(5, true));
+    let wrong =
+        (0..200).filter(|seed| recover_after_failed_renames(*seed, false) != found(5, true));
     assert!(wrong.count() > 0);
 }
 
-/// A record is written in part before the disk refuses, the process is killed, and record 3 is
+/// A record is written in part before the disk is full, the process is killed, and record 3 is
 /// reported as durable.
-fn find_after_torn_end(seed: u64, on_open: OnOpen) -> Option<u64> {
+fn recover_after_torn_end(seed: u64, on_open: OnOpen) -> Option<u64> {
     let disk = Arc::new(FaultyDisk::new(seed));
     let mut settings = LogSettings::new_unchecked("failures", 4096);
     settings.guards.on_open = on_open;
@@ -208,6 +209,6 @@
 
 #[test]
 fn a_record_is_never_appended_after_a_torn_end() {
-    assert!((0..50).all(|seed| find_after_torn_end(seed, OnOpen::Rewrite) == Some(3)));
-    assert!((0..50).any(|seed| find_after_torn_end(seed, OnOpen::AppendBehind) != Some(3)));
+    assert!((0..50).all(|seed| recover_after_torn_end(seed, OnOpen::Rewrite) == Some(3)));
+    assert!((0..50).any(|seed| recover_after_torn_end(seed, OnOpen::AppendBehind) != Some(3)));
 }
--- a/crates/storage/src/log/tests/history.rs
+++ b/crates/storage/src/log/tests/history.rs
@@ -1,4 +1,4 @@
-//! Plays one history and checks what is found after each loss of power and kill.
+//! Runs one random history and checks the recovered record after each power loss and kill.
 
 use std::sync::Arc;
 
@@ -11,31 +11,31 @@
 use crate::settings::LogSettings;
 use crate::testing::FaultyDisk;
 
-/// Steps of a history.
+/// Number of steps of a history.
 const STEPS: u32 = 120;
-/// Longest filler of a record, in bytes.
-const LONGEST_FILLER: usize = 240;
+/// Largest padding of a record, in bytes.
+const MAX_PADDING: usize = 240;
 
-/// Number and filler of a record.
+/// Number and padding of a record.
 type Record = (u64, Vec<u8>);
 
-/// The log that is played and the disk it sees.
+/// The settings of the log under test, and the wrapper of its disk.
 pub(super) struct Setup {
     pub(super) settings: LogSettings,
     pub(super) disk: Box<dyn Fn(Arc<FaultyDisk>) -> Arc<dyn Disk>>,
 }
 
-/// What a log must never do.
+/// A violated invariant of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Violation {
-    /// A record was found that may not be, for what was reported.
-    Found {
+    /// A record was recovered that contradicts the reported durability.
+    WrongRecord {
         found: Option<u64>,
         allowed: Vec<Option<u64>>,
     },
-    /// A record was found that was never written.
-    Invented(u64),
-    /// A crash alone made the log damaged or unreadable.
+    /// A record was recovered that was never written.
+    UnknownRecord(u64),
+    /// A crash alone made the log corrupted or unreadable.
     Unrecoverable(OpenError),
     /// More space was used than the settings allow.
     Space(u64),
@@ -44,29 +44,29 @@
 struct History<'a> {
     setup: &'a Setup,
     random: Xoshiro256PlusPlus,
-    /// Share of steps that are trouble.
-    trouble: f64,
+    /// Probability that a step injects a fault.
+    fault_probability: f64,
     faulty: Arc<FaultyDisk>,
     disk: Arc<dyn Disk>,
     log: Option<Log<Record>>,
-    /// The newest number that was written, or tried to be.
+    /// The newest number that the log was asked to write.
     newest: u64,
-    /// The newest number that was appended and not synced yet.
+    /// The newest number that was appended but not synced yet.
     unsynced: Option<u64>,
-    /// What may be found after a crash.
+    /// The numbers that may be recovered after a crash.
     allowed: Vec<Option<u64>>,
 }
 
-/// Plays the history of a seed.
-pub(super) fn play(seed: u64, setup: &Setup) -> Result<(), Violation> {
+/// Runs the history of a seed.
+pub(super) fn run_history(seed: u64, setup: &Setup) -> Result<(), Violation> {
     let faulty = Arc::new(FaultyDisk::new(seed));
     let disk = (setup.disk)(Arc::clone(&faulty));
     let mut random = Xoshiro256PlusPlus::seed_from_u64(seed ^ 0x5eed);
-    let trouble = random.random_range(0.05..0.6);
+    let fault_probability = random.random_range(0.05..0.6);
     let mut history = History {
         setup,
         random,
-        trouble,
+        fault_probability,
         faulty,
         disk,
         log: None,
@@ -83,10 +83,10 @@
 
 impl History<'_> {
     fn step(&mut self) -> Result<(), Violation> {
-        if self.random.random_bool(self.trouble) {
-            self.trouble()?;
+        if self.random.random_bool(self.fault_probability) {
+            self.inject_fault()?;
         } else {
-            self.work();
+            self.operate();
         }
         let used = self.faulty.used_bytes();
         if used > self.setup.settings.space_bytes() {
@@ -95,7 +95,7 @@
         Ok(())
     }
 
-    fn work(&mut self) {
+    fn operate(&mut self) {
         match self.random.random_range(0..10) {
             0..5 => self.append(),
             5..9 => self.sync(),
@@ -103,7 +103,7 @@
         }
     }
 
-    fn trouble(&mut self) -> Result<(), Violation> {
+    fn inject_fault(&mut self) -> Result<(), Violation> {
         match self.random.random_range(0..10) {
             0..2 => self.lose_power()?,
             2..4 => self.kill()?,
@@ -173,14 +173,14 @@
             Recovered::Empty => self.check(None, false),
             Recovered::Found {
                 record, durable, ..
-            } if record.1 == filler(record.0) => self.check(Some(record.0), durable),
-            Recovered::Found { record, .. } => Err(Violation::Invented(record.0)),
+            } if record.1 == padding(record.0) => self.check(Some(record.0), durable),
+            Recovered::Found { record, .. } => Err(Violation::UnknownRecord(record.0)),
         }
     }
 
     fn check(&mut self, found: Option<u64>, durable: bool) -> Result<(), Violation> {
         if !self.allowed.contains(&found) {
-            return Err(Violation::Found {
+            return Err(Violation::WrongRecord {
                 found,
                 allowed: self.allowed.clone(),
             });
@@ -193,14 +193,14 @@
 
     fn next_record(&mut self) -> Record {
         self.newest += 1;
-        (self.newest, filler(self.newest))
+        (self.newest, padding(self.newest))
     }
 }
 
-/// Bytes that only this number has, some of them like the start of a frame.
-fn filler(number: u64) -> Vec<u8> {
+/// Padding that is specific to the number, and partly looks like the start of a frame.
+fn padding(number: u64) -> Vec<u8> {
     let mut random = Xoshiro256PlusPlus::seed_from_u64(number);
-    let length = random.random_range(0..LONGEST_FILLER);
+    let length = random.random_range(0..MAX_PADDING);
     let mut bytes: Vec<u8> = (0..length).map(|_| random.random()).collect();
     if let Some(start) = bytes.get_mut(2..6) {
         start.copy_from_slice(b"FRAM");
--- a/crates/storage/src/log/tests/quarantine.rs
+++ b/crates/storage/src/log/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! A damaged log is set aside or erased, whatever stops that midway.
+//! Quarantine and erasure of a corrupted log, interrupted by a power loss at any operation.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 
 const LOG: &str = "damage";
 const SPACE_BYTES: u64 = 4096;
-/// Operations of the disk in which either way to begin anew certainly ends.
+/// Upper bound on the disk operations of a quarantine or an erasure.
 const OPERATIONS: u64 = 16;
 
 fn settings() -> LogSettings {
@@ -31,7 +31,7 @@
     disk.sync_folder().expect("sync folder");
 }
 
-fn damage(disk: &FaultyDisk, sequence: u64) {
+fn corrupt(disk: &FaultyDisk, sequence: u64) {
     let name = names::segment(LOG, sequence);
     let mut bytes = disk.read(&name).expect("read");
     bytes[30] ^= 1;
@@ -39,8 +39,8 @@
     write_file(disk, &name, &bytes);
 }
 
-/// A disk on which the newest segment is damaged and an older, sound one has not gone.
-fn damaged_disk(seed: u64) -> Arc<FaultyDisk> {
+/// A disk on which the newest segment is corrupted and an older, intact one still exists.
+fn corrupted_disk(seed: u64) -> Arc<FaultyDisk> {
     let disk = Arc::new(FaultyDisk::new(seed));
     let (mut log, _) = open(&disk).expect("open");
     log.reopen(&1).expect("reopen");
@@ -49,7 +49,7 @@
     log.reopen(&2).expect("reopen");
     drop(log);
     write_file(&disk, &older, &bytes);
-    damage(&disk, 1);
+    corrupt(&disk, 1);
     assert_matches!(
         open(&disk).map(|(_, found)| found),
         Err(OpenError::Corrupted { .. })
@@ -57,14 +57,14 @@
     disk
 }
 
-/// The seeds and steps at which a loss of power midway lets an older record be found.
-fn older_found(begin_anew: impl Fn(&FaultyDisk) -> Result<(), DiskError>) -> Vec<(u64, u64)> {
+/// The seeds and numbers of operations at which a power loss lets an older record be recovered.
+fn older_record_recovered(reset: impl Fn(&FaultyDisk) -> Result<(), DiskError>) -> Vec<(u64, u64)> {
     let mut wrong = Vec::new();
     for seed in 0..40 {
         for operations in 0..OPERATIONS {
-            let disk = damaged_disk(seed);
+            let disk = corrupted_disk(seed);
             disk.stop_after(operations);
-            let ended = begin_anew(&disk);
+            let ended = reset(&disk);
             disk.lose_power();
             match open(&disk).map(|(_, found)| found) {
                 Ok(Recovered::Empty) => {}
@@ -79,31 +79,34 @@
 #[test]
 fn no_older_record_is_recovered_after_quarantine() {
     assert_eq!(
-        older_found(|disk| Log::<u64>::quarantine(disk, &settings()).map(drop)),
+        older_record_recovered(|disk| Log::<u64>::quarantine(disk, &settings()).map(drop)),
         []
     );
 }
 
 #[test]
 fn no_older_record_is_recovered_after_erasure() {
-    assert_eq!(older_found(|disk| Log::<u64>::erase(disk, &settings())), []);
+    assert_eq!(
+        older_record_recovered(|disk| Log::<u64>::erase(disk, &settings())),
+        []
+    );
 }
 
 #[test]
 fn removing_all_files_with_one_sync_would_let_an_older_record_be_recovered() {
-    let without_safeguard = |disk: &FaultyDisk| {
+    let remove_all = |disk: &FaultyDisk| {
         disk.list()?.iter().try_for_each(|name| disk.remove(name))?;
         disk.sync_folder()
     };
-    assert!(!older_found(without_safeguard).is_empty());
+    assert!(!older_record_recovered(remove_all).is_empty());
 }
 
 #[test]
 fn corrupted_bytes_are_kept_under_the_returned_name() {
-    let disk = damaged_disk(1);
+    let disk = corrupted_disk(1);
     let bytes = disk.read(&names::segment(LOG, 1)).expect("read");
     let kept = Log::<u64>::quarantine(disk.as_ref(), &settings())
-        .expect("set aside")
+        .expect("quarantine")
         .expect("kept");
     assert_eq!(disk.read(&kept).expect("read"), bytes);
     assert_eq!(
@@ -123,9 +126,9 @@
 
 #[test]
 fn repeated_corruption_keeps_the_newest_two_segments_within_the_space() {
-    let disk = damaged_disk(2);
+    let disk = corrupted_disk(2);
     for number in 3..9 {
-        Log::<u64>::quarantine(disk.as_ref(), &settings()).expect("set aside");
+        Log::<u64>::quarantine(disk.as_ref(), &settings()).expect("quarantine");
         let (mut log, _) = open(&disk).expect("open");
         log.reopen(&number).expect("reopen");
         let name = disk
@@ -137,7 +140,7 @@
         else {
             panic!("a segment")
         };
-        damage(&disk, sequence);
+        corrupt(&disk, sequence);
         let kept = Log::<u64>::quarantined_files(disk.as_ref(), &settings()).expect("list");
         assert!(kept.len() <= MAX_QUARANTINED_SEGMENTS, "{kept:?}");
     }
@@ -148,12 +151,12 @@
 
 #[test]
 fn a_file_longer_than_a_segment_is_not_kept() {
-    let disk = damaged_disk(3);
+    let disk = corrupted_disk(3);
     let name = names::segment(LOG, 1);
     disk.append(&name, &vec![7; SPACE_BYTES as usize])
         .expect("append");
     assert_eq!(
-        Log::<u64>::quarantine(disk.as_ref(), &settings()).expect("set aside"),
+        Log::<u64>::quarantine(disk.as_ref(), &settings()).expect("quarantine"),
         None
     );
     assert_eq!(disk.used_bytes(), 0);
--- a/crates/storage/tests/arbitrary_bytes.rs
+++ b/crates/storage/tests/arbitrary_bytes.rs
@@ -1,5 +1,5 @@
-//! Whatever bytes a segment holds, opening never panics and never finds a record that was not
-//! written.
+//! Whatever bytes a segment holds, opening the log never panics and never recovers a record that was
+//! not written.
 
 use std::sync::Arc;
 
@@ -12,8 +12,8 @@
 
 /// Name of the newest segment.
 const SEGMENT: &str = "bytes-0000000000000003.segment";
-/// Bytes of a segment header.
-const SEGMENT_HEADER: usize = 28;
+/// Size of a segment header, in bytes.
+const SEGMENT_HEADER_BYTES: usize = 28;
 
 type Record = (u64, String);
 
@@ -28,7 +28,7 @@
     Log::open(disk, settings()).map(|(_, recovered)| recovered)
 }
 
-/// A segment of a few records, each synced, under the name above.
+/// The bytes of a segment with these records, each synced.
 fn segment(records: &[Record]) -> Vec<u8> {
     let disk = Arc::new(MemoryDisk::new(1 << 20));
     disk.create("bytes-0000000000000002.tmp").expect("create");
@@ -40,47 +40,48 @@
     disk.read(SEGMENT).expect("segment")
 }
 
-fn records(fillers: Vec<String>) -> Vec<Record> {
-    (0..).zip(fillers).collect()
+fn records(paddings: Vec<String>) -> Vec<Record> {
+    (0..).zip(paddings).collect()
 }
 
-fn is_damage(outcome: &Result<Recovered<Record>, OpenError>) -> bool {
+fn is_corrupted(outcome: &Result<Recovered<Record>, OpenError>) -> bool {
     matches!(outcome, Err(OpenError::Corrupted { .. }))
 }
 
 #[derive(Clone, Debug)]
-enum Damage {
+enum Corruption {
     Flip(prop::sample::Index, u8),
-    Cut(prop::sample::Index),
+    Truncate(prop::sample::Index),
     Zero(prop::sample::Index, usize),
     Insert(prop::sample::Index, Vec<u8>),
     Repeat(prop::sample::Index, usize),
 }
 
-fn damage() -> impl Strategy<Value = Damage> {
+fn corruption() -> impl Strategy<Value = Corruption> {
     prop_oneof![
-        (any::<prop::sample::Index>(), 1..=255_u8).prop_map(|(at, bits)| Damage::Flip(at, bits)),
-        any::<prop::sample::Index>().prop_map(Damage::Cut),
+        (any::<prop::sample::Index>(), 1..=255_u8)
+            .prop_map(|(at, bits)| Corruption::Flip(at, bits)),
+        any::<prop::sample::Index>().prop_map(Corruption::Truncate),
         (any::<prop::sample::Index>(), 1..64_usize)
-            .prop_map(|(at, length)| Damage::Zero(at, length)),
+            .prop_map(|(at, length)| Corruption::Zero(at, length)),
         (any::<prop::sample::Index>(), vec(any::<u8>(), 1..32))
-            .prop_map(|(at, bytes)| Damage::Insert(at, bytes)),
+            .prop_map(|(at, bytes)| Corruption::Insert(at, bytes)),
         (any::<prop::sample::Index>(), 1..200_usize)
-            .prop_map(|(at, length)| Damage::Repeat(at, length)),
+            .prop_map(|(at, length)| Corruption::Repeat(at, length)),
     ]
 }
 
-fn apply(bytes: &mut Vec<u8>, damage: Damage) {
+fn apply(bytes: &mut Vec<u8>, corruption: Corruption) {
     if bytes.is_empty() {
         return;
     }
-    match damage {
-        Damage::Flip(at, bits) => {
+    match corruption {
+        Corruption::Flip(at, bits) => {
             let at = at.index(bytes.len());
             bytes[at] ^= bits;
         }
-        Damage::Cut(at) => bytes.truncate(at.index(bytes.len())),
-        Damage::Zero(at, length) => {
+        Corruption::Truncate(at) => bytes.truncate(at.index(bytes.len())),
+        Corruption::Zero(at, length) => {
             let at = at.index(bytes.len());
             bytes
                 .iter_mut()
@@ -88,11 +89,11 @@
                 .take(length)
                 .for_each(|byte| *byte = 0);
         }
-        Damage::Insert(at, inserted) => {
+        Corruption::Insert(at, inserted) => {
             let at = at.index(bytes.len());
             bytes.splice(at..at, inserted);
         }
-        Damage::Repeat(at, length) => {
+        Corruption::Repeat(at, length) => {
             let at = at.index(bytes.len());
             let copy: Vec<u8> = bytes[at..].iter().copied().take(length).collect();
             bytes.extend(copy);
@@ -100,7 +101,7 @@
     }
 }
 
-/// The same cases at every run.
+/// Runs the same cases each time.
 fn config() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(1),
@@ -115,46 +116,46 @@
     #[test]
     fn arbitrary_bytes_are_reported_as_corruption(bytes in vec(any::<u8>(), 0..2_000)) {
         let outcome = open(&bytes);
-        prop_assert!(is_damage(&outcome), "{:?}", outcome);
+        prop_assert!(is_corrupted(&outcome), "{:?}", outcome);
     }
 
     #[test]
     fn a_corrupted_segment_yields_a_written_record_or_an_error(
-        fillers in vec("[a-zF ]{0,80}", 1..8),
-        damages in vec(damage(), 1..4),
+        paddings in vec("[a-zF ]{0,80}", 1..8),
+        corruptions in vec(corruption(), 1..4),
     ) {
-        let records = records(fillers);
+        let records = records(paddings);
         let mut bytes = segment(&records);
-        for damage in damages {
-            apply(&mut bytes, damage);
+        for corruption in corruptions {
+            apply(&mut bytes, corruption);
         }
         match open(&bytes) {
             Ok(Recovered::Found { record, .. }) => prop_assert!(records.contains(&record)),
             Ok(Recovered::Empty) => prop_assert!(false, "a damaged segment is not an empty folder"),
-            outcome => prop_assert!(is_damage(&outcome), "{:?}", outcome),
+            outcome => prop_assert!(is_corrupted(&outcome), "{:?}", outcome),
         }
     }
 
     #[test]
     fn a_flipped_bit_before_the_last_frame_is_reported(
-        fillers in vec("[a-z]{0,80}", 2..8),
+        paddings in vec("[a-z]{0,80}", 2..8),
         at in any::<prop::sample::Index>(),
         bit in 0..8_u32,
     ) {
-        let records = records(fillers);
+        let records = records(paddings);
         let mut bytes = segment(&records);
         let last = segment(&records[..records.len() - 1]).len();
         bytes[at.index(last)] ^= 1 << bit;
         let outcome = open(&bytes);
-        prop_assert!(is_damage(&outcome), "{:?}", outcome);
+        prop_assert!(is_corrupted(&outcome), "{:?}", outcome);
     }
 
     #[test]
     fn a_truncated_segment_yields_the_last_complete_record(
-        fillers in vec("[a-z]{0,80}", 2..8),
+        paddings in vec("[a-z]{0,80}", 2..8),
         cut in any::<prop::sample::Index>(),
     ) {
-        let records = records(fillers);
+        let records = records(paddings);
         let bytes = segment(&records);
         let first = segment(&records[..1]).len();
         let cut = first + cut.index(bytes.len() - first);
@@ -173,7 +174,7 @@
 fn a_segment_without_its_first_frame_is_corrupted() {
     let bytes = segment(&[(1, "x".to_owned())]);
     assert_matches!(
-        open(&bytes[..SEGMENT_HEADER]),
+        open(&bytes[..SEGMENT_HEADER_BYTES]),
         Err(OpenError::Corrupted { offset: 28, .. })
     );
     assert_matches!(open(&[]), Err(OpenError::Corrupted { offset: 0, .. }));
--- a/crates/storage/tests/contract.rs
+++ b/crates/storage/tests/contract.rs
@@ -1,4 +1,4 @@
-//! The contract that every disk passes.
+//! All implementations of `Disk` fulfil its contract.
 
 use std::sync::Arc;
 
--- a/crates/storage/tests/failed_sync.rs
+++ b/crates/storage/tests/failed_sync.rs
@@ -1,11 +1,11 @@
-//! A write or sync fails, the whole record is written again to another file, and the process or the
-//! power ends at any step of that: a record that was reported as durable is found, one that was
-//! relied on after a start is found again.
+//! A write or sync fails, the record is rewritten to another file, and the process is killed or the
+//! power lost after any disk operation of that: a record that was reported as durable is recovered,
+//! and one that was recovered as durable is recovered again.
 //!
 //! After a failed sync the page cache may show what the disk doesn't hold, and a second sync of the
 //! same file may succeed without writing anything («Can Applications Recover from fsync Failures?»,
 //! 2020). The disk here drops or keeps each write of a failed sync by its seed, and marks all of
-//! them as written.
+//! them as clean.
 
 use std::sync::Arc;
 
@@ -13,10 +13,10 @@
 use ironmast_storage::{Disk, Log, LogError, LogSettings, LogState, OpenError, Recovered};
 
 const SEEDS: u64 = 24;
-/// Operations of the disk in which the rewriting certainly ends.
+/// Upper bound on the disk operations of the rewrite.
 const OPERATIONS: u64 = 14;
-/// Times that a record is written before the process or the power ends.
-const TRIES: u32 = 3;
+/// Attempts to write the record before the interruption.
+const ATTEMPTS: u32 = 3;
 
 type Record = (u64, String);
 
@@ -28,25 +28,25 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
+enum Interruption {
     Kill,
     PowerLoss,
 }
 
-/// One case: how the first write fails, how often, when and how the process ends.
+/// One case: how the first write fails, how often, and when and how the process is interrupted.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     seed: u64,
     failure: Failure,
     times: u32,
     operations: u64,
-    end: End,
-    /// Whether the record begins a new segment in any case.
+    interruption: Interruption,
+    /// Whether the record is so long that it starts a new segment in any case.
     is_long: bool,
 }
 
-/// What a program sees of its disk.
-type Seen = fn(Arc<FaultyDisk>) -> Arc<dyn Disk>;
+/// Wraps the disk for the log under test.
+type WrapDisk = fn(Arc<FaultyDisk>) -> Arc<dyn Disk>;
 
 fn open(disk: &Arc<dyn Disk>) -> Result<(Log<Record>, Recovered<Record>), OpenError> {
     Log::open(
@@ -59,7 +59,7 @@
     (number, "x".repeat(if is_long { 700 } else { 60 }))
 }
 
-/// As the writer's thread does it.
+/// Writes a record as the writer's thread does.
 fn write(log: &mut Log<Record>, record: &Record) -> Result<(), LogError> {
     if log.state() != LogState::Ready {
         return log.reopen(record);
@@ -68,15 +68,15 @@
     log.sync()
 }
 
-fn end(disk: &FaultyDisk, how: End) {
-    match how {
-        End::Kill => disk.clear_faults(),
-        End::PowerLoss => disk.lose_power(),
+fn interrupt(disk: &FaultyDisk, interruption: Interruption) {
+    match interruption {
+        Interruption::Kill => disk.clear_faults(),
+        Interruption::PowerLoss => disk.lose_power(),
     }
 }
 
-/// The record that may be relied on after a start.
-fn durable(disk: &Arc<dyn Disk>) -> Option<u64> {
+/// The number of the record that is recovered as durable.
+fn recovered_number(disk: &Arc<dyn Disk>) -> Option<u64> {
     match open(disk).ok()?.1 {
         Recovered::Found {
             record,
@@ -87,10 +87,10 @@
     }
 }
 
-/// Whether what was reported is found, and what was relied on is found again.
-fn holds(case: Case, seen: Seen) -> bool {
+/// Whether a reported record is recovered, and a recovered one is recovered again.
+fn is_durable(case: Case, wrap: WrapDisk) -> bool {
     let faulty = Arc::new(FaultyDisk::new(case.seed));
-    let disk = seen(Arc::clone(&faulty));
+    let disk = wrap(Arc::clone(&faulty));
     let (mut log, _) = open(&disk).expect("an empty folder");
     log.reopen(&record(1, case.is_long)).expect("reopen");
     match case.failure {
@@ -104,26 +104,26 @@
         faulty.set_full(false);
     }
     faulty.stop_after(case.operations);
-    for _ in 0..TRIES {
+    for _ in 0..ATTEMPTS {
         is_reported = is_reported || write(&mut log, &second).is_ok();
     }
     drop(log);
-    end(&faulty, case.end);
-    let found = durable(&disk);
+    interrupt(&faulty, case.interruption);
+    let found = recovered_number(&disk);
     let is_kept = if is_reported {
         found == Some(2)
     } else {
         matches!(found, Some(1 | 2))
     };
     faulty.lose_power();
-    is_kept && durable(&disk) == found
+    is_kept && recovered_number(&disk) == found
 }
 
 fn cases() -> impl Iterator<Item = Case> {
     let failures = [Failure::FileSync, Failure::FolderSync, Failure::Full];
-    let ends = [End::Kill, End::PowerLoss];
+    let interruptions = [Interruption::Kill, Interruption::PowerLoss];
     failures.into_iter().flat_map(move |failure| {
-        ends.into_iter().flat_map(move |end| {
+        interruptions.into_iter().flat_map(move |interruption| {
             (0..SEEDS * OPERATIONS * 6).map(move |number| {
                 let (seed, rest) = (number % SEEDS, number / SEEDS);
                 let (operations, rest) = (rest % OPERATIONS, rest / OPERATIONS);
@@ -133,7 +133,7 @@
                     failure,
                     times,
                     operations,
-                    end,
+                    interruption,
                     is_long,
                 }
             })
@@ -141,24 +141,25 @@
     })
 }
 
-fn broken(seen: Seen) -> Vec<Case> {
-    cases().filter(|case| !holds(*case, seen)).collect()
+fn failing_cases(wrap: WrapDisk) -> Vec<Case> {
+    cases().filter(|case| !is_durable(*case, wrap)).collect()
 }
 
 #[test]
 fn a_record_rewritten_to_another_file_survives_any_interruption() {
-    let broken = broken(|disk| disk);
+    let failing = failing_cases(|disk| disk);
     assert!(
-        broken.is_empty(),
+        failing.is_empty(),
         "{} cases, first {:?}",
-        broken.len(),
-        broken.first()
+        failing.len(),
+        failing.first()
     );
 }
 
 #[test]
 fn retrying_a_failed_sync_loses_reported_records() {
-    let broken = broken(|disk| Arc::new(UnsafeDisk::new(disk, Safeguard::StopAfterFailedSync)));
-    println!("{} cases, first {:?}", broken.len(), broken.first());
-    assert!(!broken.is_empty());
+    let failing =
+        failing_cases(|disk| Arc::new(UnsafeDisk::new(disk, Safeguard::StopAfterFailedSync)));
+    println!("{} cases, first {:?}", failing.len(), failing.first());
+    assert!(!failing.is_empty());
 }
--- a/crates/storage/tests/identity.rs
+++ b/crates/storage/tests/identity.rs
@@ -1,4 +1,4 @@
-//! The identity over losses of power, kills and full disks.
+//! The identity over power losses, kills and full disks.
 
 use std::sync::Arc;
 
--- a/crates/storage/tests/kill.rs
+++ b/crates/storage/tests/kill.rs
@@ -1,4 +1,5 @@
-//! A process that is killed while it writes finds what it reported, on a real disk.
+//! A process that is killed while it writes recovers the records that it reported as durable, on a
+//! real disk.
 
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -7,11 +8,11 @@
 
 use ironmast_storage::{Log, LogSettings, RealDisk, Recovered};
 
-/// Tells the child its folder.
-const FOLDER: &str = "IRONMAST_STORAGE_TEST_FOLDER";
-/// Starts a line that reports a durable number.
-const DURABLE: &str = "durable ";
-/// Kills in a row, on one folder.
+/// The environment variable with the child's folder.
+const FOLDER_VARIABLE: &str = "IRONMAST_STORAGE_TEST_FOLDER";
+/// Prefix of the lines in which the child reports a durable number.
+const DURABLE_PREFIX: &str = "durable ";
+/// Number of kills in a row, on one folder.
 const KILLS: u64 = 8;
 
 type Record = (u64, String);
@@ -25,11 +26,11 @@
     .expect("open")
 }
 
-/// The child: writes and reports until it is killed.
+/// The child process: writes and reports until it is killed.
 #[test]
 #[ignore = "run by the test below in a process of its own"]
 fn writes_until_killed() {
-    let Some(folder) = std::env::var_os(FOLDER) else {
+    let Some(folder) = std::env::var_os(FOLDER_VARIABLE) else {
         return;
     };
     let (mut log, recovered) = open(Path::new(&folder));
@@ -40,26 +41,26 @@
     for number in first.. {
         log.append(&(number, "x".repeat(20_000))).expect("append");
         log.sync().expect("sync");
-        println!("\n{DURABLE}{number}");
+        println!("\n{DURABLE_PREFIX}{number}");
     }
 }
 
 fn start(folder: &Path) -> Child {
     Command::new(std::env::current_exe().expect("program"))
         .args(["--ignored", "--exact", "writes_until_killed", "--nocapture"])
-        .env(FOLDER, folder)
+        .env(FOLDER_VARIABLE, folder)
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
         .spawn()
         .expect("child")
 }
 
-/// Kills the child after some reports and gives the last.
+/// Kills the child after some reports and returns the last one.
 fn kill_after(mut child: Child, reports: usize) -> u64 {
     let lines = BufReader::new(child.stdout.take().expect("output"))
         .lines()
         .map_while(Result::ok);
-    let mut durable = lines.filter_map(|line| line.strip_prefix(DURABLE)?.parse().ok());
+    let mut durable = lines.filter_map(|line| line.strip_prefix(DURABLE_PREFIX)?.parse().ok());
     let read = durable.nth(reports);
     child.kill().expect("kill");
     let last = durable.last().or(read);
--- a/crates/storage/tests/real_disk.rs
+++ b/crates/storage/tests/real_disk.rs
@@ -1,4 +1,4 @@
-//! A log and a writer on a folder of the file system.
+//! A log, a writer and an identity on a real disk.
 
 use std::sync::{Arc, mpsc};
 use std::time::Duration;
--- a/crates/storage/tests/writer.rs
+++ b/crates/storage/tests/writer.rs
@@ -25,7 +25,7 @@
     }
 }
 
-struct Bench {
+struct Fixture {
     disk: Arc<FaultyDisk>,
     now: Arc<AtomicU64>,
     writer: Writer<Record, u64>,
@@ -41,7 +41,7 @@
     .expect("open")
 }
 
-fn bench() -> Bench {
+fn fixture() -> Fixture {
     let disk = Arc::new(FaultyDisk::new(1));
     let (log, _) = open(&disk);
     let now = Arc::new(AtomicU64::new(0));
@@ -52,7 +52,7 @@
         move || Duration::from_secs(clock.load(Ordering::Relaxed)),
         move |completion| sender.send(completion).expect("receiver"),
     );
-    Bench {
+    Fixture {
         disk,
         now,
         writer: writer.expect("thread"),
@@ -60,7 +60,7 @@
     }
 }
 
-impl Bench {
+impl Fixture {
     fn submit(&self, number: u64) {
         self.writer.submit(
             Record {
@@ -90,7 +90,7 @@
             .collect()
     }
 
-    /// The number found after a loss of power.
+    /// The number that is recovered after a power loss.
     fn finish_and_lose_power(self) -> Option<u64> {
         self.writer.finish();
         self.disk.lose_power();
@@ -103,14 +103,14 @@
 
 #[test]
 fn a_stalled_disk_delays_completions_and_health_reports_since_when() {
-    let bench = bench();
-    bench.disk.stall();
-    bench.now.store(5, Ordering::Relaxed);
-    bench.submit(1);
-    bench.disk.wait_for_stalled_operation();
-    bench.now.store(9, Ordering::Relaxed);
-    bench.submit(2);
-    let health = bench.writer.health();
+    let fixture = fixture();
+    fixture.disk.stall();
+    fixture.now.store(5, Ordering::Relaxed);
+    fixture.submit(1);
+    fixture.disk.wait_for_stalled_operation();
+    fixture.now.store(9, Ordering::Relaxed);
+    fixture.submit(2);
+    let health = fixture.writer.health();
     assert_eq!(
         health.activity,
         Activity::Busy {
@@ -118,43 +118,43 @@
         }
     );
     assert_eq!((health.queued, health.failure), (1, None));
-    assert_eq!(bench.completions.try_recv(), Err(TryRecvError::Empty));
-    bench.disk.release();
-    assert_eq!(bench.durable(2), [1, 2]);
-    assert_eq!(bench.finish_and_lose_power(), Some(2));
+    assert_eq!(fixture.completions.try_recv(), Err(TryRecvError::Empty));
+    fixture.disk.release();
+    assert_eq!(fixture.durable(2), [1, 2]);
+    assert_eq!(fixture.finish_and_lose_power(), Some(2));
 }
 
 #[test]
 fn only_the_newest_queued_record_is_written_and_synced_once() {
-    let bench = bench();
-    bench.submit_and_wait(0).expect("durable");
-    bench.disk.stall();
-    bench.submit(1);
-    bench.disk.wait_for_stalled_operation();
-    (2..50).for_each(|number| bench.submit(number));
+    let fixture = fixture();
+    fixture.submit_and_wait(0).expect("durable");
+    fixture.disk.stall();
+    fixture.submit(1);
+    fixture.disk.wait_for_stalled_operation();
+    (2..50).for_each(|number| fixture.submit(number));
     let before = (
-        bench.disk.count(DiskOperation::Append),
-        bench.disk.count(DiskOperation::SyncFile),
+        fixture.disk.count(DiskOperation::Append),
+        fixture.disk.count(DiskOperation::SyncFile),
     );
-    bench.disk.release();
-    assert_eq!(bench.durable(49), (1..50).collect::<Vec<_>>());
+    fixture.disk.release();
+    assert_eq!(fixture.durable(49), (1..50).collect::<Vec<_>>());
     let after = (
-        bench.disk.count(DiskOperation::Append),
-        bench.disk.count(DiskOperation::SyncFile),
+        fixture.disk.count(DiskOperation::Append),
+        fixture.disk.count(DiskOperation::SyncFile),
     );
     assert_eq!((after.0 - before.0, after.1 - before.1), (2, 2));
-    assert_eq!(bench.finish_and_lose_power(), Some(49));
+    assert_eq!(fixture.finish_and_lose_power(), Some(49));
 }
 
 #[test]
 fn records_that_supersede_nothing_are_all_written_and_synced_once() {
-    let bench = bench();
-    bench.submit_and_wait(0).expect("durable");
-    bench.disk.stall();
-    bench.submit(1);
-    bench.disk.wait_for_stalled_operation();
+    let fixture = fixture();
+    fixture.submit_and_wait(0).expect("durable");
+    fixture.disk.stall();
+    fixture.submit(1);
+    fixture.disk.wait_for_stalled_operation();
     (2..5).for_each(|number| {
-        bench.writer.submit(
+        fixture.writer.submit(
             Record {
                 number,
                 supersedes: false,
@@ -163,61 +163,61 @@
         );
     });
     let before = (
-        bench.disk.count(DiskOperation::Append),
-        bench.disk.count(DiskOperation::SyncFile),
+        fixture.disk.count(DiskOperation::Append),
+        fixture.disk.count(DiskOperation::SyncFile),
     );
-    bench.disk.release();
-    assert_eq!(bench.durable(4), [1, 2, 3, 4]);
+    fixture.disk.release();
+    assert_eq!(fixture.durable(4), [1, 2, 3, 4]);
     let after = (
-        bench.disk.count(DiskOperation::Append),
-        bench.disk.count(DiskOperation::SyncFile),
+        fixture.disk.count(DiskOperation::Append),
+        fixture.disk.count(DiskOperation::SyncFile),
     );
     assert_eq!((after.0 - before.0, after.1 - before.1), (4, 2));
 }
 
 #[test]
 fn after_a_failed_sync_the_next_record_starts_a_new_segment() {
-    let bench = bench();
-    bench.submit_and_wait(1).expect("durable");
-    bench.disk.fail_file_syncs(1);
-    assert_matches!(bench.submit_and_wait(2), Err(LogError::Disk(error)) if error.operation == DiskOperation::SyncFile);
-    assert!(bench.writer.health().failure.is_some());
-    bench.submit_and_wait(3).expect("durable");
-    assert_eq!(bench.writer.health().failure, None);
-    assert_eq!(bench.finish_and_lose_power(), Some(3));
+    let fixture = fixture();
+    fixture.submit_and_wait(1).expect("durable");
+    fixture.disk.fail_file_syncs(1);
+    assert_matches!(fixture.submit_and_wait(2), Err(LogError::Disk(error)) if error.operation == DiskOperation::SyncFile);
+    assert!(fixture.writer.health().failure.is_some());
+    fixture.submit_and_wait(3).expect("durable");
+    assert_eq!(fixture.writer.health().failure, None);
+    assert_eq!(fixture.finish_and_lose_power(), Some(3));
 }
 
 #[test]
 fn a_full_disk_rejects_records_until_there_is_space_and_keeps_durable_ones() {
-    let bench = bench();
-    bench.submit_and_wait(1).expect("durable");
-    bench.disk.set_full(true);
-    assert_matches!(bench.submit_and_wait(2), Err(LogError::Full(_)));
-    assert_matches!(bench.submit_and_wait(3), Err(LogError::Full(_)));
-    bench.disk.set_full(false);
-    bench.submit_and_wait(4).expect("durable");
-    assert_eq!(bench.finish_and_lose_power(), Some(4));
+    let fixture = fixture();
+    fixture.submit_and_wait(1).expect("durable");
+    fixture.disk.set_full(true);
+    assert_matches!(fixture.submit_and_wait(2), Err(LogError::Full(_)));
+    assert_matches!(fixture.submit_and_wait(3), Err(LogError::Full(_)));
+    fixture.disk.set_full(false);
+    fixture.submit_and_wait(4).expect("durable");
+    assert_eq!(fixture.finish_and_lose_power(), Some(4));
 }
 
 #[test]
 fn durable_records_survive_a_full_disk_and_a_power_loss() {
-    let bench = bench();
-    bench.submit_and_wait(1).expect("durable");
-    bench.disk.set_full(true);
-    assert_matches!(bench.submit_and_wait(2), Err(LogError::Full(_)));
-    assert_eq!(bench.finish_and_lose_power(), Some(1));
+    let fixture = fixture();
+    fixture.submit_and_wait(1).expect("durable");
+    fixture.disk.set_full(true);
+    assert_matches!(fixture.submit_and_wait(2), Err(LogError::Full(_)));
+    assert_eq!(fixture.finish_and_lose_power(), Some(1));
 }
 
 #[test]
 fn a_dropped_writer_writes_submitted_records_and_ends() {
-    let bench = bench();
-    bench.disk.stall();
-    bench.submit(1);
-    bench.disk.wait_for_stalled_operation();
-    bench.submit(2);
-    drop(bench.writer);
-    bench.disk.release();
-    let tokens: Vec<u64> = bench
+    let fixture = fixture();
+    fixture.disk.stall();
+    fixture.submit(1);
+    fixture.disk.wait_for_stalled_operation();
+    fixture.submit(2);
+    drop(fixture.writer);
+    fixture.disk.release();
+    let tokens: Vec<u64> = fixture
         .completions
         .iter()
         .map(|completion| completion.token)
--- a/crates/storage/tests/writer_histories.rs
+++ b/crates/storage/tests/writer_histories.rs
@@ -1,4 +1,4 @@
-//! Random lives of a writer: what it completed is found after kills and losses of power.
+//! Random histories of a writer under faults: completed records are recovered after each power loss.
 
 use std::sync::Arc;
 use std::sync::mpsc;
@@ -12,10 +12,10 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use serde::{Deserialize, Serialize};
 
-/// Histories that are played.
+/// Number of histories.
 const HISTORIES: u64 = 300;
-/// Lives of a process in each.
-const LIVES: u64 = 4;
+/// Incarnations of the process in each history.
+const INCARNATIONS: u64 = 4;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Record(u64, String);
@@ -26,7 +26,7 @@
     }
 }
 
-/// A log with the number found and whether that is durable.
+/// Opens the log; returns it with the recovered number and whether that is durable.
 fn open(disk: Arc<dyn Disk>) -> Result<(Log<Record>, u64, bool), OpenError> {
     let settings = LogSettings::with_space("lives", 4096).expect("settings");
     let (log, recovered) = Log::open(disk, settings)?;
@@ -48,8 +48,8 @@
     }
 }
 
-/// Hands records in under faults; gives the newest that was completed as durable.
-fn live(
+/// Submits records under faults; returns the newest that was completed as durable.
+fn run_incarnation(
     disk: &Arc<FaultyDisk>,
     log: Log<Record>,
     next: &mut u64,
@@ -87,20 +87,21 @@
         .map(|completion| completion.token)
 }
 
-/// Whether some life did not find what the one before completed, or found what nobody handed in.
-fn loses(seed: u64, wrap: &dyn Fn(Arc<FaultyDisk>) -> Arc<dyn Disk>) -> bool {
+/// Whether an incarnation misses a record that the one before completed, or recovers one that was
+/// never submitted.
+fn violates_durability(seed: u64, wrap: &dyn Fn(Arc<FaultyDisk>) -> Arc<dyn Disk>) -> bool {
     let disk = Arc::new(FaultyDisk::new(seed));
     let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
     let (mut durable, mut next) = (0, 1);
-    for _ in 0..LIVES {
-        let Ok((log, found, confirmed)) = open(wrap(disk.clone())) else {
+    for _ in 0..INCARNATIONS {
+        let Ok((log, found, is_durable)) = open(wrap(disk.clone())) else {
             return true;
         };
         if found < durable || found >= next {
             return true;
         }
-        durable = if confirmed { found } else { durable };
-        durable = live(&disk, log, &mut next, &mut random).unwrap_or(durable);
+        durable = if is_durable { found } else { durable };
+        durable = run_incarnation(&disk, log, &mut next, &mut random).unwrap_or(durable);
         disk.lose_power();
     }
     false
@@ -108,23 +109,23 @@
 
 #[test]
 fn completed_records_are_recovered_by_the_next_incarnation() {
-    let lost = (0..HISTORIES).find(|seed| loses(*seed, &|disk| disk));
-    assert_eq!(lost, None);
+    let violation = (0..HISTORIES).find(|seed| violates_durability(*seed, &|disk| disk));
+    assert_eq!(violation, None);
 }
 
 #[test]
 fn histories_detect_each_omitted_safeguard() {
-    for left_out in [
+    for omitted in [
         Safeguard::FileSync,
         Safeguard::FolderSync,
         Safeguard::StopAfterFailedSync,
     ] {
         let wrap = move |disk: Arc<FaultyDisk>| -> Arc<dyn Disk> {
-            Arc::new(UnsafeDisk::new(disk, left_out))
+            Arc::new(UnsafeDisk::new(disk, omitted))
         };
         assert!(
-            (0..HISTORIES).any(|seed| loses(seed, &wrap)),
-            "{left_out:?}"
+            (0..HISTORIES).any(|seed| violates_durability(seed, &wrap)),
+            "{omitted:?}"
         );
     }
 }
