--- a/crates/agent/src/coordinator_link.rs
+++ b/crates/agent/src/coordinator_link.rs
@@ -85,7 +85,7 @@
                 send_status(&mut sender, renewed).await?;
                 state.borrow_mut().entries.drop_deregistered();
             }
-            () = &mut idle_timeout => bail!("nothing received from {address} within {IDLE_TIMEOUT:?}"),
+            () = &mut idle_timeout => bail!("{address} has sent nothing for {IDLE_TIMEOUT:?}"),
         }
     }
 }
--- a/crates/overlay/tests/overlay/contact.rs
+++ b/crates/overlay/tests/overlay/contact.rs
@@ -1,5 +1,5 @@
-//! A coordinator that is out of contact with the majority, in a region of one zone that has no other
-//! coordinator: updates of the majority still reach every agent in time.
+//! A coordinator that is out of contact with the majority, in a region of one zone that has no
+//! other coordinator: updates of the majority still reach every agent in time.
 
 mod large_deployment;
 mod scenario;
@@ -136,7 +136,10 @@
 fn agents_below_isolated(sim: &Simulation) -> usize {
     let isolated = sim.nodes[ISOLATED].descriptor.id();
     let running = sim.nodes.iter().filter_map(|node| node.overlay.as_ref());
-    let is_below = |position: &TreePosition| matches!(position, TreePosition::Descendant { path, .. } if path[0] == isolated);
+    let is_below = |position: &TreePosition| match position {
+        TreePosition::Descendant { path, .. } => path[0] == isolated,
+        TreePosition::Root { .. } | TreePosition::Detached => false,
+    };
     running
         .filter(|overlay| is_below(overlay.position()))
         .count()
--- a/crates/overlay/tests/overlay/dissemination.rs
+++ b/crates/overlay/tests/overlay/dissemination.rs
@@ -105,7 +105,8 @@
     }
 }
 
-/// Number of neighbours other than the parent whose own path contains neither `agent` nor its parent.
+/// Number of neighbours other than the parent whose own path contains neither `agent` nor its
+/// parent.
 fn independent_parents(sim: &Simulation, agent: usize) -> usize {
     let Some(overlay) = &sim.nodes[agent].overlay else {
         return 0;
--- a/crates/overlay/tests/overlay/guards.rs
+++ b/crates/overlay/tests/overlay/guards.rs
@@ -53,8 +53,8 @@
     assert!(with_it >= 9 && without <= 4);
 }
 
-/// Number of nodes that lack an update 10 s after half a second in which its push and its announcement were
-/// lost.
+/// Number of nodes that lack an update 10 s after half a second in which its push and its
+/// announcement were lost.
 fn missing_after_blackout(guards: Guards) -> usize {
     // No parent is suspected, as the digest in a graft would repair the stores too.
     let settings = Settings {
--- a/crates/overlay/tests/overlay/support/cuts.rs
+++ b/crates/overlay/tests/overlay/support/cuts.rs
@@ -60,16 +60,7 @@
             if self.is_cut(from, to) {
                 self.delayed.push(delayed);
             } else if self.nodes[from].connections.get(&to) == Some(&connection) {
-                let at = self.arrival(from, to);
-                self.schedule(
-                    at,
-                    NetworkEvent::Deliver {
-                        from,
-                        to,
-                        connection,
-                        message: Box::new(delayed.message),
-                    },
-                );
+                self.schedule_delivery(from, to, connection, delayed.message);
             }
         }
     }
--- a/crates/overlay/tests/overlay/support/delivery.rs
+++ b/crates/overlay/tests/overlay/support/delivery.rs
@@ -42,11 +42,7 @@
                 connection,
             } => {
                 if self.is_cut(node, peer) || self.is_cut(peer, node) {
-                    self.process(NetworkEvent::Disconnected {
-                        node,
-                        peer,
-                        connection: Some(connection),
-                    });
+                    self.disconnected(node, peer, Some(connection));
                 }
             }
             NetworkEvent::Establish { from, to } => self.establish(from, to),
@@ -54,24 +50,12 @@
                 node,
                 peer,
                 connection,
-            } => {
-                self.half_open.remove(&(peer, node));
-                if self.is_running(node) {
-                    self.nodes[node].connections.insert(peer, connection);
-                    self.dispatch(node, Event::Connected(address(peer)));
-                }
-            }
+            } => self.connected(node, peer, connection),
             NetworkEvent::Disconnected {
                 node,
                 peer,
                 connection,
-            } => {
-                let current = self.nodes[node].connections.get(&peer).copied();
-                if current == connection && self.is_running(node) {
-                    self.nodes[node].connections.remove(&peer);
-                    self.dispatch(node, Event::Disconnected(address(peer)));
-                }
-            }
+            } => self.disconnected(node, peer, connection),
             NetworkEvent::Timer { node } => {
                 if self.nodes[node].timer == Some(self.now) {
                     self.nodes[node].timer = None;
@@ -81,7 +65,23 @@
         }
     }
 
-    pub(super) fn deliver(&mut self, from: usize, to: usize, message: Message) {
+    fn connected(&mut self, node: usize, peer: usize, connection: u64) {
+        self.half_open.remove(&(peer, node));
+        if self.is_running(node) {
+            self.nodes[node].connections.insert(peer, connection);
+            self.dispatch(node, Event::Connected(address(peer)));
+        }
+    }
+
+    fn disconnected(&mut self, node: usize, peer: usize, connection: Option<u64>) {
+        let current = self.nodes[node].connections.get(&peer).copied();
+        if current == connection && self.is_running(node) {
+            self.nodes[node].connections.remove(&peer);
+            self.dispatch(node, Event::Disconnected(address(peer)));
+        }
+    }
+
+    fn deliver(&mut self, from: usize, to: usize, message: Message) {
         let size = wire_size(&message);
         self.nodes[to].received.messages += 1;
         self.nodes[to].pushes +=
@@ -97,18 +97,14 @@
     }
 
     /// The opening packet of a connection has come back.
-    pub(super) fn establish(&mut self, from: usize, to: usize) {
+    fn establish(&mut self, from: usize, to: usize) {
         let cut = self.is_cut(from, to) || self.is_cut(to, from);
         let refused = self.cut_effect == CutEffect::Refused;
         if !self.is_running(from) || self.nodes[to].is_powered_off || cut && !refused {
             return;
         }
         if !self.is_running(to) || cut {
-            return self.process(NetworkEvent::Disconnected {
-                node: from,
-                peer: to,
-                connection: None,
-            });
+            return self.disconnected(from, to, None);
         }
         if self.nodes[from].connections.contains_key(&to) || self.half_open.contains(&(to, from)) {
             return;
@@ -126,11 +122,7 @@
             },
         );
         self.last_arrival.insert((from, to), self.now + latency);
-        self.process(NetworkEvent::Connected {
-            node: from,
-            peer: to,
-            connection,
-        });
+        self.connected(from, to, connection);
     }
 
     /// Gives an event to a node and carries out its actions.
@@ -149,7 +141,7 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, node: usize, action: Action) {
+    fn carry_out(&mut self, node: usize, action: Action) {
         match action {
             Action::Send { to, message } => self.send(node, index(to), message),
             Action::Connect(to) => {
@@ -173,7 +165,7 @@
         }
     }
 
-    pub(super) fn changed(&mut self, node: usize, key: u64, version: u64) {
+    fn changed(&mut self, node: usize, key: u64, version: u64) {
         let before = self.nodes[node].versions.insert(key, version);
         self.regressions += usize::from(before.is_some_and(|before| before >= version));
         self.arrivals
@@ -183,7 +175,7 @@
             .or_insert(self.now);
     }
 
-    pub(super) fn send(&mut self, from: usize, to: usize, message: Message) {
+    fn send(&mut self, from: usize, to: usize, message: Message) {
         let Some(connection) = self.nodes[from].connections.get(&to).copied() else {
             return;
         };
@@ -200,19 +192,10 @@
         if self.is_cut(from, to) || self.loss > 0.0 && self.random.random_bool(self.loss) {
             return;
         }
-        let at = self.arrival(from, to);
-        self.schedule(
-            at,
-            NetworkEvent::Deliver {
-                from,
-                to,
-                connection,
-                message: Box::new(message),
-            },
-        );
+        self.schedule_delivery(from, to, connection, message);
     }
 
-    pub(super) fn count_traffic(&mut self, from: usize, to: usize, message: &Message) {
+    fn count_traffic(&mut self, from: usize, to: usize, message: &Message) {
         let size = wire_size(message);
         let far = !self.nodes[from]
             .descriptor
@@ -253,7 +236,7 @@
         *last
     }
 
-    pub(super) fn latency(&mut self, from: usize, to: usize) -> Duration {
+    fn latency(&mut self, from: usize, to: usize) -> Duration {
         let (from, to) = (
             self.nodes[from].descriptor.locality,
             self.nodes[to].descriptor.locality,
@@ -266,6 +249,27 @@
         Duration::from_micros(base + self.random.random_range(0..=base / 5))
     }
 
+    /// Schedules the delivery of a message that is sent now.
+    pub(super) fn schedule_delivery(
+        &mut self,
+        from: usize,
+        to: usize,
+        connection: u64,
+        message: Message,
+    ) {
+        let at = self.arrival(from, to);
+        let message = Box::new(message);
+        self.schedule(
+            at,
+            NetworkEvent::Deliver {
+                from,
+                to,
+                connection,
+                message,
+            },
+        );
+    }
+
     pub(super) fn schedule(&mut self, at: Duration, event: NetworkEvent) {
         self.events.schedule(at, event);
     }
--- a/crates/overlay/tests/overlay/support/simulation.rs
+++ b/crates/overlay/tests/overlay/support/simulation.rs
@@ -53,8 +53,8 @@
 }
 
 impl Simulation {
-    /// All nodes of `deployment` started within a second of each other, with up to three coordinators as
-    /// seeds.
+    /// All nodes of `deployment` started within a second of each other, with up to three
+    /// coordinators as seeds.
     pub(crate) fn start(deployment: Deployment, settings: Settings, seed: u64) -> Simulation {
         let mut sim = Simulation::new(deployment, settings, seed);
         for node in 0..deployment.len() {
