--- /dev/null
+++ b/crates/endpoints/src/tests/gates.rs
@@ -0,0 +1,90 @@
+//! Status updates and reachability of gates.
+
+use assert_matches::assert_matches;
+use ironmast_schema::control::GateStatus;
+
+use crate::expiry::RETENTION;
+use crate::{EndpointTable, Micros};
+
+use super::support::{SECOND, gate, gate_key, gates_accepting_clients, ready_gates, table};
+
+/// How many of them are reachable from this coordinator itself.
+fn directly_reachable_gates(table: &EndpointTable, now: Micros) -> usize {
+    gates_accepting_clients(table, now)
+        .filter(|gate| gate.is_directly_reachable)
+        .count()
+}
+
+#[test]
+fn a_silent_gate_is_down_until_its_next_update() {
+    let mut table = table();
+    table.update_gate(0, gate_key(), 4, gate(true));
+    assert_eq!(ready_gates(&table, 0), 1);
+    let gone = table.expire(3 * SECOND);
+    assert_matches!(&gone[..], [entry] if entry.version > 4 && entry.version < 8);
+    assert_eq!(ready_gates(&table, 3 * SECOND), 0);
+    assert!(
+        table
+            .update_gate(4 * SECOND, gate_key(), 8, gate(true))
+            .is_some()
+    );
+    assert_eq!(ready_gates(&table, 4 * SECOND), 1);
+}
+
+#[test]
+fn direct_reachability_is_distinguished_from_reachability_by_others() {
+    let (mut here, mut there) = (table(), table());
+    let distributed = there
+        .update_gate(0, gate_key(), 4, gate(true))
+        .expect("distributed");
+    here.merge(0, &distributed);
+    assert_eq!(
+        (ready_gates(&here, 0), directly_reachable_gates(&here, 0)),
+        (1, 0)
+    );
+    here.update_gate(SECOND, gate_key(), 8, gate(true));
+    assert_eq!(directly_reachable_gates(&here, SECOND), 1);
+    there.update_gate(4 * SECOND, gate_key(), 12, gate(true));
+    here.merge_observed(4 * SECOND, &there.take_observed());
+    assert_eq!(
+        (
+            ready_gates(&here, 4 * SECOND),
+            directly_reachable_gates(&here, 4 * SECOND)
+        ),
+        (1, 0)
+    );
+    assert_eq!(
+        ready_gates(&here, 7 * SECOND),
+        0,
+        "no coordinator has heard from it within the timeout"
+    );
+}
+
+fn status(table: &EndpointTable) -> Option<GateStatus> {
+    Some(table.gates(3 * SECOND).next()?.record.status())
+}
+
+/// The directory sends clients to another region only where a region was lost, not where it
+/// restarts.
+#[test]
+fn a_stopped_gate_is_distinguished_from_a_lost_one() {
+    for (ready, then) in [(true, GateStatus::Lost), (false, GateStatus::Stopped)] {
+        let mut table = table();
+        table.update_gate(0, gate_key(), 4, gate(ready));
+        table.expire(3 * SECOND);
+        assert_eq!(status(&table), Some(then));
+        assert_eq!(
+            table.gates(3 * SECOND).next().map(|gate| gate.last_heard),
+            Some(0)
+        );
+    }
+}
+
+#[test]
+fn the_removal_of_a_gate_is_below_its_next_update() {
+    let mut table = table();
+    table.update_gate(0, gate_key(), 4, gate(true));
+    table.expire(3 * SECOND);
+    let removed = table.purge(10 * SECOND + RETENTION);
+    assert_matches!(&removed[..], [removal] if removal.version < 8);
+}
--- /dev/null
+++ b/crates/endpoints/src/tests/merge.rs
@@ -0,0 +1,148 @@
+//! Entries and observations of other coordinators, in any order.
+
+use assert_matches::assert_matches;
+use ironmast_schema::control::{ControlState, Entry, Key, Liveness, Value};
+use ironmast_schema::registration::InstanceState;
+use proptest::prelude::*;
+use rand::seq::SliceRandom as _;
+use rand::{RngExt as _, SeedableRng as _};
+use rand_xoshiro::Xoshiro256PlusPlus;
+
+use crate::{EndpointTable, MergeOutcome};
+
+use super::support::{
+    SECOND, draining, expire_instance, gate, gate_key, heartbeat, ready, ready_gates, record, table,
+};
+
+/// Another coordinator's observation of a heartbeat may arrive before the heartbeat's entry.
+#[test]
+fn an_observed_sequence_does_not_hide_its_heartbeat_that_arrives_later() {
+    let (mut here, mut there) = (table(), table());
+    let first = there
+        .record_heartbeat(0, "a", ready(1))
+        .expect("distributed");
+    here.merge(0, &first);
+    let second = there
+        .record_heartbeat(1, "a", draining(2))
+        .expect("distributed");
+    here.merge_observed(2, &there.take_observed());
+    assert_eq!(here.merge(3, &second), MergeOutcome::Newer);
+    assert_eq!(record(&here, "a").heartbeat, draining(2));
+}
+
+#[test]
+fn an_observed_gate_version_does_not_hide_its_update_that_arrives_later() {
+    let (mut here, mut there) = (table(), table());
+    let first = there
+        .update_gate(0, gate_key(), 4, gate(true))
+        .expect("distributed");
+    here.merge(0, &first);
+    let second = there
+        .update_gate(1, gate_key(), 8, gate(false))
+        .expect("distributed");
+    here.merge_observed(2, &there.take_observed());
+    assert_eq!(here.merge(3, &second), MergeOutcome::Newer);
+    assert_eq!(ready_gates(&here, 3), 0);
+}
+
+/// One coordinator expires a server from which another has since received unchanged heartbeats.
+#[test]
+fn a_coordinator_with_a_newer_entry_returns_it_for_a_stale_one() {
+    let (mut cut_off, mut hears) = (table(), table());
+    let first = hears
+        .record_heartbeat(0, "a", ready(1))
+        .expect("distributed");
+    cut_off.merge(0, &first);
+    for sequence in 2..10 {
+        assert_eq!(
+            hears.record_heartbeat(sequence * SECOND, "a", ready(sequence)),
+            None
+        );
+    }
+    let (_, silent) = expire_instance(&mut cut_off, 0, "a");
+    let again =
+        assert_matches!(hears.merge(10 * SECOND, &silent), MergeOutcome::Stale(again) => again);
+    assert_eq!(cut_off.merge(10 * SECOND, &again), MergeOutcome::Newer);
+    assert_eq!(record(&cut_off, "a").liveness, Liveness::Alive);
+}
+
+#[test]
+fn an_older_entry_without_a_relevant_difference_is_known() {
+    let (mut here, mut there) = (table(), table());
+    let first = there
+        .record_heartbeat(0, "a", ready(1))
+        .expect("distributed");
+    here.record_heartbeat(1, "a", ready(2));
+    assert_eq!(here.merge(2, &first), MergeOutcome::Known);
+}
+
+#[test]
+fn control_state_keeps_the_highest_version() {
+    let mut table = table();
+    let evacuated = ControlState {
+        configuration: None,
+        evacuated: vec!["north-a".to_string()],
+    };
+    assert!(
+        table
+            .update_control_state(0, 2, evacuated.clone())
+            .is_some()
+    );
+    assert!(
+        table
+            .update_control_state(1, 1, ControlState::default())
+            .is_none()
+    );
+    let held = table.get(&Key::Control).expect("held");
+    assert_eq!(held.value, Value::Control(evacuated));
+}
+
+/// Random entries of one coordinator's table, with expiries and deregistrations among them.
+fn random_entries(seed: u64) -> Vec<Entry> {
+    let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
+    let mut source = table();
+    let mut entries = Vec::new();
+    let (mut now, mut sequence) = (0, 0);
+    for _ in 0..random.random_range(1..60) {
+        now += random.random_range(0..2 * SECOND);
+        sequence += 1;
+        let id = ["a", "b", "c"][random.random_range(0..3)];
+        let state = [InstanceState::Ready, InstanceState::Draining][random.random_range(0..2)];
+        let changed = match random.random_range(0..10) {
+            0 => source.deregister(now, id),
+            1 => source.update_gate(now, gate_key(), 4 * sequence, gate(random.random())),
+            2 => source.update_control_state(now, sequence, ControlState::default()),
+            _ => source.record_heartbeat(now, id, heartbeat(sequence, state)),
+        };
+        entries.extend(changed);
+        entries.extend(source.expire(now));
+    }
+    entries
+}
+
+proptest! {
+    #[test]
+    fn tables_that_merged_the_same_entries_agree(seed: u64) {
+        let entries = random_entries(seed);
+        let mut random = Xoshiro256PlusPlus::seed_from_u64(seed ^ 1);
+        let mut shuffled = entries.clone();
+        shuffled.extend(entries.iter().filter(|_| random.random_bool(0.3)).cloned());
+        shuffled.shuffle(&mut random);
+        let (mut one, mut other) = (table(), table());
+        for entry in &entries {
+            one.merge(0, entry);
+        }
+        for entry in &shuffled {
+            let before = other.get(&entry.key).map(|held| held.version);
+            other.merge(0, entry);
+            let after = other.get(&entry.key).map(|held| held.version);
+            prop_assert!(after >= before, "{:?} went back", entry.key);
+        }
+        let held = |table: &EndpointTable| {
+            let mut entries = table.entries();
+            entries.sort_by(|a, b| a.key.cmp(&b.key));
+            entries
+        };
+        prop_assert_eq!(held(&one), held(&other));
+    }
+}
