--- a/crates/register/src/acceptor/tests.rs
+++ b/crates/register/src/acceptor/tests.rs
@@ -7,6 +7,7 @@
 
 use super::*;
 use crate::message::RoundId;
+use crate::replicas::Membership;
 
 const PROPOSER: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9_000);
--- a/crates/register/src/bootstrap.rs
+++ b/crates/register/src/bootstrap.rs
@@ -33,9 +33,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::acceptor::Record;
 use crate::ballot::Identity;
 use crate::message::Participation;
+use crate::record::Record;
 
 #[cfg(test)]
 mod tests;
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -11,7 +11,7 @@
 //! - [`operation`]: what can be asked of the register, and how it ends.
 //! - [`replicas`], [`reconfiguration`]: the replica set, and when it is changed.
 //! - [`quorum_lease`]: whether a majority of the replicas is reachable.
-//! - [`message`], [`Record`]: the formats on the wire and the disk.
+//! - [`message`], [`record`]: the formats on the wire and the disk.
 //! - [`guard`]: the rules of safety, which mutation tests remove one at a time.
 #![forbid(unsafe_code)]
 
@@ -27,17 +27,18 @@
 pub mod quorum_lease;
 mod random;
 pub mod reconfiguration;
+pub mod record;
 pub mod replicas;
 pub mod round;
 pub mod settings;
 pub mod state;
 
-pub use acceptor::{PersistToken, Record, Write};
 pub use ballot::{Ballot, Identity};
 pub use message::Message;
 pub use node::{Action, Event, Node, NodeLocation, RecordSource};
 pub use operation::{Decision, Operation, OperationId, Outcome, ReplicaChange, Transition};
 pub use proposer::ProposerMetrics;
+pub use record::{PersistToken, Record, Write};
 pub use replicas::{Membership, Replica, ReplicaSet};
 pub use settings::Settings;
 pub use state::State;
--- a/crates/register/src/node/bootstrap.rs
+++ b/crates/register/src/node/bootstrap.rs
@@ -4,11 +4,12 @@
 
 use std::time::Duration;
 
-use crate::acceptor::{Acceptor, Record};
+use crate::acceptor::Acceptor;
 use crate::ballot::{Ballot, Identity};
 use crate::bootstrap::BootstrapVerdict;
 use crate::message::Participation;
 use crate::node::{Action, Node};
+use crate::record::Record;
 
 impl<V: Clone> Node<V> {
     /// What this node's disk may have taken part in.
--- a/crates/register/src/node/event.rs
+++ b/crates/register/src/node/event.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::acceptor::{PersistToken, Record, Write};
 use crate::ballot::Identity;
 use crate::message::Message;
 use crate::operation::{Operation, OperationId, Outcome};
+use crate::record::{PersistToken, Record, Write};
 use crate::state::State;
 
 /// An event that a node handles.
--- a/crates/register/src/node/recovery.rs
+++ b/crates/register/src/node/recovery.rs
@@ -2,11 +2,12 @@
 
 use std::net::SocketAddr;
 
-use crate::acceptor::{Acceptor, Record};
+use crate::acceptor::Acceptor;
 use crate::ballot::Identity;
 use crate::bootstrap::BootstrapCheck;
 use crate::guard::Guard;
 use crate::node::RecordSource;
+use crate::record::Record;
 use crate::settings::Settings;
 
 /// What a node starts with.
--- a/crates/register/tests/exhaustive/mod.rs
+++ b/crates/register/tests/exhaustive/mod.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use ironmast_register::acceptor::{Acceptor, Record};
+use ironmast_register::acceptor::Acceptor;
 use ironmast_register::guard::{Guard, Guards};
 use ironmast_register::message::{ReplyBody, Request, RequestBody, RoundId};
 use ironmast_register::round::{Phase, QuorumRead, Round};
 use ironmast_register::state::Proposal;
-use ironmast_register::{Ballot, Identity, Membership, Replica, State};
+use ironmast_register::{Ballot, Identity, Membership, Record, Replica, State};
 use stateright::{Model, Property};
 
 pub(crate) const ALL_COMPLETED: &str = "all tasks can be completed";
--- a/crates/register/tests/mutations.rs
+++ b/crates/register/tests/mutations.rs
@@ -10,7 +10,8 @@
 
 use support::bootstrap;
 use support::checks::Violation;
-use support::fault_run::{FaultPlan, run_with_faults};
+use support::fault_plan::FaultPlan;
+use support::fault_run::run_with_faults;
 use support::guards::{assert_breaks_only_without, settings_with};
 use support::value::Change;
 use support::world::World;
--- a/crates/register/tests/orders.rs
+++ b/crates/register/tests/orders.rs
@@ -8,9 +8,10 @@
 use ironmast_register::guard::Guard;
 use ironmast_register::{OperationId, Outcome, Settings};
 
+use support::conditions::LOCAL;
 use support::guards::{assert_breaks_only_without, settings_with};
 use support::value::Change;
-use support::world::{LOCAL, World};
+use support::world::World;
 
 /// Coordinators answer an operator within this time.
 const LIMIT: Duration = Duration::from_millis(900);
--- a/crates/register/tests/redundancy.rs
+++ b/crates/register/tests/redundancy.rs
@@ -6,11 +6,12 @@
 
 use ironmast_register::Settings;
 
+use support::conditions::{Conditions, LOCAL, WIDE_AREA};
 use support::redundancy::{
     SYNC_TIME, assert_healthy, is_member, run_until, stable_world, time_to_redundancy,
 };
 use support::value::Change;
-use support::world::{Conditions, LOCAL, WIDE_AREA, World};
+use support::world::World;
 
 /// How a disk is lost.
 #[derive(Clone, Copy, Debug)]
--- a/crates/register/tests/second_loss.rs
+++ b/crates/register/tests/second_loss.rs
@@ -7,13 +7,14 @@
 use ironmast_register::Settings;
 use ironmast_register::guard::{Guard, Guards};
 
+use support::conditions::{LOCAL, WIDE_AREA};
 use support::guards::settings_with;
 use support::redundancy::{
     SYNC_TIME, assert_healthy, is_member, is_redundant, newest, run_until, stable_world,
     time_to_redundancy,
 };
 use support::value::Change;
-use support::world::{LOCAL, WIDE_AREA, World};
+use support::world::World;
 
 /// A coordinator that leaves waits at most this long until it is replaced.
 const HANDOVER: Duration = Duration::from_millis(3_200);
--- a/crates/register/tests/simulation.rs
+++ b/crates/register/tests/simulation.rs
@@ -5,7 +5,8 @@
 
 use ironmast_register::Settings;
 
-use support::fault_run::{FaultPlan, RunSummary, run_with_faults};
+use support::fault_plan::FaultPlan;
+use support::fault_run::{RunSummary, run_with_faults};
 
 fn assert_runs_hold(seeds: std::ops::Range<u64>, plan: &FaultPlan) {
     let members = plan.members;
--- a/crates/register/tests/support/mod.rs
+++ b/crates/register/tests/support/mod.rs
@@ -4,6 +4,9 @@
 
 pub(crate) mod bootstrap;
 pub(crate) mod checks;
+pub(crate) mod conditions;
+pub(crate) mod event;
+pub(crate) mod fault_plan;
 pub(crate) mod fault_run;
 pub(crate) mod guards;
 pub(crate) mod random;
--- a/crates/register/tests/support/world.rs
+++ b/crates/register/tests/support/world.rs
@@ -12,39 +12,11 @@
 };
 
 use super::checks::{Checks, Request, Violation};
+use super::conditions::{Conditions, LOCAL};
+use super::event::SimulatedEvent;
 use super::random::Random;
 use super::value::{Change, Value};
 
-/// Conditions of the network and the disks.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Conditions {
-    /// Percent of messages lost.
-    pub loss: u64,
-    /// Percent of messages that are duplicated.
-    pub duplicated: u64,
-    /// Largest extra delay, in milliseconds.
-    pub jitter: u64,
-    /// Time of a write, in milliseconds.
-    pub write_time: u64,
-    /// Least time of a message in transit, in milliseconds.
-    pub min_latency: u64,
-}
-
-pub(crate) const LOCAL: Conditions = Conditions {
-    loss: 0,
-    duplicated: 0,
-    jitter: 2,
-    write_time: 3,
-    min_latency: 0,
-};
-
-/// All links have the latency of those between distant regions, and disks are slow.
-pub(crate) const WIDE_AREA: Conditions = Conditions {
-    write_time: 5,
-    min_latency: 55,
-    ..LOCAL
-};
-
 /// Retry delay of a write that has failed.
 const REWRITE: Duration = Duration::from_millis(200);
 
@@ -68,44 +40,6 @@
     pub learned: Vec<u64>,
 }
 
-enum SimulatedEvent {
-    MessageArrives {
-        to: SocketAddr,
-        message: Message<Value>,
-    },
-    WriteCompletes {
-        host: usize,
-        incarnation: u64,
-        token: PersistToken,
-    },
-    TimerFires {
-        host: usize,
-        incarnation: u64,
-        at: Duration,
-    },
-    OperationSubmitted {
-        host: usize,
-        incarnation: u64,
-        id: OperationId,
-        change: Option<Change>,
-        limit: Duration,
-    },
-}
-
-impl SimulatedEvent {
-    /// The host whose process must run for it.
-    fn host(&self, hosts: &[Host]) -> Option<usize> {
-        match self {
-            SimulatedEvent::MessageArrives { to, .. } => {
-                hosts.iter().position(|host| host.address == *to)
-            }
-            SimulatedEvent::WriteCompletes { host, .. }
-            | SimulatedEvent::TimerFires { host, .. }
-            | SimulatedEvent::OperationSubmitted { host, .. } => Some(*host),
-        }
-    }
-}
-
 /// The simulated deployment.
 pub(crate) struct World {
     pub now: Duration,
