--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -29,7 +29,8 @@
 /// Submits commands to the node.
 pub(crate) type Commands = mpsc::UnboundedSender<Command>;
 
-/// Starts the server for the operator and the servers and, if it has an address, the one for clients.
+/// Starts the server for the operator and the servers and, if it has an address, the one for
+/// clients.
 ///
 /// # Errors
 /// An address cannot be bound; the error names it.
--- a/crates/coordinator/src/node/commands.rs
+++ b/crates/coordinator/src/node/commands.rs
@@ -14,7 +14,8 @@
 use crate::value::ControlValue;
 
 impl CoordinatorNode {
-    /// Executes a command. Its outcome is sent at once or later; a caller that has disconnected is ignored.
+    /// Executes a command. Its outcome is sent at once or later; a caller that has disconnected is
+    /// ignored.
     pub(crate) fn execute(&mut self, command: Command) {
         self.check_contact();
         match command {
--- a/crates/coordinator/src/pending_reports.rs
+++ b/crates/coordinator/src/pending_reports.rs
@@ -3,8 +3,8 @@
 //!
 //! A report is sent to every other coordinator, followed by a contact check on the same link. A
 //! coordinator that answers the check has therefore received and published the report, so that it
-//! outlives the coordinator that acknowledges it to the server. A link that is established meanwhile
-//! carries the pending reports first.
+//! outlives the coordinator that acknowledges it to the server. A link that is established
+//! meanwhile carries the pending reports first.
 
 use std::time::Duration;
 
@@ -57,8 +57,9 @@
         self.reports.iter().map(|report| &report.key)
     }
 
-    /// Acknowledges reports received no later than `quorum_checked_at`, the time at which the newest
-    /// contact check that a majority has answered was sent. Rejects reports that have timed out.
+    /// Acknowledges reports received no later than `quorum_checked_at`, the time at which the
+    /// newest contact check that a majority has answered was sent. Rejects reports that have timed
+    /// out.
     pub(crate) fn complete(&mut self, now: Duration, quorum_checked_at: Option<Duration>) {
         let is_replicated = |report: &mut PendingReport| {
             quorum_checked_at.is_some_and(|checked_at| report.received_at <= checked_at)
--- a/crates/coordinator/src/record_writer.rs
+++ b/crates/coordinator/src/record_writer.rs
@@ -1,6 +1,6 @@
 //! Writes the replica's record: one write in flight, retried until it is durable.
 //!
-//! A write that failed is retried with the whole record on a new file, and the replica accepts
+//! A write that failed is retried with the complete record on a new file, and the replica accepts
 //! nothing until that is durable. [`ironmast_storage`] explains why this is safe after a failed
 //! sync.
 
--- a/crates/coordinator/src/register_log.rs
+++ b/crates/coordinator/src/register_log.rs
@@ -20,7 +20,7 @@
 /// Disk space in MB that the log may use if the settings give no limit.
 const DEFAULT_DISK_MB: u64 = 128;
 
-/// A record of the log; each holds the whole state of the replica.
+/// A record of the log; each holds the complete state of the replica.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct LogRecord(pub Record<ControlValue>);
 
--- a/crates/coordinator/src/subscribers.rs
+++ b/crates/coordinator/src/subscribers.rs
@@ -1,4 +1,5 @@
-//! Agents and coordinators that are connected to this coordinator and receive its keep-alive frames.
+//! Agents and coordinators that are connected to this coordinator and receive its keep-alive
+//! frames.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/coordinator/src/value/history.rs
+++ b/crates/coordinator/src/value/history.rs
@@ -1,9 +1,9 @@
 //! Outcomes of earlier changes of the configuration, so that a change submitted again gets the
 //! answer that it had.
 //!
-//! A change is identified by its whole content and its base. It is applied only if its generation is
-//! above the current one and its base is the current one, so that base < generation holds for every
-//! applied change, and generations increase from one applied change to the next.
+//! A change is identified by its complete content and its base. It is applied only if its
+//! generation is above the current one and its base is the current one, so that base < generation
+//! holds for every applied change, and generations increase from one applied change to the next.
 //!
 //! The history is part of the register's value: postcard encodes its fields by position, so that
 //! their order must not change.
--- a/crates/coordinator/tests/many_changes.rs
+++ b/crates/coordinator/tests/many_changes.rs
@@ -1,6 +1,7 @@
 //! A thousand changes of a configuration of 350 routes, on the register's nodes and the real log,
-//! with kills, power losses, and disks that stall, fill up and fail. No acknowledged change is lost,
-//! no outdated state is published, and what a coordinator stores and reads at start does not grow.
+//! with kills, power losses, and disks that stall, fill up and fail. No acknowledged change is
+//! lost, no outdated state is published, and what a coordinator stores and reads at start does not
+//! grow.
 
 mod many_changes {
     pub(crate) mod cluster;
