--- a/crates/routing/examples/decisions.rs
+++ b/crates/routing/examples/decisions.rs
@@ -165,7 +165,8 @@
             times[times.len() / 2].as_secs_f64() * 1e6 / BATCH as f64
         };
         println!(
-            "{servers:6} servers, {services} services: begin {:.2} us, whole request {:.2} us, rejected {rejected}, \
+            "{servers:6} servers, {services} services: begin {:.2} us, \
+             whole request {:.2} us, rejected {rejected}, \
              list built in {built:.0?}, swapped in {swapped:.0?}",
             each(begin),
             each(all),
--- a/crates/routing/examples/region.rs
+++ b/crates/routing/examples/region.rs
@@ -27,7 +27,8 @@
                     format!("excess {excess} floor {floor}")
                 });
                 println!(
-                    "load factor {load_factor} subjects {subjects:3} {name:22} prefilled again {:.3} first ms p50 {:4} p90 {:4} p99 {:4} \
+                    "load factor {load_factor} subjects {subjects:3} {name:22} prefilled again {:.3} \
+                     first ms p50 {:4} p90 {:4} p99 {:4} \
                      most {:3} rejected {} ejected {} early {} taken {:.2?}",
                     results.prefilled_again(),
                     results.first_ms(0.5),
@@ -59,7 +60,8 @@
             };
             let results = model::simulate_plan(&plan);
             println!(
-                "{fault:?} load factor {load_factor}: lost {} late {} of {} rejected {} ejected {} health checks {} prefilled again {:.3} first ms \
+                "{fault:?} load factor {load_factor}: lost {} late {} of {} rejected {} ejected {} \
+                 health checks {} prefilled again {:.3} first ms \
                  p99 {}",
                 results.lost,
                 results.late,
--- a/crates/routing/src/affinity/tests.rs
+++ b/crates/routing/src/affinity/tests.rs
@@ -58,13 +58,16 @@
 
     /// A key moves only if its own server leaves.
     #[test]
-    fn when_a_server_leaves_only_its_own_keys_move(key: u64, servers in prop::collection::hash_set(any::<u64>(), 2..40)) {
+    fn when_a_server_leaves_only_its_own_keys_move(
+        key: u64,
+        servers in prop::collection::hash_set(any::<u64>(), 2..40),
+    ) {
         let servers: Vec<u64> = servers.into_iter().collect();
         let all = idle(&servers);
         let home = all[choose(key, &all, bounds(0.5, 0.1, 0.0)).expect("a server")].hash;
         for leaves in &servers {
-            let rest: Vec<u64> = servers.iter().filter(|server| *server != leaves).copied().collect();
-            let rest = idle(&rest);
+            let others = servers.iter().filter(|server| *server != leaves);
+            let rest = idle(&others.copied().collect::<Vec<u64>>());
             let now = rest[choose(key, &rest, bounds(0.5, 0.1, 0.0)).expect("a server")].hash;
             prop_assert!(now == home || *leaves == home);
         }
@@ -72,11 +75,21 @@
 
     /// For any loads a server is chosen, and it is within the load bound.
     #[test]
-    fn the_chosen_server_is_within_the_load_bound(key: u64, parts in prop::collection::vec(0.0..1.5f64, 1..40)) {
-        let choices: Vec<Candidate> =
-            parts.iter().enumerate().map(|(hash, part)| Candidate { hash: hash as u64, utilization: *part, prefill_wait: 0.0 }).collect();
+    fn the_chosen_server_is_within_the_load_bound(
+        key: u64,
+        utilizations in prop::collection::vec(0.0..1.5f64, 1..40),
+    ) {
+        let choices: Vec<Candidate> = utilizations
+            .iter()
+            .enumerate()
+            .map(|(hash, utilization)| Candidate {
+                hash: hash as u64,
+                utilization: *utilization,
+                prefill_wait: 0.0,
+            })
+            .collect();
         let chosen = choices[choose(key, &choices, bounds(0.5, 0.2, 0.0)).expect("a server")];
-        let mean = parts.iter().sum::<f64>() / parts.len() as f64;
+        let mean = utilizations.iter().sum::<f64>() / utilizations.len() as f64;
         prop_assert!(chosen.utilization <= (1.5 * mean).max(0.2));
         prop_assert!(mean < 1.0 || chosen.utilization <= mean);
     }
