--- a/crates/endpoints/tests/simulation/world.rs
+++ b/crates/endpoints/tests/simulation/world.rs
@@ -83,6 +83,20 @@
     Observed(Vec<Observation>),
 }
 
+/// One coordinator is partitioned from the others, in one direction or both.
+#[derive(Debug, Clone, Copy)]
+struct Partition {
+    coordinator: usize,
+    outgoing: bool,
+    incoming: bool,
+}
+
+/// A server that began to drain in a time without faults.
+struct Drain {
+    server: usize,
+    at: Micros,
+}
+
 /// Coordinators first, then agents.
 pub(crate) struct World {
     now: Micros,
@@ -94,11 +108,10 @@
     messages: BTreeMap<u64, (usize, Message)>,
     due: BinaryHeap<Reverse<(Micros, u64)>>,
     serial: u64,
-    /// One coordinator is partitioned from the others: outgoing, incoming, or both.
-    partition: Option<(usize, bool, bool)>,
+    partition: Option<Partition>,
     next_fault_at: Micros,
     last_fault: Micros,
-    drains: Vec<(usize, Micros)>,
+    drains: Vec<Drain>,
     pub violations: Vec<Violation>,
 }
 
@@ -169,16 +182,22 @@
             self.stores[coordinator].clear();
             return;
         }
-        let ways = [(true, true), (true, false), (false, true)][self.random.random_range(0..3)];
-        self.partition = Some((coordinator, ways.0, ways.1));
+        let (outgoing, incoming) =
+            [(true, true), (true, false), (false, true)][self.random.random_range(0..3)];
+        self.partition = Some(Partition {
+            coordinator,
+            outgoing,
+            incoming,
+        });
     }
 
     /// Only coordinators are partitioned, from each other; agents reach all of them.
     fn is_partitioned(&self, from: usize, to: usize) -> bool {
         let both = from < self.coordinators() && to < self.coordinators();
-        both && self
-            .partition
-            .is_some_and(|(node, out, into)| out && from == node || into && to == node)
+        both && self.partition.is_some_and(|partition| {
+            partition.outgoing && from == partition.coordinator
+                || partition.incoming && to == partition.coordinator
+        })
     }
 
     fn advance(&mut self, server: usize) {
@@ -194,7 +213,10 @@
                 self.servers[server].transition_at = self.now + 4_000 * MS;
                 self.servers[server].next = self.now;
                 if self.partition.is_none() && self.now > self.last_fault + 5_000 * MS {
-                    self.drains.push((server, self.now));
+                    self.drains.push(Drain {
+                        server,
+                        at: self.now,
+                    });
                 }
             }
             Phase::Draining if self.now >= self.servers[server].transition_at => {
@@ -321,11 +343,11 @@
 
     fn check_drains(&mut self) {
         let (now, last_fault) = (self.now, self.last_fault);
-        let ended: Vec<(usize, Micros)> = self
+        let due: Vec<Drain> = self
             .drains
-            .extract_if(.., |(_, at)| now >= *at + DRAIN_DEADLINE)
+            .extract_if(.., |drain| now >= drain.at + DRAIN_DEADLINE)
             .collect();
-        for (server, _) in ended.into_iter().filter(|(_, at)| last_fault < *at) {
+        for Drain { server, .. } in due.into_iter().filter(|drain| last_fault < drain.at) {
             for agent in self.coordinators()..self.stores.len() {
                 let learned = self.stores[agent]
                     .get(&Key::Instance(name(server)))
--- a/crates/gate/src/table_spec.rs
+++ b/crates/gate/src/table_spec.rs
@@ -4,7 +4,7 @@
 use ironmast_routing::{
     Micros, RouteKind, RouteSpec, ServerSpec, ServerState, ServiceSpec, TableSpec, WeightedBackend,
 };
-use ironmast_schema::configuration::{Configuration, Route, RouteType, Service};
+use ironmast_schema::configuration::{self, Configuration, Route, RouteType, Service};
 use ironmast_schema::registration::{Heartbeat, InstanceState};
 use ironmast_schema::settings::Settings;
 
@@ -61,9 +61,9 @@
 }
 
 fn route_spec(route: &Route) -> RouteSpec {
-    let split = |(service, weight): (&str, f64)| WeightedBackend {
-        service: service.into(),
-        weight: fixed_point_weight(weight),
+    let weighted_backend = |backend: configuration::WeightedBackend<'_>| WeightedBackend {
+        service: backend.service.into(),
+        weight: fixed_point_weight(backend.weight),
     };
     RouteSpec {
         name: route.name.as_str().into(),
@@ -76,7 +76,11 @@
                 resumable: route.resumable,
             },
         },
-        backends: route.splits().into_iter().map(split).collect(),
+        backends: route
+            .weighted_backends()
+            .into_iter()
+            .map(weighted_backend)
+            .collect(),
         max_attempts: route.max_attempts,
         timeout_ms: route.timeout_ms,
         target_latency_ms: route.target_latency_ms.max(0.0) as u64,
--- a/crates/schema/src/configuration.rs
+++ b/crates/schema/src/configuration.rs
@@ -7,11 +7,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Why a configuration is rejected. Each message is one line.
-#[derive(Debug, thiserror::Error, PartialEq, Eq)]
+#[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
-    /// The body is not the JSON of a configuration; holds the parser's message.
+    /// The body is not the JSON of a configuration; holds the parser's error.
     #[error("the configuration can't be read: {0}")]
-    Malformed(String),
+    Malformed(serde_json::Error),
     /// Values are out of range; holds the fields with their reasons.
     #[error("the configuration is invalid: {0}")]
     OutOfRange(String),
@@ -143,6 +143,15 @@
     pub weight: f64,
 }
 
+/// A service of a route with its weight relative to the route's other services.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct WeightedBackend<'a> {
+    /// Name of the service.
+    pub service: &'a str,
+    /// Its weight.
+    pub weight: f64,
+}
+
 /// A service: a group of interchangeable servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Service {
@@ -216,8 +225,8 @@
     /// # Errors
     /// When the body is malformed or the configuration invalid.
     pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
-        let configuration: Configuration = serde_json::from_slice(body)
-            .map_err(|error| ConfigurationError::Malformed(error.to_string()))?;
+        let configuration: Configuration =
+            serde_json::from_slice(body).map_err(ConfigurationError::Malformed)?;
         configuration.check()?;
         Ok(configuration)
     }
@@ -262,12 +271,18 @@
 impl Route {
     /// The services of the route with their weights.
     #[must_use]
-    pub fn splits(&self) -> Vec<(&str, f64)> {
+    pub fn weighted_backends(&self) -> Vec<WeightedBackend<'_>> {
         match (&self.backend, &self.traffic_split) {
-            (Some(backend), _) => vec![(backend, 1.0)],
+            (Some(backend), _) => vec![WeightedBackend {
+                service: backend,
+                weight: 1.0,
+            }],
             (None, Some(splits)) => splits
                 .iter()
-                .map(|split| (split.backend.as_str(), split.weight))
+                .map(|split| WeightedBackend {
+                    service: &split.backend,
+                    weight: split.weight,
+                })
                 .collect(),
             (None, None) => Vec::new(),
         }
@@ -277,15 +292,17 @@
         if self.backend.is_some() == self.traffic_split.is_some() {
             return Err(ConfigurationError::BackendOrSplit(self.name.clone()));
         }
-        let splits = self.splits();
-        if let Some((service, _)) = splits
+        let backends = self.weighted_backends();
+        if let Some(unknown) = backends
             .iter()
-            .find(|(service, _)| !services.contains(service))
+            .find(|backend| !services.contains(backend.service))
         {
-            let (route, service) = (self.name.clone(), service.to_string());
-            return Err(ConfigurationError::UnknownService { route, service });
+            return Err(ConfigurationError::UnknownService {
+                route: self.name.clone(),
+                service: unknown.service.to_string(),
+            });
         }
-        let sum: f64 = splits.iter().map(|split| split.1).sum();
+        let sum: f64 = backends.iter().map(|backend| backend.weight).sum();
         if !(sum > 0.0 && sum.is_finite()) {
             return Err(ConfigurationError::ZeroWeightSum(self.name.clone()));
         }
--- a/crates/schema/src/configuration/tests.rs
+++ b/crates/schema/src/configuration/tests.rs
@@ -40,9 +40,10 @@
 fn a_valid_configuration_is_accepted_and_unknown_keys_are_ignored() {
     let configuration = parse(&valid()).expect("valid");
     assert_eq!(configuration.generation, 7);
+    let backend = |service, weight| WeightedBackend { service, weight };
     assert_eq!(
-        configuration.routes[1].splits(),
-        [("model", 90.0), ("records", 0.0)]
+        configuration.routes[1].weighted_backends(),
+        [backend("model", 90.0), backend("records", 0.0)]
     );
     assert_eq!(configuration.services[1].health_check, "/healthz");
     assert_eq!(configuration.limits.idle_timeout_ms, 15_000);
--- a/crates/schema/src/registration.rs
+++ b/crates/schema/src/registration.rs
@@ -7,9 +7,9 @@
 /// Why a heartbeat is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum HeartbeatError {
-    /// The body is not the JSON of a heartbeat; holds the parser's message.
+    /// The body is not the JSON of a heartbeat; holds the parser's error.
     #[error("the heartbeat can't be read: {0}")]
-    Malformed(String),
+    Malformed(serde_json::Error),
 }
 
 /// Whether a server accepts new requests.
@@ -55,7 +55,7 @@
     /// # Errors
     /// When the body is malformed.
     pub fn parse(body: &[u8]) -> Result<Self, HeartbeatError> {
-        serde_json::from_slice(body).map_err(|error| HeartbeatError::Malformed(error.to_string()))
+        serde_json::from_slice(body).map_err(HeartbeatError::Malformed)
     }
 }
 
--- a/crates/schema/src/registration/tests.rs
+++ b/crates/schema/src/registration/tests.rs
@@ -31,7 +31,7 @@
 fn a_truncated_heartbeat_is_rejected_in_one_line() {
     for end in 0..BODY.len() {
         let error = Heartbeat::parse(&BODY.as_bytes()[..end]).expect_err("truncated");
-        assert_matches!(error, HeartbeatError::Malformed(reason) if !reason.contains('\n'));
+        assert_matches!(error, HeartbeatError::Malformed(reason) if !reason.to_string().contains('\n'));
     }
 }
 
