--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -17,10 +17,11 @@
 use slog::{Logger, debug, info, warn};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::handover::{Partners, Store};
+use crate::hot_restart::partners::Partners;
 use crate::message::{
     Answer, Arrival, Ask, Attempt, Ended, Message, Order, Payload, Tell, Ticket, Urgent,
 };
+use crate::runtime_files::RuntimeFiles;
 
 /// Where orders go.
 pub(crate) struct Orders {
@@ -59,7 +60,7 @@
     log: Logger,
     orders: Orders,
     admin: ServerOverrides,
-    store: Store,
+    files: RuntimeFiles,
     partners: Rc<Partners>,
     timers: BTreeSet<(Micros, u64)>,
     open: BTreeMap<RequestId, Open>,
@@ -79,7 +80,7 @@
         clock: Clock,
         log: Logger,
         orders: Orders,
-        (admin, store, partners): (ServerOverrides, Store, Rc<Partners>),
+        (admin, files, partners): (ServerOverrides, RuntimeFiles, Rc<Partners>),
     ) -> Self {
         Driver {
             balancer,
@@ -88,7 +89,7 @@
             log,
             orders,
             admin,
-            store,
+            files,
             partners,
             timers: BTreeSet::new(),
             open: BTreeMap::new(),
@@ -217,7 +218,7 @@
         if after == before {
             return Ok(said);
         }
-        self.partners.tell(handover::Message::Override(after));
+        self.partners.send(handover::Message::Override(after));
         // On disk before the yes: guards bans against this process' end.
         Ok(if self.keep() {
             said
@@ -228,9 +229,9 @@
 
     /// Writes the admin state down; false where that failed.
     fn keep(&self) -> bool {
-        let kept = self.store.save(self.admin.state());
+        let kept = self.files.save_overrides(self.admin.state());
         if let Err(why) = &kept {
-            warn!(self.log, "servers out of use could not be written down"; "why" => why);
+            warn!(self.log, "servers out of use could not be written down"; "why" => %why);
         }
         kept.is_ok()
     }
--- /dev/null
+++ b/crates/client-proxy/src/hot_restart/partners.rs
@@ -0,0 +1,238 @@
+//! The conversation with the other processes of a hot restart.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::io::{self, IoSlice};
+use std::mem::MaybeUninit;
+use std::os::fd::{AsFd, BorrowedFd};
+
+use ironmast_admin::handover::{self, MAX_LINE_BYTES, Message, PROTOCOL_VERSION};
+use ironmast_admin::overrides::OverrideState;
+use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
+use serde_json::Value;
+use tokio::io::{
+    AsyncBufRead, AsyncBufReadExt as _, AsyncReadExt as _, AsyncWriteExt as _, BufReader, Interest,
+};
+use tokio::net::UnixStream;
+use tokio::net::unix::OwnedWriteHalf;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::timeout;
+
+use super::predecessor::Link;
+use super::{MAX_PASSED_SOCKETS, STEP_TIMEOUT};
+
+/// The other process of a hot restart.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Side {
+    /// The process before this one.
+    Predecessor,
+    /// The process after this one.
+    Successor,
+}
+
+/// What happens on the Unix sockets.
+pub(crate) enum PartnerEvent {
+    /// A new process sent its greeting and waits for its welcome.
+    SuccessorConnected {
+        /// The connection.
+        stream: UnixStream,
+        /// Whether it answers claims.
+        answers_claims: bool,
+    },
+    /// A partner sent a message.
+    Received(Side, Message),
+    /// A partner disconnected, or sent something malformed.
+    Lost(Side),
+}
+
+/// The partners of this process.
+#[derive(Default)]
+pub(crate) struct Partners {
+    predecessor: RefCell<Option<mpsc::UnboundedSender<Message>>>,
+    successor: RefCell<Option<mpsc::UnboundedSender<Message>>>,
+    may_serve: Cell<bool>,
+    successor_answers_claims: Cell<bool>,
+    /// Claims that the successor has not answered, by the name of the request.
+    pending_claims: RefCell<HashMap<String, oneshot::Sender<bool>>>,
+}
+
+impl Partners {
+    /// Whether this process has begun to serve.
+    pub(crate) fn may_serve(&self) -> bool {
+        self.may_serve.get()
+    }
+
+    /// Marks that this process has begun to serve.
+    pub(crate) fn begin_serving(&self) {
+        self.may_serve.set(true);
+    }
+
+    /// Sends a message to both partners.
+    pub(crate) fn send(&self, message: Message) {
+        self.send_to_predecessor(message.clone());
+        self.send_to_successor(message);
+    }
+
+    /// Sends a message to the predecessor, if there is one.
+    pub(crate) fn send_to_predecessor(&self, message: Message) {
+        self.send_to(Side::Predecessor, message);
+    }
+
+    /// Sends a message to the successor, if there is one.
+    pub(crate) fn send_to_successor(&self, message: Message) {
+        self.send_to(Side::Successor, message);
+    }
+
+    fn send_to(&self, side: Side, message: Message) {
+        if let Some(sender) = &*self.slot(side).borrow() {
+            // A partner that has disconnected is reported as lost.
+            let _ = sender.send(message);
+        }
+    }
+
+    /// Asks the successor whether a request of this name may be opened here. Returns `None` if
+    /// there is no successor that answers claims, so that this process decides alone. The result
+    /// is false if no answer comes in time: a request is rather rejected than executed twice.
+    pub(crate) fn claim(&self, request_name: &str) -> Option<impl Future<Output = bool> + use<>> {
+        if !self.successor_answers_claims.get() || self.successor.borrow().is_none() {
+            return None;
+        }
+        let (sender, answer) = oneshot::channel();
+        self.pending_claims
+            .borrow_mut()
+            .insert(request_name.to_string(), sender);
+        self.send_to_successor(Message::Claim(request_name.to_string()));
+        Some(async move {
+            timeout(STEP_TIMEOUT, answer)
+                .await
+                .ok()
+                .and_then(Result::ok)
+                .unwrap_or(false)
+        })
+    }
+
+    /// Takes the successor's answer to a claim.
+    pub(crate) fn resolve_claim(&self, request_name: &str, granted: bool) {
+        if let Some(pending) = self.pending_claims.borrow_mut().remove(request_name) {
+            let _ = pending.send(granted);
+        }
+    }
+
+    /// Forgets a partner that is lost. Claims that a successor has not answered are granted,
+    /// because no request runs there any more.
+    pub(crate) fn forget(&self, side: Side) {
+        *self.slot(side).borrow_mut() = None;
+        if side == Side::Successor {
+            self.successor_answers_claims.set(false);
+            for pending in self.pending_claims.take().into_values() {
+                let _ = pending.send(true);
+            }
+        }
+    }
+
+    fn slot(&self, side: Side) -> &RefCell<Option<mpsc::UnboundedSender<Message>>> {
+        match side {
+            Side::Predecessor => &self.predecessor,
+            Side::Successor => &self.successor,
+        }
+    }
+
+    /// Continues the conversation with the predecessor that passed its sockets.
+    ///
+    /// # Errors
+    /// The system's error, if the connection can't be used.
+    pub(crate) fn follow_predecessor(
+        &self,
+        link: Link,
+        events: &mpsc::UnboundedSender<PartnerEvent>,
+    ) -> io::Result<()> {
+        link.stream.set_nonblocking(true)?;
+        let stream = UnixStream::from_std(link.stream)?;
+        self.start_conversation(Side::Predecessor, stream, link.buffered, events.clone());
+        Ok(())
+    }
+
+    /// Welcomes a successor: passes it the state and the sockets.
+    ///
+    /// # Errors
+    /// The system's error, if the successor has disconnected.
+    pub(crate) async fn welcome_successor(
+        &self,
+        mut stream: UnixStream,
+        (overrides, endpoints): (OverrideState, Option<Value>),
+        sockets: &[BorrowedFd<'_>],
+        answers_claims: bool,
+        events: &mpsc::UnboundedSender<PartnerEvent>,
+    ) -> io::Result<()> {
+        let line = handover::encode(&Message::Welcome {
+            version: PROTOCOL_VERSION,
+            overrides,
+            endpoints,
+        });
+        let send = || {
+            let mut space =
+                [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_PASSED_SOCKETS))];
+            let mut ancillary = SendAncillaryBuffer::new(&mut space);
+            ancillary.push(SendAncillaryMessage::ScmRights(sockets));
+            let chunk = [IoSlice::new(line.as_bytes())];
+            sendmsg(stream.as_fd(), &chunk, &mut ancillary, SendFlags::NOSIGNAL)
+                .map_err(io::Error::from)
+        };
+        let sent = stream.async_io(Interest::WRITABLE, send).await?;
+        stream.write_all(&line.as_bytes()[sent..]).await?;
+        self.start_conversation(Side::Successor, stream, Vec::new(), events.clone());
+        self.successor_answers_claims.set(answers_claims);
+        Ok(())
+    }
+
+    /// Starts to send and receive messages; `buffered` was read from the stream before.
+    fn start_conversation(
+        &self,
+        side: Side,
+        stream: UnixStream,
+        buffered: Vec<u8>,
+        events: mpsc::UnboundedSender<PartnerEvent>,
+    ) {
+        let (sender, messages) = mpsc::unbounded_channel();
+        *self.slot(side).borrow_mut() = Some(sender);
+        let (reader, writer) = stream.into_split();
+        let lines = BufReader::new(io::Cursor::new(buffered).chain(reader));
+        actix_rt::spawn(send_messages(messages, writer));
+        actix_rt::spawn(receive_messages(side, lines, events));
+    }
+}
+
+async fn send_messages(mut messages: mpsc::UnboundedReceiver<Message>, mut writer: OwnedWriteHalf) {
+    while let Some(message) = messages.recv().await {
+        let line = handover::encode(&message);
+        if writer.write_all(line.as_bytes()).await.is_err() {
+            return;
+        }
+    }
+}
+
+/// Reports each message until the partner disconnects or sends something malformed.
+async fn receive_messages(
+    side: Side,
+    mut lines: impl AsyncBufRead + Unpin,
+    events: mpsc::UnboundedSender<PartnerEvent>,
+) {
+    while let Some(message) = receive_message(&mut lines).await {
+        if events.send(PartnerEvent::Received(side, message)).is_err() {
+            return;
+        }
+    }
+    let _ = events.send(PartnerEvent::Lost(side));
+}
+
+async fn receive_message(lines: &mut (impl AsyncBufRead + Unpin)) -> Option<Message> {
+    let mut line = Vec::new();
+    let read = lines
+        .take(MAX_LINE_BYTES as u64 + 1)
+        .read_until(b'\n', &mut line)
+        .await;
+    match read {
+        Ok(bytes) if bytes > 0 => handover::decode(&line).ok(),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/crates/client-proxy/src/hot_restart/successor.rs
@@ -0,0 +1,93 @@
+//! Waits for the process that replaces this one.
+
+use std::io;
+use std::os::unix::net::UnixListener as StdUnixListener;
+use std::path::{Path, PathBuf};
+
+use ironmast_admin::handover::{self, DecodeError, Message, PROTOCOL_VERSION};
+use slog::{Logger, warn};
+use tokio::io::{AsyncBufReadExt as _, AsyncReadExt as _, AsyncWriteExt as _, BufReader};
+use tokio::net::{UnixListener, UnixStream};
+use tokio::sync::mpsc;
+use tokio::time::timeout;
+
+use super::STEP_TIMEOUT;
+use super::partners::PartnerEvent;
+use crate::runtime_files::RuntimeFiles;
+
+/// The longest greeting that is read, in bytes.
+const MAX_HELLO_BYTES: u64 = 256;
+
+/// Why a greeting is not understood.
+#[derive(Debug, thiserror::Error)]
+enum HelloError {
+    #[error("no greeting came")]
+    NoHello,
+    #[error(transparent)]
+    Malformed(#[from] DecodeError),
+}
+
+/// Waits for successors at the proxy's Unix socket, and reports each that sends a valid greeting.
+/// A socket of a dead process or of a predecessor is replaced.
+pub(crate) async fn accept_successors(
+    files: RuntimeFiles,
+    events: mpsc::UnboundedSender<PartnerEvent>,
+    log: Logger,
+) {
+    let Some(path) = files.socket() else {
+        return;
+    };
+    let listener = match bind(&path, files.temporary_socket()) {
+        Ok(listener) => listener,
+        Err(error) => return warn!(log, "no successor can be served"; "why" => %error),
+    };
+    while let Ok((mut stream, _)) = listener.accept().await {
+        match read_hello(&mut stream).await {
+            Ok(Message::Hello {
+                version: PROTOCOL_VERSION,
+                answers_claims,
+            }) => {
+                let event = PartnerEvent::SuccessorConnected {
+                    stream,
+                    answers_claims,
+                };
+                if events.send(event).is_err() {
+                    return;
+                }
+            }
+            Ok(Message::Hello { version, .. }) => {
+                warn!(log, "a successor speaks another version"; "version" => version);
+                reject(stream, format!("it speaks version {PROTOCOL_VERSION}")).await;
+            }
+            Ok(_) => warn!(log, "a successor did not greet"),
+            Err(error) => warn!(log, "a successor did not greet"; "why" => %error),
+        }
+    }
+}
+
+async fn read_hello(stream: &mut UnixStream) -> Result<Message, HelloError> {
+    let mut line = Vec::new();
+    let mut reader = BufReader::new(stream.take(MAX_HELLO_BYTES));
+    match timeout(STEP_TIMEOUT, reader.read_until(b'\n', &mut line)).await {
+        Ok(Ok(_)) => Ok(handover::decode(&line)?),
+        _ => Err(HelloError::NoHello),
+    }
+}
+
+/// Rejects a successor, with the reason that it logs.
+pub(crate) async fn reject(mut stream: UnixStream, reason: String) {
+    let line = handover::encode(&Message::Busy(reason));
+    // A successor that does not read it has disconnected or fails by itself.
+    let _ = timeout(STEP_TIMEOUT, stream.write_all(line.as_bytes())).await;
+}
+
+/// Binds a temporary name and renames it over whatever is there, so that the name never vanishes
+/// for a moment.
+fn bind(path: &Path, temporary: Option<PathBuf>) -> io::Result<UnixListener> {
+    let temporary = temporary.unwrap_or_else(|| path.with_extension("aside"));
+    let _ = std::fs::remove_file(&temporary);
+    let listener = StdUnixListener::bind(&temporary)?;
+    std::fs::rename(&temporary, path)?;
+    listener.set_nonblocking(true)?;
+    UnixListener::from_std(listener)
+}
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -20,7 +20,7 @@
 use ironmast_transport::request_body;
 use tokio::sync::oneshot;
 
-use crate::handover::Partners;
+use crate::hot_restart::partners::Partners;
 use crate::message::{Answer, Arrival, Message, Payload, Queue, Sent, Ticket};
 
 /// Half a request is owed an end within 3 s: one that has not come whole by then must have kept the
@@ -107,7 +107,7 @@
     pub(crate) fn tell_open(&self) {
         self.open.borrow().iter().for_each(|txn| {
             self.partners
-                .tell_successor(handover::Message::Opened(txn.clone()));
+                .send_to_successor(handover::Message::Opened(txn.clone()));
         });
     }
 
@@ -276,7 +276,7 @@
             }
             None => self
                 .partners
-                .tell_successor(handover::Message::Opened(named.txn.clone())),
+                .send_to_successor(handover::Message::Opened(named.txn.clone())),
         }
         let (reply, answer) = oneshot::channel();
         let flow = payload.flow().cloned();
@@ -384,7 +384,7 @@
         self.front.open.borrow_mut().remove(&self.txn);
         self.front
             .partners
-            .tell_successor(handover::Message::Closed(self.txn.clone()));
+            .send_to_successor(handover::Message::Closed(self.txn.clone()));
     }
 }
 
--- /dev/null
+++ b/crates/client-proxy/src/runtime_files.rs
@@ -0,0 +1,105 @@
+//! The files of a proxy in `$TMPDIR`: the Unix socket at which a successor connects, and the
+//! operators' overrides of servers, which must outlive the process.
+//!
+//! Without `$TMPDIR` each process goes alone and keeps overrides only in memory.
+
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use ironmast_admin::overrides::OverrideState;
+use slog::{Logger, warn};
+
+/// The names of a proxy's files.
+#[derive(Clone)]
+pub(crate) struct RuntimeFiles {
+    directory: Option<PathBuf>,
+    proxy_name: String,
+}
+
+/// Why the overrides could not be saved.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum SaveError {
+    /// There is no directory to save them in.
+    #[error("there is no $TMPDIR")]
+    NoDirectory,
+    /// The file could not be written.
+    #[error("{}: {source}", path.display())]
+    Write {
+        /// The file.
+        path: PathBuf,
+        /// The system's error.
+        source: io::Error,
+    },
+}
+
+impl RuntimeFiles {
+    /// The files of the proxy that listens at `listen`. A proxy on a port of the system's choice
+    /// has none, because no other process could find them.
+    pub(crate) fn new(directory: Option<PathBuf>, listen: SocketAddr) -> Self {
+        let directory =
+            directory.filter(|directory| listen.port() != 0 && !directory.as_os_str().is_empty());
+        let ip = listen.ip().to_string().replace(':', "_");
+        RuntimeFiles {
+            directory,
+            proxy_name: format!("ironmast-{ip}-{}", listen.port()),
+        }
+    }
+
+    /// The Unix socket at which a successor connects.
+    pub(crate) fn socket(&self) -> Option<PathBuf> {
+        self.path("sock")
+    }
+
+    /// The name that this process binds before it renames the socket into place.
+    pub(crate) fn temporary_socket(&self) -> Option<PathBuf> {
+        self.path(&format!("sock.{}", std::process::id()))
+    }
+
+    fn path(&self, extension: &str) -> Option<PathBuf> {
+        self.directory
+            .as_ref()
+            .map(|directory| directory.join(format!("{}.{extension}", self.proxy_name)))
+    }
+
+    /// Loads the overrides that an earlier process saved. A file that can't be read or parsed is
+    /// logged and counts as empty.
+    pub(crate) fn load_overrides(&self, log: &Logger) -> OverrideState {
+        let Some(path) = self.path("bans") else {
+            return OverrideState::default();
+        };
+        let text = match std::fs::read_to_string(&path) {
+            Ok(text) => text,
+            Err(error) if error.kind() == io::ErrorKind::NotFound => {
+                return OverrideState::default();
+            }
+            Err(error) => {
+                warn!(log, "servers out of use can't be read"; "file" => %path.display(), "why" => %error);
+                return OverrideState::default();
+            }
+        };
+        serde_json::from_str(&text).unwrap_or_else(|error| {
+            warn!(log, "servers out of use are malformed, all are in use"; "file" => %path.display(), "why" => %error);
+            OverrideState::default()
+        })
+    }
+
+    /// Saves the overrides. They are written to a temporary file that is renamed into place, so
+    /// that a reader finds either the old or the new ones.
+    ///
+    /// # Errors
+    /// [`SaveError`] if there is no directory, or if it can't be written.
+    ///
+    /// # Panics
+    /// If the overrides can't be serialized, which they always can: all their keys are text.
+    pub(crate) fn save_overrides(&self, overrides: &OverrideState) -> Result<(), SaveError> {
+        let temporary_name = format!("bans.{}", std::process::id());
+        let (Some(path), Some(temporary)) = (self.path("bans"), self.path(&temporary_name)) else {
+            return Err(SaveError::NoDirectory);
+        };
+        let text = serde_json::to_string(overrides).expect("its keys are text");
+        std::fs::write(&temporary, text)
+            .and_then(|()| std::fs::rename(&temporary, &path))
+            .map_err(|source| SaveError::Write { path, source })
+    }
+}
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -29,11 +29,14 @@
 use crate::config::Config;
 use crate::discovery::Discovery;
 use crate::driver::{Driver, Orders};
-use crate::handover::{self, Heard, Inherited, Partners, Side, Store};
+use crate::hot_restart::partners::{PartnerEvent, Partners, Side};
+use crate::hot_restart::predecessor::{self, Inherited};
+use crate::hot_restart::successor;
 use crate::listener::{Front, LIMITS};
 use crate::message::{Ask, Queue, Urgent};
 use crate::ops;
 use crate::peers::Peers;
+use crate::runtime_files::RuntimeFiles;
 use crate::upstream::{self, Upstream};
 
 /// After SIGTERM clients still come for up to 0.4 s and use what they have open.
@@ -59,10 +62,10 @@
     let mut term = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| e.to_string())?;
 
-    let store = Store::new(std::env::var_os("TMPDIR").map(Into::into), config.listen);
+    let files = RuntimeFiles::new(std::env::var_os("TMPDIR").map(Into::into), config.listen);
     let (partners, (to_heard, mut heard)) =
         (Rc::new(Partners::default()), mpsc::unbounded_channel());
-    let inherited = handover::greet(&store, &log);
+    let inherited = predecessor::greet(&files, &log);
     // As on SIGHUP, the file prevails: guards a replacement after a reload, whose environment is
     // the old one's.
     if inherited.is_some()
@@ -77,7 +80,7 @@
     };
     let mut part = HotRestart::new(predecessor);
     let sockets = Sockets::open(&config, inherited, &partners, &to_heard)?;
-    let bans = sockets.bans.unwrap_or_else(|| store.load(&log));
+    let bans = sockets.bans.unwrap_or_else(|| files.load_overrides(&log));
     let known = sockets.known.or(config.known.take());
     let listener = Rc::new(sockets.listener);
     let listen = listener.local_addr().map_err(|e| e.to_string())?;
@@ -152,7 +155,7 @@
     };
     let admin = (
         ServerOverrides::new(bans),
-        store.clone(),
+        files.clone(),
         Rc::clone(&partners),
     );
     let driver = Driver::new(
@@ -195,16 +198,16 @@
             debug!(log, "replacement"; "does" => ?action);
             match action {
                 Action::StartServing => {
-                    partners.serve();
+                    partners.begin_serving();
                     turn.send_replace(true);
                     let _ = to_driver.send(Urgent::LeaveCold(false));
                     let awaiting =
-                        handover::await_successor(store.clone(), to_heard.clone(), log.clone());
+                        successor::accept_successors(files.clone(), to_heard.clone(), log.clone());
                     if let Some(before) = successors.replace(actix_rt::spawn(awaiting)) {
                         before.abort();
                     }
                 }
-                Action::NotifyPredecessor => partners.tell_predecessor(Message::Serving),
+                Action::NotifyPredecessor => partners.send_to_predecessor(Message::Serving),
                 Action::StopServing => {
                     info!(log, "a successor serves");
                     turn.send_replace(false);
@@ -251,13 +254,13 @@
             // Until then it goes on hearing its successor: bans made there hold here, too.
             _ = async { finished.as_mut().expect("checked").await }, if finished.is_some() => return Ok(()),
             Some(heard) = heard.recv() => match heard {
-                Heard::Came(stream, claims) if part.accepts_successor() => {
+                PartnerEvent::SuccessorConnected { stream, answers_claims } if part.accepts_successor() => {
                     let (reply, described) = oneshot::channel();
                     let _ = to_driver.send(Urgent::Describe(reply));
                     let Ok(described) = described.await else { return Err(DRIVERLESS.to_string()) };
                     let mut passed: Vec<_> = listener.iter().map(|listener| listener.as_fd()).collect();
                     passed.extend(passed_socket.as_ref().map(|socket| socket.as_fd()));
-                    match partners.welcome(stream, described, &passed, claims, &to_heard).await {
+                    match partners.welcome_successor(stream, described, &passed, answers_claims, &to_heard).await {
                         Ok(()) => Some(Event::SuccessorConnected),
                         Err(error) => {
                             warn!(log, "a successor left before its welcome"; "why" => %error);
@@ -265,39 +268,39 @@
                         }
                     }
                 }
-                Heard::Came(stream, _) => {
-                    handover::busy(stream, "it can't be replaced now".to_string()).await;
+                PartnerEvent::SuccessorConnected { stream, .. } => {
+                    successor::reject(stream, "it can't be replaced now".to_string()).await;
                     None
                 }
-                Heard::Said(Side::Successor, Message::Serving) => Some(Event::SuccessorServing),
-                Heard::Said(_, Message::Override(change)) => {
+                PartnerEvent::Received(Side::Successor, Message::Serving) => Some(Event::SuccessorServing),
+                PartnerEvent::Received(_, Message::Override(change)) => {
                     let _ = to_driver.send(Urgent::Adopted(change));
                     None
                 }
-                Heard::Said(Side::Predecessor, Message::Opened(txn)) => {
+                PartnerEvent::Received(Side::Predecessor, Message::Opened(txn)) => {
                     front.note_elsewhere(txn, true);
                     None
                 }
-                Heard::Said(Side::Predecessor, Message::Closed(txn)) => {
+                PartnerEvent::Received(Side::Predecessor, Message::Closed(txn)) => {
                     front.note_elsewhere(txn, false);
                     None
                 }
-                Heard::Said(Side::Predecessor, Message::Claim(txn)) => {
+                PartnerEvent::Received(Side::Predecessor, Message::Claim(txn)) => {
                     let granted = front.grant(&txn);
-                    partners.tell_predecessor(Message::Claimed { request_name: txn, granted });
+                    partners.send_to_predecessor(Message::Claimed { request_name: txn, granted });
                     None
                 }
-                Heard::Said(Side::Successor, Message::Claimed { request_name: txn, granted }) => {
-                    partners.claimed(&txn, granted);
+                PartnerEvent::Received(Side::Successor, Message::Claimed { request_name: txn, granted }) => {
+                    partners.resolve_claim(&txn, granted);
                     None
                 }
-                Heard::Said(side, message) => {
+                PartnerEvent::Received(side, message) => {
                     warn!(log, "out of place"; "from" => ?side, "said" => ?message);
                     None
                 }
-                Heard::Lost(side) => {
+                PartnerEvent::Lost(side) => {
                     info!(log, "alone again"; "lost" => ?side);
-                    partners.lost(side);
+                    partners.forget(side);
                     match side {
                         Side::Predecessor => {
                             front.forget_elsewhere();
@@ -327,7 +330,7 @@
         config: &Config,
         inherited: Option<Inherited>,
         partners: &Partners,
-        heard: &mpsc::UnboundedSender<Heard>,
+        heard: &mpsc::UnboundedSender<PartnerEvent>,
     ) -> Result<Sockets, String> {
         let at = |address: SocketAddr| move |e: io::Error| format!("{address}: {e}");
         let operators = match config.ops {
@@ -343,8 +346,8 @@
         let Some(Inherited {
             listener,
             datagrams,
-            bans,
-            known,
+            overrides,
+            endpoints,
             link,
         }) = inherited
         else {
@@ -362,13 +365,15 @@
             Some(socket) => Some(UdpSocket::from_std(socket).map_err(|e| e.to_string())?),
             None => open_datagrams()?,
         };
-        partners.follow(link, heard).map_err(|e| e.to_string())?;
+        partners
+            .follow_predecessor(link, heard)
+            .map_err(|e| e.to_string())?;
         Ok(Sockets {
             listener,
             datagrams,
             operators,
-            bans: Some(bans),
-            known,
+            bans: Some(overrides),
+            known: endpoints,
         })
     }
 }
