--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: what it lists, the changes in the order in which they became visible, and the calls
-//! it answers one after another.
+//! Discovery: the endpoint list, its changes in the order in which they became visible, and the
+//! queries that it answers one after another.
 
 use std::collections::BTreeMap;
 
@@ -9,85 +9,108 @@
 
 /// A server as listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Listed {
+pub(crate) struct ListEntry {
     /// The server's number.
     pub server: u32,
-    /// Its place in its life.
+    /// Its phase.
     pub phase: Phase,
-    /// When its process started; 0: long ago.
+    /// When its process started; 0 if that was long ago.
     pub started: Micros,
     /// Since when the list says so.
     pub since: Micros,
 }
 
-/// The list and the calls.
+/// The answer to a query.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct QueryResult {
+    /// When it is answered, or fails.
+    pub at: Micros,
+    /// Whether it is answered.
+    pub answered: bool,
+}
+
+/// The list and the queue of queries.
 pub(crate) struct Discovery {
-    log: Vec<Listed>,
-    listed: BTreeMap<u32, Listed>,
-    per_call: f64,
-    most_wait: f64,
-    free_at: f64,
-    /// It answers nobody.
-    pub out: bool,
+    /// All changes so far; their number is the version of the list.
+    log: Vec<ListEntry>,
+    list: BTreeMap<u32, ListEntry>,
+    /// The time that it takes to answer a query, in microseconds.
+    service_time: f64,
+    /// The longest time that a query is queued, in microseconds.
+    max_wait: f64,
+    /// When the queries so far are answered.
+    busy_until: f64,
+    /// It answers no query.
+    pub is_out: bool,
 }
 
 impl Discovery {
-    /// An empty list.
+    /// Discovery with an empty list.
     pub(crate) fn new(spec: &DiscoverySpec) -> Self {
         Discovery {
             log: Vec::new(),
-            listed: BTreeMap::new(),
-            per_call: 1e6 / spec.calls_per_s,
-            most_wait: seconds(spec.most_wait_s) as f64,
-            free_at: 0.0,
-            out: false,
+            list: BTreeMap::new(),
+            service_time: 1e6 / spec.calls_per_s,
+            max_wait: seconds(spec.most_wait_s) as f64,
+            busy_until: 0.0,
+            is_out: false,
         }
     }
 
-    /// A change became visible.
-    pub(crate) fn list(&mut self, entry: Listed) {
+    /// Makes a change visible.
+    pub(crate) fn publish(&mut self, entry: ListEntry) {
         self.log.push(entry);
-        match entry.phase {
-            Phase::Gone => drop(self.listed.remove(&entry.server)),
-            _ => drop(self.listed.insert(entry.server, entry)),
-        }
+        apply(&mut self.list, entry);
     }
 
-    /// Number of changes so far.
+    /// The version of the list: the number of changes so far.
     pub(crate) fn version(&self) -> usize {
         self.log.len()
     }
 
     /// The changes after a version.
-    pub(crate) fn since(&self, version: usize) -> &[Listed] {
+    pub(crate) fn changes_since(&self, version: usize) -> &[ListEntry] {
         &self.log[version.min(self.log.len())..]
     }
 
-    /// What the list said at a version.
-    pub(crate) fn at(&self, version: usize) -> Vec<Listed> {
+    /// The list at a version.
+    pub(crate) fn list_at(&self, version: usize) -> Vec<ListEntry> {
         if version >= self.log.len() {
-            return self.listed.values().copied().collect();
+            return self.list.values().copied().collect();
         }
         let mut list = BTreeMap::new();
         for entry in &self.log[..version] {
-            match entry.phase {
-                Phase::Gone => drop(list.remove(&entry.server)),
-                _ => drop(list.insert(entry.server, *entry)),
-            }
+            apply(&mut list, *entry);
         }
         list.into_values().collect()
     }
 
-    /// A call: when it is answered, and whether it is.
-    pub(crate) fn call(&mut self, now: Micros) -> (Micros, bool) {
-        if self.out {
-            return (now, false);
+    /// Queues a query that arrives now.
+    pub(crate) fn query(&mut self, now: Micros) -> QueryResult {
+        if self.is_out {
+            return QueryResult {
+                at: now,
+                answered: false,
+            };
         }
-        let start = self.free_at.max(now as f64);
-        if start - now as f64 > self.most_wait {
-            return (now + self.most_wait as Micros, false);
+        let start = self.busy_until.max(now as f64);
+        if start - now as f64 > self.max_wait {
+            return QueryResult {
+                at: now + self.max_wait as Micros,
+                answered: false,
+            };
+        }
+        self.busy_until = start + self.service_time;
+        QueryResult {
+            at: self.busy_until as Micros,
+            answered: true,
         }
-        self.free_at = start + self.per_call;
-        (self.free_at as Micros, true)
     }
 }
+
+fn apply(list: &mut BTreeMap<u32, ListEntry>, entry: ListEntry) {
+    match entry.phase {
+        Phase::Gone => list.remove(&entry.server),
+        _ => list.insert(entry.server, entry),
+    };
+}
--- /dev/null
+++ b/crates/emulator/src/fault_schedule.rs
@@ -0,0 +1,292 @@
+//! The scenario's faults as steps on a timeline.
+//!
+//! The servers and proxies that a fault affects are drawn from a random stream of its own, so that
+//! they are the same for every policy.
+
+use ironmast_balancer::Micros;
+
+use crate::random::{Purpose, Stream};
+use crate::scenario::{Scenario, Trouble, TroubleKind, seconds};
+
+/// How one class of requests is degraded at a server (a grey failure).
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct Degradation {
+    /// The class.
+    pub class: u8,
+    /// How many times more work its requests need.
+    pub factor: f64,
+    /// Its requests are never answered.
+    pub unanswered: bool,
+}
+
+/// One thing that begins or ends. Servers are named by their positions, which outlive them; `fault`
+/// is the index of the fault.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum Step {
+    /// The servers become slower by a factor, or are no longer slowed.
+    Slow {
+        positions: Vec<u32>,
+        fault: usize,
+        factor: Option<f64>,
+    },
+    /// One class is degraded at the servers, or no longer.
+    Degrade {
+        positions: Vec<u32>,
+        fault: usize,
+        degradation: Option<Degradation>,
+    },
+    /// The servers pause.
+    Pause { positions: Vec<u32> },
+    /// The servers resume.
+    Resume { positions: Vec<u32> },
+    /// The servers' processes end, or their machines vanish without a sign.
+    Stop { positions: Vec<u32>, silent: bool },
+    /// The servers start again and warm up.
+    Start { positions: Vec<u32> },
+    /// The servers drain.
+    Drain { positions: Vec<u32> },
+    /// The servers end, and new ones start at their positions.
+    Replace { positions: Vec<u32> },
+    /// A zone is partitioned from the others until a moment.
+    Partition { zone: usize, until: Micros },
+    /// Proxies stop, and their clients too if `with_clients`.
+    StopProxies {
+        proxies: Vec<u32>,
+        with_clients: bool,
+    },
+    /// Proxies start without any state.
+    StartProxies { proxies: Vec<u32> },
+    /// Clients retry at once, so many times; or by their own rule again.
+    RetryStorm { retries: Option<u32> },
+    /// Discovery answers no query.
+    DiscoveryOutage,
+    /// Discovery answers again.
+    DiscoveryBack,
+}
+
+/// What faults may affect.
+pub(crate) struct FaultTargets<'a> {
+    /// The zone of each server position.
+    pub position_zones: &'a [usize],
+    /// The zone of each proxy.
+    pub proxy_zones: &'a [usize],
+}
+
+/// The time in which a fault lasts.
+#[derive(Clone, Copy)]
+struct Period {
+    begin: Micros,
+    end: Micros,
+}
+
+/// All steps of a scenario's faults, in order, on a clock that starts at `origin`.
+pub(crate) fn schedule(
+    scenario: &Scenario,
+    targets: &FaultTargets,
+    seed: u64,
+    origin: Micros,
+) -> Vec<(Micros, Step)> {
+    let mut schedule = Schedule {
+        scenario,
+        targets,
+        steps: Vec::new(),
+    };
+    for (fault, trouble) in scenario.trouble.iter().enumerate() {
+        let mut random = Stream::new(seed, Purpose::Faults, fault as u64);
+        let begin = origin + seconds(trouble.at_s);
+        let end = begin + seconds(trouble.for_s).max(1);
+        schedule.add(fault, trouble, Period { begin, end }, &mut random);
+    }
+    schedule.steps.sort_by_key(|(at, _)| *at);
+    schedule.steps
+}
+
+/// The factor by which surges raise the clients' rate at a second of the run.
+pub(crate) fn surge_factor(scenario: &Scenario, at_s: f64) -> f64 {
+    surges(scenario)
+        .filter(|surge| surge.at_s <= at_s && at_s < surge.at_s + surge.for_s)
+        .map(|surge| surge.factor)
+        .product()
+}
+
+/// An upper bound of [`surge_factor`] over the run.
+pub(crate) fn max_surge_factor(scenario: &Scenario) -> f64 {
+    surges(scenario)
+        .map(|surge| surge.factor.max(1.0))
+        .product()
+}
+
+fn surges(scenario: &Scenario) -> impl Iterator<Item = &Trouble> {
+    scenario
+        .trouble
+        .iter()
+        .filter(|trouble| trouble.kind == TroubleKind::Surge)
+}
+
+/// The indexes of those in a zone, or of all without one.
+fn in_zone(zones: &[usize], zone: Option<usize>) -> Vec<u32> {
+    (0..zones.len() as u32)
+        .filter(|index| zone.is_none_or(|zone| zones[*index as usize] == zone))
+        .collect()
+}
+
+/// A share of those in a zone, at least one, in random order.
+fn pick(random: &mut Stream, zones: &[usize], zone: Option<usize>, share: f64) -> Vec<u32> {
+    let mut candidates = in_zone(zones, zone);
+    random.shuffle(&mut candidates);
+    let count = (candidates.len() as f64 * share).round().max(1.0) as usize;
+    candidates.truncate(count);
+    candidates
+}
+
+struct Schedule<'a> {
+    scenario: &'a Scenario,
+    targets: &'a FaultTargets<'a>,
+    steps: Vec<(Micros, Step)>,
+}
+
+impl Schedule<'_> {
+    fn push(&mut self, at: Micros, step: Step) {
+        self.steps.push((at, step));
+    }
+
+    fn add(&mut self, fault: usize, trouble: &Trouble, period: Period, random: &mut Stream) {
+        let Period { begin, end } = period;
+        let zone = self
+            .scenario
+            .zones
+            .iter()
+            .position(|zone| *zone == trouble.zone);
+        let position_zones = self.targets.position_zones;
+        // Drawn for every kind, so that the draws that follow do not depend on the kind.
+        let positions = pick(random, position_zones, zone, trouble.share);
+        match trouble.kind {
+            TroubleKind::Slow => self.slow(fault, positions, trouble.factor, period),
+            TroubleKind::SharedSlow => {
+                let all = in_zone(position_zones, None);
+                self.slow(fault, all, trouble.factor, period);
+            }
+            TroubleKind::Grey => self.degrade(fault, positions, trouble, period),
+            TroubleKind::Pause => self.pause(&positions, trouble, period, random),
+            TroubleKind::Crash => self.crash(positions, trouble, period),
+            TroubleKind::ZoneLost => {
+                self.crash(in_zone(position_zones, zone), trouble, period);
+                if trouble.proxies {
+                    let proxies = in_zone(self.targets.proxy_zones, zone);
+                    self.restart_proxies(proxies, true, period);
+                }
+            }
+            TroubleKind::ZoneCut => {
+                if let Some(zone) = zone {
+                    self.push(begin, Step::Partition { zone, until: end });
+                }
+            }
+            TroubleKind::Deploy => self.deploy(&positions, trouble, period),
+            TroubleKind::Restart => {
+                let proxies = pick(random, self.targets.proxy_zones, zone, trouble.share);
+                self.restart_proxies(proxies, false, period);
+            }
+            // Part of the clients' rate, not of the schedule.
+            TroubleKind::Surge => {}
+            TroubleKind::RetryStorm => {
+                let retries = Some(trouble.retries);
+                self.push(begin, Step::RetryStorm { retries });
+                self.push(end, Step::RetryStorm { retries: None });
+            }
+            TroubleKind::DiscoveryOutage => {
+                self.push(begin, Step::DiscoveryOutage);
+                self.push(end, Step::DiscoveryBack);
+            }
+        }
+    }
+
+    fn slow(&mut self, fault: usize, positions: Vec<u32>, factor: f64, period: Period) {
+        let step = |positions, factor| Step::Slow {
+            positions,
+            fault,
+            factor,
+        };
+        self.push(period.begin, step(positions.clone(), Some(factor)));
+        self.push(period.end, step(positions, None));
+    }
+
+    fn degrade(&mut self, fault: usize, positions: Vec<u32>, trouble: &Trouble, period: Period) {
+        let class = self
+            .scenario
+            .class
+            .iter()
+            .position(|class| class.name == trouble.class)
+            .unwrap_or(0);
+        let degradation = Degradation {
+            class: class as u8,
+            factor: trouble.factor,
+            unanswered: trouble.silent,
+        };
+        let step = |positions, degradation| Step::Degrade {
+            positions,
+            fault,
+            degradation,
+        };
+        self.push(period.begin, step(positions.clone(), Some(degradation)));
+        self.push(period.end, step(positions, None));
+    }
+
+    /// Each server pauses again and again, for a tenth of the time, from a random moment on.
+    fn pause(&mut self, positions: &[u32], trouble: &Trouble, period: Period, random: &mut Stream) {
+        let length = seconds(trouble.pause_s).max(1);
+        for &position in positions {
+            let positions = vec![position];
+            let mut at = period.begin + (random.unit() * 10.0 * length as f64) as Micros;
+            while at < period.end {
+                self.push(
+                    at,
+                    Step::Pause {
+                        positions: positions.clone(),
+                    },
+                );
+                self.push(
+                    at + length,
+                    Step::Resume {
+                        positions: positions.clone(),
+                    },
+                );
+                at += length * 10;
+            }
+        }
+    }
+
+    fn crash(&mut self, positions: Vec<u32>, trouble: &Trouble, period: Period) {
+        let stop = Step::Stop {
+            positions: positions.clone(),
+            silent: trouble.silent,
+        };
+        self.push(period.begin, stop);
+        self.push(period.end, Step::Start { positions });
+    }
+
+    fn deploy(&mut self, positions: &[u32], trouble: &Trouble, period: Period) {
+        let fleet = self.targets.position_zones.len();
+        let batch_size = (fleet as f64 * trouble.batch).round().max(1.0) as usize;
+        let batches = positions.len().div_ceil(batch_size);
+        for (index, batch) in positions.chunks(batch_size).enumerate() {
+            let at = period.begin + (period.end - period.begin) * index as u64 / batches as u64;
+            let positions = batch.to_vec();
+            self.push(
+                at,
+                Step::Drain {
+                    positions: positions.clone(),
+                },
+            );
+            self.push(at + seconds(trouble.drain_s), Step::Replace { positions });
+        }
+    }
+
+    fn restart_proxies(&mut self, proxies: Vec<u32>, with_clients: bool, period: Period) {
+        let stop = Step::StopProxies {
+            proxies: proxies.clone(),
+            with_clients,
+        };
+        self.push(period.begin, stop);
+        self.push(period.end, Step::StartProxies { proxies });
+    }
+}
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -33,20 +33,20 @@
 #![forbid(unsafe_code)]
 
 mod discovery;
+mod event_queue;
+mod fault_schedule;
 mod judge;
 mod network;
 mod policy;
-mod queue;
 mod random;
 mod report;
 mod scenario;
 mod server;
-mod trouble;
 mod world;
 
 pub use judge::{Break, COLUMNS, Counts, Rule};
 pub use policy::{Policy, PolicyName, Truth};
-pub use random::{Concern, Stream};
+pub use random::{Purpose, Stream};
 pub use report::{ClassReport, Latency, Load, Report, ServerReport, Traffic};
 pub use scenario::*;
 pub use server::Tally;
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -1,98 +1,107 @@
-//! Latency, cut links, and the connections that proxies keep to servers.
+//! Network delays, partitions between zones, and the idle connections of proxies to servers.
 
 use ironmast_balancer::Micros;
 use rustc_hash::FxHashMap;
 
-use crate::random::{stir, unit};
-use crate::scenario::{Network as Spec, millis, seconds};
+use crate::random::{hash_parts, unit_interval};
+use crate::scenario::{Network as NetworkSpec, millis, seconds};
 
-/// Latency and cuts between zones.
+/// Delays and partitions between zones.
 pub(crate) struct Network {
-    inside: f64,
-    between: f64,
+    /// One-way delays without jitter, in microseconds.
+    delay_within_zone: f64,
+    delay_between_zones: f64,
     jitter: f64,
-    /// A connection that is not made by then counts as failed.
+    /// The time-out of connecting to a server.
     pub connect_timeout: Micros,
-    /// Idle connections close after this.
-    pub idle_close: Micros,
-    /// Until when each zone is cut off.
-    cut_until: Vec<Micros>,
+    /// The time after which an idle connection is closed.
+    pub idle_timeout: Micros,
+    /// Until when each zone is partitioned from the others.
+    partitioned_until: Vec<Micros>,
     seed: u64,
 }
 
 impl Network {
-    /// A network without cuts.
-    pub(crate) fn new(spec: &Spec, zones: usize, seed: u64) -> Self {
+    /// A network without partitions.
+    pub(crate) fn new(spec: &NetworkSpec, zones: usize, seed: u64) -> Self {
         Network {
-            inside: spec.inside_ms * 1e3,
-            between: spec.between_ms * 1e3,
+            delay_within_zone: spec.inside_ms * 1e3,
+            delay_between_zones: spec.between_ms * 1e3,
             jitter: spec.jitter,
             connect_timeout: millis(spec.connect_timeout_ms),
-            idle_close: seconds(spec.idle_close_s),
-            cut_until: vec![0; zones],
+            idle_timeout: seconds(spec.idle_close_s),
+            partitioned_until: vec![0; zones],
             seed,
         }
     }
 
-    /// One way from zone to zone. `what` names the message: the same one takes as long under every
-    /// policy.
-    pub(crate) fn way(&self, from: usize, to: usize, what: [u64; 2]) -> Micros {
-        let base = if from == to {
-            self.inside
-        } else {
-            self.between
-        };
+    /// The one-way delay of a message from zone to zone. `message` identifies the message, so that
+    /// the same one has the same delay under every policy.
+    pub(crate) fn delay(&self, from: usize, to: usize, message: [u64; 2]) -> Micros {
+        let base = self.base_delay_f64(from, to);
         if self.jitter == 0.0 {
             return base as Micros;
         }
-        (base * (1.0 + self.jitter * unit(stir([self.seed, what[0], what[1], 0x7a])))) as Micros
+        let bits = hash_parts([self.seed, message[0], message[1], 0x7a]);
+        (base * (1.0 + self.jitter * unit_interval(bits))) as Micros
     }
 
-    /// One way without jitter.
-    pub(crate) fn plain_way(&self, from: usize, to: usize) -> Micros {
-        (if from == to {
-            self.inside
-        } else {
-            self.between
-        }) as Micros
+    /// The one-way delay without jitter.
+    pub(crate) fn base_delay(&self, from: usize, to: usize) -> Micros {
+        self.base_delay_f64(from, to) as Micros
     }
 
-    /// Cuts a zone off until then.
-    pub(crate) fn cut(&mut self, zone: usize, until: Micros) {
-        self.cut_until[zone] = self.cut_until[zone].max(until);
+    /// Partitions a zone from all others until a moment.
+    pub(crate) fn partition(&mut self, zone: usize, until: Micros) {
+        self.partitioned_until[zone] = self.partitioned_until[zone].max(until);
     }
 
-    /// Until when nothing passes between the two, if that is so now.
-    pub(crate) fn cut_between(&self, from: usize, to: usize, now: Micros) -> Option<Micros> {
-        let until = self.cut_until[from].max(self.cut_until[to]);
+    /// The end of the partition between two zones, if there is one now.
+    pub(crate) fn partition_end(&self, from: usize, to: usize, now: Micros) -> Option<Micros> {
+        let until = self.partitioned_until[from].max(self.partitioned_until[to]);
         (from != to && until > now).then_some(until)
     }
+
+    fn base_delay_f64(&self, from: usize, to: usize) -> f64 {
+        if from == to {
+            self.delay_within_zone
+        } else {
+            self.delay_between_zones
+        }
+    }
 }
 
-/// Idle connections of one proxy to one server.
+/// The idle connections of one proxy to one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Idle {
-    /// How many.
+pub(crate) struct IdleConnections {
     pub count: u32,
-    /// The life of the server that they lead to.
-    pub life: u32,
-    /// When one was last used.
-    pub used: Micros,
-    /// A look at their age is due.
-    pub looked_after: bool,
+    /// The incarnation of the server that they lead to.
+    pub incarnation: u32,
+    last_used: Micros,
+    /// A check of their age is scheduled.
+    check_scheduled: bool,
+}
+
+/// The outcome of a check of the age of idle connections.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum IdleCheck {
+    /// So many were closed; none are left.
+    Closed(u32),
+    /// They are to be checked again at this moment.
+    CheckAgainAt(Micros),
 }
 
-/// Idle connections of one proxy, by server.
+/// The idle connections of one proxy, by server.
 #[derive(Default)]
-pub(crate) struct Connections(FxHashMap<u32, Idle>);
+pub(crate) struct ConnectionPool(FxHashMap<u32, IdleConnections>);
 
-impl Connections {
-    /// Takes an idle connection to that life of a server, if there is one.
-    pub(crate) fn take(&mut self, server: u32, life: u32) -> bool {
+impl ConnectionPool {
+    /// Takes an idle connection to this incarnation of a server. Returns whether there was one.
+    pub(crate) fn take(&mut self, server: u32, incarnation: u32) -> bool {
         let Some(idle) = self
             .0
             .get_mut(&server)
-            .filter(|i| i.life == life && i.count > 0)
+            .filter(|idle| idle.incarnation == incarnation && idle.count > 0)
         else {
             return false;
         };
@@ -100,47 +109,51 @@
         true
     }
 
-    /// Gives one back; true where a look at their age must be arranged.
-    pub(crate) fn give(&mut self, server: u32, life: u32, now: Micros) -> bool {
+    /// Returns a connection to the pool. True if a check of their age must be scheduled.
+    pub(crate) fn put_back(&mut self, server: u32, incarnation: u32, now: Micros) -> bool {
         let idle = self.0.entry(server).or_default();
-        if idle.life != life {
-            (idle.count, idle.life) = (0, life);
+        if idle.incarnation != incarnation {
+            (idle.count, idle.incarnation) = (0, incarnation);
         }
         idle.count += 1;
-        idle.used = now;
-        !std::mem::replace(&mut idle.looked_after, true)
+        idle.last_used = now;
+        !std::mem::replace(&mut idle.check_scheduled, true)
     }
 
-    /// Closes all to a server; how many of that life there were.
-    pub(crate) fn close(&mut self, server: u32, life: u32) -> u32 {
+    /// Closes all connections to a server. Returns how many led to this incarnation.
+    pub(crate) fn close(&mut self, server: u32, incarnation: u32) -> u32 {
         let Some(idle) = self.0.get_mut(&server) else {
             return 0;
         };
-        let count = if idle.life == life { idle.count } else { 0 };
-        idle.count = 0;
-        count
+        let count = std::mem::take(&mut idle.count);
+        if idle.incarnation == incarnation {
+            count
+        } else {
+            0
+        }
     }
 
-    /// Looks at the age of those to a server: closes them, or tells when to look again.
-    pub(crate) fn age(
+    /// Closes the connections to a server if none of them was used within `idle_timeout`.
+    pub(crate) fn check_idle(
         &mut self,
         server: u32,
-        life: u32,
+        incarnation: u32,
         now: Micros,
-        limit: Micros,
-    ) -> (u32, Option<Micros>) {
+        idle_timeout: Micros,
+    ) -> IdleCheck {
         let Some(idle) = self.0.get_mut(&server) else {
-            return (0, None);
+            return IdleCheck::Closed(0);
         };
-        if idle.count > 0 && idle.used + limit > now {
-            return (0, Some(idle.used + limit));
+        let expires = idle.last_used + idle_timeout;
+        if idle.count > 0 && expires > now {
+            return IdleCheck::CheckAgainAt(expires);
         }
-        idle.looked_after = false;
-        (self.close(server, life), None)
+        idle.check_scheduled = false;
+        IdleCheck::Closed(self.close(server, incarnation))
     }
 
-    /// Closes everything; tells how many to which life of which server.
-    pub(crate) fn drain(&mut self) -> impl Iterator<Item = (u32, Idle)> + '_ {
+    /// Removes and returns all connections, by server.
+    pub(crate) fn drain(&mut self) -> impl Iterator<Item = (u32, IdleConnections)> + '_ {
         self.0.drain()
     }
 }
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -11,7 +11,7 @@
     Server, ServerId, Settings,
 };
 
-use crate::random::{Concern, Stream, stir, unit};
+use crate::random::{Purpose, Stream, hash_parts, unit_interval};
 
 /// The true state of the servers, for the ceiling alone.
 pub trait Truth {
@@ -166,7 +166,7 @@
 
 impl Reference {
     fn new(rule: PolicyName, settings: Settings, seed: u64) -> Self {
-        let random = Stream::new(seed, Concern::Policy, 0);
+        let random = Stream::new(seed, Purpose::Policy, 0);
         Reference {
             rule,
             settings,
@@ -238,7 +238,7 @@
             .map_or(cold, |at| now.saturating_sub(at));
         let n = u64::from(self.settings.balancers);
         let turn = now / COLD_TURN;
-        let rank = stir([known.server.id.0, turn, 1, 1])
+        let rank = hash_parts([known.server.id.0, turn, 1, 1])
             .wrapping_add(u64::from(self.settings.balancer_index))
             % n;
         if age < cold / 2 {
@@ -386,7 +386,7 @@
             .sent
             .iter()
             .any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
-        let spread = Some((200_000.0 * (0.5 + unit(stir([id, 2, 3, 4])))) as Micros);
+        let spread = Some((200_000.0 * (0.5 + unit_interval(hash_parts([id, 2, 3, 4])))) as Micros);
         out.push(if ran {
             Action::Fail { id }
         } else {
--- a/crates/emulator/src/random.rs
+++ b/crates/emulator/src/random.rs
@@ -1,6 +1,7 @@
-//! Random numbers: one seed, and a stream of its own for each concern, so that what one concern
-//! draws never moves another's numbers. Two policies under one seed meet the same arrivals, work
-//! and troubles.
+//! Random numbers: one seed, and an independent stream for each purpose.
+//!
+//! What one purpose draws never changes the numbers of another. Two policies under one seed
+//! therefore meet the same arrivals, work and faults (common random numbers).
 
 use rand::{Rng, RngExt as _, SeedableRng as _};
 use rand_distr::{Distribution as _, Exp1, StandardNormal};
@@ -9,50 +10,50 @@
 
 use crate::scenario::Law;
 
-/// What a stream is for.
+/// The purpose of a stream. The order is part of the seeds.
 #[derive(Clone, Copy, Debug)]
-pub enum Concern {
-    /// When clients of a proxy ask.
+pub enum Purpose {
+    /// When clients of a proxy send requests.
     Arrivals,
-    /// What they ask.
+    /// What they request.
     Work,
-    /// How fast servers are.
+    /// The speeds of servers.
     Servers,
-    /// Whom a trouble meets.
-    Trouble,
-    /// The policy's own draws; one for each proxy and life.
+    /// Which servers and proxies a fault affects.
+    Faults,
+    /// The policy's own draws; one stream for each proxy and incarnation.
     Policy,
-    /// Datagrams.
+    /// The loss of datagrams.
     Datagrams,
-    /// Random scenarios.
-    Hunt,
+    /// Generated scenarios.
+    GeneratedScenarios,
 }
 
-/// One stream.
+/// One stream of random numbers.
 #[derive(Clone, Debug)]
 pub struct Stream(Xoshiro256PlusPlus);
 
-/// A number that depends on its parts alone: for draws whose order would depend on the policy.
-pub(crate) fn stir(parts: [u64; 4]) -> u64 {
+/// A number that depends on its parts alone, for draws whose order would depend on the policy.
+pub(crate) fn hash_parts(parts: [u64; 4]) -> u64 {
     let mut bytes = [0; 32];
-    for (to, part) in bytes.chunks_exact_mut(8).zip(parts) {
-        to.copy_from_slice(&part.to_le_bytes());
+    for (chunk, part) in bytes.chunks_exact_mut(8).zip(parts) {
+        chunk.copy_from_slice(&part.to_le_bytes());
     }
     xxh3_64(&bytes)
 }
 
-/// Maps bits to [0, 1).
-pub(crate) fn unit(bits: u64) -> f64 {
+/// Maps bits to a number in [0, 1).
+pub(crate) fn unit_interval(bits: u64) -> f64 {
     (bits >> 11) as f64 / (1u64 << 53) as f64
 }
 
 impl Stream {
-    /// The stream of a concern; `index` tells apart those of one concern.
+    /// The stream of a purpose; `index` distinguishes those of one purpose.
     #[must_use]
-    pub fn new(seed: u64, concern: Concern, index: u64) -> Self {
-        Stream(Xoshiro256PlusPlus::seed_from_u64(stir([
+    pub fn new(seed: u64, purpose: Purpose, index: u64) -> Self {
+        Stream(Xoshiro256PlusPlus::seed_from_u64(hash_parts([
             seed,
-            concern as u64,
+            purpose as u64,
             index,
             0x1a0,
         ])))
@@ -60,7 +61,7 @@
 
     /// A number in [0, 1).
     pub fn unit(&mut self) -> f64 {
-        unit(self.bits())
+        unit_interval(self.bits())
     }
 
     /// 64 random bits.
@@ -68,25 +69,30 @@
         self.0.next_u64()
     }
 
-    /// A number between the two.
-    pub fn between(&mut self, (from, to): (f64, f64)) -> f64 {
+    /// A number in the range, uniformly distributed.
+    pub fn uniform(&mut self, (from, to): (f64, f64)) -> f64 {
         from + (to - from) * self.unit()
     }
 
-    /// A whole number below `n`, which is not 0.
-    pub fn below(&mut self, n: usize) -> usize {
-        self.0.random_range(0..n)
+    /// An integer below `bound`.
+    ///
+    /// # Panics
+    /// If `bound` is 0.
+    pub fn below(&mut self, bound: usize) -> usize {
+        self.0.random_range(0..bound)
     }
 
-    /// Exponential, with that mean.
+    /// A number with an exponential distribution of this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
-        let x: f64 = Exp1.sample(&mut self.0);
-        x * mean
+        let standard: f64 = Exp1.sample(&mut self.0);
+        standard * mean
     }
 
-    /// A value of that law and mean; `cv` is the standard deviation over the mean (lognormal only).
-    /// The exponential function is `libm`'s: the platform's differs from machine to machine.
-    pub fn law(&mut self, law: Law, mean: f64, cv: f64) -> f64 {
+    /// A number with the distribution and mean; `cv` is the coefficient of variation, which is the
+    /// standard deviation over the mean (lognormal only).
+    ///
+    /// The exponential function is that of `libm`: the platform's differs between machines.
+    pub fn sample(&mut self, law: Law, mean: f64, cv: f64) -> f64 {
         match law {
             Law::Fixed => mean,
             Law::Exponential => self.exponential(mean),
@@ -98,10 +104,10 @@
         }
     }
 
-    /// Puts a list in random order.
+    /// Shuffles a list (Fisher and Yates).
     pub fn shuffle<T>(&mut self, list: &mut [T]) {
-        for i in (1..list.len()).rev() {
-            list.swap(i, self.below(i + 1));
+        for last in (1..list.len()).rev() {
+            list.swap(last, self.below(last + 1));
         }
     }
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -15,18 +15,20 @@
 use slotmap::{DefaultKey, Key as _, KeyData, SlotMap};
 use smallvec::SmallVec;
 
-use crate::discovery::{Discovery, Listed};
+use crate::discovery::{Discovery, ListEntry, QueryResult};
+use crate::event_queue::EventQueue;
+use crate::fault_schedule::{
+    Degradation, FaultTargets, Step, max_surge_factor, schedule, surge_factor,
+};
 use crate::judge::{COLUMNS, Ended, Fate, Judge, Rule};
-use crate::network::{Connections, Network};
+use crate::network::{ConnectionPool, IdleCheck, Network};
 use crate::policy::{Policy, PolicyName, Truth};
-use crate::queue::Queue;
-use crate::random::{Concern, Stream, stir, unit};
+use crate::random::{Purpose, Stream, hash_parts, unit_interval};
 use crate::report::{Report, ServerReport, Traffic};
 use crate::scenario::{
     Arrivals, Class, EffectSpec, GroupSpec, RetryWait, Scenario, millis, seconds,
 };
 use crate::server::{Happened, Job, JobKey, Server};
-use crate::trouble::{Ground, Step, steps, surge, surge_most};
 
 /// The clock's reading at the start of a run.
 pub const ORIGIN: Micros = 1_000_000_000;
@@ -194,7 +196,7 @@
 struct Place {
     machine: u32,
     slow: BTreeMap<usize, f64>,
-    grey: BTreeMap<usize, (u8, f64, bool)>,
+    degradations: BTreeMap<usize, Degradation>,
     stopped: u32,
     lost: u32,
 }
@@ -212,7 +214,7 @@
     version: usize,
     news_due: bool,
     closing: FxHashMap<u32, Micros>,
-    idle: Connections,
+    idle: ConnectionPool,
     arrivals: Stream,
     work: Stream,
     burst: (bool, f64),
@@ -233,7 +235,7 @@
     now: Micros,
     end: Micros,
     stop: Micros,
-    queue: Queue<What>,
+    queue: EventQueue<What>,
     steps: Vec<Step>,
     ops: SlotMap<DefaultKey, Op>,
     tries: SlotMap<DefaultKey, Try>,
@@ -277,7 +279,7 @@
 
 fn server_id(number: u32) -> ServerId {
     // The order of the ids tells nothing; the low half leads back to the server.
-    ServerId(stir([u64::from(number), 0x5e, 0, 0]) << 32 | u64::from(number))
+    ServerId(hash_parts([u64::from(number), 0x5e, 0, 0]) << 32 | u64::from(number))
 }
 
 fn number_of(id: ServerId) -> u32 {
@@ -297,26 +299,31 @@
         let Some(machine) = self.machines.get(number_of(server) as usize) else {
             return NEVER;
         };
-        let grey = || {
+        let degradations = || {
             self.places[machine.place as usize]
-                .grey
+                .degradations
                 .values()
-                .filter(|g| g.0 as usize == class)
+                .filter(|degradation| usize::from(degradation.class) == class)
         };
-        if grey().any(|g| g.2) || machine.server.near_overdrive() {
+        if degradations().any(|degradation| degradation.unanswered)
+            || machine.server.near_overdrive()
+        {
             return NEVER;
         }
-        let work = work * grey().map(|g| g.1).product::<f64>();
+        let work = work
+            * degradations()
+                .map(|degradation| degradation.factor)
+                .product::<f64>();
         let gone = machine.vanished || machine.phase != Phase::Ready;
         if gone
             || self
                 .network
-                .cut_between(zone, machine.zone, self.now)
+                .partition_end(zone, machine.zone, self.now)
                 .is_some()
         {
             return NEVER;
         }
-        let way = 2.0 * self.network.plain_way(zone, machine.zone) as f64;
+        let way = 2.0 * self.network.base_delay(zone, machine.zone) as f64;
         let (waits, takes) = machine.server.would_take(self.now, work);
         (waits, way + takes)
     }
@@ -449,7 +456,7 @@
             now: ORIGIN,
             end,
             stop: end + longest + millis(scenario.rules.answer_slack_ms) + 1_000_000,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             steps: Vec::new(),
             ops: SlotMap::new(),
             tries: SlotMap::new(),
@@ -460,8 +467,8 @@
             proxies: Vec::new(),
             network: Network::new(&scenario.network, zones, seed),
             discovery: Discovery::new(&scenario.discovery),
-            datagrams: Stream::new(seed, Concern::Datagrams, 0),
-            speeds: Stream::new(seed, Concern::Servers, 0),
+            datagrams: Stream::new(seed, Purpose::Datagrams, 0),
+            speeds: Stream::new(seed, Purpose::Servers, 0),
             judge: Judge::new(scenario, ORIGIN),
             storm: None,
             class_shares: scenario
@@ -540,17 +547,17 @@
                         (dealt - 1) % zones
                     });
                 let place = self.places.len() as u32;
-                let (slow, grey) = Default::default();
+                let (slow, degradations) = Default::default();
                 self.places.push(Place {
                     machine: 0,
                     slow,
-                    grey,
+                    degradations,
                     stopped: 0,
                     lost: 0,
                 });
                 let machine = self.machine(number, zone, place);
                 self.machines[machine as usize].server.up = true;
-                self.discovery.list(Listed {
+                self.discovery.publish(ListEntry {
                     server: machine,
                     phase: Phase::Ready,
                     started: 0,
@@ -577,9 +584,9 @@
                 version: self.discovery.version(),
                 news_due: false,
                 closing: FxHashMap::default(),
-                idle: Connections::default(),
-                arrivals: Stream::new(self.seed, Concern::Arrivals, n),
-                work: Stream::new(self.seed, Concern::Work, n),
+                idle: ConnectionPool::default(),
+                arrivals: Stream::new(self.seed, Purpose::Arrivals, n),
+                work: Stream::new(self.seed, Purpose::Work, n),
                 burst: (false, 0.0),
                 asked_at: 0.0,
             });
@@ -588,15 +595,15 @@
             self.begin_proxy(i);
             self.next_arrival(i);
         }
-        let ground = Ground {
-            places: &self
+        let targets = FaultTargets {
+            position_zones: &self
                 .places
                 .iter()
                 .map(|p| self.machines[p.machine as usize].zone)
                 .collect::<Vec<_>>(),
-            proxies: &dealt,
+            proxy_zones: &dealt,
         };
-        for (number, (at, step)) in steps(self.scenario, &ground, self.seed, ORIGIN)
+        for (number, (at, step)) in schedule(self.scenario, &targets, self.seed, ORIGIN)
             .into_iter()
             .enumerate()
         {
@@ -614,7 +621,7 @@
     fn machine(&mut self, pool: usize, zone: usize, place: u32) -> u32 {
         let number = self.machines.len() as u32;
         let spec = &self.scenario.pool[pool];
-        let speed = self.speeds.between(spec.speed);
+        let speed = self.speeds.uniform(spec.speed);
         let mut server = Server::new(spec, speed, self.now, self.fine);
         server.up = false;
         self.machines.push(Machine {
@@ -751,11 +758,13 @@
             What::Idle { proxy, server } => {
                 let machine = &mut self.machines[server as usize];
                 let idle = &mut self.proxies[proxy as usize].idle;
-                let (closed, again) =
-                    idle.age(server, machine.life, self.now, self.network.idle_close);
-                machine.connections = machine.connections.saturating_sub(closed);
-                if let Some(at) = again {
-                    self.queue.push(at, What::Idle { proxy, server });
+                match idle.check_idle(server, machine.life, self.now, self.network.idle_timeout) {
+                    IdleCheck::Closed(closed) => {
+                        machine.connections = machine.connections.saturating_sub(closed);
+                    }
+                    IdleCheck::CheckAgainAt(at) => {
+                        self.queue.push(at, What::Idle { proxy, server });
+                    }
                 }
             }
             What::Step(number) => {
@@ -799,7 +808,7 @@
         } else {
             1.0
         };
-        self.scenario.curve_most() * surge_most(self.scenario) * burst
+        self.scenario.curve_most() * max_surge_factor(self.scenario) * burst
     }
 
     /// Draws when a proxy is asked next. Candidates come at the highest rate and are kept in
@@ -813,7 +822,7 @@
         let bursty = c.arrivals == Arrivals::Bursty;
         let mean = (c.burst_s * c.burst_factor + c.rest_s) / (c.burst_s + c.rest_s);
         loop {
-            let factor = |at: f64| scenario.curve(at) * surge(scenario, at);
+            let factor = |at: f64| scenario.curve(at) * surge_factor(scenario, at);
             if c.arrivals == Arrivals::Even {
                 at += 1.0 / (base * factor(at)).max(1e-9);
             } else {
@@ -855,7 +864,7 @@
             .position(|s| x < *s)
             .unwrap_or(self.class_shares.len() - 1);
         let spec = &self.scenario.class[class];
-        let work = p.work.law(spec.law, spec.work_ms * 1e3, spec.cv);
+        let work = p.work.sample(spec.law, spec.work_ms * 1e3, spec.cv);
         if p.clients_there {
             self.asked += 1;
             self.open_ops += 1;
@@ -881,7 +890,8 @@
         let (proxy, class, number) = (op.proxy, op.class as usize, op.number);
         let spec = &self.scenario.class[class];
         let clients = &self.scenario.clients;
-        let draw = |what: u64| unit(stir([self.seed, number, u64::from(op.tries), what]));
+        let draw =
+            |what: u64| unit_interval(hash_parts([self.seed, number, u64::from(op.tries), what]));
         let (from, to) = clients.patience;
         let patience = millis(spec.deadline_ms * (from + (to - from) * draw(1)));
         let expires = (self.now + patience).min(op.start + millis(spec.deadline_ms));
@@ -945,7 +955,7 @@
             Some(retries) => (retries, true),
             None => (clients.retries, clients.retry_wait == RetryWait::AtOnce),
         };
-        let draw = unit(stir([self.seed, op.number, u64::from(op.tries), 4]));
+        let draw = unit_interval(hash_parts([self.seed, op.number, u64::from(op.tries), 4]));
         let first = clients.retry_ms * 1e3;
         let wait = match clients.retry_wait {
             _ if at_once => 0.0,
@@ -1064,14 +1074,14 @@
         p.closing.clear();
         p.subscribed = !self.scenario.discovery.watch;
         let version = p.version;
-        let seed = stir([
+        let seed = hash_parts([
             self.seed,
-            Concern::Policy as u64,
+            Purpose::Policy as u64,
             u64::from(number),
             u64::from(life),
         ]);
         p.policy = Some((self.build)(settings(self.scenario, number, zone), seed));
-        let servers = self.discovery.at(version);
+        let servers = self.discovery.list_at(version);
         let servers = servers.iter().map(|l| self.entry(l)).collect();
         self.tell(
             number,
@@ -1094,7 +1104,7 @@
             p.clients_there = !clients_too;
             for (server, idle) in p.idle.drain() {
                 let machine = &mut self.machines[server as usize];
-                if machine.life == idle.life {
+                if machine.life == idle.incarnation {
                     machine.connections = machine.connections.saturating_sub(idle.count);
                 }
             }
@@ -1171,11 +1181,11 @@
                 );
             }
             Action::Subscribe(true) | Action::FetchAll => {
-                let (at, ok) = self.discovery.call(self.now);
+                let QueryResult { at, answered: ok } = self.discovery.query(self.now);
                 let p = &mut self.proxies[proxy as usize];
                 p.heard = self.now;
                 let life = p.life;
-                let way = 2 * self.network.plain_way(0, 0);
+                let way = 2 * self.network.base_delay(0, 0);
                 self.queue.push(at + way, What::Called { proxy, life, ok });
             }
             Action::Subscribe(false) => self.proxies[proxy as usize].subscribed = false,
@@ -1184,7 +1194,7 @@
                 let (server, sent) = (number_of(server), self.now);
                 let p = &self.proxies[proxy as usize];
                 let to = self.machines[server as usize].zone;
-                let at = sent + self.network.way(p.zone, to, [u64::from(proxy), sent]);
+                let at = sent + self.network.delay(p.zone, to, [u64::from(proxy), sent]);
                 self.queue.push(
                     at,
                     What::Probe {
@@ -1222,12 +1232,12 @@
             if lost
                 || self
                     .network
-                    .cut_between(zones.0, zones.1, self.now)
+                    .partition_end(zones.0, zones.1, self.now)
                     .is_some()
             {
                 continue;
             }
-            let way = self.network.way(
+            let way = self.network.delay(
                 zones.0,
                 zones.1,
                 [u64::from(from) << 32 | u64::from(to), self.now],
@@ -1335,7 +1345,7 @@
         let fresh = !p.idle.take(server, machine.life);
         let way = |what: u64| {
             self.network
-                .way(p.zone, machine.zone, [number, u64::from(n) << 8 | what])
+                .delay(p.zone, machine.zone, [number, u64::from(n) << 8 | what])
         };
         let at = now + way(0) + if fresh { way(1) + way(2) } else { 0 };
         self.cross_zone += u64::from(p.zone != machine.zone);
@@ -1366,10 +1376,11 @@
         let mut told = p.closing.get(&server).copied();
         // A call that failed excuses for longer; while discovery is out nobody could know.
         let within = self.rules.ask_within * if p.failed { 4 } else { 1 };
-        if told.is_none() && !p.subscribed && !self.discovery.out && self.now > p.heard + within {
+        if told.is_none() && !p.subscribed && !self.discovery.is_out && self.now > p.heard + within
+        {
             let asked = self
                 .discovery
-                .since(p.version)
+                .changes_since(p.version)
                 .iter()
                 .rev()
                 .find(|l| l.server == server);
@@ -1463,9 +1474,9 @@
         let number = self.ops[op_key].number;
         let way = self
             .network
-            .way(zone, machine.zone, [number, u64::from(n) << 8 | 3]);
+            .delay(zone, machine.zone, [number, u64::from(n) << 8 | 3]);
         let lost = sent + self.network.connect_timeout;
-        if let Some(until) = self.network.cut_between(zone, machine.zone, self.now) {
+        if let Some(until) = self.network.partition_end(zone, machine.zone, self.now) {
             return if fresh {
                 self.unreached(request, n, lost.max(self.now))
             } else {
@@ -1529,18 +1540,18 @@
             self.judge.relieved(server);
         }
         let place = &self.places[machine.place as usize];
-        let grey: f64 = place
-            .grey
+        let degradation: f64 = place
+            .degradations
             .values()
-            .filter(|g| g.0 == class && !g.2)
-            .map(|g| g.1)
+            .filter(|degradation| degradation.class == class && !degradation.unanswered)
+            .map(|degradation| degradation.factor)
             .product();
         let job = Job {
             request,
             attempt: n,
             op: op_key,
             class,
-            work: work * grey,
+            work: work * degradation,
             expires,
             came: self.now,
             cancelled: false,
@@ -1595,9 +1606,9 @@
             if outcome == Outcome::Reset {
                 let machine = &mut self.machines[server as usize];
                 machine.connections = machine.connections.saturating_sub(1);
-            } else if idle.give(server, life, self.now) {
+            } else if idle.put_back(server, life, self.now) {
                 self.queue.push(
-                    self.now + self.network.idle_close,
+                    self.now + self.network.idle_timeout,
                     What::Idle { proxy, server },
                 );
             }
@@ -1662,10 +1673,10 @@
         };
         let way = self
             .network
-            .way(zone, machine.zone, [number, u64::from(n) << 8 | 4]);
+            .delay(zone, machine.zone, [number, u64::from(n) << 8 | 4]);
         let from = self
             .network
-            .cut_between(zone, machine.zone, self.now)
+            .partition_end(zone, machine.zone, self.now)
             .unwrap_or(self.now);
         self.queue
             .push(from + way, What::CallOff { server, life, job });
@@ -1755,10 +1766,10 @@
         let (number, n) = (self.ops[held.op].number, job.attempt);
         let way = self
             .network
-            .way(zone, to, [number, u64::from(n) << 8 | leg]);
+            .delay(zone, to, [number, u64::from(n) << 8 | leg]);
         let from = self
             .network
-            .cut_between(zone, to, self.now)
+            .partition_end(zone, to, self.now)
             .unwrap_or(self.now);
         self.queue.push(
             from + way,
@@ -1773,7 +1784,10 @@
     fn left_server(&mut self, server: u32, job: &Job, outcome: Outcome) {
         let machine = &self.machines[server as usize];
         let place = &self.places[machine.place as usize];
-        let silent = place.grey.values().any(|g| g.0 == job.class && g.2);
+        let silent = place
+            .degradations
+            .values()
+            .any(|degradation| degradation.class == job.class && degradation.unanswered);
         let zone = machine.zone;
         if !silent {
             self.reply(zone, job, outcome, 5);
@@ -1832,7 +1846,7 @@
             for (request, n, proxy) in found {
                 let way = self
                     .network
-                    .plain_way(zone, self.proxies[proxy as usize].zone);
+                    .base_delay(zone, self.proxies[proxy as usize].zone);
                 self.queue.push(
                     self.now + way,
                     What::Back {
@@ -1859,43 +1873,56 @@
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Slow(places, number, factor) => {
+            Step::Slow {
+                positions: places,
+                fault: number,
+                factor,
+            } => {
                 for place in places {
                     let slow = &mut self.places[place as usize].slow;
                     match factor {
-                        Some(value) => drop(slow.insert(number, value)),
-                        None => drop(slow.remove(&number)),
-                    }
+                        Some(value) => slow.insert(number, value),
+                        None => slow.remove(&number),
+                    };
                     self.hamper(self.places[place as usize].machine);
                 }
             }
-            Step::Grey(places, number, what) => {
+            Step::Degrade {
+                positions: places,
+                fault: number,
+                degradation: what,
+            } => {
                 for place in places {
-                    let grey = &mut self.places[place as usize].grey;
+                    let degradations = &mut self.places[place as usize].degradations;
                     match what {
-                        Some(value) => drop(grey.insert(number, value)),
-                        None => drop(grey.remove(&number)),
-                    }
+                        Some(value) => degradations.insert(number, value),
+                        None => degradations.remove(&number),
+                    };
                 }
             }
-            Step::Stop(places, on) => {
-                for place in places {
-                    let p = &mut self.places[place as usize];
-                    p.stopped = if on {
-                        p.stopped + 1
-                    } else {
-                        p.stopped.saturating_sub(1)
-                    };
-                    self.hamper(self.places[place as usize].machine);
+            Step::Pause { positions } => {
+                for position in positions {
+                    self.places[position as usize].stopped += 1;
+                    self.hamper(self.places[position as usize].machine);
+                }
+            }
+            Step::Resume { positions } => {
+                for position in positions {
+                    let place = &mut self.places[position as usize];
+                    place.stopped = place.stopped.saturating_sub(1);
+                    self.hamper(self.places[position as usize].machine);
                 }
             }
-            Step::End(places, silent) => {
+            Step::Stop {
+                positions: places,
+                silent,
+            } => {
                 for place in places {
                     self.places[place as usize].lost += 1;
                     self.end_server(self.places[place as usize].machine, silent);
                 }
             }
-            Step::Start(places) => {
+            Step::Start { positions: places } => {
                 for place in places {
                     let p = &mut self.places[place as usize];
                     p.lost = p.lost.saturating_sub(1);
@@ -1904,7 +1931,7 @@
                     }
                 }
             }
-            Step::Drain(places) => {
+            Step::Drain { positions: places } => {
                 let late = seconds(self.scenario.discovery.drain_s);
                 for place in places {
                     let server = self.places[place as usize].machine;
@@ -1915,7 +1942,7 @@
                     }
                 }
             }
-            Step::Replace(places) => {
+            Step::Replace { positions: places } => {
                 for place in places {
                     let old = self.places[place as usize].machine;
                     self.end_server(old, false);
@@ -1930,32 +1957,39 @@
                     }
                 }
             }
-            Step::Cut(zone, until) => self.network.cut(zone, until),
-            Step::ProxiesEnd(list, clients_too) => self.end_proxies(&list, clients_too),
-            Step::ProxiesStart(list) => {
-                for proxy in list {
+            Step::Partition { zone, until } => self.network.partition(zone, until),
+            Step::StopProxies {
+                proxies,
+                with_clients,
+            } => self.end_proxies(&proxies, with_clients),
+            Step::StartProxies { proxies } => {
+                for proxy in proxies {
                     if self.proxies[proxy as usize].policy.is_none() {
                         self.begin_proxy(proxy);
                     }
                 }
             }
-            Step::Storm(retries) => self.storm = retries,
-            Step::Outage(out) => {
-                self.discovery.out = out;
-                for proxy in 0..if out { self.proxies.len() as u32 } else { 0 } {
-                    let p = &mut self.proxies[proxy as usize];
-                    if self.scenario.discovery.watch
-                        && p.policy.is_some()
-                        && std::mem::take(&mut p.subscribed)
-                    {
-                        p.heard = self.now;
-                        let listing = Listing {
-                            scope: Scope::Failed,
-                            servers: Vec::new(),
-                        };
-                        self.tell(proxy, Event::Members(listing));
-                    }
-                }
+            Step::RetryStorm { retries } => self.storm = retries,
+            Step::DiscoveryOutage => self.begin_discovery_outage(),
+            Step::DiscoveryBack => self.discovery.is_out = false,
+        }
+    }
+
+    /// Discovery answers no query from now on, and its watches break.
+    fn begin_discovery_outage(&mut self) {
+        self.discovery.is_out = true;
+        for proxy in 0..self.proxies.len() as u32 {
+            let p = &mut self.proxies[proxy as usize];
+            if self.scenario.discovery.watch
+                && p.policy.is_some()
+                && std::mem::take(&mut p.subscribed)
+            {
+                p.heard = self.now;
+                let listing = Listing {
+                    scope: Scope::Failed,
+                    servers: Vec::new(),
+                };
+                self.tell(proxy, Event::Members(listing));
             }
         }
     }
@@ -1975,21 +2009,21 @@
         if phase == Phase::Ready {
             machine.told_at = self.discovery.version() + 1;
         }
-        self.discovery.list(Listed {
+        self.discovery.publish(ListEntry {
             server,
             phase,
             started,
             since: self.now,
         });
         let spread = seconds(self.scenario.discovery.spread_s);
-        if self.discovery.out {
+        if self.discovery.is_out {
             return;
         }
         for proxy in 0..self.proxies.len() as u32 {
             let p = &mut self.proxies[proxy as usize];
             if p.subscribed && p.policy.is_some() && !p.news_due {
                 p.news_due = true;
-                let draw = unit(stir([self.seed, u64::from(proxy), self.now, 0x11]));
+                let draw = unit_interval(hash_parts([self.seed, u64::from(proxy), self.now, 0x11]));
                 let at = self.now + (spread as f64 * draw) as Micros;
                 self.queue.push(
                     at,
@@ -2002,7 +2036,7 @@
         }
     }
 
-    fn entry(&self, listed: &Listed) -> ListedServer {
+    fn entry(&self, listed: &ListEntry) -> ListedServer {
         let machine = &self.machines[listed.server as usize];
         ListedServer {
             id: machine.id,
@@ -2021,7 +2055,7 @@
     /// A proxy hears the changes since it last heard, or the whole list.
     fn news(&mut self, proxy: u32, scope: Scope) {
         let p = &mut self.proxies[proxy as usize];
-        let changes = self.discovery.since(p.version);
+        let changes = self.discovery.changes_since(p.version);
         if scope == Scope::Changes && changes.is_empty() {
             return;
         }
@@ -2037,7 +2071,7 @@
             Scope::Changes => changes.iter().map(|l| self.entry(l)).collect(),
             _ => self
                 .discovery
-                .at(version)
+                .list_at(version)
                 .iter()
                 .map(|l| self.entry(l))
                 .collect(),
@@ -2049,7 +2083,7 @@
         if !self.lives(proxy, life) {
             return;
         }
-        let fails = !ok || self.discovery.out;
+        let fails = !ok || self.discovery.is_out;
         self.proxies[proxy as usize].failed = fails;
         if fails {
             let listing = Listing {
@@ -2067,11 +2101,11 @@
         let machine = &mut self.machines[server as usize];
         let way = self
             .network
-            .way(machine.zone, zone, [u64::from(proxy), sent ^ 1]);
+            .delay(machine.zone, zone, [u64::from(proxy), sent ^ 1]);
         let silent = machine.vanished
             || self
                 .network
-                .cut_between(zone, machine.zone, self.now)
+                .partition_end(zone, machine.zone, self.now)
                 .is_some();
         let up = machine.server.up && !silent;
         let at = if silent {
@@ -2169,7 +2203,7 @@
             });
         }
         self.judge
-            .fact(9, [self.events, self.queue.pushed(), self.attempts]);
+            .fact(9, [self.events, self.queue.total_pushed(), self.attempts]);
         let servers = self
             .machines
             .iter()
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -11,9 +11,8 @@
 use std::time::{Duration, Instant};
 
 use ironmast_emulator::{
-    Arrivals, Class, Clients, Concern, DiscoverySpec, EffectSpec, GroupSpec, Law, Network,
-    PolicyName, Pool, Proxies, RetryWait, Rule, Rules, Scenario, Stream, Trouble, TroubleKind,
-    World,
+    Arrivals, Class, Clients, DiscoverySpec, EffectSpec, GroupSpec, Law, Network, PolicyName, Pool,
+    Proxies, Purpose, RetryWait, Rule, Rules, Scenario, Stream, Trouble, TroubleKind, World,
 };
 use rayon::prelude::*;
 
@@ -263,9 +262,9 @@
 
 /// Draws a scenario of its own.
 fn draw(seed: u64) -> Scenario {
-    let r = &mut Stream::new(seed, Concern::Hunt, 0);
+    let r = &mut Stream::new(seed, Purpose::GeneratedScenarios, 0);
     let zones: Vec<String> = (0..=r.below(4)).map(|z| format!("z{z}")).collect();
-    let length_s = r.between((10.0, 30.0)).round();
+    let length_s = r.uniform((10.0, 30.0)).round();
     let classes = 1 + r.below(3);
     let class = (0..classes).map(|i| draw_class(r, i)).collect();
     let pools = 1 + r.below(3);
@@ -280,21 +279,21 @@
         clients: draw_clients(r),
         proxies: draw_proxies(r),
         network: Network {
-            inside_ms: r.between((0.0, 2.0)),
-            between_ms: r.between((1.0, 40.0)),
+            inside_ms: r.uniform((0.0, 2.0)),
+            between_ms: r.uniform((1.0, 40.0)),
             jitter: r.unit(),
             datagram_loss: r.unit() * 0.2,
-            connect_timeout_ms: r.between((50.0, 400.0)),
-            idle_close_s: r.between((1.0, 60.0)),
+            connect_timeout_ms: r.uniform((50.0, 400.0)),
+            idle_close_s: r.uniform((1.0, 60.0)),
         },
         discovery: DiscoverySpec {
             watch: r.unit() < 0.8,
-            start_s: r.between((0.0, 3.0)),
-            drain_s: r.between((0.0, 1.5)),
-            gone_s: r.between((0.0, 4.0)),
-            spread_s: r.between((0.0, 0.5)),
-            calls_per_s: r.between((2.0, 500.0)),
-            most_wait_s: r.between((0.2, 3.0)),
+            start_s: r.uniform((0.0, 3.0)),
+            drain_s: r.uniform((0.0, 1.5)),
+            gone_s: r.uniform((0.0, 4.0)),
+            spread_s: r.uniform((0.0, 0.5)),
+            calls_per_s: r.uniform((2.0, 500.0)),
+            most_wait_s: r.uniform((0.2, 3.0)),
         },
         rules: Rules::default(),
         class,
@@ -305,31 +304,31 @@
         scenario.proxies.zone_weights = scenario.zones.iter().map(|_| r.unit() + 0.01).collect();
     }
     // From half idle to beyond what the fleet can do.
-    scenario.clients.rate = (scenario.capacity() * r.between((0.15, 1.3))).clamp(1.0, 3_000.0);
+    scenario.clients.rate = (scenario.capacity() * r.uniform((0.15, 1.3))).clamp(1.0, 3_000.0);
     scenario
 }
 
 fn draw_class(r: &mut Stream, number: usize) -> Class {
-    let work_ms = r.between((2.0, 120.0));
-    let aim_ms = work_ms * r.between((3.0, 12.0));
+    let work_ms = r.uniform((2.0, 120.0));
+    let aim_ms = work_ms * r.uniform((3.0, 12.0));
     Class {
         name: format!("c{number}"),
         share: r.unit() + 0.05,
         effect: [EffectSpec::Free, EffectSpec::Keyed, EffectSpec::Once][r.below(3)],
         group: [GroupSpec::All, GroupSpec::Zone][r.below(2)],
-        dedup_s: r.between((0.05, 8.0)),
+        dedup_s: r.uniform((0.05, 8.0)),
         law: [Law::Fixed, Law::Exponential, Law::Lognormal][r.below(3)],
         work_ms,
-        cv: r.between((0.1, 2.0)),
+        cv: r.uniform((0.1, 2.0)),
         aim_ms,
-        deadline_ms: aim_ms * r.between((1.0, 5.0)),
-        worth: r.between((0.5, 10.0)),
+        deadline_ms: aim_ms * r.uniform((1.0, 5.0)),
+        worth: r.uniform((0.5, 10.0)),
     }
 }
 
 fn draw_pool(r: &mut Stream, number: usize, zones: &[String]) -> Pool {
     let cores = 1 + r.below(6) as u32;
-    let least = r.between((0.4, 1.0));
+    let least = r.uniform((0.4, 1.0));
     Pool {
         kind: format!("p{number}"),
         zone: if r.unit() < 0.7 {
@@ -345,7 +344,7 @@
             cores * (1 + r.below(4) as u32)
         },
         queue: r.below(80) as u32,
-        speed: (least, least * r.between((1.0, 2.0))),
+        speed: (least, least * r.uniform((1.0, 2.0))),
         connections: if r.unit() < 0.6 {
             0
         } else {
@@ -353,21 +352,21 @@
         },
         handshake_work_ms: r.unit() * 2.0,
         probe_work_ms: r.unit() * 0.5,
-        cold_share: r.between((0.2, 1.0)),
-        cold_s: r.between((1.0, 12.0)),
+        cold_share: r.uniform((0.2, 1.0)),
+        cold_s: r.uniform((1.0, 12.0)),
         cold_work_s: if r.unit() < 0.7 {
             0.0
         } else {
-            r.between((1.0, 20.0))
+            r.uniform((1.0, 20.0))
         },
         overdrive_ratio: if r.unit() < 0.5 {
             0.0
         } else {
-            r.between((2.0, 10.0))
+            r.uniform((2.0, 10.0))
         },
-        overdrive_s: r.between((0.5, 3.0)),
-        overdrive_factor: r.between((1.2, 4.0)),
-        recover_s: r.between((1.0, 20.0)),
+        overdrive_s: r.uniform((0.5, 3.0)),
+        overdrive_factor: r.uniform((1.2, 4.0)),
+        recover_s: r.uniform((1.0, 20.0)),
         drops_cancelled: r.unit() < 0.7,
         drops_overdue: r.unit() < 0.7,
     }
@@ -377,9 +376,9 @@
     Clients {
         rate: 1.0,
         arrivals: [Arrivals::Poisson, Arrivals::Even, Arrivals::Bursty][r.below(3)],
-        burst_s: r.between((0.1, 3.0)),
-        rest_s: r.between((0.1, 6.0)),
-        burst_factor: r.between((1.5, 8.0)),
+        burst_s: r.uniform((0.1, 3.0)),
+        rest_s: r.uniform((0.1, 6.0)),
+        burst_factor: r.uniform((1.5, 8.0)),
         curve: if r.unit() < 0.7 {
             Vec::new()
         } else {
@@ -388,7 +387,7 @@
         busiest: if r.unit() < 0.6 {
             1.0
         } else {
-            r.between((1.0, 30.0))
+            r.uniform((1.0, 30.0))
         },
         retries: r.below(5) as u32,
         retry_wait: [
@@ -397,8 +396,8 @@
             RetryWait::Exponential,
             RetryWait::RetryAfter,
         ][r.below(4)],
-        retry_ms: r.between((0.0, 400.0)),
-        patience: (r.between((0.3, 0.9)), 1.0),
+        retry_ms: r.uniform((0.0, 400.0)),
+        patience: (r.uniform((0.3, 0.9)), 1.0),
         walk_away: if r.unit() < 0.5 { 0.0 } else { r.unit() * 0.2 },
     }
 }
@@ -417,7 +416,7 @@
         probes: r.unit() < 0.7,
         peers: false,
         load_reports: r.unit() < 0.7,
-        max_retry_after_s: r.between((0.1, 3.0)),
+        max_retry_after_s: r.uniform((0.1, 3.0)),
         cross_zone: r.unit() * 0.3,
         sizes: r.unit() < 0.5,
     }
@@ -426,7 +425,7 @@
 /// Draws troubles for a scenario: each kind is on or off.
 fn trouble(scenario: &mut Scenario, seed: u64) {
     use TroubleKind as K;
-    let r = &mut Stream::new(seed, Concern::Hunt, 1);
+    let r = &mut Stream::new(seed, Purpose::GeneratedScenarios, 1);
     for kind in [
         K::Slow,
         K::SharedSlow,
@@ -451,20 +450,20 @@
         let drawn = Trouble {
             kind,
             at_s,
-            for_s: (r.between((0.2, (scenario.length_s - at_s).max(0.4))) * 10.0).round() / 10.0,
-            share: r.between((0.05, 1.0)),
+            for_s: (r.uniform((0.2, (scenario.length_s - at_s).max(0.4))) * 10.0).round() / 10.0,
+            share: r.uniform((0.05, 1.0)),
             zone: if zoned { zone } else { String::new() },
             class: if kind == K::Grey {
                 class
             } else {
                 String::new()
             },
-            factor: r.between((1.2, 8.0)),
+            factor: r.uniform((1.2, 8.0)),
             silent: r.unit() < 0.5,
             proxies: r.unit() < 0.5,
-            batch: r.between((0.05, 0.6)),
-            drain_s: r.between((0.2, 5.0)),
-            pause_s: r.between((0.02, 1.0)),
+            batch: r.uniform((0.05, 0.6)),
+            drain_s: r.uniform((0.2, 5.0)),
+            pause_s: r.uniform((0.02, 1.0)),
             retries: 1 + r.below(5) as u32,
         };
         scenario.trouble.push(drawn);
