--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -432,7 +432,7 @@
     Failed,
 }
 
-/// News from discovery.
+/// PeerLoad from discovery.
 #[derive(Clone, Debug)]
 pub struct Listing {
     /// How to read the entries.
@@ -492,7 +492,7 @@
         /// The token given with it.
         token: u64,
     },
-    /// News from discovery.
+    /// PeerLoad from discovery.
     Members(Listing),
     /// A probe ended.
     ProbeEnded {
--- /dev/null
+++ b/crates/balancer/src/balance/requests.rs
@@ -0,0 +1,178 @@
+//! The life of a request: accepted, sent or queued, looked at when it is due, answered.
+
+use std::cmp::Reverse;
+
+use super::Balancer;
+use super::attempts::{HEDGE_WIN_RATE, MAX_RETRY_BUDGET, RETRY_BUDGET_EARNED};
+use super::health::EJECTION_TIME;
+use crate::api::{Action, ClassId, Effect, Micros, Outcome, Request, RequestId};
+use crate::state::{Attempt, OpenRequest, mix, unit};
+
+/// A request that reached no server is given up at this part of its time: wake_ups, a client gains
+/// nothing by the wait.
+const UNSENT_TIME_SHARE: f64 = 0.15;
+
+impl Balancer {
+    /// A request arrived: sends or queues it, or rejects one that cannot be served.
+    pub(super) fn accept_request(&mut self, request: Request, actions: &mut Vec<Action>) {
+        let id = request.id;
+        if request.class >= self.latencies.len() || request.expires <= self.now {
+            return actions.push(self.rejection(id, request.class));
+        }
+        self.peer_load.asked(self.now);
+        let earned = RETRY_BUDGET_EARNED.0
+            + RETRY_BUDGET_EARNED.1 * (self.hedge_win_rate - HEDGE_WIN_RATE.0).max(0.0);
+        self.retry_budget = (self.retry_budget + earned).min(MAX_RETRY_BUDGET);
+        // Guards rule 1: whatever happens, the request is ended before the client gives up.
+        let last = request.expires.saturating_sub(self.settings.tick);
+        self.due_requests.insert((last, id));
+        let class = &self.settings.classes[request.class];
+        let position = (
+            Reverse((class.value * 1000.0) as u64),
+            Reverse(self.now),
+            id,
+        );
+        // Capacity in the own zone is waited for, for as much of the latency target as crossing
+        // zones costs of the value.
+        let spill_at =
+            self.now + (self.settings.penalties.cross_zone * class.latency_target as f64) as Micros;
+        let unsent_until =
+            self.now + ((request.expires - self.now) as f64 * UNSENT_TIME_SHARE) as Micros;
+        self.open_requests.insert(
+            id,
+            OpenRequest::new(
+                request,
+                position,
+                spill_at,
+                self.now + class.latency_target,
+                unsent_until,
+                last,
+            ),
+        );
+        self.send_or_queue(id, actions);
+    }
+
+    /// Sends a request, or queues it until there is capacity; returns whether it left the queue.
+    pub(super) fn send_or_queue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let Some(open) = self.open_requests.get(&id) else {
+            return false;
+        };
+        let (candidates, key, position) = (self.candidates(open), open.request.key, open.turn);
+        let target_reachable_until = open
+            .target_at
+            .saturating_sub(self.latencies[open.request.class].median as Micros);
+        let wake_ups =
+            [open.spill_at, target_reachable_until, open.unsent_until].map(|at| (at, id));
+        if candidates.is_empty() && self.failure_detector.all(&self.fleet) {
+            // Guards clients against waiting where this balancer itself is partitioned off.
+            self.end(id, actions);
+            return true;
+        }
+        let Some(server) = self.draw(candidates, key) else {
+            if self.queue.insert(position) {
+                self.due_requests.extend(wake_ups);
+            }
+            return false;
+        };
+        self.send(id, server, actions);
+        true
+    }
+
+    /// A request is due: ends it, sends it if it is queued, or hedges it.
+    pub(super) fn request_due(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(open) = self
+            .open_requests
+            .get(&id)
+            .filter(|open| !open.done && !open.streaming)
+        else {
+            return;
+        };
+        // Whether a response can still arrive within the latency target.
+        let is_useful =
+            self.now + (self.latencies[open.request.class].median as Micros) < open.target_at;
+        // Guards the client's time: a request that no server has seen by then is rejected.
+        let is_unseen = open
+            .attempts
+            .iter()
+            .all(|attempt| attempt.outcome == Some(Outcome::ConnectFailed));
+        let is_useful = is_useful && !(is_unseen && self.now >= open.unsent_until);
+        let may_hedge = self.settings.classes[open.request.class].effect == Effect::Idempotent
+            && self.retry_budget >= 1.0;
+        match open.outstanding() {
+            _ if self.now >= open.last => self.end(id, actions),
+            0 if is_useful => _ = self.send_or_queue(id, actions),
+            0 => self.end(id, actions),
+            1 if is_useful && may_hedge && open.has_attempts_left(&self.settings.limits) => {
+                let (candidates, key) = (self.candidates(open), open.request.key);
+                if let Some(server) = self.draw(candidates, key) {
+                    self.retry_budget -= 1.0;
+                    self.send(id, server, actions);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// The client has its response or has disconnected: cancels attempts in flight, and forgets the
+    /// request once all have ended.
+    pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(open) = self.open_requests.get_mut(&id) else {
+            return;
+        };
+        let stop = self.settings.limits.cancel && !open.done && !open.streaming;
+        let in_flight = open
+            .attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, attempt)| stop && attempt.outcome.is_none());
+        actions.extend(in_flight.map(|(number, _)| Action::Cancel {
+            id,
+            attempt: number as u32,
+        }));
+        open.done = true;
+        self.queue.remove(&open.turn);
+        if open.outstanding() == 0 {
+            self.open_requests.remove(&id);
+        }
+    }
+
+    /// Ends a request for which nothing more can be done.
+    pub(super) fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(open) = self.open_requests.get(&id) else {
+            return;
+        };
+        // Guards rule 2: a rejection invites a retry, so it is for requests that cannot have run.
+        let may_have_run = open.attempts.iter().any(Attempt::may_have_run);
+        actions.push(if may_have_run {
+            Action::Fail { id }
+        } else {
+            self.rejection(id, open.request.class)
+        });
+        self.close(id, actions);
+    }
+
+    /// A rejection with a retry delay: about as long as the usable servers take for the queue, or one
+    /// ejection where none is usable. Jittered by the request's number: guards against clients that
+    /// all retry at once.
+    pub(super) fn rejection(&self, id: RequestId, class: ClassId) -> Action {
+        let capacity: f64 = [true, false]
+            .map(|own| self.fleet.load(own).healthy_limit.value())
+            .iter()
+            .sum();
+        let took = self
+            .latencies
+            .get(class)
+            .map_or(0.0, |latency| latency.median);
+        let wait = if capacity > 0.0 {
+            took * (1.0 + self.queue.len() as f64 / capacity)
+        } else {
+            EJECTION_TIME.0 as f64
+        };
+        let jitter = 0.5 + unit(mix(self.subset_salt ^ id));
+        let max_delay = self.settings.limits.max_retry_after;
+        Action::Reject {
+            id,
+            retry_after: Some(((wait * jitter) as Micros).min(max_delay)),
+        }
+    }
+}
--- a/crates/balancer/src/silence.rs
+++ b/crates/balancer/src/failure_detector.rs
@@ -2,7 +2,7 @@
 //! decides about a request: `balance.rs` tells what is sent and heard and asks whom to probe and
 //! who is silent.
 //!
-//! Silence is not slowness. A slow zone still gives signs: an answer however late, a refusal, an
+//! FailureDetector is not slowness. A slow zone still gives signs: an answer however late, a refusal, an
 //! error, the answer to a probe, which is given beside a server's queue. One that is cut off or
 //! gone without a word gives none. So a zone that owes answers and from which nothing at all is
 //! heard for longer than usual is asked for a sign: one probe, then two more. It is silent when a
@@ -16,36 +16,36 @@
 
 use crate::api::{AttemptEnded, ClassId, Micros, Outcome, ServerId, ZoneId};
 use crate::fleet::Fleet;
-use crate::state::{Mute, Node, Rng};
+use crate::state::{ClassEjection, Node, Rng};
 
 /// Servers found silent in a row that make their zone silent: at first, and while it has been
 /// silent of late.
 const WITNESSES: (usize, usize) = (3, 2);
 /// A zone that has been silent counts as such for this long after its first sign.
-const OF_LATE: Micros = 15_000_000;
+const RECENT_RECOVERY: Micros = 15_000_000;
 /// The own zone, while silent, is tried again by a probe after the first, then less often up to the
 /// last; another zone, which is rarely needed, after so many times that. The agents of a tier that
 /// found it silent at once spread over half of it.
-const TRIALS: (Micros, Micros) = (300_000, 600_000);
-const TRIALS_AWAY: Micros = 8;
+const TRIAL_INTERVALS: (Micros, Micros) = (300_000, 600_000);
+const REMOTE_TRIAL_FACTOR: Micros = 8;
 /// A quiet zone that owes one answer alone is asked after so many times the usual; those that owe
 /// more, after it.
-const OF_ONE: Micros = 2;
+const SINGLE_ATTEMPT_FACTOR: Micros = 2;
 /// A zone that was asked and stays quiet is asked for its other witnesses after this, and for all
 /// again after the second.
-const ASK_MORE: (Micros, Micros) = (60_000, 1_000_000);
+const PROBE_RETRY_DELAYS: (Micros, Micros) = (60_000, 1_000_000);
 /// A connection that fails after this or later never came up: the refusal of a process that is gone
 /// takes one way there and back.
-const NEVER_CAME_UP: Micros = 100_000;
+const CONNECT_REFUSED_TIME: Micros = 100_000;
 /// One attempt's part in the average of those that a server keeps silent on, and what that average
 /// is to be, and to be above the others', for the class to be left out.
-const MUTE_PACE: f64 = 0.25;
-const MUTE_AT: f64 = 0.5;
-const MUTE_ABOVE_PEERS: f64 = 0.25;
+const CLASS_EJECTION_SMOOTHING: f64 = 0.25;
+const CLASS_EJECTION_THRESHOLD: f64 = 0.5;
+const CLASS_EJECTION_MARGIN: f64 = 0.25;
 
 /// What is to be done about a sign, or its lack: a line for the log, and whom to probe.
 #[derive(Debug, Default)]
-pub(crate) struct Found {
+pub(crate) struct Finding {
     pub log: Option<String>,
     pub ask: Vec<ServerId>,
 }
@@ -63,10 +63,10 @@
 }
 
 /// A server that owes an answer.
-struct Owing {
+struct PendingServer {
     zone: ZoneId,
     /// Attempts out, and since when nothing was heard.
-    out: u32,
+    in_flight: u32,
     since: Micros,
 }
 
@@ -76,7 +76,7 @@
     heard: Micros,
     asked: Vec<ServerId>,
     asked_at: Micros,
-    /// Found silent since the last sign of any server here.
+    /// Finding silent since the last sign of any server here.
     found: BTreeSet<ServerId>,
     /// Silent: when it is tried again, and after how long the next time.
     silent: Option<(Micros, Micros)>,
@@ -86,12 +86,12 @@
 
 /// What was heard of whom.
 #[derive(Default)]
-pub(crate) struct Silence {
-    owing: BTreeMap<ServerId, Owing>,
+pub(crate) struct FailureDetector {
+    owing: BTreeMap<ServerId, PendingServer>,
     zones: Vec<Zone>,
 }
 
-impl Silence {
+impl FailureDetector {
     fn zone(&mut self, zone: ZoneId) -> &mut Zone {
         if zone >= self.zones.len() {
             self.zones.resize_with(zone + 1, Zone::default);
@@ -102,22 +102,22 @@
     /// An attempt went out.
     pub(crate) fn sent(&mut self, server: ServerId, zone: ZoneId, now: Micros) {
         self.zone(zone);
-        let owing = self.owing.entry(server).or_insert(Owing {
+        let owing = self.owing.entry(server).or_insert(PendingServer {
             zone,
-            out: 0,
+            in_flight: 0,
             since: now,
         });
-        if owing.out == 0 {
+        if owing.in_flight == 0 {
             owing.since = now;
         }
-        owing.out += 1;
+        owing.in_flight += 1;
     }
 
     /// An attempt ended, whatever was heard.
     pub(crate) fn ended(&mut self, server: ServerId) {
         if let Some(owing) = self.owing.get_mut(&server) {
-            owing.out = owing.out.saturating_sub(1);
-            if owing.out == 0 {
+            owing.in_flight = owing.in_flight.saturating_sub(1);
+            if owing.in_flight == 0 {
                 self.owing.remove(&server);
             }
         }
@@ -131,35 +131,35 @@
         sign: bool,
         now: Micros,
         rng: &mut Rng,
-    ) -> Found {
+    ) -> Finding {
         let Some(zone) = fleet.get(server).map(|n| n.server.zone) else {
-            return Found::default();
+            return Finding::default();
         };
         if sign {
             let back = self.sign(server, zone, now);
             let log = back.then(|| format!("zone {zone} gives signs again"));
-            return Found {
+            return Finding {
                 log,
                 ask: Vec::new(),
             };
         }
         let ready = fleet.zone(zone).ready();
         match self.unanswered(server, (zone, fleet.own() == zone), ready, now, rng.unit()) {
-            Verdict::Nothing => Found::default(),
+            Verdict::Nothing => Finding::default(),
             Verdict::Zone => {
                 let log = Some(format!(
                     "zone {zone} is silent: no server there gives a sign"
                 ));
-                Found {
+                Finding {
                     log,
                     ask: Vec::new(),
                 }
             }
             Verdict::Server(others) => {
-                let other = |n: &&Node| n.server.id != server && n.aside.is_none();
+                let other = |n: &&Node| n.server.id != server && n.ejected.is_none();
                 let skip = (rng.unit() * ready.saturating_sub(others + 1) as f64) as usize;
                 let ask = here(fleet, zone).filter(other).skip(skip).take(others);
-                Found {
+                Finding {
                     log: None,
                     ask: ask.map(|n| n.server.id).collect(),
                 }
@@ -201,7 +201,7 @@
     }
 
     /// Whom to ask for a sign: of each zone that owes answers and was not heard of for longer than
-    /// `usual` (for [`OF_ONE`] times as long where it owes one alone), those that owe longest: one,
+    /// `usual` (for [`SINGLE_ATTEMPT_FACTOR`] times as long where it owes one alone), those that owe longest: one,
     /// then the other witnesses. Zones other than the `own` are asked only where they owe enough
     /// for all witnesses: guards against a probe for each late answer to a request that crossed.
     fn suspects(&mut self, now: Micros, usual: Micros, own: ZoneId) -> Vec<ServerId> {
@@ -222,21 +222,28 @@
             let Some(&(first, _)) = owing.first() else {
                 continue;
             };
-            let out: u32 = self
+            let in_flight: u32 = self
                 .owing
                 .values()
                 .filter(|o| o.zone == id)
-                .map(|o| o.out)
+                .map(|o| o.in_flight)
                 .sum();
-            if id != own && out < WITNESSES.0 as u32 {
+            if id != own && in_flight < WITNESSES.0 as u32 {
                 continue;
             }
-            let one = out == 1;
-            let patience = if one { usual * OF_ONE } else { usual };
-            if now < first.max(zone.heard) + patience {
+            let is_single = in_flight == 1;
+            let timeout = if is_single {
+                usual * SINGLE_ATTEMPT_FACTOR
+            } else {
+                usual
+            };
+            if now < first.max(zone.heard) + timeout {
                 continue;
             }
-            let (more, again) = (zone.asked_at + ASK_MORE.0, zone.asked_at + ASK_MORE.1);
+            let (more, again) = (
+                zone.asked_at + PROBE_RETRY_DELAYS.0,
+                zone.asked_at + PROBE_RETRY_DELAYS.1,
+            );
             if !zone.asked.is_empty() && now >= again {
                 zone.asked.clear();
             }
@@ -274,7 +281,7 @@
             return Verdict::Nothing;
         }
         // A zone that comes and goes is left sooner each time, not later.
-        let of_late = zone.back.is_some_and(|at| now < at + OF_LATE);
+        let of_late = zone.back.is_some_and(|at| now < at + RECENT_RECOVERY);
         let needed = if of_late { WITNESSES.1 } else { WITNESSES.0 }.min(size.max(1));
         if zone.found.len() < needed {
             let asked = zone
@@ -286,9 +293,9 @@
             return Verdict::Server(if zone.found.len() == 1 { more } else { 0 });
         }
         let wait = if own {
-            TRIALS.0
+            TRIAL_INTERVALS.0
         } else {
-            TRIALS.0 * TRIALS_AWAY
+            TRIAL_INTERVALS.0 * REMOTE_TRIAL_FACTOR
         };
         zone.silent = Some((now + (wait as f64 * (0.5 + draw / 2.0)) as Micros, wait));
         Verdict::Zone
@@ -311,10 +318,10 @@
         let mut due = Vec::new();
         for (id, zone) in self.zones.iter_mut().enumerate() {
             if let Some((at, wait)) = zone.silent.as_mut().filter(|(at, _)| *at <= now) {
-                *wait = (*wait * 3 / 2).min(if *wait > TRIALS.1 {
-                    TRIALS.1 * TRIALS_AWAY
+                *wait = (*wait * 3 / 2).min(if *wait > TRIAL_INTERVALS.1 {
+                    TRIAL_INTERVALS.1 * REMOTE_TRIAL_FACTOR
                 } else {
-                    TRIALS.1
+                    TRIAL_INTERVALS.1
                 });
                 *at = now + *wait;
                 due.push(id);
@@ -331,14 +338,14 @@
 
 /// What the end of an attempt says of whether its server is there at all: a sign, none, or nothing
 /// either way.
-pub(crate) fn gave_sign(outcome: Outcome, latency: Micros) -> Option<bool> {
+pub(crate) fn sign_of(outcome: Outcome, latency: Micros) -> Option<bool> {
     match outcome {
         Outcome::Ok
         | Outcome::ServerError
         | Outcome::Overloaded
         | Outcome::MalformedResponse
         | Outcome::ClientError => Some(true),
-        Outcome::ConnectFailed => Some(latency < NEVER_CAME_UP),
+        Outcome::ConnectFailed => Some(latency < CONNECT_REFUSED_TIME),
         Outcome::Reset | Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => None,
     }
 }
@@ -359,21 +366,27 @@
         _ => return None,
     };
     let node = fleet.get(e.server).filter(|n| at >= n.since)?;
-    let known = node.mute.get(&class);
+    let known = node.class_ejections.get(&class);
     if at < known.map_or(0, |m| m.since) || known.is_none() && !silent {
         return None; // it was sent before the class was left out, or all is well
     }
-    let usual = fleet.hush(class).without(known.map_or(0.0, |m| m.failing));
+    let usual = fleet
+        .class_failure_rates(class)
+        .without(known.map_or(0.0, |m| m.failure_rate));
     let usual = usual / (fleet.len() as f64 - 1.0).max(1.0);
-    let left_out = fleet.change_mute(e.server, class, |mute| {
-        mute.failing += MUTE_PACE * (f64::from(u8::from(silent)) - mute.failing);
-        if silent && mute.failing >= MUTE_AT && mute.failing - usual >= MUTE_ABOVE_PEERS {
-            mute.backoff = (mute.backoff * 2).clamp(rest.0, rest.1);
-            (mute.since, mute.until) = (now, now + mute.backoff);
+    let left_out = fleet.change_class_ejection(e.server, class, |ejection| {
+        ejection.failure_rate +=
+            CLASS_EJECTION_SMOOTHING * (f64::from(u8::from(silent)) - ejection.failure_rate);
+        if silent
+            && ejection.failure_rate >= CLASS_EJECTION_THRESHOLD
+            && ejection.failure_rate - usual >= CLASS_EJECTION_MARGIN
+        {
+            ejection.backoff = (ejection.backoff * 2).clamp(rest.0, rest.1);
+            (ejection.since, ejection.until) = (now, now + ejection.backoff);
             return true;
         }
-        if !silent && mute.since > 0 {
-            *mute = Mute::default();
+        if !silent && ejection.since > 0 {
+            *ejection = ClassEjection::default();
         }
         false
     });
--- a/crates/balancer/src/silence/tests.rs
+++ b/crates/balancer/src/failure_detector/tests.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn a_quiet_zone_that_owes_answers_is_asked_for_a_sign_and_a_sign_ends_that() {
-    let mut s = Silence::default();
+    let mut s = FailureDetector::default();
     s.sign(id(9), 0, 0);
     (1..=4).for_each(|n| s.sent(id(n), 0, 10 * MS * n));
     assert_eq!(s.suspects(109 * MS, 100 * MS, 0), []);
@@ -47,7 +47,7 @@
 
 #[test]
 fn three_in_a_row_make_a_zone_silent_and_any_sign_between_them_does_not() {
-    let mut s = Silence::default();
+    let mut s = FailureDetector::default();
     assert_eq!(
         s.unanswered(id(1), (0, true), 50, 0, 0.0),
         Verdict::Server(2)
@@ -75,7 +75,7 @@
     );
     assert_eq!(s.unanswered(id(5), (0, true), 50, 7, 0.0), Verdict::Zone);
     assert!(s.silent(0) && !s.silent(1));
-    let mut few = Silence::default();
+    let mut few = FailureDetector::default();
     few.unanswered(id(1), (0, true), 2, 0, 0.0);
     assert_eq!(
         few.unanswered(id(2), (0, true), 2, 1, 0.0),
@@ -86,14 +86,14 @@
 
 #[test]
 fn a_silent_zone_is_tried_by_one_probe_at_a_time_and_is_left_sooner_the_next_time() {
-    let mut s = Silence::default();
+    let mut s = FailureDetector::default();
     (1..=3).for_each(|n| _ = s.unanswered(id(n), (0, true), 50, 0, 0.999));
-    assert_eq!(s.trials(TRIALS.0 / 2), []);
-    assert_eq!(s.trials(TRIALS.0), [0]);
-    assert_eq!(s.trials(TRIALS.0 + 1), []);
-    assert_eq!(s.trials(TRIALS.0 * 5 / 2), [0]);
+    assert_eq!(s.trials(TRIAL_INTERVALS.0 / 2), []);
+    assert_eq!(s.trials(TRIAL_INTERVALS.0), [0]);
+    assert_eq!(s.trials(TRIAL_INTERVALS.0 + 1), []);
+    assert_eq!(s.trials(TRIAL_INTERVALS.0 * 5 / 2), [0]);
     assert_eq!(
-        s.unanswered(id(4), (0, true), 50, TRIALS.0, 0.0),
+        s.unanswered(id(4), (0, true), 50, TRIAL_INTERVALS.0, 0.0),
         Verdict::Nothing,
         "it is silent already"
     );
@@ -110,7 +110,7 @@
     );
     s.sign(id(5), 0, 4_000 * MS);
     assert_eq!(
-        s.unanswered(id(5), (0, true), 50, 4_000 * MS + OF_LATE, 0.0),
+        s.unanswered(id(5), (0, true), 50, 4_000 * MS + RECENT_RECOVERY, 0.0),
         Verdict::Server(2),
         "later again not"
     );
@@ -118,10 +118,10 @@
 
 #[test]
 fn another_zone_is_tried_less_often_and_no_witness_is_asked_twice() {
-    let mut s = Silence::default();
+    let mut s = FailureDetector::default();
     (1..=3).for_each(|n| _ = s.unanswered(id(n), (0, false), 50, 0, 0.999));
-    assert_eq!(s.trials(TRIALS.0 * 4), []);
-    assert_eq!(s.trials(TRIALS.0 * TRIALS_AWAY), [0]);
+    assert_eq!(s.trials(TRIAL_INTERVALS.0 * 4), []);
+    assert_eq!(s.trials(TRIAL_INTERVALS.0 * REMOTE_TRIAL_FACTOR), [0]);
     s.sign(id(1), 0, 9_000 * MS);
     (1..=3).for_each(|n| s.sent(id(n), 1, 0));
     s.sent(id(4), 2, 0);
@@ -140,15 +140,15 @@
 
 #[test]
 fn a_refused_connection_is_a_sign_and_one_that_never_came_up_is_not() {
-    assert_eq!(gave_sign(Outcome::ConnectFailed, 20 * MS), Some(true));
-    assert_eq!(gave_sign(Outcome::ConnectFailed, 200 * MS), Some(false));
+    assert_eq!(sign_of(Outcome::ConnectFailed, 20 * MS), Some(true));
+    assert_eq!(sign_of(Outcome::ConnectFailed, 200 * MS), Some(false));
     assert_eq!(
-        gave_sign(Outcome::ServerError, 5_000 * MS),
+        sign_of(Outcome::ServerError, 5_000 * MS),
         Some(true),
         "however late"
     );
     assert_eq!(
-        gave_sign(Outcome::Cancelled, 5_000 * MS),
+        sign_of(Outcome::Cancelled, 5_000 * MS),
         None,
         "our own doing"
     );
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -8,14 +8,14 @@
 use rustc_hash::FxHashMap;
 
 use crate::api::{ClassId, Listing, Micros, Phase, Scope, Server, ServerId, ZoneId};
-use crate::state::{Mute, Node, mix};
+use crate::state::{ClassEjection, Node, mix};
 
 /// Below this a fading measurement counts as gone.
-const GONE: f64 = 1e-6;
+const MIN_SIGNIFICANT: f64 = 1e-6;
 /// Of a side with more servers than this, one request looks at so many only, others each time: a
 /// round is even, and no request costs more for a larger fleet.
-const WIDE: usize = 48;
-pub(crate) const LOOKS: usize = 16;
+const MAX_FULL_SCAN: usize = 48;
+pub(crate) const SAMPLE_SIZE: usize = 16;
 /// Units in one.
 const UNITS: f64 = 4_294_967_296.0;
 
@@ -46,14 +46,14 @@
     /// Servers, whatever their phase, how many of them are set aside, and the sum of their
     /// failures.
     pub count: usize,
-    pub asides: usize,
-    pub failing: Sum,
+    pub ejected_total: usize,
+    pub failure_rate: Sum,
     /// Of those that take requests: in use, set aside, attempts in flight at both, limits of each.
-    pub fit: usize,
-    pub aside: usize,
-    pub out: u64,
-    pub fit_limit: Sum,
-    pub aside_limit: Sum,
+    pub healthy: usize,
+    pub ejected: usize,
+    pub in_flight: u64,
+    pub healthy_limit: Sum,
+    pub ejected_limit: Sum,
     /// Listed sizes, and how many tell one.
     size: Sum,
     sized: usize,
@@ -64,21 +64,23 @@
     fn count(&mut self, node: &Node, sign: i64) {
         let step = |n: &mut usize| *n = n.wrapping_add_signed(sign as isize);
         step(&mut self.count);
-        self.failing.add(node.failing, sign);
+        self.failure_rate.add(node.failure_rate, sign);
         if node.server.size > 0.0 {
             step(&mut self.sized);
             self.size.add(node.server.size.min(1e6), sign);
         }
-        if node.aside.is_some() {
-            step(&mut self.asides);
+        if node.ejected.is_some() {
+            step(&mut self.ejected_total);
         }
         if node.server.phase != Phase::Ready {
             return;
         }
-        self.out = self.out.wrapping_add_signed(sign * i64::from(node.out));
-        let (number, limit) = match node.aside {
-            None => (&mut self.fit, &mut self.fit_limit),
-            Some(_) => (&mut self.aside, &mut self.aside_limit),
+        self.in_flight = self
+            .in_flight
+            .wrapping_add_signed(sign * i64::from(node.in_flight));
+        let (number, limit) = match node.ejected {
+            None => (&mut self.healthy, &mut self.healthy_limit),
+            Some(_) => (&mut self.ejected, &mut self.ejected_limit),
         };
         step(number);
         limit.add(node.limit, sign);
@@ -86,7 +88,7 @@
 
     /// Those that take requests.
     pub(crate) fn ready(&self) -> usize {
-        self.fit + self.aside
+        self.healthy + self.ejected
     }
 
     /// The same without one server.
@@ -97,13 +99,13 @@
 
     fn join(&mut self, other: &Load) {
         self.count += other.count;
-        self.asides += other.asides;
-        self.failing.0 += other.failing.0;
-        self.fit += other.fit;
-        self.aside += other.aside;
-        self.out += other.out;
-        self.fit_limit.0 += other.fit_limit.0;
-        self.aside_limit.0 += other.aside_limit.0;
+        self.ejected_total += other.ejected_total;
+        self.failure_rate.0 += other.failure_rate.0;
+        self.healthy += other.healthy;
+        self.ejected += other.ejected;
+        self.in_flight += other.in_flight;
+        self.healthy_limit.0 += other.healthy_limit.0;
+        self.ejected_limit.0 += other.ejected_limit.0;
         self.size.0 += other.size.0;
         self.sized += other.sized;
     }
@@ -120,11 +122,11 @@
     /// The same in an order of this agent's own, which changes with the turn.
     rings: [Vec<(u64, ServerId)>; 2],
     turn: u64,
-    awake: BTreeSet<ServerId>,
+    needs_maintenance: BTreeSet<ServerId>,
     /// When each of those that started a while ago is granted requests next.
     grants: BTreeSet<(Micros, ServerId)>,
     silent: BTreeSet<(ClassId, ServerId)>,
-    hush: Vec<Sum>,
+    class_failure_rates: Vec<Sum>,
 }
 
 impl Fleet {
@@ -132,7 +134,7 @@
     pub(crate) fn new(own: ZoneId, classes: usize) -> Self {
         Fleet {
             own,
-            hush: vec![Sum::default(); classes],
+            class_failure_rates: vec![Sum::default(); classes],
             ..Fleet::default()
         }
     }
@@ -167,8 +169,8 @@
     ) -> Option<R> {
         let node = self.nodes.get_mut(&id)?;
         let result = Self::recount(&mut self.zones, node, change);
-        if !std::mem::replace(&mut node.awake, true) {
-            self.awake.insert(id);
+        if !std::mem::replace(&mut node.needs_maintenance, true) {
+            self.needs_maintenance.insert(id);
         }
         Some(result)
     }
@@ -182,23 +184,28 @@
         for node in self.nodes.values_mut() {
             let by = by[usize::from(node.server.zone == self.own)];
             Self::recount(&mut self.zones, node, |n| {
-                (n.limit, n.mine) = (n.limit * by, n.mine * by);
+                (n.limit, n.load_share) = (n.limit * by, n.load_share * by);
             });
         }
     }
 
     /// Changes what is known of how a server answers a class.
-    pub(crate) fn change_mute<R>(
+    pub(crate) fn change_class_ejection<R>(
         &mut self,
         id: ServerId,
         class: ClassId,
-        change: impl FnOnce(&mut Mute) -> R,
+        change: impl FnOnce(&mut ClassEjection) -> R,
     ) -> Option<R> {
-        let mute = self.nodes.get_mut(&id)?.mute.entry(class).or_default();
-        self.hush[class].add(mute.failing, -1);
-        let result = change(mute);
-        self.hush[class].add(mute.failing, 1);
-        if mute.since > 0 {
+        let ejection = self
+            .nodes
+            .get_mut(&id)?
+            .class_ejections
+            .entry(class)
+            .or_default();
+        self.class_failure_rates[class].add(ejection.failure_rate, -1);
+        let result = change(ejection);
+        self.class_failure_rates[class].add(ejection.failure_rate, 1);
+        if ejection.since > 0 {
             self.silent.insert((class, id))
         } else {
             self.silent.remove(&(class, id))
@@ -215,9 +222,9 @@
         }
         self.zones[node.server.zone].count(&node, 1);
         if node.server.started.is_some() {
-            self.grants.insert((node.cold_at, id));
+            self.grants.insert((node.warm_up_due, id));
         }
-        self.line_up(&node.server);
+        self.index(&node.server);
         self.nodes.insert(id, node);
     }
 
@@ -233,12 +240,12 @@
     /// Forgets a server.
     pub(crate) fn remove(&mut self, id: ServerId) {
         let Some(node) = self.take(id) else { return };
-        for (class, mute) in &node.mute {
-            self.hush[*class].add(mute.failing, -1);
+        for (class, ejection) in &node.class_ejections {
+            self.class_failure_rates[*class].add(ejection.failure_rate, -1);
             self.silent.remove(&(*class, id));
         }
-        self.awake.remove(&id);
-        self.grants.remove(&(node.cold_at, id));
+        self.needs_maintenance.remove(&id);
+        self.grants.remove(&(node.warm_up_due, id));
     }
 
     /// Forgets who is missing from a whole list.
@@ -273,7 +280,7 @@
         Some(node)
     }
 
-    fn line_up(&mut self, server: &Server) {
+    fn index(&mut self, server: &Server) {
         if server.phase != Phase::Ready {
             return;
         }
@@ -357,10 +364,10 @@
         fits: impl Fn(&&Node) -> bool,
         room: impl Fn(&&Node) -> bool,
     ) -> Vec<&Node> {
-        let Some(from) = from.filter(|_| self.side(own).len() > WIDE) else {
+        let Some(from) = from.filter(|_| self.side(own).len() > MAX_FULL_SCAN) else {
             return self.side(own).filter(fits).collect();
         };
-        let looked = self.ring(own, from).filter(fits).take(LOOKS);
+        let looked = self.ring(own, from).filter(fits).take(SAMPLE_SIZE);
         let (near, full): (Vec<&Node>, Vec<&Node>) = looked.partition(room);
         if near.is_empty() { full } else { near }
     }
@@ -372,35 +379,36 @@
     }
 
     /// The sum of all servers' silence on a class, as a part of attempts.
-    pub(crate) fn hush(&self, class: ClassId) -> Sum {
-        self.hush[class]
+    pub(crate) fn class_failure_rates(&self, class: ClassId) -> Sum {
+        self.class_failure_rates[class]
     }
 
     /// Those of whom something fades, or that are set aside, by id.
-    pub(crate) fn awake(&self) -> impl Iterator<Item = &Node> {
-        self.awake.iter().map(|id| &self.nodes[id])
+    pub(crate) fn needs_maintenance(&self) -> impl Iterator<Item = &Node> {
+        self.needs_maintenance.iter().map(|id| &self.nodes[id])
     }
 
     /// Looks after each of them, by id; those of whom all has faded are left alone from then on.
-    pub(crate) fn look_after(&mut self, mut look: impl FnMut(&mut Node)) {
+    pub(crate) fn maintain(&mut self, mut look: impl FnMut(&mut Node)) {
         let nodes = &mut self.nodes;
-        self.awake.retain(|id| {
+        self.needs_maintenance.retain(|id| {
             let Some(node) = nodes.get_mut(id) else {
                 return false;
             };
             look(node);
-            let busy = node.out > 0 || node.idle_since.is_some() || node.aside.is_some();
-            node.awake = busy || node.lag > GONE || node.oks > GONE;
-            if !node.awake {
-                (node.lag, node.oks) = (0.0, 0.0);
+            let busy = node.in_flight > 0 || node.idle_since.is_some() || node.ejected.is_some();
+            node.needs_maintenance =
+                busy || node.slowness > MIN_SIGNIFICANT || node.recent_successes > MIN_SIGNIFICANT;
+            if !node.needs_maintenance {
+                (node.slowness, node.recent_successes) = (0.0, 0.0);
             }
-            node.awake
+            node.needs_maintenance
         });
     }
 
     /// Those that started lately and are due to be granted requests, by id: each is to be granted
     /// some anew.
-    pub(crate) fn cold_due(&mut self, now: Micros) -> Vec<ServerId> {
+    pub(crate) fn due_warm_ups(&mut self, now: Micros) -> Vec<ServerId> {
         if self.grants.first().is_none_or(|(at, _)| *at > now) {
             return Vec::new();
         }
@@ -414,7 +422,7 @@
     /// A server is cold still: it is granted requests again at `at`.
     pub(crate) fn grant(&mut self, id: ServerId, at: Micros) {
         if let Some(node) = self.nodes.get_mut(&id) {
-            node.cold_at = at;
+            node.warm_up_due = at;
             self.grants.insert((at, id));
         }
     }
--- a/crates/balancer/src/fleet/tests.rs
+++ b/crates/balancer/src/fleet/tests.rs
@@ -36,15 +36,21 @@
             )),
             1 => fleet.remove(id),
             2 => _ = fleet.change(id, |n| n.limit = (n.limit * 1.37) % 50.0),
-            3 => _ = fleet.change(id, |n| n.aside = n.aside.is_none().then_some((step, step))),
+            3 => {
+                _ = fleet.change(id, |n| {
+                    n.ejected = n.ejected.is_none().then_some((step, step))
+                })
+            }
             4 => {
                 _ = fleet.change(id, |n| {
-                    (n.out, n.failing) = (n.out + 1, n.failing / 2.0 + 0.3);
+                    (n.in_flight, n.failure_rate) = (n.in_flight + 1, n.failure_rate / 2.0 + 0.3);
                 });
             }
             5 => {
-                let change = |m: &mut Mute| (m.failing, m.since) = (m.failing + 0.1, phase);
-                _ = fleet.change_mute(id, zone % 2, change);
+                let change = |m: &mut ClassEjection| {
+                    (m.failure_rate, m.since) = (m.failure_rate + 0.1, phase)
+                };
+                _ = fleet.change_class_ejection(id, zone % 2, change);
             }
             _ => fleet.turn(step / 500),
         }
@@ -80,14 +86,21 @@
             assert_eq!(ring, wanted, "{step}");
         }
         for class in 0..2 {
-            let mut hush = Sum::default();
-            let mutes = fleet.nodes.values().filter_map(|n| n.mute.get(&class));
-            mutes.for_each(|m| hush.add(m.failing, 1));
-            assert_eq!(fleet.hush(class), hush, "{step}");
+            let mut class_failure_rates = Sum::default();
+            let mutes = fleet
+                .nodes
+                .values()
+                .filter_map(|n| n.class_ejections.get(&class));
+            mutes.for_each(|m| class_failure_rates.add(m.failure_rate, 1));
+            assert_eq!(
+                fleet.class_failure_rates(class),
+                class_failure_rates,
+                "{step}"
+            );
             let silent = fleet
                 .nodes
                 .values()
-                .filter(|n| n.mute.get(&class).is_some_and(|m| m.since > 0));
+                .filter(|n| n.class_ejections.get(&class).is_some_and(|m| m.since > 0));
             assert_eq!(fleet.silent(class).count(), silent.count(), "{step}");
         }
     }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -30,9 +30,9 @@
 
 pub mod api;
 mod balance;
+mod failure_detector;
 mod fleet;
-mod news;
-mod silence;
+mod peer_load;
 mod state;
 
 pub use api::*;
--- a/crates/balancer/src/news.rs
+++ b/crates/balancer/src/peer_load.rs
@@ -1,7 +1,7 @@
 //! What agents are asked for and tell each other of it, without I/O, so that each knows its own
 //! part of what the servers carry. Nothing here decides about a request.
 //!
-//! A message has [`LENGTH`] bytes: a version, the sender's zone, and its requests in 1,000 s
+//! A message has [`MESSAGE_BYTES`] bytes: a version, the sender's zone, and its requests in 1,000 s
 //! (little endian). Others are dropped. Messages may be lost, late or repeated; with every one
 //! lost, each agent takes its part for an even one.
 
@@ -11,27 +11,27 @@
 /// The version written, and the only one read.
 const VERSION: u8 = 1;
 /// Bytes in a message.
-const LENGTH: usize = 6;
+const MESSAGE_BYTES: usize = 6;
 /// How long requests count in the rate, and the least part of that time they are counted over at
 /// the start.
-const MEMORY: f64 = 2_000_000.0;
-const AT_START: f64 = 0.05;
+const RATE_DECAY_TIME: f64 = 2_000_000.0;
+const MIN_WARM_UP_PART: f64 = 0.05;
 /// First message after about this, then one each so often, or so much later for each agent that
 /// every receiver has no more than a hundred a second.
-const FIRST: f64 = 250_000.0;
-const EVERY: Micros = 1_000_000;
-const EVERY_AGENT: Micros = 10_000;
+const FIRST_MESSAGE_DELAY: f64 = 250_000.0;
+const MIN_INTERVAL: Micros = 1_000_000;
+const INTERVAL_PER_AGENT: Micros = 10_000;
 /// Agents not heard of for so many turns are gone.
-const TURNS: u64 = 4;
+const MAX_MISSED_INTERVALS: u64 = 4;
 /// An agent keeps to as many servers as it has requests in this time, two at least: each is heard
 /// of often enough to be judged, and connections stay few.
 const SUBSET: (f64, f64) = (250_000.0, 2.0);
 /// The own part follows in steps of this ratio: smaller moves are not worth the work.
-const STEP: f64 = 1.1;
+const MIN_CHANGE_RATIO: f64 = 1.1;
 
 /// What this agent is asked for, what others said of themselves of late, and when this one speaks
 /// next.
-pub(crate) struct News {
+pub(crate) struct PeerLoad {
     rng: Rng,
     /// Whether there are so many agents that an even part of a limit is less than one request, and
     /// each therefore keeps to few servers.
@@ -41,7 +41,7 @@
     agents: usize,
     balancer_index: usize,
     zone: u8,
-    /// Requests, fading over `MEMORY`, up to when they are faded, and when the shares were first
+    /// Requests, fading over `RATE_DECAY_TIME`, up to when they are faded, and when the shares were first
     /// followed.
     asked: f64,
     faded: Micros,
@@ -54,7 +54,7 @@
     pub shares: [f64; 2],
 }
 
-impl News {
+impl PeerLoad {
     /// Nothing heard yet. Only where agents are `many` is there need of news.
     /// Where keys are to stay warm, each agent uses all servers all the same.
     pub(crate) fn new(settings: &Settings, many: bool, seed: u64) -> Self {
@@ -63,7 +63,7 @@
             settings.balancer_index as usize,
         );
         let talks = settings.limits.peers && many;
-        News {
+        PeerLoad {
             rng: Rng(mix(!seed)),
             few: many && !settings.key_affinity,
             talks,
@@ -90,13 +90,13 @@
 
     /// What is left of the requests by now.
     fn left(&self, now: Micros) -> f64 {
-        self.asked * (-(now.saturating_sub(self.faded) as f64) / MEMORY).exp()
+        self.asked * (-(now.saturating_sub(self.faded) as f64) / RATE_DECAY_TIME).exp()
     }
 
     /// To how many servers of a side this agent keeps: to all, unless it is one of many.
-    pub(crate) fn in_sight(&self, now: Micros) -> usize {
+    pub(crate) fn subset_size(&self, now: Micros) -> usize {
         if self.few {
-            (self.asked_of_late(now) * SUBSET.0).max(SUBSET.1) as usize
+            (self.recent_rate(now) * SUBSET.0).max(SUBSET.1) as usize
         } else {
             usize::MAX
         }
@@ -104,19 +104,19 @@
 
     /// What this agent is asked for of late, in requests in a microsecond; rises from nothing at
     /// the start.
-    fn asked_of_late(&self, now: Micros) -> f64 {
-        self.left(now) / MEMORY
+    fn recent_rate(&self, now: Micros) -> f64 {
+        self.left(now) / RATE_DECAY_TIME
     }
 
     /// The same, without that rise.
     fn rate(&self, now: Micros) -> f64 {
-        let age = self.born.map_or(0, |born| now.saturating_sub(born)) as f64 / MEMORY;
-        self.asked_of_late(now) / (1.0 - (-age).exp()).max(AT_START)
+        let age = self.born.map_or(0, |born| now.saturating_sub(born)) as f64 / RATE_DECAY_TIME;
+        self.recent_rate(now) / (1.0 - (-age).exp()).max(MIN_WARM_UP_PART)
     }
 
     /// Time between two messages.
     fn every(&self) -> Micros {
-        EVERY.max(EVERY_AGENT * self.agents as u64)
+        MIN_INTERVAL.max(INTERVAL_PER_AGENT * self.agents as u64)
     }
 
     /// The message to tell all others, when it is due. Agents speak at times of their own.
@@ -126,7 +126,7 @@
         }
         let (first, chance) = (self.next == 0, self.rng.unit());
         if first {
-            self.next = now + (FIRST * (0.5 + chance)) as Micros;
+            self.next = now + (FIRST_MESSAGE_DELAY * (0.5 + chance)) as Micros;
             return None;
         }
         self.next = now + (self.every() as f64 * (0.75 + chance / 2.0)) as Micros;
@@ -136,7 +136,7 @@
 
     /// Takes a message in; what is malformed, or from nobody known, is dropped.
     pub(crate) fn hear(&mut self, now: Micros, from: u32, data: &[u8]) {
-        let Ok([VERSION, zone, rate @ ..]) = <[u8; LENGTH]>::try_from(data) else {
+        let Ok([VERSION, zone, rate @ ..]) = <[u8; MESSAGE_BYTES]>::try_from(data) else {
             return;
         };
         let from = from as usize;
@@ -158,7 +158,7 @@
             return [1.0; 2];
         }
         let born = *self.born.get_or_insert(now);
-        let (rate, fresh) = (self.rate(now), self.every() * TURNS);
+        let (rate, fresh) = (self.rate(now), self.every() * MAX_MISSED_INTERVALS);
         let (mut count, mut sums) = (0, [rate; 2]);
         for (theirs, near, _) in self
             .heard
@@ -185,7 +185,7 @@
             } else {
                 (rate / all).clamp(even, 1.0)
             };
-            if !(1.0 / STEP..STEP).contains(&(new / *share)) {
+            if !(1.0 / MIN_CHANGE_RATIO..MIN_CHANGE_RATIO).contains(&(new / *share)) {
                 *by = new / *share;
                 *share = new;
             }
--- a/crates/balancer/src/news/tests.rs
+++ b/crates/balancer/src/peer_load/tests.rs
@@ -10,7 +10,7 @@
     900, 300, 300, 100, 100, 100, 100, 100, 0, 0, 0, 0, 0, 0, 0, 0,
 ];
 
-fn news(agents: u32, me: u32) -> News {
+fn news(agents: u32, me: u32) -> PeerLoad {
     let mut settings = Settings {
         balancers: agents,
         balancer_index: me,
@@ -18,12 +18,12 @@
         ..Settings::default()
     };
     settings.limits.peers = true;
-    News::new(&settings, true, u64::from(me) + 1)
+    PeerLoad::new(&settings, true, u64::from(me) + 1)
 }
 
 /// Agents that talk for ten seconds, each asked so often a second; tells the parts they found.
 fn talk(rates: &[u64], lost: impl Fn(usize, Micros) -> bool) -> Vec<f64> {
-    let mut agents: Vec<News> = (0..rates.len())
+    let mut agents: Vec<PeerLoad> = (0..rates.len())
         .map(|me| news(rates.len() as u32, me as u32))
         .collect();
     for now in (SECOND..11 * SECOND).step_by(10_000) {
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -1,5 +1,4 @@
-//! What the decision module remembers: plain records and its random numbers. Nothing here decides
-//! anything.
+//! Plain records of the balancer's state, and its random numbers. Nothing here decides anything.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,8 +8,8 @@
     Server, ServerId, Settings, SizeMeaning, ZoneId,
 };
 
-/// A held request's turn: by worth, then newest first.
-pub(crate) type Turn = (Reverse<u64>, Reverse<Micros>, RequestId);
+/// A queued request's position: by value, then newest first.
+pub(crate) type QueuePosition = (Reverse<u64>, Reverse<Micros>, RequestId);
 
 /// One attempt at a request.
 pub(crate) struct Attempt {
@@ -22,49 +21,50 @@
 }
 
 impl Attempt {
-    /// Notes how it ended and tells when it was sent.
+    /// Records how it ended; returns when it was sent.
     pub(crate) fn end(&mut self, outcome: Outcome) -> Micros {
         self.outcome = Some(outcome);
         self.sent
     }
 
     pub(crate) fn may_have_run(&self) -> bool {
-        self.outcome.is_none_or(|o| !o.never_ran())
+        self.outcome.is_none_or(|outcome| !outcome.never_ran())
     }
 }
 
-/// A request that is owed an answer, or whose attempts are not all settled yet.
-pub(crate) struct Open {
+/// A request that is not answered, or whose attempts have not all ended.
+pub(crate) struct OpenRequest {
     pub request: Request,
-    pub turn: Turn,
-    /// From when on it may cross zones for room, when its aim passes, and when it must be ended.
+    pub turn: QueuePosition,
+    /// From when on it may spill over to other zones, when its latency target passes, and when it must
+    /// be ended.
     pub spill_at: Micros,
-    pub aim_at: Micros,
-    /// When it is given up if no server has seen it.
+    pub target_at: Micros,
+    /// When it is rejected if no server has seen it.
     pub unsent_until: Micros,
     pub last: Micros,
     pub attempts: Vec<Attempt>,
-    /// The client has its answer or left: nothing may be sent any more.
+    /// The client has its response or has disconnected: nothing may be sent any more.
     pub done: bool,
-    /// A stream has begun: it belongs to the client.
+    /// A streamed response has started and is being forwarded.
     pub streaming: bool,
 }
 
-impl Open {
+impl OpenRequest {
     pub(crate) fn new(
         request: Request,
-        turn: Turn,
+        turn: QueuePosition,
         spill_at: Micros,
-        aim_at: Micros,
+        target_at: Micros,
         unsent_until: Micros,
         last: Micros,
     ) -> Self {
         let (done, streaming) = (false, false);
-        Open {
+        OpenRequest {
             request,
             turn,
             spill_at,
-            aim_at,
+            target_at,
             unsent_until,
             last,
             attempts: Vec::new(),
@@ -73,29 +73,29 @@
         }
     }
 
-    /// Its last byte has come: aim and end count from now, and what is out was sent now. Tells when
-    /// it is to be ended.
-    pub(crate) fn whole(&mut self, now: Micros, expires: Micros) -> (Micros, RequestId) {
+    /// Its last byte has arrived: target and deadline count from now, and attempts in flight count as
+    /// sent now. Returns when it must be ended.
+    pub(crate) fn complete(&mut self, now: Micros, expires: Micros) -> (Micros, RequestId) {
         let (margin, arrived) = (
             self.request.expires.saturating_sub(self.last),
             self.turn.1.0,
         );
         (self.request.expires, self.last) = (expires, expires.saturating_sub(margin));
-        self.aim_at = now + self.aim_at.saturating_sub(arrived);
+        self.target_at = now + self.target_at.saturating_sub(arrived);
         self.attempts
             .iter_mut()
-            .filter(|a| a.outcome.is_none())
-            .for_each(|a| a.sent = now);
+            .filter(|attempt| attempt.outcome.is_none())
+            .for_each(|attempt| attempt.sent = now);
         (self.last, self.request.id)
     }
 
-    /// The attempt out where `nothing` is heard, if the request may go elsewhere instead: it is not
-    /// on its way to the client, repeats are harmless wherever they run, and tries are left.
-    pub(crate) fn stranded(
+    /// The attempt in flight at a server that is unreachable by `is_unreachable`, if the request may be retried
+    /// elsewhere: its response has not started, a retry is safe anywhere, and attempts are left.
+    pub(crate) fn stranded_attempt(
         &self,
         class: &ClassSettings,
         limits: &Limits,
-        nothing: impl Fn(&Attempt) -> bool,
+        is_unreachable: impl Fn(&Attempt) -> bool,
     ) -> Option<u32> {
         let harmless = matches!(
             class.effect,
@@ -105,118 +105,128 @@
                     ..
                 }
         );
-        let moves = harmless && !self.done && !self.streaming && self.tries_left(limits);
+        let moves = harmless && !self.done && !self.streaming && self.has_attempts_left(limits);
         let out = self
             .attempts
             .iter()
-            .rposition(|a| a.outcome.is_none() && nothing(a));
+            .rposition(|attempt| attempt.outcome.is_none() && is_unreachable(attempt));
         out.filter(|_| moves).map(|n| n as u32)
     }
 
-    /// Until when one more attempt may begin: a keyed class's repeats are dropped for its window,
-    /// counted from the first attempt that may have run.
+    /// Until when one more attempt may start: servers deduplicate within the class's window, which
+    /// counts from the first attempt that may have run.
     pub(crate) fn start_deadline(&self, effect: Effect) -> Option<Micros> {
         let Effect::Deduplicated { window, .. } = effect else {
             return None;
         };
         self.attempts
             .iter()
-            .filter(|a| a.may_have_run())
-            .map(|a| a.sent + window)
+            .filter(|attempt| attempt.may_have_run())
+            .map(|attempt| attempt.sent + window)
             .min()
     }
 
-    pub(crate) fn tries_left(&self, limits: &Limits) -> bool {
+    pub(crate) fn has_attempts_left(&self, limits: &Limits) -> bool {
         self.attempts.len() < limits.max_attempts as usize
     }
 
     pub(crate) fn outstanding(&self) -> usize {
-        self.attempts.iter().filter(|a| a.outcome.is_none()).count()
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.outcome.is_none())
+            .count()
     }
 }
 
-/// How a server answers one class.
+/// Whether a server is ejected for one class.
 #[derive(Default)]
-pub(crate) struct Mute {
-    /// Average of attempts it kept silent on, 0 to 1.
-    pub failing: f64,
-    /// Left out for the class since and until; `until` passed means a trial is due.
+pub(crate) struct ClassEjection {
+    /// Average of unanswered attempts, 0 to 1.
+    pub failure_rate: f64,
+    /// Ejected for the class since and until; after `until` a trial is due.
     pub since: Micros,
     pub until: Micros,
     pub backoff: Micros,
 }
 
-/// What is known of one listed server.
+/// The state of one listed server.
 pub(crate) struct Node {
     pub server: Server,
-    /// When this life of it was first heard of.
+    /// When this incarnation was first listed.
     pub since: Micros,
-    /// Share owed to it, in requests; the even draw takes from those owed most.
+    /// Its credit in the round robin, in requests; the largest credit is chosen.
     pub credit: f64,
     /// Attempts in flight.
-    pub out: u32,
+    pub in_flight: u32,
     /// When its last attempt ended, unless its connections were closed since.
     pub idle_since: Option<Micros>,
-    /// How many may be in flight, and whether it has ever hurt.
+    /// How many attempts may be in flight, and whether it has ever been overloaded.
     pub limit: f64,
-    pub hurt: bool,
-    /// Its quickest answer so far: the way there and back, nearly.
-    pub quickest: Micros,
-    /// This agent's part of its load, as far as known.
-    pub mine: f64,
-    /// It just turned a request away as full: nothing more until then.
-    pub full_until: Micros,
+    pub was_overloaded: bool,
+    /// Its shortest response time: nearly the network latency.
+    pub min_latency: Micros,
+    /// This balancer's share of its load, as far as known.
+    pub load_share: f64,
+    /// It rejected a request as overloaded: nothing is sent until then.
+    pub overloaded_until: Micros,
     /// Average of recent failures, 0 to 1.
-    pub failing: f64,
-    /// How often of late it was slower than usual, 0 to 1.
-    pub lag: f64,
-    /// Set aside since and until; `until` passed means a trial is due.
-    pub aside: Option<(Micros, Micros)>,
+    pub failure_rate: f64,
+    /// How often it was slower than usual recently, 0 to 1.
+    pub slowness: f64,
+    /// Ejected since and until; after `until` a trial is due.
+    pub ejected: Option<(Micros, Micros)>,
     pub backoff: Micros,
-    /// Of classes it has kept silent on.
-    pub mute: BTreeMap<ClassId, Mute>,
-    /// Good answers, fading.
-    pub oks: f64,
-    /// What may still be sent to it while it is cold, how likely that was one or more, and until
-    /// when.
-    pub cold_left: f64,
-    pub cold_chance: f64,
-    pub cold_at: Micros,
-    /// Something of it fades, or is to be looked after.
-    pub awake: bool,
+    /// Ejections for single classes.
+    pub class_ejections: BTreeMap<ClassId, ClassEjection>,
+    /// Successful responses, decaying.
+    pub recent_successes: f64,
+    /// What may still be sent to it while it warms up, how likely that was one or more, and when it
+    /// is granted more.
+    pub warm_up_budget: f64,
+    pub warm_up_chance: f64,
+    pub warm_up_due: Micros,
+    /// It has measurements that decay, or is to be maintained.
+    pub needs_maintenance: bool,
 }
 
 impl Node {
-    /// One that is new: `limit` is what all agents together may have in flight there, `mine` this
+    /// One that is new: `limit` is what all agents together may have in flight there, `load_share` this
     /// one's part.
-    pub(crate) fn new(server: Server, credit: f64, limit: f64, mine: f64, now: Micros) -> Self {
+    pub(crate) fn new(
+        server: Server,
+        credit: f64,
+        limit: f64,
+        load_share: f64,
+        now: Micros,
+    ) -> Self {
         Node {
             server,
             since: now,
             credit,
-            out: 0,
+            in_flight: 0,
             idle_since: None,
-            limit: limit * mine,
-            hurt: false,
-            quickest: Micros::MAX,
-            mine,
-            full_until: 0,
-            failing: 0.0,
-            lag: 0.0,
-            aside: None,
+            limit: limit * load_share,
+            was_overloaded: false,
+            min_latency: Micros::MAX,
+            load_share,
+            overloaded_until: 0,
+            failure_rate: 0.0,
+            slowness: 0.0,
+            ejected: None,
             backoff: 0,
-            mute: BTreeMap::new(),
-            oks: 0.0,
-            cold_left: 0.0,
-            cold_chance: 1.0,
-            cold_at: now,
-            awake: false,
+            class_ejections: BTreeMap::new(),
+            recent_successes: 0.0,
+            warm_up_budget: 0.0,
+            warm_up_chance: 1.0,
+            warm_up_due: now,
+            needs_maintenance: false,
         }
     }
 }
 
 impl Node {
-    /// Part of its capacity that it surely has: grows evenly from `initial_capacity` after a start.
+    /// The part of its capacity that it surely has: grows linearly from `initial_capacity` after a
+    /// start.
     pub(crate) fn warmth(&self, now: Micros, safety: &Safety) -> f64 {
         let (first, over) = (safety.initial_capacity, safety.warm_up.max(1) as f64);
         let age = self
@@ -226,7 +236,7 @@
         (first + (1.0 - first) * age).min(1.0)
     }
 
-    /// Size against the mean, where the list tells sizes; momentary load in it is not wanted.
+    /// Its size against the mean, where the list has sizes that mean capacity.
     pub(crate) fn size(&self, settings: &Settings, mean: f64) -> f64 {
         let told = settings.sizes == SizeMeaning::Capacity && self.server.size > 0.0;
         if told {
@@ -237,9 +247,9 @@
     }
 }
 
-/// Running estimates of a class's latency quantiles.
+/// Running estimates of a class's latency quantiles, 0.5 and 0.9, in microseconds.
 #[derive(Clone)]
-pub(crate) struct Usual {
+pub(crate) struct LatencyQuantiles {
     pub median: f64,
     pub high: f64,
 }
