--- a/crates/fault-injection/src/datagrams.rs
+++ b/crates/fault-injection/src/datagrams.rs
@@ -16,7 +16,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use crate::fault::Datagram;
+use crate::fault::DatagramAction;
 use crate::loopback;
 use crate::relay::Faults;
 
@@ -30,7 +30,7 @@
     pub came: AtomicU64,
     /// Lost by a fault.
     pub lost: AtomicU64,
-    /// Sent twice.
+    /// Datagrams sent twice.
     pub doubled: AtomicU64,
     /// Held behind a later one.
     pub reordered: AtomicU64,
@@ -124,25 +124,25 @@
         let bytes = piece[..n].to_vec();
         let (draw, chance) = (random.random::<f64>(), random.random::<f64>());
         match faults.datagram(from_name, to_name, draw, chance) {
-            Datagram::Lose => {
+            DatagramAction::Drop => {
                 counts.lost.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
-            Datagram::Twice => {
+            DatagramAction::Duplicate => {
                 counts.doubled.fetch_add(1, Ordering::Relaxed);
                 let _ = socket.send_to(&bytes, to);
                 let _ = socket.send_to(&bytes, to);
             }
-            Datagram::Behind if held.is_none() => {
+            DatagramAction::Reorder if held.is_none() => {
                 counts.reordered.fetch_add(1, Ordering::Relaxed);
                 held = Some((to, bytes));
                 continue;
             }
-            Datagram::Wait(wait) => {
+            DatagramAction::Delay(wait) => {
                 order += 1;
                 later.push(Reverse((Instant::now() + wait, order, to, bytes)));
             }
-            Datagram::Pass | Datagram::Behind => {
+            DatagramAction::Pass | DatagramAction::Reorder => {
                 let _ = socket.send_to(&bytes, to);
             }
         }
--- a/crates/fault-injection/src/datagrams/tests.rs
+++ b/crates/fault-injection/src/datagrams/tests.rs
@@ -1,9 +1,9 @@
 //! Tests of `datagrams.rs`.
 
 use super::*;
-use crate::fault::{Fault, Kind, Schedule};
+use crate::fault::{Fault, FaultKind, Schedule};
 
-fn fault(link: &str, kind: Kind, share: f64) -> Fault {
+fn fault(link: &str, kind: FaultKind, share: f64) -> Fault {
     Fault {
         at_s: 0.0,
         link: link.into(),
@@ -48,25 +48,25 @@
 
 #[test]
 fn a_share_of_datagrams_is_lost_and_a_one_way_cut_loses_only_its_way() {
-    let (got, counts) = play(vec![fault("proxy0->proxy1", Kind::Drop, 0.3)]);
+    let (got, counts) = play(vec![fault("proxy0->proxy1", FaultKind::Drop, 0.3)]);
     let lost = counts.lost.load(Ordering::Relaxed) as usize;
     assert_eq!(got.len() + lost, 200);
     assert!((30..=90).contains(&lost), "{lost} of 200 lost at 0.3");
-    let (got, _) = play(vec![fault("proxy1->proxy0", Kind::CutOneWay, 0.0)]);
+    let (got, _) = play(vec![fault("proxy1->proxy0", FaultKind::CutOneWay, 0.0)]);
     assert_eq!(got.len(), 200, "the other way is cut, not this one");
-    let (got, _) = play(vec![fault("proxy0->proxy1", Kind::CutOneWay, 0.0)]);
+    let (got, _) = play(vec![fault("proxy0->proxy1", FaultKind::CutOneWay, 0.0)]);
     assert!(got.is_empty());
 }
 
 #[test]
 fn datagrams_are_doubled_and_reordered_by_their_share() {
-    let (got, counts) = play(vec![fault("proxy0->*", Kind::Duplicate, 0.2)]);
+    let (got, counts) = play(vec![fault("proxy0->*", FaultKind::Duplicate, 0.2)]);
     assert_eq!(
         got.len(),
         200 + counts.doubled.load(Ordering::Relaxed) as usize
     );
     assert!(counts.doubled.load(Ordering::Relaxed) > 10);
-    let (got, counts) = play(vec![fault("proxy0->*", Kind::Reorder, 0.2)]);
+    let (got, counts) = play(vec![fault("proxy0->*", FaultKind::Reorder, 0.2)]);
     let out_of_order = got.windows(2).filter(|w| w[0] > w[1]).count();
     assert_eq!(got.len(), 200);
     assert!(out_of_order > 10 && out_of_order as u64 <= counts.reordered.load(Ordering::Relaxed));
--- a/crates/fault-injection/src/stage.rs
+++ b/crates/fault-injection/src/deployment.rs
@@ -12,14 +12,14 @@
 use rustix::net::{AddressFamily, SocketType};
 
 use crate::fault::{FaultError, Schedule};
-use crate::load::{self, Report, Shape};
+use crate::load::{self, LoadProfile, LoadReport};
 use crate::process::{Proxy, StartError};
 use crate::relay::{Faults, Relay};
-use crate::standin::{Discovery, PayServer, Record, Registry, Target};
+use crate::stub_servers::{Discovery, ExecutionRecord, PayServer, Registry, Target};
 
 /// What keeps a stage from being set up.
 #[derive(Debug, thiserror::Error)]
-pub enum StageError {
+pub enum DeploymentError {
     /// A fault of the schedule.
     #[error(transparent)]
     Fault(#[from] FaultError),
@@ -87,13 +87,13 @@
 
 /// A stage. Everything in it is owned here and given back when it is dropped: proxies first (killed
 /// and reaped), then relays, discoveries and pay servers.
-pub struct Stage {
+pub struct Deployment {
     /// The proxies, none while one is down.
     pub proxies: Vec<Option<Proxy>>,
     /// The faults of the run, and its clock.
     pub faults: Arc<Faults>,
     /// Every run on every pay server.
-    pub record: Arc<Record>,
+    pub record: Arc<ExecutionRecord>,
     /// The relays, by link: for each proxy, one to each pay server (in the order of `servers`),
     /// then discovery.
     pub relays: Vec<Relay>,
@@ -113,7 +113,7 @@
 ///
 /// # Errors
 /// No loopback port is free.
-pub fn place() -> std::io::Result<(SocketAddr, OwnedFd)> {
+pub fn reserve_port() -> std::io::Result<(SocketAddr, OwnedFd)> {
     let port = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None)?;
     set_socket_reuseport(&port, true)?;
     rustix::net::bind(&port, &SocketAddr::from(([127, 0, 0, 1], 0)))?;
@@ -145,20 +145,20 @@
         )
 }
 
-impl Stage {
+impl Deployment {
     /// Sets up a stage under `schedule` and starts every proxy, each with a configuration from
     /// [`crate::CONFIG`] in which the zones are the layout's.
     ///
     /// # Errors
     /// A stand-in, a relay or a file cannot be set up.
-    pub fn new(layout: Layout, schedule: Schedule) -> Result<Stage, StageError> {
+    pub fn new(layout: Layout, schedule: Schedule) -> Result<Deployment, DeploymentError> {
         if layout.zones.is_empty() || layout.proxies == 0 {
-            return Err(StageError::Io(std::io::Error::other(
+            return Err(DeploymentError::Io(std::io::Error::other(
                 "a stage needs a zone and a proxy",
             )));
         }
         let faults = Faults::new(schedule);
-        let record = Arc::new(Record::default());
+        let record = Arc::new(ExecutionRecord::default());
         let mut servers = Vec::new();
         for (zone, count) in &layout.zones {
             for n in 0..*count {
@@ -187,7 +187,7 @@
             }
             let discovery = Discovery::start(Arc::clone(&registry), endpoints)?;
             let relay = Relay::start(&me, "discovery", discovery.address, Arc::clone(&faults))?;
-            let (listen, port) = place()?;
+            let (listen, port) = reserve_port()?;
             let config = folder.path().join(format!("{me}.json"));
             std::fs::write(&config, configuration(&layout, p, relay.address, listen))?;
             std::fs::create_dir_all(folder.path().join(format!("{me}.state")))?;
@@ -196,7 +196,7 @@
             discoveries.push(discovery);
         }
         let proxies = (0..layout.proxies).map(|_| None).collect();
-        let mut stage = Stage {
+        let mut stage = Deployment {
             proxies,
             faults,
             record,
@@ -219,14 +219,14 @@
     ///
     /// # Errors
     /// The proxy cannot be started or is not ready in time.
-    pub fn start(&mut self, p: usize) -> Result<Duration, StageError> {
+    pub fn start(&mut self, p: usize) -> Result<Duration, DeploymentError> {
         let (name, state) = (format!("proxy{p}"), self.state(p));
         let (program, patience) = (&self.layout.program, self.layout.patience);
         let proxy = Proxy::start(&name, program, &self.places[p].2, &state, patience)
-            .map_err(|e| StageError::Start(p, e))?;
+            .map_err(|e| DeploymentError::Start(p, e))?;
         let ready = proxy
             .ready(patience)
-            .ok_or_else(|| StageError::NotReady(p, proxy.tail(5)))?;
+            .ok_or_else(|| DeploymentError::NotReady(p, proxy.tail(5)))?;
         self.proxies[p] = Some(proxy);
         Ok(ready)
     }
@@ -251,8 +251,8 @@
 
     /// The faults that hold on some link at `elapsed`.
     #[must_use]
-    pub fn faults_now(&self, elapsed: Duration) -> Vec<crate::fault::Fault> {
-        self.faults.holding(elapsed)
+    pub fn active_faults(&self, elapsed: Duration) -> Vec<crate::fault::Fault> {
+        self.faults.active_at(elapsed)
     }
 
     /// The stage's own folder: configurations and state directories.
@@ -263,21 +263,25 @@
 
     /// Plays `shape` on every proxy at once, while `meanwhile` runs on this thread; one report per
     /// proxy.
-    pub fn load(&mut self, shape: &Shape, meanwhile: impl FnOnce(&mut Stage)) -> Vec<Report> {
-        let tallies: Vec<load::Tally> = (0..self.places.len())
-            .map(|_| load::Tally::default())
+    pub fn run_load(
+        &mut self,
+        shape: &LoadProfile,
+        meanwhile: impl FnOnce(&mut Deployment),
+    ) -> Vec<LoadReport> {
+        let tallies: Vec<load::SharedResults> = (0..self.places.len())
+            .map(|_| load::SharedResults::default())
             .collect();
-        self.load_into(shape, &tallies, |stage, _| meanwhile(stage))
+        self.run_load_into(shape, &tallies, |stage, _| meanwhile(stage))
     }
 
     /// The same, with each proxy's requests added to its tally as they end, for who watches live;
     /// `meanwhile` is given the tallies too.
-    pub fn load_into(
+    pub fn run_load_into(
         &mut self,
-        shape: &Shape,
-        tallies: &[load::Tally],
-        meanwhile: impl FnOnce(&mut Stage, &[load::Tally]),
-    ) -> Vec<Report> {
+        shape: &LoadProfile,
+        tallies: &[load::SharedResults],
+        meanwhile: impl FnOnce(&mut Deployment, &[load::SharedResults]),
+    ) -> Vec<LoadReport> {
         let start = std::time::Instant::now();
         self.faults.begin(start);
         self.record.begin(start);
@@ -285,11 +289,11 @@
             .map(|p| {
                 let (at, shape, tally) = (self.listen(p), shape.clone(), Arc::clone(&tallies[p]));
                 std::thread::spawn(move || {
-                    load::play_into(at, &format!("{p:x}"), &shape, start, &tally)
+                    load::run_into(at, &format!("{p:x}"), &shape, start, &tally)
                 })
             })
             .collect();
-        let meanwhile = |stage: &mut Stage| meanwhile(stage, tallies);
+        let meanwhile = |stage: &mut Deployment| meanwhile(stage, tallies);
         meanwhile(self);
         loads
             .into_iter()
@@ -298,7 +302,7 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for Deployment {
     fn drop(&mut self) {
         self.proxies.clear();
     }
--- a/crates/fault-injection/src/expect.rs
+++ b/crates/fault-injection/src/expectations.rs
@@ -23,22 +23,22 @@
 
 use serde::Deserialize;
 
-use crate::load::{Outcome, Sent};
-use crate::standin::Run;
-use crate::verdict::back;
+use crate::load::{Outcome, SentRequest};
+use crate::stub_servers::Execution;
+use crate::verdict::recovery_time;
 
 /// A scenario's `[expect]` table.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Expect {
+pub struct Expectations {
     /// The least share of all requests that is served, 0 to 1.
     pub served: Option<f64>,
     /// What must hold in spans of the run.
     #[serde(default)]
     pub span: Vec<Span>,
     /// When service must be whole again.
-    #[serde(default)]
-    pub whole: Vec<Whole>,
+    #[serde(default, rename = "whole")]
+    pub recovery: Vec<Recovery>,
 }
 
 /// What must hold between two moments, in seconds from the start of the load.
@@ -61,7 +61,7 @@
 /// load.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Whole {
+pub struct Recovery {
     /// When it happened.
     pub after_s: f64,
     /// By so many seconds later a stretch begins in which every request is served ...
@@ -74,7 +74,7 @@
 
 /// A table that cannot be held against a run, with the file's key.
 #[derive(Debug, thiserror::Error, PartialEq)]
-pub enum ExpectError {
+pub enum ExpectationError {
     /// A share or time out of its range.
     #[error("{0}: {1} expected")]
     Range(String, &'static str),
@@ -93,7 +93,7 @@
     Proxy(String, usize, usize),
 }
 
-impl Expect {
+impl Expectations {
     /// Checks the table against a run of `length_s` seconds, `zones` and `proxies`.
     ///
     /// # Errors
@@ -103,10 +103,10 @@
         length_s: f64,
         zones: &[String],
         proxies: usize,
-    ) -> Result<(), ExpectError> {
+    ) -> Result<(), ExpectationError> {
         let share = |key: String, share: Option<f64>| match share {
             Some(s) if !(0.0..=1.0).contains(&s) => {
-                Err(ExpectError::Range(key, "a share of 0 to 1"))
+                Err(ExpectationError::Range(key, "a share of 0 to 1"))
             }
             _ => Ok(()),
         };
@@ -116,7 +116,7 @@
             share(key("served"), span.served)?;
             share(key("runs"), span.runs)?;
             if !(span.from_s >= 0.0 && span.from_s < span.to_s && span.to_s <= length_s) {
-                return Err(ExpectError::Range(
+                return Err(ExpectationError::Range(
                     key("to_s"),
                     "seconds after from_s and inside the load",
                 ));
@@ -124,21 +124,21 @@
             if span.zone.is_some() != span.runs.is_some()
                 || span.runs.is_none() && span.served.is_none()
             {
-                return Err(ExpectError::Range(
+                return Err(ExpectationError::Range(
                     key("zone"),
                     "served, or zone and runs together,",
                 ));
             }
             if let Some(zone) = span.zone.as_ref().filter(|zone| !zones.contains(zone)) {
                 let there = zones.join(", ");
-                return Err(ExpectError::Zone {
+                return Err(ExpectationError::Zone {
                     key: key("zone"),
                     zone: zone.clone(),
                     there,
                 });
             }
         }
-        for (n, whole) in self.whole.iter().enumerate() {
+        for (n, whole) in self.recovery.iter().enumerate() {
             let key = |key: &str| format!("expect.whole.{n}.{key}");
             let last = whole.after_s + whole.within_s + whole.for_s;
             if !(whole.after_s >= 0.0
@@ -146,13 +146,13 @@
                 && whole.for_s > 0.0
                 && last <= length_s)
             {
-                return Err(ExpectError::Range(
+                return Err(ExpectationError::Range(
                     key("after_s"),
                     "seconds of 0 or more that end inside the load",
                 ));
             }
             if let Some(proxy) = whole.proxy.filter(|proxy| *proxy >= proxies) {
-                return Err(ExpectError::Proxy(key("proxy"), proxy, proxies - 1));
+                return Err(ExpectationError::Proxy(key("proxy"), proxy, proxies - 1));
             }
         }
         Ok(())
@@ -160,15 +160,15 @@
 
     /// What did not hold of a run, a line each; `sent` by proxy, times from the start of the load.
     #[must_use]
-    pub fn missed(&self, sent: &[Vec<Sent>], runs: &[Run]) -> Vec<String> {
-        let mut missed = Vec::new();
-        let mut all: Vec<Sent> = sent.iter().flatten().cloned().collect();
+    pub fn violations(&self, sent: &[Vec<SentRequest>], runs: &[Execution]) -> Vec<String> {
+        let mut violations = Vec::new();
+        let mut all: Vec<SentRequest> = sent.iter().flatten().cloned().collect();
         all.sort_by_key(|s| s.at);
         if !all.iter().any(|s| s.outcome == Outcome::Served) {
-            missed.push(format!("nothing was served of {} requests", all.len()));
+            violations.push(format!("nothing was served of {} requests", all.len()));
         }
         if let Some(least) = self.served {
-            missed.extend(short(
+            violations.extend(short(
                 "requests served",
                 &all,
                 |s| s.outcome == Outcome::Served,
@@ -186,9 +186,9 @@
             let inside = |at: Duration| (*from_s..*to_s).contains(&at.as_secs_f64());
             let when = format!("from {from_s} to {to_s} s");
             if let Some(least) = served {
-                let here: Vec<Sent> = all.iter().filter(|s| inside(s.at)).cloned().collect();
+                let here: Vec<SentRequest> = all.iter().filter(|s| inside(s.at)).cloned().collect();
                 let what = format!("requests served {when}");
-                missed.extend(short(
+                violations.extend(short(
                     &what,
                     &here,
                     |s| s.outcome == Outcome::Served,
@@ -196,13 +196,13 @@
                 ));
             }
             if let Some((zone, least)) = zone.as_ref().zip(*least_runs) {
-                let here: Vec<Run> = runs.iter().filter(|r| inside(r.at)).cloned().collect();
-                let of_zone = |r: &Run| {
+                let here: Vec<Execution> = runs.iter().filter(|r| inside(r.at)).cloned().collect();
+                let of_zone = |r: &Execution| {
                     r.server
                         .rsplit_once('-')
                         .is_some_and(|(name, _)| name == zone.as_str())
                 };
-                missed.extend(short(
+                violations.extend(short(
                     &format!("runs in {zone} {when}"),
                     &here,
                     of_zone,
@@ -210,14 +210,14 @@
                 ));
             }
         }
-        for Whole {
+        for Recovery {
             after_s,
             within_s,
             for_s,
             proxy,
-        } in &self.whole
+        } in &self.recovery
         {
-            let theirs: Vec<Sent> = match proxy {
+            let theirs: Vec<SentRequest> = match proxy {
                 Some(proxy) => sent.get(*proxy).cloned().unwrap_or_default(),
                 None => all.clone(),
             };
@@ -226,19 +226,19 @@
                 Duration::from_secs_f64(*after_s),
                 Duration::from_secs_f64(*for_s),
             );
-            match back(&theirs, from, span) {
+            match recovery_time(&theirs, from, span) {
                 Some(at) if at.as_secs_f64() <= after_s + within_s => {}
-                Some(at) => missed.push(format!(
+                Some(at) => violations.push(format!(
                     "{who}: whole again at {:.2} s, {:.2} s expected",
                     at.as_secs_f64(),
                     after_s + within_s
                 )),
-                None => missed.push(format!(
+                None => violations.push(format!(
                     "{who}: never whole again for {for_s} s after {after_s} s"
                 )),
             }
         }
-        missed
+        violations
     }
 }
 
--- a/crates/fault-injection/src/expect/tests.rs
+++ b/crates/fault-injection/src/expectations/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn sent(at_ms: u64, outcome: Outcome) -> Sent {
-    Sent {
+fn sent(at_ms: u64, outcome: Outcome) -> SentRequest {
+    SentRequest {
         txn: format!("{at_ms}"),
         at: Duration::from_millis(at_ms),
         outcome,
@@ -11,9 +11,9 @@
     }
 }
 
-fn run(at_ms: u64, server: &str) -> Run {
+fn run(at_ms: u64, server: &str) -> Execution {
     let at = Duration::from_millis(at_ms);
-    Run {
+    Execution {
         txn: format!("{at_ms}"),
         class: "balance".into(),
         server: server.into(),
@@ -21,51 +21,56 @@
     }
 }
 
-fn expect(text: &str) -> Expect {
+fn expect(text: &str) -> Expectations {
     toml::from_str(text).expect("reads")
 }
 
 #[test]
 fn each_expectation_holds_and_is_missed() {
-    let good: Vec<Sent> = (0..100).map(|n| sent(n * 100, Outcome::Served)).collect();
+    let good: Vec<SentRequest> = (0..100).map(|n| sent(n * 100, Outcome::Served)).collect();
     let mut bad = good.clone();
     bad[50..60]
         .iter_mut()
         .for_each(|s| s.outcome = Outcome::Broken);
-    let home: Vec<Run> = (0..100).map(|n| run(n * 100, "a-b-0")).collect();
-    let away: Vec<Run> = (0..100).map(|n| run(n * 100, "b-0")).collect();
+    let home: Vec<Execution> = (0..100).map(|n| run(n * 100, "a-b-0")).collect();
+    let away: Vec<Execution> = (0..100).map(|n| run(n * 100, "b-0")).collect();
     for text in [
         "served = 0.95",
         "[[span]]\nfrom_s = 5.0\nto_s = 6.0\nserved = 0.5",
         "[[whole]]\nafter_s = 5.0\nwithin_s = 0.5\nfor_s = 1.0\nproxy = 0",
     ] {
         assert_eq!(
-            expect(text).missed(std::slice::from_ref(&good), &home),
+            expect(text).violations(std::slice::from_ref(&good), &home),
             Vec::<String>::new(),
             "{text}"
         );
         assert_eq!(
-            expect(text).missed(std::slice::from_ref(&bad), &home).len(),
+            expect(text)
+                .violations(std::slice::from_ref(&bad), &home)
+                .len(),
             1,
             "{text}"
         );
     }
     let zone = expect("[[span]]\nfrom_s = 0.0\nto_s = 6.0\nzone = \"a-b\"\nruns = 0.9");
-    assert!(zone.missed(std::slice::from_ref(&good), &home).is_empty());
-    assert_eq!(zone.missed(std::slice::from_ref(&good), &away).len(), 1);
+    assert!(
+        zone.violations(std::slice::from_ref(&good), &home)
+            .is_empty()
+    );
+    assert_eq!(zone.violations(std::slice::from_ref(&good), &away).len(), 1);
     assert_eq!(
-        zone.missed(&[good], &[]).len(),
+        zone.violations(&[good], &[]).len(),
         1,
         "of no runs nothing holds"
     );
-    let never: Vec<Sent> = (0..9).map(|n| sent(n * 100, Outcome::Failed)).collect();
+    let never: Vec<SentRequest> = (0..9).map(|n| sent(n * 100, Outcome::Failed)).collect();
     assert_eq!(
-        Expect::default().missed(&[never], &[]).len(),
+        Expectations::default().violations(&[never], &[]).len(),
         1,
         "nothing was served"
     );
     assert_eq!(
-        Expect::default().missed(&[], &[]).len(),
+        Expectations::default().violations(&[], &[]).len(),
         1,
         "nothing was sent"
     );
--- a/crates/fault-injection/src/failing.rs
+++ b/crates/fault-injection/src/failing_server.rs
@@ -6,7 +6,7 @@
 //! that is not the one made for its request ([`body_of`]) is noted as such.
 
 mod client;
-mod script;
+mod steps;
 
 use std::collections::VecDeque;
 use std::io::{Read as _, Write as _};
@@ -16,8 +16,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-pub use client::{Ask, Ending, Received, RequestBody, ask, receive, send};
-pub use script::{Act, Asked, Connection, Failure, acts, events};
+pub use client::{ClientRequest, ClientResponse, Ending, RequestBody, exchange, receive, send};
+pub use steps::{Connection, Failure, RequestHead, Step, events, steps};
 
 /// What never comes fails a test after this.
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -63,7 +63,7 @@
 
 /// What servers saw.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct Observations {
     /// The ids of the requests that ran, in their order.
     pub runs: Vec<String>,
     /// For each request that began to arrive: its id and the connection's number.
@@ -77,9 +77,9 @@
     dialect: Dialect,
     /// What is to fail next, at whichever of the servers that share it.
     failures: Arc<Mutex<VecDeque<Failure>>>,
-    seen: Mutex<Seen>,
-    go_on: Mutex<Receiver<()>>,
-    went_on: Sender<()>,
+    seen: Mutex<Observations>,
+    release: Mutex<Receiver<()>>,
+    released: Sender<()>,
 }
 
 /// A server. Its threads end with their connections.
@@ -87,8 +87,8 @@
     /// Where it listens.
     pub address: SocketAddr,
     state: Arc<State>,
-    go_on: Sender<()>,
-    went_on: Receiver<()>,
+    release: Sender<()>,
+    released: Receiver<()>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -122,14 +122,14 @@
     fn sharing(dialect: Dialect, failures: Arc<Mutex<VecDeque<Failure>>>) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let ((go_on, waits), (went_on, heard)) = (channel(), channel());
+        let ((release, waits), (released, heard)) = (channel(), channel());
         let (seen, go_on_waits) = (Mutex::default(), Mutex::new(waits));
         let state = Arc::new(State {
             dialect,
             failures,
             seen,
-            go_on: go_on_waits,
-            went_on,
+            release: go_on_waits,
+            released,
         });
         let shared = Arc::clone(&state);
         std::thread::spawn(move || {
@@ -141,14 +141,14 @@
         Ok(FailingServer {
             address,
             state,
-            go_on,
-            went_on: heard,
+            release,
+            released: heard,
         })
     }
 
     /// What it has seen so far.
     #[must_use]
-    pub fn seen(&self) -> Seen {
+    pub fn seen(&self) -> Observations {
         lock(&self.state.seen).clone()
     }
 
@@ -156,9 +156,9 @@
     ///
     /// # Panics
     /// It keeps nothing back.
-    pub fn go_on(&self) {
-        self.go_on.send(()).expect("it runs");
-        self.went_on.recv_timeout(PATIENCE).expect("it goes on");
+    pub fn release(&self) {
+        self.release.send(()).expect("it runs");
+        self.released.recv_timeout(PATIENCE).expect("it goes on");
     }
 }
 
@@ -168,8 +168,8 @@
         stream.set_nodelay(true),
         stream.set_read_timeout(Some(3 * PATIENCE)),
     );
-    let mut come = Vec::new();
-    while let Some(asked) = Asked::read(&mut stream, &mut come, state.dialect.id) {
+    let mut buffer = Vec::new();
+    while let Some(asked) = RequestHead::read(&mut stream, &mut buffer, state.dialect.id) {
         let Some(id) = asked.id.clone() else {
             // A probe, or a check of its health.
             if stream
@@ -182,12 +182,12 @@
         };
         lock(&state.seen).arrivals.push((id, number));
         let failure = lock(&state.failures).pop_front();
-        let mut acts = acts(failure, &asked, &state.dialect).into_iter();
-        while let Some(act) = acts.next() {
-            if !perform(act, &mut stream, &mut come, &asked, state) {
+        let mut steps = steps(failure, &asked, &state.dialect).into_iter();
+        while let Some(act) = steps.next() {
+            if !perform(act, &mut stream, &mut buffer, &asked, state) {
                 drop(stream);
-                if acts.next() == Some(Act::SayGone) {
-                    let _ = state.went_on.send(());
+                if steps.next() == Some(Step::ConfirmRelease) {
+                    let _ = state.released.send(());
                 }
                 return;
             }
@@ -197,14 +197,14 @@
 
 /// Does one step; false where the connection is over.
 fn perform(
-    act: Act,
+    act: Step,
     stream: &mut TcpStream,
-    come: &mut Vec<u8>,
-    asked: &Asked,
+    buffer: &mut Vec<u8>,
+    asked: &RequestHead,
     state: &State,
 ) -> bool {
     match act {
-        Act::ReadBody { runs } => match asked.read_body(stream, come) {
+        Step::ReadBody { runs } => match asked.read_body(stream, buffer) {
             Ok(true) => {
                 if runs {
                     lock(&state.seen).runs.extend(asked.id.clone());
@@ -218,21 +218,21 @@
             }
             Err(_) => false,
         },
-        Act::Write(bytes) => stream.write_all(&bytes).is_ok(),
-        Act::WaitForGo => lock(&state.go_on).recv_timeout(3 * PATIENCE).is_ok(),
-        Act::SayGone => state.went_on.send(()).is_ok(),
-        Act::Close => {
+        Step::Write(bytes) => stream.write_all(&bytes).is_ok(),
+        Step::AwaitRelease => lock(&state.release).recv_timeout(3 * PATIENCE).is_ok(),
+        Step::ConfirmRelease => state.released.send(()).is_ok(),
+        Step::Close => {
             // Whoever reads on sees an orderly end; what is unread here would make it a reset.
             let _ = stream.shutdown(std::net::Shutdown::Write);
             while stream.read(&mut [0; 4096]).is_ok_and(|bytes| bytes > 0) {}
             false
         }
-        Act::Drop => false,
-        Act::Reset => {
+        Step::Drop => false,
+        Step::Reset => {
             let _ = rustix::net::sockopt::set_socket_linger(stream.as_fd(), Some(Duration::ZERO));
             false
         }
-        Act::Hold => {
+        Step::Stall => {
             while stream.read(&mut [0; 4096]).is_ok_and(|bytes| bytes > 0) {}
             false
         }
--- a/crates/fault-injection/src/failing/client.rs
+++ b/crates/fault-injection/src/failing_server/client.rs
@@ -18,7 +18,7 @@
 
 /// A request.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct ClientRequest<'a> {
     /// Its method.
     pub method: &'a str,
     /// Its path and query.
@@ -36,17 +36,17 @@
 /// How an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// It is whole.
-    Whole,
-    /// It broke off, which shows.
-    Broken,
+    /// It is complete.
+    Complete,
+    /// It ended early, which the client can detect.
+    Truncated,
     /// None came.
     None,
 }
 
 /// What a client got.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Received {
+pub struct ClientResponse {
     /// The status; 0 where there was no head.
     pub status: u16,
     /// The head, in lower case.
@@ -57,11 +57,11 @@
     pub ending: Ending,
 }
 
-impl Received {
+impl ClientResponse {
     /// The value of a header, its name in lower case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
-        crate::standin::header(&self.head, name)
+        crate::stub_servers::header(&self.head, name)
     }
 }
 
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 /// The system's, where no connection comes up.
-pub fn ask(to: SocketAddr, request: &Ask<'_>) -> io::Result<Received> {
+pub fn exchange(to: SocketAddr, request: &ClientRequest<'_>) -> io::Result<ClientResponse> {
     crate::loopback(to)?;
     let mut stream = TcpStream::connect(to)?;
     send(&mut stream, request)?;
@@ -84,10 +84,10 @@
 ///
 /// # Errors
 /// The system's, where a time-out can't be set.
-pub fn send(stream: &mut TcpStream, request: &Ask<'_>) -> io::Result<()> {
+pub fn send(stream: &mut TcpStream, request: &ClientRequest<'_>) -> io::Result<()> {
     stream.set_read_timeout(Some(PATIENCE))?;
     stream.set_nodelay(true)?;
-    let Ask {
+    let ClientRequest {
         method,
         target,
         id_header,
@@ -121,20 +121,20 @@
     Ok(())
 }
 
-/// Reads the final answer; `come` keeps what follows it.
-pub fn receive(stream: &mut TcpStream, come: &mut Vec<u8>, to_head: bool) -> Received {
-    let mut got = Received {
+/// Reads the final answer; `buffer` keeps what follows it.
+pub fn receive(stream: &mut TcpStream, buffer: &mut Vec<u8>, to_head: bool) -> ClientResponse {
+    let mut got = ClientResponse {
         status: 0,
         head: String::new(),
         body: String::new(),
         ending: Ending::None,
     };
     loop {
-        let Some(end) = find(stream, come, b"\r\n\r\n") else {
+        let Some(end) = find(stream, buffer, b"\r\n\r\n") else {
             return got;
         };
         got.head =
-            String::from_utf8_lossy(&come.drain(..end).collect::<Vec<u8>>()).to_ascii_lowercase();
+            String::from_utf8_lossy(&buffer.drain(..end).collect::<Vec<u8>>()).to_ascii_lowercase();
         got.status = got
             .head
             .split(' ')
@@ -148,46 +148,54 @@
     let (body, whole) = if to_head || matches!(got.status, 204 | 304) {
         (Vec::new(), true)
     } else {
-        read_body(stream, come, &got)
+        read_body(stream, buffer, &got)
     };
     got.body = String::from_utf8_lossy(&body).into_owned();
-    got.ending = if whole { Ending::Whole } else { Ending::Broken };
+    got.ending = if whole {
+        Ending::Complete
+    } else {
+        Ending::Truncated
+    };
     got
 }
 
-fn read_body(stream: &mut TcpStream, come: &mut Vec<u8>, got: &Received) -> (Vec<u8>, bool) {
+fn read_body(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+    got: &ClientResponse,
+) -> (Vec<u8>, bool) {
     if got.header("transfer-encoding").is_some() {
-        return read_chunks(stream, come);
+        return read_chunks(stream, buffer);
     }
     let length: usize = got
         .header("content-length")
         .and_then(|length| length.parse().ok())
         .unwrap_or(0);
-    while come.len() < length {
-        if !more(stream, come) {
-            return (std::mem::take(come), false);
+    while buffer.len() < length {
+        if !more(stream, buffer) {
+            return (std::mem::take(buffer), false);
         }
     }
-    (come.drain(..length).collect(), true)
+    (buffer.drain(..length).collect(), true)
 }
 
-fn read_chunks(stream: &mut TcpStream, come: &mut Vec<u8>) -> (Vec<u8>, bool) {
+fn read_chunks(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> (Vec<u8>, bool) {
     let mut body = Vec::new();
     loop {
-        let Some(end) = find(stream, come, b"\r\n") else {
+        let Some(end) = find(stream, buffer, b"\r\n") else {
             return (body, false);
         };
-        let line: Vec<u8> = come.drain(..end).collect();
+        let line: Vec<u8> = buffer.drain(..end).collect();
         let Ok(size) = usize::from_str_radix(String::from_utf8_lossy(&line).trim(), 16) else {
             return (body, false);
         };
-        while come.len() < size + 2 {
-            if !more(stream, come) {
+        while buffer.len() < size + 2 {
+            if !more(stream, buffer) {
                 return (body, false);
             }
         }
-        body.extend(come.drain(..size));
-        come.drain(..2);
+        body.extend(buffer.drain(..size));
+        buffer.drain(..2);
         if size == 0 {
             return (body, true);
         }
@@ -195,20 +203,20 @@
 }
 
 /// Where the bytes looked for end; none where the connection ends before.
-fn find(stream: &mut TcpStream, come: &mut Vec<u8>, wanted: &[u8]) -> Option<usize> {
+fn find(stream: &mut TcpStream, buffer: &mut Vec<u8>, wanted: &[u8]) -> Option<usize> {
     loop {
-        if let Some(at) = come.windows(wanted.len()).position(|part| part == wanted) {
+        if let Some(at) = buffer.windows(wanted.len()).position(|part| part == wanted) {
             return Some(at + wanted.len());
         }
-        if !more(stream, come) {
+        if !more(stream, buffer) {
             return None;
         }
     }
 }
 
-fn more(stream: &mut TcpStream, come: &mut Vec<u8>) -> bool {
+fn more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
     let mut part = [0; 16 * 1024];
     let bytes = stream.read(&mut part).unwrap_or(0);
-    come.extend_from_slice(&part[..bytes]);
+    buffer.extend_from_slice(&part[..bytes]);
     bytes > 0
 }
--- a/crates/fault-injection/src/failing/script.rs
+++ b/crates/fault-injection/src/failing_server/steps.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 
 use super::{Dialect, body_of};
-use crate::standin::header;
+use crate::stub_servers::header;
 
 /// Requests with such a path are answered by a stream of events.
 const STREAMS: [&str; 2] = ["/stream/", "/once/"];
@@ -45,7 +45,7 @@
     InChunks(Connection),
     /// The whole answer is given; once the test goes on, the connection ends.
     AfterAnswer(Connection),
-    /// Behind the whole answer come bytes that are none.
+    /// Bytes that are not a response follow the complete response.
     Noise,
     /// Behind the whole answer comes the same once more.
     Twice,
@@ -96,7 +96,7 @@
 
 /// One step of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Step {
     /// Reads the rest of the request.
     ReadBody {
         /// It runs with its last byte.
@@ -105,9 +105,9 @@
     /// Writes.
     Write(Vec<u8>),
     /// Waits until the test goes on.
-    WaitForGo,
+    AwaitRelease,
     /// Tells the test that it has gone on.
-    SayGone,
+    ConfirmRelease,
     /// Ends the connection in an orderly way, and waits until the other side has.
     Close,
     /// Ends it in an orderly way, if nothing is unread.
@@ -115,12 +115,12 @@
     /// Resets it.
     Reset,
     /// Does nothing until the other side ends it.
-    Hold,
+    Stall,
 }
 
 /// A request's head.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestHead {
     /// Its id, where it has one.
     pub id: Option<String>,
     is_head: bool,
@@ -132,24 +132,28 @@
     chunked: bool,
 }
 
-impl Asked {
+impl RequestHead {
     /// Reads a head; none where the connection ends.
-    pub(super) fn read(stream: &mut TcpStream, come: &mut Vec<u8>, id: &str) -> Option<Asked> {
+    pub(super) fn read(
+        stream: &mut TcpStream,
+        buffer: &mut Vec<u8>,
+        id: &str,
+    ) -> Option<RequestHead> {
         let end = loop {
-            if let Some(at) = come.windows(4).position(|four| four == b"\r\n\r\n") {
+            if let Some(at) = buffer.windows(4).position(|four| four == b"\r\n\r\n") {
                 break at + 4;
             }
-            more(stream, come).ok()?;
+            more(stream, buffer).ok()?;
         };
-        let head: Vec<u8> = come.drain(..end).collect();
-        Some(Asked::parse(&String::from_utf8_lossy(&head), id))
+        let head: Vec<u8> = buffer.drain(..end).collect();
+        Some(RequestHead::parse(&String::from_utf8_lossy(&head), id))
     }
 
     /// Takes a head apart; the header of that name holds its id.
     #[must_use]
-    pub fn parse(text: &str, id: &str) -> Asked {
+    pub fn parse(text: &str, id: &str) -> RequestHead {
         let header = |name: &str| header(text, name).map(str::to_string);
-        Asked {
+        RequestHead {
             id: header(&id.to_ascii_lowercase()),
             is_head: text.starts_with("HEAD "),
             is_stream: text
@@ -165,47 +169,51 @@
     }
 
     /// Reads the body; whether it is the one made for this request.
-    pub(super) fn read_body(&self, stream: &mut TcpStream, come: &mut Vec<u8>) -> io::Result<bool> {
+    pub(super) fn read_body(
+        &self,
+        stream: &mut TcpStream,
+        buffer: &mut Vec<u8>,
+    ) -> io::Result<bool> {
         let body = if self.chunked {
-            chunks(stream, come)?
+            chunks(stream, buffer)?
         } else {
-            take(stream, come, self.length.unwrap_or(0))?
+            take(stream, buffer, self.length.unwrap_or(0))?
         };
         Ok(body == body_of(self.id.as_deref().unwrap_or(""), body.len()))
     }
 }
 
-fn more(stream: &mut TcpStream, come: &mut Vec<u8>) -> io::Result<()> {
+fn more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<()> {
     let mut part = [0; 16 * 1024];
     match stream.read(&mut part)? {
         0 => Err(io::ErrorKind::UnexpectedEof.into()),
         bytes => {
-            come.extend_from_slice(&part[..bytes]);
+            buffer.extend_from_slice(&part[..bytes]);
             Ok(())
         }
     }
 }
 
-fn take(stream: &mut TcpStream, come: &mut Vec<u8>, count: usize) -> io::Result<Vec<u8>> {
-    while come.len() < count {
-        more(stream, come)?;
+fn take(stream: &mut TcpStream, buffer: &mut Vec<u8>, count: usize) -> io::Result<Vec<u8>> {
+    while buffer.len() < count {
+        more(stream, buffer)?;
     }
-    Ok(come.drain(..count).collect())
+    Ok(buffer.drain(..count).collect())
 }
 
-fn chunks(stream: &mut TcpStream, come: &mut Vec<u8>) -> io::Result<Vec<u8>> {
+fn chunks(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Vec<u8>> {
     let mut body = Vec::new();
     loop {
         let line = loop {
-            if let Some(at) = come.windows(2).position(|two| two == b"\r\n") {
-                break come.drain(..at + 2).collect::<Vec<u8>>();
+            if let Some(at) = buffer.windows(2).position(|two| two == b"\r\n") {
+                break buffer.drain(..at + 2).collect::<Vec<u8>>();
             }
-            more(stream, come)?;
+            more(stream, buffer)?;
         };
         let size = String::from_utf8_lossy(&line).trim().to_string();
         let size = usize::from_str_radix(&size, 16).map_err(io::Error::other)?;
-        body.extend(take(stream, come, size)?);
-        take(stream, come, 2)?;
+        body.extend(take(stream, buffer, size)?);
+        take(stream, buffer, 2)?;
         if size == 0 {
             return Ok(body);
         }
@@ -213,7 +221,7 @@
 }
 
 /// What a server answers to a request that it serves.
-fn content(asked: &Asked) -> String {
+fn content(asked: &RequestHead) -> String {
     let id = asked.id.as_deref().unwrap_or("");
     if asked.is_stream {
         events(id, asked.last_event + 1)
@@ -232,7 +240,7 @@
 
 struct Writer<'a> {
     dialect: &'a Dialect,
-    asked: &'a Asked,
+    asked: &'a RequestHead,
 }
 
 impl Writer<'_> {
@@ -298,11 +306,11 @@
     }
 }
 
-fn end(connection: Connection) -> Vec<Act> {
+fn end(connection: Connection) -> Vec<Step> {
     match connection {
         Connection::Kept => Vec::new(),
-        Connection::Closed => vec![Act::Close],
-        Connection::Reset => vec![Act::Reset],
+        Connection::Closed => vec![Step::Close],
+        Connection::Reset => vec![Step::Reset],
     }
 }
 
@@ -313,7 +321,7 @@
 /// What a server does with a request.
 #[must_use]
 #[expect(clippy::too_many_lines, reason = "one arm for each kind of failure")]
-pub fn acts(failure: Option<Failure>, asked: &Asked, dialect: &Dialect) -> Vec<Act> {
+pub fn steps(failure: Option<Failure>, asked: &RequestHead, dialect: &Dialect) -> Vec<Step> {
     use Failure::{
         AfterAnswer, AfterInterim, BadChunk, BodyWithout204, BothFramings, EarlyError,
         EarlyPromise, Foreign, ForeignAndSilence, ForeignFirst, ForeignInstead, ForeignLater,
@@ -325,13 +333,13 @@
     let body = writer.body();
     let length = format!("Content-Length: {}\r\n", content(asked).len());
     let status_line = |status: u16| format!("{status} Told");
-    let read = || Act::ReadBody { runs: true };
-    let write = |text: String| Act::Write(text.into_bytes());
+    let read = || Step::ReadBody { runs: true };
+    let write = |text: String| Step::Write(text.into_bytes());
     let ran = |text: String| vec![read(), write(text)];
-    let ran_until = |text: String, connection| [ran(text), end(connection)].concat_acts();
+    let ran_until = |text: String, connection| [ran(text), end(connection)].concat_steps();
     match failure.unwrap_or(None) {
         None => ran(whole),
-        Silence => vec![read(), Act::Hold],
+        Silence => vec![read(), Step::Stall],
         NoHead(connection) => ran_until(String::new(), connection),
         InHead(connection) => ran_until(
             whole[..whole.len() - body.len() - 9].to_string(),
@@ -354,24 +362,28 @@
             )
         }
         AfterAnswer(connection) => {
-            let after = vec![Act::WaitForGo];
+            let after = vec![Step::AwaitRelease];
             let last = match connection {
-                Connection::Kept => vec![Act::SayGone],
-                Connection::Closed => vec![Act::Drop, Act::SayGone],
-                Connection::Reset => vec![Act::Reset, Act::SayGone],
+                Connection::Kept => vec![Step::ConfirmRelease],
+                Connection::Closed => vec![Step::Drop, Step::ConfirmRelease],
+                Connection::Reset => vec![Step::Reset, Step::ConfirmRelease],
             };
-            [ran(whole), after, last].concat_acts()
+            [ran(whole), after, last].concat_steps()
         }
         Noise => ran(whole + "more\r\n\r\n"),
         Twice => ran(whole.clone() + &whole),
         Foreign => ran(whole + &writer.foreign()),
         ForeignLater => {
-            let later = vec![Act::WaitForGo, write(writer.foreign()), Act::SayGone];
-            [ran(whole), later].concat_acts()
+            let later = vec![
+                Step::AwaitRelease,
+                write(writer.foreign()),
+                Step::ConfirmRelease,
+            ];
+            [ran(whole), later].concat_steps()
         }
         ForeignFirst => ran(writer.foreign() + &whole),
         ForeignInstead => ran_until(writer.foreign(), Connection::Closed),
-        ForeignAndSilence => [ran(writer.foreign()), vec![Act::Hold]].concat_acts(),
+        ForeignAndSilence => [ran(writer.foreign()), vec![Step::Stall]].concat_steps(),
         Nameless => ran(whole.replace(&writer.own_name(), "")),
         TwoNames => ran(whole.replacen("\r\n", &format!("\r\n{}", writer.name("another")), 1)),
         EarlyPromise(status, connection) => early(
@@ -411,12 +423,12 @@
         BodyWithout204 => ran(writer.head("204 No Content", &length) + &body),
         Promise(status) => {
             let told = writer.whole(&status_line(status), dialect.promise);
-            vec![Act::ReadBody { runs: false }, write(told)]
+            vec![Step::ReadBody { runs: false }, write(told)]
         }
         // Misdirected: it has not run, whatever else is said.
         Status(status @ 421) => {
             vec![
-                Act::ReadBody { runs: false },
+                Step::ReadBody { runs: false },
                 write(writer.whole(&status_line(status), "")),
             ]
         }
@@ -432,23 +444,23 @@
     more: &str,
     connection: Connection,
     runs: bool,
-) -> Vec<Act> {
-    let told = vec![Act::Write(writer.whole(status, more).into_bytes())];
+) -> Vec<Step> {
+    let told = vec![Step::Write(writer.whole(status, more).into_bytes())];
     let rest = match connection {
-        Connection::Kept => vec![Act::ReadBody { runs }],
-        Connection::Closed => vec![Act::Close],
-        Connection::Reset => vec![Act::Reset],
+        Connection::Kept => vec![Step::ReadBody { runs }],
+        Connection::Closed => vec![Step::Close],
+        Connection::Reset => vec![Step::Reset],
     };
-    [told, rest].concat_acts()
+    [told, rest].concat_steps()
 }
 
 /// Acts one after another.
-trait ConcatActs {
-    fn concat_acts(self) -> Vec<Act>;
+trait ConcatSteps {
+    fn concat_steps(self) -> Vec<Step>;
 }
 
-impl<const N: usize> ConcatActs for [Vec<Act>; N] {
-    fn concat_acts(self) -> Vec<Act> {
+impl<const N: usize> ConcatSteps for [Vec<Step>; N] {
+    fn concat_steps(self) -> Vec<Step> {
         self.into_iter().flatten().collect()
     }
 }
--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -25,7 +25,7 @@
 /// What a link does to what it carries, in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Bytes pass as they come.
     Pass,
     /// Cut without a sign both ways: bytes vanish, connections stay open and silent, new ones never
@@ -59,7 +59,7 @@
     /// The links it meets, `FROM->TO` with `*` patterns.
     pub link: String,
     /// What it does.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// How long it lasts in seconds; none: to the end of the run.
     #[serde(default)]
     pub for_s: Option<f64>,
@@ -94,7 +94,7 @@
 impl Fault {
     /// Whether it holds `now` seconds into the run.
     #[must_use]
-    pub fn holds_at(&self, now: f64) -> bool {
+    pub fn is_active_at(&self, now: f64) -> bool {
         self.at_s <= now && self.for_s.is_none_or(|d| now < self.at_s + d)
     }
 }
@@ -105,7 +105,7 @@
     /// Pass the piece.
     Pass,
     /// Let the piece vanish (and hold new connections silent).
-    Swallow,
+    Blackhole,
     /// Wait so long, then pass.
     Wait(Duration),
     /// Reset the connection.
@@ -118,17 +118,17 @@
 
 /// What a datagram relay must do with one datagram.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Datagram {
+pub enum DatagramAction {
     /// Send it on.
     Pass,
     /// Lose it.
-    Lose,
+    Drop,
     /// Send it twice.
-    Twice,
+    Duplicate,
     /// Hold it until the next one has gone.
-    Behind,
+    Reorder,
     /// Send it after so long.
-    Wait(Duration),
+    Delay(Duration),
 }
 
 /// Faults over a run. Where several hold on one link at once, the one that began last counts.
@@ -157,7 +157,10 @@
 /// The first fault whose link names none of `links` (`FROM`, `TO`), in either direction: it would
 /// never hold.
 #[must_use]
-pub fn nowhere<'a>(faults: &'a [Fault], links: &[(String, String)]) -> Option<&'a Fault> {
+pub fn first_unknown_link<'a>(
+    faults: &'a [Fault],
+    links: &[(String, String)],
+) -> Option<&'a Fault> {
     let names = |f: &Fault| {
         links
             .iter()
@@ -186,15 +189,18 @@
             if times.iter().any(|t| !(t.is_finite() && *t >= 0.0)) {
                 return Err(FaultError::Time(n));
             }
-            if fault.kind == Kind::Rate
+            if fault.kind == FaultKind::Rate
                 && !(fault.bytes_per_s > 0.0 && fault.bytes_per_s.is_finite())
             {
                 return Err(FaultError::Missing(n, "rate", "bytes_per_s"));
             }
-            if fault.kind == Kind::Delay && fault.delay_ms + fault.jitter_ms <= 0.0 {
+            if fault.kind == FaultKind::Delay && fault.delay_ms + fault.jitter_ms <= 0.0 {
                 return Err(FaultError::Missing(n, "delay", "delay_ms"));
             }
-            let chance = matches!(fault.kind, Kind::Drop | Kind::Duplicate | Kind::Reorder);
+            let chance = matches!(
+                fault.kind,
+                FaultKind::Drop | FaultKind::Duplicate | FaultKind::Reorder
+            );
             if chance && !(fault.share > 0.0 && fault.share <= 1.0) {
                 return Err(FaultError::Missing(n, "datagram", "share (at most 1)"));
             }
@@ -227,7 +233,7 @@
         self.faults
             .iter()
             .rev()
-            .find(|f| f.holds_at(now) && link_matches(&f.link, from, to))
+            .find(|f| f.is_active_at(now) && link_matches(&f.link, from, to))
     }
 
     /// What to do with a piece from `from` to `to` at `elapsed`; `draw` is a number in [0, 1) for
@@ -238,19 +244,19 @@
     pub fn action(&self, from: &str, to: &str, elapsed: Duration, draw: f64) -> Action {
         let reverse = self
             .fault(to, from, elapsed)
-            .filter(|f| f.kind == Kind::Cut);
+            .filter(|f| f.kind == FaultKind::Cut);
         match reverse.or_else(|| self.fault(from, to, elapsed)) {
             None => Action::Pass,
             Some(f) => match f.kind {
-                Kind::Pass => Action::Pass,
-                Kind::Cut | Kind::CutOneWay => Action::Swallow,
-                Kind::Delay => Action::Wait(Duration::from_secs_f64(
+                FaultKind::Pass => Action::Pass,
+                FaultKind::Cut | FaultKind::CutOneWay => Action::Blackhole,
+                FaultKind::Delay => Action::Wait(Duration::from_secs_f64(
                     (f.delay_ms + draw * f.jitter_ms) / 1e3,
                 )),
-                Kind::Reset => Action::Reset,
-                Kind::Refuse => Action::Refuse,
-                Kind::Rate => Action::Rate(f.bytes_per_s),
-                Kind::Drop | Kind::Duplicate | Kind::Reorder => Action::Pass,
+                FaultKind::Reset => Action::Reset,
+                FaultKind::Refuse => Action::Refuse,
+                FaultKind::Rate => Action::Rate(f.bytes_per_s),
+                FaultKind::Drop | FaultKind::Duplicate | FaultKind::Reorder => Action::Pass,
             },
         }
     }
@@ -266,22 +272,22 @@
         elapsed: Duration,
         draw: f64,
         chance: f64,
-    ) -> Datagram {
+    ) -> DatagramAction {
         let reverse = self
             .fault(to, from, elapsed)
-            .filter(|f| f.kind == Kind::Cut);
+            .filter(|f| f.kind == FaultKind::Cut);
         let Some(f) = reverse.or_else(|| self.fault(from, to, elapsed)) else {
-            return Datagram::Pass;
+            return DatagramAction::Pass;
         };
         match f.kind {
-            Kind::Cut | Kind::CutOneWay => Datagram::Lose,
-            Kind::Drop if chance < f.share => Datagram::Lose,
-            Kind::Duplicate if chance < f.share => Datagram::Twice,
-            Kind::Reorder if chance < f.share => Datagram::Behind,
-            Kind::Delay => Datagram::Wait(Duration::from_secs_f64(
+            FaultKind::Cut | FaultKind::CutOneWay => DatagramAction::Drop,
+            FaultKind::Drop if chance < f.share => DatagramAction::Drop,
+            FaultKind::Duplicate if chance < f.share => DatagramAction::Duplicate,
+            FaultKind::Reorder if chance < f.share => DatagramAction::Reorder,
+            FaultKind::Delay => DatagramAction::Delay(Duration::from_secs_f64(
                 (f.delay_ms + draw * f.jitter_ms) / 1e3,
             )),
-            _ => Datagram::Pass,
+            _ => DatagramAction::Pass,
         }
     }
 }
--- a/crates/fault-injection/src/fault/tests.rs
+++ b/crates/fault-injection/src/fault/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn fault(at_s: f64, link: &str, kind: Kind, for_s: Option<f64>) -> Fault {
+fn fault(at_s: f64, link: &str, kind: FaultKind, for_s: Option<f64>) -> Fault {
     Fault {
         at_s,
         link: link.into(),
@@ -17,11 +17,19 @@
 
 #[test]
 fn a_fault_holds_from_its_start_for_its_length_on_the_links_it_names() {
-    let s =
-        Schedule::new(vec![fault(2.0, "proxy3->*", Kind::CutOneWay, Some(8.0))]).expect("valid");
+    let s = Schedule::new(vec![fault(
+        2.0,
+        "proxy3->*",
+        FaultKind::CutOneWay,
+        Some(8.0),
+    )])
+    .expect("valid");
     let at = Duration::from_secs_f64;
     assert_eq!(s.action("proxy3", "server0", at(1.9), 0.0), Action::Pass);
-    assert_eq!(s.action("proxy3", "server0", at(2.0), 0.0), Action::Swallow);
+    assert_eq!(
+        s.action("proxy3", "server0", at(2.0), 0.0),
+        Action::Blackhole
+    );
     assert_eq!(
         s.action("server0", "proxy3", at(5.0), 0.0),
         Action::Pass,
@@ -34,8 +42,8 @@
 #[test]
 fn a_whole_cut_silences_both_directions_and_the_latest_fault_counts() {
     let s = Schedule::new(vec![
-        fault(0.0, "server*->proxy1", Kind::Delay, None),
-        fault(1.0, "proxy1->server2", Kind::Cut, Some(1.0)),
+        fault(0.0, "server*->proxy1", FaultKind::Delay, None),
+        fault(1.0, "proxy1->server2", FaultKind::Cut, Some(1.0)),
     ])
     .expect("valid");
     let at = Duration::from_secs_f64;
@@ -43,8 +51,14 @@
         s.action("server2", "proxy1", at(0.5), 0.5),
         Action::Wait(Duration::from_millis(5))
     );
-    assert_eq!(s.action("server2", "proxy1", at(1.5), 0.0), Action::Swallow);
-    assert_eq!(s.action("proxy1", "server2", at(1.5), 0.0), Action::Swallow);
+    assert_eq!(
+        s.action("server2", "proxy1", at(1.5), 0.0),
+        Action::Blackhole
+    );
+    assert_eq!(
+        s.action("proxy1", "server2", at(1.5), 0.0),
+        Action::Blackhole
+    );
     assert_eq!(
         s.action("server2", "proxy1", at(2.5), 0.0),
         Action::Wait(Duration::from_millis(5))
@@ -54,58 +68,62 @@
 #[test]
 fn datagrams_are_lost_doubled_or_held_by_their_chance_and_lost_in_a_cut() {
     let s = Schedule::new(vec![
-        fault(0.0, "proxy0->proxy1", Kind::Drop, Some(1.0)),
-        fault(1.0, "proxy0->proxy1", Kind::Duplicate, Some(1.0)),
-        fault(2.0, "proxy0->proxy1", Kind::Reorder, Some(1.0)),
-        fault(3.0, "proxy1->proxy0", Kind::CutOneWay, Some(1.0)),
+        fault(0.0, "proxy0->proxy1", FaultKind::Drop, Some(1.0)),
+        fault(1.0, "proxy0->proxy1", FaultKind::Duplicate, Some(1.0)),
+        fault(2.0, "proxy0->proxy1", FaultKind::Reorder, Some(1.0)),
+        fault(3.0, "proxy1->proxy0", FaultKind::CutOneWay, Some(1.0)),
     ])
     .expect("valid");
     let at = Duration::from_secs_f64;
     let d = |t: f64, chance: f64| s.datagram("proxy0", "proxy1", at(t), 0.0, chance);
-    assert_eq!((d(0.5, 0.4), d(0.5, 0.6)), (Datagram::Lose, Datagram::Pass));
+    assert_eq!(
+        (d(0.5, 0.4), d(0.5, 0.6)),
+        (DatagramAction::Drop, DatagramAction::Pass)
+    );
     assert_eq!(
         (d(1.5, 0.4), d(1.5, 0.6)),
-        (Datagram::Twice, Datagram::Pass)
+        (DatagramAction::Duplicate, DatagramAction::Pass)
     );
     assert_eq!(
         (d(2.5, 0.4), d(2.5, 0.6)),
-        (Datagram::Behind, Datagram::Pass)
+        (DatagramAction::Reorder, DatagramAction::Pass)
     );
     assert_eq!(
         d(3.5, 0.0),
-        Datagram::Pass,
+        DatagramAction::Pass,
         "one way: proxy0 is still heard"
     );
     assert_eq!(
         s.datagram("proxy1", "proxy0", at(3.5), 0.0, 0.9),
-        Datagram::Lose
+        DatagramAction::Drop
     );
 }
 
 #[test]
 fn bad_faults_are_told_with_their_place() {
-    let bad =
-        |f: Fault| Schedule::new(vec![fault(0.0, "a->b", Kind::Pass, None), f]).expect_err("bad");
+    let bad = |f: Fault| {
+        Schedule::new(vec![fault(0.0, "a->b", FaultKind::Pass, None), f]).expect_err("bad")
+    };
     assert_eq!(
-        bad(fault(0.0, "ab", Kind::Cut, None)),
+        bad(fault(0.0, "ab", FaultKind::Cut, None)),
         FaultError::Link(1, "ab".into())
     );
     assert_eq!(
-        bad(fault(0.0, "a->", Kind::Cut, None)),
+        bad(fault(0.0, "a->", FaultKind::Cut, None)),
         FaultError::Link(1, "a->".into())
     );
     assert_eq!(
-        bad(fault(-1.0, "a->b", Kind::Cut, None)),
+        bad(fault(-1.0, "a->b", FaultKind::Cut, None)),
         FaultError::Time(1)
     );
     assert_eq!(
-        bad(fault(0.0, "a->b", Kind::Cut, Some(f64::NAN))),
+        bad(fault(0.0, "a->b", FaultKind::Cut, Some(f64::NAN))),
         FaultError::Time(1)
     );
-    let mut rate = fault(0.0, "a->b", Kind::Rate, None);
+    let mut rate = fault(0.0, "a->b", FaultKind::Rate, None);
     rate.bytes_per_s = 0.0;
     assert_eq!(bad(rate), FaultError::Missing(1, "rate", "bytes_per_s"));
-    let mut drop = fault(0.0, "a->b", Kind::Drop, None);
+    let mut drop = fault(0.0, "a->b", FaultKind::Drop, None);
     drop.share = 1.5;
     assert_eq!(
         bad(drop),
@@ -123,7 +141,7 @@
         "[[fault]]\nat_s = 12.0\nlink = \"proxy3->*\"\nkind = \"cut-one-way\"\nfor_s = 8.0\n";
     let file: File = toml::from_str(text).expect("read");
     let s = Schedule::new(file.fault).expect("valid");
-    assert_eq!(s.faults()[0].kind, Kind::CutOneWay);
+    assert_eq!(s.faults()[0].kind, FaultKind::CutOneWay);
     let wrong = toml::from_str::<File>("[[fault]]\nat_s = 1.0\nlink = \"a->b\"\nkind = \"melt\"\n");
     assert!(wrong.is_err_and(|e| e.to_string().contains("melt")));
 }
--- a/crates/fault-injection/src/backlog.rs
+++ b/crates/fault-injection/src/full_backlog.rs
@@ -10,22 +10,22 @@
 
 /// A listener that is held for good.
 #[derive(Debug)]
-pub struct Held {
+pub struct FullBacklog {
     at: SocketAddr,
     /// Takes the only place in the queue.
     _filler: TcpStream,
 }
 
-impl Held {
+impl FullBacklog {
     /// Holds a listener that nobody waits for.
     ///
     /// # Errors
     /// The system's, and where the listener is not on loopback.
-    pub fn new(listener: &TcpListener) -> io::Result<Held> {
+    pub fn new(listener: &TcpListener) -> io::Result<FullBacklog> {
         let at = listener.local_addr()?;
         crate::loopback(at)?;
         rustix::net::listen(listener, 0)?;
-        Ok(Held {
+        Ok(FullBacklog {
             at,
             _filler: TcpStream::connect(at)?,
         })
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// The system's.
-    pub fn is_dialled(&self) -> io::Result<bool> {
+    pub fn has_pending_connection(&self) -> io::Result<bool> {
         let port = format!(":{:04X}", self.at.port());
         let asking = |line: &str| {
             let mut words = line.split_whitespace().skip(2);
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,21 +1,22 @@
-//! The fault stage: several ironmast processes on loopback, stand-in pay servers and discovery, and
+//! Fault injection: several ironmast processes on loopback, stub pay servers and discovery, and
 //! relays that put faults on the links between them.
 //!
-//! Design and the option turned down: `docs/design/stage.md`. The parts, each with one owner that
-//! gives its resources back when dropped:
+//! The design and its rejected alternative are in `docs/design/stage.md`. Each part owns its
+//! threads, sockets and processes and releases them when it is dropped:
 //!
 //! - [`fault`]: the schedule of faults on links, without I/O;
 //! - [`relay`]: TCP relays that carry one link each under the schedule;
 //! - [`datagrams`]: a UDP relay between two proxies under the same schedule;
-//! - [`backlog`]: listeners to which connections come up late;
-//! - [`standin`]: pay servers with an execution record, and discovery;
-//! - [`failing`]: servers that fail an exchange at a chosen step, and a client that says how an
-//!   answer ended;
-//! - [`process`]: proxies as processes, signalled by pid, measured from /proc;
+//! - [`full_backlog`]: listeners whose accept queue is full, so that connection attempts hang;
+//! - [`stub_servers`]: pay servers with an execution record, and discovery;
+//! - [`failing_server`]: servers that fail an exchange at a chosen step, and a client that reports
+//!   how a response ended;
+//! - [`process`]: proxies as processes, signalled by process id, measured from `/proc`;
 //! - [`load`]: open-loop clients, bounded, loopback only;
-//! - [`verdict`]: what clients saw against what pay servers ran; [`expect`]: what must hold of a
-//!   run;
-//! - [`stage`]: all of it laid out and started together; [`scenario`]: read from a file and played.
+//! - [`verdict`]: compares what clients received with what pay servers executed;
+//! - [`expectations`]: the assertions of a scenario;
+//! - [`deployment`]: all of these set up and started together;
+//! - [`scenario`]: a deployment, its load, faults and assertions, read from a file and run.
 
 #![forbid(unsafe_code)]
 #![expect(
@@ -23,29 +24,29 @@
     reason = "test support: a poisoned lock or a failed set-up ends the test"
 )]
 
-pub mod backlog;
 pub mod datagrams;
-pub mod expect;
-pub mod failing;
+pub mod deployment;
+pub mod expectations;
+pub mod failing_server;
 pub mod fault;
+pub mod full_backlog;
 pub mod load;
 pub mod process;
 pub mod relay;
 pub mod scenario;
-pub mod stage;
-pub mod standin;
+pub mod stub_servers;
 pub mod verdict;
 
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The proxies' configuration on a stage: the settings of the site's deployment in the proxy's JSON
-/// form, with `{discovery}`, `127.0.0.1:0` (the clients' address), `"name":"n1"` and
-/// `"balancers":1,"me":0` to be filled in.
+/// The template of the proxies' configuration: the settings of the site's deployment in the proxy's
+/// JSON form. The placeholders `{discovery}`, `127.0.0.1:0` (the address for clients), `"name":"n1"`
+/// and `"balancers":1,"me":0` are replaced for each proxy.
 pub const CONFIG: &str = include_str!("proxy.json");
 
-/// Refuses any address off loopback: the stage sends nothing elsewhere.
+/// Rejects an address that is not a loopback address: this crate sends nothing to other hosts.
 ///
 /// # Errors
 /// The address is not a loopback address.
@@ -60,17 +61,17 @@
     }
 }
 
-/// One line to a proxy's operators' address and its answer's line (`+OK ...` or `-ERR ...`), within
-/// 1 s.
+/// Sends one command line to a proxy's operations address and returns the response line (`+OK ...`
+/// or `-ERR ...`), with a timeout of 1 s for the connection and for each read.
 ///
 /// # Errors
-/// The connection fails or gives no answer in time.
+/// The address is not a loopback address, the connection fails or no response arrives in time.
 pub fn call(ops: SocketAddr, line: &str) -> std::io::Result<String> {
     loopback(ops)?;
     let mut stream = TcpStream::connect_timeout(&ops, Duration::from_secs(1))?;
     stream.set_read_timeout(Some(Duration::from_secs(1)))?;
     stream.write_all(format!("{line}\n").as_bytes())?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer)?;
-    Ok(answer.trim_end().to_string())
+    let mut response = String::new();
+    stream.read_to_string(&mut response)?;
+    Ok(response.trim_end().to_string())
 }
--- a/crates/fault-injection/src/load.rs
+++ b/crates/fault-injection/src/load.rs
@@ -17,18 +17,18 @@
     /// 200.
     Served,
     /// 429 or 503: refused, harmless to try again.
-    Refused,
+    Rejected,
     /// Another status.
     Failed,
     /// No connection, or it broke before a whole answer.
     Broken,
     /// No whole answer within the client's patience: the client went away.
-    GaveUp,
+    TimedOut,
 }
 
 /// One request a client sent.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentRequest {
     /// Its `X-Txn`.
     pub txn: String,
     /// When it was meant to go, from the start of the load.
@@ -41,7 +41,7 @@
 
 /// The shape of a load on one proxy.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct LoadProfile {
     /// Requests a second, above 0.
     pub rate: f64,
     /// How long the load lasts.
@@ -54,13 +54,13 @@
     pub threads: usize,
 }
 
-impl Shape {
+impl LoadProfile {
     /// A load with enough threads that none waits while requests wait their whole patience: the
     /// rate times the patience, and two more, at most 256.
     #[must_use]
-    pub fn new(rate: f64, length: Duration, path: &str, patience_ms: u64) -> Shape {
+    pub fn new(rate: f64, length: Duration, path: &str, patience_ms: u64) -> LoadProfile {
         let threads = ((rate * patience_ms as f64 / 1e3).ceil() as usize + 2).min(256);
-        Shape {
+        LoadProfile {
             rate,
             length,
             path: path.into(),
@@ -71,14 +71,14 @@
 }
 
 /// Every request of a load and their latencies.
-pub struct Report {
+pub struct LoadReport {
     /// The requests by intended send time.
-    pub sent: Vec<Sent>,
+    pub sent: Vec<SentRequest>,
     /// Latency of served requests in microseconds.
     pub latency: Histogram<u64>,
 }
 
-impl Report {
+impl LoadReport {
     /// Requests with this outcome.
     #[must_use]
     pub fn count(&self, outcome: Outcome) -> usize {
@@ -119,7 +119,7 @@
             .checked_sub(begun.elapsed())
             .filter(|l| !l.is_zero())
         else {
-            return Outcome::GaveUp;
+            return Outcome::TimedOut;
         };
         let _ = stream.set_read_timeout(Some(left));
         match stream.read(&mut piece) {
@@ -131,7 +131,7 @@
                     std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
                 ) =>
             {
-                return Outcome::GaveUp;
+                return Outcome::TimedOut;
             }
             Err(_) => return Outcome::Broken,
         }
@@ -143,7 +143,7 @@
     let whole = answer.windows(4).any(|w| w == b"\r\n\r\n");
     match status {
         "200" if whole => Outcome::Served,
-        "429" | "503" => Outcome::Refused,
+        "429" | "503" => Outcome::Rejected,
         "" => Outcome::Broken,
         _ if !whole => Outcome::Broken,
         _ => Outcome::Failed,
@@ -151,28 +151,34 @@
 }
 
 /// What a load has seen so far, shared with whoever watches it live.
-pub type Tally = Arc<Mutex<Vec<Sent>>>;
+pub type SharedResults = Arc<Mutex<Vec<SentRequest>>>;
 
 /// Plays a load on `address`; `name` prefixes each `X-Txn` (hex digits are added). Refuses an
 /// address off loopback.
 ///
 /// # Errors
 /// The address is not a loopback address.
-pub fn play(address: SocketAddr, name: &str, shape: &Shape) -> std::io::Result<Report> {
-    play_into(address, name, shape, Instant::now(), &Tally::default())
+pub fn run(address: SocketAddr, name: &str, shape: &LoadProfile) -> std::io::Result<LoadReport> {
+    run_into(
+        address,
+        name,
+        shape,
+        Instant::now(),
+        &SharedResults::default(),
+    )
 }
 
 /// The same, with times counted from `start` and each request added to `sent` as it ends.
 ///
 /// # Errors
 /// The address is not a loopback address.
-pub fn play_into(
+pub fn run_into(
     address: SocketAddr,
     name: &str,
-    shape: &Shape,
+    shape: &LoadProfile,
     start: Instant,
-    sent: &Tally,
-) -> std::io::Result<Report> {
+    sent: &SharedResults,
+) -> std::io::Result<LoadReport> {
     crate::loopback(address)?;
     let count = (shape.rate * shape.length.as_secs_f64()).ceil() as usize;
     let threads: Vec<_> = (0..shape.threads.max(1))
@@ -192,7 +198,7 @@
                         Duration::from_millis(shape.patience_ms),
                     );
                     let latency = start.elapsed().saturating_sub(at);
-                    sent.lock().expect("not poisoned").push(Sent {
+                    sent.lock().expect("not poisoned").push(SentRequest {
                         txn,
                         at,
                         outcome,
@@ -211,5 +217,5 @@
     for s in sent.iter().filter(|s| s.outcome == Outcome::Served) {
         let _ = latency.record((s.latency.as_micros() as u64).max(1));
     }
-    Ok(Report { sent, latency })
+    Ok(LoadReport { sent, latency })
 }
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -12,12 +12,12 @@
 
 /// A signal the stage sends to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sent {
+pub enum ProcessSignal {
     /// SIGKILL: a crash.
     Kill,
     /// SIGTERM: a planned end.
     Term,
-    /// SIGSTOP: a pause, until [`Sent::Continue`].
+    /// SIGSTOP: a pause, until [`ProcessSignal::Continue`].
     Stop,
     /// SIGCONT.
     Continue,
@@ -138,13 +138,13 @@
     ///
     /// # Errors
     /// The process has ended.
-    pub fn signal(&self, sent: Sent) -> std::io::Result<()> {
+    pub fn signal(&self, sent: ProcessSignal) -> std::io::Result<()> {
         let signal = match sent {
-            Sent::Kill => Signal::KILL,
-            Sent::Term => Signal::TERM,
-            Sent::Stop => Signal::STOP,
-            Sent::Continue => Signal::CONT,
-            Sent::Hangup => Signal::HUP,
+            ProcessSignal::Kill => Signal::KILL,
+            ProcessSignal::Term => Signal::TERM,
+            ProcessSignal::Stop => Signal::STOP,
+            ProcessSignal::Continue => Signal::CONT,
+            ProcessSignal::Hangup => Signal::HUP,
         };
         let pid = Pid::from_child(&self.child);
         kill_process(pid, signal).map_err(std::io::Error::from)
@@ -190,7 +190,7 @@
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        let _ = self.signal(Sent::Continue);
+        let _ = self.signal(ProcessSignal::Continue);
         let _ = (self.child.kill(), self.child.wait());
     }
 }
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -59,19 +59,25 @@
     }
 
     /// The faults that hold at `elapsed`, whatever their links.
-    pub fn holding(&self, elapsed: Duration) -> Vec<Fault> {
+    pub fn active_at(&self, elapsed: Duration) -> Vec<Fault> {
         let schedule = self.schedule.read().expect("not poisoned");
         let now = elapsed.as_secs_f64();
         schedule
             .faults()
             .iter()
-            .filter(|f| f.holds_at(now))
+            .filter(|f| f.is_active_at(now))
             .cloned()
             .collect()
     }
 
     /// What to do with a datagram from `from` to `to` now; see [`Schedule::datagram`].
-    pub fn datagram(&self, from: &str, to: &str, draw: f64, chance: f64) -> crate::fault::Datagram {
+    pub fn datagram(
+        &self,
+        from: &str,
+        to: &str,
+        draw: f64,
+        chance: f64,
+    ) -> crate::fault::DatagramAction {
         self.schedule
             .read()
             .expect("not poisoned")
@@ -199,7 +205,7 @@
     /// Sets one connection up through the faults, then pumps both ways until either side ends.
     fn carry(self: Arc<Self>, client: TcpStream, seed: u64) {
         // A connection during a cut never comes up: held until the cut is over, or the run.
-        while self.faults.action(&self.from, &self.to, 0.0) == Action::Swallow {
+        while self.faults.action(&self.from, &self.to, 0.0) == Action::Blackhole {
             if self.stopped() {
                 return;
             }
@@ -259,14 +265,14 @@
             let mut counted = false;
             loop {
                 match self.faults.action(from, to, random.random::<f64>()) {
-                    Action::Swallow if !self.stopped() => {
+                    Action::Blackhole if !self.stopped() => {
                         if !counted {
                             self.counts.held.fetch_add(1, Ordering::Relaxed);
                             counted = true;
                         }
                         std::thread::sleep(LOOK);
                     }
-                    Action::Swallow => return,
+                    Action::Blackhole => return,
                     Action::Reset => {
                         self.counts.resets.fetch_add(1, Ordering::Relaxed);
                         ended.store(true, Ordering::Relaxed);
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -12,11 +12,11 @@
 use hdrhistogram::Histogram;
 use serde::Deserialize;
 
-use crate::expect::Expect;
-use crate::fault::{Fault, Schedule, nowhere, side_matches};
-use crate::load::{Sent as Request, Shape, Tally};
-use crate::process::Sent;
-use crate::stage::{Layout, Stage, StageError, classes};
+use crate::deployment::{Deployment, DeploymentError, Layout, classes};
+use crate::expectations::Expectations;
+use crate::fault::{Fault, Schedule, first_unknown_link, side_matches};
+use crate::load::{LoadProfile, SentRequest, SharedResults};
+use crate::process::ProcessSignal;
 use crate::verdict::{self, Verdict};
 
 /// A stage scenario.
@@ -50,7 +50,7 @@
     pub slow: Vec<Slow>,
     /// What must hold of a run.
     #[serde(default)]
-    pub expect: Expect,
+    pub expect: Expectations,
 }
 
 impl Scenario {
@@ -151,7 +151,7 @@
 ///
 /// # Errors
 /// One line: the file, the key, what is wrong with it and what there is.
-pub fn read(text: &str, from: &str) -> Result<(Scenario, Schedule), String> {
+pub fn parse(text: &str, from: &str) -> Result<(Scenario, Schedule), String> {
     let scenario: Scenario =
         toml::from_str(text).map_err(|e| format!("{from}: {}", e.message()))?;
     let schedule = Schedule::new(scenario.fault.clone()).map_err(|e| format!("{from}: {e}"))?;
@@ -197,7 +197,7 @@
         ));
     }
     let links = scenario.layout(PathBuf::new()).links();
-    if let Some(fault) = nowhere(schedule.faults(), &links) {
+    if let Some(fault) = first_unknown_link(schedule.faults(), &links) {
         let ends = links
             .iter()
             .filter(|(proxy, _)| proxy == "proxy0")
@@ -246,7 +246,7 @@
     Ok((scenario, schedule))
 }
 
-fn signal(stage: &mut Stage, p: usize, kind: SignalKind) -> Result<(), String> {
+fn signal(stage: &mut Deployment, p: usize, kind: SignalKind) -> Result<(), String> {
     let sent = match kind {
         SignalKind::Restart => return stage.start(p).map(|_| ()).map_err(|e| e.to_string()),
         SignalKind::Wipe => {
@@ -254,11 +254,11 @@
             let _ = std::fs::remove_dir_all(&state);
             return std::fs::create_dir_all(&state).map_err(|e| e.to_string());
         }
-        SignalKind::Kill => Sent::Kill,
-        SignalKind::Term => Sent::Term,
-        SignalKind::Stop => Sent::Stop,
-        SignalKind::Continue => Sent::Continue,
-        SignalKind::Hangup => Sent::Hangup,
+        SignalKind::Kill => ProcessSignal::Kill,
+        SignalKind::Term => ProcessSignal::Term,
+        SignalKind::Stop => ProcessSignal::Stop,
+        SignalKind::Continue => ProcessSignal::Continue,
+        SignalKind::Hangup => ProcessSignal::Hangup,
     };
     match &stage.proxies[p] {
         Some(proxy) => proxy.signal(sent).map_err(|e| format!("proxy{p}: {e}"))?,
@@ -271,30 +271,30 @@
 }
 
 /// What came of a run.
-pub struct Played {
+pub struct ScenarioResult {
     /// Each proxy's requests, by the time they were meant to go.
-    pub sent: Vec<Vec<Request>>,
+    pub sent: Vec<Vec<SentRequest>>,
     /// Latency of what was served, in microseconds, over all proxies.
     pub latency: Histogram<u64>,
     /// What ran twice, or was served without a run.
     pub verdict: Verdict,
     /// What does not hold of what the scenario expects, a line each.
-    pub missed: Vec<String>,
+    pub violations: Vec<String>,
     /// Signals that could not be sent.
-    pub problems: Vec<String>,
+    pub signal_errors: Vec<String>,
     /// Each proxy's log; empty where it was down at the end.
     pub logs: Vec<Vec<String>>,
 }
 
-impl Played {
+impl ScenarioResult {
     /// Whether all holds: nothing twice, nothing made up, every signal sent, all as expected.
     #[must_use]
-    pub fn holds(&self) -> bool {
+    pub fn passed(&self) -> bool {
         let v = &self.verdict;
-        v.twice.is_empty()
-            && v.made_up.is_empty()
-            && self.missed.is_empty()
-            && self.problems.is_empty()
+        v.executed_twice.is_empty()
+            && v.fabricated.is_empty()
+            && self.violations.is_empty()
+            && self.signal_errors.is_empty()
     }
 }
 
@@ -303,25 +303,27 @@
 ///
 /// # Errors
 /// Where the stage could not be set up.
-pub fn play(
+pub fn run(
     scenario: &Scenario,
     schedule: Schedule,
     program: PathBuf,
-    mut watch: impl FnMut(u64, &Stage, &[Tally]),
-) -> Result<Played, StageError> {
-    let mut stage = Stage::new(scenario.layout(program), schedule)?;
+    mut watch: impl FnMut(u64, &Deployment, &[SharedResults]),
+) -> Result<ScenarioResult, DeploymentError> {
+    let mut stage = Deployment::new(scenario.layout(program), schedule)?;
     let length = Duration::from_secs_f64(scenario.length_s);
-    let shape = Shape::new(
+    let shape = LoadProfile::new(
         scenario.load.rate,
         length,
         &scenario.load.path,
         scenario.load.patience_ms,
     );
-    let tallies: Vec<Tally> = (0..scenario.proxies).map(|_| Tally::default()).collect();
-    let mut problems = Vec::new();
+    let tallies: Vec<SharedResults> = (0..scenario.proxies)
+        .map(|_| SharedResults::default())
+        .collect();
+    let mut signal_errors = Vec::new();
     let mut signals: Vec<&Signal> = scenario.signal.iter().collect();
     signals.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-    let reports = stage.load_into(&shape, &tallies, |stage, tallies| {
+    let reports = stage.run_load_into(&shape, &tallies, |stage, tallies| {
         let mut second = 1;
         let mut next = signals.into_iter().peekable();
         let end = Duration::from_secs_f64(scenario.length_s + 0.5);
@@ -329,7 +331,7 @@
             let now = stage.faults.elapsed();
             if let Some(s) = next.next_if(|s| Duration::from_secs_f64(s.at_s) <= now) {
                 if let Err(problem) = signal(stage, s.proxy, s.kind) {
-                    problems.push(problem);
+                    signal_errors.push(problem);
                 }
                 continue;
             }
@@ -340,7 +342,7 @@
                     .iter()
                     .filter(holds)
                     .filter(|s| side_matches(&s.server, &server.uid));
-                server.set_factor(theirs.map(|s| s.factor).product());
+                server.set_slowdown(theirs.map(|s| s.factor).product());
             }
             if now >= Duration::from_secs(second) {
                 watch(second, stage, tallies);
@@ -353,10 +355,10 @@
     for report in &reports {
         latency.add(&report.latency).expect("same bounds");
     }
-    let sent: Vec<Vec<Request>> = reports.into_iter().map(|r| r.sent).collect();
+    let sent: Vec<Vec<SentRequest>> = reports.into_iter().map(|r| r.sent).collect();
     let runs = stage.record.runs();
-    let verdict = verdict::judge(&sent.concat(), &runs, &["balance"]);
-    let missed = scenario.expect.missed(&sent, &runs);
+    let verdict = verdict::check_executions(&sent.concat(), &runs, &["balance"]);
+    let violations = scenario.expect.violations(&sent, &runs);
     let logs = stage
         .proxies
         .iter()
@@ -365,12 +367,12 @@
                 .map_or_else(Vec::new, super::process::Proxy::lines)
         })
         .collect();
-    Ok(Played {
+    Ok(ScenarioResult {
         sent,
         latency,
         verdict,
-        missed,
-        problems,
+        violations,
+        signal_errors,
         logs,
     })
 }
--- a/crates/fault-injection/src/standin.rs
+++ b/crates/fault-injection/src/stub_servers.rs
@@ -1,8 +1,9 @@
 //! Stand-ins written from the protocol page: pay servers with an execution record, and discovery.
 //!
 //! A pay server starts on a request once its last byte has arrived, runs it for `work` and answers
-//! 200 with a body that names the request's `X-Txn`. Every run is written to the [`Record`], the
-//! ground truth for "nothing runs twice": it is kept by the stand-in, not told by the proxy.
+//! 200 with a body that names the request's `X-Txn`. Every run is written to the
+//! [`ExecutionRecord`], the ground truth for "nothing runs twice": it is kept by the stand-in, not
+//! told by the proxy.
 
 use std::collections::HashMap;
 use std::io::{BufRead as _, BufReader, Read as _, Write as _};
@@ -13,11 +14,11 @@
 
 /// For how long after its run a repeat under the same `Idempotency-Key` is dropped: answered, and
 /// not run.
-pub const DROPPED: Duration = Duration::from_secs(4);
+pub const DEDUPLICATION_WINDOW: Duration = Duration::from_secs(4);
 
 /// One request that ran on a pay server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Run {
+pub struct Execution {
     /// Its `X-Txn`.
     pub txn: String,
     /// Its class: the first part of its path.
@@ -30,16 +31,16 @@
 
 /// Every run on every pay server of a stage, in the order they began.
 #[derive(Debug)]
-pub struct Record {
+pub struct ExecutionRecord {
     start: Mutex<Instant>,
     /// When each `Idempotency-Key` last ran.
     keys: Mutex<HashMap<String, Instant>>,
-    runs: Mutex<Vec<Run>>,
+    runs: Mutex<Vec<Execution>>,
 }
 
-impl Default for Record {
-    fn default() -> Record {
-        Record {
+impl Default for ExecutionRecord {
+    fn default() -> ExecutionRecord {
+        ExecutionRecord {
             start: Mutex::new(Instant::now()),
             keys: Mutex::default(),
             runs: Mutex::new(Vec::new()),
@@ -47,14 +48,14 @@
     }
 }
 
-impl Record {
+impl ExecutionRecord {
     /// Times count from `start` on, where the load begins.
     pub fn begin(&self, start: Instant) {
         *self.start.lock().expect("not poisoned") = start;
     }
 
     /// A copy of all runs so far.
-    pub fn runs(&self) -> Vec<Run> {
+    pub fn runs(&self) -> Vec<Execution> {
         self.runs.lock().expect("not poisoned").clone()
     }
 
@@ -67,11 +68,15 @@
         counts
     }
 
-    /// Whether a request under this key is to run: all pay servers drop repeats for [`DROPPED`].
+    /// Whether a request under this key is to run: all pay servers drop repeats for
+    /// [`DEDUPLICATION_WINDOW`].
     fn runs_now(&self, key: Option<&str>) -> bool {
         let Some(key) = key else { return true };
         let mut keys = self.keys.lock().expect("not poisoned");
-        if keys.get(key).is_some_and(|at| at.elapsed() < DROPPED) {
+        if keys
+            .get(key)
+            .is_some_and(|at| at.elapsed() < DEDUPLICATION_WINDOW)
+        {
             return false;
         }
         keys.insert(key.to_string(), Instant::now());
@@ -79,7 +84,7 @@
     }
 
     fn push(&self, txn: &str, class: String, server: &str) {
-        let run = Run {
+        let run = Execution {
             txn: txn.into(),
             class,
             server: server.into(),
@@ -92,7 +97,7 @@
 /// How a pay server answers, set during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Mood {
+pub enum ResponseMode {
     /// Runs each request and answers 200.
     Serve = 0,
     /// Turns each request away with 503 and `X-Turned-Away: 1`; nothing runs.
@@ -143,11 +148,15 @@
     ///
     /// # Errors
     /// The listening socket cannot be opened.
-    pub fn start(uid: &str, work: Duration, record: Arc<Record>) -> std::io::Result<PayServer> {
+    pub fn start(
+        uid: &str,
+        work: Duration,
+        record: Arc<ExecutionRecord>,
+    ) -> std::io::Result<PayServer> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let (mood, stop) = (
-            Arc::new(AtomicU8::new(Mood::Serve as u8)),
+            Arc::new(AtomicU8::new(ResponseMode::Serve as u8)),
             Arc::new(AtomicBool::new(false)),
         );
         let works = Arc::new(AtomicU64::new(work.as_micros() as u64));
@@ -183,7 +192,7 @@
     }
 
     /// From the next request on each takes so many times its work.
-    pub fn set_factor(&self, factor: f64) {
+    pub fn set_slowdown(&self, factor: f64) {
         self.works.store(
             self.work.mul_f64(factor).as_micros() as u64,
             Ordering::Relaxed,
@@ -191,7 +200,7 @@
     }
 
     /// Changes how it answers from the next request on.
-    pub fn set_mood(&self, mood: Mood) {
+    pub fn set_response_mode(&self, mood: ResponseMode) {
         self.mood.store(mood as u8, Ordering::Relaxed);
     }
 }
@@ -207,7 +216,13 @@
     clippy::needless_pass_by_value,
     reason = "the connection ends with this function"
 )]
-fn serve(stream: TcpStream, uid: &str, work: &AtomicU64, mood: &AtomicU8, record: &Record) {
+fn serve(
+    stream: TcpStream,
+    uid: &str,
+    work: &AtomicU64,
+    mood: &AtomicU8,
+    record: &ExecutionRecord,
+) {
     let _ = stream.set_read_timeout(Some(Duration::from_secs(60)));
     let Ok(reading) = stream.try_clone() else {
         return;
--- a/crates/fault-injection/src/verdict/tests.rs
+++ b/crates/fault-injection/src/verdict/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn sent(txn: &str, at_ms: u64, outcome: Outcome) -> Sent {
-    Sent {
+fn sent(txn: &str, at_ms: u64, outcome: Outcome) -> SentRequest {
+    SentRequest {
         txn: txn.into(),
         at: Duration::from_millis(at_ms),
         outcome,
@@ -11,8 +11,8 @@
     }
 }
 
-fn run(txn: &str, class: &str) -> Run {
-    Run {
+fn run(txn: &str, class: &str) -> Execution {
+    Execution {
         txn: txn.into(),
         class: class.into(),
         server: "s-0".into(),
@@ -28,39 +28,42 @@
         run("b", "balance"),
         run("b", "balance"),
     ];
-    let v = judge(
+    let v = check_executions(
         &[sent("a", 0, Outcome::Served), sent("b", 1, Outcome::Served)],
         &runs,
         &["balance"],
     );
-    assert_eq!(v.twice, vec!["a".to_string()]);
-    assert!(v.made_up.is_empty());
+    assert_eq!(v.executed_twice, vec!["a".to_string()]);
+    assert!(v.fabricated.is_empty());
 }
 
 #[test]
 fn an_answer_no_pay_server_made_is_named() {
-    let v = judge(
+    let v = check_executions(
         &[sent("c", 0, Outcome::Served), sent("d", 0, Outcome::Broken)],
         &[],
         &[],
     );
-    assert_eq!((v.made_up, v.served, v.sent), (vec!["c".to_string()], 1, 2));
+    assert_eq!(
+        (v.fabricated, v.served, v.sent),
+        (vec!["c".to_string()], 1, 2)
+    );
 }
 
 #[test]
 fn service_is_back_where_a_whole_span_is_served() {
     use Outcome::*;
-    let s: Vec<Sent> = [Served, Broken, Broken, Served, Served, Served, Served]
+    let s: Vec<SentRequest> = [Served, Broken, Broken, Served, Served, Served, Served]
         .iter()
         .enumerate()
         .map(|(n, o)| sent("x", n as u64 * 100, *o))
         .collect();
     assert_eq!(
-        back(&s, Duration::ZERO, Duration::from_millis(300)),
+        recovery_time(&s, Duration::ZERO, Duration::from_millis(300)),
         Some(Duration::from_millis(300))
     );
     assert_eq!(
-        back(&s[..3], Duration::ZERO, Duration::from_millis(300)),
+        recovery_time(&s[..3], Duration::ZERO, Duration::from_millis(300)),
         None
     );
 }
--- a/crates/gate/tests/answers.rs
+++ b/crates/gate/tests/answers.rs
@@ -10,8 +10,8 @@
 use std::process::Command;
 use std::rc::Rc;
 
-use ironmast_fault_injection::failing::{
-    Act, Asked, Connection, Failure, GATE, acts, body_of, events,
+use ironmast_fault_injection::failing_server::{
+    Connection, Failure, GATE, RequestHead, Step, body_of, events, steps,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -138,7 +138,7 @@
     let _ = stream.set_nodelay(true);
     let mut buffer = Vec::new();
     while let Some(head) = read_until(&mut stream, &mut buffer, b"\r\n\r\n").await {
-        let asked = Asked::parse(&head, GATE.id);
+        let asked = RequestHead::parse(&head, GATE.id);
         let Some(id) = asked.id.clone() else {
             let healthy = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
             if stream.write_all(healthy).await.is_err() {
@@ -157,7 +157,7 @@
             };
             (treatment.failures.get(arrival - 1).copied(), treatment)
         };
-        for act in acts(failure, &asked, &GATE) {
+        for act in steps(failure, &asked, &GATE) {
             if !perform(act, &mut stream, &mut buffer, &asked, &treatment, &state).await {
                 return;
             }
@@ -167,16 +167,16 @@
 
 /// Takes one step; returns false if the connection has ended.
 async fn perform(
-    act: Act,
+    act: Step,
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-    asked: &Asked,
+    asked: &RequestHead,
     treatment: &Treatment,
     state: &SharedState,
 ) -> bool {
     let id = asked.id.clone().unwrap_or_default();
     match act {
-        Act::ReadBody { runs } => {
+        Step::ReadBody { runs } => {
             let length = asked.length.unwrap_or(0);
             while buffer.len() < length {
                 if !read_more(stream, buffer).await {
@@ -195,7 +195,7 @@
             }
             true
         }
-        Act::Write(bytes) => {
+        Step::Write(bytes) => {
             let piece = bytes.len().div_ceil(treatment.chunks).max(1);
             for part in bytes.chunks(piece) {
                 for _ in 0..treatment.yields {
@@ -207,16 +207,16 @@
             }
             true
         }
-        Act::Close => {
+        Step::Close => {
             let _ = stream.shutdown().await;
             while read_more(stream, &mut Vec::new()).await {}
             false
         }
-        Act::Reset => {
+        Step::Reset => {
             let _ = stream.set_zero_linger();
             false
         }
-        Act::Hold | Act::Drop | Act::WaitForGo | Act::SayGone => false,
+        Step::Stall | Step::Drop | Step::AwaitRelease | Step::ConfirmRelease => false,
     }
 }
 
--- a/crates/gate/tests/failing_servers.rs
+++ b/crates/gate/tests/failing_servers.rs
@@ -6,8 +6,9 @@
 
 use std::net::SocketAddr;
 
-use ironmast_fault_injection::failing::{
-    Ask, Connection, Ending, FailingServer, Failure, GATE, Received, RequestBody, ask, events,
+use ironmast_fault_injection::failing_server::{
+    ClientRequest, ClientResponse, Connection, Ending, FailingServer, Failure, GATE, RequestBody,
+    events, exchange,
 };
 use support::{LOCAL_ZONE, REMOTE_ZONE, TestGate, run_test};
 
@@ -190,13 +191,13 @@
 fn expected_result(failure: Failure, effect: Effect, class: Class, id: &str) -> ExchangeResult {
     let complete = |runs| ExchangeResult {
         status: 200,
-        ending: Ending::Whole,
+        ending: Ending::Complete,
         body: class.response_body(id),
         runs,
     };
     let failed = |status| ExchangeResult {
         status,
-        ending: Ending::Whole,
+        ending: Ending::Complete,
         body: String::new(),
         runs: (1, 0),
     };
@@ -219,7 +220,7 @@
             let body = body.expect("it is there") + &format!("data: {id}\n\n");
             ExchangeResult {
                 status: 200,
-                ending: Ending::Broken,
+                ending: Ending::Truncated,
                 body,
                 runs: (1, 0),
             }
@@ -241,7 +242,7 @@
             };
             ExchangeResult {
                 status,
-                ending: Ending::Whole,
+                ending: Ending::Complete,
                 body,
                 runs: (1, 0),
             }
@@ -249,12 +250,17 @@
     }
 }
 
-fn request<'a>(class: Class, form: (&'a str, RequestBody), id: &'a str, effect: Effect) -> Ask<'a> {
+fn request<'a>(
+    class: Class,
+    form: (&'a str, RequestBody),
+    id: &'a str,
+    effect: Effect,
+) -> ClientRequest<'a> {
     let headers = match effect {
         Effect::TimedOut => "X-Ironmast-Deadline-Ms: 400\r\n",
         _ => "X-Ironmast-Deadline-Ms: 20000\r\n",
     };
-    Ask {
+    ClientRequest {
         method: form.0,
         target: class.target(),
         id_header: GATE.id,
@@ -293,8 +299,8 @@
     class: Class,
     form: (&'static str, RequestBody),
     effect: Effect,
-) -> Received {
-    blocking(move || ask(to, &request(class, form, "r1", effect)).expect("a connection")).await
+) -> ClientResponse {
+    blocking(move || exchange(to, &request(class, form, "r1", effect)).expect("a connection")).await
 }
 
 /// Whatever fails, only an idempotent request is executed again after it may have been executed, and
@@ -349,11 +355,11 @@
                     let (server, gate) = start_one_server(&[failure]).await;
                     first_exchange(gate.frontend, class, form, effect).await;
                     let to = gate.frontend;
-                    let next = Ask {
+                    let next = ClientRequest {
                         id: "r2",
                         ..request(Class::Unsafe, FORMS[1], "r2", Effect::Served)
                     };
-                    let got = blocking(move || ask(to, &next).expect("a connection")).await;
+                    let got = blocking(move || exchange(to, &next).expect("a connection")).await;
                     let seen = server.seen();
                     let connection = |id: &str| {
                         let arrivals = seen.arrivals.iter().filter(|(of, _)| of == id);
@@ -403,9 +409,9 @@
                     let to = gate.frontend;
                     let (first, next, seen) = blocking(move || {
                         let first =
-                            ask(to, &request(Class::Unsafe, FORMS[1], "r1", Effect::Served));
-                        server.go_on();
-                        let next = ask(to, &request(class, form, "r2", Effect::Served));
+                            exchange(to, &request(Class::Unsafe, FORMS[1], "r1", Effect::Served));
+                        server.release();
+                        let next = exchange(to, &request(class, form, "r2", Effect::Served));
                         (
                             first.expect("a connection"),
                             next.expect("a connection"),
@@ -414,7 +420,7 @@
                     })
                     .await;
                     assert_eq!((first.status, first.body.as_str()), (200, "answer to r1"));
-                    let expected = (200, class.response_body("r2"), Ending::Whole);
+                    let expected = (200, class.response_body("r2"), Ending::Complete);
                     assert_eq!(
                         (next.status, next.body, next.ending),
                         expected,
@@ -444,9 +450,11 @@
                         start_two_servers(&[Failure::None, Failure::NoHead(end)]).await;
                     let to = gate.frontend;
                     let next = blocking(move || {
-                        let warm = ask(to, &request(Class::Unsafe, FORMS[1], "r1", Effect::Served));
+                        let warm =
+                            exchange(to, &request(Class::Unsafe, FORMS[1], "r1", Effect::Served));
                         assert_eq!(warm.expect("a connection").body, "answer to r1");
-                        ask(to, &request(class, form, "r2", Effect::Served)).expect("a connection")
+                        exchange(to, &request(class, form, "r2", Effect::Served))
+                            .expect("a connection")
                     })
                     .await;
                     let arrivals = first.seen().arrivals;
@@ -491,7 +499,7 @@
                     let to = gate.frontend;
                     for id in ["r1", "r2", "r3"] {
                         let got = blocking(move || {
-                            ask(to, &request(class, ("POST", body), id, Effect::Served))
+                            exchange(to, &request(class, ("POST", body), id, Effect::Served))
                                 .expect("a connection")
                         })
                         .await;
@@ -503,7 +511,7 @@
                         };
                         assert_eq!(
                             (got.status, got.ending),
-                            (expected, Ending::Whole),
+                            (expected, Ending::Complete),
                             "{failure:?}, {class:?}, {id}"
                         );
                         assert_eq!(got.body, class.response_body(id));
@@ -558,7 +566,7 @@
                 .await;
                 assert_eq!(
                     (got.status, got.ending),
-                    (200, Ending::Whole),
+                    (200, Ending::Complete),
                     "{failure:?}: {got:?}"
                 );
             }
--- a/crates/ironmast/tests/exchanges/player.rs
+++ b/crates/ironmast/tests/exchanges/player.rs
@@ -32,7 +32,7 @@
     log: BufReader<ChildStderr>,
     listen: String,
     listeners: BTreeMap<String, TcpListener>,
-    held: BTreeMap<String, ironmast_fault_injection::backlog::Held>,
+    held: BTreeMap<String, ironmast_fault_injection::full_backlog::FullBacklog>,
     open: BTreeMap<String, BufReader<TcpStream>>,
     said: String,
     rev: u64,
@@ -220,15 +220,17 @@
                     .expect("written");
             }
             (_, "hold") => {
-                let held = ironmast_fault_injection::backlog::Held::new(&self.listeners[party])
-                    .expect("held");
+                let held = ironmast_fault_injection::full_backlog::FullBacklog::new(
+                    &self.listeners[party],
+                )
+                .expect("held");
                 self.held.insert(party.to_string(), held);
             }
             (_, "dialled" | "undialled") => {
                 let held = &self.held[party];
                 let wanted = verb == "dialled";
                 let patience = Instant::now() + PATIENCE;
-                while held.is_dialled().expect("the system's table") != wanted {
+                while held.has_pending_connection().expect("the system's table") != wanted {
                     assert!(Instant::now() < patience, "{party}: not {verb} in time");
                     std::thread::yield_now();
                 }
--- a/crates/ironmast/tests/failing_servers.rs
+++ b/crates/ironmast/tests/failing_servers.rs
@@ -6,8 +6,9 @@
 #[allow(dead_code)]
 mod stage;
 
-use ironmast_fault_injection::failing::{
-    Ask, Connection, Ending, FailingServer, Failure, IN_SERVICE, Received, RequestBody, ask,
+use ironmast_fault_injection::failing_server::{
+    ClientRequest, ClientResponse, Connection, Ending, FailingServer, Failure, IN_SERVICE,
+    RequestBody, exchange,
 };
 use stage::Stage;
 
@@ -134,9 +135,9 @@
     rows
 }
 
-fn asked(stage: &Stage, class: Class, id: &str, body: RequestBody) -> Received {
+fn asked(stage: &Stage, class: Class, id: &str, body: RequestBody) -> ClientResponse {
     let headers = format!("X-Remaining: 8000m\r\n{}", class.headers);
-    let request = Ask {
+    let request = ClientRequest {
         method: class.method,
         target: class.target,
         id_header: "X-Txn",
@@ -144,7 +145,7 @@
         headers: &headers,
         body,
     };
-    ask(stage.listen, &request).expect("a connection")
+    exchange(stage.listen, &request).expect("a connection")
 }
 
 #[test]
@@ -169,7 +170,7 @@
                     Meaning::Unknown | Meaning::Rejected => (502, 1),
                 };
                 assert_eq!((got.status, runs), wanted, "{play}: {got:?}");
-                assert_eq!(got.ending, Ending::Whole, "{play}");
+                assert_eq!(got.ending, Ending::Complete, "{play}");
                 if got.status == 200 {
                     assert_eq!(got.body, "answer to r1", "{play}");
                 }
@@ -258,7 +259,7 @@
                     "answer to r1",
                     "{play}"
                 );
-                server.go_on();
+                server.release();
                 let got = asked(&stage, class, "r2", body);
                 assert_eq!(
                     (got.status, got.body.as_str()),
--- a/crates/ironmast/tests/faults.rs
+++ b/crates/ironmast/tests/faults.rs
@@ -5,15 +5,15 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use ironmast_fault_injection::fault::{Fault, Kind, Schedule};
-use ironmast_fault_injection::load::{Outcome, Report, Shape};
-use ironmast_fault_injection::process::Sent;
-use ironmast_fault_injection::stage::{Layout, Stage};
+use ironmast_fault_injection::deployment::{Deployment, Layout};
+use ironmast_fault_injection::fault::{Fault, FaultKind, Schedule};
+use ironmast_fault_injection::load::{LoadProfile, LoadReport, Outcome};
+use ironmast_fault_injection::process::ProcessSignal;
 use ironmast_fault_injection::verdict;
 
 /// `servers` pay servers in the proxies' zone, `proxies` proxies, every link through a relay under
 /// `faults`.
-fn stage(servers: usize, proxies: usize, faults: Vec<Fault>) -> Stage {
+fn stage(servers: usize, proxies: usize, faults: Vec<Fault>) -> Deployment {
     let layout = Layout {
         program: PathBuf::from(env!("CARGO_BIN_EXE_ironmast")),
         zones: vec![("seattle".into(), servers)],
@@ -21,20 +21,20 @@
         work: Duration::from_millis(5),
         patience: Duration::from_secs(20),
     };
-    Stage::new(layout, Schedule::new(faults).expect("a valid schedule"))
+    Deployment::new(layout, Schedule::new(faults).expect("a valid schedule"))
         .expect("the stage is set up")
 }
 
-fn shape(path: &str, rate: f64, seconds: f64) -> Shape {
-    Shape::new(rate, Duration::from_secs_f64(seconds), path, 1500)
+fn shape(path: &str, rate: f64, seconds: f64) -> LoadProfile {
+    LoadProfile::new(rate, Duration::from_secs_f64(seconds), path, 1500)
 }
 
-fn judged(stage: &Stage, reports: &[Report]) -> verdict::Verdict {
+fn judged(stage: &Deployment, reports: &[LoadReport]) -> verdict::Verdict {
     let sent: Vec<_> = reports
         .iter()
         .flat_map(|r| r.sent.iter().cloned())
         .collect();
-    let v = verdict::judge(&sent, &stage.record.runs(), &["balance"]);
+    let v = verdict::check_executions(&sent, &stage.record.runs(), &["balance"]);
     let broken = sent.iter().filter(|s| s.outcome == Outcome::Broken).count();
     eprintln!(
         "sent {}, served {}, broken {broken}, runs {}",
@@ -42,11 +42,15 @@
         v.served,
         stage.record.runs().len()
     );
-    assert!(v.twice.is_empty(), "ran twice: {:?}", v.twice);
     assert!(
-        v.made_up.is_empty(),
+        v.executed_twice.is_empty(),
+        "ran twice: {:?}",
+        v.executed_twice
+    );
+    assert!(
+        v.fabricated.is_empty(),
         "served without a run: {:?}",
-        v.made_up
+        v.fabricated
     );
     v
 }
@@ -56,10 +60,13 @@
 {
     let mut stage = stage(2, 3, vec![]);
     let mut kills = Vec::new();
-    let reports = stage.load(&shape("/deposit-order", 40.0, 6.0), |stage| {
+    let reports = stage.run_load(&shape("/deposit-order", 40.0, 6.0), |stage| {
         for p in 0..3 {
             std::thread::sleep(Duration::from_millis(1200));
-            stage.proxy(p).signal(Sent::Kill).expect("signalled");
+            stage
+                .proxy(p)
+                .signal(ProcessSignal::Kill)
+                .expect("signalled");
             let killed = stage.faults.elapsed();
             stage.proxies[p] = None;
             let ready = stage.start(p).expect("it starts again");
@@ -73,7 +80,7 @@
     let v = judged(&stage, &reports);
     for (p, killed) in kills.iter().enumerate() {
         let from = killed.saturating_sub(Duration::from_millis(100));
-        let back = verdict::back(&reports[p].sent, from, Duration::from_millis(500));
+        let back = verdict::recovery_time(&reports[p].sent, from, Duration::from_millis(500));
         let back = back.unwrap_or_else(|| panic!("proxy{p} never served again after its kill"));
         assert!(
             back <= *killed + Duration::from_secs(2),
@@ -94,7 +101,7 @@
     let cut = Fault {
         at_s: 1.0,
         link: "seattle-0->proxy*".into(),
-        kind: Kind::CutOneWay,
+        kind: FaultKind::CutOneWay,
         for_s: Some(2.0),
         delay_ms: 0.0,
         jitter_ms: 0.0,
@@ -102,7 +109,7 @@
         share: 0.0,
     };
     let mut stage = stage(2, 2, vec![cut]);
-    let reports = stage.load(&shape("/deposit-order", 50.0, 5.0), |_| {});
+    let reports = stage.run_load(&shape("/deposit-order", 50.0, 5.0), |_| {});
     let v = judged(&stage, &reports);
     let runs = stage.record.runs();
     let on_s0 = runs.iter().filter(|r| r.server == "seattle-0").count();
@@ -113,7 +120,8 @@
     // After the cut, service is whole again for a second.
     for report in &reports {
         assert!(
-            verdict::back(&report.sent, Duration::from_secs(3), Duration::from_secs(1)).is_some()
+            verdict::recovery_time(&report.sent, Duration::from_secs(3), Duration::from_secs(1))
+                .is_some()
         );
     }
     assert!(v.served > v.sent / 2, "served {} of {}", v.served, v.sent);
@@ -122,11 +130,17 @@
 #[test]
 fn a_paused_proxy_serves_what_waited_in_its_backlog_once_it_goes_on() {
     let mut stage = stage(2, 1, vec![]);
-    let reports = stage.load(&shape("/balance", 30.0, 3.0), |stage| {
+    let reports = stage.run_load(&shape("/balance", 30.0, 3.0), |stage| {
         std::thread::sleep(Duration::from_millis(800));
-        stage.proxy(0).signal(Sent::Stop).expect("signalled");
+        stage
+            .proxy(0)
+            .signal(ProcessSignal::Stop)
+            .expect("signalled");
         std::thread::sleep(Duration::from_millis(700));
-        stage.proxy(0).signal(Sent::Continue).expect("signalled");
+        stage
+            .proxy(0)
+            .signal(ProcessSignal::Continue)
+            .expect("signalled");
     });
     judged(&stage, &reports);
     let sent = &reports[0].sent;
@@ -148,7 +162,7 @@
     );
 }
 
-fn fault(at_s: f64, link: &str, kind: Kind, for_s: f64) -> Fault {
+fn fault(at_s: f64, link: &str, kind: FaultKind, for_s: f64) -> Fault {
     Fault {
         at_s,
         link: link.into(),
@@ -166,26 +180,26 @@
     let slow = Fault {
         delay_ms: 30.0,
         jitter_ms: 20.0,
-        ..fault(3.5, "seattle-0->proxy0", Kind::Delay, 1.0)
+        ..fault(3.5, "seattle-0->proxy0", FaultKind::Delay, 1.0)
     };
     let narrow = Fault {
         bytes_per_s: 2000.0,
-        ..fault(4.5, "seattle-0->proxy0", Kind::Rate, 1.0)
+        ..fault(4.5, "seattle-0->proxy0", FaultKind::Rate, 1.0)
     };
     let late_lists = Fault {
         delay_ms: 200.0,
-        ..fault(0.0, "discovery->proxy0", Kind::Delay, 6.0)
+        ..fault(0.0, "discovery->proxy0", FaultKind::Delay, 6.0)
     };
     let schedule = vec![
-        fault(0.5, "proxy0->seattle-0", Kind::Cut, 1.0),
-        fault(1.5, "proxy0->seattle-0", Kind::Reset, 1.0),
-        fault(2.5, "proxy0->seattle-0", Kind::Refuse, 1.0),
+        fault(0.5, "proxy0->seattle-0", FaultKind::Cut, 1.0),
+        fault(1.5, "proxy0->seattle-0", FaultKind::Reset, 1.0),
+        fault(2.5, "proxy0->seattle-0", FaultKind::Refuse, 1.0),
         slow,
         narrow,
         late_lists,
     ];
     let mut stage = stage(2, 1, schedule);
-    let reports = stage.load(&shape("/deposit-order", 40.0, 6.0), |_| {});
+    let reports = stage.run_load(&shape("/deposit-order", 40.0, 6.0), |_| {});
     let v = judged(&stage, &reports);
     let to_s0 = &stage.relays[0].counts;
     let (held, resets) = (
@@ -200,7 +214,7 @@
     // Each fault lasts a second; within it the proxy turns to s-1 and serves whole spans again.
     for start in [0.5, 1.5, 2.5] {
         let from = Duration::from_secs_f64(start);
-        let back = verdict::back(&reports[0].sent, from, Duration::from_millis(300))
+        let back = verdict::recovery_time(&reports[0].sent, from, Duration::from_millis(300))
             .expect("served again");
         assert!(
             back < from + Duration::from_secs(1),
--- a/crates/ironmast/tests/membership.rs
+++ b/crates/ironmast/tests/membership.rs
@@ -7,8 +7,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ironmast_fault_injection::process::{Proxy, Sent};
-use ironmast_fault_injection::standin::{Discovery, PayServer, Record, Registry, Target};
+use ironmast_fault_injection::process::{ProcessSignal, Proxy};
+use ironmast_fault_injection::stub_servers::{
+    Discovery, ExecutionRecord, PayServer, Registry, Target,
+};
 
 const PATIENCE: Duration = Duration::from_secs(30);
 
@@ -30,7 +32,7 @@
 
 impl Tier {
     fn new(size: usize) -> Tier {
-        let record = Arc::new(Record::default());
+        let record = Arc::new(ExecutionRecord::default());
         let server = PayServer::start("seattle-0", Duration::from_millis(1), record).expect("up");
         let registry = Registry::new(vec![Target {
             uid: server.uid.clone(),
@@ -153,7 +155,7 @@
     tier.proxies[3]
         .as_ref()
         .expect("runs")
-        .signal(Sent::Kill)
+        .signal(ProcessSignal::Kill)
         .expect("signalled");
     tier.proxies[3] = None;
     let found = tier.until(3, "down");
@@ -177,10 +179,10 @@
         tier.until(n, "up");
     }
     let paused = tier.proxies[2].as_ref().expect("runs");
-    paused.signal(Sent::Stop).expect("signalled");
+    paused.signal(ProcessSignal::Stop).expect("signalled");
     // Past a probe, its indirect probes and the suspicion (about 6 s for a tier of four above).
     let stopped = tier.until(2, "down");
-    paused.signal(Sent::Continue).expect("signalled");
+    paused.signal(ProcessSignal::Continue).expect("signalled");
     let declared = (0..4)
         .filter(|&n| n != 2)
         .filter(|&n| {
--- a/crates/ironmast/tests/silent_zone.rs
+++ b/crates/ironmast/tests/silent_zone.rs
@@ -2,20 +2,20 @@
 //! played with several real proxies, each judged by its own `[expect]` table and by the pay
 //! servers' execution record.
 
-use ironmast_fault_injection::scenario::{play, read};
+use ironmast_fault_injection::scenario::{parse, run};
 
 /// Plays a scenario and tells what does not hold.
 fn failings(text: &str) -> Option<String> {
-    let (scenario, schedule) = read(text, "the scenario").expect("it reads");
+    let (scenario, schedule) = parse(text, "the scenario").expect("it reads");
     let program = env!("CARGO_BIN_EXE_ironmast").into();
-    let played = play(&scenario, schedule, program, |_, _, _| {}).expect("the stage is set up");
+    let played = run(&scenario, schedule, program, |_, _, _| {}).expect("the stage is set up");
     let logs: Vec<String> = played.logs.iter().map(|lines| lines.join("\n")).collect();
-    let (v, why) = (&played.verdict, (&played.missed, &played.problems));
-    (!played.holds()).then(|| {
+    let (v, why) = (&played.verdict, (&played.violations, &played.signal_errors));
+    (!played.passed()).then(|| {
         format!(
             "{why:?}, twice {:?}, made up {:?}\n{}",
-            v.twice,
-            v.made_up,
+            v.executed_twice,
+            v.fabricated,
             logs.join("\n\n")
         )
     })
--- a/crates/ironmast/tests/stage/mod.rs
+++ b/crates/ironmast/tests/stage/mod.rs
@@ -87,7 +87,7 @@
         });
         // A port of the system's choice, held without listening so that nobody but the proxies may
         // have it.
-        let (listen, port) = ironmast_fault_injection::stage::place().expect("a port");
+        let (listen, port) = ironmast_fault_injection::deployment::reserve_port().expect("a port");
         Stage {
             folder: tempfile::tempdir().expect("a folder"),
             listen,
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -8,9 +8,9 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use ironmast_fault_injection::load::{Outcome, Tally};
-use ironmast_fault_injection::scenario::{self, read};
-use ironmast_fault_injection::stage::Stage;
+use ironmast_fault_injection::deployment::Deployment;
+use ironmast_fault_injection::load::{Outcome, SharedResults};
+use ironmast_fault_injection::scenario::{self, parse};
 
 /// The scenario that `demo` plays.
 pub(crate) const DEMO: &str = include_str!("../../../scenarios/stage/zone-cut.toml");
@@ -43,7 +43,7 @@
 
 /// One line of the live table: the second, what the faults do, and per proxy what its clients saw
 /// in that second.
-fn line(second: u64, stage: &Stage, tallies: &[Tally], zones: &[String]) -> String {
+fn line(second: u64, stage: &Deployment, tallies: &[SharedResults], zones: &[String]) -> String {
     let from = Duration::from_secs(second.saturating_sub(1));
     let to = Duration::from_secs(second);
     let mut text = format!("{second:>4} s ");
@@ -70,7 +70,7 @@
         text += &format!(" {n:>9}");
     }
     let now: Vec<String> = stage
-        .faults_now(to)
+        .active_faults(to)
         .iter()
         .map(|f| format!("{:?} {}", f.kind, f.link).to_lowercase())
         .collect();
@@ -87,7 +87,7 @@
         ),
         None => (DEMO.to_string(), "the demo".to_string()),
     };
-    let (scenario, schedule) = read(&text, &from)?;
+    let (scenario, schedule) = parse(&text, &from)?;
     let program = program(play.proxy)?;
     let zones = scenario.zones();
     println!("{}: {}", scenario.name, scenario.about);
@@ -96,10 +96,10 @@
         .collect();
     let runs: Vec<String> = zones.iter().map(|z| format!(" {z:>9}")).collect();
     println!("time {}{}  faults", proxies.join(""), runs.join(""));
-    let watch = |second, stage: &Stage, tallies: &[Tally]| {
+    let watch = |second, stage: &Deployment, tallies: &[SharedResults]| {
         println!("{}", line(second, stage, tallies, &zones));
     };
-    let played = scenario::play(&scenario, schedule, program, watch).map_err(|e| e.to_string())?;
+    let played = scenario::run(&scenario, schedule, program, watch).map_err(|e| e.to_string())?;
     let (sent, v) = (played.sent.concat(), &played.verdict);
     let count = |o| sent.iter().filter(|s| s.outcome == o).count();
     let (p50, p99) = (
@@ -110,29 +110,29 @@
         "sent {}, served {}, refused {}, failed {}, broken {}, given up {}; latency of served p50 {:.1} ms, p99 {:.1} ms",
         v.sent,
         v.served,
-        count(Outcome::Refused),
+        count(Outcome::Rejected),
         count(Outcome::Failed),
         count(Outcome::Broken),
-        count(Outcome::GaveUp),
+        count(Outcome::TimedOut),
         p50 as f64 / 1e3,
         p99 as f64 / 1e3
     );
     println!(
         "ran twice where the class forbids it: {}; served without a run: {}",
-        v.twice.len(),
-        v.made_up.len()
+        v.executed_twice.len(),
+        v.fabricated.len()
     );
-    for problem in &played.problems {
+    for problem in &played.signal_errors {
         println!("the scenario's signal failed: {problem}");
     }
-    for line in &played.missed {
+    for line in &played.violations {
         println!("not as expected: {line}");
     }
     if let Some(path) = &play.json {
         let json = serde_json::json!({
             "scenario": scenario.name, "sent": v.sent, "served": v.served,
-            "refused": count(Outcome::Refused), "failed": count(Outcome::Failed), "broken": count(Outcome::Broken), "given_up": count(Outcome::GaveUp),
-            "ran_twice": v.twice, "served_without_run": v.made_up, "not_as_expected": played.missed, "signals_failed": played.problems,
+            "refused": count(Outcome::Rejected), "failed": count(Outcome::Failed), "broken": count(Outcome::Broken), "given_up": count(Outcome::TimedOut),
+            "ran_twice": v.executed_twice, "served_without_run": v.fabricated, "not_as_expected": played.violations, "signals_failed": played.signal_errors,
             "latency_ms": {"p50": p50 as f64 / 1e3, "p99": p99 as f64 / 1e3},
         });
         write(path, &json.to_string())?;
@@ -146,7 +146,7 @@
             )?;
         }
     }
-    Ok(if played.holds() {
+    Ok(if played.passed() {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(1)
