--- a/crates/client-proxy/src/discovery.rs
+++ b/crates/client-proxy/src/discovery.rs
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::message::{Ask, Message, Queue};
+use crate::message::{DiscoveryCommand, Message, Queue};
 
 /// Calls wait their turn at discovery, which gives up on them after 3 s.
 const ANSWER: Duration = Duration::from_secs(4);
@@ -181,7 +181,7 @@
         }
         self.rev = list.as_ref().map(|list| list.rev);
         let entries = list.map_or_else(Vec::new, |list| list.entries(&mut self.zones, &self.log));
-        self.queue.say(Message::Listed(EndpointUpdate {
+        self.queue.send(Message::EndpointsUpdated(EndpointUpdate {
             scope: Scope::Cached,
             revision: self.rev,
             endpoints: entries,
@@ -190,7 +190,7 @@
 
     /// Does what is asked until nobody can ask any more. Asked again, or interrupted by a fetch,
     /// the watch begins anew from the version held.
-    pub(crate) async fn run(mut self, mut asks: mpsc::UnboundedReceiver<Ask>) {
+    pub(crate) async fn run(mut self, mut asks: mpsc::UnboundedReceiver<DiscoveryCommand>) {
         let mut watching = self.pushed;
         loop {
             let ask = tokio::select! {
@@ -213,9 +213,9 @@
                 }
             };
             match ask {
-                Some(Ask::Watch(on)) => watching = on,
-                Some(Ask::All) => self.fetch().await,
-                Some(Ask::Move(address)) => {
+                Some(DiscoveryCommand::Watch(on)) => watching = on,
+                Some(DiscoveryCommand::FetchAll) => self.fetch().await,
+                Some(DiscoveryCommand::ChangeAddress(address)) => {
                     // The old address ends its watches soon. The new one is called at once, asked
                     // or not, and for the whole list: guards against versions that count
                     // differently there.
@@ -230,7 +230,7 @@
     fn failed(&self, why: &str) {
         info!(self.log, "discovery failed"; "why" => why);
         let (scope, rev, entries) = (Scope::Failed, None, Vec::new());
-        self.queue.say(Message::Listed(EndpointUpdate {
+        self.queue.send(Message::EndpointsUpdated(EndpointUpdate {
             scope,
             revision: rev,
             endpoints: entries,
@@ -248,7 +248,7 @@
             Scope::Changes
         };
         let entries = list.entries(&mut self.zones, &self.log);
-        self.queue.say(Message::Listed(EndpointUpdate {
+        self.queue.send(Message::EndpointsUpdated(EndpointUpdate {
             scope,
             revision: self.rev,
             endpoints: entries,
--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -19,18 +19,19 @@
 
 use crate::hot_restart::partners::Partners;
 use crate::message::{
-    Answer, Arrival, Ask, Attempt, Ended, Message, Order, Payload, Tell, Ticket, Urgent,
+    Arrival, Attempt, AttemptResult, DiscoveryCommand, FinalResponse, Message, Payload,
+    PeerMessage, PriorityMessage, Ticket, UpstreamCommand,
 };
 use crate::runtime_files::RuntimeFiles;
 
 /// Where orders go.
 pub(crate) struct Orders {
     /// To the connections to pay servers.
-    pub upstream: mpsc::UnboundedSender<Order>,
+    pub upstream: mpsc::UnboundedSender<UpstreamCommand>,
     /// To discovery.
-    pub discovery: mpsc::UnboundedSender<Ask>,
+    pub discovery: mpsc::UnboundedSender<DiscoveryCommand>,
     /// To the peers.
-    pub peers: mpsc::UnboundedSender<Tell>,
+    pub peers: mpsc::UnboundedSender<PeerMessage>,
 }
 
 /// A request that is owed an answer or has an attempt out.
@@ -41,7 +42,7 @@
     /// When its last byte came, where that was after its arrival here.
     whole: Micros,
     /// Taken by the one final answer.
-    reply: Option<oneshot::Sender<Answer>>,
+    reply: Option<oneshot::Sender<FinalResponse>>,
     /// Of each attempt: the server, when it was sent, and whether it is out.
     attempts: Vec<(ServerId, Micros, bool)>,
 }
@@ -105,7 +106,7 @@
     pub(crate) async fn run(
         mut self,
         mut queue: mpsc::UnboundedReceiver<Message>,
-        mut urgent: mpsc::UnboundedReceiver<Urgent>,
+        mut urgent: mpsc::UnboundedReceiver<PriorityMessage>,
         held: impl Fn(),
     ) {
         loop {
@@ -133,21 +134,26 @@
 
     fn take(&mut self, message: Message) {
         match message {
-            Message::Arrived(arrival) => self.arrived(arrival),
-            Message::Left(ticket) => {
+            Message::RequestArrived(arrival) => self.arrived(arrival),
+            Message::ClientDisconnected(ticket) => {
                 debug!(self.log, "client left"; "at" => self.clock.now(), "request" => self.ids.get(&ticket));
                 if let Some(id) = self.ids.remove(&ticket)
                     && let Some(open) = self.open.get_mut(&id)
                 {
                     open.reply = None;
-                    let _ = self.orders.upstream.send(Order::Over(id));
+                    let _ = self.orders.upstream.send(UpstreamCommand::RequestOver(id));
                     self.event(Event::ClientDisconnected { id });
                     self.forget(id);
                 }
             }
-            Message::Whole(ticket) => self.whole(ticket),
-            Message::Ended(ended) => self.ended(ended),
-            Message::Probed(server, outcome, latency, load) => {
+            Message::RequestComplete(ticket) => self.whole(ticket),
+            Message::AttemptEnded(ended) => self.ended(ended),
+            Message::HealthCheckEnded {
+                server,
+                outcome,
+                latency,
+                load,
+            } => {
                 debug!(self.log, "probed"; "at" => self.clock.now(), "server" => format_args!("{:016x}", server.0),
                     "outcome" => ?outcome, "took" => latency);
                 self.event(Event::ProbeEnded {
@@ -157,30 +163,30 @@
                     load,
                 });
             }
-            Message::Peer(from, data) => self.event(Event::PeerMessage { from, data }),
-            Message::Listed(news) => {
+            Message::PeerDatagram { from, data } => self.event(Event::PeerMessage { from, data }),
+            Message::EndpointsUpdated(news) => {
                 let news = self.admin.apply_discovery(news);
                 self.show(news);
             }
         }
     }
 
-    fn urgent(&mut self, urgent: Urgent) {
+    fn urgent(&mut self, urgent: PriorityMessage) {
         match urgent {
-            Urgent::Called(call, reply) => {
+            PriorityMessage::Command(call, reply) => {
                 let answer = self.called(call);
                 info!(self.log, "operator's call answered"; "answer" => ?answer.as_ref().map_err(ToString::to_string));
                 // A caller that has gone has no use for it; what it asked for is done.
                 let _ = reply.send(answer);
             }
-            Urgent::Adopted(change) => {
+            PriorityMessage::PartnerOverride(change) => {
                 info!(self.log, "the other process was called"; "server" => &change.uid, "out" => change.disabled_at.is_some());
                 if let Some(news) = self.admin.apply_override(change) {
                     self.show(news);
                 }
                 let _ = self.keep();
             }
-            Urgent::LeaveCold(on) => {
+            PriorityMessage::DelegateWarmUp(on) => {
                 let cold = self.settings.safety.warm_up;
                 if let Some(news) = self
                     .admin
@@ -189,7 +195,7 @@
                     self.show(news);
                 }
             }
-            Urgent::Describe(reply) => {
+            PriorityMessage::DescribeState(reply) => {
                 drop(reply.send((self.admin.state().clone(), self.admin.discovered())));
             }
         }
@@ -282,14 +288,14 @@
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        (open.whole, open.expires) = (now, now + open.payload.left);
+        (open.whole, open.expires) = (now, now + open.payload.client_timeout);
         let expires = open.expires;
         debug!(self.log, "whole"; "at" => now, "request" => id, "expires" => expires);
         self.event(Event::RequestComplete { id, expires });
     }
 
-    fn ended(&mut self, ended: Ended) {
-        let Ended {
+    fn ended(&mut self, ended: AttemptResult) {
+        let AttemptResult {
             id,
             number,
             outcome,
@@ -306,7 +312,7 @@
         // No server is slow for the time its client took.
         let (server, sent) = (attempt.0, attempt.1.max(open.whole));
         if outcome == Outcome::Ok {
-            self.answer(id, Answer::Served(body));
+            self.answer(id, FinalResponse::Served(body));
         }
         let finished = self.open.get(&id).is_none_or(|o| o.reply.is_none());
         let latency = self.clock.now().saturating_sub(sent);
@@ -346,15 +352,15 @@
             // Guards rule 3: an attempt decided before this news may still be on its way to the
             // socket.
             let order = if takes {
-                Order::Admit(server.id)
+                UpstreamCommand::ResumeSending(server.id)
             } else {
-                Order::Retire(server.id)
+                UpstreamCommand::StopSending(server.id)
             };
             let _ = self.orders.upstream.send(order);
         }
         for id in gone {
             self.servers.remove(&id);
-            let _ = self.orders.upstream.send(Order::Retire(id));
+            let _ = self.orders.upstream.send(UpstreamCommand::StopSending(id));
         }
         let servers: Vec<_> = endpoints.into_iter().map(|e| e.server).collect();
         let entries = servers.len();
@@ -367,19 +373,19 @@
     }
 
     /// Gives the one final answer; later ones find it taken.
-    fn answer(&mut self, id: RequestId, answer: Answer) {
+    fn answer(&mut self, id: RequestId, answer: FinalResponse) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
         if let Some(reply) = open.reply.take() {
             debug!(self.log, "answered"; "at" => self.clock.now(), "request" => id, "answer" => match &answer {
-                Answer::Served(_) => "served",
-                Answer::Refused(_) => "refused",
-                Answer::Failed => "failed",
+                FinalResponse::Served(_) => "served",
+                FinalResponse::Rejected(_) => "refused",
+                FinalResponse::Failed => "failed",
             });
             self.ids.remove(&open.ticket);
             if open.out() {
-                let _ = self.orders.upstream.send(Order::Over(id));
+                let _ = self.orders.upstream.send(UpstreamCommand::RequestOver(id));
             }
             // A client that left in this moment has told so or will; the queue holds it.
             let _ = reply.send(answer);
@@ -417,33 +423,47 @@
                 start_deadline: begin_by,
             } => self.send(id, server, timeout, begin_by),
             Action::Reject { id, retry_after } => {
-                self.answer(id, Answer::Refused(retry_after));
+                self.answer(id, FinalResponse::Rejected(retry_after));
                 self.forget(id);
             }
             Action::Fail { id } => {
-                self.answer(id, Answer::Failed);
+                self.answer(id, FinalResponse::Failed);
                 self.forget(id);
             }
             Action::Cancel { id, attempt } => {
-                drop(self.orders.upstream.send(Order::Cancel(id, attempt)));
+                drop(
+                    self.orders
+                        .upstream
+                        .send(UpstreamCommand::Cancel(id, attempt)),
+                );
             }
             Action::Timer { delay, token } => {
                 self.timers
                     .insert((self.clock.now().saturating_add(delay), token));
             }
-            Action::Subscribe(on) => drop(self.orders.discovery.send(Ask::Watch(on))),
-            Action::FetchAll => drop(self.orders.discovery.send(Ask::All)),
+            Action::Subscribe(on) => drop(self.orders.discovery.send(DiscoveryCommand::Watch(on))),
+            Action::FetchAll => drop(self.orders.discovery.send(DiscoveryCommand::FetchAll)),
             Action::Probe { server } => match self.servers.get(&server) {
                 Some(&(address, _)) => {
-                    drop(self.orders.upstream.send(Order::Probe(server, address)));
+                    drop(
+                        self.orders
+                            .upstream
+                            .send(UpstreamCommand::CheckHealth(server, address)),
+                    );
                 }
                 None => {
                     warn!(self.log, "a probe of a server that is not listed"; "server" => server.0);
                 }
             },
-            Action::SendToPeers { to, data } => drop(self.orders.peers.send((to, data))),
+            Action::SendToPeers { to, data } => {
+                drop(self.orders.peers.send(PeerMessage { to, data }))
+            }
             Action::CloseIdle { server } => {
-                drop(self.orders.upstream.send(Order::CloseIdle(server)));
+                drop(
+                    self.orders
+                        .upstream
+                        .send(UpstreamCommand::CloseIdle(server)),
+                );
             }
             Action::Log(text) => info!(self.log, "{}", text),
         }
@@ -502,13 +522,13 @@
         let timeout = timeout.filter(|_| open.payload.flow().is_none());
         let until = timeout.map_or(open.expires, |t| open.expires.min(now + t));
         let payload = Rc::clone(&open.payload);
-        let _ = self.orders.upstream.send(Order::Send(Attempt {
+        let _ = self.orders.upstream.send(UpstreamCommand::Send(Attempt {
             id,
             number,
             server,
             address,
-            until,
-            begin_by,
+            deadline: until,
+            start_deadline: begin_by,
             payload,
         }));
     }
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -17,11 +17,11 @@
 use ironmast_transport::clock::Clock;
 use ironmast_transport::connection::{ClientConnection, ClientLimits};
 use ironmast_transport::listener::Service;
-use ironmast_transport::request_body;
+use ironmast_transport::request_body::{self, RequestBody};
 use tokio::sync::oneshot;
 
 use crate::hot_restart::partners::Partners;
-use crate::message::{Answer, Arrival, Message, Payload, Queue, Sent, Ticket};
+use crate::message::{Arrival, FinalResponse, Message, Payload, Queue, Ticket};
 
 /// Half a request is owed an end within 3 s: one that has not come whole by then must have kept the
 /// agreed pace. One that has been answered may stay for 2 s at least.
@@ -206,7 +206,7 @@
             .to_string();
         let ticket = self.queue.ticket();
         let (queue, payload) = (self.queue.clone(), request.take_payload());
-        let whole = move || queue.say(Message::Whole(ticket));
+        let whole = move || queue.send(Message::RequestComplete(ticket));
         let read = request_body::read(
             payload,
             announced,
@@ -220,18 +220,18 @@
         };
         let expires = self.clock.now()
             + left
-            + if matches!(body, Sent::Buffered(_)) {
+            + if matches!(body, RequestBody::Buffered(_)) {
                 0
             } else {
                 FLOWS_MOST
             };
         let payload = Rc::new(Payload {
-            safe,
+            is_safe: safe,
             target,
             txn,
-            key,
+            idempotency_key: key,
             body,
-            left,
+            client_timeout: left,
         });
         Ok((
             class,
@@ -291,7 +291,7 @@
             payload,
             reply,
         };
-        self.queue.say(Message::Arrived(arrival));
+        self.queue.send(Message::RequestArrived(arrival));
         let mut waiting = Waiting {
             ticket,
             named,
@@ -315,10 +315,10 @@
         };
         waiting.answered = true;
         match answer {
-            Ok(Answer::Served(ResponseBody::Buffered(body))) => {
+            Ok(FinalResponse::Served(ResponseBody::Buffered(body))) => {
                 Response::with_body(StatusCode::OK, body).map_into_boxed_body()
             }
-            Ok(Answer::Served(ResponseBody::Streamed(body))) => {
+            Ok(FinalResponse::Served(ResponseBody::Streamed(body))) => {
                 let length = body.length;
                 // The connection is busy for as long as the answer flows.
                 let body = body.inspect(move |_| _ = &active);
@@ -331,7 +331,7 @@
                         .map_into_boxed_body(),
                 }
             }
-            Ok(Answer::Refused(after)) => {
+            Ok(FinalResponse::Rejected(after)) => {
                 let body = Bytes::from_static(b"refused\n");
                 let mut response = Response::with_body(StatusCode::SERVICE_UNAVAILABLE, body);
                 if let Some(after) = after.filter(|&after| after > 0) {
@@ -341,7 +341,7 @@
                 }
                 response.map_into_boxed_body()
             }
-            Ok(Answer::Failed) | Err(_) => {
+            Ok(FinalResponse::Failed) | Err(_) => {
                 Response::with_body(StatusCode::BAD_GATEWAY, "failed\n").map_into_boxed_body()
             }
         }
@@ -368,7 +368,10 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.named.front.queue.say(Message::Left(self.ticket));
+            self.named
+                .front
+                .queue
+                .send(Message::ClientDisconnected(self.ticket));
         }
     }
 }
--- a/crates/client-proxy/src/message.rs
+++ b/crates/client-proxy/src/message.rs
@@ -1,5 +1,8 @@
-//! What socket code and the driver say to each other. No word of HTTP here: a second protocol says
-//! the same.
+//! The messages between the tasks that own sockets and the driver.
+//!
+//! They are free of HTTP, so that another protocol could send the same ones. All of them go through
+//! unbounded channels: the driver must never wait for a socket, and the number of open requests is
+//! bounded by the number of connections.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -10,200 +13,218 @@
 use ironmast_admin::overrides::{OverrideState, ServerOverride};
 use ironmast_balancer::{ClassId, LoadReport, Micros, Outcome, RequestId, ServerId, TenantId};
 use ironmast_transport::body::{ResponseBody, StreamedRequestBody};
-pub(crate) use ironmast_transport::request_body::RequestBody as Sent;
+use ironmast_transport::request_body::RequestBody;
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
 
-/// Names one request on its way from a listener to the driver.
+/// Identifies a request between the listener and the driver.
 pub(crate) type Ticket = u64;
 
-/// What a pay server needs of a request, passed through unchanged.
+/// What a server gets of a request, unchanged.
 #[derive(Debug)]
 pub(crate) struct Payload {
-    /// True where the request may be repeated freely (it then has no body).
-    pub safe: bool,
+    /// Whether the method is safe: the request may be retried freely, and has no body.
+    pub is_safe: bool,
     /// Path and query, byte for byte.
     pub target: String,
     /// The client's name for the request.
     pub txn: Vec<u8>,
-    /// The key under which repeats are dropped.
-    pub key: Option<Vec<u8>>,
+    /// The key by which servers drop duplicates.
+    pub idempotency_key: Option<Vec<u8>>,
     /// The body, byte for byte.
-    pub body: Sent,
-    /// How long the client waits, from the request's last byte on.
-    pub left: Micros,
+    pub body: RequestBody,
+    /// How long the client waits from the last byte of the request on.
+    pub client_timeout: Micros,
 }
 
 impl Payload {
-    /// The body's flow, where it is not held whole from the start.
+    /// The body, if it is streamed rather than buffered.
     pub(crate) fn flow(&self) -> Option<&Rc<StreamedRequestBody>> {
         match &self.body {
-            Sent::Streamed(flow) => Some(flow),
-            Sent::Buffered(_) => None,
+            RequestBody::Streamed(flow) => Some(flow),
+            RequestBody::Buffered(_) => None,
         }
     }
 }
 
-/// A request that a client handed over.
+/// A request that has arrived.
 #[derive(Debug)]
 pub(crate) struct Arrival {
-    /// Its name in the queue.
+    /// Its ticket.
     pub ticket: Ticket,
     /// Its class.
     pub class: ClassId,
-    /// Its tenant, where there are tenants.
+    /// Its tenant, if there are tenants.
     pub tenant: Option<TenantId>,
-    /// What it is about.
+    /// The hash of its subject, for affinity.
     pub subject: Option<u64>,
-    /// The client says that it is trying again.
+    /// Whether the client says that this is a retry.
     pub client_retry: bool,
-    /// Clock reading at which the client gives up.
+    /// The clock reading at which the client gives up.
     pub expires: Micros,
-    /// What goes to the pay server.
+    /// What a server gets of it.
     pub payload: Rc<Payload>,
-    /// Where the one final answer goes.
-    pub reply: oneshot::Sender<Answer>,
+    /// Where the final response goes.
+    pub reply: oneshot::Sender<FinalResponse>,
 }
 
-/// The one final answer to a request.
+/// The only response to a request.
 #[derive(Debug)]
-pub(crate) enum Answer {
-    /// A pay server's answer, unchanged.
+pub(crate) enum FinalResponse {
+    /// A server's response, unchanged.
     Served(ResponseBody),
-    /// Refused: trying again is harmless, after a while at best.
-    Refused(Option<Micros>),
-    /// Failed, with no promise about effects.
+    /// The request was not executed: a retry is harmless, after this delay if there is one.
+    Rejected(Option<Micros>),
+    /// The request failed and may have been executed.
     Failed,
 }
 
-/// One attempt at a request, for the pay server named.
+/// One attempt at a request.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    /// The request, and the attempt's number.
+    /// The request.
     pub id: RequestId,
-    /// 0, 1, 2 ... in the order of the sends.
+    /// The number of the attempt, from 0 in the order of sending.
     pub number: u32,
-    /// The pay server.
+    /// The server.
     pub server: ServerId,
-    /// Where it listens.
+    /// The address of the server.
     pub address: SocketAddr,
-    /// Clock reading at which waiting ends.
-    pub until: Micros,
-    /// Clock reading from which on it must not begin any more.
-    pub begin_by: Option<Micros>,
+    /// The clock reading at which the attempt times out.
+    pub deadline: Micros,
+    /// The clock reading from which on it must not be started any more.
+    pub start_deadline: Option<Micros>,
     /// What to send.
     pub payload: Rc<Payload>,
 }
 
-/// How an attempt ended; its connection is given up or idle again by then.
+/// How an attempt ended; its connection is closed or idle by then.
 #[derive(Debug)]
-pub(crate) struct Ended {
+pub(crate) struct AttemptResult {
     /// The request.
     pub id: RequestId,
-    /// The attempt.
+    /// The number of the attempt.
     pub number: u32,
     /// How it ended.
     pub outcome: Outcome,
-    /// The answer's body, where it was served.
+    /// The body of the response, if the request was served.
     pub body: ResponseBody,
-    /// The load report, when one came along.
+    /// The server's load report, if it sent one.
     pub load: Option<LoadReport>,
 }
 
-/// To the driver.
+/// A message to the driver.
 #[derive(Debug)]
 pub(crate) enum Message {
-    /// A request arrived.
-    Arrived(Arrival),
-    /// The last byte of a request's body has come.
-    Whole(Ticket),
-    /// The client of a request left before its answer.
-    Left(Ticket),
-    /// An attempt ended.
-    Ended(Ended),
-    /// A probe ended: of whom, how, after how long, with which report.
-    Probed(ServerId, Outcome, Micros, Option<LoadReport>),
-    /// News from discovery.
-    Listed(EndpointUpdate),
-    /// A datagram from the peer of that number.
-    Peer(u32, Vec<u8>),
+    /// A request has arrived.
+    RequestArrived(Arrival),
+    /// The last byte of a request's body has arrived.
+    RequestComplete(Ticket),
+    /// The client of a request disconnected before its response.
+    ClientDisconnected(Ticket),
+    /// An attempt has ended.
+    AttemptEnded(AttemptResult),
+    /// A health check has ended.
+    HealthCheckEnded {
+        /// The server.
+        server: ServerId,
+        /// How it ended.
+        outcome: Outcome,
+        /// How long it took.
+        latency: Micros,
+        /// The server's load report, if it sent one.
+        load: Option<LoadReport>,
+    },
+    /// Discovery has an update of the endpoints.
+    EndpointsUpdated(EndpointUpdate),
+    /// A datagram of a peer.
+    PeerDatagram {
+        /// The number of the peer.
+        from: u32,
+        /// The datagram.
+        data: Vec<u8>,
+    },
 }
 
-/// To the driver, ahead of all that is in the queue.
+/// A message to the driver that is handled before all that are in the queue.
 #[derive(Debug)]
-pub(crate) enum Urgent {
-    /// An operator called.
-    Called(Command, oneshot::Sender<Reply>),
-    /// The other process of a replacement was called for this server.
-    Adopted(ServerOverride),
-    /// Whether cold servers are left to a successor.
-    LeaveCold(bool),
-    /// A successor asks for the admin state and the list.
-    Describe(oneshot::Sender<(OverrideState, Option<Value>)>),
+pub(crate) enum PriorityMessage {
+    /// An operator's command.
+    Command(Command, oneshot::Sender<Reply>),
+    /// The other process of a hot restart got a command that changed this override.
+    PartnerOverride(ServerOverride),
+    /// Whether servers that are warming up are left to a successor.
+    DelegateWarmUp(bool),
+    /// A successor needs the overrides and the endpoint list.
+    DescribeState(oneshot::Sender<(OverrideState, Option<Value>)>),
 }
 
-/// To the keeper of the connections to pay servers.
+/// A command to the task that owns the connections to servers.
 #[derive(Debug)]
-pub(crate) enum Order {
-    /// Begin an attempt.
+pub(crate) enum UpstreamCommand {
+    /// Start an attempt.
     Send(Attempt),
-    /// Stop waiting for one.
+    /// Cancel an attempt, by request and number.
     Cancel(RequestId, u32),
-    /// The request is over, answered or left by its client: attempts at it that have not begun
-    /// don't begin.
-    Over(RequestId),
-    /// Probe a pay server.
-    Probe(ServerId, SocketAddr),
-    /// Close the idle connections to it.
+    /// The request has its response, or its client has disconnected: attempts that have not
+    /// started must not start.
+    RequestOver(RequestId),
+    /// Check the health of a server.
+    CheckHealth(ServerId, SocketAddr),
+    /// Close the idle connections to a server.
     CloseIdle(ServerId),
-    /// It drains or is gone: write no request to it any more.
-    Retire(ServerId),
-    /// It takes requests again.
-    Admit(ServerId),
+    /// The server is draining or has ended: no request may be written to it any more.
+    StopSending(ServerId),
+    /// The server accepts requests again.
+    ResumeSending(ServerId),
 }
 
-/// To discovery.
+/// A command to discovery.
 #[derive(Debug)]
-pub(crate) enum Ask {
-    /// Begin (or end) watching.
+pub(crate) enum DiscoveryCommand {
+    /// Start watching, or stop.
     Watch(bool),
-    /// Fetch the whole list once.
-    All,
-    /// Discovery listens there now.
-    Move(SocketAddr),
+    /// Fetch the complete list once.
+    FetchAll,
+    /// Discovery has a new address.
+    ChangeAddress(SocketAddr),
 }
 
-/// To the peers: one of them, or all.
-pub(crate) type Tell = (Option<u32>, Vec<u8>);
+/// A message to the peers.
+#[derive(Debug)]
+pub(crate) struct PeerMessage {
+    /// The number of the peer, or `None` for all.
+    pub to: Option<u32>,
+    /// The datagram.
+    pub data: Vec<u8>,
+}
 
-/// The way to the driver, shared by all that feed it.
+/// The sending half of the driver's queue.
 #[derive(Clone)]
 pub(crate) struct Queue {
-    to: mpsc::UnboundedSender<Message>,
-    tickets: Rc<Cell<Ticket>>,
+    sender: mpsc::UnboundedSender<Message>,
+    last_ticket: Rc<Cell<Ticket>>,
 }
 
 impl Queue {
-    /// A queue and the end the driver reads.
+    /// Both halves of a queue.
     pub(crate) fn new() -> (Self, mpsc::UnboundedReceiver<Message>) {
-        let (to, from) = mpsc::unbounded_channel();
-        (
-            Queue {
-                to,
-                tickets: Rc::default(),
-            },
-            from,
-        )
+        let (sender, receiver) = mpsc::unbounded_channel();
+        let queue = Queue {
+            sender,
+            last_ticket: Rc::default(),
+        };
+        (queue, receiver)
     }
 
-    /// A ticket nobody else holds.
+    /// A new ticket.
     pub(crate) fn ticket(&self) -> Ticket {
-        self.tickets.set(self.tickets.get() + 1);
-        self.tickets.get()
+        self.last_ticket.set(self.last_ticket.get() + 1);
+        self.last_ticket.get()
     }
 
-    /// Says something to the driver. It outlives all that speak to it, so nothing is lost.
-    pub(crate) fn say(&self, message: Message) {
-        let _ = self.to.send(message);
+    /// Sends a message to the driver, which outlives all senders.
+    pub(crate) fn send(&self, message: Message) {
+        let _ = self.sender.send(message);
     }
 }
--- a/crates/client-proxy/src/ops.rs
+++ b/crates/client-proxy/src/ops.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-use crate::message::Urgent;
+use crate::message::PriorityMessage;
 
 /// Operators that may be connected at once; their descriptors are their own.
 pub(crate) const CALLERS: usize = 8;
@@ -28,7 +28,7 @@
 /// Hears operators for as long as the process lives.
 pub(crate) async fn hear(
     listener: TcpListener,
-    to_driver: mpsc::UnboundedSender<Urgent>,
+    to_driver: mpsc::UnboundedSender<PriorityMessage>,
     log: Logger,
 ) {
     let (callers, number) = (Callers::default(), Cell::new(0u64));
@@ -62,7 +62,7 @@
     }
 }
 
-async fn converse(mut stream: TcpStream, to_driver: mpsc::UnboundedSender<Urgent>) {
+async fn converse(mut stream: TcpStream, to_driver: mpsc::UnboundedSender<PriorityMessage>) {
     let reply = match timeout(PATIENCE, line(&mut stream)).await {
         Ok(Some(line)) => ask(&line, to_driver).await,
         Ok(None) => return,
@@ -97,10 +97,10 @@
     }
 }
 
-async fn ask(line: &[u8], to_driver: mpsc::UnboundedSender<Urgent>) -> Reply {
+async fn ask(line: &[u8], to_driver: mpsc::UnboundedSender<PriorityMessage>) -> Reply {
     let call = command::parse(line)?;
     let (reply, answer) = oneshot::channel();
-    let _ = to_driver.send(Urgent::Called(call, reply));
+    let _ = to_driver.send(PriorityMessage::Command(call, reply));
     answer
         .await
         .unwrap_or_else(|_| Err(CommandError::ShuttingDown))
--- a/crates/client-proxy/src/peers.rs
+++ b/crates/client-proxy/src/peers.rs
@@ -9,7 +9,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 
-use crate::message::{Message, Queue, Tell};
+use crate::message::{Message, PeerMessage, Queue};
 
 /// A longer datagram voids the run.
 const MOST: usize = 256;
@@ -35,7 +35,7 @@
 
 impl Peers {
     /// Sends what is to be told and passes on what arrives.
-    pub(crate) async fn run(mut self, mut tells: mpsc::UnboundedReceiver<Tell>) {
+    pub(crate) async fn run(mut self, mut tells: mpsc::UnboundedReceiver<PeerMessage>) {
         let mut buffer = [0; MOST + 1];
         let start = Instant::now();
         let mut joined = false;
@@ -95,7 +95,7 @@
                     }
                     match self.peers.iter().position(|&p| p == from) {
                         Some(number) if bytes <= MOST => {
-                            self.queue.say(Message::Peer(number as u32, buffer[..bytes].to_vec()));
+                            self.queue.send(Message::PeerDatagram { from: number as u32, data: buffer[..bytes].to_vec() });
                         }
                         _ => debug!(self.log, "a datagram is dropped"; "from" => from),
                     }
@@ -124,7 +124,7 @@
         }
     }
 
-    async fn tell(&self, socket: &UdpSocket, (to, data): Tell) {
+    async fn tell(&self, socket: &UdpSocket, PeerMessage { to, data }: PeerMessage) {
         let address = match to {
             Some(peer) => self.peers.get(peer as usize).copied(),
             None => self.all,
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -33,7 +33,7 @@
 use crate::hot_restart::predecessor::{self, Inherited};
 use crate::hot_restart::successor;
 use crate::listener::{Front, LIMITS};
-use crate::message::{Ask, Queue, Urgent};
+use crate::message::{DiscoveryCommand, PriorityMessage, Queue};
 use crate::ops;
 use crate::peers::Peers;
 use crate::runtime_files::RuntimeFiles;
@@ -200,7 +200,7 @@
                 Action::StartServing => {
                     partners.begin_serving();
                     turn.send_replace(true);
-                    let _ = to_driver.send(Urgent::LeaveCold(false));
+                    let _ = to_driver.send(PriorityMessage::DelegateWarmUp(false));
                     let awaiting =
                         successor::accept_successors(files.clone(), to_heard.clone(), log.clone());
                     if let Some(before) = successors.replace(actix_rt::spawn(awaiting)) {
@@ -211,7 +211,7 @@
                 Action::StopServing => {
                     info!(log, "a successor serves");
                     turn.send_replace(false);
-                    let _ = to_driver.send(Urgent::LeaveCold(true));
+                    let _ = to_driver.send(PriorityMessage::DelegateWarmUp(true));
                     front.tell_open();
                 }
                 Action::SetDescriptorPercent(percent) => {
@@ -256,7 +256,7 @@
             Some(heard) = heard.recv() => match heard {
                 PartnerEvent::SuccessorConnected { stream, answers_claims } if part.accepts_successor() => {
                     let (reply, described) = oneshot::channel();
-                    let _ = to_driver.send(Urgent::Describe(reply));
+                    let _ = to_driver.send(PriorityMessage::DescribeState(reply));
                     let Ok(described) = described.await else { return Err(DRIVERLESS.to_string()) };
                     let mut passed: Vec<_> = listener.iter().map(|listener| listener.as_fd()).collect();
                     passed.extend(passed_socket.as_ref().map(|socket| socket.as_fd()));
@@ -274,7 +274,7 @@
                 }
                 PartnerEvent::Received(Side::Successor, Message::Serving) => Some(Event::SuccessorServing),
                 PartnerEvent::Received(_, Message::Override(change)) => {
-                    let _ = to_driver.send(Urgent::Adopted(change));
+                    let _ = to_driver.send(PriorityMessage::PartnerOverride(change));
                     None
                 }
                 PartnerEvent::Received(Side::Predecessor, Message::Opened(txn)) => {
@@ -381,7 +381,7 @@
 /// Reads the file again on SIGHUP. A bad one changes nothing: guards the requests in hand against a
 /// slip of the pen. Only discovery's address takes effect at once; all else waits for a restart,
 /// and the log says so.
-fn reload(config: &mut Config, discovery: &mpsc::UnboundedSender<Ask>, log: &Logger) {
+fn reload(config: &mut Config, discovery: &mpsc::UnboundedSender<DiscoveryCommand>, log: &Logger) {
     match Config::read_again(|name| std::env::var(name).ok()) {
         Ok(new) => {
             let waits = config.need_restart(&new).join(", ");
@@ -389,7 +389,7 @@
                 warn!(log, "changed values need a restart"; "which" => waits);
             }
             if new.discovery != config.discovery {
-                let _ = discovery.send(Ask::Move(new.discovery));
+                let _ = discovery.send(DiscoveryCommand::ChangeAddress(new.discovery));
                 config.discovery = new.discovery;
             }
             info!(log, "configuration read again"; "discovery" => config.discovery);
--- a/crates/client-proxy/src/upstream.rs
+++ b/crates/client-proxy/src/upstream.rs
@@ -24,11 +24,12 @@
 use ironmast_transport::client::client;
 use ironmast_transport::clock::Clock;
 use ironmast_transport::descriptors::DescriptorBudget;
+use ironmast_transport::request_body::RequestBody;
 use ironmast_transport::response_validation::ValidatingStream;
 use slog::{Logger, warn};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::message::{Attempt, Ended, Message, Order, Queue, Sent};
+use crate::message::{Attempt, AttemptResult, Message, Queue, UpstreamCommand};
 
 /// Pay servers are told this much less than the time left: their answer still has to travel.
 const MARGIN: Micros = 2_000;
@@ -107,20 +108,22 @@
     }
 
     /// Carries out orders until none can come any more.
-    pub(crate) async fn run(mut self, mut orders: mpsc::UnboundedReceiver<Order>) {
+    pub(crate) async fn run(mut self, mut orders: mpsc::UnboundedReceiver<UpstreamCommand>) {
         while let Some(order) = orders.recv().await {
             match order {
-                Order::Send(attempt) => self.send(attempt),
-                Order::Cancel(id, number) => drop(self.out.remove(&(id, number))),
-                Order::Over(id) => {
+                UpstreamCommand::Send(attempt) => self.send(attempt),
+                UpstreamCommand::Cancel(id, number) => drop(self.out.remove(&(id, number))),
+                UpstreamCommand::RequestOver(id) => {
                     let begun = |&(of, _): &(RequestId, u32), state: &Rc<AttemptState>| {
                         of != id || state.bytes_written() > 0
                     };
                     self.out.retain(|attempt, out| begun(attempt, &out.1));
                 }
-                Order::Probe(server, address) => self.probe(server, address),
-                Order::CloseIdle(server) => drop(self.clients.borrow_mut().remove(&server)),
-                Order::Retire(server) => {
+                UpstreamCommand::CheckHealth(server, address) => self.probe(server, address),
+                UpstreamCommand::CloseIdle(server) => {
+                    drop(self.clients.borrow_mut().remove(&server))
+                }
+                UpstreamCommand::StopSending(server) => {
                     let now = self.clock.now();
                     let mut retired = self.retired.borrow_mut();
                     // Guards against a set that grows with every server that ever left.
@@ -128,7 +131,9 @@
                     retired.insert(server, now);
                     self.clients.borrow_mut().remove(&server);
                 }
-                Order::Admit(server) => _ = self.retired.borrow_mut().remove(&server),
+                UpstreamCommand::ResumeSending(server) => {
+                    _ = self.retired.borrow_mut().remove(&server)
+                }
             }
         }
     }
@@ -160,7 +165,7 @@
         // Guards rule 3: the drain may be heard between the decision and the first byte.
         let admission: Admission = Box::new(move || !retired.borrow().contains_key(&server));
         // Guards rule 2: a connection that comes up late would carry a repeat past its window.
-        let start_deadline = attempt.begin_by.map(|by| (self.clock, by));
+        let start_deadline = attempt.start_deadline.map(|by| (self.clock, by));
         let options = AttemptOptions {
             admission: Some(admission),
             start_deadline,
@@ -177,7 +182,7 @@
             // sick server.
             tokio::task::yield_now().await;
             let (id, number) = (attempt.id, attempt.number);
-            let until = clock.at(attempt.until).into();
+            let until = clock.at(attempt.deadline).into();
             let call = state.scope(exchange(&client, &attempt, &state, &clock, &held));
             // What loses here is dropped before the end is told, and its connection with it.
             let (outcome, body, load) = tokio::select! {
@@ -206,7 +211,7 @@
                 }
                 _ => outcome,
             };
-            queue.say(Message::Ended(Ended {
+            queue.send(Message::AttemptEnded(AttemptResult {
                 id,
                 number,
                 outcome,
@@ -243,12 +248,12 @@
                 Ok(None) => (Outcome::ConnectFailed, None),
                 Err(_) => (Outcome::Timeout, None),
             };
-            queue.say(Message::Probed(
+            queue.send(Message::HealthCheckEnded {
                 server,
                 outcome,
-                clock.now().saturating_sub(sent),
+                latency: clock.now().saturating_sub(sent),
                 load,
-            ));
+            });
         });
     }
 }
@@ -270,7 +275,7 @@
 ) -> Result<End, ()> {
     let sent = &attempt.payload;
     let url = format!("http://{}{}", attempt.address, sent.target);
-    let call = if sent.safe {
+    let call = if sent.is_safe {
         client.get(url)
     } else {
         client.post(url)
@@ -279,18 +284,20 @@
     let mut call = call
         .no_decompress()
         .insert_header(("X-Txn", value(&sent.txn)?));
-    if let Some(key) = &sent.key {
+    if let Some(key) = &sent.idempotency_key {
         call = call.insert_header(("Idempotency-Key", value(key)?));
     }
     // While a body flows its client's time has not begun.
     let left = sent
         .flow()
-        .map_or(attempt.until.saturating_sub(clock.now()), |_| sent.left);
+        .map_or(attempt.deadline.saturating_sub(clock.now()), |_| {
+            sent.client_timeout
+        });
     call = call.insert_header(("X-Remaining", format!("{}u", left.saturating_sub(MARGIN))));
     let sending = match &sent.body {
-        _ if sent.safe => call.send(),
-        Sent::Buffered(body) => call.send_body(body.clone()),
-        Sent::Streamed(flow) => match flow.length {
+        _ if sent.is_safe => call.send(),
+        RequestBody::Buffered(body) => call.send_body(body.clone()),
+        RequestBody::Streamed(flow) => match flow.length {
             Some(length) => call.send_body(SizedStream::new(length, Rc::clone(flow).stream())),
             None => call.send_body(BodyStream::new(Rc::clone(flow).stream())),
         },
