--- a/crates/transport/src/framing.rs
+++ b/crates/transport/src/framing.rs
@@ -7,9 +7,11 @@
 mod body;
 mod chunked;
 mod head;
+mod progress;
 
-pub(crate) use body::{BodyFraming, BodyTracker, Progress};
+pub(crate) use body::{BodyFraming, BodyTracker};
 pub(crate) use head::{FramingRules, Head, header_values, keep_alive_timeout, parse_head};
+pub(crate) use progress::Progress;
 
 #[cfg(test)]
 mod tests;
--- a/crates/transport/src/framing/body.rs
+++ b/crates/transport/src/framing/body.rs
@@ -1,6 +1,7 @@
 //! Where the body of a response ends.
 
 use super::chunked::ChunkedState;
+use super::progress::{Progress, consume};
 use crate::body::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use crate::malformed_response::MalformedResponse;
 
@@ -18,15 +19,6 @@
     CloseDelimited,
 }
 
-/// What a [`BodyTracker`] found in the bytes it was given.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Progress {
-    /// How many of them belong to the response.
-    pub(crate) bytes: usize,
-    /// Whether the response is complete with them.
-    pub(crate) is_complete: bool,
-}
-
 /// Follows the body of one response to its end.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct BodyTracker {
@@ -81,10 +73,3 @@
         self.seen_bytes.saturating_add(remaining) > MAX_BUFFERED_BODY_BYTES as u64
     }
 }
-
-/// Takes as many of `bytes` as `remaining` allows, and returns how many those are.
-pub(super) fn consume(remaining: &mut u64, bytes: &[u8]) -> usize {
-    let used = usize::try_from(*remaining).map_or(bytes.len(), |most| most.min(bytes.len()));
-    *remaining -= used as u64;
-    used
-}
--- a/crates/transport/src/framing/chunked.rs
+++ b/crates/transport/src/framing/chunked.rs
@@ -1,6 +1,6 @@
 //! The chunked transfer coding (RFC 9112, section 7.1).
 
-use super::body::{Progress, consume};
+use super::progress::{Progress, consume};
 use crate::malformed_response::MalformedResponse;
 
 /// The longest line in front of a chunk, and the longest trailers together, in bytes.
