--- /dev/null
+++ b/crates/balancer/src/api/settings.rs
@@ -0,0 +1,299 @@
+//! What a balancer is told at its start, and whether it makes sense together.
+
+use thiserror::Error;
+
+use super::ids::{Micros, ZoneId};
+
+/// What may be done with a request that may already have run: whether a retry is safe.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Effect {
+    /// A retry is safe anywhere, any number of times.
+    Idempotent,
+    /// One group of servers drops duplicates for some time.
+    Deduplicated {
+        /// The group that drops duplicates.
+        group: Group,
+        /// For how long after the first attempt that may have run, in microseconds.
+        window: Micros,
+    },
+    /// Must never run twice.
+    NonIdempotent,
+}
+
+/// The servers that drop duplicates of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Group {
+    /// Every server.
+    All,
+    /// The servers of one zone.
+    Zone,
+    /// The servers of one cell.
+    Cell,
+}
+
+/// One class of requests.
+#[derive(Clone, Debug)]
+pub struct ClassSettings {
+    /// Responses within this time earn their value.
+    pub latency_target: Micros,
+    /// The longest that a client waits, over all attempts.
+    pub deadline: Micros,
+    /// Whether a retry is safe.
+    pub effect: Effect,
+    /// The value of one response in time.
+    pub value: f64,
+    /// The part of the value that a response past the latency target still earns.
+    pub late_value_share: f64,
+    /// Responses are streams whose start is reported.
+    pub streaming: bool,
+}
+
+impl Default for ClassSettings {
+    fn default() -> Self {
+        let effect = Effect::Idempotent;
+        ClassSettings {
+            latency_target: 500_000,
+            deadline: 2_000_000,
+            effect,
+            value: 1.0,
+            late_value_share: 0.0,
+            streaming: false,
+        }
+    }
+}
+
+/// What one tenant may ask of the whole fleet.
+#[derive(Clone, Debug)]
+pub struct TenantSettings {
+    /// Requests per second, over all balancers, within its share.
+    pub allowance_per_s: f64,
+    /// Its share of service.
+    pub share: f64,
+}
+
+/// What the size of a listed server means.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SizeMeaning {
+    /// Nothing: all count alike.
+    Unknown,
+    /// Capacity, exactly or roughly.
+    Capacity,
+    /// Capacity mixed with momentary load.
+    Live,
+}
+
+/// How the list of servers arrives.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Discovery {
+    /// Changes arrive unasked.
+    Pushed,
+    /// Changes arrive after [`Action::Subscribe`](super::Action::Subscribe) only.
+    Subscribed,
+}
+
+/// A change counts as delivered by discovery this long after it could be reached, whatever failed
+/// meanwhile: a figure of the platform, the same for every deployment.
+pub const MAX_DISCOVERY_DELAY: Micros = 6_000_000;
+
+/// The settings of a balancer.
+#[derive(Clone, Debug)]
+pub struct Settings {
+    /// Number of balancers sending to the same servers, this one included.
+    pub balancers: u32,
+    /// This balancer's index among them.
+    pub balancer_index: u32,
+    /// The classes of requests.
+    pub classes: Vec<ClassSettings>,
+    /// The tenants; may be empty.
+    pub tenants: Vec<TenantSettings>,
+    /// Value of a request beyond its tenant's share, as a part of its class's value.
+    pub over_share_value: f64,
+    /// Number of configured zones.
+    pub zones: usize,
+    /// The zone of this balancer.
+    pub zone: ZoneId,
+    /// How the list of servers arrives.
+    pub discovery: Discovery,
+    /// What [`Server::size`](super::Server::size) means.
+    pub sizes: SizeMeaning,
+    /// Servers that served a key recently do less work for it (warm caches).
+    pub key_affinity: bool,
+    /// Shortest time between two deliveries of events.
+    pub tick: Micros,
+    /// What the operator permits.
+    pub limits: Limits,
+    /// Figures of the safety rules.
+    pub safety: Safety,
+    /// Points taken off the result.
+    pub penalties: Penalties,
+}
+
+/// What the operator permits.
+#[derive(Clone, Debug)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "independent permissions of the operator"
+)]
+pub struct Limits {
+    /// Attempts for one request at most.
+    pub max_attempts: u32,
+    /// Two attempts at one request may be in flight at once (hedging).
+    pub allow_hedging: bool,
+    /// [`Action::Cancel`](super::Action::Cancel) is permitted.
+    pub cancel: bool,
+    /// [`Action::Probe`](super::Action::Probe) is permitted.
+    pub probes: bool,
+    /// [`Action::SendToPeers`](super::Action::SendToPeers) is permitted.
+    pub peers: bool,
+    /// Rejections carry a retry delay.
+    pub retry_after: bool,
+    /// The longest retry delay that clients honour.
+    pub max_retry_after: Micros,
+}
+
+/// Figures of the safety rules.
+#[derive(Clone, Debug)]
+pub struct Safety {
+    /// How long after a request's deadline a final answer still counts.
+    pub answer_slack: Micros,
+    /// Without a subscription, discovery must be asked at least this often.
+    pub discovery_interval: Micros,
+    /// A restarted server starts with at least this part of its capacity.
+    pub initial_capacity: f64,
+    /// It has its full capacity no later than this after its start.
+    pub warm_up: Micros,
+    /// Sends to a draining server must stop within this.
+    pub drain_grace: Micros,
+    /// A warming server fails when it is sent more than `overload_multiple` times its capacity for this
+    /// long.
+    pub overload_window: Micros,
+    /// See `overload_window`.
+    pub overload_multiple: f64,
+}
+
+/// Points taken off the result, as parts of the whole.
+#[derive(Clone, Debug)]
+pub struct Penalties {
+    /// For every request crossing zones once.
+    pub cross_zone: f64,
+    /// For as much wasted work as was requested.
+    pub waste: f64,
+    /// For all value that ends unserved after its latency target.
+    pub late_fail: f64,
+}
+
+impl Default for Settings {
+    fn default() -> Self {
+        Settings {
+            balancers: 1,
+            balancer_index: 0,
+            classes: Vec::new(),
+            tenants: Vec::new(),
+            over_share_value: 1.0,
+            zones: 1,
+            zone: 0,
+            discovery: Discovery::Pushed,
+            sizes: SizeMeaning::Unknown,
+            key_affinity: false,
+            tick: 5_000,
+            limits: Limits {
+                max_attempts: 3,
+                allow_hedging: false,
+                cancel: true,
+                probes: false,
+                peers: false,
+                retry_after: false,
+                max_retry_after: 1_000_000,
+            },
+            safety: Safety {
+                answer_slack: 20_000,
+                discovery_interval: 10_000_000,
+                initial_capacity: 0.2,
+                warm_up: 20_000_000,
+                drain_grace: 500_000,
+                overload_window: 1_000_000,
+                overload_multiple: 3.0,
+            },
+            penalties: Penalties {
+                cross_zone: 0.0,
+                waste: 0.0,
+                late_fail: 0.0,
+            },
+        }
+    }
+}
+
+impl Settings {
+    /// Checks that the settings make sense together.
+    ///
+    /// # Errors
+    /// The first setting that does not.
+    pub fn validate(&self) -> Result<(), SettingsError> {
+        let check = |name, fits: bool| {
+            if fits {
+                Ok(())
+            } else {
+                Err(SettingsError::OutOfRange { name })
+            }
+        };
+        let part = |name, v: f64| check(name, (0.0..=1.0).contains(&v));
+        let positive = |name, v: f64| check(name, v.is_finite() && v > 0.0);
+        // Durations are kept below 30 years, so that sums with clock readings cannot overflow.
+        let duration = |name, v: Micros| check(name, v < 1_000_000_000_000_000);
+        if self.classes.is_empty() {
+            return Err(SettingsError::NoClasses);
+        }
+        for class in &self.classes {
+            positive("aim", class.latency_target as f64)?;
+            duration("aim", class.latency_target)?;
+            duration("deadline", class.deadline)?;
+            if let Effect::Deduplicated { window, .. } = class.effect {
+                duration("window", window)?;
+            }
+            positive("deadline", class.deadline as f64)?;
+            positive("worth", class.value + f64::MIN_POSITIVE)?;
+            part("late_share", class.late_value_share)?;
+        }
+        for tenant in &self.tenants {
+            positive(
+                "allowance_per_s",
+                tenant.allowance_per_s + f64::MIN_POSITIVE,
+            )?;
+            part("share", tenant.share)?;
+        }
+        if self.zone >= self.zones {
+            return Err(SettingsError::UnknownZone);
+        }
+        positive("balancers", f64::from(self.balancers))?;
+        positive("most_tries", f64::from(self.limits.max_attempts))?;
+        positive("tick", self.tick as f64)?;
+        duration("tick", self.tick)?;
+        duration("ask_within", self.safety.discovery_interval)?;
+        duration("cold", self.safety.warm_up)?;
+        duration("fall", self.safety.overload_window)?;
+        positive("fall_multiple", self.safety.overload_multiple)?;
+        positive("fall", self.safety.overload_window as f64)?;
+        positive("cold_share", self.safety.initial_capacity)?;
+        part("cold_share", self.safety.initial_capacity)?;
+        part("over_share_worth", self.over_share_value)?;
+        positive("cross_zone", self.penalties.cross_zone + f64::MIN_POSITIVE)
+    }
+}
+
+/// Why a balancer could not be built.
+#[derive(Debug, Error, PartialEq, Eq)]
+#[non_exhaustive]
+pub enum SettingsError {
+    /// There is no class of requests.
+    #[error("no class of requests is configured")]
+    NoClasses,
+    /// The balancer's own zone is not among the configured ones.
+    #[error("the own zone is not among the configured zones")]
+    UnknownZone,
+    /// A figure is outside of what makes sense.
+    #[error("the setting `{name}` is out of range")]
+    OutOfRange {
+        /// The setting's name.
+        name: &'static str,
+    },
+}
--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/balance.rs
@@ -117,7 +117,7 @@
         self.fleet.turn(self.subset_salt ^ mix(rotation));
         match event {
             Event::Request(request) => self.accept_request(request, actions),
-            Event::AttemptEnded(ended) => self.attempt_ended(ended, actions),
+            Event::AttemptEnded(ended) => self.attempt_ended(&ended, actions),
             Event::ResponseStarted { id, .. } => {
                 if let Some(open) = self.open_requests.get_mut(&id) {
                     open.streaming = true;
@@ -137,7 +137,7 @@
                 latency,
                 ..
             } => self.probe_ended(server, outcome, latency, actions),
-            Event::PeerMessage { from, data } => self.peer_load.hear(self.now, from, &data),
+            Event::PeerMessage { from, data } => self.peer_load.receive(self.now, from, &data),
         }
         self.run_due(actions);
     }
--- a/crates/balancer/src/balance/attempts.rs
+++ b/crates/balancer/src/balance/attempts.rs
@@ -67,27 +67,28 @@
 
     /// An attempt ended: judges its server, then ends the request, retries it, or waits for its other
     /// attempt.
-    pub(super) fn attempt_ended(&mut self, ended: AttemptEnded, actions: &mut Vec<Action>) {
+    pub(super) fn attempt_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
         let open = self.open_requests.get_mut(&ended.id);
         let class = open.as_ref().map(|open| open.request.class);
         let attempt = open.and_then(|open| open.attempts.get_mut(ended.attempt as usize));
         let sent = attempt
             .filter(|attempt| attempt.outcome.is_none())
             .map(|attempt| attempt.end(ended.outcome));
-        self.record_outcome(&ended, class, sent, actions);
+        self.record_outcome(ended, class, sent, actions);
         if let Some((class, at)) = class.zip(sent) {
             let target = self.settings.classes[class].latency_target;
-            let log = failure_detector::hear(
+            let log = failure_detector::judge_class(
                 &mut self.fleet,
-                (&ended, class, at),
+                (ended, class, at),
                 (self.now, target),
                 EJECTION_TIME,
             );
             actions.extend(log.map(Action::Log));
             self.failure_detector.ended(ended.server);
             let sign = failure_detector::sign_of(ended.outcome, ended.latency);
-            sign.into_iter()
-                .for_each(|sign| self.record_sign(ended.server, sign, actions));
+            if let Some(sign) = sign {
+                self.record_sign(ended.server, sign, actions);
+            }
             // Two failures in a row are checked by a probe: guards requests that must not be retried,
             // for a dead process resets and then refuses connections.
             let is_reset = ended.outcome == Outcome::Reset && self.settings.limits.probes;
--- a/crates/balancer/src/balance/capacity.rs
+++ b/crates/balancer/src/balance/capacity.rs
@@ -42,7 +42,7 @@
         };
         let load = self
             .fleet
-            .silent(class)
+            .ejected_for(class)
             .filter(is_ejected_here)
             .fold(self.fleet.load(own), Load::without);
         let (in_flight, all) = (load.in_flight as f64, (load.healthy + load.ejected) as f64);
@@ -77,7 +77,7 @@
             0.0
         } else {
             self.fleet
-                .needs_maintenance()
+                .maintained()
                 .map(|node| node.recent_successes)
                 .sum::<f64>()
         };
--- a/crates/balancer/src/balance/health.rs
+++ b/crates/balancer/src/balance/health.rs
@@ -170,7 +170,7 @@
         actions.extend(finding.log.map(Action::Log));
         actions.extend(
             finding
-                .ask
+                .probe
                 .into_iter()
                 .map(|server| Action::Probe { server }),
         );
@@ -190,8 +190,9 @@
                 &classes[open.request.class],
                 &self.latencies[open.request.class],
             );
-            let is_unreachable =
-                |attempt: &Attempt| attempt.server == server || detector.silent(attempt.zone);
+            let is_unreachable = |attempt: &Attempt| {
+                attempt.server == server || detector.is_unreachable(attempt.zone)
+            };
             let is_useful = self.now + (usual.median as Micros) < open.target_at;
             let stranded_attempt = open
                 .stranded_attempt(class, limits, is_unreachable)
@@ -222,7 +223,7 @@
             // Guards against permanent ejection where no class is idempotent: a probe is the trial,
             // and costs no request.
             let is_reachable =
-                node.server.phase == Phase::Ready && !detector.silent(node.server.zone);
+                node.server.phase == Phase::Ready && !detector.is_unreachable(node.server.zone);
             let ready = self.settings.limits.probes && is_reachable;
             if let Some((_, until)) = node
                 .ejected
@@ -248,7 +249,7 @@
         self.grant_warm_up();
         // Guards the busiest of many balancers against an even share of limits, most of which the
         // others do not use.
-        self.fleet.scale(self.peer_load.follow(now));
+        self.fleet.scale(self.peer_load.update_shares(now));
         actions.extend(
             self.peer_load
                 .due(now)
--- a/crates/balancer/src/balance/requests.rs
+++ b/crates/balancer/src/balance/requests.rs
@@ -8,7 +8,7 @@
 use crate::api::{Action, ClassId, Effect, Micros, Outcome, Request, RequestId};
 use crate::state::{Attempt, OpenRequest, mix, unit};
 
-/// A request that reached no server is given up at this part of its time: wake_ups, a client gains
+/// A request that reached no server is given up at this part of its time: later, a client gains
 /// nothing by the wait.
 const UNSENT_TIME_SHARE: f64 = 0.15;
 
@@ -19,7 +19,7 @@
         if request.class >= self.latencies.len() || request.expires <= self.now {
             return actions.push(self.rejection(id, request.class));
         }
-        self.peer_load.asked(self.now);
+        self.peer_load.count_request(self.now);
         let earned = RETRY_BUDGET_EARNED.0
             + RETRY_BUDGET_EARNED.1 * (self.hedge_win_rate - HEDGE_WIN_RATE.0).max(0.0);
         self.retry_budget = (self.retry_budget + earned).min(MAX_RETRY_BUDGET);
@@ -63,12 +63,12 @@
             .saturating_sub(self.latencies[open.request.class].median as Micros);
         let wake_ups =
             [open.spill_at, target_reachable_until, open.unsent_until].map(|at| (at, id));
-        if candidates.is_empty() && self.failure_detector.all(&self.fleet) {
+        if candidates.is_empty() && self.failure_detector.is_isolated(&self.fleet) {
             // Guards clients against waiting where this balancer itself is partitioned off.
             self.end(id, actions);
             return true;
         }
-        let Some(server) = self.draw(candidates, key) else {
+        let Some(server) = self.draw(&candidates, key) else {
             if self.queue.insert(position) {
                 self.due_requests.extend(wake_ups);
             }
@@ -104,7 +104,7 @@
             0 => self.end(id, actions),
             1 if is_useful && may_hedge && open.has_attempts_left(&self.settings.limits) => {
                 let (candidates, key) = (self.candidates(open), open.request.key);
-                if let Some(server) = self.draw(candidates, key) {
+                if let Some(server) = self.draw(&candidates, key) {
                     self.retry_budget -= 1.0;
                     self.send(id, server, actions);
                 }
--- a/crates/balancer/src/balance/selection.rs
+++ b/crates/balancer/src/balance/selection.rs
@@ -43,7 +43,7 @@
                     (!by_health || is_healthy && self.serves_class(node, open.request.class))
                         && (allow_tried || !was_tried(node.server.id))
                         && self.may_send(open, node)
-                        && !self.failure_detector.silent(node.server.zone)
+                        && !self.failure_detector.is_unreachable(node.server.zone)
                 };
                 // The first test avoids the scan of a side that is ejected as a whole.
                 let is_side_ejected =
@@ -81,7 +81,7 @@
         let subset_size = self.peer_load.subset_size(self.now);
         if subset_size == usize::MAX {
             let from = (!self.settings.key_affinity).then_some(self.round_robin_position);
-            return self.fleet.some(own, from, is_usable, has_capacity);
+            return self.fleet.sample(own, from, is_usable, has_capacity);
         }
         // Guards against waiting for warming servers while others further on have capacity.
         let is_offered = |(i, n): &(usize, &Node)| {
@@ -122,7 +122,7 @@
     /// Weighted round robin by credit: each draw credits every candidate its share and takes one from
     /// the server chosen. With key affinity the key's rendezvous hash chooses among those that are
     /// within their bound.
-    pub(super) fn draw(&mut self, set: Vec<ServerId>, key: Option<u64>) -> Option<ServerId> {
+    pub(super) fn draw(&mut self, set: &[ServerId], key: Option<u64>) -> Option<ServerId> {
         let key = key.filter(|_| self.settings.key_affinity);
         let members = || set.iter().filter_map(|id| self.fleet.get(*id));
         let usual = members().map(|node| node.slowness).sum::<f64>() / set.len().max(1) as f64;
--- a/crates/balancer/src/failure_detector.rs
+++ b/crates/balancer/src/failure_detector.rs
@@ -1,15 +1,15 @@
-//! Who gives no sign at all: servers, zones and classes that keep silent. No I/O, and nothing here
-//! decides about a request: `balance.rs` tells what is sent and heard and asks whom to probe and
-//! who is silent.
+//! The failure detector: zones that are unreachable, and classes that a server does not answer. No
+//! I/O, and nothing here decides about a request: `balance` reports what is sent and received, and
+//! asks whom to probe and which zone is unreachable.
 //!
-//! FailureDetector is not slowness. A slow zone still gives signs: an answer however late, a refusal, an
-//! error, the answer to a probe, which is given beside a server's queue. One that is cut off or
-//! gone without a word gives none. So a zone that owes answers and from which nothing at all is
-//! heard for longer than usual is asked for a sign: one probe, then two more. It is silent when a
-//! few of its servers ([`WITNESSES`]; all, where it has fewer) meet the probes with nothing and no
-//! sign of any of its servers comes in between; one sign ends it. The scheme is SWIM's direct probe
-//! (Das, Gupta and Motivala 2002) with several witnesses for a zone. Why there is no accrual over
-//! the gaps between answers (Hayashibara et al. 2004), and no probe for each late answer:
+//! Unreachable is not slow. A slow zone still gives signs of life: a late response, a rejection, an
+//! error, the answer to a probe, which is given beside a server's queue. A zone that is partitioned
+//! off or has failed gives none. So a zone with responses pending from which nothing arrives for
+//! longer than usual is probed: one server, then two more. It is unreachable when a few of its
+//! servers ([`WITNESSES`]; all, where it has fewer) leave probes unanswered and no sign of any of its
+//! servers arrives in between; one sign ends it. The scheme is SWIM's direct probe (Das, Gupta and
+//! Motivala 2002) with several witnesses for a zone. Why there is no accrual over the gaps between
+//! responses (Hayashibara et al. 2004), and no probe for each late response:
 //! `docs/design/silence.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,76 +18,77 @@
 use crate::fleet::Fleet;
 use crate::state::{ClassEjection, Node, Rng};
 
-/// Servers found silent in a row that make their zone silent: at first, and while it has been
-/// silent of late.
+/// Unreachable servers in a row that make their zone unreachable: at first, and while it has
+/// recovered recently.
 const WITNESSES: (usize, usize) = (3, 2);
-/// A zone that has been silent counts as such for this long after its first sign.
+/// A zone has recovered recently for this long after its first sign of life.
 const RECENT_RECOVERY: Micros = 15_000_000;
-/// The own zone, while silent, is tried again by a probe after the first, then less often up to the
-/// last; another zone, which is rarely needed, after so many times that. The agents of a tier that
-/// found it silent at once spread over half of it.
+/// First and longest interval between probes of the own zone while it is unreachable. The balancers
+/// of a tier, which find it unreachable at once, spread over half of it.
 const TRIAL_INTERVALS: (Micros, Micros) = (300_000, 600_000);
+/// Other zones, which are rarely needed, are probed less often by this factor.
 const REMOTE_TRIAL_FACTOR: Micros = 8;
-/// A quiet zone that owes one answer alone is asked after so many times the usual; those that owe
-/// more, after it.
+/// A zone with a single response pending is probed after this many times the usual latency; with
+/// more pending, after once that.
 const SINGLE_ATTEMPT_FACTOR: Micros = 2;
-/// A zone that was asked and stays quiet is asked for its other witnesses after this, and for all
-/// again after the second.
+/// If a probe is unanswered, the other witnesses are probed after the first of these, and all again
+/// after the second.
 const PROBE_RETRY_DELAYS: (Micros, Micros) = (60_000, 1_000_000);
-/// A connection that fails after this or later never came up: the refusal of a process that is gone
-/// takes one way there and back.
+/// A connection that fails later than this was never answered: the refusal by a host whose process
+/// has ended takes one round trip.
 const CONNECT_REFUSED_TIME: Micros = 100_000;
-/// One attempt's part in the average of those that a server keeps silent on, and what that average
-/// is to be, and to be above the others', for the class to be left out.
+/// Smoothing factor of a server's rate of unanswered attempts for a class.
 const CLASS_EJECTION_SMOOTHING: f64 = 0.25;
+/// The rate at which a server is ejected for the class.
 const CLASS_EJECTION_THRESHOLD: f64 = 0.5;
+/// How far it must exceed the other servers' rate.
 const CLASS_EJECTION_MARGIN: f64 = 0.25;
 
-/// What is to be done about a sign, or its lack: a line for the log, and whom to probe.
+/// What follows from a sign of life, or its lack: a line for the log, and whom to probe.
 #[derive(Debug, Default)]
 pub(crate) struct Finding {
     pub log: Option<String>,
-    pub ask: Vec<ServerId>,
+    pub probe: Vec<ServerId>,
 }
 
-/// What one more unanswered probe or connection says.
+/// What follows from one more unanswered probe or connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Verdict {
     /// Nothing new.
     Nothing,
-    /// The server is silent; so many others of its zone are to be probed, to know whether the zone
-    /// is.
+    /// The server is unreachable; this many others of its zone are to be probed, to find out whether
+    /// the zone is.
     Server(usize),
-    /// With this server its whole zone is silent.
+    /// With this server its whole zone is unreachable.
     Zone,
 }
 
-/// A server that owes an answer.
+/// A server with responses pending.
 struct PendingServer {
     zone: ZoneId,
-    /// Attempts out, and since when nothing was heard.
+    /// Attempts in flight, and since when nothing has arrived.
     in_flight: u32,
     since: Micros,
 }
 
 #[derive(Default)]
 struct Zone {
-    /// Its last sign; since then probed, and when first.
-    heard: Micros,
-    asked: Vec<ServerId>,
-    asked_at: Micros,
-    /// Finding silent since the last sign of any server here.
-    found: BTreeSet<ServerId>,
-    /// Silent: when it is tried again, and after how long the next time.
-    silent: Option<(Micros, Micros)>,
-    /// Its first sign after it was silent.
-    back: Option<Micros>,
+    /// Its last sign of life; the servers probed since then, and when the first was.
+    last_sign: Micros,
+    probed: Vec<ServerId>,
+    probed_at: Micros,
+    /// Servers found unreachable since the last sign of any server here.
+    unreachable: BTreeSet<ServerId>,
+    /// While unreachable: when it is probed next, and the interval.
+    next_probe: Option<(Micros, Micros)>,
+    /// Its first sign of life after it was unreachable.
+    recovered_at: Option<Micros>,
 }
 
-/// What was heard of whom.
+/// When servers and zones last gave a sign of life.
 #[derive(Default)]
 pub(crate) struct FailureDetector {
-    owing: BTreeMap<ServerId, PendingServer>,
+    pending: BTreeMap<ServerId, PendingServer>,
     zones: Vec<Zone>,
 }
 
@@ -99,31 +100,31 @@
         &mut self.zones[zone]
     }
 
-    /// An attempt went out.
+    /// Records that an attempt was sent.
     pub(crate) fn sent(&mut self, server: ServerId, zone: ZoneId, now: Micros) {
         self.zone(zone);
-        let owing = self.owing.entry(server).or_insert(PendingServer {
+        let pending = self.pending.entry(server).or_insert(PendingServer {
             zone,
             in_flight: 0,
             since: now,
         });
-        if owing.in_flight == 0 {
-            owing.since = now;
+        if pending.in_flight == 0 {
+            pending.since = now;
         }
-        owing.in_flight += 1;
+        pending.in_flight += 1;
     }
 
-    /// An attempt ended, whatever was heard.
+    /// Records that an attempt ended, however it did.
     pub(crate) fn ended(&mut self, server: ServerId) {
-        if let Some(owing) = self.owing.get_mut(&server) {
-            owing.in_flight = owing.in_flight.saturating_sub(1);
-            if owing.in_flight == 0 {
-                self.owing.remove(&server);
+        if let Some(pending) = self.pending.get_mut(&server) {
+            pending.in_flight = pending.in_flight.saturating_sub(1);
+            if pending.in_flight == 0 {
+                self.pending.remove(&server);
             }
         }
     }
 
-    /// A server gave a sign, or met nothing when it owed one.
+    /// Records that a server gave a sign of life, or that none arrived when one was due.
     pub(crate) fn heard(
         &mut self,
         fleet: &Fleet,
@@ -140,7 +141,7 @@
             let log = back.then(|| format!("zone {zone} gives signs again"));
             return Finding {
                 log,
-                ask: Vec::new(),
+                probe: Vec::new(),
             };
         }
         let ready = fleet.zone(zone).ready();
@@ -152,23 +153,23 @@
                 ));
                 Finding {
                     log,
-                    ask: Vec::new(),
+                    probe: Vec::new(),
                 }
             }
-            Verdict::Server(others) => {
+            Verdict::Server(count) => {
                 let other = |n: &&Node| n.server.id != server && n.ejected.is_none();
-                let skip = (rng.unit() * ready.saturating_sub(others + 1) as f64) as usize;
-                let ask = here(fleet, zone).filter(other).skip(skip).take(others);
+                let skip = (rng.unit() * ready.saturating_sub(count + 1) as f64) as usize;
+                let others = here(fleet, zone).filter(other).skip(skip).take(count);
                 Finding {
                     log: None,
-                    ask: ask.map(|n| n.server.id).collect(),
+                    probe: others.map(|n| n.server.id).collect(),
                 }
             }
         }
     }
 
-    /// Whom to probe now: servers of quiet zones that owe answers for longer than `usual`, and one
-    /// of each silent zone whose trial is due.
+    /// Whom to probe now: servers of zones from which nothing has arrived for longer than `usual`, and
+    /// one of each unreachable zone whose next probe is due.
     pub(crate) fn due(
         &mut self,
         fleet: &Fleet,
@@ -184,46 +185,47 @@
         due
     }
 
-    /// The server gave a sign; true where its zone was silent until now.
+    /// The server gave a sign of life; returns whether its zone was unreachable until now.
     fn sign(&mut self, server: ServerId, zone: ZoneId, now: Micros) -> bool {
-        if let Some(owing) = self.owing.get_mut(&server) {
-            owing.since = now;
+        if let Some(pending) = self.pending.get_mut(&server) {
+            pending.since = now;
         }
         let zone = self.zone(zone);
-        zone.heard = now;
-        zone.asked.clear();
-        zone.found.clear();
-        let ends = zone.silent.take().is_some();
+        zone.last_sign = now;
+        zone.probed.clear();
+        zone.unreachable.clear();
+        let ends = zone.next_probe.take().is_some();
         if ends {
-            zone.back = Some(now);
+            zone.recovered_at = Some(now);
         }
         ends
     }
 
-    /// Whom to ask for a sign: of each zone that owes answers and was not heard of for longer than
-    /// `usual` (for [`SINGLE_ATTEMPT_FACTOR`] times as long where it owes one alone), those that owe longest: one,
-    /// then the other witnesses. Zones other than the `own` are asked only where they owe enough
-    /// for all witnesses: guards against a probe for each late answer to a request that crossed.
+    /// Whom to probe: of each zone with responses pending from which nothing has arrived for longer
+    /// than `usual` (for [`SINGLE_ATTEMPT_FACTOR`] times as long where one is pending), the servers
+    /// with the oldest: one, then the other witnesses. Zones other than the `own` are probed only
+    /// with enough pending for all witnesses: guards against a probe for each late response of
+    /// another zone.
     fn suspects(&mut self, now: Micros, usual: Micros, own: ZoneId) -> Vec<ServerId> {
         let mut due = Vec::new();
         for (id, zone) in self
             .zones
             .iter_mut()
             .enumerate()
-            .filter(|(_, z)| z.silent.is_none())
+            .filter(|(_, z)| z.next_probe.is_none())
         {
-            let mut owing: Vec<(Micros, ServerId)> = self
-                .owing
+            let mut pending: Vec<(Micros, ServerId)> = self
+                .pending
                 .iter()
                 .filter(|(_, o)| o.zone == id)
                 .map(|(server, o)| (o.since, *server))
                 .collect();
-            owing.sort_unstable();
-            let Some(&(first, _)) = owing.first() else {
+            pending.sort_unstable();
+            let Some(&(first, _)) = pending.first() else {
                 continue;
             };
             let in_flight: u32 = self
-                .owing
+                .pending
                 .values()
                 .filter(|o| o.zone == id)
                 .map(|o| o.in_flight)
@@ -237,37 +239,37 @@
             } else {
                 usual
             };
-            if now < first.max(zone.heard) + timeout {
+            if now < first.max(zone.last_sign) + timeout {
                 continue;
             }
             let (more, again) = (
-                zone.asked_at + PROBE_RETRY_DELAYS.0,
-                zone.asked_at + PROBE_RETRY_DELAYS.1,
+                zone.probed_at + PROBE_RETRY_DELAYS.0,
+                zone.probed_at + PROBE_RETRY_DELAYS.1,
             );
-            if !zone.asked.is_empty() && now >= again {
-                zone.asked.clear();
+            if !zone.probed.is_empty() && now >= again {
+                zone.probed.clear();
             }
-            let wanted = match zone.asked.len() {
+            let wanted = match zone.probed.len() {
                 0 => 1,
                 1 if now >= more => WITNESSES.0 - 1,
                 _ => continue,
             };
-            if zone.asked.is_empty() {
-                zone.asked_at = now;
+            if zone.probed.is_empty() {
+                zone.probed_at = now;
             }
-            let others = owing
+            let others = pending
                 .iter()
                 .map(|o| o.1)
-                .filter(|o| !zone.asked.contains(o));
+                .filter(|o| !zone.probed.contains(o));
             let ask: Vec<ServerId> = others.take(wanted).collect();
-            zone.asked.extend(&ask);
+            zone.probed.extend(&ask);
             due.extend(ask);
         }
         due
     }
 
-    /// A probe of a server, or a connection to it, met nothing in the time it may take; `size`
-    /// servers are in its zone. `draw` in [0, 1) spreads the trials.
+    /// A probe of a server, or a connection to it, was not answered in time; `size` servers are in its
+    /// zone. `draw` in [0, 1) spreads the next probes.
     fn unanswered(
         &mut self,
         server: ServerId,
@@ -277,47 +279,49 @@
         draw: f64,
     ) -> Verdict {
         let zone = self.zone(zone);
-        if zone.silent.is_some() || !zone.found.insert(server) {
+        if zone.next_probe.is_some() || !zone.unreachable.insert(server) {
             return Verdict::Nothing;
         }
-        // A zone that comes and goes is left sooner each time, not later.
-        let of_late = zone.back.is_some_and(|at| now < at + RECENT_RECOVERY);
+        // A zone that flaps is found unreachable sooner each time, not later.
+        let of_late = zone
+            .recovered_at
+            .is_some_and(|at| now < at + RECENT_RECOVERY);
         let needed = if of_late { WITNESSES.1 } else { WITNESSES.0 }.min(size.max(1));
-        if zone.found.len() < needed {
+        if zone.unreachable.len() < needed {
             let asked = zone
-                .asked
+                .probed
                 .iter()
-                .filter(|id| !zone.found.contains(id))
+                .filter(|id| !zone.unreachable.contains(id))
                 .count();
-            let more = needed.saturating_sub(zone.found.len() + asked);
-            return Verdict::Server(if zone.found.len() == 1 { more } else { 0 });
+            let more = needed.saturating_sub(zone.unreachable.len() + asked);
+            return Verdict::Server(if zone.unreachable.len() == 1 { more } else { 0 });
         }
         let wait = if own {
             TRIAL_INTERVALS.0
         } else {
             TRIAL_INTERVALS.0 * REMOTE_TRIAL_FACTOR
         };
-        zone.silent = Some((now + (wait as f64 * (0.5 + draw / 2.0)) as Micros, wait));
+        zone.next_probe = Some((now + (wait as f64 * (0.5 + draw / 2.0)) as Micros, wait));
         Verdict::Zone
     }
 
-    /// Whether the whole zone is silent.
-    pub(crate) fn silent(&self, zone: ZoneId) -> bool {
-        self.zones.get(zone).is_some_and(|z| z.silent.is_some())
+    /// Whether the whole zone is unreachable.
+    pub(crate) fn is_unreachable(&self, zone: ZoneId) -> bool {
+        self.zones.get(zone).is_some_and(|z| z.next_probe.is_some())
     }
 
-    /// Whether every zone with servers that take requests is silent: then this agent itself is cut
+    /// Whether every zone with ready servers is unreachable: then this balancer itself is partitioned
     /// off.
-    pub(crate) fn all(&self, fleet: &Fleet) -> bool {
-        let any = self.zones.iter().any(|z| z.silent.is_some());
-        any && fleet.ready().all(|n| self.silent(n.server.zone))
+    pub(crate) fn is_isolated(&self, fleet: &Fleet) -> bool {
+        let any = self.zones.iter().any(|z| z.next_probe.is_some());
+        any && fleet.ready().all(|n| self.is_unreachable(n.server.zone))
     }
 
-    /// The silent zones whose trial is due: one probe each.
+    /// The unreachable zones whose next probe is due: one probe each.
     fn trials(&mut self, now: Micros) -> Vec<ZoneId> {
         let mut due = Vec::new();
         for (id, zone) in self.zones.iter_mut().enumerate() {
-            if let Some((at, wait)) = zone.silent.as_mut().filter(|(at, _)| *at <= now) {
+            if let Some((at, wait)) = zone.next_probe.as_mut().filter(|(at, _)| *at <= now) {
                 *wait = (*wait * 3 / 2).min(if *wait > TRIAL_INTERVALS.1 {
                     TRIAL_INTERVALS.1 * REMOTE_TRIAL_FACTOR
                 } else {
@@ -331,13 +335,13 @@
     }
 }
 
-/// Those of a zone that take requests.
+/// The ready servers of a zone.
 fn here(fleet: &Fleet, zone: ZoneId) -> impl Iterator<Item = &Node> {
     fleet.ready().filter(move |n| n.server.zone == zone)
 }
 
-/// What the end of an attempt says of whether its server is there at all: a sign, none, or nothing
-/// either way.
+/// Whether the end of an attempt is a sign of life of its server; `None` where it says nothing either
+/// way.
 pub(crate) fn sign_of(outcome: Outcome, latency: Micros) -> Option<bool> {
     match outcome {
         Outcome::Ok
@@ -351,37 +355,37 @@
 }
 
 /// Judges by the end of an attempt sent at `at` whether its server answers a class. Guards classes
-/// against servers silent on them alone: the others' answers hide that, and clients leave before
-/// such an attempt times out. `rest` is the first and the longest time the class is left out there;
-/// a line for the log where it is from now on.
-pub(crate) fn hear(
+/// against servers that fail to answer them alone: responses to other classes hide that, and clients
+/// disconnect before such an attempt times out. `ejection_time` is the first and the longest time for
+/// which the server is ejected for the class; returns a line for the log where it is from now on.
+pub(crate) fn judge_class(
     fleet: &mut Fleet,
-    (e, class, at): (&AttemptEnded, ClassId, Micros),
-    (now, aim): (Micros, Micros),
-    rest: (Micros, Micros),
+    (ended, class, at): (&AttemptEnded, ClassId, Micros),
+    (now, target): (Micros, Micros),
+    ejection_time: (Micros, Micros),
 ) -> Option<String> {
-    let silent = match e.outcome {
+    let silent = match ended.outcome {
         Outcome::Ok => false,
-        Outcome::Cancelled | Outcome::Timeout if now - at >= aim => true,
+        Outcome::Cancelled | Outcome::Timeout if now - at >= target => true,
         _ => return None,
     };
-    let node = fleet.get(e.server).filter(|n| at >= n.since)?;
+    let node = fleet.get(ended.server).filter(|n| at >= n.since)?;
     let known = node.class_ejections.get(&class);
     if at < known.map_or(0, |m| m.since) || known.is_none() && !silent {
-        return None; // it was sent before the class was left out, or all is well
+        return None; // sent before the ejection, or the class has no failure
     }
     let usual = fleet
         .class_failure_rates(class)
         .without(known.map_or(0.0, |m| m.failure_rate));
     let usual = usual / (fleet.len() as f64 - 1.0).max(1.0);
-    let left_out = fleet.change_class_ejection(e.server, class, |ejection| {
+    let left_out = fleet.change_class_ejection(ended.server, class, |ejection| {
         ejection.failure_rate +=
             CLASS_EJECTION_SMOOTHING * (f64::from(u8::from(silent)) - ejection.failure_rate);
         if silent
             && ejection.failure_rate >= CLASS_EJECTION_THRESHOLD
             && ejection.failure_rate - usual >= CLASS_EJECTION_MARGIN
         {
-            ejection.backoff = (ejection.backoff * 2).clamp(rest.0, rest.1);
+            ejection.backoff = (ejection.backoff * 2).clamp(ejection_time.0, ejection_time.1);
             (ejection.since, ejection.until) = (now, now + ejection.backoff);
             return true;
         }
@@ -390,9 +394,12 @@
         }
         false
     });
-    left_out
-        .filter(|out| *out)
-        .map(|_| format!("server {:016x} keeps silent on class {class}", e.server.0))
+    left_out.filter(|out| *out).map(|_| {
+        format!(
+            "server {:016x} keeps silent on class {class}",
+            ended.server.0
+        )
+    })
 }
 
 #[cfg(test)]
--- a/crates/balancer/src/failure_detector/tests.rs
+++ b/crates/balancer/src/failure_detector/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_quiet_zone_that_owes_answers_is_asked_for_a_sign_and_a_sign_ends_that() {
+fn a_zone_with_pending_responses_and_no_sign_is_probed_until_a_sign_arrives() {
     let mut s = FailureDetector::default();
     s.sign(id(9), 0, 0);
     (1..=4).for_each(|n| s.sent(id(n), 0, 10 * MS * n));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn three_in_a_row_make_a_zone_silent_and_any_sign_between_them_does_not() {
+fn three_unanswered_probes_in_a_row_make_a_zone_unreachable_and_a_sign_between_them_prevents_it() {
     let mut s = FailureDetector::default();
     assert_eq!(
         s.unanswered(id(1), (0, true), 50, 0, 0.0),
@@ -74,7 +74,7 @@
         "zones are apart"
     );
     assert_eq!(s.unanswered(id(5), (0, true), 50, 7, 0.0), Verdict::Zone);
-    assert!(s.silent(0) && !s.silent(1));
+    assert!(s.is_unreachable(0) && !s.is_unreachable(1));
     let mut few = FailureDetector::default();
     few.unanswered(id(1), (0, true), 2, 0, 0.0);
     assert_eq!(
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_silent_zone_is_tried_by_one_probe_at_a_time_and_is_left_sooner_the_next_time() {
+fn an_unreachable_zone_is_probed_once_at_a_time_and_found_unreachable_sooner_the_next_time() {
     let mut s = FailureDetector::default();
     (1..=3).for_each(|n| _ = s.unanswered(id(n), (0, true), 50, 0, 0.999));
     assert_eq!(s.trials(TRIAL_INTERVALS.0 / 2), []);
@@ -98,7 +98,7 @@
         "it is silent already"
     );
     assert!(s.sign(id(2), 0, 2_000 * MS), "one sign ends it");
-    assert!(!s.silent(0) && s.trials(9_000 * MS).is_empty());
+    assert!(!s.is_unreachable(0) && s.trials(9_000 * MS).is_empty());
     assert_eq!(
         s.unanswered(id(5), (0, true), 50, 3_000 * MS, 0.0),
         Verdict::Server(1)
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn another_zone_is_tried_less_often_and_no_witness_is_asked_twice() {
+fn another_zone_is_probed_less_often_and_no_witness_twice() {
     let mut s = FailureDetector::default();
     (1..=3).for_each(|n| _ = s.unanswered(id(n), (0, false), 50, 0, 0.999));
     assert_eq!(s.trials(TRIAL_INTERVALS.0 * 4), []);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_refused_connection_is_a_sign_and_one_that_never_came_up_is_not() {
+fn a_refused_connection_is_a_sign_of_life_and_an_unanswered_one_is_not() {
     assert_eq!(sign_of(Outcome::ConnectFailed, 20 * MS), Some(true));
     assert_eq!(sign_of(Outcome::ConnectFailed, 200 * MS), Some(false));
     assert_eq!(
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -1,7 +1,8 @@
-//! The listed servers, and what decisions ask of all of them at once, kept up to date change by
-//! change: sums by zone, orders, and who needs looking after. Nothing here decides anything.
+//! The listed servers, and aggregates over them that are updated with each change: sums by zone,
+//! orders, and which servers need maintenance. Nothing here decides anything.
 //!
-//! Sums are kept in whole units of 2^-32, so that they depend on no order and never drift.
+//! Sums are kept in whole units of 2^-32, so that they do not depend on the order of changes and never
+//! drift.
 
 use std::collections::BTreeSet;
 
@@ -10,13 +11,14 @@
 use crate::api::{ClassId, Listing, Micros, Phase, Scope, Server, ServerId, ZoneId};
 use crate::state::{ClassEjection, Node, mix};
 
-/// Below this a fading measurement counts as gone.
+/// A decaying measurement below this counts as zero.
 const MIN_SIGNIFICANT: f64 = 1e-6;
-/// Of a side with more servers than this, one request looks at so many only, others each time: a
-/// round is even, and no request costs more for a larger fleet.
+/// Of a side with more servers than this, a request considers a sample only, others each time: a round
+/// is even, and no request costs more for a larger fleet.
 const MAX_FULL_SCAN: usize = 48;
+/// The size of that sample.
 pub(crate) const SAMPLE_SIZE: usize = 16;
-/// Units in one.
+/// Units in 1.0.
 const UNITS: f64 = 4_294_967_296.0;
 
 /// A sum of numbers up to some millions.
@@ -33,34 +35,33 @@
         self.0 as f64 / UNITS
     }
 
-    /// The sum of the others: what it is without one part.
+    /// The sum without one of its parts.
     pub(crate) fn without(mut self, part: f64) -> f64 {
         self.add(part, -1);
         self.value()
     }
 }
 
-/// What is known of a group of servers together.
+/// Aggregates over a group of servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Load {
-    /// Servers, whatever their phase, how many of them are set aside, and the sum of their
-    /// failures.
+    /// Servers in any phase, how many of them are ejected, and the sum of their failure rates.
     pub count: usize,
     pub ejected_total: usize,
     pub failure_rate: Sum,
-    /// Of those that take requests: in use, set aside, attempts in flight at both, limits of each.
+    /// Of the ready ones: healthy, ejected, attempts in flight at both, limits of each.
     pub healthy: usize,
     pub ejected: usize,
     pub in_flight: u64,
     pub healthy_limit: Sum,
     pub ejected_limit: Sum,
-    /// Listed sizes, and how many tell one.
+    /// The sum of listed sizes, and how many servers have one.
     size: Sum,
     sized: usize,
 }
 
 impl Load {
-    /// Counts a server in (`sign` 1) or out (-1).
+    /// Adds a server (`sign` 1) or removes it (-1).
     fn count(&mut self, node: &Node, sign: i64) {
         let step = |n: &mut usize| *n = n.wrapping_add_signed(sign as isize);
         step(&mut self.count);
@@ -86,12 +87,12 @@
         limit.add(node.limit, sign);
     }
 
-    /// Those that take requests.
+    /// The number of ready servers.
     pub(crate) fn ready(&self) -> usize {
         self.healthy + self.ejected
     }
 
-    /// The same without one server.
+    /// The same group without one server.
     pub(crate) fn without(mut self, node: &Node) -> Self {
         self.count(node, -1);
         self
@@ -117,20 +118,20 @@
     nodes: FxHashMap<ServerId, Node>,
     zones: Vec<Load>,
     own: ZoneId,
-    /// Who takes requests, by id: in other zones, in the own one.
+    /// Ready servers by id: in other zones, in the own zone.
     sides: [Vec<ServerId>; 2],
-    /// The same in an order of this agent's own, which changes with the turn.
+    /// The same in an order of this balancer's own, which changes with each rotation.
     rings: [Vec<(u64, ServerId)>; 2],
     turn: u64,
     needs_maintenance: BTreeSet<ServerId>,
-    /// When each of those that started a while ago is granted requests next.
+    /// When each warming server is granted requests next.
     grants: BTreeSet<(Micros, ServerId)>,
-    silent: BTreeSet<(ClassId, ServerId)>,
+    class_ejections: BTreeSet<(ClassId, ServerId)>,
     class_failure_rates: Vec<Sum>,
 }
 
 impl Fleet {
-    /// Nobody yet, seen from that zone.
+    /// An empty fleet, seen from a zone.
     pub(crate) fn new(own: ZoneId, classes: usize) -> Self {
         Fleet {
             own,
@@ -143,7 +144,7 @@
         self.nodes.get(&id)
     }
 
-    /// One server, for changes to what is not summed; see [`Fleet::change`].
+    /// One server, for changes to fields that are not aggregated; otherwise see [`Fleet::change`].
     pub(crate) fn touch(&mut self, id: ServerId) -> Option<&mut Node> {
         self.nodes.get_mut(&id)
     }
@@ -152,7 +153,7 @@
         self.nodes.len()
     }
 
-    /// Changes a server, and the sums of its zone with it.
+    /// Changes a server and the aggregates of its zone with it.
     fn recount<R>(zones: &mut [Load], node: &mut Node, change: impl FnOnce(&mut Node) -> R) -> R {
         let zone = &mut zones[node.server.zone];
         zone.count(node, -1);
@@ -161,7 +162,7 @@
         result
     }
 
-    /// Changes what is known of a server; it is looked after from now on.
+    /// Changes a server; it is maintained from now on.
     pub(crate) fn change<R>(
         &mut self,
         id: ServerId,
@@ -175,8 +176,8 @@
         Some(result)
     }
 
-    /// This agent's part of what the servers of other zones and of its own carry changed: so do its
-    /// limits.
+    /// Scales limits and load shares with this balancer's share of the load in other zones and in its
+    /// own.
     pub(crate) fn scale(&mut self, by: [f64; 2]) {
         if by == [1.0; 2] {
             return;
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Changes what is known of how a server answers a class.
+    /// Changes a server's ejection for a class.
     pub(crate) fn change_class_ejection<R>(
         &mut self,
         id: ServerId,
@@ -206,14 +207,14 @@
         let result = change(ejection);
         self.class_failure_rates[class].add(ejection.failure_rate, 1);
         if ejection.since > 0 {
-            self.silent.insert((class, id))
+            self.class_ejections.insert((class, id))
         } else {
-            self.silent.remove(&(class, id))
+            self.class_ejections.remove(&(class, id))
         };
         Some(result)
     }
 
-    /// Takes a server in, in place of one of the same id.
+    /// Adds a server, in place of one of the same id.
     pub(crate) fn insert(&mut self, node: Node) {
         let id = node.server.id;
         self.remove(id);
@@ -228,7 +229,7 @@
         self.nodes.insert(id, node);
     }
 
-    /// The list says something new of the same process.
+    /// The list changed the entry of the same incarnation.
     pub(crate) fn update(&mut self, server: Server) {
         let Some(mut node) = self.take(server.id) else {
             return;
@@ -237,18 +238,18 @@
         self.insert(node);
     }
 
-    /// Forgets a server.
+    /// Removes a server.
     pub(crate) fn remove(&mut self, id: ServerId) {
         let Some(node) = self.take(id) else { return };
         for (class, ejection) in &node.class_ejections {
             self.class_failure_rates[*class].add(ejection.failure_rate, -1);
-            self.silent.remove(&(*class, id));
+            self.class_ejections.remove(&(*class, id));
         }
         self.needs_maintenance.remove(&id);
         self.grants.remove(&(node.warm_up_due, id));
     }
 
-    /// Forgets who is missing from a whole list.
+    /// Removes the servers that are missing from a complete list.
     pub(crate) fn keep(&mut self, listing: &Listing) {
         if listing.scope == Scope::Changes {
             return;
@@ -260,10 +261,12 @@
             .filter(|id| !listed.contains(id))
             .copied()
             .collect();
-        gone.into_iter().for_each(|id| self.remove(id));
+        for id in gone {
+            self.remove(id);
+        }
     }
 
-    /// Out of all sums and orders, but not of who is looked after.
+    /// Removes a server from all aggregates and orders, but not from maintenance.
     fn take(&mut self, id: ServerId) -> Option<Node> {
         let node = self.nodes.remove(&id)?;
         self.zones[node.server.zone].count(&node, -1);
@@ -296,7 +299,7 @@
         }
     }
 
-    /// Another turn: the rings are put in another order.
+    /// Starts another rotation: the rings get another order.
     pub(crate) fn turn(&mut self, turn: u64) {
         if turn == self.turn {
             return;
@@ -308,17 +311,17 @@
         }
     }
 
-    /// Those of one zone together.
+    /// The aggregates of one zone.
     pub(crate) fn zone(&self, zone: ZoneId) -> Load {
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
-    /// The agent's own zone.
+    /// The balancer's own zone.
     pub(crate) fn own(&self) -> ZoneId {
         self.own
     }
 
-    /// Those of the own zone, or of all others.
+    /// The aggregates of the own zone, or of all others.
     pub(crate) fn load(&self, own: bool) -> Load {
         let mut load = Load::default();
         let side = self
@@ -330,21 +333,21 @@
         load
     }
 
-    /// The mean of the sizes that are told; 0 where none is.
+    /// The mean of the listed sizes; 0 where there is none.
     pub(crate) fn mean_size(&self) -> f64 {
         let mut all = self.load(true);
         all.join(&self.load(false));
         all.size.value() / all.sized.max(1) as f64
     }
 
-    /// Who takes requests in the own zone, or in all others, by id.
+    /// The ready servers of the own zone, or of all others, by id.
     pub(crate) fn side(&self, own: bool) -> impl ExactSizeIterator<Item = &Node> {
         self.sides[usize::from(own)]
             .iter()
             .map(|id| &self.nodes[id])
     }
 
-    /// The same in this turn's order, from a place on, all the way round.
+    /// The same in the rotation's order, from an offset on, all the way round.
     pub(crate) fn ring(&self, own: bool, from: usize) -> impl Iterator<Item = &Node> {
         let ring = &self.rings[usize::from(own)];
         let (before, after) = ring.split_at(if ring.is_empty() {
@@ -355,9 +358,9 @@
         after.iter().chain(before).map(|(_, id)| &self.nodes[id])
     }
 
-    /// Those of a side that fit; of very many (where `from` says where this round has come to)
-    /// some, with room if they have it.
-    pub(crate) fn some(
+    /// The servers of a side that fit; of very many (with `from`, the position of the round robin) a
+    /// sample, those with capacity if there are any.
+    pub(crate) fn sample(
         &self,
         own: bool,
         from: Option<usize>,
@@ -372,23 +375,25 @@
         if near.is_empty() { full } else { near }
     }
 
-    /// Those left out for a class, or tried again for it.
-    pub(crate) fn silent(&self, class: ClassId) -> impl Iterator<Item = &Node> {
+    /// The servers ejected for a class, or on trial for it.
+    pub(crate) fn ejected_for(&self, class: ClassId) -> impl Iterator<Item = &Node> {
         let range = (class, ServerId(0))..=(class, ServerId(u64::MAX));
-        self.silent.range(range).map(|(_, id)| &self.nodes[id])
+        self.class_ejections
+            .range(range)
+            .map(|(_, id)| &self.nodes[id])
     }
 
-    /// The sum of all servers' silence on a class, as a part of attempts.
+    /// The sum of all servers' rates of unanswered attempts for a class.
     pub(crate) fn class_failure_rates(&self, class: ClassId) -> Sum {
         self.class_failure_rates[class]
     }
 
-    /// Those of whom something fades, or that are set aside, by id.
-    pub(crate) fn needs_maintenance(&self) -> impl Iterator<Item = &Node> {
+    /// The servers that need maintenance, by id.
+    pub(crate) fn maintained(&self) -> impl Iterator<Item = &Node> {
         self.needs_maintenance.iter().map(|id| &self.nodes[id])
     }
 
-    /// Looks after each of them, by id; those of whom all has faded are left alone from then on.
+    /// Maintains each of them, by id; those whose measurements have decayed need none from then on.
     pub(crate) fn maintain(&mut self, mut look: impl FnMut(&mut Node)) {
         let nodes = &mut self.nodes;
         self.needs_maintenance.retain(|id| {
@@ -406,8 +411,7 @@
         });
     }
 
-    /// Those that started lately and are due to be granted requests, by id: each is to be granted
-    /// some anew.
+    /// The warming servers that are due to be granted requests, by id; each is to be granted some.
     pub(crate) fn due_warm_ups(&mut self, now: Micros) -> Vec<ServerId> {
         if self.grants.first().is_none_or(|(at, _)| *at > now) {
             return Vec::new();
@@ -419,7 +423,7 @@
         due
     }
 
-    /// A server is cold still: it is granted requests again at `at`.
+    /// A server is still warming up: it is granted requests again at `at`.
     pub(crate) fn grant(&mut self, id: ServerId, at: Micros) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.warm_up_due = at;
@@ -427,7 +431,7 @@
         }
     }
 
-    /// Who takes requests: the own zone first.
+    /// All ready servers, those of the own zone first.
     pub(crate) fn ready(&self) -> impl Iterator<Item = &Node> {
         self.side(true).chain(self.side(false))
     }
--- a/crates/balancer/src/fleet/tests.rs
+++ b/crates/balancer/src/fleet/tests.rs
@@ -38,8 +38,8 @@
             2 => _ = fleet.change(id, |n| n.limit = (n.limit * 1.37) % 50.0),
             3 => {
                 _ = fleet.change(id, |n| {
-                    n.ejected = n.ejected.is_none().then_some((step, step))
-                })
+                    n.ejected = n.ejected.is_none().then_some((step, step));
+                });
             }
             4 => {
                 _ = fleet.change(id, |n| {
@@ -48,7 +48,7 @@
             }
             5 => {
                 let change = |m: &mut ClassEjection| {
-                    (m.failure_rate, m.since) = (m.failure_rate + 0.1, phase)
+                    (m.failure_rate, m.since) = (m.failure_rate + 0.1, phase);
                 };
                 _ = fleet.change_class_ejection(id, zone % 2, change);
             }
@@ -101,7 +101,7 @@
                 .nodes
                 .values()
                 .filter(|n| n.class_ejections.get(&class).is_some_and(|m| m.since > 0));
-            assert_eq!(fleet.silent(class).count(), silent.count(), "{step}");
+            assert_eq!(fleet.ejected_for(class).count(), silent.count(), "{step}");
         }
     }
 }
--- a/crates/balancer/src/peer_load/tests.rs
+++ b/crates/balancer/src/peer_load/tests.rs
@@ -29,21 +29,21 @@
     for now in (SECOND..11 * SECOND).step_by(10_000) {
         let mut told = Vec::new();
         for (i, agent) in agents.iter_mut().enumerate() {
-            (0..rates[i] / 100).for_each(|_| agent.asked(now));
-            agent.follow(now);
+            (0..rates[i] / 100).for_each(|_| agent.count_request(now));
+            agent.update_shares(now);
             told.extend(agent.due(now).map(|data| (i, data)));
         }
         for (from, data) in told.into_iter().filter(|t| !lost(t.0, now)) {
-            agents
-                .iter_mut()
-                .for_each(|agent| agent.hear(now, from as u32, &data));
+            for agent in &mut agents {
+                agent.receive(now, from as u32, &data);
+            }
         }
     }
     agents.iter().map(|agent| agent.shares[0]).collect()
 }
 
 #[test]
-fn each_learns_its_part_of_all_requests() {
+fn shares_follow_the_rates_of_all_balancers() {
     let shares = talk(&RATES, |_, _| false);
     assert!((shares[0] - 0.45).abs() < 0.05, "{shares:?}");
     assert!((shares[1] - 0.15).abs() < 0.02, "{shares:?}");
@@ -57,13 +57,13 @@
 /// little there: a fifth of all crossed zones although the own servers held two or three requests
 /// each.
 #[test]
-fn each_learns_its_part_of_its_own_zone() {
+fn the_own_zones_share_counts_only_its_own_balancers() {
     let mut agent = news(16, 0);
-    agent.follow(SECOND);
-    (0..200).for_each(|_| agent.asked(2 * SECOND));
+    agent.update_shares(SECOND);
+    (0..200).for_each(|_| agent.count_request(2 * SECOND));
     let told = |zone| [VERSION, zone, 160, 134, 1, 0]; // 100 requests a second
-    (1..16).for_each(|from| agent.hear(2 * SECOND, from, &told(u8::from(from > 3))));
-    let moved = agent.follow(2 * SECOND);
+    (1..16).for_each(|from| agent.receive(2 * SECOND, from, &told(u8::from(from > 3))));
+    let moved = agent.update_shares(2 * SECOND);
     let [all, near] = agent.shares;
     assert!(
         (near / all - 16.0 / 4.0).abs() < 1.0 && moved[1] > 2.0 * moved[0],
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn lost_messages_leave_even_parts_and_few_do_little_harm() {
+fn shares_are_even_without_messages_and_close_with_a_third_of_them_lost() {
     assert_eq!(talk(&RATES, |_, _| true), vec![1.0 / 16.0; 16]);
     let shares = talk(&RATES, |from, now| {
         (now / 10_000 + from as u64).is_multiple_of(3)
@@ -82,24 +82,24 @@
 
 /// Who has just started has heard of few, and must not take their part for all.
 #[test]
-fn a_newcomer_takes_those_unheard_for_usual_ones() {
+fn balancers_that_have_not_reported_yet_count_as_average() {
     let mut agent = news(100, 0);
-    agent.follow(SECOND);
-    (0..20).for_each(|_| agent.asked(SECOND + 100_000));
-    agent.hear(SECOND + 100_000, 1, &[VERSION, 0, 232, 3, 0, 0]); // 1 request a second
-    agent.follow(SECOND + 200_000);
+    agent.update_shares(SECOND);
+    (0..20).for_each(|_| agent.count_request(SECOND + 100_000));
+    agent.receive(SECOND + 100_000, 1, &[VERSION, 0, 232, 3, 0, 0]); // 1 request a second
+    agent.update_shares(SECOND + 200_000);
     assert!(agent.shares[0] < 0.2, "{:?}", agent.shares);
 }
 
 /// Agents that fall silent are gone, and what they carried is this one's.
 #[test]
-fn the_silent_are_forgotten() {
+fn balancers_that_stop_reporting_are_forgotten() {
     let shares = talk(&[400; 16], |from, now| from > 1 && now > 4 * SECOND);
     assert!((shares[0] - 0.5).abs() < 0.05, "{shares:?}");
 }
 
 #[test]
-fn what_is_malformed_or_from_nobody_known_is_dropped() {
+fn malformed_messages_and_unknown_senders_are_dropped() {
     let good = [VERSION, 0, 255, 255, 255, 255];
     let bad: [(u32, &[u8]); 6] = [
         (1, &good[..5]),
@@ -111,17 +111,17 @@
     ];
     for (from, data) in bad {
         let mut agent = news(16, 0);
-        agent.hear(SECOND, from, data);
-        assert!(agent.heard.iter().all(Option::is_none), "{from} {data:?}");
+        agent.receive(SECOND, from, data);
+        assert!(agent.reports.iter().all(Option::is_none), "{from} {data:?}");
     }
     let mut agent = news(16, 0);
-    agent.hear(SECOND, 1, &good);
-    assert!(agent.heard[1].is_some());
+    agent.receive(SECOND, 1, &good);
+    assert!(agent.reports[1].is_some());
 }
 
 /// However many agents there are, none hears more than about a hundred messages a second.
 #[test]
-fn larger_tiers_speak_less_often() {
+fn larger_tiers_report_less_often() {
     for agents in [13, 100, 2_000] {
         let mut agent = news(agents, 0);
         let told = (0..20_000)
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -254,19 +254,19 @@
     pub high: f64,
 }
 
-/// A stream of random numbers of its own for each balancer (splitmix64).
+/// A deterministic random number generator (splitmix64).
 #[derive(Clone, Debug)]
 pub struct Rng(pub u64);
 
 impl Rng {
-    /// A number in [0, 1).
+    /// The next number in [0, 1).
     pub fn unit(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         unit(mix(self.0))
     }
 }
 
-/// Stirs the bits of a number.
+/// Mixes the bits of a number (the finalizer of splitmix64).
 #[must_use]
 pub fn mix(mut z: u64) -> u64 {
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/balancer/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -117,8 +117,9 @@
             own.len() <= 4,
             "two, and two more where they change: {own:?}"
         );
-        own.into_iter()
-            .for_each(|(id, count)| *total.entry(id).or_insert(0) += count);
+        for (id, count) in own {
+            *total.entry(id).or_insert(0) += count;
+        }
     }
     assert!(
         total.len() == 10 && total.values().all(|c| (500..1_100).contains(c)),
@@ -582,7 +583,9 @@
         next += 24;
         let out = d.sends[settled..].to_vec();
         d.pass(60 * MS);
-        out.iter().for_each(|s| d.settle(s.1, s.2, Outcome::Ok));
+        for sent in &out {
+            d.settle(sent.1, sent.2, Outcome::Ok);
+        }
         settled += out.len();
         out.len()
     };
@@ -816,7 +819,9 @@
             let out: Vec<_> = (12 * n..12 * n + 12)
                 .filter(|i| d.attempts(*i) == 1 && !d.answered(*i))
                 .collect();
-            out.into_iter().for_each(|id| d.settle(id, 0, Outcome::Ok));
+            for id in out {
+                d.settle(id, 0, Outcome::Ok);
+            }
         }
         d.pass(SECOND);
     }
@@ -931,7 +936,9 @@
             ..server(1, 0)
         }],
     );
-    held.iter().for_each(|n| d.settle(*n, 0, Outcome::Reset));
+    for id in &held {
+        d.settle(*id, 0, Outcome::Reset);
+    }
     (0..9)
         .filter(|n| !held.contains(n))
         .for_each(|n| d.settle(n, 0, Outcome::Ok));
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -54,6 +54,10 @@
 /// Every attempt as the driver knows it: request, server, when sent, how it ended.
 type Attempt = (RequestId, u32, ServerId, Micros, Option<Outcome>);
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "one pass over the steps that holds all rules"
+)]
 fn check(steps: &[Step], allow_hedging: bool) -> Result<(), TestCaseError> {
     let mut s = settings(classes());
     s.limits.allow_hedging = allow_hedging;
