--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -49,5 +49,5 @@
 pub use random::{Purpose, Stream};
 pub use report::{ClassReport, Latency, Load, Report, ServerReport, Traffic};
 pub use scenario::*;
-pub use server::Tally;
+pub use server::ServerStatistics;
 pub use world::{Builder, ORIGIN, World, settings};
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -5,7 +5,7 @@
 
 use crate::judge::{Break, Counts, Judge};
 use crate::scenario::Scenario;
-use crate::server::Tally;
+use crate::server::ServerStatistics;
 
 /// Latency of answered operations, from asking to the last byte, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -67,7 +67,7 @@
     /// See `kind`.
     pub zone: String,
     /// What it did.
-    pub tally: Tally,
+    pub statistics: ServerStatistics,
     /// Busy share in each sixtieth of the run, from its start on; not a number while it was down.
     pub busy: Vec<f32>,
     /// Where it stood.
@@ -165,12 +165,16 @@
             .iter()
             .zip(&judge.by_zone)
             .map(|(z, w)| (z.clone(), w.share()));
-        let busy: f64 = each.iter().map(|s| s.tally.busy).sum();
-        let there: f64 = each.iter().map(|s| s.tally.there).sum();
-        let most = each.iter().map(|s| s.tally.there).fold(0.0, f64::max);
-        let counted = each
+        let busy: f64 = each.iter().map(|s| s.statistics.busy_core_time).sum();
+        let there: f64 = each.iter().map(|s| s.statistics.available_core_time).sum();
+        let most = each
             .iter()
-            .filter(|s| s.tally.there > 0.0 && s.tally.there >= most / 10.0);
+            .map(|s| s.statistics.available_core_time)
+            .fold(0.0, f64::max);
+        let counted = each.iter().filter(|s| {
+            s.statistics.available_core_time > 0.0
+                && s.statistics.available_core_time >= most / 10.0
+        });
         Report {
             scenario: scenario.name.clone(),
             seed,
@@ -203,9 +207,13 @@
             servers: Load {
                 mean: if there > 0.0 { busy / there } else { 0.0 },
                 greatest: counted
-                    .map(|s| s.tally.busy / s.tally.there)
+                    .map(|s| s.statistics.busy_core_time / s.statistics.available_core_time)
                     .fold(0.0, f64::max),
-                most_held: each.iter().map(|s| s.tally.most).max().unwrap_or(0),
+                most_held: each
+                    .iter()
+                    .map(|s| s.statistics.max_held)
+                    .max()
+                    .unwrap_or(0),
             },
             traffic,
             events,
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,10 +1,10 @@
-//! One server: a queue, slots, and cores that those in the slots share.
+//! A simulated server: a queue, slots, and cores that the jobs in the slots share.
 //!
-//! Work is counted in microseconds on a core of speed 1. Each job in a slot runs at `speed x warmth
-//! / slowness x min(1, cores / jobs)`; since all run alike, one running sum of work done per job
-//! serves them all, and a job is finished when the sum has grown by its work. The server does no
-//! I/O: it is told of time, tells when it wants to be looked at, and what began, finished or was
-//! dropped.
+//! Work is measured in microseconds on a core of speed 1. Each job in a slot runs at `speed x
+//! warmth / slowness x min(1, cores / jobs)` (processor sharing). Since all run alike, one running
+//! sum of the work done per job serves them all: a job is finished when the sum has grown by its
+//! work. The server does no I/O: the caller advances its time, and it returns when it must be
+//! advanced next and which jobs started, finished or were dropped.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -14,350 +14,455 @@
 
 use crate::scenario::Pool;
 
-/// A job's place at its server.
+/// The key of a job at its server.
 pub(crate) type JobKey = DefaultKey;
-/// Steps in which a cold server's speed climbs.
-const RAMP_STEPS: f64 = 64.0;
+/// The number of steps in which the speed of a server rises while it warms up.
+const WARMUP_STEPS: f64 = 64.0;
+
+/// The resolution of the sums of work that order the running jobs, per core-microsecond.
+const TICKS_PER_MICROSECOND: f64 = 1024.0;
 
 /// A request at a server.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    /// The try it belongs to, and the attempt's number.
+    /// The request that it belongs to.
     pub request: u64,
-    /// See `request`.
+    /// The number of the attempt.
     pub attempt: u8,
-    /// Where the caller keeps the operation.
+    /// Where the caller stores the operation.
     pub op: DefaultKey,
     /// Its class.
     pub class: u8,
-    /// Work, in core-microseconds.
+    /// Its work, in core-microseconds.
     pub work: f64,
     /// When its client gives up.
     pub expires: Micros,
-    /// When it came.
-    pub came: Micros,
-    /// Its client's proxy no longer waits.
+    /// When it arrived.
+    pub arrived: Micros,
+    /// The proxy no longer waits for it.
     pub cancelled: bool,
     /// It is in a slot.
-    pub began: bool,
+    pub started: bool,
 }
 
-/// What happened at a server.
+/// What became of a job at a server.
 #[derive(Debug)]
-pub(crate) enum Happened {
-    /// A job went into a slot.
-    Began(JobKey),
-    /// A job's work is done.
+pub(crate) enum JobEvent {
+    /// The job entered a slot.
+    Started(JobKey),
+    /// The job's work is done.
     Finished(Job),
-    /// A job left the queue without having begun.
+    /// The job left the queue without having started.
     Dropped(Job),
 }
 
-/// What a server did so far, as integrals over time.
+/// What a server did so far, as integrals over time in microseconds.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
-    /// Core-microseconds in use.
-    pub busy: f64,
-    /// Core-microseconds that were there.
-    pub there: f64,
-    /// Requests waiting x microseconds.
-    pub waiting: f64,
-    /// Requests held (waiting or in work) x microseconds.
-    pub held: f64,
-    /// Jobs that left the queue for a slot, and the sum of their waits.
-    pub began: u64,
-    /// See `began`.
-    pub waits: f64,
-    /// Jobs finished, and the sum of their times here.
+pub struct ServerStatistics {
+    /// Core time in use.
+    pub busy_core_time: f64,
+    /// Core time while the server was up.
+    pub available_core_time: f64,
+    /// The integral of the number of queued requests.
+    pub queued_time: f64,
+    /// The integral of the number of requests held (queued or in a slot).
+    pub held_time: f64,
+    /// Jobs that left the queue for a slot.
+    pub started: u64,
+    /// The sum of their waiting times.
+    pub total_wait: f64,
+    /// Jobs that finished.
     pub finished: u64,
-    /// See `finished`.
-    pub stays: f64,
-    /// Microseconds during which at least so many were held, for 1, 2, ...
-    pub at_least: [f64; 16],
-    /// Most held at once.
-    pub most: u32,
+    /// The sum of their times at the server (sojourn times).
+    pub total_sojourn: f64,
+    /// The time during which at least 1, 2, ... requests were held.
+    pub time_with_at_least: [f64; 16],
+    /// The most requests held at once.
+    pub max_held: u32,
+}
+
+/// Whether a server records how long it held at least 1, 2, ... requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum HeldDistribution {
+    Skip,
+    Record,
+}
+
+/// How a server that starts warms up.
+#[derive(Clone, Copy, Debug)]
+struct Warmup {
+    /// The part of its speed that it starts with.
+    initial_share: f64,
+    /// The time after which it is warm, in microseconds.
+    duration: f64,
+    /// The work after which it is warm, in core-microseconds, if that is sooner; 0 for time alone.
+    work: f64,
+}
+
+/// When a server is overdriven, and what that does.
+#[derive(Clone, Copy, Debug)]
+struct OverdriveRule {
+    /// Requests held per core above which it is overdriven; 0 for never.
+    ratio: f64,
+    /// How long that must last.
+    after: Micros,
+    /// How many times slower it becomes.
+    slowdown: f64,
+    /// How long it must be at most half busy to recover.
+    recovery: Micros,
+}
+
+/// Which jobs a server drops.
+#[derive(Clone, Copy, Debug)]
+struct DropRule {
+    /// Jobs that were cancelled.
+    cancelled: bool,
+    /// Queued jobs whose clients have given up.
+    overdue: bool,
+}
+
+/// Whether a server is overdriven, and since when it has been above or below the limits.
+#[derive(Clone, Copy, Debug, Default)]
+struct Overdrive {
+    active: bool,
+    above_since: Option<Micros>,
+    calm_since: Option<Micros>,
 }
 
-/// One server.
+/// A job in a slot, ordered by the sum of work at which it is done.
+type Running = (Reverse<u64>, Reverse<u64>, JobKey);
+
+/// A simulated server.
 pub(crate) struct Server {
     cores: f64,
     slots: usize,
-    queue_most: usize,
+    queue_limit: usize,
     speed: f64,
-    cold: (f64, f64, f64),
-    overdrive: (f64, Micros, f64, Micros),
-    drops: (bool, bool),
-    /// Whether it takes jobs.
+    warmup: Warmup,
+    overdrive_rule: OverdriveRule,
+    drops: DropRule,
+    /// Whether it accepts jobs.
     pub up: bool,
-    /// When its process started; 0: long ago.
+    /// When its process started; 0 if that was long ago.
     pub started: Micros,
     jobs: SlotMap<JobKey, Job>,
+    /// Keys of queued jobs; those of jobs that were cancelled are still among them.
     queue: VecDeque<JobKey>,
-    waiting: usize,
-    /// Those in slots, by the sum at which they are done.
-    running: BinaryHeap<(Reverse<u64>, Reverse<u64>, JobKey)>,
-    in_work: usize,
-    number: u64,
-    /// Work done per job in a slot since the start.
-    sum: f64,
-    /// Work that is owed before any job moves on: handshakes, probes.
-    owed: f64,
-    /// How many times slower it is, by what goes on round it.
+    queued: usize,
+    running: BinaryHeap<Running>,
+    in_slots: usize,
+    sequence: u64,
+    /// The work done per job in a slot since the start.
+    work_sum: f64,
+    /// Work that must be done before any job advances: handshakes and health checks.
+    overhead: f64,
+    /// How many times slower faults make it.
     slowness: f64,
-    stopped: bool,
-    over_since: Option<Micros>,
-    overdriven: bool,
-    calm_since: Option<Micros>,
-    done_work: f64,
+    paused: bool,
+    overdrive: Overdrive,
+    /// The work done since the start of the process, for the warm-up.
+    work_done: f64,
     now: Micros,
     /// What it did so far.
-    pub tally: Tally,
-    fine: bool,
+    pub statistics: ServerStatistics,
+    held_distribution: HeldDistribution,
 }
 
-/// A sum of work as an integer that sorts like it: 2^-10 of a core-microsecond.
+/// A sum of work as an integer that is ordered alike.
 fn ticks(sum: f64) -> u64 {
-    (sum * 1024.0) as u64
+    (sum * TICKS_PER_MICROSECOND) as u64
 }
 
 impl Server {
-    /// A server that is up and warm. `fine`: keep the distribution of how many are held.
-    pub(crate) fn new(pool: &Pool, speed: f64, now: Micros, fine: bool) -> Self {
+    /// A server that is up and warm.
+    pub(crate) fn new(
+        pool: &Pool,
+        speed: f64,
+        now: Micros,
+        held_distribution: HeldDistribution,
+    ) -> Self {
         Server {
             cores: f64::from(pool.cores),
             slots: pool.in_work() as usize,
-            queue_most: pool.queue as usize,
+            queue_limit: pool.queue as usize,
             speed,
-            cold: (pool.cold_share, pool.cold_s * 1e6, pool.cold_work_s * 1e6),
-            overdrive: (
-                pool.overdrive_ratio,
-                (pool.overdrive_s * 1e6) as Micros,
-                pool.overdrive_factor,
-                (pool.recover_s * 1e6) as Micros,
-            ),
-            drops: (pool.drops_cancelled, pool.drops_overdue),
+            warmup: Warmup {
+                initial_share: pool.cold_share,
+                duration: pool.cold_s * 1e6,
+                work: pool.cold_work_s * 1e6,
+            },
+            overdrive_rule: OverdriveRule {
+                ratio: pool.overdrive_ratio,
+                after: (pool.overdrive_s * 1e6) as Micros,
+                slowdown: pool.overdrive_factor,
+                recovery: (pool.recover_s * 1e6) as Micros,
+            },
+            drops: DropRule {
+                cancelled: pool.drops_cancelled,
+                overdue: pool.drops_overdue,
+            },
             up: true,
             started: 0,
             jobs: SlotMap::new(),
             queue: VecDeque::new(),
-            waiting: 0,
+            queued: 0,
             running: BinaryHeap::new(),
-            in_work: 0,
-            number: 0,
-            sum: 0.0,
-            owed: 0.0,
+            in_slots: 0,
+            sequence: 0,
+            work_sum: 0.0,
+            overhead: 0.0,
             slowness: 1.0,
-            stopped: false,
-            over_since: None,
-            overdriven: false,
-            calm_since: None,
-            done_work: 0.0,
+            paused: false,
+            overdrive: Overdrive::default(),
+            work_done: 0.0,
             now,
-            tally: Tally::default(),
-            fine,
+            statistics: ServerStatistics::default(),
+            held_distribution,
         }
     }
 
-    /// Part of its full speed that it has, 0 to 1.
+    /// The part of its full speed that it has, 0 to 1.
     pub(crate) fn warmth(&self, now: Micros) -> f64 {
-        let (share, over, by_work) = self.cold;
-        if self.started == 0 || share >= 1.0 {
+        let Warmup {
+            initial_share,
+            duration,
+            work,
+        } = self.warmup;
+        if self.started == 0 || initial_share >= 1.0 {
             return 1.0;
         }
-        let by_time = now.saturating_sub(self.started) as f64 / over;
-        let by_work = if by_work > 0.0 {
-            self.done_work / by_work
+        let by_time = now.saturating_sub(self.started) as f64 / duration;
+        let by_work = if work > 0.0 {
+            self.work_done / work
         } else {
             0.0
         };
-        let step = ((by_time.max(by_work) * RAMP_STEPS).floor() / RAMP_STEPS).min(1.0);
-        share + (1.0 - share) * step
+        let progress = ((by_time.max(by_work) * WARMUP_STEPS).floor() / WARMUP_STEPS).min(1.0);
+        initial_share + (1.0 - initial_share) * progress
     }
 
-    /// Core-microseconds of work it can do in a microsecond, all cores together.
+    /// Core-microseconds of work that it can do in a microsecond, over all cores.
     pub(crate) fn capacity(&self, now: Micros) -> f64 {
-        let overdriven = if self.overdriven {
-            self.overdrive.2
+        let slowdown = if self.overdrive.active {
+            self.overdrive_rule.slowdown
         } else {
             1.0
         };
-        let stopped = if self.stopped { 0.0 } else { 1.0 };
-        stopped * self.cores * self.speed * self.warmth(now) / self.slowness / overdriven
+        let running = if self.paused { 0.0 } else { 1.0 };
+        running * self.cores * self.speed * self.warmth(now) / self.slowness / slowdown
     }
 
-    /// Capacity when warm and well.
-    pub(crate) fn size(&self) -> f64 {
+    /// Its capacity when it is warm and healthy.
+    pub(crate) fn full_capacity(&self) -> f64 {
         self.cores * self.speed
     }
 
-    /// Requests waiting or in work.
+    /// The number of requests queued or in a slot.
     pub(crate) fn held(&self) -> usize {
-        self.waiting + self.in_work
+        self.queued + self.in_slots
     }
 
-    /// Microseconds that a job that came now would wait, and until it would be done, if nothing
-    /// else came: the true state.
-    pub(crate) fn would_take(&self, now: Micros, work: f64) -> (f64, f64) {
-        if !self.up || self.stopped {
-            return (f64::INFINITY, f64::INFINITY);
+    /// How long a job that arrived now would wait and be at the server, if nothing else arrived, by
+    /// the true state.
+    pub(crate) fn estimate(&self, now: Micros, work: f64) -> Estimate {
+        if !self.up || self.paused {
+            return Estimate::NEVER;
         }
         let capacity = self.capacity(now);
         let core = capacity / self.cores;
         let ahead = (self.held() as f64 + 1.0 - self.cores).max(0.0);
-        let waits = self.owed / capacity + ahead / self.cores * work / core;
-        (waits, waits + work / core)
+        let wait = self.overhead / capacity + ahead / self.cores * work / core;
+        Estimate {
+            wait,
+            total: wait + work / core,
+        }
     }
 
-    /// Whether one more would be more than it bears for long.
+    /// Whether one more request would exceed what it bears for long.
     pub(crate) fn near_overdrive(&self) -> bool {
-        self.overdrive.0 > 0.0 && self.held() as f64 + 1.0 > self.overdrive.0 * self.cores
+        let ratio = self.overdrive_rule.ratio;
+        ratio > 0.0 && self.held() as f64 + 1.0 > ratio * self.cores
     }
 
+    /// The speed at which each job in a slot advances.
     fn rate(&self) -> f64 {
-        let sharing = (self.cores / self.in_work.max(1) as f64).min(1.0);
+        let sharing = (self.cores / self.in_slots.max(1) as f64).min(1.0);
         self.capacity(self.now) / self.cores * sharing
     }
 
-    /// Lets time pass up to `now`.
-    pub(crate) fn advance(&mut self, now: Micros, out: &mut Vec<Happened>) {
+    /// Advances its time to `now`.
+    pub(crate) fn advance(&mut self, now: Micros, events: &mut Vec<JobEvent>) {
         while self.now < now {
-            // The next moment at which something changes by itself, or the end of the stretch.
-            let next = self.due().map_or(now, |due| due.clamp(self.now + 1, now));
-            self.pass(next);
-            self.settle(out);
+            // The next moment at which something changes by itself, or the end of the period.
+            let next = self
+                .next_deadline()
+                .map_or(now, |due| due.clamp(self.now + 1, now));
+            self.elapse(next);
+            self.update(events);
         }
     }
 
-    fn pass(&mut self, to: Micros) {
-        let dt = (to - self.now) as f64;
-        let (held, in_work) = (self.held(), self.in_work as f64);
-        let t = &mut self.tally;
-        if self.up {
-            t.there += self.cores * dt;
-            t.busy += in_work.min(self.cores) * dt;
-            t.waiting += self.waiting as f64 * dt;
-            t.held += held as f64 * dt;
-            if self.fine {
-                t.at_least.iter_mut().take(held).for_each(|v| *v += dt);
-            }
-        }
+    /// Does the work of a period in which nothing changes.
+    fn elapse(&mut self, to: Micros) {
+        let elapsed = (to - self.now) as f64;
+        self.record(elapsed);
+        let in_slots = self.in_slots as f64;
         let capacity = self.capacity(self.now);
-        let paid = self.owed.min(dt * capacity);
-        self.owed -= paid;
-        let dt = if capacity > 0.0 {
-            dt - paid / capacity
+        let overhead = self.overhead.min(elapsed * capacity);
+        self.overhead -= overhead;
+        let available = if capacity > 0.0 {
+            elapsed - overhead / capacity
         } else {
-            dt
+            elapsed
         };
-        let step = dt * self.rate();
-        self.sum += step;
-        self.done_work += step * in_work;
+        let work_per_job = available * self.rate();
+        self.work_sum += work_per_job;
+        self.work_done += work_per_job * in_slots;
         self.now = to;
     }
 
-    /// Ends what is done, fills free slots, and notes whether it is overdriven.
-    fn settle(&mut self, out: &mut Vec<Happened>) {
-        while let Some(&(Reverse(at), _, key)) = self.running.peek() {
-            let live = self.jobs.contains_key(key);
-            if live && at > ticks(self.sum) {
+    fn record(&mut self, elapsed: f64) {
+        if !self.up {
+            return;
+        }
+        let held = self.held();
+        let statistics = &mut self.statistics;
+        statistics.available_core_time += self.cores * elapsed;
+        statistics.busy_core_time += (self.in_slots as f64).min(self.cores) * elapsed;
+        statistics.queued_time += self.queued as f64 * elapsed;
+        statistics.held_time += held as f64 * elapsed;
+        if self.held_distribution == HeldDistribution::Record {
+            for time in statistics.time_with_at_least.iter_mut().take(held) {
+                *time += elapsed;
+            }
+        }
+    }
+
+    /// Finishes the jobs that are done, fills free slots, and checks whether it is overdriven.
+    fn update(&mut self, events: &mut Vec<JobEvent>) {
+        self.finish_jobs(events);
+        self.start_jobs(events);
+        self.update_overdrive();
+    }
+
+    fn finish_jobs(&mut self, events: &mut Vec<JobEvent>) {
+        while let Some(&(Reverse(done_at), _, key)) = self.running.peek() {
+            let exists = self.jobs.contains_key(key);
+            if exists && done_at > ticks(self.work_sum) {
                 break;
             }
             self.running.pop();
             if let Some(job) = self.jobs.remove(key) {
-                self.in_work -= 1;
-                self.tally.finished += 1;
-                self.tally.stays += (self.now - job.came) as f64;
-                out.push(Happened::Finished(job));
+                self.in_slots -= 1;
+                self.statistics.finished += 1;
+                self.statistics.total_sojourn += (self.now - job.arrived) as f64;
+                events.push(JobEvent::Finished(job));
             }
         }
-        while self.in_work < self.slots {
+    }
+
+    fn start_jobs(&mut self, events: &mut Vec<JobEvent>) {
+        while self.in_slots < self.slots {
             let Some(key) = self.queue.pop_front() else {
                 break;
             };
             let Some(job) = self.jobs.get(key) else {
                 continue;
             };
-            self.waiting -= 1;
-            if self.drops.0 && job.cancelled || self.drops.1 && job.expires <= self.now {
-                out.extend(self.jobs.remove(key).map(Happened::Dropped));
+            self.queued -= 1;
+            let is_cancelled = self.drops.cancelled && job.cancelled;
+            let is_overdue = self.drops.overdue && job.expires <= self.now;
+            if is_cancelled || is_overdue {
+                events.extend(self.jobs.remove(key).map(JobEvent::Dropped));
                 continue;
             }
-            self.begin(key, out);
-        }
-        let (ratio, after, _, rest) = self.overdrive;
-        if ratio > 0.0 {
-            let over = self.held() as f64 > ratio * self.cores;
-            self.over_since = if over {
-                self.over_since.or(Some(self.now))
-            } else {
-                None
-            };
-            let calm = self.overdriven && self.in_work as f64 <= self.cores / 2.0;
-            self.calm_since = if calm {
-                self.calm_since.or(Some(self.now))
-            } else {
-                None
-            };
-            if self.over_since.is_some_and(|at| self.now >= at + after) {
-                self.overdriven = true;
-            }
-            if self.calm_since.is_some_and(|at| self.now >= at + rest) {
-                (self.overdriven, self.calm_since) = (false, None);
-            }
+            self.start_job(key, events);
         }
     }
 
-    fn begin(&mut self, key: JobKey, out: &mut Vec<Happened>) {
+    fn start_job(&mut self, key: JobKey, events: &mut Vec<JobEvent>) {
         let job = &mut self.jobs[key];
-        job.began = true;
-        self.in_work += 1;
-        self.tally.began += 1;
-        self.tally.waits += (self.now - job.came) as f64;
-        self.number += 1;
+        job.started = true;
+        let (arrived, work) = (job.arrived, job.work);
+        self.in_slots += 1;
+        self.statistics.started += 1;
+        self.statistics.total_wait += (self.now - arrived) as f64;
+        self.push_running(key, work);
+        events.push(JobEvent::Started(key));
+    }
+
+    fn push_running(&mut self, key: JobKey, work: f64) {
+        self.sequence += 1;
         self.running.push((
-            Reverse(ticks(self.sum + job.work) + 1),
-            Reverse(self.number),
+            Reverse(ticks(self.work_sum + work) + 1),
+            Reverse(self.sequence),
             key,
         ));
-        out.push(Happened::Began(key));
     }
 
-    /// When it wants to be looked at, if nothing else happens.
-    pub(crate) fn due(&self) -> Option<Micros> {
+    fn update_overdrive(&mut self) {
+        let rule = self.overdrive_rule;
+        if rule.ratio <= 0.0 {
+            return;
+        }
+        let now = self.now;
+        let is_above = self.held() as f64 > rule.ratio * self.cores;
+        let is_calm = self.overdrive.active && self.in_slots as f64 <= self.cores / 2.0;
+        let state = &mut self.overdrive;
+        state.above_since = is_above.then(|| state.above_since.unwrap_or(now));
+        state.calm_since = is_calm.then(|| state.calm_since.unwrap_or(now));
+        if state.above_since.is_some_and(|at| now >= at + rule.after) {
+            state.active = true;
+        }
+        if state.calm_since.is_some_and(|at| now >= at + rule.recovery) {
+            (state.active, state.calm_since) = (false, None);
+        }
+    }
+
+    /// When it must be advanced next if nothing else happens.
+    pub(crate) fn next_deadline(&self) -> Option<Micros> {
         let mut due = Micros::MAX;
         let rate = self.rate();
-        if let Some(&(Reverse(at), ..)) = self.running.peek()
+        if let Some(&(Reverse(done_at), ..)) = self.running.peek()
             && rate > 0.0
         {
-            let left = (at as f64 / 1024.0 - self.sum).max(0.0) / rate;
-            let owed = self.owed / self.capacity(self.now);
-            due = self.now + (left + owed).ceil().min(1e15) as Micros;
+            let remaining =
+                (done_at as f64 / TICKS_PER_MICROSECOND - self.work_sum).max(0.0) / rate;
+            let overhead = self.overhead / self.capacity(self.now);
+            due = self.now + (remaining + overhead).ceil().min(1e15) as Micros;
         }
-        if self.in_work > 0 && self.started > 0 && self.warmth(self.now) < 1.0 {
-            let step = self.cold.1 / RAMP_STEPS;
+        if self.in_slots > 0 && self.started > 0 && self.warmth(self.now) < 1.0 {
+            let step = self.warmup.duration / WARMUP_STEPS;
             let passed = (self.now.saturating_sub(self.started) as f64 / step).floor() + 1.0;
             due = due.min((self.started + (passed * step).ceil() as Micros).max(self.now + 1));
         }
-        let (_, after, _, rest) = self.overdrive;
-        if let Some(at) = self.over_since.filter(|_| !self.overdriven) {
+        let OverdriveRule {
+            after, recovery, ..
+        } = self.overdrive_rule;
+        if let Some(at) = self
+            .overdrive
+            .above_since
+            .filter(|_| !self.overdrive.active)
+        {
             due = due.min((at + after).max(self.now + 1));
         }
-        if let Some(at) = self.calm_since {
-            due = due.min((at + rest).max(self.now + 1));
+        if let Some(at) = self.overdrive.calm_since {
+            due = due.min((at + recovery).max(self.now + 1));
         }
         (due != Micros::MAX).then_some(due)
     }
 
-    /// Takes a job, or turns it away where the queue is full. Time has been passed up to now.
-    pub(crate) fn arrive(&mut self, job: Job, out: &mut Vec<Happened>) -> Option<JobKey> {
-        if !self.up || self.in_work >= self.slots && self.waiting >= self.queue_most {
+    /// Accepts a job unless the queue is full. Its time has been advanced to now.
+    pub(crate) fn arrive(&mut self, job: Job, events: &mut Vec<JobEvent>) -> Option<JobKey> {
+        let is_full = self.in_slots >= self.slots && self.queued >= self.queue_limit;
+        if !self.up || is_full {
             return None;
         }
         let key = self.jobs.insert(job);
         self.queue.push_back(key);
-        self.waiting += 1;
-        self.settle(out);
-        self.tally.most = self.tally.most.max(self.held() as u32);
+        self.queued += 1;
+        self.update(events);
+        self.statistics.max_held = self.statistics.max_held.max(self.held() as u32);
         Some(key)
     }
 
@@ -366,64 +471,77 @@
         self.jobs.get(key)
     }
 
-    /// Gives a job that has just begun other work: a repeat that the server only looks up.
+    /// Reduces the work of a job that has just started: a duplicate that the server only looks up.
     pub(crate) fn shorten(&mut self, key: JobKey, work: f64) {
         if self.jobs.get(key).is_some_and(|job| job.work > work) {
-            self.number += 1;
-            self.running.retain(|entry| entry.2 != key);
-            self.running.push((
-                Reverse(ticks(self.sum + work) + 1),
-                Reverse(self.number),
-                key,
-            ));
+            self.running.retain(|running| running.2 != key);
+            self.push_running(key, work);
         }
     }
 
-    /// Its proxy no longer waits for a job. It goes where the server notices that, and is given
-    /// back.
-    pub(crate) fn cancel(&mut self, key: JobKey, out: &mut Vec<Happened>) -> Option<Job> {
+    /// The proxy no longer waits for a job. If the server drops cancelled jobs, the job is removed
+    /// and returned.
+    pub(crate) fn cancel(&mut self, key: JobKey, events: &mut Vec<JobEvent>) -> Option<Job> {
         let job = self.jobs.get_mut(key)?;
         job.cancelled = true;
-        if !self.drops.0 {
+        if !self.drops.cancelled {
             return None;
         }
-        if job.began {
-            self.in_work -= 1;
+        if job.started {
+            self.in_slots -= 1;
         } else {
-            self.waiting -= 1;
+            self.queued -= 1;
         }
         let job = self.jobs.remove(key);
-        self.settle(out);
+        self.update(events);
         job
     }
 
-    /// Owes some work before any job moves on.
-    pub(crate) fn owe(&mut self, work: f64) {
-        self.owed += work;
+    /// Adds work that must be done before any job advances.
+    pub(crate) fn add_overhead(&mut self, work: f64) {
+        self.overhead += work;
     }
 
-    /// Sets how many times slower it is, and whether it stands still.
-    pub(crate) fn hamper(&mut self, slowness: f64, stopped: bool) {
-        (self.slowness, self.stopped) = (slowness, stopped);
+    /// Sets how many times slower it is, and whether it is paused.
+    pub(crate) fn set_fault(&mut self, slowness: f64, paused: bool) {
+        (self.slowness, self.paused) = (slowness, paused);
     }
 
-    /// Its process ends; what it held is given back.
-    pub(crate) fn end(&mut self) -> Vec<Job> {
+    /// Ends its process. Returns the jobs that it held.
+    pub(crate) fn stop(&mut self) -> Vec<Job> {
         self.up = false;
         self.queue.clear();
         self.running.clear();
-        (self.waiting, self.in_work, self.owed, self.done_work) = (0, 0, 0.0, 0.0);
-        (self.over_since, self.calm_since, self.overdriven) = (None, None, false);
+        (self.queued, self.in_slots) = (0, 0);
+        (self.overhead, self.work_done) = (0.0, 0.0);
+        self.overdrive = Overdrive::default();
         self.jobs.drain().map(|(_, job)| job).collect()
     }
 
-    /// A process starts, cold.
+    /// Starts a process, which warms up.
     pub(crate) fn start(&mut self, now: Micros) {
         (self.up, self.started, self.now) = (true, now, now);
     }
 
-    /// Whether it is on its way from cold to warm.
-    pub(crate) fn is_cold(&self, now: Micros) -> bool {
+    /// Whether it is warming up.
+    pub(crate) fn is_warming_up(&self, now: Micros) -> bool {
         self.started > 0 && self.warmth(now) < 1.0
     }
 }
+
+/// The time that a job would take, in microseconds.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct Estimate {
+    /// Until it enters a slot.
+    pub wait: f64,
+    /// Until it is done.
+    pub total: f64,
+}
+
+impl Estimate {
+    /// Of a job that would not finish.
+    const NEVER: Estimate = Estimate {
+        wait: f64::INFINITY,
+        total: f64::INFINITY,
+    };
+}
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -28,7 +28,7 @@
 use crate::scenario::{
     Arrivals, Class, EffectSpec, GroupSpec, RetryWait, Scenario, millis, seconds,
 };
-use crate::server::{Happened, Job, JobKey, Server};
+use crate::server::{HeldDistribution, Job, JobEvent, JobKey, Server, ServerStatistics};
 
 /// The clock's reading at the start of a run.
 pub const ORIGIN: Micros = 1_000_000_000;
@@ -259,10 +259,10 @@
     peer_bytes: u64,
     cross_zone: u64,
     late_repeats: u64,
-    fine: bool,
+    held_distribution: HeldDistribution,
     actions: Vec<Action>,
     pending: VecDeque<Event>,
-    happened: Vec<Happened>,
+    happened: Vec<JobEvent>,
 }
 
 /// Figures of the rules, in microseconds.
@@ -324,8 +324,8 @@
             return NEVER;
         }
         let way = 2.0 * self.network.base_delay(zone, machine.zone) as f64;
-        let (waits, takes) = machine.server.would_take(self.now, work);
-        (waits, way + takes)
+        let estimate = machine.server.estimate(self.now, work);
+        (estimate.wait, way + estimate.total)
     }
 }
 
@@ -492,7 +492,7 @@
             peer_bytes: 0,
             cross_zone: 0,
             late_repeats: 0,
-            fine: false,
+            held_distribution: HeldDistribution::Skip,
             actions: Vec::new(),
             pending: VecDeque::new(),
             happened: Vec::new(),
@@ -504,15 +504,15 @@
 
     /// Keeps, of each server, for how long so many requests were held.
     pub fn keep_distribution(&mut self) {
-        self.fine = true;
+        self.held_distribution = HeldDistribution::Record;
         for place in 0..self.places.len() {
             let machine = &mut self.machines[self.places[place].machine as usize];
             let pool = &self.scenario.pool[machine.pool];
             machine.server = Server::new(
                 pool,
-                machine.server.size() / f64::from(pool.cores),
+                machine.server.full_capacity() / f64::from(pool.cores),
                 ORIGIN,
-                true,
+                HeldDistribution::Record,
             );
         }
     }
@@ -520,7 +520,7 @@
     /// Forgets what servers have counted so far: for figures without the first stretch.
     pub fn forget_tallies(&mut self) {
         for machine in &mut self.machines {
-            machine.server.tally = Default::default();
+            machine.server.statistics = ServerStatistics::default();
             machine.before = (0.0, 0.0);
         }
     }
@@ -622,7 +622,7 @@
         let number = self.machines.len() as u32;
         let spec = &self.scenario.pool[pool];
         let speed = self.speeds.uniform(spec.speed);
-        let mut server = Server::new(spec, speed, self.now, self.fine);
+        let mut server = Server::new(spec, speed, self.now, self.held_distribution);
         server.up = false;
         self.machines.push(Machine {
             server,
@@ -784,7 +784,8 @@
         for number in 0..self.machines.len() as u32 {
             self.advance(number);
             let machine = &mut self.machines[number as usize];
-            let (busy, there) = (machine.server.tally.busy, machine.server.tally.there);
+            let statistics = &machine.server.statistics;
+            let (busy, there) = (statistics.busy_core_time, statistics.available_core_time);
             let (b, t) = (busy - machine.before.0, there - machine.before.1);
             machine.before = (busy, there);
             machine
@@ -1510,16 +1511,16 @@
             }
             let machine = &mut self.machines[server as usize];
             machine.connections += 1;
-            machine.server.owe(pool.handshake_work_ms * 1e3);
+            machine.server.add_overhead(pool.handshake_work_ms * 1e3);
             self.tries[key(request)].attempts[n as usize].connected = true;
         }
         self.advance(server);
         let work = self.ops[op_key].work;
         let machine = &self.machines[server as usize];
-        if machine.server.is_cold(self.now) {
+        if machine.server.is_warming_up(self.now) {
             // Cold is what the rule is about: what else goes wrong there nobody can know
             // beforehand.
-            let capacity = machine.server.size() * machine.server.warmth(self.now);
+            let capacity = machine.server.full_capacity() * machine.server.warmth(self.now);
             let informed = self.proxies[proxy as usize].version >= machine.told_at;
             if self
                 .judge
@@ -1553,9 +1554,9 @@
             class,
             work: work * degradation,
             expires,
-            came: self.now,
+            arrived: self.now,
             cancelled: false,
-            began: false,
+            started: false,
         };
         let machine = &mut self.machines[server as usize];
         let taken = match machine.phase {
@@ -1698,14 +1699,17 @@
         let mut happened = std::mem::take(&mut self.happened);
         for what in happened.drain(..) {
             match what {
-                Happened::Began(job) => self.began(server, job),
-                Happened::Finished(job) => self.left_server(server, &job, Outcome::Ok),
-                Happened::Dropped(job) => self.left_server(server, &job, Outcome::Overloaded),
+                JobEvent::Started(job) => self.began(server, job),
+                JobEvent::Finished(job) => self.left_server(server, &job, Outcome::Ok),
+                JobEvent::Dropped(job) => self.left_server(server, &job, Outcome::Overloaded),
             }
         }
         self.happened = happened;
         let machine = &mut self.machines[server as usize];
-        if let Some(at) = machine.server.due().map(|due| due.max(self.now + 1))
+        if let Some(at) = machine
+            .server
+            .next_deadline()
+            .map(|due| due.max(self.now + 1))
             && at < machine.armed
         {
             machine.armed = at;
@@ -1804,7 +1808,7 @@
             return;
         }
         let zone = machine.zone;
-        let jobs = machine.server.end();
+        let jobs = machine.server.stop();
         machine.life += 1;
         machine.vanished = silent;
         (machine.connections, machine.armed) = (0, Micros::MAX);
@@ -1866,7 +1870,7 @@
         let place = &self.places[machine.place as usize];
         machine
             .server
-            .hamper(place.slow.values().product(), place.stopped > 0);
+            .set_fault(place.slow.values().product(), place.stopped > 0);
         machine.armed = Micros::MAX;
         self.touched(server);
     }
@@ -2044,7 +2048,7 @@
             cell: machine.zone as u64,
             phase: listed.phase,
             size: if self.scenario.proxies.sizes {
-                machine.server.size()
+                machine.server.full_capacity()
             } else {
                 1.0
             },
@@ -2117,7 +2121,7 @@
         if up {
             machine
                 .server
-                .owe(self.scenario.pool[machine.pool].probe_work_ms * 1e3);
+                .add_overhead(self.scenario.pool[machine.pool].probe_work_ms * 1e3);
         }
         self.queue.push(
             at,
@@ -2210,7 +2214,7 @@
             .map(|m| ServerReport {
                 kind: self.scenario.pool[m.pool].kind.clone(),
                 zone: self.scenario.zones[m.zone].clone(),
-                tally: m.server.tally.clone(),
+                statistics: m.server.statistics.clone(),
                 busy: m.busy.clone(),
                 place: m.place,
             })
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -6,7 +6,7 @@
 //! Load Balancing (1996), theorem 1; the share of queues with at least i jobs is L^(2^i - 1)
 //! against L^i for one choice by chance.
 
-use ironmast_emulator::{PolicyName, Scenario, Tally, World};
+use ironmast_emulator::{PolicyName, Scenario, ServerStatistics, World};
 use rayon::prelude::*;
 
 /// Mean work, in milliseconds.
@@ -58,16 +58,21 @@
     world.run_to(scenario.length_s);
     let time = (world.second() - from) * 1e6;
     let report = world.report();
-    let t: &Tally = &report.each[0].tally;
-    let (began, waits) = (t.began as f64, t.waits);
+    let statistics: &ServerStatistics = &report.each[0].statistics;
+    let (began, waits) = (statistics.started as f64, statistics.total_wait);
     let little = |held: f64, passed: f64, stays: f64| {
         (held / time) / (passed / time * (stays / passed)) - 1.0
     };
     Seen {
         wait: waits / began / (WORK * 1e3),
-        waiting: t.waiting / time,
-        load: t.busy / time / cores,
-        little: little(t.held, t.finished as f64, t.stays).abs(),
+        waiting: statistics.queued_time / time,
+        load: statistics.busy_core_time / time / cores,
+        little: little(
+            statistics.held_time,
+            statistics.finished as f64,
+            statistics.total_sojourn,
+        )
+        .abs(),
     }
 }
 
@@ -161,7 +166,7 @@
             report
                 .each
                 .iter()
-                .map(|s| s.tally.at_least[i - 1])
+                .map(|s| s.statistics.time_with_at_least[i - 1])
                 .sum::<f64>()
                 / time
         };
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -310,8 +310,13 @@
     };
     let load = |group: &Group| {
         let report = &group.runs[0].report;
-        let up = report.each.iter().filter(|s| s.tally.there > 0.0);
-        let mut busy: Vec<f64> = up.map(|s| s.tally.busy / s.tally.there * 100.0).collect();
+        let up = report
+            .each
+            .iter()
+            .filter(|s| s.statistics.available_core_time > 0.0);
+        let mut busy: Vec<f64> = up
+            .map(|s| s.statistics.busy_core_time / s.statistics.available_core_time * 100.0)
+            .collect();
         busy.sort_by(f64::total_cmp);
         let points = busy
             .iter()
