--- a/crates/fault-injection/src/failing_server/client.rs
+++ b/crates/fault-injection/src/failing_server/client.rs
@@ -61,7 +61,7 @@
     /// The value of a header, its name in lower case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
-        crate::stub_servers::header(&self.head, name)
+        crate::stub_servers::http::header(&self.head, name)
     }
 }
 
--- a/crates/fault-injection/src/failing_server/steps.rs
+++ b/crates/fault-injection/src/failing_server/steps.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 
 use super::{Dialect, body_of};
-use crate::stub_servers::header;
+use crate::stub_servers::http::header;
 
 /// Requests with such a path are answered by a stream of events.
 const STREAMS: [&str; 2] = ["/stream/", "/once/"];
--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -154,19 +154,25 @@
         .is_some_and(|(a, b)| side_matches(a, from) && side_matches(b, to))
 }
 
-/// The first fault whose link names none of `links` (`FROM`, `TO`), in either direction: it would
-/// never hold.
+/// A link of a deployment, for the bytes that flow from one end to the other.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Link {
+    /// The name of the sender.
+    pub from: String,
+    /// The name of the receiver.
+    pub to: String,
+}
+
+/// The first fault whose pattern matches none of `links` in either direction, so that it would have
+/// no effect.
 #[must_use]
-pub fn first_unknown_link<'a>(
-    faults: &'a [Fault],
-    links: &[(String, String)],
-) -> Option<&'a Fault> {
-    let names = |f: &Fault| {
-        links
-            .iter()
-            .any(|(a, b)| link_matches(&f.link, a, b) || link_matches(&f.link, b, a))
+pub fn first_unknown_link<'a>(faults: &'a [Fault], links: &[Link]) -> Option<&'a Fault> {
+    let matches_any = |fault: &Fault| {
+        links.iter().any(|Link { from, to }| {
+            link_matches(&fault.link, from, to) || link_matches(&fault.link, to, from)
+        })
     };
-    faults.iter().find(|f| !names(f))
+    faults.iter().find(|fault| !matches_any(fault))
 }
 
 impl Schedule {
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -1,81 +1,88 @@
-//! A stage scenario: the stage, its load, what happens in between and what must hold, read from a
-//! file and played.
+//! A fault-injection scenario: the deployment, its load, the faults and the assertions, read from a
+//! file.
 //!
 //! A file (`scenarios/stage/`) names zones and their pay servers, the proxies, a load on each
 //! proxy, the faults on links (`[[fault]]`), signals to proxies (`[[signal]]`), pay servers that
-//! are slower for a while (`[[slow]]`) and what must hold (`[expect]`). Every name is checked
-//! against the layout before anything starts.
+//! are slower for some time (`[[slow]]`) and the assertions (`[expect]`). [`parse`] checks every
+//! name against the layout before anything starts; [`run`] executes the scenario.
+
+mod runner;
+mod validation;
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-use hdrhistogram::Histogram;
 use serde::Deserialize;
 
-use crate::deployment::{Deployment, DeploymentError, Layout, classes};
+pub use runner::{ScenarioResult, SignalError, run};
+pub use validation::{ScenarioError, ScenarioProblem, parse};
+
+use crate::deployment::{Layout, ZoneLayout};
 use crate::expectations::Expectations;
-use crate::fault::{Fault, Schedule, first_unknown_link, side_matches};
-use crate::load::{LoadProfile, SentRequest, SharedResults};
-use crate::process::ProcessSignal;
-use crate::verdict::{self, Verdict};
+use crate::fault::Fault;
 
-/// A stage scenario.
+/// How long a proxy may take to start and to report that it is ready.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// A scenario as written in its file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// How reports call it.
+    /// Its name in reports.
     pub name: String,
-    /// One sentence.
-    #[serde(default)]
-    pub about: String,
-    /// Seconds of load, 0.5 to 600.
-    pub length_s: f64,
-    /// Proxies, 1 to 16.
+    /// A one-sentence description.
+    #[serde(default, rename = "about")]
+    pub description: String,
+    /// The duration of the load in seconds, 0.5 to 600.
+    #[serde(rename = "length_s")]
+    pub duration_s: f64,
+    /// The number of proxies, 1 to 16.
     pub proxies: usize,
-    /// A pay server's work on a request in milliseconds.
-    #[serde(default = "work_ms")]
-    pub work_ms: f64,
+    /// The service time of a request on a pay server, in milliseconds.
+    #[serde(default = "default_service_time_ms", rename = "work_ms")]
+    pub service_time_ms: f64,
     /// The zones; the proxies are in the first.
-    pub zone: Vec<Zone>,
-    /// What each proxy's clients ask.
+    #[serde(rename = "zone")]
+    pub zones: Vec<Zone>,
+    /// The load of each proxy's clients.
     pub load: Load,
     /// Faults on links.
-    #[serde(default)]
-    pub fault: Vec<Fault>,
+    #[serde(default, rename = "fault")]
+    pub faults: Vec<Fault>,
     /// Signals to proxies.
-    #[serde(default)]
-    pub signal: Vec<Signal>,
-    /// Pay servers that work slower for a while.
-    #[serde(default)]
-    pub slow: Vec<Slow>,
-    /// What must hold of a run.
-    #[serde(default)]
-    pub expect: Expectations,
+    #[serde(default, rename = "signal")]
+    pub signals: Vec<Signal>,
+    /// Periods in which pay servers are slower.
+    #[serde(default, rename = "slow")]
+    pub slowdowns: Vec<Slowdown>,
+    /// The assertions on a run.
+    #[serde(default, rename = "expect")]
+    pub expectations: Expectations,
 }
 
 impl Scenario {
     fn layout(&self, program: PathBuf) -> Layout {
+        let zones = self.zones.iter().map(|zone| ZoneLayout {
+            name: zone.name.clone(),
+            servers: zone.servers,
+        });
         Layout {
             program,
-            zones: self
-                .zone
-                .iter()
-                .map(|z| (z.name.clone(), z.servers))
-                .collect(),
+            zones: zones.collect(),
             proxies: self.proxies,
-            work: Duration::from_secs_f64(self.work_ms.max(0.0) / 1e3),
-            patience: Duration::from_secs(20),
+            service_time: Duration::from_secs_f64(self.service_time_ms.max(0.0) / 1e3),
+            start_timeout: START_TIMEOUT,
         }
     }
 
-    /// The zones' names.
+    /// The names of the zones, in the order of the file.
     #[must_use]
-    pub fn zones(&self) -> Vec<String> {
-        self.zone.iter().map(|z| z.name.clone()).collect()
+    pub fn zone_names(&self) -> Vec<String> {
+        self.zones.iter().map(|zone| zone.name.clone()).collect()
     }
 }
 
-fn work_ms() -> f64 {
+fn default_service_time_ms() -> f64 {
     5.0
 }
 
@@ -83,9 +90,9 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// Its name; its pay servers are `NAME-0` and on.
+    /// Its name; its pay servers are called `NAME-0`, `NAME-1` and so on.
     pub name: String,
-    /// Pay servers, 1 or more.
+    /// The number of pay servers, 1 or more.
     pub servers: usize,
 }
 
@@ -93,27 +100,28 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Requests a second on each proxy, above 0 and at most 500.
+    /// Requests per second on each proxy, above 0 and at most 500.
     pub rate: f64,
-    /// The path; its first part is the class.
+    /// The request path; its first segment is the class.
     pub path: String,
-    /// How long a client waits, in milliseconds.
-    pub patience_ms: u64,
+    /// The client's timeout in milliseconds.
+    #[serde(rename = "patience_ms")]
+    pub timeout_ms: u64,
 }
 
 /// A signal to a proxy.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Signal {
-    /// Seconds from the start of the load.
+    /// When it is sent, in seconds from the start of the load.
     pub at_s: f64,
-    /// The proxy, from 0.
+    /// The index of the proxy, from 0.
     pub proxy: usize,
-    /// Which.
+    /// The signal.
     pub kind: SignalKind,
 }
 
-/// What is sent to, or done with, a proxy.
+/// A signal, or another operation on a proxy.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum SignalKind {
@@ -127,254 +135,31 @@
     Continue,
     /// SIGHUP.
     Hangup,
-    /// Starts the proxy again on its address and state directory.
+    /// Starts the proxy again with the same address and state directory.
     Restart,
-    /// Empties its state directory, as a lost disk would.
+    /// Empties its state directory, as the loss of a disk would.
     Wipe,
 }
 
-/// Pay servers that work slower for a while.
+/// A period in which pay servers are slower.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Slow {
-    /// Seconds from the start of the load.
+pub struct Slowdown {
+    /// When it begins, in seconds from the start of the load.
     pub at_s: f64,
-    /// For so many seconds.
+    /// How long it lasts, in seconds.
     pub for_s: f64,
-    /// Which: a name, or the beginning of one and `*`.
+    /// The pay servers: a name, or a prefix followed by `*`.
     pub server: String,
-    /// So many times slower, above 0 and at most 1,000.
+    /// The factor on the service time, above 0 and at most 1,000.
     pub factor: f64,
 }
 
-/// Reads a scenario; `from` names the file.
-///
-/// # Errors
-/// One line: the file, the key, what is wrong with it and what there is.
-pub fn parse(text: &str, from: &str) -> Result<(Scenario, Schedule), String> {
-    let scenario: Scenario =
-        toml::from_str(text).map_err(|e| format!("{from}: {}", e.message()))?;
-    let schedule = Schedule::new(scenario.fault.clone()).map_err(|e| format!("{from}: {e}"))?;
-    if !(0.5..=600.0).contains(&scenario.length_s) {
-        return Err(format!(
-            "{from}: length_s is {}, 0.5 to 600 expected",
-            scenario.length_s
-        ));
-    }
-    if !(1..=16).contains(&scenario.proxies)
-        || scenario.zone.is_empty()
-        || scenario.zone.iter().any(|z| z.servers == 0)
-    {
-        return Err(format!(
-            "{from}: 1 to 16 proxies and zones of one pay server or more expected"
-        ));
-    }
-    if !(scenario.load.rate > 0.0
-        && scenario.load.rate <= 500.0
-        && scenario.load.path.starts_with('/'))
-    {
-        return Err(format!(
-            "{from}: a load of 0 to 500 requests a second on a path that begins with / expected"
-        ));
-    }
-    let mut zones = scenario.zones();
-    zones.sort();
-    if let Some([twice, _]) = zones
-        .windows(2)
-        .find(|pair| matches!(pair, [first, second] if first == second))
-    {
-        return Err(format!("{from}: zone.name: `{twice}` is there twice"));
-    }
-    let class = scenario.load.path[1..]
-        .split(['/', '?'])
-        .next()
-        .unwrap_or_default();
-    let known = classes();
-    if !known.iter().any(|c| c == class) {
-        return Err(format!(
-            "{from}: load.path: no class `{class}`; there are {}",
-            known.join(", ")
-        ));
-    }
-    let links = scenario.layout(PathBuf::new()).links();
-    if let Some(fault) = first_unknown_link(schedule.faults(), &links) {
-        let ends = links
-            .iter()
-            .filter(|(proxy, _)| proxy == "proxy0")
-            .map(|(_, end)| end.as_str());
-        let (last, link) = (scenario.proxies - 1, &fault.link);
-        let there = ends.collect::<Vec<_>>().join(", ");
-        return Err(format!(
-            "{from}: fault.link: no link `{link}`; there are proxy0 to proxy{last}, {there}"
-        ));
-    }
-    let late = |s: &&Signal| !(0.0..=scenario.length_s).contains(&s.at_s);
-    if let Some(s) = scenario.signal.iter().find(late) {
-        return Err(format!(
-            "{from}: signal.at_s: {} is not in the load's 0 to {} s",
-            s.at_s, scenario.length_s
-        ));
-    }
-    if let Some(s) = scenario.signal.iter().find(|s| s.proxy >= scenario.proxies) {
-        let (proxy, last) = (s.proxy, scenario.proxies - 1);
-        return Err(format!(
-            "{from}: signal.proxy: no proxy {proxy}; there are 0 to {last}"
-        ));
-    }
-    for slow in &scenario.slow {
-        let times =
-            slow.at_s >= 0.0 && slow.for_s > 0.0 && slow.at_s + slow.for_s <= scenario.length_s;
-        if !(times && slow.factor > 0.0 && slow.factor <= 1e3) {
-            return Err(format!(
-                "{from}: slow: seconds inside the load and a factor of at most 1000 expected"
-            ));
-        }
-        if !links
-            .iter()
-            .any(|(_, end)| end != "discovery" && side_matches(&slow.server, end))
-        {
-            return Err(format!(
-                "{from}: slow.server: no pay server `{}`",
-                slow.server
-            ));
-        }
-    }
-    let held = scenario
-        .expect
-        .check(scenario.length_s, &scenario.zones(), scenario.proxies);
-    held.map_err(|e| format!("{from}: {e}"))?;
-    Ok((scenario, schedule))
-}
-
-fn signal(stage: &mut Deployment, p: usize, kind: SignalKind) -> Result<(), String> {
-    let sent = match kind {
-        SignalKind::Restart => return stage.start(p).map(|_| ()).map_err(|e| e.to_string()),
-        SignalKind::Wipe => {
-            let state = stage.state(p);
-            let _ = std::fs::remove_dir_all(&state);
-            return std::fs::create_dir_all(&state).map_err(|e| e.to_string());
-        }
-        SignalKind::Kill => ProcessSignal::Kill,
-        SignalKind::Term => ProcessSignal::Term,
-        SignalKind::Stop => ProcessSignal::Stop,
-        SignalKind::Continue => ProcessSignal::Continue,
-        SignalKind::Hangup => ProcessSignal::Hangup,
-    };
-    match &stage.proxies[p] {
-        Some(proxy) => proxy.signal(sent).map_err(|e| format!("proxy{p}: {e}"))?,
-        None => return Err(format!("proxy{p} is down")),
-    }
-    if matches!(kind, SignalKind::Kill | SignalKind::Term) {
-        stage.proxies[p] = None;
-    }
-    Ok(())
-}
-
-/// What came of a run.
-pub struct ScenarioResult {
-    /// Each proxy's requests, by the time they were meant to go.
-    pub sent: Vec<Vec<SentRequest>>,
-    /// Latency of what was served, in microseconds, over all proxies.
-    pub latency: Histogram<u64>,
-    /// What ran twice, or was served without a run.
-    pub verdict: Verdict,
-    /// What does not hold of what the scenario expects, a line each.
-    pub violations: Vec<String>,
-    /// Signals that could not be sent.
-    pub signal_errors: Vec<String>,
-    /// Each proxy's log; empty where it was down at the end.
-    pub logs: Vec<Vec<String>>,
-}
-
-impl ScenarioResult {
-    /// Whether all holds: nothing twice, nothing made up, every signal sent, all as expected.
-    #[must_use]
-    pub fn passed(&self) -> bool {
-        let v = &self.verdict;
-        v.executed_twice.is_empty()
-            && v.fabricated.is_empty()
-            && self.violations.is_empty()
-            && self.signal_errors.is_empty()
-    }
-}
-
-/// Plays a scenario read by [`read`] with the `ironmast` program at `program`; `watch` is called
-/// once a second with the seconds that have passed.
-///
-/// # Errors
-/// Where the stage could not be set up.
-pub fn run(
-    scenario: &Scenario,
-    schedule: Schedule,
-    program: PathBuf,
-    mut watch: impl FnMut(u64, &Deployment, &[SharedResults]),
-) -> Result<ScenarioResult, DeploymentError> {
-    let mut stage = Deployment::new(scenario.layout(program), schedule)?;
-    let length = Duration::from_secs_f64(scenario.length_s);
-    let shape = LoadProfile::new(
-        scenario.load.rate,
-        length,
-        &scenario.load.path,
-        scenario.load.patience_ms,
-    );
-    let tallies: Vec<SharedResults> = (0..scenario.proxies)
-        .map(|_| SharedResults::default())
-        .collect();
-    let mut signal_errors = Vec::new();
-    let mut signals: Vec<&Signal> = scenario.signal.iter().collect();
-    signals.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-    let reports = stage.run_load_into(&shape, &tallies, |stage, tallies| {
-        let mut second = 1;
-        let mut next = signals.into_iter().peekable();
-        let end = Duration::from_secs_f64(scenario.length_s + 0.5);
-        while stage.faults.elapsed() < end {
-            let now = stage.faults.elapsed();
-            if let Some(s) = next.next_if(|s| Duration::from_secs_f64(s.at_s) <= now) {
-                if let Err(problem) = signal(stage, s.proxy, s.kind) {
-                    signal_errors.push(problem);
-                }
-                continue;
-            }
-            for server in &stage.servers {
-                let holds = |s: &&Slow| (s.at_s..s.at_s + s.for_s).contains(&now.as_secs_f64());
-                let theirs = scenario
-                    .slow
-                    .iter()
-                    .filter(holds)
-                    .filter(|s| side_matches(&s.server, &server.uid));
-                server.set_slowdown(theirs.map(|s| s.factor).product());
-            }
-            if now >= Duration::from_secs(second) {
-                watch(second, stage, tallies);
-                second += 1;
-            }
-            std::thread::sleep(Duration::from_millis(10));
-        }
-    });
-    let mut latency = Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid bounds");
-    for report in &reports {
-        latency.add(&report.latency).expect("same bounds");
+impl Slowdown {
+    /// Whether it is in effect `now_s` seconds into the load.
+    fn is_active_at(&self, now_s: f64) -> bool {
+        (self.at_s..self.at_s + self.for_s).contains(&now_s)
     }
-    let sent: Vec<Vec<SentRequest>> = reports.into_iter().map(|r| r.sent).collect();
-    let runs = stage.record.runs();
-    let verdict = verdict::check_executions(&sent.concat(), &runs, &["balance"]);
-    let violations = scenario.expect.violations(&sent, &runs);
-    let logs = stage
-        .proxies
-        .iter()
-        .map(|p| {
-            p.as_ref()
-                .map_or_else(Vec::new, super::process::Proxy::lines)
-        })
-        .collect();
-    Ok(ScenarioResult {
-        sent,
-        latency,
-        verdict,
-        violations,
-        signal_errors,
-        logs,
-    })
 }
 
 #[cfg(test)]
--- a/crates/fault-injection/src/scenario/tests.rs
+++ b/crates/fault-injection/src/scenario/tests.rs
@@ -5,7 +5,7 @@
 const DEMO: &str = include_str!("../../../../scenarios/stage/zone-cut.toml");
 
 #[test]
-fn the_shipped_stage_scenarios_read() {
+fn the_shipped_scenarios_parse() {
     assert!(parse(DEMO, "demo").is_ok());
     assert!(
         parse(
@@ -17,31 +17,37 @@
 }
 
 #[test]
-fn bad_stage_scenarios_are_told_in_one_line() {
-    let bad = |from: &str, to: &str| parse(&DEMO.replace(from, to), "x").expect_err("bad");
+fn an_invalid_scenario_is_rejected_with_one_line_that_names_the_key() {
+    let bad = |from: &str, to: &str| {
+        parse(&DEMO.replace(from, to), "x")
+            .expect_err("bad")
+            .to_string()
+    };
     assert!(bad("proxies = 3", "proxies = 0").contains("1 to 16 proxies"));
     assert!(bad("kind = \"cut\"", "kind = \"melt\"").contains("melt"));
     assert!(bad("link = \"proxy*->seattle-*\"", "link = \"nowhere\"").contains("FROM->TO"));
     assert!(bad("rate = 20.0", "rate = 0.0").contains("load"));
     let signal = format!("{DEMO}\n[[signal]]\nat_s = 1.0\nproxy = 7\nkind = \"kill\"\n");
     assert_eq!(
-        parse(&signal, "x").expect_err("bad"),
+        parse(&signal, "x").expect_err("bad").to_string(),
         "x: signal.proxy: no proxy 7; there are 0 to 2"
     );
     assert!(
         parse(&signal.replace("at_s = 1.0", "at_s = 99.0"), "x")
             .expect_err("bad")
+            .to_string()
             .contains("signal.at_s")
     );
-    let told = bad("path = \"/balance\"", "path = \"/nonsense\"");
+    let error = bad("path = \"/balance\"", "path = \"/nonsense\"");
     assert_eq!(
-        told,
+        error,
         "x: load.path: no class `nonsense`; there are timesheet-post, deposit-order, balance"
     );
-    let told = bad("proxy*->seattle-*", "proxy*->tacoma-*");
+    let error = bad("proxy*->seattle-*", "proxy*->tacoma-*");
     assert!(
-        told.starts_with("x: fault.link: no link `proxy*->tacoma-*`; there are proxy0 to proxy2, "),
-        "{told}"
+        error
+            .starts_with("x: fault.link: no link `proxy*->tacoma-*`; there are proxy0 to proxy2, "),
+        "{error}"
     );
     assert!(bad("name = \"portland\"", "name = \"seattle\"").contains("`seattle` is there twice"));
     let span = format!(
@@ -50,6 +56,7 @@
     assert!(
         parse(&span, "x")
             .expect_err("bad")
+            .to_string()
             .contains("no zone `tacoma`; there is seattle, portland")
     );
 }
--- a/crates/fault-injection/src/verdict.rs
+++ b/crates/fault-injection/src/verdict.rs
@@ -1,7 +1,7 @@
-//! What the clients saw, reconciled with what the pay servers ran.
+//! Compares what clients received with what pay servers executed.
 //!
-//! The verdict never takes the proxy's word: a request counts as run when a stand-in's record says
-//! so.
+//! The verdict does not depend on what the proxy reports: a request counts as executed if the
+//! execution record of the stub servers contains it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,40 +9,48 @@
 use crate::load::{Outcome, SentRequest};
 use crate::stub_servers::Execution;
 
-/// One verdict on a run.
+/// The verdict on a run.
 #[derive(Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// `X-Txn`s that ran more than once where their class does not allow it.
+    /// The `X-Txn`s that were executed more than once although their class does not allow it.
     pub executed_twice: Vec<String>,
-    /// `X-Txn`s the clients saw served that no pay server ran.
+    /// The `X-Txn`s that were served to clients although no pay server executed them.
     pub fabricated: Vec<String>,
-    /// Requests sent and served.
+    /// The number of requests sent.
     pub sent: usize,
-    /// Of those, served.
+    /// The number of those that were served.
     pub served: usize,
 }
 
-/// Compares what clients sent with what was executed; a class in `free` may be executed twice.
+/// The executions of one `X-Txn`.
+struct ExecutionCount<'a> {
+    class: &'a str,
+    count: usize,
+}
+
+/// Compares what clients sent with what was executed; requests of the classes in `free` may be
+/// executed more than once.
 #[must_use]
-pub fn check_executions(sent: &[SentRequest], runs: &[Execution], free: &[&str]) -> Verdict {
-    let mut counts: HashMap<&str, (usize, &str)> = HashMap::new();
-    for run in runs {
-        counts.entry(&run.txn).or_insert((0, &run.class)).0 += 1;
+pub fn check_executions(sent: &[SentRequest], executions: &[Execution], free: &[&str]) -> Verdict {
+    let mut counts: HashMap<&str, ExecutionCount<'_>> = HashMap::new();
+    for execution in executions {
+        let entry = counts.entry(&execution.txn).or_insert(ExecutionCount {
+            class: &execution.class,
+            count: 0,
+        });
+        entry.count += 1;
     }
     let mut executed_twice: Vec<String> = counts
         .iter()
-        .filter(|(_, (n, class))| *n > 1 && !free.contains(class))
+        .filter(|(_, execution)| execution.count > 1 && !free.contains(&execution.class))
         .map(|(txn, _)| txn.to_string())
         .collect();
     executed_twice.sort();
-    let served: Vec<&SentRequest> = sent
-        .iter()
-        .filter(|s| s.outcome == Outcome::Served)
-        .collect();
+    let served: Vec<&SentRequest> = sent.iter().filter(|request| is_served(request)).collect();
     let fabricated = served
         .iter()
-        .filter(|s| !counts.contains_key(s.txn.as_str()))
-        .map(|s| s.txn.clone())
+        .filter(|request| !counts.contains_key(request.txn.as_str()))
+        .map(|request| request.txn.clone())
         .collect();
     Verdict {
         executed_twice,
@@ -52,19 +60,24 @@
     }
 }
 
-/// The first moment at or after `from` from which every request meant to go was served for `span`:
-/// when the service had recovered. `None` if it never did.
+fn is_served(request: &SentRequest) -> bool {
+    request.outcome == Outcome::Served
+}
+
+/// When the service had recovered: the first send time at or after `from` such that every request
+/// sent in the `span` that follows was served. `None` if the load ends before that.
 #[must_use]
 pub fn recovery_time(sent: &[SentRequest], from: Duration, span: Duration) -> Option<Duration> {
-    let later: Vec<&SentRequest> = sent.iter().filter(|s| s.at >= from).collect();
+    let later: Vec<&SentRequest> = sent.iter().filter(|request| request.at >= from).collect();
     let last = later.last()?.at;
-    (0..later.len()).map(|i| later[i].at).find(|&t| {
-        t + span <= last
-            && later
-                .iter()
-                .filter(|s| s.at >= t && s.at < t + span)
-                .all(|s| s.outcome == Outcome::Served)
-    })
+    let is_served_throughout = |start: &Duration| {
+        let in_span = |request: &&&SentRequest| (*start..*start + span).contains(&request.at);
+        *start + span <= last && later.iter().filter(in_span).copied().all(is_served)
+    };
+    later
+        .iter()
+        .map(|request| request.at)
+        .find(is_served_throughout)
 }
 
 #[cfg(test)]
--- a/crates/gate/tests/support/mod.rs
+++ b/crates/gate/tests/support/mod.rs
@@ -136,7 +136,9 @@
             .expect("a port is free");
         let port = agent.local_addr().expect("bound").port();
         let [(frontend, frontend_port), (readiness, readiness_port)] = [(); 2].map(|()| {
-            ironmast_fault_injection::deployment::reserve_port().expect("a port is free")
+            let port =
+                ironmast_fault_injection::deployment::reserve_port().expect("a port is free");
+            (port.address, port.descriptor)
         });
         let text = format!(
             "node_name: n\nip_address: 127.0.0.1\nzone: {LOCAL_ZONE}\nregion: north\n\
--- a/crates/ironmast/tests/faults.rs
+++ b/crates/ironmast/tests/faults.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use ironmast_fault_injection::deployment::{Deployment, Layout};
+use ironmast_fault_injection::deployment::{Deployment, Layout, ZoneLayout};
 use ironmast_fault_injection::fault::{Fault, FaultKind, Schedule};
 use ironmast_fault_injection::load::{LoadProfile, LoadReport, Outcome};
 use ironmast_fault_injection::process::ProcessSignal;
@@ -16,10 +16,13 @@
 fn stage(servers: usize, proxies: usize, faults: Vec<Fault>) -> Deployment {
     let layout = Layout {
         program: PathBuf::from(env!("CARGO_BIN_EXE_ironmast")),
-        zones: vec![("seattle".into(), servers)],
+        zones: vec![ZoneLayout {
+            name: "seattle".into(),
+            servers,
+        }],
         proxies,
-        work: Duration::from_millis(5),
-        patience: Duration::from_secs(20),
+        service_time: Duration::from_millis(5),
+        start_timeout: Duration::from_secs(20),
     };
     Deployment::new(layout, Schedule::new(faults).expect("a valid schedule"))
         .expect("the stage is set up")
@@ -34,13 +37,13 @@
         .iter()
         .flat_map(|r| r.sent.iter().cloned())
         .collect();
-    let v = verdict::check_executions(&sent, &stage.record.runs(), &["balance"]);
+    let v = verdict::check_executions(&sent, &stage.record.executions(), &["balance"]);
     let broken = sent.iter().filter(|s| s.outcome == Outcome::Broken).count();
     eprintln!(
         "sent {}, served {}, broken {broken}, runs {}",
         v.sent,
         v.served,
-        stage.record.runs().len()
+        stage.record.executions().len()
     );
     assert!(
         v.executed_twice.is_empty(),
@@ -111,7 +114,7 @@
     let mut stage = stage(2, 2, vec![cut]);
     let reports = stage.run_load(&shape("/deposit-order", 50.0, 5.0), |_| {});
     let v = judged(&stage, &reports);
-    let runs = stage.record.runs();
+    let runs = stage.record.executions();
     let on_s0 = runs.iter().filter(|r| r.server == "seattle-0").count();
     assert!(
         on_s0 > 0,
--- a/crates/ironmast/tests/stage/mod.rs
+++ b/crates/ironmast/tests/stage/mod.rs
@@ -87,7 +87,8 @@
         });
         // A port of the system's choice, held without listening so that nobody but the proxies may
         // have it.
-        let (listen, port) = ironmast_fault_injection::deployment::reserve_port().expect("a port");
+        let port = ironmast_fault_injection::deployment::reserve_port().expect("a port");
+        let (listen, port) = (port.address, port.descriptor);
         Stage {
             folder: tempfile::tempdir().expect("a folder"),
             listen,
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -60,7 +60,7 @@
         });
         text += &format!(" {served:>4} {other:>3}");
     }
-    let runs = stage.record.runs();
+    let runs = stage.record.executions();
     for zone in zones {
         let prefix = format!("{zone}-");
         let n = runs
@@ -87,10 +87,10 @@
         ),
         None => (DEMO.to_string(), "the demo".to_string()),
     };
-    let (scenario, schedule) = parse(&text, &from)?;
+    let (scenario, schedule) = parse(&text, &from).map_err(|e| e.to_string())?;
     let program = program(play.proxy)?;
-    let zones = scenario.zones();
-    println!("{}: {}", scenario.name, scenario.about);
+    let zones = scenario.zone_names();
+    println!("{}: {}", scenario.name, scenario.description);
     let proxies: Vec<String> = (0..scenario.proxies)
         .map(|p| format!("  p{p} ok bad"))
         .collect();
@@ -132,7 +132,7 @@
         let json = serde_json::json!({
             "scenario": scenario.name, "sent": v.sent, "served": v.served,
             "refused": count(Outcome::Rejected), "failed": count(Outcome::Failed), "broken": count(Outcome::Broken), "given_up": count(Outcome::TimedOut),
-            "ran_twice": v.executed_twice, "served_without_run": v.fabricated, "not_as_expected": played.violations, "signals_failed": played.signal_errors,
+            "ran_twice": v.executed_twice, "served_without_run": v.fabricated, "not_as_expected": played.violations, "signals_failed": played.signal_errors.iter().map(ToString::to_string).collect::<Vec<_>>(),
             "latency_ms": {"p50": p50 as f64 / 1e3, "p99": p99 as f64 / 1e3},
         });
         write(path, &json.to_string())?;
