--- a/crates/admin/src/hot_restart.rs
+++ b/crates/admin/src/hot_restart.rs
@@ -1,7 +1,7 @@
 //! Which process serves during a hot restart, as a state machine.
 //!
 //! During a hot restart an old and a new process run side by side as one proxy: the new one starts
-//! serving before the old one stops. Each process runs a [`HotRestart`], which is told what happens
+//! serving before the old one stops. Each process runs a [`HotRestart`], which receives what happens
 //! to the process and returns what the process must do.
 
 #[cfg(test)]
--- a/crates/admin/src/overrides.rs
+++ b/crates/admin/src/overrides.rs
@@ -73,7 +73,7 @@
 pub struct Applied {
     /// The remark for the operator.
     pub remark: String,
-    /// The list that the module must be told, if anything changed for it.
+    /// The list that the module must receive, if anything changed for it.
     pub update: Option<EndpointUpdate>,
 }
 
@@ -84,7 +84,7 @@
     revision: Option<u64>,
     /// The endpoints as discovery reports them.
     discovered: BTreeMap<ServerId, Endpoint>,
-    /// Servers that started after this moment are left to a successor, in Unix microseconds.
+    /// Servers that started after this moment are delegated to a successor, in Unix microseconds.
     delegated_after: Option<Micros>,
 }
 
@@ -195,7 +195,7 @@
 
     /// Leaves the servers that started after `after` (Unix microseconds) to a successor by showing
     /// them as draining, or none with `None`. Otherwise two processes would each send a server that
-    /// is warming up what one may. Returns the list that the module must be told, if it changed.
+    /// is warming up what one may. Returns the list that the module must receive, if it changed.
     pub fn delegate_started_after(&mut self, after: Option<Micros>) -> Option<EndpointUpdate> {
         let before = std::mem::replace(&mut self.delegated_after, after);
         (before != after).then(|| self.list())
@@ -212,7 +212,7 @@
     }
 
     /// Applies an override that the other process of a hot restart received. Returns the list that
-    /// the module must be told, if anything changed for it.
+    /// the module must receive, if anything changed for it.
     pub fn apply_override(&mut self, change: ServerOverride) -> Option<EndpointUpdate> {
         let ServerOverride {
             uid,
@@ -268,7 +268,7 @@
         endpoint
     }
 
-    /// The whole list as the module must see it now. Its scope is that of a cached list, since a
+    /// The complete list as the module must see it now. Its scope is that of a cached list, since a
     /// change reported by discovery would end the module's own queries.
     fn list(&self) -> EndpointUpdate {
         let endpoints = self
@@ -283,7 +283,7 @@
         }
     }
 
-    /// The whole list, if discovery reports the server.
+    /// The complete list, if discovery reports the server.
     fn list_if_discovered(&self, uid: &str) -> Option<EndpointUpdate> {
         self.discovered
             .contains_key(&ServerId::from_name(uid))
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -119,7 +119,7 @@
 
     /// Announces this member to [`JOIN_FANOUT`] of the configured `peers`, which answer with what
     /// they know. Its own address is skipped. The peers are chosen at random rather than from the
-    /// head of the list, so that the joins are spread when the whole cluster restarts at once.
+    /// head of the list, so that the joins are spread when the entire cluster restarts at once.
     pub fn join(&mut self, peers: &[SocketAddrV4], now: Duration) -> Vec<Action> {
         self.now = now;
         let own_address = self.identity().address;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,7 +2,7 @@
 //! terms.
 //!
 //! The simulator's protocol and the client proxy's configuration file both end here, so that both
-//! programs agree on every default and every range. Durations are whole microseconds.
+//! programs agree on every default and every range. Durations are integers in microseconds.
 #![forbid(unsafe_code)]
 
 mod error;
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -55,12 +55,12 @@
         }
     }
 
-    /// All fields that are left.
+    /// All remaining fields.
     pub(crate) fn rest(&mut self) -> impl Iterator<Item = &'a str> {
         self.rest.by_ref()
     }
 
-    /// Checks that no field is left.
+    /// Checks that no field remains.
     pub(crate) fn end(&mut self) -> Result<(), FieldError> {
         match self.rest.next() {
             Some(extra) => invalid("(end)", format!("unexpected further field `{extra}`")),
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -45,7 +45,7 @@
     lists: Lists,
     instances: BTreeMap<u64, Instance>,
     batch: Option<OpenBatch>,
-    /// Empty between lines; kept for its allocation.
+    /// Empty between lines; retained for its allocation.
     actions: Vec<Action>,
     reply: String,
 }
