--- a/crates/routing/src/candidates.rs
+++ b/crates/routing/src/candidates.rs
@@ -11,7 +11,7 @@
 use crate::request::Call;
 use crate::table::{RegionId, RegionSet};
 
-/// Slots of the servers that a request may be sent to.
+/// Indexes in the endpoint table of the servers that a request may be sent to.
 pub(crate) type Pool = SmallVec<[u32; 64]>;
 
 /// Which signs of a fault are ignored when no server would be left otherwise (compare Envoy's panic
@@ -127,7 +127,7 @@
             best = grade;
         }
         if grade == best {
-            pool.push(endpoint.handle.slot);
+            pool.push(endpoint.handle.index);
         }
     }
     pool
@@ -140,7 +140,7 @@
     is_preferred: bool,
 }
 
-/// Slot of a local server whose ejection is over and that the request may try. Only an idempotent
+/// Index of a local server whose ejection is over and that the request may try. Only an idempotent
 /// request may, because the trial may fail.
 pub(crate) fn trial_server(
     endpoints: &Endpoints,
@@ -156,5 +156,5 @@
             && is_candidate(endpoint, call, HealthFilter::AllowEjected, now)
     };
     let mut servers = scope.servers(endpoints, Locality::Local);
-    servers.find(is_due).map(|endpoint| endpoint.handle.slot)
+    servers.find(is_due).map(|endpoint| endpoint.handle.index)
 }
--- a/crates/routing/src/decider/pick.rs
+++ b/crates/routing/src/decider/pick.rs
@@ -38,7 +38,8 @@
     reason = "independent facts, each tested by one step of the choice"
 )]
 pub(super) struct CandidateLoad {
-    pub(super) slot: u32,
+    /// Index of the server in the endpoint table.
+    pub(super) endpoint_index: u32,
     /// Hash of its instance.
     hash: u64,
     load: Load,
@@ -113,7 +114,7 @@
         max_utilization: f64,
     ) -> CandidateLoads {
         let max_age = self.settings.load_report_max_age;
-        let endpoints = || pool.iter().filter_map(|slot| self.endpoints.at(*slot));
+        let endpoints = || pool.iter().filter_map(|index| self.endpoints.at(*index));
         let occupancies = endpoints().map(|endpoint| &endpoint.occupancy);
         let averages = PoolAverages::of(occupancies, now, max_age);
         let demand = call.token_demand();
@@ -126,7 +127,7 @@
             let is_open = occupancy.backoff_until() <= now
                 && occupancy.has_connection_capacity(&endpoint.limits);
             CandidateLoad {
-                slot: endpoint.handle.slot,
+                endpoint_index: endpoint.handle.index,
                 hash: endpoint.hash,
                 load,
                 utilization,
@@ -166,11 +167,11 @@
             usable.retain(|candidate| candidate.has_kv_cache);
         }
         if call.affinity_key.is_none() {
-            usable.sort_unstable_by_key(|candidate| candidate.slot);
+            usable.sort_unstable_by_key(|candidate| candidate.endpoint_index);
         }
         let mut earliest_permit: Option<Micros> = None;
         while let Some(index) = self.choose(call, &usable, args) {
-            let Some(endpoint) = self.endpoints.at(usable[index].slot) else {
+            let Some(endpoint) = self.endpoints.at(usable[index].endpoint_index) else {
                 break;
             };
             match acquire_permit(now, endpoint, limits) {
@@ -228,7 +229,8 @@
         affinity::choose(key, &candidates, bounds)
     }
 
-    /// The usable candidates must be in ascending order of their slots.
+    /// The usable candidates must be in ascending order of their indexes in the endpoint
+    /// table.
     fn choose_by_round_robin(&mut self, usable: &CandidateLoads, args: PickArgs) -> Option<usize> {
         let key = RoundRobinKey {
             service: args.scope.service,
@@ -242,26 +244,26 @@
         let mut round_robin = self.round_robins.remove(&key).unwrap_or_default();
         self.refresh(&mut round_robin, args);
         let (endpoints, zone) = (&self.endpoints, &self.settings.zone);
-        let index = |slot: u32| {
-            let by_slot = |candidate: &CandidateLoad| candidate.slot;
-            usable.binary_search_by_key(&slot, by_slot).ok()
+        let position = |endpoint_index: u32| {
+            let by_index = |candidate: &CandidateLoad| candidate.endpoint_index;
+            usable.binary_search_by_key(&endpoint_index, by_index).ok()
         };
         let objective = self.shortest_objective(args.scope.service).max(1.0);
-        let load = |slot: u32| {
-            let candidate = &usable[index(slot)?];
+        let load = |endpoint_index: u32| {
+            let candidate = &usable[position(endpoint_index)?];
             Some(
                 candidate
                     .utilization
                     .max(candidate.prefill_wait / objective),
             )
         };
-        let is_in_own_zone = |slot: u32| {
-            let endpoint = endpoints.at(slot);
+        let is_in_own_zone = |endpoint_index: u32| {
+            let endpoint = endpoints.at(endpoint_index);
             endpoint.is_some_and(|endpoint| *endpoint.spec.zone == **zone)
         };
         let picked = round_robin.pick(&mut self.rng, load, is_in_own_zone);
         self.round_robins.insert(key, round_robin);
-        picked.and_then(index)
+        picked.and_then(position)
     }
 
     /// Brings the members of a round robin up to the current table.
@@ -269,9 +271,9 @@
         let table_version = self.endpoints.table_version();
         if round_robin.table_version != table_version {
             let servers = args.scope.servers(&self.endpoints, args.locality);
-            let mut slots: Vec<u32> = servers.map(|endpoint| endpoint.handle.slot).collect();
-            slots.sort_unstable();
-            round_robin.set_members(slots);
+            let mut members: Vec<u32> = servers.map(|endpoint| endpoint.handle.index).collect();
+            members.sort_unstable();
+            round_robin.set_members(members);
             round_robin.table_version = table_version;
         }
     }
@@ -286,7 +288,7 @@
         let response_time = self.response_time(call);
         let in_flight: u32 = candidates
             .iter()
-            .filter_map(|candidate| self.endpoints.at(candidate.slot))
+            .filter_map(|candidate| self.endpoints.at(candidate.endpoint_index))
             .map(|endpoint| endpoint.occupancy.in_flight)
             .sum();
         let backoffs = candidates
--- a/crates/routing/src/decider/search.rs
+++ b/crates/routing/src/decider/search.rs
@@ -146,8 +146,8 @@
         // A trial may fail, so the request must have another attempt left and none behind it.
         let max_attempts = call.request.route.spec.max_attempts;
         let may_fail = call.attempts() == 0 && max_attempts > 1 || !Guard::TrialFirst.on();
-        let slot = candidates::trial_server(&self.endpoints, scope, call, now);
-        let endpoint = self.endpoints.at(slot.filter(|_| may_fail)?)?;
+        let index = candidates::trial_server(&self.endpoints, scope, call, now);
+        let endpoint = self.endpoints.at(index.filter(|_| may_fail)?)?;
         acquire_permit(now, endpoint, limits).ok()?;
         Some(SelectedServer {
             server: endpoint.handle,
@@ -298,7 +298,7 @@
     }
 
     fn is_in_region(&self, candidate: &CandidateLoad, region: RegionId) -> bool {
-        let endpoint = self.endpoints.at(candidate.slot);
+        let endpoint = self.endpoints.at(candidate.endpoint_index);
         endpoint.is_some_and(|endpoint| endpoint.region == region)
     }
 
--- a/crates/routing/src/decider/tests/properties.rs
+++ b/crates/routing/src/decider/tests/properties.rs
@@ -91,7 +91,7 @@
 
 impl Ord for ServerHandle {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.slot, self.incarnation).cmp(&(other.slot, other.incarnation))
+        (self.index, self.generation).cmp(&(other.index, other.generation))
     }
 }
 
--- a/crates/routing/src/decision.rs
+++ b/crates/routing/src/decision.rs
@@ -10,10 +10,11 @@
 /// Identifies a server inside one decider. A handle is never reused for another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ServerHandle {
-    /// Index of the server's slot, which later servers reuse.
-    pub(crate) slot: u32,
-    /// Counts the servers that the decider has known, so that a stale handle is recognized.
-    pub(crate) incarnation: u32,
+    /// Index of the server's entry in the endpoint table. Later servers reuse it.
+    pub(crate) index: u32,
+    /// Counts the servers that the decider has known, so that a stale handle is recognized (a
+    /// generational index).
+    pub(crate) generation: u32,
 }
 
 /// One attempt to be made.
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -1,5 +1,6 @@
-//! The servers of the current table with what is remembered of each, in reusable slots, and their
-//! groups: the servers of one service in one region. This is state only; no decision is made here.
+//! The servers of the current table with what is remembered of each, in a table whose
+//! entries are reused, and their groups: the servers of one service in one region. This is state
+//! only; no decision is made here.
 
 use std::sync::Arc;
 
@@ -15,14 +16,14 @@
 /// All servers.
 #[derive(Debug, Default)]
 pub(crate) struct Endpoints {
-    slots: Vec<Option<Endpoint>>,
-    free_slots: Vec<u32>,
+    entries: Vec<Option<Endpoint>>,
+    free_indexes: Vec<u32>,
     by_instance: FxHashMap<Arc<str>, u32>,
-    /// Slots of the listed servers of each service and region.
+    /// Indexes of the listed servers of each service and region.
     groups: Vec<Vec<u32>>,
     regions: usize,
     /// Number of servers that were ever added; it makes handles unique.
-    incarnations: u32,
+    generations: u32,
     table_version: u64,
 }
 
@@ -33,23 +34,23 @@
         self.table_version += 1;
         self.regions = table.region_count();
         self.groups = vec![Vec::new(); table.services().len() * self.regions];
-        for endpoint in self.slots.iter_mut().flatten() {
+        for endpoint in self.entries.iter_mut().flatten() {
             endpoint.is_listed = false;
         }
         for spec in table.servers() {
-            let slot = match self.by_instance.get(&spec.instance) {
-                Some(slot) => self.update(*slot, spec),
+            let index = match self.by_instance.get(&spec.instance) {
+                Some(index) => self.update(*index, spec),
                 None => self.insert(now, spec),
             };
-            self.list(slot, table);
+            self.list(index, table);
         }
-        let endpoints = self.slots.iter().flatten();
+        let endpoints = self.entries.iter().flatten();
         let obsolete: Vec<u32> = endpoints
             .filter(|endpoint| endpoint.is_obsolete())
-            .map(|endpoint| endpoint.handle.slot)
+            .map(|endpoint| endpoint.handle.index)
             .collect();
-        for slot in obsolete {
-            self.remove(slot);
+        for index in obsolete {
+            self.remove(index);
         }
     }
 
@@ -57,33 +58,33 @@
         service * self.regions as u32 + u32::from(region)
     }
 
-    /// Adds a server and returns its slot.
+    /// Adds a server and returns its index.
     fn insert(&mut self, now: Micros, spec: &Arc<ServerSpec>) -> u32 {
-        let slot = self.free_slots.pop().unwrap_or_else(|| {
-            self.slots.push(None);
-            self.slots.len() as u32 - 1
+        let index = self.free_indexes.pop().unwrap_or_else(|| {
+            self.entries.push(None);
+            self.entries.len() as u32 - 1
         });
-        self.incarnations = self.incarnations.wrapping_add(1);
+        self.generations = self.generations.wrapping_add(1);
         let handle = ServerHandle {
-            slot,
-            incarnation: self.incarnations,
+            index,
+            generation: self.generations,
         };
-        self.slots[slot as usize] = Some(Endpoint::new(now, spec, handle));
-        self.by_instance.insert(spec.instance.clone(), slot);
-        slot
+        self.entries[index as usize] = Some(Endpoint::new(now, spec, handle));
+        self.by_instance.insert(spec.instance.clone(), index);
+        index
     }
 
-    /// Updates a known server and returns its slot.
-    fn update(&mut self, slot: u32, spec: &Arc<ServerSpec>) -> u32 {
-        if let Some(endpoint) = self.slots[slot as usize].as_mut() {
+    /// Updates a known server and returns its index.
+    fn update(&mut self, index: u32, spec: &Arc<ServerSpec>) -> u32 {
+        if let Some(endpoint) = self.entries[index as usize].as_mut() {
             endpoint.update_spec(spec);
         }
-        slot
+        index
     }
 
     /// Lists a server in its group.
-    fn list(&mut self, slot: u32, table: &Table) {
-        let Some(endpoint) = self.slots[slot as usize].as_mut() else {
+    fn list(&mut self, index: u32, table: &Table) {
+        let Some(endpoint) = self.entries[index as usize].as_mut() else {
             return;
         };
         let service = table.service(&endpoint.spec.service);
@@ -98,44 +99,44 @@
             &table.services()[service as usize],
             table.gates,
         );
-        self.groups[group as usize].push(slot);
+        self.groups[group as usize].push(index);
     }
 
-    fn remove(&mut self, slot: u32) {
-        if let Some(endpoint) = self.slots[slot as usize].take() {
+    fn remove(&mut self, index: u32) {
+        if let Some(endpoint) = self.entries[index as usize].take() {
             self.by_instance.remove(&endpoint.spec.instance);
-            self.free_slots.push(slot);
+            self.free_indexes.push(index);
         }
     }
 
     /// Drops a server that is no longer listed, once no attempt is in flight there.
     pub(crate) fn remove_if_obsolete(&mut self, server: ServerHandle) {
         if self.get(server).is_some_and(Endpoint::is_obsolete) {
-            self.remove(server.slot);
+            self.remove(server.index);
         }
     }
 
     /// A server, unless it was dropped.
     pub(crate) fn get(&self, server: ServerHandle) -> Option<&Endpoint> {
-        let endpoint = self.slots.get(server.slot as usize)?.as_ref()?;
+        let endpoint = self.entries.get(server.index as usize)?.as_ref()?;
         (endpoint.handle == server).then_some(endpoint)
     }
 
     /// A server, unless it was dropped.
     pub(crate) fn get_mut(&mut self, server: ServerHandle) -> Option<&mut Endpoint> {
-        let endpoint = self.slots.get_mut(server.slot as usize)?.as_mut()?;
+        let endpoint = self.entries.get_mut(server.index as usize)?.as_mut()?;
         (endpoint.handle == server).then_some(endpoint)
     }
 
-    /// The server in a slot.
-    pub(crate) fn at(&self, slot: u32) -> Option<&Endpoint> {
-        self.slots.get(slot as usize)?.as_ref()
+    /// The server at an index.
+    pub(crate) fn at(&self, index: u32) -> Option<&Endpoint> {
+        self.entries.get(index as usize)?.as_ref()
     }
 
     /// The handle of an instance.
     pub(crate) fn handle(&self, instance: &str) -> Option<ServerHandle> {
-        let slot = *self.by_instance.get(instance)?;
-        self.at(slot).map(|endpoint| endpoint.handle)
+        let index = *self.by_instance.get(instance)?;
+        self.at(index).map(|endpoint| endpoint.handle)
     }
 
     /// The listed servers of a service in a region.
@@ -150,8 +151,8 @@
     /// The listed servers of a group.
     pub(crate) fn group(&self, group: u32) -> impl Iterator<Item = &Endpoint> {
         let members = self.groups.get(group as usize).map(Vec::as_slice);
-        let slots = members.unwrap_or_default().iter();
-        slots.filter_map(|slot| self.at(*slot))
+        let indexes = members.unwrap_or_default().iter();
+        indexes.filter_map(|index| self.at(*index))
     }
 
     /// Version of the current table, which increases with each table.
@@ -161,13 +162,13 @@
 
     /// Every listed server.
     pub(crate) fn listed(&self) -> impl Iterator<Item = &Endpoint> {
-        let endpoints = self.slots.iter().flatten();
+        let endpoints = self.entries.iter().flatten();
         endpoints.filter(|endpoint| endpoint.is_listed)
     }
 
     /// Every listed server.
     pub(crate) fn listed_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
-        let endpoints = self.slots.iter_mut().flatten();
+        let endpoints = self.entries.iter_mut().flatten();
         endpoints.filter(|endpoint| endpoint.is_listed)
     }
 
--- a/crates/routing/src/endpoints/tests.rs
+++ b/crates/routing/src/endpoints/tests.rs
@@ -60,7 +60,7 @@
     endpoints.apply_table(2, &table(vec![server(3, "a", "x")]));
     let third = endpoints.handle("i-3").expect("listed");
     assert!(endpoints.get(first).is_none() && endpoints.get(third).is_some());
-    assert!(endpoints.slots.len() <= 2, "{}", endpoints.slots.len());
+    assert!(endpoints.entries.len() <= 2, "{}", endpoints.entries.len());
 }
 
 #[test]
@@ -102,7 +102,7 @@
 
 #[test]
 fn state_of_1300_servers_takes_less_than_a_megabyte() {
-    // Besides each record: its entry by instance, its slot in a group and in two round robins, and
+    // Besides each record: its entry by instance, its index in a group and in two round robins, and
     // the names themselves.
     let beside = 24 + 16 + 3 * 4 + 64;
     let record = size_of::<Option<Endpoint>>() + size_of::<ServerSpec>() + beside;
--- a/crates/routing/src/round_robin.rs
+++ b/crates/routing/src/round_robin.rs
@@ -10,7 +10,7 @@
 pub(crate) struct ShuffledRoundRobin {
     /// Version of the table that the members were last compared with.
     pub(crate) table_version: u64,
-    /// Slots of the servers; those before `next` have been used in this round.
+    /// Indexes of the servers in the endpoint table; those before `next` have been used in this round.
     order: Vec<u32>,
     next: usize,
 }
