--- a/crates/balancer/src/fleet/tests.rs
+++ b/crates/balancer/src/fleet/tests.rs
@@ -17,7 +17,7 @@
 
 /// Whatever changes in whatever order: the sums are those of the servers that are there.
 #[test]
-fn sums_and_orders_follow_every_change() {
+fn aggregates_and_orders_follow_every_change() {
     let mut rng = Rng(3);
     let mut fleet = Fleet::new(1, 2);
     for step in 0..20_000u64 {
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A driver for one balancer: feeds events, keeps what was sent and answered, fires timers in
-//! order.
+//! The set-up of the tests: a driver for one balancer, which feeds events, keeps what was sent and
+//! answered, and fires timers in order.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/balancer/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn own_zone_gets_everything_and_evenly() {
+fn the_own_zone_is_sent_all_requests_in_even_shares() {
     let mut d = ready(free());
     (1_000..1_600).for_each(|n| _ = d.serve(n, 0, 5 * MS));
     let mut count = BTreeMap::new();
@@ -74,7 +74,7 @@
 /// hundred held and refused what the servers had room for. Told how little the others are asked
 /// for, it may use theirs.
 #[test]
-fn the_busiest_of_many_agents_may_use_what_the_others_leave() {
+fn the_busiest_of_many_balancers_uses_limits_that_the_others_leave() {
     let at_once = |told: bool| {
         let mut settings = settings(vec![class(Effect::Idempotent)]);
         (settings.balancers, settings.limits.peers) = (100, true);
@@ -104,7 +104,7 @@
 /// Where each server heard of an agent every few seconds, slow ones kept their share for a whole
 /// day.
 #[test]
-fn an_agent_with_little_traffic_keeps_to_few_servers_and_agents_differ() {
+fn one_of_many_balancers_with_little_traffic_uses_a_small_subset_of_its_own() {
     let mut total = BTreeMap::new();
     for agent in 0..200 {
         let mut d = crowd(200, 10, free(), agent);
@@ -139,7 +139,7 @@
 
 /// A busy agent of a small fleet knew two servers in its first seconds and refused the rest.
 #[test]
-fn where_agents_are_few_each_uses_all_servers_from_the_start() {
+fn few_balancers_use_all_servers_from_the_start() {
     let mut d = crowd(5, 10, free(), 1);
     let used: BTreeSet<ServerId> = (0..10).map(|n| d.serve(n, 0, 20 * MS)).collect();
     assert_eq!(used.len(), 10);
@@ -147,7 +147,7 @@
 
 /// Many agents' idle connections filled the servers' tables, and new ones were refused.
 #[test]
-fn connections_to_servers_no_longer_used_are_closed() {
+fn idle_connections_to_unused_servers_are_closed() {
     let mut d = ready(free());
     let closed = |d: &Driver, server| {
         d.actions
@@ -167,7 +167,7 @@
 
 /// Retries of what full servers turned away were free, and became a storm among full servers.
 #[test]
-fn full_servers_bring_no_storm_of_retries() {
+fn overloaded_servers_cause_no_retry_storm() {
     let mut d = ready(free());
     teach(&mut d);
     let before = d.sends.len();
@@ -186,7 +186,7 @@
 
 /// An attempt called off (its copy had won, its client had left) told nothing of the slow server.
 #[test]
-fn a_slow_server_is_trimmed_though_its_attempts_are_called_off() {
+fn a_slow_server_gets_a_smaller_share_though_its_attempts_are_cancelled() {
     let mut d = ready(free());
     teach(&mut d);
     let (bad, mut hits) = (id(1), Vec::new());
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_zone_without_servers_opens_the_fleet_and_closes_it_again() {
+fn requests_leave_a_zone_without_servers_and_return_when_it_has_some() {
     let mut d = ready(free());
     let gone = |n| Server {
         phase: Phase::Gone,
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn draining_servers_get_nothing_new() {
+fn draining_servers_are_sent_nothing_new() {
     let mut d = ready(free());
     d.list(
         Scope::Changes,
@@ -244,14 +244,14 @@
 }
 
 #[test]
-fn servers_missing_from_a_complete_list_are_gone() {
+fn servers_missing_from_a_complete_list_are_removed() {
     let mut d = ready(free());
     d.list(Scope::Complete, vec![server(3, 0), server(4, 1)]);
     assert!((0..20).all(|n| d.serve(n, 0, 5 * MS) == id(3)));
 }
 
 #[test]
-fn larger_servers_get_larger_shares_where_the_list_tells_sizes() {
+fn larger_servers_get_larger_shares_where_sizes_mean_capacity() {
     let mut s = settings(free());
     s.sizes = SizeMeaning::Capacity;
     let mut d = Driver::new(s);
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn a_key_keeps_its_server_and_agents_agree_on_it() {
+fn a_key_keeps_its_server_and_balancers_agree_on_it() {
     let mut s = settings(free());
     s.key_affinity = true;
     let mut agree = 0;
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn a_server_that_refuses_connections_is_set_aside_and_tried_again() {
+fn a_server_that_refuses_connections_is_ejected_and_tried_again() {
     let mut d = ready(free());
     teach(&mut d);
     let bad = id(1);
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn one_broken_answer_sets_nobody_aside() {
+fn one_broken_response_ejects_no_server() {
     let mut d = ready(vec![class(Effect::NonIdempotent)]);
     (1_000..1_060).for_each(|n| _ = d.serve(n, 0, 10 * MS));
     for n in 0..3 {
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn a_few_broken_connections_in_a_row_set_nobody_aside() {
+fn a_few_broken_connections_in_a_row_eject_no_server() {
     let mut d = ready(vec![class(Effect::NonIdempotent)]);
     (1_000..1_060).for_each(|n| _ = d.serve(n, 0, 10 * MS));
     for n in 0..12 {
@@ -353,7 +353,7 @@
 }
 
 #[test]
-fn one_lost_connection_after_some_broken_answers_sets_nobody_aside() {
+fn one_lost_connection_after_some_broken_responses_ejects_no_server() {
     let mut d = ready(vec![class(Effect::NonIdempotent)]);
     (1_000..1_060).for_each(|n| _ = d.serve(n, 0, 10 * MS));
     let mut hits = 0;
@@ -382,7 +382,7 @@
 }
 
 #[test]
-fn who_is_set_aside_comes_back_by_a_probe_though_nothing_may_be_repeated() {
+fn an_ejected_server_returns_by_a_probe_where_no_class_is_idempotent() {
     let mut s = settings(vec![class(Effect::NonIdempotent)]);
     s.limits.probes = true;
     let mut d = Driver::new(s);
@@ -433,7 +433,7 @@
 }
 
 #[test]
-fn a_server_silent_on_one_class_is_left_out_for_that_class_alone() {
+fn a_server_that_does_not_answer_one_class_is_ejected_for_that_class_alone() {
     let mut d = ready(vec![
         class(Effect::NonIdempotent),
         class(Effect::NonIdempotent),
@@ -480,7 +480,7 @@
 }
 
 #[test]
-fn who_is_silent_on_a_class_holds_nobody_elses_limit_down() {
+fn a_server_ejected_for_a_class_does_not_keep_the_others_limits_down() {
     let mut d = Driver::new(settings(vec![class(Effect::NonIdempotent)]));
     d.list(Scope::Complete, vec![server(1, 0), server(2, 0)]);
     let ask = |d: &mut Driver, numbers: std::ops::Range<u64>| {
@@ -511,7 +511,7 @@
 }
 
 #[test]
-fn failures_of_the_whole_zone_alike_do_not_empty_it() {
+fn failures_of_a_whole_zone_alike_do_not_eject_all_of_it() {
     // Guards against overload: time-outs everywhere are load, and the other zone would go down
     // next.
     let mut d = ready(vec![class(Effect::NonIdempotent)]);
@@ -531,7 +531,7 @@
 }
 
 #[test]
-fn a_saturated_zone_spills_only_its_excess() {
+fn a_saturated_zone_spills_over_only_its_excess() {
     // Guards against a crowded zone: answers grow slow, limits close, what waits long enough
     // crosses.
     let mut s = settings(free());
@@ -567,7 +567,7 @@
 }
 
 #[test]
-fn the_way_to_another_zone_is_no_pain() {
+fn network_latency_to_another_zone_does_not_count_as_overload() {
     // Guards against limits of far servers that stay at the least where aims are short and ways
     // long.
     let mut d = Driver::new(Settings {
@@ -598,7 +598,7 @@
 }
 
 #[test]
-fn many_agents_share_what_a_server_can_hold() {
+fn many_balancers_share_the_limit_of_a_server() {
     // Guards against many agents: one request each at a time buries a server under all of them
     // together.
     let mut s = settings(free());
@@ -623,7 +623,7 @@
 
 /// The newest held request, too new to cross zones, kept older ones from crossing when room came.
 #[test]
-fn held_requests_that_may_cross_zones_do_not_wait_behind_newer_ones() {
+fn queued_requests_that_may_spill_over_do_not_wait_behind_newer_ones() {
     let mut s = settings(vec![class(Effect::NonIdempotent)]);
     s.penalties.cross_zone = 0.2;
     let mut d = Driver::new(s);
@@ -650,7 +650,7 @@
 
 /// One request in flight from each of 140 agents was more than a jammed zone could drain.
 #[test]
-fn limits_that_sum_below_one_become_pauses() {
+fn limits_that_sum_below_one_pause_the_zone() {
     let class = ClassSettings {
         deadline: 10 * SECOND,
         ..class(Effect::NonIdempotent)
@@ -721,7 +721,7 @@
 }
 
 #[test]
-fn full_servers_do_not_send_each_of_very_many_agents_on_to_all_others() {
+fn overloaded_servers_do_not_widen_the_subset_of_one_of_very_many_balancers() {
     let d = one_of_very_many(8, |_| (Outcome::Overloaded, 0));
     let (sends, far) = (d.sends.len(), far_sends(&d));
     assert!(
@@ -735,7 +735,7 @@
 }
 
 #[test]
-fn what_one_of_very_many_agents_knows_of_few_servers_counts_for_the_zone() {
+fn the_known_limits_of_a_subset_stand_for_the_zone() {
     // All answers come at their latency_target: limits never heard of must not keep the sends up.
     let d = one_of_very_many(1, |_| (Outcome::Ok, 200 * MS));
     assert!(
@@ -752,7 +752,7 @@
 /// limits, as they were at first, kept the zone open while its servers choked (service 0.08 where
 /// 60 agents had 0.86).
 #[test]
-fn limits_of_servers_never_heard_of_do_not_keep_a_full_zone_open() {
+fn initial_limits_of_unused_servers_do_not_keep_an_overloaded_zone_open() {
     let sends = |latency| {
         let class = ClassSettings {
             deadline: 10 * SECOND,
@@ -796,7 +796,7 @@
 }
 
 #[test]
-fn servers_out_of_reach_are_not_all_tried_by_each_of_very_many_agents() {
+fn unreachable_servers_are_not_all_tried_by_each_of_very_many_balancers() {
     let d = one_of_very_many(8, |_| (Outcome::ConnectFailed, 150 * MS));
     let met: BTreeSet<_> = d.sends.iter().map(|s| s.3).collect();
     assert!(
@@ -810,7 +810,7 @@
 /// Every agent's limits grew by one an answer until the first pain: 187 agents choked a zone in
 /// seconds.
 #[test]
-fn many_agents_first_growth_is_shared_too() {
+fn the_first_growth_of_a_limit_is_shared_among_many_balancers() {
     let mut d = crowd(160, 10, vec![class(Effect::NonIdempotent)], 1);
     for n in 0..4 {
         (0..12).for_each(|i| d.request(12 * n + i, 0));
@@ -835,7 +835,7 @@
 }
 
 #[test]
-fn an_agent_that_carries_a_servers_load_alone_gets_its_limit_alone() {
+fn a_balancer_that_causes_all_of_a_servers_load_gets_all_of_its_limit() {
     // Guards against skewed traffic: a limit split evenly by agents starves the one that has all
     // the requests.
     let in_flight = |active: f64| {
@@ -869,7 +869,7 @@
 }
 
 #[test]
-fn a_server_that_is_full_at_once_is_no_black_hole() {
+fn a_server_that_rejects_at_once_is_no_black_hole() {
     // Guards against fast refusals: such a server always has room and would be sent ever more.
     let mut d = ready(free());
     teach(&mut d);
@@ -888,7 +888,7 @@
 }
 
 #[test]
-fn a_calm_zone_does_not_spill() {
+fn a_zone_with_capacity_does_not_spill_over() {
     let mut s = settings(free());
     s.penalties.cross_zone = 0.2;
     let mut d = Driver::new(s);
@@ -898,7 +898,7 @@
 }
 
 #[test]
-fn a_restarted_server_starts_slowly() {
+fn a_restarted_server_has_a_slow_start() {
     let mut d = ready(free());
     teach(&mut d);
     let started = Some(d.now);
@@ -919,7 +919,7 @@
 }
 
 #[test]
-fn a_restarted_server_is_not_judged_by_what_its_predecessor_did() {
+fn a_restarted_server_is_not_judged_by_outcomes_of_its_last_incarnation() {
     let mut d = ready(free());
     teach(&mut d);
     let held: Vec<u64> = (0..9)
@@ -950,7 +950,7 @@
 }
 
 #[test]
-fn extreme_clocks_and_deadlines_are_survived() {
+fn extreme_clocks_and_deadlines_cause_no_panic() {
     let mut d = ready(free());
     d.now = Micros::MAX;
     d.request_until(1, 0, Micros::MAX);
@@ -969,7 +969,7 @@
 }
 
 #[test]
-fn a_cold_fleet_is_not_pushed_over() {
+fn a_fleet_that_warms_up_is_not_overloaded() {
     // Guards rule 4 where no warm peer tells how much is bearable.
     let mut d = Driver::new(settings(free()));
     let started = Some(d.now);
@@ -995,7 +995,7 @@
 
 /// A restarted server had one request from each of 160 agents within a second, and fell over.
 #[test]
-fn many_agents_do_not_push_a_cold_server_over_together() {
+fn many_balancers_together_do_not_overload_a_warming_server() {
     let (safety, agents, mut sent) = (Settings::default().safety, 160, Vec::new());
     for agent in 0..agents {
         let mut d = crowd(agents, 4, free(), u64::from(agent));
@@ -1040,7 +1040,7 @@
 /// which they held requests for, and the warm ones choked. Now the warm and the granted serve, and
 /// no cold one is pushed over.
 #[test]
-fn many_agents_bear_a_zone_of_cold_successors() {
+fn many_balancers_serve_through_a_zone_whose_servers_all_warm_up() {
     let (safety, agents) = (Settings::default().safety, 100);
     let (mut sent, mut asked, mut at_once) = (BTreeMap::<ServerId, Vec<Micros>>::new(), 0, 0);
     for agent in 0..agents {
@@ -1106,7 +1106,7 @@
 }
 
 #[test]
-fn a_single_shot_request_is_sent_again_only_when_it_cannot_have_run() {
+fn a_non_idempotent_request_is_retried_only_when_it_cannot_have_run() {
     let mut d = ready(vec![class(Effect::NonIdempotent)]);
     teach(&mut d);
     d.request(1, 0);
@@ -1121,7 +1121,7 @@
 }
 
 #[test]
-fn a_guarded_request_stays_in_its_group_and_window() {
+fn a_deduplicated_request_is_retried_only_in_its_group_and_window() {
     let guarded = |group, window| vec![class(Effect::Deduplicated { group, window })];
     let mut d = ready(guarded(Group::Zone, SECOND));
     d.request(1, 0);
@@ -1146,7 +1146,7 @@
 }
 
 #[test]
-fn one_attempt_at_a_time_where_copies_are_not_allowed() {
+fn one_attempt_at_a_time_is_in_flight_without_hedging() {
     let mut d = ready(free());
     teach(&mut d);
     for n in 0..20 {
@@ -1160,7 +1160,7 @@
 }
 
 #[test]
-fn a_late_answer_is_hedged_where_copies_are_allowed() {
+fn a_late_response_is_hedged_where_hedging_is_allowed() {
     let mut d = copying();
     d.request(1, 0);
     let first = d.last_server(1);
@@ -1172,7 +1172,7 @@
 }
 
 #[test]
-fn copies_that_lose_are_made_less_and_less() {
+fn hedged_requests_that_lose_become_rarer() {
     // Guards against copying heavy requests: they are as heavy elsewhere, and the copy only adds
     // load.
     let copies = |copy_wins: bool| {
@@ -1194,7 +1194,7 @@
 }
 
 #[test]
-fn where_one_attempt_is_allowed_a_slow_one_is_waited_for() {
+fn a_slow_attempt_is_waited_for_where_only_one_is_allowed() {
     // Guards against calling off attempts that run on anyway: the work is done twice, and the zone
     // jams.
     let mut d = ready(free());
@@ -1228,7 +1228,7 @@
 }
 
 #[test]
-fn what_the_client_left_is_not_sent_again() {
+fn a_request_whose_client_disconnected_is_not_retried() {
     let mut d = ready(free());
     d.request(1, 0);
     d.hang_up(1);
@@ -1239,7 +1239,7 @@
 }
 
 #[test]
-fn a_started_stream_has_no_deadline_and_no_copies() {
+fn a_started_stream_has_no_deadline_and_is_not_hedged() {
     let mut s = settings(vec![ClassSettings {
         streaming: true,
         ..class(Effect::Idempotent)
@@ -1254,7 +1254,7 @@
 }
 
 #[test]
-fn most_worth_goes_first_when_there_is_room_again() {
+fn the_most_valuable_queued_request_is_sent_first() {
     let classes = vec![
         class(Effect::Idempotent),
         ClassSettings {
@@ -1270,7 +1270,7 @@
 }
 
 #[test]
-fn discovery_is_asked_again_after_a_failure_with_growing_waits() {
+fn discovery_is_retried_after_a_failure_with_backoff() {
     let mut s = settings(free());
     s.discovery = Discovery::Subscribed;
     let mut d = Driver::new(s);
@@ -1298,7 +1298,7 @@
 /// Whatever failed before, discovery is asked again so soon that a call which waits its turn there,
 /// for half of `MAX_DISCOVERY_DELAY` at most, is answered within `MAX_DISCOVERY_DELAY` of its return.
 #[test]
-fn after_any_number_of_failures_discovery_is_asked_within_half_of_told() {
+fn the_discovery_backoff_stays_within_half_of_the_maximum_discovery_delay() {
     for discovery_interval in [3 * SECOND, 10 * SECOND, 60 * SECOND] {
         let mut s = settings(free());
         (s.discovery, s.safety.discovery_interval) = (Discovery::Subscribed, discovery_interval);
@@ -1317,7 +1317,7 @@
 }
 
 #[test]
-fn the_same_events_bring_the_same_actions() {
+fn the_same_events_and_seed_give_the_same_actions() {
     let run = || {
         let mut d = ready(free());
         teach(&mut d);
@@ -1327,7 +1327,7 @@
 }
 
 #[test]
-fn unsound_settings_and_requests_are_told_or_refused() {
+fn unsound_settings_are_an_error_and_unsound_requests_are_rejected() {
     let broken = |change: fn(&mut Settings)| {
         let mut s = settings(free());
         change(&mut s);
@@ -1355,7 +1355,7 @@
 /// Behind a full server requests were held until their aim was lost, and their clients could not
 /// try elsewhere.
 #[test]
-fn what_no_server_has_seen_is_refused_early_with_a_stay_away_of_its_own() {
+fn a_request_that_no_server_has_seen_is_rejected_early_with_a_jittered_retry_delay() {
     let slow = ClassSettings {
         latency_target: 800 * MS,
         ..class(Effect::NonIdempotent)
@@ -1391,7 +1391,7 @@
 /// A body that takes its time: the client's time counts from its last byte, and so does the
 /// server's.
 #[test]
-fn a_request_whose_body_still_comes_has_its_time_from_the_last_byte() {
+fn the_time_of_a_request_counts_from_the_last_byte_of_its_body() {
     let single = || vec![class(Effect::NonIdempotent)];
     let mut d = ready(single());
     d.request_until(1, 0, d.now + 600 * SECOND);
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -198,11 +198,11 @@
 }
 
 #[test]
-fn the_rules_hold_with_copies() {
+fn the_rules_hold_with_hedging() {
     hold(true);
 }
 
 #[test]
-fn the_rules_hold_without_copies() {
+fn the_rules_hold_without_hedging() {
     hold(false);
 }
--- a/crates/balancer/tests/silence.rs
+++ b/crates/balancer/tests/unreachable_zones.rs
@@ -1,5 +1,5 @@
-//! Zones that give no sign, and zones that are only slow: what goes where, when, and what is never
-//! repeated.
+//! Unreachable zones, and zones that are only slow: where requests go, when, and which are never
+//! retried.
 
 mod common;
 
@@ -169,7 +169,7 @@
 const ALL: Group = Group::All;
 
 #[test]
-fn a_silent_zone_opens_the_fleet_and_one_that_is_back_closes_it() {
+fn requests_leave_an_unreachable_zone_and_return_when_it_recovers() {
     for effect in [
         Effect::NonIdempotent,
         Effect::Idempotent,
@@ -208,7 +208,7 @@
 /// What is out in a silent zone and may be repeated goes elsewhere before its aim; what may not is
 /// never sent again.
 #[test]
-fn what_is_out_in_a_silent_zone_moves_only_where_that_is_harmless() {
+fn attempts_in_an_unreachable_zone_are_retried_elsewhere_only_where_that_is_safe() {
     for (effect, moves) in [(Effect::Idempotent, true), (Effect::NonIdempotent, false)] {
         let mut p = Play::new(effect);
         p.play(2 * SECOND, [WELL; 3]);
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn slowness_opens_nothing_whoever_is_slow() {
+fn a_slow_zone_is_not_unreachable() {
     let mut p = Play::new(Effect::Idempotent);
     p.play(2 * SECOND, [WELL; 3]);
     p.play(4 * SECOND, [Zone::Answers(312 * MS), WELL, WELL]);
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_zone_whose_processes_are_gone_is_not_silent_and_is_left_all_the_same() {
+fn a_zone_that_refuses_connections_is_left_without_being_unreachable() {
     let mut p = Play::new(Effect::NonIdempotent);
     p.play(2 * SECOND, [WELL; 3]);
     p.play(SECOND, [Zone::Refuses, WELL, WELL]);
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn two_zones_of_three_may_be_silent_at_once() {
+fn two_zones_of_three_may_be_unreachable_at_once() {
     let mut p = Play::new(Effect::NonIdempotent);
     p.play(2 * SECOND, [WELL; 3]);
     p.play(3 * SECOND / 2, [Zone::Silent, Zone::Silent, WELL]);
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn an_agent_that_hears_nobody_refuses_at_once_and_serves_when_it_hears_again() {
+fn an_isolated_balancer_rejects_at_once_and_serves_when_it_recovers() {
     let mut p = Play::new(Effect::Idempotent);
     p.play(2 * SECOND, [WELL; 3]);
     p.play(2 * SECOND, [Zone::Silent; 3]);
@@ -289,7 +289,7 @@
 
 /// It is left no later than the first time, and comes home each time.
 #[test]
-fn a_zone_that_comes_and_goes_costs_no_more_each_time() {
+fn a_zone_that_flaps_costs_no_more_each_time() {
     let mut p = Play::new(Effect::NonIdempotent);
     p.play(2 * SECOND, [WELL; 3]);
     let mut lost = Vec::new();
@@ -308,7 +308,7 @@
 
 /// Without the probes that tell silence from slowness nobody finds it: the guard's own test.
 #[test]
-fn where_probes_are_not_permitted_silence_is_not_found_at_once() {
+fn without_probes_an_unreachable_zone_is_not_found_at_once() {
     let mut p = Play::new(Effect::NonIdempotent);
     let mut settings = settings(vec![ClassSettings {
         latency_target: 400 * MS,
