--- a/crates/limits/src/sliding_window.rs
+++ b/crates/limits/src/sliding_window.rs
@@ -1,6 +1,6 @@
 //! Counts of events over a sliding window of time.
 //!
-//! [`SlidingLog`] stores the moment of each event and suits small counts. [`SlidingCounter`] stores
+//! [`SlidingLog`] stores the timestamp of each event and suits small counts. [`SlidingCounter`] stores
 //! sums over slices of the window and suits large ones; its count is rounded to the side that the
 //! caller chooses.
 
@@ -22,39 +22,39 @@
     window + MAX_DELAY_VARIATION
 }
 
-/// The moments of the events of one window (a sliding-window log).
+/// The timestamps of the events of one window (a sliding-window log).
 #[derive(Clone, Debug, Default)]
 pub struct SlidingLog {
     /// Ascending.
-    moments: VecDeque<Duration>,
+    timestamps: VecDeque<Duration>,
 }
 
 impl SlidingLog {
     /// Counts an event at `now`.
     pub fn record(&mut self, now: Duration) {
-        let latest = self.moments.back().copied().unwrap_or_default();
-        self.moments.push_back(now.max(latest));
+        let latest = self.timestamps.back().copied().unwrap_or_default();
+        self.timestamps.push_back(now.max(latest));
     }
 
     /// The number of events at most `window` before `now`. Older ones are dropped.
     pub fn count(&mut self, now: Duration, window: Duration) -> usize {
         while self
-            .moments
+            .timestamps
             .front()
-            .is_some_and(|moment| *moment + window < now)
+            .is_some_and(|timestamp| *timestamp + window < now)
         {
-            self.moments.pop_front();
+            self.timestamps.pop_front();
         }
-        self.moments.len()
+        self.timestamps.len()
     }
 
     /// The first moment at which fewer than `limit` events remain in the window; `None` if `limit`
     /// is 0 or fewer events are stored already.
     #[must_use]
     pub fn available_at(&self, window: Duration, limit: usize) -> Option<Duration> {
-        let surplus = self.moments.len().checked_sub(limit)?;
-        let moment = self.moments.get(surplus)?;
-        Some(*moment + window + Duration::from_nanos(1))
+        let surplus = self.timestamps.len().checked_sub(limit)?;
+        let timestamp = self.timestamps.get(surplus)?;
+        Some(*timestamp + window + Duration::from_nanos(1))
     }
 }
 
--- a/crates/routing/src/decider/dispatch.rs
+++ b/crates/routing/src/decider/dispatch.rs
@@ -27,7 +27,7 @@
         limits: &mut L,
     ) -> Decision {
         match self.search(now, call, limits) {
-            Selection::Server(selected) if self.charge_retry(now, call, selected, limits) => {
+            Selection::Server(selected) if self.withdraw_retry(now, call, selected, limits) => {
                 Decision::Send(self.dispatch(now, call, selected))
             }
             Selection::Server(_) => {
@@ -55,12 +55,12 @@
         is_discovering && is_in_first_half && call.attempts() == 0
     }
 
-    /// Charges a retry to the budget of the server's service. Returns false if the budget is
-    /// exhausted.
+    /// Withdraws a retry from the budget of the server's service if the next attempt is one. Returns
+    /// false if the budget is exhausted.
     ///
-    /// An attempt is a retry if an earlier one may have arrived. The charge for a retry that never
-    /// arrives counts for the next one.
-    fn charge_retry<L: RetryBudget>(
+    /// An attempt is a retry if an earlier one may have arrived. The withdrawal for a retry that was
+    /// never sent counts for the next one.
+    fn withdraw_retry<L: RetryBudget>(
         &self,
         now: Micros,
         call: &mut Call,
@@ -68,16 +68,16 @@
         limits: &mut L,
     ) -> bool {
         let is_retry = call.arrived_attempts() > 0 && Guard::RetryBudget.on();
-        if is_retry && !call.is_retry_paid {
+        if is_retry && !call.is_retry_withdrawn {
             let endpoint = self.endpoints.get(selected.server);
             let service = endpoint.and_then(|endpoint| self.table.service(&endpoint.spec.service));
-            call.is_retry_paid = service.is_some_and(|service| {
+            call.is_retry_withdrawn = service.is_some_and(|service| {
                 limits.withdraw(now, &self.table.services()[service as usize])
             });
         } else {
-            call.is_retry_paid = true;
+            call.is_retry_withdrawn = true;
         }
-        call.is_retry_paid
+        call.is_retry_withdrawn
     }
 
     /// Records an attempt at the selected server, and returns what the gate needs to send it.
@@ -107,7 +107,7 @@
             check_at: None,
         };
         call.service = Some(dispatch.service.clone());
-        call.is_retry_paid = false;
+        call.is_retry_withdrawn = false;
         call.last_byte_at = now;
         let is_retry = call.arrived_attempts() > 0;
         call.attempts.push(Attempt {
--- a/crates/routing/src/guards.rs
+++ b/crates/routing/src/guards.rs
@@ -22,7 +22,7 @@
     AtMostOnce,
     /// A request reaches no more servers than the route allows.
     MaxAttempts,
-    /// Retries are charged to the retry budget.
+    /// Retries are withdrawn from the retry budget.
     RetryBudget,
     /// Affinity keys move on from overloaded servers.
     BoundedLoad,
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -63,7 +63,7 @@
     pub(crate) outcome: Option<Outcome>,
     /// It decides whether an ejected server returns to service.
     pub(crate) is_trial: bool,
-    /// An earlier attempt may have arrived, so the retry budget was charged for this one.
+    /// An earlier attempt may have arrived, so this one was withdrawn from the retry budget.
     pub(crate) is_retry: bool,
     /// Tokens of its prompt that are pending prefill.
     pub(crate) pending_tokens: u64,
@@ -113,8 +113,8 @@
     pub(crate) truncated_at: Option<Micros>,
     /// The longest retry delay that a server asked for, in microseconds.
     pub(crate) longest_retry_after: Micros,
-    /// The retry budget was already charged for the next attempt.
-    pub(crate) is_retry_paid: bool,
+    /// The next attempt needs no further withdrawal from the retry budget.
+    pub(crate) is_retry_withdrawn: bool,
     /// When the last byte of the attempt in flight was received.
     pub(crate) last_byte_at: Micros,
     pub(crate) is_finished: bool,
@@ -140,7 +140,7 @@
             last_event: request.last_event,
             truncated_at: None,
             longest_retry_after: 0,
-            is_retry_paid: false,
+            is_retry_withdrawn: false,
             last_byte_at: now,
             is_finished: false,
             request,
@@ -230,7 +230,7 @@
         let attempt = self.attempt_in_flight()?;
         attempt.outcome = Some(outcome.clone());
         let attempt = attempt.clone();
-        self.is_retry_paid = attempt.is_retry && outcome.never_sent();
+        self.is_retry_withdrawn = attempt.is_retry && outcome.never_sent();
         if let Outcome::Truncated { last_event } = outcome {
             self.head_forwarded = true;
             self.last_event = last_event.or(self.last_event);
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -91,7 +91,7 @@
             if !regions.contains_key(&server.region) {
                 if next == RegionSet::CAPACITY {
                     return Err(TableError::TooManyRegions {
-                        most: RegionSet::CAPACITY,
+                        max: RegionSet::CAPACITY,
                     });
                 }
                 regions.insert(server.region.clone(), next as RegionId);
--- a/crates/routing/src/table/error.rs
+++ b/crates/routing/src/table/error.rs
@@ -47,9 +47,9 @@
         service: Arc<str>,
     },
     /// There are more regions than a region set holds.
-    #[error("there are more than {most} regions")]
+    #[error("there are more than {max} regions")]
     TooManyRegions {
         /// The maximum number of regions.
-        most: usize,
+        max: usize,
     },
 }
--- a/crates/routing/src/table/tests.rs
+++ b/crates/routing/src/table/tests.rs
@@ -150,7 +150,7 @@
     assert!(Table::build(spec(64)).is_ok());
     assert_eq!(
         Table::build(spec(65)).expect_err("too many"),
-        TableError::TooManyRegions { most: 64 }
+        TableError::TooManyRegions { max: 64 }
     );
 }
 
