--- a/crates/routing/src/decider/health.rs
+++ b/crates/routing/src/decider/health.rs
@@ -10,8 +10,6 @@
 use crate::outlier::{EjectionCause, FirstByte, GroupHealth, OutlierDetector};
 use crate::request::{Attempt, Call};
 
-/// A server from which anything was received within this time is alive, in microseconds.
-const LIVENESS_TTL: Micros = 500_000;
 /// Maximum number of ejection changes that are kept until the gate takes them. Later ones are
 /// dropped.
 const MAX_EJECTION_CHANGES: usize = 256;
@@ -67,8 +65,7 @@
         let Some(endpoint) = self.endpoints.get(server) else {
             return outcome.clone();
         };
-        let is_alive = endpoint.last_heard.saturating_add(LIVENESS_TTL) > now
-            && endpoint.occupancy.in_flight > 1;
+        let serves_others = endpoint.was_heard_recently(now) && endpoint.occupancy.in_flight > 1;
         match outcome {
             // A client that disconnects after it received nothing, unless the server answers
             // others.
@@ -80,7 +77,7 @@
             }
             // A server that answers others but accepts no connection is overloaded. A dead one
             // breaks all of its connections.
-            Outcome::ConnectFailed if is_alive && Guard::ConnectFailureOfLiveServer.on() => {
+            Outcome::ConnectFailed if serves_others && Guard::ConnectFailureOfLiveServer.on() => {
                 Outcome::NotExecuted { retry_after: None }
             }
             _ => outcome.clone(),
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -21,8 +21,7 @@
 const HEARTBEAT_LOSS_GRACE: Micros = 250_000;
 /// Time for which it does so, in microseconds.
 const LIVENESS_OVER_HEARTBEATS: Micros = 3_000_000;
-/// Time for which anything received from a server speaks against the suspicions of other gates, in
-/// microseconds.
+/// Time for which a server counts as alive after anything was received from it, in microseconds.
 const LIVENESS_TTL: Micros = 500_000;
 /// Time for which a broken attempt makes its server suspect, unless another attempt succeeds there,
 /// in microseconds.
