--- a/crates/routing/src/decider/search.rs
+++ b/crates/routing/src/decider/search.rs
@@ -170,24 +170,18 @@
             filter,
             max_utilization: self.max_utilization(call, scope.service, priority, call.chance),
         };
-        let mut seen: Option<Selection> = None;
-        let mut all = CandidateLoads::new();
+        let mut best: Option<Selection> = None;
+        let mut all_loads = CandidateLoads::new();
         let spills_for_wait = self.spills_for_wait(now, call, &step);
-        let order = if spills_for_wait {
-            [Locality::Remote, Locality::Local]
-        } else {
-            [Locality::Local, Locality::Remote]
-        };
-        for locality in order {
+        for locality in search_order(spills_for_wait) {
             let pool = self.pool(now, call, &step, locality);
             if pool.is_empty() {
                 continue;
             }
-            // For want of capacity, or because of the prefill wait, another region is used only
-            // while it has ample capacity.
-            let is_overloaded = matches!(seen, Some(Selection::Unavailable(_)));
-            let spills_over = locality == Locality::Remote && (spills_for_wait || is_overloaded);
+            let lacks_capacity = matches!(best, Some(Selection::Unavailable(_)));
+            let spills_over = locality == Locality::Remote && (spills_for_wait || lacks_capacity);
             let max_utilization = if spills_over {
+                // Another region gets this region's overflow only while it has ample capacity.
                 step.max_utilization.min(self.settings.spillover_max_load)
             } else {
                 step.max_utilization
@@ -202,17 +196,17 @@
             if let Selection::Server(selected) = selection {
                 return Some(Selection::Server(selected));
             }
-            all.extend(loads);
-            // A permit is the shorter way to an answer.
-            seen = seen
-                .filter(|seen| matches!(seen, Selection::PermitIn(_)))
+            all_loads.extend(loads);
+            // Waiting for a permit leads to a response sooner than a rejection does.
+            best = best
+                .filter(|best| matches!(best, Selection::PermitIn(_)))
                 .or(Some(selection));
         }
-        let is_rejected = matches!(seen, Some(Selection::Unavailable(_)));
-        if is_rejected && may_ignore_capacity(call, &all) {
-            return Some(self.pick_least_loaded(now, call, &step, &all, limits));
+        let is_rejected = matches!(best, Some(Selection::Unavailable(_)));
+        if is_rejected && may_ignore_capacity(call, &all_loads) {
+            return Some(self.pick_least_loaded(now, call, &step, &all_loads, limits));
         }
-        seen
+        best
     }
 
     /// Picks the least loaded server of the nearest locality that has candidates, even if it is at
@@ -326,6 +320,16 @@
     })
 }
 
+/// The order in which the localities are searched: the own region first, unless its prefill wait
+/// makes another region the better choice.
+fn search_order(spills_for_wait: bool) -> [Locality; 2] {
+    if spills_for_wait {
+        [Locality::Remote, Locality::Local]
+    } else {
+        [Locality::Local, Locality::Remote]
+    }
+}
+
 /// True if the request is not rejected although no candidate has capacity: because its stream has
 /// begun, or because the candidates are not loaded enough for a rejection.
 fn may_ignore_capacity(call: &Call, candidates: &CandidateLoads) -> bool {
