--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -7,10 +7,10 @@
 //! - **Retry budget**: a service receives, in any `retry_window_s`, at most `retry_budget_ratio` of
 //!   its requests plus `retry_burst` as retries.
 //!
-//! Each gate enforces its own part of either bound without asking anybody ([`SlowStartLimiter`],
-//! [`RetryBudget`]). The burst of the retry budget is divided by the largest number of gates that
-//! can exist; [`GateSet`] divides the slow-start bound. [`WarmupTracker`] says which servers are
-//! warming up.
+//! Each gate enforces its own part of either bound without coordination ([`SlowStartLimiter`],
+//! [`RetryBudget`]). The burst of the retry budget is divided evenly by the number of gates that
+//! the caller passes; [`GateSet`] divides the slow-start bound. [`WarmupTracker`] says which
+//! servers are warming up.
 //!
 //! # What the caller must ensure
 //!
--- a/crates/limits/src/retry_budget.rs
+++ b/crates/limits/src/retry_budget.rs
@@ -5,9 +5,10 @@
 //!
 //! The factor is needed because the rule compares the retries of a window with the requests of that
 //! window, of the one before it, or of the one half a window before it, over all gates together.
-//! The windows of two gates that end at their last retries lie anywhere in those two windows, so
-//! the sum of the gates' requests is at most twice the largest of the three counts; half of the
-//! ratio holds for any arrivals.
+//! Each gate checks its retries against its requests in the window that ends at its latest retry.
+//! That window may lie anywhere in the rule's window and the one before it, so the requests that
+//! all gates have counted are at most those of both windows, which is at most twice the largest of
+//! the three counts. With half of the ratio the rule therefore holds for any arrivals.
 //!
 //! Deposits and withdrawals are named after tower's and Finagle's retry budgets.
 
--- a/crates/limits/src/slow_start.rs
+++ b/crates/limits/src/slow_start.rs
@@ -1,8 +1,10 @@
 //! A gate's quota of the requests that a server may receive while it is warming up.
 //!
-//! The bound of each server is divided among all gates that can exist, so that the sum of their
-//! quotas stays within it whatever the gates know of each other. A gate that starts has lost the
-//! count of what its former process sent; it therefore sends nothing for one window.
+//! The bound of each server is divided among the gates, so that the sum of their quotas stays
+//! within it: evenly among a maximum number of gates ([`SlowStartLimiter::with_even_share`]), or as
+//! the caller computes it for each key ([`SlowStartLimiter::try_acquire_within`] with
+//! [`GateSet::quota`](crate::GateSet::quota), as the gate does). A gate that starts does not know
+//! what its previous process sent; it therefore sends nothing for one window.
 
 use std::hash::Hash;
 use std::time::Duration;
--- a/crates/limits/src/warmup.rs
+++ b/crates/limits/src/warmup.rs
@@ -12,8 +12,8 @@
 #[cfg(test)]
 mod tests;
 
-/// The time that is added to each reported warm-up, for the delay of the report and the granularity
-/// of the instance's clock.
+/// The time that is added to each reported warm-up to allow for the delay of the report and the
+/// granularity of the instance's clock.
 pub const REPORT_MARGIN: Duration = Duration::from_millis(250);
 
 /// What an instance reported of its warm-up (a heartbeat's `warmup_left_ms`, a health check's
@@ -27,10 +27,14 @@
     pub remaining: Duration,
 }
 
+/// What is known of an instance's warm-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WarmupState {
+    /// It has not reported, or its report was reset: it counts as warming up.
     Unknown,
-    WarmingUp { until: Duration },
+    WarmingUp {
+        until: Duration,
+    },
     Warm,
 }
 
