--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -15,7 +15,7 @@
     pub(crate) priority: u32,
     /// The request's own random number in `[0, 1]`.
     pub(crate) chance: f64,
-    /// Average duration of an answer of the service, in microseconds.
+    /// Average duration of a response of the service, in microseconds.
     pub(crate) response_time: f64,
     /// Shortest latency objective of the service, in microseconds.
     pub(crate) objective: f64,
@@ -26,8 +26,8 @@
 ///
 /// Above 1, requests wait in the server's queue: as many as will get a slot within the configured
 /// part of the latency objective. Each request has a limit of its own, lowered by its priority and
-/// its random number. Under overload requests are therefore rejected one by one, the less urgent
-/// ones more often, without excluding any kind or size.
+/// its random number. Under overload a random part of the requests is therefore rejected, the
+/// less urgent ones more often, without excluding any kind or size.
 pub(crate) fn max_utilization(settings: &Settings, inputs: AdmissionInputs) -> f64 {
     let priority = if Guard::PriorityReserve.on() {
         f64::from(inputs.priority.min(LOWEST_PRIORITY))
--- a/crates/routing/src/decider.rs
+++ b/crates/routing/src/decider.rs
@@ -1,6 +1,6 @@
-//! The decider: takes requests, ends of attempts, reports and tables, and decides what is done with
-//! each request. This file has its state and its interface for events; the decisions themselves are
-//! in the submodules.
+//! The decider: is told of requests, ends of attempts, reports and tables, and decides what is done
+//! with each request. This file has its state and its interface for events; the decisions
+//! themselves are in the submodules.
 
 mod dispatch;
 mod finish;
@@ -107,8 +107,8 @@
         self.prefill_rates.retain(|name, _| service_exists(name));
     }
 
-    /// Allows for servers that are discovered one after the other after a start: until that clock
-    /// reading, a request for which none is listed waits for one.
+    /// Until that clock reading, a request for which no server is listed waits for one, because
+    /// servers are discovered one after the other after a start.
     pub fn allow_discovery_until(&mut self, until: Micros) {
         self.discovery_until = until;
     }
@@ -139,7 +139,7 @@
         self.assign(now, call, limits)
     }
 
-    /// Takes the end of the attempt in flight, and decides what follows.
+    /// Records how the attempt in flight ended, and decides what follows.
     #[expect(
         clippy::needless_pass_by_value,
         reason = "the outcome is an event that the decider consumes"
@@ -160,8 +160,8 @@
         }
     }
 
-    /// Takes the disconnection of the client, and releases what the request occupies. Has no effect
-    /// after a final decision.
+    /// Ends a request whose client has disconnected, and releases what the request occupies. Has no
+    /// effect after a final decision.
     pub fn cancel(&mut self, now: Micros, call: &mut Call) {
         if !call.is_finished {
             self.finish_attempt(now, call, &Outcome::Cancelled);
@@ -169,9 +169,9 @@
         }
     }
 
-    /// Takes the forwarding of the head of a successful answer, or of a complete event of a stream,
-    /// to the client. The head of a failure is reported by [`Decider::attempt_finished`] instead,
-    /// before a byte of it is forwarded, and the decision says whether it is to be.
+    /// Records that the head of a successful response, or a complete event of a stream, was
+    /// forwarded to the client. A failure is reported to [`Decider::attempt_finished`] instead,
+    /// before any of its response is forwarded, and the decision says whether to forward it.
     pub fn response_forwarded(&mut self, now: Micros, call: &mut Call, event: Option<u64>) {
         call.head_forwarded = true;
         call.last_event = event.or(call.last_event);
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Takes a server's report of its load.
+    /// Applies a server's report of its load.
     pub fn apply_load_report(&mut self, now: Micros, server: ServerHandle, load: LoadReport) {
         self.record_liveness(now, server);
         if let Some(endpoint) = self.endpoints.get_mut(server) {
--- a/crates/routing/src/decider/finish.rs
+++ b/crates/routing/src/decider/finish.rs
@@ -11,10 +11,10 @@
 use crate::request::Call;
 use crate::retry;
 
-/// Delay after which a truncated stream that finds no server searches again, in microseconds.
+/// Delay before a server is searched again for a truncated stream, in microseconds.
 const RESUME_RETRY_DELAY: Micros = 50_000;
-/// Time for which a truncated stream searches, in microseconds: half of the shortest silence that
-/// clients tolerate.
+/// Time for which a server is searched for a truncated stream, in microseconds: half of the
+/// shortest silence that clients tolerate.
 const MAX_RESUME_TIME: Micros = 1_000_000;
 
 impl Decider {
@@ -44,7 +44,7 @@
         call: &mut Call,
         reason: RejectionReason,
     ) -> Decision {
-        // A truncated stream is worth a few more searches.
+        // The client has a part of the stream already, so a few more searches are made for it.
         let may_resume = call
             .truncated_at
             .is_some_and(|truncated_at| now < truncated_at.saturating_add(MAX_RESUME_TIME));
@@ -108,7 +108,8 @@
         Decision::Reject(rejection)
     }
 
-    /// Time until the next slot of the request's service that no other client was told of.
+    /// Time until the next slot of the request's service that is not yet promised to another
+    /// client.
     fn delay_until_slot(&mut self, now: Micros, call: &Call, wait: SlotWait) -> Micros {
         let max = self.settings.retry_after.max;
         let delay = match &call.service {
--- a/crates/routing/src/decider/health.rs
+++ b/crates/routing/src/decider/health.rs
@@ -15,7 +15,7 @@
 const MAX_EJECTION_CHANGES: usize = 256;
 
 impl Decider {
-    /// Takes the first byte of an answer.
+    /// Records that the first byte of a response was received.
     pub fn first_byte_received(&mut self, now: Micros, call: &mut Call) {
         call.last_byte_at = now;
         let route = call.request.route.clone();
@@ -67,16 +67,15 @@
         };
         let serves_others = endpoint.was_heard_recently(now) && endpoint.occupancy.in_flight > 1;
         match outcome {
-            // A client that disconnects after it received nothing, unless the server answers
-            // others.
+            // The client may have disconnected because the server is silent.
             Outcome::Cancelled
                 if endpoint.is_unresponsive(now, self.settings.unresponsive_after)
                     && Guard::UnresponsiveCancelCounts.on() =>
             {
                 Outcome::Timeout
             }
-            // A server that answers others but accepts no connection is overloaded. A dead one
-            // breaks all of its connections.
+            // A server that responds to other requests but accepts no connection is overloaded. All
+            // connections to a dead server break.
             Outcome::ConnectFailed if serves_others && Guard::ConnectFailureOfLiveServer.on() => {
                 Outcome::NotExecuted { retry_after: None }
             }
@@ -116,7 +115,7 @@
         }
     }
 
-    /// Takes the end of a health check. One that fails ejects a server in service only if the
+    /// Records how a health check ended. A failed check ejects a server in service only if the
     /// server has been unresponsive for long as well.
     pub fn health_check_finished(
         &mut self,
@@ -177,7 +176,7 @@
         }
     }
 
-    /// Takes the ejections and returns to service since the last call.
+    /// Returns the ejections and returns to service since the last call, and forgets them.
     pub fn take_ejection_changes(&mut self) -> Vec<EjectionChange> {
         std::mem::take(&mut self.ejection_changes)
     }
--- a/crates/routing/src/decider/liveness.rs
+++ b/crates/routing/src/decider/liveness.rs
@@ -1,5 +1,5 @@
-//! Liveness of what is silent: stalled attempts, and the health checks of servers and regions that
-//! no request tries.
+//! Checks of attempts, servers and regions from which nothing is received: when an attempt has
+//! stalled, and which health checks are due.
 
 use ironmast_balancer::Micros;
 
@@ -16,7 +16,7 @@
 /// A stream is not stalled before this, in microseconds.
 const MIN_STREAM_STALL: Micros = 1_000_000;
 
-/// A server that owes an answer is sent a health check after this multiple of the time after which
+/// A server that owes a response is sent a health check after this multiple of the time after which
 /// it is unresponsive.
 const LONG_UNRESPONSIVE_FACTOR: u64 = 2;
 /// Interval of these health checks, in microseconds.
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Time without any sign of life after which the request fails over; `None` if it cannot.
+    /// Time without any byte from the server after which the request fails over; `None` if it
+    /// cannot.
     fn stall_timeout(&self, call: &Call) -> Option<Micros> {
         let spec = &call.request.route.spec;
         if !call.is_idempotent() || call.arrived_attempts() >= spec.max_attempts as usize {
@@ -91,7 +92,7 @@
     }
 
     /// Appends a health check of the server in each unreachable region that was checked longest
-    /// ago. Its answer makes the region reachable again.
+    /// ago. Its response makes the region reachable again.
     fn check_unreachable_regions(&mut self, now: Micros, checks: &mut Vec<HealthCheck>) {
         let servers = self.least_recently_checked(now);
         let due: Vec<_> = servers
@@ -160,7 +161,7 @@
         self.is_long_unresponsive(now, endpoint) && due_at <= now
     }
 
-    /// True if a server owes an answer and has been silent for much longer than makes it
+    /// True if a server owes a response and has been silent for much longer than makes it
     /// unresponsive.
     pub(super) fn is_long_unresponsive(&self, now: Micros, endpoint: &Endpoint) -> bool {
         let timeout = self.settings.unresponsive_after;
--- a/crates/routing/src/decider/peer_reports.rs
+++ b/crates/routing/src/decider/peer_reports.rs
@@ -1,5 +1,5 @@
-//! Pending prefill: what gates report to each other of it, and the prefill rates that turn tokens
-//! into time.
+//! Reports between gates on pending prefill and suspected servers, and the prefill rates that
+//! convert pending tokens into time.
 
 use ironmast_balancer::Micros;
 
@@ -58,7 +58,7 @@
         change > 0 && (time == 0.0 || time >= min_time)
     }
 
-    /// Takes a peer's report, which replaces its previous one.
+    /// Applies a peer's report, which replaces its previous one.
     pub fn apply_peer_report(&mut self, now: Micros, peer: u64, report: &PeerReport) {
         for endpoint in self.endpoints.listed_mut() {
             let pending = report.pending_prefill.iter();
--- a/crates/routing/src/decider/pick.rs
+++ b/crates/routing/src/decider/pick.rs
@@ -98,7 +98,7 @@
         admission::max_utilization(&self.settings, inputs)
     }
 
-    /// Average duration of an answer of the request's service, in microseconds.
+    /// Average duration of a response of the request's service, in microseconds.
     fn response_time(&self, call: &Call) -> f64 {
         let service = call.service.as_deref().unwrap_or_default();
         self.baselines.response(service, &call.request.route)
@@ -161,7 +161,7 @@
         if usable.is_empty() {
             return Selection::Unavailable(self.overload_reason(now, call, candidates));
         }
-        // Servers whose KV cache has capacity for the complete request come first, but a want of it
+        // Servers whose KV cache has capacity for the complete request come first, but a lack of it
         // alone rejects no request.
         if usable.iter().any(|candidate| candidate.has_kv_cache) {
             usable.retain(|candidate| candidate.has_kv_cache);
@@ -324,7 +324,7 @@
     }
 }
 
-/// True if the candidates are loaded enough to reject a request for want of capacity: a sufficient
+/// True if the candidates are loaded enough to reject a request for lack of capacity: a sufficient
 /// share of their slots is in use, or requests are waiting.
 pub(super) fn is_overloaded(candidates: &CandidateLoads) -> bool {
     let slots: f64 = candidates
--- a/crates/routing/src/decider/search.rs
+++ b/crates/routing/src/decider/search.rs
@@ -143,7 +143,7 @@
         scope: &SearchScope,
         limits: &mut L,
     ) -> Option<SelectedServer> {
-        // A trial may fail, so the request must have another attempt left and none behind it.
+        // A trial may fail, so it must be the first attempt of a request that may make another.
         let max_attempts = call.request.route.spec.max_attempts;
         let may_fail = call.attempts() == 0 && max_attempts > 1 || !Guard::TrialFirst.on();
         let index = candidates::trial_server(&self.endpoints, scope, call, now);
@@ -263,7 +263,7 @@
         remote.is_some_and(|remote| remote * SPILLOVER_WAIT_RATIO <= local)
     }
 
-    /// The candidates of a locality. Servers that may be dead are used only if all may be.
+    /// The candidates of a locality. Servers that may be dead are used only if there are no others.
     fn pool(&self, now: Micros, call: &Call, step: &SearchStep, locality: Locality) -> Pool {
         let scope = &step.scope;
         let first_byte = self.baselines.first_byte(&call.request.route);
@@ -273,7 +273,7 @@
         let is_suspect = |endpoint: &Endpoint| {
             endpoint.is_unresponsive(now, timeout) || endpoint.is_suspected_by_peers(now)
         };
-        // A retry goes to a server that is known to answer.
+        // A retry goes to a server from which something was received recently.
         let needs_live_server = call.arrived_attempts() > 0 && Guard::RetryAtLiveServer.on();
         let is_avoided = |endpoint: &Endpoint| {
             Guard::UnresponsiveLast.on() && is_suspect(endpoint)
--- a/crates/routing/src/decider/tests/properties.rs
+++ b/crates/routing/src/decider/tests/properties.rs
@@ -76,7 +76,7 @@
     arrived: usize,
     tried: BTreeSet<ServerHandle>,
     may_have_run: bool,
-    /// The client has received the head of an answer.
+    /// The client has received the head of a response.
     head: bool,
     /// The latest attempt never arrived, so its charge to the budget counts for the next.
     has_unused_charge: bool,
--- a/crates/routing/src/decision.rs
+++ b/crates/routing/src/decision.rs
@@ -72,7 +72,7 @@
 /// A promise to the client that its request was not executed and never will be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// The status of the answer.
+    /// The status of the response.
     pub status: RejectionStatus,
     /// Time after which a retry by the client is useful.
     pub retry_after: Micros,
@@ -100,7 +100,7 @@
     },
     /// Final: reject the request, which was not executed.
     Reject(Rejection),
-    /// Final: forward the server's own answer.
+    /// Final: forward the server's own response.
     ForwardResponse,
     /// Final: answer with an error of the gate's own, which does not promise that the request was
     /// not executed.
@@ -108,7 +108,7 @@
         /// 502 or 504.
         status: u16,
     },
-    /// Final: end the answer in a way that the client recognizes as incomplete.
+    /// Final: end the response in a way that the client recognizes as incomplete.
     AbortResponse,
     /// Final: nothing is left to be done.
     Finished,
@@ -155,7 +155,7 @@
     pub server: ServerHandle,
     /// Address of the server.
     pub address: SocketAddr,
-    /// The instance that is expected there (`X-Ironmast-Instance-Id` of the answer).
+    /// The instance that is expected there (`X-Ironmast-Instance-Id` of the response).
     pub expect_instance: Arc<str>,
     /// Path of the check.
     pub path: Box<str>,
@@ -166,7 +166,7 @@
 pub enum HealthCheckOutcome {
     /// 200 from the expected instance.
     Healthy,
-    /// The server rejected the check for want of capacity, so it is alive.
+    /// The server rejected the check for lack of capacity, so it is alive.
     Full,
     /// 503 of a server that reports itself unhealthy, or any other result.
     Unhealthy,
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One server and everything that is remembered of it.
+//! One server and everything that the decider knows about it.
 
 use std::sync::Arc;
 
@@ -16,15 +16,15 @@
 use crate::suspicion::PeerSuspicions;
 use crate::table::{RegionId, ServerSpec, ServerState, ServiceSpec};
 
-/// Anything received from a server speaks against the loss of its heartbeats only if it arrived
-/// this long after they stopped, in microseconds.
+/// A server whose heartbeats are missing counts as alive only if something was received from it at
+/// least this long after they stopped, in microseconds.
 const HEARTBEAT_LOSS_GRACE: Micros = 250_000;
-/// Time for which it does so, in microseconds.
+/// Time for which it then counts as alive, in microseconds.
 const LIVENESS_OVER_HEARTBEATS: Micros = 3_000_000;
 /// Time for which a server counts as alive after anything was received from it, in microseconds.
 const LIVENESS_TTL: Micros = 500_000;
-/// Time for which a broken attempt makes its server suspect, unless another attempt succeeds there,
-/// in microseconds.
+/// Time for which a server is suspect after an attempt there broke off, unless another attempt
+/// succeeds there, in microseconds.
 const FAILURE_TTL: Micros = 1_000_000;
 
 /// One server.
@@ -59,7 +59,7 @@
     pub(crate) is_displaced: bool,
     /// When anything was last received from it.
     pub(crate) last_heard: Micros,
-    /// When an attempt last broke off there without an answer; 0 after a success.
+    /// When an attempt last broke off there without a response; 0 after a success.
     pub(crate) failed_at: Micros,
     /// Suspicions of other gates.
     pub(crate) suspicions: PeerSuspicions,
@@ -164,7 +164,7 @@
         !self.is_listed && self.occupancy.in_flight == 0
     }
 
-    /// True if the server owes an answer and nothing was received from it for `timeout`.
+    /// True if the server owes a response and nothing was received from it for `timeout`.
     pub(crate) fn is_unresponsive(&self, now: Micros, timeout: Micros) -> bool {
         let since = self.in_flight_since.max(self.last_heard);
         self.occupancy.in_flight > 0 && since.saturating_add(timeout) <= now
--- a/crates/routing/src/guards.rs
+++ b/crates/routing/src/guards.rs
@@ -24,11 +24,11 @@
     MaxAttempts,
     /// Retries are withdrawn from the retry budget.
     RetryBudget,
-    /// Affinity keys move on from overloaded servers.
+    /// Affinity keys are assigned to another server while theirs is overloaded.
     BoundedLoad,
     /// A server from which this gate receives anything is alive, whatever its heartbeats.
     LivenessOverHeartbeats,
-    /// Affinity keys move on from servers with a long prefill wait.
+    /// Affinity keys are assigned to another server while theirs has a long prefill wait.
     ShortPrefillWait,
     /// Each affinity key has an order of servers of its own.
     Rendezvous,
@@ -38,7 +38,7 @@
     ShuffledRoundRobin,
     /// At most half of a group is ejected for failures.
     MaxEjectedShare,
-    /// Rejections for want of capacity do not count as failures.
+    /// Rejections for lack of capacity do not count as failures.
     OverloadIsNoFailure,
     /// A failed connect to a server that answers other requests counts as overload.
     ConnectFailureOfLiveServer,
@@ -50,7 +50,7 @@
     LoadedIsNotSlow,
     /// Only idempotent requests try an ejected server.
     TrialIdempotent,
-    /// No request is rejected for want of capacity while half of the slots are free.
+    /// No request is rejected for lack of capacity while half of the slots are free.
     FreeSlots,
     /// Less urgent requests leave capacity for more urgent ones.
     PriorityReserve,
@@ -60,7 +60,7 @@
     RetryAtLiveServer,
     /// An unreachable region is left out.
     UnreachableRegion,
-    /// A server that rejected a request for want of capacity is left alone for a while.
+    /// A server that rejected a request for lack of capacity receives no requests for a while.
     OverloadBackoff,
     /// A request is delayed only for a short part of its latency objective.
     ShortDelay,
--- a/crates/routing/src/latency.rs
+++ b/crates/routing/src/latency.rs
@@ -1,5 +1,5 @@
 //! Latency baselines: exponentially weighted moving averages of the time to the first byte and of
-//! the duration of a complete answer.
+//! the duration of a complete response.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
 pub(crate) struct LatencyBaselines {
     /// Time to the first byte, by route.
     first_byte: FxHashMap<Arc<str>, f64>,
-    /// Duration of a complete answer, by service: the time for which a request occupies a slot,
+    /// Duration of a complete response, by service: the time for which a request occupies a slot,
     /// over the service's mix of routes.
     response: FxHashMap<Arc<str>, f64>,
 }
@@ -34,7 +34,7 @@
         known.copied().unwrap_or(assumed)
     }
 
-    /// Average duration of a complete answer at a service. Before any sample it is the latency
+    /// Average duration of a complete response at a service. Before any sample it is the latency
     /// objective of the route that asks.
     pub(crate) fn response(&self, service: &str, route: &Route) -> f64 {
         let known = self.response.get(service);
@@ -49,7 +49,7 @@
         elapsed as f64 / average
     }
 
-    /// Records the duration of a complete answer.
+    /// Records the duration of a complete response.
     pub(crate) fn record_response(&mut self, service: &Arc<str>, route: &Route, elapsed: Micros) {
         let average = self.response(service, route);
         self.response
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -14,6 +14,10 @@
 //! that rendezvous hashing with bounded loads assigns its shared prefix to, and every other request
 //! is balanced by shuffled round robin.
 //!
+//! Conditions of the form `Guard::X.on()` mark protections that unit tests switch off; in the
+//! program each is always true. The clock unit, the random numbers and the hashes are those of
+//! `ironmast-balancer`; the client proxy's decisions there are not used.
+//!
 //! ```
 //! use std::sync::Arc;
 //! use ironmast_routing::{
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -2,7 +2,7 @@
 
 use ironmast_balancer::Micros;
 
-/// A server's report of its own load, from an answer's `X-Ironmast-Server-Load` or from `GET
+/// A server's report of its own load, from a response's `X-Ironmast-Server-Load` or from `GET
 /// /api/report`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
--- a/crates/routing/src/occupancy.rs
+++ b/crates/routing/src/occupancy.rs
@@ -1,5 +1,5 @@
 //! Occupancy of one server: what this gate has in flight there, what the server reports, and for
-//! how long it is left alone after it rejected a request for want of capacity.
+//! how long it receives no requests after it rejected a request for lack of capacity.
 
 use ironmast_balancer::Micros;
 use smallvec::SmallVec;
@@ -12,7 +12,7 @@
 /// A gate may use this multiple of its even share of a server's connections, because gates are not
 /// equally busy.
 const MAX_CONNECTION_SHARE: f64 = 2.0;
-/// First backoff after a server rejected a request for want of capacity, in microseconds. It
+/// First backoff after a server rejected a request for lack of capacity, in microseconds. It
 /// doubles with each consecutive rejection.
 const INITIAL_BACKOFF: Micros = 50_000;
 /// Longest backoff, in microseconds.
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Records that the server rejected a request for want of capacity.
+    /// Records that the server rejected a request for lack of capacity.
     pub(crate) fn record_overload(&mut self, now: Micros, retry_after: Option<Micros>) {
         self.backoff = (self.backoff * 2).clamp(INITIAL_BACKOFF, MAX_BACKOFF);
         let backoff = retry_after.unwrap_or(0).clamp(self.backoff, MAX_BACKOFF);
--- a/crates/routing/src/outcome.rs
+++ b/crates/routing/src/outcome.rs
@@ -5,10 +5,10 @@
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A complete answer that counts as served.
+    /// A complete response that counts as served.
     Success,
     /// The server rejected the request as faulty (4xx that does not promise that the request was
-    /// not executed). This is the final answer.
+    /// not executed). This is the final response.
     ClientError,
     /// A 5xx of the server, after which the request may have been executed.
     ServerError,
@@ -26,13 +26,13 @@
     ConnectFailed,
     /// The connection ended before a byte of the request was written.
     NotSent,
-    /// The connection broke before the head of an answer arrived.
+    /// The connection broke before the head of a response arrived.
     Reset,
-    /// The bytes received are not an answer to this request, and no head was forwarded.
+    /// The bytes received are not a response to this request, and no head was forwarded.
     MalformedResponse,
-    /// No answer arrived in time.
+    /// No response arrived in time.
     Timeout,
-    /// The answer broke off after its head was forwarded.
+    /// The response broke off after its head was forwarded.
     Truncated {
         /// The last complete event that was forwarded.
         last_event: Option<u64>,
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -7,10 +7,12 @@
 use crate::outcome::Outcome;
 use crate::settings::DurationBounds;
 
-/// Weight of a sample in the short-term failure rate, by kind: a lost connection says less than an
-/// error, and a connection that could not be established says more.
+/// Weight of an error response or a time-out in the short-term failure rate.
 const WEIGHT_ERROR: f32 = 0.25;
+/// Weight of a connection that could not be established: stronger evidence of a fault than an
+/// error.
 const WEIGHT_UNREACHABLE: f32 = 0.3;
+/// Weight of a lost connection or a malformed response: weaker evidence of a fault than an error.
 const WEIGHT_BROKEN: f32 = 0.15;
 /// Weight of a sample in the long-term failure rate, which finds servers that fail a part of their
 /// requests.
@@ -105,7 +107,7 @@
     Unreachable,
     /// Its first bytes are late compared with its group's.
     Slow,
-    /// It owes answers, nothing is received from it, and its health check failed.
+    /// It owes responses, nothing is received from it, and its health check failed.
     Unresponsive,
 }
 
@@ -179,7 +181,7 @@
             Outcome::Reset | Outcome::MalformedResponse | Outcome::Truncated { .. } => {
                 self.record_failure(WEIGHT_BROKEN);
             }
-            // Rejections for want of capacity are load, not a fault. What else is left is the
+            // Rejections for lack of capacity are load, not a fault. What else is left is the
             // gate's or the client's doing.
             Outcome::NotExecuted { .. } if !Guard::OverloadIsNoFailure.on() => {
                 self.record_failure(WEIGHT_ERROR);
@@ -220,7 +222,7 @@
         }
         let max_slowness = SLOWNESS_RATIO * group.slowness;
         let ejects = if self.ejection.is_some() {
-            // A slow trial prolongs the ejection, so that no answer to a request sent before now
+            // A slow trial prolongs the ejection, so that no response to a request sent before now
             // ends it.
             ratio > max_slowness && lateness > MIN_LATENESS
         } else {
@@ -254,7 +256,7 @@
         }
     }
 
-    /// Ejects a server that owes an answer, from which nothing was received for long, and whose
+    /// Ejects a server that owes a response, from which nothing was received for long, and whose
     /// health check failed. Returns the cause if this ejects the server.
     pub(crate) fn eject_unresponsive(
         &mut self,
@@ -273,7 +275,7 @@
         self.record_sample(0.0, WEIGHT_ERROR);
         self.consecutive_failures = 0;
         self.consecutive_connect_failures = 0;
-        // An answer to a request from before the ejection does not show that the fault is over.
+        // A response to a request from before the ejection does not show that the fault is over.
         if self
             .ejection
             .is_some_and(|ejection| sent_at >= ejection.since)
--- a/crates/routing/src/peer_report.rs
+++ b/crates/routing/src/peer_report.rs
@@ -14,7 +14,7 @@
 pub struct PeerReport {
     /// Prompt tokens that the gate has sent and that are pending prefill.
     pub pending_prefill: Vec<PendingPrefill>,
-    /// Servers that the gate suspects: they owe an answer and are silent, or an attempt there has
+    /// Servers that the gate suspects: they owe a response and are silent, or an attempt there has
     /// just broken off.
     pub suspect: Vec<u64>,
 }
--- a/crates/routing/src/reachability.rs
+++ b/crates/routing/src/reachability.rs
@@ -1,13 +1,14 @@
 //! Reachability of other regions, judged by what this gate hears of all servers of a region
-//! together. An unreachable region looks like many unresponsive servers; learnt server by server,
-//! each of them would cost a request.
+//! together. An unreachable region looks like many unresponsive servers; if each were detected on
+//! its own, each would cost a request.
 
 use std::sync::Arc;
 
 use ironmast_balancer::Micros;
 use rustc_hash::FxHashMap;
 
-/// This many servers or attempts without an answer speak for the region rather than for one server.
+/// Number of servers or attempts without a response from which the cause is taken to be the region
+/// rather than one server.
 const MIN_UNANSWERED: usize = 2;
 /// Interval at which an unreachable region is sent a health check, in microseconds.
 pub(crate) const HEALTH_CHECK_INTERVAL: Micros = 400_000;
@@ -20,7 +21,7 @@
 struct RegionStatus {
     /// When anything was last received from a server of the region.
     last_heard: Micros,
-    /// Number of attempts since then that ended without an answer.
+    /// Number of attempts since then that ended without a response.
     unanswered: usize,
     health_checked_at: Micros,
 }
@@ -30,8 +31,8 @@
 pub(crate) struct RegionReachability(FxHashMap<Arc<str>, RegionStatus>);
 
 impl RegionReachability {
-    /// Records that something is sent to a server of the region. Silence of the region counts from
-    /// the first time on.
+    /// Records that something is sent to a server of the region. The first time starts the clock by
+    /// which the region's silence is measured.
     pub(crate) fn record_attempt(&mut self, now: Micros, region: &Arc<str>) {
         if !self.0.contains_key(region) {
             let status = RegionStatus {
@@ -51,13 +52,13 @@
         }
     }
 
-    /// Records that an attempt at a server of the region ended without any answer.
+    /// Records that an attempt at a server of the region ended without any response.
     pub(crate) fn record_unanswered(&mut self, region: &Arc<str>) {
         self.0.entry(region.clone()).or_default().unanswered += 1;
     }
 
-    /// True if nothing was received from the region for `timeout` although answers are
-    /// outstanding. `unresponsive` returns the number of its servers that have owed an answer for
+    /// True if nothing was received from the region for `timeout` although responses are
+    /// outstanding. `unresponsive` returns the number of its servers that have owed a response for
     /// that long; it is called only if the attempts alone do not decide.
     pub(crate) fn is_unreachable(
         &self,
--- a/crates/routing/src/rejection.rs
+++ b/crates/routing/src/rejection.rs
@@ -42,7 +42,7 @@
     pub(crate) interval: Micros,
 }
 
-/// The times at which slots become free, by service. Each request that is rejected for want of
+/// The times at which slots become free, by service. Each request that is rejected for lack of
 /// capacity is given the slot after the previous one's, so that clients do not all return for the
 /// same slot.
 #[derive(Debug, Default)]
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -27,7 +27,7 @@
     pub parts: SmallVec<[PromptPart; 4]>,
     /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Maximum number of tokens in the answer.
+    /// Maximum number of tokens in the response.
     pub max_output_tokens: u64,
     /// Clock reading at which the client gives up.
     pub deadline: Option<Micros>,
@@ -105,7 +105,7 @@
     /// The service that the traffic split selected. Later attempts prefer it.
     pub(crate) service: Option<Arc<str>>,
     pub(crate) attempts: SmallVec<[Attempt; 2]>,
-    /// The client has received the head of an answer.
+    /// The client has received the head of a response.
     pub(crate) head_forwarded: bool,
     /// The last complete event that the client has received.
     pub(crate) last_event: Option<u64>,
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -43,7 +43,7 @@
     if !may_arrive_again && Guard::MaxAttempts.on() || !may_fail_to_arrive {
         return false;
     }
-    // Once an answer has begun, only a resumable stream can continue at another server.
+    // Once a response has begun, only a resumable stream can continue at another server.
     if call.head_forwarded {
         let is_resumable = spec.kind == RouteKind::Stream { resumable: true };
         let is_truncated = matches!(outcome, Outcome::Truncated { .. });
@@ -52,7 +52,7 @@
     call.is_idempotent() || !call.may_have_run() || !Guard::AtMostOnce.on()
 }
 
-/// True if an answer could still arrive in time to be of value.
+/// True if a response could still arrive in time to be of value.
 fn is_useful(call: &Call, now: Micros) -> bool {
     let min_time = MIN_USEFUL_SHARE * call.latency_objective() as f64;
     now as f64 + min_time <= call.deadline() as f64
--- a/crates/routing/src/round_robin.rs
+++ b/crates/routing/src/round_robin.rs
@@ -1,5 +1,6 @@
-//! Load balancing without a key: shuffled round robin combined with a choice of two. A group's
-//! servers are used in a shuffled order, and of the next two usable ones the less loaded is taken.
+//! Load balancing without a key: shuffled round robin combined with the power of two choices. A
+//! group's servers are used in a shuffled order, and of the next two usable ones the less loaded is
+//! taken.
 
 use ironmast_balancer::Rng;
 
@@ -10,7 +11,8 @@
 pub(crate) struct ShuffledRoundRobin {
     /// Version of the table that the members were last compared with.
     pub(crate) table_version: u64,
-    /// Indexes of the servers in the endpoint table; those before `next` have been used in this round.
+    /// Indexes of the servers in the endpoint table; those before `next` have been used in this
+    /// round.
     order: Vec<u32>,
     next: usize,
 }
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -32,16 +32,18 @@
     pub affinity_load_floor: f64,
     /// Utilization up to which requests are sent to a server.
     pub max_load: f64,
-    /// Range of utilization below the limit over which requests are rejected one by one, so that no
+    /// Range of utilization below the limit (`max_load`, plus the permitted queue, less the
+    /// priority steps) in which a growing part of the requests is rejected at random, so that no
     /// kind of request is excluded.
     pub rejection_ramp: f64,
-    /// More requests may wait in a server's queue, for this fraction of their latency objective.
+    /// Beyond `max_load`, as many requests may wait in a server's queue as get a slot within this
+    /// fraction of the latency objective.
     pub max_queue_time_share: f64,
     /// Maximum number of requests that wait in a server's queue, as a fraction of its slots.
     pub max_queue_share: f64,
-    /// Amount by which the limit is lower for each rank of priority.
+    /// Amount by which that limit is lowered for each rank of priority.
     pub priority_step: f64,
-    /// Another region is used for want of capacity only up to this utilization of its servers.
+    /// Another region is used for lack of capacity only up to this utilization of its servers.
     pub spillover_max_load: f64,
     /// Another region is used because of the prefill wait only if the wait in the own region
     /// exceeds this fraction of the latency objective.
@@ -55,7 +57,7 @@
     /// Time after the end of an ejection at which the server is sent a health check if no request
     /// has tried it.
     pub health_check_after: Micros,
-    /// A server that owes an answer and was silent for this long, or for twice the average time to
+    /// A server that owes a response and was silent for this long, or for twice the average time to
     /// the first byte if that is longer, is used only if no other is left.
     pub unresponsive_after: Micros,
     /// Age at which a load report no longer counts. Its weight falls linearly until then.
