--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -82,7 +82,10 @@
         }
     }
 
-    /// One instance of it.
+    /// An instance of the policy.
+    ///
+    /// # Panics
+    /// If the decision module rejects the settings, which those of a checked scenario never are.
     #[must_use]
     pub fn build(self, settings: Settings, seed: u64) -> Box<dyn Policy> {
         match self {
@@ -149,8 +152,7 @@
     turn: usize,
     open: BTreeMap<RequestId, Open>,
     waiting: Vec<RequestId>,
-    /// Timers that are out: a request's last moment by its id, `u64::MAX` to look again, `u64::MAX
-    /// - 1` to ask.
+    /// A timer with the token [`LOOK`] is pending.
     looking: bool,
     subscribed: bool,
     /// What requests earn for their work, of late (ceiling).
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -544,56 +544,71 @@
     (ms * 1e3) as Micros
 }
 
-/// The first thing that is wrong: its path in the file and what was expected there.
-type Flaw = (String, String);
+/// A setting that is out of its range or contradicts another.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+#[error("{path} {problem}")]
+pub struct InvalidSetting {
+    /// Its path in the file.
+    pub path: String,
+    /// What is wrong, and what was expected.
+    pub problem: String,
+}
 
-fn within<T: PartialOrd + Display>(path: &str, value: T, least: T, most: T) -> Result<(), Flaw> {
+fn within<T: PartialOrd + Display + Copy>(
+    path: &str,
+    value: T,
+    min: T,
+    max: T,
+) -> Result<(), InvalidSetting> {
     // Written so that a NaN is out of range too.
-    if value >= least && value <= most {
+    if value >= min && value <= max {
         return Ok(());
     }
-    Err((
-        path.to_string(),
-        format!("is {value}, expected {least} to {most}"),
-    ))
+    invalid(path, format!("is {value}, expected {min} to {max}"))
 }
 
-fn wrong<T>(path: impl Into<String>, problem: impl Into<String>) -> Result<T, Flaw> {
-    Err((path.into(), problem.into()))
+fn invalid<T>(path: impl Into<String>, problem: impl Into<String>) -> Result<T, InvalidSetting> {
+    Err(InvalidSetting {
+        path: path.into(),
+        problem: problem.into(),
+    })
 }
 
 impl Scenario {
     /// Reads and checks a scenario.
     ///
     /// # Errors
-    /// The first thing that is wrong, with its line.
+    /// [`ScenarioError`] for the first thing that is wrong.
     pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
         let line = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
         let scenario: Scenario = toml::from_str(text).map_err(|e| ScenarioError {
             line: line(e.span().map_or(0, |s| s.start)),
             problem: e.message().replace('\n', "; "),
         })?;
-        scenario.check().map_err(|(path, problem)| ScenarioError {
-            line: line(offset(text, &path)),
-            problem: format!("{path} {problem}"),
+        scenario.check().map_err(|error| ScenarioError {
+            line: line(offset(text, &error.path)),
+            problem: error.to_string(),
         })?;
         Ok(scenario)
     }
 
-    /// The scenario as text that [`Scenario::read`] takes.
+    /// The scenario as text that [`Scenario::read`] reads.
+    ///
+    /// # Panics
+    /// Never: a scenario consists of plain tables and numbers.
     #[must_use]
     pub fn write(&self) -> String {
         toml::to_string(self).expect("plain tables and numbers")
     }
 
-    /// Checks that the figures make sense, alone and together.
+    /// Checks that each setting is in its range and that they do not contradict each other.
     ///
     /// # Errors
-    /// The path of the first that does not, and what was expected there.
-    pub fn check(&self) -> Result<(), (String, String)> {
+    /// [`InvalidSetting`] for the first that fails.
+    pub fn check(&self) -> Result<(), InvalidSetting> {
         let share = |path: &str, v: f64| within(path, v, 0.0, 1.0);
         if self.name.is_empty() {
-            return wrong("name", "is empty, expected a name");
+            return invalid("name", "is empty, expected a name");
         }
         within("length_s", self.length_s, 0.1, 86_400.0)?;
         within("warmup_s", self.warmup_s, 0.0, self.length_s)?;
@@ -601,7 +616,7 @@
         within("zones", self.zones.len(), 1, 1_000)?;
         for (i, zone) in self.zones.iter().enumerate() {
             if zone.is_empty() || zone == "*" || self.zones[..i].contains(zone) {
-                return wrong(
+                return invalid(
                     "zones",
                     format!("names `{zone}` at {i}, expected names that differ"),
                 );
@@ -624,7 +639,7 @@
                 || !sound
                 || p.zone_weights.iter().sum::<f64>() <= 0.0
             {
-                return wrong(
+                return invalid(
                     "proxies.zone_weights",
                     "do not fit, expected one weight from 0 for each zone",
                 );
@@ -667,7 +682,7 @@
         for (i, class) in self.class.iter().enumerate() {
             class.check(&format!("class.{i}"))?;
             if self.class[..i].iter().any(|c| c.name == class.name) {
-                return wrong(
+                return invalid(
                     format!("class.{i}.name"),
                     "stands twice, expected names that differ",
                 );
@@ -678,7 +693,7 @@
             pool.check(&format!("pool.{i}"))?;
             if pool.zone != "*" && !self.zones.contains(&pool.zone) {
                 let zones = self.zones.join(", ");
-                return wrong(
+                return invalid(
                     format!("pool.{i}.zone"),
                     format!("is `{}`, expected *, {zones}", pool.zone),
                 );
@@ -696,7 +711,7 @@
             .try_for_each(|(i, t)| t.check(&format!("trouble.{i}"), self))
     }
 
-    fn check_clients(&self) -> Result<(), Flaw> {
+    fn check_clients(&self) -> Result<(), InvalidSetting> {
         let c = &self.clients;
         within("clients.rate", c.rate, 0.001, 1e7)?;
         within("clients.burst_s", c.burst_s, 0.001, 3_600.0)?;
@@ -708,7 +723,7 @@
         within("clients.walk_away", c.walk_away, 0.0, 1.0)?;
         let (from, to) = c.patience;
         if !(from > 0.0 && from <= to && to <= 1.0) {
-            return wrong(
+            return invalid(
                 "clients.patience",
                 format!("is {from} to {to}, expected two rising shares over 0 up to 1"),
             );
@@ -719,7 +734,7 @@
             .iter()
             .all(|p| p.0.is_finite() && p.1.is_finite() && (0.0..=1_000.0).contains(&p.1));
         if !rising || !sound {
-            return wrong(
+            return invalid(
                 "clients.curve",
                 "does not fit, expected rising seconds, each with a factor from 0 to 1000",
             );
@@ -773,9 +788,9 @@
 }
 
 impl Class {
-    fn check(&self, at: &str) -> Result<(), Flaw> {
+    fn check(&self, at: &str) -> Result<(), InvalidSetting> {
         if self.name.is_empty() {
-            return wrong(format!("{at}.name"), "is empty, expected a name");
+            return invalid(format!("{at}.name"), "is empty, expected a name");
         }
         within(&format!("{at}.share"), self.share, 1e-6, 1e6)?;
         within(&format!("{at}.dedup_s"), self.dedup_s, 0.0, 3_600.0)?;
@@ -793,7 +808,7 @@
 }
 
 impl Pool {
-    fn check(&self, at: &str) -> Result<(), Flaw> {
+    fn check(&self, at: &str) -> Result<(), InvalidSetting> {
         let at = |key: &str| format!("{at}.{key}");
         within(&at("servers"), self.servers, 0, 100_000)?;
         within(&at("cores"), self.cores, 1, 1_024)?;
@@ -801,7 +816,7 @@
         within(&at("queue"), self.queue, 0, 100_000_000)?;
         let (from, to) = self.speed;
         if !(from > 0.0 && from <= to && to <= 1_000.0) {
-            return wrong(
+            return invalid(
                 at("speed"),
                 format!("is {from} to {to}, expected two rising speeds over 0"),
             );
@@ -824,7 +839,7 @@
 }
 
 impl Trouble {
-    fn check(&self, at: &str, scenario: &Scenario) -> Result<(), Flaw> {
+    fn check(&self, at: &str, scenario: &Scenario) -> Result<(), InvalidSetting> {
         use TroubleKind as K;
         let at = |key: &str| format!("{at}.{key}");
         within(&at("at_s"), self.at_s, 0.0, scenario.length_s)?;
@@ -841,13 +856,13 @@
             scenario.class.iter().map(|c| c.name.as_str())
         });
         if zone_wanted && self.zone.is_empty() {
-            return wrong(
+            return invalid(
                 at("zone"),
                 format!("is missing, expected one of {}", zones.join(", ")),
             );
         }
         if !self.zone.is_empty() && !zones.contains(&self.zone) {
-            return wrong(
+            return invalid(
                 at("zone"),
                 format!("is `{}`, expected one of {}", self.zone, zones.join(", ")),
             );
@@ -855,7 +870,7 @@
         let class_known = classes().any(|c| c == self.class);
         if (!self.class.is_empty() || self.kind == K::Grey) && !class_known {
             let classes = classes().collect::<Vec<_>>().join(", ");
-            return wrong(
+            return invalid(
                 at("class"),
                 format!("is `{}`, expected one of {classes}", self.class),
             );
@@ -868,7 +883,7 @@
             p.servers > 0 && (self.zone.is_empty() || p.zone == "*" || p.zone == self.zone)
         };
         if of_servers && !scenario.pool.iter().any(here) {
-            return wrong(
+            return invalid(
                 at("zone"),
                 format!(
                     "`{}` has no server, expected a zone that has one",
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1479,9 +1479,9 @@
         let lost = sent + self.network.connect_timeout;
         if let Some(until) = self.network.partition_end(zone, machine.zone, self.now) {
             return if fresh {
-                self.unreached(request, n, lost.max(self.now))
+                self.unreached(request, n, lost.max(self.now));
             } else {
-                self.queue.push(until + way, What::Reach { request, n })
+                self.queue.push(until + way, What::Reach { request, n });
             };
         }
         if machine.vanished {
@@ -1492,7 +1492,7 @@
         }
         if !machine.server.up || machine.life != life {
             return if fresh {
-                self.unreached(request, n, self.now + way)
+                self.unreached(request, n, self.now + way);
             } else {
                 self.queue.push(
                     self.now + way,
@@ -1946,19 +1946,9 @@
                     }
                 }
             }
-            Step::Replace { positions: places } => {
-                for place in places {
-                    let old = self.places[place as usize].machine;
-                    self.end_server(old, false);
-                    let machine = &mut self.machines[old as usize];
-                    machine.phase = Phase::Gone;
-                    let (pool, zone) = (machine.pool, machine.zone);
-                    let gone = seconds(self.scenario.discovery.gone_s);
-                    self.queue.push(self.now + gone, What::Visible(old));
-                    let new = self.machine(pool, zone, place);
-                    if self.places[place as usize].lost == 0 {
-                        self.start_server(new);
-                    }
+            Step::Replace { positions } => {
+                for position in positions {
+                    self.replace_server(position);
                 }
             }
             Step::Partition { zone, until } => self.network.partition(zone, until),
@@ -1979,6 +1969,21 @@
         }
     }
 
+    /// Ends the server at a position and starts a new one there, unless the position is down.
+    fn replace_server(&mut self, position: u32) {
+        let old = self.places[position as usize].machine;
+        self.end_server(old, false);
+        let machine = &mut self.machines[old as usize];
+        machine.phase = Phase::Gone;
+        let (pool, zone) = (machine.pool, machine.zone);
+        let gone = seconds(self.scenario.discovery.gone_s);
+        self.queue.push(self.now + gone, What::Visible(old));
+        let new = self.machine(pool, zone, position);
+        if self.places[position as usize].lost == 0 {
+            self.start_server(new);
+        }
+    }
+
     /// Discovery answers no query from now on, and its watches break.
     fn begin_discovery_outage(&mut self) {
         self.discovery.is_out = true;
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -121,12 +121,10 @@
                     // The one that sends to drains forgets nobody.
                     let gone = server.phase == Phase::Gone && self.sin != Sin::SendsToDraining;
                     if gone {
-                        drop((
-                            self.servers.remove(&server.id),
-                            self.started.remove(&server.id),
-                        ));
+                        self.servers.remove(&server.id);
+                        self.started.remove(&server.id);
                     } else {
-                        drop(self.servers.insert(server.id, server.phase == Phase::Ready))
+                        self.servers.insert(server.id, server.phase == Phase::Ready);
                     }
                     if let Some(at) = server.started.filter(|_| server.phase == Phase::Ready) {
                         self.started.insert(server.id, at);
