--- a/crates/balancer/src/api/actions.rs
+++ b/crates/balancer/src/api/actions.rs
@@ -1,4 +1,4 @@
-//! What a balancer asks for.
+//! The actions that a balancer asks for.
 
 use super::ids::{Micros, RequestId, ServerId};
 
--- a/crates/balancer/src/api/events.rs
+++ b/crates/balancer/src/api/events.rs
@@ -1,4 +1,4 @@
-//! What a balancer is told while it runs.
+//! The events that a balancer handles.
 
 use super::ids::{ClassId, Micros, RequestId, ServerId, TenantId, ZoneId};
 
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! What a balancer is told at its start, and whether it makes sense together.
+//! The settings of a balancer, and their validation.
 
 use thiserror::Error;
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// What one tenant may ask of the whole fleet.
+/// What one tenant may request of all servers.
 #[derive(Clone, Debug)]
 pub struct TenantSettings {
     /// Requests per second, over all balancers, within its share.
@@ -171,7 +171,7 @@
     pub overload_multiple: f64,
 }
 
-/// Points taken off the result, as parts of the whole.
+/// Penalties on the result, as fractions of it.
 #[derive(Clone, Debug)]
 pub struct Penalties {
     /// For every request crossing zones once.
--- a/crates/balancer/src/balance/requests.rs
+++ b/crates/balancer/src/balance/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: accepted, sent or queued, looked at when it is due, answered.
+//! The life cycle of a request: accepted, sent or queued, processed when it is due, answered.
 
 use std::cmp::Reverse;
 
--- a/crates/balancer/src/failure_detector.rs
+++ b/crates/balancer/src/failure_detector.rs
@@ -133,7 +133,7 @@
         now: Micros,
         rng: &mut Rng,
     ) -> Finding {
-        let Some(zone) = fleet.get(server).map(|n| n.server.zone) else {
+        let Some(zone) = fleet.get(server).map(|node| node.server.zone) else {
             return Finding::default();
         };
         if sign {
@@ -162,7 +162,7 @@
                 let others = here(fleet, zone).filter(other).skip(skip).take(count);
                 Finding {
                     log: None,
-                    probe: others.map(|n| n.server.id).collect(),
+                    probe: others.map(|node| node.server.id).collect(),
                 }
             }
         }
@@ -180,7 +180,7 @@
         let mut due = self.suspects(now, usual, fleet.own());
         for zone in self.trials(now) {
             let nth = (rng.unit() * fleet.zone(zone).ready() as f64) as usize;
-            due.extend(here(fleet, zone).nth(nth).map(|n| n.server.id));
+            due.extend(here(fleet, zone).nth(nth).map(|node| node.server.id));
         }
         due
     }
@@ -212,13 +212,13 @@
             .zones
             .iter_mut()
             .enumerate()
-            .filter(|(_, z)| z.next_probe.is_none())
+            .filter(|(_, state)| state.next_probe.is_none())
         {
             let mut pending: Vec<(Micros, ServerId)> = self
                 .pending
                 .iter()
-                .filter(|(_, o)| o.zone == id)
-                .map(|(server, o)| (o.since, *server))
+                .filter(|(_, pending)| pending.zone == id)
+                .map(|(server, pending)| (pending.since, *server))
                 .collect();
             pending.sort_unstable();
             let Some(&(first, _)) = pending.first() else {
@@ -227,8 +227,8 @@
             let in_flight: u32 = self
                 .pending
                 .values()
-                .filter(|o| o.zone == id)
-                .map(|o| o.in_flight)
+                .filter(|pending| pending.zone == id)
+                .map(|pending| pending.in_flight)
                 .sum();
             if id != own && in_flight < WITNESSES.0 as u32 {
                 continue;
@@ -259,7 +259,7 @@
             }
             let others = pending
                 .iter()
-                .map(|o| o.1)
+                .map(|pending| pending.1)
                 .filter(|o| !zone.probed.contains(o));
             let ask: Vec<ServerId> = others.take(wanted).collect();
             zone.probed.extend(&ask);
@@ -307,14 +307,18 @@
 
     /// Whether the whole zone is unreachable.
     pub(crate) fn is_unreachable(&self, zone: ZoneId) -> bool {
-        self.zones.get(zone).is_some_and(|z| z.next_probe.is_some())
+        self.zones
+            .get(zone)
+            .is_some_and(|state| state.next_probe.is_some())
     }
 
     /// Whether every zone with ready servers is unreachable: then this balancer itself is partitioned
     /// off.
     pub(crate) fn is_isolated(&self, fleet: &Fleet) -> bool {
-        let any = self.zones.iter().any(|z| z.next_probe.is_some());
-        any && fleet.ready().all(|n| self.is_unreachable(n.server.zone))
+        let any = self.zones.iter().any(|state| state.next_probe.is_some());
+        any && fleet
+            .ready()
+            .all(|node| self.is_unreachable(node.server.zone))
     }
 
     /// The unreachable zones whose next probe is due: one probe each.
@@ -337,7 +341,7 @@
 
 /// The ready servers of a zone.
 fn here(fleet: &Fleet, zone: ZoneId) -> impl Iterator<Item = &Node> {
-    fleet.ready().filter(move |n| n.server.zone == zone)
+    fleet.ready().filter(move |node| node.server.zone == zone)
 }
 
 /// Whether the end of an attempt is a sign of life of its server; `None` where it says nothing either
