--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -1,5 +1,11 @@
-//! The only owner of the decision module, of its timers and of the open requests. It takes messages
-//! from the queue one at a time and carries out every action the module asks for.
+//! The only owner of the decision module (`ironmast_balancer`), of its timers and of the open
+//! requests.
+//!
+//! The driver takes messages from its queue one at a time, passes them to the decision module as
+//! events, and carries out every action that the module asks for. Nothing else calls the module, so
+//! that its decisions need no locks.
+
+mod open_requests;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -15,18 +21,20 @@
 };
 use ironmast_transport::clock::Clock;
 use slog::{Logger, debug, info, warn};
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::mpsc;
 
 use crate::hot_restart::partners::Partners;
 use crate::message::{
-    Arrival, Attempt, AttemptResult, DiscoveryCommand, FinalResponse, Message, Payload,
-    PeerMessage, PriorityMessage, Ticket, UpstreamCommand,
+    Arrival, Attempt, AttemptResult, DiscoveryCommand, FinalResponse, Message, PeerMessage,
+    PriorityMessage, Ticket, UpstreamCommand,
 };
-use crate::runtime_files::RuntimeFiles;
+use crate::runtime_files::{RuntimeFiles, SaveError};
+
+use open_requests::{AttemptState, OpenRequest, OpenRequests};
 
-/// Where orders go.
-pub(crate) struct Orders {
-    /// To the connections to pay servers.
+/// Where the driver's commands go.
+pub(crate) struct Outputs {
+    /// To the connections to servers.
     pub upstream: mpsc::UnboundedSender<UpstreamCommand>,
     /// To discovery.
     pub discovery: mpsc::UnboundedSender<DiscoveryCommand>,
@@ -34,120 +42,88 @@
     pub peers: mpsc::UnboundedSender<PeerMessage>,
 }
 
-/// A request that is owed an answer or has an attempt out.
-struct Open {
-    ticket: Ticket,
-    expires: Micros,
-    payload: Rc<Payload>,
-    /// When its last byte came, where that was after its arrival here.
-    whole: Micros,
-    /// Taken by the one final answer.
-    reply: Option<oneshot::Sender<FinalResponse>>,
-    /// Of each attempt: the server, when it was sent, and whether it is out.
-    attempts: Vec<(ServerId, Micros, bool)>,
-}
-
-impl Open {
-    fn out(&self) -> bool {
-        self.attempts.iter().any(|a| a.2)
-    }
-}
-
-/// Drives one balancer.
+/// The driver of one decision module.
 pub(crate) struct Driver {
     balancer: Balancer,
     settings: Settings,
     clock: Clock,
     log: Logger,
-    orders: Orders,
-    admin: ServerOverrides,
+    outputs: Outputs,
+    overrides: ServerOverrides,
     files: RuntimeFiles,
     partners: Rc<Partners>,
+    /// The time and the token of each timer.
     timers: BTreeSet<(Micros, u64)>,
-    open: BTreeMap<RequestId, Open>,
-    ids: BTreeMap<Ticket, RequestId>,
-    last_id: RequestId,
-    /// Where each listed server listens, and whether it takes new requests.
-    servers: BTreeMap<ServerId, (SocketAddr, bool)>,
-    /// Events that actions themselves brought about.
+    open: OpenRequests,
+    /// The address of each listed server.
+    servers: BTreeMap<ServerId, SocketAddr>,
+    /// Events that follow from actions and have not been handled.
     pending: VecDeque<Event>,
 }
 
 impl Driver {
-    /// A driver that holds no list yet.
+    /// A driver that knows no servers yet.
     pub(crate) fn new(
         balancer: Balancer,
         settings: Settings,
         clock: Clock,
         log: Logger,
-        orders: Orders,
-        (admin, files, partners): (ServerOverrides, RuntimeFiles, Rc<Partners>),
+        outputs: Outputs,
+        (overrides, files, partners): (ServerOverrides, RuntimeFiles, Rc<Partners>),
     ) -> Self {
         Driver {
             balancer,
             settings,
             clock,
             log,
-            orders,
-            admin,
+            outputs,
+            overrides,
             files,
             partners,
             timers: BTreeSet::new(),
-            open: BTreeMap::new(),
-            ids: BTreeMap::new(),
-            last_id: 0,
+            open: OpenRequests::default(),
             servers: BTreeMap::new(),
             pending: VecDeque::new(),
         }
     }
 
-    /// Serves the queue until all that feed it are gone. `held` hears of the first list that names
-    /// servers.
+    /// Handles the messages of both queues until all senders are dropped. `on_servers_known` is
+    /// called after each message while any server is listed.
     pub(crate) async fn run(
         mut self,
         mut queue: mpsc::UnboundedReceiver<Message>,
-        mut urgent: mpsc::UnboundedReceiver<PriorityMessage>,
-        held: impl Fn(),
+        mut priority_queue: mpsc::UnboundedReceiver<PriorityMessage>,
+        on_servers_known: impl Fn(),
     ) {
         loop {
             let due = self.timers.first().map(|&(at, _)| self.clock.at(at).into());
             tokio::select! {
                 biased;
-                // Timers first: guards them against a queue that is never empty.
+                // Timers come first, because the queue may never be empty.
                 () = async { tokio::time::sleep_until(due.unwrap()).await }, if due.is_some() => {
                     if let Some((_, token)) = self.timers.pop_first() {
-                        self.event(Event::Timer { token });
+                        self.dispatch(Event::Timer { token });
                     }
                 }
-                // Then operators: guards them against any amount of traffic.
-                Some(urgent) = urgent.recv() => self.urgent(urgent),
+                // Operators come next, so that they get through any amount of traffic.
+                Some(message) = priority_queue.recv() => self.handle_priority(message),
                 message = queue.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle(message),
                     None => return,
                 }
             }
             if !self.servers.is_empty() {
-                held();
+                on_servers_known();
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         match message {
-            Message::RequestArrived(arrival) => self.arrived(arrival),
-            Message::ClientDisconnected(ticket) => {
-                debug!(self.log, "client left"; "at" => self.clock.now(), "request" => self.ids.get(&ticket));
-                if let Some(id) = self.ids.remove(&ticket)
-                    && let Some(open) = self.open.get_mut(&id)
-                {
-                    open.reply = None;
-                    let _ = self.orders.upstream.send(UpstreamCommand::RequestOver(id));
-                    self.event(Event::ClientDisconnected { id });
-                    self.forget(id);
-                }
-            }
-            Message::RequestComplete(ticket) => self.whole(ticket),
-            Message::AttemptEnded(ended) => self.ended(ended),
+            Message::RequestArrived(arrival) => self.request_arrived(arrival),
+            Message::ClientDisconnected(ticket) => self.client_disconnected(ticket),
+            Message::RequestComplete(ticket) => self.request_complete(ticket),
+            Message::AttemptEnded(result) => self.attempt_ended(result),
             Message::HealthCheckEnded {
                 server,
                 outcome,
@@ -156,54 +132,58 @@
             } => {
                 debug!(self.log, "probed"; "at" => self.clock.now(), "server" => format_args!("{:016x}", server.0),
                     "outcome" => ?outcome, "took" => latency);
-                self.event(Event::ProbeEnded {
+                self.dispatch(Event::ProbeEnded {
                     server,
                     outcome,
                     latency,
                     load,
                 });
             }
-            Message::PeerDatagram { from, data } => self.event(Event::PeerMessage { from, data }),
-            Message::EndpointsUpdated(news) => {
-                let news = self.admin.apply_discovery(news);
-                self.show(news);
+            Message::PeerDatagram { from, data } => {
+                self.dispatch(Event::PeerMessage { from, data });
+            }
+            Message::EndpointsUpdated(update) => {
+                let update = self.overrides.apply_discovery(update);
+                self.update_endpoints(update);
             }
         }
     }
 
-    fn urgent(&mut self, urgent: PriorityMessage) {
-        match urgent {
+    fn handle_priority(&mut self, message: PriorityMessage) {
+        match message {
             PriorityMessage::Command(call, reply) => {
-                let answer = self.called(call);
+                let answer = self.execute(&call);
                 info!(self.log, "operator's call answered"; "answer" => ?answer.as_ref().map_err(ToString::to_string));
-                // A caller that has gone has no use for it; what it asked for is done.
+                // A caller that has disconnected has no use for the answer; its command is done.
                 let _ = reply.send(answer);
             }
             PriorityMessage::PartnerOverride(change) => {
                 info!(self.log, "the other process was called"; "server" => &change.uid, "out" => change.disabled_at.is_some());
-                if let Some(news) = self.admin.apply_override(change) {
-                    self.show(news);
+                if let Some(update) = self.overrides.apply_override(change) {
+                    self.update_endpoints(update);
                 }
-                let _ = self.keep();
+                // A failure is logged there; the other process reports it to the operator.
+                let _ = self.save_overrides();
             }
             PriorityMessage::DelegateWarmUp(on) => {
-                let cold = self.settings.safety.warm_up;
-                if let Some(news) = self
-                    .admin
-                    .delegate_started_after(on.then(|| self.clock.now().saturating_sub(cold)))
+                let warm_up = self.settings.safety.warm_up;
+                if let Some(update) = self
+                    .overrides
+                    .delegate_started_after(on.then(|| self.clock.now().saturating_sub(warm_up)))
                 {
-                    self.show(news);
+                    self.update_endpoints(update);
                 }
             }
             PriorityMessage::DescribeState(reply) => {
-                drop(reply.send((self.admin.state().clone(), self.admin.discovered())));
+                drop(reply.send((self.overrides.state().clone(), self.overrides.discovered())));
             }
         }
     }
 
-    fn called(&mut self, call: Command) -> Reply {
+    /// Executes an operator's command.
+    fn execute(&mut self, command: &Command) -> Reply {
         let now = self.clock.now();
-        let uid = match &call {
+        let uid = match command {
             Command::Ready if self.servers.is_empty() => return Err(CommandError::NoEndpoints),
             Command::Ready if !self.partners.may_serve() => {
                 return Err(CommandError::PredecessorServing);
@@ -211,40 +191,38 @@
             Command::Ready => return Ok("ready".to_string()),
             Command::DisableServer(uid) | Command::EnableServer(uid) => uid,
         };
-        let before = self.admin.override_of(uid);
-        let applied = match &call {
-            Command::DisableServer(uid) => self.admin.disable(uid, now)?,
-            _ => self.admin.enable(uid, now)?,
+        let before = self.overrides.override_of(uid);
+        let applied = match command {
+            Command::DisableServer(uid) => self.overrides.disable(uid, now)?,
+            _ => self.overrides.enable(uid, now)?,
         };
-        let said = applied.remark;
-        if let Some(news) = applied.update {
-            self.show(news);
+        let remark = applied.remark;
+        if let Some(update) = applied.update {
+            self.update_endpoints(update);
         }
-        let after = self.admin.override_of(uid);
+        let after = self.overrides.override_of(uid);
         if after == before {
-            return Ok(said);
+            return Ok(remark);
         }
         self.partners.send(handover::Message::Override(after));
-        // On disk before the yes: guards bans against this process' end.
-        Ok(if self.keep() {
-            said
+        // Saved before the operator learns of it, so that the override outlives this process.
+        Ok(if self.save_overrides().is_ok() {
+            remark
         } else {
-            format!("{said}, until this process ends: it could not be written down")
+            format!("{remark}, until this process ends: it could not be written down")
         })
     }
 
-    /// Writes the admin state down; false where that failed.
-    fn keep(&self) -> bool {
-        let kept = self.files.save_overrides(self.admin.state());
-        if let Err(why) = &kept {
-            warn!(self.log, "servers out of use could not be written down"; "why" => %why);
-        }
-        kept.is_ok()
+    /// Saves the overrides, and logs a failure.
+    fn save_overrides(&self) -> Result<(), SaveError> {
+        self.files
+            .save_overrides(self.overrides.state())
+            .inspect_err(|error| {
+                warn!(self.log, "servers out of use could not be written down"; "why" => %error);
+            })
     }
 
-    fn arrived(&mut self, arrival: Arrival) {
-        self.last_id += 1;
-        let id = self.last_id;
+    fn request_arrived(&mut self, arrival: Arrival) {
         let Arrival {
             ticket,
             class,
@@ -255,70 +233,70 @@
             payload,
             reply,
         } = arrival;
-        self.ids.insert(ticket, id);
-        self.open.insert(
-            id,
-            Open {
-                ticket,
-                expires,
-                payload,
-                whole: 0,
-                reply: Some(reply),
-                attempts: Vec::new(),
-            },
-        );
+        let id = self.open.insert(ticket, expires, payload, reply);
         debug!(self.log, "arrived"; "at" => self.clock.now(), "request" => id, "class" => class, "expires" => expires);
-        let work_hint = None;
-        self.event(Event::Request(Request {
+        self.dispatch(Event::Request(Request {
             id,
             class,
             tenant,
             key: subject,
-            work_hint,
+            work_hint: None,
             client_retry,
             expires,
         }));
     }
 
-    /// The client's time begins.
-    fn whole(&mut self, ticket: Ticket) {
-        let Some((&id, now)) = self.ids.get(&ticket).map(|id| (id, self.clock.now())) else {
+    fn client_disconnected(&mut self, ticket: Ticket) {
+        debug!(self.log, "client left"; "at" => self.clock.now(), "request" => self.open.id_of(ticket));
+        if let Some(id) = self.open.disconnect(ticket) {
+            let _ = self.outputs.upstream.send(UpstreamCommand::RequestOver(id));
+            self.dispatch(Event::ClientDisconnected { id });
+            self.open.remove_if_over(id);
+        }
+    }
+
+    /// The last byte of a request has come: its client's time begins.
+    fn request_complete(&mut self, ticket: Ticket) {
+        let now = self.clock.now();
+        let Some(id) = self.open.id_of(ticket) else {
             return;
         };
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(request) = self.open.get_mut(id) else {
             return;
         };
-        (open.whole, open.expires) = (now, now + open.payload.client_timeout);
-        let expires = open.expires;
+        request.complete_at = now;
+        request.expires = now + request.payload.client_timeout;
+        let expires = request.expires;
         debug!(self.log, "whole"; "at" => now, "request" => id, "expires" => expires);
-        self.event(Event::RequestComplete { id, expires });
+        self.dispatch(Event::RequestComplete { id, expires });
     }
 
-    fn ended(&mut self, ended: AttemptResult) {
+    fn attempt_ended(&mut self, result: AttemptResult) {
         let AttemptResult {
             id,
             number,
             outcome,
             body,
             load,
-        } = ended;
-        let Some(open) = self.open.get_mut(&id) else {
+        } = result;
+        let Some(request) = self.open.get_mut(id) else {
             return;
         };
-        let Some(attempt) = open.attempts.get_mut(number as usize).filter(|a| a.2) else {
+        let attempt = request.attempts.get_mut(number as usize);
+        let Some(attempt) = attempt.filter(|attempt| attempt.in_flight) else {
             return;
         };
-        attempt.2 = false;
-        // No server is slow for the time its client took.
-        let (server, sent) = (attempt.0, attempt.1.max(open.whole));
+        attempt.in_flight = false;
+        // The time in which the client was still sending does not count as the server's latency.
+        let (server, sent) = (attempt.server, attempt.sent_at.max(request.complete_at));
         if outcome == Outcome::Ok {
-            self.answer(id, FinalResponse::Served(body));
+            self.respond(id, FinalResponse::Served(body));
         }
-        let finished = self.open.get(&id).is_none_or(|o| o.reply.is_none());
+        let finished = self.open.get(id).is_none_or(OpenRequest::is_answered);
         let latency = self.clock.now().saturating_sub(sent);
         debug!(self.log, "ended"; "at" => self.clock.now(), "request" => id, "attempt" => number,
             "server" => format_args!("{:016x}", server.0), "outcome" => ?outcome, "took" => latency);
-        self.event(Event::AttemptEnded(AttemptEnded {
+        self.dispatch(Event::AttemptEnded(AttemptEnded {
             id,
             server,
             attempt: number,
@@ -327,83 +305,73 @@
             finished,
             load,
         }));
-        self.forget(id);
+        self.open.remove_if_over(id);
     }
 
-    /// Takes news as the module is to see them.
-    fn show(
-        &mut self,
-        EndpointUpdate {
+    /// Passes an update of the endpoints, to which the overrides have been applied, to the decision
+    /// module and to the connections.
+    fn update_endpoints(&mut self, update: EndpointUpdate) {
+        let EndpointUpdate {
             scope, endpoints, ..
-        }: EndpointUpdate,
-    ) {
-        let mut gone: BTreeSet<ServerId> = match scope {
+        } = update;
+        let mut removed: BTreeSet<ServerId> = match scope {
             Scope::Complete | Scope::Cached => self.servers.keys().copied().collect(),
             _ => BTreeSet::new(),
         };
         for Endpoint { server, target } in &endpoints {
-            gone.remove(&server.id);
-            let takes = server.phase == Phase::Ready;
-            // Guards the memory against every server that ever left: nobody is sent to it again.
+            removed.remove(&server.id);
+            // A server that has ended is dropped, because it gets no request again.
             match server.phase {
                 Phase::Gone => drop(self.servers.remove(&server.id)),
-                _ => drop(self.servers.insert(server.id, (target.endpoint, takes))),
+                _ => drop(self.servers.insert(server.id, target.endpoint)),
             }
-            // Guards rule 3: an attempt decided before this news may still be on its way to the
-            // socket.
-            let order = if takes {
+            // An attempt that was decided before this update may still be on its way to the
+            // socket, where it must not be written.
+            let command = if server.phase == Phase::Ready {
                 UpstreamCommand::ResumeSending(server.id)
             } else {
                 UpstreamCommand::StopSending(server.id)
             };
-            let _ = self.orders.upstream.send(order);
+            let _ = self.outputs.upstream.send(command);
         }
-        for id in gone {
+        for id in removed {
             self.servers.remove(&id);
-            let _ = self.orders.upstream.send(UpstreamCommand::StopSending(id));
+            let _ = self.outputs.upstream.send(UpstreamCommand::StopSending(id));
         }
-        let servers: Vec<_> = endpoints.into_iter().map(|e| e.server).collect();
+        let servers: Vec<_> = endpoints
+            .into_iter()
+            .map(|endpoint| endpoint.server)
+            .collect();
         let entries = servers.len();
         for server in &servers {
             debug!(self.log, "listed"; "at" => self.clock.now(), "server" => format_args!("{:016x}", server.id.0),
                 "phase" => ?server.phase, "zone" => server.zone, "size" => server.size, "started" => ?server.started);
         }
-        self.event(Event::Members(Listing { scope, servers }));
+        self.dispatch(Event::Members(Listing { scope, servers }));
         info!(self.log, "list told: {:?}", scope; "entries" => entries, "held" => self.servers.len());
     }
 
-    /// Gives the one final answer; later ones find it taken.
-    fn answer(&mut self, id: RequestId, answer: FinalResponse) {
-        let Some(open) = self.open.get_mut(&id) else {
+    /// Sends the final response, if the request has none yet.
+    fn respond(&mut self, id: RequestId, response: FinalResponse) {
+        let Some(reply) = self.open.take_reply(id) else {
             return;
         };
-        if let Some(reply) = open.reply.take() {
-            debug!(self.log, "answered"; "at" => self.clock.now(), "request" => id, "answer" => match &answer {
-                FinalResponse::Served(_) => "served",
-                FinalResponse::Rejected(_) => "refused",
-                FinalResponse::Failed => "failed",
-            });
-            self.ids.remove(&open.ticket);
-            if open.out() {
-                let _ = self.orders.upstream.send(UpstreamCommand::RequestOver(id));
-            }
-            // A client that left in this moment has told so or will; the queue holds it.
-            let _ = reply.send(answer);
+        debug!(self.log, "answered"; "at" => self.clock.now(), "request" => id, "answer" => match &response {
+            FinalResponse::Served(_) => "served",
+            FinalResponse::Rejected(_) => "refused",
+            FinalResponse::Failed => "failed",
+        });
+        let request = self.open.get(id);
+        if request.is_some_and(OpenRequest::has_attempt_in_flight) {
+            let _ = self.outputs.upstream.send(UpstreamCommand::RequestOver(id));
         }
+        // A client that has just disconnected reports that in the queue.
+        let _ = reply.send(response);
     }
 
-    /// Drops a request that is answered and has nothing out.
-    fn forget(&mut self, id: RequestId) {
-        if self
-            .open
-            .get(&id)
-            .is_some_and(|o| o.reply.is_none() && !o.out())
-        {
-            self.open.remove(&id);
-        }
-    }
-
-    fn event(&mut self, event: Event) {
+    /// Passes an event to the decision module, and carries out the actions that follow, with the
+    /// events that these cause.
+    fn dispatch(&mut self, event: Event) {
         self.pending.push_back(event);
         let mut actions = Vec::new();
         while let Some(event) = self.pending.pop_front() {
@@ -420,19 +388,19 @@
                 id,
                 server,
                 timeout,
-                start_deadline: begin_by,
-            } => self.send(id, server, timeout, begin_by),
+                start_deadline,
+            } => self.send(id, server, timeout, start_deadline),
             Action::Reject { id, retry_after } => {
-                self.answer(id, FinalResponse::Rejected(retry_after));
-                self.forget(id);
+                self.respond(id, FinalResponse::Rejected(retry_after));
+                self.open.remove_if_over(id);
             }
             Action::Fail { id } => {
-                self.answer(id, FinalResponse::Failed);
-                self.forget(id);
+                self.respond(id, FinalResponse::Failed);
+                self.open.remove_if_over(id);
             }
             Action::Cancel { id, attempt } => {
                 drop(
-                    self.orders
+                    self.outputs
                         .upstream
                         .send(UpstreamCommand::Cancel(id, attempt)),
                 );
@@ -441,12 +409,12 @@
                 self.timers
                     .insert((self.clock.now().saturating_add(delay), token));
             }
-            Action::Subscribe(on) => drop(self.orders.discovery.send(DiscoveryCommand::Watch(on))),
-            Action::FetchAll => drop(self.orders.discovery.send(DiscoveryCommand::FetchAll)),
+            Action::Subscribe(on) => drop(self.outputs.discovery.send(DiscoveryCommand::Watch(on))),
+            Action::FetchAll => drop(self.outputs.discovery.send(DiscoveryCommand::FetchAll)),
             Action::Probe { server } => match self.servers.get(&server) {
-                Some(&(address, _)) => {
+                Some(&address) => {
                     drop(
-                        self.orders
+                        self.outputs
                             .upstream
                             .send(UpstreamCommand::CheckHealth(server, address)),
                     );
@@ -456,11 +424,11 @@
                 }
             },
             Action::SendToPeers { to, data } => {
-                drop(self.orders.peers.send(PeerMessage { to, data }))
+                drop(self.outputs.peers.send(PeerMessage { to, data }));
             }
             Action::CloseIdle { server } => {
                 drop(
-                    self.orders
+                    self.outputs
                         .upstream
                         .send(UpstreamCommand::CloseIdle(server)),
                 );
@@ -469,66 +437,69 @@
         }
     }
 
+    /// Sends an attempt, unless a limit forbids it: whatever the decision module asks for, there
+    /// are never more attempts, one after another or in parallel, than the settings permit.
     fn send(
         &mut self,
         id: RequestId,
         server: ServerId,
         timeout: Option<Micros>,
-        begin_by: Option<Micros>,
+        start_deadline: Option<Micros>,
     ) {
         let now = self.clock.now();
-        let Some(open) = self.open.get_mut(&id) else {
+        let limits = &self.settings.limits;
+        let Some(request) = self.open.get_mut(id) else {
             warn!(self.log, "a send for a request that is over"; "request" => id);
             return;
         };
-        let number = open.attempts.len() as u32;
-        // Guards rule 2 whatever the module asks: never more attempts, or together, than is
-        // permitted.
-        let gone = open
-            .payload
-            .flow()
-            .is_some_and(|flow| !flow.is_replayable());
-        let over = open.reply.is_none()
-            || number >= self.settings.limits.max_attempts
-            || now >= open.expires
-            || gone;
-        let together = !self.settings.limits.allow_hedging && open.out();
-        let address = self.servers.get(&server).map(|s| s.0);
-        let (true, Some(address)) = (!over && !together, address) else {
-            let why = if gone {
+        let number = request.attempts.len() as u32;
+        let flow = request.payload.flow();
+        let is_body_consumed = flow.is_some_and(|flow| !flow.is_replayable());
+        let is_over = request.is_answered()
+            || number >= limits.max_attempts
+            || now >= request.expires
+            || is_body_consumed;
+        let is_forbidden_hedge = !limits.allow_hedging && request.has_attempt_in_flight();
+        let address = self.servers.get(&server).copied();
+        let address = address.filter(|_| !is_over && !is_forbidden_hedge);
+        request.attempts.push(AttemptState {
+            server,
+            sent_at: now,
+            in_flight: address.is_some(),
+        });
+        let Some(address) = address else {
+            let why = if is_body_consumed {
                 "its body has been drawn already"
             } else {
                 "it is over"
             };
             debug!(self.log, "a send that may not be"; "request" => id, "server" => server.0, "why" => why);
-            open.attempts.push((server, now, false));
-            let (outcome, finished) = (Outcome::NotSent, open.reply.is_none());
-            let (attempt, latency, load) = (number, 0, None);
-            let settled = AttemptEnded {
+            let not_sent = AttemptEnded {
                 id,
                 server,
-                attempt,
-                outcome,
-                latency,
-                finished,
-                load,
+                attempt: number,
+                outcome: Outcome::NotSent,
+                latency: 0,
+                finished: request.is_answered(),
+                load: None,
             };
-            return self.pending.push_back(Event::AttemptEnded(settled));
+            return self.pending.push_back(Event::AttemptEnded(not_sent));
         };
         debug!(self.log, "sent"; "at" => now, "request" => id, "attempt" => number,
             "server" => format_args!("{:016x}", server.0));
-        open.attempts.push((server, now, true));
-        // While a body flows, the module ends an attempt when the client's time is up.
-        let timeout = timeout.filter(|_| open.payload.flow().is_none());
-        let until = timeout.map_or(open.expires, |t| open.expires.min(now + t));
-        let payload = Rc::clone(&open.payload);
-        let _ = self.orders.upstream.send(UpstreamCommand::Send(Attempt {
+        // While a body is streamed, the decision module ends the attempt at the client's deadline.
+        let timeout = timeout.filter(|_| request.payload.flow().is_none());
+        let deadline = timeout.map_or(request.expires, |timeout| {
+            request.expires.min(now + timeout)
+        });
+        let payload = Rc::clone(&request.payload);
+        let _ = self.outputs.upstream.send(UpstreamCommand::Send(Attempt {
             id,
             number,
             server,
             address,
-            deadline: until,
-            start_deadline: begin_by,
+            deadline,
+            start_deadline,
             payload,
         }));
     }
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -28,7 +28,7 @@
 
 use crate::config::Config;
 use crate::discovery::Discovery;
-use crate::driver::{Driver, Orders};
+use crate::driver::{Driver, Outputs};
 use crate::hot_restart::partners::{PartnerEvent, Partners, Side};
 use crate::hot_restart::predecessor::{self, Inherited};
 use crate::hot_restart::successor;
@@ -148,7 +148,7 @@
     let ready = Rc::new(Cell::new(false));
     let (list_held, told) = (Rc::clone(&ready), Rc::new(Notify::new()));
     let tell_held = Rc::clone(&told);
-    let orders = Orders {
+    let outputs = Outputs {
         upstream: to_upstream,
         discovery: to_discovery,
         peers: to_peers,
@@ -163,7 +163,7 @@
         setup.settings.clone(),
         clock,
         log.clone(),
-        orders,
+        outputs,
         admin,
     );
     let mut driving = actix_rt::spawn(driver.run(messages, urgent, move || {
