--- a/crates/routing/examples/region.rs
+++ b/crates/routing/examples/region.rs
@@ -21,8 +21,8 @@
         for subjects in [6, 30, 150] {
             for policy in policies {
                 let results = model::simulate(policy, subjects, load_factor, 120);
-                let shares =
-                    [0, 1, 2].map(|kind| results.taken[kind] as f64 / results.asked[kind] as f64);
+                let shares = [0, 1, 2]
+                    .map(|kind| results.accepted[kind] as f64 / results.requests[kind] as f64);
                 let name = policy.map_or("round robin".into(), |(excess, floor)| {
                     format!("excess {excess} floor {floor}")
                 });
@@ -34,10 +34,10 @@
                     results.first_ms(0.5),
                     results.first_ms(0.9),
                     results.first_ms(0.99),
-                    results.most,
+                    results.max_running,
                     results.rejected,
                     results.ejected,
-                    results.early,
+                    results.early_rejections,
                     shares,
                 );
             }
@@ -65,7 +65,7 @@
                  p99 {}",
                 results.lost,
                 results.late,
-                results.asked.iter().sum::<usize>(),
+                results.requests.iter().sum::<usize>(),
                 results.rejected,
                 results.ejected,
                 results.health_checks,
--- a/crates/routing/tests/model/mod.rs
+++ b/crates/routing/tests/model/mod.rs
@@ -20,14 +20,15 @@
 const SLOTS: u32 = 64;
 /// Prompt tokens prefilled in a millisecond.
 const PREFILL_PER_MS: f64 = 56.6;
-const STEP: f64 = 3790.0;
+/// Time of a decode step, one token of every running request, at an idle server, in microseconds.
+const DECODE_STEP: f64 = 3790.0;
 /// Fraction by which a decode step takes longer for each further running request.
-const SLOWER: f64 = 0.01;
+const SLOWDOWN_PER_REQUEST: f64 = 0.01;
 /// Time for which a prompt part stays in the prefix cache after its last use, in microseconds.
 const PREFIX_CACHE_TTL: Micros = 10 * SECOND;
 
-/// Silence after which clients give up a stream, in microseconds.
-const SILENCE: Micros = 2_400_000;
+/// Time without an event after which clients give up a stream, in microseconds.
+const CLIENT_TIMEOUT: Micros = 2_400_000;
 
 /// The kinds of requests: rate per second, shared and own prompt tokens, output tokens.
 const KINDS: [(f64, u64, u64, u64); 3] = [
@@ -39,8 +40,10 @@
 #[derive(Default)]
 struct Server {
     running: u32,
-    free_at: Micros,
-    parts: HashMap<u64, Micros>,
+    /// When it has prefilled all prompts that it has.
+    prefill_ends: Micros,
+    /// When each shared prefix was last used here.
+    prefix_last_used: HashMap<u64, Micros>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -86,45 +89,50 @@
     pub fault: Fault,
 }
 
-struct Flight {
+/// An attempt in flight.
+struct InFlight {
     gate: usize,
     call: Call,
     server: usize,
-    sent: Micros,
+    sent_at: Micros,
     kind: usize,
-    began: bool,
+    /// Its first byte was received.
+    has_begun: bool,
 }
 
 #[derive(Default)]
 pub(crate) struct Results {
     /// Times to the first byte, ascending.
     pub first_bytes: Vec<Micros>,
-    shared: u64,
-    again: u64,
+    /// Tokens of shared prefixes that were sent.
+    shared_tokens: u64,
+    /// Those of them that were prefilled although another server had them cached.
+    tokens_prefilled_again: u64,
     /// Maximum number of requests running at one server.
-    pub most: u32,
+    pub max_running: u32,
     /// Number of rejected requests.
     pub rejected: usize,
     /// Number of ejections.
     pub ejected: u64,
-    /// Requests of each kind, and those of them that were accepted.
-    pub asked: [usize; 3],
-    pub taken: [usize; 3],
-    /// Requests that ended without an answer, and those that elapsed over a second to the first
-    /// byte.
+    /// Number of requests of each kind.
+    pub requests: [usize; 3],
+    /// Number of accepted requests of each kind.
+    pub accepted: [usize; 3],
+    /// Number of requests that ended without a complete response and were not rejected.
     pub lost: usize,
+    /// Number of requests whose first byte took longer than a second.
     pub late: usize,
-    /// Health checks.
+    /// Number of health checks.
     pub health_checks: usize,
     /// Number of rejections while less than half of all slots were in use.
-    pub early: usize,
+    pub early_rejections: usize,
 }
 
 impl Results {
     /// Fraction of the shared tokens that were prefilled again although another server had them
     /// cached.
     pub(crate) fn prefilled_again(&self) -> f64 {
-        self.again as f64 / self.shared as f64
+        self.tokens_prefilled_again as f64 / self.shared_tokens as f64
     }
 
     /// A quantile of the time to the first byte, in milliseconds.
@@ -168,8 +176,8 @@
     rng: Rng,
     servers: Vec<Server>,
     /// When each shared prefix was last used, at any server.
-    read: HashMap<u64, Micros>,
-    flights: HashMap<usize, Flight>,
+    prefix_last_used: HashMap<u64, Micros>,
+    in_flight: HashMap<usize, InFlight>,
     steps: BinaryHeap<Reverse<(Micros, Step)>>,
     number: usize,
     results: Results,
@@ -196,8 +204,8 @@
             table: table.clone(),
             rng: Rng(7),
             servers: (0..SERVERS).map(|_| Server::default()).collect(),
-            read: HashMap::new(),
-            flights: HashMap::new(),
+            prefix_last_used: HashMap::new(),
+            in_flight: HashMap::new(),
             steps: arrivals.chain(checks).collect(),
             number: 0,
             results: Results::default(),
@@ -235,22 +243,22 @@
         let request = self.request(kind, subject);
         let gate = (self.rng.unit() * GATES as f64) as usize;
         let (mut call, mut decision) = self.gates[gate].begin(self.now, request, &mut Unlimited);
-        self.results.asked[kind] += 1;
+        self.results.requests[kind] += 1;
         loop {
             let Decision::Send(dispatch) = decision else {
                 return self.rejected_or_lost(matches!(decision, Decision::Reject(_)));
             };
             let server = dispatch.address.port() as usize - 8000;
             let Some(failure) = self.failure(server) else {
-                self.results.taken[kind] += 1;
+                self.results.accepted[kind] += 1;
                 return self.send(
-                    Flight {
+                    InFlight {
                         gate,
                         call,
                         server,
-                        sent: self.now,
+                        sent_at: self.now,
                         kind,
-                        began: false,
+                        has_begun: false,
                     },
                     subject,
                 );
@@ -265,8 +273,8 @@
         if self.has_fault(server, Fault::Crashed) {
             return Some(Outcome::ConnectFailed);
         }
-        let grey = self.has_fault(server, Fault::Partial) && self.rng.unit() < 1.0 / 3.0;
-        grey.then_some(Outcome::ServerError)
+        let fails = self.has_fault(server, Fault::Partial) && self.rng.unit() < 1.0 / 3.0;
+        fails.then_some(Outcome::ServerError)
     }
 
     fn rejected_or_lost(&mut self, rejected: bool) {
@@ -276,15 +284,16 @@
         }
         self.results.rejected += 1;
         let running: u32 = self.servers.iter().map(|server| server.running).sum();
-        self.results.early += usize::from(2 * running < SLOTS * SERVERS as u32);
+        self.results.early_rejections += usize::from(2 * running < SLOTS * SERVERS as u32);
     }
 
     /// Forwards an event of every stream that has begun.
     fn events(&mut self) {
-        let dark = self.has_fault(0, Fault::Silent);
-        let heard = |flight: &&mut Flight| flight.began && !(dark && flight.server == 0);
-        for flight in self.flights.values_mut().filter(heard) {
-            self.gates[flight.gate].response_forwarded(self.now, &mut flight.call, Some(1));
+        let is_silent = self.has_fault(0, Fault::Silent);
+        let receives_events =
+            |attempt: &&mut InFlight| attempt.has_begun && !(is_silent && attempt.server == 0);
+        for attempt in self.in_flight.values_mut().filter(receives_events) {
+            self.gates[attempt.gate].response_forwarded(self.now, &mut attempt.call, Some(1));
         }
     }
 
@@ -319,44 +328,46 @@
         } else {
             1.0
         };
-        slow * (1.0 + SLOWER * f64::from(self.servers[server].running))
+        slow * (1.0 + SLOWDOWN_PER_REQUEST * f64::from(self.servers[server].running))
     }
 
-    fn send(&mut self, flight: Flight, subject: u64) {
-        let (_, shared, own, _) = KINDS[flight.kind];
-        let (now, number, at) = (self.now, self.number, flight.server);
-        let kept = |at: Option<&Micros>| at.is_some_and(|used| used + PREFIX_CACHE_TTL > now);
+    fn send(&mut self, attempt: InFlight, subject: u64) {
+        let (_, shared, own, _) = KINDS[attempt.kind];
+        let (now, number, at) = (self.now, self.number, attempt.server);
+        let is_cached = |last_used: Option<&Micros>| {
+            last_used.is_some_and(|used| used + PREFIX_CACHE_TTL > now)
+        };
         let server = &mut self.servers[at];
         server.running += 1;
-        self.results.most = self.results.most.max(server.running);
-        let here = kept(server.parts.get(&subject));
-        self.results.shared += shared;
-        if !here && kept(self.read.get(&subject)) {
-            self.results.again += shared;
+        self.results.max_running = self.results.max_running.max(server.running);
+        let is_cached_here = is_cached(server.prefix_last_used.get(&subject));
+        self.results.shared_tokens += shared;
+        if !is_cached_here && is_cached(self.prefix_last_used.get(&subject)) {
+            self.results.tokens_prefilled_again += shared;
         }
-        server.parts.insert(subject, now);
-        self.read.insert(subject, now);
-        self.flights.insert(number, flight);
+        server.prefix_last_used.insert(subject, now);
+        self.prefix_last_used.insert(subject, now);
+        self.in_flight.insert(number, attempt);
         let slow = if self.has_fault(at, Fault::Slow) {
             20.0
         } else {
             1.0
         };
-        let tokens = own + if here { 0 } else { shared };
+        let tokens = own + if is_cached_here { 0 } else { shared };
         let prefill = slow * tokens as f64 / PREFILL_PER_MS * 1000.0;
         let server = &mut self.servers[at];
-        server.free_at = server.free_at.max(now) + prefill as Micros;
-        let first = server.free_at - now + (STEP * self.slowdown(at)) as Micros;
+        server.prefill_ends = server.prefill_ends.max(now) + prefill as Micros;
+        let first = server.prefill_ends - now + (DECODE_STEP * self.slowdown(at)) as Micros;
         self.schedule(first, Step::FirstByte(number));
     }
 
     /// Returns true if the event is lost because its server has crashed or is silent.
     fn loses_event(&mut self, number: usize) -> bool {
-        let Some(server) = self.flights.get(&number).map(|flight| flight.server) else {
+        let Some(server) = self.in_flight.get(&number).map(|attempt| attempt.server) else {
             return true;
         };
         if self.has_fault(server, Fault::Silent) {
-            self.schedule(SILENCE, Step::Disconnect(number));
+            self.schedule(CLIENT_TIMEOUT, Step::Disconnect(number));
             return true;
         }
         if self.has_fault(server, Fault::Crashed) {
@@ -368,11 +379,11 @@
     }
 
     fn finish(&mut self, number: usize, outcome: Outcome) {
-        if let Some(mut flight) = self.flights.remove(&number) {
-            self.servers[flight.server].running -= 1;
-            self.gates[flight.gate].attempt_finished(
+        if let Some(mut attempt) = self.in_flight.remove(&number) {
+            self.servers[attempt.server].running -= 1;
+            self.gates[attempt.gate].attempt_finished(
                 self.now,
-                &mut flight.call,
+                &mut attempt.call,
                 outcome,
                 &mut Unlimited,
             );
@@ -383,12 +394,12 @@
         if self.loses_event(number) {
             return;
         }
-        let flight = self.flights.get_mut(&number).expect("in flight");
-        flight.began = true;
-        let (at, kind, elapsed) = (flight.server, flight.kind, self.now - flight.sent);
-        let gate = &mut self.gates[flight.gate];
-        gate.first_byte_received(self.now, &mut flight.call);
-        gate.response_forwarded(self.now, &mut flight.call, Some(1));
+        let attempt = self.in_flight.get_mut(&number).expect("in flight");
+        attempt.has_begun = true;
+        let (at, kind, elapsed) = (attempt.server, attempt.kind, self.now - attempt.sent_at);
+        let gate = &mut self.gates[attempt.gate];
+        gate.first_byte_received(self.now, &mut attempt.call);
+        gate.response_forwarded(self.now, &mut attempt.call, Some(1));
         let handle = gate.server(&format!("i-{at}")).expect("listed");
         let running = self.servers[at].running;
         gate.apply_load_report(
@@ -403,7 +414,7 @@
         );
         self.results.first_bytes.push(elapsed);
         self.results.late += usize::from(elapsed > SECOND);
-        let decode = KINDS[kind].3 as f64 * STEP * self.slowdown(at);
+        let decode = KINDS[kind].3 as f64 * DECODE_STEP * self.slowdown(at);
         self.schedule(decode as Micros, Step::End(number));
     }
 
@@ -414,10 +425,10 @@
     }
 
     fn disconnect(&mut self, number: usize) {
-        if let Some(mut flight) = self.flights.remove(&number) {
+        if let Some(mut attempt) = self.in_flight.remove(&number) {
             self.results.lost += 1;
-            self.servers[flight.server].running -= 1;
-            self.gates[flight.gate].cancel(self.now, &mut flight.call);
+            self.servers[attempt.server].running -= 1;
+            self.gates[attempt.gate].cancel(self.now, &mut attempt.call);
         }
     }
 
--- a/crates/routing/tests/region.rs
+++ b/crates/routing/tests/region.rs
@@ -19,43 +19,43 @@
 #[test]
 fn at_normal_load_shared_prefixes_are_hardly_prefilled_again() {
     for subjects in [6, 30, 150] {
-        let (even, affine) = (
+        let (round_robin, affinity) = (
             simulate(None, subjects, 1.0, 60),
             simulate(default_bounds(), subjects, 1.0, 60),
         );
         assert!(
-            even.prefilled_again() > 0.1,
+            round_robin.prefilled_again() > 0.1,
             "round robin prefills {} again",
-            even.prefilled_again()
+            round_robin.prefilled_again()
         );
         assert!(
-            affine.prefilled_again() < 0.02,
+            affinity.prefilled_again() < 0.02,
             "{subjects} subjects: {} is prefilled again",
-            affine.prefilled_again()
+            affinity.prefilled_again()
         );
-        assert!(affine.first_ms(0.9) <= even.first_ms(0.9));
+        assert!(affinity.first_ms(0.9) <= round_robin.first_ms(0.9));
     }
 }
 
 #[test]
 fn under_high_load_affinity_overloads_no_server() {
     for subjects in [6, 30, 150] {
-        let (even, affine) = (
+        let (round_robin, affinity) = (
             simulate(None, subjects, 4.0, 40),
             simulate(default_bounds(), subjects, 4.0, 40),
         );
         assert!(
-            affine.prefilled_again() < 0.06,
+            affinity.prefilled_again() < 0.06,
             "{subjects} subjects: {} is prefilled again",
-            affine.prefilled_again()
+            affinity.prefilled_again()
         );
         assert!(
-            affine.most <= even.most * 3 / 2,
+            affinity.max_running <= round_robin.max_running * 3 / 2,
             "{} against {} running",
-            affine.most,
-            even.most
+            affinity.max_running,
+            round_robin.max_running
         );
-        assert_eq!((affine.rejected, affine.ejected), (0, 0));
+        assert_eq!((affinity.rejected, affinity.ejected), (0, 0));
     }
 }
 
@@ -66,10 +66,10 @@
         simulate(Some((10.0, 1.0)), 6, 4.0, 40),
     );
     assert!(
-        unbound.most > bound.most * 3 / 2,
+        unbound.max_running > bound.max_running * 3 / 2,
         "{} against {} running",
-        unbound.most,
-        bound.most
+        unbound.max_running,
+        bound.max_running
     );
 }
 
@@ -78,12 +78,12 @@
     for (subjects, load_factor) in [(6, 16.0), (150, 24.0)] {
         let results = simulate(default_bounds(), subjects, load_factor, 40);
         let [patient, urgent, last] =
-            [0, 1, 2].map(|kind| results.taken[kind] as f64 / results.asked[kind] as f64);
+            [0, 1, 2].map(|kind| results.accepted[kind] as f64 / results.requests[kind] as f64);
         let shares = format!("{subjects} subjects: {urgent:.2} {patient:.2} {last:.2}");
         assert!(
-            results.rejected > 1000 && results.early == 0,
+            results.rejected > 1000 && results.early_rejections == 0,
             "{shares}, {} early",
-            results.early
+            results.early_rejections
         );
         assert!(urgent + 0.05 > patient && patient + 0.05 > last, "{shares}");
         assert!(last > urgent / 3.0, "{shares}");
