--- a/crates/routing/src/decider.rs
+++ b/crates/routing/src/decider.rs
@@ -1,5 +1,5 @@
-//! The decider: is told of requests, ends of attempts, reports and tables, and decides what is done
-//! with each request. This file has its state and its interface for events; the decisions
+//! The decider handles events (requests, ends of attempts, reports and tables) and decides what is
+//! done with each request. This file has its state and its interface for events; the decisions
 //! themselves are in the submodules.
 
 mod dispatch;
--- a/crates/routing/src/decider/tests/properties.rs
+++ b/crates/routing/src/decider/tests/properties.rs
@@ -67,19 +67,20 @@
 }
 
 /// A request in progress, with what the invariants depend on.
-struct Open {
+struct OpenRequest {
     call: Call,
     allowed: Vec<Box<str>>,
     kind: RouteKind,
-    most: usize,
+    max_attempts: usize,
     /// Number of attempts that may have arrived.
     arrived: usize,
     tried: BTreeSet<ServerHandle>,
     may_have_run: bool,
     /// The client has received the head of a response.
-    head: bool,
-    /// The latest attempt never arrived, so its charge to the budget counts for the next.
-    has_unused_charge: bool,
+    head_forwarded: bool,
+    /// The latest attempt was never sent, so its withdrawal from the retry budget counts for the
+    /// next.
+    has_unused_withdrawal: bool,
     decision: Decision,
 }
 
@@ -100,9 +101,9 @@
     gate: Gate,
     rng: Rng,
     table: TableSpec,
-    open: Vec<Open>,
+    open: Vec<OpenRequest>,
     displaced: BTreeSet<Arc<str>>,
-    paid: u32,
+    withdrawals: u32,
 }
 
 fn pick(rng: &mut Rng, count: usize) -> usize {
@@ -141,7 +142,7 @@
             table,
             open,
             displaced,
-            paid: 0,
+            withdrawals: 0,
         }
     }
 
@@ -209,22 +210,23 @@
 
     fn begin(&mut self) -> Result<(), &'static str> {
         let spec = &self.table.routes[pick(&mut self.rng, self.table.routes.len())];
-        let (name, kind, most) = (spec.name.clone(), spec.kind, spec.max_attempts as usize);
+        let (name, kind, max_attempts) = (spec.name.clone(), spec.kind, spec.max_attempts as usize);
         let allowed = spec.allowed_regions.clone();
         let request = self.gate.prompt(&name, pick(&mut self.rng, 6) as u64);
         let permits = self.gate.limits.permits;
         let (call, decision) = self.gate.begin(request);
-        let (tried, may_have_run, has_unused_charge, head) = (BTreeSet::new(), false, false, false);
-        let open = Open {
+        let (tried, may_have_run, has_unused_withdrawal, head_forwarded) =
+            (BTreeSet::new(), false, false, false);
+        let open = OpenRequest {
             call,
             allowed,
             kind,
-            most,
+            max_attempts,
             arrived: 0,
             tried,
             may_have_run,
-            head,
-            has_unused_charge,
+            head_forwarded,
+            has_unused_withdrawal,
             decision,
         };
         self.verify(open, permits)
@@ -248,8 +250,8 @@
         }
         open.arrived += usize::from(!outcome.never_sent());
         open.may_have_run |= !outcome.never_executed();
-        open.has_unused_charge = outcome.never_sent();
-        open.head |= matches!(outcome, Outcome::Truncated { .. });
+        open.has_unused_withdrawal = outcome.never_sent();
+        open.head_forwarded |= matches!(outcome, Outcome::Truncated { .. });
         if outcome == Outcome::NotSent {
             open.tried.remove(&dispatch_of(&open.decision).server);
         }
@@ -258,7 +260,7 @@
     }
 
     /// Events that may come before an attempt ends.
-    fn progress(&mut self, open: &mut Open) {
+    fn progress(&mut self, open: &mut OpenRequest) {
         let now = self.gate.now;
         if self.rng.unit() < 0.5 {
             self.gate.decider.first_byte_received(now, &mut open.call);
@@ -267,7 +269,7 @@
             self.gate
                 .decider
                 .response_forwarded(now, &mut open.call, Some(1));
-            open.head = true;
+            open.head_forwarded = true;
         }
         if self.rng.unit() < 0.3 {
             let running = pick(&mut self.rng, 10) as u32;
@@ -304,7 +306,7 @@
     }
 
     /// Checks the invariants of a decision.
-    fn verify(&mut self, mut open: Open, permits: u32) -> Result<(), &'static str> {
+    fn verify(&mut self, mut open: OpenRequest, permits: u32) -> Result<(), &'static str> {
         let check = |holds: bool, rule| if holds { Ok(()) } else { Err(rule) };
         match &open.decision {
             Decision::Send(dispatch) => {
@@ -325,26 +327,26 @@
                     !server.warming_up || permits > self.gate.limits.permits,
                     "warming up without a permit",
                 )?;
-                check(open.arrived < open.most, "too many attempts")?;
+                check(open.arrived < open.max_attempts, "too many attempts")?;
                 check(open.tried.insert(dispatch.server), "a server twice")?;
                 check(
                     open.kind.is_idempotent() || !open.may_have_run,
                     "retried although it may have run",
                 )?;
-                let paid = self.gate.limits.withdrawals > self.paid;
+                let was_withdrawn = self.gate.limits.withdrawals > self.withdrawals;
                 check(
-                    open.arrived == 0 || paid || open.has_unused_charge,
+                    open.arrived == 0 || was_withdrawn || open.has_unused_withdrawal,
                     "a retry that was not charged",
                 )?;
             }
             Decision::Reject(_) => check(!open.may_have_run, "rejected although it may have run")?,
             Decision::ForwardResponse | Decision::Fail { .. } => {
-                check(!open.head, "an answer after the head of another")?;
+                check(!open.head_forwarded, "an answer after the head of another")?;
             }
-            Decision::AbortResponse => check(open.head, "aborted without a head")?,
+            Decision::AbortResponse => check(open.head_forwarded, "aborted without a head")?,
             _ => {}
         }
-        self.paid = self.gate.limits.withdrawals;
+        self.withdrawals = self.gate.limits.withdrawals;
         if open.decision.is_final() {
             check(open.call.is_done(), "a final decision on an open call")?;
         } else {
--- a/crates/routing/src/decider/tests/rejections.rs
+++ b/crates/routing/src/decider/tests/rejections.rs
@@ -1,4 +1,4 @@
-//! When requests are refused, and for how long they are told to stay away.
+//! When requests are rejected, and with which retry delay.
 
 use crate::guards::Guard;
 use crate::test_support::*;
@@ -23,7 +23,7 @@
     gate_without_queue(spec(vec![urgent, patient], servers(0, 1, "north")))
 }
 
-/// Requests that are taken before the first rejection, at most 100.
+/// Number of requests that are accepted before the first rejection, at most 100.
 fn accepted_before_rejection(gate: &mut Gate, name: &str) -> (usize, Option<Rejection>) {
     for count in 0..100 {
         match gate.begin(gate.request(name)).1 {
