--- a/crates/endpoints/src/table.rs
+++ b/crates/endpoints/src/table.rs
@@ -95,8 +95,8 @@
         MergeOutcome::Newer
     }
 
-    /// Records that another coordinator has heard from these endpoints. Entries stay as they are: the contents of those heartbeats come as entries of
-    /// their own, perhaps later.
+    /// Records that another coordinator has heard from these endpoints. Entries stay as they are:
+    /// the contents of those heartbeats come as entries of their own, perhaps later.
     pub fn merge_observed(&mut self, now: Micros, observed: &[Observation]) {
         for Observation { key, sequence } in observed {
             let is_late = self
--- a/crates/endpoints/tests/simulation/main.rs
+++ b/crates/endpoints/tests/simulation/main.rs
@@ -1,6 +1,6 @@
-//! Endpoint tables of several coordinators, with servers that send heartbeats to any of them, over a
-//! network that delays, reorders and partitions: agents never see a server revived, learn of drains
-//! in time, and all nodes converge once the faults end.
+//! Endpoint tables of several coordinators, with servers that send heartbeats to any of them, over
+//! a network that delays, reorders and partitions: agents never see a server revived, learn of
+//! drains in time, and all nodes converge once the faults end.
 
 mod world;
 
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -23,7 +23,8 @@
     /// Creates an empty file that [`Disk::append`] can write to.
     ///
     /// # Errors
-    /// [`FailureKind::Exists`] when the name is in use, [`FailureKind::Full`] when there is no space.
+    /// [`FailureKind::Exists`] when the name is in use, [`FailureKind::Full`] when there is no
+    /// space.
     fn create(&self, file: &str) -> Result<(), DiskError>;
 
     /// Writes bytes at the end of a file.
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -62,7 +62,8 @@
     /// Stores the identity, durably.
     ///
     /// # Errors
-    /// [`IdentityError::AlreadyStored`] when there is one, [`IdentityError::Log`] when the disk failed.
+    /// [`IdentityError::AlreadyStored`] when there is one, [`IdentityError::Log`] when the disk
+    /// failed.
     pub fn store(&mut self, identity: I) -> Result<(), IdentityError> {
         if self.stored.is_some() {
             return Err(IdentityError::AlreadyStored);
@@ -75,7 +76,8 @@
     /// Makes the stored identity durable if [`IdentityFile::open`] could not.
     ///
     /// # Errors
-    /// [`IdentityError::NotStored`] when there is none, [`IdentityError::Log`] when the disk failed.
+    /// [`IdentityError::NotStored`] when there is none, [`IdentityError::Log`] when the disk
+    /// failed.
     pub fn make_durable(&mut self) -> Result<(), IdentityError> {
         let identity = self.stored.as_ref().ok_or(IdentityError::NotStored)?;
         if self.log.state() != LogState::Ready {
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,10 +1,10 @@
-//! Durable storage of a process's control state on a small disk: a write-ahead log of whole records,
-//! of which only the newest counts.
+//! Durable storage of a process's control state on a small disk: a write-ahead log of whole
+//! records, of which only the newest counts.
 //!
-//! [`Log`] keeps the newest of a sequence of records in checksummed segments. A record is durable once
-//! [`Log::sync`] has returned: it is then found after a kill and after a loss of power. [`Writer`]
-//! owns a log on a thread of its own and syncs once for each batch of queued records (group commit).
-//! [`IdentityFile`] stores a record that is written once.
+//! [`Log`] keeps the newest of a sequence of records in checksummed segments. A record is durable
+//! once [`Log::sync`] has returned: it is then found after a kill and after a loss of power.
+//! [`Writer`] owns a log on a thread of its own and syncs once for each batch of queued records
+//! (group commit). [`IdentityFile`] stores a record that is written once.
 //!
 //! Three rules follow from «Can Applications Recover from fsync Failures?» (Rebello et al., ATC
 //! 2020) and «Protocol-Aware Recovery for Consensus-Based Storage» (Alagappan et al., FAST 2018):
@@ -22,9 +22,9 @@
 //! failure is like a crash in the middle of the write: the failed file may or may not hold the
 //! record, so a later start recovers it or the previous one, and rewrites it before it counts;
 //! neither contradicts an answer. The new file doesn't share a page with the one that failed, its
-//! sync covers all of its bytes, and its sequence number is the highest, so that it
-//! supersedes the failed one in any state. `tests/failed_sync.rs` kills the process or cuts the power
-//! after each operation of this sequence.
+//! sync covers all of its bytes, and its sequence number is the highest, so that it supersedes the
+//! failed one in any state. `tests/failed_sync.rs` kills the process or cuts the power after each
+//! operation of this sequence.
 //!
 //! ```
 //! use std::sync::Arc;
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -1,13 +1,14 @@
 //! The log: appends the newest record and makes it durable.
 //!
-//! Every segment begins with a complete record, so that the segment with the highest sequence number
-//! suffices for recovery; a separate snapshot would be a second copy of the same bytes. A segment is
-//! written under a temporary name, synced and renamed, and the folder is synced; only then may older
-//! segments be removed. A segment under its final name therefore has a synced first frame.
+//! Every segment begins with a complete record, so that the segment with the highest sequence
+//! number suffices for recovery; a separate snapshot would be a second copy of the same bytes. A
+//! segment is written under a temporary name, synced and renamed, and the folder is synced; only
+//! then may older segments be removed. A segment under its final name therefore has a synced first
+//! frame.
 //!
-//! No file is appended to by two runs of the process, and none after a failed write or sync. There is
-//! no reserve file to release when the disk is full: the log's own use is bounded, and a disk that
-//! rejects every write also rejects writes into released space.
+//! No file is appended to by two runs of the process, and none after a failed write or sync. There
+//! is no reserve file to release when the disk is full: the log's own use is bounded, and a disk
+//! that rejects every write also rejects writes into released space.
 
 mod error;
 mod quarantine;
@@ -97,15 +98,16 @@
     /// leave a replica that has forgotten its promises.
     ///
     /// # Errors
-    /// When a file cannot be removed or the folder cannot be synced; some files may be removed then.
+    /// When a file cannot be removed or the folder cannot be synced; some files may be removed
+    /// then.
     pub fn erase(disk: &dyn Disk, settings: &LogSettings) -> Result<(), DiskError> {
         quarantine::erase(disk, settings)
     }
 
     /// Renames the corrupted newest segment so that it is kept but never read, and removes the
     /// segments that it superseded; the log can then be opened anew, empty. At most
-    /// [`MAX_QUARANTINED_SEGMENTS`] segments are kept, the newest ones, and none that is longer than
-    /// a segment may be. Returns the name of the file, or `None` if it was too long to keep.
+    /// [`MAX_QUARANTINED_SEGMENTS`] segments are kept, the newest ones, and none that is longer
+    /// than a segment may be. Returns the name of the file, or `None` if it was too long to keep.
     ///
     /// # Errors
     /// When a disk operation fails; the corrupted segment still exists under one of its names then.
--- a/crates/storage/src/log/error.rs
+++ b/crates/storage/src/log/error.rs
@@ -5,11 +5,12 @@
 /// Why a record was not written or not made durable.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
-    /// The disk is full. Durable records stay durable; [`Log::reopen`](crate::Log::reopen) succeeds once there is space.
+    /// The disk is full. Durable records stay durable; [`Log::reopen`](crate::Log::reopen) succeeds
+    /// once there is space.
     #[error("{0}; free room on the disk")]
     Full(DiskError),
-    /// The disk failed. Whether it holds the unsynced records is unknown; [`Log::reopen`](crate::Log::reopen) starts a
-    /// new segment.
+    /// The disk failed. Whether it holds the unsynced records is unknown;
+    /// [`Log::reopen`](crate::Log::reopen) starts a new segment.
     #[error("{0}; records are refused until a new segment is written")]
     Disk(DiskError),
     /// An earlier operation failed and the log has not been reopened.
--- a/crates/storage/src/log/quarantine.rs
+++ b/crates/storage/src/log/quarantine.rs
@@ -1,9 +1,9 @@
 //! Quarantine and erasure of a corrupted log.
 //!
 //! Recovery reads the segment with the highest sequence number, so an older one that still exists
-//! (its removal failed, or was undone by a power loss) must never outlive the newest: recovery would
-//! read it, and a replica would vote by outdated promises. Older segments are therefore removed
-//! first, durably.
+//! (its removal failed, or was undone by a power loss) must never outlive the newest: recovery
+//! would read it, and a replica would vote by outdated promises. Older segments are therefore
+//! removed first, durably.
 
 use crate::disk::{Disk, DiskError, FailureKind};
 use crate::names;
--- a/crates/storage/src/log/segments.rs
+++ b/crates/storage/src/log/segments.rs
@@ -208,8 +208,8 @@
         self.disk.sync_folder()
     }
 
-    /// Reverts a rename that may not be durable, as far as the disk allows, so that repeated failures
-    /// don't accumulate segments.
+    /// Reverts a rename that may not be durable, as far as the disk allows, so that repeated
+    /// failures don't accumulate segments.
     fn unpublish(&mut self, sequence: u64) {
         let segment = names::segment(&self.settings.name, sequence);
         let _may_not_exist = self
--- a/crates/storage/src/real_disk.rs
+++ b/crates/storage/src/real_disk.rs
@@ -49,8 +49,8 @@
         run(&handle).map_err(failed(file, operation))
     }
 
-    /// The open descriptor of a file, shared so that the table is not locked during the system call;
-    /// opened anew for a file that wasn't created through this disk.
+    /// The open descriptor of a file, shared so that the table is not locked during the system
+    /// call; opened anew for a file that wasn't created through this disk.
     fn handle(&self, file: &str, operation: DiskOperation) -> Result<Arc<File>, DiskError> {
         let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(handle) = open.get(file) {
--- a/crates/storage/src/scan.rs
+++ b/crates/storage/src/scan.rs
@@ -2,9 +2,9 @@
 //! corruption of synced bytes.
 //!
 //! Each frame records how far the segment had been synced when it was written, and the segment's
-//! final name shows that the first frame had been synced. Nothing shows that for the last of several
-//! frames, so corruption there is taken for a torn end; a marker written after each sync would show
-//! it, at the cost of a second write for each record.
+//! final name shows that the first frame had been synced. Nothing shows that for the last of
+//! several frames, so corruption there is taken for a torn end; a marker written after each sync
+//! would show it, at the cost of a second write for each record.
 
 use std::ops::Range;
 
--- a/crates/storage/src/settings.rs
+++ b/crates/storage/src/settings.rs
@@ -4,8 +4,8 @@
 
 /// The fraction of the disk that a log may use by default is one eighth.
 const DISK_FRACTION: u64 = 8;
-/// The space holds four segments: the current one, the one being written, and two that a lost folder
-/// sync may restore.
+/// The space holds four segments: the current one, the one being written, and two that a lost
+/// folder sync may restore.
 const SEGMENTS_PER_SPACE: u64 = 4;
 /// The smallest space of a log, in bytes.
 const MIN_SPACE_BYTES: u64 = 4096;
--- a/crates/storage/src/testing/faulty.rs
+++ b/crates/storage/src/testing/faulty.rs
@@ -65,8 +65,8 @@
         self.lock().lose_power();
     }
 
-    /// Lets `operations` more succeed, interrupts the next one midway and fails all later ones, until
-    /// [`FaultyDisk::lose_power`] or [`FaultyDisk::clear_faults`].
+    /// Lets `operations` more succeed, interrupts the next one midway and fails all later ones,
+    /// until [`FaultyDisk::lose_power`] or [`FaultyDisk::clear_faults`].
     pub fn stop_after(&self, operations: u64) {
         self.lock().operations_left = Some(operations);
     }
@@ -76,14 +76,14 @@
         self.lock().full = full;
     }
 
-    /// Makes the next `count` syncs of files fail. The pages are marked as clean then, whether or not
-    /// they are on the disk.
+    /// Makes the next `count` syncs of files fail. The pages are marked as clean then, whether or
+    /// not they are on the disk.
     pub fn fail_file_syncs(&self, count: u32) {
         self.lock().failing_file_syncs = count;
     }
 
-    /// Makes the next `count` syncs of the folder fail. The names are marked as synced then, whether
-    /// or not they are on the disk.
+    /// Makes the next `count` syncs of the folder fail. The names are marked as synced then,
+    /// whether or not they are on the disk.
     pub fn fail_folder_syncs(&self, count: u32) {
         self.lock().failing_folder_syncs = count;
     }
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -21,8 +21,8 @@
 pub struct Completion<T> {
     /// The token that the caller submitted with the record.
     pub token: T,
-    /// `Ok` if the record, or one that supersedes it, is durable. After an error the caller may rely
-    /// on neither.
+    /// `Ok` if the record, or one that supersedes it, is durable. After an error the caller may
+    /// rely on neither.
     pub result: Result<(), LogError>,
 }
 
--- a/crates/storage/src/writer/health.rs
+++ b/crates/storage/src/writer/health.rs
@@ -11,7 +11,8 @@
     Idle,
     /// It writes and syncs a batch.
     Busy {
-        /// When the batch was started, on the clock passed to [`Writer::spawn`](crate::Writer::spawn).
+        /// When the batch was started, on the clock passed to
+        /// [`Writer::spawn`](crate::Writer::spawn).
         since: Duration,
     },
     /// It has ended.
@@ -23,7 +24,8 @@
 pub struct Health {
     /// The activity of the writer's thread.
     pub activity: Activity,
-    /// The failure after which the log hasn't been reopened yet; the next submitted record tries to.
+    /// The failure after which the log hasn't been reopened yet; the next submitted record tries
+    /// to.
     pub failure: Option<DiskError>,
     /// Submitted records that no batch includes yet.
     pub queued: usize,
--- a/crates/storage/tests/arbitrary_bytes.rs
+++ b/crates/storage/tests/arbitrary_bytes.rs
@@ -1,5 +1,5 @@
-//! Whatever bytes a segment holds, opening the log never panics and never recovers a record that was
-//! not written.
+//! Whatever bytes a segment holds, opening the log never panics and never recovers a record that
+//! was not written.
 
 use std::sync::Arc;
 
--- a/crates/storage/tests/writer_histories.rs
+++ b/crates/storage/tests/writer_histories.rs
@@ -1,4 +1,5 @@
-//! Random histories of a writer under faults: completed records are recovered after each power loss.
+//! Random histories of a writer under faults: completed records are recovered after each power
+//! loss.
 
 use std::sync::Arc;
 use std::sync::mpsc;
