--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -228,7 +228,7 @@
     fn broadcast_keep_alive(&mut self) {
         let keep_alive = KeepAlive {
             coordinators: self.peers.addresses(),
-            refreshed: self.endpoints.take_refreshed(),
+            observed: self.endpoints.take_observed(),
             in_contact: self.is_fresh(),
         };
         self.subscribers.broadcast(&keep_alive);
--- a/crates/coordinator/src/node/links.rs
+++ b/crates/coordinator/src/node/links.rs
@@ -52,7 +52,7 @@
     ) -> SubscriberId {
         let keep_alive = KeepAlive {
             coordinators: self.peers.addresses(),
-            refreshed: Vec::new(),
+            observed: Vec::new(),
             in_contact: self.is_fresh(),
         };
         self.subscribers.add(queue, kind, &keep_alive)
@@ -78,7 +78,7 @@
                 self.apply(outputs);
                 self.check_contact();
             }
-            ToCoordinator::KeepAlive(reports) => self.endpoints.refresh(&reports),
+            ToCoordinator::KeepAlive(observed) => self.endpoints.merge_observed(&observed),
         }
     }
 
@@ -89,7 +89,7 @@
             observed,
             ..
         } = frame;
-        self.endpoints.refresh(&observed);
+        self.endpoints.merge_observed(&observed);
         coordinators
     }
 
--- a/crates/coordinator/src/published_endpoints.rs
+++ b/crates/coordinator/src/published_endpoints.rs
@@ -91,14 +91,14 @@
 
     /// Records that other nodes have recently received reports of these keys, each with the
     /// sequence number or version of the report.
-    pub(crate) fn refresh(&mut self, reports: &[Observation]) {
+    pub(crate) fn merge_observed(&mut self, observed: &[Observation]) {
         let now = self.now();
-        self.table.merge_observed(now, reports);
+        self.table.merge_observed(now, observed);
     }
 
     /// Removes and returns the keys reported to this coordinator since the last call, each with the
     /// sequence number or version of the report.
-    pub(crate) fn take_refreshed(&mut self) -> Vec<Observation> {
+    pub(crate) fn take_observed(&mut self) -> Vec<Observation> {
         self.table.take_observed()
     }
 
--- a/crates/coordinator/src/subscribers.rs
+++ b/crates/coordinator/src/subscribers.rs
@@ -30,7 +30,7 @@
     pub coordinators: Vec<SocketAddr>,
     /// Endpoints that have reported since the previous keep-alive, each with the sequence number or
     /// version of the report. Sent to coordinators only.
-    pub refreshed: Vec<Observation>,
+    pub observed: Vec<Observation>,
     /// Whether the subscriber may treat this coordinator's state as fresh.
     pub in_contact: bool,
 }
@@ -41,7 +41,7 @@
             coordinators: self.coordinators.clone(),
             observed: match kind {
                 SubscriberKind::Agent => Vec::new(),
-                SubscriberKind::Coordinator => self.refreshed.clone(),
+                SubscriberKind::Coordinator => self.observed.clone(),
             },
             in_contact: self.in_contact,
         }
--- a/crates/endpoints/src/expiry.rs
+++ b/crates/endpoints/src/expiry.rs
@@ -1,4 +1,5 @@
-//! Expiry of endpoints that haven't been heard from, and removal of entries that are over.
+//! Expiry of endpoints that have not reported within their timeout, and removal of the entries of
+//! inactive endpoints.
 
 use ironmast_schema::control::{Entry, Key, Liveness, Value};
 
@@ -21,8 +22,8 @@
 pub(crate) const RETENTION: Micros = 120_000_000;
 
 impl EndpointTable {
-    /// Starts all expiry timeouts anew. Called when this coordinator regains contact with the
-    /// others: it can't tell who was silent before.
+    /// Restarts all expiry timeouts. Called when this coordinator regains contact with the others:
+    /// out of contact it did not learn which endpoints reported to them.
     pub fn restart_expiry(&mut self, now: Micros) {
         self.expiry_since = now;
     }
@@ -52,15 +53,15 @@
     }
 
     /// Whether instances may expire. While this coordinator itself receives no heartbeats, or has
-    /// just started, it is more likely cut off than all servers are down: expiring them would empty
+    /// just started, it is more likely partitioned than all servers are down: expiring them would empty
     /// the table.
     fn may_expire_instances(&self, now: Micros) -> bool {
         let timeout = self.timeouts.instance;
         now >= self.expiry_since + timeout && now <= self.last_heartbeat + timeout / 2
     }
 
-    /// Removes the entries that are over and whose retention has passed; returns the
-    /// removals to send to the other nodes.
+    /// Removes the entries of inactive endpoints whose retention has passed; returns the removals
+    /// to send to the other nodes.
     pub fn purge(&mut self, now: Micros) -> Vec<Removal> {
         let contacts = &mut self.contacts;
         let mut removed = Vec::new();
@@ -68,7 +69,7 @@
             let is_retained = contacts
                 .get(key)
                 .is_some_and(|contact| now <= contact.last + RETENTION);
-            let keep = !is_over(&entry.value) || is_retained;
+            let keep = !is_inactive(&entry.value) || is_retained;
             if !keep {
                 contacts.remove(key);
                 removed.push(Removal {
@@ -108,7 +109,7 @@
 }
 
 /// Whether an endpoint is deregistered, unreachable or down.
-fn is_over(value: &Value) -> bool {
+fn is_inactive(value: &Value) -> bool {
     match value {
         Value::Instance(record) => record.liveness != Liveness::Alive,
         Value::Gate(record) => record.down,
