--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -1,7 +1,7 @@
 //! The acceptor: gives promises and acceptances (Rystsov 2018, section 2), each of which is
 //! durable before the reply is sent.
 //!
-//! Guards against a replica that takes back a promise after a crash, and against one whose disk was
+//! This guards against a replica that forgets a promise in a crash, and against one whose disk was
 //! lost and that replies as if it were still the old replica.
 
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 
 /// When a reply may be sent.
 enum Readiness<V> {
-    /// At once: it tells nothing that isn't durable.
+    /// At once: it reports only what is durable.
     Immediate(ReplyBody<V>),
     /// Once the current record is durable.
     AfterWrite(ReplyBody<V>),
@@ -286,7 +286,8 @@
     }
 }
 
-/// What the record tells a proposer that knows `known` as chosen.
+/// The state of a record as reported to a proposer, for which `known` is the newest chosen ballot.
+/// A proposal that the proposer has already is left out.
 fn acceptor_state<V: Clone>(record: &Record<V>, known: Ballot, chosen: Ballot) -> AcceptorState<V> {
     let is_new = |proposal: &&Proposal<V>| proposal.ballot > known || known == Ballot::ZERO;
     AcceptorState {
--- a/crates/register/src/node/background.rs
+++ b/crates/register/src/node/background.rs
@@ -1,5 +1,5 @@
-//! What a node does by the time alone: status messages, heartbeats, replica changes, read repair;
-//! and how it notices that its own process was paused.
+//! Periodic work of a node: status messages, heartbeats, replica changes, read repair; and the
+//! detection of pauses of its own process.
 
 use std::time::Duration;
 
@@ -65,8 +65,9 @@
 }
 
 impl<V: Clone> Node<V> {
-    /// Notices that the own process was paused (by the scheduler, a debugger or a suspended
-    /// machine). Such time says nothing of the others and of the disk.
+    /// Detects that the own process was paused (by the scheduler, a debugger or a suspended
+    /// machine). The pause doesn't count towards the timeouts of other nodes or of the disk, as
+    /// their messages and completions could not be handled meanwhile.
     pub(super) fn detect_process_pause(&mut self, now: Duration) {
         let pause = now.saturating_sub(self.background.last_event_at);
         let was_paused = self.background.has_started && pause >= PROCESS_PAUSE_THRESHOLD;
--- a/crates/register/src/node/bootstrap.rs
+++ b/crates/register/src/node/bootstrap.rs
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Goes on as what the bootstrap check shows this node to be, once it does.
+    /// Concludes the bootstrap check once it has a verdict: this node continues as an initial
+    /// member, or under a new identity.
     pub(super) fn conclude_bootstrap_check(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         let Some(check) = &mut self.bootstrap_check else {
             return;
--- a/crates/register/src/node/receiving.rs
+++ b/crates/register/src/node/receiving.rs
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Responds only once the node knows what it had accepted before it started: only then does a
-    /// response without a newer replica set show that this node knows of none.
+    /// Responds only once the node has recovered what it had accepted before it started: otherwise
+    /// its response could hide a newer replica set that it has accepted.
     fn receive_heartbeat(&self, from: SocketAddr, id: HeartbeatId, actions: &mut Vec<Action<V>>) {
         let knows_its_record =
             self.bootstrap_check.is_none() && !self.acceptor.awaits_first_record();
--- a/crates/register/src/proposer.rs
+++ b/crates/register/src/proposer.rs
@@ -26,7 +26,7 @@
 pub(crate) use effect::{Context, Effect};
 
 /// The active round.
-struct Active<V> {
+struct ActiveRound<V> {
     round: Round<V>,
     /// Operations of this arrival number and later weren't submitted yet when the round began.
     first_excluded_arrival: u64,
@@ -43,7 +43,7 @@
     settings: Settings,
     random: Random,
     queue: VecDeque<Pending<V>>,
-    active: Option<Active<V>>,
+    active: Option<ActiveRound<V>>,
     /// Number of operations submitted.
     arrivals: u64,
     last_round: RoundId,
@@ -168,7 +168,7 @@
         queued.chain(batched).chain(round).chain(wait).min()
     }
 
-    fn round_wakeup(&self, active: &Active<V>) -> Duration {
+    fn round_wakeup(&self, active: &ActiveRound<V>) -> Duration {
         let timeout = active.started_at + self.settings.round_timeout;
         let disagreement = active
             .disagreed_at
--- a/crates/register/src/proposer/batch.rs
+++ b/crates/register/src/proposer/batch.rs
@@ -42,13 +42,13 @@
 }
 
 /// An operation of a batch with its result.
-struct Entry<V> {
+struct BatchEntry<V> {
     pending: Pending<V>,
     result: TentativeResult,
 }
 
 /// Operations that are decided together.
-pub(super) struct Batch<V>(Vec<Entry<V>>);
+pub(super) struct Batch<V>(Vec<BatchEntry<V>>);
 
 /// A batch and the state by which its operations are decided.
 pub(super) struct Assembled<V> {
@@ -95,7 +95,7 @@
                     ballot,
                 });
             }
-            entries.push(Entry { pending, result });
+            entries.push(BatchEntry { pending, result });
         }
         Assembled {
             batch: Self(entries),
@@ -136,7 +136,7 @@
     /// `first_excluded` on stay undecided.
     pub(super) fn complete(self, first_excluded: u64, state: &Arc<State<V>>) -> Completion<V> {
         let (mut completed, mut undecided) = (Vec::new(), Vec::new());
-        for Entry { pending, result } in self.0 {
+        for BatchEntry { pending, result } in self.0 {
             let outcome = result.outcome(state);
             match outcome.filter(|_| pending.arrival < first_excluded) {
                 Some(outcome) => completed.push(Completed {
--- a/crates/register/src/proposer/rounds.rs
+++ b/crates/register/src/proposer/rounds.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::batch::{Assembled, Batch};
-use super::{Active, Context, Effect, Proposer};
+use super::{ActiveRound, Context, Effect, Proposer};
 use crate::ballot::Ballot;
 use crate::guard::Guard;
 use crate::message::{Request, RoundId};
@@ -59,7 +59,7 @@
     ) {
         send_requests(&round, round.awaiting_reply(), effects);
         self.deference = None;
-        self.active = Some(Active {
+        self.active = Some(ActiveRound {
             round,
             first_excluded_arrival: self.arrivals,
             started_at: now,
@@ -148,8 +148,9 @@
         let Assembled { batch, state } =
             Batch::assemble(self.queue.drain(..), read, ballot, guards);
         let is_unchanged = state.sequence == read.proposal.state.sequence;
-        let needs_fence = guards.keeps(Guard::FenceBeforeAnswer) && batch.answers_unchanged();
-        if is_unchanged && read.is_chosen && !needs_fence {
+        // The reason is given at `Guard::FenceBeforeAnswer`.
+        let must_accept_again = guards.keeps(Guard::FenceBeforeAnswer) && batch.answers_unchanged();
+        if is_unchanged && read.is_chosen && !must_accept_again {
             effects.push(Effect::ReadChosen(read.proposal.clone()));
             let first_excluded = active.first_excluded_arrival;
             self.complete_batch(batch, first_excluded, &read.proposal.state, effects);
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -1,5 +1,5 @@
 //! One round of a proposer: the replies counted so far and what follows from them (Rystsov 2018,
-//! section 2). A round knows no time and sends nothing itself.
+//! section 2). A round reads no clock and sends nothing itself.
 //!
 //! A round either queries (reads without a promise), or prepares (phase 1) and then accepts (phase
 //! 2). Its quorums are those of the newest membership that it has seen: this guards against a
@@ -245,8 +245,8 @@
         }
     }
 
-    /// Whether the newest proposal reported is known as chosen: because a node said so, or because
-    /// a quorum has accepted it.
+    /// Whether the newest proposal reported is known as chosen: because a node has reported it as
+    /// chosen, or because a quorum has accepted it.
     fn is_known_as_chosen(&self, proposal: &Proposal<V>) -> bool {
         let has_accepted = |identity| self.reported.get(&identity) == Some(&Some(proposal.ballot));
         proposal.ballot <= self.chosen
