--- a/crates/agent/src/coordinator_connection.rs
+++ b/crates/agent/src/coordinator_connection.rs
@@ -44,6 +44,7 @@
                 Some(Ok(connection)) => {
                     fallback.get_or_insert(connection);
                 }
+                // One that cannot be reached is not chosen; the others' attempts go on.
                 Some(Err(_)) => {}
                 None => return fallback,
             },
--- a/crates/agent/src/coordinator_link.rs
+++ b/crates/agent/src/coordinator_link.rs
@@ -39,6 +39,7 @@
             next = connect_nearest(&state, coordinators).await;
         }
         if let Some(connection) = next.take() {
+            // After an error, whatever it was, the nearest coordinator is searched for again.
             next = serve(&state, connection).await.ok();
         }
         if next.is_none() {
--- a/crates/agent/src/entry_table.rs
+++ b/crates/agent/src/entry_table.rs
@@ -41,6 +41,7 @@
 
     /// Adds a subscriber, which receives all entries first and updates from then on.
     pub(crate) fn subscribe(&mut self, gate: mpsc::UnboundedSender<ToGate>) {
+        // A gate that has disconnected already is removed by the next merge.
         let _ = gate.send(ToGate::Entries(self.entries.values().cloned().collect()));
         self.subscribers.push(gate);
     }
--- a/crates/agent/src/gate_link.rs
+++ b/crates/agent/src/gate_link.rs
@@ -51,6 +51,7 @@
 /// Serves a gate until its connection closes.
 async fn serve(state: SharedState, stream: TcpStream) {
     let mut session = GateSession::new(state);
+    // The end of the session reports the gate as down, whatever the error was.
     let _ = session.run(stream).await;
 }
 
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -95,6 +95,7 @@
     Reply: From<Outcome>,
 {
     let (reply, outcome) = oneshot::channel();
+    // If the node has ended, the command is dropped with its channel, and the outcome is an error.
     let _ = commands.send(command(reply));
     outcome
         .await
--- a/crates/coordinator/src/contact.rs
+++ b/crates/coordinator/src/contact.rs
@@ -1,6 +1,9 @@
 //! The state of the contact with a majority of the register's replicas, and the policy for each
 //! request in each state.
 //!
+//! A contact check is a heartbeat of the register's quorum lease
+//! ([`ironmast_register::quorum_lease`]): a majority answers as long as that lease is valid.
+//!
 //! The states guard against a coordinator that is partitioned from the majority and still
 //! acknowledges changes or serves outdated state. `docs/design/control.md` shows the state diagram
 //! and the table of policies.
--- a/crates/coordinator/src/links.rs
+++ b/crates/coordinator/src/links.rs
@@ -3,6 +3,9 @@
 //!
 //! This module owns the sockets, the reconnect delay and the timeouts. The frames are handled by
 //! [`CoordinatorNode`].
+//!
+//! A link that fails is not logged: links fail whenever another node restarts. What operators need to
+//! know is the loss of contact with the majority, which [`CoordinatorNode`] logs.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -109,6 +112,7 @@
 /// Serves a subscriber until its link fails.
 async fn serve_subscriber(node: SharedNode, stream: TcpStream) -> Result<()> {
     let (mut receiver, mut sender) = link::split::<ToCoordinator, FromCoordinator>(stream)?;
+    // The subscriber's first frame says which kind of node it is.
     let Some(ToCoordinator::Hello(hello)) = receiver.next().await? else {
         bail!("the first frame is no hello")
     };
--- a/crates/coordinator/src/node/links.rs
+++ b/crates/coordinator/src/node/links.rs
@@ -66,6 +66,7 @@
     /// Handles a frame of a subscriber.
     pub(crate) fn receive_subscriber_frame(&mut self, frame: ToCoordinator) {
         match frame {
+            // The link has handled the first one; a further one changes nothing.
             ToCoordinator::Hello(_) => {}
             ToCoordinator::Entries(entries) => {
                 for entry in entries {
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -50,14 +50,14 @@
         self.queues.insert(to, queue);
     }
 
-    /// Queues a frame for a peer. It is lost if there is no link.
+    /// Queues a frame for a peer. It is lost if there is no link, or if the link has failed.
     pub(crate) fn send(&self, to: SocketAddr, frame: ToCoordinator) {
         if let Some(queue) = self.queues.get(&to) {
             let _ = queue.send(frame);
         }
     }
 
-    /// Queues a frame for every peer with a link.
+    /// Queues a frame for every peer with a link; frames for links that have failed are lost.
     pub(crate) fn broadcast(&self, frame: &ToCoordinator) {
         for queue in self.queues.values() {
             let _ = queue.send(frame.clone());
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -236,6 +236,8 @@
     fn perform(&mut self, action: Action<ControlValue>) -> Option<ReplicaOutput> {
         match action {
             Action::Send { to, message } => {
+                // A message that could not be encoded would be like one lost on the way, which the
+                // protocol tolerates.
                 let message = postcard::to_stdvec(&message).ok()?;
                 return Some(ReplicaOutput::Send { to, message });
             }
--- a/crates/coordinator/src/subscribers.rs
+++ b/crates/coordinator/src/subscribers.rs
@@ -68,6 +68,7 @@
         kind: SubscriberKind,
         first: &KeepAlive,
     ) -> SubscriberId {
+        // A subscriber that has disconnected already is removed by the next broadcast.
         let _ = queue.send(first.to_frame(kind));
         self.last_id += 1;
         let id = SubscriberId(self.last_id);
--- a/crates/endpoints/src/expiry.rs
+++ b/crates/endpoints/src/expiry.rs
@@ -53,8 +53,8 @@
     }
 
     /// Whether instances may expire. While this coordinator itself receives no heartbeats, or has
-    /// just started, it is more likely partitioned than all servers are down: expiring them would empty
-    /// the table.
+    /// just started, it is more likely partitioned than all servers are down: expiring them would
+    /// empty the table.
     fn may_expire_instances(&self, now: Micros) -> bool {
         let timeout = self.timeouts.instance;
         now >= self.expiry_since + timeout && now <= self.last_heartbeat + timeout / 2
--- a/crates/endpoints/src/instances.rs
+++ b/crates/endpoints/src/instances.rs
@@ -50,6 +50,7 @@
         record.liveness = Liveness::Deregistered;
         entry.version = versions::DEREGISTERED;
         let entry = entry.clone();
+        // The retention of the entry counts from here. A deregistration carries no sequence.
         self.contacts.record_indirect(now, &key, 0);
         Some(entry)
     }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -2,9 +2,10 @@
 //! gate, when each was last heard from, and the operators' state.
 //!
 //! Coordinators exchange their entries, and for each key the highest version wins; so all tables
-//! converge, whatever order updates arrive in. Guards against servers that stop without
+//! converge, whatever order updates arrive in. The table guards against servers that stop without
 //! deregistering (they expire), against late or duplicated updates (they carry old versions), and
-//! against a coordinator that is cut off and would call everybody unreachable (it expires nobody).
+//! against a partitioned coordinator that would mark every server as unreachable (while it receives
+//! no heartbeats, it expires no servers).
 //!
 //! The crate does no I/O: the caller passes the time and sends what the methods return.
 #![forbid(unsafe_code)]
--- a/crates/endpoints/src/table.rs
+++ b/crates/endpoints/src/table.rs
@@ -90,6 +90,7 @@
                 return MergeOutcome::Known;
             }
         }
+        // Sequence 0 leaves a higher recorded one in place: an entry's version doesn't show it.
         self.contacts.record_indirect(now, &entry.key, 0);
         self.entries.insert(entry.key.clone(), entry.clone());
         MergeOutcome::Newer
--- a/crates/overlay-transport/src/connection.rs
+++ b/crates/overlay-transport/src/connection.rs
@@ -1,6 +1,10 @@
 //! One connection to a peer, from its opening or acceptance to its end.
 //!
 //! The opener sends the address it listens at first, as its source port does not identify it.
+//!
+//! Events are sent to the driver for as long as it runs; once it has ended, errors of sending them
+//! are ignored, as the process is shutting down. Errors of a connection are not logged: its end is
+//! reported to the driver, and the overlay connects again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/overlay-transport/src/lib.rs
+++ b/crates/overlay-transport/src/lib.rs
@@ -146,6 +146,7 @@
     }
 
     fn send(&self, command: Command) {
+        // The driver runs for as long as a handle exists, so that sending fails only at shutdown.
         let _ = self.commands.send(command);
     }
 }
--- a/crates/overlay/src/settings.rs
+++ b/crates/overlay/src/settings.rs
@@ -80,15 +80,25 @@
     reason = "each mechanism is disabled independently"
 )]
 pub struct Guards {
+    /// Announced versions that do not arrive are requested.
     pub lazy_repair: bool,
+    /// Stores are compared by digest.
     pub anti_entropy: bool,
+    /// A store keeps the newest version of an entry, not the last one that arrived.
     pub version_check: bool,
+    /// The number of children of a node is limited.
     pub fanout_bound: bool,
+    /// One agent of a region, its head, has a parent outside; the others have parents inside.
     pub region_heads: bool,
+    /// A parent that is silent for longer than `suspect_timeout` is replaced.
     pub suspicion: bool,
+    /// A coordinator out of contact with the majority is no root of the relay tree.
     pub contact: bool,
+    /// Announcements on an agent's link to another region use `remote_announce_interval`.
     pub quick_announce: bool,
+    /// An entry that did not arrive along the tree is pushed to further neighbours.
     pub eager_relay: bool,
+    /// Agents chosen by score alone keep a standby link to a coordinator of another region.
     pub stable_standby: bool,
 }
 
