--- a/crates/storage/src/log/segments.rs
+++ b/crates/storage/src/log/segments.rs
@@ -15,7 +15,7 @@
     disk: Arc<dyn Disk>,
     settings: LogSettings,
     next_sequence: u64,
-    current: Option<Current>,
+    current: Option<CurrentSegment>,
     /// Older complete segments, kept until a newer one is durable.
     retained: Vec<u64>,
     /// Files that nothing depends on, removed once the next segment's file has been made.
@@ -24,7 +24,7 @@
 }
 
 /// The segment that is written.
-struct Current {
+struct CurrentSegment {
     sequence: u64,
     /// Whether it exists durably under its final name.
     complete: bool,
@@ -69,7 +69,7 @@
         let Some(sequence) = self.retained.pop() else {
             return;
         };
-        self.current = Some(Current {
+        self.current = Some(CurrentSegment {
             sequence,
             complete: true,
             length,
@@ -132,7 +132,7 @@
         }
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.current = Some(Current {
+        self.current = Some(CurrentSegment {
             sequence,
             complete: false,
             length: 0,
--- a/crates/storage/src/real_disk.rs
+++ b/crates/storage/src/real_disk.rs
@@ -69,6 +69,7 @@
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.folder).map_err(failed(FOLDER, DiskOperation::List))? {
             let entry = entry.map_err(failed(FOLDER, DiskOperation::List))?;
+            // A name that is not UTF-8 is no file of a log: those names are ASCII.
             if let Ok(name) = entry.file_name().into_string() {
                 names.push(name);
             }
--- a/crates/storage/src/scan.rs
+++ b/crates/storage/src/scan.rs
@@ -1,5 +1,5 @@
-//! Scans a segment for its newest record, and tells the torn end that a power loss leaves from
-//! corruption of synced bytes.
+//! Scans a segment for its newest record, and distinguishes the torn end that a power loss leaves
+//! from corruption of synced bytes.
 //!
 //! Each frame records how far the segment had been synced when it was written, and the segment's
 //! final name shows that the first frame had been synced. Nothing shows that for the last of
