--- a/crates/fault-injection/src/datagrams.rs
+++ b/crates/fault-injection/src/datagrams.rs
@@ -1,9 +1,9 @@
 //! A relay for the datagrams between two proxies, under the schedule's faults.
 //!
-//! One UDP socket on 127.0.0.1 stands between the two: what comes from `a` goes to `b` (`A->B`),
-//! what comes from `b` goes to `a`. Each proxy is given the relay's address for the other, and
-//! hears the other from it, so the proxies' rule that a datagram comes from an address in `peers`
-//! holds. The relay owns its socket and its thread; both are given back when it is dropped.
+//! One UDP socket on 127.0.0.1 stands between the two and forwards the datagrams of each to the
+//! other. Each proxy is configured with the relay's address for the other and receives the other's
+//! datagrams from it, so that the proxies' check that a datagram comes from an address in `peers`
+//! passes. The relay owns its socket and its thread, which end when it is dropped.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -20,59 +20,74 @@
 use crate::loopback;
 use crate::relay::Faults;
 
-/// A send that waits: when, in what order, to whom, what.
-type Later = Reverse<(Instant, u64, SocketAddr, Vec<u8>)>;
+/// How long the relay waits for a datagram before it looks at the delayed ones and the stop flag.
+const READ_TIMEOUT: Duration = Duration::from_millis(5);
+/// The longest datagram that is relayed whole, in bytes.
+const MAX_DATAGRAM: usize = 2048;
 
-/// What a datagram relay did, for the verdict.
+/// The number of datagrams that met each fault.
 #[derive(Debug, Default)]
 pub struct DatagramCounts {
-    /// Datagrams that came.
-    pub came: AtomicU64,
-    /// Lost by a fault.
-    pub lost: AtomicU64,
+    /// Datagrams received.
+    pub received: AtomicU64,
+    /// Datagrams dropped by a fault.
+    pub dropped: AtomicU64,
     /// Datagrams sent twice.
-    pub doubled: AtomicU64,
-    /// Held behind a later one.
+    pub duplicated: AtomicU64,
+    /// Datagrams held back until the next one had been sent.
     pub reordered: AtomicU64,
 }
 
+/// One end of a datagram relay.
+#[derive(Clone, Debug)]
+pub struct DatagramEndpoint {
+    /// Its name in links.
+    pub name: String,
+    /// Its address.
+    pub address: SocketAddr,
+}
+
 /// The relay between two proxies.
 pub struct DatagramRelay {
-    /// Where both send to reach the other.
+    /// The address to which both send.
     pub address: SocketAddr,
-    /// What it did.
+    /// The number of datagrams that met each fault.
     pub counts: Arc<DatagramCounts>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl DatagramRelay {
-    /// Between `a` (named `a_name` in links) and `b`; both on loopback. `seed` draws the chances.
+    /// Relays datagrams between two ends on loopback. `seed` determines which datagrams meet a
+    /// fault that has a probability.
     ///
     /// # Errors
-    /// A socket cannot be opened.
+    /// An address is not a loopback address, or the socket cannot be opened.
     pub fn start(
-        (a_name, a): (&str, SocketAddr),
-        (b_name, b): (&str, SocketAddr),
+        ends: [DatagramEndpoint; 2],
         faults: Arc<Faults>,
         seed: u64,
     ) -> std::io::Result<DatagramRelay> {
-        loopback(a)?;
-        loopback(b)?;
+        for end in &ends {
+            loopback(end.address)?;
+        }
         let socket = UdpSocket::bind("127.0.0.1:0")?;
-        socket.set_read_timeout(Some(Duration::from_millis(5)))?;
+        socket.set_read_timeout(Some(READ_TIMEOUT))?;
         let address = socket.local_addr()?;
-        let (counts, stop) = (
-            Arc::new(DatagramCounts::default()),
-            Arc::new(AtomicBool::new(false)),
-        );
-        let (c, s, names) = (
-            Arc::clone(&counts),
-            Arc::clone(&stop),
-            (a_name.to_string(), b_name.to_string()),
-        );
-        let thread =
-            std::thread::spawn(move || carry(&socket, (a, b), &names, &faults, &c, &s, seed));
+        let counts = Arc::new(DatagramCounts::default());
+        let stop = Arc::new(AtomicBool::new(false));
+        let forwarder = Forwarder {
+            socket,
+            ends,
+            faults,
+            counts: Arc::clone(&counts),
+            random: Xoshiro256PlusPlus::seed_from_u64(seed),
+            delayed: BinaryHeap::new(),
+            sequence: 0,
+            held_back: None,
+        };
+        let is_stopped = Arc::clone(&stop);
+        let thread = std::thread::spawn(move || forwarder.run(&is_stopped));
         Ok(DatagramRelay {
             address,
             counts,
@@ -91,63 +106,106 @@
     }
 }
 
-fn carry(
-    socket: &UdpSocket,
-    (a, b): (SocketAddr, SocketAddr),
-    (a_name, b_name): &(String, String),
-    faults: &Faults,
-    counts: &DatagramCounts,
-    stop: &AtomicBool,
-    seed: u64,
-) {
-    let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let mut later: BinaryHeap<Later> = BinaryHeap::new();
-    let mut held: Option<(SocketAddr, Vec<u8>)> = None;
-    let (mut order, mut piece) = (0u64, [0u8; 2048]);
-    while !stop.load(Ordering::Relaxed) {
-        while let Some(Reverse((due, _, _, _))) = later.peek() {
-            if *due > Instant::now() {
+/// A datagram and its destination.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Outgoing {
+    to: SocketAddr,
+    bytes: Vec<u8>,
+}
+
+/// A datagram to be sent later. The order of the fields is the order of sending; datagrams of the
+/// same moment are sent in the order in which they came.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Delayed {
+    due: Instant,
+    sequence: u64,
+    datagram: Outgoing,
+}
+
+/// The state of the relay's thread.
+struct Forwarder {
+    socket: UdpSocket,
+    ends: [DatagramEndpoint; 2],
+    faults: Arc<Faults>,
+    counts: Arc<DatagramCounts>,
+    random: Xoshiro256PlusPlus,
+    delayed: BinaryHeap<Reverse<Delayed>>,
+    sequence: u64,
+    held_back: Option<Outgoing>,
+}
+
+impl Forwarder {
+    fn run(mut self, stop: &AtomicBool) {
+        let mut buffer = [0u8; MAX_DATAGRAM];
+        while !stop.load(Ordering::Relaxed) {
+            self.send_due();
+            if let Ok((length, source)) = self.socket.recv_from(&mut buffer) {
+                self.forward(source, &buffer[..length]);
+            }
+        }
+    }
+
+    /// Sends the delayed datagrams whose time has come.
+    fn send_due(&mut self) {
+        while let Some(Reverse(next)) = self.delayed.peek() {
+            if next.due > Instant::now() {
                 break;
             }
-            let Reverse((_, _, to, bytes)) = later.pop().expect("peeked");
-            let _ = socket.send_to(&bytes, to);
+            let Reverse(next) = self.delayed.pop().expect("peeked");
+            self.send(&next.datagram);
         }
-        let Ok((n, from)) = socket.recv_from(&mut piece) else {
-            continue;
+    }
+
+    /// A datagram that cannot be sent is lost, as on a network.
+    fn send(&self, datagram: &Outgoing) {
+        let _ = self.socket.send_to(&datagram.bytes, datagram.to);
+    }
+
+    /// Forwards a datagram from one end to the other as the schedule requires; ignores one from any
+    /// other address.
+    fn forward(&mut self, source: SocketAddr, bytes: &[u8]) {
+        let [first, second] = &self.ends;
+        let (from, to) = if source == first.address {
+            (first, second)
+        } else if source == second.address {
+            (second, first)
+        } else {
+            return;
         };
-        let (to, from_name, to_name) = match from {
-            f if f == a => (b, a_name, b_name),
-            f if f == b => (a, b_name, a_name),
-            _ => continue,
+        self.counts.received.fetch_add(1, Ordering::Relaxed);
+        let (jitter, chance) = (self.random.random::<f64>(), self.random.random::<f64>());
+        let action = self.faults.datagram(&from.name, &to.name, jitter, chance);
+        let datagram = Outgoing {
+            to: to.address,
+            bytes: bytes.to_vec(),
         };
-        counts.came.fetch_add(1, Ordering::Relaxed);
-        let bytes = piece[..n].to_vec();
-        let (draw, chance) = (random.random::<f64>(), random.random::<f64>());
-        match faults.datagram(from_name, to_name, draw, chance) {
+        match action {
             DatagramAction::Drop => {
-                counts.lost.fetch_add(1, Ordering::Relaxed);
-                continue;
+                self.counts.dropped.fetch_add(1, Ordering::Relaxed);
+                return;
             }
             DatagramAction::Duplicate => {
-                counts.doubled.fetch_add(1, Ordering::Relaxed);
-                let _ = socket.send_to(&bytes, to);
-                let _ = socket.send_to(&bytes, to);
-            }
-            DatagramAction::Reorder if held.is_none() => {
-                counts.reordered.fetch_add(1, Ordering::Relaxed);
-                held = Some((to, bytes));
-                continue;
+                self.counts.duplicated.fetch_add(1, Ordering::Relaxed);
+                self.send(&datagram);
+                self.send(&datagram);
             }
-            DatagramAction::Delay(wait) => {
-                order += 1;
-                later.push(Reverse((Instant::now() + wait, order, to, bytes)));
+            DatagramAction::Reorder if self.held_back.is_none() => {
+                self.counts.reordered.fetch_add(1, Ordering::Relaxed);
+                self.held_back = Some(datagram);
+                return;
             }
-            DatagramAction::Pass | DatagramAction::Reorder => {
-                let _ = socket.send_to(&bytes, to);
+            DatagramAction::Delay(delay) => {
+                self.sequence += 1;
+                self.delayed.push(Reverse(Delayed {
+                    due: Instant::now() + delay,
+                    sequence: self.sequence,
+                    datagram,
+                }));
             }
+            DatagramAction::Pass | DatagramAction::Reorder => self.send(&datagram),
         }
-        if let Some((to, bytes)) = held.take() {
-            let _ = socket.send_to(&bytes, to);
+        if let Some(held_back) = self.held_back.take() {
+            self.send(&held_back);
         }
     }
 }
--- a/crates/fault-injection/src/fault/tests.rs
+++ b/crates/fault-injection/src/fault/tests.rs
@@ -1,5 +1,7 @@
 //! Tests of `fault.rs`.
 
+use std::time::Duration;
+
 use super::*;
 
 fn fault(at_s: f64, link: &str, kind: FaultKind, for_s: Option<f64>) -> Fault {
@@ -16,7 +18,7 @@
 }
 
 #[test]
-fn a_fault_holds_from_its_start_for_its_length_on_the_links_it_names() {
+fn a_fault_is_active_from_its_start_for_its_duration_on_matching_links() {
     let s = Schedule::new(vec![fault(
         2.0,
         "proxy3->*",
@@ -40,7 +42,7 @@
 }
 
 #[test]
-fn a_whole_cut_silences_both_directions_and_the_latest_fault_counts() {
+fn a_cut_blocks_both_directions_and_the_latest_fault_applies() {
     let s = Schedule::new(vec![
         fault(0.0, "server*->proxy1", FaultKind::Delay, None),
         fault(1.0, "proxy1->server2", FaultKind::Cut, Some(1.0)),
@@ -49,7 +51,7 @@
     let at = Duration::from_secs_f64;
     assert_eq!(
         s.action("server2", "proxy1", at(0.5), 0.5),
-        Action::Wait(Duration::from_millis(5))
+        Action::Delay(Duration::from_millis(5))
     );
     assert_eq!(
         s.action("server2", "proxy1", at(1.5), 0.0),
@@ -61,12 +63,12 @@
     );
     assert_eq!(
         s.action("server2", "proxy1", at(2.5), 0.0),
-        Action::Wait(Duration::from_millis(5))
+        Action::Delay(Duration::from_millis(5))
     );
 }
 
 #[test]
-fn datagrams_are_lost_doubled_or_held_by_their_chance_and_lost_in_a_cut() {
+fn datagrams_are_dropped_duplicated_or_reordered_by_probability_and_dropped_by_a_cut() {
     let s = Schedule::new(vec![
         fault(0.0, "proxy0->proxy1", FaultKind::Drop, Some(1.0)),
         fault(1.0, "proxy0->proxy1", FaultKind::Duplicate, Some(1.0)),
@@ -100,7 +102,7 @@
 }
 
 #[test]
-fn bad_faults_are_told_with_their_place() {
+fn an_invalid_fault_is_rejected_with_its_index() {
     let bad = |f: Fault| {
         Schedule::new(vec![fault(0.0, "a->b", FaultKind::Pass, None), f]).expect_err("bad")
     };
@@ -132,7 +134,7 @@
 }
 
 #[test]
-fn faults_read_from_a_scenario_table() {
+fn faults_are_parsed_from_a_scenario_table() {
     #[derive(Deserialize)]
     struct File {
         fault: Vec<Fault>,
--- a/crates/fault-injection/src/full_backlog.rs
+++ b/crates/fault-injection/src/full_backlog.rs
@@ -1,47 +1,51 @@
-//! A listener to which no connection comes up: its queue is full, so that the system drops what
-//! asks to connect and is asked again a second later.
+//! A listener whose accept queue is full, so that connection attempts to it hang.
+//!
+//! The system drops the SYN of a new connection while the queue is full, and the client's system
+//! repeats it, the first time after 1 s.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// The system's table of connections, and its word for one that is asked for and not up.
-const TABLE: &str = "/proc/net/tcp";
+/// The system's table of TCP sockets.
+const SOCKET_TABLE: &str = "/proc/net/tcp";
+/// The state of a connection in that table whose SYN has not been acknowledged.
 const SYN_SENT: &str = "02";
 
-/// A listener that is held for good.
+/// A listener whose accept queue stays full for as long as this exists.
 #[derive(Debug)]
 pub struct FullBacklog {
-    at: SocketAddr,
-    /// Takes the only place in the queue.
-    _filler: TcpStream,
+    address: SocketAddr,
+    /// Occupies the only place in the queue.
+    _connection: TcpStream,
 }
 
 impl FullBacklog {
-    /// Holds a listener that nobody waits for.
+    /// Fills the accept queue of a listener on which no one calls `accept`.
     ///
     /// # Errors
-    /// The system's, and where the listener is not on loopback.
+    /// The listener is not on a loopback address, or the system rejects an operation.
     pub fn new(listener: &TcpListener) -> io::Result<FullBacklog> {
-        let at = listener.local_addr()?;
-        crate::loopback(at)?;
+        let address = listener.local_addr()?;
+        crate::loopback(address)?;
         rustix::net::listen(listener, 0)?;
         Ok(FullBacklog {
-            at,
-            _filler: TcpStream::connect(at)?,
+            address,
+            _connection: TcpStream::connect(address)?,
         })
     }
 
-    /// Whether somebody is asking for a connection to it.
+    /// Whether a connection attempt to the listener is pending.
     ///
     /// # Errors
-    /// The system's.
+    /// The system's table cannot be read.
     pub fn has_pending_connection(&self) -> io::Result<bool> {
-        let port = format!(":{:04X}", self.at.port());
-        let asking = |line: &str| {
-            let mut words = line.split_whitespace().skip(2);
-            words.next().is_some_and(|remote| remote.ends_with(&port))
-                && words.next() == Some(SYN_SENT)
+        let port = format!(":{:04X}", self.address.port());
+        let is_pending = |line: &str| {
+            let mut columns = line.split_whitespace().skip(2);
+            columns.next().is_some_and(|remote| remote.ends_with(&port))
+                && columns.next() == Some(SYN_SENT)
         };
-        Ok(std::fs::read_to_string(TABLE)?.lines().any(asking))
+        let table = std::fs::read_to_string(SOCKET_TABLE)?;
+        Ok(table.lines().any(is_pending))
     }
 }
