--- a/crates/fault-injection/src/failing_server.rs
+++ b/crates/fault-injection/src/failing_server.rs
@@ -1,57 +1,67 @@
 //! A server that fails an exchange at a chosen step and serves every other one, and a client that
-//! says how an answer ended. Both are used against the gate and against the program in service,
+//! reports how a response ended. Both are used against the gate and against the program in service,
 //! whose headers a [`Dialect`] names.
 //!
-//! Every request that a server reads to its last byte and does not turn away counts as run. A body
-//! that is not the one made for its request ([`body_of`]) is noted as such.
+//! Every request that a server reads to its last byte and does not reject counts as executed. A
+//! body that is not the one made for its request ([`body_of`]) is recorded as invalid.
 
 mod client;
+mod failure;
+mod request;
+mod response;
 mod steps;
 
 use std::collections::VecDeque;
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::os::fd::AsFd as _;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 pub use client::{ClientRequest, ClientResponse, Ending, RequestBody, exchange, receive, send};
-pub use steps::{Connection, Failure, RequestHead, Step, events, steps};
+pub use failure::{Connection, Failure};
+pub use request::RequestHead;
+pub use response::events;
+pub use steps::{Step, steps};
 
-/// What never comes fails a test after this.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a client waits for bytes and a test for a server.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a server waits for bytes and for its release; longer, so that the client fails first.
+const SERVER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The headers of one of the two programs.
 #[derive(Clone, Copy, Debug)]
 pub struct Dialect {
-    /// Names a request.
-    pub id: &'static str,
-    /// Answers repeat it.
-    pub answers_name_it: bool,
-    /// What an answer that counts carries.
-    pub stamp: &'static str,
-    /// What an answer carries that promises that the request has not run.
-    pub promise: &'static str,
+    /// The name of the header with the id of a request.
+    pub id_header: &'static str,
+    /// Whether responses repeat that header.
+    pub echoes_id: bool,
+    /// The header line that a valid response carries, with its line end; may be empty.
+    pub signature: &'static str,
+    /// The header line that guarantees that the request has not been executed, with its line end.
+    pub not_executed: &'static str,
 }
 
 /// The headers of the gate and its servers.
 pub const GATE: Dialect = Dialect {
-    id: "X-Ironmast-Request-Id",
-    answers_name_it: true,
-    stamp: "X-Ironmast-Server-Signature: stamp\r\n",
-    promise: "X-Ironmast-Not-Executed: 1\r\n",
+    id_header: "X-Ironmast-Request-Id",
+    echoes_id: true,
+    signature: "X-Ironmast-Server-Signature: stamp\r\n",
+    not_executed: "X-Ironmast-Not-Executed: 1\r\n",
 };
 
 /// The headers of the program in service and its servers.
 pub const IN_SERVICE: Dialect = Dialect {
-    id: "X-Txn",
-    answers_name_it: false,
-    stamp: "",
-    promise: "X-Turned-Away: 1\r\n",
+    id_header: "X-Txn",
+    echoes_id: false,
+    signature: "",
+    not_executed: "X-Turned-Away: 1\r\n",
 };
 
-/// The body made for a request.
+/// The response to a request without an id, such as a health check.
+const EMPTY_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+
+/// The body made for the request with this id.
 #[must_use]
 pub fn body_of(id: &str, length: usize) -> Vec<u8> {
     let mut body = format!("{id}.")
@@ -61,28 +71,31 @@
     body
 }
 
-/// What servers saw.
+/// What a server has observed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Observations {
-    /// The ids of the requests that ran, in their order.
+    /// The ids of the requests that were executed, in this order.
     pub runs: Vec<String>,
-    /// For each request that began to arrive: its id and the connection's number.
+    /// For each request whose head arrived: its id and the number of its connection, from 0.
     pub arrivals: Vec<(String, usize)>,
-    /// What no request may look like.
+    /// Descriptions of the requests that were invalid.
     pub wrong: Vec<String>,
 }
 
-/// Shared with the threads of a server's connections.
+/// The failures of the next requests.
+type FailureQueue = Arc<Mutex<VecDeque<Failure>>>;
+
+/// What a server shares with the threads of its connections.
 struct State {
     dialect: Dialect,
-    /// What is to fail next, at whichever of the servers that share it.
-    failures: Arc<Mutex<VecDeque<Failure>>>,
-    seen: Mutex<Observations>,
+    /// May be shared with another server.
+    failures: FailureQueue,
+    observations: Mutex<Observations>,
     release: Mutex<Receiver<()>>,
     released: Sender<()>,
 }
 
-/// A server. Its threads end with their connections.
+/// A server on loopback. Its threads end with their connections.
 pub struct FailingServer {
     /// Where it listens.
     pub address: SocketAddr,
@@ -95,41 +108,42 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
+fn queue(failures: &[Failure]) -> FailureQueue {
+    Arc::new(Mutex::new(failures.iter().copied().collect()))
+}
+
 impl FailingServer {
-    /// A server that fails the first requests as told, in their order, and serves all that follow.
+    /// A server that fails its first requests in this way, in this order, and serves all others.
     ///
     /// # Errors
-    /// The system's, where no port is free.
+    /// No port is free.
     pub fn start(dialect: Dialect, failures: &[Failure]) -> std::io::Result<Self> {
-        FailingServer::sharing(
-            dialect,
-            Arc::new(Mutex::new(failures.iter().copied().collect())),
-        )
+        FailingServer::start_with(dialect, queue(failures))
     }
 
-    /// Two servers of which the first requests at either fail as told.
+    /// Two servers that share the failures: the first requests at either of them fail.
     ///
     /// # Errors
-    /// The system's, where no port is free.
+    /// No port is free.
     pub fn start_two(dialect: Dialect, failures: &[Failure]) -> std::io::Result<[Self; 2]> {
-        let failures = Arc::new(Mutex::new(failures.iter().copied().collect()));
+        let failures = queue(failures);
         Ok([
-            FailingServer::sharing(dialect, Arc::clone(&failures))?,
-            FailingServer::sharing(dialect, failures)?,
+            FailingServer::start_with(dialect, Arc::clone(&failures))?,
+            FailingServer::start_with(dialect, failures)?,
         ])
     }
 
-    fn sharing(dialect: Dialect, failures: Arc<Mutex<VecDeque<Failure>>>) -> std::io::Result<Self> {
+    fn start_with(dialect: Dialect, failures: FailureQueue) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let ((release, waits), (released, heard)) = (channel(), channel());
-        let (seen, go_on_waits) = (Mutex::default(), Mutex::new(waits));
+        let (release, release_receiver) = channel();
+        let (released_sender, released) = channel();
         let state = Arc::new(State {
             dialect,
             failures,
-            seen,
-            release: go_on_waits,
-            released,
+            observations: Mutex::default(),
+            release: Mutex::new(release_receiver),
+            released: released_sender,
         });
         let shared = Arc::clone(&state);
         std::thread::spawn(move || {
@@ -142,49 +156,64 @@
             address,
             state,
             release,
-            released: heard,
+            released,
         })
     }
 
-    /// What it has seen so far.
+    /// What the server has observed so far.
     #[must_use]
     pub fn seen(&self) -> Observations {
-        lock(&self.state.seen).clone()
+        lock(&self.state.observations).clone()
     }
 
-    /// Lets it do what it keeps back until then, and waits until that is done.
+    /// Lets the server continue after [`Step::AwaitRelease`], and waits until it has done the next
+    /// step.
     ///
     /// # Panics
-    /// It keeps nothing back.
+    /// The server is not waiting for its release.
     pub fn release(&self) {
-        self.release.send(()).expect("it runs");
-        self.released.recv_timeout(PATIENCE).expect("it goes on");
+        self.release.send(()).expect("the server runs");
+        self.released
+            .recv_timeout(TIMEOUT)
+            .expect("the server continues");
+    }
+}
+
+/// Whether a connection can be used after a step.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum AfterStep {
+    Continue,
+    Close,
+}
+
+impl AfterStep {
+    fn continue_if(is_usable: bool) -> AfterStep {
+        if is_usable {
+            AfterStep::Continue
+        } else {
+            AfterStep::Close
+        }
     }
 }
 
-/// Serves one connection.
+/// Serves the connection with this number.
 fn serve(mut stream: TcpStream, number: usize, state: &State) {
-    let _ = (
-        stream.set_nodelay(true),
-        stream.set_read_timeout(Some(3 * PATIENCE)),
-    );
+    let _ = stream.set_nodelay(true);
+    let _ = stream.set_read_timeout(Some(SERVER_TIMEOUT));
     let mut buffer = Vec::new();
-    while let Some(asked) = RequestHead::read(&mut stream, &mut buffer, state.dialect.id) {
-        let Some(id) = asked.id.clone() else {
-            // A probe, or a check of its health.
-            if stream
-                .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-                .is_err()
-            {
+    while let Some(request) = RequestHead::read(&mut stream, &mut buffer, state.dialect.id_header) {
+        let Some(id) = request.id.clone() else {
+            if stream.write_all(EMPTY_RESPONSE).is_err() {
                 return;
             }
             continue;
         };
-        lock(&state.seen).arrivals.push((id, number));
+        lock(&state.observations).arrivals.push((id, number));
         let failure = lock(&state.failures).pop_front();
-        let mut steps = steps(failure, &asked, &state.dialect).into_iter();
-        while let Some(act) = steps.next() {
-            if !perform(act, &mut stream, &mut buffer, &asked, state) {
+        let mut steps = steps(failure, &request, &state.dialect).into_iter();
+        while let Some(step) = steps.next() {
+            let after = perform(step, &mut stream, &mut buffer, &request, state);
+            if after == AfterStep::Close {
                 drop(stream);
                 if steps.next() == Some(Step::ConfirmRelease) {
                     let _ = state.released.send(());
@@ -195,46 +224,55 @@
     }
 }
 
-/// Does one step; false where the connection is over.
+/// Performs one step.
 fn perform(
-    act: Step,
+    step: Step,
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-    asked: &RequestHead,
+    request: &RequestHead,
     state: &State,
-) -> bool {
-    match act {
-        Step::ReadBody { runs } => match asked.read_body(stream, buffer) {
+) -> AfterStep {
+    match step {
+        Step::ReadBody { runs } => match request.read_body(stream, buffer) {
             Ok(true) => {
                 if runs {
-                    lock(&state.seen).runs.extend(asked.id.clone());
+                    let id = request.id.clone();
+                    lock(&state.observations).runs.extend(id);
                 }
-                true
+                AfterStep::Continue
             }
             Ok(false) => {
-                let said = format!("the body of {:?} is another's", asked.id);
-                lock(&state.seen).wrong.push(said);
-                false
+                let problem = format!("the body of {:?} is another's", request.id);
+                lock(&state.observations).wrong.push(problem);
+                AfterStep::Close
             }
-            Err(_) => false,
+            Err(_) => AfterStep::Close,
         },
-        Step::Write(bytes) => stream.write_all(&bytes).is_ok(),
-        Step::AwaitRelease => lock(&state.release).recv_timeout(3 * PATIENCE).is_ok(),
-        Step::ConfirmRelease => state.released.send(()).is_ok(),
+        Step::Write(bytes) => AfterStep::continue_if(stream.write_all(&bytes).is_ok()),
+        Step::AwaitRelease => {
+            let release = lock(&state.release).recv_timeout(SERVER_TIMEOUT);
+            AfterStep::continue_if(release.is_ok())
+        }
+        Step::ConfirmRelease => AfterStep::continue_if(state.released.send(()).is_ok()),
         Step::Close => {
-            // Whoever reads on sees an orderly end; what is unread here would make it a reset.
+            // Unread bytes would turn the close into a reset.
             let _ = stream.shutdown(std::net::Shutdown::Write);
-            while stream.read(&mut [0; 4096]).is_ok_and(|bytes| bytes > 0) {}
-            false
+            discard_input(stream);
+            AfterStep::Close
         }
-        Step::Drop => false,
+        Step::Drop => AfterStep::Close,
         Step::Reset => {
-            let _ = rustix::net::sockopt::set_socket_linger(stream.as_fd(), Some(Duration::ZERO));
-            false
+            let _ = rustix::net::sockopt::set_socket_linger(&*stream, Some(Duration::ZERO));
+            AfterStep::Close
         }
         Step::Stall => {
-            while stream.read(&mut [0; 4096]).is_ok_and(|bytes| bytes > 0) {}
-            false
+            discard_input(stream);
+            AfterStep::Close
         }
     }
 }
+
+/// Reads and discards bytes until the client closes the connection.
+fn discard_input(stream: &mut TcpStream) {
+    while stream.read(&mut [0; 4096]).is_ok_and(|length| length > 0) {}
+}
--- a/crates/fault-injection/src/failing_server/client.rs
+++ b/crates/fault-injection/src/failing_server/client.rs
@@ -1,77 +1,80 @@
-//! A client that sends one request and says how its answer ended.
+//! A client that sends one request and reports how its response ended.
 
 use std::io::{self, Read as _, Write as _};
 use std::net::{SocketAddr, TcpStream};
 
-use super::{PATIENCE, body_of};
+use super::{TIMEOUT, body_of};
 
-/// How a request's body is sent.
+/// The size of the largest chunk of a request, in bytes.
+const MAX_CHUNK: usize = 1_000;
+
+/// The body of a request and its framing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestBody {
-    /// There is none.
+    /// No body.
     None,
-    /// With its length.
+    /// A body of this length with `Content-Length`.
     Sized(usize),
-    /// In chunks of up to 1,000 bytes.
+    /// A body of this length in chunks of up to 1,000 bytes.
     Chunked(usize),
 }
 
-/// A request.
+/// A request to be sent.
 #[derive(Clone, Debug)]
 pub struct ClientRequest<'a> {
     /// Its method.
     pub method: &'a str,
     /// Its path and query.
     pub target: &'a str,
-    /// The header that names it.
+    /// The name of the header with its id.
     pub id_header: &'a str,
     /// Its id.
     pub id: &'a str,
-    /// Further headers, each with its line end.
+    /// Further header lines, each with its line end.
     pub headers: &'a str,
     /// Its body.
     pub body: RequestBody,
 }
 
-/// How an answer ended.
+/// How a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// It is complete.
     Complete,
     /// It ended early, which the client can detect.
     Truncated,
-    /// None came.
+    /// No head arrived.
     None,
 }
 
-/// What a client got.
+/// What a client received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientResponse {
-    /// The status; 0 where there was no head.
+    /// The status; 0 if there was no head.
     pub status: u16,
-    /// The head, in lower case.
+    /// The head in lower case.
     pub head: String,
-    /// The body without its framing, as far as it came.
+    /// The received part of the body, without its framing.
     pub body: String,
     /// How it ended.
     pub ending: Ending,
 }
 
 impl ClientResponse {
-    /// The value of a header, its name in lower case.
+    /// The value of a header.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         crate::stub_servers::http::header(&self.head, name)
     }
 }
 
-/// Sends a request on a connection of its own.
+/// Sends a request on a connection of its own and reads the response.
 ///
 /// # Errors
-/// The system's, where no connection comes up.
-pub fn exchange(to: SocketAddr, request: &ClientRequest<'_>) -> io::Result<ClientResponse> {
-    crate::loopback(to)?;
-    let mut stream = TcpStream::connect(to)?;
+/// The address is not a loopback address, or the connection fails.
+pub fn exchange(address: SocketAddr, request: &ClientRequest<'_>) -> io::Result<ClientResponse> {
+    crate::loopback(address)?;
+    let mut stream = TcpStream::connect(address)?;
     send(&mut stream, request)?;
     Ok(receive(
         &mut stream,
@@ -80,143 +83,161 @@
     ))
 }
 
-/// Sends a request. One that is answered before it is written whole is not written further.
+/// Sends a request. Writing stops without an error if the server closes the connection before.
 ///
 /// # Errors
-/// The system's, where a time-out can't be set.
+/// A socket option cannot be set.
 pub fn send(stream: &mut TcpStream, request: &ClientRequest<'_>) -> io::Result<()> {
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
     stream.set_nodelay(true)?;
-    let ClientRequest {
-        method,
-        target,
-        id_header,
-        id,
-        headers,
-        body,
-    } = request;
-    let framing = match body {
-        RequestBody::None => String::new(),
-        RequestBody::Sized(length) => format!("Content-Length: {length}\r\n"),
-        RequestBody::Chunked(_) => "Transfer-Encoding: chunked\r\n".into(),
-    };
-    let head = format!(
-        "{method} {target} HTTP/1.1\r\nHost: a.example\r\n{id_header}: {id}\r\n{headers}{framing}\r\n"
-    );
-    let mut bytes = head.into_bytes();
-    match body {
-        RequestBody::None => {}
-        RequestBody::Sized(length) => bytes.extend(body_of(id, *length)),
-        RequestBody::Chunked(length) => {
-            for chunk in body_of(id, *length).chunks(1_000) {
-                bytes.extend(format!("{:x}\r\n", chunk.len()).into_bytes());
-                bytes.extend_from_slice(chunk);
-                bytes.extend_from_slice(b"\r\n");
+    // The response shows whether the request has arrived.
+    let _ = stream.write_all(&request.encode());
+    Ok(())
+}
+
+impl ClientRequest<'_> {
+    /// The bytes of the request.
+    fn encode(&self) -> Vec<u8> {
+        let ClientRequest {
+            method,
+            target,
+            id_header,
+            id,
+            headers,
+            body,
+        } = self;
+        let framing = match body {
+            RequestBody::None => String::new(),
+            RequestBody::Sized(length) => format!("Content-Length: {length}\r\n"),
+            RequestBody::Chunked(_) => "Transfer-Encoding: chunked\r\n".into(),
+        };
+        let head = format!(
+            "{method} {target} HTTP/1.1\r\nHost: a.example\r\n{id_header}: {id}\r\n\
+             {headers}{framing}\r\n"
+        );
+        let mut bytes = head.into_bytes();
+        match body {
+            RequestBody::None => {}
+            RequestBody::Sized(length) => bytes.extend(body_of(id, *length)),
+            RequestBody::Chunked(length) => {
+                for chunk in body_of(id, *length).chunks(MAX_CHUNK) {
+                    bytes.extend(format!("{:x}\r\n", chunk.len()).into_bytes());
+                    bytes.extend_from_slice(chunk);
+                    bytes.extend_from_slice(b"\r\n");
+                }
+                bytes.extend_from_slice(b"0\r\n\r\n");
             }
-            bytes.extend_from_slice(b"0\r\n\r\n");
         }
+        bytes
     }
-    // What comes back tells.
-    let _ = stream.write_all(&bytes);
-    Ok(())
 }
 
-/// Reads the final answer; `buffer` keeps what follows it.
+/// Reads the final response, after any interim ones; `buffer` keeps the bytes that follow it.
+/// `to_head` states that the request's method is HEAD, so that the response has no body.
 pub fn receive(stream: &mut TcpStream, buffer: &mut Vec<u8>, to_head: bool) -> ClientResponse {
-    let mut got = ClientResponse {
+    let mut response = ClientResponse {
         status: 0,
         head: String::new(),
         body: String::new(),
         ending: Ending::None,
     };
-    loop {
-        let Some(end) = find(stream, buffer, b"\r\n\r\n") else {
-            return got;
+    while response.status < 200 {
+        let Some(head) = read_until(stream, buffer, b"\r\n\r\n") else {
+            return response;
         };
-        got.head =
-            String::from_utf8_lossy(&buffer.drain(..end).collect::<Vec<u8>>()).to_ascii_lowercase();
-        got.status = got
-            .head
-            .split(' ')
-            .nth(1)
-            .and_then(|status| status.parse().ok())
-            .unwrap_or(0);
-        if got.status >= 200 {
-            break;
-        }
+        response.head = String::from_utf8_lossy(&head).to_ascii_lowercase();
+        let status = response.head.split(' ').nth(1);
+        response.status = status.and_then(|status| status.parse().ok()).unwrap_or(0);
     }
-    let (body, whole) = if to_head || matches!(got.status, 204 | 304) {
-        (Vec::new(), true)
-    } else {
-        read_body(stream, buffer, &got)
-    };
-    got.body = String::from_utf8_lossy(&body).into_owned();
-    got.ending = if whole {
-        Ending::Complete
+    let body = if to_head || matches!(response.status, 204 | 304) {
+        Body::complete(Vec::new())
     } else {
-        Ending::Truncated
+        read_body(stream, buffer, &response)
     };
-    got
+    response.body = String::from_utf8_lossy(&body.bytes).into_owned();
+    response.ending = body.ending;
+    response
+}
+
+/// The received part of a body.
+struct Body {
+    bytes: Vec<u8>,
+    ending: Ending,
+}
+
+impl Body {
+    fn complete(bytes: Vec<u8>) -> Body {
+        Body {
+            bytes,
+            ending: Ending::Complete,
+        }
+    }
+
+    fn truncated(bytes: Vec<u8>) -> Body {
+        Body {
+            bytes,
+            ending: Ending::Truncated,
+        }
+    }
 }
 
-fn read_body(
-    stream: &mut TcpStream,
-    buffer: &mut Vec<u8>,
-    got: &ClientResponse,
-) -> (Vec<u8>, bool) {
-    if got.header("transfer-encoding").is_some() {
+fn read_body(stream: &mut TcpStream, buffer: &mut Vec<u8>, response: &ClientResponse) -> Body {
+    if response.header("transfer-encoding").is_some() {
         return read_chunks(stream, buffer);
     }
-    let length: usize = got
+    let length: usize = response
         .header("content-length")
         .and_then(|length| length.parse().ok())
         .unwrap_or(0);
     while buffer.len() < length {
-        if !more(stream, buffer) {
-            return (std::mem::take(buffer), false);
+        if !fill(stream, buffer) {
+            return Body::truncated(std::mem::take(buffer));
         }
     }
-    (buffer.drain(..length).collect(), true)
+    Body::complete(buffer.drain(..length).collect())
 }
 
-fn read_chunks(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> (Vec<u8>, bool) {
+fn read_chunks(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Body {
     let mut body = Vec::new();
     loop {
-        let Some(end) = find(stream, buffer, b"\r\n") else {
-            return (body, false);
+        let Some(line) = read_until(stream, buffer, b"\r\n") else {
+            return Body::truncated(body);
         };
-        let line: Vec<u8> = buffer.drain(..end).collect();
         let Ok(size) = usize::from_str_radix(String::from_utf8_lossy(&line).trim(), 16) else {
-            return (body, false);
+            return Body::truncated(body);
         };
         while buffer.len() < size + 2 {
-            if !more(stream, buffer) {
-                return (body, false);
+            if !fill(stream, buffer) {
+                return Body::truncated(body);
             }
         }
         body.extend(buffer.drain(..size));
         buffer.drain(..2);
         if size == 0 {
-            return (body, true);
+            return Body::complete(body);
         }
     }
 }
 
-/// Where the bytes looked for end; none where the connection ends before.
-fn find(stream: &mut TcpStream, buffer: &mut Vec<u8>, wanted: &[u8]) -> Option<usize> {
+/// Reads up to and including a delimiter; `None` if the connection ends before it.
+fn read_until(stream: &mut TcpStream, buffer: &mut Vec<u8>, delimiter: &[u8]) -> Option<Vec<u8>> {
     loop {
-        if let Some(at) = buffer.windows(wanted.len()).position(|part| part == wanted) {
-            return Some(at + wanted.len());
+        let found = buffer
+            .windows(delimiter.len())
+            .position(|bytes| bytes == delimiter);
+        if let Some(start) = found {
+            return Some(buffer.drain(..start + delimiter.len()).collect());
         }
-        if !more(stream, buffer) {
+        if !fill(stream, buffer) {
             return None;
         }
     }
 }
 
-fn more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
-    let mut part = [0; 16 * 1024];
-    let bytes = stream.read(&mut part).unwrap_or(0);
-    buffer.extend_from_slice(&part[..bytes]);
-    bytes > 0
+/// Reads more bytes into the buffer; returns whether there were any.
+fn fill(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
+    let mut bytes = [0; 16 * 1024];
+    let length = stream.read(&mut bytes).unwrap_or(0);
+    buffer.extend_from_slice(&bytes[..length]);
+    length > 0
 }
--- a/crates/gate/tests/answers.rs
+++ b/crates/gate/tests/answers.rs
@@ -64,17 +64,17 @@
             Failure::InHead(Closed),
             Failure::InBody(Reset),
             Failure::InChunks(Closed),
-            Failure::Noise,
-            Failure::Twice,
+            Failure::TrailingBytes,
+            Failure::DuplicateResponse,
             Failure::Foreign,
             Failure::ForeignFirst,
             Failure::ForeignInstead,
-            Failure::TwoNames,
+            Failure::DuplicateId,
             Failure::TwoLengths,
-            Failure::EarlyPromise(503, Connection::Kept),
+            Failure::EarlyNotExecuted(503, Connection::Kept),
             Failure::Unframed { announced: false, end: Closed },
             Failure::Unframed { announced: true, end: Reset },
-            Failure::Promise(429),
+            Failure::NotExecutedStatus(429),
             Failure::Status(500),
         ]),
     ]
@@ -138,7 +138,7 @@
     let _ = stream.set_nodelay(true);
     let mut buffer = Vec::new();
     while let Some(head) = read_until(&mut stream, &mut buffer, b"\r\n\r\n").await {
-        let asked = RequestHead::parse(&head, GATE.id);
+        let asked = RequestHead::parse(&head, GATE.id_header);
         let Some(id) = asked.id.clone() else {
             let healthy = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
             if stream.write_all(healthy).await.is_err() {
@@ -239,7 +239,7 @@
 fn request_bytes(planned: &RequestPlan, id: &str) -> Vec<u8> {
     let head = format!(
         "POST /{}/a HTTP/1.1\r\nHost: a.example\r\n{}: {id}\r\nX-Ironmast-Deadline-Ms: 20000\r\nContent-Length: {}\r\n\r\n",
-        planned.route, GATE.id, planned.body
+        planned.route, GATE.id_header, planned.body
     );
     [head.into_bytes(), body_of(id, planned.body)].concat()
 }
--- a/crates/gate/tests/failing_servers.rs
+++ b/crates/gate/tests/failing_servers.rs
@@ -118,23 +118,23 @@
         (Interim(102), Served, true),
         (Interim(103), Served, true),
         (AfterInterim(101, Kept), MaybeExecuted, false),
-        (Noise, Served, false),
-        (Twice, Served, false),
+        (TrailingBytes, Served, false),
+        (DuplicateResponse, Served, false),
         (Foreign, Served, false),
         (ForeignFirst, Served, false),
         (ForeignInstead, MaybeExecuted, false),
         (ForeignAndSilence, TimedOut, false),
-        (Nameless, MaybeExecuted, false),
-        (TwoNames, MaybeExecuted, false),
+        (MissingId, MaybeExecuted, false),
+        (DuplicateId, MaybeExecuted, false),
         (BothFramings, MaybeExecuted, false),
         (TwoLengths, MaybeExecuted, false),
         (BadChunk, MaybeExecuted, false),
-        (OldChunks, MaybeExecuted, false),
+        (ChunksInHttp10, MaybeExecuted, false),
         (BodyWithout204, MaybeExecuted, false),
-        (Unstamped, MaybeExecuted, false),
-        (Promise(503), NotExecuted, true),
-        (Promise(429), NotExecuted, true),
-        (Promise(421), NotExecuted, true),
+        (Unsigned, MaybeExecuted, false),
+        (NotExecutedStatus(503), NotExecuted, true),
+        (NotExecutedStatus(429), NotExecuted, true),
+        (NotExecutedStatus(421), NotExecuted, true),
         (Failure::Status(421), NotExecuted, true),
         (Failure::Status(500), ServerError, true),
         (Failure::Status(504), ServerError, true),
@@ -155,7 +155,7 @@
             (InBody(end), Truncated, false),
             (InChunks(end), Truncated, false),
         ]);
-        rows.extend([(EarlyPromise(503, end), NotExecuted, false)]);
+        rows.extend([(EarlyNotExecuted(503, end), NotExecuted, false)]);
     }
     for announced in [false, true] {
         rows.push((
@@ -263,7 +263,7 @@
     ClientRequest {
         method: form.0,
         target: class.target(),
-        id_header: GATE.id,
+        id_header: GATE.id_header,
         id,
         headers,
         body: form.1,
@@ -382,7 +382,8 @@
                     );
                     let is_reused = connection("r1").last() == of_next.last();
                     let is_long = form.1 == RequestBody::Sized(LONG_BODY);
-                    let is_rejection = matches!(failure, Failure::Status(_) | Failure::Promise(_));
+                    let is_rejection =
+                        matches!(failure, Failure::Status(_) | Failure::NotExecutedStatus(_));
                     assert_eq!(
                         is_reused,
                         is_connection_reused && !(is_long && is_rejection),
@@ -483,9 +484,9 @@
 #[test]
 fn early_response_leaves_no_other_bytes_where_the_rest_of_a_body_is_due() {
     for failure in [
-        Failure::EarlyPromise(503, Kept),
-        Failure::EarlyPromise(429, Kept),
-        Failure::EarlyPromise(421, Kept),
+        Failure::EarlyNotExecuted(503, Kept),
+        Failure::EarlyNotExecuted(429, Kept),
+        Failure::EarlyNotExecuted(421, Kept),
         Failure::EarlyError(Kept),
     ] {
         run_test(async move {
--- a/crates/ironmast/tests/failing_servers.rs
+++ b/crates/ironmast/tests/failing_servers.rs
@@ -78,8 +78,8 @@
         (Failure::None, Served),
         (Failure::Interim(100), Served),
         (Failure::Interim(103), Served),
-        (Failure::Noise, Served),
-        (Failure::Twice, Served),
+        (Failure::TrailingBytes, Served),
+        (Failure::DuplicateResponse, Served),
         (Failure::Foreign, Served),
         (
             Failure::Unframed {
@@ -99,14 +99,14 @@
         (Failure::BothFramings, Unknown),
         (Failure::TwoLengths, Unknown),
         (Failure::BadChunk, Unknown),
-        (Failure::OldChunks, Unknown),
+        (Failure::ChunksInHttp10, Unknown),
         (Failure::BodyWithout204, Unknown),
         (Failure::Status(500), Unknown),
         (Failure::Status(503), Unknown),
         (Failure::Status(504), Unknown),
         (Failure::Status(429), Rejected),
-        (Failure::Promise(503), NotRun),
-        (Failure::Promise(504), NotRun),
+        (Failure::NotExecutedStatus(503), NotRun),
+        (Failure::NotExecutedStatus(504), NotRun),
     ];
     for end in [Closed, Reset] {
         rows.extend([
@@ -202,7 +202,7 @@
         (Failure::Status(500), Meaning::Unknown),
         (Failure::Status(503), Meaning::Unknown),
         (Failure::Status(429), Meaning::Rejected),
-        (Failure::Promise(503), Meaning::NotRun),
+        (Failure::NotExecutedStatus(503), Meaning::NotRun),
     ] {
         for class in CLASSES {
             for &body in class.bodies {
