--- a/crates/fault-injection/src/expectations.rs
+++ b/crates/fault-injection/src/expectations.rs
@@ -1,7 +1,6 @@
-//! What must hold of a run: a scenario's `[expect]` table, and the verdict whether it did. No I/O.
+//! The assertions of a scenario: its `[expect]` table, checked against a run. There is no I/O here.
 //!
-//! A run that served nothing, or whose load could not be sent, never holds, with or without a
-//! table.
+//! A run in which no request was served always fails, with or without a table.
 //!
 //! ```toml
 //! [expect]
@@ -33,226 +32,238 @@
 pub struct Expectations {
     /// The least share of all requests that is served, 0 to 1.
     pub served: Option<f64>,
-    /// What must hold in spans of the run.
-    #[serde(default)]
-    pub span: Vec<Span>,
-    /// When service must be whole again.
+    /// Assertions on time spans of the run.
+    #[serde(default, rename = "span")]
+    pub spans: Vec<Span>,
+    /// When the service must have recovered.
     #[serde(default, rename = "whole")]
-    pub recovery: Vec<Recovery>,
+    pub recoveries: Vec<Recovery>,
 }
 
-/// What must hold between two moments, in seconds from the start of the load.
+/// An assertion on a time span, in seconds from the start of the load.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Span {
-    /// Its beginning, 0 or more.
+    /// Its start, 0 or more.
     pub from_s: f64,
-    /// Its end, after the beginning and not after the load's.
+    /// Its end, after the start and not after the end of the load.
     pub to_s: f64,
-    /// The least share served of the requests meant to go in it, 0 to 1.
+    /// The least share of the requests sent in the span that is served, 0 to 1.
     pub served: Option<f64>,
-    /// The zone whose pay servers are to run `runs` of what begins to run in it.
+    /// The zone whose pay servers execute at least the share `runs` of what begins in the span.
     pub zone: Option<String>,
-    /// The least share of runs in `zone`, 0 to 1.
+    /// The least share of executions in `zone`, 0 to 1.
     pub runs: Option<f64>,
 }
 
-/// When service must be whole again after something happened, in seconds from the start of the
-/// load.
+/// When the service must have recovered from an event, in seconds from the start of the load.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Recovery {
-    /// When it happened.
+    /// When the event happened.
     pub after_s: f64,
-    /// By so many seconds later a stretch begins in which every request is served ...
+    /// The longest time from the event until the start of a span in which every request is served.
     pub within_s: f64,
-    /// ... for so long.
+    /// The duration of that span.
     pub for_s: f64,
-    /// Of one proxy's clients alone.
+    /// The proxy whose clients are considered; `None` for all proxies.
     pub proxy: Option<usize>,
 }
 
-/// A table that cannot be held against a run, with the file's key.
+/// A table that cannot be checked against a run, with the key in the file.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ExpectationError {
-    /// A share or time out of its range.
+    /// A share or a time is out of range.
     #[error("{0}: {1} expected")]
     Range(String, &'static str),
-    /// A zone that the layout has not.
-    #[error("{key}: no zone `{zone}`; there is {there}")]
+    /// The layout does not have this zone.
+    #[error("{key}: no zone `{zone}`; there is {known}")]
     Zone {
-        /// The file's key.
+        /// The key in the file.
         key: String,
-        /// The zone it names.
+        /// The zone in the file.
         zone: String,
-        /// The zones there are.
-        there: String,
+        /// The zones of the layout.
+        known: String,
     },
-    /// A proxy that the layout has not.
+    /// The layout does not have this proxy.
     #[error("{0}: no proxy {1}; there are 0 to {2}")]
     Proxy(String, usize, usize),
 }
 
 impl Expectations {
-    /// Checks the table against a run of `length_s` seconds, `zones` and `proxies`.
+    /// Checks the table against a load of `duration_s` seconds and the layout.
     ///
     /// # Errors
-    /// The first key that is out of range, or names a zone or proxy that is not there.
+    /// The first key that is out of range or names an unknown zone or proxy.
     pub fn check(
         &self,
-        length_s: f64,
+        duration_s: f64,
         zones: &[String],
         proxies: usize,
     ) -> Result<(), ExpectationError> {
-        let share = |key: String, share: Option<f64>| match share {
-            Some(s) if !(0.0..=1.0).contains(&s) => {
-                Err(ExpectationError::Range(key, "a share of 0 to 1"))
-            }
-            _ => Ok(()),
-        };
-        share("expect.served".into(), self.served)?;
-        for (n, span) in self.span.iter().enumerate() {
-            let key = |key: &str| format!("expect.span.{n}.{key}");
-            share(key("served"), span.served)?;
-            share(key("runs"), span.runs)?;
-            if !(span.from_s >= 0.0 && span.from_s < span.to_s && span.to_s <= length_s) {
-                return Err(ExpectationError::Range(
-                    key("to_s"),
-                    "seconds after from_s and inside the load",
-                ));
-            }
-            if span.zone.is_some() != span.runs.is_some()
-                || span.runs.is_none() && span.served.is_none()
-            {
-                return Err(ExpectationError::Range(
-                    key("zone"),
-                    "served, or zone and runs together,",
-                ));
-            }
-            if let Some(zone) = span.zone.as_ref().filter(|zone| !zones.contains(zone)) {
-                let there = zones.join(", ");
-                return Err(ExpectationError::Zone {
-                    key: key("zone"),
-                    zone: zone.clone(),
-                    there,
-                });
-            }
+        check_share("expect.served".into(), self.served)?;
+        for (index, span) in self.spans.iter().enumerate() {
+            span.check(index, duration_s, zones)?;
         }
-        for (n, whole) in self.recovery.iter().enumerate() {
-            let key = |key: &str| format!("expect.whole.{n}.{key}");
-            let last = whole.after_s + whole.within_s + whole.for_s;
-            if !(whole.after_s >= 0.0
-                && whole.within_s >= 0.0
-                && whole.for_s > 0.0
-                && last <= length_s)
-            {
-                return Err(ExpectationError::Range(
-                    key("after_s"),
-                    "seconds of 0 or more that end inside the load",
-                ));
-            }
-            if let Some(proxy) = whole.proxy.filter(|proxy| *proxy >= proxies) {
-                return Err(ExpectationError::Proxy(key("proxy"), proxy, proxies - 1));
-            }
+        for (index, recovery) in self.recoveries.iter().enumerate() {
+            recovery.check(index, duration_s, proxies)?;
         }
         Ok(())
     }
 
-    /// What did not hold of a run, a line each; `sent` by proxy, times from the start of the load.
+    /// The assertions that do not hold, one line each. `sent` are the requests of each proxy's
+    /// clients; times count from the start of the load.
     #[must_use]
-    pub fn violations(&self, sent: &[Vec<SentRequest>], runs: &[Execution]) -> Vec<String> {
+    pub fn violations(&self, sent: &[Vec<SentRequest>], executions: &[Execution]) -> Vec<String> {
         let mut violations = Vec::new();
         let mut all: Vec<SentRequest> = sent.iter().flatten().cloned().collect();
-        all.sort_by_key(|s| s.at);
-        if !all.iter().any(|s| s.outcome == Outcome::Served) {
+        all.sort_by_key(|request| request.at);
+        if !all.iter().any(is_served) {
             violations.push(format!("nothing was served of {} requests", all.len()));
         }
         if let Some(least) = self.served {
-            violations.extend(short(
-                "requests served",
-                &all,
-                |s| s.outcome == Outcome::Served,
-                least,
+            violations.extend(shortfall("requests served", &all, is_served, least));
+        }
+        for span in &self.spans {
+            violations.extend(span.violations(&all, executions));
+        }
+        for recovery in &self.recoveries {
+            let requests = match recovery.proxy {
+                Some(proxy) => sent.get(proxy).map_or(&[][..], Vec::as_slice),
+                None => &all,
+            };
+            violations.extend(recovery.violation(requests));
+        }
+        violations
+    }
+}
+
+fn check_share(key: String, share: Option<f64>) -> Result<(), ExpectationError> {
+    match share {
+        Some(share) if !(0.0..=1.0).contains(&share) => {
+            Err(ExpectationError::Range(key, "a share of 0 to 1"))
+        }
+        _ => Ok(()),
+    }
+}
+
+impl Span {
+    fn check(
+        &self,
+        index: usize,
+        duration_s: f64,
+        zones: &[String],
+    ) -> Result<(), ExpectationError> {
+        let key = |key: &str| format!("expect.span.{index}.{key}");
+        check_share(key("served"), self.served)?;
+        check_share(key("runs"), self.runs)?;
+        if !(self.from_s >= 0.0 && self.from_s < self.to_s && self.to_s <= duration_s) {
+            return Err(ExpectationError::Range(
+                key("to_s"),
+                "seconds after from_s and inside the load",
             ));
         }
-        for Span {
-            from_s,
-            to_s,
-            served,
-            zone,
-            runs: least_runs,
-        } in &self.span
-        {
-            let inside = |at: Duration| (*from_s..*to_s).contains(&at.as_secs_f64());
-            let when = format!("from {from_s} to {to_s} s");
-            if let Some(least) = served {
-                let here: Vec<SentRequest> = all.iter().filter(|s| inside(s.at)).cloned().collect();
-                let what = format!("requests served {when}");
-                violations.extend(short(
-                    &what,
-                    &here,
-                    |s| s.outcome == Outcome::Served,
-                    *least,
-                ));
-            }
-            if let Some((zone, least)) = zone.as_ref().zip(*least_runs) {
-                let here: Vec<Execution> = runs.iter().filter(|r| inside(r.at)).cloned().collect();
-                let of_zone = |r: &Execution| {
-                    r.server
-                        .rsplit_once('-')
-                        .is_some_and(|(name, _)| name == zone.as_str())
-                };
-                violations.extend(short(
-                    &format!("runs in {zone} {when}"),
-                    &here,
-                    of_zone,
-                    least,
-                ));
-            }
+        let asserts_nothing = self.runs.is_none() && self.served.is_none();
+        if self.zone.is_some() != self.runs.is_some() || asserts_nothing {
+            return Err(ExpectationError::Range(
+                key("zone"),
+                "served, or zone and runs together,",
+            ));
+        }
+        match &self.zone {
+            Some(zone) if !zones.contains(zone) => Err(ExpectationError::Zone {
+                key: key("zone"),
+                zone: zone.clone(),
+                known: zones.join(", "),
+            }),
+            _ => Ok(()),
         }
-        for Recovery {
-            after_s,
-            within_s,
-            for_s,
-            proxy,
-        } in &self.recovery
-        {
-            let theirs: Vec<SentRequest> = match proxy {
-                Some(proxy) => sent.get(*proxy).cloned().unwrap_or_default(),
-                None => all.clone(),
+    }
+
+    fn contains(&self, at: Duration) -> bool {
+        (self.from_s..self.to_s).contains(&at.as_secs_f64())
+    }
+
+    fn violations(&self, sent: &[SentRequest], executions: &[Execution]) -> Vec<String> {
+        let mut violations = Vec::new();
+        let when = format!("from {} to {} s", self.from_s, self.to_s);
+        if let Some(least) = self.served {
+            let in_span = sent.iter().filter(|request| self.contains(request.at));
+            let in_span: Vec<SentRequest> = in_span.cloned().collect();
+            let what = format!("requests served {when}");
+            violations.extend(shortfall(&what, &in_span, is_served, least));
+        }
+        if let Some((zone, least)) = self.zone.as_ref().zip(self.runs) {
+            let in_span = executions.iter().filter(|run| self.contains(run.at));
+            let in_span: Vec<Execution> = in_span.cloned().collect();
+            let is_in_zone = |execution: &Execution| {
+                let server_zone = execution.server.rsplit_once('-').map(|(zone, _)| zone);
+                server_zone == Some(zone)
             };
-            let who = proxy.map_or("all proxies".to_string(), |p| format!("proxy {p}"));
-            let (from, span) = (
-                Duration::from_secs_f64(*after_s),
-                Duration::from_secs_f64(*for_s),
-            );
-            match recovery_time(&theirs, from, span) {
-                Some(at) if at.as_secs_f64() <= after_s + within_s => {}
-                Some(at) => violations.push(format!(
-                    "{who}: whole again at {:.2} s, {:.2} s expected",
-                    at.as_secs_f64(),
-                    after_s + within_s
-                )),
-                None => violations.push(format!(
-                    "{who}: never whole again for {for_s} s after {after_s} s"
-                )),
-            }
+            let what = format!("runs in {zone} {when}");
+            violations.extend(shortfall(&what, &in_span, is_in_zone, least));
         }
         violations
     }
 }
 
-/// A line where fewer than the least share of them are so; of none at all nothing can hold.
-fn short<T>(what: &str, of: &[T], so: impl Fn(&T) -> bool, least: f64) -> Option<String> {
-    let count = of.iter().filter(|x| so(x)).count();
-    let share = count as f64 / of.len().max(1) as f64;
-    let holds = !of.is_empty() && share >= least;
-    (!holds).then(|| {
-        format!(
-            "{what}: {count} of {} ({share:.3}), {least} expected",
-            of.len()
-        )
-    })
+impl Recovery {
+    fn check(&self, index: usize, duration_s: f64, proxies: usize) -> Result<(), ExpectationError> {
+        let key = |key: &str| format!("expect.whole.{index}.{key}");
+        let end_s = self.after_s + self.within_s + self.for_s;
+        let is_positive = self.after_s >= 0.0 && self.within_s >= 0.0 && self.for_s > 0.0;
+        if !(is_positive && end_s <= duration_s) {
+            return Err(ExpectationError::Range(
+                key("after_s"),
+                "seconds of 0 or more that end inside the load",
+            ));
+        }
+        match self.proxy {
+            Some(proxy) if proxy >= proxies => {
+                Err(ExpectationError::Proxy(key("proxy"), proxy, proxies - 1))
+            }
+            _ => Ok(()),
+        }
+    }
+
+    fn violation(&self, sent: &[SentRequest]) -> Option<String> {
+        let Recovery { after_s, for_s, .. } = self;
+        let clients = match self.proxy {
+            Some(proxy) => format!("proxy {proxy}"),
+            None => "all proxies".to_string(),
+        };
+        let after = Duration::from_secs_f64(*after_s);
+        let span = Duration::from_secs_f64(*for_s);
+        let latest_s = after_s + self.within_s;
+        match recovery_time(sent, after, span).map(|time| time.as_secs_f64()) {
+            Some(time_s) if time_s <= latest_s => None,
+            Some(time_s) => Some(format!(
+                "{clients}: whole again at {time_s:.2} s, {latest_s:.2} s expected"
+            )),
+            None => Some(format!(
+                "{clients}: never whole again for {for_s} s after {after_s} s"
+            )),
+        }
+    }
+}
+
+fn is_served(request: &SentRequest) -> bool {
+    request.outcome == Outcome::Served
+}
+
+/// A line if fewer than the least share of the items meet the condition, or if there are no items.
+fn shortfall<T>(
+    what: &str,
+    items: &[T],
+    condition: impl Fn(&T) -> bool,
+    least: f64,
+) -> Option<String> {
+    let total = items.len();
+    let count = items.iter().filter(|item| condition(item)).count();
+    let share = count as f64 / total.max(1) as f64;
+    let holds = total > 0 && share >= least;
+    (!holds).then(|| format!("{what}: {count} of {total} ({share:.3}), {least} expected"))
 }
 
 #[cfg(test)]
--- a/crates/fault-injection/src/expectations/tests.rs
+++ b/crates/fault-injection/src/expectations/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn each_expectation_holds_and_is_missed() {
+fn each_assertion_holds_for_a_good_run_and_is_violated_by_a_bad_one() {
     let good: Vec<SentRequest> = (0..100).map(|n| sent(n * 100, Outcome::Served)).collect();
     let mut bad = good.clone();
     bad[50..60]
@@ -77,26 +77,27 @@
 }
 
 #[test]
-fn tables_that_fit_no_run_are_named_by_their_key() {
+fn a_table_that_fits_no_run_is_rejected_with_its_key() {
     let zones = ["a".to_string()];
-    let told = |text: &str| {
+    let error = |text: &str| {
         expect(text)
             .check(10.0, &zones, 2)
             .expect_err("bad")
             .to_string()
     };
-    assert!(told("served = 1.5").contains("expect.served"));
+    assert!(error("served = 1.5").contains("expect.served"));
     assert!(
-        told("[[span]]\nfrom_s = 5.0\nto_s = 11.0\nserved = 0.5").contains("expect.span.0.to_s")
+        error("[[span]]\nfrom_s = 5.0\nto_s = 11.0\nserved = 0.5").contains("expect.span.0.to_s")
     );
     assert!(
-        told("[[span]]\nfrom_s = 5.0\nto_s = 6.0\nzone = \"a\"").contains("zone and runs together")
+        error("[[span]]\nfrom_s = 5.0\nto_s = 6.0\nzone = \"a\"")
+            .contains("zone and runs together")
     );
-    let zone = told("[[span]]\nfrom_s = 5.0\nto_s = 6.0\nzone = \"b\"\nruns = 0.5");
+    let zone = error("[[span]]\nfrom_s = 5.0\nto_s = 6.0\nzone = \"b\"\nruns = 0.5");
     assert_eq!(zone, "expect.span.0.zone: no zone `b`; there is a");
     assert!(
-        told("[[whole]]\nafter_s = 9.0\nwithin_s = 1.0\nfor_s = 1.0").contains("expect.whole.0")
+        error("[[whole]]\nafter_s = 9.0\nwithin_s = 1.0\nfor_s = 1.0").contains("expect.whole.0")
     );
-    let proxy = told("[[whole]]\nafter_s = 1.0\nwithin_s = 1.0\nfor_s = 1.0\nproxy = 2");
+    let proxy = error("[[whole]]\nafter_s = 1.0\nwithin_s = 1.0\nfor_s = 1.0\nproxy = 2");
     assert_eq!(proxy, "expect.whole.0.proxy: no proxy 2; there are 0 to 1");
 }
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,5 +1,5 @@
-//! Proxies as real processes: started, signalled and watched by their process id, and ended with
-//! the stage.
+//! Proxies as processes: started, signalled and measured by their process id, and ended with their
+//! owner.
 
 use std::io::{BufRead as _, BufReader};
 use std::net::SocketAddr;
@@ -10,108 +10,141 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// A signal the stage sends to a proxy.
+/// How often a state of the process is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// A signal to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
     /// SIGKILL: a crash.
     Kill,
-    /// SIGTERM: a planned end.
+    /// SIGTERM: a graceful shutdown.
     Term,
     /// SIGSTOP: a pause, until [`ProcessSignal::Continue`].
     Stop,
     /// SIGCONT.
     Continue,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     Hangup,
 }
 
-/// Errors of starting a proxy.
+impl ProcessSignal {
+    fn number(self) -> Signal {
+        match self {
+            ProcessSignal::Kill => Signal::KILL,
+            ProcessSignal::Term => Signal::TERM,
+            ProcessSignal::Stop => Signal::STOP,
+            ProcessSignal::Continue => Signal::CONT,
+            ProcessSignal::Hangup => Signal::HUP,
+        }
+    }
+}
+
+/// A proxy that did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The program could not be run.
     #[error("the proxy could not be run: {0}")]
     Spawn(#[from] std::io::Error),
-    /// It ended or fell silent before it told where operators call.
+    /// The process ended or timed out before it logged its operations address; with its last log
+    /// lines.
     #[error("the proxy never told where operators call (its last lines: {0})")]
     Silent(String),
 }
 
-/// One proxy process. It is owned here alone: dropping it kills and reaps it.
+/// The resources that a process uses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ResourceUsage {
+    /// Resident memory in bytes.
+    pub memory: u64,
+    /// The number of open file descriptors.
+    pub descriptors: usize,
+}
+
+/// One proxy process. Dropping it kills and reaps the process.
 pub struct Proxy {
-    /// Its name on the stage, as in link names (`proxy0`).
+    /// Its name in links (`proxy0`).
     pub name: String,
-    /// Where its operators' address listens.
+    /// Its operations address.
     pub ops: SocketAddr,
     child: Child,
     log: Arc<Mutex<Vec<String>>>,
 }
 
+/// The command that runs a proxy with this configuration file and state directory.
+fn command(program: &Path, config: &Path, state: &Path) -> std::io::Result<Command> {
+    // The process runs in its state directory, against which a relative path would be resolved.
+    let mut command = Command::new(std::path::absolute(program)?);
+    command
+        .arg("run")
+        .env("GW_CONFIG", config)
+        .env("GW_OPS", "127.0.0.1:0")
+        .env("TMPDIR", state)
+        .current_dir(state)
+        .stderr(Stdio::piped())
+        .stdout(Stdio::null())
+        .stdin(Stdio::null());
+    for variable in ["GW_NAME", "GW_LISTEN", "GW_DISCOVERY"] {
+        command.env_remove(variable);
+    }
+    Ok(command)
+}
+
+/// The operations address in a log line.
+fn operations_address(line: &str) -> Option<SocketAddr> {
+    let (_, rest) = line.split_once("ops: ")?;
+    rest.split([',', ' ', '"']).next()?.trim().parse().ok()
+}
+
 impl Proxy {
-    /// Runs `program run` with this configuration file, `GW_OPS` on a port of the system's choice
-    /// and `TMPDIR` at `state` (its state directory, where a successor finds it, and its working
-    /// directory, where it reads `deploy/membership.toml`), and waits (at most `patience`) until it
-    /// tells where operators call.
+    /// Runs `program run` with this configuration file, with `GW_OPS` on a port of the system's
+    /// choice, and waits at most `timeout` until it logs its operations address. `state` is its
+    /// `TMPDIR`, where a successor finds its state, and its working directory, where it reads
+    /// `deploy/membership.toml`.
     ///
     /// # Errors
-    /// The program cannot be started.
+    /// The program cannot be run, ends or logs no address in time.
     pub fn start(
         name: &str,
         program: &Path,
         config: &Path,
         state: &Path,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Proxy, StartError> {
-        // It runs in its state directory: a relative path would be looked for there.
-        let mut command = Command::new(std::path::absolute(program)?);
-        command
-            .arg("run")
-            .env("GW_CONFIG", config)
-            .env("GW_OPS", "127.0.0.1:0")
-            .env("TMPDIR", state)
-            .current_dir(state);
-        command
-            .stderr(Stdio::piped())
-            .stdout(Stdio::null())
-            .stdin(Stdio::null());
-        for variable in ["GW_NAME", "GW_LISTEN", "GW_DISCOVERY"] {
-            command.env_remove(variable);
-        }
-        let mut child = command.spawn()?;
+        let mut child = command(program, config, state)?.spawn()?;
         let stderr = child.stderr.take().expect("piped");
         let log = Arc::new(Mutex::new(Vec::new()));
         let lines = Arc::clone(&log);
-        // The log is drained at once, so that a proxy never waits on a full pipe.
+        // The log is read at once, so that the process never blocks on a full pipe.
         std::thread::spawn(move || {
-            for line in BufReader::new(stderr).lines() {
-                let Ok(line) = line else { return };
+            for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 lines.lock().expect("not poisoned").push(line);
             }
         });
-        let start = Instant::now();
-        let mut proxy = Proxy {
+        let proxy = Proxy {
             name: name.into(),
             ops: SocketAddr::from(([127, 0, 0, 1], 0)),
             child,
             log,
         };
+        proxy.await_operations_address(timeout)
+    }
+
+    fn await_operations_address(mut self, timeout: Duration) -> Result<Proxy, StartError> {
+        let start = Instant::now();
         loop {
-            let found = proxy
-                .log
-                .lock()
-                .expect("not poisoned")
-                .iter()
-                .find_map(|line| {
-                    let (_, rest) = line.split_once("ops: ")?;
-                    rest.split([',', ' ', '"']).next()?.trim().parse().ok()
-                });
-            if let Some(ops) = found {
-                proxy.ops = ops;
-                return Ok(proxy);
+            let address = {
+                let log = self.log.lock().expect("not poisoned");
+                log.iter().find_map(|line| operations_address(line))
+            };
+            if let Some(address) = address {
+                self.ops = address;
+                return Ok(self);
             }
-            if start.elapsed() > patience || proxy.child.try_wait().ok().flatten().is_some() {
-                return Err(StartError::Silent(proxy.tail(3)));
+            if start.elapsed() > timeout || self.has_ended() {
+                return Err(StartError::Silent(self.tail(3)));
             }
-            std::thread::sleep(Duration::from_millis(5));
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -127,62 +160,52 @@
         self.log.lock().expect("not poisoned").clone()
     }
 
-    /// The last `n` lines of its log, joined by ` | `.
+    /// The last `count` lines of its log, joined by ` | `.
     #[must_use]
-    pub fn tail(&self, n: usize) -> String {
+    pub fn tail(&self, count: usize) -> String {
         let log = self.log.lock().expect("not poisoned");
-        log[log.len().saturating_sub(n)..].join(" | ")
+        log[log.len().saturating_sub(count)..].join(" | ")
     }
 
-    /// Sends it a signal; an error where it has already been reaped.
+    /// Sends it a signal.
     ///
     /// # Errors
-    /// The process has ended.
-    pub fn signal(&self, sent: ProcessSignal) -> std::io::Result<()> {
-        let signal = match sent {
-            ProcessSignal::Kill => Signal::KILL,
-            ProcessSignal::Term => Signal::TERM,
-            ProcessSignal::Stop => Signal::STOP,
-            ProcessSignal::Continue => Signal::CONT,
-            ProcessSignal::Hangup => Signal::HUP,
-        };
+    /// The process has ended and has been reaped.
+    pub fn signal(&self, signal: ProcessSignal) -> std::io::Result<()> {
         let pid = Pid::from_child(&self.child);
-        kill_process(pid, signal).map_err(std::io::Error::from)
+        kill_process(pid, signal.number()).map_err(std::io::Error::from)
     }
 
-    /// Whether it has ended (and is reaped).
-    pub fn ended(&mut self) -> bool {
+    /// Whether it has ended; if so, reaps it.
+    pub fn has_ended(&mut self) -> bool {
         self.child.try_wait().ok().flatten().is_some()
     }
 
-    /// Resident memory in bytes and open descriptors, from /proc; none once it has ended.
+    /// Its memory and open descriptors, from `/proc`; `None` once it has ended.
     #[must_use]
-    pub fn usage(&self) -> Option<(u64, usize)> {
+    pub fn usage(&self) -> Option<ResourceUsage> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).ok()?;
-        let kb: u64 = status
+        let resident = status
             .lines()
-            .find_map(|l| l.strip_prefix("VmRSS:"))?
-            .trim()
-            .trim_end_matches("kB")
-            .trim()
-            .parse()
-            .ok()?;
-        let descriptors = std::fs::read_dir(format!("/proc/{}/fd", self.pid()))
-            .ok()?
-            .count();
-        Some((kb * 1024, descriptors))
+            .find_map(|line| line.strip_prefix("VmRSS:"))?;
+        let kilobytes: u64 = resident.trim().trim_end_matches("kB").trim().parse().ok()?;
+        let descriptors = std::fs::read_dir(format!("/proc/{}/fd", self.pid())).ok()?;
+        Some(ResourceUsage {
+            memory: kilobytes * 1024,
+            descriptors: descriptors.count(),
+        })
     }
 
-    /// Asks its operators' address `ready` until it says yes, at most `patience`; the time that
-    /// took.
+    /// Sends the command `ready` to its operations address until it responds `+OK`, at most for
+    /// `timeout`; returns how long that took.
     #[must_use]
-    pub fn ready(&self, patience: Duration) -> Option<Duration> {
+    pub fn ready(&self, timeout: Duration) -> Option<Duration> {
         let start = Instant::now();
-        while start.elapsed() < patience {
-            if crate::call(self.ops, "ready").is_ok_and(|a| a.starts_with("+OK")) {
+        while start.elapsed() < timeout {
+            if crate::call(self.ops, "ready").is_ok_and(|response| response.starts_with("+OK")) {
                 return Some(start.elapsed());
             }
-            std::thread::sleep(Duration::from_millis(5));
+            std::thread::sleep(POLL_INTERVAL);
         }
         None
     }
@@ -191,6 +214,7 @@
 impl Drop for Proxy {
     fn drop(&mut self) {
         let _ = self.signal(ProcessSignal::Continue);
-        let _ = (self.child.kill(), self.child.wait());
+        let _ = self.child.kill();
+        let _ = self.child.wait();
     }
 }
--- a/crates/fault-injection/src/verdict/tests.rs
+++ b/crates/fault-injection/src/verdict/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_request_run_twice_is_named_unless_its_class_allows_it() {
+fn a_request_executed_twice_is_reported_unless_its_class_allows_it() {
     let runs = [
         run("a", "deposit-order"),
         run("a", "deposit-order"),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_answer_no_pay_server_made_is_named() {
+fn a_response_without_an_execution_is_reported() {
     let v = check_executions(
         &[sent("c", 0, Outcome::Served), sent("d", 0, Outcome::Broken)],
         &[],
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn service_is_back_where_a_whole_span_is_served() {
+fn the_service_has_recovered_once_a_whole_span_is_served() {
     use Outcome::*;
     let s: Vec<SentRequest> = [Served, Broken, Broken, Served, Served, Served, Served]
         .iter()
