--- a/crates/endpoints/src/versions.rs
+++ b/crates/endpoints/src/versions.rs
@@ -3,7 +3,8 @@
 //! Each sequence owns a range of versions, so that an entry's expiry and its removal lie above the
 //! heartbeat that they follow and below the next one.
 
-/// Versions that one heartbeat sequence covers: alive, unreachable, removed.
+/// Versions that one heartbeat sequence covers: alive, unreachable, removed, and a spare one. Agents
+/// give the statuses of their gates the same distance (`VERSIONS_PER_STATUS` in `ironmast-agent`).
 const VERSIONS_PER_SEQUENCE: u64 = 4;
 /// Added to the version of the last contact when an endpoint expires.
 pub(crate) const EXPIRY_INCREMENT: u64 = 1;
--- a/crates/overlay/src/overlay/dissemination.rs
+++ b/crates/overlay/src/overlay/dissemination.rs
@@ -91,15 +91,19 @@
             .and_then(|from| self.links.get(&from))
             .and_then(|link| link.node);
         match (origin, sender) {
+            // Published here, by a coordinator in contact.
             (Origin::Local, _) if is_coordinator && self.in_contact => {
                 self.coordinator_per_region()
             }
+            // Published here, by a node that cannot have children.
             (Origin::Local, _) => self.links.keys().copied().collect(),
+            // Disseminated along an edge of which at least one end is an agent.
             (Origin::Dissemination(from), Some(node))
                 if !is_coordinator || !node.is_coordinator() =>
             {
                 self.off_tree_relay_targets(from)
             }
+            // A coordinator received it from another region: it pushes it to those of its own.
             (_, Some(node)) if is_coordinator && !self.is_in_region(&node) => self
                 .linked_coordinators()
                 .filter(|node| self.is_in_region(node))
--- a/crates/register/src/node/heartbeat.rs
+++ b/crates/register/src/node/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats and their responses, by which the quorum lease is measured.
+//! Heartbeats and their responses, by which the quorum lease is measured. The lease itself is in
+//! [`crate::quorum_lease`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/register/src/node/read_repair.rs
+++ b/crates/register/src/node/read_repair.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Reads the register for the node's own sake.
+    /// Reads the register without a caller: the state that is read goes to the learner.
     pub(super) fn read(&mut self, now: Duration) {
         self.submit_internal(now, Operation::Read);
     }
--- a/crates/register/src/reconfiguration.rs
+++ b/crates/register/src/reconfiguration.rs
@@ -4,7 +4,7 @@
 //! Safety never depends on it: a change is decided like any other, by the majorities of a joint
 //! membership. It guards against a register that tolerates no further loss because a lost replica
 //! isn't replaced, and against needless changes because one node alone can't reach a healthy
-//! member.
+//! member. The rules are here and in `plan`; `node::reconfiguration` connects them to the node.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
     since: Duration,
 }
 
-/// Follows the coordinators and decides which replica change is due.
+/// Tracks the state of all coordinators and decides which replica change is due.
 #[derive(Clone, Debug)]
 pub struct ReplicaSetController {
     own: Replica,
