--- /dev/null
+++ b/crates/testbed/src/hunt/generator.rs
@@ -0,0 +1,234 @@
+//! Generates random scenarios and faults (swarm testing, Groce et al. 2012: each scenario has some
+//! kinds of faults and not others).
+
+use ironmast_emulator::{
+    Arrivals, Class, Clients, DiscoverySpec, EffectSpec, GroupSpec, Law, Network, Pool, Proxies,
+    Purpose, RetryWait, Rules, Scenario, Stream, Trouble, TroubleKind,
+};
+
+/// Generates a scenario without faults.
+pub(super) fn generate_scenario(seed: u64) -> Scenario {
+    let random = &mut Stream::new(seed, Purpose::GeneratedScenarios, 0);
+    let zones: Vec<String> = (0..=random.below(4)).map(|z| format!("z{z}")).collect();
+    let length_s = random.uniform((10.0, 30.0)).round();
+    let classes = 1 + random.below(3);
+    let class = (0..classes).map(|i| generate_class(random, i)).collect();
+    let pools = 1 + random.below(3);
+    let pool = (0..pools)
+        .map(|i| generate_pool(random, i, &zones))
+        .collect();
+    let mut scenario = Scenario {
+        name: format!("hunt-{seed}"),
+        about: String::new(),
+        length_s,
+        warmup_s: 0.0,
+        window_s: 5.0,
+        zones,
+        clients: generate_clients(random),
+        proxies: generate_proxies(random),
+        network: Network {
+            inside_ms: random.uniform((0.0, 2.0)),
+            between_ms: random.uniform((1.0, 40.0)),
+            jitter: random.unit(),
+            datagram_loss: random.unit() * 0.2,
+            connect_timeout_ms: random.uniform((50.0, 400.0)),
+            idle_close_s: random.uniform((1.0, 60.0)),
+        },
+        discovery: DiscoverySpec {
+            watch: random.unit() < 0.8,
+            start_s: random.uniform((0.0, 3.0)),
+            drain_s: random.uniform((0.0, 1.5)),
+            gone_s: random.uniform((0.0, 4.0)),
+            spread_s: random.uniform((0.0, 0.5)),
+            calls_per_s: random.uniform((2.0, 500.0)),
+            most_wait_s: random.uniform((0.2, 3.0)),
+        },
+        rules: Rules::default(),
+        class,
+        pool,
+        trouble: Vec::new(),
+    };
+    if scenario.zones.len() > 1 && random.unit() < 0.4 {
+        scenario.proxies.zone_weights = scenario
+            .zones
+            .iter()
+            .map(|_| random.unit() + 0.01)
+            .collect();
+    }
+    // From mostly idle to overloaded.
+    scenario.clients.rate = (scenario.capacity() * random.uniform((0.15, 1.3))).clamp(1.0, 3_000.0);
+    scenario
+}
+
+fn generate_class(random: &mut Stream, number: usize) -> Class {
+    let work_ms = random.uniform((2.0, 120.0));
+    let aim_ms = work_ms * random.uniform((3.0, 12.0));
+    Class {
+        name: format!("c{number}"),
+        share: random.unit() + 0.05,
+        effect: [EffectSpec::Free, EffectSpec::Keyed, EffectSpec::Once][random.below(3)],
+        group: [GroupSpec::All, GroupSpec::Zone][random.below(2)],
+        dedup_s: random.uniform((0.05, 8.0)),
+        law: [Law::Fixed, Law::Exponential, Law::Lognormal][random.below(3)],
+        work_ms,
+        cv: random.uniform((0.1, 2.0)),
+        aim_ms,
+        deadline_ms: aim_ms * random.uniform((1.0, 5.0)),
+        worth: random.uniform((0.5, 10.0)),
+    }
+}
+
+fn generate_pool(random: &mut Stream, number: usize, zones: &[String]) -> Pool {
+    let cores = 1 + random.below(6) as u32;
+    let least = random.uniform((0.4, 1.0));
+    Pool {
+        kind: format!("p{number}"),
+        zone: if random.unit() < 0.7 {
+            "*".into()
+        } else {
+            zones[random.below(zones.len())].clone()
+        },
+        servers: 1 + random.below(8) as u32,
+        cores,
+        slots: if random.unit() < 0.7 {
+            0
+        } else {
+            cores * (1 + random.below(4) as u32)
+        },
+        queue: random.below(80) as u32,
+        speed: (least, least * random.uniform((1.0, 2.0))),
+        connections: if random.unit() < 0.6 {
+            0
+        } else {
+            20 + random.below(200) as u32
+        },
+        handshake_work_ms: random.unit() * 2.0,
+        probe_work_ms: random.unit() * 0.5,
+        cold_share: random.uniform((0.2, 1.0)),
+        cold_s: random.uniform((1.0, 12.0)),
+        cold_work_s: if random.unit() < 0.7 {
+            0.0
+        } else {
+            random.uniform((1.0, 20.0))
+        },
+        overdrive_ratio: if random.unit() < 0.5 {
+            0.0
+        } else {
+            random.uniform((2.0, 10.0))
+        },
+        overdrive_s: random.uniform((0.5, 3.0)),
+        overdrive_factor: random.uniform((1.2, 4.0)),
+        recover_s: random.uniform((1.0, 20.0)),
+        drops_cancelled: random.unit() < 0.7,
+        drops_overdue: random.unit() < 0.7,
+    }
+}
+
+fn generate_clients(random: &mut Stream) -> Clients {
+    Clients {
+        rate: 1.0,
+        arrivals: [Arrivals::Poisson, Arrivals::Even, Arrivals::Bursty][random.below(3)],
+        burst_s: random.uniform((0.1, 3.0)),
+        rest_s: random.uniform((0.1, 6.0)),
+        burst_factor: random.uniform((1.5, 8.0)),
+        curve: if random.unit() < 0.7 {
+            Vec::new()
+        } else {
+            vec![(2.0, random.unit()), (8.0, 1.0 + random.unit())]
+        },
+        busiest: if random.unit() < 0.6 {
+            1.0
+        } else {
+            random.uniform((1.0, 30.0))
+        },
+        retries: random.below(5) as u32,
+        retry_wait: [
+            RetryWait::AtOnce,
+            RetryWait::Fixed,
+            RetryWait::Exponential,
+            RetryWait::RetryAfter,
+        ][random.below(4)],
+        retry_ms: random.uniform((0.0, 400.0)),
+        patience: (random.uniform((0.3, 0.9)), 1.0),
+        walk_away: if random.unit() < 0.5 {
+            0.0
+        } else {
+            random.unit() * 0.2
+        },
+    }
+}
+
+fn generate_proxies(random: &mut Stream) -> Proxies {
+    Proxies {
+        count: 1 + if random.unit() < 0.7 {
+            random.below(8)
+        } else {
+            random.below(120)
+        } as u32,
+        zone_weights: Vec::new(),
+        most_tries: 1 + random.below(3) as u32,
+        may_duplicate: random.unit() < 0.2,
+        cancel: random.unit() < 0.9,
+        probes: random.unit() < 0.7,
+        peers: false,
+        load_reports: random.unit() < 0.7,
+        max_retry_after_s: random.uniform((0.1, 3.0)),
+        cross_zone: random.unit() * 0.3,
+        sizes: random.unit() < 0.5,
+    }
+}
+
+/// Adds random faults to a scenario: each kind is either present or not.
+pub(super) fn add_faults(scenario: &mut Scenario, seed: u64) {
+    use TroubleKind as K;
+    let random = &mut Stream::new(seed, Purpose::GeneratedScenarios, 1);
+    for kind in [
+        K::Slow,
+        K::SharedSlow,
+        K::Grey,
+        K::Pause,
+        K::Crash,
+        K::ZoneLost,
+        K::ZoneCut,
+        K::Deploy,
+        K::Restart,
+        K::Surge,
+        K::RetryStorm,
+        K::DiscoveryOutage,
+    ] {
+        if random.unit() >= 0.3 {
+            continue;
+        }
+        let zone = scenario.zones[random.below(scenario.zones.len())].clone();
+        let zoned = matches!(kind, K::ZoneLost | K::ZoneCut) || random.unit() < 0.2;
+        let class = scenario.class[random.below(scenario.class.len())]
+            .name
+            .clone();
+        let at_s = (random.unit() * scenario.length_s * 0.7 * 10.0).round() / 10.0;
+        let drawn = Trouble {
+            kind,
+            at_s,
+            for_s: (random.uniform((0.2, (scenario.length_s - at_s).max(0.4))) * 10.0).round()
+                / 10.0,
+            share: random.uniform((0.05, 1.0)),
+            zone: if zoned { zone } else { String::new() },
+            class: if kind == K::Grey {
+                class
+            } else {
+                String::new()
+            },
+            factor: random.uniform((1.2, 8.0)),
+            silent: random.unit() < 0.5,
+            proxies: random.unit() < 0.5,
+            batch: random.uniform((0.05, 0.6)),
+            drain_s: random.uniform((0.2, 5.0)),
+            pause_s: random.uniform((0.02, 1.0)),
+            retries: 1 + random.below(5) as u32,
+        };
+        scenario.trouble.push(drawn);
+        // The fault may concern a zone without servers.
+        if scenario.check().is_err() {
+            scenario.trouble.pop();
+        }
+    }
+}
--- a/crates/testbed/src/hunt/tests.rs
+++ b/crates/testbed/src/hunt/tests.rs
@@ -6,8 +6,8 @@
 fn drawn_scenarios_are_sound_and_differ() {
     let drawn: Vec<Scenario> = (0..300)
         .map(|seed| {
-            let mut scenario = draw(seed);
-            trouble(&mut scenario, seed);
+            let mut scenario = generate_scenario(seed);
+            add_faults(&mut scenario, seed);
             assert_eq!(scenario.check(), Ok(()), "{}", scenario.write());
             assert_eq!(Scenario::read(&scenario.write()).as_ref(), Ok(&scenario));
             scenario
@@ -51,12 +51,15 @@
             .parse()
             .expect("a seed");
         assert!(
-            matches!(hunt.look(&loaded.scenario, seed), Some(Finding::Poor(..))),
+            matches!(
+                hunt.check(&loaded.scenario, seed),
+                Some(Finding::PoorService(..))
+            ),
             "{}",
             loaded.text
         );
-        let mut whole = draw(seed);
-        trouble(&mut whole, seed);
+        let mut whole = generate_scenario(seed);
+        add_faults(&mut whole, seed);
         assert!(loaded.scenario.trouble.len() <= whole.trouble.len());
     }
 }
