--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -245,7 +245,7 @@
             proxy,
             json,
             logs,
-        } => stage::run(stage::Play {
+        } => stage::run(stage::StageArguments {
             scenario: Some(scenario),
             proxy,
             json,
@@ -264,7 +264,7 @@
             seed,
             json,
         }),
-        Command::Demo { proxy } => stage::run(stage::Play {
+        Command::Demo { proxy } => stage::run(stage::StageArguments {
             scenario: None,
             proxy,
             json: None,
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -1,7 +1,7 @@
-//! `ironmast-testbed stage` and `demo`: a stage scenario played with real proxies, a table a
-//! second, one verdict.
+//! `ironmast-testbed stage` and `demo`: run a fault-injection scenario with real proxies, print one
+//! table row per second and the verdict.
 //!
-//! What a scenario (`scenarios/stage/`) says and how it is played:
+//! The format of a scenario (`scenarios/stage/`) and how it is run are described in
 //! `ironmast_fault_injection::scenario`.
 
 use std::path::{Path, PathBuf};
@@ -10,25 +10,29 @@
 
 use ironmast_fault_injection::deployment::Deployment;
 use ironmast_fault_injection::load::{Outcome, SharedResults};
-use ironmast_fault_injection::scenario::{self, parse};
+use ironmast_fault_injection::scenario::{self, Scenario, ScenarioResult, parse};
 
-/// The scenario that `demo` plays.
+/// The scenario of `demo`.
 pub(crate) const DEMO: &str = include_str!("../../../scenarios/stage/zone-cut.toml");
 
-/// What to play and where to write it.
-pub(crate) struct Play {
+/// The arguments of `stage` and `demo`.
+pub(crate) struct StageArguments {
+    /// The scenario's file; the demo if there is none.
     pub scenario: Option<PathBuf>,
+    /// The `ironmast` program; the one beside this program if there is none.
     pub proxy: Option<PathBuf>,
+    /// Where the verdict is written as JSON.
     pub json: Option<PathBuf>,
+    /// The directory for the proxies' logs.
     pub logs: Option<PathBuf>,
 }
 
-/// The `ironmast` program: the one named, or the one beside this program.
+/// The path of the `ironmast` program.
 fn program(named: Option<PathBuf>) -> Result<PathBuf, String> {
     let path = match named {
         Some(path) => path,
         None => std::env::current_exe()
-            .map_err(|e| e.to_string())?
+            .map_err(|error| error.to_string())?
             .with_file_name("ironmast"),
     };
     if path.is_file() {
@@ -41,123 +45,195 @@
     }
 }
 
-/// One line of the live table: the second, what the faults do, and per proxy what its clients saw
-/// in that second.
-fn line(second: u64, stage: &Deployment, tallies: &[SharedResults], zones: &[String]) -> String {
+/// The header of the table.
+fn table_header(proxies: usize, zones: &[String]) -> String {
+    let proxies: String = (0..proxies)
+        .map(|proxy| format!("  p{proxy} ok bad"))
+        .collect();
+    let zones: String = zones.iter().map(|zone| format!(" {zone:>9}")).collect();
+    format!("time {proxies}{zones}  faults")
+}
+
+/// One row of the table, for the second that ends at `second`: per proxy the requests served and
+/// the others, per zone the executions, and the active faults.
+fn table_row(
+    second: u64,
+    deployment: &Deployment,
+    results: &[SharedResults],
+    zones: &[String],
+) -> String {
     let from = Duration::from_secs(second.saturating_sub(1));
     let to = Duration::from_secs(second);
-    let mut text = format!("{second:>4} s ");
-    for tally in tallies {
-        let sent = tally.lock().expect("not poisoned");
-        let window = sent.iter().filter(|s| s.at >= from && s.at < to);
-        let (mut served, mut other) = (0, 0);
-        window.for_each(|s| {
-            if s.outcome == Outcome::Served {
-                served += 1;
-            } else {
-                other += 1;
-            }
-        });
-        text += &format!(" {served:>4} {other:>3}");
+    let mut row = format!("{second:>4} s ");
+    for sent in results {
+        let sent = sent.lock().expect("not poisoned");
+        let in_second = sent
+            .iter()
+            .filter(|request| (from..to).contains(&request.at));
+        let (served, other): (Vec<_>, Vec<_>) =
+            in_second.partition(|request| request.outcome == Outcome::Served);
+        row += &format!(" {:>4} {:>3}", served.len(), other.len());
     }
-    let runs = stage.record.executions();
+    let executions = deployment.record.executions();
     for zone in zones {
         let prefix = format!("{zone}-");
-        let n = runs
-            .iter()
-            .filter(|r| r.at >= from && r.at < to && r.server.starts_with(&prefix))
-            .count();
-        text += &format!(" {n:>9}");
+        let in_zone = executions.iter().filter(|execution| {
+            (from..to).contains(&execution.at) && execution.server.starts_with(&prefix)
+        });
+        row += &format!(" {:>9}", in_zone.count());
     }
-    let now: Vec<String> = stage
+    let faults: Vec<String> = deployment
         .active_faults(to)
         .iter()
-        .map(|f| format!("{:?} {}", f.kind, f.link).to_lowercase())
+        .map(|fault| format!("{:?} {}", fault.kind, fault.link).to_lowercase())
         .collect();
-    text + &format!("  {}", now.join(", "))
+    row + &format!("  {}", faults.join(", "))
+}
+
+/// The figures of a run that are printed and written as JSON.
+struct Summary<'a> {
+    result: &'a ScenarioResult,
+    rejected: usize,
+    failed: usize,
+    broken: usize,
+    timed_out: usize,
+    p50_ms: f64,
+    p99_ms: f64,
 }
 
-/// Plays a scenario; exit 1 where something ran twice, was served without a run or is not as the
-/// scenario expects, 2 where it could not be played.
-pub(crate) fn run(play: Play) -> Result<ExitCode, String> {
-    let (text, from) = match &play.scenario {
+impl<'a> Summary<'a> {
+    fn new(result: &'a ScenarioResult) -> Summary<'a> {
+        let count = |outcome| {
+            let requests = result.sent.iter().flatten();
+            requests
+                .filter(|request| request.outcome == outcome)
+                .count()
+        };
+        let latency_ms = |quantile| result.latency.value_at_quantile(quantile) as f64 / 1e3;
+        Summary {
+            result,
+            rejected: count(Outcome::Rejected),
+            failed: count(Outcome::Failed),
+            broken: count(Outcome::Broken),
+            timed_out: count(Outcome::TimedOut),
+            p50_ms: latency_ms(0.5),
+            p99_ms: latency_ms(0.99),
+        }
+    }
+
+    fn print(&self) {
+        let verdict = &self.result.verdict;
+        println!(
+            "sent {}, served {}, refused {}, failed {}, broken {}, given up {}; \
+             latency of served p50 {:.1} ms, p99 {:.1} ms",
+            verdict.sent,
+            verdict.served,
+            self.rejected,
+            self.failed,
+            self.broken,
+            self.timed_out,
+            self.p50_ms,
+            self.p99_ms
+        );
+        println!(
+            "ran twice where the class forbids it: {}; served without a run: {}",
+            verdict.executed_twice.len(),
+            verdict.fabricated.len()
+        );
+        for error in &self.result.signal_errors {
+            println!("the scenario's signal failed: {error}");
+        }
+        for violation in &self.result.violations {
+            println!("not as expected: {violation}");
+        }
+    }
+
+    fn to_json(&self, scenario: &str) -> serde_json::Value {
+        let ScenarioResult {
+            verdict,
+            violations,
+            signal_errors,
+            ..
+        } = self.result;
+        let signal_errors: Vec<String> = signal_errors.iter().map(ToString::to_string).collect();
+        serde_json::json!({
+            "scenario": scenario,
+            "sent": verdict.sent,
+            "served": verdict.served,
+            "refused": self.rejected,
+            "failed": self.failed,
+            "broken": self.broken,
+            "given_up": self.timed_out,
+            "ran_twice": verdict.executed_twice,
+            "served_without_run": verdict.fabricated,
+            "not_as_expected": violations,
+            "signals_failed": signal_errors,
+            "latency_ms": {"p50": self.p50_ms, "p99": self.p99_ms},
+        })
+    }
+}
+
+/// Runs a scenario and prints its table while it runs.
+fn run_with_table(
+    scenario: &Scenario,
+    schedule: ironmast_fault_injection::fault::Schedule,
+    program: PathBuf,
+) -> Result<ScenarioResult, String> {
+    let zones = scenario.zone_names();
+    println!("{}: {}", scenario.name, scenario.description);
+    println!("{}", table_header(scenario.proxies, &zones));
+    let print_row = |second, deployment: &Deployment, results: &[SharedResults]| {
+        println!("{}", table_row(second, deployment, results, &zones));
+    };
+    scenario::run(scenario, schedule, program, print_row).map_err(|error| error.to_string())
+}
+
+/// Runs a scenario. The exit code is 1 if something was executed twice, was served without an
+/// execution or violates an assertion; the caller exits with 2 if the scenario could not be run.
+pub(crate) fn run(arguments: StageArguments) -> Result<ExitCode, String> {
+    let (text, file) = match &arguments.scenario {
         Some(path) => (
-            std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?,
+            std::fs::read_to_string(path)
+                .map_err(|error| format!("{}: {error}", path.display()))?,
             path.display().to_string(),
         ),
         None => (DEMO.to_string(), "the demo".to_string()),
     };
-    let (scenario, schedule) = parse(&text, &from).map_err(|e| e.to_string())?;
-    let program = program(play.proxy)?;
-    let zones = scenario.zone_names();
-    println!("{}: {}", scenario.name, scenario.description);
-    let proxies: Vec<String> = (0..scenario.proxies)
-        .map(|p| format!("  p{p} ok bad"))
-        .collect();
-    let runs: Vec<String> = zones.iter().map(|z| format!(" {z:>9}")).collect();
-    println!("time {}{}  faults", proxies.join(""), runs.join(""));
-    let watch = |second, stage: &Deployment, tallies: &[SharedResults]| {
-        println!("{}", line(second, stage, tallies, &zones));
-    };
-    let played = scenario::run(&scenario, schedule, program, watch).map_err(|e| e.to_string())?;
-    let (sent, v) = (played.sent.concat(), &played.verdict);
-    let count = |o| sent.iter().filter(|s| s.outcome == o).count();
-    let (p50, p99) = (
-        played.latency.value_at_quantile(0.5),
-        played.latency.value_at_quantile(0.99),
-    );
-    println!(
-        "sent {}, served {}, refused {}, failed {}, broken {}, given up {}; latency of served p50 {:.1} ms, p99 {:.1} ms",
-        v.sent,
-        v.served,
-        count(Outcome::Rejected),
-        count(Outcome::Failed),
-        count(Outcome::Broken),
-        count(Outcome::TimedOut),
-        p50 as f64 / 1e3,
-        p99 as f64 / 1e3
-    );
-    println!(
-        "ran twice where the class forbids it: {}; served without a run: {}",
-        v.executed_twice.len(),
-        v.fabricated.len()
-    );
-    for problem in &played.signal_errors {
-        println!("the scenario's signal failed: {problem}");
-    }
-    for line in &played.violations {
-        println!("not as expected: {line}");
-    }
-    if let Some(path) = &play.json {
-        let json = serde_json::json!({
-            "scenario": scenario.name, "sent": v.sent, "served": v.served,
-            "refused": count(Outcome::Rejected), "failed": count(Outcome::Failed), "broken": count(Outcome::Broken), "given_up": count(Outcome::TimedOut),
-            "ran_twice": v.executed_twice, "served_without_run": v.fabricated, "not_as_expected": played.violations, "signals_failed": played.signal_errors.iter().map(ToString::to_string).collect::<Vec<_>>(),
-            "latency_ms": {"p50": p50 as f64 / 1e3, "p99": p99 as f64 / 1e3},
-        });
-        write(path, &json.to_string())?;
+    let (scenario, schedule) = parse(&text, &file).map_err(|error| error.to_string())?;
+    let program = program(arguments.proxy)?;
+    let result = run_with_table(&scenario, schedule, program)?;
+    let summary = Summary::new(&result);
+    summary.print();
+    if let Some(path) = &arguments.json {
+        write(path, &summary.to_json(&scenario.name).to_string())?;
     }
-    if let Some(folder) = &play.logs {
-        std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        for (n, lines) in played.logs.iter().enumerate() {
-            write(
-                &folder.join(format!("proxy{n}.log")),
-                &(lines.join("\n") + "\n"),
-            )?;
-        }
+    if let Some(directory) = &arguments.logs {
+        write_logs(directory, &result.logs)?;
     }
-    Ok(if played.passed() {
+    Ok(if result.passed() {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(1)
     })
 }
 
+/// Writes the log of each proxy to a file of its own.
+fn write_logs(directory: &Path, logs: &[Vec<String>]) -> Result<(), String> {
+    std::fs::create_dir_all(directory)
+        .map_err(|error| format!("{}: {error}", directory.display()))?;
+    for (proxy, lines) in logs.iter().enumerate() {
+        let path = directory.join(format!("proxy{proxy}.log"));
+        write(&path, &(lines.join("\n") + "\n"))?;
+    }
+    Ok(())
+}
+
+/// Writes a text to a file, or to standard output for `-`.
 fn write(path: &Path, text: &str) -> Result<(), String> {
     if path == Path::new("-") {
         println!("{text}");
         Ok(())
     } else {
-        std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
+        std::fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))
     }
 }
