--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -7,7 +7,7 @@
 
 use crate::files;
 use crate::pictures::{self, Curve};
-use crate::play::{Jobs, Note, Trial};
+use crate::play::{Jobs, MeasuredReport, Trial};
 use crate::statistics::{Figure, Mean, mean, paired};
 
 /// Runs of one scenario and policy, by seed.
@@ -15,7 +15,7 @@
     /// The policy.
     pub policy: PolicyName,
     /// The runs.
-    pub runs: Vec<&'a Note>,
+    pub runs: Vec<&'a MeasuredReport>,
 }
 
 impl Group<'_> {
@@ -35,12 +35,12 @@
 
 /// Runs of one scenario, by policy in the given order; only seeds that all policies have finished.
 pub(crate) fn groups<'a>(
-    notes: &'a [Note],
+    notes: &'a [MeasuredReport],
     scenario: &str,
     policies: &[PolicyName],
 ) -> Vec<Group<'a>> {
     let of = |p: PolicyName, seed: u64| {
-        let fits = move |n: &&Note| {
+        let fits = move |n: &&MeasuredReport| {
             n.report.scenario == scenario && n.report.policy == p.name() && n.report.seed == seed
         };
         notes.iter().find(fits)
@@ -126,7 +126,7 @@
 }
 
 /// One line a run.
-pub(crate) fn csv(notes: &[Note]) -> String {
+pub(crate) fn csv(notes: &[MeasuredReport]) -> String {
     let mut text = String::from(
         "scenario,policy,seed,service,worst_window,worst_class,worst_zone,worst_proxy,asked,served,late,refused,\
          failed,p50_us,p90_us,p99_us,p999_us,max_us,mean_load,greatest_load,attempts,cross_zone,probes,breaks,\
@@ -175,11 +175,11 @@
     policies: &[PolicyName],
     seeds: u64,
     out: &Path,
-) -> Result<(Vec<Note>, bool), String> {
+) -> Result<(Vec<MeasuredReport>, bool), String> {
     if seeds == 0 || policies.is_empty() {
         return Err("nothing to play, expected one policy and one seed at least".into());
     }
-    files::folder(out)?;
+    files::ensure_directory(out)?;
     let mut trials = Vec::new();
     for scenario in scenarios {
         for seed in 1..=seeds {
@@ -191,10 +191,10 @@
         }
     }
     let jobs = Jobs::begin(trials.len() as u64)?;
-    let notes = jobs.play_all(&trials);
+    let notes = jobs.run_all(&trials);
     jobs.end();
     files::write(&out.join("runs.csv"), &csv(&notes))?;
-    Ok((notes, jobs.stopped()))
+    Ok((notes, jobs.is_stopped()))
 }
 
 /// Plays everything, and writes what was finished even where it was stopped.
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -77,13 +77,13 @@
 /// Plays what has no report yet, then lists all. Ends with 1 where a rule was broken or a play gave
 /// no report.
 pub(crate) fn run(days: &Days) -> Result<ExitCode, String> {
-    files::folder(&days.out)?;
+    files::ensure_directory(&days.out)?;
     let plays = plays(days);
     let missing: Vec<&Play> = plays
         .iter()
         .filter(|p| read(p, &days.out).is_err())
         .collect();
-    play_all(days, &missing)?;
+    run_all(days, &missing)?;
     let results: Vec<(Play, Result<Report, String>)> = plays
         .into_iter()
         .map(|play| (play.clone(), read(&play, &days.out)))
@@ -125,7 +125,7 @@
 }
 
 /// Plays side by side, each thread the next that nobody has begun.
-fn play_all(days: &Days, plays: &[&Play]) -> Result<(), String> {
+fn run_all(days: &Days, plays: &[&Play]) -> Result<(), String> {
     let next = AtomicUsize::new(0);
     let work = || {
         while let Some(play) = plays.get(next.fetch_add(1, Ordering::Relaxed)) {
--- a/crates/testbed/src/files.rs
+++ b/crates/testbed/src/files.rs
@@ -1,24 +1,30 @@
-//! Files: scenarios in, results out. What can't be written is told before anything is played.
+//! Reads scenarios and writes results. Output paths are checked before anything is run, so that no
+//! result is lost at the end of a long run.
 
 use std::path::{Path, PathBuf};
 
 use ironmast_emulator::Scenario;
 use serde::Serialize;
 
+/// An error message that begins with the path it concerns.
+fn at(path: &Path, error: &impl std::fmt::Display) -> String {
+    format!("{}: {error}", path.display())
+}
+
 /// A scenario and the text it was read from.
 pub(crate) struct Loaded {
-    /// Its file.
+    /// The path of its file.
     pub path: PathBuf,
-    /// The text.
+    /// The text of the file.
     pub text: String,
-    /// What it says.
+    /// The parsed scenario.
     pub scenario: Scenario,
 }
 
-/// Reads a scenario; an error is one line with file and line.
+/// Reads a scenario; the error is one line with the path of the file.
 pub(crate) fn load(path: &Path) -> Result<Loaded, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let scenario = Scenario::read(&text).map_err(|e| format!("{}: {e}", path.display()))?;
+    let text = std::fs::read_to_string(path).map_err(|error| at(path, &error))?;
+    let scenario = Scenario::read(&text).map_err(|error| at(path, &error))?;
     Ok(Loaded {
         path: path.to_path_buf(),
         text,
@@ -26,37 +32,37 @@
     })
 }
 
-/// Makes sure that a folder is there and takes files.
-pub(crate) fn folder(path: &Path) -> Result<(), String> {
-    std::fs::create_dir_all(path).map_err(|e| format!("{}: {e}", path.display()))?;
+/// Creates a directory if necessary and checks that files can be created in it.
+pub(crate) fn ensure_directory(path: &Path) -> Result<(), String> {
+    std::fs::create_dir_all(path).map_err(|error| at(path, &error))?;
     let probe = path.join(".ironmast-testbed");
     let written = std::fs::write(&probe, b"").and_then(|()| std::fs::remove_file(&probe));
-    written.map_err(|e| format!("{}: {e}", path.display()))
+    written.map_err(|error| at(path, &error))
 }
 
-/// Makes sure that a file can be written, and leaves one that is there as it is.
-pub(crate) fn writable(path: &Path) -> Result<(), String> {
-    let there = path.exists();
+/// Checks that a file can be written, without changing one that exists.
+pub(crate) fn check_writable(path: &Path) -> Result<(), String> {
+    let exists = path.exists();
     let opened = std::fs::OpenOptions::new()
         .append(true)
         .create(true)
         .open(path);
-    opened.map_err(|e| format!("{}: {e}", path.display()))?;
-    if there {
+    opened.map_err(|error| at(path, &error))?;
+    if exists {
         Ok(())
     } else {
-        std::fs::remove_file(path).map_err(|e| format!("{}: {e}", path.display()))
+        std::fs::remove_file(path).map_err(|error| at(path, &error))
     }
 }
 
-/// Writes a text.
+/// Writes a text to a file.
 pub(crate) fn write(path: &Path, text: &str) -> Result<(), String> {
-    std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
+    std::fs::write(path, text).map_err(|error| at(path, &error))
 }
 
 /// Writes JSON to a file, or to standard output for `-`.
 pub(crate) fn write_json<T: Serialize>(path: &Path, value: &T) -> Result<(), String> {
-    let text = serde_json::to_string_pretty(value).map_err(|e| e.to_string())?;
+    let text = serde_json::to_string_pretty(value).map_err(|error| error.to_string())?;
     if path == Path::new("-") {
         println!("{text}");
         return Ok(());
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -1,6 +1,5 @@
-//! The hunt: random scenarios, each with some troubles turned on and others off (swarm testing,
-//! Groce et al. 2012), played under a policy; what goes wrong is shrunk to the shortest scenario
-//! that still shows it.
+//! `hunt`: searches random scenarios for faults of a policy. What it finds is shrunk to the simplest
+//! scenario that still shows it.
 
 mod generator;
 mod shrink;
@@ -27,7 +26,7 @@
 /// The most attempts at shrinking a scenario.
 const MAX_SHRINK_ATTEMPTS: usize = 300;
 
-/// Seeds from one up to another.
+/// The seeds from the first up to, and without, the second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Seeds(pub u64, pub u64);
 
@@ -45,25 +44,25 @@
     }
 }
 
-/// What is hunted, and how.
+/// The arguments of `hunt`.
 pub(crate) struct Hunt {
-    /// Troubles are drawn for it; whole scenarios are drawn where there is none.
+    /// The scenario to which faults are added; if there is none, scenarios are generated.
     pub base: Option<Scenario>,
-    /// The seeds, each a scenario of its own.
+    /// The seeds, one for each scenario.
     pub seeds: Seeds,
-    /// The time it may take.
+    /// The time limit in minutes.
     pub minutes: Option<f64>,
-    /// The policy hunted.
+    /// The policy under test.
     pub policy: PolicyName,
-    /// The policy whose service is the reference.
+    /// The policy with which it is compared.
     pub reference: PolicyName,
-    /// How far under the reference service is a finding.
+    /// The difference from the reference's service that counts as a finding.
     pub gap: f64,
-    /// Where findings go.
+    /// The directory for the findings.
     pub out: PathBuf,
 }
 
-/// What went wrong.
+/// A fault that a scenario shows.
 #[derive(Clone, Debug, PartialEq)]
 enum Finding {
     RuleBroken(Rule, String),
@@ -73,7 +72,7 @@
 }
 
 impl Finding {
-    /// Whether another run shows the same.
+    /// Whether another finding is of the same kind.
     fn is_same_kind(&self, other: &Finding) -> bool {
         match (self, other) {
             (Finding::RuleBroken(a, _), Finding::RuleBroken(b, _)) => a == b,
@@ -95,7 +94,7 @@
     }
 }
 
-/// Plays a run; its service, or what went wrong.
+/// Runs a scenario and returns its service, or the fault it shows.
 fn service(scenario: &Scenario, policy: PolicyName, seed: u64) -> Result<f64, Finding> {
     let play = || {
         let mut world = World::new(scenario, policy, seed);
@@ -141,8 +140,7 @@
             Ok(service) => service,
             Err(finding) => return Some(finding),
         };
-        // A reference that breaks a rule or panics is a fault of this program's own, and told as
-        // such.
+        // A reference that breaks a rule or panics is a fault of the emulator, and reported as one.
         match self::service(scenario, self.reference, seed) {
             Ok(reference) => {
                 (service < reference - self.gap).then_some(Finding::PoorService(service, reference))
@@ -154,7 +152,7 @@
         }
     }
 
-    /// The smallest scenario met that still shows the finding.
+    /// The simplest scenario found that still shows a finding of the same kind.
     fn shrink(&self, mut scenario: Scenario, seed: u64, finding: Finding) -> (Scenario, Finding) {
         let (mut found, mut tries) = (finding, 0);
         loop {
@@ -183,9 +181,9 @@
     }
 }
 
-/// Hunts; prints and writes what it finds.
+/// Runs the hunt; prints and writes the findings.
 pub(crate) fn run(hunt: &Hunt) -> Result<ExitCode, String> {
-    files::folder(&hunt.out)?;
+    files::ensure_directory(&hunt.out)?;
     if !(hunt.gap > 0.0 && hunt.gap <= 1.0) {
         return Err(format!(
             "--gap is {}, expected more than 0 and at most 1",
@@ -201,17 +199,17 @@
     let Seeds(from, to) = hunt.seeds;
     let jobs = Jobs::begin(to - from)?;
     let (began, found, played) = (Instant::now(), Mutex::new(Vec::new()), Mutex::new(0u64));
-    // A panic is a finding, told in its own line; its trace would only hide the others.
+    // A panic is a finding with a line of its own; its trace would only hide the others.
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
     (from..to).into_par_iter().try_for_each(|seed| {
-        if jobs.stopped() || limit.is_some_and(|l| began.elapsed() >= l) {
+        if jobs.is_stopped() || limit.is_some_and(|l| began.elapsed() >= l) {
             return None;
         }
         let mut scenario = hunt.base.clone().unwrap_or_else(|| generate_scenario(seed));
         add_faults(&mut scenario, seed);
         if let Some(finding) = hunt.check(&scenario, seed) {
-            jobs.say(&format!("seed {seed}: {finding}; shrinking"));
+            jobs.print_line(&format!("seed {seed}: {finding}; shrinking"));
             let (mut scenario, finding) = hunt.shrink(scenario, seed, finding);
             scenario.name = format!("found-{seed}");
             scenario.about = format!("Seed {seed} under {}: {finding}.", hunt.policy.name());
@@ -255,7 +253,7 @@
     );
     Ok(match () {
         () if !found.is_empty() => ExitCode::from(1),
-        () if jobs.stopped() => ExitCode::from(130),
+        () if jobs.is_stopped() => ExitCode::from(130),
         () => ExitCode::SUCCESS,
     })
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -19,7 +19,7 @@
 use ironmast_emulator::PolicyName;
 
 use files::{Loaded, load};
-use play::{Jobs, Note, Trial};
+use play::{Jobs, MeasuredReport, Trial};
 
 /// Emulates fleets of proxies and servers, compares policies, and hunts for broken rules.
 #[derive(Parser)]
@@ -201,9 +201,9 @@
             let Loaded { scenario, .. } = load(&scenario)?;
             let jobs = Jobs::begin(1)?;
             if let Some(path) = json.as_deref().filter(|p| *p != Path::new("-")) {
-                files::writable(path)?;
+                files::check_writable(path)?;
             }
-            let Some(note) = jobs.play(&Trial {
+            let Some(note) = jobs.run(&Trial {
                 scenario: &scenario,
                 policy,
                 seed,
@@ -309,7 +309,7 @@
 }
 
 /// A run's result for people.
-fn lines(note: &Note) -> String {
+fn lines(note: &MeasuredReport) -> String {
     let r = &note.report;
     let (q, l) = (&r.requests, &r.latency_us);
     let ms = |us: u64| us as f64 / 1e3;
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays runs, many side by side, with progress and an end on Ctrl-C that keeps what was finished.
+//! Runs trials in parallel with a progress bar. Ctrl-C stops them and keeps the completed results.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,101 +9,100 @@
 use rayon::prelude::*;
 use serde::Serialize;
 
-/// What is to be played.
+/// One run to be emulated.
 #[derive(Clone)]
 pub(crate) struct Trial<'a> {
-    /// The scenario.
+    /// Its scenario.
     pub scenario: &'a Scenario,
-    /// The policy.
+    /// Its policy.
     pub policy: PolicyName,
-    /// The seed.
+    /// The seed of its random numbers.
     pub seed: u64,
 }
 
-/// A result with what it took.
+/// The report of a run with the time and memory it needed.
 #[derive(Clone, Serialize)]
-pub(crate) struct Note {
-    /// What the judge found.
+pub(crate) struct MeasuredReport {
+    /// The emulator's report.
     #[serde(flatten)]
     pub report: Report,
-    /// Seconds on the clock.
+    /// The elapsed time in seconds.
     pub wall_s: f64,
-    /// The most memory that this program has held so far, in MB.
+    /// The peak resident memory of this program so far, in MB.
     pub peak_rss_mb: u64,
 }
 
-/// A report with time and memory beside it.
-pub(crate) fn note(report: Report, began: Instant) -> Note {
+/// Adds time and memory to a report.
+pub(crate) fn measure(report: Report, began: Instant) -> MeasuredReport {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
-    let kb = peak
-        .and_then(|l| l.trim().trim_end_matches("kB").trim().parse().ok())
+    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
+    let kilobytes = peak
+        .and_then(|line| line.trim().trim_end_matches("kB").trim().parse().ok())
         .unwrap_or(0u64);
-    Note {
+    MeasuredReport {
         report,
         wall_s: began.elapsed().as_secs_f64(),
-        peak_rss_mb: kb.div_ceil(1024),
+        peak_rss_mb: kilobytes.div_ceil(1024),
     }
 }
 
-/// Runs under way, their progress, and whether they are to end.
+/// The progress of the runs, and whether they are to stop.
 pub(crate) struct Jobs {
     bar: ProgressBar,
     stop: Arc<AtomicBool>,
 }
 
 impl Jobs {
-    /// Shows progress on a terminal and listens for Ctrl-C.
+    /// Shows progress on a terminal and handles Ctrl-C.
     pub(crate) fn begin(runs: u64) -> Result<Jobs, String> {
         let bar = ProgressBar::with_draw_target(Some(runs * 100), ProgressDrawTarget::stderr());
         let style = ProgressStyle::with_template(
             "{bar:40} {percent:>3} % {elapsed_precise} left {eta} {msg}",
         );
-        bar.set_style(style.map_err(|e| e.to_string())?);
+        bar.set_style(style.map_err(|error| error.to_string())?);
         let stop = Arc::new(AtomicBool::new(false));
-        let told = Arc::clone(&stop);
-        // A second press finds the default again where this cannot be set twice: tests run in one
-        // process.
-        let _ = ctrlc::set_handler(move || told.store(true, Ordering::Relaxed));
+        let handler_stop = Arc::clone(&stop);
+        // The handler can be set once per process; in tests, which share one, later calls fail.
+        let _ = ctrlc::set_handler(move || handler_stop.store(true, Ordering::Relaxed));
         Ok(Jobs { bar, stop })
     }
 
     /// Whether Ctrl-C was pressed.
-    pub(crate) fn stopped(&self) -> bool {
+    pub(crate) fn is_stopped(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// One run that is not played here is done.
+    /// Counts a run as completed that was not run by [`Jobs::run`].
     pub(crate) fn step(&self) {
         self.bar.inc(100);
     }
 
-    /// Plays one run; none where it was told to stop.
-    pub(crate) fn play(&self, trial: &Trial) -> Option<Note> {
+    /// Runs one trial; `None` if it was stopped.
+    pub(crate) fn run(&self, trial: &Trial) -> Option<MeasuredReport> {
         let began = Instant::now();
         let mut world = World::new(trial.scenario, trial.policy, trial.seed);
         for step in 1..=100 {
-            if self.stopped() {
+            if self.is_stopped() {
                 return None;
             }
             let second = trial.scenario.length_s * f64::from(step) / 100.0;
-            let over = world.run_to(if step == 100 {
+            let is_over = world.run_to(if step == 100 {
                 f64::from(u32::MAX)
             } else {
                 second
             });
             self.bar.inc(1);
-            if over {
+            if is_over {
                 self.bar.inc(100 - u64::from(step as u32));
                 break;
             }
         }
-        Some(note(world.report(), began))
+        Some(measure(world.report(), began))
     }
 
-    /// Plays many on all cores; those that were finished, in their order.
-    pub(crate) fn play_all(&self, trials: &[Trial]) -> Vec<Note> {
-        let line = |note: &Note| {
+    /// Runs trials on all cores; returns the results of those that were completed, in their order.
+    pub(crate) fn run_all(&self, trials: &[Trial]) -> Vec<MeasuredReport> {
+        let line = |note: &MeasuredReport| {
             if self.bar.is_hidden() {
                 let (name, service) = (&note.report.scenario, note.report.service);
                 eprintln!(
@@ -114,12 +113,12 @@
         };
         trials
             .par_iter()
-            .filter_map(|trial| self.play(trial).inspect(line))
+            .filter_map(|trial| self.run(trial).inspect(line))
             .collect()
     }
 
-    /// Says something above the bar, or as a plain line.
-    pub(crate) fn say(&self, text: &str) {
+    /// Prints a line above the progress bar, or without a terminal to standard error.
+    pub(crate) fn print_line(&self, text: &str) {
         if self.bar.is_hidden() {
             eprintln!("{text}");
         } else {
@@ -127,7 +126,7 @@
         }
     }
 
-    /// Takes the bar away.
+    /// Removes the progress bar.
     pub(crate) fn end(&self) {
         self.bar.finish_and_clear();
     }
--- a/crates/testbed/src/sweep.rs
+++ b/crates/testbed/src/sweep.rs
@@ -10,7 +10,7 @@
 use crate::compare;
 use crate::files::{self, Loaded};
 use crate::pictures::{self, Curve, Section};
-use crate::play::Note;
+use crate::play::MeasuredReport;
 use crate::statistics::{Figure, mean};
 
 /// Steps where none are told.
@@ -162,11 +162,12 @@
     vary: &Vary,
     (scenarios, values): (&[Scenario], &[f64]),
     policies: &[PolicyName],
-    notes: &[Note],
+    notes: &[MeasuredReport],
 ) -> Result<Section, String> {
     let of = |scenario: &Scenario, policy: PolicyName, figure: Figure| {
-        let fits =
-            |n: &&Note| n.report.scenario == scenario.name && n.report.policy == policy.name();
+        let fits = |n: &&MeasuredReport| {
+            n.report.scenario == scenario.name && n.report.policy == policy.name()
+        };
         mean(
             &notes
                 .iter()
