--- a/crates/client-proxy/src/config.rs
+++ b/crates/client-proxy/src/config.rs
@@ -71,7 +71,11 @@
 }
 
 impl Config {
-    /// Reads it all; `env` looks up a variable. An error is one plain line.
+    /// Reads the configuration from the environment and the file that `GW_CONFIG` names; `env` looks
+    /// up a variable.
+    ///
+    /// # Errors
+    /// One line that names the file, the field and the reason.
     pub fn read(env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let path = env("GW_CONFIG").ok_or(NO_CONFIG)?;
         let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
@@ -142,8 +146,11 @@
         )
     }
 
-    /// Reads the file again. What it says of discovery prevails over the environment now: the
-    /// variable is as old as the process, and would keep it at an address that has closed.
+    /// Reads the file again. Its address of discovery now prevails over the environment: the variable
+    /// is as old as the process, and could name an address that has closed.
+    ///
+    /// # Errors
+    /// As for [`Config::read`].
     pub fn read_again(env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let config = Config::read(&env);
         if let Ok(moved) = Config::read(|name| env(name).filter(|_| name != "GW_DISCOVERY")) {
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -133,7 +133,11 @@
         self.elsewhere.borrow_mut().clear();
     }
 
-    /// Everything that can be wrong with a request is found here, before the module hears of it.
+    /// Finds everything that can be wrong with a request, before the decision module gets it.
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one check after the other, in the order of the protocol"
+    )]
     async fn check(
         &self,
         request: &mut Request,
--- a/crates/client-proxy/src/ops.rs
+++ b/crates/client-proxy/src/ops.rs
@@ -101,7 +101,5 @@
     let call = command::parse(line)?;
     let (reply, answer) = oneshot::channel();
     let _ = to_driver.send(PriorityMessage::Command(call, reply));
-    answer
-        .await
-        .unwrap_or_else(|_| Err(CommandError::ShuttingDown))
+    answer.await.unwrap_or(Err(CommandError::ShuttingDown))
 }
--- a/crates/client-proxy/src/peers.rs
+++ b/crates/client-proxy/src/peers.rs
@@ -18,7 +18,11 @@
 pub(crate) struct Peers {
     /// Bound to where datagrams arrive; they are sent from there too.
     pub socket: Option<Rc<UdpSocket>>,
-    /// Every proxy of the tier, by number.
+    /// Every proxy of the cluster, by number.
+    #[expect(
+        clippy::struct_field_names,
+        reason = "the peers of this proxy, beside its own socket"
+    )]
     pub peers: Vec<SocketAddr>,
     /// Reaches them all.
     pub all: Option<SocketAddr>,
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -54,6 +54,13 @@
 ///
 /// # Errors
 /// One line, where the program cannot listen or its driver has ended.
+///
+/// # Panics
+/// Never in practice: the one `expect` is guarded by the condition of its branch.
+#[expect(
+    clippy::too_many_lines,
+    reason = "start, wiring and shutdown in order; not split yet"
+)]
 pub async fn run(mut config: Config, log: Logger) -> Result<(), String> {
     // Before all else: guards against a SIGHUP that ends a program not yet listening for it.
     let mut hang_up = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
--- a/crates/client-proxy/src/upstream.rs
+++ b/crates/client-proxy/src/upstream.rs
@@ -121,7 +121,7 @@
                 }
                 UpstreamCommand::CheckHealth(server, address) => self.probe(server, address),
                 UpstreamCommand::CloseIdle(server) => {
-                    drop(self.clients.borrow_mut().remove(&server))
+                    drop(self.clients.borrow_mut().remove(&server));
                 }
                 UpstreamCommand::StopSending(server) => {
                     let now = self.clock.now();
@@ -132,7 +132,7 @@
                     self.clients.borrow_mut().remove(&server);
                 }
                 UpstreamCommand::ResumeSending(server) => {
-                    _ = self.retired.borrow_mut().remove(&server)
+                    _ = self.retired.borrow_mut().remove(&server);
                 }
             }
         }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -136,6 +136,10 @@
 /// The proxies.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "keys of the scenario file, each on or off"
+)]
 pub struct Proxies {
     /// How many.
     pub count: u32,
@@ -605,6 +609,10 @@
     ///
     /// # Errors
     /// [`InvalidSetting`] for the first that fails.
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one check for each key, in the order of the file"
+    )]
     pub fn check(&self) -> Result<(), InvalidSetting> {
         let share = |path: &str, v: f64| within(path, v, 0.0, 1.0);
         if self.name.is_empty() {
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -201,6 +201,10 @@
     lost: u32,
 }
 
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "independent conditions of one proxy"
+)]
 struct Proxy {
     zone: usize,
     weight: f64,
@@ -1455,6 +1459,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet")]
     fn reach(&mut self, request: u64, n: u8) {
         let Some(held) = self.tries.get(key(request)) else {
             return;
