--- a/crates/ironmast/tests/log_messages.rs
+++ b/crates/ironmast/tests/log_messages.rs
@@ -1,13 +1,19 @@
 //! Holds `docs/operators/log-messages.md` against the sources: each message that a program logs at
 //! warning or above has a row there, and each row stands for a message that is still logged.
 
+mod sources;
+
 use std::collections::BTreeSet;
 use std::fs;
-use std::path::{Path, PathBuf};
+
+use sources::{crate_folders, rust_files, workspace};
 
 /// The macros of `slog` that log at warning or above.
 const MACROS: [&str; 3] = ["warn!(", "error!(", "crit!("];
 
+/// Unit tests, which are compiled into no program.
+const UNIT_TESTS: [&str; 2] = ["tests", "tests.rs"];
+
 /// Crates whose code runs only in tests and experiments.
 const NOT_IN_SERVICE: [&str; 4] = [
     "emulator",
@@ -16,27 +22,6 @@
     "testbed",
 ];
 
-fn workspace() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
-}
-
-/// The files below `folder` that are compiled into a program: unit tests are left out.
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in fs::read_dir(folder).expect("a folder of sources") {
-        let path = entry.expect("an entry").path();
-        let name = path
-            .file_name()
-            .and_then(|name| name.to_str())
-            .unwrap_or_default();
-        if path.is_dir() && name != "tests" {
-            sources(&path, found);
-        } else if path.extension().is_some_and(|extension| extension == "rs") && name != "tests.rs"
-        {
-            found.push(path);
-        }
-    }
-}
-
 /// The text of the first string literal in `code`, with its escapes resolved.
 fn first_literal(code: &str) -> String {
     let begin = code.find('"').expect("a message") + 1;
@@ -68,19 +53,11 @@
 }
 
 fn logged() -> BTreeSet<String> {
-    let mut files = Vec::new();
-    for entry in fs::read_dir(workspace().join("crates")).expect("the crates") {
-        let folder = entry.expect("a crate").path();
-        let name = folder
-            .file_name()
-            .and_then(|name| name.to_str())
-            .unwrap_or_default();
-        if !NOT_IN_SERVICE.contains(&name) {
-            sources(&folder.join("src"), &mut files);
-        }
-    }
-    files
-        .iter()
+    let in_service = crate_folders()
+        .into_iter()
+        .filter(|folder| !NOT_IN_SERVICE.iter().any(|name| folder.ends_with(name)));
+    in_service
+        .flat_map(|folder| rust_files(&folder.join("src"), &UNIT_TESTS))
         .flat_map(|path| messages_of(&fs::read_to_string(path).expect("a source file")))
         .collect()
 }
--- a/crates/ironmast/tests/module_cycles.rs
+++ b/crates/ironmast/tests/module_cycles.rs
@@ -4,34 +4,24 @@
 //! The dependencies are those of `use crate::…` and `use super::…`. A module and its submodules are
 //! one unit, so that edges between them do not count.
 
+mod sources;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
-use std::path::{Path, PathBuf};
+use std::path::Path;
+
+use sources::{crate_folders, rust_files};
 
 type Module = Vec<String>;
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in fs::read_dir(folder).expect("a folder of sources") {
-        let path = entry.expect("an entry").path();
-        let is_test = [
-            "tests",
-            "tests.rs",
-            "testing",
-            "testing.rs",
-            "test_support.rs",
-        ]
-        .iter()
-        .any(|name| path.ends_with(name));
-        if is_test {
-            continue;
-        }
-        if path.is_dir() {
-            sources(&path, found);
-        } else if path.extension().is_some_and(|extension| extension == "rs") {
-            found.push(path);
-        }
-    }
-}
+/// Code that only tests use.
+const TEST_CODE: [&str; 5] = [
+    "tests",
+    "tests.rs",
+    "testing",
+    "testing.rs",
+    "test_support.rs",
+];
 
 fn module_of(root: &Path, file: &Path) -> Module {
     let path = file.strip_prefix(root).expect("below the root");
@@ -116,8 +106,7 @@
 }
 
 fn dependencies(root: &Path) -> BTreeMap<Module, BTreeSet<Module>> {
-    let mut files = Vec::new();
-    sources(root, &mut files);
+    let files = rust_files(root, &TEST_CODE);
     let modules: BTreeSet<Module> = files.iter().map(|file| module_of(root, file)).collect();
     let mut graph = BTreeMap::new();
     for file in &files {
@@ -157,9 +146,8 @@
 
 #[test]
 fn no_files_of_a_crate_depend_on_each_other_in_a_circle() {
-    let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
-    for entry in fs::read_dir(crates).expect("the crates") {
-        let root = entry.expect("a crate").path().join("src");
+    for folder in crate_folders() {
+        let root = folder.join("src");
         let circles = circles(&root);
         assert!(circles.is_empty(), "{}: {circles:?}", root.display());
     }
--- a/crates/ironmast/tests/pages.rs
+++ b/crates/ironmast/tests/pages.rs
@@ -1,21 +1,20 @@
 //! Holds the pages that lead into the code against the code: paths and crates of
 //! `docs/ARCHITECTURE.md`, and names of `docs/glossary.md`.
 
+mod sources;
+
 use std::fs;
-use std::path::{Path, PathBuf};
 
-fn workspace() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
-}
+use sources::{crate_folders, rust_files, workspace};
 
 fn read(page: &str) -> String {
     fs::read_to_string(workspace().join(page)).expect("the page")
 }
 
 fn crates() -> Vec<String> {
-    let folder = fs::read_dir(workspace().join("crates")).expect("the crates");
-    folder
-        .map(|entry| entry.expect("a crate").file_name())
+    crate_folders()
+        .iter()
+        .filter_map(|folder| folder.file_name())
         .map(|name| name.to_string_lossy().into_owned())
         .collect()
 }
@@ -25,18 +24,12 @@
     text.split('`').skip(1).step_by(2)
 }
 
-/// All sources below a folder, one after the other.
-fn sources(folder: &Path) -> String {
-    let mut text = String::new();
-    for entry in fs::read_dir(folder).expect("a folder of sources") {
-        let path = entry.expect("an entry").path();
-        if path.is_dir() {
-            text.push_str(&sources(&path));
-        } else if path.extension().is_some_and(|extension| extension == "rs") {
-            text.push_str(&fs::read_to_string(&path).expect("a source file"));
-        }
-    }
-    text
+/// All sources of all crates, one after the other.
+fn all_code() -> String {
+    rust_files(&workspace().join("crates"), &[])
+        .iter()
+        .map(|path| fs::read_to_string(path).expect("a source file"))
+        .collect()
 }
 
 /// Whether `text` holds `name` as a whole word.
@@ -78,7 +71,7 @@
 fn each_name_in_the_glossary_is_in_the_code() {
     let page = read("docs/glossary.md");
     let crates = crates();
-    let code = sources(&workspace().join("crates"));
+    let code = all_code();
     let mut checked = 0;
     for row in page.lines().filter(|line| line.starts_with("| ")) {
         let in_code = row.split(" | ").nth(2).unwrap_or_default();
