--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -3,10 +3,11 @@
 use std::path::Path;
 use std::process::ExitCode;
 
+use eyre::bail;
 use ironmast_emulator::{COLUMNS, PolicyName, Report, Scenario};
 
 use crate::files;
-use crate::pictures::{self, Curve};
+use crate::pictures::{self, Curve, PlotError};
 use crate::play::{Jobs, MeasuredReport, Trial};
 use crate::statistics::{Figure, Mean, mean, paired};
 
@@ -175,9 +176,9 @@
     policies: &[PolicyName],
     seeds: u64,
     out: &Path,
-) -> Result<(Vec<MeasuredReport>, bool), String> {
+) -> eyre::Result<(Vec<MeasuredReport>, bool)> {
     if seeds == 0 || policies.is_empty() {
-        return Err("nothing to play, expected one policy and one seed at least".into());
+        bail!("nothing to play, expected one policy and one seed at least");
     }
     files::ensure_directory(out)?;
     let mut trials = Vec::new();
@@ -190,7 +191,7 @@
             }));
         }
     }
-    let jobs = Jobs::begin(trials.len() as u64)?;
+    let jobs = Jobs::begin(trials.len() as u64);
     let notes = jobs.run_all(&trials);
     jobs.end();
     files::write(&out.join("runs.csv"), &csv(&notes))?;
@@ -207,13 +208,13 @@
     policies: &[PolicyName],
     seeds: u64,
     out: &Path,
-) -> Result<ExitCode, String> {
+) -> eyre::Result<ExitCode> {
     for (i, scenario) in scenarios.iter().enumerate() {
         if scenarios[..i].iter().any(|s| s.name == scenario.name) {
-            return Err(format!(
+            bail!(
                 "two scenarios are called `{}`, expected names that differ",
                 scenario.name
-            ));
+            );
         }
     }
     let (notes, stopped) = play_grid(&scenarios, policies, seeds, out)?;
@@ -277,7 +278,7 @@
 fn scenario_pictures(
     scenario: &Scenario,
     groups: &[Group],
-) -> Result<Vec<(String, String)>, String> {
+) -> Result<Vec<(String, String)>, PlotError> {
     let name = &scenario.name;
     let over_time = |group: &Group| {
         let column = scenario.length_s / COLUMNS as f64;
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -17,8 +17,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-use crate::files;
-use report::Report;
+use thiserror::Error;
+
+use crate::files::{self, FileError};
+use report::{Report, ReportError};
 
 /// What is to be played.
 #[derive(clap::Args)]
@@ -74,9 +76,26 @@
     }
 }
 
+/// Why a play has no report. The message contains its cause, because the list of plays shows it on
+/// one line.
+#[derive(Debug, Error)]
+enum NoReport {
+    /// The file that keeps the bench's output cannot be read.
+    #[error("{}: {cause}", path.display())]
+    Unreadable {
+        /// The path of the file.
+        path: PathBuf,
+        /// Why it cannot be read.
+        cause: io::Error,
+    },
+    /// The bench's output is no report.
+    #[error(transparent)]
+    Invalid(#[from] ReportError),
+}
+
 /// Plays what has no report yet, then lists all. Ends with 1 where a rule was broken or a play gave
 /// no report.
-pub(crate) fn run(days: &Days) -> Result<ExitCode, String> {
+pub(crate) fn run(days: &Days) -> eyre::Result<ExitCode> {
     files::ensure_directory(&days.out)?;
     let plays = plays(days);
     let missing: Vec<&Play> = plays
@@ -84,7 +103,7 @@
         .filter(|p| read(p, &days.out).is_err())
         .collect();
     run_all(days, &missing)?;
-    let results: Vec<(Play, Result<Report, String>)> = plays
+    let results: Vec<(Play, Result<Report, NoReport>)> = plays
         .into_iter()
         .map(|play| (play.clone(), read(&play, &days.out)))
         .collect();
@@ -118,14 +137,16 @@
 }
 
 /// The kept report of a play, or why there is none.
-fn read(play: &Play, out: &Path) -> Result<Report, String> {
+fn read(play: &Play, out: &Path) -> Result<Report, NoReport> {
     let path = play.kept(out);
-    let text = fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    report::read(&text)
+    match fs::read_to_string(&path) {
+        Ok(text) => Ok(report::read(&text)?),
+        Err(cause) => Err(NoReport::Unreadable { path, cause }),
+    }
 }
 
 /// Plays side by side, each thread the next that nobody has begun.
-fn run_all(days: &Days, plays: &[&Play]) -> Result<(), String> {
+fn run_all(days: &Days, plays: &[&Play]) -> Result<(), FileError> {
     let next = AtomicUsize::new(0);
     let work = || {
         while let Some(play) = plays.get(next.fetch_add(1, Ordering::Relaxed)) {
@@ -144,14 +165,14 @@
 }
 
 /// Has the bench play one day. Its report takes its place only when the bench has ended.
-fn play_one(days: &Days, play: &Play) -> Result<(), String> {
+fn play_one(days: &Days, play: &Play) -> Result<(), FileError> {
     let kept = play.kept(&days.out);
     let partial = kept.with_extension("part");
-    let told = |e: io::Error| format!("{}: {e}", partial.display());
+    let failed = FileError::io(&partial);
     // Several threads may make the same folder at once, so nothing is tried out in it.
-    fs::create_dir_all(kept.parent().expect("it is in a folder")).map_err(told)?;
-    let output = File::create(&partial).map_err(told)?;
-    let errors = output.try_clone().map_err(told)?;
+    fs::create_dir_all(kept.parent().expect("it is in a folder")).map_err(&failed)?;
+    let output = File::create(&partial).map_err(&failed)?;
+    let errors = output.try_clone().map_err(&failed)?;
     let mut command = Command::new(&days.bench);
     command.arg("run").arg(&play.site).arg(&play.day).args([
         "--jobs",
@@ -169,13 +190,13 @@
         .stderr(errors)
         .status();
     // A broken rule may show in the bench's exit code: only its report says what came of the day.
-    status.map_err(|e| format!("{}: {e}", days.bench.display()))?;
-    fs::rename(&partial, &kept).map_err(told)
+    status.map_err(FileError::io(&days.bench))?;
+    fs::rename(&partial, &kept).map_err(&failed)
 }
 
 /// What came of the plays: each that broke a rule, fell short or has no report, then a table of
 /// days.
-fn list(results: &[(Play, Result<Report, String>)]) -> String {
+fn list(results: &[(Play, Result<Report, NoReport>)]) -> String {
     let mut text = String::new();
     let mut rows: BTreeMap<(String, String), Row> = BTreeMap::new();
     for (play, result) in results {
@@ -212,7 +233,7 @@
 }
 
 /// One play in a line.
-fn line(play: &Play, result: &Result<Report, String>) -> String {
+fn line(play: &Play, result: &Result<Report, NoReport>) -> String {
     let name = format!(
         "{} on {}, seed {}",
         stem(&play.day),
@@ -236,7 +257,7 @@
 }
 
 impl Row {
-    fn add(&mut self, result: &Result<Report, String>) {
+    fn add(&mut self, result: &Result<Report, NoReport>) {
         let Ok(report) = result else {
             self.unplayed += 1;
             return;
--- a/crates/testbed/src/days/report.rs
+++ b/crates/testbed/src/days/report.rs
@@ -2,6 +2,8 @@
 
 use std::fmt;
 
+use thiserror::Error;
+
 /// Begins the list of broken rules in a day's line.
 const BROKEN: &str = "BROKEN: ";
 /// Begins a line that says why the day fails the gate.
@@ -18,6 +20,26 @@
     pub short: Vec<String>,
 }
 
+/// Why a text that the bench printed is no report.
+#[derive(Debug, Error, PartialEq, Eq)]
+pub(super) enum ReportError {
+    /// The bench printed no table of days; with its last line.
+    #[error("{0}")]
+    Unfinished(String),
+    /// The bench printed nothing.
+    #[error("nothing was printed")]
+    Empty,
+    /// The table of days has a heading and no row.
+    #[error("the report ends after its heading")]
+    HeadingOnly,
+    /// The row of the day has no machine counts or no worth.
+    #[error("not a day's line: {0}")]
+    InvalidRow(String),
+    /// A broken rule has no valid count.
+    #[error("not a list of rules: {0}")]
+    InvalidRules(String),
+}
+
 impl Report {
     /// Whether no rule is broken and the day passes the gate.
     pub(super) fn is_clean(&self) -> bool {
@@ -38,19 +60,20 @@
 }
 
 /// Reads a printed report. The day's line stands below the heading of the table of days.
-pub(super) fn read(text: &str) -> Result<Report, String> {
+///
+/// # Errors
+/// The text is no report, or not in the form in which the bench prints one.
+pub(super) fn read(text: &str) -> Result<Report, ReportError> {
     let mut lines = text.lines();
     if !lines.any(is_heading) {
-        return Err(text
-            .lines()
-            .last()
-            .unwrap_or("nothing was printed")
-            .trim()
-            .to_string());
+        return Err(match text.lines().last() {
+            Some(last) => ReportError::Unfinished(last.trim().to_string()),
+            None => ReportError::Empty,
+        });
     }
-    let row = lines.next().ok_or("the report ends after its heading")?;
-    let worth = worth(row).ok_or_else(|| format!("not a day's line: {row}"))?;
-    let broken = broken(row).ok_or_else(|| format!("not a list of rules: {row}"))?;
+    let row = lines.next().ok_or(ReportError::HeadingOnly)?;
+    let worth = worth(row).ok_or_else(|| ReportError::InvalidRow(row.to_string()))?;
+    let broken = broken(row).ok_or_else(|| ReportError::InvalidRules(row.to_string()))?;
     let short = text
         .lines()
         .filter_map(|l| l.strip_prefix(SHORT))
--- a/crates/testbed/src/days/tests.rs
+++ b/crates/testbed/src/days/tests.rs
@@ -71,12 +71,22 @@
 #[test]
 fn what_is_no_report_is_told_by_its_last_line() {
     let problem = "built in 0.4 s\nthe run did not finish\n";
-    assert_eq!(report::read(problem), Err("the run did not finish".into()));
-    assert_eq!(report::read(""), Err("nothing was printed".into()));
-    assert!(report::read(HEADING).is_err());
-    assert!(report::read(&printed("a line without counts", "")).is_err());
+    let unfinished = ReportError::Unfinished("the run did not finish".into());
+    assert_eq!(unfinished.to_string(), "the run did not finish");
+    assert_eq!(report::read(problem), Err(unfinished));
+    assert_eq!(report::read(""), Err(ReportError::Empty));
+    assert_eq!(ReportError::Empty.to_string(), "nothing was printed");
+    assert_eq!(report::read(HEADING), Err(ReportError::HeadingOnly));
+    let row = "a line without counts";
+    assert_eq!(
+        report::read(&printed(row, "")),
+        Err(ReportError::InvalidRow(row.into()))
+    );
     let uncounted = "day  1/2  0.0  0.5  1  0  0  BROKEN: CONFIG some (else 0.1)";
-    assert!(report::read(&printed(uncounted, "")).is_err());
+    assert_eq!(
+        report::read(&printed(uncounted, "")),
+        Err(ReportError::InvalidRules(uncounted.into()))
+    );
 }
 
 #[test]
@@ -125,7 +135,10 @@
     let results = [
         (play(1), Ok(report(0.8, &[]))),
         (play(2), Ok(report(0.7, &[("CONFIG", 3)]))),
-        (play(3), Err("the run did not finish".into())),
+        (
+            play(3),
+            Err(ReportError::Unfinished("the run did not finish".into()).into()),
+        ),
     ];
     assert_eq!(
         list(&results),
--- a/crates/testbed/src/emulate.rs
+++ b/crates/testbed/src/emulate.rs
@@ -9,7 +9,7 @@
 use crate::play::{Jobs, MeasuredReport, Trial};
 
 /// Prints what a scenario contains.
-pub(crate) fn check(scenario: &Path) -> Result<ExitCode, String> {
+pub(crate) fn check(scenario: &Path) -> eyre::Result<ExitCode> {
     let Loaded { scenario, .. } = load(scenario)?;
     let servers: u32 = scenario.pool.iter().map(|pool| pool.servers).sum();
     let load = scenario.clients.rate / scenario.capacity();
@@ -33,9 +33,9 @@
     seed: u64,
     policy: PolicyName,
     json: Option<&Path>,
-) -> Result<ExitCode, String> {
+) -> eyre::Result<ExitCode> {
     let Loaded { scenario, .. } = load(scenario)?;
-    let jobs = Jobs::begin(1)?;
+    let jobs = Jobs::begin(1);
     if let Some(path) = json.filter(|path| *path != Path::new("-")) {
         files::check_writable(path)?;
     }
--- a/crates/testbed/src/files.rs
+++ b/crates/testbed/src/files.rs
@@ -1,14 +1,45 @@
 //! Reads scenarios and writes results. Output paths are checked before anything is run, so that no
 //! result is lost at the end of a long run.
 
+use std::io;
 use std::path::{Path, PathBuf};
 
-use ironmast_emulator::Scenario;
+use ironmast_emulator::{Scenario, ScenarioError};
 use serde::Serialize;
+use thiserror::Error;
 
-/// An error message that begins with the path it concerns.
-fn at(path: &Path, error: &impl std::fmt::Display) -> String {
-    format!("{}: {error}", path.display())
+/// A file or directory that cannot be used. The message is its path; the cause is the source.
+#[derive(Debug, Error)]
+pub(crate) enum FileError {
+    /// It cannot be read or written.
+    #[error("{}", path.display())]
+    Io {
+        /// Its path.
+        path: PathBuf,
+        /// The cause.
+        source: io::Error,
+    },
+    /// It contains no valid scenario.
+    #[error("{}", path.display())]
+    Scenario {
+        /// Its path.
+        path: PathBuf,
+        /// The line and what is wrong there.
+        source: ScenarioError,
+    },
+    /// The result has no JSON form.
+    #[error("the result cannot be written as JSON")]
+    Json(#[from] serde_json::Error),
+}
+
+impl FileError {
+    /// Makes an I/O error that concerns `path`.
+    pub(crate) fn io(path: &Path) -> impl Fn(io::Error) -> FileError {
+        move |source| FileError::Io {
+            path: path.to_path_buf(),
+            source,
+        }
+    }
 }
 
 /// A scenario and the text it was read from.
@@ -21,10 +52,13 @@
     pub scenario: Scenario,
 }
 
-/// Reads a scenario; the error is one line with the path of the file.
-pub(crate) fn load(path: &Path) -> Result<Loaded, String> {
-    let text = std::fs::read_to_string(path).map_err(|error| at(path, &error))?;
-    let scenario = Scenario::read(&text).map_err(|error| at(path, &error))?;
+/// Reads and checks a scenario.
+pub(crate) fn load(path: &Path) -> Result<Loaded, FileError> {
+    let text = std::fs::read_to_string(path).map_err(FileError::io(path))?;
+    let scenario = Scenario::read(&text).map_err(|source| FileError::Scenario {
+        path: path.to_path_buf(),
+        source,
+    })?;
     Ok(Loaded {
         path: path.to_path_buf(),
         text,
@@ -33,36 +67,36 @@
 }
 
 /// Creates a directory if necessary and checks that files can be created in it.
-pub(crate) fn ensure_directory(path: &Path) -> Result<(), String> {
-    std::fs::create_dir_all(path).map_err(|error| at(path, &error))?;
+pub(crate) fn ensure_directory(path: &Path) -> Result<(), FileError> {
+    std::fs::create_dir_all(path).map_err(FileError::io(path))?;
     let probe = path.join(".ironmast-testbed");
     let written = std::fs::write(&probe, b"").and_then(|()| std::fs::remove_file(&probe));
-    written.map_err(|error| at(path, &error))
+    written.map_err(FileError::io(path))
 }
 
 /// Checks that a file can be written, without changing one that exists.
-pub(crate) fn check_writable(path: &Path) -> Result<(), String> {
+pub(crate) fn check_writable(path: &Path) -> Result<(), FileError> {
     let exists = path.exists();
     let opened = std::fs::OpenOptions::new()
         .append(true)
         .create(true)
         .open(path);
-    opened.map_err(|error| at(path, &error))?;
+    opened.map_err(FileError::io(path))?;
     if exists {
         Ok(())
     } else {
-        std::fs::remove_file(path).map_err(|error| at(path, &error))
+        std::fs::remove_file(path).map_err(FileError::io(path))
     }
 }
 
 /// Writes a text to a file.
-pub(crate) fn write(path: &Path, text: &str) -> Result<(), String> {
-    std::fs::write(path, text).map_err(|error| at(path, &error))
+pub(crate) fn write(path: &Path, text: &str) -> Result<(), FileError> {
+    std::fs::write(path, text).map_err(FileError::io(path))
 }
 
 /// Writes JSON to a file, or to standard output for `-`.
-pub(crate) fn write_json<T: Serialize>(path: &Path, value: &T) -> Result<(), String> {
-    let text = serde_json::to_string_pretty(value).map_err(|error| error.to_string())?;
+pub(crate) fn write_json<T: Serialize>(path: &Path, value: &T) -> Result<(), FileError> {
+    let text = serde_json::to_string_pretty(value)?;
     if path == Path::new("-") {
         println!("{text}");
         return Ok(());
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -12,8 +12,10 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
+use eyre::bail;
 use ironmast_emulator::{PolicyName, Rule, Scenario, World};
 use rayon::prelude::*;
+use thiserror::Error;
 
 use generator::{add_faults, generate_scenario};
 use shrink::simpler_scenarios;
@@ -30,16 +32,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Seeds(pub u64, pub u64);
 
+/// A range of seeds that is not `FROM..TO` with `FROM` below `TO`.
+#[derive(Debug, Error)]
+#[error("`{0}`: expected FROM..TO")]
+pub(crate) struct InvalidSeeds(String);
+
 impl FromStr for Seeds {
-    type Err = String;
+    type Err = InvalidSeeds;
 
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, InvalidSeeds> {
         let ends = text
             .split_once("..")
             .and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
         let (from, to) = ends
             .filter(|(a, b)| a < b)
-            .ok_or_else(|| format!("`{text}`: expected FROM..TO"))?;
+            .ok_or_else(|| InvalidSeeds(text.to_string()))?;
         Ok(Seeds(from, to))
     }
 }
@@ -182,22 +189,19 @@
 }
 
 /// Runs the hunt; prints and writes the findings.
-pub(crate) fn run(hunt: &Hunt) -> Result<ExitCode, String> {
+pub(crate) fn run(hunt: &Hunt) -> eyre::Result<ExitCode> {
     files::ensure_directory(&hunt.out)?;
     if !(hunt.gap > 0.0 && hunt.gap <= 1.0) {
-        return Err(format!(
-            "--gap is {}, expected more than 0 and at most 1",
-            hunt.gap
-        ));
+        bail!("--gap is {}, expected more than 0 and at most 1", hunt.gap);
     }
     let limit = match hunt.minutes {
         Some(m) if !(m > 0.0 && m <= 1e6) => {
-            return Err(format!("--minutes is {m}, expected more than 0"));
+            bail!("--minutes is {m}, expected more than 0");
         }
         minutes => minutes.map(|m| Duration::from_secs_f64(m * 60.0)),
     };
     let Seeds(from, to) = hunt.seeds;
-    let jobs = Jobs::begin(to - from)?;
+    let jobs = Jobs::begin(to - from);
     let (began, found, played) = (Instant::now(), Mutex::new(Vec::new()), Mutex::new(0u64));
     // A panic is a finding with a line of its own; its trace would only hide the others.
     let hook = std::panic::take_hook();
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -26,14 +26,17 @@
 fn main() -> ExitCode {
     match run(Cli::parse().command) {
         Ok(code) => code,
-        Err(problem) => {
-            eprintln!("ironmast-testbed: {problem}");
+        // The alternate form appends the causes, on one line.
+        Err(error) => {
+            eprintln!("ironmast-testbed: {error:#}");
             ExitCode::from(2)
         }
     }
 }
 
-fn run(command: Command) -> Result<ExitCode, String> {
+/// Runs a command. An error means that nothing could be run: invalid input, or a file that cannot
+/// be read or written.
+fn run(command: Command) -> eyre::Result<ExitCode> {
     match command {
         Command::Check { scenario } => emulate::check(&scenario),
         Command::Emulate {
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -9,6 +9,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
+use eyre::bail;
 use ironmast_membership::MAX_DATAGRAM_BYTES;
 use ironmast_membership::simulation::{SimulatedCluster, lossless};
 
@@ -22,12 +23,12 @@
 }
 
 /// Plays the trial and prints one line (or JSON); code 1 where the death was not found within 60 s.
-pub(crate) fn run(trial: &Trial) -> Result<ExitCode, String> {
+pub(crate) fn run(trial: &Trial) -> eyre::Result<ExitCode> {
     if !(2..=5000).contains(&trial.members) {
-        return Err(format!("--members {}: 2 to 5,000 expected", trial.members));
+        bail!("--members {}: 2 to 5,000 expected", trial.members);
     }
     if !(0.0..=0.9).contains(&trial.loss) || !(1.0..=3600.0).contains(&trial.seconds) {
-        return Err("--loss 0 to 0.9 and --seconds 1 to 3,600 expected".into());
+        bail!("--loss 0 to 0.9 and --seconds 1 to 3,600 expected");
     }
     let mut cluster = SimulatedCluster::new(trial.members);
     cluster.run(Duration::from_secs(10), &lossless);
--- a/crates/testbed/src/pictures.rs
+++ b/crates/testbed/src/pictures.rs
@@ -2,7 +2,9 @@
 
 use ironmast_emulator::{COLUMNS, ServerReport};
 use plotters::coord::Shift;
+use plotters::drawing::DrawingAreaErrorKind;
 use plotters::prelude::*;
+use thiserror::Error;
 
 /// Size of a picture, in pixels.
 const SIZE: (u32, u32) = (1000, 460);
@@ -27,15 +29,22 @@
     pub points: Vec<(f64, f64)>,
 }
 
+/// A plot that could not be drawn.
+#[derive(Debug, Error)]
+#[error("a plot could not be drawn")]
+pub(crate) struct PlotError(#[from] DrawError);
+
+type DrawError = DrawingAreaErrorKind<std::io::Error>;
+
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-fn draw(with: impl Fn(&Area) -> Result<(), Box<dyn std::error::Error>>) -> Result<String, String> {
+fn draw(with: impl Fn(&Area) -> Result<(), DrawError>) -> Result<String, PlotError> {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        let drawn = area.fill(&WHITE).map_err(|e| e.to_string());
-        drawn.and_then(|()| with(&area).map_err(|e| e.to_string()))?;
-        area.present().map_err(|e| e.to_string())?;
+        area.fill(&WHITE)?;
+        with(&area)?;
+        area.present()?;
     }
     Ok(svg)
 }
@@ -71,7 +80,7 @@
     (x_name, y_name): (&str, &str),
     curves: &[Curve],
     y: Option<(f64, f64)>,
-) -> Result<String, String> {
+) -> Result<String, PlotError> {
     let (x0, x1) = all(curves, |p| p.0);
     let (y0, y1) = y.unwrap_or_else(|| all(curves, |p| p.1));
     draw(|area| {
@@ -99,7 +108,7 @@
 const LEGEND: u32 = 150;
 
 /// Colours and names, beside the picture so that it hides nothing.
-fn legend(area: &Area, curves: &[Curve]) -> Result<(), Box<dyn std::error::Error>> {
+fn legend(area: &Area, curves: &[Curve]) -> Result<(), DrawError> {
     let x = (SIZE.0 - LEGEND + 8) as i32;
     for (i, (curve, style)) in styled(curves, 3).enumerate() {
         let y = 60 + 24 * i as i32;
@@ -120,7 +129,7 @@
 }
 
 /// Latency over the share of answers that are quicker, up to 99.99 %.
-pub(crate) fn latency(title: &str, curves: &[Curve]) -> Result<String, String> {
+pub(crate) fn latency(title: &str, curves: &[Curve]) -> Result<String, PlotError> {
     let (y0, y1) = all(curves, |p| p.1);
     draw(|area| {
         let mut chart = ChartBuilder::on(area)
@@ -174,7 +183,11 @@
 const ROWS: usize = 100;
 
 /// Servers over time, one row a place, in the order of their zones.
-pub(crate) fn heat(title: &str, length_s: f64, servers: &[ServerReport]) -> Result<String, String> {
+pub(crate) fn heat(
+    title: &str,
+    length_s: f64,
+    servers: &[ServerReport],
+) -> Result<String, PlotError> {
     let places = servers
         .iter()
         .map(|s| s.place as usize + 1)
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -54,17 +54,20 @@
 
 impl Jobs {
     /// Shows progress on a terminal and handles Ctrl-C.
-    pub(crate) fn begin(runs: u64) -> Result<Jobs, String> {
+    ///
+    /// # Panics
+    /// Never: the template is constant.
+    pub(crate) fn begin(runs: u64) -> Jobs {
         let bar = ProgressBar::with_draw_target(Some(runs * 100), ProgressDrawTarget::stderr());
         let style = ProgressStyle::with_template(
             "{bar:40} {percent:>3} % {elapsed_precise} left {eta} {msg}",
         );
-        bar.set_style(style.map_err(|error| error.to_string())?);
+        bar.set_style(style.expect("a valid template"));
         let stop = Arc::new(AtomicBool::new(false));
         let handler_stop = Arc::clone(&stop);
         // The handler can be set once per process; in tests, which share one, later calls fail.
         let _ = ctrlc::set_handler(move || handler_stop.store(true, Ordering::Relaxed));
-        Ok(Jobs { bar, stop })
+        Jobs { bar, stop }
     }
 
     /// Whether Ctrl-C was pressed.
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -8,9 +8,13 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use ironmast_fault_injection::deployment::Deployment;
+use eyre::eyre;
+use ironmast_fault_injection::deployment::{Deployment, DeploymentError};
 use ironmast_fault_injection::load::{Outcome, SharedResults};
 use ironmast_fault_injection::scenario::{self, Scenario, ScenarioResult, parse};
+use thiserror::Error;
+
+use crate::files::{self, FileError};
 
 /// The scenario of `demo`.
 pub(crate) const DEMO: &str = include_str!("../../../scenarios/stage/zone-cut.toml");
@@ -27,21 +31,32 @@
     pub logs: Option<PathBuf>,
 }
 
+/// The `ironmast` program was not found.
+#[derive(Debug, Error)]
+enum ProgramError {
+    /// There is no file at the path.
+    #[error(
+        "no proxy at {}: build it (cargo build --release -p ironmast) or name one with --proxy",
+        .0.display()
+    )]
+    Missing(PathBuf),
+    /// The directory of this program is unknown.
+    #[error("the directory of this program")]
+    OwnDirectory(#[source] std::io::Error),
+}
+
 /// The path of the `ironmast` program.
-fn program(named: Option<PathBuf>) -> Result<PathBuf, String> {
+fn program(named: Option<PathBuf>) -> Result<PathBuf, ProgramError> {
     let path = match named {
         Some(path) => path,
         None => std::env::current_exe()
-            .map_err(|error| error.to_string())?
+            .map_err(ProgramError::OwnDirectory)?
             .with_file_name("ironmast"),
     };
     if path.is_file() {
         Ok(path)
     } else {
-        Err(format!(
-            "no proxy at {}: build it (cargo build --release -p ironmast) or name one with --proxy",
-            path.display()
-        ))
+        Err(ProgramError::Missing(path))
     }
 }
 
@@ -178,34 +193,34 @@
     scenario: &Scenario,
     schedule: ironmast_fault_injection::fault::Schedule,
     program: PathBuf,
-) -> Result<ScenarioResult, String> {
+) -> Result<ScenarioResult, DeploymentError> {
     let zones = scenario.zone_names();
     println!("{}: {}", scenario.name, scenario.description);
     println!("{}", table_header(scenario.proxies, &zones));
     let print_row = |second, deployment: &Deployment, results: &[SharedResults]| {
         println!("{}", table_row(second, deployment, results, &zones));
     };
-    scenario::run(scenario, schedule, program, print_row).map_err(|error| error.to_string())
+    scenario::run(scenario, schedule, program, print_row)
 }
 
 /// Runs a scenario. The exit code is 1 if something was executed twice, was served without an
 /// execution or violates an assertion; the caller exits with 2 if the scenario could not be run.
-pub(crate) fn run(arguments: StageArguments) -> Result<ExitCode, String> {
+pub(crate) fn run(arguments: StageArguments) -> eyre::Result<ExitCode> {
     let (text, file) = match &arguments.scenario {
         Some(path) => (
-            std::fs::read_to_string(path)
-                .map_err(|error| format!("{}: {error}", path.display()))?,
+            std::fs::read_to_string(path).map_err(FileError::io(path))?,
             path.display().to_string(),
         ),
         None => (DEMO.to_string(), "the demo".to_string()),
     };
-    let (scenario, schedule) = parse(&text, &file).map_err(|error| error.to_string())?;
+    let (scenario, schedule) = parse(&text, &file)?;
     let program = program(arguments.proxy)?;
-    let result = run_with_table(&scenario, schedule, program)?;
+    // Only the message: it contains its cause.
+    let result = run_with_table(&scenario, schedule, program).map_err(|error| eyre!("{error}"))?;
     let summary = Summary::new(&result);
     summary.print();
     if let Some(path) = &arguments.json {
-        write(path, &summary.to_json(&scenario.name).to_string())?;
+        write_or_print(path, &summary.to_json(&scenario.name).to_string())?;
     }
     if let Some(directory) = &arguments.logs {
         write_logs(directory, &result.logs)?;
@@ -218,22 +233,21 @@
 }
 
 /// Writes the log of each proxy to a file of its own.
-fn write_logs(directory: &Path, logs: &[Vec<String>]) -> Result<(), String> {
-    std::fs::create_dir_all(directory)
-        .map_err(|error| format!("{}: {error}", directory.display()))?;
+fn write_logs(directory: &Path, logs: &[Vec<String>]) -> Result<(), FileError> {
+    std::fs::create_dir_all(directory).map_err(FileError::io(directory))?;
     for (proxy, lines) in logs.iter().enumerate() {
         let path = directory.join(format!("proxy{proxy}.log"));
-        write(&path, &(lines.join("\n") + "\n"))?;
+        files::write(&path, &(lines.join("\n") + "\n"))?;
     }
     Ok(())
 }
 
 /// Writes a text to a file, or to standard output for `-`.
-fn write(path: &Path, text: &str) -> Result<(), String> {
+fn write_or_print(path: &Path, text: &str) -> Result<(), FileError> {
     if path == Path::new("-") {
         println!("{text}");
         Ok(())
     } else {
-        std::fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))
+        files::write(path, text)
     }
 }
--- a/crates/testbed/src/sweep.rs
+++ b/crates/testbed/src/sweep.rs
@@ -4,12 +4,14 @@
 use std::process::ExitCode;
 use std::str::FromStr;
 
+use eyre::WrapErr as _;
 use ironmast_emulator::{PolicyName, Scenario};
+use thiserror::Error;
 use toml::Value;
 
 use crate::compare;
 use crate::files::{self, Loaded};
-use crate::pictures::{self, Curve, Section};
+use crate::pictures::{self, Curve, PlotError, Section};
 use crate::play::MeasuredReport;
 use crate::statistics::{Figure, mean};
 
@@ -25,12 +27,40 @@
     steps: usize,
 }
 
+/// A text that is no valid `PATH=FROM..TO[:STEPS]`.
+#[derive(Debug, Error)]
+#[error("`{0}`: expected PATH=FROM..TO[:STEPS], as in clients.rate=100..900:9")]
+pub(crate) struct InvalidVary(String);
+
+/// A value that could not be set in the scenario.
+#[derive(Debug, Error)]
+pub(crate) enum VaryError {
+    /// The scenario has no table or list at the path.
+    #[error("{0}: the scenario holds no such figure")]
+    UnknownPath(String),
+    /// The scenario with the value is invalid.
+    #[error("{path} = {value}: {problem}")]
+    Invalid {
+        /// The path of the value.
+        path: String,
+        /// The value.
+        value: f64,
+        /// What is wrong, without the line: the text with the value is in no file.
+        problem: String,
+    },
+    /// The scenario's file is not valid TOML. It is no source: its own text has several lines.
+    #[error("{}", .0.message())]
+    Syntax(toml::de::Error),
+    /// The scenario with the value could not be written as TOML.
+    #[error("the varied scenario could not be written")]
+    Write(#[from] toml::ser::Error),
+}
+
 impl FromStr for Vary {
-    type Err = String;
+    type Err = InvalidVary;
 
-    fn from_str(text: &str) -> Result<Self, String> {
-        let expected =
-            || format!("`{text}`: expected PATH=FROM..TO[:STEPS], as in clients.rate=100..900:9");
+    fn from_str(text: &str) -> Result<Self, InvalidVary> {
+        let expected = || InvalidVary(text.to_string());
         let (path, range) = text.split_once('=').ok_or_else(expected)?;
         let (range, steps) = match range.split_once(':') {
             Some((range, steps)) => (range, steps.parse().map_err(|_| expected())?),
@@ -61,21 +91,23 @@
     }
 
     /// The scenario with the figure set; whole numbers stay whole.
-    fn apply(&self, text: &str, value: f64) -> Result<Scenario, String> {
+    fn apply(&self, text: &str, value: f64) -> Result<Scenario, VaryError> {
         let set = |written: Option<Value>| {
-            let mut root: toml::Table = text
-                .parse()
-                .map_err(|e: toml::de::Error| e.message().to_string())?;
+            let mut root: toml::Table = text.parse().map_err(VaryError::Syntax)?;
             let (table, key) = place(&mut root, &self.path)
-                .ok_or_else(|| format!("{}: the scenario holds no such figure", self.path))?;
+                .ok_or_else(|| VaryError::UnknownPath(self.path.clone()))?;
             let whole = Value::Integer(value.round() as i64);
             let shown = matches!(table.get(key), Some(Value::Integer(_)));
             let plain = if shown { whole } else { Value::Float(value) };
             // A figure that the file leaves to its default may be named too: the reading finds
             // wrong names.
             table.insert(key.to_string(), written.unwrap_or(plain));
-            let text = toml::to_string(&root).map_err(|e| e.to_string())?;
-            Scenario::read(&text).map_err(|e| format!("{} = {value}: {}", self.path, e.problem))
+            let text = toml::to_string(&root)?;
+            Scenario::read(&text).map_err(|error| VaryError::Invalid {
+                path: self.path.clone(),
+                value,
+                problem: error.problem,
+            })
         };
         let whole = Value::Integer(value.round() as i64);
         set(None).or_else(|problem| set(Some(whole)).map_err(|_| problem))
@@ -120,18 +152,18 @@
     policies: &[PolicyName],
     seeds: u64,
     out: &Path,
-) -> Result<ExitCode, String> {
+) -> eyre::Result<ExitCode> {
     let values = vary.values();
     let scenarios: Vec<Scenario> = values
         .iter()
         .map(|value| {
             let mut scenario = vary
                 .apply(&loaded.text, *value)
-                .map_err(|e| format!("{}: {e}", loaded.path.display()))?;
+                .wrap_err_with(|| loaded.path.display().to_string())?;
             scenario.name = format!("{} {}={value:.6}", loaded.scenario.name, vary.path);
             Ok(scenario)
         })
-        .collect::<Result<_, String>>()?;
+        .collect::<eyre::Result<_>>()?;
     let (notes, stopped) = compare::play_grid(&scenarios, policies, seeds, out)?;
     let title = format!(
         "{}: {} from {} to {}",
@@ -163,7 +195,7 @@
     (scenarios, values): (&[Scenario], &[f64]),
     policies: &[PolicyName],
     notes: &[MeasuredReport],
-) -> Result<Section, String> {
+) -> Result<Section, PlotError> {
     let of = |scenario: &Scenario, policy: PolicyName, figure: Figure| {
         let fits = |n: &&MeasuredReport| {
             n.report.scenario == scenario.name && n.report.policy == policy.name()
--- a/crates/testbed/src/sweep/tests.rs
+++ b/crates/testbed/src/sweep/tests.rs
@@ -40,7 +40,7 @@
         ("clients.rate=-5..2", "expected 0.001 to 10000000"),
     ] {
         let error = apply(vary, vary.parse::<Vary>().expect("sound").from).expect_err(vary);
-        assert!(error.contains(told), "{error}");
+        assert!(error.to_string().contains(told), "{error}");
     }
     for bad in [
         "rate",
@@ -53,6 +53,7 @@
         assert!(
             bad.parse::<Vary>()
                 .expect_err(bad)
+                .to_string()
                 .contains("expected PATH=FROM..TO"),
             "{bad}"
         );
