--- a/crates/balancer/src/api/actions.rs
+++ b/crates/balancer/src/api/actions.rs
@@ -44,8 +44,10 @@
         /// Returned with the event.
         token: u64,
     },
-    /// Subscribes to discovery, or ends the subscription.
-    Subscribe(bool),
+    /// Subscribes to discovery, or renews the subscription.
+    Subscribe,
+    /// Ends the subscription to discovery.
+    Unsubscribe,
     /// Asks discovery once for the complete list.
     FetchAll,
     /// Sends a health check to a server.
--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/balance.rs
@@ -148,7 +148,7 @@
             // Repeated unless a list arrives: a response that never arrives must not end it.
             self.subscribe_at =
                 Some(self.now + self.settings.safety.discovery_interval / SUBSCRIBE_DIVISORS.1);
-            actions.push(Action::Subscribe(true));
+            actions.push(Action::Subscribe);
         }
         if self.next_maintenance <= self.now {
             self.next_maintenance = self.now + self.maintenance_interval;
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -99,7 +99,7 @@
                 Action::Timer { delay, token } => {
                     self.timers.insert((self.now.saturating_add(delay), token));
                 }
-                Action::Subscribe(true) => self.subscribed.push(self.now),
+                Action::Subscribe => self.subscribed.push(self.now),
                 _ => {}
             }
         }
--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -409,7 +409,10 @@
                 self.timers
                     .insert((self.clock.now().saturating_add(delay), token));
             }
-            Action::Subscribe(on) => drop(self.outputs.discovery.send(DiscoveryCommand::Watch(on))),
+            Action::Subscribe => drop(self.outputs.discovery.send(DiscoveryCommand::Watch(true))),
+            Action::Unsubscribe => {
+                drop(self.outputs.discovery.send(DiscoveryCommand::Watch(false)))
+            }
             Action::FetchAll => drop(self.outputs.discovery.send(DiscoveryCommand::FetchAll)),
             Action::Probe { server } => match self.servers.get(&server) {
                 Some(&address) => {
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -422,7 +422,7 @@
 impl Policy for Reference {
     fn handle(&mut self, now: Micros, event: Event, truth: &dyn Truth, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.subscribed, true) {
-            out.push(Action::Subscribe(true));
+            out.push(Action::Subscribe);
         }
         match event {
             Event::Members(listing) => self.members(listing, out),
@@ -480,7 +480,7 @@
                     }
                 }
             }
-            Event::Timer { token: ASK } => out.push(Action::Subscribe(true)),
+            Event::Timer { token: ASK } => out.push(Action::Subscribe),
             Event::Timer { token } => self.end(token, out),
             Event::ResponseStarted { .. }
             | Event::RequestComplete { .. }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1185,7 +1185,7 @@
                     What::Timer { proxy, life, token },
                 );
             }
-            Action::Subscribe(true) | Action::FetchAll => {
+            Action::Subscribe | Action::FetchAll => {
                 let QueryResult { at, answered: ok } = self.discovery.query(self.now);
                 let p = &mut self.proxies[proxy as usize];
                 p.heard = self.now;
@@ -1193,7 +1193,7 @@
                 let way = 2 * self.network.base_delay(0, 0);
                 self.queue.push(at + way, What::Called { proxy, life, ok });
             }
-            Action::Subscribe(false) => self.proxies[proxy as usize].subscribed = false,
+            Action::Unsubscribe => self.proxies[proxy as usize].subscribed = false,
             Action::Probe { server } => {
                 self.probes += 1;
                 let (server, sent) = (number_of(server), self.now);
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -110,7 +110,7 @@
 impl Policy for Sinner {
     fn handle(&mut self, now: Micros, event: Event, _: &dyn Truth, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.subscribed, true) {
-            out.push(Action::Subscribe(true));
+            out.push(Action::Subscribe);
         }
         match event {
             Event::Members(listing) => {
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -51,7 +51,8 @@
             Action::Fail { id } => writeln!(out, "END_FAILED\t{instance}\t{id}"),
             Action::Cancel { id, attempt } => writeln!(out, "REVOKE\t{instance}\t{id}\t{attempt}"),
             Action::Timer { delay, token } => writeln!(out, "AFTER\t{instance}\t{delay}\t{token}"),
-            Action::Subscribe(on) => writeln!(out, "WATCH\t{instance}\t{}", u8::from(*on)),
+            Action::Subscribe => writeln!(out, "WATCH\t{instance}\t1"),
+            Action::Unsubscribe => writeln!(out, "WATCH\t{instance}\t0"),
             Action::FetchAll => writeln!(out, "QUERY_ALL\t{instance}"),
             Action::Probe { server } => {
                 writeln!(out, "HEALTH_CHECK\t{instance}\t{}", name(server)?)
--- a/crates/simulator-adapter/src/actions/tests.rs
+++ b/crates/simulator-adapter/src/actions/tests.rs
@@ -37,7 +37,8 @@
         (Action::Fail { id: 9 }, "END_FAILED\t3\t9\n"),
         (Action::Cancel { id: 9, attempt: 1 }, "REVOKE\t3\t9\t1\n"),
         (Action::Timer { delay: 4, token: 8 }, "AFTER\t3\t4\t8\n"),
-        (Action::Subscribe(false), "WATCH\t3\t0\n"),
+        (Action::Subscribe, "WATCH\t3\t1\n"),
+        (Action::Unsubscribe, "WATCH\t3\t0\n"),
         (Action::FetchAll, "QUERY_ALL\t3\n"),
         (Action::Probe { server }, "HEALTH_CHECK\t3\tb:1\n"),
         (
