--- a/crates/schema/src/configuration/tests.rs
+++ b/crates/schema/src/configuration/tests.rs
@@ -150,6 +150,23 @@
     );
 }
 
+/// Operators read the text in the response to `PUT /api/config`.
+#[test]
+fn each_value_out_of_range_is_named_in_one_line() {
+    let mut value = valid();
+    value["routes"][0]["hostname"] = json!("");
+    value["routes"][0]["path_prefix"] = json!("x/");
+    value["routes"][1]["traffic_split"][1]["weight"] = json!(-1);
+    value["services"][1]["name"] = json!("");
+    let error = parse(&value).expect_err("rejected");
+    assert_eq!(
+        error.to_string(),
+        "the configuration is invalid: routes[0].hostname: length is lower than 1; \
+         routes[0].path_prefix: begins and ends with a slash; \
+         routes[1].traffic_split[1].weight: lower than 0; services[1].name: length is lower than 1"
+    );
+}
+
 #[test]
 fn hundreds_of_routes_are_accepted() {
     let mut value = valid();
--- a/crates/schema/src/settings/tests.rs
+++ b/crates/schema/src/settings/tests.rs
@@ -135,6 +135,32 @@
     );
 }
 
+/// Operators read the text in the log line of a process that can't start.
+#[test]
+fn the_text_of_a_rejection_names_path_fields_and_reasons() {
+    let text = VALID
+        .replace("\"core-1\"", "\"\"")
+        .replace("7675", "7661")
+        .replace("memory_mb: 260", "memory_mb: 0");
+    let line = parse(&text).expect_err("out of range").to_string();
+    assert_eq!(
+        line,
+        "/etc/ironmast/local.yaml: internal_port_range: needs 4 ports, first to last; \
+         limits.memory_mb: lower than 1; node_name: length is lower than 1"
+    );
+}
+
+#[test]
+fn the_text_of_a_parse_error_is_one_line_with_path_and_position() {
+    let line = rejection("max_fds: 4100", "max_fds: many");
+    assert!(
+        line.starts_with("/etc/ironmast/local.yaml: error: line 24 column 12: invalid u64; "),
+        "{line}"
+    );
+    assert!(line.contains("; 24 |   max_fds: many; "), "{line}");
+    assert!(!line.contains('\n'), "{line:?}");
+}
+
 #[test]
 fn a_missing_field_is_named() {
     let line = rejection("node_name: \"core-1\"\n", "");
