--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -7,5 +7,8 @@
 
 pub mod configuration;
 pub mod control;
+mod invalid_fields;
 pub mod registration;
 pub mod settings;
+
+pub use invalid_fields::InvalidFields;
