--- /dev/null
+++ b/crates/schema/src/settings/model.rs
@@ -0,0 +1,185 @@
+//! The settings' fields, with the ranges of their values.
+
+use std::collections::BTreeMap;
+use std::net::{IpAddr, SocketAddr};
+use std::path::PathBuf;
+
+use garde::Validate;
+use serde::Deserialize;
+
+use super::timing_bounds::TimingBounds;
+
+/// The settings of one process.
+#[derive(Debug, Clone, Deserialize, Validate)]
+pub struct Settings {
+    /// Name of the machine.
+    #[garde(length(min = 1))]
+    pub node_name: String,
+    /// Address at which other machines reach this one.
+    #[garde(skip)]
+    pub ip_address: IpAddr,
+    /// Zone of the machine.
+    #[garde(length(min = 1))]
+    pub zone: String,
+    /// Region of the machine.
+    #[garde(length(min = 1))]
+    pub region: String,
+    /// Regions by zone.
+    #[serde(default)]
+    #[garde(skip)]
+    pub zones: BTreeMap<String, String>,
+    /// Addresses of the listeners.
+    #[serde(default)]
+    #[garde(skip)]
+    pub listeners_map: Listeners,
+    /// First and last port for the system's internal traffic; the same on every machine.
+    #[garde(custom(validate_port_range))]
+    pub internal_port_range: [u16; 2],
+    /// `control_plane` addresses of the coordinators known when the file was written.
+    #[serde(default)]
+    #[garde(skip)]
+    pub seed_nodes: Vec<SocketAddr>,
+    /// Whether the whole system starts for the first time, with empty disks.
+    #[serde(default)]
+    #[garde(skip)]
+    pub bootstrap: bool,
+    /// Resource limits of the process.
+    #[serde(default)]
+    #[garde(dive)]
+    pub limits: Limits,
+    /// Folder for the process's data.
+    #[serde(default)]
+    #[garde(skip)]
+    pub data_directory: Option<PathBuf>,
+    /// Approximate interval of a server's heartbeats, in ms.
+    #[serde(default = "default_heartbeat_interval_ms")]
+    #[garde(range(min = 50, max = 60_000))]
+    pub heartbeat_interval_ms: u64,
+    /// Failures that the system tolerates.
+    #[serde(default)]
+    #[garde(skip)]
+    pub fault_tolerance: FaultTolerance,
+    /// Timing bounds that the system has to keep.
+    #[serde(default)]
+    #[garde(dive)]
+    pub timing_bounds: TimingBounds,
+}
+
+/// Addresses of a process's listeners; `None` for those that its role doesn't serve.
+#[derive(Debug, Clone, Default, Deserialize)]
+pub struct Listeners {
+    /// Serves clients' requests.
+    pub frontend: Option<SocketAddr>,
+    /// Serves the platform's readiness checks.
+    pub readiness: Option<SocketAddr>,
+    /// Serves servers' heartbeats and the operators' API.
+    pub control_plane: Option<SocketAddr>,
+    /// Serves clients' address resolution.
+    pub directory_service: Option<SocketAddr>,
+}
+
+/// Resource limits of a process.
+#[derive(Debug, Clone, Deserialize, Validate)]
+#[serde(default)]
+pub struct Limits {
+    /// Memory limit, in MB.
+    #[garde(range(min = 1))]
+    pub memory_mb: u64,
+    /// Largest number of file descriptors.
+    #[garde(range(min = 64))]
+    pub max_fds: usize,
+    /// Disk space, in MB; 0 if the process has no disk.
+    #[garde(skip)]
+    pub disk_mb: u64,
+}
+
+impl Default for Limits {
+    fn default() -> Self {
+        Limits {
+            memory_mb: 256,
+            max_fds: 1024,
+            disk_mb: 0,
+        }
+    }
+}
+
+/// The failures that the system tolerates at the same time.
+#[derive(Debug, Clone, Deserialize)]
+#[serde(default)]
+pub struct FaultTolerance {
+    /// Number of machines of the quorum that may fail.
+    pub hosts_lost: usize,
+    /// Number of zones that may fail.
+    pub zones: usize,
+}
+
+impl Default for FaultTolerance {
+    fn default() -> Self {
+        FaultTolerance {
+            hosts_lost: 1,
+            zones: 0,
+        }
+    }
+}
+
+/// The ports of the internal range, by listener.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum InternalPort {
+    /// A coordinator, for other coordinators and agents.
+    Coordinator,
+    /// An agent, for other agents.
+    Agent,
+    /// An agent, for the gate on the same machine; on loopback only.
+    Feed,
+    /// A gate, for datagrams of other gates.
+    Gate,
+}
+
+impl Settings {
+    /// The port of the internal range for a listener.
+    #[must_use]
+    pub fn internal_port(&self, listener: InternalPort) -> u16 {
+        let offset = match listener {
+            InternalPort::Coordinator => 0,
+            InternalPort::Agent => 1,
+            InternalPort::Feed => 2,
+            InternalPort::Gate => 3,
+        };
+        self.internal_port_range[0] + offset
+    }
+
+    /// The region of a zone; an unknown zone is a region of its own.
+    pub fn region_of<'a>(&'a self, zone: &'a str) -> &'a str {
+        self.zones.get(zone).map_or(zone, String::as_str)
+    }
+
+    /// The addresses of the seed nodes for internal traffic of coordinators and agents.
+    #[must_use]
+    pub fn seed_coordinators(&self) -> Vec<SocketAddr> {
+        let port = self.internal_port(InternalPort::Coordinator);
+        self.seed_nodes
+            .iter()
+            .map(|seed| SocketAddr::new(seed.ip(), port))
+            .collect()
+    }
+}
+
+/// Number of internal ports that the programs use.
+const MIN_INTERNAL_PORTS: u16 = 4;
+
+#[expect(
+    clippy::trivially_copy_pass_by_ref,
+    reason = "garde passes both by reference"
+)]
+fn validate_port_range(range: &[u16; 2], _: &()) -> garde::Result {
+    if range[1] >= range[0] && range[1] - range[0] + 1 >= MIN_INTERNAL_PORTS {
+        return Ok(());
+    }
+    Err(garde::Error::new(format!(
+        "needs {MIN_INTERNAL_PORTS} ports, first to last"
+    )))
+}
+
+fn default_heartbeat_interval_ms() -> u64 {
+    1_200
+}
--- a/crates/schema/src/settings/tests.rs
+++ b/crates/schema/src/settings/tests.rs
@@ -1,5 +1,7 @@
 //! Settings files: what is read, what is refused, and in which words.
 
+use std::path::Path;
+
 use assert_matches::assert_matches;
 
 use super::*;
