--- a/crates/schema/src/settings/model.rs
+++ b/crates/schema/src/settings/model.rs
@@ -12,34 +12,44 @@
 /// The settings of one process.
 #[derive(Debug, Clone, Deserialize, Validate)]
 pub struct Settings {
-    /// Name of the machine.
+    /// Name of the machine, for the log. Must not be empty.
     #[garde(length(min = 1))]
     pub node_name: String,
-    /// Address at which other machines reach this one.
+    /// Address at which other machines reach this one. It identifies a coordinator in the register; a
+    /// wrong address leaves the machine without links.
     #[garde(skip)]
     pub ip_address: IpAddr,
-    /// Zone of the machine.
+    /// Zone of the machine. A wrong zone places replicas and clients' traffic in the wrong failure
+    /// domain. Must not be empty.
     #[garde(length(min = 1))]
     pub zone: String,
-    /// Region of the machine.
+    /// Region of the machine. A wrong region sends clients' requests over long links. Must not be
+    /// empty.
     #[garde(length(min = 1))]
     pub region: String,
-    /// Regions by zone.
+    /// Regions by zone. A zone that is missing here is treated as a region of its own
+    /// ([`Settings::region_of`]).
     #[serde(default)]
     #[garde(skip)]
     pub zones: BTreeMap<String, String>,
-    /// Addresses of the listeners.
+    /// Addresses of the listeners. A role doesn't start without those that it serves
+    /// ([`SettingsError::MissingListener`](super::SettingsError::MissingListener)).
     #[serde(default)]
     #[garde(skip)]
     pub listeners_map: Listeners,
-    /// First and last port for the system's internal traffic; the same on every machine.
+    /// First and last port for the system's internal traffic; at least four. A machine with another
+    /// range than the others is not reached by them ([`Settings::internal_port`]).
     #[garde(custom(validate_port_range))]
     pub internal_port_range: [u16; 2],
-    /// `control_plane` addresses of the coordinators known when the file was written.
+    /// `control_plane` addresses of the coordinators known when the file was written; only their IP
+    /// addresses are used. If none of them is reachable, the process joins only once a machine that
+    /// knows it connects.
     #[serde(default)]
     #[garde(skip)]
     pub seed_nodes: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time, with empty disks.
+    /// Whether the whole system starts for the first time, with empty disks. If it is false then, no
+    /// register is created and no change is accepted; `register/src/bootstrap.rs` says what guards
+    /// against `true` on a machine that is replaced later.
     #[serde(default)]
     #[garde(skip)]
     pub bootstrap: bool,
@@ -47,15 +57,16 @@
     #[serde(default)]
     #[garde(dive)]
     pub limits: Limits,
-    /// Folder for the process's data.
+    /// Folder for the process's data. A coordinator doesn't start without it; other roles ignore it.
     #[serde(default)]
     #[garde(skip)]
     pub data_directory: Option<PathBuf>,
-    /// Approximate interval of a server's heartbeats, in ms.
+    /// Approximate interval of a server's heartbeats, in ms. Too short, and live servers are marked
+    /// unreachable after four missed heartbeats; too long, and crashed ones are found late.
     #[serde(default = "default_heartbeat_interval_ms")]
     #[garde(range(min = 50, max = 60_000))]
     pub heartbeat_interval_ms: u64,
-    /// Failures that the system tolerates.
+    /// Failures that the system tolerates; decides the size of the replica set.
     #[serde(default)]
     #[garde(skip)]
     pub fault_tolerance: FaultTolerance,
@@ -82,13 +93,16 @@
 #[derive(Debug, Clone, Deserialize, Validate)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory limit, in MB.
+    /// Memory limit, in MiB; bounds the bodies that a gate buffers. Above what the machine has, the
+    /// process can be killed; too low, and requests with long bodies wait for each other.
     #[garde(range(min = 1))]
     pub memory_mb: u64,
-    /// Largest number of file descriptors.
+    /// Largest number of file descriptors; a gate divides them between clients and servers. Above the
+    /// limit of the system, accepting and connecting fail.
     #[garde(range(min = 64))]
     pub max_fds: usize,
-    /// Disk space, in MB; 0 if the process has no disk.
+    /// Disk space, in MiB; 0 means the default of the register's log. The log uses an
+    /// eighth of it; a coordinator whose records don't fit into that can't write them.
     #[garde(skip)]
     pub disk_mb: u64,
 }
@@ -107,9 +121,11 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct FaultTolerance {
-    /// Number of machines of the quorum that may fail.
+    /// Number of replicas that may fail at the same time. The replica set has `2 * hosts_lost + 1`
+    /// members: more tolerate more failures, but each change is sent to more replicas.
     pub hosts_lost: usize,
-    /// Number of zones that may fail.
+    /// Number of zones that may fail. No program reads it: replicas are always spread over as many
+    /// zones as there are.
     pub zones: usize,
 }
 
--- a/crates/schema/src/settings/timing_bounds.rs
+++ b/crates/schema/src/settings/timing_bounds.rs
@@ -7,58 +7,70 @@
 #[derive(Debug, Clone, Deserialize, Validate)]
 #[serde(default)]
 pub struct TimingBounds {
-    /// Largest age of the operators' list of machines, in s.
+    /// Largest age of the operators' list of machines, in s. No program reads it.
     #[garde(skip)]
     pub seed_staleness_s: f64,
-    /// Time after which a server's address may be reused by another server, in s.
+    /// Time after which a server's address may be reused by another server, in s. No program reads
+    /// it: instances are told apart by their identifier.
     #[garde(skip)]
     pub address_reuse_s: f64,
-    /// Time without faults after which a machine counts as in contact, in ms.
+    /// Time without faults after which a machine counts as in contact, in ms. Together with
+    /// `config_apply_ms`, `drain_timeout_ms` and `evacuation_ms` it decides after which silence a
+    /// coordinator is out of contact (a third of the shortest, at least 600 ms): too short, and slow
+    /// links look like partitions; too long, and it answers from stale state.
     #[serde(deserialize_with = "truncated_ms")]
     #[garde(range(min = 1))]
     pub contact_ms: u64,
-    /// Timeout for the acknowledgement of an operator's change, in ms.
+    /// Timeout for the acknowledgement of an operator's change, in ms. No program reads it.
     #[serde(deserialize_with = "truncated_ms")]
     #[garde(range(min = 1))]
     pub ack_timeout_ms: u64,
-    /// Time after which a machine that returned counts as synchronised, in s.
+    /// Time after which a machine that returned counts as synchronised, in s. No program reads it;
+    /// `docs/design/control.md` has the measured times.
     #[garde(skip)]
     pub sync_time_s: f64,
-    /// Time after a server's announcement to drain, after which it receives no request, in ms.
+    /// Time after a server's announcement to drain, after which it receives no request, in ms. See
+    /// `contact_ms`.
     #[serde(deserialize_with = "truncated_ms")]
     #[garde(range(min = 1))]
     pub drain_timeout_ms: u64,
-    /// Time from SIGTERM to SIGKILL, in s.
+    /// Time from SIGTERM to SIGKILL, in s. Longer than what the platform grants, and requests are cut
+    /// off by the SIGKILL instead of being finished.
     #[garde(range(min = 0.1))]
     pub grace_period_s: f64,
-    /// Time within which a configuration is in force everywhere, in ms.
+    /// Time within which a configuration is in force everywhere, in ms. See `contact_ms`.
     #[serde(deserialize_with = "truncated_ms")]
     #[garde(range(min = 1))]
     pub config_apply_ms: u64,
-    /// Retry budget, as a fraction of the requests.
+    /// Retry budget, as a fraction of the requests. Too high, and retries multiply an overload; at 0
+    /// only `retry_burst` is left.
     #[garde(range(min = 0.0))]
     pub retry_budget_ratio: f64,
-    /// Window of the retry budget, in s.
+    /// Window of the retry budget, in s. Longer windows permit longer bursts of retries.
     #[garde(range(min = 0.1))]
     pub retry_window_s: f64,
-    /// Retries allowed beyond the ratio in a window.
+    /// Retries allowed beyond the ratio in a window; a fraction is truncated. At 0 a gate with few
+    /// requests can't retry.
     #[garde(range(min = 0.0))]
     pub retry_burst: f64,
-    /// Factor on the rate limit of a server that is warming up.
+    /// Factor on the rate limit of a server that is warming up. Above 1, such servers may be
+    /// overloaded; at 0 they receive only what `warmup_tolerance` permits.
     #[garde(range(min = 0.0))]
     pub warmup_overshoot: f64,
-    /// Tolerance added to that rate limit, in requests per second.
+    /// Tolerance added to that rate limit, in requests per second, over all gates.
     #[garde(range(min = 0.0))]
     pub warmup_tolerance: f64,
-    /// Time after an evacuation, after which the zone receives no request, in ms.
+    /// Time after an evacuation, after which the zone receives no request, in ms. See `contact_ms`.
     #[serde(deserialize_with = "truncated_ms")]
     #[garde(range(min = 1))]
     pub evacuation_ms: u64,
-    /// Time within which an event of a stream is forwarded, in ms.
+    /// Time within which an event of a stream is forwarded, in ms. No program reads it: events are
+    /// forwarded as they arrive.
     #[serde(deserialize_with = "truncated_ms")]
     #[garde(range(min = 1))]
     pub pass_ms: u64,
-    /// Largest time to live of a resolved address, in s.
+    /// Largest time to live of a resolved address, in s. Too long, and clients keep connecting to a
+    /// gate that has shut down; too short, and they load the directory.
     #[garde(range(min = 0.1))]
     pub ttl_max_s: f64,
 }
