--- a/crates/gate/src/table_spec.rs
+++ b/crates/gate/src/table_spec.rs
@@ -84,7 +84,8 @@
         max_attempts: route.max_attempts,
         timeout_ms: route.timeout_ms,
         target_latency_ms: route.target_latency_ms.max(0.0) as u64,
-        max_event_gap_ms: (route.gap_aim_ms > 0.0).then_some(route.gap_aim_ms as u64),
+        max_event_gap_ms: (route.event_gap_target_ms > 0.0)
+            .then_some(route.event_gap_target_ms as u64),
         priority: route.priority,
         affinity: route.session_affinity,
         allowed_regions: route
--- a/crates/schema/src/configuration/model.rs
+++ b/crates/schema/src/configuration/model.rs
@@ -81,9 +81,9 @@
     #[garde(skip)]
     pub resumable: bool,
     /// Target for the longest gap between events of a stream, in ms.
-    #[serde(default)]
+    #[serde(default, rename = "gap_aim_ms")]
     #[garde(skip)]
-    pub gap_aim_ms: f64,
+    pub event_gap_target_ms: f64,
     /// Regions whose servers may serve it; empty means all.
     #[serde(default)]
     #[garde(skip)]
