--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -38,6 +38,7 @@
 mod judge;
 mod network;
 mod policy;
+mod proxy_settings;
 mod random;
 mod report;
 mod scenario;
@@ -46,8 +47,9 @@
 
 pub use judge::{Break, COLUMNS, Counts, Rule};
 pub use policy::{Policy, PolicyName, Truth};
+pub use proxy_settings::settings;
 pub use random::{Purpose, Stream};
 pub use report::{ClassReport, Latency, Load, Report, ServerReport, Traffic};
 pub use scenario::*;
 pub use server::ServerStatistics;
-pub use world::{Builder, ORIGIN, World, settings};
+pub use world::{Builder, ORIGIN, World};
--- /dev/null
+++ b/crates/emulator/src/world/health_checks.rs
@@ -0,0 +1,77 @@
+//! Health checks on their way to servers and back.
+
+use ironmast_balancer::{Event, LoadReport, Micros, Outcome};
+
+use super::World;
+use super::event::What;
+
+impl World<'_> {
+    pub(super) fn probe(&mut self, proxy: u32, life: u32, server: u32, sent: Micros) {
+        let zone = self.proxies[proxy as usize].zone;
+        let machine = &mut self.machines[server as usize];
+        let way = self
+            .network
+            .delay(machine.zone, zone, [u64::from(proxy), sent ^ 1]);
+        let silent = machine.vanished
+            || self
+                .network
+                .partition_end(zone, machine.zone, self.now)
+                .is_some();
+        let up = machine.server.up && !silent;
+        let at = if silent {
+            (sent + self.network.connect_timeout).max(self.now)
+        } else {
+            self.now + way
+        };
+        let held = up.then(|| machine.server.held() as u32);
+        if up {
+            machine
+                .server
+                .add_overhead(self.scenario.pool[machine.pool].probe_work_ms * 1e3);
+        }
+        self.queue.push(
+            at,
+            What::Probed {
+                proxy,
+                life,
+                server,
+                sent,
+                held,
+            },
+        );
+    }
+
+    pub(super) fn probed(
+        &mut self,
+        proxy: u32,
+        life: u32,
+        server: u32,
+        sent: Micros,
+        held: Option<u32>,
+    ) {
+        if !self.lives(proxy, life) {
+            return;
+        }
+        let reports = self.scenario.proxies.load_reports;
+        let load = held.filter(|_| reports);
+        let load = load.map(|held| LoadReport {
+            cpu: None,
+            active: Some(f64::from(held)),
+        });
+        let outcome = if held.is_some() {
+            Outcome::Ok
+        } else {
+            Outcome::ConnectFailed
+        };
+        let (server, latency) = (self.machines[server as usize].id, self.now - sent);
+        self.tell(
+            proxy,
+            Event::ProbeEnded {
+                server,
+                outcome,
+                latency,
+                load,
+            },
+        );
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/world/rule_checks.rs
@@ -0,0 +1,94 @@
+//! Checks of the rules on what a policy sends and refuses.
+
+use ironmast_balancer::Phase;
+
+use super::World;
+use super::request::{Attempt, key};
+use crate::judge::Rule;
+use crate::scenario::{EffectSpec, GroupSpec, seconds};
+
+impl World<'_> {
+    /// Rule 3: a proxy that was told, or counts as told because it does not ask.
+    pub(super) fn check_drain(&mut self, proxy: u32, server: u32, number: u64) {
+        let p = &self.proxies[proxy as usize];
+        let mut told = p.closing.get(&server).copied();
+        // A call that failed excuses for longer; while discovery is out nobody could know.
+        let within = self.rules.ask_within * if p.failed { 4 } else { 1 };
+        if told.is_none() && !p.subscribed && !self.discovery.is_out && self.now > p.heard + within
+        {
+            let asked = self
+                .discovery
+                .changes_since(p.version)
+                .iter()
+                .rev()
+                .find(|l| l.server == server);
+            let closed = asked.filter(|l| l.phase != Phase::Ready);
+            told = closed.map(|l| l.since.max(p.heard) + within);
+        }
+        if let Some(told) = told {
+            self.judge
+                .sent_to_closing(self.now, told, proxy, server, number);
+        }
+    }
+
+    /// Rule 2 where servers drop repeats: only those of the group, and only for a while, know of
+    /// the first.
+    pub(super) fn check_repeat(&mut self, proxy: u32, server: u32, request: u64, n: u8) {
+        let held = &self.tries[key(request)];
+        let op = &self.ops[held.op];
+        let spec = &self.scenario.class[op.class as usize];
+        if spec.effect != EffectSpec::Keyed {
+            return; // free may run again; for `once`, running twice shows it
+        }
+        let (now, window, zone) = (
+            self.now,
+            seconds(spec.dedup_s),
+            self.machines[server as usize].zone,
+        );
+        let harmful = held.attempts[..n as usize]
+            .iter()
+            .filter(|a| a.may_have_run())
+            .any(|a| {
+                let stranger =
+                    spec.group == GroupSpec::Zone && self.machines[a.server as usize].zone != zone;
+                now >= a.sent + window || stranger
+            });
+        if harmful {
+            let what = format!(
+                "`{}` sent again to where nobody knows of the first",
+                spec.name
+            );
+            self.judge.break_of(
+                Rule::NoEffectTwice,
+                now,
+                proxy,
+                Some(server),
+                Some(op.number),
+                what,
+            );
+        }
+    }
+
+    /// Rule 2 for refusals: "try again" only where that is harmless.
+    pub(super) fn check_refusal(&mut self, proxy: u32, request: u64) {
+        let held = &self.tries[key(request)];
+        let op = &self.ops[held.op];
+        let spec = &self.scenario.class[op.class as usize];
+        let harmless = match spec.effect {
+            EffectSpec::Free => true,
+            EffectSpec::Once => false,
+            EffectSpec::Keyed => spec.group == GroupSpec::All,
+        };
+        if !harmless && held.attempts.iter().any(Attempt::may_have_run) {
+            let what = format!("`{}` refused though it may have run", spec.name);
+            self.judge.break_of(
+                Rule::NoEffectTwice,
+                self.now,
+                proxy,
+                None,
+                Some(op.number),
+                what,
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/world/summary.rs
@@ -0,0 +1,108 @@
+//! Samples of the servers during a run, and the report at its end.
+
+use ironmast_balancer::Micros;
+use slotmap::DefaultKey;
+
+use super::event::What;
+use super::{ORIGIN, World};
+use crate::judge::{COLUMNS, Ended, Fate, Rule};
+use crate::report::{Report, ServerReport, Traffic};
+
+impl World<'_> {
+    pub(super) fn column(&self) -> Micros {
+        ((self.end - ORIGIN) / COLUMNS as u64).max(1)
+    }
+
+    pub(super) fn sample(&mut self) {
+        for number in 0..self.machines.len() as u32 {
+            self.advance(number);
+            let machine = &mut self.machines[number as usize];
+            let statistics = &machine.server.statistics;
+            let (busy, there) = (statistics.busy_core_time, statistics.available_core_time);
+            let (b, t) = (busy - machine.before.0, there - machine.before.1);
+            machine.before = (busy, there);
+            machine
+                .busy
+                .push(if t > 0.0 { (b / t) as f32 } else { f32::NAN });
+            self.touched(number);
+        }
+        if self.now + self.column() <= self.end {
+            self.queue.push(self.now + self.column(), What::Sample);
+        }
+    }
+
+    /// Seconds of the scenario that have passed.
+    #[must_use]
+    pub fn second(&self) -> f64 {
+        (self.now - ORIGIN) as f64 / 1e6
+    }
+
+    /// Closes the books.
+    #[must_use]
+    pub fn report(mut self) -> Report {
+        for server in 0..self.machines.len() as u32 {
+            self.advance(server);
+            self.touched(server);
+        }
+        let stuck: Vec<DefaultKey> = self
+            .ops
+            .iter()
+            .filter(|(_, op)| !op.ended)
+            .map(|(key, _)| key)
+            .collect();
+        for key in stuck {
+            let (proxy, number, start) = (
+                self.ops[key].proxy,
+                self.ops[key].number,
+                self.ops[key].start,
+            );
+            let class = self.ops[key].class as usize;
+            if self.now >= self.stop {
+                let what = "still open after the end";
+                self.judge
+                    .break_of(Rule::OneAnswer, self.now, proxy, None, Some(number), what);
+            }
+            let zone = self.proxies[proxy as usize].zone;
+            self.judge.ended(&Ended {
+                number,
+                proxy,
+                zone,
+                class,
+                start,
+                fate: Fate::Failed,
+            });
+        }
+        self.judge
+            .fact(9, [self.events, self.queue.total_pushed(), self.attempts]);
+        let servers = self
+            .machines
+            .iter()
+            .map(|m| ServerReport {
+                kind: self.scenario.pool[m.pool].kind.clone(),
+                zone: self.scenario.zones[m.zone].clone(),
+                statistics: m.server.statistics.clone(),
+                busy: m.busy.clone(),
+                place: m.place,
+            })
+            .collect();
+        let (events, attempts) = (self.events, self.attempts);
+        let (probes, peer_bytes, cross_zone) = (self.probes, self.peer_bytes, self.cross_zone);
+        let late_repeats = self.late_repeats;
+        let counts = Traffic {
+            attempts,
+            probes,
+            peer_bytes,
+            cross_zone,
+            late_repeats,
+        };
+        Report::new(
+            self.scenario,
+            self.policy,
+            self.seed,
+            events,
+            counts,
+            &self.judge,
+            servers,
+        )
+    }
+}
