--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -50,8 +50,8 @@
         Discovery {
             log: Vec::new(),
             list: BTreeMap::new(),
-            service_time: 1e6 / spec.calls_per_s,
-            max_wait: seconds(spec.most_wait_s) as f64,
+            service_time: 1e6 / spec.queries_per_s,
+            max_wait: seconds(spec.max_wait_s) as f64,
             busy_until: 0.0,
             is_out: false,
         }
--- a/crates/emulator/src/fault_schedule.rs
+++ b/crates/emulator/src/fault_schedule.rs
@@ -6,7 +6,7 @@
 use ironmast_balancer::Micros;
 
 use crate::random::{Purpose, Stream};
-use crate::scenario::{Scenario, Trouble, TroubleKind, seconds};
+use crate::scenario::{Fault, FaultKind, Scenario, seconds};
 
 /// How one class of requests is degraded at a server (a grey failure).
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -91,7 +91,7 @@
         targets,
         steps: Vec::new(),
     };
-    for (fault, trouble) in scenario.trouble.iter().enumerate() {
+    for (fault, trouble) in scenario.faults.iter().enumerate() {
         let mut random = Stream::new(seed, Purpose::Faults, fault as u64);
         let begin = origin + seconds(trouble.at_s);
         let end = begin + seconds(trouble.for_s).max(1);
@@ -116,11 +116,11 @@
         .product()
 }
 
-fn surges(scenario: &Scenario) -> impl Iterator<Item = &Trouble> {
+fn surges(scenario: &Scenario) -> impl Iterator<Item = &Fault> {
     scenario
-        .trouble
+        .faults
         .iter()
-        .filter(|trouble| trouble.kind == TroubleKind::Surge)
+        .filter(|trouble| trouble.kind == FaultKind::Surge)
 }
 
 /// The indexes of those in a zone, or of all without one.
@@ -150,7 +150,7 @@
         self.steps.push((at, step));
     }
 
-    fn add(&mut self, fault: usize, trouble: &Trouble, period: Period, random: &mut Stream) {
+    fn add(&mut self, fault: usize, trouble: &Fault, period: Period, random: &mut Stream) {
         let Period { begin, end } = period;
         let zone = self
             .scenario
@@ -161,39 +161,39 @@
         // Drawn for every kind, so that the draws that follow do not depend on the kind.
         let positions = pick(random, position_zones, zone, trouble.share);
         match trouble.kind {
-            TroubleKind::Slow => self.slow(fault, positions, trouble.factor, period),
-            TroubleKind::SharedSlow => {
+            FaultKind::Slow => self.slow(fault, positions, trouble.factor, period),
+            FaultKind::SlowDependency => {
                 let all = in_zone(position_zones, None);
                 self.slow(fault, all, trouble.factor, period);
             }
-            TroubleKind::Grey => self.degrade(fault, positions, trouble, period),
-            TroubleKind::Pause => self.pause(&positions, trouble, period, random),
-            TroubleKind::Crash => self.crash(positions, trouble, period),
-            TroubleKind::ZoneLost => {
+            FaultKind::GreyFailure => self.degrade(fault, positions, trouble, period),
+            FaultKind::Pause => self.pause(&positions, trouble, period, random),
+            FaultKind::Crash => self.crash(positions, trouble, period),
+            FaultKind::ZoneLoss => {
                 self.crash(in_zone(position_zones, zone), trouble, period);
-                if trouble.proxies {
+                if trouble.include_proxies {
                     let proxies = in_zone(self.targets.proxy_zones, zone);
                     self.restart_proxies(proxies, true, period);
                 }
             }
-            TroubleKind::ZoneCut => {
+            FaultKind::ZonePartition => {
                 if let Some(zone) = zone {
                     self.push(begin, Step::Partition { zone, until: end });
                 }
             }
-            TroubleKind::Deploy => self.deploy(&positions, trouble, period),
-            TroubleKind::Restart => {
+            FaultKind::Deploy => self.deploy(&positions, trouble, period),
+            FaultKind::ProxyRestart => {
                 let proxies = pick(random, self.targets.proxy_zones, zone, trouble.share);
                 self.restart_proxies(proxies, false, period);
             }
             // Part of the clients' rate, not of the schedule.
-            TroubleKind::Surge => {}
-            TroubleKind::RetryStorm => {
+            FaultKind::Surge => {}
+            FaultKind::RetryStorm => {
                 let retries = Some(trouble.retries);
                 self.push(begin, Step::RetryStorm { retries });
                 self.push(end, Step::RetryStorm { retries: None });
             }
-            TroubleKind::DiscoveryOutage => {
+            FaultKind::DiscoveryOutage => {
                 self.push(begin, Step::DiscoveryOutage);
                 self.push(end, Step::DiscoveryBack);
             }
@@ -210,10 +210,10 @@
         self.push(period.end, step(positions, None));
     }
 
-    fn degrade(&mut self, fault: usize, positions: Vec<u32>, trouble: &Trouble, period: Period) {
+    fn degrade(&mut self, fault: usize, positions: Vec<u32>, trouble: &Fault, period: Period) {
         let class = self
             .scenario
-            .class
+            .classes
             .iter()
             .position(|class| class.name == trouble.class)
             .unwrap_or(0);
@@ -232,7 +232,7 @@
     }
 
     /// Each server pauses again and again, for a tenth of the time, from a random moment on.
-    fn pause(&mut self, positions: &[u32], trouble: &Trouble, period: Period, random: &mut Stream) {
+    fn pause(&mut self, positions: &[u32], trouble: &Fault, period: Period, random: &mut Stream) {
         let length = seconds(trouble.pause_s).max(1);
         for &position in positions {
             let positions = vec![position];
@@ -255,7 +255,7 @@
         }
     }
 
-    fn crash(&mut self, positions: Vec<u32>, trouble: &Trouble, period: Period) {
+    fn crash(&mut self, positions: Vec<u32>, trouble: &Fault, period: Period) {
         let stop = Step::Stop {
             positions: positions.clone(),
             silent: trouble.silent,
@@ -264,7 +264,7 @@
         self.push(period.end, Step::Start { positions });
     }
 
-    fn deploy(&mut self, positions: &[u32], trouble: &Trouble, period: Period) {
+    fn deploy(&mut self, positions: &[u32], trouble: &Fault, period: Period) {
         let fleet = self.targets.position_zones.len();
         let batch_size = (fleet as f64 * trouble.batch).round().max(1.0) as usize;
         let batches = positions.len().div_ceil(batch_size);
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -4,6 +4,8 @@
 //! four rules are checked on every try, run and send; each break is kept with its time, request,
 //! proxy and server.
 
+use std::fmt;
+
 use hdrhistogram::Histogram;
 use ironmast_balancer::Micros;
 use rustc_hash::FxHashMap;
@@ -13,7 +15,7 @@
 use crate::scenario::{Scenario, millis, seconds};
 
 /// Breaks kept with their details; all are counted.
-const BREAKS_KEPT: usize = 200;
+const MAX_RECORDED_VIOLATIONS: usize = 200;
 /// Columns of pictures over time.
 pub const COLUMNS: usize = 60;
 /// Greatest latency that histograms tell apart, in microseconds.
@@ -28,14 +30,27 @@
     /// No effect twice; attempts never together where that is not allowed, and not too many.
     NoEffectTwice,
     /// Nothing new to a draining or gone server.
-    DrainsKept,
+    #[serde(rename = "drains-kept")]
+    NoSendAfterDrain,
     /// No cold server pushed over.
-    ColdSpared,
+    #[serde(rename = "cold-spared")]
+    NoWarmUpOverload,
+}
+
+impl fmt::Display for Rule {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Rule::OneAnswer => "OneAnswer",
+            Rule::NoEffectTwice => "NoEffectTwice",
+            Rule::NoSendAfterDrain => "DrainsKept",
+            Rule::NoWarmUpOverload => "ColdSpared",
+        })
+    }
 }
 
 /// One break of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Break {
+pub struct Violation {
     /// Which rule.
     pub rule: Rule,
     /// When, in seconds of the run.
@@ -47,16 +62,17 @@
     /// The operation's number, where one is concerned.
     pub request: Option<u64>,
     /// What happened.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 /// How an operation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
+pub(crate) enum OperationOutcome {
     /// Answered within its aim, or later.
-    Served(Micros),
+    Answered(Micros),
     /// Its last try was refused.
-    Refused,
+    Rejected,
     /// Its last try failed, was left unanswered or could reach no proxy.
     Failed,
 }
@@ -71,7 +87,8 @@
     /// Answered after it.
     pub late: u64,
     /// Refused in the end.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Failed in the end.
     pub failed: u64,
 }
@@ -97,7 +114,7 @@
 }
 
 /// What the judge knows of one operation when it ends.
-pub(crate) struct Ended {
+pub(crate) struct EndedOperation {
     /// Its number, in the order of asking.
     pub number: u64,
     /// The proxy asked.
@@ -109,7 +126,7 @@
     /// When it was asked.
     pub start: Micros,
     /// How it ended.
-    pub fate: Fate,
+    pub outcome: OperationOutcome,
 }
 
 /// Work on its way to one cold server.
@@ -148,9 +165,9 @@
     /// Time from asking to the answer, of all that were answered.
     pub latency: Histogram<u64>,
     /// The first breaks, and how many there were.
-    pub breaks: Vec<Break>,
+    pub violations: Vec<Violation>,
     /// See `breaks`.
-    pub broken: u64,
+    pub violation_count: u64,
     pressure: FxHashMap<u32, Pressure>,
     digest: Xxh3,
 }
@@ -160,9 +177,9 @@
     pub(crate) fn new(scenario: &Scenario, origin: Micros) -> Self {
         let window = seconds(scenario.window_s).max(1);
         let windows = seconds(scenario.length_s).div_ceil(window) as usize;
-        let shares: f64 = scenario.class.iter().map(|c| c.share).sum();
+        let shares: f64 = scenario.classes.iter().map(|c| c.share).sum();
         let mean = scenario
-            .class
+            .classes
             .iter()
             .map(|c| c.share * c.work_ms * 1e3)
             .sum::<f64>()
@@ -173,30 +190,34 @@
             length: seconds(scenario.length_s).max(1),
             window,
             cold: (
-                scenario.rules.cold_multiple,
-                scenario.rules.cold_window_s * 1e6,
+                scenario.rules.overload_multiple,
+                scenario.rules.overload_window_s * 1e6,
                 mean,
             ),
             drain_grace: millis(scenario.rules.drain_grace_ms),
-            worths: scenario.class.iter().map(|c| c.worth).collect(),
-            aims: scenario.class.iter().map(|c| millis(c.aim_ms)).collect(),
+            worths: scenario.classes.iter().map(|c| c.value).collect(),
+            aims: scenario
+                .classes
+                .iter()
+                .map(|c| millis(c.latency_target_ms))
+                .collect(),
             total: Worth::default(),
-            by_class: vec![Default::default(); scenario.class.len()],
+            by_class: vec![Default::default(); scenario.classes.len()],
             by_zone: vec![Worth::default(); scenario.zones.len()],
             by_proxy: vec![Worth::default(); scenario.proxies.count as usize],
             by_window: vec![Worth::default(); windows],
             by_column: vec![Worth::default(); COLUMNS],
             counts: Counts::default(),
             latency: Histogram::new_with_bounds(1, LATENCY_MOST, 3).expect("sound bounds"),
-            breaks: Vec::new(),
-            broken: 0,
+            violations: Vec::new(),
+            violation_count: 0,
             pressure: FxHashMap::default(),
             digest: Xxh3::new(),
         }
     }
 
     /// Takes a fact into the digest.
-    pub(crate) fn fact(&mut self, kind: u8, parts: [u64; 3]) {
+    pub(crate) fn record_fact(&mut self, kind: u8, parts: [u64; 3]) {
         let mut bytes = [0; 25];
         bytes[0] = kind;
         for (to, part) in bytes[1..].chunks_exact_mut(8).zip(parts) {
@@ -211,50 +232,51 @@
     }
 
     /// A rule was broken.
-    pub(crate) fn break_of(
+    pub(crate) fn record_violation(
         &mut self,
         rule: Rule,
         at: Micros,
         proxy: u32,
         server: Option<u32>,
         request: Option<u64>,
-        what: impl Into<String>,
+        description: impl Into<String>,
     ) {
-        self.broken += 1;
-        if self.breaks.len() < BREAKS_KEPT {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_RECORDED_VIOLATIONS {
             let at_s = (at - self.origin) as f64 / 1e6;
-            self.breaks.push(Break {
+            self.violations.push(Violation {
                 rule,
                 at_s,
                 proxy,
                 server,
                 request,
-                what: what.into(),
+                description: description.into(),
             });
         }
     }
 
     /// An operation ended.
-    pub(crate) fn ended(&mut self, ended: &Ended) {
-        let Ended {
+    pub(crate) fn operation_ended(&mut self, ended: &EndedOperation) {
+        let EndedOperation {
             number,
             proxy,
             zone,
             class,
             start,
-            fate,
+            outcome,
         } = *ended;
-        let took = match fate {
-            Fate::Served(took) => took,
-            Fate::Refused => u64::MAX,
-            Fate::Failed => u64::MAX - 1,
+        let took = match outcome {
+            OperationOutcome::Answered(took) => took,
+            OperationOutcome::Rejected => u64::MAX,
+            OperationOutcome::Failed => u64::MAX - 1,
         };
-        self.fact(1, [number, took, u64::from(proxy)]);
+        self.record_fact(1, [number, took, u64::from(proxy)]);
         if start < self.warm_until {
             return;
         }
         let worth = self.worths[class];
-        let in_time = matches!(fate, Fate::Served(took) if took <= self.aims[class]);
+        let in_time =
+            matches!(outcome, OperationOutcome::Answered(took) if took <= self.aims[class]);
         let served = if in_time { worth } else { 0.0 };
         let window = ((start - self.origin) / self.window) as usize;
         let window = window.min(self.by_window.len() - 1);
@@ -273,20 +295,20 @@
         }
         for counts in [&mut self.counts, &mut self.by_class[class].1] {
             counts.asked += 1;
-            match fate {
-                Fate::Served(_) if in_time => counts.served += 1,
-                Fate::Served(_) => counts.late += 1,
-                Fate::Refused => counts.refused += 1,
-                Fate::Failed => counts.failed += 1,
+            match outcome {
+                OperationOutcome::Answered(_) if in_time => counts.served += 1,
+                OperationOutcome::Answered(_) => counts.late += 1,
+                OperationOutcome::Rejected => counts.rejected += 1,
+                OperationOutcome::Failed => counts.failed += 1,
             }
         }
-        if let Fate::Served(took) = fate {
+        if let OperationOutcome::Answered(took) = outcome {
             self.latency.saturating_record(took.max(1));
         }
     }
 
     /// A send to a server that the proxy knew to be draining or gone since `told`.
-    pub(crate) fn sent_to_closing(
+    pub(crate) fn check_send_after_drain(
         &mut self,
         at: Micros,
         told: Micros,
@@ -298,8 +320,8 @@
             let late = (at - told) as f64 / 1e3;
             let what =
                 format!("sent {late:.0} ms after it was told that the server drains or is gone");
-            self.break_of(
-                Rule::DrainsKept,
+            self.record_violation(
+                Rule::NoSendAfterDrain,
                 at,
                 proxy,
                 Some(server),
@@ -313,7 +335,7 @@
     /// over: beyond its budget of N requests of mean work only twice the root of N and two are put
     /// down to chance, from however many proxies they came. The rule is broken where two thirds of
     /// it came from proxies that knew of its start.
-    pub(crate) fn pressed(
+    pub(crate) fn work_reached_warming_server(
         &mut self,
         at: Micros,
         server: u32,
@@ -349,13 +371,13 @@
                 sum / 1e3,
                 most / 1e3
             );
-            self.break_of(Rule::ColdSpared, at, proxy, Some(server), None, what);
+            self.record_violation(Rule::NoWarmUpOverload, at, proxy, Some(server), None, what);
         }
         true
     }
 
     /// A server is warm, or gone: nothing is held against it any more.
-    pub(crate) fn relieved(&mut self, server: u32) {
+    pub(crate) fn warm_up_ended(&mut self, server: u32) {
         self.pressure.remove(&server);
     }
 }
--- a/crates/emulator/src/judge/tests.rs
+++ b/crates/emulator/src/judge/tests.rs
@@ -24,13 +24,13 @@
         servers = 1
         cores = 1
     "#;
-    let scenario = Scenario::read(text).expect("sound");
+    let scenario = Scenario::parse(text).expect("sound");
     // Of half a core 4 times 2 s are 200 requests of 20 ms: 230 with the chance of 2 x 14.1 and 2.
     let (capacity, work, most) = (0.5, 20_000.0, 230);
     for (senders, informed, broken) in [(1, true, 1), (30, true, 1), (30, false, 0)] {
         let mut judge = Judge::new(&scenario, 0);
         let press = |judge: &mut Judge, at, n: u32| {
-            judge.pressed(at, 7, n % senders, work, capacity, informed)
+            judge.work_reached_warming_server(at, 7, n % senders, work, capacity, informed)
         };
         assert!(
             (0..most).all(|n| !press(&mut judge, 1_000 * u64::from(n), n)),
@@ -40,12 +40,12 @@
             press(&mut judge, 1_000 * u64::from(most), most),
             "{senders}: one more"
         );
-        assert_eq!(judge.broken, broken, "{senders}");
+        assert_eq!(judge.violation_count, broken, "{senders}");
     }
     let mut judge = Judge::new(&scenario, 0);
     for n in 0..2 * u64::from(most) {
         assert!(
-            !judge.pressed(n * 10_000, 7, 0, work, capacity, true),
+            !judge.work_reached_warming_server(n * 10_000, 7, 0, work, capacity, true),
             "100 a second are borne for good: {n}"
         );
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -25,9 +25,9 @@
 //!     servers = 2
 //!     cores = 2
 //! "#;
-//! let scenario = Scenario::read(text).expect("sound");
+//! let scenario = Scenario::parse(text).expect("sound");
 //! let report = World::new(&scenario, PolicyName::Module, 1).run();
-//! assert!(report.rules_broken.is_empty() && report.service > 0.9);
+//! assert!(report.violations.is_empty() && report.service > 0.9);
 //! assert_eq!(report.digest, World::new(&scenario, PolicyName::Module, 1).run().digest);
 //! ```
 #![forbid(unsafe_code)]
@@ -45,11 +45,11 @@
 mod server;
 mod world;
 
-pub use judge::{Break, COLUMNS, Counts, Rule};
-pub use policy::{Policy, PolicyName, Truth};
+pub use judge::{COLUMNS, Counts, Rule, Violation};
+pub use policy::{GroundTruth, Policy, PolicyName};
 pub use proxy_settings::settings;
 pub use random::{Purpose, Stream};
 pub use report::{ClassReport, Latency, Load, Report, ServerReport, Traffic};
 pub use scenario::*;
-pub use server::ServerStatistics;
+pub use server::{Estimate, ServerStatistics};
 pub use world::{Builder, ORIGIN, World};
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -25,11 +25,11 @@
     /// A network without partitions.
     pub(crate) fn new(spec: &NetworkSpec, zones: usize, seed: u64) -> Self {
         Network {
-            delay_within_zone: spec.inside_ms * 1e3,
-            delay_between_zones: spec.between_ms * 1e3,
+            delay_within_zone: spec.within_zone_ms * 1e3,
+            delay_between_zones: spec.between_zones_ms * 1e3,
             jitter: spec.jitter,
             connect_timeout: millis(spec.connect_timeout_ms),
-            idle_timeout: seconds(spec.idle_close_s),
+            idle_timeout: seconds(spec.idle_timeout_s),
             partitioned_until: vec![0; zones],
             seed,
         }
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -12,23 +12,25 @@
 };
 
 use crate::random::{Purpose, Stream, hash_parts, unit_interval};
+use crate::server::Estimate;
 
 /// The true state of the servers, for the ceiling alone.
-pub trait Truth {
-    /// Microseconds that a request of that class and that much work, sent now from a zone, would
-    /// wait, and until it would be answered; infinite where it would not, or where it would push
-    /// the server beyond what it bears.
-    fn would_take(&self, server: ServerId, zone: usize, class: usize, work: f64) -> (f64, f64);
+pub trait GroundTruth {
+    /// How long a request of this class and work (core-microseconds) would wait and take if it were
+    /// sent to the server now from this zone. [`Estimate::NEVER`] if it would not be answered, or
+    /// would overload the server.
+    fn estimate_response(&self, server: ServerId, zone: usize, class: usize, work: f64)
+    -> Estimate;
 }
 
 /// Decides for one proxy.
 pub trait Policy {
     /// Takes one event at a clock reading and appends what is to be done.
-    fn handle(&mut self, now: Micros, event: Event, truth: &dyn Truth, out: &mut Vec<Action>);
+    fn handle(&mut self, now: Micros, event: Event, truth: &dyn GroundTruth, out: &mut Vec<Action>);
 }
 
 impl Policy for Balancer {
-    fn handle(&mut self, now: Micros, event: Event, _: &dyn Truth, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: Event, _: &dyn GroundTruth, out: &mut Vec<Action>) {
         Balancer::handle(self, now, event, out);
     }
 }
@@ -47,11 +49,11 @@
     /// Of two drawn by chance, the one with fewer own requests in hand.
     TwoChoices,
     /// Of all, the one with the fewest own requests in hand.
-    Least,
+    LeastRequests,
     /// In turn, by the sizes that the list tells.
-    Weighted,
+    WeightedRoundRobin,
     /// Whoever will truly answer first; what cannot be answered in time is refused at once.
-    Ceiling,
+    Oracle,
 }
 
 impl PolicyName {
@@ -62,9 +64,9 @@
         PolicyName::RoundRobin,
         PolicyName::ZoneRoundRobin,
         PolicyName::TwoChoices,
-        PolicyName::Least,
-        PolicyName::Weighted,
-        PolicyName::Ceiling,
+        PolicyName::LeastRequests,
+        PolicyName::WeightedRoundRobin,
+        PolicyName::Oracle,
     ];
 
     /// Its name on the command line and in reports.
@@ -76,9 +78,9 @@
             PolicyName::RoundRobin => "round-robin",
             PolicyName::ZoneRoundRobin => "zone-round-robin",
             PolicyName::TwoChoices => "two-choices",
-            PolicyName::Least => "least",
-            PolicyName::Weighted => "weighted",
-            PolicyName::Ceiling => "ceiling",
+            PolicyName::LeastRequests => "least",
+            PolicyName::WeightedRoundRobin => "weighted",
+            PolicyName::Oracle => "ceiling",
         }
     }
 
@@ -266,7 +268,7 @@
             && open.sent.iter().all(|s| s.server != known.server.id)
     }
 
-    fn choose(&mut self, now: Micros, id: RequestId, truth: &dyn Truth) -> Option<ServerId> {
+    fn choose(&mut self, now: Micros, id: RequestId, truth: &dyn GroundTruth) -> Option<ServerId> {
         let near = self.rule == PolicyName::ZoneRoundRobin && !self.near.is_empty();
         let count = if near {
             self.near.len()
@@ -303,11 +305,11 @@
                 let (a, b) = (from(a)?, from(b)?);
                 Some(if out(&b) < out(&a) { b } else { a })
             }
-            PolicyName::Least => {
+            PolicyName::LeastRequests => {
                 let turned = (0..count).map(|i| set[(a + i) % count]);
                 turned.filter(|id| fits(id)).min_by_key(out)
             }
-            PolicyName::Weighted => {
+            PolicyName::WeightedRoundRobin => {
                 let fit: Vec<ServerId> = set.iter().copied().filter(|id| fits(id)).collect();
                 let total: f64 = fit.iter().map(|id| self.servers[id].server.size).sum();
                 let mut best = None;
@@ -327,8 +329,9 @@
                 let work = open.request.work_hint.unwrap_or(0) as f64;
                 let all = set.iter().copied().filter(|id| fits(id));
                 let class = open.request.class;
-                let timed = all.map(|id| (truth.would_take(id, zone, class, work), id));
-                let ((waits, takes), id) = timed.min_by(|a, b| a.0.1.total_cmp(&b.0.1))?;
+                let timed = all.map(|id| (truth.estimate_response(id, zone, class, work), id));
+                let (Estimate { wait, total }, id) =
+                    timed.min_by(|(a, _), (b, _)| a.total.total_cmp(&b.total))?;
                 let class = &self.settings.classes[class];
                 // Where not all can be served, what earns little for its work goes first.
                 let earns = class.value / work.max(1.0);
@@ -339,14 +342,20 @@
                 };
                 self.earns += CEILING_PACE * (earns - self.earns);
                 let most = CEILING_MARGIN * class.latency_target as f64;
-                (takes <= most && waits <= most * patience).then_some(id)
+                (total <= most && wait <= most * patience).then_some(id)
             }
         }
     }
 
-    fn place(&mut self, now: Micros, id: RequestId, truth: &dyn Truth, out: &mut Vec<Action>) {
+    fn place(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        truth: &dyn GroundTruth,
+        out: &mut Vec<Action>,
+    ) {
         let Some(server) = self.choose(now, id, truth) else {
-            if self.rule == PolicyName::Ceiling {
+            if self.rule == PolicyName::Oracle {
                 return self.end(id, out);
             }
             self.waiting.push(id);
@@ -420,7 +429,13 @@
 }
 
 impl Policy for Reference {
-    fn handle(&mut self, now: Micros, event: Event, truth: &dyn Truth, out: &mut Vec<Action>) {
+    fn handle(
+        &mut self,
+        now: Micros,
+        event: Event,
+        truth: &dyn GroundTruth,
+        out: &mut Vec<Action>,
+    ) {
         if !std::mem::replace(&mut self.subscribed, true) {
             out.push(Action::Subscribe);
         }
--- a/crates/emulator/src/proxy_settings.rs
+++ b/crates/emulator/src/proxy_settings.rs
@@ -5,18 +5,18 @@
     SizeMeaning,
 };
 
-use crate::scenario::{Class, EffectSpec, GroupSpec, Scenario, millis, seconds};
+use crate::scenario::{Class, DeduplicationGroup, EffectSpec, Scenario, millis, seconds};
 
 fn effect(class: &Class) -> Effect {
     match class.effect {
-        EffectSpec::Free => Effect::Idempotent,
-        EffectSpec::Once => Effect::NonIdempotent,
-        EffectSpec::Keyed => Effect::Deduplicated {
+        EffectSpec::Idempotent => Effect::Idempotent,
+        EffectSpec::NonIdempotent => Effect::NonIdempotent,
+        EffectSpec::Deduplicated => Effect::Deduplicated {
             group: match class.group {
-                GroupSpec::All => Group::All,
-                GroupSpec::Zone => Group::Zone,
+                DeduplicationGroup::All => Group::All,
+                DeduplicationGroup::Zone => Group::Zone,
             },
-            window: seconds(class.dedup_s),
+            window: seconds(class.deduplication_window_s),
         },
     }
 }
@@ -25,13 +25,13 @@
 pub fn settings(scenario: &Scenario, me: u32, zone: usize) -> Settings {
     let p = &scenario.proxies;
     let cold = |f: fn(f64, f64) -> f64, start: f64, value: fn(&crate::scenario::Pool) -> f64| {
-        scenario.pool.iter().map(value).fold(start, f)
+        scenario.pools.iter().map(value).fold(start, f)
     };
-    let classes = scenario.class.iter().map(|c| ClassSettings {
-        latency_target: millis(c.aim_ms),
+    let classes = scenario.classes.iter().map(|c| ClassSettings {
+        latency_target: millis(c.latency_target_ms),
         deadline: millis(c.deadline_ms),
         effect: effect(c),
-        value: c.worth,
+        value: c.value,
         late_value_share: 0.0,
         streaming: false,
     });
@@ -48,7 +48,7 @@
         } else {
             Watching::Pushed
         },
-        sizes: if p.sizes {
+        sizes: if p.list_shows_capacity {
             SizeMeaning::Capacity
         } else {
             SizeMeaning::Unknown
@@ -56,8 +56,8 @@
         key_affinity: false,
         tick: 5_000,
         limits: Limits {
-            max_attempts: p.most_tries,
-            allow_hedging: p.may_duplicate,
+            max_attempts: p.max_attempts,
+            allow_hedging: p.allow_hedging,
             cancel: p.cancel,
             probes: p.probes,
             peers: p.peers,
@@ -66,15 +66,15 @@
         },
         safety: Safety {
             answer_slack: millis(scenario.rules.answer_slack_ms),
-            discovery_interval: seconds(scenario.rules.ask_within_s),
-            initial_capacity: cold(f64::min, 1.0, |p| p.cold_share),
-            warm_up: seconds(cold(f64::max, 0.0, |p| p.cold_s)),
+            discovery_interval: seconds(scenario.rules.max_query_interval_s),
+            initial_capacity: cold(f64::min, 1.0, |p| p.initial_speed_share),
+            warm_up: seconds(cold(f64::max, 0.0, |p| p.warm_up_s)),
             drain_grace: millis(scenario.rules.drain_grace_ms),
-            overload_window: seconds(scenario.rules.cold_window_s),
-            overload_multiple: scenario.rules.cold_multiple,
+            overload_window: seconds(scenario.rules.overload_window_s),
+            overload_multiple: scenario.rules.overload_multiple,
         },
         penalties: Penalties {
-            cross_zone: p.cross_zone,
+            cross_zone: p.cross_zone_penalty,
             waste: 0.0,
             late_fail: 0.0,
         },
--- a/crates/emulator/src/random.rs
+++ b/crates/emulator/src/random.rs
@@ -8,7 +8,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::scenario::Law;
+use crate::scenario::Distribution;
 
 /// The purpose of a stream. The order is part of the seeds.
 #[derive(Clone, Copy, Debug)]
@@ -92,11 +92,11 @@
     /// standard deviation over the mean (lognormal only).
     ///
     /// The exponential function is that of `libm`: the platform's differs between machines.
-    pub fn sample(&mut self, law: Law, mean: f64, cv: f64) -> f64 {
-        match law {
-            Law::Fixed => mean,
-            Law::Exponential => self.exponential(mean),
-            Law::Lognormal => {
+    pub fn sample(&mut self, distribution: Distribution, mean: f64, cv: f64) -> f64 {
+        match distribution {
+            Distribution::Fixed => mean,
+            Distribution::Exponential => self.exponential(mean),
+            Distribution::Lognormal => {
                 let variance = libm::log(1.0 + cv * cv);
                 let normal: f64 = StandardNormal.sample(&mut self.0);
                 mean * libm::exp(libm::sqrt(variance) * normal - variance / 2.0)
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-use crate::judge::{Break, Counts, Judge};
+use crate::judge::{Counts, Judge, Violation};
 use crate::scenario::Scenario;
 use crate::server::ServerStatistics;
 
@@ -28,9 +28,11 @@
     /// Over all servers.
     pub mean: f64,
     /// Of the busiest that was up for a tenth of the run at least.
-    pub greatest: f64,
+    #[serde(rename = "greatest")]
+    pub max: f64,
     /// Most requests held by one server at once.
-    pub most_held: u32,
+    #[serde(rename = "most_held")]
+    pub max_held: u32,
 }
 
 /// What passed over the network.
@@ -71,7 +73,7 @@
     /// Busy share in each sixtieth of the run, from its start on; not a number while it was down.
     pub busy: Vec<f32>,
     /// Where it stood.
-    pub place: u32,
+    pub position: u32,
 }
 
 /// One run's result.
@@ -107,9 +109,11 @@
     /// Operations: asked is the sum of the others.
     pub requests: Counts,
     /// How many rules were broken.
-    pub breaks: u64,
+    #[serde(rename = "breaks")]
+    pub violation_count: u64,
     /// The first of them.
-    pub rules_broken: Vec<Break>,
+    #[serde(rename = "rules_broken")]
+    pub violations: Vec<Violation>,
     /// Latency of answered operations.
     pub latency_us: Latency,
     /// Latency at percentiles, for curves: (percentile, microseconds).
@@ -123,7 +127,7 @@
     pub events: u64,
     /// The servers one by one.
     #[serde(skip)]
-    pub each: Vec<ServerReport>,
+    pub server_reports: Vec<ServerReport>,
 }
 
 /// Percentiles of the latency curve.
@@ -148,7 +152,7 @@
         let quantile = |q: f64| if some { at(q) } else { 0 };
         let by_class =
             scenario
-                .class
+                .classes
                 .iter()
                 .zip(&judge.by_class)
                 .map(|(class, (worth, counts))| {
@@ -194,8 +198,8 @@
                 .map(|w| (w.asked > 0.0).then(|| w.share()))
                 .collect(),
             requests: judge.counts,
-            breaks: judge.broken,
-            rules_broken: judge.breaks.clone(),
+            violation_count: judge.violation_count,
+            violations: judge.violations.clone(),
             latency_us: Latency {
                 p50: quantile(0.5),
                 p90: quantile(0.9),
@@ -206,10 +210,10 @@
             latency_curve: CURVE.iter().map(|p| (*p, quantile(p / 100.0))).collect(),
             servers: Load {
                 mean: if there > 0.0 { busy / there } else { 0.0 },
-                greatest: counted
+                max: counted
                     .map(|s| s.statistics.busy_core_time / s.statistics.available_core_time)
                     .fold(0.0, f64::max),
-                most_held: each
+                max_held: each
                     .iter()
                     .map(|s| s.statistics.max_held)
                     .max()
@@ -217,7 +221,7 @@
             },
             traffic,
             events,
-            each,
+            server_reports: each,
         }
     }
 }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -54,12 +54,14 @@
     #[serde(default)]
     pub rules: Rules,
     /// Classes of requests.
-    pub class: Vec<Class>,
+    #[serde(rename = "class")]
+    pub classes: Vec<Class>,
     /// Groups of like servers.
-    pub pool: Vec<Pool>,
+    #[serde(rename = "pool")]
+    pub pools: Vec<Pool>,
     /// What goes wrong, and when.
-    #[serde(default)]
-    pub trouble: Vec<Trouble>,
+    #[serde(default, rename = "trouble")]
+    pub faults: Vec<Fault>,
 }
 
 /// How clients ask.
@@ -84,10 +86,12 @@
     /// The rate over time, as (second, factor): straight lines between the points, level outside of
     /// them.
     #[serde(default)]
-    pub curve: Vec<(f64, f64)>,
+    #[serde(rename = "curve")]
+    pub rate_curve: Vec<(f64, f64)>,
     /// One proxy's traffic against an ordinary one's.
     #[serde(default = "defaults::one")]
-    pub busiest: f64,
+    #[serde(rename = "busiest")]
+    pub first_proxy_weight: f64,
     /// Further tries of one request at most.
     #[serde(default)]
     pub retries: u32,
@@ -99,10 +103,12 @@
     pub retry_ms: f64,
     /// A try is given up after this share of the class's deadline, drawn between the two.
     #[serde(default = "defaults::patience")]
-    pub patience: (f64, f64),
+    #[serde(rename = "patience")]
+    pub timeout_share: (f64, f64),
     /// Share of tries whose client leaves at some time before that, unannounced.
     #[serde(default)]
-    pub walk_away: f64,
+    #[serde(rename = "walk_away")]
+    pub disconnect_share: f64,
 }
 
 /// How arrivals are spaced.
@@ -148,10 +154,12 @@
     pub zone_weights: Vec<f64>,
     /// Attempts for a request at most.
     #[serde(default = "defaults::tries")]
-    pub most_tries: u32,
+    #[serde(rename = "most_tries")]
+    pub max_attempts: u32,
     /// Two attempts of one request may be out together.
     #[serde(default)]
-    pub may_duplicate: bool,
+    #[serde(rename = "may_duplicate")]
+    pub allow_hedging: bool,
     /// Attempts may be called off.
     #[serde(default = "defaults::yes")]
     pub cancel: bool,
@@ -170,10 +178,12 @@
     /// What crossing zones costs, as a share of the worth: the module waits that long for room at
     /// home.
     #[serde(default = "defaults::cross_zone")]
-    pub cross_zone: f64,
+    #[serde(rename = "cross_zone")]
+    pub cross_zone_penalty: f64,
     /// The list tells the servers' true sizes.
     #[serde(default)]
-    pub sizes: bool,
+    #[serde(rename = "sizes")]
+    pub list_shows_capacity: bool,
 }
 
 /// Latency and connections.
@@ -181,9 +191,11 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
     /// One way inside a zone.
-    pub inside_ms: f64,
+    #[serde(rename = "inside_ms")]
+    pub within_zone_ms: f64,
     /// One way between zones.
-    pub between_ms: f64,
+    #[serde(rename = "between_ms")]
+    pub between_zones_ms: f64,
     /// A way takes longer by up to this share.
     pub jitter: f64,
     /// Share of datagrams lost.
@@ -191,18 +203,19 @@
     /// A connection that is not made by then counts as failed.
     pub connect_timeout_ms: f64,
     /// Idle connections close after this.
-    pub idle_close_s: f64,
+    #[serde(rename = "idle_close_s")]
+    pub idle_timeout_s: f64,
 }
 
 impl Default for Network {
     fn default() -> Self {
         Network {
-            inside_ms: 0.3,
-            between_ms: 8.0,
+            within_zone_ms: 0.3,
+            between_zones_ms: 8.0,
             jitter: 0.2,
             datagram_loss: 0.01,
             connect_timeout_ms: 200.0,
-            idle_close_s: 60.0,
+            idle_timeout_s: 60.0,
         }
     }
 }
@@ -214,29 +227,34 @@
     /// True: proxies must watch. False: changes reach them unasked.
     pub watch: bool,
     /// News of a start, a drain and an end comes this late.
-    pub start_s: f64,
+    #[serde(rename = "start_s")]
+    pub start_delay_s: f64,
     /// See `start_s`.
-    pub drain_s: f64,
+    #[serde(rename = "drain_s")]
+    pub drain_delay_s: f64,
     /// See `start_s`.
-    pub gone_s: f64,
+    #[serde(rename = "gone_s")]
+    pub removal_delay_s: f64,
     /// News is spread over this time among the proxies.
     pub spread_s: f64,
     /// Calls answered a second, one after another.
-    pub calls_per_s: f64,
+    #[serde(rename = "calls_per_s")]
+    pub queries_per_s: f64,
     /// A call that would wait longer fails.
-    pub most_wait_s: f64,
+    #[serde(rename = "most_wait_s")]
+    pub max_wait_s: f64,
 }
 
 impl Default for DiscoverySpec {
     fn default() -> Self {
         DiscoverySpec {
             watch: true,
-            start_s: 1.0,
-            drain_s: 0.3,
-            gone_s: 1.5,
+            start_delay_s: 1.0,
+            drain_delay_s: 0.3,
+            removal_delay_s: 1.5,
             spread_s: 0.05,
-            calls_per_s: 500.0,
-            most_wait_s: 2.0,
+            queries_per_s: 500.0,
+            max_wait_s: 2.0,
         }
     }
 }
@@ -250,11 +268,14 @@
     /// Nothing new to a draining or gone server this long after being told.
     pub drain_grace_ms: f64,
     /// A proxy that neither watches nor asks for this long counts as told.
-    pub ask_within_s: f64,
+    #[serde(rename = "ask_within_s")]
+    pub max_query_interval_s: f64,
     /// A cold server sent more than this multiple of its capacity ...
-    pub cold_multiple: f64,
+    #[serde(rename = "cold_multiple")]
+    pub overload_multiple: f64,
     /// ... in a window of this length falls over.
-    pub cold_window_s: f64,
+    #[serde(rename = "cold_window_s")]
+    pub overload_window_s: f64,
 }
 
 impl Default for Rules {
@@ -262,9 +283,9 @@
         Rules {
             answer_slack_ms: 20.0,
             drain_grace_ms: 300.0,
-            ask_within_s: 10.0,
-            cold_multiple: 4.0,
-            cold_window_s: 2.0,
+            max_query_interval_s: 10.0,
+            overload_multiple: 4.0,
+            overload_window_s: 2.0,
         }
     }
 }
@@ -283,25 +304,29 @@
     pub effect: EffectSpec,
     /// Keyed: which servers drop a repeat.
     #[serde(default)]
-    pub group: GroupSpec,
+    pub group: DeduplicationGroup,
     /// Keyed: for how long after the first run.
     #[serde(default = "defaults::four")]
-    pub dedup_s: f64,
+    #[serde(rename = "dedup_s")]
+    pub deduplication_window_s: f64,
     /// How its work is distributed: fixed, exponential, lognormal.
     #[serde(default)]
-    pub law: Law,
+    #[serde(rename = "law")]
+    pub distribution: Distribution,
     /// Mean work, on a core of speed 1.
     pub work_ms: f64,
     /// Lognormal: standard deviation over mean.
     #[serde(default = "defaults::half")]
     pub cv: f64,
     /// An answer within this earns its worth.
-    pub aim_ms: f64,
+    #[serde(rename = "aim_ms")]
+    pub latency_target_ms: f64,
     /// A client waits this long at most, over all its tries.
     pub deadline_ms: f64,
     /// What an answer in time is worth.
     #[serde(default = "defaults::one")]
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub value: f64,
 }
 
 /// What a repeat does.
@@ -309,17 +334,20 @@
 #[serde(rename_all = "kebab-case")]
 pub enum EffectSpec {
     /// No harm.
-    Free,
+    #[serde(rename = "free")]
+    Idempotent,
     /// Dropped by servers for a while.
-    Keyed,
+    #[serde(rename = "keyed")]
+    Deduplicated,
     /// Must never happen.
-    Once,
+    #[serde(rename = "once")]
+    NonIdempotent,
 }
 
 /// Which servers drop a repeat.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum GroupSpec {
+pub enum DeduplicationGroup {
     /// All of them.
     #[default]
     All,
@@ -330,7 +358,7 @@
 /// Distribution of work.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Law {
+pub enum Distribution {
     /// Always the mean.
     Fixed,
     /// Memoryless.
@@ -373,13 +401,16 @@
     pub probe_work_ms: f64,
     /// A started server begins with this share of its capacity; 1 for no cold start.
     #[serde(default = "defaults::one")]
-    pub cold_share: f64,
+    #[serde(rename = "cold_share")]
+    pub initial_speed_share: f64,
     /// And is warm after this.
     #[serde(default = "defaults::eight")]
-    pub cold_s: f64,
+    #[serde(rename = "cold_s")]
+    pub warm_up_s: f64,
     /// Or after this much work, in core-seconds, if that is sooner; 0: by time alone.
     #[serde(default)]
-    pub cold_work_s: f64,
+    #[serde(rename = "cold_work_s")]
+    pub warm_up_work_s: f64,
     /// More than this many requests held for each core overdrive it; 0: never.
     #[serde(default)]
     pub overdrive_ratio: f64,
@@ -415,9 +446,9 @@
 /// Something that goes wrong.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct Fault {
     /// What.
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// From this second on.
     pub at_s: f64,
     /// For so long.
@@ -440,7 +471,8 @@
     pub silent: bool,
     /// The zone's proxies and their clients are lost with it.
     #[serde(default)]
-    pub proxies: bool,
+    #[serde(rename = "proxies")]
+    pub include_proxies: bool,
     /// Deploy: share of the fleet replaced at a time, over `for_s` in all.
     #[serde(default = "defaults::tenth")]
     pub batch: f64,
@@ -458,25 +490,30 @@
 /// What can go wrong.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// Some servers are slower.
     Slow,
     /// All servers are slower: something that they depend on.
-    SharedSlow,
+    #[serde(rename = "shared-slow")]
+    SlowDependency,
     /// One class is slow or unanswered on some servers.
-    Grey,
+    #[serde(rename = "grey")]
+    GreyFailure,
     /// Some servers stop for a moment, again and again.
     Pause,
     /// Processes end, or machines vanish, and come back cold.
     Crash,
     /// All servers of a zone do.
-    ZoneLost,
+    #[serde(rename = "zone-lost")]
+    ZoneLoss,
     /// A zone's links to the others carry nothing.
-    ZoneCut,
+    #[serde(rename = "zone-cut")]
+    ZonePartition,
     /// Servers are replaced, batch by batch, by cold ones with new ids at the same addresses.
     Deploy,
     /// Proxies end and begin from nothing.
-    Restart,
+    #[serde(rename = "restart")]
+    ProxyRestart,
     /// Clients ask more often.
     Surge,
     /// Clients try again at once, and more often.
@@ -583,25 +620,25 @@
     ///
     /// # Errors
     /// [`ScenarioError`] for the first thing that is wrong.
-    pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
+    pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let line = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
         let scenario: Scenario = toml::from_str(text).map_err(|e| ScenarioError {
             line: line(e.span().map_or(0, |s| s.start)),
             problem: e.message().replace('\n', "; "),
         })?;
-        scenario.check().map_err(|error| ScenarioError {
+        scenario.validate().map_err(|error| ScenarioError {
             line: line(offset(text, &error.path)),
             problem: error.to_string(),
         })?;
         Ok(scenario)
     }
 
-    /// The scenario as text that [`Scenario::read`] reads.
+    /// The scenario as text that [`Scenario::parse`] reads.
     ///
     /// # Panics
     /// Never: a scenario consists of plain tables and numbers.
     #[must_use]
-    pub fn write(&self) -> String {
+    pub fn to_toml(&self) -> String {
         toml::to_string(self).expect("plain tables and numbers")
     }
 
@@ -613,7 +650,7 @@
         clippy::too_many_lines,
         reason = "one check for each key, in the order of the file"
     )]
-    pub fn check(&self) -> Result<(), InvalidSetting> {
+    pub fn validate(&self) -> Result<(), InvalidSetting> {
         let share = |path: &str, v: f64| within(path, v, 0.0, 1.0);
         if self.name.is_empty() {
             return invalid("name", "is empty, expected a name");
@@ -630,17 +667,17 @@
                 );
             }
         }
-        self.check_clients()?;
+        self.validate_clients()?;
         let p = &self.proxies;
         within("proxies.count", p.count, 1, 100_000)?;
-        within("proxies.most_tries", p.most_tries, 1, 3)?;
+        within("proxies.most_tries", p.max_attempts, 1, 3)?;
         within(
             "proxies.max_retry_after_s",
             p.max_retry_after_s,
             0.0,
             3_600.0,
         )?;
-        share("proxies.cross_zone", p.cross_zone)?;
+        share("proxies.cross_zone", p.cross_zone_penalty)?;
         if !p.zone_weights.is_empty() {
             let sound = p.zone_weights.iter().all(|w| w.is_finite() && *w >= 0.0);
             if p.zone_weights.len() != self.zones.len()
@@ -655,8 +692,8 @@
         }
         let n = &self.network;
         for (path, v) in [
-            ("network.inside_ms", n.inside_ms),
-            ("network.between_ms", n.between_ms),
+            ("network.inside_ms", n.within_zone_ms),
+            ("network.between_ms", n.between_zones_ms),
         ] {
             within(path, v, 0.0, 10_000.0)?;
         }
@@ -668,37 +705,37 @@
             1.0,
             60_000.0,
         )?;
-        within("network.idle_close_s", n.idle_close_s, 0.1, 86_400.0)?;
+        within("network.idle_close_s", n.idle_timeout_s, 0.1, 86_400.0)?;
         let d = &self.discovery;
         for (path, v) in [
-            ("discovery.start_s", d.start_s),
-            ("discovery.drain_s", d.drain_s),
-            ("discovery.gone_s", d.gone_s),
+            ("discovery.start_s", d.start_delay_s),
+            ("discovery.drain_s", d.drain_delay_s),
+            ("discovery.gone_s", d.removal_delay_s),
             ("discovery.spread_s", d.spread_s),
-            ("discovery.most_wait_s", d.most_wait_s),
+            ("discovery.most_wait_s", d.max_wait_s),
         ] {
             within(path, v, 0.0, 3_600.0)?;
         }
-        within("discovery.calls_per_s", d.calls_per_s, 0.1, 1e6)?;
+        within("discovery.calls_per_s", d.queries_per_s, 0.1, 1e6)?;
         let r = &self.rules;
         within("rules.answer_slack_ms", r.answer_slack_ms, 0.0, 10_000.0)?;
         within("rules.drain_grace_ms", r.drain_grace_ms, 0.0, 60_000.0)?;
-        within("rules.ask_within_s", r.ask_within_s, 0.1, 3_600.0)?;
-        within("rules.cold_multiple", r.cold_multiple, 1.0, 100.0)?;
-        within("rules.cold_window_s", r.cold_window_s, 0.1, 60.0)?;
-        within("class", self.class.len(), 1, 100)?;
-        for (i, class) in self.class.iter().enumerate() {
-            class.check(&format!("class.{i}"))?;
-            if self.class[..i].iter().any(|c| c.name == class.name) {
+        within("rules.ask_within_s", r.max_query_interval_s, 0.1, 3_600.0)?;
+        within("rules.cold_multiple", r.overload_multiple, 1.0, 100.0)?;
+        within("rules.cold_window_s", r.overload_window_s, 0.1, 60.0)?;
+        within("class", self.classes.len(), 1, 100)?;
+        for (i, class) in self.classes.iter().enumerate() {
+            class.validate(&format!("class.{i}"))?;
+            if self.classes[..i].iter().any(|c| c.name == class.name) {
                 return invalid(
                     format!("class.{i}.name"),
                     "stands twice, expected names that differ",
                 );
             }
         }
-        within("pool", self.pool.len(), 1, 1_000)?;
-        for (i, pool) in self.pool.iter().enumerate() {
-            pool.check(&format!("pool.{i}"))?;
+        within("pool", self.pools.len(), 1, 1_000)?;
+        for (i, pool) in self.pools.iter().enumerate() {
+            pool.validate(&format!("pool.{i}"))?;
             if pool.zone != "*" && !self.zones.contains(&pool.zone) {
                 let zones = self.zones.join(", ");
                 return invalid(
@@ -709,36 +746,36 @@
         }
         within(
             "pool",
-            self.pool.iter().map(|p| u64::from(p.servers)).sum(),
+            self.pools.iter().map(|p| u64::from(p.servers)).sum(),
             1,
             100_000,
         )?;
-        self.trouble
+        self.faults
             .iter()
             .enumerate()
-            .try_for_each(|(i, t)| t.check(&format!("trouble.{i}"), self))
+            .try_for_each(|(i, t)| t.validate(&format!("trouble.{i}"), self))
     }
 
-    fn check_clients(&self) -> Result<(), InvalidSetting> {
+    fn validate_clients(&self) -> Result<(), InvalidSetting> {
         let c = &self.clients;
         within("clients.rate", c.rate, 0.001, 1e7)?;
         within("clients.burst_s", c.burst_s, 0.001, 3_600.0)?;
         within("clients.rest_s", c.rest_s, 0.001, 3_600.0)?;
         within("clients.burst_factor", c.burst_factor, 1.0, 1_000.0)?;
-        within("clients.busiest", c.busiest, 0.001, 1e6)?;
+        within("clients.busiest", c.first_proxy_weight, 0.001, 1e6)?;
         within("clients.retries", c.retries, 0, 100)?;
         within("clients.retry_ms", c.retry_ms, 0.0, 3_600_000.0)?;
-        within("clients.walk_away", c.walk_away, 0.0, 1.0)?;
-        let (from, to) = c.patience;
+        within("clients.walk_away", c.disconnect_share, 0.0, 1.0)?;
+        let (from, to) = c.timeout_share;
         if !(from > 0.0 && from <= to && to <= 1.0) {
             return invalid(
                 "clients.patience",
                 format!("is {from} to {to}, expected two rising shares over 0 up to 1"),
             );
         }
-        let rising = c.curve.windows(2).all(|w| w[0].0 < w[1].0);
+        let rising = c.rate_curve.windows(2).all(|w| w[0].0 < w[1].0);
         let sound = c
-            .curve
+            .rate_curve
             .iter()
             .all(|p| p.0.is_finite() && p.1.is_finite() && (0.0..=1_000.0).contains(&p.1));
         if !rising || !sound {
@@ -752,8 +789,8 @@
 
     /// The rate against the mean at a second, by the curve.
     #[must_use]
-    pub fn curve(&self, at_s: f64) -> f64 {
-        let curve = &self.clients.curve;
+    pub fn rate_factor(&self, at_s: f64) -> f64 {
+        let curve = &self.clients.rate_curve;
         let next = curve.partition_point(|p| p.0 <= at_s);
         match (
             next.checked_sub(1).and_then(|i| curve.get(i)),
@@ -767,9 +804,14 @@
     }
 
     /// The highest value of the curve.
-    pub fn curve_most(&self) -> f64 {
-        let most = self.clients.curve.iter().map(|p| p.1).fold(0.0, f64::max);
-        if self.clients.curve.is_empty() {
+    pub fn max_rate_factor(&self) -> f64 {
+        let most = self
+            .clients
+            .rate_curve
+            .iter()
+            .map(|p| p.1)
+            .fold(0.0, f64::max);
+        if self.clients.rate_curve.is_empty() {
             1.0
         } else {
             most
@@ -781,14 +823,14 @@
     #[must_use]
     pub fn capacity(&self) -> f64 {
         let cores: f64 = self
-            .pool
+            .pools
             .iter()
             .map(|p| f64::from(p.servers) * f64::from(p.cores) * (p.speed.0 + p.speed.1) / 2.0)
             .sum();
-        let shares: f64 = self.class.iter().map(|c| c.share).sum();
+        let shares: f64 = self.classes.iter().map(|c| c.share).sum();
         cores
             / self
-                .class
+                .classes
                 .iter()
                 .map(|c| c.share / shares * c.work_ms / 1e3)
                 .sum::<f64>()
@@ -796,27 +838,37 @@
 }
 
 impl Class {
-    fn check(&self, at: &str) -> Result<(), InvalidSetting> {
+    fn validate(&self, at: &str) -> Result<(), InvalidSetting> {
         if self.name.is_empty() {
             return invalid(format!("{at}.name"), "is empty, expected a name");
         }
         within(&format!("{at}.share"), self.share, 1e-6, 1e6)?;
-        within(&format!("{at}.dedup_s"), self.dedup_s, 0.0, 3_600.0)?;
+        within(
+            &format!("{at}.dedup_s"),
+            self.deduplication_window_s,
+            0.0,
+            3_600.0,
+        )?;
         within(&format!("{at}.work_ms"), self.work_ms, 0.001, 3_600_000.0)?;
         within(&format!("{at}.cv"), self.cv, 0.0, 100.0)?;
-        within(&format!("{at}.aim_ms"), self.aim_ms, 0.1, 3_600_000.0)?;
+        within(
+            &format!("{at}.aim_ms"),
+            self.latency_target_ms,
+            0.1,
+            3_600_000.0,
+        )?;
         within(
             &format!("{at}.deadline_ms"),
             self.deadline_ms,
-            self.aim_ms,
+            self.latency_target_ms,
             3_600_000.0,
         )?;
-        within(&format!("{at}.worth"), self.worth, 0.0, 1e6)
+        within(&format!("{at}.worth"), self.value, 0.0, 1e6)
     }
 }
 
 impl Pool {
-    fn check(&self, at: &str) -> Result<(), InvalidSetting> {
+    fn validate(&self, at: &str) -> Result<(), InvalidSetting> {
         let at = |key: &str| format!("{at}.{key}");
         within(&at("servers"), self.servers, 0, 100_000)?;
         within(&at("cores"), self.cores, 1, 1_024)?;
@@ -836,9 +888,9 @@
             1_000.0,
         )?;
         within(&at("probe_work_ms"), self.probe_work_ms, 0.0, 1_000.0)?;
-        within(&at("cold_share"), self.cold_share, 0.01, 1.0)?;
-        within(&at("cold_s"), self.cold_s, 0.001, 3_600.0)?;
-        within(&at("cold_work_s"), self.cold_work_s, 0.0, 1e6)?;
+        within(&at("cold_share"), self.initial_speed_share, 0.01, 1.0)?;
+        within(&at("cold_s"), self.warm_up_s, 0.001, 3_600.0)?;
+        within(&at("cold_work_s"), self.warm_up_work_s, 0.0, 1e6)?;
         within(&at("overdrive_ratio"), self.overdrive_ratio, 0.0, 1e6)?;
         within(&at("overdrive_s"), self.overdrive_s, 0.0, 3_600.0)?;
         within(&at("overdrive_factor"), self.overdrive_factor, 1.0, 1_000.0)?;
@@ -846,12 +898,16 @@
     }
 }
 
-impl Trouble {
-    fn check(&self, at: &str, scenario: &Scenario) -> Result<(), InvalidSetting> {
-        use TroubleKind as K;
+impl Fault {
+    fn validate(&self, at: &str, scenario: &Scenario) -> Result<(), InvalidSetting> {
+        use FaultKind as K;
         let at = |key: &str| format!("{at}.{key}");
         within(&at("at_s"), self.at_s, 0.0, scenario.length_s)?;
-        let least = if self.kind == K::Restart { 0.0 } else { 0.001 };
+        let least = if self.kind == K::ProxyRestart {
+            0.0
+        } else {
+            0.001
+        };
         within(&at("for_s"), self.for_s, least, 86_400.0)?;
         within(&at("share"), self.share, 0.001, 1.0)?;
         within(&at("factor"), self.factor, 0.01, 1_000.0)?;
@@ -859,9 +915,9 @@
         within(&at("drain_s"), self.drain_s, 0.0, 600.0)?;
         within(&at("pause_s"), self.pause_s, 0.001, 600.0)?;
         within(&at("retries"), self.retries, 0, 100)?;
-        let zone_wanted = matches!(self.kind, K::ZoneLost | K::ZoneCut);
+        let zone_wanted = matches!(self.kind, K::ZoneLoss | K::ZonePartition);
         let (zones, classes) = (&scenario.zones, || {
-            scenario.class.iter().map(|c| c.name.as_str())
+            scenario.classes.iter().map(|c| c.name.as_str())
         });
         if zone_wanted && self.zone.is_empty() {
             return invalid(
@@ -876,7 +932,7 @@
             );
         }
         let class_known = classes().any(|c| c == self.class);
-        if (!self.class.is_empty() || self.kind == K::Grey) && !class_known {
+        if (!self.class.is_empty() || self.kind == K::GreyFailure) && !class_known {
             let classes = classes().collect::<Vec<_>>().join(", ");
             return invalid(
                 at("class"),
@@ -885,12 +941,17 @@
         }
         let of_servers = !matches!(
             self.kind,
-            K::ZoneCut | K::Restart | K::Surge | K::RetryStorm | K::DiscoveryOutage | K::SharedSlow
+            K::ZonePartition
+                | K::ProxyRestart
+                | K::Surge
+                | K::RetryStorm
+                | K::DiscoveryOutage
+                | K::SlowDependency
         );
         let here = |p: &Pool| {
             p.servers > 0 && (self.zone.is_empty() || p.zone == "*" || p.zone == self.zone)
         };
-        if of_servers && !scenario.pool.iter().any(here) {
+        if of_servers && !scenario.pools.iter().any(here) {
             return invalid(
                 at("zone"),
                 format!(
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -187,9 +187,9 @@
             queue_limit: pool.queue as usize,
             speed,
             warmup: Warmup {
-                initial_share: pool.cold_share,
-                duration: pool.cold_s * 1e6,
-                work: pool.cold_work_s * 1e6,
+                initial_share: pool.initial_speed_share,
+                duration: pool.warm_up_s * 1e6,
+                work: pool.warm_up_work_s * 1e6,
             },
             overdrive_rule: OverdriveRule {
                 ratio: pool.overdrive_ratio,
@@ -529,9 +529,9 @@
     }
 }
 
-/// The time that a job would take, in microseconds.
+/// The time that a job would take, in microseconds; infinite if it would not finish.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Estimate {
+pub struct Estimate {
     /// Until it enters a slot.
     pub wait: f64,
     /// Until it is done.
@@ -539,8 +539,8 @@
 }
 
 impl Estimate {
-    /// Of a job that would not finish.
-    const NEVER: Estimate = Estimate {
+    /// The estimate for a job that would not finish.
+    pub const NEVER: Estimate = Estimate {
         wait: f64::INFINITY,
         total: f64::INFINITY,
     };
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -89,8 +89,8 @@
 struct Rulings {
     slack: Micros,
     ask_within: Micros,
-    most_tries: usize,
-    may_duplicate: bool,
+    max_attempts: usize,
+    allow_hedging: bool,
 }
 
 impl<'a> World<'a> {
@@ -99,7 +99,7 @@
     pub fn new(scenario: &'a Scenario, policy: PolicyName, seed: u64) -> Self {
         let build = move |settings, seed| policy.build(settings, seed);
         let mut world = Self::with(scenario, policy.name(), seed, Box::new(build));
-        world.hints = policy == PolicyName::Ceiling;
+        world.hints = policy == PolicyName::Oracle;
         world
     }
 
@@ -109,12 +109,12 @@
         let zones = scenario.zones.len();
         let end = ORIGIN + seconds(scenario.length_s);
         let longest = scenario
-            .class
+            .classes
             .iter()
             .map(|c| millis(c.deadline_ms))
             .max()
             .unwrap_or(0);
-        let shares: f64 = scenario.class.iter().map(|c| c.share).sum();
+        let shares: f64 = scenario.classes.iter().map(|c| c.share).sum();
         let mut sum = 0.0;
         let mut world = World {
             scenario,
@@ -141,7 +141,7 @@
             judge: Judge::new(scenario, ORIGIN),
             storm: None,
             class_shares: scenario
-                .class
+                .classes
                 .iter()
                 .map(|c| {
                     sum += c.share / shares;
@@ -151,9 +151,9 @@
             arrivals_most: 0.0,
             rules: Rulings {
                 slack: millis(scenario.rules.answer_slack_ms),
-                ask_within: seconds(scenario.rules.ask_within_s),
-                most_tries: scenario.proxies.most_tries as usize,
-                may_duplicate: scenario.proxies.may_duplicate,
+                ask_within: seconds(scenario.rules.max_query_interval_s),
+                max_attempts: scenario.proxies.max_attempts as usize,
+                allow_hedging: scenario.proxies.allow_hedging,
             },
             events: 0,
             attempts: 0,
@@ -176,7 +176,7 @@
         self.held_distribution = HeldDistribution::Record;
         for place in 0..self.places.len() {
             let machine = &mut self.machines[self.places[place].machine as usize];
-            let pool = &self.scenario.pool[machine.pool];
+            let pool = &self.scenario.pools[machine.pool];
             machine.server = Server::new(
                 pool,
                 machine.server.full_capacity() / f64::from(pool.cores),
--- a/crates/emulator/src/world/arrivals.rs
+++ b/crates/emulator/src/world/arrivals.rs
@@ -17,7 +17,7 @@
         } else {
             1.0
         };
-        self.scenario.curve_most() * max_surge_factor(self.scenario) * burst
+        self.scenario.max_rate_factor() * max_surge_factor(self.scenario) * burst
     }
 
     /// Draws when a proxy is asked next. Candidates come at the highest rate and are kept in
@@ -31,7 +31,7 @@
         let bursty = c.arrivals == Arrivals::Bursty;
         let mean = (c.burst_s * c.burst_factor + c.rest_s) / (c.burst_s + c.rest_s);
         loop {
-            let factor = |at: f64| scenario.curve(at) * surge_factor(scenario, at);
+            let factor = |at: f64| scenario.rate_factor(at) * surge_factor(scenario, at);
             if c.arrivals == Arrivals::Even {
                 at += 1.0 / (base * factor(at)).max(1e-9);
             } else {
@@ -72,8 +72,10 @@
             .iter()
             .position(|s| x < *s)
             .unwrap_or(self.class_shares.len() - 1);
-        let spec = &self.scenario.class[class];
-        let work = p.work.sample(spec.law, spec.work_ms * 1e3, spec.cv);
+        let spec = &self.scenario.classes[class];
+        let work = p
+            .work
+            .sample(spec.distribution, spec.work_ms * 1e3, spec.cv);
         if p.clients_there {
             self.asked += 1;
             self.open_ops += 1;
--- a/crates/emulator/src/world/attempts.rs
+++ b/crates/emulator/src/world/attempts.rs
@@ -29,29 +29,34 @@
         let (now, server) = (self.now, number_of(server));
         let Some(held) = self.tries.get(key(request)) else {
             let what = "sent a request that is over or unknown";
-            return self
-                .judge
-                .break_of(Rule::OneAnswer, now, proxy, Some(server), None, what);
+            return self.judge.record_violation(
+                Rule::OneAnswer,
+                now,
+                proxy,
+                Some(server),
+                None,
+                what,
+            );
         };
         let number = self.ops[held.op].number;
         let wrong = match () {
             () if held.over => Some((Rule::OneAnswer, "sent a request that has its answer")),
-            () if held.attempts.len() >= self.rules.most_tries => {
+            () if held.attempts.len() >= self.rules.max_attempts => {
                 Some((Rule::NoEffectTwice, "more attempts than are allowed"))
             }
-            () if held.out() && !self.rules.may_duplicate => Some((
+            () if held.out() && !self.rules.allow_hedging => Some((
                 Rule::NoEffectTwice,
                 "two attempts of one request out together",
             )),
             () if server as usize >= self.machines.len() => {
-                Some((Rule::DrainsKept, "sent to an unknown server"))
+                Some((Rule::NoSendAfterDrain, "sent to an unknown server"))
             }
             () => None,
         };
         let moot = wrong.is_some() || held.expires <= now;
         if let Some((rule, what)) = wrong {
             self.judge
-                .break_of(rule, now, proxy, Some(server), Some(number), what);
+                .record_violation(rule, now, proxy, Some(server), Some(number), what);
         }
         let n = held.attempts.len() as u8;
         if moot {
@@ -101,7 +106,7 @@
                 .push(now + timeout, What::TimedOut { request, n });
         }
         self.queue.push(at, What::Reach { request, n });
-        self.judge.fact(2, [number, now, u64::from(server)]);
+        self.judge.record_fact(2, [number, now, u64::from(server)]);
     }
 
     #[expect(clippy::too_many_lines, reason = "not split yet")]
@@ -154,7 +159,7 @@
                 );
             };
         }
-        let (pool, class) = (&self.scenario.pool[machine.pool], self.ops[op_key].class);
+        let (pool, class) = (&self.scenario.pools[machine.pool], self.ops[op_key].class);
         if fresh {
             if pool.connections > 0 && machine.connections >= pool.connections {
                 return self.unreached(request, n, self.now + way);
@@ -174,7 +179,7 @@
             let informed = self.proxies[proxy as usize].version >= machine.told_at;
             if self
                 .judge
-                .pressed(self.now, server, proxy, work, capacity, informed)
+                .work_reached_warming_server(self.now, server, proxy, work, capacity, informed)
             {
                 self.machines[server as usize].fallen = true;
                 self.end_server(server, false);
@@ -188,7 +193,7 @@
                 );
             }
         } else {
-            self.judge.relieved(server);
+            self.judge.warm_up_ended(server);
         }
         let place = &self.places[machine.place as usize];
         let degradation: f64 = place
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -7,25 +7,26 @@
 use super::World;
 use super::event::What;
 use super::request::{End, Try, key};
-use crate::judge::{Ended, Fate, Rule};
+use crate::judge::{EndedOperation, OperationOutcome, Rule};
 use crate::random::{hash_parts, unit_interval};
-use crate::scenario::{EffectSpec, GroupSpec, RetryWait, millis, seconds};
+use crate::scenario::{DeduplicationGroup, EffectSpec, RetryWait, millis, seconds};
 
 impl World<'_> {
     pub(super) fn begin_try(&mut self, key: DefaultKey) {
         let op = &mut self.ops[key];
         op.tries += 1;
         let (proxy, class, number) = (op.proxy, op.class as usize, op.number);
-        let spec = &self.scenario.class[class];
+        let spec = &self.scenario.classes[class];
         let clients = &self.scenario.clients;
         let draw =
             |what: u64| unit_interval(hash_parts([self.seed, number, u64::from(op.tries), what]));
-        let (from, to) = clients.patience;
+        let (from, to) = clients.timeout_share;
         let patience = millis(spec.deadline_ms * (from + (to - from) * draw(1)));
         let expires = (self.now + patience).min(op.start + millis(spec.deadline_ms));
-        let walks = (clients.walk_away > 0.0 && draw(2) < clients.walk_away).then(|| draw(3));
+        let walks =
+            (clients.disconnect_share > 0.0 && draw(2) < clients.disconnect_share).then(|| draw(3));
         let hint = self.hints.then_some(op.work as Micros);
-        let subject = (spec.effect == EffectSpec::Keyed).then_some(number);
+        let subject = (spec.effect == EffectSpec::Deduplicated).then_some(number);
         let again = op.tries > 1;
         op.holds += 1;
         let request = self
@@ -76,7 +77,7 @@
     pub(super) fn after_try(&mut self, key: DefaultKey, end: End) {
         let op = &self.ops[key];
         let (spec, clients) = (
-            &self.scenario.class[op.class as usize],
+            &self.scenario.classes[op.class as usize],
             &self.scenario.clients,
         );
         let (retries, at_once) = match self.storm {
@@ -99,10 +100,12 @@
         let deadline = op.start + millis(spec.deadline_ms);
         let harmless = matches!(end, End::Refused(_) | End::Unreachable);
         let permitted = match spec.effect {
-            EffectSpec::Free => true,
-            EffectSpec::Once => harmless,
-            EffectSpec::Keyed => {
-                harmless || spec.group == GroupSpec::All && at < op.start + seconds(spec.dedup_s)
+            EffectSpec::Idempotent => true,
+            EffectSpec::NonIdempotent => harmless,
+            EffectSpec::Deduplicated => {
+                harmless
+                    || spec.group == DeduplicationGroup::All
+                        && at < op.start + seconds(spec.deduplication_window_s)
             }
         };
         let gone = matches!(end, End::Served | End::Walked);
@@ -110,22 +113,22 @@
             self.ops[key].holds += 1;
             return self.queue.push(at, What::Again(key));
         }
-        let fate = match end {
-            End::Served => Fate::Served(self.now - op.start),
-            End::Refused(_) => Fate::Refused,
-            _ => Fate::Failed,
+        let outcome = match end {
+            End::Served => OperationOutcome::Answered(self.now - op.start),
+            End::Refused(_) => OperationOutcome::Rejected,
+            _ => OperationOutcome::Failed,
         };
         let (zone, op) = (self.proxies[op.proxy as usize].zone, &mut self.ops[key]);
         op.ended = true;
         self.open_ops -= 1;
         let (number, proxy, class, start) = (op.number, op.proxy, op.class as usize, op.start);
-        self.judge.ended(&Ended {
+        self.judge.operation_ended(&EndedOperation {
             number,
             proxy,
             zone,
             class,
             start,
-            fate,
+            outcome,
         });
     }
 
@@ -167,8 +170,14 @@
                 self.ops[held.op].number,
             );
             let what = "no final answer by the client's deadline";
-            self.judge
-                .break_of(Rule::OneAnswer, self.now, proxy, server, Some(number), what);
+            self.judge.record_violation(
+                Rule::OneAnswer,
+                self.now,
+                proxy,
+                server,
+                Some(number),
+                what,
+            );
         }
         let held = &mut self.tries[key(request)];
         (held.over, held.left) = (true, true);
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/world/faults.rs
@@ -69,7 +69,7 @@
                 }
             }
             Step::Drain { positions: places } => {
-                let late = seconds(self.scenario.discovery.drain_s);
+                let late = seconds(self.scenario.discovery.drain_delay_s);
                 for place in places {
                     let server = self.places[place as usize].machine;
                     let machine = &mut self.machines[server as usize];
@@ -109,7 +109,7 @@
         let machine = &mut self.machines[old as usize];
         machine.phase = Phase::Gone;
         let (pool, zone) = (machine.pool, machine.zone);
-        let gone = seconds(self.scenario.discovery.gone_s);
+        let gone = seconds(self.scenario.discovery.removal_delay_s);
         self.queue.push(self.now + gone, What::Visible(old));
         let new = self.machine(pool, zone, position);
         if self.places[position as usize].lost == 0 {
--- a/crates/emulator/src/world/health_checks.rs
+++ b/crates/emulator/src/world/health_checks.rs
@@ -27,7 +27,7 @@
         if up {
             machine
                 .server
-                .add_overhead(self.scenario.pool[machine.pool].probe_work_ms * 1e3);
+                .add_overhead(self.scenario.pools[machine.pool].probe_work_ms * 1e3);
         }
         self.queue.push(
             at,
--- a/crates/emulator/src/world/list_updates.rs
+++ b/crates/emulator/src/world/list_updates.rs
@@ -55,7 +55,7 @@
             zone: machine.zone,
             cell: machine.zone as u64,
             phase: listed.phase,
-            size: if self.scenario.proxies.sizes {
+            size: if self.scenario.proxies.list_shows_capacity {
                 machine.server.full_capacity()
             } else {
                 1.0
--- a/crates/emulator/src/world/proxies.rs
+++ b/crates/emulator/src/world/proxies.rs
@@ -240,14 +240,20 @@
             let what = "answered a request that is over or unknown";
             return self
                 .judge
-                .break_of(Rule::OneAnswer, self.now, proxy, None, None, what);
+                .record_violation(Rule::OneAnswer, self.now, proxy, None, None, what);
         };
         if held.over {
             if !held.left {
                 let number = self.ops[held.op].number;
                 let what = "a second final answer";
-                self.judge
-                    .break_of(Rule::OneAnswer, self.now, proxy, None, Some(number), what);
+                self.judge.record_violation(
+                    Rule::OneAnswer,
+                    self.now,
+                    proxy,
+                    None,
+                    Some(number),
+                    what,
+                );
             }
             return;
         }
--- a/crates/emulator/src/world/rule_checks.rs
+++ b/crates/emulator/src/world/rule_checks.rs
@@ -5,7 +5,7 @@
 use super::World;
 use super::request::{Attempt, key};
 use crate::judge::Rule;
-use crate::scenario::{EffectSpec, GroupSpec, seconds};
+use crate::scenario::{DeduplicationGroup, EffectSpec, seconds};
 
 impl World<'_> {
     /// Rule 3: a proxy that was told, or counts as told because it does not ask.
@@ -27,7 +27,7 @@
         }
         if let Some(told) = told {
             self.judge
-                .sent_to_closing(self.now, told, proxy, server, number);
+                .check_send_after_drain(self.now, told, proxy, server, number);
         }
     }
 
@@ -36,21 +36,21 @@
     pub(super) fn check_repeat(&mut self, proxy: u32, server: u32, request: u64, n: u8) {
         let held = &self.tries[key(request)];
         let op = &self.ops[held.op];
-        let spec = &self.scenario.class[op.class as usize];
-        if spec.effect != EffectSpec::Keyed {
+        let spec = &self.scenario.classes[op.class as usize];
+        if spec.effect != EffectSpec::Deduplicated {
             return; // free may run again; for `once`, running twice shows it
         }
         let (now, window, zone) = (
             self.now,
-            seconds(spec.dedup_s),
+            seconds(spec.deduplication_window_s),
             self.machines[server as usize].zone,
         );
         let harmful = held.attempts[..n as usize]
             .iter()
             .filter(|a| a.may_have_run())
             .any(|a| {
-                let stranger =
-                    spec.group == GroupSpec::Zone && self.machines[a.server as usize].zone != zone;
+                let stranger = spec.group == DeduplicationGroup::Zone
+                    && self.machines[a.server as usize].zone != zone;
                 now >= a.sent + window || stranger
             });
         if harmful {
@@ -58,7 +58,7 @@
                 "`{}` sent again to where nobody knows of the first",
                 spec.name
             );
-            self.judge.break_of(
+            self.judge.record_violation(
                 Rule::NoEffectTwice,
                 now,
                 proxy,
@@ -73,15 +73,15 @@
     pub(super) fn check_refusal(&mut self, proxy: u32, request: u64) {
         let held = &self.tries[key(request)];
         let op = &self.ops[held.op];
-        let spec = &self.scenario.class[op.class as usize];
+        let spec = &self.scenario.classes[op.class as usize];
         let harmless = match spec.effect {
-            EffectSpec::Free => true,
-            EffectSpec::Once => false,
-            EffectSpec::Keyed => spec.group == GroupSpec::All,
+            EffectSpec::Idempotent => true,
+            EffectSpec::NonIdempotent => false,
+            EffectSpec::Deduplicated => spec.group == DeduplicationGroup::All,
         };
         if !harmless && held.attempts.iter().any(Attempt::may_have_run) {
             let what = format!("`{}` refused though it may have run", spec.name);
-            self.judge.break_of(
+            self.judge.record_violation(
                 Rule::NoEffectTwice,
                 self.now,
                 proxy,
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -11,7 +11,7 @@
 use crate::fault_schedule::Degradation;
 use crate::judge::Rule;
 use crate::random::hash_parts;
-use crate::scenario::{EffectSpec, GroupSpec, seconds};
+use crate::scenario::{DeduplicationGroup, EffectSpec, seconds};
 use crate::server::{Job, JobEvent, JobKey, Server};
 
 /// A server with its surroundings. Its number is its position; a replacement has a new one.
@@ -97,14 +97,14 @@
         };
         let (zone, op_key) = (machine.zone, job.op);
         let op = &mut self.ops[op_key];
-        let spec = &self.scenario.class[op.class as usize];
+        let spec = &self.scenario.classes[op.class as usize];
         let (now, number, proxy) = (self.now, op.number, op.proxy);
         match spec.effect {
-            EffectSpec::Free => {}
-            EffectSpec::Once if op.runs.is_empty() => {}
-            EffectSpec::Once => {
+            EffectSpec::Idempotent => {}
+            EffectSpec::NonIdempotent if op.runs.is_empty() => {}
+            EffectSpec::NonIdempotent => {
                 let what = format!("`{}` ran again, which it must never", spec.name);
-                self.judge.break_of(
+                self.judge.record_violation(
                     Rule::NoEffectTwice,
                     now,
                     proxy,
@@ -113,15 +113,16 @@
                     what,
                 );
             }
-            EffectSpec::Keyed => {
-                let window = seconds(spec.dedup_s);
-                let same = |run: &&(usize, Micros)| spec.group == GroupSpec::All || run.0 == zone;
+            EffectSpec::Deduplicated => {
+                let window = seconds(spec.deduplication_window_s);
+                let same =
+                    |run: &&(usize, Micros)| spec.group == DeduplicationGroup::All || run.0 == zone;
                 if op.runs.iter().filter(same).any(|run| now < run.1 + window) {
                     // The server knows it: a repeat is looked up and answered, and has no effect.
                     self.machines[server as usize]
                         .server
                         .shorten(job_key, LOOK_UP);
-                    return self.judge.fact(4, [number, now, u64::from(server)]);
+                    return self.judge.record_fact(4, [number, now, u64::from(server)]);
                 }
                 // An attempt that was given up and yet ran, long after: no policy could know, and
                 // no rule is broken, but the effect is there and is counted.
@@ -129,7 +130,7 @@
             }
         }
         op.runs.push((zone, now));
-        self.judge.fact(3, [number, now, u64::from(server)]);
+        self.judge.record_fact(3, [number, now, u64::from(server)]);
     }
 
     /// What a server in `zone` says of a job goes on its way, unless its proxy no longer waits.
@@ -184,14 +185,14 @@
         machine.life += 1;
         machine.vanished = silent;
         (machine.connections, machine.armed) = (0, Micros::MAX);
-        self.judge.relieved(server);
+        self.judge.warm_up_ended(server);
         for job in jobs {
             if !silent {
                 self.reply(zone, &job, Outcome::Reset, 6);
             }
             self.release(job.op);
         }
-        let gone = seconds(self.scenario.discovery.gone_s);
+        let gone = seconds(self.scenario.discovery.removal_delay_s);
         self.queue.push(self.now + gone, What::Visible(server));
     }
 
@@ -207,7 +208,7 @@
         let life = machine.life;
         let zone = machine.zone;
         self.hamper(server);
-        let start = seconds(self.scenario.discovery.start_s);
+        let start = seconds(self.scenario.discovery.start_delay_s);
         self.queue.push(self.now + start, What::Visible(server));
         if was_silent {
             let stuck = |a: &Attempt| a.out && a.server == server && a.life < life && a.connected;
--- a/crates/emulator/src/world/setup.rs
+++ b/crates/emulator/src/world/setup.rs
@@ -39,7 +39,7 @@
     pub(super) fn found(&mut self) {
         let zones = self.scenario.zones.len();
         let mut dealt = 0;
-        for (number, pool) in self.scenario.pool.iter().enumerate() {
+        for (number, pool) in self.scenario.pools.iter().enumerate() {
             for _ in 0..pool.servers {
                 let zone = self
                     .scenario
@@ -71,7 +71,7 @@
         }
         let spec = &self.scenario.proxies;
         let dealt = deal(&spec.zone_weights, zones, spec.count);
-        let busiest = self.scenario.clients.busiest;
+        let busiest = self.scenario.clients.first_proxy_weight;
         let total = f64::from(spec.count) - 1.0 + busiest;
         for (i, zone) in dealt.iter().copied().enumerate() {
             let weight = if i == 0 { busiest } else { 1.0 } / total;
@@ -120,7 +120,7 @@
     /// A machine that is not up yet.
     pub(super) fn machine(&mut self, pool: usize, zone: usize, place: u32) -> u32 {
         let number = self.machines.len() as u32;
-        let spec = &self.scenario.pool[pool];
+        let spec = &self.scenario.pools[pool];
         let speed = self.speeds.uniform(spec.speed);
         let mut server = Server::new(spec, speed, self.now, self.held_distribution);
         server.up = false;
--- a/crates/emulator/src/world/summary.rs
+++ b/crates/emulator/src/world/summary.rs
@@ -5,7 +5,7 @@
 
 use super::event::What;
 use super::{ORIGIN, World};
-use crate::judge::{COLUMNS, Ended, Fate, Rule};
+use crate::judge::{COLUMNS, EndedOperation, OperationOutcome, Rule};
 use crate::report::{Report, ServerReport, Traffic};
 
 impl World<'_> {
@@ -59,30 +59,36 @@
             let class = self.ops[key].class as usize;
             if self.now >= self.stop {
                 let what = "still open after the end";
-                self.judge
-                    .break_of(Rule::OneAnswer, self.now, proxy, None, Some(number), what);
+                self.judge.record_violation(
+                    Rule::OneAnswer,
+                    self.now,
+                    proxy,
+                    None,
+                    Some(number),
+                    what,
+                );
             }
             let zone = self.proxies[proxy as usize].zone;
-            self.judge.ended(&Ended {
+            self.judge.operation_ended(&EndedOperation {
                 number,
                 proxy,
                 zone,
                 class,
                 start,
-                fate: Fate::Failed,
+                outcome: OperationOutcome::Failed,
             });
         }
         self.judge
-            .fact(9, [self.events, self.queue.total_pushed(), self.attempts]);
+            .record_fact(9, [self.events, self.queue.total_pushed(), self.attempts]);
         let servers = self
             .machines
             .iter()
             .map(|m| ServerReport {
-                kind: self.scenario.pool[m.pool].kind.clone(),
+                kind: self.scenario.pools[m.pool].kind.clone(),
                 zone: self.scenario.zones[m.zone].clone(),
                 statistics: m.server.statistics.clone(),
                 busy: m.busy.clone(),
-                place: m.place,
+                position: m.place,
             })
             .collect();
         let (events, attempts) = (self.events, self.attempts);
--- a/crates/emulator/src/world/true_state.rs
+++ b/crates/emulator/src/world/true_state.rs
@@ -4,7 +4,8 @@
 
 use super::servers::{Machine, Place, number_of};
 use crate::network::Network;
-use crate::policy::Truth;
+use crate::policy::GroundTruth;
+use crate::server::Estimate;
 
 pub(super) struct Seen<'a> {
     pub(super) machines: &'a [Machine],
@@ -13,11 +14,16 @@
     pub(super) now: Micros,
 }
 
-impl Truth for Seen<'_> {
-    fn would_take(&self, server: ServerId, zone: usize, class: usize, work: f64) -> (f64, f64) {
-        const NEVER: (f64, f64) = (f64::INFINITY, f64::INFINITY);
+impl GroundTruth for Seen<'_> {
+    fn estimate_response(
+        &self,
+        server: ServerId,
+        zone: usize,
+        class: usize,
+        work: f64,
+    ) -> Estimate {
         let Some(machine) = self.machines.get(number_of(server) as usize) else {
-            return NEVER;
+            return Estimate::NEVER;
         };
         let degradations = || {
             self.places[machine.place as usize]
@@ -28,7 +34,7 @@
         if degradations().any(|degradation| degradation.unanswered)
             || machine.server.near_overdrive()
         {
-            return NEVER;
+            return Estimate::NEVER;
         }
         let work = work
             * degradations()
@@ -41,10 +47,13 @@
                 .partition_end(zone, machine.zone, self.now)
                 .is_some()
         {
-            return NEVER;
+            return Estimate::NEVER;
         }
         let way = 2.0 * self.network.base_delay(zone, machine.zone) as f64;
         let estimate = machine.server.estimate(self.now, work);
-        (estimate.wait, way + estimate.total)
+        Estimate {
+            total: way + estimate.total,
+            ..estimate
+        }
     }
 }
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -5,7 +5,7 @@
 use ironmast_balancer::{
     Action, Event, Micros, Outcome, Phase, RequestId, Scope, ServerId, Settings,
 };
-use ironmast_emulator::{Policy, PolicyName, Report, Rule, Scenario, Truth, World};
+use ironmast_emulator::{GroundTruth, Policy, PolicyName, Report, Rule, Scenario, World};
 use rayon::prelude::*;
 
 /// A small fleet; `more` goes under the last heading.
@@ -42,7 +42,7 @@
         {more}
         "#
     );
-    Scenario::read(&text).expect("sound")
+    Scenario::parse(&text).expect("sound")
 }
 
 const DEPLOY: &str =
@@ -108,7 +108,7 @@
 }
 
 impl Policy for Sinner {
-    fn handle(&mut self, now: Micros, event: Event, _: &dyn Truth, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: Event, _: &dyn GroundTruth, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.subscribed, true) {
             out.push(Action::Subscribe);
         }
@@ -241,13 +241,13 @@
         ),
         (
             Sin::SendsToDraining,
-            Rule::DrainsKept,
+            Rule::NoSendAfterDrain,
             DEPLOY,
             "ms after it was told",
         ),
         (
             Sin::BuriesTheCold,
-            Rule::ColdSpared,
+            Rule::NoWarmUpOverload,
             DEPLOY,
             "of work in its window",
         ),
@@ -255,21 +255,21 @@
         let mut scenario = fleet(trouble);
         // Enough to bury one server that is cold.
         if what == Sin::RepeatsTooLate {
-            scenario.class[0].dedup_s = 0.1; // shorter than this one's patience
+            scenario.classes[0].deduplication_window_s = 0.1; // shorter than this one's patience
         }
         scenario.clients.rate *= if what == Sin::BuriesTheCold { 3.0 } else { 1.0 };
         let report = sin(what, &scenario);
         let caught = report
-            .rules_broken
+            .violations
             .iter()
-            .find(|b| b.rule == rule && b.what.contains(told));
-        let caught = caught.unwrap_or_else(|| panic!("{told}: {:?}", report.rules_broken.first()));
+            .find(|b| b.rule == rule && b.description.contains(told));
+        let caught = caught.unwrap_or_else(|| panic!("{told}: {:?}", report.violations.first()));
         assert!(
             (0.0..14.0).contains(&caught.at_s) && caught.proxy < 4,
             "{caught:?}"
         );
         let r = report.requests;
-        assert_eq!(r.asked, r.served + r.late + r.refused + r.failed);
+        assert_eq!(r.asked, r.served + r.late + r.rejected + r.failed);
     }
 }
 
@@ -303,10 +303,10 @@
             report.requests
         );
         assert_eq!(
-            report.breaks,
+            report.violation_count,
             0,
             "{name} in {s} with {seed}: {:?}",
-            report.rules_broken.first()
+            report.violations.first()
         );
     });
 }
@@ -317,10 +317,13 @@
     let mut scenario = fleet(DEPLOY);
     (
         scenario.proxies.count,
-        scenario.pool[0].servers,
+        scenario.pools[0].servers,
         scenario.clients.rate,
     ) = (proxies, 24, 1_400.0);
-    (scenario.pool[0].cold_share, scenario.rules.cold_multiple) = (0.1, 2.0);
+    (
+        scenario.pools[0].initial_speed_share,
+        scenario.rules.overload_multiple,
+    ) = (0.1, 2.0);
     scenario
 }
 
@@ -331,10 +334,10 @@
     for proxies in [5, 30, 300] {
         let careless = sin(Sin::BuriesTheCold, &cold_fleet(proxies));
         let caught = careless
-            .rules_broken
+            .violations
             .iter()
-            .any(|b| b.rule == Rule::ColdSpared);
-        assert!(caught, "{proxies}: {:?}", careless.rules_broken.first());
+            .any(|b| b.rule == Rule::NoWarmUpOverload);
+        assert!(caught, "{proxies}: {:?}", careless.violations.first());
     }
     let runs: Vec<(u32, u64)> = [5, 30, 300]
         .into_iter()
@@ -348,10 +351,10 @@
             report.requests
         );
         assert_eq!(
-            report.breaks,
+            report.violation_count,
             0,
             "{proxies} proxies, seed {seed}: {:?}",
-            report.rules_broken.first()
+            report.violations.first()
         );
     });
 }
@@ -393,9 +396,9 @@
 
 #[test]
 fn what_is_not_sound_is_refused_with_its_line() {
-    let sound = fleet(DEPLOY).write();
+    let sound = fleet(DEPLOY).to_toml();
     assert_eq!(
-        Scenario::read(&sound),
+        Scenario::parse(&sound),
         Ok(fleet(DEPLOY)),
         "what is written can be read"
     );
@@ -468,7 +471,7 @@
     ] {
         assert!(sound.contains(from), "{from} in {sound}");
         let bad = sound.replacen(from, to, 1);
-        let error = Scenario::read(&bad).expect_err(to);
+        let error = Scenario::parse(&bad).expect_err(to);
         assert!(error.problem.contains(told), "{error}");
         // What is missing is told at the start of the table that lacks it.
         let changed = sound
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -12,7 +12,7 @@
 /// Mean work, in milliseconds.
 const WORK: f64 = 10.0;
 
-fn scenario(servers: u32, cores: u32, law: &str, load: f64, length_s: f64) -> Scenario {
+fn scenario(servers: u32, cores: u32, distribution: &str, load: f64, length_s: f64) -> Scenario {
     let rate = load * f64::from(servers * cores) * 1e3 / WORK;
     let text = format!(
         r#"
@@ -25,7 +25,7 @@
         [[class]]
         name = "job"
         effect = "free"
-        law = "{law}"
+        law = "{distribution}"
         cv = 2.0
         work_ms = {WORK}
         aim_ms = 50000.0
@@ -37,7 +37,7 @@
         queue = 1000000
         "#
     );
-    Scenario::read(&text).expect("sound")
+    Scenario::parse(&text).expect("sound")
 }
 
 /// What one replication saw: mean wait and mean number waiting (in units of the mean work), load,
@@ -58,7 +58,7 @@
     world.run_to(scenario.length_s);
     let time = (world.second() - from) * 1e6;
     let report = world.report();
-    let statistics: &ServerStatistics = &report.each[0].statistics;
+    let statistics: &ServerStatistics = &report.server_reports[0].statistics;
     let (began, waits) = (statistics.started as f64, statistics.total_wait);
     let little = |held: f64, passed: f64, stays: f64| {
         (held / time) / (passed / time * (stays / passed)) - 1.0
@@ -95,11 +95,11 @@
     blocked / (1.0 - load * (1.0 - blocked))
 }
 
-fn check(law: &str, cores: u32, wait_at: impl Fn(f64) -> f64) {
+fn check(distribution: &str, cores: u32, wait_at: impl Fn(f64) -> f64) {
     let c = f64::from(cores);
     for (load, jobs) in [(0.5, 1e5), (0.8, 1.5e5), (0.95, 5e5)] {
         let length_s = jobs * WORK / 1e3 / load / c;
-        let scenario = scenario(1, cores, law, load, length_s);
+        let scenario = scenario(1, cores, distribution, load, length_s);
         let seen: Vec<Seen> = (0..24)
             .into_par_iter()
             .map(|seed| replication(&scenario, seed, c))
@@ -109,12 +109,12 @@
         let seen_load = seen.iter().map(|s| s.load).sum::<f64>() / seen.len() as f64;
         assert!(
             (seen_load / load - 1.0).abs() < 0.005,
-            "{law} on {cores}: load {seen_load} for {load}"
+            "{distribution} on {cores}: load {seen_load} for {load}"
         );
         let (wait, error) = controlled(&seen, load, |s| s.wait);
         let (waiting, _) = controlled(&seen, load, |s| s.waiting);
         let told = format!(
-            "{law} on {cores} at {load}: wait {wait:.4} +- {error:.4}, by theory {wanted:.4}"
+            "{distribution} on {cores} at {load}: wait {wait:.4} +- {error:.4}, by theory {wanted:.4}"
         );
         assert!((wait / wanted - 1.0).abs() < 0.02, "{told}");
         assert!(
@@ -164,7 +164,7 @@
         let report = world.report();
         let share = |i: usize| {
             report
-                .each
+                .server_reports
                 .iter()
                 .map(|s| s.statistics.time_with_at_least[i - 1])
                 .sum::<f64>()
@@ -172,7 +172,7 @@
         };
         (
             (1..=16).map(share).collect::<Vec<f64>>(),
-            report.servers.most_held,
+            report.servers.max_held,
         )
     };
     let ((one, longest_one), (two, longest_two)) =
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -73,7 +73,7 @@
             group
                 .runs
                 .iter()
-                .map(|n| n.report.breaks)
+                .map(|n| n.report.violation_count)
                 .sum::<u64>()
                 .to_string(),
         );
@@ -148,7 +148,7 @@
             q.asked,
             q.served,
             q.late,
-            q.refused,
+            q.rejected,
             q.failed,
             l.p50,
             l.p90,
@@ -156,11 +156,11 @@
             l.p999,
             l.max,
             r.servers.mean,
-            r.servers.greatest,
+            r.servers.max,
             r.traffic.attempts,
             r.traffic.cross_zone,
             r.traffic.probes,
-            r.breaks,
+            r.violation_count,
             r.events,
             note.wall_s,
             r.digest
@@ -254,7 +254,7 @@
         &pictures::page("Policies compared", &sections),
     )?;
     println!("written: {}", out.join("report.html").display());
-    let broken: u64 = notes.iter().map(|n| n.report.breaks).sum();
+    let broken: u64 = notes.iter().map(|n| n.report.violation_count).sum();
     Ok(match () {
         () if stopped => ExitCode::from(130),
         () if broken > 0 => ExitCode::from(1),
@@ -312,7 +312,7 @@
     let load = |group: &Group| {
         let report = &group.runs[0].report;
         let up = report
-            .each
+            .server_reports
             .iter()
             .filter(|s| s.statistics.available_core_time > 0.0);
         let mut busy: Vec<f64> = up
@@ -361,7 +361,11 @@
             "{name}: servers over time, {}, first seed",
             group.policy.name()
         );
-        let picture = pictures::heat(&title, scenario.length_s, &group.runs[0].report.each)?;
+        let picture = pictures::heat(
+            &title,
+            scenario.length_s,
+            &group.runs[0].report.server_reports,
+        )?;
         all.push((format!("servers-{}", group.policy.name()), picture));
     }
     Ok(all)
--- a/crates/testbed/src/emulate.rs
+++ b/crates/testbed/src/emulate.rs
@@ -11,7 +11,7 @@
 /// Prints what a scenario contains.
 pub(crate) fn check(scenario: &Path) -> eyre::Result<ExitCode> {
     let Loaded { scenario, .. } = load(scenario)?;
-    let servers: u32 = scenario.pool.iter().map(|pool| pool.servers).sum();
+    let servers: u32 = scenario.pools.iter().map(|pool| pool.servers).sum();
     let load = scenario.clients.rate / scenario.capacity();
     println!(
         "sound: {} for {} s, {} proxies, {servers} servers, {} requests a second ({:.0} % of what warm \
@@ -21,7 +21,7 @@
         scenario.proxies.count,
         scenario.clients.rate,
         load * 100.0,
-        scenario.trouble.len()
+        scenario.faults.len()
     );
     Ok(ExitCode::SUCCESS)
 }
@@ -51,7 +51,7 @@
         Some(path) => files::write_json(path, &note)?,
         None => println!("{}", summary(&note)),
     }
-    Ok(if note.report.breaks == 0 {
+    Ok(if note.report.violation_count == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(1)
@@ -78,7 +78,7 @@
         q.asked,
         q.served,
         q.late,
-        q.refused,
+        q.rejected,
         q.failed,
         ms(l.p50),
         ms(l.p90),
@@ -86,7 +86,7 @@
         ms(l.p999),
         ms(l.max),
         r.servers.mean * 100.0,
-        r.servers.greatest * 100.0,
+        r.servers.max * 100.0,
         r.traffic.attempts,
         r.traffic.cross_zone,
         r.traffic.probes
@@ -101,14 +101,14 @@
         "digest {}; {} events in {:.2} s, {} MB at most\n",
         r.digest, r.events, note.wall_s, note.peak_rss_mb
     );
-    text += &match r.breaks {
+    text += &match r.violation_count {
         0 => "no rule broken".to_string(),
         n => format!("{n} RULES BROKEN, the first:"),
     };
-    for b in r.rules_broken.iter().take(5) {
+    for b in r.violations.iter().take(5) {
         text += &format!(
-            "\n  {:?} at {:.3} s by proxy {}, server {:?}, request {:?}: {}",
-            b.rule, b.at_s, b.proxy, b.server, b.request, b.what
+            "\n  {} at {:.3} s by proxy {}, server {:?}, request {:?}: {}",
+            b.rule, b.at_s, b.proxy, b.server, b.request, b.description
         );
     }
     text
--- a/crates/testbed/src/files.rs
+++ b/crates/testbed/src/files.rs
@@ -55,7 +55,7 @@
 /// Reads and checks a scenario.
 pub(crate) fn load(path: &Path) -> Result<Loaded, FileError> {
     let text = std::fs::read_to_string(path).map_err(FileError::io(path))?;
-    let scenario = Scenario::read(&text).map_err(|source| FileError::Scenario {
+    let scenario = Scenario::parse(&text).map_err(|source| FileError::Scenario {
         path: path.to_path_buf(),
         source,
     })?;
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -91,7 +91,7 @@
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Finding::RuleBroken(rule, what) => write!(f, "{rule:?} broken: {what}"),
+            Finding::RuleBroken(rule, what) => write!(f, "{rule} broken: {what}"),
             Finding::Panicked(what) => write!(f, "panic: {what}"),
             Finding::EndlessEvents => write!(f, "events without end"),
             Finding::PoorService(service, reference) => {
@@ -132,10 +132,10 @@
             .unwrap_or_default(),
         )
     })??;
-    match report.rules_broken.first() {
+    match report.violations.first() {
         Some(b) => Err(Finding::RuleBroken(
             b.rule,
-            format!("{} (at {:.3} s, proxy {})", b.what, b.at_s, b.proxy),
+            format!("{} (at {:.3} s, proxy {})", b.description, b.at_s, b.proxy),
         )),
         None => Ok(report.service),
     }
@@ -165,7 +165,7 @@
         loop {
             let smaller = simpler_scenarios(&scenario)
                 .into_iter()
-                .filter(|s| s.check().is_ok() && *s != scenario);
+                .filter(|s| s.validate().is_ok() && *s != scenario);
             let mut better = None;
             for candidate in smaller {
                 tries += 1;
@@ -245,7 +245,7 @@
         );
         files::write(
             &path,
-            &format!("# {finding}\n# {command}\n{}", scenario.write()),
+            &format!("# {finding}\n# {command}\n{}", scenario.to_toml()),
         )?;
         println!("seed {seed}: {finding}: {}", path.display());
     }
--- a/crates/testbed/src/hunt/generator.rs
+++ b/crates/testbed/src/hunt/generator.rs
@@ -2,8 +2,8 @@
 //! kinds of faults and not others).
 
 use ironmast_emulator::{
-    Arrivals, Class, Clients, DiscoverySpec, EffectSpec, GroupSpec, Law, Network, Pool, Proxies,
-    Purpose, RetryWait, Rules, Scenario, Stream, Trouble, TroubleKind,
+    Arrivals, Class, Clients, DeduplicationGroup, DiscoverySpec, Distribution, EffectSpec, Fault,
+    FaultKind, Network, Pool, Proxies, Purpose, RetryWait, Rules, Scenario, Stream,
 };
 
 /// Generates a scenario without faults.
@@ -11,10 +11,12 @@
     let random = &mut Stream::new(seed, Purpose::GeneratedScenarios, 0);
     let zones: Vec<String> = (0..=random.below(4)).map(|z| format!("z{z}")).collect();
     let length_s = random.uniform((10.0, 30.0)).round();
-    let classes = 1 + random.below(3);
-    let class = (0..classes).map(|i| generate_class(random, i)).collect();
-    let pools = 1 + random.below(3);
-    let pool = (0..pools)
+    let class_count = 1 + random.below(3);
+    let classes = (0..class_count)
+        .map(|i| generate_class(random, i))
+        .collect();
+    let pool_count = 1 + random.below(3);
+    let pools = (0..pool_count)
         .map(|i| generate_pool(random, i, &zones))
         .collect();
     let mut scenario = Scenario {
@@ -27,26 +29,26 @@
         clients: generate_clients(random),
         proxies: generate_proxies(random),
         network: Network {
-            inside_ms: random.uniform((0.0, 2.0)),
-            between_ms: random.uniform((1.0, 40.0)),
+            within_zone_ms: random.uniform((0.0, 2.0)),
+            between_zones_ms: random.uniform((1.0, 40.0)),
             jitter: random.unit(),
             datagram_loss: random.unit() * 0.2,
             connect_timeout_ms: random.uniform((50.0, 400.0)),
-            idle_close_s: random.uniform((1.0, 60.0)),
+            idle_timeout_s: random.uniform((1.0, 60.0)),
         },
         discovery: DiscoverySpec {
             watch: random.unit() < 0.8,
-            start_s: random.uniform((0.0, 3.0)),
-            drain_s: random.uniform((0.0, 1.5)),
-            gone_s: random.uniform((0.0, 4.0)),
+            start_delay_s: random.uniform((0.0, 3.0)),
+            drain_delay_s: random.uniform((0.0, 1.5)),
+            removal_delay_s: random.uniform((0.0, 4.0)),
             spread_s: random.uniform((0.0, 0.5)),
-            calls_per_s: random.uniform((2.0, 500.0)),
-            most_wait_s: random.uniform((0.2, 3.0)),
+            queries_per_s: random.uniform((2.0, 500.0)),
+            max_wait_s: random.uniform((0.2, 3.0)),
         },
         rules: Rules::default(),
-        class,
-        pool,
-        trouble: Vec::new(),
+        classes,
+        pools,
+        faults: Vec::new(),
     };
     if scenario.zones.len() > 1 && random.unit() < 0.4 {
         scenario.proxies.zone_weights = scenario
@@ -62,19 +64,27 @@
 
 fn generate_class(random: &mut Stream, number: usize) -> Class {
     let work_ms = random.uniform((2.0, 120.0));
-    let aim_ms = work_ms * random.uniform((3.0, 12.0));
+    let latency_target_ms = work_ms * random.uniform((3.0, 12.0));
     Class {
         name: format!("c{number}"),
         share: random.unit() + 0.05,
-        effect: [EffectSpec::Free, EffectSpec::Keyed, EffectSpec::Once][random.below(3)],
-        group: [GroupSpec::All, GroupSpec::Zone][random.below(2)],
-        dedup_s: random.uniform((0.05, 8.0)),
-        law: [Law::Fixed, Law::Exponential, Law::Lognormal][random.below(3)],
+        effect: [
+            EffectSpec::Idempotent,
+            EffectSpec::Deduplicated,
+            EffectSpec::NonIdempotent,
+        ][random.below(3)],
+        group: [DeduplicationGroup::All, DeduplicationGroup::Zone][random.below(2)],
+        deduplication_window_s: random.uniform((0.05, 8.0)),
+        distribution: [
+            Distribution::Fixed,
+            Distribution::Exponential,
+            Distribution::Lognormal,
+        ][random.below(3)],
         work_ms,
         cv: random.uniform((0.1, 2.0)),
-        aim_ms,
-        deadline_ms: aim_ms * random.uniform((1.0, 5.0)),
-        worth: random.uniform((0.5, 10.0)),
+        latency_target_ms,
+        deadline_ms: latency_target_ms * random.uniform((1.0, 5.0)),
+        value: random.uniform((0.5, 10.0)),
     }
 }
 
@@ -104,9 +114,9 @@
         },
         handshake_work_ms: random.unit() * 2.0,
         probe_work_ms: random.unit() * 0.5,
-        cold_share: random.uniform((0.2, 1.0)),
-        cold_s: random.uniform((1.0, 12.0)),
-        cold_work_s: if random.unit() < 0.7 {
+        initial_speed_share: random.uniform((0.2, 1.0)),
+        warm_up_s: random.uniform((1.0, 12.0)),
+        warm_up_work_s: if random.unit() < 0.7 {
             0.0
         } else {
             random.uniform((1.0, 20.0))
@@ -131,12 +141,12 @@
         burst_s: random.uniform((0.1, 3.0)),
         rest_s: random.uniform((0.1, 6.0)),
         burst_factor: random.uniform((1.5, 8.0)),
-        curve: if random.unit() < 0.7 {
+        rate_curve: if random.unit() < 0.7 {
             Vec::new()
         } else {
             vec![(2.0, random.unit()), (8.0, 1.0 + random.unit())]
         },
-        busiest: if random.unit() < 0.6 {
+        first_proxy_weight: if random.unit() < 0.6 {
             1.0
         } else {
             random.uniform((1.0, 30.0))
@@ -149,8 +159,8 @@
             RetryWait::RetryAfter,
         ][random.below(4)],
         retry_ms: random.uniform((0.0, 400.0)),
-        patience: (random.uniform((0.3, 0.9)), 1.0),
-        walk_away: if random.unit() < 0.5 {
+        timeout_share: (random.uniform((0.3, 0.9)), 1.0),
+        disconnect_share: if random.unit() < 0.5 {
             0.0
         } else {
             random.unit() * 0.2
@@ -166,32 +176,32 @@
             random.below(120)
         } as u32,
         zone_weights: Vec::new(),
-        most_tries: 1 + random.below(3) as u32,
-        may_duplicate: random.unit() < 0.2,
+        max_attempts: 1 + random.below(3) as u32,
+        allow_hedging: random.unit() < 0.2,
         cancel: random.unit() < 0.9,
         probes: random.unit() < 0.7,
         peers: false,
         load_reports: random.unit() < 0.7,
         max_retry_after_s: random.uniform((0.1, 3.0)),
-        cross_zone: random.unit() * 0.3,
-        sizes: random.unit() < 0.5,
+        cross_zone_penalty: random.unit() * 0.3,
+        list_shows_capacity: random.unit() < 0.5,
     }
 }
 
 /// Adds random faults to a scenario: each kind is either present or not.
 pub(super) fn add_faults(scenario: &mut Scenario, seed: u64) {
-    use TroubleKind as K;
+    use FaultKind as K;
     let random = &mut Stream::new(seed, Purpose::GeneratedScenarios, 1);
     for kind in [
         K::Slow,
-        K::SharedSlow,
-        K::Grey,
+        K::SlowDependency,
+        K::GreyFailure,
         K::Pause,
         K::Crash,
-        K::ZoneLost,
-        K::ZoneCut,
+        K::ZoneLoss,
+        K::ZonePartition,
         K::Deploy,
-        K::Restart,
+        K::ProxyRestart,
         K::Surge,
         K::RetryStorm,
         K::DiscoveryOutage,
@@ -200,35 +210,35 @@
             continue;
         }
         let zone = scenario.zones[random.below(scenario.zones.len())].clone();
-        let zoned = matches!(kind, K::ZoneLost | K::ZoneCut) || random.unit() < 0.2;
-        let class = scenario.class[random.below(scenario.class.len())]
+        let zoned = matches!(kind, K::ZoneLoss | K::ZonePartition) || random.unit() < 0.2;
+        let class = scenario.classes[random.below(scenario.classes.len())]
             .name
             .clone();
         let at_s = (random.unit() * scenario.length_s * 0.7 * 10.0).round() / 10.0;
-        let drawn = Trouble {
+        let drawn = Fault {
             kind,
             at_s,
             for_s: (random.uniform((0.2, (scenario.length_s - at_s).max(0.4))) * 10.0).round()
                 / 10.0,
             share: random.uniform((0.05, 1.0)),
             zone: if zoned { zone } else { String::new() },
-            class: if kind == K::Grey {
+            class: if kind == K::GreyFailure {
                 class
             } else {
                 String::new()
             },
             factor: random.uniform((1.2, 8.0)),
             silent: random.unit() < 0.5,
-            proxies: random.unit() < 0.5,
+            include_proxies: random.unit() < 0.5,
             batch: random.uniform((0.05, 0.6)),
             drain_s: random.uniform((0.2, 5.0)),
             pause_s: random.uniform((0.02, 1.0)),
             retries: 1 + random.below(5) as u32,
         };
-        scenario.trouble.push(drawn);
+        scenario.faults.push(drawn);
         // The fault may concern a zone without servers.
-        if scenario.check().is_err() {
-            scenario.trouble.pop();
+        if scenario.validate().is_err() {
+            scenario.faults.pop();
         }
     }
 }
--- a/crates/testbed/src/hunt/shrink.rs
+++ b/crates/testbed/src/hunt/shrink.rs
@@ -9,8 +9,8 @@
         change(&mut copy);
         copy
     };
-    let mut candidates: Vec<Scenario> = (0..original.trouble.len())
-        .map(|i| with(&|s| drop(s.trouble.remove(i))))
+    let mut candidates: Vec<Scenario> = (0..original.faults.len())
+        .map(|i| with(&|s| drop(s.faults.remove(i))))
         .collect();
     candidates.push(with(&|s| {
         s.length_s = (s.length_s / 2.0).max(1.0);
@@ -18,19 +18,20 @@
     }));
     // Ends after the last trouble.
     let last = original
-        .trouble
+        .faults
         .iter()
         .map(|t| t.at_s + t.for_s)
         .fold(1.0, f64::max);
     candidates.push(with(&|s| s.length_s = s.length_s.min(last + 3.0)));
-    if original.class.len() > 1 {
-        candidates.extend((0..original.class.len()).map(|i| with(&|s| drop(s.class.remove(i)))));
+    if original.classes.len() > 1 {
+        candidates
+            .extend((0..original.classes.len()).map(|i| with(&|s| drop(s.classes.remove(i)))));
     }
-    if original.pool.len() > 1 {
-        candidates.extend((0..original.pool.len()).map(|i| with(&|s| drop(s.pool.remove(i)))));
+    if original.pools.len() > 1 {
+        candidates.extend((0..original.pools.len()).map(|i| with(&|s| drop(s.pools.remove(i)))));
     }
     candidates.push(with(&|s| {
-        s.pool
+        s.pools
             .iter_mut()
             .for_each(|p| p.servers = p.servers.div_ceil(2));
     }));
@@ -50,19 +51,19 @@
     }));
     candidates.push(with(&|s| {
         s.network = Network {
-            between_ms: s.network.between_ms,
+            between_zones_ms: s.network.between_zones_ms,
             ..Network::default()
         }
     }));
     candidates.push(with(&|s| s.discovery = DiscoverySpec::default()));
     candidates.push(with(&|s| s.proxies.zone_weights.clear()));
-    for i in 0..original.trouble.len() {
-        candidates.push(with(&|s| s.trouble[i].for_s /= 2.0));
+    for i in 0..original.faults.len() {
+        candidates.push(with(&|s| s.faults[i].for_s /= 2.0));
         candidates.push(with(&|s| {
-            s.trouble[i].share = (s.trouble[i].share / 2.0).max(0.01);
+            s.faults[i].share = (s.faults[i].share / 2.0).max(0.01);
         }));
         candidates.push(with(&|s| {
-            s.trouble[i].at_s = (s.trouble[i].at_s / 2.0).floor();
+            s.faults[i].at_s = (s.faults[i].at_s / 2.0).floor();
         }));
     }
     candidates
@@ -75,12 +76,12 @@
         burst_s: 1.0,
         rest_s: 1.0,
         burst_factor: 2.0,
-        curve: Vec::new(),
-        busiest: 1.0,
+        rate_curve: Vec::new(),
+        first_proxy_weight: 1.0,
         retries: 0,
         retry_wait: RetryWait::Fixed,
         retry_ms: 100.0,
-        patience: (1.0, 1.0),
-        walk_away: 0.0,
+        timeout_share: (1.0, 1.0),
+        disconnect_share: 0.0,
     }
 }
--- a/crates/testbed/src/hunt/tests.rs
+++ b/crates/testbed/src/hunt/tests.rs
@@ -8,14 +8,14 @@
         .map(|seed| {
             let mut scenario = generate_scenario(seed);
             add_faults(&mut scenario, seed);
-            assert_eq!(scenario.check(), Ok(()), "{}", scenario.write());
-            assert_eq!(Scenario::read(&scenario.write()).as_ref(), Ok(&scenario));
+            assert_eq!(scenario.validate(), Ok(()), "{}", scenario.to_toml());
+            assert_eq!(Scenario::parse(&scenario.to_toml()).as_ref(), Ok(&scenario));
             scenario
         })
         .collect();
     let kinds: std::collections::BTreeSet<_> = drawn
         .iter()
-        .flat_map(|s| s.trouble.iter().map(|t| t.kind))
+        .flat_map(|s| s.faults.iter().map(|t| t.kind))
         .collect();
     assert_eq!(kinds.len(), 12, "every kind of trouble is drawn");
 }
@@ -60,6 +60,6 @@
         );
         let mut whole = generate_scenario(seed);
         add_faults(&mut whole, seed);
-        assert!(loaded.scenario.trouble.len() <= whole.trouble.len());
+        assert!(loaded.scenario.faults.len() <= whole.faults.len());
     }
 }
--- a/crates/testbed/src/pictures.rs
+++ b/crates/testbed/src/pictures.rs
@@ -190,14 +190,14 @@
 ) -> Result<String, PlotError> {
     let places = servers
         .iter()
-        .map(|s| s.place as usize + 1)
+        .map(|s| s.position as usize + 1)
         .max()
         .unwrap_or(1);
     // A place shows whoever stands there; each started later than the one before.
     let mut grid = vec![[f32::NAN; COLUMNS]; places];
     let mut zones = vec![String::new(); places];
     for server in servers {
-        let place = server.place as usize;
+        let place = server.position as usize;
         zones[place].clone_from(&server.zone);
         let first = COLUMNS.saturating_sub(server.busy.len());
         for (column, busy) in server.busy.iter().enumerate().filter(|(_, b)| !b.is_nan()) {
--- a/crates/testbed/src/sweep.rs
+++ b/crates/testbed/src/sweep.rs
@@ -103,7 +103,7 @@
             // wrong names.
             table.insert(key.to_string(), written.unwrap_or(plain));
             let text = toml::to_string(&root)?;
-            Scenario::read(&text).map_err(|error| VaryError::Invalid {
+            Scenario::parse(&text).map_err(|error| VaryError::Invalid {
                 path: self.path.clone(),
                 value,
                 problem: error.problem,
--- a/crates/testbed/src/sweep/tests.rs
+++ b/crates/testbed/src/sweep/tests.rs
@@ -23,7 +23,7 @@
     assert_eq!(
         apply("trouble.0.for_s=2..4", 3.0)
             .expect("in a list")
-            .trouble[0]
+            .faults[0]
             .for_s,
         3.0
     );
@@ -31,7 +31,7 @@
         apply("proxies.most_tries=1..3", 2.0)
             .expect("not in the file")
             .proxies
-            .most_tries,
+            .max_attempts,
         2
     );
     for (vary, told) in [
