--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -66,7 +66,7 @@
     let (commands, received) = mpsc::unbounded_channel();
     let mut event_loop = EventLoop::start(&settings, received, reload, &log).await?;
     let servers = api::start(control_plane, directory, &commands)?;
-    info!(log, "coordinator serves"; "control_plane" => %control_plane, "zone" => &settings.zone);
+    info!(log, "coordinator is serving"; "control_plane" => %control_plane, "zone" => &settings.zone);
     event_loop
         .run_until(async { _ = terminate.recv().await })
         .await;
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -171,7 +171,7 @@
         if previous == ContactState::InContact {
             warn!(
                 self.log,
-                "out of contact with the majority of the coordinators: nothing is acknowledged"
+                "out of contact with a majority of the coordinators, acknowledging nothing"
             );
         }
         self.pending_reports.reject_all();
--- a/crates/coordinator/src/record_writer.rs
+++ b/crates/coordinator/src/record_writer.rs
@@ -85,7 +85,7 @@
                 Some(completion.token)
             }
             Err(error) => {
-                warn!(self.log, "the register's record can't be written"; "why" => %error);
+                warn!(self.log, "cannot write the register's record"; "error" => %error);
                 self.retry_at = Some(now + WRITE_RETRY_DELAY);
                 None
             }
--- a/crates/coordinator/src/register_log.rs
+++ b/crates/coordinator/src/register_log.rs
@@ -121,7 +121,7 @@
             ..
         }) => RecoveredRecord::Durable(record.0),
         Some(Recovered::Found { record, .. }) => {
-            warn!(log, "the register's record can't be made durable yet"; "state" => ?file.state());
+            warn!(log, "cannot sync the register's record yet"; "state" => ?file.state());
             RecoveredRecord::NotDurable(record.0)
         }
     };
@@ -145,10 +145,10 @@
         }) => {
             let kept = Log::<LogRecord>::quarantine(disk.as_ref(), settings)
                 .wrap_err_with(|| format!("setting the damaged {file} aside"))?;
-            warn!(log, "the register's log is damaged and begun anew";
+            warn!(log, "the register's log is damaged, starting with an empty one";
                 "file" => file, "offset" => offset, "reason" => %reason,
                 "kept_as" => kept.map(|kept| folder.join(kept).display().to_string()));
-            let (file, _) = open().wrap_err("opening the log of the register anew")?;
+            let (file, _) = open().wrap_err("opening a new register log")?;
             Ok((file, None))
         }
         opened => {
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -186,7 +186,7 @@
         match postcard::from_bytes::<Message<ControlValue>>(bytes) {
             Ok(message) => self.handle(Event::Message(message)),
             Err(error) => {
-                warn!(self.log, "a message of the register can't be read"; "why" => %error);
+                warn!(self.log, "cannot decode a register message"; "error" => %error);
                 Vec::new()
             }
         }
@@ -249,8 +249,7 @@
             }
             Action::DiskLost => warn!(
                 self.log,
-                "the settings say that the system starts for the first time, but \
-                other coordinators know more: this replica begins anew under another identity"
+                "bootstrap is set, but other coordinators hold a newer state, starting as a new replica"
             ),
             Action::Timer(at) => self.timer = Some(at),
         }
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -18,7 +18,7 @@
 pub(crate) async fn run<S: Service>(gate: &Gate, listener: &Listener<S>) {
     gate.begin_shutdown();
     let accept_s = accept_seconds(gate);
-    info!(gate.log, "ending"; "clients_come_for_s" => accept_s);
+    info!(gate.log, "shutting down"; "accepting_for_s" => accept_s);
     let deadline = gate.shutdown_deadline().unwrap_or_default();
     let finish = async {
         tokio::time::sleep(Duration::from_secs_f64(accept_s)).await;
@@ -27,7 +27,7 @@
     };
     // The requests still in progress at the deadline are aborted.
     let _ = tokio::time::timeout_at(gate.clock.at(deadline).into(), finish).await;
-    info!(gate.log, "ended");
+    info!(gate.log, "stopped");
 }
 
 /// How long clients are still accepted.
--- a/crates/gate/src/feed.rs
+++ b/crates/gate/src/feed.rs
@@ -109,7 +109,7 @@
         let table = match self.store.next_table(&gate.settings.borrow(), &previous) {
             Ok(table) => table,
             Err(error) => {
-                return warn!(gate.log, "the configuration can't be used"; "why" => %error);
+                return warn!(gate.log, "cannot apply the configuration, keeping the current tables"; "error" => %error);
             }
         };
         if let Some(limits) = self.store.client_limits() {
@@ -125,7 +125,7 @@
         // is installed.
         let configured = self.store.configuration().is_some();
         if !gate.set_configured(configured) && configured {
-            info!(gate.log, "a configuration is in force"; "routes" => routes);
+            info!(gate.log, "configuration applied"; "routes" => routes);
             gate.begin_server_discovery();
             gate.status_changed.notify_one();
         }
@@ -137,7 +137,7 @@
 struct ServerCounts {
     listed: usize,
     /// Servers whose heartbeats are missing.
-    silent: usize,
+    unreachable: usize,
     draining: usize,
     /// Servers in evacuated zones.
     evacuated: usize,
@@ -154,7 +154,7 @@
         };
         ServerCounts {
             listed: table.servers().len(),
-            silent: count(|server| server.heartbeats_missing_since.is_some()),
+            unreachable: count(|server| server.heartbeats_missing_since.is_some()),
             draining: count(|server| server.state == ServerState::Draining),
             evacuated: count(|server| server.evacuated),
         }
@@ -165,6 +165,10 @@
 fn log_server_changes(gate: &Gate, previous: &Table, next: &Table) {
     let counts = ServerCounts::of(next);
     if ServerCounts::of(previous) != counts {
-        info!(gate.log, "servers"; "listed" => counts.listed, "silent" => counts.silent, "draining" => counts.draining, "evacuated" => counts.evacuated);
+        info!(
+            gate.log, "servers changed";
+            "listed" => counts.listed, "unreachable" => counts.unreachable,
+            "draining" => counts.draining, "evacuated" => counts.evacuated
+        );
     }
 }
--- a/crates/gate/src/peers.rs
+++ b/crates/gate/src/peers.rs
@@ -58,7 +58,7 @@
                 tokio::join!(receive_all(&gate, &socket), send_all(&gate, &socket));
             }
             Err(error) => {
-                warn!(gate.log, "gates are not heard"; "at" => %address, "why" => %error);
+                warn!(gate.log, "cannot open the socket for load reports of other gates"; "address" => %address, "error" => %error);
             }
         }
     });
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -71,7 +71,7 @@
         listen(&gate, address, service, budget, is_serving)?;
     }
     spawn_background_tasks(&gate, frontend, &listener);
-    info!(gate.log, "gate serves"; "frontend" => %frontend);
+    info!(gate.log, "gate is serving"; "frontend" => %frontend);
     reload_until(terminate, reload, &gate).await;
     drain::run(&gate, &listener).await;
     Ok(())
@@ -144,9 +144,11 @@
     match Settings::from_environment() {
         Ok(settings) => {
             gate.settings.replace(settings);
-            info!(gate.log, "settings read again");
+            info!(gate.log, "settings reloaded");
+        }
+        Err(error) => {
+            warn!(gate.log, "cannot reload the settings, keeping the current ones"; "error" => %error);
         }
-        Err(error) => warn!(gate.log, "settings not taken, the old ones stay"; "why" => %error),
     }
 }
 
--- a/crates/transport/src/listener.rs
+++ b/crates/transport/src/listener.rs
@@ -173,7 +173,7 @@
                     tokio::task::yield_now().await;
                 }
                 Err(error) => {
-                    warn!(self.log, "accept failed"; "why" => %error);
+                    warn!(self.log, "cannot accept a connection"; "error" => %error);
                     // Guards against spinning where descriptors have run out.
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
