--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -1,28 +1,30 @@
-//! Plays day files of the system on the operators' bench, over seeds and sites, and lists what
+//! `days`: runs day files of the system on the operators' bench, over seeds and sites, and lists what
 //! broke.
 //!
-//! The bench is a program outside this project, given by its path. What it prints of each play is
-//! kept in a file of its own, so that a command that was stopped goes on where it was when it is
-//! given again.
+//! The bench is a program outside this project, given by its path. The output of each run is stored
+//! in a file of its own, so that a command that was stopped continues where it was when it is given
+//! again.
 
+mod day_run;
 mod report;
+mod summary;
 #[cfg(test)]
 mod tests;
 
-use std::collections::BTreeMap;
 use std::fs::{self, File};
 use std::io::{self, Write};
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::{Command, ExitCode, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-use thiserror::Error;
-
 use crate::files::{self, FileError};
-use report::{Report, ReportError};
+use day_run::{DayResult, DayRun};
+use report::DayReport;
+use summary::Summary;
 
-/// What is to be played.
+// The doc comments of the fields are printed by `--help`.
+/// The arguments of `days`.
 #[derive(clap::Args)]
 pub(crate) struct Days {
     /// The bench's program.
@@ -59,229 +61,96 @@
     out: PathBuf,
 }
 
-/// One day on one deployment with one seed.
-#[derive(Debug, Clone, PartialEq, Eq)]
-struct Play {
-    site: PathBuf,
-    day: PathBuf,
-    seed: u64,
-}
-
-impl Play {
-    /// Where the report is kept.
-    fn kept(&self, out: &Path) -> PathBuf {
-        out.join(stem(&self.site))
-            .join(stem(&self.day))
-            .join(format!("{}.txt", self.seed))
-    }
-}
-
-/// Why a play has no report. The message contains its cause, because the list of plays shows it on
-/// one line.
-#[derive(Debug, Error)]
-enum NoReport {
-    /// The file that keeps the bench's output cannot be read.
-    #[error("{}: {cause}", path.display())]
-    Unreadable {
-        /// The path of the file.
-        path: PathBuf,
-        /// Why it cannot be read.
-        cause: io::Error,
-    },
-    /// The bench's output is no report.
-    #[error(transparent)]
-    Invalid(#[from] ReportError),
-}
-
-/// Plays what has no report yet, then lists all. Ends with 1 where a rule was broken or a play gave
-/// no report.
+/// Makes the runs that have no report yet, then lists all. The exit code is 1 if a rule was broken
+/// or a run gave no report.
+///
+/// # Errors
+/// The bench cannot be started, or a file cannot be written.
 pub(crate) fn run(days: &Days) -> eyre::Result<ExitCode> {
     files::ensure_directory(&days.out)?;
-    let plays = plays(days);
-    let missing: Vec<&Play> = plays
+    let runs = days.runs();
+    let missing: Vec<&DayRun> = runs
         .iter()
-        .filter(|p| read(p, &days.out).is_err())
+        .filter(|run| run.read_report(&days.out).is_err())
         .collect();
-    run_all(days, &missing)?;
-    let results: Vec<(Play, Result<Report, NoReport>)> = plays
+    days.make_all(&missing)?;
+    let results: Vec<DayResult> = runs
         .into_iter()
-        .map(|play| (play.clone(), read(&play, &days.out)))
+        .map(|run| DayResult::read(run, &days.out))
         .collect();
-    print!("{}", list(&results));
-    let sound = results
-        .iter()
-        .all(|(_, result)| result.as_ref().is_ok_and(|r| r.broken.is_empty()));
-    Ok(if sound {
+    print!("{}", Summary::new(&results));
+    let keeps_rules = |report: &DayReport| report.broken_rules.is_empty();
+    let mut reports = results.iter().map(|result| result.report.as_ref());
+    Ok(if reports.all(|report| report.is_ok_and(keeps_rules)) {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(1)
     })
 }
 
-/// All plays, one seed of each day after the other: a command that is stopped has played each day
-/// equally often.
-fn plays(days: &Days) -> Vec<Play> {
-    let mut plays = Vec::new();
-    for seed in days.first_seed..days.first_seed.saturating_add(days.seeds) {
-        for day in &days.days {
-            for site in &days.sites {
-                plays.push(Play {
+impl Days {
+    /// All runs, one seed of each day after the other: a command that is stopped has run each day
+    /// equally often.
+    fn runs(&self) -> Vec<DayRun> {
+        let mut runs = Vec::new();
+        for seed in self.first_seed..self.first_seed.saturating_add(self.seeds) {
+            for day in &self.days {
+                runs.extend(self.sites.iter().map(|site| DayRun {
                     site: site.clone(),
                     day: day.clone(),
                     seed,
-                });
+                }));
             }
         }
+        runs
     }
-    plays
-}
-
-/// The kept report of a play, or why there is none.
-fn read(play: &Play, out: &Path) -> Result<Report, NoReport> {
-    let path = play.kept(out);
-    match fs::read_to_string(&path) {
-        Ok(text) => Ok(report::read(&text)?),
-        Err(cause) => Err(NoReport::Unreadable { path, cause }),
-    }
-}
-
-/// Plays side by side, each thread the next that nobody has begun.
-fn run_all(days: &Days, plays: &[&Play]) -> Result<(), FileError> {
-    let next = AtomicUsize::new(0);
-    let work = || {
-        while let Some(play) = plays.get(next.fetch_add(1, Ordering::Relaxed)) {
-            play_one(days, play)?;
-            // Progress that can't be shown, as on a full disk, is no reason to end the plays.
-            let _ = writeln!(io::stderr(), "{}", line(play, &read(play, &days.out)));
-        }
-        Ok(())
-    };
-    thread::scope(|scope| {
-        let threads: Vec<_> = (0..days.jobs).map(|_| scope.spawn(work)).collect();
-        threads
-            .into_iter()
-            .try_for_each(|thread| thread.join().expect("a play does not panic"))
-    })
-}
 
-/// Has the bench play one day. Its report takes its place only when the bench has ended.
-fn play_one(days: &Days, play: &Play) -> Result<(), FileError> {
-    let kept = play.kept(&days.out);
-    let partial = kept.with_extension("part");
-    let failed = FileError::io(&partial);
-    // Several threads may make the same folder at once, so nothing is tried out in it.
-    fs::create_dir_all(kept.parent().expect("it is in a folder")).map_err(&failed)?;
-    let output = File::create(&partial).map_err(&failed)?;
-    let errors = output.try_clone().map_err(&failed)?;
-    let mut command = Command::new(&days.bench);
-    command.arg("run").arg(&play.site).arg(&play.day).args([
-        "--jobs",
-        "1",
-        "--seed",
-        &play.seed.to_string(),
-    ]);
-    command.args(["--why", &days.why]);
-    if days.no_cpu {
-        command.arg("--no-cpu");
-    }
-    let status = command
-        .stdin(Stdio::null())
-        .stdout(output)
-        .stderr(errors)
-        .status();
-    // A broken rule may show in the bench's exit code: only its report says what came of the day.
-    status.map_err(FileError::io(&days.bench))?;
-    fs::rename(&partial, &kept).map_err(&failed)
-}
-
-/// What came of the plays: each that broke a rule, fell short or has no report, then a table of
-/// days.
-fn list(results: &[(Play, Result<Report, NoReport>)]) -> String {
-    let mut text = String::new();
-    let mut rows: BTreeMap<(String, String), Row> = BTreeMap::new();
-    for (play, result) in results {
-        let row = rows.entry((stem(&play.day), stem(&play.site))).or_default();
-        row.add(result);
-        if !result.as_ref().is_ok_and(Report::is_clean) {
-            text += &(line(play, result) + "\n");
-        }
-    }
-    let width = rows
-        .keys()
-        .map(|(day, _)| day.len())
-        .max()
-        .unwrap_or(0)
-        .max("day".len());
-    let site_width = rows
-        .keys()
-        .map(|(_, site)| site.len())
-        .max()
-        .unwrap_or(0)
-        .max("site".len());
-    text += &format!(
-        "{:width$}  {:site_width$}  seeds  broken  short  no report  mean worth\n",
-        "day", "site"
-    );
-    for ((day, site), row) in &rows {
-        let (played, worth) = (row.played, row.mean_worth());
-        text += &format!(
-            "{day:width$}  {site:site_width$}  {played:>5}  {:>6}  {:>5}  {:>9}  {worth:>10}\n",
-            row.broken, row.short, row.unplayed
-        );
-    }
-    text
-}
-
-/// One play in a line.
-fn line(play: &Play, result: &Result<Report, NoReport>) -> String {
-    let name = format!(
-        "{} on {}, seed {}",
-        stem(&play.day),
-        stem(&play.site),
-        play.seed
-    );
-    match result {
-        Ok(report) => format!("{name}: {report}"),
-        Err(problem) => format!("{name}: no report: {problem}"),
+    /// Makes runs in parallel: each thread takes the next that no other has begun.
+    fn make_all(&self, runs: &[&DayRun]) -> Result<(), FileError> {
+        let next = AtomicUsize::new(0);
+        let work = || {
+            while let Some(run) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
+                self.make(run)?;
+                let result = DayResult::read((*run).clone(), &self.out);
+                // Progress that can't be shown, as on a full disk, is no reason to end the runs.
+                let _ = writeln!(io::stderr(), "{result}");
+            }
+            Ok(())
+        };
+        thread::scope(|scope| {
+            let threads: Vec<_> = (0..self.jobs).map(|_| scope.spawn(work)).collect();
+            threads
+                .into_iter()
+                .try_for_each(|thread| thread.join().expect("a run does not panic"))
+        })
     }
-}
-
-/// What came of one day on one deployment, over its seeds.
-#[derive(Default)]
-struct Row {
-    played: u32,
-    broken: u32,
-    short: u32,
-    unplayed: u32,
-    worth: f64,
-}
 
-impl Row {
-    fn add(&mut self, result: &Result<Report, NoReport>) {
-        let Ok(report) = result else {
-            self.unplayed += 1;
-            return;
-        };
-        self.played += 1;
-        self.worth += report.worth;
-        self.broken += u32::from(!report.broken.is_empty());
-        self.short += u32::from(!report.short.is_empty());
+    /// Has the bench run one day. The output is renamed to its final path only when the bench has
+    /// ended.
+    fn make(&self, run: &DayRun) -> Result<(), FileError> {
+        let path = run.output_path(&self.out);
+        let partial = path.with_extension("part");
+        let failed = FileError::io(&partial);
+        // Several threads may create the same directory at once, so it is not probed by a file.
+        fs::create_dir_all(path.parent().expect("it is in a directory")).map_err(&failed)?;
+        let output = File::create(&partial).map_err(&failed)?;
+        let errors = output.try_clone().map_err(&failed)?;
+        let mut command = self.bench_command(run);
+        command.stdin(Stdio::null()).stdout(output).stderr(errors);
+        // The exit code may be that of a broken rule: only the report shows what came of the day.
+        command.status().map_err(FileError::io(&self.bench))?;
+        fs::rename(&partial, &path).map_err(&failed)
     }
 
-    /// The mean worth over the days that were played.
-    fn mean_worth(&self) -> String {
-        if self.played == 0 {
-            "-".into()
-        } else {
-            format!("{:.3}", self.worth / f64::from(self.played))
+    /// The command that runs one day.
+    fn bench_command(&self, run: &DayRun) -> Command {
+        let mut command = Command::new(&self.bench);
+        command.arg("run").arg(&run.site).arg(&run.day);
+        command.args(["--jobs", "1", "--seed", &run.seed.to_string()]);
+        command.args(["--why", &self.why]);
+        if self.no_cpu {
+            command.arg("--no-cpu");
         }
+        command
     }
 }
-
-/// A file's name without folder and extension.
-fn stem(path: &Path) -> String {
-    path.file_stem()
-        .unwrap_or_default()
-        .to_string_lossy()
-        .into_owned()
-}
