--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -8,7 +8,7 @@
 
 use crate::files;
 use crate::pictures::{self, Curve, PlotError};
-use crate::play::{Jobs, MeasuredReport, Trial};
+use crate::runner::{MeasuredReport, Runner, Trial};
 use crate::statistics::{Figure, Mean, mean, paired};
 
 /// Runs of one scenario and policy, by seed.
@@ -191,11 +191,11 @@
             }));
         }
     }
-    let jobs = Jobs::begin(trials.len() as u64);
-    let notes = jobs.run_all(&trials);
-    jobs.end();
+    let runner = Runner::start(trials.len() as u64);
+    let notes = runner.run_all(&trials);
+    runner.end();
     files::write(&out.join("runs.csv"), &csv(&notes))?;
-    Ok((notes, jobs.is_stopped()))
+    Ok((notes, runner.is_stopped()))
 }
 
 /// Plays everything, and writes what was finished even where it was stopped.
--- a/crates/testbed/src/emulate.rs
+++ b/crates/testbed/src/emulate.rs
@@ -3,14 +3,20 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use ironmast_emulator::PolicyName;
+use ironmast_emulator::{PolicyName, Report};
 
-use crate::files::{self, Loaded, load};
-use crate::play::{Jobs, MeasuredReport, Trial};
+use crate::files::{self, LoadedScenario, load_scenario};
+use crate::runner::{MeasuredReport, Runner, Trial};
+
+/// The most broken rules that the summary lists.
+const LISTED_VIOLATIONS: usize = 5;
 
 /// Prints what a scenario contains.
-pub(crate) fn check(scenario: &Path) -> eyre::Result<ExitCode> {
-    let Loaded { scenario, .. } = load(scenario)?;
+///
+/// # Errors
+/// The file cannot be read, or contains no valid scenario.
+pub(crate) fn check(path: &Path) -> eyre::Result<ExitCode> {
+    let LoadedScenario { scenario, .. } = load_scenario(path)?;
     let servers: u32 = scenario.pools.iter().map(|pool| pool.servers).sum();
     let load = scenario.clients.rate / scenario.capacity();
     println!(
@@ -26,89 +32,124 @@
     Ok(ExitCode::SUCCESS)
 }
 
+/// The arguments of `emulate`.
+pub(crate) struct Emulation<'a> {
+    /// The path of the scenario's file.
+    pub scenario: &'a Path,
+    /// The seed of all random numbers.
+    pub seed: u64,
+    /// The policy of the proxies.
+    pub policy: PolicyName,
+    /// Where the result is written as JSON; it is printed as text if there is none.
+    pub json: Option<&'a Path>,
+}
+
 /// Runs a scenario once and prints its result, or writes it as JSON. The exit code is 1 if a rule
-/// was broken, and 130 if the run was interrupted.
-pub(crate) fn run(
-    scenario: &Path,
-    seed: u64,
-    policy: PolicyName,
-    json: Option<&Path>,
-) -> eyre::Result<ExitCode> {
-    let Loaded { scenario, .. } = load(scenario)?;
-    let jobs = Jobs::begin(1);
-    if let Some(path) = json.filter(|path| *path != Path::new("-")) {
+/// was broken, and 130 if Ctrl-C stopped the run.
+///
+/// # Errors
+/// The scenario cannot be read or is invalid, or the file for the result cannot be written (found
+/// before the run).
+pub(crate) fn run(emulation: &Emulation) -> eyre::Result<ExitCode> {
+    let LoadedScenario { scenario, .. } = load_scenario(emulation.scenario)?;
+    let runner = Runner::start(1);
+    if let Some(path) = emulation.json.filter(|path| *path != Path::new("-")) {
         files::check_writable(path)?;
     }
-    let Some(note) = jobs.run(&Trial {
+    let Some(result) = runner.run(&Trial {
         scenario: &scenario,
-        policy,
-        seed,
+        policy: emulation.policy,
+        seed: emulation.seed,
     }) else {
         return Ok(ExitCode::from(130));
     };
-    jobs.end();
-    match json {
-        Some(path) => files::write_json(path, &note)?,
-        None => println!("{}", summary(&note)),
+    runner.end();
+    match emulation.json {
+        Some(path) => files::write_json(path, &result)?,
+        None => println!("{}", summary(&result)),
     }
-    Ok(if note.report.violation_count == 0 {
+    Ok(if result.report.violation_count == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(1)
     })
 }
 
-/// The result of a run as text.
-fn summary(note: &MeasuredReport) -> String {
-    let r = &note.report;
-    let (q, l) = (&r.requests, &r.latency_us);
-    let ms = |us: u64| us as f64 / 1e3;
-    let mut text = format!(
-        "{} seed {} under {}: service {:.4}, worst window {:.3}, worst class {:.3}, worst zone {:.3}\n\
-         requests: {} asked, {} served in time, {} late, {} refused, {} failed\n\
-         latency, ms: {:.1} median, {:.1} of nine in ten, {:.1} of 99 in 100, {:.1} of 999 in 1000, {:.1} most\n\
-         servers: {:.1} % busy, the busiest {:.1} %; {} attempts, {} across zones, {} probes\n",
-        r.scenario,
-        r.seed,
-        r.policy,
-        r.service,
-        r.worst_window,
-        r.worst_class,
-        r.worst_zone,
-        q.asked,
-        q.served,
-        q.late,
-        q.rejected,
-        q.failed,
-        ms(l.p50),
-        ms(l.p90),
-        ms(l.p99),
-        ms(l.p999),
-        ms(l.max),
-        r.servers.mean * 100.0,
-        r.servers.max * 100.0,
-        r.traffic.attempts,
-        r.traffic.cross_zone,
-        r.traffic.probes
-    );
-    for (name, class) in &r.by_class {
-        text += &format!(
-            "class {name}: service {:.4} of {} asked\n",
-            class.service, class.counts.asked
-        );
-    }
-    text += &format!(
+/// The result of a run as text, without a newline at the end.
+fn summary(result: &MeasuredReport) -> String {
+    let report = &result.report;
+    let effort = format!(
         "digest {}; {} events in {:.2} s, {} MB at most\n",
-        r.digest, r.events, note.wall_s, note.peak_rss_mb
+        report.digest, report.events, result.wall_s, result.peak_rss_mb
     );
-    text += &match r.violation_count {
+    service_lines(report)
+        + &traffic_lines(report)
+        + &class_lines(report)
+        + &effort
+        + &violation_lines(report)
+}
+
+fn service_lines(report: &Report) -> String {
+    let requests = &report.requests;
+    format!(
+        "{} seed {} under {}: service {:.4}, worst window {:.3}, worst class {:.3}, worst zone {:.3}\n\
+         requests: {} asked, {} served in time, {} late, {} refused, {} failed\n",
+        report.scenario,
+        report.seed,
+        report.policy,
+        report.service,
+        report.worst_window,
+        report.worst_class,
+        report.worst_zone,
+        requests.asked,
+        requests.served,
+        requests.late,
+        requests.rejected,
+        requests.failed
+    )
+}
+
+fn traffic_lines(report: &Report) -> String {
+    let (latency, servers, traffic) = (&report.latency_us, &report.servers, &report.traffic);
+    let ms = |us: u64| us as f64 / 1e3;
+    format!(
+        "latency, ms: {:.1} median, {:.1} of nine in ten, {:.1} of 99 in 100, {:.1} of 999 in 1000, {:.1} most\n\
+         servers: {:.1} % busy, the busiest {:.1} %; {} attempts, {} across zones, {} probes\n",
+        ms(latency.p50),
+        ms(latency.p90),
+        ms(latency.p99),
+        ms(latency.p999),
+        ms(latency.max),
+        servers.mean * 100.0,
+        servers.max * 100.0,
+        traffic.attempts,
+        traffic.cross_zone,
+        traffic.probes
+    )
+}
+
+fn class_lines(report: &Report) -> String {
+    let line = |(name, class): (&String, &ironmast_emulator::ClassReport)| {
+        let (service, asked) = (class.service, class.counts.asked);
+        format!("class {name}: service {service:.4} of {asked} asked\n")
+    };
+    report.by_class.iter().map(line).collect()
+}
+
+fn violation_lines(report: &Report) -> String {
+    let mut text = match report.violation_count {
         0 => "no rule broken".to_string(),
-        n => format!("{n} RULES BROKEN, the first:"),
+        count => format!("{count} RULES BROKEN, the first:"),
     };
-    for b in r.violations.iter().take(5) {
+    for violation in report.violations.iter().take(LISTED_VIOLATIONS) {
         text += &format!(
             "\n  {} at {:.3} s by proxy {}, server {:?}, request {:?}: {}",
-            b.rule, b.at_s, b.proxy, b.server, b.request, b.description
+            violation.rule,
+            violation.at_s,
+            violation.proxy,
+            violation.server,
+            violation.request,
+            violation.description
         );
     }
     text
--- a/crates/testbed/src/files.rs
+++ b/crates/testbed/src/files.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// A scenario and the text it was read from.
-pub(crate) struct Loaded {
+/// A scenario and the text from which it was parsed.
+pub(crate) struct LoadedScenario {
     /// The path of its file.
     pub path: PathBuf,
     /// The text of the file.
@@ -52,14 +52,17 @@
     pub scenario: Scenario,
 }
 
-/// Reads and checks a scenario.
-pub(crate) fn load(path: &Path) -> Result<Loaded, FileError> {
+/// Reads and validates a scenario.
+///
+/// # Errors
+/// The file cannot be read, or contains no valid scenario.
+pub(crate) fn load_scenario(path: &Path) -> Result<LoadedScenario, FileError> {
     let text = std::fs::read_to_string(path).map_err(FileError::io(path))?;
     let scenario = Scenario::parse(&text).map_err(|source| FileError::Scenario {
         path: path.to_path_buf(),
         source,
     })?;
-    Ok(Loaded {
+    Ok(LoadedScenario {
         path: path.to_path_buf(),
         text,
         scenario,
@@ -67,6 +70,9 @@
 }
 
 /// Creates a directory if necessary and checks that files can be created in it.
+///
+/// # Errors
+/// The directory or a file in it cannot be created.
 pub(crate) fn ensure_directory(path: &Path) -> Result<(), FileError> {
     std::fs::create_dir_all(path).map_err(FileError::io(path))?;
     let probe = path.join(".ironmast-testbed");
@@ -75,6 +81,9 @@
 }
 
 /// Checks that a file can be written, without changing one that exists.
+///
+/// # Errors
+/// The file cannot be opened for writing.
 pub(crate) fn check_writable(path: &Path) -> Result<(), FileError> {
     let exists = path.exists();
     let opened = std::fs::OpenOptions::new()
@@ -90,11 +99,30 @@
 }
 
 /// Writes a text to a file.
+///
+/// # Errors
+/// The file cannot be written.
 pub(crate) fn write(path: &Path, text: &str) -> Result<(), FileError> {
     std::fs::write(path, text).map_err(FileError::io(path))
 }
 
+/// Writes a text to a file, or as a line to standard output for `-`.
+///
+/// # Errors
+/// The file cannot be written.
+pub(crate) fn write_or_print(path: &Path, text: &str) -> Result<(), FileError> {
+    if path == Path::new("-") {
+        println!("{text}");
+        Ok(())
+    } else {
+        write(path, text)
+    }
+}
+
 /// Writes JSON to a file, or to standard output for `-`.
+///
+/// # Errors
+/// The file cannot be written, or the value has no JSON form.
 pub(crate) fn write_json<T: Serialize>(path: &Path, value: &T) -> Result<(), FileError> {
     let text = serde_json::to_string_pretty(value)?;
     if path == Path::new("-") {
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -21,7 +21,7 @@
 use shrink::simpler_scenarios;
 
 use crate::files;
-use crate::play::Jobs;
+use crate::runner::Runner;
 
 /// A run with more events than this for each request does not terminate.
 const MAX_EVENTS_PER_REQUEST: u64 = 100;
@@ -201,19 +201,19 @@
         minutes => minutes.map(|m| Duration::from_secs_f64(m * 60.0)),
     };
     let Seeds(from, to) = hunt.seeds;
-    let jobs = Jobs::begin(to - from);
+    let runner = Runner::start(to - from);
     let (began, found, played) = (Instant::now(), Mutex::new(Vec::new()), Mutex::new(0u64));
     // A panic is a finding with a line of its own; its trace would only hide the others.
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
     (from..to).into_par_iter().try_for_each(|seed| {
-        if jobs.is_stopped() || limit.is_some_and(|l| began.elapsed() >= l) {
+        if runner.is_stopped() || limit.is_some_and(|l| began.elapsed() >= l) {
             return None;
         }
         let mut scenario = hunt.base.clone().unwrap_or_else(|| generate_scenario(seed));
         add_faults(&mut scenario, seed);
         if let Some(finding) = hunt.check(&scenario, seed) {
-            jobs.print_line(&format!("seed {seed}: {finding}; shrinking"));
+            runner.print_line(&format!("seed {seed}: {finding}; shrinking"));
             let (mut scenario, finding) = hunt.shrink(scenario, seed, finding);
             scenario.name = format!("found-{seed}");
             scenario.about = format!("Seed {seed} under {}: {finding}.", hunt.policy.name());
@@ -225,11 +225,11 @@
         *played
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner) += 1;
-        jobs.step();
+        runner.count_completed();
         Some(())
     });
     std::panic::set_hook(hook);
-    jobs.end();
+    runner.end();
     let mut found = found
         .into_inner()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -257,7 +257,7 @@
     );
     Ok(match () {
         () if !found.is_empty() => ExitCode::from(1),
-        () if jobs.is_stopped() => ExitCode::from(130),
+        () if runner.is_stopped() => ExitCode::from(130),
         () => ExitCode::SUCCESS,
     })
 }
--- a/crates/testbed/src/hunt/tests.rs
+++ b/crates/testbed/src/hunt/tests.rs
@@ -43,7 +43,7 @@
     let files: Vec<PathBuf> = files.collect();
     assert!(!files.is_empty(), "something is found in these seeds");
     for file in files {
-        let loaded = files::load(&file).expect("sound");
+        let loaded = files::load_scenario(&file).expect("sound");
         let seed = loaded
             .scenario
             .name
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -10,7 +10,7 @@
 mod hunt;
 mod membership;
 mod pictures;
-mod play;
+mod runner;
 mod stage;
 mod statistics;
 mod sweep;
@@ -21,7 +21,7 @@
 use ironmast_emulator::PolicyName;
 
 use cli::{Cli, Command};
-use files::load;
+use files::load_scenario;
 
 fn main() -> ExitCode {
     match run(Cli::parse().command) {
@@ -44,11 +44,16 @@
             seed,
             policy,
             json,
-        } => emulate::run(&scenario, seed, policy, json.as_deref()),
+        } => emulate::run(&emulate::Emulation {
+            scenario: &scenario,
+            seed,
+            policy,
+            json: json.as_deref(),
+        }),
         Command::Compare { scenarios, many } => {
             let loaded = scenarios
                 .iter()
-                .map(|p| load(p))
+                .map(|p| load_scenario(p))
                 .collect::<Result<Vec<_>, _>>()?;
             let scenarios = loaded.into_iter().map(|l| l.scenario).collect();
             compare::run(scenarios, &distinct(many.policies), many.seeds, &many.out)
@@ -58,7 +63,7 @@
             vary,
             many,
         } => sweep::run(
-            &load(&scenario)?,
+            &load_scenario(&scenario)?,
             &vary,
             &distinct(many.policies),
             many.seeds,
@@ -105,7 +110,7 @@
             out,
         } => {
             let base = scenario
-                .map(|path| load(&path))
+                .map(|path| load_scenario(&path))
                 .transpose()?
                 .map(|l| l.scenario);
             hunt::run(&hunt::Hunt {
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/runner.rs
@@ -9,6 +9,12 @@
 use rayon::prelude::*;
 use serde::Serialize;
 
+/// The steps in which a run advances; the progress bar moves and Ctrl-C is checked after each.
+const STEPS_PER_RUN: u32 = 100;
+
+/// A simulated time after the end of any run, in seconds.
+const AFTER_THE_END_S: f64 = u32::MAX as f64;
+
 /// One run to be emulated.
 #[derive(Clone)]
 pub(crate) struct Trial<'a> {
@@ -32,33 +38,37 @@
     pub peak_rss_mb: u64,
 }
 
-/// Adds time and memory to a report.
-pub(crate) fn measure(report: Report, began: Instant) -> MeasuredReport {
-    let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-    let kilobytes = peak
-        .and_then(|line| line.trim().trim_end_matches("kB").trim().parse().ok())
-        .unwrap_or(0u64);
+/// Adds the time since `started` and the memory to a report.
+fn measure(report: Report, started: Instant) -> MeasuredReport {
     MeasuredReport {
         report,
-        wall_s: began.elapsed().as_secs_f64(),
-        peak_rss_mb: kilobytes.div_ceil(1024),
+        wall_s: started.elapsed().as_secs_f64(),
+        peak_rss_mb: peak_rss_kb().div_ceil(1024),
     }
 }
 
-/// The progress of the runs, and whether they are to stop.
-pub(crate) struct Jobs {
+/// The peak resident memory of this program in KB; 0 where the system does not report it.
+fn peak_rss_kb() -> u64 {
+    let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
+    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
+    peak.and_then(|line| line.trim().trim_end_matches("kB").trim().parse().ok())
+        .unwrap_or(0)
+}
+
+/// Runs trials, shows their progress, and stops when Ctrl-C is pressed.
+pub(crate) struct Runner {
     bar: ProgressBar,
     stop: Arc<AtomicBool>,
 }
 
-impl Jobs {
-    /// Shows progress on a terminal and handles Ctrl-C.
+impl Runner {
+    /// Shows the progress of `runs` runs on a terminal and handles Ctrl-C.
     ///
     /// # Panics
-    /// Never: the template is constant.
-    pub(crate) fn begin(runs: u64) -> Jobs {
-        let bar = ProgressBar::with_draw_target(Some(runs * 100), ProgressDrawTarget::stderr());
+    /// Never: the template of the progress bar is constant.
+    pub(crate) fn start(runs: u64) -> Runner {
+        let steps = runs * u64::from(STEPS_PER_RUN);
+        let bar = ProgressBar::with_draw_target(Some(steps), ProgressDrawTarget::stderr());
         let style = ProgressStyle::with_template(
             "{bar:40} {percent:>3} % {elapsed_precise} left {eta} {msg}",
         );
@@ -67,7 +77,7 @@
         let handler_stop = Arc::clone(&stop);
         // The handler can be set once per process; in tests, which share one, later calls fail.
         let _ = ctrlc::set_handler(move || handler_stop.store(true, Ordering::Relaxed));
-        Jobs { bar, stop }
+        Runner { bar, stop }
     }
 
     /// Whether Ctrl-C was pressed.
@@ -75,51 +85,56 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Counts a run as completed that was not run by [`Jobs::run`].
-    pub(crate) fn step(&self) {
-        self.bar.inc(100);
+    /// Counts a run as completed that was not run by [`Runner::run`].
+    pub(crate) fn count_completed(&self) {
+        self.bar.inc(u64::from(STEPS_PER_RUN));
     }
 
     /// Runs one trial; `None` if it was stopped.
     pub(crate) fn run(&self, trial: &Trial) -> Option<MeasuredReport> {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut world = World::new(trial.scenario, trial.policy, trial.seed);
-        for step in 1..=100 {
+        for step in 1..=STEPS_PER_RUN {
             if self.is_stopped() {
                 return None;
             }
-            let second = trial.scenario.length_s * f64::from(step) / 100.0;
-            let is_over = world.run_to(if step == 100 {
-                f64::from(u32::MAX)
+            let until_s = if step == STEPS_PER_RUN {
+                AFTER_THE_END_S
             } else {
-                second
-            });
+                trial.scenario.length_s * f64::from(step) / f64::from(STEPS_PER_RUN)
+            };
+            let is_over = world.run_to(until_s);
             self.bar.inc(1);
             if is_over {
-                self.bar.inc(100 - u64::from(step as u32));
+                self.bar.inc(u64::from(STEPS_PER_RUN - step));
                 break;
             }
         }
-        Some(measure(world.report(), began))
+        Some(measure(world.report(), started))
     }
 
     /// Runs trials on all cores; returns the results of those that were completed, in their order.
     pub(crate) fn run_all(&self, trials: &[Trial]) -> Vec<MeasuredReport> {
-        let line = |note: &MeasuredReport| {
-            if self.bar.is_hidden() {
-                let (name, service) = (&note.report.scenario, note.report.service);
-                eprintln!(
-                    "{name} {} seed {}: {service:.4}",
-                    note.report.policy, note.report.seed
-                );
-            }
-        };
+        let trials = trials.par_iter();
         trials
-            .par_iter()
-            .filter_map(|trial| self.run(trial).inspect(line))
+            .filter_map(|trial| self.run(trial).inspect(|run| self.print_service(run)))
             .collect()
     }
 
+    /// Without a terminal, prints one line on a completed run in place of the progress bar.
+    fn print_service(&self, run: &MeasuredReport) {
+        if self.bar.is_hidden() {
+            let Report {
+                scenario,
+                policy,
+                seed,
+                service,
+                ..
+            } = &run.report;
+            eprintln!("{scenario} {policy} seed {seed}: {service:.4}");
+        }
+    }
+
     /// Prints a line above the progress bar, or without a terminal to standard error.
     pub(crate) fn print_line(&self, text: &str) {
         if self.bar.is_hidden() {
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -220,7 +220,7 @@
     let summary = Summary::new(&result);
     summary.print();
     if let Some(path) = &arguments.json {
-        write_or_print(path, &summary.to_json(&scenario.name).to_string())?;
+        files::write_or_print(path, &summary.to_json(&scenario.name).to_string())?;
     }
     if let Some(directory) = &arguments.logs {
         write_logs(directory, &result.logs)?;
@@ -241,13 +241,3 @@
     }
     Ok(())
 }
-
-/// Writes a text to a file, or to standard output for `-`.
-fn write_or_print(path: &Path, text: &str) -> Result<(), FileError> {
-    if path == Path::new("-") {
-        println!("{text}");
-        Ok(())
-    } else {
-        files::write(path, text)
-    }
-}
--- a/crates/testbed/src/sweep.rs
+++ b/crates/testbed/src/sweep.rs
@@ -10,9 +10,9 @@
 use toml::Value;
 
 use crate::compare;
-use crate::files::{self, Loaded};
+use crate::files::{self, LoadedScenario};
 use crate::pictures::{self, Curve, PlotError, Section};
-use crate::play::MeasuredReport;
+use crate::runner::MeasuredReport;
 use crate::statistics::{Figure, mean};
 
 /// Steps where none are told.
@@ -147,7 +147,7 @@
 
 /// Plays all values, and writes what was finished even where it was stopped.
 pub(crate) fn run(
-    loaded: &Loaded,
+    loaded: &LoadedScenario,
     vary: &Vary,
     policies: &[PolicyName],
     seeds: u64,
