--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -9,7 +9,7 @@
 use crate::files;
 use crate::pictures::{self, Curve, PlotError};
 use crate::runner::{MeasuredReport, Runner, Trial};
-use crate::statistics::{Figure, Mean, mean, paired};
+use crate::statistics::{Estimate, Metric};
 
 /// Runs of one scenario and policy, by seed.
 pub(crate) struct Group<'a> {
@@ -27,7 +27,7 @@
 }
 
 /// The columns of the table that get an interval.
-const FIGURES: [(&str, Figure); 4] = [
+const FIGURES: [(&str, Metric); 4] = [
     ("service", |r| r.service),
     ("worst window", |r| r.worst_window),
     ("worst class", |r| r.worst_class),
@@ -66,8 +66,12 @@
         .unwrap_or_default();
     let row = |(i, group): (usize, &Group)| {
         let mut row = vec![group.policy.name().to_string()];
-        row.extend(FIGURES.iter().map(|(_, f)| mean(&group.values(f)).text()));
-        let difference = paired(&group.values(FIGURES[0].1), &first);
+        row.extend(
+            FIGURES
+                .iter()
+                .map(|(_, f)| Estimate::of(&group.values(f)).to_string()),
+        );
+        let difference = Estimate::of_paired_differences(&group.values(FIGURES[0].1), &first);
         row.push(if i == 0 { "-".into() } else { told(difference) });
         row.push(
             group
@@ -82,13 +86,13 @@
     groups.iter().enumerate().map(row).collect()
 }
 
-fn told(difference: Mean) -> String {
-    let verdict = if difference.is_real() {
+fn told(difference: Estimate) -> String {
+    let verdict = if difference.is_significant() {
         "real"
     } else {
         "not told apart"
     };
-    format!("{} ({verdict})", difference.text())
+    format!("{difference} ({verdict})")
 }
 
 /// The table's head; `first` is the policy that others are held against.
@@ -289,8 +293,13 @@
                 .filter_map(|n| n.report.by_column[c])
                 .collect::<Vec<f64>>()
         };
-        let points =
-            (0..COLUMNS).map(|c| ((c as f64 + 0.5) * column, mean(&at(c)).value, at(c).len()));
+        let points = (0..COLUMNS).map(|c| {
+            (
+                (c as f64 + 0.5) * column,
+                Estimate::of(&at(c)).mean,
+                at(c).len(),
+            )
+        });
         let points = points.filter(|p| p.2 > 0).map(|p| (p.0, p.1)).collect();
         Curve {
             name: group.policy.name().into(),
@@ -301,7 +310,7 @@
         let count = group.runs[0].report.latency_curve.len();
         let point = |i: usize| {
             let percentile = group.runs[0].report.latency_curve[i].0;
-            let ms = mean(&group.values(|r| r.latency_curve[i].1 as f64 / 1e3)).value;
+            let ms = Estimate::of(&group.values(|r| r.latency_curve[i].1 as f64 / 1e3)).mean;
             (pictures::nines(percentile), ms.max(0.01))
         };
         Curve {
--- a/crates/testbed/src/statistics.rs
+++ b/crates/testbed/src/statistics.rs
@@ -1,57 +1,70 @@
 //! Means with confidence intervals, and differences between runs of the same seeds.
 
+use std::fmt;
+
 use ironmast_emulator::Report;
 use statrs::distribution::{ContinuousCDF as _, StudentsT};
 
-/// One figure of a run.
-pub(crate) type Figure = fn(&Report) -> f64;
+/// A figure of a run, as a function of its report.
+pub(crate) type Metric = fn(&Report) -> f64;
+
+/// The quantile of Student's t distribution at the upper end of a two-sided 95 % interval.
+const UPPER_QUANTILE: f64 = 0.975;
 
-/// A mean and the half width of its 95 % confidence interval.
+/// A mean with its 95 % confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Mean {
-    /// The mean.
-    pub value: f64,
+pub(crate) struct Estimate {
+    /// The mean; 0 without values.
+    pub mean: f64,
     /// Half of the interval's width; infinite for fewer than two values.
-    pub half: f64,
+    pub half_width: f64,
 }
 
-/// The mean of some values, with Student's t.
-pub(crate) fn mean(values: &[f64]) -> Mean {
-    let n = values.len() as f64;
-    let value = values.iter().sum::<f64>() / n.max(1.0);
-    if values.len() < 2 {
-        return Mean {
-            value,
-            half: f64::INFINITY,
-        };
-    }
-    let variance = values.iter().map(|v| (v - value).powi(2)).sum::<f64>() / (n - 1.0);
-    let t = StudentsT::new(0.0, 1.0, n - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975));
-    Mean {
-        value,
-        half: t * (variance / n).sqrt(),
+impl Estimate {
+    /// The mean of independent values; the interval is that of Student's t distribution.
+    pub(crate) fn of(values: &[f64]) -> Estimate {
+        let count = values.len() as f64;
+        let mean = values.iter().sum::<f64>() / count.max(1.0);
+        if values.len() < 2 {
+            return Estimate {
+                mean,
+                half_width: f64::INFINITY,
+            };
+        }
+        let squares = values.iter().map(|value| (value - mean).powi(2));
+        let variance = squares.sum::<f64>() / (count - 1.0);
+        let t = StudentsT::new(0.0, 1.0, count - 1.0).map_or(f64::INFINITY, |distribution| {
+            distribution.inverse_cdf(UPPER_QUANTILE)
+        });
+        Estimate {
+            mean,
+            half_width: t * (variance / count).sqrt(),
+        }
     }
-}
 
-/// The mean difference of pairs, `a - b`.
-pub(crate) fn paired(a: &[f64], b: &[f64]) -> Mean {
-    let differences: Vec<f64> = a.iter().zip(b).map(|(a, b)| a - b).collect();
-    mean(&differences)
-}
+    /// The mean of the differences `minuend - subtrahend` of pairs.
+    pub(crate) fn of_paired_differences(minuends: &[f64], subtrahends: &[f64]) -> Estimate {
+        let pairs = minuends.iter().zip(subtrahends);
+        let differences: Vec<f64> = pairs
+            .map(|(minuend, subtrahend)| minuend - subtrahend)
+            .collect();
+        Estimate::of(&differences)
+    }
 
-impl Mean {
-    /// Whether it differs from zero by more than chance explains.
-    pub(crate) fn is_real(self) -> bool {
-        self.value.abs() > self.half
+    /// Whether the mean differs significantly from zero: the interval does not contain it.
+    pub(crate) fn is_significant(self) -> bool {
+        self.mean.abs() > self.half_width
     }
+}
 
-    /// `0.931 +- 0.004`.
-    pub(crate) fn text(self) -> String {
-        if self.half.is_finite() {
-            format!("{:.4} +- {:.4}", self.value, self.half)
-        } else {
-            format!("{:.4}", self.value)
+/// `0.9310 +- 0.0040`; the mean alone if there is no interval.
+impl fmt::Display for Estimate {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:.4}", self.mean)?;
+        if self.half_width.is_finite() {
+            write!(f, " +- {:.4}", self.half_width)?;
         }
+        Ok(())
     }
 }
 
--- a/crates/testbed/src/sweep.rs
+++ b/crates/testbed/src/sweep.rs
@@ -13,7 +13,7 @@
 use crate::files::{self, LoadedScenario};
 use crate::pictures::{self, Curve, PlotError, Section};
 use crate::runner::MeasuredReport;
-use crate::statistics::{Figure, mean};
+use crate::statistics::{Estimate, Metric};
 
 /// Steps where none are told.
 const STEPS: usize = 8;
@@ -134,7 +134,7 @@
 }
 
 /// Figures that are drawn over the varied one.
-const FIGURES: [(&str, &str, Figure); 4] = [
+const FIGURES: [(&str, &str, Metric); 4] = [
     ("service", "worth served in time, share", |r| r.service),
     ("worst-window", "service of the worst window, share", |r| {
         r.worst_window
@@ -196,11 +196,11 @@
     policies: &[PolicyName],
     notes: &[MeasuredReport],
 ) -> Result<Section, PlotError> {
-    let of = |scenario: &Scenario, policy: PolicyName, figure: Figure| {
+    let of = |scenario: &Scenario, policy: PolicyName, figure: Metric| {
         let fits = |n: &&MeasuredReport| {
             n.report.scenario == scenario.name && n.report.policy == policy.name()
         };
-        mean(
+        Estimate::of(
             &notes
                 .iter()
                 .filter(fits)
@@ -214,7 +214,7 @@
             let points = scenarios
                 .iter()
                 .zip(values)
-                .map(|(s, x)| (*x, of(s, *policy, figure).value));
+                .map(|(s, x)| (*x, of(s, *policy, figure).mean));
             Curve {
                 name: policy.name().into(),
                 points: points.filter(|p| p.1.is_finite()).collect(),
@@ -227,7 +227,7 @@
     let row = |(scenario, value): (&Scenario, &f64)| {
         let cells = policies
             .iter()
-            .map(|p| of(scenario, *p, FIGURES[0].2).text());
+            .map(|p| of(scenario, *p, FIGURES[0].2).to_string());
         [format!("{value:.4}")].into_iter().chain(cells).collect()
     };
     Ok(Section {
