--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -88,7 +88,7 @@
         #[arg(required = true)]
         scenarios: Vec<PathBuf>,
         #[command(flatten)]
-        many: ComparisonArguments,
+        comparison: ComparisonArguments,
     },
     /// Plays a scenario with one figure varied.
     Sweep {
@@ -98,9 +98,9 @@
         /// trouble.0.factor=1..8.
         #[allow(rustdoc::broken_intra_doc_links, reason = "printed by --help as it is")]
         #[arg(long)]
-        vary: sweep::Vary,
+        vary: sweep::Variation,
         #[command(flatten)]
-        many: ComparisonArguments,
+        comparison: ComparisonArguments,
     },
     /// Draws random troubles, looks for broken rules, panics, stuck requests and service far under
     /// a reference, and shrinks what it finds. Ends with 1 where something was found.
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -2,26 +2,31 @@
 //! results.
 #![forbid(unsafe_code)]
 
+mod chart;
 mod cli;
 mod compare;
 mod days;
 mod emulate;
 mod files;
+mod html_report;
 mod hunt;
+mod matrix;
 mod membership;
-mod pictures;
 mod runner;
 mod stage;
 mod statistics;
 mod sweep;
+mod table;
 
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::Parser as _;
 use ironmast_emulator::PolicyName;
 
-use cli::{Cli, Command};
+use cli::{Cli, Command, ComparisonArguments};
 use files::load_scenario;
+use stage::StageArguments;
 
 fn main() -> ExitCode {
     match run(Cli::parse().command) {
@@ -50,31 +55,21 @@
             policy,
             json: json.as_deref(),
         }),
-        Command::Compare { scenarios, many } => {
-            let loaded = scenarios
-                .iter()
-                .map(|p| load_scenario(p))
-                .collect::<Result<Vec<_>, _>>()?;
-            let scenarios = loaded.into_iter().map(|l| l.scenario).collect();
-            compare::run(scenarios, &distinct(many.policies), many.seeds, &many.out)
-        }
+        Command::Compare {
+            scenarios,
+            comparison,
+        } => run_compare(&scenarios, comparison),
         Command::Sweep {
             scenario,
             vary,
-            many,
-        } => sweep::run(
-            &load_scenario(&scenario)?,
-            &vary,
-            &distinct(many.policies),
-            many.seeds,
-            &many.out,
-        ),
+            comparison,
+        } => run_sweep(&scenario, &vary, comparison),
         Command::Stage {
             scenario,
             proxy,
             json,
             logs,
-        } => stage::run(stage::StageArguments {
+        } => stage::run(StageArguments {
             scenario: Some(scenario),
             proxy,
             json,
@@ -93,7 +88,7 @@
             seed,
             json,
         }),
-        Command::Demo { proxy } => stage::run(stage::StageArguments {
+        Command::Demo { proxy } => stage::run(StageArguments {
             scenario: None,
             proxy,
             json: None,
@@ -104,8 +99,35 @@
     }
 }
 
+fn run_compare(paths: &[PathBuf], arguments: ComparisonArguments) -> eyre::Result<ExitCode> {
+    let mut scenarios = Vec::new();
+    for path in paths {
+        scenarios.push(load_scenario(path)?.scenario);
+    }
+    compare::run(&compare::Comparison {
+        scenarios: &scenarios,
+        policies: &without_duplicates(arguments.policies),
+        seeds: arguments.seeds,
+        out: &arguments.out,
+    })
+}
+
+fn run_sweep(
+    path: &Path,
+    variation: &sweep::Variation,
+    arguments: ComparisonArguments,
+) -> eyre::Result<ExitCode> {
+    sweep::run(&sweep::Sweep {
+        base: &load_scenario(path)?,
+        variation,
+        policies: &without_duplicates(arguments.policies),
+        seeds: arguments.seeds,
+        out: &arguments.out,
+    })
+}
+
 /// The policies without duplicates, in their order.
-fn distinct(policies: Vec<PolicyName>) -> Vec<PolicyName> {
+fn without_duplicates(policies: Vec<PolicyName>) -> Vec<PolicyName> {
     let mut distinct = Vec::new();
     for policy in policies {
         if !distinct.contains(&policy) {
--- a/crates/testbed/src/sweep.rs
+++ b/crates/testbed/src/sweep.rs
@@ -1,246 +1,208 @@
-//! One figure of a scenario varied over a range.
+//! `sweep`: a scenario with one of its numbers varied over a range.
+
+mod variation;
 
 use std::path::Path;
 use std::process::ExitCode;
-use std::str::FromStr;
 
 use eyre::WrapErr as _;
 use ironmast_emulator::{PolicyName, Scenario};
-use thiserror::Error;
-use toml::Value;
 
-use crate::compare;
+use crate::chart::{ChartError, LineChart, Series};
 use crate::files::{self, LoadedScenario};
-use crate::pictures::{self, Curve, PlotError, Section};
+use crate::html_report::{Section, html_report};
+use crate::matrix::RunMatrix;
 use crate::runner::MeasuredReport;
 use crate::statistics::{Estimate, Metric};
-
-/// Steps where none are told.
-const STEPS: usize = 8;
-
-/// What is varied, from where to where, in how many steps.
-#[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Vary {
-    path: String,
-    from: f64,
-    to: f64,
-    steps: usize,
+use crate::table::Table;
+pub(crate) use variation::Variation;
+
+/// The service of a run: value served in time divided by value requested.
+const SERVICE: Metric = |report| report.service;
+
+/// A figure that is drawn over the varied value.
+struct Plot {
+    /// The name of its file.
+    name: &'static str,
+    /// The name of the y axis.
+    axis: &'static str,
+    metric: Metric,
 }
 
-/// A text that is no valid `PATH=FROM..TO[:STEPS]`.
-#[derive(Debug, Error)]
-#[error("`{0}`: expected PATH=FROM..TO[:STEPS], as in clients.rate=100..900:9")]
-pub(crate) struct InvalidVary(String);
-
-/// A value that could not be set in the scenario.
-#[derive(Debug, Error)]
-pub(crate) enum VaryError {
-    /// The scenario has no table or list at the path.
-    #[error("{0}: the scenario holds no such figure")]
-    UnknownPath(String),
-    /// The scenario with the value is invalid.
-    #[error("{path} = {value}: {problem}")]
-    Invalid {
-        /// The path of the value.
-        path: String,
-        /// The value.
-        value: f64,
-        /// What is wrong, without the line: the text with the value is in no file.
-        problem: String,
+const PLOTS: [Plot; 4] = [
+    Plot {
+        name: "service",
+        axis: "worth served in time, share",
+        metric: SERVICE,
     },
-    /// The scenario's file is not valid TOML. It is no source: its own text has several lines.
-    #[error("{}", .0.message())]
-    Syntax(toml::de::Error),
-    /// The scenario with the value could not be written as TOML.
-    #[error("the varied scenario could not be written")]
-    Write(#[from] toml::ser::Error),
-}
-
-impl FromStr for Vary {
-    type Err = InvalidVary;
+    Plot {
+        name: "worst-window",
+        axis: "service of the worst window, share",
+        metric: |report| report.worst_window,
+    },
+    Plot {
+        name: "p99",
+        axis: "latency of 99 in 100, ms",
+        metric: |report| report.latency_us.p99 as f64 / 1e3,
+    },
+    Plot {
+        name: "load",
+        axis: "cores in use, share",
+        metric: |report| report.servers.mean,
+    },
+];
 
-    fn from_str(text: &str) -> Result<Self, InvalidVary> {
-        let expected = || InvalidVary(text.to_string());
-        let (path, range) = text.split_once('=').ok_or_else(expected)?;
-        let (range, steps) = match range.split_once(':') {
-            Some((range, steps)) => (range, steps.parse().map_err(|_| expected())?),
-            None => (range, STEPS),
-        };
-        let (from, to) = range.split_once("..").ok_or_else(expected)?;
-        let (from, to): (f64, f64) = (
-            from.parse().map_err(|_| expected())?,
-            to.parse().map_err(|_| expected())?,
-        );
-        if path.is_empty() || steps < 2 || !from.is_finite() || !to.is_finite() {
-            return Err(expected());
-        }
-        Ok(Vary {
-            path: path.into(),
-            from,
-            to,
-            steps,
-        })
-    }
+/// The arguments of `sweep`.
+pub(crate) struct Sweep<'a> {
+    /// The scenario.
+    pub base: &'a LoadedScenario,
+    /// What is varied.
+    pub variation: &'a Variation,
+    /// The policies.
+    pub policies: &'a [PolicyName],
+    /// The number of seeds.
+    pub seeds: u64,
+    /// The directory for the results.
+    pub out: &'a Path,
 }
 
-impl Vary {
-    fn values(&self) -> Vec<f64> {
-        let step =
-            |i: usize| self.from + (self.to - self.from) * i as f64 / (self.steps - 1) as f64;
-        (0..self.steps).map(step).collect()
+impl Sweep<'_> {
+    fn title(&self) -> String {
+        let Variation { path, from, to, .. } = self.variation;
+        format!("{}: {path} from {from} to {to}", self.base.scenario.name)
     }
 
-    /// The scenario with the figure set; whole numbers stay whole.
-    fn apply(&self, text: &str, value: f64) -> Result<Scenario, VaryError> {
-        let set = |written: Option<Value>| {
-            let mut root: toml::Table = text.parse().map_err(VaryError::Syntax)?;
-            let (table, key) = place(&mut root, &self.path)
-                .ok_or_else(|| VaryError::UnknownPath(self.path.clone()))?;
-            let whole = Value::Integer(value.round() as i64);
-            let shown = matches!(table.get(key), Some(Value::Integer(_)));
-            let plain = if shown { whole } else { Value::Float(value) };
-            // A figure that the file leaves to its default may be named too: the reading finds
-            // wrong names.
-            table.insert(key.to_string(), written.unwrap_or(plain));
-            let text = toml::to_string(&root)?;
-            Scenario::parse(&text).map_err(|error| VaryError::Invalid {
-                path: self.path.clone(),
-                value,
-                problem: error.problem,
-            })
-        };
-        let whole = Value::Integer(value.round() as i64);
-        set(None).or_else(|problem| set(Some(whole)).map_err(|_| problem))
+    /// The scenario with each of the values.
+    fn scenarios(&self) -> eyre::Result<Vec<Scenario>> {
+        let values = self.variation.values().into_iter();
+        values.map(|value| self.scenario(value)).collect()
     }
-}
 
-/// The table that holds the last key of a path, and that key.
-fn place<'a, 'p>(
-    root: &'a mut toml::Table,
-    path: &'p str,
-) -> Option<(&'a mut toml::Table, &'p str)> {
-    let (way, last) = path.rsplit_once('.').unwrap_or(("", path));
-    let (mut table, mut way) = (root, way.split('.').filter(|key| !key.is_empty()));
-    while let Some(key) = way.next() {
-        table = match table.get_mut(key)? {
-            Value::Table(table) => table,
-            Value::Array(items) => items
-                .get_mut(way.next()?.parse::<usize>().ok()?)?
-                .as_table_mut()?,
-            _ => return None,
-        };
+    fn scenario(&self, value: f64) -> eyre::Result<Scenario> {
+        let varied = self.variation.apply(&self.base.text, value);
+        let mut scenario = varied.wrap_err_with(|| self.base.path.display().to_string())?;
+        let (name, path) = (&self.base.scenario.name, &self.variation.path);
+        scenario.name = format!("{name} {path}={value:.6}");
+        Ok(scenario)
     }
-    Some((table, last))
 }
 
-/// Figures that are drawn over the varied one.
-const FIGURES: [(&str, &str, Metric); 4] = [
-    ("service", "worth served in time, share", |r| r.service),
-    ("worst-window", "service of the worst window, share", |r| {
-        r.worst_window
-    }),
-    ("p99", "latency of 99 in 100, ms", |r| {
-        r.latency_us.p99 as f64 / 1e3
-    }),
-    ("load", "cores in use, share", |r| r.servers.mean),
-];
-
-/// Plays all values, and writes what was finished even where it was stopped.
-pub(crate) fn run(
-    loaded: &LoadedScenario,
-    vary: &Vary,
-    policies: &[PolicyName],
-    seeds: u64,
-    out: &Path,
-) -> eyre::Result<ExitCode> {
-    let values = vary.values();
-    let scenarios: Vec<Scenario> = values
-        .iter()
-        .map(|value| {
-            let mut scenario = vary
-                .apply(&loaded.text, *value)
-                .wrap_err_with(|| loaded.path.display().to_string())?;
-            scenario.name = format!("{} {}={value:.6}", loaded.scenario.name, vary.path);
-            Ok(scenario)
-        })
-        .collect::<eyre::Result<_>>()?;
-    let (notes, stopped) = compare::play_grid(&scenarios, policies, seeds, out)?;
-    let title = format!(
-        "{}: {} from {} to {}",
-        loaded.scenario.name, vary.path, vary.from, vary.to
-    );
-    let section = section(&title, vary, (&scenarios, &values), policies, &notes)?;
-    println!(
-        "{title}, {seeds} seeds, service\n{}",
-        compare::plain_table(&section.head, &section.rows)
-    );
-    for ((name, ..), svg) in FIGURES.iter().zip(&section.pictures) {
-        files::write(&out.join(format!("{name}.svg")), svg)?;
-    }
-    files::write(
-        &out.join("report.html"),
-        &pictures::page(&title, &[section]),
-    )?;
-    println!("written: {}", out.join("report.html").display());
-    Ok(if stopped {
+/// Makes all runs, and reports those that were completed also if they were stopped. The exit code is
+/// 130 after Ctrl-C.
+///
+/// # Errors
+/// The scenario is invalid with one of the values, there is nothing to run, or a file cannot be
+/// written.
+pub(crate) fn run(sweep: &Sweep) -> eyre::Result<ExitCode> {
+    let scenarios = sweep.scenarios()?;
+    let matrix = RunMatrix {
+        scenarios: &scenarios,
+        policies: sweep.policies,
+        seeds: sweep.seeds,
+    };
+    let runs = matrix.run(sweep.out)?;
+    let results = SweepResults {
+        sweep,
+        scenarios: &scenarios,
+        reports: &runs.reports,
+    };
+    write_report(&results)?;
+    Ok(if runs.is_stopped {
         ExitCode::from(130)
     } else {
         ExitCode::SUCCESS
     })
 }
 
-fn section(
-    title: &str,
-    vary: &Vary,
-    (scenarios, values): (&[Scenario], &[f64]),
-    policies: &[PolicyName],
-    notes: &[MeasuredReport],
-) -> Result<Section, PlotError> {
-    let of = |scenario: &Scenario, policy: PolicyName, figure: Metric| {
-        let fits = |n: &&MeasuredReport| {
-            n.report.scenario == scenario.name && n.report.policy == policy.name()
-        };
-        Estimate::of(
-            &notes
-                .iter()
-                .filter(fits)
-                .map(|n| figure(&n.report))
-                .collect::<Vec<_>>(),
-        )
-    };
-    let mut pictures = Vec::new();
-    for (name, axis, figure) in FIGURES {
-        let curve = |policy: &PolicyName| {
-            let points = scenarios
-                .iter()
-                .zip(values)
-                .map(|(s, x)| (*x, of(s, *policy, figure).mean));
-            Curve {
-                name: policy.name().into(),
-                points: points.filter(|p| p.1.is_finite()).collect(),
-            }
-        };
-        let curves: Vec<Curve> = policies.iter().map(curve).collect();
-        let title = format!("{title}: {name}");
-        pictures.push(pictures::curves(&title, (&vary.path, axis), &curves, None)?);
+/// Prints the table and writes the charts and the report.
+fn write_report(results: &SweepResults) -> eyre::Result<()> {
+    let Sweep { seeds, out, .. } = results.sweep;
+    let title = results.sweep.title();
+    let section = results.section()?;
+    println!("{title}, {seeds} seeds, service\n{}", section.table);
+    for (plot, svg) in PLOTS.iter().zip(&section.charts) {
+        files::write(&out.join(format!("{}.svg", plot.name)), svg)?;
     }
-    let row = |(scenario, value): (&Scenario, &f64)| {
-        let cells = policies
-            .iter()
-            .map(|p| of(scenario, *p, FIGURES[0].2).to_string());
-        [format!("{value:.4}")].into_iter().chain(cells).collect()
-    };
-    Ok(Section {
-        title: title.to_string(),
-        note: "Service, mean and 95 % interval over the seeds.".into(),
-        head: [vary.path.clone()]
-            .into_iter()
-            .chain(policies.iter().map(|p| p.name().into()))
-            .collect(),
-        rows: scenarios.iter().zip(values).map(row).collect(),
-        pictures,
-    })
+    let path = out.join("report.html");
+    files::write(&path, &html_report(&title, &[section]))?;
+    println!("written: {}", path.display());
+    Ok(())
+}
+
+/// The completed runs of a sweep.
+struct SweepResults<'a> {
+    sweep: &'a Sweep<'a>,
+    /// One scenario for each value.
+    scenarios: &'a [Scenario],
+    reports: &'a [MeasuredReport],
 }
 
-#[cfg(test)]
-mod tests;
+impl SweepResults<'_> {
+    /// The values with their scenarios.
+    fn points(&self) -> impl Iterator<Item = (f64, &Scenario)> {
+        let values = self.sweep.variation.values().into_iter();
+        values.zip(self.scenarios)
+    }
+
+    /// The mean of a figure over the completed runs of a scenario under a policy.
+    fn estimate(&self, scenario: &Scenario, policy: PolicyName, metric: Metric) -> Estimate {
+        let reports = self.reports.iter().map(|run| &run.report);
+        let wanted = reports
+            .filter(|report| report.scenario == scenario.name && report.policy == policy.name());
+        Estimate::of(&wanted.map(metric).collect::<Vec<_>>())
+    }
+
+    fn section(&self) -> Result<Section, ChartError> {
+        let charts = PLOTS.iter().map(|plot| self.chart(plot));
+        Ok(Section {
+            title: self.sweep.title(),
+            note: "Service, mean and 95 % interval over the seeds.".into(),
+            table: self.service_table(),
+            charts: charts.collect::<Result<_, _>>()?,
+        })
+    }
+
+    /// The service by value and policy.
+    fn service_table(&self) -> Table {
+        let policies = self.sweep.policies.iter();
+        let names = policies.map(|policy| policy.name().to_string());
+        let header = std::iter::once(self.sweep.variation.path.clone()).chain(names);
+        let rows = self.points().map(|(value, scenario)| {
+            let policies = self.sweep.policies.iter();
+            let cells =
+                policies.map(|policy| self.estimate(scenario, *policy, SERVICE).to_string());
+            std::iter::once(format!("{value:.4}"))
+                .chain(cells)
+                .collect()
+        });
+        Table {
+            header: header.collect(),
+            rows: rows.collect(),
+        }
+    }
+
+    /// A figure over the varied value, as SVG.
+    fn chart(&self, plot: &Plot) -> Result<String, ChartError> {
+        let policies = self.sweep.policies.iter();
+        let series: Vec<Series> = policies
+            .map(|policy| self.series(*policy, plot.metric))
+            .collect();
+        let chart = LineChart {
+            title: &format!("{}: {}", self.sweep.title(), plot.name),
+            x_name: &self.sweep.variation.path,
+            y_name: plot.axis,
+            y_range: None,
+        };
+        chart.draw(&series)
+    }
+
+    fn series(&self, policy: PolicyName, metric: Metric) -> Series {
+        let points = self
+            .points()
+            .map(|(value, scenario)| (value, self.estimate(scenario, policy, metric).mean));
+        Series {
+            name: policy.name().into(),
+            points: points.filter(|point| point.1.is_finite()).collect(),
+        }
+    }
+}
