--- a/crates/testbed/tests/commands.rs
+++ b/crates/testbed/tests/commands.rs
@@ -1,11 +1,13 @@
-//! The command line as a user meets it: results, exit codes, bad input in one line.
+//! The command line as a user meets it: results, exit codes, and invalid input reported in one line.
 
+use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-fn lab(args: &[&str]) -> Output {
+/// Runs the test bed with some arguments.
+fn testbed(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_ironmast-testbed"))
-        .args(args)
+        .args(arguments)
         .output()
         .expect("it runs")
 }
@@ -14,58 +16,67 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
+/// Asserts the exit code; shows what was printed if it differs.
+#[track_caller]
+fn assert_exit_code(output: &Output, expected: i32) {
+    let printed = text(&output.stdout) + &text(&output.stderr);
+    assert_eq!(output.status.code(), Some(expected), "{printed}");
+}
+
+fn scenarios_directory() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios")
+}
+
+/// The path of a shipped scenario.
 fn scenario(name: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("../../scenarios")
-        .join(format!("{name}.toml"));
+    let path = scenarios_directory().join(format!("{name}.toml"));
     path.to_string_lossy().into_owned()
 }
 
-/// A shipped scenario, cut short so that tests stay quick.
-fn short(folder: &Path, name: &str, length_s: f64) -> String {
-    let text = std::fs::read_to_string(scenario(name)).expect("shipped");
-    let cut = text.replacen("length_s = 60.0", &format!("length_s = {length_s:.1}"), 1);
-    assert_ne!(text, cut);
-    let path = folder.join(format!("{name}.toml"));
-    std::fs::write(&path, cut).expect("written");
+/// Writes a shipped scenario with a shorter length, so that tests are quick, and returns its path.
+fn shortened_scenario(directory: &Path, name: &str, length_s: f64) -> String {
+    let original = fs::read_to_string(scenario(name)).expect("shipped");
+    let length = format!("length_s = {length_s:.1}");
+    let shortened = original.replacen("length_s = 60.0", &length, 1);
+    assert_ne!(original, shortened);
+    let path = directory.join(format!("{name}.toml"));
+    fs::write(&path, shortened).expect("written");
     path.to_string_lossy().into_owned()
 }
 
+/// The lines of the CSV file that a command wrote.
+fn csv_lines(out: &Path) -> Vec<String> {
+    let csv = fs::read_to_string(out.join("runs.csv")).expect("written");
+    csv.lines().map(String::from).collect()
+}
+
 #[test]
-fn all_shipped_scenarios_are_sound() {
-    let files = std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios"))
-        .expect("there");
-    let files: Vec<PathBuf> = files
-        .flatten()
-        .map(|f| f.path())
-        .filter(|p| p.is_file())
-        .collect();
+fn all_shipped_scenarios_are_valid() {
+    let entries = fs::read_dir(scenarios_directory()).expect("the scenarios");
+    let paths = entries.flatten().map(|entry| entry.path());
+    let files: Vec<PathBuf> = paths.filter(|path| path.is_file()).collect();
     assert!(files.len() >= 10);
     for file in files {
-        let out = lab(&["check", &file.to_string_lossy()]);
-        let name = file
-            .file_stem()
-            .expect("a name")
-            .to_string_lossy()
-            .into_owned();
+        let output = testbed(&["check", &file.to_string_lossy()]);
+        let name = file.file_stem().expect("a name").to_string_lossy();
         assert!(
-            out.status.success() && text(&out.stdout).starts_with(&format!("sound: {name} ")),
-            "{out:?}"
+            output.status.success() && text(&output.stdout).starts_with(&format!("sound: {name} ")),
+            "{output:?}"
         );
     }
 }
 
 #[test]
-fn a_run_is_told_in_json_and_repeats() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let file = short(folder.path(), "zone-loss", 20.0);
+fn the_json_of_a_run_has_all_keys_and_repeats_with_the_seed() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let file = shortened_scenario(directory.path(), "zone-loss", 20.0);
     let run = || {
-        let out = lab(&["emulate", &file, "--seed", "3", "--json", "-"]);
-        assert_eq!(out.status.code(), Some(0), "{}", text(&out.stderr));
-        serde_json::from_slice::<serde_json::Value>(&out.stdout).expect("JSON")
+        let output = testbed(&["emulate", &file, "--seed", "3", "--json", "-"]);
+        assert_exit_code(&output, 0);
+        serde_json::from_slice::<serde_json::Value>(&output.stdout).expect("JSON")
     };
-    let (a, b) = (run(), run());
-    assert_eq!(a["digest"], b["digest"]);
+    let (first, second) = (run(), run());
+    assert_eq!(first["digest"], second["digest"]);
     for key in [
         "scenario",
         "seed",
@@ -82,24 +93,24 @@
         "wall_s",
         "peak_rss_mb",
     ] {
-        assert!(!a[key].is_null(), "{key} is missing");
+        assert!(!first[key].is_null(), "{key} is missing");
     }
-    let q = &a["requests"];
-    let count = |key: &str| q[key].as_u64().expect("a count");
+    let requests = &first["requests"];
+    let count = |key: &str| requests[key].as_u64().expect("a count");
     assert_eq!(
         count("asked"),
         count("served") + count("late") + count("refused") + count("failed")
     );
-    assert!(count("asked") > 1_000 && a["rules_broken"].as_array().is_some_and(Vec::is_empty));
+    assert!(count("asked") > 1_000);
+    assert!(first["rules_broken"].as_array().is_some_and(Vec::is_empty));
 }
 
 #[test]
-fn comparisons_and_sweeps_leave_tables_and_pictures() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let file = short(folder.path(), "rolling-deploy", 12.0);
-    let out = folder.path().join("out");
-    let to = out.to_string_lossy();
-    let done = lab(&[
+fn a_comparison_writes_a_table_csv_and_a_report_that_needs_no_other_file() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let file = shortened_scenario(directory.path(), "rolling-deploy", 12.0);
+    let out = directory.path().join("out");
+    let output = testbed(&[
         "compare",
         &file,
         "--policies",
@@ -107,82 +118,78 @@
         "--seeds",
         "2",
         "--out",
-        &to,
+        &out.to_string_lossy(),
     ]);
-    assert_eq!(done.status.code(), Some(0), "{}", text(&done.stderr));
+    assert_exit_code(&output, 0);
+    let table = text(&output.stdout);
+    assert!(table.contains("service against module"), "{table}");
+    let csv = csv_lines(&out);
+    assert_eq!(csv.len(), 5, "a header and four runs");
+    let columns = |line: &String| line.split(',').count();
     assert!(
-        text(&done.stdout).contains("service against module"),
-        "{}",
-        text(&done.stdout)
+        csv.iter().all(|line| columns(line) == columns(&csv[0])),
+        "{csv:?}"
     );
-    let csv = std::fs::read_to_string(out.join("runs.csv")).expect("written");
-    assert_eq!(csv.lines().count(), 5, "a head and four runs");
-    let columns = csv.lines().next().expect("a head").split(',').count();
-    assert!(
-        csv.lines().all(|l| l.split(',').count() == columns),
-        "{csv}"
-    );
-    let page = std::fs::read_to_string(out.join("report.html")).expect("written");
-    assert_eq!(page.matches("<svg").count(), 5);
-    assert!(
-        !page.contains("src=") && !page.contains("href="),
-        "it needs no other file"
-    );
-    let vary = [
+    let report = fs::read_to_string(out.join("report.html")).expect("written");
+    assert_eq!(report.matches("<svg").count(), 5);
+    assert!(!report.contains("src=") && !report.contains("href="));
+}
+
+#[test]
+fn a_sweep_writes_csv_and_charts() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let file = shortened_scenario(directory.path(), "rolling-deploy", 12.0);
+    let out = directory.path().join("out");
+    let output = testbed(&[
+        "sweep",
+        &file,
         "--vary",
         "clients.rate=100..400:3",
         "--policies",
         "module",
         "--seeds",
         "2",
-    ];
-    let done = lab(&[&["sweep", file.as_str()], &vary[..], &["--out", &to]].concat());
-    assert_eq!(done.status.code(), Some(0), "{}", text(&done.stderr));
-    assert_eq!(
-        std::fs::read_to_string(out.join("runs.csv"))
-            .expect("written")
-            .lines()
-            .count(),
-        7
-    );
+        "--out",
+        &out.to_string_lossy(),
+    ]);
+    assert_exit_code(&output, 0);
+    assert_eq!(csv_lines(&out).len(), 7, "a header and six runs");
     assert!(out.join("service.svg").exists() && out.join("p99.svg").exists());
 }
 
 #[test]
-fn bad_input_ends_with_one_line_before_anything_is_played() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let bad = folder.path().join("bad.toml");
-    let sound = std::fs::read_to_string(scenario("quiet")).expect("shipped");
-    std::fs::write(&bad, sound.replacen("rate = 380.0", "rate = -1.0", 1)).expect("written");
-    let (bad, quiet, large) = (bad.to_string_lossy(), scenario("quiet"), scenario("large"));
-    let blocked = folder.path().join("file");
-    std::fs::write(&blocked, "").expect("written");
-    let inside = blocked.join("out").to_string_lossy().into_owned();
-    let line = sound
-        .lines()
-        .position(|l| l.starts_with("rate"))
-        .expect("there")
-        + 1;
-    for (args, told) in [
+fn invalid_input_is_reported_in_one_line_before_anything_is_run() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let (quiet, large) = (scenario("quiet"), scenario("large"));
+    let valid = fs::read_to_string(&quiet).expect("shipped");
+    let rate_line = valid.lines().position(|line| line.starts_with("rate"));
+    let rate_line = rate_line.expect("a rate") + 1;
+    let invalid = directory.path().join("bad.toml");
+    fs::write(&invalid, valid.replacen("rate = 380.0", "rate = -1.0", 1)).expect("written");
+    let invalid = invalid.to_string_lossy();
+    let file = directory.path().join("file");
+    fs::write(&file, "").expect("written");
+    let below_file = file.join("out").to_string_lossy().into_owned();
+    for (arguments, expected) in [
         (
-            vec!["check", &*bad],
-            format!("line {line}: clients.rate is -1, expected"),
+            vec!["check", &*invalid],
+            format!("line {rate_line}: clients.rate is -1, expected"),
         ),
         (
             vec!["check", "nowhere.toml"],
             "nowhere.toml: No such file".into(),
         ),
-        // A run of these would take minutes: they are refused at once.
+        // A run of these would take minutes: they are rejected at once.
         (
-            vec!["compare", &large, "--out", &inside],
+            vec!["compare", &large, "--out", &below_file],
             "Not a directory".into(),
         ),
         (
-            vec!["emulate", &large, "--json", &inside],
+            vec!["emulate", &large, "--json", &below_file],
             "Not a directory".into(),
         ),
         (
-            vec!["hunt", "--seeds", "0..1000000", "--out", &inside],
+            vec!["hunt", "--seeds", "0..1000000", "--out", &below_file],
             "Not a directory".into(),
         ),
         (
@@ -192,154 +199,142 @@
                 "--vary",
                 "clients.speed=1..2",
                 "--out",
-                &inside,
+                &below_file,
             ],
             "unknown field `speed`".into(),
         ),
         (
-            vec!["compare", &quiet, &quiet, "--out", &inside],
+            vec!["compare", &quiet, &quiet, "--out", &below_file],
             "two scenarios are called `quiet`".into(),
         ),
     ] {
-        let out = lab(&args);
-        let said = text(&out.stderr);
-        assert_eq!(out.status.code(), Some(2), "{args:?}: {said}");
+        let output = testbed(&arguments);
+        let message = text(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {message}");
         assert!(
-            said.lines().count() == 1 && said.contains(&told),
-            "{args:?}: {said}"
+            message.lines().count() == 1 && message.contains(&expected),
+            "{arguments:?}: {message}"
         );
     }
 }
 
-/// A short hunt for broken rules, panics and runs without end. Longer ones are run by hand.
+/// A short hunt for broken rules, panics and runs that do not terminate. Longer ones are run by hand.
 #[test]
 fn the_module_breaks_no_rule_in_a_short_hunt() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let to = folder.path().to_string_lossy();
-    let out = lab(&["hunt", "--seeds", "0..60", "--gap", "1", "--out", &to]);
-    assert_eq!(
-        out.status.code(),
-        Some(0),
-        "{}{}",
-        text(&out.stdout),
-        text(&out.stderr)
-    );
-    assert!(
-        text(&out.stdout).contains("60 of 60 seeds played"),
-        "{}",
-        text(&out.stdout)
-    );
+    let directory = tempfile::tempdir().expect("a directory");
+    let out = directory.path().to_string_lossy();
+    let output = testbed(&["hunt", "--seeds", "0..60", "--gap", "1", "--out", &out]);
+    assert_exit_code(&output, 0);
+    let printed = text(&output.stdout);
+    assert!(printed.contains("60 of 60 seeds played"), "{printed}");
 }
 
-/// A stand-in for the operators' bench: notes its call and prints a report that breaks a rule with
-/// seed 2.
+/// A program in place of the operators' bench, and the directory in which its output is stored.
 #[cfg(unix)]
-fn stand_in_bench(folder: &Path) -> String {
-    use std::os::unix::fs::PermissionsExt;
-    let path = folder.join("bench");
-    let script = format!(
-        "#!/bin/sh\n\
-         echo \"$*\" >> {}/calls\n\
-         case \"$*\" in *'--seed 2 '*) broken='  BROKEN: CONFIG 3 (else 0.92)';; esac\n\
-         echo 'day  own/srv  score  worth served refused failed  weakest part'\n\
-         echo \"cut  11/16   1.00  0.800  0.961   0.004  0.012  worst windows 0.67$broken\"\n",
-        folder.display()
-    );
-    std::fs::write(&path, script).expect("written");
-    std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).expect("set");
-    path.to_string_lossy().into_owned()
+struct StubBench {
+    directory: tempfile::TempDir,
+    out: String,
+    program: String,
 }
 
 #[cfg(unix)]
-#[test]
-fn days_are_played_once_and_broken_rules_are_listed() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let bench = stand_in_bench(folder.path());
-    let out = folder.path().join("out").to_string_lossy().into_owned();
-    let play = |seeds: &str| {
-        let given = [
-            "--bench",
-            &bench,
-            "--site",
-            "small.toml",
-            "--seeds",
-            seeds,
-            "--jobs",
-            "2",
-        ];
-        lab(&[
-            &["days", "cut.toml", "--why", "a test", "--out", &out],
-            &given[..],
-        ]
-        .concat())
-    };
-    let calls = || {
-        std::fs::read_to_string(folder.path().join("calls"))
-            .expect("calls")
-            .lines()
-            .map(String::from)
-            .collect::<Vec<_>>()
-    };
+impl StubBench {
+    /// Writes a program in place of the operators' bench: it records its calls and prints a report,
+    /// with a broken rule for seed 2.
+    fn new() -> StubBench {
+        use std::os::unix::fs::PermissionsExt;
+        let directory = tempfile::tempdir().expect("a directory");
+        let path = directory.path().join("bench");
+        let script = format!(
+            "#!/bin/sh\n\
+             echo \"$*\" >> {}/calls\n\
+             case \"$*\" in *'--seed 2 '*) broken='  BROKEN: CONFIG 3 (else 0.92)';; esac\n\
+             echo 'day  own/srv  score  worth served refused failed  weakest part'\n\
+             echo \"cut  11/16   1.00  0.800  0.961   0.004  0.012  worst windows 0.67$broken\"\n",
+            directory.path().display()
+        );
+        fs::write(&path, script).expect("written");
+        fs::set_permissions(&path, fs::Permissions::from_mode(0o755)).expect("set");
+        StubBench {
+            out: directory.path().join("out").to_string_lossy().into_owned(),
+            program: path.to_string_lossy().into_owned(),
+            directory,
+        }
+    }
+
+    /// The command that runs the day `cut` on the site `small`, with further arguments.
+    fn command(&self, further: &[&str]) -> Command {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_ironmast-testbed"));
+        command.args(["days", "cut.toml", "--site", "small.toml"]);
+        command.args(["--why", "a test", "--out", &self.out]);
+        command.args(["--bench", &self.program]).args(further);
+        command
+    }
+
+    fn run(&self, seeds: &str) -> Output {
+        let mut command = self.command(&["--seeds", seeds, "--jobs", "2"]);
+        command.output().expect("it runs")
+    }
 
-    let sound = play("1");
-    assert_eq!(sound.status.code(), Some(0), "{}", text(&sound.stderr));
+    /// The arguments of each call so far.
+    fn calls(&self) -> Vec<String> {
+        let calls = fs::read_to_string(self.directory.path().join("calls")).expect("calls");
+        calls.lines().map(String::from).collect()
+    }
+}
+
+#[cfg(unix)]
+#[test]
+fn a_day_without_broken_rules_is_run_with_its_seed_and_reason() {
+    let bench = StubBench::new();
+    assert_exit_code(&bench.run("1"), 0);
     assert_eq!(
-        calls(),
+        bench.calls(),
         ["run small.toml cut.toml --jobs 1 --seed 1 --why a test"]
     );
+}
 
-    let broken = play("3");
-    assert_eq!(broken.status.code(), Some(1), "{}", text(&broken.stderr));
+#[cfg(unix)]
+#[test]
+fn days_are_run_once_and_broken_rules_are_listed() {
+    let bench = StubBench::new();
+    assert_exit_code(&bench.run("1"), 0);
+
+    let output = bench.run("3");
+    assert_exit_code(&output, 1);
     assert!(
-        text(&broken.stdout).starts_with("cut on small, seed 2: worth 0.800, CONFIG 3\n"),
-        "{broken:?}"
+        text(&output.stdout).starts_with("cut on small, seed 2: worth 0.800, CONFIG 3\n"),
+        "{output:?}"
     );
-    assert_eq!(calls().len(), 3, "what is kept is not played again");
+    assert_eq!(bench.calls().len(), 3, "a stored run is not repeated");
 
-    play("3");
-    assert_eq!(calls().len(), 3);
+    bench.run("3");
+    assert_eq!(bench.calls().len(), 3);
 }
 
 #[cfg(target_os = "linux")]
 #[test]
-fn days_are_played_although_their_progress_cannot_be_written() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let bench = stand_in_bench(folder.path());
-    let out = folder.path().join("out").to_string_lossy().into_owned();
-    let full = std::fs::OpenOptions::new()
-        .write(true)
-        .open("/dev/full")
-        .expect("a device");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_ironmast-testbed"));
-    command.args([
-        "days",
-        "cut.toml",
-        "--why",
-        "a test",
-        "--out",
-        &out,
-        "--bench",
-        &bench,
-        "--site",
-        "small.toml",
-    ]);
-    let played = command
-        .args(["--first-seed", "3", "--seeds", "4"])
-        .stderr(full)
+fn days_are_run_although_their_progress_cannot_be_written() {
+    let bench = StubBench::new();
+    let mut options = fs::OpenOptions::new();
+    let full_disk = options.write(true).open("/dev/full").expect("a device");
+    let output = bench
+        .command(&["--first-seed", "3", "--seeds", "4"])
+        .stderr(full_disk)
         .output()
         .expect("it runs");
-    assert_eq!(played.status.code(), Some(0), "{played:?}");
+    assert_eq!(output.status.code(), Some(0), "{output:?}");
     assert!(
-        text(&played.stdout).ends_with("cut  small      4       0      0          0       0.800\n"),
-        "{played:?}"
+        text(&output.stdout).ends_with("cut  small      4       0      0          0       0.800\n"),
+        "{output:?}"
     );
 }
 
 #[test]
-fn a_bench_that_is_not_there_is_told() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let out = folder.path().join("out").to_string_lossy().into_owned();
-    let told = lab(&[
+fn a_bench_that_does_not_exist_is_reported() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let out = directory.path().join("out").to_string_lossy().into_owned();
+    let output = testbed(&[
         "days",
         "cut.toml",
         "--bench",
@@ -351,6 +346,9 @@
         "--out",
         &out,
     ]);
-    assert_eq!(told.status.code(), Some(2));
-    assert!(text(&told.stderr).contains("/nowhere/bench"), "{told:?}");
+    assert_eq!(output.status.code(), Some(2));
+    assert!(
+        text(&output.stderr).contains("/nowhere/bench"),
+        "{output:?}"
+    );
 }
