--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/balance.rs
@@ -1,6 +1,6 @@
 //! The balancer's state and its event loop. All decisions are in this file and the modules below it;
-//! the interface is in `api`, plain records are in `state`, and `fleet` keeps what is asked of all
-//! servers at once.
+//! the interface is in `api`, plain records are in `node` and `open_request`, and `fleet` has the
+//! aggregates over all servers.
 //!
 //! A request runs through `accept_request` and `send_or_queue` (`requests`), `candidates` and `draw`
 //! (`selection`, within the limits of `capacity`) and `send` (`attempts`); its attempts end in
@@ -22,8 +22,11 @@
 };
 use crate::failure_detector::FailureDetector;
 use crate::fleet::Fleet;
+use crate::latency::LatencyQuantiles;
+use crate::node::Node;
+use crate::open_request::{OpenRequest, QueuePosition};
 use crate::peer_load::PeerLoad;
-use crate::state::{LatencyQuantiles, Node, OpenRequest, QueuePosition, Rng, mix};
+use crate::rng::{Rng, mix};
 
 /// Maintenance runs in the shortest latency target: how often measurements decay and warming
 /// servers are granted requests.
--- a/crates/balancer/src/balance/attempts.rs
+++ b/crates/balancer/src/balance/attempts.rs
@@ -4,7 +4,7 @@
 use super::health::{EJECTION_THRESHOLD, EJECTION_TIME};
 use crate::api::{Action, AttemptEnded, Micros, Outcome, RequestId, ServerId};
 use crate::failure_detector;
-use crate::state::Attempt;
+use crate::open_request::Attempt;
 
 /// Retries and hedged requests earned by each accepted request: at least, and for each unit by which
 /// hedged requests win more often than pays for their work.
--- a/crates/balancer/src/balance/capacity.rs
+++ b/crates/balancer/src/balance/capacity.rs
@@ -5,7 +5,7 @@
 use super::health::RATE_DECAY_TIME;
 use crate::api::{ClassId, Micros};
 use crate::fleet::Load;
-use crate::state::Node;
+use crate::node::Node;
 
 /// Requests that all balancers together may send a warming server in one overload window without
 /// any evidence of its capacity.
--- a/crates/balancer/src/balance/health.rs
+++ b/crates/balancer/src/balance/health.rs
@@ -5,7 +5,9 @@
 use crate::api::{Action, AttemptEnded, ClassId, Micros, Outcome, Phase, ServerId, Settings};
 use crate::failure_detector;
 use crate::fleet::Load;
-use crate::state::{Attempt, Node, follow};
+use crate::latency::follow;
+use crate::node::Node;
+use crate::open_request::Attempt;
 
 /// Time constant of measured rates, and the time for which idle connections stay open.
 pub(super) const RATE_DECAY_TIME: f64 = 2_000_000.0;
--- a/crates/balancer/src/balance/requests.rs
+++ b/crates/balancer/src/balance/requests.rs
@@ -6,7 +6,8 @@
 use super::attempts::{HEDGE_WIN_RATE, MAX_RETRY_BUDGET, RETRY_BUDGET_EARNED};
 use super::health::EJECTION_TIME;
 use crate::api::{Action, ClassId, Effect, Micros, Outcome, Request, RequestId};
-use crate::state::{Attempt, OpenRequest, mix, unit};
+use crate::open_request::{Attempt, OpenRequest};
+use crate::rng::{mix, unit};
 
 /// A request that reached no server is given up at this part of its time: later, a client gains
 /// nothing by the wait.
--- a/crates/balancer/src/balance/selection.rs
+++ b/crates/balancer/src/balance/selection.rs
@@ -4,7 +4,9 @@
 use super::Balancer;
 use crate::api::{Effect, Group, ServerId};
 use crate::fleet::SAMPLE_SIZE;
-use crate::state::{Attempt, Node, OpenRequest, mix, unit};
+use crate::node::Node;
+use crate::open_request::{Attempt, OpenRequest};
+use crate::rng::{mix, unit};
 
 /// With key affinity, a server may exceed its even share by this part before the key's next server
 /// takes over.
--- a/crates/balancer/src/failure_detector.rs
+++ b/crates/balancer/src/failure_detector.rs
@@ -16,7 +16,8 @@
 
 use crate::api::{AttemptEnded, ClassId, Micros, Outcome, ServerId, ZoneId};
 use crate::fleet::Fleet;
-use crate::state::{ClassEjection, Node, Rng};
+use crate::node::{ClassEjection, Node};
+use crate::rng::Rng;
 
 /// Unreachable servers in a row that make their zone unreachable: at first, and while it has
 /// recovered recently.
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -9,7 +9,8 @@
 use rustc_hash::FxHashMap;
 
 use crate::api::{ClassId, Listing, Micros, Phase, Scope, Server, ServerId, ZoneId};
-use crate::state::{ClassEjection, Node, mix};
+use crate::node::{ClassEjection, Node};
+use crate::rng::mix;
 
 /// A decaying measurement below this counts as zero.
 const MIN_SIGNIFICANT: f64 = 1e-6;
--- a/crates/balancer/src/fleet/tests.rs
+++ b/crates/balancer/src/fleet/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `fleet.rs`.
 
 use super::*;
-use crate::state::Rng;
+use crate::rng::Rng;
 
 fn node(n: u64, zone: ZoneId, phase: Phase) -> Node {
     let server = Server {
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -32,9 +32,12 @@
 mod balance;
 mod failure_detector;
 mod fleet;
+mod latency;
+mod node;
+mod open_request;
 mod peer_load;
-mod state;
+mod rng;
 
 pub use api::*;
 pub use balance::Balancer;
-pub use state::{Rng, mix, unit};
+pub use rng::{Rng, mix, unit};
--- a/crates/balancer/src/peer_load.rs
+++ b/crates/balancer/src/peer_load.rs
@@ -6,7 +6,7 @@
 //! are lost, each balancer assumes an even share.
 
 use crate::api::{Micros, Settings};
-use crate::state::{Rng, mix};
+use crate::rng::{Rng, mix};
 
 /// The version written, and the only one read.
 const VERSION: u8 = 1;
