--- a/crates/coordinator/src/pending_operations.rs
+++ b/crates/coordinator/src/pending_operations.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use ironmast_register::{OperationId, Outcome};
+use ironmast_register::{OperationId, Outcome, RejectionReason};
 use tokio::sync::oneshot;
 
 use crate::outcome::{ChangeError, ChangeOutcome, ReadError, ReadOutcome};
@@ -115,12 +115,20 @@
 fn change_outcome(outcome: Outcome<ControlValue>) -> ChangeOutcome {
     match outcome {
         Outcome::Written(_) | Outcome::Unchanged(_) | Outcome::Read(_) => Ok(()),
-        Outcome::Rejected { reason, .. } => Err(Rejection::from_reason(&reason).into()),
+        Outcome::Rejected { reason, .. } => Err(rejection(&reason).into()),
         Outcome::Expired => Err(ChangeError::NoQuorum),
         Outcome::Unknown => Err(ChangeError::Unknown),
     }
 }
 
+fn rejection(reason: &RejectionReason<Rejection>) -> Rejection {
+    match reason {
+        RejectionReason::Change(rejection) => *rejection,
+        // Operators change the value only; this arm would mean that another change came first.
+        RejectionReason::ReplicaChange(_) => Rejection::VersionMismatch,
+    }
+}
+
 fn read_outcome(outcome: Outcome<ControlValue>) -> ReadOutcome {
     match outcome {
         Outcome::Read(state) | Outcome::Written(state) | Outcome::Unchanged(state) => state
@@ -133,3 +141,6 @@
         Outcome::Rejected { .. } | Outcome::Expired | Outcome::Unknown => Err(ReadError::NoQuorum),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/coordinator/src/value.rs
+++ b/crates/coordinator/src/value.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use ironmast_register::Decision;
+use ironmast_register::{Decision, RegisterValue};
 use serde::{Deserialize, Serialize};
 
 use history::{ChangeId, History, PriorOutcome};
@@ -47,15 +47,8 @@
     StaleGeneration,
 }
 
-impl Rejection {
-    /// The rejection that a register's reason stands for: the register carries it as its text.
-    pub(crate) fn from_reason(reason: &str) -> Self {
-        if reason == Rejection::StaleGeneration.to_string() {
-            Rejection::StaleGeneration
-        } else {
-            Rejection::VersionMismatch
-        }
-    }
+impl RegisterValue for ControlValue {
+    type Rejection = Rejection;
 }
 
 impl ControlValue {
@@ -86,7 +79,9 @@
             PriorOutcome::NotApplied if base > self.generation() && change.is_consistent() => {
                 self.reject_permanently(&change)
             }
-            PriorOutcome::Rejected | PriorOutcome::NotApplied => reject(Rejection::VersionMismatch),
+            PriorOutcome::Rejected | PriorOutcome::NotApplied => {
+                Decision::Reject(Rejection::VersionMismatch)
+            }
         }
     }
 
@@ -97,7 +92,7 @@
         change: &ChangeId,
     ) -> Decision<ControlValue> {
         if document.generation <= self.generation() {
-            return reject(Rejection::StaleGeneration);
+            return Decision::Reject(Rejection::StaleGeneration);
         }
         let mut next = self.clone();
         next.configuration = Some(document.clone());
@@ -112,7 +107,7 @@
         match next.history.record_rejected(change) {
             Ok(()) => Decision::RejectAndWrite {
                 value: next,
-                reason: Rejection::VersionMismatch.to_string(),
+                reason: Rejection::VersionMismatch,
             },
             Err(history::RejectionsFull) => Decision::Unknown,
         }
@@ -133,9 +128,5 @@
     }
 }
 
-fn reject(rejection: Rejection) -> Decision<ControlValue> {
-    Decision::Reject(rejection.to_string())
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/coordinator/src/value/tests.rs
+++ b/crates/coordinator/src/value/tests.rs
@@ -12,7 +12,7 @@
 use super::{ConfigurationDocument, ControlValue, Rejection, ZoneState};
 
 fn rejection(rejection: Rejection) -> Decision<ControlValue> {
-    Decision::Reject(rejection.to_string())
+    Decision::Reject(rejection)
 }
 
 fn document(generation: u64, text: &str) -> ConfigurationDocument {
@@ -45,7 +45,7 @@
     let value = written(value.configure(&document(5, "one"), 3));
     assert_eq!(
         value.configure(&document(5, "other"), 3),
-        Decision::Reject(Rejection::VersionMismatch.to_string())
+        Decision::Reject(Rejection::VersionMismatch)
     );
 }
 
@@ -54,10 +54,7 @@
     let value = written(ControlValue::default().configure(&document(3, "first"), 0));
     for generation in [1, 3] {
         let rejected = value.configure(&document(generation, "next"), 3);
-        assert_eq!(
-            rejected,
-            Decision::Reject(Rejection::StaleGeneration.to_string())
-        );
+        assert_eq!(rejected, Decision::Reject(Rejection::StaleGeneration));
     }
 }
 
@@ -163,7 +160,7 @@
     let Decision::RejectAndWrite { value, reason } = value.configure(&early, 6) else {
         panic!("not rejected permanently");
     };
-    assert_eq!(Rejection::from_reason(&reason), Rejection::VersionMismatch);
+    assert_eq!(reason, Rejection::VersionMismatch);
     assert_eq!(
         value.configure(&early, 6),
         rejection(Rejection::VersionMismatch)
@@ -317,10 +314,3 @@
         );
     }
 }
-
-#[test]
-fn each_rejection_is_recovered_from_its_reason() {
-    for rejection in [Rejection::VersionMismatch, Rejection::StaleGeneration] {
-        assert_eq!(Rejection::from_reason(&rejection.to_string()), rejection);
-    }
-}
--- a/crates/coordinator/tests/many_changes/value.rs
+++ b/crates/coordinator/tests/many_changes/value.rs
@@ -1,6 +1,6 @@
 //! The register's value in these tests: a configuration with its generation.
 
-use ironmast_register::{Decision, Transition};
+use ironmast_register::{Decision, RegisterValue, Transition};
 use serde::{Deserialize, Serialize};
 
 /// A configuration in force.
@@ -12,6 +12,17 @@
     pub body: String,
 }
 
+/// A change builds on another generation than the one in force.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{in_force} is in force")]
+pub(crate) struct Conflict {
+    in_force: u64,
+}
+
+impl RegisterValue for Control {
+    type Rejection = Conflict;
+}
+
 /// The text of a configuration.
 pub(crate) fn body(generation: u64, bytes: usize) -> String {
     let line = format!("route of {generation}\n");
@@ -33,7 +44,9 @@
             return Decision::Unchanged;
         }
         if self.generation != value.generation + 1 {
-            return Decision::Reject(format!("{} is in force", value.generation));
+            return Decision::Reject(Conflict {
+                in_force: value.generation,
+            });
         }
         let body = body(self.generation, self.bytes);
         Decision::Write(Control {
--- a/crates/coordinator/tests/many_changes/workload.rs
+++ b/crates/coordinator/tests/many_changes/workload.rs
@@ -139,7 +139,7 @@
             match self.cluster.outcome(id) {
                 Some(Outcome::Written(_) | Outcome::Unchanged(_)) => break,
                 Some(Outcome::Rejected { reason, .. }) => {
-                    self.record_violation(&format!("{generation} is rejected: {reason}"));
+                    self.record_violation(&format!("{generation} is rejected: {reason:?}"));
                     break;
                 }
                 _ => self.run(RESUBMIT_DELAY),
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -36,7 +36,10 @@
 pub use ballot::{Ballot, Identity};
 pub use message::Message;
 pub use node::{Action, Event, Node, NodeLocation, RecordSource};
-pub use operation::{Decision, Operation, OperationId, Outcome, ReplicaChange, Transition};
+pub use operation::{
+    Decision, Operation, OperationId, Outcome, RegisterValue, RejectionReason, ReplicaChange,
+    Transition,
+};
 pub use proposer::ProposerMetrics;
 pub use record::{PersistToken, Record, Write};
 pub use replicas::{Membership, Replica, ReplicaSet};
--- a/crates/register/src/node.rs
+++ b/crates/register/src/node.rs
@@ -17,6 +17,7 @@
 use crate::message::{Message, MessageBody};
 use crate::node::background::Background;
 use crate::node::recovery::Recovery;
+use crate::operation::RegisterValue;
 use crate::proposer::{Proposer, ProposerMetrics};
 use crate::quorum_lease::{HeartbeatId, QuorumLease};
 use crate::random::Random;
@@ -39,7 +40,7 @@
 pub use event::{Action, Event, NodeLocation, RecordSource};
 
 /// One coordinator's part in the register.
-pub struct Node<V> {
+pub struct Node<V: RegisterValue> {
     location: NodeLocation,
     settings: Settings,
     acceptor: Acceptor<V>,
@@ -60,7 +61,7 @@
     timer: Option<Duration>,
 }
 
-impl<V: Clone> Node<V> {
+impl<V: RegisterValue> Node<V> {
     /// A node as it starts. `seed` must differ at each start: two incarnations with the same seed
     /// would use the same round numbers and heartbeat identifiers.
     #[must_use]
--- a/crates/register/src/node/background.rs
+++ b/crates/register/src/node/background.rs
@@ -6,6 +6,7 @@
 use crate::ballot::{Ballot, Identity};
 use crate::guard::Guard;
 use crate::node::{Action, Node};
+use crate::operation::RegisterValue;
 
 /// Interval at which the node checks whether a replica change is due.
 const RECONFIGURATION_INTERVAL: Duration = Duration::from_millis(100);
@@ -64,7 +65,7 @@
     }
 }
 
-impl<V: Clone> Node<V> {
+impl<V: RegisterValue> Node<V> {
     /// Detects that the own process was paused (by the scheduler, a debugger or a suspended
     /// machine). The pause doesn't count towards the timeouts of other nodes or of the disk, as
     /// their messages and completions could not be handled meanwhile.
--- a/crates/register/src/node/bootstrap.rs
+++ b/crates/register/src/node/bootstrap.rs
@@ -9,9 +9,10 @@
 use crate::bootstrap::BootstrapVerdict;
 use crate::message::Participation;
 use crate::node::{Action, Node};
+use crate::operation::RegisterValue;
 use crate::record::Record;
 
-impl<V: Clone> Node<V> {
+impl<V: RegisterValue> Node<V> {
     /// What this node's disk may have taken part in.
     pub(super) fn participation(&self) -> Participation {
         if self.acceptor.has_participated() || self.learner.ballot() > Ballot::ZERO {
--- a/crates/register/src/node/event.rs
+++ b/crates/register/src/node/event.rs
@@ -6,13 +6,13 @@
 
 use crate::ballot::Identity;
 use crate::message::Message;
-use crate::operation::{Operation, OperationId, Outcome};
+use crate::operation::{Operation, OperationId, Outcome, RegisterValue};
 use crate::record::{PersistToken, Record, Write};
 use crate::state::State;
 
 /// An event that a node handles.
 #[derive(Debug)]
-pub enum Event<V> {
+pub enum Event<V: RegisterValue> {
     /// A message arrived.
     Message(Message<V>),
     /// The write of that token is durable.
@@ -39,7 +39,7 @@
 
 /// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Action<V> {
+pub enum Action<V: RegisterValue> {
     /// Send a message; it may be lost.
     Send {
         /// The address of the receiver.
--- a/crates/register/src/node/heartbeat.rs
+++ b/crates/register/src/node/heartbeat.rs
@@ -7,10 +7,11 @@
 use crate::ballot::Identity;
 use crate::message::{HeartbeatResponse, MessageBody};
 use crate::node::{Action, Node};
+use crate::operation::RegisterValue;
 use crate::quorum_lease::HeartbeatId;
 use crate::state::ballot_of;
 
-impl<V: Clone> Node<V> {
+impl<V: RegisterValue> Node<V> {
     /// The response of this node to a heartbeat.
     pub(super) fn heartbeat_response(&self, id: HeartbeatId) -> HeartbeatResponse {
         let newest = self.newest();
--- a/crates/register/src/node/proposing.rs
+++ b/crates/register/src/node/proposing.rs
@@ -9,13 +9,14 @@
 use crate::ballot::Identity;
 use crate::message::{Message, MessageBody, Reply, Request};
 use crate::node::{Action, Node};
+use crate::operation::RegisterValue;
 use crate::proposer::{Context, Effect};
 use crate::state::Proposal;
 
 /// Ballot counters reserved by one write of the record.
 const RESERVED_COUNTERS: u64 = 1_024;
 
-impl<V: Clone> Node<V> {
+impl<V: RegisterValue> Node<V> {
     /// Lets the proposer work until it waits for others.
     pub(super) fn propose(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         loop {
--- a/crates/register/src/node/read_repair.rs
+++ b/crates/register/src/node/read_repair.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use crate::node::Node;
-use crate::operation::Operation;
+use crate::operation::{Operation, RegisterValue};
 
-impl<V: Clone> Node<V> {
+impl<V: RegisterValue> Node<V> {
     /// Repairs what has been incomplete for too long.
     pub(super) fn repair(&mut self, now: Duration) {
         let accepted = self.acceptor.accepted().map(|proposal| proposal.ballot);
--- a/crates/register/src/node/receiving.rs
+++ b/crates/register/src/node/receiving.rs
@@ -7,10 +7,11 @@
 use crate::ballot::{Ballot, Identity};
 use crate::message::{Message, MessageBody, NodeStatus, Reply, ReplyBody, Request};
 use crate::node::{Action, Node};
+use crate::operation::RegisterValue;
 use crate::quorum_lease::HeartbeatId;
 use crate::state::Proposal;
 
-impl<V: Clone> Node<V> {
+impl<V: RegisterValue> Node<V> {
     /// Handles a message.
     pub(super) fn receive(
         &mut self,
--- a/crates/register/src/node/reconfiguration.rs
+++ b/crates/register/src/node/reconfiguration.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use crate::node::{Action, Node};
-use crate::operation::Operation;
+use crate::operation::{Operation, RegisterValue};
 use crate::reconfiguration::DueChange;
 
-impl<V: Clone> Node<V> {
+impl<V: RegisterValue> Node<V> {
     /// Reports to the others at once that a member has become unreachable, or reachable again.
     pub(super) fn report_unreachable(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         let members = self
--- a/crates/register/src/node/status.rs
+++ b/crates/register/src/node/status.rs
@@ -7,9 +7,10 @@
 use crate::ballot::Ballot;
 use crate::message::{ChosenVersion, MessageBody, NodeStatus};
 use crate::node::{Action, Node};
+use crate::operation::RegisterValue;
 use crate::state::Proposal;
 
-impl<V: Clone> Node<V> {
+impl<V: RegisterValue> Node<V> {
     /// Sends the status of this node to all other coordinators.
     pub(super) fn broadcast_status(&self, actions: &mut Vec<Action<V>>) {
         for address in self.other_addresses() {
--- a/crates/register/src/operation.rs
+++ b/crates/register/src/operation.rs
@@ -11,25 +11,37 @@
 /// Identifies an operation; chosen by the caller, unique within one incarnation of a node.
 pub type OperationId = u64;
 
-/// Why a change is rejected, in the caller's terms. It is a text because the register only hands it
-/// back: what it means is known to the caller alone.
-pub type RejectionReason = String;
+/// A value that the register can hold.
+pub trait RegisterValue: Clone {
+    /// Why a change of the value is rejected. The register passes it back to the caller, who alone
+    /// knows what it means.
+    type Rejection: Clone + fmt::Debug + PartialEq + Eq;
+}
+
+/// Why an operation is rejected.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum RejectionReason<R> {
+    /// The [`Transition`] rejected the change of the value.
+    Change(R),
+    /// The change of the replica set can't be applied to the set in force.
+    ReplicaChange(ReplicaChangeError),
+}
 
 /// What a change makes of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Decision<V> {
+pub enum Decision<V: RegisterValue> {
     /// The value is replaced by this one.
     Write(V),
     /// The value already contains the change.
     Unchanged,
     /// The change isn't valid for the value.
-    Reject(RejectionReason),
+    Reject(V::Rejection),
     /// The change isn't valid for the value, and the new value records that.
     RejectAndWrite {
         /// The new value.
         value: V,
         /// Why the change isn't valid.
-        reason: RejectionReason,
+        reason: V::Rejection,
     },
     /// The value no longer tells whether the change was made before.
     Unknown,
@@ -38,12 +50,12 @@
 /// A change as a pure function of the value (the change function of Rystsov 2018, section 2). It
 /// may be applied several times to different values, and must return [`Decision::Unchanged`] for a
 /// value that already contains it: this makes it idempotent.
-pub trait Transition<V>: Send + Sync {
+pub trait Transition<V: RegisterValue>: Send + Sync {
     /// Decides on the value.
     fn apply(&self, value: &V) -> Decision<V>;
 }
 
-impl<V, F> Transition<V> for F
+impl<V: RegisterValue, F> Transition<V> for F
 where
     F: Fn(&V) -> Decision<V> + Send + Sync,
 {
@@ -115,7 +127,7 @@
 }
 
 /// An operation on the register.
-pub enum Operation<V> {
+pub enum Operation<V: RegisterValue> {
     /// A linearizable read.
     Read,
     /// A change of the value.
@@ -131,14 +143,14 @@
     LeaveJoint,
 }
 
-impl<V> Operation<V> {
+impl<V: RegisterValue> Operation<V> {
     /// A change of the value by a function.
     pub fn change(transition: impl Transition<V> + 'static) -> Self {
         Self::Change(Arc::new(transition))
     }
 }
 
-impl<V> Clone for Operation<V> {
+impl<V: RegisterValue> Clone for Operation<V> {
     fn clone(&self) -> Self {
         match self {
             Self::Read => Self::Read,
@@ -152,7 +164,7 @@
     }
 }
 
-impl<V> fmt::Debug for Operation<V> {
+impl<V: RegisterValue> fmt::Debug for Operation<V> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Read => formatter.write_str("Read"),
@@ -165,7 +177,7 @@
 
 /// How an operation ended. Every state in an outcome is known as chosen.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome<V> {
+pub enum Outcome<V: RegisterValue> {
     /// The state at some moment between submission and completion.
     Read(Arc<State<V>>),
     /// The change is decided and part of this state's history.
@@ -175,7 +187,7 @@
     /// The change isn't valid for the state and was never decided.
     Rejected {
         /// Why it isn't valid.
-        reason: RejectionReason,
+        reason: RejectionReason<V::Rejection>,
         /// The state that it was applied to, or a later one of the same decision.
         state: Arc<State<V>>,
     },
@@ -188,7 +200,7 @@
 
 /// An operation in the queue or in a round.
 #[derive(Clone, Debug)]
-pub(crate) struct Pending<V> {
+pub(crate) struct Pending<V: RegisterValue> {
     pub(crate) id: Option<OperationId>,
     pub(crate) operation: Operation<V>,
     pub(crate) deadline: Duration,
@@ -197,7 +209,7 @@
     pub(crate) attempts: Vec<Attempt>,
 }
 
-impl<V> Pending<V> {
+impl<V: RegisterValue> Pending<V> {
     /// The outcome of the operation when its deadline passes.
     pub(crate) fn outcome_at_deadline(&self) -> Outcome<V> {
         if self.attempts.is_empty() {
--- a/crates/register/src/proposer.rs
+++ b/crates/register/src/proposer.rs
@@ -6,7 +6,7 @@
 
 use crate::ballot::Identity;
 use crate::message::{Reply, ReplyBody, RoundId};
-use crate::operation::Pending;
+use crate::operation::{Pending, RegisterValue};
 use crate::proposer::batch::Batch;
 use crate::proposer::pacing::Deference;
 use crate::proposer::rounds::{Start, send_requests};
@@ -26,7 +26,7 @@
 pub(crate) use effect::{Context, Effect};
 
 /// The active round.
-struct ActiveRound<V> {
+struct ActiveRound<V: RegisterValue> {
     round: Round<V>,
     /// Operations of this arrival number and later weren't submitted yet when the round began.
     first_excluded_arrival: u64,
@@ -38,7 +38,7 @@
 }
 
 /// The proposer of a node. Times are those of the node's clock.
-pub(crate) struct Proposer<V> {
+pub(crate) struct Proposer<V: RegisterValue> {
     identity: Identity,
     settings: Settings,
     random: Random,
@@ -63,7 +63,7 @@
     metrics: ProposerMetrics,
 }
 
-impl<V: Clone> Proposer<V> {
+impl<V: RegisterValue> Proposer<V> {
     /// A proposer whose earlier incarnations may have used counters up to `used_counter`.
     pub(crate) fn new(
         identity: Identity,
--- a/crates/register/src/proposer/batch.rs
+++ b/crates/register/src/proposer/batch.rs
@@ -7,8 +7,8 @@
 use crate::ballot::Ballot;
 use crate::guard::{Guard, Guards};
 use crate::operation::{
-    Attempt, Decision, Operation, OperationId, Outcome, Pending, RejectionReason, ReplicaChange,
-    ReplicaChangeError,
+    Attempt, Decision, Operation, OperationId, Outcome, Pending, RegisterValue, RejectionReason,
+    ReplicaChange, ReplicaChangeError,
 };
 use crate::replicas::{Membership, ReplicaSet};
 use crate::round::QuorumRead;
@@ -16,19 +16,19 @@
 
 /// The result of an operation, valid once the batch's state is chosen.
 #[derive(Clone, Debug)]
-enum TentativeResult {
+enum TentativeResult<R> {
     Read,
     Written,
     Unchanged,
-    Rejected(RejectionReason),
+    Rejected(RejectionReason<R>),
     Unknown,
     /// Something else has to be decided first.
     Deferred,
 }
 
-impl TentativeResult {
+impl<R> TentativeResult<R> {
     /// The outcome by the chosen state; none for a deferred operation.
-    fn outcome<V>(self, state: &Arc<State<V>>) -> Option<Outcome<V>> {
+    fn outcome<V: RegisterValue<Rejection = R>>(self, state: &Arc<State<V>>) -> Option<Outcome<V>> {
         let state = Arc::clone(state);
         match self {
             Self::Read => Some(Outcome::Read(state)),
@@ -42,40 +42,40 @@
 }
 
 /// An operation of a batch with its result.
-struct BatchEntry<V> {
+struct BatchEntry<V: RegisterValue> {
     pending: Pending<V>,
-    result: TentativeResult,
+    result: TentativeResult<V::Rejection>,
 }
 
 /// Operations that are decided together.
-pub(super) struct Batch<V>(Vec<BatchEntry<V>>);
+pub(super) struct Batch<V: RegisterValue>(Vec<BatchEntry<V>>);
 
 /// A batch and the state by which its operations are decided.
-pub(super) struct Assembled<V> {
+pub(super) struct Assembled<V: RegisterValue> {
     pub(super) batch: Batch<V>,
     pub(super) state: Arc<State<V>>,
 }
 
 /// What a chosen state makes of a batch.
-pub(super) struct Completion<V> {
+pub(super) struct Completion<V: RegisterValue> {
     pub(super) completed: Vec<Completed<V>>,
     /// Operations that have to wait for another round.
     pub(super) undecided: Vec<Pending<V>>,
 }
 
 /// A completed operation.
-pub(super) struct Completed<V> {
+pub(super) struct Completed<V: RegisterValue> {
     pub(super) id: Option<OperationId>,
     pub(super) outcome: Outcome<V>,
 }
 
-impl<V> Default for Batch<V> {
+impl<V: RegisterValue> Default for Batch<V> {
     fn default() -> Self {
         Self(Vec::new())
     }
 }
 
-impl<V: Clone> Batch<V> {
+impl<V: RegisterValue> Batch<V> {
     /// Applies the operations to the state that was read. The state to be accepted is the one that
     /// was read if nothing changes.
     pub(super) fn assemble(
@@ -154,7 +154,7 @@
 }
 
 /// The state as the operations of a batch change it.
-struct Draft<V> {
+struct Draft<V: RegisterValue> {
     members: Membership,
     value: Arc<V>,
     is_changed: bool,
@@ -162,7 +162,7 @@
     leaves_joint: bool,
 }
 
-impl<V: Clone> Draft<V> {
+impl<V: RegisterValue> Draft<V> {
     /// Begins with the state that was read. If its membership is joint and it is chosen, the old
     /// set is left. While it isn't chosen, an older state may still be, by the old set alone (Raft,
     /// Ongaro and Ousterhout 2014, section 6).
@@ -186,7 +186,7 @@
         }
     }
 
-    fn apply(&mut self, pending: &Pending<V>, read: &State<V>) -> TentativeResult {
+    fn apply(&mut self, pending: &Pending<V>, read: &State<V>) -> TentativeResult<V::Rejection> {
         match lookup_attempts(pending, read) {
             HistoryLookup::Included => return TentativeResult::Written,
             HistoryLookup::Truncated => return TentativeResult::Unknown,
@@ -215,7 +215,7 @@
         &mut self,
         expected: &ReplicaSet,
         change: &ReplicaChange,
-    ) -> TentativeResult {
+    ) -> TentativeResult<V::Rejection> {
         let current = &self.members.current;
         match change.apply_to(current) {
             Ok(None) => TentativeResult::Unchanged,
@@ -224,23 +224,25 @@
                 self.is_changed = true;
                 TentativeResult::Written
             }
-            Ok(Some(_)) => TentativeResult::Rejected(ReplicaChangeError::Outdated.to_string()),
-            Err(error) => TentativeResult::Rejected(error.to_string()),
+            Ok(Some(_)) => TentativeResult::Rejected(RejectionReason::ReplicaChange(
+                ReplicaChangeError::Outdated,
+            )),
+            Err(error) => TentativeResult::Rejected(RejectionReason::ReplicaChange(error)),
         }
     }
 
-    fn apply_decision(&mut self, decision: Decision<V>) -> TentativeResult {
+    fn apply_decision(&mut self, decision: Decision<V>) -> TentativeResult<V::Rejection> {
         match decision {
             Decision::Write(value) => {
                 self.write(value);
                 TentativeResult::Written
             }
             Decision::Unchanged => TentativeResult::Unchanged,
-            Decision::Reject(reason) => TentativeResult::Rejected(reason),
+            Decision::Reject(reason) => TentativeResult::Rejected(RejectionReason::Change(reason)),
             // Not an attempt of the change: if this isn't chosen, the change is applied again.
             Decision::RejectAndWrite { value, reason } => {
                 self.write(value);
-                TentativeResult::Rejected(reason)
+                TentativeResult::Rejected(RejectionReason::Change(reason))
             }
             Decision::Unknown => TentativeResult::Unknown,
         }
@@ -260,7 +262,7 @@
 }
 
 /// Whether an earlier attempt of the operation is part of the state's history.
-fn lookup_attempts<V>(pending: &Pending<V>, read: &State<V>) -> HistoryLookup {
+fn lookup_attempts<V: RegisterValue>(pending: &Pending<V>, read: &State<V>) -> HistoryLookup {
     let mut result = HistoryLookup::Excluded;
     for attempt in &pending.attempts {
         match read.lookup_change(attempt.sequence, attempt.ballot) {
--- a/crates/register/src/proposer/effect.rs
+++ b/crates/register/src/proposer/effect.rs
@@ -2,7 +2,7 @@
 
 use crate::ballot::Ballot;
 use crate::message::Request;
-use crate::operation::{OperationId, Outcome};
+use crate::operation::{OperationId, Outcome, RegisterValue};
 use crate::replicas::Replica;
 use crate::state::Proposal;
 
@@ -19,7 +19,7 @@
 }
 
 /// What the proposer wants done.
-pub(crate) enum Effect<V> {
+pub(crate) enum Effect<V: RegisterValue> {
     /// Send a request to a replica.
     Send { to: Replica, request: Request<V> },
     /// An operation has ended.
--- a/crates/register/src/proposer/pacing.rs
+++ b/crates/register/src/proposer/pacing.rs
@@ -7,6 +7,7 @@
 
 use super::{Context, Proposer};
 use crate::ballot::Ballot;
+use crate::operation::RegisterValue;
 use crate::state::ballot_of;
 
 /// Samples that the average round trip time is weighted over.
@@ -23,7 +24,7 @@
     until: Duration,
 }
 
-impl<V: Clone> Proposer<V> {
+impl<V: RegisterValue> Proposer<V> {
     /// Whether to wait because the own acceptor has lately promised a ballot of another proposer,
     /// of which nothing is chosen yet: a round begun now would only pre-empt that one.
     pub(super) fn defers(&mut self, now: Duration, context: &Context<'_, V>) -> bool {
--- a/crates/register/src/proposer/queries.rs
+++ b/crates/register/src/proposer/queries.rs
@@ -5,14 +5,14 @@
 
 use super::batch::Batch;
 use super::{Context, Effect, Proposer};
-use crate::operation::Operation;
+use crate::operation::{Operation, RegisterValue};
 use crate::round::{QuorumRead, Round};
 use crate::state::Proposal;
 
 /// Number of queries that may end in disagreement before a read is completed by an acceptance.
 const MAX_DISAGREEMENTS: u32 = 2;
 
-impl<V: Clone> Proposer<V> {
+impl<V: RegisterValue> Proposer<V> {
     /// Whether the queue consists of reads only, and queries haven't disagreed too often.
     pub(super) fn may_query(&self) -> bool {
         let are_all_reads = self
--- a/crates/register/src/proposer/queue.rs
+++ b/crates/register/src/proposer/queue.rs
@@ -7,10 +7,10 @@
 
 use super::batch::{Batch, Completion};
 use super::{Effect, Proposer};
-use crate::operation::{Operation, OperationId, Outcome, Pending};
+use crate::operation::{Operation, OperationId, Outcome, Pending, RegisterValue};
 use crate::state::State;
 
-impl<V: Clone> Proposer<V> {
+impl<V: RegisterValue> Proposer<V> {
     /// Queues an operation; `deadline` is a time of the node's clock. Nobody awaits the outcome of
     /// an operation without `id`.
     pub(crate) fn submit(
@@ -93,7 +93,11 @@
 }
 
 /// Reports the outcome of an operation whose outcome is awaited.
-fn complete<V>(id: Option<OperationId>, outcome: Outcome<V>, effects: &mut Vec<Effect<V>>) {
+fn complete<V: RegisterValue>(
+    id: Option<OperationId>,
+    outcome: Outcome<V>,
+    effects: &mut Vec<Effect<V>>,
+) {
     if let Some(id) = id {
         effects.push(Effect::Completed { id, outcome });
     }
--- a/crates/register/src/proposer/rounds.rs
+++ b/crates/register/src/proposer/rounds.rs
@@ -8,6 +8,7 @@
 use crate::ballot::Ballot;
 use crate::guard::Guard;
 use crate::message::{Request, RoundId};
+use crate::operation::RegisterValue;
 use crate::replicas::Replica;
 use crate::round::{Phase, QuorumRead, Round};
 use crate::state::{Proposal, newest};
@@ -21,7 +22,7 @@
     Blocked,
 }
 
-impl<V: Clone> Proposer<V> {
+impl<V: RegisterValue> Proposer<V> {
     /// Begins the next round, if it can.
     pub(super) fn start(
         &mut self,
@@ -195,7 +196,7 @@
 }
 
 /// Sends the request of the round's current phase to replicas.
-pub(super) fn send_requests<V: Clone>(
+pub(super) fn send_requests<V: RegisterValue>(
     round: &Round<V>,
     replicas: Vec<Replica>,
     effects: &mut Vec<Effect<V>>,
--- a/crates/register/tests/support/value.rs
+++ b/crates/register/tests/support/value.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use ironmast_register::{Decision, Transition};
+use ironmast_register::{Decision, RegisterValue, Transition};
 
 /// A register's value that records everything that was ever in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -17,6 +17,14 @@
     pub turns: Vec<u64>,
 }
 
+/// A change builds on another version than the current one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct AnotherVersion;
+
+impl RegisterValue for Value {
+    type Rejection = AnotherVersion;
+}
+
 impl Value {
     pub(crate) fn version(&self) -> u64 {
         self.contents.len() as u64
@@ -83,7 +91,7 @@
             Self::Put { base, content } if value.content_on(base) == Some(content) => {
                 return Decision::Unchanged;
             }
-            Self::Put { .. } => return Decision::Reject("another version".to_owned()),
+            Self::Put { .. } => return Decision::Reject(AnotherVersion),
             Self::Mark { mark } if value.marks.contains(&mark) => return Decision::Unchanged,
             Self::Mark { mark } => next.marks.push(mark),
             Self::Turn { closed, .. } if value.is_closed() == closed => return Decision::Unchanged,
