--- a/crates/client-proxy/src/discovery.rs
+++ b/crates/client-proxy/src/discovery.rs
@@ -65,7 +65,7 @@
                     .map_err(|e| e.to_string())
             });
             entry
-                .map_err(|why| warn!(log, "an entry of the list is skipped"; "why" => why))
+                .map_err(|why| warn!(log, "invalid endpoint skipped"; "why" => why))
                 .ok()
         };
         self.entries.iter().filter_map(read).collect()
@@ -177,7 +177,7 @@
     pub(crate) fn recall(&mut self, known: Option<&Value>) {
         let list = known.and_then(List::read);
         if known.is_some() && list.is_none() {
-            warn!(self.log, "the list held before is malformed");
+            warn!(self.log, "malformed cached endpoint list");
         }
         self.rev = list.as_ref().map(|list| list.rev);
         let entries = list.map_or_else(Vec::new, |list| list.entries(&mut self.zones, &self.log));
@@ -200,7 +200,7 @@
                         // Guards rule 3 against a watch that ends instead of telling of a drain:
                         // all agents call then, discovery answers one after another, and the last
                         // has to be told in time, too.
-                        End::Ended => info!(self.log, "discovery failed"; "why" => "the watch ended, it is opened again"),
+                        End::Ended => info!(self.log, "discovery failed"; "why" => "the watch ended and is reopened"),
                         End::Failed(why) => {
                             watching = self.pushed;
                             self.failed(&why);
@@ -239,8 +239,8 @@
 
     fn tell(&mut self, text: &[u8]) -> Result<(), String> {
         let value: Value =
-            serde_json::from_slice(text).map_err(|e| format!("a malformed list: {e}"))?;
-        let list = List::read(&value).ok_or("a malformed list")?;
+            serde_json::from_slice(text).map_err(|e| format!("malformed endpoint list: {e}"))?;
+        let list = List::read(&value).ok_or("malformed endpoint list")?;
         self.rev = Some(list.rev);
         let scope = if list.all {
             Scope::Complete
@@ -265,7 +265,7 @@
             Ok(Ok(answer)) if answer.status().is_success() => Ok(answer),
             Ok(Ok(answer)) => Err(format!("status {}", answer.status())),
             Ok(Err(error)) => Err(error.to_string()),
-            Err(_) => Err("no answer in time".to_string()),
+            Err(_) => Err("the response timed out".to_string()),
         }
     }
 
@@ -275,11 +275,11 @@
             let mut text = Vec::new();
             while let Some(part) = timeout(ANSWER, answer.next())
                 .await
-                .map_err(|_| "no answer in time")?
+                .map_err(|_| "the response timed out")?
             {
                 text.extend_from_slice(&part.map_err(|e| e.to_string())?);
                 if text.len() > LIST_MOST {
-                    return Err("the list is too long".to_string());
+                    return Err("the endpoint list is too long".to_string());
                 }
             }
             Ok(text)
@@ -305,7 +305,7 @@
         let (mut text, mut first, mut told) = (Objects::default(), true, false);
         loop {
             let part = match timeout(if first { ANSWER } else { SILENCE }, answer.next()).await {
-                Err(_) => return End::Failed("the watch is silent".to_string()),
+                Err(_) => return End::Failed("the watch timed out".to_string()),
                 Ok(None) if told => {
                     // Guards discovery against being called ever faster where it ends each watch
                     // after its list.
@@ -325,7 +325,7 @@
                 told = true;
             }
             if text.len() > LIST_MOST {
-                return End::Failed("the list is too long".to_string());
+                return End::Failed("the endpoint list is too long".to_string());
             }
         }
     }
--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -130,7 +130,7 @@
                 latency,
                 load,
             } => {
-                debug!(self.log, "probed"; "at" => self.clock.now(), "server" => format_args!("{:016x}", server.0),
+                debug!(self.log, "health check ended"; "at" => self.clock.now(), "server" => format_args!("{:016x}", server.0),
                     "outcome" => ?outcome, "took" => latency);
                 self.dispatch(Event::ProbeEnded {
                     server,
@@ -153,12 +153,12 @@
         match message {
             PriorityMessage::Command(call, reply) => {
                 let answer = self.execute(&call);
-                info!(self.log, "operator's call answered"; "answer" => ?answer.as_ref().map_err(ToString::to_string));
+                info!(self.log, "operator command executed"; "result" => ?answer.as_ref().map_err(ToString::to_string));
                 // A caller that has disconnected has no use for the answer; its command is done.
                 let _ = reply.send(answer);
             }
             PriorityMessage::PartnerOverride(change) => {
-                info!(self.log, "the other process was called"; "server" => &change.uid, "out" => change.disabled_at.is_some());
+                info!(self.log, "override received from the other process"; "server" => &change.uid, "disabled" => change.disabled_at.is_some());
                 if let Some(update) = self.overrides.apply_override(change) {
                     self.update_endpoints(update);
                 }
@@ -218,7 +218,7 @@
         self.files
             .save_overrides(self.overrides.state())
             .inspect_err(|error| {
-                warn!(self.log, "servers out of use could not be written down"; "why" => %error);
+                warn!(self.log, "disabled servers could not be saved"; "why" => %error);
             })
     }
 
@@ -234,7 +234,7 @@
             reply,
         } = arrival;
         let id = self.open.insert(ticket, expires, payload, reply);
-        debug!(self.log, "arrived"; "at" => self.clock.now(), "request" => id, "class" => class, "expires" => expires);
+        debug!(self.log, "request arrived"; "at" => self.clock.now(), "request" => id, "class" => class, "expires" => expires);
         self.dispatch(Event::Request(Request {
             id,
             class,
@@ -247,7 +247,7 @@
     }
 
     fn client_disconnected(&mut self, ticket: Ticket) {
-        debug!(self.log, "client left"; "at" => self.clock.now(), "request" => self.open.id_of(ticket));
+        debug!(self.log, "client disconnected"; "at" => self.clock.now(), "request" => self.open.id_of(ticket));
         if let Some(id) = self.open.disconnect(ticket) {
             let _ = self.outputs.upstream.send(UpstreamCommand::RequestOver(id));
             self.dispatch(Event::ClientDisconnected { id });
@@ -267,7 +267,7 @@
         request.complete_at = now;
         request.expires = now + request.payload.client_timeout;
         let expires = request.expires;
-        debug!(self.log, "whole"; "at" => now, "request" => id, "expires" => expires);
+        debug!(self.log, "request complete"; "at" => now, "request" => id, "expires" => expires);
         self.dispatch(Event::RequestComplete { id, expires });
     }
 
@@ -294,7 +294,7 @@
         }
         let finished = self.open.get(id).is_none_or(OpenRequest::is_answered);
         let latency = self.clock.now().saturating_sub(sent);
-        debug!(self.log, "ended"; "at" => self.clock.now(), "request" => id, "attempt" => number,
+        debug!(self.log, "attempt ended"; "at" => self.clock.now(), "request" => id, "attempt" => number,
             "server" => format_args!("{:016x}", server.0), "outcome" => ?outcome, "took" => latency);
         self.dispatch(Event::AttemptEnded(AttemptEnded {
             id,
@@ -344,11 +344,11 @@
             .collect();
         let entries = servers.len();
         for server in &servers {
-            debug!(self.log, "listed"; "at" => self.clock.now(), "server" => format_args!("{:016x}", server.id.0),
+            debug!(self.log, "server listed"; "at" => self.clock.now(), "server" => format_args!("{:016x}", server.id.0),
                 "phase" => ?server.phase, "zone" => server.zone, "size" => server.size, "started" => ?server.started);
         }
         self.dispatch(Event::Members(Listing { scope, servers }));
-        info!(self.log, "list told: {:?}", scope; "entries" => entries, "held" => self.servers.len());
+        info!(self.log, "endpoint update: {:?}", scope; "entries" => entries, "known" => self.servers.len());
     }
 
     /// Sends the final response, if the request has none yet.
@@ -356,9 +356,9 @@
         let Some(reply) = self.open.take_reply(id) else {
             return;
         };
-        debug!(self.log, "answered"; "at" => self.clock.now(), "request" => id, "answer" => match &response {
+        debug!(self.log, "request answered"; "at" => self.clock.now(), "request" => id, "answer" => match &response {
             FinalResponse::Served(_) => "served",
-            FinalResponse::Rejected(_) => "refused",
+            FinalResponse::Rejected(_) => "rejected",
             FinalResponse::Failed => "failed",
         });
         let request = self.open.get(id);
@@ -423,7 +423,7 @@
                     );
                 }
                 None => {
-                    warn!(self.log, "a probe of a server that is not listed"; "server" => server.0);
+                    warn!(self.log, "health check of a server that is not listed"; "server" => server.0);
                 }
             },
             Action::SendToPeers { to, data } => {
@@ -452,7 +452,7 @@
         let now = self.clock.now();
         let limits = &self.settings.limits;
         let Some(request) = self.open.get_mut(id) else {
-            warn!(self.log, "a send for a request that is over"; "request" => id);
+            warn!(self.log, "attempt of a request that is over"; "request" => id);
             return;
         };
         let number = request.attempts.len() as u32;
@@ -472,11 +472,11 @@
         });
         let Some(address) = address else {
             let why = if is_body_consumed {
-                "its body has been drawn already"
+                "its body has been consumed"
             } else {
-                "it is over"
+                "it is over, not to be hedged, or its server is not listed"
             };
-            debug!(self.log, "a send that may not be"; "request" => id, "server" => server.0, "why" => why);
+            debug!(self.log, "attempt suppressed"; "request" => id, "server" => server.0, "why" => why);
             let not_sent = AttemptEnded {
                 id,
                 server,
@@ -488,7 +488,7 @@
             };
             return self.pending.push_back(Event::AttemptEnded(not_sent));
         };
-        debug!(self.log, "sent"; "at" => now, "request" => id, "attempt" => number,
+        debug!(self.log, "attempt sent"; "at" => now, "request" => id, "attempt" => number,
             "server" => format_args!("{:016x}", server.0));
         // While a body is streamed, the decision module ends the attempt at the client's deadline.
         let timeout = timeout.filter(|_| request.payload.flow().is_none());
--- a/crates/client-proxy/src/hot_restart/predecessor.rs
+++ b/crates/client-proxy/src/hot_restart/predecessor.rs
@@ -42,18 +42,18 @@
 enum GreetingError {
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("it left in the middle of a word")]
+    #[error("it disconnected in the middle of a line")]
     Disconnected,
-    #[error("its first line does not end")]
+    #[error("its first line is too long")]
     LineTooLong,
     #[error(transparent)]
     Malformed(#[from] DecodeError),
-    #[error("it speaks version {0}, this one {PROTOCOL_VERSION}")]
+    #[error("it uses protocol version {0}, this process {PROTOCOL_VERSION}")]
     OtherVersion(u32),
     /// The predecessor's own words.
     #[error("{0}")]
     Busy(String),
-    #[error("it does not answer a greeting")]
+    #[error("it did not answer with a welcome")]
     NoWelcome,
     #[error("it passed no listening socket")]
     NoListener,
@@ -67,14 +67,14 @@
         Ok(stream) => stream,
         Err(error) if is_nobody_there(&error) => return None,
         Err(error) => {
-            warn!(log, "no way to a process before this one"; "why" => %error);
+            warn!(log, "can't connect to a predecessor"; "why" => %error);
             return None;
         }
     };
     let inherited = exchange_greetings(stream);
     match &inherited {
-        Ok(_) => info!(log, "taking over from the process before"),
-        Err(error) => warn!(log, "the process before hands nothing over"; "why" => %error),
+        Ok(_) => info!(log, "taking over from the predecessor"),
+        Err(error) => warn!(log, "handover from the predecessor failed"; "why" => %error),
     }
     inherited.ok()
 }
--- a/crates/client-proxy/src/hot_restart/successor.rs
+++ b/crates/client-proxy/src/hot_restart/successor.rs
@@ -39,7 +39,7 @@
     };
     let listener = match bind(&path, files.temporary_socket()) {
         Ok(listener) => listener,
-        Err(error) => return warn!(log, "no successor can be served"; "why" => %error),
+        Err(error) => return warn!(log, "can't listen for a successor"; "why" => %error),
     };
     while let Ok((mut stream, _)) = listener.accept().await {
         match read_hello(&mut stream).await {
@@ -56,11 +56,11 @@
                 }
             }
             Ok(Message::Hello { version, .. }) => {
-                warn!(log, "a successor speaks another version"; "version" => version);
+                warn!(log, "a successor uses another protocol version"; "version" => version);
                 reject(stream, format!("it speaks version {PROTOCOL_VERSION}")).await;
             }
-            Ok(_) => warn!(log, "a successor did not greet"),
-            Err(error) => warn!(log, "a successor did not greet"; "why" => %error),
+            Ok(_) => warn!(log, "a successor sent no valid greeting"),
+            Err(error) => warn!(log, "a successor sent no valid greeting"; "why" => %error),
         }
     }
 }
--- a/crates/client-proxy/src/ops.rs
+++ b/crates/client-proxy/src/ops.rs
@@ -36,7 +36,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                warn!(log, "accept of an operator failed"; "why" => %error);
+                warn!(log, "accept of an operator connection failed"; "why" => %error);
                 tokio::time::sleep(PAUSE).await;
                 continue;
             }
@@ -55,7 +55,7 @@
         actix_rt::spawn(async move {
             tokio::select! {
                 () = converse(stream, to_driver) => {}
-                _ = sent_away => debug!(log, "a silent caller made room for another"),
+                _ = sent_away => debug!(log, "oldest operator connection closed for a new one"),
             }
             callers.borrow_mut().retain(|(number, _)| *number != me);
         });
--- a/crates/client-proxy/src/peers.rs
+++ b/crates/client-proxy/src/peers.rs
@@ -48,7 +48,7 @@
                 while tells.recv().await.is_some() {
                     warn!(
                         self.log,
-                        "a message to peers, but there is no socket for them"
+                        "message to peers dropped: no socket is configured"
                     );
                 }
                 return;
@@ -93,7 +93,7 @@
                     if let (true, Some(membership)) = (known && buffer.starts_with(&PROTOCOL_TAG), self.membership.as_mut()) {
                         match membership.handle_datagram(&buffer[..bytes], start.elapsed()) {
                             Ok(actions) => self.carry(&socket, actions).await,
-                            Err(why) => debug!(self.log, "a member's datagram is refused"; "why" => %why),
+                            Err(why) => debug!(self.log, "membership datagram rejected"; "why" => %why),
                         }
                         continue;
                     }
@@ -101,7 +101,7 @@
                         Some(number) if bytes <= MOST => {
                             self.queue.send(Message::PeerDatagram { from: number as u32, data: buffer[..bytes].to_vec() });
                         }
-                        _ => debug!(self.log, "a datagram is dropped"; "from" => from),
+                        _ => debug!(self.log, "peer datagram dropped"; "from" => from),
                     }
                 }
             }
@@ -115,7 +115,7 @@
             match action {
                 Action::Send { to, datagram } => {
                     if let Err(error) = socket.send_to(&datagram, to).await {
-                        debug!(self.log, "a member's datagram is lost"; "why" => %error);
+                        debug!(self.log, "membership datagram could not be sent"; "why" => %error);
                     }
                 }
                 Action::MemberUp(m) => {
@@ -136,11 +136,11 @@
         match address {
             Some(address) if data.len() <= MOST => {
                 if let Err(error) = socket.send_to(&data, address).await {
-                    debug!(self.log, "a message is lost"; "why" => %error);
+                    debug!(self.log, "message to a peer could not be sent"; "why" => %error);
                 }
             }
             _ => {
-                warn!(self.log, "a message to peers has no address or is too long"; "bytes" => data.len());
+                warn!(self.log, "message to peers dropped: no address or too long"; "bytes" => data.len());
             }
         }
     }
--- a/crates/client-proxy/src/runtime_files.rs
+++ b/crates/client-proxy/src/runtime_files.rs
@@ -74,12 +74,12 @@
                 return OverrideState::default();
             }
             Err(error) => {
-                warn!(log, "servers out of use can't be read"; "file" => %path.display(), "why" => %error);
+                warn!(log, "disabled servers can't be read"; "file" => %path.display(), "why" => %error);
                 return OverrideState::default();
             }
         };
         serde_json::from_str(&text).unwrap_or_else(|error| {
-            warn!(log, "servers out of use are malformed, all are in use"; "file" => %path.display(), "why" => %error);
+            warn!(log, "disabled servers are malformed, all are enabled"; "file" => %path.display(), "why" => %error);
             OverrideState::default()
         })
     }
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -179,7 +179,7 @@
         }
     }));
     if let Some(operators) = sockets.operators {
-        info!(log, "operators may call"; "ops" => operators.local_addr().map_err(|e| e.to_string())?);
+        info!(log, "listening for operator commands"; "ops" => operators.local_addr().map_err(|e| e.to_string())?);
         actix_rt::spawn(ops::hear(operators, to_driver.clone(), log.clone()));
     }
 
@@ -202,7 +202,7 @@
     let mut actions = VecDeque::from([HotRestart::initial_action(predecessor)]);
     loop {
         while let Some(action) = actions.pop_front() {
-            debug!(log, "replacement"; "does" => ?action);
+            debug!(log, "hot restart"; "action" => ?action);
             match action {
                 Action::StartServing => {
                     partners.begin_serving();
@@ -216,7 +216,7 @@
                 }
                 Action::NotifyPredecessor => partners.send_to_predecessor(Message::Serving),
                 Action::StopServing => {
-                    info!(log, "a successor serves");
+                    info!(log, "the successor is serving");
                     turn.send_replace(false);
                     let _ = to_driver.send(PriorityMessage::DelegateWarmUp(true));
                     front.tell_open();
@@ -227,7 +227,7 @@
                     }
                 }
                 Action::Shutdown { idle_connections } => {
-                    info!(log, "ending");
+                    info!(log, "shutting down");
                     let idle = match idle_connections {
                         hot_restart::IdleConnections::Linger => IdleConnections::KeepUntilTimeout,
                         hot_restart::IdleConnections::Close => IdleConnections::CloseNow,
@@ -270,7 +270,7 @@
                     match partners.welcome_successor(stream, described, &passed, answers_claims, &to_heard).await {
                         Ok(()) => Some(Event::SuccessorConnected),
                         Err(error) => {
-                            warn!(log, "a successor left before its welcome"; "why" => %error);
+                            warn!(log, "a successor disconnected before its welcome"; "why" => %error);
                             None
                         }
                     }
@@ -302,11 +302,11 @@
                     None
                 }
                 PartnerEvent::Received(side, message) => {
-                    warn!(log, "out of place"; "from" => ?side, "said" => ?message);
+                    warn!(log, "unexpected message in a hot restart"; "from" => ?side, "message" => ?message);
                     None
                 }
                 PartnerEvent::Lost(side) => {
-                    info!(log, "alone again"; "lost" => ?side);
+                    info!(log, "hot restart partner disconnected"; "partner" => ?side);
                     partners.forget(side);
                     match side {
                         Side::Predecessor => {
@@ -393,16 +393,16 @@
         Ok(new) => {
             let waits = config.need_restart(&new).join(", ");
             if !waits.is_empty() {
-                warn!(log, "changed values need a restart"; "which" => waits);
+                warn!(log, "changed settings take effect after a restart"; "settings" => waits);
             }
             if new.discovery != config.discovery {
                 let _ = discovery.send(DiscoveryCommand::ChangeAddress(new.discovery));
                 config.discovery = new.discovery;
             }
-            info!(log, "configuration read again"; "discovery" => config.discovery);
+            info!(log, "configuration reloaded"; "discovery" => config.discovery);
         }
         Err(problem) => {
-            warn!(log, "configuration not taken, the old one stays"; "why" => problem.replace('\n', " "));
+            warn!(log, "invalid configuration ignored, the previous one stays in effect"; "why" => problem.replace('\n', " "));
         }
     }
 }
--- a/crates/client-proxy/src/upstream.rs
+++ b/crates/client-proxy/src/upstream.rs
@@ -242,7 +242,7 @@
             let (outcome, load) = match tokio::time::timeout(PROBE, call).await {
                 Ok(Some((StatusCode::OK, load))) => (Outcome::Ok, load),
                 Ok(Some((status, _))) => {
-                    warn!(log, "a probe was turned away"; "status" => status.as_u16());
+                    warn!(log, "health check rejected"; "status" => status.as_u16());
                     (Outcome::Overloaded, None)
                 }
                 Ok(None) => (Outcome::ConnectFailed, None),
--- a/tools/fleet_counts.py
+++ b/tools/fleet_counts.py
@@ -47,38 +47,38 @@
     steps = collections.defaultdict(collections.Counter)
     outcomes, answers = set(), set()
     arrived, sent, zones = {}, {}, {}
-    waits, refused_after = collections.defaultdict(list), []
+    waits, rejected_after = collections.defaultdict(list), []
     by_proxy, by_server = collections.Counter(), collections.defaultdict(collections.Counter)
     told = collections.defaultdict(dict)
     for at, proxy, what, f in records:
         n = int((at - start) / 1e6 / args.step)
         step = steps[n]
         request = (proxy, f.get("request"))
-        if what == "arrived":
+        if what == "request arrived":
             arrived[request] = at
             step["asked"] += 1
             by_proxy[proxy] += 1
-        elif what == "sent":
+        elif what == "attempt sent":
             if f["attempt"] == "0":
                 waits[n].append(at - arrived.get(request, at))
             step["sent"] += 1
             by_server[f["server"]]["sent"] += 1
             sent.setdefault(f["server"], set()).add(proxy)
-        elif what == "ended":
+        elif what == "attempt ended":
             outcomes.add(f["outcome"])
             step[f["outcome"]] += 1
             by_server[f["server"]][f["outcome"]] += 1
-        elif what == "answered":
+        elif what == "request answered":
             answers.add(f["answer"])
             step[f["answer"]] += 1
-            if f["answer"] == "refused":
-                refused_after.append((at - arrived.get(request, at)) // 1000)
-        elif what == "probed":
+            if f["answer"] == "rejected":
+                rejected_after.append((at - arrived.get(request, at)) // 1000)
+        elif what == "health check ended":
             step["probes"] += 1
             by_server[f["server"]]["probes"] += 1
-        elif what == "client left":
+        elif what == "client disconnected":
             step["left"] += 1
-        elif what == "listed":
+        elif what == "server listed":
             zones[f["server"]] = f["zone"]
             told[(f["server"], f["phase"], f["started"])].setdefault(proxy, at)
     columns = ["asked", *sorted(answers), "left", "sent", *sorted(outcomes), "probes"]
@@ -88,7 +88,7 @@
         row = " ".join(f"{steps[n][c]:>9}" for c in columns)
         print(f"{n * args.step:>7.1f} {row}   {statistics.mean(wait) / 1e3:8.1f} {max(wait) / 1e3:8.1f}")
     print("\nrequests by proxy:", quantiles(by_proxy.values()))
-    print("refused after ms:", quantiles(refused_after))
+    print("rejected after ms:", quantiles(rejected_after))
     for zone in sorted(set(zones.values())):
         here = [s for s in zones if zones[s] == zone]
         print(f"zone {zone}: {len(here)} servers; sends of each:", quantiles([by_server[s]["sent"] for s in here]))
