--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -411,7 +411,7 @@
             }
             Action::Subscribe => drop(self.outputs.discovery.send(DiscoveryCommand::Watch(true))),
             Action::Unsubscribe => {
-                drop(self.outputs.discovery.send(DiscoveryCommand::Watch(false)))
+                drop(self.outputs.discovery.send(DiscoveryCommand::Watch(false)));
             }
             Action::FetchAll => drop(self.outputs.discovery.send(DiscoveryCommand::FetchAll)),
             Action::Probe { server } => match self.servers.get(&server) {
