--- a/crates/fault-injection/src/verdict.rs
+++ b/crates/fault-injection/src/verdict.rs
@@ -3,7 +3,8 @@
 //! The verdict does not depend on what the proxy reports: a request counts as executed if the
 //! execution record of the stub servers contains it.
 
-use std::collections::HashMap;
+use std::collections::BTreeMap;
+use std::fmt;
 use std::time::Duration;
 
 use crate::load::{Outcome, SentRequest};
@@ -12,8 +13,9 @@
 /// The verdict on a run.
 #[derive(Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// The `X-Txn`s that were executed more than once although their class does not allow it.
-    pub executed_twice: Vec<String>,
+    /// The requests that were executed more than once although their class does not allow it, by
+    /// `X-Txn`.
+    pub executed_twice: Vec<RepeatedExecution>,
     /// The `X-Txn`s that were served to clients although no pay server executed them.
     pub fabricated: Vec<String>,
     /// The number of requests sent.
@@ -22,34 +24,51 @@
     pub served: usize,
 }
 
-/// The executions of one `X-Txn`.
-struct ExecutionCount<'a> {
-    class: &'a str,
-    count: usize,
+/// A request that was executed more than once.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RepeatedExecution {
+    /// Its `X-Txn`.
+    pub txn: String,
+    /// Its executions, in the order in which they began.
+    pub executions: Vec<Execution>,
+}
+
+impl fmt::Display for RepeatedExecution {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{} was executed", self.txn)?;
+        for (index, execution) in self.executions.iter().enumerate() {
+            let separator = if index == 0 { "" } else { "," };
+            let at_s = execution.at.as_secs_f64();
+            write!(
+                formatter,
+                "{separator} on {} at {at_s:.3} s",
+                execution.server
+            )?;
+        }
+        Ok(())
+    }
 }
 
 /// Compares what clients sent with what was executed; requests of the classes in `free` may be
 /// executed more than once.
 #[must_use]
 pub fn check_executions(sent: &[SentRequest], executions: &[Execution], free: &[&str]) -> Verdict {
-    let mut counts: HashMap<&str, ExecutionCount<'_>> = HashMap::new();
+    let mut by_txn: BTreeMap<&str, Vec<&Execution>> = BTreeMap::new();
     for execution in executions {
-        let entry = counts.entry(&execution.txn).or_insert(ExecutionCount {
-            class: &execution.class,
-            count: 0,
-        });
-        entry.count += 1;
+        by_txn.entry(&execution.txn).or_default().push(execution);
     }
-    let mut executed_twice: Vec<String> = counts
+    let executed_twice = by_txn
         .iter()
-        .filter(|(_, execution)| execution.count > 1 && !free.contains(&execution.class))
-        .map(|(txn, _)| txn.to_string())
+        .filter(|(_, executions)| is_forbidden_repetition(executions, free))
+        .map(|(txn, executions)| RepeatedExecution {
+            txn: (*txn).to_string(),
+            executions: executions.iter().copied().cloned().collect(),
+        })
         .collect();
-    executed_twice.sort();
     let served: Vec<&SentRequest> = sent.iter().filter(|request| is_served(request)).collect();
     let fabricated = served
         .iter()
-        .filter(|request| !counts.contains_key(request.txn.as_str()))
+        .filter(|request| !by_txn.contains_key(request.txn.as_str()))
         .map(|request| request.txn.clone())
         .collect();
     Verdict {
@@ -60,6 +79,12 @@
     }
 }
 
+/// Whether these executions of one request are more than its class allows.
+fn is_forbidden_repetition(executions: &[&Execution], free: &[&str]) -> bool {
+    let is_free = |execution: &&Execution| free.contains(&execution.class.as_str());
+    executions.len() > 1 && !executions.first().is_some_and(is_free)
+}
+
 fn is_served(request: &SentRequest) -> bool {
     request.outcome == Outcome::Served
 }
--- a/crates/fault-injection/src/verdict/tests.rs
+++ b/crates/fault-injection/src/verdict/tests.rs
@@ -33,7 +33,14 @@
         &runs,
         &["balance"],
     );
-    assert_eq!(v.executed_twice, vec!["a".to_string()]);
+    let [repeated] = &v.executed_twice[..] else {
+        panic!("one request expected: {:?}", v.executed_twice)
+    };
+    assert_eq!((&*repeated.txn, &*repeated.executions), ("a", &runs[..2]));
+    assert_eq!(
+        repeated.to_string(),
+        "a was executed on s-0 at 0.000 s, on s-0 at 0.000 s"
+    );
     assert!(v.fabricated.is_empty());
 }
 
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -171,6 +171,8 @@
             ..
         } = self.result;
         let signal_errors: Vec<String> = signal_errors.iter().map(ToString::to_string).collect();
+        let executed_twice = verdict.executed_twice.iter();
+        let executed_twice: Vec<&str> = executed_twice.map(|request| &*request.txn).collect();
         serde_json::json!({
             "scenario": scenario,
             "sent": verdict.sent,
@@ -179,7 +181,7 @@
             "failed": self.failed,
             "broken": self.broken,
             "given_up": self.timed_out,
-            "ran_twice": verdict.executed_twice,
+            "ran_twice": executed_twice,
             "served_without_run": verdict.fabricated,
             "not_as_expected": violations,
             "signals_failed": signal_errors,
