--- a/crates/fault-injection/src/scenario/tests.rs
+++ b/crates/fault-injection/src/scenario/tests.rs
@@ -1,6 +1,8 @@
 //! Tests of `scenario.rs`.
 
 use super::*;
+use crate::fault::FaultKind;
+use crate::stub_servers::DEDUPLICATION_WINDOW;
 
 const DEMO: &str = include_str!("../../../../scenarios/stage/zone-cut.toml");
 
@@ -60,3 +62,54 @@
             .contains("no zone `tacoma`; there is seattle, portland")
     );
 }
+
+/// How long before the end of the deduplication window the last byte that a cut kept must be on its
+/// way again: far more than a busy machine delays the threads of a relay.
+const DELIVERY_MARGIN: Duration = Duration::from_secs(1);
+
+/// The deduplication window of a class in the proxies' configuration; `None` if the class is not
+/// deduplicated.
+fn deduplication_window(class: &str) -> Option<Duration> {
+    let configuration: serde_json::Value = serde_json::from_str(crate::CONFIG).expect("JSON");
+    let classes = configuration["settings"]["classes"].as_array();
+    let is_named = |candidate: &&serde_json::Value| candidate["name"] == class;
+    let settings = classes.expect("a list").iter().find(is_named);
+    let window_us = settings.expect("a class")["dedup_window"].as_u64();
+    window_us.map(Duration::from_micros)
+}
+
+fn shipped_scenarios() -> Vec<Scenario> {
+    let directory = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/stage");
+    let files = std::fs::read_dir(directory).expect("the scenarios");
+    let read = |file: std::io::Result<std::fs::DirEntry>| {
+        let path = file.expect("an entry").path();
+        let text = std::fs::read_to_string(&path).expect("a text file");
+        parse(&text, &path.display().to_string()).expect("valid").0
+    };
+    files.map(read).collect()
+}
+
+/// A cut delivers late what it kept. A pay server to which the late copy of a deduplicated request
+/// comes after its window executes the request again, although no proxy has broken a rule.
+#[test]
+fn shipped_cuts_of_a_deduplicated_class_end_before_its_window() {
+    let mut checked = 0;
+    for scenario in shipped_scenarios() {
+        let Some(window) = deduplication_window(&scenario.load.path[1..]) else {
+            continue;
+        };
+        assert_eq!(window, DEDUPLICATION_WINDOW, "of the stub pay servers");
+        for fault in &scenario.faults {
+            let is_cut = matches!(fault.kind, FaultKind::Cut | FaultKind::CutOneWay);
+            let kept_for = fault.for_s.filter(|_| is_cut).map(Duration::from_secs_f64);
+            let Some(kept_for) = kept_for else { continue };
+            assert!(
+                kept_for + DELIVERY_MARGIN <= window,
+                "{}: {fault:?}",
+                scenario.name
+            );
+            checked += 1;
+        }
+    }
+    assert!(checked > 0, "no shipped scenario cuts a deduplicated class");
+}
