--- a/crates/ironmast/tests/silent_zone.rs
+++ b/crates/ironmast/tests/silent_zone.rs
@@ -1,24 +1,37 @@
-//! A zone that gives no sign, or is slow, or comes and goes: the scenarios of `scenarios/stage/`
-//! played with several real proxies, each judged by its own `[expect]` table and by the pay
-//! servers' execution record.
+//! A zone that is unreachable, slow, or unreachable again and again: the scenarios of
+//! `scenarios/stage/`, run with several real proxies. Each is checked against its own `[expect]`
+//! table and against the pay servers' execution record.
 
-use ironmast_fault_injection::scenario::{parse, run};
+use std::fmt::Write as _;
 
-/// Plays a scenario and tells what does not hold.
-fn failings(text: &str) -> Option<String> {
-    let (scenario, schedule) = parse(text, "the scenario").expect("it reads");
+use ironmast_fault_injection::scenario::{ScenarioResult, parse, run};
+
+/// Runs a scenario from the text of its file.
+fn run_scenario(text: &str) -> ScenarioResult {
+    let (scenario, schedule) = parse(text, "the scenario").expect("a valid scenario");
     let program = env!("CARGO_BIN_EXE_ironmast").into();
-    let played = run(&scenario, schedule, program, |_, _, _| {}).expect("the stage is set up");
-    let logs: Vec<String> = played.logs.iter().map(|lines| lines.join("\n")).collect();
-    let (v, why) = (&played.verdict, (&played.violations, &played.signal_errors));
-    (!played.passed()).then(|| {
-        format!(
-            "{why:?}, twice {:?}, made up {:?}\n{}",
-            v.executed_twice,
-            v.fabricated,
-            logs.join("\n\n")
-        )
-    })
+    run(&scenario, schedule, program, |_, _, _| {}).expect("the deployment is set up")
+}
+
+/// Everything that does not hold, one line each, followed by the proxies' logs.
+fn failure_report(result: &ScenarioResult) -> String {
+    let mut report = String::new();
+    for repeated in &result.verdict.executed_twice {
+        let _ = writeln!(report, "{repeated}");
+    }
+    for txn in &result.verdict.fabricated {
+        let _ = writeln!(report, "{txn} was served but not executed");
+    }
+    for violation in &result.violations {
+        let _ = writeln!(report, "{violation}");
+    }
+    for error in &result.signal_errors {
+        let _ = writeln!(report, "{error}");
+    }
+    for (proxy, lines) in result.logs.iter().enumerate() {
+        let _ = writeln!(report, "\nproxy{proxy}:\n{}", lines.join("\n"));
+    }
+    report
 }
 
 macro_rules! scenarios {
@@ -26,7 +39,8 @@
         #[test]
         fn $test() {
             let text = include_str!(concat!("../../../scenarios/stage/", $file, ".toml"));
-            assert_eq!(failings(text), None);
+            let result = run_scenario(text);
+            assert!(result.passed(), "{}", failure_report(&result));
         }
     )*};
 }
@@ -43,16 +57,23 @@
     a_proxy_that_reaches_nobody_answers_and_serves_again "alone"
 }
 
-/// The verdict's own test: a run that cannot be as expected is not said to be.
+/// The test of the check itself: a run that violates an assertion does not pass.
 #[test]
 fn a_scenario_that_expects_what_does_not_come_is_told_so() {
-    let text = include_str!("../../../scenarios/stage/zone-cut-orders.toml")
+    let shipped = include_str!("../../../scenarios/stage/zone-cut-orders.toml");
+    let without_assertions = shipped
         .replace("length_s = 9.0", "length_s = 1.0")
         .split("[[expect.span]]")
         .next()
-        .expect("a head")
+        .expect("the part before the assertions")
         .to_string();
-    let text =
-        text + "[[expect.span]]\nfrom_s = 0.0\nto_s = 1.0\nzone = \"portland\"\nruns = 0.5\n";
-    assert!(failings(&text).is_some_and(|why| why.contains("runs in portland")));
+    let assertion = "[[expect.span]]\nfrom_s = 0.0\nto_s = 1.0\nzone = \"portland\"\nruns = 0.5\n";
+    let result = run_scenario(&(without_assertions + assertion));
+    assert!(!result.passed());
+    let violates = |violation: &String| violation.contains("runs in portland");
+    assert!(
+        result.violations.iter().any(violates),
+        "{}",
+        failure_report(&result)
+    );
 }
