--- a/crates/ironmast/tests/silent_zone.rs
+++ b/crates/ironmast/tests/silent_zone.rs
@@ -46,20 +46,20 @@
 }
 
 scenarios! {
-    payment_orders_leave_a_silent_zone_and_come_home "zone-cut-orders"
-    answers_lost_one_way_are_silence "zone-one-way-back"
-    requests_lost_one_way_are_silence "zone-one-way-there"
-    a_zone_whose_processes_are_gone_is_left "zone-refused"
+    payment_orders_leave_an_unreachable_zone_and_return "zone-cut-orders"
+    a_zone_whose_responses_are_lost_is_unreachable "zone-one-way-back"
+    a_zone_that_requests_do_not_reach_is_unreachable "zone-one-way-there"
+    a_zone_that_resets_connections_is_left "zone-refused"
     a_zone_eight_times_slower_is_not_left "zone-slow"
-    nobody_moves_where_all_are_slower "all-slow"
-    a_zone_that_comes_and_goes_runs_nothing_twice "zone-flaps"
-    two_silent_zones_of_three_leave_the_third "two-zones-cut"
-    a_proxy_that_reaches_nobody_answers_and_serves_again "alone"
+    no_request_changes_zones_when_all_servers_are_slower "all-slow"
+    a_zone_that_is_unreachable_again_and_again_executes_nothing_twice "zone-flaps"
+    requests_go_to_the_third_zone_when_two_are_unreachable "two-zones-cut"
+    an_isolated_proxy_responds_and_serves_again_once_it_reaches_servers "alone"
 }
 
 /// The test of the check itself: a run that violates an assertion does not pass.
 #[test]
-fn a_scenario_that_expects_what_does_not_come_is_told_so() {
+fn a_scenario_whose_assertion_is_violated_does_not_pass() {
     let shipped = include_str!("../../../scenarios/stage/zone-cut-orders.toml");
     let without_assertions = shipped
         .replace("length_s = 9.0", "length_s = 1.0")
