--- a/crates/testbed/src/hunt/generator.rs
+++ b/crates/testbed/src/hunt/generator.rs
@@ -6,6 +6,34 @@
     FaultKind, Network, Pool, Proxies, Purpose, RetryWait, Rules, Scenario, Stream,
 };
 
+/// All kinds of faults. A seed's faults depend on their order.
+const FAULT_KINDS: [FaultKind; 12] = [
+    FaultKind::Slow,
+    FaultKind::SlowDependency,
+    FaultKind::GreyFailure,
+    FaultKind::Pause,
+    FaultKind::Crash,
+    FaultKind::ZoneLoss,
+    FaultKind::ZonePartition,
+    FaultKind::Deploy,
+    FaultKind::ProxyRestart,
+    FaultKind::Surge,
+    FaultKind::RetryStorm,
+    FaultKind::DiscoveryOutage,
+];
+
+/// The probability that a kind of fault is present in a scenario.
+const FAULT_PROBABILITY: f64 = 0.3;
+
+/// The latest start of a fault, as a share of the scenario's length: its effects show before the end.
+const LAST_FAULT_START: f64 = 0.7;
+
+/// The range of the load, as a share of what warm servers can do: from mostly idle to overloaded.
+const LOAD: (f64, f64) = (0.15, 1.3);
+
+/// The range of the request rate, in requests a second. More would make the hunt slow.
+const RATE: (f64, f64) = (1.0, 3_000.0);
+
 /// Generates a scenario without faults.
 pub(super) fn generate_scenario(seed: u64) -> Scenario {
     let random = &mut Stream::new(seed, Purpose::GeneratedScenarios, 0);
@@ -57,8 +85,8 @@
             .map(|_| random.unit() + 0.01)
             .collect();
     }
-    // From mostly idle to overloaded.
-    scenario.clients.rate = (scenario.capacity() * random.uniform((0.15, 1.3))).clamp(1.0, 3_000.0);
+    let rate = scenario.capacity() * random.uniform(LOAD);
+    scenario.clients.rate = rate.clamp(RATE.0, RATE.1);
     scenario
 }
 
@@ -190,55 +218,56 @@
 
 /// Adds random faults to a scenario: each kind is either present or not.
 pub(super) fn add_faults(scenario: &mut Scenario, seed: u64) {
-    use FaultKind as K;
     let random = &mut Stream::new(seed, Purpose::GeneratedScenarios, 1);
-    for kind in [
-        K::Slow,
-        K::SlowDependency,
-        K::GreyFailure,
-        K::Pause,
-        K::Crash,
-        K::ZoneLoss,
-        K::ZonePartition,
-        K::Deploy,
-        K::ProxyRestart,
-        K::Surge,
-        K::RetryStorm,
-        K::DiscoveryOutage,
-    ] {
-        if random.unit() >= 0.3 {
+    for kind in FAULT_KINDS {
+        if random.unit() >= FAULT_PROBABILITY {
             continue;
         }
-        let zone = scenario.zones[random.below(scenario.zones.len())].clone();
-        let zoned = matches!(kind, K::ZoneLoss | K::ZonePartition) || random.unit() < 0.2;
-        let class = scenario.classes[random.below(scenario.classes.len())]
-            .name
-            .clone();
-        let at_s = (random.unit() * scenario.length_s * 0.7 * 10.0).round() / 10.0;
-        let drawn = Fault {
-            kind,
-            at_s,
-            for_s: (random.uniform((0.2, (scenario.length_s - at_s).max(0.4))) * 10.0).round()
-                / 10.0,
-            share: random.uniform((0.05, 1.0)),
-            zone: if zoned { zone } else { String::new() },
-            class: if kind == K::GreyFailure {
-                class
-            } else {
-                String::new()
-            },
-            factor: random.uniform((1.2, 8.0)),
-            silent: random.unit() < 0.5,
-            include_proxies: random.unit() < 0.5,
-            batch: random.uniform((0.05, 0.6)),
-            drain_s: random.uniform((0.2, 5.0)),
-            pause_s: random.uniform((0.02, 1.0)),
-            retries: 1 + random.below(5) as u32,
-        };
-        scenario.faults.push(drawn);
+        let fault = generate_fault(random, kind, scenario);
+        scenario.faults.push(fault);
         // The fault may concern a zone without servers.
         if scenario.validate().is_err() {
             scenario.faults.pop();
         }
     }
 }
+
+/// Generates a fault of a kind. Settings that the kind does not use are drawn too, so that a seed
+/// gives the same numbers to the others.
+fn generate_fault(random: &mut Stream, kind: FaultKind, scenario: &Scenario) -> Fault {
+    let zone = &scenario.zones[random.below(scenario.zones.len())];
+    let is_zone_fault = matches!(kind, FaultKind::ZoneLoss | FaultKind::ZonePartition);
+    let has_zone = is_zone_fault || random.unit() < 0.2;
+    let class = &scenario.classes[random.below(scenario.classes.len())].name;
+    let has_class = kind == FaultKind::GreyFailure;
+    let at_s = rounded_to_tenths(random.unit() * scenario.length_s * LAST_FAULT_START);
+    let max_for_s = (scenario.length_s - at_s).max(0.4);
+    Fault {
+        kind,
+        at_s,
+        for_s: rounded_to_tenths(random.uniform((0.2, max_for_s))),
+        share: random.uniform((0.05, 1.0)),
+        zone: if has_zone {
+            zone.clone()
+        } else {
+            String::new()
+        },
+        class: if has_class {
+            class.clone()
+        } else {
+            String::new()
+        },
+        factor: random.uniform((1.2, 8.0)),
+        silent: random.unit() < 0.5,
+        include_proxies: random.unit() < 0.5,
+        batch: random.uniform((0.05, 0.6)),
+        drain_s: random.uniform((0.2, 5.0)),
+        pause_s: random.uniform((0.02, 1.0)),
+        retries: 1 + random.below(5) as u32,
+    }
+}
+
+/// Rounded, so that a scenario's file is readable.
+fn rounded_to_tenths(value: f64) -> f64 {
+    (value * 10.0).round() / 10.0
+}
