--- a/crates/testbed/src/compare/summary.rs
+++ b/crates/testbed/src/compare/summary.rs
@@ -3,18 +3,15 @@
 use ironmast_emulator::{PolicyName, Report};
 
 use crate::runner::MeasuredReport;
-use crate::statistics::{Estimate, Metric};
+use crate::statistics::{Estimate, Metric, P99_MS, SERVICE, WORST_WINDOW};
 use crate::table::Table;
 
-/// The service of a run: value served in time divided by value requested.
-const SERVICE: Metric = |report| report.service;
-
 /// The columns with a mean and its interval.
 const METRICS: [(&str, Metric); 4] = [
     ("service", SERVICE),
-    ("worst window", |report| report.worst_window),
+    ("worst window", WORST_WINDOW),
     ("worst class", |report| report.worst_class),
-    ("p99, ms", |report| report.latency_us.p99 as f64 / 1e3),
+    ("p99, ms", P99_MS),
 ];
 
 /// The runs of one scenario under one policy, in the order of their seeds.
--- a/crates/testbed/src/statistics.rs
+++ b/crates/testbed/src/statistics.rs
@@ -8,6 +8,15 @@
 /// A figure of a run, as a function of its report.
 pub(crate) type Metric = fn(&Report) -> f64;
 
+/// The service of a run: the value served in time divided by the value requested.
+pub(crate) const SERVICE: Metric = |report| report.service;
+
+/// The service in the worst window of a run.
+pub(crate) const WORST_WINDOW: Metric = |report| report.worst_window;
+
+/// The 99th percentile of latency, in milliseconds.
+pub(crate) const P99_MS: Metric = |report| report.latency_us.p99 as f64 / 1e3;
+
 /// The quantile of Student's t distribution at the upper end of a two-sided 95 % interval.
 const UPPER_QUANTILE: f64 = 0.975;
 
--- a/crates/testbed/src/sweep.rs
+++ b/crates/testbed/src/sweep.rs
@@ -13,13 +13,10 @@
 use crate::html_report::{Section, html_report};
 use crate::matrix::RunMatrix;
 use crate::runner::MeasuredReport;
-use crate::statistics::{Estimate, Metric};
+use crate::statistics::{Estimate, Metric, P99_MS, SERVICE, WORST_WINDOW};
 use crate::table::Table;
 pub(crate) use variation::Variation;
 
-/// The service of a run: value served in time divided by value requested.
-const SERVICE: Metric = |report| report.service;
-
 /// A figure that is drawn over the varied value.
 struct Plot {
     /// The name of its file.
@@ -38,12 +35,12 @@
     Plot {
         name: "worst-window",
         axis: "service of the worst window, share",
-        metric: |report| report.worst_window,
+        metric: WORST_WINDOW,
     },
     Plot {
         name: "p99",
         axis: "latency of 99 in 100, ms",
-        metric: |report| report.latency_us.p99 as f64 / 1e3,
+        metric: P99_MS,
     },
     Plot {
         name: "load",
