--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -7,7 +7,8 @@
 
 use crate::{days, hunt, sweep};
 
-/// Emulates fleets of proxies and servers, compares policies, and hunts for broken rules.
+/// Simulates fleets of proxies and servers, compares policies, searches for broken rules, and runs
+/// real proxies with injected faults.
 #[derive(Parser)]
 #[command(version, about, max_term_width = 110)]
 pub(crate) struct Cli {
@@ -15,73 +16,73 @@
     pub command: Command,
 }
 
+/// The subcommands.
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Reads a scenario and says what it is, or what is wrong with it.
+    /// Validates a scenario and prints a summary of it.
     Check {
         /// The scenario's file.
         scenario: PathBuf,
     },
-    /// Plays a stage scenario with real proxies on loopback: a table a second, then one verdict.
-    /// Ends with 1 where something ran twice, was served without a run, or is not as the scenario's
-    /// [expect] table says.
+    /// Runs a fault-injection scenario with real proxies on loopback: one row a second, then the
+    /// verdict. The exit code is 1 if a non-idempotent request was executed twice, one was served without an
+    /// execution, or the result differs from the scenario's [expect] table.
     #[allow(rustdoc::broken_intra_doc_links, reason = "printed by --help as it is")]
     Stage {
-        /// The stage scenario's file (see scenarios/stage/).
+        /// The scenario's file (see scenarios/stage/).
         scenario: PathBuf,
-        /// The ironmast program; by default the one beside this program.
+        /// The ironmast program [default: the one beside this program].
         #[arg(long, value_name = "PATH")]
         proxy: Option<PathBuf>,
-        /// Writes the verdict as JSON there; - for standard output.
+        /// Writes the verdict as JSON to this file; - for standard output.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Writes each proxy's log into this folder.
+        /// Writes each proxy's log into this directory.
         #[arg(long, value_name = "DIR")]
         logs: Option<PathBuf>,
     },
-    /// Pay servers in two zones, discovery, three proxies and their load; the proxies' zone is cut
-    /// off for 10 s and comes back. A table a second for 30 s.
+    /// Runs an example of fault injection: pay servers in two zones, discovery, three proxies and
+    /// their load; the proxies are partitioned from their zone's servers for 10 s. One row a second
+    /// for 30 s.
     Demo {
-        /// The ironmast program; by default the one beside this program.
+        /// The ironmast program [default: the one beside this program].
         #[arg(long, value_name = "PATH")]
         proxy: Option<PathBuf>,
     },
-    /// Plays the proxies' membership protocol in simulated time: false downs under loss, bytes a
-    /// second, the time a death takes to be known to all. Ends with 1 where it was not known within
-    /// 60 s.
+    /// Simulates the proxies' membership protocol: false downs under datagram loss, bytes a second,
+    /// and the time until all members know of a crash. The exit code is 1 if that is more than 60 s.
     Membership {
-        /// Members of the tier, 2 to 5,000.
+        /// The number of members, 2 to 5,000.
         #[arg(long, default_value_t = 16)]
         members: usize,
-        /// The share of datagrams lost, 0 to 0.9.
+        /// The probability that a datagram is lost, 0 to 0.9.
         #[arg(long, default_value_t = 0.0)]
         loss: f64,
-        /// Seconds under loss before the death, 1 to 3,600.
+        /// The time with loss before the crash in seconds, 1 to 3,600.
         #[arg(long, default_value_t = 60.0)]
         seconds: f64,
         /// The seed of the losses.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// One line of JSON in place of the line for people.
+        /// Prints one line of JSON in place of text.
         #[arg(long)]
         json: bool,
     },
-    /// Plays one run and prints what the judge found. Ends with 1 where a rule was broken.
+    /// Runs a scenario once and prints the result. The exit code is 1 if a rule was broken.
     Emulate {
         /// The scenario's file.
         scenario: PathBuf,
-        /// The seed of all draws.
+        /// The seed of all random numbers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// The policy in the proxies.
+        /// The policy of the proxies.
         #[arg(long, default_value = "module")]
         policy: PolicyName,
-        /// Writes the result as JSON there; - for standard output, in place of the lines for
-        /// people.
+        /// Writes the result as JSON to this file in place of text; - for standard output.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
     },
-    /// Plays scenarios under several policies and the same seeds; tables, CSV, pictures and a
+    /// Runs scenarios under several policies with the same seeds; writes tables, CSV, charts and a
     /// report.
     Compare {
         /// The scenarios' files.
@@ -90,7 +91,7 @@
         #[command(flatten)]
         comparison: ComparisonArguments,
     },
-    /// Plays a scenario with one figure varied.
+    /// Runs a scenario with one of its numbers varied.
     Sweep {
         /// The scenario's file.
         scenario: PathBuf,
@@ -102,28 +103,29 @@
         #[command(flatten)]
         comparison: ComparisonArguments,
     },
-    /// Draws random troubles, looks for broken rules, panics, stuck requests and service far under
-    /// a reference, and shrinks what it finds. Ends with 1 where something was found.
+    /// Searches random scenarios for broken rules, panics, runs that do not terminate and service far
+    /// below a reference, and shrinks what it finds. The exit code is 1 if there is a finding.
     Hunt(hunt::Hunt),
-    /// Plays days of the system on the operators' bench, over seeds, and lists what broke. Plays
-    /// that are kept from an earlier call aren't repeated. Ends with 1 where a rule was broken or a
-    /// play gave no report.
+    /// Runs days of the system on the operators' bench, over seeds, and lists broken rules. Runs that
+    /// are stored from an earlier call are not repeated. The exit code is 1 if a rule was broken or a
+    /// run gave no report.
     Days(days::Days),
 }
 
+/// The arguments that `compare` and `sweep` share.
 #[derive(Args)]
 pub(crate) struct ComparisonArguments {
-    /// The policies, the one that others are held against first.
+    /// The policies; differences are from the first.
     #[arg(
         long,
         value_delimiter = ',',
         default_value = "module,two-choices,zone-round-robin,ceiling"
     )]
     pub policies: Vec<PolicyName>,
-    /// Seeds 1 to N, the same for every policy.
+    /// The number of seeds; each policy has the same, 1 to N.
     #[arg(long, default_value_t = 8)]
     pub seeds: u64,
-    /// Where tables, pictures and the report go.
+    /// The directory for tables, charts and the report.
     #[arg(long)]
     pub out: PathBuf,
 }
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -30,7 +30,7 @@
     /// The bench's program.
     #[arg(long, value_name = "PATH")]
     bench: PathBuf,
-    /// The deployments' site files.
+    /// The site files of the deployments.
     #[arg(long = "site", value_name = "FILE", required = true)]
     sites: Vec<PathBuf>,
     /// The day files (see scenarios/system/).
@@ -43,20 +43,19 @@
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     first_seed: u64,
-    /// How many seeds, counted up from the first.
+    /// The number of seeds, counted up from the first.
     #[arg(long, default_value_t = 3)]
     seeds: u64,
-    /// Days played side by side.
+    /// The number of days that run in parallel.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=64))]
     jobs: u16,
-    /// Plays without charging processor time: a run then mostly repeats.
+    /// Runs without charging processor time: a run is then mostly repeatable.
     #[arg(long)]
     no_cpu: bool,
-    /// The reason that the bench's journal notes.
+    /// The reason that the bench records in its journal.
     #[arg(long)]
     why: String,
-    /// The folder that keeps what the bench printed of each play. One for each state of the
-    /// sources.
+    /// The directory for the bench's output of each run. Use another for other sources.
     #[arg(long, value_name = "DIR")]
     out: PathBuf,
 }
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -59,24 +59,24 @@
 /// The arguments of `hunt`.
 #[derive(clap::Args)]
 pub(crate) struct Hunt {
-    /// Draw troubles for this scenario; whole scenarios are drawn where it is left out.
+    /// The scenario to which random faults are added; by default, scenarios are random too.
     pub scenario: Option<PathBuf>,
-    /// The seeds, as in 0..2000 (the last one is left out).
+    /// The seeds, as in 0..2000 (without the last).
     #[arg(long, default_value = "0..200")]
     pub seeds: Seeds,
-    /// Ends after this time, with what was found so far.
+    /// Ends after this time in minutes, with the findings so far.
     #[arg(long)]
     pub minutes: Option<f64>,
-    /// The policy that is hunted.
+    /// The policy under test.
     #[arg(long, default_value = "module")]
     pub policy: PolicyName,
     /// The policy whose service is the reference.
     #[arg(long, default_value = "two-choices")]
     pub reference: PolicyName,
-    /// Service this far under the reference's is a finding.
+    /// Service this far below the reference's is a finding.
     #[arg(long, default_value_t = 0.25)]
     pub gap: f64,
-    /// Where scenario files of findings go.
+    /// The directory for the scenario files of findings.
     #[arg(long)]
     pub out: PathBuf,
 }
--- a/crates/testbed/src/hunt/shrink.rs
+++ b/crates/testbed/src/hunt/shrink.rs
@@ -2,7 +2,7 @@
 
 use ironmast_emulator::{Arrivals, Clients, DiscoverySpec, Fault, Network, RetryWait, Scenario};
 
-/// The time that is left after the end of the last fault, in seconds.
+/// The time that remains after the end of the last fault, in seconds.
 const TIME_AFTER_FAULTS_S: f64 = 3.0;
 
 /// The shortest scenario, in seconds.
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -17,7 +17,7 @@
 use crate::files::{self, FileError};
 
 /// The scenario of `demo`.
-pub(crate) const DEMO: &str = include_str!("../../../scenarios/stage/zone-cut.toml");
+const DEMO: &str = include_str!("../../../scenarios/stage/zone-cut.toml");
 
 /// The arguments of `stage` and `demo`.
 pub(crate) struct StageArguments {
