--- a/crates/agent/src/gate_link.rs
+++ b/crates/agent/src/gate_link.rs
@@ -76,20 +76,16 @@
         let (mut receiver, mut sender) = link::split::<FromGate, ToGate>(stream)?;
         let (updates, mut outgoing) = mpsc::unbounded_channel();
         self.state.borrow_mut().entries.subscribe(updates);
-        loop {
-            tokio::select! {
-                frame = outgoing.recv() => match frame {
-                    Some(frame) => sender.send(&frame).await?,
-                    None => return Ok(()),
-                },
-                frame = receiver.next() => match frame? {
-                    Some(FromGate::Status { frontend, ready }) => {
-                        self.on_status(ReportedStatus { frontend, ready });
-                    }
-                    None => return Ok(()),
-                },
-            }
-        }
+        link::exchange(
+            &mut receiver,
+            &mut sender,
+            &mut outgoing,
+            |FromGate::Status { frontend, ready }| {
+                self.on_status(ReportedStatus { frontend, ready });
+            },
+        )
+        .await?;
+        Ok(())
     }
 
     fn on_status(&mut self, status: ReportedStatus) {
--- a/crates/coordinator/src/links.rs
+++ b/crates/coordinator/src/links.rs
@@ -61,6 +61,7 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let node = Rc::clone(&node);
+                // Links fail whenever another node restarts; the node has unsubscribed it by then.
                 actix_rt::spawn(async move { drop(serve_subscriber(node, stream).await) });
             }
             Err(_) => tokio::time::sleep(RECONNECT_DELAY).await,
@@ -72,6 +73,7 @@
 async fn keep_connected(node: SharedNode, address: SocketAddr) {
     let inbound = node.borrow_mut().inbound_notify(address);
     loop {
+        // Links fail whenever another node restarts; whatever the error, the link is opened again.
         let _ = run_peer_link(&node, address).await;
         tokio::select! {
             () = tokio::time::sleep(RECONNECT_DELAY) => {}
@@ -129,21 +131,10 @@
     if let Some(coordinator) = hello.coordinator {
         node.borrow_mut().inbound_notify(coordinator).notify_one();
     }
-    let result: Result<()> = async {
-        loop {
-            tokio::select! {
-                frame = outgoing.recv() => match frame {
-                    Some(frame) => sender.send(&frame).await?,
-                    None => return Ok(()),
-                },
-                frame = receiver.next() => match frame? {
-                    Some(frame) => node.borrow_mut().receive_subscriber_frame(frame),
-                    None => return Ok(()),
-                },
-            }
-        }
-    }
+    let result = link::exchange(&mut receiver, &mut sender, &mut outgoing, |frame| {
+        node.borrow_mut().receive_subscriber_frame(frame);
+    })
     .await;
     node.borrow_mut().unsubscribe(id);
-    result
+    Ok(result?)
 }
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -17,6 +17,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use tokio::net::TcpStream;
+use tokio::sync::mpsc;
 use tokio_util::codec::Framed;
 
 use crate::frames::{FrameCodec, FrameError, LinkErrorKind, decode, encode};
@@ -189,3 +190,28 @@
             .map_err(|source| Error::Send { peer, source })
     }
 }
+
+/// Sends what is in `outgoing`, and passes each message that is received to `on_message`, until the
+/// peer closes the link or the last sender of `outgoing` is dropped.
+///
+/// # Errors
+/// Where the connection fails, a message is too long, or what arrives is not a message.
+pub async fn exchange<In: DeserializeOwned, Out: Serialize>(
+    receiver: &mut Receiver<In>,
+    sender: &mut Sender<Out>,
+    outgoing: &mut mpsc::UnboundedReceiver<Out>,
+    mut on_message: impl FnMut(In),
+) -> Result<(), Error> {
+    loop {
+        tokio::select! {
+            message = outgoing.recv() => match message {
+                Some(message) => sender.send(&message).await?,
+                None => return Ok(()),
+            },
+            message = receiver.next() => match message? {
+                Some(message) => on_message(message),
+                None => return Ok(()),
+            },
+        }
+    }
+}
