--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -70,6 +70,7 @@
         state
             .borrow_mut()
             .add_coordinators(&settings.seed_coordinators());
+        // Runs until the process ends.
         actix_rt::spawn(coordinator_link::run(Rc::clone(&state)));
         let (overlay, entries) = OverlayHandle::start(settings, Role::Agent, log).await?;
         info!(log, "agent started"; "feed" => %feed, "zone" => &settings.zone);
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -68,6 +68,7 @@
         .wrap_err_with(|| format!("listening at {at}"))?
         .run();
     let handle = server.handle();
+    // It ends by its handle, which the caller stops and awaits.
     actix_rt::spawn(server);
     Ok(handle)
 }
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -194,6 +194,7 @@
     /// contact, so that the outcome is then replaced by an error.
     fn complete(&mut self, operation: CompletedOperation) {
         let is_out_of_contact = self.contact == ContactState::OutOfContact;
+        // A caller whose client has disconnected is gone, so that its channel may be closed.
         match operation {
             CompletedOperation::Change { outcome, reply } => {
                 let _ = reply.send(if is_out_of_contact {
--- a/crates/coordinator/src/node/commands.rs
+++ b/crates/coordinator/src/node/commands.rs
@@ -44,6 +44,7 @@
             Command::Resolve { query, reply } => {
                 let policy = self.contact.policy(Request::Resolve);
                 let gates = self.endpoints.gates();
+                // The caller is gone if its client has disconnected.
                 let _ = reply.send(self.directory.resolve(policy, &gates, &query));
             }
         }
@@ -56,6 +57,7 @@
         reply: oneshot::Sender<ChangeOutcome>,
     ) {
         if self.contact.policy(request) == RequestPolicy::Reject {
+            // The caller is gone if its client has disconnected.
             let _ = reply.send(Err(ChangeError::OutOfContact));
             return;
         }
@@ -65,6 +67,7 @@
 
     fn read(&mut self, reply: oneshot::Sender<ReadOutcome>) {
         if self.contact.policy(Request::Read) == RequestPolicy::Reject {
+            // The caller is gone if its client has disconnected.
             let _ = reply.send(Err(ReadError::OutOfContact));
             return;
         }
@@ -98,6 +101,7 @@
         key: Key,
         reply: oneshot::Sender<RegistrationOutcome>,
     ) {
+        // A caller whose server has disconnected is gone, so that its channel may be closed.
         match self.contact.policy(request) {
             RequestPolicy::AcknowledgeByMajority => self.replicate(key, reply),
             RequestPolicy::Acknowledge => {
@@ -112,7 +116,8 @@
     /// Sends the entry of a server to all peers; the server is answered once a majority has it.
     fn replicate(&mut self, key: Key, reply: oneshot::Sender<RegistrationOutcome>) {
         let Some(entry) = self.endpoints.get(&key).cloned() else {
-            // Another coordinator may know the server, and would not learn of this report.
+            // Another coordinator may know the server, and would not learn of this report. The caller
+            // is gone if its server has disconnected.
             let _ = reply.send(Err(RegistrationError::UnknownServer));
             return;
         };
--- a/crates/coordinator/src/node/links.rs
+++ b/crates/coordinator/src/node/links.rs
@@ -101,6 +101,7 @@
             .keys()
             .filter_map(|key| self.endpoints.get(key));
         for entry in entries {
+            // A link that has failed already is replaced by one that begins with these entries.
             let _ = queue.send(ToCoordinator::Entries(vec![entry.clone()]));
         }
     }
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -53,6 +53,7 @@
     /// Queues a frame for a peer. It is lost if there is no link, or if the link has failed.
     pub(crate) fn send(&self, to: SocketAddr, frame: ToCoordinator) {
         if let Some(queue) = self.queues.get(&to) {
+            // The link has failed; the register and the reports send again what was not answered.
             let _ = queue.send(frame);
         }
     }
@@ -60,6 +61,7 @@
     /// Queues a frame for every peer with a link; frames for links that have failed are lost.
     pub(crate) fn broadcast(&self, frame: &ToCoordinator) {
         for queue in self.queues.values() {
+            // As in `send`.
             let _ = queue.send(frame.clone());
         }
     }
--- a/crates/coordinator/src/pending_reports.rs
+++ b/crates/coordinator/src/pending_reports.rs
@@ -27,6 +27,7 @@
 
 impl PendingReport {
     fn complete(self, outcome: RegistrationOutcome) {
+        // The caller is gone if its server has disconnected.
         let _ = self.reply.send(outcome);
     }
 }
--- a/crates/coordinator/src/register_log.rs
+++ b/crates/coordinator/src/register_log.rs
@@ -83,6 +83,7 @@
         let (file, recovered) = recover(folder, &disk, &settings, log)?;
         let (queue, completions) = mpsc::unbounded_channel();
         let clock = Instant::now();
+        // The receiver is gone only once the event loop has ended.
         let complete = move |completion| drop(queue.send(completion));
         let writer = Writer::spawn(file, move || clock.elapsed(), complete)
             .wrap_err("starting the log's thread")?;
--- a/crates/gate/src/attempt/response.rs
+++ b/crates/gate/src/attempt/response.rs
@@ -119,6 +119,7 @@
         let draining = async move { _ = self.buffer(MAX_DRAINED_BYTES).await };
         let mut draining = Box::pin(tokio::time::timeout(DRAIN_TIMEOUT, draining));
         if (&mut draining).now_or_never().is_none() {
+            // Ends by itself within the timeout.
             actix_rt::spawn(draining);
         }
     }
--- a/crates/gate/src/health.rs
+++ b/crates/gate/src/health.rs
@@ -37,6 +37,7 @@
             .borrow_mut()
             .due_health_checks(gate.clock.now(), &mut due);
         for check in due.drain(..) {
+            // Ends by itself within the timeout of a check.
             actix_rt::spawn(check_ejected(Rc::clone(&gate), check));
         }
         let invalidated = gate.limits.borrow_mut().take_invalidated();
@@ -126,7 +127,7 @@
     };
     let outcome = outcome_of(response.status(), response.headers(), instance);
     let warmup_remaining_ms = warmup_remaining_ms(response.headers());
-    // The body is read to its end, so that the connection can be reused.
+    // The body is read to its end, so that the connection can be reused; if that fails, it is closed.
     let _ = tokio::time::timeout(CHECK_TIMEOUT, response.body()).await;
     HealthCheckResult {
         outcome,
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -123,6 +123,7 @@
 ) {
     let listener = Rc::clone(listener);
     let set_limits = move |limits| listener.set_limits(limits);
+    // These run until the process ends; what they own is released with it.
     actix_rt::spawn(feed::run(Rc::clone(gate), frontend, set_limits));
     actix_rt::spawn(health::run(Rc::clone(gate)));
     peers::start(gate);
--- a/crates/overlay-transport/src/connection.rs
+++ b/crates/overlay-transport/src/connection.rs
@@ -82,6 +82,7 @@
     events: EventSender,
 ) {
     if try_open(peer, id, local_address, &events).await.is_err() {
+        // The driver has ended: nobody is waiting for its connections.
         let _ = events.send(ConnectionEvent::ConnectFailed { peer }).await;
     }
 }
@@ -101,6 +102,7 @@
 
 /// Serves an accepted connection until it closes.
 pub(crate) async fn accept(stream: TcpStream, id: ConnectionId, events: EventSender) {
+    // A peer that fails before its hello is unknown to the driver; it connects again.
     let _ = try_accept(stream, id, &events).await;
 }
 
@@ -124,6 +126,7 @@
     mut sender: link::Sender<Frame>,
     events: &EventSender,
 ) {
+    // Sending an event fails only once the driver has ended; it has then dropped the queue, too.
     let (queue, mut outgoing, dropped) = send_queue();
     let established = ConnectionEvent::Established { peer, id, queue };
     let _ = events.send(established).await;
--- a/crates/overlay-transport/src/driver.rs
+++ b/crates/overlay-transport/src/driver.rs
@@ -180,11 +180,13 @@
         let id = self.next_connection();
         let local_address = self.overlay.node().address;
         let events = self.events.clone();
+        // Ends once the driver drops its queue, or with the peer; its events say so.
         actix_rt::spawn(connection::open(peer, id, local_address, events));
     }
 
     fn accept(&mut self, stream: TcpStream) {
         let id = self.next_connection();
+        // As in `connect`.
         actix_rt::spawn(connection::accept(stream, id, self.events.clone()));
     }
 
--- a/crates/overlay-transport/src/send_queue.rs
+++ b/crates/overlay-transport/src/send_queue.rs
@@ -54,6 +54,7 @@
         messages: receiver,
         queued_bytes,
     };
+    // Nothing is ever sent: the error is the signal.
     let dropped = async move { drop(dropped.await) };
     (queue, receiver, dropped)
 }
@@ -70,6 +71,7 @@
             return Err(QueueFull);
         }
         self.queued_bytes.set(queued_after);
+        // The connection has closed; its `Closed` event is on its way to the driver.
         let _ = self.messages.send(message);
         Ok(())
     }
--- a/crates/transport/src/frames/tcp.rs
+++ b/crates/transport/src/frames/tcp.rs
@@ -227,6 +227,7 @@
         let (link, shared) = (context.next_link(), Shared::new(&context.options));
         let context = Arc::clone(&context);
         tokio::spawn(async move {
+            // As in `report`: the receiver is gone where the transport has been dropped.
             let _ = context
                 .reports
                 .send(Report::Accepted(link, Arc::clone(&shared)))
@@ -357,6 +358,7 @@
 /// Reads and discards what still arrives on a closed link. Guards what was written last: the kernel
 /// resets a connection that is closed with bytes unread.
 async fn drain(reader: &mut Reader, time_limit: Duration) {
+    // The connection is closed afterwards in either case.
     let _ = timeout(time_limit, async {
         while let Some(Ok(_)) = reader.next().await {}
     })
--- a/crates/transport/src/listener.rs
+++ b/crates/transport/src/listener.rs
@@ -148,7 +148,7 @@
             // The permit comes first: guards against accepting what cannot be served.
             let Some(permit) = self.budget.try_acquire() else {
                 // The wait is limited: a connection that was chosen to be closed may send a request
-                // at that moment and stay.
+                // at that moment and stay. Whether it ran out makes no difference to the next attempt.
                 let _ = tokio::time::timeout(ACCEPT_RETRY_DELAY, self.budget.released()).await;
                 continue;
             };
--- a/crates/transport/src/sockets.rs
+++ b/crates/transport/src/sockets.rs
@@ -43,6 +43,7 @@
         AddressFamily::INET6
     };
     let socket = rustix::net::socket(family, SocketType::DGRAM, None)?;
+    // As in `listen`.
     let _ = sockopt::set_socket_reuseport(&socket, true);
     rustix::net::bind(&socket, &address)?;
     let socket = std::net::UdpSocket::from(socket);
