--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -17,6 +17,11 @@
 
 use crate::pairs::Pairs;
 
+/// The time-out of connecting, unless the deployment has another.
+const CONNECT_TIMEOUT: Micros = 200_000;
+/// The time after which servers close an idle connection, unless the deployment has another.
+const KEEPALIVE: Micros = 60_000_000;
+
 /// The settings of a deployment: those of the decision module, and the names that others use for
 /// its ids.
 #[derive(Clone, Debug)]
@@ -52,8 +57,8 @@
             tenants: pairs.names("tenants")?,
             zones: pairs.list("zones"),
             load_report: LoadReportColumns::new(pairs.list("load_report.names")),
-            connect_timeout: pairs.u64_or("limits.connect_timeout", 200_000)?,
-            keepalive: pairs.u64_or("limits.keepalive", 60_000_000)?,
+            connect_timeout: pairs.value_or("limits.connect_timeout", CONNECT_TIMEOUT)?,
+            keepalive: pairs.value_or("limits.keepalive", KEEPALIVE)?,
         })
     }
 }
--- a/crates/settings/src/module.rs
+++ b/crates/settings/src/module.rs
@@ -1,7 +1,8 @@
 //! The settings of the decision module.
 
 use ironmast_balancer::{
-    ClassSettings, Discovery, Effect, Group, Settings, SizeMeaning, TenantSettings,
+    ClassSettings, Discovery, Effect, Group, Limits, Penalties, Safety, Settings, SizeMeaning,
+    TenantSettings,
 };
 
 use crate::error::FieldError;
@@ -12,19 +13,19 @@
 /// The paths are read in a fixed order: the first wrong one is the one reported.
 pub(crate) fn settings(pairs: &Pairs) -> Result<Settings, FieldError> {
     let mut settings = Settings::default();
-    settings.balancers = pairs.u32_or("balancers", settings.balancers)?;
-    settings.balancer_index = pairs.u32_or("me", settings.balancer_index)?;
+    pairs.update("balancers", &mut settings.balancers)?;
+    pairs.update("me", &mut settings.balancer_index)?;
     settings.classes = classes(pairs)?;
-    settings.tenants.extend(tenants(pairs)?);
-    settings.over_share_value = pairs.f64_or("over_share_worth", settings.over_share_value)?;
+    settings.tenants = tenants(pairs)?;
+    pairs.update("over_share_worth", &mut settings.over_share_value)?;
     read_zones(pairs, &mut settings)?;
     settings.discovery = discovery(pairs)?;
     settings.sizes = size_meaning(pairs);
-    settings.key_affinity = pairs.bool_or("specifics.warm_keys", false)?;
-    settings.tick = pairs.u64_or("tick", settings.tick)?;
-    read_limits(pairs, &mut settings)?;
-    read_safety(pairs, &mut settings)?;
-    read_penalties(pairs, &mut settings)?;
+    pairs.update("specifics.warm_keys", &mut settings.key_affinity)?;
+    pairs.update("tick", &mut settings.tick)?;
+    read_limits(pairs, &mut settings.limits)?;
+    read_safety(pairs, &mut settings.safety)?;
+    read_penalties(pairs, &mut settings.penalties)?;
     Ok(settings)
 }
 
@@ -37,12 +38,12 @@
     let path = |key: &str| format!("classes.{index}.{key}");
     let effect = effect(pairs, path)?;
     Ok(ClassSettings {
-        latency_target: pairs.required_u64(&path("objective"))?,
-        deadline: pairs.required_u64(&path("hard_limit"))?,
+        latency_target: pairs.required_value(&path("objective"))?,
+        deadline: pairs.required_value(&path("hard_limit"))?,
         effect,
-        value: pairs.f64_or(&path("worth"), 1.0)?,
-        late_value_share: pairs.f64_or(&path("late_share"), 0.0)?,
-        streaming: pairs.bool_or(&path("streaming"), false)?,
+        value: pairs.value_or(&path("worth"), 1.0)?,
+        late_value_share: pairs.value_or(&path("late_share"), 0.0)?,
+        streaming: pairs.value_or(&path("streaming"), false)?,
     })
 }
 
@@ -53,7 +54,7 @@
         "single_shot" => Ok(Effect::NonIdempotent),
         "guarded" => Ok(Effect::Deduplicated {
             group: deduplication_group(pairs, &path("dedup_scope"))?,
-            window: pairs.u64_or(&path("dedup_window"), 0)?,
+            window: pairs.value_or(&path("dedup_window"), 0)?,
         }),
         other => Err(FieldError::new(
             path("effect"),
@@ -80,8 +81,9 @@
     (0..count)
         .map(|index| {
             Ok(TenantSettings {
-                allowance_per_s: pairs.f64_or(&format!("tenants.{index}.allowance_per_s"), 0.0)?,
-                share: pairs.f64_or(&format!("tenants.{index}.share"), 0.0)?,
+                allowance_per_s: pairs
+                    .value_or(&format!("tenants.{index}.allowance_per_s"), 0.0)?,
+                share: pairs.value_or(&format!("tenants.{index}.share"), 0.0)?,
             })
         })
         .collect()
@@ -118,34 +120,31 @@
     }
 }
 
-fn read_limits(pairs: &Pairs, settings: &mut Settings) -> Result<(), FieldError> {
-    let limits = &mut settings.limits;
-    limits.max_attempts = pairs.u32_or("limits.most_tries", limits.max_attempts)?;
-    limits.allow_hedging = pairs.bool_or("limits.may_duplicate", limits.allow_hedging)?;
-    limits.cancel = pairs.bool_or("limits.cancelling", limits.cancel)?;
-    limits.probes = pairs.bool_or("limits.probes", limits.probes)?;
-    limits.peers = pairs.bool_or("limits.peers", limits.peers)?;
-    limits.retry_after = pairs.bool_or("limits.retry_after", limits.retry_after)?;
-    limits.max_retry_after = pairs.u64_or("limits.max_retry_after", limits.max_retry_after)?;
+fn read_limits(pairs: &Pairs, limits: &mut Limits) -> Result<(), FieldError> {
+    pairs.update("limits.most_tries", &mut limits.max_attempts)?;
+    pairs.update("limits.may_duplicate", &mut limits.allow_hedging)?;
+    pairs.update("limits.cancelling", &mut limits.cancel)?;
+    pairs.update("limits.probes", &mut limits.probes)?;
+    pairs.update("limits.peers", &mut limits.peers)?;
+    pairs.update("limits.retry_after", &mut limits.retry_after)?;
+    pairs.update("limits.max_retry_after", &mut limits.max_retry_after)?;
     Ok(())
 }
 
-fn read_safety(pairs: &Pairs, settings: &mut Settings) -> Result<(), FieldError> {
-    let safety = &mut settings.safety;
-    safety.answer_slack = pairs.u64_or("safety.answer_slack", safety.answer_slack)?;
-    safety.discovery_interval = pairs.u64_or("safety.ask_within", safety.discovery_interval)?;
-    safety.initial_capacity = pairs.f64_or("safety.cold_share", safety.initial_capacity)?;
-    safety.warm_up = pairs.u64_or("safety.cold", safety.warm_up)?;
-    safety.drain_grace = pairs.u64_or("safety.drain_grace", safety.drain_grace)?;
-    safety.overload_window = pairs.u64_or("safety.fall", safety.overload_window)?;
-    safety.overload_multiple = pairs.f64_or("safety.fall_multiple", safety.overload_multiple)?;
+fn read_safety(pairs: &Pairs, safety: &mut Safety) -> Result<(), FieldError> {
+    pairs.update("safety.answer_slack", &mut safety.answer_slack)?;
+    pairs.update("safety.ask_within", &mut safety.discovery_interval)?;
+    pairs.update("safety.cold_share", &mut safety.initial_capacity)?;
+    pairs.update("safety.cold", &mut safety.warm_up)?;
+    pairs.update("safety.drain_grace", &mut safety.drain_grace)?;
+    pairs.update("safety.fall", &mut safety.overload_window)?;
+    pairs.update("safety.fall_multiple", &mut safety.overload_multiple)?;
     Ok(())
 }
 
-fn read_penalties(pairs: &Pairs, settings: &mut Settings) -> Result<(), FieldError> {
-    let penalties = &mut settings.penalties;
-    penalties.cross_zone = pairs.f64_or("penalties.cross_zone", penalties.cross_zone)?;
-    penalties.waste = pairs.f64_or("penalties.waste", penalties.waste)?;
-    penalties.late_fail = pairs.f64_or("penalties.late_fail", penalties.late_fail)?;
+fn read_penalties(pairs: &Pairs, penalties: &mut Penalties) -> Result<(), FieldError> {
+    pairs.update("penalties.cross_zone", &mut penalties.cross_zone)?;
+    pairs.update("penalties.waste", &mut penalties.waste)?;
+    pairs.update("penalties.late_fail", &mut penalties.late_fail)?;
     Ok(())
 }
--- a/crates/settings/src/pairs.rs
+++ b/crates/settings/src/pairs.rs
@@ -4,6 +4,43 @@
 
 use crate::error::{FieldError, parse_finite, parse_number};
 
+/// A type of values.
+pub(crate) trait Value: Sized {
+    /// Parses the value of the setting at `path`.
+    fn parse(path: &str, text: &str) -> Result<Self, FieldError>;
+}
+
+impl Value for u32 {
+    fn parse(path: &str, text: &str) -> Result<Self, FieldError> {
+        parse_number(path, text)
+    }
+}
+
+impl Value for u64 {
+    fn parse(path: &str, text: &str) -> Result<Self, FieldError> {
+        parse_number(path, text)
+    }
+}
+
+impl Value for f64 {
+    fn parse(path: &str, text: &str) -> Result<Self, FieldError> {
+        parse_finite(path, text)
+    }
+}
+
+impl Value for bool {
+    fn parse(path: &str, text: &str) -> Result<Self, FieldError> {
+        match text {
+            "true" | "1" => Ok(true),
+            "false" | "0" => Ok(false),
+            _ => Err(FieldError::new(
+                path,
+                format!("`{text}` is not true or false"),
+            )),
+        }
+    }
+}
+
 /// The settings by path. An empty value and `-` stand for an absent one.
 pub(crate) struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
 
@@ -12,6 +49,7 @@
         Self(pairs.into_iter().collect())
     }
 
+    /// The text of a setting, unless it is absent.
     pub(crate) fn get(&self, path: &str) -> Option<&'a str> {
         self.0
             .get(path)
@@ -19,42 +57,33 @@
             .filter(|value| !value.is_empty() && *value != "-")
     }
 
+    /// The text of a setting that must be present.
     pub(crate) fn required(&self, path: &str) -> Result<&'a str, FieldError> {
         self.get(path)
             .ok_or_else(|| FieldError::new(path, "missing"))
     }
 
-    pub(crate) fn required_u64(&self, path: &str) -> Result<u64, FieldError> {
-        parse_number(path, self.required(path)?)
-    }
-
-    pub(crate) fn f64_or(&self, path: &str, default: f64) -> Result<f64, FieldError> {
-        self.get(path)
-            .map_or(Ok(default), |value| parse_finite(path, value))
-    }
-
-    pub(crate) fn u64_or(&self, path: &str, default: u64) -> Result<u64, FieldError> {
-        self.get(path)
-            .map_or(Ok(default), |value| parse_number(path, value))
+    /// The value of a setting that must be present.
+    pub(crate) fn required_value<T: Value>(&self, path: &str) -> Result<T, FieldError> {
+        T::parse(path, self.required(path)?)
     }
 
-    pub(crate) fn u32_or(&self, path: &str, default: u32) -> Result<u32, FieldError> {
-        self.get(path)
-            .map_or(Ok(default), |value| parse_number(path, value))
-    }
-
-    pub(crate) fn bool_or(&self, path: &str, default: bool) -> Result<bool, FieldError> {
+    /// The value of a setting, or `default` if it is absent.
+    pub(crate) fn value_or<T: Value>(&self, path: &str, default: T) -> Result<T, FieldError> {
         match self.get(path) {
+            Some(text) => T::parse(path, text),
             None => Ok(default),
-            Some("true" | "1") => Ok(true),
-            Some("false" | "0") => Ok(false),
-            Some(other) => Err(FieldError::new(
-                path,
-                format!("`{other}` is not true or false"),
-            )),
         }
     }
 
+    /// Replaces `value` by that of a setting, unless it is absent.
+    pub(crate) fn update<T: Value>(&self, path: &str, value: &mut T) -> Result<(), FieldError> {
+        if let Some(text) = self.get(path) {
+            *value = T::parse(path, text)?;
+        }
+        Ok(())
+    }
+
     /// The values of a list that is separated by commas.
     pub(crate) fn list(&self, path: &str) -> Vec<String> {
         self.get(path)
@@ -65,7 +94,7 @@
     /// The names of the elements of `collection`, which has its length in `<collection>.count` and
     /// the names in `<collection>.<index>.name`.
     pub(crate) fn names(&self, collection: &str) -> Result<Vec<String>, FieldError> {
-        let count = self.u32_or(&format!("{collection}.count"), 0)?;
+        let count = self.value_or(&format!("{collection}.count"), 0u32)?;
         (0..count)
             .map(|index| {
                 self.required(&format!("{collection}.{index}.name"))
