--- a/crates/ironmast/tests/system/mod.rs
+++ b/crates/ironmast/tests/system/mod.rs
@@ -6,7 +6,7 @@
 pub(crate) mod client;
 
 use std::fs;
-use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
+use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -44,6 +44,19 @@
     seeds: Vec<SocketAddr>,
 }
 
+/// The first of [`PORTS`] consecutive ports that are free at an address of the test's own.
+///
+/// At 127.0.0.1 they may not exist for a minute: other tests' closed connections occupy half of the
+/// system's ports there.
+fn first_of_free_ports(ip: IpAddr) -> Option<u16> {
+    let listener = TcpListener::bind((ip, 0)).ok()?;
+    let first = listener.local_addr().ok()?.port();
+    drop(listener);
+    let is_free = |port| TcpListener::bind((ip, port)).is_ok();
+    let ports = first..first.checked_add(PORTS)?;
+    ports.into_iter().all(is_free).then_some(first)
+}
+
 impl Site {
     /// A site whose seeds are the first `coordinators` machines.
     pub(crate) fn new(coordinators: u8) -> Self {
@@ -59,15 +72,7 @@
             port: 0,
             seeds: vec![],
         };
-        site.port = eventually("free ports", || {
-            let first = TcpListener::bind("127.0.0.1:0")
-                .ok()?
-                .local_addr()
-                .ok()?
-                .port();
-            let free = |port| TcpListener::bind((Ipv4Addr::LOCALHOST, port)).is_ok();
-            (first < u16::MAX - PORTS && (first..first + PORTS).all(free)).then_some(first)
-        });
+        site.port = eventually("free ports", || first_of_free_ports(site.ip(1)));
         site.seeds = (1..=coordinators)
             .map(|number| site.control_plane(number))
             .collect();
