--- a/crates/ironmast/tests/faults.rs
+++ b/crates/ironmast/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Several proxies as real processes on the fault stage: crashes, pauses and faults on their links,
-//! judged from the pay servers' execution record.
+//! Several client proxies as processes, with crashes, pauses and faults on their links. Each run is
+//! checked against the pay servers' execution record.
 
 use std::path::PathBuf;
 use std::sync::atomic::Ordering;
@@ -7,13 +7,22 @@
 
 use ironmast_fault_injection::deployment::{Deployment, Layout, ZoneLayout};
 use ironmast_fault_injection::fault::{Fault, FaultKind, Schedule};
-use ironmast_fault_injection::load::{LoadProfile, LoadReport, Outcome};
+use ironmast_fault_injection::load::{LoadProfile, LoadReport, Outcome, SentRequest};
 use ironmast_fault_injection::process::ProcessSignal;
-use ironmast_fault_injection::verdict;
+use ironmast_fault_injection::verdict::{Verdict, check_executions, recovery_time};
 
-/// `servers` pay servers in the proxies' zone, `proxies` proxies, every link through a relay under
-/// `faults`.
-fn stage(servers: usize, proxies: usize, faults: Vec<Fault>) -> Deployment {
+/// How long a client waits for its response, in milliseconds.
+const CLIENT_TIMEOUT_MS: u64 = 1500;
+/// The longest time from a kill until the proxy is ready again, and until it serves again.
+const RESTART_LIMIT: Duration = Duration::from_secs(2);
+/// A class whose requests must not be executed twice.
+const ORDER_PATH: &str = "/deposit-order";
+/// A class whose requests may be executed any number of times, and its path.
+const BALANCE_CLASS: &str = "balance";
+const BALANCE_PATH: &str = "/balance";
+
+/// Pay servers in the proxies' zone, and proxies with a relay on each link.
+fn deployment(servers: usize, proxies: usize, faults: Vec<Fault>) -> Deployment {
     let layout = Layout {
         program: PathBuf::from(env!("CARGO_BIN_EXE_ironmast")),
         zones: vec![ZoneLayout {
@@ -24,168 +33,164 @@
         service_time: Duration::from_millis(5),
         start_timeout: Duration::from_secs(20),
     };
-    Deployment::new(layout, Schedule::new(faults).expect("a valid schedule"))
-        .expect("the stage is set up")
+    let schedule = Schedule::new(faults).expect("a valid schedule");
+    Deployment::new(layout, schedule).expect("the deployment is set up")
 }
 
-fn shape(path: &str, rate: f64, seconds: f64) -> LoadProfile {
-    LoadProfile::new(rate, Duration::from_secs_f64(seconds), path, 1500)
+fn load(path: &str, rate: f64, duration_s: f64) -> LoadProfile {
+    let duration = Duration::from_secs_f64(duration_s);
+    LoadProfile::new(rate, duration, path, CLIENT_TIMEOUT_MS)
 }
 
-fn judged(stage: &Deployment, reports: &[LoadReport]) -> verdict::Verdict {
-    let sent: Vec<_> = reports
+/// A fault of that kind for some seconds.
+fn fault(at_s: f64, link: &str, kind: FaultKind, for_s: f64) -> Fault {
+    Fault {
+        at_s,
+        link: link.into(),
+        kind,
+        for_s: Some(for_s),
+        delay_ms: 0.0,
+        jitter_ms: 0.0,
+        bytes_per_s: 0.0,
+        share: 0.0,
+    }
+}
+
+/// Asserts that nothing was executed twice against its class, and nothing served that was not
+/// executed.
+fn assert_executions(deployment: &Deployment, reports: &[LoadReport]) -> Verdict {
+    let sent: Vec<SentRequest> = reports
         .iter()
-        .flat_map(|r| r.sent.iter().cloned())
+        .flat_map(|report| report.sent.iter().cloned())
         .collect();
-    let v = verdict::check_executions(&sent, &stage.record.executions(), &["balance"]);
-    let broken = sent.iter().filter(|s| s.outcome == Outcome::Broken).count();
+    let executions = deployment.record.executions();
+    let verdict = check_executions(&sent, &executions, &[BALANCE_CLASS]);
+    let is_broken = |request: &&SentRequest| request.outcome == Outcome::Broken;
     eprintln!(
-        "sent {}, served {}, broken {broken}, runs {}",
-        v.sent,
-        v.served,
-        stage.record.executions().len()
+        "sent {}, served {}, broken {}, executions {}",
+        verdict.sent,
+        verdict.served,
+        sent.iter().filter(is_broken).count(),
+        executions.len()
     );
     assert!(
-        v.executed_twice.is_empty(),
-        "ran twice: {:?}",
-        v.executed_twice
+        verdict.executed_twice.is_empty(),
+        "{:?}",
+        verdict.executed_twice
     );
     assert!(
-        v.fabricated.is_empty(),
-        "served without a run: {:?}",
-        v.fabricated
+        verdict.fabricated.is_empty(),
+        "served, but not executed: {:?}",
+        verdict.fabricated
     );
-    v
+    verdict
+}
+
+/// Asserts that at least this share of the requests was served.
+fn assert_served(verdict: &Verdict, least_share: f64) {
+    let (served, sent) = (verdict.served, verdict.sent);
+    assert!(
+        served as f64 >= sent as f64 * least_share,
+        "served {served} of {sent}"
+    );
+}
+
+/// Kills a proxy and starts it again; returns when it was killed.
+fn kill_and_restart(deployment: &mut Deployment, proxy: usize) -> Duration {
+    signal(deployment, proxy, ProcessSignal::Kill);
+    let killed = deployment.faults.elapsed();
+    deployment.proxies[proxy] = None;
+    let ready_after = deployment.start(proxy).expect("it starts again");
+    assert!(
+        ready_after < RESTART_LIMIT,
+        "proxy{proxy} was ready again after {ready_after:?}"
+    );
+    killed
+}
+
+fn signal(deployment: &Deployment, proxy: usize, signal: ProcessSignal) {
+    let process = deployment.proxy(proxy);
+    process.signal(signal).expect("the signal is sent");
 }
 
 #[test]
-fn each_of_three_proxies_killed_in_turn_under_load_runs_nothing_twice_and_serves_again_within_2_s()
-{
-    let mut stage = stage(2, 3, vec![]);
+fn proxies_killed_in_turn_under_load_execute_nothing_twice_and_serve_again_within_2_s() {
+    let mut deployment = deployment(2, 3, vec![]);
     let mut kills = Vec::new();
-    let reports = stage.run_load(&shape("/deposit-order", 40.0, 6.0), |stage| {
-        for p in 0..3 {
+    let reports = deployment.run_load(&load(ORDER_PATH, 40.0, 6.0), |deployment| {
+        for proxy in 0..3 {
             std::thread::sleep(Duration::from_millis(1200));
-            stage
-                .proxy(p)
-                .signal(ProcessSignal::Kill)
-                .expect("signalled");
-            let killed = stage.faults.elapsed();
-            stage.proxies[p] = None;
-            let ready = stage.start(p).expect("it starts again");
-            assert!(
-                ready < Duration::from_secs(2),
-                "proxy{p} took {ready:?} to say yes again"
-            );
-            kills.push(killed);
+            kills.push(kill_and_restart(deployment, proxy));
         }
     });
-    let v = judged(&stage, &reports);
-    for (p, killed) in kills.iter().enumerate() {
+    let verdict = assert_executions(&deployment, &reports);
+    for (proxy, &killed) in kills.iter().enumerate() {
         let from = killed.saturating_sub(Duration::from_millis(100));
-        let back = verdict::recovery_time(&reports[p].sent, from, Duration::from_millis(500));
-        let back = back.unwrap_or_else(|| panic!("proxy{p} never served again after its kill"));
+        let recovered = recovery_time(&reports[proxy].sent, from, Duration::from_millis(500));
+        let recovered = recovered.unwrap_or_else(|| panic!("proxy{proxy} never served again"));
         assert!(
-            back <= *killed + Duration::from_secs(2),
-            "proxy{p}: served again at {back:?}, killed at {killed:?}"
+            recovered <= killed + RESTART_LIMIT,
+            "proxy{proxy}: killed at {killed:?}, served again at {recovered:?}"
         );
     }
-    assert!(
-        v.served * 10 >= v.sent * 8,
-        "served {} of {}",
-        v.served,
-        v.sent
-    );
+    assert_served(&verdict, 0.8);
 }
 
+/// For 2 s the proxies receive nothing from seattle-0, which receives and executes what they send.
 #[test]
-fn answers_lost_one_way_never_make_a_single_shot_run_twice() {
-    // For 2 s the proxies hear nothing of seattle-0, which still hears and runs what they send.
-    let cut = Fault {
-        at_s: 1.0,
-        link: "seattle-0->proxy*".into(),
-        kind: FaultKind::CutOneWay,
-        for_s: Some(2.0),
-        delay_ms: 0.0,
-        jitter_ms: 0.0,
-        bytes_per_s: 0.0,
-        share: 0.0,
-    };
-    let mut stage = stage(2, 2, vec![cut]);
-    let reports = stage.run_load(&shape("/deposit-order", 50.0, 5.0), |_| {});
-    let v = judged(&stage, &reports);
-    let runs = stage.record.executions();
-    let on_s0 = runs.iter().filter(|r| r.server == "seattle-0").count();
+fn requests_whose_responses_are_lost_are_not_executed_again_where_the_class_forbids_it() {
+    let cut = fault(1.0, "seattle-0->proxy*", FaultKind::CutOneWay, 2.0);
+    let mut deployment = deployment(2, 2, vec![cut]);
+    let reports = deployment.run_load(&load(ORDER_PATH, 50.0, 5.0), |_| {});
+    let verdict = assert_executions(&deployment, &reports);
+    let executions = deployment.record.executions();
     assert!(
-        on_s0 > 0,
-        "seattle-0 ran nothing: the cut was not under requests"
+        executions.iter().any(|run| run.server == "seattle-0"),
+        "the cut affected no request: seattle-0 executed nothing"
     );
-    // After the cut, service is whole again for a second.
     for report in &reports {
-        assert!(
-            verdict::recovery_time(&report.sent, Duration::from_secs(3), Duration::from_secs(1))
-                .is_some()
-        );
+        let end_of_cut = Duration::from_secs(3);
+        let recovered = recovery_time(&report.sent, end_of_cut, Duration::from_secs(1));
+        assert!(recovered.is_some(), "no second after the cut was served");
     }
-    assert!(v.served > v.sent / 2, "served {} of {}", v.served, v.sent);
+    assert!(
+        verdict.served > verdict.sent / 2,
+        "served {} of {}",
+        verdict.served,
+        verdict.sent
+    );
 }
 
 #[test]
-fn a_paused_proxy_serves_what_waited_in_its_backlog_once_it_goes_on() {
-    let mut stage = stage(2, 1, vec![]);
-    let reports = stage.run_load(&shape("/balance", 30.0, 3.0), |stage| {
+fn a_paused_proxy_serves_the_requests_of_its_backlog_when_it_continues() {
+    let mut deployment = deployment(2, 1, vec![]);
+    let reports = deployment.run_load(&load(BALANCE_PATH, 30.0, 3.0), |deployment| {
         std::thread::sleep(Duration::from_millis(800));
-        stage
-            .proxy(0)
-            .signal(ProcessSignal::Stop)
-            .expect("signalled");
+        signal(deployment, 0, ProcessSignal::Stop);
         std::thread::sleep(Duration::from_millis(700));
-        stage
-            .proxy(0)
-            .signal(ProcessSignal::Continue)
-            .expect("signalled");
+        signal(deployment, 0, ProcessSignal::Continue);
     });
-    judged(&stage, &reports);
-    let sent = &reports[0].sent;
-    // Requests meant to go during the pause waited and were served late, not lost.
-    let waited: Vec<_> = sent
-        .iter()
-        .filter(|s| s.at > Duration::from_millis(900) && s.at < Duration::from_millis(1400))
-        .collect();
+    assert_executions(&deployment, &reports);
+    // Requests sent during the pause are served late; none is lost.
+    let is_in_pause = |request: &&SentRequest| {
+        request.at > Duration::from_millis(900) && request.at < Duration::from_millis(1400)
+    };
+    let waited: Vec<&SentRequest> = reports[0].sent.iter().filter(is_in_pause).collect();
     assert!(!waited.is_empty());
-    assert!(
-        waited.iter().all(|s| s.outcome == Outcome::Served),
-        "{waited:?}"
-    );
-    assert!(
-        waited
-            .iter()
-            .any(|s| s.latency > Duration::from_millis(100)),
-        "nothing waited: {waited:?}"
-    );
-}
-
-fn fault(at_s: f64, link: &str, kind: FaultKind, for_s: f64) -> Fault {
-    Fault {
-        at_s,
-        link: link.into(),
-        kind,
-        for_s: Some(for_s),
-        delay_ms: 0.0,
-        jitter_ms: 0.0,
-        bytes_per_s: 0.0,
-        share: 0.0,
-    }
+    let is_served = |request: &&SentRequest| request.outcome == Outcome::Served;
+    assert!(waited.iter().all(is_served), "{waited:?}");
+    let is_late = |request: &&SentRequest| request.latency > Duration::from_millis(100);
+    assert!(waited.iter().any(is_late), "nothing waited: {waited:?}");
 }
 
-#[test]
-fn each_fault_kind_on_one_pay_server_leaves_the_other_serving_and_nothing_twice() {
-    let slow = Fault {
+/// A second of each kind of fault on the link to seattle-0, while lists from discovery are late.
+fn one_fault_after_another() -> Vec<Fault> {
+    let slow_responses = Fault {
         delay_ms: 30.0,
         jitter_ms: 20.0,
         ..fault(3.5, "seattle-0->proxy0", FaultKind::Delay, 1.0)
     };
-    let narrow = Fault {
+    let narrow_link = Fault {
         bytes_per_s: 2000.0,
         ..fault(4.5, "seattle-0->proxy0", FaultKind::Rate, 1.0)
     };
@@ -193,41 +198,38 @@
         delay_ms: 200.0,
         ..fault(0.0, "discovery->proxy0", FaultKind::Delay, 6.0)
     };
-    let schedule = vec![
+    vec![
         fault(0.5, "proxy0->seattle-0", FaultKind::Cut, 1.0),
         fault(1.5, "proxy0->seattle-0", FaultKind::Reset, 1.0),
         fault(2.5, "proxy0->seattle-0", FaultKind::Refuse, 1.0),
-        slow,
-        narrow,
+        slow_responses,
+        narrow_link,
         late_lists,
-    ];
-    let mut stage = stage(2, 1, schedule);
-    let reports = stage.run_load(&shape("/deposit-order", 40.0, 6.0), |_| {});
-    let v = judged(&stage, &reports);
-    let to_s0 = &stage.relays[0].counts;
-    let (held, resets) = (
-        to_s0.held.load(Ordering::Relaxed),
-        to_s0.resets.load(Ordering::Relaxed),
-    );
+    ]
+}
+
+#[test]
+fn each_kind_of_fault_on_one_pay_server_leaves_the_other_serving_and_executes_nothing_twice() {
+    let mut deployment = deployment(2, 1, one_fault_after_another());
+    let reports = deployment.run_load(&load(ORDER_PATH, 40.0, 6.0), |_| {});
+    let verdict = assert_executions(&deployment, &reports);
+    let counts = &deployment.relays[0].counts;
+    let resets = counts.resets.load(Ordering::Relaxed);
     eprintln!(
-        "to seattle-0: {} connections, {held} pieces held by the cut, {resets} reset or refused",
-        { to_s0.connections.load(Ordering::Relaxed) }
+        "to seattle-0: {} connections, {} chunks held by the cut, {resets} reset or refused",
+        counts.connections.load(Ordering::Relaxed),
+        counts.held.load(Ordering::Relaxed),
     );
     assert!(resets > 0, "no connection met the reset or the refusal");
-    // Each fault lasts a second; within it the proxy turns to s-1 and serves whole spans again.
-    for start in [0.5, 1.5, 2.5] {
-        let from = Duration::from_secs_f64(start);
-        let back = verdict::recovery_time(&reports[0].sent, from, Duration::from_millis(300))
+    // Within the second of each fault the proxy serves by seattle-1 again.
+    for start_s in [0.5, 1.5, 2.5] {
+        let start = Duration::from_secs_f64(start_s);
+        let recovered = recovery_time(&reports[0].sent, start, Duration::from_millis(300))
             .expect("served again");
         assert!(
-            back < from + Duration::from_secs(1),
-            "fault at {start} s: whole again only at {back:?}"
+            recovered < start + Duration::from_secs(1),
+            "fault at {start_s} s: served again at {recovered:?}"
         );
     }
-    assert!(
-        v.served * 10 >= v.sent * 9,
-        "served {} of {}",
-        v.served,
-        v.sent
-    );
+    assert_served(&verdict, 0.9);
 }
