--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,12 +1,12 @@
 //! The emulator: the whole fleet in simulated time, without I/O.
 //!
-//! A [`Scenario`] is read from text, a [`World`] plays it under a policy and a seed, and a
+//! A [`Scenario`] is read from text, a [`Simulation`] plays it under a policy and a seed, and a
 //! [`Report`] says what the judge found. The same scenario, policy and seed give the same digest on
 //! any machine, with any number of threads, in debug or release builds. See
 //! `docs/design/emulator.md` for what is modelled and why.
 //!
 //! ```
-//! use ironmast_emulator::{PolicyName, Scenario, World};
+//! use ironmast_emulator::{PolicyName, Scenario, Simulation};
 //!
 //! let text = r#"
 //!     name = "two"
@@ -26,9 +26,9 @@
 //!     cores = 2
 //! "#;
 //! let scenario = Scenario::parse(text).expect("sound");
-//! let report = World::new(&scenario, PolicyName::Module, 1).run();
+//! let report = Simulation::new(&scenario, PolicyName::Module, 1).run();
 //! assert!(report.violations.is_empty() && report.service > 0.9);
-//! assert_eq!(report.digest, World::new(&scenario, PolicyName::Module, 1).run().digest);
+//! assert_eq!(report.digest, Simulation::new(&scenario, PolicyName::Module, 1).run().digest);
 //! ```
 #![forbid(unsafe_code)]
 
@@ -43,7 +43,7 @@
 mod report;
 mod scenario;
 mod server;
-mod world;
+mod simulation;
 
 pub use judge::{COLUMNS, Counts, Rule, Violation};
 pub use policy::{GroundTruth, Policy, PolicyName};
@@ -52,4 +52,4 @@
 pub use report::{ClassReport, Latency, Load, Report, ServerReport, Traffic};
 pub use scenario::*;
 pub use server::{Estimate, ServerStatistics};
-pub use world::{Builder, ORIGIN, World};
+pub use simulation::{ORIGIN, PolicyBuilder, Simulation};
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -215,7 +215,7 @@
                     .fold(0.0, f64::max),
                 max_held: each
                     .iter()
-                    .map(|s| s.statistics.max_held)
+                    .map(|s| s.statistics.max_in_system)
                     .max()
                     .unwrap_or(0),
             },
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -65,8 +65,8 @@
     pub available_core_time: f64,
     /// The integral of the number of queued requests.
     pub queued_time: f64,
-    /// The integral of the number of requests held (queued or in a slot).
-    pub held_time: f64,
+    /// The integral of the number of requests in the system (queued or in a slot).
+    pub in_system_time: f64,
     /// Jobs that left the queue for a slot.
     pub started: u64,
     /// The sum of their waiting times.
@@ -75,15 +75,15 @@
     pub finished: u64,
     /// The sum of their times at the server (sojourn times).
     pub total_sojourn: f64,
-    /// The time during which at least 1, 2, ... requests were held.
+    /// The time during which at least 1, 2, ... requests were in the system.
     pub time_with_at_least: [f64; 16],
-    /// The most requests held at once.
-    pub max_held: u32,
+    /// The most requests in the system at once.
+    pub max_in_system: u32,
 }
 
-/// Whether a server records how long it held at least 1, 2, ... requests.
+/// Whether a server records how long at least 1, 2, ... requests were in its system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum HeldDistribution {
+pub(crate) enum OccupancyDistribution {
     Skip,
     Record,
 }
@@ -102,7 +102,7 @@
 /// When a server is overdriven, and what that does.
 #[derive(Clone, Copy, Debug)]
 struct OverdriveRule {
-    /// Requests held per core above which it is overdriven; 0 for never.
+    /// Requests in the system per core above which it is overdriven; 0 for never.
     ratio: f64,
     /// How long that must last.
     after: Micros,
@@ -165,7 +165,7 @@
     now: Micros,
     /// What it did so far.
     pub statistics: ServerStatistics,
-    held_distribution: HeldDistribution,
+    occupancy_distribution: OccupancyDistribution,
 }
 
 /// A sum of work as an integer that is ordered alike.
@@ -179,7 +179,7 @@
         pool: &Pool,
         speed: f64,
         now: Micros,
-        held_distribution: HeldDistribution,
+        occupancy_distribution: OccupancyDistribution,
     ) -> Self {
         Server {
             cores: f64::from(pool.cores),
@@ -217,7 +217,7 @@
             work_done: 0.0,
             now,
             statistics: ServerStatistics::default(),
-            held_distribution,
+            occupancy_distribution,
         }
     }
 
@@ -258,7 +258,7 @@
     }
 
     /// The number of requests queued or in a slot.
-    pub(crate) fn held(&self) -> usize {
+    pub(crate) fn in_system(&self) -> usize {
         self.queued + self.in_slots
     }
 
@@ -270,7 +270,7 @@
         }
         let capacity = self.capacity(now);
         let core = capacity / self.cores;
-        let ahead = (self.held() as f64 + 1.0 - self.cores).max(0.0);
+        let ahead = (self.in_system() as f64 + 1.0 - self.cores).max(0.0);
         let wait = self.overhead / capacity + ahead / self.cores * work / core;
         Estimate {
             wait,
@@ -281,7 +281,7 @@
     /// Whether one more request would exceed what it bears for long.
     pub(crate) fn near_overdrive(&self) -> bool {
         let ratio = self.overdrive_rule.ratio;
-        ratio > 0.0 && self.held() as f64 + 1.0 > ratio * self.cores
+        ratio > 0.0 && self.in_system() as f64 + 1.0 > ratio * self.cores
     }
 
     /// The speed at which each job in a slot advances.
@@ -325,14 +325,14 @@
         if !self.up {
             return;
         }
-        let held = self.held();
+        let in_system = self.in_system();
         let statistics = &mut self.statistics;
         statistics.available_core_time += self.cores * elapsed;
         statistics.busy_core_time += (self.in_slots as f64).min(self.cores) * elapsed;
         statistics.queued_time += self.queued as f64 * elapsed;
-        statistics.held_time += held as f64 * elapsed;
-        if self.held_distribution == HeldDistribution::Record {
-            for time in statistics.time_with_at_least.iter_mut().take(held) {
+        statistics.in_system_time += in_system as f64 * elapsed;
+        if self.occupancy_distribution == OccupancyDistribution::Record {
+            for time in statistics.time_with_at_least.iter_mut().take(in_system) {
                 *time += elapsed;
             }
         }
@@ -406,7 +406,7 @@
             return;
         }
         let now = self.now;
-        let is_above = self.held() as f64 > rule.ratio * self.cores;
+        let is_above = self.in_system() as f64 > rule.ratio * self.cores;
         let is_calm = self.overdrive.active && self.in_slots as f64 <= self.cores / 2.0;
         let state = &mut self.overdrive;
         state.above_since = is_above.then(|| state.above_since.unwrap_or(now));
@@ -462,7 +462,7 @@
         self.queue.push_back(key);
         self.queued += 1;
         self.update(events);
-        self.statistics.max_held = self.statistics.max_held.max(self.held() as u32);
+        self.statistics.max_in_system = self.statistics.max_in_system.max(self.in_system() as u32);
         Some(key)
     }
 
@@ -507,7 +507,7 @@
         (self.slowness, self.paused) = (slowness, paused);
     }
 
-    /// Ends its process. Returns the jobs that it held.
+    /// Ends its process. Returns the jobs that were queued or in a slot.
     pub(crate) fn stop(&mut self) -> Vec<Job> {
         self.up = false;
         self.queue.clear();
--- a/crates/emulator/src/world/attempts.rs
+++ b/crates/emulator/src/simulation/attempts.rs
@@ -4,17 +4,17 @@
 
 use ironmast_balancer::{AttemptEnded, Event, Micros, Outcome, Phase, ServerId};
 
-use super::World;
-use super::event::What;
-use super::request::{Attempt, End, key};
-use super::servers::number_of;
+use super::Simulation;
+use super::event::SimulationEvent;
+use super::request::{Attempt, RequestOutcome, request_key};
+use super::servers::server_number;
 use crate::judge::Rule;
 use crate::server::Job;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn attempt(&self, request: u64, n: u8) -> Option<&Attempt> {
-        self.tries
-            .get(key(request))
+        self.requests
+            .get(request_key(request))
             .and_then(|t| t.attempts.get(n as usize))
     }
 
@@ -26,8 +26,8 @@
         timeout: Option<Micros>,
         pending: &mut VecDeque<Event>,
     ) {
-        let (now, server) = (self.now, number_of(server));
-        let Some(held) = self.tries.get(key(request)) else {
+        let (now, server) = (self.now, server_number(server));
+        let Some(held) = self.requests.get(request_key(request)) else {
             let what = "sent a request that is over or unknown";
             return self.judge.record_violation(
                 Rule::OneAnswer,
@@ -38,13 +38,13 @@
                 what,
             );
         };
-        let number = self.ops[held.op].number;
+        let number = self.operations[held.op].number;
         let wrong = match () {
-            () if held.over => Some((Rule::OneAnswer, "sent a request that has its answer")),
-            () if held.attempts.len() >= self.rules.max_attempts => {
+            () if held.finished => Some((Rule::OneAnswer, "sent a request that has its answer")),
+            () if held.attempts.len() >= self.rule_limits.max_attempts => {
                 Some((Rule::NoEffectTwice, "more attempts than are allowed"))
             }
-            () if held.out() && !self.rules.allow_hedging => Some((
+            () if held.has_open_attempt() && !self.rule_limits.allow_hedging => Some((
                 Rule::NoEffectTwice,
                 "two attempts of one request out together",
             )),
@@ -62,16 +62,16 @@
         if moot {
             let gone = Attempt {
                 server: 0,
-                life: 0,
+                incarnation: 0,
                 sent: now,
-                out: false,
-                fresh: false,
+                open: false,
+                new_connection: false,
                 connected: false,
                 job: None,
                 outcome: None,
             };
-            self.tries[key(request)].attempts.push(gone);
-            return pending.push_back(Event::AttemptEnded(self.settled(
+            self.requests[request_key(request)].attempts.push(gone);
+            return pending.push_back(Event::AttemptEnded(self.attempt_ended(
                 request,
                 n,
                 Outcome::NotSent,
@@ -81,77 +81,81 @@
         self.check_repeat(proxy, server, request, n);
         let machine = &mut self.machines[server as usize];
         let p = &mut self.proxies[proxy as usize];
-        let fresh = !p.idle.take(server, machine.life);
+        let new_connection = !p.connection_pool.take(server, machine.incarnation);
         let way = |what: u64| {
             self.network
                 .delay(p.zone, machine.zone, [number, u64::from(n) << 8 | what])
         };
-        let at = now + way(0) + if fresh { way(1) + way(2) } else { 0 };
+        let at = now + way(0) + if new_connection { way(1) + way(2) } else { 0 };
         self.cross_zone += u64::from(p.zone != machine.zone);
         self.attempts += 1;
-        let held = &mut self.tries[key(request)];
+        let held = &mut self.requests[request_key(request)];
         let attempt = Attempt {
             server,
-            life: machine.life,
+            incarnation: machine.incarnation,
             sent: now,
-            out: true,
-            fresh,
-            connected: !fresh,
+            open: true,
+            new_connection,
+            connected: !new_connection,
             job: None,
             outcome: None,
         };
         held.attempts.push(attempt);
         if let Some(timeout) = timeout {
-            self.queue
-                .push(now + timeout, What::TimedOut { request, n });
+            self.queue.push(
+                now + timeout,
+                SimulationEvent::AttemptTimeout { request, n },
+            );
         }
-        self.queue.push(at, What::Reach { request, n });
+        self.queue
+            .push(at, SimulationEvent::RequestAtServer { request, n });
         self.judge.record_fact(2, [number, now, u64::from(server)]);
     }
 
     #[expect(clippy::too_many_lines, reason = "not split yet")]
-    pub(super) fn reach(&mut self, request: u64, n: u8) {
-        let Some(held) = self.tries.get(key(request)) else {
+    pub(super) fn request_at_server(&mut self, request: u64, n: u8) {
+        let Some(held) = self.requests.get(request_key(request)) else {
             return;
         };
         let (proxy, op_key, expires) = (held.proxy, held.op, held.expires);
-        let Some(attempt) = held.attempts.get(n as usize).filter(|a| a.out) else {
+        let Some(attempt) = held.attempts.get(n as usize).filter(|a| a.open) else {
             return;
         };
         let &Attempt {
             server,
-            life,
+            incarnation,
             sent,
-            fresh,
+            new_connection,
             ..
         } = attempt;
         let zone = self.proxies[proxy as usize].zone;
         let machine = &self.machines[server as usize];
-        let number = self.ops[op_key].number;
+        let number = self.operations[op_key].number;
         let way = self
             .network
             .delay(zone, machine.zone, [number, u64::from(n) << 8 | 3]);
         let lost = sent + self.network.connect_timeout;
         if let Some(until) = self.network.partition_end(zone, machine.zone, self.now) {
-            return if fresh {
-                self.unreached(request, n, lost.max(self.now));
+            return if new_connection {
+                self.schedule_connect_failure(request, n, lost.max(self.now));
             } else {
-                self.queue.push(until + way, What::Reach { request, n });
+                self.queue
+                    .push(until + way, SimulationEvent::RequestAtServer { request, n });
             };
         }
-        if machine.vanished {
+        if machine.unresponsive {
             // Nothing ever comes; a connection that was open is reset when the machine is back.
-            return if fresh {
-                self.unreached(request, n, lost.max(self.now));
+            return if new_connection {
+                self.schedule_connect_failure(request, n, lost.max(self.now));
             };
         }
-        if !machine.server.up || machine.life != life {
-            return if fresh {
-                self.unreached(request, n, self.now + way);
+        if !machine.server.up || machine.incarnation != incarnation {
+            return if new_connection {
+                self.schedule_connect_failure(request, n, self.now + way);
             } else {
                 self.queue.push(
                     self.now + way,
-                    What::Back {
+                    SimulationEvent::ResponseAtProxy {
                         request,
                         n,
                         outcome: Outcome::Reset,
@@ -159,33 +163,36 @@
                 );
             };
         }
-        let (pool, class) = (&self.scenario.pools[machine.pool], self.ops[op_key].class);
-        if fresh {
+        let (pool, class) = (
+            &self.scenario.pools[machine.pool],
+            self.operations[op_key].class,
+        );
+        if new_connection {
             if pool.connections > 0 && machine.connections >= pool.connections {
-                return self.unreached(request, n, self.now + way);
+                return self.schedule_connect_failure(request, n, self.now + way);
             }
             let machine = &mut self.machines[server as usize];
             machine.connections += 1;
             machine.server.add_overhead(pool.handshake_work_ms * 1e3);
-            self.tries[key(request)].attempts[n as usize].connected = true;
+            self.requests[request_key(request)].attempts[n as usize].connected = true;
         }
         self.advance(server);
-        let work = self.ops[op_key].work;
+        let work = self.operations[op_key].work;
         let machine = &self.machines[server as usize];
         if machine.server.is_warming_up(self.now) {
             // Cold is what the rule is about: what else goes wrong there nobody can know
             // beforehand.
             let capacity = machine.server.full_capacity() * machine.server.warmth(self.now);
-            let informed = self.proxies[proxy as usize].version >= machine.told_at;
+            let informed = self.proxies[proxy as usize].list_version >= machine.start_version;
             if self
                 .judge
                 .work_reached_warming_server(self.now, server, proxy, work, capacity, informed)
             {
-                self.machines[server as usize].fallen = true;
-                self.end_server(server, false);
+                self.machines[server as usize].crashed_by_overload = true;
+                self.stop_server(server, false);
                 return self.queue.push(
                     self.now + way,
-                    What::Back {
+                    SimulationEvent::ResponseAtProxy {
                         request,
                         n,
                         outcome: Outcome::Reset,
@@ -195,8 +202,8 @@
         } else {
             self.judge.warm_up_ended(server);
         }
-        let place = &self.places[machine.place as usize];
-        let degradation: f64 = place
+        let position = &self.positions[machine.position as usize];
+        let degradation: f64 = position
             .degradations
             .values()
             .filter(|degradation| degradation.class == class && !degradation.unanswered)
@@ -215,30 +222,30 @@
         };
         let machine = &mut self.machines[server as usize];
         let taken = match machine.phase {
-            Phase::Ready => machine.server.arrive(job, &mut self.happened),
+            Phase::Ready => machine.server.arrive(job, &mut self.job_events),
             _ => None,
         };
         match taken {
             Some(job) => {
-                self.ops[op_key].holds += 1;
-                self.tries[key(request)].attempts[n as usize].job = Some(job);
+                self.operations[op_key].references += 1;
+                self.requests[request_key(request)].attempts[n as usize].job = Some(job);
             }
             None => self.queue.push(
                 self.now + way,
-                What::Back {
+                SimulationEvent::ResponseAtProxy {
                     request,
                     n,
                     outcome: Outcome::Overloaded,
                 },
             ),
         }
-        self.touched(server);
+        self.handle_job_events(server);
     }
 
-    pub(super) fn unreached(&mut self, request: u64, n: u8, at: Micros) {
+    pub(super) fn schedule_connect_failure(&mut self, request: u64, n: u8, at: Micros) {
         self.queue.push(
             at,
-            What::Back {
+            SimulationEvent::ResponseAtProxy {
                 request,
                 n,
                 outcome: Outcome::ConnectFailed,
@@ -247,47 +254,48 @@
     }
 
     /// An outcome reaches the proxy.
-    pub(super) fn back(&mut self, request: u64, n: u8, outcome: Outcome) {
-        let Some(held) = self.tries.get_mut(key(request)) else {
+    pub(super) fn response_at_proxy(&mut self, request: u64, n: u8, outcome: Outcome) {
+        let Some(held) = self.requests.get_mut(request_key(request)) else {
             return;
         };
         let proxy = held.proxy;
-        let Some(attempt) = held.attempts.get_mut(n as usize).filter(|a| a.out) else {
+        let Some(attempt) = held.attempts.get_mut(n as usize).filter(|a| a.open) else {
             return;
         };
-        attempt.out = false;
-        let (server, life, connected) = (attempt.server, attempt.life, attempt.connected);
-        if connected && self.machines[server as usize].life == life {
-            let idle = &mut self.proxies[proxy as usize].idle;
+        attempt.open = false;
+        let (server, incarnation, connected) =
+            (attempt.server, attempt.incarnation, attempt.connected);
+        if connected && self.machines[server as usize].incarnation == incarnation {
+            let idle = &mut self.proxies[proxy as usize].connection_pool;
             if outcome == Outcome::Reset {
                 let machine = &mut self.machines[server as usize];
                 machine.connections = machine.connections.saturating_sub(1);
-            } else if idle.put_back(server, life, self.now) {
+            } else if idle.put_back(server, incarnation, self.now) {
                 self.queue.push(
                     self.now + self.network.idle_timeout,
-                    What::Idle { proxy, server },
+                    SimulationEvent::IdleConnections { proxy, server },
                 );
             }
         }
-        if outcome == Outcome::Ok && !held.over {
-            held.over = true;
+        if outcome == Outcome::Ok && !held.finished {
+            held.finished = true;
             let op = held.op;
-            if !self.ops[op].ended {
-                self.after_try(op, End::Served);
+            if !self.operations[op].ended {
+                self.retry_or_finish(op, RequestOutcome::Served);
             }
-            let settled = self.settled(request, n, outcome);
-            self.tell(proxy, Event::AttemptEnded(settled));
-            return self.drop_try(request);
+            let ended = self.attempt_ended(request, n, outcome);
+            self.deliver(proxy, Event::AttemptEnded(ended));
+            return self.drop_finished_request(request);
         }
-        self.settle(request, n, outcome);
+        self.finish_attempt(request, n, outcome);
     }
 
-    pub(super) fn settled(&mut self, request: u64, n: u8, outcome: Outcome) -> AttemptEnded {
-        let held = &mut self.tries[key(request)];
+    pub(super) fn attempt_ended(&mut self, request: u64, n: u8, outcome: Outcome) -> AttemptEnded {
+        let held = &mut self.requests[request_key(request)];
         let attempt = &mut held.attempts[n as usize];
         attempt.outcome = Some(outcome);
         let (id, server) = (request, self.machines[attempt.server as usize].id);
-        let (latency, finished) = (self.now - attempt.sent, held.over);
+        let (latency, finished) = (self.now - attempt.sent, held.finished);
         AttemptEnded {
             id,
             server,
@@ -299,31 +307,31 @@
         }
     }
 
-    pub(super) fn settle(&mut self, request: u64, n: u8, outcome: Outcome) {
-        let (settled, proxy) = (
-            self.settled(request, n, outcome),
-            self.tries[key(request)].proxy,
+    pub(super) fn finish_attempt(&mut self, request: u64, n: u8, outcome: Outcome) {
+        let (ended, proxy) = (
+            self.attempt_ended(request, n, outcome),
+            self.requests[request_key(request)].proxy,
         );
-        self.tell(proxy, Event::AttemptEnded(settled));
-        self.drop_try(request);
+        self.deliver(proxy, Event::AttemptEnded(ended));
+        self.drop_finished_request(request);
     }
 
     /// The proxy gives an attempt up: its connection closes, and the server hears of it a little
     /// later.
-    pub(super) fn call_off(&mut self, request: u64, n: u8) {
-        let held = &mut self.tries[key(request)];
+    pub(super) fn abandon_attempt(&mut self, request: u64, n: u8) {
+        let held = &mut self.requests[request_key(request)];
         let zone = self.proxies[held.proxy as usize].zone;
-        let number = self.ops[held.op].number;
+        let number = self.operations[held.op].number;
         let attempt = &mut held.attempts[n as usize];
-        attempt.out = false;
-        let (server, life) = (attempt.server, attempt.life);
+        attempt.open = false;
+        let (server, incarnation) = (attempt.server, attempt.incarnation);
         let machine = &mut self.machines[server as usize];
-        if attempt.connected && machine.life == life {
+        if attempt.connected && machine.incarnation == incarnation {
             machine.connections = machine.connections.saturating_sub(1);
         }
         let Some(job) = attempt
             .job
-            .filter(|_| machine.life == life && !machine.vanished)
+            .filter(|_| machine.incarnation == incarnation && !machine.unresponsive)
         else {
             return;
         };
@@ -334,7 +342,13 @@
             .network
             .partition_end(zone, machine.zone, self.now)
             .unwrap_or(self.now);
-        self.queue
-            .push(from + way, What::CallOff { server, life, job });
+        self.queue.push(
+            from + way,
+            SimulationEvent::CancellationAtServer {
+                server,
+                incarnation,
+                job,
+            },
+        );
     }
 }
--- a/crates/emulator/src/world/event.rs
+++ b/crates/emulator/src/simulation/event.rs
@@ -1,75 +1,75 @@
-//! What waits in the queue of events.
+//! The events of a simulation.
 
 use ironmast_balancer::{Micros, Outcome};
 use slotmap::DefaultKey;
 
 use crate::server::JobKey;
 
-/// What waits in the queue.
-pub(super) enum What {
-    Arrive(u32),
-    Again(DefaultKey),
-    Expire(u64),
-    Leave(u64),
-    Timer {
+/// An event that is scheduled.
+pub(super) enum SimulationEvent {
+    ClientArrival(u32),
+    ClientRetry(DefaultKey),
+    RequestDeadline(u64),
+    ClientDisconnect(u64),
+    PolicyTimer {
         proxy: u32,
-        life: u32,
+        incarnation: u32,
         token: u64,
     },
-    Reach {
+    RequestAtServer {
         request: u64,
         n: u8,
     },
-    Back {
+    ResponseAtProxy {
         request: u64,
         n: u8,
         outcome: Outcome,
     },
-    TimedOut {
+    AttemptTimeout {
         request: u64,
         n: u8,
     },
-    CallOff {
+    CancellationAtServer {
         server: u32,
-        life: u32,
+        incarnation: u32,
         job: JobKey,
     },
-    Look {
+    ServerDeadline {
         server: u32,
         at: Micros,
     },
-    Visible(u32),
-    News {
+    ListUpdate(u32),
+    WatchNotification {
         proxy: u32,
-        life: u32,
+        incarnation: u32,
     },
-    Called {
+    DiscoveryResponse {
         proxy: u32,
-        life: u32,
+        incarnation: u32,
         ok: bool,
     },
-    Probe {
+    HealthCheckAtServer {
         proxy: u32,
-        life: u32,
+        incarnation: u32,
         server: u32,
         sent: Micros,
     },
-    Probed {
+    HealthCheckResult {
         proxy: u32,
-        life: u32,
+        incarnation: u32,
         server: u32,
         sent: Micros,
         held: Option<u32>,
     },
-    Peer {
+    PeerDatagram {
         from: u32,
         to: u32,
         data: Box<[u8]>,
     },
-    Idle {
+    IdleConnections {
         proxy: u32,
         server: u32,
     },
-    Step(u32),
+    FaultStep(u32),
     Sample,
 }
--- a/crates/emulator/src/world/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -2,35 +2,35 @@
 
 use ironmast_balancer::{Event, Listing, Phase, Scope};
 
-use super::World;
-use super::event::What;
+use super::Simulation;
+use super::event::SimulationEvent;
 use crate::fault_schedule::Step;
 use crate::scenario::seconds;
 
-impl World<'_> {
-    pub(super) fn step(&mut self, step: Step) {
+impl Simulation<'_> {
+    pub(super) fn apply_step(&mut self, step: Step) {
         match step {
             Step::Slow {
-                positions: places,
+                positions,
                 fault: number,
                 factor,
             } => {
-                for place in places {
-                    let slow = &mut self.places[place as usize].slow;
+                for position in positions {
+                    let slow = &mut self.positions[position as usize].slowdowns;
                     match factor {
                         Some(value) => slow.insert(number, value),
                         None => slow.remove(&number),
                     };
-                    self.hamper(self.places[place as usize].machine);
+                    self.apply_faults(self.positions[position as usize].machine);
                 }
             }
             Step::Degrade {
-                positions: places,
+                positions,
                 fault: number,
                 degradation: what,
             } => {
-                for place in places {
-                    let degradations = &mut self.places[place as usize].degradations;
+                for position in positions {
+                    let degradations = &mut self.positions[position as usize].degradations;
                     match what {
                         Some(value) => degradations.insert(number, value),
                         None => degradations.remove(&number),
@@ -39,43 +39,41 @@
             }
             Step::Pause { positions } => {
                 for position in positions {
-                    self.places[position as usize].stopped += 1;
-                    self.hamper(self.places[position as usize].machine);
+                    self.positions[position as usize].pauses += 1;
+                    self.apply_faults(self.positions[position as usize].machine);
                 }
             }
             Step::Resume { positions } => {
                 for position in positions {
-                    let place = &mut self.places[position as usize];
-                    place.stopped = place.stopped.saturating_sub(1);
-                    self.hamper(self.places[position as usize].machine);
+                    let paused = &mut self.positions[position as usize];
+                    paused.pauses = paused.pauses.saturating_sub(1);
+                    self.apply_faults(self.positions[position as usize].machine);
                 }
             }
-            Step::Stop {
-                positions: places,
-                silent,
-            } => {
-                for place in places {
-                    self.places[place as usize].lost += 1;
-                    self.end_server(self.places[place as usize].machine, silent);
+            Step::Stop { positions, silent } => {
+                for position in positions {
+                    self.positions[position as usize].outages += 1;
+                    self.stop_server(self.positions[position as usize].machine, silent);
                 }
             }
-            Step::Start { positions: places } => {
-                for place in places {
-                    let p = &mut self.places[place as usize];
-                    p.lost = p.lost.saturating_sub(1);
-                    if p.lost == 0 {
-                        self.start_server(self.places[place as usize].machine);
+            Step::Start { positions } => {
+                for position in positions {
+                    let p = &mut self.positions[position as usize];
+                    p.outages = p.outages.saturating_sub(1);
+                    if p.outages == 0 {
+                        self.start_server(self.positions[position as usize].machine);
                     }
                 }
             }
-            Step::Drain { positions: places } => {
+            Step::Drain { positions } => {
                 let late = seconds(self.scenario.discovery.drain_delay_s);
-                for place in places {
-                    let server = self.places[place as usize].machine;
+                for position in positions {
+                    let server = self.positions[position as usize].machine;
                     let machine = &mut self.machines[server as usize];
                     if machine.server.up && machine.phase == Phase::Ready {
                         machine.phase = Phase::Draining;
-                        self.queue.push(self.now + late, What::Visible(server));
+                        self.queue
+                            .push(self.now + late, SimulationEvent::ListUpdate(server));
                     }
                 }
             }
@@ -88,15 +86,15 @@
             Step::StopProxies {
                 proxies,
                 with_clients,
-            } => self.end_proxies(&proxies, with_clients),
+            } => self.stop_proxies(&proxies, with_clients),
             Step::StartProxies { proxies } => {
                 for proxy in proxies {
                     if self.proxies[proxy as usize].policy.is_none() {
-                        self.begin_proxy(proxy);
+                        self.start_proxy(proxy);
                     }
                 }
             }
-            Step::RetryStorm { retries } => self.storm = retries,
+            Step::RetryStorm { retries } => self.retry_storm = retries,
             Step::DiscoveryOutage => self.begin_discovery_outage(),
             Step::DiscoveryBack => self.discovery.is_out = false,
         }
@@ -104,15 +102,16 @@
 
     /// Ends the server at a position and starts a new one there, unless the position is down.
     pub(super) fn replace_server(&mut self, position: u32) {
-        let old = self.places[position as usize].machine;
-        self.end_server(old, false);
+        let old = self.positions[position as usize].machine;
+        self.stop_server(old, false);
         let machine = &mut self.machines[old as usize];
         machine.phase = Phase::Gone;
         let (pool, zone) = (machine.pool, machine.zone);
         let gone = seconds(self.scenario.discovery.removal_delay_s);
-        self.queue.push(self.now + gone, What::Visible(old));
-        let new = self.machine(pool, zone, position);
-        if self.places[position as usize].lost == 0 {
+        self.queue
+            .push(self.now + gone, SimulationEvent::ListUpdate(old));
+        let new = self.add_machine(pool, zone, position);
+        if self.positions[position as usize].outages == 0 {
             self.start_server(new);
         }
     }
@@ -126,12 +125,12 @@
                 && p.policy.is_some()
                 && std::mem::take(&mut p.subscribed)
             {
-                p.heard = self.now;
+                p.last_contact = self.now;
                 let listing = Listing {
                     scope: Scope::Failed,
                     servers: Vec::new(),
                 };
-                self.tell(proxy, Event::Members(listing));
+                self.deliver(proxy, Event::Members(listing));
             }
         }
     }
--- a/crates/emulator/src/world/health_checks.rs
+++ b/crates/emulator/src/simulation/health_checks.rs
@@ -2,17 +2,23 @@
 
 use ironmast_balancer::{Event, LoadReport, Micros, Outcome};
 
-use super::World;
-use super::event::What;
+use super::Simulation;
+use super::event::SimulationEvent;
 
-impl World<'_> {
-    pub(super) fn probe(&mut self, proxy: u32, life: u32, server: u32, sent: Micros) {
+impl Simulation<'_> {
+    pub(super) fn health_check_at_server(
+        &mut self,
+        proxy: u32,
+        incarnation: u32,
+        server: u32,
+        sent: Micros,
+    ) {
         let zone = self.proxies[proxy as usize].zone;
         let machine = &mut self.machines[server as usize];
         let way = self
             .network
             .delay(machine.zone, zone, [u64::from(proxy), sent ^ 1]);
-        let silent = machine.vanished
+        let silent = machine.unresponsive
             || self
                 .network
                 .partition_end(zone, machine.zone, self.now)
@@ -23,7 +29,7 @@
         } else {
             self.now + way
         };
-        let held = up.then(|| machine.server.held() as u32);
+        let held = up.then(|| machine.server.in_system() as u32);
         if up {
             machine
                 .server
@@ -31,9 +37,9 @@
         }
         self.queue.push(
             at,
-            What::Probed {
+            SimulationEvent::HealthCheckResult {
                 proxy,
-                life,
+                incarnation,
                 server,
                 sent,
                 held,
@@ -41,15 +47,15 @@
         );
     }
 
-    pub(super) fn probed(
+    pub(super) fn health_check_result(
         &mut self,
         proxy: u32,
-        life: u32,
+        incarnation: u32,
         server: u32,
         sent: Micros,
         held: Option<u32>,
     ) {
-        if !self.lives(proxy, life) {
+        if !self.is_current(proxy, incarnation) {
             return;
         }
         let reports = self.scenario.proxies.load_reports;
@@ -64,7 +70,7 @@
             Outcome::ConnectFailed
         };
         let (server, latency) = (self.machines[server as usize].id, self.now - sent);
-        self.tell(
+        self.deliver(
             proxy,
             Event::ProbeEnded {
                 server,
--- a/crates/emulator/src/world/request.rs
+++ b/crates/emulator/src/simulation/request.rs
@@ -6,43 +6,43 @@
 
 use crate::server::JobKey;
 
-/// A client's wish, with all its tries.
-pub(super) struct Op {
+/// A client's wish, with all its requests.
+pub(super) struct Operation {
     pub(super) number: u64,
     pub(super) proxy: u32,
     pub(super) class: u8,
     pub(super) work: f64,
     pub(super) start: Micros,
     /// Tries so far; the fate once it has ended.
-    pub(super) tries: u32,
+    pub(super) request_count: u32,
     pub(super) ended: bool,
     /// Tries open, retries due and jobs at servers.
-    pub(super) holds: u32,
+    pub(super) references: u32,
     /// Where and when it ran.
-    pub(super) runs: SmallVec<[(usize, Micros); 1]>,
+    pub(super) executions: SmallVec<[(usize, Micros); 1]>,
 }
 
-/// One try of an operation, as a proxy holds it.
-pub(super) struct Try {
+/// One try of an operation, as a proxy references it.
+pub(super) struct PendingRequest {
     pub(super) op: DefaultKey,
     pub(super) proxy: u32,
     pub(super) expires: Micros,
-    pub(super) over: bool,
+    pub(super) finished: bool,
     /// Its client has left.
-    pub(super) left: bool,
+    pub(super) client_left: bool,
     pub(super) attempts: SmallVec<[Attempt; 1]>,
 }
 
 pub(super) struct Attempt {
     pub(super) server: u32,
-    pub(super) life: u32,
+    pub(super) incarnation: u32,
     pub(super) sent: Micros,
-    pub(super) out: bool,
-    pub(super) fresh: bool,
-    /// It holds a connection that the server counts.
+    pub(super) open: bool,
+    pub(super) new_connection: bool,
+    /// It references a connection that the server counts.
     pub(super) connected: bool,
     pub(super) job: Option<JobKey>,
-    /// How it ended, as the proxy was told.
+    /// How it ended, as the proxy was notified.
     pub(super) outcome: Option<Outcome>,
 }
 
@@ -52,26 +52,26 @@
     }
 }
 
-impl Try {
-    pub(super) fn out(&self) -> bool {
-        self.attempts.iter().any(|a| a.out)
+impl PendingRequest {
+    pub(super) fn has_open_attempt(&self) -> bool {
+        self.attempts.iter().any(|a| a.open)
     }
 }
 
 /// How one try ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum RequestOutcome {
     Served,
-    Refused(Option<Micros>),
+    Rejected(Option<Micros>),
     Failed,
     /// The proxy was not there, or went down with it.
-    Unreachable,
+    ProxyUnreachable,
     /// No answer came in time.
     Unanswered,
     /// The client left.
-    Walked,
+    ClientLeft,
 }
 
-pub(super) fn key(request: u64) -> DefaultKey {
+pub(super) fn request_key(request: u64) -> DefaultKey {
     KeyData::from_ffi(request).into()
 }
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/simulation/servers.rs
@@ -5,9 +5,9 @@
 use ironmast_balancer::{Micros, Outcome, Phase, ServerId};
 use slotmap::Key as _;
 
-use super::World;
-use super::event::What;
-use super::request::{Attempt, key};
+use super::Simulation;
+use super::event::SimulationEvent;
+use super::request::{Attempt, request_key};
 use crate::fault_schedule::Degradation;
 use crate::judge::Rule;
 use crate::random::hash_parts;
@@ -19,30 +19,30 @@
     pub(super) server: Server,
     pub(super) id: ServerId,
     pub(super) zone: usize,
-    pub(super) place: u32,
+    pub(super) position: u32,
     pub(super) pool: usize,
-    pub(super) life: u32,
+    pub(super) incarnation: u32,
     pub(super) connections: u32,
     pub(super) phase: Phase,
     /// Its machine gives no sign.
-    pub(super) vanished: bool,
+    pub(super) unresponsive: bool,
     /// Pushed over while cold: it stays down.
-    pub(super) fallen: bool,
-    /// The change of the list that told of its latest start.
-    pub(super) told_at: usize,
-    pub(super) armed: Micros,
+    pub(super) crashed_by_overload: bool,
+    /// The version of the list that first showed its latest start.
+    pub(super) start_version: usize,
+    pub(super) next_wakeup: Micros,
     /// Busy share at each sample, and what was counted at the last one.
-    pub(super) busy: Vec<f32>,
-    pub(super) before: (f64, f64),
+    pub(super) utilization: Vec<f32>,
+    pub(super) last_sample: (f64, f64),
 }
 
-/// A place that a server stands at: its address.
-pub(super) struct Place {
+/// A position that a server stands at: its address.
+pub(super) struct Position {
     pub(super) machine: u32,
-    pub(super) slow: BTreeMap<usize, f64>,
+    pub(super) slowdowns: BTreeMap<usize, f64>,
     pub(super) degradations: BTreeMap<usize, Degradation>,
-    pub(super) stopped: u32,
-    pub(super) lost: u32,
+    pub(super) pauses: u32,
+    pub(super) outages: u32,
 }
 
 pub(super) fn server_id(number: u32) -> ServerId {
@@ -50,58 +50,59 @@
     ServerId(hash_parts([u64::from(number), 0x5e, 0, 0]) << 32 | u64::from(number))
 }
 
-pub(super) fn number_of(id: ServerId) -> u32 {
+pub(super) fn server_number(id: ServerId) -> u32 {
     id.0 as u32
 }
 
 /// Looking up a repeat costs a server this much work.
-const LOOK_UP: f64 = 200.0;
+const DUPLICATE_LOOKUP_WORK: f64 = 200.0;
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn advance(&mut self, server: u32) {
-        let mut happened = std::mem::take(&mut self.happened);
+        let mut job_events = std::mem::take(&mut self.job_events);
         self.machines[server as usize]
             .server
-            .advance(self.now, &mut happened);
-        self.happened = happened;
+            .advance(self.now, &mut job_events);
+        self.job_events = job_events;
     }
 
-    /// Carries out what happened at a server, and looks at it again when it wants to be.
-    pub(super) fn touched(&mut self, server: u32) {
-        let mut happened = std::mem::take(&mut self.happened);
-        for what in happened.drain(..) {
+    /// Handles the job events of a server, and schedules when it must be advanced next.
+    pub(super) fn handle_job_events(&mut self, server: u32) {
+        let mut job_events = std::mem::take(&mut self.job_events);
+        for what in job_events.drain(..) {
             match what {
-                JobEvent::Started(job) => self.began(server, job),
-                JobEvent::Finished(job) => self.left_server(server, &job, Outcome::Ok),
-                JobEvent::Dropped(job) => self.left_server(server, &job, Outcome::Overloaded),
+                JobEvent::Started(job) => self.job_started(server, job),
+                JobEvent::Finished(job) => self.job_ended(server, &job, Outcome::Ok),
+                JobEvent::Dropped(job) => self.job_ended(server, &job, Outcome::Overloaded),
             }
         }
-        self.happened = happened;
+        self.job_events = job_events;
         let machine = &mut self.machines[server as usize];
         if let Some(at) = machine
             .server
             .next_deadline()
             .map(|due| due.max(self.now + 1))
-            && at < machine.armed
+            && at < machine.next_wakeup
         {
-            machine.armed = at;
-            self.queue.push(at, What::Look { server, at });
+            machine.next_wakeup = at;
+            self.queue
+                .push(at, SimulationEvent::ServerDeadline { server, at });
         }
     }
 
     /// A request begins to run: this is where an effect happens.
-    pub(super) fn began(&mut self, server: u32, job_key: JobKey) {
+    pub(super) fn job_started(&mut self, server: u32, job_key: JobKey) {
         let machine = &self.machines[server as usize];
         let Some(job) = machine.server.job(job_key) else {
             return;
         };
         let (zone, op_key) = (machine.zone, job.op);
-        let op = &mut self.ops[op_key];
+        let op = &mut self.operations[op_key];
         let spec = &self.scenario.classes[op.class as usize];
         let (now, number, proxy) = (self.now, op.number, op.proxy);
         match spec.effect {
             EffectSpec::Idempotent => {}
-            EffectSpec::NonIdempotent if op.runs.is_empty() => {}
+            EffectSpec::NonIdempotent if op.executions.is_empty() => {}
             EffectSpec::NonIdempotent => {
                 let what = format!("`{}` ran again, which it must never", spec.name);
                 self.judge.record_violation(
@@ -117,30 +118,39 @@
                 let window = seconds(spec.deduplication_window_s);
                 let same =
                     |run: &&(usize, Micros)| spec.group == DeduplicationGroup::All || run.0 == zone;
-                if op.runs.iter().filter(same).any(|run| now < run.1 + window) {
+                if op
+                    .executions
+                    .iter()
+                    .filter(same)
+                    .any(|run| now < run.1 + window)
+                {
                     // The server knows it: a repeat is looked up and answered, and has no effect.
                     self.machines[server as usize]
                         .server
-                        .shorten(job_key, LOOK_UP);
+                        .shorten(job_key, DUPLICATE_LOOKUP_WORK);
                     return self.judge.record_fact(4, [number, now, u64::from(server)]);
                 }
                 // An attempt that was given up and yet ran, long after: no policy could know, and
                 // no rule is broken, but the effect is there and is counted.
-                self.late_repeats += u64::from(!op.runs.is_empty());
+                self.late_repeats += u64::from(!op.executions.is_empty());
             }
         }
-        op.runs.push((zone, now));
+        op.executions.push((zone, now));
         self.judge.record_fact(3, [number, now, u64::from(server)]);
     }
 
-    /// What a server in `zone` says of a job goes on its way, unless its proxy no longer waits.
+    /// Sends what a server in `zone` responds to a job, unless its proxy no longer waits.
     /// `leg` names the message, so that its latency is its own.
-    pub(super) fn reply(&mut self, zone: usize, job: &Job, outcome: Outcome, leg: u64) {
-        let Some(held) = self.tries.get(key(job.request)).filter(|_| !job.cancelled) else {
+    pub(super) fn send_response(&mut self, zone: usize, job: &Job, outcome: Outcome, leg: u64) {
+        let Some(held) = self
+            .requests
+            .get(request_key(job.request))
+            .filter(|_| !job.cancelled)
+        else {
             return;
         };
         let to = self.proxies[held.proxy as usize].zone;
-        let (number, n) = (self.ops[held.op].number, job.attempt);
+        let (number, n) = (self.operations[held.op].number, job.attempt);
         let way = self
             .network
             .delay(zone, to, [number, u64::from(n) << 8 | leg]);
@@ -150,7 +160,7 @@
             .unwrap_or(self.now);
         self.queue.push(
             from + way,
-            What::Back {
+            SimulationEvent::ResponseAtProxy {
                 request: job.request,
                 n,
                 outcome,
@@ -158,62 +168,66 @@
         );
     }
 
-    pub(super) fn left_server(&mut self, server: u32, job: &Job, outcome: Outcome) {
+    pub(super) fn job_ended(&mut self, server: u32, job: &Job, outcome: Outcome) {
         let machine = &self.machines[server as usize];
-        let place = &self.places[machine.place as usize];
-        let silent = place
+        let position = &self.positions[machine.position as usize];
+        let silent = position
             .degradations
             .values()
             .any(|degradation| degradation.class == job.class && degradation.unanswered);
         let zone = machine.zone;
         if !silent {
-            self.reply(zone, job, outcome, 5);
+            self.send_response(zone, job, outcome, 5);
         }
         self.release(job.op);
     }
 
     /// A server's process ends, or its machine vanishes.
-    pub(super) fn end_server(&mut self, server: u32, silent: bool) {
+    pub(super) fn stop_server(&mut self, server: u32, silent: bool) {
         self.advance(server);
-        self.touched(server);
+        self.handle_job_events(server);
         let machine = &mut self.machines[server as usize];
         if !machine.server.up {
             return;
         }
         let zone = machine.zone;
         let jobs = machine.server.stop();
-        machine.life += 1;
-        machine.vanished = silent;
-        (machine.connections, machine.armed) = (0, Micros::MAX);
+        machine.incarnation += 1;
+        machine.unresponsive = silent;
+        (machine.connections, machine.next_wakeup) = (0, Micros::MAX);
         self.judge.warm_up_ended(server);
         for job in jobs {
             if !silent {
-                self.reply(zone, &job, Outcome::Reset, 6);
+                self.send_response(zone, &job, Outcome::Reset, 6);
             }
             self.release(job.op);
         }
         let gone = seconds(self.scenario.discovery.removal_delay_s);
-        self.queue.push(self.now + gone, What::Visible(server));
+        self.queue
+            .push(self.now + gone, SimulationEvent::ListUpdate(server));
     }
 
-    /// A server's process starts, cold; connections that led to its last life are reset.
+    /// A server's process starts, cold; connections that led to its last incarnation are reset.
     pub(super) fn start_server(&mut self, server: u32) {
         let machine = &mut self.machines[server as usize];
-        if machine.server.up || machine.fallen || machine.phase == Phase::Gone {
+        if machine.server.up || machine.crashed_by_overload || machine.phase == Phase::Gone {
             return;
         }
-        let was_silent = std::mem::replace(&mut machine.vanished, false);
+        let was_silent = std::mem::replace(&mut machine.unresponsive, false);
         machine.server.start(self.now);
-        machine.told_at = usize::MAX;
-        let life = machine.life;
+        machine.start_version = usize::MAX;
+        let incarnation = machine.incarnation;
         let zone = machine.zone;
-        self.hamper(server);
+        self.apply_faults(server);
         let start = seconds(self.scenario.discovery.start_delay_s);
-        self.queue.push(self.now + start, What::Visible(server));
+        self.queue
+            .push(self.now + start, SimulationEvent::ListUpdate(server));
         if was_silent {
-            let stuck = |a: &Attempt| a.out && a.server == server && a.life < life && a.connected;
+            let stuck = |a: &Attempt| {
+                a.open && a.server == server && a.incarnation < incarnation && a.connected
+            };
             let found: Vec<(u64, u8, u32)> = self
-                .tries
+                .requests
                 .iter()
                 .flat_map(|(key, t)| {
                     let stuck = t.attempts.iter().enumerate().filter(|(_, a)| stuck(a));
@@ -226,7 +240,7 @@
                     .base_delay(zone, self.proxies[proxy as usize].zone);
                 self.queue.push(
                     self.now + way,
-                    What::Back {
+                    SimulationEvent::ResponseAtProxy {
                         request,
                         n,
                         outcome: Outcome::Reset,
@@ -236,15 +250,15 @@
         }
     }
 
-    /// What goes on round a server makes it slower, or stop.
-    pub(super) fn hamper(&mut self, server: u32) {
+    /// Applies the faults in force at the position of a server to its speed.
+    pub(super) fn apply_faults(&mut self, server: u32) {
         self.advance(server);
         let machine = &mut self.machines[server as usize];
-        let place = &self.places[machine.place as usize];
+        let position = &self.positions[machine.position as usize];
         machine
             .server
-            .set_fault(place.slow.values().product(), place.stopped > 0);
-        machine.armed = Micros::MAX;
-        self.touched(server);
+            .set_fault(position.slowdowns.values().product(), position.pauses > 0);
+        machine.next_wakeup = Micros::MAX;
+        self.handle_job_events(server);
     }
 }
--- a/crates/emulator/src/world/setup.rs
+++ b/crates/emulator/src/simulation/setup.rs
@@ -3,10 +3,10 @@
 use ironmast_balancer::{Micros, Phase};
 use rustc_hash::FxHashMap;
 
-use super::event::What;
+use super::event::SimulationEvent;
 use super::proxies::Proxy;
-use super::servers::{Machine, Place, server_id};
-use super::{ORIGIN, World};
+use super::servers::{Machine, Position, server_id};
+use super::{ORIGIN, Simulation};
 use crate::discovery::ListEntry;
 use crate::fault_schedule::{FaultTargets, schedule};
 use crate::network::ConnectionPool;
@@ -14,7 +14,7 @@
 use crate::server::Server;
 
 /// The zone of each proxy: dealt out by the weights, the zone furthest behind next.
-fn deal(weights: &[f64], zones: usize, count: u32) -> Vec<usize> {
+fn assign_zones(weights: &[f64], zones: usize, count: u32) -> Vec<usize> {
     let weight = |z: usize| {
         weights
             .get(z)
@@ -34,9 +34,9 @@
     (0..count).map(next).collect()
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Servers, proxies, the first lists and all steps of the troubles.
-    pub(super) fn found(&mut self) {
+    pub(super) fn set_up(&mut self) {
         let zones = self.scenario.zones.len();
         let mut dealt = 0;
         for (number, pool) in self.scenario.pools.iter().enumerate() {
@@ -50,16 +50,16 @@
                         dealt += 1;
                         (dealt - 1) % zones
                     });
-                let place = self.places.len() as u32;
-                let (slow, degradations) = Default::default();
-                self.places.push(Place {
+                let position = self.positions.len() as u32;
+                let (slowdowns, degradations) = Default::default();
+                self.positions.push(Position {
                     machine: 0,
-                    slow,
+                    slowdowns,
                     degradations,
-                    stopped: 0,
-                    lost: 0,
+                    pauses: 0,
+                    outages: 0,
                 });
-                let machine = self.machine(number, zone, place);
+                let machine = self.add_machine(number, zone, position);
                 self.machines[machine as usize].server.up = true;
                 self.discovery.publish(ListEntry {
                     server: machine,
@@ -70,7 +70,7 @@
             }
         }
         let spec = &self.scenario.proxies;
-        let dealt = deal(&spec.zone_weights, zones, spec.count);
+        let dealt = assign_zones(&spec.zone_weights, zones, spec.count);
         let busiest = self.scenario.clients.first_proxy_weight;
         let total = f64::from(spec.count) - 1.0 + busiest;
         for (i, zone) in dealt.iter().copied().enumerate() {
@@ -80,28 +80,28 @@
                 zone,
                 weight,
                 policy: None,
-                life: 0,
-                clients_there: true,
+                incarnation: 0,
+                has_clients: true,
                 subscribed: !self.scenario.discovery.watch,
-                heard: ORIGIN,
-                failed: false,
-                version: self.discovery.version(),
-                news_due: false,
-                closing: FxHashMap::default(),
-                idle: ConnectionPool::default(),
+                last_contact: ORIGIN,
+                last_query_failed: false,
+                list_version: self.discovery.version(),
+                notification_pending: false,
+                closing_since: FxHashMap::default(),
+                connection_pool: ConnectionPool::default(),
                 arrivals: Stream::new(self.seed, Purpose::Arrivals, n),
                 work: Stream::new(self.seed, Purpose::Work, n),
                 burst: (false, 0.0),
-                asked_at: 0.0,
+                last_arrival_s: 0.0,
             });
         }
         for i in 0..self.proxies.len() as u32 {
-            self.begin_proxy(i);
-            self.next_arrival(i);
+            self.start_proxy(i);
+            self.schedule_arrival(i);
         }
         let targets = FaultTargets {
             position_zones: &self
-                .places
+                .positions
                 .iter()
                 .map(|p| self.machines[p.machine as usize].zone)
                 .collect::<Vec<_>>(),
@@ -111,36 +111,38 @@
             .into_iter()
             .enumerate()
         {
-            self.queue.push(at, What::Step(number as u32));
+            self.queue
+                .push(at, SimulationEvent::FaultStep(number as u32));
             self.steps.push(step);
         }
-        self.queue.push(ORIGIN + self.column(), What::Sample);
+        self.queue
+            .push(ORIGIN + self.sample_interval(), SimulationEvent::Sample);
     }
 
     /// A machine that is not up yet.
-    pub(super) fn machine(&mut self, pool: usize, zone: usize, place: u32) -> u32 {
+    pub(super) fn add_machine(&mut self, pool: usize, zone: usize, position: u32) -> u32 {
         let number = self.machines.len() as u32;
         let spec = &self.scenario.pools[pool];
-        let speed = self.speeds.uniform(spec.speed);
-        let mut server = Server::new(spec, speed, self.now, self.held_distribution);
+        let speed = self.speed_draws.uniform(spec.speed);
+        let mut server = Server::new(spec, speed, self.now, self.occupancy_distribution);
         server.up = false;
         self.machines.push(Machine {
             server,
             id: server_id(number),
             zone,
-            place,
+            position,
             pool,
-            life: 0,
+            incarnation: 0,
             connections: 0,
             phase: Phase::Ready,
-            vanished: false,
-            fallen: false,
-            told_at: 0,
-            armed: Micros::MAX,
-            busy: Vec::new(),
-            before: (0.0, 0.0),
+            unresponsive: false,
+            crashed_by_overload: false,
+            start_version: 0,
+            next_wakeup: Micros::MAX,
+            utilization: Vec::new(),
+            last_sample: (0.0, 0.0),
         });
-        self.places[place as usize].machine = number;
+        self.positions[position as usize].machine = number;
         number
     }
 }
--- a/crates/emulator/src/world/summary.rs
+++ b/crates/emulator/src/simulation/summary.rs
@@ -3,37 +3,38 @@
 use ironmast_balancer::Micros;
 use slotmap::DefaultKey;
 
-use super::event::What;
-use super::{ORIGIN, World};
+use super::event::SimulationEvent;
+use super::{ORIGIN, Simulation};
 use crate::judge::{COLUMNS, EndedOperation, OperationOutcome, Rule};
 use crate::report::{Report, ServerReport, Traffic};
 
-impl World<'_> {
-    pub(super) fn column(&self) -> Micros {
+impl Simulation<'_> {
+    pub(super) fn sample_interval(&self) -> Micros {
         ((self.end - ORIGIN) / COLUMNS as u64).max(1)
     }
 
-    pub(super) fn sample(&mut self) {
+    pub(super) fn sample_servers(&mut self) {
         for number in 0..self.machines.len() as u32 {
             self.advance(number);
             let machine = &mut self.machines[number as usize];
             let statistics = &machine.server.statistics;
             let (busy, there) = (statistics.busy_core_time, statistics.available_core_time);
-            let (b, t) = (busy - machine.before.0, there - machine.before.1);
-            machine.before = (busy, there);
+            let (b, t) = (busy - machine.last_sample.0, there - machine.last_sample.1);
+            machine.last_sample = (busy, there);
             machine
-                .busy
+                .utilization
                 .push(if t > 0.0 { (b / t) as f32 } else { f32::NAN });
-            self.touched(number);
+            self.handle_job_events(number);
         }
-        if self.now + self.column() <= self.end {
-            self.queue.push(self.now + self.column(), What::Sample);
+        if self.now + self.sample_interval() <= self.end {
+            self.queue
+                .push(self.now + self.sample_interval(), SimulationEvent::Sample);
         }
     }
 
     /// Seconds of the scenario that have passed.
     #[must_use]
-    pub fn second(&self) -> f64 {
+    pub fn elapsed_seconds(&self) -> f64 {
         (self.now - ORIGIN) as f64 / 1e6
     }
 
@@ -42,22 +43,22 @@
     pub fn report(mut self) -> Report {
         for server in 0..self.machines.len() as u32 {
             self.advance(server);
-            self.touched(server);
+            self.handle_job_events(server);
         }
         let stuck: Vec<DefaultKey> = self
-            .ops
+            .operations
             .iter()
             .filter(|(_, op)| !op.ended)
             .map(|(key, _)| key)
             .collect();
         for key in stuck {
             let (proxy, number, start) = (
-                self.ops[key].proxy,
-                self.ops[key].number,
-                self.ops[key].start,
+                self.operations[key].proxy,
+                self.operations[key].number,
+                self.operations[key].start,
             );
-            let class = self.ops[key].class as usize;
-            if self.now >= self.stop {
+            let class = self.operations[key].class as usize;
+            if self.now >= self.hard_stop {
                 let what = "still open after the end";
                 self.judge.record_violation(
                     Rule::OneAnswer,
@@ -87,8 +88,8 @@
                 kind: self.scenario.pools[m.pool].kind.clone(),
                 zone: self.scenario.zones[m.zone].clone(),
                 statistics: m.server.statistics.clone(),
-                busy: m.busy.clone(),
-                position: m.place,
+                busy: m.utilization.clone(),
+                position: m.position,
             })
             .collect();
         let (events, attempts) = (self.events, self.attempts);
--- a/crates/emulator/src/world/true_state.rs
+++ b/crates/emulator/src/simulation/true_state.rs
@@ -2,19 +2,19 @@
 
 use ironmast_balancer::{Micros, Phase, ServerId};
 
-use super::servers::{Machine, Place, number_of};
+use super::servers::{Machine, Position, server_number};
 use crate::network::Network;
 use crate::policy::GroundTruth;
 use crate::server::Estimate;
 
-pub(super) struct Seen<'a> {
+pub(super) struct TrueState<'a> {
     pub(super) machines: &'a [Machine],
-    pub(super) places: &'a [Place],
+    pub(super) positions: &'a [Position],
     pub(super) network: &'a Network,
     pub(super) now: Micros,
 }
 
-impl GroundTruth for Seen<'_> {
+impl GroundTruth for TrueState<'_> {
     fn estimate_response(
         &self,
         server: ServerId,
@@ -22,11 +22,11 @@
         class: usize,
         work: f64,
     ) -> Estimate {
-        let Some(machine) = self.machines.get(number_of(server) as usize) else {
+        let Some(machine) = self.machines.get(server_number(server) as usize) else {
             return Estimate::NEVER;
         };
         let degradations = || {
-            self.places[machine.place as usize]
+            self.positions[machine.position as usize]
                 .degradations
                 .values()
                 .filter(|degradation| usize::from(degradation.class) == class)
@@ -40,7 +40,7 @@
             * degradations()
                 .map(|degradation| degradation.factor)
                 .product::<f64>();
-        let gone = machine.vanished || machine.phase != Phase::Ready;
+        let gone = machine.unresponsive || machine.phase != Phase::Ready;
         if gone
             || self
                 .network
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -5,7 +5,7 @@
 use ironmast_balancer::{
     Action, Event, Micros, Outcome, Phase, RequestId, Scope, ServerId, Settings,
 };
-use ironmast_emulator::{GroundTruth, Policy, PolicyName, Report, Rule, Scenario, World};
+use ironmast_emulator::{GroundTruth, Policy, PolicyName, Report, Rule, Scenario, Simulation};
 use rayon::prelude::*;
 
 /// A small fleet; `more` goes under the last heading.
@@ -200,7 +200,7 @@
             subscribed: false,
         })
     };
-    World::with(scenario, "sinner", 3, Box::new(build)).run()
+    Simulation::with_policy(scenario, "sinner", 3, Box::new(build)).run()
 }
 
 #[test]
@@ -295,7 +295,7 @@
         })
         .collect();
     runs.into_par_iter().for_each(|(s, policy, seed)| {
-        let report = World::new(&scenarios[s], policy, seed).run();
+        let report = Simulation::new(&scenarios[s], policy, seed).run();
         let name = policy.name();
         assert!(
             report.requests.asked > 1_000,
@@ -344,7 +344,7 @@
         .flat_map(|n| (0..10).map(move |seed| (n, seed)))
         .collect();
     runs.into_par_iter().for_each(|(proxies, seed)| {
-        let report = World::new(&cold_fleet(proxies), PolicyName::Module, seed).run();
+        let report = Simulation::new(&cold_fleet(proxies), PolicyName::Module, seed).run();
         assert!(
             report.requests.served > 5_000,
             "{proxies} proxies, seed {seed}: {:?}",
@@ -364,7 +364,7 @@
 #[test]
 fn policies_meet_the_same_clients() {
     let scenario = fleet(DEPLOY);
-    let asked = |policy| World::new(&scenario, policy, 5).run().requests.asked;
+    let asked = |policy| Simulation::new(&scenario, policy, 5).run().requests.asked;
     assert!(
         PolicyName::ALL
             .iter()
@@ -378,7 +378,7 @@
 fn digests_are_the_same_everywhere() {
     let scenario = fleet(DEPLOY);
     let digest = |seed| {
-        World::new(&scenario, PolicyName::TwoChoices, seed)
+        Simulation::new(&scenario, PolicyName::TwoChoices, seed)
             .run()
             .digest
     };
@@ -389,7 +389,11 @@
         here,
         ["ecd724da619f3a43", "c7d0ed46e6071b1d", "458bb2bf6a46193b"]
     );
-    let module = |_| World::new(&scenario, PolicyName::Module, 1).run().digest;
+    let module = |_| {
+        Simulation::new(&scenario, PolicyName::Module, 1)
+            .run()
+            .digest
+    };
     let runs: Vec<String> = (0..4).into_par_iter().map(module).collect();
     assert!(runs.iter().all(|d| *d == runs[0]), "{runs:?}");
 }
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -6,7 +6,7 @@
 //! Load Balancing (1996), theorem 1; the share of queues with at least i jobs is L^(2^i - 1)
 //! against L^i for one choice by chance.
 
-use ironmast_emulator::{PolicyName, Scenario, ServerStatistics, World};
+use ironmast_emulator::{PolicyName, Scenario, ServerStatistics, Simulation};
 use rayon::prelude::*;
 
 /// Mean work, in milliseconds.
@@ -50,14 +50,14 @@
 }
 
 fn replication(scenario: &Scenario, seed: u64, cores: f64) -> Seen {
-    let mut world = World::new(scenario, PolicyName::RoundRobin, seed);
+    let mut simulation = Simulation::new(scenario, PolicyName::RoundRobin, seed);
     let first = scenario.length_s / 20.0;
-    world.run_to(first);
-    world.forget_tallies();
-    let from = world.second();
-    world.run_to(scenario.length_s);
-    let time = (world.second() - from) * 1e6;
-    let report = world.report();
+    simulation.run_to(first);
+    simulation.reset_statistics();
+    let from = simulation.elapsed_seconds();
+    simulation.run_to(scenario.length_s);
+    let time = (simulation.elapsed_seconds() - from) * 1e6;
+    let report = simulation.report();
     let statistics: &ServerStatistics = &report.server_reports[0].statistics;
     let (began, waits) = (statistics.started as f64, statistics.total_wait);
     let little = |held: f64, passed: f64, stays: f64| {
@@ -68,7 +68,7 @@
         waiting: statistics.queued_time / time,
         load: statistics.busy_core_time / time / cores,
         little: little(
-            statistics.held_time,
+            statistics.in_system_time,
             statistics.finished as f64,
             statistics.total_sojourn,
         )
@@ -154,14 +154,14 @@
     let (servers, load) = (200, 0.9);
     let scenario = scenario(servers, 1, "exponential", load, 250.0);
     let tails = |policy: PolicyName| {
-        let mut world = World::new(&scenario, policy, 7);
-        world.keep_distribution();
-        world.run_to(50.0);
-        world.forget_tallies();
-        let from = world.second();
-        world.run_to(250.0);
-        let time = (world.second() - from) * 1e6 * f64::from(servers);
-        let report = world.report();
+        let mut simulation = Simulation::new(&scenario, policy, 7);
+        simulation.record_occupancy();
+        simulation.run_to(50.0);
+        simulation.reset_statistics();
+        let from = simulation.elapsed_seconds();
+        simulation.run_to(250.0);
+        let time = (simulation.elapsed_seconds() - from) * 1e6 * f64::from(servers);
+        let report = simulation.report();
         let share = |i: usize| {
             report
                 .server_reports
--- a/crates/testbed/src/hunt/finding.rs
+++ b/crates/testbed/src/hunt/finding.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use ironmast_emulator::{PolicyName, Report, Rule, Scenario, World};
+use ironmast_emulator::{PolicyName, Report, Rule, Scenario, Simulation};
 
 /// A run with more events than this for each request does not terminate.
 const MAX_EVENTS_PER_REQUEST: u64 = 100;
@@ -81,21 +81,21 @@
 
 /// Runs a scenario until it is over or has too many events.
 fn run_to_end(scenario: &Scenario, policy: PolicyName, seed: u64) -> Result<Report, Finding> {
-    let mut world = World::new(scenario, policy, seed);
+    let mut simulation = Simulation::new(scenario, policy, seed);
     let max_events = max_events(scenario);
     let mut until_s = 0.0;
     loop {
         until_s += CHECK_INTERVAL_S;
         // What was begun within the scenario's length may end after it.
         let is_last = until_s > scenario.length_s;
-        if world.run_to(if is_last {
+        if simulation.run_to(if is_last {
             f64::from(u32::MAX)
         } else {
             until_s
         }) {
-            return Ok(world.report());
+            return Ok(simulation.report());
         }
-        if world.events() > max_events {
+        if simulation.events() > max_events {
             return Err(Finding::EndlessEvents);
         }
     }
--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
-use ironmast_emulator::{PolicyName, Report, Scenario, World};
+use ironmast_emulator::{PolicyName, Report, Scenario, Simulation};
 use rayon::prelude::*;
 use serde::Serialize;
 
@@ -93,7 +93,7 @@
     /// Runs one trial; `None` if it was stopped.
     pub(crate) fn run(&self, trial: &Trial) -> Option<MeasuredReport> {
         let started = Instant::now();
-        let mut world = World::new(trial.scenario, trial.policy, trial.seed);
+        let mut simulation = Simulation::new(trial.scenario, trial.policy, trial.seed);
         for step in 1..=STEPS_PER_RUN {
             if self.is_stopped() {
                 return None;
@@ -103,14 +103,14 @@
             } else {
                 trial.scenario.length_s * f64::from(step) / f64::from(STEPS_PER_RUN)
             };
-            let is_over = world.run_to(until_s);
+            let is_over = simulation.run_to(until_s);
             self.bar.inc(1);
             if is_over {
                 self.bar.inc(u64::from(STEPS_PER_RUN - step));
                 break;
             }
         }
-        Some(measure(world.report(), started))
+        Some(measure(simulation.report(), started))
     }
 
     /// Runs trials on all cores; returns the results of those that were completed, in their order.
