--- a/crates/client-proxy/src/config.rs
+++ b/crates/client-proxy/src/config.rs
@@ -1,15 +1,38 @@
-//! What the program is told: the environment's `GW_*` and the JSON file they name. Settings are
-//! flattened to the simulator's `path=value` form and read by its parser, so that both programs
-//! agree on them.
+//! The configuration of the client proxy: the JSON file that `GW_CONFIG` names, and the variables
+//! that take precedence over it. `docs/operators/configuration.md` describes each key.
+//!
+//! The settings of the deployment are flattened to the simulator's form `path=value` and read by
+//! its parser, so that both programs agree on them.
+
+mod flatten;
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::io;
 use std::net::SocketAddr;
 
-use ironmast_settings::DeploymentSettings;
+use ironmast_settings::{DeploymentSettings, FieldError};
 use serde::Deserialize;
 use serde_json::Value;
 
-/// All of it, checked.
+use flatten::flatten;
+
+/// The variable that names the file.
+const PATH_VARIABLE: &str = "GW_CONFIG";
+
+/// The variable with the address of discovery.
+const DISCOVERY_VARIABLE: &str = "GW_DISCOVERY";
+
+/// Keys whose changes need no restart: `discovery` takes effect on SIGHUP, and the others are read
+/// only at the start.
+const KEYS_WITHOUT_RESTART: [&str; 3] = ["discovery", "known", "seed"];
+
+/// The descriptors that may be open, if the file gives no limit.
+const DEFAULT_SOCKETS: usize = 1024;
+
+/// The memory for bodies in MB, if the file gives no limit.
+const DEFAULT_MEMORY_MB: usize = 64;
+
+/// The configuration, validated.
 pub struct Config {
     /// The proxy's name.
     pub name: String,
@@ -17,36 +40,84 @@
     pub listen: SocketAddr,
     /// Where discovery listens.
     pub discovery: SocketAddr,
-    /// Where operators call, if they may.
+    /// Where operators connect; `None` if they can't.
     pub ops: Option<SocketAddr>,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// Descriptors that may be held.
+    /// The number of descriptors that may be open.
     pub sockets: usize,
-    /// Memory that may be held, in MB.
+    /// The memory for bodies, in MB.
     pub memory_mb: usize,
-    /// Where datagrams arrive, if peers may talk.
+    /// Where datagrams of peers arrive; `None` if there are no peers.
     pub peer_listen: Option<SocketAddr>,
-    /// Every proxy of the tier, by number.
+    /// Every proxy of the cluster, by number.
     pub peers: Vec<SocketAddr>,
-    /// Reaches them all.
+    /// The address that reaches all peers at once.
     pub peers_all: Option<SocketAddr>,
-    /// The list as last held, in discovery's form; may be old.
+    /// The last known endpoint list, in discovery's form; may be outdated.
     pub known: Option<Value>,
-    /// The settings.
+    /// The settings of the deployment.
     pub setup: DeploymentSettings,
-    /// All that the file says of values that hold until a restart, flattened.
-    written: BTreeMap<String, String>,
+    /// The values of the file that take effect at a start only, flattened.
+    restart_values: BTreeMap<String, String>,
 }
 
-/// What the file may change without a restart, or what says nothing after the start.
-const NO_RESTART: [&str; 3] = ["discovery", "known", "seed"];
-
-/// What to do next where nothing is told.
-const NO_CONFIG: &str = "GW_CONFIG is not set: set it to the path of the proxy's JSON file \
-    (docs/operators/configuration.md), or see proxies at work: `cargo build --release && target/release/ironmast-testbed demo`";
+/// Why there is no configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// No file is named.
+    #[error(
+        "{PATH_VARIABLE} is not set: set it to the path of the proxy's JSON file \
+         (docs/operators/configuration.md), or see proxies at work: `cargo build --release && \
+         target/release/ironmast-testbed demo`"
+    )]
+    NoPath,
+    /// The file can't be read.
+    #[error("{path}: {error}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// The system's error.
+        error: io::Error,
+    },
+    /// The file is not JSON, or a key has a value of another type.
+    #[error("{path}: {error}")]
+    Malformed {
+        /// The file.
+        path: String,
+        /// The parser's error.
+        error: serde_json::Error,
+    },
+    /// A required value is missing.
+    #[error("{variable} is not set, and {path} has no value for it")]
+    Missing {
+        /// The variable that could give the value.
+        variable: &'static str,
+        /// The file.
+        path: String,
+    },
+    /// A value is not an address.
+    #[error("{variable}: `{value}` is not ADDRESS:PORT")]
+    InvalidAddress {
+        /// The variable, which stands for the key of the file as well.
+        variable: &'static str,
+        /// The value.
+        value: String,
+    },
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("seed: `{0}` is not hex digits")]
+    InvalidSeed(String),
+    /// The settings of the deployment are invalid.
+    #[error("{path}: settings: {error}")]
+    InvalidSettings {
+        /// The file.
+        path: String,
+        /// The first invalid setting.
+        error: FieldError,
+    },
+}
 
-/// The file as it is written.
+/// The file.
 #[derive(Deserialize)]
 struct File {
     name: Option<String>,
@@ -71,60 +142,59 @@
 }
 
 impl Config {
-    /// Reads the configuration from the environment and the file that `GW_CONFIG` names; `env` looks
-    /// up a variable.
+    /// Reads the configuration from the file that `GW_CONFIG` names and from the variables that
+    /// take precedence over it; `env` looks up a variable.
     ///
     /// # Errors
-    /// One line that names the file, the field and the reason.
-    pub fn read(env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        let path = env("GW_CONFIG").ok_or(NO_CONFIG)?;
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
-        let mut all: Value = serde_json::from_str(&text).map_err(|e| format!("{path}: {e}"))?;
-        let file = File::deserialize(&all).map_err(|e| format!("{path}: {e}"))?;
-        let mut written = BTreeMap::new();
-        if let Some(all) = all.as_object_mut() {
-            all.retain(|key, _| !NO_RESTART.contains(&key.as_str()));
-        }
-        flatten("", &all, &mut written);
-        let told = |name: &str, written: Option<String>| {
-            env(name)
-                .or(written)
-                .ok_or_else(|| format!("{name} is not set and {path} does not tell it"))
-        };
-        let parse = |name: &str, value: String| {
-            value
-                .parse()
-                .map_err(|_| format!("{name}: `{value}` is not ADDRESS:PORT"))
+    /// [`ConfigError`] for the first fault that is found.
+    pub fn read(env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        let path = env(PATH_VARIABLE).ok_or(ConfigError::NoPath)?;
+        let json = read_json(&path)?;
+        let file = File::deserialize(&json).map_err(|error| ConfigError::Malformed {
+            path: path.clone(),
+            error,
+        })?;
+        let required = |variable, value: Option<String>| {
+            env(variable).or(value).ok_or_else(|| ConfigError::Missing {
+                variable,
+                path: path.clone(),
+            })
         };
-        let address = |name: &str, written| parse(name, told(name, written)?);
-        let ops = env("GW_OPS").or(file.ops);
-        let seed = file.seed.unwrap_or_default();
-        let mut pairs = BTreeMap::new();
-        flatten("", &file.settings, &mut pairs);
+        let address = |variable, value| parse_address(variable, required(variable, value)?);
         Ok(Config {
-            name: told("GW_NAME", file.name)?,
+            name: required("GW_NAME", file.name)?,
             listen: address("GW_LISTEN", file.listen)?,
-            discovery: address("GW_DISCOVERY", file.discovery)?,
-            ops: ops.map(|value| parse("GW_OPS", value)).transpose()?,
-            seed: u64::from_str_radix(&seed, 16)
-                .map_err(|_| format!("seed: `{seed}` is not hex digits"))?,
-            sockets: file.limits.sockets.unwrap_or(1024),
-            memory_mb: file.limits.memory_mb.unwrap_or(64),
+            discovery: address(DISCOVERY_VARIABLE, file.discovery)?,
+            ops: env("GW_OPS")
+                .or(file.ops)
+                .map(|value| parse_address("GW_OPS", value))
+                .transpose()?,
+            seed: parse_seed(file.seed.unwrap_or_default())?,
+            sockets: file.limits.sockets.unwrap_or(DEFAULT_SOCKETS),
+            memory_mb: file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
             peer_listen: file.peer_listen,
             peers: file.peers,
             peers_all: file.peers_all,
             known: file.known,
-            setup: DeploymentSettings::from_pairs(
-                pairs
-                    .iter()
-                    .map(|(path, value)| (path.as_str(), value.as_str())),
-            )
-            .map_err(|e| format!("{path}: settings: {e}"))?,
-            written,
+            setup: deployment_settings(&file.settings)
+                .map_err(|error| ConfigError::InvalidSettings { path, error })?,
+            restart_values: restart_values(json),
         })
     }
 
-    /// What was read, in one line for the operator.
+    /// Reads the file again. Its address of discovery now takes precedence over the variable, which
+    /// is as old as the process and could name an address that nobody listens on any more.
+    ///
+    /// # Errors
+    /// As for [`Config::read`].
+    pub fn read_again(env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        let config = Config::read(&env);
+        let without_discovery = |name: &str| env(name).filter(|_| name != DISCOVERY_VARIABLE);
+        // Fails if the file gives no address of discovery: then the variable is all there is.
+        Config::read(without_discovery).or(config)
+    }
+
+    /// The configuration in one line for the operator.
     #[must_use]
     pub fn summary(&self) -> String {
         let Config {
@@ -136,9 +206,10 @@
             setup,
             ..
         } = self;
-        let (classes, zone) = (setup.classes.join(", "), &setup.zones[setup.settings.zone]);
-        let operators = ops.map_or("operators can't call".to_string(), |at| {
-            format!("operators call {at}")
+        let classes = setup.classes.join(", ");
+        let zone = &setup.zones[setup.settings.zone];
+        let operators = ops.map_or("operators can't call".to_string(), |address| {
+            format!("operators call {address}")
         });
         format!(
             "sound: {name} listens on {listen} in zone {zone} for {classes}; discovery is {discovery}; \
@@ -146,60 +217,59 @@
         )
     }
 
-    /// Reads the file again. Its address of discovery now prevails over the environment: the variable
-    /// is as old as the process, and could name an address that has closed.
-    ///
-    /// # Errors
-    /// As for [`Config::read`].
-    pub fn read_again(env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        let config = Config::read(&env);
-        if let Ok(moved) = Config::read(|name| env(name).filter(|_| name != "GW_DISCOVERY")) {
-            return Ok(moved);
-        }
-        config
-    }
-
-    /// The values that differ in `new` and hold only after a restart.
+    /// The paths of the values that differ in `new` and take effect only after a restart.
     #[must_use]
-    pub fn need_restart(&self, new: &Config) -> Vec<String> {
-        let both: BTreeSet<&String> = self.written.keys().chain(new.written.keys()).collect();
-        let differ = both
+    pub fn changes_needing_restart(&self, new: &Config) -> Vec<String> {
+        let paths: BTreeSet<&String> = self
+            .restart_values
+            .keys()
+            .chain(new.restart_values.keys())
+            .collect();
+        paths
             .into_iter()
-            .filter(|key| self.written.get(*key) != new.written.get(*key));
-        differ.cloned().collect()
+            .filter(|path| self.restart_values.get(*path) != new.restart_values.get(*path))
+            .cloned()
+            .collect()
     }
 }
 
-/// Writes nested JSON as the wire's pairs: lists of objects with a count, plain ones joined with
-/// commas.
-fn flatten(path: &str, value: &Value, pairs: &mut BTreeMap<String, String>) {
-    let at = |key: &str| {
-        if path.is_empty() {
-            key.to_string()
-        } else {
-            format!("{path}.{key}")
-        }
-    };
-    let plain = |value: &Value| match value {
-        Value::String(text) => text.replace([' ', ','], "_"),
-        Value::Null => String::new(),
-        other => other.to_string(),
-    };
-    match value {
-        Value::Object(map) => map
+fn read_json(path: &str) -> Result<Value, ConfigError> {
+    let text = std::fs::read_to_string(path).map_err(|error| ConfigError::Unreadable {
+        path: path.to_string(),
+        error,
+    })?;
+    serde_json::from_str(&text).map_err(|error| ConfigError::Malformed {
+        path: path.to_string(),
+        error,
+    })
+}
+
+fn parse_address(variable: &'static str, value: String) -> Result<SocketAddr, ConfigError> {
+    value
+        .parse()
+        .map_err(|_| ConfigError::InvalidAddress { variable, value })
+}
+
+/// Parses up to 16 hex digits.
+fn parse_seed(digits: String) -> Result<u64, ConfigError> {
+    u64::from_str_radix(&digits, 16).map_err(|_| ConfigError::InvalidSeed(digits))
+}
+
+fn deployment_settings(settings: &Value) -> Result<DeploymentSettings, FieldError> {
+    let mut pairs = BTreeMap::new();
+    flatten("", settings, &mut pairs);
+    DeploymentSettings::from_pairs(
+        pairs
             .iter()
-            .for_each(|(key, value)| flatten(&at(key), value, pairs)),
-        Value::Array(items) if items.iter().any(Value::is_object) => {
-            pairs.insert(at("count"), items.len().to_string());
-            items
-                .iter()
-                .enumerate()
-                .for_each(|(i, item)| flatten(&at(&i.to_string()), item, pairs));
-        }
-        Value::Array(items) => {
-            let joined: Vec<String> = items.iter().map(plain).collect();
-            pairs.insert(path.to_string(), joined.join(","));
-        }
-        value => drop(pairs.insert(path.to_string(), plain(value))),
+            .map(|(path, value)| (path.as_str(), value.as_str())),
+    )
+}
+
+fn restart_values(mut file: Value) -> BTreeMap<String, String> {
+    if let Some(file) = file.as_object_mut() {
+        file.retain(|key, _| !KEYS_WITHOUT_RESTART.contains(&key.as_str()));
     }
+    let mut values = BTreeMap::new();
+    flatten("", &file, &mut values);
+    values
 }
--- /dev/null
+++ b/crates/client-proxy/src/config/flatten.rs
@@ -0,0 +1,47 @@
+//! Nested JSON in the simulator's form: pairs of a path and a value.
+
+use std::collections::BTreeMap;
+
+use serde_json::Value;
+
+/// Adds the values below `path` to `pairs`. Keys are joined with dots. A list of objects becomes a
+/// `count` and one path an object, a list of plain values one value joined with commas.
+pub(super) fn flatten(path: &str, value: &Value, pairs: &mut BTreeMap<String, String>) {
+    match value {
+        Value::Object(fields) => {
+            for (key, field) in fields {
+                flatten(&join(path, key), field, pairs);
+            }
+        }
+        Value::Array(items) if items.iter().any(Value::is_object) => {
+            pairs.insert(join(path, "count"), items.len().to_string());
+            for (index, item) in items.iter().enumerate() {
+                flatten(&join(path, &index.to_string()), item, pairs);
+            }
+        }
+        Value::Array(items) => {
+            let values: Vec<String> = items.iter().map(plain).collect();
+            pairs.insert(path.to_string(), values.join(","));
+        }
+        value => {
+            pairs.insert(path.to_string(), plain(value));
+        }
+    }
+}
+
+fn join(path: &str, key: &str) -> String {
+    if path.is_empty() {
+        key.to_string()
+    } else {
+        format!("{path}.{key}")
+    }
+}
+
+/// A value as text. Spaces and commas, which separate values in that form, become underscores.
+fn plain(value: &Value) -> String {
+    match value {
+        Value::String(text) => text.replace([' ', ','], "_"),
+        Value::Null => String::new(),
+        other => other.to_string(),
+    }
+}
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -391,7 +391,7 @@
 fn reload(config: &mut Config, discovery: &mpsc::UnboundedSender<DiscoveryCommand>, log: &Logger) {
     match Config::read_again(|name| std::env::var(name).ok()) {
         Ok(new) => {
-            let waits = config.need_restart(&new).join(", ");
+            let waits = config.changes_needing_restart(&new).join(", ");
             if !waits.is_empty() {
                 warn!(log, "changed settings take effect after a restart"; "settings" => waits);
             }
@@ -402,7 +402,7 @@
             info!(log, "configuration reloaded"; "discovery" => config.discovery);
         }
         Err(problem) => {
-            warn!(log, "invalid configuration ignored, the previous one stays in effect"; "why" => problem.replace('\n', " "));
+            warn!(log, "invalid configuration ignored, the previous one stays in effect"; "why" => problem.to_string().replace('\n', " "));
         }
     }
 }
--- a/crates/ironmast/src/main.rs
+++ b/crates/ironmast/src/main.rs
@@ -5,10 +5,11 @@
 mod logging;
 mod system;
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
+use eyre::Result;
 use ironmast_client_proxy::config::Config;
 use ironmast_client_proxy::serve;
 use logging::{LogFormat, LogLevel};
@@ -50,29 +51,41 @@
         return system::main(role, arguments);
     }
     let cli = Cli::parse();
-    let env = |name: &str| std::env::var(name).ok();
     let done = match cli.command {
-        Command::Run => Config::read(env).and_then(|config| {
-            // Lines are written by a thread of their own: guards the proxy against a slow reader of
-            // its log.
-            let (log, _guard) = logging::root(cli.log_format, cli.log_level, &config.name);
-            actix_rt::System::new().block_on(serve::run(config, log))
-        }),
-        Command::CheckConfig { path } => {
-            let path = path.map(|p| p.to_string_lossy().into_owned());
-            let env = |name: &str| {
-                path.clone()
-                    .filter(|_| name == "GW_CONFIG")
-                    .or_else(|| env(name))
-            };
-            Config::read(env).map(|config| println!("{}", config.summary()))
-        }
+        Command::Run => run(cli.log_format, cli.log_level),
+        Command::CheckConfig { path } => check_config(path.as_deref()),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("ironmast: {}", problem.replace('\n', " "));
+            eprintln!("ironmast: {}", format!("{problem:#}").replace('\n', " "));
             ExitCode::FAILURE
         }
     }
 }
+
+/// Serves as a client proxy until a signal ends it.
+fn run(format: LogFormat, level: LogLevel) -> Result<()> {
+    let config = Config::read(variable)?;
+    // Lines are written by a thread of their own: guards the proxy against a slow reader of its log.
+    let (log, _guard) = logging::root(format, level, &config.name);
+    actix_rt::System::new()
+        .block_on(serve::run(config, log))
+        .map_err(eyre::Report::msg)
+}
+
+/// Reads the configuration at `path`, or that of the environment, and prints what it found.
+fn check_config(path: Option<&Path>) -> Result<()> {
+    let path = path.map(|path| path.to_string_lossy().into_owned());
+    let env = |name: &str| {
+        let path = path.clone().filter(|_| name == "GW_CONFIG");
+        path.or_else(|| variable(name))
+    };
+    println!("{}", Config::read(env)?.summary());
+    Ok(())
+}
+
+/// A variable of the environment.
+fn variable(name: &str) -> Option<String> {
+    std::env::var(name).ok()
+}
