--- a/crates/client-proxy/src/members.rs
+++ b/crates/client-proxy/src/members.rs
@@ -2,14 +2,14 @@
 //! directory.
 //!
 //! ```toml
-//! enabled = false   # true: the proxies of a tier tell each other who is alive (docs/operators/membership.md)
+//! enabled = false   # true: the proxies of a cluster detect which of them are alive (docs/operators/membership.md)
 //! ```
 //!
-//! No file, or `enabled = false`: membership is off and the peers' socket carries what it carried
-//! before.
+//! Without the file, or with `enabled = false`, the peers' socket carries no membership datagrams.
 
+use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use ironmast_membership::{Member, Membership, config, new_incarnation};
 use serde::Deserialize;
@@ -17,52 +17,85 @@
 /// Where the operators' file is, from the working directory.
 pub(crate) const FILE: &str = "deploy/membership.toml";
 
+/// Why membership can't start.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum MembershipError {
+    /// The file can't be read.
+    #[error("{}: {error}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// The system's error.
+        error: io::Error,
+    },
+    /// The file is invalid.
+    #[error("{}: {}", path.display(), error.message().trim())]
+    Malformed {
+        /// The file.
+        path: PathBuf,
+        /// The parser's error.
+        error: Box<toml::de::Error>,
+    },
+    /// The proxy has no address that identifies it as a member.
+    #[error("membership needs peer_listen as an IPv4 address with its port")]
+    NoMemberAddress,
+}
+
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
     enabled: bool,
 }
 
-/// Reads the operators' file at `path`: whether membership is on. A file that is there but wrong is
-/// one line.
-pub(crate) fn enabled(path: &Path) -> Result<bool, String> {
+/// Whether the operators' file at `path` enables membership; no file disables it.
+///
+/// # Errors
+/// [`MembershipError`] if the file can't be read or is invalid.
+pub(crate) fn is_enabled(path: &Path) -> Result<bool, MembershipError> {
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(false),
-        Err(e) => return Err(format!("{}: {e}", path.display())),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(false),
+        Err(error) => {
+            return Err(MembershipError::Unreadable {
+                path: path.to_path_buf(),
+                error,
+            });
+        }
     };
-    let file: File =
-        toml::from_str(&text).map_err(|e| format!("{}: {}", path.display(), e.message().trim()))?;
+    let file: File = toml::from_str(&text).map_err(|error| MembershipError::Malformed {
+        path: path.to_path_buf(),
+        error: Box::new(error),
+    })?;
     Ok(file.enabled)
 }
 
-/// Membership for a proxy whose datagrams arrive at `listen`, of a tier of `peers`; none where
-/// `listen` is not an IPv4 address with a port (said in the error).
+/// Membership for a proxy whose datagrams arrive at `listen`, in a cluster of `peers`.
+///
+/// # Errors
+/// [`MembershipError::NoMemberAddress`] if `listen` is not an IPv4 address with a port.
 pub(crate) fn start(
     listen: Option<SocketAddr>,
     peers: &[SocketAddr],
     seed: u64,
-) -> Result<Membership, String> {
-    let Some(SocketAddr::V4(address)) = listen.filter(|a| a.port() != 0) else {
-        return Err("membership needs peer_listen as an IPv4 address with its port".into());
+) -> Result<Membership, MembershipError> {
+    let Some(SocketAddr::V4(address)) = listen.filter(|address| address.port() != 0) else {
+        return Err(MembershipError::NoMemberAddress);
     };
-    let me = Member {
+    let identity = Member {
         address,
         incarnation: new_incarnation(),
     };
-    Ok(Membership::new(me, config(peers.len().max(1) as u32), seed))
+    let cluster_size = peers.len().max(1) as u32;
+    Ok(Membership::new(identity, config(cluster_size), seed))
 }
 
-/// The IPv4 peers of the tier, for joining.
-pub(crate) fn v4(peers: &[SocketAddr]) -> Vec<SocketAddrV4> {
+/// The IPv4 peers of the cluster, for joining.
+pub(crate) fn ipv4_peers(peers: &[SocketAddr]) -> Vec<SocketAddrV4> {
     peers
         .iter()
-        .filter_map(|p| {
-            if let SocketAddr::V4(a) = p {
-                Some(*a)
-            } else {
-                None
-            }
+        .filter_map(|peer| match peer {
+            SocketAddr::V4(address) => Some(*address),
+            SocketAddr::V6(_) => None,
         })
         .collect()
 }
--- a/crates/client-proxy/src/members/tests.rs
+++ b/crates/client-proxy/src/members/tests.rs
@@ -3,31 +3,30 @@
 use super::*;
 
 #[test]
-fn the_operators_file_turns_membership_on_off_or_is_told_wrong_in_one_line() {
+fn the_operators_file_enables_or_disables_membership_or_is_rejected_in_one_line() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("membership.toml");
-    assert_eq!(enabled(&path), Ok(false), "no file: off");
-    for (text, on) in [("enabled = true\n", true), ("enabled = false\n", false)] {
+    assert!(!is_enabled(&path).expect("valid"), "no file: disabled");
+    for (text, enabled) in [("enabled = true\n", true), ("enabled = false\n", false)] {
         std::fs::write(&path, text).expect("written");
-        assert_eq!(enabled(&path), Ok(on));
+        assert_eq!(is_enabled(&path).expect("valid"), enabled);
     }
-    for bad in [
+    for invalid in [
         "enabled = 1\n",
         "enabled = true\nfanout = 3\n",
         "enabled =\n",
     ] {
-        std::fs::write(&path, bad).expect("written");
-        let said = enabled(&path).expect_err("wrong");
+        std::fs::write(&path, invalid).expect("written");
+        let error = is_enabled(&path).expect_err("invalid").to_string();
         assert!(
-            said.starts_with(&path.display().to_string()) && !said.contains('\n'),
-            "{said}"
+            error.starts_with(&path.display().to_string()) && !error.contains('\n'),
+            "{error}"
         );
     }
     let shipped = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/membership.toml");
-    assert_eq!(
-        enabled(&shipped),
-        Ok(false),
-        "the shipped file keeps it off in run"
+    assert!(
+        !is_enabled(&shipped).expect("valid"),
+        "the shipped file keeps it disabled in run"
     );
     assert!(
         start(None, &[], 1).is_err()
--- a/crates/client-proxy/src/peers.rs
+++ b/crates/client-proxy/src/peers.rs
@@ -1,115 +1,139 @@
-//! Datagrams between the proxies of a tier.
+//! Datagrams between the proxies of a cluster: those of the decision module, and those of
+//! membership where it is enabled.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 use ironmast_membership::{Action, Membership, PROTOCOL_TAG};
 use slog::{Logger, debug, info, warn};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 
+use crate::members;
 use crate::message::{Message, PeerMessage, Queue};
 
-/// A longer datagram voids the run.
-const MOST: usize = 256;
+/// The maximum size of a datagram in bytes, given by the platform.
+const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// The socket and who may speak on it.
+/// The socket of the datagrams and who may use it.
 pub(crate) struct Peers {
     /// Bound to where datagrams arrive; they are sent from there too.
     pub socket: Option<Rc<UdpSocket>>,
     /// Every proxy of the cluster, by number.
-    #[expect(
-        clippy::struct_field_names,
-        reason = "the peers of this proxy, beside its own socket"
-    )]
-    pub peers: Vec<SocketAddr>,
-    /// Reaches them all.
-    pub all: Option<SocketAddr>,
-    /// Where remarks go.
+    pub addresses: Vec<SocketAddr>,
+    /// The address that reaches them all.
+    pub broadcast: Option<SocketAddr>,
+    /// The log.
     pub log: Logger,
     /// To the driver.
     pub queue: Queue,
-    /// Whether this process serves: of two that replace one another only one speaks and hears.
+    /// Whether this process serves: of the two of a hot restart only one sends and receives.
     pub serving: watch::Receiver<bool>,
-    /// Who of the tier is alive, where the operators' file turns it on; its datagrams begin with
+    /// Which proxies of the cluster are alive, if membership is enabled; its datagrams begin with
     /// its tag.
     pub membership: Option<Membership>,
 }
 
+/// A datagram that has arrived.
+struct Datagram<'a> {
+    data: &'a [u8],
+    /// Whether the buffer begins with the tag of membership.
+    is_tagged: bool,
+    from: SocketAddr,
+}
+
 impl Peers {
-    /// Sends what is to be told and passes on what arrives.
-    pub(crate) async fn run(mut self, mut tells: mpsc::UnboundedReceiver<PeerMessage>) {
-        let mut buffer = [0; MOST + 1];
+    /// Sends messages and reports the datagrams that arrive, until all senders are dropped.
+    pub(crate) async fn run(mut self, mut messages: mpsc::UnboundedReceiver<PeerMessage>) {
+        let Some(socket) = self.socket.clone() else {
+            return self.discard(messages).await;
+        };
+        // A byte more than is permitted, so that a longer datagram shows.
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let start = Instant::now();
-        let mut joined = false;
+        let mut has_joined = false;
         loop {
-            let Some(socket) = self.socket.clone() else {
-                while tells.recv().await.is_some() {
-                    warn!(
-                        self.log,
-                        "message to peers dropped: no socket is configured"
-                    );
-                }
-                return;
-            };
             let serves = *self.serving.borrow_and_update();
             if serves
-                && !joined
+                && !has_joined
                 && let Some(membership) = self.membership.as_mut()
             {
-                let actions = membership.join(&crate::members::v4(&self.peers), start.elapsed());
-                self.carry(&socket, actions).await;
-                joined = true;
+                let peers = members::ipv4_peers(&self.addresses);
+                let actions = membership.join(&peers, start.elapsed());
+                self.carry_out(&socket, actions).await;
+                has_joined = true;
             }
-            let due = self
-                .membership
-                .as_ref()
-                .and_then(Membership::next_deadline)
-                .map(|d| start + d);
-            let timer = async move {
-                match due {
-                    Some(due) => tokio::time::sleep_until(due.into()).await,
-                    None => std::future::pending().await,
-                }
-            };
+            let due = self.membership.as_ref().and_then(Membership::next_deadline);
+            let due = due.map(|after_start| start + after_start);
             tokio::select! {
-                () = timer, if serves => {
+                () = sleep_until(due), if serves => {
                     if let Some(membership) = self.membership.as_mut() {
                         let actions = membership.tick(start.elapsed());
-                        self.carry(&socket, actions).await;
+                        self.carry_out(&socket, actions).await;
                     }
                 }
                 Ok(()) = self.serving.changed() => {}
-                tell = tells.recv() => match tell {
-                    Some(tell) if serves => self.tell(&socket, tell).await,
+                message = messages.recv() => match message {
+                    Some(message) if serves => self.send(&socket, message).await,
                     Some(_) => {}
                     None => return,
                 },
                 received = socket.recv_from(&mut buffer), if serves => {
-                    // An error speaks of an earlier datagram that found nobody.
-                    let Ok((bytes, from)) = received else { continue };
-                    let known = self.peers.contains(&from);
-                    if let (true, Some(membership)) = (known && buffer.starts_with(&PROTOCOL_TAG), self.membership.as_mut()) {
-                        match membership.handle_datagram(&buffer[..bytes], start.elapsed()) {
-                            Ok(actions) => self.carry(&socket, actions).await,
-                            Err(why) => debug!(self.log, "membership datagram rejected"; "why" => %why),
-                        }
-                        continue;
-                    }
-                    match self.peers.iter().position(|&p| p == from) {
-                        Some(number) if bytes <= MOST => {
-                            self.queue.send(Message::PeerDatagram { from: number as u32, data: buffer[..bytes].to_vec() });
-                        }
-                        _ => debug!(self.log, "peer datagram dropped"; "from" => from),
+                    // An error is that of an earlier datagram, which could not be delivered.
+                    if let Ok((bytes, from)) = received {
+                        let is_tagged = buffer.starts_with(&PROTOCOL_TAG);
+                        let datagram = Datagram { data: &buffer[..bytes], is_tagged, from };
+                        self.receive(&socket, datagram, start.elapsed()).await;
                     }
                 }
             }
         }
     }
 
-    /// Sends what membership asks for and logs who came and went.
-    async fn carry(&self, socket: &UdpSocket, actions: Vec<Action>) {
+    /// Discards all messages, because there is no socket.
+    async fn discard(&self, mut messages: mpsc::UnboundedReceiver<PeerMessage>) {
+        while messages.recv().await.is_some() {
+            warn!(
+                self.log,
+                "message to peers dropped: no socket is configured"
+            );
+        }
+    }
+
+    /// Handles a datagram that arrived at `now`, in the time of membership.
+    async fn receive(&mut self, socket: &UdpSocket, datagram: Datagram<'_>, now: Duration) {
+        let Datagram {
+            data,
+            is_tagged,
+            from,
+        } = datagram;
+        let number = self.addresses.iter().position(|&address| address == from);
+        if number.is_some()
+            && is_tagged
+            && let Some(membership) = self.membership.as_mut()
+        {
+            match membership.handle_datagram(data, now) {
+                Ok(actions) => self.carry_out(socket, actions).await,
+                Err(error) => {
+                    debug!(self.log, "membership datagram rejected"; "why" => %error);
+                }
+            }
+            return;
+        }
+        match number {
+            Some(number) if data.len() <= MAX_DATAGRAM_BYTES => {
+                self.queue.send(Message::PeerDatagram {
+                    from: number as u32,
+                    data: data.to_vec(),
+                });
+            }
+            _ => debug!(self.log, "peer datagram dropped"; "from" => from),
+        }
+    }
+
+    /// Carries out the actions of membership.
+    async fn carry_out(&self, socket: &UdpSocket, actions: Vec<Action>) {
         let tier = self.membership.as_ref().map_or(0, Membership::cluster_size);
         for action in actions {
             match action {
@@ -118,23 +142,24 @@
                         debug!(self.log, "membership datagram could not be sent"; "why" => %error);
                     }
                 }
-                Action::MemberUp(m) => {
-                    info!(self.log, "a member of the tier is up"; "member" => %m.address, "incarnation" => m.incarnation, "tier" => tier);
+                Action::MemberUp(member) => {
+                    info!(self.log, "a member of the tier is up"; "member" => %member.address, "incarnation" => member.incarnation, "tier" => tier);
                 }
-                Action::MemberDown(m) => {
-                    info!(self.log, "a member of the tier is down"; "member" => %m.address, "incarnation" => m.incarnation, "tier" => tier);
+                Action::MemberDown(member) => {
+                    info!(self.log, "a member of the tier is down"; "member" => %member.address, "incarnation" => member.incarnation, "tier" => tier);
                 }
             }
         }
     }
 
-    async fn tell(&self, socket: &UdpSocket, PeerMessage { to, data }: PeerMessage) {
+    /// Sends a message of the decision module.
+    async fn send(&self, socket: &UdpSocket, PeerMessage { to, data }: PeerMessage) {
         let address = match to {
-            Some(peer) => self.peers.get(peer as usize).copied(),
-            None => self.all,
+            Some(number) => self.addresses.get(number as usize).copied(),
+            None => self.broadcast,
         };
         match address {
-            Some(address) if data.len() <= MOST => {
+            Some(address) if data.len() <= MAX_DATAGRAM_BYTES => {
                 if let Err(error) = socket.send_to(&data, address).await {
                     debug!(self.log, "message to a peer could not be sent"; "why" => %error);
                 }
@@ -145,3 +170,11 @@
         }
     }
 }
+
+/// Returns at the moment `due`, or never if there is none.
+async fn sleep_until(due: Option<Instant>) {
+    match due {
+        Some(due) => tokio::time::sleep_until(due.into()).await,
+        None => std::future::pending().await,
+    }
+}
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -6,6 +6,7 @@
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::AsFd as _;
+use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -33,6 +34,7 @@
 use crate::hot_restart::predecessor::{self, Inherited};
 use crate::hot_restart::successor;
 use crate::listener::{Front, LIMITS};
+use crate::members;
 use crate::message::{DiscoveryCommand, PriorityMessage, Queue};
 use crate::ops;
 use crate::peers::Peers;
@@ -132,19 +134,17 @@
     );
     let passed_socket = socket.clone();
     let (log_of_peers, to_queue, speaks) = (log.clone(), queue.clone(), serving.clone());
-    let membership = if crate::members::enabled(std::path::Path::new(crate::members::FILE))? {
-        Some(crate::members::start(
-            config.peer_listen,
-            &peers,
-            config.seed,
-        )?)
+    let is_enabled = members::is_enabled(Path::new(members::FILE)).map_err(|e| e.to_string())?;
+    let membership = if is_enabled {
+        let membership = members::start(config.peer_listen, &peers, config.seed);
+        Some(membership.map_err(|e| e.to_string())?)
     } else {
         None
     };
     let peers = Peers {
         socket,
-        peers,
-        all,
+        addresses: peers,
+        broadcast: all,
         log: log_of_peers,
         queue: to_queue,
         serving: speaks,
