--- a/crates/client-proxy/src/ops.rs
+++ b/crates/client-proxy/src/ops.rs
@@ -1,7 +1,7 @@
-//! Operators' calls: one line in, one line out. Sockets only; what a line means is
-//! `ironmast_admin::command`.
+//! The operators' connections: one command line in, one reply line out. What a line means is
+//! decided by `ironmast_admin::command`.
 
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,79 +15,108 @@
 
 use crate::message::PriorityMessage;
 
-/// Operators that may be connected at once; their descriptors are their own.
-pub(crate) const CALLERS: usize = 8;
-/// A caller has this long for its line, and again for hearing the answer.
-const PATIENCE: Duration = Duration::from_millis(2_500);
-/// After an accept that failed, the next waits this long.
-const PAUSE: Duration = Duration::from_millis(20);
+/// The maximum number of operators' connections, which have descriptors of their own.
+pub(crate) const MAX_CONNECTIONS: usize = 8;
+
+/// The time-out of the command line, and of the reply.
+const LINE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Callers at hand, the oldest first, each with what sends it away.
-type Callers = Rc<RefCell<VecDeque<(u64, oneshot::Sender<()>)>>>;
+/// After an accept that failed, the next waits this long.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Hears operators for as long as the process lives.
-pub(crate) async fn hear(
+/// Accepts operators' connections for as long as the process lives.
+pub(crate) async fn accept(
     listener: TcpListener,
     to_driver: mpsc::UnboundedSender<PriorityMessage>,
     log: Logger,
 ) {
-    let (callers, number) = (Callers::default(), Cell::new(0u64));
+    let connections = Connections::default();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
                 warn!(log, "accept of an operator connection failed"; "why" => %error);
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        number.set(number.get() + 1);
-        let (me, (away, sent_away)) = (number.get(), oneshot::channel());
-        {
-            // Guards operators against callers that hold their connection and say nothing.
-            let mut callers = callers.borrow_mut();
-            if callers.len() >= CALLERS {
-                drop(callers.pop_front());
-            }
-            callers.push_back((me, away));
-        }
-        let (callers, to_driver, log) = (Rc::clone(&callers), to_driver.clone(), log.clone());
+        let (connection, evicted) = connections.open();
+        let (to_driver, log) = (to_driver.clone(), log.clone());
         actix_rt::spawn(async move {
             tokio::select! {
-                () = converse(stream, to_driver) => {}
-                _ = sent_away => debug!(log, "oldest operator connection closed for a new one"),
+                () = serve(stream, to_driver) => {}
+                _ = evicted => debug!(log, "oldest operator connection closed for a new one"),
             }
-            callers.borrow_mut().retain(|(number, _)| *number != me);
+            drop(connection);
         });
     }
 }
 
-async fn converse(mut stream: TcpStream, to_driver: mpsc::UnboundedSender<PriorityMessage>) {
-    let reply = match timeout(PATIENCE, line(&mut stream)).await {
-        Ok(Some(line)) => ask(&line, to_driver).await,
+/// The open connections, the oldest first. Clones share one list.
+#[derive(Clone, Default)]
+struct Connections(Rc<RefCell<ConnectionList>>);
+
+#[derive(Default)]
+struct ConnectionList {
+    last_number: u64,
+    /// The number of each connection, and what closes it when it is dropped.
+    open: VecDeque<(u64, oneshot::Sender<()>)>,
+}
+
+/// An open connection. Dropping it removes the connection from the list.
+struct OpenConnection {
+    number: u64,
+    connections: Connections,
+}
+
+impl Connections {
+    /// Adds a connection; the receiver reports when it must be closed. If there are too many, the
+    /// oldest is closed: guards operators against clients that connect and send nothing.
+    fn open(&self) -> (OpenConnection, oneshot::Receiver<()>) {
+        let (evict, evicted) = oneshot::channel();
+        let mut list = self.0.borrow_mut();
+        list.last_number += 1;
+        let number = list.last_number;
+        if list.open.len() >= MAX_CONNECTIONS {
+            list.open.pop_front();
+        }
+        list.open.push_back((number, evict));
+        let connection = OpenConnection {
+            number,
+            connections: self.clone(),
+        };
+        (connection, evicted)
+    }
+}
+
+impl Drop for OpenConnection {
+    fn drop(&mut self) {
+        let mut list = self.connections.0.borrow_mut();
+        list.open.retain(|&(number, _)| number != self.number);
+    }
+}
+
+/// Serves one command.
+async fn serve(mut stream: TcpStream, to_driver: mpsc::UnboundedSender<PriorityMessage>) {
+    let reply = match timeout(LINE_TIMEOUT, read_line(&mut stream)).await {
+        Ok(Some(line)) => execute(&line, to_driver).await,
         Ok(None) => return,
-        Err(_) => Err(CommandError::LineTimeout(PATIENCE)),
+        Err(_) => Err(CommandError::LineTimeout(LINE_TIMEOUT)),
     };
-    // A caller that does not listen has itself to blame.
-    let _ = timeout(PATIENCE, async {
-        let _ = stream
-            .write_all(command::format_reply(&reply).as_bytes())
-            .await;
-        let _ = stream.shutdown().await;
-        // Reads on: guards the answer against being reset away by bytes behind the line.
-        let mut rest = [0; MAX_LINE_BYTES];
-        while stream.read(&mut rest).await.is_ok_and(|bytes| bytes > 0) {}
-    })
-    .await;
+    let reply = command::format_reply(&reply);
+    // An operator that does not read the reply in time has disconnected or fails by itself.
+    let _ = timeout(LINE_TIMEOUT, send_reply(&mut stream, &reply)).await;
 }
 
-/// The first line, or as much of it as is too much; none where the caller left without a word.
-async fn line(stream: &mut TcpStream) -> Option<Vec<u8>> {
-    let (mut line, mut part) = (Vec::new(), [0; MAX_LINE_BYTES]);
+/// Reads the first line, or as much of it as makes it too long. Returns `None` if the operator
+/// disconnects without a byte.
+async fn read_line(stream: &mut TcpStream) -> Option<Vec<u8>> {
+    let mut line = Vec::new();
+    let mut chunk = [0; MAX_LINE_BYTES];
     loop {
-        let bytes = stream.read(&mut part).await.ok()?;
-        line.extend_from_slice(&part[..bytes]);
-        if let Some(end) = line.iter().position(|&b| b == b'\n') {
+        let bytes = stream.read(&mut chunk).await.ok()?;
+        line.extend_from_slice(&chunk[..bytes]);
+        if let Some(end) = line.iter().position(|&byte| byte == b'\n') {
             line.truncate(end + 1);
             return Some(line);
         }
@@ -97,9 +126,20 @@
     }
 }
 
-async fn ask(line: &[u8], to_driver: mpsc::UnboundedSender<PriorityMessage>) -> Reply {
-    let call = command::parse(line)?;
-    let (reply, answer) = oneshot::channel();
-    let _ = to_driver.send(PriorityMessage::Command(call, reply));
-    answer.await.unwrap_or(Err(CommandError::ShuttingDown))
+async fn execute(line: &[u8], to_driver: mpsc::UnboundedSender<PriorityMessage>) -> Reply {
+    let command = command::parse(line)?;
+    let (sender, reply) = oneshot::channel();
+    // If the driver has ended the reply is dropped, which is reported below.
+    let _ = to_driver.send(PriorityMessage::Command(command, sender));
+    reply.await.unwrap_or(Err(CommandError::ShuttingDown))
+}
+
+/// Sends the reply, and reads until the operator disconnects: a close with unread bytes behind the
+/// line would be a reset, which could discard the reply.
+async fn send_reply(stream: &mut TcpStream, reply: &str) {
+    // An operator that has disconnected shows in the read below.
+    let _ = stream.write_all(reply.as_bytes()).await;
+    let _ = stream.shutdown().await;
+    let mut rest = [0; MAX_LINE_BYTES];
+    while stream.read(&mut rest).await.is_ok_and(|bytes| bytes > 0) {}
 }
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -48,7 +48,7 @@
 /// Descriptors that are no connections of clients or pay servers, of two processes while one
 /// replaces the other: standard streams, poller, listeners, the link between the two, operators and
 /// the like.
-const APART: usize = 2 * (12 + ops::CALLERS);
+const APART: usize = 2 * (12 + ops::MAX_CONNECTIONS);
 /// Guards against a proxy that takes requests nobody decides on: it ends and is started again.
 const DRIVERLESS: &str = "the driver of the decision module has ended";
 
@@ -180,7 +180,7 @@
     }));
     if let Some(operators) = sockets.operators {
         info!(log, "listening for operator commands"; "ops" => operators.local_addr().map_err(|e| e.to_string())?);
-        actix_rt::spawn(ops::hear(operators, to_driver.clone(), log.clone()));
+        actix_rt::spawn(ops::accept(operators, to_driver.clone(), log.clone()));
     }
 
     let front = Front::new(setup, clock, queue, ready, held, Rc::clone(&partners));
