--- a/crates/client-proxy/src/discovery.rs
+++ b/crates/client-proxy/src/discovery.rs
@@ -1,14 +1,21 @@
-//! Discovery's client: the watch and the full list, told to the driver as news. A call that fails,
-//! a list that makes no sense and a watch gone silent are each told as failed at once.
+//! The client of discovery: watches the endpoint list or fetches it, and reports updates to the
+//! driver.
+//!
+//! A call that fails, a malformed list and a watch that times out are each reported at once as a
+//! failed update, so that the decision module knows that its list may be outdated.
+
+mod endpoint_list;
+mod json_objects;
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use actix_http::StatusCode;
 use awc::Client;
-use awc::error::PayloadError;
+use awc::error::{PayloadError, SendRequestError};
 use bytes::Bytes;
 use futures_util::{Stream, StreamExt as _};
-use ironmast_admin::endpoint::{Endpoint, EndpointUpdate, Target};
+use ironmast_admin::endpoint::{Endpoint, EndpointUpdate};
 use ironmast_balancer::Scope;
 use serde::Deserialize;
 use serde_json::Value;
@@ -18,318 +25,253 @@
 
 use crate::message::{DiscoveryCommand, Message, Queue};
 
-/// Calls wait their turn at discovery, which gives up on them after 3 s.
-const ANSWER: Duration = Duration::from_secs(4);
-/// A line comes every 2 s: guards against cut links, which give no sign.
-const SILENCE: Duration = Duration::from_secs(3);
-/// Where lists are pushed, what the agent has counts as told at once: a call that failed is made
-/// again after this.
-const PUSHED_AGAIN: Duration = Duration::from_millis(100);
-/// A watch that had told a list and ended is opened again at once, but no sooner than this after
-/// its own call.
-const ENDED_AGAIN: Duration = Duration::from_millis(250);
-/// A list takes no more than this.
-const LIST_MOST: usize = 4 << 20;
+use endpoint_list::{EndpointList, ZoneIds};
+use json_objects::JsonObjects;
 
-/// A list in discovery's form, or changes to one.
-struct List {
-    rev: u64,
-    all: bool,
-    entries: Vec<Value>,
-}
+/// The time-out of a call until its response begins, and of each chunk of a complete list. Calls
+/// queue at discovery, which itself gives up on them after 3 s.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-#[derive(Deserialize)]
-struct Written {
-    rev: u64,
-    all: bool,
-    targets: Vec<Value>,
-}
-
-impl List {
-    /// Reads a list; none if it is malformed.
-    fn read(value: &Value) -> Option<List> {
-        let Written { rev, all, targets } = Written::deserialize(value).ok()?;
-        Some(List {
-            rev,
-            all,
-            entries: targets,
-        })
-    }
-
-    /// Its entries in the module's terms; bad ones are skipped and logged.
-    fn entries(&self, zones: &mut Vec<String>, log: &Logger) -> Vec<Endpoint> {
-        let read = |value: &Value| {
-            let target = Target::deserialize(value).map_err(|e| e.to_string());
-            let entry = target.and_then(|t| {
-                t.into_endpoint(|az| zone(zones, az))
-                    .map_err(|e| e.to_string())
-            });
-            entry
-                .map_err(|why| warn!(log, "invalid endpoint skipped"; "why" => why))
-                .ok()
-        };
-        self.entries.iter().filter_map(read).collect()
-    }
-}
+/// A watch that sends nothing for this long has failed: discovery sends a line every 2 s. Guards
+/// against partitions, which close no connection.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Takes the objects of a stream apart, whatever lines they stand on: guards against lists that
-/// come indented. Each byte is looked at once.
-#[derive(Default)]
-struct Objects {
-    text: Vec<u8>,
-    looked: usize,
-    depth: usize,
-    quoted: bool,
-    escaped: bool,
-}
+/// Where lists are pushed, a watch that failed is reopened after this delay.
+const PUSHED_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-impl Objects {
-    fn push(&mut self, part: &[u8]) {
-        self.text.extend_from_slice(part);
-    }
+/// A watch that ended after a list is reopened no sooner than this after its own call. Guards
+/// discovery against being called ever faster where it ends each watch after its list.
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(250);
 
-    fn len(&self) -> usize {
-        self.text.len()
-    }
+/// The maximum size of a list in bytes.
+const MAX_LIST_BYTES: usize = 4 << 20;
 
-    /// The next object that has come whole. What begins none ends with its line and is handed out
-    /// as well: who reads it finds fault with it.
-    fn next(&mut self) -> Option<Vec<u8>> {
-        while let Some(&byte) = self.text.get(self.looked) {
-            self.looked += 1;
-            match byte {
-                _ if self.escaped => self.escaped = false,
-                b'\\' if self.quoted => self.escaped = true,
-                b'"' if self.depth > 0 => self.quoted = !self.quoted,
-                _ if self.quoted => {}
-                b'{' => self.depth += 1,
-                b'}' => self.depth = self.depth.saturating_sub(1),
-                _ => {}
-            }
-            if self.depth == 0 && matches!(byte, b'}' | b'\n') {
-                let object: Vec<u8> = self
-                    .text
-                    .drain(..std::mem::take(&mut self.looked))
-                    .collect();
-                if !object.trim_ascii().is_empty() {
-                    return Some(object);
-                }
-            }
-        }
-        None
-    }
+/// Why a call to discovery failed.
+#[derive(Debug, thiserror::Error)]
+enum DiscoveryError {
+    #[error("{0}")]
+    Send(SendRequestError),
+    #[error("status {0}")]
+    Status(StatusCode),
+    #[error("the response timed out")]
+    ResponseTimeout,
+    #[error("{0}")]
+    Body(PayloadError),
+    #[error("malformed endpoint list: {0}")]
+    MalformedJson(serde_json::Error),
+    #[error("malformed endpoint list")]
+    MalformedList,
+    #[error("the endpoint list is too long")]
+    ListTooLong,
+    #[error("the watch timed out")]
+    WatchTimeout,
+    #[error("the watch ended")]
+    WatchEndedWithoutList,
 }
 
-/// The number of a zone; one that is not in the settings gets the next.
-fn zone(zones: &mut Vec<String>, name: &str) -> usize {
-    zones.iter().position(|z| z == name).unwrap_or_else(|| {
-        zones.push(name.to_string());
-        zones.len() - 1
-    })
-}
+/// A watch that discovery ended after it had sent a list: what has changed since is not known.
+struct WatchEnded;
 
-/// How a watch came to its end.
-enum End {
-    /// It had told a list, and discovery closed it: what has changed since is not known.
-    Ended,
-    /// The call failed, what came made no sense, it broke off or fell silent.
-    Failed(String),
+/// What the client needs to know of its deployment.
+pub(crate) struct DiscoverySettings {
+    /// Where discovery listens.
+    pub address: SocketAddr,
+    /// The names of the zones, by id.
+    pub zones: Vec<String>,
+    /// Whether discovery pushes lists: a watch is then open all the time, asked for or not, because
+    /// what discovery has sent counts as received.
+    pub is_pushed: bool,
 }
 
-/// Watches and fetches on behalf of the driver.
+/// The client of discovery.
 pub(crate) struct Discovery {
     address: SocketAddr,
     client: Client,
-    zones: Vec<String>,
-    rev: Option<u64>,
+    zones: ZoneIds,
+    /// The revision of the list that was received last.
+    revision: Option<u64>,
     /// The next watch is not opened before this.
     not_before: Instant,
-    /// Lists are pushed: what the agent has counts as told from the first moment on, asked for or
-    /// not.
-    pub pushed: bool,
+    is_pushed: bool,
     log: Logger,
     queue: Queue,
 }
 
 impl Discovery {
-    /// A client that holds nothing yet.
+    /// A client that has received nothing yet.
     pub(crate) fn new(
-        address: SocketAddr,
+        settings: DiscoverySettings,
         client: Client,
-        zones: Vec<String>,
         log: Logger,
         queue: Queue,
     ) -> Self {
-        let (rev, not_before, pushed) = (None, Instant::now(), false);
         Discovery {
-            address,
+            address: settings.address,
             client,
-            zones,
-            rev,
-            not_before,
-            pushed,
+            zones: ZoneIds::new(settings.zones),
+            revision: None,
+            not_before: Instant::now(),
+            is_pushed: settings.is_pushed,
             log,
             queue,
         }
     }
 
-    /// Tells the list that was held before this start; even an empty one sets the module going.
-    pub(crate) fn recall(&mut self, known: Option<&Value>) {
-        let list = known.and_then(List::read);
-        if known.is_some() && list.is_none() {
+    /// Reports the list that was known before this start, in discovery's form. The report is made
+    /// even if there is none, because the decision module starts with it.
+    pub(crate) fn report_cached(&mut self, cached: Option<&Value>) {
+        let list = cached.and_then(|cached| EndpointList::deserialize(cached).ok());
+        if cached.is_some() && list.is_none() {
             warn!(self.log, "malformed cached endpoint list");
         }
-        self.rev = list.as_ref().map(|list| list.rev);
-        let entries = list.map_or_else(Vec::new, |list| list.entries(&mut self.zones, &self.log));
-        self.queue.send(Message::EndpointsUpdated(EndpointUpdate {
-            scope: Scope::Cached,
-            revision: self.rev,
-            endpoints: entries,
-        }));
+        self.revision = list.as_ref().map(|list| list.revision);
+        let endpoints =
+            list.map_or_else(Vec::new, |list| list.endpoints(&mut self.zones, &self.log));
+        self.report(Scope::Cached, self.revision, endpoints);
     }
 
-    /// Does what is asked until nobody can ask any more. Asked again, or interrupted by a fetch,
-    /// the watch begins anew from the version held.
-    pub(crate) async fn run(mut self, mut asks: mpsc::UnboundedReceiver<DiscoveryCommand>) {
-        let mut watching = self.pushed;
+    /// Executes commands until all senders are dropped. A watch that is interrupted by a command
+    /// is reopened from the last revision.
+    pub(crate) async fn run(mut self, mut commands: mpsc::UnboundedReceiver<DiscoveryCommand>) {
+        let mut watching = self.is_pushed;
         loop {
-            let ask = tokio::select! {
-                ask = asks.recv() => ask,
+            let command = tokio::select! {
+                command = commands.recv() => command,
                 end = self.watch(), if watching => {
                     match end {
-                        // Guards rule 3 against a watch that ends instead of telling of a drain:
-                        // all agents call then, discovery answers one after another, and the last
-                        // has to be told in time, too.
-                        End::Ended => info!(self.log, "discovery failed"; "why" => "the watch ended and is reopened"),
-                        End::Failed(why) => {
-                            watching = self.pushed;
-                            self.failed(&why);
+                        // Reopened at once: a watch may end instead of reporting that a server
+                        // drains. All agents call then, discovery responds to one after another,
+                        // and the last must be notified in time, too.
+                        Ok(WatchEnded) => info!(self.log, "discovery failed"; "why" => "the watch ended and is reopened"),
+                        Err(error) => {
+                            watching = self.is_pushed;
+                            self.report_failure(&error);
                             if watching {
-                                sleep(PUSHED_AGAIN).await;
+                                sleep(PUSHED_RETRY_DELAY).await;
                             }
                         }
                     }
                     continue;
                 }
             };
-            match ask {
-                Some(DiscoveryCommand::Watch(on)) => watching = on,
+            match command {
+                Some(DiscoveryCommand::StartWatching) => watching = true,
+                Some(DiscoveryCommand::StopWatching) => watching = false,
                 Some(DiscoveryCommand::FetchAll) => self.fetch().await,
                 Some(DiscoveryCommand::ChangeAddress(address)) => {
-                    // The old address ends its watches soon. The new one is called at once, asked
-                    // or not, and for the whole list: guards against versions that count
-                    // differently there.
-                    (self.address, self.rev, watching) = (address, None, true);
-                    self.not_before = Instant::now();
+                    self.change_address(address);
+                    watching = true;
                 }
                 None => return,
             }
         }
     }
 
-    fn failed(&self, why: &str) {
-        info!(self.log, "discovery failed"; "why" => why);
-        let (scope, rev, entries) = (Scope::Failed, None, Vec::new());
+    /// Changes to another discovery. The old address ends its watches soon. The new one is called
+    /// at once and for the complete list, because its revisions may be counted differently.
+    fn change_address(&mut self, address: SocketAddr) {
+        self.address = address;
+        self.revision = None;
+        self.not_before = Instant::now();
+    }
+
+    fn report(&self, scope: Scope, revision: Option<u64>, endpoints: Vec<Endpoint>) {
         self.queue.send(Message::EndpointsUpdated(EndpointUpdate {
             scope,
-            revision: rev,
-            endpoints: entries,
+            revision,
+            endpoints,
         }));
     }
 
-    fn tell(&mut self, text: &[u8]) -> Result<(), String> {
-        let value: Value =
-            serde_json::from_slice(text).map_err(|e| format!("malformed endpoint list: {e}"))?;
-        let list = List::read(&value).ok_or("malformed endpoint list")?;
-        self.rev = Some(list.rev);
-        let scope = if list.all {
+    fn report_failure(&self, error: &DiscoveryError) {
+        info!(self.log, "discovery failed"; "why" => %error);
+        self.report(Scope::Failed, None, Vec::new());
+    }
+
+    /// Reports a list, given as JSON.
+    fn report_list(&mut self, json: &[u8]) -> Result<(), DiscoveryError> {
+        let value: Value = serde_json::from_slice(json).map_err(DiscoveryError::MalformedJson)?;
+        let list = EndpointList::deserialize(&value).map_err(|_| DiscoveryError::MalformedList)?;
+        self.revision = Some(list.revision);
+        let scope = if list.is_complete {
             Scope::Complete
         } else {
             Scope::Changes
         };
-        let entries = list.entries(&mut self.zones, &self.log);
-        self.queue.send(Message::EndpointsUpdated(EndpointUpdate {
-            scope,
-            revision: self.rev,
-            endpoints: entries,
-        }));
+        let endpoints = list.endpoints(&mut self.zones, &self.log);
+        self.report(scope, self.revision, endpoints);
         Ok(())
     }
 
+    /// Calls discovery; returns the body of the response.
     async fn call(
         &self,
         query: &str,
-    ) -> Result<impl Stream<Item = Result<Bytes, PayloadError>> + use<>, String> {
+    ) -> Result<impl Stream<Item = Result<Bytes, PayloadError>> + use<>, DiscoveryError> {
         let url = format!("http://{}/registry/instances{query}", self.address);
-        match timeout(ANSWER, self.client.get(url).no_decompress().send()).await {
-            Ok(Ok(answer)) if answer.status().is_success() => Ok(answer),
-            Ok(Ok(answer)) => Err(format!("status {}", answer.status())),
-            Ok(Err(error)) => Err(error.to_string()),
-            Err(_) => Err("the response timed out".to_string()),
+        let call = self.client.get(url).no_decompress().send();
+        match timeout(RESPONSE_TIMEOUT, call).await {
+            Ok(Ok(response)) if response.status().is_success() => Ok(response),
+            Ok(Ok(response)) => Err(DiscoveryError::Status(response.status())),
+            Ok(Err(error)) => Err(DiscoveryError::Send(error)),
+            Err(_) => Err(DiscoveryError::ResponseTimeout),
         }
     }
 
+    /// Fetches the complete list once and reports it, or that it could not be fetched.
     async fn fetch(&mut self) {
-        let read = async {
-            let mut answer = self.call("").await?;
-            let mut text = Vec::new();
-            while let Some(part) = timeout(ANSWER, answer.next())
-                .await
-                .map_err(|_| "the response timed out")?
-            {
-                text.extend_from_slice(&part.map_err(|e| e.to_string())?);
-                if text.len() > LIST_MOST {
-                    return Err("the endpoint list is too long".to_string());
-                }
+        let fetched = self.fetch_json().await;
+        if let Err(error) = fetched.and_then(|json| self.report_list(&json)) {
+            self.report_failure(&error);
+        }
+    }
+
+    async fn fetch_json(&self) -> Result<Vec<u8>, DiscoveryError> {
+        let mut body = self.call("").await?;
+        let mut json = Vec::new();
+        while let Some(chunk) = timeout(RESPONSE_TIMEOUT, body.next())
+            .await
+            .map_err(|_| DiscoveryError::ResponseTimeout)?
+        {
+            json.extend_from_slice(&chunk.map_err(DiscoveryError::Body)?);
+            if json.len() > MAX_LIST_BYTES {
+                return Err(DiscoveryError::ListTooLong);
             }
-            Ok(text)
-        };
-        let done = read.await.and_then(|text| self.tell(&text));
-        if let Err(why) = done {
-            self.failed(&why);
         }
+        Ok(json)
     }
 
-    /// Watches until it ends or fails.
-    async fn watch(&mut self) -> End {
+    /// Watches, and reports each list, until the watch ends or fails.
+    async fn watch(&mut self) -> Result<WatchEnded, DiscoveryError> {
         sleep_until(self.not_before).await;
-        let called = Instant::now();
+        let called_at = Instant::now();
         let index = self
-            .rev
-            .map(|rev| format!("&index={rev}"))
+            .revision
+            .map(|revision| format!("&index={revision}"))
             .unwrap_or_default();
-        let mut answer = match self.call(&format!("?stream=1{index}")).await {
-            Ok(answer) => answer,
-            Err(why) => return End::Failed(why),
-        };
-        let (mut text, mut first, mut told) = (Objects::default(), true, false);
+        let mut body = self.call(&format!("?stream=1{index}")).await?;
+        let mut objects = JsonObjects::default();
+        let mut has_list = false;
+        let mut chunk_timeout = RESPONSE_TIMEOUT;
         loop {
-            let part = match timeout(if first { ANSWER } else { SILENCE }, answer.next()).await {
-                Err(_) => return End::Failed("the watch timed out".to_string()),
-                Ok(None) if told => {
-                    // Guards discovery against being called ever faster where it ends each watch
-                    // after its list.
-                    self.not_before = called + ENDED_AGAIN;
-                    return End::Ended;
+            let chunk = match timeout(chunk_timeout, body.next()).await {
+                Err(_) => return Err(DiscoveryError::WatchTimeout),
+                Ok(None) if has_list => {
+                    self.not_before = called_at + MIN_WATCH_INTERVAL;
+                    return Ok(WatchEnded);
                 }
-                Ok(None) => return End::Failed("the watch ended".to_string()),
-                Ok(Some(Err(error))) => return End::Failed(error.to_string()),
-                Ok(Some(Ok(part))) => part,
+                Ok(None) => return Err(DiscoveryError::WatchEndedWithoutList),
+                Ok(Some(chunk)) => chunk.map_err(DiscoveryError::Body)?,
             };
-            text.push(&part);
-            first = false;
-            while let Some(list) = text.next() {
-                if let Err(why) = self.tell(&list) {
-                    return End::Failed(why);
-                }
-                told = true;
+            chunk_timeout = WATCH_IDLE_TIMEOUT;
+            objects.push(&chunk);
+            while let Some(json) = objects.next() {
+                self.report_list(&json)?;
+                has_list = true;
             }
-            if text.len() > LIST_MOST {
-                return End::Failed("the endpoint list is too long".to_string());
+            if objects.buffered_bytes() > MAX_LIST_BYTES {
+                return Err(DiscoveryError::ListTooLong);
             }
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/client-proxy/src/discovery/tests.rs
+++ b/crates/client-proxy/src/discovery/json_objects/tests.rs
@@ -1,31 +1,32 @@
-//! Tests of `discovery.rs`.
+//! Tests of `json_objects.rs`.
 
 use super::*;
 
-fn objects(text: &str, pieces: usize) -> Vec<String> {
-    let mut objects = Objects::default();
+/// The objects of `text`, received in chunks of `chunk_bytes`.
+fn objects(text: &str, chunk_bytes: usize) -> Vec<String> {
+    let mut objects = JsonObjects::default();
     let mut found = Vec::new();
-    for piece in text.as_bytes().chunks(pieces) {
-        objects.push(piece);
+    for chunk in text.as_bytes().chunks(chunk_bytes) {
+        objects.push(chunk);
         while let Some(object) = objects.next() {
             found.push(String::from_utf8(object).expect("text").trim().to_string());
         }
     }
     assert!(
-        objects.text.trim_ascii().is_empty(),
+        objects.buffer.trim_ascii().is_empty(),
         "left: {:?}",
-        objects.text
+        objects.buffer
     );
     found
 }
 
 #[test]
-fn lists_are_found_whatever_lines_and_pieces_they_come_in() {
+fn objects_are_found_whatever_lines_and_chunks_they_arrive_in() {
     let indented = "{\n  \"rev\": 7,\n  \"targets\": [\n    {\"uid\": \"a}\\\"{\"}\n  ]\n}";
     let text = format!("\n\n{indented}\n\n{{\"rev\":8}}{{\"rev\":9}}\n");
-    for pieces in [1, 2, 7, 1_000] {
+    for chunk_bytes in [1, 2, 7, 1_000] {
         assert_eq!(
-            objects(&text, pieces),
+            objects(&text, chunk_bytes),
             [indented, "{\"rev\":8}", "{\"rev\":9}"]
         );
     }
--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -409,9 +409,9 @@
                 self.timers
                     .insert((self.clock.now().saturating_add(delay), token));
             }
-            Action::Subscribe => drop(self.outputs.discovery.send(DiscoveryCommand::Watch(true))),
+            Action::Subscribe => drop(self.outputs.discovery.send(DiscoveryCommand::StartWatching)),
             Action::Unsubscribe => {
-                drop(self.outputs.discovery.send(DiscoveryCommand::Watch(false)));
+                drop(self.outputs.discovery.send(DiscoveryCommand::StopWatching));
             }
             Action::FetchAll => drop(self.outputs.discovery.send(DiscoveryCommand::FetchAll)),
             Action::Probe { server } => match self.servers.get(&server) {
--- a/crates/client-proxy/src/message.rs
+++ b/crates/client-proxy/src/message.rs
@@ -182,8 +182,10 @@
 /// A command to discovery.
 #[derive(Debug)]
 pub(crate) enum DiscoveryCommand {
-    /// Start watching, or stop.
-    Watch(bool),
+    /// Start watching.
+    StartWatching,
+    /// Stop watching.
+    StopWatching,
     /// Fetch the complete list once.
     FetchAll,
     /// Discovery has a new address.
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -28,7 +28,7 @@
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 
 use crate::config::Config;
-use crate::discovery::Discovery;
+use crate::discovery::{Discovery, DiscoverySettings};
 use crate::driver::{Driver, Outputs};
 use crate::hot_restart::partners::{PartnerEvent, Partners, Side};
 use crate::hot_restart::predecessor::{self, Inherited};
@@ -110,10 +110,13 @@
     let client = client(server_share.clone(), connect, keepalive / 2, |stream| {
         stream
     });
-    let zones = setup.zones.clone();
-    let mut discovery = Discovery::new(config.discovery, client, zones, log.clone(), queue.clone());
-    discovery.recall(known.as_ref());
-    discovery.pushed = setup.settings.discovery == ironmast_balancer::Discovery::Pushed;
+    let discovery = DiscoverySettings {
+        address: config.discovery,
+        zones: setup.zones.clone(),
+        is_pushed: setup.settings.discovery == ironmast_balancer::Discovery::Pushed,
+    };
+    let mut discovery = Discovery::new(discovery, client, log.clone(), queue.clone());
+    discovery.report_cached(known.as_ref());
     actix_rt::spawn(discovery.run(asks));
 
     let rules = upstream::Rules { connect, keepalive };
