--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -456,7 +456,7 @@
             return;
         };
         let number = request.attempts.len() as u32;
-        let flow = request.payload.flow();
+        let flow = request.payload.streamed_body();
         let is_body_consumed = flow.is_some_and(|flow| !flow.is_replayable());
         let is_over = request.is_answered()
             || number >= limits.max_attempts
@@ -491,7 +491,7 @@
         debug!(self.log, "attempt sent"; "at" => now, "request" => id, "attempt" => number,
             "server" => format_args!("{:016x}", server.0));
         // While a body is streamed, the decision module ends the attempt at the client's deadline.
-        let timeout = timeout.filter(|_| request.payload.flow().is_none());
+        let timeout = timeout.filter(|_| request.payload.streamed_body().is_none());
         let deadline = timeout.map_or(request.expires, |timeout| {
             request.expires.min(now + timeout)
         });
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -283,7 +283,7 @@
                 .send_to_successor(handover::Message::Opened(named.txn.clone())),
         }
         let (reply, answer) = oneshot::channel();
-        let flow = payload.flow().cloned();
+        let flow = payload.streamed_body().cloned();
         active.set_fully_received(flow.is_none());
         let arrival = Arrival {
             ticket,
--- a/crates/client-proxy/src/message.rs
+++ b/crates/client-proxy/src/message.rs
@@ -39,9 +39,9 @@
 
 impl Payload {
     /// The body, if it is streamed rather than buffered.
-    pub(crate) fn flow(&self) -> Option<&Rc<StreamedRequestBody>> {
+    pub(crate) fn streamed_body(&self) -> Option<&Rc<StreamedRequestBody>> {
         match &self.body {
-            RequestBody::Streamed(flow) => Some(flow),
+            RequestBody::Streamed(body) => Some(body),
             RequestBody::Buffered(_) => None,
         }
     }
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -39,7 +39,7 @@
 use crate::ops;
 use crate::peers::Peers;
 use crate::runtime_files::RuntimeFiles;
-use crate::upstream::{self, Upstream};
+use crate::upstream::{ConnectionTimeouts, Upstream, UpstreamContext};
 
 /// After SIGTERM clients still come for up to 0.4 s and use what they have open.
 const STILL_OPEN: Duration = Duration::from_millis(700);
@@ -119,16 +119,19 @@
     discovery.report_cached(known.as_ref());
     actix_rt::spawn(discovery.run(asks));
 
-    let rules = upstream::Rules { connect, keepalive };
+    let timeouts = ConnectionTimeouts {
+        connect,
+        server_keep_alive: keepalive,
+    };
     let held = BodyMemory::new(config.memory_mb);
-    let upstream = Upstream::new(
-        rules,
+    let upstream = Upstream::new(UpstreamContext {
+        timeouts,
         clock,
-        log.clone(),
-        server_share,
-        held.clone(),
-        queue.clone(),
-    );
+        log: log.clone(),
+        descriptors: server_share,
+        memory: held.clone(),
+        queue: queue.clone(),
+    });
     actix_rt::spawn(upstream.run(upstream_orders));
     let (peers, all, socket) = (
         config.peers.clone(),
