--- /dev/null
+++ b/crates/client-proxy/src/driver/endpoints.rs
@@ -0,0 +1,62 @@
+//! Updates of the endpoint list.
+
+use std::collections::BTreeSet;
+
+use ironmast_admin::endpoint::{Endpoint, EndpointUpdate};
+use ironmast_balancer::{Event, Listing, Phase, Scope, Server, ServerId};
+use slog::{debug, info};
+
+use super::Driver;
+use crate::message::UpstreamCommand;
+
+impl Driver {
+    /// Passes an update of the endpoints, to which the overrides have been applied, to the
+    /// connections and to the decision module.
+    pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
+        let EndpointUpdate {
+            scope, endpoints, ..
+        } = update;
+        let mut removed: BTreeSet<ServerId> = match scope {
+            Scope::Complete | Scope::Cached => self.servers.keys().copied().collect(),
+            _ => BTreeSet::new(),
+        };
+        for endpoint in &endpoints {
+            removed.remove(&endpoint.server.id);
+            self.update_endpoint(endpoint);
+        }
+        for id in removed {
+            self.servers.remove(&id);
+            self.outputs
+                .command_upstream(UpstreamCommand::StopSending(id));
+        }
+        let servers: Vec<Server> = endpoints
+            .into_iter()
+            .map(|endpoint| endpoint.server)
+            .collect();
+        let entries = servers.len();
+        for server in &servers {
+            debug!(self.log, "server listed"; "at" => self.clock.now(), "server" => format_args!("{:016x}", server.id.0),
+                "phase" => ?server.phase, "zone" => server.zone, "size" => server.size, "started" => ?server.started);
+        }
+        self.dispatch(Event::Members(Listing { scope, servers }));
+        info!(self.log, "endpoint update: {:?}", scope; "entries" => entries, "known" => self.servers.len());
+    }
+
+    fn update_endpoint(&mut self, endpoint: &Endpoint) {
+        let Endpoint { server, target } = endpoint;
+        // A server that has ended is dropped, because it gets no request again.
+        if server.phase == Phase::Gone {
+            self.servers.remove(&server.id);
+        } else {
+            self.servers.insert(server.id, target.endpoint);
+        }
+        // An attempt that was decided before this update may still be on its way to the socket,
+        // where it must not be written.
+        let command = if server.phase == Phase::Ready {
+            UpstreamCommand::ResumeSending(server.id)
+        } else {
+            UpstreamCommand::StopSending(server.id)
+        };
+        self.outputs.command_upstream(command);
+    }
+}
--- a/crates/client-proxy/src/hot_restart/partners.rs
+++ b/crates/client-proxy/src/hot_restart/partners.rs
@@ -7,9 +7,7 @@
 use std::os::fd::{AsFd, BorrowedFd};
 
 use ironmast_admin::handover::{self, MAX_LINE_BYTES, Message, PROTOCOL_VERSION};
-use ironmast_admin::overrides::OverrideState;
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
-use serde_json::Value;
 use tokio::io::{
     AsyncBufRead, AsyncBufReadExt as _, AsyncReadExt as _, AsyncWriteExt as _, BufReader, Interest,
 };
@@ -20,6 +18,7 @@
 
 use super::predecessor::Link;
 use super::{MAX_PASSED_SOCKETS, STEP_TIMEOUT};
+use crate::message::HandoverState;
 
 /// The other process of a hot restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,18 +32,21 @@
 /// What happens on the Unix sockets.
 pub(crate) enum PartnerEvent {
     /// A new process sent its greeting and waits for its welcome.
-    SuccessorConnected {
-        /// The connection.
-        stream: UnixStream,
-        /// Whether it answers claims.
-        answers_claims: bool,
-    },
+    SuccessorConnected(ConnectedSuccessor),
     /// A partner sent a message.
     Received(Side, Message),
     /// A partner disconnected, or sent something malformed.
     Lost(Side),
 }
 
+/// A successor that sent its greeting.
+pub(crate) struct ConnectedSuccessor {
+    /// The connection.
+    pub stream: UnixStream,
+    /// Whether it answers claims.
+    pub answers_claims: bool,
+}
+
 /// The partners of this process.
 #[derive(Default)]
 pub(crate) struct Partners {
@@ -114,6 +116,7 @@
     /// Takes the successor's answer to a claim.
     pub(crate) fn resolve_claim(&self, request_name: &str, granted: bool) {
         if let Some(pending) = self.pending_claims.borrow_mut().remove(request_name) {
+            // A claim that has timed out has nobody who waits for the answer.
             let _ = pending.send(granted);
         }
     }
@@ -125,6 +128,7 @@
         if side == Side::Successor {
             self.successor_answers_claims.set(false);
             for pending in self.pending_claims.take().into_values() {
+                // Nobody waits for a claim that has timed out.
                 let _ = pending.send(true);
             }
         }
@@ -158,16 +162,19 @@
     /// The system's error, if the successor has disconnected.
     pub(crate) async fn welcome_successor(
         &self,
-        mut stream: UnixStream,
-        (overrides, endpoints): (OverrideState, Option<Value>),
+        successor: ConnectedSuccessor,
+        state: HandoverState,
         sockets: &[BorrowedFd<'_>],
-        answers_claims: bool,
         events: &mpsc::UnboundedSender<PartnerEvent>,
     ) -> io::Result<()> {
+        let ConnectedSuccessor {
+            mut stream,
+            answers_claims,
+        } = successor;
         let line = handover::encode(&Message::Welcome {
             version: PROTOCOL_VERSION,
-            overrides,
-            endpoints,
+            overrides: state.overrides,
+            endpoints: state.endpoints,
         });
         let send = || {
             let mut space =
@@ -206,6 +213,7 @@
     while let Some(message) = messages.recv().await {
         let line = handover::encode(&message);
         if writer.write_all(line.as_bytes()).await.is_err() {
+            // The receiving half reports that the partner is lost.
             return;
         }
     }
@@ -222,6 +230,7 @@
             return;
         }
     }
+    // Fails only while the process exits.
     let _ = events.send(PartnerEvent::Lost(side));
 }
 
--- a/crates/client-proxy/src/hot_restart/predecessor.rs
+++ b/crates/client-proxy/src/hot_restart/predecessor.rs
@@ -50,7 +50,7 @@
     Malformed(#[from] DecodeError),
     #[error("it uses protocol version {0}, this process {PROTOCOL_VERSION}")]
     OtherVersion(u32),
-    /// The predecessor's own words.
+    /// The reason that the predecessor gives.
     #[error("{0}")]
     Busy(String),
     #[error("it did not answer with a welcome")]
--- a/crates/client-proxy/src/hot_restart/successor.rs
+++ b/crates/client-proxy/src/hot_restart/successor.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use super::STEP_TIMEOUT;
-use super::partners::PartnerEvent;
+use super::partners::{ConnectedSuccessor, PartnerEvent};
 use crate::runtime_files::RuntimeFiles;
 
 /// The longest greeting that is read, in bytes.
@@ -47,10 +47,11 @@
                 version: PROTOCOL_VERSION,
                 answers_claims,
             }) => {
-                let event = PartnerEvent::SuccessorConnected {
+                let successor = ConnectedSuccessor {
                     stream,
                     answers_claims,
                 };
+                let event = PartnerEvent::SuccessorConnected(successor);
                 if events.send(event).is_err() {
                     return;
                 }
@@ -85,6 +86,7 @@
 /// for a moment.
 fn bind(path: &Path, temporary: Option<PathBuf>) -> io::Result<UnixListener> {
     let temporary = temporary.unwrap_or_else(|| path.with_extension("aside"));
+    // Usually there is none. If one can't be removed, `bind` fails.
     let _ = std::fs::remove_file(&temporary);
     let listener = StdUnixListener::bind(&temporary)?;
     std::fs::rename(&temporary, path)?;
--- a/crates/client-proxy/src/message.rs
+++ b/crates/client-proxy/src/message.rs
@@ -153,10 +153,21 @@
     Command(Command, oneshot::Sender<Reply>),
     /// The other process of a hot restart got a command that changed this override.
     PartnerOverride(ServerOverride),
-    /// Whether servers that are warming up are left to a successor.
-    DelegateWarmUp(bool),
-    /// A successor needs the overrides and the endpoint list.
-    DescribeState(oneshot::Sender<(OverrideState, Option<Value>)>),
+    /// Leave servers that are warming up to a successor.
+    DelegateWarmUp,
+    /// Use servers that are warming up, because no successor does.
+    ResumeWarmUp,
+    /// A successor needs the state that is handed over.
+    DescribeState(oneshot::Sender<HandoverState>),
+}
+
+/// The state that a process hands over to its successor.
+#[derive(Clone, Debug)]
+pub(crate) struct HandoverState {
+    /// The operators' overrides.
+    pub overrides: OverrideState,
+    /// The last endpoint list of discovery, in discovery's form.
+    pub endpoints: Option<Value>,
 }
 
 /// A command to the task that owns the connections to servers.
@@ -225,8 +236,9 @@
         self.last_ticket.get()
     }
 
-    /// Sends a message to the driver, which outlives all senders.
+    /// Sends a message to the driver.
     pub(crate) fn send(&self, message: Message) {
+        // Fails only if the driver has ended, and then the process ends as well.
         let _ = self.sender.send(message);
     }
 }
--- a/crates/client-proxy/src/runtime_files.rs
+++ b/crates/client-proxy/src/runtime_files.rs
@@ -1,7 +1,7 @@
 //! The files of a proxy in `$TMPDIR`: the Unix socket at which a successor connects, and the
 //! operators' overrides of servers, which must outlive the process.
 //!
-//! Without `$TMPDIR` each process goes alone and keeps overrides only in memory.
+//! Without `$TMPDIR` each process runs alone and keeps overrides only in memory.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -29,7 +29,7 @@
 
 use crate::config::Config;
 use crate::discovery::{Discovery, DiscoverySettings};
-use crate::driver::{Driver, Outputs};
+use crate::driver::{Driver, DriverContext, Outputs};
 use crate::hot_restart::partners::{PartnerEvent, Partners, Side};
 use crate::hot_restart::predecessor::{self, Inherited};
 use crate::hot_restart::successor;
@@ -166,19 +166,16 @@
         discovery: to_discovery,
         peers: to_peers,
     };
-    let admin = (
-        ServerOverrides::new(bans),
-        files.clone(),
-        Rc::clone(&partners),
-    );
-    let driver = Driver::new(
-        balancer,
-        setup.settings.clone(),
+    let context = DriverContext {
+        settings: setup.settings.clone(),
         clock,
-        log.clone(),
+        log: log.clone(),
         outputs,
-        admin,
-    );
+        overrides: ServerOverrides::new(bans),
+        files: files.clone(),
+        partners: Rc::clone(&partners),
+    };
+    let driver = Driver::new(balancer, context);
     let mut driving = actix_rt::spawn(driver.run(messages, urgent, move || {
         if !list_held.replace(true) {
             tell_held.notify_one();
@@ -213,7 +210,7 @@
                 Action::StartServing => {
                     partners.begin_serving();
                     turn.send_replace(true);
-                    let _ = to_driver.send(PriorityMessage::DelegateWarmUp(false));
+                    let _ = to_driver.send(PriorityMessage::ResumeWarmUp);
                     let awaiting =
                         successor::accept_successors(files.clone(), to_heard.clone(), log.clone());
                     if let Some(before) = successors.replace(actix_rt::spawn(awaiting)) {
@@ -224,7 +221,7 @@
                 Action::StopServing => {
                     info!(log, "the successor is serving");
                     turn.send_replace(false);
-                    let _ = to_driver.send(PriorityMessage::DelegateWarmUp(true));
+                    let _ = to_driver.send(PriorityMessage::DelegateWarmUp);
                     front.tell_open();
                 }
                 Action::SetDescriptorPercent(percent) => {
@@ -267,13 +264,13 @@
             // Until then it goes on hearing its successor: bans made there hold here, too.
             _ = async { finished.as_mut().expect("checked").await }, if finished.is_some() => return Ok(()),
             Some(heard) = heard.recv() => match heard {
-                PartnerEvent::SuccessorConnected { stream, answers_claims } if part.accepts_successor() => {
+                PartnerEvent::SuccessorConnected(successor) if part.accepts_successor() => {
                     let (reply, described) = oneshot::channel();
                     let _ = to_driver.send(PriorityMessage::DescribeState(reply));
                     let Ok(described) = described.await else { return Err(DRIVERLESS.to_string()) };
                     let mut passed: Vec<_> = listener.iter().map(|listener| listener.as_fd()).collect();
                     passed.extend(passed_socket.as_ref().map(|socket| socket.as_fd()));
-                    match partners.welcome_successor(stream, described, &passed, answers_claims, &to_heard).await {
+                    match partners.welcome_successor(successor, described, &passed, &to_heard).await {
                         Ok(()) => Some(Event::SuccessorConnected),
                         Err(error) => {
                             warn!(log, "a successor disconnected before its welcome"; "why" => %error);
@@ -281,8 +278,8 @@
                         }
                     }
                 }
-                PartnerEvent::SuccessorConnected { stream, .. } => {
-                    successor::reject(stream, "it can't be replaced now".to_string()).await;
+                PartnerEvent::SuccessorConnected(successor) => {
+                    successor::reject(successor.stream, "it can't be replaced now".to_string()).await;
                     None
                 }
                 PartnerEvent::Received(Side::Successor, Message::Serving) => Some(Event::SuccessorServing),
