--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -33,7 +33,8 @@
 use crate::hot_restart::partners::{PartnerEvent, Partners, Side};
 use crate::hot_restart::predecessor::{self, Inherited};
 use crate::hot_restart::successor;
-use crate::listener::{Front, LIMITS};
+use crate::listener::open_names::OpenNames;
+use crate::listener::{ClientService, LIMITS};
 use crate::members;
 use crate::message::{DiscoveryCommand, PriorityMessage, Queue};
 use crate::ops;
@@ -186,9 +187,17 @@
         actix_rt::spawn(ops::accept(operators, to_driver.clone(), log.clone()));
     }
 
-    let front = Front::new(setup, clock, queue, ready, held, Rc::clone(&partners));
+    let open_names = Rc::new(OpenNames::new(Rc::clone(&partners)));
+    let service = ClientService {
+        deployment: setup,
+        clock,
+        queue,
+        is_ready: ready,
+        memory: held,
+        open_names: Rc::clone(&open_names),
+    };
     let clients = Listener::new(
-        Rc::clone(&front),
+        Rc::new(service),
         clock,
         log.clone(),
         client_share,
@@ -222,7 +231,7 @@
                     info!(log, "the successor is serving");
                     turn.send_replace(false);
                     let _ = to_driver.send(PriorityMessage::DelegateWarmUp);
-                    front.tell_open();
+                    open_names.notify_successor();
                 }
                 Action::SetDescriptorPercent(percent) => {
                     for share in &shares {
@@ -288,15 +297,15 @@
                     None
                 }
                 PartnerEvent::Received(Side::Predecessor, Message::Opened(txn)) => {
-                    front.note_elsewhere(txn, true);
+                    open_names.opened_at_predecessor(txn);
                     None
                 }
                 PartnerEvent::Received(Side::Predecessor, Message::Closed(txn)) => {
-                    front.note_elsewhere(txn, false);
+                    open_names.closed_at_predecessor(&txn);
                     None
                 }
                 PartnerEvent::Received(Side::Predecessor, Message::Claim(txn)) => {
-                    let granted = front.grant(&txn);
+                    let granted = open_names.grant_claim(&txn);
                     partners.send_to_predecessor(Message::Claimed { request_name: txn, granted });
                     None
                 }
@@ -313,7 +322,7 @@
                     partners.forget(side);
                     match side {
                         Side::Predecessor => {
-                            front.forget_elsewhere();
+                            open_names.forget_predecessor();
                             Some(Event::PredecessorLost)
                         }
                         Side::Successor => Some(Event::SuccessorLost),
