--- /dev/null
+++ b/crates/client-proxy/src/serve/actions.rs
@@ -0,0 +1,99 @@
+//! Carries out what the state machine of a hot restart orders.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use actix_rt::task::JoinHandle;
+use ironmast_admin::handover::Message;
+use ironmast_admin::hot_restart::{self, Action};
+use ironmast_transport::listener::{IdleConnections, Listener};
+use slog::info;
+use tokio::time::{sleep, timeout};
+
+use super::Proxy;
+use crate::hot_restart::successor;
+use crate::listener::ClientService;
+use crate::message::PriorityMessage;
+
+/// How long clients are still accepted after SIGTERM: new ones connect for up to 0.4 s, and then
+/// send their requests.
+const ACCEPT_AFTER_TERMINATE: Duration = Duration::from_millis(700);
+
+/// The connections in the backlog are accepted after that, for no longer than this. Guards the
+/// shutdown against clients that never cease to connect.
+const MAX_BACKLOG_ACCEPT: Duration = Duration::from_millis(50);
+
+impl Proxy {
+    pub(super) async fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::StartServing => self.start_serving(),
+            Action::NotifyPredecessor => self.partners.send_to_predecessor(Message::Serving),
+            Action::StopServing => self.stop_serving(),
+            Action::SetDescriptorPercent(percent) => {
+                for budget in &self.descriptors {
+                    budget.set_capacity_percent(percent).await;
+                }
+            }
+            Action::Shutdown { idle_connections } => self.shut_down(idle_connections),
+        }
+    }
+
+    fn start_serving(&mut self) {
+        self.partners.begin_serving();
+        self.serving.send_replace(true);
+        self.command_driver(PriorityMessage::ResumeWarmUp);
+        let successors = successor::accept_successors(
+            self.files.clone(),
+            self.to_partner_events.clone(),
+            self.log.clone(),
+        );
+        let previous = self.successors.replace(actix_rt::spawn(successors));
+        if let Some(previous) = previous {
+            previous.abort();
+        }
+    }
+
+    fn stop_serving(&mut self) {
+        info!(self.log, "the successor is serving");
+        self.serving.send_replace(false);
+        self.command_driver(PriorityMessage::DelegateWarmUp);
+        self.open_names.notify_successor();
+    }
+
+    fn shut_down(&mut self, idle_connections: hot_restart::IdleConnections) {
+        info!(self.log, "shutting down");
+        let idle_connections = match idle_connections {
+            hot_restart::IdleConnections::Linger => IdleConnections::KeepUntilTimeout,
+            hot_restart::IdleConnections::Close => IdleConnections::CloseNow,
+        };
+        // It is passed to no successor any more.
+        self.listener = None;
+        let finish = finish_clients(
+            Rc::clone(&self.clients),
+            self.accepting.take(),
+            idle_connections,
+        );
+        self.shutdown = Some(actix_rt::spawn(finish));
+    }
+
+    fn command_driver(&self, message: PriorityMessage) {
+        // If the driver has ended, `wait` reports it next.
+        let _ = self.to_driver.send(message);
+    }
+}
+
+/// Accepts the last clients, and returns when no request is open.
+async fn finish_clients(
+    clients: Rc<Listener<ClientService>>,
+    accepting: Option<JoinHandle<()>>,
+    idle_connections: IdleConnections,
+) {
+    sleep(ACCEPT_AFTER_TERMINATE).await;
+    clients.stop.notify_one();
+    if let Some(mut accepting) = accepting {
+        // If the time is up, the backlog is not empty and is abandoned.
+        let _ = timeout(MAX_BACKLOG_ACCEPT, &mut accepting).await;
+        accepting.abort();
+    }
+    clients.finish(idle_connections).await;
+}
--- /dev/null
+++ b/crates/client-proxy/src/serve/partner_events.rs
@@ -0,0 +1,111 @@
+//! Handles what the other processes of a hot restart report and ask.
+
+use std::os::fd::{AsFd as _, BorrowedFd};
+
+use eyre::Result;
+use ironmast_admin::handover::Message;
+use ironmast_admin::hot_restart::Event;
+use slog::{info, warn};
+use tokio::sync::oneshot;
+
+use super::{DriverEnded, Proxy};
+use crate::hot_restart::partners::{ConnectedSuccessor, PartnerEvent, Side};
+use crate::hot_restart::successor;
+use crate::message::{HandoverState, PriorityMessage};
+
+impl Proxy {
+    /// Handles an event of a partner; returns the event of the hot restart that it is, if any.
+    ///
+    /// # Errors
+    /// [`DriverEnded`].
+    pub(super) async fn handle_partner_event(
+        &mut self,
+        event: PartnerEvent,
+    ) -> Result<Option<Event>> {
+        match event {
+            PartnerEvent::SuccessorConnected(successor) => {
+                if self.hot_restart.accepts_successor() {
+                    return self.welcome(successor).await;
+                }
+                successor::reject(successor.stream, "it can't be replaced now".to_string()).await;
+                Ok(None)
+            }
+            PartnerEvent::Received(side, message) => Ok(self.handle_message(side, message)),
+            PartnerEvent::Lost(side) => Ok(Some(self.partner_lost(side))),
+        }
+    }
+
+    /// Hands over to a successor: passes it the state and the sockets.
+    async fn welcome(&self, successor: ConnectedSuccessor) -> Result<Option<Event>> {
+        let state = self.handover_state().await?;
+        let mut sockets: Vec<BorrowedFd<'_>> =
+            self.listener.iter().map(|socket| socket.as_fd()).collect();
+        sockets.extend(self.datagrams.iter().map(|socket| socket.as_fd()));
+        let welcomed = self
+            .partners
+            .welcome_successor(successor, state, &sockets, &self.to_partner_events)
+            .await;
+        match welcomed {
+            Ok(()) => Ok(Some(Event::SuccessorConnected)),
+            Err(error) => {
+                warn!(self.log, "a successor disconnected before its welcome"; "why" => %error);
+                Ok(None)
+            }
+        }
+    }
+
+    async fn handover_state(&self) -> Result<HandoverState, DriverEnded> {
+        let (reply, state) = oneshot::channel();
+        // If the driver has ended `reply` is dropped, which the next line reports.
+        let _ = self.to_driver.send(PriorityMessage::DescribeState(reply));
+        state.await.map_err(|_| DriverEnded)
+    }
+
+    fn handle_message(&self, side: Side, message: Message) -> Option<Event> {
+        match (side, message) {
+            (Side::Successor, Message::Serving) => return Some(Event::SuccessorServing),
+            (_, Message::Override(change)) => {
+                // If the driver has ended, `wait` reports it next.
+                let _ = self
+                    .to_driver
+                    .send(PriorityMessage::PartnerOverride(change));
+            }
+            (Side::Predecessor, Message::Opened(name)) => {
+                self.open_names.opened_at_predecessor(name);
+            }
+            (Side::Predecessor, Message::Closed(name)) => {
+                self.open_names.closed_at_predecessor(&name);
+            }
+            (Side::Predecessor, Message::Claim(name)) => {
+                let granted = self.open_names.grant_claim(&name);
+                self.partners.send_to_predecessor(Message::Claimed {
+                    request_name: name,
+                    granted,
+                });
+            }
+            (
+                Side::Successor,
+                Message::Claimed {
+                    request_name,
+                    granted,
+                },
+            ) => self.partners.resolve_claim(&request_name, granted),
+            (side, message) => {
+                warn!(self.log, "unexpected message in a hot restart"; "from" => ?side, "message" => ?message);
+            }
+        }
+        None
+    }
+
+    fn partner_lost(&self, side: Side) -> Event {
+        info!(self.log, "hot restart partner disconnected"; "partner" => ?side);
+        self.partners.forget(side);
+        match side {
+            Side::Predecessor => {
+                self.open_names.forget_predecessor();
+                Event::PredecessorLost
+            }
+            Side::Successor => Event::SuccessorLost,
+        }
+    }
+}
--- /dev/null
+++ b/crates/client-proxy/src/serve/reload.rs
@@ -0,0 +1,35 @@
+//! Reads the configuration again on SIGHUP.
+
+use slog::{Logger, info, warn};
+use tokio::sync::mpsc;
+
+use crate::config::Config;
+use crate::message::DiscoveryCommand;
+
+/// Reads the file again. An invalid one changes nothing: guards the requests in flight against a
+/// slip of the pen. Only discovery's address takes effect at once; all else needs a restart, and
+/// the log says so.
+pub(super) fn reload(
+    config: &mut Config,
+    discovery: &mpsc::UnboundedSender<DiscoveryCommand>,
+    log: &Logger,
+) {
+    let new = match Config::read_again(|name| std::env::var(name).ok()) {
+        Ok(new) => new,
+        Err(error) => {
+            let error = error.to_string().replace('\n', " ");
+            warn!(log, "invalid configuration ignored, the previous one stays in effect"; "why" => error);
+            return;
+        }
+    };
+    let changes = config.changes_needing_restart(&new).join(", ");
+    if !changes.is_empty() {
+        warn!(log, "changed settings take effect after a restart"; "settings" => changes);
+    }
+    if new.discovery != config.discovery {
+        // Fails only while the process exits.
+        let _ = discovery.send(DiscoveryCommand::ChangeAddress(new.discovery));
+        config.discovery = new.discovery;
+    }
+    info!(log, "configuration reloaded"; "discovery" => config.discovery);
+}
--- a/crates/ironmast/src/main.rs
+++ b/crates/ironmast/src/main.rs
@@ -69,9 +69,7 @@
     let config = Config::read(variable)?;
     // Lines are written by a thread of their own: guards the proxy against a slow reader of its log.
     let (log, _guard) = logging::root(format, level, &config.name);
-    actix_rt::System::new()
-        .block_on(serve::run(config, log))
-        .map_err(eyre::Report::msg)
+    actix_rt::System::new().block_on(serve::run(config, log))
 }
 
 /// Reads the configuration at `path`, or that of the environment, and prints what it found.
