--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -183,7 +183,7 @@
     ) -> Self {
         Server {
             cores: f64::from(pool.cores),
-            slots: pool.in_work() as usize,
+            slots: pool.slot_count() as usize,
             queue_limit: pool.queue as usize,
             speed,
             warmup: Warmup {
--- a/crates/emulator/tests/judge.rs
+++ b/crates/emulator/tests/judge.rs
@@ -476,7 +476,7 @@
         assert!(sound.contains(from), "{from} in {sound}");
         let bad = sound.replacen(from, to, 1);
         let error = Scenario::parse(&bad).expect_err(to);
-        assert!(error.problem.contains(told), "{error}");
+        assert!(error.problem.to_string().contains(told), "{error}");
         // What is missing is told at the start of the table that lacks it.
         let changed = sound
             .lines()
--- a/crates/testbed/src/sweep/variation.rs
+++ b/crates/testbed/src/sweep/variation.rs
@@ -2,7 +2,7 @@
 
 use std::str::FromStr;
 
-use ironmast_emulator::Scenario;
+use ironmast_emulator::{Scenario, ScenarioProblem};
 use thiserror::Error;
 use toml::Value;
 
@@ -65,7 +65,7 @@
         /// The value.
         value: f64,
         /// What is wrong, without the line: the text with the value is in no file.
-        problem: String,
+        problem: ScenarioProblem,
     },
     /// The scenario's file is not valid TOML. It is no source: its own text has several lines.
     #[error("{}", .0.message())]
