--- a/crates/ironmast/tests/common/mod.rs
+++ b/crates/ironmast/tests/common/mod.rs
@@ -1,10 +1,13 @@
 //! What tests that run the program share.
 
-use std::io::{BufRead, BufReader};
+#![allow(dead_code, reason = "each test file uses a part")]
+
+use std::io::{self, BufRead, BufReader};
 use std::process::{Child, ChildStderr};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
+use rustix::process::{Pid, Signal, kill_process};
 
 /// What never comes fails the test after this.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
@@ -19,6 +22,36 @@
     }
 }
 
+impl Running {
+    /// Sends a signal to the program.
+    ///
+    /// By a system call, not by a `kill` process: where such a process ends before the thread that
+    /// started it is back from `posix_spawn`, during which it blocks all signals, the SIGCHLD goes
+    /// to another thread of the test and interrupts what that waits for.
+    pub(crate) fn signal(&self, signal: Signal) {
+        kill_process(Pid::from_child(&self.0), signal).expect("signalled");
+    }
+}
+
+/// Repeats a read while signals interrupt it: one with a time-out is not restarted by the system.
+pub(crate) fn uninterrupted<T>(mut read: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    loop {
+        match read() {
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            result => return result,
+        }
+    }
+}
+
+/// Asks until a condition is true.
+pub(crate) fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < PATIENCE, "not in time: {what}");
+        std::thread::yield_now();
+    }
+}
+
 /// Reads the program's log on to the line that holds `text`.
 pub(crate) fn wait_log(log: &mut BufReader<ChildStderr>, text: &str) -> String {
     let patience = Timespec::try_from(PATIENCE).expect("in range");
--- a/crates/ironmast/tests/exchanges.rs
+++ b/crates/ironmast/tests/exchanges.rs
@@ -11,7 +11,7 @@
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::process::{Command, Output};
 
-use common::{PATIENCE, Running, wait_log};
+use common::{PATIENCE, Running, uninterrupted, wait_log};
 use player::{listens_at, play, start};
 
 macro_rules! exchanges {
@@ -108,7 +108,7 @@
     for outage in [false, true] {
         let (mut stream, _) = agent.accept().expect("a watch");
         let mut head = [0; 4096];
-        let read = stream.read(&mut head).expect("a head");
+        let read = uninterrupted(|| stream.read(&mut head)).expect("a head");
         assert!(
             String::from_utf8_lossy(&head[..read]).contains("stream=1"),
             "a watch"
@@ -144,7 +144,7 @@
         let (mut stream, _) = discovery.accept().expect("a watch");
         began.get_or_insert_with(std::time::Instant::now);
         let mut head = [0; 4096];
-        let read = stream.read(&mut head).expect("a head");
+        let read = uninterrupted(|| stream.read(&mut head)).expect("a head");
         assert!(
             String::from_utf8_lossy(&head[..read]).contains("stream=1"),
             "a watch"
@@ -225,7 +225,7 @@
     let mut log = BufReader::new(child.0.stderr.take().expect("piped"));
     let listen = listens_at(&mut log);
     let mut told = [0; 300];
-    let (bytes, proxy) = peer.recv_from(&mut told).expect("it tells its rate");
+    let (bytes, proxy) = uninterrupted(|| peer.recv_from(&mut told)).expect("it tells its rate");
     assert_eq!(
         (bytes, told[0], told[1]),
         (6, 1, 0),
@@ -251,7 +251,7 @@
             let mut stream = stream.expect("a connection");
             std::thread::spawn(move || {
                 let mut buffer = [0; 4096];
-                while stream.read(&mut buffer).is_ok_and(|bytes| bytes > 0) {
+                while uninterrupted(|| stream.read(&mut buffer)).is_ok_and(|bytes| bytes > 0) {
                     let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
                     stream.write_all(answer).expect("written");
                 }
@@ -268,7 +268,7 @@
         .expect("written");
         let (mut answer, mut part) = (Vec::new(), [0; 1024]);
         while !answer.ends_with(b"\r\n\r\nok") {
-            let bytes = client.read(&mut part).expect("an answer");
+            let bytes = uninterrupted(|| client.read(&mut part)).expect("an answer");
             answer.extend_from_slice(&part[..bytes]);
             assert!(
                 bytes > 0 && answer.starts_with(b"HTTP/1.1 200"),
--- a/crates/ironmast/tests/exchanges/player.rs
+++ b/crates/ironmast/tests/exchanges/player.rs
@@ -16,15 +16,15 @@
 //! system's tables.
 
 use std::collections::BTreeMap;
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::mpsc::channel;
-use std::time::Instant;
 
+use rustix::process::Signal;
 use tempfile::NamedTempFile;
 
-use crate::common::{PATIENCE, Running, wait_log};
+use crate::common::{PATIENCE, Running, uninterrupted, wait_log, wait_until};
 
 pub(crate) struct Proxy {
     child: Running,
@@ -157,14 +157,14 @@
                 let line = wait_log(&mut self.log, text);
                 self.said += &format!("proxy: {}", &line[line.find(text).expect("it is there")..]);
             }
-            ("proxy", "term") => self.signal("-TERM"),
+            ("proxy", "term") => self.child.signal(Signal::TERM),
             ("proxy", "reload") => {
                 let text = match self.listeners.get(text) {
                     Some(l) => config(&l.local_addr().expect("bound").to_string()),
                     None => text.to_string(),
                 };
                 std::fs::write(self.config.path(), text).expect("written");
-                self.signal("-HUP");
+                self.child.signal(Signal::HUP);
             }
             ("proxy", "exit") => {
                 let status = self.child.0.wait().expect("it ends");
@@ -229,22 +229,24 @@
             (_, "dialled" | "undialled") => {
                 let held = &self.held[party];
                 let wanted = verb == "dialled";
-                let patience = Instant::now() + PATIENCE;
-                while held.has_pending_connection().expect("the system's table") != wanted {
-                    assert!(Instant::now() < patience, "{party}: not {verb} in time");
-                    std::thread::yield_now();
-                }
+                wait_until(line, || {
+                    held.has_pending_connection().expect("the system's table") == wanted
+                });
             }
             (_, "fin") => {
-                let end = self.stream(party).read(&mut [0]).expect("an orderly end");
+                let stream = self.stream(party);
+                let end = uninterrupted(|| stream.read(&mut [0])).expect("an orderly end");
                 assert_eq!(end, 0, "{party}: more came");
                 self.open.remove(party);
                 self.said += &format!("{party}: ended\n");
             }
             (_, "refuse") => drop(self.listeners.remove(party)),
             (_, "eof") => {
-                let end = self.stream(party).read(&mut [0]).map_or(0, |bytes| bytes);
-                assert_eq!(end, 0, "{party}: more came");
+                let stream = self.stream(party);
+                match uninterrupted(|| stream.read(&mut [0])) {
+                    Ok(bytes) => assert_eq!(bytes, 0, "{party}: more came"),
+                    Err(error) => assert_eq!(error.kind(), ErrorKind::ConnectionReset, "{party}"),
+                }
                 self.open.remove(party);
                 self.said += &format!("{party}: closed\n");
             }
@@ -252,17 +254,6 @@
         }
     }
 
-    fn signal(&self, name: &str) {
-        let id = self.child.0.id().to_string();
-        assert!(
-            Command::new("kill")
-                .args([name, &id])
-                .status()
-                .expect("kill runs")
-                .success()
-        );
-    }
-
     /// The party's connection; a client opens it, the others wait for the program to.
     fn stream(&mut self, party: &str) -> &mut BufReader<TcpStream> {
         self.open.entry(party.to_string()).or_insert_with(|| {
--- a/crates/ironmast/tests/operations.rs
+++ b/crates/ironmast/tests/operations.rs
@@ -12,7 +12,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use common::wait_log;
+use common::{uninterrupted, wait_log};
+use rustix::process::Signal;
 use stage::{Stage, head, listen, patient};
 
 /// The stage, and what each of its servers has been asked.
@@ -195,7 +196,7 @@
     assert!(new.call("enable-server s-0\n").contains("in use again"));
     wait_log(&mut old.log, "override received from the other process");
     assert_eq!(old.call("enable-server s-0\n"), "+OK s-0 is in use\n");
-    old.signal("-TERM");
+    old.child.signal(Signal::TERM);
     assert!(old.child.0.wait().expect("it ends").success());
     wait_log(&mut new.log, "hot restart partner disconnected");
     let one = stage.asked(1);
@@ -203,7 +204,7 @@
     assert_eq!(stage.asked(1), one, "still out of use");
     assert!(stage.asked(0) > before, "back in use");
     // On disk for a process that starts after a death without a word.
-    new.signal("-KILL");
+    new.child.signal(Signal::KILL);
     new.child.0.wait().expect("it ends");
     let third = stage.start(stage.place());
     third.ready();
@@ -222,7 +223,7 @@
         let mut new = stage.start(stage.place());
         new.ready();
         wait_log(&mut old.log, "the successor is serving");
-        old.signal("-TERM");
+        old.child.signal(Signal::TERM);
         assert!(old.child.0.wait().expect("it ends").success());
         wait_log(&mut new.log, "hot restart partner disconnected");
         old = new;
@@ -241,7 +242,7 @@
     old.ready();
     let mut new = stage.start(stage.place());
     wait_log(&mut old.log, "the successor is serving");
-    new.signal("-KILL");
+    new.child.signal(Signal::KILL);
     new.child.0.wait().expect("it ends");
     wait_log(&mut old.log, "hot restart partner disconnected");
     assert!(
@@ -250,7 +251,7 @@
     );
     let mut next = stage.start(stage.place());
     wait_log(&mut old.log, "the successor is serving");
-    old.signal("-KILL");
+    old.child.signal(Signal::KILL);
     old.child.0.wait().expect("it ends");
     wait_log(&mut next.log, "hot restart partner disconnected");
     assert!(
@@ -324,7 +325,7 @@
     );
     let new = stage.start(None);
     new.ready();
-    old.signal("-TERM");
+    old.child.signal(Signal::TERM);
     assert!(old.child.0.wait().expect("it ends").success());
     assert!(stage.request("a").starts_with("HTTP/1.1 200"));
 }
@@ -375,7 +376,7 @@
     new.ready();
     wait_log(&mut old.log, "the successor is serving");
     assert!(ask("b").contains("connection: close"));
-    let end = kept.read(&mut [0]);
+    let end = uninterrupted(|| kept.read(&mut [0]));
     assert!(matches!(end, Ok(0)) || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset));
 }
 
--- a/crates/ironmast/tests/stage/mod.rs
+++ b/crates/ironmast/tests/stage/mod.rs
@@ -7,9 +7,8 @@
 use std::path::Path;
 use std::process::{ChildStderr, Command, Stdio};
 use std::sync::Arc;
-use std::time::Instant;
 
-use crate::common::{PATIENCE, Running, wait_log};
+use crate::common::{PATIENCE, Running, wait_log, wait_until};
 
 /// Where it all is.
 pub(crate) struct Stage {
@@ -170,21 +169,6 @@
 
     /// Asks until it is ready.
     pub(crate) fn ready(&self) {
-        let start = Instant::now();
-        while !self.call("ready\n").starts_with("+OK") {
-            assert!(start.elapsed() < PATIENCE, "it never gets ready");
-            std::thread::yield_now();
-        }
-    }
-
-    pub(crate) fn signal(&self, name: &str) {
-        let id = self.child.0.id().to_string();
-        assert!(
-            Command::new("kill")
-                .args([name, &id])
-                .status()
-                .expect("kill runs")
-                .success()
-        );
+        wait_until("it is ready", || self.call("ready\n").starts_with("+OK"));
     }
 }
--- a/crates/ironmast/tests/streams.rs
+++ b/crates/ironmast/tests/streams.rs
@@ -10,7 +10,8 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-use common::{PATIENCE, wait_log};
+use common::{PATIENCE, uninterrupted, wait_log};
+use rustix::process::Signal;
 use stage::{Process, Stage, head, listen, patient};
 
 /// As long as the agreement allows.
@@ -174,7 +175,7 @@
     let peak = memory(&process, "VmHWM");
     println!("peak {peak} kB");
     assert!(peak < PEAK_MOST, "{peak} kB");
-    process.signal("-TERM");
+    process.child.signal(Signal::TERM);
     wait_log(&mut process.log, "shutting down");
     assert!(process.child.0.wait().expect("it ends").success());
 }
@@ -279,7 +280,7 @@
         let mut part = vec![0; 128 * 1024];
         let mut come = 0;
         while come < 300_000 {
-            match stream.read(&mut part) {
+            match uninterrupted(|| stream.read(&mut part)) {
                 Ok(bytes) if bytes > 0 => come += bytes,
                 _ => return,
             }
