--- a/crates/ironmast/tests/exchanges/player.rs
+++ b/crates/ironmast/tests/exchanges/player.rs
@@ -12,10 +12,12 @@
 //! bytes that are no HTTP, `times N TEXT` the text so often, `proxy rested` holds where it has been
 //! on a processor for less than 1 s since its start; `fin` waits for an orderly end where `eof`
 //! takes a reset as well; `hold` lets no connection to a server come up any more, `dialled` waits
-//! until one is asked for and `undialled` until none is. Nothing sleeps: all wait for bytes or the
+//! until one is asked for and `undialled` until none is. `proxy pause` stops the program, so that
+//! what other parties do until `proxy resume` is there at once when it looks. Nothing sleeps: all wait for bytes or the
 //! system's tables.
 
 use std::collections::BTreeMap;
+use std::fs::DirEntry;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::{Child, ChildStderr, Command, Stdio};
@@ -170,6 +172,8 @@
                 let status = self.child.0.wait().expect("it ends");
                 self.said += &format!("proxy exit {}\n", status.code().unwrap_or(-1));
             }
+            ("proxy", "pause") => self.pause(),
+            ("proxy", "resume") => self.child.signal(Signal::CONT),
             ("proxy", "rested") => {
                 // Of the thread that does everything: how long it has been on a processor, in ns.
                 let path = format!("/proc/{}/schedstat", self.child.0.id());
@@ -254,6 +258,21 @@
         }
     }
 
+    /// Stops the program and waits until none of its threads runs any more.
+    fn pause(&self) {
+        self.child.signal(Signal::STOP);
+        let threads = format!("/proc/{}/task", self.child.0.id());
+        let is_stopped = |thread: DirEntry| {
+            let stat = std::fs::read_to_string(thread.path().join("stat")).expect("it lives");
+            // The state follows the name, which is in brackets.
+            stat.rsplit(") ").next().expect("a state").starts_with('T')
+        };
+        wait_until("the program is stopped", || {
+            let mut threads = std::fs::read_dir(&threads).expect("it lives");
+            threads.all(|thread| is_stopped(thread.expect("a thread")))
+        });
+    }
+
     /// The party's connection; a client opens it, the others wait for the program to.
     fn stream(&mut self, party: &str) -> &mut BufReader<TcpStream> {
         self.open.entry(party.to_string()).or_insert_with(|| {
