--- a/crates/ironmast/tests/exchanges/player.rs
+++ b/crates/ironmast/tests/exchanges/player.rs
@@ -10,7 +10,8 @@
 //! SIGHUP; `proxy sockets N` starts it with that many descriptors, `proxy with A B` with B for A in
 //! its configuration, `proxy debug` with a log that follows each request. `fill N` sends so many
 //! bytes that are no HTTP, `times N TEXT` the text so often, `proxy rested` holds where it has been
-//! on a processor for less than 1 s since its start; `fin` waits for an orderly end where `eof`
+//! on a processor for less than 1 s since its start; `close` waits until the
+//! program's end of the connection has it; `fin` waits for an orderly end where `eof`
 //! takes a reset as well; `hold` lets no connection to a server come up any more, `dialled` waits
 //! until one is asked for and `undialled` until none is. `proxy pause` stops the program, so that
 //! what other parties do until `proxy resume` is there at once when it looks. Nothing sleeps: all wait for bytes or the
@@ -23,6 +24,7 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::mpsc::channel;
 
+use ironmast_fault_injection::socket_table::is_established;
 use rustix::process::Signal;
 use tempfile::NamedTempFile;
 
@@ -140,6 +142,20 @@
     std::mem::take(&mut proxy.said)
 }
 
+impl Drop for Proxy {
+    /// Where the test fails, says what had been said and what else the program logged.
+    fn drop(&mut self) {
+        if std::thread::panicking() {
+            let _ = self.child.0.kill();
+            let mut log = Vec::new();
+            let _ = self.log.read_to_end(&mut log);
+            println!("said before the failure:\n{}", self.said);
+            println!("logged after the last line that was waited for:");
+            println!("{}", String::from_utf8_lossy(&log));
+        }
+    }
+}
+
 impl Proxy {
     #[expect(
         clippy::too_many_lines,
@@ -215,7 +231,7 @@
                 let message = read_message(self.stream(party));
                 self.said += &format!("{party}: {message}\n");
             }
-            (_, "close") => drop(self.open.remove(party)),
+            (_, "close") => self.close(party),
             (_, "fill") => {
                 let bytes = vec![b'#'; text.parse().expect("a number")];
                 self.stream(party)
@@ -273,6 +289,22 @@
         });
     }
 
+    /// Closes the party's connection and waits until the program's end has the close: until then the
+    /// program would be right to use the connection. A process that another test is starting has a
+    /// copy of the socket until it executes its program, and the system ends the connection only once
+    /// the last copy is closed.
+    fn close(&mut self, party: &str) {
+        let Some(stream) = self.open.remove(party) else {
+            return;
+        };
+        let own = stream.get_ref().local_addr().expect("connected");
+        let programs = stream.get_ref().peer_addr().expect("connected");
+        drop(stream);
+        wait_until("the program's end of the connection has the close", || {
+            !is_established(programs, own).expect("the system's table")
+        });
+    }
+
     /// The party's connection; a client opens it, the others wait for the program to.
     fn stream(&mut self, party: &str) -> &mut BufReader<TcpStream> {
         self.open.entry(party.to_string()).or_insert_with(|| {
--- a/crates/ironmast/tests/stage/mod.rs
+++ b/crates/ironmast/tests/stage/mod.rs
@@ -158,6 +158,19 @@
     }
 }
 
+impl Drop for Process {
+    /// Where the test fails, says what the program logged.
+    fn drop(&mut self) {
+        if std::thread::panicking() {
+            let _ = self.child.0.kill();
+            let mut log = Vec::new();
+            let _ = self.log.read_to_end(&mut log);
+            println!("logged after the last line that was waited for:");
+            println!("{}", String::from_utf8_lossy(&log));
+        }
+    }
+}
+
 impl Process {
     pub(crate) fn call(&self, line: &str) -> String {
         let mut stream = patient(TcpStream::connect(self.ops).expect("it hears operators"));
