--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -8,6 +8,23 @@
 //! - [`Overlay`] holds the links, the tree over them (Plumtree) with one edge into each region,
 //!   heartbeats where there is no other traffic, and anti-entropy.
 //!
+//! # Vocabulary
+//!
+//! | here | meaning | in the papers |
+//! | --- | --- | --- |
+//! | neighbour, link | a node with which there is a connection | `HyParView`'s active view |
+//! | [`PassiveView`] | nodes that links may be opened to | Cyclon's cache, `HyParView`'s passive view |
+//! | root, parent, child | a coordinator; the neighbour that pushes entries to an agent, and the reverse | Plumtree's eager peers |
+//! | push | an entry that is sent without having been requested | eager push, GOSSIP |
+//! | announcement | versions that are offered to neighbours that are not children | lazy push, IHAVE |
+//! | request of a missing version | what follows an announcement whose entry doesn't arrive | the first part of GRAFT |
+//! | graft, prune | becoming, and ceasing to be, a neighbour's child | GRAFT, PRUNE |
+//! | relay target | a neighbour other than the children to which an entry is pushed | - |
+//! | region head, zone head | the agent through which a region or a zone is attached to the tree | - |
+//! | root heartbeat | a heartbeat of a coordinator that is passed down the tree; what arrives late shows a failed parent | - |
+//! | shuffle | an exchange of samples of two views | Cyclon's shuffle |
+//! | anti-entropy | comparison of stores by digest, and exchange of what differs | - |
+//!
 //! The caller owns the connections. A node is identified by the address it listens at; a connection
 //! begins with a preamble of the caller's in which the opener states its own. When two nodes open a
 //! connection to each other at once, the caller may use either and reports
--- a/crates/overlay/src/overlay.rs
+++ b/crates/overlay/src/overlay.rs
@@ -12,6 +12,7 @@
 mod maintenance;
 mod parent_selection;
 mod peer_sampling;
+mod relay_targets;
 mod remote_attach;
 mod standby;
 mod state;
