--- a/crates/storage/src/log/segments.rs
+++ b/crates/storage/src/log/segments.rs
@@ -6,7 +6,7 @@
 use crate::format::{FramePosition, SEGMENT_HEADER_BYTES, frame_bytes, push_frame, segment_header};
 use crate::names;
 use crate::recovery::LogFiles;
-use crate::settings::LogSettings;
+use crate::settings::{AfterFailure, LogSettings, SegmentReplacement};
 
 use super::error::LogError;
 
@@ -61,7 +61,7 @@
     }
 
     pub(super) fn stops_after_failure(&self) -> bool {
-        self.settings.guards.stop_after_failure
+        self.settings.guards.after_failure == AfterFailure::StopWriting
     }
 
     /// Continues the newest segment found; only for tests, to show what that would break.
@@ -127,7 +127,7 @@
     /// could supersede a newer one.
     fn begin(&mut self, payload: &[u8]) -> Result<(), DiskError> {
         self.close_current();
-        if !self.settings.guards.create_before_remove {
+        if self.settings.guards.replacement == SegmentReplacement::RemoveFirst {
             self.remove_obsolete()?;
         }
         let sequence = self.next_sequence;
--- a/crates/storage/src/log/tests.rs
+++ b/crates/storage/src/log/tests.rs
@@ -9,7 +9,7 @@
 
 use crate::disk::Disk;
 use crate::scan::Checksums;
-use crate::settings::{Guards, LogSettings, OnOpen};
+use crate::settings::{AfterFailure, Guards, LogSettings, OnOpen};
 use crate::testing::{FaultyDisk, Safeguard, UnsafeDisk};
 use history::{Setup, Violation, run_history};
 
@@ -80,7 +80,7 @@
 
 #[test]
 fn histories_detect_a_log_that_continues_after_a_failure() {
-    let settings = guards(|guards| guards.stop_after_failure = false);
+    let settings = guards(|guards| guards.after_failure = AfterFailure::ContinueWriting);
     assert_detected(&Setup {
         settings,
         disk: Box::new(unchanged),
--- a/crates/storage/src/log/tests/failures.rs
+++ b/crates/storage/src/log/tests/failures.rs
@@ -7,7 +7,7 @@
 use crate::disk::{Disk, DiskOperation};
 use crate::log::{Log, LogError, LogState};
 use crate::recovery::Recovered;
-use crate::settings::{LogSettings, OnOpen};
+use crate::settings::{LogSettings, OnOpen, SegmentReplacement};
 use crate::testing::{FaultyDisk, MemoryDisk};
 
 fn open(disk: &Arc<FaultyDisk>) -> (Log<u64>, Recovered<u64>) {
@@ -144,10 +144,10 @@
 
 /// Three segments in a row get names that may or may not be durable, a fourth can't be created, and
 /// the process is killed. Then record 5 is reported as durable and the power is lost.
-fn recover_after_failed_renames(seed: u64, create_before_remove: bool) -> Recovered<u64> {
+fn recover_after_failed_renames(seed: u64, replacement: SegmentReplacement) -> Recovered<u64> {
     let disk = Arc::new(FaultyDisk::new(seed));
     let mut settings = LogSettings::new_unchecked("failures", 4096);
-    settings.guards.create_before_remove = create_before_remove;
+    settings.guards.replacement = replacement;
     let open = || Log::open(disk.clone() as Arc<dyn Disk>, settings.clone()).expect("open");
     let (mut log, _) = open();
     log.reopen(&1).expect("reopen");
@@ -170,7 +170,7 @@
 fn a_removed_segment_that_reappears_is_never_recovered() {
     for seed in 0..200 {
         assert_eq!(
-            recover_after_failed_renames(seed, true),
+            recover_after_failed_renames(seed, SegmentReplacement::CreateFirst),
             found(5, true),
             "seed {seed}"
         );
@@ -179,8 +179,9 @@
 
 #[test]
 fn a_reused_segment_number_would_let_a_removed_segment_be_recovered() {
-    let wrong =
-        (0..200).filter(|seed| recover_after_failed_renames(*seed, false) != found(5, true));
+    let wrong = (0..200).filter(|seed| {
+        recover_after_failed_renames(*seed, SegmentReplacement::RemoveFirst) != found(5, true)
+    });
     assert!(wrong.count() > 0);
 }
 
--- a/crates/storage/src/settings.rs
+++ b/crates/storage/src/settings.rs
@@ -23,14 +23,40 @@
 pub(crate) struct Guards {
     /// Whether the checksums of frames are verified.
     pub(crate) checksums: Checksums,
-    /// Whether writing to a file stops after a failure.
-    pub(crate) stop_after_failure: bool,
-    /// Whether the next segment's file is created before others are removed.
-    pub(crate) create_before_remove: bool,
+    /// What happens to a file after a failure.
+    pub(crate) after_failure: AfterFailure,
+    /// In which order the next segment is created and others are removed.
+    pub(crate) replacement: SegmentReplacement,
     /// How the newest record is treated when a log is opened.
     pub(crate) on_open: OnOpen,
 }
 
+/// What happens to a file after a write or a sync of it has failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[cfg_attr(
+    not(test),
+    expect(
+        dead_code,
+        reason = "the unsafe variant exists for tests that show it failing"
+    )
+)]
+pub(crate) enum AfterFailure {
+    /// Nothing more is written to it: what it holds is unknown.
+    StopWriting,
+    /// It is written on as if nothing had happened.
+    ContinueWriting,
+}
+
+/// In which order the file of the next segment is created and obsolete ones are removed. The
+/// unsafe variant exists for tests that show it failing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum SegmentReplacement {
+    /// The next is created first, so that the highest sequence number in use is always visible.
+    CreateFirst,
+    /// Obsolete ones are removed first.
+    RemoveFirst,
+}
+
 /// How the newest record is treated when a log is opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(
@@ -84,8 +110,8 @@
     pub(crate) fn new_unchecked(name: &str, space_bytes: u64) -> Self {
         let guards = Guards {
             checksums: Checksums::Verify,
-            stop_after_failure: true,
-            create_before_remove: true,
+            after_failure: AfterFailure::StopWriting,
+            replacement: SegmentReplacement::CreateFirst,
             on_open: OnOpen::Rewrite,
         };
         Self {
