--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,12 +1,11 @@
 //! Admission control: up to which load a server accepts a request, by the request's priority.
 
 use crate::guards::Guard;
+use crate::priority::LOWEST_PRIORITY;
 use crate::settings::Settings;
 
 /// Servers are never considered full below this fraction of their capacity.
 pub(crate) const MIN_OVERLOAD_SHARE: f64 = 0.5;
-/// Priorities beyond this one are treated alike.
-const LOWEST_PRIORITY: u32 = 9;
 
 /// What the admission limit of a request depends on.
 #[derive(Clone, Copy, Debug)]
--- a/crates/routing/src/decider/dispatch.rs
+++ b/crates/routing/src/decider/dispatch.rs
@@ -9,12 +9,10 @@
 use crate::guards::Guard;
 use crate::limits::{Permits, RetryBudget};
 use crate::prefill;
-use crate::priority;
+use crate::priority::{self, LOWEST_PRIORITY};
 use crate::rejection::RejectionReason;
 use crate::request::{Attempt, Call};
 
-/// The lowest priority that the `Priority` header can express.
-const LOWEST_PRIORITY: u32 = 9;
 /// Delay after which a request for which no server is listed yet searches again, in microseconds.
 const DISCOVERY_RETRY_DELAY: Micros = 30_000;
 
