--- a/tools/test_worth_lost.py
+++ b/tools/test_worth_lost.py
@@ -9,6 +9,7 @@
 
 
 def report(worth, late):
+    """A report of the bench with two kinds of requests and two windows of 100 requests each."""
     row = {"n": 100, "late": late, "refused": 2, "failed": 1, "worth": worth}
     return {
         "parts": [["whole day", 0.6, worth], ["nines", 0.4, 0.5]],
@@ -23,32 +24,38 @@
     reports = [report(0.9, 4), report(0.7, 8)]
 
     def test_parts_and_prices_are_means_over_the_reports(self):
-        lost = dict(worth_lost.by_part(self.reports))
+        lost = dict(worth_lost.loss_by_part(self.reports))
         self.assertAlmostEqual(lost["whole day"], 0.6 * 0.2)
         self.assertAlmostEqual(lost["nines"], 0.2)
         self.assertAlmostEqual(lost["price: machine-seconds"], 0.1)
 
-    def test_kinds_are_summed_and_the_dearest_comes_first(self):
-        first, second = worth_lost.by_kind(self.reports)
-        self.assertEqual(first[:5], ("draft", 200, 12, 4, 2))
-        self.assertAlmostEqual(first[5], 0.2)
-        self.assertEqual(second[0], "check")
-
-    def test_last_tries_are_counted_with_the_first_trace(self):
-        self.assertEqual(worth_lost.by_last_try(self.reports)[0], ("deadline", 12, ["2.0 s  sent"]))
-
-    def test_the_moment_that_lost_most_comes_first(self):
-        rows = worth_lost.by_moment([("a", self.reports[0]), ("b", self.reports[1])])
-        self.assertEqual(rows[0][:5], ("b", "2", 100, 3, 8))
-
-    def test_a_file_that_is_no_report_is_told_in_one_line(self):
-        with tempfile.TemporaryDirectory() as folder:
-            path = pathlib.Path(folder) / "x.json"
+    def test_kinds_are_summed_and_the_largest_loss_comes_first(self):
+        first, second = worth_lost.totals_by_kind(self.reports)
+        counts = (first.kind, first.requests, first.late, first.rejected, first.failed)
+        self.assertEqual(counts, ("draft", 200, 12, 4, 2))
+        self.assertAlmostEqual(first.loss, 0.2)
+        self.assertEqual(second.kind, "check")
+
+    def test_last_outcomes_are_counted_with_the_first_trace(self):
+        self.assertEqual(
+            worth_lost.last_outcomes(self.reports)[0],
+            worth_lost.LastOutcome("deadline", ["2.0 s  sent"], 12),
+        )
+
+    def test_the_window_that_lost_most_comes_first(self):
+        named = [worth_lost.NamedReport("a", self.reports[0]), worth_lost.NamedReport("b", self.reports[1])]
+        worst = worth_lost.worst_windows(named)[0]
+        counts = (worst.report, worst.start_s, worst.requests, worst.unserved, worst.late)
+        self.assertEqual(counts, ("b", "2", 100, 3, 8))
+
+    def test_a_file_that_is_no_report_is_reported_in_one_line(self):
+        with tempfile.TemporaryDirectory() as directory:
+            path = pathlib.Path(directory) / "x.json"
             path.write_text("{")
-            told = io.StringIO()
-            with contextlib.redirect_stderr(told):
+            errors = io.StringIO()
+            with contextlib.redirect_stderr(errors):
                 self.assertEqual(worth_lost.main([str(path)]), 1)
-            self.assertEqual(len(told.getvalue().splitlines()), 1)
+            self.assertEqual(len(errors.getvalue().splitlines()), 1)
 
 
 if __name__ == "__main__":
