--- a/tools/test_site_variant.py
+++ b/tools/test_site_variant.py
@@ -17,26 +17,27 @@
 
 class Variants(unittest.TestCase):
     def variant(self, name):
-        with tempfile.TemporaryDirectory() as folder:
-            site, out = pathlib.Path(folder) / "site.toml", pathlib.Path(folder) / "out.toml"
+        """The text of a variant of SITE."""
+        with tempfile.TemporaryDirectory() as directory:
+            site, out = pathlib.Path(directory) / "site.toml", pathlib.Path(directory) / "out.toml"
             site.write_text(SITE)
             self.assertEqual(site_variant.main([str(site), name, str(out)]), 0)
             return out.read_text()
 
-    def test_the_near_variant_has_shorter_objectives_and_tells_load(self):
+    def test_the_near_variant_has_shorter_targets_and_reported_load(self):
         text = self.variant("near")
         for part in ['name = "harbour-near"', "{ aim_ms = 480,", "load_header = true", "mean = 400,", "cross_region_ms = 6"]:
             self.assertIn(part, text)
 
-    def test_the_far_variant_has_longer_ways(self):
+    def test_the_far_variant_has_longer_distances(self):
         text = self.variant("far")
         for part in ['name = "harbour-far"', "{ aim_ms = 900,", "cold_per_s = 11", "cross_region_ms = 36"]:
             self.assertIn(part, text)
 
-    def test_pauses_between_events_stay(self):
+    def test_a_key_that_ends_like_a_scaled_one_stays(self):
         self.assertIn("gap_aim_ms = 400", self.variant("near"))
 
-    def test_an_unknown_variant_is_told(self):
+    def test_an_unknown_variant_is_rejected(self):
         with contextlib.redirect_stderr(io.StringIO()):
             self.assertEqual(site_variant.main(["a", "b", "c"]), 2)
 
