--- a/crates/testbed/src/days/report.rs
+++ b/crates/testbed/src/days/report.rs
@@ -46,7 +46,7 @@
     /// The table of days has a heading and no row.
     #[error("the report ends after its heading")]
     HeadingOnly,
-    /// The row of the day has no machine counts or no worth.
+    /// The row of the day has no machine counts or no value.
     #[error("not a day's line: {0}")]
     InvalidRow(String),
     /// A broken rule has no valid count.
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -193,13 +193,13 @@
     let runner = Runner::start(hunt.seeds.to - hunt.seeds.from);
     let results = without_panic_messages(|| search_all(hunt, base.as_ref(), &runner, time_limit));
     runner.end();
-    let played = results.len();
+    let searched = results.len();
     let found: Vec<FoundScenario> = results.into_iter().flatten().collect();
     for found in &found {
         write_found(found, hunt.policy, &hunt.out)?;
     }
     println!(
-        "{played} of {} seeds played in {:.0} s, {} findings",
+        "{searched} of {} seeds played in {:.0} s, {} findings",
         hunt.seeds.to - hunt.seeds.from,
         started.elapsed().as_secs_f64(),
         found.len()
