--- a/crates/client-proxy/src/config.rs
+++ b/crates/client-proxy/src/config.rs
@@ -53,11 +53,11 @@
     /// Every proxy of the cluster, by number.
     pub peers: Vec<SocketAddr>,
     /// The address that reaches all peers at once.
-    pub peers_all: Option<SocketAddr>,
+    pub broadcast: Option<SocketAddr>,
     /// The last known endpoint list, in discovery's form; may be outdated.
-    pub known: Option<Value>,
+    pub cached_endpoints: Option<Value>,
     /// The settings of the deployment.
-    pub setup: DeploymentSettings,
+    pub deployment: DeploymentSettings,
     /// The values of the file that take effect at a start only, flattened.
     restart_values: BTreeMap<String, String>,
 }
@@ -174,9 +174,9 @@
             memory_mb: file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
             peer_listen: file.peer_listen,
             peers: file.peers,
-            peers_all: file.peers_all,
-            known: file.known,
-            setup: deployment_settings(&file.settings)
+            broadcast: file.peers_all,
+            cached_endpoints: file.known,
+            deployment: deployment_settings(&file.settings)
                 .map_err(|error| ConfigError::InvalidSettings { path, error })?,
             restart_values: restart_values(json),
         })
@@ -203,11 +203,11 @@
             discovery,
             ops,
             sockets,
-            setup,
+            deployment,
             ..
         } = self;
-        let classes = setup.classes.join(", ");
-        let zone = &setup.zones[setup.settings.zone];
+        let classes = deployment.classes.join(", ");
+        let zone = &deployment.zones[deployment.settings.zone];
         let operators = ops.map_or("operators can't call".to_string(), |address| {
             format!("operators call {address}")
         });
--- a/crates/client-proxy/src/driver/requests.rs
+++ b/crates/client-proxy/src/driver/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request, from its arrival to its final response.
+//! Requests, from their arrival to their final response.
 
 use ironmast_balancer::{Event, Micros, Request, RequestId};
 use slog::debug;
--- a/crates/client-proxy/src/hot_restart/predecessor.rs
+++ b/crates/client-proxy/src/hot_restart/predecessor.rs
@@ -79,7 +79,7 @@
     inherited.ok()
 }
 
-/// Whether no process listens, or only the name of one that has died is left.
+/// Whether no process listens: there is no socket, or only the file of one whose process has ended.
 fn is_nobody_there(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -30,7 +30,7 @@
 const READINESS_PATH: &str = "/health/ready";
 
 /// The time-out of an incomplete request and of an idle connection, in µs. The platform gives half
-/// a request 3 s: one that is incomplete after this time must have kept the agreed rate. It leaves
+/// a request 3 s: one that is incomplete after this time must have arrived at the agreed rate. It leaves
 /// a connection open for at least 2 s after a response.
 const CLIENT_TIMEOUT: Micros = 2_200_000;
 
--- a/crates/client-proxy/src/serve.rs
+++ b/crates/client-proxy/src/serve.rs
@@ -42,7 +42,7 @@
 pub async fn run(config: Config, log: Logger) -> Result<()> {
     // Before all else: guards against a SIGHUP that ends a process which does not handle it yet.
     let hang_up = signal(SignalKind::hangup()).wrap_err("handling SIGHUP")?;
-    let balancer = Balancer::new(config.setup.settings.clone(), config.seed)?;
+    let balancer = Balancer::new(config.deployment.settings.clone(), config.seed)?;
     let signals = Signals {
         hang_up,
         terminate: signal(SignalKind::terminate()).wrap_err("handling SIGTERM")?,
@@ -147,7 +147,7 @@
 /// Returns when the task has completed; never if there is none.
 async fn completed(task: &mut Option<JoinHandle<()>>) {
     match task {
-        // An error would be a panic in the task, after which nothing is left to complete.
+        // An error would be a panic in the task, which ends the shutdown as well.
         Some(task) => drop(task.await),
         None => std::future::pending().await,
     }
--- a/crates/client-proxy/src/serve/start.rs
+++ b/crates/client-proxy/src/serve/start.rs
@@ -101,8 +101,8 @@
             queue,
             memory: BodyMemory::new(config.memory_mb),
             timeouts: ConnectionTimeouts {
-                connect: Duration::from_micros(config.setup.connect_timeout),
-                server_keep_alive: Duration::from_micros(config.setup.keepalive),
+                connect: Duration::from_micros(config.deployment.connect_timeout),
+                server_keep_alive: Duration::from_micros(config.deployment.keepalive),
             },
             server_descriptors: server_descriptors.clone(),
             serving,
@@ -168,7 +168,7 @@
             predecessor: Predecessor::None,
             sockets: Sockets::open(config)?,
             overrides: files.load_overrides(log),
-            endpoints: config.known.take(),
+            endpoints: config.cached_endpoints.take(),
         });
     };
     use_discovery_of_file(config);
@@ -180,7 +180,7 @@
         predecessor: Predecessor::Running,
         sockets,
         overrides: inherited.overrides,
-        endpoints: inherited.endpoints.or(config.known.take()),
+        endpoints: inherited.endpoints.or(config.cached_endpoints.take()),
     })
 }
 
@@ -217,8 +217,8 @@
         );
         let settings = DiscoverySettings {
             address: config.discovery,
-            zones: config.setup.zones.clone(),
-            is_pushed: config.setup.settings.discovery == DiscoveryMode::Pushed,
+            zones: config.deployment.zones.clone(),
+            is_pushed: config.deployment.settings.discovery == DiscoveryMode::Pushed,
         };
         let (log, queue) = (self.log.clone(), self.queue.clone());
         let mut discovery = Discovery::new(settings, client, log, queue);
@@ -259,7 +259,7 @@
         let peers = Peers {
             socket,
             addresses: config.peers.clone(),
-            broadcast: config.peers_all,
+            broadcast: config.broadcast,
             log: self.log.clone(),
             queue: self.queue.clone(),
             serving: self.serving.clone(),
@@ -276,7 +276,7 @@
         overrides: OverrideState,
     ) -> DriverContext {
         DriverContext {
-            settings: config.setup.settings.clone(),
+            settings: config.deployment.settings.clone(),
             clock: self.clock,
             log: self.log.clone(),
             outputs,
@@ -304,7 +304,7 @@
         open_names: Rc<OpenNames>,
     ) -> ClientService {
         ClientService {
-            deployment: config.setup.clone(),
+            deployment: config.deployment.clone(),
             clock: self.clock,
             queue: self.queue.clone(),
             is_ready,
