--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -46,7 +46,7 @@
 mod simulation;
 
 pub use judge::{COLUMNS, Counts, Rule, Violation};
-pub use policy::{GroundTruth, Policy, PolicyName};
+pub use policy::{GroundTruth, Policy, PolicyName, UnknownPolicy};
 pub use proxy_settings::settings;
 pub use random::{Purpose, Stream};
 pub use report::{ClassReport, Latency, Load, Report, ServerReport, Traffic};
