--- a/crates/client-proxy/src/upstream.rs
+++ b/crates/client-proxy/src/upstream.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 use ironmast_balancer::{RequestId, ServerId};
-use ironmast_transport::attempt::{Admission, AttemptOptions, AttemptState};
+use ironmast_transport::attempt::{AdmissionCheck, AttemptOptions, AttemptState};
 use ironmast_transport::body::BodyMemory;
 use ironmast_transport::clock::Clock;
 use ironmast_transport::descriptors::DescriptorBudget;
@@ -135,7 +135,7 @@
         let server = attempt.server;
         let stopped_servers = self.stopped_servers.clone();
         // Guards rule 3: the server may begin to drain between the decision and the first byte.
-        let admission: Admission = Box::new(move || !stopped_servers.contains(server));
+        let admission: AdmissionCheck = Box::new(move || !stopped_servers.contains(server));
         // Guards rule 2: a connection that is established late would start a retry after its window.
         let start_deadline = attempt.start_deadline.map(|by| (self.clock, by));
         AttemptOptions {
--- a/crates/coordinator/src/directory.rs
+++ b/crates/coordinator/src/directory.rs
@@ -1,6 +1,6 @@
 //! The directory: the configuration in force, and address resolution by it.
 
-use ironmast_endpoints::Gate;
+use ironmast_endpoints::GateView;
 use ironmast_schema::configuration::Configuration;
 use ironmast_schema::control::ControlState;
 use ironmast_schema::settings::TimingBounds;
@@ -55,7 +55,7 @@
     pub(crate) fn resolve(
         &self,
         policy: RequestPolicy,
-        gates: &[Gate<'_>],
+        gates: &[GateView<'_>],
         query: &Query,
     ) -> ResolveOutcome {
         let addresses = match policy {
--- a/crates/coordinator/src/published_endpoints.rs
+++ b/crates/coordinator/src/published_endpoints.rs
@@ -3,7 +3,7 @@
 //! A change that is not published would leave gates with an outdated endpoint list. The table is
 //! therefore private to this module, and every method that changes an entry publishes the result.
 
-use ironmast_endpoints::{EndpointTable, ExpiryTimeouts, Gate, MergeOutcome, Micros};
+use ironmast_endpoints::{EndpointTable, ExpiryTimeouts, GateView, MergeOutcome, Micros};
 use ironmast_schema::control::{ControlState, Entry, Key, Observation, Value};
 use ironmast_schema::registration::Heartbeat;
 use ironmast_schema::settings::Settings;
@@ -129,7 +129,7 @@
     }
 
     /// All gates.
-    pub(crate) fn gates(&self) -> Vec<Gate<'_>> {
+    pub(crate) fn gates(&self) -> Vec<GateView<'_>> {
         self.table.gates(self.now()).collect()
     }
 
--- a/crates/coordinator/src/resolve.rs
+++ b/crates/coordinator/src/resolve.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use ironmast_endpoints::Gate;
+use ironmast_endpoints::GateView;
 use ironmast_schema::configuration::Configuration;
 use ironmast_schema::control::GateStatus;
 use serde::Deserialize;
@@ -70,11 +70,12 @@
 
 /// The addresses for a client, selected from all gates.
 pub(crate) fn addresses(
-    gates: &[Gate<'_>],
+    gates: &[GateView<'_>],
     configuration: Option<&Configuration>,
     query: &Query,
 ) -> Vec<SocketAddr> {
-    let is_ready = |gate: &Gate<'_>| gate.is_reachable && gate.record.status() == GateStatus::Ready;
+    let is_ready =
+        |gate: &GateView<'_>| gate.is_reachable && gate.record.status() == GateStatus::Ready;
     let nearest = nearest(gates, query, is_ready);
     if !nearest.is_empty() {
         return nearest;
@@ -98,7 +99,7 @@
 /// host must leave that region: the region may be partitioned from the allowed ones, and another
 /// coordinator knows which gates are reachable.
 pub(crate) fn addresses_of_direct_gates(
-    gates: &[Gate<'_>],
+    gates: &[GateView<'_>],
     configuration: Option<&Configuration>,
     query: &Query,
 ) -> Vec<SocketAddr> {
@@ -114,9 +115,9 @@
 
 /// The usable gates of the client's zone; without any, those of its region.
 fn nearest(
-    gates: &[Gate<'_>],
+    gates: &[GateView<'_>],
     query: &Query,
-    is_usable: impl Fn(&Gate<'_>) -> bool,
+    is_usable: impl Fn(&GateView<'_>) -> bool,
 ) -> Vec<SocketAddr> {
     let in_zone = select(gates, |gate| {
         is_usable(gate) && gate.record.zone == query.zone
@@ -131,7 +132,7 @@
 }
 
 /// The lowest [`MAX_ADDRESSES`] addresses of the gates that match, in ascending order.
-fn select(gates: &[Gate<'_>], matches: impl Fn(&Gate<'_>) -> bool) -> Vec<SocketAddr> {
+fn select(gates: &[GateView<'_>], matches: impl Fn(&GateView<'_>) -> bool) -> Vec<SocketAddr> {
     let mut addresses: Vec<SocketAddr> = gates
         .iter()
         .filter(|gate| matches(gate))
@@ -143,7 +144,7 @@
 }
 
 /// Whether all gates of a region are down and the last one was lost, rather than shut down.
-fn is_region_lost(gates: &[Gate<'_>], region: &str) -> bool {
+fn is_region_lost(gates: &[GateView<'_>], region: &str) -> bool {
     let in_region = || gates.iter().filter(|gate| gate.record.region == region);
     let last = in_region().max_by_key(|gate| gate.last_heard);
     in_region().all(|gate| gate.record.down)
--- a/crates/coordinator/src/resolve/tests.rs
+++ b/crates/coordinator/src/resolve/tests.rs
@@ -59,9 +59,9 @@
 fn resolved_with(configuration: Option<&Configuration>, gates: &[GateRecord]) -> Vec<usize> {
     let address =
         |number: usize| SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 80));
-    let gates: Vec<Gate<'_>> = (0..)
+    let gates: Vec<GateView<'_>> = (0..)
         .zip(gates)
-        .map(|(number, record)| Gate {
+        .map(|(number, record)| GateView {
             frontend: address(number),
             record,
             last_heard: number as u64,
@@ -184,10 +184,10 @@
     ];
     let address = |number: usize| SocketAddr::from(([10, 0, 0, number as u8], 80));
     let resolved_by = |configuration: Option<Configuration>, direct: &[usize]| {
-        let gates: Vec<Gate<'_>> = records
+        let gates: Vec<GateView<'_>> = records
             .iter()
             .enumerate()
-            .map(|(number, record)| Gate {
+            .map(|(number, record)| GateView {
                 frontend: address(number),
                 record,
                 last_heard: 0,
@@ -237,7 +237,7 @@
 fn an_unreachable_gate_is_not_selected() {
     let record = ready("north-a");
     let frontend = SocketAddr::from(([10, 0, 0, 1], 80));
-    let gate = Gate {
+    let gate = GateView {
         frontend,
         record: &record,
         last_heard: 0,
@@ -252,7 +252,7 @@
     assert_eq!(addresses(&[gate], None, &query), []);
     assert_eq!(
         addresses(
-            &[Gate {
+            &[GateView {
                 is_reachable: true,
                 ..gate
             }],
--- a/crates/endpoints/src/gates.rs
+++ b/crates/endpoints/src/gates.rs
@@ -10,7 +10,7 @@
 
 /// A gate of the table, with its reachability.
 #[derive(Debug, Clone, Copy)]
-pub struct Gate<'a> {
+pub struct GateView<'a> {
     /// The frontend address, where clients connect.
     pub frontend: SocketAddr,
     /// The latest state of the gate.
@@ -46,7 +46,7 @@
     }
 
     /// The gates of the table, including those that are down.
-    pub fn gates(&self, now: Micros) -> impl Iterator<Item = Gate<'_>> {
+    pub fn gates(&self, now: Micros) -> impl Iterator<Item = GateView<'_>> {
         self.entries
             .iter()
             .filter_map(move |(key, entry)| match (key, &entry.value) {
@@ -63,9 +63,9 @@
         frontend: SocketAddr,
         record: &'a GateRecord,
         contact: Option<&Contact>,
-    ) -> Gate<'a> {
+    ) -> GateView<'a> {
         let is_recent = |at: Micros| now <= at + self.timeouts.gate;
-        Gate {
+        GateView {
             frontend,
             record,
             last_heard: contact.map_or(self.expiry_since, |contact| contact.last),
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -21,7 +21,7 @@
 
 pub use clock::Micros;
 pub use expiry::Removal;
-pub use gates::Gate;
+pub use gates::GateView;
 pub use table::{EndpointTable, ExpiryTimeouts, MergeOutcome};
 
 #[cfg(test)]
--- a/crates/endpoints/src/tests/support.rs
+++ b/crates/endpoints/src/tests/support.rs
@@ -5,7 +5,7 @@
 };
 use ironmast_schema::registration::{Heartbeat, InstanceState};
 
-use crate::{EndpointTable, ExpiryTimeouts, Gate, Micros};
+use crate::{EndpointTable, ExpiryTimeouts, GateView, Micros};
 
 pub(super) const SECOND: Micros = 1_000_000;
 
@@ -74,7 +74,7 @@
 pub(super) fn gates_accepting_clients(
     table: &EndpointTable,
     now: Micros,
-) -> impl Iterator<Item = Gate<'_>> {
+) -> impl Iterator<Item = GateView<'_>> {
     table
         .gates(now)
         .filter(|gate| gate.record.status() == GateStatus::Ready)
--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -10,7 +10,7 @@
 use awc::error::SendRequestError;
 use ironmast_routing::{Dispatch, Outcome};
 use ironmast_transport::attempt::{
-    Admission, AttemptOptions, AttemptState, Delivery, ExpectedHeader,
+    AdmissionCheck, AttemptOptions, AttemptState, Delivery, ExpectedHeader,
 };
 
 use crate::headers;
@@ -30,7 +30,7 @@
     forwarded: &ForwardedRequest,
     dispatch: &Dispatch,
     deadline_ms: u64,
-    admission: Admission,
+    admission: AdmissionCheck,
 ) -> Result<UpstreamResponse, Outcome> {
     let state = AttemptState::new(options(forwarded, admission));
     let request = build_request(clients, forwarded, dispatch, deadline_ms);
@@ -48,7 +48,7 @@
     }
 }
 
-fn options(forwarded: &ForwardedRequest, admission: Admission) -> AttemptOptions {
+fn options(forwarded: &ForwardedRequest, admission: AdmissionCheck) -> AttemptOptions {
     let expected = ExpectedHeader {
         name: headers::REQUEST_ID,
         value: forwarded.id.clone(),
--- a/crates/gate/src/entry_store.rs
+++ b/crates/gate/src/entry_store.rs
@@ -8,7 +8,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
-use ironmast_limits::{Gate, GateId, GateSet};
+use ironmast_limits::{GateId, GateMember, GateSet};
 use ironmast_routing::{Micros, ServerSpec, Table, TableError, TableSpec};
 use ironmast_schema::configuration::{ClientLimits, Configuration};
 use ironmast_schema::control::{
@@ -168,7 +168,7 @@
             .map(|(frontend, record)| (frontend, record.region.as_str()))
             .collect();
         gates.insert(own_frontend, &settings.region);
-        let gates = gates.into_iter().map(|(frontend, region)| Gate {
+        let gates = gates.into_iter().map(|(frontend, region)| GateMember {
             region: region.into(),
             id: gate_id(frontend),
         });
--- a/crates/gate/src/gate.rs
+++ b/crates/gate/src/gate.rs
@@ -9,7 +9,7 @@
 use ironmast_limits::GateSet;
 use ironmast_routing::{Decider, Dispatch, Micros, ServerSpec, ServerState, Table};
 use ironmast_schema::settings::Settings;
-use ironmast_transport::attempt::Admission;
+use ironmast_transport::attempt::AdmissionCheck;
 use ironmast_transport::clock::Clock;
 use rustc_hash::{FxHashMap, FxHashSet};
 use slog::Logger;
@@ -142,7 +142,11 @@
 
     /// The check that is made right before the first byte of an attempt is written, where the
     /// attempt was decided on at `decided_at`.
-    pub(crate) fn admission(self: &Rc<Self>, dispatch: &Dispatch, decided_at: Micros) -> Admission {
+    pub(crate) fn admission(
+        self: &Rc<Self>,
+        dispatch: &Dispatch,
+        decided_at: Micros,
+    ) -> AdmissionCheck {
         let (gate, instance) = (Rc::clone(self), dispatch.expect_instance.clone());
         Box::new(move || gate.may_write(&instance, decided_at))
     }
--- a/crates/gate/src/limits/tests.rs
+++ b/crates/gate/src/limits/tests.rs
@@ -1,4 +1,4 @@
-use ironmast_limits::{Gate, GateId};
+use ironmast_limits::{GateId, GateMember};
 use ironmast_routing::{Permits as _, RetryBudget as _};
 
 use super::*;
@@ -39,7 +39,7 @@
     GateSet::new(
         GateId(0),
         (0..count)
-            .map(|gate| Gate {
+            .map(|gate| GateMember {
                 region: if gate == 0 { "elsewhere" } else { "r" }.into(),
                 id: GateId(gate),
             })
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -32,7 +32,7 @@
 pub mod warmup;
 
 pub use error::LimitExceeded;
-pub use quota::{Gate, GateId, GateSet};
+pub use quota::{GateId, GateMember, GateSet};
 pub use retry_budget::{RetryBudget, RetryBudgetSettings};
 pub use slow_start::{SlowStartLimiter, slow_start_bound};
 pub use warmup::{WarmupReport, WarmupTracker};
--- a/crates/limits/src/quota.rs
+++ b/crates/limits/src/quota.rs
@@ -25,7 +25,7 @@
 
 /// A gate that may send requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Gate {
+pub struct GateMember {
     /// The region that it runs in.
     pub region: Box<str>,
     /// Its identity.
@@ -36,13 +36,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GateSet {
     own: GateId,
-    gates: Vec<Gate>,
+    gates: Vec<GateMember>,
 }
 
 impl GateSet {
     /// The gates as gate `own` knows them, itself included, in any order.
     #[must_use]
-    pub fn new(own: GateId, gates: Vec<Gate>) -> Self {
+    pub fn new(own: GateId, gates: Vec<GateMember>) -> Self {
         Self { own, gates }
     }
 
--- a/crates/limits/src/quota/tests.rs
+++ b/crates/limits/src/quota/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-fn gate(region: &str, id: u64) -> Gate {
-    Gate {
+fn gate(region: &str, id: u64) -> GateMember {
+    GateMember {
         region: region.into(),
         id: GateId(id),
     }
 }
 
 /// Gates of three regions, numbered from 0.
-fn gates(sizes: [u64; 3]) -> Vec<Gate> {
+fn gates(sizes: [u64; 3]) -> Vec<GateMember> {
     let regions = ["north", "south", "west"].into_iter().zip(sizes);
     let names = regions.flat_map(|(region, size)| std::iter::repeat_n(region, size as usize));
     names
@@ -17,7 +17,7 @@
         .collect()
 }
 
-fn all_quotas(gates: &[Gate], bound: u32, region: &str, instance: &str) -> Vec<u32> {
+fn all_quotas(gates: &[GateMember], bound: u32, region: &str, instance: &str) -> Vec<u32> {
     let quotas = |own| GateSet::new(own, gates.to_vec()).quota(bound, region, instance);
     gates.iter().map(|gate| quotas(gate.id)).collect()
 }
--- a/crates/transport/src/attempt.rs
+++ b/crates/transport/src/attempt.rs
@@ -46,7 +46,7 @@
 }
 
 /// Returns whether the server still accepts new requests.
-pub type Admission = Box<dyn Fn() -> bool>;
+pub type AdmissionCheck = Box<dyn Fn() -> bool>;
 
 /// What is decided before an attempt starts.
 #[derive(Default)]
@@ -54,7 +54,7 @@
     /// How its response is delivered.
     pub delivery: Delivery,
     /// Called right before the first byte is written; false fails the attempt.
-    pub admission: Option<Admission>,
+    pub admission: Option<AdmissionCheck>,
     /// The clock reading from which on its first byte is not written any more.
     pub start_deadline: Option<(Clock, Micros)>,
     /// With [`Delivery::PassThrough`]: responses that do not repeat this header belong to other
--- a/crates/transport/src/attempt/tests.rs
+++ b/crates/transport/src/attempt/tests.rs
@@ -36,7 +36,7 @@
 fn an_attempt_at_a_draining_server_does_not_start_but_a_started_one_goes_on() {
     let admits = Rc::new(Cell::new(true));
     let asked = Rc::clone(&admits);
-    let admission: Admission = Box::new(move || asked.get());
+    let admission: AdmissionCheck = Box::new(move || asked.get());
     let attempt = AttemptState::new(AttemptOptions {
         admission: Some(admission),
         ..AttemptOptions::default()
