--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -2,6 +2,18 @@
 //!
 //! The connection's stream reports its reads and writes, the listener its requests. From both follow
 //! the deadlines of [`ClientLimits`] and the order in which idle connections are closed.
+//!
+//! Two flags make four states of a connection, `request_started` (bytes have arrived since the last
+//! response) and `request_pending` (a handler works on a request):
+//!
+//! | state | started | pending | deadline | closed for another connection |
+//! | --- | --- | --- | --- | --- |
+//! | idle | no | no | `idle_timeout` after it was accepted, written to, or its request ended | never answered: first; answered: second; just accepted: third |
+//! | receiving a request | yes | no | `header_timeout` after the request's first byte | last; once stalled, as an idle one |
+//! | waiting for the response, or the next request arrives already | yes | yes | none | never |
+//! | response being written | no | yes | none | never |
+//!
+//! While a request's body is received, its [`MinRateTimer`] decides on the deadline in any state.
 
 use std::cell::Cell;
 use std::rc::Rc;
