--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -29,8 +29,8 @@
     pub request: u64,
     /// The number of the attempt.
     pub attempt: u8,
-    /// Where the caller stores the operation.
-    pub op: DefaultKey,
+    /// The key of its operation, which the caller stores.
+    pub operation: DefaultKey,
     /// Its class.
     pub class: u8,
     /// Its work, in core-microseconds.
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -1,8 +1,10 @@
-//! The run itself: one queue of events over servers, network, discovery, clients and proxies.
+//! A run of a scenario: one queue of events over servers, network, discovery, clients and proxies.
 //!
-//! A proxy hosts one policy, fed as the real driver feeds the module: events in, actions out.
-//! Everything that a policy may be wrong about is kept here, and told to the judge as it truly
-//! happens.
+//! Clients begin operations and send a request to a proxy for each, and more when they retry. A
+//! proxy hosts a policy, fed as the real driver feeds the decision module: events in, actions out.
+//! The policy's attempts travel to machines, which run servers, and their outcomes back. What
+//! happened is reported to the judge from here, where everything is known that a policy may be
+//! wrong about.
 
 mod arrivals;
 mod attempts;
@@ -10,7 +12,9 @@
 mod event;
 mod faults;
 mod health_checks;
+mod ids;
 mod list_updates;
+mod operation;
 mod proxies;
 mod request;
 mod rule_checks;
@@ -21,46 +25,71 @@
 
 use std::collections::VecDeque;
 
-use ironmast_balancer::{Action, Event, Micros, Outcome, Scope, Settings};
-use slotmap::{DefaultKey, SlotMap};
+use ironmast_balancer::{Action, Event, Micros, Settings};
+use slotmap::SlotMap;
 
 use crate::discovery::Discovery;
 use crate::event_queue::EventQueue;
 use crate::fault_schedule::Step;
 use crate::judge::Judge;
-use crate::network::{IdleCheck, Network};
+use crate::network::Network;
 use crate::policy::{Policy, PolicyName};
 use crate::random::{Purpose, Stream};
-use crate::report::Report;
+use crate::report::{Report, Traffic};
 use crate::scenario::{Scenario, millis, seconds};
 use crate::server::{JobEvent, OccupancyDistribution, Server, ServerStatistics};
+use arrivals::{ClassMix, RateCurve};
 use event::SimulationEvent;
+use operation::{Operation, OperationKey};
 use proxies::Proxy;
-use request::{Operation, PendingRequest};
-use servers::{Machine, Position};
+use request::RequestTable;
+use rule_checks::RuleLimits;
+use servers::{CoreTime, Machine, Position};
 
 /// The clock's reading at the start of a run.
 pub const ORIGIN: Micros = 1_000_000_000;
 
+/// The time after the last deadline at which a run stops, whatever is still open.
+const STOP_DELAY: Micros = 1_000_000;
+
 /// Builds a policy from settings and a seed.
 pub type PolicyBuilder<'a> = Box<dyn Fn(Settings, u64) -> Box<dyn Policy> + 'a>;
 
+/// The facts of a run that enter its digest from here. The judge adds the ends of operations (1).
+#[derive(Clone, Copy)]
+enum Fact {
+    /// Operation, time, server.
+    AttemptSent = 2,
+    /// Operation, time, server.
+    Executed = 3,
+    /// Operation, time, server.
+    DuplicateDropped = 4,
+    /// Events, events scheduled, attempts.
+    Totals = 9,
+}
+
 /// One run of a scenario.
 pub struct Simulation<'a> {
     scenario: &'a Scenario,
+    /// The policy's name.
     policy: String,
     seed: u64,
     build_policy: PolicyBuilder<'a>,
+    /// Whether policies are given the work of each request.
     gives_work_hints: bool,
     now: Micros,
+    /// When clients begin no more operations.
     end: Micros,
+    /// When the run stops, whatever is still open.
     hard_stop: Micros,
     queue: EventQueue<SimulationEvent>,
+    /// The steps of faults, by index.
     steps: Vec<Step>,
-    operations: SlotMap<DefaultKey, Operation>,
-    requests: SlotMap<DefaultKey, PendingRequest>,
+    operations: SlotMap<OperationKey, Operation>,
+    requests: RequestTable,
     started_operations: u64,
     open_operations: u64,
+    /// By the server's number.
     machines: Vec<Machine>,
     positions: Vec<Position>,
     proxies: Vec<Proxy>,
@@ -69,30 +98,20 @@
     datagram_draws: Stream,
     speed_draws: Stream,
     judge: Judge,
+    /// How often clients retry at once during a retry storm.
     retry_storm: Option<u32>,
-    cumulative_class_shares: Vec<f64>,
-    max_rate_factor: f64,
+    class_mix: ClassMix,
+    rate_curve: RateCurve<'a>,
     rule_limits: RuleLimits,
     events: u64,
-    attempts: u64,
-    probes: u64,
-    peer_bytes: u64,
-    cross_zone: u64,
-    late_repeats: u64,
+    traffic: Traffic,
     occupancy_distribution: OccupancyDistribution,
+    /// Buffers that are reused.
     actions: Vec<Action>,
     pending: VecDeque<Event>,
     job_events: Vec<JobEvent>,
 }
 
-/// Figures of the rules, in microseconds.
-struct RuleLimits {
-    answer_slack: Micros,
-    discovery_interval: Micros,
-    max_attempts: usize,
-    allow_hedging: bool,
-}
-
 impl<'a> Simulation<'a> {
     /// A run of a checked scenario under one of the named policies.
     #[must_use]
@@ -111,16 +130,10 @@
         seed: u64,
         build_policy: PolicyBuilder<'a>,
     ) -> Self {
-        let zones = scenario.zones.len();
         let end = ORIGIN + seconds(scenario.length_s);
-        let longest = scenario
-            .classes
-            .iter()
-            .map(|c| millis(c.deadline_ms))
-            .max()
-            .unwrap_or(0);
-        let shares: f64 = scenario.classes.iter().map(|c| c.share).sum();
-        let mut sum = 0.0;
+        let deadlines = scenario.classes.iter().map(|class| class.deadline_ms);
+        let last_deadline = end + deadlines.map(millis).max().unwrap_or(0);
+        let rule_limits = RuleLimits::new(scenario);
         let mut simulation = Simulation {
             scenario,
             policy: name.to_string(),
@@ -129,93 +142,73 @@
             gives_work_hints: false,
             now: ORIGIN,
             end,
-            hard_stop: end + longest + millis(scenario.rules.answer_slack_ms) + 1_000_000,
+            hard_stop: last_deadline + rule_limits.answer_slack + STOP_DELAY,
             queue: EventQueue::default(),
             steps: Vec::new(),
             operations: SlotMap::new(),
-            requests: SlotMap::new(),
+            requests: RequestTable::default(),
             started_operations: 0,
             open_operations: 0,
             machines: Vec::new(),
             positions: Vec::new(),
             proxies: Vec::new(),
-            network: Network::new(&scenario.network, zones, seed),
+            network: Network::new(&scenario.network, scenario.zones.len(), seed),
             discovery: Discovery::new(&scenario.discovery),
             datagram_draws: Stream::new(seed, Purpose::Datagrams, 0),
             speed_draws: Stream::new(seed, Purpose::Servers, 0),
             judge: Judge::new(scenario, ORIGIN),
             retry_storm: None,
-            cumulative_class_shares: scenario
-                .classes
-                .iter()
-                .map(|c| {
-                    sum += c.share / shares;
-                    sum
-                })
-                .collect(),
-            max_rate_factor: 0.0,
-            rule_limits: RuleLimits {
-                answer_slack: millis(scenario.rules.answer_slack_ms),
-                discovery_interval: seconds(scenario.rules.max_query_interval_s),
-                max_attempts: scenario.proxies.max_attempts as usize,
-                allow_hedging: scenario.proxies.allow_hedging,
-            },
+            class_mix: ClassMix::new(&scenario.classes),
+            rate_curve: RateCurve::new(scenario),
+            rule_limits,
             events: 0,
-            attempts: 0,
-            probes: 0,
-            peer_bytes: 0,
-            cross_zone: 0,
-            late_repeats: 0,
+            traffic: Traffic::default(),
             occupancy_distribution: OccupancyDistribution::Skip,
             actions: Vec::new(),
             pending: VecDeque::new(),
             job_events: Vec::new(),
         };
-        simulation.max_rate_factor = simulation.max_rate_factor_of_scenario();
         simulation.set_up();
         simulation
     }
 
-    /// Keeps, of each server, for how long so many requests were held.
+    /// Records for how long at least 1, 2, ... requests were at each server. Must be called before
+    /// the run: it resets the servers.
     pub fn record_occupancy(&mut self) {
         self.occupancy_distribution = OccupancyDistribution::Record;
-        for position in 0..self.positions.len() {
-            let machine = &mut self.machines[self.positions[position].machine as usize];
+        for position in &self.positions {
+            let machine = &mut self.machines[position.machine as usize];
             let pool = &self.scenario.pools[machine.pool];
-            machine.server = Server::new(
-                pool,
-                machine.server.full_capacity() / f64::from(pool.cores),
-                ORIGIN,
-                OccupancyDistribution::Record,
-            );
+            let speed = machine.server.full_capacity() / f64::from(pool.cores);
+            machine.server = Server::new(pool, speed, ORIGIN, self.occupancy_distribution);
         }
     }
 
-    /// Forgets what servers have counted so far: for figures without the first stretch.
+    /// Resets the statistics of the servers, for figures without the beginning of the run.
     pub fn reset_statistics(&mut self) {
         for machine in &mut self.machines {
             machine.server.statistics = ServerStatistics::default();
-            machine.last_sample = (0.0, 0.0);
+            machine.last_sample = CoreTime::default();
         }
     }
 
-    /// Events played so far.
+    /// The number of events processed so far.
     #[must_use]
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Runs up to a second of the scenario; true once everything has ended.
+    /// Runs up to a second of the scenario. Returns true once everything has ended.
     pub fn run_to(&mut self, second: f64) -> bool {
         let until = ORIGIN + seconds(second);
-        while let Some((at, what)) = self.queue.pop() {
+        while let Some((at, event)) = self.queue.pop() {
             if at >= self.hard_stop || self.open_operations == 0 && at > self.end {
                 self.now = self.now.max(at.min(self.hard_stop));
                 return true;
             }
             self.now = at;
             self.events += 1;
-            self.process(what);
+            self.process(event);
             if at >= until {
                 return false;
             }
@@ -230,125 +223,46 @@
         self.report()
     }
 
-    #[expect(clippy::too_many_lines, reason = "not split yet")]
-    fn process(&mut self, what: SimulationEvent) {
-        match what {
-            SimulationEvent::ClientArrival(proxy) => self.client_arrives(proxy),
-            SimulationEvent::ClientRetry(op) => {
-                self.release(op);
-                if !self.operations[op].ended {
-                    self.send_request(op);
-                }
+    fn process(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::ClientArrival { proxy } => self.client_arrives(proxy),
+            SimulationEvent::ClientRetry(operation) => self.client_retries(operation),
+            SimulationEvent::RequestDeadline(id) => self.request_deadline(id),
+            SimulationEvent::ClientDisconnect(id) => self.disconnect_client(id),
+            SimulationEvent::PolicyTimer { proxy, token } => self.policy_timer(proxy, token),
+            SimulationEvent::RequestAtServer(attempt) => self.request_at_server(attempt),
+            SimulationEvent::ResponseAtProxy { attempt, outcome } => {
+                self.response_at_proxy(attempt, outcome);
             }
-            SimulationEvent::RequestDeadline(request) => self.request_deadline(request),
-            SimulationEvent::ClientDisconnect(request) => self.disconnect_client(request),
-            SimulationEvent::PolicyTimer {
-                proxy,
-                incarnation,
-                token,
-            } => {
-                if self.is_current(proxy, incarnation) {
-                    self.deliver(proxy, Event::Timer { token });
-                }
+            SimulationEvent::AttemptTimeout(attempt) => self.attempt_timeout(attempt),
+            SimulationEvent::CancellationAtServer { server, job } => {
+                self.cancellation_at_server(server, job);
             }
-            SimulationEvent::RequestAtServer { request, n } => self.request_at_server(request, n),
-            SimulationEvent::ResponseAtProxy {
-                request,
-                n,
-                outcome,
-            } => self.response_at_proxy(request, n, outcome),
-            SimulationEvent::AttemptTimeout { request, n } => {
-                if self.attempt(request, n).is_some_and(|a| a.open) {
-                    self.abandon_attempt(request, n);
-                    self.finish_attempt(request, n, Outcome::Timeout);
-                }
+            SimulationEvent::ServerDeadline { server, at } => self.server_deadline(server, at),
+            SimulationEvent::ListUpdate { server } => self.update_list(server),
+            SimulationEvent::WatchNotification(proxy) => self.watch_notification(proxy),
+            SimulationEvent::DiscoveryResponse { proxy, answered } => {
+                self.discovery_response(proxy, answered);
             }
-            SimulationEvent::CancellationAtServer {
-                server,
-                incarnation,
-                job,
-            } => {
-                if self.machines[server as usize].incarnation == incarnation {
-                    self.advance(server);
-                    let mut job_events = std::mem::take(&mut self.job_events);
-                    let job = self.machines[server as usize]
-                        .server
-                        .cancel(job, &mut job_events);
-                    self.job_events = job_events;
-                    if let Some(job) = job {
-                        self.release(job.op);
-                    }
-                    self.handle_job_events(server);
-                }
+            SimulationEvent::HealthCheckAtServer(check) => self.health_check_at_server(check),
+            SimulationEvent::HealthCheckResult { check, in_system } => {
+                self.health_check_result(check, in_system);
             }
-            SimulationEvent::ServerDeadline { server, at } => {
-                if self.machines[server as usize].next_wakeup == at {
-                    self.machines[server as usize].next_wakeup = Micros::MAX;
-                    self.advance(server);
-                    self.handle_job_events(server);
-                }
-            }
-            SimulationEvent::ListUpdate(server) => self.update_list(server),
-            SimulationEvent::WatchNotification { proxy, incarnation } => {
-                let p = &mut self.proxies[proxy as usize];
-                p.notification_pending = false;
-                if p.subscribed && p.policy.is_some() && p.incarnation == incarnation {
-                    self.send_listing(proxy, Scope::Changes);
-                }
-            }
-            SimulationEvent::DiscoveryResponse {
-                proxy,
-                incarnation,
-                ok,
-            } => self.discovery_response(proxy, incarnation, ok),
-            SimulationEvent::HealthCheckAtServer {
-                proxy,
-                incarnation,
-                server,
-                sent,
-            } => self.health_check_at_server(proxy, incarnation, server, sent),
-            SimulationEvent::HealthCheckResult {
-                proxy,
-                incarnation,
-                server,
-                sent,
-                held,
-            } => self.health_check_result(proxy, incarnation, server, sent, held),
             SimulationEvent::PeerDatagram { from, to, data } => {
-                if self.proxies[to as usize].policy.is_some() {
-                    self.peer_bytes += data.len() as u64;
-                    self.deliver(
-                        to,
-                        Event::PeerMessage {
-                            from,
-                            data: data.into_vec(),
-                        },
-                    );
-                }
+                self.datagram_at_proxy(from, to, data);
             }
             SimulationEvent::IdleConnections { proxy, server } => {
-                let machine = &mut self.machines[server as usize];
-                let idle = &mut self.proxies[proxy as usize].connection_pool;
-                match idle.check_idle(
-                    server,
-                    machine.incarnation,
-                    self.now,
-                    self.network.idle_timeout,
-                ) {
-                    IdleCheck::Closed(closed) => {
-                        machine.connections = machine.connections.saturating_sub(closed);
-                    }
-                    IdleCheck::CheckAgainAt(at) => {
-                        self.queue
-                            .push(at, SimulationEvent::IdleConnections { proxy, server });
-                    }
-                }
+                self.check_idle_connections(proxy, server);
             }
-            SimulationEvent::FaultStep(number) => {
-                let step = self.steps[number as usize].clone();
+            SimulationEvent::FaultStep(index) => {
+                let step = self.steps[index as usize].clone();
                 self.apply_step(step);
             }
             SimulationEvent::Sample => self.sample_servers(),
         }
     }
+
+    fn record_fact(&mut self, fact: Fact, parts: [u64; 3]) {
+        self.judge.record_fact(fact as u8, parts);
+    }
 }
--- a/crates/emulator/src/simulation/arrivals.rs
+++ b/crates/emulator/src/simulation/arrivals.rs
@@ -1,98 +1,155 @@
-//! When clients ask, and for what.
+//! When clients begin operations, and of which class.
 
-use smallvec::SmallVec;
-
-use super::event::SimulationEvent;
-use super::request::Operation;
-use super::{ORIGIN, Simulation};
 use crate::fault_schedule::{max_surge_factor, surge_factor};
-use crate::scenario::{Arrivals, seconds};
+use crate::random::{Purpose, Stream};
+use crate::scenario::{Arrivals, Class, Clients, Scenario};
+
+/// The lowest rates, per second, that intervals are computed from.
+const MIN_EVEN_RATE: f64 = 1e-9;
+const MIN_CANDIDATE_RATE: f64 = 1e-12;
 
-impl Simulation<'_> {
-    /// The highest rate at which one proxy of weight 1 is ever asked, over the mean.
-    pub(super) fn max_rate_factor_of_scenario(&self) -> f64 {
-        let c = &self.scenario.clients;
-        let burst = if c.arrivals == Arrivals::Bursty {
-            c.burst_factor
+/// The rate of all arrivals over time, as a factor of its mean.
+pub(super) struct RateCurve<'a> {
+    scenario: &'a Scenario,
+    /// An upper bound of the factor, bursts included.
+    max_factor: f64,
+}
+
+impl<'a> RateCurve<'a> {
+    /// The curve of a scenario, with its surges.
+    pub(super) fn new(scenario: &'a Scenario) -> Self {
+        let clients = &scenario.clients;
+        let burst_factor = if clients.arrivals == Arrivals::Bursty {
+            clients.burst_factor
         } else {
             1.0
         };
-        self.scenario.max_rate_factor() * max_surge_factor(self.scenario) * burst
+        let max_factor = scenario.max_rate_factor() * max_surge_factor(scenario) * burst_factor;
+        RateCurve {
+            scenario,
+            max_factor,
+        }
+    }
+
+    /// The factor at a second, without bursts.
+    fn factor(&self, at_s: f64) -> f64 {
+        self.scenario.rate_factor(at_s) * surge_factor(self.scenario, at_s)
+    }
+}
+
+/// A source that is in turn in a burst and at rest.
+#[derive(Default)]
+struct BurstState {
+    in_burst: bool,
+    until_s: f64,
+}
+
+/// The arrivals at one proxy.
+///
+/// Candidates come at the highest rate and are accepted in proportion to the rate at their time
+/// (thinning), so that the draws of one proxy never depend on what else happens.
+pub(super) struct ArrivalProcess {
+    /// The mean rate, per second.
+    rate: f64,
+    draws: Stream,
+    burst: BurstState,
+    /// The second of the last arrival, exactly: whole microseconds would add up at high rates.
+    last_s: f64,
+}
+
+impl ArrivalProcess {
+    /// The process of a proxy at this mean rate.
+    pub(super) fn new(seed: u64, proxy: u32, rate: f64) -> Self {
+        ArrivalProcess {
+            rate,
+            draws: Stream::new(seed, Purpose::Arrivals, u64::from(proxy)),
+            burst: BurstState::default(),
+            last_s: 0.0,
+        }
+    }
+
+    /// The second of the next arrival; `None` once the run is over.
+    pub(super) fn next_arrival_s(&mut self, curve: &RateCurve) -> Option<f64> {
+        let at_s = match curve.scenario.clients.arrivals {
+            Arrivals::Even => {
+                let rate = self.rate * curve.factor(self.last_s);
+                self.last_s + 1.0 / rate.max(MIN_EVEN_RATE)
+            }
+            _ => self.next_accepted_s(curve)?,
+        };
+        self.last_s = at_s;
+        (at_s < curve.scenario.length_s).then_some(at_s)
     }
 
-    /// Draws when a proxy is asked next. Candidates come at the highest rate and are kept in
-    /// proportion to the rate at their time, so that the draws of one proxy never depend on what
-    /// else happens.
-    pub(super) fn schedule_arrival(&mut self, proxy: u32) {
-        let (scenario, c) = (self.scenario, &self.scenario.clients);
-        let p = &mut self.proxies[proxy as usize];
-        let base = c.rate * p.weight;
-        let mut at = p.last_arrival_s;
-        let bursty = c.arrivals == Arrivals::Bursty;
-        let mean = (c.burst_s * c.burst_factor + c.rest_s) / (c.burst_s + c.rest_s);
+    fn next_accepted_s(&mut self, curve: &RateCurve) -> Option<f64> {
+        let candidate_rate = self.candidate_rate(curve);
+        let mut at_s = self.last_s;
         loop {
-            let factor = |at: f64| scenario.rate_factor(at) * surge_factor(scenario, at);
-            if c.arrivals == Arrivals::Even {
-                at += 1.0 / (base * factor(at)).max(1e-9);
-            } else {
-                let most = base * self.max_rate_factor / if bursty { mean } else { 1.0 };
-                at += p.arrivals.exponential(1.0 / most.max(1e-12));
-                while bursty && p.burst.1 <= at {
-                    p.burst.0 = !p.burst.0;
-                    p.burst.1 +=
-                        p.arrivals
-                            .exponential(if p.burst.0 { c.burst_s } else { c.rest_s });
-                }
-                let burst = if bursty && p.burst.0 {
-                    c.burst_factor
-                } else {
-                    1.0
-                };
-                if p.arrivals.unit() * self.max_rate_factor > factor(at) * burst {
-                    if at > scenario.length_s {
-                        return;
-                    }
-                    continue;
-                }
+            at_s += self
+                .draws
+                .exponential(1.0 / candidate_rate.max(MIN_CANDIDATE_RATE));
+            let factor = curve.factor(at_s) * self.burst_factor(&curve.scenario.clients, at_s);
+            if self.draws.unit() * curve.max_factor <= factor {
+                return Some(at_s);
+            }
+            if at_s > curve.scenario.length_s {
+                return None;
             }
-            break;
         }
-        p.last_arrival_s = at;
-        if at < scenario.length_s {
-            self.queue
-                .push(ORIGIN + seconds(at), SimulationEvent::ClientArrival(proxy));
+    }
+
+    fn candidate_rate(&self, curve: &RateCurve) -> f64 {
+        let clients = &curve.scenario.clients;
+        let cycle_s = clients.burst_s + clients.rest_s;
+        let mean_burst_factor = if clients.arrivals == Arrivals::Bursty {
+            (clients.burst_s * clients.burst_factor + clients.rest_s) / cycle_s
+        } else {
+            1.0
+        };
+        self.rate * curve.max_factor / mean_burst_factor
+    }
+
+    /// Advances the bursts to a second and returns the factor there.
+    fn burst_factor(&mut self, clients: &Clients, at_s: f64) -> f64 {
+        if clients.arrivals != Arrivals::Bursty {
+            return 1.0;
+        }
+        while self.burst.until_s <= at_s {
+            self.burst.in_burst = !self.burst.in_burst;
+            let mean_s = if self.burst.in_burst {
+                clients.burst_s
+            } else {
+                clients.rest_s
+            };
+            self.burst.until_s += self.draws.exponential(mean_s);
+        }
+        if self.burst.in_burst {
+            clients.burst_factor
+        } else {
+            1.0
         }
     }
+}
 
-    pub(super) fn client_arrives(&mut self, proxy: u32) {
-        let p = &mut self.proxies[proxy as usize];
-        // Drawn whether or not anybody is there: troubles leave the other draws as they are.
-        let x = p.work.unit();
-        let class = self
-            .cumulative_class_shares
+/// The shares of the classes among all operations, summed up to each class.
+pub(super) struct ClassMix(Vec<f64>);
+
+impl ClassMix {
+    /// The mix of these classes.
+    pub(super) fn new(classes: &[Class]) -> Self {
+        let total: f64 = classes.iter().map(|class| class.share).sum();
+        let cumulative = classes.iter().scan(0.0, |sum, class| {
+            *sum += class.share / total;
+            Some(*sum)
+        });
+        ClassMix(cumulative.collect())
+    }
+
+    /// The class of a draw from [0, 1).
+    pub(super) fn class_at(&self, draw: f64) -> usize {
+        self.0
             .iter()
-            .position(|s| x < *s)
-            .unwrap_or(self.cumulative_class_shares.len() - 1);
-        let spec = &self.scenario.classes[class];
-        let work = p
-            .work
-            .sample(spec.distribution, spec.work_ms * 1e3, spec.cv);
-        if p.has_clients {
-            self.started_operations += 1;
-            self.open_operations += 1;
-            let op = self.operations.insert(Operation {
-                number: self.started_operations,
-                proxy,
-                class: class as u8,
-                work,
-                start: self.now,
-                request_count: 0,
-                ended: false,
-                references: 0,
-                executions: SmallVec::new(),
-            });
-            self.send_request(op);
-        }
-        self.schedule_arrival(proxy);
+            .position(|sum| draw < *sum)
+            .unwrap_or(self.0.len() - 1)
     }
 }
--- a/crates/emulator/src/simulation/attempts.rs
+++ b/crates/emulator/src/simulation/attempts.rs
@@ -2,353 +2,382 @@
 
 use std::collections::VecDeque;
 
-use ironmast_balancer::{AttemptEnded, Event, Micros, Outcome, Phase, ServerId};
+use ironmast_balancer::{AttemptEnded, Event, Micros, Outcome, Phase, RequestId, ServerId};
 
-use super::Simulation;
 use super::event::SimulationEvent;
-use super::request::{Attempt, RequestOutcome, request_key};
+use super::ids::{AttemptId, AttemptMessage, ServerIncarnation};
+use super::request::{Attempt, RequestOutcome};
 use super::servers::server_number;
+use super::{Fact, Simulation};
 use crate::judge::Rule;
-use crate::server::Job;
+use crate::server::{Job, JobKey};
 
-impl Simulation<'_> {
-    pub(super) fn attempt(&self, request: u64, n: u8) -> Option<&Attempt> {
-        self.requests
-            .get(request_key(request))
-            .and_then(|t| t.attempts.get(n as usize))
-    }
+/// An attempt whose request reached the zone of its server.
+struct ArrivingAttempt {
+    id: AttemptId,
+    /// The number of the proxy.
+    proxy: u32,
+    /// The number of the server.
+    server: u32,
+    /// The server's incarnation when the attempt was sent.
+    incarnation: u32,
+    new_connection: bool,
+    /// When a connection that is not confirmed times out.
+    connect_timeout_at: Micros,
+    /// The delay of what the server answers at once.
+    answer_delay: Micros,
+}
 
+/// Whether a server accepted the job of an attempt.
+enum Admission {
+    Accepted(JobKey),
+    Rejected,
+    /// The server was overloaded while it warmed up, and crashed.
+    Crashed,
+}
+
+impl Simulation<'_> {
+    /// A policy sends an attempt to a server.
     pub(super) fn send(
         &mut self,
         proxy: u32,
-        request: u64,
+        id: RequestId,
         server: ServerId,
         timeout: Option<Micros>,
         pending: &mut VecDeque<Event>,
     ) {
-        let (now, server) = (self.now, server_number(server));
-        let Some(held) = self.requests.get(request_key(request)) else {
-            let what = "sent a request that is over or unknown";
-            return self.judge.record_violation(
-                Rule::OneAnswer,
-                now,
-                proxy,
-                Some(server),
-                None,
-                what,
-            );
+        let server = server_number(server);
+        let Some(request) = self.requests.get(id) else {
+            let description = "sent a request that is over or unknown";
+            return self.record_violation(Rule::OneAnswer, proxy, Some(server), None, description);
         };
-        let number = self.operations[held.op].number;
-        let wrong = match () {
-            () if held.finished => Some((Rule::OneAnswer, "sent a request that has its answer")),
-            () if held.attempts.len() >= self.rule_limits.max_attempts => {
-                Some((Rule::NoEffectTwice, "more attempts than are allowed"))
-            }
-            () if held.has_open_attempt() && !self.rule_limits.allow_hedging => Some((
-                Rule::NoEffectTwice,
-                "two attempts of one request out together",
-            )),
-            () if server as usize >= self.machines.len() => {
-                Some((Rule::NoSendAfterDrain, "sent to an unknown server"))
-            }
-            () => None,
-        };
-        let moot = wrong.is_some() || held.expires <= now;
-        if let Some((rule, what)) = wrong {
-            self.judge
-                .record_violation(rule, now, proxy, Some(server), Some(number), what);
-        }
-        let n = held.attempts.len() as u8;
-        if moot {
-            let gone = Attempt {
-                server: 0,
-                incarnation: 0,
-                sent: now,
-                open: false,
-                new_connection: false,
-                connected: false,
-                job: None,
-                outcome: None,
-            };
-            self.requests[request_key(request)].attempts.push(gone);
-            return pending.push_back(Event::AttemptEnded(self.attempt_ended(
-                request,
-                n,
-                Outcome::NotSent,
-            )));
+        let (expires, index) = (request.expires, request.attempts.len() as u8);
+        let attempt = AttemptId { request: id, index };
+        if self.is_forbidden(proxy, server, id) || expires <= self.now {
+            let not_sent = Attempt::not_sent(self.now);
+            self.requests[id].attempts.push(not_sent);
+            let ended = self.end_attempt(attempt, Outcome::NotSent);
+            return pending.push_back(Event::AttemptEnded(ended));
         }
+        let number = self.operation_number(id);
         self.check_drain(proxy, server, number);
-        self.check_repeat(proxy, server, request, n);
-        let machine = &mut self.machines[server as usize];
-        let p = &mut self.proxies[proxy as usize];
-        let new_connection = !p.connection_pool.take(server, machine.incarnation);
-        let way = |what: u64| {
-            self.network
-                .delay(p.zone, machine.zone, [number, u64::from(n) << 8 | what])
+        self.check_repeat(proxy, server, attempt);
+        let arrives_at = self.open_attempt(proxy, server, attempt);
+        if let Some(timeout) = timeout {
+            let at = self.now + timeout;
+            self.queue
+                .push(at, SimulationEvent::AttemptTimeout(attempt));
+        }
+        self.queue
+            .push(arrives_at, SimulationEvent::RequestAtServer(attempt));
+        self.record_fact(Fact::AttemptSent, [number, self.now, u64::from(server)]);
+    }
+
+    /// Adds an attempt over an idle connection or a new one. Returns when it arrives.
+    fn open_attempt(&mut self, proxy: u32, server: u32, id: AttemptId) -> Micros {
+        let machine = &self.machines[server as usize];
+        let (from, to, incarnation) = (
+            self.proxies[proxy as usize].zone,
+            machine.zone,
+            machine.incarnation,
+        );
+        let pool = &mut self.proxies[proxy as usize].connection_pool;
+        let new_connection = !pool.take(server, incarnation);
+        let delay = |message| self.attempt_delay(from, to, id, message);
+        let connect = if new_connection {
+            delay(AttemptMessage::Connect) + delay(AttemptMessage::ConnectConfirmed)
+        } else {
+            0
         };
-        let at = now + way(0) + if new_connection { way(1) + way(2) } else { 0 };
-        self.cross_zone += u64::from(p.zone != machine.zone);
-        self.attempts += 1;
-        let held = &mut self.requests[request_key(request)];
-        let attempt = Attempt {
+        let arrives_at = self.now + delay(AttemptMessage::Request) + connect;
+        self.traffic.attempts += 1;
+        self.traffic.cross_zone += u64::from(from != to);
+        self.requests[id.request].attempts.push(Attempt {
             server,
-            incarnation: machine.incarnation,
-            sent: now,
+            incarnation,
+            sent: self.now,
             open: true,
             new_connection,
             connected: !new_connection,
             job: None,
             outcome: None,
-        };
-        held.attempts.push(attempt);
-        if let Some(timeout) = timeout {
-            self.queue.push(
-                now + timeout,
-                SimulationEvent::AttemptTimeout { request, n },
-            );
-        }
-        self.queue
-            .push(at, SimulationEvent::RequestAtServer { request, n });
-        self.judge.record_fact(2, [number, now, u64::from(server)]);
+        });
+        arrives_at
+    }
+
+    fn operation_number(&self, id: RequestId) -> u64 {
+        self.operations[self.requests[id].operation].number
     }
 
-    #[expect(clippy::too_many_lines, reason = "not split yet")]
-    pub(super) fn request_at_server(&mut self, request: u64, n: u8) {
-        let Some(held) = self.requests.get(request_key(request)) else {
+    /// The delay of a message of an attempt between two zones.
+    pub(super) fn attempt_delay(
+        &self,
+        from: usize,
+        to: usize,
+        id: AttemptId,
+        message: AttemptMessage,
+    ) -> Micros {
+        let number = self.operation_number(id.request);
+        let message = u64::from(id.index) << 8 | message as u64;
+        self.network.delay(from, to, [number, message])
+    }
+
+    /// The request of an attempt reaches its server, unless the proxy abandoned it.
+    pub(super) fn request_at_server(&mut self, id: AttemptId) {
+        let Some(arriving) = self.arriving_attempt(id) else {
             return;
         };
-        let (proxy, op_key, expires) = (held.proxy, held.op, held.expires);
-        let Some(attempt) = held.attempts.get(n as usize).filter(|a| a.open) else {
+        if !self.reach_process(&arriving) || !self.connect(&arriving) {
             return;
+        }
+        self.advance(arriving.server);
+        let outcome = match self.admit(&arriving) {
+            Admission::Accepted(job) => {
+                let operation = self.requests[id.request].operation;
+                self.operations[operation].references += 1;
+                self.requests[id].job = Some(job);
+                None
+            }
+            Admission::Rejected => Some(Outcome::Overloaded),
+            Admission::Crashed => Some(Outcome::Reset),
         };
-        let &Attempt {
-            server,
-            incarnation,
-            sent,
-            new_connection,
-            ..
-        } = attempt;
-        let zone = self.proxies[proxy as usize].zone;
-        let machine = &self.machines[server as usize];
-        let number = self.operations[op_key].number;
-        let way = self
-            .network
-            .delay(zone, machine.zone, [number, u64::from(n) << 8 | 3]);
-        let lost = sent + self.network.connect_timeout;
-        if let Some(until) = self.network.partition_end(zone, machine.zone, self.now) {
-            return if new_connection {
-                self.schedule_connect_failure(request, n, lost.max(self.now));
-            } else {
-                self.queue
-                    .push(until + way, SimulationEvent::RequestAtServer { request, n });
-            };
+        if let Some(outcome) = outcome {
+            self.schedule_response(id, outcome, self.now + arriving.answer_delay);
         }
-        if machine.unresponsive {
-            // Nothing ever comes; a connection that was open is reset when the machine is back.
-            return if new_connection {
-                self.schedule_connect_failure(request, n, lost.max(self.now));
-            };
+        self.handle_job_events(arriving.server);
+    }
+
+    fn arriving_attempt(&self, id: AttemptId) -> Option<ArrivingAttempt> {
+        let attempt = self.requests.open_attempt(id)?;
+        let proxy = self.requests[id.request].proxy;
+        let from = self.proxies[proxy as usize].zone;
+        let to = self.machines[attempt.server as usize].zone;
+        Some(ArrivingAttempt {
+            id,
+            proxy,
+            server: attempt.server,
+            incarnation: attempt.incarnation,
+            new_connection: attempt.new_connection,
+            connect_timeout_at: attempt.sent + self.network.connect_timeout,
+            answer_delay: self.attempt_delay(from, to, id, AttemptMessage::NotAccepted),
+        })
+    }
+
+    /// Whether an attempt reaches the process that it was sent to. If not, its outcome is
+    /// scheduled as far as there is any.
+    fn reach_process(&mut self, arriving: &ArrivingAttempt) -> bool {
+        let from = self.proxies[arriving.proxy as usize].zone;
+        let machine = &self.machines[arriving.server as usize];
+        let partition_end = self.network.partition_end(from, machine.zone, self.now);
+        let is_running = machine.server.up && machine.incarnation == arriving.incarnation;
+        if partition_end.is_none() && !machine.unresponsive && is_running {
+            return true;
         }
-        if !machine.server.up || machine.incarnation != incarnation {
-            return if new_connection {
-                self.schedule_connect_failure(request, n, self.now + way);
+        let is_silent = partition_end.is_some() || machine.unresponsive;
+        if arriving.new_connection {
+            let at = if is_silent {
+                arriving.connect_timeout_at.max(self.now)
             } else {
-                self.queue.push(
-                    self.now + way,
-                    SimulationEvent::ResponseAtProxy {
-                        request,
-                        n,
-                        outcome: Outcome::Reset,
-                    },
-                );
+                self.now + arriving.answer_delay
             };
+            self.schedule_response(arriving.id, Outcome::ConnectFailed, at);
+        } else if let Some(until) = partition_end {
+            let at = until + arriving.answer_delay;
+            self.queue
+                .push(at, SimulationEvent::RequestAtServer(arriving.id));
+        } else if !is_silent {
+            let at = self.now + arriving.answer_delay;
+            self.schedule_response(arriving.id, Outcome::Reset, at);
         }
-        let (pool, class) = (
-            &self.scenario.pools[machine.pool],
-            self.operations[op_key].class,
-        );
-        if new_connection {
-            if pool.connections > 0 && machine.connections >= pool.connections {
-                return self.schedule_connect_failure(request, n, self.now + way);
-            }
-            let machine = &mut self.machines[server as usize];
-            machine.connections += 1;
-            machine.server.add_overhead(pool.handshake_work_ms * 1e3);
-            self.requests[request_key(request)].attempts[n as usize].connected = true;
+        // An unresponsive machine resets its old connections only when it is back.
+        false
+    }
+
+    /// Opens the connection of an attempt that needs a new one. Returns false if the server has
+    /// too many.
+    fn connect(&mut self, arriving: &ArrivingAttempt) -> bool {
+        if !arriving.new_connection {
+            return true;
         }
-        self.advance(server);
-        let work = self.operations[op_key].work;
-        let machine = &self.machines[server as usize];
-        if machine.server.is_warming_up(self.now) {
-            // Cold is what the rule is about: what else goes wrong there nobody can know
-            // beforehand.
-            let capacity = machine.server.full_capacity() * machine.server.warmth(self.now);
-            let informed = self.proxies[proxy as usize].list_version >= machine.start_version;
-            if self
-                .judge
-                .work_reached_warming_server(self.now, server, proxy, work, capacity, informed)
-            {
-                self.machines[server as usize].crashed_by_overload = true;
-                self.stop_server(server, false);
-                return self.queue.push(
-                    self.now + way,
-                    SimulationEvent::ResponseAtProxy {
-                        request,
-                        n,
-                        outcome: Outcome::Reset,
-                    },
-                );
-            }
-        } else {
-            self.judge.warm_up_ended(server);
+        let machine = &mut self.machines[arriving.server as usize];
+        let pool = &self.scenario.pools[machine.pool];
+        if pool.connections > 0 && machine.connections >= pool.connections {
+            let at = self.now + arriving.answer_delay;
+            self.schedule_response(arriving.id, Outcome::ConnectFailed, at);
+            return false;
         }
-        let position = &self.positions[machine.position as usize];
-        let degradation: f64 = position
-            .degradations
-            .values()
-            .filter(|degradation| degradation.class == class && !degradation.unanswered)
-            .map(|degradation| degradation.factor)
-            .product();
+        machine.connections += 1;
+        machine.server.add_overhead(pool.handshake_work_ms * 1e3);
+        self.requests[arriving.id].connected = true;
+        true
+    }
+
+    /// The server, advanced to now, accepts the job of an attempt or not.
+    fn admit(&mut self, arriving: &ArrivingAttempt) -> Admission {
+        let request = &self.requests[arriving.id.request];
+        let operation = &self.operations[request.operation];
         let job = Job {
-            request,
-            attempt: n,
-            op: op_key,
-            class,
-            work: work * degradation,
-            expires,
+            request: arriving.id.request,
+            attempt: arriving.id.index,
+            operation: request.operation,
+            class: operation.class,
+            work: operation.work * self.degradation_factor(arriving.server, operation.class),
+            expires: request.expires,
             arrived: self.now,
             cancelled: false,
             started: false,
         };
-        let machine = &mut self.machines[server as usize];
-        let taken = match machine.phase {
-            Phase::Ready => machine.server.arrive(job, &mut self.job_events),
-            _ => None,
-        };
-        match taken {
-            Some(job) => {
-                self.operations[op_key].references += 1;
-                self.requests[request_key(request)].attempts[n as usize].job = Some(job);
-            }
-            None => self.queue.push(
-                self.now + way,
-                SimulationEvent::ResponseAtProxy {
-                    request,
-                    n,
-                    outcome: Outcome::Overloaded,
-                },
-            ),
+        let work = operation.work;
+        if self.is_overloaded_in_warm_up(arriving, work) {
+            self.machines[arriving.server as usize].crashed_by_overload = true;
+            self.stop_server(arriving.server, false);
+            return Admission::Crashed;
+        }
+        let machine = &mut self.machines[arriving.server as usize];
+        if machine.phase != Phase::Ready {
+            return Admission::Rejected;
         }
-        self.handle_job_events(server);
+        machine
+            .server
+            .arrive(job, &mut self.job_events)
+            .map_or(Admission::Rejected, Admission::Accepted)
     }
 
-    pub(super) fn schedule_connect_failure(&mut self, request: u64, n: u8, at: Micros) {
-        self.queue.push(
-            at,
-            SimulationEvent::ResponseAtProxy {
-                request,
-                n,
-                outcome: Outcome::ConnectFailed,
-            },
-        );
+    /// Whether this work is more than a server bears while it warms up. Only the warm-up counts:
+    /// nobody can foresee what else goes wrong there.
+    fn is_overloaded_in_warm_up(&mut self, arriving: &ArrivingAttempt, work: f64) -> bool {
+        let machine = &self.machines[arriving.server as usize];
+        if !machine.server.is_warming_up(self.now) {
+            self.judge.warm_up_ended(arriving.server);
+            return false;
+        }
+        let capacity = machine.server.full_capacity() * machine.server.warmth(self.now);
+        let proxy = &self.proxies[arriving.proxy as usize];
+        let informed = proxy.list_version >= machine.start_version;
+        self.judge.work_reached_warming_server(
+            self.now,
+            arriving.server,
+            arriving.proxy,
+            work,
+            capacity,
+            informed,
+        )
+    }
+
+    /// The product of the grey failures of a class at a server that its requests still survive.
+    fn degradation_factor(&self, server: u32, class: u8) -> f64 {
+        self.degradations(server)
+            .filter(|degradation| degradation.class == class && !degradation.unanswered)
+            .map(|degradation| degradation.factor)
+            .product()
+    }
+
+    /// Schedules when the outcome of an attempt reaches the proxy.
+    pub(super) fn schedule_response(&mut self, attempt: AttemptId, outcome: Outcome, at: Micros) {
+        self.queue
+            .push(at, SimulationEvent::ResponseAtProxy { attempt, outcome });
     }
 
-    /// An outcome reaches the proxy.
-    pub(super) fn response_at_proxy(&mut self, request: u64, n: u8, outcome: Outcome) {
-        let Some(held) = self.requests.get_mut(request_key(request)) else {
+    /// The outcome of an attempt reaches the proxy, unless the proxy abandoned it.
+    pub(super) fn response_at_proxy(&mut self, id: AttemptId, outcome: Outcome) {
+        if self.requests.open_attempt(id).is_none() {
             return;
-        };
-        let proxy = held.proxy;
-        let Some(attempt) = held.attempts.get_mut(n as usize).filter(|a| a.open) else {
+        }
+        self.requests[id].open = false;
+        self.reuse_or_close_connection(id, outcome);
+        let request = &mut self.requests[id.request];
+        if outcome == Outcome::Ok && !request.finished {
+            request.finished = true;
+            let operation = request.operation;
+            self.retry_or_end(operation, RequestOutcome::Served);
+        }
+        self.finish_attempt(id, outcome);
+    }
+
+    /// The connection of an attempt that has its outcome becomes idle, or was reset.
+    fn reuse_or_close_connection(&mut self, id: AttemptId, outcome: Outcome) {
+        let attempt = &self.requests[id];
+        let (server, incarnation) = (attempt.server, attempt.incarnation);
+        let machine = &mut self.machines[server as usize];
+        if !attempt.connected || machine.incarnation != incarnation {
             return;
-        };
-        attempt.open = false;
-        let (server, incarnation, connected) =
-            (attempt.server, attempt.incarnation, attempt.connected);
-        if connected && self.machines[server as usize].incarnation == incarnation {
-            let idle = &mut self.proxies[proxy as usize].connection_pool;
-            if outcome == Outcome::Reset {
-                let machine = &mut self.machines[server as usize];
-                machine.connections = machine.connections.saturating_sub(1);
-            } else if idle.put_back(server, incarnation, self.now) {
-                self.queue.push(
-                    self.now + self.network.idle_timeout,
-                    SimulationEvent::IdleConnections { proxy, server },
-                );
-            }
         }
-        if outcome == Outcome::Ok && !held.finished {
-            held.finished = true;
-            let op = held.op;
-            if !self.operations[op].ended {
-                self.retry_or_finish(op, RequestOutcome::Served);
-            }
-            let ended = self.attempt_ended(request, n, outcome);
-            self.deliver(proxy, Event::AttemptEnded(ended));
-            return self.drop_finished_request(request);
+        if outcome == Outcome::Reset {
+            return machine.close_connections(1);
+        }
+        let proxy = self.requests[id.request].proxy;
+        let pool = &mut self.proxies[proxy as usize].connection_pool;
+        if pool.put_back(server, incarnation, self.now) {
+            let at = self.now + self.network.idle_timeout;
+            self.queue
+                .push(at, SimulationEvent::IdleConnections { proxy, server });
         }
-        self.finish_attempt(request, n, outcome);
     }
 
-    pub(super) fn attempt_ended(&mut self, request: u64, n: u8, outcome: Outcome) -> AttemptEnded {
-        let held = &mut self.requests[request_key(request)];
-        let attempt = &mut held.attempts[n as usize];
+    /// Records the outcome of an attempt and returns the event for its policy.
+    pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) -> AttemptEnded {
+        let finished = self.requests[id.request].finished;
+        let attempt = &mut self.requests[id];
         attempt.outcome = Some(outcome);
-        let (id, server) = (request, self.machines[attempt.server as usize].id);
-        let (latency, finished) = (self.now - attempt.sent, held.finished);
         AttemptEnded {
-            id,
-            server,
-            attempt: u32::from(n),
+            id: id.request,
+            server: self.machines[attempt.server as usize].id,
+            attempt: u32::from(id.index),
             outcome,
-            latency,
+            latency: self.now - attempt.sent,
             finished,
             load: None,
         }
     }
 
-    pub(super) fn finish_attempt(&mut self, request: u64, n: u8, outcome: Outcome) {
-        let (ended, proxy) = (
-            self.attempt_ended(request, n, outcome),
-            self.requests[request_key(request)].proxy,
-        );
+    /// Ends an attempt, and notifies its policy.
+    pub(super) fn finish_attempt(&mut self, id: AttemptId, outcome: Outcome) {
+        let ended = self.end_attempt(id, outcome);
+        let proxy = self.requests[id.request].proxy;
         self.deliver(proxy, Event::AttemptEnded(ended));
-        self.drop_finished_request(request);
+        self.drop_if_complete(id.request);
     }
 
-    /// The proxy gives an attempt up: its connection closes, and the server hears of it a little
+    /// The timeout that the policy set for an attempt ends.
+    pub(super) fn attempt_timeout(&mut self, id: AttemptId) {
+        if self.requests.open_attempt(id).is_some() {
+            self.abandon_attempt(id);
+            self.finish_attempt(id, Outcome::Timeout);
+        }
+    }
+
+    /// The proxy abandons an attempt: its connection closes, which the server notices a little
     /// later.
-    pub(super) fn abandon_attempt(&mut self, request: u64, n: u8) {
-        let held = &mut self.requests[request_key(request)];
-        let zone = self.proxies[held.proxy as usize].zone;
-        let number = self.operations[held.op].number;
-        let attempt = &mut held.attempts[n as usize];
+    pub(super) fn abandon_attempt(&mut self, id: AttemptId) {
+        let from = self.proxies[self.requests[id.request].proxy as usize].zone;
+        let attempt = &mut self.requests[id];
         attempt.open = false;
         let (server, incarnation) = (attempt.server, attempt.incarnation);
         let machine = &mut self.machines[server as usize];
-        if attempt.connected && machine.incarnation == incarnation {
-            machine.connections = machine.connections.saturating_sub(1);
-        }
-        let Some(job) = attempt
-            .job
-            .filter(|_| machine.incarnation == incarnation && !machine.unresponsive)
-        else {
+        if machine.incarnation != incarnation {
             return;
-        };
-        let way = self
-            .network
-            .delay(zone, machine.zone, [number, u64::from(n) << 8 | 4]);
-        let from = self
-            .network
-            .partition_end(zone, machine.zone, self.now)
-            .unwrap_or(self.now);
-        self.queue.push(
-            from + way,
-            SimulationEvent::CancellationAtServer {
+        }
+        if attempt.connected {
+            machine.close_connections(1);
+        }
+        let job = attempt.job.filter(|_| !machine.unresponsive);
+        if let Some(job) = job {
+            let to = machine.zone;
+            let delay = self.attempt_delay(from, to, id, AttemptMessage::Cancellation);
+            let at = self.after_partition(from, to) + delay;
+            let server = ServerIncarnation {
                 server,
                 incarnation,
-                job,
-            },
-        );
+            };
+            self.queue
+                .push(at, SimulationEvent::CancellationAtServer { server, job });
+        }
+    }
+
+    /// Now, or the end of the partition that there is between two zones.
+    pub(super) fn after_partition(&self, from: usize, to: usize) -> Micros {
+        self.network
+            .partition_end(from, to, self.now)
+            .unwrap_or(self.now)
     }
 }
--- a/crates/emulator/src/simulation/clients.rs
+++ b/crates/emulator/src/simulation/clients.rs
@@ -1,244 +1,316 @@
-//! Clients: their requests, how these end, and when they try again or leave.
+//! Clients: the requests of their operations, how these end, and when they retry or disconnect.
 
-use ironmast_balancer::{Event, Micros, Outcome, Request};
-use slotmap::{DefaultKey, Key as _};
+use ironmast_balancer::{Event, Micros, Outcome, Request, RequestId};
 use smallvec::SmallVec;
 
-use super::Simulation;
 use super::event::SimulationEvent;
-use super::request::{PendingRequest, RequestOutcome, request_key};
+use super::operation::{Operation, OperationKey};
+use super::request::{PendingRequest, RequestOutcome};
+use super::{ORIGIN, Simulation};
 use crate::judge::{EndedOperation, OperationOutcome, Rule};
 use crate::random::{hash_parts, unit_interval};
-use crate::scenario::{DeduplicationGroup, EffectSpec, RetryWait, millis, seconds};
+use crate::scenario::{Class, DeduplicationGroup, EffectSpec, RetryWait, millis, seconds};
+
+/// What a client draws for each request. The values are part of the draws.
+#[derive(Clone, Copy)]
+enum ClientDraw {
+    Timeout = 1,
+    WillDisconnect = 2,
+    DisconnectTime = 3,
+    RetryWait = 4,
+}
+
+/// How often a client retries, and whether it waits before.
+struct RetryRule {
+    retries: u32,
+    wait: RetryWait,
+}
 
 impl Simulation<'_> {
-    pub(super) fn send_request(&mut self, key: DefaultKey) {
-        let op = &mut self.operations[key];
-        op.request_count += 1;
-        let (proxy, class, number) = (op.proxy, op.class as usize, op.number);
+    /// A client begins an operation at a proxy, if the proxy has clients.
+    pub(super) fn client_arrives(&mut self, number: u32) {
+        let proxy = &mut self.proxies[number as usize];
+        // Drawn whether or not there are clients: faults leave the other draws as they are.
+        let class = self.class_mix.class_at(proxy.work.unit());
         let spec = &self.scenario.classes[class];
-        let clients = &self.scenario.clients;
-        let draw = |what: u64| {
-            unit_interval(hash_parts([
-                self.seed,
-                number,
-                u64::from(op.request_count),
-                what,
-            ]))
-        };
-        let (from, to) = clients.timeout_share;
-        let patience = millis(spec.deadline_ms * (from + (to - from) * draw(1)));
-        let expires = (self.now + patience).min(op.start + millis(spec.deadline_ms));
-        let walks =
-            (clients.disconnect_share > 0.0 && draw(2) < clients.disconnect_share).then(|| draw(3));
-        let hint = self.gives_work_hints.then_some(op.work as Micros);
-        let subject = (spec.effect == EffectSpec::Deduplicated).then_some(number);
-        let again = op.request_count > 1;
-        op.references += 1;
-        let request = self
-            .requests
-            .insert(PendingRequest {
-                op: key,
-                proxy,
-                expires,
-                finished: false,
-                client_left: false,
-                attempts: SmallVec::new(),
-            })
-            .data()
-            .as_ffi();
+        let mean_work = spec.work_ms * 1e3;
+        let work = proxy.work.sample(spec.distribution, mean_work, spec.cv);
+        if proxy.has_clients {
+            let operation = self.begin_operation(number, class, work);
+            self.send_request(operation);
+        }
+        self.schedule_arrival(number);
+    }
+
+    fn begin_operation(&mut self, proxy: u32, class: usize, work: f64) -> OperationKey {
+        self.started_operations += 1;
+        self.open_operations += 1;
+        self.operations.insert(Operation {
+            number: self.started_operations,
+            proxy,
+            class: class as u8,
+            work,
+            start: self.now,
+            request_count: 0,
+            ended: false,
+            references: 0,
+            executions: SmallVec::new(),
+        })
+    }
+
+    /// Schedules the next arrival at a proxy.
+    pub(super) fn schedule_arrival(&mut self, proxy: u32) {
+        let arrivals = &mut self.proxies[proxy as usize].arrivals;
+        if let Some(at_s) = arrivals.next_arrival_s(&self.rate_curve) {
+            let at = ORIGIN + seconds(at_s);
+            self.queue
+                .push(at, SimulationEvent::ClientArrival { proxy });
+        }
+    }
+
+    /// A client sends another request for its operation, unless that has ended.
+    pub(super) fn client_retries(&mut self, key: OperationKey) {
+        self.release(key);
+        if !self.operations[key].ended {
+            self.send_request(key);
+        }
+    }
+
+    fn send_request(&mut self, key: OperationKey) {
+        let operation = &mut self.operations[key];
+        operation.request_count += 1;
+        operation.references += 1;
+        let operation = &self.operations[key];
+        let proxy = operation.proxy;
+        let expires = self.request_expiry(operation);
+        let disconnect_at = self.disconnect_time(operation, expires);
+        let id = self.requests.insert(PendingRequest {
+            operation: key,
+            proxy,
+            expires,
+            finished: false,
+            client_left: false,
+            attempts: SmallVec::new(),
+        });
         if self.proxies[proxy as usize].policy.is_none() {
-            return self.finish_request(request, RequestOutcome::ProxyUnreachable);
+            return self.finish_request(id, RequestOutcome::ProxyUnreachable);
         }
         self.queue
-            .push(expires, SimulationEvent::RequestDeadline(request));
-        if let Some(part) = walks {
-            let at = self.now + ((expires - self.now) as f64 * part) as Micros;
-            self.queue
-                .push(at, SimulationEvent::ClientDisconnect(request));
+            .push(expires, SimulationEvent::RequestDeadline(id));
+        if let Some(at) = disconnect_at {
+            self.queue.push(at, SimulationEvent::ClientDisconnect(id));
         }
-        let request = Request {
-            id: request,
+        let request = self.request_for_policy(id, &self.operations[key], expires);
+        self.deliver(proxy, Event::Request(request));
+    }
+
+    fn request_for_policy(&self, id: RequestId, operation: &Operation, expires: Micros) -> Request {
+        let class = usize::from(operation.class);
+        let has_key = self.scenario.classes[class].effect == EffectSpec::Deduplicated;
+        Request {
+            id,
             class,
             tenant: None,
-            key: subject,
-            work_hint: hint,
-            client_retry: again,
+            key: has_key.then_some(operation.number),
+            work_hint: self.gives_work_hints.then_some(operation.work as Micros),
+            client_retry: operation.request_count > 1,
             expires,
-        };
-        self.deliver(proxy, Event::Request(request));
+        }
+    }
+
+    /// A draw for the newest request of an operation. It is a hash, since the order of requests
+    /// depends on the policy.
+    fn client_draw(&self, operation: &Operation, draw: ClientDraw) -> f64 {
+        unit_interval(hash_parts([
+            self.seed,
+            operation.number,
+            u64::from(operation.request_count),
+            draw as u64,
+        ]))
+    }
+
+    /// When the client's timeout for the newest request ends.
+    fn request_expiry(&self, operation: &Operation) -> Micros {
+        let deadline_ms = self.class_of(operation).deadline_ms;
+        let (from, to) = self.scenario.clients.timeout_share;
+        let share = from + (to - from) * self.client_draw(operation, ClientDraw::Timeout);
+        let timeout = millis(deadline_ms * share);
+        (self.now + timeout).min(operation.start + millis(deadline_ms))
     }
 
-    /// A try is over for its client: the operation ends with it, or the client tries again.
-    pub(super) fn finish_request(&mut self, request: u64, end: RequestOutcome) {
-        let Some(held) = self.requests.get_mut(request_key(request)) else {
+    /// When the client closes its connection before its timeout, if it does.
+    fn disconnect_time(&self, operation: &Operation, expires: Micros) -> Option<Micros> {
+        let share = self.scenario.clients.disconnect_share;
+        let disconnects =
+            share > 0.0 && self.client_draw(operation, ClientDraw::WillDisconnect) < share;
+        disconnects.then(|| {
+            let part = self.client_draw(operation, ClientDraw::DisconnectTime);
+            self.now + ((expires - self.now) as f64 * part) as Micros
+        })
+    }
+
+    fn class_of(&self, operation: &Operation) -> &Class {
+        &self.scenario.classes[usize::from(operation.class)]
+    }
+
+    /// A request ends for its client, which retries or ends its operation.
+    pub(super) fn finish_request(&mut self, id: RequestId, outcome: RequestOutcome) {
+        let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        held.finished = true;
-        let op = held.op;
-        if !self.operations[op].ended {
-            self.retry_or_finish(op, end);
-        }
-        self.drop_finished_request(request);
+        request.finished = true;
+        let operation = request.operation;
+        self.retry_or_end(operation, outcome);
+        self.drop_if_complete(id);
     }
 
-    pub(super) fn retry_or_finish(&mut self, key: DefaultKey, end: RequestOutcome) {
-        let op = &self.operations[key];
-        let (spec, clients) = (
-            &self.scenario.classes[op.class as usize],
-            &self.scenario.clients,
-        );
-        let (retries, at_once) = match self.retry_storm {
-            Some(retries) => (retries, true),
-            None => (clients.retries, clients.retry_wait == RetryWait::AtOnce),
-        };
-        let draw = unit_interval(hash_parts([
-            self.seed,
-            op.number,
-            u64::from(op.request_count),
-            4,
-        ]));
-        let first = clients.retry_ms * 1e3;
-        let wait = match clients.retry_wait {
-            _ if at_once => 0.0,
-            RetryWait::AtOnce => 0.0,
-            RetryWait::Fixed => first * (0.8 + 0.4 * draw),
-            RetryWait::Exponential => {
-                first * f64::from(1u32 << (op.request_count - 1).min(20)) * draw
-            }
-            RetryWait::RetryAfter => match end {
-                RequestOutcome::Rejected(Some(after)) => after as f64 + first * draw,
-                _ => first * (0.8 + 0.4 * draw),
-            },
-        };
-        let at = self.now + wait as Micros;
-        let deadline = op.start + millis(spec.deadline_ms);
-        let harmless = matches!(
-            end,
-            RequestOutcome::Rejected(_) | RequestOutcome::ProxyUnreachable
-        );
-        let permitted = match spec.effect {
-            EffectSpec::Idempotent => true,
-            EffectSpec::NonIdempotent => harmless,
-            EffectSpec::Deduplicated => {
-                harmless
-                    || spec.group == DeduplicationGroup::All
-                        && at < op.start + seconds(spec.deduplication_window_s)
-            }
-        };
-        let gone = matches!(end, RequestOutcome::Served | RequestOutcome::ClientLeft);
-        if !gone && permitted && op.request_count <= retries && at < deadline {
+    /// The client of an operation that has not ended retries, or ends it.
+    pub(super) fn retry_or_end(&mut self, key: OperationKey, outcome: RequestOutcome) {
+        let operation = &self.operations[key];
+        if operation.ended {
+            return;
+        }
+        if let Some(at) = self.retry_time(operation, outcome) {
             self.operations[key].references += 1;
             return self.queue.push(at, SimulationEvent::ClientRetry(key));
         }
-        let outcome = match end {
-            RequestOutcome::Served => OperationOutcome::Answered(self.now - op.start),
+        let outcome = match outcome {
+            RequestOutcome::Served => OperationOutcome::Answered(self.now - operation.start),
             RequestOutcome::Rejected(_) => OperationOutcome::Rejected,
             _ => OperationOutcome::Failed,
         };
-        let (zone, op) = (
-            self.proxies[op.proxy as usize].zone,
-            &mut self.operations[key],
-        );
-        op.ended = true;
+        self.operations[key].ended = true;
         self.open_operations -= 1;
-        let (number, proxy, class, start) = (op.number, op.proxy, op.class as usize, op.start);
+        self.report_operation(key, outcome);
+    }
+
+    /// Reports the outcome of an operation to the judge.
+    pub(super) fn report_operation(&mut self, key: OperationKey, outcome: OperationOutcome) {
+        let operation = &self.operations[key];
         self.judge.operation_ended(&EndedOperation {
-            number,
-            proxy,
-            zone,
-            class,
-            start,
+            number: operation.number,
+            proxy: operation.proxy,
+            zone: self.proxies[operation.proxy as usize].zone,
+            class: usize::from(operation.class),
+            start: operation.start,
             outcome,
         });
     }
 
-    pub(super) fn release(&mut self, key: DefaultKey) {
-        let Some(op) = self.operations.get_mut(key) else {
+    /// When the client sends its next request after this outcome; `None` if it does not.
+    fn retry_time(&self, operation: &Operation, outcome: RequestOutcome) -> Option<Micros> {
+        if matches!(outcome, RequestOutcome::Served | RequestOutcome::ClientLeft) {
+            return None;
+        }
+        let rule = self.retry_rule();
+        let at = self.now + self.retry_wait(&rule, operation, outcome) as Micros;
+        let deadline = operation.start + millis(self.class_of(operation).deadline_ms);
+        let retries = operation.request_count <= rule.retries
+            && at < deadline
+            && self.may_retry(operation, outcome, at);
+        retries.then_some(at)
+    }
+
+    fn retry_rule(&self) -> RetryRule {
+        match self.retry_storm {
+            Some(retries) => RetryRule {
+                retries,
+                wait: RetryWait::AtOnce,
+            },
+            None => RetryRule {
+                retries: self.scenario.clients.retries,
+                wait: self.scenario.clients.retry_wait,
+            },
+        }
+    }
+
+    /// The time that the client waits before its next request, in microseconds.
+    fn retry_wait(&self, rule: &RetryRule, operation: &Operation, outcome: RequestOutcome) -> f64 {
+        let base = self.scenario.clients.retry_ms * 1e3;
+        let draw = self.client_draw(operation, ClientDraw::RetryWait);
+        let fixed = base * (0.8 + 0.4 * draw);
+        match (rule.wait, outcome) {
+            (RetryWait::AtOnce, _) => 0.0,
+            (RetryWait::Exponential, _) => {
+                let doublings = (operation.request_count - 1).min(20);
+                base * f64::from(1u32 << doublings) * draw
+            }
+            (RetryWait::RetryAfter, RequestOutcome::Rejected(Some(after))) => {
+                after as f64 + base * draw
+            }
+            (RetryWait::Fixed | RetryWait::RetryAfter, _) => fixed,
+        }
+    }
+
+    /// Whether the class permits another request at that time: its effect must not happen twice.
+    fn may_retry(&self, operation: &Operation, outcome: RequestOutcome, at: Micros) -> bool {
+        let class = self.class_of(operation);
+        let did_not_run = matches!(
+            outcome,
+            RequestOutcome::Rejected(_) | RequestOutcome::ProxyUnreachable
+        );
+        match class.effect {
+            EffectSpec::Idempotent => true,
+            EffectSpec::NonIdempotent => did_not_run,
+            EffectSpec::Deduplicated => {
+                let window_ends = operation.start + seconds(class.deduplication_window_s);
+                did_not_run || class.group == DeduplicationGroup::All && at < window_ends
+            }
+        }
+    }
+
+    /// Releases a reference to an operation, which is removed after the last if it has ended.
+    pub(super) fn release(&mut self, key: OperationKey) {
+        let Some(operation) = self.operations.get_mut(key) else {
             return;
         };
-        op.references -= 1;
-        if op.references == 0 && op.ended {
+        operation.references -= 1;
+        if operation.references == 0 && operation.ended {
             self.operations.remove(key);
         }
     }
 
-    /// The client's time is up: what is still out times out, and a little later the client is gone.
-    pub(super) fn request_deadline(&mut self, request: u64) {
-        let Some(held) = self.requests.get(request_key(request)) else {
-            return;
-        };
-        for n in 0..held.attempts.len() as u8 {
-            if self.attempt(request, n).is_some_and(|a| a.open) {
-                self.abandon_attempt(request, n);
-                self.finish_attempt(request, n, Outcome::Timeout);
+    /// The client's timeout ends: open attempts time out, and the client disconnects a little
+    /// later.
+    pub(super) fn request_deadline(&mut self, id: RequestId) {
+        for attempt in self.requests.attempt_ids(id) {
+            if self.requests.open_attempt(attempt).is_some() {
+                self.abandon_attempt(attempt);
+                self.finish_attempt(attempt, Outcome::Timeout);
             }
         }
-        if self
-            .requests
-            .get(request_key(request))
-            .is_some_and(|t| !t.finished)
-        {
-            self.queue.push(
-                self.now + self.rule_limits.answer_slack,
-                SimulationEvent::ClientDisconnect(request),
-            );
+        if self.requests.get(id).is_some_and(|found| !found.finished) {
+            let at = self.now + self.rule_limits.answer_slack;
+            self.queue.push(at, SimulationEvent::ClientDisconnect(id));
         }
     }
 
-    pub(super) fn disconnect_client(&mut self, request: u64) {
-        let Some(held) = self
-            .requests
-            .get(request_key(request))
-            .filter(|t| !t.finished)
-        else {
+    /// The client closes its connection, which breaks a rule if its timeout is over.
+    pub(super) fn disconnect_client(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id).filter(|found| !found.finished) else {
             return;
         };
-        let (proxy, late) = (
-            held.proxy,
-            self.now >= held.expires + self.rule_limits.answer_slack,
-        );
-        if late {
-            let (server, number) = (
-                held.attempts.last().map(|a| a.server),
-                self.operations[held.op].number,
-            );
-            let what = "no final answer by the client's deadline";
-            self.judge.record_violation(
-                Rule::OneAnswer,
-                self.now,
-                proxy,
-                server,
-                Some(number),
-                what,
-            );
-        }
-        let held = &mut self.requests[request_key(request)];
-        (held.finished, held.client_left) = (true, true);
-        let op = held.op;
-        if !self.operations[op].ended {
-            self.retry_or_finish(
-                op,
-                if late {
-                    RequestOutcome::Unanswered
-                } else {
-                    RequestOutcome::ClientLeft
-                },
-            );
-        }
-        self.deliver(proxy, Event::ClientDisconnected { id: request });
-        self.drop_finished_request(request);
-    }
-
-    /// Forgets a try that is over and has nothing out.
-    pub(super) fn drop_finished_request(&mut self, request: u64) {
-        if self
-            .requests
-            .get(request_key(request))
-            .is_some_and(|t| t.finished && !t.has_open_attempt())
-            && let Some(held) = self.requests.remove(request_key(request))
-        {
-            self.release(held.op);
+        (request.finished, request.client_left) = (true, true);
+        let (proxy, operation) = (request.proxy, request.operation);
+        let server = request.attempts.last().map(|attempt| attempt.server);
+        let is_late = self.now >= request.expires + self.rule_limits.answer_slack;
+        let outcome = if is_late {
+            let number = self.operations[operation].number;
+            let description = "no final answer by the client's deadline";
+            self.record_violation(Rule::OneAnswer, proxy, server, Some(number), description);
+            RequestOutcome::Unanswered
+        } else {
+            RequestOutcome::ClientLeft
+        };
+        self.retry_or_end(operation, outcome);
+        self.deliver(proxy, Event::ClientDisconnected { id });
+        self.drop_if_complete(id);
+    }
+
+    /// Removes a request that is finished and has no open attempt.
+    pub(super) fn drop_if_complete(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.remove_if_complete(id) {
+            self.release(request.operation);
         }
     }
 }
--- a/crates/emulator/src/simulation/event.rs
+++ b/crates/emulator/src/simulation/event.rs
@@ -1,75 +1,61 @@
 //! The events of a simulation.
 
-use ironmast_balancer::{Micros, Outcome};
-use slotmap::DefaultKey;
+use ironmast_balancer::{Micros, Outcome, RequestId};
 
+use super::ids::{AttemptId, HealthCheck, ProxyIncarnation, ServerIncarnation};
+use super::operation::OperationKey;
 use crate::server::JobKey;
 
-/// An event that is scheduled.
+/// An event that is scheduled. Servers and proxies are named by their numbers.
 pub(super) enum SimulationEvent {
-    ClientArrival(u32),
-    ClientRetry(DefaultKey),
-    RequestDeadline(u64),
-    ClientDisconnect(u64),
-    PolicyTimer {
-        proxy: u32,
-        incarnation: u32,
-        token: u64,
-    },
-    RequestAtServer {
-        request: u64,
-        n: u8,
-    },
+    /// A client begins an operation at a proxy.
+    ClientArrival { proxy: u32 },
+    /// A client sends another request for its operation.
+    ClientRetry(OperationKey),
+    /// A client's timeout for a request ends.
+    RequestDeadline(RequestId),
+    /// A client closes its connection, if it has no response yet.
+    ClientDisconnect(RequestId),
+    /// A timer that a policy set.
+    PolicyTimer { proxy: ProxyIncarnation, token: u64 },
+    /// The request of an attempt reaches its server.
+    RequestAtServer(AttemptId),
+    /// The outcome of an attempt reaches the proxy.
     ResponseAtProxy {
-        request: u64,
-        n: u8,
+        attempt: AttemptId,
         outcome: Outcome,
     },
-    AttemptTimeout {
-        request: u64,
-        n: u8,
-    },
+    /// The timeout that a policy set for an attempt ends.
+    AttemptTimeout(AttemptId),
+    /// A server notices that the proxy abandoned an attempt.
     CancellationAtServer {
-        server: u32,
-        incarnation: u32,
+        server: ServerIncarnation,
         job: JobKey,
     },
-    ServerDeadline {
-        server: u32,
-        at: Micros,
-    },
-    ListUpdate(u32),
-    WatchNotification {
-        proxy: u32,
-        incarnation: u32,
-    },
+    /// A server must be advanced, unless that was scheduled anew for another moment.
+    ServerDeadline { server: u32, at: Micros },
+    /// The endpoint list is updated to the state of a server.
+    ListUpdate { server: u32 },
+    /// A proxy that watches the list is sent its changes.
+    WatchNotification(ProxyIncarnation),
+    /// The response to a query of the list reaches the proxy.
     DiscoveryResponse {
-        proxy: u32,
-        incarnation: u32,
-        ok: bool,
-    },
-    HealthCheckAtServer {
-        proxy: u32,
-        incarnation: u32,
-        server: u32,
-        sent: Micros,
+        proxy: ProxyIncarnation,
+        answered: bool,
     },
+    /// A health check reaches its server.
+    HealthCheckAtServer(HealthCheck),
+    /// A health check ends at the proxy, with the number of requests at the server if it responded.
     HealthCheckResult {
-        proxy: u32,
-        incarnation: u32,
-        server: u32,
-        sent: Micros,
-        held: Option<u32>,
-    },
-    PeerDatagram {
-        from: u32,
-        to: u32,
-        data: Box<[u8]>,
-    },
-    IdleConnections {
-        proxy: u32,
-        server: u32,
-    },
+        check: HealthCheck,
+        in_system: Option<u32>,
+    },
+    /// A datagram of one proxy reaches another.
+    PeerDatagram { from: u32, to: u32, data: Box<[u8]> },
+    /// The idle connections of a proxy to a server are checked for their age.
+    IdleConnections { proxy: u32, server: u32 },
+    /// A step of a fault, by its index.
     FaultStep(u32),
+    /// The utilization of all servers is sampled.
     Sample,
 }
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -1,137 +1,165 @@
-//! The steps of faults, carried out.
+//! The steps of faults, applied to servers, proxies, network and discovery.
+
+use std::collections::BTreeMap;
 
 use ironmast_balancer::{Event, Listing, Phase, Scope};
 
 use super::Simulation;
 use super::event::SimulationEvent;
-use crate::fault_schedule::Step;
+use crate::fault_schedule::{Degradation, Step};
 use crate::scenario::seconds;
 
+/// Sets what a fault does, or removes it.
+fn set_or_remove<T>(faults: &mut BTreeMap<usize, T>, fault: usize, value: Option<T>) {
+    match value {
+        Some(value) => faults.insert(fault, value),
+        None => faults.remove(&fault),
+    };
+}
+
 impl Simulation<'_> {
+    /// Applies a step of a fault.
     pub(super) fn apply_step(&mut self, step: Step) {
         match step {
             Step::Slow {
                 positions,
-                fault: number,
+                fault,
                 factor,
-            } => {
-                for position in positions {
-                    let slow = &mut self.positions[position as usize].slowdowns;
-                    match factor {
-                        Some(value) => slow.insert(number, value),
-                        None => slow.remove(&number),
-                    };
-                    self.apply_faults(self.positions[position as usize].machine);
-                }
-            }
+            } => self.at_each(&positions, |simulation, position| {
+                simulation.slow_server(position, fault, factor);
+            }),
             Step::Degrade {
                 positions,
-                fault: number,
-                degradation: what,
-            } => {
-                for position in positions {
-                    let degradations = &mut self.positions[position as usize].degradations;
-                    match what {
-                        Some(value) => degradations.insert(number, value),
-                        None => degradations.remove(&number),
-                    };
-                }
-            }
-            Step::Pause { positions } => {
-                for position in positions {
-                    self.positions[position as usize].pauses += 1;
-                    self.apply_faults(self.positions[position as usize].machine);
-                }
-            }
-            Step::Resume { positions } => {
-                for position in positions {
-                    let paused = &mut self.positions[position as usize];
-                    paused.pauses = paused.pauses.saturating_sub(1);
-                    self.apply_faults(self.positions[position as usize].machine);
-                }
-            }
-            Step::Stop { positions, silent } => {
-                for position in positions {
-                    self.positions[position as usize].outages += 1;
-                    self.stop_server(self.positions[position as usize].machine, silent);
-                }
-            }
-            Step::Start { positions } => {
-                for position in positions {
-                    let p = &mut self.positions[position as usize];
-                    p.outages = p.outages.saturating_sub(1);
-                    if p.outages == 0 {
-                        self.start_server(self.positions[position as usize].machine);
-                    }
-                }
-            }
-            Step::Drain { positions } => {
-                let late = seconds(self.scenario.discovery.drain_delay_s);
-                for position in positions {
-                    let server = self.positions[position as usize].machine;
-                    let machine = &mut self.machines[server as usize];
-                    if machine.server.up && machine.phase == Phase::Ready {
-                        machine.phase = Phase::Draining;
-                        self.queue
-                            .push(self.now + late, SimulationEvent::ListUpdate(server));
-                    }
-                }
-            }
-            Step::Replace { positions } => {
-                for position in positions {
-                    self.replace_server(position);
-                }
-            }
+                fault,
+                degradation,
+            } => self.at_each(&positions, |simulation, position| {
+                simulation.degrade_class(position, fault, degradation);
+            }),
+            Step::Pause { positions } => self.at_each(&positions, Self::pause_server),
+            Step::Resume { positions } => self.at_each(&positions, Self::resume_server),
+            Step::Stop { positions, silent } => self.at_each(&positions, |simulation, position| {
+                simulation.begin_server_outage(position, silent);
+            }),
+            Step::Start { positions } => self.at_each(&positions, Self::end_server_outage),
+            Step::Drain { positions } => self.at_each(&positions, Self::drain_server),
+            Step::Replace { positions } => self.at_each(&positions, Self::replace_server),
             Step::Partition { zone, until } => self.network.partition(zone, until),
             Step::StopProxies {
                 proxies,
                 with_clients,
             } => self.stop_proxies(&proxies, with_clients),
-            Step::StartProxies { proxies } => {
-                for proxy in proxies {
-                    if self.proxies[proxy as usize].policy.is_none() {
-                        self.start_proxy(proxy);
-                    }
-                }
-            }
+            Step::StartProxies { proxies } => self.start_stopped_proxies(&proxies),
             Step::RetryStorm { retries } => self.retry_storm = retries,
             Step::DiscoveryOutage => self.begin_discovery_outage(),
             Step::DiscoveryBack => self.discovery.is_out = false,
         }
     }
 
-    /// Ends the server at a position and starts a new one there, unless the position is down.
-    pub(super) fn replace_server(&mut self, position: u32) {
-        let old = self.positions[position as usize].machine;
-        self.stop_server(old, false);
-        let machine = &mut self.machines[old as usize];
+    fn at_each(&mut self, positions: &[u32], mut apply: impl FnMut(&mut Self, u32)) {
+        for position in positions {
+            apply(self, *position);
+        }
+    }
+
+    fn slow_server(&mut self, position: u32, fault: usize, factor: Option<f64>) {
+        let position = &mut self.positions[position as usize];
+        set_or_remove(&mut position.slowdowns, fault, factor);
+        let machine = position.machine;
+        self.apply_faults(machine);
+    }
+
+    fn degrade_class(&mut self, position: u32, fault: usize, degradation: Option<Degradation>) {
+        let position = &mut self.positions[position as usize];
+        set_or_remove(&mut position.degradations, fault, degradation);
+    }
+
+    fn pause_server(&mut self, position: u32) {
+        let position = &mut self.positions[position as usize];
+        position.pauses += 1;
+        let machine = position.machine;
+        self.apply_faults(machine);
+    }
+
+    fn resume_server(&mut self, position: u32) {
+        let position = &mut self.positions[position as usize];
+        position.pauses = position.pauses.saturating_sub(1);
+        let machine = position.machine;
+        self.apply_faults(machine);
+    }
+
+    fn begin_server_outage(&mut self, position: u32, silent: bool) {
+        let position = &mut self.positions[position as usize];
+        position.outages += 1;
+        let machine = position.machine;
+        self.stop_server(machine, silent);
+    }
+
+    fn end_server_outage(&mut self, position: u32) {
+        let position = &mut self.positions[position as usize];
+        position.outages = position.outages.saturating_sub(1);
+        if position.outages == 0 {
+            let machine = position.machine;
+            self.start_server(machine);
+        }
+    }
+
+    fn drain_server(&mut self, position: u32) {
+        let server = self.positions[position as usize].machine;
+        let machine = &mut self.machines[server as usize];
+        if machine.server.up && machine.phase == Phase::Ready {
+            machine.phase = Phase::Draining;
+            let delay = seconds(self.scenario.discovery.drain_delay_s);
+            self.queue
+                .push(self.now + delay, SimulationEvent::ListUpdate { server });
+        }
+    }
+
+    /// Stops the server at a position for good and starts a new machine there, unless an outage
+    /// lasts.
+    fn replace_server(&mut self, position: u32) {
+        let server = self.positions[position as usize].machine;
+        self.stop_server(server, false);
+        let machine = &mut self.machines[server as usize];
         machine.phase = Phase::Gone;
         let (pool, zone) = (machine.pool, machine.zone);
-        let gone = seconds(self.scenario.discovery.removal_delay_s);
+        let delay = seconds(self.scenario.discovery.removal_delay_s);
         self.queue
-            .push(self.now + gone, SimulationEvent::ListUpdate(old));
+            .push(self.now + delay, SimulationEvent::ListUpdate { server });
         let new = self.add_machine(pool, zone, position);
         if self.positions[position as usize].outages == 0 {
             self.start_server(new);
         }
     }
 
+    fn start_stopped_proxies(&mut self, numbers: &[u32]) {
+        for &number in numbers {
+            if self.proxies[number as usize].policy.is_none() {
+                self.start_proxy(number);
+            }
+        }
+    }
+
     /// Discovery answers no query from now on, and its watches break.
-    pub(super) fn begin_discovery_outage(&mut self) {
+    fn begin_discovery_outage(&mut self) {
         self.discovery.is_out = true;
-        for proxy in 0..self.proxies.len() as u32 {
-            let p = &mut self.proxies[proxy as usize];
-            if self.scenario.discovery.watch
-                && p.policy.is_some()
-                && std::mem::take(&mut p.subscribed)
-            {
-                p.last_contact = self.now;
-                let listing = Listing {
-                    scope: Scope::Failed,
-                    servers: Vec::new(),
-                };
-                self.deliver(proxy, Event::Members(listing));
+        for number in 0..self.proxies.len() as u32 {
+            let proxy = &mut self.proxies[number as usize];
+            let loses_watch = self.scenario.discovery.watch
+                && proxy.policy.is_some()
+                && std::mem::take(&mut proxy.subscribed);
+            if loses_watch {
+                proxy.last_contact = self.now;
+                self.notify_discovery_failed(number);
             }
         }
     }
+
+    /// Notifies a policy that discovery failed.
+    pub(super) fn notify_discovery_failed(&mut self, proxy: u32) {
+        let listing = Listing {
+            scope: Scope::Failed,
+            servers: Vec::new(),
+        };
+        self.deliver(proxy, Event::Members(listing));
+    }
 }
--- a/crates/emulator/src/simulation/health_checks.rs
+++ b/crates/emulator/src/simulation/health_checks.rs
@@ -1,83 +1,74 @@
 //! Health checks on their way to servers and back.
 
-use ironmast_balancer::{Event, LoadReport, Micros, Outcome};
+use ironmast_balancer::{Event, LoadReport, Outcome, ServerId};
 
 use super::Simulation;
 use super::event::SimulationEvent;
+use super::ids::{HealthCheck, ProxyIncarnation};
+use super::servers::server_number;
 
 impl Simulation<'_> {
-    pub(super) fn health_check_at_server(
-        &mut self,
-        proxy: u32,
-        incarnation: u32,
-        server: u32,
-        sent: Micros,
-    ) {
+    /// A proxy sends a health check to a server.
+    pub(super) fn send_health_check(&mut self, run: ProxyIncarnation, server: ServerId) {
+        self.traffic.probes += 1;
+        let check = HealthCheck {
+            proxy: run,
+            server: server_number(server),
+            sent: self.now,
+        };
+        let from = self.proxies[run.proxy as usize].zone;
+        let to = self.machines[check.server as usize].zone;
+        let message = [u64::from(run.proxy), check.sent];
+        let at = self.now + self.network.delay(from, to, message);
+        self.queue
+            .push(at, SimulationEvent::HealthCheckAtServer(check));
+    }
+
+    /// A health check reaches its server, which responds unless it is unreachable.
+    pub(super) fn health_check_at_server(&mut self, check: HealthCheck) {
+        let proxy = check.proxy.proxy;
         let zone = self.proxies[proxy as usize].zone;
-        let machine = &mut self.machines[server as usize];
-        let way = self
-            .network
-            .delay(machine.zone, zone, [u64::from(proxy), sent ^ 1]);
-        let silent = machine.unresponsive
-            || self
-                .network
-                .partition_end(zone, machine.zone, self.now)
-                .is_some();
-        let up = machine.server.up && !silent;
-        let at = if silent {
-            (sent + self.network.connect_timeout).max(self.now)
+        let machine = &mut self.machines[check.server as usize];
+        let partition_end = self.network.partition_end(zone, machine.zone, self.now);
+        let is_silent = machine.unresponsive || partition_end.is_some();
+        let at = if is_silent {
+            (check.sent + self.network.connect_timeout).max(self.now)
         } else {
-            self.now + way
+            // The message back is another one than the message there.
+            let message = [u64::from(proxy), check.sent ^ 1];
+            self.now + self.network.delay(machine.zone, zone, message)
         };
-        let held = up.then(|| machine.server.in_system() as u32);
-        if up {
-            machine
-                .server
-                .add_overhead(self.scenario.pools[machine.pool].probe_work_ms * 1e3);
+        let responds = machine.server.up && !is_silent;
+        let in_system = responds.then(|| machine.server.in_system() as u32);
+        if responds {
+            let work_ms = self.scenario.pools[machine.pool].probe_work_ms;
+            machine.server.add_overhead(work_ms * 1e3);
         }
-        self.queue.push(
-            at,
-            SimulationEvent::HealthCheckResult {
-                proxy,
-                incarnation,
-                server,
-                sent,
-                held,
-            },
-        );
+        self.queue
+            .push(at, SimulationEvent::HealthCheckResult { check, in_system });
     }
 
-    pub(super) fn health_check_result(
-        &mut self,
-        proxy: u32,
-        incarnation: u32,
-        server: u32,
-        sent: Micros,
-        held: Option<u32>,
-    ) {
-        if !self.is_current(proxy, incarnation) {
+    /// A health check ends at its proxy.
+    pub(super) fn health_check_result(&mut self, check: HealthCheck, in_system: Option<u32>) {
+        if !self.is_current(check.proxy) {
             return;
         }
-        let reports = self.scenario.proxies.load_reports;
-        let load = held.filter(|_| reports);
-        let load = load.map(|held| LoadReport {
-            cpu: None,
-            active: Some(f64::from(held)),
-        });
-        let outcome = if held.is_some() {
+        let outcome = if in_system.is_some() {
             Outcome::Ok
         } else {
             Outcome::ConnectFailed
         };
-        let (server, latency) = (self.machines[server as usize].id, self.now - sent);
-        self.deliver(
-            proxy,
-            Event::ProbeEnded {
-                server,
-                outcome,
-                latency,
-                load,
-            },
-        );
+        let reported = in_system.filter(|_| self.scenario.proxies.load_reports);
+        let load = reported.map(|in_system| LoadReport {
+            cpu: None,
+            active: Some(f64::from(in_system)),
+        });
+        let event = Event::ProbeEnded {
+            server: self.machines[check.server as usize].id,
+            outcome,
+            latency: self.now - check.sent,
+            load,
+        };
+        self.deliver(check.proxy.proxy, event);
     }
 }
--- /dev/null
+++ b/crates/emulator/src/simulation/ids.rs
@@ -0,0 +1,60 @@
+//! What events and messages refer to.
+
+use ironmast_balancer::{Micros, RequestId};
+
+/// An attempt of a proxy at a request.
+#[derive(Clone, Copy)]
+pub(super) struct AttemptId {
+    /// The request.
+    pub(super) request: RequestId,
+    /// The number of the attempt, from 0 on.
+    pub(super) index: u8,
+}
+
+/// One run of a proxy: what was meant for an earlier one is dropped.
+#[derive(Clone, Copy)]
+pub(super) struct ProxyIncarnation {
+    /// The proxy's number.
+    pub(super) proxy: u32,
+    /// How often it had stopped before.
+    pub(super) incarnation: u32,
+}
+
+/// One run of a server's process.
+#[derive(Clone, Copy)]
+pub(super) struct ServerIncarnation {
+    /// The server's number.
+    pub(super) server: u32,
+    /// How often it had stopped before.
+    pub(super) incarnation: u32,
+}
+
+/// A health check of a server by a proxy.
+#[derive(Clone, Copy)]
+pub(super) struct HealthCheck {
+    /// The proxy that sent it.
+    pub(super) proxy: ProxyIncarnation,
+    /// The server's number.
+    pub(super) server: u32,
+    /// When it was sent.
+    pub(super) sent: Micros,
+}
+
+/// The messages of an attempt. Each has a delay of its own; the values are part of the draws.
+#[derive(Clone, Copy)]
+pub(super) enum AttemptMessage {
+    /// The request.
+    Request = 0,
+    /// The request to open a connection.
+    Connect = 1,
+    /// Its confirmation.
+    ConnectConfirmed = 2,
+    /// What answers a request that the server does not accept.
+    NotAccepted = 3,
+    /// The end of the connection of an attempt that the proxy abandoned.
+    Cancellation = 4,
+    /// The response of a job that ended.
+    Response = 5,
+    /// The reset of a connection by a server that stops.
+    Reset = 6,
+}
--- a/crates/emulator/src/simulation/list_updates.rs
+++ b/crates/emulator/src/simulation/list_updates.rs
@@ -1,15 +1,20 @@
-//! How discovery's list, its changes and its answers reach the proxies.
+//! How the endpoint list follows the servers, and reaches the proxies by notifications and queries.
 
 use ironmast_balancer::{Event, Listing, Micros, Phase, Scope, Server as ListedServer};
 
 use super::Simulation;
 use super::event::SimulationEvent;
+use super::ids::ProxyIncarnation;
 use crate::discovery::ListEntry;
 use crate::random::{hash_parts, unit_interval};
 use crate::scenario::seconds;
 
+/// Distinguishes the draws of the delays of notifications from other hashes.
+const NOTIFICATION_DRAW: u64 = 0x11;
+
 impl Simulation<'_> {
-    /// The list catches up with what is true of a server by now.
+    /// Updates the list to the state of a server, and schedules the notifications of the proxies
+    /// that watch it.
     pub(super) fn update_list(&mut self, server: u32) {
         let machine = &mut self.machines[server as usize];
         let phase = if machine.server.up {
@@ -17,94 +22,109 @@
         } else {
             Phase::Gone
         };
-        let started = machine.server.started;
         if phase == Phase::Ready {
             machine.start_version = self.discovery.version() + 1;
         }
         self.discovery.publish(ListEntry {
             server,
             phase,
-            started,
+            started: machine.server.started,
             since: self.now,
         });
-        let spread = seconds(self.scenario.discovery.spread_s);
-        if self.discovery.is_out {
+        if !self.discovery.is_out {
+            for proxy in 0..self.proxies.len() as u32 {
+                self.schedule_notification(proxy);
+            }
+        }
+    }
+
+    /// Schedules a notification of a proxy that watches the list, unless one is on its way.
+    fn schedule_notification(&mut self, number: u32) {
+        let proxy = &mut self.proxies[number as usize];
+        if !proxy.subscribed || proxy.policy.is_none() || proxy.notification_pending {
+            return;
+        }
+        proxy.notification_pending = true;
+        let bits = hash_parts([self.seed, u64::from(number), self.now, NOTIFICATION_DRAW]);
+        let max_delay = seconds(self.scenario.discovery.spread_s) as f64;
+        let at = self.now + (max_delay * unit_interval(bits)) as Micros;
+        let run = ProxyIncarnation {
+            proxy: number,
+            incarnation: proxy.incarnation,
+        };
+        self.queue.push(at, SimulationEvent::WatchNotification(run));
+    }
+
+    /// A notification reaches a proxy, with the changes since the version that it knows.
+    pub(super) fn watch_notification(&mut self, run: ProxyIncarnation) {
+        let proxy = &mut self.proxies[run.proxy as usize];
+        proxy.notification_pending = false;
+        if proxy.subscribed && self.is_current(run) {
+            self.send_listing(run.proxy, Scope::Changes);
+        }
+    }
+
+    /// A proxy is sent the changes after the version that it knows, if there are any, or the
+    /// complete list.
+    pub(super) fn send_listing(&mut self, number: u32, scope: Scope) {
+        let proxy = &mut self.proxies[number as usize];
+        let changes = self.discovery.changes_since(proxy.list_version);
+        if scope == Scope::Changes && changes.is_empty() {
             return;
         }
-        for proxy in 0..self.proxies.len() as u32 {
-            let p = &mut self.proxies[proxy as usize];
-            if p.subscribed && p.policy.is_some() && !p.notification_pending {
-                p.notification_pending = true;
-                let draw = unit_interval(hash_parts([self.seed, u64::from(proxy), self.now, 0x11]));
-                let at = self.now + (spread as f64 * draw) as Micros;
-                self.queue.push(
-                    at,
-                    SimulationEvent::WatchNotification {
-                        proxy,
-                        incarnation: p.incarnation,
-                    },
-                );
+        for entry in changes {
+            if entry.phase == Phase::Ready {
+                proxy.closing_since.remove(&entry.server);
+            } else {
+                let since = proxy.closing_since.entry(entry.server);
+                since.or_insert(self.now);
             }
         }
+        let version = self.discovery.version();
+        proxy.list_version = version;
+        proxy.last_contact = self.now;
+        let servers = if scope == Scope::Changes {
+            changes.iter().map(|entry| self.listed(entry)).collect()
+        } else {
+            self.servers_at(version)
+        };
+        self.deliver(number, Event::Members(Listing { scope, servers }));
     }
 
-    pub(super) fn listed_server(&self, listed: &ListEntry) -> ListedServer {
-        let machine = &self.machines[listed.server as usize];
+    /// The servers of the list at a version.
+    pub(super) fn servers_at(&self, version: usize) -> Vec<ListedServer> {
+        let list = self.discovery.list_at(version);
+        list.iter().map(|entry| self.listed(entry)).collect()
+    }
+
+    fn listed(&self, entry: &ListEntry) -> ListedServer {
+        let machine = &self.machines[entry.server as usize];
         ListedServer {
             id: machine.id,
             zone: machine.zone,
             cell: machine.zone as u64,
-            phase: listed.phase,
+            phase: entry.phase,
             size: if self.scenario.proxies.list_shows_capacity {
                 machine.server.full_capacity()
             } else {
                 1.0
             },
-            started: (listed.started > 0).then_some(listed.started),
+            started: (entry.started > 0).then_some(entry.started),
         }
     }
 
-    /// A proxy is sent the changes after the version that it knows, or the whole list.
-    pub(super) fn send_listing(&mut self, proxy: u32, scope: Scope) {
-        let p = &mut self.proxies[proxy as usize];
-        let changes = self.discovery.changes_since(p.list_version);
-        if scope == Scope::Changes && changes.is_empty() {
-            return;
-        }
-        for listed in changes {
-            match listed.phase {
-                Phase::Ready => drop(p.closing_since.remove(&listed.server)),
-                _ => drop(p.closing_since.entry(listed.server).or_insert(self.now)),
-            }
-        }
-        (p.list_version, p.last_contact) = (self.discovery.version(), self.now);
-        let version = p.list_version;
-        let servers = match scope {
-            Scope::Changes => changes.iter().map(|l| self.listed_server(l)).collect(),
-            _ => self
-                .discovery
-                .list_at(version)
-                .iter()
-                .map(|l| self.listed_server(l))
-                .collect(),
-        };
-        self.deliver(proxy, Event::Members(Listing { scope, servers }));
-    }
-
-    pub(super) fn discovery_response(&mut self, proxy: u32, incarnation: u32, ok: bool) {
-        if !self.is_current(proxy, incarnation) {
+    /// The response to a query of the list reaches a proxy, which watches the list from then on.
+    pub(super) fn discovery_response(&mut self, run: ProxyIncarnation, answered: bool) {
+        if !self.is_current(run) {
             return;
         }
-        let fails = !ok || self.discovery.is_out;
-        self.proxies[proxy as usize].last_query_failed = fails;
-        if fails {
-            let listing = Listing {
-                scope: Scope::Failed,
-                servers: Vec::new(),
-            };
-            return self.deliver(proxy, Event::Members(listing));
+        let has_failed = !answered || self.discovery.is_out;
+        let proxy = &mut self.proxies[run.proxy as usize];
+        proxy.last_query_failed = has_failed;
+        if has_failed {
+            return self.notify_discovery_failed(run.proxy);
         }
-        self.proxies[proxy as usize].subscribed = true;
-        self.send_listing(proxy, Scope::Complete);
+        proxy.subscribed = true;
+        self.send_listing(run.proxy, Scope::Complete);
     }
 }
--- a/crates/emulator/src/simulation/proxies.rs
+++ b/crates/emulator/src/simulation/proxies.rs
@@ -1,121 +1,142 @@
-//! Proxies: the policies that they host, fed with events, and the actions that come out.
+//! Proxies: the policies that they host, which take events and return actions.
 
-use std::collections::VecDeque;
+use std::collections::{BTreeSet, VecDeque};
 
-use ironmast_balancer::{Action, Event, Listing, Micros, Outcome, Scope};
+use ironmast_balancer::{Action, Event, Listing, Micros, Outcome, RequestId, Scope, ServerId};
 use rustc_hash::FxHashMap;
-use slotmap::Key as _;
 
 use super::Simulation;
+use super::arrivals::ArrivalProcess;
 use super::event::SimulationEvent;
-use super::request::{RequestOutcome, request_key};
+use super::ids::{AttemptId, ProxyIncarnation};
+use super::request::RequestOutcome;
 use super::servers::server_number;
 use super::true_state::TrueState;
-use crate::discovery::QueryResult;
 use crate::judge::Rule;
-use crate::network::ConnectionPool;
+use crate::network::{ConnectionPool, IdleCheck};
 use crate::policy::Policy;
 use crate::proxy_settings::settings;
 use crate::random::{Purpose, Stream, hash_parts};
 
+/// A proxy with its clients.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "independent conditions of one proxy"
 )]
 pub(super) struct Proxy {
+    /// Its zone.
     pub(super) zone: usize,
-    pub(super) weight: f64,
+    /// Its policy, while it runs.
     pub(super) policy: Option<Box<dyn Policy>>,
+    /// How often it has stopped.
     pub(super) incarnation: u32,
+    /// Whether clients begin operations; not while they are lost with it.
     pub(super) has_clients: bool,
+    /// Whether it is sent changes of the endpoint list.
     pub(super) subscribed: bool,
-    /// When it was last notified by or queried discovery, and whether its last query failed.
+    /// When it was last notified by discovery or sent it a query.
     pub(super) last_contact: Micros,
+    /// Whether its last query failed.
     pub(super) last_query_failed: bool,
+    /// The version of the endpoint list that it knows.
     pub(super) list_version: usize,
+    /// Whether a notification is on its way.
     pub(super) notification_pending: bool,
+    /// The servers that drain or are gone, with the times when it was notified.
     pub(super) closing_since: FxHashMap<u32, Micros>,
+    /// Its idle connections.
     pub(super) connection_pool: ConnectionPool,
-    pub(super) arrivals: Stream,
+    /// When its clients begin operations.
+    pub(super) arrivals: ArrivalProcess,
+    /// The draws of the classes and the work of the operations.
     pub(super) work: Stream,
-    pub(super) burst: (bool, f64),
-    /// The second of the last arrival, exactly: whole microseconds would add up at high rates.
-    pub(super) last_arrival_s: f64,
 }
 
 impl Simulation<'_> {
-    pub(super) fn is_current(&self, proxy: u32, incarnation: u32) -> bool {
-        let p = &self.proxies[proxy as usize];
-        p.policy.is_some() && p.incarnation == incarnation
+    /// Whether a run of a proxy is the present one.
+    pub(super) fn is_current(&self, run: ProxyIncarnation) -> bool {
+        let proxy = &self.proxies[run.proxy as usize];
+        proxy.policy.is_some() && proxy.incarnation == run.incarnation
     }
 
+    fn current_run(&self, proxy: u32) -> ProxyIncarnation {
+        ProxyIncarnation {
+            proxy,
+            incarnation: self.proxies[proxy as usize].incarnation,
+        }
+    }
+
+    /// Starts a proxy without any state but the list that it knew last.
     pub(super) fn start_proxy(&mut self, number: u32) {
-        let p = &mut self.proxies[number as usize];
-        let (incarnation, zone) = (p.incarnation, p.zone);
-        (p.last_contact, p.has_clients) = (self.now, true);
-        p.closing_since.clear();
-        p.subscribed = !self.scenario.discovery.watch;
-        let version = p.list_version;
+        let watches = self.scenario.discovery.watch;
+        let proxy = &mut self.proxies[number as usize];
+        (proxy.last_contact, proxy.has_clients) = (self.now, true);
+        proxy.closing_since.clear();
+        proxy.subscribed = !watches;
         let seed = hash_parts([
             self.seed,
             Purpose::Policy as u64,
             u64::from(number),
-            u64::from(incarnation),
+            u64::from(proxy.incarnation),
         ]);
-        p.policy = Some((self.build_policy)(
-            settings(self.scenario, number, zone),
-            seed,
-        ));
-        let servers = self.discovery.list_at(version);
-        let servers = servers.iter().map(|l| self.listed_server(l)).collect();
-        self.deliver(
-            number,
-            Event::Members(Listing {
-                scope: Scope::Cached,
-                servers,
-            }),
-        );
-        if !self.scenario.discovery.watch {
+        let settings = settings(self.scenario, number, proxy.zone);
+        proxy.policy = Some((self.build_policy)(settings, seed));
+        let version = proxy.list_version;
+        let servers = self.servers_at(version);
+        let scope = Scope::Cached;
+        self.deliver(number, Event::Members(Listing { scope, servers }));
+        if !watches {
             self.send_listing(number, Scope::Complete);
         }
     }
 
-    pub(super) fn stop_proxies(&mut self, list: &[u32], clients_too: bool) {
-        for &number in list {
-            let p = &mut self.proxies[number as usize];
-            if p.policy.take().is_some() {
-                p.incarnation += 1;
-            }
-            p.has_clients = !clients_too;
-            for (server, idle) in p.connection_pool.drain() {
-                let machine = &mut self.machines[server as usize];
-                if machine.incarnation == idle.incarnation {
-                    machine.connections = machine.connections.saturating_sub(idle.count);
-                }
-            }
+    /// Stops proxies. All that they were doing is lost.
+    pub(super) fn stop_proxies(&mut self, numbers: &[u32], with_clients: bool) {
+        for &number in numbers {
+            self.stop_proxy(number, with_clients);
         }
-        let ends: std::collections::BTreeSet<u32> = list.iter().copied().collect();
-        let held: Vec<u64> = self
+        let stopped: BTreeSet<u32> = numbers.iter().copied().collect();
+        let lost: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, t)| ends.contains(&t.proxy))
-            .map(|(key, _)| key.data().as_ffi())
+            .filter(|(_, request)| stopped.contains(&request.proxy))
+            .map(|(id, _)| id)
             .collect();
-        for request in held {
-            for n in 0..self.requests[request_key(request)].attempts.len() as u8 {
-                if self.attempt(request, n).is_some_and(|a| a.open) {
-                    self.abandon_attempt(request, n);
-                }
+        for id in lost {
+            self.lose_request(id);
+        }
+    }
+
+    fn stop_proxy(&mut self, number: u32, with_clients: bool) {
+        let proxy = &mut self.proxies[number as usize];
+        if proxy.policy.take().is_some() {
+            proxy.incarnation += 1;
+        }
+        proxy.has_clients = !with_clients;
+        for (server, idle) in proxy.connection_pool.drain() {
+            let machine = &mut self.machines[server as usize];
+            if machine.incarnation == idle.incarnation {
+                machine.close_connections(idle.count);
             }
-            if self.requests[request_key(request)].finished {
-                self.drop_finished_request(request);
-            } else {
-                // SimulationEvent a killed instance held is lost with it, and no fault of its.
-                self.finish_request(request, RequestOutcome::Unanswered);
+        }
+    }
+
+    /// A request is lost with its proxy, which breaks no rule.
+    fn lose_request(&mut self, id: RequestId) {
+        for attempt in self.requests.attempt_ids(id) {
+            if self.requests.open_attempt(attempt).is_some() {
+                self.abandon_attempt(attempt);
             }
         }
+        if self.requests[id].finished {
+            self.drop_if_complete(id);
+        } else {
+            self.finish_request(id, RequestOutcome::Unanswered);
+        }
     }
 
+    /// Delivers an event to a policy and executes its actions, with the events that these cause at
+    /// once.
     pub(super) fn deliver(&mut self, number: u32, event: Event) {
         let mut pending = std::mem::take(&mut self.pending);
         let mut actions = std::mem::take(&mut self.actions);
@@ -124,13 +145,13 @@
             let Some(mut policy) = self.proxies[number as usize].policy.take() else {
                 break;
             };
-            let seen = TrueState {
+            let truth = TrueState {
                 machines: &self.machines,
                 positions: &self.positions,
                 network: &self.network,
                 now: self.now,
             };
-            policy.handle(self.now, event, &seen, &mut actions);
+            policy.handle(self.now, event, &truth, &mut actions);
             self.proxies[number as usize].policy = Some(policy);
             for action in actions.drain(..) {
                 self.execute(number, action, &mut pending);
@@ -140,7 +161,7 @@
         (self.pending, self.actions) = (pending, actions);
     }
 
-    pub(super) fn execute(&mut self, proxy: u32, action: Action, pending: &mut VecDeque<Event>) {
+    fn execute(&mut self, proxy: u32, action: Action, pending: &mut VecDeque<Event>) {
         match action {
             Action::Send {
                 id,
@@ -153,133 +174,134 @@
             }
             Action::Fail { id } => self.final_response(proxy, id, RequestOutcome::Failed),
             Action::Cancel { id, attempt } => {
-                let n = attempt as u8;
-                if self.attempt(id, n).is_some_and(|a| a.open) {
-                    self.abandon_attempt(id, n);
-                    pending.push_back(Event::AttemptEnded(self.attempt_ended(
-                        id,
-                        n,
-                        Outcome::Cancelled,
-                    )));
-                    self.drop_finished_request(id);
-                }
-            }
-            Action::Timer { delay, token } => {
-                let incarnation = self.proxies[proxy as usize].incarnation;
-                self.queue.push(
-                    self.now.saturating_add(delay.max(1)),
-                    SimulationEvent::PolicyTimer {
-                        proxy,
-                        incarnation,
-                        token,
-                    },
-                );
-            }
-            Action::Subscribe | Action::FetchAll => {
-                let QueryResult { at, answered: ok } = self.discovery.query(self.now);
-                let p = &mut self.proxies[proxy as usize];
-                p.last_contact = self.now;
-                let incarnation = p.incarnation;
-                let way = 2 * self.network.base_delay(0, 0);
-                self.queue.push(
-                    at + way,
-                    SimulationEvent::DiscoveryResponse {
-                        proxy,
-                        incarnation,
-                        ok,
-                    },
-                );
+                let index = attempt as u8;
+                self.cancel_attempt(AttemptId { request: id, index }, pending);
             }
+            Action::Timer { delay, token } => self.set_timer(proxy, delay, token),
+            Action::Subscribe | Action::FetchAll => self.query_discovery(proxy),
             Action::Unsubscribe => self.proxies[proxy as usize].subscribed = false,
-            Action::Probe { server } => {
-                self.probes += 1;
-                let (server, sent) = (server_number(server), self.now);
-                let p = &self.proxies[proxy as usize];
-                let to = self.machines[server as usize].zone;
-                let at = sent + self.network.delay(p.zone, to, [u64::from(proxy), sent]);
-                self.queue.push(
-                    at,
-                    SimulationEvent::HealthCheckAtServer {
-                        proxy,
-                        incarnation: p.incarnation,
-                        server,
-                        sent,
-                    },
-                );
-            }
+            Action::Probe { server } => self.send_health_check(self.current_run(proxy), server),
             Action::SendToPeers { to, data } => self.send_datagrams(proxy, to, &data),
-            Action::CloseIdle { server } => {
-                let machine = &mut self.machines[server_number(server) as usize];
-                let closed = self.proxies[proxy as usize]
-                    .connection_pool
-                    .close(server_number(server), machine.incarnation);
-                machine.connections = machine.connections.saturating_sub(closed);
-            }
+            Action::CloseIdle { server } => self.close_idle_connections(proxy, server),
             Action::Log(_) => {}
         }
     }
 
-    pub(super) fn send_datagrams(&mut self, from: u32, to: Option<u32>, data: &[u8]) {
-        let all = 0..self.proxies.len() as u32;
-        let to: Vec<u32> = to.map_or_else(|| all.filter(|n| *n != from).collect(), |to| vec![to]);
-        for to in to
-            .into_iter()
-            .filter(|n| (*n as usize) < self.proxies.len())
-        {
-            let zones = (
-                self.proxies[from as usize].zone,
-                self.proxies[to as usize].zone,
-            );
-            let lost = self.datagram_draws.unit() < self.scenario.network.datagram_loss;
-            if lost
-                || self
-                    .network
-                    .partition_end(zones.0, zones.1, self.now)
-                    .is_some()
-            {
-                continue;
+    fn cancel_attempt(&mut self, id: AttemptId, pending: &mut VecDeque<Event>) {
+        if self.requests.open_attempt(id).is_some() {
+            self.abandon_attempt(id);
+            let ended = self.end_attempt(id, Outcome::Cancelled);
+            pending.push_back(Event::AttemptEnded(ended));
+            self.drop_if_complete(id.request);
+        }
+    }
+
+    fn set_timer(&mut self, proxy: u32, delay: Micros, token: u64) {
+        let at = self.now.saturating_add(delay.max(1));
+        let proxy = self.current_run(proxy);
+        self.queue
+            .push(at, SimulationEvent::PolicyTimer { proxy, token });
+    }
+
+    /// A timer of a policy fires.
+    pub(super) fn policy_timer(&mut self, run: ProxyIncarnation, token: u64) {
+        if self.is_current(run) {
+            self.deliver(run.proxy, Event::Timer { token });
+        }
+    }
+
+    fn query_discovery(&mut self, number: u32) {
+        let result = self.discovery.query(self.now);
+        self.proxies[number as usize].last_contact = self.now;
+        let round_trip = 2 * self.network.base_delay(0, 0);
+        self.queue.push(
+            result.at + round_trip,
+            SimulationEvent::DiscoveryResponse {
+                proxy: self.current_run(number),
+                answered: result.answered,
+            },
+        );
+    }
+
+    fn close_idle_connections(&mut self, proxy: u32, server: ServerId) {
+        let server = server_number(server);
+        let machine = &mut self.machines[server as usize];
+        let pool = &mut self.proxies[proxy as usize].connection_pool;
+        let closed = pool.close(server, machine.incarnation);
+        machine.close_connections(closed);
+    }
+
+    /// Closes the idle connections of a proxy to a server if they are too old.
+    pub(super) fn check_idle_connections(&mut self, proxy: u32, server: u32) {
+        let machine = &mut self.machines[server as usize];
+        let pool = &mut self.proxies[proxy as usize].connection_pool;
+        let timeout = self.network.idle_timeout;
+        match pool.check_idle(server, machine.incarnation, self.now, timeout) {
+            IdleCheck::Closed(closed) => machine.close_connections(closed),
+            IdleCheck::CheckAgainAt(at) => self
+                .queue
+                .push(at, SimulationEvent::IdleConnections { proxy, server }),
+        }
+    }
+
+    /// Sends a datagram to one proxy, if it exists, or to all others.
+    fn send_datagrams(&mut self, from: u32, to: Option<u32>, data: &[u8]) {
+        let count = self.proxies.len() as u32;
+        if let Some(to) = to {
+            if to < count {
+                self.send_datagram(from, to, data);
             }
-            let way = self.network.delay(
-                zones.0,
-                zones.1,
-                [u64::from(from) << 32 | u64::from(to), self.now],
-            );
-            self.queue.push(
-                self.now + way,
-                SimulationEvent::PeerDatagram {
-                    from,
-                    to,
-                    data: data.into(),
-                },
-            );
+            return;
+        }
+        for to in (0..count).filter(|to| *to != from) {
+            self.send_datagram(from, to, data);
+        }
+    }
+
+    fn send_datagram(&mut self, from: u32, to: u32, data: &[u8]) {
+        let from_zone = self.proxies[from as usize].zone;
+        let to_zone = self.proxies[to as usize].zone;
+        let is_lost = self.datagram_draws.unit() < self.scenario.network.datagram_loss;
+        let is_partitioned = self
+            .network
+            .partition_end(from_zone, to_zone, self.now)
+            .is_some();
+        if is_lost || is_partitioned {
+            return;
+        }
+        let message = [u64::from(from) << 32 | u64::from(to), self.now];
+        let at = self.now + self.network.delay(from_zone, to_zone, message);
+        let data = data.into();
+        self.queue
+            .push(at, SimulationEvent::PeerDatagram { from, to, data });
+    }
+
+    /// A datagram reaches a proxy, if it runs.
+    pub(super) fn datagram_at_proxy(&mut self, from: u32, to: u32, data: Box<[u8]>) {
+        if self.proxies[to as usize].policy.is_some() {
+            self.traffic.peer_bytes += data.len() as u64;
+            let data = data.into_vec();
+            self.deliver(to, Event::PeerMessage { from, data });
         }
     }
 
-    pub(super) fn final_response(&mut self, proxy: u32, request: u64, end: RequestOutcome) {
-        let Some(held) = self.requests.get_mut(request_key(request)) else {
-            let what = "answered a request that is over or unknown";
-            return self
-                .judge
-                .record_violation(Rule::OneAnswer, self.now, proxy, None, None, what);
+    /// A policy gives its final response to a request.
+    fn final_response(&mut self, proxy: u32, id: RequestId, outcome: RequestOutcome) {
+        let Some(request) = self.requests.get(id) else {
+            let description = "answered a request that is over or unknown";
+            return self.record_violation(Rule::OneAnswer, proxy, None, None, description);
         };
-        if held.finished {
-            if !held.client_left {
-                let number = self.operations[held.op].number;
-                let what = "a second final answer";
-                self.judge.record_violation(
-                    Rule::OneAnswer,
-                    self.now,
-                    proxy,
-                    None,
-                    Some(number),
-                    what,
-                );
+        if request.finished {
+            if !request.client_left {
+                let number = self.operations[request.operation].number;
+                let description = "a second final answer";
+                self.record_violation(Rule::OneAnswer, proxy, None, Some(number), description);
             }
             return;
         }
-        if matches!(end, RequestOutcome::Rejected(_)) {
-            self.check_refusal(proxy, request);
+        if matches!(outcome, RequestOutcome::Rejected(_)) {
+            self.check_rejection(proxy, id);
         }
-        self.finish_request(request, end);
+        self.finish_request(id, outcome);
     }
 }
--- a/crates/emulator/src/simulation/request.rs
+++ b/crates/emulator/src/simulation/request.rs
@@ -1,77 +1,176 @@
-//! Operations of clients, the tries at them, and the attempts of proxies.
+//! Requests at the proxies, and the attempts of the proxies at them.
 
-use ironmast_balancer::{Micros, Outcome};
-use slotmap::{DefaultKey, KeyData};
+use std::ops::{Index, IndexMut};
+
+use ironmast_balancer::{Micros, Outcome, RequestId};
+use slotmap::{DefaultKey, Key as _, KeyData, SlotMap};
 use smallvec::SmallVec;
 
+use super::ids::AttemptId;
+use super::operation::OperationKey;
 use crate::server::JobKey;
 
-/// A client's wish, with all its requests.
-pub(super) struct Operation {
-    pub(super) number: u64,
-    pub(super) proxy: u32,
-    pub(super) class: u8,
-    pub(super) work: f64,
-    pub(super) start: Micros,
-    /// Tries so far; the fate once it has ended.
-    pub(super) request_count: u32,
-    pub(super) ended: bool,
-    /// Tries open, retries due and jobs at servers.
-    pub(super) references: u32,
-    /// Where and when it ran.
-    pub(super) executions: SmallVec<[(usize, Micros); 1]>,
-}
-
-/// One try of an operation, as a proxy references it.
+/// One request of an operation at a proxy.
 pub(super) struct PendingRequest {
-    pub(super) op: DefaultKey,
+    /// The operation that it belongs to.
+    pub(super) operation: OperationKey,
+    /// The number of the proxy.
     pub(super) proxy: u32,
+    /// When its client's timeout ends.
     pub(super) expires: Micros,
+    /// Whether it has its final response, or its client does not wait for one any more.
     pub(super) finished: bool,
-    /// Its client has left.
+    /// Whether its client closed the connection.
     pub(super) client_left: bool,
+    /// The attempts so far.
     pub(super) attempts: SmallVec<[Attempt; 1]>,
 }
 
+impl PendingRequest {
+    /// Whether the outcome of any attempt is still to come.
+    pub(super) fn has_open_attempt(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.open)
+    }
+}
+
+/// One attempt at a request.
 pub(super) struct Attempt {
+    /// The number of the server.
     pub(super) server: u32,
+    /// The server's incarnation at that time.
     pub(super) incarnation: u32,
+    /// When it was sent.
     pub(super) sent: Micros,
+    /// Whether its outcome is still to come.
     pub(super) open: bool,
+    /// Whether it needs a new connection.
     pub(super) new_connection: bool,
-    /// It references a connection that the server counts.
+    /// Whether it has a connection that the server counts.
     pub(super) connected: bool,
+    /// The job at the server.
     pub(super) job: Option<JobKey>,
-    /// How it ended, as the proxy was notified.
+    /// Its outcome, as the proxy was notified.
     pub(super) outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    pub(super) fn may_have_run(&self) -> bool {
-        self.outcome.is_none_or(|o| !o.never_ran())
+    /// An attempt that was never sent.
+    pub(super) fn not_sent(now: Micros) -> Self {
+        Attempt {
+            server: 0,
+            incarnation: 0,
+            sent: now,
+            open: false,
+            new_connection: false,
+            connected: false,
+            job: None,
+            outcome: None,
+        }
     }
-}
 
-impl PendingRequest {
-    pub(super) fn has_open_attempt(&self) -> bool {
-        self.attempts.iter().any(|a| a.open)
+    /// Whether the server may have executed it, as far as the proxy knows.
+    pub(super) fn may_have_run(&self) -> bool {
+        self.outcome.is_none_or(|outcome| !outcome.never_ran())
     }
 }
 
-/// How one try ended.
+/// How one request ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestOutcome {
+    /// With a response.
     Served,
+    /// Rejected, with the time of its Retry-After.
     Rejected(Option<Micros>),
+    /// With an error.
     Failed,
-    /// The proxy was not there, or went down with it.
+    /// The proxy was not running.
     ProxyUnreachable,
-    /// No answer came in time.
+    /// No response came in time, or the proxy stopped before.
     Unanswered,
-    /// The client left.
+    /// The client closed its connection before its timeout.
     ClientLeft,
 }
 
-pub(super) fn request_key(request: u64) -> DefaultKey {
-    KeyData::from_ffi(request).into()
+/// The requests that are not finished or have open attempts, by their ids.
+#[derive(Default)]
+pub(super) struct RequestTable(SlotMap<DefaultKey, PendingRequest>);
+
+fn key(id: RequestId) -> DefaultKey {
+    KeyData::from_ffi(id).into()
+}
+
+impl RequestTable {
+    /// Inserts a request and returns its id.
+    pub(super) fn insert(&mut self, request: PendingRequest) -> RequestId {
+        self.0.insert(request).data().as_ffi()
+    }
+
+    /// The request with an id.
+    pub(super) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
+        self.0.get(key(id))
+    }
+
+    /// The request with an id.
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+        self.0.get_mut(key(id))
+    }
+
+    /// Removes a request if it is finished and has no open attempt.
+    pub(super) fn remove_if_complete(&mut self, id: RequestId) -> Option<PendingRequest> {
+        self.get(id)
+            .filter(|request| request.finished && !request.has_open_attempt())?;
+        self.0.remove(key(id))
+    }
+
+    /// All requests.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (RequestId, &PendingRequest)> {
+        self.0
+            .iter()
+            .map(|(key, request)| (key.data().as_ffi(), request))
+    }
+
+    /// An attempt whose outcome is still to come.
+    pub(super) fn open_attempt(&self, id: AttemptId) -> Option<&Attempt> {
+        self.get(id.request)?
+            .attempts
+            .get(usize::from(id.index))
+            .filter(|attempt| attempt.open)
+    }
+
+    /// The ids of all attempts of a request.
+    pub(super) fn attempt_ids(
+        &self,
+        request: RequestId,
+    ) -> impl Iterator<Item = AttemptId> + use<> {
+        let count = self.get(request).map_or(0, |found| found.attempts.len());
+        (0..count as u8).map(move |index| AttemptId { request, index })
+    }
+}
+
+impl Index<RequestId> for RequestTable {
+    type Output = PendingRequest;
+
+    fn index(&self, id: RequestId) -> &PendingRequest {
+        &self.0[key(id)]
+    }
+}
+
+impl IndexMut<RequestId> for RequestTable {
+    fn index_mut(&mut self, id: RequestId) -> &mut PendingRequest {
+        &mut self.0[key(id)]
+    }
+}
+
+impl Index<AttemptId> for RequestTable {
+    type Output = Attempt;
+
+    fn index(&self, id: AttemptId) -> &Attempt {
+        &self[id.request].attempts[usize::from(id.index)]
+    }
+}
+
+impl IndexMut<AttemptId> for RequestTable {
+    fn index_mut(&mut self, id: AttemptId) -> &mut Attempt {
+        &mut self[id.request].attempts[usize::from(id.index)]
+    }
 }
--- a/crates/emulator/src/simulation/rule_checks.rs
+++ b/crates/emulator/src/simulation/rule_checks.rs
@@ -1,97 +1,159 @@
-//! Checks of the rules on what a policy sends and refuses.
+//! Checks of the rules on what a policy sends and rejects, by what its proxy had been notified of.
 
-use ironmast_balancer::Phase;
+use ironmast_balancer::{Micros, Phase, RequestId};
 
 use super::Simulation;
-use super::request::{Attempt, request_key};
+use super::ids::AttemptId;
+use super::proxies::Proxy;
+use super::request::Attempt;
 use crate::judge::Rule;
-use crate::scenario::{DeduplicationGroup, EffectSpec, seconds};
+use crate::scenario::{DeduplicationGroup, EffectSpec, Scenario, millis, seconds};
 
-impl Simulation<'_> {
-    /// Rule 3: a proxy that was notified, or counts as notified because it does not ask.
-    pub(super) fn check_drain(&mut self, proxy: u32, server: u32, number: u64) {
-        let p = &self.proxies[proxy as usize];
-        let mut told = p.closing_since.get(&server).copied();
-        // A call that failed excuses for longer; while discovery is out nobody could know.
-        let within = self.rule_limits.discovery_interval * if p.last_query_failed { 4 } else { 1 };
-        if told.is_none()
-            && !p.subscribed
-            && !self.discovery.is_out
-            && self.now > p.last_contact + within
-        {
-            let asked = self
-                .discovery
-                .changes_since(p.list_version)
-                .iter()
-                .rev()
-                .find(|l| l.server == server);
-            let closed = asked.filter(|l| l.phase != Phase::Ready);
-            told = closed.map(|l| l.since.max(p.last_contact) + within);
+/// The limits that the rules set.
+pub(super) struct RuleLimits {
+    /// The time after its timeout until which a client accepts a response.
+    pub(super) answer_slack: Micros,
+    /// The longest time between two queries of a proxy that does not watch the list.
+    pub(super) discovery_interval: Micros,
+    /// The most attempts at one request.
+    pub(super) max_attempts: usize,
+    /// Whether attempts at one request may be open at the same time.
+    pub(super) allow_hedging: bool,
+}
+
+impl RuleLimits {
+    /// The limits of a scenario.
+    pub(super) fn new(scenario: &Scenario) -> Self {
+        RuleLimits {
+            answer_slack: millis(scenario.rules.answer_slack_ms),
+            discovery_interval: seconds(scenario.rules.max_query_interval_s),
+            max_attempts: scenario.proxies.max_attempts as usize,
+            allow_hedging: scenario.proxies.allow_hedging,
         }
-        if let Some(told) = told {
+    }
+}
+
+/// How many times longer a failed query excuses a proxy: while discovery is out, nobody can know
+/// its list.
+const FAILED_QUERY_EXCUSE: Micros = 4;
+
+impl Simulation<'_> {
+    /// Records a violation of a rule that happens now.
+    pub(super) fn record_violation(
+        &mut self,
+        rule: Rule,
+        proxy: u32,
+        server: Option<u32>,
+        operation: Option<u64>,
+        description: impl Into<String>,
+    ) {
+        self.judge
+            .record_violation(rule, self.now, proxy, server, operation, description);
+    }
+
+    /// Checks an attempt before it is sent. Returns whether it breaks a rule outright.
+    pub(super) fn is_forbidden(&mut self, proxy: u32, server: u32, id: RequestId) -> bool {
+        let request = &self.requests[id];
+        let number = self.operations[request.operation].number;
+        let limits = &self.rule_limits;
+        let (rule, description) = if request.finished {
+            (Rule::OneAnswer, "sent a request that has its answer")
+        } else if request.attempts.len() >= limits.max_attempts {
+            (Rule::NoEffectTwice, "more attempts than are allowed")
+        } else if request.has_open_attempt() && !limits.allow_hedging {
+            let description = "two attempts of one request out together";
+            (Rule::NoEffectTwice, description)
+        } else if server as usize >= self.machines.len() {
+            (Rule::NoSendAfterDrain, "sent to an unknown server")
+        } else {
+            return false;
+        };
+        self.record_violation(rule, proxy, Some(server), Some(number), description);
+        true
+    }
+
+    /// No new request to a server that drains or is gone: checks a proxy that was notified, or
+    /// counts as notified because it should have queried the list.
+    pub(super) fn check_drain(&mut self, number: u32, server: u32, operation: u64) {
+        let proxy = &self.proxies[number as usize];
+        let notified = proxy.closing_since.get(&server).copied();
+        if let Some(at) = notified.or_else(|| self.overdue_notification(proxy, server)) {
             self.judge
-                .check_send_after_drain(self.now, told, proxy, server, number);
+                .check_send_after_drain(self.now, at, number, server, operation);
+        }
+    }
+
+    /// When a proxy that does not watch the list would have learned at the latest, by querying as
+    /// often as it must, that a server drains or is gone.
+    fn overdue_notification(&self, proxy: &Proxy, server: u32) -> Option<Micros> {
+        let excuse = if proxy.last_query_failed {
+            FAILED_QUERY_EXCUSE
+        } else {
+            1
+        };
+        let interval = self.rule_limits.discovery_interval * excuse;
+        let is_overdue =
+            !proxy.subscribed && !self.discovery.is_out && self.now > proxy.last_contact + interval;
+        if !is_overdue {
+            return None;
         }
+        let changes = self.discovery.changes_since(proxy.list_version);
+        let newest = changes.iter().rev().find(|entry| entry.server == server)?;
+        (newest.phase != Phase::Ready).then(|| newest.since.max(proxy.last_contact) + interval)
     }
 
-    /// Rule 2 where servers drop repeats: only those of the group, and only for a while, know of
-    /// the first.
-    pub(super) fn check_repeat(&mut self, proxy: u32, server: u32, request: u64, n: u8) {
-        let held = &self.requests[request_key(request)];
-        let op = &self.operations[held.op];
-        let spec = &self.scenario.classes[op.class as usize];
-        if spec.effect != EffectSpec::Deduplicated {
-            return; // free may run again; for `once`, running twice shows it
+    /// No effect twice, where servers drop duplicates: only those of the group know of the first,
+    /// and only for the window. (Idempotent requests may run again; for those that are not
+    /// idempotent, a second execution shows it.)
+    pub(super) fn check_repeat(&mut self, proxy: u32, server: u32, id: AttemptId) {
+        let request = &self.requests[id.request];
+        let operation = &self.operations[request.operation];
+        let class = &self.scenario.classes[usize::from(operation.class)];
+        if class.effect != EffectSpec::Deduplicated {
+            return;
         }
-        let (now, window, zone) = (
-            self.now,
-            seconds(spec.deduplication_window_s),
-            self.machines[server as usize].zone,
-        );
-        let harmful = held.attempts[..n as usize]
+        let window = seconds(class.deduplication_window_s);
+        let zone = self.machines[server as usize].zone;
+        let is_unknown_there = |earlier: &Attempt| {
+            let is_outside_group = class.group == DeduplicationGroup::Zone
+                && self.machines[earlier.server as usize].zone != zone;
+            self.now >= earlier.sent + window || is_outside_group
+        };
+        let is_harmful = request.attempts[..usize::from(id.index)]
             .iter()
-            .filter(|a| a.may_have_run())
-            .any(|a| {
-                let stranger = spec.group == DeduplicationGroup::Zone
-                    && self.machines[a.server as usize].zone != zone;
-                now >= a.sent + window || stranger
-            });
-        if harmful {
-            let what = format!(
+            .filter(|earlier| earlier.may_have_run())
+            .any(is_unknown_there);
+        if is_harmful {
+            let number = operation.number;
+            let description = format!(
                 "`{}` sent again to where nobody knows of the first",
-                spec.name
+                class.name
             );
-            self.judge.record_violation(
+            self.record_violation(
                 Rule::NoEffectTwice,
-                now,
                 proxy,
                 Some(server),
-                Some(op.number),
-                what,
+                Some(number),
+                description,
             );
         }
     }
 
-    /// Rule 2 for refusals: "try again" only where that is harmless.
-    pub(super) fn check_refusal(&mut self, proxy: u32, request: u64) {
-        let held = &self.requests[request_key(request)];
-        let op = &self.operations[held.op];
-        let spec = &self.scenario.classes[op.class as usize];
-        let harmless = match spec.effect {
+    /// No effect twice, for rejections: a client retries after them, so nothing may have run unless
+    /// that is harmless.
+    pub(super) fn check_rejection(&mut self, proxy: u32, id: RequestId) {
+        let request = &self.requests[id];
+        let operation = &self.operations[request.operation];
+        let class = &self.scenario.classes[usize::from(operation.class)];
+        let is_harmless = match class.effect {
             EffectSpec::Idempotent => true,
             EffectSpec::NonIdempotent => false,
-            EffectSpec::Deduplicated => spec.group == DeduplicationGroup::All,
+            EffectSpec::Deduplicated => class.group == DeduplicationGroup::All,
         };
-        if !harmless && held.attempts.iter().any(Attempt::may_have_run) {
-            let what = format!("`{}` refused though it may have run", spec.name);
-            self.judge.record_violation(
-                Rule::NoEffectTwice,
-                self.now,
-                proxy,
-                None,
-                Some(op.number),
-                what,
-            );
+        if !is_harmless && request.attempts.iter().any(Attempt::may_have_run) {
+            let number = operation.number;
+            let description = format!("`{}` refused though it may have run", class.name);
+            self.record_violation(Rule::NoEffectTwice, proxy, None, Some(number), description);
         }
     }
 }
--- a/crates/emulator/src/simulation/servers.rs
+++ b/crates/emulator/src/simulation/servers.rs
@@ -1,76 +1,109 @@
-//! Servers with their surroundings: processes that start and end, jobs that begin and leave.
+//! Machines, which run one server process after another, and the jobs of these.
 
 use std::collections::BTreeMap;
 
 use ironmast_balancer::{Micros, Outcome, Phase, ServerId};
-use slotmap::Key as _;
 
-use super::Simulation;
 use super::event::SimulationEvent;
-use super::request::{Attempt, request_key};
+use super::ids::{AttemptId, AttemptMessage, ServerIncarnation};
+use super::operation::Execution;
+use super::{Fact, Simulation};
 use crate::fault_schedule::Degradation;
 use crate::judge::Rule;
 use crate::random::hash_parts;
 use crate::scenario::{DeduplicationGroup, EffectSpec, seconds};
 use crate::server::{Job, JobEvent, JobKey, Server};
 
-/// A server with its surroundings. Its number is its position; a replacement has a new one.
+/// The core time in use and available so far, in microseconds.
+#[derive(Clone, Copy, Default)]
+pub(super) struct CoreTime {
+    /// In use.
+    pub(super) busy: f64,
+    /// While the server was up.
+    pub(super) available: f64,
+}
+
+/// A machine that runs a server. Its index is the server's number; a machine that replaces another
+/// has a number of its own.
 pub(super) struct Machine {
+    /// The server.
     pub(super) server: Server,
+    /// The id that proxies know.
     pub(super) id: ServerId,
+    /// Its zone.
     pub(super) zone: usize,
+    /// Its position, which outlives it.
     pub(super) position: u32,
+    /// The index of its pool.
     pub(super) pool: usize,
+    /// How often its server has stopped.
     pub(super) incarnation: u32,
+    /// Open connections to the present incarnation.
     pub(super) connections: u32,
+    /// The phase of its server while that is up.
     pub(super) phase: Phase,
-    /// Its machine gives no sign.
+    /// Whether it failed silently: nothing that is sent to it is answered.
     pub(super) unresponsive: bool,
-    /// Pushed over while cold: it stays down.
+    /// Whether its server crashed by overload while it warmed up, after which it stays down.
     pub(super) crashed_by_overload: bool,
-    /// The version of the list that first showed its latest start.
+    /// The version of the endpoint list that first showed its latest start.
     pub(super) start_version: usize,
-    pub(super) next_wakeup: Micros,
-    /// Busy share at each sample, and what was counted at the last one.
+    /// When the next [`SimulationEvent::ServerDeadline`] that counts is scheduled.
+    pub(super) next_deadline: Micros,
+    /// The share of core time in use in each sample interval; NaN where it was down.
     pub(super) utilization: Vec<f32>,
-    pub(super) last_sample: (f64, f64),
+    /// The core time at the last sample.
+    pub(super) last_sample: CoreTime,
+}
+
+impl Machine {
+    /// Counts connections as closed.
+    pub(super) fn close_connections(&mut self, count: u32) {
+        self.connections = self.connections.saturating_sub(count);
+    }
 }
 
-/// A position that a server stands at: its address.
+/// A position of the fleet, with the faults in force there.
+#[derive(Default)]
 pub(super) struct Position {
+    /// The number of the machine there.
     pub(super) machine: u32,
+    /// How many times slower each fault makes the server, by the index of the fault.
     pub(super) slowdowns: BTreeMap<usize, f64>,
+    /// The degraded classes, by the index of the fault.
     pub(super) degradations: BTreeMap<usize, Degradation>,
+    /// The number of faults that pause the server.
     pub(super) pauses: u32,
+    /// The number of faults that stopped the server.
     pub(super) outages: u32,
 }
 
+/// The id of a server. The order of the ids reveals nothing; the low half is the number.
 pub(super) fn server_id(number: u32) -> ServerId {
-    // The order of the ids tells nothing; the low half leads back to the server.
     ServerId(hash_parts([u64::from(number), 0x5e, 0, 0]) << 32 | u64::from(number))
 }
 
+/// The number of the server with an id.
 pub(super) fn server_number(id: ServerId) -> u32 {
     id.0 as u32
 }
 
-/// Looking up a repeat costs a server this much work.
+/// The work of looking up the result of a duplicate, in core-microseconds.
 const DUPLICATE_LOOKUP_WORK: f64 = 200.0;
 
 impl Simulation<'_> {
+    /// Advances a server to now.
     pub(super) fn advance(&mut self, server: u32) {
-        let mut job_events = std::mem::take(&mut self.job_events);
         self.machines[server as usize]
             .server
-            .advance(self.now, &mut job_events);
-        self.job_events = job_events;
+            .advance(self.now, &mut self.job_events);
     }
 
     /// Handles the job events of a server, and schedules when it must be advanced next.
     pub(super) fn handle_job_events(&mut self, server: u32) {
         let mut job_events = std::mem::take(&mut self.job_events);
-        for what in job_events.drain(..) {
-            match what {
+        for event in job_events.drain(..) {
+            match event {
                 JobEvent::Started(job) => self.job_started(server, job),
                 JobEvent::Finished(job) => self.job_ended(server, &job, Outcome::Ok),
                 JobEvent::Dropped(job) => self.job_ended(server, &job, Outcome::Overloaded),
@@ -78,111 +111,123 @@
         }
         self.job_events = job_events;
         let machine = &mut self.machines[server as usize];
-        if let Some(at) = machine
-            .server
-            .next_deadline()
-            .map(|due| due.max(self.now + 1))
-            && at < machine.next_wakeup
-        {
-            machine.next_wakeup = at;
+        let Some(due) = machine.server.next_deadline() else {
+            return;
+        };
+        let at = due.max(self.now + 1);
+        if at < machine.next_deadline {
+            machine.next_deadline = at;
             self.queue
                 .push(at, SimulationEvent::ServerDeadline { server, at });
         }
     }
 
-    /// A request begins to run: this is where an effect happens.
-    pub(super) fn job_started(&mut self, server: u32, job_key: JobKey) {
+    /// A server must be advanced now, if this deadline still counts.
+    pub(super) fn server_deadline(&mut self, server: u32, at: Micros) {
+        let machine = &mut self.machines[server as usize];
+        if machine.next_deadline == at {
+            machine.next_deadline = Micros::MAX;
+            self.advance(server);
+            self.handle_job_events(server);
+        }
+    }
+
+    /// A server notices that the proxy abandoned the attempt of a job.
+    pub(super) fn cancellation_at_server(&mut self, at: ServerIncarnation, job: JobKey) {
+        if self.machines[at.server as usize].incarnation != at.incarnation {
+            return;
+        }
+        self.advance(at.server);
+        let server = &mut self.machines[at.server as usize].server;
+        if let Some(job) = server.cancel(job, &mut self.job_events) {
+            self.release(job.operation);
+        }
+        self.handle_job_events(at.server);
+    }
+
+    /// A job begins to run, which is where its effect happens.
+    fn job_started(&mut self, server: u32, job_key: JobKey) {
         let machine = &self.machines[server as usize];
         let Some(job) = machine.server.job(job_key) else {
             return;
         };
-        let (zone, op_key) = (machine.zone, job.op);
-        let op = &mut self.operations[op_key];
-        let spec = &self.scenario.classes[op.class as usize];
-        let (now, number, proxy) = (self.now, op.number, op.proxy);
-        match spec.effect {
-            EffectSpec::Idempotent => {}
-            EffectSpec::NonIdempotent if op.executions.is_empty() => {}
-            EffectSpec::NonIdempotent => {
-                let what = format!("`{}` ran again, which it must never", spec.name);
-                self.judge.record_violation(
-                    Rule::NoEffectTwice,
-                    now,
-                    proxy,
-                    Some(server),
-                    Some(number),
-                    what,
-                );
+        let execution = Execution {
+            zone: machine.zone,
+            at: self.now,
+        };
+        let operation_key = job.operation;
+        let operation = &self.operations[operation_key];
+        let (number, proxy) = (operation.number, operation.proxy);
+        let class = &self.scenario.classes[usize::from(operation.class)];
+        let is_first = operation.executions.is_empty();
+        let parts = [number, self.now, u64::from(server)];
+        match class.effect {
+            EffectSpec::Deduplicated if self.is_duplicate(job, execution) => {
+                let server = &mut self.machines[server as usize].server;
+                server.shorten(job_key, DUPLICATE_LOOKUP_WORK);
+                return self.record_fact(Fact::DuplicateDropped, parts);
             }
-            EffectSpec::Deduplicated => {
-                let window = seconds(spec.deduplication_window_s);
-                let same =
-                    |run: &&(usize, Micros)| spec.group == DeduplicationGroup::All || run.0 == zone;
-                if op
-                    .executions
-                    .iter()
-                    .filter(same)
-                    .any(|run| now < run.1 + window)
-                {
-                    // The server knows it: a repeat is looked up and answered, and has no effect.
-                    self.machines[server as usize]
-                        .server
-                        .shorten(job_key, DUPLICATE_LOOKUP_WORK);
-                    return self.judge.record_fact(4, [number, now, u64::from(server)]);
-                }
-                // An attempt that was given up and yet ran, long after: no policy could know, and
-                // no rule is broken, but the effect is there and is counted.
-                self.late_repeats += u64::from(!op.executions.is_empty());
+            // An attempt that was abandoned and yet ran, long after: no policy could know, and no
+            // rule is broken, but the effect is there and is counted.
+            EffectSpec::Deduplicated => self.traffic.late_repeats += u64::from(!is_first),
+            EffectSpec::NonIdempotent if !is_first => {
+                let rule = Rule::NoEffectTwice;
+                let description = format!("`{}` ran again, which it must never", class.name);
+                self.record_violation(rule, proxy, Some(server), Some(number), description);
             }
+            EffectSpec::NonIdempotent | EffectSpec::Idempotent => {}
         }
-        op.executions.push((zone, now));
-        self.judge.record_fact(3, [number, now, u64::from(server)]);
+        self.operations[operation_key].executions.push(execution);
+        self.record_fact(Fact::Executed, parts);
+    }
+
+    /// Whether the servers still know an earlier execution of the job's operation.
+    fn is_duplicate(&self, job: &Job, execution: Execution) -> bool {
+        let class = &self.scenario.classes[usize::from(job.class)];
+        let window = seconds(class.deduplication_window_s);
+        let is_known = |earlier: &Execution| {
+            let is_in_group =
+                class.group == DeduplicationGroup::All || earlier.zone == execution.zone;
+            is_in_group && execution.at < earlier.at + window
+        };
+        let operation = &self.operations[job.operation];
+        operation.executions.iter().any(is_known)
     }
 
-    /// Sends what a server in `zone` responds to a job, unless its proxy no longer waits.
-    /// `leg` names the message, so that its latency is its own.
-    pub(super) fn send_response(&mut self, zone: usize, job: &Job, outcome: Outcome, leg: u64) {
-        let Some(held) = self
-            .requests
-            .get(request_key(job.request))
-            .filter(|_| !job.cancelled)
-        else {
+    /// Sends the outcome of a job from a server in `zone`, unless its proxy abandoned it.
+    fn send_response(&mut self, zone: usize, job: &Job, outcome: Outcome, message: AttemptMessage) {
+        let Some(request) = self.requests.get(job.request).filter(|_| !job.cancelled) else {
             return;
         };
-        let to = self.proxies[held.proxy as usize].zone;
-        let (number, n) = (self.operations[held.op].number, job.attempt);
-        let way = self
-            .network
-            .delay(zone, to, [number, u64::from(n) << 8 | leg]);
-        let from = self
-            .network
-            .partition_end(zone, to, self.now)
-            .unwrap_or(self.now);
-        self.queue.push(
-            from + way,
-            SimulationEvent::ResponseAtProxy {
-                request: job.request,
-                n,
-                outcome,
-            },
-        );
+        let to = self.proxies[request.proxy as usize].zone;
+        let attempt = AttemptId {
+            request: job.request,
+            index: job.attempt,
+        };
+        let delay = self.attempt_delay(zone, to, attempt, message);
+        let at = self.after_partition(zone, to) + delay;
+        self.schedule_response(attempt, outcome, at);
     }
 
-    pub(super) fn job_ended(&mut self, server: u32, job: &Job, outcome: Outcome) {
-        let machine = &self.machines[server as usize];
-        let position = &self.positions[machine.position as usize];
-        let silent = position
-            .degradations
-            .values()
+    /// A job ended at a server.
+    fn job_ended(&mut self, server: u32, job: &Job, outcome: Outcome) {
+        let is_unanswered = self
+            .degradations(server)
             .any(|degradation| degradation.class == job.class && degradation.unanswered);
-        let zone = machine.zone;
-        if !silent {
-            self.send_response(zone, job, outcome, 5);
+        if !is_unanswered {
+            let zone = self.machines[server as usize].zone;
+            self.send_response(zone, job, outcome, AttemptMessage::Response);
         }
-        self.release(job.op);
+        self.release(job.operation);
     }
 
-    /// A server's process ends, or its machine vanishes.
+    /// The grey failures in force at the position of a server.
+    pub(super) fn degradations(&self, server: u32) -> impl Iterator<Item = &Degradation> {
+        let position = self.machines[server as usize].position;
+        self.positions[position as usize].degradations.values()
+    }
+
+    /// A server's process ends, or its machine fails silently.
     pub(super) fn stop_server(&mut self, server: u32, silent: bool) {
         self.advance(server);
         self.handle_job_events(server);
@@ -194,60 +239,60 @@
         let jobs = machine.server.stop();
         machine.incarnation += 1;
         machine.unresponsive = silent;
-        (machine.connections, machine.next_wakeup) = (0, Micros::MAX);
+        machine.connections = 0;
+        machine.next_deadline = Micros::MAX;
         self.judge.warm_up_ended(server);
         for job in jobs {
             if !silent {
-                self.send_response(zone, &job, Outcome::Reset, 6);
+                self.send_response(zone, &job, Outcome::Reset, AttemptMessage::Reset);
             }
-            self.release(job.op);
+            self.release(job.operation);
         }
-        let gone = seconds(self.scenario.discovery.removal_delay_s);
+        let delay = seconds(self.scenario.discovery.removal_delay_s);
         self.queue
-            .push(self.now + gone, SimulationEvent::ListUpdate(server));
+            .push(self.now + delay, SimulationEvent::ListUpdate { server });
     }
 
-    /// A server's process starts, cold; connections that led to its last incarnation are reset.
+    /// A server's process starts and warms up. Connections to an incarnation that failed silently
+    /// are reset.
     pub(super) fn start_server(&mut self, server: u32) {
         let machine = &mut self.machines[server as usize];
         if machine.server.up || machine.crashed_by_overload || machine.phase == Phase::Gone {
             return;
         }
-        let was_silent = std::mem::replace(&mut machine.unresponsive, false);
+        let was_unresponsive = std::mem::replace(&mut machine.unresponsive, false);
         machine.server.start(self.now);
         machine.start_version = usize::MAX;
-        let incarnation = machine.incarnation;
-        let zone = machine.zone;
         self.apply_faults(server);
-        let start = seconds(self.scenario.discovery.start_delay_s);
+        let delay = seconds(self.scenario.discovery.start_delay_s);
         self.queue
-            .push(self.now + start, SimulationEvent::ListUpdate(server));
-        if was_silent {
-            let stuck = |a: &Attempt| {
-                a.open && a.server == server && a.incarnation < incarnation && a.connected
-            };
-            let found: Vec<(u64, u8, u32)> = self
-                .requests
-                .iter()
-                .flat_map(|(key, t)| {
-                    let stuck = t.attempts.iter().enumerate().filter(|(_, a)| stuck(a));
-                    stuck.map(move |(n, _)| (key.data().as_ffi(), n as u8, t.proxy))
-                })
-                .collect();
-            for (request, n, proxy) in found {
-                let way = self
-                    .network
-                    .base_delay(zone, self.proxies[proxy as usize].zone);
-                self.queue.push(
-                    self.now + way,
-                    SimulationEvent::ResponseAtProxy {
-                        request,
-                        n,
-                        outcome: Outcome::Reset,
-                    },
-                );
+            .push(self.now + delay, SimulationEvent::ListUpdate { server });
+        if was_unresponsive {
+            self.reset_old_connections(server);
+        }
+    }
+
+    /// Resets the connections to earlier incarnations of a server.
+    fn reset_old_connections(&mut self, server: u32) {
+        let (zone, incarnation) = {
+            let machine = &self.machines[server as usize];
+            (machine.zone, machine.incarnation)
+        };
+        let mut resets = Vec::new();
+        for (id, request) in self.requests.iter() {
+            let proxy_zone = self.proxies[request.proxy as usize].zone;
+            let at = self.now + self.network.base_delay(zone, proxy_zone);
+            for attempt in self.requests.attempt_ids(id) {
+                let found = &self.requests[attempt];
+                let is_old = found.server == server && found.incarnation < incarnation;
+                if is_old && found.open && found.connected {
+                    resets.push((attempt, at));
+                }
             }
         }
+        for (attempt, at) in resets {
+            self.schedule_response(attempt, Outcome::Reset, at);
+        }
     }
 
     /// Applies the faults in force at the position of a server to its speed.
@@ -255,10 +300,9 @@
         self.advance(server);
         let machine = &mut self.machines[server as usize];
         let position = &self.positions[machine.position as usize];
-        machine
-            .server
-            .set_fault(position.slowdowns.values().product(), position.pauses > 0);
-        machine.next_wakeup = Micros::MAX;
+        let slowness = position.slowdowns.values().product();
+        machine.server.set_fault(slowness, position.pauses > 0);
+        machine.next_deadline = Micros::MAX;
         self.handle_job_events(server);
     }
 }
--- a/crates/emulator/src/simulation/setup.rs
+++ b/crates/emulator/src/simulation/setup.rs
@@ -1,11 +1,12 @@
-//! The fleet at the start of a run.
+//! The fleet at the start of a run: servers, proxies, the endpoint list and the steps of faults.
 
-use ironmast_balancer::{Micros, Phase};
+use ironmast_balancer::Phase;
 use rustc_hash::FxHashMap;
 
+use super::arrivals::ArrivalProcess;
 use super::event::SimulationEvent;
 use super::proxies::Proxy;
-use super::servers::{Machine, Position, server_id};
+use super::servers::{CoreTime, Machine, Position, server_id};
 use super::{ORIGIN, Simulation};
 use crate::discovery::ListEntry;
 use crate::fault_schedule::{FaultTargets, schedule};
@@ -13,72 +14,72 @@
 use crate::random::{Purpose, Stream};
 use crate::server::Server;
 
-/// The zone of each proxy: dealt out by the weights, the zone furthest behind next.
+/// The zone of each proxy: the zone that is furthest behind its share by weight is next.
 fn assign_zones(weights: &[f64], zones: usize, count: u32) -> Vec<usize> {
-    let weight = |z: usize| {
-        weights
-            .get(z)
-            .copied()
-            .unwrap_or(if weights.is_empty() { 1.0 } else { 0.0 })
-    };
+    let default_weight = if weights.is_empty() { 1.0 } else { 0.0 };
+    let weight = |zone: usize| weights.get(zone).copied().unwrap_or(default_weight);
     let total: f64 = (0..zones).map(weight).sum();
-    let mut have = vec![0.0; zones];
-    let next = |n: u32| {
-        let behind = |z: &usize| weight(*z) / total * f64::from(n + 1) - have[*z];
+    let mut assigned = vec![0.0; zones];
+    let next = |index: u32| {
+        let deficit = |zone: &usize| weight(*zone) / total * f64::from(index + 1) - assigned[*zone];
         let zone = (0..zones)
-            .max_by(|a, b| behind(a).total_cmp(&behind(b)).then(b.cmp(a)))
+            .max_by(|a, b| deficit(a).total_cmp(&deficit(b)).then(b.cmp(a)))
             .unwrap_or(0);
-        have[zone] += 1.0;
+        assigned[zone] += 1.0;
         zone
     };
     (0..count).map(next).collect()
 }
 
 impl Simulation<'_> {
-    /// Servers, proxies, the first lists and all steps of the troubles.
+    /// Sets up all that is there at the start.
     pub(super) fn set_up(&mut self) {
-        let zones = self.scenario.zones.len();
-        let mut dealt = 0;
-        for (number, pool) in self.scenario.pools.iter().enumerate() {
-            for _ in 0..pool.servers {
-                let zone = self
-                    .scenario
-                    .zones
-                    .iter()
-                    .position(|z| *z == pool.zone)
-                    .unwrap_or_else(|| {
-                        dealt += 1;
-                        (dealt - 1) % zones
-                    });
+        self.add_servers();
+        let spec = &self.scenario.proxies;
+        let zones = assign_zones(&spec.zone_weights, self.scenario.zones.len(), spec.count);
+        self.add_proxies(&zones);
+        for proxy in 0..self.proxies.len() as u32 {
+            self.start_proxy(proxy);
+            self.schedule_arrival(proxy);
+        }
+        self.schedule_faults(&zones);
+        self.queue
+            .push(ORIGIN + self.sample_interval(), SimulationEvent::Sample);
+    }
+
+    /// Adds the servers of all pools, warm and listed. Those of a pool without a zone are spread
+    /// over the zones in turn.
+    fn add_servers(&mut self) {
+        let zones = &self.scenario.zones;
+        let mut spread = (0..zones.len()).cycle();
+        for (pool, spec) in self.scenario.pools.iter().enumerate() {
+            for _ in 0..spec.servers {
+                let own_zone = zones.iter().position(|zone| *zone == spec.zone);
+                let zone = own_zone.or_else(|| spread.next()).unwrap_or(0);
                 let position = self.positions.len() as u32;
-                let (slowdowns, degradations) = Default::default();
-                self.positions.push(Position {
-                    machine: 0,
-                    slowdowns,
-                    degradations,
-                    pauses: 0,
-                    outages: 0,
-                });
-                let machine = self.add_machine(number, zone, position);
-                self.machines[machine as usize].server.up = true;
+                self.positions.push(Position::default());
+                let server = self.add_machine(pool, zone, position);
+                self.machines[server as usize].server.up = true;
                 self.discovery.publish(ListEntry {
-                    server: machine,
+                    server,
                     phase: Phase::Ready,
                     started: 0,
                     since: 0,
                 });
             }
         }
-        let spec = &self.scenario.proxies;
-        let dealt = assign_zones(&spec.zone_weights, zones, spec.count);
-        let busiest = self.scenario.clients.first_proxy_weight;
-        let total = f64::from(spec.count) - 1.0 + busiest;
-        for (i, zone) in dealt.iter().copied().enumerate() {
-            let weight = if i == 0 { busiest } else { 1.0 } / total;
-            let n = i as u64;
+    }
+
+    /// Adds the proxies, which do not run yet. The first has a share of the clients of its own.
+    fn add_proxies(&mut self, zones: &[usize]) {
+        let clients = &self.scenario.clients;
+        let first_weight = clients.first_proxy_weight;
+        let total_weight = f64::from(self.scenario.proxies.count) - 1.0 + first_weight;
+        for (index, zone) in zones.iter().copied().enumerate() {
+            let weight = if index == 0 { first_weight } else { 1.0 };
+            let rate = clients.rate * (weight / total_weight);
             self.proxies.push(Proxy {
                 zone,
-                weight,
                 policy: None,
                 incarnation: 0,
                 has_clients: true,
@@ -89,37 +90,28 @@
                 notification_pending: false,
                 closing_since: FxHashMap::default(),
                 connection_pool: ConnectionPool::default(),
-                arrivals: Stream::new(self.seed, Purpose::Arrivals, n),
-                work: Stream::new(self.seed, Purpose::Work, n),
-                burst: (false, 0.0),
-                last_arrival_s: 0.0,
+                arrivals: ArrivalProcess::new(self.seed, index as u32, rate),
+                work: Stream::new(self.seed, Purpose::Work, index as u64),
             });
         }
-        for i in 0..self.proxies.len() as u32 {
-            self.start_proxy(i);
-            self.schedule_arrival(i);
-        }
+    }
+
+    fn schedule_faults(&mut self, proxy_zones: &[usize]) {
+        let zone_of = |position: &Position| self.machines[position.machine as usize].zone;
+        let position_zones: Vec<usize> = self.positions.iter().map(zone_of).collect();
         let targets = FaultTargets {
-            position_zones: &self
-                .positions
-                .iter()
-                .map(|p| self.machines[p.machine as usize].zone)
-                .collect::<Vec<_>>(),
-            proxy_zones: &dealt,
+            position_zones: &position_zones,
+            proxy_zones,
         };
-        for (number, (at, step)) in schedule(self.scenario, &targets, self.seed, ORIGIN)
-            .into_iter()
-            .enumerate()
-        {
+        let steps = schedule(self.scenario, &targets, self.seed, ORIGIN);
+        for (index, (at, step)) in steps.into_iter().enumerate() {
             self.queue
-                .push(at, SimulationEvent::FaultStep(number as u32));
+                .push(at, SimulationEvent::FaultStep(index as u32));
             self.steps.push(step);
         }
-        self.queue
-            .push(ORIGIN + self.sample_interval(), SimulationEvent::Sample);
     }
 
-    /// A machine that is not up yet.
+    /// Adds a machine of a pool at a position. Its server is not up yet. Returns its number.
     pub(super) fn add_machine(&mut self, pool: usize, zone: usize, position: u32) -> u32 {
         let number = self.machines.len() as u32;
         let spec = &self.scenario.pools[pool];
@@ -138,9 +130,9 @@
             unresponsive: false,
             crashed_by_overload: false,
             start_version: 0,
-            next_wakeup: Micros::MAX,
+            next_deadline: u64::MAX,
             utilization: Vec::new(),
-            last_sample: (0.0, 0.0),
+            last_sample: CoreTime::default(),
         });
         self.positions[position as usize].machine = number;
         number
--- a/crates/emulator/src/simulation/true_state.rs
+++ b/crates/emulator/src/simulation/true_state.rs
@@ -1,19 +1,48 @@
-//! The true state of the servers, for the ceiling.
+//! The true state of the servers, for the oracle.
 
 use ironmast_balancer::{Micros, Phase, ServerId};
 
 use super::servers::{Machine, Position, server_number};
+use crate::fault_schedule::Degradation;
 use crate::network::Network;
 use crate::policy::GroundTruth;
 use crate::server::Estimate;
 
+/// What the servers and the network are like now.
 pub(super) struct TrueState<'a> {
+    /// All machines.
     pub(super) machines: &'a [Machine],
+    /// All positions.
     pub(super) positions: &'a [Position],
+    /// The network.
     pub(super) network: &'a Network,
+    /// The time.
     pub(super) now: Micros,
 }
 
+impl TrueState<'_> {
+    fn degradations(&self, machine: &Machine, class: usize) -> impl Iterator<Item = &Degradation> {
+        let position = &self.positions[machine.position as usize];
+        let degradations = position.degradations.values();
+        degradations.filter(move |degradation| usize::from(degradation.class) == class)
+    }
+
+    /// Whether a request from a zone would not be answered, or would overdrive the server.
+    fn is_unavailable(&self, machine: &Machine, zone: usize, class: usize) -> bool {
+        let is_partitioned = || {
+            let partition_end = self.network.partition_end(zone, machine.zone, self.now);
+            partition_end.is_some()
+        };
+        machine.unresponsive
+            || machine.phase != Phase::Ready
+            || machine.server.near_overdrive()
+            || is_partitioned()
+            || self
+                .degradations(machine, class)
+                .any(|degradation| degradation.unanswered)
+    }
+}
+
 impl GroundTruth for TrueState<'_> {
     fn estimate_response(
         &self,
@@ -22,37 +51,21 @@
         class: usize,
         work: f64,
     ) -> Estimate {
-        let Some(machine) = self.machines.get(server_number(server) as usize) else {
+        let Some(machine) = self
+            .machines
+            .get(server_number(server) as usize)
+            .filter(|machine| !self.is_unavailable(machine, zone, class))
+        else {
             return Estimate::NEVER;
         };
-        let degradations = || {
-            self.positions[machine.position as usize]
-                .degradations
-                .values()
-                .filter(|degradation| usize::from(degradation.class) == class)
-        };
-        if degradations().any(|degradation| degradation.unanswered)
-            || machine.server.near_overdrive()
-        {
-            return Estimate::NEVER;
-        }
-        let work = work
-            * degradations()
-                .map(|degradation| degradation.factor)
-                .product::<f64>();
-        let gone = machine.unresponsive || machine.phase != Phase::Ready;
-        if gone
-            || self
-                .network
-                .partition_end(zone, machine.zone, self.now)
-                .is_some()
-        {
-            return Estimate::NEVER;
-        }
-        let way = 2.0 * self.network.base_delay(zone, machine.zone) as f64;
-        let estimate = machine.server.estimate(self.now, work);
+        let slowdown: f64 = self
+            .degradations(machine, class)
+            .map(|degradation| degradation.factor)
+            .product();
+        let estimate = machine.server.estimate(self.now, work * slowdown);
+        let round_trip = 2.0 * self.network.base_delay(zone, machine.zone) as f64;
         Estimate {
-            total: way + estimate.total,
+            total: round_trip + estimate.total,
             ..estimate
         }
     }
