--- a/crates/fault-injection/src/relay/link.rs
+++ b/crates/fault-injection/src/relay/link.rs
@@ -37,8 +37,8 @@
     /// The names of the ends, as in links.
     from: &'a str,
     to: &'a str,
-    source: TcpStream,
-    sink: TcpStream,
+    source: Arc<TcpStream>,
+    sink: Arc<TcpStream>,
 }
 
 impl Direction<'_> {
@@ -73,13 +73,10 @@
         let mut connections = Vec::new();
         let mut seed = 0u64;
         while !self.is_stopped() {
-            let client = match listener.accept() {
-                Ok((client, _)) => client,
-                Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    std::thread::sleep(POLL_INTERVAL);
-                    continue;
-                }
-                Err(_) => continue,
+            let Ok((client, _)) = listener.accept() else {
+                // No connection is waiting, or no descriptor is free for it yet.
+                std::thread::sleep(POLL_INTERVAL);
+                continue;
             };
             self.counts.connections.fetch_add(1, Ordering::Relaxed);
             seed += 1;
@@ -114,20 +111,20 @@
 
     /// Forwards both directions until either end closes the connection.
     fn forward_both_ways(self: Arc<Self>, client: TcpStream, server: TcpStream, seed: u64) {
-        let (Ok(client_read), Ok(server_write)) = (client.try_clone(), server.try_clone()) else {
-            return;
-        };
+        // Both directions share the sockets: a clone would be a descriptor of its own.
+        let (client, server) = (Arc::new(client), Arc::new(server));
         let has_ended = Arc::new(AtomicBool::new(false));
         let requests = {
             let (link, has_ended) = (Arc::clone(&self), Arc::clone(&has_ended));
+            let (source, sink) = (Arc::clone(&client), Arc::clone(&server));
             std::thread::spawn(move || {
                 let direction = Direction {
                     from: &link.from,
                     to: &link.to,
-                    source: client_read,
-                    sink: server_write,
+                    source,
+                    sink,
                 };
-                link.forward(direction, &has_ended, seed);
+                link.forward(&direction, &has_ended, seed);
             })
         };
         let responses = Direction {
@@ -136,17 +133,17 @@
             source: server,
             sink: client,
         };
-        self.forward(responses, &has_ended, seed ^ RESPONSE_SEED);
+        self.forward(&responses, &has_ended, seed ^ RESPONSE_SEED);
         let _ = requests.join();
     }
 
     /// Forwards the bytes of one direction until either end closes the connection.
-    fn forward(&self, mut direction: Direction<'_>, has_ended: &AtomicBool, seed: u64) {
+    fn forward(&self, direction: &Direction<'_>, has_ended: &AtomicBool, seed: u64) {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
         let _ = direction.source.set_read_timeout(Some(POLL_INTERVAL));
         let mut chunk = vec![0u8; CHUNK_SIZE];
         while !self.is_stopped() && !has_ended.load(Ordering::Relaxed) {
-            let length = match direction.source.read(&mut chunk) {
+            let length = match (&*direction.source).read(&mut chunk) {
                 Ok(0) => {
                     // An orderly close is forwarded as one, after the bytes before it.
                     let _ = direction.sink.shutdown(Shutdown::Write);
@@ -160,7 +157,7 @@
                 }
                 Err(_) => break,
             };
-            match self.await_passage(&direction, length, &mut random) {
+            match self.await_passage(direction, length, &mut random) {
                 Passage::Forward => {}
                 Passage::Stop => return,
                 Passage::Reset => {
@@ -168,7 +165,7 @@
                     break;
                 }
             }
-            if direction.sink.write_all(&chunk[..length]).is_err() {
+            if (&*direction.sink).write_all(&chunk[..length]).is_err() {
                 break;
             }
         }
--- a/crates/fault-injection/src/stub_servers/discovery.rs
+++ b/crates/fault-injection/src/stub_servers/discovery.rs
@@ -123,7 +123,7 @@
     endpoints: &HashMap<String, SocketAddr>,
     stop: &AtomicBool,
 ) -> std::io::Result<()> {
-    let mut reader = BufReader::new(connection.try_clone()?);
+    let mut reader = BufReader::new(connection);
     let mut writer = connection;
     while let Some(head) = read_request(&mut reader) {
         if head.contains("stream=1") {
--- a/crates/fault-injection/src/stub_servers/http.rs
+++ b/crates/fault-injection/src/stub_servers/http.rs
@@ -1,13 +1,12 @@
 //! As much of HTTP/1.1 as the stub servers need.
 
-use std::io::{BufRead as _, BufReader, Read as _};
-use std::net::TcpStream;
+use std::io::BufRead;
 
 /// The most bytes of a body that are read.
 const MAX_BODY: usize = 1 << 20;
 
 /// Reads the next request and returns its head; `None` at the end of the connection.
-pub(super) fn read_request(connection: &mut BufReader<TcpStream>) -> Option<String> {
+pub(super) fn read_request(connection: &mut impl BufRead) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if connection.read_line(&mut head).ok()? == 0 {
--- a/crates/fault-injection/src/stub_servers/pay_server.rs
+++ b/crates/fault-injection/src/stub_servers/pay_server.rs
@@ -92,10 +92,7 @@
 )]
 fn serve(connection: TcpStream, uid: &str, behaviour: &Behaviour, record: &ExecutionRecord) {
     let _ = connection.set_read_timeout(Some(IDLE_TIMEOUT));
-    let Ok(read_half) = connection.try_clone() else {
-        return;
-    };
-    let mut reader = BufReader::new(read_half);
+    let mut reader = BufReader::new(&connection);
     while let Some(head) = read_request(&mut reader) {
         let response = respond(&head, uid, behaviour, record);
         if (&connection).write_all(response.as_bytes()).is_err() {
