--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -7,6 +7,7 @@
 mod events;
 mod ids;
 mod settings;
+mod validation;
 
 pub use actions::Action;
 pub use events::{
@@ -15,5 +16,6 @@
 pub use ids::{ClassId, Micros, RequestId, ServerId, TenantId, ZoneId};
 pub use settings::{
     ClassSettings, Discovery, Effect, Group, Limits, MAX_DISCOVERY_DELAY, Penalties, Safety,
-    Settings, SettingsError, SizeMeaning, TenantSettings,
+    Settings, SizeMeaning, TenantSettings,
 };
+pub use validation::SettingsError;
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -1,6 +1,4 @@
-//! The settings of a balancer, and their validation.
-
-use thiserror::Error;
+//! The settings of a balancer.
 
 use super::ids::{Micros, ZoneId};
 
@@ -50,11 +48,10 @@
 
 impl Default for ClassSettings {
     fn default() -> Self {
-        let effect = Effect::Idempotent;
         ClassSettings {
             latency_target: 500_000,
             deadline: 2_000_000,
-            effect,
+            effect: Effect::Idempotent,
             value: 1.0,
             late_value_share: 0.0,
             streaming: false,
@@ -196,104 +193,47 @@
             sizes: SizeMeaning::Unknown,
             key_affinity: false,
             tick: 5_000,
-            limits: Limits {
-                max_attempts: 3,
-                allow_hedging: false,
-                cancel: true,
-                probes: false,
-                peers: false,
-                retry_after: false,
-                max_retry_after: 1_000_000,
-            },
-            safety: Safety {
-                answer_slack: 20_000,
-                discovery_interval: 10_000_000,
-                initial_capacity: 0.2,
-                warm_up: 20_000_000,
-                drain_grace: 500_000,
-                overload_window: 1_000_000,
-                overload_multiple: 3.0,
-            },
-            penalties: Penalties {
-                cross_zone: 0.0,
-                waste: 0.0,
-                late_fail: 0.0,
-            },
+            limits: Limits::default(),
+            safety: Safety::default(),
+            penalties: Penalties::default(),
         }
     }
 }
 
-impl Settings {
-    /// Checks that the settings make sense together.
-    ///
-    /// # Errors
-    /// The first setting that does not.
-    pub fn validate(&self) -> Result<(), SettingsError> {
-        let check = |name, fits: bool| {
-            if fits {
-                Ok(())
-            } else {
-                Err(SettingsError::OutOfRange { name })
-            }
-        };
-        let part = |name, v: f64| check(name, (0.0..=1.0).contains(&v));
-        let positive = |name, v: f64| check(name, v.is_finite() && v > 0.0);
-        // Durations are kept below 30 years, so that sums with clock readings cannot overflow.
-        let duration = |name, v: Micros| check(name, v < 1_000_000_000_000_000);
-        if self.classes.is_empty() {
-            return Err(SettingsError::NoClasses);
-        }
-        for class in &self.classes {
-            positive("aim", class.latency_target as f64)?;
-            duration("aim", class.latency_target)?;
-            duration("deadline", class.deadline)?;
-            if let Effect::Deduplicated { window, .. } = class.effect {
-                duration("window", window)?;
-            }
-            positive("deadline", class.deadline as f64)?;
-            positive("worth", class.value + f64::MIN_POSITIVE)?;
-            part("late_share", class.late_value_share)?;
-        }
-        for tenant in &self.tenants {
-            positive(
-                "allowance_per_s",
-                tenant.allowance_per_s + f64::MIN_POSITIVE,
-            )?;
-            part("share", tenant.share)?;
+impl Default for Limits {
+    fn default() -> Self {
+        Limits {
+            max_attempts: 3,
+            allow_hedging: false,
+            cancel: true,
+            probes: false,
+            peers: false,
+            retry_after: false,
+            max_retry_after: 1_000_000,
         }
-        if self.zone >= self.zones {
-            return Err(SettingsError::UnknownZone);
+    }
+}
+
+impl Default for Safety {
+    fn default() -> Self {
+        Safety {
+            answer_slack: 20_000,
+            discovery_interval: 10_000_000,
+            initial_capacity: 0.2,
+            warm_up: 20_000_000,
+            drain_grace: 500_000,
+            overload_window: 1_000_000,
+            overload_multiple: 3.0,
         }
-        positive("balancers", f64::from(self.balancers))?;
-        positive("most_tries", f64::from(self.limits.max_attempts))?;
-        positive("tick", self.tick as f64)?;
-        duration("tick", self.tick)?;
-        duration("ask_within", self.safety.discovery_interval)?;
-        duration("cold", self.safety.warm_up)?;
-        duration("fall", self.safety.overload_window)?;
-        positive("fall_multiple", self.safety.overload_multiple)?;
-        positive("fall", self.safety.overload_window as f64)?;
-        positive("cold_share", self.safety.initial_capacity)?;
-        part("cold_share", self.safety.initial_capacity)?;
-        part("over_share_worth", self.over_share_value)?;
-        positive("cross_zone", self.penalties.cross_zone + f64::MIN_POSITIVE)
     }
 }
 
-/// Why a balancer could not be built.
-#[derive(Debug, Error, PartialEq, Eq)]
-#[non_exhaustive]
-pub enum SettingsError {
-    /// There is no class of requests.
-    #[error("no class of requests is configured")]
-    NoClasses,
-    /// The balancer's own zone is not among the configured ones.
-    #[error("the own zone is not among the configured zones")]
-    UnknownZone,
-    /// A figure is outside of what makes sense.
-    #[error("the setting `{name}` is out of range")]
-    OutOfRange {
-        /// The setting's name.
-        name: &'static str,
-    },
+impl Default for Penalties {
+    fn default() -> Self {
+        Penalties {
+            cross_zone: 0.0,
+            waste: 0.0,
+            late_fail: 0.0,
+        }
+    }
 }
