--- a/crates/client-proxy/src/driver/attempts.rs
+++ b/crates/client-proxy/src/driver/attempts.rs
@@ -55,16 +55,8 @@
             Ok(address) => address,
             Err(reason) => {
                 debug!(self.log, "attempt suppressed"; "request" => id, "server" => server.0, "why" => %reason);
-                let not_sent = AttemptEnded {
-                    id,
-                    server,
-                    attempt: number,
-                    outcome: Outcome::NotSent,
-                    latency: 0,
-                    finished: request.is_answered(),
-                    load: None,
-                };
-                return self.pending.push_back(Event::AttemptEnded(not_sent));
+                let ended = not_sent(id, server, number, request.is_answered());
+                return self.pending.push_back(Event::AttemptEnded(ended));
             }
         };
         debug!(self.log, "attempt sent"; "at" => now, "request" => id, "attempt" => number,
@@ -137,6 +129,19 @@
     Ok(())
 }
 
+/// The end of an attempt that was suppressed. `finished` says whether its request is answered.
+fn not_sent(id: RequestId, server: ServerId, attempt: u32, finished: bool) -> AttemptEnded {
+    AttemptEnded {
+        id,
+        server,
+        attempt,
+        outcome: Outcome::NotSent,
+        latency: 0,
+        finished,
+        load: None,
+    }
+}
+
 /// The clock reading at which an attempt times out. While a body is streamed, the decision module
 /// ends the attempt at the client's deadline.
 fn attempt_deadline(request: &OpenRequest, now: Micros, timeout: Option<Micros>) -> Micros {
--- a/crates/client-proxy/src/serve/start.rs
+++ b/crates/client-proxy/src/serve/start.rs
@@ -100,10 +100,7 @@
             log: log.clone(),
             queue,
             memory: BodyMemory::new(config.memory_mb),
-            timeouts: ConnectionTimeouts {
-                connect: Duration::from_micros(config.deployment.connect_timeout),
-                server_keep_alive: Duration::from_micros(config.deployment.keepalive),
-            },
+            timeouts: connection_timeouts(&config),
             server_descriptors: server_descriptors.clone(),
             serving,
             files: files.clone(),
@@ -192,6 +189,13 @@
     }
 }
 
+fn connection_timeouts(config: &Config) -> ConnectionTimeouts {
+    ConnectionTimeouts {
+        connect: Duration::from_micros(config.deployment.connect_timeout),
+        server_keep_alive: Duration::from_micros(config.deployment.keepalive),
+    }
+}
+
 /// Sets `is_ready` and notifies `servers_known` at the first call.
 fn notify_once(is_ready: Rc<Cell<bool>>, servers_known: Rc<Notify>) -> impl Fn() {
     move || {
