--- a/crates/client-proxy/src/config.rs
+++ b/crates/client-proxy/src/config.rs
@@ -255,7 +255,11 @@
     u64::from_str_radix(&digits, 16).map_err(|_| ConfigError::InvalidSeed(digits))
 }
 
-fn deployment_settings(settings: &Value) -> Result<DeploymentSettings, FieldError> {
+/// The settings of the deployment, from their nested form in the file.
+///
+/// # Errors
+/// [`FieldError`] for the first invalid setting.
+pub(crate) fn deployment_settings(settings: &Value) -> Result<DeploymentSettings, FieldError> {
     let mut pairs = BTreeMap::new();
     flatten("", settings, &mut pairs);
     DeploymentSettings::from_pairs(
@@ -273,3 +277,6 @@
     flatten("", &file, &mut values);
     values
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/client-proxy/src/lib.rs
+++ b/crates/client-proxy/src/lib.rs
@@ -18,4 +18,6 @@
 mod peers;
 mod runtime_files;
 pub mod serve;
+#[cfg(test)]
+mod testing;
 mod upstream;
--- a/crates/client-proxy/src/listener/open_names.rs
+++ b/crates/client-proxy/src/listener/open_names.rs
@@ -106,3 +106,6 @@
 fn hexadecimal(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/client-proxy/src/listener/request_head.rs
+++ b/crates/client-proxy/src/listener/request_head.rs
@@ -188,3 +188,6 @@
     let target = request.uri().path_and_query();
     target.map_or("/", |target| target.as_str()).to_string()
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/client-proxy/src/upstream/stopped_servers.rs
+++ b/crates/client-proxy/src/upstream/stopped_servers.rs
@@ -33,3 +33,6 @@
         self.0.borrow().contains_key(&server)
     }
 }
+
+#[cfg(test)]
+mod tests;
