--- a/crates/routing/src/decider.rs
+++ b/crates/routing/src/decider.rs
@@ -2,15 +2,18 @@
 //! done with each request. This file has its state and its interface for events; the decisions
 //! themselves are in the submodules.
 
+mod candidate_load;
 mod dispatch;
 mod finish;
 mod health;
 mod liveness;
 mod peer_reports;
 mod pick;
+mod pool;
 mod reachability;
 mod search;
 mod selection;
+mod services;
 
 use std::sync::Arc;
 
--- a/crates/routing/src/decider/search.rs
+++ b/crates/routing/src/decider/search.rs
@@ -2,41 +2,24 @@
 //! the fallback to servers that show signs of a fault.
 
 use ironmast_balancer::Micros;
-use smallvec::SmallVec;
 
 use super::Decider;
-use super::pick::{
-    CandidateLoad, CandidateLoads, CapacityCheck, PickArgs, acquire_permit, is_overloaded,
-};
+use super::candidate_load::{CandidateLoad, CandidateLoads, is_overloaded};
+use super::pick::{CapacityCheck, PickArgs, acquire_permit};
+use super::pool::SearchStep;
 use super::selection::{AttemptKind, SelectedServer, Selection};
-use crate::candidates::{self, HealthFilter, Locality, Pool, SearchScope};
-use crate::endpoint::Endpoint;
+use crate::candidates::{self, HealthFilter, Locality, SearchScope};
 use crate::guards::Guard;
 use crate::limits::{Permits, RetryBudget};
 use crate::reachability::GATE_FAILOVER_TIME;
 use crate::rejection::RejectionReason;
 use crate::request::Call;
-use crate::table::{RegionId, Route, WeightedBackend};
-
-/// A server is unresponsive after this multiple of the average time to the first byte.
-const UNRESPONSIVE_FACTOR: f64 = 2.0;
-/// Another region is used because of the prefill wait only if the wait there is shorter by this
-/// factor.
-const SPILLOVER_WAIT_RATIO: f64 = 4.0;
+use crate::table::RegionId;
 
 /// The result of a search in which no server is eligible.
 const NO_SERVER: Selection =
     Selection::Unavailable(RejectionReason::NoServer { retry_after: None });
 
-/// What one step of a search looks for.
-#[derive(Clone, Copy, Debug)]
-struct SearchStep {
-    scope: SearchScope,
-    filter: HealthFilter,
-    /// Utilization up to which a server is filled for the request.
-    max_utilization: f64,
-}
-
 impl Decider {
     /// Searches the services of the route, the one that the traffic split selects first.
     pub(super) fn search<L: Permits + RetryBudget>(
@@ -60,42 +43,6 @@
         best
     }
 
-    /// The services that the request may go to, the selected one first.
-    fn services<L: RetryBudget>(
-        &mut self,
-        now: Micros,
-        call: &mut Call,
-        limits: &mut L,
-    ) -> SmallVec<[u32; 4]> {
-        if call.service.is_none() {
-            self.select_service(now, call, limits);
-        }
-        let backends = call.request.route.spec.backends.iter();
-        let others = backends
-            .filter(|backend| backend.weight > 0)
-            .map(|backend| &backend.service)
-            .filter(|name| Some(*name) != call.service.as_ref());
-        let in_order = call.service.iter().chain(others);
-        in_order
-            .filter_map(|name| self.table.service(name))
-            .collect()
-    }
-
-    /// Selects the service of a new request by the traffic split, and records the request for the
-    /// retry budget.
-    fn select_service<L: RetryBudget>(&mut self, now: Micros, call: &mut Call, limits: &mut L) {
-        let route = &call.request.route;
-        let point = self
-            .traffic_splits
-            .next_point(&route.spec.name, &mut self.rng);
-        let backend = backend_at(route, point).or(route.spec.backends.first());
-        call.service = backend.map(|backend| backend.service.clone());
-        let name = call.service.as_deref();
-        if let Some(service) = name.and_then(|name| self.table.service(name)) {
-            limits.deposit(now, &self.table.services()[service as usize]);
-        }
-    }
-
     fn scope(&self, call: &Call, service: u32) -> SearchScope {
         let route_regions = &call.request.route.spec.allowed_regions;
         let route_regions = self.table.region_set(route_regions);
@@ -239,58 +186,6 @@
         self.pick(now, call, &loads, args, limits)
     }
 
-    /// True if the prefill wait is long at every server of the own region and far shorter at one of
-    /// another region that has capacity. What other gates have pending there is not known, so the
-    /// difference must be large.
-    fn spills_for_wait(&self, now: Micros, call: &Call, step: &SearchStep) -> bool {
-        let shortest_wait = |locality, max_utilization: f64| {
-            let pool = self.pool(now, call, step, locality);
-            let max_utilization = step.max_utilization.min(max_utilization);
-            let service = step.scope.service;
-            let loads = self.candidate_loads(now, call, service, &pool, max_utilization);
-            let usable = loads.iter().filter(|candidate| candidate.has_capacity);
-            let waits = usable.map(|candidate| candidate.prefill_wait);
-            waits.min_by(f64::total_cmp)
-        };
-        let min_wait = call.latency_objective() as f64 * self.settings.spillover_min_wait;
-        let Some(local) = shortest_wait(Locality::Local, f64::INFINITY) else {
-            return false;
-        };
-        if local <= min_wait || !Guard::SpilloverWait.on() {
-            return false;
-        }
-        let remote = shortest_wait(Locality::Remote, self.settings.spillover_max_load);
-        remote.is_some_and(|remote| remote * SPILLOVER_WAIT_RATIO <= local)
-    }
-
-    /// The candidates of a locality. Servers that may be dead are used only if there are no others.
-    fn pool(&self, now: Micros, call: &Call, step: &SearchStep, locality: Locality) -> Pool {
-        let scope = &step.scope;
-        let first_byte = self.baselines.first_byte(&call.request.route);
-        let timeout = (first_byte * UNRESPONSIVE_FACTOR) as Micros;
-        let timeout = self.settings.unresponsive_after.max(timeout);
-        let unreachable = self.unreachable_regions(now, scope, locality);
-        let is_suspect = |endpoint: &Endpoint| {
-            endpoint.is_unresponsive(now, timeout) || endpoint.is_suspected_by_peers(now)
-        };
-        // A retry goes to a server from which something was received recently.
-        let needs_live_server = call.arrived_attempts() > 0 && Guard::RetryAtLiveServer.on();
-        let is_avoided = |endpoint: &Endpoint| {
-            Guard::UnresponsiveLast.on() && is_suspect(endpoint)
-                || unreachable.contains(endpoint.region)
-                || needs_live_server && !endpoint.was_heard_recently(now)
-        };
-        candidates::pool(
-            &self.endpoints,
-            scope,
-            locality,
-            call,
-            step.filter,
-            now,
-            is_avoided,
-        )
-    }
-
     fn is_in_region(&self, candidate: &CandidateLoad, region: RegionId) -> bool {
         let endpoint = self.endpoints.at(candidate.endpoint_index);
         endpoint.is_some_and(|endpoint| endpoint.region == region)
@@ -309,17 +204,6 @@
     }
 }
 
-/// The backend at a point in `[0, 1)` of the route's total weight.
-fn backend_at(route: &Route, point: f64) -> Option<&WeightedBackend> {
-    let mut remaining = (point * route.total_weight as f64) as u64;
-    route.spec.backends.iter().find(|backend| {
-        let weight = u64::from(backend.weight);
-        let is_here = remaining < weight;
-        remaining = remaining.saturating_sub(weight);
-        is_here
-    })
-}
-
 /// The order in which the localities are searched: the own region first, unless its prefill wait
 /// makes another region the better choice.
 fn search_order(spills_for_wait: bool) -> [Locality; 2] {
