--- a/crates/keyed-ownership/src/lease/tests.rs
+++ b/crates/keyed-ownership/src/lease/tests.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn short_gap_is_harmless() {
+fn ownership_continues_over_a_gap_in_which_no_other_gate_can_have_granted() {
     let mut lease = lease_at_10_s();
     lease.adopt(view(9, &[1]));
     let until = harmless_until();
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn long_gap_has_a_takeover_delay() {
+fn takeover_delay_begins_anew_after_a_gap_in_which_another_gate_can_have_granted() {
     let mut lease = lease_at_10_s();
     lease.adopt(view(9, &[1]));
     let until = harmless_until();
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn gap_is_resolved_by_the_first_confirmation_after_it() {
+fn gap_over_several_views_is_judged_by_the_first_confirmation_after_it() {
     let mut lease = lease_at_10_s();
     lease.adopt(view(9, &[1]));
     lease.adopt(view(10, &[1]));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn other_incarnation_at_the_address_is_another_owner() {
+fn gate_does_not_own_the_keys_of_another_incarnation_at_its_address() {
     let mut lease = lease_of(gate_incarnation(1, 2));
     lease.adopt(view(5, &[1]));
     lease.confirm(ms(0), confirmed(5, ms(0)));
--- a/crates/keyed-ownership/src/owner/tests.rs
+++ b/crates/keyed-ownership/src/owner/tests.rs
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn overdue_request_is_rejected() {
+fn queued_request_is_rejected_when_its_longest_wait_is_over() {
     let mut owner = active_owner();
     let late = ms(11_500);
     assert_eq!(
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn rejection_during_the_takeover_delay_names_its_end() {
+fn request_during_the_takeover_delay_is_rejected_until_its_end() {
     let mut owner = new_owner();
     handle(&mut owner, ms(0), Event::View(view(1, &[1])));
     confirm(&mut owner, ms(0), 1);
