--- a/crates/keyed-ownership/tests/permits.rs
+++ b/crates/keyed-ownership/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Both bounds, summed over all gates, under simulated faults; and with each safeguard removed,
+//! Both bounds, summed over all gates, under simulated faults; and with each guard removed,
 //! which must exceed a bound.
 
 mod simulation;
@@ -11,67 +11,80 @@
     exceeds_bound, ideal_waits, max_arrivals_per_second, quantile, waits_from,
 };
 use simulation::scenario::Scenario;
-use simulation::world::run;
+use simulation::world::{Trace, run};
 
 fn run_exceeds_bound(scenario: &Scenario) -> bool {
     exceeds_bound(scenario, &run(scenario))
 }
 
+/// Asserts that no run of these seeds exceeds its bound.
 fn assert_bound_holds(seeds: Range<u64>, scenario: impl Fn(u64) -> Scenario) {
     for seed in seeds {
         assert!(!run_exceeds_bound(&scenario(seed)), "seed {seed}");
     }
 }
 
-fn exceeds_bound_for_some_seed(seeds: Range<u64>, scenario: impl Fn(u64) -> Scenario) -> bool {
-    seeds
-        .into_iter()
-        .any(|seed| run_exceeds_bound(&scenario(seed)))
+/// Asserts that the run of some seed exceeds its bound once `remove_guard` has changed the
+/// scenario.
+fn assert_bound_is_exceeded(
+    mut seeds: Range<u64>,
+    scenario: impl Fn(u64) -> Scenario,
+    remove_guard: impl Fn(Scenario) -> Scenario,
+) {
+    assert!(seeds.any(|seed| run_exceeds_bound(&remove_guard(scenario(seed)))));
+}
+
+fn slow_start(gates: usize) -> impl Fn(u64) -> Scenario {
+    move |seed| Scenario::slow_start(seed, gates)
+}
+
+fn retry(gates: usize) -> impl Fn(u64) -> Scenario {
+    move |seed| Scenario::retry(seed, gates)
 }
 
 #[test]
 fn slow_start_bound_holds_with_5_gates() {
-    assert_bound_holds(0..200, |seed| Scenario::slow_start(seed, 5));
+    assert_bound_holds(0..200, slow_start(5));
 }
 
 #[test]
 fn slow_start_bound_holds_with_5_gates_on_further_seeds() {
-    assert_bound_holds(200..400, |seed| Scenario::slow_start(seed, 5));
+    assert_bound_holds(200..400, slow_start(5));
 }
 
 #[test]
 fn slow_start_bound_holds_with_30_gates() {
-    assert_bound_holds(0..140, |seed| Scenario::slow_start(seed, 30));
+    assert_bound_holds(0..140, slow_start(30));
 }
 
 #[test]
 fn slow_start_bound_holds_with_300_gates() {
-    assert_bound_holds(0..20, |seed| Scenario::slow_start(seed, 300));
+    assert_bound_holds(0..20, slow_start(300));
 }
 
 #[test]
 fn slow_start_bound_holds_with_2000_gates() {
-    assert_bound_holds(0..3, |seed| Scenario::slow_start(seed, 2000));
+    assert_bound_holds(0..3, slow_start(2000));
 }
 
 #[test]
 fn retry_budget_holds_with_5_gates() {
-    assert_bound_holds(0..300, |seed| Scenario::retry(seed, 5));
+    assert_bound_holds(0..300, retry(5));
 }
 
 #[test]
 fn retry_budget_holds_with_30_gates() {
-    assert_bound_holds(0..140, |seed| Scenario::retry(seed, 30));
+    assert_bound_holds(0..140, retry(30));
 }
 
 #[test]
 fn retry_budget_holds_with_300_gates() {
-    assert_bound_holds(0..10, |seed| Scenario::retry(seed, 300));
+    assert_bound_holds(0..10, retry(300));
 }
 
 #[test]
 fn retry_budget_holds_with_2000_gates() {
-    assert_bound_holds(0..2, |seed| Scenario::retry(seed, 2000));
+    assert_bound_holds(0..2, retry(2000));
 }
 
 #[test]
@@ -85,7 +98,7 @@
 
 #[test]
 fn simulations_install_views_and_reject_competing_proposals() {
-    let traces: Vec<_> = (0..40)
+    let traces: Vec<Trace> = (0..40)
         .map(|seed| run(&Scenario::slow_start(seed, 30)))
         .collect();
     let installed: u64 = traces.iter().map(|trace| trace.installed).sum();
@@ -107,79 +120,72 @@
     );
 }
 
-// Without safeguards.
+// Scenarios with one guard removed, each of which must exceed a bound.
+
+fn without_takeover_delay(mut scenario: Scenario) -> Scenario {
+    scenario.owner_timing.takeover_delay = Duration::ZERO;
+    scenario
+}
+
+/// Leases that outlast the run.
+fn without_lease_expiry(mut scenario: Scenario) -> Scenario {
+    scenario.owner_timing.lease_duration = Duration::from_secs(3600);
+    scenario
+}
+
+fn with_confirmation_by_one_acceptor(mut scenario: Scenario) -> Scenario {
+    scenario.acceptors_counted = 1;
+    scenario
+}
+
+/// Permits that outlast the run.
+fn without_permit_expiry(mut scenario: Scenario) -> Scenario {
+    scenario.client_timing.lifetime = Duration::from_secs(20);
+    scenario.client_timing.min_lifetime = Duration::from_secs(20);
+    scenario
+}
+
+fn without_delay_variation(mut scenario: Scenario) -> Scenario {
+    scenario.owner_timing.delay_variation = Duration::ZERO;
+    scenario.client_timing.delay_variation = Duration::ZERO;
+    scenario
+}
+
+/// A gate that restarts uses its whole quota at once.
+fn without_start_delay(mut scenario: Scenario) -> Scenario {
+    scenario.start_delay = false;
+    scenario
+}
 
 #[test]
 fn bound_is_exceeded_without_the_takeover_delay() {
-    let removed = |mut scenario: Scenario| {
-        scenario.owner_timing.takeover_delay = Duration::ZERO;
-        scenario
-    };
-    assert!(exceeds_bound_for_some_seed(0..60, |seed| removed(
-        Scenario::slow_start(seed, 30)
-    )));
-    assert!(exceeds_bound_for_some_seed(0..60, |seed| removed(
-        Scenario::retry(seed, 5)
-    )));
+    assert_bound_is_exceeded(0..60, slow_start(30), without_takeover_delay);
+    assert_bound_is_exceeded(0..60, retry(5), without_takeover_delay);
 }
 
 #[test]
 fn bound_is_exceeded_without_lease_expiry() {
-    let removed = |mut scenario: Scenario| {
-        scenario.owner_timing.lease_duration = Duration::from_secs(3600);
-        scenario
-    };
-    assert!(exceeds_bound_for_some_seed(0..60, |seed| removed(
-        Scenario::slow_start(seed, 30)
-    )));
-    assert!(exceeds_bound_for_some_seed(0..60, |seed| removed(
-        Scenario::retry(seed, 5)
-    )));
+    assert_bound_is_exceeded(0..60, slow_start(30), without_lease_expiry);
+    assert_bound_is_exceeded(0..60, retry(5), without_lease_expiry);
 }
 
 #[test]
 fn bound_is_exceeded_with_confirmation_by_one_acceptor() {
-    let removed = |seed| Scenario {
-        acceptors_counted: 1,
-        ..Scenario::slow_start(seed, 30)
-    };
-    assert!(exceeds_bound_for_some_seed(0..60, removed));
+    assert_bound_is_exceeded(0..60, slow_start(30), with_confirmation_by_one_acceptor);
 }
 
 #[test]
 fn bound_is_exceeded_without_permit_expiry() {
-    let removed = |mut scenario: Scenario| {
-        scenario.client_timing.lifetime = Duration::from_secs(20);
-        scenario.client_timing.min_lifetime = Duration::from_secs(20);
-        scenario
-    };
-    assert!(exceeds_bound_for_some_seed(0..60, |seed| removed(
-        Scenario::slow_start(seed, 30)
-    )));
+    assert_bound_is_exceeded(0..60, slow_start(30), without_permit_expiry);
 }
 
 #[test]
 fn bound_is_exceeded_without_the_delay_variation() {
-    let removed = |mut scenario: Scenario| {
-        scenario.owner_timing.delay_variation = Duration::ZERO;
-        scenario.client_timing.delay_variation = Duration::ZERO;
-        scenario
-    };
-    assert!(exceeds_bound_for_some_seed(0..60, |seed| removed(
-        Scenario::slow_start(seed, 30)
-    )));
+    assert_bound_is_exceeded(0..60, slow_start(30), without_delay_variation);
 }
 
 #[test]
 fn bound_is_exceeded_when_a_restart_renews_the_quota() {
-    let removed = |scenario: Scenario| Scenario {
-        start_delay: false,
-        ..scenario
-    };
-    assert!(exceeds_bound_for_some_seed(0..200, |seed| removed(
-        Scenario::slow_start(seed, 5)
-    )));
-    assert!(exceeds_bound_for_some_seed(0..200, |seed| removed(
-        Scenario::retry(seed, 5)
-    )));
+    assert_bound_is_exceeded(0..200, slow_start(5), without_start_delay);
+    assert_bound_is_exceeded(0..200, retry(5), without_start_delay);
 }
