--- a/crates/keyed-ownership/tests/simulation/gate.rs
+++ b/crates/keyed-ownership/tests/simulation/gate.rs
@@ -6,10 +6,11 @@
 
 use ironmast_keyed_ownership::client::{Action as ClientAction, Event};
 use ironmast_keyed_ownership::{
-    BoundSplit, EpochConfirmation, GateId, Instance, PermitOwner, RetryPermits, SlowStartPermits,
+    BoundSplit, GateId, Instance, PermitOwner, RetryPermits, SlowStartPermits,
 };
 use ironmast_limits::LimitExceeded;
 
+use super::confirmations::PendingConfirmations;
 use super::network::region;
 use super::scenario::{Limit, Scenario};
 use super::{Micros, at};
@@ -35,9 +36,7 @@
     pub id: GateId,
     pub owner: PermitOwner<Instance>,
     pub permits: GatePermits,
-    /// The requests for confirmation that are in progress, by their ids.
-    pub confirmations: VecDeque<(u64, EpochConfirmation)>,
-    pub next_confirmation_id: u64,
+    pub confirmations: PendingConfirmations,
     /// The moments at which the waiting requests arrived, by key.
     pub waiting: Vec<VecDeque<Micros>>,
     /// The moment that the timer is set to.
@@ -80,8 +79,7 @@
             id,
             owner: PermitOwner::new(id, scenario.owner_timing),
             permits,
-            confirmations: VecDeque::new(),
-            next_confirmation_id: 0,
+            confirmations: PendingConfirmations::default(),
             waiting: vec![VecDeque::new(); scenario.keys],
             timer_at: None,
             retry_at: vec![0; scenario.keys],
--- a/crates/keyed-ownership/tests/simulation/messages.rs
+++ b/crates/keyed-ownership/tests/simulation/messages.rs
@@ -6,7 +6,6 @@
 
 use super::gate::gate_index;
 use super::network::{WorldEvent, network_delay};
-use super::views::ACCEPTORS;
 use super::world::World;
 use super::{MS, at, micros};
 
@@ -26,10 +25,6 @@
         self.gates[gate].partitioned_until > self.now
     }
 
-    pub(super) fn is_acceptor_partitioned(&self, acceptor: usize) -> bool {
-        acceptor + 1 == ACCEPTORS && self.acceptor_partitioned_until > self.now
-    }
-
     pub(super) fn handle_owner_event(&mut self, gate: usize, event: OwnerEvent<Instance>) {
         if !matches!(
             event,
--- a/crates/keyed-ownership/tests/simulation/mod.rs
+++ b/crates/keyed-ownership/tests/simulation/mod.rs
@@ -2,7 +2,9 @@
 //! both bounds.
 #![allow(dead_code, reason = "the tests and the study each use a part of it")]
 
+pub(crate) mod acceptors;
 pub(crate) mod checks;
+pub(crate) mod confirmations;
 pub(crate) mod faults;
 pub(crate) mod gate;
 pub(crate) mod messages;
--- a/crates/keyed-ownership/tests/simulation/network.rs
+++ b/crates/keyed-ownership/tests/simulation/network.rs
@@ -29,20 +29,9 @@
     /// An acceptor learns a view that was installed.
     CatchUp { acceptor: usize, view: Arc<View> },
     /// A gate's query for the newest epoch reaches an acceptor.
-    EpochQuery {
-        from: usize,
-        incarnation: u64,
-        confirmation_id: u64,
-        acceptor: usize,
-    },
+    EpochQuery(EpochQuery),
     /// An acceptor's answer reaches a gate.
-    EpochReply {
-        to: usize,
-        incarnation: u64,
-        confirmation_id: u64,
-        acceptor: usize,
-        newest: u64,
-    },
+    EpochReply { query: EpochQuery, newest: u64 },
     /// A gate's timer fires.
     Timer { gate: usize, incarnation: u64 },
     /// A gate tries its waiting requests for a key again.
@@ -59,6 +48,17 @@
     Reconfigure { proposer: usize },
 }
 
+/// A query of the owner beside a gate for the newest epoch of an acceptor.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct EpochQuery {
+    pub from: usize,
+    /// The incarnation of the gate that asks.
+    pub incarnation: u64,
+    /// The confirmation that the answer counts for.
+    pub confirmation_id: u64,
+    pub acceptor: usize,
+}
+
 #[derive(Clone, Debug)]
 struct QueuedEvent {
     at: Micros,
--- a/crates/keyed-ownership/tests/simulation/views.rs
+++ b/crates/keyed-ownership/tests/simulation/views.rs
@@ -1,22 +1,18 @@
-//! Proposers of views, the acceptors, and the confirmations that owners request.
+//! The proposers of views, and how gates learn the views.
 
 use std::sync::Arc;
 
 use ironmast_keyed_ownership::client::Event as ClientEvent;
 use ironmast_keyed_ownership::owner::Event as OwnerEvent;
-use ironmast_keyed_ownership::{
-    ConfirmedEpoch, EpochConfirmation, GateId, ProposalOutcome, Proposer, View,
-};
+use ironmast_keyed_ownership::{GateId, ProposalOutcome, Proposer, View};
 use rand::RngExt as _;
 
+use super::acceptors::ACCEPTORS;
 use super::gate::gate_index;
-use super::network::{WorldEvent, network_delay};
+use super::network::WorldEvent;
 use super::world::World;
 use super::{MS, Micros};
 
-/// The number of acceptors.
-pub(crate) const ACCEPTORS: usize = 3;
-
 /// The number of coordinators that propose views. The second is beside the last acceptor; it
 /// proposes while that is partitioned, and at random otherwise.
 pub(crate) const PROPOSERS: usize = 2;
@@ -27,6 +23,9 @@
 /// The epoch of the view that all gates know at the start.
 pub(crate) const FIRST_EPOCH: u64 = 1 << 8;
 
+/// The bits of an epoch that hold the number of its proposer.
+const PROPOSER_NUMBER_MASK: u64 = 0xff;
+
 /// How long a gate must be down, or back, before a view reflects it.
 const FAILURE_DETECTION_DELAY: Micros = 700 * MS;
 
@@ -72,14 +71,14 @@
 
 impl World {
     /// A gate learns a view. During a partition that is delayed to its end, since gates relay views
-    /// repeatedly.
+    /// repeatedly; except for views of the second proposer, which may be on the gate's side.
     pub(super) fn on_view(&mut self, to: usize, view: Arc<View>) {
         let gate_state = &self.gates[to];
         let reachable_at = gate_state
             .inbound_partition_until
             .max(gate_state.partitioned_until);
-        let is_premature = view.epoch & 0xff != 0;
-        if reachable_at > self.now && view.epoch != FIRST_EPOCH && !is_premature {
+        let is_by_second_proposer = view.epoch & PROPOSER_NUMBER_MASK != 0;
+        if reachable_at > self.now && view.epoch != FIRST_EPOCH && !is_by_second_proposer {
             self.queue
                 .push(reachable_at + 100 * MS, WorldEvent::LearnView { to, view });
             return;
@@ -88,155 +87,88 @@
         self.handle_client_event(to, ClientEvent::View(view));
     }
 
-    pub(super) fn confirm(&mut self, gate: usize, epoch: u64, requested_at: std::time::Duration) {
-        let Some(process) = &mut self.gates[gate].process else {
-            return;
-        };
-        let confirmation_id = process.next_confirmation_id;
-        process.next_confirmation_id += 1;
-        process.confirmations.push_back((
-            confirmation_id,
-            EpochConfirmation::new(epoch, requested_at, self.scenario.acceptors_counted),
-        ));
-        process.confirmations.truncate(64);
-        let incarnation = process.id.incarnation;
-        let is_cut_off = self.gates[gate].outbound_partition_until > self.now;
-        for acceptor in 0..ACCEPTORS {
-            self.trace.epoch_queries += 1;
-            let arrival = self.now + network_delay(&mut self.random, gate, acceptor);
-            if !is_cut_off && self.is_partitioned(gate) == self.is_acceptor_partitioned(acceptor) {
-                let event = WorldEvent::EpochQuery {
-                    from: gate,
-                    incarnation,
-                    confirmation_id,
-                    acceptor,
-                };
-                self.queue.push(arrival, event);
-            }
-        }
-    }
-
-    pub(super) fn on_epoch_query(
-        &mut self,
-        from: usize,
-        incarnation: u64,
-        confirmation_id: u64,
-        acceptor: usize,
-    ) {
-        if self.is_partitioned(from) != self.is_acceptor_partitioned(acceptor) {
-            return;
-        }
-        let newest = self.acceptors[acceptor].epoch();
-        let arrival = self.now + network_delay(&mut self.random, acceptor, from);
+    /// Proposes a new view if gates have been in another state for long enough.
+    pub(super) fn reconfigure(&mut self, proposer: usize) {
         self.queue.push(
-            arrival,
-            WorldEvent::EpochReply {
-                to: from,
-                incarnation,
-                confirmation_id,
-                acceptor,
-                newest,
-            },
+            self.now + RECONFIGURE_INTERVAL,
+            WorldEvent::Reconfigure { proposer },
         );
-    }
-
-    pub(super) fn on_epoch_reply(
-        &mut self,
-        to: usize,
-        incarnation: u64,
-        confirmation_id: u64,
-        acceptor: usize,
-        newest: u64,
-    ) {
-        if self.gates[to].inbound_partition_until > self.now {
+        if !self.is_proposal_due(proposer) {
             return;
         }
-        let Some(process) = self.process(to, incarnation) else {
+        let Some(gates) = self.changed_members(proposer) else {
             return;
         };
-        let Some((_, confirmation)) = process
-            .confirmations
-            .iter_mut()
-            .find(|(id, _)| *id == confirmation_id)
-        else {
+        let view = self.open_proposal(proposer, gates);
+        let nearest = acceptor_beside(proposer);
+        self.propose(proposer, nearest, &view);
+        if self.acceptors[nearest].epoch() != view.epoch {
             return;
-        };
-        if let Some(confirmed) = confirmation.answer(acceptor as u32, newest) {
-            process
-                .confirmations
-                .retain(|(id, _)| *id > confirmation_id);
-            self.on_confirmed(to, incarnation, confirmed);
+        }
+        self.propose_to_others(proposer, &view);
+        if self.is_in_minority(proposer) && self.random.random_bool(PREMATURE_ANNOUNCEMENT_RATE) {
+            self.announce(&view, Audience::Partitioned);
         }
     }
 
-    pub(super) fn on_confirmed(&mut self, to: usize, incarnation: u64, confirmed: ConfirmedEpoch) {
-        if self.process(to, incarnation).is_some() {
-            self.handle_owner_event(to, OwnerEvent::EpochConfirmed(confirmed));
-        }
+    /// Whether a proposer has no proposal open and is to make one: the first always, the second
+    /// while it is partitioned, and at random otherwise.
+    fn is_proposal_due(&mut self, proposer: usize) -> bool {
+        let is_idle = proposer != 0
+            && !self.is_in_minority(proposer)
+            && !self.random.random_bool(COMPETING_PROPOSAL_RATE);
+        !is_idle && self.coordinators[proposer].busy_until <= self.now
     }
 
-    /// Proposes a new view if gates have been in another state for long enough.
-    pub(super) fn reconfigure(&mut self, proposer: usize) {
-        self.queue.push(
-            self.now + RECONFIGURE_INTERVAL,
-            WorldEvent::Reconfigure { proposer },
-        );
+    /// The members of the next view as a proposer sees them, if they differ from those of the view
+    /// that it knows and there are any.
+    fn changed_members(&self, proposer: usize) -> Option<Vec<GateId>> {
+        let known = self.coordinators[proposer].proposer.installed()?;
         let in_minority = self.is_in_minority(proposer);
-        let idle =
-            proposer != 0 && !in_minority && !self.random.random_bool(COMPETING_PROPOSAL_RATE);
-        let coordinator = &self.coordinators[proposer];
-        if idle || coordinator.busy_until > self.now {
-            return;
-        }
-        let Some(known) = coordinator.proposer.installed().cloned() else {
-            return;
-        };
-        let member = |gate| self.member(&known, gate, in_minority);
-        let gates: Vec<GateId> = (0..self.gates.len()).filter_map(member).collect();
-        if gates == known.gates || gates.is_empty() {
-            return;
-        }
+        let gates: Vec<GateId> = (0..self.gates.len())
+            .filter_map(|gate| self.member(known, gate, in_minority))
+            .collect();
+        (gates != known.gates && !gates.is_empty()).then_some(gates)
+    }
+
+    fn open_proposal(&mut self, proposer: usize, gates: Vec<GateId>) -> Arc<View> {
         let coordinator = &mut self.coordinators[proposer];
         coordinator.busy_until = self.now + PROPOSAL_TIMEOUT;
         let view = coordinator.proposer.propose(gates);
         let other = self.views_by_epoch.insert(view.epoch, view.clone());
         assert!(other.is_none(), "epoch {} names two views", view.epoch);
-        self.propose(proposer, acceptor_beside(proposer), &view);
-        if self.acceptors[acceptor_beside(proposer)].epoch() != view.epoch {
-            return;
-        }
+        view
+    }
+
+    /// Sends a proposal to the acceptors but the one beside the proposer.
+    fn propose_to_others(&mut self, proposer: usize, view: &Arc<View>) {
         for acceptor in (0..ACCEPTORS).filter(|acceptor| *acceptor != acceptor_beside(proposer)) {
             let arrival = self.now + self.random.random_range(0..300 * MS);
-            let view = view.clone();
-            self.queue.push(
-                arrival,
-                WorldEvent::Propose {
-                    proposer,
-                    acceptor,
-                    view,
-                },
-            );
-        }
-        if in_minority && self.random.random_bool(PREMATURE_ANNOUNCEMENT_RATE) {
-            self.announce(&view, Audience::Partitioned);
+            let proposal = WorldEvent::Propose {
+                proposer,
+                acceptor,
+                view: view.clone(),
+            };
+            self.queue.push(arrival, proposal);
         }
     }
 
     /// Whether a proposer is on the smaller side of a partition, as the last acceptor is.
-    pub(super) fn is_in_minority(&self, proposer: usize) -> bool {
+    fn is_in_minority(&self, proposer: usize) -> bool {
         proposer != 0 && self.is_acceptor_partitioned(ACCEPTORS - 1)
     }
 
+    /// A proposed view reaches an acceptor, which answers at once.
     pub(super) fn propose(&mut self, proposer: usize, acceptor: usize, view: &Arc<View>) {
         if self.is_in_minority(proposer) != self.is_acceptor_partitioned(acceptor) {
             return;
         }
         let reply = self.acceptors[acceptor].propose(view.clone());
         let coordinator = &mut self.coordinators[proposer];
-        match coordinator
+        let outcome = coordinator
             .proposer
-            .answer(view.epoch, acceptor as u32, reply)
-        {
+            .answer(view.epoch, acceptor as u32, reply);
+        match outcome {
             Some(ProposalOutcome::Installed(view)) => self.install(proposer, &view),
             Some(ProposalOutcome::Rejected) => {
                 coordinator.busy_until = self.now;
@@ -247,75 +179,65 @@
     }
 
     /// A majority accepted the view: it is sent to all gates, proposers and other acceptors.
-    pub(super) fn install(&mut self, proposer: usize, view: &Arc<View>) {
+    fn install(&mut self, proposer: usize, view: &Arc<View>) {
         if view.epoch > self.view.epoch {
             self.view = view.clone();
         }
         self.trace.installed += 1;
         self.coordinators[proposer].busy_until = self.now;
+        self.send_to_proposers(proposer, view);
+        self.send_to_acceptors(view);
+        self.announce(view, Audience::All);
+    }
+
+    /// The proposers on the same side of a partition learn an installed view at once.
+    fn send_to_proposers(&mut self, from: usize, view: &Arc<View>) {
         for other in 0..PROPOSERS {
-            let is_reachable = self.is_in_minority(other) == self.is_in_minority(proposer);
-            if is_reachable {
+            if self.is_in_minority(other) == self.is_in_minority(from) {
                 self.coordinators[other].proposer.learn(view.clone());
             }
         }
-        for acceptor in 0..ACCEPTORS {
-            let arrival = self.now + self.random.random_range(100 * MS..600 * MS);
-            self.queue.push(
-                arrival,
-                WorldEvent::CatchUp {
-                    acceptor,
-                    view: view.clone(),
-                },
-            );
-        }
-        self.announce(view, Audience::All);
     }
 
-    pub(super) fn catch_up(&mut self, acceptor: usize, view: Arc<View>) {
-        if self.is_acceptor_partitioned(acceptor) {
-            self.queue.push(
-                self.acceptor_partitioned_until,
-                WorldEvent::CatchUp { acceptor, view },
-            );
-            return;
+    fn send_to_acceptors(&mut self, view: &Arc<View>) {
+        for acceptor in 0..ACCEPTORS {
+            let arrival = self.now + self.random.random_range(100 * MS..600 * MS);
+            let view = view.clone();
+            self.queue
+                .push(arrival, WorldEvent::CatchUp { acceptor, view });
         }
-        self.acceptors[acceptor].catch_up(view);
     }
 
     /// Sends a view to gates, which learn it over seconds, each at its own moment.
-    pub(super) fn announce(&mut self, view: &Arc<View>, audience: Audience) {
+    fn announce(&mut self, view: &Arc<View>, audience: Audience) {
         let spread = self.random.random_range(50 * MS..3_000 * MS);
         for to in 0..self.gates.len() {
             let learned = self.now + self.random.random_range(MS..spread);
             if audience == Audience::All || self.is_partitioned(to) {
-                self.queue.push(
-                    learned,
-                    WorldEvent::LearnView {
-                        to,
-                        view: view.clone(),
-                    },
-                );
+                let view = view.clone();
+                self.queue.push(learned, WorldEvent::LearnView { to, view });
             }
         }
     }
 
-    /// The incarnation of a gate that belongs in the next view, if any, as a proposer sees it.
-    pub(super) fn member(&self, known: &View, gate: usize, in_minority: bool) -> Option<GateId> {
+    /// The incarnation of a gate that belongs in the next view, if any, as a proposer sees it. A
+    /// change of the gate's state counts only once it is detected.
+    fn member(&self, known: &View, gate: usize, in_minority: bool) -> Option<GateId> {
         let gate_state = &self.gates[gate];
-        // Views list the gates in the order of their indexes.
-        let position = known.gates.binary_search_by_key(&gate, gate_index);
-        let known_member = position.ok().map(|position| known.gates[position]);
-        let is_detected = gate_state.changed_at + FAILURE_DETECTION_DELAY <= self.now;
-        let is_unreachable = gate_state
-            .paused_until
-            .max(gate_state.outbound_partition_until)
-            > self.now
-            || self.is_partitioned(gate) != in_minority;
-        match &gate_state.process {
-            _ if !is_detected => known_member,
-            Some(process) if !is_unreachable => Some(process.id),
-            _ => None,
+        if gate_state.changed_at + FAILURE_DETECTION_DELAY > self.now {
+            return known_member(known, gate);
         }
+        let silent_until = gate_state
+            .paused_until
+            .max(gate_state.outbound_partition_until);
+        let is_reachable = silent_until <= self.now && self.is_partitioned(gate) == in_minority;
+        let process = gate_state.process.as_ref().filter(|_| is_reachable)?;
+        Some(process.id)
     }
 }
+
+/// The incarnation of a gate in a view, which lists the gates in the order of their indexes.
+fn known_member(view: &View, gate: usize) -> Option<GateId> {
+    let position = view.gates.binary_search_by_key(&gate, gate_index).ok()?;
+    Some(view.gates[position])
+}
--- a/crates/keyed-ownership/tests/simulation/world.rs
+++ b/crates/keyed-ownership/tests/simulation/world.rs
@@ -8,11 +8,12 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 use super::Micros;
+use super::acceptors::ACCEPTORS;
 use super::faults;
 use super::gate::{GateProcess, SimulatedGate, address};
 use super::network::{Queue, WorldEvent, region};
 use super::scenario::{FaultPlan, Scenario};
-use super::views::{ACCEPTORS, Coordinator, FIRST_EPOCH, PROPOSERS, RECONFIGURE_INTERVAL};
+use super::views::{Coordinator, FIRST_EPOCH, PROPOSERS, RECONFIGURE_INTERVAL};
 
 /// What a run records for the checks.
 #[derive(Debug, Default)]
@@ -144,21 +145,8 @@
                 view,
             } => self.propose(proposer, acceptor, &view),
             WorldEvent::CatchUp { acceptor, view } => self.catch_up(acceptor, view),
-            WorldEvent::EpochQuery {
-                from,
-                incarnation,
-                confirmation_id,
-                acceptor,
-            } => self.on_epoch_query(from, incarnation, confirmation_id, acceptor),
-            WorldEvent::EpochReply {
-                to,
-                incarnation,
-                confirmation_id,
-                acceptor,
-                newest,
-            } => {
-                self.on_epoch_reply(to, incarnation, confirmation_id, acceptor, newest);
-            }
+            WorldEvent::EpochQuery(query) => self.on_epoch_query(query),
+            WorldEvent::EpochReply { query, newest } => self.on_epoch_reply(query, newest),
             WorldEvent::Timer { gate, incarnation } => self.on_timer(gate, incarnation),
             WorldEvent::Retry {
                 gate,
@@ -183,9 +171,8 @@
 /// The gate whose process handles an event.
 fn gate_of(event: &WorldEvent) -> Option<usize> {
     match event {
-        WorldEvent::Deliver { to, .. }
-        | WorldEvent::LearnView { to, .. }
-        | WorldEvent::EpochReply { to, .. } => Some(*to),
+        WorldEvent::Deliver { to, .. } | WorldEvent::LearnView { to, .. } => Some(*to),
+        WorldEvent::EpochReply { query, .. } => Some(query.from),
         WorldEvent::Timer { gate, .. } | WorldEvent::Retry { gate, .. } => Some(*gate),
         _ => None,
     }
