--- a/crates/emulator/src/fault_schedule.rs
+++ b/crates/emulator/src/fault_schedule.rs
@@ -19,27 +19,27 @@
     pub unanswered: bool,
 }
 
-/// One thing that begins or ends. Servers are named by their positions, which outlive them; `fault`
-/// is the index of the fault.
+/// A change at one moment. Servers are identified by their positions, which outlive them, and the
+/// fault by its index in the scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Step {
     /// The servers become slower by a factor, or are no longer slowed.
     Slow {
         positions: Vec<u32>,
-        fault: usize,
+        fault_index: usize,
         factor: Option<f64>,
     },
     /// One class is degraded at the servers, or no longer.
     Degrade {
         positions: Vec<u32>,
-        fault: usize,
+        fault_index: usize,
         degradation: Option<Degradation>,
     },
     /// The servers pause.
     Pause { positions: Vec<u32> },
     /// The servers resume.
     Resume { positions: Vec<u32> },
-    /// The servers' processes end, or their machines vanish without a sign.
+    /// The servers' processes end; if `silent`, their machines vanish without closing connections.
     Stop { positions: Vec<u32>, silent: bool },
     /// The servers start again and warm up.
     Start { positions: Vec<u32> },
@@ -72,13 +72,20 @@
     pub proxy_zones: &'a [usize],
 }
 
-/// The time in which a fault lasts.
+/// The time during which a fault lasts.
 #[derive(Clone, Copy)]
 struct Period {
     begin: Micros,
     end: Micros,
 }
 
+/// Proxies that stop for a while.
+struct ProxyOutage {
+    proxies: Vec<u32>,
+    /// Whether their clients stop too.
+    with_clients: bool,
+}
+
 /// All steps of a scenario's faults, in order, on a clock that starts at `origin`.
 pub(crate) fn schedule(
     scenario: &Scenario,
@@ -91,11 +98,11 @@
         targets,
         steps: Vec::new(),
     };
-    for (fault, trouble) in scenario.faults.iter().enumerate() {
-        let mut random = Stream::new(seed, Purpose::Faults, fault as u64);
-        let begin = origin + seconds(trouble.at_s);
-        let end = begin + seconds(trouble.for_s).max(1);
-        schedule.add(fault, trouble, Period { begin, end }, &mut random);
+    for (fault_index, fault) in scenario.faults.iter().enumerate() {
+        let mut random = Stream::new(seed, Purpose::Faults, fault_index as u64);
+        let begin = origin + seconds(fault.at_s);
+        let end = begin + seconds(fault.for_s).max(1);
+        schedule.add(fault_index, fault, Period { begin, end }, &mut random);
     }
     schedule.steps.sort_by_key(|(at, _)| *at);
     schedule.steps
@@ -120,7 +127,7 @@
     scenario
         .faults
         .iter()
-        .filter(|trouble| trouble.kind == FaultKind::Surge)
+        .filter(|fault| fault.kind == FaultKind::Surge)
 }
 
 /// The indexes of those in a zone, or of all without one.
@@ -150,30 +157,37 @@
         self.steps.push((at, step));
     }
 
-    fn add(&mut self, fault: usize, trouble: &Fault, period: Period, random: &mut Stream) {
+    fn add(&mut self, fault_index: usize, fault: &Fault, period: Period, random: &mut Stream) {
         let Period { begin, end } = period;
         let zone = self
             .scenario
             .zones
             .iter()
-            .position(|zone| *zone == trouble.zone);
+            .position(|zone| *zone == fault.zone);
         let position_zones = self.targets.position_zones;
         // Drawn for every kind, so that the draws that follow do not depend on the kind.
-        let positions = pick(random, position_zones, zone, trouble.share);
-        match trouble.kind {
-            FaultKind::Slow => self.slow(fault, positions, trouble.factor, period),
+        let positions = pick(random, position_zones, zone, fault.share);
+        match fault.kind {
+            FaultKind::Slow => self.slow(fault_index, positions, fault.factor, period),
             FaultKind::SlowDependency => {
                 let all = in_zone(position_zones, None);
-                self.slow(fault, all, trouble.factor, period);
+                self.slow(fault_index, all, fault.factor, period);
             }
-            FaultKind::GreyFailure => self.degrade(fault, positions, trouble, period),
-            FaultKind::Pause => self.pause(&positions, trouble, period, random),
-            FaultKind::Crash => self.crash(positions, trouble, period),
+            FaultKind::GreyFailure => self.degrade(fault_index, positions, fault, period),
+            FaultKind::Pause => self.pause(&positions, fault, period, random),
+            FaultKind::Crash => self.crash(positions, fault, period),
             FaultKind::ZoneLoss => {
-                self.crash(in_zone(position_zones, zone), trouble, period);
-                if trouble.include_proxies {
+                self.crash(in_zone(position_zones, zone), fault, period);
+                if fault.include_proxies {
                     let proxies = in_zone(self.targets.proxy_zones, zone);
-                    self.restart_proxies(proxies, true, period);
+                    let with_clients = true;
+                    self.restart_proxies(
+                        ProxyOutage {
+                            proxies,
+                            with_clients,
+                        },
+                        period,
+                    );
                 }
             }
             FaultKind::ZonePartition => {
@@ -181,15 +195,22 @@
                     self.push(begin, Step::Partition { zone, until: end });
                 }
             }
-            FaultKind::Deploy => self.deploy(&positions, trouble, period),
+            FaultKind::Deploy => self.deploy(&positions, fault, period),
             FaultKind::ProxyRestart => {
-                let proxies = pick(random, self.targets.proxy_zones, zone, trouble.share);
-                self.restart_proxies(proxies, false, period);
+                let proxies = pick(random, self.targets.proxy_zones, zone, fault.share);
+                let with_clients = false;
+                self.restart_proxies(
+                    ProxyOutage {
+                        proxies,
+                        with_clients,
+                    },
+                    period,
+                );
             }
             // Part of the clients' rate, not of the schedule.
             FaultKind::Surge => {}
             FaultKind::RetryStorm => {
-                let retries = Some(trouble.retries);
+                let retries = Some(fault.retries);
                 self.push(begin, Step::RetryStorm { retries });
                 self.push(end, Step::RetryStorm { retries: None });
             }
@@ -200,31 +221,31 @@
         }
     }
 
-    fn slow(&mut self, fault: usize, positions: Vec<u32>, factor: f64, period: Period) {
+    fn slow(&mut self, fault_index: usize, positions: Vec<u32>, factor: f64, period: Period) {
         let step = |positions, factor| Step::Slow {
             positions,
-            fault,
+            fault_index,
             factor,
         };
         self.push(period.begin, step(positions.clone(), Some(factor)));
         self.push(period.end, step(positions, None));
     }
 
-    fn degrade(&mut self, fault: usize, positions: Vec<u32>, trouble: &Fault, period: Period) {
+    fn degrade(&mut self, fault_index: usize, positions: Vec<u32>, fault: &Fault, period: Period) {
         let class = self
             .scenario
             .classes
             .iter()
-            .position(|class| class.name == trouble.class)
+            .position(|class| class.name == fault.class)
             .unwrap_or(0);
         let degradation = Degradation {
             class: class as u8,
-            factor: trouble.factor,
-            unanswered: trouble.silent,
+            factor: fault.factor,
+            unanswered: fault.silent,
         };
         let step = |positions, degradation| Step::Degrade {
             positions,
-            fault,
+            fault_index,
             degradation,
         };
         self.push(period.begin, step(positions.clone(), Some(degradation)));
@@ -232,8 +253,8 @@
     }
 
     /// Each server pauses again and again, for a tenth of the time, from a random moment on.
-    fn pause(&mut self, positions: &[u32], trouble: &Fault, period: Period, random: &mut Stream) {
-        let length = seconds(trouble.pause_s).max(1);
+    fn pause(&mut self, positions: &[u32], fault: &Fault, period: Period, random: &mut Stream) {
+        let length = seconds(fault.pause_s).max(1);
         for &position in positions {
             let positions = vec![position];
             let mut at = period.begin + (random.unit() * 10.0 * length as f64) as Micros;
@@ -255,18 +276,18 @@
         }
     }
 
-    fn crash(&mut self, positions: Vec<u32>, trouble: &Fault, period: Period) {
+    fn crash(&mut self, positions: Vec<u32>, fault: &Fault, period: Period) {
         let stop = Step::Stop {
             positions: positions.clone(),
-            silent: trouble.silent,
+            silent: fault.silent,
         };
         self.push(period.begin, stop);
         self.push(period.end, Step::Start { positions });
     }
 
-    fn deploy(&mut self, positions: &[u32], trouble: &Fault, period: Period) {
+    fn deploy(&mut self, positions: &[u32], fault: &Fault, period: Period) {
         let fleet = self.targets.position_zones.len();
-        let batch_size = (fleet as f64 * trouble.batch).round().max(1.0) as usize;
+        let batch_size = (fleet as f64 * fault.batch).round().max(1.0) as usize;
         let batches = positions.len().div_ceil(batch_size);
         for (index, batch) in positions.chunks(batch_size).enumerate() {
             let at = period.begin + (period.end - period.begin) * index as u64 / batches as u64;
@@ -277,11 +298,15 @@
                     positions: positions.clone(),
                 },
             );
-            self.push(at + seconds(trouble.drain_s), Step::Replace { positions });
+            self.push(at + seconds(fault.drain_s), Step::Replace { positions });
         }
     }
 
-    fn restart_proxies(&mut self, proxies: Vec<u32>, with_clients: bool, period: Period) {
+    fn restart_proxies(&mut self, outage: ProxyOutage, period: Period) {
+        let ProxyOutage {
+            proxies,
+            with_clients,
+        } = outage;
         let stop = Step::StopProxies {
             proxies: proxies.clone(),
             with_clients,
--- a/crates/emulator/src/judge/service.rs
+++ b/crates/emulator/src/judge/service.rs
@@ -109,7 +109,7 @@
     pub counts: Counts,
 }
 
-/// What an operation of a class must achieve, and is worth.
+/// The latency target of a class and the value of meeting it.
 struct Target {
     value: f64,
     latency: Micros,
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,4 +1,4 @@
-//! The emulator: the whole fleet in simulated time, without I/O.
+//! The emulator: the complete fleet in simulated time, without I/O.
 //!
 //! A [`Scenario`] is read from text, a [`Simulation`] plays it under a policy and a seed, and a
 //! [`Report`] says what the judge found. The same scenario, policy and seed give the same digest on
@@ -25,7 +25,7 @@
 //!     servers = 2
 //!     cores = 2
 //! "#;
-//! let scenario = Scenario::parse(text).expect("sound");
+//! let scenario = Scenario::parse(text).expect("a valid scenario");
 //! let report = Simulation::new(&scenario, PolicyName::Module, 1).run();
 //! assert!(report.violations.is_empty() && report.service > 0.9);
 //! assert_eq!(report.digest, Simulation::new(&scenario, PolicyName::Module, 1).run().digest);
--- a/crates/emulator/src/policy/selection.rs
+++ b/crates/emulator/src/policy/selection.rs
@@ -178,7 +178,7 @@
 }
 
 /// Smooth weighted round robin: each server gains its share of one request, and the one with the
-/// most credit is selected and pays a whole request.
+/// most credit is selected and pays one request.
 fn select_by_weight(eligible: &[ServerId], endpoints: &mut Endpoints) -> Option<ServerId> {
     let total: f64 = eligible
         .iter()
--- a/crates/emulator/src/scenario/class.rs
+++ b/crates/emulator/src/scenario/class.rs
@@ -1,4 +1,4 @@
-//! Classes of requests: what a repeat does, how much work they need, and what they are worth.
+//! Classes of requests: what a repeat does, how much work they need, and their value.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/emulator/src/scenario/clients.rs
+++ b/crates/emulator/src/scenario/clients.rs
@@ -36,8 +36,8 @@
     /// When they are sent.
     #[serde(default)]
     pub retry_wait: RetryWait,
-    /// The delay of [`RetryWait::Fixed`], the first delay of [`RetryWait::Exponential`], the least
-    /// delay of [`RetryWait::RetryAfter`].
+    /// The delay of [`RetryWait::Fixed`], the first delay of [`RetryWait::Exponential`], the
+    /// greatest addition to the Retry-After of [`RetryWait::RetryAfter`].
     #[serde(default = "defaults::retry_ms")]
     pub retry_ms: f64,
     /// The timeout of a try as a share of the class's deadline, drawn between the two.
--- a/crates/emulator/src/scenario/defaults.rs
+++ b/crates/emulator/src/scenario/defaults.rs
@@ -1,7 +1,7 @@
 //! Defaults of keys that a scenario file may omit, named after the key and, where several tables
 //! have the key, the table.
 //!
-//! `docs/scenarios.md` lists them. Tables that may be omitted as a whole ([`Network`],
+//! `docs/scenarios.md` lists them. Tables that may be omitted ([`Network`],
 //! [`DiscoverySpec`], [`Rules`]) implement [`Default`] instead.
 //!
 //! [`Network`]: super::Network
--- a/crates/emulator/src/scenario/fault.rs
+++ b/crates/emulator/src/scenario/fault.rs
@@ -1,4 +1,4 @@
-//! Faults: what fails, when, and for whom.
+//! Faults: what fails, when, and whom it affects.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -10,10 +10,10 @@
 use crate::scenario::seconds;
 
 /// Sets what a fault does, or removes it.
-fn set_or_remove<T>(faults: &mut BTreeMap<usize, T>, fault: usize, value: Option<T>) {
+fn set_or_remove<T>(faults: &mut BTreeMap<usize, T>, fault_index: usize, value: Option<T>) {
     match value {
-        Some(value) => faults.insert(fault, value),
-        None => faults.remove(&fault),
+        Some(value) => faults.insert(fault_index, value),
+        None => faults.remove(&fault_index),
     };
 }
 
@@ -23,17 +23,17 @@
         match step {
             Step::Slow {
                 positions,
-                fault,
+                fault_index,
                 factor,
             } => self.at_each(&positions, |simulation, position| {
-                simulation.slow_server(position, fault, factor);
+                simulation.slow_server(position, fault_index, factor);
             }),
             Step::Degrade {
                 positions,
-                fault,
+                fault_index,
                 degradation,
             } => self.at_each(&positions, |simulation, position| {
-                simulation.degrade_class(position, fault, degradation);
+                simulation.degrade_class(position, fault_index, degradation);
             }),
             Step::Pause { positions } => self.at_each(&positions, Self::pause_server),
             Step::Resume { positions } => self.at_each(&positions, Self::resume_server),
@@ -61,16 +61,21 @@
         }
     }
 
-    fn slow_server(&mut self, position: u32, fault: usize, factor: Option<f64>) {
+    fn slow_server(&mut self, position: u32, fault_index: usize, factor: Option<f64>) {
         let position = &mut self.positions[position as usize];
-        set_or_remove(&mut position.slowdowns, fault, factor);
+        set_or_remove(&mut position.slowdowns, fault_index, factor);
         let machine = position.machine;
         self.apply_faults(machine);
     }
 
-    fn degrade_class(&mut self, position: u32, fault: usize, degradation: Option<Degradation>) {
+    fn degrade_class(
+        &mut self,
+        position: u32,
+        fault_index: usize,
+        degradation: Option<Degradation>,
+    ) {
         let position = &mut self.positions[position as usize];
-        set_or_remove(&mut position.degradations, fault, degradation);
+        set_or_remove(&mut position.degradations, fault_index, degradation);
     }
 
     fn pause_server(&mut self, position: u32) {
