--- a/crates/keyed-ownership/tests/retry_budget.rs
+++ b/crates/keyed-ownership/tests/retry_budget.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use simulation::checks::max_budget_excess;
-use simulation::trace::Trace;
+use simulation::trace::{KeyEvent, Trace};
 use simulation::{MS, Micros, at};
 
 const SETTINGS: RetryBudgetSettings = RetryBudgetSettings {
@@ -53,10 +53,16 @@
         let budget = &mut gates[burst.gate];
         for _ in 0..burst.requests {
             budget.deposit(at(now), &"s");
-            trace.requests.push((0, burst.moment));
+            trace.requests.push(KeyEvent {
+                key: 0,
+                at: burst.moment,
+            });
         }
         while budget.withdraw(at(now), &"s").is_ok() {
-            trace.arrivals.push((0, now + burst.to_server));
+            trace.arrivals.push(KeyEvent {
+                key: 0,
+                at: now + burst.to_server,
+            });
         }
     }
     max_budget_excess(&trace, &SETTINGS, 1)
--- a/crates/keyed-ownership/tests/simulation/checks.rs
+++ b/crates/keyed-ownership/tests/simulation/checks.rs
@@ -4,7 +4,7 @@
 use ironmast_limits::RetryBudgetSettings;
 
 use super::scenario::{Limit, Scenario};
-use super::trace::Trace;
+use super::trace::{KeyEvent, Trace, Wait};
 use super::{Micros, micros};
 
 /// The window of the slow-start bound.
@@ -80,8 +80,8 @@
 }
 
 fn count_between(sorted: &[Micros], from: Micros, to: Micros) -> usize {
-    let before = |end: Micros| sorted.partition_point(|moment| *moment < end);
-    before(to) - before(from)
+    let count_before = |end: Micros| sorted.partition_point(|moment| *moment < end);
+    count_before(to) - count_before(from)
 }
 
 fn arrivals(trace: &Trace, key: usize) -> Vec<Micros> {
@@ -92,24 +92,19 @@
     moments_of_key(&trace.requests, key)
 }
 
-fn moments_of_key(moments: &[(usize, Micros)], key: usize) -> Vec<Micros> {
-    let mut moments: Vec<Micros> = moments
+fn moments_of_key(events: &[KeyEvent], key: usize) -> Vec<Micros> {
+    let mut moments: Vec<Micros> = events
         .iter()
-        .filter(|(other, _)| *other == key)
-        .map(|(_, moment)| *moment)
+        .filter(|event| event.key == key)
+        .map(|event| event.at)
         .collect();
     moments.sort_unstable();
     moments
 }
 
-/// (arrival, wait) of each request if an owner limited them that sees every gate without delay: the
+/// The wait of each request if an owner limited them that sees every gate without delay: the
 /// same bound over `window`, first come first served, without messages.
-pub(crate) fn ideal_waits(
-    trace: &Trace,
-    key: usize,
-    bound: usize,
-    window: Micros,
-) -> Vec<(Micros, Micros)> {
+pub(crate) fn ideal_waits(trace: &Trace, key: usize, bound: usize, window: Micros) -> Vec<Wait> {
     let requests = requests(trace, key);
     let mut sent: Vec<Micros> = Vec::with_capacity(requests.len());
     for arrived in &requests {
@@ -121,16 +116,19 @@
     }
     sent.iter()
         .zip(&requests)
-        .map(|(sent, arrived)| (*arrived, sent - arrived))
+        .map(|(sent, arrived)| Wait {
+            arrived: *arrived,
+            duration: sent - arrived,
+        })
         .collect()
 }
 
 /// The waits of the requests that arrived at or after `from`, in ascending order.
-pub(crate) fn waits_from(waits: &[(Micros, Micros)], from: Micros) -> Vec<Micros> {
+pub(crate) fn waits_from(waits: &[Wait], from: Micros) -> Vec<Micros> {
     let mut waits: Vec<Micros> = waits
         .iter()
-        .filter(|(arrived, _)| *arrived >= from)
-        .map(|(_, wait)| *wait)
+        .filter(|wait| wait.arrived >= from)
+        .map(|wait| wait.duration)
         .collect();
     waits.sort_unstable();
     waits
--- a/crates/keyed-ownership/tests/simulation/gate.rs
+++ b/crates/keyed-ownership/tests/simulation/gate.rs
@@ -52,33 +52,10 @@
             incarnation,
             region: region(gate),
         };
-        let start_delay = scenario.client_timing.charge_after_use();
-        let started = if scenario.start_delay {
-            at(now)
-        } else {
-            at(now).saturating_sub(start_delay)
-        };
-        let split = BoundSplit::new(
-            scenario.bound,
-            scenario.gates as u32,
-            scenario.reserved_percent,
-        );
-        let permits = match scenario.limit {
-            Limit::SlowStart => {
-                GatePermits::SlowStart(SlowStartPermits::new(id, scenario.client_timing, started))
-            }
-            Limit::RetryBudget(settings) => GatePermits::Retry(RetryPermits::new(
-                id,
-                settings,
-                split,
-                scenario.client_timing,
-                started,
-            )),
-        };
         Self {
             id,
             owner: PermitOwner::new(id, scenario.owner_timing),
-            permits,
+            permits: GatePermits::new(scenario, id, now),
             confirmations: PendingConfirmations::default(),
             waiting: vec![VecDeque::new(); scenario.keys],
             timer_at: None,
@@ -111,20 +88,12 @@
 /// The split of the bound of a server as it applies to a gate in `own_region`.
 fn split(scenario: &Scenario, own_region: u32, key: usize) -> BoundSplit {
     if !scenario.regional_quotas {
-        return BoundSplit::new(
-            scenario.bound,
-            scenario.gates as u32,
-            scenario.reserved_percent,
-        );
+        return split_among(scenario, scenario.gates);
     }
     let gates_in_region = (0..scenario.gates)
         .filter(|gate| region(*gate) == region(key))
         .count();
-    let split = BoundSplit::new(
-        scenario.bound,
-        gates_in_region as u32,
-        scenario.reserved_percent,
-    );
+    let split = split_among(scenario, gates_in_region);
     if own_region == region(key) {
         split
     } else {
@@ -132,6 +101,11 @@
     }
 }
 
+/// The division of the scenario's bound among this many gates and the owner's pool.
+fn split_among(scenario: &Scenario, gates: usize) -> BoundSplit {
+    BoundSplit::new(scenario.bound, gates as u32, scenario.reserved_percent)
+}
+
 /// The permits of a gate, by the limit that it enforces.
 #[derive(Debug)]
 pub(crate) enum GatePermits {
@@ -140,6 +114,29 @@
 }
 
 impl GatePermits {
+    /// The permits of the gate `id`, whose process starts at `now`.
+    fn new(scenario: &Scenario, id: GateId, now: Micros) -> Self {
+        let start_delay = scenario.client_timing.charge_after_use();
+        let started = if scenario.start_delay {
+            at(now)
+        } else {
+            at(now).saturating_sub(start_delay)
+        };
+        let split = split_among(scenario, scenario.gates);
+        match scenario.limit {
+            Limit::SlowStart => {
+                GatePermits::SlowStart(SlowStartPermits::new(id, scenario.client_timing, started))
+            }
+            Limit::RetryBudget(settings) => GatePermits::Retry(RetryPermits::new(
+                id,
+                settings,
+                split,
+                scenario.client_timing,
+                started,
+            )),
+        }
+    }
+
     pub(crate) fn on_request(&mut self, now: Duration, key: &Instance) {
         if let Self::Retry(permits) = self {
             permits.deposit(now, key);
@@ -174,6 +171,12 @@
     }
 }
 
+/// The key of an instance, as [`instance`] names it.
+pub(crate) fn key_index(instance: &Instance) -> usize {
+    let number = instance.id.trim_start_matches("i-");
+    number.parse().expect("a key of the run")
+}
+
 /// A gate over its incarnations.
 #[derive(Debug)]
 pub(crate) struct SimulatedGate {
--- a/crates/keyed-ownership/tests/simulation/messages.rs
+++ b/crates/keyed-ownership/tests/simulation/messages.rs
@@ -4,7 +4,7 @@
 use ironmast_keyed_ownership::owner::{Action as OwnerAction, Event as OwnerEvent};
 use ironmast_keyed_ownership::{GateId, Instance, Message};
 
-use super::gate::gate_index;
+use super::gate::{gate_index, key_index};
 use super::network::{WorldEvent, network_delay};
 use super::world::World;
 use super::{MS, at, micros};
@@ -72,13 +72,8 @@
         for action in actions {
             match action {
                 ClientAction::Send(to, message) => self.send(gate, &to, message),
-                ClientAction::Ready(key) => {
-                    let key = key
-                        .id
-                        .trim_start_matches("i-")
-                        .parse()
-                        .expect("a key of the run");
-                    self.send_permitted(gate, key);
+                ClientAction::Ready(instance) => {
+                    self.send_permitted(gate, key_index(&instance));
                 }
             }
         }
--- a/crates/keyed-ownership/tests/simulation/requests.rs
+++ b/crates/keyed-ownership/tests/simulation/requests.rs
@@ -6,6 +6,7 @@
 use super::gate::instance;
 use super::network::{REGIONS, WorldEvent, network_delay};
 use super::scenario::Limit;
+use super::trace::{KeyEvent, Wait};
 use super::world::World;
 use super::{MS, Micros, at, micros};
 
@@ -20,7 +21,7 @@
             WorldEvent::Request { key },
         );
         let gate = self.gate_for(key);
-        self.trace.requests.push((key, self.now));
+        self.trace.requests.push(KeyEvent { key, at: self.now });
         let failing =
             self.scenario.limit == Limit::SlowStart || self.random.random_bool(FAILURE_RATE);
         let now = self.now;
@@ -58,64 +59,76 @@
 
     /// Forwards the waiting requests of a gate for which it has permits.
     pub(super) fn send_permitted(&mut self, gate: usize, key: usize) {
-        let (now, scenario) = (self.now, self.scenario);
-        loop {
-            let Some(process) = &mut self.gates[gate].process else {
-                return;
-            };
-            let Some(arrived) = process.waiting[key].front().copied() else {
-                return;
-            };
-            if arrived + scenario.max_wait < now {
-                process.waiting[key].pop_front();
-                self.trace.abandoned += 1;
-                continue;
-            }
-            let mut actions = Vec::new();
-            let acquired = process.try_acquire(&scenario, now, key, &mut actions);
-            let incarnation = process.id.incarnation;
-            if acquired.is_ok() {
-                process.waiting[key].pop_front();
-            }
-            self.apply_client_actions(gate, actions);
-            self.set_timer(gate);
-            if let Err(exceeded) = acquired {
-                self.schedule_retry(gate, incarnation, key, exceeded);
-                return;
+        while let Some(arrived) = self.first_waiting(gate, key) {
+            match self.try_acquire(gate, key) {
+                Ok(()) => self.forward(gate, key, arrived),
+                Err(exceeded) => {
+                    self.schedule_retry(gate, key, exceeded);
+                    return;
+                }
             }
-            self.trace.waits.push((arrived, now - arrived));
-            let arrival = now + network_delay(&mut self.random, gate, key);
-            self.trace.arrivals.push((key, arrival));
         }
     }
 
-    pub(super) fn schedule_retry(
-        &mut self,
-        gate: usize,
-        incarnation: u64,
-        key: usize,
-        exceeded: LimitExceeded,
-    ) {
+    /// When the first request that waits for a key arrived. Those that waited too long are
+    /// abandoned.
+    fn first_waiting(&mut self, gate: usize, key: usize) -> Option<Micros> {
+        let (now, max_wait) = (self.now, self.scenario.max_wait);
+        let waiting = &mut self.gates[gate].process.as_mut()?.waiting[key];
+        while waiting
+            .front()
+            .is_some_and(|arrived| arrived + max_wait < now)
+        {
+            waiting.pop_front();
+            self.trace.abandoned += 1;
+        }
+        waiting.front().copied()
+    }
+
+    /// Acquires the permit for the first request that waits for a key, which then no longer waits.
+    fn try_acquire(&mut self, gate: usize, key: usize) -> Result<(), LimitExceeded> {
+        let (now, scenario) = (self.now, self.scenario);
+        let Some(process) = &mut self.gates[gate].process else {
+            return Err(LimitExceeded::Indefinitely);
+        };
+        let mut actions = Vec::new();
+        let acquired = process.try_acquire(&scenario, now, key, &mut actions);
+        if acquired.is_ok() {
+            process.waiting[key].pop_front();
+        }
+        self.apply_client_actions(gate, actions);
+        self.set_timer(gate);
+        acquired
+    }
+
+    /// Sends a request that arrived at `arrived` to the server of its key.
+    fn forward(&mut self, gate: usize, key: usize, arrived: Micros) {
+        let duration = self.now - arrived;
+        self.trace.waits.push(Wait { arrived, duration });
+        let at = self.now + network_delay(&mut self.random, gate, key);
+        self.trace.arrivals.push(KeyEvent { key, at });
+    }
+
+    /// Tries the waiting requests of a gate again when the limit may permit one.
+    fn schedule_retry(&mut self, gate: usize, key: usize, exceeded: LimitExceeded) {
+        let now = self.now;
         let retry_at = match exceeded {
             LimitExceeded::Until(moment) => micros(moment),
-            LimitExceeded::Indefinitely => self.now + 50 * MS,
+            LimitExceeded::Indefinitely => now + 50 * MS,
         };
-        let due = retry_at.max(self.now + MS);
-        let now = self.now;
-        let Some(process) = self.process(gate, incarnation) else {
+        let due = retry_at.max(now + MS);
+        let Some(process) = &mut self.gates[gate].process else {
             return;
         };
         if process.retry_at[key] > now && process.retry_at[key] <= due {
             return;
         }
         process.retry_at[key] = due;
-        self.queue.push(
-            due,
-            WorldEvent::Retry {
-                gate,
-                incarnation,
-                key,
-            },
-        );
+        let retry = WorldEvent::Retry {
+            gate,
+            incarnation: process.id.incarnation,
+            key,
+        };
+        self.queue.push(due, retry);
     }
 }
--- a/crates/keyed-ownership/tests/simulation/trace.rs
+++ b/crates/keyed-ownership/tests/simulation/trace.rs
@@ -2,15 +2,30 @@
 
 use super::Micros;
 
+/// An event of one key.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct KeyEvent {
+    pub key: usize,
+    pub at: Micros,
+}
+
+/// How long a request waited for its permit.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Wait {
+    /// When the request arrived at the gate.
+    pub arrived: Micros,
+    pub duration: Micros,
+}
+
 /// What a run records for the checks.
 #[derive(Debug, Default)]
 pub(crate) struct Trace {
-    /// (key, moment) of each client's request.
-    pub requests: Vec<(usize, Micros)>,
-    /// (key, arrival at the server) of each request or retry that is limited.
-    pub arrivals: Vec<(usize, Micros)>,
-    /// (arrival at the gate, time it waited for its permit) of each of them.
-    pub waits: Vec<(Micros, Micros)>,
+    /// Each client's request, when it arrives at its gate.
+    pub requests: Vec<KeyEvent>,
+    /// Each request or retry that is limited, when it arrives at the server.
+    pub arrivals: Vec<KeyEvent>,
+    /// The wait of each of them.
+    pub waits: Vec<Wait>,
     /// Requests that waited too long, or whose gate was killed.
     pub abandoned: u64,
     /// Messages that gates sent to owners and owners to gates.
