--- a/crates/coordinator/tests/many_changes/host.rs
+++ b/crates/coordinator/tests/many_changes/host.rs
@@ -11,6 +11,8 @@
 
 use super::value::Control;
 
+/// Duration of a sync on a disk that works.
+pub(crate) const SYNC_TIME: Duration = Duration::from_millis(3);
 /// Space in bytes that the log may use of a disk of 128 MB.
 pub(crate) const LOG_SPACE_BYTES: u64 = 16 << 20;
 
@@ -67,7 +69,7 @@
             process: None,
             incarnation: 0,
             stalled_until: Duration::ZERO,
-            sync: Duration::from_millis(3),
+            sync: SYNC_TIME,
             timer: Duration::ZERO,
             is_paused: false,
             acknowledged: 0,
--- a/crates/coordinator/tests/many_changes/workload.rs
+++ b/crates/coordinator/tests/many_changes/workload.rs
@@ -6,6 +6,7 @@
 use rand::RngExt;
 
 use super::cluster::{Cluster, HOST_COUNT};
+use super::host::SYNC_TIME;
 
 /// Delay before a change without an outcome is submitted again.
 const RESUBMIT_DELAY: Duration = Duration::from_millis(50);
@@ -14,6 +15,45 @@
 /// Time within which a host catches up after its fault has ended.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(4);
 
+/// Time for which a disk that stalls completes no write.
+const DISK_STALL: Duration = Duration::from_secs(5);
+/// Duration of a sync on a slow disk.
+const SLOW_SYNC: Duration = Duration::from_millis(150);
+/// Number of syncs in a row that fail.
+const FAILING_SYNCS: u32 = 2;
+
+/// The faults that are injected, each as likely as the others. The order belongs to the seeds.
+const FAULT_KINDS: [FaultKind; 11] = [
+    FaultKind::Kill,
+    FaultKind::PowerLoss,
+    FaultKind::LongOutage,
+    FaultKind::RestartOfAll,
+    FaultKind::DiskStall,
+    FaultKind::SlowSyncs,
+    FaultKind::FailingFileSyncs,
+    FaultKind::FailingFolderSyncs,
+    FaultKind::FullDisk,
+    FaultKind::RestartOnFullDisk,
+    FaultKind::Pause,
+];
+
+/// A kind of fault.
+#[derive(Clone, Copy, Debug)]
+enum FaultKind {
+    Kill,
+    PowerLoss,
+    /// A power loss for a fifth of the changes.
+    LongOutage,
+    RestartOfAll,
+    DiskStall,
+    SlowSyncs,
+    FailingFileSyncs,
+    FailingFolderSyncs,
+    FullDisk,
+    RestartOnFullDisk,
+    Pause,
+}
+
 /// Parameters of a workload.
 #[derive(Clone, Debug)]
 pub(crate) struct Workload {
@@ -226,61 +266,84 @@
     /// Injects a random fault that lasts until generation `until`.
     fn inject(&mut self, generation: u64, until: u64) {
         let host = self.cluster.random.random_range(0..HOST_COUNT);
-        let fault = match self.cluster.random.random_range(0..11) {
-            0 => {
-                self.cluster.kill(host);
-                self.report.kills += 1;
-                Fault::Down(host)
-            }
-            1 => {
-                self.cluster.lose_power(host);
-                self.report.power_losses += 1;
-                Fault::Down(host)
-            }
-            2 => {
-                self.cluster.lose_power(host);
-                self.report.long_outages += 1;
+        let kind = FAULT_KINDS[self
+            .cluster
+            .random
+            .random_range(0..FAULT_KINDS.len() as u32) as usize];
+        let fault = match kind {
+            FaultKind::Kill => self.kill(host),
+            FaultKind::PowerLoss => self.lose_power(host),
+            FaultKind::LongOutage => {
                 let until = generation + self.workload.changes / 5;
-                self.fault_in_progress = Some((Fault::Down(host), until));
+                self.fault_in_progress = Some((self.begin_long_outage(host), until));
                 return;
             }
-            3 => {
+            FaultKind::RestartOfAll => {
                 self.restart_all();
                 return;
             }
-            4 => {
-                self.cluster.hosts[host].stalled_until = self.cluster.now + Duration::from_secs(5);
-                Fault::DiskSlow(host)
-            }
-            5 => {
-                self.cluster.hosts[host].sync = Duration::from_millis(150);
-                Fault::DiskSlow(host)
-            }
-            6 => {
-                self.cluster.hosts[host].disk.fail_file_syncs(2);
-                Fault::DiskSlow(host)
-            }
-            7 => {
-                self.cluster.hosts[host].disk.fail_folder_syncs(2);
-                Fault::DiskSlow(host)
-            }
-            8 => {
-                self.cluster.hosts[host].disk.set_full(true);
-                Fault::DiskFull(host)
-            }
-            9 => {
-                self.restart_on_full_disk(host);
-                Fault::DiskFull(host)
-            }
-            _ => {
-                self.cluster.hosts[host].is_paused = true;
-                self.report.pauses += 1;
-                Fault::Paused(host)
-            }
+            FaultKind::DiskStall => self.stall_disk(host),
+            FaultKind::SlowSyncs => self.slow_down_syncs(host),
+            FaultKind::FailingFileSyncs => self.fail_file_syncs(host),
+            FaultKind::FailingFolderSyncs => self.fail_folder_syncs(host),
+            FaultKind::FullDisk => self.fill_disk(host),
+            FaultKind::RestartOnFullDisk => self.restart_on_full_disk(host),
+            FaultKind::Pause => self.pause(host),
         };
         self.fault_in_progress = Some((fault, until));
     }
 
+    fn kill(&mut self, host: usize) -> Fault {
+        self.cluster.kill(host);
+        self.report.kills += 1;
+        Fault::Down(host)
+    }
+
+    fn lose_power(&mut self, host: usize) -> Fault {
+        self.cluster.lose_power(host);
+        self.report.power_losses += 1;
+        Fault::Down(host)
+    }
+
+    fn begin_long_outage(&mut self, host: usize) -> Fault {
+        self.cluster.lose_power(host);
+        self.report.long_outages += 1;
+        Fault::Down(host)
+    }
+
+    fn stall_disk(&mut self, host: usize) -> Fault {
+        self.cluster.hosts[host].stalled_until = self.cluster.now + DISK_STALL;
+        Fault::DiskSlow(host)
+    }
+
+    fn slow_down_syncs(&mut self, host: usize) -> Fault {
+        self.cluster.hosts[host].sync = SLOW_SYNC;
+        Fault::DiskSlow(host)
+    }
+
+    fn fail_file_syncs(&mut self, host: usize) -> Fault {
+        self.cluster.hosts[host].disk.fail_file_syncs(FAILING_SYNCS);
+        Fault::DiskSlow(host)
+    }
+
+    fn fail_folder_syncs(&mut self, host: usize) -> Fault {
+        self.cluster.hosts[host]
+            .disk
+            .fail_folder_syncs(FAILING_SYNCS);
+        Fault::DiskSlow(host)
+    }
+
+    fn fill_disk(&mut self, host: usize) -> Fault {
+        self.cluster.hosts[host].disk.set_full(true);
+        Fault::DiskFull(host)
+    }
+
+    fn pause(&mut self, host: usize) -> Fault {
+        self.cluster.hosts[host].is_paused = true;
+        self.report.pauses += 1;
+        Fault::Paused(host)
+    }
+
     /// Kills all hosts, or cuts their power, at once, and starts them again.
     fn restart_all(&mut self) {
         self.report.power_losses_of_all_hosts += 1;
@@ -299,7 +362,7 @@
     }
 
     /// Restarts a host while its disk rejects writes: it recovers, and accepts nothing.
-    fn restart_on_full_disk(&mut self, host: usize) {
+    fn restart_on_full_disk(&mut self, host: usize) -> Fault {
         self.report.starts_on_full_disks += 1;
         self.cluster.kill(host);
         self.cluster.hosts[host].disk.set_full(true);
@@ -307,13 +370,14 @@
             self.cluster.start(host),
             "what is on a full disk can be read"
         );
+        Fault::DiskFull(host)
     }
 
     fn clear(&mut self, fault: Fault) {
         match fault {
             Fault::Down(host) => self.start(host),
             Fault::DiskFull(host) => self.cluster.hosts[host].disk.set_full(false),
-            Fault::DiskSlow(host) => self.cluster.hosts[host].sync = Duration::from_millis(3),
+            Fault::DiskSlow(host) => self.cluster.hosts[host].sync = SYNC_TIME,
             Fault::Paused(host) => {
                 self.starting
                     .push((host, self.cluster.now, self.acknowledged));
