--- a/crates/simulator-adapter/src/actions/tests.rs
+++ b/crates/simulator-adapter/src/actions/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of `actions.rs`.
+
 use super::*;
 use crate::fields::Fields;
 
--- a/crates/simulator-adapter/src/events/tests.rs
+++ b/crates/simulator-adapter/src/events/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of `events.rs`.
+
 use super::*;
 
 #[test]
