--- a/crates/balancer/tests/decisions/ejection.rs
+++ b/crates/balancer/tests/decisions/ejection.rs
@@ -239,6 +239,29 @@
     assert!(local >= 15, "{local} of 30 stay in the own zone");
 }
 
+/// Guards an overloaded zone against losing server by server.
+#[test]
+fn at_most_half_of_a_zone_is_ejected() {
+    let mut driver = non_idempotent_driver();
+    for number in 0..90 {
+        driver.request(number, 0);
+        driver.pass(5 * MS);
+        let outcome = if driver.last_server(number) == id(3) {
+            Outcome::Ok
+        } else {
+            Outcome::ServerError
+        };
+        driver.end_attempt(number, 0, outcome);
+    }
+    let latest = driver.sends.iter().rev().take(20);
+    let used: BTreeSet<ServerId> = latest.map(|sent| sent.server).collect();
+    assert_eq!(
+        used.len(),
+        2,
+        "one of two failing servers of three is ejected"
+    );
+}
+
 #[test]
 fn a_restarted_server_is_not_judged_by_outcomes_of_its_last_incarnation() {
     let mut driver = Driver::ready(idempotent());
@@ -250,7 +273,7 @@
     let restarted = started_server(1, 0, driver.now - 60 * SECOND);
     driver.list(Scope::Changes, vec![restarted]);
     for number in &pending {
-        driver.end_attempt(*number, 0, Outcome::Reset);
+        driver.end_attempt(*number, 0, Outcome::ConnectFailed);
     }
     for number in others {
         driver.end_attempt(number, 0, Outcome::Ok);
--- a/crates/balancer/tests/decisions/queue.rs
+++ b/crates/balancer/tests/decisions/queue.rs
@@ -45,6 +45,27 @@
     assert_eq!(driver.attempts(100), 0, "the newest is too new to cross");
 }
 
+/// The different retry delays of all rejections.
+fn retry_delays(driver: &Driver) -> BTreeSet<Micros> {
+    let retry_after = |action: &Action| match action {
+        Action::Reject { retry_after, .. } => Some(retry_after.expect("a retry delay")),
+        _ => None,
+    };
+    driver.actions.iter().filter_map(retry_after).collect()
+}
+
+/// Guards against clients that all retry at once.
+#[test]
+fn rejections_at_the_same_time_have_different_retry_delays() {
+    let mut driver = Driver::new(settings(idempotent()));
+    driver.request_all(0..40);
+    driver.pass(SECOND);
+    let times: BTreeSet<Micros> = driver.rejected.values().copied().collect();
+    assert_eq!((driver.rejected.len(), times.len()), (40, 1));
+    let delays = retry_delays(&driver);
+    assert!(delays.len() > 10, "{delays:?}");
+}
+
 /// Behind a full server requests were queued until their latency target had passed, and their clients
 /// could not try elsewhere.
 #[test]
@@ -63,11 +84,7 @@
         driver.rejected.values().all(|&at| at < driver.now),
         "rejected in the first quarter of their second"
     );
-    let retry_after = |action: &Action| match action {
-        Action::Reject { retry_after, .. } => Some(retry_after.expect("a retry delay")),
-        _ => None,
-    };
-    let delays: BTreeSet<Micros> = driver.actions.iter().filter_map(retry_after).collect();
+    let delays = retry_delays(&driver);
     let is_allowed = |delay: &Micros| (1..=SECOND).contains(delay);
     assert!(delays.iter().all(is_allowed), "{delays:?}");
     assert!(
