--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -17,6 +17,7 @@
 pub(crate) use violation::ViolationLog;
 pub use violation::{Rule, Violation};
 use warm_up_load::WarmUpLoad;
+pub(crate) use warm_up_load::WarmUpWork;
 
 /// The kind of the fact that an operation ended, in the digest.
 const OPERATION_ENDED: u8 = 1;
@@ -118,22 +119,13 @@
         );
     }
 
-    /// Records work (core-microseconds) that reached a server while it warms up, when its capacity
-    /// is `capacity` cores of speed 1. `informed` says whether the proxy knew that the server had
-    /// started. Returns whether the server is overloaded and fails.
+    /// Records work that reached a server while it warms up. Returns whether the server is
+    /// overloaded and fails.
     ///
     /// The rule is violated if two thirds of the work came from informed proxies.
     #[must_use]
-    pub(crate) fn work_reached_warming_server(
-        &mut self,
-        at: Micros,
-        server: u32,
-        proxy: u32,
-        work: f64,
-        capacity: f64,
-        informed: bool,
-    ) -> bool {
-        let Some(overload) = self.warm_up_load.add(at, server, work, capacity, informed) else {
+    pub(crate) fn work_reached_warming_server(&mut self, arrival: WarmUpWork) -> bool {
+        let Some(overload) = self.warm_up_load.add(arrival) else {
             return false;
         };
         if overload.avoidable {
@@ -144,9 +136,9 @@
             );
             self.record_violation(
                 Rule::NoWarmUpOverload,
-                at,
-                proxy,
-                Some(server),
+                arrival.at,
+                arrival.proxy,
+                Some(arrival.server),
                 None,
                 description,
             );
--- a/crates/emulator/src/judge/tests.rs
+++ b/crates/emulator/src/judge/tests.rs
@@ -31,7 +31,14 @@
     for (senders, informed, broken) in [(1, true, 1), (30, true, 1), (30, false, 0)] {
         let mut judge = Judge::new(&scenario, 0);
         let add_work = |judge: &mut Judge, at, n: u32| {
-            judge.work_reached_warming_server(at, 7, n % senders, work, capacity, informed)
+            judge.work_reached_warming_server(WarmUpWork {
+                at,
+                server: 7,
+                proxy: n % senders,
+                work,
+                capacity,
+                informed,
+            })
         };
         assert!(
             (0..most).all(|n| !add_work(&mut judge, 1_000 * u64::from(n), n)),
@@ -46,7 +53,14 @@
     let mut judge = Judge::new(&scenario, 0);
     for n in 0..2 * u64::from(most) {
         assert!(
-            !judge.work_reached_warming_server(n * 10_000, 7, 0, work, capacity, true),
+            !judge.work_reached_warming_server(WarmUpWork {
+                at: n * 10_000,
+                server: 7,
+                proxy: 0,
+                work,
+                capacity,
+                informed: true,
+            }),
             "100 a second are never too many: {n}"
         );
     }
--- a/crates/emulator/src/judge/warm_up_load.rs
+++ b/crates/emulator/src/judge/warm_up_load.rs
@@ -7,24 +7,33 @@
 
 use crate::scenario::Scenario;
 
-/// Work that reached a server.
-struct Arrival {
-    at: Micros,
-    work: f64,
-    /// Whether the proxy that sent it knew that the server had started.
-    informed: bool,
+/// Work that reached a server while it warms up.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct WarmUpWork {
+    /// When it arrived.
+    pub at: Micros,
+    /// The number of the server.
+    pub server: u32,
+    /// The proxy that sent it.
+    pub proxy: u32,
+    /// How much it is, in core-microseconds.
+    pub work: f64,
+    /// The capacity of the server at that time, in core-microseconds per microsecond.
+    pub capacity: f64,
+    /// Whether the proxy knew that the server had started.
+    pub informed: bool,
 }
 
 /// The work that reached one server within the last window.
 #[derive(Default)]
 struct RecentWork {
-    arrivals: VecDeque<Arrival>,
+    arrivals: VecDeque<WarmUpWork>,
     sum: f64,
     informed_sum: f64,
 }
 
 impl RecentWork {
-    fn add(&mut self, arrival: Arrival) {
+    fn add(&mut self, arrival: WarmUpWork) {
         self.sum += arrival.work;
         self.informed_sum += arrival.informed_work();
         self.arrivals.push_back(arrival);
@@ -32,7 +41,7 @@
 
     /// Removes what arrived longer than `window` ago.
     fn expire(&mut self, now: Micros, window: f64) {
-        let is_old = |arrival: &Arrival| (now - arrival.at) as f64 > window;
+        let is_old = |arrival: &WarmUpWork| (now - arrival.at) as f64 > window;
         while self.arrivals.front().is_some_and(is_old) {
             let Some(oldest) = self.arrivals.pop_front() else {
                 return;
@@ -43,7 +52,7 @@
     }
 }
 
-impl Arrival {
+impl WarmUpWork {
     fn informed_work(&self) -> f64 {
         if self.informed { self.work } else { 0.0 }
     }
@@ -87,30 +96,23 @@
         }
     }
 
-    /// Adds work that reached a server of this capacity (core-microseconds per microsecond). If it
-    /// is overloaded, what arrived before is forgotten.
+    /// Adds work that reached a server. If the server is overloaded, what arrived before is
+    /// forgotten.
     ///
     /// The limit is the budget (multiple x capacity x window) and what chance explains: of N
     /// requests, twice the standard deviation of a Poisson count, 2 sqrt(N), and two more. It holds
     /// for the sum over all proxies.
-    pub(super) fn add(
-        &mut self,
-        at: Micros,
-        server: u32,
-        work: f64,
-        capacity: f64,
-        informed: bool,
-    ) -> Option<Overload> {
-        let recent = self.recent.entry(server).or_default();
-        recent.add(Arrival { at, work, informed });
-        recent.expire(at, self.window);
-        let budget = self.multiple * capacity * self.window / self.mean_work;
+    pub(super) fn add(&mut self, arrival: WarmUpWork) -> Option<Overload> {
+        let recent = self.recent.entry(arrival.server).or_default();
+        recent.add(arrival);
+        recent.expire(arrival.at, self.window);
+        let budget = self.multiple * arrival.capacity * self.window / self.mean_work;
         let limit = (budget + 2.0 * budget.sqrt() + 2.0) * self.mean_work;
         let (received, informed_sum) = (recent.sum, recent.informed_sum);
         if received <= limit {
             return None;
         }
-        self.recent.remove(&server);
+        self.recent.remove(&arrival.server);
         Some(Overload {
             received,
             limit,
--- a/crates/emulator/src/simulation/attempts.rs
+++ b/crates/emulator/src/simulation/attempts.rs
@@ -9,7 +9,7 @@
 use super::request::{Attempt, RequestOutcome};
 use super::servers::server_number;
 use super::{Fact, Simulation};
-use crate::judge::Rule;
+use crate::judge::{Rule, WarmUpWork};
 use crate::server::{Job, JobKey};
 
 /// An attempt whose request reached the zone of its server.
@@ -253,15 +253,14 @@
         }
         let capacity = machine.server.full_capacity() * machine.server.warmth(self.now);
         let proxy = &self.proxies[arriving.proxy as usize];
-        let informed = proxy.list_version >= machine.start_version;
-        self.judge.work_reached_warming_server(
-            self.now,
-            arriving.server,
-            arriving.proxy,
+        self.judge.work_reached_warming_server(WarmUpWork {
+            at: self.now,
+            server: arriving.server,
+            proxy: arriving.proxy,
             work,
             capacity,
-            informed,
-        )
+            informed: proxy.list_version >= machine.start_version,
+        })
     }
 
     /// The product of the grey failures of a class at a server that its requests still survive.
