--- a/crates/gate/tests/answers.rs
+++ b/crates/gate/tests/answers.rs
@@ -6,6 +6,7 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::fmt;
 use std::net::SocketAddr;
 use std::process::Command;
 use std::rc::Rc;
@@ -117,13 +118,46 @@
     format!("c{client}-r{request}")
 }
 
+/// What must not happen to a request, which its id names.
+#[derive(Clone, Debug)]
+enum Violation {
+    /// A server received a request that no client sent.
+    UnknownRequest(String),
+    /// A server received a body that was not made for the request.
+    ForeignBody(String),
+    /// A request that is not idempotent was executed more than once.
+    ExecutedTwice(String),
+    /// A client got a response that was not made for the request, or that the gate must not give.
+    ForeignResponse(String, Response),
+}
+
+impl fmt::Display for Violation {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Violation::UnknownRequest(id) => write!(formatter, "no client sent {id}"),
+            Violation::ForeignBody(id) => write!(formatter, "{id} has the body of another request"),
+            Violation::ExecutedTwice(id) => write!(formatter, "{id} was executed twice"),
+            Violation::ForeignResponse(id, response) => write!(formatter, "{id} got {response:?}"),
+        }
+    }
+}
+
+/// A complete response.
+#[derive(Clone, Debug)]
+struct Response {
+    status: u16,
+    /// In lower case.
+    head: String,
+    body: String,
+}
+
 /// What the servers do, and what they have observed.
 #[derive(Default)]
 struct ServerState {
     treatments: BTreeMap<String, Treatment>,
     arrivals: BTreeMap<String, usize>,
     runs: BTreeMap<String, usize>,
-    violations: Vec<String>,
+    violations: Vec<Violation>,
 }
 
 type SharedState = Rc<RefCell<ServerState>>;
@@ -152,13 +186,13 @@
             *arrival += 1;
             let arrival = *arrival;
             let Some(treatment) = state.treatments.get(&id).cloned() else {
-                state.violations.push(format!("{id} was asked by nobody"));
+                state.violations.push(Violation::UnknownRequest(id));
                 return;
             };
             (treatment.failures.get(arrival - 1).copied(), treatment)
         };
-        for act in steps(failure, &asked, &GATE) {
-            if !perform(act, &mut stream, &mut buffer, &asked, &treatment, &state).await {
+        for step in steps(failure, &asked, &GATE) {
+            if !perform(step, &mut stream, &mut buffer, &asked, &treatment, &state).await {
                 return;
             }
         }
@@ -167,7 +201,7 @@
 
 /// Takes one step; returns false if the connection has ended.
 async fn perform(
-    act: Step,
+    step: Step,
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
     asked: &RequestHead,
@@ -175,7 +209,7 @@
     state: &SharedState,
 ) -> bool {
     let id = asked.id.clone().unwrap_or_default();
-    match act {
+    match step {
         Step::ReadBody { runs } => {
             let length = asked.length.unwrap_or(0);
             while buffer.len() < length {
@@ -186,9 +220,7 @@
             let body: Vec<u8> = buffer.drain(..length).collect();
             let mut state = state.borrow_mut();
             if body != body_of(&id, length) {
-                state
-                    .violations
-                    .push(format!("the body of {id} is another's"));
+                state.violations.push(Violation::ForeignBody(id.clone()));
             }
             if runs {
                 *state.runs.entry(id).or_default() += 1;
@@ -244,11 +276,8 @@
     [head.into_bytes(), body_of(id, planned.body)].concat()
 }
 
-/// Reads a complete response, or returns `None` if it broke off or never came.
-async fn read_response(
-    stream: &mut TcpStream,
-    buffer: &mut Vec<u8>,
-) -> Option<(u16, String, String)> {
+/// Reads a complete response; `None` if it is truncated or never begins.
+async fn read_response(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Response> {
     let head = read_until(stream, buffer, b"\r\n\r\n")
         .await?
         .to_ascii_lowercase();
@@ -256,53 +285,64 @@
     let length = head
         .lines()
         .find_map(|line| line.strip_prefix("content-length: "));
-    let mut body = Vec::new();
-    if let Some(length) = length {
-        let length: usize = length.parse().ok()?;
-        while buffer.len() < length {
-            if !read_more(stream, buffer).await {
-                return None;
-            }
-        }
-        body = buffer.drain(..length).collect();
+    let body = if let Some(length) = length {
+        read_exactly(stream, buffer, length.parse().ok()?).await?
     } else if head.contains("transfer-encoding: chunked") {
-        loop {
-            let line = read_until(stream, buffer, b"\r\n").await?;
-            let size = usize::from_str_radix(line.trim(), 16).ok()?;
-            while buffer.len() < size + 2 {
-                if !read_more(stream, buffer).await {
-                    return None;
-                }
-            }
-            body.extend(buffer.drain(..size));
-            buffer.drain(..2);
-            if size == 0 {
-                break;
-            }
+        read_chunks(stream, buffer).await?
+    } else {
+        Vec::new()
+    };
+    let body = String::from_utf8_lossy(&body).into_owned();
+    Some(Response { status, head, body })
+}
+
+async fn read_exactly(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+    length: usize,
+) -> Option<Vec<u8>> {
+    while buffer.len() < length {
+        if !read_more(stream, buffer).await {
+            return None;
+        }
+    }
+    Some(buffer.drain(..length).collect())
+}
+
+/// Reads a chunked body, and returns it without its framing.
+async fn read_chunks(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Vec<u8>> {
+    let mut body = Vec::new();
+    loop {
+        let line = read_until(stream, buffer, b"\r\n").await?;
+        let size = usize::from_str_radix(line.trim(), 16).ok()?;
+        let mut chunk = read_exactly(stream, buffer, size + 2).await?;
+        chunk.truncate(size);
+        body.extend(chunk);
+        if size == 0 {
+            return Some(body);
         }
     }
-    Some((status, head, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// Describes a response that the client must not get.
-fn violation(
-    planned: &RequestPlan,
-    id: &str,
-    (status, head, body): &(u16, String, String),
-) -> Option<String> {
-    let own = match planned.route {
+/// Whether a client may get this response to its request.
+fn is_permitted(planned: &RequestPlan, id: &str, response: &Response) -> bool {
+    let own_body = match planned.route {
         "stream" | "once" => events(id, 1),
         _ => format!("answer to {id}"),
     };
-    let named = head
+    let named_id = response
+        .head
         .lines()
         .find_map(|line| line.strip_prefix("x-ironmast-request-id: "));
-    let fits = match status {
-        200 | 500 => *body == own && named == Some(id),
-        502..=504 | 429 => body.is_empty() && named.is_none(),
+    match response.status {
+        200 | 500 => response.body == own_body && named_id == Some(id),
+        502..=504 | 429 => response.body.is_empty() && named_id.is_none(),
         _ => false,
-    };
-    (!fits).then(|| format!("{id} got {status} {head:?} {body:?}"))
+    }
+}
+
+async fn connect(to: SocketAddr) -> TcpStream {
+    TcpStream::connect(to).await.expect("the gate accepts")
 }
 
 /// Sends one client's requests over one connection, and over a new one where that ends. Returns the
@@ -310,96 +350,107 @@
 ///
 /// # Errors
 /// A response that the client must not get.
-async fn run_client(to: SocketAddr, client: usize, planned: ClientPlan) -> Result<usize, String> {
+async fn run_client(
+    to: SocketAddr,
+    client: usize,
+    planned: ClientPlan,
+) -> Result<usize, Violation> {
     let mut served = 0;
-    let (mut stream, mut buffer) = (
-        TcpStream::connect(to)
-            .await
-            .map_err(|error| error.to_string())?,
-        Vec::new(),
-    );
+    let (mut stream, mut buffer) = (connect(to).await, Vec::new());
     if planned.pipelined {
-        let all = planned.requests.iter().enumerate();
-        let bytes: Vec<u8> = all
-            .flat_map(|(n, request)| request_bytes(request, &id_of(client, n)))
+        let requests = planned.requests.iter().enumerate();
+        let bytes: Vec<u8> = requests
+            .flat_map(|(number, request)| request_bytes(request, &id_of(client, number)))
             .collect();
         // A gate that closes early need not read all of it.
         let _ = stream.write_all(&bytes).await;
     }
-    for (n, request) in planned.requests.iter().enumerate() {
-        let id = id_of(client, n);
-        if !planned.pipelined
-            && stream
-                .write_all(&request_bytes(request, &id))
-                .await
-                .is_err()
-        {
-            return Ok(served);
+    for (number, request) in planned.requests.iter().enumerate() {
+        let id = id_of(client, number);
+        if !planned.pipelined {
+            let written = stream.write_all(&request_bytes(request, &id)).await;
+            if written.is_err() {
+                return Ok(served);
+            }
         }
         match read_response(&mut stream, &mut buffer).await {
-            Some(got) => match violation(request, &id, &got) {
-                Some(wrong) => return Err(wrong),
-                None => served += usize::from(got.0 == 200),
-            },
-            None if planned.pipelined => return Ok(served),
-            None => {
-                (stream, buffer) = (
-                    TcpStream::connect(to)
-                        .await
-                        .map_err(|error| error.to_string())?,
-                    Vec::new(),
-                );
+            Some(response) if is_permitted(request, &id, &response) => {
+                served += usize::from(response.status == 200);
             }
+            Some(response) => return Err(Violation::ForeignResponse(id, response)),
+            None if planned.pipelined => return Ok(served),
+            None => (stream, buffer) = (connect(to).await, Vec::new()),
         }
     }
     Ok(served)
 }
 
+/// Starts the servers of a plan: two in the gate's region and one in another.
+async fn start_servers(state: &SharedState) -> Vec<(&'static str, SocketAddr, &'static str)> {
+    let mut servers = Vec::new();
+    for (id, zone) in [
+        ("i-1", LOCAL_ZONE),
+        ("i-2", LOCAL_ZONE),
+        ("i-3", REMOTE_ZONE),
+    ] {
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port is free");
+        servers.push((id, listener.local_addr().expect("bound"), zone));
+        actix_rt::spawn(serve(listener, Rc::clone(state)));
+    }
+    servers
+}
+
+/// Every request of a plan with its id.
+fn requests_of(clients: &[ClientPlan]) -> impl Iterator<Item = (String, &RequestPlan)> {
+    clients.iter().enumerate().flat_map(|(client, planned)| {
+        let requests = planned.requests.iter().enumerate();
+        requests.map(move |(number, request)| (id_of(client, number), request))
+    })
+}
+
+/// A request of a plan that was executed twice although it is not idempotent.
+fn find_executed_twice(clients: &[ClientPlan], state: &ServerState) -> Option<Violation> {
+    let is_once = |request: &RequestPlan| matches!(request.route, "unsafe" | "once");
+    let is_repeated = |id: &String| state.runs.get(id).is_some_and(|&runs| runs > 1);
+    requests_of(clients)
+        .find(|(id, request)| is_once(request) && is_repeated(id))
+        .map(|(id, _)| Violation::ExecutedTwice(id))
+}
+
+async fn run_plan_on_runtime(clients: Vec<ClientPlan>) -> Result<usize, Violation> {
+    let state = SharedState::default();
+    let treatments = requests_of(&clients).map(|(id, request)| (id, request.treatment.clone()));
+    state.borrow_mut().treatments.extend(treatments);
+    let servers = start_servers(&state).await;
+    let gate = TestGate::start_with(&servers).await;
+    let runs = clients.iter().cloned().enumerate();
+    let runs = runs.map(|(client, planned)| run_client(gate.frontend, client, planned));
+    let served: Result<Vec<usize>, Violation> = futures_util::future::join_all(runs)
+        .await
+        .into_iter()
+        .collect();
+    let state = state.borrow();
+    if let Some(violation) = find_executed_twice(&clients, &state) {
+        return Err(violation);
+    }
+    if let Some(violation) = state.violations.first() {
+        return Err(violation.clone());
+    }
+    served.map(|served| served.iter().sum())
+}
+
 /// Runs a plan; returns the number of requests that were served.
-fn run_plan(clients: Vec<ClientPlan>) -> Result<usize, String> {
+///
+/// # Errors
+/// What must not have happened.
+fn run_plan(clients: Vec<ClientPlan>) -> Result<usize, Violation> {
     let result = Rc::new(RefCell::new(Ok(0)));
     let written_result = Rc::clone(&result);
     run_test(async move {
-        let state = SharedState::default();
-        for (client, planned) in clients.iter().enumerate() {
-            for (n, request) in planned.requests.iter().enumerate() {
-                state
-                    .borrow_mut()
-                    .treatments
-                    .insert(id_of(client, n), request.treatment.clone());
-            }
-        }
-        let mut servers = Vec::new();
-        for (id, zone) in [
-            ("i-1", LOCAL_ZONE),
-            ("i-2", LOCAL_ZONE),
-            ("i-3", REMOTE_ZONE),
-        ] {
-            let listener = TcpListener::bind("127.0.0.1:0")
-                .await
-                .expect("a port is free");
-            servers.push((id, listener.local_addr().expect("bound"), zone));
-            actix_rt::spawn(serve(listener, Rc::clone(&state)));
-        }
-        let gate = TestGate::start_with(&servers).await;
-        let all = clients.iter().cloned().enumerate();
-        let all = all.map(|(client, planned)| run_client(gate.frontend, client, planned));
-        let served: Result<Vec<usize>, String> = futures_util::future::join_all(all)
-            .await
-            .into_iter()
-            .collect();
-        let state = state.borrow();
-        let twice = clients.iter().enumerate().find_map(|(client, planned)| {
-            let requests = planned.requests.iter().enumerate();
-            let once = requests.filter(|(_, request)| matches!(request.route, "unsafe" | "once"));
-            once.map(|(n, _)| id_of(client, n))
-                .find(|id| state.runs.get(id).is_some_and(|&runs| runs > 1))
-        });
-        *written_result.borrow_mut() = match (twice, state.violations.first()) {
-            (Some(id), _) => Err(format!("{id} ran twice")),
-            (_, Some(wrong)) => Err(wrong.clone()),
-            _ => served.map(|served| served.iter().sum()),
-        };
+        let plan_result = run_plan_on_runtime(clients).await;
+        *written_result.borrow_mut() = plan_result;
     });
     result.borrow().clone()
 }
@@ -411,16 +462,17 @@
         ..Config::default()
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
-    let (plans, answers) = (Cell::new(0), Cell::new(0));
+    let (plans, served_requests) = (Cell::new(0), Cell::new(0));
     TestRunner::new_with_rng(config, rng)
         .run(&plan(), |clients| {
-            let served = run_plan(clients).map_err(TestCaseError::fail)?;
+            let fail = |violation: Violation| TestCaseError::fail(violation.to_string());
+            let served = run_plan(clients).map_err(fail)?;
             plans.set(plans.get() + 1);
-            answers.set(answers.get() + served);
+            served_requests.set(served_requests.get() + served);
             Ok(())
         })
         .unwrap_or_else(|failed| panic!("seed {seed}: {failed}"));
-    let (plans, served) = (plans.get(), answers.get());
+    let (plans, served) = (plans.get(), served_requests.get());
     println!("seed {seed}: {plans} plans, {served} requests served, each with its own answer");
     assert!(
         plans >= PLANS && served > PLANS as usize,
