--- a/crates/gate/tests/failing_servers.rs
+++ b/crates/gate/tests/failing_servers.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 
 use ironmast_fault_injection::failing_server::{
-    ClientRequest, ClientResponse, Connection, Ending, FailingServer, Failure, GATE, RequestBody,
-    events, exchange,
+    ClientRequest, ClientResponse, Connection, Ending, FailingServer, Failure, GATE, Observations,
+    RequestBody, events, exchange,
 };
 use support::{LOCAL_ZONE, REMOTE_ZONE, TestGate, run_test};
 
@@ -52,16 +52,31 @@
 }
 
 /// Method and body of a request.
-const FORMS: [(&str, RequestBody); 5] = [
-    ("GET", RequestBody::None),
-    ("POST", RequestBody::Sized(8)),
-    ("PUT", RequestBody::Chunked(3_000)),
-    ("PATCH", RequestBody::Sized(LONG_BODY)),
-    ("DELETE", RequestBody::None),
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Form {
+    method: &'static str,
+    body: RequestBody,
+}
+
+impl Form {
+    const fn new(method: &'static str, body: RequestBody) -> Self {
+        Form { method, body }
+    }
+}
+
+/// A `POST` with a short body.
+const SHORT_POST: Form = Form::new("POST", RequestBody::Sized(8));
+
+const FORMS: [Form; 5] = [
+    Form::new("GET", RequestBody::None),
+    SHORT_POST,
+    Form::new("PUT", RequestBody::Chunked(3_000)),
+    Form::new("PATCH", RequestBody::Sized(LONG_BODY)),
+    Form::new("DELETE", RequestBody::None),
 ];
 
 /// The forms with which a failure is tested: few where each takes until the client's deadline.
-fn forms_for(effect: Effect) -> &'static [(&'static str, RequestBody)] {
+fn forms_for(effect: Effect) -> &'static [Form] {
     if effect == Effect::TimedOut {
         &FORMS[1..3]
     } else {
@@ -90,92 +105,101 @@
 }
 
 /// A failure, and what follows from it.
-#[derive(Clone, Copy)]
+#[derive(Clone, Copy, Debug)]
 struct Case {
     failure: Failure,
     effect: Effect,
-    is_connection_reused: bool,
+    /// `Kept` if the gate may send the next request on the connection.
+    connection: Connection,
 }
 
-/// Every failure.
-fn cases() -> Vec<Case> {
-    let case = |(failure, effect, is_connection_reused)| Case {
-        failure,
-        effect,
-        is_connection_reused,
-    };
-    effects_and_reuse().into_iter().map(case).collect()
+impl Case {
+    const fn new(failure: Failure, effect: Effect, connection: Connection) -> Self {
+        Case {
+            failure,
+            effect,
+            connection,
+        }
+    }
+
+    /// Whether the next request arrives on the connection of the first, which had this form. The
+    /// gate does not reuse a connection whose server rejected a long body, as it may not have read
+    /// it.
+    fn is_connection_reused(self, form: Form) -> bool {
+        let is_long = form.body == RequestBody::Sized(LONG_BODY);
+        let is_rejection = matches!(
+            self.failure,
+            Failure::Status(_) | Failure::NotExecutedStatus(_)
+        );
+        self.connection == Kept && !(is_long && is_rejection)
+    }
 }
 
-/// Every failure, its effect, and whether the connection is reused.
-fn effects_and_reuse() -> Vec<(Failure, Effect, bool)> {
+/// Every failure, its effect, and whether the connection may be reused.
+fn cases() -> Vec<Case> {
     use Effect::*;
     use Failure::*;
-    let mut rows = vec![
-        (None, Served, true),
-        (Silence, TimedOut, false),
-        (Interim(100), Served, true),
-        (Interim(102), Served, true),
-        (Interim(103), Served, true),
-        (AfterInterim(101, Kept), MaybeExecuted, false),
-        (TrailingBytes, Served, false),
-        (DuplicateResponse, Served, false),
-        (Foreign, Served, false),
-        (ForeignFirst, Served, false),
-        (ForeignInstead, MaybeExecuted, false),
-        (ForeignAndSilence, TimedOut, false),
-        (MissingId, MaybeExecuted, false),
-        (DuplicateId, MaybeExecuted, false),
-        (BothFramings, MaybeExecuted, false),
-        (TwoLengths, MaybeExecuted, false),
-        (BadChunk, MaybeExecuted, false),
-        (ChunksInHttp10, MaybeExecuted, false),
-        (BodyWithout204, MaybeExecuted, false),
-        (Unsigned, MaybeExecuted, false),
-        (NotExecutedStatus(503), NotExecuted, true),
-        (NotExecutedStatus(429), NotExecuted, true),
-        (NotExecutedStatus(421), NotExecuted, true),
-        (Failure::Status(421), NotExecuted, true),
-        (Failure::Status(500), ServerError, true),
-        (Failure::Status(504), ServerError, true),
-        (Failure::Status(503), MaybeExecuted, true),
-        (Failure::Status(429), MisleadingStatus, true),
-        (Failure::Status(408), MisleadingStatus, true),
+    let mut cases = vec![
+        Case::new(None, Served, Kept),
+        Case::new(Silence, TimedOut, Closed),
+        Case::new(Interim(100), Served, Kept),
+        Case::new(Interim(102), Served, Kept),
+        Case::new(Interim(103), Served, Kept),
+        Case::new(AfterInterim(101, Kept), MaybeExecuted, Closed),
+        Case::new(TrailingBytes, Served, Closed),
+        Case::new(DuplicateResponse, Served, Closed),
+        Case::new(Foreign, Served, Closed),
+        Case::new(ForeignFirst, Served, Closed),
+        Case::new(ForeignInstead, MaybeExecuted, Closed),
+        Case::new(ForeignAndSilence, TimedOut, Closed),
+        Case::new(MissingId, MaybeExecuted, Closed),
+        Case::new(DuplicateId, MaybeExecuted, Closed),
+        Case::new(BothFramings, MaybeExecuted, Closed),
+        Case::new(TwoLengths, MaybeExecuted, Closed),
+        Case::new(BadChunk, MaybeExecuted, Closed),
+        Case::new(ChunksInHttp10, MaybeExecuted, Closed),
+        Case::new(BodyWithout204, MaybeExecuted, Closed),
+        Case::new(Unsigned, MaybeExecuted, Closed),
+        Case::new(NotExecutedStatus(503), NotExecuted, Kept),
+        Case::new(NotExecutedStatus(429), NotExecuted, Kept),
+        Case::new(NotExecutedStatus(421), NotExecuted, Kept),
+        Case::new(Failure::Status(421), NotExecuted, Kept),
+        Case::new(Failure::Status(500), ServerError, Kept),
+        Case::new(Failure::Status(504), ServerError, Kept),
+        Case::new(Failure::Status(503), MaybeExecuted, Kept),
+        Case::new(Failure::Status(429), MisleadingStatus, Kept),
+        Case::new(Failure::Status(408), MisleadingStatus, Kept),
     ];
     for end in [Closed, Reset] {
-        rows.extend([
-            (NoHead(end), MaybeExecuted, false),
-            (InHead(end), MaybeExecuted, false),
-        ]);
-        rows.extend([
-            (InInterim(end), MaybeExecuted, false),
-            (AfterInterim(103, end), MaybeExecuted, false),
-        ]);
-        rows.extend([
-            (InBody(end), Truncated, false),
-            (InChunks(end), Truncated, false),
+        cases.extend([
+            Case::new(NoHead(end), MaybeExecuted, Closed),
+            Case::new(InHead(end), MaybeExecuted, Closed),
+            Case::new(InInterim(end), MaybeExecuted, Closed),
+            Case::new(AfterInterim(103, end), MaybeExecuted, Closed),
+            Case::new(InBody(end), Truncated, Closed),
+            Case::new(InChunks(end), Truncated, Closed),
+            Case::new(EarlyNotExecuted(503, end), NotExecuted, Closed),
         ]);
-        rows.extend([(EarlyNotExecuted(503, end), NotExecuted, false)]);
     }
     for announced in [false, true] {
-        rows.push((
+        cases.push(Case::new(
             Unframed {
                 announced,
                 end: Closed,
             },
             Served,
-            false,
+            Closed,
         ));
-        rows.push((
+        cases.push(Case::new(
             Unframed {
                 announced,
                 end: Reset,
             },
             Truncated,
-            false,
+            Closed,
         ));
     }
-    rows
+    cases
 }
 
 /// What the client gets and how often the request is executed, with a second server that serves.
@@ -188,6 +212,17 @@
     runs: (usize, usize),
 }
 
+/// The part of a truncated stream that reaches the client. A partial event is not relayed.
+fn relayed_part(failure: Failure, id: &str) -> String {
+    let last_event = match failure {
+        Failure::InBody(_) => "id: 1\n",
+        _ => "id: 2\n",
+    };
+    let stream = Class::Once.response_body(id);
+    let (before, _) = stream.split_once(last_event).expect("the event is there");
+    format!("{before}{last_event}data: {id}\n\n")
+}
+
 fn expected_result(failure: Failure, effect: Effect, class: Class, id: &str) -> ExchangeResult {
     let complete = |runs| ExchangeResult {
         status: 200,
@@ -206,25 +241,11 @@
         Effect::Served => complete((1, 0)),
         Effect::NotExecuted => complete((0, 1)),
         Effect::TimedOut => failed(504),
-        Effect::Truncated if class == Class::Once => {
-            // The partial event is not relayed.
-            let body = if matches!(failure, Failure::InBody(_)) {
-                "id: 1\n"
-            } else {
-                "id: 2\n"
-            };
-            let body = class
-                .response_body(id)
-                .split_once(body)
-                .map(|(before, _)| before.to_string() + body);
-            let body = body.expect("it is there") + &format!("data: {id}\n\n");
-            ExchangeResult {
-                status: 200,
-                ending: Ending::Truncated,
-                body,
-                runs: (1, 0),
-            }
-        }
+        Effect::Truncated if class == Class::Once => ExchangeResult {
+            ending: Ending::Truncated,
+            body: relayed_part(failure, id),
+            ..complete((1, 0))
+        },
         Effect::MaybeExecuted | Effect::Truncated | Effect::ServerError
             if class.is_idempotent() =>
         {
@@ -250,23 +271,18 @@
     }
 }
 
-fn request<'a>(
-    class: Class,
-    form: (&'a str, RequestBody),
-    id: &'a str,
-    effect: Effect,
-) -> ClientRequest<'a> {
+fn request(class: Class, form: Form, id: &str, effect: Effect) -> ClientRequest<'_> {
     let headers = match effect {
         Effect::TimedOut => "X-Ironmast-Deadline-Ms: 400\r\n",
         _ => "X-Ironmast-Deadline-Ms: 20000\r\n",
     };
     ClientRequest {
-        method: form.0,
+        method: form.method,
         target: class.target(),
         id_header: GATE.id_header,
         id,
         headers,
-        body: form.1,
+        body: form.body,
     }
 }
 
@@ -297,103 +313,109 @@
 async fn first_exchange(
     to: SocketAddr,
     class: Class,
-    form: (&'static str, RequestBody),
+    form: Form,
     effect: Effect,
 ) -> ClientResponse {
     blocking(move || exchange(to, &request(class, form, "r1", effect)).expect("a connection")).await
 }
 
+/// Sends one request to a gate whose first server fails, and compares what the client and the
+/// servers have observed with what is expected.
+async fn assert_expected_result(case: Case, class: Class, form: Form) {
+    let Case {
+        failure, effect, ..
+    } = case;
+    let (first, second, gate) = start_two_servers(&[failure]).await;
+    let got = first_exchange(gate.frontend, class, form, effect).await;
+    let (first, second) = (first.seen(), second.seen());
+    let observed = ExchangeResult {
+        status: got.status,
+        ending: got.ending,
+        body: got.body.clone(),
+        runs: (first.runs.len(), second.runs.len()),
+    };
+    let expected = expected_result(failure, effect, class, "r1");
+    assert_eq!(observed, expected, "{failure:?}, {class:?}, {form:?}");
+    assert!(
+        first.wrong.is_empty() && second.wrong.is_empty(),
+        "{failure:?}: {first:?} {second:?}"
+    );
+    let is_signed = got.header("x-ironmast-server-signature").is_some();
+    let is_of_server = got.status == 200 || effect == Effect::ServerError;
+    assert_eq!(
+        is_signed, is_of_server,
+        "{failure:?}, {class:?}: {}",
+        got.head
+    );
+}
+
 /// Whatever fails, only an idempotent request is executed again after it may have been executed, and
 /// the client gets one complete response, a visibly truncated response, or an error that implies
 /// nothing about the execution.
 #[test]
 fn each_failure_of_a_server_has_its_expected_result_for_each_class_and_form() {
-    for Case {
-        failure, effect, ..
-    } in cases()
-    {
+    for case in cases() {
         run_test(async move {
             for class in CLASSES {
-                for &form in forms_for(effect) {
-                    let (first, second, gate) = start_two_servers(&[failure]).await;
-                    let got = first_exchange(gate.frontend, class, form, effect).await;
-                    let (first, second) = (first.seen(), second.seen());
-                    let runs = (first.runs.len(), second.runs.len());
-                    let observed = ExchangeResult {
-                        status: got.status,
-                        ending: got.ending,
-                        body: got.body.clone(),
-                        runs,
-                    };
-                    let expected = expected_result(failure, effect, class, "r1");
-                    assert_eq!(observed, expected, "{failure:?}, {class:?}, {form:?}");
-                    assert!(
-                        first.wrong.is_empty() && second.wrong.is_empty(),
-                        "{failure:?}: {first:?} {second:?}"
-                    );
-                    let stamped = got.header("x-ironmast-server-signature").is_some();
-                    let of_server = got.status == 200 || effect == Effect::ServerError;
-                    assert_eq!(stamped, of_server, "{failure:?}, {class:?}: {}", got.head);
+                for &form in forms_for(case.effect) {
+                    assert_expected_result(case, class, form).await;
                 }
             }
         });
     }
 }
 
+/// The numbers of the connections on which a request arrived.
+fn connections_of(id: &str, seen: &Observations) -> Vec<usize> {
+    let arrivals = seen.arrivals.iter().filter(|(of, _)| of == id);
+    arrivals.map(|(_, number)| *number).collect()
+}
+
+/// Sends a request whose server fails and then another one, and compares their connections.
+async fn assert_expected_reuse(case: Case, class: Class, form: Form) {
+    let failure = case.failure;
+    let (server, gate) = start_one_server(&[failure]).await;
+    first_exchange(gate.frontend, class, form, case.effect).await;
+    if failure.ends_connection_after_response() {
+        // A request that is written to the connection before its server ends it may have been
+        // executed, and no proxy can know the end beforehand.
+        server.await_end(0);
+    }
+    let to = gate.frontend;
+    let next = request(Class::Unsafe, SHORT_POST, "r2", Effect::Served);
+    let got = blocking(move || exchange(to, &next).expect("a connection")).await;
+    let seen = server.seen();
+    let of_next = connections_of("r2", &seen);
+    if got.status == 503 && of_next.is_empty() {
+        // The server is not used for a while after a rejection: another test covers the connections
+        // of rejections.
+        assert!(
+            case.effect == Effect::NotExecuted,
+            "{failure:?}, {class:?}, {form:?}: {got:?}"
+        );
+        return;
+    }
+    assert_eq!(
+        (got.status, got.body.as_str()),
+        (200, "answer to r2"),
+        "{failure:?}, {class:?}, {form:?}: {seen:?}"
+    );
+    let is_reused = connections_of("r1", &seen).last() == of_next.last();
+    assert_eq!(
+        is_reused,
+        case.is_connection_reused(form),
+        "{failure:?}, {class:?}, {form:?}"
+    );
+}
+
 /// A connection whose state is in doubt carries no further request; any other one does.
 #[test]
 fn connection_is_reused_only_after_a_valid_response() {
-    for Case {
-        failure,
-        effect,
-        is_connection_reused,
-    } in cases()
-    {
+    for case in cases() {
         run_test(async move {
             for class in [Class::Unsafe, Class::Resumable] {
-                for &form in forms_for(effect) {
-                    let (server, gate) = start_one_server(&[failure]).await;
-                    first_exchange(gate.frontend, class, form, effect).await;
-                    if failure.ends_connection_after_response() {
-                        // A request that is written to the connection before its server ends it may
-                        // have been executed, and no proxy can know the end beforehand.
-                        server.await_end(0);
-                    }
-                    let to = gate.frontend;
-                    let next = ClientRequest {
-                        id: "r2",
-                        ..request(Class::Unsafe, FORMS[1], "r2", Effect::Served)
-                    };
-                    let got = blocking(move || exchange(to, &next).expect("a connection")).await;
-                    let seen = server.seen();
-                    let connection = |id: &str| {
-                        let arrivals = seen.arrivals.iter().filter(|(of, _)| of == id);
-                        arrivals.map(|(_, number)| *number).collect::<Vec<_>>()
-                    };
-                    let of_next = connection("r2");
-                    if got.status == 503 && of_next.is_empty() {
-                        // The server is not used for a while after a rejection: another test covers the
-                        // connections of rejections.
-                        assert!(
-                            effect == Effect::NotExecuted,
-                            "{failure:?}, {class:?}, {form:?}: {got:?}"
-                        );
-                        continue;
-                    }
-                    assert_eq!(
-                        (got.status, got.body.as_str()),
-                        (200, "answer to r2"),
-                        "{failure:?}, {class:?}, {form:?}: {seen:?}"
-                    );
-                    let is_reused = connection("r1").last() == of_next.last();
-                    let is_long = form.1 == RequestBody::Sized(LONG_BODY);
-                    let is_rejection =
-                        matches!(failure, Failure::Status(_) | Failure::NotExecutedStatus(_));
-                    assert_eq!(
-                        is_reused,
-                        is_connection_reused && !(is_long && is_rejection),
-                        "{failure:?}, {class:?}, {form:?}"
-                    );
+                for &form in forms_for(case.effect) {
+                    assert_expected_reuse(case, class, form).await;
                 }
             }
         });
@@ -414,8 +436,10 @@
                     let (server, gate) = start_one_server(&[failure]).await;
                     let to = gate.frontend;
                     let (first, next, seen) = blocking(move || {
-                        let first =
-                            exchange(to, &request(Class::Unsafe, FORMS[1], "r1", Effect::Served));
+                        let first = exchange(
+                            to,
+                            &request(Class::Unsafe, SHORT_POST, "r1", Effect::Served),
+                        );
                         server.release();
                         let next = exchange(to, &request(class, form, "r2", Effect::Served));
                         (
@@ -456,8 +480,10 @@
                         start_two_servers(&[Failure::None, Failure::NoHead(end)]).await;
                     let to = gate.frontend;
                     let next = blocking(move || {
-                        let warm =
-                            exchange(to, &request(Class::Unsafe, FORMS[1], "r1", Effect::Served));
+                        let warm = exchange(
+                            to,
+                            &request(Class::Unsafe, SHORT_POST, "r1", Effect::Served),
+                        );
                         assert_eq!(warm.expect("a connection").body, "answer to r1");
                         exchange(to, &request(class, form, "r2", Effect::Served))
                             .expect("a connection")
@@ -505,8 +531,11 @@
                     let to = gate.frontend;
                     for id in ["r1", "r2", "r3"] {
                         let got = blocking(move || {
-                            exchange(to, &request(class, ("POST", body), id, Effect::Served))
-                                .expect("a connection")
+                            exchange(
+                                to,
+                                &request(class, Form::new("POST", body), id, Effect::Served),
+                            )
+                            .expect("a connection")
                         })
                         .await;
                         let early = id == "r1" && matches!(failure, Failure::EarlyError(_));
@@ -566,7 +595,7 @@
                 let got = first_exchange(
                     gate.frontend,
                     class,
-                    ("HEAD", RequestBody::None),
+                    Form::new("HEAD", RequestBody::None),
                     Effect::Served,
                 )
                 .await;
