--- a/crates/keyed-ownership/src/client.rs
+++ b/crates/keyed-ownership/src/client.rs
@@ -52,6 +52,16 @@
     keys: FxHashMap<K, KeyState>,
 }
 
+/// The permits of a key that the gate requests from the owner.
+#[derive(Clone, Copy, Debug)]
+struct Shortfall {
+    /// The number of permits to request; no more than `pool` are.
+    permits: u32,
+    /// What the owner may have outstanding in one window, by the gate's configuration.
+    pool: u32,
+    purpose: Purpose,
+}
+
 /// Why permits are requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
@@ -61,6 +71,17 @@
     Prefetch,
 }
 
+impl Purpose {
+    /// The purpose of a gate that expects to need `prefetch` permits soon.
+    fn by_prefetch(prefetch: u32) -> Self {
+        if prefetch > 0 {
+            Self::Prefetch
+        } else {
+            Self::Waiting
+        }
+    }
+}
+
 impl<K: OwnedKey> PermitClient<K> {
     /// The client of the gate `me`, whose incarnation must be new.
     #[must_use]
@@ -104,19 +125,20 @@
         let acquired = state.take(now);
         let prefetch = state.prefetch(now, self.timing.lifetime);
         let remaining = state.remaining();
-        let is_short = !acquired || remaining * 2 < prefetch;
-        if is_short {
-            let requested = if acquired {
-                prefetch - remaining
-            } else {
-                waiting.max(1).max(prefetch)
-            };
-            let purpose = if prefetch > 0 {
-                Purpose::Prefetch
-            } else {
-                Purpose::Waiting
+        let permits = if !acquired {
+            waiting.max(1).max(prefetch)
+        } else if remaining * 2 < prefetch {
+            prefetch - remaining
+        } else {
+            0
+        };
+        if permits > 0 {
+            let shortfall = Shortfall {
+                permits,
+                pool,
+                purpose: Purpose::by_prefetch(prefetch),
             };
-            self.request(now, key, requested.min(pool), pool, purpose, actions);
+            self.request(now, key, shortfall, actions);
         }
         if !acquired {
             return Err(self.exceeded(key));
@@ -198,23 +220,21 @@
         &mut self,
         now: Duration,
         key: &K,
-        requested: u32,
-        pool: u32,
-        purpose: Purpose,
+        shortfall: Shortfall,
         actions: &mut Vec<Action<K>>,
     ) {
         let Some(view) = &self.view else { return };
         let Some(state) = self.keys.get_mut(key) else {
             return;
         };
-        if state.in_flight.is_some() || now < state.not_before || pool == 0 {
+        if state.in_flight.is_some() || now < state.not_before || shortfall.pool == 0 {
             return;
         }
         let Some(owner) = state.owner_in(view, key) else {
             return;
         };
         self.sequence += 1;
-        let (lifetime, max_wait) = match purpose {
+        let (lifetime, max_wait) = match shortfall.purpose {
             Purpose::Prefetch => (self.timing.lifetime, MAX_WAIT),
             Purpose::Waiting => (state.lifetime(&self.timing), state.max_wait()),
         };
@@ -232,8 +252,8 @@
                 owner,
             },
             key: key.clone(),
-            requested,
-            pool,
+            requested: shortfall.permits.min(shortfall.pool),
+            pool: shortfall.pool,
             lifetime,
             max_wait,
             completed: state.take_unreported(owner),
@@ -241,6 +261,8 @@
         actions.push(Action::Send(owner, Message::Request(request)));
     }
 
+    /// When a gate without a permit may try again: after the answer to its request, or when the
+    /// owner permits another one.
     fn exceeded(&self, key: &K) -> LimitExceeded {
         let Some(state) = self.keys.get(key) else {
             return LimitExceeded::Indefinitely;
--- a/crates/keyed-ownership/src/owner.rs
+++ b/crates/keyed-ownership/src/owner.rs
@@ -21,7 +21,8 @@
 #[cfg(test)]
 mod tests;
 
-/// How long after a permit request the lease is renewed.
+/// How long after a permit request the lease is renewed. A request that comes later waits for a
+/// confirmation first.
 const LEASE_RENEWAL_PERIOD: Duration = Duration::from_secs(3);
 
 /// The shortest time between two requests for a confirmation.
@@ -74,6 +75,7 @@
     lease: Lease,
     /// When the last confirmation was requested.
     confirm_requested_at: Option<Duration>,
+    /// The lease is renewed until this moment, because requests are expected until then.
     renew_until: Duration,
     /// The moment of the last event.
     now: Duration,
@@ -140,20 +142,12 @@
         request: PermitRequest<K>,
         actions: &mut Vec<Action<K>>,
     ) {
+        let pending = self.pending(now, &request);
         let key = request.key;
         let pool = self.pools.entry(key.clone()).or_default();
         for completed in &request.completed {
             pool.complete(&request.gate, completed, &self.timing);
         }
-        let pending = PendingRequest {
-            gate: request.gate,
-            sequence: request.sequence,
-            requested: request.requested,
-            pool: request.pool,
-            lifetime: request.lifetime,
-            arrived: now,
-            deadline: now + request.max_wait.min(self.timing.lifetime),
-        };
         let is_misrouted =
             request.token.owner != self.me || self.lease.state(now, &key) == LeaseState::NotOwner;
         if is_misrouted {
@@ -165,6 +159,19 @@
         self.serve(now, &key, actions);
     }
 
+    /// The request as it is queued, for no longer than its gate allows.
+    fn pending(&self, now: Duration, request: &PermitRequest<K>) -> PendingRequest {
+        PendingRequest {
+            gate: request.gate,
+            sequence: request.sequence,
+            requested: request.requested,
+            pool: request.pool,
+            lifetime: request.lifetime,
+            arrived: now,
+            deadline: now + request.max_wait.min(self.timing.lifetime),
+        }
+    }
+
     fn on_release(&mut self, now: Duration, release: &Release<K>, actions: &mut Vec<Action<K>>) {
         let Some(pool) = self.pools.get_mut(&release.key) else {
             return;
@@ -175,6 +182,7 @@
         self.serve(now, &release.key, actions);
     }
 
+    /// Answers the queued requests of all keys that can be answered, and drops empty pools.
     fn serve_all(&mut self, now: Duration, actions: &mut Vec<Action<K>>) {
         let keys: Vec<K> = self.pools.keys().cloned().collect();
         for key in keys {
@@ -296,6 +304,7 @@
         }
     }
 
+    /// A grant of no permits.
     fn rejection(&self, key: &K, request: &PendingRequest, retry_after: Duration) -> Action<K> {
         let grant = Grant {
             token: FencingToken {
@@ -319,6 +328,7 @@
         }
     }
 
+    /// Requests a confirmation of the epoch in force.
     fn confirm(&mut self, now: Duration, actions: &mut Vec<Action<K>>) {
         let Some(epoch) = self.lease.epoch() else {
             return;
