--- a/crates/keyed-ownership/src/owner/tests.rs
+++ b/crates/keyed-ownership/src/owner/tests.rs
@@ -198,12 +198,16 @@
 }
 
 #[test]
-fn request_to_another_owner_or_incarnation_is_rejected() {
+fn request_for_a_key_of_another_owner_is_rejected() {
     let mut owner = active_owner();
     handle(&mut owner, ms(10_000), Event::View(view(2, &[2])));
     let actions = handle(&mut owner, ms(10_000), Event::Request(request(2, 1, 1)));
     assert_eq!(counts(&actions), [0]);
     assert_eq!(grants(&actions)[0].retry_after, MISROUTED_RETRY_DELAY);
+}
+
+#[test]
+fn request_to_another_incarnation_of_the_owner_is_rejected() {
     let mut owner = active_owner();
     let misrouted = PermitRequest {
         token: FencingToken {
--- a/crates/keyed-ownership/src/split/tests.rs
+++ b/crates/keyed-ownership/src/split/tests.rs
@@ -10,6 +10,10 @@
             }
         }
     }
+}
+
+#[test]
+fn gate_quota_is_rounded_down_and_the_rest_goes_to_the_pool() {
     assert_eq!(
         BoundSplit::new(20, 8, 50),
         BoundSplit {
@@ -24,6 +28,10 @@
             pool: 20
         }
     );
+}
+
+#[test]
+fn gate_outside_the_region_has_the_pool_alone() {
     assert_eq!(
         BoundSplit::new(20, 3, 20).without_gate_quota(),
         BoundSplit {
--- a/crates/keyed-ownership/src/view_change/tests.rs
+++ b/crates/keyed-ownership/src/view_change/tests.rs
@@ -13,6 +13,21 @@
     })
 }
 
+/// Counts an acceptor's acceptance of a proposed view.
+fn accept(proposer: &mut Proposer, view: &View, acceptor: u32) -> Option<ProposalOutcome> {
+    proposer.answer(view.epoch, acceptor, ProposalReply::Accepted)
+}
+
+/// Counts an acceptor's rejection of a proposed view, which names the epoch of its newest one.
+fn reject(
+    proposer: &mut Proposer,
+    view: &View,
+    acceptor: u32,
+    newest: u64,
+) -> Option<ProposalOutcome> {
+    proposer.answer(view.epoch, acceptor, ProposalReply::Rejected { newest })
+}
+
 #[test]
 fn acceptor_accepts_a_view_that_follows_its_newest() {
     let mut acceptor = Acceptor::default();
@@ -92,26 +107,14 @@
 fn proposal_is_installed_once_by_a_majority() {
     let mut proposer = Proposer::new(0, 3, 0);
     let view = proposer.propose(Vec::new());
-    assert_eq!(
-        proposer.answer(view.epoch, 0, ProposalReply::Accepted),
-        None
-    );
-    assert_eq!(
-        proposer.answer(view.epoch, 0, ProposalReply::Accepted),
-        None
-    );
-    assert_eq!(
-        proposer.answer(view.epoch, 1, ProposalReply::Rejected { newest: 7 }),
-        None
-    );
+    assert_eq!(accept(&mut proposer, &view, 0), None);
+    assert_eq!(accept(&mut proposer, &view, 0), None);
+    assert_eq!(reject(&mut proposer, &view, 1, 7), None);
     assert_matches!(
-        proposer.answer(view.epoch, 2, ProposalReply::Accepted),
+        accept(&mut proposer, &view, 2),
         Some(ProposalOutcome::Installed(_))
     );
-    assert_eq!(
-        proposer.answer(view.epoch, 1, ProposalReply::Accepted),
-        None
-    );
+    assert_eq!(accept(&mut proposer, &view, 1), None);
     assert_eq!(proposer.installed(), Some(&view));
 }
 
@@ -120,12 +123,9 @@
     let mut proposer = Proposer::new(0, 3, 0);
     let view = proposer.propose(Vec::new());
     let later = 9 << 8;
+    assert_eq!(reject(&mut proposer, &view, 0, 256), None);
     assert_eq!(
-        proposer.answer(view.epoch, 0, ProposalReply::Rejected { newest: 256 }),
-        None
-    );
-    assert_eq!(
-        proposer.answer(view.epoch, 2, ProposalReply::Rejected { newest: later }),
+        reject(&mut proposer, &view, 2, later),
         Some(ProposalOutcome::Rejected)
     );
     let next = proposer.propose(Vec::new());
@@ -137,18 +137,9 @@
 fn answers_to_an_earlier_proposal_are_ignored() {
     let mut proposer = Proposer::new(0, 3, 0);
     let first = proposer.propose(Vec::new());
-    assert_eq!(
-        proposer.answer(first.epoch, 0, ProposalReply::Accepted),
-        None
-    );
+    assert_eq!(accept(&mut proposer, &first, 0), None);
     let second = proposer.propose(Vec::new());
-    assert_eq!(
-        proposer.answer(first.epoch, 1, ProposalReply::Accepted),
-        None
-    );
-    assert_eq!(
-        proposer.answer(second.epoch, 1, ProposalReply::Accepted),
-        None
-    );
+    assert_eq!(accept(&mut proposer, &first, 1), None);
+    assert_eq!(accept(&mut proposer, &second, 1), None);
     assert_eq!(proposer.installed(), None);
 }
