--- a/crates/keyed-ownership/src/confirmation.rs
+++ b/crates/keyed-ownership/src/confirmation.rs
@@ -33,7 +33,8 @@
 }
 
 impl EpochConfirmation {
-    /// A request sent to `acceptors` acceptors at `requested_at`.
+    /// A request sent to all `acceptors` acceptors at `requested_at`, by the clock of the process
+    /// that sends it. More than half of them must agree.
     #[must_use]
     pub fn new(epoch: u64, requested_at: Duration, acceptors: usize) -> Self {
         Self {
--- a/crates/keyed-ownership/src/lease.rs
+++ b/crates/keyed-ownership/src/lease.rs
@@ -5,6 +5,12 @@
 //! the key; the ownership continues only if none of them can have completed its takeover delay.
 //! That holds if the new view is confirmed early enough after the last confirmation of the old one
 //! was requested.
+//!
+//! The leases are those of Gray and Cheriton (1989): the holder may act until its term has passed.
+//! The term counts from the moment at which the holder sent its request, by its own clock, so the
+//! delay of the answers shortens the lease and never lengthens it. Unlike there, a lease is never
+//! revoked and the acceptors keep no record of it; a successor waits for the takeover delay instead
+//! ([`crate::timing`]).
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -76,7 +82,7 @@
 }
 
 impl Lease {
-    /// The lease of a gate without any view.
+    /// The lease of the gate `me`, whose incarnation must be new and which knows no view yet.
     #[must_use]
     pub fn new(me: GateId, timing: PermitTiming) -> Self {
         Self {
@@ -130,8 +136,8 @@
         self.prune(now);
     }
 
-    /// The moment until which the gate may act on its last confirmation; `None` without one of the
-    /// epoch in force.
+    /// The moment until which the gate may act on its last confirmation, by its steady clock;
+    /// `None` without one of the epoch in force.
     #[must_use]
     pub fn leased_until(&self) -> Option<Duration> {
         let last = self
@@ -140,7 +146,7 @@
         Some(last.requested_at + self.timing.lease_duration)
     }
 
-    /// What the gate may do for `key`.
+    /// What the gate may do for `key` at `now`, by its steady clock.
     pub fn state<K: OwnedKey>(&mut self, now: Duration, key: &K) -> LeaseState {
         let me = self.me;
         let Some(record) = self.views.back_mut() else {
--- a/crates/keyed-ownership/src/message.rs
+++ b/crates/keyed-ownership/src/message.rs
@@ -1,4 +1,6 @@
 //! Messages between a gate and the owner of a key.
+//!
+//! Times in them are lengths of time, never moments: the clocks of gate and owner are not compared.
 
 use std::time::Duration;
 
--- a/crates/keyed-ownership/src/pool.rs
+++ b/crates/keyed-ownership/src/pool.rs
@@ -13,20 +13,26 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a gate's last request counts as its demand.
+/// How long a gate's last request counts as its demand, by which a short pool is shared.
 const DEMAND_WINDOW: Duration = Duration::from_secs(4);
 
-/// The longest delay that a rejected gate is given.
+/// The longest delay that a rejected gate is given. A gate for which no earlier moment is available
+/// is given a random one between half of it and all of it.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// A request that is queued until permits are available.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PendingRequest {
     pub gate: GateId,
+    /// The number of the request, unique within this incarnation of the gate.
     pub sequence: u64,
+    /// The number of permits requested.
     pub requested: u32,
+    /// Permits that may be outstanding in one window, by the gate's configuration.
     pub pool: u32,
+    /// How long after the sending of the request its permits may be used.
     pub lifetime: Duration,
+    /// When the owner received it, by the owner's clock.
     pub arrived: Duration,
     /// When it is rejected if no permit became available.
     pub deadline: Duration,
@@ -73,6 +79,7 @@
             .retain(|_, demand| demand.at + DEMAND_WINDOW > now);
     }
 
+    /// Whether no grant counts, no request is queued and no gate has any demand.
     pub(crate) fn is_empty(&self) -> bool {
         self.grants.is_empty() && self.pending.is_empty() && self.demand.is_empty()
     }
@@ -157,7 +164,8 @@
         pool.saturating_sub(outstanding.map(|grant| grant.count).sum())
     }
 
-    /// The delay after which the gate of a rejected request may try again.
+    /// The delay after which the gate of a rejected request may try again: until the moment at
+    /// which its permits should be available, after those of the gates that were rejected before.
     pub(crate) fn retry_after(
         &mut self,
         now: Duration,
--- a/crates/keyed-ownership/src/timing.rs
+++ b/crates/keyed-ownership/src/timing.rs
@@ -7,6 +7,10 @@
 //! [`PermitTiming::delay_variation`] and counts for [`PermitTiming::window`]. A new owner that
 //! waits for [`PermitTiming::takeover_delay`], the sum of the four, after the new view was
 //! confirmed therefore shares no window with the old one.
+//!
+//! This is the rule of Gray and Cheriton (1989) that a lease which cannot be revoked is waited out.
+//! Only lengths of time are compared, never the clocks of two machines; how much two clocks drift
+//! apart in such a time is part of [`PermitTiming::delay_variation`].
 
 use std::time::Duration;
 
@@ -30,16 +34,19 @@
     pub delay_variation: Duration,
     /// The longest time after the sending of a permit request in which its permits may be used.
     pub lifetime: Duration,
-    /// How long after a confirmation was requested the owner may grant under it.
+    /// How long after a confirmation was requested the owner may grant under it: the term of the
+    /// lease. A longer one needs fewer confirmations and lengthens the takeover delay.
     pub lease_duration: Duration,
-    /// How long the owner of a key that others may have owned grants nothing.
+    /// How long the owner of a key that others may have owned grants nothing. With a shorter one
+    /// than [`new`](Self::new) computes, the permits of two owners may share a window.
     pub takeover_delay: Duration,
-    /// The shortest lifetime that a gate requests.
+    /// The shortest lifetime that a gate requests. With a shorter one, permits may expire before
+    /// they are used.
     pub min_lifetime: Duration,
 }
 
 impl PermitTiming {
-    /// The timing with the takeover delay that the other durations require.
+    /// The timing with the takeover delay that the other durations require: their sum.
     #[must_use]
     pub fn new(
         window: Duration,
--- a/crates/keyed-ownership/src/view_change.rs
+++ b/crates/keyed-ownership/src/view_change.rs
@@ -7,6 +7,10 @@
 //! then no other view lies between it and the one that it follows. The other acceptors are brought
 //! up to date regardless.
 //!
+//! Any two majorities share an acceptor, as in Paxos (Lamport, 1998), and acceptors promise nothing
+//! ahead of a proposal: a rejected proposer determines the members anew and proposes under a higher
+//! epoch. Which view wins does not matter for safety, only that each epoch names one view.
+//!
 //! An acceptor must have its newest view on disk before it answers, or stay silent for good after
 //! it has lost it.
 
@@ -23,6 +27,7 @@
 /// The low bits of an epoch, which hold the number of the coordinator that proposed it.
 const PROPOSER_BITS: u32 = 8;
 
+/// A new epoch of this proposer, above `highest`.
 fn next_epoch(highest: u64, proposer: u8) -> u64 {
     ((highest >> PROPOSER_BITS) + 1) << PROPOSER_BITS | u64::from(proposer)
 }
--- a/crates/keyed-ownership/tests/simulation/acceptors.rs
+++ b/crates/keyed-ownership/tests/simulation/acceptors.rs
@@ -1,5 +1,5 @@
-//! The acceptors: the queries for their newest epoch, by which owners confirm theirs, and views that
-//! they catch up on.
+//! The acceptors: the queries for their newest epoch, by which owners confirm theirs, and the views
+//! that they catch up on.
 
 use std::sync::Arc;
 use std::time::Duration;
