--- a/crates/keyed-ownership/examples/permit_study.rs
+++ b/crates/keyed-ownership/examples/permit_study.rs
@@ -32,7 +32,7 @@
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-        ["hunt", seeds] => search(seeds.parse().expect("a number of seeds")),
+        ["hunt", seeds] => hunt(seeds.parse().expect("a number of seeds")),
         ["split"] => split(),
         _ => study(),
     }
@@ -50,6 +50,7 @@
     max_arrivals_per_second: usize,
 }
 
+/// All sizes, by rate and by the fraction of the requests that arrive in the server's region.
 fn study() {
     for gates in SIZES {
         for rate in [10.0, 15.0] {
@@ -71,41 +72,49 @@
     }
 }
 
+/// The gates whose quotas the reserved part of the bound is divided into.
+#[derive(Clone, Copy, PartialEq)]
+enum Quotas {
+    AllGates,
+    GatesOfTheRegion,
+}
+
+/// How the bound is divided, by the percentage that is reserved for the gates' quotas.
+const DIVISIONS: [(u32, Quotas); 7] = [
+    (0, Quotas::AllGates),
+    (40, Quotas::AllGates),
+    (80, Quotas::AllGates),
+    (100, Quotas::AllGates),
+    (20, Quotas::GatesOfTheRegion),
+    (50, Quotas::GatesOfTheRegion),
+    (80, Quotas::GatesOfTheRegion),
+];
+
+/// The gates of the small site.
+const SMALL_SITE: usize = 8;
+
 /// A small site, by the percentage of the bound that is divided among the gates.
 fn split() {
-    let variants = [
-        (0, false),
-        (40, false),
-        (80, false),
-        (100, false),
-        (20, true),
-        (50, true),
-        (80, true),
-    ];
-    for (reserved_percent, regional_quotas) in variants {
+    for (reserved_percent, quotas) in DIVISIONS {
         for rate in [10.0, 15.0] {
             let mut totals = Totals::default();
             for seed in 1..=RUNS {
-                let without_faults = Scenario::without_faults(seed, 8, rate);
                 let scenario = Scenario {
                     keys: 1,
                     length: LENGTH,
                     local_fraction: 0.95,
                     reserved_percent,
-                    regional_quotas,
-                    ..without_faults
+                    regional_quotas: quotas == Quotas::GatesOfTheRegion,
+                    ..Scenario::without_faults(seed, SMALL_SITE, rate)
                 };
                 totals.add(&scenario, &run(&scenario));
             }
-            print!(
-                "{reserved_percent:3} % reserved{}: ",
-                if regional_quotas {
-                    " in the region"
-                } else {
-                    ""
-                }
-            );
-            totals.report(8, rate);
+            let place = match quotas {
+                Quotas::AllGates => "",
+                Quotas::GatesOfTheRegion => " in the region",
+            };
+            print!("{reserved_percent:3} % reserved{place}: ");
+            totals.report(SMALL_SITE, rate);
         }
     }
 }
@@ -146,15 +155,20 @@
     }
 }
 
-fn search(seeds: u64) {
+/// Searches for runs under faults that exceed a bound. Runs of the largest size take long and use a
+/// twentieth of the seeds.
+fn hunt(seeds: u64) {
     for gates in [2, 3, 5, 8, 30, 300, 2000] {
         let seeds = if gates >= 2000 { seeds / 20 } else { seeds };
-        let exceeding: u64 = (0..seeds)
-            .map(|seed| {
-                search_one(&varied(&Scenario::slow_start(seed, gates)))
-                    + search_one(&varied(&Scenario::retry(seed, gates)))
+        let exceeding = (0..seeds)
+            .flat_map(|seed| {
+                [
+                    Scenario::slow_start(seed, gates),
+                    Scenario::retry(seed, gates),
+                ]
             })
-            .sum();
+            .filter(|scenario| report_if_exceeded(&varied(scenario)))
+            .count();
         println!(
             "gates {gates:4}: {exceeding} of {} runs over a bound",
             seeds * 2
@@ -184,11 +198,11 @@
     }
 }
 
-/// 1 if the run exceeds its bound, which is also printed.
-fn search_one(scenario: &Scenario) -> u64 {
+/// Whether the run exceeds its bound; one that does is printed.
+fn report_if_exceeded(scenario: &Scenario) -> bool {
     let exceeds = exceeds_bound(scenario, &run(scenario));
     if exceeds {
         println!("over: {scenario:?}");
     }
-    u64::from(exceeds)
+    exceeds
 }
