--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -6,111 +6,32 @@
 //! work. The server does no I/O: the caller advances its time, and it returns when it must be
 //! advanced next and which jobs started, finished or were dropped.
 
+mod estimate;
+mod job;
+mod overdrive;
+mod statistics;
+mod warm_up;
+
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
 use ironmast_balancer::Micros;
-use slotmap::{DefaultKey, SlotMap};
+use slotmap::SlotMap;
 
 use crate::scenario::Pool;
-
-/// The key of a job at its server.
-pub(crate) type JobKey = DefaultKey;
-/// The number of steps in which the speed of a server rises while it warms up.
-const WARMUP_STEPS: f64 = 64.0;
+pub use estimate::Estimate;
+pub(crate) use job::{Job, JobEvent, JobKey};
+use overdrive::{Overdrive, OverdriveRule};
+use statistics::Occupancy;
+pub(crate) use statistics::OccupancyDistribution;
+pub use statistics::ServerStatistics;
+use warm_up::WarmUp;
 
 /// The resolution of the sums of work that order the running jobs, per core-microsecond.
 const TICKS_PER_MICROSECOND: f64 = 1024.0;
 
-/// A request at a server.
-#[derive(Clone, Debug)]
-pub(crate) struct Job {
-    /// The request that it belongs to.
-    pub request: u64,
-    /// The number of the attempt.
-    pub attempt: u8,
-    /// The key of its operation, which the caller stores.
-    pub operation: DefaultKey,
-    /// Its class.
-    pub class: u8,
-    /// Its work, in core-microseconds.
-    pub work: f64,
-    /// When its client gives up.
-    pub expires: Micros,
-    /// When it arrived.
-    pub arrived: Micros,
-    /// The proxy no longer waits for it.
-    pub cancelled: bool,
-    /// It is in a slot.
-    pub started: bool,
-}
-
-/// What became of a job at a server.
-#[derive(Debug)]
-pub(crate) enum JobEvent {
-    /// The job entered a slot.
-    Started(JobKey),
-    /// The job's work is done.
-    Finished(Job),
-    /// The job left the queue without having started.
-    Dropped(Job),
-}
-
-/// What a server did so far, as integrals over time in microseconds.
-#[derive(Clone, Debug, Default)]
-pub struct ServerStatistics {
-    /// Core time in use.
-    pub busy_core_time: f64,
-    /// Core time while the server was up.
-    pub available_core_time: f64,
-    /// The integral of the number of queued requests.
-    pub queued_time: f64,
-    /// The integral of the number of requests in the system (queued or in a slot).
-    pub in_system_time: f64,
-    /// Jobs that left the queue for a slot.
-    pub started: u64,
-    /// The sum of their waiting times.
-    pub total_wait: f64,
-    /// Jobs that finished.
-    pub finished: u64,
-    /// The sum of their times at the server (sojourn times).
-    pub total_sojourn: f64,
-    /// The time during which at least 1, 2, ... requests were in the system.
-    pub time_with_at_least: [f64; 16],
-    /// The most requests in the system at once.
-    pub max_in_system: u32,
-}
-
-/// Whether a server records how long at least 1, 2, ... requests were in its system.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum OccupancyDistribution {
-    Skip,
-    Record,
-}
-
-/// How a server that starts warms up.
-#[derive(Clone, Copy, Debug)]
-struct Warmup {
-    /// The part of its speed that it starts with.
-    initial_share: f64,
-    /// The time after which it is warm, in microseconds.
-    duration: f64,
-    /// The work after which it is warm, in core-microseconds, if that is sooner; 0 for time alone.
-    work: f64,
-}
-
-/// When a server is overdriven, and what that does.
-#[derive(Clone, Copy, Debug)]
-struct OverdriveRule {
-    /// Requests in the system per core above which it is overdriven; 0 for never.
-    ratio: f64,
-    /// How long that must last.
-    after: Micros,
-    /// How many times slower it becomes.
-    slowdown: f64,
-    /// How long it must be at most half busy to recover.
-    recovery: Micros,
-}
+/// The longest time to the next finish that is computed, in microseconds: about 30 years.
+const MAX_WAIT: f64 = 1e15;
 
 /// Which jobs a server drops.
 #[derive(Clone, Copy, Debug)]
@@ -121,14 +42,6 @@
     overdue: bool,
 }
 
-/// Whether a server is overdriven, and since when it has been above or below the limits.
-#[derive(Clone, Copy, Debug, Default)]
-struct Overdrive {
-    active: bool,
-    above_since: Option<Micros>,
-    calm_since: Option<Micros>,
-}
-
 /// A job in a slot, ordered by the sum of work at which it is done.
 type Running = (Reverse<u64>, Reverse<u64>, JobKey);
 
@@ -138,7 +51,7 @@
     slots: usize,
     queue_limit: usize,
     speed: f64,
-    warmup: Warmup,
+    warm_up: WarmUp,
     overdrive_rule: OverdriveRule,
     drops: DropRule,
     /// Whether it accepts jobs.
@@ -186,17 +99,8 @@
             slots: pool.slot_count() as usize,
             queue_limit: pool.queue as usize,
             speed,
-            warmup: Warmup {
-                initial_share: pool.initial_speed_share,
-                duration: pool.warm_up_s * 1e6,
-                work: pool.warm_up_work_s * 1e6,
-            },
-            overdrive_rule: OverdriveRule {
-                ratio: pool.overdrive_ratio,
-                after: (pool.overdrive_s * 1e6) as Micros,
-                slowdown: pool.overdrive_factor,
-                recovery: (pool.recover_s * 1e6) as Micros,
-            },
+            warm_up: WarmUp::new(pool),
+            overdrive_rule: OverdriveRule::new(pool),
             drops: DropRule {
                 cancelled: pool.drops_cancelled,
                 overdue: pool.drops_overdue,
@@ -223,31 +127,16 @@
 
     /// The part of its full speed that it has, 0 to 1.
     pub(crate) fn warmth(&self, now: Micros) -> f64 {
-        let Warmup {
-            initial_share,
-            duration,
-            work,
-        } = self.warmup;
-        if self.started == 0 || initial_share >= 1.0 {
+        if self.started == 0 {
             return 1.0;
         }
-        let by_time = now.saturating_sub(self.started) as f64 / duration;
-        let by_work = if work > 0.0 {
-            self.work_done / work
-        } else {
-            0.0
-        };
-        let progress = ((by_time.max(by_work) * WARMUP_STEPS).floor() / WARMUP_STEPS).min(1.0);
-        initial_share + (1.0 - initial_share) * progress
+        let since_start = now.saturating_sub(self.started);
+        self.warm_up.speed_share(since_start, self.work_done)
     }
 
     /// Core-microseconds of work that it can do in a microsecond, over all cores.
     pub(crate) fn capacity(&self, now: Micros) -> f64 {
-        let slowdown = if self.overdrive.active {
-            self.overdrive_rule.slowdown
-        } else {
-            1.0
-        };
+        let slowdown = self.overdrive.slowdown(&self.overdrive_rule);
         let running = if self.paused { 0.0 } else { 1.0 };
         running * self.cores * self.speed * self.warmth(now) / self.slowness / slowdown
     }
@@ -280,8 +169,16 @@
 
     /// Whether one more request would exceed what it bears for long.
     pub(crate) fn near_overdrive(&self) -> bool {
-        let ratio = self.overdrive_rule.ratio;
-        ratio > 0.0 && self.in_system() as f64 + 1.0 > ratio * self.cores
+        let in_system = self.in_system() as f64 + 1.0;
+        self.overdrive_rule.is_exceeded(in_system, self.cores)
+    }
+
+    fn occupancy(&self) -> Occupancy {
+        Occupancy {
+            cores: self.cores,
+            queued: self.queued,
+            in_slots: self.in_slots,
+        }
     }
 
     /// The speed at which each job in a slot advances.
@@ -322,19 +219,10 @@
     }
 
     fn record(&mut self, elapsed: f64) {
-        if !self.up {
-            return;
-        }
-        let in_system = self.in_system();
-        let statistics = &mut self.statistics;
-        statistics.available_core_time += self.cores * elapsed;
-        statistics.busy_core_time += (self.in_slots as f64).min(self.cores) * elapsed;
-        statistics.queued_time += self.queued as f64 * elapsed;
-        statistics.in_system_time += in_system as f64 * elapsed;
-        if self.occupancy_distribution == OccupancyDistribution::Record {
-            for time in statistics.time_with_at_least.iter_mut().take(in_system) {
-                *time += elapsed;
-            }
+        if self.up {
+            let occupancy = self.occupancy();
+            self.statistics
+                .add_period(elapsed, occupancy, self.occupancy_distribution);
         }
     }
 
@@ -342,7 +230,9 @@
     fn update(&mut self, events: &mut Vec<JobEvent>) {
         self.finish_jobs(events);
         self.start_jobs(events);
-        self.update_overdrive();
+        let occupancy = self.occupancy();
+        self.overdrive
+            .update(&self.overdrive_rule, self.now, occupancy);
     }
 
     fn finish_jobs(&mut self, events: &mut Vec<JobEvent>) {
@@ -400,56 +290,34 @@
         ));
     }
 
-    fn update_overdrive(&mut self) {
-        let rule = self.overdrive_rule;
-        if rule.ratio <= 0.0 {
-            return;
-        }
-        let now = self.now;
-        let is_above = self.in_system() as f64 > rule.ratio * self.cores;
-        let is_calm = self.overdrive.active && self.in_slots as f64 <= self.cores / 2.0;
-        let state = &mut self.overdrive;
-        state.above_since = is_above.then(|| state.above_since.unwrap_or(now));
-        state.calm_since = is_calm.then(|| state.calm_since.unwrap_or(now));
-        if state.above_since.is_some_and(|at| now >= at + rule.after) {
-            state.active = true;
-        }
-        if state.calm_since.is_some_and(|at| now >= at + rule.recovery) {
-            (state.active, state.calm_since) = (false, None);
-        }
-    }
-
     /// When it must be advanced next if nothing else happens.
     pub(crate) fn next_deadline(&self) -> Option<Micros> {
-        let mut due = Micros::MAX;
+        let changes = [
+            self.next_warm_up_step(),
+            self.overdrive.next_change(&self.overdrive_rule),
+        ];
+        let earliest_change = changes.into_iter().flatten().min();
+        let change = earliest_change.map(|at| at.max(self.now + 1));
+        self.next_finish().into_iter().chain(change).min()
+    }
+
+    /// When the first job in a slot is done.
+    fn next_finish(&self) -> Option<Micros> {
+        let &(Reverse(done_at), ..) = self.running.peek()?;
         let rate = self.rate();
-        if let Some(&(Reverse(done_at), ..)) = self.running.peek()
-            && rate > 0.0
-        {
-            let remaining =
-                (done_at as f64 / TICKS_PER_MICROSECOND - self.work_sum).max(0.0) / rate;
-            let overhead = self.overhead / self.capacity(self.now);
-            due = self.now + (remaining + overhead).ceil().min(1e15) as Micros;
-        }
-        if self.in_slots > 0 && self.started > 0 && self.warmth(self.now) < 1.0 {
-            let step = self.warmup.duration / WARMUP_STEPS;
-            let passed = (self.now.saturating_sub(self.started) as f64 / step).floor() + 1.0;
-            due = due.min((self.started + (passed * step).ceil() as Micros).max(self.now + 1));
-        }
-        let OverdriveRule {
-            after, recovery, ..
-        } = self.overdrive_rule;
-        if let Some(at) = self
-            .overdrive
-            .above_since
-            .filter(|_| !self.overdrive.active)
-        {
-            due = due.min((at + after).max(self.now + 1));
-        }
-        if let Some(at) = self.overdrive.calm_since {
-            due = due.min((at + recovery).max(self.now + 1));
+        if rate <= 0.0 {
+            return None;
         }
-        (due != Micros::MAX).then_some(due)
+        let work = (done_at as f64 / TICKS_PER_MICROSECOND - self.work_sum).max(0.0);
+        let overhead = self.overhead / self.capacity(self.now);
+        Some(self.now + (work / rate + overhead).ceil().min(MAX_WAIT) as Micros)
+    }
+
+    /// When it becomes faster by warming up, which matters only to jobs in slots.
+    fn next_warm_up_step(&self) -> Option<Micros> {
+        let matters = self.in_slots > 0 && self.is_warming_up(self.now);
+        let since_start = self.now.saturating_sub(self.started);
+        matters.then(|| self.started + self.warm_up.next_step(since_start))
     }
 
     /// Accepts a job unless the queue is full. Its time has been advanced to now.
@@ -528,20 +396,3 @@
         self.started > 0 && self.warmth(now) < 1.0
     }
 }
-
-/// The time that a job would take, in microseconds; infinite if it would not finish.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Estimate {
-    /// Until it enters a slot.
-    pub wait: f64,
-    /// Until it is done.
-    pub total: f64,
-}
-
-impl Estimate {
-    /// The estimate for a job that would not finish.
-    pub const NEVER: Estimate = Estimate {
-        wait: f64::INFINITY,
-        total: f64::INFINITY,
-    };
-}
