--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -47,7 +47,7 @@
 
 pub use judge::{COLUMNS, Counts, Rule, Violation};
 pub use policy::{GroundTruth, Policy, PolicyName, UnknownPolicy};
-pub use proxy_settings::settings;
+pub use proxy_settings::proxy_settings;
 pub use random::{Purpose, Stream};
 pub use report::{ClassReport, Latency, Load, Report, ServerReport, Traffic};
 pub use scenario::*;
--- a/crates/emulator/src/proxy_settings.rs
+++ b/crates/emulator/src/proxy_settings.rs
@@ -1,12 +1,15 @@
 //! The settings of a proxy, made from a scenario.
 
 use ironmast_balancer::{
-    ClassSettings, Discovery as Watching, Effect, Group, Limits, Penalties, Safety, Settings,
+    ClassSettings, Discovery, Effect, Group, Limits, Micros, Penalties, Safety, Settings,
     SizeMeaning,
 };
 
 use crate::scenario::{Class, DeduplicationGroup, EffectSpec, Scenario, millis, seconds};
 
+/// The time between two ticks of the decision module.
+const TICK: Micros = 5_000;
+
 fn effect(class: &Class) -> Effect {
     match class.effect {
         EffectSpec::Idempotent => Effect::Idempotent,
@@ -21,60 +24,74 @@
     }
 }
 
-/// What a proxy of a scenario is told at its start.
-pub fn settings(scenario: &Scenario, me: u32, zone: usize) -> Settings {
-    let p = &scenario.proxies;
-    let cold = |f: fn(f64, f64) -> f64, start: f64, value: fn(&crate::scenario::Pool) -> f64| {
-        scenario.pools.iter().map(value).fold(start, f)
-    };
-    let classes = scenario.classes.iter().map(|c| ClassSettings {
-        latency_target: millis(c.latency_target_ms),
-        deadline: millis(c.deadline_ms),
-        effect: effect(c),
-        value: c.value,
+fn class_settings(class: &Class) -> ClassSettings {
+    ClassSettings {
+        latency_target: millis(class.latency_target_ms),
+        deadline: millis(class.deadline_ms),
+        effect: effect(class),
+        value: class.value,
         late_value_share: 0.0,
         streaming: false,
-    });
+    }
+}
+
+fn limits(scenario: &Scenario) -> Limits {
+    let proxies = &scenario.proxies;
+    Limits {
+        max_attempts: proxies.max_attempts,
+        allow_hedging: proxies.allow_hedging,
+        cancel: proxies.cancel,
+        probes: proxies.probes,
+        peers: proxies.peers,
+        retry_after: true,
+        max_retry_after: seconds(proxies.max_retry_after_s),
+    }
+}
+
+/// The figures of the rules. All servers are treated like those that warm up slowest.
+fn safety(scenario: &Scenario) -> Safety {
+    let (rules, pools) = (&scenario.rules, &scenario.pools);
+    let initial_shares = pools.iter().map(|pool| pool.initial_speed_share);
+    let warm_ups_s = pools.iter().map(|pool| pool.warm_up_s);
+    Safety {
+        answer_slack: millis(rules.answer_slack_ms),
+        discovery_interval: seconds(rules.max_query_interval_s),
+        initial_capacity: initial_shares.fold(1.0, f64::min),
+        warm_up: seconds(warm_ups_s.fold(0.0, f64::max)),
+        drain_grace: millis(rules.drain_grace_ms),
+        overload_window: seconds(rules.overload_window_s),
+        overload_multiple: rules.overload_multiple,
+    }
+}
+
+/// The settings of the proxy of this number in this zone.
+#[must_use]
+pub fn proxy_settings(scenario: &Scenario, number: u32, zone: usize) -> Settings {
+    let proxies = &scenario.proxies;
     Settings {
-        balancers: p.count,
-        balancer_index: me,
-        classes: classes.collect(),
+        balancers: proxies.count,
+        balancer_index: number,
+        classes: scenario.classes.iter().map(class_settings).collect(),
         tenants: Vec::new(),
         over_share_value: 1.0,
         zones: scenario.zones.len(),
         zone,
         discovery: if scenario.discovery.watch {
-            Watching::Subscribed
+            Discovery::Subscribed
         } else {
-            Watching::Pushed
+            Discovery::Pushed
         },
-        sizes: if p.list_shows_capacity {
+        sizes: if proxies.list_shows_capacity {
             SizeMeaning::Capacity
         } else {
             SizeMeaning::Unknown
         },
         key_affinity: false,
-        tick: 5_000,
-        limits: Limits {
-            max_attempts: p.max_attempts,
-            allow_hedging: p.allow_hedging,
-            cancel: p.cancel,
-            probes: p.probes,
-            peers: p.peers,
-            retry_after: true,
-            max_retry_after: seconds(p.max_retry_after_s),
-        },
-        safety: Safety {
-            answer_slack: millis(scenario.rules.answer_slack_ms),
-            discovery_interval: seconds(scenario.rules.max_query_interval_s),
-            initial_capacity: cold(f64::min, 1.0, |p| p.initial_speed_share),
-            warm_up: seconds(cold(f64::max, 0.0, |p| p.warm_up_s)),
-            drain_grace: millis(scenario.rules.drain_grace_ms),
-            overload_window: seconds(scenario.rules.overload_window_s),
-            overload_multiple: scenario.rules.overload_multiple,
-        },
+        tick: TICK,
+        limits: limits(scenario),
+        safety: safety(scenario),
         penalties: Penalties {
-            cross_zone: p.cross_zone_penalty,
+            cross_zone: proxies.cross_zone_penalty,
             waste: 0.0,
             late_fail: 0.0,
         },
--- a/crates/emulator/src/simulation/proxies.rs
+++ b/crates/emulator/src/simulation/proxies.rs
@@ -15,7 +15,7 @@
 use crate::judge::Rule;
 use crate::network::{ConnectionPool, IdleCheck};
 use crate::policy::Policy;
-use crate::proxy_settings::settings;
+use crate::proxy_settings::proxy_settings;
 use crate::random::{Purpose, Stream, hash_parts};
 
 /// A proxy with its clients.
@@ -79,7 +79,7 @@
             u64::from(number),
             u64::from(proxy.incarnation),
         ]);
-        let settings = settings(self.scenario, number, proxy.zone);
+        let settings = proxy_settings(self.scenario, number, proxy.zone);
         proxy.policy = Some((self.build_policy)(settings, seed));
         let version = proxy.list_version;
         let servers = self.servers_at(version);
