--- a/crates/fault-injection/src/expectations.rs
+++ b/crates/fault-injection/src/expectations.rs
@@ -18,6 +18,7 @@
 //! proxy = 0                   # of this proxy's clients; left out: of all proxies'
 //! ```
 
+use std::fmt;
 use std::time::Duration;
 
 use serde::Deserialize;
@@ -91,6 +92,107 @@
     Proxy(String, usize, usize),
 }
 
+/// The items of a run that an assertion is about: requests, or executions.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Fraction {
+    /// The items that meet the condition.
+    pub count: usize,
+    /// All items.
+    pub total: usize,
+}
+
+impl fmt::Display for Fraction {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Fraction { count, total } = self;
+        let share = *count as f64 / (*total).max(1) as f64;
+        write!(formatter, "{count} of {total} ({share:.3})")
+    }
+}
+
+impl Fraction {
+    fn of<T>(items: &[T], condition: impl Fn(&T) -> bool) -> Fraction {
+        Fraction {
+            count: items.iter().filter(|item| condition(item)).count(),
+            total: items.len(),
+        }
+    }
+
+    /// Whether there are items, and at least this share of them meets the condition.
+    fn reaches(self, least: f64) -> bool {
+        self.total > 0 && self.count as f64 / self.total as f64 >= least
+    }
+}
+
+/// An assertion that does not hold for a run.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum Violation {
+    /// No request was served.
+    #[error("nothing was served of {sent} requests")]
+    NothingServed {
+        /// The number of requests that were sent.
+        sent: usize,
+    },
+    /// Too few of all requests were served.
+    #[error("requests served: {served}, {least} expected")]
+    Served {
+        /// The requests that were served.
+        served: Fraction,
+        /// The least share.
+        least: f64,
+    },
+    /// Too few of the requests sent in a span were served.
+    #[error("requests served from {from_s} to {to_s} s: {served}, {least} expected")]
+    ServedInSpan {
+        /// The start of the span, in seconds.
+        from_s: f64,
+        /// The end of the span, in seconds.
+        to_s: f64,
+        /// The requests that were served.
+        served: Fraction,
+        /// The least share.
+        least: f64,
+    },
+    /// Too few of the executions that began in a span were in a zone.
+    #[error("runs in {zone} from {from_s} to {to_s} s: {executed}, {least} expected")]
+    ExecutedInZone {
+        /// The zone.
+        zone: String,
+        /// The start of the span, in seconds.
+        from_s: f64,
+        /// The end of the span, in seconds.
+        to_s: f64,
+        /// The executions in the zone.
+        executed: Fraction,
+        /// The least share.
+        least: f64,
+    },
+    /// Service recovered too late.
+    #[error("{}: whole again at {recovered_s:.2} s, {latest_s:.2} s expected", clients(*.proxy))]
+    LateRecovery {
+        /// The proxy whose clients are considered; `None` for all proxies.
+        proxy: Option<usize>,
+        /// When service had recovered, in seconds.
+        recovered_s: f64,
+        /// The latest time, in seconds.
+        latest_s: f64,
+    },
+    /// Service did not recover.
+    #[error("{}: never whole again for {for_s} s after {after_s} s", clients(*.proxy))]
+    NoRecovery {
+        /// The proxy whose clients are considered; `None` for all proxies.
+        proxy: Option<usize>,
+        /// The duration of the span in which every request had to be served, in seconds.
+        for_s: f64,
+        /// When the event happened, in seconds.
+        after_s: f64,
+    },
+}
+
+/// Names a proxy, or all of them.
+fn clients(proxy: Option<usize>) -> String {
+    proxy.map_or_else(|| "all proxies".into(), |proxy| format!("proxy {proxy}"))
+}
+
 impl Expectations {
     /// Checks the table against a load of `duration_s` seconds and the layout.
     ///
@@ -112,18 +214,23 @@
         Ok(())
     }
 
-    /// The assertions that do not hold, one line each. `sent` are the requests of each proxy's
-    /// clients; times count from the start of the load.
+    /// The assertions that do not hold. `sent` are the requests of each proxy's clients; times count
+    /// from the start of the load.
     #[must_use]
-    pub fn violations(&self, sent: &[Vec<SentRequest>], executions: &[Execution]) -> Vec<String> {
+    pub fn violations(
+        &self,
+        sent: &[Vec<SentRequest>],
+        executions: &[Execution],
+    ) -> Vec<Violation> {
         let mut violations = Vec::new();
         let mut all: Vec<SentRequest> = sent.iter().flatten().cloned().collect();
         all.sort_by_key(|request| request.at);
-        if !all.iter().any(is_served) {
-            violations.push(format!("nothing was served of {} requests", all.len()));
+        let served = Fraction::of(&all, is_served);
+        if served.count == 0 {
+            violations.push(Violation::NothingServed { sent: all.len() });
         }
-        if let Some(least) = self.served {
-            violations.extend(shortfall("requests served", &all, is_served, least));
+        if let Some(least) = self.served.filter(|least| !served.reaches(*least)) {
+            violations.push(Violation::Served { served, least });
         }
         for span in &self.spans {
             violations.extend(span.violations(&all, executions));
@@ -185,27 +292,42 @@
         (self.from_s..self.to_s).contains(&at.as_secs_f64())
     }
 
-    fn violations(&self, sent: &[SentRequest], executions: &[Execution]) -> Vec<String> {
+    fn violations(&self, sent: &[SentRequest], executions: &[Execution]) -> Vec<Violation> {
         let mut violations = Vec::new();
-        let when = format!("from {} to {} s", self.from_s, self.to_s);
-        if let Some(least) = self.served {
-            let in_span = sent.iter().filter(|request| self.contains(request.at));
-            let in_span: Vec<SentRequest> = in_span.cloned().collect();
-            let what = format!("requests served {when}");
-            violations.extend(shortfall(&what, &in_span, is_served, least));
-        }
-        if let Some((zone, least)) = self.zone.as_ref().zip(self.runs) {
-            let in_span = executions.iter().filter(|run| self.contains(run.at));
-            let in_span: Vec<Execution> = in_span.cloned().collect();
-            let is_in_zone = |execution: &Execution| {
-                let server_zone = execution.server.rsplit_once('-').map(|(zone, _)| zone);
-                server_zone == Some(zone)
-            };
-            let what = format!("runs in {zone} {when}");
-            violations.extend(shortfall(&what, &in_span, is_in_zone, least));
-        }
+        violations.extend(self.served_violation(sent));
+        violations.extend(self.zone_violation(executions));
         violations
     }
+
+    fn served_violation(&self, sent: &[SentRequest]) -> Option<Violation> {
+        let least = self.served?;
+        let in_span = sent.iter().filter(|request| self.contains(request.at));
+        let in_span: Vec<&SentRequest> = in_span.collect();
+        let served = Fraction::of(&in_span, |request| is_served(request));
+        (!served.reaches(least)).then_some(Violation::ServedInSpan {
+            from_s: self.from_s,
+            to_s: self.to_s,
+            served,
+            least,
+        })
+    }
+
+    fn zone_violation(&self, executions: &[Execution]) -> Option<Violation> {
+        let (zone, least) = self.zone.as_ref().zip(self.runs)?;
+        let in_span = executions.iter().filter(|run| self.contains(run.at));
+        let in_span: Vec<&Execution> = in_span.collect();
+        let executed = Fraction::of(&in_span, |execution| {
+            let server_zone = execution.server.rsplit_once('-').map(|(zone, _)| zone);
+            server_zone == Some(zone)
+        });
+        (!executed.reaches(least)).then(|| Violation::ExecutedInZone {
+            zone: zone.clone(),
+            from_s: self.from_s,
+            to_s: self.to_s,
+            executed,
+            least,
+        })
+    }
 }
 
 impl Recovery {
@@ -227,23 +349,28 @@
         }
     }
 
-    fn violation(&self, sent: &[SentRequest]) -> Option<String> {
-        let Recovery { after_s, for_s, .. } = self;
-        let clients = match self.proxy {
-            Some(proxy) => format!("proxy {proxy}"),
-            None => "all proxies".to_string(),
-        };
-        let after = Duration::from_secs_f64(*after_s);
-        let span = Duration::from_secs_f64(*for_s);
+    fn violation(&self, sent: &[SentRequest]) -> Option<Violation> {
+        let &Recovery {
+            after_s,
+            for_s,
+            proxy,
+            ..
+        } = self;
+        let after = Duration::from_secs_f64(after_s);
+        let span = Duration::from_secs_f64(for_s);
         let latest_s = after_s + self.within_s;
         match recovery_time(sent, after, span).map(|time| time.as_secs_f64()) {
-            Some(time_s) if time_s <= latest_s => None,
-            Some(time_s) => Some(format!(
-                "{clients}: whole again at {time_s:.2} s, {latest_s:.2} s expected"
-            )),
-            None => Some(format!(
-                "{clients}: never whole again for {for_s} s after {after_s} s"
-            )),
+            Some(recovered_s) if recovered_s <= latest_s => None,
+            Some(recovered_s) => Some(Violation::LateRecovery {
+                proxy,
+                recovered_s,
+                latest_s,
+            }),
+            None => Some(Violation::NoRecovery {
+                proxy,
+                for_s,
+                after_s,
+            }),
         }
     }
 }
@@ -252,19 +379,5 @@
     request.outcome == Outcome::Served
 }
 
-/// A line if fewer than the least share of the items meet the condition, or if there are no items.
-fn shortfall<T>(
-    what: &str,
-    items: &[T],
-    condition: impl Fn(&T) -> bool,
-    least: f64,
-) -> Option<String> {
-    let total = items.len();
-    let count = items.iter().filter(|item| condition(item)).count();
-    let share = count as f64 / total.max(1) as f64;
-    let holds = total > 0 && share >= least;
-    (!holds).then(|| format!("{what}: {count} of {total} ({share:.3}), {least} expected"))
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/fault-injection/src/expectations/tests.rs
+++ b/crates/fault-injection/src/expectations/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `expect.rs`.
+//! Tests of `expectations.rs`.
 
 use super::*;
 
@@ -41,7 +41,7 @@
     ] {
         assert_eq!(
             expect(text).violations(std::slice::from_ref(&good), &home),
-            Vec::<String>::new(),
+            Vec::<Violation>::new(),
             "{text}"
         );
         assert_eq!(
@@ -101,3 +101,46 @@
     let proxy = error("[[whole]]\nafter_s = 1.0\nwithin_s = 1.0\nfor_s = 1.0\nproxy = 2");
     assert_eq!(proxy, "expect.whole.0.proxy: no proxy 2; there are 0 to 1");
 }
+
+#[test]
+fn a_violation_states_what_was_observed_and_what_was_expected() {
+    let late: Vec<SentRequest> = (0..20)
+        .map(|n| {
+            let outcome = if n < 10 {
+                Outcome::Broken
+            } else {
+                Outcome::Served
+            };
+            sent(n * 100, outcome)
+        })
+        .collect();
+    let lines = |text: &str| {
+        let violations = expect(text).violations(std::slice::from_ref(&late), &[run(0, "a-0")]);
+        let lines: Vec<String> = violations.iter().map(ToString::to_string).collect();
+        lines.join("\n")
+    };
+    assert_eq!(
+        lines("served = 0.9"),
+        "requests served: 10 of 20 (0.500), 0.9 expected"
+    );
+    assert_eq!(
+        lines("[[span]]\nfrom_s = 0.0\nto_s = 1.5\nserved = 0.5"),
+        "requests served from 0 to 1.5 s: 5 of 15 (0.333), 0.5 expected"
+    );
+    assert_eq!(
+        lines("[[span]]\nfrom_s = 0.0\nto_s = 2.0\nzone = \"b\"\nruns = 0.9"),
+        "runs in b from 0 to 2 s: 0 of 1 (0.000), 0.9 expected"
+    );
+    assert_eq!(
+        lines("[[whole]]\nafter_s = 0.0\nwithin_s = 0.5\nfor_s = 0.5\nproxy = 0"),
+        "proxy 0: whole again at 1.00 s, 0.50 s expected"
+    );
+    assert_eq!(
+        lines("[[whole]]\nafter_s = 0.0\nwithin_s = 0.5\nfor_s = 5.0"),
+        "all proxies: never whole again for 5 s after 0 s"
+    );
+    assert_eq!(
+        Expectations::default().violations(&[], &[])[0].to_string(),
+        "nothing was served of 0 requests"
+    );
+}
--- a/crates/fault-injection/src/scenario/runner.rs
+++ b/crates/fault-injection/src/scenario/runner.rs
@@ -8,6 +8,7 @@
 
 use super::{Scenario, Signal, SignalKind};
 use crate::deployment::{Deployment, DeploymentError};
+use crate::expectations::Violation;
 use crate::fault::{Schedule, side_matches};
 use crate::load::{LoadProfile, SentRequest, SharedResults, latency_histogram};
 use crate::process::{ProcessSignal, Proxy};
@@ -28,8 +29,8 @@
     pub latency: Histogram<u64>,
     /// Requests that were executed twice, or served without an execution.
     pub verdict: Verdict,
-    /// The assertions that do not hold, one line each.
-    pub violations: Vec<String>,
+    /// The assertions that do not hold.
+    pub violations: Vec<Violation>,
     /// Signals that could not be sent.
     pub signal_errors: Vec<SignalError>,
     /// The log of each proxy; empty for a proxy that is down at the end.
--- a/crates/ironmast/tests/silent_zone.rs
+++ b/crates/ironmast/tests/silent_zone.rs
@@ -4,6 +4,7 @@
 
 use std::fmt::Write as _;
 
+use ironmast_fault_injection::expectations::Violation;
 use ironmast_fault_injection::scenario::{ScenarioResult, parse, run};
 
 /// Runs a scenario from the text of its file.
@@ -70,7 +71,7 @@
     let assertion = "[[expect.span]]\nfrom_s = 0.0\nto_s = 1.0\nzone = \"portland\"\nruns = 0.5\n";
     let result = run_scenario(&(without_assertions + assertion));
     assert!(!result.passed());
-    let violates = |violation: &String| violation.contains("runs in portland");
+    let violates = |violation: &Violation| matches!(violation, Violation::ExecutedInZone { zone, .. } if zone == "portland");
     assert!(
         result.violations.iter().any(violates),
         "{}",
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -171,6 +171,7 @@
             ..
         } = self.result;
         let signal_errors: Vec<String> = signal_errors.iter().map(ToString::to_string).collect();
+        let violations: Vec<String> = violations.iter().map(ToString::to_string).collect();
         let executed_twice = verdict.executed_twice.iter();
         let executed_twice: Vec<&str> = executed_twice.map(|request| &*request.txn).collect();
         serde_json::json!({
