--- a/crates/ironmast/tests/exchanges.rs
+++ b/crates/ironmast/tests/exchanges.rs
@@ -12,6 +12,7 @@
 use std::process::{Command, Output};
 
 use common::{PATIENCE, Running, uninterrupted, wait_log};
+use ironmast_fault_injection::deployment::reserve_port;
 use player::{listens_at, play, start};
 
 macro_rules! exchanges {
@@ -195,7 +196,9 @@
 fn one_of_many_proxies_survives_stale_lists_a_silent_discovery_and_bad_datagrams() {
     let patience = Some(PATIENCE);
     let tcp = || TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (discovery, server, gone) = (tcp(), tcp(), tcp().local_addr().expect("bound"));
+    let (discovery, server) = (tcp(), tcp());
+    // Reserved: guards against another test that listens there.
+    let gone = reserve_port().expect("a port");
     let udp = || UdpSocket::bind("127.0.0.1:0").expect("a port");
     let (peer, stranger) = (udp(), udp());
     peer.set_read_timeout(patience).expect("set");
@@ -208,7 +211,7 @@
     };
     let known = format!(
         r#"{{"rev":7,"all":true,"targets":[{},{}]}}"#,
-        target("gone", gone),
+        target("gone", gone.address),
         target("live", live)
     );
     let config = ironmast_fault_injection::CONFIG
--- a/crates/ironmast/tests/operations.rs
+++ b/crates/ironmast/tests/operations.rs
@@ -13,6 +13,7 @@
 use std::time::{Duration, Instant};
 
 use common::{uninterrupted, wait_log};
+use ironmast_fault_injection::deployment::reserve_port;
 use rustix::process::Signal;
 use stage::{Stage, head, listen, patient};
 
@@ -298,12 +299,9 @@
     let stage = Counted::new();
     let old = stage.start(stage.place());
     old.ready();
-    let gone = TcpListener::bind("127.0.0.1:0")
-        .expect("a port")
-        .local_addr()
-        .expect("bound")
-        .to_string();
-    let mut new = stage.start_with(stage.place(), &[("GW_DISCOVERY", &gone)]);
+    let unused = reserve_port().expect("a port");
+    let variables = [("GW_DISCOVERY", &*unused.address.to_string())];
+    let mut new = stage.start_with(stage.place(), &variables);
     new.ready();
     let mut lines = (&mut new.log).lines().map(|line| line.expect("a log"));
     let told = lines.find(|line| line.contains("Complete") || line.contains("discovery failed"));
--- a/crates/ironmast/tests/streams.rs
+++ b/crates/ironmast/tests/streams.rs
@@ -4,13 +4,14 @@
 mod stage;
 
 use std::io::{BufRead as _, BufReader, Read, Write as _};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
 use common::{PATIENCE, uninterrupted, wait_log};
+use ironmast_fault_injection::deployment::reserve_port;
 use rustix::process::Signal;
 use stage::{Process, Stage, head, listen, patient};
 
@@ -348,10 +349,7 @@
 
 #[test]
 fn a_body_of_which_nothing_was_sent_goes_to_another_server() {
-    let gone = TcpListener::bind("127.0.0.1:0")
-        .expect("a port")
-        .local_addr()
-        .expect("bound");
+    let unused = reserve_port().expect("a port");
     let lengths = Arc::new(std::sync::Mutex::new(Vec::new()));
     let noted = Arc::clone(&lengths);
     let good = server(move |mut stream, _, body| {
@@ -360,7 +358,7 @@
             .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
             .is_ok()
     });
-    let (stage, _process) = started(&[gone, good]);
+    let (stage, _process) = started(&[unused.address, good]);
     for n in 0..4 {
         let mut stream = connect(&stage);
         write!(
