--- a/crates/fault-injection/src/failing_server.rs
+++ b/crates/fault-injection/src/failing_server.rs
@@ -16,9 +16,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
-use std::time::{Duration, Instant};
-
-use crate::socket_table::is_established;
+use std::time::Duration;
 
 pub use client::{ClientRequest, ClientResponse, Ending, RequestBody, exchange, receive, send};
 pub use failure::{Connection, Failure};
@@ -247,7 +245,7 @@
         while let Some(step) = steps.next() {
             let after = perform(step, &mut stream, number, &mut buffer, &request, state);
             if after == AfterStep::Close {
-                close(stream);
+                drop(stream);
                 state.record_end(number);
                 if steps.next() == Some(Step::ConfirmRelease) {
                     let _ = state.released.send(());
@@ -258,21 +256,6 @@
     }
 }
 
-/// Closes a connection and waits, for [`TIMEOUT`] at most, until the client's end has the close.
-///
-/// While the process starts another one, that has a copy of the socket until it executes its
-/// program. The system ends the connection once the last copy is closed.
-fn close(stream: TcpStream) {
-    let ends = (stream.peer_addr(), stream.local_addr());
-    drop(stream);
-    // A connection that was reset has no addresses any more.
-    let (Ok(client), Ok(own)) = ends else { return };
-    let start = Instant::now();
-    while start.elapsed() < TIMEOUT && is_established(client, own).unwrap_or(false) {
-        std::thread::yield_now();
-    }
-}
-
 /// Performs one step on the connection with this number.
 fn perform(
     step: Step,
@@ -311,9 +294,14 @@
             discard_input(stream);
             AfterStep::Close
         }
-        Step::Drop => AfterStep::Close,
+        // Dropping the stream would not end the connection where a process that is being started
+        // still has a copy of it.
+        Step::Drop => {
+            let _ = stream.shutdown(std::net::Shutdown::Both);
+            AfterStep::Close
+        }
         Step::Reset => {
-            let _ = rustix::net::sockopt::set_socket_linger(&*stream, Some(Duration::ZERO));
+            let _ = rustix::net::connect_unspec(&*stream);
             AfterStep::Close
         }
         Step::Stall => {
--- a/crates/fault-injection/src/full_backlog.rs
+++ b/crates/fault-injection/src/full_backlog.rs
@@ -6,6 +6,11 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
+/// The system's table of TCP sockets.
+const SOCKET_TABLE: &str = "/proc/net/tcp";
+/// The state of a connection in that table whose SYN has not been acknowledged.
+const SYN_SENT: &str = "02";
+
 /// A listener whose accept queue stays full for as long as this exists.
 #[derive(Debug)]
 pub struct FullBacklog {
@@ -34,6 +39,13 @@
     /// # Errors
     /// The system's table cannot be read.
     pub fn has_pending_connection(&self) -> io::Result<bool> {
-        crate::socket_table::is_connecting(self.address)
+        let port = format!(":{:04X}", self.address.port());
+        let is_pending = |line: &str| {
+            let mut columns = line.split_whitespace().skip(2);
+            columns.next().is_some_and(|remote| remote.ends_with(&port))
+                && columns.next() == Some(SYN_SENT)
+        };
+        let table = std::fs::read_to_string(SOCKET_TABLE)?;
+        Ok(table.lines().any(is_pending))
     }
 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -8,7 +8,6 @@
 //! - [`relay`]: TCP relays that carry one link each under the schedule;
 //! - [`datagrams`]: a UDP relay between two proxies under the same schedule;
 //! - [`full_backlog`]: listeners whose accept queue is full, so that connection attempts hang;
-//! - [`socket_table`]: what the system knows of a connection's two ends;
 //! - [`stub_servers`]: pay servers with an execution record, and discovery;
 //! - [`failing_server`]: servers that fail an exchange at a chosen step, and a client that reports
 //!   how a response ended;
@@ -35,7 +34,6 @@
 pub mod process;
 pub mod relay;
 pub mod scenario;
-pub mod socket_table;
 pub mod stub_servers;
 pub mod verdict;
 
--- a/crates/ironmast/tests/exchanges/player.rs
+++ b/crates/ironmast/tests/exchanges/player.rs
@@ -10,21 +10,19 @@
 //! SIGHUP; `proxy sockets N` starts it with that many descriptors, `proxy with A B` with B for A in
 //! its configuration, `proxy debug` with a log that follows each request. `fill N` sends so many
 //! bytes that are no HTTP, `times N TEXT` the text so often, `proxy rested` holds where it has been
-//! on a processor for less than 1 s since its start; `close` waits until the
-//! program's end of the connection has it; `fin` waits for an orderly end where `eof`
+//! on a processor for less than 1 s since its start; `fin` waits for an orderly end where `eof`
 //! takes a reset as well; `hold` lets no connection to a server come up any more, `dialled` waits
 //! until one is asked for and `undialled` until none is. `proxy pause` stops the program, so that
-//! what other parties do until `proxy resume` is there at once when it looks. Nothing sleeps: all wait for bytes or the
-//! system's tables.
+//! what other parties do until `proxy resume` is there at once when it looks. Nothing sleeps: all
+//! wait for bytes or the system's tables.
 
 use std::collections::BTreeMap;
 use std::fs::DirEntry;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{Shutdown, TcpListener, TcpStream};
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::mpsc::channel;
 
-use ironmast_fault_injection::socket_table::is_established;
 use rustix::process::Signal;
 use tempfile::NamedTempFile;
 
@@ -289,20 +287,12 @@
         });
     }
 
-    /// Closes the party's connection and waits until the program's end has the close: until then the
-    /// program would be right to use the connection. A process that another test is starting has a
-    /// copy of the socket until it executes its program, and the system ends the connection only once
-    /// the last copy is closed.
+    /// Closes the party's connection. A process that another test is starting has a copy of the socket
+    /// until it executes its program: to drop this one would not end the connection before.
     fn close(&mut self, party: &str) {
-        let Some(stream) = self.open.remove(party) else {
-            return;
-        };
-        let own = stream.get_ref().local_addr().expect("connected");
-        let programs = stream.get_ref().peer_addr().expect("connected");
-        drop(stream);
-        wait_until("the program's end of the connection has the close", || {
-            !is_established(programs, own).expect("the system's table")
-        });
+        if let Some(stream) = self.open.remove(party) {
+            let _ = stream.get_ref().shutdown(Shutdown::Both);
+        }
     }
 
     /// The party's connection; a client opens it, the others wait for the program to.
