--- a/crates/client-proxy/src/discovery.rs
+++ b/crates/client-proxy/src/discovery.rs
@@ -142,7 +142,7 @@
                         // Reopened at once: a watch may end instead of reporting that a server
                         // drains. All agents call then, discovery responds to one after another,
                         // and the last must be notified in time, too.
-                        Ok(WatchEnded) => info!(self.log, "discovery failed"; "why" => "the watch ended and is reopened"),
+                        Ok(WatchEnded) => info!(self.log, "discovery failed"; "error" => "the watch ended and is reopened"),
                         Err(error) => {
                             watching = self.is_pushed;
                             self.report_failure(&error);
@@ -184,7 +184,7 @@
     }
 
     fn report_failure(&self, error: &DiscoveryError) {
-        info!(self.log, "discovery failed"; "why" => %error);
+        info!(self.log, "discovery failed"; "error" => %error);
         self.report(Scope::Failed, None, Vec::new());
     }
 
--- a/crates/client-proxy/src/discovery/endpoint_list.rs
+++ b/crates/client-proxy/src/discovery/endpoint_list.rs
@@ -36,7 +36,7 @@
             .filter_map(|target| {
                 read_entry(target, zones)
                     .inspect_err(|error| {
-                        warn!(log, "invalid endpoint skipped"; "why" => %error);
+                        warn!(log, "invalid endpoint skipped"; "error" => %error);
                     })
                     .ok()
             })
--- a/crates/client-proxy/src/driver/attempts.rs
+++ b/crates/client-proxy/src/driver/attempts.rs
@@ -54,7 +54,7 @@
         let address = match address {
             Ok(address) => address,
             Err(reason) => {
-                debug!(self.log, "attempt suppressed"; "request" => id, "server" => server.0, "why" => %reason);
+                debug!(self.log, "attempt suppressed"; "request" => id, "server" => server.0, "reason" => %reason);
                 let ended = not_sent(id, server, number, request.is_answered());
                 return self.pending.push_back(Event::AttemptEnded(ended));
             }
--- a/crates/client-proxy/src/driver/operators.rs
+++ b/crates/client-proxy/src/driver/operators.rs
@@ -105,7 +105,7 @@
         self.files
             .save_overrides(self.overrides.state())
             .inspect_err(|error| {
-                warn!(self.log, "disabled servers could not be saved"; "why" => %error);
+                warn!(self.log, "disabled servers could not be saved"; "error" => %error);
             })
     }
 }
--- a/crates/client-proxy/src/hot_restart/predecessor.rs
+++ b/crates/client-proxy/src/hot_restart/predecessor.rs
@@ -67,14 +67,14 @@
         Ok(stream) => stream,
         Err(error) if is_nobody_there(&error) => return None,
         Err(error) => {
-            warn!(log, "can't connect to a predecessor"; "why" => %error);
+            warn!(log, "can't connect to a predecessor"; "error" => %error);
             return None;
         }
     };
     let inherited = exchange_greetings(stream);
     match &inherited {
         Ok(_) => info!(log, "taking over from the predecessor"),
-        Err(error) => warn!(log, "handover from the predecessor failed"; "why" => %error),
+        Err(error) => warn!(log, "handover from the predecessor failed"; "error" => %error),
     }
     inherited.ok()
 }
--- a/crates/client-proxy/src/hot_restart/successor.rs
+++ b/crates/client-proxy/src/hot_restart/successor.rs
@@ -39,7 +39,7 @@
     };
     let listener = match bind(&path, files.temporary_socket()) {
         Ok(listener) => listener,
-        Err(error) => return warn!(log, "can't listen for a successor"; "why" => %error),
+        Err(error) => return warn!(log, "can't listen for a successor"; "error" => %error),
     };
     while let Ok((mut stream, _)) = listener.accept().await {
         match read_hello(&mut stream).await {
@@ -61,7 +61,7 @@
                 reject(stream, format!("it speaks version {PROTOCOL_VERSION}")).await;
             }
             Ok(_) => warn!(log, "a successor sent no valid greeting"),
-            Err(error) => warn!(log, "a successor sent no valid greeting"; "why" => %error),
+            Err(error) => warn!(log, "a successor sent no valid greeting"; "error" => %error),
         }
     }
 }
--- a/crates/client-proxy/src/ops.rs
+++ b/crates/client-proxy/src/ops.rs
@@ -35,7 +35,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                warn!(log, "accept of an operator connection failed"; "why" => %error);
+                warn!(log, "accept of an operator connection failed"; "error" => %error);
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
--- a/crates/client-proxy/src/peers.rs
+++ b/crates/client-proxy/src/peers.rs
@@ -116,7 +116,7 @@
             match membership.handle_datagram(data, now) {
                 Ok(actions) => self.carry_out(socket, actions).await,
                 Err(error) => {
-                    debug!(self.log, "membership datagram rejected"; "why" => %error);
+                    debug!(self.log, "membership datagram rejected"; "error" => %error);
                 }
             }
             return;
@@ -139,7 +139,7 @@
             match action {
                 Action::Send { to, datagram } => {
                     if let Err(error) = socket.send_to(&datagram, to).await {
-                        debug!(self.log, "membership datagram could not be sent"; "why" => %error);
+                        debug!(self.log, "membership datagram could not be sent"; "error" => %error);
                     }
                 }
                 Action::MemberUp(member) => {
@@ -161,7 +161,7 @@
         match address {
             Some(address) if data.len() <= MAX_DATAGRAM_BYTES => {
                 if let Err(error) = socket.send_to(&data, address).await {
-                    debug!(self.log, "message to a peer could not be sent"; "why" => %error);
+                    debug!(self.log, "message to a peer could not be sent"; "error" => %error);
                 }
             }
             _ => {
--- a/crates/client-proxy/src/runtime_files.rs
+++ b/crates/client-proxy/src/runtime_files.rs
@@ -74,12 +74,12 @@
                 return OverrideState::default();
             }
             Err(error) => {
-                warn!(log, "disabled servers can't be read"; "file" => %path.display(), "why" => %error);
+                warn!(log, "disabled servers can't be read"; "file" => %path.display(), "error" => %error);
                 return OverrideState::default();
             }
         };
         serde_json::from_str(&text).unwrap_or_else(|error| {
-            warn!(log, "disabled servers are malformed, all are enabled"; "file" => %path.display(), "why" => %error);
+            warn!(log, "disabled servers are malformed, all are enabled"; "file" => %path.display(), "error" => %error);
             OverrideState::default()
         })
     }
--- a/crates/client-proxy/src/serve/partner_events.rs
+++ b/crates/client-proxy/src/serve/partner_events.rs
@@ -48,7 +48,7 @@
         match welcomed {
             Ok(()) => Ok(Some(Event::SuccessorConnected)),
             Err(error) => {
-                warn!(self.log, "a successor disconnected before its welcome"; "why" => %error);
+                warn!(self.log, "a successor disconnected before its welcome"; "error" => %error);
                 Ok(None)
             }
         }
--- a/crates/client-proxy/src/serve/reload.rs
+++ b/crates/client-proxy/src/serve/reload.rs
@@ -18,7 +18,7 @@
         Ok(new) => new,
         Err(error) => {
             let error = error.to_string().replace('\n', " ");
-            warn!(log, "invalid configuration ignored, the previous one stays in effect"; "why" => error);
+            warn!(log, "invalid configuration ignored, the previous one stays in effect"; "error" => error);
             return;
         }
     };
