--- a/crates/register/tests/support/event.rs
+++ b/crates/register/tests/support/event.rs
@@ -5,8 +5,8 @@
 
 use ironmast_register::{Message, OperationId, PersistToken};
 
+use super::host::Host;
 use super::value::{Change, Value};
-use super::world::Host;
 
 /// An event of the simulation.
 pub(super) enum SimulatedEvent {
--- a/crates/register/tests/support/world.rs
+++ b/crates/register/tests/support/world.rs
@@ -1,44 +1,29 @@
-//! Hosts, disks and the network of a simulation, in simulated time.
+//! The simulated deployment: hosts, the network between them and their clients, in simulated time.
 
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use ironmast_register::node::NodeLocation;
 use ironmast_register::{
-    Action, Event, Identity, Message, Node, Operation, OperationId, Outcome, PersistToken, Record,
-    RecordSource, Settings, Write,
+    Action, Event, Identity, Message, Node, Operation, OperationId, Outcome, PersistToken,
+    RecordSource, Settings,
 };
 
 use super::checks::{Checks, Request, Violation};
 use super::conditions::{Conditions, LOCAL};
 use super::event::SimulatedEvent;
+use super::event_queue::{DueEvent, EventQueue};
+use super::host::Host;
 use super::random::Random;
 use super::value::{Change, Value};
 
 /// Retry delay of a write that has failed.
-const REWRITE: Duration = Duration::from_millis(200);
-
-pub(crate) struct Host {
-    pub address: SocketAddr,
-    pub zone: String,
-    pub disk: Option<Record<Value>>,
-    pub node: Option<Node<Value>>,
-    /// Raised at each start and stop; events of earlier incarnations are dropped.
-    incarnation: u64,
-    /// The process is paused: events of the host are delayed until then.
-    paused_until: Duration,
-    /// Writes end no earlier than this.
-    pub writes_stalled_until: Duration,
-    /// Writes fail, and their record may be on the disk or not.
-    pub writes_fail: bool,
-    /// The write in flight.
-    writing: Option<Write<Value>>,
-    timer: Duration,
-    /// Sequence numbers of the states reported as learned since the start.
-    pub learned: Vec<u64>,
-}
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Shortest latency of a message between two regions, in microseconds.
+const LATENCY_BETWEEN_REGIONS: u64 = 55_000;
+/// Shortest latency of a message within a region, in microseconds.
+const LATENCY_WITHIN_REGION: u64 = 1_400;
 
 /// The simulated deployment.
 pub(crate) struct World {
@@ -52,9 +37,8 @@
     pub messages: u64,
     pub storage_failures: u64,
     seeds: Vec<SocketAddr>,
-    events: BTreeMap<u64, SimulatedEvent>,
-    event_queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    serial: u64,
+    events: EventQueue<SimulatedEvent>,
+    last_operation: OperationId,
     requests: BTreeMap<OperationId, Request>,
     pub outcomes: BTreeMap<OperationId, Outcome<Value>>,
 }
@@ -67,15 +51,14 @@
             random: Random(seed),
             conditions: LOCAL,
             settings,
-            hosts: (0..members + spares).map(host).collect(),
+            hosts: (0..members + spares).map(Host::new).collect(),
             checks: Checks::default(),
             blocked_links: BTreeSet::new(),
             messages: 0,
             storage_failures: 0,
-            seeds: (0..members).map(|index| host(index).address).collect(),
-            events: BTreeMap::new(),
-            event_queue: BinaryHeap::new(),
-            serial: 0,
+            seeds: (0..members).map(|index| Host::new(index).address).collect(),
+            events: EventQueue::default(),
+            last_operation: 0,
             requests: BTreeMap::new(),
             outcomes: BTreeMap::new(),
         };
@@ -209,8 +192,8 @@
         change: Option<Change>,
         limit: Duration,
     ) -> OperationId {
-        self.serial += 1;
-        let id = self.serial;
+        self.last_operation += 1;
+        let id = self.last_operation;
         if let Some(change) = change {
             self.checks.begin(change);
         }
@@ -255,15 +238,9 @@
     /// Lets simulated time pass.
     pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
-        while let Some(&Reverse((at, serial))) = self.event_queue.peek() {
-            if at > end {
-                break;
-            }
-            self.event_queue.pop();
+        while let Some(DueEvent { at, event }) = self.events.take_due(end) {
             self.now = at;
-            if let Some(event) = self.events.remove(&serial) {
-                self.handle_event(event);
-            }
+            self.handle_event(event);
         }
         self.now = end;
     }
@@ -335,7 +312,7 @@
             .map(|host| self.hosts[host].paused_until)
             .filter(|&thaw| self.now < thaw);
         if let Some(thaw) = thaw {
-            self.schedule(thaw, event);
+            self.events.schedule(thaw, event);
             return;
         }
         match event {
@@ -402,8 +379,8 @@
         self.storage_failures += 1;
         entry.writing = Some(write);
         let incarnation = entry.incarnation;
-        self.schedule(
-            self.now + REWRITE,
+        self.events.schedule(
+            self.now + WRITE_RETRY_DELAY,
             SimulatedEvent::WriteCompletes {
                 host,
                 incarnation,
@@ -421,7 +398,7 @@
                 self.hosts[host].writing = Some(write);
                 let time = self.random.millis(1, self.conditions.write_time + 1);
                 let at = (self.now + time).max(self.hosts[host].writes_stalled_until);
-                self.schedule(
+                self.events.schedule(
                     at,
                     SimulatedEvent::WriteCompletes {
                         host,
@@ -443,7 +420,7 @@
             Action::DiskLost => {}
             Action::Timer(at) => {
                 self.hosts[host].timer = at;
-                self.schedule(
+                self.events.schedule(
                     at,
                     SimulatedEvent::TimerFires {
                         host,
@@ -471,7 +448,7 @@
         };
         for _ in 0..copies {
             let at = self.now + self.latency(from, target);
-            self.schedule(
+            self.events.schedule(
                 at,
                 SimulatedEvent::MessageArrives {
                     to,
@@ -481,40 +458,15 @@
         }
     }
 
-    /// Hosts of even number share a region; between regions a message takes 55 ms.
+    /// Every third host is in another region than the rest.
     fn latency(&mut self, from: usize, to: usize) -> Duration {
         let base = if from % 3 == 2 || to % 3 == 2 {
-            55_000
+            LATENCY_BETWEEN_REGIONS
         } else {
-            1_400
+            LATENCY_WITHIN_REGION
         };
         let base = base.max(self.conditions.min_latency * 1_000);
         let jitter = self.conditions.jitter * 1_000 + 1;
         Duration::from_micros(base + self.random.below(jitter))
     }
-
-    fn schedule(&mut self, at: Duration, event: SimulatedEvent) {
-        self.serial += 1;
-        self.events.insert(self.serial, event);
-        self.event_queue.push(Reverse((at, self.serial)));
-    }
-}
-
-fn host(index: usize) -> Host {
-    Host {
-        address: SocketAddr::from((
-            [127, 0, 0, 1],
-            7_000 + u16::try_from(index).expect("few hosts"),
-        )),
-        zone: format!("zone-{}", index % 3),
-        disk: None,
-        node: None,
-        incarnation: 0,
-        paused_until: Duration::ZERO,
-        writes_stalled_until: Duration::ZERO,
-        writes_fail: false,
-        writing: None,
-        timer: Duration::ZERO,
-        learned: Vec::new(),
-    }
 }
