--- a/crates/register/tests/support/fault_run.rs
+++ b/crates/register/tests/support/fault_run.rs
@@ -47,6 +47,34 @@
     next_spare: usize,
 }
 
+/// The faults that leave all disks as they are, one of which is drawn. The order belongs to the
+/// seeds.
+const FAULT_KINDS: [FaultKind; 8] = [
+    FaultKind::Kill,
+    FaultKind::Kill,
+    FaultKind::KillAll,
+    FaultKind::StalledWrites,
+    FaultKind::FailingWrites,
+    FaultKind::BlockedLink,
+    FaultKind::Isolation,
+    FaultKind::Pause,
+];
+
+/// A kind of fault that leaves all disks as they are.
+#[derive(Clone, Copy, Debug)]
+enum FaultKind {
+    Kill,
+    KillAll,
+    /// Writes end no earlier than the fault.
+    StalledWrites,
+    FailingWrites,
+    /// One host's messages to another one are lost.
+    BlockedLink,
+    /// No messages between one host and all others.
+    Isolation,
+    Pause,
+}
+
 /// How a fault ends.
 #[derive(Clone, Copy, Debug)]
 enum FaultEnd {
@@ -67,7 +95,7 @@
     world.conditions = conditions(&mut world, plan.loss);
     let next_spare = plan.members;
     let next_fault = world.now + Duration::from_millis(500);
-    let mut day = FaultRun {
+    let mut run = FaultRun {
         world,
         plan,
         number: 0,
@@ -76,9 +104,9 @@
         sent: Vec::new(),
         next_spare,
     };
-    day.work();
-    day.calm();
-    day.report()
+    run.work();
+    run.calm();
+    run.report()
 }
 
 fn conditions(world: &mut World, loss: u64) -> Conditions {
@@ -260,20 +288,12 @@
             return;
         }
         let duration = self.begin_fault();
-        let pause = if self.world.random.chance(self.plan.losses) {
-            RECOVERY_TIME
-        } else {
-            Duration::ZERO
-        };
+        let recovers_before_next = self.world.random.chance(self.plan.losses);
         let gap = self.world.random.millis(0, self.plan.gap);
-        self.next_fault = self.world.now
-            + gap
-            + pause
-            + if pause == RECOVERY_TIME {
-                duration
-            } else {
-                Duration::ZERO
-            };
+        self.next_fault = self.world.now + gap;
+        if recovers_before_next {
+            self.next_fault += duration + RECOVERY_TIME;
+        }
     }
 
     /// Whether a disk may be lost: the time since the last one is enough for its repair, unless so
@@ -334,45 +354,49 @@
         let host = hosts[self.pick(hosts.len())];
         let duration = self.world.random.millis(5, self.plan.outage);
         let at = self.world.now + duration;
-        match self.world.random.below(8) {
-            7 => self.world.pause_process(host, duration),
-            0 | 1 => {
+        let kind = FAULT_KINDS[self.pick(FAULT_KINDS.len())];
+        match kind {
+            FaultKind::Kill => {
                 self.world.kill(host);
                 self.open.push((at, FaultEnd::Start(host)));
             }
-            2 => {
-                for host in hosts {
-                    self.world.kill(host);
-                    let delay = self.world.random.millis(0, 300);
-                    self.open.push((at + delay, FaultEnd::Start(host)));
-                }
-            }
-            3 => self.world.hosts[host].writes_stalled_until = at,
-            4 => {
-                self.world.hosts[host].writes_fail = true;
-                let dies = self.world.random.chance(50);
-                self.open.push((
-                    at,
-                    if dies {
-                        FaultEnd::Restart(host)
-                    } else {
-                        FaultEnd::Write(host)
-                    },
-                ));
-            }
-            5 => {
+            FaultKind::KillAll => self.kill_all(&hosts, at),
+            FaultKind::StalledWrites => self.world.hosts[host].writes_stalled_until = at,
+            FaultKind::FailingWrites => self.fail_writes(host, at),
+            FaultKind::BlockedLink => {
                 let other = hosts[self.pick(hosts.len())];
                 self.world.blocked_links.insert((host, other));
                 self.open.push((at, FaultEnd::RestoreLinks));
             }
-            _ => {
+            FaultKind::Isolation => {
                 self.world.isolate(host);
                 self.open.push((at, FaultEnd::RestoreLinks));
             }
+            FaultKind::Pause => self.world.pause_process(host, duration),
         }
         duration
     }
 
+    /// Kills all hosts; each starts within 300 ms after `at`.
+    fn kill_all(&mut self, hosts: &[usize], at: Duration) {
+        for &host in hosts {
+            self.world.kill(host);
+            let delay = self.world.random.millis(0, 300);
+            self.open.push((at + delay, FaultEnd::Start(host)));
+        }
+    }
+
+    /// Writes of a host fail until they succeed again or, as often, until it is restarted.
+    fn fail_writes(&mut self, host: usize, at: Duration) {
+        self.world.hosts[host].writes_fail = true;
+        let end = if self.world.random.chance(50) {
+            FaultEnd::Restart(host)
+        } else {
+            FaultEnd::Write(host)
+        };
+        self.open.push((at, end));
+    }
+
     fn pick(&mut self, count: usize) -> usize {
         usize::try_from(self.world.random.below(count as u64)).expect("a small number")
     }
