--- a/crates/ironmast/tests/exchanges/player.rs
+++ b/crates/ironmast/tests/exchanges/player.rs
@@ -23,18 +23,23 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::mpsc::channel;
 
+use ironmast_fault_injection::full_backlog::FullBacklog;
 use rustix::process::Signal;
 use tempfile::NamedTempFile;
 
 use crate::common::{PATIENCE, Running, uninterrupted, wait_log, wait_until};
 
+/// How long the program may have been on a processor where a script asserts that it has rested.
+const MAX_BUSY_NANOS: u64 = 1_000_000_000;
+
+/// The program, the parties of its script, and what has been recorded.
 pub(crate) struct Proxy {
     child: Running,
     config: NamedTempFile,
     log: BufReader<ChildStderr>,
     listen: String,
     listeners: BTreeMap<String, TcpListener>,
-    held: BTreeMap<String, ironmast_fault_injection::full_backlog::FullBacklog>,
+    backlogs: BTreeMap<String, FullBacklog>,
     open: BTreeMap<String, BufReader<TcpStream>>,
     said: String,
     rev: u64,
@@ -118,14 +123,14 @@
     let (child, config) = start_logging(&config, level);
     let mut child = Running(child);
     let log = BufReader::new(child.0.stderr.take().expect("piped"));
-    let (listen, held, open, said) = Default::default();
+    let (listen, backlogs, open, said) = Default::default();
     let mut proxy = Proxy {
         child,
         config,
         log,
         listen,
         listeners,
-        held,
+        backlogs,
         open,
         said,
         rev: 0,
@@ -155,121 +160,149 @@
 }
 
 impl Proxy {
-    #[expect(
-        clippy::too_many_lines,
-        reason = "one arm for each step of an exchange"
-    )]
+    /// Performs one line of a script.
     fn step(&mut self, line: &str) {
         let mut words = line.splitn(3, ' ');
-        let (party, verb) = (
-            words.next().expect("a party"),
-            words.next().expect("a verb"),
-        );
+        let party = words.next().expect("a party");
+        let verb = words.next().expect("a verb");
         let text = words.next().unwrap_or("");
-        match (party, verb) {
-            ("proxy", "sockets" | "with" | "debug") => {}
-            ("proxy", "log") => drop(wait_log(&mut self.log, text)),
-            ("proxy", "tells") => {
-                let line = wait_log(&mut self.log, text);
-                self.said += &format!("proxy: {}", &line[line.find(text).expect("it is there")..]);
-            }
-            ("proxy", "term") => self.child.signal(Signal::TERM),
-            ("proxy", "reload") => {
-                let text = match self.listeners.get(text) {
-                    Some(l) => config(&l.local_addr().expect("bound").to_string()),
-                    None => text.to_string(),
-                };
-                std::fs::write(self.config.path(), text).expect("written");
-                self.child.signal(Signal::HUP);
-            }
-            ("proxy", "exit") => {
-                let status = self.child.0.wait().expect("it ends");
-                self.said += &format!("proxy exit {}\n", status.code().unwrap_or(-1));
-            }
-            ("proxy", "pause") => self.pause(),
-            ("proxy", "resume") => self.child.signal(Signal::CONT),
-            ("proxy", "rested") => {
-                // Of the thread that does everything: how long it has been on a processor, in ns.
-                let path = format!("/proc/{}/schedstat", self.child.0.id());
-                let text = std::fs::read_to_string(path).expect("it runs");
-                let busy: u64 = text
-                    .split(' ')
-                    .next()
-                    .and_then(|ns| ns.parse().ok())
-                    .expect("a number");
-                assert!(busy < 1_000_000_000, "{busy} ns on a processor");
-            }
-            (_, "times") => {
-                let (count, text) = text.split_once(' ').expect("N TEXT");
-                let text = text
-                    .replace("\\r", "\r")
-                    .replace("\\n", "\n")
-                    .repeat(count.parse().expect("a number"));
-                self.stream(party)
-                    .get_mut()
-                    .write_all(text.as_bytes())
-                    .expect("written");
-            }
-            (_, "list") => {
-                let list = self.list(text);
-                let chunk = format!("{:x}\r\n{list}\n\r\n", list.len() + 1);
-                self.stream(party)
-                    .get_mut()
-                    .write_all(chunk.as_bytes())
-                    .expect("written");
-            }
-            (_, ">") => {
-                let text = text.replace("\\r", "\r").replace("\\n", "\n");
-                self.stream(party)
-                    .get_mut()
-                    .write_all(text.as_bytes())
-                    .expect("written");
-            }
-            (_, "<") => {
-                let message = read_message(self.stream(party));
-                self.said += &format!("{party}: {message}\n");
-            }
-            (_, "close") => self.close(party),
-            (_, "fill") => {
-                let bytes = vec![b'#'; text.parse().expect("a number")];
-                self.stream(party)
-                    .get_mut()
-                    .write_all(&bytes)
-                    .expect("written");
-            }
-            (_, "hold") => {
-                let held = ironmast_fault_injection::full_backlog::FullBacklog::new(
-                    &self.listeners[party],
-                )
-                .expect("held");
-                self.held.insert(party.to_string(), held);
-            }
-            (_, "dialled" | "undialled") => {
-                let held = &self.held[party];
-                let wanted = verb == "dialled";
-                wait_until(line, || {
-                    held.has_pending_connection().expect("the system's table") == wanted
-                });
-            }
-            (_, "fin") => {
-                let stream = self.stream(party);
-                let end = uninterrupted(|| stream.read(&mut [0])).expect("an orderly end");
-                assert_eq!(end, 0, "{party}: more came");
-                self.open.remove(party);
-                self.said += &format!("{party}: ended\n");
-            }
-            (_, "refuse") => drop(self.listeners.remove(party)),
-            (_, "eof") => {
-                let stream = self.stream(party);
-                match uninterrupted(|| stream.read(&mut [0])) {
-                    Ok(bytes) => assert_eq!(bytes, 0, "{party}: more came"),
-                    Err(error) => assert_eq!(error.kind(), ErrorKind::ConnectionReset, "{party}"),
-                }
-                self.open.remove(party);
-                self.said += &format!("{party}: closed\n");
-            }
-            _ => panic!("not a step: {line}"),
+        let is_known = match party {
+            "proxy" => self.program_step(verb, text),
+            _ => self.party_step(party, verb, text),
+        };
+        assert!(is_known, "not a step: {line}");
+    }
+
+    /// Performs a step of the program; returns whether there is such a step.
+    fn program_step(&mut self, verb: &str, text: &str) -> bool {
+        match verb {
+            // Read before the program starts.
+            "sockets" | "with" | "debug" => {}
+            "log" => drop(wait_log(&mut self.log, text)),
+            "tells" => self.record_log_line(text),
+            "term" => self.child.signal(Signal::TERM),
+            "reload" => self.reload(text),
+            "exit" => self.record_exit(),
+            "pause" => self.pause(),
+            "resume" => self.child.signal(Signal::CONT),
+            "rested" => self.assert_rested(),
+            _ => return false,
+        }
+        true
+    }
+
+    /// Performs a step of a client, a server or discovery; returns whether there is such a step.
+    fn party_step(&mut self, party: &str, verb: &str, text: &str) -> bool {
+        match verb {
+            ">" => self.send(party, unescaped(text).as_bytes()),
+            "times" => self.send_repeatedly(party, text),
+            "fill" => self.send(party, &vec![b'#'; text.parse().expect("a number")]),
+            "list" => self.send_list(party, text),
+            "<" => self.record_message(party),
+            "close" => self.close(party),
+            "fin" => self.record_orderly_end(party),
+            "eof" => self.record_end(party),
+            "refuse" => drop(self.listeners.remove(party)),
+            "hold" => self.fill_backlog(party),
+            "dialled" => self.wait_for_pending_connection(party, true),
+            "undialled" => self.wait_for_pending_connection(party, false),
+            _ => return false,
+        }
+        true
+    }
+
+    /// Waits for a line of the log and records it from this text on.
+    fn record_log_line(&mut self, text: &str) {
+        let line = wait_log(&mut self.log, text);
+        let start = line.find(text).expect("it is there");
+        self.said += &format!("proxy: {}", &line[start..]);
+    }
+
+    /// Replaces the configuration and sends SIGHUP.
+    fn reload(&mut self, text: &str) {
+        let text = match self.listeners.get(text) {
+            Some(listener) => config(&listener.local_addr().expect("bound").to_string()),
+            None => text.to_string(),
+        };
+        std::fs::write(self.config.path(), text).expect("written");
+        self.child.signal(Signal::HUP);
+    }
+
+    /// Waits until the program ends and records its exit code.
+    fn record_exit(&mut self) {
+        let status = self.child.0.wait().expect("it ends");
+        self.said += &format!("proxy exit {}\n", status.code().unwrap_or(-1));
+    }
+
+    /// Asserts that the thread that does everything has been on a processor for less than
+    /// [`MAX_BUSY_NANOS`].
+    fn assert_rested(&self) {
+        let path = format!("/proc/{}/schedstat", self.child.0.id());
+        let text = std::fs::read_to_string(path).expect("it runs");
+        let busy = text.split(' ').next().expect("a column");
+        let busy: u64 = busy.parse().expect("a number");
+        assert!(busy < MAX_BUSY_NANOS, "{busy} ns on a processor");
+    }
+
+    fn send(&mut self, party: &str, bytes: &[u8]) {
+        let stream = self.stream(party).get_mut();
+        stream.write_all(bytes).expect("written");
+    }
+
+    /// Sends a text as often as the number before it says.
+    fn send_repeatedly(&mut self, party: &str, text: &str) {
+        let (count, text) = text.split_once(' ').expect("N TEXT");
+        let count = count.parse().expect("a number");
+        self.send(party, unescaped(text).repeat(count).as_bytes());
+    }
+
+    /// Sends a list of servers as a chunk of the watch.
+    fn send_list(&mut self, party: &str, text: &str) {
+        let list = self.list(text);
+        let chunk = format!("{:x}\r\n{list}\n\r\n", list.len() + 1);
+        self.send(party, chunk.as_bytes());
+    }
+
+    fn record_message(&mut self, party: &str) {
+        let message = read_message(self.stream(party));
+        self.said += &format!("{party}: {message}\n");
+    }
+
+    /// Waits for the end of a connection; a reset is none.
+    fn record_orderly_end(&mut self, party: &str) {
+        let stream = self.stream(party);
+        let bytes = uninterrupted(|| stream.read(&mut [0])).expect("an orderly end");
+        assert_eq!(bytes, 0, "{party}: more came");
+        self.open.remove(party);
+        self.said += &format!("{party}: ended\n");
+    }
+
+    /// Waits for the end of a connection or its reset.
+    fn record_end(&mut self, party: &str) {
+        let stream = self.stream(party);
+        match uninterrupted(|| stream.read(&mut [0])) {
+            Ok(bytes) => assert_eq!(bytes, 0, "{party}: more came"),
+            Err(error) => assert_eq!(error.kind(), ErrorKind::ConnectionReset, "{party}"),
         }
+        self.open.remove(party);
+        self.said += &format!("{party}: closed\n");
+    }
+
+    /// Lets no connection to a server come up any more.
+    fn fill_backlog(&mut self, party: &str) {
+        let backlog = FullBacklog::new(&self.listeners[party]).expect("filled");
+        self.backlogs.insert(party.to_string(), backlog);
+    }
+
+    /// Waits until a connection to a server whose backlog is full is pending, or until none is.
+    fn wait_for_pending_connection(&self, party: &str, is_wanted: bool) {
+        let backlog = &self.backlogs[party];
+        wait_until(&format!("{party}: pending is {is_wanted}"), || {
+            backlog
+                .has_pending_connection()
+                .expect("the system's table")
+                == is_wanted
+        });
     }
 
     /// Stops the program and waits until none of its threads runs any more.
@@ -343,6 +376,11 @@
     }
 }
 
+/// A script's text with the line ends that it escapes.
+fn unescaped(text: &str) -> String {
+    text.replace("\\r", "\r").replace("\\n", "\n")
+}
+
 /// Reads one message: its first line and headers, and its body; none where the other side ends or
 /// falls silent before.
 pub(crate) fn message(from: &mut BufReader<TcpStream>) -> Option<(Vec<String>, Vec<u8>)> {
