--- a/crates/register/tests/exhaustive/mod.rs
+++ b/crates/register/tests/exhaustive/mod.rs
@@ -1,39 +1,30 @@
-//! The register as a model: hosts with an acceptor each, proposers on the first of them, and
-//! requests in transit.
+//! The register as a model that stateright explores: each step of the proposers, the network and the
+//! disks, and the properties that must hold.
+
+mod model_state;
+mod task;
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddr;
 use std::sync::Arc;
 
 use ironmast_register::acceptor::Acceptor;
-use ironmast_register::guard::{Guard, Guards};
-use ironmast_register::message::{ReplyBody, Request, RequestBody, RoundId};
-use ironmast_register::round::{Phase, QuorumRead, Round};
+use ironmast_register::guard::Guards;
+use ironmast_register::message::{ReplyBody, RoundId};
+use ironmast_register::round::{Phase, Round};
 use ironmast_register::state::Proposal;
-use ironmast_register::{Ballot, Identity, Membership, Record, Replica, State};
+use ironmast_register::{Ballot, Identity, Record};
 use stateright::{Model, Property};
 
+use model_state::{
+    Host, MEMBERS, ModelProposer, ModelState, RequestInTransit, SPARE, Value, address,
+    forget_prepares, initial_record, send_requests, write, written_reply,
+};
+pub(crate) use task::Task;
+use task::{is_completed, successor, with_spare};
+
 pub(crate) const ALL_COMPLETED: &str = "all tasks can be completed";
-const MEMBERS: usize = 3;
-const SPARE: Identity = Identity(77);
 const EMPTIED: Identity = Identity(88);
 
-type Value = Vec<u8>;
-
-/// The task of a proposer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Task {
-    /// Append a content.
-    Put(u8),
-    /// Append a content if there are that many others: an operator's change on a base version,
-    /// which several proposers may have.
-    ConditionalPut { base: u8, content: u8 },
-    /// Make the membership joint; in the next set the spare replaces the last member.
-    EnterJoint,
-    /// Leave the joint membership.
-    LeaveJoint,
-}
-
 /// Bounds of a check.
 #[derive(Clone, Debug)]
 pub(crate) struct Bounds {
@@ -67,47 +58,6 @@
     pub guards: Guards,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct ModelProposer {
-    task: Task,
-    round: Option<Round<Value>>,
-    known: Proposal<Value>,
-    counter: u64,
-    ballots: u8,
-    completed: bool,
-}
-
-impl ModelProposer {
-    fn accepts(&self) -> bool {
-        self.round
-            .as_ref()
-            .is_some_and(|round| round.phase == Phase::Accept)
-    }
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Host {
-    acceptor: Acceptor<Value>,
-    disk: Record<Value>,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct ModelState {
-    hosts: Vec<Host>,
-    proposers: Vec<ModelProposer>,
-    /// Requests in transit, by proposer and host.
-    requests: Vec<(usize, usize, Request<Value>)>,
-    decided: BTreeMap<u64, Arc<State<Value>>>,
-    restarts: u8,
-    wipes: u8,
-    lost_replies: u8,
-    has_two_states: bool,
-    has_lost_decision: bool,
-    /// Contents of conditional changes that were acknowledged, and of those that were rejected.
-    acknowledged: BTreeSet<u8>,
-    rejected: BTreeSet<u8>,
-}
-
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Step {
     /// A proposer begins a ballot and abandons the one before.
@@ -122,15 +72,6 @@
     Wipe { host: usize },
 }
 
-fn address(host: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 7_000 + u16::try_from(host).expect("few")))
-}
-
-fn initial_record(host: usize) -> Record<Value> {
-    let members: Vec<SocketAddr> = (0..MEMBERS).map(address).collect();
-    Record::bootstrap(address(host), &members, Value::new())
-}
-
 impl Model for Register {
     type State = ModelState;
     type Action = Step;
@@ -313,9 +254,8 @@
         let round = Round::query(id, Some(known.clone()), known, self.guards).into_prepare(ballot);
         state.round = Some(round);
         send_requests(model_state, proposer);
-        let is_own = |(from, to, request): &(usize, usize, Request<Value>)| {
-            (*from, *to) == (proposer, proposer)
-                && matches!(request.body, RequestBody::Prepare { .. })
+        let is_own = |sent: &RequestInTransit| {
+            sent.proposer == proposer && sent.host == proposer && sent.is_prepare()
         };
         if let Some(index) = model_state.requests.iter().position(is_own) {
             self.deliver(model_state, index, true);
@@ -323,7 +263,11 @@
     }
 
     fn deliver(&self, model_state: &mut ModelState, index: usize, replied: bool) {
-        let (proposer, host, request) = model_state.requests.remove(index);
+        let RequestInTransit {
+            proposer,
+            host,
+            request,
+        } = model_state.requests.remove(index);
         let round_id = request.round;
         let entry = &mut model_state.hosts[host];
         let immediate = entry.acceptor.request(address(proposer), request, None);
@@ -425,120 +369,3 @@
         };
     }
 }
-
-/// Sends the proposer's current request to all replicas that have not received it. Of its earlier
-/// requests only those to accept may still be delivered: a promise that no round awaits is the same
-/// as one more lost reply.
-fn send_requests(model_state: &mut ModelState, proposer: usize) {
-    forget_prepares(model_state, proposer);
-    let Some(round) = &model_state.proposers[proposer].round else {
-        return;
-    };
-    for replica in round.awaiting_reply() {
-        let host = usize::from(replica.address.port() - 7_000);
-        let request = Request {
-            round: round.id,
-            to: replica.identity,
-            body: round.request_body(),
-        };
-        let is_sent = model_state.requests.iter().any(|(from, to, sent)| {
-            let is_same_phase = matches!(sent.body, RequestBody::Accept { .. })
-                == matches!(request.body, RequestBody::Accept { .. });
-            (*from, *to) == (proposer, host) && sent.round == request.round && is_same_phase
-        });
-        if !is_sent {
-            model_state.requests.push((proposer, host, request));
-        }
-    }
-    model_state.requests.sort_by_key(|(from, to, request)| {
-        (
-            *from,
-            *to,
-            request.round.0,
-            matches!(request.body, RequestBody::Accept { .. }),
-        )
-    });
-}
-
-fn forget_prepares(model_state: &mut ModelState, proposer: usize) {
-    let round = model_state.proposers[proposer].round.as_ref();
-    let preparing = round
-        .filter(|round| round.phase == Phase::Prepare)
-        .map(|round| round.id);
-    model_state.requests.retain(|(from, _, request)| {
-        let is_prepare = matches!(request.body, RequestBody::Prepare { .. });
-        *from != proposer || !is_prepare || Some(request.round) == preparing
-    });
-}
-
-/// Makes the acceptor's pending write durable.
-fn write(host: &mut Host) {
-    written_reply(host);
-}
-
-fn written_reply(host: &mut Host) -> Option<ironmast_register::acceptor::AddressedReply<Value>> {
-    let write = host.acceptor.next_write()?;
-    host.disk = write.record;
-    host.acceptor.persisted(write.token).pop()
-}
-
-fn successor(
-    task: Task,
-    read: &QuorumRead<Value>,
-    ballot: Ballot,
-    guards: Guards,
-) -> Arc<State<Value>> {
-    let state = &read.proposal.state;
-    let value = Arc::clone(&state.value);
-    let may_leave = read.is_chosen || !guards.keeps(Guard::JointChosenFirst);
-    if let Some(next) = state.members.next.clone().filter(|_| may_leave) {
-        return Arc::new(state.successor(ballot, Membership::single(next), value));
-    }
-    match task {
-        Task::Put(content) if !state.value.contains(&content) => {
-            let mut value = (*value).clone();
-            value.push(content);
-            Arc::new(state.successor(ballot, state.members.clone(), Arc::new(value)))
-        }
-        Task::ConditionalPut { base, content }
-            if usize::from(base) == state.value.len() && !state.value.contains(&content) =>
-        {
-            let mut value = (*value).clone();
-            value.push(content);
-            Arc::new(state.successor(ballot, state.members.clone(), Arc::new(value)))
-        }
-        Task::EnterJoint if !state.members.is_joint() && !state.members.contains(SPARE) => {
-            with_spare(state, ballot)
-        }
-        _ => Arc::clone(state),
-    }
-}
-
-/// The state with a joint membership, in the next set of which the spare replaces the last member.
-fn with_spare(state: &State<Value>, ballot: Ballot) -> Arc<State<Value>> {
-    let current = state.members.current.clone();
-    let spare = Replica {
-        identity: SPARE,
-        address: address(MEMBERS),
-        zone: String::new(),
-    };
-    let next = current
-        .without(Identity::from_seed_address(address(MEMBERS - 1)))
-        .with(spare);
-    Arc::new(state.successor(
-        ballot,
-        Membership::joint(current, next),
-        Arc::clone(&state.value),
-    ))
-}
-
-fn is_completed(task: Task, state: &State<Value>) -> bool {
-    match task {
-        Task::Put(content) => state.value.contains(&content),
-        Task::ConditionalPut { base, content } => {
-            state.value.contains(&content) || state.value.len() > usize::from(base)
-        }
-        Task::EnterJoint => state.members.contains(SPARE),
-        Task::LeaveJoint => !state.members.is_joint() && state.members.contains(SPARE),
-    }
-}
