--- a/crates/ironmast/tests/common/mod.rs
+++ b/crates/ironmast/tests/common/mod.rs
@@ -9,8 +9,8 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::process::{Pid, Signal, kill_process};
 
-/// What never comes fails the test after this.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// What has not arrived after this fails the test.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A program that ends with the test, whatever becomes of it: one left over holds the test's own
 /// output open.
@@ -47,19 +47,19 @@
 pub(crate) fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "not in time: {what}");
+        assert!(start.elapsed() < TIMEOUT, "not in time: {what}");
         std::thread::yield_now();
     }
 }
 
 /// Reads the program's log on to the line that holds `text`.
 pub(crate) fn wait_log(log: &mut BufReader<ChildStderr>, text: &str) -> String {
-    let patience = Timespec::try_from(PATIENCE).expect("in range");
+    let timeout = Timespec::try_from(TIMEOUT).expect("in range");
     loop {
         if log.buffer().is_empty() {
             let mut log = [PollFd::new(log.get_ref(), PollFlags::IN)];
             assert_ne!(
-                poll(&mut log, Some(&patience)).expect("polled"),
+                poll(&mut log, Some(&timeout)).expect("polled"),
                 0,
                 "no `{text}` in time"
             );
--- a/crates/ironmast/tests/exchanges.rs
+++ b/crates/ironmast/tests/exchanges.rs
@@ -11,7 +11,7 @@
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::process::{Command, Output};
 
-use common::{PATIENCE, Running, uninterrupted, wait_log};
+use common::{Running, TIMEOUT, uninterrupted, wait_log};
 use ironmast_fault_injection::deployment::reserve_port;
 use player::{listens_at, play, start};
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_told_in_one_line() {
+fn an_invalid_configuration_is_reported_in_one_line() {
     let sound = ironmast_fault_injection::CONFIG.replace("{discovery}", "127.0.0.1:9");
     for (from, to, told) in [
         ("{\"name\"", "\"name\"", "config"),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_command_line_checks_a_configuration_without_serving() {
+fn check_config_validates_a_configuration_without_serving() {
     let sound = ironmast_fault_injection::CONFIG.replace("{discovery}", "127.0.0.1:9");
     let bad = sound.replace("\"zone\":\"seattle\"", "\"zone\":\"boise\"");
     for (text, code, said) in [
@@ -95,7 +95,7 @@
 /// right after an outage: the watch is opened without being asked for, and again as soon as it
 /// ends. The list comes indented.
 #[test]
-fn pushed_lists_are_heard_from_the_first_moment_and_again_right_after_an_outage() {
+fn pushed_lists_are_watched_from_the_start_and_again_right_after_an_outage() {
     let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = agent.local_addr().expect("bound").to_string();
     let config = ironmast_fault_injection::CONFIG.replace("{discovery}", &at);
@@ -123,14 +123,14 @@
             wait_log(&mut log, "endpoint update: Complete, known: 1");
         }
     }
-    assert!(began.elapsed() < PATIENCE, "both without being asked for");
+    assert!(began.elapsed() < TIMEOUT, "both without being asked for");
 }
 
 /// A watch that ends may end instead of telling of a drain. All proxies call again then, discovery
 /// answers one after another, and the last has to be told in time, too: none waits as after a call
 /// that failed.
 #[test]
-fn a_watch_that_had_told_a_list_and_ended_is_opened_again_at_once() {
+fn a_watch_that_ends_after_a_list_is_reopened_at_once() {
     const ENDS: u32 = 5;
     let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = discovery.local_addr().expect("bound").to_string();
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn the_log_is_json_where_that_is_asked_for() {
+fn log_format_json_logs_json() {
     let file = tempfile::NamedTempFile::new().expect("a file");
     let text = ironmast_fault_injection::CONFIG.replace("{discovery}", "127.0.0.1:9");
     std::fs::write(file.path(), text).expect("written");
@@ -193,15 +193,15 @@
 /// One of many proxies, restarted with a stale list while discovery says nothing and its peers talk
 /// nonsense: it serves from the list, tells its rate in six bytes, and does not fill its log.
 #[test]
-fn one_of_many_proxies_survives_stale_lists_a_silent_discovery_and_bad_datagrams() {
-    let patience = Some(PATIENCE);
+fn one_of_many_proxies_serves_despite_a_stale_list_a_silent_discovery_and_invalid_datagrams() {
+    let timeout = Some(TIMEOUT);
     let tcp = || TcpListener::bind("127.0.0.1:0").expect("a port");
     let (discovery, server) = (tcp(), tcp());
     // Reserved: guards against another test that listens there.
     let gone = reserve_port().expect("a port");
     let udp = || UdpSocket::bind("127.0.0.1:0").expect("a port");
     let (peer, stranger) = (udp(), udp());
-    peer.set_read_timeout(patience).expect("set");
+    peer.set_read_timeout(timeout).expect("set");
     let at = peer.local_addr().expect("bound");
     let live = server.local_addr().expect("bound");
     let target = |uid: &str, at| {
@@ -262,7 +262,7 @@
         }
     });
     let mut client = TcpStream::connect(listen).expect("it listens");
-    client.set_read_timeout(patience).expect("set");
+    client.set_read_timeout(timeout).expect("set");
     for n in 0..8 {
         write!(
             client,
--- a/crates/ironmast/tests/exchanges/deployments.rs
+++ b/crates/ironmast/tests/exchanges/deployments.rs
@@ -8,10 +8,10 @@
 
 use serde_json::{Value, json};
 
-use crate::common::{PATIENCE, Running, wait_log};
+use crate::common::{Running, TIMEOUT, wait_log};
 use crate::player::{listens_at, message, start};
 
-/// Class: its name, whether and where repeats are dropped, its aim and its clients' patience in ms.
+/// Class: its name, whether and where repeats are dropped, its latency target and its clients' timeout in ms.
 type Class = (
     &'static str,
     &'static str,
@@ -96,8 +96,8 @@
 
 impl Deployment {
     fn config(&self, discovery: SocketAddr) -> Value {
-        let class = |&(name, effect, dropped, aim, patience): &Class| {
-            let mut class = json!({"name": name, "effect": effect, "objective": aim * 1_000, "hard_limit": patience * 1_000, "worth": 2.5});
+        let class = |&(name, effect, dropped, target, timeout): &Class| {
+            let mut class = json!({"name": name, "effect": effect, "objective": target * 1_000, "hard_limit": timeout * 1_000, "worth": 2.5});
             if let Some((scope, window)) = dropped {
                 (class["dedup_scope"], class["dedup_window"]) =
                     (json!(scope), json!(window * 1_000));
@@ -212,7 +212,7 @@
         wait_log(&mut log, "endpoint update: Complete");
         let connect = || {
             let stream = TcpStream::connect(&listen).expect("it listens");
-            stream.set_read_timeout(Some(PATIENCE)).expect("set");
+            stream.set_read_timeout(Some(TIMEOUT)).expect("set");
             BufReader::new(stream)
         };
         let mut client = connect();
--- a/crates/ironmast/tests/exchanges/player.rs
+++ b/crates/ironmast/tests/exchanges/player.rs
@@ -27,7 +27,7 @@
 use rustix::process::Signal;
 use tempfile::NamedTempFile;
 
-use crate::common::{PATIENCE, Running, uninterrupted, wait_log, wait_until};
+use crate::common::{Running, TIMEOUT, uninterrupted, wait_log, wait_until};
 
 /// How long the program may have been on a processor where a script asserts that it has rested.
 const MAX_BUSY_NANOS: u64 = 1_000_000_000;
@@ -338,15 +338,15 @@
                         (listener.try_clone().expect("a handle"), channel());
                     std::thread::spawn(move || done.send(listener.accept()));
                     accepted
-                        .recv_timeout(PATIENCE)
+                        .recv_timeout(TIMEOUT)
                         .expect("in time")
                         .expect("a connection")
                         .0
                 }
                 None => TcpStream::connect(&self.listen).expect("it listens"),
             };
-            stream.set_read_timeout(Some(PATIENCE)).expect("set");
-            stream.set_write_timeout(Some(PATIENCE)).expect("set");
+            stream.set_read_timeout(Some(TIMEOUT)).expect("set");
+            stream.set_write_timeout(Some(TIMEOUT)).expect("set");
             BufReader::new(stream)
         })
     }
--- a/crates/ironmast/tests/failing_servers.rs
+++ b/crates/ironmast/tests/failing_servers.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn each_failure_of_a_pay_server_for_each_class_and_form() {
+fn each_failure_of_a_pay_server_has_its_expected_result_for_each_class_and_form() {
     for (failure, meaning) in table() {
         for class in CLASSES {
             for &body in class.bodies {
@@ -194,7 +194,7 @@
 /// With a repeat paid for, what may run again does, what has not run goes elsewhere, and nothing
 /// else is sent again.
 #[test]
-fn what_is_sent_again_to_another_pay_server() {
+fn only_what_has_not_run_or_may_run_again_is_retried_at_another_pay_server() {
     for (failure, meaning) in [
         (Failure::NoHead(Reset), Meaning::Unknown),
         (Failure::InBody(Closed), Meaning::Unknown),
@@ -241,7 +241,7 @@
 
 /// The server ends a kept connection between two requests, or sends what nobody asked for.
 #[test]
-fn a_kept_connection_that_its_server_has_forgotten_costs_no_request() {
+fn an_idle_connection_that_its_server_closed_costs_no_request() {
     for failure in [
         Failure::AfterAnswer(Closed),
         Failure::AfterAnswer(Reset),
@@ -274,7 +274,7 @@
 
 /// A kept connection ends under a request: whether that was read can't be known.
 #[test]
-fn a_kept_connection_that_breaks_under_a_request_counts_as_one_that_ran() {
+fn a_request_on_a_reused_connection_that_breaks_may_have_run() {
     for end in [Closed, Reset] {
         for class in CLASSES {
             let server = FailingServer::start(IN_SERVICE, &[Failure::None, Failure::NoHead(end)])
--- a/crates/ironmast/tests/operations.rs
+++ b/crates/ironmast/tests/operations.rs
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn calls_are_answered_beside_callers_that_say_nothing() {
+fn operator_commands_are_answered_while_other_callers_stay_silent() {
     let stage = Counted::new();
     let process = stage.start(stage.place());
     process.ready();
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_line_that_never_ends_is_closed_on() {
+fn a_command_line_without_an_end_times_out_and_its_connection_is_closed() {
     let stage = Counted::new();
     let process = stage.start(None);
     let mut stream = patient(TcpStream::connect(process.ops).expect("it hears operators"));
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_server_out_of_use_gets_nothing_through_a_replacement_until_it_is_called_back() {
+fn a_disabled_server_gets_no_request_through_a_hot_restart_until_it_is_enabled() {
     let stage = Counted::new();
     let mut old = stage.start(stage.place());
     old.ready();
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_second_process_replaces_the_first_under_load_and_no_request_ends_at_the_door() {
+fn a_hot_restart_under_load_fails_no_request() {
     let stage = Counted::new();
     let mut old = stage.start(stage.place());
     old.ready();
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_successor_that_dies_gives_the_door_back_and_a_predecessor_that_dies_leaves_it() {
+fn when_one_process_of_a_hot_restart_dies_the_other_serves() {
     let stage = Counted::new();
     let mut old = stage.start(stage.place());
     old.ready();
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn left_over_and_malformed_files_never_keep_a_process_from_starting() {
+fn a_process_starts_despite_stale_and_malformed_runtime_files() {
     let stage = Counted::new();
     let name = format!("ironmast-{}-{}", stage.listen.ip(), stage.listen.port());
     let file = |what: &str| stage.folder.path().join(format!("{name}.{what}"));
@@ -295,7 +295,7 @@
 /// Discovery has moved by SIGHUP since the first start; the new process is started with the old
 /// environment.
 #[test]
-fn a_replacement_after_a_reload_asks_discovery_where_the_file_says() {
+fn a_successor_uses_the_discovery_address_of_the_file_not_of_its_environment() {
     let stage = Counted::new();
     let old = stage.start(stage.place());
     old.ready();
@@ -313,7 +313,7 @@
 
 /// Without a folder to meet in, each goes alone: both listen, and the second serves on.
 #[test]
-fn without_a_place_to_meet_both_processes_listen() {
+fn without_a_runtime_folder_both_processes_listen() {
     let stage = Counted::new();
     let mut old = stage.start(None);
     old.ready();
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn a_bad_address_for_operators_is_told_in_one_line() {
+fn an_invalid_operations_address_is_reported_in_one_line() {
     let text = ironmast_fault_injection::CONFIG.replace("{discovery}", "127.0.0.1:9");
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let taken = taken.local_addr().expect("bound").to_string();
@@ -357,7 +357,7 @@
 
 /// A kept connection that is idle at the replacement still gets its next answer.
 #[test]
-fn a_kept_connection_is_served_by_the_old_process_and_closed_with_its_answer() {
+fn an_idle_connection_is_served_by_the_predecessor_and_closed_with_its_next_response() {
     let stage = Counted::new();
     let mut old = stage.start(stage.place());
     old.ready();
@@ -381,7 +381,7 @@
 /// A name open in the new process is not opened in the old one on a connection it kept: the
 /// successor decides.
 #[test]
-fn a_name_open_in_the_successor_is_refused_on_the_predecessors_kept_connection() {
+fn a_request_name_open_in_the_successor_is_rejected_by_the_predecessor() {
     let runs = Arc::new(AtomicUsize::new(0));
     let seen = Arc::clone(&runs);
     let server = listen(move |stream| {
--- a/crates/ironmast/tests/stage/mod.rs
+++ b/crates/ironmast/tests/stage/mod.rs
@@ -8,7 +8,7 @@
 use std::process::{ChildStderr, Command, Stdio};
 use std::sync::Arc;
 
-use crate::common::{PATIENCE, Running, wait_log, wait_until};
+use crate::common::{Running, TIMEOUT, wait_log, wait_until};
 
 /// Where it all is.
 pub(crate) struct Stage {
@@ -28,7 +28,7 @@
 }
 
 pub(crate) fn patient(stream: TcpStream) -> TcpStream {
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("set");
     stream
 }
 
--- a/crates/ironmast/tests/streams.rs
+++ b/crates/ironmast/tests/streams.rs
@@ -10,7 +10,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-use common::{PATIENCE, uninterrupted, wait_log};
+use common::{TIMEOUT, uninterrupted, wait_log};
 use ironmast_fault_injection::deployment::reserve_port;
 use rustix::process::Signal;
 use stage::{Process, Stage, head, listen, patient};
@@ -184,7 +184,7 @@
 /// A client that does not read holds its pay server up, not the program's memory; others pass
 /// meanwhile.
 #[test]
-fn a_reader_that_stops_holds_the_pay_server_up() {
+fn a_client_that_stops_reading_blocks_its_pay_server() {
     let sent = Arc::new(AtomicU64::new(0));
     let count = Arc::clone(&sent);
     let long = server(move |mut stream, head, _| {
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn the_first_bytes_of_a_long_answer_pass_at_once_and_one_that_breaks_off_shows() {
+fn a_long_response_is_forwarded_from_its_first_bytes_and_its_truncation_is_visible() {
     let (go, wait): (Sender<()>, Receiver<()>) = channel();
     let wait = std::sync::Mutex::new(wait);
     let slow = server(move |mut stream, head, _| {
@@ -274,7 +274,7 @@
 
 /// What has begun to flow to a pay server is not sent again; what is still held whole is.
 #[test]
-fn a_body_that_is_no_longer_held_whole_is_not_repeated() {
+fn a_request_whose_body_is_no_longer_buffered_is_not_retried() {
     let tries = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&tries);
     let breaks = listen(move |mut stream| {
@@ -320,7 +320,7 @@
 /// A body somewhat over what is held may have come whole by the time it is seen to be long: the pay
 /// server has all of it then, and may have run it.
 #[test]
-fn a_long_body_that_came_whole_at_once_may_have_run_and_is_not_repeated() {
+fn a_request_whose_long_body_arrived_at_once_may_have_run_and_is_not_retried() {
     let runs = Arc::new(AtomicUsize::new(0));
     let count = Arc::clone(&runs);
     let breaks = server(move |_, _, body| {
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn a_body_of_which_nothing_was_sent_goes_to_another_server() {
+fn a_request_of_whose_body_nothing_was_sent_is_retried_at_another_server() {
     let unused = reserve_port().expect("a port");
     let lengths = Arc::new(std::sync::Mutex::new(Vec::new()));
     let noted = Arc::clone(&lengths);
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn a_client_that_stops_in_the_middle_of_a_long_body_is_closed_on_and_its_pay_server_let_go() {
+fn a_client_that_stops_within_a_long_body_is_disconnected_and_its_pay_server_released() {
     let (waits, ended) = listener_for_ends();
     let (stage, _process) = started(&[waits]);
     let start = Instant::now();
@@ -397,14 +397,14 @@
     let _ = stream.read_to_end(&mut Vec::new());
     assert!(start.elapsed() < Duration::from_secs(10), "closed on");
     assert_eq!(
-        ended.recv_timeout(PATIENCE),
+        ended.recv_timeout(TIMEOUT),
         Ok(false),
         "its body broke off there, too"
     );
 }
 
 #[test]
-fn a_body_without_end_is_an_error_and_never_a_request() {
+fn a_body_without_an_end_is_an_error_and_never_a_request() {
     let (waits, ended) = listener_for_ends();
     let (stage, _process) = started(&[waits]);
     let mut stream = connect(&stage);
@@ -419,7 +419,7 @@
     while stream.get_mut().write_all(&chunk).is_ok() {
         assert!(start.elapsed() < Duration::from_secs(10), "it is closed on");
     }
-    assert_eq!(ended.recv_timeout(PATIENCE), Ok(false));
+    assert_eq!(ended.recv_timeout(TIMEOUT), Ok(false));
 }
 
 /// Requests in every form, each byte by itself, come to the pay server as they are; and its answers
@@ -496,7 +496,7 @@
 /// Where descriptors are short, room is made by connections that say nothing, not by one that is in
 /// the middle of a request, though it came first.
 #[test]
-fn a_slow_request_is_not_taken_for_a_silent_connection() {
+fn a_slow_request_is_not_closed_as_an_idle_connection() {
     let good = server(|mut stream, _, _| {
         stream
             .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
--- a/crates/ironmast/tests/system_command_line.rs
+++ b/crates/ironmast/tests/system_command_line.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn settings_that_nobody_named() {
+fn a_missing_configuration_path_is_reported_in_one_line() {
     for role in ROLES {
         let line = refusal(&run(role, None, &[]));
         assert!(line.contains("IRONMAST_CONFIG"), "{line}");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn settings_that_are_not_there() {
+fn a_configuration_file_that_does_not_exist_is_reported_in_one_line() {
     for role in ROLES {
         let line = refusal(&run(role, Some(Path::new("/nonexistent/local.yaml")), &[]));
         assert!(line.contains("/nonexistent/local.yaml"), "{line}");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn settings_that_are_wrong() {
+fn an_invalid_setting_is_reported_in_one_line_with_the_file() {
     let file = written(
         "node_name: \"\"\nip_address: 127.0.0.1\nzone: z\nregion: r\ninternal_port_range: [1, 9]\n",
     );
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn settings_that_are_no_yaml() {
+fn a_configuration_that_is_not_yaml_is_reported_in_one_line() {
     let file = written("node_name: [\n");
     for role in ROLES {
         let line = refusal(&run(role, Some(file.path()), &[]));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_listener_that_is_missing() {
+fn a_missing_listener_is_reported_in_one_line() {
     let file = written(
         "node_name: a\nip_address: 127.0.0.1\nzone: z\nregion: r\ninternal_port_range: [1, 9]\n",
     );
@@ -81,13 +81,13 @@
 }
 
 #[test]
-fn an_unknown_argument() {
+fn an_unknown_argument_is_reported_in_one_line() {
     let output = run("coordinator", None, &["--nothing"]);
     assert!(refusal(&output).contains("--nothing"));
 }
 
 #[test]
-fn help_is_no_failure() {
+fn help_exits_with_success() {
     let output = run("coordinator", None, &["--help"]);
     assert!(output.status.success());
     assert!(String::from_utf8_lossy(&output.stdout).starts_with("usage: ironmast"));
