--- a/crates/endpoints/tests/simulation/main.rs
+++ b/crates/endpoints/tests/simulation/main.rs
@@ -2,9 +2,14 @@
 //! a network that delays, reorders and partitions: agents never see a server revived, learn of
 //! drains in time, and all nodes converge once the faults end.
 
+mod checks;
+mod entries;
+mod network;
+mod server;
 mod world;
 
-use world::{Guard, Violation, World};
+use checks::{Guard, Violation};
+use world::World;
 
 const SEEDS: u64 = 200;
 /// Seeds in which a removed guard must be detected at least once.
--- /dev/null
+++ b/crates/endpoints/tests/simulation/server.rs
@@ -0,0 +1,58 @@
+//! The simulated servers and their heartbeats.
+
+use ironmast_endpoints::Micros;
+use ironmast_schema::control::Key;
+use ironmast_schema::registration::{Heartbeat, InstanceState};
+
+/// The phase of a server's incarnation.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Phase {
+    Ready,
+    Draining,
+    Ended,
+    Crashed,
+}
+
+/// A server that sends heartbeats.
+pub(super) struct Server {
+    pub(super) phase: Phase,
+    pub(super) sequence: u64,
+    /// When it sends its next heartbeat.
+    pub(super) next: Micros,
+    /// The coordinator that it sends heartbeats to.
+    pub(super) coordinator: usize,
+    /// When it drains, deregisters or crashes next.
+    pub(super) transition_at: Micros,
+}
+
+/// The heartbeat that a server sends now.
+pub(super) fn heartbeat(server: &Server) -> Heartbeat {
+    Heartbeat {
+        backend: "app".to_string(),
+        address: ([10, 0, 0, 1], 80).into(),
+        zone: "north-a".to_string(),
+        generation: "v1".to_string(),
+        capacity: 8,
+        state: if server.phase == Phase::Draining {
+            InstanceState::Draining
+        } else {
+            InstanceState::Ready
+        },
+        warmup_left_ms: 0.0,
+        sequence: server.sequence,
+        remaining_ms: None,
+    }
+}
+
+/// The identifier of a server's incarnation.
+pub(super) fn name(server: usize) -> String {
+    format!("i-{server}")
+}
+
+/// The index of the server that a key is of.
+pub(super) fn number(key: &Key) -> usize {
+    match key {
+        Key::Instance(name) => name[2..].parse().expect("a number"),
+        other => panic!("{other:?}"),
+    }
+}
--- a/crates/endpoints/tests/simulation/world.rs
+++ b/crates/endpoints/tests/simulation/world.rs
@@ -1,15 +1,18 @@
 //! Coordinators, agents and servers in simulated time, with a network that delays, drops and
 //! partitions.
 
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::BTreeMap;
 
 use ironmast_endpoints::{EndpointTable, ExpiryTimeouts, MergeOutcome, Micros};
-use ironmast_schema::control::{Entry, InstanceRecord, Key, Liveness, Observation, Value};
-use ironmast_schema::registration::{Heartbeat, InstanceState};
+use ironmast_schema::control::{Entry, Key, Liveness};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
+use super::checks::{Guard, Violation};
+use super::entries::{is_over, is_usable, liveness};
+use super::network::{Delivery, Message, Network, Partition};
+use super::server::{Phase, Server, heartbeat, name, number};
+
 const MS: Micros = 1_000;
 const STEP: Micros = 50 * MS;
 const AGENTS: usize = 20;
@@ -25,72 +28,6 @@
 /// A draining server's state reaches every agent within this.
 const DRAIN_DEADLINE: Micros = 3_000 * MS;
 
-/// A mechanism that a test can remove to see that it is missed.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Guard {
-    /// A coordinator that holds a newer entry sends it again.
-    ResendNewer,
-    /// Nodes ignore older versions.
-    Versions,
-    /// Nodes send all their entries to another one periodically (anti-entropy).
-    AntiEntropy,
-}
-
-/// A violated invariant.
-#[derive(Debug)]
-#[expect(dead_code, reason = "shown when a seed fails")]
-pub(crate) enum Violation {
-    /// At an agent, a server became usable again after it had drained or deregistered.
-    Revived {
-        agent: usize,
-        server: usize,
-        at: Micros,
-    },
-    /// An agent had not learned in time that a server drains.
-    DrainLate {
-        agent: usize,
-        server: usize,
-        at: Micros,
-    },
-    /// At the end a node holds another state than the actual one.
-    Diverged {
-        node: usize,
-        server: usize,
-        stored: Option<Liveness>,
-    },
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Phase {
-    Ready,
-    Draining,
-    Ended,
-    Crashed,
-}
-
-struct Server {
-    phase: Phase,
-    sequence: u64,
-    next: Micros,
-    /// The coordinator that it sends heartbeats to.
-    coordinator: usize,
-    /// When it drains, deregisters or crashes next.
-    transition_at: Micros,
-}
-
-enum Message {
-    Entry(Entry),
-    Observed(Vec<Observation>),
-}
-
-/// One coordinator is partitioned from the others, in one direction or both.
-#[derive(Debug, Clone, Copy)]
-struct Partition {
-    coordinator: usize,
-    outgoing: bool,
-    incoming: bool,
-}
-
 /// A server that began to drain in a time without faults.
 struct Drain {
     server: usize,
@@ -105,10 +42,7 @@
     tables: Vec<EndpointTable>,
     stores: Vec<BTreeMap<Key, Entry>>,
     servers: Vec<Server>,
-    messages: BTreeMap<u64, (usize, Message)>,
-    due: BinaryHeap<Reverse<(Micros, u64)>>,
-    serial: u64,
-    partition: Option<Partition>,
+    network: Network,
     next_fault_at: Micros,
     last_fault: Micros,
     drains: Vec<Drain>,
@@ -134,10 +68,7 @@
                 .map(|_| EndpointTable::new(0, TIMEOUTS))
                 .collect(),
             stores: vec![BTreeMap::new(); coordinators + AGENTS],
-            messages: BTreeMap::new(),
-            due: BinaryHeap::new(),
-            serial: 0,
-            partition: None,
+            network: Network::new(coordinators),
             next_fault_at: 4_000 * MS,
             last_fault: 0,
             drains: Vec::new(),
@@ -173,7 +104,7 @@
         }
         self.next_fault_at = self.now + self.random.random_range(1_000 * MS..8_000 * MS);
         self.last_fault = self.now;
-        if self.partition.take().is_some() || self.now >= LAST_FAULT_AT {
+        if self.network.partition.take().is_some() || self.now >= LAST_FAULT_AT {
             return;
         }
         let coordinator = self.random.random_range(0..self.coordinators());
@@ -184,22 +115,13 @@
         }
         let (outgoing, incoming) =
             [(true, true), (true, false), (false, true)][self.random.random_range(0..3)];
-        self.partition = Some(Partition {
+        self.network.partition = Some(Partition {
             coordinator,
             outgoing,
             incoming,
         });
     }
 
-    /// Only coordinators are partitioned, from each other; agents reach all of them.
-    fn is_partitioned(&self, from: usize, to: usize) -> bool {
-        let both = from < self.coordinators() && to < self.coordinators();
-        both && self.partition.is_some_and(|partition| {
-            partition.outgoing && from == partition.coordinator
-                || partition.incoming && to == partition.coordinator
-        })
-    }
-
     fn advance(&mut self, server: usize) {
         let due = self.now >= self.servers[server].transition_at && self.now < LAST_FAULT_AT;
         match self.servers[server].phase {
@@ -212,7 +134,7 @@
                 self.servers[server].phase = Phase::Draining;
                 self.servers[server].transition_at = self.now + 4_000 * MS;
                 self.servers[server].next = self.now;
-                if self.partition.is_none() && self.now > self.last_fault + 5_000 * MS {
+                if self.network.partition.is_none() && self.now > self.last_fault + 5_000 * MS {
                     self.drains.push(Drain {
                         server,
                         at: self.now,
@@ -288,30 +210,18 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        if self.is_partitioned(from, to) {
-            return;
-        }
-        self.serial += 1;
-        let at = self.now + self.random.random_range(MS..400 * MS);
-        self.messages.insert(self.serial, (to, message));
-        self.due.push(Reverse((at, self.serial)));
+        let delivery = Delivery { to, message };
+        self.network
+            .send(self.now, &mut self.random, from, delivery);
     }
 
     fn deliver(&mut self) {
-        while self
-            .due
-            .peek()
-            .is_some_and(|Reverse((at, _))| *at <= self.now)
-        {
-            let Some(Reverse((_, serial))) = self.due.pop() else {
-                return;
-            };
-            match self.messages.remove(&serial) {
-                Some((to, Message::Entry(entry))) => self.store(to, &entry),
-                Some((to, Message::Observed(heard))) => {
-                    self.tables[to].merge_observed(self.now, &heard);
+        while let Some(Delivery { to, message }) = self.network.take_due(self.now) {
+            match message {
+                Message::Entry(entry) => self.store(to, &entry),
+                Message::Observed(observed) => {
+                    self.tables[to].merge_observed(self.now, &observed);
                 }
-                None => {}
             }
         }
     }
@@ -387,53 +297,3 @@
         }
     }
 }
-
-fn heartbeat(server: &Server) -> Heartbeat {
-    Heartbeat {
-        backend: "app".to_string(),
-        address: ([10, 0, 0, 1], 80).into(),
-        zone: "north-a".to_string(),
-        generation: "v1".to_string(),
-        capacity: 8,
-        state: if server.phase == Phase::Draining {
-            InstanceState::Draining
-        } else {
-            InstanceState::Ready
-        },
-        warmup_left_ms: 0.0,
-        sequence: server.sequence,
-        remaining_ms: None,
-    }
-}
-
-fn name(server: usize) -> String {
-    format!("i-{server}")
-}
-
-fn number(key: &Key) -> usize {
-    match key {
-        Key::Instance(name) => name[2..].parse().expect("a number"),
-        other => panic!("{other:?}"),
-    }
-}
-
-fn record(entry: &Entry) -> &InstanceRecord {
-    match &entry.value {
-        Value::Instance(record) => record,
-        other => panic!("{other:?}"),
-    }
-}
-
-fn liveness(entry: &Entry) -> Liveness {
-    record(entry).liveness
-}
-
-/// Whether an incarnation has announced that it drains, or has deregistered.
-fn is_over(entry: &Entry) -> bool {
-    let record = record(entry);
-    record.liveness == Liveness::Deregistered || record.heartbeat.state == InstanceState::Draining
-}
-
-fn is_usable(entry: &Entry) -> bool {
-    liveness(entry) == Liveness::Alive && !is_over(entry)
-}
