--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -85,7 +85,7 @@
 /// The outcome of a check of the age of idle connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum IdleCheck {
-    /// So many were closed; none are left.
+    /// This many were closed, which are all.
     Closed(u32),
     /// They are to be checked again at this moment.
     CheckAgainAt(Micros),
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,10 +1,11 @@
 //! A simulated server: a queue, slots, and cores that the jobs in the slots share.
 //!
 //! Work is measured in microseconds on a core of speed 1. Each job in a slot runs at `speed x
-//! warmth / slowness x min(1, cores / jobs)` (processor sharing). Since all run alike, one running
-//! sum of the work done per job serves them all: a job is finished when the sum has grown by its
-//! work. The server does no I/O: the caller advances its time, and it returns when it must be
-//! advanced next and which jobs started, finished or were dropped.
+//! speed share / slowness x min(1, cores / jobs)` (processor sharing); the speed share is below 1
+//! while the server warms up. Since all run alike, one running sum of the work done per job serves
+//! them all: a job is finished when the sum has grown by its work. The server does no I/O: the
+//! caller advances its time, and it returns when it must be advanced next and which jobs started,
+//! finished or were dropped.
 
 mod estimate;
 mod job;
@@ -126,7 +127,7 @@
     }
 
     /// The part of its full speed that it has, 0 to 1.
-    pub(crate) fn warmth(&self, now: Micros) -> f64 {
+    pub(crate) fn speed_share(&self, now: Micros) -> f64 {
         if self.started == 0 {
             return 1.0;
         }
@@ -138,7 +139,7 @@
     pub(crate) fn capacity(&self, now: Micros) -> f64 {
         let slowdown = self.overdrive.slowdown(&self.overdrive_rule);
         let running = if self.paused { 0.0 } else { 1.0 };
-        running * self.cores * self.speed * self.warmth(now) / self.slowness / slowdown
+        running * self.cores * self.speed * self.speed_share(now) / self.slowness / slowdown
     }
 
     /// Its capacity when it is warm and healthy.
@@ -393,6 +394,6 @@
 
     /// Whether it is warming up.
     pub(crate) fn is_warming_up(&self, now: Micros) -> bool {
-        self.started > 0 && self.warmth(now) < 1.0
+        self.started > 0 && self.speed_share(now) < 1.0
     }
 }
--- a/crates/emulator/src/server/job.rs
+++ b/crates/emulator/src/server/job.rs
@@ -36,6 +36,6 @@
     Started(JobKey),
     /// The job's work is done.
     Finished(Job),
-    /// The job left the queue without having started.
+    /// The job was removed from the queue without having started.
     Dropped(Job),
 }
--- a/crates/emulator/src/server/statistics.rs
+++ b/crates/emulator/src/server/statistics.rs
@@ -11,7 +11,7 @@
     pub queued_time: f64,
     /// The integral of the number of requests in the system (queued or in a slot).
     pub in_system_time: f64,
-    /// Jobs that left the queue for a slot.
+    /// Jobs that entered a slot.
     pub started: u64,
     /// The sum of their waiting times.
     pub total_wait: f64,
--- a/crates/emulator/src/simulation/attempts.rs
+++ b/crates/emulator/src/simulation/attempts.rs
@@ -251,7 +251,7 @@
             self.judge.warm_up_ended(arriving.server);
             return false;
         }
-        let capacity = machine.server.full_capacity() * machine.server.warmth(self.now);
+        let capacity = machine.server.full_capacity() * machine.server.speed_share(self.now);
         let proxy = &self.proxies[arriving.proxy as usize];
         self.judge.work_reached_warming_server(WarmUpWork {
             at: self.now,
--- a/crates/emulator/src/simulation/clients.rs
+++ b/crates/emulator/src/simulation/clients.rs
@@ -89,7 +89,7 @@
             proxy,
             expires,
             finished: false,
-            client_left: false,
+            client_disconnected: false,
             attempts: SmallVec::new(),
         });
         if self.proxies[proxy as usize].policy.is_none() {
@@ -199,7 +199,10 @@
 
     /// When the client sends its next request after this outcome; `None` if it does not.
     fn retry_time(&self, operation: &Operation, outcome: RequestOutcome) -> Option<Micros> {
-        if matches!(outcome, RequestOutcome::Served | RequestOutcome::ClientLeft) {
+        if matches!(
+            outcome,
+            RequestOutcome::Served | RequestOutcome::ClientDisconnected
+        ) {
             return None;
         }
         let rule = self.retry_rule();
@@ -290,7 +293,7 @@
         let Some(request) = self.requests.get_mut(id).filter(|found| !found.finished) else {
             return;
         };
-        (request.finished, request.client_left) = (true, true);
+        (request.finished, request.client_disconnected) = (true, true);
         let (proxy, operation) = (request.proxy, request.operation);
         let server = request.attempts.last().map(|attempt| attempt.server);
         let is_late = self.now >= request.expires + self.rule_limits.answer_slack;
@@ -300,7 +303,7 @@
             self.record_violation(Rule::OneAnswer, proxy, server, Some(number), description);
             RequestOutcome::Unanswered
         } else {
-            RequestOutcome::ClientLeft
+            RequestOutcome::ClientDisconnected
         };
         self.retry_or_end(operation, outcome);
         self.deliver(proxy, Event::ClientDisconnected { id });
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -25,24 +25,28 @@
                 positions,
                 fault_index,
                 factor,
-            } => self.at_each(&positions, |simulation, position| {
+            } => self.for_each_position(&positions, |simulation, position| {
                 simulation.slow_server(position, fault_index, factor);
             }),
             Step::Degrade {
                 positions,
                 fault_index,
                 degradation,
-            } => self.at_each(&positions, |simulation, position| {
+            } => self.for_each_position(&positions, |simulation, position| {
                 simulation.degrade_class(position, fault_index, degradation);
             }),
-            Step::Pause { positions } => self.at_each(&positions, Self::pause_server),
-            Step::Resume { positions } => self.at_each(&positions, Self::resume_server),
-            Step::Stop { positions, silent } => self.at_each(&positions, |simulation, position| {
-                simulation.begin_server_outage(position, silent);
-            }),
-            Step::Start { positions } => self.at_each(&positions, Self::end_server_outage),
-            Step::Drain { positions } => self.at_each(&positions, Self::drain_server),
-            Step::Replace { positions } => self.at_each(&positions, Self::replace_server),
+            Step::Pause { positions } => self.for_each_position(&positions, Self::pause_server),
+            Step::Resume { positions } => self.for_each_position(&positions, Self::resume_server),
+            Step::Stop { positions, silent } => {
+                self.for_each_position(&positions, |simulation, position| {
+                    simulation.begin_server_outage(position, silent);
+                });
+            }
+            Step::Start { positions } => {
+                self.for_each_position(&positions, Self::end_server_outage);
+            }
+            Step::Drain { positions } => self.for_each_position(&positions, Self::drain_server),
+            Step::Replace { positions } => self.for_each_position(&positions, Self::replace_server),
             Step::Partition { zone, until } => self.network.partition(zone, until),
             Step::StopProxies {
                 proxies,
@@ -55,7 +59,7 @@
         }
     }
 
-    fn at_each(&mut self, positions: &[u32], mut apply: impl FnMut(&mut Self, u32)) {
+    fn for_each_position(&mut self, positions: &[u32], mut apply: impl FnMut(&mut Self, u32)) {
         for position in positions {
             apply(self, *position);
         }
--- a/crates/emulator/src/simulation/proxies.rs
+++ b/crates/emulator/src/simulation/proxies.rs
@@ -292,7 +292,7 @@
             return self.record_violation(Rule::OneAnswer, proxy, None, None, description);
         };
         if request.finished {
-            if !request.client_left {
+            if !request.client_disconnected {
                 let number = self.operations[request.operation].number;
                 let description = "a second final answer";
                 self.record_violation(Rule::OneAnswer, proxy, None, Some(number), description);
--- a/crates/emulator/src/simulation/request.rs
+++ b/crates/emulator/src/simulation/request.rs
@@ -21,7 +21,7 @@
     /// Whether it has its final response, or its client does not wait for one any more.
     pub(super) finished: bool,
     /// Whether its client closed the connection.
-    pub(super) client_left: bool,
+    pub(super) client_disconnected: bool,
     /// The attempts so far.
     pub(super) attempts: SmallVec<[Attempt; 1]>,
 }
@@ -88,7 +88,7 @@
     /// No response came in time, or the proxy stopped before.
     Unanswered,
     /// The client closed its connection before its timeout.
-    ClientLeft,
+    ClientDisconnected,
 }
 
 /// The requests that are not finished or have open attempts, by their ids.
