--- a/crates/ironmast/tests/common/mod.rs
+++ b/crates/ironmast/tests/common/mod.rs
@@ -54,23 +54,26 @@
 
 /// Reads the program's log on to the line that holds `text`.
 pub(crate) fn wait_log(log: &mut BufReader<ChildStderr>, text: &str) -> String {
-    let timeout = Timespec::try_from(TIMEOUT).expect("in range");
+    let deadline = Instant::now() + TIMEOUT;
+    let mut skipped = String::new();
     loop {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        assert!(!remaining.is_zero(), "no `{text}` in time, but:\n{skipped}");
         if log.buffer().is_empty() {
+            let timeout = Timespec::try_from(remaining).expect("in range");
             let mut log = [PollFd::new(log.get_ref(), PollFlags::IN)];
-            assert_ne!(
-                poll(&mut log, Some(&timeout)).expect("polled"),
-                0,
-                "no `{text}` in time"
-            );
+            if poll(&mut log, Some(&timeout)).expect("polled") == 0 {
+                continue;
+            }
         }
         let mut line = String::new();
         assert!(
             log.read_line(&mut line).expect("a log") > 0,
-            "the log ended before `{text}`"
+            "the log ended before `{text}`, after:\n{skipped}"
         );
         if line.contains(text) {
             return line;
         }
+        skipped += &line;
     }
 }
