--- a/crates/balancer/src/api/actions.rs
+++ b/crates/balancer/src/api/actions.rs
@@ -30,7 +30,7 @@
         /// The request.
         id: RequestId,
     },
-    /// Stops waiting for one attempt.
+    /// Cancels one attempt and closes its connection.
     Cancel {
         /// The request.
         id: RequestId,
@@ -46,9 +46,9 @@
     },
     /// Subscribes to discovery, or renews the subscription.
     Subscribe,
-    /// Ends the subscription to discovery.
+    /// Ends the subscription to discovery. Not emitted by this balancer.
     Unsubscribe,
-    /// Asks discovery once for the complete list.
+    /// Asks discovery once for the complete list. Not emitted by this balancer.
     FetchAll,
     /// Sends a health check to a server.
     Probe {
--- a/crates/balancer/src/api/events.rs
+++ b/crates/balancer/src/api/events.rs
@@ -32,7 +32,8 @@
     Overloaded,
     /// No response in time; may have run or still run.
     Timeout,
-    /// No connection: never ran.
+    /// The request was not completely written: no connection, the server stopped accepting, or a
+    /// streamed body was incomplete. Never ran.
     ConnectFailed,
     /// The connection broke; may have run.
     Reset,
@@ -137,7 +138,7 @@
     pub attempt: u32,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since the send.
+    /// Time since the send, or since the request's last byte if that was sent later.
     pub latency: Micros,
     /// The client has its final answer, from this outcome or earlier.
     pub finished: bool,
@@ -152,7 +153,8 @@
     Request(Request),
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// A streamed response started and is forwarded: the attempt cannot be replaced any more.
+    /// A streamed response started and is forwarded: the attempt cannot be replaced any more. Not
+    /// sent by `ironmast run`.
     ResponseStarted {
         /// The request.
         id: RequestId,
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -42,7 +42,7 @@
     pub value: f64,
     /// The part of the value that a response past the latency target still earns.
     pub late_value_share: f64,
-    /// Responses are streams whose start is reported.
+    /// Responses are streams whose start is reported. Read by no decision.
     pub streaming: bool,
 }
 
@@ -103,7 +103,8 @@
     pub classes: Vec<ClassSettings>,
     /// The tenants; may be empty.
     pub tenants: Vec<TenantSettings>,
-    /// Value of a request beyond its tenant's share, as a part of its class's value.
+    /// Value of a request beyond its tenant's share, as a part of its class's value. Read by no
+    /// decision.
     pub over_share_value: f64,
     /// Number of configured zones.
     pub zones: usize,
@@ -121,7 +122,7 @@
     pub limits: Limits,
     /// Figures of the safety rules.
     pub safety: Safety,
-    /// Points taken off the result.
+    /// Penalties in the score of the operators' simulator.
     pub penalties: Penalties,
 }
 
@@ -142,7 +143,7 @@
     pub probes: bool,
     /// [`Action::SendToPeers`](super::Action::SendToPeers) is permitted.
     pub peers: bool,
-    /// Rejections carry a retry delay.
+    /// Rejections carry a retry delay. Read by no decision: they always do.
     pub retry_after: bool,
     /// The longest retry delay that clients honour.
     pub max_retry_after: Micros,
@@ -151,7 +152,7 @@
 /// Figures of the safety rules.
 #[derive(Clone, Debug)]
 pub struct Safety {
-    /// How long after a request's deadline a final answer still counts.
+    /// How long after a request's deadline a final answer still counts. Read by no decision.
     pub answer_slack: Micros,
     /// Without a subscription, discovery must be asked at least this often.
     pub discovery_interval: Micros,
@@ -159,7 +160,7 @@
     pub initial_capacity: f64,
     /// It has its full capacity no later than this after its start.
     pub warm_up: Micros,
-    /// Sends to a draining server must stop within this.
+    /// Sends to a draining server must stop within this. Read by no decision: they stop at once.
     pub drain_grace: Micros,
     /// A warming server fails when it is sent more than `overload_multiple` times its capacity for this
     /// long.
@@ -173,9 +174,9 @@
 pub struct Penalties {
     /// For every request crossing zones once.
     pub cross_zone: f64,
-    /// For as much wasted work as was requested.
+    /// For as much wasted work as was requested. Read by no decision.
     pub waste: f64,
-    /// For all value that ends unserved after its latency target.
+    /// For all value that ends unserved after its latency target. Read by no decision.
     pub late_fail: f64,
 }
 
--- a/crates/balancer/src/api/validation.rs
+++ b/crates/balancer/src/api/validation.rs
@@ -21,7 +21,7 @@
     /// A figure is outside of what makes sense.
     #[error("the setting `{name}` is out of range")]
     OutOfRange {
-        /// The setting's name.
+        /// The setting's name in the simulator's first message, not in the configuration file.
         name: &'static str,
     },
 }
--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/balance.rs
@@ -1,6 +1,6 @@
-//! The balancer's state and its event loop. All decisions are in this file and the modules below it;
-//! the interface is in `api`, plain records are in `node` and `open_request`, and `fleet` has the
-//! aggregates over all servers.
+//! The balancer's state and its event handler. The decisions are here and below, but for ejections of
+//! a class (`class_ejection`) and unreachable zones (`failure_detector`). `api` is the interface,
+//! `node` and `open_request` are records, and `fleet` has the aggregates over all servers.
 //!
 //! A request runs through `accept_request` and `send_or_queue` (`requests`), `candidates` and `draw`
 //! (`selection`, within the limits of `capacity`) and `send` (`attempts`); its attempts end in
@@ -37,9 +37,9 @@
 const SUBSET_ROTATION: Micros = 60_000_000;
 /// After a failure discovery is asked again after `discovery_interval` over this, at first.
 const FIRST_BACKOFF_DIVISOR: u64 = 16;
-/// The longest backoff is `discovery_interval` over this.
+/// The longest backoff is `discovery_interval` over this, and at most `MAX_DISCOVERY_DELAY` over 4.
 const MAX_BACKOFF_DIVISOR: u64 = 2;
-/// First in-flight limit of a server, split by the number of balancers.
+/// Initial in-flight limit of a server over all balancers; each takes its share of it.
 const INITIAL_LIMIT: f64 = 12.0;
 /// Time constant of measured rates, and the time for which idle connections stay open.
 const RATE_DECAY_TIME: f64 = 2_000_000.0;
@@ -58,8 +58,8 @@
     due_requests: BTreeSet<(Micros, RequestId)>,
     /// When the timer is due that was asked for last.
     armed_timer: Option<Micros>,
-    /// Nothing is sent there until then, if the limits there sum below one: guards overloaded zones against
-    /// many balancers.
+    /// While the limits of a locality sum to less than one, nothing is sent there before this time, so that
+    /// many balancers do not overload it.
     paused_until: ByLocality<Micros>,
     latencies: Vec<LatencyQuantiles>,
     mean_size: f64,
@@ -172,7 +172,7 @@
             self.due_requests.remove(&(at, id));
             self.request_due(id, actions);
         }
-        // Guards requests that may spill over against waiting behind newer ones that may not yet.
+        // Otherwise requests that may spill over would wait behind newer ones that may not yet.
         for only_spilling in [false, true] {
             while let Some(id) = self.first_queued(only_spilling) {
                 if !self.send_or_queue(id, actions) {
--- a/crates/balancer/src/balance/health.rs
+++ b/crates/balancer/src/balance/health.rs
@@ -156,7 +156,7 @@
     }
 
     /// A server gave a sign of life, or none when one was due. An unreachable zone is not usable until
-    /// a probe is answered; attempts in flight there are cancelled if a retry is safe and of use.
+    /// one of its servers gives a sign of life; attempts in flight there are cancelled if a retry is safe and of use.
     pub(super) fn record_liveness(
         &mut self,
         server: ServerId,
@@ -248,7 +248,7 @@
     if outcome == Outcome::Ok {
         record_success(node, sent);
     }
-    // At most half of a zone is ejected: guards an overloaded one against losing server by server.
+    // Failed connections aside, at most half of a zone is ejected, so that overload empties no zone.
     let is_majority = 2 * (peers.ejected_total + 1) > peers.count + 1;
     // If all of a zone fails alike, that is its load, not an unhealthy server; failed connections
     // are plain.
@@ -294,7 +294,7 @@
 /// A successful response to an attempt sent at `sent`.
 fn record_success(node: &mut Node, sent: Option<Micros>) {
     node.recent_successes += 1.0;
-    // Guards a server that is healthy again against the long ejections of its past.
+    // Resets the ejection backoff of a server that has recovered.
     if node.failure_rate < RECOVERED_FAILURE_RATE && node.ejected.is_none() {
         node.backoff = 0;
     }
--- a/crates/balancer/src/balance/requests.rs
+++ b/crates/balancer/src/balance/requests.rs
@@ -24,8 +24,8 @@
         let end_at = request.expires.saturating_sub(self.settings.tick);
         self.due_requests.insert((end_at, id));
         let class = &self.settings.classes[request.class];
-        // Capacity in the own zone is waited for, for as much of the latency target as crossing
-        // zones costs of the value.
+        // A request waits for capacity in its own zone for the part of the latency target that
+        // crossing zones would cost of its value.
         let spill_wait = self.settings.penalties.cross_zone * class.latency_target as f64;
         let unsent_wait = (request.expires - now) as f64 * UNSENT_TIME_SHARE;
         let open = OpenRequest {
--- a/crates/balancer/src/failure_detector/pending.rs
+++ b/crates/balancer/src/failure_detector/pending.rs
@@ -21,7 +21,7 @@
 pub(super) struct PendingZone {
     /// Attempts in flight.
     pub in_flight: u32,
-    /// Since when the server that has been silent for longest has been so.
+    /// Since when the server that has been silent for longest has been silent.
     pub since: Micros,
     /// Its servers with responses pending; those that have been silent for longest come first.
     pub servers: Vec<ServerId>,
--- a/crates/balancer/src/failure_detector/zone.rs
+++ b/crates/balancer/src/failure_detector/zone.rs
@@ -9,7 +9,7 @@
 pub(super) const WITNESSES: usize = 3;
 /// The same for a zone that has recovered recently.
 const RECENT_WITNESSES: usize = 2;
-/// A zone has recovered recently for this long after its first sign of life.
+/// How long after its first sign of life a zone counts as recently recovered.
 pub(super) const RECENT_RECOVERY: Micros = 15_000_000;
 /// First interval between probes of the own zone while it is unreachable. The balancers of a tier,
 /// which find it unreachable at once, spread over half of it.
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -21,8 +21,8 @@
 
 /// A decaying measurement below this counts as zero.
 const MIN_SIGNIFICANT: f64 = 1e-6;
-/// Of a locality with more servers than this, a request considers a sample only, others each time: a
-/// round is even, and no request costs more for a larger fleet.
+/// Of a locality with more servers than this, each request considers only the next sample of the
+/// ring, so that load stays even and the cost of a request does not grow with the fleet.
 const MAX_FULL_SCAN: usize = 48;
 /// The size of that sample.
 pub(crate) const SAMPLE_SIZE: usize = 16;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -4,6 +4,13 @@
 //! [`Event`] at a time with the clock's reading, and appends the [`Action`]s to carry out. It reads
 //! no clock, does no I/O and keeps no state outside itself.
 //!
+//! Comments refer to the four rules, which hold over all client proxies together:
+//!
+//! 1. Each accepted request gets exactly one final answer before its client gives up.
+//! 2. Nothing that may have run is repeated unless its class permits it.
+//! 3. A server that is draining or removed is sent nothing new 300 ms after the notification.
+//! 4. No server that is warming up is overloaded.
+//!
 //! ```
 //! use ironmast_balancer::{Action, Balancer, ClassSettings, Event, Listing, Phase, Scope, Server, ServerId, Settings};
 //!
--- a/crates/client-proxy/src/config.rs
+++ b/crates/client-proxy/src/config.rs
@@ -22,8 +22,8 @@
 /// The variable with the address of discovery.
 const DISCOVERY_VARIABLE: &str = "GW_DISCOVERY";
 
-/// Keys whose changes need no restart: `discovery` takes effect on SIGHUP, and the others are read
-/// only at the start.
+/// Keys whose changes are not reported as needing a restart: `discovery` takes effect on SIGHUP;
+/// `known` and `seed` matter only at a start.
 const KEYS_WITHOUT_RESTART: [&str; 3] = ["discovery", "known", "seed"];
 
 /// The descriptors that may be open, if the file gives no limit.
--- a/crates/client-proxy/src/discovery.rs
+++ b/crates/client-proxy/src/discovery.rs
@@ -140,7 +140,7 @@
                 end = self.watch(), if watching => {
                     match end {
                         // Reopened at once: a watch may end instead of reporting that a server
-                        // drains. All agents call then, discovery responds to one after another,
+                        // drains. All proxies call then, discovery responds to one after another,
                         // and the last must be notified in time, too.
                         Ok(WatchEnded) => info!(self.log, "discovery failed"; "error" => "the watch ended and is reopened"),
                         Err(error) => {
--- a/crates/client-proxy/src/hot_restart/partners.rs
+++ b/crates/client-proxy/src/hot_restart/partners.rs
@@ -94,7 +94,7 @@
 
     /// Asks the successor whether a request of this name may be opened here. Returns `None` if
     /// there is no successor that answers claims, so that this process decides alone. The result
-    /// is false if no answer comes in time: a request is rather rejected than executed twice.
+    /// is false if no answer comes in time: rejecting a request is better than executing it twice.
     pub(crate) fn claim(&self, request_name: &str) -> Option<impl Future<Output = bool> + use<>> {
         if !self.successor_answers_claims.get() || self.successor.borrow().is_none() {
             return None;
--- a/crates/client-proxy/src/hot_restart/successor.rs
+++ b/crates/client-proxy/src/hot_restart/successor.rs
@@ -78,7 +78,7 @@
 /// Rejects a successor, with the reason that it logs.
 pub(crate) async fn reject(mut stream: UnixStream, reason: String) {
     let line = handover::encode(&Message::Busy(reason));
-    // A successor that does not read it has disconnected or fails by itself.
+    // A successor that does not read it has disconnected or is failing.
     let _ = timeout(STEP_TIMEOUT, stream.write_all(line.as_bytes())).await;
 }
 
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -29,8 +29,8 @@
 /// The path at which the platform asks whether this process is ready.
 const READINESS_PATH: &str = "/health/ready";
 
-/// The time-out of an incomplete request and of an idle connection, in µs. The platform gives half
-/// a request 3 s: one that is incomplete after this time must have arrived at the agreed rate. It leaves
+/// The time-out of an incomplete request and of an idle connection, in µs. The platform allows
+/// 3 s for an incomplete request: one that is incomplete after this time must have arrived at the agreed rate. It leaves
 /// a connection open for at least 2 s after a response.
 const CLIENT_TIMEOUT: Micros = 2_200_000;
 
@@ -54,7 +54,7 @@
     pub clock: Clock,
     /// To the driver.
     pub queue: Queue,
-    /// Whether servers are known.
+    /// Whether a server has ever been known.
     pub is_ready: Rc<Cell<bool>>,
     /// The memory for bodies.
     pub memory: BodyMemory,
--- a/crates/client-proxy/src/listener/open_names.rs
+++ b/crates/client-proxy/src/listener/open_names.rs
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Opens a name. The successor is asked first, if there is one that decides for both processes.
+    /// Opens a name that is free here. If there is a successor that decides for both processes, it
+    /// must agree.
     ///
     /// # Errors
     /// [`NameInUse`] if a request of that name is open, or if the successor does not answer in time.
--- a/crates/client-proxy/src/message.rs
+++ b/crates/client-proxy/src/message.rs
@@ -1,6 +1,6 @@
 //! The messages between the tasks that own sockets and the driver.
 //!
-//! They are free of HTTP, so that another protocol could send the same ones. All of them go through
+//! They use no type of an HTTP library, so that another protocol could send the same ones. All of them go through
 //! unbounded channels: the driver must never wait for a socket, and the number of open requests is
 //! bounded by the number of connections.
 
@@ -184,7 +184,8 @@
     CheckHealth(ServerId, SocketAddr),
     /// Close the idle connections to a server.
     CloseIdle(ServerId),
-    /// The server is draining or has ended: no request may be written to it any more.
+    /// The server is draining, disabled, delegated or no longer listed: no request may be written to
+    /// it any more.
     StopSending(ServerId),
     /// The server accepts requests again.
     ResumeSending(ServerId),
--- a/crates/client-proxy/src/ops.rs
+++ b/crates/client-proxy/src/ops.rs
@@ -104,7 +104,7 @@
         Err(_) => Err(CommandError::LineTimeout(LINE_TIMEOUT)),
     };
     let reply = command::format_reply(&reply);
-    // An operator that does not read the reply in time has disconnected or fails by itself.
+    // An operator that does not read the reply in time has disconnected or is failing.
     let _ = timeout(LINE_TIMEOUT, send_reply(&mut stream, &reply)).await;
 }
 
--- a/crates/client-proxy/src/serve/partner_events.rs
+++ b/crates/client-proxy/src/serve/partner_events.rs
@@ -14,7 +14,7 @@
 use crate::message::{HandoverState, PriorityMessage};
 
 impl Proxy {
-    /// Handles an event of a partner; returns the event of the hot restart that it is, if any.
+    /// Handles an event of a partner; returns the corresponding event of the hot restart, if any.
     ///
     /// # Errors
     /// [`DriverEnded`].
--- a/crates/client-proxy/src/serve/reload.rs
+++ b/crates/client-proxy/src/serve/reload.rs
@@ -6,8 +6,8 @@
 use crate::config::Config;
 use crate::message::DiscoveryCommand;
 
-/// Reads the file again. An invalid one changes nothing: guards the requests in flight against a
-/// slip of the pen. Only discovery's address takes effect at once; all else needs a restart, and
+/// Reads the file again. An invalid one changes nothing: guards the requests in flight against
+/// a typo. Only discovery's address takes effect at once; all else needs a restart, and
 /// the log says so.
 pub(super) fn reload(
     config: &mut Config,
--- a/crates/client-proxy/src/upstream/stopped_servers.rs
+++ b/crates/client-proxy/src/upstream/stopped_servers.rs
@@ -10,7 +10,7 @@
 /// then.
 const RETENTION: Micros = 60_000_000;
 
-/// The servers that are draining or have ended, with the time since when. Clones share one set.
+/// The servers that no request may be written to, with the time since when. Clones share one set.
 #[derive(Clone, Default)]
 pub(super) struct StoppedServers(Rc<RefCell<BTreeMap<ServerId, Micros>>>);
 
--- a/crates/coordinator/src/contact.rs
+++ b/crates/coordinator/src/contact.rs
@@ -26,8 +26,8 @@
 ///
 /// What a coordinator publishes in its last moment of contact must reach every reachable gate
 /// within the shortest of the bounds `config_apply_ms`, `drain_timeout_ms`, `evacuation_ms` and
-/// `contact_ms`. Other nodes may treat its state as fresh for this long after its last contact, so
-/// that the timeout is a third of the shortest bound.
+/// `contact_ms`. Other nodes may treat its state as fresh for this long after its last contact;
+/// hence the timeout is a third of the shortest bound.
 pub(crate) fn contact_timeout(bounds: &TimingBounds) -> Duration {
     let shortest = [
         bounds.config_apply_ms,
--- a/crates/coordinator/src/directory.rs
+++ b/crates/coordinator/src/directory.rs
@@ -10,8 +10,8 @@
 use crate::resolve::{self, Query};
 use crate::value::{ConfigurationDocument, ControlValue};
 
-/// Upper limit of the time for which clients may cache addresses, in seconds: for so long a gate
-/// that was lost may still receive their requests.
+/// Upper limit of the time for which clients may cache addresses, in seconds: a lost gate may
+/// still receive requests for this long.
 const MAX_TTL_S: f64 = 1.0;
 
 /// A configuration as the operator sent it and as parsed.
--- a/crates/coordinator/src/links.rs
+++ b/crates/coordinator/src/links.rs
@@ -5,7 +5,7 @@
 //! [`CoordinatorNode`].
 //!
 //! A link that fails is not logged: links fail whenever another node restarts. What operators need to
-//! know is the loss of contact with the majority, which [`CoordinatorNode`] logs.
+//! know is the loss of contact with the majority of the replica set, which [`CoordinatorNode`] logs.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -190,11 +190,11 @@
         }
     }
 
-    /// Answers the caller of an operation. What a quorum answered need not hold any more out of
-    /// contact, so that the outcome is then replaced by an error.
+    /// Answers the caller of an operation. Out of contact, a quorum's answer may be outdated, so the
+    /// outcome is replaced by an error.
     fn complete(&mut self, operation: CompletedOperation) {
         let is_out_of_contact = self.contact == ContactState::OutOfContact;
-        // A caller whose client has disconnected is gone, so that its channel may be closed.
+        // A caller whose client has disconnected may be gone and its channel closed.
         match operation {
             CompletedOperation::Change { outcome, reply } => {
                 let _ = reply.send(if is_out_of_contact {
--- a/crates/coordinator/src/node/commands.rs
+++ b/crates/coordinator/src/node/commands.rs
@@ -101,7 +101,7 @@
         key: Key,
         reply: oneshot::Sender<RegistrationOutcome>,
     ) {
-        // A caller whose server has disconnected is gone, so that its channel may be closed.
+        // A caller whose server has disconnected may be gone and its channel closed.
         match self.contact.policy(request) {
             RequestPolicy::AcknowledgeByMajority => self.replicate(key, reply),
             RequestPolicy::Acknowledge => {
--- a/crates/coordinator/src/node/links.rs
+++ b/crates/coordinator/src/node/links.rs
@@ -32,8 +32,8 @@
         self.peers.inbound_notify(peer)
     }
 
-    /// A link to a peer has been established; frames for it go into `queue`. Out of contact the new
-    /// link may be the one that was missing, so that the contact is checked at once.
+    /// A link to a peer has been established; frames for it go into `queue`. Unless
+    /// in contact, the coordinator checks its contact at once: this link may complete the quorum.
     pub(crate) fn link_established(&mut self, to: SocketAddr, queue: PeerQueue) {
         self.send_pending_reports(&queue);
         self.peers.set_queue(to, queue);
--- a/crates/coordinator/src/published_endpoints.rs
+++ b/crates/coordinator/src/published_endpoints.rs
@@ -1,7 +1,8 @@
 //! The endpoint table of this coordinator, with each change of it published to the overlay.
 //!
 //! A change that is not published would leave gates with an outdated endpoint list. The table is
-//! therefore private to this module, and every method that changes an entry publishes the result.
+//! therefore private to this module, and each method that changes an entry publishes what other
+//! nodes need to learn of.
 
 use ironmast_endpoints::{EndpointTable, ExpiryTimeouts, GateView, MergeOutcome, Micros};
 use ironmast_schema::control::{ControlState, Entry, Key, Observation, Value};
@@ -63,8 +64,8 @@
 
     /// Merges an entry that was received over the overlay.
     ///
-    /// An outdated entry is answered with the newer one. Unchanged heartbeats are not published, so
-    /// that an older entry may look newer to nodes that have only that one.
+    /// An outdated entry is answered with the newer one. Unchanged heartbeats are not published,
+    /// so a node may hold an older entry and take it for the newest.
     pub(crate) fn merge_published(&mut self, entry: &Entry) {
         if let MergeOutcome::Stale(newer) = self.table.merge(self.now(), entry) {
             self.publish(Some(*newer));
@@ -115,7 +116,7 @@
         self.publish(updates);
     }
 
-    /// Removes entries of endpoints that ended long ago.
+    /// Removes entries of endpoints that ended, or became unreachable, long ago.
     pub(crate) fn remove_ended(&mut self) {
         let now = self.now();
         for removal in self.table.purge(now) {
--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -34,8 +34,8 @@
 ) -> Result<UpstreamResponse, Outcome> {
     let state = AttemptState::new(options(forwarded, admission));
     let request = build_request(clients, forwarded, dispatch, deadline_ms);
-    // Lets the event loop run first, so that it notices an idle connection which the server has
-    // closed before the request is written to it.
+    // Yields once, so that a connection that the server has already closed is noticed before the
+    // request is written.
     tokio::task::yield_now().await;
     let sent = if forwarded.body.is_empty() {
         state.scope(request.send()).await
--- a/crates/gate/src/attempt/response.rs
+++ b/crates/gate/src/attempt/response.rs
@@ -35,7 +35,7 @@
     pub content_length: Option<u64>,
     /// Whether the body is a stream of server-sent events.
     pub is_event_stream: bool,
-    /// Whether there is a body, be it empty.
+    /// Whether the response has a body, possibly empty.
     has_body: bool,
     state: Rc<AttemptState>,
     body: ClientResponse,
--- a/crates/gate/src/entry_store.rs
+++ b/crates/gate/src/entry_store.rs
@@ -19,7 +19,7 @@
 
 use crate::table_spec::{ServerStatus, server_spec, table_spec};
 
-/// The largest number of ended incarnations that are remembered.
+/// The number of ended incarnations above which all of them are forgotten.
 const MAX_ENDED_INSTANCES: usize = 2_000;
 
 /// A change in what is known of a server's warm-up.
@@ -42,7 +42,8 @@
     entries: BTreeMap<Key, Entry>,
     /// Since when the heartbeats of servers are missing.
     unreachable_since: FxHashMap<Arc<str>, Micros>,
-    /// The version of the configuration that the current table was built from.
+    /// The version of the control state (configuration and evacuations) that the current table was
+    /// built from.
     table_version: Option<u64>,
     /// The zones that were evacuated when entries were merged last.
     evacuated: Vec<String>,
@@ -199,11 +200,12 @@
             .collect()
     }
 
-    /// Builds the table that follows `table`. Its routes are built anew only if the configuration
-    /// has changed.
+    /// Builds the table that follows `table`. Its routes are rebuilt only if the control state
+    /// (configuration and evacuations) has changed.
     ///
     /// # Errors
-    /// The configuration is invalid, which coordinators should have found.
+    /// The configuration is invalid, which coordinators should have found, or the servers' zones
+    /// make too many regions.
     pub(crate) fn next_table(
         &mut self,
         settings: &Settings,
--- a/crates/gate/src/exchange/state.rs
+++ b/crates/gate/src/exchange/state.rs
@@ -39,9 +39,9 @@
     pub body: Bytes,
 }
 
-/// What a step ended early.
+/// What ended when a step was cut short.
 pub(super) enum Ended {
-    /// The attempt ended so; another one may follow.
+    /// The attempt ended with this outcome; another one may follow.
     Attempt(Outcome),
     /// The request ended: its client has disconnected or reads too slowly.
     Request,
--- a/crates/gate/src/feed.rs
+++ b/crates/gate/src/feed.rs
@@ -102,7 +102,9 @@
         }
     }
 
-    /// Installs the table that follows from the entries; an invalid configuration changes nothing.
+    /// Installs the table that follows from the entries. If it cannot be built, nothing is
+    /// installed: changes of servers and evacuations wait as well, and the warning is logged again
+    /// with the next entries.
     fn rebuild_table(&mut self) {
         let gate = &self.gate;
         let previous = gate.decider.borrow().table().clone();
--- a/crates/overlay-transport/src/lib.rs
+++ b/crates/overlay-transport/src/lib.rs
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Publishes a tombstone of a key, after which all nodes drop the key; `version` must be higher
-    /// than the published ones.
+    /// Publishes a tombstone of a key, after which the overlay stores of all nodes drop the key;
+    /// their owners are not notified. `version` must be higher than the published ones.
     pub fn remove(&self, key: &Key, version: u64) {
         let key = overlay_key(key);
         self.send(Command::Remove { key, version });
--- a/crates/overlay/src/overlay/event.rs
+++ b/crates/overlay/src/overlay/event.rs
@@ -40,8 +40,8 @@
         /// The version.
         version: Version,
     },
-    /// Whether this coordinator is in contact with a majority of the coordinators, which it is
-    /// until this event. A coordinator that is not emits no root heartbeats, and agents choose
+    /// Sets whether this coordinator is in contact with a majority of the replica set; assumed true
+    /// until the first such event. A coordinator that is not in contact emits no root heartbeats, and agents choose
     /// another parent if there is one below a coordinator in contact.
     InContact(bool),
     /// The time requested by [`Action::Timer`] has come. Additional timer events are harmless.
--- a/crates/register/src/quorum_lease.rs
+++ b/crates/register/src/quorum_lease.rs
@@ -1,5 +1,5 @@
-//! The quorum lease: by which time this node last sent a heartbeat that a majority of the replicas
-//! has acknowledged. Compare raft-rs's `check_quorum` and Gray and Cheriton's leases (1989).
+//! The quorum lease: when this node sent the newest heartbeat that a majority of the replicas has
+//! acknowledged. Compare raft-rs's `check_quorum` and Gray and Cheriton's leases (1989).
 //!
 //! A node sends heartbeats to all coordinators that it knows, at regular intervals. Its lease
 //! counts from the *sending* of the newest heartbeat that a majority has acknowledged, by the
--- a/crates/schema/src/configuration/model.rs
+++ b/crates/schema/src/configuration/model.rs
@@ -68,7 +68,8 @@
     #[serde(default)]
     #[garde(dive)]
     pub traffic_split: Option<Vec<Split>>,
-    /// The largest number of attempts for a request, each on another server.
+    /// The largest number of attempts for a request that may have reached a server, each at another
+    /// one.
     #[serde(default = "default_max_attempts")]
     #[garde(range(min = 1))]
     pub max_attempts: u32,
--- a/crates/schema/src/control.rs
+++ b/crates/schema/src/control.rs
@@ -134,8 +134,8 @@
     Entries(Vec<Entry>),
     /// An encoded message of the register protocol, for the receiver's replica.
     Register(Vec<u8>),
-    /// Periodic liveness frame, with the endpoints that the sender has heard from since its last such
-    /// frame.
+    /// Not sent any more; kept for the wire format. Observed endpoints are reported by
+    /// [`FromCoordinator::KeepAlive`].
     KeepAlive(Vec<Observation>),
 }
 
--- a/crates/schema/src/settings/model.rs
+++ b/crates/schema/src/settings/model.rs
@@ -143,7 +143,7 @@
 pub enum InternalPort {
     /// A coordinator, for other coordinators and agents.
     Coordinator,
-    /// An agent, for other agents.
+    /// The overlay of agents and coordinators.
     Agent,
     /// An agent, for the gate on the same machine; on loopback only.
     Feed,
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -1,8 +1,8 @@
 //! A link between two processes of the system: `postcard` messages over one TCP connection, in
 //! order, each complete or not at all. There is no handshake.
 //!
-//! Used by: the gate and the agent (the gate's feed), the agent and the coordinator (reports and
-//! orders), and the overlay's transport. [`frames`](crate::frames) is the other way to carry
+//! Used by: the gate and its agent (entries, status), the agent and a coordinator (the gate's
+//! status, keep-alives), coordinators (register messages, reports), and the overlay's transport. [`frames`](crate::frames) is the other way to carry
 //! messages: it adds a handshake, bounded send queues and an in-memory network. The bytes on the
 //! wire differ by that handshake, so neither can replace the other without a change of protocol.
 //! The framing and the codec of messages are shared.
