--- a/crates/ironmast/tests/exchanges/player.rs
+++ b/crates/ironmast/tests/exchanges/player.rs
@@ -202,7 +202,7 @@
             "close" => self.close(party),
             "fin" => self.record_orderly_end(party),
             "eof" => self.record_end(party),
-            "refuse" => drop(self.listeners.remove(party)),
+            "refuse" => self.refuse(party),
             "hold" => self.fill_backlog(party),
             "dialled" => self.wait_for_pending_connection(party, true),
             "undialled" => self.wait_for_pending_connection(party, false),
@@ -320,6 +320,13 @@
         });
     }
 
+    /// Lets the party refuse connections from now on. As in [`Self::close`], dropping the listener
+    /// alone would not end it while another test starts a process.
+    fn refuse(&mut self, party: &str) {
+        let listener = self.listeners.remove(party).expect("it listens");
+        rustix::net::shutdown(&listener, rustix::net::Shutdown::Both).expect("shut down");
+    }
+
     /// Closes the party's connection. A process that another test is starting has a copy of the socket
     /// until it executes its program: to drop this one would not end the connection before.
     fn close(&mut self, party: &str) {
