--- a/crates/schema/src/configuration.rs
+++ b/crates/schema/src/configuration.rs
@@ -1,5 +1,5 @@
-//! The operator's configuration: routes, services and limits, and what makes one invalid (PROTOCOL.md, "The
-//! operator's API").
+//! The operator's configuration: routes, services and limits, and what makes one invalid
+//! (PROTOCOL.md, "The operator's API").
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -222,7 +222,8 @@
         Ok(configuration)
     }
 
-    /// Whether it may be in force; its number is checked where it is known which one is in force now.
+    /// Whether it may be in force; its number is checked where it is known which one is in force
+    /// now.
     ///
     /// # Errors
     /// Why not.
@@ -235,7 +236,10 @@
         let mut places: BTreeMap<(String, &str), &str> = BTreeMap::new();
         for route in &self.routes {
             route.check(&services)?;
-            let place = (route.hostname.to_ascii_lowercase(), route.path_prefix.as_str());
+            let place = (
+                route.hostname.to_ascii_lowercase(),
+                route.path_prefix.as_str(),
+            );
             if let Some(first) = places.insert(place, &route.name) {
                 let (first, second) = (first.to_string(), route.name.clone());
                 return Err(ConfigurationError::SamePlace { first, second });
@@ -260,7 +264,10 @@
     pub fn splits(&self) -> Vec<(&str, f64)> {
         match (&self.backend, &self.traffic_split) {
             (Some(backend), _) => vec![(backend, 1.0)],
-            (None, Some(splits)) => splits.iter().map(|s| (s.backend.as_str(), s.weight)).collect(),
+            (None, Some(splits)) => splits
+                .iter()
+                .map(|s| (s.backend.as_str(), s.weight))
+                .collect(),
             (None, None) => Vec::new(),
         }
     }
@@ -270,7 +277,10 @@
             return Err(ConfigurationError::NoBackend(self.name.clone()));
         }
         let splits = self.splits();
-        if let Some((service, _)) = splits.iter().find(|(service, _)| !services.contains(service)) {
+        if let Some((service, _)) = splits
+            .iter()
+            .find(|(service, _)| !services.contains(service))
+        {
             let (route, service) = (self.name.clone(), service.to_string());
             return Err(ConfigurationError::UnknownService { route, service });
         }
--- a/crates/schema/src/control.rs
+++ b/crates/schema/src/control.rs
@@ -1,5 +1,5 @@
-//! The frames between coordinators, agents and gates. What is distributed is versioned state by key: the higher
-//! version of a key wins, wherever it comes from.
+//! The frames between coordinators, agents and gates. What is distributed is versioned state by
+//! key: the higher version of a key wins, wherever it comes from.
 
 use std::net::SocketAddr;
 
@@ -120,7 +120,8 @@
     Entries(Vec<Entry>),
     /// A message of the register, for its node.
     Register(Vec<u8>),
-    /// It is still there; of what it has heard of since the last such frame, the sequence or version.
+    /// It is still there; of what it has heard of since the last such frame, the sequence or
+    /// version.
     Alive(Vec<(Key, u64)>),
 }
 
@@ -131,9 +132,11 @@
     Alive {
         /// The coordinators that it knows.
         coordinators: Vec<SocketAddr>,
-        /// Of what it has heard of since the last such frame, the sequence or version; for coordinators only.
+        /// Of what it has heard of since the last such frame, the sequence or version; for
+        /// coordinators only.
         heard: Vec<(Key, u64)>,
-        /// It is in contact with a majority of the register's replicas and holds their newest state.
+        /// It is in contact with a majority of the register's replicas and holds their newest
+        /// state.
         in_contact: bool,
     },
 }
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the programs of the system read and tell each other: settings files, the operator's configurations,
-//! server registrations, and the frames between coordinators, agents and gates.
+//! What the programs of the system read and tell each other: settings files, the operator's
+//! configurations, server registrations, and the frames between coordinators, agents and gates.
 #![forbid(unsafe_code)]
 
 pub mod configuration;
--- a/crates/schema/src/registration.rs
+++ b/crates/schema/src/registration.rs
@@ -55,7 +55,8 @@
     /// # Errors
     /// Why it is none.
     pub fn parse(body: &[u8]) -> Result<Self, RegistrationError> {
-        serde_json::from_slice(body).map_err(|error| RegistrationError::Unreadable(error.to_string()))
+        serde_json::from_slice(body)
+            .map_err(|error| RegistrationError::Unreadable(error.to_string()))
     }
 }
 
--- a/crates/schema/src/settings.rs
+++ b/crates/schema/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings file of a process: YAML, named by `IRONMAST_CONFIG` (DEPLOY.md, "Settings of a process").
-//! Unknown keys are ignored.
+//! The settings file of a process: YAML, named by `IRONMAST_CONFIG` (DEPLOY.md, "Settings of a
+//! process"). Unknown keys are ignored.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -135,7 +135,11 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { memory_mb: 256, max_fds: 1024, disk_mb: 0 }
+        Limits {
+            memory_mb: 256,
+            max_fds: 1024,
+            disk_mb: 0,
+        }
     }
 }
 
@@ -151,7 +155,10 @@
 
 impl Default for FaultTolerance {
     fn default() -> Self {
-        FaultTolerance { hosts_lost: 1, zones: 0 }
+        FaultTolerance {
+            hosts_lost: 1,
+            zones: 0,
+        }
     }
 }
 
@@ -266,8 +273,10 @@
     /// # Errors
     /// Why it can't be used, in one line.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| SettingsError::Unreadable { path: path.to_path_buf(), source })?;
+        let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
+            path: path.to_path_buf(),
+            source,
+        })?;
         Settings::parse(path, &text)
     }
 
@@ -277,14 +286,17 @@
     /// Why it can't be used, in one line.
     pub fn parse(path: &Path, text: &str) -> Result<Self, SettingsError> {
         let one_line = |text: String| text.lines().map(str::trim).collect::<Vec<_>>().join("; ");
-        let settings: Settings = serde_saphyr::from_str(text).map_err(|error| SettingsError::Malformed {
-            path: path.to_path_buf(),
-            reason: one_line(error.to_string()),
-        })?;
-        settings.validate().map_err(|report| SettingsError::Invalid {
-            path: path.to_path_buf(),
-            reason: one_line(report.to_string()),
-        })?;
+        let settings: Settings =
+            serde_saphyr::from_str(text).map_err(|error| SettingsError::Malformed {
+                path: path.to_path_buf(),
+                reason: one_line(error.to_string()),
+            })?;
+        settings
+            .validate()
+            .map_err(|report| SettingsError::Invalid {
+                path: path.to_path_buf(),
+                reason: one_line(report.to_string()),
+            })?;
         Ok(settings)
     }
 
@@ -307,7 +319,10 @@
     /// The seeds' addresses for traffic between coordinators and agents.
     pub fn seed_coordinators(&self) -> Vec<SocketAddr> {
         let port = self.internal_port(InternalPort::Coordinator);
-        self.seed_nodes.iter().map(|seed| SocketAddr::new(seed.ip(), port)).collect()
+        self.seed_nodes
+            .iter()
+            .map(|seed| SocketAddr::new(seed.ip(), port))
+            .collect()
     }
 }
 
@@ -318,7 +333,9 @@
     if range[1] >= range[0] && range[1] - range[0] + 1 >= PORTS_NEEDED {
         return Ok(());
     }
-    Err(garde::Error::new(format!("needs {PORTS_NEEDED} ports, first to last")))
+    Err(garde::Error::new(format!(
+        "needs {PORTS_NEEDED} ports, first to last"
+    )))
 }
 
 /// Reads a figure in ms; figures may have a fraction, which is less than the clock shows.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,13 +1,14 @@
 //! Reads the settings of a deployment, given as `path=value`, into the module's terms.
 //!
-//! The simulator's wire and the proxy's configuration file both end here, so that both programs agree on every
-//! default and every range. Durations are whole microseconds.
+//! The simulator's wire and the proxy's configuration file both end here, so that both programs
+//! agree on every default and every range. Durations are whole microseconds.
 #![forbid(unsafe_code)]
 
 use std::collections::BTreeMap;
 
 use ironmast_balancer::{
-    ClassSettings, Discovery, Effect, Group, LoadReport, Micros, Settings, SizeMeaning, TenantSettings,
+    ClassSettings, Discovery, Effect, Group, LoadReport, Micros, Settings, SizeMeaning,
+    TenantSettings,
 };
 
 /// A field's name and what is wrong with it; whoever reads adds where it stood.
@@ -30,7 +31,10 @@
 pub fn number<T: std::str::FromStr>(field: &str, value: &str) -> Parsed<T> {
     match value.parse() {
         Ok(number) => Ok(number),
-        Err(_) => flaw(field, format!("`{value}` is not a number of the expected form")),
+        Err(_) => flaw(
+            field,
+            format!("`{value}` is not a number of the expected form"),
+        ),
     }
 }
 
@@ -67,7 +71,10 @@
 impl Setup {
     /// Reads settings that are given by path; the error names the path.
     pub fn read(pairs: &BTreeMap<String, String>) -> Result<Setup, String> {
-        let pairs = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
+        let pairs = pairs
+            .iter()
+            .map(|(path, value)| (path.as_str(), value.as_str()))
+            .collect();
         setup(pairs).map_err(|(field, problem)| format!("{field}: {problem}"))
     }
 }
@@ -101,14 +108,19 @@
             let column = self.0.iter().position(|n| n == name);
             column.and_then(|c| values.get(c).copied().flatten())
         };
-        LoadReport { cpu: pick("cpu"), active: pick("active") }
+        LoadReport {
+            cpu: pick("cpu"),
+            active: pick("active"),
+        }
     }
 
     /// Reads `TEXT inflight=7, util=0.61`; none where it holds nothing that is known.
     pub fn report(&self, text: &str) -> Option<LoadReport> {
         let mut report = LoadReport::default();
         for pair in text.trim().trim_start_matches("TEXT").split(',') {
-            let Some((name, value)) = pair.split_once('=') else { continue };
+            let Some((name, value)) = pair.split_once('=') else {
+                continue;
+            };
             let value = value.trim().parse().ok().filter(|v: &f64| v.is_finite());
             match name.trim() {
                 "inflight" | "active" => report.active = value,
@@ -127,11 +139,16 @@
 
 impl Params<'_> {
     fn get(&self, path: &str) -> Option<&str> {
-        self.pairs.get(path).copied().filter(|v| !v.is_empty() && *v != "-")
+        self.pairs
+            .get(path)
+            .copied()
+            .filter(|v| !v.is_empty() && *v != "-")
     }
 
     fn list(&self, path: &str) -> Vec<String> {
-        self.get(path).map(|v| v.split(',').map(str::to_string).collect()).unwrap_or_default()
+        self.get(path)
+            .map(|v| v.split(',').map(str::to_string).collect())
+            .unwrap_or_default()
     }
 
     fn real(&self, path: &str, default: f64) -> Parsed<f64> {
@@ -161,7 +178,12 @@
 
     fn items(&self, list: &str, key: &str) -> Parsed<Vec<String>> {
         let count = self.count(&format!("{list}.count"), 0)?;
-        (0..count).map(|i| self.needed(&format!("{list}.{i}.{key}")).map(str::to_string)).collect()
+        (0..count)
+            .map(|i| {
+                self.needed(&format!("{list}.{i}.{key}"))
+                    .map(str::to_string)
+            })
+            .collect()
     }
 
     fn class(&self, i: usize) -> Parsed<ClassSettings> {
@@ -174,9 +196,17 @@
                     "all" => Group::All,
                     "zone" => Group::Zone,
                     "cell" => Group::Cell,
-                    other => return flaw(&at("dedup_scope"), format!("`{other}` is not a known scope")),
+                    other => {
+                        return flaw(
+                            &at("dedup_scope"),
+                            format!("`{other}` is not a known scope"),
+                        );
+                    }
                 };
-                Effect::Guarded { group, window: self.whole(&at("dedup_window"), 0)? }
+                Effect::Guarded {
+                    group,
+                    window: self.whole(&at("dedup_window"), 0)?,
+                }
             }
             other => return flaw(&at("effect"), format!("`{other}` is not a known effect")),
         };
@@ -199,7 +229,10 @@
         for i in 0..self.items("tenants", "name")?.len() {
             let allowance_per_s = self.real(&format!("tenants.{i}.allowance_per_s"), 0.0)?;
             let share = self.real(&format!("tenants.{i}.share"), 0.0)?;
-            s.tenants.push(TenantSettings { allowance_per_s, share });
+            s.tenants.push(TenantSettings {
+                allowance_per_s,
+                share,
+            });
         }
         s.over_share_worth = self.real("over_share_worth", s.over_share_worth)?;
         let zones = self.list("zones");
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,7 +1,8 @@
 //! Speaks the bench's line dialect and hosts balancer instances. No decisions are made here.
 //!
-//! Lines hold tab-separated fields, `-` for an absent value. A batch runs from `CLOCK` to `OVER_TO_YOU`; its
-//! reply ends with `EOR`. Instances share nothing: each has its own [`Balancer`] and its own tables of names.
+//! Lines hold tab-separated fields, `-` for an absent value. A batch runs from `CLOCK` to
+//! `OVER_TO_YOU`; its reply ends with `EOR`. Instances share nothing: each has its own [`Balancer`]
+//! and its own tables of names.
 
 #![forbid(unsafe_code)]
 
@@ -12,8 +13,8 @@
 use thiserror::Error;
 
 use ironmast_balancer::{
-    Action, Balancer, Event, Listing, LoadReport, Micros, Outcome, Phase, Request, Scope, Server, ServerId,
-    Settled,
+    Action, Balancer, Event, Listing, LoadReport, Micros, Outcome, Phase, Request, Scope, Server,
+    ServerId, Settled,
 };
 use ironmast_settings::{Flaw, LoadNames, Parsed, Setup, finite, flaw, number, setup};
 
@@ -125,7 +126,11 @@
     }
 
     /// Serves batches until the input ends.
-    pub fn run(&mut self, mut input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
+    pub fn run(
+        &mut self,
+        mut input: impl BufRead,
+        mut output: impl Write,
+    ) -> Result<(), WireError> {
         let (mut line, mut count) = (Vec::new(), 0);
         loop {
             line.clear();
@@ -168,7 +173,9 @@
 
     /// Takes one line; true where it ends a batch.
     fn line(&mut self, text: &str) -> Parsed<bool> {
-        let mut fields = Fields { rest: text.split('\t') };
+        let mut fields = Fields {
+            rest: text.split('\t'),
+        };
         let message = fields.text("(message)")?;
         if let Some((page, left)) = self.filling {
             if message != "ITEM" {
@@ -253,7 +260,10 @@
 }
 
 fn cut_off() -> Flaw {
-    ("(end)".to_string(), "the input ends inside a batch".to_string())
+    (
+        "(end)".to_string(),
+        "the input ends inside a batch".to_string(),
+    )
 }
 
 fn item(fields: &mut Fields) -> Parsed<Item> {
@@ -274,7 +284,18 @@
     let started = fields.optional("came_up")?.filter(|&at: &Micros| at > 0);
     fields.end()?;
     let id = ServerId::from_name(&name);
-    Ok(Item { name, zone, server: Server { id, zone: 0, cell, phase, size, started } })
+    Ok(Item {
+        name,
+        zone,
+        server: Server {
+            id,
+            zone: 0,
+            cell,
+            phase,
+            size,
+            started,
+        },
+    })
 }
 
 fn create(fields: &mut Fields) -> Parsed<Instance> {
@@ -287,9 +308,23 @@
             None => return flaw("params", format!("`{pair}` is not path=value")),
         };
     }
-    let Setup { settings, classes, tenants, zones, load, .. } = setup(pairs)?;
+    let Setup {
+        settings,
+        classes,
+        tenants,
+        zones,
+        load,
+        ..
+    } = setup(pairs)?;
     let balancer = Balancer::new(settings, seed).or_else(|e| flaw("params", e.to_string()))?;
-    Ok(Instance { servers: BTreeMap::new(), classes, tenants, zones, load, balancer })
+    Ok(Instance {
+        servers: BTreeMap::new(),
+        classes,
+        tenants,
+        zones,
+        load,
+        balancer,
+    })
 }
 
 fn outcome(fields: &mut Fields) -> Parsed<Outcome> {
@@ -334,14 +369,26 @@
                 fields.number::<Micros>("lag")?;
                 Event::Started { id, attempt }
             }
-            "HANGUP" => Event::HungUp { id: fields.number("handle")? },
-            "DEADLINE_HIT" => Event::Timer { token: fields.number("ref")? },
+            "HANGUP" => Event::HungUp {
+                id: fields.number("handle")?,
+            },
+            "DEADLINE_HIT" => Event::Timer {
+                token: fields.number("ref")?,
+            },
             "CHECKED" => {
                 let server = ServerId::from_name(fields.named("backend")?);
                 let outcome = outcome(fields)?;
-                Event::Probed { server, outcome, latency: fields.number("lag")?, load: self.report(fields)? }
+                Event::Probed {
+                    server,
+                    outcome,
+                    latency: fields.number("lag")?,
+                    load: self.report(fields)?,
+                }
             }
-            "INBOX" => Event::Peer { from: fields.number("from")?, data: bytes(fields.text("raw")?)? },
+            "INBOX" => Event::Peer {
+                from: fields.number("from")?,
+                data: bytes(fields.text("raw")?)?,
+            },
             _ => self.view(fields, sheets)?,
         })
     }
@@ -378,19 +425,31 @@
         };
         let page = fields.text("page")?;
         if scope == Scope::Failed {
-            return Ok(Event::Members(Listing { scope, servers: Vec::new() }));
+            return Ok(Event::Members(Listing {
+                scope,
+                servers: Vec::new(),
+            }));
         }
         let Some(items) = sheets.get(&number("page", page)?) else {
             return flaw("page", format!("no list {page} was given"));
         };
         let mut servers = Vec::with_capacity(items.len());
         for item in items {
-            let zone = self.zones.iter().position(|z| *z == item.zone).unwrap_or_else(|| {
-                self.zones.push(item.zone.clone());
-                self.zones.len() - 1
+            let zone = self
+                .zones
+                .iter()
+                .position(|z| *z == item.zone)
+                .unwrap_or_else(|| {
+                    self.zones.push(item.zone.clone());
+                    self.zones.len() - 1
+                });
+            self.servers
+                .entry(item.server.id)
+                .or_insert_with(|| item.name.clone());
+            servers.push(Server {
+                zone,
+                ..item.server.clone()
             });
-            self.servers.entry(item.server.id).or_insert_with(|| item.name.clone());
-            servers.push(Server { zone, ..item.server.clone() });
         }
         Ok(Event::Members(Listing { scope, servers }))
     }
@@ -402,7 +461,11 @@
         };
         let mut values = Vec::new();
         for value in row.split(',') {
-            values.push(if value == "-" { None } else { Some(finite("feedback", value)?) });
+            values.push(if value == "-" {
+                None
+            } else {
+                Some(finite("feedback", value)?)
+            });
         }
         Ok(Some(self.load.row(&values)))
     }
@@ -410,12 +473,25 @@
     fn write(&self, who: u64, action: &Action, out: &mut String) -> Parsed<()> {
         let name = |server: &ServerId| match self.servers.get(server) {
             Some(name) => Ok(name.as_str()),
-            None => flaw("backend", "the module named a server that no list has named"),
+            None => flaw(
+                "backend",
+                "the module named a server that no list has named",
+            ),
         };
         // Writing to a String cannot fail.
         let _ = match action {
-            Action::Send { id, server, timeout, .. } => {
-                writeln!(out, "SEND\t{who}\t{id}\t{}\t{}", name(server)?, timeout.unwrap_or(0))
+            Action::Send {
+                id,
+                server,
+                timeout,
+                ..
+            } => {
+                writeln!(
+                    out,
+                    "SEND\t{who}\t{id}\t{}\t{}",
+                    name(server)?,
+                    timeout.unwrap_or(0)
+                )
             }
             Action::Refuse { id, retry_after } => {
                 writeln!(out, "NOT_NOW\t{who}\t{id}\t{}", retry_after.unwrap_or(0))
@@ -440,7 +516,11 @@
                 writeln!(out)
             }
             Action::CloseIdle { server } => writeln!(out, "DISCONNECT\t{who}\t{}", name(server)?),
-            Action::Log(text) => writeln!(out, "REMARK\t{who}\t{}", text.replace(['\t', '\n', '\r'], " ")),
+            Action::Log(text) => writeln!(
+                out,
+                "REMARK\t{who}\t{}",
+                text.replace(['\t', '\n', '\r'], " ")
+            ),
         };
         Ok(())
     }
@@ -450,9 +530,14 @@
     if hex == "-" {
         return Ok(Vec::new());
     }
-    let digits: Option<Vec<u8>> = hex.chars().map(|c| c.to_digit(16).map(|d| d as u8)).collect();
+    let digits: Option<Vec<u8>> = hex
+        .chars()
+        .map(|c| c.to_digit(16).map(|d| d as u8))
+        .collect();
     match digits {
-        Some(digits) if digits.len() % 2 == 0 => Ok(digits.chunks(2).map(|d| d[0] << 4 | d[1]).collect()),
+        Some(digits) if digits.len() % 2 == 0 => {
+            Ok(digits.chunks(2).map(|d| d[0] << 4 | d[1]).collect())
+        }
         _ => flaw("raw", format!("`{hex}` is not pairs of hex digits")),
     }
 }
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -8,8 +8,8 @@
 
 /// One folder of files on a disk.
 ///
-/// Nothing is durable before a sync: [`Disk::sync_file`] covers a file's bytes, [`Disk::sync_folder`] the names. An
-/// operation may block for as long as the disk does.
+/// Nothing is durable before a sync: [`Disk::sync_file`] covers a file's bytes,
+/// [`Disk::sync_folder`] the names. An operation may block for as long as the disk does.
 pub trait Disk: Send + Sync {
     /// Names of all files in the folder, in no particular order.
     ///
@@ -32,19 +32,22 @@
     /// Writes bytes at the end of a file.
     ///
     /// # Errors
-    /// [`FailureKind::Full`] when there is no room. After any error a part of the bytes may have been written.
+    /// [`FailureKind::Full`] when there is no room. After any error a part of the bytes may have
+    /// been written.
     fn append(&self, file: &str, bytes: &[u8]) -> Result<(), DiskError>;
 
     /// Makes the bytes of a file durable.
     ///
     /// # Errors
-    /// After an error the unsynced bytes may be lost even if a later sync of the same file succeeds.
+    /// After an error the unsynced bytes may be lost even if a later sync of the same file
+    /// succeeds.
     fn sync_file(&self, file: &str) -> Result<(), DiskError>;
 
     /// Gives a file a new name, which must be free.
     ///
     /// # Errors
-    /// [`FailureKind::Exists`] when the new name is taken, [`FailureKind::NotFound`] when there is no such file.
+    /// [`FailureKind::Exists`] when the new name is taken, [`FailureKind::NotFound`] when there is
+    /// no such file.
     fn rename(&self, from: &str, to: &str) -> Result<(), DiskError>;
 
     /// Removes a file.
@@ -129,7 +132,12 @@
 impl DiskError {
     /// An error of the given kind.
     pub fn new(file: &str, step: Step, kind: FailureKind, reason: &str) -> Self {
-        Self { file: file.to_owned(), step, kind, reason: reason.to_owned() }
+        Self {
+            file: file.to_owned(),
+            step,
+            kind,
+            reason: reason.to_owned(),
+        }
     }
 
     /// Whether the disk had no room.
--- a/crates/storage/src/disk/real.rs
+++ b/crates/storage/src/disk/real.rs
@@ -11,7 +11,8 @@
 /// Name used for the folder itself in errors.
 const FOLDER: &str = ".";
 
-/// A folder of the file system, with a descriptor kept for each file that was made through it and is still there.
+/// A folder of the file system, with a descriptor kept for each file that was made through it and
+/// is still there.
 #[derive(Debug)]
 pub struct RealDisk {
     folder: PathBuf,
@@ -27,7 +28,10 @@
         if !folder.is_dir() {
             make(folder).map_err(failed(FOLDER, Step::Open))?;
         }
-        Ok(Self { folder: folder.to_owned(), open: Mutex::default() })
+        Ok(Self {
+            folder: folder.to_owned(),
+            open: Mutex::default(),
+        })
     }
 
     fn path(&self, file: &str) -> PathBuf {
@@ -51,7 +55,11 @@
         if let Some(handle) = open.get(file) {
             return Ok(Arc::clone(handle));
         }
-        OpenOptions::new().append(true).open(self.path(file)).map(Arc::new).map_err(failed(file, step))
+        OpenOptions::new()
+            .append(true)
+            .open(self.path(file))
+            .map(Arc::new)
+            .map_err(failed(file, step))
     }
 }
 
@@ -77,7 +85,10 @@
             .create_new(true)
             .open(self.path(file))
             .map_err(failed(file, Step::Create))?;
-        self.open.lock().unwrap_or_else(PoisonError::into_inner).insert(file.to_owned(), Arc::new(handle));
+        self.open
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(file.to_owned(), Arc::new(handle));
         Ok(())
     }
 
@@ -90,8 +101,17 @@
     }
 
     fn rename(&self, from: &str, to: &str) -> Result<(), DiskError> {
-        if self.path(to).try_exists().map_err(failed(to, Step::Rename))? {
-            return Err(DiskError::new(to, Step::Rename, FailureKind::Exists, "the name is taken"));
+        if self
+            .path(to)
+            .try_exists()
+            .map_err(failed(to, Step::Rename))?
+        {
+            return Err(DiskError::new(
+                to,
+                Step::Rename,
+                FailureKind::Exists,
+                "the name is taken",
+            ));
         }
         fs::rename(self.path(from), self.path(to)).map_err(failed(from, Step::Rename))?;
         let mut open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
@@ -102,7 +122,10 @@
     }
 
     fn remove(&self, file: &str) -> Result<(), DiskError> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner).remove(file);
+        self.open
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .remove(file);
         fs::remove_file(self.path(file)).map_err(failed(file, Step::Remove))
     }
 
--- a/crates/storage/src/encode.rs
+++ b/crates/storage/src/encode.rs
@@ -9,7 +9,8 @@
     postcard::serialize_with_flavor(record, Buffer(buffer))
 }
 
-/// Copies slices whole; the flavour for any [`Extend`] copies byte by byte where nothing is optimised.
+/// Copies slices whole; the flavour for any [`Extend`] copies byte by byte where nothing is
+/// optimised.
 struct Buffer(Vec<u8>);
 
 impl Flavor for Buffer {
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -1,7 +1,8 @@
 //! The bytes of a segment: a header, then frames of one record each.
 //!
-//! All integers are little-endian. Both checksums of a frame are begun with the segment's sequence number and the
-//! frame's offset, so that bytes of a frame found elsewhere (inside a record, in another segment) are no frame.
+//! All integers are little-endian. Both checksums of a frame are begun with the segment's sequence
+//! number and the frame's offset, so that bytes of a frame found elsewhere (inside a record, in
+//! another segment) are no frame.
 //!
 //! | Segment header | bytes | Frame header | bytes |
 //! |---|---|---|---|
@@ -32,7 +33,8 @@
 pub enum CorruptionReason {
     /// The segment header is short or its checksum is wrong.
     SegmentHeader,
-    /// The segment header belongs to another log or another sequence number than the file name tells.
+    /// The segment header belongs to another log or another sequence number than the file name
+    /// tells.
     WrongSegment,
     /// The format version is not known.
     Version(u32),
@@ -48,10 +50,16 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CorruptionReason::SegmentHeader => formatter.write_str("segment header damaged"),
-            CorruptionReason::WrongSegment => formatter.write_str("segment belongs to another name"),
-            CorruptionReason::Version(version) => write!(formatter, "format version {version} not known"),
+            CorruptionReason::WrongSegment => {
+                formatter.write_str("segment belongs to another name")
+            }
+            CorruptionReason::Version(version) => {
+                write!(formatter, "format version {version} not known")
+            }
             CorruptionReason::FirstFrame => formatter.write_str("first frame damaged"),
-            CorruptionReason::SyncedFrame => formatter.write_str("frame damaged after it was synced"),
+            CorruptionReason::SyncedFrame => {
+                formatter.write_str("frame damaged after it was synced")
+            }
             CorruptionReason::Record => formatter.write_str("record cannot be decoded"),
         }
     }
@@ -79,8 +87,14 @@
 }
 
 /// Checks the header of a segment against its name.
-pub(crate) fn check_segment_header(bytes: &[u8], log: &str, sequence: u64) -> Result<(), CorruptionReason> {
-    let header = bytes.get(..SEGMENT_HEADER_BYTES).ok_or(CorruptionReason::SegmentHeader)?;
+pub(crate) fn check_segment_header(
+    bytes: &[u8],
+    log: &str,
+    sequence: u64,
+) -> Result<(), CorruptionReason> {
+    let header = bytes
+        .get(..SEGMENT_HEADER_BYTES)
+        .ok_or(CorruptionReason::SegmentHeader)?;
     if header[..8] != SEGMENT_MAGIC || crc32fast::hash(&header[..24]) != u32_at(header, 24) {
         return Err(CorruptionReason::SegmentHeader);
     }
--- a/crates/storage/src/format/scan.rs
+++ b/crates/storage/src/format/scan.rs
@@ -1,8 +1,10 @@
-//! Reads a segment: its newest record, the torn end a loss of power leaves, or damage in what had been synced.
+//! Reads a segment: its newest record, the torn end a loss of power leaves, or damage in what had
+//! been synced.
 //!
-//! A frame proves that what stands before it had been synced, and the segment's complete name proves it of the first
-//! frame. Nothing proves it of the last of several frames, so that damage there reads as a torn end; a mark written
-//! after each sync would, at the price of a second write for each record.
+//! A frame proves that what stands before it had been synced, and the segment's complete name
+//! proves it of the first frame. Nothing proves it of the last of several frames, so that damage
+//! there reads as a torn end; a mark written after each sync would, at the price of a second write
+//! for each record.
 
 use std::ops::Range;
 
@@ -28,12 +30,25 @@
     synced_end: u64,
 }
 
-/// Reads a segment that stands under its complete name, so that header and first frame had been synced.
-pub(crate) fn scan(bytes: &[u8], log: &str, sequence: u64, checksums: bool) -> Result<Scan, Corruption> {
-    check_segment_header(bytes, log, sequence).map_err(|reason| Corruption { offset: 0, reason })?;
-    let first = frame_at(bytes, SEGMENT_HEADER_BYTES, sequence, checksums)
-        .ok_or(Corruption { offset: SEGMENT_HEADER_BYTES as u64, reason: CorruptionReason::FirstFrame })?;
-    let mut scan = Scan { valid_end: first.payload.end, newest: first.payload, frames: 1 };
+/// Reads a segment that stands under its complete name, so that header and first frame had been
+/// synced.
+pub(crate) fn scan(
+    bytes: &[u8],
+    log: &str,
+    sequence: u64,
+    checksums: bool,
+) -> Result<Scan, Corruption> {
+    check_segment_header(bytes, log, sequence)
+        .map_err(|reason| Corruption { offset: 0, reason })?;
+    let first = frame_at(bytes, SEGMENT_HEADER_BYTES, sequence, checksums).ok_or(Corruption {
+        offset: SEGMENT_HEADER_BYTES as u64,
+        reason: CorruptionReason::FirstFrame,
+    })?;
+    let mut scan = Scan {
+        valid_end: first.payload.end,
+        newest: first.payload,
+        frames: 1,
+    };
     while let Some(frame) = frame_at(bytes, scan.valid_end, sequence, checksums) {
         scan.valid_end = frame.payload.end;
         scan.newest = frame.payload;
@@ -43,7 +58,8 @@
     Ok(scan)
 }
 
-/// Refuses a segment in which a frame behind `valid_end` shows that more had been synced than is valid.
+/// Refuses a segment in which a frame behind `valid_end` shows that more had been synced than is
+/// valid.
 ///
 /// Frames that were never synced may be lost in any order, so a valid frame alone is no proof.
 fn refuse_synced_damage(
@@ -56,7 +72,10 @@
     while let Some(found) = find_magic(bytes, at) {
         match frame_at(bytes, found, sequence, checksums) {
             Some(frame) if frame.synced_end > valid_end as u64 => {
-                return Err(Corruption { offset: valid_end as u64, reason: CorruptionReason::SyncedFrame });
+                return Err(Corruption {
+                    offset: valid_end as u64,
+                    reason: CorruptionReason::SyncedFrame,
+                });
             }
             Some(frame) => at = frame.payload.end,
             None => at = found + 1,
@@ -67,7 +86,9 @@
 
 fn find_magic(bytes: &[u8], from: usize) -> Option<usize> {
     let rest = bytes.get(from..)?;
-    rest.windows(FRAME_MAGIC.len()).position(|window| window == FRAME_MAGIC).map(|position| from + position)
+    rest.windows(FRAME_MAGIC.len())
+        .position(|window| window == FRAME_MAGIC)
+        .map(|position| from + position)
 }
 
 fn frame_at(bytes: &[u8], at: usize, sequence: u64, checksums: bool) -> Option<Frame> {
@@ -85,5 +106,8 @@
     if checksums && checksum(sequence, offset, &[&header[4..16], payload]) != u32_at(header, 16) {
         return None;
     }
-    Some(Frame { payload: start..end, synced_end: u64_at(header, 8) })
+    Some(Frame {
+        payload: start..end,
+        synced_end: u64_at(header, 8),
+    })
 }
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -1,12 +1,14 @@
 //! The log: appends the newest record and makes it durable.
 //!
-//! Every segment begins with a whole record, so that the segment with the highest sequence number is enough to recover
-//! from; a separate snapshot would be a second copy of the same bytes. A segment is written under a temporary name,
-//! synced, renamed, and the folder is synced; only then may older segments be removed. A segment under its complete
-//! name is therefore known to have a synced first frame.
+//! Every segment begins with a whole record, so that the segment with the highest sequence number
+//! is enough to recover from; a separate snapshot would be a second copy of the same bytes. A
+//! segment is written under a temporary name, synced, renamed, and the folder is synced; only then
+//! may older segments be removed. A segment under its complete name is therefore known to have a
+//! synced first frame.
 //!
-//! No file is appended to by two runs, and none after a failed write or sync. There is no reserve file to be freed when
-//! the disk is full: the log's own use is bounded, and a disk that refuses every write refuses into a freed file too.
+//! No file is appended to by two runs, and none after a failed write or sync. There is no reserve
+//! file to be freed when the disk is full: the log's own use is bounded, and a disk that refuses
+//! every write refuses into a freed file too.
 
 mod damage;
 mod segments;
@@ -47,10 +49,12 @@
 /// Why a record was not taken or not made durable.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
-    /// The disk has no room. What was durable stays so; [`Log::reopen`] succeeds once there is room.
+    /// The disk has no room. What was durable stays so; [`Log::reopen`] succeeds once there is
+    /// room.
     #[error("{0}; free room on the disk")]
     Full(DiskError),
-    /// The disk failed. Whether unsynced records are on it is not known; [`Log::reopen`] begins anew.
+    /// The disk failed. Whether unsynced records are on it is not known; [`Log::reopen`] begins
+    /// anew.
     #[error("{0}; records are refused until a new segment is written")]
     Disk(DiskError),
     /// An earlier operation failed and the log has not been reopened.
@@ -72,12 +76,17 @@
 impl<R: Serialize + DeserializeOwned> Log<R> {
     /// Opens the log in a folder, finds its newest record and writes that into a new segment.
     ///
-    /// The record may have been read from the page cache alone (after a failed sync and a kill, say), so it counts as
-    /// durable only once it has been written again. When that fails the log is returned in [`LogState::Failed`].
+    /// The record may have been read from the page cache alone (after a failed sync and a kill,
+    /// say), so it counts as durable only once it has been written again. When that fails the log
+    /// is returned in [`LogState::Failed`].
     ///
     /// # Errors
-    /// [`OpenError::Corrupted`] for damaged durable state, [`OpenError::Disk`] when the folder cannot be read.
-    pub fn open(disk: Arc<dyn Disk>, settings: LogSettings) -> Result<(Self, Recovered<R>), OpenError> {
+    /// [`OpenError::Corrupted`] for damaged durable state, [`OpenError::Disk`] when the folder
+    /// cannot be read.
+    pub fn open(
+        disk: Arc<dyn Disk>,
+        settings: LogSettings,
+    ) -> Result<(Self, Recovered<R>), OpenError> {
         let files = recovery::files(disk.as_ref(), &settings.name)?;
         let newest = match files.segments.last() {
             Some(sequence) => Some(recovery::read_newest(disk.as_ref(), &settings, *sequence)?),
@@ -90,22 +99,27 @@
             payload: Vec::new(),
             record: PhantomData,
         };
-        let Some(newest) = newest else { return Ok((log, Recovered::Empty)) };
+        let Some(newest) = newest else {
+            return Ok((log, Recovered::Empty));
+        };
         match on_open {
             OnOpen::Rewrite => {
                 let _failure_is_kept_in_state = log.rewrite(&newest.payload);
             }
             OnOpen::Trust => {}
-            OnOpen::AppendBehind => log.segments.resume_newest(newest.file_bytes, newest.valid_bytes),
+            OnOpen::AppendBehind => log
+                .segments
+                .resume_newest(newest.file_bytes, newest.valid_bytes),
         }
         let found = log.found(newest);
         Ok((log, found))
     }
 
-    /// Removes all files of a log, also damaged ones, so that the replica can begin anew under a new identity.
+    /// Removes all files of a log, also damaged ones, so that the replica can begin anew under a
+    /// new identity.
     ///
-    /// The identity goes first, by [`IdentityFile::erase`](crate::IdentityFile::erase): with the log gone alone, a crash
-    /// would leave a replica that has forgotten its promises.
+    /// The identity goes first, by [`IdentityFile::erase`](crate::IdentityFile::erase): with the
+    /// log gone alone, a crash would leave a replica that has forgotten its promises.
     ///
     /// # Errors
     /// When a file cannot be removed or the folder cannot be synced; some files may be gone then.
@@ -113,9 +127,10 @@
         damage::erase(disk, settings)
     }
 
-    /// Sets the damaged newest segment aside under another name and removes what it superseded, so that the log can be
-    /// opened anew, empty. At most [`SET_ASIDE_MOST`] segments are kept so, and none that is longer than a segment may
-    /// be; the oldest go first. Returns the name of the file, unless it was too long to keep.
+    /// Sets the damaged newest segment aside under another name and removes what it superseded, so
+    /// that the log can be opened anew, empty. At most [`SET_ASIDE_MOST`] segments are kept so, and
+    /// none that is longer than a segment may be; the oldest go first. Returns the name of the
+    /// file, unless it was too long to keep.
     ///
     /// # Errors
     /// When a step fails; the damaged segment is then still found under one of its names.
@@ -123,19 +138,23 @@
         damage::set_aside(disk, settings)
     }
 
-    /// Names of the damaged segments that were set aside: evidence that this folder has held a log before.
+    /// Names of the damaged segments that were set aside: evidence that this folder has held a log
+    /// before.
     ///
     /// # Errors
     /// When the folder cannot be read.
-    pub fn files_set_aside(disk: &dyn Disk, settings: &LogSettings) -> Result<Vec<String>, DiskError> {
+    pub fn files_set_aside(
+        disk: &dyn Disk,
+        settings: &LogSettings,
+    ) -> Result<Vec<String>, DiskError> {
         damage::files_set_aside(disk, settings)
     }
 
     /// Writes a record. It is durable once a later [`Log::sync`] succeeds.
     ///
     /// # Errors
-    /// After [`LogError::Full`] and [`LogError::Disk`] the log is in [`LogState::Failed`]; the other errors leave it as
-    /// it was.
+    /// After [`LogError::Full`] and [`LogError::Disk`] the log is in [`LogState::Failed`]; the
+    /// other errors leave it as it was.
     pub fn append(&mut self, record: &R) -> Result<(), LogError> {
         self.refuse_when_failed()?;
         let payload = self.encode(record)?;
@@ -147,7 +166,8 @@
     /// Makes all appended records durable; with nothing new this does nothing.
     ///
     /// # Errors
-    /// After an error whether the records are on the disk is not known, and the log is in [`LogState::Failed`].
+    /// After an error whether the records are on the disk is not known, and the log is in
+    /// [`LogState::Failed`].
     pub fn sync(&mut self) -> Result<(), LogError> {
         self.refuse_when_failed()?;
         let synced = self.segments.sync();
@@ -193,7 +213,8 @@
     /// Encodes into the kept buffer, which the caller puts back.
     fn encode(&mut self, record: &R) -> Result<Vec<u8>, LogError> {
         let buffer = std::mem::take(&mut self.payload);
-        let payload = encode(record, buffer).map_err(|error| LogError::Encode(error.to_string()))?;
+        let payload =
+            encode(record, buffer).map_err(|error| LogError::Encode(error.to_string()))?;
         fits(payload.len(), self.segments.segment_bytes())?;
         Ok(payload)
     }
@@ -212,6 +233,10 @@
             self.segments.leave_current();
             self.failure = Some(failure.clone());
         }
-        Err(if failure.is_full() { LogError::Full(failure) } else { LogError::Disk(failure) })
+        Err(if failure.is_full() {
+            LogError::Full(failure)
+        } else {
+            LogError::Disk(failure)
+        })
     }
 }
--- a/crates/storage/src/log/damage.rs
+++ b/crates/storage/src/log/damage.rs
@@ -1,8 +1,9 @@
 //! What becomes of a log that is damaged: it is set aside, or erased.
 //!
-//! The newest segment under its complete name decides what a log holds, so an older one that is still there (its removal
-//! failed, or was lost with the power) must never outlive it: it would be found as the newest, and a replica would vote
-//! by promises that it has since outgrown. Older segments therefore go first, durably.
+//! The newest segment under its complete name decides what a log holds, so an older one that is
+//! still there (its removal failed, or was lost with the power) must never outlive it: it would be
+//! found as the newest, and a replica would vote by promises that it has since outgrown. Older
+//! segments therefore go first, durably.
 
 use crate::disk::{Disk, DiskError, FailureKind};
 use crate::names;
@@ -26,16 +27,28 @@
 }
 
 /// Gives the newest segment a name under which it is kept but never read.
-pub(super) fn set_aside(disk: &dyn Disk, settings: &LogSettings) -> Result<Option<String>, DiskError> {
+pub(super) fn set_aside(
+    disk: &dyn Disk,
+    settings: &LogSettings,
+) -> Result<Option<String>, DiskError> {
     let files = recovery::files(disk, &settings.name)?;
-    let Some(newest) = files.segments.last().copied() else { return Ok(None) };
+    let Some(newest) = files.segments.last().copied() else {
+        return Ok(None);
+    };
     remove_superseded(disk, settings, &files)?;
     let segment = names::segment(&settings.name, newest);
     let kept = names::damaged(&settings.name, newest);
     // A crash may have left both names of an earlier try.
     remove(disk, &kept)?;
-    let earlier: Vec<u64> = files.damaged.into_iter().filter(|sequence| *sequence != newest).collect();
-    for sequence in earlier.iter().take((earlier.len() + 1).saturating_sub(SET_ASIDE_MOST)) {
+    let earlier: Vec<u64> = files
+        .damaged
+        .into_iter()
+        .filter(|sequence| *sequence != newest)
+        .collect();
+    for sequence in earlier
+        .iter()
+        .take((earlier.len() + 1).saturating_sub(SET_ASIDE_MOST))
+    {
         remove(disk, &names::damaged(&settings.name, *sequence))?;
     }
     let is_too_long = disk.read(&segment)?.len() as u64 > settings.segment_bytes();
@@ -48,13 +61,24 @@
 }
 
 /// Names of the segments set aside.
-pub(super) fn files_set_aside(disk: &dyn Disk, settings: &LogSettings) -> Result<Vec<String>, DiskError> {
+pub(super) fn files_set_aside(
+    disk: &dyn Disk,
+    settings: &LogSettings,
+) -> Result<Vec<String>, DiskError> {
     let files = recovery::files(disk, &settings.name)?;
-    Ok(files.damaged.into_iter().map(|sequence| names::damaged(&settings.name, sequence)).collect())
+    Ok(files
+        .damaged
+        .into_iter()
+        .map(|sequence| names::damaged(&settings.name, sequence))
+        .collect())
 }
 
 /// Removes, durably, what the newest segment supersedes.
-fn remove_superseded(disk: &dyn Disk, settings: &LogSettings, files: &Files) -> Result<(), DiskError> {
+fn remove_superseded(
+    disk: &dyn Disk,
+    settings: &LogSettings,
+    files: &Files,
+) -> Result<(), DiskError> {
     let older = files.segments.len().saturating_sub(1);
     for sequence in &files.segments[..older] {
         remove(disk, &names::segment(&settings.name, *sequence))?;
--- a/crates/storage/src/log/segments.rs
+++ b/crates/storage/src/log/segments.rs
@@ -42,7 +42,8 @@
 }
 
 impl Segments {
-    /// Takes over what was found. Any of the segments may be the durable one, so that all are kept at first.
+    /// Takes over what was found. Any of the segments may be the durable one, so that all are kept
+    /// at first.
     pub(super) fn new(disk: Arc<dyn Disk>, settings: LogSettings, files: Files) -> Self {
         Self {
             disk,
@@ -65,13 +66,23 @@
 
     /// Goes on in the newest segment found; only for tests of what this would break.
     pub(super) fn resume_newest(&mut self, length: u64, synced_end: u64) {
-        let Some(sequence) = self.kept.pop() else { return };
-        self.current = Some(Current { sequence, complete: true, length, synced_end });
+        let Some(sequence) = self.kept.pop() else {
+            return;
+        };
+        self.current = Some(Current {
+            sequence,
+            complete: true,
+            length,
+            synced_end,
+        });
     }
 
     /// Writes a record behind the last one, or as the first of a new segment.
     pub(super) fn append(&mut self, payload: &[u8]) -> Result<(), DiskError> {
-        let room = self.current.as_ref().map(|current| self.segment_bytes().saturating_sub(current.length));
+        let room = self
+            .current
+            .as_ref()
+            .map(|current| self.segment_bytes().saturating_sub(current.length));
         match room {
             Some(room) if frame_bytes(payload.len()) <= room => self.append_frame(payload),
             _ => self.begin(payload),
@@ -80,12 +91,15 @@
 
     /// Makes what was appended durable.
     pub(super) fn sync(&mut self) -> Result<(), DiskError> {
-        let Some(current) = &self.current else { return Ok(()) };
+        let Some(current) = &self.current else {
+            return Ok(());
+        };
         if !current.complete {
             return self.complete();
         }
         if current.synced_end < current.length {
-            self.disk.sync_file(&names::segment(&self.settings.name, current.sequence))?;
+            self.disk
+                .sync_file(&names::segment(&self.settings.name, current.sequence))?;
         }
         self.note_synced();
         Ok(())
@@ -93,18 +107,22 @@
 
     /// Writes no more to the current segment.
     pub(super) fn leave_current(&mut self) {
-        let Some(current) = self.current.take() else { return };
+        let Some(current) = self.current.take() else {
+            return;
+        };
         if current.complete {
             self.kept.push(current.sequence);
         } else {
-            self.obsolete.push(names::temporary(&self.settings.name, current.sequence));
+            self.obsolete
+                .push(names::temporary(&self.settings.name, current.sequence));
         }
     }
 
     /// Begins a segment under a temporary name.
     ///
-    /// The file is made before others are removed, so that the highest number used is always seen: a number given
-    /// twice could let a removed segment come back after a loss of power and win over a newer one.
+    /// The file is made before others are removed, so that the highest number used is always seen:
+    /// a number given twice could let a removed segment come back after a loss of power and win
+    /// over a newer one.
     fn begin(&mut self, payload: &[u8]) -> Result<(), DiskError> {
         self.leave_current();
         if !self.settings.guards.highest_stays {
@@ -112,27 +130,45 @@
         }
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        self.current = Some(Current { sequence, complete: false, length: 0, synced_end: 0 });
-        self.disk.create(&names::temporary(&self.settings.name, sequence))?;
+        self.current = Some(Current {
+            sequence,
+            complete: false,
+            length: 0,
+            synced_end: 0,
+        });
+        self.disk
+            .create(&names::temporary(&self.settings.name, sequence))?;
         self.remove_obsolete()?;
         self.frame.clear();
-        self.frame.extend_from_slice(&segment_header(&self.settings.name, sequence));
-        let place = Place { sequence, offset: SEGMENT_HEADER_BYTES as u64, synced_end: 0 };
+        self.frame
+            .extend_from_slice(&segment_header(&self.settings.name, sequence));
+        let place = Place {
+            sequence,
+            offset: SEGMENT_HEADER_BYTES as u64,
+            synced_end: 0,
+        };
         push_frame(&mut self.frame, place, payload);
         self.write_frame()
     }
 
     fn append_frame(&mut self, payload: &[u8]) -> Result<(), DiskError> {
-        let Some(current) = &self.current else { return Ok(()) };
-        let place =
-            Place { sequence: current.sequence, offset: current.length, synced_end: current.synced_end };
+        let Some(current) = &self.current else {
+            return Ok(());
+        };
+        let place = Place {
+            sequence: current.sequence,
+            offset: current.length,
+            synced_end: current.synced_end,
+        };
         self.frame.clear();
         push_frame(&mut self.frame, place, payload);
         self.write_frame()
     }
 
     fn write_frame(&mut self) -> Result<(), DiskError> {
-        let Some(current) = &mut self.current else { return Ok(()) };
+        let Some(current) = &mut self.current else {
+            return Ok(());
+        };
         let name = match current.complete {
             true => names::segment(&self.settings.name, current.sequence),
             false => names::temporary(&self.settings.name, current.sequence),
@@ -144,11 +180,18 @@
 
     /// Gives the new segment its name, durably, and removes what it supersedes.
     fn complete(&mut self) -> Result<(), DiskError> {
-        let Some(current) = &self.current else { return Ok(()) };
+        let Some(current) = &self.current else {
+            return Ok(());
+        };
         let sequence = current.sequence;
-        self.disk.sync_file(&names::temporary(&self.settings.name, sequence))?;
-        self.give_name(sequence).inspect_err(|_| self.withdraw_name(sequence))?;
-        let superseded = self.kept.drain(..).map(|sequence| names::segment(&self.settings.name, sequence));
+        self.disk
+            .sync_file(&names::temporary(&self.settings.name, sequence))?;
+        self.give_name(sequence)
+            .inspect_err(|_| self.withdraw_name(sequence))?;
+        let superseded = self
+            .kept
+            .drain(..)
+            .map(|sequence| names::segment(&self.settings.name, sequence));
         self.obsolete.extend(superseded);
         self.note_synced();
         let _tried_again_later = self.remove_obsolete();
@@ -157,15 +200,18 @@
 
     fn give_name(&self, sequence: u64) -> Result<(), DiskError> {
         let temporary = names::temporary(&self.settings.name, sequence);
-        self.disk.rename(&temporary, &names::segment(&self.settings.name, sequence))?;
+        self.disk
+            .rename(&temporary, &names::segment(&self.settings.name, sequence))?;
         self.disk.sync_folder()
     }
 
-    /// Takes back a name that may not be durable, as far as the disk allows, so that failures over many starts don't
-    /// add up to many segments.
+    /// Takes back a name that may not be durable, as far as the disk allows, so that failures over
+    /// many starts don't add up to many segments.
     fn withdraw_name(&mut self, sequence: u64) {
         let segment = names::segment(&self.settings.name, sequence);
-        let _may_not_be_there = self.disk.rename(&segment, &names::temporary(&self.settings.name, sequence));
+        let _may_not_be_there = self
+            .disk
+            .rename(&segment, &names::temporary(&self.settings.name, sequence));
         self.obsolete.push(segment);
     }
 
@@ -176,7 +222,8 @@
         }
     }
 
-    /// Removes what nothing depends on. A file that a loss of power brings back can't win, being older.
+    /// Removes what nothing depends on. A file that a loss of power brings back can't win, being
+    /// older.
     fn remove_obsolete(&mut self) -> Result<(), DiskError> {
         while let Some(name) = self.obsolete.last() {
             match self.disk.remove(name) {
--- a/crates/storage/src/names.rs
+++ b/crates/storage/src/names.rs
@@ -1,4 +1,5 @@
-//! Names of a log's files: `NAME-SEQUENCE.segment`, `.tmp` until a segment is complete, `.damaged` once it is set aside.
+//! Names of a log's files: `NAME-SEQUENCE.segment`, `.tmp` until a segment is complete, `.damaged`
+//! once it is set aside.
 
 /// Ending of a complete segment.
 const SEGMENT: &str = ".segment";
@@ -24,9 +25,9 @@
     /// The sequence number in the name.
     pub(crate) fn sequence(self) -> u64 {
         match self {
-            LogFile::Segment(sequence) | LogFile::Temporary(sequence) | LogFile::Damaged(sequence) => {
-                sequence
-            }
+            LogFile::Segment(sequence)
+            | LogFile::Temporary(sequence)
+            | LogFile::Damaged(sequence) => sequence,
         }
     }
 }
@@ -60,7 +61,9 @@
 }
 
 fn sequence(digits: &str) -> Option<u64> {
-    let plain = digits.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
+    let plain = digits
+        .bytes()
+        .all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
     if digits.len() != DIGITS || !plain {
         return None;
     }
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -10,15 +10,16 @@
 /// What was found when a log was opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Recovered<R> {
-    /// No segment: the log was never written to, or its first record was never reported as durable. Such a record may
-    /// still be found after a later loss of power.
+    /// No segment: the log was never written to, or its first record was never reported as durable.
+    /// Such a record may still be found after a later loss of power.
     Empty,
     /// The newest record.
     Found {
         /// The record.
         record: R,
-        /// Whether it was made durable again. If not, [`Log::state`](crate::Log::state) gives the reason, and the
-        /// record must not be relied on before [`Log::reopen`](crate::Log::reopen) has succeeded with it.
+        /// Whether it was made durable again. If not, [`Log::state`](crate::Log::state) gives the
+        /// reason, and the record must not be relied on before [`Log::reopen`](crate::Log::reopen)
+        /// has succeeded with it.
         durable: bool,
         /// Bytes of the torn end that were dropped.
         dropped_bytes: u64,
@@ -31,8 +32,8 @@
     /// The folder or a segment could not be read; worth another try.
     #[error("{0}; check the disk and start again")]
     Disk(#[from] DiskError),
-    /// Durable state is damaged. Nothing was changed; [`Log::set_aside`](crate::Log::set_aside) allows a new beginning,
-    /// which for a replica means a new identity.
+    /// Durable state is damaged. Nothing was changed; [`Log::set_aside`](crate::Log::set_aside)
+    /// allows a new beginning, which for a replica means a new identity.
     #[error(
         "{file} is damaged at byte {offset}: {reason}; the replica has to begin anew as after the loss of its disk"
     )]
@@ -71,7 +72,9 @@
 pub(crate) fn files(disk: &dyn Disk, log: &str) -> Result<Files, DiskError> {
     let mut files = Files::default();
     for name in disk.list()? {
-        let Some(file) = names::parse(log, &name) else { continue };
+        let Some(file) = names::parse(log, &name) else {
+            continue;
+        };
         files.next_sequence = files.next_sequence.max(file.sequence().saturating_add(1));
         match file {
             LogFile::Segment(sequence) => files.segments.push(sequence),
@@ -86,7 +89,8 @@
 
 /// Reads a segment that stands under its complete name.
 ///
-/// Older segments are never read: whatever a lost folder sync brought back has a lower sequence number.
+/// Older segments are never read: whatever a lost folder sync brought back has a lower sequence
+/// number.
 pub(crate) fn read_newest<R: DeserializeOwned>(
     disk: &dyn Disk,
     settings: &LogSettings,
@@ -99,10 +103,20 @@
         offset: damage.offset,
         reason: damage.reason,
     };
-    let scan = scan(&bytes, &settings.name, sequence, settings.guards.checksum).map_err(corrupted)?;
+    let scan =
+        scan(&bytes, &settings.name, sequence, settings.guards.checksum).map_err(corrupted)?;
     let offset = scan.newest.start as u64;
     let payload = bytes[scan.newest].to_vec();
-    let record = postcard::from_bytes(&payload)
-        .map_err(|_| corrupted(Corruption { offset, reason: CorruptionReason::Record }))?;
-    Ok(Newest { record, payload, file_bytes: bytes.len() as u64, valid_bytes: scan.valid_end as u64 })
+    let record = postcard::from_bytes(&payload).map_err(|_| {
+        corrupted(Corruption {
+            offset,
+            reason: CorruptionReason::Record,
+        })
+    })?;
+    Ok(Newest {
+        record,
+        payload,
+        file_bytes: bytes.len() as u64,
+        valid_bytes: scan.valid_end as u64,
+    })
 }
--- a/crates/storage/src/testing/faulty.rs
+++ b/crates/storage/src/testing/faulty.rs
@@ -16,9 +16,10 @@
 
 /// A disk in memory that misbehaves as told, at random from a seed.
 ///
-/// A loss of power keeps what the last sync of a file covered. Each later write is present, missing or torn on its own,
-/// or all are gone. Of names made, renamed and removed since the last sync of the folder each is kept or lost on its
-/// own; a rename is two changes, so that a file may come back under both names or none.
+/// A loss of power keeps what the last sync of a file covered. Each later write is present, missing
+/// or torn on its own, or all are gone. Of names made, renamed and removed since the last sync of
+/// the folder each is kept or lost on its own; a rename is two changes, so that a file may come
+/// back under both names or none.
 #[derive(Debug)]
 pub struct FaultyDisk {
     gate: Gate,
@@ -52,7 +53,10 @@
             failing_folder_syncs: 0,
             counts: HashMap::new(),
         };
-        Self { gate: Gate::default(), state: Mutex::new(state) }
+        Self {
+            gate: Gate::default(),
+            state: Mutex::new(state),
+        }
     }
 
     /// Loses power and starts again, without armed faults.
@@ -60,8 +64,8 @@
         self.lock().lose_power();
     }
 
-    /// Stops in the midst of the operation that follows the next `operations`; from then on every one fails until
-    /// [`FaultyDisk::lose_power`] or [`FaultyDisk::clear_faults`].
+    /// Stops in the midst of the operation that follows the next `operations`; from then on every
+    /// one fails until [`FaultyDisk::lose_power`] or [`FaultyDisk::clear_faults`].
     pub fn stop_after(&self, operations: u64) {
         self.lock().operations_left = Some(operations);
     }
@@ -71,12 +75,14 @@
         self.lock().full = full;
     }
 
-    /// The next syncs of files fail. The pages are then marked as synced, whether or not they are on the disk.
+    /// The next syncs of files fail. The pages are then marked as synced, whether or not they are
+    /// on the disk.
     pub fn fail_file_syncs(&self, count: u32) {
         self.lock().failing_file_syncs = count;
     }
 
-    /// The next syncs of the folder fail. The names are then marked as synced, whether or not they are on the disk.
+    /// The next syncs of the folder fail. The names are then marked as synced, whether or not they
+    /// are on the disk.
     pub fn fail_folder_syncs(&self, count: u32) {
         self.lock().failing_folder_syncs = count;
     }
@@ -110,7 +116,14 @@
     pub fn used_bytes(&self) -> u64 {
         let state = self.lock();
         let numbers = state.names.visible().values();
-        numbers.map(|number| state.inodes.get(number).map_or(0, |inode| inode.cached.len() as u64)).sum()
+        numbers
+            .map(|number| {
+                state
+                    .inodes
+                    .get(number)
+                    .map_or(0, |inode| inode.cached.len() as u64)
+            })
+            .sum()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -118,7 +131,11 @@
     }
 
     /// Passes the gate and takes part in the count of operations.
-    fn begin(&self, file: &str, step: Step) -> Result<(MutexGuard<'_, State>, Interruption), DiskError> {
+    fn begin(
+        &self,
+        file: &str,
+        step: Step,
+    ) -> Result<(MutexGuard<'_, State>, Interruption), DiskError> {
         self.gate.pass();
         let mut state = self.lock();
         *state.counts.entry(step).or_default() += 1;
@@ -165,7 +182,8 @@
         }
         self.names.lose_power(&mut self.random);
         let names = &self.names;
-        self.inodes.retain(|number, _| names.visible().values().any(|kept| kept == number));
+        self.inodes
+            .retain(|number, _| names.visible().values().any(|kept| kept == number));
         self.clear_faults();
     }
 
@@ -179,7 +197,9 @@
 
     fn inode(&mut self, file: &str, step: Step) -> Result<&mut Inode, DiskError> {
         let number = self.names.find(file, step)?;
-        self.inodes.get_mut(&number).ok_or_else(|| missing(file, step))
+        self.inodes
+            .get_mut(&number)
+            .ok_or_else(|| missing(file, step))
     }
 }
 
@@ -227,7 +247,12 @@
             let mut random = state.random.clone();
             state.inode(file, Step::SyncFile)?.fail_sync(&mut random);
             state.random = random;
-            return Err(DiskError::new(file, Step::SyncFile, FailureKind::Other, "input/output error"));
+            return Err(DiskError::new(
+                file,
+                Step::SyncFile,
+                FailureKind::Other,
+                "input/output error",
+            ));
         }
         if !interruption.is_due() || state.random.random_bool(0.5) {
             state.inode(file, Step::SyncFile)?.sync();
@@ -254,7 +279,12 @@
             let mut random = state.random.clone();
             state.names.fail_sync(&mut random);
             state.random = random;
-            return Err(DiskError::new("", Step::SyncFolder, FailureKind::Other, "input/output error"));
+            return Err(DiskError::new(
+                "",
+                Step::SyncFolder,
+                FailureKind::Other,
+                "input/output error",
+            ));
         }
         if !interruption.is_due() || state.random.random_bool(0.5) {
             state.names.sync();
--- a/crates/storage/src/testing/faulty/names.rs
+++ b/crates/storage/src/testing/faulty/names.rs
@@ -31,7 +31,10 @@
     }
 
     pub(super) fn find(&self, file: &str, step: Step) -> Result<u64, DiskError> {
-        self.visible.get(file).copied().ok_or_else(|| missing(file, step))
+        self.visible
+            .get(file)
+            .copied()
+            .ok_or_else(|| missing(file, step))
     }
 
     /// Makes a name for a file with a new number.
--- a/crates/storage/src/testing/gate.rs
+++ b/crates/storage/src/testing/gate.rs
@@ -31,7 +31,10 @@
         state.waiting += 1;
         self.changed.notify_all();
         while state.closed {
-            state = self.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
+            state = self
+                .changed
+                .wait(state)
+                .unwrap_or_else(PoisonError::into_inner);
         }
         state.waiting -= 1;
     }
@@ -40,7 +43,10 @@
     pub(super) fn wait_for_operation(&self) {
         let mut state = self.lock();
         while state.waiting == 0 {
-            state = self.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
+            state = self
+                .changed
+                .wait(state)
+                .unwrap_or_else(PoisonError::into_inner);
         }
     }
 
--- a/crates/storage/src/testing/inode.rs
+++ b/crates/storage/src/testing/inode.rs
@@ -28,7 +28,10 @@
     pub(super) fn append(&mut self, bytes: &[u8]) {
         let offset = self.cached.len();
         self.cached.extend_from_slice(bytes);
-        self.writes.push(Write { offset, bytes: bytes.to_vec() });
+        self.writes.push(Write {
+            offset,
+            bytes: bytes.to_vec(),
+        });
     }
 
     /// Makes all writes durable that are still marked as unsynced.
@@ -62,7 +65,10 @@
         match random.random_range(0..4) {
             0 => {}
             1 => self.keep(write.offset, &write.bytes),
-            2 => self.keep(write.offset, &write.bytes[..random.random_range(0..=write.bytes.len())]),
+            2 => self.keep(
+                write.offset,
+                &write.bytes[..random.random_range(0..=write.bytes.len())],
+            ),
             _ => self.keep_sectors(write, random),
         }
     }
--- a/crates/storage/src/testing/memory.rs
+++ b/crates/storage/src/testing/memory.rs
@@ -23,7 +23,14 @@
 impl MemoryDisk {
     /// An empty disk of `capacity` bytes.
     pub fn new(capacity: u64) -> Self {
-        Self { state: Mutex::new(State { files: BTreeMap::new(), capacity, used: 0, peak: 0 }) }
+        Self {
+            state: Mutex::new(State {
+                files: BTreeMap::new(),
+                capacity,
+                used: 0,
+                peak: 0,
+            }),
+        }
     }
 
     /// Changes the size, in bytes. Files stay even if they no longer fit.
@@ -47,7 +54,11 @@
     }
 
     fn read(&self, file: &str) -> Result<Vec<u8>, DiskError> {
-        self.lock().files.get(file).cloned().ok_or_else(|| missing(file, Step::Read))
+        self.lock()
+            .files
+            .get(file)
+            .cloned()
+            .ok_or_else(|| missing(file, Step::Read))
     }
 
     fn create(&self, file: &str) -> Result<(), DiskError> {
@@ -65,7 +76,11 @@
         if used > state.capacity {
             return Err(full(file, Step::Append));
         }
-        state.files.get_mut(file).ok_or_else(|| missing(file, Step::Append))?.extend_from_slice(bytes);
+        state
+            .files
+            .get_mut(file)
+            .ok_or_else(|| missing(file, Step::Append))?
+            .extend_from_slice(bytes);
         state.used = used;
         state.peak = state.peak.max(used);
         Ok(())
@@ -83,14 +98,20 @@
         if state.files.contains_key(to) {
             return Err(taken(to, Step::Rename));
         }
-        let bytes = state.files.remove(from).ok_or_else(|| missing(from, Step::Rename))?;
+        let bytes = state
+            .files
+            .remove(from)
+            .ok_or_else(|| missing(from, Step::Rename))?;
         state.files.insert(to.to_owned(), bytes);
         Ok(())
     }
 
     fn remove(&self, file: &str) -> Result<(), DiskError> {
         let mut state = self.lock();
-        let bytes = state.files.remove(file).ok_or_else(|| missing(file, Step::Remove))?;
+        let bytes = state
+            .files
+            .remove(file)
+            .ok_or_else(|| missing(file, Step::Remove))?;
         state.used -= bytes.len() as u64;
         Ok(())
     }
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -24,7 +24,8 @@
 pub struct Completion<T> {
     /// What the caller gave with the record.
     pub token: T,
-    /// Whether the record, or one that supersedes it, is durable. After an error neither may be relied on.
+    /// Whether the record, or one that supersedes it, is durable. After an error neither may be
+    /// relied on.
     pub result: Result<(), LogError>,
 }
 
@@ -55,11 +56,12 @@
 
 /// Owner of a log on a thread of its own.
 ///
-/// Records are taken in batches: all that are queued are written, less those superseded, and synced once. Completions
-/// come in the order in which records were handed in. While the disk stalls none come. After a failure the next
-/// batch begins a new segment.
+/// Records are taken in batches: all that are queued are written, less those superseded, and synced
+/// once. Completions come in the order in which records were handed in. While the disk stalls none
+/// come. After a failure the next batch begins a new segment.
 ///
-/// Dropping the writer lets the thread end after the records already handed in, without waiting for it.
+/// Dropping the writer lets the thread end after the records already handed in, without waiting for
+/// it.
 pub struct Writer<R, T> {
     queue: Arc<Queue<R, T>>,
     thread: Option<JoinHandle<()>>,
@@ -70,7 +72,8 @@
     R: Serialize + DeserializeOwned + Supersedes + Send + 'static,
     T: Send + 'static,
 {
-    /// Starts the thread. `clock` is a steady clock; `complete` is called on the thread and must not block.
+    /// Starts the thread. `clock` is a steady clock; `complete` is called on the thread and must
+    /// not block.
     ///
     /// # Errors
     /// When the system refuses a thread.
@@ -80,9 +83,19 @@
         complete: impl FnMut(Completion<T>) + Send + 'static,
     ) -> std::io::Result<Self> {
         let queue = Arc::new(Queue::new(failure(&log)));
-        let worker = Worker { log, queue: Arc::clone(&queue), clock, complete };
-        let thread = thread::Builder::new().name("storage-writer".to_owned()).spawn(move || worker.run())?;
-        Ok(Self { queue, thread: Some(thread) })
+        let worker = Worker {
+            log,
+            queue: Arc::clone(&queue),
+            clock,
+            complete,
+        };
+        let thread = thread::Builder::new()
+            .name("storage-writer".to_owned())
+            .spawn(move || worker.run())?;
+        Ok(Self {
+            queue,
+            thread: Some(thread),
+        })
     }
 
     /// Hands a record in. Its completion comes with the token.
@@ -135,7 +148,10 @@
 
     fn report(&mut self, batch: Batch<R, T>, result: &Result<(), LogError>) {
         for token in batch.tokens {
-            (self.complete)(Completion { token, result: result.clone() });
+            (self.complete)(Completion {
+                token,
+                result: result.clone(),
+            });
         }
     }
 }
--- a/crates/storage/src/writer/queue.rs
+++ b/crates/storage/src/writer/queue.rs
@@ -15,7 +15,8 @@
 
 /// The queue between callers and the thread.
 ///
-/// A superseded record is dropped at once, so that a stalled disk costs the memory of one register record only.
+/// A superseded record is dropped at once, so that a stalled disk costs the memory of one register
+/// record only.
 pub(super) struct Queue<R, T> {
     state: Mutex<State<R, T>>,
     changed: Condvar,
@@ -30,9 +31,20 @@
 
 impl<R, T> Queue<R, T> {
     pub(super) fn new(failure: Option<DiskError>) -> Self {
-        let batch = Batch { records: Vec::new(), tokens: Vec::new() };
-        let state = State { batch, closed: false, activity: Activity::Idle, failure };
-        Self { state: Mutex::new(state), changed: Condvar::new() }
+        let batch = Batch {
+            records: Vec::new(),
+            tokens: Vec::new(),
+        };
+        let state = State {
+            batch,
+            closed: false,
+            activity: Activity::Idle,
+            failure,
+        };
+        Self {
+            state: Mutex::new(state),
+            changed: Condvar::new(),
+        }
     }
 
     pub(super) fn close(&self) {
@@ -43,14 +55,21 @@
     pub(super) fn health(&self) -> Health {
         let state = self.lock();
         let queued = state.batch.tokens.len();
-        Health { activity: state.activity, failure: state.failure.clone(), queued }
+        Health {
+            activity: state.activity,
+            failure: state.failure.clone(),
+            queued,
+        }
     }
 
     /// Waits for records; nothing once the queue is closed and empty.
     pub(super) fn take(&self, clock: &impl Fn() -> Duration) -> Option<Batch<R, T>> {
         let mut state = self.lock();
         while state.batch.tokens.is_empty() && !state.closed {
-            state = self.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
+            state = self
+                .changed
+                .wait(state)
+                .unwrap_or_else(PoisonError::into_inner);
         }
         if state.batch.tokens.is_empty() {
             return None;
@@ -79,7 +98,12 @@
 impl<R: Supersedes, T> Queue<R, T> {
     pub(super) fn push(&self, record: R, token: T) {
         let mut state = self.lock();
-        while state.batch.records.last().is_some_and(|last| record.supersedes(last)) {
+        while state
+            .batch
+            .records
+            .last()
+            .is_some_and(|last| record.supersedes(last))
+        {
             state.batch.records.pop();
         }
         state.batch.records.push(record);
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -45,27 +45,44 @@
     seeds.sort_unstable();
     seeds.dedup();
     seeds.retain(|seed| policies.iter().all(|p| of(*p, *seed).is_some()));
-    let group =
-        |p: &PolicyName| Group { policy: *p, runs: seeds.iter().filter_map(|s| of(*p, *s)).collect() };
+    let group = |p: &PolicyName| Group {
+        policy: *p,
+        runs: seeds.iter().filter_map(|s| of(*p, *s)).collect(),
+    };
     policies.iter().map(group).collect()
 }
 
-/// One row of the table for each policy: figures, and the difference in service from the first policy.
+/// One row of the table for each policy: figures, and the difference in service from the first
+/// policy.
 pub fn rows(groups: &[Group]) -> Vec<Vec<String>> {
-    let first = groups.first().map(|g| g.values(FIGURES[0].1)).unwrap_or_default();
+    let first = groups
+        .first()
+        .map(|g| g.values(FIGURES[0].1))
+        .unwrap_or_default();
     let row = |(i, group): (usize, &Group)| {
         let mut row = vec![group.policy.name().to_string()];
         row.extend(FIGURES.iter().map(|(_, f)| mean(&group.values(f)).text()));
         let difference = paired(&group.values(FIGURES[0].1), &first);
         row.push(if i == 0 { "-".into() } else { told(difference) });
-        row.push(group.runs.iter().map(|n| n.report.breaks).sum::<u64>().to_string());
+        row.push(
+            group
+                .runs
+                .iter()
+                .map(|n| n.report.breaks)
+                .sum::<u64>()
+                .to_string(),
+        );
         row
     };
     groups.iter().enumerate().map(row).collect()
 }
 
 fn told(difference: Mean) -> String {
-    let verdict = if difference.is_real() { "real" } else { "not told apart" };
+    let verdict = if difference.is_real() {
+        "real"
+    } else {
+        "not told apart"
+    };
     format!("{} ({verdict})", difference.text())
 }
 
@@ -73,18 +90,34 @@
 pub fn head(first: &str) -> Vec<String> {
     let figures = FIGURES.iter().map(|f| f.0.to_string());
     let against = format!("service against {first}");
-    ["policy".to_string()].into_iter().chain(figures).chain([against, "rules broken".into()]).collect()
+    ["policy".to_string()]
+        .into_iter()
+        .chain(figures)
+        .chain([against, "rules broken".into()])
+        .collect()
 }
 
 /// Columns of equal width, for the terminal.
 pub fn plain_table(head: &[String], rows: &[Vec<String>]) -> String {
-    let width = |c: usize| rows.iter().chain([&head.to_vec()]).map(|r| r[c].len()).max().unwrap_or(0);
+    let width = |c: usize| {
+        rows.iter()
+            .chain([&head.to_vec()])
+            .map(|r| r[c].len())
+            .max()
+            .unwrap_or(0)
+    };
     let widths: Vec<usize> = (0..head.len()).map(width).collect();
     let line = |row: &[String]| {
-        let cells = row.iter().zip(&widths).map(|(cell, w)| format!("{cell:w$}"));
+        let cells = row
+            .iter()
+            .zip(&widths)
+            .map(|(cell, w)| format!("{cell:w$}"));
         cells.collect::<Vec<_>>().join("  ").trim_end().to_string()
     };
-    let lines: Vec<String> = [line(head)].into_iter().chain(rows.iter().map(|r| line(r))).collect();
+    let lines: Vec<String> = [line(head)]
+        .into_iter()
+        .chain(rows.iter().map(|r| line(r)))
+        .collect();
     lines.join("\n")
 }
 
@@ -131,8 +164,8 @@
     text
 }
 
-/// Plays every scenario under every policy and seeds 1 to `seeds`, and writes `runs.csv`: what was finished, and
-/// whether it was stopped.
+/// Plays every scenario under every policy and seeds 1 to `seeds`, and writes `runs.csv`: what was
+/// finished, and whether it was stopped.
 pub fn play_grid(
     scenarios: &[Scenario],
     policies: &[PolicyName],
@@ -146,7 +179,11 @@
     let mut trials = Vec::new();
     for scenario in scenarios {
         for seed in 1..=seeds {
-            trials.extend(policies.iter().map(|&policy| Trial { scenario, policy, seed }));
+            trials.extend(policies.iter().map(|&policy| Trial {
+                scenario,
+                policy,
+                seed,
+            }));
         }
     }
     let jobs = Jobs::begin(trials.len() as u64)?;
@@ -165,7 +202,10 @@
 ) -> Result<ExitCode, String> {
     for (i, scenario) in scenarios.iter().enumerate() {
         if scenarios[..i].iter().any(|s| s.name == scenario.name) {
-            return Err(format!("two scenarios are called `{}`, expected names that differ", scenario.name));
+            return Err(format!(
+                "two scenarios are called `{}`, expected names that differ",
+                scenario.name
+            ));
         }
     }
     let (notes, stopped) = play_grid(&scenarios, policies, seeds, out)?;
@@ -185,17 +225,25 @@
         );
         let pictures = scenario_pictures(scenario, &groups)?;
         for (name, svg) in &pictures {
-            files::write(&out.join(format!("{}-{name}.svg", file_name(&scenario.name))), svg)?;
+            files::write(
+                &out.join(format!("{}-{name}.svg", file_name(&scenario.name))),
+                svg,
+            )?;
         }
         sections.push(pictures::Section {
             title: format!("{} - {}", scenario.name, scenario.about),
-            note: format!("{played} seeds; mean and 95 % interval; differences are paired by seed."),
+            note: format!(
+                "{played} seeds; mean and 95 % interval; differences are paired by seed."
+            ),
             head,
             rows,
             pictures: pictures.into_iter().map(|p| p.1).collect(),
         });
     }
-    files::write(&out.join("report.html"), &pictures::page("Policies compared", &sections))?;
+    files::write(
+        &out.join("report.html"),
+        &pictures::page("Policies compared", &sections),
+    )?;
     println!("written: {}", out.join("report.html").display());
     let broken: u64 = notes.iter().map(|n| n.report.breaks).sum();
     Ok(match () {
@@ -207,17 +255,38 @@
 
 /// A name as part of a file's name.
 pub fn file_name(name: &str) -> String {
-    name.chars().map(|c| if c.is_ascii_alphanumeric() || "-_.".contains(c) { c } else { '_' }).collect()
+    name.chars()
+        .map(|c| {
+            if c.is_ascii_alphanumeric() || "-_.".contains(c) {
+                c
+            } else {
+                '_'
+            }
+        })
+        .collect()
 }
 
-fn scenario_pictures(scenario: &Scenario, groups: &[Group]) -> Result<Vec<(String, String)>, String> {
+fn scenario_pictures(
+    scenario: &Scenario,
+    groups: &[Group],
+) -> Result<Vec<(String, String)>, String> {
     let name = &scenario.name;
     let over_time = |group: &Group| {
         let column = scenario.length_s / COLUMNS as f64;
-        let at = |c: usize| group.runs.iter().filter_map(|n| n.report.by_column[c]).collect::<Vec<f64>>();
-        let points = (0..COLUMNS).map(|c| ((c as f64 + 0.5) * column, mean(&at(c)).value, at(c).len()));
+        let at = |c: usize| {
+            group
+                .runs
+                .iter()
+                .filter_map(|n| n.report.by_column[c])
+                .collect::<Vec<f64>>()
+        };
+        let points =
+            (0..COLUMNS).map(|c| ((c as f64 + 0.5) * column, mean(&at(c)).value, at(c).len()));
         let points = points.filter(|p| p.2 > 0).map(|p| (p.0, p.1)).collect();
-        Curve { name: group.policy.name().into(), points }
+        Curve {
+            name: group.policy.name().into(),
+            points,
+        }
     };
     let latency = |group: &Group| {
         let count = group.runs[0].report.latency_curve.len();
@@ -226,15 +295,25 @@
             let ms = mean(&group.values(|r| r.latency_curve[i].1 as f64 / 1e3)).value;
             (pictures::nines(percentile), ms.max(0.01))
         };
-        Curve { name: group.policy.name().into(), points: (0..count).map(point).collect() }
+        Curve {
+            name: group.policy.name().into(),
+            points: (0..count).map(point).collect(),
+        }
     };
     let load = |group: &Group| {
         let report = &group.runs[0].report;
         let up = report.each.iter().filter(|s| s.tally.there > 0.0);
         let mut busy: Vec<f64> = up.map(|s| s.tally.busy / s.tally.there * 100.0).collect();
         busy.sort_by(f64::total_cmp);
-        let points = busy.iter().enumerate().map(|(i, b)| (i as f64 + 1.0, *b)).collect();
-        Curve { name: group.policy.name().into(), points }
+        let points = busy
+            .iter()
+            .enumerate()
+            .map(|(i, b)| (i as f64 + 1.0, *b))
+            .collect();
+        Curve {
+            name: group.policy.name().into(),
+            points,
+        }
     };
     let mut all = vec![
         (
@@ -264,7 +343,10 @@
         ),
     ];
     for group in groups {
-        let title = format!("{name}: servers over time, {}, first seed", group.policy.name());
+        let title = format!(
+            "{name}: servers over time, {}, first seed",
+            group.policy.name()
+        );
         let picture = pictures::heat(&title, scenario.length_s, &group.runs[0].report.each)?;
         all.push((format!("servers-{}", group.policy.name()), picture));
     }
--- a/crates/testbed/src/files.rs
+++ b/crates/testbed/src/files.rs
@@ -19,7 +19,11 @@
 pub fn load(path: &Path) -> Result<Loaded, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let scenario = Scenario::read(&text).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok(Loaded { path: path.to_path_buf(), text, scenario })
+    Ok(Loaded {
+        path: path.to_path_buf(),
+        text,
+        scenario,
+    })
 }
 
 /// Makes sure that a folder is there and takes files.
@@ -33,9 +37,16 @@
 /// Makes sure that a file can be written, and leaves one that is there as it is.
 pub fn writable(path: &Path) -> Result<(), String> {
     let there = path.exists();
-    let opened = std::fs::OpenOptions::new().append(true).create(true).open(path);
+    let opened = std::fs::OpenOptions::new()
+        .append(true)
+        .create(true)
+        .open(path);
     opened.map_err(|e| format!("{}: {e}", path.display()))?;
-    if there { Ok(()) } else { std::fs::remove_file(path).map_err(|e| format!("{}: {e}", path.display())) }
+    if there {
+        Ok(())
+    } else {
+        std::fs::remove_file(path).map_err(|e| format!("{}: {e}", path.display()))
+    }
 }
 
 /// Writes a text.
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -1,5 +1,6 @@
-//! The hunt: random scenarios, each with some troubles turned on and others off (swarm testing, Groce et al.
-//! 2012), played under a policy; what goes wrong is shrunk to the shortest scenario that still shows it.
+//! The hunt: random scenarios, each with some troubles turned on and others off (swarm testing,
+//! Groce et al. 2012), played under a policy; what goes wrong is shrunk to the shortest scenario
+//! that still shows it.
 
 use std::fmt;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -10,8 +11,9 @@
 use std::time::{Duration, Instant};
 
 use ironmast_emulator::{
-    Arrivals, Class, Clients, Concern, DiscoverySpec, EffectSpec, GroupSpec, Law, Network, PolicyName, Pool,
-    Proxies, RetryWait, Rule, Rules, Scenario, Stream, Trouble, TroubleKind, World,
+    Arrivals, Class, Clients, Concern, DiscoverySpec, EffectSpec, GroupSpec, Law, Network,
+    PolicyName, Pool, Proxies, RetryWait, Rule, Rules, Scenario, Stream, Trouble, TroubleKind,
+    World,
 };
 use rayon::prelude::*;
 
@@ -31,8 +33,12 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let ends = text.split_once("..").and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
-        let (from, to) = ends.filter(|(a, b)| a < b).ok_or_else(|| format!("`{text}`: expected FROM..TO"))?;
+        let ends = text
+            .split_once("..")
+            .and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
+        let (from, to) = ends
+            .filter(|(a, b)| a < b)
+            .ok_or_else(|| format!("`{text}`: expected FROM..TO"))?;
         Ok(Seeds(from, to))
     }
 }
@@ -96,7 +102,11 @@
         let mut second = 0.0;
         loop {
             second += 0.25;
-            if world.run_to(if second > scenario.length_s { f64::from(u32::MAX) } else { second }) {
+            if world.run_to(if second > scenario.length_s {
+                f64::from(u32::MAX)
+            } else {
+                second
+            }) {
                 return Ok(world.report());
             }
             if world.events() > most {
@@ -107,13 +117,15 @@
     let report = catch_unwind(AssertUnwindSafe(play)).map_err(|e| {
         let text = e.downcast_ref::<String>().cloned();
         Finding::Panicked(
-            text.or_else(|| e.downcast_ref::<&str>().map(|s| s.to_string())).unwrap_or_default(),
+            text.or_else(|| e.downcast_ref::<&str>().map(|s| s.to_string()))
+                .unwrap_or_default(),
         )
     })??;
     match report.rules_broken.first() {
-        Some(b) => {
-            Err(Finding::Broken(b.rule, format!("{} (at {:.3} s, proxy {})", b.what, b.at_s, b.proxy)))
-        }
+        Some(b) => Err(Finding::Broken(
+            b.rule,
+            format!("{} (at {:.3} s, proxy {})", b.what, b.at_s, b.proxy),
+        )),
         None => Ok(report.service),
     }
 }
@@ -124,9 +136,12 @@
             Ok(service) => service,
             Err(finding) => return Some(finding),
         };
-        // A reference that breaks a rule or panics is a fault of this program's own, and told as such.
+        // A reference that breaks a rule or panics is a fault of this program's own, and told as
+        // such.
         match self::service(scenario, self.reference, seed) {
-            Ok(reference) => (service < reference - self.gap).then_some(Finding::Poor(service, reference)),
+            Ok(reference) => {
+                (service < reference - self.gap).then_some(Finding::Poor(service, reference))
+            }
             Err(finding) => {
                 let what = format!("the reference {}: {finding}", self.reference.name());
                 Some(Finding::Panicked(what))
@@ -138,7 +153,9 @@
     fn shrink(&self, mut scenario: Scenario, seed: u64, finding: Finding) -> (Scenario, Finding) {
         let (mut found, mut tries) = (finding, 0);
         loop {
-            let smaller = smaller(&scenario).into_iter().filter(|s| s.check().is_ok() && *s != scenario);
+            let smaller = smaller(&scenario)
+                .into_iter()
+                .filter(|s| s.check().is_ok() && *s != scenario);
             let mut better = None;
             for candidate in smaller {
                 tries += 1;
@@ -165,13 +182,19 @@
         change(&mut copy);
         copy
     };
-    let mut all: Vec<Scenario> = (0..s.trouble.len()).map(|i| with(&|s| drop(s.trouble.remove(i)))).collect();
+    let mut all: Vec<Scenario> = (0..s.trouble.len())
+        .map(|i| with(&|s| drop(s.trouble.remove(i))))
+        .collect();
     all.push(with(&|s| {
         s.length_s = (s.length_s / 2.0).max(1.0);
         s.warmup_s = s.warmup_s.min(s.length_s / 2.0);
     }));
     // Ends after the last trouble.
-    let last = s.trouble.iter().map(|t| t.at_s + t.for_s).fold(1.0, f64::max);
+    let last = s
+        .trouble
+        .iter()
+        .map(|t| t.at_s + t.for_s)
+        .fold(1.0, f64::max);
     all.push(with(&|s| s.length_s = s.length_s.min(last + 3.0)));
     if s.class.len() > 1 {
         all.extend((0..s.class.len()).map(|i| with(&|s| drop(s.class.remove(i)))));
@@ -179,7 +202,11 @@
     if s.pool.len() > 1 {
         all.extend((0..s.pool.len()).map(|i| with(&|s| drop(s.pool.remove(i)))));
     }
-    all.push(with(&|s| s.pool.iter_mut().for_each(|p| p.servers = p.servers.div_ceil(2))));
+    all.push(with(&|s| {
+        s.pool
+            .iter_mut()
+            .for_each(|p| p.servers = p.servers.div_ceil(2))
+    }));
     all.push(with(&|s| s.clients.rate /= 2.0));
     all.push(with(&|s| s.proxies.count = s.proxies.count.div_ceil(2)));
     if s.zones.len() > 1 {
@@ -188,14 +215,28 @@
             s.proxies.zone_weights.truncate(s.zones.len());
         }));
     }
-    all.push(with(&|s| s.clients = Clients { rate: s.clients.rate, ..plain_clients() }));
-    all.push(with(&|s| s.network = Network { between_ms: s.network.between_ms, ..Network::default() }));
+    all.push(with(&|s| {
+        s.clients = Clients {
+            rate: s.clients.rate,
+            ..plain_clients()
+        }
+    }));
+    all.push(with(&|s| {
+        s.network = Network {
+            between_ms: s.network.between_ms,
+            ..Network::default()
+        }
+    }));
     all.push(with(&|s| s.discovery = DiscoverySpec::default()));
     all.push(with(&|s| s.proxies.zone_weights.clear()));
     for i in 0..s.trouble.len() {
         all.push(with(&|s| s.trouble[i].for_s /= 2.0));
-        all.push(with(&|s| s.trouble[i].share = (s.trouble[i].share / 2.0).max(0.01)));
-        all.push(with(&|s| s.trouble[i].at_s = (s.trouble[i].at_s / 2.0).floor()));
+        all.push(with(&|s| {
+            s.trouble[i].share = (s.trouble[i].share / 2.0).max(0.01)
+        }));
+        all.push(with(&|s| {
+            s.trouble[i].at_s = (s.trouble[i].at_s / 2.0).floor()
+        }));
     }
     all
 }
@@ -288,19 +329,39 @@
     let least = r.between((0.4, 1.0));
     Pool {
         kind: format!("p{number}"),
-        zone: if r.unit() < 0.7 { "*".into() } else { zones[r.below(zones.len())].clone() },
+        zone: if r.unit() < 0.7 {
+            "*".into()
+        } else {
+            zones[r.below(zones.len())].clone()
+        },
         servers: 1 + r.below(8) as u32,
         cores,
-        slots: if r.unit() < 0.7 { 0 } else { cores * (1 + r.below(4) as u32) },
+        slots: if r.unit() < 0.7 {
+            0
+        } else {
+            cores * (1 + r.below(4) as u32)
+        },
         queue: r.below(80) as u32,
         speed: (least, least * r.between((1.0, 2.0))),
-        connections: if r.unit() < 0.6 { 0 } else { 20 + r.below(200) as u32 },
+        connections: if r.unit() < 0.6 {
+            0
+        } else {
+            20 + r.below(200) as u32
+        },
         handshake_work_ms: r.unit() * 2.0,
         probe_work_ms: r.unit() * 0.5,
         cold_share: r.between((0.2, 1.0)),
         cold_s: r.between((1.0, 12.0)),
-        cold_work_s: if r.unit() < 0.7 { 0.0 } else { r.between((1.0, 20.0)) },
-        overdrive_ratio: if r.unit() < 0.5 { 0.0 } else { r.between((2.0, 10.0)) },
+        cold_work_s: if r.unit() < 0.7 {
+            0.0
+        } else {
+            r.between((1.0, 20.0))
+        },
+        overdrive_ratio: if r.unit() < 0.5 {
+            0.0
+        } else {
+            r.between((2.0, 10.0))
+        },
         overdrive_s: r.between((0.5, 3.0)),
         overdrive_factor: r.between((1.2, 4.0)),
         recover_s: r.between((1.0, 20.0)),
@@ -316,11 +377,23 @@
         burst_s: r.between((0.1, 3.0)),
         rest_s: r.between((0.1, 6.0)),
         burst_factor: r.between((1.5, 8.0)),
-        curve: if r.unit() < 0.7 { Vec::new() } else { vec![(2.0, r.unit()), (8.0, 1.0 + r.unit())] },
-        busiest: if r.unit() < 0.6 { 1.0 } else { r.between((1.0, 30.0)) },
+        curve: if r.unit() < 0.7 {
+            Vec::new()
+        } else {
+            vec![(2.0, r.unit()), (8.0, 1.0 + r.unit())]
+        },
+        busiest: if r.unit() < 0.6 {
+            1.0
+        } else {
+            r.between((1.0, 30.0))
+        },
         retries: r.below(5) as u32,
-        retry_wait: [RetryWait::AtOnce, RetryWait::Fixed, RetryWait::Exponential, RetryWait::RetryAfter]
-            [r.below(4)],
+        retry_wait: [
+            RetryWait::AtOnce,
+            RetryWait::Fixed,
+            RetryWait::Exponential,
+            RetryWait::RetryAfter,
+        ][r.below(4)],
         retry_ms: r.between((0.0, 400.0)),
         patience: (r.between((0.3, 0.9)), 1.0),
         walk_away: if r.unit() < 0.5 { 0.0 } else { r.unit() * 0.2 },
@@ -329,7 +402,11 @@
 
 fn draw_proxies(r: &mut Stream) -> Proxies {
     Proxies {
-        count: 1 + if r.unit() < 0.7 { r.below(8) } else { r.below(120) } as u32,
+        count: 1 + if r.unit() < 0.7 {
+            r.below(8)
+        } else {
+            r.below(120)
+        } as u32,
         zone_weights: Vec::new(),
         most_tries: 1 + r.below(3) as u32,
         may_duplicate: r.unit() < 0.2,
@@ -374,7 +451,11 @@
             for_s: (r.between((0.2, (scenario.length_s - at_s).max(0.4))) * 10.0).round() / 10.0,
             share: r.between((0.05, 1.0)),
             zone: if zoned { zone } else { String::new() },
-            class: if kind == K::Grey { class } else { String::new() },
+            class: if kind == K::Grey {
+                class
+            } else {
+                String::new()
+            },
             factor: r.between((1.2, 8.0)),
             silent: r.unit() < 0.5,
             proxies: r.unit() < 0.5,
@@ -395,10 +476,15 @@
 pub fn run(hunt: &Hunt) -> Result<ExitCode, String> {
     files::folder(&hunt.out)?;
     if !(hunt.gap > 0.0 && hunt.gap <= 1.0) {
-        return Err(format!("--gap is {}, expected more than 0 and at most 1", hunt.gap));
+        return Err(format!(
+            "--gap is {}, expected more than 0 and at most 1",
+            hunt.gap
+        ));
     }
     let limit = match hunt.minutes {
-        Some(m) if !(m > 0.0 && m <= 1e6) => return Err(format!("--minutes is {m}, expected more than 0")),
+        Some(m) if !(m > 0.0 && m <= 1e6) => {
+            return Err(format!("--minutes is {m}, expected more than 0"));
+        }
         minutes => minutes.map(|m| Duration::from_secs_f64(m * 60.0)),
     };
     let Seeds(from, to) = hunt.seeds;
@@ -418,7 +504,10 @@
             let (mut scenario, finding) = hunt.shrink(scenario, seed, finding);
             scenario.name = format!("found-{seed}");
             scenario.about = format!("Seed {seed} under {}: {finding}.", hunt.policy.name());
-            found.lock().unwrap_or_else(|e| e.into_inner()).push((seed, scenario, finding));
+            found
+                .lock()
+                .unwrap_or_else(|e| e.into_inner())
+                .push((seed, scenario, finding));
         }
         *played.lock().unwrap_or_else(|e| e.into_inner()) += 1;
         jobs.step();
@@ -431,8 +520,14 @@
     found.sort_by_key(|f| f.0);
     for (seed, scenario, finding) in &found {
         let path = hunt.out.join(format!("found-{seed}.toml"));
-        let command = format!("ironmast-testbed emulate FILE --seed {seed} --policy {}", hunt.policy.name());
-        files::write(&path, &format!("# {finding}\n# {command}\n{}", scenario.write()))?;
+        let command = format!(
+            "ironmast-testbed emulate FILE --seed {seed} --policy {}",
+            hunt.policy.name()
+        );
+        files::write(
+            &path,
+            &format!("# {finding}\n# {command}\n{}", scenario.write()),
+        )?;
         println!("seed {seed}: {finding}: {}", path.display());
     }
     println!(
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -36,8 +36,9 @@
         /// The scenario's file.
         scenario: PathBuf,
     },
-    /// Plays a stage scenario with real proxies on loopback: a table a second, then one verdict. Ends with 1 where
-    /// something ran twice, was served without a run, or is not as the scenario's [expect] table says.
+    /// Plays a stage scenario with real proxies on loopback: a table a second, then one verdict.
+    /// Ends with 1 where something ran twice, was served without a run, or is not as the scenario's
+    /// [expect] table says.
     Stage {
         /// The stage scenario's file (see scenarios/stage/).
         scenario: PathBuf,
@@ -51,15 +52,16 @@
         #[arg(long, value_name = "DIR")]
         logs: Option<PathBuf>,
     },
-    /// Pay servers in two zones, discovery, three proxies and their load; the proxies' zone is cut off for 10 s and
-    /// comes back. A table a second for 30 s.
+    /// Pay servers in two zones, discovery, three proxies and their load; the proxies' zone is cut
+    /// off for 10 s and comes back. A table a second for 30 s.
     Demo {
         /// The ironmast program; by default the one beside this program.
         #[arg(long, value_name = "PATH")]
         proxy: Option<PathBuf>,
     },
-    /// Plays the proxies' membership protocol in simulated time: false downs under loss, bytes a second, the time a
-    /// death takes to be known to all. Ends with 1 where it was not known within 60 s.
+    /// Plays the proxies' membership protocol in simulated time: false downs under loss, bytes a
+    /// second, the time a death takes to be known to all. Ends with 1 where it was not known within
+    /// 60 s.
     Membership {
         /// Members of the tier, 2 to 5,000.
         #[arg(long, default_value_t = 16)]
@@ -87,11 +89,13 @@
         /// The policy in the proxies.
         #[arg(long, default_value = "module")]
         policy: PolicyName,
-        /// Writes the result as JSON there; - for standard output, in place of the lines for people.
+        /// Writes the result as JSON there; - for standard output, in place of the lines for
+        /// people.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
     },
-    /// Plays scenarios under several policies and the same seeds; tables, CSV, pictures and a report.
+    /// Plays scenarios under several policies and the same seeds; tables, CSV, pictures and a
+    /// report.
     Compare {
         /// The scenarios' files.
         #[arg(required = true)]
@@ -103,14 +107,15 @@
     Sweep {
         /// The scenario's file.
         scenario: PathBuf,
-        /// What to vary: PATH=FROM..TO[:STEPS], as in clients.rate=100..900:9 or trouble.0.factor=1..8.
+        /// What to vary: PATH=FROM..TO[:STEPS], as in clients.rate=100..900:9 or
+        /// trouble.0.factor=1..8.
         #[arg(long)]
         vary: sweep::Vary,
         #[command(flatten)]
         many: Many,
     },
-    /// Draws random troubles, looks for broken rules, panics, stuck requests and service far under a
-    /// reference, and shrinks what it finds. Ends with 1 where something was found.
+    /// Draws random troubles, looks for broken rules, panics, stuck requests and service far under
+    /// a reference, and shrinks what it finds. Ends with 1 where something was found.
     Hunt {
         /// Draw troubles for this scenario; whole scenarios are drawn where it is left out.
         scenario: Option<PathBuf>,
@@ -133,15 +138,20 @@
         #[arg(long)]
         out: PathBuf,
     },
-    /// Plays days of the system on the operators' bench, over seeds, and lists what broke. Plays that are kept from an
-    /// earlier call aren't repeated. Ends with 1 where a rule was broken or a play gave no report.
+    /// Plays days of the system on the operators' bench, over seeds, and lists what broke. Plays
+    /// that are kept from an earlier call aren't repeated. Ends with 1 where a rule was broken or a
+    /// play gave no report.
     Days(days::Days),
 }
 
 #[derive(Args)]
 struct Many {
     /// The policies, the one that others are held against first.
-    #[arg(long, value_delimiter = ',', default_value = "module,two-choices,zone-round-robin,ceiling")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "module,two-choices,zone-round-robin,ceiling"
+    )]
     policies: Vec<PolicyName>,
     /// Seeds 1 to N, the same for every policy.
     #[arg(long, default_value_t = 8)]
@@ -179,13 +189,22 @@
             );
             Ok(ExitCode::SUCCESS)
         }
-        Command::Emulate { scenario, seed, policy, json } => {
+        Command::Emulate {
+            scenario,
+            seed,
+            policy,
+            json,
+        } => {
             let Loaded { scenario, .. } = load(&scenario)?;
             let jobs = Jobs::begin(1)?;
             if let Some(path) = json.as_deref().filter(|p| *p != Path::new("-")) {
                 files::writable(path)?;
             }
-            let Some(note) = jobs.play(&Trial { scenario: &scenario, policy, seed }) else {
+            let Some(note) = jobs.play(&Trial {
+                scenario: &scenario,
+                policy,
+                seed,
+            }) else {
                 return Ok(ExitCode::from(130));
             };
             jobs.end();
@@ -193,27 +212,84 @@
                 Some(path) => files::write_json(path, &note)?,
                 None => println!("{}", lines(&note)),
             }
-            Ok(if note.report.breaks == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) })
+            Ok(if note.report.breaks == 0 {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::from(1)
+            })
         }
         Command::Compare { scenarios, many } => {
-            let loaded = scenarios.iter().map(|p| load(p)).collect::<Result<Vec<_>, _>>()?;
+            let loaded = scenarios
+                .iter()
+                .map(|p| load(p))
+                .collect::<Result<Vec<_>, _>>()?;
             let scenarios = loaded.into_iter().map(|l| l.scenario).collect();
             compare::run(scenarios, &distinct(many.policies), many.seeds, &many.out)
         }
-        Command::Sweep { scenario, vary, many } => {
-            sweep::run(&load(&scenario)?, &vary, &distinct(many.policies), many.seeds, &many.out)
-        }
-        Command::Stage { scenario, proxy, json, logs } => {
-            stage::run(stage::Play { scenario: Some(scenario), proxy, json, logs })
-        }
-        Command::Membership { members, loss, seconds, seed, json } => {
-            membership::run(&membership::Trial { members, loss, seconds, seed, json })
-        }
-        Command::Demo { proxy } => stage::run(stage::Play { scenario: None, proxy, json: None, logs: None }),
+        Command::Sweep {
+            scenario,
+            vary,
+            many,
+        } => sweep::run(
+            &load(&scenario)?,
+            &vary,
+            &distinct(many.policies),
+            many.seeds,
+            &many.out,
+        ),
+        Command::Stage {
+            scenario,
+            proxy,
+            json,
+            logs,
+        } => stage::run(stage::Play {
+            scenario: Some(scenario),
+            proxy,
+            json,
+            logs,
+        }),
+        Command::Membership {
+            members,
+            loss,
+            seconds,
+            seed,
+            json,
+        } => membership::run(&membership::Trial {
+            members,
+            loss,
+            seconds,
+            seed,
+            json,
+        }),
+        Command::Demo { proxy } => stage::run(stage::Play {
+            scenario: None,
+            proxy,
+            json: None,
+            logs: None,
+        }),
         Command::Days(days) => days::run(&days),
-        Command::Hunt { scenario, seeds, minutes, policy, reference, gap, out } => {
-            let base = scenario.map(|path| load(&path)).transpose()?.map(|l| l.scenario);
-            hunt::run(&hunt::Hunt { base, seeds, minutes, policy, reference, gap, out })
+        Command::Hunt {
+            scenario,
+            seeds,
+            minutes,
+            policy,
+            reference,
+            gap,
+            out,
+        } => {
+            let base = scenario
+                .map(|path| load(&path))
+                .transpose()?
+                .map(|l| l.scenario);
+            hunt::run(&hunt::Hunt {
+                base,
+                seeds,
+                minutes,
+                policy,
+                reference,
+                gap,
+                out,
+            })
         }
     }
 }
@@ -263,7 +339,10 @@
         r.traffic.probes
     );
     for (name, class) in &r.by_class {
-        text += &format!("class {name}: service {:.4} of {} asked\n", class.service, class.counts.asked);
+        text += &format!(
+            "class {name}: service {:.4} of {} asked\n",
+            class.service, class.counts.asked
+        );
     }
     text += &format!(
         "digest {}; {} events in {:.2} s, {} MB at most\n",
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -1,8 +1,10 @@
-//! `ironmast-testbed membership`: the membership protocol in simulated time at a tier's size and a share of loss.
+//! `ironmast-testbed membership`: the membership protocol in simulated time at a tier's size and a
+//! share of loss.
 //!
-//! Three phases: 10 s of quiet to join; `seconds` at `loss` (each datagram lost with that chance, from a hash of
-//! the seed and the datagram), where any living member declared down is a false down; then member 0 dies and the
-//! time until every other member has declared it down is the detection time (at most 60 s).
+//! Three phases: 10 s of quiet to join; `seconds` at `loss` (each datagram lost with that chance,
+//! from a hash of the seed and the datagram), where any living member declared down is a false
+//! down; then member 0 dies and the time until every other member has declared it down is the
+//! detection time (at most 60 s).
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -42,9 +44,14 @@
         / (tier.now - lossy_from).as_secs_f64()
         / trial.members as f64;
     let living = |tier: &Tier, m: &ironmast_membership::Member| {
-        tier.members[index(m.address)].me().incarnation == m.incarnation && !tier.dead[index(m.address)]
+        tier.members[index(m.address)].me().incarnation == m.incarnation
+            && !tier.dead[index(m.address)]
     };
-    let false_downs = tier.downs.iter().filter(|(_, _, m)| living(&tier, m)).count();
+    let false_downs = tier
+        .downs
+        .iter()
+        .filter(|(_, _, m)| living(&tier, m))
+        .count();
     tier.downs.clear();
     tier.dead[0] = true;
     let died = tier.now;
@@ -52,7 +59,9 @@
     while tier.now - died < Duration::from_secs(60) {
         tier.run(Duration::from_millis(100), &lossy);
         // Who takes member 0 for down now: it no longer counts it in the tier.
-        knowing = (1..trial.members).filter(|&n| tier.members[n].tier() < trial.members).count();
+        knowing = (1..trial.members)
+            .filter(|&n| tier.members[n].tier() < trial.members)
+            .count();
         if knowing == trial.members - 1 {
             found = Some(tier.now - died);
             break;
@@ -68,10 +77,10 @@
                 "refused": tier.refused, "knowing": knowing})
         );
     } else {
-        let found = found_s
-            .map_or(format!("not within 60 s ({knowing} of {} knew)", trial.members - 1), |s| {
-                format!("{s:.1} s")
-            });
+        let found = found_s.map_or(
+            format!("not within 60 s ({knowing} of {} knew)", trial.members - 1),
+            |s| format!("{s:.1} s"),
+        );
         println!(
             "{} members, {:.0} % loss for {} s: {false_downs} false downs, {bytes_a_second:.0} bytes/s a member, {} datagrams refused; a death known to all in {found}",
             trial.members,
@@ -80,5 +89,9 @@
             tier.refused
         );
     }
-    Ok(if found.is_some() { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    Ok(if found.is_some() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    })
 }
--- a/crates/testbed/src/pictures.rs
+++ b/crates/testbed/src/pictures.rs
@@ -6,7 +6,8 @@
 
 /// Size of a picture, in pixels.
 const SIZE: (u32, u32) = (1000, 460);
-/// Policies in the order of their colours: told apart by colour-blind readers too (Okabe and Ito's palette).
+/// Policies in the order of their colours: told apart by colour-blind readers too (Okabe and Ito's
+/// palette).
 const COLOURS: [RGBColor; 8] = [
     RGBColor(0, 114, 178),
     RGBColor(230, 159, 0),
@@ -42,7 +43,9 @@
 fn range(points: impl Iterator<Item = f64>) -> (f64, f64) {
     let (least, most) = points
         .filter(|v| v.is_finite())
-        .fold((f64::INFINITY, f64::NEG_INFINITY), |(a, b), v| (a.min(v), b.max(v)));
+        .fold((f64::INFINITY, f64::NEG_INFINITY), |(a, b), v| {
+            (a.min(v), b.max(v))
+        });
     match least < most {
         true => (least, most),
         false if least.is_finite() => (least - 0.5, least + 0.5),
@@ -56,7 +59,10 @@
 
 /// Each curve with its colour, as a line of that width.
 fn styled(curves: &[Curve], width: u32) -> impl Iterator<Item = (&Curve, ShapeStyle)> {
-    curves.iter().zip(COLOURS.iter().cycle()).map(move |(curve, colour)| (curve, colour.stroke_width(width)))
+    curves
+        .iter()
+        .zip(COLOURS.iter().cycle())
+        .map(move |(curve, colour)| (curve, colour.stroke_width(width)))
 }
 
 /// Lines over plain axes.
@@ -76,7 +82,12 @@
             .x_label_area_size(44)
             .y_label_area_size(64)
             .build_cartesian_2d(x0..x1, y0..y1)?;
-        chart.configure_mesh().x_desc(x_name).y_desc(y_name).label_style(("sans-serif", 14)).draw()?;
+        chart
+            .configure_mesh()
+            .x_desc(x_name)
+            .y_desc(y_name)
+            .label_style(("sans-serif", 14))
+            .draw()?;
         for (curve, style) in styled(curves, 2) {
             chart.draw_series(LineSeries::new(curve.points.iter().copied(), style))?;
         }
@@ -93,12 +104,17 @@
     for (i, (curve, style)) in styled(curves, 3).enumerate() {
         let y = 60 + 24 * i as i32;
         area.draw(&PathElement::new([(x, y + 7), (x + 20, y + 7)], style))?;
-        area.draw(&Text::new(curve.name.clone(), (x + 26, y), ("sans-serif", 14)))?;
+        area.draw(&Text::new(
+            curve.name.clone(),
+            (x + 26, y),
+            ("sans-serif", 14),
+        ))?;
     }
     Ok(())
 }
 
-/// A percentile's place on an axis that gives each further nine the same room: 90 % is 1, 99 % is 2.
+/// A percentile's place on an axis that gives each further nine the same room: 90 % is 1, 99 % is
+/// 2.
 pub fn nines(percentile: f64) -> f64 {
     -(1.0 - percentile / 100.0).log10()
 }
@@ -135,12 +151,18 @@
     })
 }
 
-/// White where a server is idle, through blue, to red where all its cores are in use; grey where it is down.
+/// White where a server is idle, through blue, to red where all its cores are in use; grey where it
+/// is down.
 fn shade(busy: f32) -> RGBColor {
     if busy.is_nan() {
         return RGBColor(205, 205, 205);
     }
-    let stops = [(255.0, 255.0, 255.0), (140.0, 190.0, 235.0), (20.0, 90.0, 170.0), (200.0, 30.0, 40.0)];
+    let stops = [
+        (255.0, 255.0, 255.0),
+        (140.0, 190.0, 235.0),
+        (20.0, 90.0, 170.0),
+        (200.0, 30.0, 40.0),
+    ];
     let at = f64::from(busy.clamp(0.0, 1.0)) * 3.0;
     let (from, part) = ((at as usize).min(2), at - (at as usize).min(2) as f64);
     let (a, b) = (stops[from], stops[from + 1]);
@@ -153,7 +175,11 @@
 
 /// Servers over time, one row a place, in the order of their zones.
 pub fn heat(title: &str, length_s: f64, servers: &[ServerReport]) -> Result<String, String> {
-    let places = servers.iter().map(|s| s.place as usize + 1).max().unwrap_or(1);
+    let places = servers
+        .iter()
+        .map(|s| s.place as usize + 1)
+        .max()
+        .unwrap_or(1);
     // A place shows whoever stands there; each started later than the one before.
     let mut grid = vec![[f32::NAN; COLUMNS]; places];
     let mut zones = vec![String::new(); places];
@@ -182,7 +208,11 @@
         let of_row = |row: usize| row * places / rows..((row + 1) * places / rows);
         let name = |y: f64| {
             let row = (y as usize).min(rows - 1);
-            format!("{} {}", zones[order[of_row(row).start]], order[of_row(row).start])
+            format!(
+                "{} {}",
+                zones[order[of_row(row).start]],
+                order[of_row(row).start]
+            )
         };
         chart
             .configure_mesh()
@@ -193,10 +223,17 @@
             .y_label_formatter(&|y| name(*y))
             .label_style(("sans-serif", 13))
             .draw()?;
-        for (row, column) in (0..rows).flat_map(|row| (0..COLUMNS).map(move |column| (row, column))) {
-            let cells = of_row(row).map(|i| grid[order[i]][column]).filter(|b| !b.is_nan());
+        for (row, column) in (0..rows).flat_map(|row| (0..COLUMNS).map(move |column| (row, column)))
+        {
+            let cells = of_row(row)
+                .map(|i| grid[order[i]][column])
+                .filter(|b| !b.is_nan());
             let (sum, count) = cells.fold((0.0, 0), |(s, n), b| (s + b, n + 1));
-            let busy = if count > 0 { sum / count as f32 } else { f32::NAN };
+            let busy = if count > 0 {
+                sum / count as f32
+            } else {
+                f32::NAN
+            };
             let (x, y) = (column as f64 * step, row as f64);
             let cell = Rectangle::new([(x, y), (x + step, y + 1.0)], shade(busy).filled());
             chart.draw_series(std::iter::once(cell))?;
@@ -204,10 +241,22 @@
         let text = |text: &str, y: i32| Text::new(text.to_string(), (34, y), ("sans-serif", 13));
         for i in 0..=20 {
             let y = 360 - i * 14;
-            key.draw(&Rectangle::new([(10, y), (28, y + 14)], shade(i as f32 / 20.0).filled()))?;
+            key.draw(&Rectangle::new(
+                [(10, y), (28, y + 14)],
+                shade(i as f32 / 20.0).filled(),
+            ))?;
         }
-        key.draw(&Rectangle::new([(10, 390), (28, 404)], shade(f32::NAN).filled()))?;
-        for (what, y) in [("100 %", 80), ("50 %", 220), ("0 %", 360), ("down", 390), ("cores in use", 54)] {
+        key.draw(&Rectangle::new(
+            [(10, 390), (28, 404)],
+            shade(f32::NAN).filled(),
+        ))?;
+        for (what, y) in [
+            ("100 %", 80),
+            ("50 %", 220),
+            ("0 %", 360),
+            ("down", 390),
+            ("cores in use", 54),
+        ] {
             key.draw(&text(what, y))?;
         }
         Ok(())
@@ -229,13 +278,18 @@
 }
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
 
 /// One page with everything in it: no other file is needed to read it.
 pub fn page(title: &str, sections: &[Section]) -> String {
     let row = |cells: &[String], tag: &str| {
-        let cells: String = cells.iter().map(|c| format!("<{tag}>{}</{tag}>", escape(c))).collect();
+        let cells: String = cells
+            .iter()
+            .map(|c| format!("<{tag}>{}</{tag}>", escape(c)))
+            .collect();
         format!("<tr>{cells}</tr>\n")
     };
     let mut html = format!(
@@ -247,7 +301,11 @@
         escape(title)
     );
     for section in sections {
-        html += &format!("<h2>{}</h2>\n<p>{}</p>\n<table>\n", escape(&section.title), escape(&section.note));
+        html += &format!(
+            "<h2>{}</h2>\n<p>{}</p>\n<table>\n",
+            escape(&section.title),
+            escape(&section.note)
+        );
         html += &row(&section.head, "th");
         html.extend(section.rows.iter().map(|cells| row(cells, "td")));
         html += "</table>\n";
