--- a/crates/routing/tests/model/mod.rs
+++ b/crates/routing/tests/model/mod.rs
@@ -42,7 +42,7 @@
 struct Server {
     running: u32,
     /// Time at which all prompts that the server has received are prefilled.
-    prefill_ends: Micros,
+    prefill_ends_at: Micros,
     /// Time at which each shared prefix was last used at the server.
     prefix_last_used: HashMap<u64, Micros>,
 }
@@ -204,7 +204,7 @@
             gate
         };
         let arrivals = (0..KINDS.len()).map(|kind| Reverse((0, Event::Arrive(kind))));
-        let checks = (0..GATES).map(|gate| Reverse((0, Event::HealthChecks(gate))));
+        let health_checks = (0..GATES).map(|gate| Reverse((0, Event::HealthChecks(gate))));
         Simulation {
             plan,
             now: 0,
@@ -214,7 +214,7 @@
             servers: (0..SERVERS).map(|_| Server::default()).collect(),
             prefix_last_used: HashMap::new(),
             in_flight: HashMap::new(),
-            events: arrivals.chain(checks).collect(),
+            events: arrivals.chain(health_checks).collect(),
             request_id: 0,
             results: Results::default(),
         }
@@ -241,14 +241,14 @@
     }
 
     fn arrive(&mut self, kind: usize) {
-        let pause = -self.rng.unit().max(1e-9).ln() / (KINDS[kind].0 * self.plan.load_factor)
+        let interval = -self.rng.unit().max(1e-9).ln() / (KINDS[kind].0 * self.plan.load_factor)
             * SECOND as f64;
-        if self.now + (pause as Micros) < self.plan.seconds * SECOND {
-            self.schedule(pause as Micros, Event::Arrive(kind));
+        if self.now + (interval as Micros) < self.plan.seconds * SECOND {
+            self.schedule(interval as Micros, Event::Arrive(kind));
         }
         self.forward_events();
-        let prefix = self.prefix(kind);
-        let request = self.request(kind, prefix);
+        let prefix = self.draw_prefix(kind);
+        let request = self.new_request(kind, prefix);
         let gate = (self.rng.unit() * GATES as f64) as usize;
         let (mut call, mut decision) = self.gates[gate].begin(self.now, request, &mut Unlimited);
         self.results.requests[kind] += 1;
@@ -305,13 +305,13 @@
         }
     }
 
-    fn prefix(&mut self, kind: usize) -> u64 {
+    fn draw_prefix(&mut self, kind: usize) -> u64 {
         let skewed = self.rng.unit() * self.rng.unit() * self.plan.prefixes as f64;
         skewed as u64 + 1000 * (kind as u64 + 1)
     }
 
-    fn request(&mut self, kind: usize, prefix: u64) -> Request {
-        let (_, shared, own, out) = KINDS[kind];
+    fn new_request(&mut self, kind: usize, prefix: u64) -> Request {
+        let (_, shared, own, output) = KINDS[kind];
         self.request_id += 1;
         let route = self
             .table
@@ -325,7 +325,7 @@
             part(prefix, shared),
             part(self.request_id as u64 + 1_000_000, own),
         ]);
-        (request.prompt_tokens, request.max_output_tokens) = (shared + own, out);
+        (request.prompt_tokens, request.max_output_tokens) = (shared + own, output);
         request
     }
 
@@ -341,11 +341,11 @@
 
     fn send(&mut self, attempt: InFlight, prefix: u64) {
         let (_, shared, own, _) = KINDS[attempt.kind];
-        let (now, request_id, at) = (self.now, self.request_id, attempt.server);
+        let (now, request_id, server_index) = (self.now, self.request_id, attempt.server);
         let is_cached = |last_used: Option<&Micros>| {
             last_used.is_some_and(|used| used + PREFIX_CACHE_TTL > now)
         };
-        let server = &mut self.servers[at];
+        let server = &mut self.servers[server_index];
         server.running += 1;
         self.results.max_running = self.results.max_running.max(server.running);
         let is_cached_here = is_cached(server.prefix_last_used.get(&prefix));
@@ -356,17 +356,18 @@
         server.prefix_last_used.insert(prefix, now);
         self.prefix_last_used.insert(prefix, now);
         self.in_flight.insert(request_id, attempt);
-        let slow = if self.has_fault(at, Fault::Slow) {
+        let slow = if self.has_fault(server_index, Fault::Slow) {
             20.0
         } else {
             1.0
         };
         let tokens = own + if is_cached_here { 0 } else { shared };
         let prefill = slow * tokens as f64 / PREFILL_PER_MS * 1000.0;
-        let server = &mut self.servers[at];
-        server.prefill_ends = server.prefill_ends.max(now) + prefill as Micros;
-        let first = server.prefill_ends - now + (DECODE_STEP * self.slowdown(at)) as Micros;
-        self.schedule(first, Event::FirstByte(request_id));
+        let server = &mut self.servers[server_index];
+        server.prefill_ends_at = server.prefill_ends_at.max(now) + prefill as Micros;
+        let first_byte_in =
+            server.prefill_ends_at - now + (DECODE_STEP * self.slowdown(server_index)) as Micros;
+        self.schedule(first_byte_in, Event::FirstByte(request_id));
     }
 
     /// Returns true if a request is not in flight any more or makes no progress because its server
@@ -410,12 +411,13 @@
         }
         let attempt = self.in_flight.get_mut(&request_id).expect("in flight");
         attempt.has_first_byte = true;
-        let (at, kind, elapsed) = (attempt.server, attempt.kind, self.now - attempt.sent_at);
+        let (server_index, kind, elapsed) =
+            (attempt.server, attempt.kind, self.now - attempt.sent_at);
         let gate = &mut self.gates[attempt.gate];
         gate.first_byte_received(self.now, &mut attempt.call);
         gate.response_forwarded(self.now, &mut attempt.call, Some(1));
-        let handle = gate.server(&format!("i-{at}")).expect("listed");
-        let running = self.servers[at].running;
+        let handle = gate.server(&format!("i-{server_index}")).expect("listed");
+        let running = self.servers[server_index].running;
         gate.apply_load_report(
             self.now,
             handle,
@@ -428,7 +430,7 @@
         );
         self.results.first_bytes.push(elapsed);
         self.results.late += usize::from(elapsed > SECOND);
-        let decode = KINDS[kind].3 as f64 * DECODE_STEP * self.slowdown(at);
+        let decode = KINDS[kind].3 as f64 * DECODE_STEP * self.slowdown(server_index);
         self.schedule(decode as Micros, Event::End(request_id));
     }
 
