--- a/crates/routing/src/decider.rs
+++ b/crates/routing/src/decider.rs
@@ -103,13 +103,13 @@
     pub fn update_table(&mut self, now: Micros, table: Arc<Table>) {
         self.endpoints.apply_table(now, &table);
         if !self.table.shares_routes(&table) {
-            self.retain_known(&table);
+            self.drop_obsolete_state(&table);
         }
         self.table = table;
     }
 
     /// Drops what is kept of routes and services that a table no longer has.
-    fn retain_known(&mut self, table: &Table) {
+    fn drop_obsolete_state(&mut self, table: &Table) {
         let routes = table.router().routes();
         let route_names: FxHashSet<&str> = routes.map(|route| route.spec.name.as_ref()).collect();
         let route_exists = |name: &str| route_names.contains(name);
--- a/crates/routing/src/decider/candidate_load.rs
+++ b/crates/routing/src/decider/candidate_load.rs
@@ -87,7 +87,7 @@
             let occupancy = &endpoint.occupancy;
             let load = occupancy.load(now, max_age, &endpoint.limits, averages);
             let utilization = load.utilization();
-            let is_open = occupancy.backoff_until() <= now
+            let is_available = occupancy.backoff_until() <= now
                 && occupancy.has_connection_capacity(&endpoint.limits);
             CandidateLoad {
                 endpoint_index: endpoint.handle.index,
@@ -95,8 +95,8 @@
                 load,
                 utilization,
                 prefill_wait: prefill_rate.time_for(endpoint.prefill_backlog.total(now)),
-                has_capacity: is_open && utilization < max_utilization,
-                has_capacity_for_urgent: is_open && utilization < max_utilization_for_urgent,
+                has_capacity: is_available && utilization < max_utilization,
+                has_capacity_for_urgent: is_available && utilization < max_utilization_for_urgent,
                 // Which prefixes it already has matters only if its KV cache is short.
                 has_kv_cache: load.has_kv_cache_for(demand.total())
                     || load.has_kv_cache_for(occupancy.added_tokens(demand)),
--- a/crates/routing/src/decider/dispatch.rs
+++ b/crates/routing/src/decider/dispatch.rs
@@ -31,7 +31,7 @@
             Selection::Server(_) => {
                 let retry_after = call.longest_retry_after;
                 let reason = RejectionReason::AttemptsExhausted { retry_after };
-                self.give_up(now, call, reason)
+                self.handle_unassigned(now, call, reason)
             }
             Selection::PermitIn(delay) => self.delay_for_permit(now, call, delay),
             Selection::Unavailable(RejectionReason::NoServer { retry_after: None })
@@ -41,7 +41,7 @@
                     until: now + DISCOVERY_RETRY_DELAY,
                 }
             }
-            Selection::Unavailable(reason) => self.give_up(now, call, reason),
+            Selection::Unavailable(reason) => self.handle_unassigned(now, call, reason),
         }
     }
 
--- a/crates/routing/src/decider/finish.rs
+++ b/crates/routing/src/decider/finish.rs
@@ -34,11 +34,11 @@
             return Decision::Delay { until };
         }
         let retry_after = Some(delay);
-        self.give_up(now, call, RejectionReason::NoServer { retry_after })
+        self.handle_unassigned(now, call, RejectionReason::NoServer { retry_after })
     }
 
     /// Decides on a request that no server accepts now.
-    pub(super) fn give_up(
+    pub(super) fn handle_unassigned(
         &mut self,
         now: Micros,
         call: &mut Call,
@@ -138,7 +138,7 @@
             self.baselines.record_response(service, route, elapsed);
         }
         let outcome = self.attributed_outcome(now, attempt.server, outcome);
-        self.judge(now, &attempt, &outcome);
+        self.record_attempt_outcome(now, &attempt, &outcome);
         if let Some(endpoint) = self.endpoints.get_mut(attempt.server) {
             endpoint.occupancy.remove(call.token_demand());
             endpoint.prefill_backlog.remove(attempt.pending_tokens);
--- a/crates/routing/src/decider/health.rs
+++ b/crates/routing/src/decider/health.rs
@@ -50,7 +50,7 @@
             GroupHealth::default()
         };
         let ejection_time = self.settings.ejection;
-        self.change_health(server, |outlier| {
+        self.update_outlier_detector(server, |outlier| {
             outlier.first_byte_received(now, first_byte, group, ejection_time)
         });
     }
@@ -84,7 +84,12 @@
     }
 
     /// Judges a server by the end of an attempt, with the outcome that is attributed to it.
-    pub(super) fn judge(&mut self, now: Micros, attempt: &Attempt, outcome: &Outcome) {
+    pub(super) fn record_attempt_outcome(
+        &mut self,
+        now: Micros,
+        attempt: &Attempt,
+        outcome: &Outcome,
+    ) {
         let server = attempt.server;
         let Some(endpoint) = self.endpoints.get(server) else {
             return;
@@ -94,7 +99,7 @@
             _ => self.endpoints.group_health(endpoint),
         };
         let ejection_time = self.settings.ejection;
-        self.change_health(server, |outlier| {
+        self.update_outlier_detector(server, |outlier| {
             outlier.has_trial &= !attempt.is_trial;
             outlier.attempt_finished(now, outcome, attempt.sent_at, group, ejection_time)
         });
@@ -139,7 +144,7 @@
             endpoint.is_displaced |= outcome == HealthCheckOutcome::WrongInstance;
         }
         let ejection_time = self.settings.ejection;
-        self.change_health(server, |outlier| {
+        self.update_outlier_detector(server, |outlier| {
             if has_passed {
                 outlier.health_check_passed();
                 return None;
@@ -155,7 +160,7 @@
 
     /// Changes what is known of a server's health, and records whether this ejects it or returns it
     /// to service.
-    fn change_health(
+    fn update_outlier_detector(
         &mut self,
         server: ServerHandle,
         change: impl FnOnce(&mut OutlierDetector) -> Option<EjectionCause>,
--- a/crates/routing/src/decider/pick.rs
+++ b/crates/routing/src/decider/pick.rs
@@ -143,7 +143,7 @@
             self.round_robins.clear();
         }
         let mut round_robin = self.round_robins.remove(&key).unwrap_or_default();
-        self.refresh(&mut round_robin, args);
+        self.refresh_members(&mut round_robin, args);
         let (endpoints, zone) = (&self.endpoints, &self.settings.zone);
         let position = |endpoint_index: u32| {
             let by_index = |candidate: &CandidateLoad| candidate.endpoint_index;
@@ -168,7 +168,7 @@
     }
 
     /// Brings the members of a round robin up to the current table.
-    fn refresh(&self, round_robin: &mut ShuffledRoundRobin, args: PickArgs) {
+    fn refresh_members(&self, round_robin: &mut ShuffledRoundRobin, args: PickArgs) {
         let table_version = self.endpoints.table_version();
         if round_robin.table_version != table_version {
             let servers = args.scope.servers(&self.endpoints, args.locality);
--- a/crates/routing/src/decider/pool.rs
+++ b/crates/routing/src/decider/pool.rs
@@ -28,7 +28,7 @@
     /// True if the prefill wait is long at every server of the own region and far shorter at one of
     /// another region that has capacity. What other gates have pending there is not known, so the
     /// difference must be large.
-    pub(super) fn spills_for_wait(&self, now: Micros, call: &Call, step: &SearchStep) -> bool {
+    pub(super) fn spills_over_for_wait(&self, now: Micros, call: &Call, step: &SearchStep) -> bool {
         let shortest_wait = |locality, max_utilization: f64| {
             let pool = self.pool(now, call, step, locality);
             let max_utilization = step.max_utilization.min(max_utilization);
--- a/crates/routing/src/decider/search.rs
+++ b/crates/routing/src/decider/search.rs
@@ -96,9 +96,9 @@
     ) -> Option<SelectedServer> {
         // A trial may fail, so it must be the first attempt of a request that may make another.
         let max_attempts = call.request.route.spec.max_attempts;
-        let may_fail = call.attempts() == 0 && max_attempts > 1 || !Guard::TrialFirst.on();
+        let can_retry = call.attempts() == 0 && max_attempts > 1 || !Guard::TrialFirst.on();
         let index = candidates::trial_server(&self.endpoints, scope, call, now);
-        let endpoint = self.endpoints.at(index.filter(|_| may_fail)?)?;
+        let endpoint = self.endpoints.at(index.filter(|_| can_retry)?)?;
         acquire_permit(now, endpoint, limits).ok()?;
         Some(SelectedServer {
             server: endpoint.handle,
@@ -128,14 +128,15 @@
         };
         let mut best: Option<Selection> = None;
         let mut all_loads = CandidateLoads::new();
-        let spills_for_wait = self.spills_for_wait(now, call, &step);
-        for locality in search_order(spills_for_wait) {
+        let spills_over_for_wait = self.spills_over_for_wait(now, call, &step);
+        for locality in search_order(spills_over_for_wait) {
             let pool = self.pool(now, call, &step, locality);
             if pool.is_empty() {
                 continue;
             }
             let lacks_capacity = matches!(best, Some(Selection::Unavailable(_)));
-            let spills_over = locality == Locality::Remote && (spills_for_wait || lacks_capacity);
+            let spills_over =
+                locality == Locality::Remote && (spills_over_for_wait || lacks_capacity);
             let max_utilization = if spills_over {
                 // Another region gets this region's overflow only while it has ample capacity.
                 step.max_utilization.min(self.settings.spillover_max_load)
@@ -215,8 +216,8 @@
 
 /// The order in which the localities are searched: the own region first, unless its prefill wait
 /// makes another region the better choice.
-fn search_order(spills_for_wait: bool) -> [Locality; 2] {
-    if spills_for_wait {
+fn search_order(spills_over_for_wait: bool) -> [Locality; 2] {
+    if spills_over_for_wait {
         [Locality::Remote, Locality::Local]
     } else {
         [Locality::Local, Locality::Remote]
--- a/crates/routing/src/decider/services.rs
+++ b/crates/routing/src/decider/services.rs
@@ -51,8 +51,8 @@
     let mut remaining = (point * route.total_weight as f64) as u64;
     route.spec.backends.iter().find(|backend| {
         let weight = u64::from(backend.weight);
-        let is_here = remaining < weight;
+        let contains_point = remaining < weight;
         remaining = remaining.saturating_sub(weight);
-        is_here
+        contains_point
     })
 }
--- a/crates/routing/src/decider/tests/affinity.rs
+++ b/crates/routing/src/decider/tests/affinity.rs
@@ -16,14 +16,14 @@
 
 #[test]
 fn a_key_stays_with_its_server_at_every_gate() {
-    let homes = |seed| -> Vec<Arc<str>> {
+    let assigned = |seed| -> Vec<Arc<str>> {
         let mut gate = gate(6, seed);
         (0..50)
             .map(|key| gate.serve(gate.prompt("a", key % 10)))
             .collect()
     };
-    let first = homes(1);
-    assert_eq!(first, homes(2));
+    let first = assigned(1);
+    assert_eq!(first, assigned(2));
     assert!((10..50).all(|at| first[at] == first[at - 10]));
 }
 
@@ -50,13 +50,13 @@
 
 /// Number of 500 keys that move when a server joins ten others or leaves them.
 fn moved_keys(from: usize, to: usize) -> usize {
-    let homes = |count| -> Vec<Arc<str>> {
+    let assigned = |count| -> Vec<Arc<str>> {
         let mut gate = gate(count, 1);
         (0..500)
             .map(|key| gate.serve(gate.prompt("a", key)))
             .collect()
     };
-    let (before, after) = (homes(from), homes(to));
+    let (before, after) = (assigned(from), assigned(to));
     before
         .iter()
         .zip(&after)
@@ -67,17 +67,17 @@
 #[test]
 fn keys_stay_when_another_server_joins_or_leaves() {
     assert_guarded(Guard::Rendezvous, || {
-        let homes = |count| -> Vec<Arc<str>> {
+        let assigned = |count| -> Vec<Arc<str>> {
             let mut gate = gate(count, 1);
             (0..500)
                 .map(|key| gate.serve(gate.prompt("a", key)))
                 .collect()
         };
-        let (ten, nine) = (homes(10), homes(9));
-        let even = |homes: &[Arc<str>], servers: usize| {
+        let (ten, nine) = (assigned(10), assigned(9));
+        let is_even = |assigned: &[Arc<str>], servers: usize| {
             let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-            for home in homes {
-                *counts.entry(home).or_default() += 1;
+            for instance in assigned {
+                *counts.entry(instance).or_default() += 1;
             }
             counts.len() == servers && counts.values().all(|count| *count > 500 / servers / 2)
         };
@@ -85,7 +85,7 @@
             .iter()
             .zip(&nine)
             .all(|(ten, nine)| &**ten == "i-9" || ten == nine);
-        stay && even(&ten, 10) && even(&nine, 9)
+        stay && is_even(&ten, 10) && is_even(&nine, 9)
     });
     assert!(
         (25..=80).contains(&moved_keys(10, 9)),
@@ -132,22 +132,22 @@
     let mut table = spec(vec![route("a", STREAM)], servers(0, 6, "north"));
     table.services[0].slots = 64;
     let mut gate = Gate::new(table);
-    let mut homes: Vec<Arc<str>> = (0..9)
+    let mut assigned: Vec<Arc<str>> = (0..9)
         .map(|_| {
             dispatch_of(&gate.begin(gate.prompt("a", 1)).1)
                 .expect_instance
                 .clone()
         })
         .collect();
-    homes.dedup();
-    assert_eq!(homes.len(), 1, "below the load floor the key stays");
+    assigned.dedup();
+    assert_eq!(assigned.len(), 1, "below the load floor the key stays");
 }
 
 #[test]
 fn a_key_skips_a_server_at_capacity_and_returns() {
     let mut gate = gate(4, 1);
-    let home = gate.serve(gate.prompt("a", 1));
-    let server = gate.decider.server(&home).expect("listed");
+    let assigned = gate.serve(gate.prompt("a", 1));
+    let server = gate.decider.server(&assigned).expect("listed");
     let load = LoadReport {
         running: 8,
         waiting: 2,
@@ -155,7 +155,7 @@
         kv_cache: None,
     };
     gate.decider.apply_load_report(gate.now, server, load);
-    assert_ne!(gate.serve(gate.prompt("a", 1)), home);
+    assert_ne!(gate.serve(gate.prompt("a", 1)), assigned);
     gate.decider.apply_load_report(
         gate.now,
         server,
@@ -166,7 +166,7 @@
             kv_cache: None,
         },
     );
-    assert_eq!(gate.serve(gate.prompt("a", 1)), home);
+    assert_eq!(gate.serve(gate.prompt("a", 1)), assigned);
 }
 
 #[test]
@@ -178,15 +178,19 @@
     settings.affinity_load_excess = 10.0;
     let mut gate = Gate::with_settings(table, settings, 1);
     // 500 shared and 130 of their own each: 500 + 11 * 130 fit into 2,000.
-    let homes: Vec<Arc<str>> = (0..12)
+    let assigned: Vec<Arc<str>> = (0..12)
         .map(|_| {
             dispatch_of(&gate.begin(gate.prompt("a", 1)).1)
                 .expect_instance
                 .clone()
         })
         .collect();
-    assert!(homes[..11].iter().all(|home| *home == homes[0]));
-    assert_ne!(homes[11], homes[0]);
+    assert!(
+        assigned[..11]
+            .iter()
+            .all(|instance| *instance == assigned[0])
+    );
+    assert_ne!(assigned[11], assigned[0]);
 }
 
 #[test]
@@ -219,11 +223,11 @@
 }
 
 #[test]
-fn a_key_moves_on_when_peers_have_pending_prefill_and_returns() {
+fn a_key_moves_while_peers_report_pending_prefill_and_returns() {
     assert_guarded(Guard::ShortPrefillWait, || {
         let mut gate = gate(6, 1);
         measure_prefill_rate(&mut gate);
-        let home = gate.serve(gate.prompt("a", 3));
+        let assigned = gate.serve(gate.prompt("a", 3));
         let (mut call, _) = gate.begin(Request {
             prompt_tokens: 1,
             ..gate.prompt("a", 3)
@@ -233,10 +237,10 @@
         assert_eq!(report.pending_prefill.len(), 1);
         report.pending_prefill[0].tokens = 1_000_000;
         gate.decider.apply_peer_report(gate.now, 7, &report);
-        let moved = gate.serve(gate.prompt("a", 3)) != home;
+        let moved = gate.serve(gate.prompt("a", 3)) != assigned;
         gate.decider
             .apply_peer_report(gate.now, 7, &PeerReport::default());
-        assert_eq!(gate.serve(gate.prompt("a", 3)), home);
+        assert_eq!(gate.serve(gate.prompt("a", 3)), assigned);
         moved
     });
 }
@@ -245,7 +249,7 @@
 fn an_expired_peer_report_does_not_count() {
     let mut gate = gate(6, 1);
     measure_prefill_rate(&mut gate);
-    let home = gate.serve(gate.prompt("a", 3));
+    let assigned = gate.serve(gate.prompt("a", 3));
     let (mut call, _) = gate.begin(Request {
         prompt_tokens: 1_000_000,
         ..gate.prompt("a", 3)
@@ -253,23 +257,23 @@
     let report = gate.decider.peer_report(gate.now);
     gate.finish_attempt(&mut call, Outcome::Success);
     gate.decider.apply_peer_report(gate.now, 7, &report);
-    assert_ne!(gate.serve(gate.prompt("a", 3)), home);
+    assert_ne!(gate.serve(gate.prompt("a", 3)), assigned);
     gate.now += 600_000;
-    assert_eq!(gate.serve(gate.prompt("a", 3)), home);
+    assert_eq!(gate.serve(gate.prompt("a", 3)), assigned);
 }
 
 /// Whether requests leave a region in which that many tokens are pending at each server, on a route
 /// that may leave it and on one that may not.
-fn leaves_region(waiting: u64) -> [bool; 2] {
-    let mut home = route("home", STREAM);
-    home.allowed_regions = vec!["north".into()];
+fn crosses_region_with_pending(pending_tokens: u64) -> [bool; 2] {
+    let mut restricted = route("home", STREAM);
+    restricted.allowed_regions = vec!["north".into()];
     let listed = [servers(0, 2, "north"), servers(10, 2, "south")].concat();
-    let mut gate = Gate::new(spec(vec![route("a", STREAM), home], listed));
+    let mut gate = Gate::new(spec(vec![route("a", STREAM), restricted], listed));
     measure_prefill_rate(&mut gate);
     let pending = (0..2)
         .map(|number| PendingPrefill {
             server: crate::affinity::name_hash(&format!("i-{number}")),
-            tokens: waiting,
+            tokens: pending_tokens,
         })
         .collect();
     gate.decider.apply_peer_report(
@@ -289,10 +293,10 @@
 #[test]
 fn a_long_prefill_wait_in_the_own_region_spills_over_to_another() {
     assert_guarded(Guard::SpilloverWait, || {
-        leaves_region(50_000) == [true, false]
+        crosses_region_with_pending(50_000) == [true, false]
     });
     assert_eq!(
-        leaves_region(2_000),
+        crosses_region_with_pending(2_000),
         [false, false],
         "a short wait is tolerated"
     );
@@ -314,16 +318,16 @@
         }],
         suspect: Vec::new(),
     };
-    let waiting = report.pending_prefill[0].tokens;
+    let pending_tokens = report.pending_prefill[0].tokens;
     assert!(!gate.decider.is_significant_change(&report, &report));
     assert!(
         !gate
             .decider
-            .is_significant_change(&report, &with(waiting + 10))
+            .is_significant_change(&report, &with(pending_tokens + 10))
     );
     assert!(
         gate.decider
-            .is_significant_change(&report, &with(waiting + 5_000))
+            .is_significant_change(&report, &with(pending_tokens + 5_000))
     );
     assert!(
         gate.decider
--- a/crates/routing/src/decider/tests/attempts.rs
+++ b/crates/routing/src/decider/tests/attempts.rs
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_servers_own_failure_is_forwarded() {
+fn an_error_response_of_a_server_is_forwarded() {
     let mut gate = gate(RouteKind::NonIdempotent, 3);
     assert_eq!(
         gate.fail_all_attempts(gate.request("a"), &Outcome::ServerError)
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn the_clients_own_last_event_is_forwarded() {
+fn the_last_event_id_of_the_client_is_forwarded() {
     let mut gate = gate(RouteKind::Stream { resumable: true }, 2);
     let request = Request {
         last_event: Some(5),
--- a/crates/routing/src/decider/tests/candidates.rs
+++ b/crates/routing/src/decider/tests/candidates.rs
@@ -11,7 +11,7 @@
 }
 
 /// Sends requests, and returns for each whether it went to another region.
-fn crossings(gate: &mut Gate, name: &str, requests: u64) -> Vec<bool> {
+fn region_crossings(gate: &mut Gate, name: &str, requests: u64) -> Vec<bool> {
     let crosses = |gate: &mut Gate, key| {
         let (_, decision) = gate.begin(gate.prompt(name, key));
         dispatch_of(&decision).crosses_region
@@ -23,16 +23,16 @@
 fn the_own_region_comes_first() {
     assert_guarded(Guard::OwnRegion, || {
         let mut gate = Gate::new(spec(vec![route("a", STREAM)], north_and_south()));
-        !crossings(&mut gate, "a", 12).contains(&true)
+        !region_crossings(&mut gate, "a", 12).contains(&true)
     });
 }
 
 #[test]
 fn a_gate_that_has_moved_prefers_the_servers_of_its_new_region() {
     let mut gate = Gate::new(spec(vec![route("a", STREAM)], north_and_south()));
-    crossings(&mut gate, "a", 6);
+    region_crossings(&mut gate, "a", 6);
     gate.decider.set_location("south", "south-0");
-    assert!(!crossings(&mut gate, "a", 12).contains(&true));
+    assert!(!region_crossings(&mut gate, "a", 12).contains(&true));
     let south = gate.serve(gate.prompt("a", 1));
     assert!(["i-10", "i-11", "i-12"].contains(&&*south), "{south}");
 }
@@ -45,7 +45,7 @@
         .take(3)
         .for_each(|server| server.state = ServerState::Draining);
     let mut gate = Gate::new(spec(vec![route("a", STREAM)], listed));
-    assert!(!crossings(&mut gate, "a", 6).contains(&false));
+    assert!(!region_crossings(&mut gate, "a", 6).contains(&false));
 }
 
 #[test]
@@ -54,7 +54,7 @@
         let mut restricted = route("a", STREAM);
         restricted.allowed_regions = vec!["south".into()];
         let mut gate = Gate::new(spec(vec![restricted], north_and_south()));
-        !crossings(&mut gate, "a", 12).contains(&false)
+        !region_crossings(&mut gate, "a", 12).contains(&false)
     });
 }
 
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn regions_of_route_and_request_both_bind() {
+fn a_request_uses_only_regions_that_both_it_and_its_route_allow() {
     let mut restricted = route("a", STREAM);
     restricted.allowed_regions = vec!["south".into()];
     let mut gate = Gate::new(spec(vec![restricted], north_and_south()));
@@ -177,13 +177,14 @@
         let mut gate = Gate::new(table.clone());
         let (mut call, _) = gate.begin(gate.prompt("a", 1));
         gate.finish_attempt(&mut call, Outcome::WrongInstance);
-        let dropped = matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Reject(_));
+        let is_rejected = matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Reject(_));
         gate.update_table(table.clone());
-        let dropped = dropped && matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Reject(_));
-        let mut anew = table;
-        anew.servers[0].sequence = 2;
-        gate.update_table(anew);
-        dropped && matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Send(_))
+        let is_rejected =
+            is_rejected && matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Reject(_));
+        let mut announced_again = table;
+        announced_again.servers[0].sequence = 2;
+        gate.update_table(announced_again);
+        is_rejected && matches!(gate.begin(gate.prompt("a", 1)).1, Decision::Send(_))
     });
 }
 
@@ -250,11 +251,11 @@
         let mut gate = Gate::new(spec(vec![route("a", STREAM)], listed.clone()));
         assert!(!used(&mut gate));
         gate.now += SECOND;
-        let silent = gate.decider.server("i-0").expect("it is listed");
-        gate.decider.record_liveness(gate.now, silent);
-        let heard = used(&mut gate);
+        let server = gate.decider.server("i-0").expect("it is listed");
+        gate.decider.record_liveness(gate.now, server);
+        let used_after_liveness = used(&mut gate);
         gate.now += 4 * SECOND;
-        heard && !used(&mut gate)
+        used_after_liveness && !used(&mut gate)
     });
 }
 
--- a/crates/routing/src/decider/tests/health.rs
+++ b/crates/routing/src/decider/tests/health.rs
@@ -87,10 +87,10 @@
             gate.now += 100 * MS;
             gate.decider.record_liveness(gate.now, server);
             let (mut call, decision) = gate.begin(gate.request("a"));
-            let full = dispatch_of(&decision).server == server;
+            let is_target = dispatch_of(&decision).server == server;
             gate.finish_attempt(
                 &mut call,
-                if full {
+                if is_target {
                     Outcome::ConnectFailed
                 } else {
                     Outcome::Success
@@ -108,22 +108,22 @@
         let mut gate = gate(RouteKind::Idempotent, 4);
         serve_with_faults(&mut gate, 20, &["i-0", "i-1"], |_| Outcome::ConnectFailed);
         assert_eq!(ejected_count(&gate, 4), 2);
-        slow_answers(&mut gate, 100, "i-2");
+        serve_with_slow_server(&mut gate, 100, "i-2");
         ejected_count(&gate, 4) == 2
     });
 }
 
 #[test]
-fn a_server_that_fails_a_part_of_its_requests_is_ejected() {
+fn a_server_that_fails_some_of_its_requests_is_ejected() {
     let mut gate = gate(RouteKind::Idempotent, 4);
-    let part = |attempts: usize| {
+    let every_third_fails = |attempts: usize| {
         if attempts.is_multiple_of(3) {
             Outcome::ServerError
         } else {
             Outcome::Success
         }
     };
-    let attempts = serve_with_faults(&mut gate, 400, &["i-0"], part);
+    let attempts = serve_with_faults(&mut gate, 400, &["i-0"], every_third_fails);
     assert!(attempts < 70, "{attempts} of about 100");
 }
 
@@ -133,7 +133,7 @@
     // At random rather than by number, because the number would follow the server's position in the
     // round.
     let mut rng = ironmast_balancer::Rng(7);
-    let mut part = move || {
+    let mut random_outcome = move || {
         if rng.unit() < 0.25 {
             Outcome::ServerError
         } else {
@@ -142,7 +142,7 @@
     };
     let all = ["i-0", "i-1", "i-2", "i-3"];
     // The baseline must be known first; a health check ends any ejection before that.
-    serve_with_faults(&mut gate, 300, &all, |_| part());
+    serve_with_faults(&mut gate, 300, &all, |_| random_outcome());
     let mut checks = Vec::new();
     gate.decider.due_health_checks(gate.now, &mut checks);
     for check in &checks {
@@ -150,7 +150,7 @@
             .health_check_finished(gate.now, check.server, HealthCheckOutcome::Healthy);
     }
     let ejected = (0..100).map(|_| {
-        serve_with_faults(&mut gate, 4, &all, |_| part());
+        serve_with_faults(&mut gate, 4, &all, |_| random_outcome());
         ejected_count(&gate, 4)
     });
     assert_eq!(ejected.max(), Some(0));
@@ -175,26 +175,26 @@
 #[test]
 fn a_slow_server_is_ejected() {
     let mut gate = gate(RouteKind::Idempotent, 4);
-    let slow_answered = slow_answers(&mut gate, 200, "i-0");
-    assert!(slow_answered < 30, "{slow_answered} of about 50");
+    let slow_attempts = serve_with_slow_server(&mut gate, 200, "i-0");
+    assert!(slow_attempts < 30, "{slow_attempts} of about 50");
 }
 
 /// Runs requests, of which one server takes twenty times as long as the others. Returns the number
 /// of requests that it got.
-fn slow_answers(gate: &mut Gate, requests: usize, slow: &str) -> usize {
-    let mut slow_answered = 0;
+fn serve_with_slow_server(gate: &mut Gate, requests: usize, slow: &str) -> usize {
+    let mut slow_attempts = 0;
     for _ in 0..requests {
         let (mut call, decision) = gate.begin(gate.request("a"));
-        let slow = &*dispatch_of(&decision).expect_instance == slow;
-        slow_answered += usize::from(slow);
+        let is_slow = &*dispatch_of(&decision).expect_instance == slow;
+        slow_attempts += usize::from(is_slow);
         let sent_at = gate.now;
-        gate.now += if slow { 2 * SECOND } else { 100 * MS };
+        gate.now += if is_slow { 2 * SECOND } else { 100 * MS };
         gate.decider.first_byte_received(gate.now, &mut call);
         gate.finish_attempt(&mut call, Outcome::Success);
         // The other servers' ejections must not end meanwhile.
         gate.now = sent_at + MS;
     }
-    slow_answered
+    slow_attempts
 }
 
 #[test]
@@ -256,8 +256,8 @@
         // Anything received from it makes it usable at once.
         let server = gate.decider.server("i-0").expect("listed");
         gate.decider.record_liveness(gate.now, server);
-        let open = |gate: &mut Gate| dispatch_of(&gate.begin(gate.request("a")).1).server;
-        is_detected && (0..24).any(|_| open(&mut gate) == server)
+        let next_server = |gate: &mut Gate| dispatch_of(&gate.begin(gate.request("a")).1).server;
+        is_detected && (0..24).any(|_| next_server(&mut gate) == server)
     });
 }
 
@@ -372,7 +372,7 @@
 
 /// Number of 200 requests that reach `i-0` while other gates suspect it. `heard` says whether this
 /// gate has just received something from it.
-fn reach_suspected(suspecting_gates: u64, heard: bool) -> usize {
+fn attempts_at_suspected(suspecting_gates: u64, heard: bool) -> usize {
     let mut gate = gate(RouteKind::Idempotent, 4);
     gate.now += 1_000 * MS;
     let report = PeerReport {
@@ -395,12 +395,17 @@
 
 #[test]
 fn a_server_suspected_by_several_gates_gets_no_requests() {
-    assert_guarded(Guard::UnresponsiveLast, || reach_suspected(2, false) == 0);
+    assert_guarded(Guard::UnresponsiveLast, || {
+        attempts_at_suspected(2, false) == 0
+    });
     assert!(
-        reach_suspected(1, false) > 40,
+        attempts_at_suspected(1, false) > 40,
         "the network path of one gate may be at fault"
     );
-    assert!(reach_suspected(2, true) > 40, "this gate has heard from it");
+    assert!(
+        attempts_at_suspected(2, true) > 40,
+        "this gate has heard from it"
+    );
 }
 
 #[test]
--- a/crates/routing/src/decider/tests/properties.rs
+++ b/crates/routing/src/decider/tests/properties.rs
@@ -106,7 +106,7 @@
     withdrawals: u32,
 }
 
-fn pick(rng: &mut Rng, count: usize) -> usize {
+fn random_index(rng: &mut Rng, count: usize) -> usize {
     (rng.unit() * count as f64) as usize
 }
 
@@ -120,20 +120,20 @@
         ];
         let mut routes = Vec::new();
         for (number, kind) in kinds.into_iter().enumerate() {
-            let mut home = route(&format!("home{number}"), kind);
-            home.allowed_regions = vec!["south".into()];
-            home.max_attempts = 2;
-            let mut any = route(&format!("any{number}"), kind);
-            any.max_attempts = 3;
-            routes.extend([home, any]);
+            let mut restricted = route(&format!("home{number}"), kind);
+            restricted.allowed_regions = vec!["south".into()];
+            restricted.max_attempts = 2;
+            let mut unrestricted = route(&format!("any{number}"), kind);
+            unrestricted.max_attempts = 3;
+            routes.extend([restricted, unrestricted]);
         }
-        let fleet = [
+        let listed = [
             servers(0, 5, "north"),
             servers(5, 4, "south"),
             servers(9, 2, "east"),
         ]
         .concat();
-        let table = spec(routes, fleet);
+        let table = spec(routes, listed);
         let gate = Gate::with_settings(table.clone(), Settings::new("north", "north-0"), seed);
         let (open, displaced) = (Vec::new(), BTreeSet::new());
         RandomRun {
@@ -147,19 +147,19 @@
     }
 
     /// Changes the state of servers. At times an instance is replaced by another.
-    fn change(&mut self) {
+    fn change_servers(&mut self) {
         for number in 0..self.table.servers.len() {
-            let fate = self.rng.unit();
+            let draw = self.rng.unit();
             let server = &mut self.table.servers[number];
-            server.state = if fate < 0.2 {
+            server.state = if draw < 0.2 {
                 ServerState::Draining
             } else {
                 ServerState::Ready
             };
-            server.evacuated = (0.2..0.4).contains(&fate);
-            server.warming_up = (0.4..0.5).contains(&fate);
-            server.heartbeats_missing_since = (0.5..0.6).contains(&fate).then_some(self.gate.now);
-            if fate > 0.95 {
+            server.evacuated = (0.2..0.4).contains(&draw);
+            server.warming_up = (0.4..0.5).contains(&draw);
+            server.heartbeats_missing_since = (0.5..0.6).contains(&draw).then_some(self.gate.now);
+            if draw > 0.95 {
                 server.instance = format!("{}'", server.instance).into();
             }
             if self.rng.unit() < 0.2 {
@@ -190,17 +190,17 @@
                 last_event: Some(3),
             },
         ];
-        all[pick(&mut self.rng, all.len())].clone()
+        all[random_index(&mut self.rng, all.len())].clone()
     }
 
     /// One random event. An error names the invariant that does not hold.
     fn step(&mut self) -> Result<(), &'static str> {
-        self.gate.now += pick(&mut self.rng, 80) as u64 * MS;
+        self.gate.now += random_index(&mut self.rng, 80) as u64 * MS;
         self.gate.limits.permits = u32::from(self.rng.unit() < 0.3);
         self.gate.limits.retries = u32::from(self.rng.unit() < 0.7);
-        match pick(&mut self.rng, 20) {
-            0 => self.change(),
-            9 => self.check(),
+        match random_index(&mut self.rng, 20) {
+            0 => self.change_servers(),
+            9 => self.run_health_checks(),
             1..9 => return self.begin(),
             _ if !self.open.is_empty() => return self.advance(),
             _ => {}
@@ -209,10 +209,12 @@
     }
 
     fn begin(&mut self) -> Result<(), &'static str> {
-        let spec = &self.table.routes[pick(&mut self.rng, self.table.routes.len())];
+        let spec = &self.table.routes[random_index(&mut self.rng, self.table.routes.len())];
         let (name, kind, max_attempts) = (spec.name.clone(), spec.kind, spec.max_attempts as usize);
         let allowed = spec.allowed_regions.clone();
-        let request = self.gate.prompt(&name, pick(&mut self.rng, 6) as u64);
+        let request = self
+            .gate
+            .prompt(&name, random_index(&mut self.rng, 6) as u64);
         let permits = self.gate.limits.permits;
         let (call, decision) = self.gate.begin(request);
         let (tried, may_have_run, has_unused_withdrawal, head_forwarded) =
@@ -233,7 +235,9 @@
     }
 
     fn advance(&mut self) -> Result<(), &'static str> {
-        let mut open = self.open.swap_remove(pick(&mut self.rng, self.open.len()));
+        let mut open = self
+            .open
+            .swap_remove(random_index(&mut self.rng, self.open.len()));
         let permits = self.gate.limits.permits;
         if matches!(open.decision, Decision::Delay { .. }) {
             open.decision =
@@ -272,8 +276,8 @@
             open.head_forwarded = true;
         }
         if self.rng.unit() < 0.3 {
-            let running = pick(&mut self.rng, 10) as u32;
-            let waiting = pick(&mut self.rng, 3) as u32;
+            let running = random_index(&mut self.rng, 10) as u32;
+            let waiting = random_index(&mut self.rng, 3) as u32;
             let load = LoadReport {
                 running,
                 waiting,
@@ -287,14 +291,14 @@
     }
 
     /// Runs the health checks that are due, some of which fail.
-    fn check(&mut self) {
+    fn run_health_checks(&mut self) {
         let mut checks = Vec::new();
         self.gate
             .decider
             .due_health_checks(self.gate.now, &mut checks);
         for check in checks {
-            let well = self.rng.unit() < 0.5;
-            let outcome = if well {
+            let is_healthy = self.rng.unit() < 0.5;
+            let outcome = if is_healthy {
                 HealthCheckOutcome::Healthy
             } else {
                 HealthCheckOutcome::Unhealthy
@@ -316,19 +320,19 @@
                     .servers
                     .iter()
                     .find(find)
-                    .ok_or("a server that left")?;
+                    .ok_or("a server that is not listed")?;
                 check(server.state == ServerState::Ready, "draining")?;
                 check(!server.evacuated, "evacuated")?;
                 check(!self.displaced.contains(&server.instance), "displaced")?;
-                let home =
+                let is_region_allowed =
                     open.allowed.is_empty() || open.allowed.iter().any(|r| **r == *server.region);
-                check(home, "outside of the allowed regions")?;
+                check(is_region_allowed, "outside of the allowed regions")?;
                 check(
                     !server.warming_up || permits > self.gate.limits.permits,
                     "warming up without a permit",
                 )?;
                 check(open.arrived < open.max_attempts, "too many attempts")?;
-                check(open.tried.insert(dispatch.server), "a server twice")?;
+                check(open.tried.insert(dispatch.server), "the same server twice")?;
                 check(
                     open.kind.is_idempotent() || !open.may_have_run,
                     "retried although it may have run",
@@ -336,19 +340,22 @@
                 let was_withdrawn = self.gate.limits.withdrawals > self.withdrawals;
                 check(
                     open.arrived == 0 || was_withdrawn || open.has_unused_withdrawal,
-                    "a retry that was not charged",
+                    "a retry without a withdrawal from the budget",
                 )?;
             }
             Decision::Reject(_) => check(!open.may_have_run, "rejected although it may have run")?,
             Decision::ForwardResponse | Decision::Fail { .. } => {
-                check(!open.head_forwarded, "an answer after the head of another")?;
+                check(!open.head_forwarded, "a response after the head of another")?;
             }
             Decision::AbortResponse => check(open.head_forwarded, "aborted without a head")?,
             _ => {}
         }
         self.withdrawals = self.gate.limits.withdrawals;
         if open.decision.is_final() {
-            check(open.call.is_done(), "a final decision on an open call")?;
+            check(
+                open.call.is_done(),
+                "a final decision on an unfinished call",
+            )?;
         } else {
             self.open.push(open);
         }
@@ -356,7 +363,7 @@
     }
 
     /// Cancels every open request; nothing may stay in flight.
-    fn end(mut self) -> Result<(), &'static str> {
+    fn cancel_all(mut self) -> Result<(), &'static str> {
         for open in &mut self.open {
             self.gate.decider.cancel(self.gate.now, &mut open.call);
         }
@@ -366,13 +373,13 @@
             .iter()
             .map(|server| server.instance.clone());
         let handles = instances.filter_map(|instance| self.gate.decider.server(&instance));
-        let left: u32 = handles
+        let in_flight: u32 = handles
             .map(|server| self.gate.decider.in_flight(server))
             .sum();
-        if left == 0 {
+        if in_flight == 0 {
             Ok(())
         } else {
-            Err("in flight without a call")
+            Err("an attempt in flight without a request")
         }
     }
 }
@@ -380,11 +387,11 @@
 /// Runs that many seeds. An error names the first invariant that does not hold.
 fn run_seeds(seeds: u64) -> Result<(), &'static str> {
     for seed in 0..seeds {
-        let mut play = RandomRun::new(seed);
+        let mut run = RandomRun::new(seed);
         for _ in 0..400 {
-            play.step()?;
+            run.step()?;
         }
-        play.end()?;
+        run.cancel_all()?;
     }
     Ok(())
 }
@@ -395,8 +402,8 @@
 }
 
 #[test]
-fn the_invariants_notice_each_missing_protection() {
-    let caught = [
+fn the_invariants_detect_each_disabled_protection() {
+    let violations = [
         (Guard::AllowedRegions, "outside of the allowed regions"),
         (Guard::Draining, "draining"),
         (Guard::Evacuated, "evacuated"),
@@ -404,13 +411,16 @@
         (Guard::Permit, "warming up without a permit"),
         (Guard::AtMostOnce, "retried although it may have run"),
         (Guard::MaxAttempts, "too many attempts"),
-        (Guard::RetryBudget, "a retry that was not charged"),
+        (
+            Guard::RetryBudget,
+            "a retry without a withdrawal from the budget",
+        ),
         (
             Guard::RejectOnlyUnexecuted,
             "rejected although it may have run",
         ),
     ];
-    for (guard, rule) in caught {
+    for (guard, rule) in violations {
         assert_eq!(
             without(guard, || run_seeds(60)),
             Err(rule),
--- a/crates/routing/src/decider/tests/rejections.rs
+++ b/crates/routing/src/decider/tests/rejections.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn less_urgent_requests_leave_capacity() {
+fn low_priority_requests_leave_reserved_capacity() {
     assert_guarded(Guard::PriorityReserve, || {
         let mut gate = gate();
         let (count, rejection) = accepted_before_rejection(&mut gate, "patient");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_full_server_is_left_alone_during_its_backoff() {
+fn a_server_at_capacity_gets_no_requests_during_its_backoff() {
     assert_guarded(Guard::OverloadBackoff, || {
         let mut gate = gate_without_queue(spec(
             vec![route("a", RouteKind::NonIdempotent)],
@@ -122,16 +122,16 @@
                 retry_after: Some(30 * MS),
             },
         );
-        let others =
+        let is_avoided =
             (0..4).all(|_| dispatch_of(&gate.begin(gate.request("a")).1).expect_instance != full);
         gate.now += 200 * MS;
-        others
+        is_avoided
             && (0..4).any(|_| dispatch_of(&gate.begin(gate.request("a")).1).expect_instance == full)
     });
 }
 
 #[test]
-fn another_region_is_used_for_want_of_capacity_while_it_has_ample() {
+fn requests_spill_over_to_another_region_while_it_has_ample_capacity() {
     let listed = [servers(0, 1, "north"), servers(1, 1, "south")].concat();
     let mut gate = gate_without_queue(spec(vec![route("a", RouteKind::Idempotent)], listed));
     let sent: Vec<bool> = (0..20)
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn connections_are_shared_among_the_gates() {
+fn the_connection_limit_is_shared_among_the_gates() {
     let mut table = spec(
         vec![route("a", RouteKind::Idempotent)],
         servers(0, 1, "north"),
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_retry_delay_is_no_longer_than_clients_honour() {
+fn a_retry_delay_is_limited_to_a_third_of_the_time_until_the_deadline() {
     let mut gate = gate();
     let request = Request {
         deadline: Some(gate.now + 900 * MS),
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_request_that_was_not_executed_without_attempts_left_may_be_retried_at_once() {
+fn a_rejection_after_the_last_attempt_allows_an_immediate_retry() {
     let mut single = route("a", RouteKind::NonIdempotent);
     single.max_attempts = 1;
     let mut gate = gate_without_queue(spec(vec![single], servers(0, 3, "north")));
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn less_urgent_requests_leave_kv_cache_too() {
+fn low_priority_requests_leave_reserved_kv_cache() {
     let mut patient = route("patient", RouteKind::Stream { resumable: false });
     patient.priority = 4;
     let urgent = route("urgent", RouteKind::Stream { resumable: false });
--- a/crates/routing/src/decider/tests/returns.rs
+++ b/crates/routing/src/decider/tests/returns.rs
@@ -69,8 +69,8 @@
         let (mut gate, server) = gate_with_ejected_server(RouteKind::Idempotent);
         let (mut call, _) = gate.begin(gate.request("a"));
         gate.now += 8 * SECOND;
-        let repeat = gate.finish_attempt(&mut call, Outcome::Reset);
-        dispatch_of(&repeat).server != server
+        let retry = gate.finish_attempt(&mut call, Outcome::Reset);
+        dispatch_of(&retry).server != server
     });
     let mut single = route("a", RouteKind::Idempotent);
     (single.affinity, single.max_attempts) = (false, 1);
@@ -89,17 +89,17 @@
         loop {
             gate.now += 50 * MS;
             let (mut call, decision) = gate.begin(gate.request("a"));
-            let trial = dispatch_of(&decision).server == server;
+            let is_trial = dispatch_of(&decision).server == server;
             gate.finish_attempt(
                 &mut call,
-                if trial {
+                if is_trial {
                     Outcome::ConnectFailed
                 } else {
                     Outcome::Success
                 },
             );
             gate.decider.cancel(gate.now, &mut call);
-            if trial {
+            if is_trial {
                 break;
             }
         }
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn health_outlives_a_table_update_and_a_new_instance_starts_fresh() {
+fn an_ejection_survives_a_table_update_but_does_not_apply_to_a_new_instance() {
     let (mut gate, server) = gate_with_ejected_server(RouteKind::Idempotent);
     let mut route = route("a", RouteKind::Idempotent);
     route.affinity = false;
@@ -154,6 +154,6 @@
     assert!(gate.decider.is_ejected(server));
     table.servers[0].instance = Arc::from("i-new");
     gate.update_table(table);
-    let anew = gate.decider.server("i-new").expect("listed");
-    assert!(!gate.decider.is_ejected(anew) && gate.decider.server("i-0").is_none());
+    let new_server = gate.decider.server("i-new").expect("listed");
+    assert!(!gate.decider.is_ejected(new_server) && gate.decider.server("i-0").is_none());
 }
