--- a/crates/routing/src/decider.rs
+++ b/crates/routing/src/decider.rs
@@ -1,6 +1,6 @@
-//! The decider handles events (requests, ends of attempts, reports and tables) and decides what is
-//! done with each request. This file has its state and its interface for events; the decisions
-//! themselves are in the submodules.
+//! The decider: for each event (a request, the end of an attempt, a report or a table) it updates
+//! its state and decides what happens to the request. This file holds the state and the event
+//! interface; the submodules hold the decisions.
 
 mod candidate_load;
 mod dispatch;
@@ -37,7 +37,8 @@
 use crate::traffic_split::TrafficSplits;
 use pick::RoundRobinKey;
 
-/// The decisions of one gate.
+/// Routing decisions of one gate: which server a request is sent to, whether it is retried, delayed
+/// or rejected, and which servers are ejected.
 #[derive(Debug)]
 pub struct Decider {
     settings: Settings,
@@ -51,18 +52,19 @@
     retry_schedule: RetrySchedule,
     traffic_splits: TrafficSplits,
     reachability: RegionReachability,
-    /// Until this clock reading there may be servers that the table does not list yet.
+    /// Clock reading until which the table may lack servers that are still being discovered.
     discovery_until: Micros,
-    /// Number of ejections so far.
+    /// Number of ejections since the start.
     ejections: u64,
     ejection_changes: Vec<EjectionChange>,
 }
 
 impl Decider {
-    /// A decider that knows no route and no server yet.
+    /// Creates a decider with an empty table. `seed` initializes its random numbers: the same seed
+    /// and events give the same decisions.
     ///
     /// # Errors
-    /// A setting is out of range.
+    /// Returns the first setting that is out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Decider {
@@ -82,7 +84,8 @@
         })
     }
 
-    /// Moves the gate to a region and a zone. What is known of other regions is dropped.
+    /// Changes the region and zone of the gate. Drops the reachability of other regions and the
+    /// round robins, which depend on the location.
     pub fn set_location(&mut self, region: &str, zone: &str) {
         if *self.settings.region == *region && *self.settings.zone == *zone {
             return;
@@ -93,13 +96,14 @@
         self.round_robins.clear();
     }
 
-    /// The current table.
+    /// The current table of routes, services and servers.
     #[must_use]
     pub fn table(&self) -> &Arc<Table> {
         &self.table
     }
 
-    /// Replaces the current table. What is known of servers that stay is kept.
+    /// Replaces the current table. Servers that are still listed keep their load, health and
+    /// liveness.
     pub fn update_table(&mut self, now: Micros, table: Arc<Table>) {
         self.endpoints.apply_table(now, &table);
         if !self.table.shares_routes(&table) {
@@ -108,7 +112,7 @@
         self.table = table;
     }
 
-    /// Drops what is kept of routes and services that a table no longer has.
+    /// Drops the state of routes and services that are not in the new table.
     fn drop_obsolete_state(&mut self, table: &Table) {
         let routes = table.router().routes();
         let route_names: FxHashSet<&str> = routes.map(|route| route.spec.name.as_ref()).collect();
@@ -121,14 +125,14 @@
         self.prefill_rates.retain(|name, _| service_exists(name));
     }
 
-    /// Until that clock reading, a request for which no server is listed waits for one, because
-    /// servers are discovered one after the other after a start.
+    /// Lets requests for which no server is listed wait for one until that time, instead of being
+    /// rejected, because servers are discovered one after the other after a start.
     pub fn allow_discovery_until(&mut self, until: Micros) {
         self.discovery_until = until;
     }
 
-    /// Starts a request. The call must be passed back at each of its events until a decision is
-    /// final.
+    /// Starts a request and makes the first decision on it. The returned call must be passed back
+    /// at each event of the request until a decision is final.
     pub fn begin<L: Permits + RetryBudget>(
         &mut self,
         now: Micros,
@@ -140,7 +144,8 @@
         (call, decision)
     }
 
-    /// Decides again on a delayed request.
+    /// Decides on a request again after [`Decision::Delay`]. Returns [`Decision::Finished`] if the
+    /// request has ended or has an attempt in flight.
     pub fn resume<L: Permits + RetryBudget>(
         &mut self,
         now: Micros,
@@ -153,7 +158,7 @@
         self.assign(now, call, limits)
     }
 
-    /// Records how the attempt in flight ended, and decides what follows.
+    /// Records how the attempt in flight ended, and decides whether the request is retried or ends.
     #[expect(
         clippy::needless_pass_by_value,
         reason = "the outcome is an event that the decider consumes"
@@ -174,8 +179,8 @@
         }
     }
 
-    /// Ends a request whose client has disconnected, and releases what the request occupies. Has no
-    /// effect after a final decision.
+    /// Ends a request whose client has disconnected, and releases the capacity that the request
+    /// occupies. Has no effect after a final decision.
     pub fn cancel(&mut self, now: Micros, call: &mut Call) {
         if !call.is_finished {
             self.finish_attempt(now, call, &Outcome::Cancelled);
@@ -184,8 +189,9 @@
     }
 
     /// Records that the head of a successful response, or a complete event of a stream, was
-    /// forwarded to the client. A failure is reported to [`Decider::attempt_finished`] instead,
-    /// before any of its response is forwarded, and the decision says whether to forward it.
+    /// forwarded to the client. `event` is the ID of that event, after which a stream can resume.
+    /// An error response must be reported to [`Decider::attempt_finished`] before any of it is
+    /// forwarded; the decision tells whether to forward it.
     pub fn response_forwarded(&mut self, now: Micros, call: &mut Call, event: Option<u64>) {
         call.head_forwarded = true;
         call.last_event = event.or(call.last_event);
@@ -204,7 +210,7 @@
         }
     }
 
-    /// Records that anything was received from a server.
+    /// Records that something was received from a server: the server and its region count as alive.
     pub fn record_liveness(&mut self, now: Micros, server: ServerHandle) {
         if let Some(endpoint) = self.endpoints.get_mut(server) {
             endpoint.last_heard = now;
@@ -213,13 +219,13 @@
         }
     }
 
-    /// The handle of an instance.
+    /// The handle of the server with this instance ID; `None` if no such server is known.
     #[must_use]
     pub fn server(&self, instance: &str) -> Option<ServerHandle> {
         self.endpoints.handle(instance)
     }
 
-    /// Number of this gate's attempts in flight at a server.
+    /// Number of attempts of this gate in flight at a server; 0 if the server is unknown.
     #[must_use]
     pub fn in_flight(&self, server: ServerHandle) -> u32 {
         let endpoint = self.endpoints.get(server);
--- a/crates/routing/src/decider/candidate_load.rs
+++ b/crates/routing/src/decider/candidate_load.rs
@@ -1,4 +1,4 @@
-//! The loads of the candidates for one request, and whether they have capacity for it.
+//! The load of each candidate for a request, and whether the candidate has capacity for it.
 
 use ironmast_balancer::Micros;
 use smallvec::SmallVec;
@@ -15,34 +15,36 @@
 #[derive(Clone, Copy, Debug)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "independent facts, each tested by one step of the choice"
+    reason = "independent facts, each tested by one step of the pick"
 )]
 pub(super) struct CandidateLoad {
     /// Index of the server in the endpoint table.
     pub(super) endpoint_index: u32,
-    /// Hash of its instance.
+    /// Hash of the instance ID.
     pub(super) hash: u64,
     load: Load,
-    /// Used fraction of its capacity.
+    /// Used fraction of the server's capacity; above 1 while requests queue.
     pub(super) utilization: f64,
-    /// Time until its pending prompts have been prefilled, in microseconds.
+    /// Time until the prompts pending at the server have been prefilled, in microseconds.
     pub(super) prefill_wait: f64,
-    /// It has capacity for a request of this priority.
+    /// The server has capacity for this request.
     pub(super) has_capacity: bool,
-    /// It has capacity for the most urgent request.
+    /// The server has capacity for a request of the highest priority.
     pub(super) has_capacity_for_urgent: bool,
-    /// Its KV cache has capacity for the complete request.
+    /// The KV cache of the server has capacity for the complete request.
     pub(super) has_kv_cache: bool,
-    /// Requests are waiting in its queue.
+    /// Requests are waiting in the queue of the server.
     has_queue: bool,
+    /// End of the server's backoff after it rejected a request for overload.
     pub(super) backoff_until: Micros,
 }
 
+/// The loads of a pool of candidates.
 pub(super) type CandidateLoads = SmallVec<[CandidateLoad; 64]>;
 
 impl Decider {
-    /// The utilization up to which a server is filled for a request of that priority and random
-    /// number.
+    /// The admission limit: the utilization below which a server of the service accepts a request
+    /// with this priority and random number (see [`admission::max_utilization`]).
     pub(super) fn max_utilization(
         &self,
         call: &Call,
@@ -54,8 +56,8 @@
             priority,
             admission_draw: chance,
             response_time: self.response_time(call),
-            // The same for all routes of the service: otherwise a less urgent request with a longer
-            // objective would be admitted before a more urgent one.
+            // All routes of the service share one objective: otherwise a less urgent request with a
+            // longer objective would be admitted before a more urgent one.
             objective: self.shortest_objective(service),
         };
         admission::max_utilization(&self.settings, inputs)
@@ -97,7 +99,7 @@
                 prefill_wait: prefill_rate.time_for(endpoint.prefill_backlog.total(now)),
                 has_capacity: is_available && utilization < max_utilization,
                 has_capacity_for_urgent: is_available && utilization < max_utilization_for_urgent,
-                // Which prefixes it already has matters only if its KV cache is short.
+                // Shared prefixes are looked up only if the complete request does not fit.
                 has_kv_cache: load.has_kv_cache_for(demand.total())
                     || load.has_kv_cache_for(occupancy.added_tokens(demand)),
                 has_queue: occupancy.has_queue(now, max_age),
@@ -110,8 +112,8 @@
     }
 }
 
-/// True if the candidates are loaded enough to reject a request for lack of capacity: a sufficient
-/// share of their slots is in use, or requests are waiting.
+/// True if the candidates are loaded enough to reject a request for lack of capacity: at least
+/// [`MIN_OVERLOAD_SHARE`] of their slots are in use, or requests are waiting.
 pub(super) fn is_overloaded(candidates: &CandidateLoads) -> bool {
     let slots: f64 = candidates
         .iter()
--- a/crates/routing/src/decider/dispatch.rs
+++ b/crates/routing/src/decider/dispatch.rs
@@ -1,4 +1,4 @@
-//! Assigning a request to a server: the search, the retry budget, and the attempt that results.
+//! Dispatch of a request to a server: the search, the retry budget, and the new attempt.
 
 use ironmast_balancer::Micros;
 
@@ -13,11 +13,11 @@
 use crate::rejection::RejectionReason;
 use crate::request::{Attempt, Call};
 
-/// Delay after which a request for which no server is listed yet searches again, in microseconds.
+/// Interval at which a request searches again while no server is listed for it, in microseconds.
 const DISCOVERY_RETRY_DELAY: Micros = 30_000;
 
 impl Decider {
-    /// Finds a server for the request, or decides what happens instead.
+    /// Assigns the request to a server, or delays, rejects or ends it if none accepts it.
     pub(super) fn assign<L: Permits + RetryBudget>(
         &mut self,
         now: Micros,
@@ -45,7 +45,8 @@
         }
     }
 
-    /// True if the request may wait for a server to be discovered, at most for half of its time.
+    /// True if the request may wait for a server to be discovered: before its first attempt, and at
+    /// most for half of the time from its start to its deadline.
     fn may_await_discovery(&self, now: Micros, call: &Call) -> bool {
         let time = call.deadline().saturating_sub(call.started_at);
         let is_in_first_half = now < call.started_at + time / 2;
@@ -53,11 +54,10 @@
         is_discovering && is_in_first_half && call.attempts() == 0
     }
 
-    /// Withdraws a retry from the budget of the server's service if the next attempt is one. Returns
-    /// false if the budget is exhausted.
+    /// Withdraws a retry from the budget of the server's service if the next attempt is a retry,
+    /// that is, if an earlier attempt may have arrived. Returns false if the budget is exhausted.
     ///
-    /// An attempt is a retry if an earlier one may have arrived. The withdrawal for a retry that was
-    /// never sent counts for the next one.
+    /// The withdrawal for a retry that was never sent is used for the next one.
     fn withdraw_retry<L: RetryBudget>(
         &self,
         now: Micros,
@@ -78,7 +78,7 @@
         call.is_retry_withdrawn
     }
 
-    /// Records an attempt at the selected server, and returns what the gate needs to send it.
+    /// Records an attempt at the selected server, and returns the parameters for sending it.
     fn dispatch(&mut self, now: Micros, call: &mut Call, selected: SelectedServer) -> Dispatch {
         let priority = self.queue_priority(call, selected);
         let endpoint = self
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The value of the `Priority` header at the selected server.
+    /// Queue priority of the request at the selected server, the value of the `Priority` header.
     fn queue_priority(&self, call: &Call, selected: SelectedServer) -> u8 {
         let endpoint = self.endpoints.get(selected.server);
         let service = endpoint.and_then(|endpoint| self.table.service(&endpoint.spec.service));
--- a/crates/routing/src/decider/finish.rs
+++ b/crates/routing/src/decider/finish.rs
@@ -1,5 +1,5 @@
-//! The end of attempts and requests: releasing what an attempt occupied, delaying a request that no
-//! server accepts yet, rejecting it, and the final decision.
+//! The end of attempts and requests: releases the capacity that an attempt occupied, delays or
+//! rejects a request that no server accepts, and makes the final decision.
 
 use ironmast_balancer::Micros;
 
@@ -11,15 +11,16 @@
 use crate::request::Call;
 use crate::retry;
 
-/// Delay before a server is searched again for a truncated stream, in microseconds.
+/// Interval at which a truncated stream searches again for a server to resume at, in microseconds.
 const RESUME_RETRY_DELAY: Micros = 50_000;
-/// Time for which a server is searched for a truncated stream, in microseconds: half of the
+/// Time after its truncation for which a stream searches for a server, in microseconds: half of the
 /// shortest silence that clients tolerate.
 const MAX_RESUME_TIME: Micros = 1_000_000;
 
 impl Decider {
-    /// Delays a request for which only servers without a permit are left, if the permit is
-    /// available soon.
+    /// Delays a request for which only servers that are warming up are left, if a permit may be
+    /// available soon: within the configured share of the latency objective and before the
+    /// deadline. Otherwise the request is rejected or ends.
     pub(super) fn delay_for_permit(
         &mut self,
         now: Micros,
@@ -37,14 +38,17 @@
         self.handle_unassigned(now, call, RejectionReason::NoServer { retry_after })
     }
 
-    /// Decides on a request that no server accepts now.
+    /// Decides on a request that cannot be assigned to a server now. A truncated stream is delayed
+    /// and searches again for up to [`MAX_RESUME_TIME`]. A request that cannot have been executed
+    /// is rejected; otherwise the outcome of the latest attempt decides.
     pub(super) fn handle_unassigned(
         &mut self,
         now: Micros,
         call: &mut Call,
         reason: RejectionReason,
     ) -> Decision {
-        // The client has a part of the stream already, so a few more searches are made for it.
+        // The client has already received a part of the stream, so the search is repeated for a
+        // while before the request fails.
         let may_resume = call
             .truncated_at
             .is_some_and(|truncated_at| now < truncated_at.saturating_add(MAX_RESUME_TIME));
@@ -61,8 +65,8 @@
         self.finish(now, call, decision)
     }
 
-    /// Makes the final decision on a request. If nothing can have been executed, a failure becomes
-    /// a rejection, which promises that.
+    /// Makes the final decision on a request. A failure becomes a rejection if the request cannot
+    /// have been executed, because a rejection tells the client that a retry is safe.
     pub(super) fn finish(&mut self, now: Micros, call: &mut Call, decision: Decision) -> Decision {
         let is_failure = matches!(decision, Decision::Fail { .. } | Decision::ForwardResponse);
         if is_failure && !call.head_forwarded && !call.may_have_run() {
@@ -77,11 +81,12 @@
         decision
     }
 
+    /// Rejects a request with the status and retry delay that the reason implies.
     fn reject(&mut self, now: Micros, call: &mut Call, reason: RejectionReason) -> Decision {
         call.is_finished = true;
         let (status, delay) = match reason {
-            // There were servers, but none is left: the delay that they asked for is the best
-            // estimate.
+            // Servers were tried, but none is left: the longest delay that they asked for is the
+            // best estimate.
             RejectionReason::NoServer { retry_after: None } if call.longest_retry_after > 0 => {
                 (RejectionStatus::Unavailable, call.longest_retry_after)
             }
@@ -108,8 +113,8 @@
         Decision::Reject(rejection)
     }
 
-    /// Time until the next slot of the request's service that is not yet promised to another
-    /// client.
+    /// Time until the next slot of the request's service becomes free that is not yet promised to
+    /// another client.
     fn delay_until_slot(&mut self, now: Micros, call: &Call, wait: SlotWait) -> Micros {
         let max = self.settings.retry_after.max;
         let delay = match &call.service {
@@ -121,8 +126,8 @@
         delay.max(wait.backoff)
     }
 
-    /// Ends the attempt in flight, judges its server, and releases what the attempt occupied there.
-    /// Returns false if no attempt is in flight.
+    /// Ends the attempt in flight, updates the health of its server, and releases the capacity that
+    /// the attempt occupied there. Returns false if no attempt is in flight.
     pub(super) fn finish_attempt(
         &mut self,
         now: Micros,
--- a/crates/routing/src/decider/health.rs
+++ b/crates/routing/src/decider/health.rs
@@ -1,4 +1,5 @@
-//! What attempts, first bytes and health checks show of a server, and the ejections that result.
+//! Outlier detection: ends of attempts, first bytes and health checks update the health of a server
+//! and may eject it or return it to service.
 
 use ironmast_balancer::Micros;
 
@@ -10,12 +11,13 @@
 use crate::outlier::{EjectionCause, FirstByte, GroupHealth, OutlierDetector};
 use crate::request::{Attempt, Call};
 
-/// Maximum number of ejection changes that are kept until the gate takes them. Later ones are
-/// dropped.
+/// Maximum number of ejection changes that are buffered until the gate takes them. Further changes
+/// are dropped.
 const MAX_EJECTION_CHANGES: usize = 256;
 
 impl Decider {
-    /// Records that the first byte of a response was received.
+    /// Records that the first byte of a response was received. Its latency updates the baseline of
+    /// the route and the prefill rate, and may eject the server as slow.
     pub fn first_byte_received(&mut self, now: Micros, call: &mut Call) {
         call.last_byte_at = now;
         let route = call.request.route.clone();
@@ -55,7 +57,8 @@
         });
     }
 
-    /// The outcome of an attempt as it is attributed to its server.
+    /// The outcome of an attempt that its server is held responsible for, which may differ from the
+    /// outcome that the gate observed.
     pub(super) fn attributed_outcome(
         &self,
         now: Micros,
@@ -74,8 +77,8 @@
             {
                 Outcome::Timeout
             }
-            // A server that responds to other requests but accepts no connection is overloaded. All
-            // connections to a dead server break.
+            // A server that accepts no connection but responds to other requests is overloaded, not
+            // dead: all connections to a dead server break.
             Outcome::ConnectFailed if serves_others && Guard::ConnectFailureOfLiveServer.on() => {
                 Outcome::NotExecuted { retry_after: None }
             }
@@ -83,7 +86,8 @@
         }
     }
 
-    /// Judges a server by the end of an attempt, with the outcome that is attributed to it.
+    /// Updates the health, liveness and reachability of a server by the outcome of an attempt, as
+    /// attributed to it.
     pub(super) fn record_attempt_outcome(
         &mut self,
         now: Micros,
@@ -120,8 +124,9 @@
         }
     }
 
-    /// Records how a health check ended. A failed check ejects a server in service only if the
-    /// server has been unresponsive for long as well.
+    /// Records how a health check ended. A passed check returns an ejected server to service. A
+    /// failed one prolongs an ejection; it ejects a server in service only if the server has also
+    /// been unresponsive for twice the `unresponsive_after` setting.
     pub fn health_check_finished(
         &mut self,
         now: Micros,
@@ -158,8 +163,8 @@
         });
     }
 
-    /// Changes what is known of a server's health, and records whether this ejects it or returns it
-    /// to service.
+    /// Applies a change to the outlier detector of a server. If this ejects the server or returns
+    /// it to service, the change is buffered for [`Decider::take_ejection_changes`].
     fn update_outlier_detector(
         &mut self,
         server: ServerHandle,
@@ -181,19 +186,22 @@
         }
     }
 
-    /// Returns the ejections and returns to service since the last call, and forgets them.
+    /// Takes the ejections and returns to service since the last call, in order. At most 256 are
+    /// buffered; further ones are dropped.
     pub fn take_ejection_changes(&mut self) -> Vec<EjectionChange> {
         std::mem::take(&mut self.ejection_changes)
     }
 
-    /// True if a server is ejected.
+    /// True if a server is ejected. An ejection lasts until a later attempt or a health
+    /// check succeeds.
     #[must_use]
     pub fn is_ejected(&self, server: ServerHandle) -> bool {
         let endpoint = self.endpoints.get(server);
         endpoint.is_some_and(|endpoint| endpoint.outlier.ejection().is_some())
     }
 
-    /// Number of ejections so far, prolonged ones included.
+    /// Number of ejections since the start. An ejection that a failed attempt or a slow first byte
+    /// prolongs counts again; one that a failed health check prolongs does not.
     #[must_use]
     pub fn ejections(&self) -> u64 {
         self.ejections
--- a/crates/routing/src/decider/liveness.rs
+++ b/crates/routing/src/decider/liveness.rs
@@ -1,5 +1,5 @@
-//! Checks of attempts, servers and regions from which nothing is received: when an attempt has
-//! stalled, and which health checks are due.
+//! Liveness: decides whether an attempt without progress has stalled, and which servers are due for
+//! a health check.
 
 use ironmast_balancer::Micros;
 
@@ -9,23 +9,24 @@
 use crate::request::Call;
 use crate::table::RouteKind;
 
-/// An attempt without a first byte is stalled after this multiple of the average.
+/// An attempt without a first byte is stalled after this multiple of the average time to the first
+/// byte.
 const STALL_FACTOR: f64 = 4.0;
-/// A stream is stalled after this multiple of its longest acceptable gap.
+/// A stream is stalled after this multiple of the longest acceptable gap between its events.
 const STREAM_STALL_FACTOR: u64 = 2;
-/// A stream is not stalled before this, in microseconds.
+/// Minimum time without a byte after which a stream is stalled, in microseconds.
 const MIN_STREAM_STALL: Micros = 1_000_000;
 
-/// A server that owes a response is sent a health check after this multiple of the time after which
-/// it is unresponsive.
+/// A server that owes a response is sent a health check once it has been silent for this multiple
+/// of the `unresponsive_after` setting.
 const LONG_UNRESPONSIVE_FACTOR: u64 = 2;
-/// Interval of these health checks, in microseconds.
+/// Interval of the health checks of an unresponsive server, in microseconds.
 const HEALTH_CHECK_INTERVAL: Micros = 2_000_000;
 
 impl Decider {
-    /// Decides on an attempt on which nothing has been received for a while. It is ended only if
-    /// nothing at all was received from its server, because a server that answers other requests is
-    /// still working on this one.
+    /// Decides whether the attempt in flight has stalled and the request fails over to another
+    /// server. The attempt goes on as long as anything is received from its server, because a
+    /// server that answers other requests is still working on this one.
     #[must_use]
     pub fn check_progress(&self, now: Micros, call: &Call) -> ProgressCheck {
         let latest = call.attempts.last();
@@ -46,8 +47,9 @@
         }
     }
 
-    /// Time without any byte from the server after which the request fails over; `None` if it
-    /// cannot.
+    /// Time without any byte from the server after which the request fails over; `None` if the
+    /// request must not, because it is not idempotent, has no attempt left, or has forwarded the
+    /// head of a response that has no limit on its gaps.
     fn stall_timeout(&self, call: &Call) -> Option<Micros> {
         let spec = &call.request.route.spec;
         if !call.is_idempotent() || call.arrived_attempts() >= spec.max_attempts as usize {
@@ -63,9 +65,10 @@
         Some((timeout as Micros).max(call.latency_objective()))
     }
 
-    /// Appends the health checks that are due: of ejected servers that no request has tried since
-    /// their ejection ended, of servers that have been unresponsive for long, and of one server of
-    /// each unreachable region.
+    /// Appends the health checks that are due to `checks`: of ejected servers that no request has
+    /// tried since their ejection ended, of servers that have been unresponsive for twice the
+    /// `unresponsive_after` setting, and of one server of each unreachable region. Each counts as
+    /// started; its result is due in [`Decider::health_check_finished`].
     pub fn due_health_checks(&mut self, now: Micros, checks: &mut Vec<HealthCheck>) {
         let first = checks.len();
         let listed = self.endpoints.listed();
@@ -80,6 +83,7 @@
         }
     }
 
+    /// The health check of a server; `None` if its service is not in the table.
     fn health_check(&self, endpoint: &Endpoint) -> Option<HealthCheck> {
         let service = self.table.service(&endpoint.spec.service)?;
         let service = &self.table.services()[service as usize];
@@ -91,8 +95,8 @@
         })
     }
 
-    /// Appends a health check of the server in each unreachable region that was checked longest
-    /// ago. Its response makes the region reachable again.
+    /// Appends a health check of the least recently checked server in each unreachable region. A
+    /// response makes the region reachable again.
     fn check_unreachable_regions(&mut self, now: Micros, checks: &mut Vec<HealthCheck>) {
         let servers = self.least_recently_checked(now);
         let due: Vec<_> = servers
@@ -109,7 +113,7 @@
         }
     }
 
-    /// The eligible server of each unreachable region that was checked longest ago.
+    /// The least recently checked eligible server of each unreachable region.
     fn least_recently_checked(&self, now: Micros) -> Vec<&Endpoint> {
         let mut servers: Vec<&Endpoint> = Vec::new();
         let listed = self.endpoints.listed();
@@ -129,7 +133,8 @@
         servers
     }
 
-    /// True if another region is unreachable, judged by its servers of all services.
+    /// True if the region is not the own one and is unreachable, judged by its servers of all
+    /// services.
     fn is_unreachable_region(&self, now: Micros, region: &str) -> bool {
         let timeout = self.settings.unresponsive_after;
         let unresponsive = || {
@@ -145,6 +150,9 @@
                 .is_unreachable(now, region, timeout, unresponsive)
     }
 
+    /// True if the server is due for a health check: because no trial has begun for
+    /// `health_check_after` since its ejection ended, or because it has been unresponsive for long
+    /// and was not checked within the interval.
     fn is_health_check_due(&self, now: Micros, endpoint: &Endpoint) -> bool {
         if !endpoint.is_eligible() || endpoint.outlier.has_trial {
             return false;
@@ -161,8 +169,8 @@
         self.is_long_unresponsive(now, endpoint) && due_at <= now
     }
 
-    /// True if a server owes a response and has been silent for much longer than makes it
-    /// unresponsive.
+    /// True if a server owes a response and has been silent for [`LONG_UNRESPONSIVE_FACTOR`] times
+    /// the `unresponsive_after` setting.
     pub(super) fn is_long_unresponsive(&self, now: Micros, endpoint: &Endpoint) -> bool {
         let timeout = self.settings.unresponsive_after;
         endpoint.is_unresponsive(now, timeout.saturating_mul(LONG_UNRESPONSIVE_FACTOR))
--- a/crates/routing/src/decider/peer_reports.rs
+++ b/crates/routing/src/decider/peer_reports.rs
@@ -1,5 +1,5 @@
-//! Reports between gates on pending prefill and suspected servers, and the prefill rates that
-//! convert pending tokens into time.
+//! Reports exchanged between gates about pending prefill and suspect servers, and the prefill rates
+//! that convert pending tokens into time.
 
 use ironmast_balancer::Micros;
 
@@ -14,7 +14,8 @@
 const SIGNIFICANT_CHANGE: f64 = 0.02;
 
 impl Decider {
-    /// The report of this gate to the other gates of its region.
+    /// The report of this gate to the other gates of its region: the tokens that its requests have
+    /// pending at each server, and the servers that it suspects.
     #[must_use]
     pub fn peer_report(&self, now: Micros) -> PeerReport {
         let timeout = self.settings.unresponsive_after;
@@ -33,7 +34,9 @@
         }
     }
 
-    /// True if a report differs from the one sent last by enough to change a decision.
+    /// True if the current report differs from the one sent last by enough to change a decision of
+    /// a peer: if the set of suspect servers differs, or if the prefill of the difference in pending
+    /// tokens at a server takes at least 2% of the latency objective of the service.
     #[must_use]
     pub fn is_significant_change(&self, sent: &PeerReport, current: &PeerReport) -> bool {
         if sent.suspect != current.suspect {
@@ -47,8 +50,8 @@
         })
     }
 
-    /// True if a change of the pending tokens at a server is significant. While the prefill rate is
-    /// unknown, every change is.
+    /// True if a change of the pending tokens at a server is significant. Every change is while the
+    /// prefill rate is unknown.
     fn is_significant(&self, endpoint: &Endpoint, change: u64) -> bool {
         let Some(service) = self.table.service(&endpoint.spec.service) else {
             return false;
@@ -73,7 +76,8 @@
         }
     }
 
-    /// Records that a server prefilled a prompt and what was ahead of it, `backlog` tokens in all.
+    /// Records that a server has prefilled a prompt: its `pending_tokens` are no longer pending,
+    /// and `backlog` tokens, those ahead of it included, took `elapsed`.
     pub(super) fn record_prefill(
         &mut self,
         server: ServerHandle,
@@ -85,7 +89,7 @@
             return;
         };
         endpoint.prefill_backlog.remove(pending_tokens);
-        // The time to another region would distort the rate.
+        // The network latency to another region would distort the rate.
         let is_local = *endpoint.spec.region == *self.settings.region;
         if backlog > 0 && is_local {
             let service = endpoint.spec.service.clone();
@@ -107,7 +111,7 @@
     }
 }
 
-/// Tokens pending at a server according to a report.
+/// Tokens pending at a server according to a report; 0 if it does not list the server.
 fn pending_tokens(report: &PeerReport, server: u64) -> u64 {
     let mut pending = report.pending_prefill.iter();
     let here = pending.find(|pending| pending.server == server);
--- a/crates/routing/src/decider/pick.rs
+++ b/crates/routing/src/decider/pick.rs
@@ -1,5 +1,5 @@
-//! The picker (gRPC's term): the choice of one server from a pool of candidates by prefix affinity or
-//! round robin, and the reason if none has capacity.
+//! The picker (as in gRPC): picks one server from a pool of candidates by prefix affinity or round
+//! robin, and reports why if none has capacity.
 
 use ironmast_balancer::Micros;
 use smallvec::SmallVec;
@@ -16,29 +16,29 @@
 use crate::request::Call;
 use crate::round_robin::ShuffledRoundRobin;
 
-/// Maximum number of round robins that are kept. One is in use for each combination of service,
-/// locality and allowed regions.
+/// Maximum number of round robins that are kept, one for each combination of service, locality and
+/// allowed regions. All are dropped when one more is needed.
 const MAX_ROUND_ROBINS: usize = 4096;
 
-/// What a round robin is kept for.
+/// Key of a round robin: the set of servers that the requests are balanced over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct RoundRobinKey {
     service: u32,
     is_local: bool,
-    /// The allowed regions as bits.
+    /// Bit set of the allowed regions.
     allowed_regions: u64,
 }
 
-/// Whether servers at capacity may be picked.
+/// Whether a pick considers the servers' capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CapacityCheck {
-    /// Only servers with capacity for the request.
+    /// Only servers with capacity for the request are picked.
     Required,
-    /// The least loaded server, even if it is at capacity.
+    /// The least loaded server is picked, even if it is at capacity.
     Ignored,
 }
 
-/// What a pick depends on, besides the candidates.
+/// Parameters of a pick.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PickArgs {
     pub(super) scope: SearchScope,
@@ -47,7 +47,8 @@
 }
 
 impl Decider {
-    /// Picks a candidate by prefix affinity or round robin. One that is warming up needs a permit.
+    /// Picks a candidate by prefix affinity or round robin. A server that is warming up is picked
+    /// only with a permit; without one, the next candidate is tried.
     pub(super) fn pick<L: Permits>(
         &mut self,
         now: Micros,
@@ -92,7 +93,7 @@
         Selection::PermitIn(earliest_permit.unwrap_or(0))
     }
 
-    /// Index of the usable candidate that comes next.
+    /// Index of the usable candidate to try next; `None` if there is none.
     fn choose(&mut self, call: &Call, usable: &CandidateLoads, args: PickArgs) -> Option<usize> {
         if usable.is_empty() {
             return None;
@@ -106,6 +107,7 @@
         }
     }
 
+    /// Index of the candidate that the affinity key is assigned to within the load bounds.
     fn choose_by_affinity(
         &self,
         call: &Call,
@@ -130,8 +132,8 @@
         affinity::choose(key, &candidates, bounds)
     }
 
-    /// The usable candidates must be in ascending order of their indexes in the endpoint
-    /// table.
+    /// Index of the next candidate in the round robin, which takes the load and the own zone into
+    /// account. `usable` must be in ascending order of the indexes in the endpoint table.
     fn choose_by_round_robin(&mut self, usable: &CandidateLoads, args: PickArgs) -> Option<usize> {
         let key = RoundRobinKey {
             service: args.scope.service,
@@ -167,7 +169,7 @@
         picked.and_then(position)
     }
 
-    /// Brings the members of a round robin up to the current table.
+    /// Updates the members of a round robin if the table has changed since the last pick.
     fn refresh_members(&self, round_robin: &mut ShuffledRoundRobin, args: PickArgs) {
         let table_version = self.endpoints.table_version();
         if round_robin.table_version != table_version {
@@ -179,7 +181,8 @@
         }
     }
 
-    /// Why no candidate has capacity for the request, and how long until one may have.
+    /// The reason why no candidate has capacity for the request, and the estimated time until one
+    /// has.
     fn overload_reason(
         &self,
         now: Micros,
@@ -208,10 +211,10 @@
     }
 }
 
-/// Acquires a permit if the server is warming up.
+/// Acquires a permit if the server is warming up; any other server needs none.
 ///
 /// # Errors
-/// The time after which a permit may be available.
+/// Returns the time after which a permit may be available, in microseconds.
 pub(super) fn acquire_permit<L: Permits>(
     now: Micros,
     endpoint: &Endpoint,
@@ -225,7 +228,8 @@
     }
 }
 
-/// Index of the least loaded candidate; those in backoff come last.
+/// Index of the candidate with the lowest utilization. Candidates in backoff come last, the
+/// earliest end of a backoff first.
 fn least_loaded(candidates: &CandidateLoads) -> Option<usize> {
     let indexed = candidates.iter().enumerate();
     let least = indexed.min_by(|(_, one), (_, other)| {
--- a/crates/routing/src/decider/pool.rs
+++ b/crates/routing/src/decider/pool.rs
@@ -1,5 +1,5 @@
-//! The pool of candidates in one locality, and whether another region's is preferred because of a
-//! long prefill wait.
+//! The pool of candidates in one locality, and spillover to another region because of a long
+//! prefill wait.
 
 use ironmast_balancer::Micros;
 
@@ -9,25 +9,26 @@
 use crate::guards::Guard;
 use crate::request::Call;
 
-/// A server is unresponsive after this multiple of the average time to the first byte.
+/// A server is unresponsive after this multiple of the average time to the first byte, but not
+/// before the `unresponsive_after` setting.
 const UNRESPONSIVE_FACTOR: f64 = 2.0;
-/// Another region is used because of the prefill wait only if the wait there is shorter by this
-/// factor.
+/// Requests spill over to another region because of the prefill wait only if the wait there is
+/// shorter by this factor.
 const SPILLOVER_WAIT_RATIO: f64 = 4.0;
 
-/// What one step of a search looks for.
+/// Parameters of one step of a search.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SearchStep {
     pub(super) scope: SearchScope,
     pub(super) filter: HealthFilter,
-    /// Utilization up to which a server is filled for the request.
+    /// Utilization below which a server accepts the request.
     pub(super) max_utilization: f64,
 }
 
 impl Decider {
     /// True if the prefill wait is long at every server of the own region and far shorter at one of
-    /// another region that has capacity. What other gates have pending there is not known, so the
-    /// difference must be large.
+    /// another region that has capacity. The difference must be large, because the prefill that
+    /// other gates have pending in another region is unknown.
     pub(super) fn spills_over_for_wait(&self, now: Micros, call: &Call, step: &SearchStep) -> bool {
         let shortest_wait = |locality, max_utilization: f64| {
             let pool = self.pool(now, call, step, locality);
@@ -49,7 +50,8 @@
         remote.is_some_and(|remote| remote * SPILLOVER_WAIT_RATIO <= local)
     }
 
-    /// The candidates of a locality. Servers that may be dead are used only if there are no others.
+    /// The candidates of a locality. Servers that are unresponsive, suspected by peers or in an
+    /// unreachable region are used only if there are no others.
     pub(super) fn pool(
         &self,
         now: Micros,
--- a/crates/routing/src/decider/reachability.rs
+++ b/crates/routing/src/decider/reachability.rs
@@ -1,4 +1,4 @@
-//! Which regions are reachable, as far as one service is concerned.
+//! Unreachable regions, judged by the servers of one service.
 
 use ironmast_balancer::Micros;
 
@@ -9,7 +9,8 @@
 use crate::table::{RegionId, RegionSet};
 
 impl Decider {
-    /// The regions of a locality that have servers of the service and are unreachable.
+    /// The unreachable regions of a locality that have servers of the service. The own region
+    /// always counts as reachable.
     pub(super) fn unreachable_regions(
         &self,
         now: Micros,
@@ -25,6 +26,7 @@
             .fold(RegionSet::NONE, RegionSet::with)
     }
 
+    /// True if the region has servers of the service and is unreachable.
     fn is_unreachable(&self, now: Micros, service: u32, region: RegionId) -> bool {
         let timeout = self.settings.unresponsive_after;
         let mut members = self.endpoints.members(service, region);
@@ -41,8 +43,8 @@
             .is_unreachable(now, name, timeout, unresponsive)
     }
 
-    /// True if every server that the request may go to is in another region that is unreachable. It
-    /// is then better to reject the request at once, because its client may reach another gate.
+    /// True if every eligible server that the request may be sent to is in an unreachable other
+    /// region. The request is then rejected at once, because its client may reach a gate elsewhere.
     pub(super) fn is_only_in_unreachable_regions(&self, now: Micros, scope: &SearchScope) -> bool {
         let has_servers = |region: &RegionId| {
             let mut members = self.endpoints.members(scope.service, *region);
--- a/crates/routing/src/decider/search.rs
+++ b/crates/routing/src/decider/search.rs
@@ -1,5 +1,5 @@
-//! The search for a server: the services of the route in turn, the own region and the others, and
-//! the fallback to servers that show signs of a fault.
+//! The search for a server: over the services of the route, the own region and then the others,
+//! with a fallback to servers that show signs of a fault.
 
 use ironmast_balancer::Micros;
 
@@ -21,7 +21,7 @@
     Selection::Unavailable(RejectionReason::NoServer { retry_after: None });
 
 impl Decider {
-    /// Searches the services of the route, the one that the traffic split selects first.
+    /// Searches the services of the route, beginning with the one that the traffic split selected.
     pub(super) fn search<L: Permits + RetryBudget>(
         &mut self,
         now: Micros,
@@ -47,6 +47,7 @@
         best
     }
 
+    /// The service and the regions that both the route and the request allow.
     fn scope(&self, call: &Call, service: u32) -> SearchScope {
         let route_regions = &call.request.route.spec.allowed_regions;
         let route_regions = self.table.region_set(route_regions);
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Searches the servers of one service.
+    /// Searches the servers of one service, unless all are in unreachable regions: first a server
+    /// that is due for a trial, then the candidates under each health filter, the strictest first.
     fn search_service<L: Permits>(
         &mut self,
         now: Micros,
@@ -86,7 +88,7 @@
         })
     }
 
-    /// A trial at a server whose ejection is over.
+    /// A server whose ejection is over and that the request may try.
     fn trial<L: Permits>(
         &self,
         now: Micros,
@@ -94,7 +96,7 @@
         scope: &SearchScope,
         limits: &mut L,
     ) -> Option<SelectedServer> {
-        // A trial may fail, so it must be the first attempt of a request that may make another.
+        // A trial may fail, so it must be the first attempt of a request that may be retried.
         let max_attempts = call.request.route.spec.max_attempts;
         let can_retry = call.attempts() == 0 && max_attempts > 1 || !Guard::TrialFirst.on();
         let index = candidates::trial_server(&self.endpoints, scope, call, now);
@@ -106,7 +108,8 @@
         })
     }
 
-    /// Searches the own region, then the others. `None` if no server passes the health filter.
+    /// Searches the own region, then the others; the other way around if the prefill wait spills
+    /// over. `None` if no server passes the health filter.
     fn search_filtered<L: Permits>(
         &mut self,
         now: Micros,
@@ -138,7 +141,7 @@
             let spills_over =
                 locality == Locality::Remote && (spills_over_for_wait || lacks_capacity);
             let max_utilization = if spills_over {
-                // Another region gets this region's overflow only while it has ample capacity.
+                // Another region takes spillover only while it has ample capacity.
                 step.max_utilization.min(self.settings.spillover_max_load)
             } else {
                 step.max_utilization
@@ -154,7 +157,7 @@
                 return Some(Selection::Server(selected));
             }
             all_loads.extend(loads);
-            // Waiting for a permit leads to a response sooner than a rejection does.
+            // A wait for a permit leads to a response sooner than a rejection and a retry do.
             best = best
                 .filter(|best| matches!(best, Selection::PermitIn(_)))
                 .or(Some(selection));
@@ -166,8 +169,8 @@
         best
     }
 
-    /// Picks the least loaded server of the nearest locality that has candidates, even if it is at
-    /// capacity.
+    /// Picks the least loaded server, even if it is at capacity: in the own region if it has
+    /// candidates, otherwise in the others.
     fn pick_least_loaded<L: Permits>(
         &mut self,
         now: Micros,
@@ -201,7 +204,8 @@
         endpoint.is_some_and(|endpoint| endpoint.region == region)
     }
 
-    /// Time until the next ejection of an otherwise eligible server is over.
+    /// Time until the earliest end of an ejection of an otherwise eligible server; `None` if none
+    /// is ejected.
     fn time_until_trial(&self, now: Micros, scope: &SearchScope) -> Option<Micros> {
         let servers = [Locality::Local, Locality::Remote]
             .into_iter()
@@ -224,8 +228,8 @@
     }
 }
 
-/// True if the request is not rejected although no candidate has capacity: because its stream has
-/// begun, or because the candidates are not loaded enough for a rejection.
+/// True if the request is sent although no candidate has capacity: because the head of its response
+/// has been forwarded, or because the candidates are not loaded enough to justify a rejection.
 fn may_ignore_capacity(call: &Call, candidates: &CandidateLoads) -> bool {
     call.head_forwarded || Guard::FreeSlots.on() && !is_overloaded(candidates)
 }
--- a/crates/routing/src/decider/selection.rs
+++ b/crates/routing/src/decider/selection.rs
@@ -26,8 +26,8 @@
 pub(super) enum Selection {
     /// A server was found.
     Server(SelectedServer),
-    /// Only servers that are warming up are left, and no permit is available; one may be after that
-    /// time.
+    /// Only servers that are warming up are left, and no permit is available. The value is the time
+    /// until one may be, in microseconds.
     PermitIn(Micros),
     /// No server accepts the request.
     Unavailable(RejectionReason),
--- a/crates/routing/src/decider/services.rs
+++ b/crates/routing/src/decider/services.rs
@@ -1,4 +1,4 @@
-//! The services of a route in the order in which a request is offered to them.
+//! Traffic split: the order in which the services of a route are searched for a request.
 
 use ironmast_balancer::Micros;
 use smallvec::SmallVec;
@@ -9,7 +9,8 @@
 use crate::table::{Route, WeightedBackend};
 
 impl Decider {
-    /// The services that the request may go to, the selected one first.
+    /// Indexes of the services that the request may be sent to: the one that the traffic split
+    /// selected, then the other backends with a positive weight as fallbacks.
     pub(super) fn services<L: RetryBudget>(
         &mut self,
         now: Micros,
@@ -46,7 +47,7 @@
     }
 }
 
-/// The backend at a point in `[0, 1)` of the route's total weight.
+/// The backend at a point in `[0, 1)`, which the backends divide in proportion to their weights.
 fn backend_at(route: &Route, point: f64) -> Option<&WeightedBackend> {
     let mut remaining = (point * route.total_weight as f64) as u64;
     route.spec.backends.iter().find(|backend| {
--- a/crates/routing/src/decider/tests.rs
+++ b/crates/routing/src/decider/tests.rs
@@ -1,5 +1,5 @@
-//! Unit tests of the decisions, by events and by property. Tests of a protection check that they
-//! fail without it.
+//! Unit tests of the decisions, with scripted and with random events. `assert_guarded` also checks
+//! that a test fails while the protection under test is disabled.
 
 mod affinity;
 mod attempts;
--- a/crates/routing/src/decider/tests/affinity.rs
+++ b/crates/routing/src/decider/tests/affinity.rs
@@ -1,4 +1,4 @@
-//! Prefix affinity: affinity keys and their servers.
+//! Prefix affinity: which server an affinity key is assigned to.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -48,7 +48,7 @@
     assert_eq!(gate.serve(gate.prompt("a", 3)), gate.serve(other));
 }
 
-/// Number of 500 keys that move when a server joins ten others or leaves them.
+/// Number of 500 keys that are assigned to another server when the number of servers changes.
 fn moved_keys(from: usize, to: usize) -> usize {
     let assigned = |count| -> Vec<Arc<str>> {
         let mut gate = gate(count, 1);
@@ -95,7 +95,7 @@
     assert_eq!(moved_keys(9, 10), moved_keys(10, 9));
 }
 
-/// Requests in flight by server, when half of them share one key.
+/// Number of requests in flight at each of six servers when every second request has the same key.
 fn in_flight_with_hot_key(requests: u64) -> Vec<u32> {
     let mut table = spec(vec![route("a", STREAM)], servers(0, 6, "north"));
     table.services[0].slots = 64;
@@ -103,7 +103,6 @@
     (settings.affinity_load_excess, settings.affinity_load_floor) = (0.25, 0.15);
     let mut gate = Gate::with_settings(table, settings, 1);
     for number in 0..requests {
-        // Half of all requests share one key.
         let key = if number % 2 == 0 { 1_000_000 } else { number };
         assert!(matches!(
             gate.begin(gate.prompt("a", key)).1,
@@ -140,7 +139,7 @@
         })
         .collect();
     assigned.dedup();
-    assert_eq!(assigned.len(), 1, "below the load floor the key stays");
+    assert_eq!(assigned.len(), 1, "the key stays below the load floor");
 }
 
 #[test]
@@ -177,7 +176,8 @@
     let mut settings = Settings::new("north", "north-0");
     settings.affinity_load_excess = 10.0;
     let mut gate = Gate::with_settings(table, settings, 1);
-    // 500 shared and 130 of their own each: 500 + 11 * 130 fit into 2,000.
+    // Each request needs 130 tokens besides the 500 of the shared prefix: 500 + 11 * 130 = 1,930
+    // fit into the KV cache of 2,000 tokens, a twelfth request does not.
     let assigned: Vec<Arc<str>> = (0..12)
         .map(|_| {
             dispatch_of(&gate.begin(gate.prompt("a", 1)).1)
@@ -212,7 +212,8 @@
     gate.serve(gate.prompt("a", 1));
 }
 
-/// Runs one request with a first byte, so that the prefill rate is known.
+/// Runs one request of 50,000 tokens whose first byte comes after 1 s, so that the prefill rate is
+/// known.
 fn measure_prefill_rate(gate: &mut Gate) {
     let mut request = gate.prompt("a", 1_000);
     request.prompt_tokens = 50_000;
@@ -262,8 +263,8 @@
     assert_eq!(gate.serve(gate.prompt("a", 3)), assigned);
 }
 
-/// Whether requests leave a region in which that many tokens are pending at each server, on a route
-/// that may leave it and on one that may not.
+/// Whether a request is sent to another region while `pending_tokens` are pending at each server of
+/// the own one: on a route that allows all regions, and on one that allows only the own region.
 fn crosses_region_with_pending(pending_tokens: u64) -> [bool; 2] {
     let mut restricted = route("home", STREAM);
     restricted.allowed_regions = vec!["north".into()];
--- a/crates/routing/src/decider/tests/attempts.rs
+++ b/crates/routing/src/decider/tests/attempts.rs
@@ -296,7 +296,7 @@
     assert_eq!(
         dispatch_of(&later).timeout,
         10 * SECOND,
-        "the route's time-out"
+        "the route's timeout"
     );
 }
 
--- a/crates/routing/src/decider/tests/candidates.rs
+++ b/crates/routing/src/decider/tests/candidates.rs
@@ -1,4 +1,4 @@
-//! Candidates: which servers may serve a request.
+//! Candidates: which servers a request may be sent to.
 
 use crate::guards::Guard;
 use crate::test_support::*;
@@ -10,7 +10,7 @@
     [servers(0, 3, "north"), servers(10, 3, "south")].concat()
 }
 
-/// Sends requests, and returns for each whether it went to another region.
+/// Starts requests with different keys, and returns for each whether it is sent to another region.
 fn region_crossings(gate: &mut Gate, name: &str, requests: u64) -> Vec<bool> {
     let crosses = |gate: &mut Gate, key| {
         let (_, decision) = gate.begin(gate.prompt(name, key));
@@ -86,7 +86,7 @@
     assert!(matches!(gate.begin(request).1, Decision::Reject(_)));
 }
 
-/// True if the other one of two servers gets every request after a change to one.
+/// True if, after a change to one of two servers, the other server gets every request.
 fn is_avoided(change: impl Fn(&mut ServerSpec)) -> bool {
     let mut listed = servers(0, 2, "north");
     change(&mut listed[0]);
@@ -246,21 +246,21 @@
 fn a_server_without_heartbeats_is_used_while_this_gate_hears_it() {
     let mut listed = servers(0, 2, "north");
     listed[0].heartbeats_missing_since = Some(SECOND);
-    let used = |gate: &mut Gate| (0..16).any(|key| &*gate.serve(gate.prompt("a", key)) == "i-0");
+    let is_used = |gate: &mut Gate| (0..16).any(|key| &*gate.serve(gate.prompt("a", key)) == "i-0");
     assert_guarded(Guard::LivenessOverHeartbeats, || {
         let mut gate = Gate::new(spec(vec![route("a", STREAM)], listed.clone()));
-        assert!(!used(&mut gate));
+        assert!(!is_used(&mut gate));
         gate.now += SECOND;
-        let server = gate.decider.server("i-0").expect("it is listed");
+        let server = gate.decider.server("i-0").expect("listed");
         gate.decider.record_liveness(gate.now, server);
-        let used_after_liveness = used(&mut gate);
+        let used_after_liveness = is_used(&mut gate);
         gate.now += 4 * SECOND;
-        used_after_liveness && !used(&mut gate)
+        used_after_liveness && !is_used(&mut gate)
     });
 }
 
-/// A gate in the north with a route that is allowed in the south and the west, with that many
-/// servers in each.
+/// A gate in the north with a route that allows only the regions south and west, which have that
+/// many servers.
 fn gate_with_remote_route(south: usize, west: usize) -> Gate {
     let mut restricted = route("home", RouteKind::Stream { resumable: false });
     restricted.allowed_regions = vec!["south".into(), "west".into()];
@@ -273,7 +273,8 @@
     Gate::new(spec(vec![restricted], listed))
 }
 
-/// Sends requests until that many are in flight in the south, which is silent from then on.
+/// Starts requests until `count` are in flight in the south, then lets 700 ms pass without anything
+/// received from there. Returns the requests in flight.
 fn partition_south(gate: &mut Gate, count: usize) -> Vec<Call> {
     let mut calls = Vec::new();
     while calls.len() < count {
@@ -337,7 +338,7 @@
     assert_ne!(checks[0].server, checks[1].server);
 }
 
-/// A gate that knows no server yet; some may be discovered within a second.
+/// A gate without servers that expects some to be discovered within a second.
 fn discovering_gate() -> Gate {
     let mut gate = Gate::new(spec(vec![route("a", RouteKind::NonIdempotent)], Vec::new()));
     gate.decider.allow_discovery_until(gate.now + SECOND);
--- a/crates/routing/src/decider/tests/health.rs
+++ b/crates/routing/src/decider/tests/health.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: ejection by what attempts, first bytes and health checks show.
+//! Outlier detection: ejection because of failed attempts, slow first bytes and failed health
+//! checks.
 
 use crate::guards::Guard;
 use crate::test_support::*;
@@ -10,8 +11,9 @@
     Gate::new(spec(vec![route], servers(0, count, "north")))
 }
 
-/// Runs requests. Attempts at the `faulty` servers end with the outcome for the number of the
-/// attempt there, others succeed. Returns the number of attempts at the faulty servers.
+/// Runs requests. Attempts at the `faulty` servers end with `outcome` of the attempt's number,
+/// counted from 1 over these servers; others succeed. Returns the number of attempts at the faulty
+/// servers.
 pub(super) fn serve_with_faults(
     gate: &mut Gate,
     requests: usize,
@@ -36,6 +38,7 @@
     attempts
 }
 
+/// Number of ejected servers among the first `count`.
 pub(super) fn ejected_count(gate: &Gate, count: usize) -> usize {
     let handle = |number| gate.decider.server(&format!("i-{number}"));
     (0..count)
@@ -78,7 +81,7 @@
     assert_guarded(Guard::ConnectFailureOfLiveServer, || {
         let mut gate = gate(RouteKind::Idempotent, 2);
         let server = gate.decider.server("i-0").expect("listed");
-        // It serves one request, and load reports show that it is alive.
+        // The server has one request in flight, and the gate keeps receiving something from it.
         let mut first = gate.begin(gate.request("a"));
         while dispatch_of(&first.1).server != server {
             first = gate.begin(gate.request("a"));
@@ -130,8 +133,8 @@
 #[test]
 fn a_group_whose_servers_fail_alike_is_not_ejected() {
     let mut gate = gate(RouteKind::NonIdempotent, 4);
-    // At random rather than by number, because the number would follow the server's position in the
-    // round.
+    // Failures are random: a fixed pattern by request number would follow the round-robin order and
+    // always hit the same servers.
     let mut rng = ironmast_balancer::Rng(7);
     let mut random_outcome = move || {
         if rng.unit() < 0.25 {
@@ -141,7 +144,7 @@
         }
     };
     let all = ["i-0", "i-1", "i-2", "i-3"];
-    // The baseline must be known first; a health check ends any ejection before that.
+    // Servers may be ejected until the baseline is known. Health checks return them to service.
     serve_with_faults(&mut gate, 300, &all, |_| random_outcome());
     let mut checks = Vec::new();
     gate.decider.due_health_checks(gate.now, &mut checks);
@@ -159,7 +162,8 @@
 #[test]
 fn a_fast_failure_does_not_attract_load() {
     let mut gate = gate(RouteKind::NonIdempotent, 3);
-    // Requests at healthy servers stay in flight; the faulty one fails at once and looks idle.
+    // Requests at healthy servers stay in flight; the faulty server fails at once, so it looks
+    // idle.
     let mut attempts = 0;
     for _ in 0..12 {
         gate.now += 10 * MS;
@@ -179,8 +183,8 @@
     assert!(slow_attempts < 30, "{slow_attempts} of about 50");
 }
 
-/// Runs requests, of which one server takes twenty times as long as the others. Returns the number
-/// of requests that it got.
+/// Runs requests. The `slow` server takes 2 s to the first byte, the others 100 ms. Returns the
+/// number of requests sent to the slow server.
 fn serve_with_slow_server(gate: &mut Gate, requests: usize, slow: &str) -> usize {
     let mut slow_attempts = 0;
     for _ in 0..requests {
@@ -191,7 +195,7 @@
         gate.now += if is_slow { 2 * SECOND } else { 100 * MS };
         gate.decider.first_byte_received(gate.now, &mut call);
         gate.finish_attempt(&mut call, Outcome::Success);
-        // The other servers' ejections must not end meanwhile.
+        // The clock is set back so that no ejection of another server ends in the meantime.
         gate.now = sent_at + MS;
     }
     slow_attempts
@@ -251,9 +255,9 @@
                 gate.finish_attempt(&mut call, Outcome::Success);
             }
         }
-        // It was silent from the start, and was detected after 0.6 s to 1 s of 3 s.
+        // The server is silent from the start. Detection takes 0.6 s to 1 s of the 3 s.
         let is_detected = attempts <= 6;
-        // Anything received from it makes it usable at once.
+        // Anything received from the server makes it usable at once.
         let server = gate.decider.server("i-0").expect("listed");
         gate.decider.record_liveness(gate.now, server);
         let next_server = |gate: &mut Gate| dispatch_of(&gate.begin(gate.request("a")).1).server;
@@ -286,7 +290,8 @@
     });
 }
 
-/// A gate that has sent one request to each of three servers, of which `i-0` has gone silent.
+/// A gate with three servers, of which `i-0` is silent with requests in flight. Returns the gate,
+/// the handle of `i-0` and these requests.
 fn gate_with_unresponsive_server() -> (Gate, ServerHandle, Vec<Call>) {
     let mut gate = gate(RouteKind::NonIdempotent, 3);
     let server = gate.decider.server("i-0").expect("listed");
@@ -333,7 +338,7 @@
     checks.clear();
     gate.now += SECOND;
     gate.decider.due_health_checks(gate.now, &mut checks);
-    assert!(checks.is_empty(), "not checked all the time");
+    assert!(checks.is_empty(), "not checked again within the interval");
 }
 
 #[test]
@@ -370,8 +375,8 @@
     assert_eq!(ejected_count(&gate, 3), 0);
 }
 
-/// Number of 200 requests that reach `i-0` while other gates suspect it. `heard` says whether this
-/// gate has just received something from it.
+/// Number of 200 requests that are sent to `i-0` while `suspecting_gates` other gates suspect it.
+/// `heard`: this gate has just received something from `i-0`.
 fn attempts_at_suspected(suspecting_gates: u64, heard: bool) -> usize {
     let mut gate = gate(RouteKind::Idempotent, 4);
     gate.now += 1_000 * MS;
@@ -462,7 +467,8 @@
     }
 }
 
-/// Two of four servers break every attempt; something was just received from the others.
+/// Two of four servers reset every connection; something was just received from the others. A retry
+/// that goes to the second faulty server would use up the attempts.
 #[test]
 fn a_retry_goes_to_a_server_that_has_just_answered() {
     assert_guarded(Guard::RetryAtLiveServer, || {
--- a/crates/routing/src/decider/tests/properties.rs
+++ b/crates/routing/src/decider/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Invariants under random events: a gate driven at random, and a check of every decision.
+//! Evenness of load balancing, and invariants of the decisions under random events.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -9,8 +9,8 @@
 use crate::test_support::*;
 use crate::*;
 
-/// Number of requests that each server gets of 10,000 without an affinity key, with a number of
-/// them in flight.
+/// Number of requests that each server gets of 10,000 without an affinity key, while `in_flight`
+/// requests are in flight.
 fn shares(servers_count: usize, in_flight: usize) -> Vec<usize> {
     let mut route = route("a", RouteKind::Idempotent);
     route.affinity = false;
@@ -66,7 +66,7 @@
     );
 }
 
-/// A request in progress, with what the invariants depend on.
+/// A request in progress, with the state that the invariants depend on.
 struct OpenRequest {
     call: Call,
     allowed: Vec<Box<str>>,
@@ -78,8 +78,8 @@
     may_have_run: bool,
     /// The client has received the head of a response.
     head_forwarded: bool,
-    /// The latest attempt was never sent, so its withdrawal from the retry budget counts for the
-    /// next.
+    /// The latest attempt was never sent, so its withdrawal from the retry budget is used for the
+    /// next attempt.
     has_unused_withdrawal: bool,
     decision: Decision,
 }
@@ -96,7 +96,7 @@
     }
 }
 
-/// A gate driven at random.
+/// A gate with random events, and the state that its decisions are checked against.
 struct RandomRun {
     gate: Gate,
     rng: Rng,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Changes the state of servers. At times an instance is replaced by another.
+    /// Changes the state of servers at random, and replaces some instances by others.
     fn change_servers(&mut self) {
         for number in 0..self.table.servers.len() {
             let draw = self.rng.unit();
@@ -193,7 +193,7 @@
         all[random_index(&mut self.rng, all.len())].clone()
     }
 
-    /// One random event. An error names the invariant that does not hold.
+    /// Applies one random event. An error names the invariant that does not hold.
     fn step(&mut self) -> Result<(), &'static str> {
         self.gate.now += random_index(&mut self.rng, 80) as u64 * MS;
         self.gate.limits.permits = u32::from(self.rng.unit() < 0.3);
@@ -263,7 +263,7 @@
         self.verify(open, permits)
     }
 
-    /// Events that may come before an attempt ends.
+    /// Applies random events that may come before an attempt ends.
     fn progress(&mut self, open: &mut OpenRequest) {
         let now = self.gate.now;
         if self.rng.unit() < 0.5 {
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Runs the health checks that are due, some of which fail.
+    /// Runs the health checks that are due, of which half fail.
     fn run_health_checks(&mut self) {
         let mut checks = Vec::new();
         self.gate
@@ -362,7 +362,7 @@
         Ok(())
     }
 
-    /// Cancels every open request; nothing may stay in flight.
+    /// Cancels every request in progress. An error if an attempt is still in flight after that.
     fn cancel_all(mut self) -> Result<(), &'static str> {
         for open in &mut self.open {
             self.gate.decider.cancel(self.gate.now, &mut open.call);
@@ -384,7 +384,8 @@
     }
 }
 
-/// Runs that many seeds. An error names the first invariant that does not hold.
+/// Runs 400 random events for each seed below `seeds`. An error names the first invariant that does
+/// not hold.
 fn run_seeds(seeds: u64) -> Result<(), &'static str> {
     for seed in 0..seeds {
         let mut run = RandomRun::new(seed);
--- a/crates/routing/src/decider/tests/rejections.rs
+++ b/crates/routing/src/decider/tests/rejections.rs
@@ -1,10 +1,11 @@
-//! When requests are rejected, and with which retry delay.
+//! Rejections: which requests are rejected, and with which status and retry delay.
 
 use crate::guards::Guard;
 use crate::test_support::*;
 use crate::*;
 
-/// A gate that lets no request queue at servers, with one limit for each priority, 0.05 apart.
+/// A gate that lets no request queue at servers. The admission limits of the priorities are fixed
+/// and 0.05 apart.
 fn gate_without_queue(table: TableSpec) -> Gate {
     let mut settings = Settings::new("north", "north-0");
     (
@@ -15,7 +16,7 @@
     Gate::with_settings(table, settings, 1)
 }
 
-/// One server with 8 slots and routes of two priorities.
+/// A gate with one server of 8 slots and two routes: `urgent` of priority 0 and `patient` of 4.
 fn gate() -> Gate {
     let urgent = route("urgent", RouteKind::Idempotent);
     let mut patient = route("patient", RouteKind::Idempotent);
@@ -23,7 +24,8 @@
     gate_without_queue(spec(vec![urgent, patient], servers(0, 1, "north")))
 }
 
-/// Number of requests that are accepted before the first rejection, at most 100.
+/// Number of requests that are accepted before the first rejection, at most 100, and that
+/// rejection.
 fn accepted_before_rejection(gate: &mut Gate, name: &str) -> (usize, Option<Rejection>) {
     for count in 0..100 {
         match gate.begin(gate.request(name)).1 {
@@ -41,7 +43,8 @@
     let (count, rejection) = accepted_before_rejection(&mut gate, "urgent");
     let rejection = rejection.expect("a rejection");
     assert_eq!((count, rejection.status), (8, RejectionStatus::Unavailable));
-    // One of eight slots is free after an eighth of the average second, with jitter of a quarter.
+    // A response is assumed to take 1 s, so one of eight slots becomes free after 125 ms; the
+    // jitter is 25%.
     assert!(
         (90 * MS..160 * MS).contains(&rejection.retry_after),
         "{rejection:?}"
@@ -144,7 +147,7 @@
     assert_eq!(
         sent.iter().filter(|crosses| **crosses).count(),
         7,
-        "until 0.8 of its slots are in use"
+        "until 80% of its slots are in use"
     );
     assert!(
         sent[..8].iter().all(|crosses| !crosses),
@@ -222,7 +225,7 @@
         };
         delays.push(rejection.retry_after);
     }
-    // One of eight slots becomes free each eighth of a second, with jitter of a quarter.
+    // One of eight slots becomes free every 125 ms; the jitter is 25%.
     for (number, delay) in delays.iter().enumerate() {
         let slot_at = (number as u64 + 2) * 125 * MS;
         assert!(
@@ -238,7 +241,7 @@
     };
     assert!(
         rejection.retry_after <= 2500 * MS,
-        "no promise beyond the longest delay"
+        "the maximum retry delay is not exceeded"
     );
     gate.now += 3 * SECOND;
     let Decision::Reject(rejection) = gate.begin(gate.request("urgent")).1 else {
@@ -278,7 +281,8 @@
             .take_while(|key| matches!(gate.begin(gate.prompt(name, *key)).1, Decision::Send(_)))
             .count()
     };
-    // 630 tokens each: 8 take less than 0.8 of the KV cache, 11 less than all of it.
+    // Requests of 630 tokens are accepted while less than 0.8 (`patient`) or all (`urgent`) of the
+    // KV cache of 7,000 tokens is in use: 8 requests use 5,040, 11 use 6,930.
     assert_eq!(count(&mut gate, "patient", 0), 9);
     assert_eq!(count(&mut gate, "urgent", 50), 3);
 }
@@ -293,16 +297,16 @@
         rejection_ramp: 0.0,
         ..Settings::new("north", "north-0")
     };
-    // Each is assumed to take as long as its objective: two of eight slots become free in a quarter
-    // of it.
+    // Each request is assumed to take as long as its latency objective, so two of eight slots
+    // become free within the allowed queue time of a quarter of the objective.
     assert_eq!(
         accepted_before_rejection(&mut Gate::with_settings(table, settings, 1), "a").0,
         10
     );
 }
 
-/// Fraction of the requests of each route that are sent while that much of every server's capacity
-/// is in use.
+/// Fraction of the requests of each route that are sent while the server reports `running` requests
+/// at 100 slots.
 fn sent_shares(table: TableSpec, running: u32, names: [&str; 2]) -> [f64; 2] {
     let mut gate = Gate::new(table);
     let load = LoadReport {
@@ -379,7 +383,7 @@
     );
 }
 
-/// Permits that each become available after a time of their service's own.
+/// Limits whose permits become available after a fixed delay for each service.
 struct PermitsIn {
     delays: [(&'static str, Micros); 2],
 }
--- a/crates/routing/src/decider/tests/returns.rs
+++ b/crates/routing/src/decider/tests/returns.rs
@@ -7,7 +7,7 @@
 use crate::test_support::*;
 use crate::*;
 
-/// A gate whose `i-0` has just been ejected, and the handle of that server.
+/// A gate that has just ejected `i-0`, and the handle of that server.
 fn gate_with_ejected_server(kind: RouteKind) -> (Gate, ServerHandle) {
     let mut gate = gate(kind, 3);
     serve_with_faults(&mut gate, 40, &["i-0"], |_| Outcome::ConnectFailed);
