--- a/crates/routing/src/decider/liveness.rs
+++ b/crates/routing/src/decider/liveness.rs
@@ -121,10 +121,10 @@
             listed.filter(|endpoint| endpoint.is_eligible() && !endpoint.outlier.has_trial);
         for endpoint in eligible {
             let region = &endpoint.spec.region;
-            let mut known = servers.iter_mut();
-            if let Some(known) = known.find(|known| known.spec.region == *region) {
-                if endpoint.health_checked_at < known.health_checked_at {
-                    *known = endpoint;
+            let mut selected = servers.iter_mut();
+            if let Some(selected) = selected.find(|selected| selected.spec.region == *region) {
+                if endpoint.health_checked_at < selected.health_checked_at {
+                    *selected = endpoint;
                 }
             } else if self.is_unreachable_region(now, region) {
                 servers.push(endpoint);
--- a/crates/routing/src/decider/peer_reports.rs
+++ b/crates/routing/src/decider/peer_reports.rs
@@ -65,8 +65,8 @@
     pub fn apply_peer_report(&mut self, now: Micros, peer: u64, report: &PeerReport) {
         for endpoint in self.endpoints.listed_mut() {
             let pending = report.pending_prefill.iter();
-            let here = pending.filter(|pending| pending.server == endpoint.hash);
-            let tokens = here.map(|pending| pending.tokens).max().unwrap_or(0);
+            let of_server = pending.filter(|pending| pending.server == endpoint.hash);
+            let tokens = of_server.map(|pending| pending.tokens).max().unwrap_or(0);
             endpoint.prefill_backlog.record_peer(now, peer, tokens);
             if report.suspect.contains(&endpoint.hash) {
                 endpoint.suspicions.record(now, peer);
@@ -114,6 +114,6 @@
 /// Tokens pending at a server according to a report; 0 if it does not list the server.
 fn pending_tokens(report: &PeerReport, server: u64) -> u64 {
     let mut pending = report.pending_prefill.iter();
-    let here = pending.find(|pending| pending.server == server);
-    here.map_or(0, |pending| pending.tokens)
+    let of_server = pending.find(|pending| pending.server == server);
+    of_server.map_or(0, |pending| pending.tokens)
 }
--- a/crates/routing/src/decider/tests/affinity.rs
+++ b/crates/routing/src/decider/tests/affinity.rs
@@ -73,7 +73,7 @@
                 .map(|key| gate.serve(gate.prompt("a", key)))
                 .collect()
         };
-        let (ten, nine) = (assigned(10), assigned(9));
+        let (of_ten, of_nine) = (assigned(10), assigned(9));
         let is_even = |assigned: &[Arc<str>], servers: usize| {
             let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
             for instance in assigned {
@@ -81,11 +81,11 @@
             }
             counts.len() == servers && counts.values().all(|count| *count > 500 / servers / 2)
         };
-        let stay = ten
+        let is_stable = of_ten
             .iter()
-            .zip(&nine)
+            .zip(&of_nine)
             .all(|(ten, nine)| &**ten == "i-9" || ten == nine);
-        stay && is_even(&ten, 10) && is_even(&nine, 9)
+        is_stable && is_even(&of_ten, 10) && is_even(&of_nine, 9)
     });
     assert!(
         (25..=80).contains(&moved_keys(10, 9)),
--- a/crates/routing/src/decider/tests/rejections.rs
+++ b/crates/routing/src/decider/tests/rejections.rs
@@ -384,11 +384,11 @@
 }
 
 /// Limits whose permits become available after a fixed delay for each service.
-struct PermitsIn {
+struct DelayedPermits {
     delays: [(&'static str, Micros); 2],
 }
 
-impl Permits for PermitsIn {
+impl Permits for DelayedPermits {
     fn try_acquire(&mut self, _: Micros, server: &ServerSpec) -> Result<(), RetryAfter> {
         let delay = self
             .delays
@@ -398,7 +398,7 @@
     }
 }
 
-impl RetryBudget for PermitsIn {
+impl RetryBudget for DelayedPermits {
     fn deposit(&mut self, _: Micros, _: &ServiceSpec) {}
 
     fn withdraw(&mut self, _: Micros, _: &ServiceSpec) -> bool {
@@ -421,7 +421,7 @@
     let listed = vec![warming(1, "desk"), warming(2, "other")];
     for delays in [[30 * MS, 70 * MS], [70 * MS, 30 * MS]] {
         let mut gate = Gate::new(spec(vec![split.clone()], listed.clone()));
-        let mut limits = PermitsIn {
+        let mut limits = DelayedPermits {
             delays: [("desk", delays[0]), ("other", delays[1])],
         };
         for _ in 0..2 {
