--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/balance.rs
@@ -2,7 +2,7 @@
 //! a class (`class_ejection`) and unreachable zones (`failure_detector`). `api` is the interface,
 //! `node` and `open_request` are records, and `fleet` has the aggregates over all servers.
 //!
-//! A request runs through `accept_request` and `send_or_queue` (`requests`), `candidates` and `draw`
+//! A request runs through `accept_request` and `send_or_queue` (`requests`), `candidates` and `pick`
 //! (`selection`, within the limits of `capacity`) and `send` (`attempts`); its attempts end in
 //! `attempt_ended`, from which `health` learns.
 
--- a/crates/balancer/src/balance/attempts.rs
+++ b/crates/balancer/src/balance/attempts.rs
@@ -13,7 +13,7 @@
 /// work.
 const BUDGET_EARNED_BY_WINS: f64 = 2.0;
 /// The rate of wins that pays for hedged requests.
-const HEDGE_WIN_RATE: f64 = 0.3;
+const BREAK_EVEN_HEDGE_WIN_RATE: f64 = 0.3;
 /// Smoothing factor of that rate.
 const HEDGE_WIN_SMOOTHING: f64 = 0.05;
 /// The largest retry budget.
@@ -22,7 +22,7 @@
 impl Balancer {
     /// An accepted request earns a part of a retry.
     pub(super) fn deposit_retry_budget(&mut self) {
-        let wins = (self.hedge_win_rate - HEDGE_WIN_RATE).max(0.0);
+        let wins = (self.hedge_win_rate - BREAK_EVEN_HEDGE_WIN_RATE).max(0.0);
         let earned = MIN_BUDGET_EARNED + BUDGET_EARNED_BY_WINS * wins;
         self.retry_budget = (self.retry_budget + earned).min(MAX_RETRY_BUDGET);
     }
@@ -82,7 +82,7 @@
             .map(|attempt| attempt.end(ended.outcome));
         self.record_outcome(ended, class, sent, actions);
         if let Some((class, sent)) = class.zip(sent) {
-            self.judge_server(&EndedAttempt { ended, class, sent }, actions);
+            self.record_attempt_end(&EndedAttempt { ended, class, sent }, actions);
         }
         let Some(open) = self.open_requests.get(&ended.id) else {
             return;
@@ -101,10 +101,11 @@
     }
 
     /// Whether the server of an attempt answers its class and is alive.
-    fn judge_server(&mut self, attempt: &EndedAttempt, actions: &mut Vec<Action>) {
+    fn record_attempt_end(&mut self, attempt: &EndedAttempt, actions: &mut Vec<Action>) {
         let (ended, now) = (attempt.ended, self.now);
         let target = self.settings.classes[attempt.class].latency_target;
-        let log = class_ejection::judge(&mut self.fleet, attempt, now, target, &EJECTION_TIME);
+        let log =
+            class_ejection::record_attempt(&mut self.fleet, attempt, now, target, &EJECTION_TIME);
         actions.extend(log.map(Action::Log));
         self.failure_detector.attempt_ended(ended.server);
         if let Some(liveness) = Liveness::of(ended.outcome, ended.latency) {
@@ -137,11 +138,11 @@
         // overloaded servers.
         let is_free = matches!(outcome, Outcome::ConnectFailed | Outcome::Cancelled);
         let cost = if is_free { 0.0 } else { 1.0 };
-        let is_hopeless = self.now >= open.end_at.min(open.target_at)
+        let is_retry_useless = self.now >= open.end_at.min(open.target_at)
             || !is_sendable
             || outcome == Outcome::ClientError;
         let may_retry = open.has_attempts_left(&self.settings.limits) && self.retry_budget >= cost;
-        if is_hopeless || !may_retry {
+        if is_retry_useless || !may_retry {
             return self.end(id, actions);
         }
         self.retry_budget -= cost;
--- a/crates/balancer/src/balance/capacity.rs
+++ b/crates/balancer/src/balance/capacity.rs
@@ -22,7 +22,7 @@
 
 /// What is in flight in the own zone or the others, and the limit there.
 #[derive(Clone, Copy)]
-pub(super) struct ZoneLoad {
+pub(super) struct LocalityLoad {
     pub in_flight: f64,
     pub limit: f64,
 }
@@ -51,7 +51,7 @@
     /// What is in flight in a locality, and the sum of limits there. Where balancers are so many that
     /// initial limits leave each less than one, the limits that are known stand for all. Servers
     /// ejected for the class do not count: their idle limits would keep the others' from growing.
-    pub(super) fn zone_load(&self, locality: Locality, class: ClassId) -> ZoneLoad {
+    pub(super) fn locality_load(&self, locality: Locality, class: ClassId) -> LocalityLoad {
         let is_ejected_here = |node: &&Node| {
             self.fleet.locality(node.server.zone) == locality && !self.serves_class(node, class)
         };
@@ -66,7 +66,7 @@
         } else {
             self.extrapolated_limit(locality, class, &load)
         };
-        ZoneLoad {
+        LocalityLoad {
             in_flight: load.in_flight as f64,
             limit,
         }
@@ -135,18 +135,18 @@
 }
 
 /// What a limit depends on besides the server and the outcome.
-pub(super) struct LimitEvidence {
+pub(super) struct LimitInputs {
     /// The latency target of the class.
     pub target: f64,
     pub max_network_latency: f64,
     /// Half of the zone's limit or more is in flight.
-    pub is_zone_in_use: bool,
+    pub is_locality_in_use: bool,
     pub balancers: f64,
 }
 
 /// Updates a server's in-flight limit: additive increase, decrease by the overload that shows.
-pub(super) fn update_limit(node: &mut Node, ended: &AttemptEnded, evidence: &LimitEvidence) {
-    let balancers = evidence.balancers;
+pub(super) fn update_limit(node: &mut Node, ended: &AttemptEnded, inputs: &LimitInputs) {
+    let balancers = inputs.balancers;
     // Limits are split evenly, unless load reports tell this balancer's share of the load.
     let in_flight = f64::from(node.in_flight + 1);
     if let Some(active) = ended.load.and_then(|load| load.active) {
@@ -156,9 +156,9 @@
     // Guards other zones' servers: the network latency, for which the shortest response stands, is
     // not load. Otherwise their limits would stay at the least, and they would be no way out.
     node.min_latency = node.min_latency.min(ended.latency);
-    let network_latency = (node.min_latency as f64).min(evidence.max_network_latency);
+    let network_latency = (node.min_latency as f64).min(inputs.max_network_latency);
     let part = if ended.outcome == Outcome::Ok {
-        (ended.latency as f64 - network_latency) / evidence.target
+        (ended.latency as f64 - network_latency) / inputs.target
     } else {
         1.0
     };
@@ -167,7 +167,7 @@
     if overload > 0.0 {
         node.limit = (node.limit - overload * node.limit.min(1.0)).max(1.0 / balancers);
         node.was_overloaded = true;
-    } else if evidence.is_zone_in_use {
+    } else if inputs.is_locality_in_use {
         let increase = if node.was_overloaded {
             LIMIT_INCREASE / node.limit.max(1.0)
         } else {
--- a/crates/balancer/src/balance/health.rs
+++ b/crates/balancer/src/balance/health.rs
@@ -1,7 +1,7 @@
 //! What the outcomes of attempts say of servers: outlier ejection, and the maintenance of what was
 //! measured.
 
-use super::capacity::{LimitEvidence, update_limit};
+use super::capacity::{LimitInputs, update_limit};
 use super::{Balancer, RATE_DECAY_TIME};
 use crate::api::{Action, AttemptEnded, ClassId, Micros, Outcome, Phase};
 use crate::fleet::Load;
@@ -43,13 +43,13 @@
         };
         let peers = self.fleet.zone(known.server.zone).without(known);
         let locality = self.fleet.locality(known.server.zone);
-        let evidence = class.map(|class| self.limit_evidence(class, locality));
+        let inputs = class.map(|class| self.limit_inputs(class, locality));
         // Guards against slow servers that never show: a client that cancels later than usual had
         // waited too long.
         let is_overdue = class
             .zip(sent)
             .is_some_and(|(class, at)| (now - at) as f64 > self.latencies[class].high);
-        let judged = self.fleet.change(ended.server, |node| {
+        let counted_class = self.fleet.change(ended.server, |node| {
             node.in_flight = node.in_flight.saturating_sub(1);
             node.idle_since = Some(now);
             // Guards good servers' shares and limits: an outcome that is no response, or is this
@@ -65,8 +65,8 @@
                 let text = format!("server {id} set aside: it fails");
                 actions.push(Action::Log(text));
             }
-            let (class, evidence) = class.zip(evidence).filter(|_| indicates_load)?;
-            update_limit(node, ended, &evidence);
+            let (class, inputs) = class.zip(inputs).filter(|_| indicates_load)?;
+            update_limit(node, ended, &inputs);
             if ended.outcome == Outcome::Overloaded {
                 // Guards against black holes: a server that rejects at once always has capacity,
                 // and would be sent ever more.
@@ -74,30 +74,30 @@
             }
             Some(class)
         });
-        if let Some(class) = judged.flatten() {
-            self.record_zone_outcome(ended, class, locality);
+        if let Some(class) = counted_class.flatten() {
+            self.record_load_sample(ended, class, locality);
         }
     }
 
     /// What the limits of servers of a locality depend on.
-    fn limit_evidence(&self, class: ClassId, locality: Locality) -> LimitEvidence {
-        let load = self.zone_load(locality, class);
+    fn limit_inputs(&self, class: ClassId, locality: Locality) -> LimitInputs {
+        let load = self.locality_load(locality, class);
         let target = self.settings.classes[class].latency_target as f64;
-        LimitEvidence {
+        LimitInputs {
             target,
             max_network_latency: match locality {
                 Locality::Local => 0.0,
                 Locality::Remote => MAX_NETWORK_LATENCY_SHARE * target,
             },
-            is_zone_in_use: 2.0 * load.in_flight >= load.limit,
+            is_locality_in_use: 2.0 * load.in_flight >= load.limit,
             balancers: f64::from(self.settings.balancers),
         }
     }
 
     /// Pauses a locality whose limits sum below one, and updates the latency quantiles.
-    fn record_zone_outcome(&mut self, ended: &AttemptEnded, class: ClassId, locality: Locality) {
+    fn record_load_sample(&mut self, ended: &AttemptEnded, class: ClassId, locality: Locality) {
         let balancers = f64::from(self.settings.balancers);
-        let limit = self.zone_load(locality, class).limit;
+        let limit = self.locality_load(locality, class).limit;
         let is_ok = ended.outcome == Outcome::Ok;
         if limit < 1.0 {
             let took = if is_ok {
@@ -158,9 +158,9 @@
     let is_majority = 2 * (peers.ejected_total + 1) > peers.count + 1;
     // If all of a zone fails alike, that is its load, not an unhealthy server; failed connections
     // are plain.
-    let usual = peers.failure_rate.value() / peers.count.max(1) as f64;
+    let mean_failure_rate = peers.failure_rate.value() / peers.count.max(1) as f64;
     let stands_out = outcome == Outcome::ConnectFailed
-        || node.failure_rate - usual >= EJECTION_MARGIN && !is_majority;
+        || node.failure_rate - mean_failure_rate >= EJECTION_MARGIN && !is_majority;
     let is_due = node.ejected.is_none_or(|ejection| ejection.until <= now);
     let starts = failed > 0.0 && node.failure_rate >= EJECTION_THRESHOLD && stands_out && is_due;
     if starts {
--- a/crates/balancer/src/balance/probing.rs
+++ b/crates/balancer/src/balance/probing.rs
@@ -64,22 +64,22 @@
         actions.extend(probes(finding.probe));
         // All requests are checked only without a sign: responses are many.
         if liveness == Liveness::Unanswered && self.settings.limits.cancel {
-            self.cancel_stranded_attempts(server, actions);
+            self.cancel_unreachable_attempts(server, actions);
         }
     }
 
     /// Cancels attempts at an unreachable server or zone where a retry is safe and of use.
-    fn cancel_stranded_attempts(&self, server: ServerId, actions: &mut Vec<Action>) {
+    fn cancel_unreachable_attempts(&self, server: ServerId, actions: &mut Vec<Action>) {
         let is_unreachable = |attempt: &Attempt| {
             attempt.server == server || self.failure_detector.is_unreachable(attempt.zone)
         };
         for (&id, open) in &self.open_requests {
             let class = &self.settings.classes[open.request.class];
-            let usual = self.latencies[open.request.class].median as Micros;
-            if self.now + usual < open.target_at {
+            let median_latency = self.latencies[open.request.class].median as Micros;
+            if self.now + median_latency < open.target_at {
                 let limits = &self.settings.limits;
-                let stranded = open.stranded_attempt(class, limits, is_unreachable);
-                actions.extend(stranded.map(|attempt| Action::Cancel { id, attempt }));
+                let unreachable = open.unreachable_attempt_to_retry(class, limits, is_unreachable);
+                actions.extend(unreachable.map(|attempt| Action::Cancel { id, attempt }));
             }
         }
     }
--- a/crates/balancer/src/balance/requests.rs
+++ b/crates/balancer/src/balance/requests.rs
@@ -50,8 +50,8 @@
         };
         let (candidates, key) = (self.candidates(open), open.request.key);
         let position = open.queue_position;
-        let usual = self.latencies[open.request.class].median as Micros;
-        let target_reachable_until = open.target_at.saturating_sub(usual);
+        let median_latency = self.latencies[open.request.class].median as Micros;
+        let target_reachable_until = open.target_at.saturating_sub(median_latency);
         let wake_ups =
             [open.spill_at, target_reachable_until, open.unsent_until].map(|at| (at, id));
         if candidates.is_empty() && self.failure_detector.is_isolated(&self.fleet) {
@@ -59,7 +59,7 @@
             self.end(id, actions);
             return true;
         }
-        let Some(server) = self.draw(&candidates, key) else {
+        let Some(server) = self.pick(&candidates, key) else {
             if self.queue.insert(position) {
                 self.due_requests.extend(wake_ups);
             }
@@ -79,8 +79,8 @@
             return;
         };
         // Whether a response can still arrive within the latency target.
-        let usual = self.latencies[open.request.class].median as Micros;
-        let is_in_time = self.now + usual < open.target_at;
+        let median_latency = self.latencies[open.request.class].median as Micros;
+        let is_in_time = self.now + median_latency < open.target_at;
         // Guards the client's time: a request that no server has received by then is rejected.
         let never_connected = |attempt: &Attempt| attempt.outcome == Some(Outcome::ConnectFailed);
         let is_unsent = open.attempts.iter().all(never_connected);
@@ -93,7 +93,7 @@
             0 => self.end(id, actions),
             1 if is_useful && may_hedge && open.has_attempts_left(&self.settings.limits) => {
                 let (candidates, key) = (self.candidates(open), open.request.key);
-                if let Some(server) = self.draw(&candidates, key) {
+                if let Some(server) = self.pick(&candidates, key) {
                     self.retry_budget -= 1.0;
                     self.send(id, server, actions);
                 }
@@ -144,9 +144,9 @@
         let limit = |locality| self.fleet.load(locality).healthy_limit.value();
         let capacity: f64 = Locality::ALL.map(limit).iter().sum();
         let latency = self.latencies.get(class);
-        let usual = latency.map_or(0.0, |latency| latency.median);
+        let median_latency = latency.map_or(0.0, |latency| latency.median);
         let wait = if capacity > 0.0 {
-            usual * (1.0 + self.queue.len() as f64 / capacity)
+            median_latency * (1.0 + self.queue.len() as f64 / capacity)
         } else {
             EJECTION_TIME.first as f64
         };
--- a/crates/balancer/src/balance/selection.rs
+++ b/crates/balancer/src/balance/selection.rs
@@ -41,12 +41,12 @@
     /// until the request has waited as long as crossing zones costs; then it spills over.
     pub(super) fn candidates(&self, open: &OpenRequest) -> Vec<ServerId> {
         // Guards a server against many balancers that each send it one request at a time.
-        let has_zone_capacity = ByLocality::from_fn(|locality| {
-            let load = self.zone_load(locality, open.request.class);
+        let has_locality_capacity = ByLocality::from_fn(|locality| {
+            let load = self.locality_load(locality, open.request.class);
             load.in_flight + 1.0 <= load.limit.max(1.0) && self.paused_until[locality] <= self.now
         });
         let has_capacity = |node: &&Node| {
-            has_zone_capacity[self.fleet.locality(node.server.zone)] && self.has_capacity(node)
+            has_locality_capacity[self.fleet.locality(node.server.zone)] && self.has_capacity(node)
         };
         for search in [Search::Healthy, Search::Untried, Search::All] {
             let mut found = self.search(open, Locality::Local, search, has_capacity);
@@ -141,10 +141,10 @@
                 .all(is_safe)
     }
 
-    /// Weighted round robin by credit: each draw credits every candidate its share and takes one from
+    /// Weighted round robin by credit: each pick credits every candidate its share and takes one from
     /// the server chosen. With key affinity the key's rendezvous hash chooses among those that are
     /// within their bound.
-    pub(super) fn draw(&mut self, candidates: &[ServerId], key: Option<u64>) -> Option<ServerId> {
+    pub(super) fn pick(&mut self, candidates: &[ServerId], key: Option<u64>) -> Option<ServerId> {
         let key = key.filter(|_| self.settings.key_affinity);
         let weights = self.weights(candidates);
         let total: f64 = weights.iter().map(|weight| weight.share).sum();
@@ -175,11 +175,12 @@
     /// The weights of servers: by size, trimmed while they warm up or are slower than the others.
     fn weights(&self, servers: &[ServerId]) -> Vec<Weight> {
         let nodes = || servers.iter().filter_map(|id| self.fleet.get(*id));
-        let usual = nodes().map(|node| node.slowness).sum::<f64>() / servers.len().max(1) as f64;
+        let mean_slowness =
+            nodes().map(|node| node.slowness).sum::<f64>() / servers.len().max(1) as f64;
         let weight = |node: &Node| {
             let size = node.size(&self.settings, self.mean_size);
             let warmth = (self.warmth(node) / node.warm_up_chance).min(1.0);
-            let trim = 1.0 - SLOWNESS_TRIM * (node.slowness - usual);
+            let trim = 1.0 - SLOWNESS_TRIM * (node.slowness - mean_slowness);
             Weight {
                 share: size * warmth * trim.clamp(MIN_TRIMMED_SHARE, 1.0),
                 size,
--- a/crates/balancer/src/class_ejection.rs
+++ b/crates/balancer/src/class_ejection.rs
@@ -23,7 +23,7 @@
 
 /// Judges by the end of an attempt whether its server answers the class, and ejects it for the class
 /// if it does not; returns a line for the log where it is ejected from now on.
-pub(crate) fn judge(
+pub(crate) fn record_attempt(
     fleet: &mut Fleet,
     attempt: &EndedAttempt,
     now: Micros,
@@ -37,10 +37,10 @@
         _ => return None,
     };
     let node = fleet.get(server)?;
-    if !says_something_new(node, attempt, is_answered) {
+    if !is_new_evidence(node, attempt, is_answered) {
         return None;
     }
-    let usual_rate = usual_rate(fleet, node, class);
+    let mean_rate_of_others = mean_rate_of_others(fleet, node, class);
     let is_ejected = fleet.change_class_ejection(server, class, |ejection| {
         let sample = if is_answered { 0.0 } else { 1.0 };
         ejection.failure_rate += SMOOTHING * (sample - ejection.failure_rate);
@@ -50,8 +50,8 @@
             }
             return false;
         }
-        let is_outlier =
-            ejection.failure_rate >= THRESHOLD && ejection.failure_rate - usual_rate >= MARGIN;
+        let is_outlier = ejection.failure_rate >= THRESHOLD
+            && ejection.failure_rate - mean_rate_of_others >= MARGIN;
         if is_outlier {
             ejection.backoff = ejection_time.after(ejection.backoff);
             ejection.since = now;
@@ -66,7 +66,7 @@
 
 /// Whether the attempt was sent to this incarnation of the server and after its latest ejection for
 /// the class, and is the first failure or one that follows failures.
-fn says_something_new(node: &Node, attempt: &EndedAttempt, is_answered: bool) -> bool {
+fn is_new_evidence(node: &Node, attempt: &EndedAttempt, is_answered: bool) -> bool {
     if attempt.sent < node.since {
         return false;
     }
@@ -77,7 +77,7 @@
 }
 
 /// The mean failure rate of the other servers for a class.
-fn usual_rate(fleet: &Fleet, node: &Node, class: ClassId) -> f64 {
+fn mean_rate_of_others(fleet: &Fleet, node: &Node, class: ClassId) -> f64 {
     let own_rate = node
         .class_ejections
         .get(&class)
--- a/crates/balancer/src/open_request.rs
+++ b/crates/balancer/src/open_request.rs
@@ -92,7 +92,7 @@
     /// The attempt in flight at a server that is unreachable by `is_unreachable`, if the request may
     /// be retried elsewhere: its response has not started, a retry is safe anywhere, and attempts
     /// remain.
-    pub(crate) fn stranded_attempt(
+    pub(crate) fn unreachable_attempt_to_retry(
         &self,
         class: &ClassSettings,
         limits: &Limits,
--- a/crates/balancer/tests/decisions/limits.rs
+++ b/crates/balancer/tests/decisions/limits.rs
@@ -153,7 +153,7 @@
 
 /// Guards against fast rejections: such a server always has capacity and would be sent ever more.
 #[test]
-fn a_server_that_rejects_at_once_is_no_black_hole() {
+fn a_server_that_rejects_immediately_is_not_preferred() {
     let mut driver = Driver::ready(idempotent());
     driver.serve_many();
     let before = driver.sends.len();
--- a/crates/balancer/tests/decisions/retries.rs
+++ b/crates/balancer/tests/decisions/retries.rs
@@ -133,7 +133,7 @@
 /// Guards against cancelling attempts that run on anyway: the work is done twice, and the zone is
 /// overloaded.
 #[test]
-fn a_slow_attempt_is_waited_for_where_only_one_is_allowed() {
+fn a_slow_attempt_is_not_cancelled_where_hedging_is_not_allowed() {
     let mut driver = Driver::ready(idempotent());
     driver.serve_many();
     for number in 0..30 {
--- a/crates/balancer/tests/decisions/settings.rs
+++ b/crates/balancer/tests/decisions/settings.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn unsound_settings_are_an_error_and_unsound_requests_are_rejected() {
+fn invalid_settings_are_an_error_and_requests_of_unknown_classes_are_rejected() {
     let no_classes = error_after(|settings| settings.classes.clear());
     assert_eq!(no_classes, Some(SettingsError::NoClasses));
     let unknown_zone = error_after(|settings| settings.zone = 2);
--- a/crates/balancer/tests/decisions/unreachable_zones.rs
+++ b/crates/balancer/tests/decisions/unreachable_zones.rs
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_zone_that_refuses_connections_is_left_without_being_unreachable() {
+fn a_zone_that_refuses_connections_is_avoided_but_not_declared_unreachable() {
     let mut simulation = Simulation::healthy(Effect::NonIdempotent);
     simulation.run_after(SECOND, 2 * SECOND, [Zone::Refuses, HEALTHY, HEALTHY]);
     assert!(simulation.remote_sends() >= 95, "{:?}", simulation.sends);
@@ -342,7 +342,7 @@
 
 /// It is found unreachable no later than the first time, and used again after each recovery.
 #[test]
-fn a_zone_that_flaps_costs_no_more_each_time() {
+fn a_flapping_zone_is_detected_no_later_each_time() {
     let mut simulation = Simulation::healthy(Effect::NonIdempotent);
     let mut lost = Vec::new();
     for _ in 0..4 {
@@ -360,7 +360,7 @@
 
 /// Shows that the tests above need the probes, which tell an unreachable zone from a slow one.
 #[test]
-fn without_probes_an_unreachable_zone_is_not_found_at_once() {
+fn without_probes_an_unreachable_zone_is_not_detected_at_once() {
     let mut simulation = Simulation::with_settings(settings_of(Effect::NonIdempotent));
     simulation.run(2 * SECOND, [HEALTHY; 3]);
     simulation.run(SECOND, [Zone::Silent, HEALTHY, HEALTHY]);
--- a/crates/balancer/tests/decisions/very_many_balancers.rs
+++ b/crates/balancer/tests/decisions/very_many_balancers.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_known_limits_of_a_subset_stand_for_the_zone() {
+fn limits_of_the_used_subset_are_extrapolated_to_the_zone() {
     // All responses take the latency target: limits of unused servers must not keep the sends up.
     let overloaded = one_of_very_many(1, |_| (Outcome::Ok, 200 * MS));
     let sends = overloaded.sends.len();
