--- a/crates/balancer/benches/handle.rs
+++ b/crates/balancer/benches/handle.rs
@@ -1,9 +1,9 @@
-//! What `Balancer::handle` costs on one thread, over the number of listed servers in three zones.
+//! Time that `Balancer::handle` takes on one thread, by the number of listed servers in three zones.
 //!
-//! `request`: a request and its response. `failure`: a request whose attempt fails, and what follows.
-//! `change`: a change of one server's entry in the list. `maintenance`: the periodic work of the
-//! timer. Each with one balancer (which uses all servers of its zone) and with 2,000 (of which each
-//! uses a subset).
+//! `request`: a request and its response. `failure`: a request whose attempt fails, and the client's
+//! disconnection. `change`: a change of one server's entry in the list. `maintenance`: the periodic
+//! work of the timer. Each runs for one balancer (which uses all servers of its zone) and for one of
+//! 2,000 (of which each uses a subset).
 
 use std::hint::black_box;
 
@@ -15,7 +15,7 @@
 
 const SIZES: [u64; 4] = [10, 100, 1_000, 10_000];
 
-/// A balancer with a complete list that has served 1,000 requests.
+/// A balancer that knows the complete list and has served 1,000 requests.
 struct Fixture {
     balancer: Balancer,
     now: Micros,
@@ -47,7 +47,7 @@
             size: 1.0,
             started: None,
         };
-        let balancer = Balancer::new(settings, 7).expect("sound settings");
+        let balancer = Balancer::new(settings, 7).expect("valid settings");
         let servers: Vec<Server> = (0..servers).map(server).collect();
         let mut fixture = Fixture {
             balancer,
@@ -78,7 +78,8 @@
         }
     }
 
-    /// A request 500 microseconds after the last, and the end of its attempt; timers fire in between.
+    /// Handles a request 500 microseconds after the last, and the end of its attempt; a timer that is
+    /// due fires before.
     fn request(&mut self, outcome: Outcome) {
         self.now += 500;
         if let Some((_, token)) = self.timer.filter(|(at, _)| *at <= self.now) {
--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -1,7 +1,7 @@
-//! The balancer's interface: its settings, the events it handles and the actions it asks for.
+//! The interface of the balancer: settings, events that it handles, and actions that it requests.
 //!
-//! Nothing here decides anything. All times are whole microseconds; clock readings count from any
-//! origin.
+//! Only data types and the validation of settings; decisions are made in `balance`. All times are in
+//! whole microseconds; clock readings count from an arbitrary origin.
 
 mod actions;
 mod events;
--- a/crates/balancer/src/api/actions.rs
+++ b/crates/balancer/src/api/actions.rs
@@ -1,45 +1,45 @@
-//! The actions that a balancer asks for.
+//! The actions that a balancer requests.
 
 use super::ids::{Micros, RequestId, ServerId};
 
-/// What a balancer can ask for.
+/// An action that a balancer requests from its driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sends a request to a server; the attempts at one request are numbered 0, 1, 2 ... in order.
     Send {
-        /// The request.
+        /// Identifier of the request.
         id: RequestId,
-        /// The server.
+        /// Server that receives the attempt.
         server: ServerId,
-        /// Timeout of the attempt; `None` lasts until the client gives up.
+        /// Timeout of the attempt; `None` means until the client gives up.
         timeout: Option<Micros>,
-        /// Clock reading from which on it must not start any more: the end of the window in which
-        /// servers drop duplicates. An attempt that has not written its first byte by then ends as
-        /// [`Outcome::NotSent`](super::Outcome::NotSent).
+        /// Clock reading from which on the attempt must not start any more: the end of the window in
+        /// which servers drop duplicates. An attempt that has not written its first byte by then ends
+        /// as [`Outcome::NotSent`](super::Outcome::NotSent).
         start_deadline: Option<Micros>,
     },
     /// Final answer: rejected; a retry is safe.
     Reject {
-        /// The request.
+        /// Identifier of the request.
         id: RequestId,
-        /// The retry delay for the client.
+        /// Delay after which the client may retry.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed, with no promise about effects.
+    /// Final answer: failed; the request may have run.
     Fail {
-        /// The request.
+        /// Identifier of the request.
         id: RequestId,
     },
     /// Cancels one attempt and closes its connection.
     Cancel {
-        /// The request.
+        /// Identifier of the request.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt at the request, from 0.
         attempt: u32,
     },
-    /// Asks for [`Event::Timer`](super::Event::Timer) after `delay`.
+    /// Requests [`Event::Timer`](super::Event::Timer) after `delay`.
     Timer {
-        /// How long from now.
+        /// Time from now.
         delay: Micros,
         /// Returned with the event.
         token: u64,
@@ -48,25 +48,25 @@
     Subscribe,
     /// Ends the subscription to discovery. Not emitted by this balancer.
     Unsubscribe,
-    /// Asks discovery once for the complete list. Not emitted by this balancer.
+    /// Requests the complete list from discovery once. Not emitted by this balancer.
     FetchAll,
     /// Sends a health check to a server.
     Probe {
-        /// The server.
+        /// Server to check.
         server: ServerId,
     },
     /// Sends a short message to one balancer, or to all others.
     SendToPeers {
-        /// The receiver; `None` for all.
+        /// Index of the receiver among the balancers; `None` for all others.
         to: Option<u32>,
-        /// The message.
+        /// Encoded message.
         data: Vec<u8>,
     },
     /// Closes this balancer's idle connections to a server.
     CloseIdle {
-        /// The server.
+        /// Server to which connections are closed.
         server: ServerId,
     },
-    /// A line for the operator.
+    /// Writes a line to the operator's log.
     Log(String),
 }
--- a/crates/balancer/src/api/events.rs
+++ b/crates/balancer/src/api/events.rs
@@ -5,17 +5,17 @@
 /// A request that a client sends to this balancer.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its number.
+    /// Identifier, never reused by one balancer.
     pub id: RequestId,
-    /// Its class.
+    /// Index of the class; a request of an unknown class is rejected.
     pub class: ClassId,
-    /// Its tenant, where there are tenants.
+    /// Index of the tenant, where there are tenants.
     pub tenant: Option<TenantId>,
-    /// Its affinity key.
+    /// Key of session affinity: requests with the same key prefer the same server.
     pub key: Option<u64>,
     /// Estimated work in microseconds, where the request has a hint.
     pub work_hint: Option<Micros>,
-    /// The client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     pub client_retry: bool,
     /// Clock reading at which the client gives up.
     pub expires: Micros,
@@ -24,9 +24,9 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// A successful response.
     Ok,
-    /// An error response; may have run.
+    /// An error response other than the ones below; may have run.
     ServerError,
     /// Rejected as overloaded: never ran.
     Overloaded,
@@ -39,9 +39,9 @@
     Reset,
     /// The response was malformed or incomplete; may have run. The server is up.
     MalformedResponse,
-    /// The server rejects the request itself (4xx); so would every other.
+    /// The server rejects the request as invalid (4xx); so would every other.
     ClientError,
-    /// Cancelled; may have run.
+    /// Cancelled before a response arrived; may have run.
     Cancelled,
     /// Never sent: the request had ended, or was out of time or attempts.
     NotSent,
@@ -57,7 +57,7 @@
         )
     }
 
-    /// Whether the outcome says something of the server's load: it is a response, or the lack of one.
+    /// Whether the outcome is evidence of the server's load: a response, or the lack of one.
     #[must_use]
     pub fn indicates_load(self) -> bool {
         use Outcome::{ConnectFailed, Ok, Overloaded, ServerError, Timeout};
@@ -68,40 +68,40 @@
     }
 }
 
-/// A server's report of its load; any value may be missing.
+/// The load that a server reports; any value may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Part of its processor in use.
+    /// Fraction of the server's processor capacity in use.
     pub cpu: Option<f64>,
-    /// Requests in progress.
+    /// Number of requests in progress at the server.
     pub active: Option<f64>,
 }
 
 /// The phase of a server's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Accepts requests.
+    /// The server accepts requests.
     Ready,
-    /// Finishes its requests; is sent no new ones.
+    /// The server finishes its requests and is sent no new ones.
     Draining,
-    /// Removed.
+    /// The server was removed.
     Gone,
 }
 
-/// One entry of the list of servers.
+/// A server as listed by discovery.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Its identity.
+    /// Identifier, the same across restarts of the server.
     pub id: ServerId,
-    /// Its zone.
+    /// Index of the zone; may exceed the configured zones.
     pub zone: ZoneId,
-    /// Its cell: servers that share their record of duplicates.
+    /// Cell: the servers that share their record of duplicates with this one.
     pub cell: u64,
-    /// Its phase.
+    /// Phase of the life cycle; only ready servers are sent requests.
     pub phase: Phase,
-    /// Its size against the others, see [`Settings::sizes`](super::Settings::sizes).
+    /// Size relative to the other servers, see [`Settings::sizes`](super::Settings::sizes).
     pub size: f64,
-    /// Clock reading of its latest start, unless that is long ago.
+    /// Clock reading of the latest start, unless that is long ago.
     pub started: Option<Micros>,
 }
 
@@ -110,93 +110,93 @@
 pub enum Scope {
     /// Changed entries only.
     Changes,
-    /// The complete list: servers that are missing are removed.
+    /// The complete list: servers that are missing from it are removed.
     Complete,
-    /// The complete list as stored before a restart; possibly stale.
+    /// The complete list as stored before a restart of the proxy; possibly stale.
     Cached,
-    /// A call failed or the subscription broke; the list stays as it is.
+    /// A call failed or the subscription broke; the current list stays in use.
     Failed,
 }
 
 /// An update from discovery.
 #[derive(Clone, Debug)]
 pub struct Listing {
-    /// How to read the entries.
+    /// Relation of the entries to the current list.
     pub scope: Scope,
-    /// The entries.
+    /// Listed servers; not read for [`Scope::Failed`].
     pub servers: Vec<Server>,
 }
 
 /// The end of one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnded {
-    /// The request.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// The server of the attempt.
+    /// Server to which the attempt was sent.
     pub server: ServerId,
-    /// The attempt's number: 0, 1, 2 ... in the order of the sends.
+    /// Number of the attempt: 0, 1, 2 ... in the order of the sends.
     pub attempt: u32,
-    /// How it ended.
+    /// Result of the attempt.
     pub outcome: Outcome,
     /// Time since the send, or since the request's last byte if that was sent later.
     pub latency: Micros,
-    /// The client has its final answer, from this outcome or earlier.
+    /// Whether the client has its final answer, from this outcome or earlier.
     pub finished: bool,
-    /// The server's load report, when one came along.
+    /// Load report of the server, if the response carried one.
     pub load: Option<LoadReport>,
 }
 
-/// What happens to a balancer.
+/// An event that a balancer handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request arrived; it gets exactly one final answer.
+    /// A request arrived; the client gets exactly one final answer.
     Request(Request),
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// A streamed response started and is forwarded: the attempt cannot be replaced any more. Not
-    /// sent by `ironmast run`.
+    /// A streamed response started and is forwarded: the request cannot be retried any more. Not sent
+    /// by `ironmast run`.
     ResponseStarted {
-        /// The request.
+        /// Identifier of the request.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt at the request, from 0.
         attempt: u32,
     },
-    /// The last byte of a request arrived that was accepted while its body was still being received:
-    /// its client's time counts from now, and no attempt at it has run before.
+    /// The last byte of a request arrived that was accepted while its body was still being received.
+    /// The client's time counts from now, and no attempt at the request has run before.
     RequestComplete {
-        /// The request.
+        /// Identifier of the request.
         id: RequestId,
         /// Clock reading at which the client gives up.
         expires: Micros,
     },
     /// The client disconnected; nothing more is sent to it.
     ClientDisconnected {
-        /// The request.
+        /// Identifier of the request.
         id: RequestId,
     },
-    /// A timer asked for by [`Action::Timer`](super::Action::Timer) is due.
+    /// A timer requested by [`Action::Timer`](super::Action::Timer) is due.
     Timer {
-        /// The token given with it.
+        /// Token of the timer's action.
         token: u64,
     },
     /// An update from discovery.
     Members(Listing),
     /// A health check ended.
     ProbeEnded {
-        /// The server.
+        /// Server that was checked.
         server: ServerId,
-        /// How it ended.
+        /// Result of the health check.
         outcome: Outcome,
         /// Time since the probe was sent.
         latency: Micros,
-        /// The server's load report, when one came along.
+        /// Load report of the server, if the answer carried one.
         load: Option<LoadReport>,
     },
     /// A message from another balancer.
     PeerMessage {
-        /// The sender's number.
+        /// Index of the sender among the balancers.
         from: u32,
-        /// The message.
+        /// Encoded message.
         data: Vec<u8>,
     },
 }
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -2,19 +2,19 @@
 
 use super::ids::{Micros, ZoneId};
 
-/// What may be done with a request that may already have run: whether a retry is safe.
+/// Whether and where a retry is safe for a request that may already have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// A retry is safe anywhere, any number of times.
     Idempotent,
-    /// One group of servers drops duplicates for some time.
+    /// A retry is safe within a group of servers that drops duplicates for some time.
     Deduplicated {
-        /// The group that drops duplicates.
+        /// Servers that drop duplicates of the request.
         group: Group,
-        /// For how long after the first attempt that may have run, in microseconds.
+        /// Time after the first attempt that may have run, in microseconds, in which a retry is safe.
         window: Micros,
     },
-    /// Must never run twice.
+    /// The request must never run twice: no retry is safe.
     NonIdempotent,
 }
 
@@ -29,20 +29,20 @@
     Cell,
 }
 
-/// One class of requests.
+/// The settings of one class of requests.
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
-    /// Responses within this time earn their value.
+    /// Latency within which a response earns its full value, in microseconds.
     pub latency_target: Micros,
-    /// The longest that a client waits, over all attempts.
+    /// Longest time that a client waits over all attempts, in microseconds.
     pub deadline: Micros,
-    /// Whether a retry is safe.
+    /// Whether and where a retry is safe.
     pub effect: Effect,
-    /// The value of one response in time.
+    /// Value of one response within the latency target; queued requests are sent in order of value.
     pub value: f64,
-    /// The part of the value that a response past the latency target still earns.
+    /// Fraction of the value, 0 to 1, that a response past the latency target still earns.
     pub late_value_share: f64,
-    /// Responses are streams whose start is reported. Read by no decision.
+    /// Whether responses are streams whose start is reported. Read by no decision.
     pub streaming: bool,
 }
 
@@ -59,124 +59,127 @@
     }
 }
 
-/// What one tenant may request of all servers.
+/// The quota of one tenant over all servers.
 #[derive(Clone, Debug)]
 pub struct TenantSettings {
     /// Requests per second, over all balancers, within its share.
     pub allowance_per_s: f64,
-    /// Its share of service.
+    /// Share of service, 0 to 1.
     pub share: f64,
 }
 
-/// What the size of a listed server means.
+/// The meaning of the size of a listed server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SizeMeaning {
-    /// Nothing: all count alike.
+    /// Sizes are not used: all servers have the same weight.
     Unknown,
-    /// Capacity, exactly or roughly.
+    /// Exact or approximate capacity, used as weight.
     Capacity,
-    /// Capacity mixed with momentary load.
+    /// Capacity mixed with momentary load; not used as weight.
     Live,
 }
 
-/// How the list of servers arrives.
+/// The way in which the balancer receives the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes arrive unasked.
+    /// Changes arrive without a subscription.
     Pushed,
-    /// Changes arrive after [`Action::Subscribe`](super::Action::Subscribe) only.
+    /// Changes arrive only after [`Action::Subscribe`](super::Action::Subscribe).
     Subscribed,
 }
 
-/// A change counts as delivered by discovery this long after it could be reached, whatever failed
-/// meanwhile: a figure of the platform, the same for every deployment.
+/// Longest time, in microseconds, from the return of discovery after a failure to the delivery of a
+/// change. A constant of the platform, the same for every deployment.
 pub const MAX_DISCOVERY_DELAY: Micros = 6_000_000;
 
 /// The settings of a balancer.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Number of balancers sending to the same servers, this one included.
+    /// Number of balancers that send to the same servers, this one included.
     pub balancers: u32,
-    /// This balancer's index among them.
+    /// Index of this balancer among them, from 0.
     pub balancer_index: u32,
-    /// The classes of requests.
+    /// Classes of requests, at least one.
     pub classes: Vec<ClassSettings>,
-    /// The tenants; may be empty.
+    /// Tenants; may be empty.
     pub tenants: Vec<TenantSettings>,
-    /// Value of a request beyond its tenant's share, as a part of its class's value. Read by no
-    /// decision.
+    /// Value of a request beyond its tenant's share, as a fraction of the class's value, 0 to 1. Read
+    /// by no decision.
     pub over_share_value: f64,
     /// Number of configured zones.
     pub zones: usize,
-    /// The zone of this balancer.
+    /// Index of this balancer's own zone, below `zones`.
     pub zone: ZoneId,
-    /// How the list of servers arrives.
+    /// Way in which the list of servers arrives.
     pub discovery: Discovery,
-    /// What [`Server::size`](super::Server::size) means.
+    /// Meaning of [`Server::size`](super::Server::size).
     pub sizes: SizeMeaning,
-    /// Servers that served a key recently do less work for it (warm caches).
+    /// Whether requests with the same key prefer the same server, which does less work for a key that
+    /// it served recently (warm caches).
     pub key_affinity: bool,
-    /// Shortest time between two deliveries of events.
+    /// Shortest time between two deliveries of events, in microseconds. Requests are ended this long
+    /// before their clients give up.
     pub tick: Micros,
-    /// What the operator permits.
+    /// Permissions given by the operator.
     pub limits: Limits,
-    /// Figures of the safety rules.
+    /// Parameters of the safety rules.
     pub safety: Safety,
     /// Penalties in the score of the operators' simulator.
     pub penalties: Penalties,
 }
 
-/// What the operator permits.
+/// Permissions given by the operator.
 #[derive(Clone, Debug)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "independent permissions of the operator"
 )]
 pub struct Limits {
-    /// Attempts for one request at most.
+    /// Maximum number of attempts at one request, at least 1.
     pub max_attempts: u32,
-    /// Two attempts at one request may be in flight at once (hedging).
+    /// Whether two attempts at one request may be in flight at once (hedging).
     pub allow_hedging: bool,
-    /// [`Action::Cancel`](super::Action::Cancel) is permitted.
+    /// Whether [`Action::Cancel`](super::Action::Cancel) is permitted.
     pub cancel: bool,
-    /// [`Action::Probe`](super::Action::Probe) is permitted.
+    /// Whether [`Action::Probe`](super::Action::Probe) is permitted.
     pub probes: bool,
-    /// [`Action::SendToPeers`](super::Action::SendToPeers) is permitted.
+    /// Whether [`Action::SendToPeers`](super::Action::SendToPeers) is permitted.
     pub peers: bool,
-    /// Rejections carry a retry delay. Read by no decision: they always do.
+    /// Whether rejections carry a retry delay. Read by no decision: they always do.
     pub retry_after: bool,
-    /// The longest retry delay that clients honour.
+    /// Longest retry delay that clients honour, in microseconds; longer delays are cut to it.
     pub max_retry_after: Micros,
 }
 
-/// Figures of the safety rules.
+/// Parameters of the safety rules; times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Safety {
-    /// How long after a request's deadline a final answer still counts. Read by no decision.
+    /// Time after a request's deadline in which a final answer still counts. Read by no decision.
     pub answer_slack: Micros,
-    /// Without a subscription, discovery must be asked at least this often.
+    /// Longest interval between calls to discovery without a subscription.
     pub discovery_interval: Micros,
-    /// A restarted server starts with at least this part of its capacity.
+    /// Minimum capacity of a restarted server, as a fraction of its full capacity, above 0 and at
+    /// most 1.
     pub initial_capacity: f64,
-    /// It has its full capacity no later than this after its start.
+    /// Time after its start in which a server reaches its full capacity.
     pub warm_up: Micros,
-    /// Sends to a draining server must stop within this. Read by no decision: they stop at once.
+    /// Time within which sends to a draining server must stop. Read by no decision: they stop at once.
     pub drain_grace: Micros,
-    /// A warming server fails when it is sent more than `overload_multiple` times its capacity for this
-    /// long.
+    /// Time for which a warming server may be sent more than `overload_multiple` times its capacity
+    /// before it fails.
     pub overload_window: Micros,
-    /// See `overload_window`.
+    /// Multiple of its capacity that makes a warming server fail; see `overload_window`.
     pub overload_multiple: f64,
 }
 
-/// Penalties on the result, as fractions of it.
+/// Penalties in the score of the operators' simulator, as fractions of the score.
 #[derive(Clone, Debug)]
 pub struct Penalties {
-    /// For every request crossing zones once.
+    /// Penalty if every request crosses zones once. Sets how long requests wait in the own zone.
     pub cross_zone: f64,
-    /// For as much wasted work as was requested. Read by no decision.
+    /// Penalty if as much work is wasted as was requested. Read by no decision.
     pub waste: f64,
-    /// For all value that ends unserved after its latency target. Read by no decision.
+    /// Penalty if all value ends unserved after its latency target. Read by no decision.
     pub late_fail: f64,
 }
 
--- a/crates/balancer/src/api/validation.rs
+++ b/crates/balancer/src/api/validation.rs
@@ -8,17 +8,17 @@
 /// Durations are kept below 30 years, so that sums with clock readings cannot overflow.
 const MAX_DURATION: Micros = 1_000_000_000_000_000;
 
-/// Why a balancer could not be built.
+/// The reason why settings are invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// There is no class of requests.
+    /// The list of request classes is empty.
     #[error("no class of requests is configured")]
     NoClasses,
-    /// The balancer's own zone is not among the configured ones.
-    #[error("the own zone is not among the configured zones")]
+    /// The index of the balancer's own zone is not below the number of zones.
+    #[error("the balancer's own zone is not among the configured zones")]
     UnknownZone,
-    /// A figure is outside of what makes sense.
+    /// A number is outside its valid range.
     #[error("the setting `{path}` is out of range")]
     OutOfRange {
         /// The path of the setting in the settings file, as in `classes.0.objective`.
@@ -27,10 +27,10 @@
 }
 
 impl Settings {
-    /// Checks that the settings make sense together.
+    /// Checks each setting's range and the settings' consistency.
     ///
     /// # Errors
-    /// [`SettingsError`] for the first setting that does not.
+    /// [`SettingsError`] for the first setting that is out of range or contradicts another.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/balance.rs
@@ -1,10 +1,10 @@
-//! The balancer's state and its event handler. The decisions are here and below, but for ejections of
-//! a class (`class_ejection`) and unreachable zones (`failure_detector`). `api` is the interface,
-//! `node` and `open_request` are records, and `fleet` has the aggregates over all servers.
+//! The balancer's state and event handler. All decisions are made here and in the submodules, except
+//! the ejection of a server for one class (`class_ejection`) and the detection of unreachable zones
+//! (`failure_detector`).
 //!
-//! A request runs through `accept_request` and `send_or_queue` (`requests`), `candidates` and `pick`
-//! (`selection`, within the limits of `capacity`) and `send` (`attempts`); its attempts end in
-//! `attempt_ended`, from which `health` learns.
+//! A request passes through `accept_request` and `send_or_queue` (`requests`), `candidates` and `pick`
+//! (`selection`, within the limits of `capacity`) and `send` (`attempts`). Each attempt ends in
+//! `attempt_ended`, which passes its outcome to `health`.
 
 mod attempts;
 mod capacity;
@@ -28,26 +28,26 @@
 use crate::peer_load::PeerLoad;
 use crate::rng::{Rng, mix};
 
-/// Maintenance runs in the shortest latency target: how often measurements decay and warming
-/// servers are granted requests.
+/// Maintenance runs (decay of measurements, grants to warming servers) per shortest latency target.
 const MAINTENANCE_RUNS_PER_TARGET: u64 = 10;
-/// The longest maintenance interval.
+/// Upper bound of the maintenance interval, in microseconds.
 const MAX_MAINTENANCE_INTERVAL: Micros = 1_000_000;
-/// The servers that one of many balancers uses change after this, so that each balancer, too, uses
-/// all evenly in the long run.
+/// Time after which one of many balancers changes its subset of servers, in microseconds, so that each
+/// balancer uses all servers evenly in the long run.
 const SUBSET_ROTATION: Micros = 60_000_000;
-/// After a failure discovery is asked again after `discovery_interval` over this, at first.
+/// The first backoff after a failed discovery call is `discovery_interval` divided by this.
 const FIRST_BACKOFF_DIVISOR: u64 = 16;
-/// The longest backoff is `discovery_interval` over this, and at most `MAX_DISCOVERY_DELAY` over 4.
+/// The longest backoff is `discovery_interval` divided by this, at most `MAX_DISCOVERY_DELAY` / 4.
 const MAX_BACKOFF_DIVISOR: u64 = 2;
-/// Initial in-flight limit of a server over all balancers; each takes its share of it.
+/// Initial in-flight limit of a server, summed over all balancers; each starts with its share.
 const INITIAL_LIMIT: f64 = 12.0;
-/// Time constant of measured rates, and the time for which idle connections stay open.
+/// Time constant of measured rates and idle timeout of connections, in microseconds.
 const RATE_DECAY_TIME: f64 = 2_000_000.0;
-/// The rate of wins of hedged requests that is assumed at the start.
+/// Hedge win rate assumed before any hedged request has ended.
 const INITIAL_HEDGE_WIN_RATE: f64 = 0.4;
 
-/// The decisions of one client proxy.
+/// The load balancer of one client proxy: decides where requests are sent, and whether they are
+/// retried, hedged, queued or rejected.
 pub struct Balancer {
     settings: Settings,
     rng: Rng,
@@ -55,12 +55,12 @@
     fleet: Fleet,
     failure_detector: FailureDetector,
     open_requests: BTreeMap<RequestId, OpenRequest>,
-    /// When requests are due.
+    /// Times at which open requests are processed again.
     due_requests: BTreeSet<(Micros, RequestId)>,
-    /// When the timer is due that was asked for last.
+    /// Due time of the timer that was requested last.
     armed_timer: Option<Micros>,
-    /// While the limits of a locality sum to less than one, nothing is sent there before this time, so that
-    /// many balancers do not overload it.
+    /// Time until which nothing is sent to a locality. Set while its limits sum to less than one, so
+    /// that many balancers do not overload it.
     paused_until: ByLocality<Micros>,
     latencies: Vec<LatencyQuantiles>,
     mean_size: f64,
@@ -73,13 +73,13 @@
     round_robin_position: usize,
     /// Requests that wait for capacity, the most valuable first, then the newest.
     queue: BTreeSet<QueuePosition>,
-    /// Retries and hedged requests saved up.
+    /// Number of retries and hedged requests that may be sent now.
     retry_budget: f64,
-    /// How often hedged requests won recently, 0 to 1.
+    /// Moving average of how often the hedging attempt was answered first, 0 to 1.
     hedge_win_rate: f64,
-    /// When discovery must be asked.
+    /// When discovery is called next; `None` if no call is needed.
     subscribe_at: Option<Micros>,
-    /// The backoff after the next failure of discovery.
+    /// Backoff after the next failed discovery call, in microseconds.
     subscribe_backoff: Micros,
 }
 
@@ -87,7 +87,7 @@
     /// Builds a balancer that knows no server yet.
     ///
     /// # Errors
-    /// [`SettingsError`] for the first setting that makes no sense with the others.
+    /// [`SettingsError`] for the first setting that is out of range or contradicts another.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let targets = settings.classes.iter().map(|class| class.latency_target);
@@ -154,10 +154,10 @@
         self.run_due(actions);
     }
 
-    /// Does what is due, then asks for one timer at the next due time.
+    /// Processes all that is due, then requests a timer for the next due time.
     fn run_due(&mut self, actions: &mut Vec<Action>) {
         if self.subscribe_at.is_some_and(|at| at <= self.now) {
-            // Repeated unless a list arrives: a response that never arrives must not end it.
+            // Scheduled again until a list arrives, because the response to a call may be lost.
             self.subscribe_at =
                 Some(self.now + self.settings.safety.discovery_interval / MAX_BACKOFF_DIVISOR);
             actions.push(Action::Subscribe);
@@ -173,7 +173,7 @@
             self.due_requests.remove(&(at, id));
             self.request_due(id, actions);
         }
-        // Otherwise requests that may spill over would wait behind newer ones that may not yet.
+        // Two passes: requests that may spill over must not wait behind newer ones that may not yet.
         for only_spilling in [false, true] {
             while let Some(id) = self.first_queued(only_spilling) {
                 if !self.send_or_queue(id, actions) {
@@ -184,19 +184,18 @@
         self.ask_for_timer(actions);
     }
 
-    /// Runs periodically: maintains servers, probes, and grants warming servers their requests.
+    /// Runs once per maintenance interval: maintains and probes servers, and reports load to peers.
     fn maintain(&mut self, actions: &mut Vec<Action>) {
         self.maintain_servers(actions);
         self.probe_silent_zones(actions);
         self.grant_warm_up();
-        // Guards the busiest of many balancers against an even share of limits, most of which the
-        // others do not use.
+        // With even shares, the busiest of many balancers would lack capacity that others leave unused.
         self.fleet.scale(self.peer_load.update_shares(self.now));
         let message = self.peer_load.due(self.now);
         actions.extend(message.map(|data| Action::SendToPeers { to: None, data }));
     }
 
-    /// The first queued request, or the first that may spill over to other zones.
+    /// The first queued request or, with `only_spilling`, the first that may go to other zones.
     fn first_queued(&self, only_spilling: bool) -> Option<RequestId> {
         let may_spill = |id: &RequestId| {
             let open = self.open_requests.get(id);
@@ -206,7 +205,7 @@
         ids.find(|id| !only_spilling || may_spill(id))
     }
 
-    /// Asks for a timer at the next due time, unless the last one comes first.
+    /// Requests a timer for the next due time, unless the last one is due earlier.
     fn ask_for_timer(&mut self, actions: &mut Vec<Action>) {
         let first_due = self.due_requests.first().map(|due| due.0);
         let others = [first_due, self.subscribe_at].into_iter().flatten();
@@ -222,8 +221,8 @@
         }
     }
 
-    /// Discovery answered: takes over its list, or retries with a jittered backoff where it failed.
-    /// Backoff and the time of a call together fit `MAX_DISCOVERY_DELAY`.
+    /// Applies an update from discovery, or schedules a retry with jittered exponential backoff after a
+    /// failure. Backoff and call time together stay within `MAX_DISCOVERY_DELAY`.
     fn update_servers(&mut self, listing: Listing, actions: &mut Vec<Action>) {
         let longest = (self.settings.safety.discovery_interval / MAX_BACKOFF_DIVISOR)
             .min(MAX_DISCOVERY_DELAY / 4);
@@ -241,9 +240,9 @@
         self.fleet.remove_missing(&listing);
         for server in listing.servers {
             match self.fleet.get(server.id) {
-                // Guards rule 3: removed servers are forgotten; draining ones are no candidates.
+                // Rule 3: removed servers are dropped here, and draining ones are never candidates.
                 _ if server.phase == Phase::Gone => self.fleet.remove(server.id),
-                // The same incarnation keeps its state; a restarted server starts anew.
+                // The same incarnation keeps its state; a restarted server starts without history.
                 Some(node) if node.server.started == server.started => self.fleet.update(server),
                 _ => {
                     let share = self.peer_load.shares[self.fleet.locality(server.zone)];
@@ -254,6 +253,7 @@
             }
         }
         self.mean_size = self.fleet.mean_size();
-        actions.extend((self.fleet.len() == 0).then(|| Action::Log("no server is listed".into())));
+        let text = "discovery lists no server; requests are rejected unless one is listed in time";
+        actions.extend((self.fleet.len() == 0).then(|| Action::Log(text.into())));
     }
 }
--- a/crates/balancer/src/balance/attempts.rs
+++ b/crates/balancer/src/balance/attempts.rs
@@ -7,27 +7,26 @@
 use crate::failure_detector::Liveness;
 use crate::open_request::Attempt;
 
-/// Retries and hedged requests earned by each accepted request, at least.
+/// Minimum retry budget earned by each accepted request.
 const MIN_BUDGET_EARNED: f64 = 0.03;
-/// What is earned besides for each unit by which hedged requests win more often than pays for their
-/// work.
+/// Additional budget earned for each unit by which the hedge win rate exceeds break-even.
 const BUDGET_EARNED_BY_WINS: f64 = 2.0;
-/// The rate of wins that pays for hedged requests.
+/// Hedge win rate at which hedged requests pay for their work.
 const BREAK_EVEN_HEDGE_WIN_RATE: f64 = 0.3;
-/// Smoothing factor of that rate.
+/// Smoothing factor of the hedge win rate.
 const HEDGE_WIN_SMOOTHING: f64 = 0.05;
-/// The largest retry budget.
+/// Upper bound of the retry budget, in attempts.
 const MAX_RETRY_BUDGET: f64 = 20.0;
 
 impl Balancer {
-    /// An accepted request earns a part of a retry.
+    /// Adds the fraction of a retry that an accepted request earns to the retry budget.
     pub(super) fn deposit_retry_budget(&mut self) {
         let wins = (self.hedge_win_rate - BREAK_EVEN_HEDGE_WIN_RATE).max(0.0);
         let earned = MIN_BUDGET_EARNED + BUDGET_EARNED_BY_WINS * wins;
         self.retry_budget = (self.retry_budget + earned).min(MAX_RETRY_BUDGET);
     }
 
-    /// Sends an attempt to a server.
+    /// Sends an attempt to a server; schedules hedging after the first if it is allowed.
     pub(super) fn send(&mut self, id: RequestId, server: ServerId, actions: &mut Vec<Action>) {
         let (now, Some(open)) = (self.now, self.open_requests.get_mut(&id)) else {
             return;
@@ -39,7 +38,7 @@
             node.warm_up_budget -= 1.0;
             node.start_due_trial(now);
             // A trial of a class for which the server is ejected has a short timeout, so that the
-            // request can still go elsewhere.
+            // request can still be sent elsewhere.
             let is_trial = node.start_due_class_trial(class, now);
             let timeout = is_trial.then_some(class_settings.latency_target);
             let attempt = Attempt {
@@ -71,8 +70,8 @@
         }
     }
 
-    /// An attempt ended: judges its server, then ends the request, retries it, or waits for its other
-    /// attempt.
+    /// Handles the end of an attempt: updates the health of its server, then ends the request, retries
+    /// it, or waits for its other attempt.
     pub(super) fn attempt_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
         let open = self.open_requests.get_mut(&ended.id);
         let class = open.as_ref().map(|open| open.request.class);
@@ -89,8 +88,8 @@
         };
         if ended.finished || open.done {
             if !open.done && open.in_flight() > 0 {
-                // A hedged request that loses shows an expensive request, not a slow server: guards
-                // against hedging those.
+                // A hedged request that loses indicates an expensive request, not a slow server; a
+                // lower win rate makes hedging rarer.
                 let won = f64::from(ended.attempt.min(1));
                 self.hedge_win_rate += HEDGE_WIN_SMOOTHING * (won - self.hedge_win_rate);
             }
@@ -100,7 +99,7 @@
         }
     }
 
-    /// Whether the server of an attempt answers its class and is alive.
+    /// Updates class ejection and failure detection with the end of an attempt.
     fn record_attempt_end(&mut self, attempt: &EndedAttempt, actions: &mut Vec<Action>) {
         let (ended, now) = (attempt.ended, self.now);
         let target = self.settings.classes[attempt.class].latency_target;
@@ -111,8 +110,8 @@
         if let Some(liveness) = Liveness::of(ended.outcome, ended.latency) {
             self.record_liveness(ended.server, liveness, actions);
         }
-        // Two failures in a row are checked by a probe: guards requests that must not be retried, for
-        // a dead process resets and then refuses connections.
+        // Repeated resets are checked by a probe, which saves requests that must not be retried: a
+        // dead process resets connections, then refuses new ones.
         let node = self.fleet.get(ended.server);
         let has_failed = node.is_some_and(|node| node.failure_rate > EJECTION_THRESHOLD / 4.0);
         if ended.outcome == Outcome::Reset && self.settings.limits.probes && has_failed {
@@ -121,8 +120,8 @@
         }
     }
 
-    /// No attempt is in flight and the request is not answered: retries it where that is allowed and
-    /// of use, otherwise ends it.
+    /// Retries an unanswered request without attempts in flight where that is allowed and useful;
+    /// otherwise ends it.
     pub(super) fn after_failure(
         &mut self,
         id: RequestId,
@@ -132,10 +131,10 @@
         let Some(open) = self.open_requests.get(&id) else {
             return;
         };
-        // Guards the queue: a request that may be sent nowhere would block those behind it.
+        // A request that may be sent to no server would block those behind it in the queue.
         let is_sendable = self.fleet.ready().any(|node| self.may_send(open, node));
-        // Without cost only where the server is likely dead: guards against retry storms among
-        // overloaded servers.
+        // Free only where the server is likely dead: free retries of rejected requests caused retry
+        // storms among overloaded servers.
         let is_free = matches!(outcome, Outcome::ConnectFailed | Outcome::Cancelled);
         let cost = if is_free { 0.0 } else { 1.0 };
         let is_retry_useless = self.now >= open.end_at.min(open.target_at)
--- a/crates/balancer/src/balance/capacity.rs
+++ b/crates/balancer/src/balance/capacity.rs
@@ -1,5 +1,4 @@
-//! How much may be in flight: limits per server and zone, and the slow start of servers that have
-//! just started.
+//! In-flight limits per server and locality, and slow start of servers that have just started.
 
 use super::{Balancer, INITIAL_LIMIT, RATE_DECAY_TIME};
 use crate::api::{AttemptEnded, ClassId, Micros, Outcome};
@@ -10,17 +9,17 @@
 /// Requests that all balancers together may send a warming server in one overload window without
 /// any evidence of its capacity.
 const MIN_WARM_UP_REQUESTS: f64 = 4.0;
-/// A response counts as overload from this part of its latency target on, so that it shows before
-/// targets are missed.
+/// Fraction of its latency target from which on a response counts as overload, so that overload is
+/// detected before targets are missed.
 const OVERLOAD_LATENCY_SHARE: f64 = 0.2;
-/// Numerator of a limit's increase for each response without overload while the zone is in use (by
-/// the first limit until the first overload). A limit decreases by the overload of each response
-/// that shows it, so it converges to this over the usual overload.
+/// Numerator of a limit's increase for each response without overload while the locality is in use
+/// (`INITIAL_LIMIT` until the first overload). Each response with overload, 0 to 1, decreases the limit
+/// by that much, so the limit converges to this divided by the mean overload.
 const LIMIT_INCREASE: f64 = 3.0;
-/// Smoothing factor of this balancer's share of a server's load, as load reports give it.
+/// Smoothing factor of this balancer's share of a server's load, which load reports show.
 const LOAD_SHARE_SMOOTHING: f64 = 0.05;
 
-/// What is in flight in the own zone or the others, and the limit there.
+/// Attempts in flight in a locality, and the sum of its limits.
 #[derive(Clone, Copy)]
 pub(super) struct LocalityLoad {
     pub in_flight: f64,
@@ -28,13 +27,13 @@
 }
 
 impl Balancer {
-    /// The part of its capacity that a server surely has.
+    /// The fraction of its capacity that a server has reached at least, 0 to 1.
     pub(super) fn warmth(&self, node: &Node) -> f64 {
         node.warmth(self.now, &self.settings.safety)
     }
 
-    /// Whether a server is below its in-flight limit and, while it warms up, within its budget: guards
-    /// rule 4 for every choice, retry and spillover.
+    /// Whether a server is below its in-flight limit and, while it warms up, within its budget. Every
+    /// first attempt, retry and spillover depends on it, which enforces rule 4.
     pub(super) fn has_capacity(&self, node: &Node) -> bool {
         let is_below_limit = f64::from(node.in_flight) + 1.0 <= node.limit.max(1.0)
             && node.overloaded_until <= self.now;
@@ -48,9 +47,9 @@
             .is_none_or(|ejection| ejection.until <= self.now)
     }
 
-    /// What is in flight in a locality, and the sum of limits there. Where balancers are so many that
-    /// initial limits leave each less than one, the limits that are known stand for all. Servers
-    /// ejected for the class do not count: their idle limits would keep the others' from growing.
+    /// Attempts in flight in a locality, and the sum of its limits. A balancer that uses a subset
+    /// extrapolates the sum, as unused servers keep their initial limits. Servers ejected for the class
+    /// do not count: their unused limits would keep the limits of the others from growing.
     pub(super) fn locality_load(&self, locality: Locality, class: ClassId) -> LocalityLoad {
         let is_ejected_here = |node: &&Node| {
             self.fleet.locality(node.server.zone) == locality && !self.serves_class(node, class)
@@ -84,10 +83,10 @@
         limits * load.ready() as f64 / (subset.len() + load.ejected).max(1) as f64
     }
 
-    /// Slow start: grants warming servers half of what they can take judging by their successes, or by
-    /// this balancer's even share of all successes, and a little without evidence. Less than one
-    /// request in a window is granted at random and not saved: guards against many balancers that
-    /// each save one for the same server.
+    /// Slow start: grants warming servers half of what they can take by their recent successes or by an
+    /// even share of all successes, and a minimum without any. A grant below one request per
+    /// window is made at random and not saved, so that many balancers do not each save one for the
+    /// same server.
     pub(super) fn grant_warm_up(&mut self) {
         let due = self.fleet.take_due_warm_ups(self.now);
         if due.is_empty() {
@@ -118,8 +117,8 @@
         }
     }
 
-    /// The mean of recent successes that this balancer had from a server: of those of its zone for
-    /// local servers, of all for remote ones.
+    /// Recent successes of this balancer per server that it uses: per server of the own zone for local
+    /// servers, per server of all zones for remote ones.
     fn mean_successes(&self) -> ByLocality<f64> {
         let nodes = self.fleet.maintained();
         let successes = nodes.map(|node| node.recent_successes).sum::<f64>();
@@ -134,27 +133,28 @@
     }
 }
 
-/// What a limit depends on besides the server and the outcome.
+/// Inputs of a limit update besides the server and the outcome.
 pub(super) struct LimitInputs {
-    /// The latency target of the class.
+    /// Latency target of the class, in microseconds.
     pub target: f64,
+    /// Upper bound of the assumed network latency, in microseconds.
     pub max_network_latency: f64,
-    /// Half of the zone's limit or more is in flight.
+    /// Whether half of the locality's limit or more is in flight.
     pub is_locality_in_use: bool,
     pub balancers: f64,
 }
 
-/// Updates a server's in-flight limit: additive increase, decrease by the overload that shows.
+/// Updates a server's in-flight limit: additive increase, and decrease by the overload of a response.
 pub(super) fn update_limit(node: &mut Node, ended: &AttemptEnded, inputs: &LimitInputs) {
     let balancers = inputs.balancers;
-    // Limits are split evenly, unless load reports tell this balancer's share of the load.
+    // Limits are split evenly, unless load reports show this balancer's share of the load.
     let in_flight = f64::from(node.in_flight + 1);
     if let Some(active) = ended.load.and_then(|load| load.active) {
         let share = (in_flight / active.max(in_flight)).max(1.0 / balancers);
         node.load_share += LOAD_SHARE_SMOOTHING * (share - node.load_share);
     }
-    // Guards other zones' servers: the network latency, for which the shortest response stands, is
-    // not load. Otherwise their limits would stay at the least, and they would be no way out.
+    // Network latency, approximated by the shortest response, is not load. If it counted, limits in
+    // other zones would stay at their minimum and leave no capacity to spill over to.
     node.min_latency = node.min_latency.min(ended.latency);
     let network_latency = (node.min_latency as f64).min(inputs.max_network_latency);
     let part = if ended.outcome == Outcome::Ok {
--- a/crates/balancer/src/balance/health.rs
+++ b/crates/balancer/src/balance/health.rs
@@ -1,5 +1,4 @@
-//! What the outcomes of attempts say of servers: outlier ejection, and the maintenance of what was
-//! measured.
+//! Outlier ejection from the outcomes of attempts, and maintenance of the measurements of servers.
 
 use super::capacity::{LimitInputs, update_limit};
 use super::{Balancer, RATE_DECAY_TIME};
@@ -8,26 +7,26 @@
 use crate::locality::Locality;
 use crate::node::{EjectionTime, Node};
 
-/// Time constant of a server's slowness, in microseconds.
+/// Time constant by which a server's slowness decays, in microseconds.
 const SLOWNESS_DECAY_TIME: f64 = 10_000_000.0;
-/// The network latency to another zone is taken for no more than this part of the latency target.
+/// Upper bound of the assumed network latency to another zone, as a fraction of the latency target.
 const MAX_NETWORK_LATENCY_SHARE: f64 = 0.2;
 /// Smoothing factor of a server's average slowness.
 const SLOWNESS_SMOOTHING: f64 = 0.5;
 /// Failure rate at which a server is ejected.
 pub(super) const EJECTION_THRESHOLD: f64 = 0.5;
-/// How far softer failures must exceed the other servers' rate.
+/// Margin over the mean failure rate of the zone's other servers; not required for failed connections.
 const EJECTION_MARGIN: f64 = 0.25;
-/// Failure rate below which an earlier ejection no longer lengthens the next.
+/// Failure rate below which the ejection backoff is reset.
 const RECOVERED_FAILURE_RATE: f64 = 0.05;
-/// Time of an ejection before a trial request, in microseconds; doubled at each failed trial.
+/// Ejection time before a trial request, in microseconds; doubled after each failed trial.
 pub(super) const EJECTION_TIME: EjectionTime = EjectionTime {
     first: 1_000_000,
     longest: 8_000_000,
 };
 
 impl Balancer {
-    /// Judges a server by the end of an attempt that was sent to it at `sent`.
+    /// Updates the measurements of a server with the end of an attempt that was sent to it at `sent`.
     pub(super) fn record_outcome(
         &mut self,
         ended: &AttemptEnded,
@@ -36,7 +35,7 @@
         actions: &mut Vec<Action>,
     ) {
         let now = self.now;
-        // Guards a restarted server against being judged by what its last incarnation did.
+        // Outcomes of attempts at an earlier incarnation do not count against a restarted server.
         let is_same_incarnation = |node: &&Node| sent.is_none_or(|at| at >= node.since);
         let Some(known) = self.fleet.get(ended.server).filter(is_same_incarnation) else {
             return;
@@ -44,16 +43,16 @@
         let peers = self.fleet.zone(known.server.zone).without(known);
         let locality = self.fleet.locality(known.server.zone);
         let inputs = class.map(|class| self.limit_inputs(class, locality));
-        // Guards against slow servers that never show: a client that cancels later than usual had
-        // waited too long.
+        // An overdue attempt counts as slow however it ends: otherwise a slow server whose clients
+        // disconnect before its responses arrive would never be noticed.
         let is_overdue = class
             .zip(sent)
             .is_some_and(|(class, at)| (now - at) as f64 > self.latencies[class].high);
         let counted_class = self.fleet.change(ended.server, |node| {
             node.in_flight = node.in_flight.saturating_sub(1);
             node.idle_since = Some(now);
-            // Guards good servers' shares and limits: an outcome that is no response, or is this
-            // balancer's doing, says nothing of load.
+            // An outcome that is no response, or is caused by this balancer, says nothing of load
+            // and must not lower a healthy server's share or limit.
             let indicates_load = ended.outcome.indicates_load();
             if indicates_load || is_overdue {
                 let is_slow = is_overdue || ended.outcome != Outcome::Ok;
@@ -62,14 +61,14 @@
             }
             if update_health(node, ended.outcome, sent, &peers, now) {
                 let id = node.server.id;
-                let text = format!("server {id} set aside: it fails");
+                let text = format!("server {id} ejected until a trial succeeds: its attempts fail");
                 actions.push(Action::Log(text));
             }
             let (class, inputs) = class.zip(inputs).filter(|_| indicates_load)?;
             update_limit(node, ended, &inputs);
             if ended.outcome == Outcome::Overloaded {
-                // Guards against black holes: a server that rejects at once always has capacity,
-                // and would be sent ever more.
+                // A server that rejects immediately always has capacity and would otherwise attract
+                // ever more requests.
                 node.overloaded_until = now + self.latencies[class].median as Micros;
             }
             Some(class)
@@ -79,7 +78,7 @@
         }
     }
 
-    /// What the limits of servers of a locality depend on.
+    /// The inputs of limit updates for the servers of a locality.
     fn limit_inputs(&self, class: ClassId, locality: Locality) -> LimitInputs {
         let load = self.locality_load(locality, class);
         let target = self.settings.classes[class].latency_target as f64;
@@ -94,7 +93,7 @@
         }
     }
 
-    /// Pauses a locality whose limits sum below one, and updates the latency quantiles.
+    /// Pauses a locality whose limits sum to less than one, and updates the latency quantiles.
     fn record_load_sample(&mut self, ended: &AttemptEnded, class: ClassId, locality: Locality) {
         let balancers = f64::from(self.settings.balancers);
         let limit = self.locality_load(locality, class).limit;
@@ -113,8 +112,8 @@
         }
     }
 
-    /// Decays the measurements of servers, closes idle connections, and probes servers whose ejection
-    /// is over.
+    /// Decays the measurements of servers, closes idle connections, and probes ejected servers whose
+    /// trial is due.
     pub(super) fn maintain_servers(&mut self, actions: &mut Vec<Action>) {
         let decay = |time: f64| 1.0 - self.maintenance_interval as f64 / time;
         let (slowness, rate) = (decay(SLOWNESS_DECAY_TIME), decay(RATE_DECAY_TIME));
@@ -124,14 +123,14 @@
             let server = node.server.id;
             node.slowness *= slowness;
             node.recent_successes *= rate;
-            // Guards the servers' connection tables against many balancers' idle connections.
+            // Idle connections of many balancers would fill the servers' connection tables.
             let is_idle = |at| node.in_flight == 0 && (now - at) as f64 > RATE_DECAY_TIME;
             if node.idle_since.is_some_and(is_idle) {
                 node.idle_since = None;
                 actions.push(Action::CloseIdle { server });
             }
-            // Guards against permanent ejection where no class is idempotent: a probe is the trial,
-            // and costs no request.
+            // A probe as the trial risks no request, and ends ejections also where no class is
+            // idempotent; they would be permanent otherwise.
             let is_reachable =
                 node.server.phase == Phase::Ready && !detector.is_unreachable(node.server.zone);
             if self.settings.limits.probes && is_reachable && node.start_due_trial(now) {
@@ -141,7 +140,7 @@
     }
 }
 
-/// Updates a server's failure rate and ends or starts its ejection; returns whether it starts.
+/// Updates a server's failure rate and ends or starts its ejection; returns whether one starts.
 fn update_health(
     node: &mut Node,
     outcome: Outcome,
@@ -154,10 +153,10 @@
     if outcome == Outcome::Ok {
         record_success(node, sent);
     }
-    // Failed connections aside, at most half of a zone is ejected, so that overload empties no zone.
+    // Except for failed connections, at most half of a zone is ejected: overload must not empty it.
     let is_majority = 2 * (peers.ejected_total + 1) > peers.count + 1;
-    // If all of a zone fails alike, that is its load, not an unhealthy server; failed connections
-    // are plain.
+    // If all of a zone fails alike, the cause is load, not an unhealthy server. A failed connection is
+    // unambiguous.
     let mean_failure_rate = peers.failure_rate.value() / peers.count.max(1) as f64;
     let stands_out = outcome == Outcome::ConnectFailed
         || node.failure_rate - mean_failure_rate >= EJECTION_MARGIN && !is_majority;
@@ -169,7 +168,7 @@
     starts
 }
 
-/// How an outcome counts for a server's failure rate.
+/// The contribution of an outcome to a server's failure rate.
 struct FailureSample {
     /// 1 for a failure, 0 for a success.
     failed: f64,
@@ -182,13 +181,13 @@
         let (failed, smoothing) = match outcome {
             Outcome::Ok => (0.0, 0.25),
             Outcome::ServerError | Outcome::Timeout => (1.0, 0.25),
-            // Twice in a row, whatever else failed: guards good servers against one lost connection.
+            // Two of them in a row reach the threshold; one does not, even after some broken responses.
             Outcome::ConnectFailed => (1.0, 0.3),
-            // Guards good servers against one malformed or broken response: a dead server refuses the
+            // Weighted low: a healthy server may break a single response, and a dead one refuses the
             // next connection.
             Outcome::Reset | Outcome::MalformedResponse => (1.0, 0.1),
-            // "Overloaded" is load, not failure; a cancelled or unsent attempt is this balancer's
-            // doing.
+            // A rejection as overloaded shows load, not failure; a cancelled or unsent attempt was
+            // ended by this balancer, and a client error is due to the request.
             Outcome::Overloaded | Outcome::Cancelled | Outcome::NotSent | Outcome::ClientError => {
                 (0.0, 0.0)
             }
@@ -197,7 +196,7 @@
     }
 }
 
-/// A successful response to an attempt sent at `sent`.
+/// Records a successful response to an attempt that was sent at `sent`.
 fn record_success(node: &mut Node, sent: Option<Micros>) {
     node.recent_successes += 1.0;
     // Resets the ejection backoff of a server that has recovered.
--- a/crates/balancer/src/balance/probing.rs
+++ b/crates/balancer/src/balance/probing.rs
@@ -1,5 +1,4 @@
-//! What health checks (probes), signs of life and their absence say of servers and zones: the end of
-//! ejections, and the failure detector for zones.
+//! Health checks (probes) and signs of life: the end of ejections, and reports to the failure detector.
 
 use super::Balancer;
 use super::health::{EJECTION_THRESHOLD, EJECTION_TIME};
@@ -8,13 +7,14 @@
 use crate::node::EjectionTime;
 use crate::open_request::Attempt;
 
-/// A server is probed when a response is overdue by the 0.9 quantile, or for this many maintenance
-/// intervals.
+/// Probes start when responses are overdue by the 0.9 latency quantile, but no later than after this
+/// many maintenance intervals.
 const PROBE_AFTER_RUNS: f64 = 5.0;
 
 impl Balancer {
-    /// A health check ended. An answer ends an ejection, on probation: it shows that the server is
-    /// reachable, not that it serves. Without one the server is ejected, longer each time.
+    /// Handles the end of a health check. An answer ends an ejection, but with half the ejecting
+    /// failure rate, as it shows that the server is reachable, not that it serves requests. A server
+    /// that does not answer is ejected, longer each time.
     pub(super) fn probe_ended(
         &mut self,
         server: ServerId,
@@ -24,7 +24,7 @@
     ) {
         let now = self.now;
         let is_reachable = matches!(outcome, Outcome::Ok | Outcome::Overloaded);
-        // Guards against returning late to a zone of which nothing is usable.
+        // A lower maximum, so that a zone without a healthy server is used again soon.
         let node = self.fleet.get(server);
         let is_zone_down = node.is_some_and(|node| self.fleet.zone(node.server.zone).healthy == 0);
         let longest = if is_zone_down {
@@ -50,8 +50,9 @@
         self.record_liveness(server, liveness, actions);
     }
 
-    /// A server gave a sign of life, or none when one was due. An unreachable zone is not usable until
-    /// one of its servers gives a sign of life; attempts in flight there are cancelled if a retry is safe and of use.
+    /// Records a sign of life of a server, or the lack of one that was due. An unreachable zone is not
+    /// used until one of its servers gives a sign of life; attempts in flight there are cancelled if a
+    /// retry is safe and in time.
     pub(super) fn record_liveness(
         &mut self,
         server: ServerId,
@@ -62,13 +63,13 @@
         let finding = detector.record(&self.fleet, server, liveness, self.now, &mut self.rng);
         actions.extend(finding.log.map(Action::Log));
         actions.extend(probes(finding.probe));
-        // All requests are checked only without a sign: responses are many.
+        // Scans all requests, so it is not done for signs of life, which are frequent.
         if liveness == Liveness::Unanswered && self.settings.limits.cancel {
             self.cancel_unreachable_attempts(server, actions);
         }
     }
 
-    /// Cancels attempts at an unreachable server or zone where a retry is safe and of use.
+    /// Cancels attempts at an unreachable server or zone if a retry is safe and in time.
     fn cancel_unreachable_attempts(&self, server: ServerId, actions: &mut Vec<Action>) {
         let is_unreachable = |attempt: &Attempt| {
             attempt.server == server || self.failure_detector.is_unreachable(attempt.zone)
--- a/crates/balancer/src/balance/requests.rs
+++ b/crates/balancer/src/balance/requests.rs
@@ -7,12 +7,12 @@
 use crate::open_request::{Attempt, OpenRequest, QueuePosition};
 use crate::rng::{mix, unit};
 
-/// A request that reached no server is given up at this part of its time: later, a client gains
-/// nothing by the wait.
+/// Fraction of its time after which a request that no server has received is rejected: the client
+/// gains nothing by a longer wait.
 const UNSENT_TIME_SHARE: f64 = 0.15;
 
 impl Balancer {
-    /// A request arrived: sends or queues it, or rejects one that cannot be served.
+    /// Sends or queues a new request; rejects it if its class is unknown or its client has given up.
     pub(super) fn accept_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         let (id, now) = (request.id, self.now);
         if request.class >= self.latencies.len() || request.expires <= now {
@@ -20,12 +20,12 @@
         }
         self.peer_load.count_request(now);
         self.deposit_retry_budget();
-        // Guards rule 1: whatever happens, the request is ended before the client gives up.
+        // Rule 1: the request is ended in any case before its client gives up.
         let end_at = request.expires.saturating_sub(self.settings.tick);
         self.due_requests.insert((end_at, id));
         let class = &self.settings.classes[request.class];
-        // A request waits for capacity in its own zone for the part of the latency target that
-        // crossing zones would cost of its value.
+        // A request waits for capacity in the own zone for the same fraction of its latency target
+        // as crossing zones costs of its value.
         let spill_wait = self.settings.penalties.cross_zone * class.latency_target as f64;
         let unsent_wait = (request.expires - now) as f64 * UNSENT_TIME_SHARE;
         let open = OpenRequest {
@@ -55,7 +55,7 @@
         let wake_ups =
             [open.spill_at, target_reachable_until, open.unsent_until].map(|at| (at, id));
         if candidates.is_empty() && self.failure_detector.is_isolated(&self.fleet) {
-            // Guards clients against waiting where this balancer itself is partitioned off.
+            // Rejects at once: waiting is useless while this balancer itself is partitioned off.
             self.end(id, actions);
             return true;
         }
@@ -69,7 +69,7 @@
         true
     }
 
-    /// A request is due: ends it, sends it if it is queued, or hedges it.
+    /// Processes a request that is due: ends it, sends it if it is queued, or hedges it.
     pub(super) fn request_due(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self
             .open_requests
@@ -81,7 +81,7 @@
         // Whether a response can still arrive within the latency target.
         let median_latency = self.latencies[open.request.class].median as Micros;
         let is_in_time = self.now + median_latency < open.target_at;
-        // Guards the client's time: a request that no server has received by then is rejected.
+        // A request that no server has received by then is rejected, so that its client can move on.
         let never_connected = |attempt: &Attempt| attempt.outcome == Some(Outcome::ConnectFailed);
         let is_unsent = open.attempts.iter().all(never_connected);
         let is_useful = is_in_time && !(is_unsent && self.now >= open.unsent_until);
@@ -102,8 +102,8 @@
         }
     }
 
-    /// The client has its response or has disconnected: cancels attempts in flight, and forgets the
-    /// request once all have ended.
+    /// Closes a request whose client has its final answer or has disconnected: cancels attempts in
+    /// flight, and drops the request once all have ended.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open_requests.get_mut(&id) else {
             return;
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Ends a request for which nothing more can be done.
+    /// Gives up a request: fails it if an attempt may have run, and rejects it otherwise.
     pub(super) fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open_requests.get(&id) else {
             return;
         };
-        // Guards rule 2: a rejection invites a retry, so it is for requests that cannot have run.
+        // Rule 2: a rejection permits a retry, so it is sent only if no attempt can have run.
         let may_have_run = open.attempts.iter().any(Attempt::may_have_run);
         actions.push(if may_have_run {
             Action::Fail { id }
@@ -137,9 +137,9 @@
         self.close(id, actions);
     }
 
-    /// A rejection with a retry delay: about as long as the usable servers take for the queue, or one
-    /// ejection where none is usable. Jittered by the request's number: guards against clients that
-    /// all retry at once.
+    /// A rejection with a retry delay: the estimated time in which the usable servers serve the queue,
+    /// or the first ejection time if no server is usable. Jitter derived from the request's id keeps
+    /// clients from retrying simultaneously.
     pub(super) fn rejection(&self, id: RequestId, class: ClassId) -> Action {
         let limit = |locality| self.fleet.load(locality).healthy_limit.value();
         let capacity: f64 = Locality::ALL.map(limit).iter().sum();
--- a/crates/balancer/src/balance/selection.rs
+++ b/crates/balancer/src/balance/selection.rs
@@ -1,5 +1,5 @@
-//! Which server a request is sent to: the candidates (the zone test of KEP-4444, spillover, health),
-//! then a shuffled, weighted round robin among them, or bounded-load rendezvous hashing by key.
+//! Server selection: candidates (the zone test of KEP-4444, spillover, health), then shuffled, weighted
+//! round robin among them, or rendezvous hashing with bounded loads by key.
 
 use super::Balancer;
 use crate::api::{Effect, Group, ServerId};
@@ -9,14 +9,14 @@
 use crate::open_request::{Attempt, OpenRequest};
 use crate::rng::{mix, unit};
 
-/// With key affinity, a server may exceed its even share by this part before the key's next server
-/// takes over.
+/// Fraction by which a server may exceed its even share with key affinity before requests go to the
+/// key's next server.
 const BOUNDED_LOAD_MARGIN: f64 = 0.1;
-/// How far average slowness above the other servers' trims a share.
+/// Factor by which slowness above the candidates' mean reduces a server's share.
 const SLOWNESS_TRIM: f64 = 1.5;
-/// The least part of a share that remains.
+/// Minimum fraction of a share that remains after this reduction.
 const MIN_TRIMMED_SHARE: f64 = 0.1;
-/// How far a server may run behind or ahead of its even share, in requests.
+/// Bound on how far a server may fall behind or exceed its share, in requests.
 const MAX_CREDIT: f64 = 10.0;
 
 /// Which servers a search for candidates considers.
@@ -24,23 +24,23 @@
 enum Search {
     /// Healthy servers to which no attempt at the request was sent.
     Healthy,
-    /// All to which no attempt was sent.
+    /// All servers to which no attempt was sent.
     Untried,
     All,
 }
 
-/// What a server's share of the requests depends on.
+/// The weights of one candidate: for round robin, and for rendezvous hashing.
 struct Weight {
     share: f64,
     size: f64,
 }
 
 impl Balancer {
-    /// `PreferClose`: the usable servers of the own zone; if there are none, those of all zones. If
-    /// health leaves none at all, it is ignored (panic mode). Servers at their limit count as usable
-    /// until the request has waited as long as crossing zones costs; then it spills over.
+    /// The servers with capacity that a request may be sent to. `PreferClose`: the usable servers of
+    /// the own zone or, if there are none, of all zones. If no healthy server is left, health is
+    /// ignored (panic mode). Servers at their limit count as usable until the request may spill over.
     pub(super) fn candidates(&self, open: &OpenRequest) -> Vec<ServerId> {
-        // Guards a server against many balancers that each send it one request at a time.
+        // One request at a time from each of many balancers could overload a server.
         let has_locality_capacity = ByLocality::from_fn(|locality| {
             let load = self.locality_load(locality, open.request.class);
             load.in_flight + 1.0 <= load.limit.max(1.0) && self.paused_until[locality] <= self.now
@@ -72,12 +72,12 @@
     ) -> Vec<&Node> {
         let class = open.request.class;
         // An ejected server gets an idempotent request as a trial once its ejection and the pause of
-        // its zone are over; where probes are allowed, maintenance sends one.
+        // its locality are over; where probes are allowed, maintenance sends a probe instead.
         let is_idempotent = self.settings.classes[class].effect == Effect::Idempotent;
         let is_trial_due = is_idempotent
             && !self.settings.limits.probes
             && self.paused_until[locality] <= self.now;
-        // Avoids the scan of a locality all of whose servers are ejected.
+        // Skips the scan of a locality without healthy servers.
         if search == Search::Healthy && !is_trial_due && self.fleet.load(locality).healthy == 0 {
             return Vec::new();
         }
@@ -95,9 +95,9 @@
         self.usable(locality, is_usable, has_capacity)
     }
 
-    /// The servers of a locality to choose from: the subset of one of many balancers, in an order of
-    /// its own and regardless of capacity, so that full servers do not widen it; of very many a
-    /// sample, with capacity if possible; otherwise all.
+    /// The servers of a locality to choose from. One of many balancers uses a subset, in an order of
+    /// its own and regardless of capacity, so that full servers do not widen it. Others use all or,
+    /// if there are very many, a sample, with capacity if possible.
     pub(super) fn usable(
         &self,
         locality: Locality,
@@ -109,7 +109,7 @@
             let from = (!self.settings.key_affinity).then_some(self.round_robin_position);
             return self.fleet.sample(locality, from, is_usable, has_capacity);
         }
-        // Guards against waiting for warming servers while others further on have capacity.
+        // Requests must not wait for warming servers while others further on have capacity.
         let is_offered = |(index, node): &(usize, &Node)| {
             self.warmth(node) >= 1.0 || *index < subset_size && node.warm_up_budget >= 1.0
         };
@@ -118,7 +118,8 @@
         offered.take(subset_size).collect()
     }
 
-    /// Guards rule 2: a request that may have run is retried only where and while that is safe.
+    /// Whether rule 2 permits an attempt at a server: a request that may have run is retried only where
+    /// and while that is safe.
     pub(super) fn may_send(&self, open: &OpenRequest, node: &Node) -> bool {
         let effect = self.settings.classes[open.request.class].effect;
         let is_safe = |attempt: &Attempt| match effect {
@@ -141,9 +142,9 @@
                 .all(is_safe)
     }
 
-    /// Weighted round robin by credit: each pick credits every candidate its share and takes one from
-    /// the server chosen. With key affinity the key's rendezvous hash chooses among those that are
-    /// within their bound.
+    /// Weighted round robin by credit: each pick credits every candidate with its share and takes one
+    /// from the chosen server. With key affinity, the key's rendezvous hash chooses among the
+    /// candidates within their load bound.
     pub(super) fn pick(&mut self, candidates: &[ServerId], key: Option<u64>) -> Option<ServerId> {
         let key = key.filter(|_| self.settings.key_affinity);
         let weights = self.weights(candidates);
@@ -172,7 +173,7 @@
         chosen
     }
 
-    /// The weights of servers: by size, trimmed while they warm up or are slower than the others.
+    /// The weights of servers: by size, reduced while they warm up or are slower than the others.
     fn weights(&self, servers: &[ServerId]) -> Vec<Weight> {
         let nodes = || servers.iter().filter_map(|id| self.fleet.get(*id));
         let mean_slowness =
--- a/crates/balancer/src/class_ejection.rs
+++ b/crates/balancer/src/class_ejection.rs
@@ -1,6 +1,6 @@
-//! Ejection of a server for one class of requests that it does not answer. Guards classes against
-//! servers that fail to answer them alone: responses to other classes hide that, and clients
-//! disconnect before such an attempt times out.
+//! Ejection of a server for one class of requests that it does not answer. Ejection of the whole
+//! server does not cover this case: responses to other classes keep its failure rate low, and clients
+//! disconnect before an unanswered attempt times out.
 
 use crate::api::{AttemptEnded, ClassId, Micros, Outcome};
 use crate::fleet::Fleet;
@@ -8,21 +8,21 @@
 
 /// Smoothing factor of a server's rate of unanswered attempts for a class.
 const SMOOTHING: f64 = 0.25;
-/// The rate at which a server is ejected for the class.
+/// Failure rate at which a server is ejected for a class.
 const THRESHOLD: f64 = 0.5;
-/// How far it must exceed the other servers' rate.
+/// Margin by which this rate must exceed the mean of the other servers.
 const MARGIN: f64 = 0.25;
 
 /// An attempt that has ended.
 pub(crate) struct EndedAttempt<'a> {
     pub ended: &'a AttemptEnded,
     pub class: ClassId,
-    /// When it was sent.
+    /// Clock reading at the send.
     pub sent: Micros,
 }
 
-/// Judges by the end of an attempt whether its server answers the class, and ejects it for the class
-/// if it does not; returns a line for the log where it is ejected from now on.
+/// Updates from the end of an attempt whether its server answers the class, and ejects the server for
+/// the class if it does not. Returns a line for the log if an ejection starts.
 pub(crate) fn record_attempt(
     fleet: &mut Fleet,
     attempt: &EndedAttempt,
@@ -59,13 +59,13 @@
         }
         is_outlier
     });
-    is_ejected
-        .filter(|is_ejected| *is_ejected)
-        .map(|_| format!("server {server} keeps silent on class {class}"))
+    is_ejected.filter(|is_ejected| *is_ejected).map(|_| {
+        format!("server {server} ejected for class {class} until a trial succeeds: no responses")
+    })
 }
 
-/// Whether the attempt was sent to this incarnation of the server and after its latest ejection for
-/// the class, and is the first failure or one that follows failures.
+/// Whether an attempt counts: it was sent to this incarnation of the server and after its latest
+/// ejection for the class, and is a failure or follows one.
 fn is_new_evidence(node: &Node, attempt: &EndedAttempt, is_answered: bool) -> bool {
     if attempt.sent < node.since {
         return false;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,14 +1,22 @@
-//! Decisions of a sidecar balancer for service-to-service calls.
+//! Client-side load balancing of a sidecar proxy for service-to-service calls: which server a request
+//! is sent to, and when it is retried, hedged, queued or rejected.
 //!
-//! [`Balancer`] is a sans-I/O state machine: it is built from [`Settings`] and a seed, is fed one
-//! [`Event`] at a time with the clock's reading, and appends the [`Action`]s to carry out. It reads
-//! no clock, does no I/O and keeps no state outside itself.
+//! [`Balancer`] is a sans-I/O state machine. It is built from [`Settings`] and a seed, receives one
+//! [`Event`] at a time with the current clock reading, and appends the [`Action`]s to carry out. It
+//! reads no clock, does no I/O and keeps no state outside itself.
 //!
-//! Comments refer to the four rules, which hold over all client proxies together:
+//! [`api`] is the interface. `balance` holds the state and makes the decisions; it asks
+//! `class_ejection` which servers do not answer a class, and `failure_detector` which zones are
+//! unreachable. `fleet` keeps the listed servers (`node`) with aggregates by zone, and `open_request`
+//! the requests that are being served. `peer_load` exchanges request rates between balancers, `latency`
+//! estimates quantiles, `locality` tells the own zone from the others, and `rng` generates
+//! deterministic random numbers.
+//!
+//! Comments refer to four safety rules, which hold over all client proxies together:
 //!
 //! 1. Each accepted request gets exactly one final answer before its client gives up.
-//! 2. Nothing that may have run is repeated unless its class permits it.
-//! 3. A server that is draining or removed is sent nothing new 300 ms after the notification.
+//! 2. A request that may have run is not repeated unless its class permits it.
+//! 3. A server that is draining or removed is sent no new request 300 ms after the notification.
 //! 4. No server that is warming up is overloaded.
 //!
 //! ```
@@ -20,7 +28,7 @@
 //!     zone: 0,
 //!     ..Settings::default()
 //! };
-//! let mut balancer = Balancer::new(settings, 7).expect("sound settings");
+//! let mut balancer = Balancer::new(settings, 7).expect("valid settings");
 //! let near = ServerId::from_name("10.0.0.1:80");
 //! let far = ServerId::from_name("10.0.1.1:80");
 //! let server = |id, zone| Server { id, zone, cell: 0, phase: Phase::Ready, size: 1.0, started: None };
--- a/crates/balancer/src/open_request.rs
+++ b/crates/balancer/src/open_request.rs
@@ -1,5 +1,5 @@
-//! A request that is being served, its attempts, and its position in the queue. Nothing here decides
-//! which server a request is sent to.
+//! The state of an open request: its attempts, its deadlines and its position in the queue. Servers
+//! are chosen elsewhere (`balance::selection`).
 
 use std::cmp::Reverse;
 
@@ -10,7 +10,7 @@
 /// The position of a request in the queue: the most valuable first, then the newest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
-    /// Its value, in thousandths.
+    /// The value of the request's class, in thousandths.
     value: Reverse<u64>,
     arrived: Reverse<Micros>,
     pub id: RequestId,
@@ -32,14 +32,14 @@
     pub server: ServerId,
     pub zone: ZoneId,
     pub cell: u64,
-    /// When it was sent.
+    /// Clock reading at the send, or at the last byte of the request if that arrived later.
     pub sent: Micros,
-    /// How it ended; `None` while it is in flight.
+    /// `None` while the attempt is in flight.
     pub outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// Records how it ended; returns when it was sent.
+    /// Records the outcome; returns when the attempt was sent.
     pub(crate) fn end(&mut self, outcome: Outcome) -> Micros {
         self.outcome = Some(outcome);
         self.sent
@@ -54,28 +54,28 @@
     }
 }
 
-/// A request that is not answered, or whose attempts have not all ended.
+/// A request that has no final answer, or whose attempts have not all ended.
 pub(crate) struct OpenRequest {
     pub request: Request,
     pub queue_position: QueuePosition,
-    /// From when on it may spill over to other zones.
+    /// Clock reading from which on the request may spill over to other zones.
     pub spill_at: Micros,
-    /// When its latency target passes.
+    /// Clock reading at which the latency target passes.
     pub target_at: Micros,
-    /// When it is rejected if no server has received it.
+    /// Clock reading at which the request is rejected if no server has received it.
     pub unsent_until: Micros,
-    /// When it must be ended.
+    /// Clock reading by which the request must have its final answer.
     pub end_at: Micros,
     pub attempts: Vec<Attempt>,
-    /// The client has its response or has disconnected: nothing may be sent any more.
+    /// The client has its final answer or has disconnected: no more attempts are sent.
     pub done: bool,
     /// A streamed response has started and is being forwarded.
     pub streaming: bool,
 }
 
 impl OpenRequest {
-    /// Its last byte has arrived: target and deadline count from now, and attempts in flight count as
-    /// sent now.
+    /// Handles the arrival of the request's last byte: target and deadline count from now, and attempts
+    /// in flight count as sent now.
     pub(crate) fn complete(&mut self, now: Micros, expires: Micros) {
         let margin = self.request.expires.saturating_sub(self.end_at);
         self.request.expires = expires;
@@ -115,8 +115,8 @@
             .map(|number| number as u32)
     }
 
-    /// Until when one more attempt may start: servers deduplicate within the class's window, which
-    /// counts from the first attempt that may have run.
+    /// Clock reading until which another attempt may start: the end of the class's deduplication
+    /// window, which counts from the first attempt that may have run. `None` if there is no limit.
     pub(crate) fn start_deadline(&self, effect: Effect) -> Option<Micros> {
         let Effect::Deduplicated { window, .. } = effect else {
             return None;
@@ -132,7 +132,7 @@
         self.attempts.len() < limits.max_attempts as usize
     }
 
-    /// Whether an attempt at it was sent to the server.
+    /// Whether an attempt at the request was sent to the server.
     pub(crate) fn was_tried(&self, server: ServerId) -> bool {
         self.attempts.iter().any(|attempt| attempt.server == server)
     }
--- a/crates/balancer/tests/decisions/discovery.rs
+++ b/crates/balancer/tests/decisions/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of servers: changes, complete lists, and when discovery is asked again.
+//! Updates of the server list: changes, complete lists, and retries of discovery calls.
 
 use ironmast_balancer::*;
 
@@ -44,7 +44,7 @@
     assert_eq!(
         driver.subscribed.len(),
         subscribed,
-        "subscribed: no more calls"
+        "no more calls while subscribed"
     );
     assert_eq!(
         driver.count_served_by(id(4), 0..20, 5 * MS),
@@ -53,8 +53,9 @@
     );
 }
 
-/// Whatever failed before, discovery is asked again so soon that a call which waits its turn there,
-/// for half of `MAX_DISCOVERY_DELAY` at most, is answered within `MAX_DISCOVERY_DELAY` of its return.
+/// However many calls failed, the next one comes within half of `MAX_DISCOVERY_DELAY`. As a call may
+/// wait for the other half in discovery's queue, it is answered within `MAX_DISCOVERY_DELAY` of
+/// discovery's recovery.
 #[test]
 fn the_discovery_backoff_stays_within_half_of_the_maximum_discovery_delay() {
     for discovery_interval in [3 * SECOND, 10 * SECOND, 60 * SECOND] {
--- a/crates/balancer/tests/decisions/ejection.rs
+++ b/crates/balancer/tests/decisions/ejection.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection: which failures eject a server, for how long, and how it returns.
+//! Outlier ejection: which failures eject a server, for how long, and how the ejection ends.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 use crate::support::*;
 
-/// A balancer of three local servers that has served 60 requests that must not be retried.
+/// A balancer with [`two_zones`] that has served 60 requests of a class that must not be retried.
 fn non_idempotent_driver() -> Driver {
     let mut driver = Driver::ready(non_idempotent());
     serve_60(&mut driver);
@@ -156,7 +156,7 @@
     );
 }
 
-/// Whether an ejected server is in use after its next probe, which ends so.
+/// Whether an ejected server is in use after its next probe, which ends with `outcome`.
 fn is_used_after_probe(driver: &mut Driver, server: ServerId, outcome: Outcome) -> bool {
     let probe = Action::Probe { server };
     let before = driver.count_actions(&probe);
@@ -202,7 +202,7 @@
     );
 }
 
-/// Sends requests of two classes, of which the server does not answer one until three clients have
+/// Delivers requests of two classes, of which the server does not answer one, until three clients have
 /// disconnected; returns how many did.
 fn leave_unanswered(driver: &mut Driver, silent: ServerId, class: ClassId) -> usize {
     let mut lost = 0;
@@ -225,7 +225,8 @@
     lost
 }
 
-/// Guards against overload: failures everywhere are load, and the other zone would be overloaded next.
+/// If all servers of a zone fail alike, the cause is load; ejecting them all would overload the other
+/// zone next.
 #[test]
 fn failures_of_a_whole_zone_alike_do_not_eject_all_of_it() {
     let mut driver = Driver::ready(non_idempotent());
@@ -239,7 +240,7 @@
     assert!(local >= 15, "{local} of 30 stay in the own zone");
 }
 
-/// Guards an overloaded zone against losing server by server.
+/// An overloaded zone must not lose one server after the other.
 #[test]
 fn at_most_half_of_a_zone_is_ejected() {
     let mut driver = non_idempotent_driver();
@@ -283,7 +284,7 @@
     assert!(count > 0, "it is warm and healthy");
 }
 
-/// A response that was on its way when the server began to fail says nothing of it since.
+/// A response to an attempt that was sent before the server began to fail is no evidence of recovery.
 #[test]
 fn a_success_sent_before_the_ejection_does_not_end_it() {
     let mut driver = Driver::ready(idempotent());
--- a/crates/balancer/tests/decisions/limits.rs
+++ b/crates/balancer/tests/decisions/limits.rs
@@ -1,19 +1,19 @@
-//! In-flight limits of servers, and how balancers share them.
+//! In-flight limits of servers, and how they are shared among balancers.
 
 use ironmast_balancer::*;
 
 use crate::support::*;
 
-/// The number of requests that are sent at once when many arrive.
+/// The number of requests that are sent immediately when many arrive together.
 fn burst(driver: &mut Driver, ids: std::ops::Range<RequestId>) -> usize {
     let before = driver.sends.len();
     driver.request_all(ids);
     driver.sends.len() - before
 }
 
-/// Limits were split evenly by the number of balancers, whatever each had to send: the busiest of a
-/// hundred queued and rejected what the servers had capacity for. It may use the limits that the
-/// others leave once they report how few requests they have.
+/// Limits were split evenly among balancers regardless of their load: the busiest of a hundred queued
+/// and rejected requests for which the servers had capacity. It may use the limits that the others leave
+/// unused once they report how few requests they have.
 #[test]
 fn the_busiest_of_many_balancers_uses_limits_that_the_others_leave() {
     let sent_at_once = |others_report: bool| {
@@ -41,7 +41,7 @@
     assert!(without <= 3 && with >= 12, "{without} and {with}");
 }
 
-/// One request at a time of each of many balancers overloads a server.
+/// One request in flight from each of many balancers overloads a server.
 #[test]
 fn many_balancers_share_the_limit_of_a_server() {
     let mut settings = settings(idempotent());
@@ -49,7 +49,7 @@
     let mut driver = Driver::with_servers(settings, two_zones());
     for number in 0..200 {
         driver.request(number, 0);
-        // Every response takes the latency target: the servers are overloaded.
+        // Every response takes the whole latency target: the servers are overloaded.
         driver.pass(200 * MS);
         if driver.attempts(number) == 1 {
             driver.end_attempt(number, 0, Outcome::Ok);
@@ -59,8 +59,8 @@
     assert!(sent <= 2, "{sent} in flight at five overloaded servers");
 }
 
-/// The limits of every balancer grew by one for each response until the first overload: 187 balancers
-/// overloaded a zone in seconds.
+/// Each balancer's limits grew by one per response until the first overload, whatever the number of
+/// balancers: 187 balancers overloaded a zone in seconds.
 #[test]
 fn the_first_growth_of_a_limit_is_shared_among_many_balancers() {
     let mut driver = Driver::one_of(160, 10, non_idempotent(), 1);
@@ -84,8 +84,7 @@
     );
 }
 
-/// Guards against skewed traffic: a limit split evenly among balancers starves the one that has all
-/// the requests.
+/// With skewed traffic, a limit split evenly among balancers starves the one that receives all requests.
 #[test]
 fn a_balancer_that_causes_all_of_a_servers_load_gets_all_of_its_limit() {
     let in_flight = |active: f64| {
@@ -151,7 +150,7 @@
     );
 }
 
-/// Guards against fast rejections: such a server always has capacity and would be sent ever more.
+/// A server that rejects immediately always has capacity and would be sent ever more requests.
 #[test]
 fn a_server_that_rejects_immediately_is_not_preferred() {
     let mut driver = Driver::ready(idempotent());
--- a/crates/balancer/tests/decisions/main.rs
+++ b/crates/balancer/tests/decisions/main.rs
@@ -1,5 +1,5 @@
-//! What the balancer decides, through its public interface: one file for each concern, `rules` for the
-//! safety rules as properties.
+//! Tests of the balancer's decisions through its public interface: one file for each concern, and
+//! `rules` for the safety rules as properties.
 
 mod discovery;
 mod ejection;
--- a/crates/balancer/tests/decisions/queue.rs
+++ b/crates/balancer/tests/decisions/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for capacity: their order, and when they are rejected.
+//! Queued requests: the order in which they are sent, and when they are rejected.
 
 use std::collections::BTreeSet;
 
@@ -21,8 +21,8 @@
     assert_eq!(sent, [2, 1]);
 }
 
-/// The newest queued request, too new to cross zones, kept older ones from crossing when there was
-/// capacity.
+/// The newest queued request, which had not waited long enough to cross zones, kept older ones from
+/// being sent to a free server in another zone.
 #[test]
 fn queued_requests_that_may_spill_over_do_not_wait_behind_newer_ones() {
     let mut settings = settings(non_idempotent());
@@ -45,7 +45,7 @@
     assert_eq!(driver.attempts(100), 0, "the newest is too new to cross");
 }
 
-/// The different retry delays of all rejections.
+/// The distinct retry delays of all rejections.
 fn retry_delays(driver: &Driver) -> BTreeSet<Micros> {
     let retry_after = |action: &Action| match action {
         Action::Reject { retry_after, .. } => Some(retry_after.expect("a retry delay")),
@@ -54,7 +54,7 @@
     driver.actions.iter().filter_map(retry_after).collect()
 }
 
-/// Guards against clients that all retry at once.
+/// Clients that are rejected together must not all retry at the same time.
 #[test]
 fn rejections_at_the_same_time_have_different_retry_delays() {
     let mut driver = Driver::new(settings(idempotent()));
@@ -66,8 +66,8 @@
     assert!(delays.len() > 10, "{delays:?}");
 }
 
-/// Behind a full server requests were queued until their latency target had passed, and their clients
-/// could not try elsewhere.
+/// Requests were queued for a full server until their latency target had passed, too late for their
+/// clients to try elsewhere.
 #[test]
 fn a_request_that_no_server_has_seen_is_rejected_early_with_a_jittered_retry_delay() {
     let class = ClassSettings {
@@ -82,7 +82,7 @@
     assert_eq!(driver.rejected.len(), queued, "{:?}", driver.rejected);
     assert!(
         driver.rejected.values().all(|&at| at < driver.now),
-        "rejected in the first quarter of their second"
+        "rejected in the first quarter of the client's second"
     );
     let delays = retry_delays(&driver);
     let is_allowed = |delay: &Micros| (1..=SECOND).contains(delay);
--- a/crates/balancer/tests/decisions/requests.rs
+++ b/crates/balancer/tests/decisions/requests.rs
@@ -1,4 +1,4 @@
-//! The deadline of a request: each gets its final answer in time, and nothing happens after it.
+//! Deadlines: each request gets its final answer in time, and no attempt follows it.
 
 use ironmast_balancer::*;
 
@@ -53,7 +53,7 @@
     assert!(driver.cancelled.is_empty());
 }
 
-/// Sends request 1, whose body takes 20 s to arrive; returns when it is complete.
+/// Delivers request 1, whose body takes 20 s to arrive; returns when it is complete.
 fn receive_slow_body(driver: &mut Driver) -> Micros {
     driver.request_until(1, 0, driver.now + 600 * SECOND);
     driver.pass(20 * SECOND);
@@ -65,7 +65,7 @@
     driver.now
 }
 
-/// The last byte of request 1 arrives; its client waits for a second more.
+/// Delivers the last byte of request 1; its client waits for another second.
 fn complete(driver: &mut Driver) {
     let expires = driver.now + SECOND;
     driver.event(Event::RequestComplete { id: 1, expires });
@@ -82,7 +82,7 @@
         "before its client gives up"
     );
     assert!(driver.cancelled.contains(&(1, 0)));
-    // What arrives after the final answer changes nothing.
+    // Events after the final answer change nothing.
     complete(&mut driver);
     driver.end_attempt(1, 0, Outcome::Cancelled);
     driver.pass(2 * SECOND);
--- a/crates/balancer/tests/decisions/retries.rs
+++ b/crates/balancer/tests/decisions/retries.rs
@@ -1,4 +1,4 @@
-//! Which requests are retried or hedged, when, and how often.
+//! Retries and hedging: for which requests, when, and how often.
 
 use ironmast_balancer::*;
 
@@ -8,7 +8,8 @@
     vec![class(Effect::Deduplicated { group, window })]
 }
 
-/// Retries of what full servers rejected were free, and became a storm among full servers.
+/// Retries of requests that overloaded servers had rejected did not count against the retry budget and
+/// became a retry storm among overloaded servers.
 #[test]
 fn overloaded_servers_cause_no_retry_storm() {
     let mut driver = Driver::ready(idempotent());
@@ -103,8 +104,8 @@
     );
 }
 
-/// Guards against hedging expensive requests: they are as expensive elsewhere, and the second attempt
-/// only adds load.
+/// Expensive requests must not be hedged: they are as expensive on another server, and the second
+/// attempt only adds load.
 #[test]
 fn hedged_requests_that_lose_become_rarer() {
     let hedged_requests = |hedge_wins: bool| {
@@ -130,8 +131,7 @@
     );
 }
 
-/// Guards against cancelling attempts that run on anyway: the work is done twice, and the zone is
-/// overloaded.
+/// A cancelled attempt runs on at its server: a retry would do the work twice and overload the zone.
 #[test]
 fn a_slow_attempt_is_not_cancelled_where_hedging_is_not_allowed() {
     let mut driver = Driver::ready(idempotent());
--- a/crates/balancer/tests/decisions/rules.rs
+++ b/crates/balancer/tests/decisions/rules.rs
@@ -1,7 +1,8 @@
 //! The safety rules as properties over generated event sequences (fixed seed, no files written):
-//! 1. each request gets exactly one final answer before its client gives up, and nothing is sent after
-//!    it; 2. what may have run is repeated only where its class permits, and is never rejected;
-//!    3. nothing is sent to a draining or removed server.
+//!
+//! 1. Each request gets exactly one final answer before its client gives up, and no attempt follows.
+//! 2. A request that may have run is repeated only where its class permits, and is never rejected.
+//! 3. No request is sent to a draining or removed server.
 
 use std::collections::BTreeSet;
 
@@ -11,17 +12,17 @@
 
 use crate::support::*;
 
-/// The window in which servers drop duplicates.
+/// Time in which servers drop duplicates.
 const WINDOW: Micros = 100 * MS;
 
-/// One thing that happens to the balancer.
+/// One step of a generated event sequence.
 #[derive(Clone, Debug)]
 enum Step {
     Request(ClassId),
-    /// One of the attempts in flight ends.
+    /// One of the attempts in flight, chosen by the number, ends.
     EndAttempt(usize, Outcome),
     Pass(Micros),
-    /// The client of one of the requests disconnects.
+    /// The client of one of the requests, chosen by the number, disconnects.
     Disconnect(usize),
     List(u64, ServerChange),
 }
@@ -79,7 +80,7 @@
     server(number, usize::from(number > 3))
 }
 
-/// An attempt as the driver knows it.
+/// An attempt, and its outcome once it has ended.
 struct Attempt {
     sent: Sent,
     outcome: Option<Outcome>,
@@ -90,7 +91,7 @@
         self.outcome.is_none_or(|outcome| !outcome.never_ran())
     }
 
-    /// Whether another attempt at a request of this effect may be sent although this one may have run.
+    /// Whether `next` may be sent for a request of this effect although this attempt may have run.
     fn permits(&self, effect: Effect, next: &Sent) -> bool {
         let Effect::Deduplicated { group, .. } = effect else {
             return effect == Effect::Idempotent;
@@ -117,7 +118,7 @@
 struct Checker {
     driver: Driver,
     allow_hedging: bool,
-    /// Requests by id, which count from 0.
+    /// Requests, indexed by id.
     arrived: Vec<Arrived>,
     attempts: Vec<Attempt>,
     /// Draining and removed servers.
@@ -252,7 +253,7 @@
         Ok(())
     }
 
-    /// Checks that each request has exactly one end, in time.
+    /// Checks that each request ended exactly once and in time.
     fn check_ends(&self) -> Result<(), TestCaseError> {
         for (index, arrived) in self.arrived.iter().enumerate() {
             let id = index as RequestId;
@@ -276,7 +277,7 @@
         attempts.filter(move |attempt| attempt.sent.request == id)
     }
 
-    /// When the balancer rejected the request, or ended it as failed.
+    /// The times at which the balancer rejected or failed the request.
     fn final_answers(&self, id: RequestId) -> impl Iterator<Item = Micros> {
         let rejected = self.driver.rejected.get(&id);
         let failed = self.driver.failed.get(&id);
--- a/crates/balancer/tests/decisions/selection.rs
+++ b/crates/balancer/tests/decisions/selection.rs
@@ -1,4 +1,4 @@
-//! Which servers of a zone are used, and how evenly.
+//! Selection of servers within a zone: which are used, and how evenly.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 
 use crate::support::*;
 
-/// How often each server was chosen.
+/// Number of requests sent to each server.
 type Counts = BTreeMap<ServerId, usize>;
 
 /// Serves requests one after the other, `pause` apart.
@@ -36,8 +36,8 @@
     }
 }
 
-/// Where each server had a request of a balancer every few seconds only, slow ones kept their share
-/// for a whole day.
+/// When each server received a request from a balancer only every few seconds, slow servers kept their
+/// share for a whole day.
 #[test]
 fn one_of_many_balancers_with_little_traffic_uses_a_small_subset_of_its_own() {
     let mut total = Counts::new();
@@ -46,7 +46,7 @@
         let counts = serve_and_count(&mut driver, 40, 100 * MS);
         assert!(
             counts.len() <= 4,
-            "two, and two more where they change: {counts:?}"
+            "two, and two more after the subset changes: {counts:?}"
         );
         for (server, count) in counts {
             *total.entry(server).or_default() += count;
@@ -66,7 +66,8 @@
     );
 }
 
-/// A busy balancer of a small fleet used two servers in its first seconds and rejected the rest.
+/// A busy balancer with few peers used only two servers in its first seconds and rejected the remaining
+/// requests.
 #[test]
 fn few_balancers_use_all_servers_from_the_start() {
     let mut driver = Driver::one_of(5, 10, idempotent(), 1);
@@ -75,7 +76,8 @@
     assert_eq!(used.len(), 10);
 }
 
-/// Many balancers' idle connections filled the servers' tables, and new ones were refused.
+/// Idle connections of many balancers filled the servers' connection tables, and new connections were
+/// refused.
 #[test]
 fn idle_connections_to_unused_servers_are_closed() {
     let mut driver = Driver::ready(idempotent());
--- a/crates/balancer/tests/decisions/settings.rs
+++ b/crates/balancer/tests/decisions/settings.rs
@@ -1,10 +1,10 @@
-//! Settings and inputs that make no sense, extreme ones, and determinism.
+//! Invalid and extreme settings and inputs, and determinism.
 
 use ironmast_balancer::*;
 
 use crate::support::*;
 
-/// The error of settings that are sound but for one change.
+/// The error of settings that are valid except for one change.
 fn error_after(change: impl FnOnce(&mut Settings)) -> Option<SettingsError> {
     let mut settings = settings(idempotent());
     change(&mut settings);
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -1,5 +1,5 @@
-//! Servers that have just started: they get a small share that grows, and are not overloaded by all
-//! balancers together (safety rule 4).
+//! Slow start: a server that has just started gets a small, growing share, and all balancers together
+//! do not overload it (safety rule 4).
 
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
     assert!((28..=38).contains(&warm), "{warm} of 100 when it is warm");
 }
 
-/// Guards rule 4 where no warm server shows how much is safe.
+/// Safety rule 4 must also hold if no warm server shows how many requests are safe.
 #[test]
 fn a_fleet_that_warms_up_is_not_overloaded() {
     let mut driver = Driver::new(settings(idempotent()));
@@ -36,18 +36,18 @@
     }
 }
 
-/// How many requests a server that carries `carried` per overload window may be sent in one, at a part
-/// of its capacity.
+/// The number of requests that may be sent in one overload window to a server that carries `carried`
+/// per window when warm, at a fraction of its capacity.
 fn max_in_window(safety: &Safety, capacity: f64, carried: f64) -> f64 {
     safety.overload_multiple * capacity * carried
 }
 
-/// Requests per overload window at a rate per second.
+/// Converts requests per second to requests per overload window.
 fn per_window(safety: &Safety, rate: f64) -> f64 {
     rate * safety.overload_window as f64 / SECOND as f64
 }
 
-/// A restarted server had one request from each of 160 balancers within a second, and failed.
+/// A restarted server failed after each of 160 balancers had sent it one request within a second.
 #[test]
 fn many_balancers_together_do_not_overload_a_warming_server() {
     let safety = Settings::default().safety;
@@ -65,8 +65,8 @@
     );
 }
 
-/// How often one of the balancers, which has a request a second, sends to a restarted server within a
-/// time after the restart.
+/// The number of sends to a restarted server by one of the balancers, which receives a request per
+/// second, within `time` after the restart.
 fn sends_to_a_restarted_server(balancers: u32, index: u32, time: Micros) -> usize {
     let mut driver = Driver::one_of(balancers, 4, idempotent(), u64::from(index));
     let mut next = 0;
@@ -90,24 +90,24 @@
     count
 }
 
-/// What the balancers did together with a zone most of whose servers were replaced.
+/// The sends of all balancers to a zone in which most servers were replaced.
 #[derive(Default)]
 struct ReplacedZone {
-    /// When each server was sent a request, counted from the replacement.
+    /// Times since the replacement at which each server was sent a request.
     sends: BTreeMap<ServerId, Vec<Micros>>,
     requests: usize,
-    /// Requests that were sent as soon as they arrived.
+    /// Number of requests that were sent as soon as they arrived.
     sent_at_once: usize,
 }
 
 /// The servers that replace others in [`ReplacedZone`].
 const NEW_SERVERS: std::ops::RangeInclusive<u64> = 21..=26;
-/// How long before the replacement they started.
+/// Time between the start of the new servers and the replacement.
 const STARTED_BEFORE: Micros = 500 * MS;
 
 impl ReplacedZone {
-    /// One of the balancers serves 40 requests; then six of ten servers are replaced, and it has 20
-    /// requests more, five a second.
+    /// Runs one of the balancers: it serves 40 requests, then six of ten servers are replaced, and 20
+    /// more requests arrive at five per second.
     fn run(&mut self, balancers: u32, index: u32) {
         let mut driver = Driver::one_of(balancers, 10, idempotent(), u64::from(index));
         for number in 0..40 {
@@ -140,9 +140,9 @@
     }
 }
 
-/// Six in ten servers of a zone were replaced at once: balancers that use few servers had only warming
-/// ones, for which they queued requests, and the warm ones were overloaded. Now the warm ones and those
-/// with a budget serve, and no warming server is overloaded.
+/// Six of ten servers of a zone were replaced at once. Balancers that use few servers had only warming
+/// ones in their subset and queued requests for them, while the warm servers were overloaded. Warm
+/// servers and warming ones with budget must serve, and no warming server may be overloaded.
 #[test]
 fn many_balancers_serve_through_a_zone_whose_servers_all_warm_up() {
     let safety = Settings::default().safety;
--- a/crates/balancer/tests/decisions/support.rs
+++ b/crates/balancer/tests/decisions/support.rs
@@ -1,5 +1,5 @@
-//! The set-up of the tests: a driver for one balancer, which feeds events, records what was sent and
-//! answered, and fires timers in order.
+//! Shared setup of the tests: a driver for one balancer that feeds events, records attempts and
+//! answers, and fires timers in order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
     ServerId::from_name(&format!("10.0.0.{number}:80"))
 }
 
-/// A ready server; two servers in succession share a cell.
+/// A ready server; servers 2n and 2n + 1 share a cell.
 pub(crate) fn server(number: u64, zone: ZoneId) -> Server {
     Server {
         id: id(number),
@@ -24,7 +24,7 @@
     }
 }
 
-/// A server that started at the clock reading.
+/// A server that started at the given clock reading.
 pub(crate) fn started_server(number: u64, zone: ZoneId, started: Micros) -> Server {
     Server {
         started: Some(started),
@@ -39,7 +39,7 @@
     }
 }
 
-/// Three servers of the own zone (1 to 3) and two of another (4 and 5).
+/// Three servers in the own zone (1 to 3) and two in another (4 and 5).
 pub(crate) fn two_zones() -> Vec<Server> {
     let zones = [(1, 0), (2, 0), (3, 0), (4, 1), (5, 1)];
     zones.map(|(number, zone)| server(number, zone)).to_vec()
@@ -76,7 +76,7 @@
     }
 }
 
-/// A request that was sent to a server.
+/// One attempt that the balancer sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sent {
     pub at: Micros,
@@ -94,12 +94,12 @@
     pub failed: BTreeMap<RequestId, Micros>,
     pub served: BTreeSet<RequestId>,
     pub disconnected: BTreeSet<RequestId>,
-    /// The report that comes with every outcome.
+    /// Load report that accompanies every outcome.
     pub load: Option<LoadReport>,
     pub cancelled: BTreeSet<(RequestId, u32)>,
     pub subscribed: Vec<Micros>,
     timers: BTreeSet<(Micros, u64)>,
-    /// The number of attempts at each request.
+    /// Number of attempts at each request.
     attempts: BTreeMap<RequestId, u32>,
 }
 
@@ -111,7 +111,7 @@
 
     pub(crate) fn seeded(settings: Settings, seed: u64) -> Self {
         Driver {
-            balancer: Balancer::new(settings, seed).expect("sound settings"),
+            balancer: Balancer::new(settings, seed).expect("valid settings"),
             now: 1_000 * SECOND,
             actions: Vec::new(),
             sends: Vec::new(),
@@ -139,14 +139,15 @@
         Self::with_servers(settings(classes), two_zones())
     }
 
-    /// The same where requests cross zones once they have waited for a fifth of the latency target.
+    /// A balancer that knows [`two_zones`], whose requests cross zones once they have waited for a fifth
+    /// of the latency target.
     pub(crate) fn with_spillover(classes: Vec<ClassSettings>) -> Self {
         let mut settings = settings(classes);
         settings.penalties.cross_zone = 0.2;
         Self::with_servers(settings, two_zones())
     }
 
-    /// A balancer that may hedge, and has served requests.
+    /// A balancer that may hedge requests and has served some.
     pub(crate) fn with_hedging() -> Self {
         let mut settings = settings(idempotent());
         settings.limits.allow_hedging = true;
@@ -155,7 +156,7 @@
         driver
     }
 
-    /// One of many balancers, in a zone of so many servers.
+    /// One of `balancers` balancers, in a zone of `servers` servers.
     pub(crate) fn one_of(
         balancers: u32,
         servers: u64,
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Lets time pass, firing timers as they fall due.
+    /// Lets time pass and fires timers that become due.
     pub(crate) fn pass(&mut self, time: Micros) {
         let until = self.now + time;
         while let Some(&(at, token)) = self.timers.first().filter(|(at, _)| *at <= until) {
@@ -219,7 +220,7 @@
         self.event(Event::Members(Listing { scope, servers }));
     }
 
-    /// A request arrives whose client waits for a second.
+    /// Delivers a request whose client waits for a second.
     pub(crate) fn request(&mut self, id: RequestId, class: ClassId) {
         self.arrive(id, class, None, self.now + SECOND);
     }
@@ -232,7 +233,7 @@
         self.arrive(id, class, None, expires);
     }
 
-    /// Requests of class 0 arrive at once.
+    /// Delivers requests of class 0 at the same time.
     pub(crate) fn request_all(&mut self, ids: impl IntoIterator<Item = RequestId>) {
         for id in ids {
             self.request(id, 0);
@@ -251,7 +252,7 @@
         }));
     }
 
-    /// An attempt ends.
+    /// Ends an attempt with an outcome.
     pub(crate) fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) {
         let is_this = |sent: &&Sent| sent.request == id && sent.attempt == attempt;
         let sent = *self
@@ -277,15 +278,15 @@
         }));
     }
 
-    /// All attempts at a request but the first end with a response.
+    /// Ends all attempts at a request but the first with a response.
     pub(crate) fn end_retries(&mut self, id: RequestId) {
         for attempt in 1..self.attempts(id) as u32 {
             self.end_attempt(id, attempt, Outcome::Ok);
         }
     }
 
-    /// Ends the sends since the `ended`-th that were in flight for so long as `latency` says, each with
-    /// its outcome, in order up to the first that goes on.
+    /// Ends the sends from the `ended`-th on, in order, up to the first that is still in flight.
+    /// `outcome` gives the outcome and latency of an attempt by its server.
     pub(crate) fn end_due(
         &mut self,
         ended: &mut usize,
@@ -301,13 +302,13 @@
         }
     }
 
-    /// The client of a request disconnects.
+    /// Disconnects the client of a request.
     pub(crate) fn disconnect(&mut self, id: RequestId) {
         self.disconnected.insert(id);
         self.event(Event::ClientDisconnected { id });
     }
 
-    /// Sends a request, which is served after `latency`; returns its server.
+    /// Delivers a request and serves it after `latency`; returns its server.
     pub(crate) fn serve(&mut self, id: RequestId, class: ClassId, latency: Micros) -> ServerId {
         self.request(id, class);
         let server = self.last_server(id);
@@ -316,7 +317,7 @@
         server
     }
 
-    /// Serves requests of class 0 one after the other; returns how many went to the server.
+    /// Serves requests of class 0 one after the other; returns how many were sent to the server.
     pub(crate) fn count_served_by(
         &mut self,
         server: ServerId,
@@ -327,7 +328,7 @@
         servers.filter(|served_by| *served_by == server).count()
     }
 
-    /// Serves 60 requests in 10 ms each, so that the balancer knows the usual latency.
+    /// Serves 60 requests in 10 ms each, so that latency estimates settle.
     pub(crate) fn serve_many(&mut self) {
         for number in 0..60 {
             self.serve(1_000_000 + number, 0, 10 * MS);
@@ -345,12 +346,12 @@
         self.attempts.get(&id).map_or(0, |count| *count as usize)
     }
 
-    /// The request has one attempt, and no final answer.
+    /// Whether the request has one attempt and no final answer.
     pub(crate) fn is_waiting_for_first(&self, id: RequestId) -> bool {
         self.attempts(id) == 1 && !self.is_answered(id)
     }
 
-    /// The request has its final answer.
+    /// Whether the request has its final answer.
     pub(crate) fn is_answered(&self, id: RequestId) -> bool {
         self.served.contains(&id)
             || self.rejected.contains_key(&id)
--- a/crates/balancer/tests/decisions/unreachable_zones.rs
+++ b/crates/balancer/tests/decisions/unreachable_zones.rs
@@ -1,5 +1,5 @@
-//! Unreachable zones, and zones that are only slow: where requests go, when, and which are never
-//! retried.
+//! Unreachable zones, and zones that are only slow: where and when requests are sent, and which are
+//! never retried.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 
 use crate::support::*;
 
-/// What a zone does with what reaches it.
+/// The behaviour of a zone's servers.
 #[derive(Clone, Copy, PartialEq)]
 enum Zone {
-    /// Responds after so long; answers probes at once.
+    /// Responses take this long; probes are answered in [`PROBE_TIME`].
     Responds(Micros),
-    /// Gives no sign.
+    /// Neither responses nor answers to probes.
     Silent,
-    /// Its processes have ended: connections are refused.
+    /// Connections are refused, as after the end of the server processes.
     Refuses,
 }
 
@@ -24,7 +24,7 @@
 const PROBE_TIMEOUT: Micros = 250 * MS;
 
 impl Zone {
-    /// How an attempt ends, and after how long.
+    /// Outcome and duration of an attempt.
     fn attempt(self) -> (Outcome, Micros) {
         match self {
             Zone::Responds(latency) => (Outcome::Ok, latency),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// How a probe ends, and after how long.
+    /// Outcome and duration of a probe.
     fn probe(self) -> (Outcome, Micros) {
         match self {
             Zone::Responds(_) => (Outcome::Ok, PROBE_TIME),
@@ -55,7 +55,7 @@
         .collect()
 }
 
-/// The settings of a balancer of zone 0 of three.
+/// The settings of a balancer in zone 0 of three.
 fn settings_of(effect: Effect) -> Settings {
     let class = ClassSettings {
         latency_target: 400 * MS,
@@ -67,18 +67,20 @@
     }
 }
 
-/// One balancer of zone 0 before three servers in each of three zones, 50 requests a second for as
-/// long as it runs.
+/// Simulates one balancer in zone 0 with three servers in each of three zones, at 50 requests per
+/// second.
 struct Simulation {
     driver: Driver,
     requests: RequestId,
-    /// The sends and actions that have been carried out.
+    /// Number of sends that have been carried out.
     sends_seen: usize,
+    /// Number of actions that have been carried out.
     actions_seen: usize,
-    /// What happens when, in order of entry at the same time.
+    /// Scheduled events by time, then by order of scheduling.
     due: BTreeMap<(Micros, u64), Event>,
+    /// Number of events scheduled so far.
     events: u64,
-    /// Sends by zone, of the latest run.
+    /// Sends by zone in the latest run.
     sends: [usize; 3],
 }
 
@@ -101,15 +103,15 @@
         }
     }
 
-    /// Two seconds in which all zones are healthy.
+    /// A simulation that has run for two seconds with healthy zones.
     fn healthy(effect: Effect) -> Self {
         let mut simulation = Self::new(effect);
         simulation.run(2 * SECOND, [HEALTHY; 3]);
         simulation
     }
 
-    /// Runs for a while, as the real driver would: attempts end by their response, when cancelled, or
-    /// with their client's time; probes time out after 250 ms.
+    /// Runs for a time in the way of the real driver: attempts end with their response, on
+    /// cancellation, or when their client gives up; probes time out after 250 ms.
     fn run(&mut self, time: Micros, zones: [Zone; 3]) {
         let end = self.driver.now + time;
         self.sends = [0; 3];
@@ -127,7 +129,8 @@
         }
     }
 
-    /// Runs for `first`, in which the balancer learns of the zones, then for `time`, whose sends count.
+    /// Runs for `first`, in which the balancer detects the state of the zones, then for `time`, in which
+    /// sends are counted.
     fn run_after(&mut self, first: Micros, time: Micros, zones: [Zone; 3]) {
         self.run(first, zones);
         self.run(time, zones);
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Ends an attempt as cancelled, unless it has ended.
+    /// Ends an attempt as cancelled, unless it has already ended.
     fn cancel(&mut self, id: RequestId, attempt: u32) {
         let is_this = |event: &Event| match event {
             Event::AttemptEnded(ended) => ended.id == id && ended.attempt == attempt,
@@ -221,14 +224,14 @@
         ids.filter(|id| condition(&self.driver, *id)).count()
     }
 
-    /// The number of log lines that contain the text.
+    /// The number of log lines that contain a text.
     fn logged(&self, text: &str) -> usize {
         let contains =
             |action: &&Action| matches!(action, Action::Log(line) if line.contains(text));
         self.driver.actions.iter().filter(contains).count()
     }
 
-    /// Sends to the zones other than the own.
+    /// The number of sends to zones other than the own in the latest run.
     fn remote_sends(&self) -> usize {
         self.sends[1] + self.sends[2]
     }
@@ -264,8 +267,8 @@
     }
 }
 
-/// Attempts in flight in an unreachable zone that may be retried are retried elsewhere before the
-/// latency target; those that may not are never sent again.
+/// Attempts in flight in an unreachable zone are retried elsewhere before the latency target if a retry
+/// is safe; otherwise they are never sent again.
 #[test]
 fn attempts_in_an_unreachable_zone_are_retried_elsewhere_only_where_that_is_safe() {
     for (effect, is_retried) in [(Effect::Idempotent, true), (Effect::NonIdempotent, false)] {
@@ -340,7 +343,8 @@
     assert!(simulation.sends[0] >= 48, "{:?}", simulation.sends);
 }
 
-/// It is found unreachable no later than the first time, and used again after each recovery.
+/// A zone that repeatedly becomes unreachable is detected no later than the first time, and is used
+/// again after each recovery.
 #[test]
 fn a_flapping_zone_is_detected_no_later_each_time() {
     let mut simulation = Simulation::healthy(Effect::NonIdempotent);
@@ -358,7 +362,7 @@
     assert!(simulation.sends[0] >= 48, "{:?}", simulation.sends);
 }
 
-/// Shows that the tests above need the probes, which tell an unreachable zone from a slow one.
+/// Verifies that the tests above depend on probes, which tell an unreachable zone from a slow one.
 #[test]
 fn without_probes_an_unreachable_zone_is_not_detected_at_once() {
     let mut simulation = Simulation::with_settings(settings_of(Effect::NonIdempotent));
--- a/crates/balancer/tests/decisions/very_many_balancers.rs
+++ b/crates/balancer/tests/decisions/very_many_balancers.rs
@@ -1,4 +1,4 @@
-//! Balancers so many that each uses a few servers only, and knows the limits of few.
+//! Tiers with so many balancers that each uses, and knows the limits of, only a few servers.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 use crate::support::*;
 
-/// One of so many balancers, where clients wait for ten seconds.
+/// One of `balancers` balancers, with clients that wait for ten seconds.
 fn one_of(balancers: u32, servers: Vec<Server>) -> Driver {
     let class = ClassSettings {
         deadline: 10 * SECOND,
@@ -25,8 +25,8 @@
     Driver::with_servers(settings, servers)
 }
 
-/// One of 527 balancers, two zones of 30 servers, for 8 s: twice a second so many requests arrive at
-/// once. Every attempt ends as `outcome` says.
+/// Runs one of 527 balancers with two zones of 30 servers for 8 s. Twice a second, `at_once` requests
+/// arrive together. `outcome` gives the outcome and latency of each attempt.
 fn one_of_very_many(at_once: u64, outcome: impl Fn(ServerId) -> (Outcome, Micros)) -> Driver {
     let zone = |number| usize::from(number >= 30);
     let servers = (0..60).map(|number| server(number, zone(number))).collect();
@@ -57,28 +57,28 @@
     let (sends, remote) = (driver.sends.len(), remote_sends(&driver));
     assert!(
         (8..=50).contains(&sends),
-        "{sends} sends in 8 s, none of use"
+        "{sends} sends in 8 s, all rejected as overloaded"
     );
     assert!(
         remote <= 24,
-        "{remote} sends crossed zones to servers as full as the own"
+        "{remote} sends crossed zones to servers as overloaded as the own"
     );
 }
 
 #[test]
 fn limits_of_the_used_subset_are_extrapolated_to_the_zone() {
-    // All responses take the latency target: limits of unused servers must not keep the sends up.
+    // All responses take the whole latency target: limits of unused servers must not permit more.
     let overloaded = one_of_very_many(1, |_| (Outcome::Ok, 200 * MS));
     let sends = overloaded.sends.len();
     assert!((2..=10).contains(&sends), "{sends} sends in 8 s");
     let calm = one_of_very_many(1, |_| (Outcome::Ok, 20 * MS));
-    assert_eq!(calm.sends.len(), 16, "a calm zone takes all");
+    assert_eq!(calm.sends.len(), 16, "a zone without overload takes all");
     assert_eq!(remote_sends(&calm), 0);
 }
 
-/// 300 balancers before 200 servers: each uses four or five of its zone's fifty, and the other limits,
-/// as they were at first, kept the zone open while its servers were overloaded (service 0.08 where 60
-/// balancers had 0.86).
+/// With 300 balancers and 200 servers, each balancer used four or five servers of its zone of fifty.
+/// The initial limits of the unused servers still counted, so that requests were sent to the zone while
+/// its servers were overloaded (service 0.08, against 0.86 with 60 balancers).
 #[test]
 fn initial_limits_of_unused_servers_do_not_keep_an_overloaded_zone_open() {
     let sends = |latency| {
@@ -97,7 +97,7 @@
         }
         driver.sends.len()
     };
-    assert_eq!(sends(20 * MS), 200, "a calm zone takes all");
+    assert_eq!(sends(20 * MS), 200, "a zone without overload takes all");
     let overloaded = sends(200 * MS);
     assert!(
         overloaded <= 100,
--- a/crates/balancer/tests/decisions/zones.rs
+++ b/crates/balancer/tests/decisions/zones.rs
@@ -1,4 +1,4 @@
-//! Which zone a request is sent to: the own zone first, and what spills over to others.
+//! Selection of zones: the own zone first, and spillover to others.
 
 use ironmast_balancer::*;
 
@@ -15,8 +15,8 @@
     assert_eq!(driver.count_served_by(id(2), 10..20, 5 * MS), 10);
 }
 
-/// Guards against a crowded zone: its responses get slow, limits close, and what has waited long
-/// enough crosses.
+/// When a zone is saturated, its responses get slow and its limits shrink; requests that have waited
+/// long enough cross to another zone.
 #[test]
 fn a_saturated_zone_spills_over_only_its_excess() {
     let mut driver = Driver::with_spillover(idempotent());
@@ -52,8 +52,8 @@
     assert!(driver.sends.iter().all(|sent| is_local(sent.server)));
 }
 
-/// Guards against limits of remote servers that stay at the least where latency targets are short and
-/// the network latency is long.
+/// Limits of remote servers must not stay at their minimum where latency targets are short and network
+/// latency is long.
 #[test]
 fn network_latency_to_another_zone_does_not_count_as_overload() {
     let settings = Settings {
@@ -61,8 +61,8 @@
         ..settings(idempotent())
     };
     let mut driver = Driver::with_servers(settings, vec![server(4, 1), server(5, 1)]);
-    // More requests arrive than the limits allow, and every response takes as long as the network
-    // and a little work.
+    // More requests arrive than the limits allow, and every response takes the network latency plus a
+    // little work.
     let mut ended = 0;
     let mut sent_at_once = |round: u64| {
         driver.request_all(24 * round..24 * (round + 1));
@@ -83,7 +83,7 @@
     );
 }
 
-/// One request in flight from each of 140 balancers was more than an overloaded zone could serve.
+/// One request in flight from each of 140 balancers exceeded what an overloaded zone could serve.
 #[test]
 fn limits_that_sum_below_one_pause_the_zone() {
     let class = ClassSettings {
@@ -95,8 +95,8 @@
     for number in 0..600 {
         driver.request_until(number, 0, driver.now + 10 * SECOND);
         driver.pass(50 * MS);
-        // Every response takes the latency target: the zone is overloaded. One request at a time
-        // would make 150 in all.
+        // Every response takes the whole latency target: the zone is overloaded. One request at a
+        // time would make 150 sends in all.
         driver.end_due(&mut ended, |_| (Outcome::Ok, 200 * MS));
     }
     let sends = driver.sends.len();
