--- a/crates/balancer/tests/decisions/discovery.rs
+++ b/crates/balancer/tests/decisions/discovery.rs
@@ -5,7 +5,7 @@
 use crate::support::*;
 
 #[test]
-fn draining_servers_are_sent_nothing_new() {
+fn draining_servers_are_sent_no_new_requests() {
     let mut driver = Driver::ready(idempotent());
     let draining = Server {
         phase: Phase::Draining,
--- a/crates/balancer/tests/decisions/ejection.rs
+++ b/crates/balancer/tests/decisions/ejection.rs
@@ -9,11 +9,11 @@
 /// A balancer with [`two_zones`] that has served 60 requests of a class that must not be retried.
 fn non_idempotent_driver() -> Driver {
     let mut driver = Driver::ready(non_idempotent());
-    serve_60(&mut driver);
+    serve_60_requests(&mut driver);
     driver
 }
 
-fn serve_60(driver: &mut Driver) {
+fn serve_60_requests(driver: &mut Driver) {
     for number in 1_000..1_060 {
         driver.serve(number, 0, 10 * MS);
     }
@@ -130,7 +130,7 @@
     let mut settings = settings(non_idempotent());
     settings.limits.probes = true;
     let mut driver = Driver::with_servers(settings, two_zones());
-    serve_60(&mut driver);
+    serve_60_requests(&mut driver);
     for number in 0..30 {
         driver.request(number, 0);
         let outcome = if driver.last_server(number) == id(1) {
@@ -205,15 +205,15 @@
 /// Delivers requests of two classes, of which the server does not answer one, until three clients have
 /// disconnected; returns how many did.
 fn leave_unanswered(driver: &mut Driver, silent: ServerId, class: ClassId) -> usize {
-    let mut lost = 0;
+    let mut disconnected = 0;
     for number in 0..120 {
-        if lost == 3 {
+        if disconnected == 3 {
             break;
         }
         let requested = (number % 2) as usize;
         driver.request(number, requested);
         if requested == class && driver.last_server(number) == silent {
-            lost += 1;
+            disconnected += 1;
             driver.pass(300 * MS);
             driver.disconnect(number);
             driver.end_attempt(number, 0, Outcome::Cancelled);
@@ -222,13 +222,13 @@
             driver.end_attempt(number, 0, Outcome::Ok);
         }
     }
-    lost
+    disconnected
 }
 
 /// If all servers of a zone fail alike, the cause is load; ejecting them all would overload the other
 /// zone next.
 #[test]
-fn failures_of_a_whole_zone_alike_do_not_eject_all_of_it() {
+fn failures_of_a_whole_zone_do_not_eject_all_of_its_servers() {
     let mut driver = Driver::ready(non_idempotent());
     for number in 0..60 {
         driver.request(number, 0);
--- a/crates/balancer/tests/decisions/rules.rs
+++ b/crates/balancer/tests/decisions/rules.rs
@@ -231,11 +231,11 @@
             "rule 2: two attempts at once"
         );
         let effect = self.arrived[id as usize].effect;
-        let mut ran = self
+        let mut may_have_run = self
             .attempts_at(id)
             .filter(|attempt| attempt.may_have_run());
         prop_assert!(
-            ran.all(|attempt| attempt.permits(effect, sent)),
+            may_have_run.all(|attempt| attempt.permits(effect, sent)),
             "rule 2: {effect:?} sent where it may run twice"
         );
         Ok(())
@@ -257,11 +257,11 @@
     fn check_ends(&self) -> Result<(), TestCaseError> {
         for (index, arrived) in self.arrived.iter().enumerate() {
             let id = index as RequestId;
-            let is_served = self.driver.served.contains(&id);
-            let is_disconnected = self.driver.disconnected.contains(&id);
+            let was_served = self.driver.served.contains(&id);
+            let was_disconnected = self.driver.disconnected.contains(&id);
             let ends = self.final_answers(id).count()
-                + usize::from(is_served)
-                + usize::from(is_disconnected);
+                + usize::from(was_served)
+                + usize::from(was_disconnected);
             prop_assert_eq!(ends, 1, "rule 1: exactly one end of request {}", id);
             let end = arrived.at + SECOND;
             prop_assert!(
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -144,7 +144,7 @@
 /// ones in their subset and queued requests for them, while the warm servers were overloaded. Warm
 /// servers and warming ones with budget must serve, and no warming server may be overloaded.
 #[test]
-fn many_balancers_serve_through_a_zone_whose_servers_all_warm_up() {
+fn many_balancers_keep_serving_while_most_servers_of_a_zone_warm_up() {
     let safety = Settings::default().safety;
     let balancers = 100;
     let mut zone = ReplacedZone::default();
--- a/crates/balancer/tests/decisions/unreachable_zones.rs
+++ b/crates/balancer/tests/decisions/unreachable_zones.rs
@@ -348,15 +348,17 @@
 #[test]
 fn a_flapping_zone_is_detected_no_later_each_time() {
     let mut simulation = Simulation::healthy(Effect::NonIdempotent);
-    let mut lost = Vec::new();
+    let mut sends_to_silent_zone = Vec::new();
     for _ in 0..4 {
         simulation.run(SECOND, [Zone::Silent, HEALTHY, HEALTHY]);
-        lost.push(simulation.sends[0]);
+        sends_to_silent_zone.push(simulation.sends[0]);
         simulation.run(3 * SECOND / 2, [HEALTHY; 3]);
     }
     assert!(
-        lost.iter().all(|count| *count <= lost[0]),
-        "sent to the unreachable zone each time: {lost:?}"
+        sends_to_silent_zone
+            .iter()
+            .all(|count| *count <= sends_to_silent_zone[0]),
+        "sent to the unreachable zone each time: {sends_to_silent_zone:?}"
     );
     simulation.run(SECOND, [HEALTHY; 3]);
     assert!(simulation.sends[0] >= 48, "{:?}", simulation.sends);
--- a/crates/balancer/tests/decisions/very_many_balancers.rs
+++ b/crates/balancer/tests/decisions/very_many_balancers.rs
@@ -71,9 +71,13 @@
     let overloaded = one_of_very_many(1, |_| (Outcome::Ok, 200 * MS));
     let sends = overloaded.sends.len();
     assert!((2..=10).contains(&sends), "{sends} sends in 8 s");
-    let calm = one_of_very_many(1, |_| (Outcome::Ok, 20 * MS));
-    assert_eq!(calm.sends.len(), 16, "a zone without overload takes all");
-    assert_eq!(remote_sends(&calm), 0);
+    let responsive = one_of_very_many(1, |_| (Outcome::Ok, 20 * MS));
+    assert_eq!(
+        responsive.sends.len(),
+        16,
+        "a zone without overload takes all"
+    );
+    assert_eq!(remote_sends(&responsive), 0);
 }
 
 /// With 300 balancers and 200 servers, each balancer used four or five servers of its zone of fifty.
