--- a/crates/balancer/tests/decisions/discovery.rs
+++ b/crates/balancer/tests/decisions/discovery.rs
@@ -35,7 +35,7 @@
         driver.pass(10 * SECOND);
         assert!(
             driver.subscribed.len() > subscribed,
-            "asked again within discovery_interval"
+            "discovery is called again within discovery_interval"
         );
     }
     let subscribed = driver.subscribed.len();
@@ -49,7 +49,7 @@
     assert_eq!(
         driver.count_served_by(id(4), 0..20, 5 * MS),
         0,
-        "the list is kept meanwhile"
+        "the cached list stays in use during failures"
     );
 }
 
@@ -70,7 +70,7 @@
             driver.pass(MAX_DISCOVERY_DELAY / 2);
             assert!(
                 driver.subscribed.len() > subscribed,
-                "{discovery_interval} us: not asked after failure {failure}"
+                "interval {discovery_interval} us: discovery is not called again after failure {failure}"
             );
         }
     }
--- a/crates/balancer/tests/decisions/ejection.rs
+++ b/crates/balancer/tests/decisions/ejection.rs
@@ -45,7 +45,7 @@
     }
     assert!(
         (5..=40).contains(&count),
-        "{count} of 300 to the slow server: a smaller share, but not none"
+        "{count} of 300 requests sent to the slow server: its share must be smaller, but not zero"
     );
 }
 
@@ -69,10 +69,16 @@
         assert_ne!(driver.last_server(number), refusing, "retried elsewhere");
         driver.end_attempt(number, 1, Outcome::Ok);
     }
-    assert!((1..=3).contains(&refused), "ejected after {refused}");
+    assert!(
+        (1..=3).contains(&refused),
+        "ejected after {refused} refused connections"
+    );
     driver.pass(2 * SECOND);
     let count = driver.count_served_by(refusing, 100..1_600, 5 * MS);
-    assert!(count >= 250, "in use after a trial: {count}");
+    assert!(
+        count >= 250,
+        "the server is in use after a trial: {count} requests"
+    );
 }
 
 #[test]
@@ -87,7 +93,7 @@
         .map(|number| driver.serve(number, 0, 10 * MS))
         .collect();
     assert_eq!(failed.len(), 3);
-    assert_eq!(failed, used, "all three remain in use");
+    assert_eq!(failed, used, "all three servers remain in use");
 }
 
 #[test]
@@ -104,7 +110,7 @@
         driver.end_attempt(number, 0, outcome);
     }
     let count = driver.count_served_by(id(1), 100..130, 10 * MS);
-    assert!(count > 0, "it remains in use");
+    assert!(count > 0, "the server remains in use");
 }
 
 #[test]
@@ -122,7 +128,7 @@
         driver.end_attempt(number, 0, outcome);
         driver.end_retries(number);
     }
-    assert!(count >= 8, "it remains in use: {count}");
+    assert!(count >= 8, "the server remains in use: {count} requests");
 }
 
 #[test]
@@ -144,7 +150,7 @@
     assert_eq!(
         driver.count_served_by(id(1), 100..130, MS),
         0,
-        "it is ejected"
+        "the server is ejected"
     );
     assert!(
         !is_used_after_probe(&mut driver, id(1), Outcome::ConnectFailed),
@@ -152,7 +158,7 @@
     );
     assert!(
         is_used_after_probe(&mut driver, id(1), Outcome::Ok),
-        "a successful one ends it"
+        "a successful probe ends the ejection"
     );
 }
 
@@ -163,7 +169,7 @@
     driver.pass(9 * SECOND);
     assert!(
         driver.count_actions(&probe) > before,
-        "its trial is a probe"
+        "the ejected server's trial is a probe"
     );
     driver.event(Event::ProbeEnded {
         server,
@@ -192,13 +198,16 @@
     );
     assert!(
         uses(&mut driver, 0, 300..330) > 0,
-        "in use for the other class"
+        "the server is in use for the other class"
     );
     driver.pass(9 * SECOND);
-    assert!(uses(&mut driver, 1, 400..430) > 0, "a trial");
+    assert!(
+        uses(&mut driver, 1, 400..430) > 0,
+        "a trial request is sent"
+    );
     assert!(
         uses(&mut driver, 1, 500..530) > 5,
-        "in use after the trial's response"
+        "the server is in use after the trial's response"
     );
 }
 
@@ -237,7 +246,7 @@
     }
     let latest = driver.sends.iter().rev().take(30);
     let local = latest.filter(|sent| is_local(sent.server)).count();
-    assert!(local >= 15, "{local} of 30 stay in the own zone");
+    assert!(local >= 15, "{local} of 30 requests stay in the own zone");
 }
 
 /// An overloaded zone must not lose one server after the other.
@@ -281,7 +290,7 @@
     }
     assert!(pending.len() >= 2);
     let count = driver.count_served_by(id(1), 100..130, 5 * MS);
-    assert!(count > 0, "it is warm and healthy");
+    assert!(count > 0, "the restarted server is warm and healthy");
 }
 
 /// A response to an attempt that was sent before the server began to fail is no evidence of recovery.
@@ -310,5 +319,5 @@
     assert_eq!(before, 0, "the server is ejected");
     driver.end_attempt(sent_before, 0, Outcome::Ok);
     let after = driver.count_served_by(failing, 30_000..30_030, 0);
-    assert_eq!(after, 0, "it still is");
+    assert_eq!(after, 0, "the server is still ejected");
 }
--- a/crates/balancer/tests/decisions/limits.rs
+++ b/crates/balancer/tests/decisions/limits.rs
@@ -38,7 +38,10 @@
             .count()
     };
     let (without, with) = (sent_at_once(false), sent_at_once(true));
-    assert!(without <= 3 && with >= 12, "{without} and {with}");
+    assert!(
+        without <= 3 && with >= 12,
+        "{without} sends without reports of the others, {with} with them"
+    );
 }
 
 /// One request in flight from each of many balancers overloads a server.
@@ -56,7 +59,10 @@
         }
     }
     let sent = burst(&mut driver, 1_000..1_020);
-    assert!(sent <= 2, "{sent} in flight at five overloaded servers");
+    assert!(
+        sent <= 2,
+        "{sent} requests in flight at five overloaded servers"
+    );
 }
 
 /// Each balancer's limits grew by one per response until the first overload, whatever the number of
@@ -80,7 +86,7 @@
     let sent = burst(&mut driver, 1_000..1_050);
     assert!(
         (1..=5).contains(&sent),
-        "{sent} in flight at once from one of 160 balancers"
+        "{sent} requests in flight from one of 160 balancers"
     );
 }
 
@@ -111,7 +117,7 @@
     let (alone, one_of_many) = (in_flight(1.0), in_flight(50.0));
     assert!(
         alone >= one_of_many + 3,
-        "{alone} alone, {one_of_many} among many"
+        "{alone} in flight if alone, {one_of_many} as one of many balancers"
     );
 }
 
@@ -168,5 +174,8 @@
     }
     let sends = driver.sends[before..].iter();
     let count = sends.filter(|sent| sent.server == id(1)).count();
-    assert!(count <= 25, "{count} sends to the full server in 200 ms");
+    assert!(
+        count <= 25,
+        "{count} sends in 200 ms to the server that rejects"
+    );
 }
--- a/crates/balancer/tests/decisions/requests.rs
+++ b/crates/balancer/tests/decisions/requests.rs
@@ -21,7 +21,7 @@
     driver.pass(SECOND);
     assert!(
         driver.rejected[&3] <= end,
-        "nothing was sent: a retry is safe"
+        "rejected, not failed: no attempt was sent, so a retry is safe"
     );
 }
 
@@ -59,7 +59,7 @@
     driver.pass(20 * SECOND);
     assert!(
         !driver.is_answered(1),
-        "nothing is late while the body arrives"
+        "no deadline passes while the body arrives"
     );
     complete(driver);
     driver.now
@@ -79,7 +79,7 @@
     let failed = driver.failed.get(&1).expect("it may have run");
     assert!(
         (completed + SECOND / 2..completed + SECOND).contains(failed),
-        "before its client gives up"
+        "failed before its client gives up"
     );
     assert!(driver.cancelled.contains(&(1, 0)));
     // Events after the final answer change nothing.
--- a/crates/balancer/tests/decisions/retries.rs
+++ b/crates/balancer/tests/decisions/retries.rs
@@ -127,7 +127,7 @@
     let (won, lost) = (hedged_requests(true), hedged_requests(false));
     assert!(
         won > 2 * lost,
-        "{won} hedged requests that win, {lost} that lose"
+        "{won} hedged requests if they win, {lost} if they lose"
     );
 }
 
--- a/crates/balancer/tests/decisions/rules.rs
+++ b/crates/balancer/tests/decisions/rules.rs
@@ -228,7 +228,7 @@
         let mut earlier = self.attempts_at(id);
         prop_assert!(
             self.allow_hedging || earlier.all(|attempt| attempt.outcome.is_some()),
-            "rule 2: two attempts at once"
+            "rule 2: two attempts in flight at once without hedging"
         );
         let effect = self.arrived[id as usize].effect;
         let mut may_have_run = self
@@ -236,7 +236,7 @@
             .filter(|attempt| attempt.may_have_run());
         prop_assert!(
             may_have_run.all(|attempt| attempt.permits(effect, sent)),
-            "rule 2: {effect:?} sent where it may run twice"
+            "rule 2: {effect:?} request sent where it may run twice"
         );
         Ok(())
     }
@@ -266,7 +266,7 @@
             let end = arrived.at + SECOND;
             prop_assert!(
                 self.final_answers(id).all(|at| at <= end),
-                "rule 1: answered too late"
+                "rule 1: answered after the client gave up"
             );
         }
         Ok(())
--- a/crates/balancer/tests/decisions/selection.rs
+++ b/crates/balancer/tests/decisions/selection.rs
@@ -46,7 +46,7 @@
         let counts = serve_and_count(&mut driver, 40, 100 * MS);
         assert!(
             counts.len() <= 4,
-            "two, and two more after the subset changes: {counts:?}"
+            "two servers, and two more after the subset changes: {counts:?}"
         );
         for (server, count) in counts {
             *total.entry(server).or_default() += count;
@@ -55,14 +55,14 @@
     let is_even = total.values().all(|count| (500..1_100).contains(count));
     assert!(
         total.len() == 10 && is_even,
-        "even over all balancers: {total:?}"
+        "requests are spread evenly over all balancers: {total:?}"
     );
     let mut driver = Driver::one_of(200, 10, idempotent(), 1);
     let counts = serve_and_count(&mut driver, 9_000, 100 * MS);
     let is_even = counts.values().all(|count| (200..2_700).contains(count));
     assert!(
         counts.len() == 10 && is_even,
-        "even in the long run: {counts:?}"
+        "requests are spread evenly in the long run: {counts:?}"
     );
 }
 
@@ -86,10 +86,22 @@
     driver.request(2, 0);
     let busy = driver.last_server(2);
     driver.pass(500 * MS);
-    assert_eq!(closed(&driver, used), 0, "not between two requests");
+    assert_eq!(
+        closed(&driver, used),
+        0,
+        "connections stay open between two requests"
+    );
     driver.pass(10 * SECOND);
-    assert_eq!(closed(&driver, used), usize::from(used != busy), "once");
-    assert_eq!(closed(&driver, busy), 0, "not while a request is in flight");
+    assert_eq!(
+        closed(&driver, used),
+        usize::from(used != busy),
+        "an idle connection is closed once"
+    );
+    assert_eq!(
+        closed(&driver, busy),
+        0,
+        "a connection stays open while a request is in flight"
+    );
 }
 
 #[test]
--- a/crates/balancer/tests/decisions/settings.rs
+++ b/crates/balancer/tests/decisions/settings.rs
@@ -31,7 +31,7 @@
     driver.request(1, 7);
     assert!(
         driver.rejected.contains_key(&1),
-        "a class that does not exist"
+        "a request of an unknown class is rejected"
     );
 }
 
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -13,10 +13,16 @@
     driver.serve_many();
     driver.list(Scope::Changes, vec![started_server(1, 0, driver.now)]);
     let early = driver.count_served_by(id(1), 0..100, 5 * MS);
-    assert!(early <= 15, "{early} of 100 while it warms up");
+    assert!(
+        early <= 15,
+        "{early} of 100 requests while the server warms up"
+    );
     driver.pass(25 * SECOND);
     let warm = driver.count_served_by(id(1), 200..300, 5 * MS);
-    assert!((28..=38).contains(&warm), "{warm} of 100 when it is warm");
+    assert!(
+        (28..=38).contains(&warm),
+        "{warm} of 100 requests when the server is warm"
+    );
 }
 
 /// Safety rule 4 must also hold if no warm server shows how many requests are safe.
@@ -58,10 +64,13 @@
     // Each warm server serves a quarter of one request a second from each balancer.
     let carried = per_window(&safety, f64::from(balancers) / 4.0);
     let max = max_in_window(&safety, safety.initial_capacity, carried);
-    assert!((sent as f64) < max, "{sent} sent, {max} allowed");
+    assert!(
+        (sent as f64) < max,
+        "{sent} sends where fewer than {max} are allowed"
+    );
     assert!(
         sent > 0,
-        "a warming server must get its share, or it never warms up"
+        "a warming server must get requests, or it never warms up"
     );
 }
 
@@ -164,17 +173,20 @@
             let sent = times.iter().filter(|at| window.contains(at)).count();
             let capacity = capacity_at(start + STARTED_BEFORE);
             let max = max_in_window(&safety, capacity, carried);
-            assert!((sent as f64) < max, "{sent} sent to one, {max} allowed");
+            assert!(
+                (sent as f64) < max,
+                "{sent} sends to one server where fewer than {max} are allowed"
+            );
         }
         let (served, requests) = (times.len(), zone.requests);
         assert!(
             served * 10 > requests / 10,
-            "warming servers serve too: {served} of {requests}"
+            "server {number} served only {served} of {requests} requests while warming up"
         );
     }
     let (at_once, requests) = (zone.sent_at_once, zone.requests);
     assert!(
         at_once * 100 >= requests * 95,
-        "{at_once} of {requests} sent at once"
+        "{at_once} of {requests} requests sent on arrival"
     );
 }
--- a/crates/balancer/tests/decisions/unreachable_zones.rs
+++ b/crates/balancer/tests/decisions/unreachable_zones.rs
@@ -248,20 +248,20 @@
         let sends = simulation.sends;
         assert!(
             sends[0] > 90 && simulation.remote_sends() == 0,
-            "all in the own zone: {sends:?}"
+            "all requests in the own zone: {sends:?}"
         );
         simulation.run_after(SECOND, 3 * SECOND, [Zone::Silent, HEALTHY, HEALTHY]);
         let sends = simulation.sends;
         assert!(
             simulation.remote_sends() >= 149 && sends[0] == 0,
-            "{effect:?}, all elsewhere after a second: {sends:?}"
+            "{effect:?}: all requests in other zones after a second: {sends:?}"
         );
         assert_eq!(simulation.logged("zone 0 is silent"), 1);
         simulation.run_after(SECOND, 2 * SECOND, [HEALTHY; 3]);
         let sends = simulation.sends;
         assert!(
             sends[0] >= 95,
-            "{effect:?}, in the own zone a second after its recovery: {sends:?}"
+            "{effect:?}: requests in the own zone a second after its recovery: {sends:?}"
         );
         assert_eq!(simulation.logged("zone 0 gives signs again"), 1);
     }
@@ -280,7 +280,7 @@
         let failed = simulation.count_requests(first, |driver, id| driver.failed.contains_key(&id));
         assert!(
             failed <= 25,
-            "{effect:?}: {failed} failed, those of the first half second"
+            "{effect:?}: {failed} failed, more than those of the first half second"
         );
     }
 }
@@ -322,7 +322,10 @@
     simulation.run(2 * SECOND, [Zone::Silent; 3]);
     let first = simulation.requests + 1;
     simulation.run(2 * SECOND, [Zone::Silent; 3]);
-    assert_eq!(simulation.sends, [0; 3], "no attempts in any zone");
+    assert_eq!(
+        simulation.sends, [0; 3],
+        "no attempts in any zone while isolated"
+    );
     let rejected = simulation.count_requests(first, |driver, id| driver.rejected.contains_key(&id));
     assert!(rejected >= 99, "{rejected} of 100 rejected");
     let has_delay = |action: &&Action| {
@@ -337,7 +340,7 @@
     let with_delay = simulation.driver.actions.iter().filter(has_delay).count();
     assert!(
         with_delay >= rejected,
-        "each with a retry delay: {with_delay} of {rejected}"
+        "rejections with a retry delay: {with_delay} of {rejected}"
     );
     simulation.run_after(SECOND, SECOND, [HEALTHY; 3]);
     assert!(simulation.sends[0] >= 48, "{:?}", simulation.sends);
--- a/crates/balancer/tests/decisions/zones.rs
+++ b/crates/balancer/tests/decisions/zones.rs
@@ -41,8 +41,14 @@
     let sends = driver.sends.iter();
     let local = sends.filter(|sent| is_local(sent.server)).count();
     let remote = driver.sends.len() - local;
-    assert!(remote > 50, "the excess leaves: {remote}");
-    assert!(local > 50, "the rest stays: {local}");
+    assert!(
+        remote > 50,
+        "excess requests are sent to the other zone: {remote}"
+    );
+    assert!(
+        local > 50,
+        "the other requests stay in the own zone: {local}"
+    );
 }
 
 #[test]
@@ -79,7 +85,7 @@
     let after = (1..=40).map(&mut sent_at_once).last().unwrap_or(0);
     assert!(
         after > before,
-        "{before} at once at first, {after} in the end"
+        "{before} requests sent on arrival at first, {after} at the end"
     );
 }
 
