--- a/crates/balancer/src/api/events.rs
+++ b/crates/balancer/src/api/events.rs
@@ -169,7 +169,7 @@
         /// Clock reading at which the client gives up.
         expires: Micros,
     },
-    /// The client disconnected; nothing more is sent to it.
+    /// The client disconnected; the request gets no answer and no further attempt.
     ClientDisconnected {
         /// Identifier of the request.
         id: RequestId,
--- a/crates/balancer/src/api/validation.rs
+++ b/crates/balancer/src/api/validation.rs
@@ -5,7 +5,7 @@
 use super::ids::Micros;
 use super::settings::{ClassSettings, Effect, Penalties, Safety, Settings, TenantSettings};
 
-/// Durations are kept below 30 years, so that sums with clock readings cannot overflow.
+/// Durations stay below 10^15 microseconds (31 years), so that sums with clock readings cannot overflow.
 const MAX_DURATION: Micros = 1_000_000_000_000_000;
 
 /// The reason why settings are invalid.
--- a/crates/balancer/src/balance/requests.rs
+++ b/crates/balancer/src/balance/requests.rs
@@ -55,7 +55,7 @@
         let wake_ups =
             [open.spill_at, target_reachable_until, open.unsent_until].map(|at| (at, id));
         if candidates.is_empty() && self.failure_detector.is_isolated(&self.fleet) {
-            // Rejects at once: waiting is useless while this balancer itself is partitioned off.
+            // Ends it at once: waiting is useless while this balancer itself is partitioned off.
             self.end(id, actions);
             return true;
         }
