--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/balance.rs
@@ -191,7 +191,7 @@
         self.grant_warm_up();
         // With even shares, the busiest of many balancers would lack capacity that others leave unused.
         self.fleet.scale(self.peer_load.update_shares(self.now));
-        let message = self.peer_load.due(self.now);
+        let message = self.peer_load.due_message(self.now);
         actions.extend(message.map(|data| Action::SendToPeers { to: None, data }));
     }
 
--- a/crates/balancer/src/balance/attempts.rs
+++ b/crates/balancer/src/balance/attempts.rs
@@ -65,7 +65,7 @@
             start_deadline,
         });
         if open.attempts.len() == 1 && self.settings.limits.allow_hedging {
-            let hedge_at = now + self.latencies[class].high as Micros;
+            let hedge_at = now + self.latencies[class].p90 as Micros;
             self.due_requests.insert((hedge_at, id));
         }
     }
--- a/crates/balancer/src/balance/health.rs
+++ b/crates/balancer/src/balance/health.rs
@@ -47,7 +47,7 @@
         // disconnect before its responses arrive would never be noticed.
         let is_overdue = class
             .zip(sent)
-            .is_some_and(|(class, at)| (now - at) as f64 > self.latencies[class].high);
+            .is_some_and(|(class, at)| (now - at) as f64 > self.latencies[class].p90);
         let counted_class = self.fleet.change(ended.server, |node| {
             node.in_flight = node.in_flight.saturating_sub(1);
             node.idle_since = Some(now);
--- a/crates/balancer/src/balance/probing.rs
+++ b/crates/balancer/src/balance/probing.rs
@@ -91,7 +91,7 @@
             return;
         }
         let longest = PROBE_AFTER_RUNS * self.maintenance_interval as f64;
-        let quantiles = self.latencies.iter().map(|latency| latency.high);
+        let quantiles = self.latencies.iter().map(|latency| latency.p90);
         let overdue = quantiles.fold(longest, f64::min) as Micros;
         let detector = &mut self.failure_detector;
         let due = detector.due_probes(&self.fleet, self.now, overdue, &mut self.rng);
--- a/crates/balancer/src/failure_detector.rs
+++ b/crates/balancer/src/failure_detector.rs
@@ -6,7 +6,7 @@
 //! error, the answer to a probe, which is given beside a server's queue. A zone that is partitioned
 //! off or has failed gives none. So a zone with responses pending from which nothing arrives for
 //! longer than usual is probed: one server, then two more. It is unreachable when a few of its
-//! servers ([`WITNESSES`]; all, where it has fewer) leave probes unanswered and no sign of any of its
+//! servers ([`UNREACHABLE_THRESHOLD`]; all, where it has fewer) leave probes unanswered and no sign of any of its
 //! servers arrives in between; one sign ends it. The scheme is SWIM's direct probe (Das, Gupta and
 //! Motivala 2002) with several witnesses for a zone. Why there is no accrual over the gaps between
 //! responses (Hayashibara et al. 2004), and no probe for each late response:
@@ -18,7 +18,7 @@
 mod zone;
 
 use self::pending::{PendingServers, PendingZone};
-use self::zone::{Verdict, WITNESSES, Zone};
+use self::zone::{UNREACHABLE_THRESHOLD, Verdict, Zone};
 use crate::api::{Micros, Outcome, ServerId, ZoneId};
 use crate::fleet::Fleet;
 use crate::locality::Locality;
@@ -27,7 +27,7 @@
 
 /// A zone with a single response pending is probed after this many times the usual latency; with
 /// more pending, after once that.
-const SINGLE_ATTEMPT_FACTOR: Micros = 2;
+const SINGLE_RESPONSE_FACTOR: Micros = 2;
 /// A connection that fails later than this was never answered: the refusal by a host whose process
 /// has ended takes one round trip.
 const CONNECT_REFUSED_TIME: Micros = 100_000;
@@ -59,7 +59,7 @@
 
 /// What follows from a sign of life, or its lack.
 #[derive(Debug, Default)]
-pub(crate) struct Finding {
+pub(crate) struct DetectorOutput {
     /// A line for the log.
     pub log: Option<String>,
     /// The servers to probe.
@@ -93,32 +93,32 @@
         liveness: Liveness,
         now: Micros,
         rng: &mut Rng,
-    ) -> Finding {
+    ) -> DetectorOutput {
         let Some(zone) = fleet.get(server).map(|node| node.server.zone) else {
-            return Finding::default();
+            return DetectorOutput::default();
         };
         match liveness {
             Liveness::Alive => {
-                let recovers = self.record_sign(server, zone, now);
+                let recovers = self.record_alive(server, zone, now);
                 let log = recovers.then(|| format!("zone {zone} gives signs again"));
                 let probe = Vec::new();
-                Finding { log, probe }
+                DetectorOutput { log, probe }
             }
             Liveness::Unanswered => self.record_unanswered(fleet, server, zone, now, rng),
         }
     }
 
-    /// The servers to probe now: of zones from which nothing has arrived for longer than `usual`, and
+    /// The servers to probe now: of zones from which nothing has arrived for longer than `overdue_after`, and
     /// one of each unreachable zone whose next probe is due.
     pub(crate) fn due_probes(
         &mut self,
         fleet: &Fleet,
         now: Micros,
-        usual: Micros,
+        overdue_after: Micros,
         rng: &mut Rng,
     ) -> Vec<ServerId> {
-        let mut due = self.suspects(now, usual, |zone| fleet.locality(zone));
-        for zone in self.due_trials(now) {
+        let mut due = self.suspects(now, overdue_after, |zone| fleet.locality(zone));
+        for zone in self.due_zone_probes(now) {
             let index = (rng.unit() * fleet.zone(zone).ready() as f64) as usize;
             let server = ready_in_zone(fleet, zone).nth(index);
             due.extend(server.map(|node| node.server.id));
@@ -148,9 +148,9 @@
     }
 
     /// The server gave a sign of life; returns whether its zone was unreachable until now.
-    fn record_sign(&mut self, server: ServerId, zone: ZoneId, now: Micros) -> bool {
-        self.pending.record_sign(server, now);
-        self.zone_mut(zone).record_sign(now)
+    fn record_alive(&mut self, server: ServerId, zone: ZoneId, now: Micros) -> bool {
+        self.pending.record_alive(server, now);
+        self.zone_mut(zone).record_alive(now)
     }
 
     /// A probe of a server, or a connection to it, was not answered in time.
@@ -161,35 +161,35 @@
         zone: ZoneId,
         now: Micros,
         rng: &mut Rng,
-    ) -> Finding {
+    ) -> DetectorOutput {
         let (locality, ready) = (fleet.locality(zone), fleet.zone(zone).ready());
         let jitter = rng.unit();
         let state = self.zone_mut(zone);
         match state.record_unanswered(server, locality, ready, now, jitter) {
-            Verdict::Nothing => Finding::default(),
+            Verdict::Nothing => DetectorOutput::default(),
             Verdict::ZoneUnreachable => {
                 let text = format!("zone {zone} is silent: no server there gives a sign");
                 let (log, probe) = (Some(text), Vec::new());
-                Finding { log, probe }
+                DetectorOutput { log, probe }
             }
-            Verdict::ServerUnreachable { witnesses } => {
+            Verdict::ServerUnreachable { further_probes } => {
                 let is_other = |node: &&Node| node.server.id != server && node.ejected.is_none();
-                let spare = ready.saturating_sub(witnesses + 1);
+                let spare = ready.saturating_sub(further_probes + 1);
                 let offset = (rng.unit() * spare as f64) as usize;
                 let others = ready_in_zone(fleet, zone).filter(is_other);
-                let chosen = others.skip(offset).take(witnesses);
+                let chosen = others.skip(offset).take(further_probes);
                 let probe = chosen.map(|node| node.server.id).collect();
-                Finding { log: None, probe }
+                DetectorOutput { log: None, probe }
             }
         }
     }
 
     /// The servers to probe of zones with responses pending from which nothing has arrived for longer
-    /// than `usual`.
+    /// than `overdue_after`.
     fn suspects(
         &mut self,
         now: Micros,
-        usual: Micros,
+        overdue_after: Micros,
         locality: impl Fn(ZoneId) -> Locality,
     ) -> Vec<ServerId> {
         let mut suspects = Vec::new();
@@ -200,40 +200,40 @@
             let Some(pending) = self.pending.of_zone(id) else {
                 continue;
             };
-            if is_overdue(&pending, zone.last_sign, now, usual, locality(id)) {
-                suspects.extend(zone.choose_witnesses(pending.servers.into_iter(), now));
+            if is_overdue(&pending, zone.last_alive, now, overdue_after, locality(id)) {
+                suspects.extend(zone.choose_probe_targets(pending.servers.into_iter(), now));
             }
         }
         suspects
     }
 
     /// The unreachable zones whose next probe is due: one probe each.
-    fn due_trials(&mut self, now: Micros) -> Vec<ZoneId> {
+    fn due_zone_probes(&mut self, now: Micros) -> Vec<ZoneId> {
         let zones = self.zones.iter_mut().enumerate();
         zones
-            .filter_map(|(id, zone)| zone.start_due_trial(now).then_some(id))
+            .filter_map(|(id, zone)| zone.start_due_probe(now).then_some(id))
             .collect()
     }
 }
 
-/// Whether nothing has arrived from a zone for longer than `usual` (for [`SINGLE_ATTEMPT_FACTOR`]
+/// Whether nothing has arrived from a zone for longer than `overdue_after` (for [`SINGLE_RESPONSE_FACTOR`]
 /// times as long where one response is pending). Zones other than the own are overdue only with
 /// enough pending for all witnesses: guards against a probe for each late response of another zone.
 fn is_overdue(
     pending: &PendingZone,
-    last_sign: Micros,
+    last_alive: Micros,
     now: Micros,
-    usual: Micros,
+    overdue_after: Micros,
     locality: Locality,
 ) -> bool {
-    if locality == Locality::Remote && pending.in_flight < WITNESSES as u32 {
+    if locality == Locality::Remote && pending.in_flight < UNREACHABLE_THRESHOLD as u32 {
         return false;
     }
     let timeout = match pending.in_flight {
-        1 => usual * SINGLE_ATTEMPT_FACTOR,
-        _ => usual,
+        1 => overdue_after * SINGLE_RESPONSE_FACTOR,
+        _ => overdue_after,
     };
-    now >= pending.since.max(last_sign) + timeout
+    now >= pending.since.max(last_alive) + timeout
 }
 
 /// The ready servers of a zone.
--- a/crates/balancer/src/failure_detector/pending.rs
+++ b/crates/balancer/src/failure_detector/pending.rs
@@ -50,7 +50,7 @@
     }
 
     /// The server gave a sign of life.
-    pub(super) fn record_sign(&mut self, server: ServerId, now: Micros) {
+    pub(super) fn record_alive(&mut self, server: ServerId, now: Micros) {
         if let Some(pending) = self.0.get_mut(&server) {
             pending.since = now;
         }
--- a/crates/balancer/src/failure_detector/tests.rs
+++ b/crates/balancer/src/failure_detector/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `failure_detector.rs`.
 
-use super::zone::{FIRST_TRIAL_INTERVAL, RECENT_RECOVERY, REMOTE_TRIAL_FACTOR};
+use super::zone::{FIRST_PROBE_INTERVAL, RECENT_RECOVERY, REMOTE_PROBE_FACTOR};
 use super::*;
 
 const MS: Micros = 1_000;
@@ -11,8 +11,8 @@
     ServerId(number)
 }
 
-fn server_unreachable(witnesses: usize) -> Verdict {
-    Verdict::ServerUnreachable { witnesses }
+fn server_unreachable(further_probes: usize) -> Verdict {
+    Verdict::ServerUnreachable { further_probes }
 }
 
 /// A detector of a balancer in zone 0.
@@ -30,11 +30,11 @@
 
     /// Returns whether the zone was unreachable until now.
     fn sign(&mut self, server: u64, zone: ZoneId, now: Micros) -> bool {
-        self.0.record_sign(id(server), zone, now)
+        self.0.record_alive(id(server), zone, now)
     }
 
-    fn suspects(&mut self, now: Micros, usual: Micros) -> Vec<ServerId> {
-        self.0.suspects(now, usual, |zone| match zone {
+    fn suspects(&mut self, now: Micros, overdue_after: Micros) -> Vec<ServerId> {
+        self.0.suspects(now, overdue_after, |zone| match zone {
             0 => Locality::Local,
             _ => Locality::Remote,
         })
@@ -63,42 +63,42 @@
 #[test]
 fn a_zone_with_pending_responses_and_no_sign_is_probed_until_a_sign_arrives() {
     let mut detector = Fixture::default();
-    let usual = 100 * MS;
+    let overdue_after = 100 * MS;
     detector.sign(9, 0, 0);
     for server in 1..=4 {
         detector.sent(server, 0, 10 * MS * server);
     }
-    assert_eq!(detector.suspects(109 * MS, usual), []);
-    assert_eq!(detector.suspects(110 * MS, usual), [id(1)]);
-    assert_eq!(detector.suspects(150 * MS, usual), [], "one first");
+    assert_eq!(detector.suspects(109 * MS, overdue_after), []);
+    assert_eq!(detector.suspects(110 * MS, overdue_after), [id(1)]);
+    assert_eq!(detector.suspects(150 * MS, overdue_after), [], "one first");
     assert_eq!(
-        detector.suspects(170 * MS, usual),
+        detector.suspects(170 * MS, overdue_after),
         [id(2), id(3)],
         "then the other witnesses"
     );
-    assert_eq!(detector.suspects(900 * MS, usual), []);
+    assert_eq!(detector.suspects(900 * MS, overdue_after), []);
     assert!(
         !detector.sign(4, 0, 950 * MS),
         "the zone was not unreachable yet"
     );
     assert_eq!(
-        detector.suspects(1_049 * MS, usual),
+        detector.suspects(1_049 * MS, overdue_after),
         [],
         "the time-out counts from the sign"
     );
-    assert_eq!(detector.suspects(1_050 * MS, usual), [id(1)]);
+    assert_eq!(detector.suspects(1_050 * MS, overdue_after), [id(1)]);
 }
 
 #[test]
 fn a_zone_with_a_single_pending_response_has_a_longer_timeout_and_one_with_none_is_not_probed() {
     let mut detector = Fixture::default();
-    let usual = 100 * MS;
+    let overdue_after = 100 * MS;
     detector.sent(4, 0, 950 * MS);
     detector.sign(5, 0, 2_000 * MS);
-    assert_eq!(detector.suspects(2_199 * MS, usual), []);
-    assert_eq!(detector.suspects(2_200 * MS, usual), [id(4)]);
+    assert_eq!(detector.suspects(2_199 * MS, overdue_after), []);
+    assert_eq!(detector.suspects(2_200 * MS, overdue_after), [id(4)]);
     detector.ended(4);
-    assert_eq!(detector.suspects(9_000 * MS, usual), []);
+    assert_eq!(detector.suspects(9_000 * MS, overdue_after), []);
 }
 
 #[test]
@@ -138,18 +138,21 @@
 fn an_unreachable_zone_is_probed_once_at_a_time_and_found_unreachable_sooner_the_next_time() {
     let mut detector = Fixture::default();
     detector.make_unreachable(Locality::Local);
-    assert_eq!(detector.0.due_trials(FIRST_TRIAL_INTERVAL / 2), []);
-    assert_eq!(detector.0.due_trials(FIRST_TRIAL_INTERVAL), [0]);
-    assert_eq!(detector.0.due_trials(FIRST_TRIAL_INTERVAL + 1), []);
-    assert_eq!(detector.0.due_trials(FIRST_TRIAL_INTERVAL * 5 / 2), [0]);
+    assert_eq!(detector.0.due_zone_probes(FIRST_PROBE_INTERVAL / 2), []);
+    assert_eq!(detector.0.due_zone_probes(FIRST_PROBE_INTERVAL), [0]);
+    assert_eq!(detector.0.due_zone_probes(FIRST_PROBE_INTERVAL + 1), []);
     assert_eq!(
-        detector.unanswered(4, 0, FIRST_TRIAL_INTERVAL),
+        detector.0.due_zone_probes(FIRST_PROBE_INTERVAL * 5 / 2),
+        [0]
+    );
+    assert_eq!(
+        detector.unanswered(4, 0, FIRST_PROBE_INTERVAL),
         Verdict::Nothing,
         "it is unreachable already"
     );
     assert!(detector.sign(2, 0, 2_000 * MS), "one sign ends it");
     assert!(!detector.0.is_unreachable(0));
-    assert_eq!(detector.0.due_trials(9_000 * MS), []);
+    assert_eq!(detector.0.due_zone_probes(9_000 * MS), []);
     assert_eq!(detector.unanswered(5, 0, 3_000 * MS), server_unreachable(1));
     assert_eq!(
         detector.unanswered(6, 0, 3_000 * MS),
@@ -168,11 +171,11 @@
 fn another_zone_is_probed_less_often_while_it_is_unreachable() {
     let mut detector = Fixture::default();
     detector.make_unreachable(Locality::Remote);
-    assert_eq!(detector.0.due_trials(FIRST_TRIAL_INTERVAL * 4), []);
+    assert_eq!(detector.0.due_zone_probes(FIRST_PROBE_INTERVAL * 4), []);
     assert_eq!(
         detector
             .0
-            .due_trials(FIRST_TRIAL_INTERVAL * REMOTE_TRIAL_FACTOR),
+            .due_zone_probes(FIRST_PROBE_INTERVAL * REMOTE_PROBE_FACTOR),
         [0]
     );
 }
--- a/crates/balancer/src/failure_detector/zone.rs
+++ b/crates/balancer/src/failure_detector/zone.rs
@@ -6,20 +6,20 @@
 use crate::locality::Locality;
 
 /// Unreachable servers in a row that make their zone unreachable.
-pub(super) const WITNESSES: usize = 3;
+pub(super) const UNREACHABLE_THRESHOLD: usize = 3;
 /// The same for a zone that has recovered recently.
-const RECENT_WITNESSES: usize = 2;
+const RECENT_UNREACHABLE_THRESHOLD: usize = 2;
 /// How long after its first sign of life a zone counts as recently recovered.
 pub(super) const RECENT_RECOVERY: Micros = 15_000_000;
 /// First interval between probes of the own zone while it is unreachable. The balancers of a tier,
 /// which find it unreachable at once, spread over half of it.
-pub(super) const FIRST_TRIAL_INTERVAL: Micros = 300_000;
+pub(super) const FIRST_PROBE_INTERVAL: Micros = 300_000;
 /// The longest interval between probes of the own zone while it is unreachable.
-const MAX_TRIAL_INTERVAL: Micros = 600_000;
+const MAX_PROBE_INTERVAL: Micros = 600_000;
 /// Other zones, which are rarely needed, are probed less often by this factor.
-pub(super) const REMOTE_TRIAL_FACTOR: Micros = 8;
+pub(super) const REMOTE_PROBE_FACTOR: Micros = 8;
 /// If a probe is unanswered, the other witnesses are probed after this.
-const WITNESS_DELAY: Micros = 60_000;
+const FURTHER_PROBES_DELAY: Micros = 60_000;
 /// If no probe is answered, all witnesses are probed again after this.
 const PROBE_RETRY_DELAY: Micros = 1_000_000;
 
@@ -30,13 +30,13 @@
     Nothing,
     /// The server is unreachable; this many others of its zone are to be probed, to find out whether
     /// the zone is.
-    ServerUnreachable { witnesses: usize },
+    ServerUnreachable { further_probes: usize },
     /// With this server its zone is unreachable.
     ZoneUnreachable,
 }
 
 /// The next probe of an unreachable zone.
-struct Trial {
+struct ProbeSchedule {
     at: Micros,
     /// The interval before the probe that follows it.
     interval: Micros,
@@ -46,7 +46,7 @@
 #[derive(Default)]
 pub(super) struct Zone {
     /// Its last sign of life.
-    pub last_sign: Micros,
+    pub last_alive: Micros,
     /// The servers probed since then.
     probed: Vec<ServerId>,
     /// When the first of them was probed.
@@ -54,7 +54,7 @@
     /// Servers found unreachable since the last sign of any server here.
     unreachable: BTreeSet<ServerId>,
     /// The next probe while the zone is unreachable.
-    trial: Option<Trial>,
+    next_probe: Option<ProbeSchedule>,
     /// Its first sign of life after it was unreachable.
     recovered_at: Option<Micros>,
 }
@@ -62,15 +62,15 @@
 impl Zone {
     /// Whether the zone is unreachable.
     pub(super) fn is_unreachable(&self) -> bool {
-        self.trial.is_some()
+        self.next_probe.is_some()
     }
 
     /// A server gave a sign of life; returns whether the zone was unreachable until now.
-    pub(super) fn record_sign(&mut self, now: Micros) -> bool {
-        self.last_sign = now;
+    pub(super) fn record_alive(&mut self, now: Micros) -> bool {
+        self.last_alive = now;
         self.probed.clear();
         self.unreachable.clear();
-        let recovers = self.trial.take().is_some();
+        let recovers = self.next_probe.take().is_some();
         if recovers {
             self.recovered_at = Some(now);
         }
@@ -79,7 +79,7 @@
 
     /// Chooses the servers to probe next among those with pending responses, which come with the
     /// oldest first: one, then the other witnesses.
-    pub(super) fn choose_witnesses(
+    pub(super) fn choose_probe_targets(
         &mut self,
         pending: impl Iterator<Item = ServerId>,
         now: Micros,
@@ -89,7 +89,7 @@
         }
         let wanted = match self.probed.len() {
             0 => 1,
-            1 if now >= self.probed_at + WITNESS_DELAY => WITNESSES - 1,
+            1 if now >= self.probed_at + FURTHER_PROBES_DELAY => UNREACHABLE_THRESHOLD - 1,
             _ => return Vec::new(),
         };
         if self.probed.is_empty() {
@@ -114,34 +114,34 @@
         if self.is_unreachable() || !self.unreachable.insert(server) {
             return Verdict::Nothing;
         }
-        let needed = self.witnesses_needed(now).min(ready.max(1));
+        let needed = self.unreachable_threshold(now).min(ready.max(1));
         if self.unreachable.len() < needed {
-            let witnesses = match self.unreachable.len() {
+            let further_probes = match self.unreachable.len() {
                 1 => needed.saturating_sub(1 + self.pending_probes()),
                 _ => 0,
             };
-            return Verdict::ServerUnreachable { witnesses };
+            return Verdict::ServerUnreachable { further_probes };
         }
         let interval = match locality {
-            Locality::Local => FIRST_TRIAL_INTERVAL,
-            Locality::Remote => FIRST_TRIAL_INTERVAL * REMOTE_TRIAL_FACTOR,
+            Locality::Local => FIRST_PROBE_INTERVAL,
+            Locality::Remote => FIRST_PROBE_INTERVAL * REMOTE_PROBE_FACTOR,
         };
         let delay = (interval as f64 * (0.5 + jitter / 2.0)) as Micros;
         let at = now + delay;
-        self.trial = Some(Trial { at, interval });
+        self.next_probe = Some(ProbeSchedule { at, interval });
         Verdict::ZoneUnreachable
     }
 
     /// Unreachable servers that make the zone unreachable: a zone that flaps is found unreachable
     /// sooner each time, not later.
-    fn witnesses_needed(&self, now: Micros) -> usize {
+    fn unreachable_threshold(&self, now: Micros) -> usize {
         let has_recovered_recently = self
             .recovered_at
             .is_some_and(|at| now < at + RECENT_RECOVERY);
         if has_recovered_recently {
-            RECENT_WITNESSES
+            RECENT_UNREACHABLE_THRESHOLD
         } else {
-            WITNESSES
+            UNREACHABLE_THRESHOLD
         }
     }
 
@@ -152,17 +152,21 @@
     }
 
     /// Whether the zone is unreachable and its next probe is due; the one after it follows later.
-    pub(super) fn start_due_trial(&mut self, now: Micros) -> bool {
-        let Some(trial) = self.trial.as_mut().filter(|trial| trial.at <= now) else {
+    pub(super) fn start_due_probe(&mut self, now: Micros) -> bool {
+        let Some(next_probe) = self
+            .next_probe
+            .as_mut()
+            .filter(|next_probe| next_probe.at <= now)
+        else {
             return false;
         };
-        let longest = if trial.interval > MAX_TRIAL_INTERVAL {
-            MAX_TRIAL_INTERVAL * REMOTE_TRIAL_FACTOR
+        let longest = if next_probe.interval > MAX_PROBE_INTERVAL {
+            MAX_PROBE_INTERVAL * REMOTE_PROBE_FACTOR
         } else {
-            MAX_TRIAL_INTERVAL
+            MAX_PROBE_INTERVAL
         };
-        trial.interval = (trial.interval * 3 / 2).min(longest);
-        trial.at = now + trial.interval;
+        next_probe.interval = (next_probe.interval * 3 / 2).min(longest);
+        next_probe.at = now + next_probe.interval;
         true
     }
 }
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -82,7 +82,7 @@
         change: impl FnOnce(&mut Node) -> R,
     ) -> Option<R> {
         let node = self.nodes.get_mut(&id)?;
-        let result = change_counted(&mut self.zones, node, change);
+        let result = change_with_aggregates(&mut self.zones, node, change);
         if !node.needs_maintenance {
             node.needs_maintenance = true;
             self.needs_maintenance.insert(id);
@@ -102,7 +102,7 @@
             } else {
                 factors.remote
             };
-            change_counted(&mut self.zones, node, |node| {
+            change_with_aggregates(&mut self.zones, node, |node| {
                 node.limit *= factor;
                 node.load_share *= factor;
             });
@@ -202,7 +202,7 @@
         let mut load = Load::default();
         for (zone, zone_load) in self.zones.iter().enumerate() {
             if self.locality(zone) == locality {
-                load.join(zone_load);
+                load.merge(zone_load);
             }
         }
         load
@@ -211,7 +211,7 @@
     /// The mean of the listed sizes; 0 where there is none.
     pub(crate) fn mean_size(&self) -> f64 {
         let mut all = self.load(Locality::Local);
-        all.join(&self.load(Locality::Remote));
+        all.merge(&self.load(Locality::Remote));
         all.mean_size()
     }
 
@@ -310,7 +310,7 @@
 }
 
 /// Changes a server and the aggregates of its zone with it.
-fn change_counted<R>(
+fn change_with_aggregates<R>(
     zones: &mut [Load],
     node: &mut Node,
     change: impl FnOnce(&mut Node) -> R,
--- a/crates/balancer/src/fleet/load.rs
+++ b/crates/balancer/src/fleet/load.rs
@@ -68,7 +68,7 @@
 impl Load {
     /// Adds a server.
     pub(crate) fn add(&mut self, node: &Node) {
-        self.join(&Load::of(node));
+        self.merge(&Load::of(node));
     }
 
     /// Removes a server that was added as it is now.
@@ -93,7 +93,7 @@
     }
 
     /// Adds the servers of another group.
-    pub(crate) fn join(&mut self, other: &Load) {
+    pub(crate) fn merge(&mut self, other: &Load) {
         self.count += other.count;
         self.ejected_total += other.ejected_total;
         self.failure_rate.0 += other.failure_rate.0;
--- a/crates/balancer/src/latency.rs
+++ b/crates/balancer/src/latency.rs
@@ -8,7 +8,7 @@
 /// The median assumed before any response, as a part of the latency target.
 const INITIAL_MEDIAN_SHARE: f64 = 0.2;
 /// The 0.9 quantile assumed before any response, as a part of the latency target.
-const INITIAL_HIGH_SHARE: f64 = 0.4;
+const INITIAL_P90_SHARE: f64 = 0.4;
 
 /// Running estimates of a class's latency quantiles, in microseconds.
 #[derive(Clone)]
@@ -16,7 +16,7 @@
     /// The 0.5 quantile.
     pub median: f64,
     /// The 0.9 quantile.
-    pub high: f64,
+    pub p90: f64,
 }
 
 impl LatencyQuantiles {
@@ -24,19 +24,19 @@
     pub(crate) fn new(latency_target: Micros) -> Self {
         LatencyQuantiles {
             median: latency_target as f64 * INITIAL_MEDIAN_SHARE,
-            high: latency_target as f64 * INITIAL_HIGH_SHARE,
+            p90: latency_target as f64 * INITIAL_P90_SHARE,
         }
     }
 
     /// Takes the latency of one successful response into account.
     pub(crate) fn record(&mut self, latency: Micros) {
-        follow(&mut self.median, latency, 0.5);
-        follow(&mut self.high, latency, 0.9);
+        update_quantile(&mut self.median, latency, 0.5);
+        update_quantile(&mut self.p90, latency, 0.9);
     }
 }
 
 /// Moves a quantile estimate towards a new value.
-fn follow(estimate: &mut f64, value: Micros, quantile: f64) {
+fn update_quantile(estimate: &mut f64, value: Micros, quantile: f64) {
     let direction = if value as f64 > *estimate {
         quantile
     } else {
--- a/crates/balancer/src/peer_load.rs
+++ b/crates/balancer/src/peer_load.rs
@@ -67,14 +67,14 @@
 }
 
 impl PeerLoad {
-    /// No reports yet. Only where balancers are many (`are_many`) do they report. With key affinity,
+    /// No reports yet. Only where balancers are many (`is_large_tier`) do they report. With key affinity,
     /// each uses all servers all the same.
-    pub(crate) fn new(settings: &Settings, are_many: bool, seed: u64) -> Self {
+    pub(crate) fn new(settings: &Settings, is_large_tier: bool, seed: u64) -> Self {
         let balancers = settings.balancers.max(1) as usize;
-        let is_enabled = settings.limits.peers && are_many;
+        let is_enabled = settings.limits.peers && is_large_tier;
         PeerLoad {
             rng: Rng(mix(!seed)),
-            uses_subset: are_many && !settings.key_affinity,
+            uses_subset: is_large_tier && !settings.key_affinity,
             is_enabled,
             balancers,
             balancer_index: settings.balancer_index as usize,
@@ -128,7 +128,7 @@
     }
 
     /// The message for all peers, when it is due. Jitter spreads the balancers' messages.
-    pub(crate) fn due(&mut self, now: Micros) -> Option<Vec<u8>> {
+    pub(crate) fn due_message(&mut self, now: Micros) -> Option<Vec<u8>> {
         if !self.is_enabled || now < self.next_message {
             return None;
         }
--- a/crates/balancer/src/peer_load/tests.rs
+++ b/crates/balancer/src/peer_load/tests.rs
@@ -40,7 +40,7 @@
                 balancer.count_request(now);
             }
             balancer.update_shares(now);
-            messages.extend(balancer.due(now).map(|data| (index, data)));
+            messages.extend(balancer.due_message(now).map(|data| (index, data)));
         }
         messages.retain(|(from, _)| !is_lost(*from, now));
         for (from, data) in messages {
@@ -145,7 +145,9 @@
     for balancers in [13, 100, 2_000] {
         let mut balancer = peer_load(balancers, 0);
         let times = (0..20_000).map(|step| SECOND + step * 10_000);
-        let messages = times.filter(|now| balancer.due(*now).is_some()).count();
+        let messages = times
+            .filter(|now| balancer.due_message(*now).is_some())
+            .count();
         let received_per_s = messages as f64 / 200.0 * f64::from(balancers);
         assert!(
             received_per_s <= 110.0,
--- a/crates/limits/src/slow_start/tests.rs
+++ b/crates/limits/src/slow_start/tests.rs
@@ -86,18 +86,18 @@
 
 /// The most arrivals in any second, where each gate acquires every permit it can and restarts at
 /// random.
-fn worst_second(
+fn max_arrivals_per_second(
     seed: u64,
     gates: u32,
     bound: u32,
     window: Duration,
-    quiet_at_start: bool,
+    waits_at_start: bool,
 ) -> usize {
     let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut arrivals = Vec::new();
     for _ in 0..gates {
         let start = |started: Duration| {
-            let started = if quiet_at_start {
+            let started = if waits_at_start {
                 started
             } else {
                 started.saturating_sub(window)
@@ -126,19 +126,23 @@
 fn arrivals_from_all_gates_stay_within_the_bound() {
     let window = send_window(WINDOW);
     for seed in 0..20 {
-        assert!(worst_second(seed, 8, 20, window, true) <= 20, "seed {seed}");
+        assert!(
+            max_arrivals_per_second(seed, 8, 20, window, true) <= 20,
+            "seed {seed}"
+        );
     }
 }
 
 #[test]
 fn bound_is_exceeded_without_the_start_delay_or_the_delay_variation() {
     let window = send_window(WINDOW);
-    let restart = (0..20).any(|seed| worst_second(seed, 5, 20, window, false) > 20);
+    let restart = (0..20).any(|seed| max_arrivals_per_second(seed, 5, 20, window, false) > 20);
     assert!(
         restart,
         "a restart that grants the quota anew exceeds the bound"
     );
-    let delay_variation = (0..20).any(|seed| worst_second(seed, 5, 20, WINDOW, true) > 20);
+    let delay_variation =
+        (0..20).any(|seed| max_arrivals_per_second(seed, 5, 20, WINDOW, true) > 20);
     assert!(
         delay_variation,
         "a window without the delay variation exceeds the bound"
