--- a/crates/balancer/src/failure_detector/tests.rs
+++ b/crates/balancer/src/failure_detector/tests.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns whether the zone was unreachable until now.
-    fn sign(&mut self, server: u64, zone: ZoneId, now: Micros) -> bool {
+    fn alive(&mut self, server: u64, zone: ZoneId, now: Micros) -> bool {
         self.0.record_alive(id(server), zone, now)
     }
 
@@ -61,10 +61,10 @@
 }
 
 #[test]
-fn a_zone_with_pending_responses_and_no_sign_is_probed_until_a_sign_arrives() {
+fn a_zone_with_pending_responses_and_no_sign_of_life_is_probed_until_one_arrives() {
     let mut detector = Fixture::default();
     let overdue_after = 100 * MS;
-    detector.sign(9, 0, 0);
+    detector.alive(9, 0, 0);
     for server in 1..=4 {
         detector.sent(server, 0, 10 * MS * server);
     }
@@ -78,7 +78,7 @@
     );
     assert_eq!(detector.suspects(900 * MS, overdue_after), []);
     assert!(
-        !detector.sign(4, 0, 950 * MS),
+        !detector.alive(4, 0, 950 * MS),
         "the zone was not unreachable yet"
     );
     assert_eq!(
@@ -94,7 +94,7 @@
     let mut detector = Fixture::default();
     let overdue_after = 100 * MS;
     detector.sent(4, 0, 950 * MS);
-    detector.sign(5, 0, 2_000 * MS);
+    detector.alive(5, 0, 2_000 * MS);
     assert_eq!(detector.suspects(2_199 * MS, overdue_after), []);
     assert_eq!(detector.suspects(2_200 * MS, overdue_after), [id(4)]);
     detector.ended(4);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn three_unanswered_probes_in_a_row_make_a_zone_unreachable_and_a_sign_between_them_prevents_it() {
+fn three_unanswered_probes_in_a_row_make_a_zone_unreachable_unless_a_sign_of_life_intervenes() {
     let mut detector = Fixture::default();
     assert_eq!(detector.unanswered(1, 0, 0), server_unreachable(2));
     assert_eq!(
@@ -111,7 +111,7 @@
         "the same server again"
     );
     assert_eq!(detector.unanswered(2, 0, 2), server_unreachable(0));
-    detector.sign(9, 0, 3);
+    detector.alive(9, 0, 3);
     assert_eq!(
         detector.unanswered(3, 0, 4),
         server_unreachable(2),
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_zone_of_two_servers_has_two_witnesses() {
+fn two_unanswered_probes_make_a_zone_of_two_servers_unreachable() {
     let mut detector = Fixture::default();
     detector.unanswered_of(1, 0, 2, 0);
     assert_eq!(detector.unanswered_of(2, 0, 2, 1), Verdict::ZoneUnreachable);
@@ -150,7 +150,7 @@
         Verdict::Nothing,
         "it is unreachable already"
     );
-    assert!(detector.sign(2, 0, 2_000 * MS), "one sign ends it");
+    assert!(detector.alive(2, 0, 2_000 * MS), "one sign ends it");
     assert!(!detector.0.is_unreachable(0));
     assert_eq!(detector.0.due_zone_probes(9_000 * MS), []);
     assert_eq!(detector.unanswered(5, 0, 3_000 * MS), server_unreachable(1));
@@ -159,7 +159,7 @@
         Verdict::ZoneUnreachable,
         "two are enough after a recent recovery"
     );
-    detector.sign(5, 0, 4_000 * MS);
+    detector.alive(5, 0, 4_000 * MS);
     assert_eq!(
         detector.unanswered(5, 0, 4_000 * MS + RECENT_RECOVERY),
         server_unreachable(2),
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn another_zone_is_probed_less_often_while_it_is_unreachable() {
+fn an_unreachable_remote_zone_is_probed_less_often() {
     let mut detector = Fixture::default();
     detector.make_unreachable(Locality::Remote);
     assert_eq!(detector.0.due_zone_probes(FIRST_PROBE_INTERVAL * 4), []);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn no_witness_of_another_zone_is_probed_twice_and_none_where_a_single_response_is_pending() {
+fn no_server_of_a_remote_zone_is_probed_twice_and_none_with_a_single_pending_response() {
     let mut detector = Fixture::default();
     for server in 1..=3 {
         detector.sent(server, 1, 0);
--- a/crates/balancer/src/peer_load/tests.rs
+++ b/crates/balancer/src/peer_load/tests.rs
@@ -109,7 +109,7 @@
 
 /// Balancers that stop reporting have failed, and the others take over their share.
 #[test]
-fn balancers_that_stop_reporting_are_forgotten() {
+fn balancers_that_stop_reporting_no_longer_count() {
     let has_failed = |from: usize, now: Micros| from > 1 && now > 4 * SECOND;
     let shares = exchange_reports(&[400; 16], has_failed);
     assert!((shares[0] - 0.5).abs() < 0.05, "{shares:?}");
--- a/crates/limits/src/quota/tests.rs
+++ b/crates/limits/src/quota/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn gates_of_the_instance_region_have_the_remainder() {
+fn gates_in_the_region_of_the_instance_share_the_remainder() {
     let quotas = all_quotas(&gates([26, 25, 26]), 38, "north", "i-1");
     let (near, far) = quotas.split_at(26);
     assert!(
--- a/crates/limits/src/retry_budget/tests.rs
+++ b/crates/limits/src/retry_budget/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn started_gate_has_only_the_ratio_for_one_window() {
+fn restarted_gate_has_no_burst_for_one_window() {
     let mut budget = RetryBudget::with_even_share(SETTINGS, 8, ms(5_000));
     let burst_from = ms(15_000) + MAX_DELAY_VARIATION;
     assert_eq!(
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn rejection_names_the_moment_at_which_a_retry_is_permitted() {
+fn rejection_contains_the_time_at_which_a_retry_is_permitted() {
     let mut budget = RetryBudget::with_even_share(SETTINGS, 8, ms(0));
     assert_eq!(withdrawn(&mut budget, ms(20_000), 100), 6);
     let exceeded = budget
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn more_gates_lower_the_share_and_keep_what_was_counted() {
+fn more_gates_lower_the_share_and_counts_are_kept() {
     let (mut budget, now) = after_first_window();
     for _ in 0..20 {
         budget.deposit(now, &"s");
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn another_bound_keeps_what_was_counted_but_not_over_another_window() {
+fn changed_bound_keeps_counts_unless_the_window_changes() {
     let (mut budget, now) = after_first_window();
     assert_eq!(withdrawn(&mut budget, now, 100), 6);
     let doubled = RetryBudgetSettings {
--- a/crates/limits/src/sliding_window/tests.rs
+++ b/crates/limits/src/sliding_window/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn log_gives_the_moment_at_which_fewer_events_than_the_limit_remain() {
+fn log_gives_the_time_at_which_fewer_events_than_the_limit_remain() {
     let mut window = SlidingLog::default();
     window.record(ms(0));
     window.record(ms(300));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn counter_rounds_to_the_chosen_side_of_the_true_count() {
+fn counter_rounds_up_or_down_as_chosen() {
     let window = ms(10_000);
     let mut above = SlidingCounter::new(window, Rounding::Up);
     let mut below = SlidingCounter::new(window, Rounding::Down);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn counter_gives_the_moment_at_which_the_oldest_events_expire() {
+fn counter_gives_the_time_at_which_the_oldest_events_expire() {
     for rounding in [Rounding::Up, Rounding::Down] {
         let mut window = SlidingCounter::new(ms(1280), rounding);
         window.record(ms(5));
--- a/crates/limits/src/slow_start/tests.rs
+++ b/crates/limits/src/slow_start/tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn quota_of_zero_rejects_without_a_moment() {
+fn quota_of_zero_rejects_indefinitely() {
     let mut limiter = SlowStartLimiter::with_even_share(20, 360, ms(0));
     assert_eq!(
         limiter.try_acquire(ms(60_000), &1),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn rejection_names_the_moment_of_the_next_permit() {
+fn rejection_contains_the_time_of_the_next_permit() {
     let mut limiter = SlowStartLimiter::with_even_share(20, 8, ms(0));
     assert_eq!(limiter.try_acquire(ms(2000), &1), Ok(()));
     assert_eq!(limiter.try_acquire(ms(2300), &1), Ok(()));
--- a/crates/limits/src/warmup/tests.rs
+++ b/crates/limits/src/warmup/tests.rs
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn first_report_applies_at_the_zero_of_the_clock() {
+fn first_report_applies_even_at_clock_reading_zero() {
     let mut tracker = WarmupTracker::default();
     tracker.report(ms(0), &"a", report(0, 0));
     assert!(!tracker.is_warming_up(ms(0), &"a"));
 }
 
 #[test]
-fn reported_warmup_ends_after_a_margin_from_the_receipt() {
+fn reported_warmup_ends_a_margin_after_the_reported_time() {
     let mut tracker = WarmupTracker::default();
     tracker.report(ms(1000), &"a", report(400, 3000));
     assert!(tracker.is_warming_up(ms(4000) + REPORT_MARGIN - ms(1), &"a"));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn removed_instance_is_warming_up() {
+fn removed_instance_counts_as_warming_up() {
     let mut tracker = WarmupTracker::default();
     tracker.report(ms(1000), &"a", report(900, 0));
     tracker.report(ms(1000), &"b", report(900, 0));
