--- a/crates/balancer/src/failure_detector.rs
+++ b/crates/balancer/src/failure_detector.rs
@@ -1,16 +1,19 @@
-//! The failure detector: zones that are unreachable. No I/O, and nothing here decides about a
-//! request: `balance` reports what is sent and received, and asks which servers to probe and which
-//! zone is unreachable.
+//! The failure detector, which finds unreachable zones. It does no I/O and decides nothing about a
+//! request: `balance` reports to it what is sent and received, and asks it which servers to probe
+//! and which zones are unreachable.
 //!
-//! Unreachable is not slow. A slow zone still gives signs of life: a late response, a rejection, an
-//! error, the answer to a probe, which is given beside a server's queue. A zone that is partitioned
-//! off or has failed gives none. So a zone with responses pending from which nothing arrives for
-//! longer than usual is probed: one server, then two more. It is unreachable when a few of its
-//! servers ([`UNREACHABLE_THRESHOLD`]; all, where it has fewer) leave probes unanswered and no sign of any of its
-//! servers arrives in between; one sign ends it. The scheme is SWIM's direct probe (Das, Gupta and
-//! Motivala 2002) with several witnesses for a zone. Why there is no accrual over the gaps between
-//! responses (Hayashibara et al. 2004), and no probe for each late response:
-//! `docs/design/silence.md`.
+//! A slow zone is not unreachable. It still gives signs of life: a late response, a rejection, an
+//! error, or the answer to a probe, which does not wait in the server's queue. A zone that is
+//! partitioned off or has failed gives none. A zone with pending responses is therefore probed when
+//! nothing has arrived from it for longer than usual: first one server, then two more. It is
+//! unreachable once [`UNREACHABLE_THRESHOLD`] of its servers (all, if it has fewer) have left
+//! probes unanswered and no server of the zone has given a sign of life in between. A single sign
+//! of life makes it reachable again.
+//!
+//! The scheme is the direct probe of SWIM (Das, Gupta and Motivala 2002), with several probed
+//! servers for each zone. `docs/design/silence.md` says why there is no accrual over the gaps
+//! between responses (Hayashibara et al. 2004), and why a late response alone does not cause a
+//! probe.
 
 mod pending;
 #[cfg(test)]
@@ -25,24 +28,25 @@
 use crate::node::Node;
 use crate::rng::Rng;
 
-/// A zone with a single response pending is probed after this many times the usual latency; with
-/// more pending, after once that.
+/// A zone with a single pending response is probed after this multiple of the time without a sign of
+/// life that applies to zones with more.
 const SINGLE_RESPONSE_FACTOR: Micros = 2;
-/// A connection that fails later than this was never answered: the refusal by a host whose process
-/// has ended takes one round trip.
+/// The time after which a failed connection counts as unanswered, in microseconds. A host whose
+/// process has ended refuses connections within one round trip.
 const CONNECT_REFUSED_TIME: Micros = 100_000;
 
-/// Whether a server gave a sign of life.
+/// Whether a server gave a sign of life when one was due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Liveness {
-    /// It gave one.
+    /// The server gave a sign of life.
     Alive,
-    /// It gave none when one was due.
+    /// A probe of the server, or a connection to it, was not answered in time.
     Unanswered,
 }
 
 impl Liveness {
-    /// What the end of an attempt says of its server; `None` where it says nothing either way.
+    /// What an attempt that ended after `latency` says about its server; `None` if the outcome is
+    /// evidence neither for nor against its liveness.
     pub(crate) fn of(outcome: Outcome, latency: Micros) -> Option<Self> {
         match outcome {
             Outcome::Ok
@@ -57,16 +61,16 @@
     }
 }
 
-/// What follows from a sign of life, or its lack.
+/// What the balancer must do after it has recorded a [`Liveness`].
 #[derive(Debug, Default)]
 pub(crate) struct DetectorOutput {
-    /// A line for the log.
+    /// The log message, if the reachability of a zone has changed.
     pub log: Option<String>,
     /// The servers to probe.
     pub probe: Vec<ServerId>,
 }
 
-/// When servers and zones last gave a sign of life.
+/// The state of the failure detector: pending responses by server, and signs of life by zone.
 #[derive(Default)]
 pub(crate) struct FailureDetector {
     pending: PendingServers,
@@ -80,12 +84,12 @@
         self.pending.add(server, zone, now);
     }
 
-    /// Records that an attempt ended, however it did.
+    /// Records that an attempt ended, whatever its outcome.
     pub(crate) fn attempt_ended(&mut self, server: ServerId) {
         self.pending.remove(server);
     }
 
-    /// Records that a server gave a sign of life, or that none arrived when one was due.
+    /// Records whether a server gave a sign of life. Does nothing for a server that is not listed.
     pub(crate) fn record(
         &mut self,
         fleet: &Fleet,
@@ -100,7 +104,9 @@
         match liveness {
             Liveness::Alive => {
                 let recovers = self.record_alive(server, zone, now);
-                let log = recovers.then(|| format!("zone {zone} gives signs again"));
+                let log = recovers.then(|| {
+                    format!("zone {zone} is reachable again: one of its servers responded")
+                });
                 let probe = Vec::new();
                 DetectorOutput { log, probe }
             }
@@ -108,8 +114,8 @@
         }
     }
 
-    /// The servers to probe now: of zones from which nothing has arrived for longer than `overdue_after`, and
-    /// one of each unreachable zone whose next probe is due.
+    /// The servers to probe now: some of each zone from which nothing has arrived for
+    /// `overdue_after`, and one of each unreachable zone whose next probe is due.
     pub(crate) fn due_probes(
         &mut self,
         fleet: &Fleet,
@@ -126,13 +132,13 @@
         due
     }
 
-    /// Whether the zone is unreachable.
+    /// Whether the zone is unreachable; false for a zone from which nothing was ever due.
     pub(crate) fn is_unreachable(&self, zone: ZoneId) -> bool {
         self.zones.get(zone).is_some_and(Zone::is_unreachable)
     }
 
-    /// Whether every zone with ready servers is unreachable: then this balancer itself is partitioned
-    /// off.
+    /// Whether every zone with ready servers is unreachable, so that this balancer itself must be
+    /// partitioned off.
     pub(crate) fn is_isolated(&self, fleet: &Fleet) -> bool {
         let any = self.zones.iter().any(Zone::is_unreachable);
         any && fleet
@@ -147,13 +153,13 @@
         &mut self.zones[zone]
     }
 
-    /// The server gave a sign of life; returns whether its zone was unreachable until now.
+    /// Records a sign of life of a server; returns whether its zone was unreachable until now.
     fn record_alive(&mut self, server: ServerId, zone: ZoneId, now: Micros) -> bool {
         self.pending.record_alive(server, now);
         self.zone_mut(zone).record_alive(now)
     }
 
-    /// A probe of a server, or a connection to it, was not answered in time.
+    /// Records that a probe of a server, or a connection to it, was not answered in time.
     fn record_unanswered(
         &mut self,
         fleet: &Fleet,
@@ -168,7 +174,9 @@
         match state.record_unanswered(server, locality, ready, now, jitter) {
             Verdict::Nothing => DetectorOutput::default(),
             Verdict::ZoneUnreachable => {
-                let text = format!("zone {zone} is silent: no server there gives a sign");
+                let text = format!(
+                    "zone {zone} is unreachable and is not used until one of its servers answers"
+                );
                 let (log, probe) = (Some(text), Vec::new());
                 DetectorOutput { log, probe }
             }
@@ -184,8 +192,8 @@
         }
     }
 
-    /// The servers to probe of zones with responses pending from which nothing has arrived for longer
-    /// than `overdue_after`.
+    /// The servers to probe of reachable zones that have pending responses and from which nothing
+    /// has arrived for `overdue_after`.
     fn suspects(
         &mut self,
         now: Micros,
@@ -207,7 +215,7 @@
         suspects
     }
 
-    /// The unreachable zones whose next probe is due: one probe each.
+    /// The unreachable zones whose next probe is due; schedules the one after it for each of them.
     fn due_zone_probes(&mut self, now: Micros) -> Vec<ZoneId> {
         let zones = self.zones.iter_mut().enumerate();
         zones
@@ -216,9 +224,10 @@
     }
 }
 
-/// Whether nothing has arrived from a zone for longer than `overdue_after` (for [`SINGLE_RESPONSE_FACTOR`]
-/// times as long where one response is pending). Zones other than the own are overdue only with
-/// enough pending for all witnesses: guards against a probe for each late response of another zone.
+/// Whether nothing has arrived from a zone for `overdue_after`, or for [`SINGLE_RESPONSE_FACTOR`]
+/// times as long if a single response is pending. A remote zone must also have
+/// [`UNREACHABLE_THRESHOLD`] pending responses, so that not every late response from another zone
+/// causes a probe.
 fn is_overdue(
     pending: &PendingZone,
     last_alive: Micros,
--- a/crates/balancer/src/failure_detector/pending.rs
+++ b/crates/balancer/src/failure_detector/pending.rs
@@ -1,19 +1,19 @@
-//! The servers whose responses are pending.
+//! Servers from which responses are pending.
 
 use std::collections::BTreeMap;
 
 use crate::api::{Micros, ServerId, ZoneId};
 
-/// A server with responses pending.
+/// A server with at least one pending response.
 struct PendingServer {
     zone: ZoneId,
     /// Attempts in flight.
     in_flight: u32,
-    /// Since when nothing has arrived.
+    /// When its last sign of life arrived; without one, when its responses began to be pending.
     since: Micros,
 }
 
-/// The servers with responses pending.
+/// All servers with pending responses.
 #[derive(Default)]
 pub(super) struct PendingServers(BTreeMap<ServerId, PendingServer>);
 
@@ -21,14 +21,15 @@
 pub(super) struct PendingZone {
     /// Attempts in flight.
     pub in_flight: u32,
-    /// Since when the server that has been silent for longest has been silent.
+    /// The earliest [`PendingServer::since`] of its servers.
     pub since: Micros,
-    /// Its servers with responses pending; those that have been silent for longest come first.
+    /// The servers of the zone with pending responses, those without a sign of life for longest
+    /// first.
     pub servers: Vec<ServerId>,
 }
 
 impl PendingServers {
-    /// An attempt was sent.
+    /// Records that an attempt was sent.
     pub(super) fn add(&mut self, server: ServerId, zone: ZoneId, now: Micros) {
         let pending = self.0.entry(server).or_insert(PendingServer {
             zone,
@@ -38,7 +39,7 @@
         pending.in_flight += 1;
     }
 
-    /// An attempt ended.
+    /// Records that an attempt ended.
     pub(super) fn remove(&mut self, server: ServerId) {
         let Some(pending) = self.0.get_mut(&server) else {
             return;
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The server gave a sign of life.
+    /// Records a sign of life of a server.
     pub(super) fn record_alive(&mut self, server: ServerId, now: Micros) {
         if let Some(pending) = self.0.get_mut(&server) {
             pending.since = now;
--- a/crates/balancer/src/failure_detector/tests.rs
+++ b/crates/balancer/src/failure_detector/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 const MS: Micros = 1_000;
-/// The jitter that makes the first interval between probes of an unreachable zone longest.
+/// The jitter that delays the first probe of an unreachable zone for longest.
 const MAX_JITTER: f64 = 0.999;
 
 fn id(number: u64) -> ServerId {
@@ -40,18 +40,18 @@
         })
     }
 
-    /// A probe of a server in a local zone of fifty.
+    /// Records an unanswered probe of a server in a local zone of fifty ready servers.
     fn unanswered(&mut self, server: u64, zone: ZoneId, now: Micros) -> Verdict {
         self.unanswered_of(server, zone, 50, now)
     }
 
-    /// A probe of a server in a local zone with so many ready servers.
+    /// Records an unanswered probe of a server in a local zone of `ready` servers.
     fn unanswered_of(&mut self, server: u64, zone: ZoneId, ready: usize, now: Micros) -> Verdict {
         let state = self.0.zone_mut(zone);
         state.record_unanswered(id(server), Locality::Local, ready, now, 0.0)
     }
 
-    /// Three unanswered probes at the clock reading 0, which make zone 0 unreachable.
+    /// Records three unanswered probes at time 0, which make zone 0 unreachable.
     fn make_unreachable(&mut self, locality: Locality) {
         for server in 1..=3 {
             let state = self.0.zone_mut(0);
@@ -70,11 +70,15 @@
     }
     assert_eq!(detector.suspects(109 * MS, overdue_after), []);
     assert_eq!(detector.suspects(110 * MS, overdue_after), [id(1)]);
-    assert_eq!(detector.suspects(150 * MS, overdue_after), [], "one first");
+    assert_eq!(
+        detector.suspects(150 * MS, overdue_after),
+        [],
+        "a single server is probed first"
+    );
     assert_eq!(
         detector.suspects(170 * MS, overdue_after),
         [id(2), id(3)],
-        "then the other witnesses"
+        "further servers are probed after the delay"
     );
     assert_eq!(detector.suspects(900 * MS, overdue_after), []);
     assert!(
@@ -84,7 +88,7 @@
     assert_eq!(
         detector.suspects(1_049 * MS, overdue_after),
         [],
-        "the time-out counts from the sign"
+        "the timeout counts from the sign of life"
     );
     assert_eq!(detector.suspects(1_050 * MS, overdue_after), [id(1)]);
 }
@@ -115,13 +119,13 @@
     assert_eq!(
         detector.unanswered(3, 0, 4),
         server_unreachable(2),
-        "counted from the sign"
+        "counted from the sign of life"
     );
     detector.unanswered(4, 0, 5);
     assert_eq!(
         detector.unanswered(7, 1, 6),
         server_unreachable(2),
-        "each zone is counted for itself"
+        "each zone is counted separately"
     );
     assert_eq!(detector.unanswered(5, 0, 7), Verdict::ZoneUnreachable);
     assert!(detector.0.is_unreachable(0) && !detector.0.is_unreachable(1));
@@ -148,9 +152,12 @@
     assert_eq!(
         detector.unanswered(4, 0, FIRST_PROBE_INTERVAL),
         Verdict::Nothing,
-        "it is unreachable already"
+        "the zone is unreachable already"
+    );
+    assert!(
+        detector.alive(2, 0, 2_000 * MS),
+        "one sign of life makes the zone reachable"
     );
-    assert!(detector.alive(2, 0, 2_000 * MS), "one sign ends it");
     assert!(!detector.0.is_unreachable(0));
     assert_eq!(detector.0.due_zone_probes(9_000 * MS), []);
     assert_eq!(detector.unanswered(5, 0, 3_000 * MS), server_unreachable(1));
@@ -163,7 +170,7 @@
     assert_eq!(
         detector.unanswered(5, 0, 4_000 * MS + RECENT_RECOVERY),
         server_unreachable(2),
-        "not enough later"
+        "two are not enough once the recovery is no longer recent"
     );
 }
 
@@ -210,7 +217,7 @@
     assert_eq!(
         of(Outcome::ServerError, 5_000 * MS),
         alive,
-        "however late the response"
+        "a late response is a sign of life"
     );
     assert_eq!(
         of(Outcome::Cancelled, 5_000 * MS),
--- a/crates/balancer/src/failure_detector/zone.rs
+++ b/crates/balancer/src/failure_detector/zone.rs
@@ -1,71 +1,78 @@
-//! What the failure detector knows of one zone.
+//! The state of one zone in the failure detector.
 
 use std::collections::BTreeSet;
 
 use crate::api::{Micros, ServerId};
 use crate::locality::Locality;
 
-/// Unreachable servers in a row that make their zone unreachable.
+/// The number of servers found unreachable, with no sign of life in between, that makes their zone
+/// unreachable.
 pub(super) const UNREACHABLE_THRESHOLD: usize = 3;
-/// The same for a zone that has recovered recently.
+/// [`UNREACHABLE_THRESHOLD`] for a zone that has recovered recently.
 const RECENT_UNREACHABLE_THRESHOLD: usize = 2;
-/// How long after its first sign of life a zone counts as recently recovered.
+/// How long an unreachable zone counts as recently recovered after it becomes reachable again, in
+/// microseconds.
 pub(super) const RECENT_RECOVERY: Micros = 15_000_000;
-/// First interval between probes of the own zone while it is unreachable. The balancers of a tier,
-/// which find it unreachable at once, spread over half of it.
+/// The first interval between probes of the own zone while it is unreachable, in microseconds. The
+/// first probe is spread over the second half of the interval, because all balancers of a tier find
+/// the zone unreachable at about the same time.
 pub(super) const FIRST_PROBE_INTERVAL: Micros = 300_000;
-/// The longest interval between probes of the own zone while it is unreachable.
+/// The longest interval between probes of the own zone while it is unreachable, in microseconds.
 const MAX_PROBE_INTERVAL: Micros = 600_000;
-/// Other zones, which are rarely needed, are probed less often by this factor.
+/// The factor by which intervals between probes are longer for unreachable remote zones, which are
+/// rarely needed.
 pub(super) const REMOTE_PROBE_FACTOR: Micros = 8;
-/// If a probe is unanswered, the other witnesses are probed after this.
+/// The time after the first probe of a zone after which further servers are probed if it was not
+/// answered, in microseconds.
 const FURTHER_PROBES_DELAY: Micros = 60_000;
-/// If no probe is answered, all witnesses are probed again after this.
+/// The time after the first probe of a zone after which probing starts again if no probe was
+/// answered, in microseconds.
 const PROBE_RETRY_DELAY: Micros = 1_000_000;
 
-/// What follows from one more unanswered probe or connection.
+/// What the detector concludes from one more unanswered probe or connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// Nothing new.
+    /// Nothing new: the server or its zone was known to be unreachable.
     Nothing,
-    /// The server is unreachable; this many others of its zone are to be probed, to find out whether
-    /// the zone is.
+    /// The server is unreachable. `further_probes` other servers of its zone must be probed to find
+    /// out whether the whole zone is.
     ServerUnreachable { further_probes: usize },
-    /// With this server its zone is unreachable.
+    /// This server is the last one needed to find its zone unreachable.
     ZoneUnreachable,
 }
 
-/// The next probe of an unreachable zone.
+/// The schedule of probes of an unreachable zone.
 struct ProbeSchedule {
+    /// When the next probe is due.
     at: Micros,
-    /// The interval before the probe that follows it.
+    /// The latest interval between probes, from which the one after the next probe is computed.
     interval: Micros,
 }
 
-/// The signs of life of a zone, and the probes since the last one.
+/// The signs of life of a zone, and the probes since the latest of them.
 #[derive(Default)]
 pub(super) struct Zone {
-    /// Its last sign of life.
+    /// When any server of the zone last gave a sign of life; 0 if none has.
     pub last_alive: Micros,
-    /// The servers probed since then.
+    /// The servers probed since the last sign of life or the last restart of probing.
     probed: Vec<ServerId>,
-    /// When the first of them was probed.
+    /// When the first server in `probed` was probed.
     probed_at: Micros,
-    /// Servers found unreachable since the last sign of any server here.
+    /// The servers found unreachable since the last sign of life of any server of the zone.
     unreachable: BTreeSet<ServerId>,
-    /// The next probe while the zone is unreachable.
+    /// The next probe; `Some` only while the zone is unreachable.
     next_probe: Option<ProbeSchedule>,
-    /// Its first sign of life after it was unreachable.
+    /// When the zone was last found reachable again.
     recovered_at: Option<Micros>,
 }
 
 impl Zone {
-    /// Whether the zone is unreachable.
+    /// Whether the zone was found unreachable and has not given a sign of life since.
     pub(super) fn is_unreachable(&self) -> bool {
         self.next_probe.is_some()
     }
 
-    /// A server gave a sign of life; returns whether the zone was unreachable until now.
+    /// Records a sign of life of a server; returns whether the zone was unreachable until now.
     pub(super) fn record_alive(&mut self, now: Micros) -> bool {
         self.last_alive = now;
         self.probed.clear();
@@ -77,8 +84,9 @@
         recovers
     }
 
-    /// Chooses the servers to probe next among those with pending responses, which come with the
-    /// oldest first: one, then the other witnesses.
+    /// Chooses the servers to probe now from `pending`, the servers with pending responses, those
+    /// without a sign of life for longest first: one server at first, and
+    /// [`UNREACHABLE_THRESHOLD`] - 1 more if it does not answer.
     pub(super) fn choose_probe_targets(
         &mut self,
         pending: impl Iterator<Item = ServerId>,
@@ -96,13 +104,14 @@
             self.probed_at = now;
         }
         let others = pending.filter(|server| !self.probed.contains(server));
-        let witnesses: Vec<ServerId> = others.take(wanted).collect();
-        self.probed.extend(&witnesses);
-        witnesses
+        let targets: Vec<ServerId> = others.take(wanted).collect();
+        self.probed.extend(&targets);
+        targets
     }
 
-    /// A probe of a server, or a connection to it, was not answered in time; `ready` servers are
-    /// ready in the zone. `jitter` in [0, 1) spreads the next probes of the zone.
+    /// Records that a probe of a server, or a connection to it, was not answered in time. `ready`
+    /// is the number of ready servers in the zone; `jitter` in [0, 1) spreads the first probe of
+    /// the unreachable zone over half of the interval.
     pub(super) fn record_unanswered(
         &mut self,
         server: ServerId,
@@ -132,8 +141,8 @@
         Verdict::ZoneUnreachable
     }
 
-    /// Unreachable servers that make the zone unreachable: a zone that flaps is found unreachable
-    /// sooner each time, not later.
+    /// The number of unreachable servers that makes the zone unreachable. A zone that has recovered
+    /// recently needs fewer, so that a flapping zone is found unreachable sooner, not later.
     fn unreachable_threshold(&self, now: Micros) -> usize {
         let has_recovered_recently = self
             .recovered_at
@@ -145,13 +154,14 @@
         }
     }
 
-    /// Servers that were probed and not found unreachable yet.
+    /// The number of servers that were probed and not found unreachable yet.
     fn pending_probes(&self) -> usize {
         let is_pending = |server: &&ServerId| !self.unreachable.contains(server);
         self.probed.iter().filter(is_pending).count()
     }
 
-    /// Whether the zone is unreachable and its next probe is due; the one after it follows later.
+    /// Returns whether the zone is unreachable and its next probe is due; if so, schedules the one
+    /// after it.
     pub(super) fn start_due_probe(&mut self, now: Micros) -> bool {
         let Some(next_probe) = self
             .next_probe
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -1,5 +1,6 @@
-//! The listed servers, and aggregates over them that are updated with each change: sums by zone,
-//! orders, and which servers need maintenance. Nothing here decides anything.
+//! The listed servers, and what is derived from them and updated with each change: sums by zone,
+//! the orders in which servers are iterated, and the set of servers that need maintenance. No
+//! decision is made here.
 
 mod class_index;
 mod load;
@@ -19,12 +20,13 @@
 
 pub(crate) use self::load::{Load, Sum};
 
-/// A decaying measurement below this counts as zero.
+/// A decaying measurement at or below this counts as zero.
 const MIN_SIGNIFICANT: f64 = 1e-6;
-/// Of a locality with more servers than this, each request considers only the next sample of the
-/// ring, so that load stays even and the cost of a request does not grow with the fleet.
+/// The largest number of ready servers in a locality that a request considers in full. In a larger
+/// locality it considers a sample of consecutive servers of the ring, so that load stays even and
+/// the cost of a request does not grow with the fleet.
 const MAX_FULL_SCAN: usize = 48;
-/// The size of that sample.
+/// The size of the sample in a locality with more than [`MAX_FULL_SCAN`] ready servers.
 pub(crate) const SAMPLE_SIZE: usize = 16;
 
 /// The listed servers.
@@ -34,16 +36,16 @@
     zones: Vec<Load>,
     own_zone: ZoneId,
     ready: ByLocality<ReadyServers>,
-    /// The number that the order of the rings is derived from.
+    /// The number from which the order of the rings is derived.
     rotation: u64,
     needs_maintenance: BTreeSet<ServerId>,
-    /// When each warming server is granted requests next.
+    /// When each server that is warming up is next granted requests.
     warm_up_grants: BTreeSet<(Micros, ServerId)>,
     class_index: ClassIndex,
 }
 
 impl Fleet {
-    /// An empty fleet, seen from a zone.
+    /// An empty fleet of a balancer in `own_zone` with `classes` request classes.
     pub(crate) fn new(own_zone: ZoneId, classes: usize) -> Self {
         Fleet {
             own_zone,
@@ -56,7 +58,8 @@
         self.nodes.get(&id)
     }
 
-    /// One server, for changes to fields that are not aggregated; otherwise see [`Fleet::change`].
+    /// A server, for changes to fields that enter no aggregate; for all others see
+    /// [`Fleet::change`].
     pub(crate) fn get_mut(&mut self, id: ServerId) -> Option<&mut Node> {
         self.nodes.get_mut(&id)
     }
@@ -75,7 +78,8 @@
         }
     }
 
-    /// Changes a server; it is maintained from now on.
+    /// Changes a server and the aggregates with it, and marks it as in need of maintenance. Returns
+    /// `None` if the server is not listed.
     pub(crate) fn change<R>(
         &mut self,
         id: ServerId,
@@ -90,7 +94,8 @@
         Some(result)
     }
 
-    /// Scales limits and load shares with this balancer's share of the load.
+    /// Multiplies the limits and load shares of all servers by the factors by which this balancer's
+    /// share of the load has changed.
     pub(crate) fn scale(&mut self, factors: ByLocality<f64>) {
         if factors == ByLocality::both(1.0) {
             return;
@@ -109,7 +114,7 @@
         }
     }
 
-    /// Changes a server's ejection for a class.
+    /// Changes a server's ejection for a class; returns `None` if the server is not listed.
     pub(crate) fn change_class_ejection<R>(
         &mut self,
         id: ServerId,
@@ -120,7 +125,7 @@
         Some(self.class_index.change(node, class, change))
     }
 
-    /// Adds a server, in place of one of the same id.
+    /// Adds a server, replacing one with the same id.
     pub(crate) fn insert(&mut self, node: Node) {
         let id = node.server.id;
         self.remove(id);
@@ -138,7 +143,8 @@
         self.nodes.insert(id, node);
     }
 
-    /// The list changed the entry of the same incarnation.
+    /// Replaces the listed attributes of a server of the same incarnation, and keeps what is known
+    /// about it.
     pub(crate) fn update(&mut self, server: Server) {
         let Some(mut node) = self.take(server.id) else {
             return;
@@ -147,7 +153,7 @@
         self.insert(node);
     }
 
-    /// Removes a server.
+    /// Removes a server, if it is listed.
     pub(crate) fn remove(&mut self, id: ServerId) {
         let Some(node) = self.take(id) else { return };
         self.class_index.remove(&node);
@@ -155,7 +161,7 @@
         self.warm_up_grants.remove(&(node.warm_up_due, id));
     }
 
-    /// Removes the servers that are missing from a complete list.
+    /// Removes the servers that are missing from a listing, unless it contains only changes.
     pub(crate) fn remove_missing(&mut self, listing: &Listing) {
         if listing.scope == Scope::Changes {
             return;
@@ -172,8 +178,8 @@
         }
     }
 
-    /// Removes a server from its zone's aggregates and from the orders, but not from the class index,
-    /// maintenance and grants.
+    /// Removes a server from its zone's aggregates and from the orders, but not from the class
+    /// index, the servers that need maintenance and the warm-up grants.
     fn take(&mut self, id: ServerId) -> Option<Node> {
         let node = self.nodes.remove(&id)?;
         self.zones[node.server.zone].remove(&node);
@@ -182,7 +188,7 @@
         Some(node)
     }
 
-    /// Starts another rotation: the rings get another order.
+    /// Changes the order of the rings if `rotation` is another one than before.
     pub(crate) fn rotate(&mut self, rotation: u64) {
         if rotation == self.rotation {
             return;
@@ -192,7 +198,7 @@
         self.ready.remote.reorder(rotation);
     }
 
-    /// The aggregates of one zone.
+    /// The aggregates of a zone; empty for a zone without servers.
     pub(crate) fn zone(&self, zone: ZoneId) -> Load {
         self.zones.get(zone).copied().unwrap_or_default()
     }
@@ -208,26 +214,27 @@
         load
     }
 
-    /// The mean of the listed sizes; 0 where there is none.
+    /// The mean of the listed sizes of all servers; 0 if no server has one.
     pub(crate) fn mean_size(&self) -> f64 {
         let mut all = self.load(Locality::Local);
         all.merge(&self.load(Locality::Remote));
         all.mean_size()
     }
 
-    /// The ready servers of a locality, by id.
+    /// The ready servers of a locality, in order of their ids.
     pub(crate) fn ready_in(&self, locality: Locality) -> impl ExactSizeIterator<Item = &Node> {
         self.ready[locality].by_id().map(|id| &self.nodes[&id])
     }
 
-    /// The same in the rotation's order, from an offset on, all the way round.
+    /// The ready servers of a locality in the order of the ring, from `offset` on, once around.
     pub(crate) fn ring(&self, locality: Locality, offset: usize) -> impl Iterator<Item = &Node> {
         let ids = self.ready[locality].ring_from(offset);
         ids.map(|id| &self.nodes[&id])
     }
 
-    /// The ready servers of a locality that fit; of very many (with `from`, the position of the round
-    /// robin) a sample, those with capacity if there are any.
+    /// The ready servers of a locality for which `fits` is true. With `from`, the position of the
+    /// round robin, and more than [`MAX_FULL_SCAN`] ready servers, only [`SAMPLE_SIZE`] of them,
+    /// reduced to those with capacity if there are any.
     pub(crate) fn sample(
         &self,
         locality: Locality,
@@ -250,17 +257,18 @@
         ids.map(|id| &self.nodes[&id])
     }
 
-    /// The sum of all servers' rates of unanswered attempts for a class.
+    /// The sum over all servers of the failure rate for a class.
     pub(crate) fn class_failure_rate(&self, class: ClassId) -> Sum {
         self.class_index.failure_rate(class)
     }
 
-    /// The servers that need maintenance, by id.
+    /// The servers that need maintenance, in order of their ids.
     pub(crate) fn maintained(&self) -> impl Iterator<Item = &Node> {
         self.needs_maintenance.iter().map(|id| &self.nodes[id])
     }
 
-    /// Maintains each of them, by id; those whose measurements have decayed need none from then on.
+    /// Calls `maintain` for each server that needs maintenance, in order of their ids. A server
+    /// that is not in use and whose measurements have decayed needs none from then on.
     pub(crate) fn maintain(&mut self, mut maintain: impl FnMut(&mut Node)) {
         let nodes = &mut self.nodes;
         self.needs_maintenance.retain(|id| {
@@ -281,8 +289,8 @@
         });
     }
 
-    /// Removes the warming servers whose next grant of requests is due from the schedule, and returns
-    /// them by id; [`Fleet::schedule_warm_up`] enters them again.
+    /// Removes the servers whose next warm-up grant is due from the schedule, and returns them in
+    /// order of their ids; [`Fleet::schedule_warm_up`] schedules the next grant.
     pub(crate) fn take_due_warm_ups(&mut self, now: Micros) -> Vec<ServerId> {
         if self.warm_up_grants.first().is_none_or(|(at, _)| *at > now) {
             return Vec::new();
@@ -294,7 +302,7 @@
         due
     }
 
-    /// A server is still warming up: it is granted requests again at `at`.
+    /// Schedules the next warm-up grant of a server for `at`.
     pub(crate) fn schedule_warm_up(&mut self, id: ServerId, at: Micros) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.warm_up_due = at;
@@ -302,7 +310,7 @@
         }
     }
 
-    /// All ready servers, those of the own zone first.
+    /// All ready servers: those of the own zone first, each locality in order of ids.
     pub(crate) fn ready(&self) -> impl Iterator<Item = &Node> {
         let all = Locality::ALL.into_iter();
         all.flat_map(move |locality| self.ready_in(locality))
--- a/crates/balancer/src/fleet/class_index.rs
+++ b/crates/balancer/src/fleet/class_index.rs
@@ -1,4 +1,4 @@
-//! Aggregates over the ejections of servers for single classes.
+//! Aggregates over the ejections of servers for single request classes.
 
 use std::collections::BTreeSet;
 
@@ -11,6 +11,7 @@
 pub(super) struct ClassIndex {
     /// Servers that are ejected for a class, or on trial for it.
     ejected: BTreeSet<(ClassId, ServerId)>,
+    /// The sum of the servers' failure rates for each class.
     failure_rates: Vec<Sum>,
 }
 
@@ -50,13 +51,13 @@
         }
     }
 
-    /// The servers ejected for a class, or on trial for it.
+    /// The servers that are ejected for a class, or on trial for it, in order of their ids.
     pub(super) fn ejected_for(&self, class: ClassId) -> impl Iterator<Item = ServerId> {
         let range = (class, ServerId(0))..=(class, ServerId(u64::MAX));
         self.ejected.range(range).map(|(_, id)| *id)
     }
 
-    /// The sum of all servers' rates of unanswered attempts for a class.
+    /// The sum over all servers of the failure rate for a class.
     pub(super) fn failure_rate(&self, class: ClassId) -> Sum {
         self.failure_rates[class]
     }
--- a/crates/balancer/src/fleet/load.rs
+++ b/crates/balancer/src/fleet/load.rs
@@ -1,17 +1,17 @@
 //! Sums over groups of servers.
 //!
-//! Sums are kept in whole units of 2^-32, so that they do not depend on the order of changes and never
-//! drift.
+//! Sums are integers in units of 2^-32, so that they do not depend on the order of changes and do
+//! not drift.
 
 use crate::api::Phase;
 use crate::node::Node;
 
-/// Units in 1.0.
+/// The number of units in 1.0.
 const UNITS: f64 = 4_294_967_296.0;
-/// Larger listed sizes count as this: guards the sum against overflow.
+/// The largest listed size that counts in full, so that the sum does not overflow.
 const MAX_SIZE: f64 = 1e6;
 
-/// A sum of numbers up to some millions.
+/// A fixed-point sum of numbers, in units of 2^-32; overflows at about 2 * 10^9.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Sum(i64);
 
@@ -24,12 +24,12 @@
         self.0 -= units(value);
     }
 
-    /// The sum.
+    /// The sum as a float.
     pub(crate) fn value(self) -> f64 {
         self.0 as f64 / UNITS
     }
 
-    /// The sum without one of its parts.
+    /// The sum without `part`, a number that was added to it.
     pub(crate) fn without(mut self, part: f64) -> f64 {
         self.subtract(part);
         self.value()
@@ -43,35 +43,35 @@
 /// Aggregates over a group of servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Load {
-    /// Servers in any phase.
+    /// The number of servers in any phase.
     pub count: usize,
-    /// How many of them are ejected.
+    /// The number of ejected servers in any phase.
     pub ejected_total: usize,
-    /// The sum of their failure rates.
+    /// The sum of the failure rates of servers in any phase.
     pub failure_rate: Sum,
-    /// Ready servers that are not ejected.
+    /// The number of ready servers that are not ejected.
     pub healthy: usize,
-    /// Ready servers that are ejected.
+    /// The number of ready servers that are ejected.
     pub ejected: usize,
     /// Attempts in flight at ready servers, ejected or not.
     pub in_flight: u64,
-    /// The sum of the in-flight limits of the healthy servers.
+    /// The sum of the in-flight limits of the ready servers that are not ejected.
     pub healthy_limit: Sum,
     /// The sum of the in-flight limits of the ready servers that are ejected.
     pub ejected_limit: Sum,
-    /// The sum of listed sizes.
+    /// The sum of the listed sizes, each at most [`MAX_SIZE`].
     size: Sum,
-    /// How many servers have a listed size.
+    /// The number of servers with a listed size.
     sized: usize,
 }
 
 impl Load {
-    /// Adds a server.
+    /// Adds a server to the group.
     pub(crate) fn add(&mut self, node: &Node) {
         self.merge(&Load::of(node));
     }
 
-    /// Removes a server that was added as it is now.
+    /// Removes a server, which must be in the same state as when it was added.
     pub(crate) fn remove(&mut self, node: &Node) {
         let part = Load::of(node);
         self.count -= part.count;
@@ -86,7 +86,7 @@
         self.sized -= part.sized;
     }
 
-    /// The same group without one server.
+    /// The aggregates of the group without `node`.
     pub(crate) fn without(mut self, node: &Node) -> Self {
         self.remove(node);
         self
@@ -111,12 +111,12 @@
         self.healthy + self.ejected
     }
 
-    /// The mean of the listed sizes; 0 where there is none.
+    /// The mean of the listed sizes; 0 if no server has one.
     pub(crate) fn mean_size(&self) -> f64 {
         self.size.value() / self.sized.max(1) as f64
     }
 
-    /// The aggregates of one server.
+    /// The aggregates of a group of one server.
     fn of(node: &Node) -> Self {
         let mut load = Load {
             count: 1,
--- a/crates/balancer/src/fleet/ready_servers.rs
+++ b/crates/balancer/src/fleet/ready_servers.rs
@@ -1,10 +1,10 @@
-//! The ready servers of a locality, in two orders.
+//! The ready servers of a locality: in order of their ids, and as a ring.
 
 use crate::api::ServerId;
 use crate::rng::mix;
 
-/// The ready servers of a locality: by id, and in an order of this balancer's own (the ring), which
-/// changes with each rotation.
+/// The ready servers of a locality, in order of their ids and as a ring. The order of the ring is a
+/// hash of the id and the rotation, so that it differs between balancers and between rotations.
 #[derive(Default)]
 pub(super) struct ReadyServers {
     by_id: Vec<ServerId>,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Gives the ring the order of another rotation.
+    /// Sorts the ring into the order of another rotation.
     pub(super) fn reorder(&mut self, rotation: u64) {
         let entry = |id: &ServerId| RingEntry::new(*id, rotation);
         self.ring = self.by_id.iter().map(entry).collect();
@@ -57,7 +57,8 @@
         self.by_id.iter().copied()
     }
 
-    /// The ring from an offset on, all the way round.
+    /// The servers of the ring from `offset` on, once around. An offset beyond the end of the ring
+    /// wraps around.
     pub(super) fn ring_from(&self, offset: usize) -> impl Iterator<Item = ServerId> {
         let start = offset.checked_rem(self.ring.len()).unwrap_or(0);
         let (before, after) = self.ring.split_at(start);
--- a/crates/balancer/src/fleet/tests.rs
+++ b/crates/balancer/src/fleet/tests.rs
@@ -34,7 +34,7 @@
     };
 }
 
-/// Changes the fleet in one of the ways in which it can change.
+/// Applies one change of a random kind to a random server, or to the rotation.
 fn change_at_random(fleet: &mut Fleet, rng: &mut Rng, step: u64) {
     let mut below = |n: u64| (rng.unit() * n as f64) as u64;
     let (number, zone, choice) = (below(40), below(3) as usize, below(3));
@@ -104,7 +104,8 @@
     assert_eq!(fleet.ejected_for(class).count(), ejected, "{step}");
 }
 
-/// Whatever changes in whatever order: the sums are those of the servers that are there.
+/// Guards against aggregates and orders that differ from the listed servers after a sequence of
+/// changes: after each of 20,000 random ones, all are compared with what the servers give.
 #[test]
 fn aggregates_and_orders_follow_every_change() {
     let mut rng = Rng(3);
--- a/crates/balancer/src/latency.rs
+++ b/crates/balancer/src/latency.rs
@@ -2,8 +2,9 @@
 
 use crate::api::Micros;
 
-/// The part of an estimate by which one response moves it: the smaller, the steadier and the slower.
-/// At the quantile, steps up and down balance (stochastic approximation of a quantile).
+/// The step size of an estimate, relative to it: a smaller one makes the estimate steadier and
+/// slower to adapt. At the quantile, steps up and down balance (stochastic approximation of a
+/// quantile).
 const STEP: f64 = 0.05;
 /// The median assumed before any response, as a part of the latency target.
 const INITIAL_MEDIAN_SHARE: f64 = 0.2;
@@ -28,14 +29,14 @@
         }
     }
 
-    /// Takes the latency of one successful response into account.
+    /// Updates the estimates with the latency of one successful response.
     pub(crate) fn record(&mut self, latency: Micros) {
         update_quantile(&mut self.median, latency, 0.5);
         update_quantile(&mut self.p90, latency, 0.9);
     }
 }
 
-/// Moves a quantile estimate towards a new value.
+/// Moves a quantile estimate one step towards a new value.
 fn update_quantile(estimate: &mut f64, value: Micros, quantile: f64) {
     let direction = if value as f64 > *estimate {
         quantile
--- a/crates/balancer/src/locality.rs
+++ b/crates/balancer/src/locality.rs
@@ -12,7 +12,7 @@
 }
 
 impl Locality {
-    /// Both, the own zone first.
+    /// Both localities, the own zone first.
     pub(crate) const ALL: [Locality; 2] = [Locality::Local, Locality::Remote];
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl<T> ByLocality<T> {
-    /// The values that `value` gives for each.
+    /// The results of `value` for each locality.
     pub(crate) fn from_fn(mut value: impl FnMut(Locality) -> T) -> Self {
         ByLocality {
             local: value(Locality::Local),
@@ -34,7 +34,7 @@
 }
 
 impl<T: Clone> ByLocality<T> {
-    /// The same value for both.
+    /// The same value for both localities.
     pub(crate) fn both(value: T) -> Self {
         ByLocality {
             local: value.clone(),
--- a/crates/balancer/src/node.rs
+++ b/crates/balancer/src/node.rs
@@ -1,24 +1,25 @@
-//! What this balancer knows of one listed server. Nothing here decides anything.
+//! The state that this balancer keeps for one listed server. No decision is made here.
 
 use std::collections::BTreeMap;
 
 use crate::api::{ClassId, Micros, Safety, Server, Settings, SizeMeaning};
 
-/// The smallest size that counts, relative to the mean: guards against listed sizes that are wrong.
+/// The smallest size of a server relative to the mean; smaller listed sizes are taken for wrong and
+/// count as this.
 const MIN_RELATIVE_SIZE: f64 = 0.2;
-/// The largest size that counts, relative to the mean.
+/// The largest size of a server relative to the mean; larger listed sizes count as this.
 const MAX_RELATIVE_SIZE: f64 = 5.0;
 
-/// How long a server is ejected before a trial.
+/// How long a server is ejected before a trial request or probe, in microseconds.
 pub(crate) struct EjectionTime {
-    /// The first time.
+    /// The duration of the first ejection.
     pub first: Micros,
-    /// The longest; each failed trial doubles the time up to it.
+    /// The longest duration; each failed trial doubles the duration up to it.
     pub longest: Micros,
 }
 
 impl EjectionTime {
-    /// The time that follows the `previous`, which is 0 at first.
+    /// The duration of the ejection that follows one of `previous`, which is 0 for the first.
     pub(crate) fn after(&self, previous: Micros) -> Micros {
         (previous * 2).clamp(self.first, self.longest)
     }
@@ -28,69 +29,71 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Ejection {
     pub since: Micros,
-    /// From then on a trial is due.
+    /// When a trial is due.
     pub until: Micros,
 }
 
-/// Whether a server is ejected for one class.
+/// The failure rate of a server for one request class, and its ejection for that class.
 #[derive(Default)]
 pub(crate) struct ClassEjection {
-    /// Average of unanswered attempts, 0 to 1.
+    /// Moving average of attempts that were not answered, 0 to 1.
     pub failure_rate: f64,
-    /// Since when it is ejected for the class; 0 if it is not.
+    /// When the ejection for the class started; 0 if the server is not ejected for it.
     pub since: Micros,
-    /// From then on a trial is due.
+    /// When a trial is due.
     pub until: Micros,
-    /// How long the latest ejection lasts.
+    /// The duration of the latest ejection.
     pub backoff: Micros,
 }
 
 /// The state of one listed server.
 pub(crate) struct Node {
     pub server: Server,
-    /// When this incarnation was first listed.
+    /// When this incarnation of the server was first listed.
     pub since: Micros,
-    /// Its credit in the round robin, in requests; the largest credit is chosen.
+    /// Credit in the weighted round robin, in requests; the candidate with the most is chosen.
     pub credit: f64,
     /// Attempts in flight.
     pub in_flight: u32,
-    /// When its last attempt ended, unless its connections were closed since.
+    /// When the last attempt ended; `None` if none has, or if idle connections were closed since.
     pub idle_since: Option<Micros>,
-    /// How many attempts may be in flight.
+    /// The number of attempts that this balancer may have in flight at the server.
     pub limit: f64,
-    /// Whether it has ever been overloaded.
+    /// Whether the server has ever been overloaded.
     pub was_overloaded: bool,
-    /// Its shortest response time: nearly the network latency.
+    /// The shortest response time, which approximates the network latency.
     pub min_latency: Micros,
-    /// This balancer's share of its load, as far as known.
+    /// The estimated share of this balancer in the server's load, 0 to 1.
     pub load_share: f64,
-    /// It rejected a request as overloaded: nothing is sent until then.
+    /// Until when nothing is sent because the server rejected a request as overloaded.
     pub overloaded_until: Micros,
-    /// Average of recent failures, 0 to 1.
+    /// Moving average of failed attempts, 0 to 1.
     pub failure_rate: f64,
-    /// How often it was slower than usual recently, 0 to 1.
+    /// Moving average of responses that were slow or errors, 0 to 1.
     pub slowness: f64,
-    /// Its ejection, if it is ejected.
+    /// The ejection, if the server is ejected.
     pub ejected: Option<Ejection>,
-    /// How long its latest ejection lasts; 0 once it has recovered.
+    /// The duration of the latest ejection; 0 once the server has recovered.
     pub backoff: Micros,
-    /// Ejections for single classes.
+    /// Failure rates and ejections for single classes.
     pub class_ejections: BTreeMap<ClassId, ClassEjection>,
-    /// Successful responses, decaying.
+    /// Exponentially decaying count of successful responses.
     pub recent_successes: f64,
-    /// How many requests may still be sent to it while it warms up.
+    /// The number of requests that may still be sent to the server while it warms up.
     pub warm_up_budget: f64,
-    /// How likely the latest grant to that budget was at least one request.
+    /// The probability with which the latest grant to `warm_up_budget` was at least one request.
     pub warm_up_chance: f64,
-    /// When it is granted more.
+    /// When `warm_up_budget` is granted more requests.
     pub warm_up_due: Micros,
-    /// It has measurements that decay, or is to be maintained.
+    /// Whether the next maintenance includes the server: it was changed, is in use or ejected, or
+    /// has measurements that decay.
     pub needs_maintenance: bool,
 }
 
 impl Node {
-    /// One that is new: `limit` is what all balancers together may have in flight there, `load_share`
-    /// this one's part, `credit` its first credit in the round robin.
+    /// A newly listed server. `limit` is the number of attempts that all balancers together may
+    /// have in flight there, `load_share` the part of this balancer, and `credit` the initial
+    /// credit in the round robin.
     pub(crate) fn new(
         server: Server,
         credit: f64,
@@ -122,15 +125,15 @@
         }
     }
 
-    /// Ejects the server, longer each time.
+    /// Ejects the server as of `since`, for longer each time until it has recovered.
     pub(crate) fn eject(&mut self, since: Micros, now: Micros, time: &EjectionTime) {
         self.backoff = time.after(self.backoff);
         let until = now + self.backoff;
         self.ejected = Some(Ejection { since, until });
     }
 
-    /// The server is ejected and a trial is due: starts it. The next one is due after the backoff.
-    /// Returns whether one was due.
+    /// Returns whether the server is ejected and a trial is due; if so, the next one is due after
+    /// the backoff.
     pub(crate) fn start_due_trial(&mut self, now: Micros) -> bool {
         match &mut self.ejected {
             Some(ejection) if ejection.until <= now => {
@@ -141,7 +144,7 @@
         }
     }
 
-    /// The same for its ejection for a class.
+    /// [`Node::start_due_trial`] for the ejection for a class.
     pub(crate) fn start_due_class_trial(&mut self, class: ClassId, now: Micros) -> bool {
         match self.class_ejections.get_mut(&class) {
             Some(ejection) if ejection.since > 0 && ejection.until <= now => {
@@ -152,8 +155,8 @@
         }
     }
 
-    /// The part of its capacity that it surely has: grows linearly from `initial_capacity` after a
-    /// start.
+    /// The part of its capacity that the server certainly has, up to 1: grows linearly from
+    /// `initial_capacity` after a start, over `warm_up`.
     pub(crate) fn warmth(&self, now: Micros, safety: &Safety) -> f64 {
         let (first, over) = (safety.initial_capacity, safety.warm_up.max(1) as f64);
         let age = self
@@ -163,7 +166,7 @@
         (first + (1.0 - first) * age).min(1.0)
     }
 
-    /// Its size relative to the mean, where listed sizes mean capacity; otherwise 1.
+    /// The size of the server relative to the mean if listed sizes mean capacity; otherwise 1.
     pub(crate) fn size(&self, settings: &Settings, mean: f64) -> f64 {
         if settings.sizes == SizeMeaning::Capacity && self.server.size > 0.0 {
             (self.server.size / mean).clamp(MIN_RELATIVE_SIZE, MAX_RELATIVE_SIZE)
--- a/crates/balancer/src/peer_load.rs
+++ b/crates/balancer/src/peer_load.rs
@@ -1,42 +1,46 @@
-//! Request rates that balancers report to each other, without I/O, so that each knows its own share
-//! of the servers' load. Nothing here decides about a request.
+//! The exchange of request rates between balancers, from which each computes its own share of the
+//! servers' load. The module does no I/O and decides nothing about a request.
 //!
-//! A message has [`MESSAGE_BYTES`] bytes: a version, the sender's zone, and its requests in 1,000 s
-//! (little endian). Other messages are dropped. Messages may be lost, late or repeated; where all
-//! are lost, each balancer assumes an even share.
+//! A message has [`MESSAGE_BYTES`] bytes: a version, the sender's zone, and the number of requests
+//! that it sends in 1,000 s (little endian). Other messages are dropped. Messages may be lost, late
+//! or repeated; if all are lost, each balancer assumes an even share.
 
 use crate::api::{Micros, Settings};
 use crate::locality::{ByLocality, Locality};
 use crate::rng::{Rng, mix};
 
-/// The version written, and the only one read.
+/// The message version that is written, and the only one that is read.
 const VERSION: u8 = 1;
-/// Bytes in a message.
+/// The length of a message in bytes.
 const MESSAGE_BYTES: usize = 6;
 /// Time constant of the measured rate, in microseconds.
 const RATE_DECAY_TIME: f64 = 2_000_000.0;
-/// At the start the rate is corrected as if at least this part of the steady state were reached.
+/// The smallest part of the steady state by which the measured rate, which rises from zero after
+/// the start, is divided to correct it. Bounds the correction of the first counts.
 const MIN_WARM_UP_PART: f64 = 0.05;
 /// Average delay of the first message, in microseconds.
 const FIRST_MESSAGE_DELAY: f64 = 250_000.0;
 /// The shortest average interval between two messages, in microseconds.
 const MIN_INTERVAL: Micros = 1_000_000;
-/// The interval for each balancer, in microseconds, so that each receives no more than a hundred messages a second.
+/// The average interval between messages is at least this for each balancer of the tier, in
+/// microseconds, so that none receives more than about a hundred messages per second.
 const INTERVAL_PER_BALANCER: Micros = 10_000;
-/// A balancer of which no message arrives for this many intervals has failed.
+/// A balancer from which no message arrives for this many intervals counts as failed.
 const MAX_MISSED_INTERVALS: u64 = 4;
-/// One of many balancers uses as many servers as it has requests in this time, in microseconds: each
-/// server responds often enough to be judged, and connections stay few.
+/// In a large tier, a balancer uses as many servers of a locality as it receives requests in this
+/// time, in microseconds. Each server then responds often enough to be judged, and connections stay
+/// few.
 const SUBSET_TIME: f64 = 250_000.0;
-/// The least number of servers that it uses.
+/// The smallest number of servers that a balancer of a large tier uses in a locality.
 const MIN_SUBSET_SIZE: f64 = 2.0;
-/// A share is updated when it changes by this ratio: a smaller change would not pay for the update of all limits.
+/// A share is updated only when it changes by this ratio: a smaller change does not justify an
+/// update of all limits.
 const MIN_CHANGE_RATIO: f64 = 1.1;
 
 /// A peer's latest report.
 #[derive(Clone, Copy, Debug)]
 struct Report {
-    /// Requests in a microsecond.
+    /// Requests per microsecond.
     rate: f64,
     is_own_zone: bool,
     received: Micros,
@@ -45,10 +49,10 @@
 /// The request rates of this balancer and its peers, and when it reports next.
 pub(crate) struct PeerLoad {
     rng: Rng,
-    /// Balancers are so many that an even share of a limit is less than one request, and each
-    /// therefore uses a subset of servers.
+    /// Whether this balancer uses only a subset of servers, because the tier is so large that an
+    /// even share of a server's initial limit is less than one request.
     uses_subset: bool,
-    /// Balancers report to each other.
+    /// Whether balancers report to each other.
     is_enabled: bool,
     balancers: usize,
     balancer_index: usize,
@@ -58,17 +62,18 @@
     decayed_at: Micros,
     /// When the shares were first updated.
     started: Option<Micros>,
-    /// The latest report of each balancer.
+    /// The latest report of each balancer, by its index; empty if reports are disabled.
     reports: Vec<Option<Report>>,
+    /// When the next message is due; 0 until the first one is scheduled.
     next_message: Micros,
-    /// This balancer's share of the requests that servers receive: of all balancers' for remote
-    /// servers, of those of its zone for local ones; at least an even share of all.
+    /// This balancer's share of the requests of all balancers, for remote servers, and of the
+    /// balancers in its zone, for local ones; at least an even share among all balancers.
     pub shares: ByLocality<f64>,
 }
 
 impl PeerLoad {
-    /// No reports yet. Only where balancers are many (`is_large_tier`) do they report. With key affinity,
-    /// each uses all servers all the same.
+    /// The state before any report. Balancers report to each other only in a large tier. With key
+    /// affinity, each uses all servers even there.
     pub(crate) fn new(settings: &Settings, is_large_tier: bool, seed: u64) -> Self {
         let balancers = settings.balancers.max(1) as usize;
         let is_enabled = settings.limits.peers && is_large_tier;
@@ -92,17 +97,18 @@
         }
     }
 
-    /// Counts a request.
+    /// Counts a request that this balancer received.
     pub(crate) fn count_request(&mut self, now: Micros) {
         (self.requests, self.decayed_at) = (self.decayed(now) + 1.0, now);
     }
 
-    /// The requests, decayed up to now.
+    /// The count of requests, decayed up to `now`.
     fn decayed(&self, now: Micros) -> f64 {
         self.requests * (-(now.saturating_sub(self.decayed_at) as f64) / RATE_DECAY_TIME).exp()
     }
 
-    /// How many servers of a locality this balancer uses: all, unless it is one of many.
+    /// The number of servers of a locality that this balancer uses; `usize::MAX` (all) unless it
+    /// uses a subset.
     pub(crate) fn subset_size(&self, now: Micros) -> usize {
         if self.uses_subset {
             (self.recent_rate(now) * SUBSET_TIME).max(MIN_SUBSET_SIZE) as usize
@@ -111,23 +117,24 @@
         }
     }
 
-    /// This balancer's recent rate in requests per microsecond; rises from zero at the start.
+    /// This balancer's recent rate in requests per microsecond, which rises from zero after the
+    /// start.
     fn recent_rate(&self, now: Micros) -> f64 {
         self.decayed(now) / RATE_DECAY_TIME
     }
 
-    /// The same, corrected for that rise.
+    /// [`PeerLoad::recent_rate`], corrected for the rise from zero after the start.
     fn rate(&self, now: Micros) -> f64 {
         let age = self.started.map_or(0, |at| now.saturating_sub(at)) as f64 / RATE_DECAY_TIME;
         self.recent_rate(now) / (1.0 - (-age).exp()).max(MIN_WARM_UP_PART)
     }
 
-    /// Average interval between two messages.
+    /// The average interval between two messages, in microseconds.
     fn interval(&self) -> Micros {
         MIN_INTERVAL.max(INTERVAL_PER_BALANCER * self.balancers as u64)
     }
 
-    /// The message for all peers, when it is due. Jitter spreads the balancers' messages.
+    /// The message for all peers, if one is due. Jitter spreads the messages of the balancers.
     pub(crate) fn due_message(&mut self, now: Micros) -> Option<Vec<u8>> {
         if !self.is_enabled || now < self.next_message {
             return None;
@@ -142,7 +149,8 @@
         Some([&[VERSION, self.zone], &rate.to_le_bytes()[..]].concat())
     }
 
-    /// Handles a message; one that is malformed or of an unknown sender is dropped.
+    /// Handles a message from the balancer with index `from`. A message that is malformed, from an
+    /// unknown sender or from this balancer itself is dropped.
     pub(crate) fn receive(&mut self, now: Micros, from: u32, data: &[u8]) {
         let Ok([VERSION, zone, rate @ ..]) = <[u8; MESSAGE_BYTES]>::try_from(data) else {
             return;
@@ -159,8 +167,8 @@
         }
     }
 
-    /// Updates this balancer's shares; returns the factor by which each changed. They never fall below
-    /// an even share: guards balancers with few requests against waiting for capacity.
+    /// Updates this balancer's shares; returns the factor by which each changed. A share is never
+    /// below an even one, so that balancers with few requests do not wait for capacity.
     pub(crate) fn update_shares(&mut self, now: Micros) -> ByLocality<f64> {
         if !self.is_enabled {
             return ByLocality::both(1.0);
@@ -168,8 +176,8 @@
         let started = *self.started.get_or_insert(now);
         let max_age = self.interval() * MAX_MISSED_INTERVALS;
         let known = self.known_rates(now, max_age);
-        // Balancers that have not reported yet are assumed to be average; some time after the start,
-        // to have failed.
+        // Balancers that have not reported yet are assumed to have the average rate, and to have
+        // failed once `max_age` has passed since the start.
         let missing = if now < started + max_age {
             (self.balancers - 1).saturating_sub(known.reports) as f64
         } else {
@@ -220,13 +228,14 @@
     }
 }
 
-/// Request rates per microsecond.
+/// Request rates of balancers, in requests per microsecond.
 struct KnownRates {
-    /// This balancer's.
+    /// The rate of this balancer.
     own: f64,
-    /// The number of peers that have reported.
+    /// The number of peers with a report that is not too old.
     reports: usize,
-    /// The sums, this balancer's included: of its own zone for local servers, of all for remote ones.
+    /// The sums, this balancer included: over its own zone for local servers, over all balancers
+    /// for remote ones.
     sums: ByLocality<f64>,
 }
 
--- a/crates/balancer/src/peer_load/tests.rs
+++ b/crates/balancer/src/peer_load/tests.rs
@@ -21,15 +21,15 @@
     PeerLoad::new(&settings, true, u64::from(index) + 1)
 }
 
-/// The message of a balancer of a zone that has so many requests per second.
+/// The message of a balancer in `zone` that reports `requests_per_s` requests per second.
 fn report(zone: u8, requests_per_s: u32) -> Vec<u8> {
     let rate = (requests_per_s * 1_000).to_le_bytes();
     [&[VERSION, zone], &rate[..]].concat()
 }
 
-/// Runs balancers that report to each other for ten seconds, at the given requests per second of
-/// each; `is_lost` says which messages are lost, by sender and time. Returns the shares that they
-/// find.
+/// Simulates balancers that report to each other for ten seconds. `rates` are the requests per
+/// second of each; `is_lost` says which messages are lost, by sender and time. Returns the share of
+/// each for remote servers.
 fn exchange_reports(rates: &[u64], is_lost: impl Fn(usize, Micros) -> bool) -> Vec<f64> {
     let count = rates.len() as u32;
     let mut balancers: Vec<PeerLoad> = (0..count).map(|index| peer_load(count, index)).collect();
@@ -64,9 +64,9 @@
     );
 }
 
-/// Most of what a zone's servers serve comes from its own balancers, so a share of all requests is
-/// too little there: it made a fifth of all requests cross zones although each local server had two
-/// or three in flight.
+/// Guards against limits in the own zone that are too low. Most requests to a zone's servers come
+/// from the balancers of that zone; with a share of all requests instead, a fifth of all requests
+/// crossed zones although each local server had only two or three in flight.
 #[test]
 fn the_own_zones_share_counts_only_its_own_balancers() {
     let mut balancer = peer_load(16, 0);
@@ -93,7 +93,8 @@
     assert!((shares[0] - 0.45).abs() < 0.05, "{shares:?}");
 }
 
-/// A balancer that has just started has reports of few, and must not take their sum for that of all.
+/// Guards against a share that is too large after a start, when few balancers have reported: the
+/// sum of their rates must not count as the sum over all balancers.
 #[test]
 fn balancers_that_have_not_reported_yet_count_as_average() {
     let mut balancer = peer_load(100, 0);
@@ -107,7 +108,7 @@
     assert!(balancer.shares.remote < 0.2, "{:?}", balancer.shares);
 }
 
-/// Balancers that stop reporting have failed, and the others take over their share.
+/// The others take over the share of balancers that have failed.
 #[test]
 fn balancers_that_stop_reporting_no_longer_count() {
     let has_failed = |from: usize, now: Micros| from > 1 && now > 4 * SECOND;
@@ -139,7 +140,8 @@
     assert!(balancer.reports[1].is_some());
 }
 
-/// However many balancers there are, none receives more than about a hundred messages a second.
+/// Guards against a message load that grows with the tier: whatever its size, no balancer receives
+/// more than about a hundred messages per second.
 #[test]
 fn larger_tiers_report_less_often() {
     for balancers in [13, 100, 2_000] {
@@ -151,7 +153,7 @@
         let received_per_s = messages as f64 / 200.0 * f64::from(balancers);
         assert!(
             received_per_s <= 110.0,
-            "{balancers} balancers: {received_per_s} messages a second at each"
+            "{balancers} balancers: each receives {received_per_s} messages per second"
         );
     }
 }
--- a/crates/balancer/src/rng.rs
+++ b/crates/balancer/src/rng.rs
@@ -1,6 +1,6 @@
 //! Deterministic random numbers and hashes: the same seed gives the same decisions everywhere.
 
-/// A deterministic random number generator (splitmix64).
+/// A deterministic random number generator (splitmix64); the field is its state.
 #[derive(Clone, Debug)]
 pub struct Rng(pub u64);
 
@@ -12,7 +12,7 @@
     }
 }
 
-/// Mixes the bits of a number (the finalizer of splitmix64).
+/// Mixes the bits of a number (the finalizer of splitmix64), as an integer hash.
 #[must_use]
 pub fn mix(mut z: u64) -> u64 {
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -20,7 +20,7 @@
     z ^ (z >> 31)
 }
 
-/// Maps bits to [0, 1).
+/// Maps the upper 53 bits of a number to a float in [0, 1).
 #[must_use]
 pub fn unit(bits: u64) -> f64 {
     (bits >> 11) as f64 / (1u64 << 53) as f64
--- a/crates/balancer/tests/decisions/unreachable_zones.rs
+++ b/crates/balancer/tests/decisions/unreachable_zones.rs
@@ -256,14 +256,14 @@
             simulation.remote_sends() >= 149 && sends[0] == 0,
             "{effect:?}: all requests in other zones after a second: {sends:?}"
         );
-        assert_eq!(simulation.logged("zone 0 is silent"), 1);
+        assert_eq!(simulation.logged("zone 0 is unreachable"), 1);
         simulation.run_after(SECOND, 2 * SECOND, [HEALTHY; 3]);
         let sends = simulation.sends;
         assert!(
             sends[0] >= 95,
             "{effect:?}: requests in the own zone a second after its recovery: {sends:?}"
         );
-        assert_eq!(simulation.logged("zone 0 gives signs again"), 1);
+        assert_eq!(simulation.logged("zone 0 is reachable again"), 1);
     }
 }
 
@@ -290,13 +290,17 @@
     let mut simulation = Simulation::healthy(Effect::Idempotent);
     simulation.run(4 * SECOND, [Zone::Responds(312 * MS), HEALTHY, HEALTHY]);
     assert_eq!(
-        simulation.logged("silent"),
+        simulation.logged("is unreachable"),
         0,
         "7.8 times slower but responding"
     );
     let mut simulation = Simulation::healthy(Effect::Idempotent);
     simulation.run(4 * SECOND, [Zone::Responds(112 * MS); 3]);
-    assert_eq!(simulation.logged("silent"), 0, "all 2.8 times slower");
+    assert_eq!(
+        simulation.logged("is unreachable"),
+        0,
+        "all 2.8 times slower"
+    );
     assert_eq!(simulation.remote_sends(), 0, "{:?}", simulation.sends);
 }
 
@@ -305,7 +309,7 @@
     let mut simulation = Simulation::healthy(Effect::NonIdempotent);
     simulation.run_after(SECOND, 2 * SECOND, [Zone::Refuses, HEALTHY, HEALTHY]);
     assert!(simulation.remote_sends() >= 95, "{:?}", simulation.sends);
-    assert_eq!(simulation.logged("silent"), 0);
+    assert_eq!(simulation.logged("is unreachable"), 0);
 }
 
 #[test]
@@ -373,5 +377,5 @@
     let mut simulation = Simulation::with_settings(settings_of(Effect::NonIdempotent));
     simulation.run(2 * SECOND, [HEALTHY; 3]);
     simulation.run(SECOND, [Zone::Silent, HEALTHY, HEALTHY]);
-    assert_eq!(simulation.logged("silent"), 0);
+    assert_eq!(simulation.logged("is unreachable"), 0);
 }
