--- a/crates/limits/src/sliding_window/tests.rs
+++ b/crates/limits/src/sliding_window/tests.rs
@@ -35,16 +35,13 @@
     let window = ms(10_000);
     let mut above = SlidingCounter::new(window, Rounding::Up);
     let mut below = SlidingCounter::new(window, Rounding::Down);
-    let mut moments = Vec::new();
+    let mut times = Vec::new();
     for step in 0..5_000_u64 {
         let now = ms(step * 7 + (step * step) % 5);
         above.record(now);
         below.record(now);
-        moments.push(now);
-        let exact = moments
-            .iter()
-            .filter(|moment| **moment + window >= now)
-            .count() as u64;
+        times.push(now);
+        let exact = times.iter().filter(|time| **time + window >= now).count() as u64;
         assert!(above.count(now) >= exact);
         assert!(below.count(now) <= exact);
     }
