--- a/crates/routing/src/affinity/tests.rs
+++ b/crates/routing/src/affinity/tests.rs
@@ -24,25 +24,34 @@
 
 #[test]
 fn an_overloaded_server_passes_the_key_to_the_next_in_its_order() {
-    let mut choices = idle(&[11, 22, 33, 44]);
+    let mut candidates = idle(&[11, 22, 33, 44]);
     let mut order = [0, 1, 2, 3];
-    order.sort_by_key(|place| std::cmp::Reverse(rendezvous_weight(7, choices[*place].hash)));
-    assert_eq!(choose(7, &choices, bounds(0.5, 0.1, 0.0)), Some(order[0]));
-    choices[order[0]].utilization = 0.1;
+    order.sort_by_key(|index| std::cmp::Reverse(rendezvous_weight(7, candidates[*index].hash)));
     assert_eq!(
-        choose(7, &choices, bounds(0.5, 0.1, 0.0)),
+        choose(7, &candidates, bounds(0.5, 0.1, 0.0)),
+        Some(order[0])
+    );
+    candidates[order[0]].utilization = 0.1;
+    assert_eq!(
+        choose(7, &candidates, bounds(0.5, 0.1, 0.0)),
         Some(order[0]),
         "at the floor"
     );
-    choices[order[0]].utilization = 0.5;
-    assert_eq!(choose(7, &choices, bounds(0.5, 0.1, 0.0)), Some(order[1]));
-    choices[order[1]].utilization = 0.4;
-    assert_eq!(choose(7, &choices, bounds(0.5, 0.1, 0.0)), Some(order[2]));
-    for choice in &mut choices {
-        choice.utilization = 0.9;
+    candidates[order[0]].utilization = 0.5;
+    assert_eq!(
+        choose(7, &candidates, bounds(0.5, 0.1, 0.0)),
+        Some(order[1])
+    );
+    candidates[order[1]].utilization = 0.4;
+    assert_eq!(
+        choose(7, &candidates, bounds(0.5, 0.1, 0.0)),
+        Some(order[2])
+    );
+    for candidate in &mut candidates {
+        candidate.utilization = 0.9;
     }
     assert_eq!(
-        choose(7, &choices, bounds(0.5, 0.1, 0.0)),
+        choose(7, &candidates, bounds(0.5, 0.1, 0.0)),
         Some(order[0]),
         "all alike"
     );
@@ -64,12 +73,12 @@
     ) {
         let servers: Vec<u64> = servers.into_iter().collect();
         let all = idle(&servers);
-        let home = all[choose(key, &all, bounds(0.5, 0.1, 0.0)).expect("a server")].hash;
-        for leaves in &servers {
-            let others = servers.iter().filter(|server| *server != leaves);
+        let first = all[choose(key, &all, bounds(0.5, 0.1, 0.0)).expect("a server")].hash;
+        for removed in &servers {
+            let others = servers.iter().filter(|server| *server != removed);
             let rest = idle(&others.copied().collect::<Vec<u64>>());
-            let now = rest[choose(key, &rest, bounds(0.5, 0.1, 0.0)).expect("a server")].hash;
-            prop_assert!(now == home || *leaves == home);
+            let chosen = rest[choose(key, &rest, bounds(0.5, 0.1, 0.0)).expect("a server")].hash;
+            prop_assert!(chosen == first || *removed == first);
         }
     }
 
@@ -79,7 +88,7 @@
         key: u64,
         utilizations in prop::collection::vec(0.0..1.5f64, 1..40),
     ) {
-        let choices: Vec<Candidate> = utilizations
+        let candidates: Vec<Candidate> = utilizations
             .iter()
             .enumerate()
             .map(|(hash, utilization)| Candidate {
@@ -88,7 +97,7 @@
                 prefill_wait: 0.0,
             })
             .collect();
-        let chosen = choices[choose(key, &choices, bounds(0.5, 0.2, 0.0)).expect("a server")];
+        let chosen = candidates[choose(key, &candidates, bounds(0.5, 0.2, 0.0)).expect("a server")];
         let mean = utilizations.iter().sum::<f64>() / utilizations.len() as f64;
         prop_assert!(chosen.utilization <= (1.5 * mean).max(0.2));
         prop_assert!(mean < 1.0 || chosen.utilization <= mean);
@@ -96,28 +105,30 @@
 }
 
 /// Whether the key's first server of two is chosen when its prefill wait is longer by `wait`.
-fn stays(wait: f64, stay: f64) -> bool {
-    let mut choices = servers_in_order(7, 2);
-    choices[0].prefill_wait = wait;
-    choose(7, &choices, bounds(0.5, 0.1, stay)) == Some(0)
+fn first_server_is_chosen(wait: f64, extra_wait: f64) -> bool {
+    let mut candidates = servers_in_order(7, 2);
+    candidates[0].prefill_wait = wait;
+    choose(7, &candidates, bounds(0.5, 0.1, extra_wait)) == Some(0)
 }
 
 fn servers_in_order(key: u64, count: u64) -> Vec<Candidate> {
-    let mut choices: Vec<Candidate> = (0..count)
+    let mut candidates: Vec<Candidate> = (0..count)
         .map(|hash| Candidate {
             hash,
             utilization: 0.0,
             prefill_wait: 0.0,
         })
         .collect();
-    choices.sort_by_key(|choice| std::cmp::Reverse(rendezvous_weight(key, choice.hash)));
-    choices
+    candidates.sort_by_key(|candidate| std::cmp::Reverse(rendezvous_weight(key, candidate.hash)));
+    candidates
 }
 
 #[test]
 fn a_key_moves_on_when_the_extra_prefill_wait_exceeds_the_bound() {
-    assert!(stays(0.0, 0.0));
-    assert!(stays(100.0, 100.0));
-    assert!(!stays(101.0, 100.0));
-    assert!(without(Guard::ShortPrefillWait, || stays(101.0, 100.0)));
+    assert!(first_server_is_chosen(0.0, 0.0));
+    assert!(first_server_is_chosen(100.0, 100.0));
+    assert!(!first_server_is_chosen(101.0, 100.0));
+    assert!(without(Guard::ShortPrefillWait, || first_server_is_chosen(
+        101.0, 100.0
+    )));
 }
--- a/crates/routing/src/occupancy.rs
+++ b/crates/routing/src/occupancy.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PoolAverages {
     /// Other gates' requests at a server; servers without a report count as idle.
-    others: f64,
+    other_gates: f64,
     /// Tokens of a request without its shared prefix, by this gate's own requests.
     unshared_tokens: f64,
 }
@@ -34,17 +34,17 @@
         now: Micros,
         max_age: Micros,
     ) -> PoolAverages {
-        let (mut servers, mut others, mut in_flight, mut unshared) = (0, 0.0, 0, 0);
+        let (mut servers, mut other_gates, mut in_flight, mut unshared) = (0, 0.0, 0, 0);
         for occupancy in pool {
             servers += 1;
-            others += occupancy
+            other_gates += occupancy
                 .fresh_report(now, max_age)
-                .map_or(0.0, |fresh| fresh.report.others);
+                .map_or(0.0, |fresh| fresh.report.other_gates);
             in_flight += occupancy.in_flight;
             unshared += occupancy.unshared_tokens;
         }
         PoolAverages {
-            others: others / f64::from(servers.max(1)),
+            other_gates: other_gates / f64::from(servers.max(1)),
             unshared_tokens: unshared as f64 / f64::from(in_flight.max(1)),
         }
     }
@@ -78,9 +78,9 @@
 struct Report {
     received_at: Micros,
     /// Other gates' requests, running and waiting.
-    others: f64,
+    other_gates: f64,
     /// Other gates' tokens. Reports without KV-cache usage leave the previous value in place.
-    others_tokens: Option<TokenReport>,
+    other_gates_tokens: Option<TokenReport>,
     slots: Option<u32>,
     kv_cache: Option<u64>,
     waiting: u32,
@@ -139,15 +139,16 @@
     pub(crate) fn record_load_report(&mut self, now: Micros, load: LoadReport) {
         let active = f64::from(load.running) + f64::from(load.waiting);
         let previous = self.report;
-        let others_tokens = load.kv_cache.map(|usage| TokenReport {
+        let other_gates_tokens = load.kv_cache.map(|usage| TokenReport {
             received_at: now,
             tokens: (usage.used as f64 - self.tokens as f64).max(0.0),
         });
         let kv_cache = load.kv_cache.map(|usage| usage.capacity);
         self.report = Some(Report {
             received_at: now,
-            others: (active - f64::from(self.in_flight)).max(0.0),
-            others_tokens: others_tokens.or(previous.and_then(|report| report.others_tokens)),
+            other_gates: (active - f64::from(self.in_flight)).max(0.0),
+            other_gates_tokens: other_gates_tokens
+                .or(previous.and_then(|report| report.other_gates_tokens)),
             slots: load.slots.filter(|slots| *slots > 0),
             kv_cache: kv_cache.or(previous.and_then(|report| report.kv_cache)),
             waiting: load.waiting,
@@ -199,11 +200,11 @@
     ) -> Load {
         let fresh = self.fresh_report(now, max_age);
         let (weight, reported) =
-            fresh.map_or((0.0, 0.0), |fresh| (fresh.weight, fresh.report.others));
-        let others = blend(weight, reported, averages.others);
-        let average_tokens = others * averages.unshared_tokens;
-        let token_report = fresh.and_then(|fresh| fresh.report.others_tokens);
-        let others_tokens = token_report.map_or(average_tokens, |report| {
+            fresh.map_or((0.0, 0.0), |fresh| (fresh.weight, fresh.report.other_gates));
+        let other_gates = blend(weight, reported, averages.other_gates);
+        let average_tokens = other_gates * averages.unshared_tokens;
+        let token_report = fresh.and_then(|fresh| fresh.report.other_gates_tokens);
+        let other_gates_tokens = token_report.map_or(average_tokens, |report| {
             let weight = report_weight(now, report.received_at, max_age);
             blend(weight, report.tokens, average_tokens)
         });
@@ -218,9 +219,9 @@
             known => known as f64,
         };
         Load {
-            active: f64::from(self.in_flight) + others,
+            active: f64::from(self.in_flight) + other_gates,
             slots: f64::from(slots),
-            tokens: self.tokens as f64 + others_tokens,
+            tokens: self.tokens as f64 + other_gates_tokens,
             kv_cache,
         }
     }
--- a/crates/routing/src/outlier/tests.rs
+++ b/crates/routing/src/outlier/tests.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn outcomes_that_are_not_the_servers_fault_never_eject() {
-    let promises = [
+    let outcomes = [
         Outcome::NotExecuted { retry_after: None },
         Outcome::WrongInstance,
         Outcome::WrongVersion,
@@ -68,7 +68,7 @@
         Outcome::Success,
         Outcome::ClientError,
     ];
-    for outcome in promises {
+    for outcome in outcomes {
         assert_eq!(
             until_ejected(&mut OutlierDetector::default(), &outcome, healthy_group()),
             None,
--- a/crates/routing/src/round_robin/tests.rs
+++ b/crates/routing/src/round_robin/tests.rs
@@ -60,12 +60,12 @@
 fn unusable_servers_are_never_picked() {
     let (mut round_robin, mut rng) = (round_robin(5), Rng(1));
     for _ in 0..50 {
-        let drawn = round_robin.pick(
+        let picked = round_robin.pick(
             &mut rng,
             |server| (server == 2 || server == 3).then_some(0.0),
             |_| false,
         );
-        assert!(matches!(drawn, Some(2 | 3)));
+        assert!(matches!(picked, Some(2 | 3)));
     }
     assert_eq!(round_robin.pick(&mut rng, |_| None, |_| false), None);
     assert_eq!(
@@ -77,11 +77,11 @@
 #[test]
 fn a_round_continues_when_the_members_stay_the_same() {
     let (mut round_robin, mut rng) = (round_robin(6), Rng(1));
-    let mut drawn = round(&mut round_robin, &mut rng, 4);
+    let mut picked = round(&mut round_robin, &mut rng, 4);
     round_robin.set_members((0..6).collect());
-    drawn.extend(round(&mut round_robin, &mut rng, 2));
-    drawn.sort_unstable();
-    assert_eq!(drawn, [0, 1, 2, 3, 4, 5]);
+    picked.extend(round(&mut round_robin, &mut rng, 2));
+    picked.sort_unstable();
+    assert_eq!(picked, [0, 1, 2, 3, 4, 5]);
     round_robin.set_members((0..3).collect());
     assert_eq!(round(&mut round_robin, &mut rng, 3).iter().max(), Some(&2));
 }
--- a/crates/routing/src/table/error.rs
+++ b/crates/routing/src/table/error.rs
@@ -24,19 +24,19 @@
     },
     /// The weights of a route sum to 0.
     #[error("the weights of route `{route}` sum to 0")]
-    NoWeight {
+    ZeroTotalWeight {
         /// The route.
         route: Arc<str>,
     },
     /// A prefix does not begin and end with a slash.
     #[error("the prefix of route `{route}` does not begin and end with a slash")]
-    Prefix {
+    InvalidPrefix {
         /// The route.
         route: Arc<str>,
     },
     /// A route has a time-out of 0.
     #[error("route `{route}` has a time-out of 0")]
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: Arc<str>,
     },
--- a/crates/routing/src/table/tests.rs
+++ b/crates/routing/src/table/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn invalid_routes_are_named() {
+fn an_invalid_route_is_named_in_the_error() {
     let route: Arc<str> = "r".into();
     let unknown = error(|route| route.backends[0].service = "none".into());
     assert_eq!(
@@ -42,25 +42,25 @@
     );
     assert_eq!(
         error(|route| route.prefix = "/x".into()),
-        TableError::Prefix {
+        TableError::InvalidPrefix {
             route: route.clone()
         }
     );
     assert_eq!(
         error(|route| route.prefix = "".into()),
-        TableError::Prefix {
+        TableError::InvalidPrefix {
             route: route.clone()
         }
     );
     assert_eq!(
         error(|route| route.timeout_ms = 0),
-        TableError::NoTimeout {
+        TableError::ZeroTimeout {
             route: route.clone()
         }
     );
     assert_eq!(
         error(|route| route.backends[0].weight = 0),
-        TableError::NoWeight { route }
+        TableError::ZeroTotalWeight { route }
     );
 }
 
--- a/crates/routing/src/table/validation.rs
+++ b/crates/routing/src/table/validation.rs
@@ -43,10 +43,10 @@
         return Err(TableError::UnknownService { route, service });
     }
     if !spec.prefix.starts_with('/') || !spec.prefix.ends_with('/') {
-        return Err(TableError::Prefix { route });
+        return Err(TableError::InvalidPrefix { route });
     }
     if spec.timeout_ms == 0 {
-        return Err(TableError::NoTimeout { route });
+        return Err(TableError::ZeroTimeout { route });
     }
     let weights = spec
         .backends
@@ -54,7 +54,7 @@
         .map(|backend| u64::from(backend.weight));
     let total_weight = weights.sum();
     if total_weight == 0 {
-        return Err(TableError::NoWeight { route });
+        return Err(TableError::ZeroTotalWeight { route });
     }
     Ok(Arc::new(Route { spec, total_weight }))
 }
