--- a/crates/routing/src/affinity.rs
+++ b/crates/routing/src/affinity.rs
@@ -2,8 +2,8 @@
 //! (Mirrokni, Thorup and Zadimoghaddam, 2018).
 //!
 //! Requests with the same key go to the server that has their prompt prefix in its KV cache. Every
-//! gate computes the same order of servers for a key without coordination, and a key moves on to
-//! the next server in its order only while the earlier ones are overloaded.
+//! gate computes the same order of servers for a key without coordination. A request goes to a
+//! later server in the order only while the earlier ones are overloaded.
 
 use ironmast_balancer::{ServerId, mix};
 
@@ -14,7 +14,8 @@
     mix(ServerId::from_name(name).0)
 }
 
-/// Weight of a server for a key. The server with the highest weight comes first.
+/// Rendezvous weight of a server for a key. The server with the highest weight is first in the
+/// key's order.
 pub(crate) fn rendezvous_weight(key: u64, server_hash: u64) -> u64 {
     if Guard::Rendezvous.on() {
         mix(key ^ server_hash)
@@ -26,29 +27,30 @@
 /// A server that a key may be assigned to.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
-    /// Hash of its instance.
+    /// Hash of the server's instance name.
     pub(crate) hash: u64,
-    /// Used fraction of its capacity.
+    /// Used fraction of the server's capacity.
     pub(crate) utilization: f64,
-    /// Time until its pending prompts have been prefilled, in microseconds.
+    /// Time until the server has prefilled its pending prompts, in microseconds.
     pub(crate) prefill_wait: f64,
 }
 
-/// How far a key may stay with a server that is busier than others.
+/// How much busier than others a server may be and still receive the requests of its keys.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadBounds {
     /// Fraction by which the utilization may exceed the mean over the candidates.
     pub(crate) excess: f64,
-    /// Utilization below which a server is never overloaded.
+    /// Utilization up to which a server is never overloaded.
     pub(crate) floor: f64,
     /// Time by which the prefill wait may exceed the shortest one, in microseconds.
     pub(crate) extra_wait: f64,
 }
 
-/// Index of the first server in the key's order that is not overloaded: its utilization is below
-/// the floor or within the excess over the mean. The excess shrinks as the mean grows, because with
-/// scarce capacity no server should be full while others are not. The least loaded server is never
-/// overloaded. Of these servers only those count whose prefill wait is close to the shortest.
+/// Index of the first server in the key's order that is not overloaded and whose prefill wait is at
+/// most `extra_wait` above the shortest among these; `None` without candidates. A server is not
+/// overloaded if its utilization is at most the floor or within the excess over the mean. The
+/// excess shrinks as the mean grows, because with scarce capacity no server should be full while
+/// others are not. The least loaded server is never overloaded.
 pub(crate) fn choose(key: u64, candidates: &[Candidate], bounds: LoadBounds) -> Option<usize> {
     let total: f64 = candidates
         .iter()
--- a/crates/routing/src/affinity/tests.rs
+++ b/crates/routing/src/affinity/tests.rs
@@ -53,7 +53,7 @@
     assert_eq!(
         choose(7, &candidates, bounds(0.5, 0.1, 0.0)),
         Some(order[0]),
-        "all alike"
+        "all have the same load"
     );
     assert_eq!(choose(7, &[], bounds(0.5, 0.1, 0.0)), None);
 }
@@ -65,7 +65,7 @@
         ..Default::default()
     })]
 
-    /// A key moves only if its own server leaves.
+    /// Removing a server reassigns only the keys that were assigned to it.
     #[test]
     fn when_a_server_leaves_only_its_own_keys_move(
         key: u64,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// For any loads a server is chosen, and it is within the load bound.
+    /// A server is chosen for any loads, and its utilization is within the load bound.
     #[test]
     fn the_chosen_server_is_within_the_load_bound(
         key: u64,
--- a/crates/routing/src/occupancy.rs
+++ b/crates/routing/src/occupancy.rs
@@ -1,5 +1,5 @@
-//! Occupancy of one server: what this gate has in flight there, what the server reports, and for
-//! how long it receives no requests after it rejected a request for lack of capacity.
+//! Occupancy of one server: the attempts that this gate has in flight there, the server's load
+//! reports, and the backoff after the server rejected a request for lack of capacity.
 
 use ironmast_balancer::Micros;
 use smallvec::SmallVec;
@@ -7,9 +7,9 @@
 use crate::guards::Guard;
 use crate::load::{CapacityLimits, Load, LoadReport, TokenDemand, report_weight};
 
-/// Assumed number of slots of a server for which neither it nor its service names one.
+/// Assumed number of slots of a server if neither its reports nor its service specify one.
 const DEFAULT_SLOTS: u32 = 64;
-/// A gate may use this multiple of its even share of a server's connections, because gates are not
+/// Multiple of its even share of a server's connections that a gate may use, because gates are not
 /// equally busy.
 const MAX_CONNECTION_SHARE: f64 = 2.0;
 /// First backoff after a server rejected a request for lack of capacity, in microseconds. It
@@ -18,17 +18,19 @@
 /// Longest backoff, in microseconds.
 const MAX_BACKOFF: Micros = 1_000_000;
 
-/// Averages over the servers of one pool. They stand in for what no fresh report of a server says.
+/// Averages over the servers of one pool, used in place of values that a server has not reported
+/// recently.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PoolAverages {
-    /// Other gates' requests at a server; servers without a report count as idle.
+    /// Mean number of other gates' requests at a server. Servers without a fresh report count as
+    /// idle.
     other_gates: f64,
-    /// Tokens of a request without its shared prefix, by this gate's own requests.
+    /// Mean tokens of one of this gate's requests, without the shared prefix.
     unshared_tokens: f64,
 }
 
 impl PoolAverages {
-    /// The averages over a pool's servers.
+    /// Computes the averages over a pool's servers.
     pub(crate) fn of<'a>(
         pool: impl Iterator<Item = &'a Occupancy>,
         now: Micros,
@@ -50,14 +52,14 @@
     }
 }
 
-/// What is in flight at one server, and its latest report.
+/// This gate's attempts in flight at one server, and the server's latest load report.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Occupancy {
     /// Number of this gate's attempts in flight.
     pub(crate) in_flight: u32,
-    /// Their tokens, each shared prefix counted once.
+    /// Tokens of the attempts in flight, each shared prefix counted once.
     tokens: u64,
-    /// Their tokens without the shared prefixes.
+    /// Tokens of the attempts in flight without the shared prefixes.
     unshared_tokens: u64,
     prefixes: SmallVec<[SharedPrefix; 2]>,
     report: Option<Report>,
@@ -73,13 +75,13 @@
     tokens: u64,
 }
 
-/// What is kept of a server's load report.
+/// The part of a server's load report that is kept.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     received_at: Micros,
     /// Other gates' requests, running and waiting.
     other_gates: f64,
-    /// Other gates' tokens. Reports without KV-cache usage leave the previous value in place.
+    /// Other gates' tokens. A report without KV-cache usage keeps the previous value.
     other_gates_tokens: Option<TokenReport>,
     slots: Option<u32>,
     kv_cache: Option<u64>,
@@ -93,7 +95,7 @@
     tokens: f64,
 }
 
-/// A report that is not yet too old, and how much it still counts.
+/// A report younger than the maximum age, with its weight, which decreases with age.
 #[derive(Clone, Copy, Debug)]
 struct FreshReport {
     weight: f64,
@@ -168,12 +170,13 @@
         }
     }
 
-    /// Records that the server served a request: the next backoff starts from the first again.
+    /// Records that the server served a request: the next backoff starts at `INITIAL_BACKOFF`
+    /// again.
     pub(crate) fn record_success(&mut self) {
         self.backoff = 0;
     }
 
-    /// When the backoff ends; in the past if there is none.
+    /// Time at which the backoff ends; not in the future if there is none.
     pub(crate) fn backoff_until(&self) -> Micros {
         self.backoff_until
     }
@@ -184,13 +187,13 @@
         (weight > 0.0).then_some(FreshReport { weight, report })
     }
 
-    /// True if requests were waiting in the server's queue at its latest fresh report.
+    /// True if the server's fresh report shows requests waiting in its queue.
     pub(crate) fn has_queue(&self, now: Micros, max_age: Micros) -> bool {
         self.fresh_report(now, max_age)
             .is_some_and(|fresh| fresh.report.waiting > 0)
     }
 
-    /// The estimated load. The pool's averages stand in for what no fresh report says.
+    /// The estimated load. The pool's averages replace reported values as these age.
     pub(crate) fn load(
         &self,
         now: Micros,
@@ -226,7 +229,8 @@
         }
     }
 
-    /// Tokens that one more request would add. A shared prefix that is already in use adds none.
+    /// Number of tokens that one more request would add. A shared prefix that is already in use
+    /// adds none.
     pub(crate) fn added_tokens(&self, demand: TokenDemand) -> u64 {
         let is_in_use = |key| self.prefixes.iter().any(|prefix| prefix.key == key);
         if demand.key.is_some_and(is_in_use) {
@@ -236,7 +240,7 @@
         }
     }
 
-    /// True if one more connection stays within this gate's share.
+    /// True if one more connection stays within this gate's share of the server's connections.
     pub(crate) fn has_connection_capacity(&self, limits: &CapacityLimits) -> bool {
         let even_share = f64::from(limits.connections) / f64::from(limits.gates.max(1));
         let max = (even_share * MAX_CONNECTION_SHARE).max(1.0);
@@ -244,7 +248,7 @@
     }
 }
 
-/// A reported value, mixed with an average as the report ages.
+/// Weighted mean of a reported value and an average; `weight` is that of the reported value.
 fn blend(weight: f64, reported: f64, average: f64) -> f64 {
     weight * reported + (1.0 - weight) * average
 }
--- a/crates/routing/src/occupancy/tests.rs
+++ b/crates/routing/src/occupancy/tests.rs
@@ -71,7 +71,7 @@
     assert_eq!(
         load(&occupancy, 0).active,
         6.0,
-        "what was sent since is added"
+        "attempts sent after the report are added"
     );
     let idle = PoolAverages::default();
     assert_eq!(
@@ -181,13 +181,13 @@
     assert_eq!(
         occupancy.backoff_until(),
         now + INITIAL_BACKOFF * 3,
-        "the delay that the server asks for counts"
+        "the delay that the server requests is used"
     );
 }
 
 #[test]
 fn connections_are_limited_to_twice_the_even_share_and_at_least_one() {
-    let connects = |in_flight, connections, gates| {
+    let has_capacity = |in_flight, connections, gates| {
         let occupancy = Occupancy {
             in_flight,
             ..Occupancy::default()
@@ -198,7 +198,7 @@
             ..limits()
         })
     };
-    assert!(connects(7, 12, 3) && !connects(8, 12, 3));
-    assert!(connects(0, 1, 50) && !connects(1, 1, 50));
-    assert!(connects(1000, 0, 3));
+    assert!(has_capacity(7, 12, 3) && !has_capacity(8, 12, 3));
+    assert!(has_capacity(0, 1, 50) && !has_capacity(1, 1, 50));
+    assert!(has_capacity(1000, 0, 3));
 }
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -1,5 +1,5 @@
-//! Outlier detection (compare Envoy's): servers are ejected for a while for failures or slowness
-//! that the other servers of their group do not show.
+//! Outlier detection, similar to Envoy's: a server is ejected for a limited time for failures or
+//! slowness that the other servers of its group do not show.
 
 use ironmast_balancer::Micros;
 
@@ -18,22 +18,22 @@
 mod group_health;
 mod slowness;
 
-/// An ejection.
+/// The period of an ejection, in microseconds of the decider's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Ejection {
     pub(crate) since: Micros,
     pub(crate) until: Micros,
 }
 
-/// What is known of one server's health.
+/// Outlier-detection state of one server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OutlierDetector {
     failures: FailureStatistics,
     slowness: SlownessStatistics,
     ejection: Option<Ejection>,
-    /// Duration of the latest ejection; 0 once the server has recovered.
+    /// Duration of the latest ejection in microseconds; 0 once the server has recovered.
     ejection_time: Micros,
-    /// A trial request or a health check is in flight.
+    /// Whether a trial request or a health check is in flight.
     pub(crate) has_trial: bool,
 }
 
@@ -52,12 +52,13 @@
         self.slowness.average()
     }
 
-    /// True if the group's slowness matters to the judgement of a first byte.
+    /// True if a first byte that took `ratio` times the route's average has to be compared with the
+    /// group's slowness.
     pub(crate) fn may_be_slow(&self, ratio: f64) -> bool {
         self.ejection.is_some() || self.slowness.is_suspicious(ratio)
     }
 
-    /// The current ejection. It lasts beyond its end, until a trial succeeds.
+    /// The current ejection. After its time is over, it stays in place until a trial succeeds.
     pub(crate) fn ejection(&self) -> Option<Ejection> {
         self.ejection
     }
@@ -68,8 +69,8 @@
         !self.has_trial && self.ejection.is_some_and(is_over)
     }
 
-    /// Judges the server by the end of an attempt that was sent at `sent_at`. Returns the cause if
-    /// this ejects the server.
+    /// Records the outcome of an attempt that was sent at `sent_at`. Returns the cause if this
+    /// ejects the server.
     pub(crate) fn attempt_finished(
         &mut self,
         now: Micros,
@@ -85,8 +86,8 @@
             Outcome::Reset | Outcome::MalformedResponse | Outcome::Truncated { .. } => {
                 self.failures.record_broken_response();
             }
-            // Rejections for lack of capacity are load, not a fault. What else is left is the
-            // gate's or the client's doing.
+            // Rejections for lack of capacity show load, not a fault of the server. The other
+            // outcomes are caused by the gate or the client.
             Outcome::NotExecuted { .. } if !Guard::OverloadIsNoFailure.on() => {
                 self.failures.record_error();
             }
@@ -97,7 +98,7 @@
             | Outcome::Cancelled => return None,
         }
         let cause = self.failures.ejection_cause(group)?;
-        // An attempt from before the ejection does not prolong it while it lasts.
+        // An attempt that was sent before the end of the ejection does not prolong it.
         let is_relevant = |ejection: Ejection| sent_at >= ejection.until || ejection.until <= now;
         if self.ejection.is_none_or(is_relevant) {
             self.eject(now, ejection_time);
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Judges the server by a first byte. Returns the cause if this ejects the server.
+    /// Records the time to a first byte. Returns the cause if this ejects the server.
     pub(crate) fn first_byte_received(
         &mut self,
         now: Micros,
@@ -120,8 +121,8 @@
             return None;
         }
         let ejects = if self.ejection.is_some() {
-            // A slow trial prolongs the ejection, so that no response to a request sent before now
-            // ends it.
+            // A slow trial prolongs the ejection from now on, so that no response to a request sent
+            // earlier, the trial included, ends it.
             first_byte.is_slow(group)
         } else {
             self.slowness.ejects(first_byte, group)
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Ejects a server that owes a response, from which nothing was received for long, and whose
-    /// health check failed. Returns the cause if this ejects the server.
+    /// Ejects a server that has responses outstanding, sent nothing for a long time and failed its
+    /// health check. Returns the cause if this ejects the server.
     pub(crate) fn eject_unresponsive(
         &mut self,
         now: Micros,
@@ -165,7 +166,8 @@
 
     fn record_success(&mut self, sent_at: Micros) {
         self.failures.record_success();
-        // A response to a request from before the ejection does not show that the fault is over.
+        // A response to a request that was sent before the ejection does not show that the fault is
+        // over.
         if self
             .ejection
             .is_some_and(|ejection| sent_at >= ejection.since)
--- a/crates/routing/src/outlier/cause.rs
+++ b/crates/routing/src/outlier/cause.rs
@@ -1,14 +1,15 @@
-//! Why a server was ejected.
+//! The causes of an ejection.
 
 /// Why a server was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionCause {
-    /// Its attempts fail more often than those of its group.
+    /// Attempts at the server fail more often than those at the rest of its group.
     Failing,
-    /// No connection is established.
+    /// Connections to the server could not be established.
     Unreachable,
-    /// Its first bytes are late compared with its group's.
+    /// The server's times to the first byte are long compared with its group's.
     Slow,
-    /// It owes responses, nothing is received from it, and its health check failed.
+    /// Responses are outstanding, nothing was received from the server, and its health check
+    /// failed.
     Unresponsive,
 }
--- a/crates/routing/src/outlier/failures.rs
+++ b/crates/routing/src/outlier/failures.rs
@@ -6,39 +6,41 @@
 
 /// Weight of an error response or a time-out in the short-term failure rate.
 const WEIGHT_ERROR: f32 = 0.25;
-/// Weight of a connection that could not be established: stronger evidence of a fault than an
-/// error.
+/// Weight of a connection that could not be established, which is stronger evidence of a fault than
+/// an error response.
 const WEIGHT_UNREACHABLE: f32 = 0.3;
-/// Weight of a lost connection or a malformed response: weaker evidence of a fault than an error.
+/// Weight of a lost connection or a malformed response, which is weaker evidence of a fault than an
+/// error response.
 const WEIGHT_BROKEN: f32 = 0.15;
-/// Weight of a sample in the long-term failure rate, which finds servers that fail a part of their
-/// requests.
+/// Weight of a sample in the long-term failure rate, which detects servers that fail only a part of
+/// their requests.
 const WEIGHT_LONG_TERM: f32 = 0.04;
-/// Excess of the short-term failure rate over the group's that ejects.
+/// Excess of the short-term failure rate over the group's at which a server is ejected.
 const SHORT_TERM_EXCESS: f32 = 0.5;
-/// Excess of the long-term failure rate over the group's that ejects.
+/// Excess of the long-term failure rate over the group's at which a server is ejected.
 const LONG_TERM_EXCESS: f32 = 0.15;
-/// The long-term failure rate must also be this multiple of the group's: where most servers fail,
-/// the cause is not a single one.
+/// Multiple of the group's long-term failure rate that the server's must also reach: where most
+/// servers fail, the cause is not a single server.
 const LONG_TERM_RATIO: f32 = 2.0;
-/// Both rates must exceed the bound by this many standard deviations: where all servers fail at
-/// times, some look worse by chance.
+/// Number of standard deviations by which both rates must exceed their bounds: where all servers
+/// fail at times, some look worse by chance.
 const DEVIATIONS: f32 = 2.5;
-/// Number of attempts before the long-term failure rate ejects.
+/// Minimum number of attempts before the long-term failure rate ejects a server.
 const LONG_TERM_SAMPLES: u32 = 15;
-/// Number of consecutive failures that eject.
+/// Number of consecutive failures at which a server is ejected.
 const CONSECUTIVE_FAILURES: u16 = 4;
 /// Consecutive failures eject only while the group's long-term failure rate is below this.
 const MAX_GROUP_FAILURES: f32 = 0.1;
-/// Number of consecutive failed connects that eject even if most of the group is ejected.
+/// Number of consecutive failed connection attempts at which a server is ejected, even if most of
+/// the group is ejected.
 const CONSECUTIVE_CONNECT_FAILURES: u16 = 2;
-/// A server that returns to service starts with this fraction of the long-term excess that ejects,
-/// so that a single failure soon afterwards ejects it again.
+/// Fraction of `LONG_TERM_EXCESS` to which the long-term failure rate of a server is lowered when it
+/// returns to service, so that a single failure soon afterwards ejects it again.
 const PROBATION_SHARE: f32 = 0.8;
-/// Short-term failure rate below which the next ejection starts from the first duration again.
+/// Short-term failure rate below which the next ejection has the minimum duration again.
 const RECOVERED_FAILURES: f32 = 0.05;
 
-/// The failures of one server's attempts.
+/// Failure statistics of the attempts at one server.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FailureStatistics {
     short_term_rate: f32,
@@ -57,7 +59,7 @@
         self.long_term_rate
     }
 
-    /// True if the next ejection starts from the first duration again.
+    /// True if the next ejection has the minimum duration again.
     pub(super) fn has_recovered(&self) -> bool {
         self.short_term_rate < RECOVERED_FAILURES
     }
@@ -93,7 +95,7 @@
         self.consecutive_connects = 0;
     }
 
-    /// Records a sample of the failure rates: 1 for a failure, 0 for a success.
+    /// Adds a sample to the failure rates: 1 for a failure, 0 for a success.
     fn record_sample(&mut self, failed: f32, weight: f32) {
         self.attempts = self.attempts.saturating_add(1);
         self.short_term_rate += weight * (failed - self.short_term_rate);
@@ -101,7 +103,8 @@
         self.long_term_rate += weight * (failed - self.long_term_rate);
     }
 
-    /// Puts the server on probation: its next failure counts for more than a first one.
+    /// Puts the server on probation: the failure rates are lowered only so far that fewer failures
+    /// than at first eject it again.
     pub(super) fn start_probation(&mut self) {
         self.short_term_rate = self.short_term_rate.min(SHORT_TERM_EXCESS / 2.0);
         let probation = LONG_TERM_EXCESS * PROBATION_SHARE;
@@ -140,8 +143,8 @@
     }
 }
 
-/// Deviation that a moving average with that sample weight shows by chance if failures occur at
-/// that rate.
+/// Deviation that an exponentially weighted average with the sample weight `weight` shows by chance
+/// if failures occur at `rate`.
 fn noise(rate: f32, weight: f32) -> f32 {
     DEVIATIONS * (rate * (1.0 - rate) * weight / (2.0 - weight)).sqrt()
 }
--- a/crates/routing/src/outlier/group_health.rs
+++ b/crates/routing/src/outlier/group_health.rs
@@ -1,11 +1,11 @@
-//! The health of a group of servers, with which one of them is compared.
+//! Health of a server's group, which is the baseline of outlier detection.
 
 use crate::guards::Guard;
 
-/// Health of the other servers in a group.
+/// Health of a server's group, without the server itself except in `count`.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct GroupHealth {
-    /// Number of listed servers, the one that is judged included.
+    /// Number of listed servers in the group, including the server itself.
     pub(crate) count: usize,
     /// Number of other servers that are ejected.
     pub(crate) ejected: usize,
@@ -13,7 +13,7 @@
     pub(crate) short_term_failures: f32,
     /// Median of the others' long-term failure rates.
     pub(crate) long_term_failures: f32,
-    /// Median of the others' slowness; 0 if unknown.
+    /// Median of the others' slowness (see `SlownessStatistics`); 0 if unknown.
     pub(crate) slowness: f32,
 }
 
--- a/crates/routing/src/outlier/slowness.rs
+++ b/crates/routing/src/outlier/slowness.rs
@@ -1,43 +1,43 @@
-//! How long one server takes to the first byte, compared with its group.
+//! Time to the first byte of one server, compared with its group. Slowness is the time as a
+//! multiple of the route's average; lateness is the time as a fraction of the latency objective.
 
 use super::group_health::GroupHealth;
 use crate::guards::Guard;
 
-/// Weight of a sample in the averages of slowness and lateness.
+/// Minimum weight of a sample in the averages of slowness and lateness.
 const WEIGHT_FIRST_BYTE: f32 = 0.1;
-/// Multiple of the group's slowness that ejects.
+/// Multiple of the group's slowness above which a server is ejected.
 const SLOWNESS_RATIO: f32 = 3.0;
-/// Number of first bytes before slowness ejects.
+/// Minimum number of first bytes before slowness ejects a server.
 const FIRST_BYTE_SAMPLES: u32 = 8;
-/// Number of first bytes before slowness ejects a server that returned to service.
+/// Minimum number of first bytes before slowness ejects a server that returned to service.
 const PROBATION_SAMPLES: u32 = 3;
-/// Slowness matters only if the first bytes take at least this fraction of the latency objective.
+/// Lateness above which slowness matters.
 const MIN_LATENESS: f32 = 0.35;
-/// Slowness ejects only while the server's utilization is at most this.
+/// Maximum utilization at which slowness ejects a server.
 const MAX_UTILIZATION_FOR_SLOWNESS: f64 = 0.4;
-/// One first byte counts as at most this many times the average, and as this multiple of the
-/// latency objective.
+/// Upper bound of the slowness and of the lateness of a single first byte.
 const MAX_SLOWNESS: f32 = 20.0;
-/// Slowness from which the group's slowness has to be computed for a judgement.
+/// Average slowness above which a server is compared with its group.
 const SUSPICIOUS_SLOWNESS: f32 = 1.5;
 
 /// The time that a first byte took.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FirstByte {
-    /// As a multiple of the route's average.
+    /// Time as a multiple of the route's average.
     pub(crate) ratio: f64,
-    /// As a fraction of the latency objective.
+    /// Time as a fraction of the latency objective.
     pub(crate) lateness: f64,
-    /// The server's utilization at that time.
+    /// Utilization of the server when the first byte arrived.
     pub(crate) utilization: f64,
 }
 
 /// Exponentially weighted averages of the time to the first byte.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlownessStatistics {
-    /// As a multiple of the routes' averages.
+    /// Average time as a multiple of the routes' averages.
     slowness: f32,
-    /// As a fraction of the latency objective.
+    /// Average time as a fraction of the latency objective.
     lateness: f32,
     samples: u32,
 }
@@ -63,12 +63,12 @@
         self.lateness += weight * (lateness.min(MAX_SLOWNESS) - self.lateness);
     }
 
-    /// Whether the averages eject the server, where the group's slowness is known.
+    /// Whether the averages eject the server. The group's slowness must be known.
     pub(super) fn ejects(&self, first_byte: FirstByte, group: GroupHealth) -> bool {
         let is_slow = self.slowness > SLOWNESS_RATIO * group.slowness
             && self.lateness > MIN_LATENESS
             && self.samples >= FIRST_BYTE_SAMPLES;
-        // A loaded server is slow because of its load, and ejecting it would overload others.
+        // A loaded server is slow because of its load, and ejecting it would overload the others.
         let is_loaded =
             first_byte.utilization > MAX_UTILIZATION_FOR_SLOWNESS && Guard::LoadedIsNotSlow.on();
         is_slow && !is_loaded && group.allows_ejection()
@@ -83,13 +83,13 @@
 }
 
 impl FirstByte {
-    /// Whether this first byte alone is slow, where the group's slowness is known.
+    /// Whether this first byte alone is slow. The group's slowness must be known.
     pub(super) fn is_slow(self, group: GroupHealth) -> bool {
         self.bounded_ratio() > SLOWNESS_RATIO * group.slowness
             && self.lateness as f32 > MIN_LATENESS
     }
 
-    /// The ratio as it counts in an average.
+    /// The ratio, limited to `MAX_SLOWNESS`.
     fn bounded_ratio(self) -> f32 {
         (self.ratio as f32).min(MAX_SLOWNESS)
     }
--- a/crates/routing/src/outlier/tests.rs
+++ b/crates/routing/src/outlier/tests.rs
@@ -5,7 +5,7 @@
     max: 8000,
 };
 
-/// A group of four servers of which the others are healthy.
+/// A group of four servers in which the other three are healthy.
 fn healthy_group() -> GroupHealth {
     GroupHealth {
         count: 4,
@@ -24,7 +24,8 @@
     }
 }
 
-/// Number of attempts with that outcome until the server is ejected, at most 100, and the cause.
+/// Number of attempts with `outcome` until the server is ejected, and the cause; `None` if 100
+/// attempts do not eject it.
 fn until_ejected(
     detector: &mut OutlierDetector,
     outcome: &Outcome,
@@ -222,7 +223,10 @@
     };
     let (ejected, mut detector) = slow(first_byte(6.0), healthy_group());
     assert!(ejected);
-    assert!(!slow(first_byte(2.0), healthy_group()).0, "not so slow");
+    assert!(
+        !slow(first_byte(2.0), healthy_group()).0,
+        "less than three times the group's slowness"
+    );
     assert!(
         !slow(
             first_byte(6.0),
--- a/crates/routing/src/prefill.rs
+++ b/crates/routing/src/prefill.rs
@@ -6,7 +6,7 @@
 
 use crate::peer_report::{MAX_PEERS, PEER_REPORT_TTL};
 
-/// A prompt counts for at most this many tokens, whatever its client claims.
+/// Maximum number of tokens that a prompt counts for, since its client may declare any length.
 const MAX_PROMPT_TOKENS: u64 = 1 << 20;
 
 /// Number of tokens that a prompt adds to the backlog of a server that has `cached` of them in its
@@ -15,7 +15,7 @@
     prompt_tokens.saturating_sub(cached).min(MAX_PROMPT_TOKENS)
 }
 
-/// One peer's latest report on a server.
+/// The latest report of a peer gate on its tokens at a server.
 #[derive(Clone, Copy, Debug)]
 struct PeerBacklog {
     peer: u64,
@@ -41,12 +41,13 @@
         self.own = self.own.saturating_sub(tokens);
     }
 
-    /// Tokens of this gate.
+    /// Number of this gate's tokens.
     pub(crate) fn own(&self) -> u64 {
         self.own
     }
 
-    /// Records a peer's tokens in place of its previous report, and drops expired reports.
+    /// Replaces a peer's report and drops expired reports. Reports of further peers are ignored
+    /// once `MAX_PEERS` are kept.
     pub(crate) fn record_peer(&mut self, now: Micros, peer: u64, tokens: u64) {
         self.peers
             .retain(|known| known.peer != peer && is_fresh(*known, now));
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Tokens of this gate and of all peers with a fresh report.
+    /// Number of tokens of this gate and of all peers with a fresh report.
     pub(crate) fn total(&self, now: Micros) -> u64 {
         let fresh = self.peers.iter().filter(|known| is_fresh(**known, now));
         let tokens = fresh.map(|known| known.tokens);
--- a/crates/routing/src/prefill_rate.rs
+++ b/crates/routing/src/prefill_rate.rs
@@ -1,17 +1,19 @@
-//! The prefill rate of a service's servers: linear regression of the time to the first byte over
-//! the tokens pending prefill. The intercept holds what does not depend on tokens, such as the
-//! network round trip.
+//! The prefill rate of a service's servers, by linear regression of the time to the first byte on
+//! the tokens pending prefill. The intercept is the time that does not depend on tokens, such as
+//! the network round trip.
 
 use ironmast_balancer::Micros;
 
 /// Factor by which the weight of earlier samples decays with each new one.
 const DECAY: f64 = 0.99;
-/// A sample counts for at most this multiple of the expected time.
+/// Multiple of the expected time to which a sample is limited, so that one outlier hardly changes
+/// the rate.
 const MAX_SAMPLE_RATIO: f64 = 4.0;
-/// Where the lengths vary by less than this fraction, as a variance, no slope can be fitted and the
-/// whole time is attributed to the tokens.
+/// Minimum of `n * sum(t^2) - sum(t)^2` as a fraction of `sum(t^2)`, over `n` samples of `t`
+/// tokens. Below it the lengths vary too little to fit a slope, and the whole time is attributed to
+/// the tokens.
 const MIN_VARIANCE_SHARE: f64 = 0.01;
-/// Number of sampled tokens from which the rate is known.
+/// Number of sampled tokens, after decay, from which the rate is known.
 const MIN_TOKENS: f64 = 20_000.0;
 
 /// Running sums of a least-squares fit, with exponential decay.
@@ -25,8 +27,8 @@
 }
 
 impl PrefillRate {
-    /// Records the time to a first byte, and the tokens that were prefilled in it: those of the
-    /// request and those ahead of it.
+    /// Records a time to the first byte, and the number of tokens that were prefilled in this time:
+    /// those of the request and those ahead of it.
     pub(crate) fn record(&mut self, tokens: u64, elapsed: Micros) {
         let tokens = tokens as f64;
         let elapsed = self.bounded(tokens, elapsed as f64);
@@ -50,7 +52,7 @@
         self.tokens >= MIN_TOKENS
     }
 
-    /// Microseconds per token.
+    /// Fitted time per token, in microseconds.
     fn slope(&self) -> f64 {
         let variance = self.count * self.tokens_squared - self.tokens * self.tokens;
         if variance <= self.tokens_squared * MIN_VARIANCE_SHARE {
@@ -65,7 +67,7 @@
         ((self.elapsed - self.slope() * self.tokens) / self.count).max(0.0)
     }
 
-    /// Time to prefill that many tokens, in microseconds; 0 while the rate is unknown.
+    /// Time to prefill `tokens` tokens, in microseconds; 0 while the rate is unknown.
     pub(crate) fn time_for(&self, tokens: u64) -> f64 {
         if self.is_known() {
             tokens as f64 * self.slope()
--- a/crates/routing/src/round_robin.rs
+++ b/crates/routing/src/round_robin.rs
@@ -1,6 +1,6 @@
-//! Load balancing without a key: shuffled round robin combined with the power of two choices. A
-//! group's servers are used in a shuffled order, and of the next two usable ones the less loaded is
-//! taken.
+//! Load balancing without an affinity key: shuffled round robin combined with the power of two
+//! choices. A group's servers are used in a shuffled order, and of the next two usable servers the
+//! less loaded one is picked.
 
 use ironmast_balancer::Rng;
 
@@ -9,7 +9,7 @@
 /// The order in which a group's servers are used.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ShuffledRoundRobin {
-    /// Version of the table that the members were last compared with.
+    /// Version of the table with which the members were last compared.
     pub(crate) table_version: u64,
     /// Indexes of the servers in the endpoint table; those before `next` have been used in this
     /// round.
@@ -18,7 +18,8 @@
 }
 
 impl ShuffledRoundRobin {
-    /// Sets the members, given in ascending order. The round goes on if they are the same.
+    /// Sets the members, given in ascending order. The current round continues if they are
+    /// unchanged.
     pub(crate) fn set_members(&mut self, servers: Vec<u32>) {
         let mut members = self.order.clone();
         members.sort_unstable();
@@ -28,9 +29,9 @@
         }
     }
 
-    /// Picks a server. `load` returns the load of a usable server and `None` for others. Of the
-    /// next two usable servers the less loaded one is picked, of equals the one that
-    /// `is_preferred` holds for; the other one stays next.
+    /// Picks a server; `None` if none is usable. `load` returns the load of a usable server and
+    /// `None` for others. Of the next two usable servers the less loaded one is picked, or at equal
+    /// load the one for which `is_preferred` holds; the other one remains next in the order.
     pub(crate) fn pick(
         &mut self,
         rng: &mut Rng,
@@ -57,13 +58,13 @@
         Some(picked)
     }
 
-    /// Index and load of the first usable server from an index on.
+    /// Index and load of the first usable server at or after an index.
     fn next_usable(&self, from: usize, load: &impl Fn(u32) -> Option<f64>) -> Option<(usize, f64)> {
         let mut rest = self.order.iter().enumerate().skip(from);
         rest.find_map(|(index, server)| Some((index, load(*server)?)))
     }
 
-    /// Starts a new round in another order (Fisher and Yates).
+    /// Starts a new round in a random order (Fisher-Yates shuffle).
     fn shuffle(&mut self, rng: &mut Rng) {
         for index in (1..self.order.len()).rev() {
             let other = (rng.unit() * (index + 1) as f64) as usize;
--- a/crates/routing/src/round_robin/tests.rs
+++ b/crates/routing/src/round_robin/tests.rs
@@ -24,7 +24,7 @@
         orders.push(order);
     }
     orders.dedup();
-    assert_eq!(orders.len(), 20, "each in another order");
+    assert_eq!(orders.len(), 20, "consecutive rounds have different orders");
 }
 
 #[test]
@@ -36,7 +36,7 @@
         assert_eq!(
             round_robin.pick(&mut rng, load, |_| false),
             Some(0),
-            "but it is even in the end"
+            "the other server follows in the same round"
         );
     }
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,5 +1,5 @@
 //! Immutable routing tables of routes, services and servers. A table is validated and built as a
-//! whole, shared by reference and replaced as a whole, so that no decision sees half an update.
+//! whole, shared by reference and replaced as a whole, so that no decision sees a partial update.
 
 mod error;
 mod regions;
@@ -21,7 +21,7 @@
 };
 use validation::{ServiceIndex, index_services, shortest_objectives, validate_route};
 
-/// Routes, services and servers at one moment.
+/// An immutable snapshot of routes, services and servers.
 #[derive(Debug)]
 pub struct Table {
     /// Number of gates that share the servers, at least 1.
@@ -50,11 +50,11 @@
 }
 
 impl Table {
-    /// Validates the routes and services and builds a table. Servers of unknown services are left
-    /// out.
+    /// Validates the routes and services and builds a table. Servers of unknown services and
+    /// repeated instances are left out.
     ///
     /// # Errors
-    /// Names the first fault of a route, a service or the regions.
+    /// The first invalid route or service, or that there are more regions than a region set holds.
     pub fn build(spec: TableSpec) -> Result<Table, TableError> {
         let service_index = index_services(&spec.services)?;
         let routes: Result<Vec<Arc<Route>>, TableError> = spec
@@ -73,8 +73,9 @@
         table.with_servers(spec.gates, spec.servers)
     }
 
-    /// A table of the same routes and services with other servers. This is cheap, because the
-    /// membership changes more often than the configuration.
+    /// Builds a table with the same routes and services and other servers. Routes and services are
+    /// shared rather than rebuilt, because the membership changes more often than the
+    /// configuration.
     ///
     /// # Errors
     /// There are more regions than a region set holds.
@@ -109,7 +110,7 @@
         })
     }
 
-    /// The routes by host and path prefix.
+    /// Lookup of routes by host and path prefix.
     #[must_use]
     pub fn router(&self) -> &Router {
         &self.router
@@ -120,7 +121,7 @@
         Arc::ptr_eq(&self.router, &other.router)
     }
 
-    /// The services in the order of the specification.
+    /// The services, in the order of [`TableSpec::services`].
     #[must_use]
     pub fn services(&self) -> &[ServiceSpec] {
         &self.services
--- a/crates/routing/src/table/regions.rs
+++ b/crates/routing/src/table/regions.rs
@@ -1,4 +1,4 @@
-//! Regions of one table as small integers, and sets of them as one machine word.
+//! Regions of one table as small integers, and sets of regions as 64-bit masks.
 
 /// Index of a region in one table. Another table may number the regions differently.
 pub(crate) type RegionId = u8;
@@ -15,7 +15,7 @@
     /// Maximum number of regions that a set holds.
     pub(crate) const CAPACITY: usize = 64;
 
-    /// The set as a number: bit `n` stands for region `n`.
+    /// The set as a bit mask: bit `n` stands for region `n`.
     pub(crate) fn bits(self) -> u64 {
         self.0
     }
--- a/crates/routing/src/table/router.rs
+++ b/crates/routing/src/table/router.rs
@@ -19,8 +19,8 @@
 #[derive(Debug, Default)]
 struct HostRoutes {
     by_prefix: FxHashMap<Box<str>, Arc<Route>>,
-    /// The distinct lengths of the prefixes in descending order. A lookup tries only these prefixes
-    /// of a path.
+    /// The distinct lengths of the prefixes in bytes, in descending order. A lookup tries only
+    /// these prefixes of a path.
     prefix_lengths: Vec<usize>,
 }
 
@@ -53,9 +53,9 @@
         Ok(router)
     }
 
-    /// The route for a `Host` header, compared without case, and a request target, of which the
-    /// query and fragment are ignored. The port in the header matters only to routes whose host
-    /// names a port.
+    /// The route for a `Host` header and a request target. Hosts are compared case-insensitively,
+    /// and the port in the header matters only to routes whose host names a port. The query and
+    /// fragment of the target are ignored.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = lowercase(host);
@@ -78,7 +78,7 @@
         self.count == 0
     }
 
-    /// Every route, in no particular order.
+    /// All routes, in no particular order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts
             .values()
@@ -89,18 +89,18 @@
 impl HostRoutes {
     /// The route with the longest prefix of a path.
     fn longest_prefix(&self, path: &str) -> Option<&Arc<Route>> {
-        // Every prefix ends with a slash, so a length at which the path has none cannot match, and
-        // the slice below falls on a character boundary.
+        // Every prefix ends with a slash, so a prefix can match only where the path has a slash at
+        // its last byte. This also puts the end of the slice below on a character boundary.
         let ends_with_slash = |length: &&usize| path.as_bytes().get(**length - 1) == Some(&b'/');
         let mut lengths = self.prefix_lengths.iter().filter(ends_with_slash);
         lengths.find_map(|length| self.by_prefix.get(&path[..*length]))
     }
 }
 
-/// A host without its port; `None` if it has none.
+/// The host without its port; `None` if it has no port.
 fn without_port(host: &str) -> Option<&str> {
     let (name, port) = host.rsplit_once(':')?;
-    // The colons inside a bracketed IPv6 address do not introduce a port.
+    // Colons inside a bracketed IPv6 address do not introduce a port.
     let is_port = port.bytes().all(|byte| byte.is_ascii_digit()) && !name.ends_with(':');
     is_port.then_some(name)
 }
--- a/crates/routing/src/table/spec.rs
+++ b/crates/routing/src/table/spec.rs
@@ -9,9 +9,9 @@
 /// Whether a request of a route may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// A stream of server-sent events. Where `resumable`, another server may continue it.
+    /// The response is a stream of server-sent events.
     Stream {
-        /// Another server may continue after the last complete event.
+        /// Whether another server may continue the stream after the last complete event.
         resumable: bool,
     },
     /// A request may be executed any number of times.
@@ -49,9 +49,9 @@
     pub host: Box<str>,
     /// Path prefix that the route matches. It begins and ends with a slash.
     pub prefix: Box<str>,
-    /// Whether requests may be executed more than once.
+    /// Whether a request may be executed more than once.
     pub kind: RouteKind,
-    /// The services behind the route.
+    /// The services behind the route, with the weights of the traffic split.
     pub backends: Vec<WeightedBackend>,
     /// Maximum number of servers that one request may reach, the first attempt included.
     pub max_attempts: u32,
@@ -59,11 +59,11 @@
     pub timeout_ms: u64,
     /// Latency objective, in milliseconds. 0 means that none is configured.
     pub target_latency_ms: u64,
-    /// Longest acceptable gap between two events of a stream, in milliseconds.
+    /// Maximum gap between two events of a stream, in milliseconds; `None` means unlimited.
     pub max_event_gap_ms: Option<u64>,
     /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Requests that share leading prompt parts go to the same server.
+    /// Whether requests that share a prompt prefix go to the same server.
     pub affinity: bool,
     /// Regions whose servers may serve the route. Empty means every region.
     pub allowed_regions: Vec<Box<str>>,
@@ -74,7 +74,7 @@
 pub struct ServiceSpec {
     /// Name of the service, unique in its table.
     pub name: Arc<str>,
-    /// Path of the health check.
+    /// Request path of the health check.
     pub health_check: Box<str>,
     /// Slots of a server that reports no capacity of its own. 0 means unknown.
     pub slots: u32,
@@ -89,20 +89,20 @@
 /// The state that a server announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It accepts requests.
+    /// The server accepts requests.
     Ready,
-    /// It is shutting down gracefully and receives no new requests.
+    /// The server is shutting down gracefully and receives no new requests.
     Draining,
 }
 
 /// One incarnation of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerSpec {
-    /// Identity of the incarnation.
+    /// Identifier of the incarnation. A table keeps only the first server with the same one.
     pub instance: Arc<str>,
-    /// The service that it belongs to.
+    /// Name of the server's service.
     pub service: Arc<str>,
-    /// Address that it listens on.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     /// Zone of the server.
     pub zone: Arc<str>,
@@ -110,18 +110,18 @@
     pub region: Arc<str>,
     /// Number of slots. 0 means the service's default.
     pub capacity: u32,
-    /// The state that it announced last.
+    /// The state that the server announced last.
     pub state: ServerState,
-    /// Its zone is evacuated.
+    /// Whether the server's zone is evacuated.
     pub evacuated: bool,
-    /// It is warming up, and may be sent a request only under a permit.
+    /// Whether the server is warming up, so that each request to it needs a permit.
     pub warming_up: bool,
-    /// Clock reading since which heartbeats are missing; `None` while they arrive.
+    /// Time since which heartbeats are missing, in microseconds; `None` while they arrive.
     pub heartbeats_missing_since: Option<Micros>,
-    /// Names of the models that it serves. Empty means that it announces no models.
+    /// Names of the models that the server serves. Empty means that it announced none.
     pub models: Vec<Box<str>>,
-    /// Increases with each announcement of the server. A newer one makes a server that answered
-    /// 421 eligible again.
+    /// Sequence number of the server's announcement. A higher one makes a server that answered 421
+    /// eligible again.
     pub sequence: u64,
 }
 
--- a/crates/routing/src/table/tests.rs
+++ b/crates/routing/src/table/tests.rs
@@ -26,7 +26,7 @@
         services: vec![service("desk")],
         ..TableSpec::default()
     };
-    Table::build(spec).expect_err("not a table")
+    Table::build(spec).expect_err("an invalid specification")
 }
 
 #[test]
@@ -70,7 +70,7 @@
         services: vec![service("desk"), service("desk")],
         ..TableSpec::default()
     };
-    let error = Table::build(spec).expect_err("not a table");
+    let error = Table::build(spec).expect_err("an invalid specification");
     assert_eq!(
         error,
         TableError::DuplicateService {
--- a/crates/routing/src/table/validation.rs
+++ b/crates/routing/src/table/validation.rs
@@ -1,4 +1,5 @@
-//! Validation of a table's routes and services, and what is derived from them once.
+//! Validation of a table's routes and services, and the values that are derived from them once per
+//! configuration.
 
 use std::sync::Arc;
 
@@ -8,7 +9,7 @@
 use super::route::Route;
 use super::spec::{RouteSpec, ServiceSpec};
 
-/// Index of each service by name.
+/// Positions of the services by name.
 pub(super) type ServiceIndex = FxHashMap<Arc<str>, u32>;
 
 /// Indexes services by name.
@@ -30,7 +31,7 @@
 /// Validates one route.
 ///
 /// # Errors
-/// Names the first fault of the route.
+/// The first invalid part of the route.
 pub(super) fn validate_route(
     spec: RouteSpec,
     services: &ServiceIndex,
@@ -60,7 +61,7 @@
 }
 
 /// The shortest latency objective among the routes of each service, in milliseconds, by the index
-/// of the service. 0 where no route leads to a service.
+/// of the service; 0 for a service without a route.
 pub(super) fn shortest_objectives(routes: &[Arc<Route>], services: &ServiceIndex) -> Vec<u64> {
     let mut shortest: Vec<u64> = vec![0; services.len()];
     for route in routes {
