--- a/crates/transport/src/frames.rs
+++ b/crates/transport/src/frames.rs
@@ -1,15 +1,15 @@
-//! Messages between processes over many links: `postcard` values in frames, each a length of four
-//! bytes (big endian) followed by that many bytes, over connections that begin with a [`Hello`] in
-//! both directions.
+//! Message links between processes. Messages are encoded by `postcard` and sent in frames; a frame
+//! is a length of four bytes (big endian) followed by that many bytes. Each connection begins with
+//! a handshake, a [`Hello`] in each direction.
 //!
 //! [`MessageTransport`] is the interface. [`TcpTransport`] implements it over sockets;
 //! [`MemoryTransport`] implements it in memory, under a simulated clock and with faults that the
-//! caller injects. `tests/message_transport.rs` is the contract that both fulfil.
+//! caller injects. `tests/message_transport.rs` is the contract test of both.
 //!
-//! Used by: no process of the system at present; its codec and the encoding of messages are those
-//! of [`link`](crate::link), which the processes use and which has no handshake. The two differ in
-//! what they write first on a connection, so neither can replace the other without a change of
-//! protocol.
+//! No process of the system uses these transports at present. The processes use
+//! [`link`](crate::link), which shares the codec and the encoding of messages but has no handshake;
+//! since the two write different bytes first on a connection, neither can replace the other without
+//! a change of protocol.
 
 mod codec;
 mod hello;
@@ -35,16 +35,19 @@
 /// Limits of a transport's links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkOptions {
-    /// The longest message in bytes; a longer frame ends the link before it is read.
+    /// Maximum length of a message in bytes. A longer frame ends the link before its payload is
+    /// read.
     pub max_frame_bytes: usize,
     /// Limits of the send queue of one link.
     pub queue: QueueLimits,
-    /// Events that may be queued for the owner of a transport; links are not read while so many are.
+    /// Maximum number of events queued for the owner of a transport. Links are not read while the
+    /// queue is full.
     pub max_queued_events: usize,
-    /// A link that is not up, with both handshakes, within this has failed.
+    /// Time limit for opening a link, both handshakes included. A link that is not up by then has
+    /// failed.
     pub connect_timeout: Duration,
-    /// A peer that acknowledges nothing for this long has failed. TCP keepalive counts in whole
-    /// seconds, so it may take up to two seconds more where nothing is in flight.
+    /// Time without an acknowledgement after which a peer has failed. TCP keepalive counts in whole
+    /// seconds, so detection may take up to two seconds longer while nothing is in flight.
     pub peer_timeout: Duration,
 }
 
@@ -63,16 +66,16 @@
 /// Why a frame does not hold a message, or a message does not fit into a frame.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// It is longer than the limit.
+    /// The frame is longer than the limit.
     #[error("a frame is longer than {max_bytes} bytes")]
     TooLong {
-        /// The limit.
+        /// The limit in bytes.
         max_bytes: usize,
     },
-    /// Its bytes do not encode a message of the expected type.
+    /// The payload does not decode as a message of the expected type.
     #[error("a frame does not hold a message: {0}")]
     Malformed(postcard::Error),
-    /// The connection ended within it.
+    /// The connection ended within the frame.
     #[error("the connection ended within a frame")]
     Truncated,
 }
@@ -86,7 +89,7 @@
     }
 }
 
-/// Decodes a message from the payload of a frame, of which it must take all bytes.
+/// Decodes a message from the payload of a frame. Trailing bytes are an error.
 pub(crate) fn decode<M: DeserializeOwned>(frame: &[u8]) -> Result<M, FrameError> {
     match postcard::take_from_bytes(frame).map_err(FrameError::Malformed)? {
         (message, []) => Ok(message),
--- a/crates/transport/src/frames/codec.rs
+++ b/crates/transport/src/frames/codec.rs
@@ -1,20 +1,20 @@
-//! Frames on the wire: a length of four bytes, big endian, followed by that many bytes.
+//! The codec of frames: a length of four bytes, big endian, followed by that many bytes.
 //!
-//! tokio-util's `LengthDelimitedCodec` is not used: it takes a connection that ends right behind a
-//! length for one that ends between frames.
+//! tokio-util's `LengthDelimitedCodec` is not used, because it treats a connection that ends right
+//! after a length as one that ends between two frames.
 
 use bytes::{Buf as _, BufMut as _, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
 
 use super::{FrameError, LinkErrorKind};
 
-/// Bytes of the length in front of a frame.
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Reads and writes frames up to a limit.
+/// Reads and writes frames up to a maximum length.
 #[derive(Debug)]
 pub(crate) struct FrameCodec {
-    /// The longest frame in bytes.
+    /// Maximum length of a frame's payload in bytes.
     pub(crate) max_bytes: usize,
 }
 
@@ -27,7 +27,8 @@
             return Ok(None);
         };
         let length = u32::from_be_bytes(length) as usize;
-        // Guards the memory against lengths that are not lengths, such as another protocol's bytes.
+        // Bounds the memory that is reserved when the bytes are not a length, such as those of
+        // another protocol.
         if length > self.max_bytes {
             return Err(FrameError::TooLong {
                 max_bytes: self.max_bytes,
--- a/crates/transport/src/frames/hello.rs
+++ b/crates/transport/src/frames/hello.rs
@@ -4,52 +4,52 @@
 
 use super::{FrameError, decode, encode};
 
-/// Four bytes that no other protocol begins with.
+/// The first four bytes of a handshake, which distinguish it from other protocols.
 const MAGIC: [u8; 4] = *b"IRMT";
-/// The version of the handshake itself; what follows it may change with the version.
+/// Version of the handshake's format. The bytes after it may differ between versions.
 const VERSION: u16 = 1;
-/// The longest handshake in bytes.
+/// Maximum length of a handshake in bytes.
 pub(super) const MAX_HELLO_BYTES: usize = 1_024;
 
-/// The identity of a process, and the protocol it speaks.
+/// The handshake: the identity of a process and its protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The protocol's name; both sides must give the same.
+    /// Name of the protocol, which must be the same on both sides.
     pub protocol: String,
-    /// The protocol's version; both sides must give the same.
+    /// Version of the protocol, which must be the same on both sides.
     pub version: u32,
-    /// The sender's name.
+    /// Name of the sender.
     pub node: String,
-    /// The sender's incarnation, which increases with every start.
+    /// Incarnation of the sender, which increases with every start.
     pub incarnation: u64,
 }
 
 /// Why a handshake is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HelloError {
-    /// The frame is not a handshake.
-    #[error("it does not greet")]
+    /// The peer's first frame is not a handshake.
+    #[error("the peer's first frame is not a handshake")]
     NotAHandshake,
-    /// It is of another version of the handshake.
-    #[error("its greeting is of version {theirs}, ours is {VERSION}")]
+    /// The handshakes have different format versions.
+    #[error("the peer's handshake has format version {theirs}, expected {VERSION}")]
     HandshakeVersion {
-        /// The other side's.
+        /// The peer's format version.
         theirs: u16,
     },
-    /// It speaks another protocol.
-    #[error("it speaks {theirs:?}, not {ours:?}")]
+    /// The peer uses another protocol.
+    #[error("the peer uses protocol {theirs:?}, expected {ours:?}")]
     Protocol {
-        /// The other side's.
+        /// The peer's protocol.
         theirs: String,
-        /// This side's.
+        /// The protocol of this side.
         ours: String,
     },
-    /// It speaks another version of the protocol.
-    #[error("it speaks version {theirs}, not {ours}")]
+    /// The peer uses another version of the protocol.
+    #[error("the peer uses protocol version {theirs}, expected {ours}")]
     Version {
-        /// The other side's.
+        /// The peer's version.
         theirs: u32,
-        /// This side's.
+        /// The version of this side.
         ours: u32,
     },
 }
@@ -58,15 +58,15 @@
     /// Encodes the handshake as the payload of a frame.
     ///
     /// # Errors
-    /// Where its names are too long.
+    /// The handshake is longer than [`MAX_HELLO_BYTES`].
     pub(super) fn encode_frame(&self) -> Result<Vec<u8>, FrameError> {
         encode(&(MAGIC, VERSION, self), MAX_HELLO_BYTES)
     }
 
-    /// Decodes the peer's handshake and checks that both sides speak the same protocol.
+    /// Decodes the peer's handshake and checks that both sides use the same protocol and version.
     ///
     /// # Errors
-    /// Where they do not.
+    /// The frame is not a handshake, or the protocols or versions differ.
     pub(super) fn check_peer(&self, frame: &[u8]) -> Result<Hello, HelloError> {
         let (start, rest) = postcard::take_from_bytes::<([u8; 4], u16)>(frame).unwrap_or_default();
         let theirs = match start {
--- a/crates/transport/src/frames/hello/tests.rs
+++ b/crates/transport/src/frames/hello/tests.rs
@@ -53,7 +53,7 @@
     assert_eq!(
         ours.check_peer(&longer),
         Err(HelloError::NotAHandshake),
-        "bytes behind it"
+        "trailing bytes"
     );
 }
 
--- a/crates/transport/src/frames/memory.rs
+++ b/crates/transport/src/frames/memory.rs
@@ -1,5 +1,6 @@
-//! Links in memory, under a simulated clock and with injected faults: delays, partitions, resets and
-//! crashes. For tests of what uses a [`MessageTransport`]. The same calls give the same events.
+//! Links in memory under a simulated clock, with injected faults: delays, partitions, resets and
+//! crashes. They serve tests of code that uses a [`MessageTransport`]. The network is
+//! deterministic: the same calls produce the same events.
 
 mod state;
 
@@ -20,12 +21,13 @@
     SendError, Sent, decode, encode,
 };
 
-/// A network of processes. Clones are the same network.
+/// An in-memory network of processes. Clones refer to the same network.
 #[derive(Clone, Default)]
 pub struct MemoryNetwork(Rc<RefCell<State>>);
 
 impl MemoryNetwork {
-    /// Starts a process that listens at an address; one that did before is crashed.
+    /// Starts a process that listens at an address. A process that listened there before is
+    /// crashed.
     #[must_use]
     pub fn listen<M>(
         &self,
@@ -50,13 +52,13 @@
         }
     }
 
-    /// The clock's reading.
+    /// Time of the simulated clock, from 0 at the start.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.0.borrow().now
     }
 
-    /// Advances the clock, and delivers what arrives by then.
+    /// Advances the clock, delivering the messages and timeouts that are due in the meantime.
     pub fn advance(&self, by: Duration) {
         let mut state = self.0.borrow_mut();
         let until = state.now + by;
@@ -68,7 +70,7 @@
         state.run_due();
     }
 
-    /// The clock's reading at which the next message arrives or the next timeout passes.
+    /// Time at which the next message arrives or the next timeout passes; `None` if nothing is due.
     #[must_use]
     pub fn next_due(&self) -> Option<Duration> {
         self.0.borrow().next_due()
@@ -79,15 +81,16 @@
         self.0.borrow_mut().delays.insert((from, to), latency);
     }
 
-    /// Partitions the network in one direction: nothing arrives from `from` at `to` any more. Neither
-    /// side gets an event; their links time out.
+    /// Partitions the network in one direction: no packet from `from` arrives at `to`. Neither side
+    /// gets an event until their links time out.
     pub fn partition(&self, from: SocketAddr, to: SocketAddr) {
         let mut state = self.0.borrow_mut();
         let now = state.now;
         state.partitions.entry((from, to)).or_insert(now);
     }
 
-    /// Ends a partition; what was sent meanwhile arrives now, as TCP retransmits it.
+    /// Ends a partition. Messages that were sent during the partition arrive now, as TCP
+    /// retransmits them.
     pub fn heal(&self, from: SocketAddr, to: SocketAddr) {
         let mut state = self.0.borrow_mut();
         state.partitions.remove(&(from, to));
@@ -121,7 +124,8 @@
 }
 
 impl<M: Serialize + DeserializeOwned> MemoryTransport<M> {
-    /// The next event, if one is queued.
+    /// Removes the next event from the queue, if there is one. A frame that does not decode ends
+    /// its link.
     pub fn try_next(&mut self) -> Option<LinkEvent<M>> {
         let mut state = self.network.0.borrow_mut();
         let queued = state.node(self.address)?.events.pop_front()?;
@@ -151,7 +155,7 @@
                 }
             },
         };
-        // There is space for another event now.
+        // The removed event made space, so links to this process may be read again.
         state.run_due();
         Some(event)
     }
@@ -230,7 +234,7 @@
 impl<M> Drop for MemoryTransport<M> {
     fn drop(&mut self) {
         let is_own = |node: &Node| Rc::ptr_eq(&node.changed, &self.changed);
-        // Another process may listen at the address by now.
+        // Another process may have started at the address in the meantime; it must not be crashed.
         let is_running = self
             .network
             .0
--- a/crates/transport/src/frames/memory/state.rs
+++ b/crates/transport/src/frames/memory/state.rs
@@ -1,4 +1,5 @@
-//! The state of an in-memory network: what is in flight, and what happens as the clock advances.
+//! The state of an in-memory network: packets in flight, links and their timeouts as the clock
+//! advances.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -10,7 +11,7 @@
 use crate::frames::queue::{OutgoingQueue, QueueLimits};
 use crate::frames::{FrameError, Hello, LinkError, LinkErrorKind, LinkId, LinkOptions, LinkPhase};
 
-/// What is sent on a link, from one end to the other.
+/// A unit sent on a link from one end to the other.
 #[derive(Debug)]
 enum Packet {
     Hello(Vec<u8>),
@@ -18,7 +19,7 @@
     Close,
 }
 
-/// An event that is queued for a transport, before its frame is decoded.
+/// An event that is queued for a transport, with its frame not yet decoded.
 pub(super) enum QueuedEvent {
     Up {
         link: LinkId,
@@ -54,17 +55,18 @@
 )]
 pub(super) struct LinkEnd {
     pub(super) address: SocketAddr,
-    /// The first packet of the link has arrived here, or was sent from here.
+    /// The process at this end knows of the link: it opened the link, or the first packet has
+    /// arrived. An end that does not know of the link gets no event of its end.
     is_aware: bool,
-    /// Its handshake has arrived at the other end and matches.
+    /// This end's handshake has arrived at the other end and was accepted.
     handshake_done: bool,
-    /// The link has ended for this end: it gets no further events.
+    /// The link has ended at this end, which gets no further events.
     is_ended: bool,
-    /// Sent and not arrived, each with the time at which it arrives.
+    /// Packets that were sent and have not arrived, each with its arrival time.
     in_flight: VecDeque<(Duration, Packet)>,
-    /// Queued and not sent.
+    /// Frames that are queued and not sent.
     pub(super) queue: OutgoingQueue,
-    /// To be closed once all that is queued has been sent.
+    /// The link is to be closed once the queue has been sent.
     closing: bool,
 }
 
@@ -90,7 +92,7 @@
     pub(super) links_opened: u64,
     pub(super) nodes: BTreeMap<SocketAddr, Node>,
     pub(super) links: Vec<Link>,
-    /// Directions in which nothing arrives, and since when.
+    /// Directions in which no packet arrives, each with the time of the partition.
     pub(super) partitions: BTreeMap<(SocketAddr, SocketAddr), Duration>,
     /// Latencies by direction.
     pub(super) delays: BTreeMap<(SocketAddr, SocketAddr), Duration>,
@@ -138,7 +140,7 @@
         [peer_timeout, connect_timeout].into_iter().flatten().min()
     }
 
-    /// Carries out all that is due by now.
+    /// Processes everything that is due: timeouts, sends and deliveries, until nothing changes.
     pub(super) fn run_due(&mut self) {
         self.end_timed_out_links();
         loop {
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Ends a link for one of its ends, which gets an event if it is aware of the link.
+    /// Ends a link at one of its ends, which gets an event if it knows of the link.
     pub(super) fn end_link(
         &mut self,
         index: usize,
@@ -201,7 +203,7 @@
         );
     }
 
-    /// Resets links: what is in flight on them is lost.
+    /// Resets the selected links: packets in flight on them are lost.
     pub(super) fn reset(&mut self, selects: impl Fn(&Link) -> bool) {
         for index in 0..self.links.len() {
             if !selects(&self.links[index]) {
@@ -217,7 +219,8 @@
             .retain(|link| !link.ends.iter().all(|end| end.is_ended));
     }
 
-    /// Sends what is queued at one end, unless the network is partitioned: then it stays queued.
+    /// Sends the queue of one end. Frames stay queued while the network is partitioned or the
+    /// receiver has no space. Returns whether a packet was sent.
     fn send(&mut self, index: usize, from: usize) -> bool {
         let direction = (
             self.links[index].ends[from].address,
@@ -240,14 +243,15 @@
         has_changed
     }
 
-    /// Whether a process has space for events: links to one that has none are not read.
+    /// Whether a process has space for events. Links to a process without space are not read.
     fn has_space(&self, address: SocketAddr) -> bool {
         self.nodes
             .get(&address)
             .is_some_and(|node| node.events.len() < node.options.max_queued_events)
     }
 
-    /// Delivers what has arrived from one end at the other.
+    /// Delivers the packets from one end that have arrived at the other. Returns whether there were
+    /// any.
     fn deliver(&mut self, index: usize, from: usize) -> bool {
         let mut has_changed = false;
         let direction = (
@@ -272,7 +276,7 @@
         }
     }
 
-    /// Handles a packet that has arrived at an end.
+    /// Handles a packet from one end that has arrived at the other.
     fn receive(&mut self, index: usize, from: usize, packet: Packet) {
         let (to, link) = (1 - from, &self.links[index]);
         let (id, peer, address) = (link.id, link.ends[from].address, link.ends[to].address);
@@ -348,12 +352,12 @@
             self.links[index].ends[1 - from].address,
         );
         let due = self.now + self.delays.get(&direction).copied().unwrap_or_default();
-        // An empty frame, which is no handshake, in place of one that is too long.
+        // A handshake that is too long is replaced by an empty frame, which the peer rejects.
         let frame = hello.encode_frame().unwrap_or_default();
         self.links[index].ends[from].send(due, Packet::Hello(frame));
     }
 
-    /// Closes a link from one end, once what is queued there is sent.
+    /// Closes a link from one end once that end's queue has been sent.
     pub(super) fn close(&mut self, index: usize, end: usize) {
         let end = &mut self.links[index].ends[end];
         (end.is_ended, end.closing) = (true, true);
@@ -369,7 +373,7 @@
         Some((index, end))
     }
 
-    /// Closes a link from an address, which gets no further events of it.
+    /// Closes a link at an address and discards the queued events of the link there.
     pub(super) fn close_link(&mut self, address: SocketAddr, id: LinkId) {
         if let Some(node) = self.node(address) {
             node.events.retain(|event| event.link() != id);
--- a/crates/transport/src/frames/message_transport.rs
+++ b/crates/transport/src/frames/message_transport.rs
@@ -6,7 +6,7 @@
 
 use super::{FrameError, Hello, HelloError};
 
-/// Identifies a link at one transport; never reused.
+/// Identifier of a link at one transport; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
@@ -31,13 +31,13 @@
         /// The message.
         message: M,
     },
-    /// The link has ended: it has no further events, and from some message on, what was sent may have
-    /// been lost. Reported once for each link that this side has not closed, also for one that was
+    /// The link has ended and has no further events. The latest messages sent on it may have been
+    /// lost. Reported once for each link that this side has not closed, including links that were
     /// never up.
     Down {
         /// The link.
         link: LinkId,
-        /// Why.
+        /// Why the link ended.
         error: LinkError,
     },
 }
@@ -59,7 +59,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             LinkPhase::Connect => "connecting to",
-            LinkPhase::Handshake => "greeting",
+            LinkPhase::Handshake => "handshake with",
             LinkPhase::Read => "reading from",
             LinkPhase::Write => "writing to",
         })
@@ -70,27 +70,27 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{phase} {peer}: {kind}")]
 pub struct LinkError {
-    /// The phase in which it ended.
+    /// The phase in which the link ended.
     pub phase: LinkPhase,
     /// The peer's address.
     pub peer: SocketAddr,
-    /// What happened.
+    /// The cause.
     pub kind: LinkErrorKind,
 }
 
-/// What ends a link.
+/// The cause of a link's end.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkErrorKind {
-    /// The peer closed it between two messages.
+    /// The peer closed the connection between two messages.
     #[error("the peer has closed the connection")]
     Closed,
     /// The peer did not answer in time.
-    #[error("no sign of the peer in time")]
+    #[error("timed out waiting for the peer")]
     TimedOut,
-    /// The handshakes do not match.
+    /// The peer's handshake is rejected.
     #[error("{0}")]
     Hello(#[from] HelloError),
-    /// What arrived is not a message.
+    /// The peer sent a frame that is too long, truncated or not a message.
     #[error("{0}")]
     Frame(#[from] FrameError),
     /// The operating system reported an error.
@@ -107,28 +107,30 @@
     }
 }
 
-/// A message has been queued.
+/// The result of queueing a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sent {
-    /// Queued messages of the link that were dropped for it.
+    /// Number of older messages in the link's queue that were dropped to make space.
     pub dropped: usize,
 }
 
-/// Why a message is not queued.
+/// Why a message was not queued.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
     /// There is no such link, or it has ended.
-    #[error("there is no such link")]
+    #[error("the link does not exist or has ended")]
     NoLink,
     /// The link's send queue is full.
-    #[error("too much waits on the link")]
+    #[error("the link's send queue is full")]
     Full,
-    /// It does not fit into a frame.
+    /// The message does not fit into a frame.
     #[error("{0}")]
     Frame(#[from] FrameError),
 }
 
-/// Links to other processes, which deliver messages complete and in order, or not at all.
+/// Links to other processes. Each link delivers messages complete and in order; messages may be
+/// lost only at the end of a link or by
+/// [`OverflowPolicy::DropOldest`](super::OverflowPolicy::DropOldest).
 pub trait MessageTransport {
     /// The type of the messages.
     type Message;
@@ -136,18 +138,18 @@
     /// The address at which this transport listens.
     fn local_address(&self) -> SocketAddr;
 
-    /// Opens a link; its outcome is an event. Messages may be sent on it right away.
+    /// Opens a link. The outcome is reported as an event. Messages may be queued at once.
     fn connect(&mut self, peer: SocketAddr) -> LinkId;
 
     /// Queues a message for a link. Delivery is not confirmed.
     ///
     /// # Errors
-    /// Where it is not queued; the link stays open.
+    /// The message was not queued; an open link stays open.
     fn send(&mut self, link: LinkId, message: &Self::Message) -> Result<Sent, SendError>;
 
-    /// Closes a link once its queued messages are written. It has no further events.
+    /// Closes a link after its queued messages are written. The link has no further events.
     fn close(&mut self, link: LinkId);
 
-    /// The next event. This is cancel safe: no event is lost if the future is dropped.
+    /// Waits for the next event. Cancel safe: no event is lost if the future is dropped.
     fn next(&mut self) -> impl Future<Output = LinkEvent<Self::Message>>;
 }
--- a/crates/transport/src/frames/queue.rs
+++ b/crates/transport/src/frames/queue.rs
@@ -5,21 +5,22 @@
 /// What happens to a message for which the queue has no space.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OverflowPolicy {
-    /// It is rejected, and its sender gets an error.
+    /// The message is rejected, and its sender gets an error.
     #[default]
     RejectNewest,
-    /// The oldest messages are dropped for it; its sender learns how many.
+    /// The oldest messages are dropped to make space; the sender is told how many.
     DropOldest,
 }
 
 /// Limits of a send queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// The largest number of messages.
+    /// Maximum number of messages.
     pub max_frames: usize,
-    /// The largest sum of their lengths in bytes; a single message is queued whatever its length.
+    /// Maximum sum of the messages' lengths in bytes. An empty queue accepts a message of any
+    /// length.
     pub max_bytes: usize,
-    /// What happens beyond these limits.
+    /// What happens to a message that exceeds these limits.
     pub overflow: OverflowPolicy,
 }
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// The queue has no space.
+/// The queue has no space for a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct QueueFull;
 
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Adds a frame; returns how many others were dropped for it.
+    /// Appends a frame. Returns how many older frames were dropped to make space.
     pub(super) fn push(&mut self, frame: Vec<u8>) -> Result<usize, QueueFull> {
         let mut dropped = 0;
         while !self.has_space(frame.len()) {
--- a/crates/transport/src/frames/queue/tests.rs
+++ b/crates/transport/src/frames/queue/tests.rs
@@ -33,7 +33,11 @@
     for n in 0..5 {
         assert_eq!(queue.push(vec![n]), Ok(usize::from(n >= 3)));
     }
-    assert_eq!(queue.push(vec![9; 9]), Ok(2), "as many as its bytes need");
+    assert_eq!(
+        queue.push(vec![9; 9]),
+        Ok(2),
+        "as many as the new frame's length requires"
+    );
     assert_eq!(drain(&mut queue), [vec![4], vec![9; 9]]);
 }
 
--- a/crates/transport/src/frames/tcp.rs
+++ b/crates/transport/src/frames/tcp.rs
@@ -1,8 +1,8 @@
-//! Links over TCP. One task per link reads and writes; a peer that loses power is detected by TCP
-//! keepalive.
+//! Links over TCP. One task per link reads and writes; TCP keepalive detects a peer that loses
+//! power.
 //!
-//! The tasks of links end when the transport is dropped, as the channel of their events closes; the
-//! accepting task is aborted.
+//! When the transport is dropped, the channel of events closes, which ends the tasks of the links;
+//! the accepting task is aborted.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -31,7 +31,7 @@
 };
 use crate::sockets;
 
-/// Delay after an accept that failed.
+/// Delay before the next `accept` after one that failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 type Reader = FramedRead<OwnedReadHalf, FrameCodec>;
@@ -44,7 +44,7 @@
     changed: Notify,
 }
 
-/// What a link's task is to write.
+/// The output of a link that its task has yet to write.
 struct Outgoing {
     queue: OutgoingQueue,
     /// The link is to be closed once the queue is empty.
@@ -66,13 +66,14 @@
         self.outgoing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Removes the next frame; also returns whether the link is to be closed.
+    /// Removes the next frame, and returns it with whether the link is to be closed.
     fn pop(&self) -> (Option<Vec<u8>>, bool) {
         let mut outgoing = self.outgoing();
         (outgoing.queue.pop(), outgoing.closing)
     }
 
-    /// The next frame to write; `None` once the link is to be closed.
+    /// Waits for the next frame to write; `None` once the queue is empty and the link is to be
+    /// closed.
     async fn next(&self, writer: &mut Writer) -> Result<Option<Vec<u8>>, LinkErrorKind> {
         loop {
             match self.pop() {
@@ -80,7 +81,7 @@
                 (None, true) => return Ok(None),
                 (None, false) => {}
             }
-            // Everything queued is flushed before more is waited for.
+            // Buffered frames are flushed before the task waits for more.
             futures_util::SinkExt::<Vec<u8>>::flush(writer).await?;
             self.changed.notified().await;
         }
@@ -107,7 +108,7 @@
     }
 
     async fn report(&self, event: LinkEvent<M>) {
-        // The receiver is gone where the transport has been dropped.
+        // Sending fails only after the transport has been dropped.
         let _ = self.reports.send(Report::Event(event)).await;
     }
 }
@@ -123,10 +124,10 @@
 }
 
 impl<M: Serialize + DeserializeOwned + Send + 'static> TcpTransport<M> {
-    /// Listens at an address; `hello` is the handshake for all links.
+    /// Listens at an address. `hello` is this side's handshake on all links.
     ///
     /// # Errors
-    /// The operating system's error, or that the handshake's names are too long.
+    /// The socket cannot be opened, or the handshake is too long.
     pub fn listen(address: SocketAddr, hello: Hello, options: LinkOptions) -> io::Result<Self> {
         hello.encode_frame().map_err(io::Error::other)?;
         let listener = sockets::listen(address)?;
@@ -152,7 +153,7 @@
 
 impl<M> Drop for TcpTransport<M> {
     fn drop(&mut self) {
-        // The tasks of its links end as the channel of their reports closes.
+        // The tasks of the links end when the channel of reports closes.
         self.accept_task.abort();
     }
 }
@@ -192,7 +193,7 @@
 
     async fn next(&mut self) -> LinkEvent<M> {
         loop {
-            // The transport itself holds a sender.
+            // The channel stays open, because the transport itself holds a sender.
             let Some(report) = self.reports.recv().await else {
                 std::future::pending().await
             };
@@ -209,7 +210,7 @@
                 }
                 LinkEvent::Down { link, .. } => self.links.remove(link).is_some(),
             };
-            // Otherwise this side has closed the link in the meantime.
+            // Events of a link that this side has closed are discarded.
             if is_open {
                 return event;
             }
@@ -223,14 +224,14 @@
 ) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            // Guards against spinning where descriptors have run out.
+            // Prevents a busy loop while the process has no file descriptors left.
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let (link, shared) = (context.next_link(), LinkState::new(&context.options));
         let context = Arc::clone(&context);
         tokio::spawn(async move {
-            // As in `report`: the receiver is gone where the transport has been dropped.
+            // Sending fails only after the transport has been dropped.
             let _ = context
                 .reports
                 .send(Report::Accepted(link, Arc::clone(&shared)))
@@ -259,7 +260,7 @@
     context.report(LinkEvent::Down { link, error }).await;
 }
 
-/// Shakes hands, then reads and writes until the link ends.
+/// Exchanges handshakes, then reads and writes until the link ends.
 async fn run_link<M: DeserializeOwned + Send + 'static>(
     link: LinkId,
     peer: SocketAddr,
@@ -269,7 +270,7 @@
     context: Arc<Context<M>>,
 ) {
     let error_in = |phase| move |kind| LinkError { phase, peer, kind };
-    // An error here also shows when the connection is read.
+    // A socket on which this fails also fails when it is read.
     let _ = sockets::set_peer_timeout(&stream, context.options.peer_timeout);
     let (reads, writes) = stream.into_split();
     let mut reader = FramedRead::new(
@@ -317,7 +318,7 @@
     context.report(LinkEvent::Down { link, error }).await;
 }
 
-/// Exchanges handshakes: ours is written before theirs is read.
+/// Exchanges handshakes. This side's is written before the peer's is read.
 async fn exchange_handshakes(
     reader: &mut Reader,
     writer: &mut Writer,
@@ -331,7 +332,7 @@
     Ok(ours.check_peer(&frame)?)
 }
 
-/// Reports messages until none can be read any more; returns why.
+/// Reports messages until reading fails, and returns why.
 async fn read<M: DeserializeOwned>(
     link: LinkId,
     reader: &mut Reader,
@@ -358,10 +359,11 @@
     futures_util::SinkExt::<Vec<u8>>::close(writer).await
 }
 
-/// Reads and discards what still arrives on a closed link. Guards what was written last: the kernel
-/// resets a connection that is closed with bytes unread.
+/// Reads and discards what still arrives on a closed link, until the peer closes it or the time
+/// limit passes. The kernel resets a connection that is closed with unread bytes, and the peer
+/// would lose the messages that were written last.
 async fn discard_incoming(reader: &mut Reader, time_limit: Duration) {
-    // The connection is closed afterwards in either case.
+    // The connection is closed afterwards, also if the time limit passes.
     let _ = timeout(time_limit, async {
         while let Some(Ok(_)) = reader.next().await {}
     })
--- a/crates/transport/tests/memory_network.rs
+++ b/crates/transport/tests/memory_network.rs
@@ -1,4 +1,4 @@
-//! The faults of the network in memory, under its own clock.
+//! Injected faults of the in-memory network, under its simulated clock.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -75,10 +75,10 @@
     } = linked(LinkOptions::default());
     let (here, there) = (one.local_address(), other.local_address());
     network.delay(here, there, ms(30));
-    one.send(link, &1).expect("taken");
+    one.send(link, &1).expect("queued");
     network.delay(here, there, ms(10));
-    one.send(link, &2).expect("taken");
-    other.send(link, &3).expect("taken");
+    one.send(link, &2).expect("queued");
+    other.send(link, &3).expect("queued");
     assert_eq!(numbers(&mut one), [3], "the other way is not delayed");
     assert_eq!(network.next_due(), Some(ms(30)));
     network.advance(ms(29));
@@ -100,14 +100,14 @@
         link,
     } = linked(options);
     network.partition(one.local_address(), other.local_address());
-    one.send(link, &1).expect("taken");
-    other.send(link, &2).expect("taken");
+    one.send(link, &1).expect("queued");
+    other.send(link, &2).expect("queued");
     network.advance(ms(99));
     assert_eq!((numbers(&mut one), numbers(&mut other)), (vec![2], vec![]));
     network.advance(ms(1));
     for end in [&mut one, &mut other] {
         let Some(LinkEvent::Down { error, .. }) = end.try_next() else {
-            panic!("not down")
+            panic!("expected the end of the link")
         };
         assert_matches!(error.kind, LinkErrorKind::TimedOut);
         assert!(end.try_next().is_none());
@@ -115,7 +115,7 @@
     network.heal(one.local_address(), other.local_address());
     assert!(
         other.try_next().is_none(),
-        "what was held back is lost with its link"
+        "the delayed message is lost with its link"
     );
 }
 
@@ -130,7 +130,7 @@
     let (here, there) = (one.local_address(), other.local_address());
     network.partition(here, there);
     for n in 0..5 {
-        one.send(link, &n).expect("taken");
+        one.send(link, &n).expect("queued");
     }
     network.advance(ms(500));
     assert!(numbers(&mut other).is_empty());
@@ -193,7 +193,7 @@
         link,
     } = linked(LinkOptions::default());
     network.delay(one.local_address(), other.local_address(), ms(10));
-    one.send(link, &1).expect("taken");
+    one.send(link, &1).expect("queued");
     network.reset(other.local_address(), one.local_address());
     network.advance(ms(20));
     for end in [&mut one, &mut other] {
@@ -221,14 +221,14 @@
     assert!(one.try_next().is_none());
     network.advance(ms(1));
     let Some(LinkEvent::Down { link: which, error }) = one.try_next() else {
-        panic!("not down")
+        panic!("expected the end of the link")
     };
     assert_eq!((which, error.phase), (link, LinkPhase::Connect));
     assert_matches!(error.kind, LinkErrorKind::TimedOut);
     assert!(other.try_next().is_none());
 }
 
-/// The same steps come out the same: what runs on it can be played again.
+/// The network is deterministic, so that a failed simulation can be repeated.
 #[test]
 fn the_same_steps_give_the_same_events() {
     let run = || {
--- a/crates/transport/tests/message_transport.rs
+++ b/crates/transport/tests/message_transport.rs
@@ -1,5 +1,5 @@
-//! The contract of `MessageTransport`, kept by TCP and in memory; and that a transport which breaks
-//! it is caught.
+//! The contract of `MessageTransport`, checked for the TCP and the in-memory transport. Transports
+//! with an injected fault show that the checks detect violations.
 
 #[path = "message_transport/contract.rs"]
 mod contract;
@@ -15,10 +15,11 @@
 use faulty::{Fault, FaultyFactory};
 use futures_util::FutureExt as _;
 
-/// A contract that is not kept may wait for ever.
+/// Time limit of one check, since a transport that violates the contract may never deliver an
+/// event.
 const CONTRACT_TIMEOUT: Duration = Duration::from_secs(20);
-/// A contract played in memory goes on whenever it is polled; one that has not ended after so many
-/// waits for what never comes.
+/// A check in memory makes progress at every poll. One that is pending after this many polls waits
+/// for an event that never comes, which counts as a violation.
 const MAX_POLLS: usize = 100;
 
 macro_rules! contract_tests {
@@ -60,10 +61,10 @@
     tokio::time::timeout(CONTRACT_TIMEOUT, contract)
         .await
         .expect("in time")
-        .expect("kept");
+        .expect("the contract holds");
 }
 
-/// Whether a contract played in memory is broken.
+/// Whether a check in memory fails or never completes.
 async fn violates(contract: impl Future<Output = ContractResult>) -> bool {
     tokio::pin!(contract);
     for _ in 0..MAX_POLLS {
--- a/crates/transport/tests/message_transport/contract.rs
+++ b/crates/transport/tests/message_transport/contract.rs
@@ -1,4 +1,4 @@
-//! What every transport keeps. Each function plays one part of it and says what was broken.
+//! The contract of every transport. Each function checks one clause and describes a violation.
 
 use std::future::Future;
 
@@ -10,10 +10,10 @@
 
 use crate::factories::TransportFactory;
 
-/// Kept, or what was broken.
+/// Success, or a description of the violation.
 pub(crate) type ContractResult = Result<(), String>;
 
-/// The greeting of a process of that name.
+/// The handshake of a process with that name.
 pub(crate) fn hello(node: &str) -> Hello {
     Hello {
         protocol: "contract".into(),
@@ -34,7 +34,7 @@
     if holds { Ok(()) } else { Err(failure()) }
 }
 
-/// A link that is up, at both ends.
+/// Opens a link and waits until both ends are up. Returns the link's identifier at each end.
 async fn linked<T: MessageTransport, U: MessageTransport>(
     one: &mut T,
     other: &mut U,
@@ -48,7 +48,7 @@
     Ok((here, there))
 }
 
-/// Lets all other tasks go on.
+/// Yields to the other tasks several times, so that they make progress.
 async fn yield_to_other_tasks() {
     for _ in 0..10 {
         tokio::task::yield_now().await;
@@ -59,12 +59,14 @@
 async fn message<T: MessageTransport>(from: &mut T) -> Result<T::Message, String> {
     match from.next().await {
         LinkEvent::Message { message, .. } => Ok(message),
-        LinkEvent::Up { .. } => Err("up in place of a message".into()),
-        LinkEvent::Down { error, .. } => Err(format!("down in place of a message: {error}")),
+        LinkEvent::Up { .. } => Err("an up event in place of a message".into()),
+        LinkEvent::Down { error, .. } => {
+            Err(format!("the link ended in place of a message: {error}"))
+        }
     }
 }
 
-/// The next event, which has to be the end of that link; why.
+/// The next event, which has to be the end of that link. Returns the phase and the cause.
 async fn down<T: MessageTransport>(
     of: &mut T,
     which: LinkId,
@@ -72,8 +74,8 @@
     match of.next().await {
         LinkEvent::Down { link, error } if link == which => Ok((error.phase, error.kind)),
         LinkEvent::Down { .. } => Err("another link is down".into()),
-        LinkEvent::Up { .. } => Err("up in place of down".into()),
-        LinkEvent::Message { .. } => Err("a message in place of down".into()),
+        LinkEvent::Up { .. } => Err("an up event in place of the link's end".into()),
+        LinkEvent::Message { .. } => Err("a message in place of the link's end".into()),
     }
 }
 
@@ -101,12 +103,14 @@
     };
     check(peer == other.local_address(), || format!("{peer}"))?;
     check(theirs == hello("other") && ours == hello("one"), || {
-        "who the other is".into()
+        "the wrong handshake".into()
     })?;
-    check(dialed && !there, || "who began".into())
+    check(dialed && !there, || {
+        "the wrong side is reported as the one that opened the link".into()
+    })
 }
 
-/// Sends while it receives: no side waits for the other's buffers.
+/// Both sides send before they receive: neither may block on the other's buffers.
 pub(crate) async fn messages_arrive_complete_and_in_order_in_both_directions<
     F: TransportFactory,
 >(
@@ -165,7 +169,7 @@
     let mut one = factory.listen::<Vec<u8>>(hello("one"), options());
     let mut other = factory.listen::<Vec<u8>>(hello("other"), options());
     let (link, _) = linked(&mut one, &mut other).await?;
-    // Three bytes tell the length of the vector.
+    // The encoded length of the vector takes three bytes.
     let longest = vec![7; options().max_frame_bytes - 3];
     let longer = vec![7; options().max_frame_bytes - 2];
     let rejected = one.send(link, &longer);
@@ -175,7 +179,7 @@
     check(rejected == expected, || format!("{rejected:?}"))?;
     one.send(link, &longest).map_err(|e| e.to_string())?;
     check(message(&mut other).await? == longest, || {
-        "the longest".into()
+        "the message of maximum length".into()
     })
 }
 
@@ -191,10 +195,10 @@
     let (here, there) = linked(&mut one, &mut other).await?;
     one.send(here, &vec![1; 500]).map_err(|e| e.to_string())?;
     one.send(here, &vec![2; 2_000]).map_err(|e| e.to_string())?;
-    // Its end may be known here by now.
+    // The sender may have noticed the end of the link already.
     let _ = one.send(here, &vec![3; 500]);
     check(message(&mut other).await? == vec![1; 500], || {
-        "the first".into()
+        "the message before the long one".into()
     })?;
     let (phase, kind) = down(&mut other, there).await?;
     let is_expected = matches!(
@@ -230,7 +234,7 @@
     let unused = factory.unused_address();
     let link = one.connect(unused);
     let LinkEvent::Down { link: which, error } = one.next().await else {
-        return Err("up with nobody".into());
+        return Err("a link is up with an address where nothing listens".into());
     };
     check(which == link && error.peer == unused, || format!("{error}"))?;
     check(error.phase == LinkPhase::Connect, || format!("{error}"))?;
@@ -246,14 +250,18 @@
     let mut other = factory.listen::<u64>(hello("other"), options());
     let (here, there) = linked(&mut one, &mut other).await?;
     other.send(there, &1).map_err(|e| e.to_string())?;
-    check(message(&mut one).await? == 1, || "its message".into())?;
+    check(message(&mut one).await? == 1, || {
+        "the message before the end".into()
+    })?;
     drop(other);
     down(&mut one, here).await?;
     check(one.send(here, &1) == Err(SendError::NoLink), || {
         "the link still takes messages".into()
     })?;
     yield_to_other_tasks().await;
-    check(one.next().now_or_never().is_none(), || "told twice".into())
+    check(one.next().now_or_never().is_none(), || {
+        "an event after the link's end".into()
+    })
 }
 
 pub(crate) async fn what_was_sent_before_a_close_arrives<F: TransportFactory>(
@@ -266,7 +274,8 @@
     let mut one = factory.listen::<(u64, Vec<u8>)>(hello("one"), few_events);
     let mut other = factory.listen::<(u64, Vec<u8>)>(hello("other"), options());
     let (here, there) = linked(&mut one, &mut other).await?;
-    // More than the one side takes, and on its way when that closes the link: nobody wants it.
+    // More messages than `one` has space for; they are still in flight when `one` closes the link,
+    // and are discarded.
     for n in 0..500 {
         other
             .send(there, &(n, vec![0; 20_000]))
@@ -311,7 +320,7 @@
         let (here, there) = futures_util::future::join(one.next(), other.next()).await;
         for event in [here, there] {
             let LinkEvent::Down { error, .. } = event else {
-                return Err("it is up".into());
+                return Err("a link with a mismatched handshake is up".into());
             };
             let is_expected = matches!(error.kind, LinkErrorKind::Hello(_));
             check(is_expected && error.phase == LinkPhase::Handshake, || {
@@ -322,8 +331,8 @@
     Ok(())
 }
 
-/// Sends numbers to a peer that takes nothing until `is_enough`; the numbers accepted, in order, and how
-/// many were dropped for others.
+/// Sends numbered messages to a peer that reads nothing, until `is_enough` holds for a result.
+/// Returns the accepted numbers in order, and how many queued messages were dropped for later ones.
 async fn send_until<T: MessageTransport<Message = (u64, Vec<u8>)>>(
     one: &mut T,
     link: LinkId,
@@ -373,7 +382,7 @@
     }
     one.send(link, &(0, Vec::new()))
         .map(drop)
-        .map_err(|e| format!("there is room again: {e}"))
+        .map_err(|e| format!("the queue is still full after it was drained: {e}"))
 }
 
 pub(crate) async fn a_full_queue_drops_the_oldest_under_drop_oldest<F: TransportFactory>(
@@ -410,7 +419,7 @@
     for n in 0..100 {
         one.send(link, &n).map_err(|e| e.to_string())?;
         let mut waits = 0;
-        // Polled once and dropped, again and again.
+        // Each future is polled once and dropped.
         let event = loop {
             if let Some(event) = poll_once(other.next()) {
                 break event;
--- a/crates/transport/tests/message_transport/factories.rs
+++ b/crates/transport/tests/message_transport/factories.rs
@@ -1,4 +1,4 @@
-//! Where transports live: a factory makes them.
+//! Factories of the transports under test.
 
 use std::net::SocketAddr;
 
@@ -8,23 +8,23 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// What may travel.
+/// A type that can be sent as a message.
 pub(crate) trait Message: Serialize + DeserializeOwned + Send + 'static {}
 impl<M: Serialize + DeserializeOwned + Send + 'static> Message for M {}
 
 /// Makes transports that can reach each other.
 pub(crate) trait TransportFactory {
-    /// Its transports.
+    /// The transport that the factory makes.
     type Transport<M: Message>: MessageTransport<Message = M>;
 
-    /// A process at an address of its own.
+    /// Starts a process at an address of its own.
     fn listen<M: Message>(&mut self, hello: Hello, options: LinkOptions) -> Self::Transport<M>;
 
-    /// An address where nobody is.
+    /// An address where no process listens.
     fn unused_address(&mut self) -> SocketAddr;
 }
 
-/// Sockets on the loopback interface.
+/// Makes TCP transports on the loopback interface.
 #[derive(Default)]
 pub(crate) struct TcpFactory;
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// A network in memory without delays.
+/// Makes transports of one in-memory network without delays.
 #[derive(Default)]
 pub(crate) struct MemoryFactory {
     network: MemoryNetwork,
--- a/crates/transport/tests/message_transport/faulty.rs
+++ b/crates/transport/tests/message_transport/faulty.rs
@@ -1,4 +1,4 @@
-//! Transports that break the contract.
+//! Transports that violate the contract.
 
 use std::net::SocketAddr;
 
@@ -8,10 +8,10 @@
 
 use crate::factories::{Message, TransportFactory};
 
-/// What a transport does wrong.
+/// The fault of a transport.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
     /// Each tenth message is lost.
     Loses,
@@ -19,15 +19,15 @@
     Repeats,
     /// Each tenth message is sent after the next.
     Swaps,
-    /// The end of a link is not told.
+    /// The end of a link is not reported.
     HidesEnds,
 }
 
-/// A factory whose transports have a fault.
+/// Makes transports that have a fault.
 pub(crate) struct FaultyFactory<F> {
-    /// The factory without it.
+    /// Makes the transports without the fault.
     pub factory: F,
-    /// The fault.
+    /// The fault of all transports.
     pub fault: Fault,
 }
 
@@ -73,7 +73,7 @@
         if !self.sent.is_multiple_of(10) {
             let sent = self.transport.send(link, message);
             if let Some(delayed) = self.delayed.take() {
-                let message = postcard::from_bytes::<M>(&delayed).expect("written below");
+                let message = postcard::from_bytes::<M>(&delayed).expect("encoded below");
                 self.transport.send(link, &message)?;
             }
             return sent;
--- a/crates/transport/tests/tcp_frames.rs
+++ b/crates/transport/tests/tcp_frames.rs
@@ -1,4 +1,4 @@
-//! Links over TCP against peers that break off, make noise or say nothing, by raw sockets.
+//! TCP links against raw-socket peers that disconnect early, send invalid bytes or send nothing.
 
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -24,15 +24,15 @@
 }
 
 fn transport(options: LinkOptions) -> TcpTransport<String> {
-    TcpTransport::listen(loopback(), hello("one"), options).expect("a port is free")
+    TcpTransport::listen(loopback(), hello("one"), options).expect("a free port")
 }
 
-/// The length and the bytes of a frame.
+/// A frame with that payload: the length, then the bytes.
 fn frame(bytes: &[u8]) -> Vec<u8> {
     [&(bytes.len() as u32).to_be_bytes()[..], bytes].concat()
 }
 
-/// The greeting as it stands on the wire.
+/// The frame of a valid handshake.
 fn handshake_frame() -> Vec<u8> {
     frame(&postcard::to_stdvec(&(*b"IRMT", 1u16, hello("raw"))).expect("short"))
 }
@@ -43,14 +43,14 @@
         .expect("in time")
     {
         LinkEvent::Down { error, .. } => error,
-        other => panic!("not down: {other:?}"),
+        other => panic!("expected the end of the link, got {other:?}"),
     }
 }
 
-/// What a transport says of a peer that writes this and closes its side.
+/// The error that ends the link of a peer that writes `bytes` and closes its sending side.
 async fn error_after(bytes: &[u8]) -> LinkError {
     let mut one = transport(LinkOptions::default());
-    let mut peer = TcpStream::connect(one.local_address()).expect("it listens");
+    let mut peer = TcpStream::connect(one.local_address()).expect("a connection");
     peer.write_all(bytes).expect("written");
     peer.shutdown(std::net::Shutdown::Write).expect("open");
     next_link_error(&mut one).await
@@ -82,13 +82,14 @@
     assert_eq!(not_a_handshake.phase, LinkPhase::Handshake);
 }
 
-/// A peer that greets and writes this: what is told up to the end of the link.
+/// The messages and the final error from a peer that sends a valid handshake, then `bytes`, and
+/// closes its sending side.
 async fn receive_after_handshake(bytes: &[u8]) -> (Vec<String>, LinkError) {
     let mut one = transport(LinkOptions {
         max_frame_bytes: 1_000,
         ..LinkOptions::default()
     });
-    let mut peer = TcpStream::connect(one.local_address()).expect("it listens");
+    let mut peer = TcpStream::connect(one.local_address()).expect("a connection");
     peer.write_all(&[&handshake_frame()[..], bytes].concat())
         .expect("written");
     peer.shutdown(std::net::Shutdown::Write).expect("open");
@@ -101,7 +102,7 @@
         {
             LinkEvent::Message { message, .. } => messages.push(message),
             LinkEvent::Down { error, .. } => return (messages, error),
-            LinkEvent::Up { .. } => panic!("up again"),
+            LinkEvent::Up { .. } => panic!("a second up event"),
         }
     }
 }
@@ -144,7 +145,7 @@
         ..LinkOptions::default()
     };
     let mut one = transport(options);
-    let silent = TcpStream::connect(one.local_address()).expect("it listens");
+    let silent = TcpStream::connect(one.local_address()).expect("a connection");
     let error = next_link_error(&mut one).await;
     assert_matches!(error.kind, LinkErrorKind::TimedOut);
     assert_eq!(
@@ -162,22 +163,22 @@
     let listener = TcpListener::bind(loopback()).expect("a port is free");
     one.connect(listener.local_addr().expect("bound"));
     let accepted = tokio::task::spawn_blocking(move || {
-        let (mut stream, _) = listener.accept().expect("it dials");
+        let (mut stream, _) = listener.accept().expect("a connection");
         let mut length = [0; 4];
         stream.read_exact(&mut length).expect("a frame");
         let mut frame = vec![0; u32::from_be_bytes(length) as usize];
-        stream.read_exact(&mut frame).expect("whole");
+        stream.read_exact(&mut frame).expect("a complete frame");
         frame
     });
-    let frame = accepted.await.expect("it greets");
+    let frame = accepted.await.expect("a handshake frame");
     let (magic, version, theirs): ([u8; 4], u16, Hello) =
-        postcard::from_bytes(&frame).expect("a greeting");
+        postcard::from_bytes(&frame).expect("a handshake");
     assert_eq!((magic, version, theirs), (*b"IRMT", 1, hello("one")));
     assert_matches!(next_link_error(&mut one).await.kind, LinkErrorKind::Closed);
 }
 
-/// A peer without power says nothing: what finds it is the system's, so that it is asked for must
-/// be seen.
+/// A peer that loses power sends nothing, and only the kernel's keepalive and user timeout detect
+/// it. The test checks that both are set on the socket.
 #[tokio::test]
 async fn set_peer_timeout_sets_keepalive_and_the_user_timeout() {
     use rustix::net::sockopt;
@@ -185,17 +186,21 @@
     let stream = tokio::net::TcpStream::connect(listener.local_addr().expect("bound"))
         .await
         .expect("up");
-    ironmast_transport::sockets::set_peer_timeout(&stream, Duration::from_secs(3)).expect("it can");
-    assert!(stream.nodelay().expect("told"));
-    assert!(sockopt::socket_keepalive(&stream).expect("told"));
-    assert_eq!(sockopt::tcp_user_timeout(&stream).expect("told"), 3_000);
+    ironmast_transport::sockets::set_peer_timeout(&stream, Duration::from_secs(3))
+        .expect("the timeout is set");
+    assert!(stream.nodelay().expect("the socket option"));
+    assert!(sockopt::socket_keepalive(&stream).expect("the socket option"));
     assert_eq!(
-        sockopt::tcp_keepidle(&stream).expect("told"),
+        sockopt::tcp_user_timeout(&stream).expect("the socket option"),
+        3_000
+    );
+    assert_eq!(
+        sockopt::tcp_keepidle(&stream).expect("the socket option"),
         Duration::from_secs(1)
     );
     assert_eq!(
-        sockopt::tcp_keepintvl(&stream).expect("told"),
+        sockopt::tcp_keepintvl(&stream).expect("the socket option"),
         Duration::from_secs(1)
     );
-    assert_eq!(sockopt::tcp_keepcnt(&stream).expect("told"), 3);
+    assert_eq!(sockopt::tcp_keepcnt(&stream).expect("the socket option"), 3);
 }
