--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -133,7 +133,7 @@
         request: ReceivedRequest,
         connection: &Rc<ClientConnection>,
     ) -> Response<BoxBody> {
-        let active = connection.request();
+        let active = connection.mark_request_pending();
         // Guards servers against a request that is sent under the name of one that is open.
         let name = match self.open_names.open(&request.head.txn).await {
             Ok(name) => name,
--- a/crates/gate/src/frontend.rs
+++ b/crates/gate/src/frontend.rs
@@ -49,7 +49,7 @@
             Ok(body) => body,
             Err(status) => return closing_response(status),
         };
-        let active = connection.request();
+        let active = connection.mark_request_pending();
         active.set_fully_received(true);
         if !self.gate.wait_for_configuration().await {
             let retry_after = format!("{:.3}", CONFIGURATION_RETRY_DELAY.as_secs_f64());
--- a/crates/transport/src/attempt/tests.rs
+++ b/crates/transport/src/attempt/tests.rs
@@ -7,20 +7,20 @@
 #[test]
 fn an_attempt_past_its_start_deadline_does_not_start_but_a_started_one_goes_on() {
     let clock = Clock::start();
-    let attempt = |by| {
+    let attempt_with_deadline = |deadline| {
         AttemptState::new(AttemptOptions {
-            start_deadline: Some((clock, by)),
+            start_deadline: Some((clock, deadline)),
             ..AttemptOptions::default()
         })
     };
-    let over = clock.now();
-    ATTEMPT.sync_scope(attempt(over), || {
+    let past = clock.now();
+    ATTEMPT.sync_scope(attempt_with_deadline(past), || {
         assert!(AttemptObserver.may_write().is_err(), "its window is over");
     });
-    ATTEMPT.sync_scope(attempt(over + 3_600_000_000), || {
+    ATTEMPT.sync_scope(attempt_with_deadline(past + 3_600_000_000), || {
         assert!(AttemptObserver.may_write().is_ok(), "there is time left");
     });
-    let started = attempt(over);
+    let started = attempt_with_deadline(past);
     started.bytes_written.set(1);
     ATTEMPT.sync_scope(started, || {
         assert!(
@@ -35,8 +35,8 @@
 #[test]
 fn an_attempt_at_a_draining_server_does_not_start_but_a_started_one_goes_on() {
     let admits = Rc::new(Cell::new(true));
-    let asked = Rc::clone(&admits);
-    let admission: AdmissionCheck = Box::new(move || asked.get());
+    let admits_in_check = Rc::clone(&admits);
+    let admission: AdmissionCheck = Box::new(move || admits_in_check.get());
     let attempt = AttemptState::new(AttemptOptions {
         admission: Some(admission),
         ..AttemptOptions::default()
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -30,15 +30,16 @@
     let connect = move |info: ConnectInfo<Uri>| {
         let budget = budget.clone();
         async move {
-            let refused = |reason: &str| ConnectError::Io(io::Error::other(reason.to_string()));
+            let connect_error =
+                |reason: &str| ConnectError::Io(io::Error::other(reason.to_string()));
             let uri = info.request().clone();
             let address: Option<SocketAddr> = uri
                 .authority()
                 .and_then(|authority| authority.as_str().parse().ok());
-            let address = address.ok_or_else(|| refused("not an address"))?;
+            let address = address.ok_or_else(|| connect_error("not an address"))?;
             let permit = budget
                 .try_acquire()
-                .ok_or_else(|| refused("no descriptor is free"))?;
+                .ok_or_else(|| connect_error("no descriptor is free"))?;
             let stream = TcpStream::connect(address)
                 .await
                 .map_err(ConnectError::Io)?;
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -102,7 +102,7 @@
 
     /// Marks a request as pending: the connection does not count as idle until the guard is dropped.
     /// To be called once the request is complete, or as much of it as is buffered.
-    pub fn request(self: &Rc<Self>) -> ActiveRequest {
+    pub fn mark_request_pending(self: &Rc<Self>) -> ActiveRequest {
         self.request_pending.set(true);
         ActiveRequest(Rc::clone(self))
     }
--- a/crates/transport/src/listener.rs
+++ b/crates/transport/src/listener.rs
@@ -41,7 +41,7 @@
 /// Handles requests.
 pub trait Service: 'static {
     /// Handles one request of a connection. The future is dropped when the client disconnects, and
-    /// when a time limit passes before [`ClientConnection::request`] has been called.
+    /// when a time limit passes before [`ClientConnection::mark_request_pending`] has been called.
     fn handle(
         &self,
         request: Request,
@@ -70,12 +70,12 @@
     /// Whether this process serves clients; while it does not, responses close their connections.
     serving: watch::Receiver<bool>,
     /// The process is shutting down: responses close their connections.
-    closing: Cell<bool>,
+    shutting_down: Cell<bool>,
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     /// How many connections have been accepted; the last one's number.
-    accepted: Cell<u64>,
+    accepted_count: Cell<u64>,
     /// Notified when the last connection has ended.
-    empty: Notify,
+    all_ended: Notify,
     /// To be notified once when no new connection is to be accepted any more.
     pub stop: Notify,
 }
@@ -98,10 +98,10 @@
             budget,
             limits: Rc::new(Cell::new(limits)),
             serving,
-            closing: Cell::default(),
+            shutting_down: Cell::default(),
             connections: RefCell::default(),
-            accepted: Cell::default(),
-            empty: Notify::default(),
+            accepted_count: Cell::default(),
+            all_ended: Notify::default(),
             stop: Notify::default(),
         })
     }
@@ -196,8 +196,8 @@
 
     /// Serves a connection in a task of its own, which ends with the connection.
     fn spawn_connection(self: &Rc<Self>, stream: TcpStream, permit: DescriptorPermit) {
-        let number = self.accepted.get() + 1;
-        self.accepted.set(number);
+        let number = self.accepted_count.get() + 1;
+        self.accepted_count.set(number);
         let connection = ClientConnection::new(self.clock, Rc::clone(&self.limits));
         self.connections
             .borrow_mut()
@@ -232,16 +232,16 @@
         let unread = stream.watch_unread();
         if let Ok(service) = service.new_service(()).await {
             let served = service.call((stream, None));
-            self.watch(&connection, &unread, served).await;
+            self.drive(&connection, &unread, served).await;
         }
         self.connections.borrow_mut().remove(&number);
         if self.connections.borrow().is_empty() {
-            self.empty.notify_one();
+            self.all_ended.notify_one();
         }
     }
 
     /// Drives a connection until it ends by itself, its client disconnects, or a limit passes.
-    async fn watch(
+    async fn drive(
         &self,
         connection: &ClientConnection,
         unread: &UnreadWatch,
@@ -288,14 +288,14 @@
     /// Whether a connection has a request that is answered before it is closed. At shutdown this
     /// includes a request that is only partly received: its client has the usual time.
     fn is_owed_response(&self, connection: &ClientConnection) -> bool {
-        let is_receiving_last = self.closing.get() && connection.has_started_request();
+        let is_receiving_last = self.shutting_down.get() && connection.has_started_request();
         connection.has_pending_request() || is_receiving_last
     }
 
     /// Shuts down gracefully: lets busy connections and requests that are partly received finish,
     /// and closes idle connections as `idle` says. Returns when no connection is left.
     pub async fn finish(&self, idle: IdleConnections) {
-        self.closing.set(true);
+        self.shutting_down.set(true);
         while !self.connections.borrow().is_empty() {
             if idle == IdleConnections::CloseNow {
                 self.connections
@@ -303,7 +303,7 @@
                     .values()
                     .for_each(|connection| connection.close());
             }
-            self.empty.notified().await;
+            self.all_ended.notified().await;
         }
     }
 
@@ -323,7 +323,7 @@
             self.service.handle(request, &connection).await
         };
         let serving = *self.serving.borrow();
-        if self.closing.get()
+        if self.shutting_down.get()
             || connection.has_discarded_input()
             || !serving
             || self.has_too_many_idle()
--- a/crates/transport/src/observed_stream/tests.rs
+++ b/crates/transport/src/observed_stream/tests.rs
@@ -42,35 +42,35 @@
             .await
             .expect("a port is free");
         let address = listener.local_addr().expect("bound");
-        let other = TcpStream::connect(address).await.expect("it listens");
+        let peer = TcpStream::connect(address).await.expect("it listens");
         let (stream, _) = listener.accept().await.expect("a connection");
         let observer = AllowanceObserver {
             allowance: Rc::new(Cell::new(allowance)),
         };
         let permit = DescriptorBudget::new(1).try_acquire().expect("free");
-        test(other, ObservedStream::new(stream, observer, permit)).await;
+        test(peer, ObservedStream::new(stream, observer, permit)).await;
     });
 }
 
 #[test]
 fn a_read_returns_no_more_bytes_than_the_observer_allows() {
-    run(10, async |mut other, mut stream| {
-        other.write_all(&[b'x'; 100]).await.expect("written");
-        let mut part = [0; 100];
-        assert_eq!(stream.read(&mut part).await.expect("there is some"), 10);
+    run(10, async |mut peer, mut stream| {
+        peer.write_all(&[b'x'; 100]).await.expect("written");
+        let mut buffer = [0; 100];
+        assert_eq!(stream.read(&mut buffer).await.expect("there is some"), 10);
         stream.observer.allowance.set(1_000);
-        assert_eq!(stream.read(&mut part).await.expect("there is more"), 90);
+        assert_eq!(stream.read(&mut buffer).await.expect("there is more"), 90);
     });
 }
 
 #[test]
 fn unread_bytes_are_kept_in_order_and_discarded_beyond_the_limit() {
-    run(1, async |mut other, mut stream| {
+    run(1, async |mut peer, mut stream| {
         let unread = stream.watch_unread();
         let sent: Vec<u8> = (0..MAX_UNREAD_BYTES + UNREAD_CHUNK_BYTES)
             .map(|n| (n % 251) as u8)
             .collect();
-        let (written, ()) = tokio::join!(other.write_all(&sent), async {
+        let (written, ()) = tokio::join!(peer.write_all(&sent), async {
             while unread.next(|| true).await == UnreadBytes::Kept {}
         });
         written.expect("written");
@@ -82,28 +82,28 @@
             .expect("all that is kept");
         assert!(read == sent[..MAX_UNREAD_BYTES], "in order");
         stream.observer.allowance.set(MAX_UNREAD_BYTES);
-        other.write_all(b"behind the gap").await.expect("written");
+        peer.write_all(b"behind the gap").await.expect("written");
         assert_eq!(
             stream.read(&mut read).await.expect("an end"),
             0,
             "it ends before what is lost"
         );
-        drop(other);
+        drop(peer);
         while unread.next(|| true).await != UnreadBytes::Ended {}
     });
 }
 
 #[test]
 fn the_watch_takes_no_bytes_while_it_is_disabled() {
-    run(100, async |mut other, mut stream| {
+    run(100, async |mut peer, mut stream| {
         let unread = stream.watch_unread();
-        other.write_all(b"hello").await.expect("written");
-        let mut part = [0; 100];
+        peer.write_all(b"hello").await.expect("written");
+        let mut buffer = [0; 100];
         let bytes = tokio::select! {
             biased;
             unread = unread.next(|| false) => panic!("{unread:?}"),
-            bytes = stream.read(&mut part) => bytes.expect("there is some"),
+            bytes = stream.read(&mut buffer) => bytes.expect("there is some"),
         };
-        assert_eq!(&part[..bytes], b"hello");
+        assert_eq!(&buffer[..bytes], b"hello");
     });
 }
--- a/crates/transport/src/tasks/tests.rs
+++ b/crates/transport/src/tasks/tests.rs
@@ -14,7 +14,7 @@
 }
 
 /// Lets the tasks that can run do so.
-async fn settle() {
+async fn run_ready_tasks() {
     for _ in 0..10 {
         tokio::task::yield_now().await;
     }
@@ -24,19 +24,19 @@
 fn tasks_end_with_their_owner() {
     run(async {
         let tasks = tasks();
-        let held = Rc::new(());
+        let token = Rc::new(());
         for _ in 0..3 {
-            let held = Rc::clone(&held);
+            let token = Rc::clone(&token);
             tasks.spawn("connection", async move {
                 std::future::pending::<()>().await;
-                drop(held);
+                drop(token);
             });
         }
-        settle().await;
-        assert_eq!((tasks.running(), Rc::strong_count(&held)), (3, 4));
+        run_ready_tasks().await;
+        assert_eq!((tasks.running(), Rc::strong_count(&token)), (3, 4));
         drop(tasks);
-        settle().await;
-        assert_eq!(Rc::strong_count(&held), 1);
+        run_ready_tasks().await;
+        assert_eq!(Rc::strong_count(&token), 1);
     });
 }
 
@@ -46,7 +46,7 @@
         let tasks = tasks();
         for _ in 0..100 {
             tasks.spawn("connection", async {});
-            settle().await;
+            run_ready_tasks().await;
         }
         assert_eq!(tasks.running(), 0);
     });
@@ -60,7 +60,7 @@
         tasks.spawn("connection", async { panic!("as the test wants") });
         tasks.spawn("other", async move { sender.send(7).expect("awaited") });
         assert_eq!(receiver.await, Ok(7));
-        settle().await;
+        run_ready_tasks().await;
         assert!(tasks.failed().now_or_never().is_none());
     });
 }
@@ -84,7 +84,7 @@
     run(async {
         let tasks = tasks();
         tasks.spawn_essential("feed", async {});
-        settle().await;
+        run_ready_tasks().await;
         assert!(tasks.failed().now_or_never().is_none());
     });
 }
--- a/crates/transport/tests/link.rs
+++ b/crates/transport/tests/link.rs
@@ -8,7 +8,7 @@
 use rustix::net::sockopt;
 use tokio::net::{TcpListener, TcpStream};
 
-const WITHIN: Duration = Duration::from_secs(10);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
 
 async fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
@@ -21,20 +21,20 @@
 #[tokio::test]
 async fn messages_arrive_in_order_in_both_directions_and_a_close_is_reported() {
     let (listener, address) = listen().await;
-    let (mut receiver, mut says): (Receiver<String>, Sender<u64>) =
-        link::connect(address, WITHIN).await.expect("up");
+    let (mut receiver, mut sender): (Receiver<String>, Sender<u64>) =
+        link::connect(address, CONNECT_TIMEOUT).await.expect("up");
     let (stream, _) = listener.accept().await.expect("it dials");
-    let (mut heard, mut answers) = link::split::<u64, String>(stream).expect("open");
+    let (mut peer_receiver, mut peer_sender) = link::split::<u64, String>(stream).expect("open");
     for n in 0..100 {
-        says.send(&n).await.expect("open");
-        answers.send(&format!("{n}")).await.expect("open");
+        sender.send(&n).await.expect("open");
+        peer_sender.send(&format!("{n}")).await.expect("open");
     }
     for n in 0..100 {
-        assert_eq!(heard.next().await.expect("open"), Some(n));
+        assert_eq!(peer_receiver.next().await.expect("open"), Some(n));
         assert_eq!(receiver.next().await.expect("open"), Some(format!("{n}")));
     }
-    drop((receiver, says));
-    assert_eq!(heard.next().await.expect("a clean end"), None);
+    drop((receiver, sender));
+    assert_eq!(peer_receiver.next().await.expect("a clean end"), None);
 }
 
 /// What a link reports of a peer that writes this and closes; an error names the peer.
@@ -44,7 +44,7 @@
     peer.write_all(bytes).expect("written");
     peer.shutdown(Shutdown::Write).expect("open");
     let (stream, from) = listener.accept().await.expect("it dials");
-    let (mut receiver, _says) = link::split::<String, ()>(stream).expect("open");
+    let (mut receiver, _sender) = link::split::<String, ()>(stream).expect("open");
     receiver.next().await.map_err(|error| {
         let text = format!("{error:#}");
         assert!(text.contains(&from.to_string()), "{text}");
@@ -75,15 +75,18 @@
 #[tokio::test]
 async fn a_link_sets_keepalive_and_the_user_timeout() {
     let (listener, address) = listen().await;
-    let dialed = TcpStream::connect(address).await.expect("up");
+    let connected = TcpStream::connect(address).await.expect("up");
     let (accepted, _) = listener.accept().await.expect("it dials");
-    let same = std::os::fd::AsFd::as_fd(&accepted)
+    let same_socket = std::os::fd::AsFd::as_fd(&accepted)
         .try_clone_to_owned()
         .expect("a descriptor is free");
     let _link = link::split::<(), ()>(accepted).expect("open");
-    assert!(sockopt::socket_keepalive(&same).expect("told"));
-    assert_eq!(sockopt::tcp_user_timeout(&same).expect("told"), 2_000);
-    drop(dialed);
+    assert!(sockopt::socket_keepalive(&same_socket).expect("told"));
+    assert_eq!(
+        sockopt::tcp_user_timeout(&same_socket).expect("told"),
+        2_000
+    );
+    drop(connected);
 }
 
 /// A peer whose backlog is full answers nothing, as one without power. The system tries again after
@@ -97,20 +100,20 @@
     let listener = socket.listen(0).expect("bound");
     let address = listener.local_addr().expect("bound");
     let first = TcpStream::connect(address).await.expect("it takes one");
-    let connecting = link::connect::<(), ()>(address, WITHIN);
+    let connecting = link::connect::<(), ()>(address, CONNECT_TIMEOUT);
     tokio::pin!(connecting);
     let silent = tokio::time::timeout(Duration::from_millis(1), &mut connecting);
     assert!(
         silent.await.is_err(),
         "a full backlog drops the first packet"
     );
-    let there = std::time::Instant::now();
+    let returned_at = std::time::Instant::now();
     listener.accept().await.expect("the first");
     connecting.await.expect("it is there again");
     assert!(
-        there.elapsed() < Duration::from_millis(700),
+        returned_at.elapsed() < Duration::from_millis(700),
         "{:?}",
-        there.elapsed()
+        returned_at.elapsed()
     );
     drop(first);
 }
--- a/crates/transport/tests/listener.rs
+++ b/crates/transport/tests/listener.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use assert_matches::assert_matches;
-use support::{Client, GET, LIMITS, POST, Stage, play};
+use support::{Client, GET, LIMITS, POST, TestServer, run_test};
 
 use ironmast_transport::connection::ClientLimits;
 
@@ -14,92 +14,96 @@
 /// the connection is closed with the answer.
 #[test]
 fn a_partly_received_request_is_answered_during_a_drain() {
-    play(async {
+    run_test(async {
         for cut in [1, 20, POST.len() - 10, POST.len() - 1] {
-            let stage = Stage::start(LIMITS);
-            let mut client = stage.connect().await;
+            let server = TestServer::start(LIMITS);
+            let mut client = server.connect().await;
             client.write(&POST[..cut]).await;
-            let mut other = stage.connect().await;
+            let mut other = server.connect().await;
             // Answered after the first bytes were read.
             other.write(GET).await;
-            stage.request().await.answer("other");
-            other.answer().await.expect("an answer");
-            let drained = stage.drain();
+            server.next_request().await.respond("other");
+            other.response().await.expect("an answer");
+            let drain = server.drain();
             other.closed().await;
             client.write(&POST[cut..]).await;
-            let request = stage.request().await;
+            let request = server.next_request().await;
             assert_eq!(request.body, "helloworld", "cut at {cut}");
-            request.answer("served");
-            client.expect_last_answer("served").await;
+            request.respond("served");
+            client.expect_closing_response("served").await;
             client.closed().await;
-            drained.await.expect("all connections are closed");
+            drain.await.expect("all connections are closed");
         }
     });
 }
 
 #[test]
 fn a_drain_waits_for_requests_and_streams_and_closes_idle_connections() {
-    play(async {
-        let stage = Stage::start(LIMITS);
-        let [mut waits, mut streams, mut idle] = [
-            stage.connect().await,
-            stage.connect().await,
-            stage.connect().await,
+    run_test(async {
+        let server = TestServer::start(LIMITS);
+        let [mut waiting_client, mut streaming_client, mut idle] = [
+            server.connect().await,
+            server.connect().await,
+            server.connect().await,
         ];
         idle.write(GET).await;
-        stage.request().await.answer("idle");
-        idle.answer().await.expect("an answer");
-        waits.write(GET).await;
-        let waiting = stage.request().await;
-        streams.write(GET).await;
-        let mut stream = stage.request().await.stream();
-        stream.event("one").await;
-        assert_eq!(streams.part().await.as_deref(), Some("one"));
+        server.next_request().await.respond("idle");
+        idle.response().await.expect("an answer");
+        waiting_client.write(GET).await;
+        let waiting_request = server.next_request().await;
+        streaming_client.write(GET).await;
+        let mut stream = server.next_request().await.stream();
+        stream.send_event("one").await;
+        assert_eq!(streaming_client.chunk().await.as_deref(), Some("one"));
 
-        let drained = stage.drain();
+        let drain = server.drain();
         idle.closed().await;
-        stream.event("two").await;
-        assert_eq!(streams.part().await.as_deref(), Some("two"));
-        waiting.answer("served");
+        stream.send_event("two").await;
+        assert_eq!(streaming_client.chunk().await.as_deref(), Some("two"));
+        waiting_request.respond("served");
         assert!(
-            waits
-                .answer()
+            waiting_client
+                .response()
                 .await
                 .expect("an answer")
                 .contains("connection: close")
         );
-        waits.closed().await;
-        stream.event("three").await;
-        assert_eq!(streams.part().await.as_deref(), Some("three"));
-        assert!(!drained.is_finished(), "the stream goes on");
+        waiting_client.closed().await;
+        stream.send_event("three").await;
+        assert_eq!(streaming_client.chunk().await.as_deref(), Some("three"));
+        assert!(!drain.is_finished(), "the stream goes on");
         stream.end();
-        assert_eq!(streams.part().await.as_deref(), Some(""), "its last chunk");
-        streams.closed().await;
-        drained.await.expect("all connections are closed");
+        assert_eq!(
+            streaming_client.chunk().await.as_deref(),
+            Some(""),
+            "its last chunk"
+        );
+        streaming_client.closed().await;
+        drain.await.expect("all connections are closed");
     });
 }
 
 /// The last bytes of an answer may wait for a slow client when the service has given them all.
 #[test]
 fn a_drain_closes_a_connection_only_after_its_stream_is_written_to_a_slow_client() {
-    play(async {
-        let stage = Stage::start(LIMITS);
-        let mut client = stage.connect_with_little_room().await;
+    run_test(async {
+        let server = TestServer::start(LIMITS);
+        let mut client = server.connect_with_small_buffers().await;
         client.write(GET).await;
-        let mut stream = stage.request().await.stream();
-        let part = "x".repeat(20_000);
-        stream.event(&part).await;
-        let drained = stage.drain();
+        let mut stream = server.next_request().await.stream();
+        let event = "x".repeat(20_000);
+        stream.send_event(&event).await;
+        let drain = server.drain();
         let sent = actix_rt::spawn(async move {
-            stream.event(&"y".repeat(20_000)).await;
+            stream.send_event(&"y".repeat(20_000)).await;
             stream.end();
         });
-        assert_eq!(client.part().await, Some(part));
+        assert_eq!(client.chunk().await, Some(event));
         sent.await.expect("all is taken");
-        assert_eq!(client.part().await.map(|part| part.len()), Some(20_000));
-        assert_eq!(client.part().await.as_deref(), Some(""), "its last chunk");
+        assert_eq!(client.chunk().await.map(|chunk| chunk.len()), Some(20_000));
+        assert_eq!(client.chunk().await.as_deref(), Some(""), "its last chunk");
         client.closed().await;
-        drained.await.expect("all connections are closed");
+        drain.await.expect("all connections are closed");
     });
 }
 
@@ -107,20 +111,20 @@
 /// others.
 #[test]
 fn a_response_to_a_slow_client_is_completed_when_descriptors_are_scarce() {
-    play(async {
-        let stage = Stage::start_with(LIMITS, 3);
-        let mut slow = stage.connect_with_little_room().await;
+    run_test(async {
+        let server = TestServer::start_with_descriptors(LIMITS, 3);
+        let mut slow = server.connect_with_small_buffers().await;
         slow.write(GET).await;
         let long = "x".repeat(100_000);
-        stage.request().await.answer(&long);
+        server.next_request().await.respond(&long);
         // The last has no room: somebody has to go, and these have only just come.
         let _fresh = [
-            stage.connect().await,
-            stage.connect().await,
-            stage.connect().await,
+            server.connect().await,
+            server.connect().await,
+            server.connect().await,
         ];
-        let answer = slow.answer().await.expect("the whole answer");
-        assert!(answer.ends_with(&long));
+        let response = slow.response().await.expect("the whole answer");
+        assert!(response.ends_with(&long));
         slow.closed().await;
     });
 }
@@ -128,139 +132,139 @@
 /// Who is closed in the middle of a request knows that nobody has read it: there is no answer.
 #[test]
 fn a_partly_received_request_is_closed_without_a_response_when_descriptors_are_scarce() {
-    play(async {
-        let stage = Stage::start_with(LIMITS, 3);
-        let mut first = stage.connect().await;
+    run_test(async {
+        let server = TestServer::start_with_descriptors(LIMITS, 3);
+        let mut first = server.connect().await;
         first.write(&POST[..POST.len() - 1]).await;
         let mut others = [
-            stage.connect().await,
-            stage.connect().await,
-            stage.connect().await,
+            server.connect().await,
+            server.connect().await,
+            server.connect().await,
         ];
         for other in &mut others {
             other.write(&POST[..POST.len() - 1]).await;
         }
         first.closed().await;
         others[2].write("d").await;
-        let request = stage.request().await;
+        let request = server.next_request().await;
         assert_eq!(request.body, "helloworld");
-        request.answer("served");
-        others[2].answer().await.expect("an answer");
+        request.respond("served");
+        others[2].response().await.expect("an answer");
     });
 }
 
 #[test]
 fn streamed_events_reach_the_client_one_by_one() {
-    play(async {
-        let stage = Stage::start(LIMITS);
-        let (mut client, mut stream) = stage.start_stream().await;
+    run_test(async {
+        let server = TestServer::start(LIMITS);
+        let (mut client, mut stream) = server.start_stream().await;
         for n in 0..50 {
             let event = format!("id: {n}\ndata: piece {n}\n\n");
-            stream.event(&event).await;
-            assert_eq!(client.part().await, Some(event));
+            stream.send_event(&event).await;
+            assert_eq!(client.chunk().await, Some(event));
         }
         stream.end();
-        assert_eq!(client.part().await.as_deref(), Some(""));
+        assert_eq!(client.chunk().await.as_deref(), Some(""));
         client.write(GET).await;
-        stage.request().await.answer("next");
-        client.expect_answer("next").await;
+        server.next_request().await.respond("next");
+        client.expect_response("next").await;
     });
 }
 
 #[test]
 fn an_aborted_stream_ends_without_its_last_chunk() {
-    play(async {
-        let stage = Stage::start(LIMITS);
-        let (mut client, mut stream) = stage.start_stream().await;
-        stream.event("one").await;
-        client.expect_part("one").await;
-        stream.break_off().await;
-        assert_eq!(client.part().await, None, "no last chunk");
+    run_test(async {
+        let server = TestServer::start(LIMITS);
+        let (mut client, mut stream) = server.start_stream().await;
+        stream.send_event("one").await;
+        client.expect_chunk("one").await;
+        stream.abort().await;
+        assert_eq!(client.chunk().await, None, "no last chunk");
     });
 }
 
 #[test]
 fn a_disconnect_is_noticed_while_a_request_is_pending_and_while_its_response_is_streamed() {
-    play(async {
-        let stage = Stage::start(LIMITS);
-        let (client, mut request) = stage.start_request().await;
+    run_test(async {
+        let server = TestServer::start(LIMITS);
+        let (client, mut request) = server.start_request().await;
         drop(client);
-        request.abandoned().await;
+        request.dropped().await;
 
-        let (mut client, mut stream) = stage.start_stream().await;
-        stream.event("one").await;
-        client.part().await;
+        let (mut client, mut stream) = server.start_stream().await;
+        stream.send_event("one").await;
+        client.chunk().await;
         drop(client);
-        stream.abandoned().await;
+        stream.dropped().await;
     });
 }
 
 #[test]
 fn size_limits_are_enforced_and_may_change_on_open_connections() {
-    play(async {
-        let stage = Stage::start(LIMITS);
-        let mut client = stage.connect().await;
+    run_test(async {
+        let server = TestServer::start(LIMITS);
+        let mut client = server.connect().await;
         let long = format!(
             "GET /a HTTP/1.1\r\nHost: a\r\nX-Pad: {}\r\n\r\n",
             "x".repeat(1_000)
         );
         client.write(&long).await;
-        stage.request().await.answer("in time");
-        client.answer().await.expect("an answer");
+        server.next_request().await.respond("in time");
+        client.response().await.expect("an answer");
 
-        stage.listener.set_limits(ClientLimits {
+        server.listener.set_limits(ClientLimits {
             max_header_bytes: 500,
             max_body_bytes: 9,
             ..LIMITS
         });
         client.write(&long).await;
-        let refused = client.answer().await.expect("an answer");
+        let rejection = client.response().await.expect("an answer");
         assert!(
-            refused.starts_with("HTTP/1.1 431") && refused.contains("connection: close"),
-            "{refused}"
+            rejection.starts_with("HTTP/1.1 431") && rejection.contains("connection: close"),
+            "{rejection}"
         );
         client.closed().await;
 
         let chunked = "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\na\r\nhelloworld\r\n0\r\n\r\n";
         for request in [POST, chunked] {
-            let mut client = stage.connect().await;
+            let mut client = server.connect().await;
             client.write(request).await;
-            let refused = client.answer().await.expect("an answer");
-            assert!(refused.starts_with("HTTP/1.1 413"), "{refused}");
+            let rejection = client.response().await.expect("an answer");
+            assert!(rejection.starts_with("HTTP/1.1 413"), "{rejection}");
         }
     });
 }
 
 #[test]
 fn partial_requests_and_idle_connections_time_out_each_by_its_own_limit() {
-    play(async {
+    run_test(async {
         let brief = 30_000;
         let (long, idle) = (LIMITS.header_timeout, LIMITS.idle_timeout);
         for (header_timeout, idle_timeout) in [(brief, idle), (long, brief)] {
-            let stage = Stage::start(ClientLimits {
+            let server = TestServer::start(ClientLimits {
                 header_timeout,
                 idle_timeout,
                 ..LIMITS
             });
-            let mut half = stage.connect().await;
-            half.write(&GET[..10]).await;
-            let mut silent = stage.connect().await;
+            let mut partial = server.connect().await;
+            partial.write(&GET[..10]).await;
+            let mut idle_client = server.connect().await;
             let (first, mut second): (&mut Client, &mut Client) = if header_timeout == brief {
-                (&mut half, &mut silent)
+                (&mut partial, &mut idle_client)
             } else {
-                (&mut silent, &mut half)
+                (&mut idle_client, &mut partial)
             };
             first.closed().await;
             assert!(second.is_open(), "the other has its own limit");
             if header_timeout == brief {
-                second = &mut silent;
+                second = &mut idle_client;
                 second.write(GET).await;
-                stage.request().await.answer("served");
-                assert_matches!(second.answer().await, Some(_));
+                server.next_request().await.respond("served");
+                assert_matches!(second.response().await, Some(_));
             } else {
                 second.write(&GET[10..]).await;
-                stage.request().await.answer("served");
-                assert_matches!(second.answer().await, Some(_));
+                server.next_request().await.respond("served");
+                assert_matches!(second.response().await, Some(_));
             }
         }
     });
@@ -268,18 +272,18 @@
 
 #[test]
 fn a_pending_request_has_no_time_limit() {
-    play(async {
-        let stage = Stage::start(ClientLimits {
+    run_test(async {
+        let server = TestServer::start(ClientLimits {
             header_timeout: 10_000,
             idle_timeout: 10_000,
             ..LIMITS
         });
-        let (mut client, request) = stage.start_request().await;
-        let mut silent = stage.connect().await;
-        silent.closed().await;
-        let mut silent = stage.connect().await;
-        silent.closed().await;
-        request.answer("late");
-        client.expect_answer("late").await;
+        let (mut client, request) = server.start_request().await;
+        let mut idle_client = server.connect().await;
+        idle_client.closed().await;
+        let mut idle_client = server.connect().await;
+        idle_client.closed().await;
+        request.respond("late");
+        client.expect_response("late").await;
     });
 }
--- a/crates/transport/tests/listener/floods.rs
+++ b/crates/transport/tests/listener/floods.rs
@@ -6,7 +6,7 @@
 use futures_util::StreamExt as _;
 use ironmast_transport::connection::ClientLimits;
 
-use crate::support::{AT_ONCE, GET, LIMITS, POST, Stage, play};
+use crate::support::{GET, IMMEDIATE_PATH, LIMITS, POST, TestServer, run_test};
 
 /// More than is read ahead and kept; once it has arrived, a connection that is polled in a busy
 /// loop occupies a CPU.
@@ -30,8 +30,8 @@
     )
 }
 
-fn start() -> Stage {
-    Stage::start(ClientLimits {
+fn start() -> TestServer {
+    TestServer::start(ClientLimits {
         idle_timeout: MEASURED_TIME,
         ..LIMITS
     })
@@ -39,85 +39,85 @@
 
 /// Asserts that the listener uses little CPU time until a silent connection is closed, which takes
 /// the measured time.
-async fn assert_idle(stage: &Stage, what: &str) {
-    let mut silent = stage.connect().await;
+async fn assert_little_cpu_time(server: &TestServer, what: &str) {
+    let mut idle_client = server.connect().await;
     let before = cpu_time();
-    silent.closed().await;
+    idle_client.closed().await;
     let spent = cpu_time() - before;
     assert!(spent < MAX_CPU_TIME, "{what}: {spent:?} of CPU time");
 }
 
 /// Waits until what was written before has been read: another client is answered then.
-async fn wait_until_read(stage: &Stage) {
-    let mut other = stage.connect().await;
+async fn wait_until_read(server: &TestServer) {
+    let mut other = server.connect().await;
     for _ in 0..2 {
         other.write(GET).await;
-        stage.request().await.answer("other");
-        other.answer().await.expect("an answer");
+        server.next_request().await.respond("other");
+        other.response().await.expect("an answer");
     }
 }
 
 #[test]
 fn a_flood_behind_a_pending_request_uses_no_cpu_time() {
-    play(async {
-        let stage = start();
-        let (client, request) = stage.start_request().await;
-        let flooding = client.write_meanwhile(flood());
-        assert_idle(&stage, "behind one that waits").await;
-        request.answer("served");
+    run_test(async {
+        let server = start();
+        let (client, request) = server.start_request().await;
+        let flooding = client.write_in_background(flood());
+        assert_little_cpu_time(&server, "behind one that waits").await;
+        request.respond("served");
         let mut client = flooding.await.expect("all is taken");
-        client.expect_last_answer("served").await;
+        client.expect_closing_response("served").await;
     });
 }
 
 #[test]
 fn a_flood_written_together_with_its_first_request_uses_no_cpu_time() {
-    play(async {
-        let stage = start();
-        let flooding = stage
+    run_test(async {
+        let server = start();
+        let flooding = server
             .connect()
             .await
-            .write_meanwhile(format!("{POST}{}", flood()));
-        let request = stage.request().await;
-        assert_idle(&stage, "in one go").await;
-        request.answer("served");
+            .write_in_background(format!("{POST}{}", flood()));
+        let request = server.next_request().await;
+        assert_little_cpu_time(&server, "in one go").await;
+        request.respond("served");
         let mut client = flooding.await.expect("all is taken");
-        client.expect_last_answer("served").await;
+        client.expect_closing_response("served").await;
     });
 }
 
 #[test]
 fn a_flood_behind_a_streamed_response_uses_no_cpu_time() {
-    play(async {
-        let stage = start();
-        let (mut client, mut stream) = stage.start_stream().await;
-        stream.event("one").await;
-        client.expect_part("one").await;
-        let flooding = client.write_meanwhile(flood());
-        assert_idle(&stage, "behind a stream").await;
-        stream.event("two").await;
+    run_test(async {
+        let server = start();
+        let (mut client, mut stream) = server.start_stream().await;
+        stream.send_event("one").await;
+        client.expect_chunk("one").await;
+        let flooding = client.write_in_background(flood());
+        assert_little_cpu_time(&server, "behind a stream").await;
+        stream.send_event("two").await;
         let mut client = flooding.await.expect("all is taken");
-        client.expect_part("two").await;
+        client.expect_chunk("two").await;
     });
 }
 
 #[test]
 fn a_flood_of_a_client_that_does_not_read_its_response_uses_no_cpu_time() {
-    play(async {
-        let stage = start();
-        let mut client = stage.connect_with_little_room().await;
+    run_test(async {
+        let server = start();
+        let mut client = server.connect_with_small_buffers().await;
         client.write(GET).await;
-        stage.request().await.answer(&"x".repeat(1_000_000));
-        let _flooding = client.write_meanwhile(flood());
-        assert_idle(&stage, "behind an answer that nobody reads").await;
+        server.next_request().await.respond(&"x".repeat(1_000_000));
+        let _flooding = client.write_in_background(flood());
+        assert_little_cpu_time(&server, "behind an answer that nobody reads").await;
     });
 }
 
 #[test]
 fn a_flood_behind_a_long_body_that_is_not_consumed_uses_no_cpu_time() {
-    play(async {
-        let stage = start();
-        let mut client = stage.connect().await;
+    run_test(async {
+        let server = start();
+        let mut client = server.connect().await;
         let (first, rest) = (70_000, 30_000);
         client
             .write(&format!(
@@ -126,51 +126,55 @@
             ))
             .await;
         client.write(&"x".repeat(first)).await;
-        let request = stage.request().await;
-        assert!(request.flow.is_some(), "on its way");
-        let _flooding = client.write_meanwhile(format!("{}{}", "x".repeat(rest), flood()));
-        assert_idle(&stage, "behind a body that nobody draws").await;
+        let request = server.next_request().await;
+        assert!(request.streamed_body.is_some(), "on its way");
+        let _flooding = client.write_in_background(format!("{}{}", "x".repeat(rest), flood()));
+        assert_little_cpu_time(&server, "behind a body that nobody draws").await;
     });
 }
 
 /// More than is read ahead, less than that and what is kept.
 #[test]
 fn pipelined_requests_within_the_read_ahead_limit_are_answered_in_order() {
-    play(async {
-        const AHEAD: usize = 100 * 1024;
-        let stage = Stage::start(LIMITS);
-        let (mut client, mut request) = stage.start_request().await;
-        let count = AHEAD / GET.len();
+    run_test(async {
+        const PIPELINED_BYTES: usize = 100 * 1024;
+        let server = TestServer::start(LIMITS);
+        let (mut client, mut request) = server.start_request().await;
+        let count = PIPELINED_BYTES / GET.len();
         for _ in 0..count {
             client.write(GET).await;
         }
-        wait_until_read(&stage).await;
+        wait_until_read(&server).await;
         for turn in 0..count {
-            request.answer(&format!("served {turn}"));
-            client.expect_open_answer(&format!("served {turn}")).await;
-            request = stage.request().await;
+            request.respond(&format!("served {turn}"));
+            client
+                .expect_keep_alive_response(&format!("served {turn}"))
+                .await;
+            request = server.next_request().await;
         }
-        request.answer("the last");
-        client.expect_answer("the last").await;
+        request.respond("the last");
+        client.expect_response("the last").await;
         assert!(client.is_open());
     });
 }
 
 #[test]
 fn requests_pipelined_one_ahead_are_all_answered() {
-    play(async {
-        let stage = Stage::start(LIMITS);
-        let mut client = stage.connect().await;
+    run_test(async {
+        let server = TestServer::start(LIMITS);
+        let mut client = server.connect().await;
         let get = format!(
             "GET /a HTTP/1.1\r\nHost: a\r\nX-Pad: {}\r\n\r\n",
             "x".repeat(500)
         );
         client.write(&get).await;
         for turn in 0..1_000 {
-            let request = stage.request().await;
+            let request = server.next_request().await;
             client.write(&get).await;
-            request.answer(&format!("served {turn}"));
-            client.expect_open_answer(&format!("served {turn}")).await;
+            request.respond(&format!("served {turn}"));
+            client
+                .expect_keep_alive_response(&format!("served {turn}"))
+                .await;
         }
     });
 }
@@ -179,18 +183,18 @@
 /// once.
 #[test]
 fn requests_behind_a_full_queue_are_answered_without_further_input() {
-    play(async {
-        let stage = Stage::start(LIMITS);
-        let (mut client, request) = stage.start_request().await;
-        let batch = format!("GET {AT_ONCE} HTTP/1.1\r\nHost: a\r\n\r\n").repeat(20);
+    run_test(async {
+        let server = TestServer::start(LIMITS);
+        let (mut client, request) = server.start_request().await;
+        let batch = format!("GET {IMMEDIATE_PATH} HTTP/1.1\r\nHost: a\r\n\r\n").repeat(20);
         for _ in 0..2 {
             client.write(&batch).await;
-            wait_until_read(&stage).await;
+            wait_until_read(&server).await;
         }
-        request.answer("served");
-        client.expect_answer("served").await;
+        request.respond("served");
+        client.expect_response("served").await;
         for _ in 0..40 {
-            client.expect_answer("at once").await;
+            client.expect_response("at once").await;
         }
     });
 }
@@ -211,8 +215,8 @@
     ]
 }
 
-fn start_for_long_bodies() -> Stage {
-    Stage::start(ClientLimits {
+fn start_for_long_bodies() -> TestServer {
+    TestServer::start(ClientLimits {
         max_body_bytes: 2 * LONG_BODY_BYTES,
         ..LIMITS
     })
@@ -220,23 +224,23 @@
 
 #[test]
 fn a_long_body_is_read_as_it_is_consumed() {
-    play(async {
-        let stage = start_for_long_bodies();
+    run_test(async {
+        let server = start_for_long_bodies();
         for post in long_posts() {
-            let writing = stage.connect().await.write_meanwhile(post);
-            let mut request = stage.request().await;
-            let mut parts = Box::pin(request.flow.take().expect("on its way").stream());
-            let mut drawn = 0;
-            while let Some(part) = parts.next().await {
-                drawn += part.expect("it does not break off").len();
+            let writing = server.connect().await.write_in_background(post);
+            let mut request = server.next_request().await;
+            let mut chunks = Box::pin(request.streamed_body.take().expect("on its way").stream());
+            let mut received_bytes = 0;
+            while let Some(chunk) = chunks.next().await {
+                received_bytes += chunk.expect("it does not break off").len();
             }
-            assert_eq!(drawn, LONG_BODY_BYTES);
-            request.answer("served");
+            assert_eq!(received_bytes, LONG_BODY_BYTES);
+            request.respond("served");
             let mut client = writing.await.expect("all is taken");
-            client.expect_answer("served").await;
+            client.expect_response("served").await;
             client.write(GET).await;
-            stage.request().await.answer("next");
-            client.expect_answer("next").await;
+            server.next_request().await.respond("next");
+            client.expect_response("next").await;
         }
     });
 }
@@ -244,18 +248,18 @@
 /// A client may well read only when it has written everything.
 #[test]
 fn a_long_body_that_is_not_consumed_is_read_to_its_end_while_the_response_is_streamed() {
-    play(async {
-        let stage = start_for_long_bodies();
+    run_test(async {
+        let server = start_for_long_bodies();
         for post in long_posts() {
-            let writing = stage.connect().await.write_meanwhile(post);
-            let mut request = stage.request().await;
-            assert!(request.flow.take().is_some(), "on its way");
+            let writing = server.connect().await.write_in_background(post);
+            let mut request = server.next_request().await;
+            assert!(request.streamed_body.take().is_some(), "on its way");
             let mut stream = request.stream();
-            stream.event("one").await;
+            stream.send_event("one").await;
             let mut client = writing.await.expect("all is taken");
-            client.expect_part("one").await;
+            client.expect_chunk("one").await;
             stream.end();
-            assert_eq!(client.part().await.as_deref(), Some(""));
+            assert_eq!(client.chunk().await.as_deref(), Some(""));
         }
     });
 }
@@ -263,10 +267,15 @@
 /// What is not read hides its end.
 #[test]
 fn the_disconnect_of_a_client_behind_a_flood_is_noticed() {
-    play(async {
-        let stage = Stage::start(LIMITS);
-        let (client, mut request) = stage.start_request().await;
-        drop(client.write_meanwhile(flood()).await.expect("all is taken"));
-        request.abandoned().await;
+    run_test(async {
+        let server = TestServer::start(LIMITS);
+        let (client, mut request) = server.start_request().await;
+        drop(
+            client
+                .write_in_background(flood())
+                .await
+                .expect("all is taken"),
+        );
+        request.dropped().await;
     });
 }
--- a/crates/transport/tests/listener/support.rs
+++ b/crates/transport/tests/listener/support.rs
@@ -36,59 +36,61 @@
 pub(crate) const POST: &str = "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nhelloworld";
 
 /// A request of this path is answered without the test.
-pub(crate) const AT_ONCE: &str = "/at-once";
+pub(crate) const IMMEDIATE_PATH: &str = "/at-once";
 
 /// Room in a socket's buffers.
-const LITTLE: u32 = 2_048;
+const SOCKET_BUFFER_BYTES: u32 = 2_048;
 /// A play that does not end has failed.
-const MOST: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Plays on the runtime that actix-http needs.
-pub(crate) fn play(test: impl Future<Output = ()>) {
+pub(crate) fn run_test(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(async {
-        tokio::time::timeout(MOST, test).await.expect("in time");
+        tokio::time::timeout(TEST_TIMEOUT, test)
+            .await
+            .expect("in time");
     });
 }
 
 /// How a request is answered.
 enum Reply {
-    Whole(String),
-    Stream(mpsc::Receiver<Result<Bytes, io::Error>>),
+    Complete(String),
+    Streamed(mpsc::Receiver<Result<Bytes, io::Error>>),
 }
 
 /// A request that waits for its answer.
-pub(crate) struct Asked {
+pub(crate) struct PendingRequest {
     /// Its body, where it is held.
     pub body: String,
     /// Its body, where it is on its way.
-    pub flow: Option<Rc<StreamedRequestBody>>,
+    pub streamed_body: Option<Rc<StreamedRequestBody>>,
     reply: oneshot::Sender<Reply>,
 }
 
-impl Asked {
+impl PendingRequest {
     /// Answers at once.
-    pub(crate) fn answer(self, text: &str) {
-        drop(self.reply.send(Reply::Whole(text.to_string())));
+    pub(crate) fn respond(self, text: &str) {
+        drop(self.reply.send(Reply::Complete(text.to_string())));
     }
 
     /// Answers by a stream.
-    pub(crate) fn stream(self) -> Stream {
-        let (parts, stream) = mpsc::channel(1);
-        drop(self.reply.send(Reply::Stream(stream)));
-        Stream(parts)
+    pub(crate) fn stream(self) -> ResponseStream {
+        let (chunk_sender, chunks) = mpsc::channel(1);
+        drop(self.reply.send(Reply::Streamed(chunks)));
+        ResponseStream(chunk_sender)
     }
 
     /// Waits until nobody wants the answer.
-    pub(crate) async fn abandoned(&mut self) {
+    pub(crate) async fn dropped(&mut self) {
         self.reply.closed().await;
     }
 }
 
 /// An answer on its way.
-pub(crate) struct Stream(mpsc::Sender<Result<Bytes, io::Error>>);
+pub(crate) struct ResponseStream(mpsc::Sender<Result<Bytes, io::Error>>);
 
-impl Stream {
-    pub(crate) async fn event(&mut self, text: &str) {
+impl ResponseStream {
+    pub(crate) async fn send_event(&mut self, text: &str) {
         self.0
             .send(Ok(Bytes::copy_from_slice(text.as_bytes())))
             .await
@@ -101,7 +103,7 @@
     }
 
     /// The server has broken off.
-    pub(crate) async fn break_off(self) {
+    pub(crate) async fn abort(self) {
         self.0
             .send(Err(io::ErrorKind::UnexpectedEof.into()))
             .await
@@ -109,93 +111,105 @@
     }
 
     /// Waits until nobody wants more of it.
-    pub(crate) async fn abandoned(&mut self) {
+    pub(crate) async fn dropped(&mut self) {
         self.0.closed().await;
     }
 }
 
 /// Hands requests to the test.
-pub(crate) struct Scripted {
-    asked: mpsc::UnboundedSender<Asked>,
-    held: BodyMemory,
+pub(crate) struct ScriptedService {
+    requests: mpsc::UnboundedSender<PendingRequest>,
+    body_memory: BodyMemory,
 }
 
-impl Service for Scripted {
+impl Service for ScriptedService {
     async fn handle(
         &self,
         mut request: Request,
         connection: &Rc<ClientConnection>,
     ) -> Response<BoxBody> {
-        if request.path() == AT_ONCE {
+        if request.path() == IMMEDIATE_PATH {
             return Response::with_body(StatusCode::OK, "at once").map_into_boxed_body();
         }
         let length = request.headers().get("content-length");
         let length = length.and_then(|length| length.to_str().ok()?.parse().ok());
         let payload = request.take_payload();
-        let read = request_body::read(payload, length, 64 * 1024, &self.held, connection, || {});
-        let (body, flow) = match read.await {
+        let read = request_body::read(
+            payload,
+            length,
+            64 * 1024,
+            &self.body_memory,
+            connection,
+            || {},
+        );
+        let (body, streamed_body) = match read.await {
             Ok(RequestBody::Buffered(body)) => {
                 (String::from_utf8(body.to_vec()).expect("text"), None)
             }
-            Err(RequestBodyError::TooLong) => return plain(StatusCode::PAYLOAD_TOO_LARGE),
-            Err(RequestBodyError::Incomplete) => return plain(StatusCode::BAD_REQUEST),
-            Ok(RequestBody::Streamed(flow)) => (String::new(), Some(flow)),
+            Err(RequestBodyError::TooLong) => return empty_response(StatusCode::PAYLOAD_TOO_LARGE),
+            Err(RequestBodyError::Incomplete) => return empty_response(StatusCode::BAD_REQUEST),
+            Ok(RequestBody::Streamed(streamed_body)) => (String::new(), Some(streamed_body)),
         };
-        let active = connection.request();
-        active.set_fully_received(flow.is_none());
-        let (reply, answer) = oneshot::channel();
-        self.asked
-            .send(Asked { body, flow, reply })
+        let active = connection.mark_request_pending();
+        active.set_fully_received(streamed_body.is_none());
+        let (reply, reply_receiver) = oneshot::channel();
+        self.requests
+            .send(PendingRequest {
+                body,
+                streamed_body,
+                reply,
+            })
             .expect("the test goes on");
-        match answer.await {
-            Ok(Reply::Whole(text)) => {
+        match reply_receiver.await {
+            Ok(Reply::Complete(text)) => {
                 Response::with_body(StatusCode::OK, text).map_into_boxed_body()
             }
-            Ok(Reply::Stream(parts)) => stream(parts, active),
-            Err(_) => plain(StatusCode::BAD_GATEWAY),
+            Ok(Reply::Streamed(chunks)) => streamed_response(chunks, active),
+            Err(_) => empty_response(StatusCode::BAD_GATEWAY),
         }
     }
 }
 
-fn plain(status: StatusCode) -> Response<BoxBody> {
+fn empty_response(status: StatusCode) -> Response<BoxBody> {
     Response::new(status).map_into_boxed_body()
 }
 
-fn stream(
-    mut parts: mpsc::Receiver<Result<Bytes, io::Error>>,
+fn streamed_response(
+    mut chunks: mpsc::Receiver<Result<Bytes, io::Error>>,
     active: ActiveRequest,
 ) -> Response<BoxBody> {
-    let parts = futures_util::stream::poll_fn(move |cx| parts.poll_recv(cx));
-    let body = BodyStream::new(parts.inspect(move |_| _ = &active));
+    let chunks = futures_util::stream::poll_fn(move |cx| chunks.poll_recv(cx));
+    let body = BodyStream::new(chunks.inspect(move |_| _ = &active));
     Response::with_body(StatusCode::OK, body).map_into_boxed_body()
 }
 
 /// A listener that serves.
-pub(crate) struct Stage {
-    pub listener: Rc<Listener<Scripted>>,
+pub(crate) struct TestServer {
+    pub listener: Rc<Listener<ScriptedService>>,
     address: SocketAddr,
-    asked: Mutex<mpsc::UnboundedReceiver<Asked>>,
+    requests: Mutex<mpsc::UnboundedReceiver<PendingRequest>>,
     accepting: RefCell<Option<JoinHandle<()>>>,
     _serving: watch::Sender<bool>,
 }
 
-impl Stage {
+impl TestServer {
     pub(crate) fn start(limits: ClientLimits) -> Self {
-        Stage::start_with(limits, 64)
+        TestServer::start_with_descriptors(limits, 64)
     }
 
     /// One that may hold so many connections.
-    pub(crate) fn start_with(limits: ClientLimits, descriptors: usize) -> Self {
+    pub(crate) fn start_with_descriptors(limits: ClientLimits, descriptors: usize) -> Self {
         let tcp =
             sockets::listen("127.0.0.1:0".parse().expect("an address")).expect("a port is free");
         // What it accepts has it, too.
-        rustix::net::sockopt::set_socket_send_buffer_size(&tcp, LITTLE as usize).expect("set");
+        rustix::net::sockopt::set_socket_send_buffer_size(&tcp, SOCKET_BUFFER_BYTES as usize)
+            .expect("set");
         let address = tcp.local_addr().expect("bound");
-        let (asked, requests) = mpsc::unbounded_channel();
+        let (request_sender, requests) = mpsc::unbounded_channel();
         let (serving, serves) = watch::channel(true);
-        let service = Rc::new(Scripted {
-            asked,
-            held: BodyMemory::new(64),
+        let service = Rc::new(ScriptedService {
+            requests: request_sender,
+            body_memory: BodyMemory::new(64),
         });
         let log = Logger::root(Discard, o!());
         let listener = Listener::new(
@@ -207,11 +221,11 @@
             serves,
         );
         let accepting = actix_rt::spawn(Rc::clone(&listener).accept(Rc::new(tcp)));
-        let (asked, accepting) = (Mutex::new(requests), RefCell::new(Some(accepting)));
-        Stage {
+        let (requests, accepting) = (Mutex::new(requests), RefCell::new(Some(accepting)));
+        TestServer {
             listener,
             address,
-            asked,
+            requests,
             accepting,
             _serving: serving,
         }
@@ -224,22 +238,24 @@
     }
 
     /// A new client whose request is pending.
-    pub(crate) async fn start_request(&self) -> (Client, Asked) {
+    pub(crate) async fn start_request(&self) -> (Client, PendingRequest) {
         let mut client = self.connect().await;
         client.write(GET).await;
-        (client, self.request().await)
+        (client, self.next_request().await)
     }
 
     /// A new client whose response is being streamed.
-    pub(crate) async fn start_stream(&self) -> (Client, Stream) {
+    pub(crate) async fn start_stream(&self) -> (Client, ResponseStream) {
         let (client, request) = self.start_request().await;
         (client, request.stream())
     }
 
     /// A client on whose connection little is on its way at once.
-    pub(crate) async fn connect_with_little_room(&self) -> Client {
+    pub(crate) async fn connect_with_small_buffers(&self) -> Client {
         let socket = TcpSocket::new_v4().expect("a socket");
-        socket.set_recv_buffer_size(LITTLE).expect("set");
+        socket
+            .set_recv_buffer_size(SOCKET_BUFFER_BYTES)
+            .expect("set");
         Client(BufReader::with_capacity(
             64,
             socket.connect(self.address).await.expect("it listens"),
@@ -247,13 +263,13 @@
     }
 
     /// The next request that the service is handed.
-    pub(crate) async fn request(&self) -> Asked {
-        self.asked.lock().await.recv().await.expect("it serves")
+    pub(crate) async fn next_request(&self) -> PendingRequest {
+        self.requests.lock().await.recv().await.expect("it serves")
     }
 
     /// Takes no new connection any more and lets the others finish; ends when none is left.
     pub(crate) fn drain(&self) -> JoinHandle<()> {
-        let accepting = self.accepting.take().expect("drained once");
+        let accepting = self.accepting.take().expect("drain once");
         let listener = Rc::clone(&self.listener);
         actix_rt::spawn(async move {
             listener.stop.notify_one();
@@ -268,7 +284,7 @@
 
 impl Client {
     /// Writes all of it while the test goes on, and gives the connection back.
-    pub(crate) fn write_meanwhile(mut self, text: String) -> JoinHandle<Client> {
+    pub(crate) fn write_in_background(mut self, text: String) -> JoinHandle<Client> {
         actix_rt::spawn(async move {
             self.write(&text).await;
             self
@@ -296,7 +312,7 @@
     }
 
     /// A whole answer with a length: head and body.
-    pub(crate) async fn answer(&mut self) -> Option<String> {
+    pub(crate) async fn response(&mut self) -> Option<String> {
         let mut head = self.head().await?;
         let length = head
             .lines()
@@ -309,36 +325,36 @@
     }
 
     /// Asserts that a response arrives, with this at its end.
-    pub(crate) async fn expect_answer(&mut self, ending: &str) {
-        let answer = self.answer().await.expect("an answer");
-        assert!(answer.ends_with(ending), "{answer}");
+    pub(crate) async fn expect_response(&mut self, ending: &str) {
+        let response = self.response().await.expect("an answer");
+        assert!(response.ends_with(ending), "{response}");
     }
 
     /// Asserts the same, and that the connection closes with it.
-    pub(crate) async fn expect_last_answer(&mut self, ending: &str) {
-        let answer = self.answer().await.expect("an answer");
+    pub(crate) async fn expect_closing_response(&mut self, ending: &str) {
+        let response = self.response().await.expect("an answer");
         assert!(
-            answer.contains("connection: close") && answer.ends_with(ending),
-            "{answer}"
+            response.contains("connection: close") && response.ends_with(ending),
+            "{response}"
         );
     }
 
     /// Asserts the same, and that the connection stays open.
-    pub(crate) async fn expect_open_answer(&mut self, ending: &str) {
-        let answer = self.answer().await.expect("an answer");
+    pub(crate) async fn expect_keep_alive_response(&mut self, ending: &str) {
+        let response = self.response().await.expect("an answer");
         assert!(
-            answer.ends_with(ending) && !answer.contains("close"),
-            "{answer}"
+            response.ends_with(ending) && !response.contains("close"),
+            "{response}"
         );
     }
 
     /// Asserts that the next chunk of a stream is this.
-    pub(crate) async fn expect_part(&mut self, text: &str) {
-        assert_eq!(self.part().await.as_deref(), Some(text));
+    pub(crate) async fn expect_chunk(&mut self, text: &str) {
+        assert_eq!(self.chunk().await.as_deref(), Some(text));
     }
 
     /// The next chunk of a stream, past its head; none where it breaks off.
-    pub(crate) async fn part(&mut self) -> Option<String> {
+    pub(crate) async fn chunk(&mut self) -> Option<String> {
         let mut line = String::new();
         loop {
             line.clear();
