--- a/crates/transport/src/attempt.rs
+++ b/crates/transport/src/attempt.rs
@@ -1,8 +1,8 @@
 //! The state of one attempt to send a request to a server: how much of the request has been written,
 //! whether it may still start, and what has been received of the response.
 //!
-//! awc offers no access to the connection that serves a request. An attempt is therefore polled in
-//! the scope of a task-local [`AttemptState`], to which the connection's stream reports.
+//! awc gives no access to the connection that serves a request. An attempt is therefore polled with a
+//! task-local [`AttemptState`], to which the connection's stream reports.
 
 use std::cell::Cell;
 use std::fmt;
@@ -16,8 +16,8 @@
 use crate::malformed_response::MalformedResponse;
 use crate::observed_stream::StreamObserver;
 
-/// A buffered response of which nothing more arrives for this long has stalled. Guards against
-/// announced lengths that are longer than what is sent.
+/// A buffered response of which nothing more arrives for this long has stalled: the server may have
+/// announced a length that is longer than what it sends.
 pub const BUFFERED_RESPONSE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
 tokio::task_local! {
@@ -28,43 +28,43 @@
 /// How a response is delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Delivery {
-    /// A short response is buffered until it is complete, a long one is streamed.
+    /// A short response is buffered until it is complete, and a long one is streamed.
     #[default]
     BufferIfShort,
-    /// Head and body are delivered as they arrive, and validated on the way.
+    /// Head and body are validated and delivered as they arrive.
     PassThrough,
 }
 
 /// A request header whose value the response must repeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExpectedHeader {
-    /// Its name.
+    /// The name of the header, in the request and the response.
     pub name: &'static str,
-    /// Its value, byte for byte; `None` where the request had no such header: a response that has
-    /// one then belongs to another request.
+    /// The value in the request, byte for byte; `None` where the request had no such header, so that
+    /// a response with one belongs to another request.
     pub value: Option<Vec<u8>>,
 }
 
 /// Returns whether the server still accepts new requests.
 pub type AdmissionCheck = Box<dyn Fn() -> bool>;
 
-/// What is decided before an attempt starts.
+/// The conditions on which an attempt starts, and how its response is read.
 #[derive(Default)]
 pub struct AttemptOptions {
-    /// How its response is delivered.
+    /// How the response is delivered.
     pub delivery: Delivery,
-    /// Called right before the first byte is written; false fails the attempt.
+    /// Called right before the first byte is written; the attempt fails if it returns false.
     pub admission: Option<AdmissionCheck>,
-    /// The clock reading from which on its first byte is not written any more.
+    /// The time from which on the attempt does not start: its first byte is not written any more.
     pub start_deadline: Option<(Clock, Micros)>,
-    /// With [`Delivery::PassThrough`]: responses that do not repeat this header belong to other
+    /// With [`Delivery::PassThrough`], responses that do not repeat this header belong to other
     /// requests and are skipped.
     pub expected: Option<ExpectedHeader>,
-    /// The method is `HEAD`: the response has no body, whatever its headers say.
+    /// Whether the method is `HEAD`, so that the response has no body, whatever its headers say.
     pub without_body: bool,
 }
 
-/// The state of one attempt, as its connection reports it.
+/// The state of one attempt, as reported by the connection that it uses.
 #[derive(Default)]
 pub struct AttemptState {
     options: AttemptOptions,
@@ -78,7 +78,7 @@
 }
 
 impl AttemptState {
-    /// The state of an attempt that has not started.
+    /// Creates the state of an attempt that has not started.
     #[must_use]
     pub fn new(options: AttemptOptions) -> Rc<Self> {
         Rc::new(AttemptState {
@@ -87,12 +87,12 @@
         })
     }
 
-    /// Runs the attempt: connections that `call` uses report to this state.
+    /// Runs `call`; the connections that it uses report to this state.
     pub async fn scope<F: Future>(self: &Rc<Self>, call: F) -> F::Output {
         ATTEMPT.scope(Rc::clone(self), call).await
     }
 
-    /// Bytes of the request written so far. Zero proves that the server has not run it.
+    /// Bytes of the request written so far. Zero proves that the server has not executed the request.
     pub fn bytes_written(&self) -> usize {
         self.bytes_written.get()
     }
@@ -118,7 +118,7 @@
         self.last_progress.get()
     }
 
-    /// Whether it had not started by its start deadline.
+    /// Whether the start deadline has passed and the attempt has not started.
     pub fn start_timed_out(&self) -> bool {
         self.bytes_written.get() == 0
             && self
@@ -177,24 +177,25 @@
         self.is_close_delimited.set(true);
     }
 
-    /// Why its next byte must not be written, if so. An attempt that has started is finished.
+    /// Why the next byte of the request must not be written, if so. An attempt that has started may
+    /// always continue.
     fn rejection(&self) -> Option<&'static str> {
         if self.bytes_written.get() > 0 {
             return None;
         }
-        // Guards draining servers: the drain may have started after the decision to send.
+        // The server may have started to drain after the decision to send.
         if self
             .options
             .admission
             .as_ref()
             .is_some_and(|admits| !admits())
         {
-            return Some("it takes nothing new");
+            return Some("the server accepts no new requests");
         }
-        // Guards idempotency windows: a connection that is established late would carry a retry
-        // past the end of its window.
+        // A connection that is established late would carry a retry past the end of its idempotency
+        // window.
         self.start_timed_out()
-            .then_some("the window of its class is over")
+            .then_some("the time limit for starting the attempt has passed")
     }
 }
 
@@ -207,7 +208,7 @@
 }
 
 /// Reports writes to the attempt that is being polled. A connection serves one attempt after
-/// another, and each is polled in a task of its own, so the task determines whose bytes these are.
+/// another, each polled in a task of its own, so the task identifies the attempt that writes.
 #[derive(Debug)]
 pub struct AttemptObserver;
 
--- a/crates/transport/src/attempt/tests.rs
+++ b/crates/transport/src/attempt/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// A retry whose connection is established at the end of its window is not started; one started
-/// before it goes on.
+/// A retry whose connection is established only at the end of its idempotency window must not be
+/// sent; one that has started before is completed.
 #[test]
-fn an_attempt_past_its_start_deadline_does_not_start_but_a_started_one_goes_on() {
+fn an_attempt_past_its_start_deadline_does_not_start_but_a_started_one_continues() {
     let clock = Clock::start();
     let attempt_with_deadline = |deadline| {
         AttemptState::new(AttemptOptions {
@@ -15,25 +15,31 @@
     };
     let past = clock.now();
     ATTEMPT.sync_scope(attempt_with_deadline(past), || {
-        assert!(AttemptObserver.may_write().is_err(), "its window is over");
+        assert!(
+            AttemptObserver.may_write().is_err(),
+            "the deadline has passed"
+        );
     });
     ATTEMPT.sync_scope(attempt_with_deadline(past + 3_600_000_000), || {
-        assert!(AttemptObserver.may_write().is_ok(), "there is time left");
+        assert!(
+            AttemptObserver.may_write().is_ok(),
+            "the deadline has not passed"
+        );
     });
     let started = attempt_with_deadline(past);
     started.bytes_written.set(1);
     ATTEMPT.sync_scope(started, || {
         assert!(
             AttemptObserver.may_write().is_ok(),
-            "the rest of one started in time"
+            "an attempt that started in time continues"
         );
     });
 }
 
-/// A drain that starts between decision and first byte stops the write; a request that has started
-/// is finished.
+/// A drain that starts between the decision to send and the first byte prevents the write; a request
+/// that has started is completed.
 #[test]
-fn an_attempt_at_a_draining_server_does_not_start_but_a_started_one_goes_on() {
+fn an_attempt_at_a_draining_server_does_not_start_but_a_started_one_continues() {
     let admits = Rc::new(Cell::new(true));
     let admits_in_check = Rc::clone(&admits);
     let admission: AdmissionCheck = Box::new(move || admits_in_check.get());
@@ -51,11 +57,11 @@
         AttemptObserver.on_write(10);
         assert!(
             AttemptObserver.may_write().is_ok(),
-            "the rest of a request that has started"
+            "a request that has started continues"
         );
     });
     assert!(
         AttemptObserver.may_write().is_ok(),
-        "discovery's own calls are no attempts"
+        "writes outside an attempt, such as those of discovery, are allowed"
     );
 }
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 client for one upstream server: awc over observed streams.
+//! The HTTP/1.1 client for one upstream server, built on awc and [`ObservedStream`].
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,8 +14,8 @@
 use crate::descriptors::DescriptorBudget;
 use crate::observed_stream::ObservedStream;
 
-/// Builds an HTTP client with a connection pool and no policy of its own: no request timeout,
-/// redirects, default headers or connection limit.
+/// Builds an HTTP client with a connection pool and without a request timeout, redirects, default
+/// headers or awc's connection limit. Each connection holds a permit of `budget`.
 ///
 /// A connection must be established within `connect_timeout`, and is not reused once it has been
 /// idle for `idle_timeout`. `wrap` turns a new stream into the one that awc reads, see
@@ -36,10 +36,12 @@
             let address: Option<SocketAddr> = uri
                 .authority()
                 .and_then(|authority| authority.as_str().parse().ok());
-            let address = address.ok_or_else(|| connect_error("not an address"))?;
-            let permit = budget
-                .try_acquire()
-                .ok_or_else(|| connect_error("no descriptor is free"))?;
+            let address = address.ok_or_else(|| {
+                connect_error("the server's authority is not an IP address and port")
+            })?;
+            let permit = budget.try_acquire().ok_or_else(|| {
+                connect_error("no file descriptor is free for a connection to the server")
+            })?;
             let stream = TcpStream::connect(address)
                 .await
                 .map_err(ConnectError::Io)?;
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,12 +1,12 @@
-//! The clock of a process: Unix time as of its start, advanced by the monotonic clock, so that it
-//! never goes back when the system time is set.
+//! The clock of a process: the Unix time of its start, advanced by the monotonic clock, so that
+//! readings never go back when the system time is set.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// A duration in microseconds; as a clock reading, microseconds since the Unix epoch.
 pub type Micros = u64;
 
-/// Reads the time. Copies give the same readings.
+/// A monotonic clock that reads Unix time in microseconds. Copies give the same readings.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -14,7 +14,7 @@
 }
 
 impl Clock {
-    /// A clock started now.
+    /// Starts a clock at the present system time.
     #[must_use]
     pub fn start() -> Self {
         let unix_start = SystemTime::now()
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The current reading.
+    /// The current time, in microseconds since the Unix epoch.
     #[must_use]
     pub fn now(&self) -> Micros {
         self.unix_start + self.start.elapsed().as_micros() as Micros
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one client connection: what its traffic shows, and when it must be closed.
+//! The state of one client connection: what its traffic reveals, and when it must be closed.
 //!
 //! The connection's stream reports its reads and writes, the listener its requests. From both follow
 //! the deadlines of [`ClientLimits`] and the order in which idle connections are closed.
@@ -10,7 +10,7 @@
 //! | --- | --- | --- | --- | --- |
 //! | idle | no | no | `idle_timeout` after it was accepted, written to, or its request ended | never answered: first; answered: second; just accepted: third |
 //! | receiving a request | yes | no | `header_timeout` after the request's first byte | last; once stalled, as an idle one |
-//! | waiting for the response, or the next request arrives already | yes | yes | none | never |
+//! | waiting for the response, or already receiving the next request | yes | yes | none | never |
 //! | response being written | no | yes | none | never |
 //!
 //! While a request's body is received, its [`MinRateTimer`] decides on the deadline in any state.
@@ -48,28 +48,29 @@
 
 /// The state of one client connection.
 pub struct ClientConnection {
-    /// A request waits for its response.
+    /// Whether a request waits for its response.
     request_pending: Cell<bool>,
-    /// The client has closed the connection.
+    /// Whether the client has closed the connection.
     disconnected: Cell<bool>,
-    /// A request has been answered on it before.
+    /// Whether a request has been answered on the connection.
     answered: Cell<bool>,
-    /// Bytes of a request have arrived since the last response.
+    /// Whether bytes of a request have arrived since the last response.
     request_started: Cell<bool>,
-    /// The pending request has been received to its last byte: what follows is of no open request.
+    /// Whether the pending request has been received to its last byte, so that bytes that follow
+    /// belong to no open request.
     request_complete: Cell<bool>,
-    /// Bytes that nobody read have been discarded.
+    /// Whether bytes that arrived unread have been discarded.
     input_discarded: Cell<bool>,
-    /// It is to be closed once no request is pending.
+    /// Whether the connection is closed once no request is pending.
     close_when_idle: Cell<bool>,
-    /// Nothing is read any more.
+    /// Whether reading from the connection has stopped for good.
     reading_stopped: Cell<bool>,
-    /// Limits what is read ahead of the request in progress.
+    /// Limits how much is read ahead of the request in progress.
     read_ahead: ReadAhead,
     /// When bytes last arrived.
     last_read_at: Cell<Micros>,
-    /// When it was accepted, was last written to, or its next request started: its time limits
-    /// count from then.
+    /// When the connection was accepted or last written to, or its next request started; the time
+    /// limits count from the latest of these.
     limits_since: Cell<Micros>,
     /// Deadline of the request body that is being received.
     body_timer: Rc<Cell<MinRateTimer>>,
@@ -79,7 +80,8 @@
 }
 
 impl ClientConnection {
-    /// The state of a connection that has just been accepted; `limits` may change while it is open.
+    /// Creates the state of a connection that has just been accepted; `limits` may change while it is
+    /// open.
     pub(crate) fn new(clock: Clock, limits: Rc<Cell<ClientLimits>>) -> Rc<Self> {
         Rc::new(ClientConnection {
             request_pending: Cell::default(),
@@ -101,7 +103,7 @@
     }
 
     /// Marks a request as pending: the connection does not count as idle until the guard is dropped.
-    /// To be called once the request is complete, or as much of it as is buffered.
+    /// Call this once the request, or the part of it that is buffered, has been received.
     pub fn mark_request_pending(self: &Rc<Self>) -> ActiveRequest {
         self.request_pending.set(true);
         ActiveRequest(Rc::clone(self))
@@ -131,7 +133,7 @@
         Rc::clone(&self.body_timer)
     }
 
-    /// When it must be closed; `None` while it waits for a response.
+    /// When the connection must be closed; `None` while it waits for a response.
     pub(crate) fn deadline(&self) -> Option<Micros> {
         let limits = self.limits();
         let timeout = if self.request_started.get() {
@@ -150,13 +152,13 @@
         self.deadline().map_or(next, |deadline| deadline.min(next))
     }
 
-    /// Whether its deadline has passed.
+    /// Whether the connection's deadline has passed.
     pub(crate) fn is_timed_out(&self) -> bool {
         self.deadline()
             .is_some_and(|deadline| self.clock.now() >= deadline)
     }
 
-    /// Whether its client has disconnected.
+    /// Whether the client has closed the connection.
     pub(crate) fn is_disconnected(&self) -> bool {
         self.disconnected.get()
     }
@@ -171,7 +173,8 @@
         self.request_started.get()
     }
 
-    /// Whether the pending request is complete, so that what arrives now belongs to no open request.
+    /// Whether the pending request is complete, so that bytes that arrive now belong to no open
+    /// request.
     pub(crate) fn is_request_complete(&self) -> bool {
         self.request_complete.get()
     }
@@ -181,63 +184,64 @@
         self.input_discarded.get()
     }
 
-    /// Records that received bytes have been discarded: nothing behind them is read.
+    /// Records that received bytes have been discarded; bytes that follow them are not read.
     pub(crate) fn record_discarded_input(&self) {
         self.input_discarded.set(true);
     }
 
-    /// Whether it has been answered and no request is pending.
+    /// Whether a request has been answered on the connection and none is pending.
     pub(crate) fn is_idle_after_response(&self) -> bool {
         self.answered.get() && !self.request_pending.get()
     }
 
-    /// Marks a request as in progress until the guard is dropped: meanwhile no more is read ahead than
-    /// actix-http can buffer.
+    /// Marks a request as in progress until the guard is dropped. Until then, no more bytes are read
+    /// ahead than actix-http can buffer.
     pub(crate) fn start_request(self: &Rc<Self>) -> RequestInProgress {
         self.read_ahead.request_started();
         RequestInProgress(Rc::clone(self))
     }
 
-    /// All that has arrived of the current request's body has been consumed, and more is waited for:
-    /// at most `remaining` bytes.
+    /// Records that all received bytes of the current request's body have been consumed; at most
+    /// `remaining` bytes of it are still to come.
     pub(crate) fn body_consumed(&self, remaining: usize) {
         self.read_ahead.body_consumed(remaining);
     }
 
-    /// The rest of that body, at most `remaining` bytes, is not consumed by anybody.
+    /// Records that the rest of the current request's body, at most `remaining` bytes, will not be
+    /// consumed.
     pub(crate) fn body_abandoned(&self, remaining: usize) {
         self.read_ahead.body_abandoned(remaining);
     }
 
-    /// A response is about to be written.
+    /// Records that a response is about to be written.
     pub(crate) fn response_started(&self) {
         self.answered.set(true);
         self.request_started.set(false);
         self.limits_since.set(self.clock.now());
     }
 
-    /// Asks for the connection to be closed; if a request is pending, after its response.
+    /// Requests that the connection be closed; if a request is pending, after its response.
     pub(crate) fn close(&self) {
         self.close_when_idle.set(self.request_pending.get());
         self.close_requested.notify_one();
     }
 
-    /// Stops reading from it.
+    /// Stops reading from the connection for good.
     pub(crate) fn stop_reading(&self) {
         self.reading_stopped.set(true);
     }
 
-    /// Whether nothing is read any more: the connection ends once its last response is written.
+    /// Whether reading has stopped; the connection then ends once its last response is written.
     pub(crate) fn is_reading_stopped(&self) -> bool {
         self.reading_stopped.get()
     }
 
-    /// Returns when it is asked to be closed, or its client has disconnected.
+    /// Completes when closing the connection is requested or its client has disconnected.
     pub(crate) async fn close_requested(&self) {
         self.close_requested.notified().await;
     }
 
-    /// The order in which idle connections are closed, the lowest rank first.
+    /// The connection's rank among those to be closed when descriptors run short, the lowest first.
     pub(crate) fn closing_rank(&self, now: Micros) -> ClosingRank {
         let is_answered = self.answered.get();
         let stalled_at = self.last_read_at.get() + STALLED_REQUEST_TIMEOUT;
@@ -251,11 +255,11 @@
     }
 }
 
-/// Ranks connections by how little is lost when they are closed, the least first: those that never
-/// sent a request before those that have been answered, each the longest idle first; then those
-/// just accepted, whose first bytes may be on their way; last those in the middle of a request.
+/// Orders connections by how much is lost when they are closed, the least first: those that never
+/// sent a request, then those that have been answered, in both groups the longest idle first; then
+/// those just accepted, whose first bytes may be on their way; last those in the middle of a request.
 ///
-/// The derived order compares the fields from the first to the last.
+/// The derived order compares the fields in the order of their declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ClosingRank {
     is_receiving: bool,
@@ -299,8 +303,9 @@
 pub struct ActiveRequest(Rc<ClientConnection>);
 
 impl ActiveRequest {
-    /// Sets whether the request has been received to its last byte. What the client sends after that
-    /// and nobody reads is discarded, and the connection is not reused.
+    /// Sets whether the request has been received to its last byte. Bytes that the client sends after
+    /// that are kept up to a limit; beyond it they are discarded, and the connection is not
+    /// reused.
     pub fn set_fully_received(&self, is_complete: bool) {
         self.0.request_complete.set(is_complete);
     }
@@ -312,8 +317,8 @@
         connection.request_pending.set(false);
         connection.request_complete.set(false);
         connection.limits_since.set(connection.clock.now());
-        // Guards a drain against connections whose response began before it and does not announce
-        // the close.
+        // A response that began before a drain does not announce the close of its connection, which
+        // must be closed here.
         if connection.close_when_idle.get() && !connection.request_started.get() {
             connection.reading_stopped.set(true);
             connection.close_requested.notify_one();
@@ -321,7 +326,7 @@
     }
 }
 
-/// Exists while a request is handled and its response written.
+/// Limits what is read ahead of a request while the request is handled and its response written.
 pub(crate) struct RequestInProgress(Rc<ClientConnection>);
 
 impl Drop for RequestInProgress {
--- a/crates/transport/src/descriptors.rs
+++ b/crates/transport/src/descriptors.rs
@@ -1,16 +1,16 @@
 //! The budget of file descriptors: how many connections a process may have open, split between
 //! clients and servers.
 //!
-//! A connection holds a [`DescriptorPermit`] for as long as it is open. The split guards the
-//! connections to servers against a flood of clients, and the other way round. When permits run
-//! short, the budget asks its owners to close idle connections.
+//! A connection holds a [`DescriptorPermit`] for as long as it is open. Because of the split, a flood
+//! of clients cannot use up the descriptors for connections to servers, nor the other way round. When
+//! permits run short, the budget calls the registered functions that close idle connections.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
 use tokio::sync::Notify;
 
-/// Percentage of all connections that are for clients; the rest is for servers.
+/// Percentage of all permits that are for clients; the rest is for servers.
 const CLIENT_PERCENT: usize = 60;
 /// Idle connections are closed once fewer than one in this many permits is available.
 const PRESSURE_DIVISOR: usize = 8;
@@ -30,8 +30,8 @@
 }
 
 impl DescriptorBudget {
-    /// The budgets for clients and for servers, in that order, of a process that may hold `limit`
-    /// descriptors, of which `reserved` are connections of neither.
+    /// Creates the budgets for clients and for servers, in that order, of a process that may open
+    /// `limit` descriptors, `reserved` of them for other uses.
     #[must_use]
     pub fn split(limit: usize, reserved: usize) -> (Self, Self) {
         let all = limit.saturating_sub(reserved).max(2);
@@ -42,7 +42,7 @@
         )
     }
 
-    /// A budget of `capacity` permits.
+    /// Creates a budget of `capacity` permits.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         DescriptorBudget {
@@ -54,14 +54,14 @@
         }
     }
 
-    /// How many permits there may be at present.
+    /// The number of permits that may be in use at present.
     #[must_use]
     pub fn capacity(&self) -> usize {
         self.capacity.get()
     }
 
-    /// Sets the capacity to `percent` of the full one. Idle connections beyond it are closed; busy
-    /// connections stay until they are done.
+    /// Sets the capacity to `percent` of the full one, but at least one permit. Idle connections that
+    /// exceed it are closed; connections with a request in progress are not.
     pub async fn set_capacity_percent(&self, percent: u8) {
         self.capacity
             .set((self.full_capacity * usize::from(percent) / 100).max(1));
@@ -75,15 +75,15 @@
         }
     }
 
-    /// Registers a function that closes an idle connection; it is called when permits run short.
+    /// Registers a function that closes one idle connection; it is called when permits run short.
     pub fn on_pressure(&self, close_idle: impl Fn() + 'static) {
         self.pressure_handlers
             .borrow_mut()
             .push(Box::new(close_idle));
     }
 
-    /// Acquires a permit, or `None` where all are in use. When few are left, idle connections are
-    /// closed first.
+    /// Acquires a permit, or returns `None` where all are in use. When few are left, each registered
+    /// function first closes an idle connection.
     #[must_use]
     pub fn try_acquire(&self) -> Option<DescriptorPermit> {
         let reserve = self.capacity.get() / PRESSURE_DIVISOR;
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,6 @@
 //! The transport that the data planes (the client proxy and the gate) share, and the links between
-//! the system's processes.
+//! the system's processes: an HTTP/1.1 server and client with limits on time, memory and file
+//! descriptors, and message streams over TCP.
 //!
 //! - Downstream, towards clients: [`listener`] accepts connections and hands each request to a
 //!   [`listener::Service`]; [`connection`] is the state of one connection, [`request_body`] reads
@@ -9,8 +10,8 @@
 //!   the state of one attempt at a request.
 //! - Sockets: [`descriptors`] limits how many are open, [`observed_stream`] reports their traffic,
 //!   [`sockets`] opens them, and [`clock`] reads the time.
-//! - Logs: [`log_limit`] keeps a persisting cause from filling them.
-//! - Tasks: [`tasks`] gives each an owner.
+//! - Logs: [`log_limit`] limits how often a message with a persisting cause is logged.
+//! - Tasks: [`tasks`] aborts tasks with their owner and reports the panics of essential ones.
 //! - Between processes: [`link`] carries messages over one connection; [`frames`] does so over many
 //!   connections, with handshakes, bounded queues and an in-memory network for tests.
 #![forbid(unsafe_code)]
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -1,11 +1,11 @@
 //! A link between two processes of the system: `postcard` messages over one TCP connection, in
 //! order, each complete or not at all. There is no handshake.
 //!
-//! Used by: the gate and its agent (entries, status), the agent and a coordinator (the gate's
-//! status, keep-alives), coordinators (register messages, reports), and the overlay's transport. [`frames`](crate::frames) is the other way to carry
-//! messages: it adds a handshake, bounded send queues and an in-memory network. The bytes on the
-//! wire differ by that handshake, so neither can replace the other without a change of protocol.
-//! The framing and the codec of messages are shared.
+//! Used between the gate and its agent (entries, status), an agent and a coordinator (the gate's
+//! status, keep-alives), coordinators (register messages, reports), and by the overlay's transport.
+//! [`frames`](crate::frames) is the other way to carry messages: it adds a handshake, bounded send
+//! queues and an in-memory network. The two differ on the wire by that handshake, so neither can
+//! replace the other without a change of protocol. Framing and message codec are shared.
 
 use std::io;
 use std::marker::PhantomData;
@@ -28,88 +28,88 @@
 /// A connection whose peer acknowledges nothing for this long has failed.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A connection that is not established after this is attempted anew, beside the earlier attempts.
-/// The kernel itself retransmits a lost first packet only after a second, while a peer whose power
-/// returns may listen within a tenth of that.
+/// Interval between connection attempts, which run concurrently. The kernel itself retransmits a
+/// lost SYN only after 1 s, while a peer whose power returns may listen within 100 ms.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 type Frames = Framed<TcpStream, FrameCodec>;
 
-/// Why a link could not be used: the step that failed, and the peer.
+/// A failure to establish or use a link: the step that failed, and the peer.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The peer rejected the connection, or the network did.
-    #[error("connecting to {peer}")]
+    /// The peer or the network rejected the connection.
+    #[error("cannot connect to {peer}")]
     Connect {
-        /// The peer.
+        /// The address that was connected to.
         peer: SocketAddr,
         /// The operating system's error.
         source: io::Error,
     },
     /// The connection was not established in time.
-    #[error("connecting to {peer}: no answer within {timeout:?}")]
+    #[error("cannot connect to {peer}: no response within {timeout:?}")]
     ConnectTimeout {
-        /// The peer.
+        /// The address that was connected to.
         peer: SocketAddr,
-        /// The time it had.
+        /// The time limit on connecting.
         timeout: Duration,
     },
-    /// An established connection had ended before it could be used.
+    /// An established connection ended before its socket options were set.
     #[error(transparent)]
     Setup(#[from] io::Error),
     /// The connection failed, or a frame was malformed, while a message was received.
-    #[error("receiving from {peer}")]
+    #[error("cannot receive a message from {peer}")]
     Receive {
-        /// The peer.
+        /// The peer's address.
         peer: SocketAddr,
-        /// What failed.
+        /// The failure of the connection or the framing.
         source: LinkErrorKind,
     },
     /// A frame does not hold a message of the expected type.
-    #[error("reading a message of {peer}")]
+    #[error("cannot decode a message from {peer}")]
     Decode {
-        /// The peer.
+        /// The peer's address.
         peer: SocketAddr,
-        /// What is wrong with it.
+        /// Why the frame cannot be decoded.
         source: FrameError,
     },
     /// A message does not fit into a frame.
-    #[error("writing a message for {peer}")]
+    #[error("cannot encode a message to {peer}")]
     Encode {
-        /// The peer.
+        /// The peer's address.
         peer: SocketAddr,
-        /// What is wrong with it.
+        /// Why the message cannot be encoded.
         source: FrameError,
     },
     /// The connection failed while a message was sent.
-    #[error("sending to {peer}")]
+    #[error("cannot send a message to {peer}")]
     Send {
-        /// The peer.
+        /// The peer's address.
         peer: SocketAddr,
-        /// What failed.
+        /// The failure of the connection or the framing.
         source: LinkErrorKind,
     },
 }
 
-/// The half that receives messages of type `M`.
+/// The half of a link that receives messages of type `M`.
 pub struct Receiver<M> {
     frames: SplitStream<Frames>,
     peer: SocketAddr,
     message: PhantomData<M>,
 }
 
-/// The half that sends messages of type `M`.
+/// The half of a link that sends messages of type `M`.
 pub struct Sender<M> {
     frames: SplitSink<Frames, Vec<u8>>,
     peer: SocketAddr,
     message: PhantomData<M>,
 }
 
-/// Connects to a peer, which may be about to start; gives up after `timeout`.
+/// Connects to a peer that may not be reachable yet: attempts that get no response are repeated until
+/// `timeout`.
 ///
 /// # Errors
-/// Where the peer rejects the connection or does not answer in time, or the connection has ended
-/// already.
+/// [`Error::Connect`] where the connection is rejected, [`Error::ConnectTimeout`] where nothing
+/// responds in time, [`Error::Setup`] where the connection has already ended.
 pub async fn connect<In, Out>(
     peer: SocketAddr,
     timeout: Duration,
@@ -121,7 +121,7 @@
     Ok(split(stream)?)
 }
 
-/// The first of several connection attempts that succeeds or is rejected.
+/// Starts concurrent connection attempts and returns the outcome of the first that completes.
 async fn connect_with_retries(peer: SocketAddr) -> io::Result<TcpStream> {
     let mut attempts = FuturesUnordered::new();
     loop {
@@ -133,14 +133,14 @@
     }
 }
 
-/// Makes a link of an established connection.
+/// Turns an established connection into the two halves of a link.
 ///
 /// # Errors
 /// The operating system's error, where the connection has ended.
 pub fn split<In, Out>(stream: TcpStream) -> io::Result<(Receiver<In>, Sender<Out>)> {
     let peer = stream.peer_addr()?;
-    // A peer that loses power sends nothing, not even the end of its connections. Without this, a
-    // side that only receives would wait forever.
+    // A peer that loses power sends neither FIN nor RST. Without this timeout, a side that only
+    // receives would wait forever.
     sockets::set_peer_timeout(&stream, PEER_TIMEOUT)?;
     let codec = FrameCodec {
         max_bytes: MAX_MESSAGE_BYTES,
@@ -160,10 +160,11 @@
 }
 
 impl<M: DeserializeOwned> Receiver<M> {
-    /// The next message; `None` where the peer has closed the link between two messages.
+    /// Receives the next message; `None` where the peer has closed the link between two messages.
     ///
     /// # Errors
-    /// Where the connection fails or what arrives is not a message.
+    /// [`Error::Receive`] where the connection fails or a frame is malformed or truncated;
+    /// [`Error::Decode`] where a frame is not a message of type `M`.
     pub async fn next(&mut self) -> Result<Option<M>, Error> {
         let peer = self.peer;
         let Some(frame) = self.frames.next().await else {
@@ -176,10 +177,11 @@
 }
 
 impl<M: Serialize> Sender<M> {
-    /// Sends a message.
+    /// Sends a message; returns once the socket has taken all of it.
     ///
     /// # Errors
-    /// Where the message is too long or the connection fails.
+    /// [`Error::Encode`] where the message is longer than 8 MiB, [`Error::Send`] where the connection
+    /// fails.
     pub async fn send(&mut self, message: &M) -> Result<(), Error> {
         let peer = self.peer;
         let frame =
@@ -191,11 +193,11 @@
     }
 }
 
-/// Sends what is in `outgoing`, and passes each message that is received to `on_message`, until the
-/// peer closes the link or the last sender of `outgoing` is dropped.
+/// Sends the messages of `outgoing` and passes each received message to `on_message`, until the peer
+/// closes the link or the last sender of `outgoing` is dropped.
 ///
 /// # Errors
-/// Where the connection fails, a message is too long, or what arrives is not a message.
+/// Those of [`Receiver::next`] and [`Sender::send`].
 pub async fn exchange<In: DeserializeOwned, Out: Serialize>(
     receiver: &mut Receiver<In>,
     sender: &mut Sender<Out>,
--- a/crates/transport/src/listener.rs
+++ b/crates/transport/src/listener.rs
@@ -52,14 +52,14 @@
 /// What happens to idle connections at shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleConnections {
-    /// They are closed at once.
+    /// Idle connections are closed at once.
     CloseNow,
-    /// They are closed when their idle timeout passes, so that clients that reuse them in time are
-    /// still served.
+    /// Idle connections are closed when their idle timeout passes, so that clients that reuse them
+    /// in time are still served.
     KeepUntilTimeout,
 }
 
-/// Accepts client connections and serves them. Its connections share it.
+/// Accepts client connections and serves them. The task of each connection holds a reference to it.
 pub struct Listener<S> {
     service: Rc<S>,
     clock: Clock,
@@ -69,20 +69,20 @@
     limits: Rc<Cell<ClientLimits>>,
     /// Whether this process serves clients; while it does not, responses close their connections.
     serving: watch::Receiver<bool>,
-    /// The process is shutting down: responses close their connections.
+    /// Whether the process is shutting down; while it is, responses close their connections.
     shutting_down: Cell<bool>,
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    /// How many connections have been accepted; the last one's number.
+    /// Number of connections accepted so far. Connections are numbered from 1, in that order.
     accepted_count: Cell<u64>,
     /// Notified when the last connection has ended.
     all_ended: Notify,
-    /// To be notified once when no new connection is to be accepted any more.
+    /// Notify it once to stop accepting connections.
     pub stop: Notify,
 }
 
 impl<S: Service> Listener<S> {
-    /// A listener without connections. Its connections hold permits of `budget`, and `limits` apply to
-    /// them; while `serving` is false nothing is accepted.
+    /// Creates a listener without connections. Its connections hold permits of `budget`, and `limits`
+    /// apply to them; while `serving` is false nothing is accepted.
     pub fn new(
         service: Rc<S>,
         clock: Clock,
@@ -106,24 +106,24 @@
         })
     }
 
-    /// Changes the limits, also those of open connections.
+    /// Changes the limits of open and future connections.
     pub fn set_limits(&self, limits: ClientLimits) {
         self.limits.set(limits);
     }
 
-    /// Whether so many connections are idle that responses close theirs. Guards clients that cannot
-    /// connect any more against clients that send one request and keep their connection: a
-    /// connection that is closed with its response costs nobody a request.
+    /// Whether so many connections are idle that each response closes its connection. Otherwise
+    /// clients that send one request and keep their connection could prevent others from connecting;
+    /// closing a connection with its response loses no request.
     fn has_too_many_idle(&self) -> bool {
         let max_idle = (self.budget.capacity() / IDLE_DIVISOR).max(1);
         let connections = self.connections.borrow();
         let is_idle = |connection: &&Rc<ClientConnection>| connection.is_idle_after_response();
-        // The first test avoids the count except when there are many connections.
+        // The comparison of lengths avoids counting unless there are many connections.
         connections.len() > max_idle && connections.values().filter(is_idle).count() >= max_idle
     }
 
-    /// Closes the idle connection that ranks lowest, if there is one. Guards active clients against
-    /// hundreds of silent ones.
+    /// Closes the idle connection that ranks lowest, if there is one. Otherwise hundreds of silent
+    /// clients could use up the descriptors that active clients need.
     fn close_one_idle(&self) {
         let now = self.clock.now();
         let connections = self.connections.borrow();
@@ -142,25 +142,25 @@
         let mut serving = self.serving.clone();
         let mut accept_errors = LogLimit::default();
         loop {
-            // While this process does not serve, the one that replaces it, or is replaced by it,
-            // accepts instead.
+            // While this process does not serve, another one shares its address and accepts instead:
+            // the one that replaces it, or that it replaces.
             if serving.wait_for(|serves| *serves).await.is_err() {
                 return;
             }
-            // The permit comes first: guards against accepting what cannot be served.
+            // The permit is acquired first, so that no connection is accepted that cannot be served.
             let Some(permit) = self.budget.try_acquire() else {
-                // The wait is limited: a connection that was chosen to be closed may send a request
-                // at that moment and stay. Whether it ran out makes no difference to the next attempt.
+                // The wait has a timeout: a connection that was chosen to be closed may send a request
+                // at that moment and stay open. The next attempt is the same in either case.
                 let _ = tokio::time::timeout(ACCEPT_RETRY_DELAY, self.budget.released()).await;
                 continue;
             };
             let accepted = tokio::select! {
                 biased;
                 accepted = listener.accept() => accepted,
-                // This comes last: no connection waits any more, so none is reset when the socket is
-                // closed here.
+                // Polled last, when no connection waits to be accepted: closing the socket resets
+                // none.
                 () = self.stop.notified() => {
-                    // Notifies the next of several that accept for this listener.
+                    // Passes the notification on to the next `accept` of this listener.
                     self.stop.notify_one();
                     return;
                 }
@@ -169,16 +169,16 @@
             match accepted {
                 Ok((stream, _)) => {
                     self.spawn_connection(stream, permit);
-                    // What the client has sent is read before the next connection is accepted:
-                    // guards its request against being closed as idle in a crowd of silent
-                    // connections.
+                    // The connection reads what its client has sent before the next one is accepted.
+                    // Otherwise a connection with a request could be closed as idle when many silent
+                    // connections arrive.
                     tokio::task::yield_now().await;
                 }
                 Err(error) => {
                     if let Some(suppressed) = accept_errors.admit(Instant::now()) {
                         warn!(self.log, "cannot accept a connection"; "error" => %error, "suppressed" => suppressed);
                     }
-                    // Guards against spinning where descriptors have run out.
+                    // Without a delay this loop would spin while descriptors have run out.
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -217,8 +217,8 @@
             let listener = Rc::clone(&listener);
             async move { Ok::<_, Infallible>(listener.respond(request).await) }
         });
-        // actix-http's own timeouts are off: its first would answer 408 on connections that clients
-        // open in advance.
+        // actix-http's own timeouts are off: its request timeout would answer 408 on connections that
+        // clients open in advance.
         let service = HttpService::build()
             .keep_alive(KeepAlive::Os)
             .client_request_timeout(Duration::ZERO)
@@ -252,31 +252,33 @@
             tokio::select! {
                 biased;
                 _ = &mut served => return,
-                // What actix-http has not read by now it does not read yet: guards against clients
-                // that disconnect and leave bytes behind that are no request, or are too many.
+                // Polled after actix-http, which does not read at present what it has left unread.
+                // Reading here detects the disconnect of a client behind bytes that are no request or
+                // exceed the read-ahead limit.
                 unread = unread.next(|| connection.is_request_complete()) => match unread {
                     UnreadBytes::Kept => {}
                     UnreadBytes::Discarded => connection.record_discarded_input(),
                     UnreadBytes::Ended => return,
                 },
-                // Guards against endless heads and bodies, and against silent clients.
+                // Enforces the time limits on heads, bodies and idle connections.
                 () = tokio::time::sleep_until(self.clock.at(connection.next_check()).into()) => {
                     if connection.is_timed_out() {
                         return;
                     }
                 }
-                // actix-http does not drop a handler whose client has disconnected. Returning here
-                // does, and what the handler holds notifies the service. Idle connections are
-                // closed here, too.
+                // actix-http does not drop the handler of a client that has disconnected. Returning
+                // here drops it, and the values that the handler owns notify the service. Idle
+                // connections are closed here, too.
                 () = connection.close_requested() => {
                     let is_owed_response = self.is_owed_response(connection);
                     let is_incomplete = !is_owed_response && connection.has_started_request();
-                    // A response would be wrong where a request is only partly received.
+                    // A partly received request gets no response: the closed connection tells the
+                    // client that nothing has processed it.
                     if connection.is_disconnected() || is_incomplete {
                         return;
                     }
-                    // The connection ends by itself once its last response is written: bytes of
-                    // that may wait for a slow client.
+                    // Without input the connection ends once its last response is written, of which
+                    // bytes may still wait for a slow client.
                     if !is_owed_response {
                         connection.stop_reading();
                     }
@@ -285,8 +287,8 @@
         }
     }
 
-    /// Whether a connection has a request that is answered before it is closed. At shutdown this
-    /// includes a request that is only partly received: its client has the usual time.
+    /// Whether a connection has a request that must be answered before the connection is closed. At
+    /// shutdown this includes a partly received request, to which the usual time limits apply.
     fn is_owed_response(&self, connection: &ClientConnection) -> bool {
         let is_receiving_last = self.shutting_down.get() && connection.has_started_request();
         connection.has_pending_request() || is_receiving_last
--- a/crates/transport/src/log_limit.rs
+++ b/crates/transport/src/log_limit.rs
@@ -1,12 +1,12 @@
-//! Limits how often a message is logged whose cause may persist, such as descriptors that have run
-//! out: the log must neither be silent about it nor be filled with it.
+//! Limits how often a message with a persisting cause is logged, such as descriptors that have run
+//! out. The first one is logged at once; later ones must not fill the log.
 
 use std::time::{Duration, Instant};
 
-/// After a line has been logged, the next one is logged no sooner than this.
+/// The shortest time between two log lines of one message.
 const MIN_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The limit of one message. It costs a few bytes and no timer.
+/// A rate limit for one log message: at most one line per 10 s. It uses no timer.
 #[derive(Debug, Default)]
 pub struct LogLimit {
     last_logged: Option<Instant>,
--- a/crates/transport/src/observed_stream.rs
+++ b/crates/transport/src/observed_stream.rs
@@ -1,8 +1,8 @@
 //! TCP streams that report their traffic to an observer and hold a descriptor permit.
 //!
-//! The stream also notices bytes, and the end, that arrive while nobody reads: the bytes are kept
-//! for the reader up to [`MAX_UNREAD_BYTES`] and discarded beyond, so that a client that
-//! disconnects is noticed while its request is handled.
+//! A stream whose reader does not read can still be watched, so that the disconnect of a client is
+//! noticed while its request is handled: bytes that arrive meanwhile are kept for the reader up to
+//! [`MAX_UNREAD_BYTES`] and discarded beyond.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -17,9 +17,9 @@
 
 use crate::descriptors::DescriptorPermit;
 
-/// Bytes that arrive while nobody reads are kept up to this many.
+/// The most bytes that are kept for a reader that does not read.
 const MAX_UNREAD_BYTES: usize = 128 * 1024;
-/// They are read in chunks of at most this size.
+/// The most bytes that [`UnreadWatch`] reads at once.
 const UNREAD_CHUNK_BYTES: usize = 16 * 1024;
 
 /// Observes the traffic of one stream.
@@ -27,36 +27,36 @@
     /// Called before bytes are written; an error fails the write.
     ///
     /// # Errors
-    /// Where nothing may be written.
+    /// The reason why nothing may be written.
     fn may_write(&self) -> io::Result<()> {
         Ok(())
     }
-    /// `bytes` bytes have been written.
+    /// Called after bytes have been written, with their number.
     fn on_write(&self, _bytes: usize) {}
-    /// Returns how many bytes may be read; none makes the stream look as if it had ended. While
-    /// pending, bytes stay in the socket, and the observer wakes the task once they may be read.
+    /// Returns how many bytes may be read. With zero, the reader sees the end of the stream. While
+    /// pending, bytes stay in the socket; the observer wakes the task once they may be read.
     fn poll_read_allowance(&self, _cx: &mut Context<'_>) -> Poll<usize> {
         Poll::Ready(usize::MAX)
     }
-    /// These bytes have been read.
+    /// Called with bytes that have been read.
     fn on_read(&self, _bytes: &[u8]) {}
-    /// The socket has no bytes to read at the moment.
+    /// Called when a read found no bytes in the socket.
     fn on_read_would_block(&self) {}
-    /// The peer has closed the connection.
+    /// Called when a read finds that the peer has closed the connection, or fails.
     fn on_end(&self) {}
 }
 
-/// A TCP stream with the bytes that were read of it ahead of its reader.
+/// A TCP stream, and the bytes that were read from it before its reader asked for them.
 #[derive(Debug)]
 struct Socket {
     stream: TcpStream,
     unread: BytesMut,
-    /// Bytes behind `unread` were discarded.
+    /// Whether bytes that followed `unread` have been discarded.
     discarded: bool,
 }
 
 impl Socket {
-    /// Reads at most `max_bytes`.
+    /// Reads at most `max_bytes` bytes, those in `unread` first.
     fn poll_read(
         &mut self,
         cx: &mut Context<'_>,
@@ -68,7 +68,8 @@
             buf.put_slice(&self.unread.split_to(bytes));
             return Poll::Ready(Ok(()));
         }
-        // Guards against what follows the discarded bytes being taken for a request.
+        // What follows the discarded bytes must not be read as a request: the reader sees the end of
+        // the stream.
         if self.discarded {
             return Poll::Ready(Ok(()));
         }
@@ -82,7 +83,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads bytes that the reader does not ask for, and keeps them for it while there is space.
+    /// Reads bytes that the reader has not asked for, and keeps them for it while there is space.
     fn read_unread(&mut self) -> io::Result<UnreadBytes> {
         let mut chunk = [0; UNREAD_CHUNK_BYTES];
         let space = if self.discarded {
@@ -108,23 +109,25 @@
     }
 }
 
-/// What happened to bytes that arrived while nobody read.
+/// The outcome of reading from a stream on behalf of a reader that does not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreadBytes {
-    /// They are kept for the reader.
+    /// The bytes are kept for the reader.
     Kept,
-    /// There were too many, and they are lost. For its reader the stream ends before them.
+    /// The bytes exceed the limit and are discarded. The reader sees the end of the stream before
+    /// them.
     Discarded,
     /// The peer has closed the connection.
     Ended,
 }
 
-/// Watches a stream that may be left unread, in the task of its reader.
+/// Watches an [`ObservedStream`] for bytes that its reader does not read. Must be polled in the
+/// reader's task.
 pub struct UnreadWatch(Weak<RefCell<Socket>>);
 
 impl UnreadWatch {
-    /// Waits until bytes arrive that nobody reads. `is_enabled` is asked at each poll: while it is
-    /// false, the reader comes first.
+    /// Waits until bytes arrive, or the stream ends, while the reader does not read. `is_enabled` is
+    /// called at each poll; while it returns false, all bytes are left to the reader.
     pub async fn next(&self, is_enabled: impl Fn() -> bool) -> UnreadBytes {
         poll_fn(|cx| {
             let Some(socket) = self.0.upgrade().filter(|_| is_enabled()) else {
@@ -154,7 +157,7 @@
 impl<T> ObservedStream<T> {
     /// Wraps a stream and disables Nagle's algorithm on it.
     pub fn new(stream: TcpStream, observer: T, permit: DescriptorPermit) -> Self {
-        // A failure leaves a connection that works, only slower.
+        // The connection works without this option, only slower.
         let _ = stream.set_nodelay(true);
         let socket = Socket {
             stream,
@@ -168,14 +171,15 @@
         }
     }
 
-    /// Makes the end of the stream a reset instead of an orderly close: what the peer has not
-    /// acknowledged by then is never sent to it.
+    /// Makes dropping the stream reset the connection instead of closing it in order: bytes that the
+    /// peer has not acknowledged by then are discarded.
     pub fn reset_on_drop(&self) {
-        // It fails only where the connection has ended already, and with it what was to be sent.
+        // This fails only where the connection, and with it what was to be sent, has already ended.
         let _ = self.socket.borrow().stream.set_zero_linger();
     }
 
-    /// A watch for bytes that arrive while nobody reads; it must run in the reader's task.
+    /// Returns a watch for bytes that arrive while the reader does not read; it must be polled in the
+    /// reader's task.
     pub fn watch_unread(&self) -> UnreadWatch {
         UnreadWatch(Rc::downgrade(&self.socket))
     }
--- a/crates/transport/src/observed_stream/tests.rs
+++ b/crates/transport/src/observed_stream/tests.rs
@@ -8,7 +8,7 @@
 use super::{MAX_UNREAD_BYTES, ObservedStream, StreamObserver, UNREAD_CHUNK_BYTES, UnreadBytes};
 use crate::descriptors::DescriptorBudget;
 
-/// Allows a number of bytes to be read, and counts down.
+/// Allows a number of bytes to be read, which each read reduces.
 #[derive(Clone)]
 struct AllowanceObserver {
     allowance: Rc<Cell<usize>>,
@@ -42,7 +42,9 @@
             .await
             .expect("a port is free");
         let address = listener.local_addr().expect("bound");
-        let peer = TcpStream::connect(address).await.expect("it listens");
+        let peer = TcpStream::connect(address)
+            .await
+            .expect("the listener is bound");
         let (stream, _) = listener.accept().await.expect("a connection");
         let observer = AllowanceObserver {
             allowance: Rc::new(Cell::new(allowance)),
@@ -57,9 +59,12 @@
     run(10, async |mut peer, mut stream| {
         peer.write_all(&[b'x'; 100]).await.expect("written");
         let mut buffer = [0; 100];
-        assert_eq!(stream.read(&mut buffer).await.expect("there is some"), 10);
+        assert_eq!(stream.read(&mut buffer).await.expect("bytes to read"), 10);
         stream.observer.allowance.set(1_000);
-        assert_eq!(stream.read(&mut buffer).await.expect("there is more"), 90);
+        assert_eq!(
+            stream.read(&mut buffer).await.expect("more bytes to read"),
+            90
+        );
     });
 }
 
@@ -76,17 +81,17 @@
         written.expect("written");
         stream.observer.allowance.set(MAX_UNREAD_BYTES);
         let mut read = vec![0; MAX_UNREAD_BYTES];
-        stream
-            .read_exact(&mut read)
-            .await
-            .expect("all that is kept");
-        assert!(read == sent[..MAX_UNREAD_BYTES], "in order");
+        stream.read_exact(&mut read).await.expect("all kept bytes");
+        assert!(
+            read == sent[..MAX_UNREAD_BYTES],
+            "the kept bytes are in order"
+        );
         stream.observer.allowance.set(MAX_UNREAD_BYTES);
         peer.write_all(b"behind the gap").await.expect("written");
         assert_eq!(
-            stream.read(&mut read).await.expect("an end"),
+            stream.read(&mut read).await.expect("the end of the stream"),
             0,
-            "it ends before what is lost"
+            "the stream ends before the discarded bytes"
         );
         drop(peer);
         while unread.next(|| true).await != UnreadBytes::Ended {}
@@ -102,7 +107,7 @@
         let bytes = tokio::select! {
             biased;
             unread = unread.next(|| false) => panic!("{unread:?}"),
-            bytes = stream.read(&mut buffer) => bytes.expect("there is some"),
+            bytes = stream.read(&mut buffer) => bytes.expect("bytes to read"),
         };
         assert_eq!(&buffer[..bytes], b"hello");
     });
--- a/crates/transport/src/sockets.rs
+++ b/crates/transport/src/sockets.rs
@@ -26,7 +26,7 @@
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
     socket.set_reuseaddr(true)?;
-    // A platform without SO_REUSEPORT cannot run two processes side by side; one still works.
+    // Without SO_REUSEPORT, a second process cannot bind the address; this one still works.
     let _ = socket.set_reuseport(true);
     socket.bind(address)?;
     socket.listen(ACCEPT_BACKLOG)
@@ -43,7 +43,7 @@
         AddressFamily::INET6
     };
     let socket = rustix::net::socket(family, SocketType::DGRAM, None)?;
-    // As in `listen`.
+    // Without SO_REUSEPORT, a second process cannot bind the address; this one still works.
     let _ = sockopt::set_socket_reuseport(&socket, true);
     rustix::net::bind(&socket, &address)?;
     let socket = std::net::UdpSocket::from(socket);
@@ -53,7 +53,7 @@
 
 /// Disables Nagle's algorithm, and makes the kernel end the connection once the peer has
 /// acknowledged nothing for `timeout` (`TCP_USER_TIMEOUT` and TCP keepalive). A peer that loses
-/// power sends no FIN or RST, so only this detects it. Keepalive counts in whole seconds.
+/// power sends no FIN or RST, so only this detects it. Keepalive times are in whole seconds.
 ///
 /// # Errors
 /// The operating system's error from the first option that cannot be set; the connection remains
--- a/crates/transport/src/tasks.rs
+++ b/crates/transport/src/tasks.rs
@@ -1,11 +1,12 @@
-//! Tasks with an owner: they end with it, and a panic in one of them is never silent.
+//! Groups of tasks that are aborted when their owner is dropped, and whose panics are logged.
 //!
-//! A task that panics is gone while its process goes on, with a part of its work undone. A task
-//! without which the process cannot do its work is therefore *essential*: its panic is logged and
-//! reported by [`Tasks::failed`], upon which the owner ends the process, which the platform starts
-//! anew. A task of a single connection or request may fail alone; its panic is logged.
+//! A panic ends only its task; the process continues without the task's work. A task without which
+//! the process cannot work is therefore *essential*: its panic is logged and reported by
+//! [`Tasks::failed`], upon which the owner ends the process and the platform restarts it. A task of a
+//! single connection or request may fail alone; its panic is only logged.
 //!
-//! A task must not hold its owner, or neither ever ends; it may hold a [`Weak`](std::rc::Weak) of it.
+//! A task must not hold a strong reference to its owner, since then neither is ever dropped; a
+//! [`Weak`](std::rc::Weak) reference is safe.
 
 use std::cell::RefCell;
 use std::panic::AssertUnwindSafe;
@@ -15,9 +16,9 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// An essential task has panicked.
+/// The panic of an essential task, upon which the process must end.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("the task '{task}' has failed")]
+#[error("the essential task '{task}' has panicked")]
 pub struct TaskFailed {
     /// The name of the task.
     pub task: &'static str,
@@ -31,7 +32,7 @@
 }
 
 impl Tasks {
-    /// No tasks yet.
+    /// Creates an empty group, whose panics are logged to `log`.
     #[must_use]
     pub fn new(log: &Logger) -> Self {
         Tasks {
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Spawns the task of a single connection or request.
+    /// Spawns the task of a single connection or request. A panic in it is logged; the other tasks
+    /// continue.
     pub fn spawn(&self, task: &'static str, future: impl Future<Output = ()> + 'static) {
         let log = self.log.clone();
         self.spawn_watched(future, move || {
@@ -49,7 +51,8 @@
         });
     }
 
-    /// Spawns a task without which the owner cannot do its work.
+    /// Spawns a task without which the owner cannot do its work. A panic in it is logged and reported
+    /// by [`Tasks::failed`].
     pub fn spawn_essential(&self, task: &'static str, future: impl Future<Output = ()> + 'static) {
         let (log, failure) = (self.log.clone(), self.failure.clone());
         self.spawn_watched(future, move || {
@@ -82,7 +85,8 @@
         on_panic: impl FnOnce() + 'static,
     ) {
         self.reap();
-        // What a task has left half-done is not read again: its connection or the process ends.
+        // State that a panic leaves inconsistent is not used again: the connection of the task ends,
+        // or the process.
         let future = AssertUnwindSafe(future).catch_unwind();
         self.set.borrow_mut().spawn_local(async move {
             if future.await.is_err() {
@@ -91,7 +95,7 @@
         });
     }
 
-    /// Forgets the tasks that have ended.
+    /// Removes the tasks that have ended from the set.
     fn reap(&self) {
         let mut set = self.set.borrow_mut();
         while set.try_join_next().is_some() {}
--- a/crates/transport/src/tasks/tests.rs
+++ b/crates/transport/src/tasks/tests.rs
@@ -13,7 +13,7 @@
     actix_rt::System::new().block_on(test);
 }
 
-/// Lets the tasks that can run do so.
+/// Yields often enough for every task that is ready to run.
 async fn run_ready_tasks() {
     for _ in 0..10 {
         tokio::task::yield_now().await;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn tasks_that_have_ended_are_forgotten() {
+fn tasks_that_have_ended_are_no_longer_counted() {
     run(async {
         let tasks = tasks();
         for _ in 0..100 {
@@ -57,7 +57,9 @@
     run(async {
         let tasks = tasks();
         let (sender, receiver) = oneshot::channel();
-        tasks.spawn("connection", async { panic!("as the test wants") });
+        tasks.spawn("connection", async {
+            panic!("a panic provoked by the test")
+        });
         tasks.spawn("other", async move { sender.send(7).expect("awaited") });
         assert_eq!(receiver.await, Ok(7));
         run_ready_tasks().await;
@@ -69,12 +71,12 @@
 fn a_panic_in_an_essential_task_is_reported_with_its_name() {
     run(async {
         let tasks = tasks();
-        tasks.spawn_essential("feed", async { panic!("as the test wants") });
+        tasks.spawn_essential("feed", async { panic!("a panic provoked by the test") });
         assert_eq!(tasks.failed().await, TaskFailed { task: "feed" });
         assert_eq!(
             tasks.failed().await,
             TaskFailed { task: "feed" },
-            "to all who ask"
+            "a later caller gets the failure, too"
         );
     });
 }
--- a/crates/transport/tests/listener.rs
+++ b/crates/transport/tests/listener.rs
@@ -1,4 +1,4 @@
-//! Client connections to a listener, over sockets: draining, limits, streams and disconnects.
+//! Tests of `listener.rs` over TCP sockets: draining, limits, streamed responses and disconnects.
 
 #[path = "listener/floods.rs"]
 mod floods;
@@ -10,8 +10,8 @@
 
 use ironmast_transport::connection::ClientLimits;
 
-/// Cut anywhere behind its first byte, a request is read to its end during a drain and answered;
-/// the connection is closed with the answer.
+/// A drain that starts after any byte of a request leaves it time to arrive: it is read to its end and
+/// answered, and the connection is closed with the response.
 #[test]
 fn a_partly_received_request_is_answered_during_a_drain() {
     run_test(async {
@@ -20,10 +20,10 @@
             let mut client = server.connect().await;
             client.write(&POST[..cut]).await;
             let mut other = server.connect().await;
-            // Answered after the first bytes were read.
+            // The response to another client shows that the first bytes have been read.
             other.write(GET).await;
             server.next_request().await.respond("other");
-            other.response().await.expect("an answer");
+            other.response().await.expect("a response");
             let drain = server.drain();
             other.closed().await;
             client.write(&POST[cut..]).await;
@@ -48,7 +48,7 @@
         ];
         idle.write(GET).await;
         server.next_request().await.respond("idle");
-        idle.response().await.expect("an answer");
+        idle.response().await.expect("a response");
         waiting_client.write(GET).await;
         let waiting_request = server.next_request().await;
         streaming_client.write(GET).await;
@@ -65,25 +65,25 @@
             waiting_client
                 .response()
                 .await
-                .expect("an answer")
+                .expect("a response")
                 .contains("connection: close")
         );
         waiting_client.closed().await;
         stream.send_event("three").await;
         assert_eq!(streaming_client.chunk().await.as_deref(), Some("three"));
-        assert!(!drain.is_finished(), "the stream goes on");
+        assert!(!drain.is_finished(), "the stream is still open");
         stream.end();
         assert_eq!(
             streaming_client.chunk().await.as_deref(),
             Some(""),
-            "its last chunk"
+            "the last chunk"
         );
         streaming_client.closed().await;
         drain.await.expect("all connections are closed");
     });
 }
 
-/// The last bytes of an answer may wait for a slow client when the service has given them all.
+/// The last bytes of a response may still wait for a slow client after the service has produced them.
 #[test]
 fn a_drain_closes_a_connection_only_after_its_stream_is_written_to_a_slow_client() {
     run_test(async {
@@ -99,16 +99,16 @@
             stream.end();
         });
         assert_eq!(client.chunk().await, Some(event));
-        sent.await.expect("all is taken");
+        sent.await.expect("the service has sent everything");
         assert_eq!(client.chunk().await.map(|chunk| chunk.len()), Some(20_000));
-        assert_eq!(client.chunk().await.as_deref(), Some(""), "its last chunk");
+        assert_eq!(client.chunk().await.as_deref(), Some(""), "the last chunk");
         client.closed().await;
         drain.await.expect("all connections are closed");
     });
 }
 
-/// An answer that its client takes slowly is no idle connection to be closed for the sake of
-/// others.
+/// A connection whose client reads its response slowly is not idle, so it is not closed to free a
+/// descriptor for others.
 #[test]
 fn a_response_to_a_slow_client_is_completed_when_descriptors_are_scarce() {
     run_test(async {
@@ -117,19 +117,21 @@
         slow.write(GET).await;
         let long = "x".repeat(100_000);
         server.next_request().await.respond(&long);
-        // The last has no room: somebody has to go, and these have only just come.
+        // There is no permit for the last one: a connection must be closed, and the new ones are within
+        // their grace period.
         let _fresh = [
             server.connect().await,
             server.connect().await,
             server.connect().await,
         ];
-        let response = slow.response().await.expect("the whole answer");
+        let response = slow.response().await.expect("the complete response");
         assert!(response.ends_with(&long));
         slow.closed().await;
     });
 }
 
-/// Who is closed in the middle of a request knows that nobody has read it: there is no answer.
+/// A partly received request must not be answered: a closed connection without a response tells the
+/// client that nothing has processed the request.
 #[test]
 fn a_partly_received_request_is_closed_without_a_response_when_descriptors_are_scarce() {
     run_test(async {
@@ -149,7 +151,7 @@
         let request = server.next_request().await;
         assert_eq!(request.body, "helloworld");
         request.respond("served");
-        others[2].response().await.expect("an answer");
+        others[2].response().await.expect("a response");
     });
 }
 
@@ -210,7 +212,7 @@
         );
         client.write(&long).await;
         server.next_request().await.respond("in time");
-        client.response().await.expect("an answer");
+        client.response().await.expect("a response");
 
         server.listener.set_limits(ClientLimits {
             max_header_bytes: 500,
@@ -218,7 +220,7 @@
             ..LIMITS
         });
         client.write(&long).await;
-        let rejection = client.response().await.expect("an answer");
+        let rejection = client.response().await.expect("a response");
         assert!(
             rejection.starts_with("HTTP/1.1 431") && rejection.contains("connection: close"),
             "{rejection}"
@@ -229,7 +231,7 @@
         for request in [POST, chunked] {
             let mut client = server.connect().await;
             client.write(request).await;
-            let rejection = client.response().await.expect("an answer");
+            let rejection = client.response().await.expect("a response");
             assert!(rejection.starts_with("HTTP/1.1 413"), "{rejection}");
         }
     });
@@ -255,7 +257,7 @@
                 (&mut idle_client, &mut partial)
             };
             first.closed().await;
-            assert!(second.is_open(), "the other has its own limit");
+            assert!(second.is_open(), "only the shorter limit has passed");
             if header_timeout == brief {
                 second = &mut idle_client;
                 second.write(GET).await;
--- a/crates/transport/tests/listener/floods.rs
+++ b/crates/transport/tests/listener/floods.rs
@@ -1,5 +1,5 @@
-//! Clients that send far ahead of the responses: what arrives behind a request in progress costs no
-//! CPU time, and none of it is lost while it is within the limits.
+//! Clients that send far ahead of the responses: bytes that arrive while a request is in progress must
+//! not cause busy polling, and none of them is lost while they are within the limits.
 
 use std::time::Duration;
 
@@ -8,11 +8,12 @@
 
 use crate::support::{GET, IMMEDIATE_PATH, LIMITS, POST, TestServer, run_test};
 
-/// More than is read ahead and kept; once it has arrived, a connection that is polled in a busy
-/// loop occupies a CPU.
+/// More than is read ahead and kept. A connection that busily polled for the rest would use a whole
+/// CPU.
 const FLOOD_BYTES: usize = 600_000;
-/// How long the CPU time is measured, in microseconds, and how much of it may be used.
+/// How long the CPU time is measured, in microseconds.
 const MEASURED_TIME: u64 = 1_000_000;
+/// The most CPU time that may be used meanwhile.
 const MAX_CPU_TIME: Duration = Duration::from_millis(200);
 
 fn flood() -> String {
@@ -21,7 +22,8 @@
 
 /// CPU time of this thread, which runs the test and the listener.
 fn cpu_time() -> Duration {
-    let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("the system counts");
+    let text =
+        std::fs::read_to_string("/proc/thread-self/schedstat").expect("the kernel has schedstat");
     Duration::from_nanos(
         text.split(' ')
             .next()
@@ -37,8 +39,8 @@
     })
 }
 
-/// Asserts that the listener uses little CPU time until a silent connection is closed, which takes
-/// the measured time.
+/// Asserts that the listener uses little CPU time until a new idle connection times out, which takes
+/// [`MEASURED_TIME`].
 async fn assert_little_cpu_time(server: &TestServer, what: &str) {
     let mut idle_client = server.connect().await;
     let before = cpu_time();
@@ -47,13 +49,13 @@
     assert!(spent < MAX_CPU_TIME, "{what}: {spent:?} of CPU time");
 }
 
-/// Waits until what was written before has been read: another client is answered then.
+/// Waits until the listener has read what was written before, by having another client answered twice.
 async fn wait_until_read(server: &TestServer) {
     let mut other = server.connect().await;
     for _ in 0..2 {
         other.write(GET).await;
         server.next_request().await.respond("other");
-        other.response().await.expect("an answer");
+        other.response().await.expect("a response");
     }
 }
 
@@ -63,9 +65,9 @@
         let server = start();
         let (client, request) = server.start_request().await;
         let flooding = client.write_in_background(flood());
-        assert_little_cpu_time(&server, "behind one that waits").await;
+        assert_little_cpu_time(&server, "behind a pending request").await;
         request.respond("served");
-        let mut client = flooding.await.expect("all is taken");
+        let mut client = flooding.await.expect("the flood is written");
         client.expect_closing_response("served").await;
     });
 }
@@ -79,9 +81,9 @@
             .await
             .write_in_background(format!("{POST}{}", flood()));
         let request = server.next_request().await;
-        assert_little_cpu_time(&server, "in one go").await;
+        assert_little_cpu_time(&server, "written together with its first request").await;
         request.respond("served");
-        let mut client = flooding.await.expect("all is taken");
+        let mut client = flooding.await.expect("the flood is written");
         client.expect_closing_response("served").await;
     });
 }
@@ -94,9 +96,9 @@
         stream.send_event("one").await;
         client.expect_chunk("one").await;
         let flooding = client.write_in_background(flood());
-        assert_little_cpu_time(&server, "behind a stream").await;
+        assert_little_cpu_time(&server, "behind a streamed response").await;
         stream.send_event("two").await;
-        let mut client = flooding.await.expect("all is taken");
+        let mut client = flooding.await.expect("the flood is written");
         client.expect_chunk("two").await;
     });
 }
@@ -109,7 +111,7 @@
         client.write(GET).await;
         server.next_request().await.respond(&"x".repeat(1_000_000));
         let _flooding = client.write_in_background(flood());
-        assert_little_cpu_time(&server, "behind an answer that nobody reads").await;
+        assert_little_cpu_time(&server, "behind a response that the client does not read").await;
     });
 }
 
@@ -127,13 +129,13 @@
             .await;
         client.write(&"x".repeat(first)).await;
         let request = server.next_request().await;
-        assert!(request.streamed_body.is_some(), "on its way");
+        assert!(request.streamed_body.is_some(), "the body is streamed");
         let _flooding = client.write_in_background(format!("{}{}", "x".repeat(rest), flood()));
-        assert_little_cpu_time(&server, "behind a body that nobody draws").await;
+        assert_little_cpu_time(&server, "behind a body that is not consumed").await;
     });
 }
 
-/// More than is read ahead, less than that and what is kept.
+/// The pipelined bytes exceed what is read ahead, but not that together with what is kept.
 #[test]
 fn pipelined_requests_within_the_read_ahead_limit_are_answered_in_order() {
     run_test(async {
@@ -179,8 +181,8 @@
     });
 }
 
-/// While 16 and more are queued, what comes is not parsed; nor is it when they are all answered at
-/// once.
+/// actix-http stops parsing while 16 or more requests are queued, and does not resume by itself when
+/// all of them are answered at once: those left in its buffer must not wait for further input.
 #[test]
 fn requests_behind_a_full_queue_are_answered_without_further_input() {
     run_test(async {
@@ -199,12 +201,12 @@
     });
 }
 
-/// More than the kernel's buffers hold on both sides.
+/// More than the socket buffers of both sides hold.
 const LONG_BODY_BYTES: usize = 20_000_000;
 
-/// A request with a long body, of a length told or not.
+/// Two requests with a long body: one with a content length, one chunked.
 fn long_posts() -> [String; 2] {
-    // Of many lines: of few it might be one long head.
+    // The body has many lines; with few it could be mistaken for one long head.
     let body = "x\n".repeat(LONG_BODY_BYTES / 2);
     let head = "POST /a HTTP/1.1\r\nHost: a\r\n";
     [
@@ -229,14 +231,20 @@
         for post in long_posts() {
             let writing = server.connect().await.write_in_background(post);
             let mut request = server.next_request().await;
-            let mut chunks = Box::pin(request.streamed_body.take().expect("on its way").stream());
+            let mut chunks = Box::pin(
+                request
+                    .streamed_body
+                    .take()
+                    .expect("the body is streamed")
+                    .stream(),
+            );
             let mut received_bytes = 0;
             while let Some(chunk) = chunks.next().await {
-                received_bytes += chunk.expect("it does not break off").len();
+                received_bytes += chunk.expect("the body is not aborted").len();
             }
             assert_eq!(received_bytes, LONG_BODY_BYTES);
             request.respond("served");
-            let mut client = writing.await.expect("all is taken");
+            let mut client = writing.await.expect("the flood is written");
             client.expect_response("served").await;
             client.write(GET).await;
             server.next_request().await.respond("next");
@@ -245,7 +253,8 @@
     });
 }
 
-/// A client may well read only when it has written everything.
+/// A client may start to read the response only after it has written its whole request; if the body
+/// were not read, both sides would wait for each other.
 #[test]
 fn a_long_body_that_is_not_consumed_is_read_to_its_end_while_the_response_is_streamed() {
     run_test(async {
@@ -253,10 +262,13 @@
         for post in long_posts() {
             let writing = server.connect().await.write_in_background(post);
             let mut request = server.next_request().await;
-            assert!(request.streamed_body.take().is_some(), "on its way");
+            assert!(
+                request.streamed_body.take().is_some(),
+                "the body is streamed"
+            );
             let mut stream = request.stream();
             stream.send_event("one").await;
-            let mut client = writing.await.expect("all is taken");
+            let mut client = writing.await.expect("the flood is written");
             client.expect_chunk("one").await;
             stream.end();
             assert_eq!(client.chunk().await.as_deref(), Some(""));
@@ -264,7 +276,7 @@
     });
 }
 
-/// What is not read hides its end.
+/// The end of a connection is behind the unread bytes, so the listener must read them to notice it.
 #[test]
 fn the_disconnect_of_a_client_behind_a_flood_is_noticed() {
     run_test(async {
@@ -274,7 +286,7 @@
             client
                 .write_in_background(flood())
                 .await
-                .expect("all is taken"),
+                .expect("the flood is written"),
         );
         request.dropped().await;
     });
--- a/crates/transport/tests/listener/support.rs
+++ b/crates/transport/tests/listener/support.rs
@@ -1,5 +1,5 @@
-//! The set-up of the listener tests: a listener whose service answers when the test says so, and
-//! clients of it.
+//! Fixtures of the listener tests: a listener whose service responds as the test directs, and its
+//! clients.
 
 use std::cell::RefCell;
 use std::io;
@@ -24,7 +24,7 @@
 use tokio::sync::{Mutex, mpsc, oneshot, watch};
 use tokio::task::JoinHandle;
 
-/// Longer than any test.
+/// Limits with timeouts that are longer than any test.
 pub(crate) const LIMITS: ClientLimits = ClientLimits {
     header_timeout: 60_000_000,
     idle_timeout: 60_000_000,
@@ -35,15 +35,15 @@
 pub(crate) const GET: &str = "GET /a HTTP/1.1\r\nHost: a\r\n\r\n";
 pub(crate) const POST: &str = "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nhelloworld";
 
-/// A request of this path is answered without the test.
+/// The path of requests that the service answers at once, without the test.
 pub(crate) const IMMEDIATE_PATH: &str = "/at-once";
 
-/// Room in a socket's buffers.
+/// The requested size of a socket's send or receive buffer, where it must be small.
 const SOCKET_BUFFER_BYTES: u32 = 2_048;
-/// A play that does not end has failed.
+/// A test that takes longer than this has failed.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Plays on the runtime that actix-http needs.
+/// Runs a test on the runtime that actix-http needs.
 pub(crate) fn run_test(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(async {
         tokio::time::timeout(TEST_TIMEOUT, test)
@@ -52,41 +52,41 @@
     });
 }
 
-/// How a request is answered.
+/// The response that the test chooses for a request.
 enum Reply {
     Complete(String),
     Streamed(mpsc::Receiver<Result<Bytes, io::Error>>),
 }
 
-/// A request that waits for its answer.
+/// A request that waits for its response.
 pub(crate) struct PendingRequest {
-    /// Its body, where it is held.
+    /// The body, if it is buffered; else empty.
     pub body: String,
-    /// Its body, where it is on its way.
+    /// The body, if it is streamed.
     pub streamed_body: Option<Rc<StreamedRequestBody>>,
     reply: oneshot::Sender<Reply>,
 }
 
 impl PendingRequest {
-    /// Answers at once.
+    /// Sends a complete response.
     pub(crate) fn respond(self, text: &str) {
         drop(self.reply.send(Reply::Complete(text.to_string())));
     }
 
-    /// Answers by a stream.
+    /// Starts a streamed response.
     pub(crate) fn stream(self) -> ResponseStream {
         let (chunk_sender, chunks) = mpsc::channel(1);
         drop(self.reply.send(Reply::Streamed(chunks)));
         ResponseStream(chunk_sender)
     }
 
-    /// Waits until nobody wants the answer.
+    /// Waits until the listener has dropped the handler of the request.
     pub(crate) async fn dropped(&mut self) {
         self.reply.closed().await;
     }
 }
 
-/// An answer on its way.
+/// A response that is being streamed.
 pub(crate) struct ResponseStream(mpsc::Sender<Result<Bytes, io::Error>>);
 
 impl ResponseStream {
@@ -94,29 +94,29 @@
         self.0
             .send(Ok(Bytes::copy_from_slice(text.as_bytes())))
             .await
-            .expect("it is wanted");
+            .expect("the response is still read");
     }
 
-    /// Completes the answer.
+    /// Completes the response.
     pub(crate) fn end(self) {
         drop(self);
     }
 
-    /// The server has broken off.
+    /// Aborts the response, as when its source fails.
     pub(crate) async fn abort(self) {
         self.0
             .send(Err(io::ErrorKind::UnexpectedEof.into()))
             .await
-            .expect("it is wanted");
+            .expect("the response is still read");
     }
 
-    /// Waits until nobody wants more of it.
+    /// Waits until the listener has dropped the response's body.
     pub(crate) async fn dropped(&mut self) {
         self.0.closed().await;
     }
 }
 
-/// Hands requests to the test.
+/// Passes requests to the test, which chooses the responses.
 pub(crate) struct ScriptedService {
     requests: mpsc::UnboundedSender<PendingRequest>,
     body_memory: BodyMemory,
@@ -159,7 +159,7 @@
                 streamed_body,
                 reply,
             })
-            .expect("the test goes on");
+            .expect("the test is running");
         match reply_receiver.await {
             Ok(Reply::Complete(text)) => {
                 Response::with_body(StatusCode::OK, text).map_into_boxed_body()
@@ -183,7 +183,7 @@
     Response::with_body(StatusCode::OK, body).map_into_boxed_body()
 }
 
-/// A listener that serves.
+/// A running listener, its service and its address.
 pub(crate) struct TestServer {
     pub listener: Rc<Listener<ScriptedService>>,
     address: SocketAddr,
@@ -197,11 +197,11 @@
         TestServer::start_with_descriptors(limits, 64)
     }
 
-    /// One that may hold so many connections.
+    /// Starts a listener that may have `descriptors` connections open.
     pub(crate) fn start_with_descriptors(limits: ClientLimits, descriptors: usize) -> Self {
         let tcp =
             sockets::listen("127.0.0.1:0".parse().expect("an address")).expect("a port is free");
-        // What it accepts has it, too.
+        // Accepted sockets inherit the size of the send buffer.
         rustix::net::sockopt::set_socket_send_buffer_size(&tcp, SOCKET_BUFFER_BYTES as usize)
             .expect("set");
         let address = tcp.local_addr().expect("bound");
@@ -233,24 +233,27 @@
 
     pub(crate) async fn connect(&self) -> Client {
         Client(BufReader::new(
-            TcpStream::connect(self.address).await.expect("it listens"),
+            TcpStream::connect(self.address)
+                .await
+                .expect("the listener is bound"),
         ))
     }
 
-    /// A new client whose request is pending.
+    /// Connects a client and sends a request, which is pending.
     pub(crate) async fn start_request(&self) -> (Client, PendingRequest) {
         let mut client = self.connect().await;
         client.write(GET).await;
         (client, self.next_request().await)
     }
 
-    /// A new client whose response is being streamed.
+    /// Connects a client and sends a request, whose response is being streamed.
     pub(crate) async fn start_stream(&self) -> (Client, ResponseStream) {
         let (client, request) = self.start_request().await;
         (client, request.stream())
     }
 
-    /// A client on whose connection little is on its way at once.
+    /// Connects a client with a small receive buffer: a long response waits in the listener until the
+    /// client reads.
     pub(crate) async fn connect_with_small_buffers(&self) -> Client {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket
@@ -258,22 +261,30 @@
             .expect("set");
         Client(BufReader::with_capacity(
             64,
-            socket.connect(self.address).await.expect("it listens"),
+            socket
+                .connect(self.address)
+                .await
+                .expect("the listener is bound"),
         ))
     }
 
-    /// The next request that the service is handed.
+    /// Waits for the next request that reaches the service.
     pub(crate) async fn next_request(&self) -> PendingRequest {
-        self.requests.lock().await.recv().await.expect("it serves")
+        self.requests
+            .lock()
+            .await
+            .recv()
+            .await
+            .expect("the service is running")
     }
 
-    /// Takes no new connection any more and lets the others finish; ends when none is left.
+    /// Stops accepting and shuts the listener down; the returned task ends with the last connection.
     pub(crate) fn drain(&self) -> JoinHandle<()> {
-        let accepting = self.accepting.take().expect("drain once");
+        let accepting = self.accepting.take().expect("drained once");
         let listener = Rc::clone(&self.listener);
         actix_rt::spawn(async move {
             listener.stop.notify_one();
-            accepting.await.expect("it stops");
+            accepting.await.expect("accepting has stopped");
             listener.finish(IdleConnections::CloseNow).await;
         })
     }
@@ -283,7 +294,7 @@
 pub(crate) struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// Writes all of it while the test goes on, and gives the connection back.
+    /// Writes `text` in a task of its own, which returns the client.
     pub(crate) fn write_in_background(mut self, text: String) -> JoinHandle<Client> {
         actix_rt::spawn(async move {
             self.write(&text).await;
@@ -311,7 +322,8 @@
         Some(head.to_ascii_lowercase().replacen("http", "HTTP", 1))
     }
 
-    /// A whole answer with a length: head and body.
+    /// Reads a response with a content length and returns its head and body; `None` where the
+    /// connection ends before.
     pub(crate) async fn response(&mut self) -> Option<String> {
         let mut head = self.head().await?;
         let length = head
@@ -324,36 +336,37 @@
         Some(head)
     }
 
-    /// Asserts that a response arrives, with this at its end.
+    /// Asserts that a response arrives and ends with `ending`.
     pub(crate) async fn expect_response(&mut self, ending: &str) {
-        let response = self.response().await.expect("an answer");
+        let response = self.response().await.expect("a response");
         assert!(response.ends_with(ending), "{response}");
     }
 
-    /// Asserts the same, and that the connection closes with it.
+    /// Asserts that a response arrives, ends with `ending` and announces the close of the connection.
     pub(crate) async fn expect_closing_response(&mut self, ending: &str) {
-        let response = self.response().await.expect("an answer");
+        let response = self.response().await.expect("a response");
         assert!(
             response.contains("connection: close") && response.ends_with(ending),
             "{response}"
         );
     }
 
-    /// Asserts the same, and that the connection stays open.
+    /// Asserts that a response arrives, ends with `ending` and does not announce a close.
     pub(crate) async fn expect_keep_alive_response(&mut self, ending: &str) {
-        let response = self.response().await.expect("an answer");
+        let response = self.response().await.expect("a response");
         assert!(
             response.ends_with(ending) && !response.contains("close"),
             "{response}"
         );
     }
 
-    /// Asserts that the next chunk of a stream is this.
+    /// Asserts that `text` is the next chunk of a streamed response.
     pub(crate) async fn expect_chunk(&mut self, text: &str) {
         assert_eq!(self.chunk().await.as_deref(), Some(text));
     }
 
-    /// The next chunk of a stream, past its head; none where it breaks off.
+    /// Reads the next chunk of a streamed response and skips its head; `None` where the connection
+    /// ends.
     pub(crate) async fn chunk(&mut self) -> Option<String> {
         let mut line = String::new();
         loop {
@@ -372,15 +385,15 @@
         }
     }
 
-    /// Waits until the other side has closed it.
+    /// Waits until the listener has closed the connection, and asserts that no bytes precede the end.
     pub(crate) async fn closed(&mut self) {
         let mut rest = Vec::new();
-        // A reset is a close, too.
+        // A reset also closes the connection.
         let _ = self.0.read_to_end(&mut rest).await;
         assert!(rest.is_empty(), "{rest:?}");
     }
 
-    /// Whether the other side has not closed it.
+    /// Whether the listener has not closed the connection.
     pub(crate) fn is_open(&self) -> bool {
         let mut byte = [0];
         matches!(self.0.get_ref().try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
