--- a/crates/transport/src/body/request.rs
+++ b/crates/transport/src/body/request.rs
@@ -20,7 +20,7 @@
 pub struct StreamedRequestBody {
     /// Its length in bytes, where the client announced it.
     pub length: Option<u64>,
-    first: RefCell<Bytes>,
+    prefix: RefCell<Bytes>,
     rest: RefCell<BodyChunks>,
     /// Bytes received so far, the first part included.
     received_bytes: Cell<u64>,
@@ -44,10 +44,10 @@
 }
 
 impl StreamedRequestBody {
-    /// A body of which `first` has been received; `on_complete` is called when its last byte has
+    /// A body of which `prefix` has been received; `on_complete` is called when its last byte has
     /// been read.
     pub fn new(
-        first: Bytes,
+        prefix: Bytes,
         rest: BodyChunks,
         length: Option<u64>,
         permit: BodyMemoryPermit,
@@ -55,8 +55,8 @@
     ) -> Self {
         StreamedRequestBody {
             length,
-            received_bytes: Cell::new(first.len() as u64),
-            first: RefCell::new(first),
+            received_bytes: Cell::new(prefix.len() as u64),
+            prefix: RefCell::new(prefix),
             rest: RefCell::new(rest),
             rest_started: Cell::new(false),
             complete: Cell::new(false),
@@ -91,8 +91,8 @@
 
     /// The body from its first byte, for one attempt.
     pub fn stream(self: Rc<Self>) -> impl Stream<Item = Result<Bytes, io::Error>> {
-        let first = Some(self.first.borrow().clone());
-        AttemptBody { first, body: self }
+        let prefix = Some(self.prefix.borrow().clone());
+        AttemptBody { prefix, body: self }
     }
 
     fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, io::Error>>> {
@@ -103,7 +103,7 @@
         }
         if !self.rest_started.replace(true) {
             // The body cannot be sent again, so its first part is no longer needed.
-            self.first.take();
+            self.prefix.take();
         }
         match &item {
             Some(Err(_)) => {
@@ -133,7 +133,7 @@
 
 /// The body as one attempt reads it.
 struct AttemptBody {
-    first: Option<Bytes>,
+    prefix: Option<Bytes>,
     body: Rc<StreamedRequestBody>,
 }
 
@@ -141,8 +141,8 @@
     type Item = Result<Bytes, io::Error>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        match self.first.take() {
-            Some(first) => Poll::Ready(Some(Ok(first))),
+        match self.prefix.take() {
+            Some(prefix) => Poll::Ready(Some(Ok(prefix))),
             None => self.body.poll_rest(cx),
         }
     }
--- a/crates/transport/src/framing/tests.rs
+++ b/crates/transport/src/framing/tests.rs
@@ -36,8 +36,8 @@
 
 #[test]
 fn a_response_is_found_between_interim_heads_and_surplus_bytes_in_chunks_of_any_size() {
-    let early = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
-    for answer in [
+    let interim = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
+    for response in [
         format!("{OK}Content-Length: 2\r\n\r\nhi"),
         format!("{OK}Content-Length: 0\r\n\r\n"),
         "HTTP/1.1 200 \r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n".to_string(),
@@ -46,18 +46,18 @@
         ),
         "HTTP/1.1 204 No Content\r\n\r\n".to_string(),
     ] {
-        for part in 1..answer.len() {
+        for chunk_size in 1..response.len() {
             assert_eq!(
-                complete_response(&answer.as_bytes()[..answer.len() - 1], part),
+                complete_response(&response.as_bytes()[..response.len() - 1], chunk_size),
                 Ok(None),
-                "{part} of {answer}"
+                "{chunk_size} of {response}"
             );
-            let bytes = format!("{early}{answer}{answer}");
-            let found = early.len()..early.len() + answer.len();
+            let bytes = format!("{interim}{response}{response}");
+            let found = interim.len()..interim.len() + response.len();
             assert_eq!(
-                complete_response(bytes.as_bytes(), part),
+                complete_response(bytes.as_bytes(), chunk_size),
                 Ok(Some(found)),
-                "{part} of {answer}"
+                "{chunk_size} of {response}"
             );
         }
     }
@@ -95,13 +95,13 @@
         "by its first chunk"
     );
     let mut chunked = tracker(BodyFraming::Chunked(ChunkedState::new()));
-    let part = [b"8000\r\n".to_vec(), vec![b'x'; 0x8000], b"\r\n".to_vec()].concat();
+    let chunk = [b"8000\r\n".to_vec(), vec![b'x'; 0x8000], b"\r\n".to_vec()].concat();
     let long: Vec<bool> = (0..3)
         .map(|_| {
             assert_eq!(
-                chunked.advance(&part),
+                chunked.advance(&chunk),
                 Ok(Progress {
-                    bytes: part.len(),
+                    bytes: chunk.len(),
                     is_complete: false
                 })
             );
@@ -164,14 +164,14 @@
 
 #[test]
 fn a_response_without_a_body_ends_with_its_head() {
-    let of_head = FramingRules {
+    let head_request = FramingRules {
         without_body: true,
         ..FramingRules::default()
     };
     for (status, framing, rules) in [
-        ("200 OK", "Content-Length: 9\r\n", of_head),
-        ("200 OK", "Transfer-Encoding: chunked\r\n", of_head),
-        ("200 OK", "", of_head),
+        ("200 OK", "Content-Length: 9\r\n", head_request),
+        ("200 OK", "Transfer-Encoding: chunked\r\n", head_request),
+        ("200 OK", "", head_request),
         ("204 No Content", "", FramingRules::default()),
         (
             "204 No Content",
@@ -188,8 +188,8 @@
         let found = parse_head(bytes.as_bytes(), rules).map(|h| h.map(|h| h.framing));
         assert_eq!(found, Ok(Some(BodyFraming::ContentLength(0))), "{bytes}");
     }
-    let unsound = format!("{OK}Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n");
-    assert!(parse_head(unsound.as_bytes(), of_head).is_err());
+    let contradictory = format!("{OK}Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n");
+    assert!(parse_head(contradictory.as_bytes(), head_request).is_err());
 }
 
 #[test]
--- a/crates/transport/src/read_ahead.rs
+++ b/crates/transport/src/read_ahead.rs
@@ -20,9 +20,9 @@
 /// Bytes that may be read beyond [`MAX_READ_AHEAD_BYTES`] of a body whose reader waits for more.
 const BODY_CHUNK_BYTES: usize = 32 * 1024;
 /// Requests that actix-http queues before it stops parsing.
-const QUEUED_REQUESTS: usize = 16;
+const MAX_QUEUED_REQUESTS: usize = 16;
 /// Lines of that many requests: each request has at least two.
-const QUEUED_LINES: usize = 2 * QUEUED_REQUESTS;
+const MAX_QUEUED_LINES: usize = 2 * MAX_QUEUED_REQUESTS;
 
 /// Counts what is read of one connection while a request of it is in progress.
 pub(crate) struct ReadAhead {
@@ -88,7 +88,7 @@
     fn poll_during_request(&self, cx: &Context<'_>) -> Poll<usize> {
         self.register(cx.waker());
         // So few lines do not fill the queue: actix-http parses on and rejects what grows too long.
-        if self.allowance.get() == 0 && self.lines.get() < QUEUED_LINES {
+        if self.allowance.get() == 0 && self.lines.get() < MAX_QUEUED_LINES {
             self.allowance.set(MAX_READ_AHEAD_BYTES);
         }
         if self.allowance.get() > 0 {
@@ -118,7 +118,7 @@
         self.allowance
             .set(self.allowance.get().saturating_sub(bytes.len()));
         // A larger number makes no difference, so the lines of long bodies are not counted.
-        if self.lines.get() < QUEUED_LINES {
+        if self.lines.get() < MAX_QUEUED_LINES {
             self.lines.set(self.lines.get() + count_lines(bytes));
         }
         if self.in_progress.get() {
--- a/crates/transport/src/request_body.rs
+++ b/crates/transport/src/request_body.rs
@@ -54,31 +54,31 @@
     let expected = length.map_or(max_bytes, |length| length as usize);
     let payload = Box::pin(ObservedPayload::new(payload, expected, connection));
     let mut chunks = MinRateStream::new(payload, connection.clock(), connection.start_body());
-    let mut first = BytesMut::new();
+    let mut prefix = BytesMut::new();
     // Nothing is sent to a server before more has arrived than can be buffered: guards its
     // connections against clients that announce much and send little.
     let is_long = loop {
         let Some(chunk) = chunks.next().await else {
             break false;
         };
-        first.extend_from_slice(&chunk.map_err(|_| RequestBodyError::Incomplete)?);
-        if first.len() > max_bytes {
+        prefix.extend_from_slice(&chunk.map_err(|_| RequestBodyError::Incomplete)?);
+        if prefix.len() > max_bytes {
             return Err(RequestBodyError::TooLong);
         }
         // A body that is complete already is not streamed: a server that has all of it may run the
         // request.
-        let is_incomplete = length.is_none_or(|length| (first.len() as u64) < length);
-        if first.len() > max_buffered && is_incomplete {
+        let is_incomplete = length.is_none_or(|length| (prefix.len() as u64) < length);
+        if prefix.len() > max_buffered && is_incomplete {
             break true;
         }
     };
-    let first = first.freeze();
+    let prefix = prefix.freeze();
     if !is_long {
-        return Ok(RequestBody::Buffered(first));
+        return Ok(RequestBody::Buffered(prefix));
     }
     let permit = memory.reserve().await;
-    let rest = limited(chunks, max_bytes - first.len());
-    let body = StreamedRequestBody::new(first, rest, length, permit, on_complete);
+    let rest = limited(chunks, max_bytes - prefix.len());
+    let body = StreamedRequestBody::new(prefix, rest, length, permit, on_complete);
     Ok(RequestBody::Streamed(Rc::new(body)))
 }
 
--- a/crates/transport/src/response_validation.rs
+++ b/crates/transport/src/response_validation.rs
@@ -49,7 +49,7 @@
     }
 
     /// Closes the connection if it must not be reused and no response is read from it any more.
-    fn close_if_spent(&mut self) {
+    fn close_if_not_reusable(&mut self) {
         if self.validator.must_close() {
             self.stream = None;
         }
@@ -71,7 +71,7 @@
             ready!(self.poll_stream(cx, &mut buf))?;
             let has_ended = buf.filled().is_empty();
             let received = self.validator.receive(buf.filled());
-            self.close_if_spent();
+            self.close_if_not_reusable();
             match received {
                 Ok(true) => return Poll::Ready(Ok(())),
                 Ok(false) if has_ended => {
@@ -92,7 +92,7 @@
         let before = buf.filled().len();
         ready!(self.poll_stream(cx, buf))?;
         let followed = self.validator.follow(&buf.filled()[before..]);
-        self.close_if_spent();
+        self.close_if_not_reusable();
         match followed {
             Ok(Some(bytes)) => {
                 buf.set_filled(before + bytes);
@@ -114,7 +114,7 @@
         self.answered_early = true;
         // Guards the next request: the server would take it for the rest of this one.
         self.validator.forbid_reuse();
-        self.close_if_spent();
+        self.close_if_not_reusable();
         Poll::Ready(Ok(()))
     }
 
--- a/crates/transport/tests/pass_through/connection_reuse.rs
+++ b/crates/transport/tests/pass_through/connection_reuse.rs
@@ -5,35 +5,39 @@
 use futures_util::StreamExt as _;
 use ironmast_transport::attempt::{AttemptOptions, ExpectedHeader};
 
-use crate::cut;
+use crate::read_truncated;
 use crate::support::{
-    CHUNKED, ID, SIZED, Stage, TO_END, answered, answered_as, asks_anew, attempt, head, passing,
-    play, reason, whole,
+    CHUNKED, CLOSE_DELIMITED, FIXED_LENGTH, ID, TestServer, attempt, connection_after_response,
+    connection_after_response_with, head, next_request_opens_connection, pass_through_options,
+    read_body, reason, run_test,
 };
 
 #[test]
 fn bytes_behind_a_response_are_not_delivered_and_end_the_reuse_of_the_connection() {
-    play(async {
-        let surplus = format!("{}helloworld", head("another", SIZED));
+    run_test(async {
+        let surplus = format!("{}helloworld", head("another", FIXED_LENGTH));
         for behind in ["x", "\r\n", "HTTP/1.1 200 OK\r\n", surplus.as_str()] {
             for (framing, body) in [
-                (SIZED, "helloworld"),
+                (FIXED_LENGTH, "helloworld"),
                 (CHUNKED, "a\r\nhelloworld\r\n0\r\n\r\n"),
             ] {
-                for flows in [false, true] {
-                    let stage = Stage::start().await;
-                    let mut peer = answered_as(&stage, framing, body, behind, flows).await;
+                for head_first in [false, true] {
+                    let server = TestServer::start().await;
+                    let mut connection =
+                        connection_after_response_with(&server, framing, body, behind, head_first)
+                            .await;
                     assert!(
-                        asks_anew(&stage, &mut peer).await,
+                        next_request_opens_connection(&server, &mut connection).await,
                         "{behind:?} behind {framing}"
                     );
                 }
             }
         }
-        let stage = Stage::start().await;
-        let mut peer = answered(&stage, SIZED, "helloworld", "").await;
+        let server = TestServer::start().await;
+        let mut connection =
+            connection_after_response(&server, FIXED_LENGTH, "helloworld", "").await;
         assert!(
-            !asks_anew(&stage, &mut peer).await,
+            !next_request_opens_connection(&server, &mut connection).await,
             "a clean one is used again"
         );
     });
@@ -42,21 +46,26 @@
 /// Nobody waits for the next request to find it out: the server has its place back at once.
 #[test]
 fn a_connection_that_must_not_be_reused_is_closed_at_once() {
-    play(async {
-        let surplus = format!("{}helloworld", head("another", SIZED));
+    run_test(async {
+        let surplus = format!("{}helloworld", head("another", FIXED_LENGTH));
         for behind in ["x", surplus.as_str()] {
-            let stage = Stage::start().await;
-            answered(&stage, SIZED, "helloworld", behind)
+            let server = TestServer::start().await;
+            connection_after_response(&server, FIXED_LENGTH, "helloworld", behind)
                 .await
-                .closed()
+                .wait_for_close()
                 .await;
         }
-        let stage = Stage::start().await;
-        let state = attempt(passing());
-        let doubtful = format!("{surplus}{}helloworld", head(ID, SIZED));
-        let (answer, mut peer) = stage.exchange(&state, Method::GET, &doubtful).await;
-        assert_eq!(whole(&mut answer.expect("an answer")).await, "helloworld");
-        peer.closed().await;
+        let server = TestServer::start().await;
+        let state = attempt(pass_through_options());
+        let surplus_and_response = format!("{surplus}{}helloworld", head(ID, FIXED_LENGTH));
+        let (response, mut connection) = server
+            .exchange(&state, Method::GET, &surplus_and_response)
+            .await;
+        assert_eq!(
+            read_body(&mut response.expect("an answer")).await,
+            "helloworld"
+        );
+        connection.wait_for_close().await;
     });
 }
 
@@ -64,17 +73,18 @@
 /// belong to nobody.
 #[test]
 fn reading_behind_the_end_of_a_response_is_an_error() {
-    play(async {
-        let stage = Stage::start().await;
-        let state = attempt(passing());
-        let unmodified = head(ID, SIZED).replace("200 OK", "304 Not Modified");
-        let (answer, mut peer) = stage.exchange(&state, Method::GET, &unmodified).await;
-        let mut answer = answer.expect("its head");
-        peer.write(&format!("{}helloworld", head("another", SIZED)))
+    run_test(async {
+        let server = TestServer::start().await;
+        let state = attempt(pass_through_options());
+        let unmodified = head(ID, FIXED_LENGTH).replace("200 OK", "304 Not Modified");
+        let (response, mut connection) = server.exchange(&state, Method::GET, &unmodified).await;
+        let mut response = response.expect("its head");
+        connection
+            .write(&format!("{}helloworld", head("another", FIXED_LENGTH)))
             .await;
-        peer.arrived().await;
+        connection.let_client_read().await;
         assert!(
-            answer.next().await.is_some_and(|part| part.is_err()),
+            response.next().await.is_some_and(|part| part.is_err()),
             "not another's bytes"
         );
         assert_eq!(reason(&state).as_deref(), Some("it is read past its end"));
@@ -84,91 +94,114 @@
 /// The client library sees no body behind such a head, whatever its framing says.
 #[test]
 fn a_response_that_switches_the_protocol_is_rejected() {
-    play(async {
-        let stage = Stage::start().await;
-        let state = attempt(passing());
+    run_test(async {
+        let server = TestServer::start().await;
+        let state = attempt(pass_through_options());
         let upgrade = format!(
             "{}helloworld",
-            head(ID, &format!("Upgrade: websocket\r\n{SIZED}"))
+            head(ID, &format!("Upgrade: websocket\r\n{FIXED_LENGTH}"))
         );
-        let (answer, mut peer) = stage.exchange(&state, Method::GET, &upgrade).await;
-        assert!(answer.is_err());
+        let (response, mut connection) = server.exchange(&state, Method::GET, &upgrade).await;
+        assert!(response.is_err());
         assert_eq!(reason(&state).as_deref(), Some("it changes the protocol"));
-        assert!(asks_anew(&stage, &mut peer).await);
+        assert!(next_request_opens_connection(&server, &mut connection).await);
     });
 }
 
 #[test]
 fn a_response_with_two_request_ids_or_an_unrequested_one_is_rejected() {
-    play(async {
-        let stage = Stage::start().await;
-        let mut peer = answered(&stage, SIZED, "helloworld", "").await;
-        let state = attempt(passing());
-        let twice = head(ID, &format!("X-Ironmast-Request-Id: another\r\n{SIZED}"));
+    run_test(async {
+        let server = TestServer::start().await;
+        let mut connection =
+            connection_after_response(&server, FIXED_LENGTH, "helloworld", "").await;
+        let state = attempt(pass_through_options());
+        let two_ids = head(
+            ID,
+            &format!("X-Ironmast-Request-Id: another\r\n{FIXED_LENGTH}"),
+        );
         let serve = async {
-            assert!(peer.try_request().await, "on the same connection");
-            peer.write(&format!("{twice}helloworld")).await;
+            assert!(
+                connection.try_read_request().await,
+                "on the same connection"
+            );
+            connection.write(&format!("{two_ids}helloworld")).await;
         };
-        let (answer, ()) = futures_util::future::join(stage.ask(&state, Method::GET), serve).await;
-        assert!(answer.is_err());
+        let (response, ()) =
+            futures_util::future::join(server.send_request(&state, Method::GET), serve).await;
+        assert!(response.is_err());
         assert_eq!(reason(&state).as_deref(), Some("it names several requests"));
 
         let expected = ExpectedHeader {
             name: "X-Ironmast-Request-Id",
             value: None,
         };
-        let nameless = AttemptOptions {
+        let no_id_expected = AttemptOptions {
             expected: Some(expected),
-            ..passing()
+            ..pass_through_options()
         };
-        let stage = Stage::start().await;
-        let mut peer = answered(&stage, SIZED, "helloworld", "").await;
-        let state = attempt(nameless);
+        let server = TestServer::start().await;
+        let mut connection =
+            connection_after_response(&server, FIXED_LENGTH, "helloworld", "").await;
+        let state = attempt(no_id_expected);
         let serve = async {
-            assert!(peer.try_request().await, "on the same connection");
-            peer.write(&format!(
-                "{}helloworldHTTP/1.1 400 Told\r\n{SIZED}\r\nwithout id",
-                head("another", SIZED)
-            ))
-            .await;
+            assert!(
+                connection.try_read_request().await,
+                "on the same connection"
+            );
+            connection
+                .write(&format!(
+                    "{}helloworldHTTP/1.1 400 Told\r\n{FIXED_LENGTH}\r\nwithout id",
+                    head("another", FIXED_LENGTH)
+                ))
+                .await;
         };
-        let (answer, ()) = futures_util::future::join(stage.ask(&state, Method::GET), serve).await;
-        assert_eq!(whole(&mut answer.expect("its own")).await, "without id");
+        let (response, ()) =
+            futures_util::future::join(server.send_request(&state, Method::GET), serve).await;
+        assert_eq!(
+            read_body(&mut response.expect("its own")).await,
+            "without id"
+        );
     });
 }
 
 #[test]
 fn bytes_on_an_idle_connection_end_its_reuse() {
-    play(async {
-        let stage = Stage::start().await;
-        let mut peer = answered(&stage, SIZED, "helloworld", "").await;
-        peer.write("x").await;
-        peer.arrived().await;
-        assert!(asks_anew(&stage, &mut peer).await);
+    run_test(async {
+        let server = TestServer::start().await;
+        let mut connection =
+            connection_after_response(&server, FIXED_LENGTH, "helloworld", "").await;
+        connection.write("x").await;
+        connection.let_client_read().await;
+        assert!(next_request_opens_connection(&server, &mut connection).await);
     });
 }
 
 #[test]
 fn a_connection_is_not_reused_past_the_keep_alive_timeout_of_its_server() {
-    play(async {
-        for (seconds, anew) in [(0, true), (30, false)] {
-            let stage = Stage::start().await;
-            let framing = format!("{SIZED}Keep-Alive: timeout={seconds}, max=9\r\n");
-            let mut peer = answered(&stage, &framing, "helloworld", "").await;
-            assert_eq!(asks_anew(&stage, &mut peer).await, anew, "{seconds} s");
+    run_test(async {
+        for (seconds, is_new) in [(0, true), (30, false)] {
+            let server = TestServer::start().await;
+            let framing = format!("{FIXED_LENGTH}Keep-Alive: timeout={seconds}, max=9\r\n");
+            let mut connection =
+                connection_after_response(&server, &framing, "helloworld", "").await;
+            assert_eq!(
+                next_request_opens_connection(&server, &mut connection).await,
+                is_new,
+                "{seconds} s"
+            );
         }
     });
 }
 
 /// A kept connection on which the answer to another request comes in place of the next: what the
 /// client reads.
-async fn after_a_surplus(
+async fn read_response_after_surplus(
     surplus: &str,
     parts: usize,
     options: AttemptOptions,
 ) -> Result<String, String> {
-    let stage = Stage::start().await;
-    let mut peer = answered(&stage, SIZED, "helloworld", "").await;
+    let server = TestServer::start().await;
+    let mut connection = connection_after_response(&server, FIXED_LENGTH, "helloworld", "").await;
     let state = attempt(options);
     let bytes = format!(
         "{surplus}{}{}\r\n",
@@ -176,27 +209,33 @@
         "mine"
     );
     let serve = async {
-        assert!(peer.try_request().await, "on the same connection");
+        assert!(
+            connection.try_read_request().await,
+            "on the same connection"
+        );
         for part in bytes.as_bytes().chunks(bytes.len().div_ceil(parts)) {
-            peer.write(std::str::from_utf8(part).expect("text")).await;
-            peer.arrived().await;
+            connection
+                .write(std::str::from_utf8(part).expect("text"))
+                .await;
+            connection.let_client_read().await;
         }
     };
-    let (answer, ()) = futures_util::future::join(stage.ask(&state, Method::GET), serve).await;
-    let Ok(mut answer) = answer else {
+    let (response, ()) =
+        futures_util::future::join(server.send_request(&state, Method::GET), serve).await;
+    let Ok(mut response) = response else {
         return Err(reason(&state).unwrap_or_else(|| "broken off".to_string()));
     };
-    let read = whole(&mut answer).await;
+    let read = read_body(&mut response).await;
     assert!(
-        asks_anew(&stage, &mut peer).await,
+        next_request_opens_connection(&server, &mut connection).await,
         "more of the same may come"
     );
     Ok(read)
 }
 
-fn surpluses() -> [String; 4] {
+fn surplus_responses() -> [String; 4] {
     [
-        format!("{}helloworld", head("another", SIZED)),
+        format!("{}helloworld", head("another", FIXED_LENGTH)),
         format!(
             "{}a\r\nhelloworld\r\n0\r\nX-Trailer: a\r\n\r\n",
             head("another", CHUNKED)
@@ -208,17 +247,18 @@
         ),
         format!(
             "HTTP/1.1 103 Early Hints\r\n\r\n{}helloworld",
-            head("another", SIZED)
+            head("another", FIXED_LENGTH)
         ),
     ]
 }
 
 #[test]
 fn a_surplus_response_in_place_of_the_expected_one_is_skipped() {
-    play(async {
-        for surplus in surpluses() {
+    run_test(async {
+        for surplus in surplus_responses() {
             for parts in [1, 2, 7, surplus.len()] {
-                let read = after_a_surplus(&surplus, parts, passing()).await;
+                let read =
+                    read_response_after_surplus(&surplus, parts, pass_through_options()).await;
                 assert_eq!(read.as_deref(), Ok("mine\r\n"), "{surplus} in {parts}");
             }
         }
@@ -227,27 +267,27 @@
 
 #[test]
 fn without_a_request_id_a_surplus_response_is_taken_for_the_next() {
-    play(async {
-        let blind = AttemptOptions {
+    run_test(async {
+        let without_id = AttemptOptions {
             expected: None,
-            ..passing()
+            ..pass_through_options()
         };
-        let read = after_a_surplus(&surpluses()[0], 1, blind).await;
+        let read = read_response_after_surplus(&surplus_responses()[0], 1, without_id).await;
         assert_eq!(read.as_deref(), Ok("helloworld"));
     });
 }
 
 #[test]
 fn a_response_without_the_expected_request_id_is_rejected() {
-    play(async {
-        let unnamed = format!("HTTP/1.1 200 OK\r\n{SIZED}\r\nhelloworld");
-        let read = after_a_surplus(&unnamed, 1, passing()).await;
+    run_test(async {
+        let without_id = format!("HTTP/1.1 200 OK\r\n{FIXED_LENGTH}\r\nhelloworld");
+        let read = read_response_after_surplus(&without_id, 1, pass_through_options()).await;
         assert_eq!(read, Err("it does not say whose answer it is".into()));
-        let noise = after_a_surplus("noise\r\n\r\n", 1, passing()).await;
+        let noise = read_response_after_surplus("noise\r\n\r\n", 1, pass_through_options()).await;
         assert_eq!(noise, Err("its head can't be read".into()));
-        let endless = format!("{}to the end", head("another", TO_END));
+        let close_delimited = format!("{}to the end", head("another", CLOSE_DELIMITED));
         assert!(
-            !matches!(cut(&endless).await, (_, true)),
+            !matches!(read_truncated(&close_delimited).await, (_, true)),
             "and no other can come behind it"
         );
     });
@@ -255,63 +295,66 @@
 
 #[test]
 fn a_response_to_head_has_no_body_and_its_connection_is_reused() {
-    play(async {
-        let stage = Stage::start().await;
+    run_test(async {
+        let server = TestServer::start().await;
         let state = attempt(AttemptOptions {
             without_body: true,
-            ..passing()
+            ..pass_through_options()
         });
-        let (answer, mut peer) = stage.exchange(&state, Method::HEAD, &head(ID, SIZED)).await;
-        let mut answer = answer.expect("its head");
+        let (response, mut connection) = server
+            .exchange(&state, Method::HEAD, &head(ID, FIXED_LENGTH))
+            .await;
+        let mut response = response.expect("its head");
         assert_eq!(
-            answer.headers().get(CONTENT_LENGTH),
+            response.headers().get(CONTENT_LENGTH),
             Some(&HeaderValue::from_static("10"))
         );
-        assert_eq!(whole(&mut answer).await, "");
-        assert!(!asks_anew(&stage, &mut peer).await);
+        assert_eq!(read_body(&mut response).await, "");
+        assert!(!next_request_opens_connection(&server, &mut connection).await);
     });
 }
 
 /// What the kernel has not delivered of a request that is given up is lost with its connection.
 #[test]
 fn a_connection_whose_response_is_incomplete_is_reset() {
-    play(async {
+    run_test(async {
         for written in [
             String::new(),
             head(ID, CHUNKED),
-            format!("{}hello", head(ID, SIZED)),
+            format!("{}hello", head(ID, FIXED_LENGTH)),
         ] {
-            let stage = Stage::start().await;
-            let state = attempt(passing());
-            let mut ask = Box::pin(stage.ask(&state, Method::GET));
+            let server = TestServer::start().await;
+            let state = attempt(pass_through_options());
+            let mut request = Box::pin(server.send_request(&state, Method::GET));
             let serve = async {
-                let mut peer = stage.accept().await;
-                peer.request().await;
-                peer.write(&written).await;
-                peer
+                let mut connection = server.accept().await;
+                connection.read_request().await;
+                connection.write(&written).await;
+                connection
             };
-            let (answer, mut peer) = if written.is_empty() {
-                let peer = tokio::select! {
-                    _ = &mut ask => panic!("no response was written"),
-                    peer = serve => peer,
+            let (response, mut connection) = if written.is_empty() {
+                let connection = tokio::select! {
+                    _ = &mut request => panic!("no response was written"),
+                    connection = serve => connection,
                 };
-                (None, peer)
+                (None, connection)
             } else {
-                let (answer, peer) = futures_util::future::join(&mut ask, serve).await;
-                (Some(answer.expect("its head")), peer)
+                let (response, connection) = futures_util::future::join(&mut request, serve).await;
+                (Some(response.expect("its head")), connection)
             };
-            drop((ask, answer));
-            assert!(!peer.closed_in_order().await, "behind {written:?}");
+            drop((request, response));
+            assert!(!connection.is_closed_in_order().await, "behind {written:?}");
         }
     });
 }
 
 #[test]
 fn an_idle_connection_is_closed_in_order() {
-    play(async {
-        let stage = Stage::start().await;
-        let mut peer = answered(&stage, SIZED, "helloworld", "").await;
-        drop(stage);
-        assert!(peer.closed_in_order().await);
+    run_test(async {
+        let server = TestServer::start().await;
+        let mut connection =
+            connection_after_response(&server, FIXED_LENGTH, "helloworld", "").await;
+        drop(server);
+        assert!(connection.is_closed_in_order().await);
     });
 }
--- a/crates/transport/tests/pass_through/support.rs
+++ b/crates/transport/tests/pass_through/support.rs
@@ -16,22 +16,24 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// An answer whose body is read by parts.
-pub(crate) type Answer = awc::ClientResponse;
+pub(crate) type Response = awc::ClientResponse;
 
 /// The id of each request.
 pub(crate) const ID: &str = "9c41d07be2a35f68";
 /// How an answer's body ends.
 pub(crate) const CHUNKED: &str = "Transfer-Encoding: chunked\r\n";
-pub(crate) const SIZED: &str = "Content-Length: 10\r\n";
-pub(crate) const TO_END: &str = "Connection: close\r\n";
+pub(crate) const FIXED_LENGTH: &str = "Content-Length: 10\r\n";
+pub(crate) const CLOSE_DELIMITED: &str = "Connection: close\r\n";
 
 /// A play that does not end has failed.
-const MOST: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Plays on the runtime that awc needs.
-pub(crate) fn play(test: impl Future<Output = ()>) {
+pub(crate) fn run_test(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(async {
-        tokio::time::timeout(MOST, test).await.expect("in time");
+        tokio::time::timeout(TEST_TIMEOUT, test)
+            .await
+            .expect("in time");
     });
 }
 
@@ -46,7 +48,7 @@
 }
 
 /// What attempts here are made with.
-pub(crate) fn passing() -> AttemptOptions {
+pub(crate) fn pass_through_options() -> AttemptOptions {
     let expected = ExpectedHeader {
         name: "X-Ironmast-Request-Id",
         value: Some(ID.into()),
@@ -68,13 +70,13 @@
 }
 
 /// The server and its client.
-pub(crate) struct Stage {
+pub(crate) struct TestServer {
     listener: TcpListener,
     address: SocketAddr,
     client: awc::Client,
 }
 
-impl Stage {
+impl TestServer {
     pub(crate) async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -87,7 +89,7 @@
             60 * second,
             ValidatingStream::new,
         );
-        Stage {
+        TestServer {
             listener,
             address,
             client,
@@ -95,11 +97,11 @@
     }
 
     /// Sends a request, and waits for the head of its answer.
-    pub(crate) async fn ask(
+    pub(crate) async fn send_request(
         &self,
         state: &Rc<AttemptState>,
         method: Method,
-    ) -> Result<Answer, SendRequestError> {
+    ) -> Result<Response, SendRequestError> {
         // A turn of the poller: what has come on idle connections is seen.
         tokio::task::yield_now().await;
         let call = self
@@ -110,11 +112,11 @@
     }
 
     /// Sends a request with a body, and waits for the head of its answer.
-    pub(crate) async fn send(
+    pub(crate) async fn send_body(
         &self,
         state: &Rc<AttemptState>,
         body: Bytes,
-    ) -> Result<Answer, SendRequestError> {
+    ) -> Result<Response, SendRequestError> {
         let call = self
             .client
             .post(format!("http://{}/", self.address))
@@ -129,39 +131,39 @@
         state: &Rc<AttemptState>,
         method: Method,
         written: &str,
-    ) -> (Result<Answer, SendRequestError>, Peer) {
+    ) -> (Result<Response, SendRequestError>, ServerConnection) {
         let serve = async {
-            let mut peer = self.accept().await;
-            peer.request().await;
-            peer.write(written).await;
-            peer
+            let mut connection = self.accept().await;
+            connection.read_request().await;
+            connection.write(written).await;
+            connection
         };
-        futures_util::future::join(self.ask(state, method), serve).await
+        futures_util::future::join(self.send_request(state, method), serve).await
     }
 
     /// The next connection.
-    pub(crate) async fn accept(&self) -> Peer {
+    pub(crate) async fn accept(&self) -> ServerConnection {
         let (stream, _) = self.listener.accept().await.expect("a connection");
         stream.set_nodelay(true).expect("set");
-        Peer(stream)
+        ServerConnection(stream)
     }
 }
 
 /// The server's side of a connection.
-pub(crate) struct Peer(TcpStream);
+pub(crate) struct ServerConnection(TcpStream);
 
-impl Peer {
+impl ServerConnection {
     /// Reads a request's head.
-    pub(crate) async fn request(&mut self) {
-        assert!(self.try_request().await, "a request");
+    pub(crate) async fn read_request(&mut self) {
+        assert!(self.try_read_request().await, "a request");
     }
 
     /// Reads a request's head; false where the connection ends instead.
-    pub(crate) async fn try_request(&mut self) -> bool {
-        let mut come = Vec::new();
-        while !come.ends_with(b"\r\n\r\n") {
+    pub(crate) async fn try_read_request(&mut self) -> bool {
+        let mut received = Vec::new();
+        while !received.ends_with(b"\r\n\r\n") {
             match self.0.read_u8().await {
-                Ok(byte) => come.push(byte),
+                Ok(byte) => received.push(byte),
                 Err(_) => return false,
             }
         }
@@ -173,27 +175,27 @@
     }
 
     /// Lets the client take what was written.
-    pub(crate) async fn arrived(&self) {
+    pub(crate) async fn let_client_read(&self) {
         for _ in 0..3 {
             tokio::task::yield_now().await;
         }
     }
 
     /// Waits until the client has closed its side.
-    pub(crate) async fn closed(&mut self) {
+    pub(crate) async fn wait_for_close(&mut self) {
         let mut rest = Vec::new();
         // A reset is a close, too.
         let _ = self.0.read_to_end(&mut rest).await;
     }
 
     /// Waits until the client has closed its side; whether it did so in order.
-    pub(crate) async fn closed_in_order(&mut self) -> bool {
+    pub(crate) async fn is_closed_in_order(&mut self) -> bool {
         let mut rest = Vec::new();
         self.0.read_to_end(&mut rest).await.is_ok()
     }
 
     /// Ends its own side.
-    pub(crate) async fn end(&mut self) {
+    pub(crate) async fn shut_down(&mut self) {
         self.0.shutdown().await.expect("ended");
     }
 
@@ -204,79 +206,91 @@
 }
 
 /// Reads the parts of a body that has to end whole.
-pub(crate) async fn whole(answer: &mut Answer) -> String {
+pub(crate) async fn read_body(response: &mut Response) -> String {
     let mut body = Vec::new();
-    while let Some(part) = answer.next().await {
+    while let Some(part) = response.next().await {
         body.extend_from_slice(&part.expect("whole"));
     }
     String::from_utf8(body).expect("text")
 }
 
 /// Reads so many bytes, and no others may be there.
-pub(crate) async fn exactly(answer: &mut Answer, text: &str) {
-    let mut come = String::new();
-    while come.len() < text.len() {
-        let part = answer.next().await.expect("more").expect("sound");
-        come.push_str(std::str::from_utf8(&part).expect("text"));
+pub(crate) async fn expect_body_bytes(response: &mut Response, text: &str) {
+    let mut received = String::new();
+    while received.len() < text.len() {
+        let part = response.next().await.expect("more").expect("sound");
+        received.push_str(std::str::from_utf8(&part).expect("text"));
     }
-    assert_eq!(come, text);
+    assert_eq!(received, text);
 }
 
 /// Asks once more; whether that comes on a connection of its own.
-pub(crate) async fn asks_anew(stage: &Stage, old: &mut Peer) -> bool {
-    let state = attempt(passing());
-    let answer = format!("{}helloworld", head(ID, SIZED));
+pub(crate) async fn next_request_opens_connection(
+    server: &TestServer,
+    old: &mut ServerConnection,
+) -> bool {
+    let state = attempt(pass_through_options());
+    let response = format!("{}helloworld", head(ID, FIXED_LENGTH));
     let on_old = async {
-        if !old.try_request().await {
+        if !old.try_read_request().await {
             return std::future::pending().await;
         }
-        old.write(&answer).await;
+        old.write(&response).await;
         false
     };
     let on_new = async {
-        let mut peer = stage.accept().await;
-        peer.request().await;
-        peer.write(&answer).await;
+        let mut connection = server.accept().await;
+        connection.read_request().await;
+        connection.write(&response).await;
         true
     };
     let serve = async {
-        tokio::select! { anew = on_old => anew, anew = on_new => anew }
+        tokio::select! { is_new = on_old => is_new, is_new = on_new => is_new }
     };
-    let (asked, anew) = futures_util::future::join(stage.ask(&state, Method::GET), serve).await;
-    assert_eq!(whole(&mut asked.expect("an answer")).await, "helloworld");
-    anew
+    let (result, is_new) =
+        futures_util::future::join(server.send_request(&state, Method::GET), serve).await;
+    assert_eq!(
+        read_body(&mut result.expect("an answer")).await,
+        "helloworld"
+    );
+    is_new
 }
 
 /// A first answer on a connection, with these bytes behind it; then the connection. Its head is
 /// read before the rest is written, where it is to flow.
-pub(crate) async fn answered_as(
-    stage: &Stage,
+pub(crate) async fn connection_after_response_with(
+    server: &TestServer,
     framing: &str,
     body: &str,
     behind: &str,
-    flows: bool,
-) -> Peer {
-    let state = attempt(passing());
+    head_first: bool,
+) -> ServerConnection {
+    let state = attempt(pass_through_options());
     let (first, rest) = (head(ID, framing), format!("{body}{behind}"));
-    let written = if flows {
+    let written = if head_first {
         first
     } else {
         format!("{first}{rest}")
     };
-    let (answer, mut peer) = stage.exchange(&state, Method::GET, &written).await;
-    let mut answer = answer.expect("an answer");
-    if flows {
-        peer.write(&rest).await;
+    let (response, mut connection) = server.exchange(&state, Method::GET, &written).await;
+    let mut response = response.expect("an answer");
+    if head_first {
+        connection.write(&rest).await;
     }
     assert_eq!(
-        whole(&mut answer).await,
+        read_body(&mut response).await,
         "helloworld",
         "and nothing behind it"
     );
-    peer
+    connection
 }
 
 /// The same, all of it written at once.
-pub(crate) async fn answered(stage: &Stage, framing: &str, body: &str, behind: &str) -> Peer {
-    answered_as(stage, framing, body, behind, false).await
+pub(crate) async fn connection_after_response(
+    server: &TestServer,
+    framing: &str,
+    body: &str,
+    behind: &str,
+) -> ServerConnection {
+    connection_after_response_with(server, framing, body, behind, false).await
 }
