--- a/crates/transport/src/body/request.rs
+++ b/crates/transport/src/body/request.rs
@@ -24,7 +24,7 @@
     rest: RefCell<BodyChunks>,
     /// Bytes received so far, including the prefix.
     received_bytes: Cell<u64>,
-    /// Something behind the prefix has been read: the body cannot be sent again.
+    /// Something after the prefix has been read: the body cannot be sent again.
     rest_started: Cell<bool>,
     complete: Cell<bool>,
     aborted: Cell<bool>,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Streams the body from its first byte, for one attempt. Once a part behind the prefix has
+    /// Streams the body from its first byte, for one attempt. Once a part after the prefix has
     /// been read, another attempt gets an incomplete body; see
     /// [`StreamedRequestBody::is_replayable`].
     pub fn stream(self: Rc<Self>) -> impl Stream<Item = Result<Bytes, io::Error>> {
--- a/crates/transport/src/framing/body.rs
+++ b/crates/transport/src/framing/body.rs
@@ -13,7 +13,7 @@
 pub(crate) enum BodyFraming {
     /// The body ends after this many more bytes.
     ContentLength(u64),
-    /// The body ends with the trailers behind the last chunk.
+    /// The body ends with the trailers after the last chunk.
     Chunked(ChunkedState),
     /// The body ends when the server closes the connection.
     CloseDelimited,
