--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -156,13 +156,13 @@
         while let Some(event) = self.pending.pop_front() {
             self.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.carry_out(action);
             }
         }
     }
 
     /// Carries out an action of the decision module.
-    fn act(&mut self, action: Action) {
+    fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send {
                 id,
--- a/crates/client-proxy/src/driver/attempts.rs
+++ b/crates/client-proxy/src/driver/attempts.rs
@@ -17,7 +17,7 @@
     BodyConsumed,
     /// The request has its final response, its attempts are used up, or its client has given up.
     #[error("it is over")]
-    RequestOver,
+    RequestFinished,
     /// Another attempt is in flight, and the settings forbid hedging.
     #[error("hedging is not allowed")]
     HedgingNotAllowed,
@@ -109,7 +109,7 @@
             finished,
             load,
         }));
-        self.open.remove_if_over(id);
+        self.open.remove_if_finished(id);
     }
 }
 
@@ -121,7 +121,7 @@
     }
     let has_attempts_left = (request.attempts.len() as u32) < limits.max_attempts;
     if request.is_answered() || !has_attempts_left || now >= request.expires {
-        return Err(Suppression::RequestOver);
+        return Err(Suppression::RequestFinished);
     }
     if !limits.allow_hedging && request.has_attempt_in_flight() {
         return Err(Suppression::HedgingNotAllowed);
--- a/crates/client-proxy/src/driver/open_requests.rs
+++ b/crates/client-proxy/src/driver/open_requests.rs
@@ -109,10 +109,10 @@
     }
 
     /// Removes a request that has its final response and no attempt in flight.
-    pub(super) fn remove_if_over(&mut self, id: RequestId) {
-        let is_over =
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
+        let is_finished =
             |request: &OpenRequest| request.is_answered() && !request.has_attempt_in_flight();
-        if self.get(id).is_some_and(is_over) {
+        if self.get(id).is_some_and(is_finished) {
             self.requests.remove(&id);
         }
     }
--- a/crates/client-proxy/src/driver/requests.rs
+++ b/crates/client-proxy/src/driver/requests.rs
@@ -45,22 +45,22 @@
         debug!(self.log, "client disconnected"; "at" => self.clock.now(), "request" => self.open.id_of(ticket));
         if let Some(id) = self.open.disconnect(ticket) {
             self.outputs
-                .command_upstream(UpstreamCommand::RequestOver(id));
+                .command_upstream(UpstreamCommand::CancelUnstarted(id));
             self.dispatch(Event::ClientDisconnected { id });
-            self.open.remove_if_over(id);
+            self.open.remove_if_finished(id);
         }
     }
 
     /// Responds that the request was not executed.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Option<Micros>) {
         self.respond(id, FinalResponse::Rejected(retry_after));
-        self.open.remove_if_over(id);
+        self.open.remove_if_finished(id);
     }
 
     /// Responds that the request failed and may have been executed.
     pub(super) fn fail(&mut self, id: RequestId) {
         self.respond(id, FinalResponse::Failed);
-        self.open.remove_if_over(id);
+        self.open.remove_if_finished(id);
     }
 
     /// Sends the final response, if the request has none yet.
@@ -76,7 +76,7 @@
         let request = self.open.get(id);
         if request.is_some_and(OpenRequest::has_attempt_in_flight) {
             self.outputs
-                .command_upstream(UpstreamCommand::RequestOver(id));
+                .command_upstream(UpstreamCommand::CancelUnstarted(id));
         }
         // A client that has just disconnected reports that in the queue.
         let _ = reply.send(response);
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -155,7 +155,7 @@
             biased;
             response = response => response,
             // Dropping `pending` unanswered reports the disconnect.
-            () = aborted(streamed_body.as_deref()) => {
+            () = client_aborted(streamed_body.as_deref()) => {
                 return responses::invalid_request(&RequestError::IncompleteBody);
             }
         };
@@ -198,7 +198,7 @@
 
 /// Returns when the client of a streamed request disconnects in the middle of it; never for a
 /// buffered request.
-async fn aborted(body: Option<&StreamedRequestBody>) {
+async fn client_aborted(body: Option<&StreamedRequestBody>) {
     match body {
         Some(body) => body.aborted().await,
         None => std::future::pending().await,
--- a/crates/client-proxy/src/message.rs
+++ b/crates/client-proxy/src/message.rs
@@ -179,7 +179,7 @@
     Cancel(RequestId, u32),
     /// The request has its response, or its client has disconnected: attempts that have not
     /// started must not start.
-    RequestOver(RequestId),
+    CancelUnstarted(RequestId),
     /// Check the health of a server.
     CheckHealth(ServerId, SocketAddr),
     /// Close the idle connections to a server.
--- a/crates/client-proxy/src/peers.rs
+++ b/crates/client-proxy/src/peers.rs
@@ -44,7 +44,7 @@
 impl Datagram<'_> {
     /// Whether it is one of membership. What is left in the buffer of an earlier datagram says
     /// nothing of it.
-    fn is_of_membership(&self) -> bool {
+    fn is_membership(&self) -> bool {
         self.data.starts_with(&PROTOCOL_TAG)
     }
 }
@@ -108,11 +108,11 @@
 
     /// Handles a datagram that arrived at `now`, in the time of membership.
     async fn receive(&mut self, socket: &UdpSocket, datagram: Datagram<'_>, now: Duration) {
-        let is_of_membership = datagram.is_of_membership();
+        let is_membership = datagram.is_membership();
         let Datagram { data, from } = datagram;
-        let number = self.addresses.iter().position(|&address| address == from);
-        if number.is_some()
-            && is_of_membership
+        let peer = self.addresses.iter().position(|&address| address == from);
+        if peer.is_some()
+            && is_membership
             && let Some(membership) = self.membership.as_mut()
         {
             match membership.handle_datagram(data, now) {
@@ -123,10 +123,10 @@
             }
             return;
         }
-        match number {
-            Some(number) if data.len() <= MAX_DATAGRAM_BYTES => {
+        match peer {
+            Some(peer) if data.len() <= MAX_DATAGRAM_BYTES => {
                 self.queue.send(Message::PeerDatagram {
-                    from: number as u32,
+                    from: peer as u32,
                     data: data.to_vec(),
                 });
             }
@@ -136,7 +136,7 @@
 
     /// Carries out the actions of membership.
     async fn carry_out(&self, socket: &UdpSocket, actions: Vec<Action>) {
-        let tier = self.membership.as_ref().map_or(0, Membership::cluster_size);
+        let cluster_size = self.membership.as_ref().map_or(0, Membership::cluster_size);
         for action in actions {
             match action {
                 Action::Send { to, datagram } => {
@@ -145,10 +145,10 @@
                     }
                 }
                 Action::MemberUp(member) => {
-                    info!(self.log, "a member of the tier is up"; "member" => %member.address, "incarnation" => member.incarnation, "tier" => tier);
+                    info!(self.log, "a member of the tier is up"; "member" => %member.address, "incarnation" => member.incarnation, "tier" => cluster_size);
                 }
                 Action::MemberDown(member) => {
-                    info!(self.log, "a member of the tier is down"; "member" => %member.address, "incarnation" => member.incarnation, "tier" => tier);
+                    info!(self.log, "a member of the tier is down"; "member" => %member.address, "incarnation" => member.incarnation, "tier" => cluster_size);
                 }
             }
         }
@@ -157,7 +157,7 @@
     /// Sends a message of the decision module.
     async fn send(&self, socket: &UdpSocket, PeerMessage { to, data }: PeerMessage) {
         let address = match to {
-            Some(number) => self.addresses.get(number as usize).copied(),
+            Some(peer) => self.addresses.get(peer as usize).copied(),
             None => self.broadcast,
         };
         match address {
--- a/crates/client-proxy/src/upstream.rs
+++ b/crates/client-proxy/src/upstream.rs
@@ -88,7 +88,7 @@
         match command {
             UpstreamCommand::Send(attempt) => self.send(attempt),
             UpstreamCommand::Cancel(id, number) => drop(self.attempts.remove(&(id, number))),
-            UpstreamCommand::RequestOver(id) => self.cancel_unstarted(id),
+            UpstreamCommand::CancelUnstarted(id) => self.cancel_unstarted(id),
             UpstreamCommand::CheckHealth(server, address) => self.check_health(server, address),
             UpstreamCommand::CloseIdle(server) => self.clients.close(server),
             UpstreamCommand::StopSending(server) => {
@@ -102,7 +102,7 @@
     /// Cancels the attempts of a request of which nothing has been written.
     fn cancel_unstarted(&mut self, id: RequestId) {
         self.attempts
-            .retain(|&(of, _), attempt| of != id || attempt.state.bytes_written() > 0);
+            .retain(|&(request, _), attempt| request != id || attempt.state.bytes_written() > 0);
     }
 
     fn send(&mut self, attempt: Attempt) {
@@ -137,7 +137,9 @@
         // Guards rule 3: the server may begin to drain between the decision and the first byte.
         let admission: AdmissionCheck = Box::new(move || !stopped_servers.contains(server));
         // Guards rule 2: a connection that is established late would start a retry after its window.
-        let start_deadline = attempt.start_deadline.map(|by| (self.clock, by));
+        let start_deadline = attempt
+            .start_deadline
+            .map(|deadline| (self.clock, deadline));
         AttemptOptions {
             admission: Some(admission),
             start_deadline,
--- a/crates/client-proxy/src/upstream/clients.rs
+++ b/crates/client-proxy/src/upstream/clients.rs
@@ -65,7 +65,10 @@
     /// The client of a server. One that was made for another address is replaced.
     pub(super) fn get(&self, server: ServerId, address: SocketAddr) -> Client {
         let mut clients = self.by_server.borrow_mut();
-        if clients.get(&server).is_none_or(|c| c.address != address) {
+        if clients
+            .get(&server)
+            .is_none_or(|client| client.address != address)
+        {
             clients.insert(server, self.connect_to(address));
         }
         let client = clients.get_mut(&server).expect("it was just inserted");
--- a/crates/client-proxy/src/upstream/health_check.rs
+++ b/crates/client-proxy/src/upstream/health_check.rs
@@ -66,12 +66,12 @@
 
     /// Requests the load report. Returns `None` if no complete response arrives.
     async fn exchange(&self) -> Option<Response> {
-        let call = self
+        let request = self
             .client
             .get(format!("http://{}/stats", self.address))
             .send();
         let mut response = AttemptState::new(AttemptOptions::default())
-            .scope(call)
+            .scope(request)
             .await
             .ok()?;
         let body = response.body().limit(MAX_BUFFERED_BODY_BYTES).await.ok()?;
