--- a/crates/client-proxy/src/driver.rs
+++ b/crates/client-proxy/src/driver.rs
@@ -1,9 +1,9 @@
-//! The only owner of the decision module (`ironmast_balancer`), of its timers and of the open
+//! Event loop that owns the decision module (`ironmast_balancer`), its timers and the open
 //! requests.
 //!
-//! The driver takes messages from its queue one at a time, passes them to the decision module as
-//! events, and carries out every action that the module asks for. Nothing else calls the module, so
-//! that its decisions need no locks.
+//! The driver takes messages from its queues one at a time, passes them to the decision module as
+//! events, and carries out every action that the module requests. No other task calls the module,
+//! so it needs no locks.
 
 mod attempts;
 mod endpoints;
@@ -30,25 +30,25 @@
 
 pub(crate) use outputs::Outputs;
 
-/// What the driver needs of the process.
+/// Dependencies and initial state of a [`Driver`].
 pub(crate) struct DriverContext {
-    /// The settings of the decision module.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The clock of all deadlines.
+    /// Clock for timers, deadlines and latencies.
     pub clock: Clock,
-    /// The log.
+    /// Logger of the process.
     pub log: Logger,
-    /// Where the driver's commands go.
+    /// Channels to the tasks that execute commands.
     pub outputs: Outputs,
-    /// The operators' overrides, as they were at the start.
+    /// Operators' overrides of servers at startup.
     pub overrides: ServerOverrides,
-    /// Where the overrides are saved.
+    /// Files to which changed overrides are saved.
     pub files: RuntimeFiles,
-    /// The other processes of a hot restart.
+    /// Links to the other processes of a hot restart.
     pub partners: Rc<Partners>,
 }
 
-/// The driver of one decision module.
+/// Event loop around one decision module; see the module documentation.
 pub(crate) struct Driver {
     balancer: Balancer,
     settings: Settings,
@@ -58,17 +58,17 @@
     overrides: ServerOverrides,
     files: RuntimeFiles,
     partners: Rc<Partners>,
-    /// The time and the token of each timer.
+    /// Pending timers, as clock reading and token.
     timers: BTreeSet<(Micros, u64)>,
     open: OpenRequests,
-    /// The address of each listed server.
+    /// Address of each listed server.
     servers: BTreeMap<ServerId, SocketAddr>,
-    /// Events that follow from actions and have not been handled.
+    /// Events caused by actions, not yet passed to the decision module.
     pending: VecDeque<Event>,
 }
 
 impl Driver {
-    /// A driver that knows no servers yet.
+    /// Creates a driver with an empty server list.
     pub(crate) fn new(balancer: Balancer, context: DriverContext) -> Self {
         Driver {
             balancer,
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Handles the messages of both queues until all senders are dropped. `on_servers_known` is
-    /// called after each message while any server is listed.
+    /// Handles messages of both queues and due timers, until all senders of `queue` are dropped.
+    /// Calls `on_servers_known` after each of them while at least one server is listed.
     pub(crate) async fn run(
         mut self,
         mut queue: mpsc::UnboundedReceiver<Message>,
@@ -98,13 +98,13 @@
             let due = self.timers.first().map(|&(at, _)| self.clock.at(at).into());
             tokio::select! {
                 biased;
-                // Timers come first, because the queue may never be empty.
+                // Timers have priority, because the queue may never become empty under load.
                 () = async { tokio::time::sleep_until(due.unwrap()).await }, if due.is_some() => {
                     if let Some((_, token)) = self.timers.pop_first() {
                         self.dispatch(Event::Timer { token });
                     }
                 }
-                // Operators come next, so that they get through any amount of traffic.
+                // Priority messages come next, so that operators are served under any load.
                 Some(message) = priority_queue.recv() => self.handle_priority(message),
                 message = queue.recv() => match message {
                     Some(message) => self.handle(message),
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Passes an event to the decision module, and carries out the actions that follow, with the
-    /// events that these cause.
+    /// Passes an event to the decision module and carries out the resulting actions, then does the
+    /// same for the events that these actions cause.
     fn dispatch(&mut self, event: Event) {
         self.pending.push_back(event);
         let mut actions = Vec::new();
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Carries out an action of the decision module.
+    /// Carries out one action that the decision module requested.
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send {
@@ -203,7 +203,7 @@
                 .outputs
                 .command_upstream(UpstreamCommand::CheckHealth(server, address)),
             None => {
-                warn!(self.log, "health check of a server that is not listed"; "server" => %server);
+                warn!(self.log, "health check not sent: the server is not listed"; "server" => %server);
             }
         }
     }
--- a/crates/client-proxy/src/driver/attempts.rs
+++ b/crates/client-proxy/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that the decision module orders, and how they end.
+//! Sends the attempts that the decision module requests, and reports their results to it.
 
 use std::rc::Rc;
 
@@ -9,26 +9,27 @@
 use super::open_requests::{AttemptState, OpenRequest};
 use crate::message::{Attempt, AttemptResult, FinalResponse, UpstreamCommand};
 
-/// Why an attempt is suppressed.
+/// Reason for which a requested attempt is not sent.
 #[derive(Debug, thiserror::Error)]
 enum Suppression {
-    /// A streamed body can't be sent again.
-    #[error("its body has been consumed")]
+    /// Part of a streamed body has been consumed, so the body cannot be sent again.
+    #[error("the streamed request body has been consumed and cannot be replayed")]
     BodyConsumed,
-    /// The request has its final response, its attempts are used up, or its client has given up.
-    #[error("it is over")]
+    /// The request has its final response, no attempts left, or has passed its deadline.
+    #[error("the request has finished, has no attempts left, or has expired")]
     RequestFinished,
     /// Another attempt is in flight, and the settings forbid hedging.
-    #[error("hedging is not allowed")]
+    #[error("another attempt is in flight and hedging is disabled")]
     HedgingNotAllowed,
-    /// Discovery has removed the server.
-    #[error("its server is not listed")]
+    /// Discovery has removed the server since the decision.
+    #[error("the server is not listed")]
     ServerNotListed,
 }
 
 impl Driver {
-    /// Sends an attempt, unless a limit forbids it: whatever the decision module asks for, there
-    /// are never more attempts, one after another or in parallel, than the settings permit.
+    /// Sends an attempt, unless a limit forbids it; a suppressed attempt ends as
+    /// [`Outcome::NotSent`]. The limits are enforced here whatever the decision module requests: a
+    /// request never has more attempts, sequential or parallel, than the settings permit.
     pub(super) fn send(
         &mut self,
         id: RequestId,
@@ -38,7 +39,7 @@
     ) {
         let now = self.clock.now();
         let Some(request) = self.open.get_mut(id) else {
-            warn!(self.log, "attempt of a request that is over"; "request" => id);
+            warn!(self.log, "attempt not sent: its request is no longer open"; "request" => id);
             return;
         };
         let number = request.attempts.len() as u32;
@@ -91,7 +92,7 @@
         };
         attempt.in_flight = false;
         let server = attempt.server;
-        // The time in which the client was still sending does not count as the server's latency.
+        // Excludes the time that the client spent sending its body from the server's latency.
         let sent_at = attempt.sent_at.max(request.complete_at);
         if outcome == Outcome::Ok {
             self.respond(id, FinalResponse::Served(body));
@@ -113,7 +114,10 @@
     }
 }
 
-/// Checks whether the request may have another attempt.
+/// Checks whether the request may have another attempt at the clock reading `now`.
+///
+/// # Errors
+/// The first [`Suppression`] that applies.
 fn check_permitted(request: &OpenRequest, limits: &Limits, now: Micros) -> Result<(), Suppression> {
     let body = request.payload.streamed_body();
     if body.is_some_and(|body| !body.is_replayable()) {
@@ -129,7 +133,7 @@
     Ok(())
 }
 
-/// The end of an attempt that was suppressed. `finished` says whether its request is answered.
+/// Result of a suppressed attempt. `finished` tells whether the request has its final response.
 fn not_sent(id: RequestId, server: ServerId, attempt: u32, finished: bool) -> AttemptEnded {
     AttemptEnded {
         id,
@@ -142,8 +146,8 @@
     }
 }
 
-/// The clock reading at which an attempt times out. While a body is streamed, the decision module
-/// ends the attempt at the client's deadline.
+/// Clock reading at which an attempt times out. `timeout` applies to buffered requests only: while
+/// a body is streamed, the decision module ends the attempt at the client's deadline.
 fn attempt_deadline(request: &OpenRequest, now: Micros, timeout: Option<Micros>) -> Micros {
     match timeout {
         Some(timeout) if request.payload.streamed_body().is_none() => {
--- a/crates/client-proxy/src/driver/endpoints.rs
+++ b/crates/client-proxy/src/driver/endpoints.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list.
+//! Applies updates of the endpoint list.
 
 use std::collections::BTreeSet;
 
@@ -9,12 +9,12 @@
 use super::Driver;
 use crate::message::UpstreamCommand;
 
-/// The names of servers that are logged in one line.
+/// Maximum number of server names in one log line.
 const MAX_NAMES_PER_LINE: usize = 32;
 
 impl Driver {
-    /// Passes an update of the endpoints, to which the overrides have been applied, to the
-    /// connections and to the decision module.
+    /// Passes an update of the endpoint list to the upstream task and the decision module. The
+    /// operators' overrides must already be applied to it.
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
         let EndpointUpdate {
             scope, endpoints, ..
@@ -46,7 +46,8 @@
         info!(self.log, "endpoint update: {:?}", scope; "entries" => entries, "known" => self.servers.len());
     }
 
-    /// Logs the names of servers that were not listed before: other lines name servers by their id.
+    /// Logs names and addresses of newly listed servers, because other log lines identify a server
+    /// only by its ID.
     fn log_new_servers(&self, endpoints: &[Endpoint]) {
         let is_new = |endpoint: &&Endpoint| !self.servers.contains_key(&endpoint.server.id);
         let names: Vec<String> = endpoints
@@ -63,14 +64,14 @@
 
     fn update_endpoint(&mut self, endpoint: &Endpoint) {
         let Endpoint { server, target } = endpoint;
-        // A server that has ended is dropped, because it gets no request again.
+        // A terminated server never gets another request.
         if server.phase == Phase::Gone {
             self.servers.remove(&server.id);
         } else {
             self.servers.insert(server.id, target.endpoint);
         }
-        // An attempt that was decided before this update may still be on its way to the socket,
-        // where it must not be written.
+        // An attempt that was decided before this update may not have been written yet; the
+        // upstream task must not write it to a server that has stopped accepting requests.
         let command = if server.phase == Phase::Ready {
             UpstreamCommand::ResumeSending(server.id)
         } else {
--- a/crates/client-proxy/src/driver/open_requests.rs
+++ b/crates/client-proxy/src/driver/open_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that have no final response yet or have an attempt in flight.
+//! Table of the open requests: those without a final response or with an attempt in flight.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -8,54 +8,55 @@
 
 use crate::message::{FinalResponse, Payload, Ticket};
 
-/// One request.
+/// State of one open request.
 pub(super) struct OpenRequest {
-    /// The clock reading at which its client gives up.
+    /// Clock reading at which the client stops waiting.
     pub expires: Micros,
-    /// What a server gets of it.
+    /// Parts of the request that are forwarded to a server.
     pub payload: Rc<Payload>,
-    /// When its last byte came, if that was after its arrival here.
+    /// Clock reading at which the last byte of a streamed body arrived; 0 until then, and
+    /// for a body that was complete when the request arrived here.
     pub complete_at: Micros,
-    /// Its attempts by number.
+    /// Attempts so far, indexed by attempt number.
     pub attempts: Vec<AttemptState>,
     ticket: Ticket,
-    /// Taken by the final response.
+    /// Sender of the final response; `None` once it is sent or the client has disconnected.
     reply: Option<oneshot::Sender<FinalResponse>>,
 }
 
-/// One attempt.
+/// State of one attempt.
 pub(super) struct AttemptState {
-    /// The server.
+    /// Server to which the attempt was assigned.
     pub server: ServerId,
-    /// When it was sent.
+    /// Clock reading at which the attempt was sent or suppressed.
     pub sent_at: Micros,
-    /// Whether its result is still expected.
+    /// Whether the result is still outstanding.
     pub in_flight: bool,
 }
 
 impl OpenRequest {
-    /// Whether it has its final response, or its client has disconnected.
+    /// Whether the final response has been sent or the client has disconnected.
     pub(super) fn is_answered(&self) -> bool {
         self.reply.is_none()
     }
 
-    /// Whether the result of an attempt is still expected.
+    /// Whether the result of any attempt is still outstanding.
     pub(super) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 }
 
-/// All open requests.
+/// All open requests of the process.
 #[derive(Default)]
 pub(super) struct OpenRequests {
     requests: BTreeMap<RequestId, OpenRequest>,
-    /// The requests without a final response.
+    /// IDs of the requests without a final response.
     ids: BTreeMap<Ticket, RequestId>,
     last_id: RequestId,
 }
 
 impl OpenRequests {
-    /// Adds a request; returns its new id.
+    /// Adds a request and returns the ID assigned to it. IDs start at 1 and are never reused.
     pub(super) fn insert(
         &mut self,
         ticket: Ticket,
@@ -77,22 +78,22 @@
         self.last_id
     }
 
-    /// The id of the request with this ticket, while it has no final response.
+    /// ID of the request with this ticket, while it has no final response.
     pub(super) fn id_of(&self, ticket: Ticket) -> Option<RequestId> {
         self.ids.get(&ticket).copied()
     }
 
-    /// The request with this id.
+    /// Request with this ID, if it is open.
     pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.requests.get(&id)
     }
 
-    /// The request with this id.
+    /// Mutable request with this ID, if it is open.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// Takes the place of the final response, if the request has none yet.
+    /// Takes the sender of the final response; `None` if the request is no longer waiting for one.
     pub(super) fn take_reply(&mut self, id: RequestId) -> Option<oneshot::Sender<FinalResponse>> {
         let request = self.requests.get_mut(&id)?;
         let reply = request.reply.take()?;
@@ -100,15 +101,16 @@
         Some(reply)
     }
 
-    /// Marks that the client with this ticket has disconnected; returns the id of its request, if
-    /// that had no final response.
+    /// Marks the client of this ticket as disconnected. Returns the ID of the request, if it had no
+    /// final response.
     pub(super) fn disconnect(&mut self, ticket: Ticket) -> Option<RequestId> {
         let id = self.ids.remove(&ticket)?;
         self.requests.get_mut(&id)?.reply = None;
         Some(id)
     }
 
-    /// Removes a request that has its final response and no attempt in flight.
+    /// Removes a request if it is answered or its client has disconnected, and no attempt is in
+    /// flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished =
             |request: &OpenRequest| request.is_answered() && !request.has_attempt_in_flight();
--- a/crates/client-proxy/src/driver/operators.rs
+++ b/crates/client-proxy/src/driver/operators.rs
@@ -1,5 +1,5 @@
-//! Operators' commands, their overrides of servers, and what the other process of a hot restart
-//! asks for.
+//! Handles priority messages: operators' commands, overrides of servers, and requests of the other
+//! process of a hot restart.
 
 use ironmast_admin::command::{Command, CommandError, Reply, UnknownServer};
 use ironmast_admin::handover;
@@ -11,7 +11,7 @@
 use crate::message::{HandoverState, PriorityMessage};
 use crate::runtime_files::SaveError;
 
-/// Disables or enables a server.
+/// Function that disables or enables the server with a given UID.
 type OverrideChange = fn(&mut ServerOverrides, &str, Micros) -> Result<Applied, UnknownServer>;
 
 impl Driver {
@@ -20,7 +20,7 @@
             PriorityMessage::Command(command, reply) => {
                 let result = self.execute(&command);
                 info!(self.log, "operator command executed"; "result" => ?result.as_ref().map_err(ToString::to_string));
-                // An operator who has disconnected has no use for the reply; the command is done.
+                // Fails only if the operator has disconnected; the command stays in effect.
                 let _ = reply.send(result);
             }
             PriorityMessage::PartnerOverride(change) => self.apply_partner_override(change),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Executes an operator's command.
+    /// Executes an operator's command and returns the reply.
     fn execute(&mut self, command: &Command) -> Reply {
         match command {
             Command::Ready => self.readiness(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Whether this process can serve.
+    /// Replies whether this process can serve requests.
     fn readiness(&self) -> Reply {
         if self.servers.is_empty() {
             return Err(CommandError::NoEndpoints);
@@ -72,7 +72,7 @@
             return Ok(remark);
         }
         self.partners.send(handover::Message::Override(after));
-        // Saved before the operator is notified, so that the override outlives this process.
+        // Saved before the reply, so that an acknowledged override survives this process.
         if self.save_overrides().is_ok() {
             Ok(remark)
         } else {
@@ -82,30 +82,33 @@
         }
     }
 
-    /// Applies an override that an operator made at the other process of a hot restart.
+    /// Applies an override that an operator set in the other process of a hot restart.
     fn apply_partner_override(&mut self, change: ServerOverride) {
         info!(self.log, "override received from the other process"; "server" => &change.uid, "disabled" => change.disabled_at.is_some());
         if let Some(update) = self.overrides.apply_override(change) {
             self.update_endpoints(update);
         }
-        // A failure is logged there; the other process reports it to the operator.
+        // `save_overrides` logs a failure. The operator gets the reply of the other process.
         let _ = self.save_overrides();
     }
 
-    /// Delegates the servers that started after a clock reading to a successor; with `None` no
-    /// server.
+    /// Leaves the servers that started after this clock reading to a successor; `None` ends the
+    /// delegation.
     fn delegate_started_after(&mut self, after: Option<Micros>) {
         if let Some(update) = self.overrides.delegate_started_after(after) {
             self.update_endpoints(update);
         }
     }
 
-    /// Saves the overrides, and logs a failure.
+    /// Saves the overrides to the runtime files, and logs a failure.
+    ///
+    /// # Errors
+    /// [`SaveError`] if the file cannot be written.
     fn save_overrides(&self) -> Result<(), SaveError> {
         self.files
             .save_overrides(self.overrides.state())
             .inspect_err(|error| {
-                warn!(self.log, "disabled servers could not be saved"; "error" => %error);
+                warn!(self.log, "could not save the disabled servers; this change may not survive a restart"; "error" => %error);
             })
     }
 }
--- a/crates/client-proxy/src/driver/requests.rs
+++ b/crates/client-proxy/src/driver/requests.rs
@@ -1,4 +1,4 @@
-//! Requests, from their arrival to their final response.
+//! Handles a request from its arrival to its final response.
 
 use ironmast_balancer::{Event, Micros, Request, RequestId};
 use slog::debug;
@@ -25,7 +25,7 @@
         }));
     }
 
-    /// The last byte of a streamed request has arrived: its client's timeout begins.
+    /// Starts the client's timeout, because the last byte of a streamed request has arrived.
     pub(super) fn request_complete(&mut self, ticket: Ticket) {
         let now = self.clock.now();
         let Some(id) = self.open.id_of(ticket) else {
@@ -78,7 +78,7 @@
             self.outputs
                 .command_upstream(UpstreamCommand::CancelUnstarted(id));
         }
-        // A client that has just disconnected reports that in the queue.
+        // Fails if the client has just disconnected; the listener reports that through the queue.
         let _ = reply.send(response);
     }
 }
--- a/crates/client-proxy/src/lib.rs
+++ b/crates/client-proxy/src/lib.rs
@@ -1,10 +1,18 @@
-//! The client proxy: the sockets around the decision module.
+//! The client proxy accepts HTTP requests from clients and forwards each to one of the backend
+//! servers that discovery lists. Which server gets a request, when it is retried and when it is
+//! rejected is decided by the decision module (`ironmast_balancer`), which does no I/O; this crate
+//! provides its sockets, timers and log.
 //!
-//! `listener`, `upstream`, `discovery`, `peers` and `ops` own the sockets and send to `driver`
-//! through the queues of `message`; `driver` alone owns the decision module. `hot_restart` is the
-//! link to the processes before and after this one, `runtime_files` what they find in `$TMPDIR`.
-//! [`config`] holds the settings and [`serve`] connects the parts. The client and server
-//! connections themselves belong to `ironmast_transport`.
+//! - `listener` serves clients, `upstream` sends requests and health checks to servers, `discovery`
+//!   watches the endpoint list, `peers` exchanges datagrams with the other proxies, and `ops`
+//!   accepts operators' commands. `members` sets up cluster membership among the proxies.
+//! - `driver` owns the decision module. The tasks above send to it through the queues defined in
+//!   `message`.
+//! - `hot_restart` connects to the processes before and after this one in a hot restart;
+//!   `runtime_files` stores state for them in `$TMPDIR`.
+//! - [`config`] reads the settings, and [`serve`] starts and connects the tasks.
+//!
+//! Connection handling and HTTP framing are implemented in `ironmast_transport`.
 #![forbid(unsafe_code)]
 
 pub mod config;
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -1,5 +1,5 @@
-//! The HTTP service for clients: validates a request, submits it to the driver and writes the final
-//! response. The connections are owned by `ironmast_transport::listener`.
+//! HTTP service for clients: validates each request, submits it to the driver and returns the final
+//! response. `ironmast_transport::listener` owns the connections.
 
 pub(crate) mod open_names;
 mod request_head;
@@ -26,19 +26,20 @@
 use open_names::{NameInUse, OpenName, OpenNames};
 use request_head::{RequestError, RequestHead};
 
-/// The path at which the platform asks whether this process is ready.
+/// Path at which the platform checks whether this process is ready.
 const READINESS_PATH: &str = "/health/ready";
 
-/// The time-out of an incomplete request and of an idle connection, in µs. The platform allows
-/// 3 s for an incomplete request: one that is incomplete after this time must have arrived at the agreed rate. It leaves
-/// a connection open for at least 2 s after a response.
+/// Timeout of an incomplete request and of an idle connection, in µs. The platform's protocol
+/// allows 3 s for an incomplete request; one that is still incomplete after this timeout must have
+/// arrived at the agreed minimum rate. The protocol also keeps a connection open for at least 2 s
+/// after a response.
 const CLIENT_TIMEOUT: Micros = 2_200_000;
 
-/// A streamed request is abandoned after this, in µs, at whatever rate its client sends.
+/// Maximum time in µs for receiving a streamed request, however fast the client sends.
 const MAX_STREAMED_REQUEST_TIME: Micros = 600_000_000;
 
-/// What clients may send, and how long they may take. The length of a head is bounded by
-/// actix-http.
+/// Limits on requests and on the time that clients take to send them. `max_header_bytes` is
+/// unlimited here because actix-http bounds the length of a request head.
 pub(crate) const LIMITS: ClientLimits = ClientLimits {
     header_timeout: CLIENT_TIMEOUT,
     idle_timeout: CLIENT_TIMEOUT,
@@ -46,28 +47,28 @@
     max_body_bytes: MAX_BODY_BYTES,
 };
 
-/// The HTTP service for clients.
+/// Handler of client requests; holds what all connections share.
 pub(crate) struct ClientService {
-    /// The classes and tenants of requests.
+    /// Request classes and tenants of this deployment.
     pub deployment: DeploymentSettings,
-    /// The clock of all deadlines.
+    /// Clock for request deadlines.
     pub clock: Clock,
-    /// To the driver.
+    /// Sender of the driver's queue.
     pub queue: Queue,
-    /// Whether a server has ever been known.
+    /// Whether any server has ever been listed; reported as readiness.
     pub is_ready: Rc<Cell<bool>>,
-    /// The memory for bodies.
+    /// Memory budget for streamed bodies.
     pub memory: BodyMemory,
-    /// The names of the open requests.
+    /// Transaction IDs (`X-Txn`) of the open requests.
     pub open_names: Rc<OpenNames>,
 }
 
-/// A valid request, as far as it has been received.
+/// Validated request with a complete body, or a streamed body that is still being received.
 struct ReceivedRequest {
     ticket: Ticket,
     head: RequestHead,
     body: RequestBody,
-    /// The clock reading at which the client gives up.
+    /// Clock reading at which the client stops waiting.
     expires: Micros,
 }
 
@@ -96,6 +97,9 @@
     }
 
     /// Validates a request and reads its body, or the beginning of a long one.
+    ///
+    /// # Errors
+    /// [`RequestError`] if the head is invalid or the body incomplete.
     async fn receive(
         &self,
         request: &mut Request,
@@ -134,7 +138,8 @@
         connection: &Rc<ClientConnection>,
     ) -> Response<BoxBody> {
         let active = connection.mark_request_pending();
-        // Guards servers against a request that is sent under the name of one that is open.
+        // Rejects a second request with the same transaction ID as an open one, because servers
+        // could execute both.
         let name = match self.open_names.open(&request.head.txn).await {
             Ok(name) => name,
             Err(NameInUse) => return responses::conflict(),
@@ -154,7 +159,7 @@
         let response = tokio::select! {
             biased;
             response = response => response,
-            // Dropping `pending` unanswered reports the disconnect.
+            // Dropping `pending` while it is unanswered reports the disconnect to the driver.
             () = client_aborted(streamed_body.as_deref()) => {
                 return responses::invalid_request(&RequestError::IncompleteBody);
             }
@@ -172,7 +177,7 @@
 }
 
 impl ReceivedRequest {
-    /// The request in the driver's terms; the final response goes to `reply`.
+    /// Converts the request into the message to the driver; `reply` receives the final response.
     fn into_arrival(self, reply: oneshot::Sender<FinalResponse>) -> Arrival {
         let head = self.head;
         let payload = Payload {
@@ -196,7 +201,7 @@
     }
 }
 
-/// Returns when the client of a streamed request disconnects in the middle of it; never for a
+/// Returns when a client disconnects before the end of its streamed body. Never returns for a
 /// buffered request.
 async fn client_aborted(body: Option<&StreamedRequestBody>) {
     match body {
@@ -205,12 +210,13 @@
     }
 }
 
-/// A request at the driver. If it is dropped unanswered, the client has disconnected.
+/// Request that has been submitted to the driver. Dropping it before the final response reports to
+/// the driver that the client has disconnected.
 struct PendingRequest<'a> {
     ticket: Ticket,
     queue: &'a Queue,
     is_answered: bool,
-    /// Released after the disconnect is reported.
+    /// Dropped after `drop` has reported the disconnect.
     _name: OpenName<'a>,
 }
 
--- a/crates/client-proxy/src/listener/open_names.rs
+++ b/crates/client-proxy/src/listener/open_names.rs
@@ -1,5 +1,6 @@
-//! The names (`X-Txn`) of the open requests, in this process and in its hot-restart predecessor: two
-//! requests of one name must not be open at the same time, or a server could execute both.
+//! Transaction IDs of the open requests, in this process and in its hot-restart predecessor. A
+//! transaction ID is the name that the client gives a request in `X-Txn`. Two requests with the
+//! same name must not be open at the same time, because a server could execute both.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -9,13 +10,13 @@
 
 use crate::hot_restart::partners::Partners;
 
-/// A request of that name is open, in this process or in the other of a hot restart.
+/// A request with this name is already open, in this process or in the other of a hot restart.
 #[derive(Debug, thiserror::Error)]
-#[error("a request of that name is open")]
+#[error("a request with this X-Txn is already open")]
 pub(crate) struct NameInUse;
 
-/// The names of all open requests, each in hexadecimal digits, as the processes of a hot restart
-/// exchange them.
+/// Names of all open requests. Each name is stored in hexadecimal digits, the form in which the
+/// processes of a hot restart exchange it.
 pub(crate) struct OpenNames {
     partners: Rc<Partners>,
     local: RefCell<BTreeSet<String>>,
@@ -23,7 +24,7 @@
 }
 
 impl OpenNames {
-    /// No open requests.
+    /// Creates an empty set; `partners` are notified of names that open or close.
     pub(crate) fn new(partners: Rc<Partners>) -> Self {
         OpenNames {
             partners,
@@ -32,11 +33,12 @@
         }
     }
 
-    /// Opens a name that is free here. If there is a successor that decides for both processes, it
-    /// must agree.
+    /// Opens a name. If there is a successor that decides on names for both processes, the name is
+    /// claimed there first. A successor that does not answer claims is only notified.
     ///
     /// # Errors
-    /// [`NameInUse`] if a request of that name is open, or if the successor does not answer in time.
+    /// [`NameInUse`] if a request with this name is open, or if the successor does not answer in
+    /// time.
     pub(crate) async fn open(&self, txn: &[u8]) -> Result<OpenName<'_>, NameInUse> {
         let name = hexadecimal(txn);
         if self.at_predecessor.borrow().contains(&name)
@@ -58,7 +60,7 @@
         Ok(open)
     }
 
-    /// Notifies a successor of all requests that are open in this process.
+    /// Notifies a new successor of all names that are open in this process.
     pub(crate) fn notify_successor(&self) {
         for name in self.local.borrow().iter() {
             self.partners
@@ -66,8 +68,8 @@
         }
     }
 
-    /// Decides on the predecessor's claim of a name. It is granted if the name is open in neither
-    /// process, and the name then counts as open at the predecessor.
+    /// Decides on the predecessor's claim of a name and returns whether it is granted. A claim is
+    /// granted if the name is open in neither process; the name is then open at the predecessor.
     pub(crate) fn grant_claim(&self, name: &str) -> bool {
         let is_free = !self.local.borrow().contains(name);
         is_free && self.at_predecessor.borrow_mut().insert(name.to_string())
@@ -83,13 +85,14 @@
         self.at_predecessor.borrow_mut().remove(name);
     }
 
-    /// Forgets the names that are open at a predecessor that is lost.
+    /// Removes all names that are open at the predecessor, because its connection is lost.
     pub(crate) fn forget_predecessor(&self) {
         self.at_predecessor.borrow_mut().clear();
     }
 }
 
-/// A name that is open in this process. Dropping it closes the name, in both processes.
+/// Guard of a name that is open in this process. Dropping it closes the name here and notifies the
+/// successor.
 pub(crate) struct OpenName<'a> {
     name: String,
     names: &'a OpenNames,
--- a/crates/client-proxy/src/listener/request_head.rs
+++ b/crates/client-proxy/src/listener/request_head.rs
@@ -1,4 +1,5 @@
-//! The head of a client's request, validated step by step in the order of the platform's protocol.
+//! Parses and validates the head of a client's request, in the order that the platform's protocol
+//! prescribes.
 
 use actix_http::header::{CONTENT_LENGTH, HeaderValue};
 use actix_http::{HttpMessage as _, Request};
@@ -6,68 +7,68 @@
 use ironmast_settings::DeploymentSettings;
 use ironmast_transport::body::MAX_BODY_BYTES;
 
-/// A remaining time must be below this, in µs: a longer one makes no sense for any deadline, and
-/// must not overflow the clock.
+/// Exclusive upper bound of `X-Remaining`, in µs (about 11.6 days). No real deadline is longer, and
+/// the bound keeps clock arithmetic from overflowing.
 const MAX_REMAINING_TIME: Micros = 1_000_000_000_000;
 
-/// Why a request is invalid.
+/// Reason for which a request is invalid. The message is the body of the HTTP response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RequestError {
-    /// No class of requests has this path.
+    /// The first segment of the path is not the name of a request class.
     #[error("no such class")]
     UnknownClass,
-    /// The path requires another method.
+    /// The request class requires another method.
     #[error("method not allowed")]
     MethodNotAllowed {
-        /// The method that is allowed.
+        /// The only method that the class allows.
         allowed: &'static str,
     },
-    /// The request has no name.
+    /// `X-Txn`, the transaction ID, is missing or empty.
     #[error("X-Txn is missing")]
     MissingTxn,
-    /// The class requires a key by which servers drop duplicates.
+    /// The request class requires a key by which servers drop duplicates.
     #[error("Idempotency-Key is missing")]
     MissingIdempotencyKey,
-    /// The remaining time is not understood.
+    /// `X-Remaining` is not a number with a unit, or exceeds the permitted maximum.
     #[error("X-Remaining is malformed")]
     MalformedRemaining,
-    /// The announced body is longer than [`MAX_BODY_BYTES`].
+    /// `Content-Length` exceeds [`MAX_BODY_BYTES`].
     #[error("the body is over 32 MB")]
     BodyTooLong,
-    /// The client disconnected, or violated its limits, before the end of the body.
+    /// The client disconnected, or exceeded a limit, before the end of the body.
     #[error("the body is incomplete")]
     IncompleteBody,
 }
 
-/// The head of a valid request.
+/// Validated head of a request.
 pub(super) struct RequestHead {
-    /// The class.
+    /// Request class.
     pub class: ClassId,
-    /// The tenant, if it is a known one.
+    /// Tenant named by `X-Org`, if it is configured.
     pub tenant: Option<TenantId>,
     /// Whether the method is safe: the request may be retried freely, and has no body.
     pub is_safe: bool,
-    /// Path and query, byte for byte.
+    /// Path and query, unchanged.
     pub target: String,
-    /// The hash of the subject, for affinity.
+    /// Hash of the subject, for session affinity.
     pub subject: Option<u64>,
-    /// The client's name for the request.
+    /// Transaction ID that the client assigned to the request (`X-Txn`).
     pub txn: Vec<u8>,
-    /// The key by which servers drop duplicates.
+    /// Key by which servers drop duplicates (`Idempotency-Key`).
     pub idempotency_key: Option<Vec<u8>>,
-    /// How long the client waits from the last byte of the request on.
+    /// How long the client waits, in µs, counted from the last byte of the request.
     pub client_timeout: Micros,
-    /// Whether the client says that this is a retry.
+    /// Whether the client marks the request as a retry (`X-Resent: 1`).
     pub is_client_retry: bool,
-    /// The announced length of the body, if there is one.
+    /// Body length from `Content-Length`; `None` if it is absent or not a number.
     pub content_length: Option<u64>,
 }
 
 impl RequestHead {
-    /// Validates the head of a request.
+    /// Parses the head of a request.
     ///
     /// # Errors
-    /// [`RequestError`] for the first fault in the order of the protocol.
+    /// [`RequestError`] for the first violation, in the order of the platform's protocol.
     pub(super) fn parse(
         request: &Request,
         deployment: &DeploymentSettings,
@@ -99,7 +100,7 @@
     request.headers().get(name).map(HeaderValue::as_bytes)
 }
 
-/// The class whose name is the first segment of the path.
+/// Looks up the request class by the first segment of the path.
 fn class_of(request: &Request, deployment: &DeploymentSettings) -> Result<ClassId, RequestError> {
     let path = request.path().trim_start_matches('/');
     let first_segment = path.split('/').next().unwrap_or("");
@@ -134,7 +135,7 @@
     Ok(key)
 }
 
-/// How long the client says that it still waits.
+/// Parses `X-Remaining`: how long the client still waits, in µs.
 fn client_timeout(request: &Request) -> Result<Option<Micros>, RequestError> {
     header(request, "X-Remaining")
         .map(|value| parse_remaining(value).ok_or(RequestError::MalformedRemaining))
@@ -149,7 +150,7 @@
         b'u' => 1,
         _ => return None,
     };
-    // Excludes a sign, which `parse` would accept.
+    // `parse` would accept a leading sign.
     if !number.iter().all(u8::is_ascii_digit) {
         return None;
     }
@@ -176,7 +177,7 @@
     Ok(length)
 }
 
-/// The value of the query's first pair `k=NUMBER`.
+/// Value of the first query parameter `k` that is a number.
 fn subject(request: &Request) -> Option<u64> {
     let query = request.uri().query().unwrap_or("");
     query
--- a/crates/client-proxy/src/listener/responses.rs
+++ b/crates/client-proxy/src/listener/responses.rs
@@ -1,4 +1,4 @@
-//! The responses that clients get. Their statuses, headers and bodies are the platform's protocol.
+//! Responses to clients. Statuses, headers and bodies are defined by the platform's protocol.
 
 use actix_http::body::{BodyStream, BoxBody, MessageBody, SizedStream};
 use actix_http::header::{ALLOW, HeaderValue, RETRY_AFTER};
@@ -11,7 +11,7 @@
 
 use super::request_head::RequestError;
 
-/// Whether this process is ready for requests.
+/// Response to a readiness check: 200 if the process is ready, otherwise 503.
 pub(super) fn readiness(is_ready: bool) -> Response<BoxBody> {
     if is_ready {
         response(StatusCode::OK, "ready\n")
@@ -23,8 +23,8 @@
     }
 }
 
-/// The request is invalid. Closes the connection: guards against an unread body, which would be
-/// taken for the next request, and against clients that repeat the request at full speed.
+/// Response to an invalid request. Closes the connection, because an unread body would be parsed as
+/// the next request, and to slow down clients that repeat the request at full speed.
 pub(super) fn invalid_request(error: &RequestError) -> Response<BoxBody> {
     let status = match error {
         RequestError::UnknownClass => StatusCode::NOT_FOUND,
@@ -44,7 +44,8 @@
     close_after(response)
 }
 
-/// A request of the same name is open in this process or in the other of a hot restart.
+/// Response to a request whose `X-Txn` is already open, in this process or in the other of a hot
+/// restart. Closes the connection.
 pub(super) fn conflict() -> Response<BoxBody> {
     close_after(response(
         StatusCode::CONFLICT,
@@ -52,12 +53,13 @@
     ))
 }
 
-/// A server's response, unchanged.
+/// Response with the unchanged, complete body of a server's response.
 pub(super) fn buffered(body: Bytes) -> Response<BoxBody> {
     response(StatusCode::OK, body)
 }
 
-/// A server's long response, unchanged. The connection counts as busy until its end.
+/// Response that streams the unchanged body of a server's response. `active` keeps the connection
+/// marked as busy until the body ends.
 pub(super) fn streamed(body: StreamedResponseBody, active: ActiveRequest) -> Response<BoxBody> {
     let length = body.length;
     let body = body.inspect(move |_| _ = &active);
@@ -67,10 +69,11 @@
     }
 }
 
-/// The request was not executed. A retry is harmless, after a delay in µs if there is one.
+/// Response to a request that was not executed, so that a retry is safe. A `retry_after` above 0 µs
+/// is sent as `Retry-After`.
 ///
 /// # Panics
-/// Never: a number in digits is a valid header value.
+/// Never: a decimal number is a valid header value.
 pub(super) fn rejected(retry_after: Option<Micros>) -> Response<BoxBody> {
     let mut response = response(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -78,13 +81,14 @@
     );
     if let Some(retry_after) = retry_after.filter(|&delay| delay > 0) {
         let seconds = format!("{:.3}", retry_after as f64 / 1e6);
-        let value = HeaderValue::from_str(&seconds).expect("digits and a point");
+        let value =
+            HeaderValue::from_str(&seconds).expect("a decimal number is a valid header value");
         response.headers_mut().insert(RETRY_AFTER, value);
     }
     response
 }
 
-/// The request failed and may have been executed.
+/// Response to a request that failed and may have been executed.
 pub(super) fn failed() -> Response<BoxBody> {
     response(StatusCode::BAD_GATEWAY, "failed\n")
 }
--- a/crates/client-proxy/src/message.rs
+++ b/crates/client-proxy/src/message.rs
@@ -1,8 +1,8 @@
 //! The messages between the tasks that own sockets and the driver.
 //!
-//! They use no type of an HTTP library, so that another protocol could send the same ones. All of them go through
-//! unbounded channels: the driver must never wait for a socket, and the number of open requests is
-//! bounded by the number of connections.
+//! Messages contain no types of an HTTP library, so that a listener for another protocol could send
+//! them too. All go through unbounded channels, because the driver must never wait for a socket;
+//! the number of connections bounds the number of open requests.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -17,28 +17,28 @@
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
 
-/// Identifies a request between the listener and the driver.
+/// Identifier of a request in messages between the listener and the driver.
 pub(crate) type Ticket = u64;
 
-/// What a server gets of a request, unchanged.
+/// Parts of a request that are forwarded to a server unchanged.
 #[derive(Debug)]
 pub(crate) struct Payload {
     /// Whether the method is safe: the request may be retried freely, and has no body.
     pub is_safe: bool,
-    /// Path and query, byte for byte.
+    /// Path and query, unchanged.
     pub target: String,
-    /// The client's name for the request.
+    /// Transaction ID that the client assigned to the request (`X-Txn`).
     pub txn: Vec<u8>,
-    /// The key by which servers drop duplicates.
+    /// Key by which servers drop duplicates (`Idempotency-Key`).
     pub idempotency_key: Option<Vec<u8>>,
-    /// The body, byte for byte.
+    /// Body, unchanged.
     pub body: RequestBody,
-    /// How long the client waits from the last byte of the request on.
+    /// How long the client waits, in µs, counted from the last byte of the request.
     pub client_timeout: Micros,
 }
 
 impl Payload {
-    /// The body, if it is streamed rather than buffered.
+    /// Returns the body if it is streamed rather than buffered.
     pub(crate) fn streamed_body(&self) -> Option<&Rc<StreamedRequestBody>> {
         match &self.body {
             RequestBody::Streamed(body) => Some(body),
@@ -47,33 +47,33 @@
     }
 }
 
-/// A request that has arrived.
+/// Report of a request that has arrived.
 #[derive(Debug)]
 pub(crate) struct Arrival {
-    /// Its ticket.
+    /// Ticket by which later messages refer to the request.
     pub ticket: Ticket,
-    /// Its class.
+    /// Request class.
     pub class: ClassId,
-    /// Its tenant, if there are tenants.
+    /// Tenant that sent the request, if it is configured.
     pub tenant: Option<TenantId>,
-    /// The hash of its subject, for affinity.
+    /// Hash of the subject, for session affinity.
     pub subject: Option<u64>,
-    /// Whether the client says that this is a retry.
+    /// Whether the client marks the request as a retry.
     pub client_retry: bool,
-    /// The clock reading at which the client gives up.
+    /// Clock reading at which the client stops waiting.
     pub expires: Micros,
-    /// What a server gets of it.
+    /// Parts of the request that are forwarded to a server.
     pub payload: Rc<Payload>,
-    /// Where the final response goes.
+    /// Sender of the final response.
     pub reply: oneshot::Sender<FinalResponse>,
 }
 
-/// The only response to a request.
+/// Response that ends a request; each request gets exactly one.
 #[derive(Debug)]
 pub(crate) enum FinalResponse {
     /// A server's response, unchanged.
     Served(ResponseBody),
-    /// The request was not executed: a retry is harmless, after this delay if there is one.
+    /// The request was not executed, so a retry is safe, after this delay in µs if there is one.
     Rejected(Option<Micros>),
     /// The request failed and may have been executed.
     Failed,
@@ -82,34 +82,35 @@
 /// One attempt at a request.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    /// The request.
+    /// Request to which the attempt belongs.
     pub id: RequestId,
-    /// The number of the attempt, from 0 in the order of sending.
+    /// Number of the attempt within its request, from 0 in the order of sending.
     pub number: u32,
-    /// The server.
+    /// Server that gets the attempt.
     pub server: ServerId,
-    /// The address of the server.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// The clock reading at which the attempt times out.
+    /// Clock reading at which the attempt times out.
     pub deadline: Micros,
-    /// The clock reading from which on it must not be started any more.
+    /// Clock reading from which on the first byte must not be written any more.
     pub start_deadline: Option<Micros>,
-    /// What to send.
+    /// Request to send.
     pub payload: Rc<Payload>,
 }
 
-/// How an attempt ended; its connection is closed or idle by then.
+/// Result of an attempt. Its connection is closed or idle by then, unless it still carries a
+/// streamed response.
 #[derive(Debug)]
 pub(crate) struct AttemptResult {
-    /// The request.
+    /// Request to which the attempt belonged.
     pub id: RequestId,
-    /// The number of the attempt.
+    /// Number of the attempt within its request.
     pub number: u32,
-    /// How it ended.
+    /// Outcome, which tells whether the request may have been executed.
     pub outcome: Outcome,
-    /// The body of the response, if the request was served.
+    /// Body of the response; sent to the client only if the request was served.
     pub body: ResponseBody,
-    /// The server's load report, if it sent one.
+    /// Load report of the server, if it sent one.
     pub load: Option<LoadReport>,
 }
 
@@ -118,7 +119,7 @@
 pub(crate) enum Message {
     /// A request has arrived.
     RequestArrived(Arrival),
-    /// The last byte of a request's body has arrived.
+    /// The last byte of a streamed request body has arrived.
     RequestComplete(Ticket),
     /// The client of a request disconnected before its response.
     ClientDisconnected(Ticket),
@@ -126,94 +127,94 @@
     AttemptEnded(AttemptResult),
     /// A health check has ended.
     HealthCheckEnded {
-        /// The server.
+        /// Server that was checked.
         server: ServerId,
-        /// How it ended.
+        /// Whether the server responded, and how.
         outcome: Outcome,
-        /// How long it took.
+        /// Duration of the health check, in µs.
         latency: Micros,
-        /// The server's load report, if it sent one.
+        /// Load report of the server, if it sent one.
         load: Option<LoadReport>,
     },
-    /// Discovery has an update of the endpoints.
+    /// Discovery received an update of the endpoint list.
     EndpointsUpdated(EndpointUpdate),
-    /// A datagram of a peer.
+    /// A datagram of the decision module arrived from a peer.
     PeerDatagram {
-        /// The number of the peer.
+        /// Index of the peer in the configured list of proxies.
         from: u32,
-        /// The datagram.
+        /// Contents of the datagram.
         data: Vec<u8>,
     },
 }
 
-/// A message to the driver that is handled before all that are in the queue.
+/// A message to the driver that is handled before all messages of the ordinary queue.
 #[derive(Debug)]
 pub(crate) enum PriorityMessage {
-    /// An operator's command.
+    /// An operator's command and the sender of its reply.
     Command(Command, oneshot::Sender<Reply>),
-    /// The other process of a hot restart got a command that changed this override.
+    /// An operator's command at the other process of a hot restart changed this override.
     PartnerOverride(ServerOverride),
-    /// Leave servers that are warming up to a successor.
+    /// Leave the servers that are warming up to the successor.
     DelegateWarmUp,
-    /// Use servers that are warming up, because no successor does.
+    /// Use the servers that are warming up again, because there is no successor that uses them.
     ResumeWarmUp,
-    /// A successor needs the state that is handed over.
+    /// Return the state to hand over to a successor.
     DescribeState(oneshot::Sender<HandoverState>),
 }
 
 /// The state that a process hands over to its successor.
 #[derive(Clone, Debug)]
 pub(crate) struct HandoverState {
-    /// The operators' overrides.
+    /// Operators' overrides of servers.
     pub overrides: OverrideState,
-    /// The last endpoint list of discovery, in discovery's form.
+    /// Last endpoint list received, in the format of the discovery service.
     pub endpoints: Option<Value>,
 }
 
 /// A command to the task that owns the connections to servers.
 #[derive(Debug)]
 pub(crate) enum UpstreamCommand {
-    /// Start an attempt.
+    /// Send an attempt.
     Send(Attempt),
     /// Cancel an attempt, by request and number.
     Cancel(RequestId, u32),
-    /// The request has its response, or its client has disconnected: attempts that have not
-    /// started must not start.
+    /// Cancel the attempts at a request of which no byte has been written, because the request has
+    /// its response or its client has disconnected.
     CancelUnstarted(RequestId),
     /// Check the health of a server.
     CheckHealth(ServerId, SocketAddr),
-    /// Close the idle connections to a server.
+    /// Close the idle connections to a server and drop its client.
     CloseIdle(ServerId),
-    /// The server is draining, disabled, delegated or no longer listed: no request may be written to
-    /// it any more.
+    /// Write no more requests to a server, because it is draining, disabled, delegated to the
+    /// successor or no longer listed.
     StopSending(ServerId),
-    /// The server accepts requests again.
+    /// Allow requests to a server again.
     ResumeSending(ServerId),
 }
 
 /// A command to discovery.
 #[derive(Debug)]
 pub(crate) enum DiscoveryCommand {
-    /// Start watching.
+    /// Start watching the endpoint list.
     StartWatching,
-    /// Stop watching.
+    /// Stop watching the endpoint list.
     StopWatching,
-    /// Fetch the complete list once.
+    /// Fetch the complete endpoint list once.
     FetchAll,
-    /// Discovery has a new address.
+    /// Use this address of the discovery service from now on.
     ChangeAddress(SocketAddr),
 }
 
-/// A message to the peers.
+/// A datagram to be sent to peers.
 #[derive(Debug)]
 pub(crate) struct PeerMessage {
-    /// The number of the peer, or `None` for all.
+    /// Index of the peer in the configured list of proxies, or `None` for all peers.
     pub to: Option<u32>,
-    /// The datagram.
+    /// Contents of the datagram.
     pub data: Vec<u8>,
 }
 
-/// The sending half of the driver's queue.
+/// Sender of the driver's queue, which also issues tickets. Clones share both.
 #[derive(Clone)]
 pub(crate) struct Queue {
     sender: mpsc::UnboundedSender<Message>,
@@ -221,7 +222,7 @@
 }
 
 impl Queue {
-    /// Both halves of a queue.
+    /// Creates a queue; returns its sender and receiver.
     pub(crate) fn new() -> (Self, mpsc::UnboundedReceiver<Message>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let queue = Queue {
@@ -231,7 +232,7 @@
         (queue, receiver)
     }
 
-    /// A new ticket.
+    /// Issues a ticket that no other request of this process has.
     pub(crate) fn ticket(&self) -> Ticket {
         self.last_ticket.set(self.last_ticket.get() + 1);
         self.last_ticket.get()
@@ -239,7 +240,7 @@
 
     /// Sends a message to the driver.
     pub(crate) fn send(&self, message: Message) {
-        // Fails only if the driver has ended, and then the process ends as well.
+        // Fails only if the driver has ended; the process then exits too.
         let _ = self.sender.send(message);
     }
 }
--- a/crates/client-proxy/src/peers.rs
+++ b/crates/client-proxy/src/peers.rs
@@ -1,5 +1,5 @@
-//! Datagrams between the proxies of a cluster: those of the decision module, and those of
-//! membership where it is enabled.
+//! Exchanges datagrams with the other proxies of the cluster, for the decision module and, where it
+//! is enabled, for the membership protocol.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,49 +13,52 @@
 use crate::members;
 use crate::message::{Message, PeerMessage, Queue};
 
-/// The maximum size of a datagram in bytes, given by the platform.
+/// Maximum size of a datagram in bytes, set by the platform.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// The socket of the datagrams and who may use it.
+/// Task that owns the datagram socket.
 pub(crate) struct Peers {
-    /// Bound to where datagrams arrive; they are sent from there too.
+    /// Socket on which datagrams are received and from which they are sent; `None` if no address is
+    /// configured.
     pub socket: Option<Rc<UdpSocket>>,
-    /// Every proxy of the cluster, by number.
+    /// Address of every proxy of the cluster. The index identifies a proxy to the decision module.
     pub addresses: Vec<SocketAddr>,
-    /// The address that reaches them all.
+    /// Address that reaches all proxies.
     pub broadcast: Option<SocketAddr>,
-    /// The log.
+    /// Logger of the process.
     pub log: Logger,
-    /// To the driver.
+    /// Sender of the driver's queue.
     pub queue: Queue,
-    /// Whether this process serves: of the two of a hot restart only one sends and receives.
+    /// Whether this process serves. Of the two processes of a hot restart only one sends and
+    /// receives.
     pub serving: watch::Receiver<bool>,
-    /// Which proxies of the cluster are alive, if membership is enabled; its datagrams begin with
-    /// its tag.
+    /// Membership protocol, which detects the live proxies of the cluster; `None` if disabled. Its
+    /// datagrams begin with [`PROTOCOL_TAG`].
     pub membership: Option<Membership>,
 }
 
-/// A datagram that has arrived.
+/// A received datagram.
 struct Datagram<'a> {
     data: &'a [u8],
     from: SocketAddr,
 }
 
 impl Datagram<'_> {
-    /// Whether it is one of membership. What is left in the buffer of an earlier datagram says
-    /// nothing of it.
+    /// Whether the datagram belongs to the membership protocol. Compares only received bytes,
+    /// because the rest of the buffer may still contain an earlier datagram.
     fn is_membership(&self) -> bool {
         self.data.starts_with(&PROTOCOL_TAG)
     }
 }
 
 impl Peers {
-    /// Sends messages and reports the datagrams that arrive, until all senders are dropped.
+    /// Sends messages and handles received datagrams until all senders of `messages` are dropped.
+    /// Messages to send are discarded while this process does not serve.
     pub(crate) async fn run(mut self, mut messages: mpsc::UnboundedReceiver<PeerMessage>) {
         let Some(socket) = self.socket.clone() else {
             return self.discard(messages).await;
         };
-        // A byte more than is permitted, so that a longer datagram shows.
+        // One byte more than permitted, so that an oversized datagram is detected.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let start = Instant::now();
         let mut has_joined = false;
@@ -86,7 +89,7 @@
                     None => return,
                 },
                 received = socket.recv_from(&mut buffer), if serves => {
-                    // An error is that of an earlier datagram, which could not be delivered.
+                    // An error refers to an earlier datagram that could not be delivered.
                     if let Ok((bytes, from)) = received {
                         let datagram = Datagram { data: &buffer[..bytes], from };
                         self.receive(&socket, datagram, start.elapsed()).await;
@@ -96,17 +99,19 @@
         }
     }
 
-    /// Discards all messages, because there is no socket.
+    /// Discards all messages and logs each, because no socket is configured.
     async fn discard(&self, mut messages: mpsc::UnboundedReceiver<PeerMessage>) {
         while messages.recv().await.is_some() {
             warn!(
                 self.log,
-                "message to peers dropped: no socket is configured"
+                "message to peers dropped: no peer socket is configured"
             );
         }
     }
 
-    /// Handles a datagram that arrived at `now`, in the time of membership.
+    /// Passes a datagram to the membership protocol or to the driver. `now` is the time since this
+    /// task started, the clock of the membership protocol. Datagrams from unknown addresses and
+    /// oversized datagrams for the decision module are dropped.
     async fn receive(&mut self, socket: &UdpSocket, datagram: Datagram<'_>, now: Duration) {
         let is_membership = datagram.is_membership();
         let Datagram { data, from } = datagram;
@@ -134,7 +139,7 @@
         }
     }
 
-    /// Carries out the actions of membership.
+    /// Carries out the actions of the membership protocol.
     async fn carry_out(&self, socket: &UdpSocket, actions: Vec<Action>) {
         let cluster_size = self.membership.as_ref().map_or(0, Membership::cluster_size);
         for action in actions {
@@ -154,7 +159,7 @@
         }
     }
 
-    /// Sends a message of the decision module.
+    /// Sends a message of the decision module to one peer or to all.
     async fn send(&self, socket: &UdpSocket, PeerMessage { to, data }: PeerMessage) {
         let address = match to {
             Some(peer) => self.addresses.get(peer as usize).copied(),
@@ -167,13 +172,13 @@
                 }
             }
             _ => {
-                warn!(self.log, "message to peers dropped: no address or too long"; "bytes" => data.len());
+                warn!(self.log, "message to peers dropped: the destination has no address, or the message exceeds 256 bytes"; "bytes" => data.len());
             }
         }
     }
 }
 
-/// Returns at the moment `due`, or never if there is none.
+/// Sleeps until `due`; never returns if it is `None`.
 async fn sleep_until(due: Option<Instant>) {
     match due {
         Some(due) => tokio::time::sleep_until(due.into()).await,
--- a/crates/client-proxy/src/peers/tests.rs
+++ b/crates/client-proxy/src/peers/tests.rs
@@ -1,6 +1,8 @@
+//! Tests of `peers.rs`.
+
 use super::*;
 
-/// The second byte of the buffer may be left of an earlier datagram.
+/// Guards against classifying a short datagram by bytes that an earlier one left in the buffer.
 #[test]
 fn only_datagrams_with_the_full_protocol_tag_are_membership_datagrams() {
     let from = SocketAddr::from(([127, 0, 0, 1], 9));
--- a/crates/client-proxy/src/upstream.rs
+++ b/crates/client-proxy/src/upstream.rs
@@ -1,7 +1,8 @@
-//! The connections to pay servers: makes the attempts and health checks that the driver orders.
+//! Connections to the backend servers, over which attempts and health checks are sent on the
+//! driver's command.
 //!
-//! An attempt is canceled by dropping its future, and its connection with it; only then is its end
-//! reported.
+//! Canceling an attempt drops its future and thereby closes its connection. The result is reported
+//! to the driver only after that.
 
 mod attempt;
 mod clients;
@@ -29,23 +30,23 @@
 
 pub(crate) use clients::ConnectionTimeouts;
 
-/// What the connections to servers need of the process.
+/// Dependencies of [`Upstream`].
 pub(crate) struct UpstreamContext {
-    /// The time-outs of connections.
+    /// Timeouts of connections to servers.
     pub timeouts: ConnectionTimeouts,
-    /// The clock of all deadlines.
+    /// Clock for deadlines and latencies.
     pub clock: Clock,
-    /// The log.
+    /// Logger of the process.
     pub log: Logger,
-    /// The descriptors for connections to servers.
+    /// Budget of file descriptors for connections to servers.
     pub descriptors: DescriptorBudget,
-    /// The memory for bodies.
+    /// Memory budget for streamed response bodies.
     pub memory: BodyMemory,
-    /// To the driver.
+    /// Sender of the driver's queue.
     pub queue: Queue,
 }
 
-/// The owner of the connections to servers.
+/// Task that owns the connections to servers.
 pub(crate) struct Upstream {
     clock: Clock,
     log: Logger,
@@ -56,15 +57,15 @@
     attempts: BTreeMap<(RequestId, u32), AttemptHandle>,
 }
 
-/// An attempt in flight.
+/// Handle of an attempt in flight.
 struct AttemptHandle {
-    /// Cancels the attempt when it is dropped.
+    /// Cancels the attempt when dropped.
     cancel: oneshot::Sender<()>,
     state: Rc<AttemptState>,
 }
 
 impl Upstream {
-    /// An owner without connections.
+    /// Creates the task state, without connections.
     pub(crate) fn new(context: UpstreamContext) -> Self {
         Upstream {
             clock: context.clock,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Executes commands until all senders are dropped.
+    /// Executes commands until all their senders are dropped.
     pub(crate) async fn run(mut self, mut commands: mpsc::UnboundedReceiver<UpstreamCommand>) {
         while let Some(command) = commands.recv().await {
             self.execute(command);
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Cancels the attempts of a request of which nothing has been written.
+    /// Cancels the attempts at a request of which no byte has been written.
     fn cancel_unstarted(&mut self, id: RequestId) {
         self.attempts
             .retain(|&(request, _), attempt| request != id || attempt.state.bytes_written() > 0);
@@ -130,13 +131,15 @@
         });
     }
 
-    /// Until when, and on which condition, an attempt may start.
+    /// Start deadline and admission check of an attempt.
     fn attempt_options(&self, attempt: &Attempt) -> AttemptOptions {
         let server = attempt.server;
         let stopped_servers = self.stopped_servers.clone();
-        // Guards rule 3: the server may begin to drain between the decision and the first byte.
+        // Safety rule 3 (no request to a draining or removed server): the server may begin to drain
+        // between the decision and the first byte.
         let admission: AdmissionCheck = Box::new(move || !stopped_servers.contains(server));
-        // Guards rule 2: a connection that is established late would start a retry after its window.
+        // Safety rule 2 (no retry that may execute twice): a connection that is established late
+        // would start a retry after the window in which servers drop duplicates.
         let start_deadline = attempt
             .start_deadline
             .map(|deadline| (self.clock, deadline));
--- a/crates/client-proxy/src/upstream/attempt.rs
+++ b/crates/client-proxy/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to send a request to a server.
+//! Sends one attempt at a request to a server and classifies its result.
 
 use std::io;
 use std::rc::Rc;
@@ -22,25 +22,25 @@
 
 use crate::message::{Attempt, AttemptResult};
 
-/// The remaining time that a server is given is shorter by this, in µs, because its response still
-/// has to travel.
+/// Time in µs by which the `X-Remaining` sent to a server is reduced, to leave time for the
+/// response to travel back.
 const RESPONSE_MARGIN: Micros = 2_000;
 
-/// One attempt and what it needs.
+/// One attempt with the resources that it uses.
 pub(super) struct AttemptTask {
-    /// The server's client.
+    /// HTTP client of the server; owns its idle connections.
     pub client: Client,
-    /// The attempt.
+    /// Request, server and deadline of the attempt.
     pub attempt: Attempt,
-    /// Its state, as its connection reports it.
+    /// Progress of the attempt, as reported by its connection.
     pub state: Rc<AttemptState>,
-    /// The clock of its deadlines.
+    /// Clock for the deadlines.
     pub clock: Clock,
-    /// The memory for bodies.
+    /// Memory budget for streamed response bodies.
     pub memory: BodyMemory,
 }
 
-/// How an exchange ended.
+/// Result of one exchange of request and response.
 struct ExchangeResult {
     outcome: Outcome,
     body: ResponseBody,
@@ -57,14 +57,15 @@
     }
 }
 
-/// No valid response arrived.
+/// The request could not be sent, or no valid response arrived.
 struct NoResponse;
 
 impl AttemptTask {
-    /// Makes the attempt; its connection is closed or idle when this returns.
+    /// Runs the attempt. Its connection is closed or idle when this returns, except that a streamed
+    /// response still uses it.
     pub(super) async fn run(&self, canceled: oneshot::Receiver<()>) -> AttemptResult {
-        // One turn of the poller first. Guards against writing to an idle connection whose close
-        // has arrived but has not been read: that would be a reset, and look like a failing server.
+        // Yields once so that the I/O driver detects an idle connection that the server has already
+        // closed. Writing to it would fail with a reset and look like a failing server.
         tokio::task::yield_now().await;
         let ExchangeResult {
             outcome,
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Exchanges request and response, unless the attempt is canceled or times out before. What is
-    /// unfinished is dropped with its connection.
+    /// Exchanges request and response until done, canceled or timed out. An unfinished exchange is
+    /// dropped together with its connection.
     async fn exchange_until(&self, canceled: oneshot::Receiver<()>) -> ExchangeResult {
         let deadline = self.clock.at(self.attempt.deadline).into();
         let exchange = self.state.scope(self.exchange());
@@ -102,20 +103,20 @@
     fn outcome_without_response(&self) -> Outcome {
         match self.state.bytes_written() {
             0 if self.state.start_timed_out() => Outcome::NotSent,
-            // Only if nothing was written is it certain that the request was not executed: what was
-            // written may have been all of it.
+            // The request was certainly not executed only if no byte was written: written bytes may
+            // have been the whole request.
             0 => Outcome::ConnectFailed,
             _ if self.state.malformed().is_some() => Outcome::MalformedResponse,
             _ => Outcome::Reset,
         }
     }
 
-    /// The outcome in view of how much of a streamed request was sent.
+    /// Adjusts the outcome to how much of a streamed request was received from the client.
     fn outcome_of_request(&self, outcome: Outcome) -> Outcome {
         match self.attempt.payload.streamed_body() {
-            // The client has caused the failure.
+            // The client caused the failure by aborting the body.
             Some(body) if outcome != Outcome::Ok && body.is_aborted() => Outcome::Cancelled,
-            // The last byte can't have been written, so that the request was not executed.
+            // The last byte cannot have been written, so the request was not executed.
             Some(body) if outcome != Outcome::Cancelled && !body.is_complete() => {
                 Outcome::ConnectFailed
             }
@@ -124,6 +125,9 @@
     }
 
     /// Sends the request and reads the response, or the beginning of a long one.
+    ///
+    /// # Errors
+    /// [`NoResponse`] if no valid response arrives.
     async fn exchange(&self) -> Result<ExchangeResult, NoResponse> {
         let request = self.request()?;
         let response = self.send(request).await.map_err(|_| NoResponse)?;
@@ -137,7 +141,7 @@
         })
     }
 
-    /// The request without its body.
+    /// Builds the head of the request.
     fn request(&self) -> Result<ClientRequest, NoResponse> {
         let payload = &self.attempt.payload;
         let url = format!("http://{}{}", self.attempt.address, payload.target);
@@ -156,8 +160,8 @@
         Ok(request.insert_header(("X-Remaining", format!("{remaining}u"))))
     }
 
-    /// How long the client still waits. For a streamed request that is all of its time, which
-    /// begins with the last byte.
+    /// How long the client still waits, in µs. For a streamed request this is the full timeout,
+    /// which starts with the last byte of the body.
     fn remaining_time(&self) -> Micros {
         let payload = &self.attempt.payload;
         match payload.streamed_body() {
@@ -194,7 +198,7 @@
             return body.map(ResponseBody::Buffered).map_err(|_| NoResponse);
         }
         if outcome != Outcome::Ok {
-            // The client gets a response of the proxy's own.
+            // The proxy replaces an error response by its own, so the body is not needed.
             return Ok(empty_body());
         }
         let length = content_length(response.headers());
@@ -215,8 +219,8 @@
     ResponseBody::Buffered(Bytes::new())
 }
 
-/// The outcome of a complete response head. A server that rejects a request without executing it
-/// says so with `X-Turned-Away: 1`.
+/// Classifies a response by its head. `X-Turned-Away: 1` marks a 503 or 504 for a request that the
+/// server rejected without executing it.
 fn classify(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let is_rejected = headers
         .get("X-Turned-Away")
--- a/crates/client-proxy/src/upstream/clients.rs
+++ b/crates/client-proxy/src/upstream/clients.rs
@@ -1,5 +1,5 @@
-//! The awc clients, one for each server. A client owns the idle connections to its server, and
-//! dropping it closes them.
+//! Pool of HTTP clients (`awc`), one per server. A client owns the idle connections to its server;
+//! dropping the client closes them.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,16 +14,16 @@
 use ironmast_transport::descriptors::DescriptorBudget;
 use ironmast_transport::response_validation::ValidatingStream;
 
-/// The time-outs of connections to servers.
+/// Timeouts of connections to servers.
 #[derive(Clone, Copy)]
 pub(crate) struct ConnectionTimeouts {
-    /// A connection that is not established within this time has failed.
+    /// Timeout for establishing a connection.
     pub connect: Duration,
-    /// Servers close connections that have been idle for this long.
+    /// Time after which servers close an idle connection.
     pub server_keep_alive: Duration,
 }
 
-/// The client of one server.
+/// HTTP client of one server, with the clock reading of its last use.
 struct ServerClient {
     address: SocketAddr,
     client: Client,
@@ -32,7 +32,7 @@
 
 type ClientMap = BTreeMap<ServerId, ServerClient>;
 
-/// The clients of all servers.
+/// HTTP clients of all servers, created on first use.
 pub(super) struct Clients {
     timeouts: ConnectionTimeouts,
     clock: Clock,
@@ -41,7 +41,8 @@
 }
 
 impl Clients {
-    /// No clients. Under pressure, the descriptors are taken from their idle connections.
+    /// Creates an empty pool. When `descriptors` run short, it closes the idle connections of the
+    /// least recently used server.
     pub(super) fn new(
         timeouts: ConnectionTimeouts,
         clock: Clock,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The client of a server. One that was made for another address is replaced.
+    /// Returns the client of a server. A client that was created for another address is replaced.
     pub(super) fn get(&self, server: ServerId, address: SocketAddr) -> Client {
         let mut clients = self.by_server.borrow_mut();
         if clients
@@ -71,14 +72,16 @@
         {
             clients.insert(server, self.connect_to(address));
         }
-        let client = clients.get_mut(&server).expect("it was just inserted");
+        let client = clients
+            .get_mut(&server)
+            .expect("the client was inserted above");
         client.last_used = self.clock.now();
         client.client.clone()
     }
 
     fn connect_to(&self, address: SocketAddr) -> ServerClient {
-        // Closed well before the server closes it. Guards against a request that is written while
-        // the server's close is on its way.
+        // Closes an idle connection well before the server does, so that no request is written
+        // while the server's close is still in transit.
         let idle_timeout = self.timeouts.server_keep_alive / 2;
         let client = client(
             self.descriptors.clone(),
@@ -99,8 +102,8 @@
     }
 }
 
-/// Closes the idle connections to the one server that has been unused for longest. Guards against
-/// all connections being opened anew at once.
+/// Closes the idle connections of the least recently used server. Closing them for one server only
+/// avoids having to reopen all connections at once.
 fn close_least_recently_used(clients: &mut ClientMap) {
     let least_recent = clients
         .iter()
--- a/crates/client-proxy/src/upstream/health_check.rs
+++ b/crates/client-proxy/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks of servers: one request for their load report.
+//! Health check of a server: one request for its load report.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,20 +15,20 @@
 
 use crate::message::Message;
 
-/// The time-out of a health check.
+/// Timeout of a health check, from connecting to the last byte of the response.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// One health check.
+/// One health check and the resources that it uses.
 pub(super) struct HealthCheck {
-    /// The server's client.
+    /// HTTP client of the server.
     pub client: Client,
-    /// The server.
+    /// Server to check.
     pub server: ServerId,
-    /// The address of the server.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// The clock that measures the latency.
+    /// Clock that measures the latency.
     pub clock: Clock,
-    /// The log.
+    /// Logger for rejected health checks.
     pub log: Logger,
 }
 
@@ -39,7 +39,8 @@
 }
 
 impl HealthCheck {
-    /// Checks the server; returns the result for the driver.
+    /// Checks the server and returns the message that reports the result to the driver. Any status
+    /// but 200 counts as [`Outcome::Overloaded`].
     pub(super) async fn run(&self) -> Message {
         let sent_at = self.clock.now();
         let response = timeout(HEALTH_CHECK_TIMEOUT, self.exchange()).await;
--- a/crates/client-proxy/src/upstream/health_check/tests.rs
+++ b/crates/client-proxy/src/upstream/health_check/tests.rs
@@ -9,7 +9,7 @@
 
 use super::*;
 
-/// The lines of a log.
+/// Captures log lines in memory.
 #[derive(Clone, Default)]
 struct LogLines(Arc<Mutex<Vec<u8>>>);
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// A server that answers one request with this status.
+/// Starts a server that answers one request with this status and returns its address.
 fn server_with_status(status: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("bound");
--- a/crates/client-proxy/src/upstream/stopped_servers.rs
+++ b/crates/client-proxy/src/upstream/stopped_servers.rs
@@ -1,4 +1,4 @@
-//! The servers to which no request may be written any more.
+//! Set of servers to which no request may be written any more.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,29 +6,29 @@
 
 use ironmast_balancer::{Micros, ServerId};
 
-/// How long a server is remembered, in µs: attempts that were decided before it stopped are over by
-/// then.
+/// How long a server stays in the set, in µs. Attempts that were decided before it was stopped have
+/// ended by then.
 const RETENTION: Micros = 60_000_000;
 
-/// The servers that no request may be written to, with the time since when. Clones share one set.
+/// Stopped servers, each with the clock reading at which it was added. Clones share one set.
 #[derive(Clone, Default)]
 pub(super) struct StoppedServers(Rc<RefCell<BTreeMap<ServerId, Micros>>>);
 
 impl StoppedServers {
-    /// Adds a server at the time `now`.
+    /// Adds a server at the clock reading `now`, and removes servers whose retention has ended.
     pub(super) fn insert(&self, server: ServerId, now: Micros) {
         let mut servers = self.0.borrow_mut();
-        // Guards against a set that grows with every server that ever ended.
+        // Without removal the set would grow with every server that ever terminated.
         servers.retain(|_, since| now < *since + RETENTION);
         servers.insert(server, now);
     }
 
-    /// Removes a server, which accepts requests again.
+    /// Removes a server, because it accepts requests again.
     pub(super) fn remove(&self, server: ServerId) {
         self.0.borrow_mut().remove(&server);
     }
 
-    /// Whether nothing may be written to a server.
+    /// Whether requests to a server are stopped.
     pub(super) fn contains(&self, server: ServerId) -> bool {
         self.0.borrow().contains_key(&server)
     }
