--- a/crates/client-proxy/src/listener/open_names/tests.rs
+++ b/crates/client-proxy/src/listener/open_names/tests.rs
@@ -6,7 +6,11 @@
 
 /// Opens a name in a process without a successor, which decides at once.
 fn open<'a>(names: &'a OpenNames, name: &[u8]) -> Option<OpenName<'a>> {
-    names.open(name).now_or_never().expect("at once").ok()
+    names
+        .open(name)
+        .now_or_never()
+        .expect("without a successor the decision is immediate")
+        .ok()
 }
 
 #[test]
--- a/crates/client-proxy/src/listener/request_head/tests.rs
+++ b/crates/client-proxy/src/listener/request_head/tests.rs
@@ -8,6 +8,7 @@
 use super::*;
 use crate::testing::deployment;
 
+/// Deadline of the class `balance` in the test deployment, in µs.
 const CLIENT_DEADLINE: Micros = 9_000_000;
 
 fn parse(
--- a/crates/client-proxy/src/message.rs
+++ b/crates/client-proxy/src/message.rs
@@ -156,9 +156,9 @@
     PartnerOverride(ServerOverride),
     /// Leave the servers that are warming up to the successor.
     DelegateWarmUp,
-    /// Use the servers that are warming up again, because there is no successor that uses them.
+    /// Resume sending to servers that are warming up, because no successor does.
     ResumeWarmUp,
-    /// Return the state to hand over to a successor.
+    /// Return the state to be handed over to a successor.
     DescribeState(oneshot::Sender<HandoverState>),
 }
 
--- a/crates/client-proxy/src/peers.rs
+++ b/crates/client-proxy/src/peers.rs
@@ -135,7 +135,9 @@
                     data: data.to_vec(),
                 });
             }
-            _ => debug!(self.log, "peer datagram dropped"; "from" => from),
+            _ => {
+                debug!(self.log, "peer datagram dropped: unknown sender, or more than 256 bytes"; "from" => from);
+            }
         }
     }
 
@@ -168,7 +170,7 @@
         match address {
             Some(address) if data.len() <= MAX_DATAGRAM_BYTES => {
                 if let Err(error) = socket.send_to(&data, address).await {
-                    debug!(self.log, "message to a peer could not be sent"; "error" => %error);
+                    debug!(self.log, "message to a peer could not be sent; it is not retried"; "error" => %error);
                 }
             }
             _ => {
--- a/crates/client-proxy/src/upstream/clients.rs
+++ b/crates/client-proxy/src/upstream/clients.rs
@@ -74,7 +74,7 @@
         }
         let client = clients
             .get_mut(&server)
-            .expect("the client was inserted above");
+            .expect("a missing client was inserted above");
         client.last_used = self.clock.now();
         client.client.clone()
     }
