--- a/crates/gate/src/attempt/classify/tests.rs
+++ b/crates/gate/src/attempt/classify/tests.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn absurd_retry_after_is_bounded_or_ignored() {
+fn excessive_or_invalid_retry_after_is_bounded_or_ignored() {
     let parsed = |value| parse_retry_after(&header_map(&[("retry-after", value)]));
     assert_eq!(parsed("1e30"), Some(60_000_000));
     assert_eq!(parsed("-1"), None);
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -10,9 +10,9 @@
 
 /// Clients keep connecting for about this part of the time for which they may keep a list of
 /// addresses.
-const ACCEPT_PER_TTL: f64 = 0.5;
+const ACCEPT_FRACTION_OF_TTL: f64 = 0.5;
 /// The largest part of the grace period in which clients are accepted.
-const MAX_ACCEPT_PART: f64 = 0.5;
+const MAX_ACCEPT_FRACTION: f64 = 0.5;
 
 /// Shuts a gate down. Returns once no client waits for a response, or when the time is up.
 pub(crate) async fn run<S: Service>(gate: &Gate, listener: &Listener<S>) {
@@ -34,5 +34,5 @@
 fn accept_seconds(gate: &Gate) -> f64 {
     let settings = gate.settings.borrow();
     let bounds = &settings.timing_bounds;
-    (bounds.ttl_max_s * ACCEPT_PER_TTL).min(bounds.grace_period_s * MAX_ACCEPT_PART)
+    (bounds.ttl_max_s * ACCEPT_FRACTION_OF_TTL).min(bounds.grace_period_s * MAX_ACCEPT_FRACTION)
 }
--- a/crates/gate/src/entry_store.rs
+++ b/crates/gate/src/entry_store.rs
@@ -20,7 +20,7 @@
 use crate::table_spec::{ServerStatus, server_spec, table_spec};
 
 /// The number of ended incarnations above which all of them are forgotten.
-const MAX_ENDED_INSTANCES: usize = 2_000;
+const MAX_DEREGISTERED_INSTANCES: usize = 2_000;
 
 /// A change in what is known of a server's warm-up.
 #[derive(Debug, Clone, PartialEq)]
@@ -65,7 +65,7 @@
             self.entries.insert(entry.key.clone(), entry);
         }
         self.track_evacuation(&mut events);
-        self.forget_ended_instances();
+        self.remove_deregistered_instances();
         events
     }
 
@@ -109,11 +109,11 @@
         self.evacuated = evacuated;
     }
 
-    fn forget_ended_instances(&mut self) {
-        let has_ended = |entry: &Entry| matches!(&entry.value, Value::Instance(record) if record.liveness == Liveness::Deregistered);
-        let ended = self.entries.values().filter(|entry| has_ended(entry));
-        if ended.count() > MAX_ENDED_INSTANCES {
-            self.entries.retain(|_, entry| !has_ended(entry));
+    fn remove_deregistered_instances(&mut self) {
+        let is_deregistered = |entry: &Entry| matches!(&entry.value, Value::Instance(record) if record.liveness == Liveness::Deregistered);
+        let deregistered = self.entries.values().filter(|entry| is_deregistered(entry));
+        if deregistered.count() > MAX_DEREGISTERED_INSTANCES {
+            self.entries.retain(|_, entry| !is_deregistered(entry));
         }
     }
 
--- a/crates/gate/src/entry_store/tests.rs
+++ b/crates/gate/src/entry_store/tests.rs
@@ -54,12 +54,12 @@
     }
 }
 
-fn gate(port: u16, gone: bool) -> Entry {
+fn gate(port: u16, down: bool) -> Entry {
     let record = GateRecord {
         zone: "n-1".to_string(),
         region: "north".to_string(),
         ready: true,
-        down: gone,
+        down,
     };
     let key = Key::Gate(([10, 0, 0, 1], port).into());
     Entry {
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn ended_server_is_not_in_the_table() {
+fn deregistered_server_is_not_in_the_table() {
     let mut store = EntryStore::default();
     store.merge(5, vec![instance("i-1", 1, "ready", Liveness::Alive)]);
     store.merge(6, vec![instance("i-1", 2, "ready", Liveness::Deregistered)]);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn gates_that_have_ended_are_not_counted() {
+fn gates_that_are_down_are_not_counted() {
     let mut store = EntryStore::default();
     store.merge(5, vec![gate(80, false), gate(81, false), gate(82, true)]);
     assert_eq!(store.gate_count(), 2);
@@ -191,7 +191,7 @@
 
 /// The agent may have lost contact with a gate that still sends.
 #[test]
-fn gate_that_has_ended_keeps_its_share_of_the_limits() {
+fn gate_that_is_down_keeps_its_share_of_the_limits() {
     let own: SocketAddr = ([10, 0, 0, 1], 80).into();
     let mut store = EntryStore::default();
     let others = 81..=96;
--- a/crates/gate/src/exchange.rs
+++ b/crates/gate/src/exchange.rs
@@ -48,17 +48,17 @@
         instance: None,
         last_event,
     };
-    exchange.follow(decision).await;
+    exchange.execute(decision).await;
 }
 
 impl Exchange {
     /// Carries out decisions until one is final, or until the client can get no further response.
-    async fn follow(&mut self, mut decision: Decision) {
+    async fn execute(&mut self, mut decision: Decision) {
         loop {
             let next = match decision {
                 Decision::Send(dispatch) => self.attempt_and_report(dispatch).await,
                 Decision::Delay { until } => self.wait_until(until).await,
-                last => return self.finish(&last),
+                final_decision => return self.finish(&final_decision),
             };
             let Some(next) = next else { return };
             decision = next;
--- a/crates/gate/src/exchange/attempt.rs
+++ b/crates/gate/src/exchange/attempt.rs
@@ -2,7 +2,7 @@
 
 use ironmast_routing::{Dispatch, Micros, Outcome};
 
-use super::state::{Ended, Exchange, SavedResponse, head_of};
+use super::state::{Exchange, SavedResponse, StepError, head_of};
 use super::watch::AttemptWatch;
 use crate::attempt::{self, BufferedBody, ResponseClass, UpstreamResponse};
 use crate::response::DownstreamResponse;
@@ -17,12 +17,12 @@
     /// response.
     pub(super) async fn attempt(&mut self, dispatch: Dispatch) -> Option<Outcome> {
         match self.send_and_receive(&dispatch).await {
-            Ok(outcome) | Err(Ended::Attempt(outcome)) => Some(outcome),
-            Err(Ended::Request) => None,
+            Ok(outcome) | Err(StepError::Attempt(outcome)) => Some(outcome),
+            Err(StepError::Request) => None,
         }
     }
 
-    async fn send_and_receive(&mut self, dispatch: &Dispatch) -> Result<Outcome, Ended> {
+    async fn send_and_receive(&mut self, dispatch: &Dispatch) -> Result<Outcome, StepError> {
         let decided_at = self.gate.clock.now();
         self.instance = Some(dispatch.expect_instance.clone());
         let mut watch = AttemptWatch {
@@ -52,7 +52,7 @@
         dispatch: &Dispatch,
         decided_at: Micros,
         watch: &mut AttemptWatch,
-    ) -> Result<UpstreamResponse, Ended> {
+    ) -> Result<UpstreamResponse, StepError> {
         let admission = self.gate.admission(dispatch, decided_at);
         let deadline_ms = (dispatch.timeout.saturating_sub(RESPONSE_TRANSIT_TIME) / 1_000).max(1);
         let sending = attempt::send(
@@ -66,7 +66,7 @@
             .guard(&self.gate, &self.call, &mut self.downstream, sending)
             .await
             .map_err(|interruption| self.interrupted(interruption))?
-            .map_err(Ended::Attempt)
+            .map_err(StepError::Attempt)
     }
 
     fn report_head(&mut self, dispatch: &Dispatch, response: &UpstreamResponse) {
@@ -84,7 +84,7 @@
         mut response: UpstreamResponse,
         watch: &mut AttemptWatch,
         outcome: Outcome,
-    ) -> Result<Outcome, Ended> {
+    ) -> Result<Outcome, StepError> {
         let buffered = self.buffer(&mut response, watch).await?;
         if !buffered.is_complete {
             return Ok(Outcome::MalformedResponse);
@@ -102,7 +102,7 @@
         &mut self,
         mut response: UpstreamResponse,
         watch: &mut AttemptWatch,
-    ) -> Result<Outcome, Ended> {
+    ) -> Result<Outcome, StepError> {
         let buffered = self.buffer(&mut response, watch).await?;
         if !buffered.is_complete {
             self.start_streaming(&response, response.content_length);
@@ -121,12 +121,12 @@
         &mut self,
         response: &mut UpstreamResponse,
         watch: &mut AttemptWatch,
-    ) -> Result<BufferedBody, Ended> {
+    ) -> Result<BufferedBody, StepError> {
         if !self.downstream.is_awaiting_head() {
-            return Err(Ended::Attempt(Outcome::Truncated { last_event: None }));
+            return Err(StepError::Attempt(Outcome::Truncated { last_event: None }));
         }
         self.guarded(watch, response.buffer(MAX_BUFFERED_BYTES))
             .await?
-            .map_err(Ended::Attempt)
+            .map_err(StepError::Attempt)
     }
 }
--- a/crates/gate/src/exchange/relay.rs
+++ b/crates/gate/src/exchange/relay.rs
@@ -5,7 +5,7 @@
 use ironmast_routing::Outcome;
 
 use super::downstream::Downstream;
-use super::state::{Ended, Exchange};
+use super::state::{Exchange, StepError};
 use super::watch::AttemptWatch;
 use crate::attempt::UpstreamResponse;
 use crate::response::Disconnected;
@@ -17,7 +17,7 @@
         &mut self,
         mut response: UpstreamResponse,
         watch: &mut AttemptWatch,
-    ) -> Result<Outcome, Ended> {
+    ) -> Result<Outcome, StepError> {
         let mut framer = EventFramer::resuming_after(self.last_event);
         while let Some(chunk) = self.next_chunk(&mut response, watch).await? {
             let Framed { complete, validity } = framer.push(&chunk);
@@ -44,7 +44,7 @@
         mut response: UpstreamResponse,
         watch: &mut AttemptWatch,
         first: Bytes,
-    ) -> Result<Outcome, Ended> {
+    ) -> Result<Outcome, StepError> {
         let mut next = Some(first);
         while let Some(chunk) = next {
             self.send_chunk(watch, chunk).await?;
@@ -58,10 +58,10 @@
         &mut self,
         response: &mut UpstreamResponse,
         watch: &mut AttemptWatch,
-    ) -> Result<Option<Bytes>, Ended> {
+    ) -> Result<Option<Bytes>, StepError> {
         self.guarded(watch, response.next_chunk())
             .await?
-            .map_err(|outcome| Ended::Attempt(self.outcome_or_truncated(outcome)))
+            .map_err(|outcome| StepError::Attempt(self.outcome_or_truncated(outcome)))
     }
 
     async fn send_events(
@@ -69,7 +69,7 @@
         response: &UpstreamResponse,
         watch: &AttemptWatch,
         events: CompleteEvents,
-    ) -> Result<(), Ended> {
+    ) -> Result<(), StepError> {
         if self.downstream.is_awaiting_head() {
             self.start_streaming(response, None);
         }
@@ -81,14 +81,14 @@
 
     /// Sends a chunk to the client. One that does not read it before the attempt's deadline ends
     /// the request.
-    async fn send_chunk(&mut self, watch: &AttemptWatch, chunk: Bytes) -> Result<(), Ended> {
+    async fn send_chunk(&mut self, watch: &AttemptWatch, chunk: Bytes) -> Result<(), StepError> {
         let Downstream::Streaming(body) = &self.downstream else {
-            return Err(Ended::Request);
+            return Err(StepError::Request);
         };
         let deadline = self.gate.clock.at(watch.deadline);
         match tokio::time::timeout_at(deadline.into(), body.send(chunk)).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(Disconnected)) | Err(_) => Err(Ended::Request),
+            Ok(Err(Disconnected)) | Err(_) => Err(StepError::Request),
         }
     }
 }
--- a/crates/gate/src/exchange/state.rs
+++ b/crates/gate/src/exchange/state.rs
@@ -40,7 +40,7 @@
 }
 
 /// What ended when a step was cut short.
-pub(super) enum Ended {
+pub(super) enum StepError {
     /// The attempt ended with this outcome; another one may follow.
     Attempt(Outcome),
     /// The request ended: its client has disconnected or reads too slowly.
@@ -61,7 +61,7 @@
         &mut self,
         watch: &mut AttemptWatch,
         step: impl Future<Output = T>,
-    ) -> Result<T, Ended> {
+    ) -> Result<T, StepError> {
         watch
             .guard(&self.gate, &self.call, &mut self.downstream, step)
             .await
@@ -69,10 +69,12 @@
     }
 
     /// What an interruption of a step ends.
-    pub(super) fn interrupted(&self, interruption: Interruption) -> Ended {
+    pub(super) fn interrupted(&self, interruption: Interruption) -> StepError {
         match interruption {
-            Interruption::Disconnected => Ended::Request,
-            Interruption::TimedOut => Ended::Attempt(self.outcome_or_truncated(Outcome::Timeout)),
+            Interruption::Disconnected => StepError::Request,
+            Interruption::TimedOut => {
+                StepError::Attempt(self.outcome_or_truncated(Outcome::Timeout))
+            }
         }
     }
 
--- a/crates/gate/src/feed.rs
+++ b/crates/gate/src/feed.rs
@@ -39,7 +39,7 @@
     };
     loop {
         // An agent that is away is expected while it is replaced: the error is not reported.
-        let _ = feed.follow_agent().await;
+        let _ = feed.serve_link().await;
         tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
@@ -56,7 +56,7 @@
 
 impl<F: Fn(ClientLimits)> Feed<F> {
     /// Connects to the agent, and serves the link until it breaks.
-    async fn follow_agent(&mut self) -> Result<()> {
+    async fn serve_link(&mut self) -> Result<()> {
         let port = self
             .gate
             .settings
--- a/crates/gate/src/gate.rs
+++ b/crates/gate/src/gate.rs
@@ -19,14 +19,14 @@
 use crate::upstream::UpstreamClients;
 
 /// The part of the grace period after which the requests still in progress are aborted.
-const ABORT_AFTER: f64 = 0.95;
+const ABORT_FRACTION: f64 = 0.95;
 /// The part of the grace period in which long requests are still accepted.
-const ACCEPT_LONG_FOR: f64 = 0.35;
+const ACCEPT_LONG_FRACTION: f64 = 0.35;
 
 /// All servers are known this many heartbeat intervals after the first configuration.
 const DISCOVERY_INTERVALS: f64 = 1.25;
 /// Requests wait this long after the start for the first configuration.
-const CONFIGURATION_WAIT: Micros = 1_300_000;
+const MAX_CONFIGURATION_WAIT: Micros = 1_300_000;
 /// The retry delay in rejections while no configuration is known.
 pub(crate) const CONFIGURATION_RETRY_DELAY: Duration = Duration::from_millis(400);
 
@@ -103,7 +103,7 @@
         let mut configured = self.configured.subscribe();
         let deadline = self
             .clock
-            .at(self.started_at.saturating_add(CONFIGURATION_WAIT));
+            .at(self.started_at.saturating_add(MAX_CONFIGURATION_WAIT));
         let configured = configured.wait_for(|configured| *configured);
         matches!(
             tokio::time::timeout_at(deadline.into(), configured).await,
@@ -199,18 +199,18 @@
     pub(crate) fn shutdown_deadline(&self) -> Option<Micros> {
         self.shutdown_began_at
             .get()
-            .map(|began_at| began_at + self.grace_period(ABORT_AFTER))
+            .map(|began_at| began_at + self.grace_period_fraction(ABORT_FRACTION))
     }
 
     /// Whether a request that may take long is still accepted.
     pub(crate) fn accepts_long_requests(&self) -> bool {
-        self.shutdown_began_at
-            .get()
-            .is_none_or(|began_at| self.clock.now() < began_at + self.grace_period(ACCEPT_LONG_FOR))
+        self.shutdown_began_at.get().is_none_or(|began_at| {
+            self.clock.now() < began_at + self.grace_period_fraction(ACCEPT_LONG_FRACTION)
+        })
     }
 
     /// A part of the grace period.
-    fn grace_period(&self, part: f64) -> Micros {
-        (self.settings.borrow().timing_bounds.grace_period_s * part * 1e6) as Micros
+    fn grace_period_fraction(&self, fraction: f64) -> Micros {
+        (self.settings.borrow().timing_bounds.grace_period_s * fraction * 1e6) as Micros
     }
 }
--- a/crates/gate/src/limits.rs
+++ b/crates/gate/src/limits.rs
@@ -18,7 +18,7 @@
 /// How long a permit is valid. A request that is written later needs another one.
 const PERMIT_LIFETIME: Micros = 40_000;
 /// The retry delay where none is known.
-const DEFAULT_WAIT: Micros = 1_000_000;
+const DEFAULT_RETRY_DELAY: Micros = 1_000_000;
 /// The longest time that a heartbeat takes to reach a gate.
 const MAX_HEARTBEAT_DELAY: Duration = Duration::from_secs(1);
 
@@ -216,7 +216,11 @@
         limiter
             .try_acquire_within(now, &server.instance, permits)
             .map_err(|exceeded| {
-                RetryAfter(exceeded.retry_delay(now).map_or(DEFAULT_WAIT, to_micros))
+                RetryAfter(
+                    exceeded
+                        .retry_delay(now)
+                        .map_or(DEFAULT_RETRY_DELAY, to_micros),
+                )
             })
     }
 }
--- a/crates/gate/src/limits/tests.rs
+++ b/crates/gate/src/limits/tests.rs
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn settings_that_were_read_again_change_the_limits_and_keep_the_counts() {
+fn reloaded_settings_change_the_limits_and_keep_the_counts() {
     let mut limits = limits();
     let now = START + 20 * SECOND;
     let cold = server("i", "cold");
--- a/crates/gate/src/peers.rs
+++ b/crates/gate/src/peers.rs
@@ -73,11 +73,11 @@
             .borrow()
             .iter()
             .any(|peer| peer.ip() == sender.ip());
-        if let Some(state) = decode(&buffer[..length]).filter(|_| is_peer) {
+        if let Some(report) = decode(&buffer[..length]).filter(|_| is_peer) {
             let now = gate.clock.now();
             gate.decider
                 .borrow_mut()
-                .apply_peer_report(now, peer_number(sender.ip()), &state);
+                .apply_peer_report(now, peer_number(sender.ip()), &report);
         }
     }
 }
@@ -88,27 +88,31 @@
     loop {
         let peers = gate.peers.borrow().clone();
         tokio::time::sleep(send_interval(peers.len())).await;
-        let Some(state) = state_to_send(gate, &last_sent, last_sent_at) else {
+        let Some(report) = report_to_send(gate, &last_sent, last_sent_at) else {
             continue;
         };
-        let datagram = encode(&state);
+        let datagram = encode(&report);
         for peer in peers {
             // A datagram that is lost is made up for by the next one.
             let _ = socket.try_send_to(&datagram, peer);
         }
-        last_sent = state;
+        last_sent = report;
         last_sent_at = Instant::now();
     }
 }
 
 /// This gate's state, if it has changed enough or must be refreshed.
-fn state_to_send(gate: &Gate, last_sent: &PeerReport, last_sent_at: Instant) -> Option<PeerReport> {
+fn report_to_send(
+    gate: &Gate,
+    last_sent: &PeerReport,
+    last_sent_at: Instant,
+) -> Option<PeerReport> {
     let decider = gate.decider.borrow();
-    let state = decider.peer_report(gate.clock.now());
-    let is_changed = decider.is_significant_change(last_sent, &state);
+    let report = decider.peer_report(gate.clock.now());
+    let is_changed = decider.is_significant_change(last_sent, &report);
     let is_due =
-        is_changed || state != PeerReport::default() && last_sent_at.elapsed() >= REFRESH_INTERVAL;
-    is_due.then_some(state)
+        is_changed || report != PeerReport::default() && last_sent_at.elapsed() >= REFRESH_INTERVAL;
+    is_due.then_some(report)
 }
 
 /// The time between two datagrams.
@@ -119,16 +123,16 @@
         .min(REFRESH_INTERVAL)
 }
 
-fn encode(state: &PeerReport) -> Vec<u8> {
-    let unread = state
+fn encode(report: &PeerReport) -> Vec<u8> {
+    let pending_prefill = report
         .pending_prefill
         .iter()
         .take(MAX_SERVERS)
         .map(|at| (at.server, at.tokens));
-    let suspect = state.suspect.iter().take(MAX_SERVERS).copied();
+    let suspect = report.suspect.iter().take(MAX_SERVERS).copied();
     let datagram = Datagram {
         version: VERSION,
-        unread: unread.collect(),
+        unread: pending_prefill.collect(),
         suspect: suspect.collect(),
     };
     postcard::to_stdvec(&datagram).unwrap_or_default()
@@ -140,12 +144,12 @@
     let is_valid = datagram.version == VERSION
         && datagram.unread.len() <= MAX_SERVERS
         && datagram.suspect.len() <= MAX_SERVERS;
-    let unread = datagram
+    let pending_prefill = datagram
         .unread
         .into_iter()
         .map(|(server, tokens)| PendingPrefill { server, tokens });
     is_valid.then(|| PeerReport {
-        pending_prefill: unread.collect(),
+        pending_prefill: pending_prefill.collect(),
         suspect: datagram.suspect,
     })
 }
--- a/crates/gate/src/peers/tests.rs
+++ b/crates/gate/src/peers/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn encoded_state_is_decoded_unchanged() {
-    let unread = vec![
+fn encoded_report_is_decoded_unchanged() {
+    let pending_prefill = vec![
         PendingPrefill {
             server: u64::MAX,
             tokens: 12_000,
@@ -12,16 +12,16 @@
             tokens: 3,
         },
     ];
-    let state = PeerReport {
-        pending_prefill: unread,
+    let report = PeerReport {
+        pending_prefill,
         suspect: vec![2, u64::MAX],
     };
-    assert_eq!(decode(&encode(&state)), Some(state));
+    assert_eq!(decode(&encode(&report)), Some(report));
 }
 
 #[test]
 fn datagram_of_many_servers_fits_the_maximum() {
-    let unread = vec![
+    let pending_prefill = vec![
         PendingPrefill {
             server: u64::MAX,
             tokens: u64::MAX
@@ -29,7 +29,7 @@
         1_000
     ];
     let datagram = encode(&PeerReport {
-        pending_prefill: unread,
+        pending_prefill,
         suspect: vec![u64::MAX; 1_000],
     });
     assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "{}", datagram.len());
--- a/crates/gate/src/sse/tests.rs
+++ b/crates/gate/src/sse/tests.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn id_that_is_no_number_is_an_error() {
+fn id_that_is_not_a_number_is_an_error() {
     assert_eq!(
         EventFramer::default().push(b"id: x\n").validity,
         Err(EventError::InvalidId)
