--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -1,6 +1,6 @@
-//! One attempt at a server: the request is sent, and the head of the response comes back.
+//! One attempt at a server: sends the request and receives the head of the response.
 //!
-//! The module `classify` decides what the head means, and `response` reads the body.
+//! The module `classify` classifies the head, and `response` reads the body.
 
 mod classify;
 mod response;
@@ -20,11 +20,11 @@
 pub(crate) use classify::{ResponseClass, implies_not_executed};
 pub(crate) use response::{BufferedBody, UpstreamResponse};
 
-/// Sends a request and waits for the head of its response. `deadline_ms` goes into the
-/// deadline header; `admission` is asked right before the first byte is written.
+/// Sends a request and waits for the head of its response. `deadline_ms` is sent in the deadline
+/// header; `admission` is called right before the first byte is written.
 ///
 /// # Errors
-/// How the attempt ended, if no head came.
+/// The outcome of the attempt, if no head was received.
 pub(crate) async fn send(
     clients: &UpstreamClients,
     forwarded: &ForwardedRequest,
@@ -86,7 +86,7 @@
     request
 }
 
-/// How an attempt ended that got no head.
+/// The outcome of an attempt for which no head was received.
 fn send_failure(error: &SendRequestError, state: &AttemptState) -> Outcome {
     match error {
         SendRequestError::Connect(_) if state.bytes_written() == 0 => Outcome::ConnectFailed,
--- a/crates/gate/src/attempt/classify.rs
+++ b/crates/gate/src/attempt/classify.rs
@@ -1,7 +1,7 @@
-//! What the head of a server's response means for the request.
+//! Classifies the head of a server's response.
 //!
-//! Guards against two mistakes: taking for a success what no server of the fleet has signed, and
-//! retrying a request that may have been executed.
+//! Two mistakes must be avoided: treating a response as a success that no server of the fleet has
+//! signed, and retrying a request that may have been executed.
 
 use actix_http::StatusCode;
 use actix_http::header::{self, HeaderMap};
@@ -9,10 +9,10 @@
 
 use crate::headers;
 
-/// The longest `Retry-After` that is respected, in s; longer ones are shortened to it.
+/// The longest `Retry-After` that is respected, in s; longer ones are reduced to it.
 const MAX_RETRY_AFTER_S: f64 = 60.0;
 
-/// What the head of a response means.
+/// What is done with a response, according to its head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ResponseClass {
     /// The request is served once the body is complete.
@@ -62,8 +62,8 @@
     }
 }
 
-/// Whether one server, and only one, has signed the response. What a signature says is the servers'
-/// own matter; the gate can tell whether there is one.
+/// Whether the response has exactly one signature. The gate can't verify a signature, only check
+/// that there is one.
 fn is_signed(headers: &HeaderMap) -> bool {
     let mut signatures = headers.get_all(headers::SERVER_SIGNATURE);
     let Some(signature) = signatures.next() else {
@@ -73,7 +73,8 @@
     !is_empty && signatures.next().is_none()
 }
 
-/// Client errors other than 429 are the client's own fault: no other server would do better.
+/// Classifies a response that declares its request not executed. Client errors other than 429 are
+/// forwarded, because every server would reject such a request.
 fn classify_not_executed(status: StatusCode, headers: &HeaderMap) -> ResponseClass {
     if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS {
         return ResponseClass::Forwardable(Outcome::ClientError);
--- a/crates/gate/src/attempt/response.rs
+++ b/crates/gate/src/attempt/response.rs
@@ -1,4 +1,5 @@
-//! A server's response whose head has come: its body is read chunk by chunk, buffered or drained.
+//! A server's response whose head was received, and whose body is read chunk by chunk, buffered or
+//! drained.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,20 +19,19 @@
 /// A discarded body is drained up to this many bytes, and for [`DRAIN_TIMEOUT`] at most, so that
 /// its connection can be reused.
 const MAX_DRAINED_BYTES: usize = 16 * 1024;
-/// How long a discarded body is drained.
+/// The longest time for which a discarded body is drained.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A response whose head has come.
+/// A server's response, of which the head was received.
 pub(crate) struct UpstreamResponse {
-    /// The status.
     pub status: StatusCode,
-    /// The headers for the client.
+    /// The headers that are forwarded to the client.
     pub headers: Vec<(HeaderName, HeaderValue)>,
-    /// What the head means.
+    /// What is done with the response, according to its head.
     pub class: ResponseClass,
     /// The load that the server reports.
     pub load: Option<LoadReport>,
-    /// The length of the body in bytes, if it is announced.
+    /// The `Content-Length` in bytes, if the server sent one.
     pub content_length: Option<u64>,
     /// Whether the body is a stream of server-sent events.
     pub is_event_stream: bool,
@@ -41,12 +41,12 @@
     body: ClientResponse,
 }
 
-/// A body, as far as it was buffered.
+/// The buffered part of a body.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct BufferedBody {
     /// The bytes so far.
     pub bytes: Bytes,
-    /// Whether this is the complete body.
+    /// Whether `bytes` is the complete body.
     pub is_complete: bool,
 }
 
@@ -82,7 +82,7 @@
     /// The next chunk of the body, or `None` at its proper end.
     ///
     /// # Errors
-    /// How the attempt ended, if the body broke off or is invalid.
+    /// The outcome of the attempt, if the connection failed within the body or the body is invalid.
     pub(crate) async fn next_chunk(&mut self) -> Result<Option<Bytes>, Outcome> {
         if !self.has_body {
             return Ok(None);
@@ -113,13 +113,13 @@
         })
     }
 
-    /// Drains the rest of a response that is discarded, if it is short, so that its connection can
+    /// Reads and drops the rest of a discarded response, if it is short, so that its connection can
     /// be reused.
     pub(crate) fn drain(mut self) {
         let draining = async move { _ = self.buffer(MAX_DRAINED_BYTES).await };
         let mut draining = Box::pin(tokio::time::timeout(DRAIN_TIMEOUT, draining));
         if (&mut draining).now_or_never().is_none() {
-            // Ends by itself within the timeout.
+            // The task ends within the timeout.
             actix_rt::spawn(draining);
         }
     }
@@ -132,7 +132,7 @@
     }
 }
 
-/// Parses `running,waiting,slots`.
+/// Parses the value of the load header, `RUNNING,WAITING,SLOTS`.
 fn parse_load(value: &HeaderValue) -> Option<LoadReport> {
     let mut numbers = value
         .to_str()
--- a/crates/gate/src/client_limits.rs
+++ b/crates/gate/src/client_limits.rs
@@ -1,9 +1,9 @@
-//! The operator's limits on clients, converted to the units of the listener.
+//! Converts the configured limits on client connections to the units of the listener.
 
 use ironmast_schema::configuration;
 use ironmast_transport::connection::ClientLimits;
 
-/// Converts the limits of a configuration.
+/// Converts the limits of a configuration: times from ms to µs, sizes to `usize`.
 pub(crate) fn client_limits(configured: configuration::ClientLimits) -> ClientLimits {
     ClientLimits {
         header_timeout: configured.header_timeout_ms.saturating_mul(1_000),
--- a/crates/gate/src/drain.rs
+++ b/crates/gate/src/drain.rs
@@ -8,13 +8,14 @@
 
 use crate::gate::Gate;
 
-/// Clients keep connecting for about this part of the time for which they may keep a list of
-/// addresses.
+/// Clients keep connecting for about this fraction of the longest time for which they may cache a
+/// list of addresses.
 const ACCEPT_FRACTION_OF_TTL: f64 = 0.5;
-/// The largest part of the grace period in which clients are accepted.
+/// The largest fraction of the grace period in which new connections are accepted.
 const MAX_ACCEPT_FRACTION: f64 = 0.5;
 
-/// Shuts a gate down. Returns once no client waits for a response, or when the time is up.
+/// Shuts a gate down. Returns once no client waits for a response, or at the shutdown deadline,
+/// when the requests still in progress are aborted.
 pub(crate) async fn run<S: Service>(gate: &Gate, listener: &Listener<S>) {
     gate.begin_shutdown();
     let accept_s = accept_seconds(gate);
@@ -25,12 +26,12 @@
         listener.stop.notify_one();
         listener.finish(IdleConnections::CloseNow).await;
     };
-    // The requests still in progress at the deadline are aborted.
+    // Requests still in progress at the deadline are aborted when the gate stops.
     let _ = tokio::time::timeout_at(gate.clock.at(deadline).into(), finish).await;
     info!(gate.log, "stopped");
 }
 
-/// How long clients are still accepted.
+/// For how long new connections are still accepted after the shutdown began, in s.
 fn accept_seconds(gate: &Gate) -> f64 {
     let settings = gate.settings.borrow();
     let bounds = &settings.timing_bounds;
--- a/crates/gate/src/entry_store.rs
+++ b/crates/gate/src/entry_store.rs
@@ -1,8 +1,8 @@
-//! The entries that the agent has sent: the newest of each key, and what follows from them for
-//! the gate.
+//! Stores the newest entry of each key that the agent has sent, and derives from them the routing
+//! table, the other gates and the client limits.
 //!
-//! Entries of different keys may arrive in any order and more than once. A version decides which
-//! entry of a key is newer, so that an old one never replaces a newer one.
+//! Entries may arrive in any order and more than once. Versions order the entries of a key, so an
+//! older entry never replaces a newer one.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -19,20 +19,20 @@
 
 use crate::table_spec::{ServerStatus, server_spec, table_spec};
 
-/// The number of ended incarnations above which all of them are forgotten.
+/// The number of deregistered incarnations above which all of them are removed.
 const MAX_DEREGISTERED_INSTANCES: usize = 2_000;
 
-/// A change in what is known of a server's warm-up.
+/// A change of the information on a server's warm-up.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum WarmupEvent {
     /// The server reported its warm-up.
     Reported {
-        /// The incarnation.
+        /// The incarnation id of the server.
         instance: Arc<str>,
-        /// How much longer it is warming up, in ms.
+        /// The remaining warm-up time, in ms.
         remaining_ms: f64,
     },
-    /// Earlier reports of this incarnation are void: it may have to warm up again.
+    /// Earlier reports of this incarnation are invalid, because it may have to warm up again.
     Invalidated(Arc<str>),
 }
 
@@ -40,18 +40,18 @@
 #[derive(Debug, Default)]
 pub(crate) struct EntryStore {
     entries: BTreeMap<Key, Entry>,
-    /// Since when the heartbeats of servers are missing.
+    /// Since when heartbeats are missing, by incarnation.
     unreachable_since: FxHashMap<Arc<str>, Micros>,
     /// The version of the control state (configuration and evacuations) that the current table was
     /// built from.
     table_version: Option<u64>,
-    /// The zones that were evacuated when entries were merged last.
+    /// The zones that were evacuated after the last merge.
     evacuated: Vec<String>,
 }
 
 impl EntryStore {
-    /// Merges entries; the newer version of each key wins. Returns the changes of
-    /// servers' warm-ups.
+    /// Merges entries; the newer version of each key wins. Returns the changes of warm-up
+    /// information.
     pub(crate) fn merge(&mut self, now: Micros, entries: Vec<Entry>) -> Vec<WarmupEvent> {
         let mut events = Vec::new();
         for entry in entries {
@@ -69,7 +69,8 @@
         events
     }
 
-    /// A server whose heartbeats were missing may have to warm up again.
+    /// Tracks since when heartbeats are missing. A server whose heartbeats resume may have to warm
+    /// up again.
     fn track_reachability(
         &mut self,
         now: Micros,
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Servers whose zone is no longer evacuated may have to warm up again.
+    /// Tracks evacuated zones. Servers of a zone that is no longer evacuated may have to warm up
+    /// again.
     fn track_evacuation(&mut self, events: &mut Vec<WarmupEvent>) {
         let evacuated = self.evacuated_zones().to_vec();
         let restored: Vec<String> = self
@@ -146,23 +148,24 @@
             })
     }
 
-    /// The current configuration.
+    /// The current configuration, if the agent has sent one.
     pub(crate) fn configuration(&self) -> Option<&Configuration> {
         self.control()?.configuration.as_ref()
     }
 
-    /// The limits on clients of the current configuration.
+    /// The client limits of the current configuration.
     pub(crate) fn client_limits(&self) -> Option<ClientLimits> {
         self.configuration()
             .map(|configuration| configuration.limits)
     }
 
-    /// The number of gates that are present.
+    /// The number of gates that are not down.
     pub(crate) fn gate_count(&self) -> u32 {
         self.gates().filter(|(_, record)| !record.down).count() as u32
     }
 
-    /// All gates that were ever listed, and the gate at `own_frontend`.
+    /// All gates that were ever listed, including those that are down, and the gate at
+    /// `own_frontend`.
     pub(crate) fn gate_set(&self, settings: &Settings, own_frontend: SocketAddr) -> GateSet {
         let mut gates: BTreeMap<SocketAddr, &str> = self
             .gates()
@@ -176,7 +179,7 @@
         GateSet::new(gate_id(own_frontend), gates.collect())
     }
 
-    /// The addresses at which the other gates of the region receive peers' load.
+    /// The addresses at which the other gates of the region receive load reports.
     pub(crate) fn peers(&self, settings: &Settings) -> Vec<SocketAddr> {
         let port = settings.internal_port(InternalPort::Gate);
         self.gates()
@@ -187,7 +190,7 @@
             .collect()
     }
 
-    /// The servers that have not ended.
+    /// The servers that are not deregistered.
     pub(crate) fn servers(&self, settings: &Settings) -> Vec<ServerSpec> {
         let evacuated = self.evacuated_zones();
         let status = |id: &str, record: &InstanceRecord| ServerStatus {
@@ -200,12 +203,12 @@
             .collect()
     }
 
-    /// Builds the table that follows `table`. Its routes are rebuilt only if the control state
-    /// (configuration and evacuations) has changed.
+    /// Builds the table that replaces `table`. Routes are rebuilt only if the control state
+    /// (configuration and evacuations) has changed; otherwise only gates and servers are updated.
     ///
     /// # Errors
-    /// The configuration is invalid, which coordinators should have found, or the servers' zones
-    /// make too many regions.
+    /// The configuration is invalid, which coordinators should have rejected, or the servers are in
+    /// too many regions.
     pub(crate) fn next_table(
         &mut self,
         settings: &Settings,
@@ -229,7 +232,7 @@
     }
 }
 
-/// The id of a gate, which is the same at all gates: its address.
+/// The id of a gate, derived from its frontend address, so that all gates compute the same id.
 fn gate_id(frontend: SocketAddr) -> GateId {
     let ip = match frontend.ip() {
         IpAddr::V4(ip) => u64::from(ip.to_bits()),
--- a/crates/gate/src/entry_store/tests.rs
+++ b/crates/gate/src/entry_store/tests.rs
@@ -15,12 +15,12 @@
 fn settings() -> Settings {
     let text = "node_name: n\nip_address: 10.0.0.1\nzone: n-1\nregion: north\nzones: {n-1: north, s-1: south}\n\
                 internal_port_range: [7000, 7015]\n";
-    Settings::parse(std::path::Path::new("test"), text).expect("sound settings")
+    Settings::parse(std::path::Path::new("test"), text).expect("valid settings")
 }
 
 fn control(version: u64, evacuated: &[&str]) -> Entry {
     let configuration =
-        Configuration::parse(CONFIGURATION.as_bytes()).expect("a sound configuration");
+        Configuration::parse(CONFIGURATION.as_bytes()).expect("a valid configuration");
     let evacuated = evacuated
         .iter()
         .map(std::string::ToString::to_string)
@@ -42,7 +42,7 @@
             "warmup_left_ms":1500,"sequence":{version}}}"#
     );
     let heartbeat = ironmast_schema::registration::Heartbeat::parse(body.as_bytes())
-        .expect("a sound heartbeat");
+        .expect("a valid heartbeat");
     let record = InstanceRecord {
         heartbeat,
         liveness,
@@ -189,7 +189,8 @@
     assert_eq!(store.configuration(), None);
 }
 
-/// The agent may have lost contact with a gate that still sends.
+/// A gate that is listed as down may still send requests: the agent may only have lost contact with
+/// it. So it must still count towards the division of the limits.
 #[test]
 fn gate_that_is_down_keeps_its_share_of_the_limits() {
     let own: SocketAddr = ([10, 0, 0, 1], 80).into();
@@ -197,7 +198,7 @@
     let others = 81..=96;
     store.merge(5, others.clone().map(|port| gate(port, false)).collect());
     let before = store.gate_set(&settings(), own);
-    // 17 gates of one region: an even part of 35 is 2.
+    // 17 gates of one region: an even share of 35 is 2.
     assert_eq!(
         (before.divisor(), before.quota(35, "south", "i-1")),
         (17, 2)
--- a/crates/gate/src/exchange.rs
+++ b/crates/gate/src/exchange.rs
@@ -1,9 +1,9 @@
-//! One request of a client, from its route to the end of its response.
+//! One client request, from the route to the end of the response.
 //!
-//! The decider of `ironmast-routing` decides what to do; this module does it and reports how each
-//! attempt ended, until a decision is final. [`attempt`] makes one attempt, [`relay`] streams a
-//! response to the client, and [`watch`] ends an attempt whose client has disconnected or whose
-//! time is up.
+//! The decider of `ironmast-routing` makes the decisions. This module carries them out and reports
+//! the outcome of each attempt, until a decision is final. [`attempt`] makes one attempt, [`relay`]
+//! streams a response to the client, and [`watch`] interrupts an attempt when the client
+//! disconnects or the attempt times out.
 
 mod attempt;
 mod downstream;
@@ -101,7 +101,7 @@
         Some(decision)
     }
 
-    /// Responds as the final decision says, if the client has no response yet.
+    /// Carries out the final decision: responds to the client, if it has no response yet.
     fn finish(&mut self, decision: &Decision) {
         let response = match decision {
             Decision::Reject(rejection) => DownstreamResponse::Rejected(*rejection),
@@ -109,7 +109,7 @@
             Decision::Fail { status } => DownstreamResponse::Failed(
                 StatusCode::from_u16(*status).unwrap_or(StatusCode::BAD_GATEWAY),
             ),
-            // A response that has not finished by now is aborted as the exchange is dropped.
+            // Dropping the exchange aborts a response that has not finished.
             Decision::AbortResponse
             | Decision::Finished
             | Decision::Send(_)
@@ -120,8 +120,8 @@
         self.downstream.respond(response);
     }
 
-    /// The server's own response, unless its status would tell the client that the request was not
-    /// executed, which this server has not said.
+    /// The saved error response of a server. It is replaced by a 502 if its status would tell the
+    /// client that the request was not executed, because the server has not declared that.
     fn take_saved_response(&mut self) -> DownstreamResponse {
         match self.saved.take() {
             Some(SavedResponse { head, body }) if !implies_not_executed(head.status) => {
--- a/crates/gate/src/exchange/attempt.rs
+++ b/crates/gate/src/exchange/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of an exchange: it is sent, and its response is delivered, saved or discarded.
+//! One attempt of an exchange: sends the request, and delivers, saves or discards the response.
 
 use ironmast_routing::{Dispatch, Micros, Outcome};
 
@@ -7,14 +7,15 @@
 use crate::attempt::{self, BufferedBody, ResponseClass, UpstreamResponse};
 use crate::response::DownstreamResponse;
 
-/// A response of up to this many bytes is buffered until it is complete.
+/// Responses of up to this many bytes are buffered until complete, so that a failed one can still
+/// be retried.
 const MAX_BUFFERED_BYTES: usize = 512 * 1024;
-/// The deadline for servers is earlier by this much, because their response has to travel back.
+/// The time that a response takes from the server to the gate; the deadline that servers are sent
+/// is earlier by this much.
 const RESPONSE_TRANSIT_TIME: Micros = 5_000;
 
 impl Exchange {
-    /// Makes one attempt. Returns how it ended, or `None` if the client can get no further
-    /// response.
+    /// Makes one attempt. Returns its outcome, or `None` if the client can get no further response.
     pub(super) async fn attempt(&mut self, dispatch: Dispatch) -> Option<Outcome> {
         match self.send_and_receive(&dispatch).await {
             Ok(outcome) | Err(StepError::Attempt(outcome)) => Some(outcome),
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Saves an error response until it is decided whether the client gets it.
+    /// Saves an error response, which the client gets if no later attempt succeeds.
     async fn save(
         &mut self,
         mut response: UpstreamResponse,
@@ -96,8 +97,8 @@
         Ok(outcome)
     }
 
-    /// Delivers a success that is no event stream: at once when it is complete, or chunk by chunk
-    /// if it is too long to be buffered.
+    /// Delivers a successful response that is not an event stream: whole once it is complete, or
+    /// chunk by chunk if it is too long to be buffered.
     async fn deliver(
         &mut self,
         mut response: UpstreamResponse,
@@ -115,8 +116,8 @@
         Ok(Outcome::Success)
     }
 
-    /// Buffers a body. A client that already has the head of another response, because its stream
-    /// is being resumed, can't get this one.
+    /// Buffers a body. Fails if the client already has the head of another response, whose stream
+    /// is being resumed.
     async fn buffer(
         &mut self,
         response: &mut UpstreamResponse,
--- a/crates/gate/src/exchange/downstream.rs
+++ b/crates/gate/src/exchange/downstream.rs
@@ -1,26 +1,26 @@
-//! The client's side of an exchange: how much of the response it has.
+//! The client side of an exchange.
 
 use tokio::sync::oneshot;
 
 use crate::response::{BodySender, DownstreamResponse};
 
-/// How much of the response the client has.
+/// How much of the response has been passed to the client.
 pub(super) enum Downstream {
-    /// Nothing; the response goes here.
+    /// Nothing yet; the sender takes the response.
     AwaitingHead(oneshot::Sender<DownstreamResponse>),
-    /// The head; the chunks of the body go here.
+    /// The head; the sender takes the chunks of the body.
     Streaming(BodySender),
-    /// All that it gets.
+    /// Everything that the client gets.
     Finished,
 }
 
 impl Downstream {
-    /// Whether the client has nothing of a response yet.
+    /// Whether nothing of a response has been passed to the client yet.
     pub(super) fn is_awaiting_head(&self) -> bool {
         matches!(self, Downstream::AwaitingHead(_))
     }
 
-    /// Sends the response. A response that is being streamed is aborted instead.
+    /// Sends the response. If another response is being streamed, that one is aborted instead.
     pub(super) fn respond(&mut self, response: DownstreamResponse) {
         if let Downstream::AwaitingHead(reply) = std::mem::replace(self, Downstream::Finished) {
             // A client that has just disconnected has no use for the response.
--- a/crates/gate/src/exchange/relay.rs
+++ b/crates/gate/src/exchange/relay.rs
@@ -1,5 +1,5 @@
-//! Streams a response to the client: server-sent events as each becomes complete, and any other
-//! long body as it arrives.
+//! Streams a response to the client: an event stream event by event, and any other long body chunk
+//! by chunk.
 
 use bytes::Bytes;
 use ironmast_routing::Outcome;
@@ -12,7 +12,8 @@
 use crate::sse::{CompleteEvents, EventFramer, Framed};
 
 impl Exchange {
-    /// Relays an event stream.
+    /// Relays an event stream. Only complete events are sent, so that the stream can be resumed at
+    /// another server after the last of them.
     pub(super) async fn relay_events(
         &mut self,
         mut response: UpstreamResponse,
@@ -38,7 +39,8 @@
         Ok(Outcome::Success)
     }
 
-    /// Relays the rest of a body that is too long to be buffered, after its `first` bytes.
+    /// Relays a body that is too long to be buffered: the `first` bytes, which were buffered, and
+    /// then the rest.
     pub(super) async fn relay_rest(
         &mut self,
         mut response: UpstreamResponse,
@@ -79,8 +81,8 @@
         Ok(())
     }
 
-    /// Sends a chunk to the client. One that does not read it before the attempt's deadline ends
-    /// the request.
+    /// Sends a chunk to the client. The request ends if the client has disconnected, or does not
+    /// read the chunk before the attempt's deadline.
     async fn send_chunk(&mut self, watch: &AttemptWatch, chunk: Bytes) -> Result<(), StepError> {
         let Downstream::Streaming(body) = &self.downstream else {
             return Err(StepError::Request);
--- a/crates/gate/src/exchange/state.rs
+++ b/crates/gate/src/exchange/state.rs
@@ -1,4 +1,4 @@
-//! The state of an exchange, and the steps that all of its parts share.
+//! The state of an exchange, and the operations that its submodules share.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,19 +15,19 @@
 
 /// One request in progress.
 pub(super) struct Exchange {
-    /// The gate that serves it.
+    /// The gate that serves the request.
     pub gate: Rc<Gate>,
     /// The request as servers get it.
     pub forwarded: ForwardedRequest,
     /// The decider's state of the request.
     pub call: Call,
-    /// The client's side.
+    /// The connection to the client.
     pub downstream: Downstream,
     /// An error response of a server, which the client gets if no attempt succeeds.
     pub saved: Option<SavedResponse>,
     /// The incarnation of the server that the latest attempt went to.
     pub instance: Option<Arc<str>>,
-    /// The id of the last event that the client has.
+    /// The id of the last event that was sent to the client, or from which the client resumes.
     pub last_event: Option<u64>,
 }
 
@@ -39,7 +39,7 @@
     pub body: Bytes,
 }
 
-/// What ended when a step was cut short.
+/// Why a step of an attempt did not complete.
 pub(super) enum StepError {
     /// The attempt ended with this outcome; another one may follow.
     Attempt(Outcome),
@@ -49,7 +49,7 @@
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        // Of no effect where the request has had its final decision.
+        // Has no effect if the request already has its final decision.
         let now = self.gate.clock.now();
         self.gate.decider.borrow_mut().cancel(now, &mut self.call);
     }
@@ -68,7 +68,7 @@
             .map_err(|interruption| self.interrupted(interruption))
     }
 
-    /// What an interruption of a step ends.
+    /// Whether an interruption ends the attempt or the whole request.
     pub(super) fn interrupted(&self, interruption: Interruption) -> StepError {
         match interruption {
             Interruption::Disconnected => StepError::Request,
@@ -78,7 +78,8 @@
         }
     }
 
-    /// `outcome` if the client has nothing of a response; otherwise the response was truncated.
+    /// Returns `outcome` if nothing of a response has been passed to the client, and
+    /// [`Outcome::Truncated`] otherwise.
     pub(super) fn outcome_or_truncated(&self, outcome: Outcome) -> Outcome {
         if self.downstream.is_awaiting_head() {
             outcome
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Sends the head of a response; the chunks of its body follow.
+    /// Sends the head of a streamed response; the chunks of its body follow.
     pub(super) fn start_streaming(&mut self, response: &UpstreamResponse, length: Option<u64>) {
         let (sender, receiver) = body_channel();
         self.downstream.respond(DownstreamResponse::Streaming {
@@ -99,7 +100,7 @@
         self.report_progress(None);
     }
 
-    /// Reports that the client has got a head, or events up to `last_event`.
+    /// Reports to the decider that a head, or events up to `last_event`, were sent to the client.
     pub(super) fn report_progress(&mut self, last_event: Option<u64>) {
         let now = self.gate.clock.now();
         self.gate
@@ -109,7 +110,7 @@
     }
 }
 
-/// The head of a server's response as its client gets it.
+/// The head of a server's response as it is sent to the client.
 pub(super) fn head_of(response: &UpstreamResponse) -> ResponseHead {
     ResponseHead {
         status: response.status,
--- a/crates/gate/src/exchange/watch.rs
+++ b/crates/gate/src/exchange/watch.rs
@@ -1,5 +1,5 @@
-//! Watches an attempt while it runs: it is interrupted when its client disconnects, when its time
-//! is up, and when the decider finds that another server would be faster.
+//! Monitors an attempt in progress, and interrupts it when the client disconnects, when the attempt
+//! times out, or when the decider expects another server to be faster.
 
 use std::time::Instant;
 
@@ -8,7 +8,7 @@
 use super::downstream::Downstream;
 use crate::gate::Gate;
 
-/// The decider's checks of one attempt are at least this far apart.
+/// The shortest time between two progress checks of an attempt.
 const MIN_CHECK_INTERVAL: Micros = 1_000;
 
 /// Why an attempt is interrupted.
@@ -16,23 +16,23 @@
 pub(super) enum Interruption {
     /// The client has disconnected.
     Disconnected,
-    /// The attempt's time is up, or another server is expected to be faster.
+    /// The attempt has timed out, or another server is expected to be faster.
     TimedOut,
 }
 
-/// When an attempt is checked next, and when it ends at the latest.
+/// The deadline and the next progress check of an attempt.
 pub(super) struct AttemptWatch {
-    /// When the attempt's time is up.
+    /// When the attempt times out.
     pub deadline: Micros,
-    /// When the decider checks the attempt next.
+    /// When the decider checks the progress of the attempt next, if it does.
     pub check_at: Option<Micros>,
 }
 
 impl AttemptWatch {
-    /// Runs one step of an attempt.
+    /// Runs one step of an attempt until it completes or is interrupted.
     ///
     /// # Errors
-    /// Why the step was interrupted, in which case it is dropped.
+    /// The reason for the interruption; the step has been dropped.
     pub(super) async fn guard<T>(
         &mut self,
         gate: &Gate,
--- a/crates/gate/src/feed.rs
+++ b/crates/gate/src/feed.rs
@@ -1,7 +1,6 @@
-//! The link to the agent beside the gate: entries come in, the gate's status goes out.
+//! The link to the agent on the same host: receives entries and sends the gate's readiness.
 //!
-//! The link is set up again whenever it breaks. Until then the gate keeps serving with the entries
-//! that it has.
+//! A broken link is re-established. Meanwhile the gate keeps serving with the entries that it has.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -20,15 +19,16 @@
 use crate::entry_store::{EntryStore, WarmupEvent};
 use crate::gate::Gate;
 
-/// The delay before the gate connects to its agent again.
+/// The delay before the gate reconnects to its agent.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
-/// A connection must be established within this time.
+/// The timeout for connecting to the agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Entries that arrive within this time of each other go into one table.
+/// Entries that arrive within this time after the first one are applied together in one rebuild of
+/// the table.
 const BATCH_WINDOW: Duration = Duration::from_millis(15);
 
-/// Keeps the link up for as long as the gate runs. The limits on clients of each configuration go
-/// to `set_limits`.
+/// Maintains the link for as long as the gate runs. `set_limits` is called with the client limits
+/// of each new table's configuration.
 pub(crate) async fn run(gate: Rc<Gate>, frontend: SocketAddr, set_limits: impl Fn(ClientLimits)) {
     let mut feed = Feed {
         gate,
@@ -38,19 +38,19 @@
         applied_generation: None,
     };
     loop {
-        // An agent that is away is expected while it is replaced: the error is not reported.
+        // The agent is expected to be unavailable while it is replaced, so the error is not logged.
         let _ = feed.serve_link().await;
         tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// The gate's side of the link; the entries outlive a connection.
+/// The gate's side of the link. The entries are kept when a connection breaks.
 struct Feed<F> {
     gate: Rc<Gate>,
     frontend: SocketAddr,
     set_limits: F,
     store: EntryStore,
-    /// Generation of the configuration whose table is installed.
+    /// The generation of the configuration whose table is installed.
     applied_generation: Option<u64>,
 }
 
@@ -81,7 +81,7 @@
                     self.rebuild_table();
                 }
                 frame = receiver.next() => {
-                    let Some(ToGate::Entries(entries)) = frame? else { bail!("{agent} closed the link") };
+                    let Some(ToGate::Entries(entries)) = frame? else { bail!("the agent at {agent} closed the link") };
                     let events = self.store.merge(self.gate.clock.now(), entries);
                     self.apply_warmup_events(events);
                     rebuild_at.get_or_insert_with(|| Instant::now() + BATCH_WINDOW);
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Builds the table anew after the settings have changed, if there is one.
+    /// Rebuilds the table after a reload of the settings, if there is a configuration.
     fn apply_settings(&mut self) {
         if self.store.configuration().is_some() {
             self.rebuild_table();
@@ -113,9 +113,9 @@
         }
     }
 
-    /// Installs the table that follows from the entries. If it cannot be built, nothing is
-    /// installed: changes of servers and evacuations wait as well, and the warning is logged again
-    /// with the next entries.
+    /// Builds the table from the entries and installs it. If it cannot be built, the current table
+    /// stays: changes of servers and evacuations are not applied either, and the warning is logged
+    /// again with the next entries.
     fn rebuild_table(&mut self) {
         let gate = &self.gate;
         let previous = gate.decider.borrow().table().clone();
@@ -134,7 +134,7 @@
         let routes = table.router().len();
         let gates = self.store.gate_set(&gate.settings.borrow(), self.frontend);
         gate.install_table(table, gates);
-        // Requests may wait for the configuration, so it counts as known only now that its table
+        // Requests may wait for the configuration, so it is reported as known only after its table
         // is installed.
         let generation = self
             .store
@@ -154,7 +154,7 @@
     }
 }
 
-/// Numbers of servers in a table.
+/// The numbers of servers in a table, by state.
 #[derive(Debug, PartialEq, Eq)]
 struct ServerCounts {
     listed: usize,
--- a/crates/gate/src/frontend.rs
+++ b/crates/gate/src/frontend.rs
@@ -1,5 +1,5 @@
-//! The client's side: each request is read completely, its route is found, and an
-//! [`exchange`] obtains its response.
+//! The service of the client-facing listener: reads each request completely, finds its route, and
+//! returns the response that an [`exchange`] obtains.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,17 +21,18 @@
 use crate::request::{ForwardedRequest, RequestHints};
 use crate::response::rejection;
 
-/// The `Retry-After` of a gate that is shutting down, in s: another gate takes the request at once.
+/// The `Retry-After` of a gate that is shutting down, in s. It is short, because another gate can
+/// serve the request at once.
 const SHUTDOWN_RETRY_AFTER: &str = "0.02";
 
-/// Serves clients.
+/// The service that handles requests of clients.
 pub(crate) struct Frontend {
     gate: Rc<Gate>,
     bodies: BodyMemory,
 }
 
 impl Frontend {
-    /// The frontend of a gate whose request bodies may use so much memory, in MB.
+    /// Creates the frontend of a gate; all buffered request bodies may use `memory_mb` MB together.
     pub(crate) fn new(gate: Rc<Gate>, memory_mb: u64) -> Self {
         Frontend {
             gate,
@@ -79,7 +80,7 @@
     /// Reads the body completely.
     ///
     /// # Errors
-    /// The status of the response, if the body is too long or incomplete.
+    /// The status of the response: 413 if the body is too long, 400 if it is incomplete.
     async fn read_body(
         &self,
         request: &mut Request,
@@ -141,7 +142,7 @@
     }
 }
 
-/// Whether a request of this route may take longer than the rest of a grace period.
+/// Whether a request of this route may take longer than the rest of the grace period.
 fn is_long(route: &Route) -> bool {
     matches!(route.spec.kind, RouteKind::Stream { .. })
 }
@@ -152,7 +153,7 @@
         .ok()
 }
 
-/// The request as the decider sees it.
+/// Builds the decider's view of a request.
 fn routing_request(
     route: Arc<Route>,
     hints: RequestHints,
@@ -172,7 +173,7 @@
     rejection(StatusCode::SERVICE_UNAVAILABLE.as_u16(), retry_after)
 }
 
-/// A response that closes its connection, because the rest of the request is not read.
+/// A response after which the connection is closed, because the rest of the request is not read.
 fn closing_response(status: StatusCode) -> Response<BoxBody> {
     let mut response = Response::new(status);
     response
--- a/crates/gate/src/gate.rs
+++ b/crates/gate/src/gate.rs
@@ -1,4 +1,4 @@
-//! The state that the parts of a gate share. All of it lives on one thread.
+//! The state that the modules of a gate share, on a single thread.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -18,50 +18,52 @@
 use crate::limits::Limits;
 use crate::upstream::UpstreamClients;
 
-/// The part of the grace period after which the requests still in progress are aborted.
+/// The fraction of the grace period after which the requests still in progress are aborted.
 const ABORT_FRACTION: f64 = 0.95;
-/// The part of the grace period in which long requests are still accepted.
+/// The fraction of the grace period in which requests of streaming routes are still accepted.
 const ACCEPT_LONG_FRACTION: f64 = 0.35;
 
-/// All servers are known this many heartbeat intervals after the first configuration.
+/// All servers are assumed to be known this many heartbeat intervals after the first
+/// configuration.
 const DISCOVERY_INTERVALS: f64 = 1.25;
-/// Requests wait this long after the start for the first configuration.
+/// The longest time after the start for which requests wait for the first configuration, which
+/// usually arrives sooner.
 const MAX_CONFIGURATION_WAIT: Micros = 1_300_000;
-/// The retry delay in rejections while no configuration is known.
+/// The `Retry-After` of rejections while no configuration is known.
 pub(crate) const CONFIGURATION_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// The state of a gate.
+/// The shared state of a gate.
 pub(crate) struct Gate {
-    /// The settings file, as read last.
+    /// The settings that were loaded last.
     pub settings: RefCell<Settings>,
-    /// The log.
+    /// The logger of this gate.
     pub log: Logger,
-    /// The clock of all its times.
+    /// The monotonic clock to which every [`Micros`] in the gate refers.
     pub clock: Clock,
-    /// The routing decisions.
+    /// The decider, which makes the routing decisions.
     pub decider: RefCell<Decider>,
-    /// The limits that hold over all gates together.
+    /// This gate's share of the limits that all gates share.
     pub limits: RefCell<Limits>,
-    /// The connections to servers.
+    /// The HTTP clients with their connections to servers.
     pub upstream: UpstreamClients,
-    /// Notified when the agent must learn whether this gate is ready.
+    /// Notified when the readiness of this gate may have changed, which the agent must be told.
     pub status_changed: Notify,
-    /// Notified when the table must be built anew by other settings.
+    /// Notified when the settings were reloaded, so that the table must be rebuilt.
     pub settings_changed: Notify,
-    /// The addresses at which the other gates of the region receive this one's load.
+    /// The UDP addresses to which this gate sends its load reports: the other gates of the region.
     pub peers: RefCell<Vec<SocketAddr>>,
     /// When the gate started.
     started_at: Micros,
     /// Whether a configuration is known.
     configured: watch::Sender<bool>,
-    /// When the shutdown began.
+    /// When the shutdown began, if it has.
     shutdown_began_at: Cell<Option<Micros>>,
     /// The servers of the current table that accept requests, by incarnation.
     accepting: RefCell<FxHashMap<Arc<str>, Arc<ServerSpec>>>,
 }
 
 impl Gate {
-    /// A gate without a configuration.
+    /// Creates a gate without a configuration.
     pub(crate) fn new(
         settings: Settings,
         log: Logger,
@@ -87,18 +89,18 @@
         })
     }
 
-    /// Whether the gate accepts new clients.
+    /// Whether the gate is ready for new clients: configured and not shutting down.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_shutting_down() && *self.configured.borrow()
     }
 
-    /// Sets whether a configuration is known; returns what was set before.
+    /// Sets whether a configuration is known; returns the previous value.
     pub(crate) fn set_configured(&self, configured: bool) -> bool {
         self.configured.send_replace(configured)
     }
 
-    /// Waits for the first configuration, but not longer than one usually takes after the start.
-    /// Returns whether one is known.
+    /// Waits for the first configuration, until [`MAX_CONFIGURATION_WAIT`] after the start at the
+    /// latest. Returns whether a configuration is known.
     pub(crate) async fn wait_for_configuration(&self) -> bool {
         let mut configured = self.configured.subscribe();
         let deadline = self
@@ -111,7 +113,8 @@
         )
     }
 
-    /// Replaces the settings. Listeners, descriptors and memory stay as they were at the start.
+    /// Replaces the settings. Listeners, file descriptor limits and memory limits keep the values
+    /// that they had at the start.
     pub(crate) fn replace_settings(&self, settings: Settings) {
         let now = self.clock.now();
         self.limits
@@ -124,7 +127,8 @@
         self.settings_changed.notify_one();
     }
 
-    /// Replaces the table that decisions are based on, and the gates that share the limits.
+    /// Replaces the routing table and the set of gates that share the limits, and drops the
+    /// connection pools of servers that are no longer listed.
     pub(crate) fn install_table(&self, table: Table, gates: GateSet) {
         let now = self.clock.now();
         let accepts_requests =
@@ -147,15 +151,16 @@
         self.status_changed.notify_one();
     }
 
-    /// Lets the decider expect further servers until each has had time for a heartbeat.
+    /// Lets requests for which no server is listed wait for one, until each server has had time to
+    /// send a heartbeat.
     pub(crate) fn begin_server_discovery(&self) {
         let interval = self.settings.borrow().heartbeat_interval_ms as f64 * 1_000.0;
         let until = self.clock.now() + (interval * DISCOVERY_INTERVALS) as Micros;
         self.decider.borrow_mut().allow_discovery_until(until);
     }
 
-    /// The check that is made right before the first byte of an attempt is written, where the
-    /// attempt was decided on at `decided_at`.
+    /// The admission check of an attempt that was decided on at `decided_at`. It is made right
+    /// before the first byte of the attempt is written.
     pub(crate) fn admission(
         self: &Rc<Self>,
         dispatch: &Dispatch,
@@ -179,12 +184,12 @@
         self.accepting.borrow().contains_key(instance)
     }
 
-    /// The server of this incarnation, if it accepts requests.
+    /// The server with this incarnation id, if it accepts requests.
     pub(crate) fn accepting_server(&self, instance: &str) -> Option<Arc<ServerSpec>> {
         self.accepting.borrow().get(instance).cloned()
     }
 
-    /// Begins the shutdown: from now on the gate is not ready.
+    /// Begins the shutdown; the gate is no longer ready.
     pub(crate) fn begin_shutdown(&self) {
         self.shutdown_began_at.set(Some(self.clock.now()));
         self.status_changed.notify_one();
@@ -202,14 +207,14 @@
             .map(|began_at| began_at + self.grace_period_fraction(ABORT_FRACTION))
     }
 
-    /// Whether a request that may take long is still accepted.
+    /// Whether requests of streaming routes, which may take long, are still accepted.
     pub(crate) fn accepts_long_requests(&self) -> bool {
         self.shutdown_began_at.get().is_none_or(|began_at| {
             self.clock.now() < began_at + self.grace_period_fraction(ACCEPT_LONG_FRACTION)
         })
     }
 
-    /// A part of the grace period.
+    /// A fraction of the grace period, in µs.
     fn grace_period_fraction(&self, fraction: f64) -> Micros {
         (self.settings.borrow().timing_bounds.grace_period_s * fraction * 1e6) as Micros
     }
--- a/crates/gate/src/headers.rs
+++ b/crates/gate/src/headers.rs
@@ -1,38 +1,39 @@
-//! The headers that clients, gate and servers exchange: their names, and which of them pass the
-//! gate in either direction.
+//! The HTTP headers of clients and servers: their names, and which of them the gate forwards in
+//! either direction.
 
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 
 /// The id of the request, chosen by the client; responses repeat it.
 pub(crate) const REQUEST_ID: &str = "x-ironmast-request-id";
-/// How long the client waits, in ms.
+/// How long the client waits for the response, in ms.
 pub(crate) const DEADLINE: &str = "x-ironmast-deadline-ms";
 /// The only incarnation of a server that may execute the request.
 pub(crate) const EXPECT_INSTANCE: &str = "x-ironmast-expect-instance";
-/// The only version of the weights that may serve the request.
+/// The only version of the model weights that may serve the request.
 pub(crate) const EXPECT_VERSION: &str = "expect-version";
-/// The priority of the request at the server.
+/// The priority of the request in the server's queue.
 pub(crate) const PRIORITY: &str = "priority";
 /// The id of the event after which a stream resumes.
 pub(crate) const LAST_EVENT_ID: &str = "last-event-id";
 /// The name of the model that the request needs.
 pub(crate) const MODEL: &str = "x-ironmast-model";
-/// The expected number of input and output tokens.
+/// The expected numbers of input and output tokens, `INPUT,OUTPUT`.
 pub(crate) const TOKEN_USAGE: &str = "x-ironmast-token-usage";
-/// The parts of the prompt, for prefix caching.
+/// The parts of the prompt for prefix caching, a comma-separated list of `ID:TOKENS`.
 pub(crate) const PROMPT_PREFIX: &str = "x-ironmast-prompt-prefix";
 /// The signature of the server that made the response.
 pub(crate) const SERVER_SIGNATURE: &str = "x-ironmast-server-signature";
-/// The server has not executed the request and never will.
+/// Present if the server has not executed the request and never will.
 pub(crate) const NOT_EXECUTED: &str = "x-ironmast-not-executed";
-/// The incarnation of the server that responds.
+/// The incarnation id of the server that responds.
 pub(crate) const INSTANCE_ID: &str = "x-ironmast-instance-id";
-/// The numbers of requests running and waiting, and of slots.
+/// The numbers of running and waiting requests and of slots at the server,
+/// `RUNNING,WAITING,SLOTS`.
 pub(crate) const SERVER_LOAD: &str = "x-ironmast-server-load";
-/// How much longer the server is warming up, in ms.
+/// The remaining warm-up time of the server, in ms.
 pub(crate) const WARMUP: &str = "x-ironmast-warmup-ms";
 
-/// Headers that concern a single connection or the framing on it (RFC 9110, section 7.6.1).
+/// Headers that apply to a single connection or its message framing (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "content-length",
@@ -46,10 +47,10 @@
     "transfer-encoding",
     "upgrade",
 ];
-/// Headers that each attempt sets itself.
+/// Request headers that are set for each attempt and not copied from the client.
 const SET_BY_ATTEMPT: [&str; 4] = [DEADLINE, EXPECT_INSTANCE, PRIORITY, LAST_EVENT_ID];
 
-/// The value of a header, if it is text.
+/// The value of a header without surrounding white space, if it is visible ASCII text.
 pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers
         .get(name)
@@ -57,17 +58,17 @@
         .map(str::trim)
 }
 
-/// The headers of a request that every attempt at it repeats.
+/// The headers of a client's request that every attempt sends.
 pub(crate) fn forwarded_headers(headers: &HeaderMap) -> Vec<(HeaderName, HeaderValue)> {
     end_to_end(headers, &SET_BY_ATTEMPT)
 }
 
-/// The headers of a server's response that the client gets.
+/// The headers of a server's response that are forwarded to the client.
 pub(crate) fn returned_headers(headers: &HeaderMap) -> Vec<(HeaderName, HeaderValue)> {
     end_to_end(headers, &[])
 }
 
-/// The headers that are neither of the connection nor among `removed`.
+/// The headers that are neither hop-by-hop headers nor among `removed`.
 fn end_to_end(headers: &HeaderMap, removed: &[&str]) -> Vec<(HeaderName, HeaderValue)> {
     let named = named_by_connection(headers);
     let is_end_to_end = |name: &str| {
--- a/crates/gate/src/health.rs
+++ b/crates/gate/src/health.rs
@@ -1,5 +1,5 @@
-//! Health checks of servers: of those that are ejected and that no request tries, and of those that
-//! may have to warm up again.
+//! Health checks of servers: those that the decider reports as due, such as ejected servers that no
+//! request has tried since, and those that may have to warm up again.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,21 +15,21 @@
 use crate::gate::Gate;
 use crate::headers;
 
-/// The time between two searches for servers that are due for a check.
+/// The interval between two collections of the checks that are due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// The time-out of a check.
+/// The timeout of a check, and of reading the body of its response.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
-/// The limits are swept once in this many rounds.
+/// The state of the limits is swept every this many check intervals.
 const SWEEP_ROUNDS: u32 = 25;
 
 /// The result of a health check.
 struct HealthCheckResult {
     outcome: HealthCheckOutcome,
-    /// How much longer a healthy server is warming up, in ms.
+    /// The remaining warm-up time in ms, if the server is healthy.
     warmup_remaining_ms: Option<f64>,
 }
 
-/// Checks servers for as long as the gate runs.
+/// Sends the due health checks for as long as the gate runs, and sweeps the limits.
 pub(crate) async fn run(gate: Rc<Gate>) {
     let checks = Tasks::new(&gate.log);
     let mut due = Vec::new();
@@ -62,7 +62,8 @@
         .health_check_finished(now, check.server, result.outcome);
 }
 
-/// Checks a server to learn how much longer it is warming up, if its service limits that.
+/// Queries the remaining warm-up time of a server by a health check, if its service limits requests
+/// during warm-up.
 fn query_warmup(gate: &Rc<Gate>, instance: Arc<str>, checks: &Tasks) {
     let Some(server) = gate.accepting_server(&instance) else {
         return;
@@ -117,7 +118,8 @@
         .client(address)
         .get(format!("http://{address}{path}"))
         .no_decompress();
-    // As for an attempt: the close of an idle connection is noticed first.
+    // As for an attempt: yields once, so that a connection that the server has already closed is
+    // noticed before the request is written.
     tokio::task::yield_now().await;
     let sent = tokio::time::timeout(CHECK_TIMEOUT, state.scope(request.send())).await;
     let Ok(Ok(mut response)) = sent else {
@@ -128,7 +130,7 @@
     };
     let outcome = outcome_of(response.status(), response.headers(), instance);
     let warmup_remaining_ms = warmup_remaining_ms(response.headers());
-    // The body is read to its end, so that the connection can be reused; if that fails, it is closed.
+    // The connection can be reused only if the body is read to its end; otherwise it is closed.
     let _ = tokio::time::timeout(CHECK_TIMEOUT, response.body()).await;
     HealthCheckResult {
         outcome,
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -1,19 +1,26 @@
-//! The gate: accepts clients' requests and forwards each to a server of its route's service.
+//! The gate, a layer-7 reverse proxy: accepts HTTP requests of clients, and forwards each to a
+//! server of the service that its route names. Routes, servers and other gates are learned from the
+//! agent on the same host; while the agent is unavailable, the gate keeps serving with what it
+//! received last.
 //!
-//! What the gate knows of routes, servers and other gates comes from the agent beside it; it keeps
-//! serving with the last of that while the agent is away.
+//! A request enters through [`frontend`], which finds its route. [`exchange`] then makes the
+//! attempts that `ironmast-routing` decides on, and returns the response. The routing table behind
+//! these decisions is rebuilt by [`feed`] when the agent sends changes.
 //!
-//! | Module | Job |
+//! | Module | Contents |
 //! |---|---|
-//! | [`frontend`], [`readiness`] | clients and the platform's checks |
-//! | [`exchange`] | one request: attempts as `ironmast-routing` decides, and the response |
-//! | [`attempt`], [`upstream`] | one attempt at a server, and the connections to servers |
-//! | [`request`], [`response`], [`headers`], [`sse`] | the messages that pass through |
-//! | [`feed`], [`entry_store`], [`table_spec`] | the agent's entries and the table made of them |
-//! | [`health`], [`peers`], [`limits`] | health checks, other gates' load, limits of the fleet |
+//! | [`mod@serve`] | startup, the listeners and background tasks, reload of the settings |
+//! | [`frontend`], [`readiness`] | listeners for clients and for the platform's readiness checks |
+//! | [`exchange`] | one request: its attempts and its response |
+//! | [`attempt`], [`upstream`] | one attempt at a server, and the connection pools to servers |
+//! | [`request`], [`response`], [`headers`], [`sse`] | the HTTP messages that are forwarded |
+//! | [`feed`], [`entry_store`], [`table_spec`] | the agent's entries and the table built from them |
+//! | [`health`] | health checks of servers that are ejected or may be warming up |
+//! | [`peers`] | load reports exchanged with the other gates of the region |
+//! | [`limits`], [`client_limits`] | limits shared by all gates, and limits on client connections |
 //! | [`gate`], [`drain`] | the shared state, and the graceful shutdown |
 //!
-//! Everything runs on one thread.
+//! A gate runs on a single thread.
 #![forbid(unsafe_code)]
 
 mod attempt;
--- a/crates/gate/src/limits.rs
+++ b/crates/gate/src/limits.rs
@@ -1,9 +1,10 @@
-//! The limits that hold over all gates together, of which this gate uses its share: how many
-//! requests servers get while they are warming up, and how many retries a service gets.
+//! This gate's share of the limits that hold for all gates together: requests to servers that are
+//! warming up, and retries per service.
 //!
-//! A server that warms up is slow, and all gates together would overload it if each knew only its
-//! own requests; retries of all gates together would amplify an outage. `ironmast-limits` holds
-//! the arithmetic, this module the state of one gate and the answers to the routing decisions.
+//! A server that is warming up is slow, and the gates would overload it if each counted only its
+//! own requests. Retries of all gates together would amplify an outage. `ironmast-limits` computes
+//! the shares; this module keeps the state of one gate and implements the permits and the retry
+//! budget that the routing decisions ask for.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,50 +16,51 @@
 use ironmast_schema::settings::TimingBounds;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// How long a permit is valid. A request that is written later needs another one.
+/// How long a permit is valid. A request that is written later needs a new permit.
 const PERMIT_LIFETIME: Micros = 40_000;
-/// The retry delay where none is known.
+/// The retry delay if the warm-up limiter gives none.
 const DEFAULT_RETRY_DELAY: Micros = 1_000_000;
-/// The longest time that a heartbeat takes to reach a gate.
+/// The longest time that a heartbeat takes from its server to a gate.
 const MAX_HEARTBEAT_DELAY: Duration = Duration::from_secs(1);
 
-/// The longest time until the other gates know of one that has started, and use smaller shares. It
-/// uses none of the retry budget's burst until they have done so for a window.
+/// The longest time until the other gates know of a gate that has started, and use smaller shares.
+/// A new gate uses none of the retry budget's burst until they have done so for a whole window.
 const MAX_GATE_DISCOVERY_DELAY: Duration = Duration::from_secs(2);
 
 /// This gate's share of the warm-up limits and the retry budgets.
 pub(crate) struct Limits {
     /// The factor by which all gates together may exceed a warm-up limit.
     overshoot: f64,
-    /// The number of requests by which they may exceed it in addition.
+    /// The number of requests by which all gates together may exceed it in addition.
     tolerance: f64,
     /// The services of the current table.
     services: Vec<ServiceSpec>,
     /// The gates that share the warm-up limits.
     gates: GateSet,
-    /// The number of gates that the limits are divided by; it never falls, because gates that are no
-    /// longer known may still send.
+    /// The number of gates that the limits are divided by. It never decreases, because gates that
+    /// are no longer known may still send.
     divisor: u32,
+    /// When the gate started.
     started: Duration,
     /// The warm-up limit of each service that has one.
     warmup: FxHashMap<Arc<str>, WarmupLimit>,
-    /// What is known of each server's warm-up.
+    /// The warm-up reports of each incarnation.
     tracker: WarmupTracker<Arc<str>>,
-    /// The incarnations whose warm-up must be queried, because earlier reports are void.
+    /// The incarnations whose warm-up must be queried, because earlier reports are invalid.
     invalidated: FxHashSet<Arc<str>>,
     retry: ironmast_limits::RetryBudget<Arc<str>>,
 }
 
 /// The warm-up limit of a service's servers.
 struct WarmupLimit {
-    /// What one server may get from all gates together in a second.
+    /// The requests per second that one server may get from all gates together.
     bound: u32,
-    /// What this gate has sent to each server.
+    /// Counts the requests that this gate has sent to each server.
     limiter: SlowStartLimiter<Arc<str>>,
 }
 
 impl Limits {
-    /// The limits of a gate that starts now.
+    /// Creates the limits of a gate that starts now.
     pub(crate) fn new(bounds: &TimingBounds, now: Micros) -> Self {
         let started = to_duration(now);
         let gates = GateSet::default();
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Replaces the bounds by those of settings that were read again. What was sent counts on.
+    /// Replaces the bounds after a reload of the settings. Requests already sent still count.
     pub(crate) fn set_bounds(&mut self, now: Micros, bounds: &TimingBounds) {
         self.overshoot = bounds.warmup_overshoot;
         self.tolerance = bounds.warmup_tolerance;
@@ -92,7 +94,7 @@
     }
 
     /// Sets the current services and the gates that share the limits. Gates that are no longer
-    /// known count as well, because they may still send.
+    /// known still count, because they may still send.
     pub(crate) fn update(&mut self, gates: GateSet, services: &[ServiceSpec]) {
         self.divisor = gates.divisor().max(self.divisor);
         self.retry.set_even_share(self.divisor);
@@ -101,7 +103,8 @@
         self.update_warmup_bounds();
     }
 
-    /// Sets the warm-up limits of the current services; what was sent to their servers counts on.
+    /// Sets the warm-up limits of the current services. Requests already sent to their servers
+    /// still count.
     fn update_warmup_bounds(&mut self) {
         let mut limits = std::mem::take(&mut self.warmup);
         for service in &self.services {
@@ -118,18 +121,19 @@
         }
     }
 
-    /// Whether servers of a service are limited while they are warming up.
+    /// Whether a service limits the requests to its servers that are warming up.
     pub(crate) fn is_limited(&self, service: &str) -> bool {
         self.warmup.contains_key(service)
     }
 
-    /// Records what a server's heartbeat says: how much longer it is warming up, in ms.
+    /// Records the remaining warm-up time of a server, in ms, as its heartbeat reported it.
     pub(crate) fn record_heartbeat(&mut self, now: Micros, instance: &Arc<str>, remaining_ms: f64) {
         let made_at = to_duration(now).saturating_sub(MAX_HEARTBEAT_DELAY);
         self.record_report(now, instance, made_at, remaining_ms);
     }
 
-    /// Records the same of a health check that was sent at `sent_at`.
+    /// Records the remaining warm-up time of a server, in ms, as the response to a health check
+    /// reported it that was sent at `sent_at`.
     pub(crate) fn record_health_check(
         &mut self,
         now: Micros,
@@ -157,18 +161,19 @@
         );
     }
 
-    /// Makes all reports up to now void: the server may have to warm up again.
+    /// Invalidates all warm-up reports up to now, because the server may have to warm up again.
     pub(crate) fn invalidate_warmup(&mut self, now: Micros, instance: &Arc<str>) {
         self.tracker.reset(to_duration(now), instance);
         self.invalidated.insert(instance.clone());
     }
 
-    /// Takes the servers whose warm-up must be queried.
+    /// Returns the incarnations whose warm-up must be queried, and clears the list.
     pub(crate) fn take_invalidated(&mut self) -> Vec<Arc<str>> {
         self.invalidated.drain().collect()
     }
 
-    /// Whether a server is limited because it is warming up, as far as is known.
+    /// Whether a server is limited because it is warming up; a server without a valid report
+    /// counts as warming up.
     pub(crate) fn is_warming_up(&self, now: Micros, server: &ServerSpec) -> bool {
         self.is_limited(&server.service)
             && self
@@ -176,7 +181,7 @@
                 .is_warming_up(to_duration(now), &server.instance)
     }
 
-    /// Drops state that is no longer of use, and that of servers for which `is_known` is false.
+    /// Drops expired counts, and the state of servers for which `is_known` is false.
     pub(crate) fn sweep(&mut self, now: Micros, is_known: impl Fn(&str) -> bool) {
         let now = to_duration(now);
         for limit in self.warmup.values_mut() {
@@ -187,8 +192,8 @@
         self.invalidated.retain(|instance| is_known(instance));
     }
 
-    /// Whether a request that got its permit at `permitted_at` may still be written. One that
-    /// waited for its connection counts towards another second by now and needs another permit.
+    /// Whether a request that got its permit at `permitted_at` may still be written. A request that
+    /// waited for its connection may count towards another second by now and needs a new permit.
     pub(crate) fn may_write(
         &mut self,
         now: Micros,
@@ -208,7 +213,7 @@
         };
         let now = to_duration(now);
         if !is_warming_up {
-            // It may turn out to be warming up: the requests that it gets until then count.
+            // A later report may say that the server is warming up: requests sent until then count.
             limiter.record(now, &server.instance);
             return Ok(());
         }
--- a/crates/gate/src/limits/tests.rs
+++ b/crates/gate/src/limits/tests.rs
@@ -99,7 +99,7 @@
     limits.record_heartbeat(now, &"i".into(), 0.0);
     assert_eq!(count_permits(&mut limits, now, &server("i", "cold")), 100);
     limits.invalidate_warmup(now, &"i".into());
-    // The requests that it got while it was considered warm count.
+    // Requests that were sent while the server was considered warm count.
     assert_eq!(count_permits(&mut limits, now, &server("i", "cold")), 0);
     assert_eq!(limits.take_invalidated(), ["i".into()]);
     limits.record_health_check(now + SECOND, now + SECOND / 2, &"i".into(), 0.0);
@@ -115,7 +115,7 @@
     let now = START + 2 * SECOND;
     limits.record_heartbeat(now, &"i".into(), 0.0);
     limits.invalidate_warmup(now + 10, &"i".into());
-    // Received after the invalidation, but it may have been in flight for a second.
+    // Received after the invalidation, but may have been sent up to a second earlier.
     limits.record_heartbeat(now + SECOND / 2, &"i".into(), 0.0);
     assert!(limits.is_warming_up(now + SECOND, &server("i", "cold")));
     limits.record_heartbeat(now + 2 * SECOND, &"i".into(), 0.0);
@@ -145,7 +145,7 @@
     assert_eq!(retries, 5);
 }
 
-/// Retries that the service `plain` gets at once, of at most 100.
+/// The number of retries that the budget of the service `plain` permits at once, of at most 100.
 fn count_retries(limits: &mut Limits, now: Micros) -> usize {
     withdraw_at_most(100, limits, now)
 }
--- a/crates/gate/src/peers.rs
+++ b/crates/gate/src/peers.rs
@@ -1,9 +1,10 @@
-//! What the gates of a region send each other in datagrams: the prompts that each has in flight and
-//! that wait for prefill, and the servers that seem unhealthy to it.
+//! Load reports that the gates of a region send each other in UDP datagrams: the prompt tokens that
+//! each gate has in flight and that wait for prefill, and the servers that it suspects to be
+//! unhealthy.
 //!
-//! A datagram holds the complete state, so the next one makes up for one that was lost. In a larger
-//! region each gate sends less often, so that what a gate receives in a second does not grow with
-//! the region.
+//! Each datagram holds a complete report, so a lost datagram is made up for by the next one. In a
+//! larger region each gate sends less often, so that the number of datagrams that a gate receives
+//! per second does not grow with the region.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -18,31 +19,33 @@
 
 use crate::gate::Gate;
 
-/// The version of the datagrams.
+/// The version of the datagram format; datagrams of other versions are ignored.
 const VERSION: u8 = 2;
-/// The shortest time between two datagrams. It holds for up to [`PEERS_AT_FULL_RATE`] peers and
-/// grows in proportion for more.
+/// The shortest time between two datagrams, which applies to up to [`PEERS_AT_FULL_RATE`] peers.
+/// With more peers the interval grows in proportion to their number, up to [`REFRESH_INTERVAL`].
 const MIN_SEND_INTERVAL: Duration = Duration::from_millis(50);
 /// The largest number of peers to which a gate sends at the full rate.
 const PEERS_AT_FULL_RATE: usize = 16;
-/// A state that has not changed is sent again after this time: peers forget it after half a second.
+/// An unchanged report is sent again after this time, because peers discard it after half a second.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 /// The largest number of servers in each list of a datagram.
 const MAX_SERVERS: usize = 64;
 /// The longest datagram that is read, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// The contents of a datagram.
+/// A load report as it is encoded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Datagram {
+    /// The version of the format, see [`VERSION`].
     version: u8,
-    /// Hashes of servers, and the tokens that wait for prefill at each.
+    /// Hashes of servers, and the prompt tokens that wait for prefill at each.
     unread: Vec<(u64, u64)>,
-    /// Hashes of servers that seem unhealthy.
+    /// Hashes of servers that are suspected to be unhealthy.
     suspect: Vec<u64>,
 }
 
-/// Sends and receives for as long as the gate runs. A gate that can't bind its port serves without.
+/// Exchanges load reports for as long as the gate runs. A gate that can't bind its port serves
+/// without them.
 pub(crate) async fn run(gate: Rc<Gate>) {
     let address = {
         let settings = gate.settings.borrow();
@@ -93,7 +96,7 @@
         };
         let datagram = encode(&report);
         for peer in peers {
-            // A datagram that is lost is made up for by the next one.
+            // A datagram that is not sent is made up for by the next one.
             let _ = socket.try_send_to(&datagram, peer);
         }
         last_sent = report;
@@ -101,7 +104,7 @@
     }
 }
 
-/// This gate's state, if it has changed enough or must be refreshed.
+/// This gate's report, if it differs significantly from the last one or must be refreshed.
 fn report_to_send(
     gate: &Gate,
     last_sent: &PeerReport,
@@ -115,7 +118,7 @@
     is_due.then_some(report)
 }
 
-/// The time between two datagrams.
+/// The time between two datagrams of a gate with this many peers.
 fn send_interval(peers: usize) -> Duration {
     let factor = peers as f64 / PEERS_AT_FULL_RATE as f64;
     MIN_SEND_INTERVAL
@@ -138,7 +141,7 @@
     postcard::to_stdvec(&datagram).unwrap_or_default()
 }
 
-/// The state in a datagram, or `None` if it is not a valid one of this version.
+/// Decodes a datagram; `None` if it is invalid or of another version.
 fn decode(bytes: &[u8]) -> Option<PeerReport> {
     let datagram: Datagram = postcard::from_bytes(bytes).ok()?;
     let is_valid = datagram.version == VERSION
@@ -154,7 +157,7 @@
     })
 }
 
-/// A number for a peer, the same for all its datagrams.
+/// The id of a peer for the decider, derived from its IP address.
 fn peer_number(ip: IpAddr) -> u64 {
     match ip {
         IpAddr::V4(ip) => u64::from(ip.to_bits()),
--- a/crates/gate/src/readiness.rs
+++ b/crates/gate/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The platform's readiness checks.
+//! The readiness endpoint for the platform, `/api/readyz`.
 
 use std::rc::Rc;
 
@@ -9,13 +9,13 @@
 
 use crate::gate::Gate;
 
-/// Answers readiness checks.
+/// Responds to readiness checks: 200 if the gate is ready, 503 if not.
 pub(crate) struct ReadinessService {
     gate: Rc<Gate>,
 }
 
 impl ReadinessService {
-    /// The checks of this gate.
+    /// Creates the readiness service of a gate.
     pub(crate) fn new(gate: Rc<Gate>) -> Self {
         ReadinessService { gate }
     }
--- a/crates/gate/src/request.rs
+++ b/crates/gate/src/request.rs
@@ -1,5 +1,5 @@
-//! A client's request: what of it is forwarded to servers, and the hints in its head that the
-//! routing decisions use.
+//! A client's request: the parts that are forwarded to servers, and the hints in its headers that
+//! the routing decisions use.
 
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use actix_http::{HttpMessage as _, Method, Request};
@@ -8,28 +8,27 @@
 
 use crate::headers;
 
-/// The longest deadline that a client may ask for, in ms; longer ones are shortened to it.
+/// The longest deadline that a client may set, in ms (one day); longer ones are reduced to it.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
 
-/// A client's request as servers get it.
+/// A client's request as it is forwarded to servers.
 #[derive(Debug)]
 pub(crate) struct ForwardedRequest {
-    /// The method.
     pub method: Method,
-    /// Path and query.
+    /// The request target: path and query.
     pub target: String,
-    /// The headers, without those of the connection and those that each attempt sets.
+    /// The end-to-end headers, without those that each attempt sets.
     pub headers: Vec<(HeaderName, HeaderValue)>,
     /// The request id, which responses must repeat.
     pub id: Option<Vec<u8>>,
-    /// Whether the client accepts one version of the weights only.
+    /// Whether the client accepts only one version of the model weights.
     pub expects_version: bool,
     /// The complete body.
     pub body: Bytes,
 }
 
 impl ForwardedRequest {
-    /// The request with this body.
+    /// Builds the forwarded request from the head of a client's request and its complete body.
     pub(crate) fn new(request: &Request, body: Bytes) -> Self {
         let headers = request.headers();
         ForwardedRequest {
@@ -52,20 +51,20 @@
 /// The tokens that a request is expected to use.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct TokenUsage {
-    /// Tokens of the prompt.
+    /// The number of tokens of the prompt.
     pub input: u64,
-    /// Tokens of the response at most.
+    /// The largest number of tokens of the response.
     pub output: u64,
 }
 
-/// What the head of a request tells the routing decisions.
+/// The inputs to the routing decisions that a client sends in its headers.
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct RequestHints {
-    /// How long the client waits.
+    /// How long the client waits for the response, in µs from the start of the request.
     pub deadline: Option<Micros>,
     /// The name of the model, or the empty string.
     pub model: Box<str>,
-    /// The parts of the prompt.
+    /// The parts of the prompt, by which servers cache prefixes.
     pub parts: Vec<PromptPart>,
     /// The expected token usage.
     pub tokens: TokenUsage,
@@ -74,7 +73,7 @@
 }
 
 impl RequestHints {
-    /// Reads the headers. One that can't be parsed counts as missing.
+    /// Parses the headers. A header that can't be parsed counts as missing.
     pub(crate) fn read(headers: &HeaderMap) -> Self {
         let text = |name: &str| headers::text(headers, name);
         let number = |name: &str| text(name).and_then(|value| value.parse::<u64>().ok());
@@ -92,8 +91,8 @@
     }
 }
 
-/// Parses the parts of a prompt: `ID:TOKENS` separated by commas, the id in hex. Returns no parts
-/// at all if one of them can't be parsed.
+/// Parses the parts of a prompt: a comma-separated list of `ID:TOKENS`, the id in hexadecimal.
+/// Returns no parts if any of them is invalid.
 fn parse_prompt_parts(value: &str) -> Vec<PromptPart> {
     let parse_part = |part: &str| {
         let (id, tokens) = part.trim().split_once(':')?;
@@ -109,7 +108,7 @@
         .unwrap_or_default()
 }
 
-/// Parses `INPUT,OUTPUT`.
+/// Parses the value of the token usage header, `INPUT,OUTPUT`.
 fn parse_token_usage(value: &str) -> Option<TokenUsage> {
     let (input, output) = value.split_once(',')?;
     Some(TokenUsage {
--- a/crates/gate/src/response.rs
+++ b/crates/gate/src/response.rs
@@ -1,6 +1,7 @@
-//! Responses to clients: the gate's own, a server's complete one, and a server's that is streamed.
+//! Responses to clients: the gate's own, a server's buffered response, and a server's streamed
+//! response.
 //!
-//! A streamed body must look complete to its client only if the server's body was complete. So
+//! A streamed body must appear complete to the client only if the server's body was complete. So
 //! [`BodySender::finish`] marks the end, and dropping the sender without it aborts the response.
 
 use std::io;
@@ -15,30 +16,30 @@
 use ironmast_transport::connection::ActiveRequest;
 use tokio::sync::mpsc;
 
-/// Chunks of a body that are queued for a slow client before the server is read no further.
+/// The number of chunks that are queued for a slow client before reading from the server pauses.
 const MAX_QUEUED_CHUNKS: usize = 32;
 
-/// The response that a client gets.
+/// A response to a client.
 #[derive(Debug)]
 pub(crate) enum DownstreamResponse {
-    /// The gate's own: the request was not executed and never will be.
+    /// The gate's rejection: the request was not executed and never will be.
     Rejected(Rejection),
-    /// The gate's own: the request failed and may have been executed.
+    /// The gate's error response: the request failed and may have been executed.
     Failed(StatusCode),
-    /// A server's, complete.
+    /// A server's response, complete.
     Complete {
         /// Status and headers.
         head: ResponseHead,
         /// The complete body.
         body: Bytes,
     },
-    /// A server's, passed on as it arrives.
+    /// A server's response, forwarded as it arrives.
     Streaming {
         /// Status and headers.
         head: ResponseHead,
         /// The length of the body in bytes, if the server announced it.
         length: Option<u64>,
-        /// Where the body comes from.
+        /// The receiver of the chunks of the body.
         body: BodyReceiver,
     },
 }
@@ -46,9 +47,8 @@
 /// The head of a server's response.
 #[derive(Debug, Clone)]
 pub(crate) struct ResponseHead {
-    /// The status.
     pub status: StatusCode,
-    /// The headers for the client.
+    /// The headers that are forwarded to the client.
     pub headers: Vec<(HeaderName, HeaderValue)>,
 }
 
@@ -59,8 +59,8 @@
     End,
 }
 
-/// The receiving half of a streamed body, which looks complete only if [`BodySender::finish`] was
-/// called.
+/// The receiving half of a streamed body. The body appears complete only if
+/// [`BodySender::finish`] was called.
 #[derive(Debug)]
 pub(crate) struct BodyReceiver(mpsc::Receiver<BodyItem>);
 
@@ -80,7 +80,7 @@
 }
 
 impl BodySender {
-    /// Sends a chunk of the body; waits while the queue is full.
+    /// Sends a chunk of the body, and waits while the queue is full.
     ///
     /// # Errors
     /// The client has disconnected.
@@ -111,8 +111,8 @@
             Some(BodyItem::Chunk(bytes)) => Some((Ok(bytes), Some(receiver))),
             Some(BodyItem::End) => None,
             None => {
-                // The chunks sent before must be written first: an error closes the connection
-                // with whatever has been written so far.
+                // An error closes the connection at once, so the chunks before it must be written
+                // first.
                 tokio::task::yield_now().await;
                 Some((Err(io::ErrorKind::ConnectionAborted.into()), None))
             }
@@ -120,7 +120,8 @@
     })
 }
 
-/// The same stream, which keeps the connection marked as busy through `active` until it ends.
+/// The chunks of a body as for [`body_stream`]. The stream holds `active`, so that the connection
+/// counts as busy until the stream is dropped.
 fn tracked_body_stream(
     body: BodyReceiver,
     active: ActiveRequest,
@@ -129,8 +130,8 @@
 }
 
 impl DownstreamResponse {
-    /// Converts into the HTTP response; `active` keeps the connection marked as busy until the
-    /// response has been written.
+    /// Converts to an HTTP response. A streamed body holds `active`, so that the connection counts
+    /// as busy until the body has been written.
     pub(crate) fn into_http(self, active: ActiveRequest) -> Response<BoxBody> {
         match self {
             Self::Rejected(reason) => {
@@ -150,7 +151,8 @@
     }
 }
 
-/// A rejection of a request that was not executed; `retry_after` is the `Retry-After` header, in s.
+/// Builds the rejection of a request that was not executed; `retry_after` is the value of the
+/// `Retry-After` header, in s.
 pub(crate) fn rejection(status: u16, retry_after: &str) -> Response<BoxBody> {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut response = Response::new(status);
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a gate, serves until it must terminate, and shuts it down.
+//! The lifecycle of a gate: startup, reload of the settings, and graceful shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,15 +25,16 @@
 use crate::upstream::UpstreamClients;
 use crate::{drain, feed, health, peers};
 
-/// Descriptors that are not connections: files, the poller, listeners, the link to the agent.
+/// File descriptors reserved for other uses than client and server connections: files, the poller,
+/// listeners, the link to the agent.
 const RESERVED_DESCRIPTORS: usize = 240;
-/// The largest number of connections of the platform's checks.
+/// The largest number of connections to the readiness listener.
 const MAX_READINESS_CONNECTIONS: usize = 16;
 
-/// Runs a gate until SIGTERM.
+/// Runs a gate on the current thread until SIGTERM, and shuts it down gracefully.
 ///
 /// # Errors
-/// What prevents the gate from starting.
+/// As for [`serve()`], or the handler for SIGTERM can't be installed.
 pub fn run(settings: Settings, log: Logger) -> Result<()> {
     actix_rt::System::new().block_on(async {
         let mut terminate = signal(SignalKind::terminate()).wrap_err("waiting for SIGTERM")?;
@@ -41,11 +42,12 @@
     })
 }
 
-/// Serves until `terminate` is done, and then for as long as a request in progress needs or the
-/// grace period lasts.
+/// Serves until `terminate` completes, and then shuts down gracefully: requests in progress may
+/// finish until shortly before the end of the grace period. SIGHUP reloads the settings.
 ///
 /// # Errors
-/// What prevents the gate from starting, or an essential task that has failed.
+/// The settings name no frontend, an address can't be bound, another step of the startup fails, or
+/// an essential background task has failed.
 pub async fn serve(
     settings: Settings,
     log: Logger,
@@ -62,7 +64,7 @@
         DescriptorBudget::split(settings.limits.max_fds, RESERVED_DESCRIPTORS);
     let gate = new_gate(settings, log, upstream_budget)?;
 
-    // The listeners accept connections for as long as this sender lives.
+    // The listeners accept connections until this sender is dropped.
     let (_serving, is_serving) = watch::channel(true);
     let service = Rc::new(Frontend::new(Rc::clone(&gate), memory_mb));
     let tasks = Tasks::new(&gate.log);
@@ -99,13 +101,13 @@
         ironmast_routing::Settings::new(&settings.region, &settings.zone),
         random_seed(),
     )
-    .wrap_err("setting up the decisions")?;
+    .wrap_err("creating the routing decider")?;
     let limits = Limits::new(&settings.timing_bounds, clock.now());
     let upstream = UpstreamClients::new(upstream_budget);
     Ok(Gate::new(settings, log, clock, decider, limits, upstream))
 }
 
-/// Binds an address and accepts connections there in the background.
+/// Binds an address and accepts connections on it in a background task.
 fn listen<S: Service + 'static>(
     gate: &Gate,
     address: SocketAddr,
@@ -129,7 +131,7 @@
     Ok(listener)
 }
 
-/// Starts the tasks that run for as long as the gate does.
+/// Starts the background tasks, which run until the gate stops.
 fn spawn_background_tasks(
     gate: &Rc<Gate>,
     frontend: SocketAddr,
@@ -143,7 +145,7 @@
     tasks.spawn_essential("load reports", peers::run(Rc::clone(gate)));
 }
 
-/// Reloads the settings at each SIGHUP until `terminate` is done.
+/// Reloads the settings at each SIGHUP until `terminate` completes.
 async fn reload_until(terminate: impl Future<Output = ()>, mut reload: Signal, gate: &Gate) {
     tokio::pin!(terminate);
     loop {
@@ -154,7 +156,8 @@
     }
 }
 
-/// Reads the settings file again; an invalid one changes nothing.
+/// Reloads the settings file. If it is invalid, the current settings are kept and a warning is
+/// logged.
 fn reload_settings(gate: &Gate) {
     match Settings::from_environment() {
         Ok(settings) => {
@@ -167,7 +170,8 @@
     }
 }
 
-/// A seed for the decider's random choices: gates that start together must not choose alike.
+/// A seed for the decider's random choices, from the time and the process id: gates that start
+/// together must not make the same choices.
 fn random_seed() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/gate/src/sse.rs
+++ b/crates/gate/src/sse.rs
@@ -1,8 +1,8 @@
 //! Splits a server's `text/event-stream` into complete server-sent events, without I/O.
 //!
 //! A client must never receive part of an event, because it can't tell a truncated event from a
-//! complete one, and after a retry it must receive neither a duplicate nor a gap. So an event
-//! leaves the framer only with its terminating empty line, and ids must rise one by one.
+//! complete one, and after a retry it must receive neither a duplicate nor a gap. So the framer
+//! returns an event only with its terminating empty line, and ids must be consecutive.
 //!
 //! The format is that of the HTML standard, section "Server-sent events", with numbers as ids.
 
@@ -13,22 +13,22 @@
 /// The longest event, in bytes.
 pub(crate) const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Why a stream is not relayed any further.
+/// Why an event stream is invalid and not relayed any further.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum EventError {
     /// An id is not a number.
-    #[error("an event's id is no number")]
+    #[error("the id of an event is not a number")]
     InvalidId,
-    /// An id does not follow the one before it.
-    #[error("event {got} follows event {last}")]
+    /// An id does not directly follow the previous one.
+    #[error("event id {got} does not directly follow event id {last}")]
     OutOfSequence {
-        /// The id of the event before.
+        /// The id of the previous event.
         last: u64,
-        /// The id of this event.
+        /// The id that was received.
         got: u64,
     },
     /// An event does not end within [`MAX_EVENT_BYTES`].
-    #[error("an event does not end")]
+    #[error("an event is longer than {} bytes", MAX_EVENT_BYTES)]
     TooLong,
 }
 
@@ -44,20 +44,20 @@
 /// The result of [`EventFramer::push`].
 #[derive(Debug)]
 pub(crate) struct Framed {
-    /// The events that are complete now, also where a later event is invalid.
+    /// The events that were completed, even if a later event is invalid.
     pub complete: Option<CompleteEvents>,
     /// Whether the stream is valid so far.
     pub validity: Result<(), EventError>,
 }
 
-/// Takes the bytes of one stream and returns complete events.
+/// Splits the bytes of one stream into complete events.
 #[derive(Debug, Default)]
 pub(crate) struct EventFramer {
     /// The bytes of the incomplete event.
     pending: BytesMut,
-    /// Where the current line begins in `pending`.
+    /// The offset in `pending` at which the current line starts.
     line_start: usize,
-    /// How much of `pending` has been searched for the end of a line.
+    /// The number of bytes of `pending` that were searched for the end of a line.
     scanned: usize,
     /// The id of the incomplete event.
     pending_id: Option<u64>,
@@ -66,7 +66,7 @@
 }
 
 impl EventFramer {
-    /// A stream whose next event follows the event `last_id`, where that is known.
+    /// Creates a framer for a stream whose first id must directly follow `last_id`, if that is set.
     pub(crate) fn resuming_after(last_id: Option<u64>) -> Self {
         EventFramer {
             last_id,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes the next bytes of the stream and returns the events that they complete.
+    /// Appends the next bytes of the stream and returns the events that they complete.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Framed {
         self.pending.extend_from_slice(bytes);
         let mut complete_len = 0;
@@ -89,13 +89,13 @@
         Framed { complete, validity }
     }
 
-    /// Whether the stream stands between two events.
+    /// Whether the stream is between two events, so that it may end here.
     pub(crate) fn is_at_event_boundary(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Goes through the complete lines; `complete_len` is set to the end of the last complete
-    /// event, also where a later line is invalid.
+    /// Scans the complete lines. `complete_len` is set to the end of the last complete event, even
+    /// if a later line is invalid.
     fn scan_lines(&mut self, complete_len: &mut usize) -> Result<(), EventError> {
         while let Some(offset) = self.pending[self.scanned..]
             .iter()
--- a/crates/gate/src/table_spec.rs
+++ b/crates/gate/src/table_spec.rs
@@ -11,7 +11,7 @@
 /// Weights are fixed-point numbers: a weight of 1 is this integer.
 const WEIGHT_SCALE: f64 = 1_000.0;
 
-/// The routes and services of a configuration, with these gates and servers.
+/// Builds the specification of a table from a configuration, the number of gates and the servers.
 pub(crate) fn table_spec(
     configuration: &Configuration,
     gates: u32,
@@ -25,15 +25,15 @@
     }
 }
 
-/// What is known of a server besides its heartbeat.
+/// The state of a server that its heartbeat does not report.
 pub(crate) struct ServerStatus {
-    /// Whether its zone is evacuated.
+    /// Whether the zone of the server is evacuated.
     pub evacuated: bool,
-    /// Since when its heartbeats are missing.
+    /// Since when heartbeats of the server are missing, if they are.
     pub heartbeats_missing_since: Option<Micros>,
 }
 
-/// The server of the incarnation `id`.
+/// Builds the specification of the server with the incarnation id `id`.
 pub(crate) fn server_spec(
     settings: &Settings,
     id: &str,
@@ -52,7 +52,7 @@
             InstanceState::Draining => ServerState::Draining,
         },
         evacuated: status.evacuated,
-        // Whether it is warming up changes between tables: the limits are asked at each request.
+        // Warm-up can end between two tables, so the limits decide it at each request.
         warming_up: true,
         heartbeats_missing_since: status.heartbeats_missing_since,
         models: Vec::new(),
@@ -96,7 +96,7 @@
     }
 }
 
-/// A weight as a fixed-point number. One above 0 stays above 0.
+/// Converts a weight to a fixed-point number; a positive weight stays positive.
 fn fixed_point_weight(weight: f64) -> u32 {
     let scaled = (weight * WEIGHT_SCALE)
         .round()
--- a/crates/gate/src/test_support.rs
+++ b/crates/gate/src/test_support.rs
@@ -2,7 +2,7 @@
 
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 
-/// Builds a header map; a name may be repeated.
+/// Builds a header map from name and value pairs; a name may be repeated.
 pub(crate) fn header_map(lines: &[(&str, &str)]) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for (name, value) in lines {
--- a/crates/gate/src/upstream.rs
+++ b/crates/gate/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to upstream servers: one HTTP client for each address keeps that address's idle
+//! Connections to upstream servers: one HTTP client per address, each with its own pool of idle
 //! connections.
 
 use std::cell::RefCell;
@@ -11,9 +11,9 @@
 use ironmast_transport::descriptors::DescriptorBudget;
 use ironmast_transport::response_validation::ValidatingStream;
 
-/// A connection must be established within this time.
+/// The timeout for connecting to a server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// A connection that has been idle for this long is not reused, unless its server names a shorter
+/// A connection that has been idle for this long is not reused. A server may announce a shorter
 /// time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -24,7 +24,7 @@
 }
 
 impl UpstreamClients {
-    /// Without connections yet; together they may use `budget` descriptors.
+    /// Creates an empty set of clients, whose connections may use `budget` descriptors together.
     pub(crate) fn new(budget: DescriptorBudget) -> Self {
         UpstreamClients {
             budget,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The client for an address, created where there is none.
+    /// The client for an address, which is created if there is none.
     pub(crate) fn client(&self, address: SocketAddr) -> Client {
         let create = || {
             client(
