--- a/crates/gate/src/feed.rs
+++ b/crates/gate/src/feed.rs
@@ -122,7 +122,7 @@
         let table = match self.store.next_table(&gate.settings.borrow(), &previous) {
             Ok(table) => table,
             Err(error) => {
-                return warn!(gate.log, "cannot apply the configuration, keeping the current tables"; "error" => %error);
+                return warn!(gate.log, "cannot build the routing table, keeping the current one"; "error" => %error);
             }
         };
         if let Some(limits) = self.store.client_limits() {
--- a/crates/gate/src/peers.rs
+++ b/crates/gate/src/peers.rs
@@ -59,7 +59,7 @@
             tokio::join!(receive_all(&gate, &socket), send_all(&gate, &socket));
         }
         Err(error) => {
-            warn!(gate.log, "cannot open the socket for load reports of other gates"; "address" => %address, "error" => %error);
+            warn!(gate.log, "cannot bind the socket for load reports, serving without reports of other gates"; "address" => %address, "error" => %error);
         }
     }
 }
