--- a/crates/client-proxy/src/config/tests.rs
+++ b/crates/client-proxy/src/config/tests.rs
@@ -127,7 +127,11 @@
     assert_eq!(discovery(environment.read()), "127.0.0.1:2");
     assert_eq!(read_again(&environment), "127.0.0.1:1");
     environment.write(&configuration_with("discovery", json!(null)).to_string());
-    assert_eq!(read_again(&environment), "127.0.0.1:2", "the only one");
+    assert_eq!(
+        read_again(&environment),
+        "127.0.0.1:2",
+        "the variable is the only source"
+    );
 }
 
 #[test]
--- a/crates/client-proxy/src/hot_restart.rs
+++ b/crates/client-proxy/src/hot_restart.rs
@@ -13,7 +13,8 @@
 
 use std::time::Duration;
 
-/// The time-out of each read and write of the handshake, and of the answer to a claim.
+/// The time-out of each read and write of the handshake with a partner, and of the answer to a
+/// claim.
 const PARTNER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The maximum number of sockets passed: the clients' listener and the peers' datagram socket.
 const MAX_PASSED_SOCKETS: usize = 2;
--- a/crates/client-proxy/src/hot_restart/partners.rs
+++ b/crates/client-proxy/src/hot_restart/partners.rs
@@ -47,7 +47,7 @@
     pub answers_claims: bool,
 }
 
-/// The connections to the partners of this process, and whether this process serves.
+/// The connections to the partners of this process, and whether this process has begun to serve.
 #[derive(Default)]
 pub(crate) struct Partners {
     predecessor: RefCell<Option<mpsc::UnboundedSender<Message>>>,
--- a/crates/client-proxy/src/members/tests.rs
+++ b/crates/client-proxy/src/members/tests.rs
@@ -6,7 +6,10 @@
 fn the_operators_file_enables_or_disables_membership_or_is_rejected_in_one_line() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("membership.toml");
-    assert!(!is_enabled(&path).expect("valid"), "no file: disabled");
+    assert!(
+        !is_enabled(&path).expect("valid"),
+        "a missing file disables it"
+    );
     for (text, enabled) in [("enabled = true\n", true), ("enabled = false\n", false)] {
         std::fs::write(&path, text).expect("written");
         assert_eq!(is_enabled(&path).expect("valid"), enabled);
@@ -26,7 +29,7 @@
     let shipped = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/membership.toml");
     assert!(
         !is_enabled(&shipped).expect("valid"),
-        "the shipped file keeps it disabled in run"
+        "the shipped file must disable membership"
     );
     assert!(
         start(None, &[], 1).is_err()
--- a/crates/settings/src/pairs.rs
+++ b/crates/settings/src/pairs.rs
@@ -49,7 +49,7 @@
         Self(pairs.into_iter().collect())
     }
 
-    /// The text of a setting, unless it is absent.
+    /// Returns the text of a setting, or `None` if it is absent.
     pub(crate) fn get(&self, path: &str) -> Option<&'a str> {
         self.0
             .get(path)
@@ -57,18 +57,18 @@
             .filter(|value| !value.is_empty() && *value != "-")
     }
 
-    /// The text of a setting that must be present.
+    /// Returns the text of a required setting.
     pub(crate) fn required(&self, path: &str) -> Result<&'a str, FieldError> {
         self.get(path)
             .ok_or_else(|| FieldError::new(path, "missing"))
     }
 
-    /// The value of a setting that must be present.
+    /// Parses the value of a required setting.
     pub(crate) fn required_value<T: ParseSetting>(&self, path: &str) -> Result<T, FieldError> {
         T::parse(path, self.required(path)?)
     }
 
-    /// The value of a setting, or `default` if it is absent.
+    /// Parses the value of a setting, or returns `default` if it is absent.
     pub(crate) fn value_or<T: ParseSetting>(
         &self,
         path: &str,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Replaces `value` by that of a setting, unless it is absent.
+    /// Replaces `value` with the parsed value of a setting, unless the setting is absent.
     pub(crate) fn update<T: ParseSetting>(
         &self,
         path: &str,
@@ -92,15 +92,15 @@
         Ok(())
     }
 
-    /// The values of a list that is separated by commas.
+    /// Returns the values of a comma-separated list; empty if the setting is absent.
     pub(crate) fn list(&self, path: &str) -> Vec<String> {
         self.get(path)
             .map(|values| values.split(',').map(str::to_string).collect())
             .unwrap_or_default()
     }
 
-    /// The names of the elements of `collection`, which has its length in `<collection>.count` and
-    /// the names in `<collection>.<index>.name`.
+    /// Returns the names of the elements of `collection`: `<collection>.count` holds their number and
+    /// `<collection>.<index>.name` each name, which is required.
     pub(crate) fn names(&self, collection: &str) -> Result<Vec<String>, FieldError> {
         let count = self.value_or(&format!("{collection}.count"), 0u32)?;
         (0..count)
--- a/crates/settings/tests/deployment.rs
+++ b/crates/settings/tests/deployment.rs
@@ -1,10 +1,10 @@
-//! Reading a deployment's settings: every path ends in its field, absent ones keep their defaults, and
-//! errors name the path.
+//! Parsing a deployment's settings: every path is read into its field, absent ones keep their
+//! defaults, and errors name the path.
 
 use ironmast_balancer::{Discovery, Effect, Group, Settings, SizeMeaning};
 use ironmast_settings::{DeploymentSettings, FieldError};
 
-/// The settings that must be present.
+/// The pairs of all required settings.
 const REQUIRED: [(&str, &str); 6] = [
     ("classes.count", "1"),
     ("classes.0.name", "pay"),
@@ -19,19 +19,19 @@
     DeploymentSettings::from_pairs(all)
 }
 
-/// Settings of the decision module with one setting beyond those required.
+/// The decision module's settings, parsed from the required pairs and one more.
 fn settings_with(path: &'static str, value: &'static str) -> Settings {
-    read(&[(path, value)]).expect("sound settings").settings
+    read(&[(path, value)]).expect("valid settings").settings
 }
 
 fn effect_with(pairs: &[(&'static str, &'static str)]) -> Effect {
-    let deployment = read(pairs).expect("sound settings");
+    let deployment = read(pairs).expect("valid settings");
     deployment.settings.classes[0].effect
 }
 
 #[test]
 fn absent_settings_keep_their_defaults() {
-    let deployment = read(&[]).expect("sound settings");
+    let deployment = read(&[]).expect("valid settings");
     let defaults = Settings::default();
     let settings = &deployment.settings;
     assert_eq!(settings.balancers, defaults.balancers);
@@ -61,7 +61,7 @@
         ("tenants.1.name", "b"),
         ("tenants.1.allowance_per_s", "7.5"),
     ];
-    let deployment = read(&tenants).expect("sound settings");
+    let deployment = read(&tenants).expect("valid settings");
     assert_eq!(deployment.classes, ["pay"]);
     assert_eq!(deployment.tenants, ["a", "b"]);
     assert_eq!(deployment.zones, ["north", "south"]);
@@ -147,7 +147,7 @@
 #[test]
 fn connection_times_are_read_beside_the_limits() {
     let times = [("limits.connect_timeout", "1"), ("limits.keepalive", "2")];
-    let deployment = read(&times).expect("sound settings");
+    let deployment = read(&times).expect("valid settings");
     assert_eq!(deployment.connect_timeout, 1);
     assert_eq!(deployment.keepalive, 2);
 }
@@ -164,7 +164,7 @@
         ("discovery", "never"),
         ("zone", "west"),
     ] {
-        let error = read(&[(path, value)]).expect_err("a wrong value");
+        let error = read(&[(path, value)]).expect_err("an invalid value");
         assert_eq!(error.field, path);
     }
     let error = DeploymentSettings::from_pairs(REQUIRED[..3].iter().copied());
