--- a/crates/client-proxy/src/serve/actions.rs
+++ b/crates/client-proxy/src/serve/actions.rs
@@ -19,8 +19,8 @@
 /// send their requests.
 const ACCEPT_AFTER_TERMINATE: Duration = Duration::from_millis(700);
 
-/// The maximum time for then accepting the connections left in the backlog, so that clients that
-/// keep connecting can't delay the shutdown.
+/// The maximum time for accepting the connections that are then left in the backlog, so that
+/// clients that keep connecting can't delay the shutdown.
 const MAX_BACKLOG_ACCEPT: Duration = Duration::from_millis(50);
 
 impl Proxy {
