--- a/crates/client-proxy/src/driver/operators.rs
+++ b/crates/client-proxy/src/driver/operators.rs
@@ -54,7 +54,7 @@
         if self.servers.is_empty() {
             return Err(CommandError::NoEndpoints);
         }
-        if !self.partners.may_serve() {
+        if !self.partners.has_begun_serving() {
             return Err(CommandError::PredecessorServing);
         }
         Ok("ready".to_string())
--- a/crates/client-proxy/src/hot_restart/partners.rs
+++ b/crates/client-proxy/src/hot_restart/partners.rs
@@ -52,7 +52,7 @@
 pub(crate) struct Partners {
     predecessor: RefCell<Option<mpsc::UnboundedSender<Message>>>,
     successor: RefCell<Option<mpsc::UnboundedSender<Message>>>,
-    may_serve: Cell<bool>,
+    has_begun_serving: Cell<bool>,
     successor_answers_claims: Cell<bool>,
     /// Claims that the successor has not answered yet, by the name of the request.
     pending_claims: RefCell<HashMap<String, oneshot::Sender<bool>>>,
@@ -60,13 +60,13 @@
 
 impl Partners {
     /// Whether this process has begun to serve.
-    pub(crate) fn may_serve(&self) -> bool {
-        self.may_serve.get()
+    pub(crate) fn has_begun_serving(&self) -> bool {
+        self.has_begun_serving.get()
     }
 
     /// Marks that this process has begun to serve.
     pub(crate) fn begin_serving(&self) {
-        self.may_serve.set(true);
+        self.has_begun_serving.set(true);
     }
 
     /// Sends a message to both partners.
