--- a/crates/agent/src/coordinator_link/tests.rs
+++ b/crates/agent/src/coordinator_link/tests.rs
@@ -40,7 +40,7 @@
     }
 
     /// Serves agents until one has reported the gate's status this many times on one link.
-    async fn until_reported(&self, times: usize) {
+    async fn serve_until_reported(&self, times: usize) {
         loop {
             let (stream, _) = self.listener.accept().await.expect("an agent");
             if self.serve(stream, times).await.is_ok() {
@@ -96,7 +96,7 @@
     run_until(
         &state,
         out_of_contact.serve_forever(),
-        in_contact.until_reported(3),
+        in_contact.serve_until_reported(3),
     )
     .await;
 }
@@ -110,14 +110,14 @@
     run_until(
         &state,
         std::future::pending(),
-        out_of_contact.until_reported(2),
+        out_of_contact.serve_until_reported(2),
     )
     .await;
     let in_contact = Coordinator::new(&state, true).await;
     run_until(
         &state,
         out_of_contact.serve_forever(),
-        in_contact.until_reported(2),
+        in_contact.serve_until_reported(2),
     )
     .await;
 }
@@ -134,5 +134,5 @@
         .local_addr()
         .expect("bound");
     state.borrow_mut().add_coordinators(&[dead]);
-    run_until(&state, std::future::pending(), only.until_reported(6)).await;
+    run_until(&state, std::future::pending(), only.serve_until_reported(6)).await;
 }
--- a/crates/agent/src/gate_link.rs
+++ b/crates/agent/src/gate_link.rs
@@ -38,15 +38,15 @@
 }
 
 async fn accept(state: SharedState, listener: TcpListener, log: Logger) {
-    let gates = Tasks::new(&log);
-    let mut errors = LogLimit::default();
+    let sessions = Tasks::new(&log);
+    let mut error_log_limit = LogLimit::default();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                gates.spawn("gate", serve(Rc::clone(&state), stream));
+                sessions.spawn("gate", serve(Rc::clone(&state), stream));
             }
             Err(error) => {
-                if let Some(suppressed) = errors.admit(Instant::now()) {
+                if let Some(suppressed) = error_log_limit.admit(Instant::now()) {
                     warn!(log, "cannot accept a connection"; "error" => %error, "suppressed" => suppressed);
                 }
                 tokio::time::sleep(ACCEPT_BACKOFF).await;
--- a/crates/gate/tests/answers.rs
+++ b/crates/gate/tests/answers.rs
@@ -31,7 +31,7 @@
 
 /// What servers do with a request.
 #[derive(Clone, Debug)]
-struct Treatment {
+struct ServerBehavior {
     /// The failure at each arrival of the request; later arrivals are served.
     failures: Vec<Failure>,
     /// How often other tasks run before each chunk of the response.
@@ -44,7 +44,7 @@
 struct RequestPlan {
     route: &'static str,
     body: usize,
-    treatment: Treatment,
+    behavior: ServerBehavior,
 }
 
 #[derive(Clone, Debug)]
@@ -84,13 +84,13 @@
 fn request_plan() -> impl Strategy<Value = RequestPlan> {
     let route = prop::sample::select(vec!["safe", "unsafe", "stream", "once"]);
     let body = prop_oneof![Just(0_usize), 1_usize..64, 20_000_usize..60_000];
-    let treatment = (
+    let behavior = (
         prop::collection::vec(failure(), 0..3),
         0_usize..12,
         1_usize..4,
     );
-    (route, body, treatment).prop_map(|(route, body, (failures, yields, chunks))| {
-        let treatment = Treatment {
+    (route, body, behavior).prop_map(|(route, body, (failures, yields, chunks))| {
+        let behavior = ServerBehavior {
             failures,
             yields,
             chunks,
@@ -98,7 +98,7 @@
         RequestPlan {
             route,
             body,
-            treatment,
+            behavior,
         }
     })
 }
@@ -154,9 +154,9 @@
 /// What the servers do, and what they have observed.
 #[derive(Default)]
 struct ServerState {
-    treatments: BTreeMap<String, Treatment>,
+    behaviors: BTreeMap<String, ServerBehavior>,
     arrivals: BTreeMap<String, usize>,
-    runs: BTreeMap<String, usize>,
+    executions: BTreeMap<String, usize>,
     violations: Vec<Violation>,
 }
 
@@ -172,27 +172,27 @@
     let _ = stream.set_nodelay(true);
     let mut buffer = Vec::new();
     while let Some(head) = read_until(&mut stream, &mut buffer, b"\r\n\r\n").await {
-        let asked = RequestHead::parse(&head, GATE.id_header);
-        let Some(id) = asked.id.clone() else {
+        let request = RequestHead::parse(&head, GATE.id_header);
+        let Some(id) = request.id.clone() else {
             let healthy = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
             if stream.write_all(healthy).await.is_err() {
                 return;
             }
             continue;
         };
-        let (failure, treatment) = {
+        let (failure, behavior) = {
             let mut state = state.borrow_mut();
             let arrival = state.arrivals.entry(id.clone()).or_default();
             *arrival += 1;
             let arrival = *arrival;
-            let Some(treatment) = state.treatments.get(&id).cloned() else {
+            let Some(behavior) = state.behaviors.get(&id).cloned() else {
                 state.violations.push(Violation::UnknownRequest(id));
                 return;
             };
-            (treatment.failures.get(arrival - 1).copied(), treatment)
+            (behavior.failures.get(arrival - 1).copied(), behavior)
         };
-        for step in steps(failure, &asked, &GATE) {
-            if !perform(step, &mut stream, &mut buffer, &asked, &treatment, &state).await {
+        for step in steps(failure, &request, &GATE) {
+            if !perform(step, &mut stream, &mut buffer, &request, &behavior, &state).await {
                 return;
             }
         }
@@ -204,14 +204,14 @@
     step: Step,
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-    asked: &RequestHead,
-    treatment: &Treatment,
+    request: &RequestHead,
+    behavior: &ServerBehavior,
     state: &SharedState,
 ) -> bool {
-    let id = asked.id.clone().unwrap_or_default();
+    let id = request.id.clone().unwrap_or_default();
     match step {
         Step::ReadBody { runs } => {
-            let length = asked.length.unwrap_or(0);
+            let length = request.length.unwrap_or(0);
             while buffer.len() < length {
                 if !read_more(stream, buffer).await {
                     return false;
@@ -223,14 +223,14 @@
                 state.violations.push(Violation::ForeignBody(id.clone()));
             }
             if runs {
-                *state.runs.entry(id).or_default() += 1;
+                *state.executions.entry(id).or_default() += 1;
             }
             true
         }
         Step::Write(bytes) => {
-            let piece = bytes.len().div_ceil(treatment.chunks).max(1);
+            let piece = bytes.len().div_ceil(behavior.chunks).max(1);
             for part in bytes.chunks(piece) {
-                for _ in 0..treatment.yields {
+                for _ in 0..behavior.yields {
                     tokio::task::yield_now().await;
                 }
                 if stream.write_all(part).await.is_err() {
@@ -341,8 +341,8 @@
     }
 }
 
-async fn connect(to: SocketAddr) -> TcpStream {
-    TcpStream::connect(to).await.expect("the gate accepts")
+async fn connect(address: SocketAddr) -> TcpStream {
+    TcpStream::connect(address).await.expect("the gate accepts")
 }
 
 /// Sends one client's requests over one connection, and over a new one where that ends. Returns the
@@ -351,12 +351,12 @@
 /// # Errors
 /// A response that the client must not get.
 async fn run_client(
-    to: SocketAddr,
+    address: SocketAddr,
     client: usize,
     planned: ClientPlan,
 ) -> Result<usize, Violation> {
     let mut served = 0;
-    let (mut stream, mut buffer) = (connect(to).await, Vec::new());
+    let (mut stream, mut buffer) = (connect(address).await, Vec::new());
     if planned.pipelined {
         let requests = planned.requests.iter().enumerate();
         let bytes: Vec<u8> = requests
@@ -379,7 +379,7 @@
             }
             Some(response) => return Err(Violation::ForeignResponse(id, response)),
             None if planned.pipelined => return Ok(served),
-            None => (stream, buffer) = (connect(to).await, Vec::new()),
+            None => (stream, buffer) = (connect(address).await, Vec::new()),
         }
     }
     Ok(served)
@@ -413,7 +413,7 @@
 /// A request of a plan that was executed twice although it is not idempotent.
 fn find_executed_twice(clients: &[ClientPlan], state: &ServerState) -> Option<Violation> {
     let is_once = |request: &RequestPlan| matches!(request.route, "unsafe" | "once");
-    let is_repeated = |id: &String| state.runs.get(id).is_some_and(|&runs| runs > 1);
+    let is_repeated = |id: &String| state.executions.get(id).is_some_and(|&runs| runs > 1);
     requests_of(clients)
         .find(|(id, request)| is_once(request) && is_repeated(id))
         .map(|(id, _)| Violation::ExecutedTwice(id))
@@ -421,13 +421,14 @@
 
 async fn run_plan_on_runtime(clients: Vec<ClientPlan>) -> Result<usize, Violation> {
     let state = SharedState::default();
-    let treatments = requests_of(&clients).map(|(id, request)| (id, request.treatment.clone()));
-    state.borrow_mut().treatments.extend(treatments);
+    let behaviors = requests_of(&clients).map(|(id, request)| (id, request.behavior.clone()));
+    state.borrow_mut().behaviors.extend(behaviors);
     let servers = start_servers(&state).await;
     let gate = TestGate::start_with(&servers).await;
-    let runs = clients.iter().cloned().enumerate();
-    let runs = runs.map(|(client, planned)| run_client(gate.frontend, client, planned));
-    let served: Result<Vec<usize>, Violation> = futures_util::future::join_all(runs)
+    let client_runs = clients.iter().cloned().enumerate();
+    let client_runs =
+        client_runs.map(|(client, planned)| run_client(gate.frontend, client, planned));
+    let served: Result<Vec<usize>, Violation> = futures_util::future::join_all(client_runs)
         .await
         .into_iter()
         .collect();
--- a/crates/gate/tests/failing_servers.rs
+++ b/crates/gate/tests/failing_servers.rs
@@ -306,7 +306,7 @@
 }
 
 /// Runs blocking work of a client on a thread of its own: the gate runs on this one.
-async fn blocking<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> T {
+async fn run_blocking<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> T {
     actix_rt::task::spawn_blocking(work).await.expect("it ends")
 }
 
@@ -316,7 +316,8 @@
     form: Form,
     effect: Effect,
 ) -> ClientResponse {
-    blocking(move || exchange(to, &request(class, form, "r1", effect)).expect("a connection")).await
+    run_blocking(move || exchange(to, &request(class, form, "r1", effect)).expect("a connection"))
+        .await
 }
 
 /// Sends one request to a gate whose first server fails, and compares what the client and the
@@ -341,9 +342,9 @@
         "{failure:?}: {first:?} {second:?}"
     );
     let is_signed = got.header("x-ironmast-server-signature").is_some();
-    let is_of_server = got.status == 200 || effect == Effect::ServerError;
+    let is_servers_response = got.status == 200 || effect == Effect::ServerError;
     assert_eq!(
-        is_signed, is_of_server,
+        is_signed, is_servers_response,
         "{failure:?}, {class:?}: {}",
         got.head
     );
@@ -383,10 +384,10 @@
     }
     let to = gate.frontend;
     let next = request(Class::Unsafe, SHORT_POST, "r2", Effect::Served);
-    let got = blocking(move || exchange(to, &next).expect("a connection")).await;
+    let got = run_blocking(move || exchange(to, &next).expect("a connection")).await;
     let seen = server.seen();
-    let of_next = connections_of("r2", &seen);
-    if got.status == 503 && of_next.is_empty() {
+    let next_connections = connections_of("r2", &seen);
+    if got.status == 503 && next_connections.is_empty() {
         // The server is not used for a while after a rejection: another test covers the connections
         // of rejections.
         assert!(
@@ -400,7 +401,7 @@
         (200, "answer to r2"),
         "{failure:?}, {class:?}, {form:?}: {seen:?}"
     );
-    let is_reused = connections_of("r1", &seen).last() == of_next.last();
+    let is_reused = connections_of("r1", &seen).last() == next_connections.last();
     assert_eq!(
         is_reused,
         case.is_connection_reused(form),
@@ -435,7 +436,7 @@
                 for form in FORMS {
                     let (server, gate) = start_one_server(&[failure]).await;
                     let to = gate.frontend;
-                    let (first, next, seen) = blocking(move || {
+                    let (first, next, seen) = run_blocking(move || {
                         let first = exchange(
                             to,
                             &request(Class::Unsafe, SHORT_POST, "r1", Effect::Served),
@@ -479,7 +480,7 @@
                     let (first, second, gate) =
                         start_two_servers(&[Failure::None, Failure::NoHead(end)]).await;
                     let to = gate.frontend;
-                    let next = blocking(move || {
+                    let next = run_blocking(move || {
                         let warm = exchange(
                             to,
                             &request(Class::Unsafe, SHORT_POST, "r1", Effect::Served),
@@ -513,7 +514,7 @@
 
 /// A server may respond before it has read a long body, and read on later.
 #[test]
-fn early_response_leaves_no_other_bytes_where_the_rest_of_a_body_is_due() {
+fn request_after_an_early_response_is_not_read_as_the_rest_of_a_body() {
     for failure in [
         Failure::EarlyNotExecuted(503, Kept),
         Failure::EarlyNotExecuted(429, Kept),
@@ -530,7 +531,7 @@
                     let (first, second, gate) = start_two_servers(&[failure]).await;
                     let to = gate.frontend;
                     for id in ["r1", "r2", "r3"] {
-                        let got = blocking(move || {
+                        let got = run_blocking(move || {
                             exchange(
                                 to,
                                 &request(class, Form::new("POST", body), id, Effect::Served),
--- a/crates/gate/tests/partitions.rs
+++ b/crates/gate/tests/partitions.rs
@@ -31,7 +31,7 @@
 }
 
 /// Sends a request that is given up after 300 ms; returns the head of its response.
-async fn give_up(gate: &TestGate, target: &str) -> String {
+async fn send_and_time_out(gate: &TestGate, target: &str) -> String {
     let mut client = gate.connect().await;
     let request = format!(
         "POST {target} HTTP/1.1\r\nHost: a.example\r\nX-Ironmast-Request-Id: r1\r\n\
@@ -45,7 +45,7 @@
 }
 
 /// Sends requests until one has reached the server; returns the first that has.
-async fn first_request_after(
+async fn send_until_received(
     gate: &TestGate,
     server: &mut Server,
     target: &str,
@@ -72,10 +72,10 @@
         let (relay, faults) = start_relay(&server);
         let gate = TestGate::start_with(&[("i-1", relay.address, LOCAL_ZONE)]).await;
         faults.set(fault(FaultKind::CutOneWay)).expect("valid");
-        let head = give_up(&gate, "/unsafe/given-up").await;
+        let head = send_and_time_out(&gate, "/unsafe/given-up").await;
         assert!(!head.starts_with("http/1.1 200"), "{head}");
         faults.set(fault(FaultKind::Pass)).expect("valid");
-        let first = first_request_after(&gate, &mut server, "/unsafe/next").await;
+        let first = send_until_received(&gate, &mut server, "/unsafe/next").await;
         assert_eq!(first.request_line(), "post /unsafe/next http/1.1");
     });
 }
@@ -89,7 +89,7 @@
         let gate = TestGate::start_with(&[("i-1", relay.address, LOCAL_ZONE)]).await;
         let kept = serve_on_kept_connection(&gate, &mut server).await;
         faults.set(fault(FaultKind::CutOneWay)).expect("valid");
-        give_up(&gate, "/unsafe/given-up").await;
+        send_and_time_out(&gate, "/unsafe/given-up").await;
         faults.set(fault(FaultKind::Pass)).expect("valid");
         let next = kept.try_next_on_connection().await;
         assert!(next.is_none(), "the request that was given up has arrived");
--- a/crates/gate/tests/peers.rs
+++ b/crates/gate/tests/peers.rs
@@ -13,7 +13,7 @@
 /// How often the datagram is forwarded, a quarter of a second apart: the second gate's own
 /// knowledge of the servers is old enough by then.
 const FORWARDED_COPIES: usize = 2;
-const REQUESTS: usize = 6;
+const REQUEST_COUNT: usize = 6;
 
 /// A gate that knows the servers and the other gates.
 async fn start_gate([first, second]: &[Server; 2]) -> TestGate {
@@ -74,7 +74,7 @@
 /// Whether any of some requests goes to the server at this position.
 async fn is_used(gate: &TestGate, position: usize, [mut first, mut second]: [Server; 2]) -> bool {
     let mut is_used = false;
-    for number in 0..REQUESTS {
+    for number in 0..REQUEST_COUNT {
         let mut client = gate.connect().await;
         client
             .send_request("/unsafe/a", &format!("s{number}"))
