--- a/crates/agent/src/coordinator_connection.rs
+++ b/crates/agent/src/coordinator_connection.rs
@@ -1,4 +1,4 @@
-//! Connecting to a coordinator.
+//! Connects to the nearest coordinator, preferring those that are in contact with the majority.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,20 +13,23 @@
 
 use crate::state::SharedState;
 
-/// Timeout of connecting, and of the coordinator's first frame.
+/// Timeout for connecting, and for the coordinator's first frame after that. If only coordinators out
+/// of contact have answered by then, the first of them is chosen.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// A connection to a coordinator whose first frame has arrived.
 pub(crate) struct CoordinatorConnection {
+    /// Address of the coordinator.
     pub(crate) address: SocketAddr,
     pub(crate) receiver: link::Receiver<FromCoordinator>,
     pub(crate) sender: link::Sender<ToCoordinator>,
-    /// Whether the coordinator is in contact with the majority, by its first frame.
+    /// Whether the coordinator's first frame says that it is in contact with the majority.
     pub(crate) in_contact: bool,
 }
 
-/// Connects to the nearest of these coordinators, which is the first whose first frame arrives. One
-/// that is out of contact with the majority is chosen only if none in contact answers in time.
+/// Connects to all of these coordinators and returns the connection whose first frame arrives first,
+/// as that coordinator is the nearest. One that is out of contact with the majority is returned only
+/// if none in contact answers in time. Returns `None` if no coordinator can be reached.
 pub(crate) async fn connect_nearest(
     state: &SharedState,
     coordinators: BTreeSet<SocketAddr>,
@@ -44,7 +47,7 @@
                 Some(Ok(connection)) => {
                     fallback.get_or_insert(connection);
                 }
-                // One that cannot be reached is not chosen; the others' attempts go on.
+                // The attempts to connect to other coordinators continue.
                 Some(Err(_)) => {}
                 None => return fallback,
             },
@@ -54,6 +57,9 @@
 }
 
 /// Connects to a coordinator and waits for its first frame.
+///
+/// # Errors
+/// The connection fails or times out, or no valid first frame arrives in time.
 async fn connect(state: &SharedState, address: SocketAddr) -> Result<CoordinatorConnection> {
     let (mut receiver, mut sender) =
         link::connect::<FromCoordinator, ToCoordinator>(address, CONNECT_TIMEOUT).await?;
@@ -64,14 +70,16 @@
     sender.send(&ToCoordinator::Hello(hello)).await?;
     let first_frame = tokio::time::timeout(CONNECT_TIMEOUT, receiver.next())
         .await
-        .wrap_err_with(|| format!("waiting for the first frame of {address}"))??;
+        .wrap_err_with(|| {
+            format!("coordinator {address} sent no first frame within {CONNECT_TIMEOUT:?}")
+        })??;
     let Some(FromCoordinator::KeepAlive {
         coordinators,
         in_contact,
         ..
     }) = first_frame
     else {
-        bail!("{address} closed the connection")
+        bail!("coordinator {address} closed the connection before its first frame")
     };
     state.borrow_mut().add_coordinators(&coordinators);
     Ok(CoordinatorConnection {
--- a/crates/agent/src/coordinator_link.rs
+++ b/crates/agent/src/coordinator_link.rs
@@ -1,10 +1,10 @@
-//! The link to a coordinator, over which the gate's status is reported. Updates arrive over the
-//! relay tree instead.
+//! The link to a coordinator, over which the agent reports the gate's status. Entries of the control
+//! plane don't arrive over this link but over the relay tree.
 //!
-//! A coordinator that is out of contact with the majority reports nothing to the others, so that
-//! the gate would look lost to them. The agent therefore moves to a coordinator that is in contact.
-//! Where there is none, any link is better than none: the agent keeps its link while it searches
-//! for a better one with growing backoff.
+//! A coordinator that is out of contact with the majority passes no status on, so that the other
+//! coordinators would consider the gate lost. The agent therefore moves to a coordinator that is in
+//! contact. If there is none, the agent keeps its link, as any link is better than none, and searches
+//! for a better one with exponential backoff.
 
 use std::time::Duration;
 
@@ -23,14 +23,15 @@
 /// Delay before a failed link is reconnected.
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
 
-/// A link on which nothing is received for this long has failed.
+/// Time without a frame from the coordinator after which a link is considered failed.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Interval at which the gate's status is renewed: three times within the coordinators' timeout.
+/// Interval at which the gate's status is renewed: three times within the time after which
+/// coordinators direct no new clients to a gate without a report.
 const STATUS_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Keeps a link to the nearest coordinator that is in contact with the majority, or else to the
-/// nearest.
+/// Maintains a link to the nearest coordinator that is in contact with the majority, or to the nearest
+/// one of all if none is in contact. Never completes.
 pub(crate) async fn run(state: SharedState) {
     let mut next: Option<CoordinatorConnection> = None;
     loop {
@@ -39,7 +40,8 @@
             next = connect_nearest(&state, coordinators).await;
         }
         if let Some(connection) = next.take() {
-            // After an error, whatever it was, the nearest coordinator is searched for again.
+            // The error is not logged: whatever it was, the agent connects again to the nearest
+            // coordinator.
             next = serve(&state, connection).await.ok();
         }
         if next.is_none() {
@@ -48,7 +50,10 @@
     }
 }
 
-/// Serves a link until it fails, or until a better connection is found, which is returned.
+/// Serves a link until a better connection is found, and returns that.
+///
+/// # Errors
+/// The link fails: the connection breaks or is closed, or nothing arrives for [`IDLE_TIMEOUT`].
 async fn serve(
     state: &SharedState,
     connection: CoordinatorConnection,
@@ -70,7 +75,7 @@
     loop {
         tokio::select! {
             frame = receiver.next() => {
-                let Some(frame) = frame? else { bail!("{address} closed the connection") };
+                let Some(frame) = frame? else { bail!("coordinator {address} closed the connection") };
                 idle_timeout.as_mut().reset(Instant::now() + IDLE_TIMEOUT);
                 let FromCoordinator::KeepAlive { coordinators, in_contact, .. } = frame;
                 state.borrow_mut().add_coordinators(&coordinators);
@@ -86,7 +91,7 @@
                 send_status(&mut sender, renewed).await?;
                 state.borrow_mut().entries.drop_deregistered();
             }
-            () = &mut idle_timeout => bail!("{address} has sent nothing for {IDLE_TIMEOUT:?}"),
+            () = &mut idle_timeout => bail!("coordinator {address} has sent nothing for {IDLE_TIMEOUT:?}"),
         }
     }
 }
--- a/crates/agent/src/coordinator_link/tests.rs
+++ b/crates/agent/src/coordinator_link/tests.rs
@@ -1,4 +1,4 @@
-//! Which coordinator the agent is linked to, with coordinators that the test plays.
+//! Which coordinator the agent is linked to. The tests act as the coordinators.
 
 use std::rc::Rc;
 
@@ -21,6 +21,7 @@
 }
 
 impl Coordinator {
+    /// A coordinator that listens on loopback and that the agent knows.
     async fn new(state: &SharedState, in_contact: bool) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
@@ -39,7 +40,8 @@
         }
     }
 
-    /// Serves agents until one has reported the gate's status this many times on one link.
+    /// Serves connections one after another until the agent has reported the gate's status this many
+    /// times on one of them.
     async fn serve_until_reported(&self, times: usize) {
         loop {
             let (stream, _) = self.listener.accept().await.expect("an agent");
@@ -49,6 +51,8 @@
         }
     }
 
+    /// Sends a keep-alive before reading each frame, until the gate's status was reported `times` times
+    /// on this connection.
     async fn serve(&self, stream: tokio::net::TcpStream, times: usize) -> Result<()> {
         let (mut receiver, mut sender) = link::split::<ToCoordinator, FromCoordinator>(stream)?;
         let mut reported = 0;
@@ -63,7 +67,7 @@
         Ok(())
     }
 
-    /// Serves agents forever.
+    /// Serves connections one after another, without end.
     async fn serve_forever(&self) {
         loop {
             let (stream, _) = self.listener.accept().await.expect("an agent");
@@ -72,7 +76,10 @@
     }
 }
 
-/// Runs the agent and `others` until `end` completes.
+/// Runs the agent's link and `others` until `end` completes.
+///
+/// # Panics
+/// `end` has not completed after 60 s.
 async fn run_until(
     state: &SharedState,
     others: impl Future<Output = ()>,
@@ -101,8 +108,8 @@
     .await;
 }
 
-/// The agent knows only the coordinator that is out of contact when its link is established, and
-/// learns of another one later.
+/// Guards against an agent that stays with a coordinator out of contact because it knew no other one
+/// when it connected.
 #[tokio::test]
 async fn agent_moves_once_a_coordinator_in_contact_is_known() {
     let state = state_with_ready_gate();
@@ -122,8 +129,8 @@
     .await;
 }
 
-/// The agent opens several connections to search for a better coordinator and keeps the one that
-/// carries the status.
+/// Guards against an agent that gives up the link that carries the status while it searches for a
+/// better coordinator over further connections, of which one is refused and none is better.
 #[tokio::test]
 async fn agent_keeps_its_link_when_no_coordinator_is_in_contact() {
     let state = state_with_ready_gate();
--- a/crates/agent/src/coordinator_search.rs
+++ b/crates/agent/src/coordinator_search.rs
@@ -1,5 +1,5 @@
-//! The search for a coordinator that is in contact with the majority, while the agent is connected
-//! to one that is not.
+//! Searches for a coordinator that is in contact with the majority while the agent is connected to
+//! one that is not.
 
 use std::future::pending;
 use std::net::SocketAddr;
@@ -11,18 +11,19 @@
 use crate::coordinator_connection::{CoordinatorConnection, connect_nearest};
 use crate::state::SharedState;
 
-/// Backoff after the first attempt; doubled for each further one.
+/// Backoff after the first attempt; doubled after each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
 
-/// Longest backoff between two attempts.
+/// Maximum backoff between two attempts.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
+/// A running attempt to connect to one of the other coordinators.
 type Attempt<'a> = Pin<Box<dyn Future<Output = Option<CoordinatorConnection>> + 'a>>;
 
-/// The search of one link.
+/// The search of one coordinator link.
 pub(crate) struct CoordinatorSearch<'a> {
     state: &'a SharedState,
-    /// The coordinator that the agent is connected to.
+    /// Address of the coordinator that the agent is connected to; the search excludes it.
     current: SocketAddr,
     attempt: Option<Attempt<'a>>,
     next_attempt_at: Instant,
@@ -30,7 +31,7 @@
 }
 
 impl<'a> CoordinatorSearch<'a> {
-    /// A search that has not started.
+    /// A search without an attempt.
     pub(crate) fn new(state: &'a SharedState, current: SocketAddr) -> Self {
         CoordinatorSearch {
             state,
@@ -52,13 +53,14 @@
         self.attempt = Some(Box::pin(connect_nearest(state, others)));
     }
 
-    /// Aborts the search and resets the backoff, as the current coordinator is in contact.
+    /// Aborts a running attempt and resets the backoff. Called when the current coordinator is in
+    /// contact with the majority.
     pub(crate) fn stop(&mut self) {
         *self = CoordinatorSearch::new(self.state, self.current);
     }
 
-    /// Completes once an attempt has found a coordinator in contact. Cancel safe: a running attempt
-    /// continues with the next call.
+    /// Completes once an attempt has found a coordinator in contact with the majority, and never while
+    /// no attempt is running. Cancel safe: a running attempt continues with the next call.
     pub(crate) async fn found(&mut self) -> CoordinatorConnection {
         loop {
             let Some(attempt) = &mut self.attempt else {
--- a/crates/agent/src/entry_table.rs
+++ b/crates/agent/src/entry_table.rs
@@ -1,14 +1,14 @@
-//! The newest entry of each key, and the gate connections that receive updates of them.
+//! Stores the newest entry of each key, and sends updates to the connected gates.
 
 use std::collections::BTreeMap;
 
 use ironmast_schema::control::{Entry, Key, Liveness, ToGate, Value};
 use tokio::sync::mpsc;
 
-/// Number of deregistered instances above which they are dropped.
+/// Number of deregistered instances above which all of their entries are dropped.
 const MAX_DEREGISTERED: usize = 2_000;
 
-/// The newest entry of each key, with its subscribers.
+/// The newest entry of each key, and the connected gates as subscribers to updates.
 #[derive(Default)]
 pub(crate) struct EntryTable {
     entries: BTreeMap<Key, Entry>,
@@ -41,13 +41,13 @@
 
     /// Adds a subscriber, which receives all entries first and updates from then on.
     pub(crate) fn subscribe(&mut self, gate: mpsc::UnboundedSender<ToGate>) {
-        // A gate that has disconnected already is removed by the next merge.
+        // If the gate has already disconnected, the next update removes its subscription.
         let _ = gate.send(ToGate::Entries(self.entries.values().cloned().collect()));
         self.subscribers.push(gate);
     }
 
-    /// Drops the entries of deregistered instances if there are too many, so that they do not
-    /// accumulate.
+    /// Drops the entries of all deregistered instances if there are more than [`MAX_DEREGISTERED`], so
+    /// that they do not accumulate.
     pub(crate) fn drop_deregistered(&mut self) {
         let count = self
             .entries
--- a/crates/agent/src/gate_link.rs
+++ b/crates/agent/src/gate_link.rs
@@ -1,5 +1,5 @@
-//! The connection of the gate beside the agent, over loopback: entries go to the gate, its status
-//! comes back.
+//! The link to the agent's gate over loopback, to which the gate connects: the agent sends entries, and
+//! the gate sends its status.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 use crate::gate_reporter::ReportedStatus;
 use crate::state::SharedState;
 
-/// Backoff after a failed accept.
+/// Delay after a connection could not be accepted.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Listens for the gate at `address`.
@@ -32,11 +32,12 @@
 ) -> Result<()> {
     let listener = TcpListener::bind(address)
         .await
-        .wrap_err_with(|| format!("listening at {address}"))?;
+        .wrap_err_with(|| format!("listening for the gate at {address}"))?;
     tasks.spawn_essential("gate link", accept(Rc::clone(state), listener, log.clone()));
     Ok(())
 }
 
+/// Accepts connections of gates and serves each in a task of its own. Never completes.
 async fn accept(state: SharedState, listener: TcpListener, log: Logger) {
     let sessions = Tasks::new(&log);
     let mut error_log_limit = LogLimit::default();
@@ -55,7 +56,7 @@
     }
 }
 
-/// Completes once no gate is connected.
+/// Waits until no gate is connected.
 pub(crate) async fn disconnected(state: &SharedState) {
     let gate_disconnected = Rc::clone(&state.borrow().gate_disconnected);
     while state.borrow().connected_gates > 0 {
@@ -66,14 +67,15 @@
 /// Serves a gate until its connection closes.
 async fn serve(state: SharedState, stream: TcpStream) {
     let mut session = GateSession::new(state);
-    // The end of the session reports the gate as down, whatever the error was.
+    // Whatever the error was, dropping the session reports the gate as down.
     let _ = session.run(stream).await;
 }
 
-/// A connected gate. When the session ends, the gate is reported as down, so that no client is sent
-/// there any more.
+/// The session of a connected gate. When it is dropped, the gate is reported as down, so that no more
+/// clients are directed to it.
 struct GateSession {
     state: SharedState,
+    /// The last status that the gate has sent.
     last_status: Option<ReportedStatus>,
 }
 
@@ -87,6 +89,9 @@
     }
 
     /// Exchanges frames with the gate until its connection closes.
+    ///
+    /// # Errors
+    /// The connection breaks, or the gate sends an invalid frame.
     async fn run(&mut self, stream: TcpStream) -> Result<()> {
         let (mut receiver, mut sender) = link::split::<FromGate, ToGate>(stream)?;
         let (updates, mut outgoing) = mpsc::unbounded_channel();
--- a/crates/agent/src/gate_link/tests.rs
+++ b/crates/agent/src/gate_link/tests.rs
@@ -5,7 +5,8 @@
 use super::*;
 use crate::test_support::{frontend, shared_state};
 
-/// The status reported of a gate that sent these readiness flags and then closed its connection.
+/// The status that the agent reports of a gate that has sent these readiness flags and then closed
+/// its connection.
 fn status_after_closing(sent: &[bool]) -> Option<GateStatus> {
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0")
--- a/crates/agent/src/gate_reporter.rs
+++ b/crates/agent/src/gate_reporter.rs
@@ -1,4 +1,4 @@
-//! The status of the gate beside the agent, as a versioned entry for the coordinators.
+//! Makes the status of the agent's gate a versioned entry for the coordinators.
 
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -7,29 +7,30 @@
 use ironmast_schema::settings::Settings;
 use tokio::sync::watch;
 
-/// Distance between the versions of consecutive statuses. Coordinators use the versions in between
-/// for the gate's loss and its removal, which they detect by themselves.
+/// Difference between the versions of consecutive statuses. Coordinators use the versions in between
+/// to record the gate's loss and removal, which they detect themselves.
 const VERSIONS_PER_STATUS: u64 = 4;
 
-/// What a gate has stated of itself.
+/// The status that a gate has sent over its link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReportedStatus {
-    /// Frontend address, where clients connect.
+    /// Address at which clients connect; it identifies the gate.
     pub(crate) frontend: SocketAddr,
     /// Whether the gate accepts new clients.
     pub(crate) ready: bool,
 }
 
-/// The newest status of the gate beside this agent.
+/// The newest status of the agent's gate, with the location and version to report it with.
 pub(crate) struct GateReporter {
     zone: String,
     region: String,
     latest: watch::Sender<Option<Entry>>,
+    /// Highest version known for this gate, by this agent or an earlier incarnation.
     version: u64,
 }
 
 impl GateReporter {
-    /// A reporter without a status. Versions start at the time of day in milliseconds.
+    /// A reporter without a status. Versions start at the Unix time in milliseconds.
     pub(crate) fn new(settings: &Settings) -> Self {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Replaces zone and region, from the next status on; the current one is reported again.
+    /// Changes the zone and region of the gate. If they differ, the current status is reported again
+    /// with the new ones.
     pub(crate) fn set_location(&mut self, settings: &Settings) {
         if self.zone == settings.zone && self.region == settings.region {
             return;
@@ -59,13 +61,13 @@
         self.latest.send_replace(Some(entry));
     }
 
-    /// Reports that the gate is up.
+    /// Reports the status of a connected gate.
     pub(crate) fn report_up(&mut self, status: ReportedStatus) {
         self.report(status, false);
     }
 
-    /// Reports that the gate's connection has closed. Whether it was ready until then distinguishes
-    /// a crash from an orderly shutdown.
+    /// Reports that the gate's connection has closed. If the gate was ready until then, coordinators
+    /// take this for a crash, otherwise for an orderly shutdown.
     pub(crate) fn report_down(&mut self, last_status: ReportedStatus) {
         self.report(last_status, true);
     }
@@ -85,7 +87,8 @@
         }));
     }
 
-    /// The newest status under a new version, which shows the coordinators that the gate is alive.
+    /// Returns the newest status with a new version, which shows the coordinators that the gate is
+    /// alive; `None` before the first status.
     pub(crate) fn renew(&mut self) -> Option<Entry> {
         let version = self.next_version();
         let status = self.latest.borrow().clone()?;
@@ -97,7 +100,7 @@
         self.version
     }
 
-    /// Continues above the version of `entry` if it is a status of this gate: an earlier
+    /// Advances the version to that of `entry` if this is a status of the same gate: an earlier
     /// incarnation of this agent may have used higher versions.
     pub(crate) fn advance_past(&mut self, entry: &Entry) {
         let is_own = self
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Subscribes to new statuses; renewed ones are not included.
+    /// Subscribes to new statuses. Renewals by [`GateReporter::renew`] are not included.
     pub(crate) fn subscribe(&self) -> watch::Receiver<Option<Entry>> {
         self.latest.subscribe()
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,5 +1,12 @@
-//! The agent beside a gate: it receives the control plane's entries over the relay tree, passes
-//! them to the gate over loopback, and reports the gate's status to a coordinator.
+//! The agent of a gate: a process on the gate's host that connects it to the control plane. The agent
+//! receives the control plane's entries over the overlay's relay tree, passes them to the gate over
+//! loopback, and reports the gate's status to a coordinator.
+//!
+//! Entries from the overlay are merged into [`entry_table`], which sends the updates to the gate that
+//! [`gate_link`] serves. The gate's status goes the opposite way: [`gate_reporter`] makes it a
+//! versioned entry, and [`coordinator_link`] sends that to a coordinator. [`coordinator_connection`]
+//! chooses the coordinator, and [`coordinator_search`] looks for a better one while it is out of
+//! contact with the majority. All tasks run on a single thread and share [`state`].
 //!
 //! The gate continues with its last entries while its agent is down, so an agent may be restarted
 //! at any time.
@@ -33,10 +40,11 @@
 
 use state::{AgentState, SharedState};
 
-/// Fraction of the grace period for which a terminating agent waits for its gate.
+/// Fraction of the grace period for which a terminating agent waits for its gate to disconnect.
 const GATE_GRACE_FRACTION: f64 = 0.9;
 
-/// Runs an agent until SIGTERM.
+/// Runs an agent until SIGTERM, and then until its gate has disconnected or most of the grace period
+/// has passed. SIGHUP reloads the settings.
 ///
 /// # Errors
 /// A signal handler cannot be installed, an address cannot be bound, or an essential task has failed.
@@ -101,8 +109,8 @@
         }
     }
 
-    /// Takes over the seeds, the zone and the region of the settings file; an invalid one changes
-    /// nothing.
+    /// Applies the seeds, the zone and the region of the settings file. If the file is invalid, the
+    /// current settings are kept.
     fn reload(&self) {
         let settings = Settings::from_environment().inspect_err(|error| {
             warn!(self.log, "cannot reload the settings, keeping the current ones"; "error" => %error);
@@ -115,8 +123,8 @@
         info!(self.log, "settings reloaded");
     }
 
-    /// Continues until the gate has disconnected, or for `grace_period` at most, as the gate still
-    /// needs updates while it drains. Then leaves the overlay.
+    /// Keeps passing updates to the gate, which still needs them while it drains, until it has
+    /// disconnected, but for `grace_period` at most. Then leaves the overlay.
     async fn drain(mut self, grace_period: Duration) {
         let gate_disconnected = gate_link::disconnected(&self.state);
         let mut end = std::pin::pin!(tokio::time::timeout(grace_period, gate_disconnected));
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of an agent.
+//! The state that the tasks of an agent share.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -12,10 +12,10 @@
 use crate::entry_table::EntryTable;
 use crate::gate_reporter::GateReporter;
 
-/// The state as shared by the tasks of the agent, which all run on one thread.
+/// Shared ownership of the state by the tasks of the agent, which all run on one thread.
 pub(crate) type SharedState = Rc<RefCell<AgentState>>;
 
-/// The state of an agent.
+/// The entries, the gate's status and the known coordinators.
 pub(crate) struct AgentState {
     pub(crate) entries: EntryTable,
     pub(crate) gate_reporter: GateReporter,
@@ -23,11 +23,12 @@
     pub(crate) connected_gates: usize,
     /// Notified when a gate disconnects.
     pub(crate) gate_disconnected: Rc<Notify>,
+    /// Addresses of all coordinators that have become known; none is removed.
     coordinators: BTreeSet<SocketAddr>,
 }
 
 impl AgentState {
-    /// The state at the start.
+    /// The state at startup: no entries, no gate and no coordinators.
     pub(crate) fn new(settings: &Settings) -> Self {
         AgentState {
             entries: EntryTable::default(),
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Merges entries of the control plane.
+    /// Merges entries of the control plane. The versions of the gate's own status continue above any
+    /// that they contain.
     pub(crate) fn merge(&mut self, entries: Vec<Entry>) {
         for update in self.entries.merge(entries) {
             self.gate_reporter.advance_past(&update);
--- a/crates/agent/src/state/tests.rs
+++ b/crates/agent/src/state/tests.rs
@@ -1,4 +1,4 @@
-//! What an agent stores and sends to its gate.
+//! Which entries an agent sends to its gate, and the versions of the gate's status.
 
 use ironmast_schema::control::{ControlState, Key, ToGate, Value};
 use tokio::sync::mpsc;
@@ -14,14 +14,14 @@
     }
 }
 
-/// The frames that have been sent to a gate.
+/// The entries of each frame that has been sent to a gate.
 fn sent_frames(queue: &mut mpsc::UnboundedReceiver<ToGate>) -> Vec<Vec<Entry>> {
     std::iter::from_fn(|| queue.try_recv().ok())
         .map(|ToGate::Entries(entries)| entries)
         .collect()
 }
 
-/// The newest status of the gate.
+/// The newest status of the gate that was reported.
 fn latest_status(state: &AgentState) -> Entry {
     let latest = state.gate_reporter.subscribe();
     let status = latest.borrow().clone();
--- a/crates/agent/src/test_support.rs
+++ b/crates/agent/src/test_support.rs
@@ -1,4 +1,4 @@
-//! Set-up that the tests of this crate share.
+//! Setup that the tests of this crate share.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use crate::gate_reporter::ReportedStatus;
 use crate::state::{AgentState, SharedState};
 
-/// Minimal settings of an agent.
+/// Minimal valid settings of an agent, as YAML.
 const SETTINGS: &str =
     "node_name: a\nip_address: 10.0.0.1\nzone: z\nregion: r\ninternal_port_range: [7000, 7009]\n";
 
@@ -20,7 +20,7 @@
     AgentState::new(&settings)
 }
 
-/// The same, as shared by tasks.
+/// The state of [`agent_state`], as shared by tasks.
 pub(crate) fn shared_state() -> SharedState {
     Rc::new(RefCell::new(agent_state()))
 }
--- a/crates/agent/src/tests.rs
+++ b/crates/agent/src/tests.rs
@@ -6,7 +6,8 @@
 
 use super::*;
 
-/// The tasks of gate link and overlay end with the agent: none goes on listening.
+/// Guards against tasks of the gate link and the overlay that outlive the agent and keep its ports
+/// open.
 #[test]
 fn an_agent_that_is_gone_leaves_no_listener() {
     actix_rt::System::new().block_on(async {
@@ -19,7 +20,9 @@
         );
         let settings = Settings::parse(Path::new("local.yaml"), &text).expect("valid settings");
         let log = Logger::root(Discard, o!());
-        let agent = Agent::start(&settings, &log).await.expect("it starts");
+        let agent = Agent::start(&settings, &log)
+            .await
+            .expect("the agent starts");
         let listeners = [InternalPort::Agent, InternalPort::Feed]
             .map(|listener| (Ipv4Addr::LOCALHOST, settings.internal_port(listener)));
         assert!(listeners.iter().all(|at| TcpStream::connect(at).is_ok()));
