--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -78,7 +78,7 @@
         let mut acceptor = Self::recovered(Record::empty(record.identity), guards);
         acceptor.record = record;
         acceptor.is_dirty = true;
-        acceptor.awaits_first_record = guards.keeps(Guard::PersistBeforeReply);
+        acceptor.awaits_first_record = guards.enforces(Guard::PersistBeforeReply);
         acceptor
     }
 
@@ -103,7 +103,7 @@
     /// Highest ballot counter that the proposer of this node may use.
     #[must_use]
     pub fn reserved_counter(&self) -> u64 {
-        if self.guards.keeps(Guard::BallotReservation) {
+        if self.guards.enforces(Guard::BallotReservation) {
             self.durable.reserved
         } else {
             u64::MAX
@@ -156,7 +156,7 @@
             return None;
         }
         let round = request.round;
-        let sender = if self.guards.keeps(Guard::IdentityCheck) {
+        let sender = if self.guards.enforces(Guard::IdentityCheck) {
             self.record.identity
         } else {
             request.to
@@ -168,7 +168,7 @@
         };
         match self.reply(request, chosen) {
             Readiness::Immediate(body) => Some(addressed(body)),
-            Readiness::AfterWrite(body) if !self.guards.keeps(Guard::PersistBeforeReply) => {
+            Readiness::AfterWrite(body) if !self.guards.enforces(Guard::PersistBeforeReply) => {
                 Some(addressed(body))
             }
             Readiness::AfterWrite(body) => {
@@ -217,7 +217,7 @@
         let not_member = Readiness::Immediate(ReplyBody::NotMember {
             chosen: chosen_ballot,
         });
-        if request.to != self.record.identity && self.guards.keeps(Guard::IdentityCheck) {
+        if request.to != self.record.identity && self.guards.enforces(Guard::IdentityCheck) {
             return not_member;
         }
         match request.body {
@@ -251,7 +251,7 @@
             return self.conflict();
         }
         let is_member = proposal.state.members.contains(self.record.identity);
-        if !is_member && self.guards.keeps(Guard::IdentityCheck) {
+        if !is_member && self.guards.enforces(Guard::IdentityCheck) {
             return Readiness::Immediate(ReplyBody::NotMember { chosen });
         }
         self.record.promised = ballot;
--- a/crates/register/src/acceptor/tests.rs
+++ b/crates/register/src/acceptor/tests.rs
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn an_unsynced_record_is_silent_until_it_is_durable() {
+fn an_unsynced_record_answers_no_request_until_durable() {
     let promised = Record {
         promised: ballot(7),
         reserved: 9,
--- a/crates/register/src/bootstrap.rs
+++ b/crates/register/src/bootstrap.rs
@@ -54,7 +54,7 @@
 /// What is known of the participation of the others.
 #[derive(Clone, Debug)]
 pub(crate) struct BootstrapCheck<V> {
-    own: SocketAddr,
+    own_address: SocketAddr,
     members: Vec<SocketAddr>,
     value: V,
     timeout: Duration,
@@ -69,19 +69,19 @@
     /// Whether it was a member before it started.
     pub(crate) has_restarted: bool,
     /// When the wait for the others began.
-    since: Option<Duration>,
+    wait_started_at: Option<Duration>,
 }
 
 impl<V> BootstrapCheck<V> {
     /// The check of an initial member whose disk is empty.
     pub(crate) fn new(
-        own: SocketAddr,
+        own_address: SocketAddr,
         members: Vec<SocketAddr>,
         value: V,
         timeout: Duration,
     ) -> Self {
         Self {
-            own,
+            own_address,
             members,
             value,
             timeout,
@@ -90,13 +90,17 @@
             reported_members: BTreeSet::new(),
             is_member: false,
             has_restarted: false,
-            since: None,
+            wait_started_at: None,
         }
     }
 
     /// The check of an initial member that restarts from its disk and has voted for nothing; none
     /// for any other record.
-    pub(crate) fn restarted(own: SocketAddr, record: &Record<V>, timeout: Duration) -> Option<Self>
+    pub(crate) fn restarted(
+        own_address: SocketAddr,
+        record: &Record<V>,
+        timeout: Duration,
+    ) -> Option<Self>
     where
         V: Clone,
     {
@@ -110,7 +114,7 @@
         Some(Self {
             is_member: true,
             has_restarted: true,
-            ..Self::new(own, members, value, timeout)
+            ..Self::new(own_address, members, value, timeout)
         })
     }
 
@@ -128,7 +132,7 @@
         participation: Participation,
     ) {
         self.is_already_started |= participation == Participation::Advanced;
-        let is_other_member = address != self.own && self.members.contains(&address);
+        let is_other_member = address != self.own_address && self.members.contains(&address);
         if is_other_member && sender == Identity::from_seed_address(address) {
             self.first_reports.entry(address).or_insert(participation);
             if participation != Participation::Blank {
@@ -149,8 +153,8 @@
             .values()
             .all(|participation| *participation == Participation::Blank);
         let suffices_after_timeout =
-            has_timed_out && are_all_blank && reports >= self.majority_of_others();
-        if reports == self.others() || suffices_after_timeout {
+            has_timed_out && are_all_blank && reports >= self.majority_excluding_self();
+        if reports == self.other_member_count() || suffices_after_timeout {
             BootstrapVerdict::FirstStart
         } else {
             BootstrapVerdict::Undecided
@@ -162,9 +166,9 @@
     pub(crate) fn may_vote(&mut self, now: Duration) -> bool {
         let majority_suffices = self.has_timed_out(now) || self.has_restarted;
         let needed = if majority_suffices {
-            self.majority_of_others()
+            self.majority_excluding_self()
         } else {
-            self.others()
+            self.other_member_count()
         };
         self.is_member && self.reported_members.len() >= needed
     }
@@ -174,24 +178,24 @@
     where
         V: Clone,
     {
-        Record::bootstrap(self.own, &self.members, self.value.clone())
+        Record::bootstrap(self.own_address, &self.members, self.value.clone())
     }
 
     /// Number of the other initial members.
-    fn others(&self) -> usize {
+    fn other_member_count(&self) -> usize {
         self.members
             .iter()
-            .filter(|member| **member != self.own)
+            .filter(|member| **member != self.own_address)
             .count()
     }
 
     /// Number of the other initial members that are a majority together with this one.
-    fn majority_of_others(&self) -> usize {
+    fn majority_excluding_self(&self) -> usize {
         self.members.len() / 2
     }
 
     /// Whether the time-out has passed; it begins with the first call.
     fn has_timed_out(&mut self, now: Duration) -> bool {
-        now >= *self.since.get_or_insert(now) + self.timeout
+        now >= *self.wait_started_at.get_or_insert(now) + self.timeout
     }
 }
--- a/crates/register/src/bootstrap/tests.rs
+++ b/crates/register/src/bootstrap/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn it_is_the_first_start_once_all_others_report_no_vote() {
+fn first_start_once_all_other_members_report_no_vote() {
     let first = (BootstrapVerdict::FirstStart, BootstrapVerdict::FirstStart);
     assert_eq!(verdicts(1, &[]), first);
     assert_eq!(
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn with_a_member_already_started_the_missing_ones_are_waited_for() {
+fn check_waits_for_missing_members_once_one_has_started() {
     assert_eq!(
         verdicts(3, &[Participation::Initial]),
         (BootstrapVerdict::Undecided, BootstrapVerdict::Undecided)
--- a/crates/register/src/guard.rs
+++ b/crates/register/src/guard.rs
@@ -58,14 +58,14 @@
     /// Whether the guard is in force.
     #[cfg(feature = "mutations")]
     #[must_use]
-    pub fn keeps(self, guard: Guard) -> bool {
+    pub fn enforces(self, guard: Guard) -> bool {
         self.removed != Some(guard)
     }
 
     /// Whether the guard is in force: always.
     #[cfg(not(feature = "mutations"))]
     #[must_use]
-    pub fn keeps(self, _guard: Guard) -> bool {
+    pub fn enforces(self, _guard: Guard) -> bool {
         true
     }
 }
--- a/crates/register/src/node.rs
+++ b/crates/register/src/node.rs
@@ -53,7 +53,7 @@
     /// Whether a state was read from a majority, or chosen by one, since the node started. What
     /// others report before may be older than what this node acknowledged before it restarted, so
     /// it is not reported as learned.
-    has_read: bool,
+    has_read_from_quorum: bool,
     /// The bootstrap check, until it is concluded; the node gives no vote before.
     bootstrap_check: Option<BootstrapCheck<V>>,
     quorum_lease: QuorumLease,
@@ -91,7 +91,7 @@
                 random.next(),
                 settings.clone(),
             ),
-            has_read: !settings.guards.keeps(Guard::ReadBeforeLearned),
+            has_read_from_quorum: !settings.guards.enforces(Guard::ReadBeforeLearned),
             location,
             acceptor,
             learner: Learner::default(),
@@ -170,7 +170,7 @@
             Event::Timer => self.timer = None,
         }
         self.run_background(now, actions);
-        self.propose(now, actions);
+        self.run_proposer(now, actions);
         self.write(now, actions);
         self.set_timer(now, actions);
     }
--- a/crates/register/src/node/background.rs
+++ b/crates/register/src/node/background.rs
@@ -25,9 +25,9 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Background {
     has_started: bool,
-    pub(super) status_at: Duration,
-    reconfigure_at: Duration,
-    pub(super) read_repair_at: Option<Duration>,
+    pub(super) next_status_at: Duration,
+    next_reconfiguration_at: Duration,
+    pub(super) next_read_repair_at: Option<Duration>,
     /// Since when the membership is joint.
     pub(super) joint_since: Option<Duration>,
     fetch: Option<Fetch>,
@@ -44,8 +44,8 @@
 impl Background {
     /// When the next background work is due.
     pub(super) fn next_wakeup(&self) -> Duration {
-        let regular = self.status_at.min(self.reconfigure_at);
-        self.read_repair_at
+        let regular = self.next_status_at.min(self.next_reconfiguration_at);
+        self.next_read_repair_at
             .map_or(regular, |read_repair| read_repair.min(regular))
     }
 
@@ -72,7 +72,7 @@
     pub(super) fn detect_process_pause(&mut self, now: Duration) {
         let pause = now.saturating_sub(self.background.last_event_at);
         let was_paused = self.background.has_started && pause >= PROCESS_PAUSE_THRESHOLD;
-        if was_paused && self.settings.guards.keeps(Guard::ProcessPause) {
+        if was_paused && self.settings.guards.enforces(Guard::ProcessPause) {
             self.controller.discount_process_pause(pause);
             self.background.writing_since =
                 self.background.writing_since.map(|since| since + pause);
@@ -84,7 +84,7 @@
     pub(super) fn run_background(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         if !self.background.has_started {
             self.background.has_started = true;
-            self.background.status_at = now;
+            self.background.next_status_at = now;
             self.controller.start(now);
             self.read(now);
         }
@@ -92,30 +92,30 @@
         self.send_status(now, actions);
         self.send_heartbeats(now, actions);
         if self.bootstrap_check.is_some() {
-            self.background.reconfigure_at = self.background.status_at;
+            self.background.next_reconfiguration_at = self.background.next_status_at;
             return;
         }
-        if now >= self.background.reconfigure_at {
-            self.background.reconfigure_at = now + RECONFIGURATION_INTERVAL;
+        if now >= self.background.next_reconfiguration_at {
+            self.background.next_reconfiguration_at = now + RECONFIGURATION_INTERVAL;
             self.report_unreachable(now, actions);
             self.report_disk_stall(now, actions);
             self.change_replicas(now);
         }
-        self.repair(now);
-        if !self.has_read && !self.proposer.is_busy() {
+        self.run_read_repair(now);
+        if !self.has_read_from_quorum && !self.proposer.is_busy() {
             self.read(now);
         }
     }
 
     fn send_status(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
-        if now < self.background.status_at {
+        if now < self.background.next_status_at {
             return;
         }
         let interval = match self.bootstrap_check {
             Some(_) => self.settings.bootstrap_status_interval,
             None => self.settings.status_interval,
         };
-        self.background.status_at = now + interval;
+        self.background.next_status_at = now + interval;
         self.broadcast_status(actions);
     }
 }
--- a/crates/register/src/node/bootstrap.rs
+++ b/crates/register/src/node/bootstrap.rs
@@ -56,7 +56,7 @@
             }
         };
         self.acceptor = Acceptor::unsynced(record, self.settings.guards);
-        self.background.status_at = now;
+        self.background.next_status_at = now;
         self.read(now);
     }
 
--- a/crates/register/src/node/proposing.rs
+++ b/crates/register/src/node/proposing.rs
@@ -18,7 +18,7 @@
 
 impl<V: RegisterValue> Node<V> {
     /// Lets the proposer work until it waits for others.
-    pub(super) fn propose(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
+    pub(super) fn run_proposer(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         loop {
             let mut effects = Vec::new();
             let may_vote = self.bootstrap_check.is_none();
@@ -40,7 +40,7 @@
     }
 
     /// Hands a reply to the proposer.
-    pub(super) fn proposer_reply(
+    pub(super) fn handle_proposer_reply(
         &mut self,
         now: Duration,
         sender: Identity,
@@ -61,7 +61,7 @@
     ) {
         let AddressedReply { to, sender, reply } = addressed;
         if to == self.location.address {
-            self.proposer_reply(now, sender, reply, actions);
+            self.handle_proposer_reply(now, sender, reply, actions);
             return;
         }
         let message = Message {
@@ -118,7 +118,7 @@
 
     /// Reports what is known once a majority has been read for the first time.
     fn report_first_read(&mut self, actions: &mut Vec<Action<V>>) {
-        if !std::mem::replace(&mut self.has_read, true) {
+        if !std::mem::replace(&mut self.has_read_from_quorum, true) {
             let state = self
                 .learner
                 .chosen()
--- a/crates/register/src/node/read_repair.rs
+++ b/crates/register/src/node/read_repair.rs
@@ -9,7 +9,7 @@
 
 impl<V: RegisterValue> Node<V> {
     /// Repairs what has been incomplete for too long.
-    pub(super) fn repair(&mut self, now: Duration) {
+    pub(super) fn run_read_repair(&mut self, now: Duration) {
         let accepted = self.acceptor.accepted().map(|proposal| proposal.ballot);
         let unchosen_since = self.learner.unchosen_since(now, accepted);
         let is_joint = self.chosen().is_some_and(|state| state.members.is_joint());
@@ -19,19 +19,19 @@
             .chain(self.background.joint_since)
             .min();
         let Some(since) = since else {
-            self.background.read_repair_at = None;
+            self.background.next_read_repair_at = None;
             return;
         };
         let delay = self.settings.read_repair_delay;
         let jitter = self.random.below(delay);
         let due = *self
             .background
-            .read_repair_at
+            .next_read_repair_at
             .get_or_insert(since + delay + jitter);
         if now < due {
             return;
         }
-        self.background.read_repair_at = Some(now + delay + jitter);
+        self.background.next_read_repair_at = Some(now + delay + jitter);
         if self.proposer.is_busy() {
             return;
         }
--- a/crates/register/src/node/receiving.rs
+++ b/crates/register/src/node/receiving.rs
@@ -68,7 +68,7 @@
         if let ReplyBody::NotMember { chosen } = reply.body {
             self.fetch(now, address, chosen, actions);
         }
-        self.proposer_reply(now, sender, reply, actions);
+        self.handle_proposer_reply(now, sender, reply, actions);
     }
 
     fn receive_status(
@@ -109,7 +109,7 @@
 
     /// Learns a chosen proposal, and reports its state if it is new.
     pub(super) fn learn(&mut self, proposal: &Proposal<V>, actions: &mut Vec<Action<V>>) {
-        if self.learner.learn(proposal).is_some() && self.has_read {
+        if self.learner.learn(proposal).is_some() && self.has_read_from_quorum {
             actions.push(Action::Learned(Arc::clone(&proposal.state)));
         }
     }
--- a/crates/register/src/node/recovery.rs
+++ b/crates/register/src/node/recovery.rs
@@ -30,7 +30,9 @@
                 bootstrap_check: Self::restart_check(own, &record, settings),
                 acceptor: Acceptor::unsynced(record, guards),
             },
-            RecordSource::Bootstrap { members, value } if guards.keeps(Guard::BootstrapCheck) => {
+            RecordSource::Bootstrap { members, value }
+                if guards.enforces(Guard::BootstrapCheck) =>
+            {
                 let timeout = settings.bootstrap_timeout;
                 let blank = Record::empty(Identity::from_seed_address(own));
                 Self {
@@ -54,7 +56,7 @@
         record: &Record<V>,
         settings: &Settings,
     ) -> Option<BootstrapCheck<V>> {
-        if !settings.guards.keeps(Guard::RestartBeforeFirstVote) {
+        if !settings.guards.enforces(Guard::RestartBeforeFirstVote) {
             return None;
         }
         BootstrapCheck::restarted(own, record, settings.bootstrap_timeout)
--- a/crates/register/src/proposer/batch.rs
+++ b/crates/register/src/proposer/batch.rs
@@ -169,7 +169,7 @@
     fn new(read: &QuorumRead<V>, guards: Guards) -> Self {
         let state = &read.proposal.state;
         let value = Arc::clone(&state.value);
-        let may_leave = read.is_chosen || !guards.keeps(Guard::JointChosenFirst);
+        let may_leave = read.is_chosen || !guards.enforces(Guard::JointChosenFirst);
         match &state.members.next {
             Some(next) if may_leave => Self {
                 members: Membership::single(next.clone()),
--- a/crates/register/src/proposer/rounds.rs
+++ b/crates/register/src/proposer/rounds.rs
@@ -150,7 +150,8 @@
             Batch::assemble(self.queue.drain(..), read, ballot, guards);
         let is_unchanged = state.sequence == read.proposal.state.sequence;
         // The reason is given at `Guard::FenceBeforeAnswer`.
-        let must_accept_again = guards.keeps(Guard::FenceBeforeAnswer) && batch.answers_unchanged();
+        let must_accept_again =
+            guards.enforces(Guard::FenceBeforeAnswer) && batch.answers_unchanged();
         if is_unchanged && read.is_chosen && !must_accept_again {
             effects.push(Effect::ReadChosen(read.proposal.clone()));
             let first_excluded = active.first_excluded_arrival;
--- a/crates/register/src/quorum_lease.rs
+++ b/crates/register/src/quorum_lease.rs
@@ -43,7 +43,7 @@
 pub struct QuorumLease {
     length: Duration,
     next_id: HeartbeatId,
-    next_at: Duration,
+    next_heartbeat_at: Duration,
     /// Heartbeats that may still be acknowledged, oldest first.
     in_flight: VecDeque<Heartbeat>,
     /// When the newest heartbeat that a replica has acknowledged was sent.
@@ -58,7 +58,7 @@
         Self {
             length,
             next_id: first_id,
-            next_at: Duration::ZERO,
+            next_heartbeat_at: Duration::ZERO,
             in_flight: VecDeque::new(),
             acknowledged: BTreeMap::new(),
         }
@@ -67,20 +67,20 @@
     /// When the next heartbeat is due.
     #[must_use]
     pub fn next_heartbeat_at(&self) -> Duration {
-        self.next_at
+        self.next_heartbeat_at
     }
 
     /// Makes a heartbeat due at once.
     pub fn expedite_heartbeat(&mut self) {
-        self.next_at = Duration::ZERO;
+        self.next_heartbeat_at = Duration::ZERO;
     }
 
     /// The heartbeat to send now, if one is due.
     pub fn next_heartbeat(&mut self, now: Duration) -> Option<HeartbeatId> {
-        if now < self.next_at {
+        if now < self.next_heartbeat_at {
             return None;
         }
-        self.next_at = now + self.length / HEARTBEATS_PER_LEASE;
+        self.next_heartbeat_at = now + self.length / HEARTBEATS_PER_LEASE;
         self.drop_expired(now);
         let id = self.next_id;
         self.next_id = HeartbeatId(id.0.wrapping_add(1));
--- a/crates/register/src/reconfiguration.rs
+++ b/crates/register/src/reconfiguration.rs
@@ -228,7 +228,7 @@
         if set.contains(self.own.identity) {
             reports.push(own.clone());
         }
-        let needed = if self.guards.keeps(Guard::UnreachableByMajority) {
+        let needed = if self.guards.enforces(Guard::UnreachableByMajority) {
             set.majority()
         } else {
             0
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -171,7 +171,7 @@
             return None;
         }
         let is_chosen = self.is_known_as_chosen(proposal);
-        if !is_chosen && !self.guards.keeps(Guard::CompleteAccepted) {
+        if !is_chosen && !self.guards.enforces(Guard::CompleteAccepted) {
             let proposal = self.known.clone()?;
             return Some(QuorumRead {
                 proposal,
@@ -251,7 +251,7 @@
         let has_accepted = |identity| self.reported.get(&identity) == Some(&Some(proposal.ballot));
         proposal.ballot <= self.chosen
             || self.is_quorum(&proposal.state.members, has_accepted)
-            || !self.guards.keeps(Guard::ConfirmBeforeReport)
+            || !self.guards.enforces(Guard::ConfirmBeforeReport)
     }
 
     fn has_replied(&self, identity: Identity) -> bool {
@@ -268,7 +268,7 @@
     )]
     fn is_quorum(&self, members: &Membership, voted: impl Fn(Identity) -> bool) -> bool {
         #[cfg(feature = "mutations")]
-        if !self.guards.keeps(Guard::JointQuorum) {
+        if !self.guards.enforces(Guard::JointQuorum) {
             return members.is_quorum_of_latest(voted);
         }
         members.is_quorum(voted)
--- a/crates/register/tests/exhaustive/task.rs
+++ b/crates/register/tests/exhaustive/task.rs
@@ -31,7 +31,7 @@
 ) -> Arc<State<Value>> {
     let state = &read.proposal.state;
     let value = Arc::clone(&state.value);
-    let may_leave = read.is_chosen || !guards.keeps(Guard::JointChosenFirst);
+    let may_leave = read.is_chosen || !guards.enforces(Guard::JointChosenFirst);
     if let Some(next) = state.members.next.clone().filter(|_| may_leave) {
         return Arc::new(state.successor(ballot, Membership::single(next), value));
     }
