--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -1,8 +1,8 @@
-//! The acceptor: gives promises and acceptances (Rystsov 2018, section 2), each of which is
-//! durable before the reply is sent.
+//! The acceptor: promises ballots and accepts proposals (Rystsov 2018, section 2).
 //!
-//! This guards against a replica that forgets a promise in a crash, and against one whose disk was
-//! lost and that replies as if it were still the old replica.
+//! Each promise and each acceptance is durable before the reply is sent, so that a crash can't make
+//! the replica forget it. Requests are addressed to an identity, so that a replica whose disk was
+//! lost doesn't reply in the name of the identity that it had before.
 
 use std::net::SocketAddr;
 
@@ -15,31 +15,31 @@
 #[cfg(test)]
 mod tests;
 
-/// A reply and its destination.
+/// A reply with its destination and the identity under which it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AddressedReply<V> {
     /// Address of the proposer's node.
     pub to: SocketAddr,
-    /// The replica that replies.
+    /// Identity of the replying replica.
     pub sender: Identity,
-    /// The reply.
+    /// The reply, with the round of the request.
     pub reply: Reply<V>,
 }
 
 /// When a reply may be sent.
 enum Readiness<V> {
-    /// At once: it reports only what is durable.
+    /// The reply may be sent at once, since it reports only durable state.
     Immediate(ReplyBody<V>),
-    /// Once the current record is durable.
+    /// The reply must wait until the current record is durable.
     AfterWrite(ReplyBody<V>),
 }
 
-/// One replica's promises and acceptances.
+/// The acceptor of one replica, with at most one write of its record in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor<V> {
     /// The current record, in memory.
     record: Record<V>,
-    /// The record that is known to be durable.
+    /// The last record reported as durable.
     durable: Record<V>,
     /// Whether `record` has changed since the last write began.
     is_dirty: bool,
@@ -49,13 +49,13 @@
     /// Replies that wait for the write in flight.
     awaiting_write_in_flight: Vec<AddressedReply<V>>,
     last_token: PersistToken,
-    /// Whether the first record isn't durable yet: until then no request is answered.
+    /// Whether the first record is not durable yet; no request is answered until it is.
     awaits_first_record: bool,
     guards: Guards,
 }
 
 impl<V: Clone> Acceptor<V> {
-    /// An acceptor whose record is durable already.
+    /// Creates an acceptor whose record is durable already.
     #[must_use]
     pub fn recovered(record: Record<V>, guards: Guards) -> Self {
         Self {
@@ -71,8 +71,8 @@
         }
     }
 
-    /// An acceptor whose first record must become durable before any request is answered: a new
-    /// one, or one that was read from the disk and may be in the page cache only.
+    /// Creates an acceptor that answers no request before its first record is durable. The record
+    /// is either new, or was read from the disk and may be in the page cache only.
     #[must_use]
     pub fn unsynced(record: Record<V>, guards: Guards) -> Self {
         let mut acceptor = Self::recovered(Record::empty(record.identity), guards);
@@ -82,13 +82,13 @@
         acceptor
     }
 
-    /// Identity of the replica.
+    /// Identity of the replica, under which the acceptor replies.
     #[must_use]
     pub fn identity(&self) -> Identity {
         self.record.identity
     }
 
-    /// The proposal that is accepted and durable.
+    /// The last accepted proposal that is durable.
     #[must_use]
     pub fn accepted(&self) -> Option<&Proposal<V>> {
         self.durable.accepted.as_ref()
@@ -100,7 +100,8 @@
         self.record.promised
     }
 
-    /// Highest ballot counter that the proposer of this node may use.
+    /// Highest ballot counter that this node's proposer may use: the highest one whose reservation
+    /// is durable.
     #[must_use]
     pub fn reserved_counter(&self) -> u64 {
         if self.guards.enforces(Guard::BallotReservation) {
@@ -110,19 +111,20 @@
         }
     }
 
-    /// Highest ballot counter that the proposer may have used, in earlier incarnations too.
+    /// Highest ballot counter that this node's proposer may have used, in any incarnation.
     #[must_use]
     pub fn used_counter(&self) -> u64 {
         self.record.reserved
     }
 
-    /// Whether no request is answered yet, since the first record isn't durable.
+    /// Whether the first record is not durable yet, so that no request is answered.
     #[must_use]
     pub fn awaits_first_record(&self) -> bool {
         self.awaits_first_record
     }
 
-    /// Whether the replica has no state at all, durable or not.
+    /// Whether the replica has no accepted proposal, not even that of the initial state, durable or
+    /// not.
     #[must_use]
     pub fn is_blank(&self) -> bool {
         self.record.accepted.is_none()
@@ -134,8 +136,8 @@
         self.record.has_participated()
     }
 
-    /// Reserves ballot counters up to that one; they may be used once the record is durable. A
-    /// proposer that restarts begins above all reserved ones, and so never uses a ballot twice.
+    /// Reserves the ballot counters up to `counter`. They may be used once the record is durable. A
+    /// restarted proposer begins above all reserved counters and so never uses a ballot twice.
     pub fn reserve(&mut self, counter: u64) {
         if counter > self.record.reserved {
             self.record.reserved = counter;
@@ -143,9 +145,10 @@
         }
     }
 
-    /// Handles a request. The reply is returned if it may be sent at once, else by
-    /// [`persisted`](Self::persisted) after the next write; of one node's requests only the latest
-    /// waits. `chosen` is what the node knows as chosen.
+    /// Handles a request. A reply that may be sent at once is returned here; any other is returned
+    /// by [`persisted`](Self::persisted) after the next write. Of the replies to one node that wait
+    /// for that write, only the latest is kept. `chosen` is the newest proposal that the node knows
+    /// as chosen.
     pub fn request(
         &mut self,
         from: SocketAddr,
@@ -180,7 +183,7 @@
         }
     }
 
-    /// The next write, if one is due; at most one is in flight.
+    /// Begins the next write, if one is due and none is in flight.
     pub fn next_write(&mut self) -> Option<Write<V>> {
         if self.write_in_flight.is_some() {
             return None;
@@ -200,7 +203,8 @@
         Some(write)
     }
 
-    /// Handles that a write is durable: returns the replies that waited for it.
+    /// Marks a write as durable and returns the replies that waited for it. An unknown token has no
+    /// effect.
     pub fn persisted(&mut self, token: PersistToken) -> Vec<AddressedReply<V>> {
         match self.write_in_flight.take_if(|write| write.token == token) {
             Some(write) => {
@@ -233,7 +237,8 @@
         }
     }
 
-    /// Phase 1 (Rystsov 2018, section 2): promises the ballot unless a higher one is promised.
+    /// Phase 1 (Rystsov 2018, section 2): promises the ballot unless a higher one has been
+    /// promised.
     fn promise(&mut self, ballot: Ballot, known: Ballot, chosen: Ballot) -> Readiness<V> {
         if ballot < self.record.promised {
             return self.conflict();
@@ -243,8 +248,8 @@
         self.after_write_unless_durable(ReplyBody::Promise { ballot, state })
     }
 
-    /// Phase 2 (Rystsov 2018, section 2): accepts the proposal unless a higher ballot is promised
-    /// or this replica isn't one of its members.
+    /// Phase 2 (Rystsov 2018, section 2): accepts the proposal unless a higher ballot has been
+    /// promised or this replica isn't a member by the proposed state.
     fn accept(&mut self, proposal: Proposal<V>, chosen: Ballot) -> Readiness<V> {
         let ballot = proposal.ballot;
         if ballot < self.record.promised {
@@ -265,8 +270,8 @@
         })
     }
 
-    /// The readiness of a reply that reports the current record. A promise or an acceptance that
-    /// was given before may be durable already.
+    /// Readiness of a reply that reports the current record. A repeated promise or acceptance may
+    /// be durable already and then needs no write.
     fn after_write_unless_durable(&mut self, body: ReplyBody<V>) -> Readiness<V> {
         let is_durable = self.record.promised == self.durable.promised
             && self.record.accepted_ballot() == self.durable.accepted_ballot();
@@ -277,8 +282,9 @@
         Readiness::AfterWrite(body)
     }
 
-    /// Whether the newest state known here, newer than the proposer's view, doesn't name this
-    /// replica. A promise would then count towards a quorum of an outdated replica set.
+    /// Whether the newest state that this node has is newer than the proposer's view and doesn't
+    /// include this replica as a member. A promise would then count towards a quorum of an outdated
+    /// replica set.
     fn is_removed(&self, view: Ballot, chosen: Option<&Proposal<V>>) -> bool {
         newest(self.record.accepted.as_ref(), chosen).is_some_and(|newest| {
             newest.ballot > view && !newest.state.members.contains(self.record.identity)
@@ -286,8 +292,9 @@
     }
 }
 
-/// The state of a record as reported to a proposer, for which `known` is the newest chosen ballot.
-/// A proposal that the proposer has already is left out.
+/// State of a record as reported to a proposer. The proposal is left out if its ballot is not above
+/// `known`, the highest ballot that the proposer knows as chosen, since the proposer then needs no
+/// copy.
 fn acceptor_state<V: Clone>(record: &Record<V>, known: Ballot, chosen: Ballot) -> AcceptorState<V> {
     let is_new = |proposal: &&Proposal<V>| proposal.ballot > known || known == Ballot::ZERO;
     AcceptorState {
--- a/crates/register/src/acceptor/tests.rs
+++ b/crates/register/src/acceptor/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the acceptor: no reply is sent before it is durable, and no promise is taken
-//! back.
+//! Tests of the acceptor: no reply is sent before the state that it reports is durable, and no
+//! promise is revoked.
 
 use std::net::SocketAddr;
 
--- a/crates/register/src/ballot.rs
+++ b/crates/register/src/ballot.rs
@@ -1,18 +1,19 @@
-//! Replica identities and the ballots that order proposals.
+//! Identities of replicas, and ballots, which order proposals.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies one replica's disk. A machine that returns with an empty disk takes a new identity,
-/// since it no longer knows what the old one promised.
+/// Identifies a replica by the contents of its disk. A machine that restarts with an empty disk
+/// takes a new identity, since the promises given under the old one are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity(pub u64);
 
 impl Identity {
-    /// Identity of an initial member. The other initial members derive it from the address alone
-    /// (64-bit FNV-1a of its text), so that they agree on the first replica set without a message.
+    /// Derives the identity of an initial member from its address alone (64-bit FNV-1a of the
+    /// text), so that all initial members agree on the first replica set without exchanging
+    /// messages.
     #[must_use]
     pub fn from_seed_address(address: SocketAddr) -> Self {
         const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
@@ -31,18 +32,18 @@
     }
 }
 
-/// Orders proposals: by counter, then by the proposer's identity, so that two proposers never use
-/// the same one (Rystsov 2018, section 2).
+/// A ballot number. Ballots order proposals by counter, then by the proposer's identity, so that
+/// two proposers never use the same ballot (Rystsov 2018, section 2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Raised by a proposer for every attempt.
+    /// Counter that the proposer increases for each attempt.
     pub counter: u64,
     /// Identity of the proposer.
     pub identity: Identity,
 }
 
 impl Ballot {
-    /// Ballot of the initial state; no proposer uses it.
+    /// Ballot of the initial state, below the ballots of all proposers.
     pub const ZERO: Self = Self {
         counter: 0,
         identity: Identity(0),
--- a/crates/register/src/bootstrap.rs
+++ b/crates/register/src/bootstrap.rs
@@ -1,33 +1,33 @@
-//! The bootstrap check: whether the whole system starts for the first time. An initial member whose
-//! disk is empty needs to know.
+//! The bootstrap check, by which an initial member with an empty disk finds out whether the whole
+//! system starts for the first time.
 //!
-//! The identity of an initial member follows from its address, since the initial members must know
-//! each other's identities before they can agree on anything. A machine whose disk was lost, and
-//! whose settings still say `bootstrap`, would take the same identity again and vote as if it had
-//! promised nothing: the check guards against that. The member therefore gives no vote before the
-//! others have reported their [`Participation`]:
+//! The identity of an initial member is derived from its address, since the initial members must
+//! know each other's identities before they can agree on anything. A machine whose disk was lost,
+//! and whose settings still say `bootstrap`, would take the same identity again and could
+//! contradict its lost promises. The member therefore gives no vote (promise or acceptance) before
+//! the others have reported their [`Participation`]:
 //!
-//! - One of them has voted, or knows a state beyond the initial one: the disk was lost. The replica
-//!   takes a new identity, and the members decide whether to add it.
-//! - All other initial members have voted for nothing: then no earlier incarnation of this one was
-//!   part of a decision either, since each decision has a majority, and so another member. It is an
-//!   initial member.
-//! - Some are unreachable: if those heard from are a majority together with this one, and all of
-//!   them had empty disks too when first heard from, the system starts with machines missing. This
-//!   is assumed only after a time-out. Otherwise the check waits: the missing one may be the only
-//!   other that knows a decision.
+//! - If any node has voted, or knows a state beyond the initial one, this member's disk was lost.
+//!   The replica takes a new identity, and the members decide whether to add it.
+//! - If all other initial members have reported and none has voted, the system starts for the first
+//!   time and this node is an initial member. No earlier incarnation of it was part of a decision,
+//!   since each decision needs a majority, and so another member.
+//! - If some initial members are unreachable, the system is assumed to start without them only
+//!   after a timeout, and only if those that reported are a majority together with this one and all
+//!   had empty disks when they first reported. Otherwise the check waits, since a missing member
+//!   may be the only other one that knows a decision.
 //!
-//! A replica that has become a member votes only once all initial members are, or after the
-//! time-out a majority: its votes would tell the others that the system had started before them,
-//! and one that isn't a member yet would then take another identity and be a member again only
-//! after a change of the replica set. Until then the next loss would leave no majority. A member
-//! that restarts from its disk and has voted for nothing yet ([`BootstrapCheck::restarted`]) waits
-//! for a majority, too: the others may not have started.
+//! A new member votes only once all initial members have become members, or a majority after the
+//! timeout. With an earlier vote, an initial member that still checks would conclude that the
+//! system had started before and take another identity. It would be a member again only after a
+//! change of the replica set, and until then one more loss would leave no majority. A member that
+//! restarts from its disk without ever having voted ([`BootstrapCheck::restarted`]) also waits for
+//! a majority, since the others may not have started.
 //!
-//! What remains unprotected: a loss of the disks of a majority, which loses the decisions
-//! themselves; and a promise to a coordinator that is no initial member, given and lost with the
-//! disk before that coordinator's request reached any other member of a system that has never been
-//! changed.
+//! Two cases are not covered: the loss of a majority of the disks, which loses the decisions
+//! themselves; and, in a system whose state has never been changed, a promise to a coordinator that
+//! is not an initial member, if the promise is lost with the disk before that coordinator's request
+//! has reached any other member.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -40,40 +40,40 @@
 #[cfg(test)]
 mod tests;
 
-/// What the participation of the others shows.
+/// The conclusion that the reported participation allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BootstrapVerdict {
-    /// Not enough is known yet.
+    /// The reports received so far allow no conclusion.
     Undecided,
     /// The system starts for the first time.
     FirstStart,
-    /// The system has started before: the disk of this node was lost.
+    /// The system has started before, so the disk of this node was lost.
     AlreadyStarted,
 }
 
-/// What is known of the participation of the others.
+/// State of the bootstrap check: what the other coordinators have reported.
 #[derive(Clone, Debug)]
 pub(crate) struct BootstrapCheck<V> {
     own_address: SocketAddr,
     members: Vec<SocketAddr>,
     value: V,
     timeout: Duration,
-    /// The participation that each other initial member reported first.
+    /// First report of each other initial member.
     first_reports: BTreeMap<SocketAddr, Participation>,
-    /// Whether any node has reported more than the initial state.
+    /// Whether any node has reported a vote or a state beyond the initial one.
     is_already_started: bool,
-    /// Other initial members that have reported to be members.
+    /// Other initial members that have reported that they are members.
     reported_members: BTreeSet<SocketAddr>,
     /// Whether this replica has become a member.
     pub(crate) is_member: bool,
-    /// Whether it was a member before it started.
+    /// Whether this replica was a member before this start of the node.
     pub(crate) has_restarted: bool,
-    /// When the wait for the others began.
+    /// When the timeout began.
     wait_started_at: Option<Duration>,
 }
 
 impl<V> BootstrapCheck<V> {
-    /// The check of an initial member whose disk is empty.
+    /// Creates the check of an initial member whose disk is empty.
     pub(crate) fn new(
         own_address: SocketAddr,
         members: Vec<SocketAddr>,
@@ -94,8 +94,8 @@
         }
     }
 
-    /// The check of an initial member that restarts from its disk and has voted for nothing; none
-    /// for any other record.
+    /// Creates the check of an initial member that restarts from its disk and has never voted.
+    /// Returns `None` for any other record.
     pub(crate) fn restarted(
         own_address: SocketAddr,
         record: &Record<V>,
@@ -123,8 +123,9 @@
         self.members.iter().copied()
     }
 
-    /// A coordinator has reported its participation. A node at a member's address with another
-    /// identity proves nothing about that member, unless it knows a later state.
+    /// Records the participation that a coordinator has reported. A report from a member's address
+    /// under another identity doesn't count for that member, but a vote or a later state reported
+    /// by any node shows that the system has started.
     pub(crate) fn participation_received(
         &mut self,
         sender: Identity,
@@ -141,7 +142,7 @@
         }
     }
 
-    /// What the participation of the others shows so far.
+    /// The conclusion from the reports received so far. The first call starts the timeout.
     pub(crate) fn verdict(&mut self, now: Duration) -> BootstrapVerdict {
         let has_timed_out = self.has_timed_out(now);
         if self.is_already_started {
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Whether this member may vote: all initial members are members, or after the time-out, or
-    /// after a restart, a majority of them is.
+    /// Whether this replica may vote: it is a member, and all initial members have become members.
+    /// A majority suffices after the timeout or after a restart.
     pub(crate) fn may_vote(&mut self, now: Duration) -> bool {
         let majority_suffices = self.has_timed_out(now) || self.has_restarted;
         let needed = if majority_suffices {
@@ -173,7 +174,7 @@
         self.is_member && self.reported_members.len() >= needed
     }
 
-    /// The record of an initial member.
+    /// Creates this node's record as an initial member.
     pub(crate) fn record(&self) -> Record<V>
     where
         V: Clone,
@@ -189,12 +190,12 @@
             .count()
     }
 
-    /// Number of the other initial members that are a majority together with this one.
+    /// Number of other initial members that form a majority together with this one.
     fn majority_excluding_self(&self) -> usize {
         self.members.len() / 2
     }
 
-    /// Whether the time-out has passed; it begins with the first call.
+    /// Whether the timeout has passed; the first call starts it.
     fn has_timed_out(&mut self, now: Duration) -> bool {
         now >= *self.wait_started_at.get_or_insert(now) + self.timeout
     }
--- a/crates/register/src/bootstrap/tests.rs
+++ b/crates/register/src/bootstrap/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of what the participation of the others shows.
+//! Tests of the bootstrap check: the verdict for each combination of reports, and when a member may
+//! vote.
 
 use super::*;
 
@@ -21,7 +22,7 @@
     check
 }
 
-/// The verdicts before and after the time-out, when the other members have reported this in turn.
+/// Verdicts before and after the timeout, with `reports` from the other members in turn.
 fn verdicts(members: u16, reports: &[Participation]) -> (BootstrapVerdict, BootstrapVerdict) {
     let mut check = check(members);
     for (host, participation) in (1..).zip(reports) {
@@ -129,8 +130,8 @@
     assert_eq!(check.verdict(TIMEOUT), BootstrapVerdict::Undecided);
 }
 
-/// A node that isn't a member yet would take the votes of a majority as a sign that its disk was
-/// lost.
+/// A vote before all initial members are members would make one that is still checking conclude
+/// that its disk was lost.
 #[test]
 fn a_new_member_votes_once_all_are_members_or_after_the_timeout_a_majority() {
     let mut check = check(3);
--- a/crates/register/src/learner.rs
+++ b/crates/register/src/learner.rs
@@ -1,5 +1,5 @@
-//! The learner: what a node knows as chosen, and since when it has had an accepted proposal that it
-//! doesn't know as chosen.
+//! The learner: the newest proposal that a node knows as chosen, and for how long the proposal
+//! accepted by its own replica has not been known as chosen.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 #[cfg(test)]
 mod tests;
 
-/// The newest proposal that the node knows as chosen.
+/// The learner of one node. Its chosen ballot never decreases.
 #[derive(Clone, Debug)]
 pub struct Learner<V> {
     chosen: Option<Proposal<V>>,
     unchosen: Option<Unchosen>,
 }
 
-/// An accepted proposal that isn't known as chosen.
+/// An accepted proposal that isn't known as chosen, with the time at which that was first noticed.
 #[derive(Clone, Copy, Debug)]
 struct Unchosen {
     ballot: Ballot,
@@ -39,19 +39,20 @@
         self.chosen.as_ref()
     }
 
-    /// Ballot of the newest proposal known as chosen; zero without one.
+    /// Ballot of the newest proposal known as chosen, or [`Ballot::ZERO`] if none is.
     #[must_use]
     pub fn ballot(&self) -> Ballot {
         ballot_of(self.chosen())
     }
 
-    /// Sequence number of the newest proposal known as chosen.
+    /// Sequence number of the newest state known as chosen.
     #[must_use]
     pub fn sequence(&self) -> Option<u64> {
         self.chosen.as_ref().map(|proposal| proposal.state.sequence)
     }
 
-    /// Learns that a proposal is chosen. Returns its state if that is newer than what was known.
+    /// Learns that a proposal is chosen. Returns its state if no state of that sequence number or a
+    /// higher one was known as chosen.
     pub fn learn(&mut self, proposal: &Proposal<V>) -> Option<&State<V>> {
         let is_outdated = self
             .chosen
@@ -70,9 +71,9 @@
             .map(|proposal| &*proposal.state)
     }
 
-    /// Learns that the state of that sequence number is chosen in a ballot. Returns whether this
-    /// node has that state: it does if it knows the sequence number, since only one state is ever
-    /// chosen for it.
+    /// Learns that the state with the sequence number `sequence` is chosen in `ballot`. Returns
+    /// whether the node has that state or a newer one. A known sequence number suffices, since only
+    /// one state is ever chosen for each.
     pub fn learn_ballot(&mut self, ballot: Ballot, sequence: u64) -> bool {
         match &mut self.chosen {
             Some(known) if known.ballot >= ballot => true,
@@ -84,8 +85,9 @@
         }
     }
 
-    /// Since when the proposal accepted in that ballot hasn't been known as chosen; nothing if it
-    /// is. The time counts from the first call with the ballot.
+    /// The time since which the proposal accepted in the ballot has not been known as chosen: that
+    /// of the first call with this ballot. `None` if the proposal is known as chosen or none is
+    /// accepted.
     pub fn unchosen_since(&mut self, now: Duration, accepted: Option<Ballot>) -> Option<Duration> {
         let ballot = accepted.filter(|&ballot| self.chosen.is_none() || ballot > self.ballot());
         self.unchosen = ballot.map(|ballot| match self.unchosen {
--- a/crates/register/src/learner/tests.rs
+++ b/crates/register/src/learner/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the learner.
+//! Tests of the learner: which states are new to it, and how long an accepted proposal is unchosen.
 
 use super::*;
 use crate::ballot::Identity;
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -1,18 +1,23 @@
-//! The compare-and-swap register: a replicated, linearizable state that is changed in two quorum
-//! rounds, without a log and without a leader (`CASPaxos`, Rystsov 2018).
+//! A replicated, linearizable compare-and-swap register. A proposer changes its state in two quorum
+//! rounds, prepare and accept, without a log and without a leader (`CASPaxos`, Rystsov 2018). The
+//! replica set is changed by joint consensus.
 //!
-//! The crate performs no I/O and reads no clock. A [`Node`] handles [`Event`]s at times of a steady
-//! clock and returns [`Action`]s; the caller sends the messages, makes the records durable and
-//! keeps one timer. This lets a simulation repeat every run from its seed.
+//! The crate performs no I/O and reads no clock. A [`Node`] handles [`Event`]s, each with the time
+//! of the caller's monotonic clock, and returns [`Action`]s; the caller sends the messages, makes
+//! the records durable and runs one timer. A simulation can therefore repeat every run from its
+//! seed.
 //!
-//! Where to read on:
+//! Modules:
 //!
-//! - [`acceptor`], [`round`], [`learner`]: the roles of Paxos; the proposer drives the rounds.
-//! - [`operation`]: what can be asked of the register, and how it ends.
-//! - [`replicas`], [`reconfiguration`]: the replica set, and when it is changed.
+//! - [`node`]: one coordinator's acceptor, proposer and learner behind one interface.
+//! - [`acceptor`], [`round`], [`learner`]: the roles of Paxos; the proposer runs the rounds.
+//! - [`ballot`], [`state`]: the order of proposals, and the state that a proposal carries.
+//! - [`operation`]: the operations of the register and their outcomes.
+//! - [`replicas`], [`reconfiguration`]: the replica set and the rules by which it is changed.
 //! - [`quorum_lease`]: whether a majority of the replicas is reachable.
-//! - [`message`], [`record`]: the formats on the wire and the disk.
-//! - [`guard`]: the rules of safety, which mutation tests remove one at a time.
+//! - [`message`], [`record`]: the formats on the wire and on disk.
+//! - [`settings`]: timeouts and intervals.
+//! - [`guard`]: the safety rules, which mutation tests disable one at a time.
 #![forbid(unsafe_code)]
 
 pub mod acceptor;
--- a/crates/register/src/node.rs
+++ b/crates/register/src/node.rs
@@ -1,8 +1,8 @@
-//! One coordinator's part in the register: acceptor, proposer, learner, quorum lease and
+//! The register's node in one coordinator: acceptor, proposer, learner, quorum lease and
 //! replica-set controller behind one interface.
 //!
-//! A node performs no I/O. It handles one [`Event`] at a time and returns [`Action`]s; it reads no
-//! clock, so a simulation can repeat every run.
+//! A node performs no I/O and reads no clock. It handles one [`Event`] at a time and returns
+//! [`Action`]s, so that a simulation can repeat every run.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 
 pub use event::{Action, Event, NodeLocation, RecordSource};
 
-/// One coordinator's part in the register.
+/// The register's node in one coordinator, driven by events. See the [module](self).
 pub struct Node<V: RegisterValue> {
     location: NodeLocation,
     settings: Settings,
@@ -50,11 +50,11 @@
     peers: BTreeSet<SocketAddr>,
     leaving: bool,
     controller: ReplicaSetController,
-    /// Whether a state was read from a majority, or chosen by one, since the node started. What
-    /// others report before may be older than what this node acknowledged before it restarted, so
-    /// it is not reported as learned.
+    /// Whether a state has been read from a quorum, or chosen by one, since the node started. Until
+    /// then, states received from others may be older than what this node acknowledged before it
+    /// restarted, so none is reported as learned.
     has_read_from_quorum: bool,
-    /// The bootstrap check, until it is concluded; the node gives no vote before.
+    /// The bootstrap check, until it is concluded. The node gives no vote while it is pending.
     bootstrap_check: Option<BootstrapCheck<V>>,
     quorum_lease: QuorumLease,
     background: Background,
@@ -62,8 +62,9 @@
 }
 
 impl<V: RegisterValue> Node<V> {
-    /// A node as it starts. `seed` must differ at each start: two incarnations with the same seed
-    /// would use the same round numbers and heartbeat identifiers.
+    /// Creates a node from its record, or for an empty disk. `seed` must differ at each start,
+    /// since two incarnations with the same seed would use the same round numbers and heartbeat
+    /// identifiers.
     #[must_use]
     pub fn recover(
         source: RecordSource<V>,
@@ -105,28 +106,29 @@
         }
     }
 
-    /// Identity of this node's replica.
+    /// Identity of this node's replica. It changes if the bootstrap check finds that the disk was
+    /// lost.
     #[must_use]
     pub fn identity(&self) -> Identity {
         self.acceptor.identity()
     }
 
-    /// The newest state known as chosen.
+    /// The newest state known as chosen, if any is.
     #[must_use]
     pub fn chosen(&self) -> Option<&Arc<State<V>>> {
         self.learner.chosen().map(|proposal| &proposal.state)
     }
 
-    /// Whether this replica is a member by the newest state known as chosen.
+    /// Whether this replica is a member according to the newest state known as chosen.
     #[must_use]
     pub fn is_member(&self) -> bool {
         self.chosen()
             .is_some_and(|state| state.members.contains(self.identity()))
     }
 
-    /// When the newest heartbeat was sent that a majority of the replicas has acknowledged; of both
-    /// sets while the membership is joint. Nothing before the first such acknowledgements, or
-    /// before any replica set is known.
+    /// When the newest heartbeat was sent that a majority of the replicas has acknowledged, or a
+    /// majority of each set while the membership is joint. `None` before the first such heartbeat,
+    /// and before any replica set is known.
     #[must_use]
     pub fn quorum_confirmed_at(&self, now: Duration) -> Option<Duration> {
         self.quorum_lease
@@ -141,14 +143,14 @@
             .is_some_and(|members| self.quorum_lease.is_valid(now, self.identity(), members))
     }
 
-    /// Counts of the proposer's rounds.
+    /// Metrics of the proposer's rounds.
     #[must_use]
     pub fn proposer_metrics(&self) -> ProposerMetrics {
         self.proposer.metrics()
     }
 
-    /// Handles an event at the time `now` of a steady clock, and appends what is to be done to
-    /// `actions`.
+    /// Handles an event at the time `now` of a monotonic clock, and appends to `actions` what the
+    /// caller has to do.
     pub fn handle(&mut self, now: Duration, event: Event<V>, actions: &mut Vec<Action<V>>) {
         self.detect_process_pause(now);
         match event {
@@ -181,7 +183,7 @@
         self.broadcast_status(actions);
     }
 
-    /// Whether this node gives up its membership, so that another coordinator replaces it.
+    /// Whether this node gives up its membership, so that another coordinator takes its place.
     fn is_leaving(&self) -> bool {
         self.leaving || self.background.is_disk_stalled
     }
--- a/crates/register/src/node/background.rs
+++ b/crates/register/src/node/background.rs
@@ -1,5 +1,5 @@
-//! Periodic work of a node: status messages, heartbeats, replica changes, read repair; and the
-//! detection of pauses of its own process.
+//! Periodic work of a node: status messages, heartbeats, replica changes and read repair. Also the
+//! detection of pauses of the node's own process.
 
 use std::time::Duration;
 
@@ -10,34 +10,34 @@
 
 /// Interval at which the node checks whether a replica change is due.
 const RECONFIGURATION_INTERVAL: Duration = Duration::from_millis(100);
-/// A node handles an event at least every [`RECONFIGURATION_INTERVAL`]: if it handled none for this
-/// long, its process was paused.
+/// Time without an event after which the process is taken to have been paused. A running node
+/// handles an event at least every [`RECONFIGURATION_INTERVAL`].
 const PROCESS_PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
 
-/// A fetch of a chosen state that is under way.
+/// The last fetch of a chosen state from another node.
 #[derive(Clone, Copy, Debug)]
 struct Fetch {
     ballot: Ballot,
     sent_at: Duration,
 }
 
-/// Times of the background work.
+/// Schedule and state of the background work.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Background {
     has_started: bool,
     pub(super) next_status_at: Duration,
     next_reconfiguration_at: Duration,
     pub(super) next_read_repair_at: Option<Duration>,
-    /// Since when the membership is joint.
+    /// When the membership was first seen to be joint; `None` while it is not.
     pub(super) joint_since: Option<Duration>,
     fetch: Option<Fetch>,
     last_event_at: Duration,
-    /// The unreachable members that were last reported to the others.
+    /// Unreachable members, as last reported to the other nodes.
     pub(super) unreachable: Vec<Identity>,
     /// When the write in flight began.
     pub(super) writing_since: Option<Duration>,
-    /// Whether the write in flight takes so long that another coordinator should replace this
-    /// replica.
+    /// Whether the write in flight has taken so long that another coordinator should take this
+    /// replica's place.
     pub(super) is_disk_stalled: bool,
 }
 
@@ -49,8 +49,8 @@
             .map_or(regular, |read_repair| read_repair.min(regular))
     }
 
-    /// Whether a chosen state may be fetched, which begins a fetch. It may not while the same state
-    /// or a newer one was fetched less than `timeout` ago.
+    /// Begins a fetch of a chosen state and returns true, unless a fetch of the same state or a
+    /// newer one was sent less than `timeout` ago.
     pub(super) fn begin_fetch(&mut self, now: Duration, ballot: Ballot, timeout: Duration) -> bool {
         let is_under_way = self
             .fetch
@@ -66,9 +66,9 @@
 }
 
 impl<V: RegisterValue> Node<V> {
-    /// Detects that the own process was paused (by the scheduler, a debugger or a suspended
-    /// machine). The pause doesn't count towards the timeouts of other nodes or of the disk, as
-    /// their messages and completions could not be handled meanwhile.
+    /// Detects that the node's own process was paused (by the scheduler, a debugger or a suspended
+    /// machine). The pause doesn't count towards the timeouts of other nodes or of the disk, since
+    /// their messages and completions could not be handled during it.
     pub(super) fn detect_process_pause(&mut self, now: Duration) {
         let pause = now.saturating_sub(self.background.last_event_at);
         let was_paused = self.background.has_started && pause >= PROCESS_PAUSE_THRESHOLD;
@@ -80,7 +80,7 @@
         self.background.last_event_at = now;
     }
 
-    /// Does the background work that is due.
+    /// Runs the background work that is due.
     pub(super) fn run_background(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         if !self.background.has_started {
             self.background.has_started = true;
--- a/crates/register/src/node/bootstrap.rs
+++ b/crates/register/src/node/bootstrap.rs
@@ -1,6 +1,6 @@
-//! The start of an initial member on an empty disk: it becomes a member, or starts over under a new
-//! identity. Also the wait of a member that has voted for nothing until a majority has started. The
-//! rules and their reasons are those of [`crate::bootstrap`].
+//! Applies the verdict of the bootstrap check: an initial member with an empty disk becomes a
+//! member or continues under a new identity, and a restarted member that has never voted waits
+//! until a majority has started. [`crate::bootstrap`] gives the rules and their reasons.
 
 use std::time::Duration;
 
@@ -13,12 +13,13 @@
 use crate::record::Record;
 
 impl<V: RegisterValue> Node<V> {
-    /// What this node's disk may have taken part in.
+    /// The participation to report to other nodes.
     pub(super) fn participation(&self) -> Participation {
         if self.acceptor.has_participated() || self.learner.ballot() > Ballot::ZERO {
             return Participation::Advanced;
         }
-        // Before the record of a new member is durable, a crash would make it blank again.
+        // A new member counts as blank until its record is durable, since a crash would lose the
+        // record.
         let is_new = self
             .bootstrap_check
             .as_ref()
@@ -30,8 +31,8 @@
         }
     }
 
-    /// Concludes the bootstrap check once it has a verdict: this node continues as an initial
-    /// member, or under a new identity.
+    /// Acts on the verdict of the bootstrap check, if there is one: this node continues as an
+    /// initial member or under a new identity. A member's check ends once the member may vote.
     pub(super) fn conclude_bootstrap_check(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         let Some(check) = &mut self.bootstrap_check else {
             return;
@@ -60,7 +61,7 @@
         self.read(now);
     }
 
-    /// Takes another identity, under which this node has promised nothing.
+    /// Takes a new identity, under which this node has promised nothing.
     fn adopt_new_identity(&mut self, actions: &mut Vec<Action<V>>) -> Identity {
         let identity = Identity(self.random.next());
         self.proposer.set_identity(identity);
--- a/crates/register/src/node/heartbeat.rs
+++ b/crates/register/src/node/heartbeat.rs
@@ -1,5 +1,5 @@
-//! Heartbeats and their responses, by which the quorum lease is measured. The lease itself is in
-//! [`crate::quorum_lease`].
+//! Sends heartbeats and handles their responses for the quorum lease, which
+//! [`crate::quorum_lease`] computes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Counts a response, unless its sender has a newer replica set: then that set is fetched
-    /// first, so that no lease rests on an outdated set.
+    /// Counts a response towards the lease. A response whose sender has a newer replica set doesn't
+    /// count, since no lease may rest on an outdated set; the newer set is fetched instead.
     pub(super) fn receive_heartbeat_response(
         &mut self,
         now: Duration,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends a heartbeat to all other coordinators, if one is due.
+    /// Sends a heartbeat to all other known coordinators, if one is due.
     pub(super) fn send_heartbeats(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         let Some(id) = self.quorum_lease.next_heartbeat(now) else {
             return;
--- a/crates/register/src/node/proposing.rs
+++ b/crates/register/src/node/proposing.rs
@@ -1,5 +1,5 @@
-//! The node's proposer at work: its effects become messages to other replicas, requests to the own
-//! acceptor, and actions.
+//! Runs the node's proposer and carries out its effects, as messages to other replicas, requests to
+//! the node's own acceptor, and actions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 use crate::proposer::{Context, Effect};
 use crate::state::Proposal;
 
-/// Ballot counters reserved by one write of the record.
+/// Number of ballot counters reserved by one write of the record.
 const RESERVED_COUNTERS: u64 = 1_024;
 
 impl<V: RegisterValue> Node<V> {
-    /// Lets the proposer work until it waits for others.
+    /// Polls the proposer until it can only wait for replies, writes or timers.
     pub(super) fn run_proposer(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         loop {
             let mut effects = Vec::new();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Hands a reply to the proposer.
+    /// Passes an acceptor's reply to the proposer and carries out the effects.
     pub(super) fn handle_proposer_reply(
         &mut self,
         now: Duration,
@@ -52,7 +52,8 @@
         self.apply_effects(now, effects, actions);
     }
 
-    /// Sends a reply of the own acceptor.
+    /// Sends a reply of this node's acceptor. A reply to this node's own proposer is passed on
+    /// directly.
     pub(super) fn send_reply(
         &mut self,
         now: Duration,
@@ -101,7 +102,8 @@
         }
     }
 
-    /// Learns what a quorum has reported or accepted; leaves a joint membership at once.
+    /// Learns a proposal that a quorum has reported or accepted. If its membership is joint, the
+    /// node starts to leave it at once.
     fn learn_from_quorum(
         &mut self,
         now: Duration,
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Reports what is known once a majority has been read for the first time.
+    /// Reports the newest state known as chosen when a quorum has been read for the first time.
     fn report_first_read(&mut self, actions: &mut Vec<Action<V>>) {
         if !std::mem::replace(&mut self.has_read_from_quorum, true) {
             let state = self
--- a/crates/register/src/node/read_repair.rs
+++ b/crates/register/src/node/read_repair.rs
@@ -1,6 +1,8 @@
-//! Read repair: a proposal that was accepted here but isn't known as chosen is read from a quorum,
-//! which completes it, and a joint membership is left. Guards against a change that stays
-//! undecided, and a replica set that stays joint, because the proposer crashed.
+//! Read repair: completes proposals and membership changes whose proposer has crashed.
+//!
+//! A proposal that this node has accepted but doesn't know as chosen is read from a quorum, which
+//! completes it, and a joint membership is left. Otherwise the change could stay undecided, and the
+//! replica set joint.
 
 use std::time::Duration;
 
@@ -8,7 +10,9 @@
 use crate::operation::{Operation, RegisterValue};
 
 impl<V: RegisterValue> Node<V> {
-    /// Repairs what has been incomplete for too long.
+    /// Starts the repair that is due: a read of a proposal, or the end of a joint membership, once
+    /// either has been incomplete for the read-repair delay plus a random delay of up to the same
+    /// length.
     pub(super) fn run_read_repair(&mut self, now: Duration) {
         let accepted = self.acceptor.accepted().map(|proposal| proposal.ballot);
         let unchosen_since = self.learner.unchosen_since(now, accepted);
@@ -42,17 +46,17 @@
         }
     }
 
-    /// Reads the register without a caller: the state that is read goes to the learner.
+    /// Reads the register on the node's own behalf; the learner receives the state.
     pub(super) fn read(&mut self, now: Duration) {
         self.submit_internal(now, Operation::Read);
     }
 
-    /// Leaves a joint membership.
+    /// Proposes to leave the joint membership.
     pub(super) fn leave_joint(&mut self, now: Duration) {
         self.submit_internal(now, Operation::LeaveJoint);
     }
 
-    /// Submits an operation of which nobody awaits the outcome.
+    /// Submits an operation on the node's own behalf. Its outcome is not reported.
     pub(super) fn submit_internal(&mut self, now: Duration, operation: Operation<V>) {
         let deadline = now + self.settings.round_timeout * 2;
         self.proposer.submit(None, operation, deadline);
--- a/crates/register/src/node/receiving.rs
+++ b/crates/register/src/node/receiving.rs
@@ -1,4 +1,4 @@
-//! What a node does with each kind of message.
+//! Handling of received messages, by kind.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::state::Proposal;
 
 impl<V: RegisterValue> Node<V> {
-    /// Handles a message.
+    /// Handles a message from another node, which also shows that its sender is reachable.
     pub(super) fn receive(
         &mut self,
         now: Duration,
@@ -40,7 +40,8 @@
         }
     }
 
-    /// The acceptor answers no request before the bootstrap check is concluded.
+    /// Passes a request to the acceptor. Requests are dropped until the bootstrap check is
+    /// concluded.
     fn receive_request(
         &mut self,
         now: Duration,
@@ -96,8 +97,9 @@
         }
     }
 
-    /// Responds only once the node has recovered what it had accepted before it started: otherwise
-    /// its response could hide a newer replica set that it has accepted.
+    /// Responds to a heartbeat, but only once the bootstrap check is concluded and the node's
+    /// record is durable. An earlier response could hide a newer replica set that the replica had
+    /// accepted before it restarted.
     fn receive_heartbeat(&self, from: SocketAddr, id: HeartbeatId, actions: &mut Vec<Action<V>>) {
         let knows_its_record =
             self.bootstrap_check.is_none() && !self.acceptor.awaits_first_record();
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Learns a chosen proposal, and reports its state if it is new.
+    /// Learns a chosen proposal. A new state is reported as [`Action::Learned`] if the node has
+    /// read from a quorum since it started.
     pub(super) fn learn(&mut self, proposal: &Proposal<V>, actions: &mut Vec<Action<V>>) {
         if self.learner.learn(proposal).is_some() && self.has_read_from_quorum {
             actions.push(Action::Learned(Arc::clone(&proposal.state)));
--- a/crates/register/src/node/reconfiguration.rs
+++ b/crates/register/src/node/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! The node's part in the reconfiguration of the replica set: it reports what the decision needs,
-//! and proposes the change that is due.
+//! Reconfiguration of the replica set: reports unreachable members and a stalled disk to the other
+//! nodes, and proposes the replica change that is due.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::reconfiguration::DueChange;
 
 impl<V: RegisterValue> Node<V> {
-    /// Reports to the others at once that a member has become unreachable, or reachable again.
+    /// Broadcasts the status at once when a member has become unreachable, or reachable again.
     pub(super) fn report_unreachable(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         let members = self
             .learner
@@ -24,8 +24,9 @@
         }
     }
 
-    /// Gives up the membership while the disk completes no write: a replica that can't vote is of
-    /// no use as a member.
+    /// Broadcasts that the node gives up its membership when a write has taken as long as the
+    /// unreachable timeout, since a replica that can't vote is of no use as a member. Withdraws
+    /// this once the write completes.
     pub(super) fn report_disk_stall(&mut self, now: Duration, actions: &mut Vec<Action<V>>) {
         let timeout = self.settings.unreachable_timeout;
         let is_stalled = self
--- a/crates/register/src/node/recovery.rs
+++ b/crates/register/src/node/recovery.rs
@@ -1,4 +1,4 @@
-//! How a node starts from its record, or without one.
+//! Start of a node from its record, or with an empty disk.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use crate::record::Record;
 use crate::settings::Settings;
 
-/// What a node starts with.
+/// The acceptor and the bootstrap check with which a node starts.
 pub(super) struct Recovery<V> {
     pub(super) acceptor: Acceptor<V>,
     /// The bootstrap check, if one is needed before the node may vote.
@@ -18,7 +18,7 @@
 }
 
 impl<V: Clone> Recovery<V> {
-    /// Starts a node at the address from the source.
+    /// Recovers the acceptor of the node at the address `own` from the source of its record.
     pub(super) fn new(source: RecordSource<V>, own: SocketAddr, settings: &Settings) -> Self {
         let guards = settings.guards;
         match source {
--- a/crates/register/src/node/status.rs
+++ b/crates/register/src/node/status.rs
@@ -1,5 +1,5 @@
-//! Status messages: each node reports its own status to all others, and one that is behind fetches
-//! the chosen state.
+//! Status messages: each node reports its status to all other nodes, and a node that lacks the
+//! newest chosen state fetches it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use crate::state::Proposal;
 
 impl<V: RegisterValue> Node<V> {
-    /// Sends the status of this node to all other coordinators.
+    /// Sends this node's status to all other known coordinators, members or not.
     pub(super) fn broadcast_status(&self, actions: &mut Vec<Action<V>>) {
         for address in self.other_addresses() {
             self.send(address, self.status(), actions);
         }
     }
 
-    /// Compares what another node knows as chosen with what this one does: the one that is behind
-    /// is brought up to date.
+    /// Compares the chosen version that another node has reported with this node's. If this node is
+    /// behind, it learns or fetches the version; if the other node is, this node sends its status.
     pub(super) fn compare_chosen(
         &mut self,
         now: Duration,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Fetches a chosen state, unless it is known or being fetched.
+    /// Requests a chosen state from another node, unless it is known or already being fetched.
     pub(super) fn fetch(
         &mut self,
         now: Duration,
@@ -56,8 +56,8 @@
         self.send(from, MessageBody::FetchState { known }, actions);
     }
 
-    /// Learns that a version is chosen; its state is fetched only if this node hasn't accepted it
-    /// itself.
+    /// Learns that a version is chosen. Its state is fetched only if this node hasn't accepted it
+    /// in the same ballot.
     fn learn_version(
         &mut self,
         now: Duration,
--- a/crates/register/src/quorum_lease.rs
+++ b/crates/register/src/quorum_lease.rs
@@ -1,14 +1,15 @@
-//! The quorum lease: when this node sent the newest heartbeat that a majority of the replicas has
-//! acknowledged. Compare raft-rs's `check_quorum` and Gray and Cheriton's leases (1989).
+//! The quorum lease: whether a majority of the replicas has recently acknowledged a heartbeat of
+//! this node. Compare raft-rs's `check_quorum` and Gray and Cheriton's leases (1989).
 //!
 //! A node sends heartbeats to all coordinators that it knows, at regular intervals. Its lease
-//! counts from the *sending* of the newest heartbeat that a majority has acknowledged, by the
-//! node's own steady clock: time in which a response was in transit, or waited while this process
-//! was paused, shortens the lease. No two clocks are compared.
+//! begins at the *sending* of the newest heartbeat that a majority has acknowledged, measured by
+//! the node's own monotonic clock. Time during which a response was in transit, or waited because
+//! the process was paused, therefore shortens the lease, and clocks of different machines are never
+//! compared.
 //!
-//! A response counts only if its sender has no newer replica set than this node. This guards
-//! against a lease by the quorum of an outdated set: any newer set is accepted by a majority of the
-//! one before it, so one of the replicas that respond would report it.
+//! A response counts only if its sender has no newer replica set than this node; otherwise a node
+//! could hold a lease from a quorum of an outdated set. Any newer set is accepted by a majority of
+//! the set before it, so at least one of the responding replicas would report it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -21,14 +22,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Identifies a heartbeat; unique within one incarnation of a node, and seeded so that incarnations
-/// don't share identifiers.
+/// Identifies a heartbeat. Identifiers are unique within one incarnation of a node, and the first
+/// one is random so that incarnations don't share identifiers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HeartbeatId(pub u64);
 
-/// Heartbeats sent within the length of a lease.
+/// Number of heartbeats sent per lease length.
 const HEARTBEATS_PER_LEASE: u32 = 4;
-/// Acknowledgements older than this many lengths of a lease are dropped.
+/// Age, in lease lengths, after which acknowledgements are dropped to bound the memory used.
 const ACK_RETENTION_LEASES: u32 = 64;
 
 /// A heartbeat that may still be acknowledged.
@@ -38,7 +39,8 @@
     sent_at: Duration,
 }
 
-/// The heartbeats of one node and which replicas have acknowledged them.
+/// The quorum lease of one node: the heartbeats that it has sent and the replicas that have
+/// acknowledged them.
 #[derive(Clone, Debug)]
 pub struct QuorumLease {
     length: Duration,
@@ -46,13 +48,13 @@
     next_heartbeat_at: Duration,
     /// Heartbeats that may still be acknowledged, oldest first.
     in_flight: VecDeque<Heartbeat>,
-    /// When the newest heartbeat that a replica has acknowledged was sent.
+    /// For each replica, when the newest heartbeat that it has acknowledged was sent.
     acknowledged: BTreeMap<Identity, Duration>,
 }
 
 impl QuorumLease {
-    /// No lease yet. `first_id` is the identifier of the first heartbeat; it must differ at each
-    /// start.
+    /// Creates a quorum lease that no replica has granted yet. `first_id` is the identifier of the
+    /// first heartbeat and must differ at each start of the node.
     #[must_use]
     pub fn new(length: Duration, first_id: HeartbeatId) -> Self {
         Self {
@@ -64,18 +66,18 @@
         }
     }
 
-    /// When the next heartbeat is due.
+    /// When the next heartbeat is due, by the node's monotonic clock.
     #[must_use]
     pub fn next_heartbeat_at(&self) -> Duration {
         self.next_heartbeat_at
     }
 
-    /// Makes a heartbeat due at once.
+    /// Makes the next heartbeat due at once.
     pub fn expedite_heartbeat(&mut self) {
         self.next_heartbeat_at = Duration::ZERO;
     }
 
-    /// The heartbeat to send now, if one is due.
+    /// Begins the heartbeat that is due, if any, and returns the identifier to send.
     pub fn next_heartbeat(&mut self, now: Duration) -> Option<HeartbeatId> {
         if now < self.next_heartbeat_at {
             return None;
@@ -88,8 +90,8 @@
         Some(id)
     }
 
-    /// A replica has acknowledged a heartbeat. Responses to heartbeats that were never sent, or too
-    /// long ago, don't count.
+    /// Records that a replica has acknowledged a heartbeat. The acknowledgement of a heartbeat that
+    /// was never sent, or that has expired since, has no effect.
     pub fn acknowledge(&mut self, from: Identity, id: HeartbeatId) {
         let heartbeat = self.in_flight.iter().find(|heartbeat| heartbeat.id == id);
         if let Some(&Heartbeat { sent_at, .. }) = heartbeat {
@@ -98,8 +100,9 @@
         }
     }
 
-    /// When the newest heartbeat was sent that a majority of each replica set has acknowledged; the
-    /// replica `own` has, at every moment.
+    /// When the newest heartbeat was sent that a majority of each replica set has acknowledged;
+    /// `None` if there is none. The node's own replica, `own`, counts as having acknowledged at
+    /// `now`.
     #[must_use]
     pub fn confirmed_at(
         &self,
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Whether the lease has not expired.
+    /// Whether the node holds a lease that has not expired at `now`.
     #[must_use]
     pub fn is_valid(&self, now: Duration, own: Identity, members: &Membership) -> bool {
         self.confirmed_at(now, own, members)
@@ -143,7 +146,8 @@
         times.get(set.majority() - 1).copied()
     }
 
-    /// Keeps the memory bounded.
+    /// Drops heartbeats and acknowledgements that are too old to count, which bounds the memory
+    /// used.
     fn drop_expired(&mut self, now: Duration) {
         let length = self.length;
         let is_expired = |heartbeat: &Heartbeat| now >= heartbeat.sent_at + length;
--- a/crates/register/src/quorum_lease/tests.rs
+++ b/crates/register/src/quorum_lease/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the quorum lease, without a node.
+//! Tests of the quorum lease by itself, without a node.
 
 use std::net::SocketAddr;
 
@@ -27,7 +27,8 @@
     Membership::single(set(numbers))
 }
 
-/// Sends a heartbeat at that time; these replicas respond.
+/// Sends a heartbeat at the given time, in milliseconds, and lets the given replicas acknowledge
+/// it.
 fn exchange(lease: &mut QuorumLease, at: u64, responding: &[u64]) {
     let id = lease.next_heartbeat(ms(at)).expect("a heartbeat is due");
     for &from in responding {
@@ -90,8 +91,8 @@
     assert!(lease.is_valid(ms(5_250), OWN, &members(&[1, 2, 3])));
 }
 
-/// The process is paused while its heartbeat is in flight: the response that waits for it then
-/// doesn't count.
+/// The process is paused while its heartbeat is in flight. The response that was received meanwhile
+/// must not renew the lease, which counts from the sending.
 #[test]
 fn a_response_received_after_a_process_pause_does_not_renew_the_lease() {
     let mut lease = lease();
--- a/crates/register/src/random.rs
+++ b/crates/register/src/random.rs
@@ -1,14 +1,14 @@
-//! A small seeded generator for random waits and identities (`SplitMix64`; Steele, Lea and Flood
-//! 2014). It is seeded so that a simulation can be repeated.
+//! A pseudo-random number generator for random delays and identities (`SplitMix64`; Steele, Lea and
+//! Flood 2014). All numbers follow from the seed, so that a simulation can be repeated.
 
 use std::time::Duration;
 
-/// Generator of pseudo-random numbers; not for secrets.
+/// A `SplitMix64` generator; not cryptographically secure.
 #[derive(Clone, Debug)]
 pub(crate) struct Random(u64);
 
 impl Random {
-    /// A generator whose numbers follow from the seed.
+    /// Creates a generator; equal seeds give equal sequences.
     pub(crate) fn new(seed: u64) -> Self {
         Self(seed)
     }
@@ -21,7 +21,8 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A duration below the bound, in whole microseconds.
+    /// A duration in whole microseconds, at least zero and below `bound`; zero for a bound below 2
+    /// µs.
     pub(crate) fn below(&mut self, bound: Duration) -> Duration {
         let micros = u64::try_from(bound.as_micros()).unwrap_or(u64::MAX).max(1);
         Duration::from_micros(self.next() % micros)
--- a/crates/register/src/record.rs
+++ b/crates/register/src/record.rs
@@ -1,6 +1,7 @@
-//! The record of a replica: what it must not forget when it restarts.
+//! The durable record of a replica.
 //!
-//! Guards against a replica that takes back a promise, and a proposer that uses a ballot twice.
+//! A restarted replica continues from its record. This prevents the acceptor from revoking a
+//! promise, and the proposer from using a ballot twice.
 
 use std::net::SocketAddr;
 
@@ -10,25 +11,26 @@
 use crate::replicas::{Membership, ReplicaSet};
 use crate::state::{Proposal, State, ballot_of};
 
-/// Identifies a write; the caller reports it once the write is durable.
+/// Identifies a write. The caller passes it back in [`Event::Persisted`](crate::Event::Persisted)
+/// once the write is durable.
 pub type PersistToken = u64;
 
-/// What a replica keeps on its disk. It is stored by position: the order of the fields is the
-/// format.
+/// The state that a replica stores on its disk. The encoding (postcard) is positional: the order of
+/// the fields is the format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record<V> {
-    /// Identity of the replica.
+    /// Identity of the replica to which the record belongs.
     pub identity: Identity,
-    /// No proposal below this ballot is accepted.
+    /// Highest ballot promised; no proposal below it is accepted.
     pub promised: Ballot,
-    /// The proposal accepted last.
+    /// The last accepted proposal; an initial member starts with that of the initial state.
     pub accepted: Option<Proposal<V>>,
-    /// The proposer of this node may have used counters up to this one in its ballots.
+    /// Highest ballot counter reserved; the node's proposer may have used any counter up to it.
     pub reserved: u64,
 }
 
 impl<V> Record<V> {
-    /// The record of a replica that isn't a member yet.
+    /// Creates the record of a replica that isn't a member yet.
     #[must_use]
     pub fn empty(identity: Identity) -> Self {
         Self {
@@ -39,8 +41,8 @@
         }
     }
 
-    /// The record of an initial member at the first start of the system. All initial members must
-    /// pass the same addresses and an equal value.
+    /// Creates the record of an initial member at the first start of the system. All initial
+    /// members must pass the same addresses and equal values.
     pub fn bootstrap(own: SocketAddr, members: &[SocketAddr], value: V) -> Self {
         let members = Membership::single(ReplicaSet::from_seed_addresses(members.iter().copied()));
         let state = State::initial(members, value).into();
@@ -61,7 +63,7 @@
         self.promised.max(accepted) > Ballot::ZERO || self.reserved > 0
     }
 
-    /// Ballot of the accepted proposal, if there is one.
+    /// Ballot of the last accepted proposal, if there is one.
     pub(crate) fn accepted_ballot(&self) -> Option<Ballot> {
         self.accepted.as_ref().map(|proposal| proposal.ballot)
     }
@@ -70,9 +72,9 @@
 /// A record to be made durable.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Write<V> {
-    /// Identifies the write.
+    /// Token to report once the write is durable.
     pub token: PersistToken,
-    /// The whole record.
+    /// The whole record, which replaces the one before.
     pub record: Record<V>,
     /// Whether the accepted proposal differs from the one written last.
     pub accepted_changed: bool,
