--- a/crates/register/src/node/recovery.rs
+++ b/crates/register/src/node/recovery.rs
@@ -18,31 +18,43 @@
 }
 
 impl<V: Clone> Recovery<V> {
-    /// Recovers the acceptor of the node at the address `own` from the source of its record.
-    pub(super) fn new(source: RecordSource<V>, own: SocketAddr, settings: &Settings) -> Self {
+    /// Recovers the acceptor of the node at the address `own_address` from the source of its record.
+    pub(super) fn new(
+        source: RecordSource<V>,
+        own_address: SocketAddr,
+        settings: &Settings,
+    ) -> Self {
         let guards = settings.guards;
         match source {
             RecordSource::Durable(record) => Self {
-                bootstrap_check: Self::restart_check(own, &record, settings),
+                bootstrap_check: Self::restart_check(own_address, &record, settings),
                 acceptor: Acceptor::recovered(record, guards),
             },
             RecordSource::Unsynced(record) => Self {
-                bootstrap_check: Self::restart_check(own, &record, settings),
+                bootstrap_check: Self::restart_check(own_address, &record, settings),
                 acceptor: Acceptor::unsynced(record, guards),
             },
             RecordSource::Bootstrap { members, value }
                 if guards.enforces(Guard::BootstrapCheck) =>
             {
                 let timeout = settings.bootstrap_timeout;
-                let blank = Record::empty(Identity::from_seed_address(own));
+                let blank = Record::empty(Identity::from_seed_address(own_address));
                 Self {
-                    bootstrap_check: Some(BootstrapCheck::new(own, members, value, timeout)),
+                    bootstrap_check: Some(BootstrapCheck::new(
+                        own_address,
+                        members,
+                        value,
+                        timeout,
+                    )),
                     acceptor: Acceptor::recovered(blank, guards),
                 }
             }
             RecordSource::Bootstrap { members, value } => Self {
                 bootstrap_check: None,
-                acceptor: Acceptor::unsynced(Record::bootstrap(own, &members, value), guards),
+                acceptor: Acceptor::unsynced(
+                    Record::bootstrap(own_address, &members, value),
+                    guards,
+                ),
             },
             RecordSource::Empty { identity } => Self {
                 bootstrap_check: None,
@@ -52,13 +64,13 @@
     }
 
     fn restart_check(
-        own: SocketAddr,
+        own_address: SocketAddr,
         record: &Record<V>,
         settings: &Settings,
     ) -> Option<BootstrapCheck<V>> {
         if !settings.guards.enforces(Guard::RestartBeforeFirstVote) {
             return None;
         }
-        BootstrapCheck::restarted(own, record, settings.bootstrap_timeout)
+        BootstrapCheck::restarted(own_address, record, settings.bootstrap_timeout)
     }
 }
--- a/crates/register/src/record.rs
+++ b/crates/register/src/record.rs
@@ -43,7 +43,7 @@
 
     /// Creates the record of an initial member at the first start of the system. All initial
     /// members must pass the same addresses and equal values.
-    pub fn bootstrap(own: SocketAddr, members: &[SocketAddr], value: V) -> Self {
+    pub fn bootstrap(own_address: SocketAddr, members: &[SocketAddr], value: V) -> Self {
         let members = Membership::single(ReplicaSet::from_seed_addresses(members.iter().copied()));
         let state = State::initial(members, value).into();
         let accepted = Some(Proposal {
@@ -52,7 +52,7 @@
         });
         Self {
             accepted,
-            ..Self::empty(Identity::from_seed_address(own))
+            ..Self::empty(Identity::from_seed_address(own_address))
         }
     }
 
