--- a/crates/register/src/guard.rs
+++ b/crates/register/src/guard.rs
@@ -36,7 +36,7 @@
     /// An initial member that restarts from its disk and has never voted gives no vote until a
     /// majority of the initial members is known to have started.
     RestartBeforeFirstVote,
-    /// A restarted node reports no state as learned before it has read one from a majority.
+    /// After each start, a node reports no state as learned before it has read one from a majority.
     ReadBeforeLearned,
 }
 
