--- a/crates/register/src/proposer.rs
+++ b/crates/register/src/proposer.rs
@@ -46,7 +46,7 @@
     active: Option<ActiveRound<V>>,
     /// Number of operations submitted.
     arrivals: u64,
-    last_round: RoundId,
+    last_round_id: RoundId,
     /// Highest ballot counter used or seen in a conflict.
     last_counter: u64,
     /// Conflicts since a round last had a result.
@@ -55,7 +55,7 @@
     disagreements: u32,
     deference: Option<Deference>,
     /// No round begins before this.
-    wait_until: Duration,
+    next_round_at: Duration,
     /// Whether the next round waits for a reserved counter or a first state.
     is_blocked: bool,
     /// Average round trip time of a quorum.
@@ -74,7 +74,7 @@
         let mut random = Random::new(seed);
         Self {
             identity,
-            last_round: RoundId(random.next()),
+            last_round_id: RoundId(random.next()),
             random,
             round_trip: settings.initial_backoff,
             settings,
@@ -85,7 +85,7 @@
             conflicts: 0,
             disagreements: 0,
             deference: None,
-            wait_until: Duration::ZERO,
+            next_round_at: Duration::ZERO,
             is_blocked: false,
             metrics: ProposerMetrics::default(),
         }
@@ -151,7 +151,7 @@
         self.expire(now, effects);
         self.check_round(now, effects);
         self.end_deference(now, context);
-        let is_due = self.active.is_none() && now >= self.wait_until && !self.queue.is_empty();
+        let is_due = self.active.is_none() && now >= self.next_round_at && !self.queue.is_empty();
         self.is_blocked = is_due && self.start(now, context, effects) == Start::Blocked;
     }
 
@@ -164,7 +164,7 @@
             .flat_map(|active| active.batch.deadlines());
         let round = self.active.iter().map(|active| self.round_wakeup(active));
         let is_waiting = self.active.is_none() && !self.queue.is_empty() && !self.is_blocked;
-        let wait = is_waiting.then_some(self.wait_until);
+        let wait = is_waiting.then_some(self.next_round_at);
         queued.chain(batched).chain(round).chain(wait).min()
     }
 
--- a/crates/register/src/proposer/pacing.rs
+++ b/crates/register/src/proposer/pacing.rs
@@ -27,7 +27,7 @@
 impl<V: RegisterValue> Proposer<V> {
     /// Whether to wait because the own acceptor has lately promised a ballot of another proposer,
     /// of which nothing is chosen yet: a round begun now would only pre-empt that one.
-    pub(super) fn defers(&mut self, now: Duration, context: &Context<'_, V>) -> bool {
+    pub(super) fn should_defer(&mut self, now: Duration, context: &Context<'_, V>) -> bool {
         let promised = context.promised;
         if promised.identity == self.identity || promised <= ballot_of(context.chosen) {
             self.deference = None;
@@ -45,7 +45,7 @@
             ballot: promised,
             until,
         });
-        self.wait_until = (now + pause).min(until);
+        self.next_round_at = (now + pause).min(until);
         true
     }
 
@@ -58,7 +58,7 @@
                 .is_some_and(|chosen| chosen.ballot >= deference.ballot)
         };
         if self.deference.take_if(is_over).is_some() {
-            self.wait_until = now;
+            self.next_round_at = now;
         }
     }
 
--- a/crates/register/src/proposer/queries.rs
+++ b/crates/register/src/proposer/queries.rs
@@ -25,7 +25,7 @@
     /// A query of the members by the newest state known here.
     pub(super) fn query(&mut self, context: &Context<'_, V>, view: &Proposal<V>) -> Round<V> {
         Round::query(
-            self.next_round(),
+            self.next_round_id(),
             context.chosen.cloned(),
             view.clone(),
             self.settings.guards,
--- a/crates/register/src/proposer/rounds.rs
+++ b/crates/register/src/proposer/rounds.rs
@@ -37,7 +37,7 @@
             self.start_query(now, context, view, effects);
             return Start::Possible;
         }
-        if self.defers(now, context) {
+        if self.should_defer(now, context) {
             return Start::Possible;
         }
         let reserved = context.reserved_counter;
@@ -71,9 +71,9 @@
     }
 
     /// The number of the next round.
-    pub(super) fn next_round(&mut self) -> RoundId {
-        self.last_round = self.last_round.next();
-        self.last_round
+    pub(super) fn next_round_id(&mut self) -> RoundId {
+        self.last_round_id = self.last_round_id.next();
+        self.last_round_id
     }
 
     /// A ballot above all seen, if its counter is reserved.
@@ -192,7 +192,7 @@
         if let Some(active) = self.active.take() {
             self.requeue(active.batch.into_pending());
         }
-        self.wait_until = now + wait;
+        self.next_round_at = now + wait;
     }
 }
 
--- a/crates/register/src/reconfiguration.rs
+++ b/crates/register/src/reconfiguration.rs
@@ -186,7 +186,7 @@
             change: change.clone(),
             since,
         });
-        let delay = self.delay(now, &members.current, &change);
+        let delay = self.proposal_delay(now, &members.current, &change);
         if now < since + delay || now < self.next_proposal_at {
             return None;
         }
@@ -211,7 +211,7 @@
             lost: &lost,
             target: self.target,
         }
-        .change()
+        .most_urgent_change()
     }
 
     /// Members that a majority of the members can't reach. One that only a single node can't reach
@@ -224,11 +224,11 @@
             .filter(|peer| set.contains(peer.identity) && self.is_reachable(now, peer))
             .map(|peer| peer.unreachable.clone())
             .collect();
-        let own = self.unreachable_members(now, members);
+        let unreachable_from_here = self.unreachable_members(now, members);
         if set.contains(self.own.identity) {
-            reports.push(own.clone());
+            reports.push(unreachable_from_here.clone());
         }
-        let needed = if self.guards.enforces(Guard::UnreachableByMajority) {
+        let required_reports = if self.guards.enforces(Guard::UnreachableByMajority) {
             set.majority()
         } else {
             0
@@ -238,9 +238,9 @@
                 .iter()
                 .filter(|report| report.contains(member))
                 .count();
-            count >= needed
+            count >= required_reports
         };
-        own.into_iter().filter(is_lost).collect()
+        unreachable_from_here.into_iter().filter(is_lost).collect()
     }
 
     fn is_reachable(&self, now: Duration, peer: &Peer) -> bool {
@@ -277,18 +277,18 @@
 
     /// The live member of the smallest identity proposes at once, each further one later, a standby
     /// last. A coordinator that leaves proposes its own replacement at once.
-    fn delay(&self, now: Duration, set: &ReplicaSet, change: &ReplicaChange) -> Duration {
+    fn proposal_delay(&self, now: Duration, set: &ReplicaSet, change: &ReplicaChange) -> Duration {
         let own = self.own.identity;
         if self.leaving && change.removed() == Some(own) {
             return Duration::ZERO;
         }
         let coordinators = self.coordinators(now, set);
-        let earlier = set
+        let earlier_proposers = set
             .replicas()
             .iter()
             .filter(|replica| is_live(&coordinators, replica.identity))
             .filter(|replica| !set.contains(own) || replica.identity < own)
             .count();
-        self.stagger * u32::try_from(earlier).unwrap_or(u32::MAX)
+        self.stagger * u32::try_from(earlier_proposers).unwrap_or(u32::MAX)
     }
 }
--- a/crates/register/src/reconfiguration/plan.rs
+++ b/crates/register/src/reconfiguration/plan.rs
@@ -34,13 +34,13 @@
 
 impl Plan<'_> {
     /// The most urgent change after which live members are still a majority.
-    pub(super) fn change(&self) -> Option<ReplicaChange> {
+    pub(super) fn most_urgent_change(&self) -> Option<ReplicaChange> {
         let candidates = [
-            self.replace_emptied(),
+            self.replace_wiped_member(),
             self.shrink(),
             self.replace_lost(),
             self.grow(),
-            self.make_odd(),
+            self.shrink_to_odd_size(),
         ];
         candidates
             .into_iter()
@@ -49,10 +49,10 @@
     }
 
     /// Replaces a member whose disk was lost: its address has another identity.
-    fn replace_emptied(&self) -> Option<ReplicaChange> {
+    fn replace_wiped_member(&self) -> Option<ReplicaChange> {
         let replacement = |member: &Replica| {
-            let at_address = |known: &&Coordinator| known.replica.address == member.address;
-            let known = self.coordinators.iter().find(at_address)?;
+            let has_same_address = |known: &&Coordinator| known.replica.address == member.address;
+            let known = self.coordinators.iter().find(has_same_address)?;
             let is_new = known.is_live
                 && !known.has_identity(member.identity)
                 && !self.set.contains(known.replica.identity);
@@ -98,7 +98,7 @@
 
     /// Removes a lost member of an even set that nobody can replace: the set tolerates as many
     /// losses without it.
-    fn make_odd(&self) -> Option<ReplicaChange> {
+    fn shrink_to_odd_size(&self) -> Option<ReplicaChange> {
         if !self.set.len().is_multiple_of(2) || self.set.len() <= 2 {
             return None;
         }
--- a/crates/register/src/state.rs
+++ b/crates/register/src/state.rs
@@ -93,11 +93,12 @@
 
 /// The newer one of two proposals that a node knows, by ballot.
 pub(crate) fn newest<'a, V>(
-    one: Option<&'a Proposal<V>>,
-    other: Option<&'a Proposal<V>>,
+    first: Option<&'a Proposal<V>>,
+    second: Option<&'a Proposal<V>>,
 ) -> Option<&'a Proposal<V>> {
-    one.into_iter()
-        .chain(other)
+    first
+        .into_iter()
+        .chain(second)
         .max_by_key(|proposal| proposal.ballot)
 }
 
