--- a/crates/register/src/operation.rs
+++ b/crates/register/src/operation.rs
@@ -8,50 +8,52 @@
 use crate::replicas::{Replica, ReplicaSet};
 use crate::state::State;
 
-/// Identifies an operation; chosen by the caller, unique within one incarnation of a node.
+/// Identifier of an operation, chosen by the caller and unique within one incarnation of a node.
 pub type OperationId = u64;
 
 /// A value that the register can hold.
 pub trait RegisterValue: Clone {
-    /// Why a change of the value is rejected. The register passes it back to the caller, who alone
-    /// knows what it means.
+    /// Reason for which a [`Transition`] rejects a change. The register passes it to the caller
+    /// without interpreting it.
     type Rejection: Clone + fmt::Debug + PartialEq + Eq;
 }
 
-/// Why an operation is rejected.
+/// Reason for which an operation is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RejectionReason<R> {
     /// The [`Transition`] rejected the change of the value.
     Change(R),
-    /// The change of the replica set can't be applied to the set in force.
+    /// The change can't be applied to the current replica set.
     ReplicaChange(ReplicaChangeError),
 }
 
-/// What a change makes of a value.
+/// Result of applying a [`Transition`] to a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision<V: RegisterValue> {
-    /// The value is replaced by this one.
+    /// Replaces the value by this one.
     Write(V),
     /// The value already contains the change.
     Unchanged,
-    /// The change isn't valid for the value.
+    /// The change isn't valid for the value, which stays as it is.
     Reject(V::Rejection),
-    /// The change isn't valid for the value, and the new value records that.
+    /// The change isn't valid for the value; a new value that records the rejection is written.
     RejectAndWrite {
-        /// The new value.
+        /// The value that records the rejection.
         value: V,
-        /// Why the change isn't valid.
+        /// Reason for the rejection.
         reason: V::Rejection,
     },
-    /// The value no longer tells whether the change was made before.
+    /// The value no longer shows whether it already contains the change.
     Unknown,
 }
 
-/// A change as a pure function of the value (the change function of Rystsov 2018, section 2). It
-/// may be applied several times to different values, and must return [`Decision::Unchanged`] for a
-/// value that already contains it: this makes it idempotent.
+/// A change as a pure function of the value (the change function of Rystsov 2018, section 2).
+///
+/// A proposer may apply one change several times, to different values. The function must return
+/// [`Decision::Unchanged`] for a value that already contains the change; this makes the change
+/// idempotent.
 pub trait Transition<V: RegisterValue>: Send + Sync {
-    /// Decides on the value.
+    /// Applies the change to the value that the proposer has read.
     fn apply(&self, value: &V) -> Decision<V>;
 }
 
@@ -64,35 +66,35 @@
     }
 }
 
-/// A change of the replica set by one replica.
+/// A change of the replica set that adds, removes or replaces one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ReplicaChange {
-    /// Add a replica.
+    /// Adds a replica.
     Add(Replica),
-    /// Remove a replica.
+    /// Removes the replica of this identity.
     Remove(Identity),
-    /// Remove one replica and add another.
+    /// Removes one replica and adds another in the same change.
     Replace {
-        /// The replica that is removed.
+        /// Identity of the removed replica.
         removed: Identity,
-        /// The replica that is added.
+        /// The added replica.
         added: Replica,
     },
 }
 
-/// Why a replica change can't be applied to a replica set.
+/// Reason for which a [`ReplicaChange`] can't be applied to a replica set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplicaChangeError {
-    /// The set isn't the one that the change was made for.
-    #[error("the replica set has changed")]
+    /// The current set isn't the one that the change was made for.
+    #[error("the replica set has changed since the replica change was made")]
     Outdated,
     /// The change would leave no replica.
-    #[error("the last replica can't be left out")]
+    #[error("the replica change would remove the last replica")]
     LastReplica,
 }
 
 impl ReplicaChange {
-    /// The replica that is removed, if any.
+    /// Identity of the replica that the change removes, if any.
     #[must_use]
     pub fn removed(&self) -> Option<Identity> {
         match self {
@@ -101,10 +103,11 @@
         }
     }
 
-    /// The set after the change; nothing if the set already is as the change would leave it.
+    /// Returns the set after the change, or `None` if the set already contains the change.
     ///
     /// # Errors
-    /// The set has changed in another way, or would be empty.
+    /// [`Outdated`](ReplicaChangeError::Outdated) if the set has changed in another way;
+    /// [`LastReplica`](ReplicaChangeError::LastReplica) if the change would leave the set empty.
     pub fn apply_to(&self, set: &ReplicaSet) -> Result<Option<ReplicaSet>, ReplicaChangeError> {
         let next = match self {
             Self::Add(replica) if set.contains(replica.identity) => return Ok(None),
@@ -126,25 +129,26 @@
     }
 }
 
-/// An operation on the register.
+/// An operation that a client submits to the register.
 pub enum Operation<V: RegisterValue> {
     /// A linearizable read.
     Read,
-    /// A change of the value.
+    /// Changes the value.
     Change(Arc<dyn Transition<V>>),
-    /// A change of the replica set: the membership becomes joint.
+    /// Changes the replica set: the membership becomes joint.
     ChangeReplicas {
-        /// The set that the change was made for; the change is rejected if another is in force.
+        /// The set that the change was made for; if the current set is another one, the change is
+        /// rejected.
         expected: ReplicaSet,
-        /// The change.
+        /// The replica to add, remove or replace.
         change: ReplicaChange,
     },
-    /// Leaves a joint membership: the old replica set is dropped.
+    /// Leaves a joint membership: the next set becomes the only one.
     LeaveJoint,
 }
 
 impl<V: RegisterValue> Operation<V> {
-    /// A change of the value by a function.
+    /// Returns an operation that changes the value by a [`Transition`].
     pub fn change(transition: impl Transition<V> + 'static) -> Self {
         Self::Change(Arc::new(transition))
     }
@@ -175,42 +179,44 @@
     }
 }
 
-/// How an operation ended. Every state in an outcome is known as chosen.
+/// Outcome of an operation. Every state in an outcome is known as chosen.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome<V: RegisterValue> {
-    /// The state at some moment between submission and completion.
+    /// A linearizable read: the state at some moment between submission and completion.
     Read(Arc<State<V>>),
-    /// The change is decided and part of this state's history.
+    /// The change is chosen and part of this state's history.
     Written(Arc<State<V>>),
     /// The state already contained the change.
     Unchanged(Arc<State<V>>),
-    /// The change isn't valid for the state and was never decided.
+    /// The change isn't valid for the state and was never chosen.
     Rejected {
-        /// Why it isn't valid.
+        /// Reason for the rejection.
         reason: RejectionReason<V::Rejection>,
-        /// The state that it was applied to, or a later one of the same decision.
+        /// The state that the change was applied to, or the state chosen in the same round.
         state: Arc<State<V>>,
     },
-    /// The deadline passed before a first attempt: the change is not decided and never will be.
+    /// The deadline passed before the change was part of any proposal: the change isn't chosen and
+    /// never will be.
     Expired,
-    /// The deadline passed after an attempt, or the history is truncated, or the change itself
-    /// can't tell: the change may have been decided or may yet be.
+    /// The change may have been chosen or may yet be: the deadline passed after an attempt, the
+    /// history no longer reaches back to the attempt, or the change returned
+    /// [`Decision::Unknown`].
     Unknown,
 }
 
-/// An operation in the queue or in a round.
+/// A submitted operation without an outcome, in the queue or in a round.
 #[derive(Clone, Debug)]
 pub(crate) struct Pending<V: RegisterValue> {
     pub(crate) id: Option<OperationId>,
     pub(crate) operation: Operation<V>,
     pub(crate) deadline: Duration,
-    /// Order of submission.
+    /// Position in the order of submission.
     pub(crate) arrival: u64,
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl<V: RegisterValue> Pending<V> {
-    /// The outcome of the operation when its deadline passes.
+    /// Outcome of the operation if its deadline passes now.
     pub(crate) fn outcome_at_deadline(&self) -> Outcome<V> {
         if self.attempts.is_empty() {
             Outcome::Expired
--- a/crates/register/src/proposer.rs
+++ b/crates/register/src/proposer.rs
@@ -1,5 +1,5 @@
-//! The proposer: a queue of operations and one round at a time; all operations in the queue are
-//! decided by one acceptance (Rystsov 2018, section 2).
+//! The proposer: queues operations and runs one round at a time. One accept phase decides all
+//! operations that are queued when it begins (Rystsov 2018, section 2).
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -25,14 +25,14 @@
 pub use effect::ProposerMetrics;
 pub(crate) use effect::{Context, Effect};
 
-/// The active round.
+/// The round in progress.
 struct ActiveRound<V: RegisterValue> {
     round: Round<V>,
-    /// Operations of this arrival number and later weren't submitted yet when the round began.
+    /// Arrival number of the first operation that was submitted after the round began.
     first_excluded_arrival: u64,
     started_at: Duration,
     retransmit_at: Duration,
-    /// When a quorum was found to disagree.
+    /// Time at which the members of a quorum first reported different ballots.
     disagreed_at: Option<Duration>,
     batch: Batch<V>,
 }
@@ -44,27 +44,28 @@
     random: Random,
     queue: VecDeque<Pending<V>>,
     active: Option<ActiveRound<V>>,
-    /// Number of operations submitted.
+    /// Number of operations submitted so far.
     arrivals: u64,
     last_round_id: RoundId,
     /// Highest ballot counter used or seen in a conflict.
     last_counter: u64,
-    /// Conflicts since a round last had a result.
+    /// Consecutive conflicts since the last round with a result.
     conflicts: u32,
-    /// Queries that ended in disagreement since a round last had a result.
+    /// Queries that ended in disagreement since the last round with a result.
     disagreements: u32,
     deference: Option<Deference>,
-    /// No round begins before this.
+    /// Earliest start of the next round.
     next_round_at: Duration,
-    /// Whether the next round waits for a reserved counter or a first state.
+    /// Whether the next round waits for a reserved counter or for a first known state.
     is_blocked: bool,
-    /// Average round trip time of a quorum.
+    /// Moving average of the round trip time to a quorum.
     round_trip: Duration,
     metrics: ProposerMetrics,
 }
 
 impl<V: RegisterValue> Proposer<V> {
-    /// A proposer whose earlier incarnations may have used counters up to `used_counter`.
+    /// Creates a proposer whose earlier incarnations may have used ballot counters up to
+    /// `used_counter`.
     pub(crate) fn new(
         identity: Identity,
         used_counter: u64,
@@ -91,23 +92,23 @@
         }
     }
 
-    /// Continues under another identity; only while no ballot has been used.
+    /// Changes the identity in the proposer's ballots; allowed only before the first ballot.
     pub(crate) fn set_identity(&mut self, identity: Identity) {
         self.identity = identity;
     }
 
-    /// Counts of the rounds.
+    /// Round counts since the node started.
     pub(crate) fn metrics(&self) -> ProposerMetrics {
         self.metrics
     }
 
-    /// Whether any operation is queued or in a round.
+    /// Whether an operation is queued or a round is in progress.
     pub(crate) fn is_busy(&self) -> bool {
         !self.queue.is_empty() || self.active.is_some()
     }
 
-    /// Counts a reply to the active round. A reply may show a newer membership; its replicas then
-    /// receive the request too.
+    /// Counts a reply to the active round. If the reply shows a newer membership, the replicas of
+    /// that membership receive the request too.
     pub(crate) fn reply(
         &mut self,
         now: Duration,
@@ -141,7 +142,7 @@
         self.advance(now, effects);
     }
 
-    /// Does what the time and the queue require.
+    /// Expires operations, retransmits or abandons the active round, and starts the next one.
     pub(crate) fn poll(
         &mut self,
         now: Duration,
@@ -155,7 +156,7 @@
         self.is_blocked = is_due && self.start(now, context, effects) == Start::Blocked;
     }
 
-    /// When `poll` is due next.
+    /// Time at which `poll` is due next.
     pub(crate) fn next_wakeup(&self) -> Option<Duration> {
         let queued = self.queue.iter().map(|pending| pending.deadline);
         let batched = self
--- a/crates/register/src/proposer/batch.rs
+++ b/crates/register/src/proposer/batch.rs
@@ -1,5 +1,5 @@
-//! Operations that one acceptance decides together: each is applied to the result of the ones
-//! before it. Batching lets any number of queued operations share two round trips.
+//! Batches: operations that one accept phase decides together, each applied to the result of the
+//! ones before it. Any number of queued operations thus share two round trips.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,12 +22,12 @@
     Unchanged,
     Rejected(RejectionReason<R>),
     Unknown,
-    /// Something else has to be decided first.
+    /// The operation has to wait for another round, since a replica change goes first.
     Deferred,
 }
 
 impl<R> TentativeResult<R> {
-    /// The outcome by the chosen state; none for a deferred operation.
+    /// Returns the outcome with the chosen state, or `None` for a deferred operation.
     fn outcome<V: RegisterValue<Rejection = R>>(self, state: &Arc<State<V>>) -> Option<Outcome<V>> {
         let state = Arc::clone(state);
         match self {
@@ -41,29 +41,29 @@
     }
 }
 
-/// An operation of a batch with its result.
+/// An operation of a batch and its tentative result.
 struct BatchEntry<V: RegisterValue> {
     pending: Pending<V>,
     result: TentativeResult<V::Rejection>,
 }
 
-/// Operations that are decided together.
+/// Operations that are decided together, in the order in which they were applied.
 pub(super) struct Batch<V: RegisterValue>(Vec<BatchEntry<V>>);
 
-/// A batch and the state by which its operations are decided.
+/// A batch and the state to be accepted, by which its operations are decided.
 pub(super) struct Assembled<V: RegisterValue> {
     pub(super) batch: Batch<V>,
     pub(super) state: Arc<State<V>>,
 }
 
-/// What a chosen state makes of a batch.
+/// The operations of a batch after its state is chosen.
 pub(super) struct Completion<V: RegisterValue> {
     pub(super) completed: Vec<Completed<V>>,
-    /// Operations that have to wait for another round.
+    /// Operations without an outcome, which return to the queue.
     pub(super) undecided: Vec<Pending<V>>,
 }
 
-/// A completed operation.
+/// An operation with its final outcome.
 pub(super) struct Completed<V: RegisterValue> {
     pub(super) id: Option<OperationId>,
     pub(super) outcome: Outcome<V>,
@@ -76,8 +76,8 @@
 }
 
 impl<V: RegisterValue> Batch<V> {
-    /// Applies the operations to the state that was read. The state to be accepted is the one that
-    /// was read if nothing changes.
+    /// Applies the operations in order to the state that was read. If none changes it, the state to
+    /// be accepted is the one that was read.
     pub(super) fn assemble(
         operations: impl Iterator<Item = Pending<V>>,
         read: &QuorumRead<V>,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Removes the operations whose deadline has passed.
+    /// Removes and returns the operations whose deadline has passed.
     pub(super) fn expire(&mut self, now: Duration) -> Vec<Pending<V>> {
         self.0
             .extract_if(.., |entry| entry.pending.deadline <= now)
@@ -111,7 +111,7 @@
             .collect()
     }
 
-    /// Whether a change of the value is answered although it alters nothing.
+    /// Whether the batch contains a change of the value that ends as unchanged or rejected.
     pub(super) fn answers_unchanged(&self) -> bool {
         self.0.iter().any(|entry| {
             matches!(entry.pending.operation, Operation::Change(_))
@@ -127,13 +127,13 @@
         self.0.iter().map(|entry| entry.pending.deadline)
     }
 
-    /// The operations, undecided.
+    /// Returns the operations without their tentative results.
     pub(super) fn into_pending(self) -> Vec<Pending<V>> {
         self.0.into_iter().map(|entry| entry.pending).collect()
     }
 
-    /// The outcomes by a chosen state. Deferred operations and those that arrived from
-    /// `first_excluded` on stay undecided.
+    /// Completes the operations with the chosen state. Deferred operations and those with an
+    /// arrival number of `first_excluded` or above stay undecided.
     pub(super) fn complete(self, first_excluded: u64, state: &Arc<State<V>>) -> Completion<V> {
         let (mut completed, mut undecided) = (Vec::new(), Vec::new());
         for BatchEntry { pending, result } in self.0 {
@@ -153,19 +153,19 @@
     }
 }
 
-/// The state as the operations of a batch change it.
+/// The next state while the operations of a batch are applied to it.
 struct Draft<V: RegisterValue> {
     members: Membership,
     value: Arc<V>,
     is_changed: bool,
-    /// Whether a joint membership is left.
+    /// Whether the draft leaves a joint membership.
     leaves_joint: bool,
 }
 
 impl<V: RegisterValue> Draft<V> {
-    /// Begins with the state that was read. If its membership is joint and it is chosen, the old
-    /// set is left. While it isn't chosen, an older state may still be, by the old set alone (Raft,
-    /// Ongaro and Ousterhout 2014, section 6).
+    /// Creates a draft from the state that was read. If that state has a joint membership and is
+    /// known as chosen, the draft leaves the old set. Before it is chosen, an older state may still
+    /// be chosen by the old set alone (Raft, Ongaro and Ousterhout 2014, section 6).
     fn new(read: &QuorumRead<V>, guards: Guards) -> Self {
         let state = &read.proposal.state;
         let value = Arc::clone(&state.value);
@@ -200,7 +200,7 @@
                 let decision = transition.apply(&self.value);
                 self.apply_decision(decision)
             }
-            // One change of the replica set at a time.
+            // Only one change of the replica set is in progress at a time.
             Operation::ChangeReplicas { .. } if self.members.is_joint() || self.leaves_joint => {
                 TentativeResult::Deferred
             }
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Makes the membership joint.
+    /// Makes the membership joint, unless the replica change is already made or can't be applied.
     fn change_replicas(
         &mut self,
         expected: &ReplicaSet,
@@ -239,7 +239,8 @@
             }
             Decision::Unchanged => TentativeResult::Unchanged,
             Decision::Reject(reason) => TentativeResult::Rejected(RejectionReason::Change(reason)),
-            // Not an attempt of the change: if this isn't chosen, the change is applied again.
+            // Not recorded as an attempt: if the new value isn't chosen, the change is applied
+            // again.
             Decision::RejectAndWrite { value, reason } => {
                 self.write(value);
                 TentativeResult::Rejected(RejectionReason::Change(reason))
@@ -261,7 +262,8 @@
     }
 }
 
-/// Whether an earlier attempt of the operation is part of the state's history.
+/// Looks up all earlier attempts of an operation in the state's history. `Truncated` takes
+/// precedence over `Excluded`: an attempt that can't be looked up may have been chosen.
 fn lookup_attempts<V: RegisterValue>(pending: &Pending<V>, read: &State<V>) -> HistoryLookup {
     let mut result = HistoryLookup::Excluded;
     for attempt in &pending.attempts {
--- a/crates/register/src/proposer/effect.rs
+++ b/crates/register/src/proposer/effect.rs
@@ -1,4 +1,4 @@
-//! What the proposer needs from its node and the effects that it returns.
+//! Inputs that the proposer reads from its node, and the effects that the node carries out.
 
 use crate::ballot::Ballot;
 use crate::message::Request;
@@ -6,7 +6,7 @@
 use crate::replicas::Replica;
 use crate::state::Proposal;
 
-/// What the proposer needs to know of its node.
+/// State of the node that the proposer reads.
 pub(crate) struct Context<'a, V> {
     /// Newest proposal known as chosen.
     pub(crate) chosen: Option<&'a Proposal<V>>,
@@ -18,33 +18,33 @@
     pub(crate) promised: Ballot,
 }
 
-/// What the proposer wants done.
+/// An effect that the node carries out for the proposer.
 pub(crate) enum Effect<V: RegisterValue> {
-    /// Send a request to a replica.
+    /// Sends a request to a replica.
     Send { to: Replica, request: Request<V> },
-    /// An operation has ended.
+    /// Reports the outcome of an operation.
     Completed {
         id: OperationId,
         outcome: Outcome<V>,
     },
-    /// A quorum has reported a proposal that is chosen.
+    /// A quorum read has returned a proposal that is known as chosen.
     ReadChosen(Proposal<V>),
-    /// A quorum has accepted the proposal of this proposer: it is chosen, and others are to know.
+    /// A quorum has accepted this proposer's proposal: it is chosen, and the node tells the others.
     Decided(Proposal<V>),
-    /// Reserve ballot counters up to this one and further.
+    /// Durably reserves ballot counters up to this one at least.
     Reserve { counter: u64 },
 }
 
-/// Counts of what a proposer has done since the node started.
+/// Counts of a proposer's rounds since the node started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProposerMetrics {
-    /// Rounds of queries begun.
+    /// Query rounds started.
     pub queries: u64,
-    /// Prepare phases begun.
+    /// Prepare phases started.
     pub prepares: u64,
-    /// Accept phases begun.
+    /// Accept phases started.
     pub accepts: u64,
-    /// Rounds lost to a higher ballot or a change of the replica set.
+    /// Rounds that failed because of a higher ballot or a change of the replica set.
     pub conflicts: u64,
     /// Rounds abandoned because no quorum replied in time.
     pub timeouts: u64,
--- a/crates/register/src/proposer/pacing.rs
+++ b/crates/register/src/proposer/pacing.rs
@@ -1,7 +1,8 @@
-//! Pacing among proposers: deference to another's ballot, backoff after conflicts, and the measured
-//! round trip time. It guards against duelling proposers, which pre-empt each other's rounds so
-//! that none completes (Lamport 2001, "Paxos Made Simple", section 2.4). Safety never depends on
-//! it.
+//! Pacing of rounds: deference to a ballot of another proposer, backoff after conflicts, and the
+//! measured round trip time.
+//!
+//! Pacing guards against duelling proposers, which pre-empt each other's rounds so that none
+//! completes (Lamport 2001, "Paxos Made Simple", section 2.4). Safety never depends on pacing.
 
 use std::time::Duration;
 
@@ -10,23 +11,23 @@
 use crate::operation::RegisterValue;
 use crate::state::ballot_of;
 
-/// Samples that the average round trip time is weighted over.
+/// Weight of the moving average of the round trip time: a new sample counts as one of this many.
 const ROUND_TRIP_SAMPLES: u32 = 4;
 
-/// Largest number of doublings of the backoff.
+/// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// A ballot of another proposer to which this one defers.
+/// Deference of this proposer to a ballot of another one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Deference {
     ballot: Ballot,
-    /// No ballot is deferred to after this.
+    /// Time after which the proposer defers to no ballot.
     until: Duration,
 }
 
 impl<V: RegisterValue> Proposer<V> {
-    /// Whether to wait because the own acceptor has lately promised a ballot of another proposer,
-    /// of which nothing is chosen yet: a round begun now would only pre-empt that one.
+    /// Whether to wait because the node's own acceptor has promised a ballot of another proposer
+    /// that isn't known as chosen yet. A round started now would only pre-empt that one.
     pub(super) fn should_defer(&mut self, now: Duration, context: &Context<'_, V>) -> bool {
         let promised = context.promised;
         if promised.identity == self.identity || promised <= ballot_of(context.chosen) {
@@ -49,8 +50,8 @@
         true
     }
 
-    /// Ends the deference to a ballot that a chosen state has reached: the next round may begin at
-    /// once.
+    /// Ends the deference once the chosen ballot has reached the other proposer's ballot; the next
+    /// round may then start at once.
     pub(super) fn end_deference(&mut self, now: Duration, context: &Context<'_, V>) {
         let is_over = |deference: &mut Deference| {
             context
@@ -70,8 +71,8 @@
         self.random.below(bound)
     }
 
-    /// Upper bound of the wait after the conflicts so far. A change takes two round trips, so the
-    /// first bound is at least that.
+    /// Upper bound of the random wait after the conflicts so far. A change takes two round trips,
+    /// so the first bound is at least two round trips.
     fn backoff(&self) -> Duration {
         let first = self.settings.initial_backoff.max(self.round_trip * 2);
         let doublings = self.conflicts.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
@@ -79,8 +80,8 @@
         doubled.min(self.settings.max_backoff)
     }
 
-    /// Counts the time that a quorum took into the average round trip time. A round in which
-    /// requests may have been sent again says nothing: it isn't known which one was answered (Karn
+    /// Adds the reply time of a quorum to the average round trip time. Samples of rounds that may
+    /// have retransmitted are ignored, since it is unknown which transmission was answered (Karn
     /// and Partridge 1987).
     pub(super) fn record_round_trip(&mut self, sample: Duration) {
         if sample < self.settings.retransmit_interval {
--- a/crates/register/src/proposer/queries.rs
+++ b/crates/register/src/proposer/queries.rs
@@ -1,5 +1,5 @@
-//! Queries: reads completed without an acceptance, as long as the quorums agree. A read then costs
-//! one round trip and no disk write.
+//! Query rounds: complete reads without an accept phase while the members of a quorum report the
+//! same ballot. Such a read costs one round trip and no disk write.
 
 use std::time::Duration;
 
@@ -9,11 +9,12 @@
 use crate::round::{QuorumRead, Round};
 use crate::state::Proposal;
 
-/// Number of queries that may end in disagreement before a read is completed by an acceptance.
+/// Number of queries that may end in disagreement before reads go through prepare and accept.
 const MAX_DISAGREEMENTS: u32 = 2;
 
 impl<V: RegisterValue> Proposer<V> {
-    /// Whether the queue consists of reads only, and queries haven't disagreed too often.
+    /// Whether a query can complete the whole queue: it consists of reads only, and queries haven't
+    /// ended in disagreement too often.
     pub(super) fn may_query(&self) -> bool {
         let are_all_reads = self
             .queue
@@ -22,7 +23,7 @@
         are_all_reads && self.disagreements < MAX_DISAGREEMENTS
     }
 
-    /// A query of the members by the newest state known here.
+    /// Creates a query round for the members of `view`, the newest proposal known here.
     pub(super) fn query(&mut self, context: &Context<'_, V>, view: &Proposal<V>) -> Round<V> {
         Round::query(
             self.next_round_id(),
@@ -32,7 +33,7 @@
         )
     }
 
-    /// Begins a round that only reads.
+    /// Starts a query round.
     pub(super) fn start_query(
         &mut self,
         now: Duration,
@@ -45,8 +46,9 @@
         self.begin(now, round, Batch::default(), effects);
     }
 
-    /// Completes the reads with a chosen state. If the quorum disagrees, the round is abandoned
-    /// after a while, and the reads go to another query or to a prepare.
+    /// Completes the reads if the state that was read is known as chosen. Otherwise the round is
+    /// abandoned once all replicas have replied or the disagreement timeout has passed, and the
+    /// reads go to another query or to a prepare phase.
     pub(super) fn advance_query(
         &mut self,
         now: Duration,
--- a/crates/register/src/proposer/queue.rs
+++ b/crates/register/src/proposer/queue.rs
@@ -1,5 +1,5 @@
-//! The queue of operations: arrival, deadlines, outcomes, and the return of what a round left
-//! undecided.
+//! The queue of operations: submission, deadlines, outcomes, and the return of operations that a
+//! round left undecided.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,8 +11,8 @@
 use crate::state::State;
 
 impl<V: RegisterValue> Proposer<V> {
-    /// Queues an operation; `deadline` is a time of the node's clock. Nobody awaits the outcome of
-    /// an operation without `id`.
+    /// Queues an operation; `deadline` is a time of the node's clock. The outcome of an operation
+    /// without `id` isn't reported.
     pub(crate) fn submit(
         &mut self,
         id: Option<OperationId>,
@@ -46,8 +46,9 @@
         }
     }
 
-    /// Completes the reads that arrived before `first_excluded` with a chosen state. A read that
-    /// arrived after the round began could miss a change that was acknowledged before it arrived.
+    /// Completes the queued reads that arrived before `first_excluded` with a chosen state. Later
+    /// reads arrived after the round began: the state might lack a change that was acknowledged
+    /// before such a read arrived.
     pub(super) fn complete_reads(
         &mut self,
         first_excluded: u64,
@@ -92,7 +93,7 @@
     }
 }
 
-/// Reports the outcome of an operation whose outcome is awaited.
+/// Reports the outcome of an operation, unless the operation has no id.
 fn complete<V: RegisterValue>(
     id: Option<OperationId>,
     outcome: Outcome<V>,
--- a/crates/register/src/proposer/rounds.rs
+++ b/crates/register/src/proposer/rounds.rs
@@ -1,5 +1,5 @@
-//! Rounds: begun one at a time, with requests sent again where replies are missing, decided by one
-//! acceptance.
+//! Rounds: started one at a time, retransmitted where replies are missing, and ended by a result, a
+//! conflict or a timeout.
 
 use std::time::Duration;
 
@@ -13,17 +13,17 @@
 use crate::round::{Phase, QuorumRead, Round};
 use crate::state::{Proposal, newest};
 
-/// Whether the next round could begin.
+/// Result of an attempt to start the next round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Start {
-    /// It has begun, or waits for another proposer's round.
+    /// The round has started, or waits for another proposer's round.
     Possible,
-    /// A reserved counter or a first state is missing.
+    /// No round can start: a reserved ballot counter or a first known state is missing.
     Blocked,
 }
 
 impl<V: RegisterValue> Proposer<V> {
-    /// Begins the next round, if it can.
+    /// Starts the next round if possible: a query for reads alone, else a prepare phase.
     pub(super) fn start(
         &mut self,
         now: Duration,
@@ -50,7 +50,7 @@
         Start::Possible
     }
 
-    /// Sends the round's requests and makes it the active one.
+    /// Sends the requests of a round and makes it the active round.
     pub(super) fn begin(
         &mut self,
         now: Duration,
@@ -70,13 +70,14 @@
         });
     }
 
-    /// The number of the next round.
+    /// Returns the id of the next round.
     pub(super) fn next_round_id(&mut self) -> RoundId {
         self.last_round_id = self.last_round_id.next();
         self.last_round_id
     }
 
-    /// A ballot above all seen, if its counter is reserved.
+    /// Returns a ballot above all ballots seen. If its counter isn't reserved, requests the
+    /// reservation and returns `None`.
     fn next_ballot(
         &mut self,
         highest_seen: u64,
@@ -95,7 +96,7 @@
         })
     }
 
-    /// Abandons the active round at its time-out, or sends again the requests without a reply.
+    /// Abandons the active round after its timeout, or retransmits the requests without a reply.
     pub(super) fn check_round(&mut self, now: Duration, effects: &mut Vec<Effect<V>>) {
         let Some(active) = &mut self.active else {
             return;
@@ -112,7 +113,7 @@
         self.advance(now, effects);
     }
 
-    /// Advances the active round as far as its replies permit.
+    /// Advances the active round as far as its replies allow; abandons it if it can't succeed.
     pub(super) fn advance(&mut self, now: Duration, effects: &mut Vec<Effect<V>>) {
         let Some(active) = &mut self.active else {
             return;
@@ -137,8 +138,8 @@
         }
     }
 
-    /// Applies the queue to the state that was read, and proposes the result unless nothing has to
-    /// be accepted.
+    /// Applies the queued operations to the state that was read. Starts the accept phase with the
+    /// result, or completes the operations at once if nothing has to be accepted.
     fn decide(&mut self, now: Duration, read: &QuorumRead<V>, effects: &mut Vec<Effect<V>>) {
         let Some(mut active) = self.active.take() else {
             return;
@@ -149,7 +150,7 @@
         let Assembled { batch, state } =
             Batch::assemble(self.queue.drain(..), read, ballot, guards);
         let is_unchanged = state.sequence == read.proposal.state.sequence;
-        // The reason is given at `Guard::FenceBeforeAnswer`.
+        // `Guard::FenceBeforeAnswer` explains why.
         let must_accept_again =
             guards.enforces(Guard::FenceBeforeAnswer) && batch.answers_unchanged();
         if is_unchanged && read.is_chosen && !must_accept_again {
@@ -180,14 +181,15 @@
         self.complete_batch(batch, u64::MAX, &proposal.state, effects);
     }
 
-    /// Ends the active round with a result.
+    /// Ends the active round with a result and resets the counts of consecutive failures.
     pub(super) fn finish_round(&mut self) {
         self.active = None;
         self.conflicts = 0;
         self.disagreements = 0;
     }
 
-    /// Ends the active round without a result; its operations return to the queue.
+    /// Ends the active round without a result: its operations return to the queue, and the next
+    /// round starts after `wait` at the earliest.
     pub(super) fn abandon_round(&mut self, now: Duration, wait: Duration) {
         if let Some(active) = self.active.take() {
             self.requeue(active.batch.into_pending());
@@ -196,7 +198,7 @@
     }
 }
 
-/// Sends the request of the round's current phase to replicas.
+/// Sends the request of the round's current phase to the given replicas.
 pub(super) fn send_requests<V: RegisterValue>(
     round: &Round<V>,
     replicas: Vec<Replica>,
--- a/crates/register/src/reconfiguration.rs
+++ b/crates/register/src/reconfiguration.rs
@@ -1,10 +1,10 @@
-//! Replica-set reconfiguration: decides which change of the replica set is due, by the messages
-//! received from the coordinators and by their status.
+//! Replica-set reconfiguration: decides which change of the replica set is due, based on the
+//! messages received from the coordinators and on their status reports.
 //!
-//! Safety never depends on it: a change is decided like any other, by the majorities of a joint
-//! membership. It guards against a register that tolerates no further loss because a lost replica
-//! isn't replaced, and against needless changes because one node alone can't reach a healthy
-//! member. The rules are here and in `plan`; `node::reconfiguration` connects them to the node.
+//! Safety never depends on this module: a replica change is decided like any other, by the
+//! majorities of a joint membership. The module restores fault tolerance by replacing lost
+//! replicas, and avoids needless changes when only one node can't reach a healthy member. The rules
+//! are here and in `plan`; `node::reconfiguration` connects them to the node.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,16 +22,16 @@
 #[cfg(test)]
 mod tests;
 
-/// What is known of the coordinator at one address.
+/// The coordinator at one address, as known from its messages.
 #[derive(Clone, Debug)]
 struct Peer {
     identity: Identity,
     zone: String,
     last_heard: Duration,
     leaving: bool,
-    /// Members from which it has received nothing for a while.
+    /// Members that the coordinator reports as unreachable.
     unreachable: Vec<Identity>,
-    /// Identities that this address had before; late messages may still name them.
+    /// Earlier identities of this address, which delayed messages may still carry.
     retired: BTreeSet<Identity>,
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The address has another identity from now on.
+    /// Records that the address has another identity from now on, and retires the current one.
     fn set_identity(&mut self, identity: Identity) {
         self.retired.insert(self.identity);
         self.identity = identity;
@@ -56,23 +56,23 @@
     }
 }
 
-/// A replica change to propose.
+/// A replica change that is due to be proposed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DueChange {
     /// The replica set that the change is made for.
     pub expected: ReplicaSet,
-    /// The change.
+    /// The replica to add, remove or replace.
     pub change: ReplicaChange,
 }
 
-/// A change that is needed, and since when.
+/// A needed replica change, and the time since which it has been needed.
 #[derive(Clone, Debug)]
 struct NeededChange {
     change: ReplicaChange,
     since: Duration,
 }
 
-/// Tracks the state of all coordinators and decides which replica change is due.
+/// Tracks the liveness and status of all coordinators and decides which replica change is due.
 #[derive(Clone, Debug)]
 pub struct ReplicaSetController {
     own: Replica,
@@ -89,7 +89,7 @@
 }
 
 impl ReplicaSetController {
-    /// The controller of the node of that replica.
+    /// Creates the controller of the node whose replica is `own`.
     #[must_use]
     pub fn new(own: Replica, settings: &Settings) -> Self {
         Self {
@@ -107,12 +107,13 @@
         }
     }
 
-    /// The own replica continues under another identity.
+    /// Changes the identity of the node's own replica.
     pub fn set_identity(&mut self, identity: Identity) {
         self.own.identity = identity;
     }
 
-    /// The node starts to receive messages: the time-out of members never heard from begins.
+    /// Records that the node starts to receive messages: the timeout of members never heard from
+    /// begins.
     pub fn start(&mut self, now: Duration) {
         self.started_at = now;
     }
@@ -123,7 +124,7 @@
         self.leaving = leaving;
     }
 
-    /// A message of a coordinator has arrived.
+    /// Records a message from a coordinator. Delayed messages under a retired identity are ignored.
     pub fn message_received(&mut self, now: Duration, identity: Identity, address: SocketAddr) {
         let peer = self
             .peers
@@ -138,7 +139,8 @@
         peer.last_heard = now;
     }
 
-    /// A coordinator has reported its status.
+    /// Records the status that a coordinator reports. A status under an identity other than the
+    /// current one of the address is ignored.
     pub fn status_received(
         &mut self,
         identity: Identity,
@@ -153,7 +155,7 @@
         }
     }
 
-    /// The own process was paused for that time, in which it couldn't receive anything.
+    /// Extends all timeouts by a pause of the node's own process, during which it received nothing.
     pub fn discount_process_pause(&mut self, pause: Duration) {
         self.started_at += pause;
         for peer in self.peers.values_mut() {
@@ -161,7 +163,7 @@
         }
     }
 
-    /// The members from which this node has received nothing within the time-out.
+    /// Members from which this node has received nothing within the timeout.
     #[must_use]
     pub fn unreachable_members(&self, now: Duration, members: &Membership) -> Vec<Identity> {
         let coordinators = self.coordinators(now, &members.current);
@@ -171,8 +173,8 @@
             .collect()
     }
 
-    /// The change to be proposed now. Changes are proposed one at a time, each a while after the
-    /// one before.
+    /// Returns the change to propose now, if any. Proposals are at least the proposal interval
+    /// (`Settings::round_timeout`) apart.
     pub fn due_change(&mut self, now: Duration, members: &Membership) -> Option<DueChange> {
         let Some(change) = self.needed_change(now, members) else {
             self.needed = None;
@@ -197,7 +199,7 @@
         })
     }
 
-    /// The change that the replica set needs; none while the membership is joint.
+    /// Returns the change that the replica set needs; `None` while the membership is joint.
     fn needed_change(&self, now: Duration, members: &Membership) -> Option<ReplicaChange> {
         if members.is_joint() {
             return None;
@@ -214,8 +216,8 @@
         .most_urgent_change()
     }
 
-    /// Members that a majority of the members can't reach. One that only a single node can't reach
-    /// may be healthy, behind a link that fails in one direction.
+    /// Members that count as lost: a majority of the members can't reach them. A member that only
+    /// one node can't reach may be healthy, behind a link that fails in one direction.
     fn lost_members(&self, now: Duration, members: &Membership) -> BTreeSet<Identity> {
         let set = &members.current;
         let mut reports: Vec<Vec<Identity>> = self
@@ -247,7 +249,8 @@
         now < peer.last_heard + self.unreachable_timeout
     }
 
-    /// The coordinator known at each address, this one, and the members never heard from.
+    /// The coordinators heard from, this one, and the members never heard from. The latter count as
+    /// live until the timeout since the start has passed.
     fn coordinators(&self, now: Duration, set: &ReplicaSet) -> Vec<Coordinator> {
         let heard = self.peers.iter().map(|(&address, peer)| Coordinator {
             replica: Replica {
@@ -275,8 +278,9 @@
         heard.chain([own]).chain(unheard).collect()
     }
 
-    /// The live member of the smallest identity proposes at once, each further one later, a standby
-    /// last. A coordinator that leaves proposes its own replacement at once.
+    /// Delay before this node proposes a change: zero for the live member with the smallest
+    /// identity, one stagger more for each further one, and the longest for a standby. A
+    /// coordinator that leaves proposes its own replacement at once.
     fn proposal_delay(&self, now: Duration, set: &ReplicaSet, change: &ReplicaChange) -> Duration {
         let own = self.own.identity;
         if self.leaving && change.removed() == Some(own) {
--- a/crates/register/src/reconfiguration/plan.rs
+++ b/crates/register/src/reconfiguration/plan.rs
@@ -1,4 +1,4 @@
-//! The change that a replica set needs, as a pure function of the coordinators.
+//! Plan of the next replica change, as a pure function of the replica set and the coordinators.
 
 use std::collections::BTreeSet;
 
@@ -10,9 +10,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct Coordinator {
     pub(super) replica: Replica,
-    /// A message came from it within the time-out.
+    /// Whether a message from the coordinator arrived within the timeout.
     pub(super) is_live: bool,
-    /// It gives up its membership.
+    /// Whether the coordinator gives up its membership.
     pub(super) leaving: bool,
 }
 
@@ -22,18 +22,18 @@
     }
 }
 
-/// A replica set and the coordinators that are known.
+/// Inputs of the plan: a replica set, the known coordinators, and the members that are lost.
 pub(super) struct Plan<'a> {
     pub(super) set: &'a ReplicaSet,
     pub(super) coordinators: &'a [Coordinator],
-    /// Members that count as lost.
+    /// Members that count as lost, since a majority can't reach them.
     pub(super) lost: &'a BTreeSet<Identity>,
-    /// Number of replicas aimed at.
+    /// Target number of replicas.
     pub(super) target: usize,
 }
 
 impl Plan<'_> {
-    /// The most urgent change after which live members are still a majority.
+    /// Returns the most urgent change that leaves live members in the majority.
     pub(super) fn most_urgent_change(&self) -> Option<ReplicaChange> {
         let candidates = [
             self.replace_wiped_member(),
@@ -48,7 +48,7 @@
             .find(|change| self.keeps_live_majority(change))
     }
 
-    /// Replaces a member whose disk was lost: its address has another identity.
+    /// Replaces a member whose disk was lost: its address now has another identity.
     fn replace_wiped_member(&self) -> Option<ReplicaChange> {
         let replacement = |member: &Replica| {
             let has_same_address = |known: &&Coordinator| known.replica.address == member.address;
@@ -61,7 +61,7 @@
         self.set.replicas().iter().find_map(replacement)
     }
 
-    /// Removes a member that is lost or leaves, if there are more members than aimed at.
+    /// Removes a member that is lost or leaves, if the set is above its target size.
     fn shrink(&self) -> Option<ReplicaChange> {
         if self.set.len() <= self.target {
             return None;
@@ -78,8 +78,8 @@
         Some(replace(lost, &standby))
     }
 
-    /// Adds a standby, if there are fewer members than aimed at. An odd set grows only if the next
-    /// odd size can be reached, since an even set tolerates no more losses.
+    /// Adds a standby, if the set is below its target size. A set of odd size grows only if the
+    /// next odd size can be reached, since an even size tolerates no more losses.
     fn grow(&self) -> Option<ReplicaChange> {
         if self.set.len() >= self.target {
             return None;
@@ -96,8 +96,8 @@
         standbys.into_iter().next().map(ReplicaChange::Add)
     }
 
-    /// Removes a lost member of an even set that nobody can replace: the set tolerates as many
-    /// losses without it.
+    /// Removes a member that is lost or leaves from a set of even size if no standby can replace
+    /// it: the set tolerates as many losses without it.
     fn shrink_to_odd_size(&self) -> Option<ReplicaChange> {
         if !self.set.len().is_multiple_of(2) || self.set.len() <= 2 {
             return None;
@@ -106,7 +106,7 @@
             .map(|replica| ReplicaChange::Remove(replica.identity))
     }
 
-    /// A member that counts as lost, or else one that leaves.
+    /// Returns a member that counts as lost, or else one that leaves.
     fn lost_or_leaving(&self) -> Option<&Replica> {
         let replicas = self.set.replicas();
         let lost = replicas
@@ -120,8 +120,8 @@
         lost.or(leaving)
     }
 
-    /// Live coordinators that could become members of the set: those in zones without a member
-    /// first, then by identity.
+    /// Live coordinators that could become members: first those in zones without a member of `set`,
+    /// then by identity.
     fn standbys(&self, set: &ReplicaSet) -> Vec<Replica> {
         let zones: BTreeSet<&str> = set
             .replicas()
@@ -147,7 +147,7 @@
         standbys
     }
 
-    /// The zone that the coordinator reports, or else the one in the replica set.
+    /// Zone of a replica: the one that its coordinator reports, or else the one in the replica set.
     fn zone<'a>(&'a self, replica: &'a Replica) -> &'a str {
         let reported = self
             .coordinators
@@ -175,7 +175,7 @@
     }
 }
 
-/// Whether a message of the replica of this identity came within the time-out.
+/// Whether the coordinator with this identity is live.
 pub(super) fn is_live(coordinators: &[Coordinator], identity: Identity) -> bool {
     coordinators
         .iter()
--- a/crates/register/src/reconfiguration/tests.rs
+++ b/crates/register/src/reconfiguration/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the reconfiguration: one change at a time, never below a live majority.
+//! Tests of the reconfiguration: changes are made one at a time and keep a live majority.
 
 use assert_matches::assert_matches;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// The controller of replica 1, which has just received messages of those others.
+/// The controller of replica 1, which has just received messages from the given replicas.
 fn controller(heard: &[(u64, &str)]) -> ReplicaSetController {
     let mut controller = ReplicaSetController::new(replica(1, "a"), &Settings::default());
     for &(number, zone) in heard {
@@ -74,7 +74,7 @@
     assert_eq!(
         controller.peers[&address].identity,
         Identity(33),
-        "a late message changes nothing"
+        "a delayed message under the retired identity is ignored"
     );
 }
 
--- a/crates/register/src/replicas.rs
+++ b/crates/register/src/replicas.rs
@@ -1,7 +1,8 @@
-//! Replica sets, the membership that consists of one or two of them, and its quorums.
+//! Replica sets, the membership of one or two of them, and its quorums.
 //!
-//! Members change by joint consensus (Raft, Ongaro and Ousterhout 2014, section 6): a membership of
-//! two sets decides by a majority of each, so that the old and the new set never decide apart.
+//! The replica set changes by joint consensus (Raft, Ongaro and Ousterhout 2014, section 6): a
+//! membership of two sets decides by a majority of each, so that the old and the new set never
+//! decide independently.
 
 use std::net::SocketAddr;
 
@@ -13,20 +14,20 @@
 /// One replica of the register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Replica {
-    /// Identity of its disk.
+    /// Identity of the replica, bound to its disk.
     pub identity: Identity,
-    /// Address at which it listens.
+    /// Address at which the replica listens.
     pub address: SocketAddr,
-    /// Zone of its machine; empty where it isn't known.
+    /// Zone of the replica's machine; empty if unknown.
     pub zone: String,
 }
 
-/// A set of replicas, ordered by identity.
+/// A set of replicas, ordered by identity, each identity at most once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicaSet(Vec<Replica>);
 
 impl ReplicaSet {
-    /// A set of these replicas; of several with the same identity only the first is kept.
+    /// Creates a set of replicas. Of several with the same identity only the first is kept.
     pub fn new(replicas: impl IntoIterator<Item = Replica>) -> Self {
         let mut list: Vec<Replica> = replicas.into_iter().collect();
         list.sort_by_key(|replica| replica.identity);
@@ -34,7 +35,8 @@
         Self(list)
     }
 
-    /// The set of initial members, of which only the addresses are known.
+    /// Creates the set of initial members from their addresses, from which their identities
+    /// follow; the zones are unknown.
     pub fn from_seed_addresses(addresses: impl IntoIterator<Item = SocketAddr>) -> Self {
         let seed = |address| Replica {
             identity: Identity::from_seed_address(address),
@@ -50,44 +52,45 @@
         &self.0
     }
 
-    /// Number of replicas.
+    /// Number of replicas in the set.
     #[must_use]
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there is no replica.
+    /// Whether the set has no replica.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Smallest number of replicas such that any two selections of that size overlap.
+    /// Size of a majority: the smallest number of replicas such that any two subsets of that size
+    /// overlap.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.0.len() / 2 + 1
     }
 
-    /// Whether the identity belongs to the set.
+    /// Whether a replica of the set has this identity.
     #[must_use]
     pub fn contains(&self, identity: Identity) -> bool {
         self.0.iter().any(|replica| replica.identity == identity)
     }
 
-    /// Whether both sets consist of the same identities.
+    /// Whether both sets have the same identities; addresses and zones are ignored.
     #[must_use]
     pub fn has_same_identities(&self, other: &Self) -> bool {
         let identity = |replica: &Replica| replica.identity;
         self.0.iter().map(identity).eq(other.0.iter().map(identity))
     }
 
-    /// The set with one replica more.
+    /// Returns the set with a replica added; a replica of the same identity stays instead.
     #[must_use]
     pub fn with(&self, replica: Replica) -> Self {
         Self::new(self.0.iter().cloned().chain([replica]))
     }
 
-    /// The set without the replica of that identity.
+    /// Returns the set without the replica of this identity.
     #[must_use]
     pub fn without(&self, identity: Identity) -> Self {
         Self(
@@ -99,7 +102,7 @@
         )
     }
 
-    /// Whether the replicas that voted are a majority.
+    /// Whether the replicas for which `voted` holds are a majority of the set.
     fn has_majority(&self, voted: &impl Fn(Identity) -> bool) -> bool {
         let votes = self
             .0
@@ -110,17 +113,18 @@
     }
 }
 
-/// The replicas that decide: one set, or two while the replica set changes (joint membership).
+/// The replicas that decide on the next state: one set, or two while the replica set changes (joint
+/// membership).
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Membership {
-    /// The set in force.
+    /// The current set; the old one in a joint membership.
     pub current: ReplicaSet,
-    /// The next set of a joint membership; decisions then need a majority of both.
+    /// The next set in a joint membership; decisions then need a majority of each set.
     pub next: Option<ReplicaSet>,
 }
 
 impl Membership {
-    /// A membership of one set.
+    /// Creates a membership of one set.
     #[must_use]
     pub fn single(current: ReplicaSet) -> Self {
         Self {
@@ -129,7 +133,7 @@
         }
     }
 
-    /// A joint membership of two sets.
+    /// Creates a joint membership of two sets.
     #[must_use]
     pub fn joint(current: ReplicaSet, next: ReplicaSet) -> Self {
         Self {
@@ -144,26 +148,27 @@
         self.next.is_some()
     }
 
-    /// The next set of a joint membership, else the set in force.
+    /// The next set of a joint membership, else the current set.
     #[must_use]
     pub fn latest(&self) -> &ReplicaSet {
         self.next.as_ref().unwrap_or(&self.current)
     }
 
-    /// All replicas of both sets, each once.
+    /// All replicas of the one or two sets, each identity once.
     pub fn replicas(&self) -> impl Iterator<Item = &Replica> {
         let added = self.next.iter().flat_map(ReplicaSet::replicas);
         let added = added.filter(|replica| !self.current.contains(replica.identity));
         self.current.replicas().iter().chain(added)
     }
 
-    /// Whether the identity belongs to any of the sets.
+    /// Whether a replica of any set has this identity.
     #[must_use]
     pub fn contains(&self, identity: Identity) -> bool {
         self.replicas().any(|replica| replica.identity == identity)
     }
 
-    /// A hash that differs, but for collisions, between memberships of different identities.
+    /// Hash of the identities in each set. Nodes compare it with the one in a heartbeat response
+    /// to detect another membership; equal hashes of different memberships are possible but rare.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         let sets = [Some(&self.current), self.next.as_ref()]
@@ -176,7 +181,7 @@
         numbers.fold(0, |mixed, number| Random::new(mixed ^ number).next())
     }
 
-    /// Whether the replicas that voted are a majority of each set.
+    /// Whether the replicas for which `voted` holds are a majority of each set.
     pub fn is_quorum(&self, voted: impl Fn(Identity) -> bool) -> bool {
         let next = self
             .next
@@ -185,8 +190,8 @@
         next && self.current.has_majority(&voted)
     }
 
-    /// Whether the replicas that voted are a majority of the latest set alone; unsafe, for mutation
-    /// tests.
+    /// Whether the replicas for which `voted` holds are a majority of the latest set alone. Unsafe;
+    /// only mutation tests use it, to remove [`Guard::JointQuorum`](crate::guard::Guard).
     #[cfg(feature = "mutations")]
     pub(crate) fn is_quorum_of_latest(&self, voted: impl Fn(Identity) -> bool) -> bool {
         self.latest().has_majority(&voted)
--- a/crates/register/src/round.rs
+++ b/crates/register/src/round.rs
@@ -1,9 +1,9 @@
-//! One round of a proposer: the replies counted so far and what follows from them (Rystsov 2018,
-//! section 2). A round reads no clock and sends nothing itself.
+//! One round of a proposer: the replies counted so far and the result that follows from them
+//! (Rystsov 2018, section 2). A round reads no clock and sends nothing itself.
 //!
-//! A round either queries (reads without a promise), or prepares (phase 1) and then accepts (phase
-//! 2). Its quorums are those of the newest membership that it has seen: this guards against a
-//! decision by a replica set that is no longer in force.
+//! A round is either a query (a read without promises), or a prepare phase (phase 1) followed by an
+//! accept phase (phase 2). Its quorums are those of the newest membership that it has seen; this
+//! guards against a decision by a replica set that has been replaced.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,45 +16,45 @@
 #[cfg(test)]
 mod tests;
 
-/// What a round waits for.
+/// Phase of a round, named after the requests that it sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// Query results, which come without a promise.
+    /// Waits for query results, which carry no promise.
     Query,
-    /// Promises (phase 1).
+    /// Waits for promises (phase 1).
     Prepare,
-    /// Acceptances (phase 2).
+    /// Waits for acceptances (phase 2).
     Accept,
 }
 
 /// The newest state that a quorum of its own membership has reported.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuorumRead<V> {
-    /// The state, with the ballot in which it was accepted.
+    /// The state and the ballot in which it was accepted.
     pub proposal: Proposal<V>,
-    /// Whether it is known as chosen. If it isn't, it may have been chosen or may yet be, and has
-    /// to be accepted again before it is reported.
+    /// Whether the state is known as chosen. Otherwise the state may have been chosen or may yet
+    /// be, and must be accepted again before it is reported.
     pub is_chosen: bool,
 }
 
-/// The replies of one round.
+/// A round in progress and the replies to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Round<V> {
-    /// Number of the round.
+    /// Id of the round, which its replies repeat.
     pub id: RoundId,
-    /// What it waits for.
+    /// Current phase of the round.
     pub phase: Phase,
-    /// Its ballot; zero for a query.
+    /// Ballot of the round; [`Ballot::ZERO`] for a query.
     pub ballot: Ballot,
-    /// What the proposer knew as chosen when the round began.
+    /// The proposal that the proposer knew as chosen when the round began.
     known: Option<Proposal<V>>,
-    /// The newest proposal seen, chosen or not; its members receive the requests.
+    /// The newest proposal seen, chosen or not; the members of its state receive the requests.
     view: Proposal<V>,
     /// Ballots reported as accepted, by replica.
     reported: BTreeMap<Identity, Option<Ballot>>,
-    /// The newest proposal reported.
+    /// The newest proposal reported in a reply.
     newest: Option<Proposal<V>>,
-    /// The highest ballot reported or known as chosen.
+    /// The highest ballot known as chosen, here or at a replica that replied.
     chosen: Ballot,
     /// The proposal of the accept phase.
     proposal: Option<Proposal<V>>,
@@ -64,8 +64,8 @@
 }
 
 impl<V: Clone> Round<V> {
-    /// A round of queries. `known` is what the proposer knows as chosen, `view` the newest proposal
-    /// that it has seen.
+    /// Creates a query round. `known` is the proposal that the proposer knows as chosen, `view` the
+    /// newest proposal that it has seen.
     #[must_use]
     pub fn query(
         id: RoundId,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The round with promises in the ballot instead of queries.
+    /// Turns a new query round into the prepare phase of this ballot.
     #[must_use]
     pub fn into_prepare(self, ballot: Ballot) -> Self {
         Self {
@@ -99,14 +99,14 @@
         }
     }
 
-    /// Begins the accept phase with the proposal, which must result from the quorum read.
+    /// Starts the accept phase with a proposal, which must result from the quorum read.
     pub fn start_accept(&mut self, proposal: Proposal<V>) {
         self.phase = Phase::Accept;
         self.rejected.clear();
         self.proposal = Some(proposal);
     }
 
-    /// The replicas of which a reply is missing, each once.
+    /// The replicas that have not replied in the current phase, each once.
     #[must_use]
     pub fn awaiting_reply(&self) -> Vec<Replica> {
         let mut replicas: Vec<Replica> = Vec::new();
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Counts a reply. Replies of replicas that received no request don't count, nor do those to
-    /// another phase or ballot.
+    /// Counts a reply. Replies from replicas that received no request, and replies to another phase
+    /// or ballot, don't count.
     pub fn record_reply(&mut self, from: Identity, body: ReplyBody<V>) {
         match (self.phase, body) {
             (Phase::Query, ReplyBody::QueryResult(state)) => self.record_state(from, state),
@@ -161,7 +161,8 @@
         }
     }
 
-    /// The newest state that a quorum of its own members has reported, once there is one.
+    /// Returns the newest proposal reported, once a quorum of its own members has replied and no
+    /// newer ballot is known as chosen.
     #[must_use]
     pub fn quorum_read(&self) -> Option<QuorumRead<V>> {
         let proposal = self.newest.as_ref()?;
@@ -184,7 +185,7 @@
         })
     }
 
-    /// The proposal of the accept phase, once a quorum has accepted it.
+    /// Returns the proposal of the accept phase, once a quorum has accepted it.
     #[must_use]
     pub fn chosen(&self) -> Option<&Proposal<V>> {
         let proposal = self.proposal.as_ref()?;
@@ -193,7 +194,8 @@
             .then_some(proposal)
     }
 
-    /// Whether the replicas that have not rejected the round are too few for a quorum.
+    /// Whether the round has failed: the replicas that have not rejected it are too few for a
+    /// quorum.
     #[must_use]
     pub fn is_lost(&self) -> bool {
         self.memberships()
@@ -206,9 +208,10 @@
         self.awaiting_reply().is_empty()
     }
 
-    /// The memberships whose replicas receive the requests. In the accept phase it is that of the
-    /// proposal. Before, it is that of the newest proposal seen, which may not be chosen, and that
-    /// of the newest one reported or known as chosen, which may be another.
+    /// The memberships whose replicas receive the requests. In the accept phase, this is the
+    /// membership of the proposal. Before, these are the membership of the newest proposal seen,
+    /// which may not be chosen, and that of the newest proposal reported or known as chosen, which
+    /// may be an older one.
     fn memberships(&self) -> impl Iterator<Item = &Membership> {
         let reported_or_known = newest(self.newest.as_ref(), self.known.as_ref());
         let read = std::iter::once(&self.view)
@@ -220,14 +223,14 @@
             .map(|proposal| &proposal.state.members)
     }
 
-    /// Counts what an acceptor has accepted.
+    /// Counts the accepted proposal and the chosen ballot that a member has reported.
     fn record_state(&mut self, from: Identity, state: AcceptorState<V>) {
         if !self.memberships().any(|members| members.contains(from)) {
             return;
         }
         self.chosen = self.chosen.max(state.chosen);
         self.reported.insert(from, state.accepted);
-        // An acceptor leaves out a proposal that this node knows.
+        // An acceptor sends only the ballot of a proposal that this node knows.
         let known = self.known.as_ref();
         let known = known.filter(|known| Some(known.ballot) == state.accepted);
         let Some(proposal) = state.proposal.or_else(|| known.cloned()) else {
@@ -245,8 +248,8 @@
         }
     }
 
-    /// Whether the newest proposal reported is known as chosen: because a node has reported it as
-    /// chosen, or because a quorum has accepted it.
+    /// Whether the newest proposal reported is known as chosen: a node knows its ballot or a higher
+    /// one as chosen, or a quorum has accepted it.
     fn is_known_as_chosen(&self, proposal: &Proposal<V>) -> bool {
         let has_accepted = |identity| self.reported.get(&identity) == Some(&Some(proposal.ballot));
         proposal.ballot <= self.chosen
--- a/crates/register/src/round/tests.rs
+++ b/crates/register/src/round/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a round: which replies count, and when a state is known as chosen.
+//! Tests of rounds: which replies count, when a state is known as chosen, and when a round fails.
 
 use std::net::SocketAddr;
 
--- a/crates/register/src/state.rs
+++ b/crates/register/src/state.rs
@@ -1,4 +1,4 @@
-//! The register's state, and a proposal of it.
+//! The register's state, with the history of its changes, and proposals of a state.
 
 use std::sync::Arc;
 
@@ -10,25 +10,26 @@
 #[cfg(test)]
 mod tests;
 
-/// Number of changes of which a state keeps the ballot.
+/// Maximum number of changes whose ballots a state keeps.
 pub const MAX_HISTORY: usize = 32;
 
-/// The register's state. It is stored and sent by position: the order of the fields is the format.
+/// The register's state. It is encoded by position (postcard): the order of the fields is the wire
+/// and disk format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct State<V> {
-    /// Raised by one with every decided change of the value or the membership.
+    /// Number of changes of the value or the membership since the initial state.
     pub sequence: u64,
     /// The replicas that decide on the next state.
     pub members: Membership,
-    /// The caller's value.
+    /// The value that the caller stores in the register.
     pub value: Arc<V>,
-    /// Ballots in which the latest changes were first proposed, oldest first; the last one belongs
-    /// to `sequence`. At most [`MAX_HISTORY`] are kept.
+    /// Ballots in which the latest changes were first proposed, oldest first; the last one is that
+    /// of the change numbered `sequence`. At most [`MAX_HISTORY`] ballots are kept.
     pub history: Vec<Ballot>,
 }
 
 impl<V> State<V> {
-    /// The state of a register that has never been changed.
+    /// Creates the state of a register that has never been changed.
     pub fn initial(members: Membership, value: V) -> Self {
         Self {
             sequence: 0,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The state that results from a change proposed in that ballot.
+    /// Returns the state that results from a change first proposed in this ballot.
     #[must_use]
     pub fn successor(&self, ballot: Ballot, members: Membership, value: Arc<V>) -> Self {
         let excess = (self.history.len() + 1).saturating_sub(MAX_HISTORY);
@@ -52,9 +53,9 @@
         }
     }
 
-    /// Whether a change, proposed in `ballot` as number `sequence`, is part of this state's
-    /// history. A proposer that lost a round learns by this whether its change was decided by
-    /// another proposer, so that a change is never applied twice.
+    /// Looks up whether the change proposed in `ballot` as number `sequence` is part of this
+    /// state's history. A proposer whose round failed learns from this whether another proposer
+    /// completed its change, so that no change is applied twice.
     #[must_use]
     pub fn lookup_change(&self, sequence: u64, ballot: Ballot) -> HistoryLookup {
         let Some(age) = self.sequence.checked_sub(sequence) else {
@@ -71,27 +72,28 @@
     }
 }
 
-/// Whether a change is part of a state's history.
+/// Result of the lookup of a change in a state's history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HistoryLookup {
-    /// It is.
+    /// The change is part of the history.
     Included,
-    /// It is not: another change has its sequence number, or none has yet.
+    /// The change isn't part of the history: another change has its sequence number, or none has
+    /// yet.
     Excluded,
-    /// It is older than the history that the state keeps.
+    /// Unknown: the change is older than the history that the state keeps.
     Truncated,
 }
 
 /// A state proposed in a ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal<V> {
-    /// The ballot; at most one state is ever proposed in it.
+    /// Ballot of the proposal; at most one state is ever proposed in a ballot.
     pub ballot: Ballot,
-    /// The state.
+    /// The proposed state.
     pub state: Arc<State<V>>,
 }
 
-/// The newer one of two proposals that a node knows, by ballot.
+/// Returns the newer of two proposals, by ballot.
 pub(crate) fn newest<'a, V>(
     first: Option<&'a Proposal<V>>,
     second: Option<&'a Proposal<V>>,
@@ -102,7 +104,7 @@
         .max_by_key(|proposal| proposal.ballot)
 }
 
-/// The ballot of a proposal; [`Ballot::ZERO`] without one.
+/// Returns the ballot of a proposal; [`Ballot::ZERO`] without one.
 pub(crate) fn ballot_of<V>(proposal: Option<&Proposal<V>>) -> Ballot {
     proposal.map_or(Ballot::ZERO, |proposal| proposal.ballot)
 }
--- a/crates/register/src/state/tests.rs
+++ b/crates/register/src/state/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a state's history.
+//! Tests of the lookup of changes in a state's history.
 
 use super::*;
 use crate::ballot::Identity;
