--- a/crates/register/tests/exhaustive/mod.rs
+++ b/crates/register/tests/exhaustive/mod.rs
@@ -17,13 +17,13 @@
 
 use model_state::{
     Host, MEMBERS, ModelProposer, ModelState, RequestInTransit, SPARE, Value, address,
-    forget_prepares, initial_record, send_requests, write, written_reply,
+    discard_stale_prepares, initial_record, send_requests, write, written_reply,
 };
 pub(crate) use task::Task;
-use task::{is_completed, successor, with_spare};
+use task::{is_completed, joint_with_spare, successor};
 
 pub(crate) const ALL_COMPLETED: &str = "all tasks can be completed";
-const EMPTIED: Identity = Identity(88);
+const WIPED_IDENTITY: Identity = Identity(88);
 
 /// Bounds of a check.
 #[derive(Clone, Debug)]
@@ -93,7 +93,7 @@
             completed: false,
         };
         let mut proposers: Vec<ModelProposer> = self.bounds.tasks.iter().map(proposer).collect();
-        let holders = match self.bounds.joint {
+        let accepted_at = match self.bounds.joint {
             Joint::None => [].as_slice(),
             Joint::Incomplete => &[1, MEMBERS],
             Joint::Chosen => &[0, 1],
@@ -104,11 +104,11 @@
         };
         let joint = Proposal {
             ballot,
-            state: with_spare(&known.state, ballot),
+            state: joint_with_spare(&known.state, ballot),
         };
-        for &holder in holders {
-            records[holder].accepted = Some(joint.clone());
-            records[holder].promised = ballot;
+        for &host in accepted_at {
+            records[host].accepted = Some(joint.clone());
+            records[host].promised = ballot;
         }
         if self.bounds.joint == Joint::Chosen {
             proposers.iter_mut().last().expect("some").known = joint;
@@ -121,7 +121,7 @@
             restarts: 0,
             wipes: 0,
             lost_replies: 0,
-            has_two_states: false,
+            has_conflicting_states: false,
             has_lost_decision: false,
             acknowledged: BTreeSet::new(),
             rejected: BTreeSet::new(),
@@ -131,7 +131,8 @@
     fn actions(&self, model_state: &ModelState, steps: &mut Vec<Step>) {
         for (proposer, state) in model_state.proposers.iter().enumerate() {
             let is_open = state.round.as_ref().is_some_and(|round| !round.is_lost());
-            let may_begin = !is_open || (state.accepts() && !self.bounds.waits_for_acceptances);
+            let may_begin =
+                !is_open || (state.is_accepting() && !self.bounds.waits_for_acceptances);
             if !state.completed && may_begin && state.ballots < self.bounds.ballots[proposer] {
                 steps.push(Step::Begin { proposer });
             }
@@ -158,7 +159,7 @@
                 steps.push(Step::Write { host });
             }
         }
-        if model_state.restarts < self.bounds.restarts && model_state.proposers[0].accepts() {
+        if model_state.restarts < self.bounds.restarts && model_state.proposers[0].is_accepting() {
             steps.push(Step::Restart { host: 0 });
         }
         if model_state.wipes < self.bounds.wipes {
@@ -182,7 +183,7 @@
         vec![
             Property::always(
                 "one state per sequence number",
-                |_, model_state: &ModelState| !model_state.has_two_states,
+                |_, model_state: &ModelState| !model_state.has_conflicting_states,
             ),
             Property::always("nothing decided is lost", |_, model_state: &ModelState| {
                 !model_state.has_lost_decision
@@ -325,7 +326,7 @@
             .decided
             .entry(chosen.state.sequence)
             .or_insert_with(|| Arc::clone(&chosen.state));
-        model_state.has_two_states |= *known != chosen.state;
+        model_state.has_conflicting_states |= *known != chosen.state;
         let states: Vec<_> = model_state.decided.values().collect();
         model_state.has_lost_decision |= states
             .windows(2)
@@ -343,7 +344,7 @@
             };
         }
         state.known = chosen;
-        forget_prepares(model_state, proposer);
+        discard_stale_prepares(model_state, proposer);
     }
 
     /// The host's proposer has lost its task and gets another one.
@@ -362,7 +363,7 @@
 
     fn wipe(&self, model_state: &mut ModelState, host: usize) {
         model_state.wipes += 1;
-        let disk = Record::empty(EMPTIED);
+        let disk = Record::empty(WIPED_IDENTITY);
         model_state.hosts[host] = Host {
             acceptor: Acceptor::recovered(disk.clone(), self.guards),
             disk,
--- a/crates/register/tests/exhaustive/model_state.rs
+++ b/crates/register/tests/exhaustive/model_state.rs
@@ -34,7 +34,7 @@
 }
 
 impl ModelProposer {
-    pub(super) fn accepts(&self) -> bool {
+    pub(super) fn is_accepting(&self) -> bool {
         self.round
             .as_ref()
             .is_some_and(|round| round.phase == Phase::Accept)
@@ -67,7 +67,7 @@
     }
 
     /// Whether the other is for the same host, of the same round and phase.
-    fn repeats(&self, other: &Self) -> bool {
+    fn is_duplicate_of(&self, other: &Self) -> bool {
         self.proposer == other.proposer
             && self.host == other.host
             && self.request.round == other.request.round
@@ -86,7 +86,7 @@
     pub(super) restarts: u8,
     pub(super) wipes: u8,
     pub(super) lost_replies: u8,
-    pub(super) has_two_states: bool,
+    pub(super) has_conflicting_states: bool,
     pub(super) has_lost_decision: bool,
     /// Contents of conditional changes that were acknowledged, and of those that were rejected.
     pub(super) acknowledged: BTreeSet<u8>,
@@ -109,7 +109,7 @@
 /// requests only those to accept may still be delivered: a promise that no round awaits is the same
 /// as one more lost reply.
 pub(super) fn send_requests(model_state: &mut ModelState, proposer: usize) {
-    forget_prepares(model_state, proposer);
+    discard_stale_prepares(model_state, proposer);
     let Some(round) = &model_state.proposers[proposer].round else {
         return;
     };
@@ -124,7 +124,11 @@
                 body: round.request_body(),
             },
         };
-        if !model_state.requests.iter().any(|other| sent.repeats(other)) {
+        if !model_state
+            .requests
+            .iter()
+            .any(|other| sent.is_duplicate_of(other))
+        {
             model_state.requests.push(sent);
         }
     }
@@ -139,7 +143,7 @@
 }
 
 /// Removes a proposer's requests to prepare, but for those of the round that it prepares now.
-pub(super) fn forget_prepares(model_state: &mut ModelState, proposer: usize) {
+pub(super) fn discard_stale_prepares(model_state: &mut ModelState, proposer: usize) {
     let round = model_state.proposers[proposer].round.as_ref();
     let preparing = round
         .filter(|round| round.phase == Phase::Prepare)
--- a/crates/register/tests/exhaustive/task.rs
+++ b/crates/register/tests/exhaustive/task.rs
@@ -49,14 +49,14 @@
             Arc::new(state.successor(ballot, state.members.clone(), Arc::new(value)))
         }
         Task::EnterJoint if !state.members.is_joint() && !state.members.contains(SPARE) => {
-            with_spare(state, ballot)
+            joint_with_spare(state, ballot)
         }
         _ => Arc::clone(state),
     }
 }
 
 /// The state with a joint membership, in the next set of which the spare replaces the last member.
-pub(super) fn with_spare(state: &State<Value>, ballot: Ballot) -> Arc<State<Value>> {
+pub(super) fn joint_with_spare(state: &State<Value>, ballot: Ballot) -> Arc<State<Value>> {
     let current = state.members.current.clone();
     let spare = Replica {
         identity: SPARE,
--- a/crates/register/tests/mutations.rs
+++ b/crates/register/tests/mutations.rs
@@ -58,7 +58,7 @@
 fn violates_safety_by_power_loss(seed: u64, guards: Guards) -> bool {
     let mut world = World::new(seed, 3, 0, settings_with(guards));
     world.run(Duration::from_millis(500));
-    world.conditions.write_time = 30;
+    world.conditions.max_write_ms = 30;
     world.blocked_links = [(0, 2), (1, 2)].into();
     let id = world.submit(0, Some(Change::Mark { mark: 1 }), LIMIT);
     while !world.outcomes.contains_key(&id) {
--- a/crates/register/tests/orders.rs
+++ b/crates/register/tests/orders.rs
@@ -41,7 +41,7 @@
     Fault::MessageLoss,
 ];
 
-fn start(seed: u64, members: usize) -> World {
+fn new_world(seed: u64, members: usize) -> World {
     let mut world = World::new(
         seed,
         members,
@@ -52,16 +52,16 @@
     world
 }
 
-fn pick(world: &mut World, count: usize) -> usize {
+fn random_index(world: &mut World, count: usize) -> usize {
     usize::try_from(world.random.below(count as u64)).expect("small")
 }
 
 /// Begins a fault at a host.
-fn begin(world: &mut World, fault: Fault, host: usize) {
+fn begin_fault(world: &mut World, fault: Fault, host: usize) {
     match fault {
         Fault::None => {}
         Fault::Restart => world.restart(&[host]),
-        Fault::RestartAll => world.restart(&world.up().collect::<Vec<_>>()),
+        Fault::RestartAll => world.restart(&world.running_hosts().collect::<Vec<_>>()),
         Fault::ProcessPause => world.pause_process(host, Duration::from_millis(2_500)),
         Fault::Partition => world.isolate(host),
         Fault::Wipe => {
@@ -72,21 +72,21 @@
             world.wipe(host);
             world.start(world.hosts.len() - SPARES);
         }
-        Fault::MessageLoss => world.conditions.loss = 30,
+        Fault::MessageLoss => world.conditions.loss_percent = 30,
     }
 }
 
 /// Submits a change to a host that runs.
-fn send(world: &mut World, change: Change) -> OperationId {
-    let hosts: Vec<usize> = world.up().collect();
-    let host = hosts[pick(world, hosts.len())];
+fn submit_to_random_host(world: &mut World, change: Change) -> OperationId {
+    let hosts: Vec<usize> = world.running_hosts().collect();
+    let host = hosts[random_index(world, hosts.len())];
     world.submit(host, Some(change), LIMIT)
 }
 
 /// Submits a change to every host that runs, without faults; returns whether all of them
 /// acknowledge it.
 fn is_acknowledged(world: &mut World, change: Change) -> bool {
-    let hosts: Vec<usize> = world.up().collect();
+    let hosts: Vec<usize> = world.running_hosts().collect();
     let mut answers = Vec::new();
     for host in hosts {
         let id = world.submit(host, Some(change), LIMIT);
@@ -106,23 +106,23 @@
 
 /// Several operators submit changes on one base while a fault comes; the first loses its answers.
 /// Returns the changes.
-fn race(world: &mut World, base: u64, operators: u64, fault: Fault) -> Vec<Change> {
-    let order = |operator| Change::Put {
+fn submit_concurrently(world: &mut World, base: u64, operators: u64, fault: Fault) -> Vec<Change> {
+    let change_of = |operator| Change::Put {
         base,
         content: 1_000 * (base + 1) + operator,
     };
-    let orders: Vec<Change> = (0..operators).map(order).collect();
+    let changes: Vec<Change> = (0..operators).map(change_of).collect();
     let fault_at = world.random.below(30);
     let members = world.hosts.len() - SPARES;
-    let host = pick(world, members);
+    let host = random_index(world, members);
     for step in 0..30 {
         if step == fault_at {
-            begin(world, fault, host);
+            begin_fault(world, fault, host);
         }
-        for (operator, &change) in orders.iter().enumerate() {
+        for (operator, &change) in changes.iter().enumerate() {
             let is_first = operator == 0;
             if step % 10 == 3 * operator as u64 % 10 || (is_first && world.random.chance(30)) {
-                let id = send(world, change);
+                let id = submit_to_random_host(world, change);
                 if is_first {
                     world.disconnect_client(id);
                 }
@@ -134,18 +134,21 @@
     world.blocked_links.clear();
     world.conditions = LOCAL;
     world.run(Duration::from_secs(4));
-    orders
+    changes
 }
 
-fn assert_one_acknowledged(world: &mut World, orders: &[Change]) {
-    let taken: Vec<bool> = orders
+fn assert_one_acknowledged(world: &mut World, changes: &[Change]) {
+    let acknowledged: Vec<bool> = changes
         .iter()
-        .map(|&order| is_acknowledged(world, order))
+        .map(|&change| is_acknowledged(world, change))
         .collect();
     assert_eq!(
-        taken.iter().filter(|taken| **taken).count(),
+        acknowledged
+            .iter()
+            .filter(|acknowledged| **acknowledged)
+            .count(),
         1,
-        "{orders:?}: {taken:?}"
+        "{changes:?}: {acknowledged:?}"
     );
 }
 
@@ -153,14 +156,14 @@
     for seed in seeds {
         let fault = FAULTS[usize::try_from(seed).expect("small") % FAULTS.len()];
         let operators = 2 + seed / 8 % 2;
-        let mut world = start(seed, members);
-        let mut orders = Vec::new();
+        let mut world = new_world(seed, members);
+        let mut changes = Vec::new();
         for base in 0..3 {
             let fault = if base == 1 { fault } else { Fault::None };
-            orders.push(race(&mut world, base, operators, fault));
+            changes.push(submit_concurrently(&mut world, base, operators, fault));
         }
-        for orders in &orders {
-            assert_one_acknowledged(&mut world, orders);
+        for changes in &changes {
+            assert_one_acknowledged(&mut world, changes);
         }
         world.assert_no_violations(&format!("seed {seed}, {fault:?}"));
     }
@@ -183,18 +186,18 @@
 #[test]
 fn changes_keep_their_answers_through_a_thousand_further_changes() {
     for (seed, fault) in [(1, Fault::None), (2, Fault::Partition), (3, Fault::Replace)] {
-        let mut world = start(seed, 3);
-        let mut orders = race(&mut world, 0, 3, fault);
-        let late = 1;
+        let mut world = new_world(seed, 3);
+        let mut changes = submit_concurrently(&mut world, 0, 3, fault);
+        let retried = 1;
         for base in 1..=1_000 {
             let change = Change::Put {
                 base,
                 content: 5_000_000 + base,
             };
-            let id = send(&mut world, change);
+            let id = submit_to_random_host(&mut world, change);
             if base % 97 == 0 {
                 // A change that was submitted long ago is retried in between.
-                send(&mut world, orders[late]);
+                submit_to_random_host(&mut world, changes[retried]);
             }
             while !world.outcomes.contains_key(&id) {
                 world.run(Duration::from_millis(10));
@@ -205,14 +208,14 @@
                 world.outcomes[&id]
             );
             if base % 250 == 0 {
-                let hosts: Vec<usize> = world.up().collect();
+                let hosts: Vec<usize> = world.running_hosts().collect();
                 world.restart(&hosts[..1]);
                 world.run(Duration::from_secs(1));
-                assert_one_acknowledged(&mut world, &orders);
+                assert_one_acknowledged(&mut world, &changes);
             }
         }
-        orders.truncate(3);
-        assert_one_acknowledged(&mut world, &orders);
+        changes.truncate(3);
+        assert_one_acknowledged(&mut world, &changes);
         world.assert_no_violations(&format!("{fault:?}"));
     }
 }
@@ -220,42 +223,42 @@
 /// A gate is closed by an order that gets no answer, since its coordinator is cut off after that
 /// time; then it is opened by another, which is acknowledged. Whether it is closed once all are
 /// joined again.
-fn is_closed_after_it_was_opened(delay: Duration, settings: Settings) -> bool {
+fn is_flag_set_after_reset(delay: Duration, settings: Settings) -> bool {
     let mut world = World::new(5, 3, 0, settings);
     world.run(Duration::from_millis(500));
-    let close = world.submit(
+    let set = world.submit(
         0,
-        Some(Change::Turn {
+        Some(Change::SetFlag {
             number: 1,
-            closed: true,
+            enabled: true,
         }),
         LIMIT,
     );
     world.run(delay);
     world.isolate(0);
     world.run(LIMIT * 2);
-    assert!(world.outcomes.contains_key(&close));
-    let open = world.submit(
+    assert!(world.outcomes.contains_key(&set));
+    let reset = world.submit(
         1,
-        Some(Change::Turn {
+        Some(Change::SetFlag {
             number: 2,
-            closed: false,
+            enabled: false,
         }),
         LIMIT,
     );
     world.run(LIMIT);
     assert!(matches!(
-        world.outcomes.get(&open),
+        world.outcomes.get(&reset),
         Some(Outcome::Unchanged(_) | Outcome::Written(_))
     ));
     world.blocked_links.clear();
     world.run(Duration::from_secs(3));
     world.expect_progress(LIMIT);
     world.assert_no_violations(&format!("{delay:?}"));
-    world.up().any(|host| {
+    world.running_hosts().any(|host| {
         let node = world.hosts[host].node.as_ref();
         node.and_then(|node| node.chosen())
-            .is_some_and(|state| state.value.is_closed())
+            .is_some_and(|state| state.value.is_flag_set())
     })
 }
 
@@ -263,6 +266,6 @@
 fn an_incomplete_change_is_not_in_force_after_a_later_one_was_answered() {
     assert_breaks_only_without(Guard::FenceBeforeAnswer, 0..100, |step, guards| {
         let delay = Duration::from_micros(500 * step);
-        is_closed_after_it_was_opened(delay, settings_with(guards))
+        is_flag_set_after_reset(delay, settings_with(guards))
     });
 }
--- a/crates/register/tests/quorum_lease.rs
+++ b/crates/register/tests/quorum_lease.rs
@@ -62,8 +62,8 @@
 fn all_have_a_lease_in_spite_of_message_loss() {
     for seed in 0..20 {
         let mut world = stable_world(seed, 3, 0);
-        world.conditions.loss = 5;
-        world.conditions.jitter = 60;
+        world.conditions.loss_percent = 5;
+        world.conditions.max_jitter_ms = 60;
         assert_leases(
             &mut world,
             Duration::from_secs(20),
@@ -197,10 +197,10 @@
         membership_fingerprint: u64::MAX,
     }));
     let interval = lease_length() / 4;
-    let messages_a_second = 2.0 / interval.as_secs_f64();
-    let bytes_a_second = messages_a_second * (heartbeat + response) as f64;
+    let messages_per_second = 2.0 / interval.as_secs_f64();
+    let bytes_per_second = messages_per_second * (heartbeat + response) as f64;
     assert!(
-        bytes_a_second < 1_000.0,
-        "{heartbeat} and {response} bytes, {bytes_a_second} a second"
+        bytes_per_second < 1_000.0,
+        "{heartbeat} and {response} bytes, {bytes_per_second} a second"
     );
 }
--- a/crates/register/tests/redundancy.rs
+++ b/crates/register/tests/redundancy.rs
@@ -36,27 +36,27 @@
 
 /// What else goes on.
 #[derive(Clone, Copy, Debug)]
-struct Surroundings {
+struct Environment {
     conditions: Conditions,
     /// Whether changes are under way as the disk is lost.
-    busy: bool,
+    has_changes_in_flight: bool,
 }
 
 /// Time from the loss to full redundancy.
-fn time_after(seed: u64, members: usize, loss: Loss, around: Surroundings) -> Duration {
+fn time_after(seed: u64, members: usize, loss: Loss, environment: Environment) -> Duration {
     let mut world = stable_world(seed, members, 1);
-    world.conditions = around.conditions;
+    world.conditions = environment.conditions;
     if matches!(loss, Loss::Standby) {
         world.start(members);
     }
-    let moment = world.random.millis(1_500, 2_100);
-    world.run(moment);
-    if around.busy {
+    let delay = world.random.millis(1_500, 2_100);
+    world.run(delay);
+    if environment.has_changes_in_flight {
         for mark in 0..3 {
             let host = usize::try_from(world.random.below(members as u64)).expect("small");
             world.submit(host, Some(Change::Mark { mark: 100 + mark }), SYNC_TIME);
-            let moment = world.random.millis(0, 150);
-            world.run(moment);
+            let delay = world.random.millis(0, 150);
+            world.run(delay);
         }
     }
     let host = usize::try_from(world.random.below(members as u64)).expect("small");
@@ -69,7 +69,7 @@
     let time = time_to_redundancy(&mut world, members);
     assert_healthy(
         &mut world,
-        &format!("seed {seed}, {members} members, {loss:?}, {around:?}"),
+        &format!("seed {seed}, {members} members, {loss:?}, {environment:?}"),
     );
     time
 }
@@ -78,22 +78,25 @@
 fn assert_times(seeds: std::ops::Range<u64>) {
     for members in [3, 5] {
         for loss in [Loss::Emptied, Loss::Replaced, Loss::Standby] {
-            for (name, conditions) in [("near", LOCAL), ("far", WIDE_AREA)] {
-                for busy in [false, true] {
-                    let around = Surroundings { conditions, busy };
+            for (name, conditions) in [("local", LOCAL), ("wide area", WIDE_AREA)] {
+                for has_changes_in_flight in [false, true] {
+                    let environment = Environment {
+                        conditions,
+                        has_changes_in_flight,
+                    };
                     let mut times: Vec<Duration> = seeds
                         .clone()
-                        .map(|seed| time_after(seed, members, loss, around))
+                        .map(|seed| time_after(seed, members, loss, environment))
                         .collect();
                     times.sort_unstable();
                     let (median, worst) = (times[times.len() / 2], times[times.len() - 1]);
                     let high = times[times.len() * 99 / 100];
                     println!(
-                        "{members} members, {loss:?}, {name}, busy {busy}: median {median:?}, \
-                         99 % {high:?}, worst {worst:?}"
+                        "{members} members, {loss:?}, {name}, changes in flight {has_changes_in_flight}: \
+                         median {median:?}, 99 % {high:?}, worst {worst:?}"
                     );
                     assert!(worst < SYNC_TIME);
-                    if !busy && name == "near" {
+                    if !has_changes_in_flight && name == "local" {
                         assert!(worst < loss.bound_without_faults(), "{worst:?}");
                     }
                 }
--- a/crates/register/tests/second_loss.rs
+++ b/crates/register/tests/second_loss.rs
@@ -17,17 +17,17 @@
 use support::world::World;
 
 /// A coordinator that leaves waits at most this long until it is replaced.
-const HANDOVER: Duration = Duration::from_millis(3_200);
+const REPLACEMENT_LIMIT: Duration = Duration::from_millis(3_200);
 
 /// Submits a change to a host that runs and doesn't wait for it.
 fn write(world: &mut World, mark: u64) {
-    let hosts: Vec<usize> = world.up().collect();
+    let hosts: Vec<usize> = world.running_hosts().collect();
     let host = usize::try_from(world.random.below(hosts.len() as u64)).expect("small");
     world.submit(hosts[host], Some(Change::Mark { mark }), SYNC_TIME);
 }
 
 /// A stable register, on a local network at even seeds and a wide-area network at odd ones.
-fn near_or_far(seed: u64, members: usize, spares: usize) -> World {
+fn local_or_wide_area(seed: u64, members: usize, spares: usize) -> World {
     let mut world = stable_world(seed, members, spares);
     world.conditions = if seed.is_multiple_of(2) {
         LOCAL
@@ -39,7 +39,7 @@
 
 /// The same with two standbys and a change in flight.
 fn with_two_standbys(seed: u64, members: usize) -> World {
-    let mut world = near_or_far(seed, members, 2);
+    let mut world = local_or_wide_area(seed, members, 2);
     world.start(members);
     world.start(members + 1);
     world.run(Duration::from_millis(400));
@@ -55,7 +55,7 @@
 
 #[test]
 fn five_replicas_tolerate_a_second_loss_at_each_step_of_the_first_repair() {
-    for (name, conditions) in [("near", LOCAL), ("far", WIDE_AREA)] {
+    for (name, conditions) in [("local", LOCAL), ("wide area", WIDE_AREA)] {
         let mut times = Vec::new();
         for delay in (0..4_000).step_by(40) {
             let mut world = stable_world(delay, 5, 2);
@@ -67,9 +67,9 @@
             // Another member, or the machine that has just replaced the first.
             let second = if delay % 80 == 0 { 3 } else { 5 };
             replace(&mut world, second, 6);
-            let left = SYNC_TIME.saturating_sub(Duration::from_millis(delay));
+            let remaining = SYNC_TIME.saturating_sub(Duration::from_millis(delay));
             times.push(time_to_redundancy(&mut world, 5));
-            world.run(left);
+            world.run(remaining);
             assert_healthy(&mut world, &format!("{name}, second lost after {delay} ms"));
         }
         println!("{name}: worst {:?}", times.iter().max());
@@ -81,14 +81,14 @@
 fn successive_losses_after_the_time_to_sync_are_tolerated() {
     for members in [3, 5] {
         for seed in 0..40 {
-            let mut world = near_or_far(seed, members, 6);
+            let mut world = local_or_wide_area(seed, members, 6);
             for lost in 0..6 {
                 write(&mut world, 10 + lost as u64);
-                let moment = world.random.millis(0, 250);
-                world.run(moment);
+                let delay = world.random.millis(0, 250);
+                world.run(delay);
                 replace(&mut world, lost, members + lost);
-                let late = world.random.millis(0, 300);
-                world.run(SYNC_TIME + late);
+                let extra_delay = world.random.millis(0, 300);
+                world.run(SYNC_TIME + extra_delay);
                 assert!(
                     is_redundant(&world, members),
                     "seed {seed}, {members} members, {lost} lost"
@@ -112,7 +112,7 @@
                 replace(&mut world, 1, 1);
             }
             world.run(Duration::from_millis(delay));
-            let hosts: Vec<usize> = world.up().collect();
+            let hosts: Vec<usize> = world.running_hosts().collect();
             for &host in &hosts {
                 world.kill(host);
             }
@@ -135,9 +135,9 @@
 fn a_leaving_member_is_removed_once_a_majority_without_it_has_the_newest_state() {
     for members in [3, 5] {
         for seed in 0..20 {
-            let mut world = near_or_far(seed, members, 1);
-            let behind = members / 2 + 1..members;
-            behind.for_each(|host| world.isolate(host));
+            let mut world = local_or_wide_area(seed, members, 1);
+            let lagging = members / 2 + 1..members;
+            lagging.for_each(|host| world.isolate(host));
             world.submit(0, Some(Change::Mark { mark: 2 }), SYNC_TIME);
             world.run(Duration::from_secs(1));
             world.blocked_links.clear();
@@ -145,7 +145,7 @@
             world.leave(0);
             run_until(
                 &mut world,
-                HANDOVER,
+                REPLACEMENT_LIMIT,
                 |_| format!("seed {seed}, {members} members"),
                 |world| !is_member(world, 0),
             );
@@ -167,7 +167,7 @@
             .and_then(|record| record.accepted.as_ref());
         accepted.is_some_and(|proposal| proposal.state.sequence >= sequence)
     };
-    world.up().filter(has_state).count()
+    world.running_hosts().filter(has_state).count()
 }
 
 #[test]
@@ -179,7 +179,7 @@
             world.leave(1);
             run_until(
                 &mut world,
-                HANDOVER,
+                REPLACEMENT_LIMIT,
                 |_| format!("seed {seed}, {members} members"),
                 |world| !is_member(world, 0) && !is_member(world, 1),
             );
@@ -198,7 +198,7 @@
             let mut world = with_two_standbys(seed, members);
             world.wipe(1);
             world.leave(0);
-            world.run(HANDOVER);
+            world.run(REPLACEMENT_LIMIT);
             world.wipe(0);
             time_to_redundancy(&mut world, members);
             assert_healthy(&mut world, &format!("seed {seed}, {members} members"));
--- a/crates/register/tests/support/checks.rs
+++ b/crates/register/tests/support/checks.rs
@@ -12,17 +12,17 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
     /// Two states of one sequence.
-    TwoStates { sequence: u64 },
+    ConflictingStates { sequence: u64 },
     /// A state doesn't contain what an earlier one did.
-    Lost { earlier: u64, later: u64 },
+    HistoryLost { earlier: u64, later: u64 },
     /// An operation saw a state older than one reported before it began.
     Stale { seen: u64, reported: u64 },
     /// A state lacks an acknowledged change.
     AcknowledgedMissing { change: u64, sequence: u64 },
     /// A state has a change that was rejected or never attempted.
-    RejectedInForce { change: u64, sequence: u64 },
+    RejectedApplied { change: u64, sequence: u64 },
     /// A change was retried and got another answer than before.
-    AnsweredOtherwise { change: u64 },
+    AnswerChanged { change: u64 },
     /// Nothing was decided in time although there was no fault.
     NoProgress { host: usize, at: Duration },
 }
@@ -33,7 +33,7 @@
     pub host: usize,
     pub change: Option<Change>,
     /// Highest sequence reported to any client when this began.
-    pub floor: u64,
+    pub min_sequence: u64,
 }
 
 /// Collects what is seen, and the violations that it shows.
@@ -45,9 +45,9 @@
     rejected: BTreeSet<u64>,
     /// Changes of which one submission expired before an attempt.
     expired: BTreeSet<u64>,
-    sent: BTreeSet<u64>,
+    submitted: BTreeSet<u64>,
     /// Changes submitted more than once: that one submission expired says nothing of the others.
-    repeated: BTreeSet<u64>,
+    resubmitted: BTreeSet<u64>,
     /// Highest sequence reported.
     pub reported: u64,
     pub violations: Vec<Violation>,
@@ -60,11 +60,12 @@
 
 impl Checks {
     /// A host reports that the state is chosen.
-    pub(crate) fn see(&mut self, state: &Arc<State<Value>>) {
+    pub(crate) fn record_chosen(&mut self, state: &Arc<State<Value>>) {
         let sequence = state.sequence;
         if let Some(known) = self.states.get(&sequence) {
             if known != state {
-                self.violations.push(Violation::TwoStates { sequence });
+                self.violations
+                    .push(Violation::ConflictingStates { sequence });
             }
             return;
         }
@@ -73,14 +74,14 @@
     }
 
     /// A client sends a change.
-    pub(crate) fn begin(&mut self, change: Change) {
-        if !self.sent.insert(change.number()) {
-            self.repeated.insert(change.number());
+    pub(crate) fn record_submission(&mut self, change: Change) {
+        if !self.submitted.insert(change.number()) {
+            self.resubmitted.insert(change.number());
         }
     }
 
     /// A client's request has ended.
-    pub(crate) fn end(&mut self, request: &Request, outcome: &Outcome<Value>) {
+    pub(crate) fn record_outcome(&mut self, request: &Request, outcome: &Outcome<Value>) {
         match outcome {
             Outcome::Read(state) => {
                 self.read_count += 1;
@@ -110,21 +111,28 @@
 
     /// Compares all that was acknowledged and rejected with all states seen.
     pub(crate) fn finish(&mut self) {
-        let mut reported = BTreeSet::new();
-        let unsent: BTreeSet<u64> = self.expired.difference(&self.repeated).copied().collect();
-        let rejected: BTreeSet<u64> = self.rejected.union(&unsent).copied().collect();
+        let mut reported_changes = BTreeSet::new();
+        let never_attempted: BTreeSet<u64> = self
+            .expired
+            .difference(&self.resubmitted)
+            .copied()
+            .collect();
+        let rejected: BTreeSet<u64> = self.rejected.union(&never_attempted).copied().collect();
         for (&sequence, state) in &self.states {
             let changes = state.value.all();
             for (&change, &since) in &self.acknowledged {
-                if sequence >= since && !changes.contains(&change) && reported.insert(change) {
+                if sequence >= since
+                    && !changes.contains(&change)
+                    && reported_changes.insert(change)
+                {
                     self.violations
                         .push(Violation::AcknowledgedMissing { change, sequence });
                 }
             }
             for &change in rejected.intersection(&changes) {
-                if reported.insert(change) {
+                if reported_changes.insert(change) {
                     self.violations
-                        .push(Violation::RejectedInForce { change, sequence });
+                        .push(Violation::RejectedApplied { change, sequence });
                 }
             }
         }
@@ -137,11 +145,11 @@
     }
 
     fn report(&mut self, request: &Request, state: &Arc<State<Value>>) {
-        self.see(state);
-        if state.sequence < request.floor {
+        self.record_chosen(state);
+        if state.sequence < request.min_sequence {
             self.violations.push(Violation::Stale {
                 seen: state.sequence,
-                reported: request.floor,
+                reported: request.min_sequence,
             });
         }
         self.reported = self.reported.max(state.sequence);
@@ -159,13 +167,13 @@
             .next()
             .map(|(_, after)| Arc::clone(after));
         if let Some(before) = before.filter(|before| !before.value.is_prefix_of(&state.value)) {
-            self.violations.push(Violation::Lost {
+            self.violations.push(Violation::HistoryLost {
                 earlier: before.sequence,
                 later: state.sequence,
             });
         }
         if let Some(after) = after.filter(|after| !state.value.is_prefix_of(&after.value)) {
-            self.violations.push(Violation::Lost {
+            self.violations.push(Violation::HistoryLost {
                 earlier: state.sequence,
                 later: after.sequence,
             });
--- a/crates/register/tests/support/conditions.rs
+++ b/crates/register/tests/support/conditions.rs
@@ -4,28 +4,28 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Conditions {
     /// Percent of messages lost.
-    pub loss: u64,
+    pub loss_percent: u64,
     /// Percent of messages that are duplicated.
-    pub duplicated: u64,
+    pub duplicate_percent: u64,
     /// Largest extra delay, in milliseconds.
-    pub jitter: u64,
+    pub max_jitter_ms: u64,
     /// Time of a write, in milliseconds.
-    pub write_time: u64,
+    pub max_write_ms: u64,
     /// Least time of a message in transit, in milliseconds.
-    pub min_latency: u64,
+    pub min_latency_ms: u64,
 }
 
 pub(crate) const LOCAL: Conditions = Conditions {
-    loss: 0,
-    duplicated: 0,
-    jitter: 2,
-    write_time: 3,
-    min_latency: 0,
+    loss_percent: 0,
+    duplicate_percent: 0,
+    max_jitter_ms: 2,
+    max_write_ms: 3,
+    min_latency_ms: 0,
 };
 
 /// All links have the latency of those between distant regions, and disks are slow.
 pub(crate) const WIDE_AREA: Conditions = Conditions {
-    write_time: 5,
-    min_latency: 55,
+    max_write_ms: 5,
+    min_latency_ms: 55,
     ..LOCAL
 };
--- a/crates/register/tests/support/fault_plan.rs
+++ b/crates/register/tests/support/fault_plan.rs
@@ -9,16 +9,16 @@
     pub spares: usize,
     pub length: Duration,
     /// Percent of the faults that empty or replace a disk.
-    pub losses: u64,
+    pub disk_loss_percent: u64,
     /// Largest percentage of messages lost.
-    pub loss: u64,
+    pub max_message_loss_percent: u64,
     /// Longest fault, in milliseconds.
-    pub outage: u64,
+    pub max_fault_ms: u64,
     /// Longest time between faults that may overlap, in milliseconds.
-    pub gap: u64,
+    pub max_gap_ms: u64,
     /// Percent of emptied machines whose settings still say that the whole system starts for the
     /// first time.
-    pub stale_bootstrap: u64,
+    pub stale_bootstrap_percent: u64,
 }
 
 impl FaultPlan {
@@ -29,11 +29,11 @@
             members,
             spares: 4,
             length,
-            losses: 30,
-            loss: 12,
-            outage: 2_000,
-            gap: 900,
-            stale_bootstrap: 0,
+            disk_loss_percent: 30,
+            max_message_loss_percent: 12,
+            max_fault_ms: 2_000,
+            max_gap_ms: 900,
+            stale_bootstrap_percent: 0,
         }
     }
 
@@ -44,20 +44,20 @@
             members,
             spares: 4,
             length,
-            losses: 5,
-            loss: 45,
-            outage: 120,
-            gap: 60,
-            stale_bootstrap: 0,
+            disk_loss_percent: 5,
+            max_message_loss_percent: 45,
+            max_fault_ms: 120,
+            max_gap_ms: 60,
+            stale_bootstrap_percent: 0,
         }
     }
 
     /// A run in which mostly disks are lost, on a lossy network.
     pub(crate) fn disk_losses(members: usize) -> Self {
         Self {
-            losses: 90,
-            loss: 20,
-            outage: 700,
+            disk_loss_percent: 90,
+            max_message_loss_percent: 20,
+            max_fault_ms: 700,
             ..Self::ordinary(members)
         }
     }
@@ -66,13 +66,16 @@
     /// first time.
     pub(crate) fn stale_bootstrap(members: usize) -> Self {
         Self {
-            stale_bootstrap: 100,
+            stale_bootstrap_percent: 100,
             ..Self::disk_losses(members)
         }
     }
 
     /// The run on a network that loses up to that percentage of messages.
-    pub(crate) fn with_message_loss(self, loss: u64) -> Self {
-        Self { loss, ..self }
+    pub(crate) fn with_message_loss(self, percent: u64) -> Self {
+        Self {
+            max_message_loss_percent: percent,
+            ..self
+        }
     }
 }
--- a/crates/register/tests/support/fault_run.rs
+++ b/crates/register/tests/support/fault_run.rs
@@ -19,7 +19,7 @@
 const LIMIT: Duration = Duration::from_secs(3);
 
 /// With up to this percentage of messages lost, redundancy is restored within [`RECOVERY_TIME`].
-const LOSS_IN_TIME: u64 = 20;
+const MAX_LOSS_PERCENT_FOR_REPAIR: u64 = 20;
 
 /// The result of a run.
 #[derive(Debug)]
@@ -38,12 +38,12 @@
 struct FaultRun {
     world: World,
     plan: FaultPlan,
-    number: u64,
+    last_number: u64,
     /// When the next fault comes.
     next_fault: Duration,
     /// Faults that end by themselves, with the time and the way of their end.
-    open: Vec<(Duration, FaultEnd)>,
-    sent: Vec<(OperationId, Change)>,
+    active_faults: Vec<(Duration, FaultEnd)>,
+    submitted: Vec<(OperationId, Change)>,
     next_spare: usize,
 }
 
@@ -83,8 +83,8 @@
     StartBootstrapping(usize),
     Restart(usize),
     /// Writes succeed again.
-    Write(usize),
-    Retire(usize),
+    RestoreWrites(usize),
+    Stop(usize),
     RestoreLinks,
 }
 
@@ -92,63 +92,63 @@
 pub(crate) fn run_with_faults(seed: u64, plan: FaultPlan, settings: Settings) -> RunSummary {
     let mut world = World::new(seed, plan.members, plan.spares, settings);
     world.run(Duration::from_millis(800));
-    world.conditions = conditions(&mut world, plan.loss);
+    world.conditions = conditions(&mut world, plan.max_message_loss_percent);
     let next_spare = plan.members;
     let next_fault = world.now + Duration::from_millis(500);
     let mut run = FaultRun {
         world,
         plan,
-        number: 0,
+        last_number: 0,
         next_fault,
-        open: Vec::new(),
-        sent: Vec::new(),
+        active_faults: Vec::new(),
+        submitted: Vec::new(),
         next_spare,
     };
-    run.work();
-    run.calm();
-    run.report()
+    run.inject_faults();
+    run.recover_and_check();
+    run.summarize()
 }
 
-fn conditions(world: &mut World, loss: u64) -> Conditions {
+fn conditions(world: &mut World, max_loss_percent: u64) -> Conditions {
     let random = &mut world.random;
     Conditions {
-        loss: random.below(loss),
-        duplicated: random.below(12),
-        jitter: random.below(30),
-        write_time: 1 + random.below(8),
-        min_latency: 0,
+        loss_percent: random.below(max_loss_percent),
+        duplicate_percent: random.below(12),
+        max_jitter_ms: random.below(30),
+        max_write_ms: 1 + random.below(8),
+        min_latency_ms: 0,
     }
 }
 
 impl FaultRun {
-    fn work(&mut self) {
+    fn inject_faults(&mut self) {
         let end = self.world.now + self.plan.length;
         while self.world.now < end {
-            self.end_faults();
-            self.maybe_fault();
-            self.send();
+            self.end_due_faults();
+            self.begin_due_fault();
+            self.submit_random_operation();
             self.world.run(STEP);
         }
     }
 
     /// All faults end; pending operations complete; then every host must take a change and a read.
-    fn calm(&mut self) {
-        let open = std::mem::take(&mut self.open);
-        for (_, end) in open {
-            self.end(end);
+    fn recover_and_check(&mut self) {
+        let faults = std::mem::take(&mut self.active_faults);
+        for (_, end) in faults {
+            self.end_fault(end);
         }
         self.world.conditions = LOCAL;
         self.world.blocked_links.clear();
         self.world.run(Duration::from_secs(6));
         self.world.expect_progress(Duration::from_secs(4));
-        self.resend_all();
+        self.retry_answered_changes();
     }
 
     /// Each change that was acknowledged is acknowledged again; each that was rejected is rejected
     /// again.
-    fn resend_all(&mut self) {
+    fn retry_answered_changes(&mut self) {
         let answered: Vec<(Change, bool)> = self
-            .sent
+            .submitted
             .iter()
             .filter_map(|(id, change)| match self.world.outcomes.get(id)? {
                 Outcome::Written(_) | Outcome::Unchanged(_) => Some((*change, true)),
@@ -156,27 +156,27 @@
                 _ => None,
             })
             .collect();
-        let hosts: Vec<usize> = self.world.up().collect();
-        let mut resent = Vec::new();
-        for (index, (change, taken)) in answered.into_iter().enumerate() {
+        let hosts: Vec<usize> = self.world.running_hosts().collect();
+        let mut retried = Vec::new();
+        for (index, (change, was_acknowledged)) in answered.into_iter().enumerate() {
             let host = hosts[index % hosts.len()];
-            resent.push((
+            retried.push((
                 self.world.submit(host, Some(change), LIMIT),
                 host,
                 change,
-                taken,
+                was_acknowledged,
             ));
         }
         self.world.run(LIMIT);
-        for (id, host, change, taken) in resent {
-            let violation = match (self.world.outcomes.get(&id), taken) {
+        for (id, host, change, was_acknowledged) in retried {
+            let violation = match (self.world.outcomes.get(&id), was_acknowledged) {
                 (Some(Outcome::Unchanged(_)), true) | (Some(Outcome::Rejected { .. }), false) => {
                     continue;
                 }
                 (
                     Some(Outcome::Written(_) | Outcome::Unchanged(_) | Outcome::Rejected { .. }),
                     _,
-                ) => Violation::AnsweredOtherwise {
+                ) => Violation::AnswerChanged {
                     change: change.number(),
                 },
                 _ => Violation::NoProgress {
@@ -188,7 +188,7 @@
         }
     }
 
-    fn report(mut self) -> RunSummary {
+    fn summarize(mut self) -> RunSummary {
         let checks = &mut self.world.checks;
         checks.finish();
         RunSummary {
@@ -199,46 +199,48 @@
             expired: checks.expired_count,
             reads: checks.read_count,
             replica_changes: checks.replica_changes(),
-            failed_writes: self.world.storage_failures,
+            failed_writes: self.world.failed_writes,
             messages: self.world.messages,
         }
     }
 
-    fn send(&mut self) {
-        let hosts: Vec<usize> = self.world.up().collect();
+    fn submit_random_operation(&mut self) {
+        let hosts: Vec<usize> = self.world.running_hosts().collect();
         if hosts.is_empty() || !self.world.random.chance(40) {
             return;
         }
-        let host = hosts[self.pick(hosts.len())];
-        self.number += 1;
+        let host = hosts[self.random_index(hosts.len())];
+        self.last_number += 1;
         let change = match self.world.random.below(10) {
             0..=3 => Some(Change::Put {
                 base: self.version_at(host),
-                content: self.number,
+                content: self.last_number,
             }),
-            4..=6 => Some(Change::Mark { mark: self.number }),
-            7 => self.repeated(),
+            4..=6 => Some(Change::Mark {
+                mark: self.last_number,
+            }),
+            7 => self.unanswered_change(),
             _ => None,
         };
         let id = self.world.submit(host, change, LIMIT);
-        self.sent.extend(change.map(|change| (id, change)));
-        let rival = hosts[self.pick(hosts.len())];
+        self.submitted.extend(change.map(|change| (id, change)));
+        let rival_host = hosts[self.random_index(hosts.len())];
         if let Some(Change::Put { base, .. }) = change.filter(|_| self.world.random.chance(30)) {
-            self.number += 1;
+            self.last_number += 1;
             let change = Change::Put {
                 base,
-                content: self.number,
+                content: self.last_number,
             };
-            let id = self.world.submit(rival, Some(change), LIMIT);
-            self.sent.push((id, change));
+            let id = self.world.submit(rival_host, Some(change), LIMIT);
+            self.submitted.push((id, change));
         }
     }
 
     /// A change submitted before to which the client has no answer, as a client that lost its
     /// connection would retry it.
-    fn repeated(&mut self) -> Option<Change> {
+    fn unanswered_change(&mut self) -> Option<Change> {
         let lost: Vec<Change> = self
-            .sent
+            .submitted
             .iter()
             .rev()
             .take(6)
@@ -254,42 +256,43 @@
             .map_or(0, |state| state.value.version())
     }
 
-    fn end_faults(&mut self) {
+    fn end_due_faults(&mut self) {
         let now = self.world.now;
-        let (ended, open): (Vec<_>, Vec<_>) = self.open.drain(..).partition(|(at, _)| *at <= now);
-        self.open = open;
+        let (ended, remaining): (Vec<_>, Vec<_>) =
+            self.active_faults.drain(..).partition(|(at, _)| *at <= now);
+        self.active_faults = remaining;
         for (_, end) in ended {
-            self.end(end);
+            self.end_fault(end);
         }
     }
 
-    fn end(&mut self, end: FaultEnd) {
+    fn end_fault(&mut self, end: FaultEnd) {
         match end {
             FaultEnd::Start(host) => self.world.start(host),
             FaultEnd::StartBootstrapping(host) => self.world.start_bootstrapping(host),
-            FaultEnd::Write(host) => self.world.hosts[host].writes_fail = false,
+            FaultEnd::RestoreWrites(host) => self.world.hosts[host].writes_fail = false,
             FaultEnd::Restart(host) => {
                 self.world.kill(host);
                 self.world.start(host);
             }
-            FaultEnd::Retire(host) => self.world.kill(host),
+            FaultEnd::Stop(host) => self.world.kill(host),
             FaultEnd::RestoreLinks => self.world.blocked_links.clear(),
         }
     }
 
-    fn maybe_fault(&mut self) {
+    fn begin_due_fault(&mut self) {
         if self.world.now < self.next_fault {
             return;
         }
-        let is_loss = self.world.random.chance(self.plan.losses);
-        if is_loss && self.open.is_empty() && self.can_lose_a_disk() {
+        let is_loss = self.world.random.chance(self.plan.disk_loss_percent);
+        if is_loss && self.active_faults.is_empty() && self.can_lose_a_disk() {
             let duration = self.lose_disk();
             self.next_fault = self.world.now + duration + RECOVERY_TIME;
             return;
         }
         let duration = self.begin_fault();
-        let recovers_before_next = self.world.random.chance(self.plan.losses);
-        let gap = self.world.random.millis(0, self.plan.gap);
+        let recovers_before_next = self.world.random.chance(self.plan.disk_loss_percent);
+        let gap = self.world.random.millis(0, self.plan.max_gap_ms);
         self.next_fault = self.world.now + gap;
         if recovers_before_next {
             self.next_fault += duration + RECOVERY_TIME;
@@ -299,40 +302,44 @@
     /// Whether a disk may be lost: the time since the last one is enough for its repair, unless so
     /// many messages are lost that the repair may still be under way.
     fn can_lose_a_disk(&self) -> bool {
-        self.world.conditions.loss <= LOSS_IN_TIME || is_redundant(&self.world, self.plan.members)
+        self.world.conditions.loss_percent <= MAX_LOSS_PERCENT_FOR_REPAIR
+            || is_redundant(&self.world, self.plan.members)
     }
 
     /// Empties a disk or removes its machine; returns how long until the machine or its replacement
     /// is back.
     fn lose_disk(&mut self) -> Duration {
-        let hosts: Vec<usize> = self.world.up().collect();
+        let hosts: Vec<usize> = self.world.running_hosts().collect();
         if hosts.len() < self.plan.members {
             return Duration::ZERO;
         }
-        let host = hosts[self.pick(hosts.len())];
-        let duration = self.world.random.millis(5, self.plan.outage);
+        let host = hosts[self.random_index(hosts.len())];
+        let duration = self.world.random.millis(5, self.plan.max_fault_ms);
         let at = self.world.now + duration;
         let has_spare = self.next_spare < self.world.hosts.len();
         match self.world.random.below(3) {
             0 if has_spare => {
                 self.world.wipe(host);
-                self.open.push((at, FaultEnd::Start(self.next_spare)));
+                self.active_faults
+                    .push((at, FaultEnd::Start(self.next_spare)));
                 self.next_spare += 1;
             }
             1 if has_spare => {
                 self.world.start(self.next_spare);
                 self.world.leave(host);
                 self.next_spare += 1;
-                let goes = duration.max(Duration::from_millis(2_500));
-                self.open
-                    .push((self.world.now + goes, FaultEnd::Retire(host)));
-                return goes;
+                let stop_delay = duration.max(Duration::from_millis(2_500));
+                self.active_faults
+                    .push((self.world.now + stop_delay, FaultEnd::Stop(host)));
+                return stop_delay;
             }
             _ => {
                 self.world.wipe(host);
-                let may_be = self.plan.stale_bootstrap > 0 && host < self.plan.members;
-                let stale_bootstrap = may_be && self.world.random.chance(self.plan.stale_bootstrap);
-                self.open.push((
+                let may_bootstrap =
+                    self.plan.stale_bootstrap_percent > 0 && host < self.plan.members;
+                let stale_bootstrap =
+                    may_bootstrap && self.world.random.chance(self.plan.stale_bootstrap_percent);
+                self.active_faults.push((
                     at,
                     if stale_bootstrap {
                         FaultEnd::StartBootstrapping(host)
@@ -347,30 +354,30 @@
 
     /// Begins a fault that leaves all disks as they are; returns how long it lasts.
     fn begin_fault(&mut self) -> Duration {
-        let hosts: Vec<usize> = self.world.up().collect();
+        let hosts: Vec<usize> = self.world.running_hosts().collect();
         if hosts.is_empty() {
             return Duration::ZERO;
         }
-        let host = hosts[self.pick(hosts.len())];
-        let duration = self.world.random.millis(5, self.plan.outage);
+        let host = hosts[self.random_index(hosts.len())];
+        let duration = self.world.random.millis(5, self.plan.max_fault_ms);
         let at = self.world.now + duration;
-        let kind = FAULT_KINDS[self.pick(FAULT_KINDS.len())];
+        let kind = FAULT_KINDS[self.random_index(FAULT_KINDS.len())];
         match kind {
             FaultKind::Kill => {
                 self.world.kill(host);
-                self.open.push((at, FaultEnd::Start(host)));
+                self.active_faults.push((at, FaultEnd::Start(host)));
             }
             FaultKind::KillAll => self.kill_all(&hosts, at),
             FaultKind::StalledWrites => self.world.hosts[host].writes_stalled_until = at,
             FaultKind::FailingWrites => self.fail_writes(host, at),
             FaultKind::BlockedLink => {
-                let other = hosts[self.pick(hosts.len())];
+                let other = hosts[self.random_index(hosts.len())];
                 self.world.blocked_links.insert((host, other));
-                self.open.push((at, FaultEnd::RestoreLinks));
+                self.active_faults.push((at, FaultEnd::RestoreLinks));
             }
             FaultKind::Isolation => {
                 self.world.isolate(host);
-                self.open.push((at, FaultEnd::RestoreLinks));
+                self.active_faults.push((at, FaultEnd::RestoreLinks));
             }
             FaultKind::Pause => self.world.pause_process(host, duration),
         }
@@ -382,7 +389,7 @@
         for &host in hosts {
             self.world.kill(host);
             let delay = self.world.random.millis(0, 300);
-            self.open.push((at + delay, FaultEnd::Start(host)));
+            self.active_faults.push((at + delay, FaultEnd::Start(host)));
         }
     }
 
@@ -392,12 +399,12 @@
         let end = if self.world.random.chance(50) {
             FaultEnd::Restart(host)
         } else {
-            FaultEnd::Write(host)
+            FaultEnd::RestoreWrites(host)
         };
-        self.open.push((at, end));
+        self.active_faults.push((at, end));
     }
 
-    fn pick(&mut self, count: usize) -> usize {
+    fn random_index(&mut self, count: usize) -> usize {
         usize::try_from(self.world.random.below(count as u64)).expect("a small number")
     }
 }
--- a/crates/register/tests/support/redundancy.rs
+++ b/crates/register/tests/support/redundancy.rs
@@ -37,7 +37,9 @@
 
 /// The newest state known as chosen anywhere.
 pub(crate) fn newest(world: &World) -> Option<Arc<State<Value>>> {
-    let known = world.up().filter_map(|host| node(world, host)?.chosen());
+    let known = world
+        .running_hosts()
+        .filter_map(|host| node(world, host)?.chosen());
     known.max_by_key(|state| state.sequence).cloned()
 }
 
@@ -48,7 +50,7 @@
         return false;
     };
     let members: Vec<usize> = world
-        .up()
+        .running_hosts()
         .filter(|&host| {
             node(world, host).is_some_and(|node| state.members.contains(node.identity()))
         })
--- a/crates/register/tests/support/value.rs
+++ b/crates/register/tests/support/value.rs
@@ -14,7 +14,7 @@
     pub marks: Vec<u64>,
     /// Numbers of the changes that closed the gate and opened it again, in order; closed if it is
     /// odd.
-    pub turns: Vec<u64>,
+    pub flag_changes: Vec<u64>,
 }
 
 /// A change builds on another version than the current one.
@@ -39,18 +39,18 @@
     pub(crate) fn is_prefix_of(&self, later: &Self) -> bool {
         later.contents.starts_with(&self.contents)
             && later.marks.starts_with(&self.marks)
-            && later.turns.starts_with(&self.turns)
+            && later.flag_changes.starts_with(&self.flag_changes)
     }
 
-    pub(crate) fn is_closed(&self) -> bool {
-        !self.turns.len().is_multiple_of(2)
+    pub(crate) fn is_flag_set(&self) -> bool {
+        !self.flag_changes.len().is_multiple_of(2)
     }
 
     pub(crate) fn all(&self) -> BTreeSet<u64> {
         self.contents
             .iter()
             .chain(&self.marks)
-            .chain(&self.turns)
+            .chain(&self.flag_changes)
             .copied()
             .collect()
     }
@@ -65,7 +65,7 @@
     /// Sets a mark.
     Mark { mark: u64 },
     /// Closes the gate or opens it; the value doesn't record which change did.
-    Turn { number: u64, closed: bool },
+    SetFlag { number: u64, enabled: bool },
 }
 
 impl Change {
@@ -73,13 +73,13 @@
         match self {
             Self::Put { content, .. } => content,
             Self::Mark { mark } => mark,
-            Self::Turn { number, .. } => number,
+            Self::SetFlag { number, .. } => number,
         }
     }
 
     /// Whether a value records for ever that the change was made.
     pub(crate) fn is_recorded(self) -> bool {
-        !matches!(self, Self::Turn { .. })
+        !matches!(self, Self::SetFlag { .. })
     }
 }
 
@@ -94,8 +94,10 @@
             Self::Put { .. } => return Decision::Reject(AnotherVersion),
             Self::Mark { mark } if value.marks.contains(&mark) => return Decision::Unchanged,
             Self::Mark { mark } => next.marks.push(mark),
-            Self::Turn { closed, .. } if value.is_closed() == closed => return Decision::Unchanged,
-            Self::Turn { number, .. } => next.turns.push(number),
+            Self::SetFlag { enabled, .. } if value.is_flag_set() == enabled => {
+                return Decision::Unchanged;
+            }
+            Self::SetFlag { number, .. } => next.flag_changes.push(number),
         }
         Decision::Write(next)
     }
--- a/crates/register/tests/support/world.rs
+++ b/crates/register/tests/support/world.rs
@@ -35,7 +35,7 @@
     pub checks: Checks,
     pub blocked_links: BTreeSet<(usize, usize)>,
     pub messages: u64,
-    pub storage_failures: u64,
+    pub failed_writes: u64,
     seeds: Vec<SocketAddr>,
     events: EventQueue<SimulatedEvent>,
     last_operation: OperationId,
@@ -55,7 +55,7 @@
             checks: Checks::default(),
             blocked_links: BTreeSet::new(),
             messages: 0,
-            storage_failures: 0,
+            failed_writes: 0,
             seeds: (0..members).map(|index| Host::new(index).address).collect(),
             events: EventQueue::default(),
             last_operation: 0,
@@ -73,47 +73,47 @@
         if self.hosts[host].disk.is_some() {
             self.start(host);
         } else {
-            let origin = RecordSource::Bootstrap {
+            let source = RecordSource::Bootstrap {
                 members: self.seeds.clone(),
                 value: Value::default(),
             };
-            self.start_from(host, origin);
+            self.start_from(host, source);
             self.update_peers();
         }
     }
 
     /// Starts a host from its disk; with a new identity if it is empty.
     pub(crate) fn start(&mut self, host: usize) {
-        let origin = match self.hosts[host].disk.clone() {
+        let source = match self.hosts[host].disk.clone() {
             Some(record) => RecordSource::Durable(record),
             None => RecordSource::Empty {
                 identity: Identity(self.random.next()),
             },
         };
-        self.start_from(host, origin);
+        self.start_from(host, source);
         self.update_peers();
     }
 
-    fn start_from(&mut self, host: usize, origin: RecordSource<Value>) {
+    fn start_from(&mut self, host: usize, source: RecordSource<Value>) {
         let seed = self.random.next();
         let settings = self.settings.clone();
-        let place = NodeLocation {
+        let location = NodeLocation {
             address: self.hosts[host].address,
             zone: self.hosts[host].zone.clone(),
         };
         let entry = &mut self.hosts[host];
         entry.incarnation += 1;
         entry.learned.clear();
-        entry.node = Some(Node::recover(origin, place, seed, settings));
+        entry.node = Some(Node::recover(source, location, seed, settings));
         self.handle(host, Event::Timer);
     }
 
     /// Starts a host that knows those peers only, and is known to one host only.
     pub(crate) fn start_with_peers(&mut self, host: usize, learned: &[usize], known_by: usize) {
-        let origin = RecordSource::Empty {
+        let source = RecordSource::Empty {
             identity: Identity(self.random.next()),
         };
-        self.start_from(host, origin);
+        self.start_from(host, source);
         let others = learned
             .iter()
             .map(|&other| self.hosts[other].address)
@@ -124,7 +124,7 @@
 
     /// Sets the peers of every host to all that run, and the seeds.
     fn update_peers(&mut self) {
-        let up: Vec<usize> = self.up().collect();
+        let up: Vec<usize> = self.running_hosts().collect();
         let mut addresses: BTreeSet<SocketAddr> =
             up.iter().map(|&host| self.hosts[host].address).collect();
         addresses.extend(&self.seeds);
@@ -144,7 +144,7 @@
         }
     }
 
-    pub(crate) fn up(&self) -> impl Iterator<Item = usize> {
+    pub(crate) fn running_hosts(&self) -> impl Iterator<Item = usize> {
         (0..self.hosts.len()).filter(|&host| self.hosts[host].node.is_some())
     }
 
@@ -195,15 +195,15 @@
         self.last_operation += 1;
         let id = self.last_operation;
         if let Some(change) = change {
-            self.checks.begin(change);
+            self.checks.record_submission(change);
         }
-        let floor = self.checks.reported;
+        let min_sequence = self.checks.reported;
         self.requests.insert(
             id,
             Request {
                 host,
                 change,
-                floor,
+                min_sequence,
             },
         );
         let incarnation = self.hosts[host].incarnation;
@@ -247,7 +247,7 @@
 
     /// Every host that runs takes a change and a read within the limit.
     pub(crate) fn expect_progress(&mut self, limit: Duration) {
-        let hosts: Vec<usize> = self.up().collect();
+        let hosts: Vec<usize> = self.running_hosts().collect();
         let mut ids = Vec::new();
         for host in hosts {
             let mark = self.random.next();
@@ -302,17 +302,17 @@
         };
         node.handle(self.now, event, &mut actions);
         for action in actions {
-            self.act(host, action);
+            self.perform(host, action);
         }
     }
 
     fn handle_event(&mut self, event: SimulatedEvent) {
         let host = event.host(&self.hosts);
-        let thaw = host
+        let resume_at = host
             .map(|host| self.hosts[host].paused_until)
-            .filter(|&thaw| self.now < thaw);
-        if let Some(thaw) = thaw {
-            self.events.schedule(thaw, event);
+            .filter(|&resume_at| self.now < resume_at);
+        if let Some(resume_at) = resume_at {
+            self.events.schedule(resume_at, event);
             return;
         }
         match event {
@@ -376,7 +376,7 @@
             self.handle(host, Event::Persisted(token));
             return;
         }
-        self.storage_failures += 1;
+        self.failed_writes += 1;
         entry.writing = Some(write);
         let incarnation = entry.incarnation;
         self.events.schedule(
@@ -389,14 +389,14 @@
         );
     }
 
-    fn act(&mut self, host: usize, action: Action<Value>) {
+    fn perform(&mut self, host: usize, action: Action<Value>) {
         let incarnation = self.hosts[host].incarnation;
         match action {
             Action::Send { to, message } => self.send(host, to, &message),
             Action::Persist(write) => {
                 let token = write.token;
                 self.hosts[host].writing = Some(write);
-                let time = self.random.millis(1, self.conditions.write_time + 1);
+                let time = self.random.millis(1, self.conditions.max_write_ms + 1);
                 let at = (self.now + time).max(self.hosts[host].writes_stalled_until);
                 self.events.schedule(
                     at,
@@ -409,13 +409,13 @@
             }
             Action::Completed { id, outcome } => {
                 if let Some(request) = self.requests.remove(&id) {
-                    self.checks.end(&request, &outcome);
+                    self.checks.record_outcome(&request, &outcome);
                     self.outcomes.insert(id, outcome);
                 }
             }
             Action::Learned(state) => {
                 self.hosts[host].learned.push(state.sequence);
-                self.checks.see(&state);
+                self.checks.record_chosen(&state);
             }
             Action::DiskLost => {}
             Action::Timer(at) => {
@@ -437,11 +437,12 @@
             return;
         };
         self.messages += 1;
-        if self.blocked_links.contains(&(from, target)) || self.random.chance(self.conditions.loss)
+        if self.blocked_links.contains(&(from, target))
+            || self.random.chance(self.conditions.loss_percent)
         {
             return;
         }
-        let copies = if self.random.chance(self.conditions.duplicated) {
+        let copies = if self.random.chance(self.conditions.duplicate_percent) {
             2
         } else {
             1
@@ -465,8 +466,8 @@
         } else {
             LATENCY_WITHIN_REGION
         };
-        let base = base.max(self.conditions.min_latency * 1_000);
-        let jitter = self.conditions.jitter * 1_000 + 1;
+        let base = base.max(self.conditions.min_latency_ms * 1_000);
+        let jitter = self.conditions.max_jitter_ms * 1_000 + 1;
         Duration::from_micros(base + self.random.below(jitter))
     }
 }
