--- a/crates/register/src/proposer.rs
+++ b/crates/register/src/proposer.rs
@@ -49,7 +49,7 @@
     last_round_id: RoundId,
     /// Highest ballot counter used or seen in a conflict.
     last_counter: u64,
-    /// Consecutive conflicts since the last round with a result.
+    /// Conflicts since the last round with a result.
     conflicts: u32,
     /// Queries that ended in disagreement since the last round with a result.
     disagreements: u32,
--- a/crates/register/src/proposer/rounds.rs
+++ b/crates/register/src/proposer/rounds.rs
@@ -181,7 +181,7 @@
         self.complete_batch(batch, u64::MAX, &proposal.state, effects);
     }
 
-    /// Ends the active round with a result and resets the counts of consecutive failures.
+    /// Ends the active round with a result; the counts of conflicts and disagreements restart.
     pub(super) fn finish_round(&mut self) {
         self.active = None;
         self.conflicts = 0;
