--- a/crates/register/src/settings.rs
+++ b/crates/register/src/settings.rs
@@ -17,7 +17,8 @@
     pub retransmit_interval: Duration,
     /// Time after which a round without a quorum is abandoned; it starts anew with the accept
     /// phase. Below two round trips plus the time of a disk write, no change ever completes; far
-    /// above, an operation behind a round that can't complete runs into its deadline.
+    /// above, an operation behind a round that can't complete runs into its deadline. Proposals of
+    /// replica changes are at least this far apart, too.
     pub round_timeout: Duration,
     /// Time for which a query whose quorum reports different ballots waits for the remaining
     /// replicas. Too short, reads fall back to an accept phase (a disk write) under load; too long,
