--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-/// One folder of files on a disk.
+/// One folder of files on a disk, without subfolders.
 ///
 /// Nothing is durable before a sync: [`Disk::sync_file`] covers a file's bytes,
 /// [`Disk::sync_folder`] the names. An operation may block for as long as the disk does.
@@ -61,7 +61,7 @@
     fn sync_folder(&self) -> Result<(), DiskError>;
 }
 
-/// The operation of [`Disk`] that failed.
+/// A disk operation, for errors and for the counters of simulated disks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DiskOperation {
     /// Opening the folder.
@@ -100,7 +100,7 @@
     }
 }
 
-/// The kind of a failure.
+/// The kinds of failure that callers treat differently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FailureKind {
     /// The disk or the quota is full.
@@ -109,26 +109,26 @@
     NotFound,
     /// The name is in use.
     Exists,
-    /// Anything else.
+    /// Any other failure, for example an input/output error.
     Other,
 }
 
 /// A failed operation: the file, the operation and the reason that the system gave.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{operation} failed at {file}: {reason}")]
+#[error("{operation} failed for {file}: {reason}")]
 pub struct DiskError {
     /// Name of the file, or of the folder for operations on the folder.
     pub file: String,
-    /// The operation.
+    /// The operation that failed.
     pub operation: DiskOperation,
-    /// The kind of failure.
+    /// The kind of failure, for callers that handle some of them.
     pub kind: FailureKind,
-    /// The error text of the system.
+    /// The error text of the operating system or the simulated disk.
     pub reason: String,
 }
 
 impl DiskError {
-    /// An error of the given kind.
+    /// Creates an error; for implementations of [`Disk`].
     #[must_use]
     pub fn new(file: &str, operation: DiskOperation, kind: FailureKind, reason: &str) -> Self {
         Self {
--- a/crates/storage/src/encode.rs
+++ b/crates/storage/src/encode.rs
@@ -9,8 +9,8 @@
     postcard::serialize_with_flavor(record, Buffer(buffer))
 }
 
-/// Copies slices at once: postcard's flavor for any [`Extend`] copies byte by byte in unoptimised
-/// builds.
+/// A postcard flavor that copies whole slices: the one for any [`Extend`] copies byte by byte in
+/// unoptimised builds.
 struct Buffer(Vec<u8>);
 
 impl Flavor for Buffer {
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -14,7 +14,7 @@
 
 use std::fmt;
 
-/// Version of the format.
+/// Version of the format; a segment of any other version is rejected.
 pub(crate) const VERSION: u32 = 1;
 /// Bytes of a segment header.
 pub(crate) const SEGMENT_HEADER_BYTES: usize = 28;
@@ -37,7 +37,7 @@
     Version(u32),
     /// The first frame, which was synced before the segment got its final name, is corrupted.
     FirstFrame,
-    /// A frame is corrupted that had been synced, as a later valid frame shows.
+    /// A frame that had been synced, as a later valid frame shows, is corrupted.
     SyncedFrame,
     /// The checksums are right but the record cannot be decoded.
     Record,
@@ -46,23 +46,21 @@
 impl fmt::Display for CorruptionReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CorruptionReason::SegmentHeader => formatter.write_str("segment header damaged"),
+            CorruptionReason::SegmentHeader => formatter.write_str("segment header is corrupted"),
             CorruptionReason::WrongSegment => {
-                formatter.write_str("segment belongs to another name")
+                formatter.write_str("segment header does not match the file name")
             }
             CorruptionReason::Version(version) => {
-                write!(formatter, "format version {version} not known")
-            }
-            CorruptionReason::FirstFrame => formatter.write_str("first frame damaged"),
-            CorruptionReason::SyncedFrame => {
-                formatter.write_str("frame damaged after it was synced")
+                write!(formatter, "format version {version} is unknown")
             }
+            CorruptionReason::FirstFrame => formatter.write_str("first frame is corrupted"),
+            CorruptionReason::SyncedFrame => formatter.write_str("synced frame is corrupted"),
             CorruptionReason::Record => formatter.write_str("record cannot be decoded"),
         }
     }
 }
 
-/// Corruption in a segment.
+/// Location and kind of corruption in a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Corruption {
     /// Offset in the segment, in bytes.
@@ -71,7 +69,7 @@
     pub(crate) reason: CorruptionReason,
 }
 
-/// The header of a segment.
+/// Encodes the header of a segment.
 pub(crate) fn segment_header(log: &str, sequence: u64) -> [u8; SEGMENT_HEADER_BYTES] {
     let mut header = [0; SEGMENT_HEADER_BYTES];
     header[..8].copy_from_slice(&SEGMENT_MAGIC);
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,4 +1,4 @@
-//! A record that is written once: the identity of a replica.
+//! Storage for the identity of a replica, a record that is written once.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 
 /// Name of the identity's log.
 const NAME: &str = "identity";
-/// Space of the identity's files, in bytes.
+/// Space of the identity's log, in bytes.
 const SPACE_BYTES: u64 = 64 * 1024;
 
 /// A small record that is written once, with the guarantees of a [`Log`].
@@ -25,7 +25,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IdentityError {
     /// An identity is already stored; it is never replaced.
-    #[error("an identity is stored already; empty the data directory to begin anew")]
+    #[error(
+        "an identity is already stored and is never replaced; empty the data directory to start as a new replica"
+    )]
     AlreadyStored,
     /// No identity is stored.
     #[error("no identity is stored yet")]
@@ -49,12 +51,13 @@
         Ok(Self { log, stored })
     }
 
-    /// The stored identity.
+    /// The stored identity, if there is one. It may not be durable; see
+    /// [`IdentityFile::is_durable`].
     pub fn get(&self) -> Option<&I> {
         self.stored.as_ref()
     }
 
-    /// Whether the stored identity is durable. It must not be used before it is.
+    /// Whether an identity is stored and durable. It must not be used before it is durable.
     pub fn is_durable(&self) -> bool {
         self.stored.is_some() && self.log.state() == LogState::Ready
     }
@@ -86,7 +89,8 @@
         Ok(())
     }
 
-    /// Removes the identity, also a corrupted one. Callers do this before they erase the logs.
+    /// Removes the identity, also a corrupted one. Callers do this before they erase the logs, as
+    /// [`Log::erase`] explains.
     ///
     /// # Errors
     /// As [`Log::erase`].
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,18 +1,22 @@
 //! Durable storage of a process's control state on a small disk: a write-ahead log of whole
-//! records, of which only the newest counts.
+//! records, of which only the newest counts. A record is durable once [`Log::sync`] has returned:
+//! it is then found after a kill and after a loss of power.
 //!
-//! [`Log`] keeps the newest of a sequence of records in checksummed segments. A record is durable
-//! once [`Log::sync`] has returned: it is then found after a kill and after a loss of power.
-//! [`Writer`] owns a log on a thread of its own and syncs once for each batch of queued records
-//! (group commit). [`IdentityFile`] stores a record that is written once.
+//! [`Log`] appends records to checksummed segments and makes them durable. When a log is opened,
+//! the module `recovery` lists the files and reads the newest segment; `scan` finds its newest
+//! record and tells a torn end from corruption; `format` defines the bytes and `names` the file
+//! names. [`Writer`] owns a log on a thread of its own and syncs once for each batch of queued
+//! records (group commit). [`IdentityFile`] stores a record that is written once, as a log of its
+//! own. All of them access files through [`Disk`], which [`RealDisk`] implements on a folder of the
+//! file system and [`testing`] by simulated disks with faults.
 //!
-//! Three rules follow from «Can Applications Recover from fsync Failures?» (Rebello et al., ATC
-//! 2020) and «Protocol-Aware Recovery for Consensus-Based Storage» (Alagappan et al., FAST 2018):
+//! Three rules follow from "Can Applications Recover from fsync Failures?" (Rebello et al., ATC
+//! 2020) and "Protocol-Aware Recovery for Consensus-Based Storage" (Alagappan et al., FAST 2018):
 //!
 //! - After a failed write or sync nothing is written to the same file again; [`Log::reopen`] starts
 //!   a new one.
-//! - What recovery reads may come from the page cache only, so it is written again and synced
-//!   before it counts.
+//! - What recovery reads may exist in the page cache only, so the record is rewritten and synced
+//!   before it counts as durable.
 //! - Corruption of synced data is an error, and never mistaken for the torn end that a power loss
 //!   leaves. [`Log::quarantine`] keeps the corrupted file under another name, as it may be
 //!   the only copy.
@@ -20,8 +24,8 @@
 //! A replica that stores its votes here may survive a failed write or sync, as long as it sends no
 //! answer that relies on the record before [`Log::reopen`] has succeeded with it. Until then the
 //! failure is like a crash in the middle of the write: the failed file may or may not hold the
-//! record, so a later start recovers it or the previous one, and rewrites it before it counts;
-//! neither contradicts an answer. The new file doesn't share a page with the one that failed, its
+//! record, so a later start recovers it or the previous one, and rewrites what it recovered before
+//! relying on it; neither contradicts an answer. The new file doesn't share a page with the one that failed, its
 //! sync covers all of its bytes, and its sequence number is the highest, so that it supersedes the
 //! failed one in any state. `tests/failed_sync.rs` kills the process or cuts the power after each
 //! operation of this sequence.
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: appends the newest record and makes it durable.
+//! The log: appends records and makes the newest one durable.
 //!
 //! Every segment begins with a complete record, so that the segment with the highest sequence
 //! number suffices for recovery; a separate snapshot would be a second copy of the same bytes. A
@@ -31,7 +31,7 @@
 pub use quarantine::MAX_QUARANTINED_SEGMENTS;
 use segments::{Segments, check_size};
 
-/// The newest of a sequence of records, durable in checksummed segments.
+/// A write-ahead log that keeps the newest of a sequence of records, in checksummed segments.
 pub struct Log<R> {
     segments: Segments,
     failure: Option<DiskError>,
@@ -90,7 +90,7 @@
         Ok((log, found))
     }
 
-    /// Removes all files of a log, including quarantined ones, so that the replica can start anew
+    /// Removes all files of a log, including quarantined ones, so that the replica can start empty
     /// under a new identity.
     ///
     /// The caller erases the identity first, by
@@ -105,9 +105,10 @@
     }
 
     /// Renames the corrupted newest segment so that it is kept but never read, and removes the
-    /// segments that it superseded; the log can then be opened anew, empty. At most
+    /// segments that it superseded; the next [`Log::open`] then finds an empty log. At most
     /// [`MAX_QUARANTINED_SEGMENTS`] segments are kept, the newest ones, and none that is longer
-    /// than a segment may be. Returns the name of the file, or `None` if it was too long to keep.
+    /// than a segment may be. Returns the name of the kept file, or `None` if there was no segment
+    /// or it was too long to keep.
     ///
     /// # Errors
     /// When a disk operation fails; the corrupted segment still exists under one of its names then.
@@ -118,7 +119,8 @@
         quarantine::quarantine(disk, settings)
     }
 
-    /// Names of the quarantined segments: evidence that this folder has held a log before.
+    /// Names of the quarantined segments. If there are any, the folder has held a log before, even
+    /// if the log is empty now.
     ///
     /// # Errors
     /// When the folder cannot be read.
@@ -205,8 +207,8 @@
         }
     }
 
-    /// Converts the outcome of a disk operation, and remembers a failure: no file written so far is
-    /// written to again then.
+    /// Converts the outcome of a disk operation. A failure is remembered and closes the current
+    /// segment, so that no file written so far is written to again.
     fn check_outcome(&mut self, outcome: Result<(), DiskError>) -> Result<(), LogError> {
         let Err(failure) = outcome else { return Ok(()) };
         if self.segments.stops_after_failure() {
--- a/crates/storage/src/log/error.rs
+++ b/crates/storage/src/log/error.rs
@@ -7,24 +7,26 @@
 pub enum LogError {
     /// The disk is full. Durable records stay durable; [`Log::reopen`](crate::Log::reopen) succeeds
     /// once there is space.
-    #[error("{0}; free room on the disk")]
+    #[error("{0}; free space on the disk, as records are rejected until a new segment is written")]
     Full(DiskError),
     /// The disk failed. Whether it holds the unsynced records is unknown;
     /// [`Log::reopen`](crate::Log::reopen) starts a new segment.
-    #[error("{0}; records are refused until a new segment is written")]
+    #[error("{0}; records are rejected until a new segment is written")]
     Disk(DiskError),
-    /// An earlier operation failed and the log has not been reopened.
-    #[error("the log failed before and was not reopened: {0}")]
+    /// An earlier operation failed and the log has not been reopened since; nothing was written.
+    #[error("the log rejects records, as it has not been reopened after an earlier failure: {0}")]
     Failed(DiskError),
-    /// The record is larger than a segment may be.
-    #[error("record of {bytes} bytes in a frame, {limit} allowed; raise the log's space")]
+    /// The record does not fit into a segment; nothing was written.
+    #[error(
+        "record needs a segment of {bytes} bytes, but {limit} are allowed; increase the log's space"
+    )]
     TooLarge {
-        /// Bytes of the record with its frame and the segment header.
+        /// Size of the encoded record with its frame header and the segment header, in bytes.
         bytes: u64,
-        /// Bytes allowed.
+        /// Largest size of a segment, in bytes.
         limit: u64,
     },
-    /// The record cannot be encoded.
+    /// The record cannot be encoded; nothing was written.
     #[error("record cannot be encoded: {0}")]
     Encode(postcard::Error),
 }
--- a/crates/storage/src/log/quarantine.rs
+++ b/crates/storage/src/log/quarantine.rs
@@ -1,7 +1,7 @@
 //! Quarantine and erasure of a corrupted log.
 //!
-//! Recovery reads the segment with the highest sequence number, so an older one that still exists
-//! (its removal failed, or was undone by a power loss) must never outlive the newest: recovery
+//! Recovery reads the segment with the highest sequence number. An older one may still exist, if
+//! its removal failed or was undone by a power loss, and must never outlive the newest: recovery
 //! would read it, and a replica would vote by outdated promises. Older segments are therefore
 //! removed first, durably.
 
@@ -10,7 +10,7 @@
 use crate::recovery::{self, LogFiles};
 use crate::settings::LogSettings;
 
-/// The largest number of corrupted segments that are kept.
+/// The largest number of corrupted segments that are kept; older ones are removed.
 pub const MAX_QUARANTINED_SEGMENTS: usize = 2;
 
 /// Removes all files of a log.
@@ -38,7 +38,7 @@
     remove_superseded(disk, settings, &files)?;
     let segment = names::segment(&settings.name, newest);
     let quarantined = names::quarantined(&settings.name, newest);
-    // A crash may have left both names of an earlier attempt.
+    // A crash during an earlier quarantine may have left the segment under both names.
     remove(disk, &quarantined)?;
     let earlier: Vec<u64> = files
         .quarantined
--- a/crates/storage/src/log/segments.rs
+++ b/crates/storage/src/log/segments.rs
@@ -18,15 +18,15 @@
     current: Option<CurrentSegment>,
     /// Older complete segments, kept until a newer one is durable.
     retained: Vec<u64>,
-    /// Files that nothing depends on, removed once the next segment's file has been made.
+    /// Files that nothing depends on, removed once the next segment's file has been created.
     obsolete: Vec<String>,
     frame_buffer: Vec<u8>,
 }
 
-/// The segment that is written.
+/// The segment that records are appended to.
 struct CurrentSegment {
     sequence: u64,
-    /// Whether it exists durably under its final name.
+    /// Whether the segment exists durably under its final name.
     complete: bool,
     length: u64,
     synced_end: u64,
@@ -64,7 +64,8 @@
         self.settings.guards.after_failure == AfterFailure::StopWriting
     }
 
-    /// Continues the newest segment found; only for tests, to show what that would break.
+    /// Appends to the newest segment found instead of a new one; only for tests, which show that
+    /// records are lost then.
     pub(super) fn resume_newest(&mut self, length: u64, synced_end: u64) {
         let Some(sequence) = self.retained.pop() else {
             return;
@@ -122,8 +123,8 @@
 
     /// Starts a segment under a temporary name.
     ///
-    /// The file is created before others are removed, so that the highest sequence number in use is
-    /// always visible: if a number were reused, a removed segment that reappears after a power loss
+    /// The file is created before obsolete ones are removed, so that the highest sequence number in
+    /// use is always visible: if a number were reused, a removed segment that reappears after a power loss
     /// could supersede a newer one.
     fn start_segment(&mut self, payload: &[u8]) -> Result<(), DiskError> {
         self.close_current();
@@ -225,7 +226,8 @@
         }
     }
 
-    /// Removes the obsolete files. One that a power loss restores is never read, being older.
+    /// Removes the obsolete files, without a sync of the folder: a file that a power loss restores
+    /// has a lower sequence number and is never read.
     fn remove_obsolete(&mut self) -> Result<(), DiskError> {
         while let Some(name) = self.obsolete.last() {
             match self.disk.remove(name) {
--- a/crates/storage/src/log/tests/failures.rs
+++ b/crates/storage/src/log/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Individual failures.
+//! Single disk failures and the state of the log after them.
 
 use std::sync::Arc;
 
@@ -48,7 +48,7 @@
     assert_matches!(log.append(&2), Err(LogError::Full(_)));
     assert_matches!(log.reopen(&2), Err(LogError::Full(_)));
     disk.set_full(false);
-    log.reopen(&3).expect("there is room again");
+    log.reopen(&3).expect("there is space again");
     log.append(&4).expect("append");
     log.sync().expect("sync");
     disk.lose_power();
@@ -64,7 +64,7 @@
     assert_eq!(recovered, found(1, false));
     assert_matches!(log.state(), LogState::Failed(error) if error.is_full());
     disk.set_full(false);
-    log.reopen(&1).expect("there is room again");
+    log.reopen(&1).expect("there is space again");
     assert_eq!(log.state(), LogState::Ready);
 }
 
@@ -111,7 +111,7 @@
     assert_matches!(log.append(&"y".repeat(300)), Err(LogError::Full(_)));
     assert_matches!(log.reopen(&"y".repeat(300)), Err(LogError::Full(_)));
     disk.set_capacity(2_000);
-    log.reopen(&"y".repeat(300)).expect("there is room again");
+    log.reopen(&"y".repeat(300)).expect("there is space again");
 }
 
 #[test]
@@ -143,7 +143,8 @@
 }
 
 /// Three segments in a row get names that may or may not be durable, a fourth can't be created, and
-/// the process is killed. Then record 5 is reported as durable and the power is lost.
+/// the process is killed. Then record 5 is reported as durable and the power is lost. Returns what
+/// is recovered then.
 fn recover_after_failed_renames(seed: u64, replacement: SegmentReplacement) -> Recovered<u64> {
     let disk = Arc::new(FaultyDisk::new(seed));
     let mut settings = LogSettings::new_unchecked("failures", 4096);
@@ -185,8 +186,8 @@
     assert!(wrong.count() > 0);
 }
 
-/// A record is written in part before the disk is full, the process is killed, and record 3 is
-/// reported as durable.
+/// Record 2 is written in part because the disk is full, the process is killed, record 3 is reported
+/// as durable and the power is lost. Returns the record that is recovered then.
 fn recover_after_torn_end(seed: u64, on_open: OnOpen) -> Option<u64> {
     let disk = Arc::new(FaultyDisk::new(seed));
     let mut settings = LogSettings::new_unchecked("failures", 4096);
--- a/crates/storage/src/log/tests/history.rs
+++ b/crates/storage/src/log/tests/history.rs
@@ -19,7 +19,7 @@
 /// Number and padding of a record.
 type Record = (u64, Vec<u8>);
 
-/// The settings of the log under test, and the wrapper of its disk.
+/// Settings of the log under test, and a function that wraps its disk.
 pub(super) struct Setup {
     pub(super) settings: LogSettings,
     pub(super) wrap_disk: Box<dyn Fn(Arc<FaultyDisk>) -> Arc<dyn Disk>>,
@@ -28,12 +28,12 @@
 /// A violated invariant of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Violation {
-    /// A record was recovered that contradicts the reported durability.
+    /// The recovered record contradicts what was reported as durable.
     WrongRecord {
         found: Option<u64>,
         allowed: Vec<Option<u64>>,
     },
-    /// A record was recovered that was never written.
+    /// The recovered record was never written.
     UnknownRecord(u64),
     /// A crash alone made the log corrupted or unreadable.
     Unrecoverable(OpenError),
--- a/crates/storage/src/log/tests/quarantine.rs
+++ b/crates/storage/src/log/tests/quarantine.rs
@@ -57,7 +57,8 @@
     disk
 }
 
-/// The seeds and numbers of operations at which a power loss lets an older record be recovered.
+/// Runs `reset` with a power loss after each number of operations; returns the seeds and numbers
+/// after which an older record is recovered.
 fn older_record_recovered(reset: impl Fn(&FaultyDisk) -> Result<(), DiskError>) -> Vec<(u64, u64)> {
     let mut wrong = Vec::new();
     for seed in 0..40 {
--- a/crates/storage/src/real_disk.rs
+++ b/crates/storage/src/real_disk.rs
@@ -1,4 +1,4 @@
-//! A folder of the file system.
+//! [`Disk`] on a folder of the file system.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions};
@@ -8,11 +8,11 @@
 
 use crate::disk::{Disk, DiskError, DiskOperation, FailureKind};
 
-/// Name used for the folder itself in errors.
+/// Path of the current directory, also the name of the disk's folder in errors.
 const FOLDER: &str = ".";
 
-/// A folder of the file system. Keeps a descriptor open for each file that was created through it,
-/// until the file is removed.
+/// A [`Disk`] on a folder of the file system. Keeps a descriptor open for each file that was created
+/// through it, until the file is removed.
 #[derive(Debug)]
 pub struct RealDisk {
     folder: PathBuf,
@@ -69,7 +69,7 @@
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.folder).map_err(failed(FOLDER, DiskOperation::List))? {
             let entry = entry.map_err(failed(FOLDER, DiskOperation::List))?;
-            // A name that is not UTF-8 is no file of a log: those names are ASCII.
+            // Names of a log's files are ASCII, so a name that is not UTF-8 is skipped.
             if let Ok(name) = entry.file_name().into_string() {
                 names.push(name);
             }
@@ -114,7 +114,7 @@
                 to,
                 DiskOperation::Rename,
                 FailureKind::Exists,
-                "the name is taken",
+                "the new name is already in use",
             ));
         }
         fs::rename(self.path(from), self.path(to)).map_err(failed(from, DiskOperation::Rename))?;
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -16,11 +16,11 @@
     Empty,
     /// The newest record was read.
     Found {
-        /// The record.
+        /// The newest record, decoded.
         record: R,
-        /// Whether it was made durable again. If not, [`Log::state`](crate::Log::state) gives the
-        /// reason, and the record must not be relied on before [`Log::reopen`](crate::Log::reopen)
-        /// has succeeded with it.
+        /// Whether the record was made durable again. If not, [`Log::state`](crate::Log::state)
+        /// gives the reason, and the record must not be relied on before
+        /// [`Log::reopen`](crate::Log::reopen) has succeeded with it.
         durable: bool,
         /// Length of the torn end that was dropped, in bytes.
         dropped_bytes: u64,
@@ -31,16 +31,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OpenError {
     /// The folder or a segment could not be read; a retry may succeed.
-    #[error("{0}; check the disk and start again")]
+    #[error("{0}; check the disk and restart the process")]
     Disk(#[from] DiskError),
     /// Durable state is corrupted. Nothing was changed; after
-    /// [`Log::quarantine`](crate::Log::quarantine) the log can be opened anew, which for a replica
+    /// [`Log::quarantine`](crate::Log::quarantine) the log can be opened empty, which for a replica
     /// requires a new identity.
     #[error(
-        "{file} is damaged at byte {offset}: {reason}; the replica has to begin anew as after the loss of its disk"
+        "{file} is corrupted at byte {offset}: {reason}; the replica must start empty under a new identity, as after the loss of its disk"
     )]
     Corrupted {
-        /// Name of the segment.
+        /// File name of the corrupted segment.
         file: String,
         /// Offset of the corruption in the segment, in bytes.
         offset: u64,
@@ -70,7 +70,7 @@
     pub(crate) valid_bytes: u64,
 }
 
-/// Lists the files of one log among all files in the folder.
+/// Lists the files of one log; other files in the folder are ignored.
 pub(crate) fn list_files(disk: &dyn Disk, log: &str) -> Result<LogFiles, DiskError> {
     let mut files = LogFiles::default();
     for name in disk.list()? {
--- a/crates/storage/src/scan.rs
+++ b/crates/storage/src/scan.rs
@@ -1,10 +1,10 @@
 //! Scans a segment for its newest record, and distinguishes the torn end that a power loss leaves
 //! from corruption of synced bytes.
 //!
-//! Each frame records how far the segment had been synced when it was written, and the segment's
-//! final name shows that the first frame had been synced. Nothing shows that for the last of
-//! several frames, so corruption there is taken for a torn end; a marker written after each sync
-//! would show it, at the cost of a second write for each record.
+//! Each frame states how many bytes of the segment had been synced when the frame was written, and
+//! the segment's final name shows that its first frame had been synced. Nothing shows whether the
+//! last of several frames had been, so corruption there is taken for a torn end; a marker written
+//! after each sync would show it, at the cost of a second write for each record.
 
 use std::ops::Range;
 
@@ -77,7 +77,7 @@
 /// Rejects a segment in which a frame after `valid_end` shows that more bytes had been synced than
 /// are valid.
 ///
-/// Unsynced frames may be lost in any order, so a valid frame after an invalid one isn't enough.
+/// Unsynced frames may be lost in any order, so a valid frame after an invalid one alone does not show corruption.
 fn check_synced_frames(
     bytes: &[u8],
     valid_end: usize,
--- a/crates/storage/src/settings.rs
+++ b/crates/storage/src/settings.rs
@@ -18,14 +18,14 @@
     pub(crate) guards: Guards,
 }
 
-/// The safeguards of the log. Tests switch one off to show that its absence is detected.
+/// Safeguards of the log. Tests switch one off to show that its absence is detected.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Guards {
     /// Whether the checksums of frames are verified.
     pub(crate) checksums: Checksums,
     /// What happens to a file after a failure.
     pub(crate) after_failure: AfterFailure,
-    /// In which order the next segment is created and others are removed.
+    /// In which order the next segment is created and obsolete files are removed.
     pub(crate) replacement: SegmentReplacement,
     /// How the newest record is treated when a log is opened.
     pub(crate) on_open: OnOpen,
@@ -41,19 +41,20 @@
     )
 )]
 pub(crate) enum AfterFailure {
-    /// Nothing more is written to it: what it holds is unknown.
+    /// Nothing more is written to the file, as its durable content is unknown.
     StopWriting,
-    /// It is written on as if nothing had happened.
+    /// Later records are written to the same file, as if the operation had succeeded.
     ContinueWriting,
 }
 
-/// In which order the file of the next segment is created and obsolete ones are removed. The
+/// In which order the file of the next segment is created and obsolete files are removed. The
 /// unsafe variant exists for tests that show it failing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SegmentReplacement {
-    /// The next is created first, so that the highest sequence number in use is always visible.
+    /// The next segment is created first, so that the highest sequence number in use is always
+    /// visible.
     CreateFirst,
-    /// Obsolete ones are removed first.
+    /// Obsolete files are removed first.
     RemoveFirst,
 }
 
@@ -67,12 +68,12 @@
     )
 )]
 pub(crate) enum OnOpen {
-    /// It is rewritten into a new segment.
+    /// The record is rewritten into a new segment.
     Rewrite,
-    /// It is trusted as read; the next record starts a new segment.
+    /// The record is taken as durable without a rewrite; the next one starts a new segment.
     Trust,
-    /// It is trusted as read, and the next record is appended to its segment, whatever that ends
-    /// with.
+    /// The record is taken as durable without a rewrite, and the next one is appended to the end of
+    /// the same file, even if that end is torn.
     AppendAfterTornEnd,
 }
 
@@ -80,8 +81,8 @@
     /// Settings of a log on a disk of `disk_bytes`, of which the log uses an eighth at most.
     ///
     /// # Errors
-    /// When the name has characters other than lower-case letters, digits and `_`, or the space is
-    /// under 4 KiB.
+    /// When the name is empty or has characters other than lower-case letters, digits and `_`, or
+    /// an eighth of the disk is under 4 KiB.
     pub fn new(name: &str, disk_bytes: u64) -> Result<Self, SettingsError> {
         Self::with_space(name, disk_bytes / DISK_FRACTION)
     }
@@ -89,8 +90,8 @@
     /// Settings of a log that uses `space_bytes` at most.
     ///
     /// # Errors
-    /// When the name has characters other than lower-case letters, digits and `_`, or the space is
-    /// under 4 KiB.
+    /// When the name is empty or has characters other than lower-case letters, digits and `_`, or
+    /// the space is under 4 KiB.
     pub fn with_space(name: &str, space_bytes: u64) -> Result<Self, SettingsError> {
         let is_valid = name
             .bytes()
@@ -106,7 +107,8 @@
         Ok(Self::new_unchecked(name, space_bytes))
     }
 
-    /// Settings that the caller knows to be valid.
+    /// Settings without validation: the caller has checked the name and the space, or they are
+    /// constants.
     pub(crate) fn new_unchecked(name: &str, space_bytes: u64) -> Self {
         let guards = Guards {
             checksums: Checksums::Verify,
@@ -138,16 +140,16 @@
 /// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// The name has characters that aren't allowed in file names.
-    #[error("log name {name:?}: use lower-case letters, digits and _")]
+    /// The name is empty or has characters that aren't allowed in the names of a log's files.
+    #[error("invalid log name {name:?}: use lower-case letters, digits and _")]
     Name {
-        /// The name given.
+        /// The rejected name.
         name: String,
     },
-    /// The space is too small.
-    #[error("log space of {space_bytes} bytes: give 4096 at least")]
+    /// The space is below the minimum of 4 KiB.
+    #[error("log space of {space_bytes} bytes is too small: at least 4096 are required")]
     Space {
-        /// The space given, in bytes.
+        /// The rejected space, in bytes.
         space_bytes: u64,
     },
 }
--- a/crates/storage/src/testing.rs
+++ b/crates/storage/src/testing.rs
@@ -1,5 +1,5 @@
-//! Simulated disks for tests, and the contract that every disk must fulfil. Public, for the tests
-//! of other crates that store data.
+//! Simulated disks for tests, and checks of the contract of [`Disk`](crate::Disk) for any
+//! implementation. Public, for the tests of other crates that store data.
 
 mod contract;
 mod errors;
--- a/crates/storage/src/testing/contract.rs
+++ b/crates/storage/src/testing/contract.rs
@@ -1,4 +1,4 @@
-//! The contract of [`Disk`]: how every disk behaves, and how a log behaves on every disk.
+//! Checks of the contract of [`Disk`]: how a disk behaves, and how a log behaves on it.
 
 use std::sync::Arc;
 
@@ -11,13 +11,13 @@
 
 /// Name of the log.
 const LOG: &str = "contract";
-/// Space of the log, in bytes; small, so that segments change often.
+/// Space of the log, in bytes; small, so that new segments are started often.
 const SPACE_BYTES: u64 = 4096;
 
 /// Checks an implementation of [`Disk`]; `make_disk` returns a new, empty one at each call.
 ///
 /// # Panics
-/// When the disk, or a log on it, breaks the contract.
+/// When the disk, or a log on it, violates the contract.
 pub fn check_disk_contract(mut make_disk: impl FnMut() -> Arc<dyn Disk>) {
     files_keep_written_bytes(make_disk().as_ref());
     names_in_use_and_unknown_names_are_rejected(make_disk().as_ref());
--- a/crates/storage/src/testing/errors.rs
+++ b/crates/storage/src/testing/errors.rs
@@ -1,4 +1,4 @@
-//! The errors of simulated disks.
+//! Errors of simulated disks.
 
 use crate::disk::{DiskError, DiskOperation, FailureKind};
 
@@ -7,9 +7,19 @@
 }
 
 pub(super) fn name_exists(file: &str, operation: DiskOperation) -> DiskError {
-    DiskError::new(file, operation, FailureKind::Exists, "the name is taken")
+    DiskError::new(
+        file,
+        operation,
+        FailureKind::Exists,
+        "the name is already in use",
+    )
 }
 
 pub(super) fn full(file: &str, operation: DiskOperation) -> DiskError {
-    DiskError::new(file, operation, FailureKind::Full, "no room")
+    DiskError::new(
+        file,
+        operation,
+        FailureKind::Full,
+        "no space left on the disk",
+    )
 }
--- a/crates/storage/src/testing/faulty.rs
+++ b/crates/storage/src/testing/faulty.rs
@@ -14,7 +14,7 @@
 use crate::disk::{Disk, DiskError, DiskOperation, FailureKind};
 use names::Names;
 
-/// A disk in memory with injected faults, of which the details are random, from a seed.
+/// A disk in memory with injected faults; their random details are determined by a seed.
 ///
 /// A power loss keeps the synced content of each file. Each later write is independently present,
 /// missing or torn, or all are lost. Each name created, renamed or removed since the last sync of
@@ -40,7 +40,7 @@
 }
 
 impl FaultyDisk {
-    /// An empty disk without faults so far.
+    /// Creates an empty disk without faults.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         let state = State {
@@ -65,25 +65,26 @@
         self.lock().lose_power();
     }
 
-    /// Lets `operations` more succeed, interrupts the next one midway and fails all later ones,
-    /// until [`FaultyDisk::lose_power`] or [`FaultyDisk::clear_faults`].
+    /// Stops the disk after `operations` more operations: the next one is interrupted midway and
+    /// all later ones fail, until [`FaultyDisk::lose_power`] or [`FaultyDisk::clear_faults`].
     pub fn stop_after(&self, operations: u64) {
         self.lock().operations_left = Some(operations);
     }
 
-    /// Makes the disk full or not. A full disk rejects each write after a part of it.
+    /// Makes the disk full or not. A full disk creates no files, and each append fails after a
+    /// random part of the bytes.
     pub fn set_full(&self, full: bool) {
         self.lock().full = full;
     }
 
-    /// Makes the next `count` syncs of files fail. The pages are marked as clean then, whether or
+    /// Makes the next `count` syncs of files fail. Each marks the file's pages as clean, whether or
     /// not they are on the disk.
     pub fn fail_file_syncs(&self, count: u32) {
         self.lock().failing_file_syncs = count;
     }
 
-    /// Makes the next `count` syncs of the folder fail. The names are marked as synced then,
-    /// whether or not they are on the disk.
+    /// Makes the next `count` syncs of the folder fail. Each marks the names as synced, whether or
+    /// not they are on the disk.
     pub fn fail_folder_syncs(&self, count: u32) {
         self.lock().failing_folder_syncs = count;
     }
@@ -98,7 +99,7 @@
         self.gate.set_closed(true);
     }
 
-    /// Unblocks operations.
+    /// Ends a stall: blocked operations continue.
     pub fn release(&self) {
         self.gate.set_closed(false);
     }
@@ -135,7 +136,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Passes the gate and counts the operation.
+    /// Waits for the end of a stall, counts the operation and fails if there is no power.
     fn begin(
         &self,
         file: &str,
@@ -149,7 +150,7 @@
     }
 }
 
-/// Whether the operation is interrupted midway.
+/// The error with which an operation is interrupted midway, if it is.
 struct Interruption(Option<DiskError>);
 
 impl Interruption {
--- a/crates/storage/src/testing/faulty/names.rs
+++ b/crates/storage/src/testing/faulty/names.rs
@@ -1,4 +1,4 @@
-//! The names in a folder: in the cache, and after a power loss.
+//! The file names in a simulated folder, in the cache and on the disk.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::disk::{DiskError, DiskOperation};
 use crate::testing::errors::{name_exists, not_found};
 
-/// The names with their inode numbers.
+/// File names with their inode numbers.
 #[derive(Debug, Default)]
 pub(super) struct Names {
     visible: BTreeMap<String, u64>,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A sync that fails: each change reaches the disk or not, and all are marked as synced.
+    /// Simulates a failed sync: each change reaches the disk or not, and all are marked as synced.
     pub(super) fn fail_sync(&mut self, random: &mut Xoshiro256PlusPlus) {
         for change in std::mem::take(&mut self.changes) {
             if random.random_bool(0.5) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A power loss: each unsynced change is kept or lost, or all are lost.
+    /// Simulates a power loss: each unsynced change is kept or lost, or all are lost.
     pub(super) fn lose_power(&mut self, random: &mut Xoshiro256PlusPlus) {
         if random.random_bool(0.25) {
             self.changes.clear();
--- a/crates/storage/src/testing/inode.rs
+++ b/crates/storage/src/testing/inode.rs
@@ -1,4 +1,4 @@
-//! The content of a file: in the page cache, and after a power loss.
+//! The content of a simulated file, in the page cache and on the disk.
 
 use rand::RngExt;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -6,12 +6,12 @@
 /// Size of the units that are written atomically, in bytes; small, so that small records can tear.
 const SECTOR_BYTES: usize = 16;
 
-/// A file without its name.
+/// The content of a file, without its name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Inode {
-    /// The content in the page cache.
+    /// The content in the page cache, which reads return.
     pub(super) cached: Vec<u8>,
-    /// The content on the disk.
+    /// The content on the disk, which is left after a power loss.
     durable: Vec<u8>,
     /// The writes since the last sync (dirty pages).
     writes: Vec<Write>,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A sync that fails: each write reaches the disk or not, and all are marked as clean.
+    /// Simulates a failed sync: each write reaches the disk or not, and all are marked as clean.
     pub(super) fn fail_sync(&mut self, random: &mut Xoshiro256PlusPlus) {
         for write in std::mem::take(&mut self.writes) {
             if random.random_bool(0.5) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A power loss: each unsynced write is present, missing or torn, or all are lost.
+    /// Simulates a power loss: each unsynced write is present, missing or torn, or all are lost.
     pub(super) fn lose_power(&mut self, random: &mut Xoshiro256PlusPlus) {
         let writes = std::mem::take(&mut self.writes);
         if !random.random_bool(0.25) {
@@ -61,6 +61,7 @@
         self.cached = self.durable.clone();
     }
 
+    /// Puts all of a write, a prefix, some of its sectors or nothing on the disk.
     fn persist_partially(&mut self, write: &Write, random: &mut Xoshiro256PlusPlus) {
         match random.random_range(0..4) {
             0 => {}
--- a/crates/storage/src/testing/memory.rs
+++ b/crates/storage/src/testing/memory.rs
@@ -21,7 +21,7 @@
 }
 
 impl MemoryDisk {
-    /// An empty disk of `capacity` bytes.
+    /// Creates an empty disk of `capacity` bytes.
     #[must_use]
     pub fn new(capacity: u64) -> Self {
         Self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Changes the size, in bytes. Files stay even if they no longer fit.
+    /// Changes the capacity, in bytes. Files stay even if they no longer fit.
     pub fn set_capacity(&self, capacity: u64) {
         self.lock().capacity = capacity;
     }
--- a/crates/storage/src/testing/stall.rs
+++ b/crates/storage/src/testing/stall.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 
-/// A gate that every operation passes, and that blocks them while it is closed.
+/// A gate that blocks every operation while it is closed.
 #[derive(Debug, Default)]
 pub(super) struct StallGate {
     state: Mutex<State>,
--- a/crates/storage/src/testing/unsafe_disk.rs
+++ b/crates/storage/src/testing/unsafe_disk.rs
@@ -1,4 +1,4 @@
-//! A disk without durability guarantees: it omits one safeguard, as a faulty program would.
+//! A disk that omits one safeguard, as a faulty program would, to show that tests detect it.
 
 use std::sync::Arc;
 
@@ -7,15 +7,17 @@
 /// A safeguard that an [`UnsafeDisk`] omits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Safeguard {
-    /// Syncing the folder.
+    /// Syncs of the folder: they succeed without doing anything.
     FolderSync,
-    /// Syncing files.
+    /// Syncs of files: they succeed without doing anything.
     FileSync,
-    /// Giving up a file after a failed sync: the sync is retried and its success believed.
+    /// Giving up a file after a failed sync: the sync is retried once instead, and the result of the
+    /// retry is returned.
     StopAfterFailedSync,
 }
 
-/// Forwards all operations except for the omitted safeguard. A test that passes on it is too weak.
+/// A [`Disk`] that forwards all operations except for the omitted safeguard. A test of durability
+/// that passes on it is too weak.
 pub struct UnsafeDisk {
     disk: Arc<dyn Disk>,
     omitted: Safeguard,
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -44,8 +44,8 @@
     R: Serialize + DeserializeOwned + Supersedes + Send + 'static,
     T: Send + 'static,
 {
-    /// Starts the thread. `clock` is a monotonic clock; `complete` is called on the thread and must
-    /// not block.
+    /// Starts the thread. `clock` is a monotonic clock, read at the start of each batch for
+    /// [`Activity::Busy`]; `complete` is called on the thread and must not block.
     ///
     /// # Errors
     /// When the system cannot start a thread.
@@ -70,18 +70,19 @@
         })
     }
 
-    /// Submits a record; its completion carries the token.
+    /// Queues a record without waiting for the disk; its completion carries `token`.
     pub fn submit(&self, record: R, token: T) {
         self.queue.push(record, token);
     }
 
-    /// The current state of the writer.
+    /// What the thread is doing, the last failure and the length of the queue.
     #[must_use]
     pub fn health(&self) -> Health {
         self.queue.health()
     }
 
-    /// Waits until the submitted records are written and the thread has ended.
+    /// Waits until the submitted records have completed, with success or an error, and the thread
+    /// has ended.
     pub fn finish(mut self) {
         self.queue.close();
         if let Some(thread) = self.thread.take() {
@@ -96,7 +97,7 @@
     }
 }
 
-/// The state of the thread.
+/// What the thread owns.
 struct Worker<R, T, Clock, Complete> {
     log: Log<R>,
     queue: Arc<Queue<R, T>>,
@@ -129,7 +130,7 @@
     }
 }
 
-/// Records that the thread has ended, also after a panic.
+/// Sets [`Activity::Stopped`] when the thread ends, also by a panic.
 struct StoppedOnDrop<R, T>(Arc<Queue<R, T>>);
 
 impl<R, T> Drop for StoppedOnDrop<R, T> {
--- a/crates/storage/src/writer/health.rs
+++ b/crates/storage/src/writer/health.rs
@@ -1,4 +1,4 @@
-//! The state of a writer, for monitoring.
+//! Health of a writer, for monitoring.
 
 use std::time::Duration;
 
@@ -7,26 +7,26 @@
 /// The activity of the writer's thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Activity {
-    /// It waits for records.
+    /// Waiting for records.
     Idle,
-    /// It writes and syncs a batch.
+    /// Writing and syncing a batch. One that takes long shows a stalled disk.
     Busy {
         /// When the batch was started, on the clock passed to
         /// [`Writer::spawn`](crate::Writer::spawn).
         since: Duration,
     },
-    /// It has ended.
+    /// The thread has ended, by a panic or after the writer was finished or dropped.
     Stopped,
 }
 
-/// The state of a writer, for monitoring.
+/// Health of a writer, for monitoring.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Health {
-    /// The activity of the writer's thread.
+    /// Whether the thread is idle, busy or stopped.
     pub activity: Activity,
-    /// The failure after which the log hasn't been reopened yet; the next submitted record tries
-    /// to.
+    /// The failure after which the log hasn't been reopened yet, if any; the next batch tries to
+    /// reopen it.
     pub failure: Option<DiskError>,
-    /// Submitted records that no batch includes yet.
+    /// Number of submitted records that no batch includes yet, with superseded ones.
     pub queued: usize,
 }
--- a/crates/storage/src/writer/queue.rs
+++ b/crates/storage/src/writer/queue.rs
@@ -7,13 +7,14 @@
 
 use super::health::{Activity, Health};
 
-/// Records that can make earlier ones obsolete, so that only the newer one is written.
+/// A record that can make earlier ones obsolete, so that only the newer one is written.
 pub trait Supersedes {
     /// Whether `earlier` need not be written if `self` is.
     fn supersedes(&self, earlier: &Self) -> bool;
 }
 
-/// Records that are written together, with the tokens of these and of the ones they superseded.
+/// Records that are written and synced together, with the tokens of these and of the records that
+/// they superseded.
 pub(super) struct Batch<R, T> {
     pub(super) records: Vec<R>,
     pub(super) tokens: Vec<T>,
--- a/crates/storage/tests/arbitrary_bytes.rs
+++ b/crates/storage/tests/arbitrary_bytes.rs
@@ -131,7 +131,7 @@
         }
         match open(&bytes) {
             Ok(Recovered::Found { record, .. }) => prop_assert!(records.contains(&record)),
-            Ok(Recovered::Empty) => prop_assert!(false, "a damaged segment is not an empty folder"),
+            Ok(Recovered::Empty) => prop_assert!(false, "a corrupted segment was read as an empty folder"),
             outcome => prop_assert!(is_corrupted(&outcome), "{:?}", outcome),
         }
     }
@@ -161,7 +161,7 @@
         let cut = first + cut.index(bytes.len() - first);
         let whole = (1..=records.len()).rev().find(|count| segment(&records[..*count]).len() <= cut);
         let expected = records[whole.expect("the first frame is whole") - 1].clone();
-        let found = open(&bytes[..cut]).expect("a torn end is no damage");
+        let found = open(&bytes[..cut]).expect("a torn end is not corruption");
         let record = match found {
             Recovered::Empty => None,
             Recovered::Found { record, .. } => Some(record),
--- a/crates/storage/tests/failed_sync.rs
+++ b/crates/storage/tests/failed_sync.rs
@@ -1,9 +1,9 @@
 //! A write or sync fails, the record is rewritten to another file, and the process is killed or the
-//! power lost after any disk operation of that: a record that was reported as durable is recovered,
-//! and one that was recovered as durable is recovered again.
+//! power lost after any disk operation of the rewrite: a record that was reported as durable is
+//! recovered, and one that was recovered as durable is recovered again.
 //!
-//! After a failed sync the page cache may show what the disk doesn't hold, and a second sync of the
-//! same file may succeed without writing anything («Can Applications Recover from fsync Failures?»,
+//! After a failed sync the page cache may hold what the disk doesn't, and a second sync of the same
+//! file may succeed without writing anything ("Can Applications Recover from fsync Failures?",
 //! 2020). The disk here drops or keeps each write of a failed sync by its seed, and marks all of
 //! them as clean.
 
--- a/crates/storage/tests/identity.rs
+++ b/crates/storage/tests/identity.rs
@@ -1,4 +1,4 @@
-//! The identity over power losses, kills and full disks.
+//! A stored identity is kept through power losses, full disks and restarts.
 
 use std::sync::Arc;
 
--- a/crates/storage/tests/kill.rs
+++ b/crates/storage/tests/kill.rs
@@ -28,7 +28,7 @@
 
 /// The child process: writes and reports until it is killed.
 #[test]
-#[ignore = "run by the test below in a process of its own"]
+#[ignore = "child process of a_killed_process_recovers_the_records_it_reported"]
 fn writes_until_killed() {
     let Some(folder) = std::env::var_os(FOLDER_VARIABLE) else {
         return;
