--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-/// One folder of files on a disk, without subfolders.
+/// One folder of files on a disk.
 ///
 /// Nothing is durable before a sync: [`Disk::sync_file`] covers a file's bytes,
 /// [`Disk::sync_folder`] the names. An operation may block for as long as the disk does.
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -25,10 +25,10 @@
 //! answer that relies on the record before [`Log::reopen`] has succeeded with it. Until then the
 //! failure is like a crash in the middle of the write: the failed file may or may not hold the
 //! record, so a later start recovers it or the previous one, and rewrites what it recovered before
-//! relying on it; neither contradicts an answer. The new file doesn't share a page with the one that failed, its
-//! sync covers all of its bytes, and its sequence number is the highest, so that it supersedes the
-//! failed one in any state. `tests/failed_sync.rs` kills the process or cuts the power after each
-//! operation of this sequence.
+//! relying on it; neither contradicts an answer. The new file doesn't share a page with the one
+//! that failed, its sync covers all of its bytes, and its sequence number is the highest, so that
+//! it supersedes the failed one in any state. `tests/failed_sync.rs` kills the process or cuts the
+//! power after each operation of this sequence.
 //!
 //! ```
 //! use std::sync::Arc;
--- a/crates/storage/src/log/segments.rs
+++ b/crates/storage/src/log/segments.rs
@@ -65,7 +65,7 @@
     }
 
     /// Appends to the newest segment found instead of a new one; only for tests, which show that
-    /// records are lost then.
+    /// this loses records.
     pub(super) fn resume_newest(&mut self, length: u64, synced_end: u64) {
         let Some(sequence) = self.retained.pop() else {
             return;
@@ -124,8 +124,8 @@
     /// Starts a segment under a temporary name.
     ///
     /// The file is created before obsolete ones are removed, so that the highest sequence number in
-    /// use is always visible: if a number were reused, a removed segment that reappears after a power loss
-    /// could supersede a newer one.
+    /// use is always visible: if a number were reused, a removed segment that reappears after a
+    /// power loss could supersede a newer one.
     fn start_segment(&mut self, payload: &[u8]) -> Result<(), DiskError> {
         self.close_current();
         if self.settings.guards.replacement == SegmentReplacement::RemoveFirst {
--- a/crates/storage/src/log/tests/failures.rs
+++ b/crates/storage/src/log/tests/failures.rs
@@ -186,8 +186,8 @@
     assert!(wrong.count() > 0);
 }
 
-/// Record 2 is written in part because the disk is full, the process is killed, record 3 is reported
-/// as durable and the power is lost. Returns the record that is recovered then.
+/// Record 2 is written in part because the disk is full, the process is killed, record 3 is
+/// reported as durable and the power is lost. Returns the record that is recovered then.
 fn recover_after_torn_end(seed: u64, on_open: OnOpen) -> Option<u64> {
     let disk = Arc::new(FaultyDisk::new(seed));
     let mut settings = LogSettings::new_unchecked("failures", 4096);
--- a/crates/storage/src/real_disk.rs
+++ b/crates/storage/src/real_disk.rs
@@ -11,8 +11,8 @@
 /// Path of the current directory, also the name of the disk's folder in errors.
 const FOLDER: &str = ".";
 
-/// A [`Disk`] on a folder of the file system. Keeps a descriptor open for each file that was created
-/// through it, until the file is removed.
+/// A [`Disk`] on a folder of the file system. Keeps a descriptor open for each file that was
+/// created through it, until the file is removed.
 #[derive(Debug)]
 pub struct RealDisk {
     folder: PathBuf,
--- a/crates/storage/src/scan.rs
+++ b/crates/storage/src/scan.rs
@@ -77,7 +77,8 @@
 /// Rejects a segment in which a frame after `valid_end` shows that more bytes had been synced than
 /// are valid.
 ///
-/// Unsynced frames may be lost in any order, so a valid frame after an invalid one alone does not show corruption.
+/// Unsynced frames may be lost in any order, so a valid frame after an invalid one does not show
+/// corruption by itself.
 fn check_synced_frames(
     bytes: &[u8],
     valid_end: usize,
--- a/crates/storage/src/testing/unsafe_disk.rs
+++ b/crates/storage/src/testing/unsafe_disk.rs
@@ -11,8 +11,8 @@
     FolderSync,
     /// Syncs of files: they succeed without doing anything.
     FileSync,
-    /// Giving up a file after a failed sync: the sync is retried once instead, and the result of the
-    /// retry is returned.
+    /// Giving up a file after a failed sync: the sync is retried once instead, and the result of
+    /// the retry is returned.
     StopAfterFailedSync,
 }
 
--- a/crates/storage/src/writer/health.rs
+++ b/crates/storage/src/writer/health.rs
@@ -27,6 +27,6 @@
     /// The failure after which the log hasn't been reopened yet, if any; the next batch tries to
     /// reopen it.
     pub failure: Option<DiskError>,
-    /// Number of submitted records that no batch includes yet, with superseded ones.
+    /// Number of submitted records that no batch includes yet, including superseded ones.
     pub queued: usize,
 }
--- a/crates/storage/tests/writer_histories.rs
+++ b/crates/storage/tests/writer_histories.rs
@@ -88,8 +88,8 @@
         .map(|completion| completion.token)
 }
 
-/// Whether an incarnation does not recover a record that the one before completed, recovers one that
-/// was never submitted, or cannot open the log.
+/// Whether an incarnation does not recover a record that the one before completed, recovers one
+/// that was never submitted, or cannot open the log.
 fn violates_durability(seed: u64, wrap: &dyn Fn(Arc<FaultyDisk>) -> Arc<dyn Disk>) -> bool {
     let disk = Arc::new(FaultyDisk::new(seed));
     let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
