--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -16,7 +16,7 @@
 
     /// A clock that reads the time returned by `read`.
     #[cfg(test)]
-    pub(crate) fn read_by(read: impl Fn() -> Duration + 'static) -> Self {
+    pub(crate) fn from_fn(read: impl Fn() -> Duration + 'static) -> Self {
         Clock(Rc::new(read))
     }
 
--- a/crates/coordinator/src/event_loop.rs
+++ b/crates/coordinator/src/event_loop.rs
@@ -23,7 +23,7 @@
 use crate::links::{self, Links};
 use crate::node::CoordinatorNode;
 use crate::peers::Peers;
-use crate::register_log::Persisted;
+use crate::register_log::WriteCompletion;
 use crate::replica::{OpenedReplica, RegisterReplica};
 
 /// Interval of the node's periodic work: expiry of endpoints and keep-alive frames.
@@ -35,7 +35,7 @@
     node: Rc<RefCell<CoordinatorNode>>,
     overlay: OverlayHandle,
     commands: mpsc::UnboundedReceiver<Command>,
-    completions: mpsc::UnboundedReceiver<Persisted>,
+    completions: mpsc::UnboundedReceiver<WriteCompletion>,
     entries: mpsc::UnboundedReceiver<Entry>,
     tick: Interval,
     reload: Signal,
@@ -114,7 +114,7 @@
             let wake_at = self.started + self.node.borrow().wake_at();
             tokio::select! {
                 Some(completion) = self.completions.recv() => {
-                    self.node.borrow_mut().persisted(completion);
+                    self.node.borrow_mut().handle_write_completion(completion);
                 }
                 () = tokio::time::sleep_until(wake_at.into()) => self.node.borrow_mut().wake(),
                 Some(entry) = self.entries.recv() => self.node.borrow_mut().receive_entry(&entry),
--- a/crates/coordinator/src/event_loop/tests.rs
+++ b/crates/coordinator/src/event_loop/tests.rs
@@ -13,11 +13,11 @@
     actix_rt::System::new().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let ip = Ipv4Addr::new(127, 92, 17, 1);
-        let first = first_of_own_free_ports(&[ip.into()], 4).expect("free ports");
+        let first_port = first_of_own_free_ports(&[ip.into()], 4).expect("free ports");
         let text = format!(
-            "node_name: m1\nip_address: {ip}\nzone: z\nregion: r\ninternal_port_range: [{first}, {}]\n\
+            "node_name: m1\nip_address: {ip}\nzone: z\nregion: r\ninternal_port_range: [{first_port}, {}]\n\
              bootstrap: true\ndata_directory: {}\nlimits: {{disk_mb: 16}}\n",
-            first + 3,
+            first_port + 3,
             folder.path().display()
         );
         let settings = Settings::parse(folder.path(), &text).expect("valid settings");
--- a/crates/coordinator/src/links.rs
+++ b/crates/coordinator/src/links.rs
@@ -99,7 +99,7 @@
 impl SubscriberError {
     /// Whether the subscriber runs another version of the program, so that no later link will do
     /// better.
-    fn is_mismatch(&self) -> bool {
+    fn is_version_mismatch(&self) -> bool {
         match self {
             SubscriberError::UnsupportedProtocol(_)
             | SubscriberError::Link(link::Error::Decode { .. }) => true,
@@ -124,7 +124,7 @@
                     };
                     // Other links fail whenever another node restarts; the node has unsubscribed
                     // the subscriber by then.
-                    if error.is_mismatch()
+                    if error.is_version_mismatch()
                         && let Some(suppressed) = mismatches.borrow_mut().admit(Instant::now())
                     {
                         warn!(
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -24,7 +24,7 @@
 use crate::pending_reports::PendingReports;
 use crate::published_endpoints::PublishedEndpoints;
 use crate::publisher::EntryPublisher;
-use crate::register_log::Persisted;
+use crate::register_log::WriteCompletion;
 use crate::replica::{RegisterReplica, ReplicaOutput};
 use crate::subscribers::{KeepAlive, Subscribers};
 use crate::value::ControlValue;
@@ -90,9 +90,9 @@
     }
 
     /// Handles the completion of a write of the register's record.
-    pub(crate) fn persisted(&mut self, completion: Persisted) {
+    pub(crate) fn handle_write_completion(&mut self, completion: WriteCompletion) {
         self.check_contact();
-        let outputs = self.replica.persisted(completion);
+        let outputs = self.replica.handle_write_completion(completion);
         self.apply(outputs);
     }
 
@@ -116,7 +116,7 @@
 
     /// Begins the graceful shutdown.
     pub(crate) fn leave(&mut self) {
-        self.enter(ContactState::Leaving);
+        self.set_contact_state(ContactState::Leaving);
         let outputs = self.replica.leave();
         self.apply(outputs);
     }
@@ -125,20 +125,20 @@
     /// place.
     pub(crate) fn can_transfer_replica(&self) -> bool {
         self.replica
-            .members()
-            .is_some_and(|members| self.peers.open_links() + 1 > members)
+            .replica_set_size()
+            .is_some_and(|size| self.peers.open_links() + 1 > size)
     }
 
     /// Updates the state of the quorum contact by its age, and completes pending reports.
     fn check_contact(&mut self) {
         let state = self.contact.after_check(self.replica.is_in_contact());
-        self.enter(state);
+        self.set_contact_state(state);
         self.pending_reports
             .complete(self.clock.now(), self.replica.quorum_checked_at());
     }
 
     /// Changes the state of the quorum contact.
-    fn enter(&mut self, state: ContactState) {
+    fn set_contact_state(&mut self, state: ContactState) {
         let previous = std::mem::replace(&mut self.contact, state);
         if previous == state {
             return;
@@ -166,7 +166,7 @@
 
     fn on_catch_up_completed(&mut self, result: CatchUp) {
         match result {
-            CatchUp::Succeeded => self.enter(self.contact.after_catch_up()),
+            CatchUp::Succeeded => self.set_contact_state(self.contact.after_catch_up()),
             CatchUp::Failed if self.contact == ContactState::CatchingUp => self.catch_up(),
             CatchUp::Failed => {}
         }
--- a/crates/coordinator/src/node/tests.rs
+++ b/crates/coordinator/src/node/tests.rs
@@ -16,12 +16,12 @@
 use cluster::{Cluster, body, configure, delete, evacuate, heartbeat, read_configuration, resolve};
 
 /// Time after which contact is lost and the timer that checks it has run.
-fn loss() -> Duration {
+fn contact_loss_time() -> Duration {
     contact_timeout(&TimingBounds::default()) + Duration::from_millis(300)
 }
 
 /// Time within which contact returns: one interval of the contact checks and the catch-up read.
-const RETURN: Duration = Duration::from_millis(350);
+const CONTACT_RETURN_TIME: Duration = Duration::from_millis(350);
 
 #[test]
 fn in_contact_all_requests_are_acknowledged() {
@@ -46,7 +46,7 @@
 }
 
 /// Checks a coordinator that is partitioned in each direction, and in both.
-fn for_each_partition(assert: impl Fn(&mut Cluster)) {
+fn for_each_partition(check: impl Fn(&mut Cluster)) {
     for partition in [
         Cluster::partition,
         Cluster::partition_from,
@@ -55,8 +55,8 @@
         let mut cluster = Cluster::new(3);
         assert_eq!(cluster.status(0, configure(3, 0)), 200);
         partition(&mut cluster, 0);
-        cluster.run(loss());
-        assert(&mut cluster);
+        cluster.run(contact_loss_time());
+        check(&mut cluster);
     }
 }
 
@@ -120,7 +120,7 @@
     assert_eq!(cluster.status(1, heartbeat("there", 1, Ready)), 200);
     cluster.deliver_published(1);
     cluster.partition(0);
-    cluster.run(loss());
+    cluster.run(contact_loss_time());
     for sequence in 2..20 {
         assert_eq!(cluster.status(0, heartbeat("here", sequence, Ready)), 503);
         assert_eq!(cluster.status(1, heartbeat("there", sequence, Ready)), 200);
@@ -140,14 +140,17 @@
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.status(0, configure(3, 0)), 200);
     cluster.partition(0);
-    cluster.run(loss());
+    cluster.run(contact_loss_time());
     assert_eq!(cluster.status(1, configure(6, 3)), 200);
     cluster.run(Duration::from_secs(20));
     assert_eq!(cluster.status(0, heartbeat("i", 1, Ready)), 503);
     cluster.partitions.clear();
-    let mut steps = 0..RETURN.as_millis() / 10;
+    let mut steps = 0..CONTACT_RETURN_TIME.as_millis() / 10;
     while !cluster.members[0].published.in_contact.get() {
-        assert!(steps.next().is_some(), "not in contact within {RETURN:?}");
+        assert!(
+            steps.next().is_some(),
+            "not in contact within {CONTACT_RETURN_TIME:?}"
+        );
         cluster.step();
     }
     assert_eq!(
@@ -174,7 +177,7 @@
     let mut reply = cluster.submit(0, configure(3, 0));
     assert_eq!(reply.try_recv().expect("at once").status, 503);
     assert!(!cluster.members[0].published.in_contact.get());
-    cluster.run(RETURN);
+    cluster.run(CONTACT_RETURN_TIME);
     assert_eq!(cluster.status(0, heartbeat("i", 4, Ready)), 200);
 }
 
@@ -300,7 +303,7 @@
         503
     );
     assert_eq!(cluster.status(0, configure(3, 0)), 200);
-    cluster.run(RETURN);
+    cluster.run(CONTACT_RETURN_TIME);
     assert!(cluster.members[0].published.in_contact.get());
 }
 
@@ -331,7 +334,7 @@
 fn without_any_majority_clients_still_resolve_direct_gates() {
     let mut cluster = Cluster::new(3);
     (0..3).for_each(|number| cluster.partition(number));
-    cluster.run(loss());
+    cluster.run(contact_loss_time());
     for number in 0..3 {
         let region = format!("r{number}");
         cluster.report_gate(number, 80, &region);
--- a/crates/coordinator/src/node/tests/cluster.rs
+++ b/crates/coordinator/src/node/tests/cluster.rs
@@ -23,7 +23,7 @@
 use crate::outcome::{ChangeOutcome, ReadOutcome, RegistrationOutcome, ResolveOutcome};
 use crate::peers::Peers;
 use crate::publisher::EntryPublisher;
-use crate::register_log::Persisted;
+use crate::register_log::WriteCompletion;
 use crate::replica::{OpenedReplica, RegisterReplica};
 use crate::resolve::Query;
 use crate::subscribers::SubscriberKind;
@@ -81,7 +81,7 @@
     pub published: Rc<PublishedState>,
     /// Keep-alive frames for an agent that has subscribed.
     pub keep_alives: mpsc::UnboundedReceiver<FromCoordinator>,
-    completions: mpsc::UnboundedReceiver<Persisted>,
+    completions: mpsc::UnboundedReceiver<WriteCompletion>,
     outgoing: Vec<(usize, mpsc::UnboundedReceiver<ToCoordinator>)>,
     inbox: VecDeque<ToCoordinator>,
 }
@@ -332,7 +332,7 @@
     let settings = settings(folder, number, count);
     let log = Logger::root(Discard, o!());
     let clock = Rc::clone(now);
-    let clock = Clock::read_by(move || clock.get());
+    let clock = Clock::from_fn(move || clock.get());
     let OpenedReplica {
         replica,
         completions,
@@ -369,7 +369,7 @@
         }
         while self.node.replica.is_writing() {
             let completion = self.completions.blocking_recv().expect("a completion");
-            self.node.persisted(completion);
+            self.node.handle_write_completion(completion);
         }
         if is_tick {
             self.node.tick();
--- a/crates/coordinator/src/node/tests/mixed_versions.rs
+++ b/crates/coordinator/src/node/tests/mixed_versions.rs
@@ -9,7 +9,7 @@
 use crate::directory::ConfigurationParser;
 
 /// The generation that the older version cannot parse.
-const UNREADABLE: u64 = 5;
+const UNREADABLE_GENERATION: u64 = 5;
 /// The coordinator that is of the older version.
 const OLDER: usize = 0;
 /// One of the newer version.
@@ -18,7 +18,7 @@
 /// As the older version parses.
 fn parse_older(body: &[u8]) -> Result<Configuration, ConfigurationError> {
     let configuration = Configuration::parse(body)?;
-    if configuration.generation == UNREADABLE {
+    if configuration.generation == UNREADABLE_GENERATION {
         return Err(ConfigurationError::ZeroTimeout("r".to_string()));
     }
     Ok(configuration)
@@ -42,7 +42,10 @@
 
 /// Puts a generation in force that only the newer version can parse.
 fn configure_unreadable(cluster: &mut Cluster, base: u64) {
-    assert_eq!(cluster.status(NEWER, configure(UNREADABLE, base)), 200);
+    assert_eq!(
+        cluster.status(NEWER, configure(UNREADABLE_GENERATION, base)),
+        200
+    );
     cluster.run(Duration::from_millis(500));
     report_gates(cluster);
 }
@@ -104,8 +107,14 @@
 fn a_coordinator_that_cannot_parse_the_configuration_is_visible_to_its_peers_and_agents() {
     let mut cluster = mixed_cluster();
     configure_unreadable(&mut cluster, 0);
-    assert_eq!(unreadable_at_older(&cluster, NEWER), Some(UNREADABLE));
-    assert_eq!(unreadable_at_older(&cluster, 2), Some(UNREADABLE));
+    assert_eq!(
+        unreadable_at_older(&cluster, NEWER),
+        Some(UNREADABLE_GENERATION)
+    );
+    assert_eq!(
+        unreadable_at_older(&cluster, 2),
+        Some(UNREADABLE_GENERATION)
+    );
     assert!(!cluster.members[OLDER].published.in_contact.get());
     assert_eq!(cluster.members[OLDER].keep_alive_in_contact(), Some(false));
     assert_eq!(cluster.members[NEWER].keep_alive_in_contact(), Some(true));
@@ -120,7 +129,10 @@
     cluster.partitions.clear();
     cluster.link(OLDER, NEWER);
     cluster.run(Duration::from_millis(100));
-    assert_eq!(unreadable_at_older(&cluster, NEWER), Some(UNREADABLE));
+    assert_eq!(
+        unreadable_at_older(&cluster, NEWER),
+        Some(UNREADABLE_GENERATION)
+    );
 }
 
 #[test]
@@ -128,7 +140,10 @@
     let mut cluster = mixed_cluster();
     configure_unreadable(&mut cluster, 0);
     assert_eq!(cluster.status(OLDER, evacuate("z9")), 503);
-    assert_eq!(cluster.status(OLDER, configure(7, UNREADABLE)), 200);
+    assert_eq!(
+        cluster.status(OLDER, configure(7, UNREADABLE_GENERATION)),
+        200
+    );
     cluster.run(Duration::from_millis(500));
     assert_eq!(cluster.members[OLDER].published_generation(), Some(7));
     assert_eq!(cluster.status(OLDER, evacuate("z9")), 200);
--- a/crates/coordinator/src/record_writer.rs
+++ b/crates/coordinator/src/record_writer.rs
@@ -9,7 +9,7 @@
 use ironmast_register::{PersistToken, Record};
 use slog::{Logger, warn};
 
-use crate::register_log::{Persisted, RegisterLog};
+use crate::register_log::{RegisterLog, WriteCompletion};
 use crate::value::ControlValue;
 
 /// Delay before a failed write is retried.
@@ -74,7 +74,7 @@
     pub(crate) fn completed(
         &mut self,
         now: Duration,
-        completion: Persisted,
+        completion: WriteCompletion,
     ) -> Option<PersistToken> {
         self.pending
             .as_ref()
--- a/crates/coordinator/src/register_log.rs
+++ b/crates/coordinator/src/register_log.rs
@@ -46,7 +46,7 @@
 }
 
 /// Completion of a write: the record is durable, or writing it has failed.
-pub(crate) type Persisted = Completion<PersistToken>;
+pub(crate) type WriteCompletion = Completion<PersistToken>;
 
 /// A log that was opened, and what was recovered from it.
 pub(crate) struct OpenedLog {
@@ -55,7 +55,7 @@
     /// The newest record.
     pub recovered: RecoveredRecord,
     /// Completions of the log's writes, in order.
-    pub completions: mpsc::UnboundedReceiver<Persisted>,
+    pub completions: mpsc::UnboundedReceiver<WriteCompletion>,
 }
 
 /// The open log.
--- a/crates/coordinator/src/register_log/tests.rs
+++ b/crates/coordinator/src/register_log/tests.rs
@@ -11,10 +11,10 @@
 
 mod stored_format;
 
-const DISK: u64 = 8;
+const DISK_MB: u64 = 8;
 
 fn open(folder: &Path) -> OpenedLog {
-    RegisterLog::open(folder, DISK, &Logger::root(Discard, o!())).expect("open")
+    RegisterLog::open(folder, DISK_MB, &Logger::root(Discard, o!())).expect("open")
 }
 
 /// Opens the log and writes a record durably.
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -19,7 +19,7 @@
 use crate::outcome::{ChangeOutcome, ReadOutcome};
 use crate::pending_operations::{CompletedOperation, PendingOperations};
 use crate::record_writer::RecordWriter;
-use crate::register_log::{OpenedLog, Persisted, RecoveredRecord, RegisterLog};
+use crate::register_log::{OpenedLog, RecoveredRecord, RegisterLog, WriteCompletion};
 use crate::value::ControlValue;
 
 /// Deadline of an operation. Callers wait for one second.
@@ -45,8 +45,8 @@
 pub(crate) struct OpenedReplica {
     /// The replica.
     pub replica: RegisterReplica,
-    /// Completions of its writes, to be passed to [`RegisterReplica::persisted`].
-    pub completions: mpsc::UnboundedReceiver<Persisted>,
+    /// Completions of its writes, to be passed to [`RegisterReplica::handle_write_completion`].
+    pub completions: mpsc::UnboundedReceiver<WriteCompletion>,
 }
 
 /// The register's protocol node with its record and its pending operations.
@@ -107,7 +107,7 @@
     }
 
     /// Size of the replica set, if this replica is a member.
-    pub(crate) fn members(&self) -> Option<usize> {
+    pub(crate) fn replica_set_size(&self) -> Option<usize> {
         let state = self.node.chosen().filter(|_| self.node.is_member())?;
         Some(state.members.latest().len())
     }
@@ -203,7 +203,10 @@
     }
 
     /// Handles the completion of a write.
-    pub(crate) fn persisted(&mut self, completion: Persisted) -> Vec<ReplicaOutput> {
+    pub(crate) fn handle_write_completion(
+        &mut self,
+        completion: WriteCompletion,
+    ) -> Vec<ReplicaOutput> {
         match self.writer.completed(self.clock.now(), completion) {
             Some(token) => self.handle(Event::Persisted(token)),
             None => Vec::new(),
