--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -1,26 +1,26 @@
-//! The monotonic clock of a coordinator. Tests set it by hand.
+//! The monotonic clock of a coordinator, which tests replace by one that they advance.
 
 use std::fmt;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Reads the time since the start of the process; all clones read the same time.
+/// A monotonic clock; all clones read the same time.
 #[derive(Clone)]
 pub(crate) struct Clock(Rc<dyn Fn() -> Duration>);
 
 impl Clock {
-    /// A clock that reads the time since `start`.
+    /// Creates a clock that reads the time since `start`.
     pub(crate) fn since(start: Instant) -> Self {
         Clock(Rc::new(move || start.elapsed()))
     }
 
-    /// A clock that reads the time returned by `read`.
+    /// Creates a clock that reads the time returned by `read`.
     #[cfg(test)]
     pub(crate) fn from_fn(read: impl Fn() -> Duration + 'static) -> Self {
         Clock(Rc::new(read))
     }
 
-    /// The current time.
+    /// Time since the clock's start.
     pub(crate) fn now(&self) -> Duration {
         (self.0)()
     }
--- a/crates/coordinator/src/command.rs
+++ b/crates/coordinator/src/command.rs
@@ -19,7 +19,7 @@
         /// Receives the outcome.
         reply: oneshot::Sender<RegistrationOutcome>,
     },
-    /// A server ends.
+    /// A server deregisters.
     Deregister {
         /// The server's identifier.
         id: String,
@@ -30,7 +30,7 @@
     Configure {
         /// The new configuration, already validated.
         document: ConfigurationDocument,
-        /// Generation of the configuration that it replaces; 0 for none.
+        /// Generation of the configuration that the document replaces; 0 if there is none.
         base: u64,
         /// Receives the outcome.
         reply: oneshot::Sender<ChangeOutcome>,
@@ -40,11 +40,11 @@
         /// Receives the outcome.
         reply: oneshot::Sender<ReadOutcome>,
     },
-    /// The operator evacuates a zone, or restores it.
+    /// The operator evacuates a zone, or ends its evacuation.
     SetZoneState {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// The state that it is to have.
+        /// The new state of the zone.
         state: ZoneState,
         /// Receives the outcome.
         reply: oneshot::Sender<ChangeOutcome>,
--- a/crates/coordinator/src/contact.rs
+++ b/crates/coordinator/src/contact.rs
@@ -15,19 +15,20 @@
 #[cfg(test)]
 mod tests;
 
-/// The shortest bound is divided by this: one part for the loss of contact to be noticed, two for
-/// updates to propagate.
+/// Divisor of the shortest bound: one third of it is for noticing the loss of contact, two thirds
+/// are for the propagation of updates.
 const CONTACT_TIMEOUT_DIVISOR: u32 = 3;
-/// With a shorter timeout, slow links and busy processors would look like partitions: it leaves
-/// time for four contact checks, each with a round trip around the world or one retransmission.
+/// Lower limit of the contact timeout. A shorter one would mistake slow links and busy processors
+/// for partitions; 600 ms leave time for four contact checks, each with a round trip around the
+/// world or one retransmission.
 const MIN_CONTACT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The age at which contact with a majority counts as lost.
+/// Age of the last contact check answered by a majority at which contact counts as lost.
 ///
-/// What a coordinator publishes in its last moment of contact must reach every reachable gate
-/// within the shortest of the bounds `config_apply_ms`, `drain_timeout_ms`, `evacuation_ms` and
-/// `contact_ms`. Other nodes may treat its state as fresh for this long after its last contact;
-/// hence the timeout is a third of the shortest bound.
+/// An update that a coordinator publishes just before it loses contact must reach every reachable
+/// gate within the shortest of the bounds `config_apply_ms`, `drain_timeout_ms`, `evacuation_ms`
+/// and `contact_ms`. Other nodes may treat the coordinator's state as fresh for the timeout after
+/// its last contact; hence the timeout is a third of the shortest bound.
 pub(crate) fn contact_timeout(bounds: &TimingBounds) -> Duration {
     let shortest = [
         bounds.config_apply_ms,
@@ -48,7 +49,7 @@
     Starting,
     /// A majority answers; the newest state has not been read from a quorum yet.
     CatchingUp,
-    /// A majority answers, and the newest state has been read from a quorum since.
+    /// A majority answers, and the newest state has been read from a quorum since contact was made.
     InContact,
     /// No majority has answered a contact check sent within [`contact_timeout`].
     OutOfContact,
@@ -57,7 +58,7 @@
 }
 
 impl ContactState {
-    /// All states, in the order of the table in `docs/design/control.md`.
+    /// All states, in the order of the columns of the table in `docs/design/control.md`.
     #[cfg(test)]
     pub(crate) const ALL: [ContactState; 5] = [
         ContactState::Starting,
@@ -131,31 +132,32 @@
     Delete,
     /// `GET /api/resolve`.
     Resolve,
-    /// Updates and heartbeats for agents.
+    /// Updates and keep-alive frames for subscribers.
     Subscription,
 }
 
 /// How a coordinator handles a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum RequestPolicy {
-    /// The register decides by a quorum contacted after the request arrived. Without a quorum in
-    /// time the answer is a 5xx status.
+    /// The register decides by a quorum contacted after the request arrived. Without a quorum
+    /// before the deadline the answer is a 5xx status.
     DecideByQuorum,
-    /// Answered 503 at once; nothing is proposed.
+    /// The answer is 503 at once; nothing is proposed to the register.
     Reject,
-    /// Recorded and acknowledged.
+    /// The report is recorded and acknowledged.
     Acknowledge,
-    /// Recorded; acknowledged once a majority of the coordinators has it.
+    /// The report is recorded, and acknowledged once a majority of the coordinators has received
+    /// it.
     AcknowledgeByMajority,
-    /// Recorded, so that the server does not count as silent, and answered 503.
+    /// The report is recorded, so that the server does not time out, and the answer is 503.
     RecordOnly,
-    /// Returns gates that have reported to any coordinator within the gate timeout.
+    /// The answer lists gates that have reported to any coordinator within the gate timeout.
     AllGates,
-    /// Returns gates of the client's region that have reported to this coordinator itself within
-    /// the gate timeout; without any, 503.
+    /// The answer lists gates of the client's region that have reported to this coordinator itself
+    /// within the gate timeout; it is 503 if there are none.
     DirectGates,
-    /// Updates are forwarded, and heartbeats mark them as fresh.
+    /// Updates are forwarded, and keep-alive frames mark them as fresh.
     MarkFresh,
-    /// Updates are forwarded; heartbeats do not mark them as fresh.
+    /// Updates are forwarded; keep-alive frames do not mark them as fresh.
     ForwardOnly,
 }
--- a/crates/coordinator/src/contact/tests.rs
+++ b/crates/coordinator/src/contact/tests.rs
@@ -1,4 +1,4 @@
-//! The state diagram and the table of policies in `docs/design/control.md`.
+//! The state transitions and policies match the diagram and the table in `docs/design/control.md`.
 
 use super::ContactState::*;
 use super::Request::*;
--- a/crates/coordinator/src/event_loop.rs
+++ b/crates/coordinator/src/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop: passes everything that happens to the node, one event at a time.
+//! The event loop: passes commands, frames, disk completions, timers and signals to the node, one
+//! event at a time.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -45,7 +46,7 @@
 }
 
 impl EventLoop {
-    /// The owner of the tasks that run beside the loop.
+    /// The owner of the background tasks; a failure of an essential one ends the loop.
     pub(crate) fn tasks(&self) -> &Tasks {
         &self.tasks
     }
@@ -139,7 +140,7 @@
     }
 
     /// Announces the shutdown to the other nodes. If another coordinator can take the replica's
-    /// place, waits for that, for `timeout` at most.
+    /// place, waits up to `timeout` for it to do so.
     ///
     /// # Errors
     /// An essential task has failed.
--- a/crates/coordinator/src/event_loop/tests.rs
+++ b/crates/coordinator/src/event_loop/tests.rs
@@ -7,7 +7,7 @@
 
 use super::*;
 
-/// The tasks of links and overlay end with the loop: none goes on listening.
+/// Dropping the loop ends the tasks of links and overlay, so that nothing listens on their ports.
 #[test]
 fn an_event_loop_that_is_gone_leaves_no_listener() {
     actix_rt::System::new().block_on(async {
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,10 +1,19 @@
-//! The coordinator: a replica of the operator's state, the table of endpoints, the operators' API
-//! and address resolution.
+//! The coordinator, the server of the control plane.
 //!
-//! One thread owns the state (`node`). It handles commands of the HTTP API (`api`), frames of the
-//! links to other coordinators and to agents (`links`), entries of the overlay and completions of
-//! disk writes, one at a time (`event_loop`). The node returns typed outcomes (`outcome`); only
-//! `api` knows HTTP statuses. `docs/design/control.md` describes the guarantees.
+//! A coordinator holds a replica of the operator's state (the configuration and the evacuated
+//! zones), keeps the table of endpoints (the servers and gates that report their state), publishes
+//! both to all gates over the overlay, and serves the operators' API, server registration and
+//! address resolution over HTTP. `docs/design/control.md` describes the guarantees.
+//!
+//! One thread owns the state (`node`) and handles one event at a time (`event_loop`): commands of
+//! the HTTP API (`api`, `command`), frames of the links to other coordinators and to agents
+//! (`links`, `peers`, `subscribers`), entries from the overlay, and completions of disk writes. The
+//! node returns typed outcomes (`outcome`); only `api` knows HTTP statuses.
+//!
+//! The node composes the replica of the register (`replica`, stored by `record_writer` and
+//! `register_log`, with its value in `value`), the contact with a majority (`contact`), the
+//! configuration in force (`directory`, `resolve`) and the endpoints (`published_endpoints`,
+//! `publisher`). `pending_operations` and `pending_reports` hold the callers that await an outcome.
 #![forbid(unsafe_code)]
 
 mod api;
@@ -40,25 +49,27 @@
 pub use directory::ConfigurationParser;
 use event_loop::EventLoop;
 
-/// Fraction of the grace period within which a leaving replica may be replaced.
+/// Fraction of the grace period for which a coordinator that shuts down waits for another to
+/// replace its replica.
 const REPLACEMENT_FRACTION: f64 = 0.4;
-/// Time within which requests in flight complete when the process ends.
+/// Time for which requests in flight may complete before the process ends.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Runs a coordinator until SIGTERM, then shuts it down gracefully.
 ///
 /// # Errors
-/// The coordinator cannot start: a listener is missing in the settings or cannot be bound, or the
-/// register's log cannot be opened. An essential task has failed.
+/// The coordinator cannot start: a listener is missing in the settings or cannot be bound, the
+/// register's log cannot be opened, or a signal handler cannot be installed. While it runs: an
+/// essential task has failed.
 pub fn run(settings: Settings, log: Logger) -> Result<()> {
     run_with_parser(settings, log, Configuration::parse)
 }
 
-/// As [`run`], for a coordinator that reads configurations by another version of the schema: tests
-/// of several versions side by side run one of their own.
+/// Runs a coordinator like [`run`], with another parser of configurations. Tests of mixed versions
+/// pass a parser that behaves like another version of the schema.
 ///
 /// # Errors
-/// As [`run`].
+/// Returns the errors of [`run`].
 pub fn run_with_parser(settings: Settings, log: Logger, parse: ConfigurationParser) -> Result<()> {
     actix_rt::System::new().block_on(serve(settings, log, parse))
 }
@@ -72,8 +83,9 @@
                 name: "control_plane",
             })?;
     let directory = settings.listeners_map.directory_service;
-    let mut terminate = signal(SignalKind::terminate()).wrap_err("waiting for SIGTERM")?;
-    let reload = signal(SignalKind::hangup()).wrap_err("waiting for SIGHUP")?;
+    let mut terminate =
+        signal(SignalKind::terminate()).wrap_err("installing the handler of SIGTERM")?;
+    let reload = signal(SignalKind::hangup()).wrap_err("installing the handler of SIGHUP")?;
     let (commands, received) = mpsc::unbounded_channel();
     let mut event_loop = EventLoop::start(&settings, received, reload, &log, parse).await?;
     let servers = api::start(
--- a/crates/coordinator/src/links.rs
+++ b/crates/coordinator/src/links.rs
@@ -1,12 +1,12 @@
-//! Links between nodes: connections to the other coordinators, and connections of agents and other
-//! coordinators to this one.
+//! Links between nodes: outgoing connections to the other coordinators, and incoming ones of agents
+//! and other coordinators.
 //!
 //! This module owns the sockets, the reconnect delay and the timeouts. The frames are handled by
 //! [`CoordinatorNode`].
 //!
-//! A link that fails is not logged, as links fail whenever another node restarts, unless the other node
-//! speaks another version of the protocol. What operators need to
-//! know is the loss of contact with the majority of the replica set, which [`CoordinatorNode`] logs.
+//! Failed links are not logged, because links fail whenever another node restarts; operators need
+//! to know of the loss of contact with the majority, which [`CoordinatorNode`] logs. The exception
+//! is a node that speaks another version of the protocol.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -30,22 +30,22 @@
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
 /// Time within which a connection must be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// A link on which nothing is received for this long has failed.
+/// Time without a received frame after which a link counts as failed.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 type SharedNode = Rc<RefCell<CoordinatorNode>>;
 
-/// What the links share. Each link's task holds it.
+/// State shared by the tasks of all links.
 #[derive(Clone)]
 pub(crate) struct Links {
     node: SharedNode,
-    /// The tasks of the links, which their owner may have ended.
+    /// Owner of the link tasks; gone once the event loop has ended.
     tasks: Weak<Tasks>,
     log: Logger,
 }
 
 impl Links {
-    /// No links yet; `tasks` will own those that are opened.
+    /// Creates the shared state without any links; `tasks` owns the tasks of links opened later.
     pub(crate) fn new(node: &SharedNode, tasks: &Rc<Tasks>, log: &Logger) -> Self {
         Links {
             node: Rc::clone(node),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Connects to those of the coordinators that were not known.
+    /// Opens a link to each of the coordinators that was not known before.
     pub(crate) fn connect(&self, coordinators: &[SocketAddr]) {
         let Some(tasks) = self.tasks.upgrade() else {
             return;
@@ -85,11 +85,11 @@
 /// Why a subscriber's link has ended.
 #[derive(Debug, Error)]
 enum SubscriberError {
-    /// The link failed.
+    /// The connection was lost, or a frame could not be decoded.
     #[error(transparent)]
     Link(#[from] link::Error),
-    /// The subscriber has not said which kind of node it is.
-    #[error("the first frame is no hello")]
+    /// The first frame is not a `Hello`, so the kind of the node is unknown.
+    #[error("the first frame is not a Hello")]
     NoHello,
     /// The subscriber speaks another version of the protocol.
     #[error("version {0} of the protocol, this coordinator speaks version {PROTOCOL_VERSION}")]
@@ -97,8 +97,8 @@
 }
 
 impl SubscriberError {
-    /// Whether the subscriber runs another version of the program, so that no later link will do
-    /// better.
+    /// Whether the subscriber runs another version of the program, so that later links will fail as
+    /// well.
     fn is_version_mismatch(&self) -> bool {
         match self {
             SubscriberError::UnsupportedProtocol(_)
@@ -108,7 +108,8 @@
     }
 }
 
-/// Accepts subscribers.
+/// Accepts connections of subscribers and serves each in its own task. After an error of the
+/// listener, accepting is retried after [`RECONNECT_DELAY`].
 async fn accept(links: Links, listener: TcpListener) {
     let log = &links.log;
     let subscribers = Tasks::new(log);
@@ -122,8 +123,8 @@
                     let Err(error) = serve_subscriber(&links, stream).await else {
                         return;
                     };
-                    // Other links fail whenever another node restarts; the node has unsubscribed
-                    // the subscriber by then.
+                    // Other failures are expected whenever another node restarts; the subscriber
+                    // has been unsubscribed by then.
                     if error.is_version_mismatch()
                         && let Some(suppressed) = mismatches.borrow_mut().admit(Instant::now())
                     {
@@ -136,7 +137,7 @@
             }
             Err(error) => {
                 if let Some(suppressed) = accept_errors.admit(Instant::now()) {
-                    warn!(log, "cannot accept a connection"; "error" => %error, "suppressed" => suppressed);
+                    warn!(log, "cannot accept a connection from another node; retrying"; "error" => %error, "suppressed" => suppressed);
                 }
                 tokio::time::sleep(RECONNECT_DELAY).await;
             }
@@ -144,15 +145,16 @@
     }
 }
 
-/// Keeps a link to another coordinator.
+/// Keeps a link to another coordinator open, and reconnects whenever it fails.
 async fn keep_connected(links: Links, address: SocketAddr) {
     let inbound = links.node.borrow_mut().inbound_notify(address);
     loop {
-        // Links fail whenever another node restarts; whatever the error, the link is opened again.
+        // Links fail whenever another node restarts, so the error is not logged and the link is
+        // opened again.
         let _ = run_peer_link(&links, address).await;
         tokio::select! {
             () = tokio::time::sleep(RECONNECT_DELAY) => {}
-            // The peer has connected to this coordinator: it is listening by now.
+            // The peer has connected to this coordinator, so it is listening by now.
             () = inbound.notified() => {}
         }
     }
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -2,8 +2,9 @@
 //! subscribers and the directory, and keeps them consistent with the state of the quorum contact.
 //!
 //! One thread owns the node and calls its methods; none of them blocks. Each entry point checks the
-//! quorum contact before it answers anything, because no timer can report the loss of contact while
-//! the process is suspended. `docs/design/control.md` describes the states and the answers.
+//! quorum contact before it answers anything, because timers do not run while the process is
+//! suspended and so cannot report the loss of contact. `docs/design/control.md` describes the
+//! states and the answers.
 //!
 //! This file holds the event handling; [`commands`] adds the commands of HTTP clients, and
 //! [`links`] the frames of peers and subscribers.
@@ -32,17 +33,17 @@
 mod commands;
 mod links;
 
-/// A coordinator that has had no contact for this long after its start says so: a majority usually
-/// answers within a second.
+/// Time without contact after the start until a warning is logged. A majority usually answers
+/// within a second.
 const STARTING_WARNING_DELAY: Duration = Duration::from_secs(5);
 
-/// A coordinator without its sockets, timers and threads.
+/// The state of a coordinator and its event handlers, without sockets, timers and threads.
 pub(crate) struct CoordinatorNode {
     log: Logger,
     clock: Clock,
     contact: ContactState,
-    /// When to warn that there has been no contact since the start; `None` once that was done, or
-    /// there has been contact.
+    /// Time at which to warn that there has been no contact since the start; `None` once the
+    /// warning has been logged or contact has been made.
     starting_warning_at: Option<Duration>,
     replica: RegisterReplica,
     pending_reports: PendingReports,
@@ -53,7 +54,7 @@
 }
 
 impl CoordinatorNode {
-    /// A node that has just started.
+    /// Creates a node in [`ContactState::Starting`], with no endpoints and no subscribers.
     pub(crate) fn new(
         settings: &Settings,
         peers: Peers,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// When to call [`CoordinatorNode::wake`] next, by the node's clock.
+    /// Time of the next call to [`CoordinatorNode::wake`] that is due, by the node's clock.
     pub(crate) fn wake_at(&self) -> Duration {
         self.replica.wake_at()
     }
@@ -100,8 +101,8 @@
     pub(crate) fn tick(&mut self) {
         self.check_contact();
         self.warn_if_never_in_contact();
-        // An endpoint that does not report here may report to other coordinators, of which nothing
-        // is known out of contact.
+        // An endpoint that does not report here may report to another coordinator; out of contact,
+        // such reports may not arrive.
         if self.contact == ContactState::InContact {
             self.endpoints.expire();
         }
@@ -114,22 +115,24 @@
         self.endpoints.merge_published(entry);
     }
 
-    /// Begins the graceful shutdown.
+    /// Begins the graceful shutdown: rejects pending reports and asks for the replica to be
+    /// replaced.
     pub(crate) fn leave(&mut self) {
         self.set_contact_state(ContactState::Leaving);
         let outputs = self.replica.leave();
         self.apply(outputs);
     }
 
-    /// Whether this node is a member of the replica set and another coordinator could take its
-    /// place.
+    /// Whether this node is a member of the replica set and more coordinators, itself included, are
+    /// connected than the set has members, so that another one can take its place.
     pub(crate) fn can_transfer_replica(&self) -> bool {
         self.replica
             .replica_set_size()
             .is_some_and(|size| self.peers.open_links() + 1 > size)
     }
 
-    /// Updates the state of the quorum contact by its age, and completes pending reports.
+    /// Updates the state of the quorum contact by the age of the last check that a majority has
+    /// answered, and completes pending reports.
     fn check_contact(&mut self) {
         let state = self.contact.after_check(self.replica.is_in_contact());
         self.set_contact_state(state);
@@ -137,7 +140,8 @@
             .complete(self.clock.now(), self.replica.quorum_checked_at());
     }
 
-    /// Changes the state of the quorum contact.
+    /// Changes the state of the quorum contact and takes the actions of the transition; does
+    /// nothing if the state stays the same.
     fn set_contact_state(&mut self, state: ContactState) {
         let previous = std::mem::replace(&mut self.contact, state);
         if previous == state {
@@ -158,7 +162,8 @@
         }
     }
 
-    /// Starts the read of the state that was chosen while this node was out of contact.
+    /// Starts to read the newest state from a quorum: a newer one may have been chosen while this
+    /// node was out of contact.
     fn catch_up(&mut self) {
         let outputs = self.replica.catch_up();
         self.apply(outputs);
@@ -198,13 +203,13 @@
         if previous == ContactState::InContact {
             warn!(
                 self.log,
-                "out of contact with a majority of the coordinators, acknowledging nothing"
+                "lost contact with a majority of the coordinators; acknowledging no change and no report until it returns"
             );
         }
         self.pending_reports.reject_all();
     }
 
-    /// Applies what the replica has put out, in order.
+    /// Applies the outputs of the replica in order.
     fn apply(&mut self, outputs: Vec<ReplicaOutput>) {
         for output in outputs {
             match output {
@@ -217,8 +222,8 @@
         }
     }
 
-    /// Answers the caller of an operation. Out of contact, a quorum's answer may be outdated, so the
-    /// outcome is replaced by an error.
+    /// Sends the outcome of an operation to its caller. Out of contact, a quorum's answer may be
+    /// outdated, so the outcome is replaced by an error.
     fn complete(&mut self, operation: CompletedOperation) {
         let is_out_of_contact = self.contact == ContactState::OutOfContact;
         // A caller whose client has disconnected may be gone and its channel closed.
@@ -271,7 +276,7 @@
         self.broadcast_keep_alive();
     }
 
-    /// The frame that tells peers whether this node can read the newest configuration.
+    /// Builds the frame that tells peers whether this node can read the newest configuration.
     fn readability(&self) -> ToCoordinator {
         ToCoordinator::Readability(Readability {
             coordinator: self.peers.own_address(),
@@ -279,7 +284,8 @@
         })
     }
 
-    /// Whether subscribers may treat this node's state as fresh.
+    /// Whether subscribers may treat this node's state as fresh: the node is in contact with a
+    /// majority and can read the newest configuration.
     fn is_fresh(&self) -> bool {
         let in_contact = self.contact.policy(Request::Subscription) == RequestPolicy::MarkFresh;
         in_contact && self.directory.unreadable_generation().is_none()
--- a/crates/coordinator/src/node/commands.rs
+++ b/crates/coordinator/src/node/commands.rs
@@ -65,10 +65,10 @@
         self.apply(outputs);
     }
 
-    /// Whether a change may be proposed.
+    /// Checks whether a change may be proposed.
     ///
-    /// An evacuation comes into force together with the configuration. Where that cannot be read,
-    /// only a new configuration may be proposed, which is the way out of that state.
+    /// An evacuation comes into force together with the configuration. While the configuration
+    /// cannot be read, only a new one may be proposed, which ends that state.
     fn admit_change(&self, request: Request) -> ChangeOutcome {
         if self.contact.policy(request) == RequestPolicy::Reject {
             return Err(ChangeError::OutOfContact);
@@ -131,8 +131,8 @@
     /// Sends the entry of a server to all peers; the server is answered once a majority has it.
     fn replicate(&mut self, key: Key, reply: oneshot::Sender<RegistrationOutcome>) {
         let Some(entry) = self.endpoints.get(&key).cloned() else {
-            // Another coordinator may know the server, and would not learn of this report. The caller
-            // is gone if its server has disconnected.
+            // Another coordinator may know the server and would not learn of this report, so the
+            // report is not acknowledged. The caller is gone if its server has disconnected.
             let _ = reply.send(Err(RegistrationError::UnknownServer));
             return;
         };
--- a/crates/coordinator/src/node/links.rs
+++ b/crates/coordinator/src/node/links.rs
@@ -1,4 +1,4 @@
-//! Links: peers and subscribers that connect, and the frames received from them.
+//! The node's handlers for links: new peers and subscribers, and the frames received from them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,13 +28,13 @@
         true
     }
 
-    /// Notified when that coordinator has connected to this one.
+    /// Returns the notification that is sent when `peer` has connected to this coordinator.
     pub(crate) fn inbound_notify(&mut self, peer: SocketAddr) -> Rc<Notify> {
         self.peers.inbound_notify(peer)
     }
 
-    /// A link to a peer has been established; frames for it go into `queue`. Unless
-    /// in contact, the coordinator checks its contact at once: this link may complete the quorum.
+    /// Handles a new link to a peer; frames for the peer go into `queue`, pending reports first.
+    /// Without contact, checks the contact at once, because this link may complete the quorum.
     pub(crate) fn link_established(&mut self, to: SocketAddr, queue: PeerQueue) {
         self.send_pending_reports(&queue);
         self.send_readability(&queue);
@@ -68,7 +68,7 @@
     /// Handles a frame of a subscriber.
     pub(crate) fn receive_subscriber_frame(&mut self, frame: ToCoordinator) {
         match frame {
-            // The link has handled the first one; a further one changes nothing.
+            // The link's task has handled the first `Hello`; further ones are ignored.
             ToCoordinator::Hello(_) => {}
             ToCoordinator::Entries(entries) => {
                 for entry in entries {
@@ -97,7 +97,7 @@
         coordinators
     }
 
-    /// Logs that another coordinator can no longer read the newest configuration, or can again.
+    /// Records whether a peer can read the newest configuration, and logs each change.
     fn receive_readability(&mut self, readability: &Readability) {
         if !self.peers.set_readability(readability) {
             return;
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Tells a peer whose link was just established that the newest configuration cannot be read
-    /// here; a peer that does not hear of it takes it for granted that it can.
+    /// Tells a peer whose link was just established if this node cannot read the newest
+    /// configuration. A peer that receives no such frame assumes that it can.
     fn send_readability(&self, queue: &PeerQueue) {
         if self.directory.unreadable_generation().is_some() {
             // A link that has failed already is replaced by one that begins with this frame.
--- a/crates/coordinator/src/node/tests.rs
+++ b/crates/coordinator/src/node/tests.rs
@@ -1,5 +1,5 @@
-//! Coordinators without sockets: the response to each request in and out of contact with the
-//! majority.
+//! Responses to each request in and out of contact with the majority, by coordinators that run
+//! without sockets.
 
 mod cluster;
 mod mixed_versions;
@@ -45,7 +45,8 @@
     }
 }
 
-/// Checks a coordinator that is partitioned in each direction, and in both.
+/// Runs `check` on clusters whose member 0 has lost contact: partitioned from the others in both
+/// directions, and in each direction alone.
 fn for_each_partition(check: impl Fn(&mut Cluster)) {
     for partition in [
         Cluster::partition,
@@ -164,7 +165,8 @@
     assert_eq!(cluster.response(0, read_configuration()).body, body(6));
 }
 
-/// The first event after the pause is a caller's request; no timer has run.
+/// The first event after the pause is a client's request, before any timer has run: the process
+/// must not answer it on the basis of the contact that it had before the pause.
 #[test]
 fn after_a_process_pause_nothing_is_acknowledged_before_a_new_contact_check() {
     let mut cluster = Cluster::new(3);
@@ -181,7 +183,8 @@
     assert_eq!(cluster.status(0, heartbeat("i", 4, Ready)), 200);
 }
 
-/// The partition has just begun: contact still counts, but the report cannot reach the others.
+/// The partition has just begun: the contact has not timed out yet, but the report cannot reach the
+/// others.
 #[test]
 fn a_draining_server_is_acknowledged_only_after_replication_to_a_majority() {
     for (sequence, partition) in [
@@ -203,8 +206,8 @@
     assert_eq!(cluster.status(0, delete("i")), 503);
 }
 
-/// The links are established anew while the report is pending: frames sent on the old links are
-/// lost, contact checks are not.
+/// The links are replaced while the report is pending. The frames sent on the old links are lost,
+/// while contact checks on the new ones arrive: without the report, they would acknowledge it.
 #[test]
 fn a_new_link_carries_pending_reports_first() {
     let mut cluster = Cluster::new(3);
@@ -257,7 +260,7 @@
     );
 }
 
-/// The partition begins at each step of the two rounds of a change.
+/// Repeats a change with the partition beginning at each step of its two rounds.
 #[test]
 fn a_change_during_a_partition_gets_503_only_if_it_is_never_applied() {
     let mut statuses = BTreeSet::new();
@@ -329,7 +332,8 @@
     assert_eq!(cluster.status(0, configure(3, 0)), 200);
 }
 
-/// No coordinator is in contact: each records reports and returns the gates that report to it.
+/// No coordinator is in contact; each still records reports and returns the gates that report to
+/// it.
 #[test]
 fn without_any_majority_clients_still_resolve_direct_gates() {
     let mut cluster = Cluster::new(3);
--- a/crates/coordinator/src/node/tests/cluster.rs
+++ b/crates/coordinator/src/node/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! Coordinators in one process. The test sets their clock by hand, and their links are queues that
-//! the test drains.
+//! Several coordinators in one process, with a clock that the test advances and with queues in
+//! place of links.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
@@ -33,7 +33,7 @@
 const STEPS_PER_TICK: u32 = 25;
 const PORT: u16 = 7_000;
 
-/// What a coordinator has published to the overlay.
+/// Entries and contact state that a coordinator has published to the overlay.
 #[derive(Debug, Default)]
 pub(crate) struct PublishedState {
     pub entries: RefCell<Vec<Entry>>,
@@ -52,14 +52,14 @@
     }
 }
 
-/// An HTTP response, as the API makes it of an outcome.
+/// The HTTP response that the API sends for an outcome.
 #[derive(Debug)]
 pub(super) struct Response {
     pub status: u16,
     pub body: Vec<u8>,
 }
 
-/// A response that may come later.
+/// A response that may not have been sent yet.
 pub(super) struct PendingResponse<Outcome>(oneshot::Receiver<Outcome>);
 
 impl<Outcome> PendingResponse<Outcome>
@@ -89,7 +89,7 @@
 /// All coordinators of a test.
 pub(super) struct Cluster {
     pub members: Vec<Member>,
-    /// Frames from the first to the second are lost.
+    /// Pairs of members: frames from the first to the second are lost.
     pub partitions: BTreeSet<(usize, usize)>,
     now: Rc<Cell<Duration>>,
     steps: u32,
@@ -134,7 +134,7 @@
         Cluster::starting_with(count, |_| Configuration::parse)
     }
 
-    /// Coordinators that start for the first time, each with a schema of its own.
+    /// Coordinators that start for the first time, each with its own configuration parser.
     fn starting_with(count: usize, parser: impl Fn(usize) -> ConfigurationParser) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let now = Rc::new(Cell::new(Duration::from_secs(1)));
@@ -156,7 +156,7 @@
         cluster
     }
 
-    /// Coordinators that are in contact, each with a schema of its own.
+    /// Coordinators that are in contact, each with its own configuration parser.
     pub(super) fn with_parsers(
         count: usize,
         parser: impl Fn(usize) -> ConfigurationParser,
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Lets time pass while all processes are paused.
+    /// Advances the clock without running any coordinator, as if all processes were suspended.
     pub(super) fn pause_processes(&mut self, time: Duration) {
         self.now.set(self.now.get() + time);
     }
@@ -285,7 +285,7 @@
         self.response(number, command).status
     }
 
-    /// A gate of a region reports to a coordinator that it is ready.
+    /// Delivers to a coordinator the report of a gate of a region that it is ready.
     pub(super) fn report_gate(&mut self, to: usize, number: u16, region: &str) {
         let version = self.now.get().as_millis() as u64 * 4;
         let frontend = SocketAddr::from(([10, 0, 1, 1], number));
--- a/crates/coordinator/src/node/tests/mixed_versions.rs
+++ b/crates/coordinator/src/node/tests/mixed_versions.rs
@@ -10,12 +10,12 @@
 
 /// The generation that the older version cannot parse.
 const UNREADABLE_GENERATION: u64 = 5;
-/// The coordinator that is of the older version.
+/// Number of the coordinator that runs the older version.
 const OLDER: usize = 0;
-/// One of the newer version.
+/// Number of a coordinator that runs the newer version.
 const NEWER: usize = 1;
 
-/// As the older version parses.
+/// Parses like the older version: rejects the generation that it cannot read.
 fn parse_older(body: &[u8]) -> Result<Configuration, ConfigurationError> {
     let configuration = Configuration::parse(body)?;
     if configuration.generation == UNREADABLE_GENERATION {
@@ -50,7 +50,7 @@
     report_gates(cluster);
 }
 
-/// The generation that the coordinator of the older version cannot parse, as far as another one knows.
+/// The generation that the coordinator of the older version cannot parse, as known to another one.
 fn unreadable_at_older(cluster: &Cluster, number: usize) -> Option<u64> {
     let peers = &cluster.members[number].node.peers;
     peers.unreadable_generation(address(OLDER))
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_later_configuration_that_can_be_parsed_ends_it() {
+fn a_later_configuration_that_can_be_parsed_is_put_in_force() {
     let mut cluster = mixed_cluster();
     configure_unreadable(&mut cluster, 0);
     assert_eq!(cluster.status(OLDER, evacuate("z9")), 503);
--- a/crates/coordinator/src/outcome.rs
+++ b/crates/coordinator/src/outcome.rs
@@ -1,7 +1,7 @@
 //! Outcomes of the commands that the HTTP API submits to the node.
 //!
-//! They carry no HTTP statuses: [`crate::api`] maps each outcome to its status and body, and sends
-//! the error texts below to the caller as they are.
+//! The outcomes carry no HTTP statuses: [`crate::api`] maps each one to a status and a body. The
+//! error texts below are part of the API, because they are sent to the caller unchanged.
 
 use std::net::SocketAddr;
 
@@ -15,14 +15,14 @@
 /// Reason why a change of the operator's state is not acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(crate) enum ChangeError {
-    /// The change does not apply to the current state, and never will.
+    /// The change conflicts with the current state; a retry would be rejected as well.
     #[error(transparent)]
     Rejected(#[from] Rejection),
     /// The change was not proposed: the coordinator is out of contact with the majority.
     #[error("no majority of the coordinators is in contact")]
     OutOfContact,
-    /// The change was not proposed: it would be acknowledged, and not come into force here, because
-    /// this version of the program cannot read the configuration that it belongs to.
+    /// The change was not proposed. It would be acknowledged but not come into force here, because
+    /// this version of the program cannot read the configuration that the change belongs to.
     #[error("this version of the program cannot read the configuration in place")]
     UnreadableConfiguration,
     /// The deadline passed before the change was proposed; it will not be proposed later.
@@ -54,7 +54,7 @@
     /// No quorum answered before the deadline.
     #[error("no majority of the coordinators has answered in time")]
     NoQuorum,
-    /// A quorum answered, but contact was lost since, so that the state may be outdated.
+    /// A quorum answered, but contact has been lost since, so that the state may be outdated.
     #[error("contact with the other coordinators was lost")]
     ContactLost,
 }
@@ -62,7 +62,7 @@
 /// Outcome of a server's heartbeat or deregistration.
 pub(crate) type RegistrationOutcome = Result<(), RegistrationError>;
 
-/// Reason why a server's report is not acknowledged. The report is recorded all the same, except
+/// Reason why a server's report is not acknowledged. The report is recorded nevertheless, except
 /// for an unknown server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(crate) enum RegistrationError {
@@ -95,14 +95,14 @@
     /// No suitable gate is known.
     #[error("no gate is known that this client may go to")]
     NoGate,
-    /// This version of the program can read no configuration, so it does not know which gates may
-    /// serve the client.
+    /// This version of the program cannot read any configuration applied so far, so the gates that
+    /// may serve the client are unknown.
     #[error("this version of the program cannot read the configuration in place")]
     UnreadableConfiguration,
 }
 
-/// The error to report for a change that completed while the coordinator was out of contact: what
-/// a quorum answered earlier need not hold for the newest state.
+/// The error to report for a change that completed while the coordinator was out of contact: the
+/// earlier answer of a quorum may not hold for the newest state.
 pub(crate) fn change_error_out_of_contact(outcome: ChangeOutcome) -> ChangeError {
     match outcome {
         Ok(()) => ChangeError::ContactLostAfterApply,
--- a/crates/coordinator/src/outcome/tests.rs
+++ b/crates/coordinator/src/outcome/tests.rs
@@ -1,4 +1,4 @@
-//! Outcomes that complete while the coordinator is out of contact.
+//! Errors reported for operations that complete while the coordinator is out of contact.
 
 use super::*;
 
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -1,5 +1,5 @@
 //! The other coordinators: their addresses, the queues of the links to them, and the notifications
-//! that let a link be established without delay.
+//! that end the reconnect delay early once a peer has connected to this coordinator.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use ironmast_schema::control::{Readability, ToCoordinator};
 use tokio::sync::{Notify, mpsc};
 
-/// Frames queued for one link to another coordinator.
+/// Sender of frames to the link to one other coordinator.
 pub(crate) type PeerQueue = mpsc::UnboundedSender<ToCoordinator>;
 
 /// The known coordinators, without this one.
@@ -22,7 +22,7 @@
 }
 
 impl Peers {
-    /// No peers yet.
+    /// Creates an empty set of peers for the coordinator at `own_address`.
     pub(crate) fn new(own_address: SocketAddr) -> Self {
         Peers {
             own_address,
@@ -38,7 +38,7 @@
         self.own_address
     }
 
-    /// Adds a peer; returns whether it was unknown. The own address is no peer.
+    /// Adds a peer; returns whether it is new. The coordinator's own address is ignored.
     pub(crate) fn add(&mut self, address: SocketAddr) -> bool {
         address != self.own_address && self.addresses.insert(address)
     }
@@ -56,7 +56,8 @@
     /// Queues a frame for a peer. It is lost if there is no link, or if the link has failed.
     pub(crate) fn send(&self, to: SocketAddr, frame: ToCoordinator) {
         if let Some(queue) = self.queues.get(&to) {
-            // The link has failed; the register and the reports send again what was not answered.
+            // A failed link drops the frame; the register repeats unanswered messages, and a new
+            // link carries the pending reports.
             let _ = queue.send(frame);
         }
     }
@@ -64,7 +65,7 @@
     /// Queues a frame for every peer with a link; frames for links that have failed are lost.
     pub(crate) fn broadcast(&self, frame: &ToCoordinator) {
         for queue in self.queues.values() {
-            // As in `send`.
+            // A failed link drops the frame, as in `send`.
             let _ = queue.send(frame.clone());
         }
     }
@@ -77,7 +78,7 @@
             .count()
     }
 
-    /// Records whether a peer can read the newest configuration; returns whether that is news.
+    /// Records whether a peer can read the newest configuration; returns whether this has changed.
     pub(crate) fn set_readability(&mut self, readability: &Readability) -> bool {
         let coordinator = readability.coordinator;
         let previous = match readability.unreadable_generation {
@@ -87,14 +88,14 @@
         previous != readability.unreadable_generation
     }
 
-    /// Generation of the newest configuration, if a peer cannot read it.
+    /// Generation of the configuration that a peer cannot read, if there is one.
     #[cfg(test)]
     pub(crate) fn unreadable_generation(&self, peer: SocketAddr) -> Option<u64> {
         self.unreadable.get(&peer).copied()
     }
 
-    /// Notified when a peer has connected to this coordinator: it is listening by then, so that a
-    /// connection to it need not wait for the reconnect delay.
+    /// Returns the notification that is sent when a peer has connected to this coordinator. The
+    /// peer is listening by then, so that a connection to it need not wait for the reconnect delay.
     pub(crate) fn inbound_notify(&mut self, peer: SocketAddr) -> Rc<Notify> {
         Rc::clone(self.inbound.entry(peer).or_default())
     }
--- a/crates/coordinator/src/pending_operations.rs
+++ b/crates/coordinator/src/pending_operations.rs
@@ -14,16 +14,16 @@
 pub(crate) enum CompletedOperation {
     /// A change of the operator's state.
     Change {
-        /// Its outcome.
+        /// Outcome to send to the caller.
         outcome: ChangeOutcome,
-        /// The caller's channel.
+        /// Channel to the caller.
         reply: oneshot::Sender<ChangeOutcome>,
     },
     /// A read of the configuration in force.
     Read {
-        /// Its outcome.
+        /// Outcome to send to the caller.
         outcome: ReadOutcome,
-        /// The caller's channel.
+        /// Channel to the caller.
         reply: oneshot::Sender<ReadOutcome>,
     },
     /// The read by which the replica catches up.
@@ -44,7 +44,7 @@
     Read(oneshot::Sender<ReadOutcome>),
 }
 
-/// The operations that await their outcome.
+/// The operations that await their outcome, by identifier.
 #[derive(Default)]
 pub(crate) struct PendingOperations {
     operations: BTreeMap<OperationId, PendingOperation>,
@@ -124,7 +124,8 @@
 fn rejection(reason: &RejectionReason<Rejection>) -> Rejection {
     match reason {
         RejectionReason::Change(rejection) => *rejection,
-        // Operators change the value only; this arm would mean that another change came first.
+        // Operators change only the value, so this does not occur; it would mean that another
+        // change was applied first.
         RejectionReason::ReplicaChange(_) => Rejection::VersionMismatch,
     }
 }
--- a/crates/coordinator/src/pending_operations/tests.rs
+++ b/crates/coordinator/src/pending_operations/tests.rs
@@ -1,4 +1,4 @@
-//! What the register's outcomes become for the operator.
+//! Translation of the register's outcomes to those of the operators' API.
 
 use std::sync::Arc;
 
--- a/crates/coordinator/src/pending_reports.rs
+++ b/crates/coordinator/src/pending_reports.rs
@@ -2,9 +2,9 @@
 //! has acknowledged them.
 //!
 //! A report is sent to every other coordinator, followed by a contact check on the same link. A
-//! coordinator that answers the check has therefore received and published the report, so that it
-//! outlives the coordinator that acknowledges it to the server. A link that is established
-//! meanwhile carries the pending reports first.
+//! coordinator that answers the check has therefore received and published the report, which then
+//! survives the loss of the coordinator that acknowledges it to the server. A link that is
+//! established while reports are pending carries them first.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 use crate::outcome::{RegistrationError, RegistrationOutcome};
 
-/// Time within which a majority must acknowledge a report. Servers wait for one second.
+/// Time within which a majority must acknowledge a report. Servers wait one second for the answer.
 const REPLICATION_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// A report that no majority has acknowledged yet.
@@ -53,7 +53,7 @@
         });
     }
 
-    /// The keys that the pending reports are about.
+    /// Keys of the endpoints that the pending reports are about.
     pub(crate) fn keys(&self) -> impl Iterator<Item = &Key> {
         self.reports.iter().map(|report| &report.key)
     }
--- a/crates/coordinator/src/record_writer.rs
+++ b/crates/coordinator/src/record_writer.rs
@@ -1,8 +1,8 @@
-//! Writes the replica's record: one write in flight, retried until it is durable.
+//! Writes the replica's record to disk: one write at a time, retried until the record is durable.
 //!
-//! A write that failed is retried with the complete record on a new file, and the replica accepts
-//! nothing until that is durable. [`ironmast_storage`] explains why this is safe after a failed
-//! sync.
+//! A failed write is retried with the complete record in a new file, and the replica accepts
+//! nothing until the record is durable. [`ironmast_storage`] explains why this is safe after a
+//! failed sync.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 /// Delay before a failed write is retried.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// A write whose record is not durable yet.
+/// A write whose record is not durable yet, kept for retries.
 struct PendingWrite {
     token: PersistToken,
     record: Record<ControlValue>,
@@ -31,7 +31,7 @@
 }
 
 impl RecordWriter {
-    /// A writer to an open log.
+    /// Creates a writer for an open log, with no write in flight.
     pub(crate) fn new(register_log: RegisterLog, log: Logger) -> Self {
         RecordWriter {
             register_log,
@@ -47,13 +47,14 @@
         self.pending.is_some()
     }
 
-    /// Writes a record in place of the pending one.
+    /// Writes a record; it supersedes the pending one.
     pub(crate) fn write(&mut self, token: PersistToken, record: Record<ControlValue>) {
         self.register_log.write(record.clone(), token);
         self.pending = Some(PendingWrite { token, record });
     }
 
-    /// When to call [`RecordWriter::retry_if_due`].
+    /// Time of the next call to [`RecordWriter::retry_if_due`] that is due; `None` if no write has
+    /// failed.
     pub(crate) fn retry_at(&self) -> Option<Duration> {
         self.retry_at
     }
@@ -85,7 +86,7 @@
                 Some(completion.token)
             }
             Err(error) => {
-                warn!(self.log, "cannot write the register's record"; "error" => %error);
+                warn!(self.log, "cannot write the register's record; retrying until it is durable"; "error" => %error);
                 self.retry_at = Some(now + WRITE_RETRY_DELAY);
                 None
             }
--- a/crates/coordinator/src/register_log.rs
+++ b/crates/coordinator/src/register_log.rs
@@ -1,4 +1,4 @@
-//! The register's log on disk: recovered at start, written by a thread of its own.
+//! The register's log on disk: recovered when the coordinator starts, written by its own thread.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -15,9 +15,10 @@
 
 use crate::value::ControlValue;
 
-/// Name of the log in the data directory; its files on disk are named by it.
+/// Name of the log in the data directory; the names of its files begin with it.
 const LOG_NAME: &str = "register";
-/// Disk space in MB that the log may use if the settings give no limit.
+/// Disk size in MB assumed if the settings give none; [`LogSettings::new`] limits the log to a
+/// fraction of it.
 const DEFAULT_DISK_MB: u64 = 128;
 
 /// A record of the log; each holds the complete state of the replica.
@@ -33,24 +34,25 @@
 /// What was recovered from the data directory at start.
 #[derive(Debug)]
 pub(crate) enum RecoveredRecord {
-    /// There is no record.
+    /// The data directory has never held a record.
     Missing,
     /// A durable record.
     Durable(Record<ControlValue>),
     /// A record that was read but could not be written again (for example because the disk is
-    /// full), and that may exist in the page cache only: the replica must not accept anything on
-    /// the basis of it before it is durable.
+    /// full). It may exist only in the page cache, so the replica must not accept anything on the
+    /// basis of it before it is durable.
     NotDurable(Record<ControlValue>),
-    /// The record is corrupted, or was at an earlier start: the replica cannot keep its identity.
+    /// The record is corrupted, or was at an earlier start and no record has been written since.
+    /// The replica cannot keep its identity.
     Corrupted,
 }
 
 /// Completion of a write: the record is durable, or writing it has failed.
 pub(crate) type WriteCompletion = Completion<PersistToken>;
 
-/// A log that was opened, and what was recovered from it.
+/// An open log and the record recovered from it.
 pub(crate) struct OpenedLog {
-    /// The log.
+    /// The log, ready to write records.
     pub register_log: RegisterLog,
     /// The newest record.
     pub recovered: RecoveredRecord,
@@ -58,20 +60,22 @@
     pub completions: mpsc::UnboundedReceiver<WriteCompletion>,
 }
 
-/// The open log.
+/// The open log of the register; records are written by its own thread.
 pub(crate) struct RegisterLog {
     writer: Writer<LogRecord, PersistToken>,
 }
 
 impl RegisterLog {
     /// Opens the log in a folder and recovers its newest record. A corrupted log is handled like a
-    /// lost disk, but the corrupted file is kept under another name.
+    /// lost disk, except that the corrupted file is kept under another name. `disk_mb` is the disk
+    /// size in MB; 0 selects the default.
     ///
     /// # Errors
     /// The folder or the log cannot be opened; the error names the file and the step.
     pub(crate) fn open(folder: &Path, disk_mb: u64, log: &Logger) -> Result<OpenedLog> {
         let disk: Arc<dyn Disk> = Arc::new(
-            RealDisk::open(folder).wrap_err_with(|| format!("opening {}", folder.display()))?,
+            RealDisk::open(folder)
+                .wrap_err_with(|| format!("opening the data directory {}", folder.display()))?,
         );
         let megabytes = if disk_mb == 0 {
             DEFAULT_DISK_MB
@@ -79,14 +83,14 @@
             disk_mb
         };
         let settings = LogSettings::new(LOG_NAME, megabytes << 20)
-            .wrap_err("sizing the log of the register")?;
+            .wrap_err("limiting the size of the register's log")?;
         let (file, recovered) = recover(folder, &disk, &settings, log)?;
         let (queue, completions) = mpsc::unbounded_channel();
         let clock = Instant::now();
-        // The receiver is gone only once the event loop has ended.
+        // Sending fails only after the event loop, which owns the receiver, has ended.
         let complete = move |completion| drop(queue.send(completion));
         let writer = Writer::spawn(file, move || clock.elapsed(), complete)
-            .wrap_err("starting the log's thread")?;
+            .wrap_err("starting the writer thread of the register's log")?;
         Ok(OpenedLog {
             register_log: RegisterLog { writer },
             recovered,
@@ -100,7 +104,7 @@
     }
 }
 
-/// Opens the log's files and determines what they hold.
+/// Opens the log's files and classifies the newest record.
 fn recover(
     folder: &Path,
     disk: &Arc<dyn Disk>,
@@ -109,11 +113,11 @@
 ) -> Result<(Log<LogRecord>, RecoveredRecord)> {
     let (file, recovered) = open_or_replace(folder, disk, settings, log)?;
     let was_corrupted = !Log::<LogRecord>::quarantined_files(disk.as_ref(), settings)
-        .wrap_err("looking for damaged logs")?
+        .wrap_err("looking for corrupted log files of earlier starts")?
         .is_empty();
     let record = match recovered {
         None => RecoveredRecord::Corrupted,
-        // The log was started anew after an earlier corruption.
+        // The log was replaced by an empty one after an earlier corruption.
         Some(Recovered::Empty) if was_corrupted => RecoveredRecord::Corrupted,
         Some(Recovered::Empty) => RecoveredRecord::Missing,
         Some(Recovered::Found {
@@ -122,14 +126,14 @@
             ..
         }) => RecoveredRecord::Durable(record.0),
         Some(Recovered::Found { record, .. }) => {
-            warn!(log, "cannot sync the register's record yet"; "state" => ?file.state());
+            warn!(log, "cannot sync the recovered register record; accepting nothing until it is durable"; "state" => ?file.state());
             RecoveredRecord::NotDurable(record.0)
         }
     };
     Ok((file, record))
 }
 
-/// Opens the log's files. A corrupted log is replaced by an empty one, and `None` returned for its
+/// Opens the log's files. Replaces a corrupted log by an empty one and returns `None` for its
 /// record.
 fn open_or_replace(
     folder: &Path,
@@ -145,11 +149,11 @@
             reason,
         }) => {
             let kept = Log::<LogRecord>::quarantine(disk.as_ref(), settings)
-                .wrap_err_with(|| format!("setting the damaged {file} aside"))?;
-            warn!(log, "the register's log is damaged, starting with an empty one";
+                .wrap_err_with(|| format!("renaming the corrupted {file}"))?;
+            warn!(log, "the register's log is corrupted; keeping it under another name and starting with an empty one";
                 "file" => file, "offset" => offset, "reason" => %reason,
                 "kept_as" => kept.map(|kept| folder.join(kept).display().to_string()));
-            let (file, _) = open().wrap_err("opening a new register log")?;
+            let (file, _) = open().wrap_err("opening an empty log of the register")?;
             Ok((file, None))
         }
         opened => {
--- a/crates/coordinator/src/register_log/tests.rs
+++ b/crates/coordinator/src/register_log/tests.rs
@@ -49,7 +49,8 @@
     assert_matches!(open(folder.path()).recovered, RecoveredRecord::Durable(record) if record.identity == Identity(5));
 }
 
-/// The next start does not treat the folder as one that never held a record either.
+/// Later starts must not treat the folder as one that has never held a record: with `bootstrap`
+/// set, the replica would start as an initial member although its earlier votes are lost.
 #[test]
 fn a_corrupted_record_is_kept_under_another_name_and_reported_at_later_starts() {
     let folder = tempfile::tempdir().expect("folder");
--- a/crates/coordinator/src/register_log/tests/stored_format.rs
+++ b/crates/coordinator/src/register_log/tests/stored_format.rs
@@ -2,7 +2,7 @@
 //! of commit 7495a81 wrote, and compares every value read (see the README beside the fixture).
 //!
 //! The expected values are those that the earlier release itself read from the same folder. Records
-//! are encoded by position, so a field that moves, or a type that changes, must fail here.
+//! are encoded by position, so these tests must fail when a field moves or a type changes.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use super::*;
 use crate::value::ConfigurationDocument;
 
-/// Disk size that the settings of the earlier release gave, in MB.
+/// Disk size in MB in the settings with which the earlier release wrote the fixture.
 const FIXTURE_DISK_MB: u64 = 1;
 /// Identities of the three replicas, by the last byte of their address.
 const IDENTITIES: [Identity; 3] = [
@@ -63,7 +63,8 @@
     }
 }
 
-/// The configuration with this generation, as it was sent; only the two numbers differ.
+/// The configuration with this generation as it was sent. All configurations of the fixture differ
+/// only in the generation, which occurs twice in each.
 fn document(generation: u64) -> ConfigurationDocument {
     let last = String::from_utf8(last_document().body).expect("UTF-8");
     let body = last.replace(&LAST_GENERATION.to_string(), &generation.to_string());
@@ -131,7 +132,7 @@
     assert!(value.evacuated.iter().eq(["z-north", "z-south"]));
 }
 
-/// Each change that the earlier release applied or rejected gets the same answer again.
+/// Repeats each change that the earlier release applied or rejected.
 #[test]
 fn changes_answered_by_an_earlier_release_get_the_same_answer() {
     let value = &accepted_state().value;
@@ -151,7 +152,7 @@
     );
 }
 
-/// The comparison above rests on the newest segment: a damaged byte in it isn't read past.
+/// The tests above read the newest segment: a corrupted byte in it must be detected.
 #[test]
 fn a_damaged_byte_in_the_newest_segment_of_an_earlier_release_is_found() {
     let copy = copy_of_fixture();
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -22,20 +22,20 @@
 use crate::register_log::{OpenedLog, RecoveredRecord, RegisterLog, WriteCompletion};
 use crate::value::ControlValue;
 
-/// Deadline of an operation. Callers wait for one second.
+/// Time within which an operation completes or fails. Callers wait one second for the answer.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Output of the replica, for the coordinator to apply.
+/// An effect of an event on the replica, for the coordinator to apply.
 #[derive(Debug)]
 pub(crate) enum ReplicaOutput {
     /// Send a message to another coordinator. Delivery is not guaranteed.
     Send {
-        /// The receiver.
+        /// Address of the receiving coordinator.
         to: SocketAddr,
         /// The encoded message.
         message: Vec<u8>,
     },
-    /// A newer state is known to be chosen.
+    /// The replica has learned that a newer state was chosen.
     StateChosen(Arc<State<ControlValue>>),
     /// An operation has completed.
     Completed(CompletedOperation),
@@ -43,7 +43,7 @@
 
 /// A replica opened from disk.
 pub(crate) struct OpenedReplica {
-    /// The replica.
+    /// The replica, ready to handle events.
     pub replica: RegisterReplica,
     /// Completions of its writes, to be passed to [`RegisterReplica::handle_write_completion`].
     pub completions: mpsc::UnboundedReceiver<WriteCompletion>,
@@ -55,7 +55,7 @@
     node: Node<ControlValue>,
     writer: RecordWriter,
     pending: PendingOperations,
-    /// When the protocol node's timer is due.
+    /// Time at which the protocol node's timer is due; `None` until the node has set one.
     timer: Option<Duration>,
     log: Logger,
 }
@@ -72,10 +72,11 @@
         clock: Clock,
         log: Logger,
     ) -> Result<OpenedReplica> {
-        let folder = settings
-            .data_directory
-            .as_deref()
-            .ok_or_else(|| eyre!("data_directory is missing: a coordinator keeps files"))?;
+        let folder = settings.data_directory.as_deref().ok_or_else(|| {
+            eyre!(
+                "data_directory is missing in the settings; a coordinator stores its register there"
+            )
+        })?;
         let opened = RegisterLog::open(folder, settings.limits.disk_mb, &log)
             .wrap_err("reading the register's record")?;
         let OpenedLog {
@@ -129,7 +130,8 @@
         self.node.has_quorum_lease(self.clock.now())
     }
 
-    /// When the newest contact check that a majority of the replicas has answered was sent.
+    /// Time at which the newest contact check that a majority of the replicas has answered was
+    /// sent.
     pub(crate) fn quorum_checked_at(&self) -> Option<Duration> {
         self.node.quorum_confirmed_at(self.clock.now())
     }
@@ -146,9 +148,9 @@
         self.submit(id, Operation::Read)
     }
 
-    /// When to call [`RegisterReplica::wake`] next.
+    /// Time of the next call to [`RegisterReplica::wake`] that is due.
     pub(crate) fn wake_at(&self) -> Duration {
-        // The first event of a node is its timer.
+        // A node without a timer has not handled its first event yet, which is a timer due at once.
         let timer = self.timer.unwrap_or_default();
         self.writer.retry_at().map_or(timer, |at| at.min(timer))
     }
@@ -186,13 +188,13 @@
         match postcard::from_bytes::<Message<ControlValue>>(bytes) {
             Ok(message) => self.handle(Event::Message(message)),
             Err(error) => {
-                warn!(self.log, "cannot decode a register message"; "error" => %error);
+                warn!(self.log, "cannot decode a register message from another coordinator; ignoring it"; "error" => %error);
                 Vec::new()
             }
         }
     }
 
-    /// Sets the other coordinators that are known.
+    /// Replaces the addresses of the other coordinators.
     pub(crate) fn set_peers(&mut self, peers: Vec<SocketAddr>) -> Vec<ReplicaOutput> {
         self.handle(Event::Peers(peers))
     }
@@ -239,8 +241,8 @@
     fn perform(&mut self, action: Action<ControlValue>) -> Option<ReplicaOutput> {
         match action {
             Action::Send { to, message } => {
-                // A message that could not be encoded would be like one lost on the way, which the
-                // protocol tolerates.
+                // A message that cannot be encoded is dropped; the protocol tolerates lost
+                // messages.
                 let message = postcard::to_stdvec(&message).ok()?;
                 return Some(ReplicaOutput::Send { to, message });
             }
@@ -252,7 +254,7 @@
             }
             Action::DiskLost => warn!(
                 self.log,
-                "bootstrap is set, but other coordinators hold a newer state, starting as a new replica"
+                "bootstrap is set, but other coordinators hold a newer state; starting as a new replica"
             ),
             Action::Timer(at) => self.timer = Some(at),
         }
@@ -260,7 +262,8 @@
     }
 }
 
-/// What the protocol node starts from. Only an empty disk may be the one of a first start.
+/// Selects the state that the protocol node starts from. `bootstrap` applies only to a disk that
+/// has never held a record.
 fn record_source(recovered: RecoveredRecord, settings: &Settings) -> RecordSource<ControlValue> {
     match recovered {
         RecoveredRecord::Durable(record) => RecordSource::Durable(record),
