--- a/crates/overlay/src/link.rs
+++ b/crates/overlay/src/link.rs
@@ -15,7 +15,7 @@
 
 /// A heartbeat that the neighbour has not acknowledged.
 #[derive(Clone, Copy, Debug)]
-struct Unacknowledged {
+struct UnacknowledgedHeartbeat {
     sequence: u32,
     sent_at: Duration,
 }
@@ -50,7 +50,7 @@
     sequence: u32,
     peer_sequence: u32,
     /// The oldest heartbeat that the neighbour has not acknowledged.
-    unacknowledged: Option<Unacknowledged>,
+    unacknowledged: Option<UnacknowledgedHeartbeat>,
     /// Whether the neighbour has acknowledged a heartbeat, so that the link works in both
     /// directions.
     pub is_bidirectional: bool,
@@ -115,7 +115,7 @@
     pub(crate) fn next_heartbeat(&mut self, now: Duration) -> HeartbeatNumbers {
         self.sequence += 1;
         self.last_heartbeat_sent = now;
-        self.unacknowledged.get_or_insert(Unacknowledged {
+        self.unacknowledged.get_or_insert(UnacknowledgedHeartbeat {
             sequence: self.sequence,
             sent_at: now,
         });
--- a/crates/overlay/src/node.rs
+++ b/crates/overlay/src/node.rs
@@ -32,10 +32,10 @@
     /// The locality with these names: 32-bit hashes of them.
     #[must_use]
     pub fn from_names(region: &str, zone: &str) -> Locality {
-        let short = |name: &str| hash::bytes(name.as_bytes()) as u32;
+        let hash32 = |name: &str| hash::bytes(name.as_bytes()) as u32;
         Locality {
-            region: short(region),
-            zone: short(zone),
+            region: hash32(region),
+            zone: hash32(zone),
         }
     }
 
--- a/crates/overlay/src/overlay/heartbeats.rs
+++ b/crates/overlay/src/overlay/heartbeats.rs
@@ -42,11 +42,11 @@
 
     /// Whether new root heartbeats are sent on this link at once.
     fn carries_root_heartbeats(&self, link: &Link) -> bool {
-        let joins_regional_coordinators = self.local_node.is_coordinator()
+        let connects_regional_coordinators = self.local_node.is_coordinator()
             && link
                 .node
                 .is_some_and(|node| node.is_coordinator() && self.is_in_region(&node));
-        link.is_child || joins_regional_coordinators
+        link.is_child || connects_regional_coordinators
     }
 
     pub(super) fn on_heartbeat(
--- a/crates/overlay/src/overlay/maintenance.rs
+++ b/crates/overlay/src/overlay/maintenance.rs
@@ -121,7 +121,7 @@
         let Some((node, link)) = parent.and_then(|link| link.node.map(|node| (node, link))) else {
             return false;
         };
-        if self.is_only_region_entry(&node, &link.position) {
+        if self.is_only_region_ingress(&node, &link.position) {
             return false;
         }
         let is_independent = |link: &Link| {
@@ -136,7 +136,7 @@
     }
 
     /// Whether `node` is the head of its region, or the only coordinator in the region.
-    fn is_only_region_entry(&self, node: &Descriptor, position: &TreePosition) -> bool {
+    fn is_only_region_ingress(&self, node: &Descriptor, position: &TreePosition) -> bool {
         let is_head = matches!(
             position,
             TreePosition::Descendant { region_head, .. } if *region_head == node.score()
@@ -221,14 +221,14 @@
                 failures > 0,
                 !self.is_in_region(node),
                 !self.is_in_zone(node),
-                self.preference(node),
+                self.rendezvous_weight(node),
             )
         });
         nodes
     }
 
     /// Rendezvous weight of `node` for this one (Thaler and Ravishankar 1998).
-    pub(super) fn preference(&self, node: &Descriptor) -> u64 {
+    pub(super) fn rendezvous_weight(&self, node: &Descriptor) -> u64 {
         hash::pair(
             hash::address(self.local_node.address),
             hash::address(node.address),
--- a/crates/overlay/src/overlay/parent_selection.rs
+++ b/crates/overlay/src/overlay/parent_selection.rs
@@ -23,7 +23,7 @@
     in_contact: bool,
     spare_capacity: u8,
     /// Rendezvous weight, which breaks ties.
-    preference: u64,
+    rendezvous_weight: u64,
 }
 
 impl Candidate {
@@ -35,7 +35,7 @@
             self.zone_head,
             self.depth,
             Reverse(self.spare_capacity),
-            self.preference,
+            self.rendezvous_weight,
         )
     }
 
@@ -111,7 +111,7 @@
         }
         candidates
             .iter()
-            .min_by_key(|candidate| (candidate.depth, candidate.preference))
+            .min_by_key(|candidate| (candidate.depth, candidate.rendezvous_weight))
             .map(|candidate| candidate.peer)
     }
 
@@ -127,8 +127,8 @@
         if best.head_rank() != current.head_rank() {
             return best.head_rank() < current.head_rank();
         }
-        let has_dwelt = self.tree.parent_since + MIN_PARENT_DWELL <= now;
-        best.depth + 2 <= current.depth || has_dwelt && best.depth < current.depth
+        let min_dwell_elapsed = self.tree.parent_since + MIN_PARENT_DWELL <= now;
+        best.depth + 2 <= current.depth || min_dwell_elapsed && best.depth < current.depth
     }
 
     /// The current parent, if this agent is attached through it.
@@ -200,7 +200,7 @@
             depth: path.len(),
             in_contact,
             spare_capacity: link.spare_capacity,
-            preference: self.preference(&node),
+            rendezvous_weight: self.rendezvous_weight(&node),
         })
     }
 
--- a/crates/overlay/src/overlay/relay_targets.rs
+++ b/crates/overlay/src/overlay/relay_targets.rs
@@ -35,7 +35,7 @@
     /// all neighbours.
     fn published_entry_targets(&self) -> Vec<SocketAddr> {
         if self.local_node.is_coordinator() && self.in_contact {
-            self.coordinator_per_region()
+            self.coordinator_targets()
         } else {
             self.links.keys().copied().collect()
         }
@@ -61,7 +61,7 @@
             return Vec::new();
         }
         if self.local_node.is_coordinator() {
-            return self.coordinator_per_region();
+            return self.coordinator_targets();
         }
         let is_regional = |link: &Link| link.node.is_some_and(|node| self.is_in_region(&node));
         self.links
@@ -78,7 +78,7 @@
 
     /// The coordinators of the own region, and of each other region the one with the lowest
     /// rendezvous weight.
-    fn coordinator_per_region(&self) -> Vec<SocketAddr> {
+    fn coordinator_targets(&self) -> Vec<SocketAddr> {
         let mut targets = Vec::new();
         let mut remote: BTreeMap<u32, (u64, SocketAddr)> = BTreeMap::new();
         for node in self.linked_coordinators() {
@@ -86,7 +86,7 @@
                 targets.push(node.address);
                 continue;
             }
-            let weight = (self.preference(&node), node.address);
+            let weight = (self.rendezvous_weight(&node), node.address);
             let best = remote.entry(node.locality.region).or_insert(weight);
             *best = weight.min(*best);
         }
--- a/crates/overlay/src/overlay/remote_attach.rs
+++ b/crates/overlay/src/overlay/remote_attach.rs
@@ -11,18 +11,18 @@
 use crate::node::Descriptor;
 
 /// Interval between attempts of a detached agent.
-const RETRY_DETACHED: Duration = Duration::from_millis(500);
+const DETACHED_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval between attempts of an agent whose root is not in contact with a majority, if the agent
 /// keeps a standby link anyway.
-const RETRY_STANDBY: Duration = Duration::from_secs(5);
+const STANDBY_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The same for an agent that keeps no standby link: others of its region look for a better parent,
 /// below which it can then attach.
-const RETRY_ATTACHED: Duration = Duration::from_secs(60);
+const ATTACHED_RETRY_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Delay before the first attempt of an agent that keeps no standby link.
-const DELAY_ATTACHED: Duration = Duration::from_secs(10);
+const ATTACHED_START_DELAY: Duration = Duration::from_secs(10);
 
 /// Maximum number of coordinators that one attempt opens a connection to.
 const MAX_COORDINATORS_PER_ATTEMPT: usize = 2;
@@ -52,7 +52,7 @@
         let can_wait = !detached && !self.needs_standby();
         let extra_delay = match (parent_is_alive, can_wait) {
             (true, _) => self.settings.dead_timeout,
-            (false, true) => DELAY_ATTACHED,
+            (false, true) => ATTACHED_START_DELAY,
             (false, false) => Duration::ZERO,
         };
         Some(since + delay + extra_delay)
@@ -86,9 +86,9 @@
 
     fn remote_retry_interval(&self) -> Duration {
         match (self.tree.position.is_attached(), self.needs_standby()) {
-            (false, _) => RETRY_DETACHED,
-            (true, true) => RETRY_STANDBY,
-            (true, false) => RETRY_ATTACHED,
+            (false, _) => DETACHED_RETRY_INTERVAL,
+            (true, true) => STANDBY_RETRY_INTERVAL,
+            (true, false) => ATTACHED_RETRY_INTERVAL,
         }
     }
 
--- a/crates/overlay/src/overlay/tree.rs
+++ b/crates/overlay/src/overlay/tree.rs
@@ -197,7 +197,7 @@
     }
 
     /// Whether changes enter the region through this node, so that its loss may detach the region.
-    fn is_region_entry(&self) -> bool {
+    fn is_region_ingress(&self) -> bool {
         self.local_node.is_coordinator() || self.is_region_head()
     }
 
@@ -220,7 +220,7 @@
     /// The designated successor of this node: of its children inside the region, the one with the
     /// lowest score.
     pub(super) fn successor(&self) -> Option<SocketAddr> {
-        if !self.is_region_entry() {
+        if !self.is_region_ingress() {
             return None;
         }
         self.children()
--- a/crates/overlay/src/passive_view.rs
+++ b/crates/overlay/src/passive_view.rs
@@ -199,21 +199,21 @@
         size: usize,
         random: &mut Xoshiro256PlusPlus,
     ) -> Vec<AgedDescriptor> {
-        let is_other = |entry: &&ViewEntry| entry.node.address != receiver.address;
+        let is_not_receiver = |entry: &&ViewEntry| entry.node.address != receiver.address;
         let in_region = |entry: &&ViewEntry| entry.node.locality.same_region(receiver.locality);
         let agents = || {
             self.local_agents
                 .values()
                 .chain(self.remote_agents.values())
-                .filter(is_other)
+                .filter(is_not_receiver)
         };
-        let coordinators = self.coordinators.values().filter(is_other);
+        let coordinators = self.coordinators.values().filter(is_not_receiver);
         let mut chosen = choose(coordinators, size.div_ceil(4), random);
         let in_region_count = size.saturating_sub(chosen.len() + 1);
         chosen.extend(choose(agents().filter(in_region), in_region_count, random));
         let rest = size.saturating_sub(chosen.len());
-        let elsewhere = agents().filter(|entry| !in_region(entry));
-        chosen.extend(choose(elsewhere, rest, random));
+        let other_regions = agents().filter(|entry| !in_region(entry));
+        chosen.extend(choose(other_regions, rest, random));
         chosen.into_iter().map(|entry| entry.aged(now)).collect()
     }
 }
--- a/crates/overlay/src/passive_view/tests.rs
+++ b/crates/overlay/src/passive_view/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_oldest_make_room() {
+fn oldest_nodes_are_evicted_from_a_full_partition() {
     let mut view = PassiveView::new(agent(0, 1), &Settings::default());
     for index in 1..=100 {
         view.record(seconds(1_000), agent(index, 1), seconds(u64::from(index)));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_coordinator_remembers_nodes_of_every_region() {
+fn coordinator_view_holds_nodes_of_every_region() {
     let settings = Settings::default();
     let mut view = PassiveView::new(node(0, 0, Role::Coordinator), &settings);
     for index in 1..=500 {
@@ -61,9 +61,9 @@
 }
 
 #[test]
-fn a_higher_incarnation_is_news_and_a_lower_one_is_not() {
+fn only_a_higher_incarnation_counts_as_added() {
     let mut view = PassiveView::new(agent(0, 1), &Settings::default());
-    let again = Descriptor {
+    let restarted = Descriptor {
         incarnation: 2,
         ..agent(1, 1)
     };
@@ -72,7 +72,7 @@
         ViewUpdate::Added
     );
     assert_eq!(
-        view.record(seconds(1), again, Duration::ZERO),
+        view.record(seconds(1), restarted, Duration::ZERO),
         ViewUpdate::Added
     );
     assert_eq!(
@@ -80,13 +80,14 @@
         ViewUpdate::Unchanged
     );
     assert_eq!(
-        view.get(again.address).map(|known| known.node.incarnation),
+        view.get(restarted.address)
+            .map(|known| known.node.incarnation),
         Some(2)
     );
 }
 
 #[test]
-fn nodes_nobody_hears_of_are_forgotten() {
+fn expired_nodes_are_removed_and_not_added_again() {
     let mut view = PassiveView::new(agent(0, 1), &Settings::default());
     view.record(seconds(0), agent(1, 1), Duration::ZERO);
     view.record(seconds(0), node(2, 1, Role::Coordinator), Duration::ZERO);
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn a_sample_has_nodes_of_the_receivers_region_first() {
+fn sample_prefers_the_receivers_region() {
     let mut view = PassiveView::new(node(0, 0, Role::Coordinator), &Settings::default());
     let mut random = Xoshiro256PlusPlus::seed_from_u64(1);
     for index in 1..=40 {
--- a/crates/overlay/src/store.rs
+++ b/crates/overlay/src/store.rs
@@ -118,12 +118,12 @@
         }
         self.digest.add(entry.key, stored.hash);
         if let Some(replaced) = self.entries.insert(entry.key, stored) {
-            self.discount(entry.key, &replaced);
+            self.subtract_from_totals(entry.key, &replaced);
         }
     }
 
     /// Removes an entry that is no longer stored from the digest and from the count of tombstones.
-    fn discount(&mut self, key: Key, dropped: &StoredEntry) {
+    fn subtract_from_totals(&mut self, key: Key, dropped: &StoredEntry) {
         if dropped.in_digest {
             self.digest.remove(key, dropped.hash);
         }
@@ -163,7 +163,7 @@
         let expires_at = stored.removed_at + self.tombstone_retention;
         if now >= expires_at {
             let expired = self.entries.remove(&key).expect("present");
-            self.discount(key, &expired);
+            self.subtract_from_totals(key, &expired);
         } else if now >= leaves_digest_at {
             if stored.in_digest {
                 stored.in_digest = false;
--- a/crates/overlay/src/store/tests.rs
+++ b/crates/overlay/src/store/tests.rs
@@ -153,25 +153,25 @@
     }
 
     #[test]
-    fn one_exchange_makes_the_versions_of_two_stores_equal(
-        mine in proptest::collection::vec(any_entry(), 0..30),
-        other in proptest::collection::vec(any_entry(), 0..30),
+    fn one_exchange_equalizes_the_versions_of_two_stores(
+        local in proptest::collection::vec(any_entry(), 0..30),
+        remote in proptest::collection::vec(any_entry(), 0..30),
     ) {
-        let (mut mine, mut other) = (store_of(&mine), store_of(&other));
-        let mask = mine.difference(&other.digest());
-        let Comparison { newer, missing } = mine.compare(mask, &other.list(mask));
-        let sent = mine.collect(Duration::ZERO, &newer, usize::MAX).entries;
-        let answered = other.collect(Duration::ZERO, &missing, usize::MAX).entries;
+        let (mut local, mut remote) = (store_of(&local), store_of(&remote));
+        let mask = local.difference(&remote.digest());
+        let Comparison { newer, missing } = local.compare(mask, &remote.list(mask));
+        let sent = local.collect(Duration::ZERO, &newer, usize::MAX).entries;
+        let replies = remote.collect(Duration::ZERO, &missing, usize::MAX).entries;
         for entry in &sent {
-            other.merge(Duration::ZERO, entry);
+            remote.merge(Duration::ZERO, entry);
         }
-        for entry in &answered {
-            mine.merge(Duration::ZERO, entry);
+        for entry in &replies {
+            local.merge(Duration::ZERO, entry);
         }
         // Versions are compared, not contents: two contents of one version are told apart only by
         // who publishes.
-        for (key, stored) in mine.iter() {
-            prop_assert_eq!(stored.version, other.version(key));
+        for (key, stored) in local.iter() {
+            prop_assert_eq!(stored.version, remote.version(key));
         }
     }
 
