--- a/crates/overlay/src/digest.rs
+++ b/crates/overlay/src/digest.rs
@@ -1,17 +1,17 @@
 //! The digest of a store: one hash for each bucket of keys, and a root hash over them.
 //!
-//! The hash of a bucket is the wrapping sum of the hashes of its entries, so that an entry is added
-//! and removed in constant time, in any order.
+//! The hash of a bucket is the wrapping sum of the hashes of its entries, so that entries are added
+//! and removed in constant time and in any order.
 
 use serde::{Deserialize, Serialize};
 
 use crate::entry::Key;
 use crate::hash;
 
-/// Number of buckets of a digest. With 2,000 keys a bucket lists about 31 versions.
+/// Number of buckets of a digest. With 2,000 keys a bucket holds about 31 of them.
 pub const BUCKETS: usize = 64;
 
-/// The digest as it is sent: the upper half of the hash of each bucket, 4 bytes each.
+/// The digest on the wire: the upper 4 bytes of the hash of each bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Buckets(Vec<[u8; 4]>);
 
@@ -25,7 +25,7 @@
     mask >> bucket(key) & 1 == 1
 }
 
-/// The full hashes of all buckets.
+/// The digest of a store, with the full hashes of all buckets.
 #[derive(Clone, Debug)]
 pub(crate) struct Digest {
     hashes: [u64; BUCKETS],
@@ -39,13 +39,13 @@
         }
     }
 
-    /// Adds an entry of `key` with this hash.
+    /// Adds an entry of `key` with the hash `entry_hash`.
     pub(crate) fn add(&mut self, key: Key, entry_hash: u64) {
         let hash = &mut self.hashes[bucket(key)];
         *hash = hash.wrapping_add(entry_hash);
     }
 
-    /// Removes an entry of `key` that was added with this hash.
+    /// Removes an entry of `key` that was added with the hash `entry_hash`.
     pub(crate) fn remove(&mut self, key: Key, entry_hash: u64) {
         let hash = &mut self.hashes[bucket(key)];
         *hash = hash.wrapping_sub(entry_hash);
@@ -58,14 +58,15 @@
             .fold(0, |root, bucket| hash::pair(root, *bucket))
     }
 
-    /// The form in which the digest is sent.
+    /// The digest in the form that is sent.
     pub(crate) fn buckets(&self) -> Buckets {
         let upper_half = |hash: &u64| ((hash >> 32) as u32).to_le_bytes();
         Buckets(self.hashes.iter().map(upper_half).collect())
     }
 
-    /// A mask of the buckets that differ from `other`, one bit each. All bits are set if no bucket
-    /// differs although the root hashes do, or if `other` is malformed.
+    /// A mask of the buckets that differ from `other`, one bit each. All bits are set if `other` is
+    /// malformed, or if no bucket differs: digests are compared when the root hashes differ, so
+    /// that the difference is then in the halves of the hashes that are not sent.
     pub(crate) fn difference(&self, other: &Buckets) -> u64 {
         let own = self.buckets();
         let pairs = own.0.iter().zip(other.0.iter()).enumerate();
--- a/crates/overlay/src/entry.rs
+++ b/crates/overlay/src/entry.rs
@@ -1,4 +1,4 @@
-//! The versioned entry, which is the unit that the overlay distributes.
+//! The versioned entry, the unit that the overlay disseminates.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 /// The key of an entry, chosen by the user of the overlay.
 pub type Key = u64;
 
-/// The version of a key: a higher version is newer. Encoded as the number alone.
+/// The version of an entry: a higher version is newer. Encoded as the number alone.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,19 +17,20 @@
 /// One version of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The key.
+    /// Key of the entry.
     pub key: Key,
-    /// The version.
+    /// Version of the entry; it orders the entries of one key.
     pub version: Version,
-    /// For a tombstone, the seconds since the removal; 0 otherwise.
+    /// Seconds since the removal for a tombstone, 0 for any other entry. The receiver expires a
+    /// tombstone by its age, whenever it receives it.
     pub removed_s: u32,
-    /// The payload, `None` for a tombstone.
+    /// Opaque payload; `None` for a tombstone.
     #[serde(with = "optional_bytes")]
     pub payload: Option<Arc<[u8]>>,
 }
 
 impl Entry {
-    /// Estimated number of bytes of the entry on the wire.
+    /// Estimated number of bytes of the entry on the wire: the payload and 16 bytes for the rest.
     #[must_use]
     pub fn size(&self) -> usize {
         const HEADER_BYTES: usize = 16;
--- a/crates/overlay/src/freshness.rs
+++ b/crates/overlay/src/freshness.rs
@@ -1,10 +1,11 @@
 //! The newest heartbeat of each coordinator, and the time since it was sent.
 //!
-//! A root heartbeat carries the time since its coordinator started. The clocks of two machines run
-//! at the same rate but start at different times. The heartbeat with the shortest transit time
-//! gives the offset between the two clocks, and the age of every other heartbeat follows from the
-//! offset: a heartbeat that was delayed at a node or on a link does not count as fresh. Ages are
-//! too low by the shortest transit time, from milliseconds up to a few hundred.
+//! A root heartbeat carries the time since its coordinator started. The monotonic clocks of two
+//! machines run at nearly the same rate but start at different times. The heartbeat with the
+//! shortest transit time gives the offset between the two clocks, and the age of every other
+//! heartbeat follows from the offset: a heartbeat that was delayed at a node or on a link does not
+//! count as fresh. Ages are too low by the shortest transit time, from milliseconds up to a
+//! few hundred.
 
 #[cfg(test)]
 mod tests;
@@ -18,17 +19,18 @@
 /// Maximum number of coordinators in the table; the one with the oldest heartbeat is evicted.
 const MAX_COORDINATORS: usize = 32;
 
-/// Time after which the offset between two clocks is measured again: a drift of 100 ppm amounts to
-/// 6 ms in it.
+/// Window over which the offset between two clocks is measured. A drift of 100 ppm amounts to 6 ms
+/// in one window.
 const OFFSET_WINDOW: Duration = Duration::from_secs(60);
 
-/// The newest heartbeat of one coordinator, and the offset of its clock.
+/// The newest heartbeat of one coordinator, and the offset between its clock and the local one.
 #[derive(Clone, Copy, Debug)]
 struct CoordinatorClock {
     elapsed_ms: u64,
-    /// Lowest difference in microseconds between arrival and `elapsed_ms` in the current window.
+    /// Lowest difference in microseconds between the local time of arrival and `elapsed_ms` in the
+    /// current window.
     offset_us: i64,
-    /// The same in the window before.
+    /// Lowest difference in the previous window.
     previous_offset_us: i64,
     window_start: Duration,
 }
@@ -61,15 +63,15 @@
     }
 }
 
-/// Microseconds from `elapsed_ms` on the clock of the coordinator to `now` on the local one.
+/// Difference in microseconds between `now` on the local clock and `elapsed_ms` on the clock of the
+/// coordinator.
 fn clock_offset_us(now: Duration, elapsed_ms: u64) -> i64 {
     let now_us = i64::try_from(now.as_micros()).unwrap_or(i64::MAX);
     let elapsed_us = i64::try_from(elapsed_ms.saturating_mul(1_000)).unwrap_or(i64::MAX);
     now_us.saturating_sub(elapsed_us)
 }
 
-/// The newest heartbeats of all coordinators, from which a node computes how stale its state may
-/// be.
+/// The newest heartbeats of all coordinators, from which a node computes the age of its state.
 #[derive(Clone, Debug, Default)]
 pub struct FreshnessTable {
     clocks: BTreeMap<NodeId, CoordinatorClock>,
@@ -114,8 +116,8 @@
             .map(move |(coordinator, clock)| (*coordinator, clock.age(now)))
     }
 
-    /// Returns up to `limit` heartbeats that are newer than those in `sent`, least recently sent
-    /// coordinators first, and records them in `sent`.
+    /// Returns up to `limit` heartbeats that are newer than those in `sent`, those of the least
+    /// recently sent coordinators first, and records them in `sent`.
     pub(crate) fn take_unsent(
         &self,
         limit: usize,
@@ -150,6 +152,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct LastSent {
     elapsed_ms: u64,
+    /// Number of the call of [`FreshnessTable::take_unsent`] that returned the heartbeat.
     round: u64,
 }
 
--- a/crates/overlay/src/freshness/tests.rs
+++ b/crates/overlay/src/freshness/tests.rs
@@ -18,7 +18,7 @@
     assert!(table.record(ms(10_050), &root_heartbeat(400)));
     assert!(
         !table.record(ms(10_060), &root_heartbeat(400)),
-        "the same again"
+        "a repeated heartbeat is not newer"
     );
     assert_eq!(table.age(ms(10_150)), Some(ms(100)));
 }
@@ -37,7 +37,7 @@
 fn clock_drift_is_corrected_in_each_offset_window() {
     let mut table = FreshnessTable::default();
     for at in 1..1_000u64 {
-        // This clock gains 1 ms a second.
+        // The local clock gains 1 ms on the coordinator's in every 400 ms.
         table.record(ms(at * 401), &root_heartbeat(at * 400));
     }
     let age = table.age(ms(999 * 401)).expect("heartbeats were recorded");
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -1,34 +1,42 @@
-//! Distribution of small versioned state from a few coordinators to all agents, over a relay tree
-//! that the nodes build among themselves. The crate performs no I/O and reads no clock:
-//! [`Overlay::handle`] takes events with the time and appends actions.
+//! Dissemination of small versioned entries from a few coordinators to all agents, over a relay
+//! tree that the nodes build among themselves. The tree follows Plumtree, the views of the nodes
+//! follow Cyclon and `HyParView`. The crate performs no I/O and reads no clock:
+//! [`Overlay::handle`] takes events with the current time and appends the actions that the caller
+//! carries out.
 //!
 //! - [`Store`] keeps one entry for each key; the newest version wins, in whatever order versions
-//!   arrive. Stores are compared by digest.
+//!   arrive. Two stores are compared by digest.
 //! - [`PassiveView`] is a partial view of the nodes, refreshed by shuffles (Cyclon, `HyParView`).
-//! - [`Overlay`] holds the links, the tree over them (Plumtree) with one edge into each region,
-//!   heartbeats where there is no other traffic, and anti-entropy.
+//! - [`FreshnessTable`] derives the age of the local state from the heartbeats of the coordinators.
+//! - [`Message`] is what nodes send each other; the caller encodes it.
+//! - [`Overlay`] holds the links and combines the above: the relay tree over the links (Plumtree)
+//!   with one edge into each region, heartbeats on links without other traffic, and anti-entropy.
 //!
 //! # Vocabulary
 //!
-//! | here | meaning | in the papers |
+//! | in this crate | meaning | in the papers |
 //! | --- | --- | --- |
-//! | neighbour, link | a node with which there is a connection | `HyParView`'s active view |
-//! | [`PassiveView`] | nodes that links may be opened to | Cyclon's cache, `HyParView`'s passive view |
-//! | root, parent, child | a coordinator; the neighbour that pushes entries to an agent, and the reverse | Plumtree's eager peers |
-//! | push | an entry that is sent without having been requested | eager push, GOSSIP |
-//! | announcement | versions that are offered to neighbours that are not children | lazy push, IHAVE |
-//! | request of a missing version | what follows an announcement whose entry doesn't arrive | the first part of GRAFT |
-//! | graft, prune | becoming, and ceasing to be, a neighbour's child | GRAFT, PRUNE |
+//! | neighbour, link | a node to which there is a connection, and the state kept for it | `HyParView`'s active view |
+//! | [`PassiveView`] | nodes to which links may be opened | Cyclon's cache, `HyParView`'s passive view |
+//! | root | a coordinator, at the top of a relay tree | - |
+//! | parent, child | the neighbour that pushes entries to an agent, and the receiver of these pushes | Plumtree's eager push peers |
+//! | push | an entry sent without a request | eager push, GOSSIP |
+//! | announcement | keys and versions sent to neighbours that are not children | lazy push, IHAVE |
+//! | request of a missing version | sent when an announced version does not arrive in time | the retransmission part of GRAFT |
+//! | graft, prune | becoming, and ceasing to be, the child of a neighbour | GRAFT, PRUNE |
 //! | relay target | a neighbour other than the children to which an entry is pushed | - |
 //! | region head, zone head | the agent through which a region or a zone is attached to the tree | - |
-//! | root heartbeat | a heartbeat of a coordinator that is passed down the tree; what arrives late shows a failed parent | - |
+//! | root heartbeat | a heartbeat of a coordinator that is relayed down the tree; it shows the age of the state, and a late one shows a failed parent | - |
+//! | in contact | of a coordinator: able to reach a majority of the coordinators | - |
 //! | shuffle | an exchange of samples of two views | Cyclon's shuffle |
-//! | anti-entropy | comparison of stores by digest, and exchange of what differs | - |
+//! | anti-entropy | comparison of two stores by digest, and exchange of the entries that differ | - |
 //!
-//! The caller owns the connections. A node is identified by the address it listens at; a connection
-//! begins with a preamble of the caller's in which the opener states its own. When two nodes open a
-//! connection to each other at once, the caller may use either and reports
-//! [`Event::Disconnected`] only when none is left.
+//! # Connections
+//!
+//! The caller owns the connections. A node is identified by its listening address; the side that
+//! opens a connection states its own listening address first, in a preamble that the caller
+//! defines. When two nodes open a connection to each other at the same time, the caller may use
+//! either, and reports [`Event::Disconnected`] only when none is left.
 
 #![forbid(unsafe_code)]
 
--- a/crates/overlay/src/link.rs
+++ b/crates/overlay/src/link.rs
@@ -1,4 +1,4 @@
-//! State of the link to one neighbour.
+//! The state of the link to one neighbour.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::position::TreePosition;
 
 /// Number of heartbeat intervals after which a heartbeat is sent even on a link with other traffic,
-/// as only heartbeats carry the position.
+/// as only heartbeats carry the position in the tree.
 const STATUS_INTERVALS: u32 = 3;
 
 /// A heartbeat that the neighbour has not acknowledged.
@@ -20,66 +20,70 @@
     sent_at: Duration,
 }
 
-/// The numbers that a heartbeat carries.
+/// The sequence numbers in a heartbeat.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeartbeatNumbers {
     /// Sequence number of the heartbeat.
     pub sequence: u32,
-    /// Sequence number of the neighbour's heartbeat that it acknowledges.
+    /// Sequence number of the last heartbeat received from the neighbour, which is acknowledged.
     pub echo: u32,
 }
 
-/// The link to a neighbour.
+/// The link to a neighbour, from the connection on.
 #[derive(Debug)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "the flags are independent of each other"
 )]
 pub(crate) struct Link {
-    /// The neighbour, once its `Hello` has arrived.
+    /// Descriptor of the neighbour; `None` until its `Hello` has arrived.
     pub node: Option<Descriptor>,
     /// Whether this node opened the connection.
     pub is_outbound: bool,
-    /// When the connection was established.
+    /// Time at which the connection was established.
     pub opened_at: Duration,
-    /// When the last message arrived.
+    /// Time at which the last message arrived.
     pub last_received: Duration,
-    /// When the last message was sent.
+    /// Time at which the last message was sent.
     pub last_sent: Duration,
     last_heartbeat_sent: Duration,
+    /// Sequence number of the last heartbeat sent, 0 for none.
     sequence: u32,
+    /// Sequence number of the last heartbeat received, 0 for none.
     peer_sequence: u32,
     /// The oldest heartbeat that the neighbour has not acknowledged.
     unacknowledged: Option<UnacknowledgedHeartbeat>,
     /// Whether the neighbour has acknowledged a heartbeat, so that the link works in both
     /// directions.
     pub is_bidirectional: bool,
-    /// The neighbour's position in the tree.
+    /// Position of the neighbour in the tree, as of its last heartbeat.
     pub position: TreePosition,
-    /// How many more children the neighbour accepts.
+    /// Number of further children that the neighbour accepts, as of its last heartbeat.
     pub spare_capacity: u8,
     /// Whether the neighbour is a child of this node, so that changes are pushed to it.
     pub is_child: bool,
-    /// Changes to push.
+    /// Keys of the changes to push.
     pub pending_push: BTreeSet<Key>,
-    /// When the last push was sent.
+    /// Time at which the last push was sent.
     pub last_push: Duration,
-    /// Changes to announce.
+    /// Keys of the changes to announce.
     pub pending_announce: BTreeSet<Key>,
-    /// When they are announced.
+    /// Time at which the pending changes are announced; `None` if there are none.
     pub announce_at: Option<Duration>,
-    /// Until when the neighbour is not grafted, as it rejected a graft or failed as a parent.
+    /// Time until which the neighbour is not grafted, after it rejected or did not answer a graft,
+    /// or missed pushes as the parent.
     pub avoid_as_parent_until: Duration,
-    /// Root heartbeats sent on this link.
+    /// Newest root heartbeat of each coordinator that was sent on this link.
     pub sent_heartbeats: SentHeartbeats,
-    /// Consecutive heartbeats with a root hash that differs from the local one.
+    /// Number of consecutive heartbeats of the neighbour with a root hash that differs from the
+    /// local one.
     pub digest_mismatches: u32,
-    /// Whether the local state has changed in a way that the neighbour must learn of soon.
+    /// Whether a heartbeat is due early to report a change of the local state.
     pub heartbeat_pending: bool,
 }
 
 impl Link {
-    /// A link that is established at `now`, before the first message.
+    /// Creates a link that is established at `now`, before the first message.
     pub(crate) fn new(now: Duration) -> Link {
         Link {
             node: None,
@@ -125,7 +129,7 @@
         }
     }
 
-    /// Takes over the state in a heartbeat of the neighbour.
+    /// Stores the state that a heartbeat of the neighbour carries.
     pub(crate) fn on_heartbeat(&mut self, heartbeat: &Heartbeat) {
         // The first heartbeat is answered at once: from the echo the neighbour learns that the link
         // works in both directions.
@@ -144,13 +148,13 @@
         self.position = heartbeat.position.clone();
     }
 
-    /// Since when a heartbeat has been waiting for its acknowledgement.
+    /// Time at which the oldest heartbeat that is not acknowledged was sent.
     pub(crate) fn unacknowledged_since(&self) -> Option<Duration> {
         self.unacknowledged
             .map(|unacknowledged| unacknowledged.sent_at)
     }
 
-    /// Extends all deadlines of the neighbour by the time for which this process was paused.
+    /// Extends all deadlines of the neighbour by the duration of a pause of this process.
     pub(crate) fn extend_deadlines(&mut self, pause: Duration) {
         self.opened_at += pause;
         self.last_received += pause;
@@ -159,24 +163,26 @@
         }
     }
 
-    /// When the last heartbeat was sent.
+    /// Time at which the last heartbeat was sent.
     pub(crate) fn last_heartbeat_sent(&self) -> Duration {
         self.last_heartbeat_sent
     }
 
-    /// When the next heartbeat is due: `interval` after the last message, and at the latest
-    /// [`STATUS_INTERVALS`] intervals after the last heartbeat.
+    /// Time at which the next heartbeat is due: `interval` after the last message sent, and at the
+    /// latest [`STATUS_INTERVALS`] intervals after the last heartbeat sent.
     pub(crate) fn heartbeat_due(&self, interval: Duration) -> Duration {
         let after_heartbeat = self.last_heartbeat_sent + interval * STATUS_INTERVALS;
         (self.last_sent + interval).min(after_heartbeat)
     }
 
-    /// When pending changes are pushed, where changes are batched for `batch_interval`.
+    /// Time at which pending changes are pushed: `batch_interval` after the last push; `None` if
+    /// there are none.
     pub(crate) fn push_due(&self, batch_interval: Duration) -> Option<Duration> {
         (!self.pending_push.is_empty()).then_some(self.last_push + batch_interval)
     }
 
-    /// Drops pending work for `key`, as the neighbour has stated that it stores the local version.
+    /// Drops the pending push and announcement of `key`, as a message of the neighbour shows that
+    /// it stores the local version.
     pub(crate) fn mark_up_to_date(&mut self, key: Key) {
         self.pending_announce.remove(&key);
         self.pending_push.remove(&key);
--- a/crates/overlay/src/node.rs
+++ b/crates/overlay/src/node.rs
@@ -1,4 +1,4 @@
-//! Identity of the nodes: address, locality, role and incarnation.
+//! The identity of a node: address, locality, role and incarnation.
 
 use std::net::SocketAddr;
 
@@ -6,11 +6,12 @@
 
 use crate::hash;
 
-/// Short identity of a node on the wire: a hash of its address. Two nodes with the same identity
-/// only avoid each other as parents, so a collision costs a choice of parent but no correctness.
+/// Short identity of a node on the wire: a 32-bit hash. Two nodes whose hashes collide only avoid
+/// each other, and paths through each other, as parents: a collision costs a choice of parent but
+/// no correctness.
 pub type NodeId = u32;
 
-/// Role of a node in the control plane.
+/// The role of a node in the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Role {
     /// Publishes entries and root heartbeats; a root of the tree.
@@ -19,17 +20,19 @@
     Agent,
 }
 
-/// Region and zone of a node (Envoy's locality), as numbers that all nodes derive in the same way.
+/// The region and zone of a node (Envoy's locality), as numbers that all nodes derive in the same
+/// way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Locality {
-    /// The region.
+    /// Hash of the name of the region.
     pub region: u32,
-    /// The zone; only compared together with the region.
+    /// Hash of the name of the zone; only compared together with the region, as zones of different
+    /// regions may have the same name.
     pub zone: u32,
 }
 
 impl Locality {
-    /// The locality with these names: 32-bit hashes of them.
+    /// The locality with these names, each hashed to 32 bits.
     #[must_use]
     pub fn from_names(region: &str, zone: &str) -> Locality {
         let hash32 = |name: &str| hash::bytes(name.as_bytes()) as u32;
@@ -46,35 +49,36 @@
     }
 }
 
-/// Everything that other nodes need to know of a node.
+/// What other nodes need to know about a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Descriptor {
-    /// The address it listens at, which is also its identity.
+    /// Listening address of the node, which is also its identity.
     pub address: SocketAddr,
-    /// Its region and zone.
+    /// Region and zone of the node; nodes of the same zone, then region, are preferred as
+    /// parents.
     pub locality: Locality,
-    /// Its role.
+    /// Whether the node is a coordinator or an agent.
     pub role: Role,
-    /// Incarnation of the process at this address; higher at each start.
+    /// Incarnation number of the process at this address; higher at each start.
     pub incarnation: u64,
 }
 
 impl Descriptor {
-    /// The short identity of the node.
+    /// The short identity of the node, the same for all incarnations.
     #[must_use]
     pub fn id(&self) -> NodeId {
         hash::address(self.address) as u32
     }
 
-    /// The short identity of this incarnation of the node, which differs between incarnations so
-    /// that the counters of each may start at 1.
+    /// The short identity of this incarnation of the node. It differs between incarnations, so that
+    /// [`crate::RootHeartbeat::elapsed_ms`] of each may start at 1.
     #[must_use]
     pub fn incarnation_id(&self) -> NodeId {
         hash::pair(hash::address(self.address), self.incarnation) as u32
     }
 
     /// Rank among the nodes that compete to be the head of a region or zone: the lowest score wins.
-    /// Never 0, which represents a coordinator.
+    /// At least 1, as 0 represents a coordinator.
     #[must_use]
     pub fn score(&self) -> u32 {
         ((hash::pair(hash::address(self.address), self.incarnation) >> 32) as u32).max(1)
--- a/crates/overlay/src/overlay.rs
+++ b/crates/overlay/src/overlay.rs
@@ -1,6 +1,6 @@
-//! One node of the overlay: events in, actions out.
+//! A node of the overlay: a state machine without I/O that turns events into actions.
 //!
-//! The node is a state machine without I/O. Each submodule holds the methods of one concern.
+//! Each submodule implements the methods of [`Overlay`] for one concern.
 
 mod admission;
 mod anti_entropy;
@@ -40,7 +40,7 @@
 use crate::settings::Settings;
 use crate::store::{Store, StoredEntry};
 
-/// A node of the overlay, coordinator or agent by its [`Descriptor`].
+/// A node of the overlay; its [`Descriptor`] says whether it is a coordinator or an agent.
 #[derive(Debug)]
 pub struct Overlay {
     local_node: Descriptor,
@@ -49,22 +49,25 @@
     store: Store,
     view: PassiveView,
     freshness: FreshnessTable,
+    /// Whether this node, if a coordinator, can reach a majority of the coordinators.
     in_contact: bool,
     started_at: Duration,
-    /// Time of the last event.
+    /// Time at which the last event was handled.
     last_handled: Duration,
     seeds: Vec<SocketAddr>,
     links: BTreeMap<SocketAddr, Link>,
+    /// Connections being opened, with the time at which each attempt is abandoned.
     connecting: BTreeMap<SocketAddr, Duration>,
     connect_failures: BTreeMap<SocketAddr, ConnectFailure>,
+    /// Announced versions that have not arrived.
     missing: BTreeMap<Key, MissingVersion>,
     tree: TreeState,
     schedule: Schedule,
 }
 
 impl Overlay {
-    /// A node that knows no other node yet. `now` is the time of a monotonic clock of this machine;
-    /// `seed` seeds the random choices and should differ between nodes.
+    /// Creates a node that knows no other node yet. `now` is the time on a monotonic clock of this
+    /// machine; `seed` seeds the random choices and should differ between nodes.
     #[must_use]
     pub fn new(local_node: Descriptor, settings: Settings, seed: u64, now: Duration) -> Overlay {
         let mut store = Store::new(settings.tombstone_retention);
@@ -101,7 +104,8 @@
         }
     }
 
-    /// Handles an event and appends the resulting actions to `out`.
+    /// Handles an event, runs the periodic tasks that are due, and appends the resulting actions to
+    /// `out` in the order in which the caller carries them out.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         self.compensate_pause(now);
         match event {
@@ -190,20 +194,21 @@
         self.store.get(key)
     }
 
-    /// The stored entries.
+    /// The local store, tombstones included.
     #[must_use]
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// This node.
+    /// The descriptor of this node.
     #[must_use]
     pub fn node(&self) -> &Descriptor {
         &self.local_node
     }
 
-    /// Time since the newest heartbeat of any coordinator was sent, less the shortest transit time;
-    /// `None` before the first. Zero at a coordinator.
+    /// Age of the local state: the time since the newest root heartbeat received from any
+    /// coordinator was sent, less the shortest transit time; `None` before the first. Zero on a
+    /// coordinator.
     #[must_use]
     pub fn freshness(&self, now: Duration) -> Option<Duration> {
         if self.local_node.is_coordinator() {
@@ -213,7 +218,7 @@
         }
     }
 
-    /// Time since the newest heartbeat of each coordinator was sent, by
+    /// Time since the newest root heartbeat of each coordinator was sent, by
     /// [`Descriptor::incarnation_id`].
     pub fn root_ages(&self, now: Duration) -> impl Iterator<Item = (NodeId, Duration)> {
         self.freshness.ages(now)
@@ -225,18 +230,19 @@
         &self.tree.position
     }
 
-    /// The parent of this agent, which pushes changes to it.
+    /// The neighbour that pushes entries to this agent; `None` on a coordinator and on an agent
+    /// without a parent.
     #[must_use]
     pub fn parent(&self) -> Option<SocketAddr> {
         self.tree.parent
     }
 
-    /// The neighbours.
+    /// The neighbours whose `Hello` has arrived (`HyParView`'s active view).
     pub fn neighbours(&self) -> impl Iterator<Item = Descriptor> {
         self.links.values().filter_map(|link| link.node)
     }
 
-    /// The children of this node, to which it pushes changes.
+    /// The neighbours to which this node pushes entries.
     pub fn children(&self) -> impl Iterator<Item = Descriptor> {
         self.links
             .values()
@@ -244,7 +250,7 @@
             .filter_map(|link| link.node)
     }
 
-    /// The passive view of this node.
+    /// The nodes to which this node may open links.
     #[must_use]
     pub fn view(&self) -> &PassiveView {
         &self.view
--- a/crates/overlay/src/overlay/admission.rs
+++ b/crates/overlay/src/overlay/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of links: how many agents may be linked to a node, and what happens to the others.
+//! Admission of links: a node limits the number of agents linked to it, and refers rejected nodes
+//! to others.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -8,22 +9,22 @@
 use crate::message::{AgedDescriptor, Message};
 use crate::node::Descriptor;
 
-/// Links that an agent accepts beyond its active view and its children.
+/// Number of links that an agent accepts beyond `active_view_size` and `fanout`.
 const SPARE_LINKS: usize = 2;
 
-/// Backoff after the first rejection by a node; doubled for each further one.
+/// Backoff after the first rejection by a node; doubled after each further one.
 const REJECTION_BACKOFF: Duration = Duration::from_secs(10);
 
-/// Longest backoff after rejections by a node.
+/// Maximum backoff after rejections by a node.
 const MAX_REJECTION_BACKOFF: Duration = Duration::from_secs(320);
 
-/// Backoff after a rejection for an agent that is detached or needs a standby link.
+/// Backoff after any rejection of an agent that is detached or needs a standby link.
 const URGENT_REJECTION_BACKOFF: Duration = Duration::from_secs(2);
 
 impl Overlay {
-    /// Whether a link with `node` is accepted. A coordinator closes a link inside its region to
-    /// accept one from another region, as agents inside have other nodes to connect to, but only
-    /// for half of its links.
+    /// Whether a link with `node` is accepted. A full coordinator closes a link to an agent of its
+    /// region to accept one of another region, as agents of its region have other nodes to connect
+    /// to, but only while more than half of `coordinator_fanout` are agents of its region.
     pub(super) fn admit(
         &mut self,
         now: Duration,
@@ -46,8 +47,8 @@
         linked_agents < self.settings.coordinator_fanout || self.evict_for(now, node, out)
     }
 
-    /// Closes the link to one agent of the region in favour of `node` in another one. Returns
-    /// whether it did.
+    /// Closes the link to one agent of the region to make capacity for `node` of another region.
+    /// Returns whether a link was closed.
     fn evict_for(&mut self, now: Duration, node: &Descriptor, out: &mut Vec<Action>) -> bool {
         let regional: Vec<(bool, Descriptor)> = self
             .links
@@ -68,7 +69,7 @@
         true
     }
 
-    /// Closes the link to `node` and names other nodes that it may connect to.
+    /// Closes the link to `node` and sends a sample of nodes to which it may connect instead.
     pub(super) fn reject_link(&mut self, now: Duration, node: &Descriptor, out: &mut Vec<Action>) {
         let sample = self.sample_for(now, node);
         self.send(now, node.address, Message::LinkRejected { sample }, out);
--- a/crates/overlay/src/overlay/anti_entropy.rs
+++ b/crates/overlay/src/overlay/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy: comparison of stores by digest, periodically and when an agent takes a parent.
+//! Anti-entropy: comparison of stores by digest, periodically, when an agent grafts a parent, when
+//! coordinators connect, and when root hashes in heartbeats keep differing.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,22 +16,22 @@
 /// Maximum number of keys in one request.
 const MAX_KEYS_PER_REQUEST: usize = 1_024;
 
-/// Consecutive heartbeats with a different root hash after which stores are compared.
+/// Number of consecutive heartbeats with a different root hash after which stores are compared.
 const MAX_DIGEST_MISMATCHES: u32 = 2;
 
-/// Why entries are sent.
+/// The reason for which entries are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EntriesReason {
-    /// Along the tree.
+    /// Changes pushed to a child or relay target.
     Push,
-    /// As the reply to a request, or after a comparison of stores.
+    /// Reply to a request, or result of a comparison of stores.
     Reply,
 }
 
 impl Overlay {
-    /// Starts a comparison with a random neighbour: one of the own region, the parent, or for a
-    /// coordinator another coordinator. Regions are thus compared with each other too, but only
-    /// over links that entries cross anyway.
+    /// Starts a comparison with a random neighbour among those of the own region, the parent and,
+    /// on a coordinator, other coordinators. Regions are thus compared with each other as well, but
+    /// only over links that carry entries anyway.
     pub(super) fn start_anti_entropy(&mut self, now: Duration, out: &mut Vec<Action>) {
         if !self.settings.guards.anti_entropy {
             return;
@@ -48,14 +49,14 @@
         self.compare_with(now, peer.address, out);
     }
 
-    /// The part of the root hash that heartbeats carry.
+    /// The upper 32 bits of the root hash, which heartbeats carry.
     pub(super) fn root_hash_prefix(&self) -> u32 {
         (self.store.root_hash() >> 32) as u32
     }
 
-    /// Compares stores with the parent, or between coordinators, when the root hash in consecutive
-    /// heartbeats of the neighbour differs from the local one. A change that is being pushed causes
-    /// one mismatch at most.
+    /// Compares stores with the parent, or between coordinators, when the root hash in
+    /// [`MAX_DIGEST_MISMATCHES`] consecutive heartbeats of the neighbour differs from the local
+    /// one: a change that is being pushed causes one mismatch at most.
     pub(super) fn check_root_hash(
         &mut self,
         now: Duration,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Starts a comparison with a neighbour.
+    /// Starts a comparison of stores with `peer`.
     pub(super) fn compare_with(&mut self, now: Duration, peer: SocketAddr, out: &mut Vec<Action>) {
         let root_hash = self.store.root_hash();
         self.send(now, peer, Message::Digest { root_hash }, out);
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Sends the entries of `keys`, up to the limit of one reply.
+    /// Sends the entries of `keys`, up to `max_repair_bytes`.
     pub(super) fn send_requested(
         &mut self,
         now: Duration,
@@ -144,7 +145,7 @@
         self.send_chunked(now, to, collected, EntriesReason::Reply, out);
     }
 
-    /// Pushes entries along the tree.
+    /// Pushes entries to a child or relay target.
     pub(super) fn send_push(
         &mut self,
         now: Duration,
@@ -159,7 +160,8 @@
         self.send_chunked(now, to, collected, EntriesReason::Push, out);
     }
 
-    /// Sends entries in messages of bounded size, the last of which says whether there are more.
+    /// Sends entries in messages of bounded size, the last of which tells whether entries were
+    /// omitted.
     fn send_chunked(
         &mut self,
         now: Duration,
@@ -180,7 +182,8 @@
         }
     }
 
-    /// Splits entries into chunks of at most `max_message_bytes`, unless a single entry is larger.
+    /// Splits entries into chunks of at most `max_message_bytes`; a larger entry is a chunk of its
+    /// own.
     fn chunks(&self, entries: Vec<Entry>) -> Vec<Vec<Entry>> {
         let mut chunks = Vec::new();
         let mut chunk = Vec::new();
--- a/crates/overlay/src/overlay/connections.rs
+++ b/crates/overlay/src/overlay/connections.rs
@@ -9,13 +9,13 @@
 use crate::node::Descriptor;
 use crate::passive_view::ViewUpdate;
 
-/// Divisor of the longest backoff for nodes that urgently need links.
+/// Divisor of the maximum backoff on coordinators and detached agents, which need links urgently.
 const URGENT_BACKOFF_DIVISOR: u32 = 4;
 
-/// Consecutive failures after which an agent is removed from the view.
+/// Number of consecutive failures after which an agent is removed from the view.
 const MAX_CONNECT_FAILURES: u32 = 3;
 
-/// Number of failure records beyond which expired ones are dropped.
+/// Number of failure records above which those whose backoff has ended are dropped.
 const MAX_FAILURE_RECORDS: usize = 256;
 
 impl Overlay {
@@ -48,8 +48,8 @@
         self.drop_link(now, peer);
     }
 
-    /// Records that a message has arrived. Returns whether it may be handled: no state is accepted
-    /// before the first `Hello`.
+    /// Records that a message has arrived. Returns whether it may be handled: before the first
+    /// `Hello`, only messages that establish or close the link may.
     pub(super) fn on_receive(
         &mut self,
         now: Duration,
@@ -108,7 +108,7 @@
         self.view.remove_departed(from);
     }
 
-    /// Notifies all neighbours that this node leaves and closes all links.
+    /// Notifies all neighbours that this node leaves, and closes all links.
     pub(super) fn leave(&mut self, out: &mut Vec<Action>) {
         let peers: Vec<SocketAddr> = self.links.keys().copied().collect();
         for peer in peers {
@@ -140,8 +140,8 @@
         true
     }
 
-    /// Records that `peer` does not answer. The backoff is shorter for a coordinator and for a
-    /// detached agent.
+    /// Records that `peer` does not respond, and backs off. The maximum backoff is shorter on a
+    /// coordinator and on a detached agent.
     pub(super) fn record_failure(&mut self, now: Duration, peer: SocketAddr) {
         let is_urgent = self.local_node.is_coordinator() || !self.tree.position.is_attached();
         let divisor = if is_urgent { URGENT_BACKOFF_DIVISOR } else { 1 };
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Opens a connection to `peer` if [`Self::can_open`]. Returns whether it did.
+    /// Opens a connection to `peer` if [`Self::can_open`] permits it. Returns whether it does.
     pub(super) fn open(&mut self, now: Duration, peer: SocketAddr, out: &mut Vec<Action>) -> bool {
         if !self.can_open(now, peer) {
             return false;
@@ -171,8 +171,8 @@
         true
     }
 
-    /// Whether there is no connection to `peer` yet, none is being opened, and none is delayed by
-    /// the backoff.
+    /// Whether a connection to `peer` can be opened: `peer` is another node, there is no connection
+    /// yet, none is being opened, and the backoff has ended.
     pub(super) fn can_open(&self, now: Duration, peer: SocketAddr) -> bool {
         let is_backing_off = self
             .connect_failures
@@ -184,8 +184,8 @@
             && !self.connecting.contains_key(&peer)
     }
 
-    /// Abandons connections that take too long to open, and links on which no `Hello` has arrived
-    /// in time.
+    /// Abandons the connections that are not open, and the links without a `Hello`, after
+    /// `connect_timeout`.
     pub(super) fn expire_connections(&mut self, now: Duration, out: &mut Vec<Action>) {
         let expired: Vec<SocketAddr> = self
             .connecting
--- a/crates/overlay/src/overlay/dissemination.rs
+++ b/crates/overlay/src/overlay/dissemination.rs
@@ -1,5 +1,5 @@
-//! Dissemination of entries: pushed along the tree, announced on all other links, and requested
-//! where they do not arrive (Plumtree's eager push, lazy push and repair).
+//! Dissemination of entries: they are pushed along the tree, announced on all other links, and
+//! requested where they do not arrive (Plumtree's eager push, lazy push and repair).
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -15,13 +15,15 @@
 use crate::settings::Settings;
 use crate::store::MergeOutcome;
 
-/// Maximum number of requests of a missing version before it is left to anti-entropy.
+/// Number of requests of a missing version after which one more is sent and the version is then
+/// left to anti-entropy.
 const MAX_REQUESTS: u32 = 3;
 
 /// Interval at which a missing version is requested again.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Consecutive versions that had to be requested after which another parent is chosen.
+/// Number of newer entries in replies of other neighbours, without a push of the parent in between,
+/// after which another parent is chosen.
 const MAX_MISSED_PUSHES: u32 = 3;
 
 /// Time for which a parent that missed pushes is not chosen again.
@@ -73,14 +75,14 @@
         self.mark_up_to_date(sender, entry.key);
     }
 
-    /// Whether a version up to this one has been announced and has not arrived.
+    /// Whether this version of the key, or an older one, was announced and has not arrived.
     fn is_awaited(&self, entry: &Entry) -> bool {
         self.missing
             .get(&entry.key)
             .is_some_and(|missing| missing.version <= entry.version)
     }
 
-    /// Drops pending work for `key` on the link with `peer`, which stores the local version.
+    /// Drops the pending push and announcement of `key` to `peer`, which stores the local version.
     fn mark_up_to_date(&mut self, peer: Option<SocketAddr>, key: Key) {
         if let Some(link) = peer.and_then(|peer| self.links.get_mut(&peer)) {
             link.mark_up_to_date(key);
@@ -120,8 +122,8 @@
         }
     }
 
-    /// Handles a push with this number of newer entries. A push from a node other than the parent
-    /// without newer entries shows that the tree has a redundant edge, which is pruned.
+    /// Handles a push of which `newer` entries were stored. A push without newer entries from a
+    /// node other than the parent shows that the tree has a redundant edge, which is pruned.
     fn on_pushed(&mut self, now: Duration, from: SocketAddr, newer: u32, out: &mut Vec<Action>) {
         if self.tree.parent == Some(from) {
             self.tree.missed_pushes = 0;
@@ -133,9 +135,9 @@
         }
     }
 
-    /// Counts entries that the parent should have pushed but that had to be requested from another
-    /// node. Where all neighbours depend on the same coordinator it is the coordinator that lacks
-    /// them, and another parent would be no better.
+    /// Counts the entries that the parent should have pushed but that another neighbour had to
+    /// send, and avoids the parent after too many of them. Where all neighbours depend on the same
+    /// coordinator, the coordinator lacks the entries and another parent would be no better.
     fn record_missed_pushes(&mut self, now: Duration, from: SocketAddr, newer: u32) {
         if self.tree.parent == Some(from) || !self.tree.position.is_attached() {
             return;
@@ -189,14 +191,15 @@
         }
     }
 
-    /// Notes that `version` has been announced and requests it later if it does not arrive.
+    /// Records an announced version, which is requested if it does not arrive in time.
     fn await_version(&mut self, now: Duration, from: SocketAddr, key: Key, version: Version) {
         if let Some(missing) = self
             .missing
             .get_mut(&key)
             .filter(|missing| missing.version >= version)
         {
-            // The next request goes to another neighbour, as the first may not answer.
+            // The next request goes to the neighbour that announced last, as the one before may not
+            // answer.
             missing.from = from;
             return;
         }
@@ -283,9 +286,9 @@
     }
 }
 
-/// How long changes are collected before they are announced on this link of `local_node`. The
-/// interval is short on an agent's link to another region, over which changes arrive that the
-/// parents in its own region may lack.
+/// Time for which changes are collected before they are announced on a link of `local_node`. It is
+/// short on an agent's link to another region, over which changes arrive that the parents in its
+/// own region may lack.
 fn announce_interval(local_node: &Descriptor, link: &Link, settings: &Settings) -> Duration {
     let is_remote = |node: Descriptor| !node.locality.same_region(local_node.locality);
     let includes_agent = |node: Descriptor| !local_node.is_coordinator() || !node.is_coordinator();
--- a/crates/overlay/src/overlay/event.rs
+++ b/crates/overlay/src/overlay/event.rs
@@ -10,9 +10,9 @@
 /// An event that the caller reports to a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Addresses of seed nodes as the caller knows them now; they replace the previous ones.
+    /// Replaces the addresses of the seed nodes.
     Seeds(Vec<SocketAddr>),
-    /// A connection with the node that listens at this address is established, whichever side
+    /// A connection with the node that listens at this address is established, whichever side has
     /// opened it.
     Connected(SocketAddr),
     /// The last connection with the node has closed, or connecting has failed.
@@ -21,30 +21,31 @@
     Message {
         /// Listening address of the sender.
         from: SocketAddr,
-        /// The message.
+        /// Message as decoded by the caller.
         message: Message,
     },
     /// Publishes an entry. Ignored unless it is newer than the stored one.
     Publish {
-        /// The key.
+        /// Key of the entry.
         key: Key,
-        /// The version.
+        /// Version of the entry.
         version: Version,
-        /// The payload.
+        /// Opaque payload.
         payload: Arc<[u8]>,
     },
     /// Publishes a tombstone, which is itself a version of the key.
     Remove {
-        /// The key.
+        /// Key of the removed entry.
         key: Key,
-        /// The version.
+        /// Version of the tombstone. Ignored unless it is newer than the stored one.
         version: Version,
     },
-    /// Sets whether this coordinator is in contact with a majority of the replica set; assumed true
-    /// until the first such event. A coordinator that is not in contact emits no root heartbeats, and agents choose
-    /// another parent if there is one below a coordinator in contact.
+    /// Sets whether this coordinator is in contact with a majority of the replica set, which is
+    /// assumed until the first such event. A coordinator out of contact emits no root heartbeats,
+    /// and agents below it choose another parent if there is one below a coordinator in contact.
     InContact(bool),
-    /// The time requested by [`Action::Timer`] has come. Additional timer events are harmless.
+    /// The time requested by [`Action::Timer`] has been reached. Additional timer events are
+    /// harmless.
     Timer,
     /// The node is about to stop and notifies its neighbours.
     Leave,
@@ -57,24 +58,24 @@
     Send {
         /// Listening address of the receiver.
         to: SocketAddr,
-        /// The message.
+        /// Message to encode and send.
         message: Message,
     },
-    /// Open a connection unless there is one, and report [`Event::Connected`] or
-    /// [`Event::Disconnected`].
+    /// Open a connection to the node at this address unless there is one, and report
+    /// [`Event::Connected`] or [`Event::Disconnected`].
     Connect(SocketAddr),
-    /// Close the connection after the messages already sent on it; [`Event::Disconnected`] need not
-    /// be reported.
+    /// Close the connection with the node at this address after the messages already sent on it;
+    /// [`Event::Disconnected`] need not be reported.
     Disconnect(SocketAddr),
-    /// A newer version has been stored, published by this node or by another.
+    /// Process a newer version that has been stored, published by this node or by another.
     Changed {
-        /// The key.
+        /// Key of the entry.
         key: Key,
-        /// The version.
+        /// Version of the entry.
         version: Version,
-        /// The payload, `None` for a tombstone.
+        /// Opaque payload; `None` for a tombstone.
         payload: Option<Arc<[u8]>>,
     },
-    /// Report [`Event::Timer`] at this time, which replaces the time requested before.
+    /// Report [`Event::Timer`] at this time. Replaces the time requested before.
     Timer(Duration),
 }
--- a/crates/overlay/src/overlay/graft.rs
+++ b/crates/overlay/src/overlay/graft.rs
@@ -1,5 +1,5 @@
-//! The exchange by which an agent takes a parent: graft, its acceptance or rejection, and prune
-//! (Plumtree).
+//! The messages by which an agent changes its parent: graft, the acceptance or rejection of it, and
+//! prune (Plumtree).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +23,7 @@
         self.send(now, peer, Message::Graft { root_hash }, out);
     }
 
-    /// Abandons the pending graft and avoids its receiver for some time.
+    /// Abandons the pending graft and avoids its receiver for [`AVOID_AFTER_REJECTION`].
     pub(super) fn abandon_graft(&mut self, now: Duration) {
         let Some(graft) = self.tree.pending_graft.take() else {
             return;
@@ -65,7 +65,7 @@
         !is_descendant && self.tree.position.is_attached() && has_capacity
     }
 
-    /// Children in the region of `node`, which it may graft instead.
+    /// The children in the region of `node`, which `node` may graft instead of this node.
     fn children_in_region_of(&self, now: Duration, node: &Descriptor) -> Vec<AgedDescriptor> {
         let is_alternative = |child: &Descriptor| {
             child.locality.same_region(node.locality) && child.address != node.address
--- a/crates/overlay/src/overlay/heartbeats.rs
+++ b/crates/overlay/src/overlay/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats: root heartbeats relayed down the tree, heartbeats of links, and the closing of links
-//! that are silent.
+//! Heartbeats on links, the root heartbeats that they carry down the tree, and the closing of dead
+//! links.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 use crate::link::Link;
 use crate::message::{Heartbeat, Message, RootHeartbeat};
 
-/// Minimum interval between heartbeats that report a change of the local state.
+/// Minimum time between a heartbeat and the next one that reports a change of the local state.
 const MIN_STATUS_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Overlay {
-    /// Emits the root heartbeat of this coordinator and relays those of others.
+    /// Emits the root heartbeat of this coordinator, if in contact, and relays those of others.
     pub(super) fn emit_root_heartbeat(&mut self, now: Duration, out: &mut Vec<Action>) {
         if self.in_contact {
             let elapsed = now.saturating_sub(self.started_at).as_millis();
@@ -86,14 +86,14 @@
         }
     }
 
-    /// When the next heartbeat on the link is due; `None` before the neighbour's `Hello`.
+    /// Time at which the next heartbeat on the link is due; `None` before the neighbour's `Hello`.
     pub(super) fn heartbeat_due(&self, link: &Link) -> Option<Duration> {
         link.node?;
         if link.heartbeat_pending {
             return Some(link.last_heartbeat_sent() + MIN_STATUS_INTERVAL);
         }
-        // An eighth more than the interval of root heartbeats, which take the place of other
-        // heartbeats as long as they arrive.
+        // The interval is an eighth longer than that of root heartbeats, so that no heartbeats are
+        // sent besides these while they arrive.
         let interval = if self.carries_root_heartbeats(link) {
             self.settings.tree_heartbeat_interval + self.settings.tree_heartbeat_interval / 8
         } else {
--- a/crates/overlay/src/overlay/maintenance.rs
+++ b/crates/overlay/src/overlay/maintenance.rs
@@ -1,5 +1,4 @@
-//! Maintenance of the active view: which links a node opens because they are missing, and closes
-//! because they are surplus.
+//! Maintenance of the active view: a node opens the links that it lacks and closes surplus ones.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,19 +12,20 @@
 use crate::node::Descriptor;
 use crate::position::TreePosition;
 
-/// Maximum number of seeds that one round connects to.
+/// Maximum number of seeds to which one round of maintenance opens connections.
 const MAX_SEEDS_PER_ROUND: usize = 3;
 
-/// Maximum number of links inside the region that one round opens.
+/// Maximum number of links inside the region that one round of maintenance opens.
 const MAX_REGION_LINKS_PER_ROUND: usize = 2;
 
-/// Minimum age of a surplus link that is closed.
+/// Minimum age at which a surplus link is closed.
 const MIN_SURPLUS_AGE: Duration = Duration::from_secs(3);
 
-/// In one of this many rounds the coordinator with the higher address opens the link between two.
+/// Inverse of the probability that, in one round, a coordinator opens a missing link to a
+/// coordinator with a lower address.
 const HIGHER_ADDRESS_OPENS_ONE_IN: u32 = 4;
 
-/// Links that an agent lacks inside its region.
+/// The links that an agent lacks inside its region.
 #[derive(Clone, Copy, Debug)]
 struct RegionDemand {
     missing: usize,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Opens links between coordinators, each of which keeps one with every other. The one with the
-    /// lower address opens it, and sometimes the other.
+    /// Opens the missing links to other coordinators and to seeds, as each coordinator keeps a link
+    /// with every other. The one with the lower address opens it, and at times the other.
     fn maintain_coordinator_links(&mut self, now: Duration, out: &mut Vec<Action>) {
         let known = self.view.coordinators().map(|node| node.address);
         let coordinators: Vec<SocketAddr> = known.chain(self.seeds.iter().copied()).collect();
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Opens links of an agent inside its region: it keeps `active_view_size` links with agents,
-    /// about half of them inside its zone, and one with a coordinator.
+    /// Opens links of an agent inside its region. The agent keeps `active_view_size` links with
+    /// agents, about half of them inside its zone, and one with a coordinator.
     fn maintain_region(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.open_region_coordinator(now, out);
         let (in_zone, other_zones): (Vec<Descriptor>, Vec<Descriptor>) = self
@@ -113,9 +113,9 @@
         }
     }
 
-    /// Whether all neighbours depend on the parent of this agent, or on the agent itself. Always
-    /// false where changes enter the region through the parent alone, as all nodes inside depend on
-    /// it.
+    /// Whether no neighbour other than the parent is attached through a path without the parent and
+    /// without this agent. Always false where changes enter the region through the parent alone, as
+    /// all nodes inside the region then depend on it.
     fn lacks_independent_parent(&self) -> bool {
         let parent = self.parent_link();
         let Some((node, link)) = parent.and_then(|link| link.node.map(|node| (node, link))) else {
@@ -135,7 +135,8 @@
         !self.links.values().any(is_independent)
     }
 
-    /// Whether `node` is the head of its region, or the only coordinator in the region.
+    /// Whether changes enter the region through `node` alone: it is the region head, or the only
+    /// known coordinator in the region.
     fn is_only_region_ingress(&self, node: &Descriptor, position: &TreePosition) -> bool {
         let is_head = matches!(
             position,
@@ -152,7 +153,7 @@
             .count()
     }
 
-    /// Opens a link to a random one of `nodes`. Returns whether there was one to open.
+    /// Opens a link to a random one of `nodes`. Returns whether there was a node to connect to.
     fn open_any(&mut self, now: Duration, nodes: &[Descriptor], out: &mut Vec<Action>) -> bool {
         let available: Vec<SocketAddr> = nodes
             .iter()
@@ -163,8 +164,8 @@
         chosen.is_some_and(|peer| self.open(now, peer, out))
     }
 
-    /// Counts the live agents of the region that are linked or being connected to and that
-    /// `is_counted` selects.
+    /// Counts the agents of the region that `is_counted` selects among the neighbours that are not
+    /// silent and the nodes to which a connection is being opened.
     fn count_region_links(&self, now: Duration, is_counted: impl Fn(&Descriptor) -> bool) -> usize {
         let linked = self
             .links
@@ -183,7 +184,7 @@
             .count()
     }
 
-    /// Opens a link to a coordinator of the region, in the own zone if there is one.
+    /// Opens a link to a coordinator of the region, in the own zone if possible.
     fn open_region_coordinator(&mut self, now: Duration, out: &mut Vec<Action>) {
         let Some(best) = self
             .coordinators_by_preference(now)
@@ -203,8 +204,8 @@
         }
     }
 
-    /// Coordinators to which a connection can be opened: those that have not failed first, then by
-    /// proximity, then by rendezvous weight, so that agents spread over them.
+    /// The coordinators to which a connection can be opened, those without failures first, then by
+    /// proximity, then by rendezvous weight, so that the agents are distributed over them.
     pub(super) fn coordinators_by_preference(&self, now: Duration) -> Vec<Descriptor> {
         let mut nodes: Vec<Descriptor> = self
             .view
@@ -227,7 +228,8 @@
         nodes
     }
 
-    /// Rendezvous weight of `node` for this one (Thaler and Ravishankar 1998).
+    /// Rendezvous weight of `node` for this node (Thaler and Ravishankar 1998); the lowest is
+    /// preferred.
     pub(super) fn rendezvous_weight(&self, node: &Descriptor) -> u64 {
         hash::pair(
             hash::address(self.local_node.address),
@@ -235,7 +237,7 @@
         )
     }
 
-    /// Closes the links of an agent to other regions that are neither tree edges nor standby links.
+    /// Closes the surplus links of an agent while it is attached.
     fn close_surplus(&mut self, now: Duration, out: &mut Vec<Action>) {
         for peer in self.surplus_links(now) {
             if self.tree.position.is_attached() {
@@ -244,6 +246,8 @@
         }
     }
 
+    /// The links to other regions that are neither tree edges nor standby links. While the root is
+    /// out of contact, no link to a coordinator is surplus.
     fn surplus_links(&self, now: Duration) -> Vec<SocketAddr> {
         let in_contact = self.tree.position.is_in_contact();
         let mut standbys_to_keep = usize::from(self.needs_standby());
--- a/crates/overlay/src/overlay/parent_selection.rs
+++ b/crates/overlay/src/overlay/parent_selection.rs
@@ -8,10 +8,12 @@
 use crate::link::Link;
 use crate::position::TreePosition;
 
-/// Minimum time an agent keeps a parent before it changes for a path that is a single hop shorter.
+/// Minimum time for which an agent keeps a parent before it changes to a path that is a single hop
+/// shorter.
 const MIN_PARENT_DWELL: Duration = Duration::from_secs(10);
 
-/// A neighbour that could be the parent, and the position that this agent would then have.
+/// A neighbour that is eligible as the parent, and the position that this agent would have below
+/// it.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     peer: SocketAddr,
@@ -22,12 +24,12 @@
     depth: usize,
     in_contact: bool,
     spare_capacity: u8,
-    /// Rendezvous weight, which breaks ties.
+    /// Breaks ties; the lowest wins.
     rendezvous_weight: u64,
 }
 
 impl Candidate {
-    /// Sort key of the candidates in a region: the lowest is the best.
+    /// Sort key of the candidates in the own region: the lowest is the best.
     fn rank(&self) -> (u32, Reverse<bool>, u32, usize, Reverse<u8>, u64) {
         (
             self.region_head,
@@ -39,14 +41,14 @@
         )
     }
 
-    /// The part of the rank for which a parent is changed at once.
+    /// The part of [`Self::rank`] in which any improvement changes the parent at once.
     fn head_rank(&self) -> (u32, Reverse<bool>, u32) {
         (self.region_head, Reverse(self.same_zone), self.zone_head)
     }
 }
 
 impl Overlay {
-    /// A neighbour to graft instead of the current parent.
+    /// The neighbour to graft instead of the current parent; `None` if the parent is kept.
     pub(super) fn better_parent(&self, now: Duration) -> Option<SocketAddr> {
         let mut candidates: Vec<Candidate> = self
             .links
@@ -77,8 +79,8 @@
         self.is_better(now, current, &best).then_some(best.peer)
     }
 
-    /// The candidate to compare with the current parent. An agent that is the head of its zone
-    /// remains so unless there is a path with a lower score in its zone.
+    /// The candidate to compare with the current parent. An agent that is a zone head remains one
+    /// unless a path in its zone has a zone head with a lower score.
     fn keep_zone_head(
         &self,
         current: Option<Candidate>,
@@ -99,7 +101,8 @@
             .unwrap_or(current)
     }
 
-    /// The best candidate in another region, coordinators first, if the agent has no parent.
+    /// The candidate in another region with the shortest path, which puts coordinators first;
+    /// `None` while the agent has a usable parent or may not attach in another region yet.
     fn best_remote(
         &self,
         now: Duration,
@@ -115,7 +118,7 @@
             .map(|candidate| candidate.peer)
     }
 
-    /// Whether `best` is worth a change from the current parent.
+    /// Whether `best` is so much better than the current parent that the parent is changed.
     fn is_better(&self, now: Duration, current: Option<Candidate>, best: &Candidate) -> bool {
         let Some(current) = current else { return true };
         if current.peer == best.peer {
@@ -131,7 +134,8 @@
         best.depth + 2 <= current.depth || min_dwell_elapsed && best.depth < current.depth
     }
 
-    /// The current parent, if this agent is attached through it.
+    /// The current parent as a candidate; `None` if this agent is not attached through it or avoids
+    /// it.
     fn current_parent(&self, now: Duration) -> Option<Candidate> {
         let peer = self.tree.parent?;
         let link = self.links.get(&peer)?;
@@ -141,7 +145,7 @@
         self.candidate_through(peer, link)
     }
 
-    /// The neighbour as a candidate, if it is eligible as a parent.
+    /// The neighbour as a candidate; `None` if it is not eligible as the parent.
     fn candidate(&self, now: Duration, peer: SocketAddr, link: &Link) -> Option<Candidate> {
         let is_parent = self.tree.parent == Some(peer);
         let has_capacity = link.spare_capacity > 0 || is_parent;
@@ -160,8 +164,8 @@
         self.candidate_through(peer, link)
     }
 
-    /// Whether the path of the neighbour contains the parent that is silent or was just lost, which
-    /// the neighbour may not have noticed yet.
+    /// Whether the path of the neighbour contains the parent that is suspect or was just lost. The
+    /// neighbour may not have detected the failure yet.
     fn is_lost_parent_on_path(&self, now: Duration, link: &Link) -> bool {
         let silent = self
             .parent_link()
@@ -179,7 +183,7 @@
             .any(|node| link.position.path_contains(node))
     }
 
-    /// The neighbour as a candidate, `None` if it is not attached itself.
+    /// The neighbour as a candidate, eligible or not; `None` if the neighbour is not attached.
     fn candidate_through(&self, peer: SocketAddr, link: &Link) -> Option<Candidate> {
         let node = link.node?;
         let TreePosition::Descendant {
@@ -204,7 +208,7 @@
         })
     }
 
-    /// Whether no neighbour is attached independently of this node.
+    /// Whether no neighbour is attached through a path that does not contain this node.
     pub(super) fn has_no_candidates(&self) -> bool {
         !self.links.values().any(|link| {
             link.position.is_attached() && !link.position.path_contains(self.local_node.id())
@@ -212,7 +216,7 @@
     }
 }
 
-/// The candidate with the shortest path, if it is shorter than the current one.
+/// The candidate with the shortest path, if that is shorter than the current path.
 fn shallower_parent(current: Option<Candidate>, candidates: &[Candidate]) -> Option<SocketAddr> {
     let shallowest = candidates.iter().min_by_key(|candidate| candidate.depth)?;
     current
--- a/crates/overlay/src/overlay/peer_sampling.rs
+++ b/crates/overlay/src/overlay/peer_sampling.rs
@@ -1,4 +1,4 @@
-//! Peer sampling: exchange of view samples (Cyclon), and dissemination of joins.
+//! Peer sampling: shuffles of the passive view (Cyclon), and dissemination of joins (`HyParView`).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,18 +10,20 @@
 use crate::node::Descriptor;
 use crate::passive_view::ViewUpdate;
 
-/// Length of the random walk of an agent's join, in hops (`HyParView`'s FORWARDJOIN).
+/// Remaining hops of a random walk when an agent's join is first forwarded (`HyParView`'s active
+/// random walk length).
 const WALK_LENGTH: u8 = 3;
 
-/// Number of random walks that an agent's join starts.
+/// Number of random walks that are started for an agent's join.
 const WALKS_PER_JOIN: usize = 2;
 
-/// Time after the start of a node from which it floods coordinators that it learns of from samples.
+/// Time since the start of a node after which it floods coordinators that it learns of from
+/// samples.
 const WARM_UP: Duration = Duration::from_secs(5);
 
 impl Overlay {
-    /// A sample of descriptors for `receiver`, this node's own first. The age of a neighbour is the
-    /// time since its last message.
+    /// Draws a sample of descriptors for `receiver`, with the descriptor of this node first. The
+    /// age of a neighbour is the time since its last message.
     pub(super) fn sample_for(
         &mut self,
         now: Duration,
@@ -42,9 +44,9 @@
         sample
     }
 
-    /// Merges a sample into the view. A coordinator that was not known is flooded, as the flood of
-    /// its join ends at nodes that know it already; but not by a node that has just started and
-    /// knows few nodes itself.
+    /// Merges a sample into the view. A coordinator that was not known is flooded, since the flood
+    /// of its join ends at nodes that know it already and may miss others. A node that has just
+    /// started does not flood, as it knows few nodes itself.
     pub(super) fn merge_sample(
         &mut self,
         now: Duration,
@@ -100,8 +102,8 @@
         self.merge_sample(now, from, sample, out);
     }
 
-    /// Disseminates the join of a node: the join of a coordinator is flooded, that of an agent
-    /// travels a few random walks.
+    /// Disseminates the join of a node: the join of a coordinator is flooded, the join of an agent
+    /// is forwarded along [`WALKS_PER_JOIN`] random walks.
     pub(super) fn disseminate_join(
         &mut self,
         now: Duration,
@@ -117,6 +119,7 @@
         }
     }
 
+    /// Sends the join of a coordinator to all neighbours except `from` and the coordinator.
     fn flood_join(
         &mut self,
         now: Duration,
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Forwards the join of an agent to a random neighbour, one in the agent's region if possible.
+    /// Forwards the join of an agent to a random neighbour, in the agent's region if there is one.
     fn forward_join(
         &mut self,
         now: Duration,
--- a/crates/overlay/src/overlay/relay_targets.rs
+++ b/crates/overlay/src/overlay/relay_targets.rs
@@ -1,8 +1,8 @@
 //! Relay targets: the neighbours other than the children to which an entry is pushed.
 //!
-//! The tree reaches all agents below a coordinator. What it needs besides is that the coordinators
-//! get the entry, and with them each region; and that an entry which did not come along the tree gets
-//! onto it.
+//! Pushes to children reach all agents below a coordinator. Pushes to relay targets bring an entry
+//! to the other coordinators, and thereby to each region, and bring an entry that did not arrive
+//! over the tree back onto it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use crate::node::Descriptor;
 
 impl Overlay {
-    /// Neighbours other than the children that an entry is pushed to.
+    /// The neighbours, besides the children, to which an entry of this origin is pushed.
     pub(super) fn relay_targets(&self, origin: Origin) -> Vec<SocketAddr> {
         let Some(from) = origin.sender() else {
             return self.published_entry_targets();
@@ -29,10 +29,10 @@
         }
     }
 
-    /// Targets of an entry that this node publishes. A coordinator in contact pushes it to the
-    /// coordinators of its region and to one of each other region, which pushes it to those of its
-    /// own. A node that cannot have children, an agent or a coordinator out of contact, pushes it to
-    /// all neighbours.
+    /// The targets of an entry that this node publishes. A coordinator in contact pushes the entry
+    /// to the coordinators of its region and to one of each other region, which forwards it within
+    /// its region. Any other node, an agent or a coordinator out of contact, is not a root from
+    /// which the tree reaches all agents, and pushes the entry to all neighbours.
     fn published_entry_targets(&self) -> Vec<SocketAddr> {
         if self.local_node.is_coordinator() && self.in_contact {
             self.coordinator_targets()
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Targets of an entry that `sender` has: a coordinator that has it from another region pushes it
-    /// to the coordinators of its own.
+    /// The targets of an entry received from `sender`: a coordinator pushes an entry from another
+    /// region to the coordinators of its own region.
     fn remote_entry_targets(&self, sender: &Descriptor) -> Vec<SocketAddr> {
         if !self.local_node.is_coordinator() || self.is_in_region(sender) {
             return Vec::new();
@@ -53,9 +53,9 @@
             .collect()
     }
 
-    /// Targets of an entry that did not arrive along the tree, so that the tree may lack it: a
-    /// coordinator acts as the origin, an agent pushes it to its parent and to the neighbours of
-    /// its region.
+    /// The targets of an entry that did not arrive from the parent, so that the tree may lack it. A
+    /// coordinator pushes it as if it had published it, an agent pushes it to its parent and to the
+    /// neighbours in its region.
     fn off_tree_targets(&self, from: SocketAddr) -> Vec<SocketAddr> {
         if self.tree.parent == Some(from) || !self.settings.guards.eager_relay {
             return Vec::new();
@@ -71,7 +71,7 @@
             .collect()
     }
 
-    /// The neighbours that are coordinators.
+    /// The coordinators among the neighbours.
     fn linked_coordinators(&self) -> impl Iterator<Item = Descriptor> {
         self.neighbours().filter(Descriptor::is_coordinator)
     }
--- a/crates/overlay/src/overlay/remote_attach.rs
+++ b/crates/overlay/src/overlay/remote_attach.rs
@@ -1,7 +1,8 @@
-//! When an agent without a suitable parent in its region takes one in another region.
+//! Attachment of an agent to a parent in another region, when its own region has no suitable
+//! parent.
 //!
-//! The agents of a region do so in the order of their scores, so that one of them becomes the head
-//! of the region and the others find a parent below it.
+//! The agents of a region attach remotely in the order of their scores, so that one of them becomes
+//! the region head and the others find a parent below it.
 
 use std::time::Duration;
 
@@ -10,32 +11,35 @@
 use super::{Action, Overlay};
 use crate::node::Descriptor;
 
-/// Interval between attempts of a detached agent.
+/// Interval between the attempts of a detached agent.
 const DETACHED_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Interval between attempts of an agent whose root is not in contact with a majority, if the agent
-/// keeps a standby link anyway.
+/// Interval between the attempts of an attached agent whose root is out of contact with a majority,
+/// if the agent keeps a standby link anyway.
 const STANDBY_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The same for an agent that keeps no standby link: others of its region look for a better parent,
-/// below which it can then attach.
+/// Interval between the attempts of such an agent if it keeps no standby link: other agents of its
+/// region look for a better parent, and it can then attach below them.
 const ATTACHED_RETRY_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Delay before the first attempt of an agent that keeps no standby link.
+/// Additional delay before the first attempt of an attached agent that keeps no standby link.
 const ATTACHED_START_DELAY: Duration = Duration::from_secs(10);
 
-/// Maximum number of coordinators that one attempt opens a connection to.
+/// Maximum number of coordinators to which one attempt opens connections.
 const MAX_COORDINATORS_PER_ATTEMPT: usize = 2;
 
 impl Overlay {
-    /// Whether an agent without a parent may take one in another region. The agents of a region may
-    /// in the order of their scores; the designated successor of the lost parent at once; an agent
-    /// whose parent is alive but detached, late. A parent below a root that is out of contact with
-    /// the majority counts as lost, but only agents that keep a standby link leave it at once.
+    /// Whether an agent without a parent may graft one in another region. The agents of a region
+    /// may do so in the order of their scores, the designated successor of the lost parent at once,
+    /// and an agent whose parent is alive but detached only after an additional `dead_timeout`. A
+    /// parent below a root out of contact with the majority counts as lost, but agents that keep no
+    /// standby link wait [`ATTACHED_START_DELAY`] longer before they leave it.
     pub(super) fn may_attach_remotely(&self, now: Duration) -> bool {
         self.remote_attach_at(now).is_some_and(|at| at <= now)
     }
 
+    /// Time from which this agent may attach remotely; `None` while it is attached below a
+    /// coordinator in contact.
     fn remote_attach_at(&self, now: Duration) -> Option<Duration> {
         let since = self.tree.orphaned_since?;
         if !self.settings.guards.region_heads {
@@ -58,13 +62,14 @@
         Some(since + delay + extra_delay)
     }
 
-    /// Whether the parent had not been silent for the suspicion timeout at the time `since`.
+    /// Whether the last message of the parent was, at the time `since`, not older than
+    /// `suspect_timeout`.
     fn was_parent_alive_at(&self, since: Duration) -> bool {
         self.parent_link()
             .is_some_and(|link| link.last_received + self.settings.suspect_timeout > since)
     }
 
-    /// Number of live neighbours of the region that attach remotely before this agent.
+    /// Number of live neighbours in the region that attach remotely before this agent.
     fn count_preceding(&self, now: Duration) -> usize {
         self.links
             .values()
@@ -74,7 +79,7 @@
             .count()
     }
 
-    /// When the next attempt is due.
+    /// Time at which the next attempt is due; `None` if the agent need not attach remotely.
     pub(super) fn next_remote_attempt(&self, now: Duration) -> Option<Duration> {
         let retry_at = self
             .tree
@@ -92,8 +97,9 @@
         }
     }
 
-    /// Opens connections to coordinators anywhere, and from the second attempt on to an agent of
-    /// another region too, as all coordinators known here may be gone.
+    /// Opens connections to coordinators of any region and, from the second attempt on or if too
+    /// few coordinators are available, to an agent of another region, as all known coordinators may
+    /// have failed.
     pub(super) fn seek_remote_parent(&mut self, now: Duration, out: &mut Vec<Action>) {
         if self
             .tree
--- a/crates/overlay/src/overlay/standby.rs
+++ b/crates/overlay/src/overlay/standby.rs
@@ -1,8 +1,8 @@
-//! Standby links: links to coordinators that an agent keeps besides the one over its parent.
+//! Standby links: links to coordinators that an agent keeps in addition to the link to its parent.
 //!
-//! The head of a region and its successor keep one so that the region is attached again soon after
-//! a failure. Some agents keep one to another region, over which updates arrive that the
-//! coordinators of their own region lack when they are out of contact with the majority.
+//! A region head and the designated successor keep a standby link so that the region is attached
+//! again soon after a failure. Some agents keep a standby link to another region. Over it arrive
+//! the changes that the coordinators of the own region lack while out of contact with the majority.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,10 +10,11 @@
 use super::{Action, Overlay};
 use crate::node::Descriptor;
 
-/// Number of agents that keep a remote standby link in a region with one coordinator.
+/// Number of agents that keep a standby link to another region, in a region with one coordinator.
 const REMOTE_STANDBYS_SINGLE_COORDINATOR: usize = 2;
 
-/// Number of agents that do in a region with several coordinators.
+/// Number of agents that keep a standby link to another region, in a region with several
+/// coordinators.
 const REMOTE_STANDBYS: usize = 1;
 
 impl Overlay {
@@ -39,9 +40,9 @@
             || !self.settings.guards.region_heads
     }
 
-    /// Whether this agent keeps a standby link to another region: the agents with the lowest scores
-    /// do, more of them where the region has a single coordinator. This depends on the score alone,
-    /// so that no change of parents leaves the region without such a link.
+    /// Whether this agent keeps a standby link to another region. The agents with the lowest scores
+    /// do, and more of them in a region with a single coordinator. The choice depends on the scores
+    /// and not on the tree, so that no change of parents leaves the region without such a link.
     fn keeps_remote_standby(&self) -> bool {
         if !self.settings.guards.stable_standby {
             return false;
@@ -60,7 +61,7 @@
         preceding < wanted
     }
 
-    /// Coordinators with a link that is not silent, or to which one is being opened.
+    /// The coordinators with a link that is not silent, or to which a connection is being opened.
     pub(super) fn live_coordinators(&self, now: Duration) -> impl Iterator<Item = Descriptor> {
         let linked = self
             .links
@@ -77,7 +78,7 @@
         linked.chain(self.connecting.keys().filter_map(known))
     }
 
-    /// Live coordinators other than the parent that are not known to be out of contact.
+    /// The live coordinators other than the parent that are not known to be out of contact.
     fn standbys(&self, now: Duration) -> impl Iterator<Item = Descriptor> {
         let is_out_of_contact = |node: &Descriptor| {
             self.links
--- a/crates/overlay/src/overlay/state.rs
+++ b/crates/overlay/src/overlay/state.rs
@@ -1,4 +1,4 @@
-//! Parts of a node's state.
+//! Types of the state of a node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,19 +11,19 @@
 use crate::position::TreePosition;
 use crate::settings::Settings;
 
-/// Origin of an entry.
+/// The origin of an entry, which decides where the entry is pushed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
     /// Published by this node.
     Local,
-    /// Pushed by a neighbour, or requested from it after its announcement.
+    /// Pushed by a neighbour, or requested from it after an announcement.
     Dissemination(SocketAddr),
     /// Sent by a neighbour after a comparison of stores.
     AntiEntropy(SocketAddr),
 }
 
 impl Origin {
-    /// The neighbour that sent the entry.
+    /// The neighbour that sent the entry; `None` for an entry of this node.
     pub(super) fn sender(self) -> Option<SocketAddr> {
         match self {
             Origin::Local => None,
@@ -32,11 +32,11 @@
     }
 }
 
-/// Consecutive failures to connect to a node.
+/// Consecutive failed connections to a node, or links that it rejected.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ConnectFailure {
     pub(super) count: u32,
-    /// The next attempt is made no earlier than this.
+    /// Earliest time of the next attempt.
     pub(super) retry_at: Duration,
 }
 
@@ -44,9 +44,10 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MissingVersion {
     pub(super) version: Version,
-    /// The neighbour that announced it last.
+    /// Neighbour that announced the version last.
     pub(super) from: SocketAddr,
     pub(super) next_request_at: Duration,
+    /// Number of requests sent.
     pub(super) requests: u32,
 }
 
@@ -61,42 +62,44 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LostParent {
     pub(super) node: NodeId,
-    /// Until when paths through the node are not taken.
+    /// Time until which paths through the node are not taken.
     pub(super) avoid_until: Duration,
 }
 
-/// The parent of an agent, and the change to another one.
+/// The state of a node in the relay tree: its parent, the change to another one, and its position.
 #[derive(Debug, Default)]
 pub(super) struct TreeState {
     pub(super) parent: Option<SocketAddr>,
     pub(super) parent_since: Duration,
     pub(super) pending_graft: Option<PendingGraft>,
-    /// The parent that was lost last.
+    /// Parent that was lost last.
     pub(super) lost_parent: Option<LostParent>,
-    /// Since when the node has not been attached below a coordinator in contact.
+    /// Time since which the agent has not been attached below a coordinator in contact.
     pub(super) orphaned_since: Option<Duration>,
-    /// Last attempt to find a parent in another region.
+    /// Time of the last attempt to find a parent in another region.
     pub(super) last_remote_attempt: Option<Duration>,
-    /// Versions that had to be requested elsewhere since the parent last pushed.
+    /// Number of newer entries that other neighbours sent in replies since the parent last pushed.
     pub(super) missed_pushes: u32,
-    /// Whether the parent has designated this agent as its successor, as of its last heartbeat;
-    /// kept when the parent is lost.
+    /// Whether the last heartbeat of the parent designated this agent as its successor; kept when
+    /// the parent is lost.
     pub(super) is_successor: bool,
     pub(super) position: TreePosition,
 }
 
-/// Times of the periodic tasks, and of the timer.
+/// Times at which the periodic tasks are next due, and the time of the timer.
 #[derive(Debug)]
 pub(super) struct Schedule {
     pub(super) root_heartbeat: Duration,
     pub(super) anti_entropy: Duration,
     pub(super) shuffle: Duration,
     pub(super) maintenance: Duration,
+    /// Time that was last requested of the caller.
     pub(super) timer: Option<Duration>,
 }
 
 impl Schedule {
-    /// A schedule whose first times are random, so that nodes started together do not act together.
+    /// Creates a schedule with random first times, so that nodes started at the same time do not
+    /// run their tasks at the same time.
     pub(super) fn new(
         now: Duration,
         settings: &Settings,
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Brings maintenance forward to `at` unless it is due earlier.
+    /// Moves the next maintenance forward to `at` unless it is due earlier.
     pub(super) fn maintain_by(&mut self, at: Duration) {
         self.maintenance = self.maintenance.min(at);
     }
--- a/crates/overlay/src/overlay/timers.rs
+++ b/crates/overlay/src/overlay/timers.rs
@@ -1,4 +1,4 @@
-//! Periodic tasks, and the timer that wakes the node for the next one.
+//! Periodic tasks, and the timer for the next task that is due.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 /// been paused.
 const PAUSE_INTERVALS: u32 = 2;
 
-/// Minimum time ahead for which the timer is set.
+/// Minimum delay of the timer.
 const MIN_TIMER_DELAY: Duration = Duration::from_millis(1);
 
 impl Overlay {
-    /// Extends the deadlines of all neighbours after a pause of this process. They are not
-    /// suspected, as the messages that they sent in the meantime have not been read yet.
+    /// Extends the deadlines of all neighbours after a pause of this process, so that no neighbour
+    /// is suspected: the messages sent during the pause have not been read yet.
     pub(super) fn compensate_pause(&mut self, now: Duration) {
         let pause = now.saturating_sub(self.last_handled);
         self.last_handled = now;
@@ -62,12 +62,12 @@
         }
     }
 
-    /// `interval` with a jitter of up to a quarter in either direction.
+    /// Returns `interval` with a random jitter of up to a quarter in either direction.
     fn jittered(&mut self, interval: Duration) -> Duration {
         interval.mul_f64(self.random.random_range(0.75..1.25))
     }
 
-    /// Requests the timer for the next task.
+    /// Requests a timer event for the next task, unless it is requested already.
     pub(super) fn set_timer(&mut self, now: Duration, out: &mut Vec<Action>) {
         let at = self.next_deadline(now).max(now + MIN_TIMER_DELAY);
         if self.schedule.timer != Some(at) {
--- a/crates/overlay/src/overlay/tree.rs
+++ b/crates/overlay/src/overlay/tree.rs
@@ -1,16 +1,17 @@
-//! The relay tree: which neighbour pushes changes to an agent, after Plumtree (Leitão, Pereira and
+//! The relay tree, over which changes are pushed to the agents, after Plumtree (Leitão, Pereira and
 //! Rodrigues 2007).
 //!
 //! An agent is the child of one neighbour, its parent, and receives announcements from all others.
-//! It grafts another neighbour as soon as the parent is silent, detached or farther away than
-//! necessary. Each agent sends its path from the root to its neighbours, so that no node takes one
-//! of its own descendants as its parent.
+//! It grafts another neighbour when the parent is silent or detached, or when another path from the
+//! root is better. Each agent sends its path from the root to its neighbours, so that no node takes
+//! one of its own descendants as its parent.
 //!
-//! One agent of a region has a parent outside, the others inside. As in the spanning tree protocol
-//! (Perlman 1985) a path carries the scores of the agents at the head of its region and zone, and
-//! the lower score wins: of two agents with a parent outside, the one with the higher score sees
-//! the other's score and takes a parent inside from then on. A parent in the zone is preferred,
-//! then one in the region, for the same reason.
+//! One agent of a region, the region head, has a parent outside, the others have parents inside. As
+//! in the spanning tree protocol (Perlman 1985), a path carries the scores of its region head and
+//! zone head, and the lower score wins: of two agents with a parent outside, the one with the
+//! higher score learns of the lower score and takes a parent inside. Zones have heads in the same
+//! way: a parent in the zone is preferred to one elsewhere in the region, so that one agent of a
+//! zone has a parent outside.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -48,7 +49,7 @@
         }
     }
 
-    /// When the parent must be reviewed at the latest.
+    /// Time by which the parent must be reviewed; `None` on a coordinator or if no deadline is set.
     pub(super) fn next_parent_review(&self, now: Duration) -> Option<Duration> {
         if self.local_node.is_coordinator() {
             return None;
@@ -63,8 +64,8 @@
         deadlines.into_iter().flatten().min()
     }
 
-    /// Sets whether this coordinator is in contact with a majority. One that loses contact stops
-    /// being a root at once, and is a root again as soon as contact returns.
+    /// Sets whether this coordinator is in contact with a majority. A coordinator that loses
+    /// contact stops being a root at once, and becomes one again as soon as contact is restored.
     pub(super) fn set_in_contact(&mut self, now: Duration, in_contact: bool) {
         if !self.local_node.is_coordinator() || self.in_contact == in_contact {
             return;
@@ -92,6 +93,8 @@
         }
     }
 
+    /// Recomputes the position of this agent. If it has changed, a heartbeat becomes pending on all
+    /// links.
     pub(super) fn update_position(&mut self, now: Duration) {
         let position = self.derived_position(now);
         if position.is_in_contact() {
@@ -114,7 +117,8 @@
         }
     }
 
-    /// The position of this agent as it follows from its parent's.
+    /// The position of this agent as derived from the position of its parent. An agent whose parent
+    /// is suspect, or that would be deeper than `max_depth`, is detached.
     pub(super) fn derived_position(&self, now: Duration) -> TreePosition {
         let parent = self.parent_link();
         let Some(link) = parent.filter(|link| !self.is_suspect(now, link)) else {
@@ -185,12 +189,13 @@
         node.locality == self.local_node.locality
     }
 
-    /// Whether `node` is an agent of this region with a lower score.
+    /// Whether `node` is an agent of this region with a lower score than this node, so that it
+    /// takes precedence as the region head.
     pub(super) fn precedes(&self, node: &Descriptor) -> bool {
         !node.is_coordinator() && self.is_in_region(node) && node.score() < self.local_node.score()
     }
 
-    /// Whether this agent is the head of its region: its parent is in another region.
+    /// Whether this agent is the region head, that is, has its parent in another region.
     pub(super) fn is_region_head(&self) -> bool {
         let parent = self.parent_link().and_then(|link| link.node);
         parent.is_some_and(|parent| !self.is_in_region(&parent))
@@ -201,7 +206,7 @@
         self.local_node.is_coordinator() || self.is_region_head()
     }
 
-    /// How many more children this node accepts.
+    /// Number of further children that this node accepts.
     pub(super) fn spare_capacity(&self) -> u8 {
         let limit = if self.local_node.is_coordinator() {
             self.settings.coordinator_fanout
@@ -217,8 +222,8 @@
         u8::try_from(spare).unwrap_or(u8::MAX)
     }
 
-    /// The designated successor of this node: of its children inside the region, the one with the
-    /// lowest score.
+    /// The designated successor of this node: the agent with the lowest score among its children in
+    /// the region. `None` if changes do not enter the region through this node.
     pub(super) fn successor(&self) -> Option<SocketAddr> {
         if !self.is_region_ingress() {
             return None;
--- a/crates/overlay/src/passive_view.rs
+++ b/crates/overlay/src/passive_view.rs
@@ -1,9 +1,10 @@
 //! The passive view: a partial view of the nodes, refreshed by shuffles.
 //!
-//! After Cyclon (Voulgaris, Gavidia and van Steen 2005) for the ages and `HyParView` (Leitão,
-//! Pereira and Rodrigues 2007) for the split: the links are the active view and belong to
-//! [`crate::Overlay`], the passive view is here. It is partitioned into coordinators, agents of the
-//! own region and agents of other regions, as the choice of links needs all of them.
+//! The ages of the entries follow Cyclon (Voulgaris, Gavidia and van Steen 2005), the separation of
+//! the active from the passive view follows `HyParView` (Leitão, Pereira and Rodrigues 2007): the
+//! links of [`crate::Overlay`] are the active view. The passive view is partitioned into
+//! coordinators, agents of the own region and agents of other regions, as the choice of links needs
+//! nodes of each kind.
 
 #[cfg(test)]
 mod tests;
@@ -20,21 +21,22 @@
 use crate::node::Descriptor;
 use crate::settings::Settings;
 
-/// Age at which an agent expires.
+/// Maximum age of an agent in the view.
 const AGENT_EXPIRY: Duration = Duration::from_secs(300);
 
-/// Age at which a coordinator expires.
+/// Maximum age of a coordinator in the view.
 const COORDINATOR_EXPIRY: Duration = Duration::from_secs(3_600);
 
 /// Maximum number of coordinators in the view.
 const MAX_COORDINATORS: usize = 32;
 
-/// A node in the view.
+/// A node in the view, with the time from which its age follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViewEntry {
-    /// The node.
+    /// Descriptor of the newest known incarnation.
     pub node: Descriptor,
-    /// Time at which the node was last known to be alive, directly or through other nodes.
+    /// Time at which the node was last known to be alive, from its own messages or from samples of
+    /// other nodes.
     pub last_alive: Duration,
 }
 
@@ -43,13 +45,14 @@
 pub enum ViewUpdate {
     /// The node, or its incarnation, was not known and has been added.
     Added,
-    /// At most the time at which the node was alive has changed.
+    /// The incarnation was known already, or the descriptor was ignored: it is that of the local
+    /// node or expired.
     Unchanged,
 }
 
 type Partition = BTreeMap<SocketAddr, ViewEntry>;
 
-/// The passive view.
+/// A bounded partial view of the nodes; the oldest entries of a full partition are evicted.
 #[derive(Clone, Debug)]
 pub struct PassiveView {
     local_node: Descriptor,
@@ -62,7 +65,7 @@
 }
 
 impl PassiveView {
-    /// An empty view of `local_node`.
+    /// Creates the empty view of `local_node`.
     #[must_use]
     pub fn new(local_node: Descriptor, settings: &Settings) -> PassiveView {
         let (max_remote_agents, max_remote_agents_per_region) = if local_node.is_coordinator() {
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Evicts the oldest nodes of the partition of `node` while it exceeds its limit.
+    /// Evicts the oldest nodes from the partition of `node` while the partition exceeds its limit.
     fn evict_oldest(&mut self, node: Descriptor) {
         let region = node.locality.region;
         if node.is_coordinator() {
@@ -133,14 +136,15 @@
         self.coordinators.remove(&address);
     }
 
-    /// Removes a node that does not respond, unless it is a coordinator, which will be needed when
-    /// it responds again.
+    /// Removes a node that does not respond. A coordinator is kept, as nodes need it when it
+    /// responds again.
     pub fn remove_unresponsive(&mut self, address: SocketAddr) {
         self.local_agents.remove(&address);
         self.remote_agents.remove(&address);
     }
 
-    /// Removes nodes that have not been known to be alive for too long.
+    /// Removes the nodes whose age exceeds the maximum: 5 minutes for an agent, 1 hour for a
+    /// coordinator.
     pub fn expire(&mut self, now: Duration) {
         let is_fresh = |expiry: Duration| {
             move |_: &SocketAddr, entry: &mut ViewEntry| {
@@ -152,7 +156,7 @@
         self.coordinators.retain(is_fresh(COORDINATOR_EXPIRY));
     }
 
-    /// The entry of the node at `address`.
+    /// The entry of the node at `address`, in any partition.
     #[must_use]
     pub fn get(&self, address: SocketAddr) -> Option<&ViewEntry> {
         self.local_agents
@@ -161,7 +165,7 @@
             .or_else(|| self.coordinators.get(&address))
     }
 
-    /// The coordinators.
+    /// The coordinators of all regions.
     pub fn coordinators(&self) -> impl Iterator<Item = &Descriptor> {
         self.coordinators.values().map(|entry| &entry.node)
     }
@@ -188,10 +192,10 @@
         self.len() == 0
     }
 
-    /// A random sample of up to `size` nodes for `receiver`: a quarter are coordinators, one is an
-    /// agent of another region, through which a region that is cut off from its coordinators finds
-    /// others, and the rest are agents of the receiver's region; more of the others where those are
-    /// few.
+    /// Draws a random sample of up to `size` nodes for `receiver`. A quarter are coordinators, one
+    /// is an agent of another region, through which a region that is partitioned from its
+    /// coordinators finds others, and the rest are agents of the receiver's region. If there are
+    /// too few of these, further agents of other regions take their places.
     pub fn sample(
         &self,
         now: Duration,
@@ -237,8 +241,8 @@
     }
 }
 
-/// Removes the oldest of the nodes that `is_counted` selects until `limit` are left. Equal ages are
-/// ordered by a hash, so that the view is not biased towards low addresses.
+/// Removes the oldest of the nodes that `is_counted` selects until `limit` of them are left. Equal
+/// ages are ordered by a hash, so that the view is not biased towards low addresses.
 fn evict(partition: &mut Partition, limit: usize, is_counted: impl Fn(&ViewEntry) -> bool) {
     while partition.values().filter(|entry| is_counted(entry)).count() > limit {
         let counted = partition.values().filter(|entry| is_counted(entry));
@@ -251,7 +255,7 @@
     }
 }
 
-/// Up to `size` of `entries`, chosen uniformly at random.
+/// Chooses up to `size` of `entries` uniformly at random.
 fn choose<'a>(
     entries: impl Iterator<Item = &'a ViewEntry>,
     size: usize,
--- a/crates/overlay/src/position.rs
+++ b/crates/overlay/src/position.rs
@@ -1,13 +1,13 @@
-//! The position of a node in the relay tree.
+//! The position of a node in the relay tree, which heartbeats carry.
 
 use serde::{Deserialize, Serialize};
 
 use crate::node::{Descriptor, NodeId};
 
-/// The position of a node in the relay tree.
+/// The position of a node in the relay tree, from which neighbours choose their parents.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TreePosition {
-    /// A coordinator.
+    /// A coordinator, the root of a tree.
     Root {
         /// Whether the coordinator is in contact with a majority of the coordinators.
         in_contact: bool,
@@ -17,7 +17,7 @@
     Detached,
     /// An agent with a parent.
     Descendant {
-        /// The nodes on the path from the coordinator to the agent's parent, both included.
+        /// Nodes on the path from the coordinator to the agent's parent, both included.
         path: Vec<NodeId>,
         /// Score of the agent through which its region is attached, 0 when the region is attached
         /// to a coordinator inside it.
@@ -52,7 +52,8 @@
         )
     }
 
-    /// The coordinator at the start of the path to an agent.
+    /// The coordinator at the start of the path to an agent; `None` for a coordinator and for a
+    /// detached agent.
     pub(crate) fn root(&self) -> Option<NodeId> {
         match self {
             TreePosition::Descendant { path, .. } => path.first().copied(),
@@ -65,7 +66,7 @@
         matches!(self, TreePosition::Descendant { path, .. } if path.contains(&node))
     }
 
-    /// Hops from the root; `None` for a detached agent.
+    /// Number of hops from the root; `None` for a detached agent.
     #[must_use]
     pub fn depth(&self) -> Option<usize> {
         match self {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The position of `child` under `parent`, where `self` is the position of the parent.
+    /// The position of `child` below `parent`, where `self` is the position of the parent.
     pub(crate) fn child_position(&self, parent: &Descriptor, child: &Descriptor) -> TreePosition {
         let (mut path, region_head, zone_head) = match self {
             TreePosition::Detached => return TreePosition::Detached,
--- a/crates/overlay/src/settings.rs
+++ b/crates/overlay/src/settings.rs
@@ -2,70 +2,76 @@
 
 use std::time::Duration;
 
-/// Intervals, timeouts and limits. All nodes of a deployment use the same ones.
+/// Intervals, timeouts and limits. All nodes of a deployment use the same values.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Interval of a coordinator's root heartbeats, and of heartbeats on tree edges.
     pub tree_heartbeat_interval: Duration,
     /// Interval of heartbeats on all other links.
     pub lazy_heartbeat_interval: Duration,
-    /// Time without a message from the parent after which another node is grafted.
+    /// Time without a message from the parent after which another neighbour is grafted.
     pub suspect_timeout: Duration,
     /// Time without a message from the parent after which its link is closed.
     pub dead_timeout: Duration,
-    /// Time without a message on any other link after which its neighbour is not considered as a
+    /// Time without a message on any other link after which the neighbour is not eligible as a
     /// parent.
     pub lazy_suspect_timeout: Duration,
-    /// Time without a message on any other link after which it is closed; also the timeout of the
-    /// acknowledgement of a heartbeat on every link.
+    /// Time without a message on any other link after which it is closed; also the time within
+    /// which a heartbeat on any link must be acknowledged.
     pub lazy_dead_timeout: Duration,
-    /// Changes within this interval are pushed in one message.
+    /// Minimum interval between pushes on a link; changes within it are pushed together.
     pub push_batch_interval: Duration,
-    /// Interval of announcements on links over which changes are not pushed.
+    /// Delay of announcements on links over which changes are not pushed; changes within it are
+    /// announced together.
     pub announce_interval: Duration,
-    /// The same on an agent's link to another region.
+    /// Delay of announcements on an agent's link to another region.
     pub remote_announce_interval: Duration,
-    /// Time that an announced version may take to arrive over the tree before it is requested.
+    /// Time within which an announced version must arrive over the tree; after it, the version is
+    /// requested.
     pub missing_timeout: Duration,
-    /// Interval of digest exchanges with a random neighbour.
+    /// Mean interval of digest exchanges with a random neighbour.
     pub anti_entropy_interval: Duration,
-    /// Interval of view shuffles.
+    /// Mean interval of view shuffles.
     pub shuffle_interval: Duration,
-    /// Interval at which missing links are opened and surplus ones closed.
+    /// Interval of maintenance, which opens missing links and closes surplus ones.
     pub maintenance_interval: Duration,
-    /// Timeout of connecting, and of the first message on a connection.
+    /// Timeout of opening a connection, and of the `Hello` of the neighbour on it.
     pub connect_timeout: Duration,
-    /// Backoff after the first failed connection; doubled for each further one.
+    /// Backoff after the first failed connection to a node; doubled after each further failure.
     pub initial_backoff: Duration,
-    /// Longest backoff after failed connections.
+    /// Maximum backoff after failed connections.
     pub max_backoff: Duration,
-    /// Delay before a detached agent takes a parent in another region, so that one in its own may
-    /// appear first.
+    /// Delay before a detached agent grafts a neighbour in another region, which leaves time for a
+    /// parent in its own region to appear.
     pub remote_parent_delay: Duration,
-    /// Added to `remote_parent_delay` for each known agent of the region with a lower score.
+    /// Extension of `remote_parent_delay` for each live neighbour that is an agent of the region
+    /// with a lower score.
     pub remote_parent_delay_step: Duration,
-    /// Time for which a tombstone is kept, so that older versions of the entry are rejected.
+    /// Time for which a tombstone is kept, so that older versions of the key are rejected.
     pub tombstone_retention: Duration,
-    /// Links that an agent keeps inside its region (`HyParView`'s active view).
+    /// Number of links to other agents of its region that an agent keeps (`HyParView`'s active
+    /// view).
     pub active_view_size: usize,
-    /// Nodes of its own region that an agent keeps in its passive view; of all other regions
-    /// together it keeps half as many.
+    /// Maximum number of agents of the own region in a passive view. The passive view of an agent
+    /// holds half as many of all other regions together.
     pub passive_view_size: usize,
-    /// Nodes of each region that a coordinator keeps in its passive view.
+    /// Maximum number of agents of each other region in the passive view of a coordinator.
     pub region_passive_view_size: usize,
-    /// Descriptors in a shuffle.
+    /// Maximum number of descriptors in a shuffle, the sender's own included; at least 1.
     pub shuffle_size: usize,
     /// Maximum number of children of an agent.
     pub fanout: usize,
-    /// Maximum number of agents linked to a coordinator.
+    /// Maximum number of agents linked to a coordinator, and of its children.
     pub coordinator_fanout: usize,
     /// Maximum number of root heartbeats in one message.
     pub max_root_heartbeats: usize,
     /// Maximum number of hops from a coordinator to an agent.
     pub max_depth: usize,
-    /// Maximum payload bytes in one message of entries, unless a single entry is larger.
+    /// Maximum estimated bytes ([`crate::Entry::size`]) of the entries in one message; a larger
+    /// entry is sent in a message of its own.
     pub max_message_bytes: usize,
-    /// Maximum payload bytes sent in reply to one request.
+    /// Maximum estimated bytes of the entries sent in reply to one request; at least one entry is
+    /// sent.
     pub max_repair_bytes: usize,
     /// Mechanisms that a test can disable to show that it detects their absence.
     #[doc(hidden)]
@@ -86,19 +92,21 @@
     pub anti_entropy: bool,
     /// A store keeps the newest version of an entry, not the last one that arrived.
     pub version_check: bool,
-    /// The number of children of a node is limited.
+    /// The numbers of children and of links of a node are limited.
     pub fanout_bound: bool,
-    /// One agent of a region, its head, has a parent outside; the others have parents inside.
+    /// One agent of a region, the region head, has a parent outside; the others have parents
+    /// inside.
     pub region_heads: bool,
     /// A parent that is silent for longer than `suspect_timeout` is replaced.
     pub suspicion: bool,
-    /// A coordinator out of contact with the majority is no root of the relay tree.
+    /// A coordinator that loses contact with the majority stops being a root of the relay tree.
     pub contact: bool,
     /// Announcements on an agent's link to another region use `remote_announce_interval`.
     pub quick_announce: bool,
-    /// An entry that did not arrive along the tree is pushed to further neighbours.
+    /// An entry that did not arrive over the tree is pushed to further neighbours.
     pub eager_relay: bool,
-    /// Agents chosen by score alone keep a standby link to a coordinator of another region.
+    /// Agents that are chosen by score alone keep a standby link to a coordinator of another
+    /// region.
     pub stable_standby: bool,
 }
 
--- a/crates/overlay/src/store.rs
+++ b/crates/overlay/src/store.rs
@@ -1,9 +1,10 @@
-//! Versioned entries by key: the newest version wins, in whatever order versions arrive.
+//! The store of versioned entries: the newest version of a key wins, in whatever order versions
+//! arrive.
 //!
 //! [`Store::merge`] is commutative, associative and idempotent, so stores that have merged the same
-//! entries are equal. A single publisher never publishes different payloads under one version;
-//! should they appear, a tombstone wins over a payload and the greater payload over the lesser, so
-//! that all stores still agree.
+//! entries are equal. A publisher never publishes different payloads under one version; should they
+//! appear, a tombstone wins over a payload and the greater payload over the lesser, so that all
+//! stores still agree.
 
 mod comparison;
 #[cfg(test)]
@@ -20,23 +21,24 @@
 use crate::entry::{Entry, Key, Version};
 use crate::hash;
 
-/// What the store holds of one key.
+/// The newest version of one key, as held by a [`Store`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredEntry {
-    /// The version.
+    /// Stored version.
     pub version: Version,
-    /// The payload; `None` for a tombstone.
+    /// Opaque payload; `None` for a tombstone.
     pub payload: Option<Arc<[u8]>>,
+    /// For a tombstone, the time of the removal on the local clock.
     removed_at: Duration,
     hash: u64,
-    /// Whether the digest counts the entry; a tombstone leaves it before it is dropped.
+    /// Whether the entry is part of the digest; a tombstone leaves the digest before the store.
     in_digest: bool,
 }
 
-/// Outcome of [`Store::merge`].
+/// Result of [`Store::merge`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// The entry is newer than the stored one and has replaced it.
+    /// The entry is newer than the stored one, or the first of its key, and has been stored.
     Newer,
     /// The entry equals the stored one.
     Same,
@@ -56,7 +58,7 @@
 }
 
 impl Store {
-    /// An empty store that keeps tombstones for `tombstone_retention`.
+    /// Creates an empty store that keeps tombstones for `tombstone_retention`.
     #[must_use]
     pub fn new(tombstone_retention: Duration) -> Store {
         Store {
@@ -69,7 +71,7 @@
         }
     }
 
-    /// For tests: accepts every version as newer.
+    /// Disables the version check for a test: an older version replaces a newer one.
     #[doc(hidden)]
     #[must_use]
     pub fn without_version_check(mut self) -> Store {
@@ -90,7 +92,7 @@
         MergeOutcome::Newer
     }
 
-    /// How `entry` compares with the stored one.
+    /// Compares `entry` with the stored entry of its key; greater if there is none.
     fn order(&self, entry: &Entry) -> Ordering {
         let Some(stored) = self.entries.get(&entry.key) else {
             return Ordering::Greater;
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Removes an entry that is no longer stored from the digest and from the count of tombstones.
+    /// Removes an entry that is no longer stored from the digest and from the tombstone count.
     fn subtract_from_totals(&mut self, key: Key, dropped: &StoredEntry) {
         if dropped.in_digest {
             self.digest.remove(key, dropped.hash);
@@ -137,8 +139,8 @@
     }
 
     /// Drops expired tombstones. A tombstone leaves the digest after half of the retention time and
-    /// the store at its end, so that stores that received it at different times do not send it to
-    /// each other again.
+    /// the store at the end of it, so that stores that received it at different times do not send
+    /// it to each other again.
     pub fn expire(&mut self, now: Duration) {
         if self.next_expiry.is_none_or(|next| next > now) {
             return;
@@ -162,7 +164,7 @@
         let leaves_digest_at = stored.removed_at + self.tombstone_retention / 2;
         let expires_at = stored.removed_at + self.tombstone_retention;
         if now >= expires_at {
-            let expired = self.entries.remove(&key).expect("present");
+            let expired = self.entries.remove(&key).expect("key is stored");
             self.subtract_from_totals(key, &expired);
         } else if now >= leaves_digest_at {
             if stored.in_digest {
@@ -175,7 +177,8 @@
         }
     }
 
-    /// When [`Store::expire`] next has tombstones to process.
+    /// Time at which [`Store::expire`] next has tombstones to process; `None` if
+    /// nothing is scheduled.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Duration> {
         self.next_expiry
@@ -187,7 +190,7 @@
         self.entries.get(&key)
     }
 
-    /// The stored version of `key`, 0 for none.
+    /// The stored version of `key`, 0 if there is none.
     #[must_use]
     pub fn version(&self, key: Key) -> Version {
         self.entries
@@ -224,7 +227,7 @@
         self.tombstones
     }
 
-    /// Total payload bytes.
+    /// Total payload size in bytes.
     #[must_use]
     pub fn payload_bytes(&self) -> usize {
         self.entries
--- a/crates/overlay/src/store/comparison.rs
+++ b/crates/overlay/src/store/comparison.rs
@@ -1,5 +1,4 @@
-//! Comparison of stores, which exchanges the versions in buckets that differ instead of all
-//! versions.
+//! Comparison of two stores, which exchanges only the versions in buckets whose hashes differ.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,27 +10,28 @@
 /// Result of [`Store::compare`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Comparison {
-    /// Keys of which the local store has newer versions.
+    /// Keys of which the local store has a newer version, or the only one.
     pub newer: Vec<Key>,
-    /// Keys of which the other store has newer versions.
+    /// Keys of which the other store has a newer version, or the only one.
     pub missing: Vec<Key>,
 }
 
 impl Store {
-    /// One hash over the whole store: equal for equal stores.
+    /// One hash over all entries in the digest: equal for equal stores.
     #[must_use]
     pub fn root_hash(&self) -> u64 {
         self.digest.root_hash()
     }
 
-    /// The hashes of all buckets: 256 bytes and their count.
+    /// The hashes of all buckets, as sent to another store: 4 bytes for each of 64 buckets.
     #[must_use]
     pub fn digest(&self) -> Buckets {
         self.digest.buckets()
     }
 
-    /// The buckets that differ from `other`, one bit each; all if the root hashes differ although
-    /// no bucket does.
+    /// A mask of the buckets that differ from `other`, one bit each. All bits are set if no bucket
+    /// differs, so that a difference of the root hashes is always followed by a comparison, or if
+    /// `other` is malformed.
     #[must_use]
     pub fn difference(&self, other: &Buckets) -> u64 {
         self.digest.difference(other)
@@ -47,7 +47,7 @@
             .collect()
     }
 
-    /// Compares the buckets of `mask` with the versions that another store has `listed` of them.
+    /// Compares the buckets of `mask` with the versions in them that another store has `listed`.
     #[must_use]
     pub fn compare(&self, mask: u64, listed: &[(Key, Version)]) -> Comparison {
         let remote: BTreeMap<Key, Version> = listed.iter().copied().collect();
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Entries of `keys` up to `limit` estimated bytes, at least one, and whether some were left
-    /// out.
+    /// Collects stored entries of `keys` up to `limit` estimated bytes ([`Entry::size`]), at least
+    /// one entry whatever its size. Keys without an entry are skipped.
     #[must_use]
     pub fn collect(&self, now: Duration, keys: &[Key], limit: usize) -> Collected {
         let mut entries = Vec::new();
@@ -97,8 +97,8 @@
 /// Result of [`Store::collect`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Collected {
-    /// The entries.
+    /// Entries in the order of the keys that were passed.
     pub entries: Vec<Entry>,
-    /// Whether entries were left out because of the limit.
+    /// Whether entries were omitted because of the limit.
     pub truncated: bool,
 }
--- a/crates/overlay/src/store/tests.rs
+++ b/crates/overlay/src/store/tests.rs
@@ -65,13 +65,13 @@
     assert_eq!(
         store.root_hash(),
         Store::new(RETENTION).root_hash(),
-        "the digest drops it at half time"
+        "the tombstone leaves the digest after half of the retention time"
     );
     assert_ne!(before_expiry, store.root_hash());
     assert_eq!(
         store.merge(RETENTION / 2, &entry(1, 1, Some(1))),
         MergeOutcome::Older,
-        "the store still rejects it"
+        "the store still rejects the version before the removal"
     );
     assert!(store.list(u64::MAX).is_empty());
     store.expire(RETENTION);
@@ -168,8 +168,8 @@
         for entry in &replies {
             local.merge(Duration::ZERO, entry);
         }
-        // Versions are compared, not contents: two contents of one version are told apart only by
-        // who publishes.
+        // Only versions are compared: the strategy generates different payloads for one version,
+        // which a comparison by version does not detect. A real publisher never publishes them.
         for (key, stored) in local.iter() {
             prop_assert_eq!(stored.version, remote.version(key));
         }
@@ -178,6 +178,6 @@
     #[test]
     fn entry_round_trips_through_postcard(entry in any_entry()) {
         let bytes = postcard::to_stdvec(&entry).expect("serializable");
-        prop_assert_eq!(postcard::from_bytes::<Entry>(&bytes).expect("the same"), entry);
+        prop_assert_eq!(postcard::from_bytes::<Entry>(&bytes).expect("decodable"), entry);
     }
 }
