--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -1,7 +1,8 @@
-//! The HTTP API: the operator's changes, servers' registrations and address resolution.
+//! The HTTP API: configuration and zone changes by operators, registration of servers, and address
+//! resolution for clients.
 //!
-//! Requests are parsed and validated here and submitted to the node as [`Command`]s. [`reply`] maps
-//! the outcomes to statuses and bodies; no other module knows any.
+//! Handlers parse and validate requests and submit them to the node as [`Command`]s. [`reply`] maps
+//! outcomes to HTTP statuses and bodies; no other module contains any.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -25,17 +26,17 @@
 
 pub(crate) mod reply;
 
-/// Upper limit of the size of a request body, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Submits commands to the node.
+/// The sending half of the node's command queue.
 pub(crate) type Commands = mpsc::UnboundedSender<Command>;
 
-/// Starts the server for the operator and the servers and, if it has an address, the one for
-/// clients.
+/// Starts the HTTP server for operators and registrations at `control_plane` and, if `directory` is
+/// given, the one for address resolution there.
 ///
 /// # Errors
-/// An address cannot be bound; the error names it.
+/// Fails if an address cannot be bound; the error names it.
 pub(crate) fn start(
     control_plane: SocketAddr,
     directory: Option<SocketAddr>,
@@ -74,8 +75,8 @@
         .wrap_err_with(|| format!("listening at {at}"))?
         .run();
     let handle = server.handle();
-    // It ends by its handle, which the caller stops and awaits. An error would be one of binding,
-    // which has been done.
+    // The caller stops the server through its handle. The result of the task is ignored: the only
+    // possible error is a failure to bind, and the address is bound already.
     tasks.spawn_essential("HTTP server", server.map(drop));
     Ok(handle)
 }
@@ -104,7 +105,8 @@
     Reply: From<Outcome>,
 {
     let (reply, outcome) = oneshot::channel();
-    // If the node has ended, the command is dropped with its channel, and the outcome is an error.
+    // If the node has stopped, the command and its reply channel are dropped, and awaiting the
+    // outcome fails.
     let _ = commands.send(command(reply));
     outcome
         .await
@@ -115,7 +117,7 @@
         .into()
 }
 
-/// The response to a request that is not valid.
+/// The response to an invalid request.
 fn bad_request(error: &impl Display) -> HttpResponse {
     Reply::error(StatusCode::BAD_REQUEST, error).into()
 }
@@ -166,7 +168,8 @@
     .await
 }
 
-/// The generation in the `If-Match` header, with or without quotation marks.
+/// The generation in the `If-Match` header, with or without quotation marks; `None` if the header is
+/// missing or not a number.
 fn if_match(request: &HttpRequest) -> Option<u64> {
     let header = request.headers().get("If-Match")?;
     header.to_str().ok()?.trim_matches('"').parse().ok()
--- a/crates/coordinator/src/api/reply.rs
+++ b/crates/coordinator/src/api/reply.rs
@@ -1,4 +1,4 @@
-//! HTTP statuses and bodies of the outcomes: the only place where an outcome becomes a status.
+//! HTTP statuses and bodies of outcomes. No other module maps an outcome to a status.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -16,14 +16,14 @@
 /// An HTTP status with its body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Reply {
-    /// The status.
+    /// The HTTP status code.
     pub status: StatusCode,
-    /// The body: JSON for a success, one line of text otherwise.
+    /// The response body: JSON for a success, one line of text otherwise.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// A success with a JSON body.
+    /// A reply with status 200 and a JSON body.
     fn json(body: impl Into<Vec<u8>>) -> Self {
         Reply {
             status: StatusCode::OK,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// An error with its text as one line.
+    /// A reply with an error status and its text as one line.
     pub(crate) fn error(status: StatusCode, text: &impl Display) -> Self {
         Reply {
             status,
@@ -92,7 +92,7 @@
     }
 }
 
-/// Body of a successful resolution.
+/// The JSON body of a successful resolution.
 #[derive(Serialize)]
 struct ResolutionBody<'a> {
     addresses: &'a [SocketAddr],
--- a/crates/coordinator/src/api/reply/tests.rs
+++ b/crates/coordinator/src/api/reply/tests.rs
@@ -1,4 +1,4 @@
-//! Statuses and bodies of the outcomes, byte for byte.
+//! HTTP statuses and bodies of all outcomes, compared byte for byte.
 
 use super::*;
 
--- a/crates/coordinator/src/directory.rs
+++ b/crates/coordinator/src/directory.rs
@@ -1,8 +1,8 @@
-//! The directory: the configuration in force, and address resolution by it.
+//! The directory: the active configuration, and address resolution based on it.
 //!
-//! The register stores the configuration as the operator sent it. While several versions of the
-//! program run, the newest one may be of a schema that this version cannot parse; it then stays out
-//! of force here, and the last one that could be parsed is used.
+//! The register stores each configuration as the operator sent it. While several versions of the
+//! program run, the newest configuration may use a schema that this version cannot parse; the last
+//! one that could be parsed then stays active here.
 
 use ironmast_endpoints::GateView;
 use ironmast_schema::configuration::{Configuration, ConfigurationError};
@@ -14,31 +14,32 @@
 use crate::resolve::{self, Query};
 use crate::value::{ConfigurationDocument, ControlValue};
 
-/// Upper limit of the time for which clients may cache addresses, in seconds: a lost gate may
-/// still receive requests for this long.
+/// Maximum time for which clients may cache addresses, in seconds. A lost gate may still receive
+/// requests for this long.
 const MAX_TTL_S: f64 = 1.0;
 
-/// Parses and validates a configuration; [`Configuration::parse`] is that of this version of the
+/// Parses and validates a configuration; [`Configuration::parse`] does so for this version of the
 /// schema.
 pub type ConfigurationParser = fn(&[u8]) -> Result<Configuration, ConfigurationError>;
 
-/// The newest configuration is of a schema that this version of the program cannot parse.
+/// Error: this version of the program cannot parse the newest configuration, which uses another
+/// schema.
 #[derive(Debug, thiserror::Error)]
 #[error("generation {generation}: {source}")]
 pub(crate) struct UnreadableConfiguration {
-    /// Generation of the configuration.
+    /// Generation of the configuration that cannot be parsed.
     pub generation: u64,
-    /// Why it cannot be parsed; names the field.
+    /// The parse error; names the field.
     pub source: ConfigurationError,
 }
 
-/// The newest document of the register, as far as this version of the program can read it.
+/// The newest configuration in the register, and whether this version of the program can parse it.
 enum NewestDocument {
-    /// There is none.
+    /// The register holds no configuration.
     Missing,
-    /// It is the one in force.
+    /// The newest configuration is the active one.
     InForce(ConfigurationDocument),
-    /// It cannot be parsed.
+    /// The newest configuration cannot be parsed.
     Unreadable(ConfigurationDocument),
 }
 
@@ -53,17 +54,17 @@
     }
 }
 
-/// The configuration in force and the time for which resolved addresses are valid.
+/// The active configuration and the time for which resolved addresses are valid.
 pub(crate) struct Directory {
     parse: ConfigurationParser,
     newest: NewestDocument,
-    /// The last configuration that could be parsed.
+    /// The last configuration that could be parsed; it remains active while the newest one cannot.
     in_force: Option<Configuration>,
     ttl_s: f64,
 }
 
 impl Directory {
-    /// A directory without a configuration.
+    /// Creates a directory without a configuration.
     pub(crate) fn new(bounds: &TimingBounds, parse: ConfigurationParser) -> Self {
         Directory {
             parse,
@@ -73,10 +74,12 @@
         }
     }
 
-    /// Puts the operator's state in force. An unchanged configuration is not parsed again.
+    /// Activates the configuration of a control value. An unchanged configuration is not parsed
+    /// again.
     ///
     /// # Errors
-    /// The configuration has changed and cannot be parsed; the last one that could stays in force.
+    /// Fails if the configuration has changed and cannot be parsed; the last one that could be
+    /// parsed stays active.
     pub(crate) fn apply(&mut self, value: &ControlValue) -> Result<(), UnreadableConfiguration> {
         let document = value.configuration.as_ref();
         if self.newest.document() == document {
@@ -101,8 +104,8 @@
         }
     }
 
-    /// The state that is published to gates; `None` while the newest configuration cannot be parsed,
-    /// since gates would take an older one for the newest.
+    /// The control state to publish to gates; `None` while the newest configuration cannot be
+    /// parsed, because gates would treat an older one as the newest.
     pub(crate) fn published_state(&self, value: &ControlValue) -> Option<ControlState> {
         if self.unreadable_generation().is_some() {
             return None;
@@ -113,7 +116,7 @@
         })
     }
 
-    /// Generation of the newest configuration, if it cannot be parsed.
+    /// Generation of the newest configuration if it cannot be parsed, otherwise `None`.
     pub(crate) fn unreadable_generation(&self) -> Option<u64> {
         match &self.newest {
             NewestDocument::Unreadable(document) => Some(document.generation),
@@ -121,10 +124,11 @@
         }
     }
 
-    /// The gates that a client may connect to.
+    /// Resolves a query to the addresses of the gates that the client may connect to.
     ///
     /// # Errors
-    /// There is no such gate, or there is no configuration that could be parsed.
+    /// Fails if there is no such gate, or if the register holds a configuration but none could be
+    /// parsed.
     pub(crate) fn resolve(
         &self,
         policy: RequestPolicy,
--- a/crates/coordinator/src/published_endpoints.rs
+++ b/crates/coordinator/src/published_endpoints.rs
@@ -1,8 +1,8 @@
-//! The endpoint table of this coordinator, with each change of it published to the overlay.
+//! This coordinator's endpoint table, which publishes its changes to the overlay.
 //!
-//! A change that is not published would leave gates with an outdated endpoint list. The table is
-//! therefore private to this module, and each method that changes an entry publishes what other
-//! nodes need to learn of.
+//! An unpublished change would leave gates with an outdated endpoint list. The table is therefore
+//! private to this module, and each method that changes an entry publishes the changes that other
+//! nodes need.
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
 use crate::clock::Clock;
 use crate::publisher::EntryPublisher;
 
-/// Number of heartbeat intervals without a heartbeat after which a server counts as silent.
+/// Number of heartbeat intervals without a heartbeat after which a server is marked unreachable.
 const MAX_MISSED_HEARTBEATS: u32 = 4;
-/// Time without a report after which a gate receives no new clients.
+/// Time without a status report after which a gate is marked down and receives no new clients.
 const GATE_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// The endpoint table and its publisher.
+/// The endpoint table and the publisher of its changes.
 pub(crate) struct PublishedEndpoints {
     clock: Clock,
     table: EndpointTable,
@@ -27,8 +27,8 @@
 }
 
 impl PublishedEndpoints {
-    /// An empty table. Receivers treat what it publishes as not fresh until
-    /// [`PublishedEndpoints::set_in_contact`] says otherwise.
+    /// Creates an empty table. Receivers treat the published state as stale until
+    /// [`PublishedEndpoints::set_in_contact`] is called with `true`.
     pub(crate) fn new(
         settings: &Settings,
         clock: Clock,
@@ -46,19 +46,19 @@
         }
     }
 
-    /// Records a server's heartbeat.
+    /// Records a server's heartbeat, and publishes the entry if other nodes need it.
     pub(crate) fn record_heartbeat(&mut self, id: &str, heartbeat: Heartbeat) {
         let update = self.table.record_heartbeat(self.now(), id, heartbeat);
         self.publish(update);
     }
 
-    /// Records that a server has ended. Does nothing for an unknown server.
+    /// Marks a server as deregistered. Does nothing if the server is unknown.
     pub(crate) fn deregister(&mut self, id: &str) {
         let update = self.table.deregister(self.now(), id);
         self.publish(update);
     }
 
-    /// Replaces the operator's state by a newer one; `version` is the register's sequence number.
+    /// Replaces the control state if `version`, the register's sequence number, is newer.
     pub(crate) fn set_control_state(&mut self, version: u64, state: ControlState) {
         let update = self.table.update_control_state(self.now(), version, state);
         self.publish(update);
@@ -66,8 +66,8 @@
 
     /// Merges an entry that was received over the overlay.
     ///
-    /// An outdated entry is answered with the newer one. Unchanged heartbeats are not published,
-    /// so a node may hold an older entry and take it for the newest.
+    /// If the entry is outdated, publishes the newer one: unchanged heartbeats are not published, so
+    /// a node may hold an older entry that it considers the newest.
     pub(crate) fn merge_published(&mut self, entry: &Entry) {
         if let MergeOutcome::Stale(newer) = self.table.merge(self.now(), entry) {
             self.publish(Some(*newer));
@@ -75,7 +75,7 @@
     }
 
     /// Merges an entry that was received over a direct link: an agent's report of its gate, or
-    /// another coordinator's report of a server that is draining or has ended.
+    /// another coordinator's report of a server that is draining or has deregistered.
     pub(crate) fn merge_direct(&mut self, entry: Entry) {
         let now = self.now();
         let update = match entry.value {
@@ -92,33 +92,34 @@
         self.publish(update);
     }
 
-    /// Records that other nodes have recently received reports of these keys, each with the
-    /// sequence number or version of the report.
+    /// Records that other nodes recently received reports from these endpoints. Each observation
+    /// carries the sequence number or version of the report.
     pub(crate) fn merge_observed(&mut self, observed: &[Observation]) {
         let now = self.now();
         self.table.merge_observed(now, observed);
     }
 
-    /// Removes and returns the keys reported to this coordinator since the last call, each with the
-    /// sequence number or version of the report.
+    /// Takes the observations of endpoints that have reported to this coordinator since the last
+    /// call, each with the sequence number or version of the report.
     pub(crate) fn take_observed(&mut self) -> Vec<Observation> {
         self.table.take_observed()
     }
 
-    /// Restarts the timeouts of all endpoints.
+    /// Restarts the expiry timeouts of all endpoints.
     pub(crate) fn restart_timeouts(&mut self) {
         let now = self.now();
         self.table.restart_expiry(now);
     }
 
-    /// Marks endpoints without a report within their timeout as silent.
+    /// Marks endpoints without a report within their timeout as unreachable or down.
     pub(crate) fn expire(&mut self) {
         let now = self.now();
         let updates = self.table.expire(now);
         self.publish(updates);
     }
 
-    /// Removes entries of endpoints that ended, or became unreachable, long ago.
+    /// Removes the entries of endpoints that have been deregistered, unreachable or down for longer
+    /// than the retention time, also on all other nodes.
     pub(crate) fn remove_ended(&mut self) {
         let now = self.now();
         for removal in self.table.purge(now) {
@@ -126,17 +127,17 @@
         }
     }
 
-    /// The entry of a key.
+    /// The entry with this key.
     pub(crate) fn get(&self, key: &Key) -> Option<&Entry> {
         self.table.get(key)
     }
 
-    /// All gates.
+    /// All known gates, including those that are down.
     pub(crate) fn gates(&self) -> Vec<GateView<'_>> {
         self.table.gates(self.now()).collect()
     }
 
-    /// Sets whether receivers may treat what this coordinator publishes as fresh.
+    /// Sets whether receivers may treat the state that this coordinator publishes as fresh.
     pub(crate) fn set_in_contact(&self, in_contact: bool) {
         self.publisher.set_in_contact(in_contact);
     }
--- a/crates/coordinator/src/publisher.rs
+++ b/crates/coordinator/src/publisher.rs
@@ -5,9 +5,9 @@
 
 /// Publishes entries to all nodes of the overlay.
 pub(crate) trait EntryPublisher {
-    /// Broadcasts an entry.
+    /// Broadcasts an entry to all nodes.
     fn publish(&self, entry: &Entry);
-    /// Makes all nodes remove the entry of a key, up to `version`.
+    /// Makes all nodes remove the entry of a key unless its version is above `version`.
     fn remove(&self, of: &Key, version: u64);
     /// Sets whether receivers of this node's overlay heartbeats may treat their state as fresh.
     fn set_in_contact(&self, in_contact: bool);
--- a/crates/coordinator/src/resolve.rs
+++ b/crates/coordinator/src/resolve.rs
@@ -1,10 +1,10 @@
 //! Selection of the gates that a client may connect to.
 //!
-//! A client is given the gates of its own zone, otherwise those of its region. Gates of another
-//! region are selected only if all requests of the client's host may be served from there, or if
-//! the client's own region was lost. While the gates of its region restart, the client is given
-//! gates that are not ready (about to start or to stop), or no address; it then keeps the addresses
-//! that it has.
+//! A client gets the ready gates of its own zone, otherwise those of its region. Gates of other
+//! regions are selected only if all requests to the host may be served there, or if the client's own
+//! region was lost. While all gates of its region restart and no other region is allowed, the client
+//! gets gates that are not ready (starting or stopping) or no address; without an address it keeps
+//! the ones that it has.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,10 +14,10 @@
 use ironmast_schema::control::GateStatus;
 use serde::Deserialize;
 
-/// Upper limit of the number of addresses in an answer.
+/// Maximum number of addresses in a response.
 const MAX_ADDRESSES: usize = 64;
 
-/// Parameters of a resolution.
+/// Query parameters of an address resolution.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Query {
@@ -29,17 +29,17 @@
     pub zone: String,
 }
 
-/// Regions from which all requests of a host may be served.
+/// The regions in which all requests to a host may be served.
 #[derive(Debug, PartialEq, Eq)]
 enum AllowedRegions {
     /// No route of the host restricts its regions.
     All,
-    /// The regions that are allowed by every route of the host that restricts them.
+    /// The regions that every route of the host with a restriction allows.
     Only(BTreeSet<String>),
 }
 
 impl AllowedRegions {
-    /// The allowed regions of a host; none while no configuration is known.
+    /// The allowed regions of a host; no region while no configuration is known.
     fn of(host: &str, configuration: Option<&Configuration>) -> Self {
         let Some(configuration) = configuration else {
             return AllowedRegions::Only(BTreeSet::new());
@@ -68,7 +68,7 @@
     }
 }
 
-/// The addresses for a client, selected from all gates.
+/// Selects the addresses for a client from all gates.
 pub(crate) fn addresses(
     gates: &[GateView<'_>],
     configuration: Option<&Configuration>,
@@ -94,9 +94,9 @@
     })
 }
 
-/// The addresses for a client while this coordinator does not know what other coordinators know:
-/// gates of the client's region that report to this coordinator. There are none if requests of the
-/// host must leave that region: the region may be partitioned from the allowed ones, and another
+/// Selects the addresses for a client while this coordinator is out of contact with the others:
+/// only gates of the client's region that report to this coordinator. Selects none if the host may
+/// not be served in that region: the region may be partitioned from the allowed ones, and another
 /// coordinator knows which gates are reachable.
 pub(crate) fn addresses_of_direct_gates(
     gates: &[GateView<'_>],
@@ -113,7 +113,7 @@
     })
 }
 
-/// The usable gates of the client's zone; without any, those of its region.
+/// The usable gates of the client's zone, or those of its region if the zone has none.
 fn nearest(
     gates: &[GateView<'_>],
     query: &Query,
@@ -143,7 +143,8 @@
     addresses
 }
 
-/// Whether all gates of a region are down and the last one was lost, rather than shut down.
+/// Whether all gates of a region are down and the gate that reported last was lost rather than shut
+/// down.
 fn is_region_lost(gates: &[GateView<'_>], region: &str) -> bool {
     let in_region = || gates.iter().filter(|gate| gate.record.region == region);
     let last = in_region().max_by_key(|gate| gate.last_heard);
--- a/crates/coordinator/src/resolve/tests.rs
+++ b/crates/coordinator/src/resolve/tests.rs
@@ -1,4 +1,4 @@
-//! Selection of gates for a client.
+//! Tests of the selection of gates for a client.
 
 use std::time::Duration;
 
@@ -34,8 +34,8 @@
     gate(zone, true, true)
 }
 
-/// Routes of `a.example` with these allowed regions, and a route of another host that is allowed in
-/// the east.
+/// A configuration with one route of `a.example` for each list of allowed regions, one route of
+/// `a.example` without a restriction, and a route of another host that is allowed in the east only.
 fn configuration(allowed: &[&[&str]]) -> Configuration {
     let route = |number: usize, host: &str, allowed: &[&str]| {
         let route = serde_json::json!({"name": format!("r{number}"), "hostname": host,
@@ -56,8 +56,8 @@
     Configuration::parse(text.as_bytes()).expect("a valid configuration")
 }
 
-/// Indices of the gates selected for a client in [`ZONE`]; each gate reported after the previous
-/// one.
+/// Indices of the gates selected for a client in [`ZONE`]. Each gate has reported later than the
+/// one before it.
 fn resolved_with(configuration: Option<&Configuration>, gates: &[GateRecord]) -> Vec<usize> {
     let address =
         |number: usize| SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 80));
@@ -157,7 +157,8 @@
     assert_eq!(resolved(&[NORTH], &gates), [2]);
 }
 
-/// A coordinator that has just started knows neither the region's gates nor the allowed regions.
+/// A coordinator that has just started knows neither the gates of the region nor the allowed
+/// regions, and must not take the region for lost.
 #[test]
 fn without_a_configuration_no_other_region_is_selected() {
     let gates = [ready("south-a")];
--- a/crates/coordinator/src/subscribers.rs
+++ b/crates/coordinator/src/subscribers.rs
@@ -1,5 +1,5 @@
-//! Agents and coordinators that are connected to this coordinator and receive its keep-alive
-//! frames.
+//! Subscribers: agents and other coordinators that are connected to this coordinator and receive
+//! its keep-alive frames.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,31 +7,31 @@
 use ironmast_schema::control::{FromCoordinator, Observation};
 use tokio::sync::mpsc;
 
-/// Frames queued for one subscriber.
+/// The queue of frames to one subscriber.
 pub(crate) type SubscriberQueue = mpsc::UnboundedSender<FromCoordinator>;
 
-/// Identifies a subscriber for as long as the process runs.
+/// Identifies a subscriber; never reused while the process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SubscriberId(u64);
 
 /// The kind of node that has subscribed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SubscriberKind {
-    /// An agent. It receives no reports about endpoints.
+    /// An agent, which receives no observations of endpoints.
     Agent,
     /// Another coordinator.
     Coordinator,
 }
 
-/// Content of a keep-alive frame to all subscribers.
+/// Contents of a keep-alive frame to all subscribers.
 #[derive(Debug, Clone)]
 pub(crate) struct KeepAlive {
-    /// The other coordinators that are known.
+    /// Addresses of the other known coordinators.
     pub coordinators: Vec<SocketAddr>,
     /// Endpoints that have reported since the previous keep-alive, each with the sequence number or
     /// version of the report. Sent to coordinators only.
     pub observed: Vec<Observation>,
-    /// Whether the subscriber may treat this coordinator's state as fresh.
+    /// Whether subscribers may treat this coordinator's state as fresh.
     pub in_contact: bool,
 }
 
@@ -53,7 +53,7 @@
     kind: SubscriberKind,
 }
 
-/// All subscribers.
+/// The connected subscribers.
 #[derive(Default)]
 pub(crate) struct Subscribers {
     subscribers: BTreeMap<SubscriberId, Subscriber>,
@@ -68,7 +68,7 @@
         kind: SubscriberKind,
         first: &KeepAlive,
     ) -> SubscriberId {
-        // A subscriber that has disconnected already is removed by the next broadcast.
+        // If the subscriber has already disconnected, the next broadcast removes it.
         let _ = queue.send(first.to_frame(kind));
         self.last_id += 1;
         let id = SubscriberId(self.last_id);
@@ -76,7 +76,7 @@
         id
     }
 
-    /// Removes a subscriber.
+    /// Removes a subscriber, if it has not been removed already.
     pub(crate) fn remove(&mut self, id: SubscriberId) {
         self.subscribers.remove(&id);
     }
--- a/crates/coordinator/src/value.rs
+++ b/crates/coordinator/src/value.rs
@@ -1,8 +1,8 @@
-//! The value that the register holds: the operator's state, and the changes of it as pure
-//! functions.
+//! The replicated value of the register: the control state that operators set, and its changes as
+//! pure functions.
 //!
-//! Values are stored on disk and sent between coordinators by postcard, which encodes fields and
-//! variants by position: their order must not change.
+//! Values are stored on disk and sent between coordinators in postcard encoding, which identifies
+//! fields and variants by position: their order must not change.
 
 use std::collections::BTreeSet;
 
@@ -16,14 +16,14 @@
 mod document;
 mod history;
 
-/// The operator's state.
+/// The control state that operators set, with the history of its changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ControlValue {
-    /// The configuration in force.
+    /// The current configuration; `None` before the first.
     pub configuration: Option<ConfigurationDocument>,
-    /// Zones that receive no traffic.
+    /// Names of the evacuated zones, which receive no traffic.
     pub evacuated: BTreeSet<String>,
-    /// Outcomes of earlier changes of the configuration.
+    /// Outcomes of earlier configuration changes, for changes that are submitted again.
     history: History,
 }
 
@@ -36,10 +36,10 @@
     Evacuated,
 }
 
-/// Reason why a change is rejected. Operators see the texts.
+/// Reason why a change is rejected. The texts are sent to the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Rejection {
-    /// The change builds on another generation than the current one.
+    /// The base of the change is not the current generation.
     #[error("another version is in place")]
     VersionMismatch,
     /// The generation of the new configuration is not above the current one.
@@ -52,7 +52,7 @@
 }
 
 impl ControlValue {
-    /// The generation of the configuration in force; 0 before the first.
+    /// Generation of the current configuration; 0 before the first.
     pub(crate) fn generation(&self) -> u64 {
         self.configuration
             .as_ref()
@@ -61,9 +61,9 @@
 
     /// Replaces the configuration of generation `base`.
     ///
-    /// A change that was applied before, the same byte for byte and on the same base, is
-    /// acknowledged again, whatever was applied since. A change that was rejected is never applied
-    /// later. Where neither can be guaranteed, the decision is [`Decision::Unknown`].
+    /// A change that was applied before, with the same bytes and the same base, is acknowledged
+    /// again, whatever was applied since. A rejected change is never applied later. If neither can
+    /// be guaranteed, the decision is [`Decision::Unknown`].
     pub(crate) fn configure(
         &self,
         document: &ConfigurationDocument,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Applies a change that builds on the current generation.
+    /// Applies a change whose base is the current generation.
     fn configure_next(
         &self,
         document: &ConfigurationDocument,
@@ -100,8 +100,8 @@
         Decision::Write(next)
     }
 
-    /// Rejects a change that builds on a generation which may still come, and records the
-    /// rejection, so that it holds when that generation has come.
+    /// Rejects a change whose base may still become the current generation, and records the
+    /// rejection, so that the change stays rejected when that happens.
     fn reject_permanently(&self, change: &ChangeId) -> Decision<ControlValue> {
         let mut next = self.clone();
         match next.history.record_rejected(change) {
--- a/crates/coordinator/src/value/history.rs
+++ b/crates/coordinator/src/value/history.rs
@@ -1,12 +1,12 @@
-//! Outcomes of earlier changes of the configuration, so that a change submitted again gets the
-//! answer that it had.
+//! Outcomes of earlier configuration changes, so that a change that is submitted again gets the same
+//! outcome.
 //!
-//! A change is identified by its complete content and its base. It is applied only if its
-//! generation is above the current one and its base is the current one, so that base < generation
-//! holds for every applied change, and generations increase from one applied change to the next.
+//! A change is identified by its complete content and its base. It is applied only if its base is
+//! the current generation and its own generation is above that. So base < generation holds for
+//! every applied change, and generations increase from one applied change to the next.
 //!
-//! The history is part of the register's value: postcard encodes its fields by position, so that
-//! their order must not change.
+//! The history is part of the register's value: postcard encodes its fields by position, so their
+//! order must not change.
 
 use std::collections::VecDeque;
 
@@ -16,25 +16,24 @@
 
 use super::document::ConfigurationDocument;
 
-/// Upper limit of the applied changes that are remembered. An operator submits a change again until
-/// it is acknowledged; at the target of 7,400 changes a day, these are more than six hours of other
-/// operators' changes. Each adds at most `MAX_APPLIED_BYTES` bytes to the value, which is written
-/// as a whole.
+/// Maximum number of applied changes in the history. An operator resubmits a change until it is
+/// acknowledged; at the target of 7,400 changes a day, the history covers more than six hours of
+/// other operators' changes. Each adds at most `MAX_APPLIED_BYTES` bytes to the value, which is
+/// always written as a whole.
 pub(super) const MAX_APPLIED: usize = 2_048;
-/// Upper limit of the encoded size of an applied change, in bytes: a generation below 2^28 and a
-/// digest.
+/// Maximum encoded size of an applied change, in bytes: a generation below 2^28 and a digest.
 #[cfg(test)]
 pub(super) const MAX_APPLIED_BYTES: usize = 4 + size_of::<Digest>();
-/// Upper limit of the rejected changes that are remembered because their base may still come. Each
-/// operator has at most eight changes in flight at once.
+/// Maximum number of rejected changes in the history, which are kept because their base may still
+/// become the current generation. Each operator has at most eight changes in flight at once.
 pub(super) const MAX_REJECTED: usize = 64;
 
-/// Digest of a change's content and base. It is only compared between changes of equal generation,
-/// so that two changes are mistaken for each other with a probability of 2^-64 for each pair of one
-/// generation. It does not resist operators who search for collisions.
+/// Digest of a change's content and base. Only digests of changes of the same generation are
+/// compared, so any two of them collide with a probability of 2^-64. The digest does not resist
+/// operators who search for collisions.
 type Digest = [u8; 8];
 
-/// Identity of a change of the configuration.
+/// Identity of a configuration change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ChangeId {
     pub(super) generation: u64,
@@ -43,7 +42,7 @@
 }
 
 impl ChangeId {
-    /// Identifies the change that replaces the configuration of generation `base` by `document`.
+    /// The identity of the change that replaces the configuration of generation `base` by `document`.
     pub(super) fn new(document: &ConfigurationDocument, base: u64) -> Self {
         let digest = xxh3_64_with_seed(&document.body, base).to_le_bytes();
         ChangeId {
@@ -85,20 +84,20 @@
 pub(super) enum PriorOutcome {
     /// The change was applied.
     Applied,
-    /// The change was rejected, and its base is current or may still come.
+    /// The change was rejected, and its base is or may still become the current generation.
     Rejected,
-    /// The change may have been applied so long ago that the record of it was evicted.
+    /// The change is so old that, if it was applied, its record was evicted.
     Evicted,
     /// The change was not applied.
     NotApplied,
 }
 
-/// No further rejection can be remembered.
+/// Error: the history has no room for another rejection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("{MAX_REJECTED} rejected changes are remembered already")]
 pub(super) struct RejectionsFull;
 
-/// The remembered changes.
+/// The recorded outcomes of configuration changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct History {
     /// Applied changes, in ascending order of generation.
@@ -134,7 +133,8 @@
         position.is_ok_and(|index| self.applied[index].digest == change.digest)
     }
 
-    /// Records a change as applied, and evicts the oldest one if there are too many.
+    /// Records a change as applied, and evicts the oldest record if there are more than
+    /// [`MAX_APPLIED`].
     pub(super) fn record_applied(&mut self, change: &ChangeId) {
         self.applied.push_back(Applied {
             generation: change.generation,
@@ -146,7 +146,7 @@
                 .pop_front()
                 .map_or(self.evicted_up_to, |applied| applied.generation);
         }
-        // Generations only increase: a change on an earlier base is rejected in any case.
+        // Generations only increase, so a change with an earlier base is rejected without a record.
         self.rejected
             .retain(|rejected| rejected.base >= change.generation);
     }
@@ -154,7 +154,7 @@
     /// Records a change as rejected.
     ///
     /// # Errors
-    /// [`MAX_REJECTED`] rejected changes are remembered already.
+    /// Fails if the history already holds [`MAX_REJECTED`] rejected changes.
     pub(super) fn record_rejected(&mut self, change: &ChangeId) -> Result<(), RejectionsFull> {
         if self.rejected.len() >= MAX_REJECTED {
             return Err(RejectionsFull);
@@ -172,13 +172,13 @@
         Ok(())
     }
 
-    /// Number of applied changes that are remembered.
+    /// Number of applied changes in the history.
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.applied.len()
     }
 
-    /// Replaces the applied changes by `length` others, regardless of [`MAX_APPLIED`].
+    /// Replaces the applied changes by `length` generated ones, regardless of [`MAX_APPLIED`].
     #[cfg(test)]
     pub(super) fn fill_unbounded(&mut self, length: u64) {
         let change = |number: u64| Applied {
--- a/crates/coordinator/src/value/tests.rs
+++ b/crates/coordinator/src/value/tests.rs
@@ -1,4 +1,4 @@
-//! Decisions on changes of the operator's state, and the history that they rest on.
+//! Tests of the decisions on control state changes, and of the history that they use.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -73,7 +73,7 @@
     assert!(value.evacuated.is_empty());
 }
 
-/// The value after that many changes; each generation is two above the previous one.
+/// The value after `changes` changes; each generation is two above the previous one.
 fn after(changes: u64) -> ControlValue {
     (0..changes).fold(ControlValue::default(), |value, change| {
         written(value.configure(&nth_change(change), base(change)))
@@ -85,7 +85,7 @@
     document(generation, &format!("version {generation}"))
 }
 
-/// The generation that the change of that number builds on.
+/// The base generation of the change with this index.
 fn base(change: u64) -> u64 {
     2 * change
 }
@@ -201,7 +201,8 @@
     );
 }
 
-/// Changes of three operators, some submitted again, compared with an unbounded history.
+/// Random changes with three different contents, some of them resubmitted, compared with an unbounded
+/// history: an applied change is never rejected later, and a rejected one is never applied.
 #[test]
 fn random_resubmitted_changes_keep_their_outcomes() {
     for seed in 0..20 {
@@ -267,7 +268,7 @@
 
 #[test]
 fn the_last_decided_zone_state_wins() {
-    // They carry no generation: one that arrives late counts as new.
+    // Zone changes carry no generation: one that arrives late counts as new.
     let value = written(ControlValue::default().set_zone_state("a", ZoneState::Evacuated));
     let value = written(value.set_zone_state("a", ZoneState::InService));
     let value = written(value.set_zone_state("a", ZoneState::Evacuated));
@@ -278,13 +279,13 @@
 fn history_size_per_change_is_bounded() {
     let length = |value: &ControlValue| postcard::to_stdvec(value).expect("encoded").len();
     let (few, many) = (after(100), after(1_100));
-    // Both hold a configuration of nearly the same length.
+    // Both configurations have nearly the same length.
     let added = length(&many) - length(&few) - 2;
     assert!(added <= 1_000 * MAX_APPLIED_BYTES, "{added}");
     assert!(length(&after(3 * MAX_APPLIED as u64)) <= (MAX_APPLIED + 4) * MAX_APPLIED_BYTES);
 }
 
-/// Prints the cost of the history at each write; run by hand.
+/// Prints the cost of the history for each write of the value; run manually.
 #[test]
 #[ignore = "prints figures"]
 fn history_encoding_cost() {
