--- a/crates/coordinator/src/directory.rs
+++ b/crates/coordinator/src/directory.rs
@@ -1,8 +1,8 @@
-//! The directory: the active configuration, and address resolution based on it.
+//! The directory: the configuration in force, and address resolution based on it.
 //!
 //! The register stores each configuration as the operator sent it. While several versions of the
 //! program run, the newest configuration may use a schema that this version cannot parse; the last
-//! one that could be parsed then stays active here.
+//! one that could be parsed then stays in force here.
 
 use ironmast_endpoints::GateView;
 use ironmast_schema::configuration::{Configuration, ConfigurationError};
@@ -37,7 +37,7 @@
 enum NewestDocument {
     /// The register holds no configuration.
     Missing,
-    /// The newest configuration is the active one.
+    /// The newest configuration could be parsed and is in force.
     InForce(ConfigurationDocument),
     /// The newest configuration cannot be parsed.
     Unreadable(ConfigurationDocument),
@@ -54,11 +54,12 @@
     }
 }
 
-/// The active configuration and the time for which resolved addresses are valid.
+/// The configuration in force and the time for which resolved addresses are valid.
 pub(crate) struct Directory {
     parse: ConfigurationParser,
     newest: NewestDocument,
-    /// The last configuration that could be parsed; it remains active while the newest one cannot.
+    /// The last configuration that could be parsed; it stays in force while the newest one
+    /// cannot.
     in_force: Option<Configuration>,
     ttl_s: f64,
 }
@@ -74,12 +75,12 @@
         }
     }
 
-    /// Activates the configuration of a control value. An unchanged configuration is not parsed
+    /// Puts the configuration of a control value in force. An unchanged configuration is not parsed
     /// again.
     ///
     /// # Errors
     /// Fails if the configuration has changed and cannot be parsed; the last one that could be
-    /// parsed stays active.
+    /// parsed stays in force.
     pub(crate) fn apply(&mut self, value: &ControlValue) -> Result<(), UnreadableConfiguration> {
         let document = value.configuration.as_ref();
         if self.newest.document() == document {
--- a/crates/endpoints/src/contacts.rs
+++ b/crates/endpoints/src/contacts.rs
@@ -1,4 +1,4 @@
-//! When each endpoint was last heard from, by this coordinator or by another one.
+//! The time of the last contact with each endpoint, directly or through another coordinator.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 /// The last contact with one endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Contact {
-    /// When any coordinator last heard from it.
+    /// Time at which any coordinator last received a message from the endpoint.
     pub(crate) last: Duration,
-    /// The highest heartbeat sequence (instances) or version (gates) heard of.
+    /// The highest known heartbeat sequence (instances) or version (gates).
     pub(crate) sequence: u64,
-    /// When this coordinator itself last heard from it.
+    /// Time at which this coordinator itself last received a message from the endpoint.
     pub(crate) last_direct: Option<Duration>,
 }
 
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Contacts {
     by_key: FxHashMap<Key, Contact>,
-    /// Sequences of direct contacts that the other coordinators haven't been sent yet.
+    /// Sequences of direct contacts that have not been sent to the other coordinators yet.
     unreported: FxHashMap<Key, u64>,
 }
 
@@ -35,7 +35,7 @@
         self.unreported.insert(key.clone(), sequence);
     }
 
-    /// Records that another coordinator has heard from the endpoint.
+    /// Records that another coordinator has received a message from the endpoint.
     pub(crate) fn record_indirect(&mut self, now: Duration, key: &Key, sequence: u64) {
         self.record(now, key, sequence);
     }
@@ -44,7 +44,7 @@
         self.by_key.remove(key);
     }
 
-    /// The direct contacts since the last call.
+    /// Takes the direct contacts since the last call.
     pub(crate) fn take_unreported(&mut self) -> Vec<Observation> {
         let unreported = self.unreported.drain();
         unreported
--- a/crates/endpoints/src/diff.rs
+++ b/crates/endpoints/src/diff.rs
@@ -1,10 +1,10 @@
-//! Which changes of a value the other nodes need to learn of. Unchanged heartbeats aren't
-//! distributed: they would be most of the traffic.
+//! Decides which changes of a value are distributed to the other nodes. Unchanged heartbeats are not
+//! distributed, because they would be most of the traffic.
 
 use ironmast_schema::control::Value;
 use ironmast_schema::registration::{Heartbeat, InstanceState};
 
-/// Whether nodes that hold the old value must be sent the new one.
+/// Whether nodes that hold the old value need the new one.
 pub(crate) fn is_relevant_change(old: &Value, new: &Value) -> bool {
     match (old, new) {
         (Value::Instance(old), Value::Instance(new)) => {
@@ -15,7 +15,7 @@
     }
 }
 
-/// Whether gates must be sent the new heartbeat after the old one.
+/// Whether gates that hold the old heartbeat need the new one.
 fn is_relevant_heartbeat_change(old: &Heartbeat, new: &Heartbeat) -> bool {
     let is_unchanged = old.backend == new.backend
         && old.address == new.address
--- a/crates/endpoints/src/expiry.rs
+++ b/crates/endpoints/src/expiry.rs
@@ -1,5 +1,5 @@
 //! Expiry of endpoints that have not reported within their timeout, and removal of the entries of
-//! inactive endpoints.
+//! inactive endpoints after their retention.
 
 use std::time::Duration;
 
@@ -9,28 +9,28 @@
 use crate::table::{EndpointTable, ExpiryTimeouts};
 use crate::versions;
 
-/// The removal of an entry.
+/// The removal of an entry, to send to the other nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Removal {
     /// The key of the removed entry.
     pub key: Key,
-    /// The version of the removal, which is above that of the entry.
+    /// The version of the removal; above that of the entry.
     pub version: u64,
 }
 
-/// How long the entry of an endpoint that is deregistered, unreachable or down is kept after its
-/// last contact. Until then it keeps late updates of the endpoint from bringing it back.
+/// Time for which the entry of a deregistered, unreachable or down endpoint is kept after the last
+/// contact, so that late updates cannot mark the endpoint as alive again.
 pub(crate) const RETENTION: Duration = Duration::from_secs(120);
 
 impl EndpointTable {
-    /// Restarts all expiry timeouts. Called when this coordinator regains contact with the others:
-    /// out of contact it did not learn which endpoints reported to them.
+    /// Restarts all expiry timeouts. Must be called when this coordinator regains contact with the
+    /// others, because it did not learn which endpoints reported to them meanwhile.
     pub fn restart_expiry(&mut self, now: Duration) {
         self.expiry_since = now;
     }
 
-    /// Expires the endpoints whose timeout has passed; returns their entries to send to the other
-    /// nodes.
+    /// Expires the endpoints whose timeout has passed: instances become unreachable, gates down.
+    /// Returns the changed entries, to send to the other nodes.
     pub fn expire(&mut self, now: Duration) -> Vec<Entry> {
         let may_expire_instances = self.may_expire_instances(now);
         let (timeouts, since) = (self.timeouts, self.expiry_since);
@@ -53,15 +53,15 @@
         expired
     }
 
-    /// Whether instances may expire. While this coordinator itself receives no heartbeats, or has
-    /// just started, it is more likely partitioned than all servers are down: expiring them would
-    /// empty the table.
+    /// Whether instances may expire. They may not while this coordinator receives no heartbeats, or
+    /// has just started: it is then more likely that the coordinator is partitioned than that all
+    /// servers are down, and expiring them would leave no usable server.
     fn may_expire_instances(&self, now: Duration) -> bool {
         let timeout = self.timeouts.instance;
         now >= self.expiry_since + timeout && now <= self.last_heartbeat + timeout / 2
     }
 
-    /// Removes the entries of inactive endpoints whose retention has passed; returns the removals
+    /// Removes the entries of inactive endpoints whose retention has passed. Returns the removals,
     /// to send to the other nodes.
     pub fn purge(&mut self, now: Duration) -> Vec<Removal> {
         let contacts = &mut self.contacts;
@@ -84,8 +84,9 @@
     }
 }
 
-/// Marks an entry as unreachable or down if it has been silent for longer than its timeout; returns
-/// whether it has changed. The new version is above that of the last contact.
+/// Marks an entry as unreachable or down if its endpoint has been silent for longer than the
+/// timeout; returns whether the entry has changed. The new version is above that of the last
+/// contact.
 fn expire_entry(
     entry: &mut Entry,
     silent_for: Duration,
--- a/crates/endpoints/src/gates.rs
+++ b/crates/endpoints/src/gates.rs
@@ -1,4 +1,4 @@
-//! Gates: their status updates, and a view of them for address resolution.
+//! Status updates of gates, and the view of gates that address resolution uses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,24 +8,24 @@
 use crate::contacts::Contact;
 use crate::table::EndpointTable;
 
-/// A gate of the table, with its reachability.
+/// A gate in the table, with its reachability.
 #[derive(Debug, Clone, Copy)]
 pub struct GateView<'a> {
-    /// The frontend address, where clients connect.
+    /// The frontend address, to which clients connect.
     pub frontend: SocketAddr,
-    /// The latest state of the gate.
+    /// The latest record of the gate.
     pub record: &'a GateRecord,
-    /// When any coordinator last heard from it.
+    /// Time at which any coordinator last received a report from the gate.
     pub last_heard: Duration,
-    /// Whether any coordinator has heard from it within the expiry timeout.
+    /// Whether any coordinator has received a report from the gate within the expiry timeout.
     pub is_reachable: bool,
-    /// Whether this coordinator itself has heard from it within the expiry timeout.
+    /// Whether this coordinator itself has received a report from the gate within the expiry timeout.
     pub is_directly_reachable: bool,
 }
 
 impl EndpointTable {
-    /// Records a gate's status update; returns the entry to send to the other nodes if they need to
-    /// learn of the change.
+    /// Records a gate's status update. Returns the entry to send to the other nodes, or `None` if
+    /// they do not need it: the update is outdated or changes nothing.
     pub fn update_gate(
         &mut self,
         now: Duration,
@@ -45,7 +45,7 @@
         self.store_direct(now, entry, version)
     }
 
-    /// The gates of the table, including those that are down.
+    /// All gates in the table, including those that are down.
     pub fn gates(&self, now: Duration) -> impl Iterator<Item = GateView<'_>> {
         self.entries
             .iter()
--- a/crates/endpoints/src/instances.rs
+++ b/crates/endpoints/src/instances.rs
@@ -9,8 +9,8 @@
 use crate::versions;
 
 impl EndpointTable {
-    /// Records a server's heartbeat; returns the entry to send to the other nodes if they need to
-    /// learn of the change.
+    /// Records a server's heartbeat. Returns the entry to send to the other nodes, or `None` if they
+    /// do not need it: the heartbeat is outdated or changes nothing that gates use.
     pub fn record_heartbeat(
         &mut self,
         now: Duration,
@@ -21,7 +21,7 @@
         let sequence = heartbeat.sequence;
         let version = versions::of_sequence(sequence);
         self.last_heartbeat = now;
-        // The heartbeat is late, a duplicate, or of an incarnation that has deregistered.
+        // The heartbeat is late, a duplicate, or from an incarnation that has deregistered.
         if self.has_version(&key, version) {
             return None;
         }
@@ -37,8 +37,8 @@
         self.store_direct(now, entry, sequence)
     }
 
-    /// Records that a server has deregistered; returns the entry to send to the other nodes, or
-    /// `None` if the server is unknown or has deregistered before.
+    /// Marks a server as deregistered. Returns the entry to send to the other nodes, or `None` if the
+    /// server is unknown or already deregistered.
     pub fn deregister(&mut self, now: Duration, id: &str) -> Option<Entry> {
         let key = Key::Instance(id.to_string());
         let entry = self.entries.get_mut(&key)?;
@@ -51,7 +51,7 @@
         record.liveness = Liveness::Deregistered;
         entry.version = versions::DEREGISTERED;
         let entry = entry.clone();
-        // The retention of the entry counts from here. A deregistration carries no sequence.
+        // The retention of the entry starts now. A deregistration carries no sequence.
         self.contacts.record_indirect(now, &key, 0);
         Some(entry)
     }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,13 +1,19 @@
-//! The endpoint table that each coordinator keeps: the latest state of every server instance and
-//! gate, when each was last heard from, and the operators' state.
+//! The endpoint table of a coordinator: the latest state of every server instance and gate, the time
+//! of the last contact with each, and the control state that operators set.
 //!
-//! Coordinators exchange their entries, and for each key the highest version wins; so all tables
-//! converge, whatever order updates arrive in. The table guards against servers that stop without
-//! deregistering (they expire), against late or duplicated updates (they carry old versions), and
-//! against a partitioned coordinator that would mark every server as unreachable (while it receives
-//! no heartbeats, it expires no servers).
+//! Coordinators exchange their entries, and for each key the highest version wins, so all tables
+//! converge whatever the order in which updates arrive. A server that stops without deregistering
+//! expires. Late and duplicated updates are ignored because they carry old versions. A coordinator
+//! that receives no heartbeats expires no servers: it is probably partitioned, and would otherwise
+//! mark every server as unreachable.
 //!
-//! The crate does no I/O: the caller passes the time and sends what the methods return.
+//! [`EndpointTable`] is defined in `table`, together with the merge of entries from other nodes.
+//! `instances` and `gates` record reports of endpoints, `expiry` expires silent endpoints and
+//! removes old entries, `contacts` keeps the time of the last contact, `versions` derives the
+//! versions of entries, and `diff` decides which changes other nodes need.
+//!
+//! The crate does no I/O: the caller passes the current time, as a monotonic duration since an
+//! arbitrary origin, and sends the entries and removals that the methods return.
 #![forbid(unsafe_code)]
 
 mod contacts;
--- a/crates/endpoints/src/table.rs
+++ b/crates/endpoints/src/table.rs
@@ -1,4 +1,4 @@
-//! The table itself: entries by key, and the merge of entries from other nodes.
+//! The endpoint table: entries by key, and the merge of entries from other nodes.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::contacts::Contacts;
 use crate::diff::is_relevant_change;
 
-/// After how long without contact an endpoint expires.
+/// Time without contact after which an endpoint expires, by kind of endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct ExpiryTimeouts {
     /// The timeout of server instances.
@@ -20,11 +20,12 @@
 /// The outcome of merging an entry from another node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MergeOutcome {
-    /// The entry was newer and is stored now.
+    /// The entry was newer than the stored one and has replaced it.
     Newer,
-    /// The entry was already known, or differs only in what other nodes need not learn of.
+    /// The stored entry is as new or newer, without a difference that other nodes need.
     Known,
-    /// The stored entry is newer and differs: the other nodes must be sent this one.
+    /// The stored entry, given here, is newer and differs: the caller must send it to the other
+    /// nodes.
     Stale(Box<Entry>),
 }
 
@@ -32,16 +33,16 @@
 #[derive(Debug)]
 pub struct EndpointTable {
     pub(crate) timeouts: ExpiryTimeouts,
-    /// Contacts before this time don't count towards expiry.
+    /// Expiry timeouts start at this time at the earliest.
     pub(crate) expiry_since: Duration,
     pub(crate) entries: FxHashMap<Key, Entry>,
     pub(crate) contacts: Contacts,
-    /// When this coordinator itself last received a heartbeat from any server.
+    /// Time at which this coordinator itself last received a heartbeat from any server.
     pub(crate) last_heartbeat: Duration,
 }
 
 impl EndpointTable {
-    /// An empty table.
+    /// Creates an empty table at time `now`, from which the first expiry timeouts count.
     #[must_use]
     pub fn new(now: Duration, timeouts: ExpiryTimeouts) -> Self {
         EndpointTable {
@@ -59,14 +60,14 @@
         self.entries.values().cloned().collect()
     }
 
-    /// The entry of one key.
+    /// The entry with this key.
     #[must_use]
     pub fn get(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// Stores the operators' state under its version; returns the entry to send to the other nodes
-    /// if it is newer than the stored one.
+    /// Stores the control state if its version is newer than the stored one. Returns the entry to
+    /// send to the other nodes, or `None` if the version is not newer.
     pub fn update_control_state(
         &mut self,
         now: Duration,
@@ -91,14 +92,14 @@
                 return MergeOutcome::Known;
             }
         }
-        // Sequence 0 leaves a higher recorded one in place: an entry's version doesn't show it.
+        // The entry does not carry the sequence of its contact; 0 keeps the one recorded so far.
         self.contacts.record_indirect(now, &entry.key, 0);
         self.entries.insert(entry.key.clone(), entry.clone());
         MergeOutcome::Newer
     }
 
-    /// Records that another coordinator has heard from these endpoints. Entries stay as they are:
-    /// the contents of those heartbeats come as entries of their own, perhaps later.
+    /// Records that another coordinator has received reports from these endpoints. Entries do not
+    /// change: the contents of the reports arrive as entries, possibly later.
     pub fn merge_observed(&mut self, now: Duration, observed: &[Observation]) {
         for Observation { key, sequence } in observed {
             let is_late = self
@@ -111,15 +112,15 @@
         }
     }
 
-    /// The endpoints that this coordinator has heard from since the last call, to send to the other
-    /// coordinators.
+    /// Takes the endpoints that have reported to this coordinator since the last call, to send to the
+    /// other coordinators.
     pub fn take_observed(&mut self) -> Vec<Observation> {
         self.contacts.take_unreported()
     }
 
-    /// Stores what an endpoint has sent to this coordinator itself; returns the entry to send to
-    /// the other nodes if they need to learn of the change. The caller has checked that it is newer
-    /// than the stored entry.
+    /// Stores a report that an endpoint sent to this coordinator itself. Returns the entry to send to
+    /// the other nodes, or `None` if they do not need it. The caller must have checked that the entry
+    /// is newer than the stored one.
     pub(crate) fn store_direct(
         &mut self,
         now: Duration,
@@ -135,7 +136,7 @@
         is_relevant.then_some(entry)
     }
 
-    /// Whether the stored entry of a key has at least this version.
+    /// Whether the table holds an entry with this key and at least this version.
     pub(crate) fn has_version(&self, key: &Key, version: u64) -> bool {
         self.entries
             .get(key)
--- a/crates/endpoints/src/tests.rs
+++ b/crates/endpoints/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the endpoint table by itself, without a network.
+//! Tests of the endpoint table without a network.
 
 mod expiry;
 mod gates;
--- a/crates/endpoints/src/tests/expiry.rs
+++ b/crates/endpoints/src/tests/expiry.rs
@@ -1,4 +1,4 @@
-//! Expiry of silent endpoints, and removal of entries that are over.
+//! Tests of the expiry of silent endpoints and of the removal of inactive entries.
 
 use assert_matches::assert_matches;
 use ironmast_schema::control::{Liveness, Value};
@@ -89,7 +89,7 @@
     assert_eq!(table.expire(5 * SECOND).len(), 1);
 }
 
-/// The version of the expiry follows from the last sequence that any coordinator has observed.
+/// The version of an expiry is derived from the highest sequence that any coordinator has observed.
 #[test]
 fn expiry_is_above_every_observed_sequence() {
     let mut table = table();
@@ -100,7 +100,7 @@
     assert!(silent.version < version_of(&ready(8)));
 }
 
-/// A coordinator that was cut off can't tell who was silent meanwhile.
+/// A coordinator that was partitioned does not know which endpoints were silent meanwhile.
 #[test]
 fn restart_expiry_disregards_earlier_silence() {
     let mut table = table();
@@ -132,8 +132,8 @@
 }
 
 proptest! {
-    /// In whatever order heartbeats and other coordinators' observations arrive, the version of an
-    /// entry never decreases.
+    /// The version of an entry never decreases, whatever the order in which heartbeats and other
+    /// coordinators' observations arrive.
     #[test]
     fn versions_never_decrease(calls in prop::collection::vec((0u8..4, 0u64..12, any::<bool>()), 0..60)) {
         let mut table = table();
--- a/crates/endpoints/src/tests/gates.rs
+++ b/crates/endpoints/src/tests/gates.rs
@@ -1,4 +1,4 @@
-//! Status updates and reachability of gates.
+//! Tests of status updates and reachability of gates.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use super::support::{SECOND, START, gate, gate_key, gates_accepting_clients, ready_gates, table};
 
-/// How many of them are reachable from this coordinator itself.
+/// Number of gates that accept new clients and have recently reported to this coordinator itself.
 fn directly_reachable_gates(table: &EndpointTable, now: Duration) -> usize {
     gates_accepting_clients(table, now)
         .filter(|gate| gate.is_directly_reachable)
@@ -69,8 +69,8 @@
     Some(table.gates(3 * SECOND).next()?.record.status())
 }
 
-/// The directory sends clients to another region only where a region was lost, not where it
-/// restarts.
+/// Address resolution sends clients to a region that is not allowed only if their own region was
+/// lost, not if it restarts.
 #[test]
 fn a_stopped_gate_is_distinguished_from_a_lost_one() {
     for (ready, then) in [(true, GateStatus::Lost), (false, GateStatus::Stopped)] {
--- a/crates/endpoints/src/tests/instances.rs
+++ b/crates/endpoints/src/tests/instances.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and deregistration.
+//! Tests of heartbeats and deregistration.
 
 use assert_matches::assert_matches;
 use ironmast_schema::control::Value;
--- a/crates/endpoints/src/tests/merge.rs
+++ b/crates/endpoints/src/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Entries and observations of other coordinators, in any order.
+//! Tests of merging entries and observations of other coordinators in any order.
 
 use assert_matches::assert_matches;
 use ironmast_schema::control::{ControlState, Entry, Key, Liveness, Value};
@@ -98,7 +98,7 @@
     assert_eq!(held.value, Value::Control(evacuated));
 }
 
-/// Random entries of one coordinator's table, with expiries and deregistrations among them.
+/// Random entries of one coordinator's table, including expiries and deregistrations.
 fn random_entries(seed: u64) -> Vec<Entry> {
     let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut source = table();
--- a/crates/endpoints/src/tests/support.rs
+++ b/crates/endpoints/src/tests/support.rs
@@ -1,4 +1,4 @@
-//! Tables, heartbeats and gates for the tests.
+//! Tables, heartbeats, gates and helper functions for the tests.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 
 use crate::{EndpointTable, ExpiryTimeouts, GateView};
 
-/// When the tables of the tests are made.
+/// Time at which the tables of the tests are created.
 pub(super) const START: Duration = Duration::ZERO;
-/// The shortest time.
+/// A time much shorter than any timeout.
 pub(super) const TICK: Duration = Duration::from_micros(1);
 pub(super) const SECOND: Duration = Duration::from_secs(1);
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// How many gates accept new clients and are reachable from any coordinator.
+/// Number of gates that accept new clients and have recently reported to any coordinator.
 pub(super) fn ready_gates(table: &EndpointTable, now: Duration) -> usize {
     gates_accepting_clients(table, now)
         .filter(|gate| gate.is_reachable)
--- a/crates/endpoints/tests/simulation/checks.rs
+++ b/crates/endpoints/tests/simulation/checks.rs
@@ -1,17 +1,17 @@
-//! What a run checks: its invariants, and the mechanisms without which one is violated.
+//! The invariants that a run checks, and the mechanisms that uphold them.
 
 use std::time::Duration;
 
 use ironmast_schema::control::Liveness;
 
-/// A mechanism that a test can remove to see that it is missed.
+/// A mechanism that a test can disable to check that the simulation then detects a violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Guard {
-    /// A coordinator that holds a newer entry sends it again.
+    /// A coordinator that receives an outdated entry sends its newer one.
     ResendNewer,
-    /// Nodes ignore older versions.
+    /// Nodes ignore entries with older versions.
     Versions,
-    /// Nodes send all their entries to another one periodically (anti-entropy).
+    /// Each node periodically sends all its entries to another one.
     AntiEntropy,
 }
 
@@ -19,19 +19,19 @@
 #[derive(Debug)]
 #[expect(dead_code, reason = "shown when a seed fails")]
 pub(crate) enum Violation {
-    /// At an agent, a server became usable again after it had drained or deregistered.
+    /// At an agent, a server became usable again after it had started draining or deregistered.
     Revived {
         agent: usize,
         server: usize,
         at: Duration,
     },
-    /// An agent had not learned in time that a server drains.
+    /// An agent was not informed in time that a server drains.
     DrainLate {
         agent: usize,
         server: usize,
         at: Duration,
     },
-    /// At the end a node holds another state than the actual one.
+    /// At the end of the run, a node holds another state of a server than the actual one.
     Diverged {
         node: usize,
         server: usize,
--- a/crates/endpoints/tests/simulation/entries.rs
+++ b/crates/endpoints/tests/simulation/entries.rs
@@ -1,4 +1,4 @@
-//! What the entries of servers say.
+//! Predicates on the entries of servers.
 
 use ironmast_schema::control::{Entry, InstanceRecord, Liveness, Value};
 use ironmast_schema::registration::InstanceState;
@@ -10,7 +10,7 @@
     }
 }
 
-/// Whether an incarnation is alive, as an entry says.
+/// Liveness of an incarnation according to its entry.
 pub(super) fn liveness(entry: &Entry) -> Liveness {
     record(entry).liveness
 }
--- a/crates/endpoints/tests/simulation/main.rs
+++ b/crates/endpoints/tests/simulation/main.rs
@@ -1,6 +1,7 @@
-//! Endpoint tables of several coordinators, with servers that send heartbeats to any of them, over
-//! a network that delays, reorders and partitions: agents never see a server revived, learn of
-//! drains in time, and all nodes converge once the faults end.
+//! Simulation of the endpoint tables of several coordinators. Servers send heartbeats to any of
+//! them, over a network with delays, reordering, message loss and partitions. Checks that no agent
+//! sees a server as usable again after it drained or deregistered, that agents learn of drains in
+//! time, and that all nodes converge once the faults end.
 
 mod checks;
 mod entries;
@@ -12,7 +13,7 @@
 use world::World;
 
 const SEEDS: u64 = 200;
-/// Seeds in which a removed guard must be detected at least once.
+/// Number of seeds of which at least one must detect a disabled mechanism.
 const SEEDS_TO_DETECT: u64 = 60;
 
 fn violations(coordinators: usize, seed: u64, removed: Option<Guard>) -> Vec<Violation> {
--- a/crates/endpoints/tests/simulation/network.rs
+++ b/crates/endpoints/tests/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The network between the nodes: delays, and a partition among the coordinators.
+//! The network between the nodes, with delays and a partition among the coordinators.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -8,7 +8,7 @@
 use rand::RngExt as _;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// Range of a message's latency, in microseconds.
+/// Range of the latency of a message.
 const LATENCY: std::ops::Range<Duration> = Duration::from_millis(1)..Duration::from_millis(400);
 
 /// A message between nodes.
@@ -17,7 +17,7 @@
     Observed(Vec<Observation>),
 }
 
-/// One coordinator is partitioned from the others, in one direction or both.
+/// A partition of one coordinator from the others, in one direction or both.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Partition {
     pub(super) coordinator: usize,
@@ -25,13 +25,13 @@
     pub(super) incoming: bool,
 }
 
-/// A message that arrives at a node.
+/// A message with its destination.
 pub(super) struct Delivery {
     pub(super) to: usize,
     pub(super) message: Message,
 }
 
-/// The messages in transit. Nodes are numbered, coordinators first.
+/// The messages in transit. Nodes are identified by index, coordinators first.
 pub(super) struct Network {
     coordinators: usize,
     pub(super) partition: Option<Partition>,
@@ -68,7 +68,7 @@
         self.due.push(Reverse((at, self.last_number)));
     }
 
-    /// Takes the next message that arrives at `now` at the latest.
+    /// Takes the next message that has arrived by `now`.
     pub(super) fn take_due(&mut self, now: Duration) -> Option<Delivery> {
         let &Reverse((at, number)) = self.due.peek()?;
         if at > now {
--- a/crates/endpoints/tests/simulation/server.rs
+++ b/crates/endpoints/tests/simulation/server.rs
@@ -18,11 +18,11 @@
 pub(super) struct Server {
     pub(super) phase: Phase,
     pub(super) sequence: u64,
-    /// When it sends its next heartbeat.
+    /// Time of the next heartbeat.
     pub(super) next: Duration,
-    /// The coordinator that it sends heartbeats to.
+    /// Index of the coordinator that receives the heartbeats.
     pub(super) coordinator: usize,
-    /// When it drains, deregisters or crashes next.
+    /// Time at which the server next drains, deregisters or crashes.
     pub(super) transition_at: Duration,
 }
 
@@ -45,12 +45,12 @@
     }
 }
 
-/// The identifier of a server's incarnation.
+/// The instance identifier of a server.
 pub(super) fn name(server: usize) -> String {
     format!("i-{server}")
 }
 
-/// The index of the server that a key is of.
+/// The index of the server that a key identifies.
 pub(super) fn number(key: &Key) -> usize {
     match key {
         Key::Instance(name) => name[2..].parse().expect("a number"),
--- a/crates/endpoints/tests/simulation/world.rs
+++ b/crates/endpoints/tests/simulation/world.rs
@@ -14,7 +14,7 @@
 use super::network::{Delivery, Message, Network, Partition};
 use super::server::{Phase, Server, heartbeat, name, number};
 
-/// Milliseconds.
+/// A duration in milliseconds.
 const fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
@@ -27,19 +27,19 @@
     instance: INTERVAL.saturating_mul(4),
     gate: ms(2_500),
 };
-/// No fault begins after this.
+/// Time after which no fault begins.
 const LAST_FAULT_AT: Duration = ms(30_000);
 const END: Duration = ms(45_000);
-/// A draining server's state reaches every agent within this.
+/// Time within which the state of a draining server must reach every agent.
 const DRAIN_DEADLINE: Duration = ms(3_000);
 
-/// A server that began to drain in a time without faults.
+/// A drain that began while no fault was in effect.
 struct Drain {
     server: usize,
     at: Duration,
 }
 
-/// Coordinators first, then agents.
+/// The simulated system. Nodes are identified by index, coordinators first, then agents.
 pub(crate) struct World {
     now: Duration,
     random: Xoshiro256PlusPlus,
@@ -98,7 +98,7 @@
         self.check_end();
     }
 
-    /// Whether a multiple of an interval has come.
+    /// Whether the current time is a multiple of an interval.
     fn is_each(&self, interval: Duration) -> bool {
         self.now.as_nanos().is_multiple_of(interval.as_nanos())
     }
@@ -164,7 +164,7 @@
     fn send_heartbeat(&mut self, server: usize) {
         self.servers[server].sequence += 1;
         self.servers[server].next = self.now + INTERVAL;
-        // Servers keep to one coordinator, and change it now and then.
+        // A server mostly uses the same coordinator, and changes it occasionally.
         if self.random.random_bool(0.02) {
             self.servers[server].coordinator = self.random.random_range(0..self.coordinators());
         }
@@ -178,7 +178,7 @@
 
     fn deregister(&mut self, server: usize) {
         let to = self.random.random_range(0..self.coordinators());
-        // A coordinator that doesn't know the server can't deregister it: the server tries again.
+        // A coordinator without an entry of the server cannot deregister it: the server tries again.
         if let Some(entry) = self.tables[to].deregister(self.now, &name(server)) {
             self.servers[server].phase = Phase::Ended;
             self.publish(to, &entry);
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Each node sends all its entries to another one.
+    /// Makes each node send all its entries to a random one.
     fn run_anti_entropy(&mut self) {
         for from in 0..self.stores.len() {
             let to = self.random.random_range(0..self.stores.len());
@@ -212,7 +212,7 @@
     fn publish(&mut self, from: usize, entry: &Entry) {
         self.store(from, entry);
         for to in 0..self.stores.len() {
-            // Some messages are lost; anti-entropy makes up for them.
+            // Some messages are lost; anti-entropy delivers their entries later.
             if to != from && self.random.random_bool(0.95) {
                 self.send(from, to, Message::Entry(entry.clone()));
             }
@@ -293,7 +293,7 @@
             let key = Key::Instance(name(server));
             for node in 0..self.stores.len() {
                 let stored = self.stores[node].get(&key).map(liveness);
-                // A server that crashed before any node stored its heartbeat stays unknown.
+                // A server that crashed before a node stored its heartbeat remains unknown there.
                 if stored != Some(expected)
                     && !(stored.is_none() && expected == Liveness::Unreachable)
                 {
