--- a/crates/coordinator/benches/start.rs
+++ b/crates/coordinator/benches/start.rs
@@ -1,14 +1,14 @@
-//! Time and memory of a start, and size on disk, after 10 to 10,000 changes of a configuration of
-//! 350 routes; each change is a promise and an acceptance. It prints a table instead of using
-//! criterion because each row needs a disk with a history of its own.
+//! Benchmark of the time and memory of a start, and of the size on disk, after 10 to 10,000 changes
+//! of a configuration of 350 routes; each change writes a promise and an acceptance. The benchmark
+//! prints a table instead of using criterion because each row needs a disk with its own history.
 //!
-//! Run with `cargo bench -p ironmast-coordinator --bench start`; the log is in the folder for
-//! temporary files.
+//! Run with `cargo bench -p ironmast-coordinator --bench start`; the log is written to the folder
+//! for temporary files.
 //!
 //! Measured with `--profile dev` on a file system in memory, so that syncs cost nothing: a start
 //! takes 0.14, 0.14, 0.14 and 0.09 ms in the median and 0.3 ms at worst after 10, 100, 1,000 and
-//! 10,000 changes, with 97 KiB on the disk each time and from 0 to 2.6 MiB of memory, in no order
-//! of the changes.
+//! 10,000 changes, with 97 KiB on the disk each time. It takes from 0 to 2.6 MiB of memory, without
+//! relation to the number of changes.
 
 #[path = "../tests/many_changes/value.rs"]
 mod value;
@@ -41,7 +41,7 @@
     Record::bootstrap(members[0], &members, Control::default())
 }
 
-/// Writes a promise and an acceptance, each durably.
+/// Makes a change: writes and syncs a promise, then an acceptance.
 fn change(log: &mut Log<Record<Control>>, record: &mut Record<Control>, generation: u64) {
     let ballot = Ballot {
         counter: generation,
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -168,8 +168,8 @@
     .await
 }
 
-/// The generation in the `If-Match` header, with or without quotation marks; `None` if the header is
-/// missing or not a number.
+/// The generation in the `If-Match` header, with or without quotation marks; `None` if the header
+/// is missing or not a number.
 fn if_match(request: &HttpRequest) -> Option<u64> {
     let header = request.headers().get("If-Match")?;
     header.to_str().ok()?.trim_matches('"').parse().ok()
--- a/crates/coordinator/src/published_endpoints.rs
+++ b/crates/coordinator/src/published_endpoints.rs
@@ -66,8 +66,8 @@
 
     /// Merges an entry that was received over the overlay.
     ///
-    /// If the entry is outdated, publishes the newer one: unchanged heartbeats are not published, so
-    /// a node may hold an older entry that it considers the newest.
+    /// If the entry is outdated, publishes the newer one: unchanged heartbeats are not published,
+    /// so a node may hold an older entry that it considers the newest.
     pub(crate) fn merge_published(&mut self, entry: &Entry) {
         if let MergeOutcome::Stale(newer) = self.table.merge(self.now(), entry) {
             self.publish(Some(*newer));
--- a/crates/coordinator/src/resolve.rs
+++ b/crates/coordinator/src/resolve.rs
@@ -1,10 +1,10 @@
 //! Selection of the gates that a client may connect to.
 //!
 //! A client gets the ready gates of its own zone, otherwise those of its region. Gates of other
-//! regions are selected only if all requests to the host may be served there, or if the client's own
-//! region was lost. While all gates of its region restart and no other region is allowed, the client
-//! gets gates that are not ready (starting or stopping) or no address; without an address it keeps
-//! the ones that it has.
+//! regions are selected only if all requests to the host may be served there, or if the client's
+//! own region was lost. While all gates of its region restart and no other region is allowed, the
+//! client gets gates that are not ready (starting or stopping) or no address; without an address it
+//! keeps the ones that it has.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/coordinator/src/value/history.rs
+++ b/crates/coordinator/src/value/history.rs
@@ -1,5 +1,5 @@
-//! Outcomes of earlier configuration changes, so that a change that is submitted again gets the same
-//! outcome.
+//! Outcomes of earlier configuration changes, so that a change that is submitted again gets the
+//! same outcome.
 //!
 //! A change is identified by its complete content and its base. It is applied only if its base is
 //! the current generation and its own generation is above that. So base < generation holds for
@@ -42,7 +42,8 @@
 }
 
 impl ChangeId {
-    /// The identity of the change that replaces the configuration of generation `base` by `document`.
+    /// The identity of the change that replaces the configuration of generation `base` by
+    /// `document`.
     pub(super) fn new(document: &ConfigurationDocument, base: u64) -> Self {
         let digest = xxh3_64_with_seed(&document.body, base).to_le_bytes();
         ChangeId {
--- a/crates/coordinator/src/value/tests.rs
+++ b/crates/coordinator/src/value/tests.rs
@@ -201,8 +201,9 @@
     );
 }
 
-/// Random changes with three different contents, some of them resubmitted, compared with an unbounded
-/// history: an applied change is never rejected later, and a rejected one is never applied.
+/// Random changes with three different contents, some of them resubmitted, compared with an
+/// unbounded history: an applied change is never rejected later, and a rejected one is never
+/// applied.
 #[test]
 fn random_resubmitted_changes_keep_their_outcomes() {
     for seed in 0..20 {
--- a/crates/coordinator/tests/arbitrary_frames.rs
+++ b/crates/coordinator/tests/arbitrary_frames.rs
@@ -1,4 +1,4 @@
-//! Decoding arbitrary bytes as a frame, a register message or a record terminates without a panic.
+//! Tests that decoding arbitrary bytes as a frame, a register message or a record does not panic.
 
 mod frames;
 
@@ -9,7 +9,7 @@
 
 use frames::{read, samples};
 
-/// A fixed seed: each run tests the same cases.
+/// A configuration with a fixed seed, so that each run tests the same cases.
 fn config() -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(2);
     ProptestConfig {
--- a/crates/coordinator/tests/frame_lengths.rs
+++ b/crates/coordinator/tests/frame_lengths.rs
@@ -1,16 +1,16 @@
-//! A length prefix of a frame allocates no memory beyond what the frame's bytes account for. The
-//! test is alone in its file because it reads the memory of the whole process, to which other tests
-//! would add.
+//! Tests that decoding a frame with a huge length prefix reserves no memory for that length. This
+//! test needs a file, and thus a process, of its own because it measures the memory of the whole
+//! process, to which other tests would add.
 
 mod frames;
 
 use frames::{read, samples};
 
-/// Upper limit of the memory, in KiB, that decoding may reserve at a time: serde reserves up to
-/// 1 MiB for a collection by its length prefix alone.
+/// Limit of the memory, in KiB, that decoding may reserve at a time. serde reserves up to 1 MiB for
+/// a collection on account of its length prefix alone.
 const MAX_RESERVED_KIB: u64 = 64 << 10;
 
-/// Peak of the memory, in KiB, that this process has reserved, touched or not.
+/// Peak size of the virtual memory of this process, in KiB.
 fn peak_memory_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").expect("status");
     let line = status
@@ -24,7 +24,7 @@
         .expect("a number")
 }
 
-/// Each byte of each frame is replaced by a length prefix of 4 GB, of 2^42, and of 2^63.
+/// Replaces each byte of each frame by a length prefix of 4 GB, of 2^42, and of 2^63.
 #[test]
 fn a_length_prefix_of_gigabytes_allocates_no_memory() {
     let lengths: [&[u8]; 3] = [
--- a/crates/coordinator/tests/frames/mod.rs
+++ b/crates/coordinator/tests/frames/mod.rs
@@ -1,4 +1,4 @@
-//! Samples of everything that is decoded from another process or from the disk.
+//! Encoded samples of all types that are received from another process or read from disk.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 };
 use serde::Serialize;
 
-/// A value of the register such as the coordinator's: bytes, and a collection.
+/// A register value similar to the coordinator's: bytes and a collection.
 type Control = (Vec<u8>, Vec<String>);
 
 fn address(port: u16) -> SocketAddr {
@@ -111,7 +111,7 @@
     ]
 }
 
-/// One sample of each kind of frame, register message and record.
+/// Encoded samples of frames, register messages and a record.
 pub(crate) fn samples() -> Vec<Vec<u8>> {
     let mut samples = register_messages();
     samples.extend(frames());
@@ -119,7 +119,7 @@
     samples
 }
 
-/// Decodes bytes as each type that is received from another process or read from the disk.
+/// Decodes bytes as each type that is received from another process or read from disk.
 pub(crate) fn read(bytes: &[u8]) {
     let _any = postcard::from_bytes::<Message<Control>>(bytes);
     let _any = postcard::from_bytes::<Record<Control>>(bytes);
--- a/crates/coordinator/tests/many_changes.rs
+++ b/crates/coordinator/tests/many_changes.rs
@@ -1,7 +1,7 @@
-//! A thousand changes of a configuration of 350 routes, on the register's nodes and the real log,
-//! with kills, power losses, and disks that stall, fill up and fail. No acknowledged change is
-//! lost, no outdated state is published, and what a coordinator stores and reads at start does not
-//! grow.
+//! Tests with a thousand changes of a configuration of 350 routes. Register nodes with the real log
+//! run in simulated time while processes are killed, hosts lose power, and disks stall, fill up and
+//! fail. The tests check that no acknowledged change is lost, that no outdated state is published,
+//! and that what a coordinator stores and reads at start does not grow with the number of changes.
 
 mod many_changes {
     pub(crate) mod cluster;
@@ -19,7 +19,7 @@
 
 /// Size in bytes of a configuration of 350 routes.
 const ROUTES_350: usize = 100_000;
-/// Time within which a restarted coordinator holds what was acknowledged before its start.
+/// Time within which a restarted coordinator must hold every change acknowledged before its start.
 const MAX_CATCH_UP_TIME: Duration = Duration::from_secs(2);
 
 fn run_seeds(seeds: std::ops::Range<u64>, workload: &Workload) -> Report {
@@ -77,8 +77,8 @@
     assert!(report.has_every_fault(), "{report:?}");
 }
 
-/// A replica is down for that many changes. Returns the states and bytes that it receives until it
-/// has caught up, and the time that takes.
+/// Stops a replica during `changes` changes. Returns the number of states and of bytes that it
+/// receives after its start until it has caught up, and the time that takes.
 fn catch_up(changes: u64) -> (u64, u64, Duration) {
     let mut cluster = Cluster::new(1, ROUTES_350);
     cluster.finish_bootstrap();
@@ -103,8 +103,8 @@
         println!(
             "{changes} changes missed: {states} states, {bytes} bytes, caught up after {caught_up_after:?}"
         );
-        // A reply of each of the others, or the chosen state from one of them, for the read that is
-        // in flight at the start.
+        // The read that a replica submits at its start is answered by a reply of each of the other
+        // two, or by the chosen state from one of them.
         assert!((1..=3).contains(&states), "{states} states");
         assert!(bytes < 4 * ROUTES_350 as u64, "{bytes} bytes");
         assert!(
@@ -114,7 +114,8 @@
     }
 }
 
-/// A change costs each replica two writes of the complete record: its promise and its acceptance.
+/// Each change requires two writes of the complete record on each replica: the promise and the
+/// acceptance.
 #[test]
 fn a_change_is_written_at_most_twice() {
     let changes = 200;
@@ -139,7 +140,8 @@
     );
 }
 
-/// Size of the log in bytes and number of files read at a start, which opens the newest one only.
+/// Size of the log in bytes and number of files read at a start, which should only open the newest
+/// one.
 fn files_after(changes: u64) -> (u64, u64) {
     let mut cluster = Cluster::new(2, ROUTES_350);
     cluster.finish_bootstrap();
--- a/crates/coordinator/tests/many_changes/cluster.rs
+++ b/crates/coordinator/tests/many_changes/cluster.rs
@@ -1,4 +1,4 @@
-//! Three coordinators and the network between them, in simulated time.
+//! A simulation of three coordinators and the network between them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -38,7 +38,7 @@
     },
 }
 
-/// The coordinators, the events that are due, and what was observed.
+/// The coordinators, the scheduled events, and the observed outcomes and violations.
 pub(crate) struct Cluster {
     pub now: Duration,
     pub random: Xoshiro256PlusPlus,
@@ -101,7 +101,7 @@
         true
     }
 
-    /// Kills a process; its files remain as they are.
+    /// Kills a process. Its files remain; a write in flight may reach the disk in part.
     pub(crate) fn kill(&mut self, host: usize) {
         let operations = self.random.random_range(0..8);
         self.hosts[host].end(operations);
@@ -109,7 +109,7 @@
         self.pending_changes.retain(|_, (at, _)| *at != host);
     }
 
-    /// Ends a process by a power loss.
+    /// Makes a host lose power, which ends its process and may lose unsynced data.
     pub(crate) fn lose_power(&mut self, host: usize) {
         let operations = self.random.random_range(0..8);
         self.hosts[host].end(operations);
@@ -144,7 +144,7 @@
         id
     }
 
-    /// Waits for the outcome of a change; `None` if its host has ended or is paused.
+    /// Waits for the outcome of a change; `None` if its host was stopped or is paused.
     pub(crate) fn outcome(&mut self, id: OperationId) -> Option<Outcome<Control>> {
         let end = self.now + OPERATION_TIMEOUT + STEP;
         while self.now < end
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Runs until a host knows a generation as chosen; returns the time that took.
+    /// Runs until a host has learned that a generation is chosen; returns the time that took.
     pub(crate) fn time_until_caught_up(&mut self, host: usize, generation: u64) -> Duration {
         let start = self.now;
         while self.hosts[host].generation() != Some(generation) {
@@ -187,7 +187,7 @@
         self.hosts[host].received
     }
 
-    /// Advances the time and processes the events that are due.
+    /// Advances the simulated time and processes the events that become due.
     pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(&Reverse((at, id))) = self.due.peek() {
--- a/crates/coordinator/tests/many_changes/host.rs
+++ b/crates/coordinator/tests/many_changes/host.rs
@@ -1,4 +1,4 @@
-//! One coordinator: the register's node and the real log, on a disk with injected faults.
+//! One coordinator host: a register node with the real log on a disk with injected faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 use super::value::Control;
 
-/// Duration of a sync on a disk that works.
+/// Duration of a write with its sync on a healthy disk.
 pub(crate) const SYNC_TIME: Duration = Duration::from_millis(3);
 /// Space in bytes that the log may use of a disk of 128 MB.
 pub(crate) const LOG_SPACE_BYTES: u64 = 16 << 20;
@@ -47,10 +47,11 @@
     pub incarnation: u64,
     /// Writes complete no earlier than this.
     pub stalled_until: Duration,
-    /// Duration of a write.
+    /// Duration of a write with its sync.
     pub sync: Duration,
+    /// Time of the latest timer that the node has set.
     pub timer: Duration,
-    /// A paused process handles no events.
+    /// Whether the process is paused; a paused process handles no events.
     pub is_paused: bool,
     /// Newest generation acknowledged by any incarnation.
     pub acknowledged: u64,
@@ -119,7 +120,8 @@
         true
     }
 
-    /// Ends the process; its write in flight may reach the disk in part.
+    /// Ends the process. A write in flight is interrupted after `operations` disk operations, so
+    /// that it may reach the disk in part.
     pub(crate) fn end(&mut self, operations: u64) {
         self.incarnation += 1;
         let Some(mut process) = self.process.take() else {
@@ -171,7 +173,7 @@
     }
 }
 
-/// Writes a record as the coordinator's writer thread does.
+/// Writes a record in the same way as the coordinator's writer thread.
 fn write(
     log: &mut Log<Record<Control>>,
     record: &Record<Control>,
--- a/crates/coordinator/tests/many_changes/value.rs
+++ b/crates/coordinator/tests/many_changes/value.rs
@@ -1,4 +1,4 @@
-//! The register's value in these tests: a configuration with its generation.
+//! The register value of these tests: a configuration with its generation.
 
 use ironmast_register::{Decision, RegisterValue, Transition};
 use serde::{Deserialize, Serialize};
@@ -6,13 +6,13 @@
 /// A configuration in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Control {
-    /// Its generation; 0 before the first.
+    /// Generation of the configuration; 0 before the first.
     pub generation: u64,
-    /// Its text, which is determined by the generation.
+    /// The text, which is determined by the generation and the size.
     pub body: String,
 }
 
-/// A change builds on another generation than the one in force.
+/// Rejection of a change whose generation does not follow the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{in_force} is in force")]
 pub(crate) struct Conflict {
@@ -23,7 +23,7 @@
     type Rejection = Conflict;
 }
 
-/// The text of a configuration.
+/// The text of a configuration: at least `bytes` bytes, determined by the generation.
 pub(crate) fn body(generation: u64, bytes: usize) -> String {
     let line = format!("route of {generation}\n");
     line.repeat(bytes / line.len() + 1)
@@ -34,7 +34,7 @@
 pub(crate) struct SetGeneration {
     /// The new generation.
     pub generation: u64,
-    /// Size of its text in bytes.
+    /// Minimum size of the text in bytes.
     pub bytes: usize,
 }
 
--- a/crates/coordinator/tests/many_changes/workload.rs
+++ b/crates/coordinator/tests/many_changes/workload.rs
@@ -1,4 +1,4 @@
-//! A workload: an operator who submits one change after the other, with faults injected meanwhile.
+//! A workload: an operator submits one change after another while faults are injected.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 
 /// Delay before a change without an outcome is submitted again.
 const RESUBMIT_DELAY: Duration = Duration::from_millis(50);
-/// Time within which a change is acknowledged, whatever faults occur.
+/// Time within which a change must be acknowledged, whatever faults occur.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time within which a host catches up after its fault has ended.
+/// Time within which a host must catch up after its fault has ended.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Time for which a disk that stalls completes no write.
@@ -22,7 +22,8 @@
 /// Number of syncs in a row that fail.
 const FAILING_SYNCS: u32 = 2;
 
-/// The faults that are injected, each as likely as the others. The order belongs to the seeds.
+/// The kinds of faults, which are injected with equal probability. Their order must not change,
+/// since it determines which faults a seed injects.
 const FAULT_KINDS: [FaultKind; 11] = [
     FaultKind::Kill,
     FaultKind::PowerLoss,
@@ -42,7 +43,7 @@
 enum FaultKind {
     Kill,
     PowerLoss,
-    /// A power loss for a fifth of the changes.
+    /// A power loss, with the host down for a fifth of the changes.
     LongOutage,
     RestartOfAll,
     DiskStall,
@@ -82,7 +83,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Report {
     pub violations: Vec<String>,
-    /// Longest time from the start of a host until it held what had been acknowledged before.
+    /// Longest time from the start of a host until it held every change acknowledged before.
     pub max_catch_up_time: Duration,
     pub peak_bytes: u64,
     pub acknowledged: u64,
@@ -143,7 +144,8 @@
     report: Report,
     acknowledged: u64,
     fault_in_progress: Option<(Fault, u64)>,
-    /// Hosts that are catching up: host, time of start, and the generation acknowledged by then.
+    /// Hosts that are catching up, each with its start time and the newest generation that had been
+    /// acknowledged by then.
     starting: Vec<(usize, Duration, u64)>,
     next_fault: u64,
 }
@@ -225,7 +227,7 @@
         self.record_catch_ups();
     }
 
-    /// Records the hosts that hold what was acknowledged before their start.
+    /// Removes the hosts that have caught up, and records how long it took.
     fn record_catch_ups(&mut self) {
         let cluster = &self.cluster;
         let report = &mut self.report;
@@ -238,7 +240,8 @@
         });
     }
 
-    /// Ends the fault whose time has passed, and injects the one that is due.
+    /// Clears the fault in progress if it ends at `generation`, and injects the next one if it is
+    /// due.
     fn advance_faults(&mut self, generation: u64) {
         if let Some((fault, until)) = self.fault_in_progress {
             if generation < until {
@@ -361,7 +364,7 @@
         self.await_catch_up();
     }
 
-    /// Restarts a host while its disk rejects writes: it recovers, and accepts nothing.
+    /// Restarts a host while its disk is full: it can recover its state, but not write.
     fn restart_on_full_disk(&mut self, host: usize) -> Fault {
         self.report.starts_on_full_disks += 1;
         self.cluster.kill(host);
@@ -414,7 +417,7 @@
             .push(format!("{what}, at {:?}", self.cluster.now));
     }
 
-    /// Restarts all hosts once more, and checks that they hold what was acknowledged.
+    /// Restarts all hosts once more, and checks that they hold the newest acknowledged change.
     fn finish(mut self) -> Report {
         if let Some((fault, _)) = self.fault_in_progress.take() {
             self.clear(fault);
--- a/crates/endpoints/src/diff.rs
+++ b/crates/endpoints/src/diff.rs
@@ -1,5 +1,5 @@
-//! Decides which changes of a value are distributed to the other nodes. Unchanged heartbeats are not
-//! distributed, because they would be most of the traffic.
+//! Decides which changes of a value are distributed to the other nodes. Unchanged heartbeats are
+//! not distributed, because they would be most of the traffic.
 
 use ironmast_schema::control::Value;
 use ironmast_schema::registration::{Heartbeat, InstanceState};
--- a/crates/endpoints/src/gates.rs
+++ b/crates/endpoints/src/gates.rs
@@ -19,7 +19,8 @@
     pub last_heard: Duration,
     /// Whether any coordinator has received a report from the gate within the expiry timeout.
     pub is_reachable: bool,
-    /// Whether this coordinator itself has received a report from the gate within the expiry timeout.
+    /// Whether this coordinator itself has received a report from the gate within the expiry
+    /// timeout.
     pub is_directly_reachable: bool,
 }
 
--- a/crates/endpoints/src/instances.rs
+++ b/crates/endpoints/src/instances.rs
@@ -9,8 +9,8 @@
 use crate::versions;
 
 impl EndpointTable {
-    /// Records a server's heartbeat. Returns the entry to send to the other nodes, or `None` if they
-    /// do not need it: the heartbeat is outdated or changes nothing that gates use.
+    /// Records a server's heartbeat. Returns the entry to send to the other nodes, or `None` if
+    /// they do not need it: the heartbeat is outdated or changes nothing that gates use.
     pub fn record_heartbeat(
         &mut self,
         now: Duration,
@@ -37,8 +37,8 @@
         self.store_direct(now, entry, sequence)
     }
 
-    /// Marks a server as deregistered. Returns the entry to send to the other nodes, or `None` if the
-    /// server is unknown or already deregistered.
+    /// Marks a server as deregistered. Returns the entry to send to the other nodes, or `None` if
+    /// the server is unknown or already deregistered.
     pub fn deregister(&mut self, now: Duration, id: &str) -> Option<Entry> {
         let key = Key::Instance(id.to_string());
         let entry = self.entries.get_mut(&key)?;
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,5 +1,5 @@
-//! The endpoint table of a coordinator: the latest state of every server instance and gate, the time
-//! of the last contact with each, and the control state that operators set.
+//! The endpoint table of a coordinator: the latest state of every server instance and gate, the
+//! time of the last contact with each, and the control state that operators set.
 //!
 //! Coordinators exchange their entries, and for each key the highest version wins, so all tables
 //! converge whatever the order in which updates arrive. A server that stops without deregistering
--- a/crates/endpoints/src/table.rs
+++ b/crates/endpoints/src/table.rs
@@ -112,15 +112,15 @@
         }
     }
 
-    /// Takes the endpoints that have reported to this coordinator since the last call, to send to the
-    /// other coordinators.
+    /// Takes the endpoints that have reported to this coordinator since the last call, to send to
+    /// the other coordinators.
     pub fn take_observed(&mut self) -> Vec<Observation> {
         self.contacts.take_unreported()
     }
 
-    /// Stores a report that an endpoint sent to this coordinator itself. Returns the entry to send to
-    /// the other nodes, or `None` if they do not need it. The caller must have checked that the entry
-    /// is newer than the stored one.
+    /// Stores a report that an endpoint sent to this coordinator itself. Returns the entry to send
+    /// to the other nodes, or `None` if they do not need it. The caller must have checked that the
+    /// entry is newer than the stored one.
     pub(crate) fn store_direct(
         &mut self,
         now: Duration,
--- a/crates/endpoints/src/versions.rs
+++ b/crates/endpoints/src/versions.rs
@@ -3,8 +3,8 @@
 //! Each sequence has a range of versions, so that the versions of an entry's expiry and removal are
 //! above that of the last heartbeat and below that of the next one.
 
-/// Number of versions for each heartbeat sequence: alive, unreachable, removed, and one unused. Agents
-/// use the same distance between gate statuses (`VERSIONS_PER_STATUS` in `ironmast-agent`).
+/// Number of versions for each heartbeat sequence: alive, unreachable, removed, and one unused.
+/// Agents use the same distance between gate statuses (`VERSIONS_PER_STATUS` in `ironmast-agent`).
 const VERSIONS_PER_SEQUENCE: u64 = 4;
 /// Added to the version of the last contact when an endpoint expires.
 pub(crate) const EXPIRY_INCREMENT: u64 = 1;
--- a/crates/endpoints/tests/simulation/world.rs
+++ b/crates/endpoints/tests/simulation/world.rs
@@ -178,7 +178,8 @@
 
     fn deregister(&mut self, server: usize) {
         let to = self.random.random_range(0..self.coordinators());
-        // A coordinator without an entry of the server cannot deregister it: the server tries again.
+        // A coordinator without an entry of the server cannot deregister it: the server tries
+        // again.
         if let Some(entry) = self.tables[to].deregister(self.now, &name(server)) {
             self.servers[server].phase = Phase::Ended;
             self.publish(to, &entry);
