--- a/crates/coordinator/benches/start.rs
+++ b/crates/coordinator/benches/start.rs
@@ -24,7 +24,7 @@
 use value::{Control, SetGeneration};
 
 /// Size in bytes of a configuration of 350 routes.
-const ROUTES_350: usize = 100_000;
+const CONFIGURATION_BYTES: usize = 100_000;
 const DISK_BYTES: u64 = 128 << 20;
 const STARTS: usize = 15;
 
@@ -53,7 +53,7 @@
     let accepted = record.accepted.as_ref().expect("initial").state.clone();
     let Decision::Write(value) = (SetGeneration {
         generation,
-        bytes: ROUTES_350,
+        bytes: CONFIGURATION_BYTES,
     })
     .apply(&accepted.value) else {
         panic!("{generation} doesn't follow");
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -53,7 +53,7 @@
 }
 
 fn listen(
-    at: SocketAddr,
+    address: SocketAddr,
     commands: &Commands,
     routes: impl Fn(&mut ServiceConfig) + Clone + Send + 'static,
     tasks: &Tasks,
@@ -71,8 +71,8 @@
         .disable_signals()
         .shutdown_timeout(2);
     let server = server
-        .bind(at)
-        .wrap_err_with(|| format!("listening at {at}"))?
+        .bind(address)
+        .wrap_err_with(|| format!("listening at {address}"))?
         .run();
     let handle = server.handle();
     // The caller stops the server through its handle. The result of the task is ignored: the only
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -106,7 +106,7 @@
         if self.contact == ContactState::InContact {
             self.endpoints.expire();
         }
-        self.endpoints.remove_ended();
+        self.endpoints.purge_inactive();
         self.broadcast_keep_alive();
     }
 
--- a/crates/coordinator/src/published_endpoints.rs
+++ b/crates/coordinator/src/published_endpoints.rs
@@ -120,7 +120,7 @@
 
     /// Removes the entries of endpoints that have been deregistered, unreachable or down for longer
     /// than the retention time, also on all other nodes.
-    pub(crate) fn remove_ended(&mut self) {
+    pub(crate) fn purge_inactive(&mut self) {
         let now = self.now();
         for removal in self.table.purge(now) {
             self.publisher.remove(&removal.key, removal.version);
--- a/crates/coordinator/src/publisher.rs
+++ b/crates/coordinator/src/publisher.rs
@@ -8,7 +8,7 @@
     /// Broadcasts an entry to all nodes.
     fn publish(&self, entry: &Entry);
     /// Makes all nodes remove the entry of a key unless its version is above `version`.
-    fn remove(&self, of: &Key, version: u64);
+    fn remove(&self, key: &Key, version: u64);
     /// Sets whether receivers of this node's overlay heartbeats may treat their state as fresh.
     fn set_in_contact(&self, in_contact: bool);
 }
@@ -18,8 +18,8 @@
         OverlayHandle::publish(self, entry);
     }
 
-    fn remove(&self, of: &Key, version: u64) {
-        OverlayHandle::remove(self, of, version);
+    fn remove(&self, key: &Key, version: u64) {
+        OverlayHandle::remove(self, key, version);
     }
 
     fn set_in_contact(&self, in_contact: bool) {
--- a/crates/coordinator/src/resolve.rs
+++ b/crates/coordinator/src/resolve.rs
@@ -40,7 +40,7 @@
 
 impl AllowedRegions {
     /// The allowed regions of a host; no region while no configuration is known.
-    fn of(host: &str, configuration: Option<&Configuration>) -> Self {
+    fn for_host(host: &str, configuration: Option<&Configuration>) -> Self {
         let Some(configuration) = configuration else {
             return AllowedRegions::Only(BTreeSet::new());
         };
@@ -80,7 +80,7 @@
     if !nearest.is_empty() {
         return nearest;
     }
-    let allowed = AllowedRegions::of(&query.name, configuration);
+    let allowed = AllowedRegions::for_host(&query.name, configuration);
     let is_region_lost = is_region_lost(gates, &query.region);
     let remote = select(gates, |gate| {
         is_ready(gate) && (is_region_lost || allowed.contains(&gate.record.region))
@@ -103,7 +103,7 @@
     configuration: Option<&Configuration>,
     query: &Query,
 ) -> Vec<SocketAddr> {
-    let allowed = AllowedRegions::of(&query.name, configuration);
+    let allowed = AllowedRegions::for_host(&query.name, configuration);
     if configuration.is_some() && !allowed.contains(&query.region) {
         return Vec::new();
     }
--- a/crates/coordinator/src/value.rs
+++ b/crates/coordinator/src/value.rs
@@ -74,7 +74,7 @@
             PriorOutcome::Applied => Decision::Unchanged,
             PriorOutcome::Evicted => Decision::Unknown,
             PriorOutcome::NotApplied if base == self.generation() => {
-                self.configure_next(document, &change)
+                self.apply_configuration(document, &change)
             }
             PriorOutcome::NotApplied if base > self.generation() && change.is_consistent() => {
                 self.reject_permanently(&change)
@@ -86,7 +86,7 @@
     }
 
     /// Applies a change whose base is the current generation.
-    fn configure_next(
+    fn apply_configuration(
         &self,
         document: &ConfigurationDocument,
         change: &ChangeId,
--- a/crates/coordinator/src/value/history.rs
+++ b/crates/coordinator/src/value/history.rs
@@ -75,7 +75,7 @@
 }
 
 impl Rejected {
-    fn is(&self, change: &ChangeId) -> bool {
+    fn matches(&self, change: &ChangeId) -> bool {
         (self.base, self.generation, self.digest) == (change.base, change.generation, change.digest)
     }
 }
@@ -120,7 +120,11 @@
         if self.was_applied(change) {
             return PriorOutcome::Applied;
         }
-        if self.rejected.iter().any(|rejected| rejected.is(change)) {
+        if self
+            .rejected
+            .iter()
+            .any(|rejected| rejected.matches(change))
+        {
             PriorOutcome::Rejected
         } else {
             PriorOutcome::NotApplied
--- a/crates/coordinator/src/value/tests.rs
+++ b/crates/coordinator/src/value/tests.rs
@@ -74,9 +74,9 @@
 }
 
 /// The value after `changes` changes; each generation is two above the previous one.
-fn after(changes: u64) -> ControlValue {
+fn value_after(changes: u64) -> ControlValue {
     (0..changes).fold(ControlValue::default(), |value, change| {
-        written(value.configure(&nth_change(change), base(change)))
+        written(value.configure(&nth_change(change), base_of(change)))
     })
 }
 
@@ -86,16 +86,16 @@
 }
 
 /// The base generation of the change with this index.
-fn base(change: u64) -> u64 {
+fn base_of(change: u64) -> u64 {
     2 * change
 }
 
 #[test]
 fn an_applied_change_is_acknowledged_again_after_a_thousand_others() {
-    let value = after(1_001);
+    let value = value_after(1_001);
     for change in 0..1_001 {
         assert_matches!(
-            value.configure(&nth_change(change), base(change)),
+            value.configure(&nth_change(change), base_of(change)),
             Decision::Unchanged,
             "{change}"
         );
@@ -105,9 +105,9 @@
 #[test]
 fn an_applied_change_is_never_rejected_however_old() {
     let changes = 3 * MAX_APPLIED as u64;
-    let value = after(changes);
+    let value = value_after(changes);
     for change in 0..changes {
-        let answer = value.configure(&nth_change(change), base(change));
+        let answer = value.configure(&nth_change(change), base_of(change));
         assert_matches!(answer, Decision::Unchanged | Decision::Unknown, "{change}");
     }
     assert_eq!(value.history.len(), MAX_APPLIED);
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_change_that_cannot_have_been_applied_is_rejected_however_old() {
-    let value = after(3 * MAX_APPLIED as u64);
+    let value = value_after(3 * MAX_APPLIED as u64);
     let current = value.generation();
     assert_eq!(
         value.configure(&nth_change(0), current),
@@ -125,9 +125,9 @@
         value.configure(&document(current + 2, "late"), 2),
         rejection(Rejection::VersionMismatch)
     );
-    let rival = document(current - 2, "another");
+    let other_content = document(current - 2, "another");
     assert_eq!(
-        value.configure(&rival, current - 4),
+        value.configure(&other_content, current - 4),
         rejection(Rejection::VersionMismatch)
     );
     assert_matches!(
@@ -138,13 +138,13 @@
 
 #[test]
 fn the_same_content_on_another_base_is_another_change() {
-    let value = after(3);
+    let value = value_after(3);
     assert_matches!(
-        value.configure(&nth_change(1), base(1)),
+        value.configure(&nth_change(1), base_of(1)),
         Decision::Unchanged
     );
     assert_eq!(
-        value.configure(&nth_change(1), base(1) + 1),
+        value.configure(&nth_change(1), base_of(1) + 1),
         rejection(Rejection::VersionMismatch)
     );
     assert_eq!(
@@ -156,7 +156,7 @@
 #[test]
 fn a_change_rejected_before_its_base_exists_stays_rejected() {
     let (early, other) = (document(9, "early"), document(9, "other"));
-    let value = after(2);
+    let value = value_after(2);
     let Decision::RejectAndWrite { value, reason } = value.configure(&early, 6) else {
         panic!("not rejected permanently");
     };
@@ -165,7 +165,7 @@
         value.configure(&early, 6),
         rejection(Rejection::VersionMismatch)
     );
-    let value = written(value.configure(&nth_change(2), base(2)));
+    let value = written(value.configure(&nth_change(2), base_of(2)));
     assert_eq!(
         value.configure(&early, 6),
         rejection(Rejection::VersionMismatch)
@@ -177,18 +177,18 @@
     );
     assert_eq!(
         value.history,
-        after_with(&other, 6).history,
+        value_after_three_and(&other, 6).history,
         "rejections whose base has passed are removed"
     );
 }
 
-fn after_with(document: &ConfigurationDocument, base: u64) -> ControlValue {
-    written(after(3).configure(document, base))
+fn value_after_three_and(document: &ConfigurationDocument, base: u64) -> ControlValue {
+    written(value_after(3).configure(document, base))
 }
 
 #[test]
 fn a_rejection_that_cannot_be_recorded_has_unknown_outcome() {
-    let mut value = after(1);
+    let mut value = value_after(1);
     for number in 0..MAX_REJECTED as u64 {
         value = match value.configure(&document(100 + number, "early"), 50) {
             Decision::RejectAndWrite { value, .. } => value,
@@ -279,11 +279,11 @@
 #[test]
 fn history_size_per_change_is_bounded() {
     let length = |value: &ControlValue| postcard::to_stdvec(value).expect("encoded").len();
-    let (few, many) = (after(100), after(1_100));
+    let (few, many) = (value_after(100), value_after(1_100));
     // Both configurations have nearly the same length.
     let added = length(&many) - length(&few) - 2;
     assert!(added <= 1_000 * MAX_APPLIED_BYTES, "{added}");
-    assert!(length(&after(3 * MAX_APPLIED as u64)) <= (MAX_APPLIED + 4) * MAX_APPLIED_BYTES);
+    assert!(length(&value_after(3 * MAX_APPLIED as u64)) <= (MAX_APPLIED + 4) * MAX_APPLIED_BYTES);
 }
 
 /// Prints the cost of the history for each write of the value; run manually.
@@ -291,7 +291,7 @@
 #[ignore = "prints figures"]
 fn history_encoding_cost() {
     for changes in [10, 100, 1_000, 10_000] {
-        let mut value = after(1);
+        let mut value = value_after(1);
         value.history.fill_unbounded(changes);
         let encoded = postcard::to_stdvec(&value).expect("encoded");
         let start = Instant::now();
--- a/crates/coordinator/tests/arbitrary_frames.rs
+++ b/crates/coordinator/tests/arbitrary_frames.rs
@@ -7,7 +7,7 @@
 use proptest::sample::Index;
 use proptest::test_runner::RngSeed;
 
-use frames::{read, samples};
+use frames::{decode_as_all_types, samples};
 
 /// A configuration with a fixed seed, so that each run tests the same cases.
 fn config() -> ProptestConfig {
@@ -25,22 +25,22 @@
 
     #[test]
     fn arbitrary_bytes_are_decoded_or_rejected(bytes in vec(any::<u8>(), 0..400)) {
-        read(&bytes);
+        decode_as_all_types(&bytes);
     }
 
     #[test]
     fn mutated_frames_are_decoded_or_rejected(
         which in any::<Index>(),
         changes in vec((any::<Index>(), any::<u8>()), 1..6),
-        cut in any::<Index>(),
+        length in any::<Index>(),
     ) {
         let mut samples = samples();
         let mut bytes = samples.swap_remove(which.index(samples.len()));
-        for (at, byte) in changes {
-            let at = at.index(bytes.len());
-            bytes[at] = byte;
+        for (index, byte) in changes {
+            let index = index.index(bytes.len());
+            bytes[index] = byte;
         }
-        read(&bytes);
-        read(&bytes[..cut.index(bytes.len())]);
+        decode_as_all_types(&bytes);
+        decode_as_all_types(&bytes[..length.index(bytes.len())]);
     }
 }
--- a/crates/coordinator/tests/frame_lengths.rs
+++ b/crates/coordinator/tests/frame_lengths.rs
@@ -4,7 +4,7 @@
 
 mod frames;
 
-use frames::{read, samples};
+use frames::{decode_as_all_types, samples};
 
 /// Limit of the memory, in KiB, that decoding may reserve at a time. serde reserves up to 1 MiB for
 /// a collection on account of its length prefix alone.
@@ -39,7 +39,7 @@
                 let mut bytes = sample[..at].to_vec();
                 bytes.extend(length);
                 bytes.extend([1, 0, 0]);
-                read(&bytes);
+                decode_as_all_types(&bytes);
             }
         }
     }
--- a/crates/coordinator/tests/frames/mod.rs
+++ b/crates/coordinator/tests/frames/mod.rs
@@ -120,7 +120,7 @@
 }
 
 /// Decodes bytes as each type that is received from another process or read from disk.
-pub(crate) fn read(bytes: &[u8]) {
+pub(crate) fn decode_as_all_types(bytes: &[u8]) {
     let _any = postcard::from_bytes::<Message<Control>>(bytes);
     let _any = postcard::from_bytes::<Record<Control>>(bytes);
     let _any = postcard::from_bytes::<ToCoordinator>(bytes);
--- a/crates/coordinator/tests/many_changes.rs
+++ b/crates/coordinator/tests/many_changes.rs
@@ -18,7 +18,7 @@
 use many_changes::workload::{Report, Workload};
 
 /// Size in bytes of a configuration of 350 routes.
-const ROUTES_350: usize = 100_000;
+const CONFIGURATION_BYTES: usize = 100_000;
 /// Time within which a restarted coordinator must hold every change acknowledged before its start.
 const MAX_CATCH_UP_TIME: Duration = Duration::from_secs(2);
 
@@ -47,7 +47,7 @@
 fn a_thousand_changes_of_350_routes_survive_every_fault() {
     let workload = Workload {
         changes: 1_000,
-        body_bytes: ROUTES_350,
+        body_bytes: CONFIGURATION_BYTES,
         ..Workload::default()
     };
     let report = run_seeds(0..2, &workload);
@@ -80,11 +80,11 @@
 /// Stops a replica during `changes` changes. Returns the number of states and of bytes that it
 /// receives after its start until it has caught up, and the time that takes.
 fn catch_up(changes: u64) -> (u64, u64, Duration) {
-    let mut cluster = Cluster::new(1, ROUTES_350);
+    let mut cluster = Cluster::new(1, CONFIGURATION_BYTES);
     cluster.finish_bootstrap();
-    cluster.change_through(0, 10);
+    cluster.apply_changes(0, 10);
     cluster.kill(2);
-    cluster.change_through(0, changes);
+    cluster.apply_changes(0, changes);
     cluster.start(2);
     let before = cluster.received(2);
     let caught_up_after = cluster.time_until_caught_up(2, 10 + changes);
@@ -106,7 +106,7 @@
         // The read that a replica submits at its start is answered by a reply of each of the other
         // two, or by the chosen state from one of them.
         assert!((1..=3).contains(&states), "{states} states");
-        assert!(bytes < 4 * ROUTES_350 as u64, "{bytes} bytes");
+        assert!(bytes < 4 * CONFIGURATION_BYTES as u64, "{bytes} bytes");
         assert!(
             caught_up_after < Duration::from_millis(500),
             "{caught_up_after:?}"
@@ -119,11 +119,11 @@
 #[test]
 fn a_change_is_written_at_most_twice() {
     let changes = 200;
-    let mut cluster = Cluster::new(3, ROUTES_350);
+    let mut cluster = Cluster::new(3, CONFIGURATION_BYTES);
     cluster.finish_bootstrap();
-    cluster.change_through(0, 10);
+    cluster.apply_changes(0, 10);
     let before = (cluster.hosts[1].writes, cluster.hosts[1].written_bytes);
-    cluster.change_through(0, changes);
+    cluster.apply_changes(0, changes);
     let (writes, bytes) = (
         cluster.hosts[1].writes - before.0,
         cluster.hosts[1].written_bytes - before.1,
@@ -135,7 +135,7 @@
     );
     assert!(writes <= 2 * changes + 2, "{writes} writes");
     assert!(
-        bytes <= (2 * changes + 2) * (ROUTES_350 as u64 + 2_000),
+        bytes <= (2 * changes + 2) * (CONFIGURATION_BYTES as u64 + 2_000),
         "{bytes} bytes"
     );
 }
@@ -143,9 +143,9 @@
 /// Size of the log in bytes and number of files read at a start, which should only open the newest
 /// one.
 fn files_after(changes: u64) -> (u64, u64) {
-    let mut cluster = Cluster::new(2, ROUTES_350);
+    let mut cluster = Cluster::new(2, CONFIGURATION_BYTES);
     cluster.finish_bootstrap();
-    cluster.change_through(0, changes);
+    cluster.apply_changes(0, changes);
     cluster.kill(0);
     let disk = std::sync::Arc::clone(&cluster.hosts[0].disk);
     let (bytes, reads) = (disk.used_bytes(), disk.count(DiskOperation::Read));
--- a/crates/coordinator/tests/many_changes/cluster.rs
+++ b/crates/coordinator/tests/many_changes/cluster.rs
@@ -104,7 +104,7 @@
     /// Kills a process. Its files remain; a write in flight may reach the disk in part.
     pub(crate) fn kill(&mut self, host: usize) {
         let operations = self.random.random_range(0..8);
-        self.hosts[host].end(operations);
+        self.hosts[host].stop(operations);
         self.hosts[host].disk.clear_faults();
         self.pending_changes.retain(|_, (at, _)| *at != host);
     }
@@ -112,7 +112,7 @@
     /// Makes a host lose power, which ends its process and may lose unsynced data.
     pub(crate) fn lose_power(&mut self, host: usize) {
         let operations = self.random.random_range(0..8);
-        self.hosts[host].end(operations);
+        self.hosts[host].stop(operations);
         self.hosts[host].disk.lose_power();
         self.pending_changes.retain(|_, (at, _)| *at != host);
     }
@@ -145,7 +145,7 @@
     }
 
     /// Waits for the outcome of a change; `None` if its host was stopped or is paused.
-    pub(crate) fn outcome(&mut self, id: OperationId) -> Option<Outcome<Control>> {
+    pub(crate) fn wait_for_outcome(&mut self, id: OperationId) -> Option<Outcome<Control>> {
         let end = self.now + OPERATION_TIMEOUT + STEP;
         while self.now < end
             && !self.outcomes.contains_key(&id)
@@ -158,11 +158,11 @@
     }
 
     /// Submits changes through one host, each after the previous one was acknowledged.
-    pub(crate) fn change_through(&mut self, host: usize, changes: u64) {
+    pub(crate) fn apply_changes(&mut self, host: usize, changes: u64) {
         let newest = self.hosts[host].generation().expect("known");
         for generation in newest + 1..=newest + changes {
             let id = self.submit_change(host, generation);
-            let outcome = self.outcome(id);
+            let outcome = self.wait_for_outcome(id);
             assert!(
                 matches!(outcome, Some(Outcome::Written(_))),
                 "{generation}: {outcome:?}"
@@ -208,7 +208,7 @@
             SimulatedEvent::MessageDelivered { to, message, bytes } => {
                 let received = &mut self.hosts[to].received;
                 received.bytes += bytes;
-                received.states += u64::from(holds_state(&message.body));
+                received.states += u64::from(carries_state(&message.body));
                 self.handle(to, Event::Message(message));
             }
             SimulatedEvent::WriteCompleted { host, incarnation }
@@ -228,7 +228,7 @@
                 incarnation,
                 at,
             } if incarnation == self.hosts[host].incarnation => {
-                if self.hosts[host].timer == at {
+                if self.hosts[host].timer_at == at {
                     self.handle(host, Event::Timer);
                 }
             }
@@ -262,9 +262,9 @@
         match action {
             Action::Send { to, message } => self.send(to, message),
             Action::Persist(write) => {
-                let entry = &mut self.hosts[host];
-                entry.start_write(write.token, write.record);
-                let at = (self.now + entry.sync).max(entry.stalled_until);
+                let host_state = &mut self.hosts[host];
+                host_state.start_write(write.token, write.record);
+                let at = (self.now + host_state.write_time).max(host_state.stalled_until);
                 self.schedule(at, SimulatedEvent::WriteCompleted { host, incarnation });
             }
             Action::Completed { id, outcome } => self.complete(host, id, outcome),
@@ -279,7 +279,7 @@
                 }
             }
             Action::Timer(at) => {
-                self.hosts[host].timer = at;
+                self.hosts[host].timer_at = at;
                 self.schedule(
                     at,
                     SimulatedEvent::TimerFired {
@@ -307,8 +307,8 @@
                     state.value.generation
                 ));
             }
-            let entry = &mut self.hosts[host];
-            entry.acknowledged = entry.acknowledged.max(generation);
+            let host_state = &mut self.hosts[host];
+            host_state.acknowledged = host_state.acknowledged.max(generation);
         }
         self.outcomes.insert(id, outcome);
     }
@@ -336,7 +336,7 @@
 }
 
 /// Whether a message carries a complete state.
-fn holds_state(body: &MessageBody<Control>) -> bool {
+fn carries_state(body: &MessageBody<Control>) -> bool {
     let in_reply = |state: &AcceptorState<Control>| state.proposal.is_some();
     match body {
         MessageBody::ChosenState(_) => true,
--- a/crates/coordinator/tests/many_changes/host.rs
+++ b/crates/coordinator/tests/many_changes/host.rs
@@ -12,7 +12,7 @@
 use super::value::Control;
 
 /// Duration of a write with its sync on a healthy disk.
-pub(crate) const SYNC_TIME: Duration = Duration::from_millis(3);
+pub(crate) const WRITE_TIME: Duration = Duration::from_millis(3);
 /// Space in bytes that the log may use of a disk of 128 MB.
 pub(crate) const LOG_SPACE_BYTES: u64 = 16 << 20;
 
@@ -48,9 +48,9 @@
     /// Writes complete no earlier than this.
     pub stalled_until: Duration,
     /// Duration of a write with its sync.
-    pub sync: Duration,
+    pub write_time: Duration,
     /// Time of the latest timer that the node has set.
-    pub timer: Duration,
+    pub timer_at: Duration,
     /// Whether the process is paused; a paused process handles no events.
     pub is_paused: bool,
     /// Newest generation acknowledged by any incarnation.
@@ -70,8 +70,8 @@
             process: None,
             incarnation: 0,
             stalled_until: Duration::ZERO,
-            sync: SYNC_TIME,
-            timer: Duration::ZERO,
+            write_time: WRITE_TIME,
+            timer_at: Duration::ZERO,
             is_paused: false,
             acknowledged: 0,
             received: Received::default(),
@@ -122,7 +122,7 @@
 
     /// Ends the process. A write in flight is interrupted after `operations` disk operations, so
     /// that it may reach the disk in part.
-    pub(crate) fn end(&mut self, operations: u64) {
+    pub(crate) fn stop(&mut self, operations: u64) {
         self.incarnation += 1;
         let Some(mut process) = self.process.take() else {
             return;
--- a/crates/coordinator/tests/many_changes/workload.rs
+++ b/crates/coordinator/tests/many_changes/workload.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 
 use super::cluster::{Cluster, HOST_COUNT};
-use super::host::SYNC_TIME;
+use super::host::WRITE_TIME;
 
 /// Delay before a change without an outcome is submitted again.
 const RESUBMIT_DELAY: Duration = Duration::from_millis(50);
@@ -135,7 +135,7 @@
     Down(usize),
     Paused(usize),
     DiskFull(usize),
-    DiskSlow(usize),
+    DiskDegraded(usize),
 }
 
 struct Run<'a> {
@@ -146,7 +146,7 @@
     fault_in_progress: Option<(Fault, u64)>,
     /// Hosts that are catching up, each with its start time and the newest generation that had been
     /// acknowledged by then.
-    starting: Vec<(usize, Duration, u64)>,
+    catching_up: Vec<(usize, Duration, u64)>,
     next_fault: u64,
 }
 
@@ -161,24 +161,24 @@
             report: Report::default(),
             acknowledged: 0,
             fault_in_progress: None,
-            starting: Vec::new(),
+            catching_up: Vec::new(),
             next_fault: 5,
         };
         for generation in 1..=self.changes {
             run.advance_faults(generation);
-            run.change(generation);
+            run.submit_until_acknowledged(generation);
         }
         run.finish()
     }
 }
 
 impl Run<'_> {
-    fn change(&mut self, generation: u64) {
+    fn submit_until_acknowledged(&mut self, generation: u64) {
         let limit = self.cluster.now + ACKNOWLEDGE_TIMEOUT;
-        let mut host = self.any_up();
+        let mut host = self.random_running_host();
         loop {
             let id = self.cluster.submit_change(host, generation);
-            match self.cluster.outcome(id) {
+            match self.cluster.wait_for_outcome(id) {
                 Some(Outcome::Written(_) | Outcome::Unchanged(_)) => break,
                 Some(Outcome::Rejected { reason, .. }) => {
                     self.record_violation(&format!("{generation} is rejected: {reason:?}"));
@@ -190,7 +190,7 @@
                 self.record_violation(&format!("{generation} is not acknowledged in time"));
                 break;
             }
-            host = self.any_up();
+            host = self.random_running_host();
         }
         self.acknowledged = generation;
         self.report.acknowledged += 1;
@@ -207,15 +207,15 @@
     /// Submits a change again to another host, as after a lost response.
     fn resubmit(&mut self, generation: u64) {
         self.report.resubmitted += 1;
-        let host = self.any_up();
+        let host = self.random_running_host();
         let id = self.cluster.submit_change(host, generation);
-        match self.cluster.outcome(id) {
+        match self.cluster.wait_for_outcome(id) {
             Some(Outcome::Unchanged(_) | Outcome::Expired | Outcome::Unknown) | None => {}
             other => self.record_violation(&format!("{generation} resubmitted: {other:?}")),
         }
     }
 
-    fn any_up(&mut self) -> usize {
+    fn random_running_host(&mut self) -> usize {
         let up: Vec<usize> = (0..HOST_COUNT)
             .filter(|&host| self.cluster.hosts[host].is_up() && !self.cluster.hosts[host].is_paused)
             .collect();
@@ -231,13 +231,14 @@
     fn record_catch_ups(&mut self) {
         let cluster = &self.cluster;
         let report = &mut self.report;
-        self.starting.retain(|(host, start, acknowledged_before)| {
-            let has_caught_up = cluster.hosts[*host].generation() >= Some(*acknowledged_before);
-            if has_caught_up {
-                report.max_catch_up_time = report.max_catch_up_time.max(cluster.now - *start);
-            }
-            !has_caught_up
-        });
+        self.catching_up
+            .retain(|(host, start, acknowledged_before)| {
+                let has_caught_up = cluster.hosts[*host].generation() >= Some(*acknowledged_before);
+                if has_caught_up {
+                    report.max_catch_up_time = report.max_catch_up_time.max(cluster.now - *start);
+                }
+                !has_caught_up
+            });
     }
 
     /// Clears the fault in progress if it ends at `generation`, and injects the next one if it is
@@ -278,7 +279,7 @@
             FaultKind::PowerLoss => self.lose_power(host),
             FaultKind::LongOutage => {
                 let until = generation + self.workload.changes / 5;
-                self.fault_in_progress = Some((self.begin_long_outage(host), until));
+                self.fault_in_progress = Some((self.start_long_outage(host), until));
                 return;
             }
             FaultKind::RestartOfAll => {
@@ -308,7 +309,7 @@
         Fault::Down(host)
     }
 
-    fn begin_long_outage(&mut self, host: usize) -> Fault {
+    fn start_long_outage(&mut self, host: usize) -> Fault {
         self.cluster.lose_power(host);
         self.report.long_outages += 1;
         Fault::Down(host)
@@ -316,24 +317,24 @@
 
     fn stall_disk(&mut self, host: usize) -> Fault {
         self.cluster.hosts[host].stalled_until = self.cluster.now + DISK_STALL;
-        Fault::DiskSlow(host)
+        Fault::DiskDegraded(host)
     }
 
     fn slow_down_syncs(&mut self, host: usize) -> Fault {
-        self.cluster.hosts[host].sync = SLOW_SYNC;
-        Fault::DiskSlow(host)
+        self.cluster.hosts[host].write_time = SLOW_SYNC;
+        Fault::DiskDegraded(host)
     }
 
     fn fail_file_syncs(&mut self, host: usize) -> Fault {
         self.cluster.hosts[host].disk.fail_file_syncs(FAILING_SYNCS);
-        Fault::DiskSlow(host)
+        Fault::DiskDegraded(host)
     }
 
     fn fail_folder_syncs(&mut self, host: usize) -> Fault {
         self.cluster.hosts[host]
             .disk
             .fail_folder_syncs(FAILING_SYNCS);
-        Fault::DiskSlow(host)
+        Fault::DiskDegraded(host)
     }
 
     fn fill_disk(&mut self, host: usize) -> Fault {
@@ -380,9 +381,9 @@
         match fault {
             Fault::Down(host) => self.start(host),
             Fault::DiskFull(host) => self.cluster.hosts[host].disk.set_full(false),
-            Fault::DiskSlow(host) => self.cluster.hosts[host].sync = SYNC_TIME,
+            Fault::DiskDegraded(host) => self.cluster.hosts[host].write_time = WRITE_TIME,
             Fault::Paused(host) => {
-                self.starting
+                self.catching_up
                     .push((host, self.cluster.now, self.acknowledged));
                 self.cluster.resume(host);
             }
@@ -391,17 +392,17 @@
 
     fn start(&mut self, host: usize) {
         assert!(self.cluster.start(host), "host {host} starts");
-        self.starting
+        self.catching_up
             .push((host, self.cluster.now, self.acknowledged));
     }
 
     /// Waits until all started hosts have caught up.
     fn await_catch_up(&mut self) {
         let limit = self.cluster.now + CATCH_UP_TIMEOUT;
-        while !self.starting.is_empty() && self.cluster.now < limit {
+        while !self.catching_up.is_empty() && self.cluster.now < limit {
             self.run(Duration::from_millis(5));
         }
-        for (host, start, acknowledged_before) in std::mem::take(&mut self.starting) {
+        for (host, start, acknowledged_before) in std::mem::take(&mut self.catching_up) {
             self.record_violation(&format!(
                 "host {host}, started at {start:?}, never reached {acknowledged_before}"
             ));
@@ -430,9 +431,9 @@
             if found != Some(newest) {
                 self.record_violation(&format!("host {host} ends with {found:?}"));
             }
-            let entry = &self.cluster.hosts[host];
-            self.report.peak_bytes = self.report.peak_bytes.max(entry.peak_bytes);
-            self.report.failed_writes += entry.failed_writes;
+            let host_state = &self.cluster.hosts[host];
+            self.report.peak_bytes = self.report.peak_bytes.max(host_state.peak_bytes);
+            self.report.failed_writes += host_state.failed_writes;
         }
         self.report.violations.append(&mut self.cluster.violations);
         self.report
--- a/crates/endpoints/src/diff.rs
+++ b/crates/endpoints/src/diff.rs
@@ -5,18 +5,18 @@
 use ironmast_schema::registration::{Heartbeat, InstanceState};
 
 /// Whether nodes that hold the old value need the new one.
-pub(crate) fn is_relevant_change(old: &Value, new: &Value) -> bool {
+pub(crate) fn must_distribute(old: &Value, new: &Value) -> bool {
     match (old, new) {
         (Value::Instance(old), Value::Instance(new)) => {
             old.liveness != new.liveness
-                || is_relevant_heartbeat_change(&old.heartbeat, &new.heartbeat)
+                || must_distribute_heartbeat(&old.heartbeat, &new.heartbeat)
         }
         _ => old != new,
     }
 }
 
 /// Whether gates that hold the old heartbeat need the new one.
-fn is_relevant_heartbeat_change(old: &Heartbeat, new: &Heartbeat) -> bool {
+fn must_distribute_heartbeat(old: &Heartbeat, new: &Heartbeat) -> bool {
     let is_unchanged = old.backend == new.backend
         && old.address == new.address
         && old.zone == new.zone
--- a/crates/endpoints/src/table.rs
+++ b/crates/endpoints/src/table.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::contacts::Contacts;
-use crate::diff::is_relevant_change;
+use crate::diff::must_distribute;
 
 /// Time without contact after which an endpoint expires, by kind of endpoint.
 #[derive(Debug, Clone, Copy)]
@@ -84,11 +84,11 @@
 
     /// Merges an entry from another node: the higher version wins.
     pub fn merge(&mut self, now: Duration, entry: &Entry) -> MergeOutcome {
-        if let Some(known) = self.entries.get(&entry.key) {
-            if known.version > entry.version && is_relevant_change(&entry.value, &known.value) {
-                return MergeOutcome::Stale(Box::new(known.clone()));
+        if let Some(stored) = self.entries.get(&entry.key) {
+            if stored.version > entry.version && must_distribute(&entry.value, &stored.value) {
+                return MergeOutcome::Stale(Box::new(stored.clone()));
             }
-            if known.version >= entry.version {
+            if stored.version >= entry.version {
                 return MergeOutcome::Known;
             }
         }
@@ -127,19 +127,19 @@
         entry: Entry,
         sequence: u64,
     ) -> Option<Entry> {
-        let is_relevant = self
+        let is_distributed = self
             .entries
             .get(&entry.key)
-            .is_none_or(|known| is_relevant_change(&known.value, &entry.value));
+            .is_none_or(|stored| must_distribute(&stored.value, &entry.value));
         self.contacts.record_direct(now, &entry.key, sequence);
         self.entries.insert(entry.key.clone(), entry.clone());
-        is_relevant.then_some(entry)
+        is_distributed.then_some(entry)
     }
 
     /// Whether the table holds an entry with this key and at least this version.
     pub(crate) fn has_version(&self, key: &Key, version: u64) -> bool {
         self.entries
             .get(key)
-            .is_some_and(|known| known.version >= version)
+            .is_some_and(|stored| stored.version >= version)
     }
 }
--- a/crates/endpoints/src/tests/expiry.rs
+++ b/crates/endpoints/src/tests/expiry.rs
@@ -16,17 +16,17 @@
 #[test]
 fn a_silent_instance_expires_while_others_send_heartbeats() {
     let mut table = table();
-    let heard = table
+    let heartbeat_entry = table
         .record_heartbeat(START, "a", ready(1))
         .expect("distributed");
-    let (at, silent) = expire_instance(&mut table, START, "a");
+    let (at, expired) = expire_instance(&mut table, START, "a");
     assert!(at > TIMEOUTS.instance);
-    assert!(silent.version > heard.version);
-    assert_matches!(&silent.value, Value::Instance(record) if record.liveness == Liveness::Unreachable);
+    assert!(expired.version > heartbeat_entry.version);
+    assert_matches!(&expired.value, Value::Instance(record) if record.liveness == Liveness::Unreachable);
 }
 
 #[test]
-fn a_coordinator_without_heartbeats_expires_nobody() {
+fn a_coordinator_without_heartbeats_expires_no_instance() {
     let mut table = table();
     table.record_heartbeat(START, "a", ready(1));
     table.record_heartbeat(START, "b", ready(1));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn nobody_expires_within_the_first_timeout_after_a_start() {
+fn no_instance_expires_within_the_first_timeout_after_a_start() {
     let mut fresh = EndpointTable::new(50 * SECOND, TIMEOUTS);
     let mut earlier = table();
     let entry = earlier
@@ -49,11 +49,11 @@
 fn an_expired_instance_that_returns_has_a_higher_version() {
     let mut table = table();
     table.record_heartbeat(START, "a", ready(1));
-    let (at, silent) = expire_instance(&mut table, START, "a");
-    let back = table
+    let (at, expired) = expire_instance(&mut table, START, "a");
+    let returned = table
         .record_heartbeat(at + TICK, "a", ready(2))
         .expect("distributed");
-    assert!(back.version > silent.version);
+    assert!(returned.version > expired.version);
     assert_eq!(record(&table, "a").liveness, Liveness::Alive);
 }
 
@@ -61,9 +61,9 @@
 fn a_late_heartbeat_does_not_revive_an_expired_instance() {
     let mut table = table();
     table.record_heartbeat(START, "a", ready(1));
-    let (at, silent) = expire_instance(&mut table, START, "a");
+    let (at, expired) = expire_instance(&mut table, START, "a");
     assert_eq!(table.record_heartbeat(at + TICK, "a", ready(1)), None);
-    assert_eq!(table.get(&key("a")), Some(&silent));
+    assert_eq!(table.get(&key("a")), Some(&expired));
 }
 
 #[test]
@@ -95,9 +95,9 @@
     let mut table = table();
     table.record_heartbeat(START, "a", ready(1));
     table.merge_observed(TICK, &[observation("a", 7)]);
-    let (_, silent) = expire_instance(&mut table, START, "a");
-    assert!(silent.version > version_of(&ready(7)));
-    assert!(silent.version < version_of(&ready(8)));
+    let (_, expired) = expire_instance(&mut table, START, "a");
+    assert!(expired.version > version_of(&ready(7)));
+    assert!(expired.version < version_of(&ready(8)));
 }
 
 /// A coordinator that was partitioned does not know which endpoints were silent meanwhile.
@@ -106,25 +106,30 @@
     let mut table = table();
     table.record_heartbeat(START, "a", ready(1));
     table.update_gate(START, gate_key(), 4, gate(true));
-    let back = 30 * SECOND;
-    table.restart_expiry(back);
-    table.record_heartbeat(back, "b", ready(1));
-    assert_eq!(table.expire(back), []);
-    assert_eq!(table.expire(back + TIMEOUTS.gate), []);
-    table.record_heartbeat(back + TIMEOUTS.instance, "b", ready(2));
-    assert_eq!(table.expire(back + TIMEOUTS.instance + TICK).len(), 2);
+    let regained_contact_at = 30 * SECOND;
+    table.restart_expiry(regained_contact_at);
+    table.record_heartbeat(regained_contact_at, "b", ready(1));
+    assert_eq!(table.expire(regained_contact_at), []);
+    assert_eq!(table.expire(regained_contact_at + TIMEOUTS.gate), []);
+    table.record_heartbeat(regained_contact_at + TIMEOUTS.instance, "b", ready(2));
+    assert_eq!(
+        table
+            .expire(regained_contact_at + TIMEOUTS.instance + TICK)
+            .len(),
+        2
+    );
 }
 
 #[test]
 fn purge_removes_ended_entries_with_versions_above_theirs() {
     let mut table = table();
     table.record_heartbeat(START, "a", ready(1));
-    let gone = table.deregister(TICK, "a").expect("distributed");
+    let deregistered = table.deregister(TICK, "a").expect("distributed");
     table.record_heartbeat(TICK, "b", ready(1));
     assert_eq!(table.purge(RETENTION), []);
     let removal = Removal {
         key: key("a"),
-        version: gone.version + 1,
+        version: deregistered.version + 1,
     };
     assert_eq!(table.purge(2 * TICK + RETENTION), [removal]);
     assert_eq!(table.purge(3 * TICK + RETENTION), []);
--- a/crates/endpoints/src/tests/gates.rs
+++ b/crates/endpoints/src/tests/gates.rs
@@ -22,8 +22,8 @@
     let mut table = table();
     table.update_gate(START, gate_key(), 4, gate(true));
     assert_eq!(ready_gates(&table, START), 1);
-    let gone = table.expire(3 * SECOND);
-    assert_matches!(&gone[..], [entry] if entry.version > 4 && entry.version < 8);
+    let expired = table.expire(3 * SECOND);
+    assert_matches!(&expired[..], [entry] if entry.version > 4 && entry.version < 8);
     assert_eq!(ready_gates(&table, 3 * SECOND), 0);
     assert!(
         table
@@ -35,31 +35,31 @@
 
 #[test]
 fn direct_reachability_is_distinguished_from_reachability_by_others() {
-    let (mut here, mut there) = (table(), table());
-    let distributed = there
+    let (mut local, mut remote) = (table(), table());
+    let distributed = remote
         .update_gate(START, gate_key(), 4, gate(true))
         .expect("distributed");
-    here.merge(START, &distributed);
+    local.merge(START, &distributed);
     assert_eq!(
         (
-            ready_gates(&here, START),
-            directly_reachable_gates(&here, START)
+            ready_gates(&local, START),
+            directly_reachable_gates(&local, START)
         ),
         (1, 0)
     );
-    here.update_gate(SECOND, gate_key(), 8, gate(true));
-    assert_eq!(directly_reachable_gates(&here, SECOND), 1);
-    there.update_gate(4 * SECOND, gate_key(), 12, gate(true));
-    here.merge_observed(4 * SECOND, &there.take_observed());
+    local.update_gate(SECOND, gate_key(), 8, gate(true));
+    assert_eq!(directly_reachable_gates(&local, SECOND), 1);
+    remote.update_gate(4 * SECOND, gate_key(), 12, gate(true));
+    local.merge_observed(4 * SECOND, &remote.take_observed());
     assert_eq!(
         (
-            ready_gates(&here, 4 * SECOND),
-            directly_reachable_gates(&here, 4 * SECOND)
+            ready_gates(&local, 4 * SECOND),
+            directly_reachable_gates(&local, 4 * SECOND)
         ),
         (1, 0)
     );
     assert_eq!(
-        ready_gates(&here, 7 * SECOND),
+        ready_gates(&local, 7 * SECOND),
         0,
         "no coordinator has heard from it within the timeout"
     );
@@ -73,11 +73,11 @@
 /// lost, not if it restarts.
 #[test]
 fn a_stopped_gate_is_distinguished_from_a_lost_one() {
-    for (ready, then) in [(true, GateStatus::Lost), (false, GateStatus::Stopped)] {
+    for (ready, expected) in [(true, GateStatus::Lost), (false, GateStatus::Stopped)] {
         let mut table = table();
         table.update_gate(START, gate_key(), 4, gate(ready));
         table.expire(3 * SECOND);
-        assert_eq!(status(&table), Some(then));
+        assert_eq!(status(&table), Some(expected));
         assert_eq!(
             table.gates(3 * SECOND).next().map(|gate| gate.last_heard),
             Some(START)
--- a/crates/endpoints/src/tests/instances.rs
+++ b/crates/endpoints/src/tests/instances.rs
@@ -67,17 +67,17 @@
 fn deregistration_is_final_for_an_incarnation() {
     let mut table = table();
     table.record_heartbeat(START, "a", draining(1));
-    let gone = table.deregister(TICK, "a").expect("distributed");
+    let deregistered = table.deregister(TICK, "a").expect("distributed");
     assert_eq!(table.deregister(2 * TICK, "a"), None);
     assert_eq!(table.record_heartbeat(3 * TICK, "a", ready(u64::MAX)), None);
     table.merge_observed(4 * TICK, &[observation("a", u64::MAX)]);
-    assert_eq!(table.get(&key("a")), Some(&gone));
+    assert_eq!(table.get(&key("a")), Some(&deregistered));
 }
 
 #[test]
 fn deregistration_is_above_the_highest_sequence() {
     let mut table = table();
     table.record_heartbeat(START, "a", ready(u64::MAX));
-    let gone = table.deregister(TICK, "a").expect("distributed");
-    assert!(gone.version > version_of(&ready(u64::MAX)));
+    let deregistered = table.deregister(TICK, "a").expect("distributed");
+    assert!(deregistered.version > version_of(&ready(u64::MAX)));
 }
--- a/crates/endpoints/src/tests/merge.rs
+++ b/crates/endpoints/src/tests/merge.rs
@@ -18,63 +18,62 @@
 /// Another coordinator's observation of a heartbeat may arrive before the heartbeat's entry.
 #[test]
 fn an_observed_sequence_does_not_hide_its_heartbeat_that_arrives_later() {
-    let (mut here, mut there) = (table(), table());
-    let first = there
+    let (mut local, mut remote) = (table(), table());
+    let first = remote
         .record_heartbeat(START, "a", ready(1))
         .expect("distributed");
-    here.merge(START, &first);
-    let second = there
+    local.merge(START, &first);
+    let second = remote
         .record_heartbeat(TICK, "a", draining(2))
         .expect("distributed");
-    here.merge_observed(2 * TICK, &there.take_observed());
-    assert_eq!(here.merge(3 * TICK, &second), MergeOutcome::Newer);
-    assert_eq!(record(&here, "a").heartbeat, draining(2));
+    local.merge_observed(2 * TICK, &remote.take_observed());
+    assert_eq!(local.merge(3 * TICK, &second), MergeOutcome::Newer);
+    assert_eq!(record(&local, "a").heartbeat, draining(2));
 }
 
 #[test]
 fn an_observed_gate_version_does_not_hide_its_update_that_arrives_later() {
-    let (mut here, mut there) = (table(), table());
-    let first = there
+    let (mut local, mut remote) = (table(), table());
+    let first = remote
         .update_gate(START, gate_key(), 4, gate(true))
         .expect("distributed");
-    here.merge(START, &first);
-    let second = there
+    local.merge(START, &first);
+    let second = remote
         .update_gate(TICK, gate_key(), 8, gate(false))
         .expect("distributed");
-    here.merge_observed(2 * TICK, &there.take_observed());
-    assert_eq!(here.merge(3 * TICK, &second), MergeOutcome::Newer);
-    assert_eq!(ready_gates(&here, 3 * TICK), 0);
+    local.merge_observed(2 * TICK, &remote.take_observed());
+    assert_eq!(local.merge(3 * TICK, &second), MergeOutcome::Newer);
+    assert_eq!(ready_gates(&local, 3 * TICK), 0);
 }
 
 /// One coordinator expires a server from which another has since received unchanged heartbeats.
 #[test]
 fn a_coordinator_with_a_newer_entry_returns_it_for_a_stale_one() {
-    let (mut cut_off, mut hears) = (table(), table());
-    let first = hears
+    let (mut partitioned, mut connected) = (table(), table());
+    let first = connected
         .record_heartbeat(START, "a", ready(1))
         .expect("distributed");
-    cut_off.merge(START, &first);
+    partitioned.merge(START, &first);
     for sequence in 2..10_u32 {
         assert_eq!(
-            hears.record_heartbeat(sequence * SECOND, "a", ready(sequence.into())),
+            connected.record_heartbeat(sequence * SECOND, "a", ready(sequence.into())),
             None
         );
     }
-    let (_, silent) = expire_instance(&mut cut_off, START, "a");
-    let again =
-        assert_matches!(hears.merge(10 * SECOND, &silent), MergeOutcome::Stale(again) => again);
-    assert_eq!(cut_off.merge(10 * SECOND, &again), MergeOutcome::Newer);
-    assert_eq!(record(&cut_off, "a").liveness, Liveness::Alive);
+    let (_, expired) = expire_instance(&mut partitioned, START, "a");
+    let newer = assert_matches!(connected.merge(10 * SECOND, &expired), MergeOutcome::Stale(newer) => newer);
+    assert_eq!(partitioned.merge(10 * SECOND, &newer), MergeOutcome::Newer);
+    assert_eq!(record(&partitioned, "a").liveness, Liveness::Alive);
 }
 
 #[test]
 fn an_older_entry_without_a_relevant_difference_is_known() {
-    let (mut here, mut there) = (table(), table());
-    let first = there
+    let (mut local, mut remote) = (table(), table());
+    let first = remote
         .record_heartbeat(START, "a", ready(1))
         .expect("distributed");
-    here.record_heartbeat(TICK, "a", ready(2));
-    assert_eq!(here.merge(2 * TICK, &first), MergeOutcome::Known);
+    local.record_heartbeat(TICK, "a", ready(2));
+    assert_eq!(local.merge(2 * TICK, &first), MergeOutcome::Known);
 }
 
 #[test]
@@ -94,8 +93,8 @@
             .update_control_state(TICK, 1, ControlState::default())
             .is_none()
     );
-    let held = table.get(&Key::Control).expect("held");
-    assert_eq!(held.value, Value::Control(evacuated));
+    let stored = table.get(&Key::Control).expect("stored");
+    assert_eq!(stored.value, Value::Control(evacuated));
 }
 
 /// Random entries of one coordinator's table, including expiries and deregistrations.
@@ -134,16 +133,16 @@
             one.merge(START, entry);
         }
         for entry in &shuffled {
-            let before = other.get(&entry.key).map(|held| held.version);
+            let before = other.get(&entry.key).map(|stored| stored.version);
             other.merge(START, entry);
-            let after = other.get(&entry.key).map(|held| held.version);
+            let after = other.get(&entry.key).map(|stored| stored.version);
             prop_assert!(after >= before, "{:?} went back", entry.key);
         }
-        let held = |table: &EndpointTable| {
+        let stored = |table: &EndpointTable| {
             let mut entries = table.entries();
             entries.sort_by(|a, b| a.key.cmp(&b.key));
             entries
         };
-        prop_assert_eq!(held(&one), held(&other));
+        prop_assert_eq!(stored(&one), stored(&other));
     }
 }
--- a/crates/endpoints/tests/simulation/checks.rs
+++ b/crates/endpoints/tests/simulation/checks.rs
@@ -6,7 +6,7 @@
 
 /// A mechanism that a test can disable to check that the simulation then detects a violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Guard {
+pub(crate) enum Mechanism {
     /// A coordinator that receives an outdated entry sends its newer one.
     ResendNewer,
     /// Nodes ignore entries with older versions.
@@ -26,7 +26,7 @@
         at: Duration,
     },
     /// An agent was not informed in time that a server drains.
-    DrainLate {
+    LateDrain {
         agent: usize,
         server: usize,
         at: Duration,
--- a/crates/endpoints/tests/simulation/entries.rs
+++ b/crates/endpoints/tests/simulation/entries.rs
@@ -16,12 +16,12 @@
 }
 
 /// Whether an incarnation has announced that it drains, or has deregistered.
-pub(super) fn is_over(entry: &Entry) -> bool {
+pub(super) fn is_draining_or_deregistered(entry: &Entry) -> bool {
     let record = record(entry);
     record.liveness == Liveness::Deregistered || record.heartbeat.state == InstanceState::Draining
 }
 
 /// Whether an incarnation may receive requests.
 pub(super) fn is_usable(entry: &Entry) -> bool {
-    liveness(entry) == Liveness::Alive && !is_over(entry)
+    liveness(entry) == Liveness::Alive && !is_draining_or_deregistered(entry)
 }
--- a/crates/endpoints/tests/simulation/main.rs
+++ b/crates/endpoints/tests/simulation/main.rs
@@ -9,15 +9,15 @@
 mod server;
 mod world;
 
-use checks::{Guard, Violation};
+use checks::{Mechanism, Violation};
 use world::World;
 
 const SEEDS: u64 = 200;
 /// Number of seeds of which at least one must detect a disabled mechanism.
 const SEEDS_TO_DETECT: u64 = 60;
 
-fn violations(coordinators: usize, seed: u64, removed: Option<Guard>) -> Vec<Violation> {
-    let mut world = World::new(coordinators, seed, removed);
+fn violations(coordinators: usize, seed: u64, disabled: Option<Mechanism>) -> Vec<Violation> {
+    let mut world = World::new(coordinators, seed, disabled);
     world.run();
     world.violations
 }
@@ -29,10 +29,10 @@
     }
 }
 
-fn assert_detected(removed: Guard, is_symptom: impl Fn(&Violation) -> bool) {
-    let detected =
-        (0..SEEDS_TO_DETECT).any(|seed| violations(3, seed, Some(removed)).iter().any(&is_symptom));
-    assert!(detected, "no seed detects that {removed:?} is missing");
+fn assert_detected(disabled: Mechanism, is_symptom: impl Fn(&Violation) -> bool) {
+    let detected = (0..SEEDS_TO_DETECT)
+        .any(|seed| violations(3, seed, Some(disabled)).iter().any(&is_symptom));
+    assert!(detected, "no seed detects that {disabled:?} is disabled");
 }
 
 #[test]
@@ -47,21 +47,21 @@
 
 #[test]
 fn missing_resend_of_newer_entries_is_detected() {
-    assert_detected(Guard::ResendNewer, |violation| {
+    assert_detected(Mechanism::ResendNewer, |violation| {
         matches!(violation, Violation::Diverged { .. })
     });
 }
 
 #[test]
 fn missing_version_check_is_detected() {
-    assert_detected(Guard::Versions, |violation| {
+    assert_detected(Mechanism::Versions, |violation| {
         matches!(violation, Violation::Revived { .. })
     });
 }
 
 #[test]
 fn missing_anti_entropy_is_detected() {
-    assert_detected(Guard::AntiEntropy, |violation| {
+    assert_detected(Mechanism::AntiEntropy, |violation| {
         matches!(violation, Violation::Diverged { .. })
     });
 }
--- a/crates/endpoints/tests/simulation/server.rs
+++ b/crates/endpoints/tests/simulation/server.rs
@@ -10,7 +10,7 @@
 pub(super) enum Phase {
     Ready,
     Draining,
-    Ended,
+    Deregistered,
     Crashed,
 }
 
@@ -19,7 +19,7 @@
     pub(super) phase: Phase,
     pub(super) sequence: u64,
     /// Time of the next heartbeat.
-    pub(super) next: Duration,
+    pub(super) next_heartbeat_at: Duration,
     /// Index of the coordinator that receives the heartbeats.
     pub(super) coordinator: usize,
     /// Time at which the server next drains, deregisters or crashes.
@@ -46,14 +46,14 @@
 }
 
 /// The instance identifier of a server.
-pub(super) fn name(server: usize) -> String {
+pub(super) fn instance_id(server: usize) -> String {
     format!("i-{server}")
 }
 
 /// The index of the server that a key identifies.
-pub(super) fn number(key: &Key) -> usize {
+pub(super) fn server_index(key: &Key) -> usize {
     match key {
-        Key::Instance(name) => name[2..].parse().expect("a number"),
+        Key::Instance(id) => id[2..].parse().expect("a number"),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/endpoints/tests/simulation/world.rs
+++ b/crates/endpoints/tests/simulation/world.rs
@@ -9,10 +9,10 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-use super::checks::{Guard, Violation};
-use super::entries::{is_over, is_usable, liveness};
+use super::checks::{Mechanism, Violation};
+use super::entries::{is_draining_or_deregistered, is_usable, liveness};
 use super::network::{Delivery, Message, Network, Partition};
-use super::server::{Phase, Server, heartbeat, name, number};
+use super::server::{Phase, Server, heartbeat, instance_id, server_index};
 
 /// A duration in milliseconds.
 const fn ms(milliseconds: u64) -> Duration {
@@ -22,9 +22,9 @@
 const STEP: Duration = ms(50);
 const AGENTS: usize = 20;
 const SERVERS: usize = 8;
-const INTERVAL: Duration = ms(1_200);
+const HEARTBEAT_INTERVAL: Duration = ms(1_200);
 const TIMEOUTS: ExpiryTimeouts = ExpiryTimeouts {
-    instance: INTERVAL.saturating_mul(4),
+    instance: HEARTBEAT_INTERVAL.saturating_mul(4),
     gate: ms(2_500),
 };
 /// Time after which no fault begins.
@@ -43,7 +43,7 @@
 pub(crate) struct World {
     now: Duration,
     random: Xoshiro256PlusPlus,
-    removed: Option<Guard>,
+    disabled: Option<Mechanism>,
     tables: Vec<EndpointTable>,
     stores: Vec<BTreeMap<Key, Entry>>,
     servers: Vec<Server>,
@@ -55,12 +55,12 @@
 }
 
 impl World {
-    pub(crate) fn new(coordinators: usize, seed: u64, removed: Option<Guard>) -> Self {
+    pub(crate) fn new(coordinators: usize, seed: u64, disabled: Option<Mechanism>) -> Self {
         let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
         let servers = (0..SERVERS).map(|_| Server {
             phase: Phase::Ready,
             sequence: 0,
-            next: random.random_range(Duration::ZERO..INTERVAL),
+            next_heartbeat_at: random.random_range(Duration::ZERO..HEARTBEAT_INTERVAL),
             coordinator: random.random_range(0..coordinators),
             transition_at: random.random_range(ms(5_000)..ms(80_000)),
         });
@@ -68,7 +68,7 @@
             now: Duration::ZERO,
             servers: servers.collect(),
             random,
-            removed,
+            disabled,
             tables: (0..coordinators)
                 .map(|_| EndpointTable::new(Duration::ZERO, TIMEOUTS))
                 .collect(),
@@ -87,10 +87,10 @@
             self.deliver();
             self.inject_faults();
             (0..SERVERS).for_each(|server| self.advance(server));
-            if self.is_each(ms(250)) {
+            if self.time_is_multiple_of(ms(250)) {
                 self.tick();
             }
-            if self.is_each(ms(500)) && self.removed != Some(Guard::AntiEntropy) {
+            if self.time_is_multiple_of(ms(500)) && self.disabled != Some(Mechanism::AntiEntropy) {
                 self.run_anti_entropy();
             }
             self.check_drains();
@@ -99,7 +99,7 @@
     }
 
     /// Whether the current time is a multiple of an interval.
-    fn is_each(&self, interval: Duration) -> bool {
+    fn time_is_multiple_of(&self, interval: Duration) -> bool {
         self.now.as_nanos().is_multiple_of(interval.as_nanos())
     }
 
@@ -135,7 +135,7 @@
     fn advance(&mut self, server: usize) {
         let due = self.now >= self.servers[server].transition_at && self.now < LAST_FAULT_AT;
         match self.servers[server].phase {
-            Phase::Ended | Phase::Crashed => return,
+            Phase::Deregistered | Phase::Crashed => return,
             Phase::Ready if due && self.random.random_bool(0.3) => {
                 self.servers[server].phase = Phase::Crashed;
                 return;
@@ -143,7 +143,7 @@
             Phase::Ready if due => {
                 self.servers[server].phase = Phase::Draining;
                 self.servers[server].transition_at = self.now + ms(4_000);
-                self.servers[server].next = self.now;
+                self.servers[server].next_heartbeat_at = self.now;
                 if self.network.partition.is_none() && self.now > self.last_fault + ms(5_000) {
                     self.drains.push(Drain {
                         server,
@@ -156,21 +156,21 @@
             }
             Phase::Ready | Phase::Draining => {}
         }
-        if self.now >= self.servers[server].next {
+        if self.now >= self.servers[server].next_heartbeat_at {
             self.send_heartbeat(server);
         }
     }
 
     fn send_heartbeat(&mut self, server: usize) {
         self.servers[server].sequence += 1;
-        self.servers[server].next = self.now + INTERVAL;
+        self.servers[server].next_heartbeat_at = self.now + HEARTBEAT_INTERVAL;
         // A server mostly uses the same coordinator, and changes it occasionally.
         if self.random.random_bool(0.02) {
             self.servers[server].coordinator = self.random.random_range(0..self.coordinators());
         }
         let to = self.servers[server].coordinator;
         let heartbeat = heartbeat(&self.servers[server]);
-        let changed = self.tables[to].record_heartbeat(self.now, &name(server), heartbeat);
+        let changed = self.tables[to].record_heartbeat(self.now, &instance_id(server), heartbeat);
         if let Some(entry) = changed {
             self.publish(to, &entry);
         }
@@ -180,8 +180,8 @@
         let to = self.random.random_range(0..self.coordinators());
         // A coordinator without an entry of the server cannot deregister it: the server tries
         // again.
-        if let Some(entry) = self.tables[to].deregister(self.now, &name(server)) {
-            self.servers[server].phase = Phase::Ended;
+        if let Some(entry) = self.tables[to].deregister(self.now, &instance_id(server)) {
+            self.servers[server].phase = Phase::Deregistered;
             self.publish(to, &entry);
         }
     }
@@ -240,11 +240,14 @@
     fn store(&mut self, node: usize, entry: &Entry) {
         let stored = self.stores[node].get(&entry.key);
         let is_old = stored.is_some_and(|stored| stored.version >= entry.version);
-        if is_old && self.removed != Some(Guard::Versions) {
+        if is_old && self.disabled != Some(Mechanism::Versions) {
             return;
         }
-        if node >= self.coordinators() && stored.is_some_and(is_over) && is_usable(entry) {
-            let server = number(&entry.key);
+        if node >= self.coordinators()
+            && stored.is_some_and(is_draining_or_deregistered)
+            && is_usable(entry)
+        {
+            let server = server_index(&entry.key);
             self.violations.push(Violation::Revived {
                 agent: node,
                 server,
@@ -255,7 +258,7 @@
         if node < self.coordinators() {
             let merged = self.tables[node].merge(self.now, entry);
             if let (MergeOutcome::Stale(newer), true) =
-                (merged, self.removed != Some(Guard::ResendNewer))
+                (merged, self.disabled != Some(Mechanism::ResendNewer))
             {
                 self.publish(node, &newer);
             }
@@ -271,10 +274,10 @@
         for Drain { server, .. } in due.into_iter().filter(|drain| last_fault < drain.at) {
             for agent in self.coordinators()..self.stores.len() {
                 let learned = self.stores[agent]
-                    .get(&Key::Instance(name(server)))
-                    .is_some_and(is_over);
+                    .get(&Key::Instance(instance_id(server)))
+                    .is_some_and(is_draining_or_deregistered);
                 if !learned {
-                    self.violations.push(Violation::DrainLate {
+                    self.violations.push(Violation::LateDrain {
                         agent,
                         server,
                         at: now,
@@ -289,9 +292,9 @@
             let expected = match self.servers[server].phase {
                 Phase::Ready | Phase::Draining => Liveness::Alive,
                 Phase::Crashed => Liveness::Unreachable,
-                Phase::Ended => Liveness::Deregistered,
+                Phase::Deregistered => Liveness::Deregistered,
             };
-            let key = Key::Instance(name(server));
+            let key = Key::Instance(instance_id(server));
             for node in 0..self.stores.len() {
                 let stored = self.stores[node].get(&key).map(liveness);
                 // A server that crashed before a node stored its heartbeat remains unknown there.
