--- a/crates/coordinator/benches/start.rs
+++ b/crates/coordinator/benches/start.rs
@@ -56,7 +56,7 @@
         bytes: CONFIGURATION_BYTES,
     })
     .apply(&accepted.value) else {
-        panic!("{generation} doesn't follow");
+        panic!("generation {generation} does not follow the current one");
     };
     let state = Arc::new(accepted.successor(ballot, accepted.members.clone(), Arc::new(value)));
     record.accepted = Some(Proposal { ballot, state });
--- a/crates/coordinator/src/value/tests.rs
+++ b/crates/coordinator/src/value/tests.rs
@@ -192,7 +192,7 @@
     for number in 0..MAX_REJECTED as u64 {
         value = match value.configure(&document(100 + number, "early"), 50) {
             Decision::RejectAndWrite { value, .. } => value,
-            other => panic!("{other:?}"),
+            other => panic!("not rejected permanently: {other:?}"),
         };
     }
     assert_matches!(
--- a/crates/coordinator/tests/many_changes/cluster.rs
+++ b/crates/coordinator/tests/many_changes/cluster.rs
@@ -19,6 +19,7 @@
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Deadline of an operation, as in the coordinator.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(900);
+/// Step in which the simulated time advances while a test waits for a condition.
 const STEP: Duration = Duration::from_millis(5);
 
 enum SimulatedEvent {
@@ -46,8 +47,10 @@
     pub violations: Vec<String>,
     pub outcomes: BTreeMap<OperationId, Outcome<Control>>,
     body_bytes: usize,
+    /// Host and generation of each submitted change, until its outcome is taken or its host stops.
     pending_changes: BTreeMap<OperationId, (usize, u64)>,
     events: BTreeMap<u64, SimulatedEvent>,
+    /// Times and identifiers of the scheduled events.
     due: BinaryHeap<Reverse<(Duration, u64)>>,
     last_id: u64,
 }
@@ -165,7 +168,7 @@
             let outcome = self.wait_for_outcome(id);
             assert!(
                 matches!(outcome, Some(Outcome::Written(_))),
-                "{generation}: {outcome:?}"
+                "outcome of generation {generation}: {outcome:?}"
             );
         }
     }
@@ -177,7 +180,7 @@
             self.run(STEP);
             assert!(
                 self.now < start + Duration::from_secs(10),
-                "never caught up"
+                "host {host} never reached generation {generation}"
             );
         }
         self.now - start
@@ -303,7 +306,7 @@
         if let Outcome::Written(state) | Outcome::Unchanged(state) = &outcome {
             if state.value.generation < generation {
                 self.violations.push(format!(
-                    "{generation} acknowledged at {}",
+                    "generation {generation} acknowledged in a state of generation {}",
                     state.value.generation
                 ));
             }
--- a/crates/coordinator/tests/many_changes/workload.rs
+++ b/crates/coordinator/tests/many_changes/workload.rs
@@ -181,13 +181,17 @@
             match self.cluster.wait_for_outcome(id) {
                 Some(Outcome::Written(_) | Outcome::Unchanged(_)) => break,
                 Some(Outcome::Rejected { reason, .. }) => {
-                    self.record_violation(&format!("{generation} is rejected: {reason:?}"));
+                    self.record_violation(&format!(
+                        "generation {generation} is rejected: {reason:?}"
+                    ));
                     break;
                 }
                 _ => self.run(RESUBMIT_DELAY),
             }
             if self.cluster.now > limit {
-                self.record_violation(&format!("{generation} is not acknowledged in time"));
+                self.record_violation(&format!(
+                    "generation {generation} is not acknowledged in time"
+                ));
                 break;
             }
             host = self.random_running_host();
@@ -211,7 +215,9 @@
         let id = self.cluster.submit_change(host, generation);
         match self.cluster.wait_for_outcome(id) {
             Some(Outcome::Unchanged(_) | Outcome::Expired | Outcome::Unknown) | None => {}
-            other => self.record_violation(&format!("{generation} resubmitted: {other:?}")),
+            other => {
+                self.record_violation(&format!("generation {generation} resubmitted: {other:?}"));
+            }
         }
     }
 
@@ -404,7 +410,7 @@
         }
         for (host, start, acknowledged_before) in std::mem::take(&mut self.catching_up) {
             self.record_violation(&format!(
-                "host {host}, started at {start:?}, never reached {acknowledged_before}"
+                "host {host}, started at {start:?}, never reached generation {acknowledged_before}"
             ));
         }
         if limit > self.cluster.now {
@@ -429,7 +435,7 @@
         for host in 0..HOST_COUNT {
             let found = self.cluster.hosts[host].generation();
             if found != Some(newest) {
-                self.record_violation(&format!("host {host} ends with {found:?}"));
+                self.record_violation(&format!("host {host} ends with generation {found:?}"));
             }
             let host_state = &self.cluster.hosts[host];
             self.report.peak_bytes = self.report.peak_bytes.max(host_state.peak_bytes);
--- a/crates/endpoints/src/tests/merge.rs
+++ b/crates/endpoints/src/tests/merge.rs
@@ -136,7 +136,7 @@
             let before = other.get(&entry.key).map(|stored| stored.version);
             other.merge(START, entry);
             let after = other.get(&entry.key).map(|stored| stored.version);
-            prop_assert!(after >= before, "{:?} went back", entry.key);
+            prop_assert!(after >= before, "{:?} has a lower version than before", entry.key);
         }
         let stored = |table: &EndpointTable| {
             let mut entries = table.entries();
--- a/crates/endpoints/src/tests/support.rs
+++ b/crates/endpoints/src/tests/support.rs
@@ -89,7 +89,7 @@
 pub(super) fn record<'a>(table: &'a EndpointTable, id: &str) -> &'a InstanceRecord {
     match table.get(&key(id)).map(|entry| &entry.value) {
         Some(Value::Instance(record)) => record,
-        other => panic!("{id} is {other:?}"),
+        other => panic!("the entry of {id} is no instance: {other:?}"),
     }
 }
 
--- a/crates/endpoints/tests/simulation/entries.rs
+++ b/crates/endpoints/tests/simulation/entries.rs
@@ -6,7 +6,7 @@
 fn record(entry: &Entry) -> &InstanceRecord {
     match &entry.value {
         Value::Instance(record) => record,
-        other => panic!("{other:?}"),
+        other => panic!("not an instance: {other:?}"),
     }
 }
 
--- a/crates/endpoints/tests/simulation/server.rs
+++ b/crates/endpoints/tests/simulation/server.rs
@@ -54,6 +54,6 @@
 pub(super) fn server_index(key: &Key) -> usize {
     match key {
         Key::Instance(id) => id[2..].parse().expect("a number"),
-        other => panic!("{other:?}"),
+        other => panic!("not an instance: {other:?}"),
     }
 }
