--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -63,8 +63,8 @@
     /// The simulated time.
     pub now: Duration,
     /// The members declared down so far.
-    pub downs: Vec<DownEvent>,
-    datagrams: u64,
+    pub down_events: Vec<DownEvent>,
+    datagrams_sent: u64,
     /// The bytes that each member has sent.
     pub sent_bytes: Vec<usize>,
     /// The number of datagrams that a member rejected (foca's errors, such as an update about
@@ -97,8 +97,8 @@
             crashed: vec![false; size],
             in_flight: VecDeque::new(),
             now: Duration::ZERO,
-            downs: Vec::new(),
-            datagrams: 0,
+            down_events: Vec::new(),
+            datagrams_sent: 0,
             sent_bytes: vec![0; size],
             rejected: 0,
         };
@@ -180,7 +180,7 @@
         for action in actions {
             match action {
                 Action::Send { to, datagram } => self.send(member, index(to), datagram, loss),
-                Action::MemberDown(down) => self.downs.push(DownEvent {
+                Action::MemberDown(down) => self.down_events.push(DownEvent {
                     at: self.now,
                     observer: member,
                     member: down,
@@ -193,9 +193,9 @@
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>, loss: &LossRule) {
         let length = bytes.len();
         assert!(length <= MAX_DATAGRAM_BYTES, "a datagram of {length} bytes");
-        self.datagrams += 1;
+        self.datagrams_sent += 1;
         self.sent_bytes[from] += length;
-        if !loss(from, to, self.now, self.datagrams) {
+        if !loss(from, to, self.now, self.datagrams_sent) {
             self.in_flight.push_back(Datagram {
                 due: self.now + NETWORK_DELAY,
                 to,
--- a/crates/membership/tests/swim.rs
+++ b/crates/membership/tests/swim.rs
@@ -13,7 +13,7 @@
 /// How often a member that was alive was declared down.
 fn false_downs(cluster: &SimulatedCluster) -> usize {
     let of_alive = |down: &&DownEvent| cluster.is_alive(&down.member);
-    cluster.downs.iter().filter(of_alive).count()
+    cluster.down_events.iter().filter(of_alive).count()
 }
 
 #[test]
@@ -34,14 +34,14 @@
     assert_eq!(cluster.cluster_sizes(), vec![4; 4]);
     assert!(
         cluster
-            .downs
+            .down_events
             .iter()
             .all(|down| down.member.address == address(2)),
         "{:?}",
-        cluster.downs
+        cluster.down_events
     );
     let last = cluster
-        .downs
+        .down_events
         .iter()
         .map(|down| down.at)
         .max()
@@ -58,12 +58,12 @@
     cluster.run(secs(3), &lossless);
     cluster.paused_until[1] = cluster.now + secs(5);
     cluster.run(secs(5), &lossless);
-    let during = cluster.downs.len();
+    let downs_during_pause = cluster.down_events.len();
     cluster.run(secs(20), &lossless);
     assert_eq!(cluster.cluster_sizes(), vec![5; 5], "after the pause");
     assert!(cluster.members[1].identity().incarnation >= 100);
     eprintln!(
-        "during the pause {during} downs; after it the member has incarnation {}",
+        "during the pause {downs_during_pause} downs; after it the member has incarnation {}",
         cluster.members[1].identity().incarnation
     );
 }
@@ -77,20 +77,20 @@
     let partition =
         move |sender: usize, _: usize, at: Duration, _: u64| sender == 0 && at >= from && at < to;
     cluster.run(secs(10), &partition);
-    let by_zero = cluster
-        .downs
+    let declared_by_zero = cluster
+        .down_events
         .iter()
         .filter(|down| down.observer == 0)
         .count();
-    let of_zero = cluster
-        .downs
+    let declared_of_zero = cluster
+        .down_events
         .iter()
         .filter(|down| down.member.address == address(0))
         .count();
     cluster.run(secs(20), &lossless);
     assert_eq!(cluster.cluster_sizes(), vec![5; 5], "after the partition");
     eprintln!(
-        "in the partition: member 0 declared {by_zero} others down, and {of_zero} declared it down"
+        "in the partition: member 0 declared {declared_by_zero} others down, and {declared_of_zero} declared it down"
     );
 }
 
@@ -98,8 +98,8 @@
 fn loss_of_10_percent_declares_no_alive_member_down() {
     let mut cluster = SimulatedCluster::new(8);
     cluster.run(secs(3), &lossless);
-    let lossy = |from: usize, to: usize, at: Duration, draw: u64| {
-        let hash = (draw ^ (from as u64) << 40 ^ (to as u64) << 48 ^ at.as_millis() as u64)
+    let lossy = |from: usize, to: usize, at: Duration, number: u64| {
+        let hash = (number ^ (from as u64) << 40 ^ (to as u64) << 48 ^ at.as_millis() as u64)
             .wrapping_mul(0x9e37_79b9_7f4a_7c15);
         (hash >> 32).is_multiple_of(10)
     };
@@ -117,7 +117,7 @@
     eprintln!(
         "8 members, 60 s at 10 % loss: {false_downs} alive members declared down, {renewed} refuted a suspicion"
     );
-    assert_eq!(false_downs, 0, "{:?}", cluster.downs);
+    assert_eq!(false_downs, 0, "{:?}", cluster.down_events);
 }
 
 #[test]
@@ -125,8 +125,8 @@
     let mut cluster = SimulatedCluster::new(3);
     cluster.run(secs(2), &lossless);
     let now = cluster.now;
-    for junk in [&b""[..], b"\xff\xff\xff\xff", &[7u8; 300][..]] {
-        assert!(cluster.members[0].handle_datagram(junk, now).is_err());
+    for invalid in [&b""[..], b"\xff\xff\xff\xff", &[7u8; 300][..]] {
+        assert!(cluster.members[0].handle_datagram(invalid, now).is_err());
     }
     cluster.run(secs(2), &lossless);
     assert_eq!(cluster.cluster_sizes(), vec![3; 3]);
@@ -157,10 +157,10 @@
     cluster.run(secs(3), &lossless);
     let start = cluster.now;
     // 2 s of 30 % loss in every 5 s.
-    let bursts = move |from: usize, to: usize, at: Duration, draw: u64| {
+    let bursts = move |from: usize, to: usize, at: Duration, number: u64| {
         let millis_into_cycle = (at - start).as_millis() % 5000;
         let hash =
-            (draw ^ (from as u64) << 40 ^ (to as u64) << 48).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+            (number ^ (from as u64) << 40 ^ (to as u64) << 48).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         millis_into_cycle < 2000 && (hash >> 32) % 100 < 30
     };
     cluster.run(secs(60), &bursts);
@@ -171,23 +171,23 @@
 }
 
 #[test]
-fn junk_flood_from_a_peer_changes_nothing() {
+fn flood_of_invalid_datagrams_from_a_peer_changes_nothing() {
     let mut cluster = SimulatedCluster::new(4);
     cluster.run(secs(2), &lossless);
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let now = cluster.now;
     let mut rejected = 0;
-    for n in 0u32..10_000 {
-        let junk: Vec<u8> = n
+    for number in 0u32..10_000 {
+        let invalid: Vec<u8> = number
             .to_le_bytes()
             .iter()
             .cycle()
-            .take(1 + (n as usize % 256))
+            .take(1 + (number as usize % 256))
             .copied()
             .collect();
-        rejected += usize::from(cluster.members[0].handle_datagram(&junk, now).is_err());
+        rejected += usize::from(cluster.members[0].handle_datagram(&invalid, now).is_err());
     }
-    let took = began.elapsed();
+    let elapsed = started.elapsed();
     cluster.run(secs(5), &lossless);
     assert_eq!(cluster.cluster_sizes(), vec![4; 4]);
     assert_eq!(
@@ -195,18 +195,24 @@
         "junk without the tag is rejected before decoding"
     );
     // Junk behind the right tag is decoded by foca, and changes nothing.
-    for n in 0u32..10_000 {
-        let junk: Vec<u8> = PROTOCOL_TAG
+    for number in 0u32..10_000 {
+        let invalid: Vec<u8> = PROTOCOL_TAG
             .iter()
-            .chain(n.to_le_bytes().iter().cycle().take(n as usize % 250))
+            .chain(
+                number
+                    .to_le_bytes()
+                    .iter()
+                    .cycle()
+                    .take(number as usize % 250),
+            )
             .copied()
             .collect();
-        let _ = cluster.members[0].handle_datagram(&junk, now);
+        let _ = cluster.members[0].handle_datagram(&invalid, now);
     }
     cluster.run(secs(5), &lossless);
     assert_eq!(cluster.cluster_sizes(), vec![4; 4]);
     eprintln!(
-        "10,000 junk datagrams rejected in {took:?}; 10,000 more behind the tag changed nothing"
+        "10,000 junk datagrams rejected in {elapsed:?}; 10,000 more behind the tag changed nothing"
     );
 }
 
--- a/crates/overlay-transport/src/driver.rs
+++ b/crates/overlay-transport/src/driver.rs
@@ -174,11 +174,11 @@
         self.overlay
             .handle(self.clock.elapsed(), event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.perform_action(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn perform_action(&mut self, action: Action) {
         match action {
             Action::Send { to, message } => self.send(to, message),
             Action::Connect(peer) => self.connect(peer),
--- a/crates/overlay-transport/src/driver/tests.rs
+++ b/crates/overlay-transport/src/driver/tests.rs
@@ -216,21 +216,21 @@
         let (_other, other_address) = listen().await;
         let (mut quick, _sender) = dial(&node, other_address).await;
         assert!(receives(&mut quick, is_hello).await);
-        let mut arrived = 0;
+        let mut received = 0;
         while receives(&mut slow, |message| {
             matches!(message, Message::Entries { .. })
         })
         .await
         {
-            arrived += 1;
+            received += 1;
         }
-        assert!(arrived > 0 && arrived < PUBLISHED_ENTRIES, "{arrived}");
+        assert!(received > 0 && received < PUBLISHED_ENTRIES, "{received}");
     });
 }
 
 /// The driver's task and those of its connections end with their owner.
 #[test]
-fn a_node_whose_owner_is_gone_closes_its_connections_and_its_listener() {
+fn connections_and_listener_close_when_the_owner_is_dropped() {
     run_in_system(async {
         let node = start_coordinator().await;
         let (_listener, peer_address) = listen().await;
--- a/crates/schema/src/configuration/tests.rs
+++ b/crates/schema/src/configuration/tests.rs
@@ -28,9 +28,9 @@
 }
 
 /// The rejection of the valid configuration with one value replaced; it is one line.
-fn rejection(pointer: &str, instead: Value) -> ConfigurationError {
+fn rejection(pointer: &str, replacement: Value) -> ConfigurationError {
     let mut value = valid();
-    *value.pointer_mut(pointer).expect("there") = instead;
+    *value.pointer_mut(pointer).expect("there") = replacement;
     let error = parse(&value).expect_err("rejected");
     assert!(!error.to_string().contains('\n'), "{error}");
     error
--- a/crates/schema/src/control/tests.rs
+++ b/crates/schema/src/control/tests.rs
@@ -11,8 +11,8 @@
 
 fn assert_round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(frame: &T) {
     let bytes = postcard::to_stdvec(frame).expect("written");
-    let read: T = postcard::from_bytes(&bytes).expect("read");
-    assert_eq!(&read, frame);
+    let decoded: T = postcard::from_bytes(&bytes).expect("read");
+    assert_eq!(&decoded, frame);
     if let Some(shortened) = bytes.len().checked_sub(1) {
         assert!(
             postcard::from_bytes::<T>(&bytes[..shortened]).is_err(),
@@ -76,13 +76,15 @@
         Just(Liveness::Deregistered)
     ];
     prop_oneof![
-        (any::<bool>(), prop::collection::vec(".{0,8}", 0..3)).prop_map(|(with, evacuated)| {
-            let configuration = configuration().filter(|_| with);
-            Value::Control(ControlState {
-                configuration,
-                evacuated,
-            })
-        }),
+        (any::<bool>(), prop::collection::vec(".{0,8}", 0..3)).prop_map(
+            |(is_configured, evacuated)| {
+                let configuration = configuration().filter(|_| is_configured);
+                Value::Control(ControlState {
+                    configuration,
+                    evacuated,
+                })
+            }
+        ),
         (heartbeat(), liveness).prop_map(|(heartbeat, liveness)| Value::Instance(InstanceRecord {
             heartbeat,
             liveness
--- a/crates/schema/src/registration/tests.rs
+++ b/crates/schema/src/registration/tests.rs
@@ -18,9 +18,9 @@
 
 #[test]
 fn optional_fields_of_a_heartbeat_have_defaults() {
-    let short =
+    let minimal =
         r#"{"backend":"a","address":"10.0.0.9:80","zone":"z","state":"ready","sequence":0}"#;
-    let heartbeat = Heartbeat::parse(short.as_bytes()).expect("valid");
+    let heartbeat = Heartbeat::parse(minimal.as_bytes()).expect("valid");
     assert_eq!(
         (heartbeat.warmup_left_ms, heartbeat.remaining_ms),
         (0.0, None)
@@ -37,12 +37,12 @@
 
 #[test]
 fn invalid_values_are_rejected() {
-    for (piece, instead) in [
+    for (original, replacement) in [
         ("10.0.0.9:8080", "nowhere"),
         ("draining", "asleep"),
         (":4}", ":-1}"),
     ] {
-        let body = BODY.replace(piece, instead);
-        assert_matches!(Heartbeat::parse(body.as_bytes()), Err(_), "{instead}");
+        let body = BODY.replace(original, replacement);
+        assert_matches!(Heartbeat::parse(body.as_bytes()), Err(_), "{replacement}");
     }
 }
--- a/crates/schema/src/settings/tests.rs
+++ b/crates/schema/src/settings/tests.rs
@@ -49,10 +49,10 @@
 }
 
 /// The rejection of the valid file with one piece of it replaced.
-fn rejection(piece: &str, instead: &str) -> String {
-    assert!(VALID.contains(piece), "{piece}");
-    match parse(&VALID.replacen(piece, instead, 1)) {
-        Ok(_) => panic!("{instead:?} is accepted"),
+fn rejection(original: &str, replacement: &str) -> String {
+    assert!(VALID.contains(original), "{original}");
+    match parse(&VALID.replacen(original, replacement, 1)) {
+        Ok(_) => panic!("{replacement:?} is accepted"),
         Err(error) => error.to_string(),
     }
 }
@@ -72,8 +72,8 @@
 
 #[test]
 fn missing_optional_keys_have_defaults() {
-    let short = "node_name: a\nip_address: 10.0.0.1\nzone: z\nregion: r\ninternal_port_range: [7000, 7009]\n";
-    let settings = parse(short).expect("valid");
+    let minimal = "node_name: a\nip_address: 10.0.0.1\nzone: z\nregion: r\ninternal_port_range: [7000, 7009]\n";
+    let settings = parse(minimal).expect("valid");
     assert!(!settings.bootstrap);
     assert_eq!(settings.heartbeat_interval_ms, 1_200);
     assert_eq!(settings.fault_tolerance.hosts_lost, 1);
@@ -125,16 +125,16 @@
         ("contact_ms: 5000", "contact_ms: .inf", "contact_ms"),
         ("contact_ms: 5000", "contact_ms: .nan", "contact_ms"),
     ];
-    for (piece, instead, field) in cases {
-        let line = rejection(piece, instead);
+    for (original, replacement, field) in cases {
+        let line = rejection(original, replacement);
         assert!(line.starts_with(PATH), "{line}");
-        assert!(line.contains(field), "{instead:?}: {line}");
+        assert!(line.contains(field), "{replacement:?}: {line}");
         assert!(!line.contains('\n'), "{line:?}");
     }
 }
 
 #[test]
-fn infinite_bounds_and_bounds_that_are_no_numbers_are_rejected() {
+fn non_finite_and_oversized_bounds_are_rejected() {
     let fields = [
         "grace_period_s",
         "retry_budget_ratio",
@@ -205,8 +205,8 @@
 
 #[test]
 fn a_truncated_file_is_malformed() {
-    let cut = VALID.find("/var").expect("there") + 2;
-    assert_matches!(parse(&VALID[..cut]), Err(SettingsError::Malformed { .. }));
+    let end = VALID.find("/var").expect("there") + 2;
+    assert_matches!(parse(&VALID[..end]), Err(SettingsError::Malformed { .. }));
 }
 
 #[test]
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -95,7 +95,7 @@
     cluster.run(JOIN_TIME, &lossless);
     let lossy = loss_rule(trial.seed, trial.loss);
     let bytes_per_s_a_member = bytes_per_s_a_member(&mut cluster, trial, &lossy);
-    let downs = cluster.downs.iter();
+    let downs = cluster.down_events.iter();
     let false_downs = downs.filter(|down| cluster.is_alive(&down.member)).count();
     let detection = detect_crash(&mut cluster, &lossy);
     Measurement {
@@ -129,7 +129,7 @@
 
 /// Crashes a member and runs until all others know of it or [`MAX_DETECTION_TIME`] is over.
 fn detect_crash(cluster: &mut SimulatedCluster, lossy: &LossRule) -> Detection {
-    cluster.downs.clear();
+    cluster.down_events.clear();
     cluster.crashed[CRASHED_MEMBER] = true;
     let crashed_at = cluster.now;
     let others = cluster.members.len() - 1;
