--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,16 +1,20 @@
-//! Membership among client proxies: which of them are alive, as events in and actions out, without
-//! I/O.
+//! Membership among client proxies: each proxy learns which of the others are alive. The crate
+//! performs no I/O and reads no clock: it takes events and returns actions.
 //!
 //! The protocol is SWIM (Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style
 //! Process Group Membership Protocol", 2002) as the `foca` library implements it: one probe per
 //! period to a member chosen at random, indirect probes through `k` others when it does not answer,
 //! suspicion before a member is declared down, refutation by a higher incarnation, and updates
-//! piggybacked on every message. Datagrams hold at most [`MAX_DATAGRAM_BYTES`], the platform's
-//! limit between proxies, and are encoded with postcard.
+//! piggybacked on every message. Datagrams are encoded with postcard and are at most
+//! [`MAX_DATAGRAM_BYTES`] long, the platform's limit between proxies.
 //!
 //! The driver owns the socket and the clock: it passes in datagrams
-//! ([`Membership::handle_datagram`]) and the time ([`Membership::tick`]), and carries out the
-//! [`Action`]s that it gets back. Times are [`Duration`]s since any fixed start.
+//! ([`Membership::handle_datagram`]) and the time ([`Membership::tick`]), and performs the returned
+//! [`Action`]s. Times are [`Duration`]s since any fixed moment.
+//!
+//! - `member` defines a member's identity: its address and incarnation.
+//! - `timers` queues the timers that foca schedules.
+//! - [`simulation`] runs a cluster in simulated time for tests.
 
 #![forbid(unsafe_code)]
 
@@ -32,40 +36,42 @@
 
 use crate::timers::TimerQueue;
 
-/// The largest datagram between proxies, in bytes (protocol page, "Between client proxies").
+/// The largest datagram between proxies, in bytes (protocol specification, "Between client
+/// proxies").
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// The first bytes of each membership datagram: the protocol and its version. They distinguish it
-/// from the other datagrams on the same socket (the proxies' rates) and from other versions before
-/// anything is decoded.
+/// The first bytes of each membership datagram: the protocol and its version. Before anything is
+/// decoded, they distinguish membership datagrams from others on the same socket (the proxies'
+/// rates) and from other versions.
 pub const PROTOCOL_TAG: [u8; 2] = *b"M1";
 
 /// The number of peers to which a member announces itself when it joins.
 pub const JOIN_FANOUT: usize = 3;
 
-/// What the driver must do.
+/// An operation that the driver must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a datagram.
+    /// Send a datagram to a member.
     Send {
         /// The address of the member that receives it.
         to: SocketAddrV4,
-        /// At most [`MAX_DATAGRAM_BYTES`] bytes.
+        /// The datagram with [`PROTOCOL_TAG`]; at most [`MAX_DATAGRAM_BYTES`] bytes.
         datagram: Vec<u8>,
     },
-    /// This member is now considered alive.
+    /// Record that a member is now considered alive.
     MemberUp(Member),
-    /// This member is now considered down.
+    /// Record that a member is now considered down.
     MemberDown(Member),
 }
 
-/// A datagram was rejected. The membership is unharmed, so the error is only for the log.
+/// Why a datagram was rejected. The membership remains consistent, so the error is only for the
+/// log.
 #[derive(Debug, Error)]
 pub enum DatagramError {
-    /// It does not begin with [`PROTOCOL_TAG`].
+    /// The datagram does not begin with [`PROTOCOL_TAG`].
     #[error("not a membership datagram of version 1")]
     UnknownProtocol,
-    /// It cannot be decoded, or it contradicts the protocol.
+    /// The datagram cannot be decoded, or it violates the protocol.
     #[error(transparent)]
     Protocol(#[from] foca::Error),
 }
@@ -81,15 +87,15 @@
 
 /// The protocol's parameters for a cluster of `size` proxies at one site.
 ///
-/// They are foca's LAN parameters (a probe every second, 500 ms for its answer, 3 indirect probes,
-/// suspicion for 4 periods scaled by the logarithm of the size) with datagrams of
-/// [`MAX_DATAGRAM_BYTES`], and with an announcement every 2 s to two members that are considered
-/// down (LAN: every 65 s). Without the latter, a member that is partitioned in one direction and
-/// declared down never learns of it and never rejoins after the partition heals (test
+/// The parameters are foca's for a LAN (a probe every second, 500 ms for its answer, 3 indirect
+/// probes, suspicion for 4 periods scaled by the logarithm of the size) with two changes: datagrams
+/// of [`MAX_DATAGRAM_BYTES`], and an announcement every 2 s to two members that are considered down
+/// (LAN: every 65 s). Without the frequent announcement, a member that is partitioned in one
+/// direction and declared down never learns of it and never rejoins after the partition heals (test
 /// `one_way_partition_heals_into_a_complete_cluster`).
 ///
 /// # Panics
-/// Never: the constants are not zero.
+/// Never: the values that must not be 0 are constants or at least 1.
 #[must_use]
 pub fn config(size: u32) -> Config {
     let mut config = Config::new_lan(NonZeroU32::new(size.max(1)).expect("at least one"));
@@ -103,8 +109,8 @@
 }
 
 impl Membership {
-    /// The membership of `identity`; `seed` determines which members are probed. No other member is
-    /// known until [`Membership::join`].
+    /// Creates the membership of `identity`; `seed` determines which members are probed. No other
+    /// member is known until [`Membership::join`].
     #[must_use]
     pub fn new(identity: Member, config: Config, seed: u64) -> Membership {
         let probe_random = Xoshiro256PlusPlus::seed_from_u64(seed);
@@ -117,9 +123,10 @@
         }
     }
 
-    /// Announces this member to [`JOIN_FANOUT`] of the configured `peers`, which answer with what
-    /// they know. Its own address is skipped. The peers are chosen at random rather than from the
-    /// head of the list, so that the joins are spread when the entire cluster restarts at once.
+    /// Announces this member to [`JOIN_FANOUT`] of the configured `peers`, which answer with the
+    /// members that they know. The member's own address is skipped. The peers are chosen at random
+    /// rather than from the start of the list, so that the load of the joins is spread when the
+    /// entire cluster restarts at once.
     pub fn join(&mut self, peers: &[SocketAddrV4], now: Duration) -> Vec<Action> {
         self.now = now;
         let own_address = self.identity().address;
@@ -130,7 +137,7 @@
             .collect();
         peers.shuffle(&mut self.random);
         for &address in peers.iter().take(JOIN_FANOUT) {
-            // A join goes to the address alone: the peer's incarnation is not known yet.
+            // The peer's incarnation is not known yet; an announcement needs only the address.
             let peer = Member {
                 address,
                 incarnation: 0,
@@ -143,7 +150,8 @@
     /// Processes a datagram from a peer.
     ///
     /// # Errors
-    /// [`DatagramError`] if it is malformed or of another version. It then changes nothing.
+    /// [`DatagramError`] if the datagram is malformed or of another version; it then changes
+    /// nothing.
     pub fn handle_datagram(
         &mut self,
         datagram: &[u8],
@@ -168,8 +176,8 @@
         self.take_actions()
     }
 
-    /// When the next timer is due, if there is one: the driver need not call [`Membership::tick`]
-    /// before.
+    /// The time at which the next timer is due, if there is one; the driver need not call
+    /// [`Membership::tick`] earlier.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         self.timers.next_deadline()
@@ -187,13 +195,13 @@
         self.alive_peers() + 1
     }
 
-    /// This member, with its present incarnation.
+    /// This member, with its current incarnation (see [`Member`]).
     #[must_use]
     pub fn identity(&self) -> Member {
         *self.foca.identity()
     }
 
-    /// Schedules the timers that foca asked for and takes what the driver must do.
+    /// Schedules the timers that foca requested and returns the actions for the driver.
     fn take_actions(&mut self) -> Vec<Action> {
         while let Some((delay, timer)) = self.runtime.to_schedule() {
             self.timers.push(self.now + delay, timer);
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -8,13 +8,13 @@
 /// A member: its peer address and its incarnation, which a restart must never reuse.
 ///
 /// The incarnation is taken from the clock at the start ([`new_incarnation`]), so that a proxy that
-/// restarts without any state returns above every value that the cluster has seen of it. A
-/// refutation raises it by one.
+/// restarts without any state has a higher incarnation than any that the cluster has seen of it. A
+/// refutation increments it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
-    /// The address that its datagrams are sent from and to.
+    /// The address from which the member sends datagrams and at which it receives them.
     pub address: SocketAddrV4,
-    /// Its incarnation.
+    /// The incarnation; of two with the same address, the higher one replaces the other.
     pub incarnation: u32,
 }
 
@@ -37,8 +37,8 @@
     }
 }
 
-/// The incarnation of a proxy that starts now, in seconds since the Unix epoch: never one that the
-/// cluster has seen of it before.
+/// Returns the incarnation of a proxy that starts now: the seconds since the Unix epoch, which are
+/// above every earlier incarnation of the proxy.
 #[must_use]
 pub fn new_incarnation() -> u32 {
     let since_epoch = SystemTime::now()
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -1,9 +1,9 @@
-//! A cluster of members over a network in simulated time, with datagram loss, pauses and crashes,
-//! for tests and trials.
+//! A cluster of members on a network in simulated time, with datagram loss, pauses and crashes, for
+//! tests and experiments.
 //!
-//! Each step of [`STEP`] delivers the datagrams that are due ([`NETWORK_DELAY`] after they were
-//! sent), then ticks every member that runs. A paused member neither runs nor reads; its datagrams
-//! wait as in a socket's buffer. A crashed member loses them.
+//! Every [`STEP`], the datagrams that are due are delivered ([`NETWORK_DELAY`] after they were
+//! sent), then every running member is ticked. A paused member neither runs nor reads; datagrams to
+//! it wait as in a socket's buffer. Datagrams to a crashed member are lost.
 
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -20,25 +20,25 @@
 /// The incarnation of all members at the start.
 pub const FIRST_INCARNATION: u32 = 100;
 
-/// The port of the first member; the others have the next ones.
+/// The port of the first member; the others have the following ports.
 const FIRST_PORT: u16 = 7000;
 
-/// Whether the datagram from one member (the first index) to another (the second) at a moment is
-/// lost. The last argument is a number that differs for every datagram.
+/// Decides whether a datagram is lost, from the index of its sender, the index of its receiver, the
+/// simulated time and the number of datagrams sent so far, which differs for every datagram.
 pub type LossRule = dyn Fn(usize, usize, Duration, u64) -> bool;
 
-/// The [`LossRule`] of a network that loses nothing.
+/// The [`LossRule`] of a network that loses no datagrams.
 #[must_use]
 pub fn lossless(_: usize, _: usize, _: Duration, _: u64) -> bool {
     false
 }
 
-/// A member was declared down.
+/// The event that a member declared another down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DownEvent {
-    /// The simulated time.
+    /// The simulated time of the event.
     pub at: Duration,
-    /// The index of the member that declared it.
+    /// The index of the member that declared the other down.
     pub observer: usize,
     /// The member that was declared down.
     pub member: Member,
@@ -51,24 +51,24 @@
     bytes: Vec<u8>,
 }
 
-/// The members, their network and what was observed.
+/// The members, their network and the recorded events and counts.
 pub struct SimulatedCluster {
     /// The members, by index.
     pub members: Vec<Membership>,
-    /// The moment until which each member is paused.
+    /// The simulated time until which each member is paused, by index.
     pub paused_until: Vec<Duration>,
-    /// Which members have crashed.
+    /// Whether each member has crashed, by index.
     pub crashed: Vec<bool>,
     in_flight: VecDeque<Datagram>,
-    /// The simulated time.
+    /// The current simulated time.
     pub now: Duration,
-    /// The members declared down so far.
+    /// The declarations of members as down so far, in their order.
     pub down_events: Vec<DownEvent>,
     datagrams_sent: u64,
-    /// The bytes that each member has sent.
+    /// The bytes that each member has sent, by index.
     pub sent_bytes: Vec<usize>,
-    /// The number of datagrams that a member rejected (foca's errors, such as an update about
-    /// itself under an old identity).
+    /// The number of datagrams that members have rejected with an error of foca, such as an update
+    /// about the receiver under an old identity.
     pub rejected: usize,
 }
 
@@ -85,8 +85,8 @@
 }
 
 impl SimulatedCluster {
-    /// A cluster of `size` members (1 to 20,000) of [`FIRST_INCARNATION`] that join through the
-    /// addresses of all.
+    /// Creates a cluster of `size` members (1 to 20,000) with [`FIRST_INCARNATION`]. Each of them
+    /// joins with the addresses of all.
     #[must_use]
     pub fn new(size: usize) -> SimulatedCluster {
         let mut cluster = SimulatedCluster {
@@ -108,13 +108,13 @@
         cluster
     }
 
-    /// Restarts a member without any state, under another incarnation, and joins it again.
+    /// Restarts a member without any state, with another incarnation, and lets it join again.
     pub fn restart(&mut self, index: usize, incarnation: u32, seed: u64) {
         self.members[index] = new_member(index, incarnation, self.members.len(), seed);
         self.join(index);
     }
 
-    /// Advances the simulated time by `length` under a rule of loss.
+    /// Advances the simulated time by `length`; `loss` decides which datagrams are lost.
     ///
     /// # Panics
     /// If a member sends a datagram of more than [`MAX_DATAGRAM_BYTES`] bytes.
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The size of the cluster as each member that has not crashed sees it.
+    /// The size of the cluster in the view of each member that has not crashed.
     #[must_use]
     pub fn cluster_sizes(&self) -> Vec<usize> {
         self.members
@@ -138,7 +138,7 @@
             .collect()
     }
 
-    /// Whether this incarnation of the member is the present one and has not crashed.
+    /// Whether `member` is the current incarnation of a member that has not crashed.
     #[must_use]
     pub fn is_alive(&self, member: &Member) -> bool {
         let index = index(member.address);
@@ -192,7 +192,10 @@
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>, loss: &LossRule) {
         let length = bytes.len();
-        assert!(length <= MAX_DATAGRAM_BYTES, "a datagram of {length} bytes");
+        assert!(
+            length <= MAX_DATAGRAM_BYTES,
+            "datagram of {length} bytes exceeds the limit of {MAX_DATAGRAM_BYTES}"
+        );
         self.datagrams_sent += 1;
         self.sent_bytes[from] += length;
         if !loss(from, to, self.now, self.datagrams_sent) {
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -1,4 +1,4 @@
-//! The timers that foca has scheduled, by deadline.
+//! The queue of the timers that foca has scheduled, ordered by deadline.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -21,7 +21,7 @@
     }
 }
 
-/// The earliest is the greatest, since [`BinaryHeap`] pops the greatest.
+/// Reversed: the earliest timer is the greatest, since [`BinaryHeap`] pops the greatest.
 impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> Ordering {
         other.order().cmp(&self.order())
@@ -42,7 +42,7 @@
 
 impl Eq for Scheduled {}
 
-/// Pending timers.
+/// The pending timers.
 #[derive(Default)]
 pub(crate) struct TimerQueue {
     pending: BinaryHeap<Scheduled>,
@@ -67,7 +67,7 @@
         self.pending.pop().map(|scheduled| scheduled.timer)
     }
 
-    /// The earliest deadline.
+    /// The earliest deadline of the pending timers.
     pub(crate) fn next_deadline(&self) -> Option<Duration> {
         self.pending.peek().map(|scheduled| scheduled.deadline)
     }
--- a/crates/membership/tests/swim.rs
+++ b/crates/membership/tests/swim.rs
@@ -1,5 +1,5 @@
-//! A cluster of members over a network in simulated time, with datagram loss, pauses, crashes and
-//! one-way partitions.
+//! A cluster of members on a network in simulated time, with datagram loss, pauses, crashes,
+//! restarts, one-way partitions and invalid datagrams.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     Duration::from_secs(seconds)
 }
 
-/// How often a member that was alive was declared down.
+/// Number of declarations of an alive member as down.
 fn false_downs(cluster: &SimulatedCluster) -> usize {
     let of_alive = |down: &&DownEvent| cluster.is_alive(&down.member);
     cluster.down_events.iter().filter(of_alive).count()
@@ -47,7 +47,7 @@
         .max()
         .expect("the crash is detected");
     eprintln!(
-        "the crash was known to all {:?} after it",
+        "all members have declared the crashed one down after {:?}",
         last - crashed_at
     );
 }
@@ -63,7 +63,7 @@
     assert_eq!(cluster.cluster_sizes(), vec![5; 5], "after the pause");
     assert!(cluster.members[1].identity().incarnation >= 100);
     eprintln!(
-        "during the pause {downs_during_pause} downs; after it the member has incarnation {}",
+        "{downs_during_pause} declarations of a member as down during the pause; the paused member then has incarnation {}",
         cluster.members[1].identity().incarnation
     );
 }
@@ -90,7 +90,7 @@
     cluster.run(secs(20), &lossless);
     assert_eq!(cluster.cluster_sizes(), vec![5; 5], "after the partition");
     eprintln!(
-        "in the partition: member 0 declared {declared_by_zero} others down, and {declared_of_zero} declared it down"
+        "during the partition, member 0 declared {declared_by_zero} others down and {declared_of_zero} declared it down"
     );
 }
 
@@ -106,8 +106,8 @@
     cluster.run(secs(60), &lossy);
     cluster.run(secs(20), &lossless);
     assert_eq!(cluster.cluster_sizes(), vec![8; 8]);
-    // A member that refuted a suspicion continues under its next incarnation; that the old one is
-    // declared down is no false positive.
+    // A member that refuted a suspicion continues with its next incarnation; the declaration of the
+    // old one as down is not a false positive.
     let false_downs = false_downs(&cluster);
     let renewed = cluster
         .members
@@ -147,7 +147,7 @@
     assert_eq!(cluster.cluster_sizes(), vec![5; 5], "after the pause");
     assert!(
         cluster.members[3].identity().incarnation > 100,
-        "it returned as a new incarnation"
+        "the paused member rejoined with a new incarnation"
     );
 }
 
@@ -156,7 +156,7 @@
     let mut cluster = SimulatedCluster::new(8);
     cluster.run(secs(3), &lossless);
     let start = cluster.now;
-    // 2 s of 30 % loss in every 5 s.
+    // 30 % loss during the first 2 s of every 5 s.
     let bursts = move |from: usize, to: usize, at: Duration, number: u64| {
         let millis_into_cycle = (at - start).as_millis() % 5000;
         let hash =
@@ -192,9 +192,9 @@
     assert_eq!(cluster.cluster_sizes(), vec![4; 4]);
     assert_eq!(
         rejected, 10_000,
-        "junk without the tag is rejected before decoding"
+        "datagrams without the tag are rejected before decoding"
     );
-    // Junk behind the right tag is decoded by foca, and changes nothing.
+    // Invalid datagrams with the right tag are decoded by foca, and change nothing.
     for number in 0u32..10_000 {
         let invalid: Vec<u8> = PROTOCOL_TAG
             .iter()
@@ -212,7 +212,7 @@
     cluster.run(secs(5), &lossless);
     assert_eq!(cluster.cluster_sizes(), vec![4; 4]);
     eprintln!(
-        "10,000 junk datagrams rejected in {elapsed:?}; 10,000 more behind the tag changed nothing"
+        "10,000 datagrams without the tag rejected in {elapsed:?}; 10,000 more with the tag changed nothing"
     );
 }
 
@@ -222,12 +222,12 @@
     for size in [16usize, 48] {
         let mut cluster = SimulatedCluster::new(size);
         cluster.run(secs(10), &lossless);
-        // Seven in ten restart without any state, as new incarnations.
+        // Seven in ten members restart without any state, with new incarnations.
         let restarted = size * 7 / 10;
         for index in size - restarted..size {
             cluster.restart(index, 200, 1000 + index as u64);
         }
-        // The most bytes that one member sends in any of the next 60 seconds.
+        // The most bytes that one member sends in any single one of the next 60 seconds.
         let restarted_at = cluster.now;
         let (mut complete_after, mut peak) = (None, 0);
         for _ in 0..60 {
@@ -253,15 +253,15 @@
             )
         });
         eprintln!(
-            "{size} members, {restarted} restarted: complete after {complete_after:?}; at most {peak} bytes in a second by one"
+            "{size} members, {restarted} restarted: complete after {complete_after:?}; one member sent at most {peak} bytes in a second"
         );
         peaks.push(peak);
     }
-    // Joins through the first three peers of the list made one of them send 10.5 kB in a second at
-    // 48 members; with peers chosen from the whole list, no member sends more than 16 full
+    // When joins went to the first three peers of the list, one of them sent 10.5 kB in a second in
+    // a cluster of 48; with peers chosen from the whole list, no member sends more than 16 full
     // datagrams a second.
     assert!(
         peaks.iter().all(|&peak| peak <= 16 * MAX_DATAGRAM_BYTES),
-        "peaks {peaks:?}"
+        "bytes sent in one second exceed the limit: {peaks:?}"
     );
 }
