--- a/crates/overlay-transport/src/connection.rs
+++ b/crates/overlay-transport/src/connection.rs
@@ -1,11 +1,11 @@
-//! One connection to a peer, from its opening or acceptance to its end.
+//! One connection to a peer, from its establishment until it closes.
 //!
-//! The opener sends the address it listens at first, as its source port does not identify it.
+//! The opener first sends its listening address, as its source port does not identify it.
 //!
-//! Events are sent to the driver for as long as it runs; once it has ended, errors of sending them
-//! are ignored, as the process is shutting down. Errors of a connection are not logged, as its end is
-//! reported to the driver and the overlay connects again; but for frames that cannot be decoded, which
-//! mean that the peer runs another version of the program.
+//! Events are sent to the driver as long as it runs; once it has ended, errors of sending them are
+//! ignored, as the process is shutting down. Errors of a connection are not logged, as its end is
+//! reported to the driver and the overlay connects again. The exception is a frame that cannot be
+//! decoded, which means that the peer runs another version of the program.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,20 +19,20 @@
 
 use crate::send_queue::{SendQueue, send_queue};
 
-/// Timeout of connecting, and of the opener's first frame.
+/// Timeout for connecting, and for receiving the opener's first frame.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for which queued messages are still sent after the driver has dropped a connection.
+/// Time for sending the remaining queued messages after the driver has dropped a connection.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Identifies a connection of this node.
+/// Identifies a connection of this node; never reused while the node runs.
 pub(crate) type ConnectionId = u64;
 
 /// A frame between two nodes. Frames are encoded with postcard: the order of variants is part of
 /// the wire format.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum Frame {
-    /// The opener's first frame: the address it listens at.
+    /// The opener's first frame: its listening address.
     Hello(SocketAddr),
     /// A message of the overlay.
     Message(Message),
@@ -47,7 +47,7 @@
         peer: SocketAddr,
         /// The connection.
         id: ConnectionId,
-        /// Its queue of outgoing messages.
+        /// The connection's queue of outgoing messages.
         queue: SendQueue,
     },
     /// A message has arrived.
@@ -63,7 +63,7 @@
     Undecodable {
         /// Listening address of the peer.
         peer: SocketAddr,
-        /// What is wrong with the frame.
+        /// The reason for which the frame could not be decoded.
         error: eyre::Report,
     },
     /// The connection has closed.
@@ -90,7 +90,7 @@
     events: EventSender,
 ) {
     if try_open(peer, id, local_address, &events).await.is_err() {
-        // The driver has ended: nobody is waiting for its connections.
+        // Sending fails only once the driver has ended and no longer uses connections.
         let _ = events.send(ConnectionEvent::ConnectFailed { peer }).await;
     }
 }
@@ -110,17 +110,17 @@
 
 /// Serves an accepted connection until it closes.
 pub(crate) async fn accept(stream: TcpStream, id: ConnectionId, events: EventSender) {
-    // A peer that fails before its hello is unknown to the driver; it connects again.
+    // The driver does not know a peer that fails before its hello; the peer connects again.
     let _ = try_accept(stream, id, &events).await;
 }
 
 async fn try_accept(stream: TcpStream, id: ConnectionId, events: &EventSender) -> Result<()> {
     let (mut receiver, sender) = link::split::<Frame, Frame>(stream)?;
     let Ok(hello) = tokio::time::timeout(CONNECT_TIMEOUT, receiver.next()).await else {
-        bail!("no hello within {CONNECT_TIMEOUT:?}")
+        bail!("peer sent no hello within {CONNECT_TIMEOUT:?}")
     };
     let Some(Frame::Hello(peer)) = hello? else {
-        bail!("the first frame is no hello")
+        bail!("first frame of the peer is not a hello")
     };
     serve(peer, id, receiver, sender, events).await;
     Ok(())
@@ -134,12 +134,12 @@
     mut sender: link::Sender<Frame>,
     events: &EventSender,
 ) {
-    // Sending an event fails only once the driver has ended; it has then dropped the queue, too.
+    // Sending an event fails only once the driver has ended and has therefore dropped the queue.
     let (queue, mut outgoing, dropped) = send_queue();
     let established = ConnectionEvent::Established { peer, id, queue };
     let _ = events.send(established).await;
     let sending = async {
-        // Ends once the driver has dropped the queue and everything in it has been sent.
+        // Ends once the driver has dropped the queue and all messages in it have been sent.
         while let Some(message) = outgoing.next().await {
             sender.send(&Frame::Message(message)).await?;
         }
--- a/crates/overlay-transport/src/connection_table.rs
+++ b/crates/overlay-transport/src/connection_table.rs
@@ -1,5 +1,5 @@
-//! The connections of a node by peer. Two nodes that open a connection to each other at once have
-//! two; a peer is disconnected when none is left.
+//! The connections of a node by peer. Two nodes that connect to each other at the same time have
+//! two connections; a peer is disconnected when none is left.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -43,15 +43,17 @@
         was_last
     }
 
-    /// Closes all connections to a peer, after the messages that are already queued.
+    /// Closes all connections to a peer, once the messages that are already queued have been sent
+    /// or the flush timeout has expired.
     pub(crate) fn close(&mut self, peer: SocketAddr) {
         self.peers.remove(&peer);
     }
 
-    /// Queues a message to a peer. It is dropped if there is no connection.
+    /// Queues a message on the oldest connection to a peer. The message is dropped if there is no
+    /// connection.
     ///
     /// # Errors
-    /// The queue of the connection is full.
+    /// [`QueueFull`] if the queue of the connection is full.
     pub(crate) fn send(&self, peer: SocketAddr, message: Message) -> Result<(), QueueFull> {
         let connections = self.peers.get(&peer);
         match connections.and_then(|connections| connections.first()) {
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Whether this connection to the peer has not been closed by this node.
+    /// Whether the table contains the connection: neither this node nor the peer has closed it.
     pub(crate) fn contains(&self, peer: SocketAddr, id: ConnectionId) -> bool {
         self.peers
             .get(&peer)
--- a/crates/overlay-transport/src/driver.rs
+++ b/crates/overlay-transport/src/driver.rs
@@ -1,5 +1,5 @@
-//! Drives the overlay of one node: events of connections, clock and owner go in, and the resulting
-//! actions are carried out.
+//! The driver of one node's overlay: passes events of connections, clock and owner to the overlay
+//! and performs the resulting actions.
 
 #[cfg(test)]
 mod tests;
@@ -21,27 +21,27 @@
 use crate::connection::{self, ConnectionEvent, ConnectionId, EventSender};
 use crate::connection_table::ConnectionTable;
 
-/// Maximum number of events that wait for the driver; connections stop reading while it is reached.
+/// Maximum number of events that wait for the driver; at this number, connections stop reading.
 const MAX_PENDING_EVENTS: usize = 256;
 
 /// Backoff after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Time for which the timer is set while the overlay has not requested one.
+/// Duration of the timer while the overlay has not requested one.
 const IDLE_TIMER: Duration = Duration::from_secs(3_600);
 
-/// State of the driver.
+/// The overlay of one node with its connections, its timer and the channels to its owner.
 struct Driver {
     clock: Instant,
     overlay: Overlay,
     connections: ConnectionTable,
     last_connection: ConnectionId,
-    /// When the overlay is to be woken, as requested by it, on `clock`.
+    /// Time since `clock` at which the overlay has requested an [`Event::Timer`], if it has.
     timer: Option<Duration>,
     events: EventSender,
     updates: mpsc::UnboundedSender<Entry>,
     log: Logger,
-    /// The connections.
+    /// The tasks of the connections; they end when the driver is dropped.
     tasks: Tasks,
     accept_errors: LogLimit,
     decoding_errors: LogLimit,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Logs that a peer has sent what this version of the program cannot read.
+    /// Logs that a peer has sent a message or entry that this version of the program cannot decode.
     fn log_decoding_error(&mut self, peer: Option<SocketAddr>, error: &dyn fmt::Display) {
         if let Some(suppressed) = self.decoding_errors.admit(Instant::now()) {
             let peer = peer.map(|peer| peer.to_string());
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Passes an event to the overlay and carries out the resulting actions.
+    /// Passes an event to the overlay and performs the resulting actions.
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.overlay
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Sends a message. A peer that does not read is disconnected, and connected to again later
-    /// like one that has failed.
+    /// Sends a message. A peer that does not read is disconnected; the overlay treats it as failed
+    /// and connects to it again later.
     fn send(&mut self, to: SocketAddr, message: Message) {
         if let Err(error) = self.connections.send(to, message) {
             debug!(self.log, "disconnecting a peer that does not read"; "peer" => %to, "error" => %error);
@@ -214,14 +214,15 @@
         let id = self.next_connection();
         let local_address = self.overlay.node().address;
         let events = self.events.clone();
-        // Ends once the driver drops its queue, or with the peer; its events say so.
+        // The task ends when the driver drops the connection's queue or the peer closes the
+        // connection, and reports its end as an event.
         let connection = connection::open(peer, id, local_address, events);
         self.tasks.spawn("overlay connection", connection);
     }
 
     fn accept(&mut self, stream: TcpStream) {
         let id = self.next_connection();
-        // As in `connect`.
+        // The task ends as in `connect`.
         let connection = connection::accept(stream, id, self.events.clone());
         self.tasks.spawn("overlay connection", connection);
     }
--- a/crates/overlay-transport/src/driver/tests.rs
+++ b/crates/overlay-transport/src/driver/tests.rs
@@ -1,4 +1,4 @@
-//! A node on loopback, with the other ends of its connections played by the test.
+//! A node on loopback whose peers are simulated by the test.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -9,16 +9,16 @@
 use super::*;
 use crate::connection::Frame;
 
-/// Timeout of everything that a test waits for.
+/// Timeout for each message that a test waits for.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Maximum number of messages read before the one that a test waits for.
+/// Maximum number of messages that a test reads until it receives the one that it waits for.
 const MAX_MESSAGES_READ: usize = 2_000;
 
 type Receiver = link::Receiver<Frame>;
 type Sender = link::Sender<Frame>;
 
-/// A coordinator that runs, and the channels of its owner.
+/// A running coordinator with the channels of its owner.
 struct RunningNode {
     tasks: Tasks,
     address: SocketAddr,
@@ -60,11 +60,11 @@
     }
 }
 
-/// A connection to `node` opened by an agent that listens at `peer_address`.
+/// Opens a connection to `node` as an agent that listens at `peer_address`.
 async fn dial(node: &RunningNode, peer_address: SocketAddr) -> (Receiver, Sender) {
     let (receiver, mut sender) = link::connect::<Frame, Frame>(node.address, TIMEOUT)
         .await
-        .expect("up");
+        .expect("the node accepts connections");
     sender
         .send(&Frame::Hello(peer_address))
         .await
@@ -76,7 +76,7 @@
     (receiver, sender)
 }
 
-/// Reads until a message that `is_wanted` selects. Returns false if the connection closes first.
+/// Reads messages until one matches `is_wanted`. Returns false if the connection closes first.
 async fn receives(receiver: &mut Receiver, is_wanted: impl Fn(&Message) -> bool) -> bool {
     for _ in 0..MAX_MESSAGES_READ {
         match tokio::time::timeout(TIMEOUT, receiver.next())
@@ -88,7 +88,7 @@
             Ok(None) | Err(_) => return false,
         }
     }
-    panic!("not among {MAX_MESSAGES_READ} messages");
+    panic!("no expected message among {MAX_MESSAGES_READ}");
 }
 
 fn is_hello(message: &Message) -> bool {
@@ -120,8 +120,8 @@
         let (listener, peer_address) = listen().await;
         node.commands
             .send(Command::SetSeeds(vec![peer_address]))
-            .expect("it runs");
-        let (accepted, _) = listener.accept().await.expect("it dials");
+            .expect("the node runs");
+        let (accepted, _) = listener.accept().await.expect("the node connects");
         let (mut first_receiver, mut first_sender) =
             link::split::<Frame, Frame>(accepted).expect("open");
         let hello = Message::Hello {
@@ -155,16 +155,16 @@
         let (_listener, peer_address) = listen().await;
         let (mut receiver, _sender) = dial(&node, peer_address).await;
         assert!(receives(&mut receiver, is_hello).await);
-        node.commands.send(Command::Leave).expect("it runs");
+        node.commands.send(Command::Leave).expect("the node runs");
         assert!(receives(&mut receiver, |message| *message == Message::Leave).await);
         assert!(
             !receives(&mut receiver, |_| true).await,
-            "then the connection closes"
+            "the connection closes after the queued message"
         );
     });
 }
 
-/// Grafts the node as the parent.
+/// Attaches the simulated agent to the relay tree, with the node as its parent.
 async fn graft(receiver: &mut Receiver, sender: &mut Sender) {
     let position = TreePosition::Detached;
     let (root_heartbeats, spare_capacity) = Default::default();
@@ -188,7 +188,8 @@
     assert!(receives(receiver, |message| *message == Message::GraftAccepted).await);
 }
 
-/// Entries of 32 KiB, more of them than the system's buffers and the queue hold together.
+/// Number of published entries of 32 KiB; together they exceed the socket buffers and the send
+/// queue.
 const PUBLISHED_ENTRIES: u64 = 1_500;
 
 fn publish_entries(node: &RunningNode) {
@@ -200,7 +201,7 @@
                 version: ironmast_overlay::Version(1),
                 payload,
             })
-            .expect("it runs");
+            .expect("the node runs");
     }
 }
 
@@ -212,7 +213,7 @@
         let (mut slow, mut slow_sender) = dial(&node, peer_address).await;
         graft(&mut slow, &mut slow_sender).await;
         publish_entries(&node);
-        // Another peer is still served.
+        // The node still serves another peer.
         let (_other, other_address) = listen().await;
         let (mut quick, _sender) = dial(&node, other_address).await;
         assert!(receives(&mut quick, is_hello).await);
@@ -224,11 +225,14 @@
         {
             received += 1;
         }
-        assert!(received > 0 && received < PUBLISHED_ENTRIES, "{received}");
+        assert!(
+            received > 0 && received < PUBLISHED_ENTRIES,
+            "received {received} of {PUBLISHED_ENTRIES} entries"
+        );
     });
 }
 
-/// The driver's task and those of its connections end with their owner.
+/// The tasks of the driver and of its connections end when their owner is dropped.
 #[test]
 fn connections_and_listener_close_when_the_owner_is_dropped() {
     run_in_system(async {
--- a/crates/overlay-transport/src/lib.rs
+++ b/crates/overlay-transport/src/lib.rs
@@ -1,9 +1,15 @@
-//! The overlay on sockets: it owns the connections of one node (coordinator or agent) to others and
-//! carries the entries of [`ironmast_schema::control`] over the relay tree.
+//! TCP transport of the overlay: the crate owns the connections of one node (coordinator or agent)
+//! to others and transfers the entries of [`ironmast_schema::control`] over the relay tree.
 //!
-//! [`ironmast_overlay`] decides, this crate performs the I/O: the driver passes events of
-//! connections, clock and owner to the overlay and carries out its actions. A peer that does not
-//! read is disconnected, so that it neither blocks the others nor fills the memory.
+//! [`ironmast_overlay`] contains the protocol without I/O; this crate performs the I/O. The driver
+//! passes events of connections, clock and owner to the overlay and performs the resulting actions.
+//! A peer that does not read is disconnected, so that it neither blocks other peers nor exhausts
+//! the memory.
+//!
+//! - `driver` runs the overlay of one node in a task.
+//! - `connection` opens, accepts and serves one connection.
+//! - `connection_table` maps peers to their connections.
+//! - `send_queue` bounds the outgoing messages of a connection.
 
 #![forbid(unsafe_code)]
 
@@ -26,21 +32,21 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A command of the owner to the driver.
+/// A command from the owner of a handle to the driver.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// Publish a version of a key.
+    /// Publish a new version of the entry under a key.
     Publish {
-        /// The key.
+        /// The overlay's key of the entry.
         key: OverlayKey,
-        /// The version.
+        /// The version of the entry.
         version: Version,
         /// The encoded entry.
         payload: Arc<[u8]>,
     },
     /// Publish a tombstone of a key.
     Remove {
-        /// The key.
+        /// The overlay's key of the entry.
         key: OverlayKey,
         /// The version of the tombstone.
         version: Version,
@@ -49,19 +55,19 @@
     SetSeeds(Vec<SocketAddr>),
     /// Set whether this coordinator is in contact with a majority of the coordinators.
     SetInContact(bool),
-    /// Notify the neighbours that this node leaves.
+    /// Notify the neighbours that this node leaves the overlay.
     Leave,
 }
 
 /// The listening address of a node cannot be bound.
 #[derive(Debug, thiserror::Error)]
-#[error("listening at {address}")]
+#[error("cannot listen at {address}")]
 pub struct BindError {
     address: SocketAddr,
     source: io::Error,
 }
 
-/// The handle of a node of the overlay, which runs until the last clone of the handle is dropped.
+/// A handle to a node of the overlay. The node runs until the last clone of the handle is dropped.
 #[derive(Debug, Clone)]
 pub struct OverlayHandle {
     commands: mpsc::UnboundedSender<Command>,
@@ -70,11 +76,11 @@
 
 impl OverlayHandle {
     /// Listens at the node's address and joins the overlay. The receiver yields the entries that
-    /// are newer than the node's own. The node ends with the last handle, or with the owner of its
-    /// task.
+    /// are newer than the node's own. The node ends when the last handle or the owner of its task
+    /// is dropped.
     ///
     /// # Errors
-    /// The listening address cannot be bound.
+    /// [`BindError`] if the listening address cannot be bound.
     pub async fn start(
         settings: &Settings,
         role: Role,
@@ -115,7 +121,8 @@
         self.send(Command::SetSeeds(seeds));
     }
 
-    /// Publishes an entry.
+    /// Publishes an entry to all nodes. An entry that cannot be encoded is logged and not
+    /// published.
     pub fn publish(&self, entry: &Entry) {
         match encode(entry) {
             Ok((key, payload)) => self.send(Command::Publish {
@@ -130,7 +137,8 @@
     }
 
     /// Publishes a tombstone of a key, after which the overlay stores of all nodes drop the key;
-    /// their owners are not notified. `version` must be higher than the published ones.
+    /// the owners of the nodes are not notified. `version` must be higher than all versions
+    /// published under the key. A key that cannot be encoded is logged and not removed.
     pub fn remove(&self, key: &Key, version: u64) {
         match overlay_key(key) {
             Ok(key) => self.send(Command::Remove {
@@ -144,37 +152,37 @@
     }
 
     /// Sets whether this coordinator is in contact with a majority of the coordinators. A
-    /// coordinator that is not stops being a root of the relay tree, so that agents choose other
-    /// parents at once; entries published at it are still disseminated. Until the first call the
-    /// coordinator counts as in contact: call this with `false` right after
-    /// [`OverlayHandle::start`], and at each change. Repeating a value has no effect.
+    /// coordinator that is out of contact stops being a root of the relay tree, so that agents
+    /// choose other parents at once; entries published at it are still disseminated. Until the
+    /// first call the coordinator counts as in contact: call this method with `false` immediately
+    /// after [`OverlayHandle::start`], and at each change. Repeating a value has no effect.
     pub fn set_in_contact(&self, in_contact: bool) {
         self.send(Command::SetInContact(in_contact));
     }
 
-    /// Notifies the neighbours that this node leaves.
+    /// Notifies the neighbours that this node leaves the overlay.
     pub fn leave(&self) {
         self.send(Command::Leave);
     }
 
     fn send(&self, command: Command) {
-        // The driver runs for as long as a handle exists, so that sending fails only at shutdown.
+        // The driver runs as long as a handle exists, so sending fails only at shutdown.
         let _ = self.commands.send(command);
     }
 }
 
-/// The overlay's key of an entry's key.
+/// Returns the overlay's key for the key of an entry: a hash of its encoding.
 fn overlay_key(key: &Key) -> Result<OverlayKey, postcard::Error> {
     Ok(xxh3_64(&postcard::to_stdvec(key)?))
 }
 
-/// An entry as the overlay carries it, and its key there.
+/// Encodes an entry for the overlay; returns its key there and the payload.
 fn encode(entry: &Entry) -> Result<(OverlayKey, Arc<[u8]>), postcard::Error> {
     let payload = postcard::to_stdvec(entry)?;
     Ok((overlay_key(&entry.key)?, Arc::from(payload)))
 }
 
-/// Incarnation of a process that starts now: the time of day in milliseconds.
+/// Returns the incarnation of a process that starts now: milliseconds since the Unix epoch.
 fn incarnation() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/overlay-transport/src/send_queue.rs
+++ b/crates/overlay-transport/src/send_queue.rs
@@ -10,16 +10,16 @@
 use ironmast_overlay::{Entry, Message};
 use tokio::sync::{mpsc, oneshot};
 
-/// Maximum queued bytes, estimated: more than a peer that reads ever leaves queued.
+/// Maximum estimated bytes in a queue; the queue of a peer that reads stays below it.
 pub(crate) const MAX_QUEUED_BYTES: usize = 2 * 1024 * 1024;
 
-/// Estimated bytes of a message without its entries, versions and keys.
+/// Estimated bytes of a message in addition to its entries, versions and keys.
 const MESSAGE_BYTES: usize = 256;
 
 /// Estimated bytes of each version or key in a message.
 const VERSION_BYTES: usize = 16;
 
-/// The queue exceeds [`MAX_QUEUED_BYTES`]: the peer does not read.
+/// The error that a queue would exceed [`MAX_QUEUED_BYTES`]: the peer does not read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the send queue is full")]
 pub(crate) struct QueueFull;
@@ -40,7 +40,7 @@
     queued_bytes: Rc<Cell<usize>>,
 }
 
-/// A queue, its receiving end, and a future that completes when the queue is dropped.
+/// Creates a queue, its receiving end, and a future that completes when the queue is dropped.
 pub(crate) fn send_queue() -> (SendQueue, SendQueueReceiver, impl Future<Output = ()>) {
     let (sender, receiver) = mpsc::unbounded_channel();
     let (alive, dropped) = oneshot::channel();
@@ -54,7 +54,7 @@
         messages: receiver,
         queued_bytes,
     };
-    // Nothing is ever sent: the error is the signal.
+    // No value is ever sent: the receiver's error signals that the queue was dropped.
     let dropped = async move { drop(dropped.await) };
     (queue, receiver, dropped)
 }
@@ -63,7 +63,7 @@
     /// Queues a message. An empty queue accepts a message of any size.
     ///
     /// # Errors
-    /// The queue would exceed its limit; the message is dropped.
+    /// [`QueueFull`] if the queue would exceed its limit; the message is dropped.
     pub(crate) fn push(&self, message: Message) -> Result<(), QueueFull> {
         let queued_before = self.queued_bytes.get();
         let queued_after = queued_before + size(&message);
@@ -71,7 +71,8 @@
             return Err(QueueFull);
         }
         self.queued_bytes.set(queued_after);
-        // The connection has closed; its `Closed` event is on its way to the driver.
+        // Sending fails only if the connection has closed; the driver will receive its `Closed`
+        // event.
         let _ = self.messages.send(message);
         Ok(())
     }
--- a/crates/overlay-transport/src/send_queue/tests.rs
+++ b/crates/overlay-transport/src/send_queue/tests.rs
@@ -1,3 +1,5 @@
+//! Limit of a send queue, and delivery of the queued messages after it is dropped.
+
 use std::sync::Arc;
 
 use super::*;
