--- a/crates/keyed-ownership/examples/permit_study.rs
+++ b/crates/keyed-ownership/examples/permit_study.rs
@@ -32,9 +32,9 @@
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-        ["hunt", seeds] => hunt(seeds.parse().expect("a number of seeds")),
-        ["split"] => split(),
-        _ => study(),
+        ["hunt", seeds] => search_for_violations(seeds.parse().expect("a number of seeds")),
+        ["split"] => compare_splits(),
+        _ => compare_sizes(),
     }
 }
 
@@ -51,7 +51,7 @@
 }
 
 /// All sizes, by rate and by the fraction of the requests that arrive in the server's region.
-fn study() {
+fn compare_sizes() {
     for gates in SIZES {
         for rate in [10.0, 15.0] {
             for local_fraction in [0.3, 0.95] {
@@ -91,10 +91,10 @@
 ];
 
 /// The gates of the small site.
-const SMALL_SITE: usize = 8;
+const SMALL_DEPLOYMENT: usize = 8;
 
 /// A small site, by the percentage of the bound that is divided among the gates.
-fn split() {
+fn compare_splits() {
     for (reserved_percent, quotas) in DIVISIONS {
         for rate in [10.0, 15.0] {
             let mut totals = Totals::default();
@@ -105,7 +105,7 @@
                     local_fraction: 0.95,
                     reserved_percent,
                     regional_quotas: quotas == Quotas::GatesOfTheRegion,
-                    ..Scenario::without_faults(seed, SMALL_SITE, rate)
+                    ..Scenario::without_faults(seed, SMALL_DEPLOYMENT, rate)
                 };
                 totals.add(&scenario, &run(&scenario));
             }
@@ -114,7 +114,7 @@
                 Quotas::GatesOfTheRegion => " in the region",
             };
             print!("{reserved_percent:3} % reserved{place}: ");
-            totals.report(SMALL_SITE, rate);
+            totals.report(SMALL_DEPLOYMENT, rate);
         }
     }
 }
@@ -157,7 +157,7 @@
 
 /// Searches for runs under faults that exceed a bound. Runs of the largest size take long and use a
 /// twentieth of the seeds.
-fn hunt(seeds: u64) {
+fn search_for_violations(seeds: u64) {
     for gates in [2, 3, 5, 8, 30, 300, 2000] {
         let seeds = if gates >= 2000 { seeds / 20 } else { seeds };
         let exceeding = (0..seeds)
@@ -178,17 +178,17 @@
 
 /// The scenario with its load, its keys and the gates' part of the bound varied by the seed.
 fn varied(scenario: &Scenario) -> Scenario {
-    let pick = |salt: u64, count: usize| {
+    let choice = |salt: u64, count: usize| {
         (scenario.seed.wrapping_mul(0x9e37_79b9).wrapping_add(salt) >> 7) as usize % count
     };
-    let rate = scenario.rate * [1.0, 0.3, 2.5][pick(1, 3)];
-    let reserved_percent = [50, 0, 100, 30][pick(77_777, 4)];
+    let rate = scenario.rate * [1.0, 0.3, 2.5][choice(1, 3)];
+    let reserved_percent = [50, 0, 100, 30][choice(77_777, 4)];
     let keys = if scenario.limit == Limit::SlowStart {
-        1 + pick(333_333, 3)
+        1 + choice(333_333, 3)
     } else {
         scenario.keys
     };
-    let regional_quotas = scenario.limit == Limit::SlowStart && pick(55_555, 2) == 1;
+    let regional_quotas = scenario.limit == Limit::SlowStart && choice(55_555, 2) == 1;
     Scenario {
         keys,
         rate,
--- a/crates/keyed-ownership/src/client.rs
+++ b/crates/keyed-ownership/src/client.rs
@@ -122,7 +122,7 @@
     ) -> Result<(), LimitExceeded> {
         let state = self.keys.entry(key.clone()).or_default();
         state.expire(now);
-        let acquired = state.take(now);
+        let acquired = state.take_permit(now);
         let prefetch = state.prefetch(now, self.timing.lifetime);
         let remaining = state.remaining();
         let permits = if !acquired {
--- a/crates/keyed-ownership/src/client/key_state.rs
+++ b/crates/keyed-ownership/src/client/key_state.rs
@@ -141,7 +141,7 @@
     }
 
     /// Uses the permit that expires first, if there is one.
-    pub(super) fn take(&mut self, now: Duration) -> bool {
+    pub(super) fn take_permit(&mut self, now: Duration) -> bool {
         let Some(first) = (0..self.grants.len()).min_by_key(|index| self.grants[*index].expires)
         else {
             return false;
--- a/crates/keyed-ownership/src/owner.rs
+++ b/crates/keyed-ownership/src/owner.rs
@@ -155,7 +155,7 @@
             actions.push(self.rejection(&key, &pending, MISROUTED_RETRY_DELAY));
             return;
         }
-        self.pools.entry(key.clone()).or_default().push(pending);
+        self.pools.entry(key.clone()).or_default().enqueue(pending);
         self.renew_until = self.renew_until.max(now + LEASE_RENEWAL_PERIOD);
         self.serve(now, &key, actions);
     }
--- a/crates/keyed-ownership/src/pool.rs
+++ b/crates/keyed-ownership/src/pool.rs
@@ -85,7 +85,7 @@
     }
 
     /// Queues a request; an earlier one of the same gate is dropped.
-    pub(crate) fn push(&mut self, request: PendingRequest) {
+    pub(crate) fn enqueue(&mut self, request: PendingRequest) {
         let demand = Demand {
             requested: request.requested,
             at: request.arrived,
--- a/crates/keyed-ownership/src/pool/tests.rs
+++ b/crates/keyed-ownership/src/pool/tests.rs
@@ -79,21 +79,21 @@
 #[test]
 fn pool_is_shared_by_demand_when_it_is_short() {
     let mut pool = PermitPool::default();
-    pool.push(request(1, 1, 8, 0));
+    pool.enqueue(request(1, 1, 8, 0));
     assert_eq!(pool.fair_share(8, 10), 8);
-    pool.push(request(2, 1, 24, 0));
+    pool.enqueue(request(2, 1, 24, 0));
     assert_eq!(pool.fair_share(8, 10), 2);
     assert_eq!(pool.fair_share(24, 10), 7);
-    pool.push(request(3, 1, 1, 0));
+    pool.enqueue(request(3, 1, 1, 0));
     assert_eq!(pool.fair_share(1, 10), 1);
 }
 
 #[test]
 fn newer_request_of_a_gate_replaces_its_older_one() {
     let mut pool = PermitPool::default();
-    pool.push(request(1, 1, 8, 0));
-    pool.push(request(2, 1, 1, 0));
-    pool.push(request(1, 2, 3, 0));
+    pool.enqueue(request(1, 1, 8, 0));
+    pool.enqueue(request(2, 1, 1, 0));
+    pool.enqueue(request(1, 2, 3, 0));
     let waiting: Vec<_> = pool
         .pending
         .iter()
@@ -108,16 +108,16 @@
     let mut pool = PermitPool::default();
     pool.grant(&request(0, 1, 10, 0), 10, &timing);
     let free = ms(300) + timing.charge_after_use();
-    let each = timing.charge_after_use() / 10;
+    let time_per_permit = timing.charge_after_use() / 10;
     let rejected = |pool: &mut PermitPool, number| {
         pool.retry_after(ms(500), &request(number, 1, 1, 500), &timing)
     };
     assert_eq!(rejected(&mut pool, 1), free - ms(500));
-    assert_eq!(rejected(&mut pool, 2), free - ms(500) + each);
-    let waits: Vec<_> = (3..200).map(|number| rejected(&mut pool, number)).collect();
+    assert_eq!(rejected(&mut pool, 2), free - ms(500) + time_per_permit);
+    let delays: Vec<_> = (3..200).map(|number| rejected(&mut pool, number)).collect();
     assert!(
-        waits
+        delays
             .iter()
-            .all(|wait| *wait >= ms(1000).min(free) && *wait <= ms(2000))
+            .all(|delay| *delay >= ms(1000).min(free) && *delay <= ms(2000))
     );
 }
--- a/crates/keyed-ownership/src/view.rs
+++ b/crates/keyed-ownership/src/view.rs
@@ -104,10 +104,10 @@
     #[must_use]
     pub fn owner<K: OwnedKey>(&self, key: &K) -> Option<GateId> {
         let seed = xxh3_64(key.name().as_bytes());
-        let is_near = |gate: &&GateId| key.region().is_none_or(|region| gate.region == region);
+        let is_in_region = |gate: &&GateId| key.region().is_none_or(|region| gate.region == region);
         let weight = |gate: &&GateId| (rendezvous_weight(seed, gate), gate.address);
-        let nearest = self.gates.iter().filter(is_near).max_by_key(weight);
-        nearest
+        let regional_owner = self.gates.iter().filter(is_in_region).max_by_key(weight);
+        regional_owner
             .or_else(|| self.gates.iter().max_by_key(weight))
             .copied()
     }
--- a/crates/keyed-ownership/src/view_change.rs
+++ b/crates/keyed-ownership/src/view_change.rs
@@ -70,7 +70,7 @@
     }
 
     /// Accepts a proposed view if it may follow the newest one.
-    pub fn propose(&mut self, view: Arc<View>) -> ProposalReply {
+    pub fn handle_proposal(&mut self, view: Arc<View>) -> ProposalReply {
         let newest = self.epoch();
         if view.epoch == newest {
             return ProposalReply::Accepted;
--- a/crates/keyed-ownership/src/view_change/tests.rs
+++ b/crates/keyed-ownership/src/view_change/tests.rs
@@ -31,13 +31,22 @@
 #[test]
 fn acceptor_accepts_a_view_that_follows_its_newest() {
     let mut acceptor = Acceptor::default();
-    assert_eq!(acceptor.propose(view(5, None)), ProposalReply::Accepted);
-    assert_eq!(acceptor.propose(view(7, Some(5))), ProposalReply::Accepted);
     assert_eq!(
-        acceptor.propose(view(8, Some(5))),
+        acceptor.handle_proposal(view(5, None)),
+        ProposalReply::Accepted
+    );
+    assert_eq!(
+        acceptor.handle_proposal(view(7, Some(5))),
+        ProposalReply::Accepted
+    );
+    assert_eq!(
+        acceptor.handle_proposal(view(8, Some(5))),
         ProposalReply::Rejected { newest: 7 }
     );
-    assert_eq!(acceptor.propose(view(9, None)), ProposalReply::Accepted);
+    assert_eq!(
+        acceptor.handle_proposal(view(9, None)),
+        ProposalReply::Accepted
+    );
     assert_eq!(acceptor.epoch(), 9);
 }
 
@@ -45,7 +54,7 @@
 fn acceptor_never_accepts_an_older_view() {
     let mut acceptor = Acceptor::restore(Some(view(9, None)));
     assert_eq!(
-        acceptor.propose(view(8, None)),
+        acceptor.handle_proposal(view(8, None)),
         ProposalReply::Rejected { newest: 9 }
     );
     acceptor.catch_up(view(8, None));
@@ -57,17 +66,23 @@
 #[test]
 fn proposal_sent_again_is_accepted_again() {
     let mut acceptor = Acceptor::default();
-    assert_eq!(acceptor.propose(view(5, Some(0))), ProposalReply::Accepted);
-    assert_eq!(acceptor.propose(view(5, Some(0))), ProposalReply::Accepted);
+    assert_eq!(
+        acceptor.handle_proposal(view(5, Some(0))),
+        ProposalReply::Accepted
+    );
+    assert_eq!(
+        acceptor.handle_proposal(view(5, Some(0))),
+        ProposalReply::Accepted
+    );
 }
 
 #[test]
 fn epochs_of_two_proposers_differ_and_rise() {
-    let (mut owned, mut other) = (Proposer::new(1, 3, 0), Proposer::new(2, 3, 0));
-    let (first, second) = (owned.propose(Vec::new()), other.propose(Vec::new()));
+    let (mut proposer, mut other) = (Proposer::new(1, 3, 0), Proposer::new(2, 3, 0));
+    let (first, second) = (proposer.propose(Vec::new()), other.propose(Vec::new()));
     assert_ne!(first.epoch, second.epoch);
-    owned.learn(second.clone());
-    assert!(owned.propose(Vec::new()).epoch > second.epoch.max(first.epoch));
+    proposer.learn(second.clone());
+    assert!(proposer.propose(Vec::new()).epoch > second.epoch.max(first.epoch));
 }
 
 #[test]
@@ -75,7 +90,10 @@
     let mut acceptor = Acceptor::default();
     let mut proposer = Proposer::new(1, 3, acceptor.epoch());
     let first = proposer.propose(Vec::new());
-    assert_eq!(acceptor.propose(first.clone()), ProposalReply::Accepted);
+    assert_eq!(
+        acceptor.handle_proposal(first.clone()),
+        ProposalReply::Accepted
+    );
     assert!(
         proposer.propose(Vec::new()).epoch > first.epoch,
         "a proposal that was given up"
--- a/crates/keyed-ownership/tests/simulation/checks.rs
+++ b/crates/keyed-ownership/tests/simulation/checks.rs
@@ -5,7 +5,7 @@
 
 use super::scenario::{Limit, Scenario};
 use super::trace::{KeyEvent, Trace, Wait};
-use super::{Micros, micros};
+use super::{Micros, to_micros};
 
 /// The window of the slow-start bound.
 const SECOND: Micros = 1_000_000;
@@ -46,7 +46,7 @@
 }
 
 fn excess(requests: &[Micros], retries: &[Micros], settings: &RetryBudgetSettings) -> f64 {
-    let window = micros(settings.window);
+    let window = to_micros(settings.window);
     let mut worst: f64 = 0.0;
     // The excess changes only where an event enters or leaves one of the three windows.
     for start in window_starts(requests, retries, window) {
--- a/crates/keyed-ownership/tests/simulation/coordinator.rs
+++ b/crates/keyed-ownership/tests/simulation/coordinator.rs
@@ -39,6 +39,6 @@
 }
 
 /// The acceptor beside a proposer.
-pub(crate) fn acceptor_beside(proposer: usize) -> usize {
+pub(crate) fn colocated_acceptor(proposer: usize) -> usize {
     proposer * (ACCEPTORS - 1)
 }
--- a/crates/keyed-ownership/tests/simulation/faults.rs
+++ b/crates/keyed-ownership/tests/simulation/faults.rs
@@ -18,7 +18,7 @@
     let mut random = Xoshiro256PlusPlus::seed_from_u64(scenario.seed ^ 0xfa17);
     for _ in 0..random.random_range(2..6) {
         let at = random.random_range(1_000 * MS..scenario.length * 3 / 4);
-        queue.push(at, WorldEvent::Fault(draw(scenario, &mut random)));
+        queue.push(at, WorldEvent::Fault(random_fault(scenario, &mut random)));
     }
     if scenario.fault_plan == FaultPlan::MixedAndMassRestart {
         let at = random.random_range(3_000 * MS..scenario.length / 2);
@@ -30,7 +30,7 @@
     }
 }
 
-fn draw(scenario: &Scenario, random: &mut Xoshiro256PlusPlus) -> Fault {
+fn random_fault(scenario: &Scenario, random: &mut Xoshiro256PlusPlus) -> Fault {
     let target = if random.random_bool(0.7) {
         FaultTarget::Owner {
             key: random.random_range(0..scenario.keys),
--- a/crates/keyed-ownership/tests/simulation/messages.rs
+++ b/crates/keyed-ownership/tests/simulation/messages.rs
@@ -7,7 +7,7 @@
 use super::gate::{gate_index, key_index};
 use super::network::{WorldEvent, network_delay};
 use super::world::World;
-use super::{MS, at, micros};
+use super::{MS, at, to_micros};
 
 impl World {
     pub(super) fn deliver(&mut self, to: usize, message: Message<Instance>) {
@@ -105,7 +105,7 @@
         .flatten()
         .min();
         let Some(due) = due else { return };
-        let due = micros(due).max(now + MS);
+        let due = to_micros(due).max(now + MS);
         if process.timer_at.is_some_and(|set| set <= due && set > now) {
             return;
         }
--- a/crates/keyed-ownership/tests/simulation/mod.rs
+++ b/crates/keyed-ownership/tests/simulation/mod.rs
@@ -30,6 +30,6 @@
 }
 
 /// A duration or moment of the crate in microseconds, rounded up.
-pub(crate) fn micros(duration: std::time::Duration) -> Micros {
+pub(crate) fn to_micros(duration: std::time::Duration) -> Micros {
     duration.as_nanos().div_ceil(1_000) as Micros
 }
--- a/crates/keyed-ownership/tests/simulation/requests.rs
+++ b/crates/keyed-ownership/tests/simulation/requests.rs
@@ -8,7 +8,7 @@
 use super::scenario::Limit;
 use super::trace::{KeyEvent, Wait};
 use super::world::World;
-use super::{MS, Micros, at, micros};
+use super::{MS, Micros, at, to_micros};
 
 /// The fraction of the requests to a service that fail and are retried.
 const FAILURE_RATE: f64 = 0.9;
@@ -20,16 +20,16 @@
             self.now + interval as Micros + 1,
             WorldEvent::Request { key },
         );
-        let gate = self.gate_for(key);
+        let gate = self.random_gate_for(key);
         self.trace.requests.push(KeyEvent { key, at: self.now });
-        let failing =
+        let needs_permit =
             self.scenario.limit == Limit::SlowStart || self.random.random_bool(FAILURE_RATE);
         let now = self.now;
         let Some(process) = &mut self.gates[gate].process else {
             return;
         };
         process.permits.on_request(at(now), &instance(key));
-        if failing {
+        if needs_permit {
             process.waiting[key].push_back(now);
             if self.gates[gate].paused_until <= now {
                 self.send_permitted(gate, key);
@@ -37,7 +37,7 @@
         }
     }
 
-    fn gate_for(&mut self, key: usize) -> usize {
+    fn random_gate_for(&mut self, key: usize) -> usize {
         let any = self.random.random_range(0..self.scenario.gates);
         let local = any - any % REGIONS + key % REGIONS;
         if local < self.scenario.gates && self.random.random_bool(self.scenario.local_fraction) {
@@ -113,7 +113,7 @@
     fn schedule_retry(&mut self, gate: usize, key: usize, exceeded: LimitExceeded) {
         let now = self.now;
         let retry_at = match exceeded {
-            LimitExceeded::Until(moment) => micros(moment),
+            LimitExceeded::Until(moment) => to_micros(moment),
             LimitExceeded::Indefinitely => now + 50 * MS,
         };
         let due = retry_at.max(now + MS);
--- a/crates/keyed-ownership/tests/simulation/run.rs
+++ b/crates/keyed-ownership/tests/simulation/run.rs
@@ -55,7 +55,7 @@
                 proposer,
                 acceptor,
                 view,
-            } => self.propose(proposer, acceptor, &view),
+            } => self.deliver_proposal(proposer, acceptor, &view),
             WorldEvent::CatchUp { acceptor, view } => self.catch_up(acceptor, view),
             WorldEvent::EpochQuery(query) => self.on_epoch_query(query),
             WorldEvent::EpochReply { query, newest } => self.on_epoch_reply(query, newest),
--- a/crates/keyed-ownership/tests/simulation/views.rs
+++ b/crates/keyed-ownership/tests/simulation/views.rs
@@ -8,7 +8,7 @@
 use rand::RngExt as _;
 
 use super::coordinator::{
-    ACCEPTORS, FIRST_EPOCH, PROPOSERS, RECONFIGURE_INTERVAL, acceptor_beside,
+    ACCEPTORS, FIRST_EPOCH, PROPOSERS, RECONFIGURE_INTERVAL, colocated_acceptor,
 };
 use super::gate::gate_index;
 use super::network::WorldEvent;
@@ -69,9 +69,9 @@
             return;
         };
         let view = self.open_proposal(proposer, gates);
-        let nearest = acceptor_beside(proposer);
-        self.propose(proposer, nearest, &view);
-        if self.acceptors[nearest].epoch() != view.epoch {
+        let local_acceptor = colocated_acceptor(proposer);
+        self.deliver_proposal(proposer, local_acceptor, &view);
+        if self.acceptors[local_acceptor].epoch() != view.epoch {
             return;
         }
         self.propose_to_others(proposer, &view);
@@ -111,7 +111,8 @@
 
     /// Sends a proposal to the acceptors but the one beside the proposer.
     fn propose_to_others(&mut self, proposer: usize, view: &Arc<View>) {
-        for acceptor in (0..ACCEPTORS).filter(|acceptor| *acceptor != acceptor_beside(proposer)) {
+        for acceptor in (0..ACCEPTORS).filter(|acceptor| *acceptor != colocated_acceptor(proposer))
+        {
             let arrival = self.now + self.random.random_range(0..300 * MS);
             let proposal = WorldEvent::Propose {
                 proposer,
@@ -128,11 +129,11 @@
     }
 
     /// A proposed view reaches an acceptor, which answers at once.
-    pub(super) fn propose(&mut self, proposer: usize, acceptor: usize, view: &Arc<View>) {
+    pub(super) fn deliver_proposal(&mut self, proposer: usize, acceptor: usize, view: &Arc<View>) {
         if self.is_in_minority(proposer) != self.is_acceptor_partitioned(acceptor) {
             return;
         }
-        let reply = self.acceptors[acceptor].propose(view.clone());
+        let reply = self.acceptors[acceptor].handle_proposal(view.clone());
         let coordinator = &mut self.coordinators[proposer];
         let outcome = coordinator
             .proposer
