--- a/crates/keyed-ownership/src/lease.rs
+++ b/crates/keyed-ownership/src/lease.rs
@@ -1,16 +1,16 @@
-//! Since when a gate has owned a key without interruption, and whether it may act on that now.
+//! The lease of a gate on its keys: since when it has owned each without interruption, and whether
+//! it may act as the owner now.
 //!
 //! The ownership of a key begins when the first view in which the gate owns the key is confirmed.
-//! It continues over views that follow each other without a gap. Over a gap, others may have owned
-//! the key; the ownership continues only if none of them can have completed its takeover delay.
-//! That holds if the new view is confirmed early enough after the last confirmation of the old one
-//! was requested.
+//! It continues over views that follow each other without a gap. During a gap, other gates may have
+//! owned the key. The ownership then continues only if none of them can have completed its takeover
+//! delay, which holds if the new view is confirmed early enough after the last confirmation of the
+//! old one was requested.
 //!
 //! The leases are those of Gray and Cheriton (1989): the holder may act until its term has passed.
-//! The term counts from the moment at which the holder sent its request, by its own clock, so the
-//! delay of the answers shortens the lease and never lengthens it. Unlike there, a lease is never
-//! revoked and the acceptors keep no record of it; a successor waits for the takeover delay instead
-//! ([`crate::timing`]).
+//! The term starts when the holder sends its request, by its own clock, so slow answers shorten the
+//! lease and never lengthen it. Unlike in that paper, a lease is never revoked and the acceptors
+//! keep no record of it; a successor waits for the takeover delay instead ([`crate::timing`]).
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -25,21 +25,22 @@
 #[cfg(test)]
 mod tests;
 
-/// What a gate may do for a key.
+/// Whether a gate may act as the owner of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// It may grant under this token.
+    /// The gate owns the key and may grant permits under this token.
     Active(FencingToken),
-    /// It may not grant before this moment, because grants of an earlier owner may be outstanding.
+    /// The gate owns the key but may not grant before this time, because grants of an earlier owner
+    /// may still be outstanding.
     TakeoverDelay(Duration),
-    /// It has no recent enough confirmation.
+    /// The gate owns the key by its newest view, but its lease has expired or was never confirmed.
     Unconfirmed,
     /// Another gate owns the key, or there is no view.
     NotOwner,
 }
 
 impl LeaseState {
-    /// The end of the takeover delay, while it lasts.
+    /// The end of the takeover delay; `None` in any other state.
     #[must_use]
     pub fn available_from(self) -> Option<Duration> {
         match self {
@@ -49,22 +50,23 @@
     }
 }
 
-/// How a view follows the one before it.
+/// Whether other gates may have owned keys between a view and the preceding one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Continuity {
-    /// Without a gap, or with one that is known to be harmless.
+    /// No view lies between the two, or no owner in between can have completed its takeover delay.
     Continuous,
-    /// With a gap that is harmless if the view is confirmed before this moment.
+    /// Other views may lie in between. No owner of these can have granted anything if the view is
+    /// confirmed before this time.
     Gap(Duration),
-    /// Nothing is known of the owners in between.
+    /// Owners in between may have granted permits.
     Broken,
 }
 
-/// A view that the gate has acted on.
+/// A view that the gate has adopted.
 #[derive(Clone, Debug)]
 struct ViewRecord {
     view: Arc<View>,
-    /// Whether the gate owns a key in this view, for the keys asked about so far.
+    /// Whether the gate owns a key in this view: a cache for the keys looked up so far.
     owned: FxHashMap<Box<str>, bool>,
     continuity: Continuity,
     /// When the view was first confirmed.
@@ -76,7 +78,7 @@
 pub struct Lease {
     me: GateId,
     timing: PermitTiming,
-    /// By ascending epoch; the last one is in force.
+    /// The adopted views by ascending epoch; the last one is the current view.
     views: VecDeque<ViewRecord>,
     last_confirmation: Option<ConfirmedEpoch>,
 }
@@ -93,14 +95,14 @@
         }
     }
 
-    /// The epoch in force, if there is a view.
+    /// The epoch of the current view, if there is one.
     #[must_use]
     pub fn epoch(&self) -> Option<u64> {
         self.views.back().map(|record| record.view.epoch)
     }
 
-    /// Adopts a view unless it is older than the one in force or the same. Returns whether it was
-    /// adopted.
+    /// Makes `view` the current view if its epoch is higher than that of the current one. Returns
+    /// whether it was adopted.
     pub fn adopt(&mut self, view: Arc<View>) -> bool {
         let continuity = match self.epoch() {
             Some(epoch) if view.epoch <= epoch => return false,
@@ -116,8 +118,8 @@
         true
     }
 
-    /// Applies a confirmation that was complete at `now`. One of another epoch than that in force
-    /// is ignored.
+    /// Applies a confirmation that a majority completed at `now`. A confirmation of another epoch
+    /// than the current one is ignored.
     pub fn confirm(&mut self, now: Duration, confirmed: ConfirmedEpoch) {
         if self.epoch() != Some(confirmed.epoch) {
             return;
@@ -136,8 +138,8 @@
         self.prune(now);
     }
 
-    /// The moment until which the gate may act on its last confirmation, by its steady clock;
-    /// `None` without one of the epoch in force.
+    /// When the lease from the last confirmation expires, by the gate's steady clock; `None` if the
+    /// current epoch has not been confirmed.
     #[must_use]
     pub fn leased_until(&self) -> Option<Duration> {
         let last = self
@@ -146,7 +148,7 @@
         Some(last.requested_at + self.timing.lease_duration)
     }
 
-    /// What the gate may do for `key` at `now`, by its steady clock.
+    /// Whether the gate may act as the owner of `key` at `now`, by its steady clock.
     pub fn state<K: OwnedKey>(&mut self, now: Duration, key: &K) -> LeaseState {
         let me = self.me;
         let Some(record) = self.views.back_mut() else {
@@ -189,7 +191,8 @@
         owned_since
     }
 
-    /// The gap to a view that does not follow the one in force.
+    /// The gap before a view that does not directly follow the current one: until when a confirmation
+    /// shows that no owner in between can have granted.
     fn gap(&self) -> Continuity {
         let Some(last) = self.last_confirmation else {
             return Continuity::Broken;
@@ -198,7 +201,7 @@
         Continuity::Gap(takeover.saturating_sub(self.timing.lease_duration))
     }
 
-    /// Decides at a confirmation which gaps were harmless.
+    /// Decides at a confirmation whether an owner during a gap can have granted permits.
     fn resolve_gaps(&mut self, now: Duration) {
         for record in &mut self.views {
             if let Continuity::Gap(until) = record.continuity {
@@ -211,8 +214,8 @@
         }
     }
 
-    /// Drops the views before the last break, and those before the last view that was confirmed a
-    /// takeover delay ago: the state no longer depends on them.
+    /// Drops the views before the last break in continuity, and those before the last view that was
+    /// confirmed at least a takeover delay ago, because the lease state no longer depends on them.
     fn prune(&mut self, now: Duration) {
         let takeover_complete = |record: &ViewRecord| {
             record
--- a/crates/keyed-ownership/src/lib.rs
+++ b/crates/keyed-ownership/src/lib.rs
@@ -1,37 +1,51 @@
-//! One owner for each key, by leases and fencing tokens, without I/O.
+//! Assigns one owner to each key by rendezvous hashing, with leases and fencing tokens. The owner of
+//! a key grants permits from a pool that all gates share, so that the gates together stay within
+//! one bound. The code is a set of state machines: they perform no I/O and read no clock.
 //!
-//! **No program uses this crate yet.** The gates divide the slow-start bound by rank
-//! (`ironmast_limits::quota`) and the retry budget by the number of gates. The crate is retained,
-//! with its tests, for the singleton roles of the design: a bound whose pool one process owns, and
-//! other tasks that exactly one process may perform.
+//! # Modules
 //!
-//! Keys are assigned to gates by rendezvous hashing over the members of a [`View`]. The agent that
-//! owns a key grants permits from the shared pool of that key's bound ([`owner`]); gates request
-//! them ([`client`]). An owner acts only while a majority of [`Acceptor`]s has confirmed its view
-//! ([`confirmation`], [`lease`]), and each grant carries the view's epoch as its fencing token
-//! ([`FencingToken`]). [`timing`] explains why the permits of two successive owners never overlap.
-//! [`SlowStartPermits`] and [`RetryPermits`] combine a gate's own quota (`ironmast_limits`) with
-//! what it is granted.
+//! - [`view`]: a [`View`] is the set of gates of one epoch and determines the owner of each key. The
+//!   [`FencingToken`] carries that epoch in every grant.
+//! - [`view_change`]: coordinators propose views, and an [`Acceptor`] beside each coordinator
+//!   accepts or rejects them. A majority of acceptors installs a view.
+//! - [`confirmation`] and [`lease`]: an owner acts only while a majority of the acceptors has
+//!   recently confirmed that its view is the newest.
+//! - [`timing`]: the durations of leases and permits, and why the permits of two successive owners
+//!   never count in the same window.
+//! - [`message`], [`owner`] and [`client`]: gates request permits through a [`PermitClient`], and
+//!   the [`PermitOwner`] of the key grants them.
+//! - [`permits`]: [`SlowStartPermits`] and [`RetryPermits`] combine a gate's own quota
+//!   (`ironmast_limits`) with the permits that it is granted. [`BoundSplit`] divides the bound
+//!   between the two.
 //!
-//! Sources: Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File
-//! Cache Consistency" (1989), for the leases; Burrows, "The Chubby Lock Service" (2006), for the
-//! fencing tokens (its sequencers).
+//! # Status
+//!
+//! **No program uses this crate yet.** The gates divide the slow-start bound by rank
+//! (`ironmast_limits::quota`) and the retry budget by the number of gates. The crate is retained,
+//! with its tests, for the singleton roles of the design: a bound whose pool is owned by one
+//! process, and other tasks that exactly one process may perform.
 //!
 //! # What the caller must ensure
 //!
-//! - A gate's incarnation is new at each start of its process, and so is all state here except the
-//!   acceptor's.
-//! - `now` is read after the event that it is passed with, and a permit is used at once: when the
+//! - Each start of a gate's process uses a new incarnation and starts without state. Only the state
+//!   of an [`Acceptor`] survives a restart.
+//! - `now` is read after the event that it is passed with. A permit is used at once: when the
 //!   request is written, not before a connection is made.
 //! - An [`Acceptor`] has its newest view on disk before it answers, and a coordinator proposes to
 //!   its own acceptor first.
-//! - The [`PermitTiming`] is the same at all gates, and so are the bounds except for the time that
-//!   a configuration takes to spread.
+//! - All gates use the same [`PermitTiming`]. They use the same bounds too, except while a changed
+//!   configuration spreads.
 //!
 //! # Times
 //!
-//! Times are [`std::time::Duration`]s of the steady clock of the machine that runs the code;
-//! nothing compares the clocks of two machines. Methods take `now` and never read a clock.
+//! Times are [`std::time::Duration`]s of the steady clock of the machine that runs the code; the
+//! clocks of two machines are never compared. Methods take `now` and never read a clock.
+//!
+//! # Sources
+//!
+//! The leases are those of Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for
+//! Distributed File Cache Consistency" (1989). The fencing tokens are the sequencers of Burrows,
+//! "The Chubby Lock Service" (2006).
 #![forbid(unsafe_code)]
 
 pub mod client;
--- a/crates/keyed-ownership/src/message.rs
+++ b/crates/keyed-ownership/src/message.rs
@@ -1,6 +1,6 @@
 //! Messages between a gate and the owner of a key.
 //!
-//! Times in them are lengths of time, never moments: the clocks of gate and owner are not compared.
+//! They contain durations and no timestamps, because the clocks of gate and owner are not compared.
 
 use std::time::Duration;
 
@@ -8,68 +8,70 @@
 
 use crate::view::{FencingToken, GateId};
 
-/// A gate requests permits from the owner of a key.
+/// A gate's request for permits, sent to the owner of the key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest<K> {
     /// The gate that sends the request.
     pub gate: GateId,
     /// The number of the request, unique within this incarnation of the gate.
     pub sequence: u64,
-    /// The owner as the gate knows it.
+    /// The owner and the epoch by the gate's newest view. A request with another owner than the
+    /// receiver is rejected.
     pub token: FencingToken,
-    /// The server instance or the service.
+    /// The server instance or the service that the permits are for.
     pub key: K,
     /// The number of permits requested.
     pub requested: u32,
     /// Permits that the owner may have outstanding in one window, by the gate's configuration.
     pub pool: u32,
-    /// The longest time after the sending of the request in which its permits will be used.
+    /// How long after sending the request the gate may use its permits.
     pub lifetime: Duration,
     /// How long the owner may queue the request until it can grant it.
     pub max_wait: Duration,
-    /// Earlier grants of this key that are completed.
+    /// Completed grants of this key that the gate has not reported to this owner yet.
     pub completed: Vec<CompletedGrant>,
 }
 
-/// The owner's answer. Permits may be used until the lifetime named in the request has passed since
-/// the gate sent it, by the gate's own clock.
+/// The owner's answer to a [`PermitRequest`]. The permits expire once the request's lifetime has
+/// passed since the gate sent it, by the gate's own clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant<K> {
-    /// The ownership under which the permits are granted.
+    /// The fencing token of the owner; gates reject a grant with an older epoch than the last one.
     pub token: FencingToken,
     /// The gate that sent the request.
     pub gate: GateId,
-    /// The number of the request.
+    /// The sequence number of the request.
     pub sequence: u64,
-    /// The server instance or the service.
+    /// The key of the request.
     pub key: K,
     /// The number of permits granted; 0 rejects the request.
     pub count: u32,
-    /// The pool is nearly exhausted: the gate reports the last use at once.
+    /// Whether more than half of the pool is outstanding: the gate then reports the grant as soon as
+    /// its last permit is used.
     pub contended: bool,
-    /// With a rejection: how long the gate must not send another request.
+    /// With a rejection, how long the gate must wait before it sends another request for the key.
     pub retry_after: Duration,
 }
 
-/// A gate reports completed grants to the owner without requesting more.
+/// A gate's report of completed grants that requests no permits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release<K> {
-    /// The gate.
+    /// The gate that received the grants.
     pub gate: GateId,
-    /// The server instance or the service.
+    /// The key that the permits were granted for.
     pub key: K,
-    /// The completed grants.
+    /// The completed grants, which the owner then counts only by their used permits.
     pub completed: Vec<CompletedGrant>,
 }
 
 /// The end of a grant: the gate will use no more of its permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletedGrant {
-    /// The number of the request.
+    /// The sequence number of the request that was granted.
     pub sequence: u64,
     /// The number of permits used; the others are released.
     pub used: u32,
-    /// The time from the sending of the request to the last use; zero if none was used.
+    /// The time from sending the request to the last use; zero if no permit was used.
     pub last_used_after: Duration,
 }
 
--- a/crates/keyed-ownership/src/owner.rs
+++ b/crates/keyed-ownership/src/owner.rs
@@ -1,10 +1,13 @@
-//! The owner's side of permits: what the agent of each gate runs for the keys that it owns.
+//! The owner's side of the permit protocol, which each gate runs for the keys that it owns.
 //!
-//! Safety rests on three properties, none of which needs clocks to agree. An owner grants only
-//! within its lease and after its takeover delay ([`PermitTiming`]). It counts each permit from the
-//! receipt of the request until the last moment at which the request that uses it can share a
-//! window with another. And a gate uses a permit only within its lifetime. The fencing token lets
-//! gates and owners reject what is outdated earlier than that.
+//! The bound holds because of three rules, none of which needs synchronized clocks:
+//!
+//! - An owner grants only within its lease and after its takeover delay ([`PermitTiming`]).
+//! - An owner counts each permit from the receipt of the permit request until the request that uses
+//!   it can no longer share a window with another one.
+//! - A gate uses a permit only within its lifetime.
+//!
+//! The fencing token additionally lets gates and owners reject outdated messages early.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,53 +24,53 @@
 #[cfg(test)]
 mod tests;
 
-/// How long after a permit request the lease is renewed. A request that comes later waits for a
-/// confirmation first.
+/// How long after the last permit request the lease is still renewed. A request that arrives later
+/// has to wait for a confirmation.
 const LEASE_RENEWAL_PERIOD: Duration = Duration::from_secs(3);
 
-/// The shortest time between two requests for a confirmation.
+/// The minimum interval between two requests for a confirmation.
 const MIN_CONFIRM_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The retry delay of a gate that sent its request to a gate which does not own the key.
+/// The retry delay in the rejection of a request whose receiver does not own the key.
 const MISROUTED_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// The time between two requests for the first confirmation of a view that no gate needs yet.
+/// How often the first confirmation of a view is requested while no permit requests are expected.
 const IDLE_CONFIRM_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What happens to an owner.
+/// An input of [`PermitOwner::handle`].
 #[derive(Clone, Debug)]
 pub enum Event<K> {
-    /// A view was learned.
+    /// The gate received a view.
     View(Arc<View>),
-    /// A majority of the acceptors confirmed the epoch.
+    /// A majority of the acceptors confirmed that the epoch is the newest.
     EpochConfirmed(ConfirmedEpoch),
-    /// A gate requests permits.
+    /// A permit request arrived.
     Request(PermitRequest<K>),
-    /// A gate reports completed grants.
+    /// A report of completed grants arrived.
     Release(Release<K>),
-    /// Requests are to be expected until this moment, because a server is known to be warming up.
-    /// The lease is renewed until then.
+    /// Permit requests are expected until this time, because a server is known to be warming up. The
+    /// lease is renewed until then.
     ExpectRequests(Duration),
-    /// The moment of [`PermitOwner::next_deadline`] has come.
+    /// The time returned by [`PermitOwner::next_deadline`] was reached.
     Tick,
 }
 
-/// What the driver of an owner must do.
+/// An output of [`PermitOwner::handle`], which the caller carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action<K> {
-    /// Send the message to the gate.
+    /// Sends the message to the gate.
     Send(GateId, Message<K>),
-    /// Ask all acceptors for their newest epoch.
+    /// Queries all acceptors for their newest epoch.
     Confirm {
         /// The epoch that must be the newest.
         epoch: u64,
-        /// Now; it goes into the [`ConfirmedEpoch`] that results.
+        /// The time of this action, to be copied into the resulting [`ConfirmedEpoch`].
         requested_at: Duration,
     },
 }
 
-/// The owner's state. Nothing of it is on disk: a restart is a new incarnation, which waits for its
-/// takeover delay.
+/// The owner's state machine for the keys of one gate. None of its state is stored on disk: a
+/// restarted gate has a new incarnation and waits for its takeover delay.
 #[derive(Clone, Debug)]
 pub struct PermitOwner<K> {
     me: GateId,
@@ -75,15 +78,15 @@
     lease: Lease,
     /// When the last confirmation was requested.
     confirm_requested_at: Option<Duration>,
-    /// The lease is renewed until this moment, because requests are expected until then.
+    /// Until when permit requests are expected and the lease is renewed.
     renew_until: Duration,
-    /// The moment of the last event.
+    /// The time of the last event.
     now: Duration,
     pools: FxHashMap<K, PermitPool>,
 }
 
 impl<K: OwnedKey> PermitOwner<K> {
-    /// The owner beside the gate `me`, whose incarnation must be new.
+    /// The owner at the gate `me`, whose incarnation must be new.
     #[must_use]
     pub fn new(me: GateId, timing: PermitTiming) -> Self {
         Self {
@@ -97,8 +100,9 @@
         }
     }
 
-    /// Applies an event at `now`, which must be read after the event was. If the clock were read
-    /// before it and the process stopped in between, a request would count from before it was sent.
+    /// Applies an event and appends the resulting actions. `now` must be read after the event was
+    /// received: if the process stalled between reading the clock and receiving a request, the request
+    /// would count from a time before it was sent.
     pub fn handle(&mut self, now: Duration, event: Event<K>, actions: &mut Vec<Action<K>>) {
         self.now = now;
         match event {
@@ -112,7 +116,7 @@
         self.renew_lease(now, actions);
     }
 
-    /// When [`Event::Tick`] is due; `None` if there is nothing to wait for.
+    /// When [`Event::Tick`] is due; `None` if no timer is needed.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         let pools = self.pools.values().filter_map(next_pool_deadline);
@@ -160,7 +164,7 @@
         self.serve(now, &key, actions);
     }
 
-    /// The request as it is queued, for no longer than its gate allows.
+    /// The queue entry of a request, with the deadline that its gate allows.
     fn pending(&self, now: Duration, request: &PermitRequest<K>) -> PendingRequest {
         PendingRequest {
             gate: request.gate,
@@ -213,7 +217,7 @@
         }
     }
 
-    /// Grants permits to the queued requests, in order, while there are any.
+    /// Grants permits to the queued requests, in order, while the pool has permits.
     fn grant(&mut self, key: &K, token: FencingToken, actions: &mut Vec<Action<K>>) {
         let Some(pool) = self.pools.get_mut(key) else {
             return;
@@ -243,7 +247,7 @@
         }
     }
 
-    /// Rejects the requests that were queued for as long as their gates allow.
+    /// Rejects the requests whose deadline has passed.
     fn reject_overdue(&mut self, now: Duration, key: &K, actions: &mut Vec<Action<K>>) {
         self.reject_where(now, key, actions, |request, _| now >= request.deadline);
     }
@@ -260,7 +264,7 @@
         self.reject_where(now, key, actions, |_, position| position >= available);
     }
 
-    /// Rejects the requests whose deadline is before `until`, with that as the moment to try again.
+    /// Rejects the requests whose deadline is before `until`; their gates may retry at `until`.
     fn reject_before(
         &mut self,
         now: Duration,
@@ -305,7 +309,7 @@
         }
     }
 
-    /// A grant of no permits.
+    /// The answer that grants no permits, and which gates treat as a rejection.
     fn rejection(&self, key: &K, request: &PendingRequest, retry_after: Duration) -> Action<K> {
         let grant = Grant {
             token: FencingToken {
@@ -329,7 +333,7 @@
         }
     }
 
-    /// Requests a confirmation of the epoch in force.
+    /// Requests a confirmation of the current epoch.
     fn confirm(&mut self, now: Duration, actions: &mut Vec<Action<K>>) {
         let Some(epoch) = self.lease.epoch() else {
             return;
@@ -341,8 +345,8 @@
         });
     }
 
-    /// A confirmation is due once for each view, and after half of the lease while requests are
-    /// expected.
+    /// When the next confirmation is due: once for each view, and at half of the lease while requests
+    /// are expected.
     fn next_confirm(&self) -> Option<Duration> {
         self.lease.epoch()?;
         let requested_at = self.confirm_requested_at.unwrap_or(Duration::ZERO);
@@ -358,7 +362,7 @@
     }
 }
 
-/// When a queued request can be answered, or must be; `None` without one.
+/// When the next queued request can or must be answered; `None` if the queue is empty.
 fn next_pool_deadline(pool: &PermitPool) -> Option<Duration> {
     let first = pool.pending.iter().map(|request| request.deadline).min()?;
     [pool.next_expiry(), pool.available_from]
--- a/crates/keyed-ownership/src/timing.rs
+++ b/crates/keyed-ownership/src/timing.rs
@@ -1,16 +1,21 @@
-//! The durations that make permits safe.
+//! The durations of permits and leases, and why they keep the permits of two owners apart.
 //!
-//! Let the last confirmation of an old owner have been requested before the new view was installed.
-//! The old owner grants for less than [`PermitTiming::lease_duration`] after that request. Each
-//! permit is used within [`PermitTiming::lifetime`] after the gate sent its request, and thus after
-//! the owner received it. Its request to the server is delayed by at most
-//! [`PermitTiming::delay_variation`] and counts for [`PermitTiming::window`]. A new owner that
-//! waits for [`PermitTiming::takeover_delay`], the sum of the four, after the new view was
-//! confirmed therefore shares no window with the old one.
+//! An old owner requested its last confirmation before the new view was installed
+//! ([`crate::confirmation`]). Four durations follow that request:
+//!
+//! 1. The old owner grants for less than [`PermitTiming::lease_duration`].
+//! 2. A gate uses a permit within [`PermitTiming::lifetime`] after sending its permit request, and
+//!    thus within that time after the owner received it.
+//! 3. The request to the server that uses the permit is delayed by at most
+//!    [`PermitTiming::delay_variation`] more than others.
+//! 4. It counts for [`PermitTiming::window`].
+//!
+//! A new owner waits for [`PermitTiming::takeover_delay`], the sum of the four, after its view was
+//! confirmed. Its permits therefore share no window with those of the old owner.
 //!
 //! This is the rule of Gray and Cheriton (1989) that a lease which cannot be revoked is waited out.
-//! Only lengths of time are compared, never the clocks of two machines; how much two clocks drift
-//! apart in such a time is part of [`PermitTiming::delay_variation`].
+//! Only durations are compared, never the clocks of two machines; the drift of two clocks over the
+//! takeover delay is part of [`PermitTiming::delay_variation`].
 
 use std::time::Duration;
 
@@ -20,28 +25,28 @@
 #[cfg(test)]
 mod tests;
 
-/// The shortest lifetime of a permit: a scheduling delay of the owner's process and one of the
-/// gate's.
+/// The shortest lifetime of a permit, which allows for one scheduling delay of the owner's process
+/// and one of the gate's.
 const MIN_LIFETIME: Duration = Duration::from_millis(40);
 
-/// The durations of one kind of permit. They are the same at all gates.
+/// The durations of one kind of permit; all gates must use the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PermitTiming {
     /// The window over which the bound counts requests.
     pub window: Duration,
     /// The largest difference between the network delays of two requests, plus the drift between
-    /// two clocks over `takeover_delay`.
+    /// two clocks over [`takeover_delay`](Self::takeover_delay).
     pub delay_variation: Duration,
-    /// The longest time after the sending of a permit request in which its permits may be used.
+    /// How long after sending a permit request a gate may use its permits.
     pub lifetime: Duration,
-    /// How long after a confirmation was requested the owner may grant under it: the term of the
-    /// lease. A longer one needs fewer confirmations and lengthens the takeover delay.
+    /// The term of the lease: how long after requesting a confirmation the owner may grant under it.
+    /// A longer term needs fewer confirmations but lengthens the takeover delay.
     pub lease_duration: Duration,
-    /// How long the owner of a key that others may have owned grants nothing. With a shorter one
-    /// than [`new`](Self::new) computes, the permits of two owners may share a window.
+    /// How long a new owner grants nothing for a key that another gate may have owned. If it is
+    /// shorter than [`new`](Self::new) computes, the permits of two owners may share a window.
     pub takeover_delay: Duration,
-    /// The shortest lifetime that a gate requests. With a shorter one, permits may expire before
-    /// they are used.
+    /// The shortest lifetime that a gate requests. If it is too short, permits expire before they can
+    /// be used.
     pub min_lifetime: Duration,
 }
 
@@ -86,7 +91,7 @@
         )
     }
 
-    /// How long a permit counts against the pool after the receipt of a request for `lifetime`, if
+    /// How long after the owner received a request for `lifetime` a permit counts against the pool if
     /// its use is never reported.
     #[must_use]
     pub fn unreported_charge(&self, lifetime: Duration) -> Duration {
--- a/crates/keyed-ownership/src/view.rs
+++ b/crates/keyed-ownership/src/view.rs
@@ -1,8 +1,8 @@
 //! The gates of an epoch, and which of them owns a key.
 //!
-//! Views come from outside. The limits need only that an epoch names one view for good and that
-//! epochs rise. It does not matter when a gate learns a view; gates may act on different views at
-//! the same time.
+//! Views are installed by [`crate::view_change`]. Safety requires only that each epoch identifies
+//! one view forever and that epochs increase. Gates may learn a view at any time and may act on
+//! different views at the same time.
 
 use std::hash::Hash;
 use std::net::{IpAddr, SocketAddr};
@@ -14,32 +14,32 @@
 #[cfg(test)]
 mod tests;
 
-/// One incarnation of the process beside a gate.
+/// Identifies one incarnation of a gate's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GateId {
-    /// The address at which others reach it.
+    /// The address at which other gates reach the process.
     pub address: SocketAddr,
-    /// Never used twice at one address; a restart uses a new one.
+    /// The incarnation number: new at each start, and never reused at one address.
     pub incarnation: u64,
-    /// The region that it runs in ([`region_number`]).
+    /// The number of the gate's region ([`region_number`]).
     pub region: u32,
 }
 
-/// The number of a region, from its name; the same at all gates. Where two regions have the same
-/// number, only the preference for near gates is lost.
+/// The number of a region: a hash of its name, the same at all gates. If the numbers of two regions
+/// collide, their gates count as one region and a key may be owned in the other of the two.
 #[must_use]
 pub fn region_number(name: &str) -> u32 {
     // The lower half of the hash.
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// Something that has an owner: a server instance or a service.
+/// A key that is assigned to an owner: a server instance or a service.
 pub trait OwnedKey: Clone + Eq + Hash {
-    /// Its name, by which the owner is chosen.
+    /// The name of the key, which is hashed to choose the owner.
     fn name(&self) -> &str;
 
-    /// The region whose gates own it, if it has one. It never changes for a name, and all gates
-    /// know the same.
+    /// The region whose gates may own the key; `None` if all gates may. All gates must know the same
+    /// region for a name, and it must never change.
     fn region(&self) -> Option<u32> {
         None
     }
@@ -63,12 +63,12 @@
     }
 }
 
-/// A server instance. It is owned in its own region, from which most of its requests come.
+/// A server instance. Its owner is a gate of its own region, where most of its requests come from.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its id, new at each start.
+    /// The id of the instance, new at each start.
     pub id: String,
-    /// The region of its zone.
+    /// The number of the region that contains the instance's zone.
     pub region: u32,
 }
 
@@ -85,10 +85,10 @@
 /// The gates of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// The number of the view; each names one set of gates for good.
+    /// The number of the view; each epoch identifies one set of gates forever.
     pub epoch: u64,
-    /// The epoch of the view before, if it is certain that none was in force between them. Without
-    /// it, owners wait for their takeover delay more often, and nothing else changes.
+    /// The epoch of the preceding view, if it is certain that no view was installed between the two.
+    /// With `None`, owners wait for their takeover delay more often, and nothing else changes.
     pub follows: Option<u64>,
     /// The gates, in any order.
     pub gates: Vec<GateId>,
@@ -99,8 +99,8 @@
     /// over the addresses of the gates of its region, or of all gates where the region has none;
     /// `None` in an empty view.
     ///
-    /// A gate that joins or leaves moves only the keys that it owns, unless it is the first or last
-    /// of its region.
+    /// A gate that joins or leaves changes only the owners of the keys that it owns itself, unless it
+    /// is the first or last gate of its region.
     #[must_use]
     pub fn owner<K: OwnedKey>(&self, key: &K) -> Option<GateId> {
         let seed = xxh3_64(key.name().as_bytes());
@@ -127,12 +127,12 @@
     }
 }
 
-/// The fencing token of an ownership: the epoch of the view that it comes from and the incarnation
-/// of the owner.
+/// The fencing token of an owner: the epoch of its view and its incarnation. A gate that has
+/// accepted a grant ignores later grants under a lower epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FencingToken {
     /// The epoch of the owner's view.
     pub epoch: u64,
-    /// The owner.
+    /// The incarnation of the gate that owns the key.
     pub owner: GateId,
 }
