--- a/crates/keyed-ownership/src/client.rs
+++ b/crates/keyed-ownership/src/client.rs
@@ -1,5 +1,5 @@
-//! The gate's side of permits: requests them from the owner of a key and uses what it is granted
-//! within its lifetime.
+//! The gate's side of the permit protocol: requests permits from the owner of a key, uses them
+//! within their lifetime and reports completed grants.
 
 mod key_state;
 
@@ -18,31 +18,31 @@
 #[cfg(test)]
 mod tests;
 
-/// What happens to a client.
+/// An input of [`PermitClient::handle`].
 #[derive(Clone, Debug)]
 pub enum Event<K> {
-    /// A view was learned.
+    /// The gate received a view.
     View(Arc<View>),
-    /// An owner answered.
+    /// An owner answered a permit request.
     Grant(Grant<K>),
-    /// The moment of [`PermitClient::next_deadline`] has come.
+    /// The time returned by [`PermitClient::next_deadline`] was reached.
     Tick,
 }
 
-/// What the driver of a client must do.
+/// An output of a [`PermitClient`], which the caller carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[expect(
     clippy::large_enum_variant,
     reason = "an action is carried out at once and not stored"
 )]
 pub enum Action<K> {
-    /// Send the message to the gate.
+    /// Sends the message to the gate.
     Send(GateId, Message<K>),
-    /// Permits for the key were granted; requests that wait for one may try again.
+    /// Retries the requests that wait for a permit of the key, because permits were granted.
     Ready(K),
 }
 
-/// The permits of one gate.
+/// The state machine of one gate that requests and uses permits.
 #[derive(Clone, Debug)]
 pub struct PermitClient<K> {
     me: GateId,
@@ -52,12 +52,13 @@
     keys: FxHashMap<K, KeyState>,
 }
 
-/// The permits of a key that the gate requests from the owner.
+/// The permits of a key that the gate needs from the owner.
 #[derive(Clone, Copy, Debug)]
 struct Shortfall {
-    /// The number of permits to request; no more than `pool` are.
+    /// The number of permits to request, which is capped at `pool`.
     permits: u32,
-    /// What the owner may have outstanding in one window, by the gate's configuration.
+    /// The number of permits that the owner may have outstanding in one window, by the gate's
+    /// configuration.
     pool: u32,
     purpose: Purpose,
 }
@@ -65,9 +66,9 @@
 /// Why permits are requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
-    /// For requests that wait.
+    /// Requests wait for a permit.
     Waiting,
-    /// For requests that are expected, by the gate's recent rate.
+    /// Requests are expected, by the gate's recent rate.
     Prefetch,
 }
 
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Applies an event at `now`.
+    /// Applies an event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event<K>, actions: &mut Vec<Action<K>>) {
         match event {
             Event::View(view) => self.on_view(view),
@@ -104,14 +105,16 @@
         }
     }
 
-    /// Uses a permit for `key`, for a request that must be written to the server at once. Without
-    /// one, requests permits from the owner.
+    /// Uses a permit of `key` for one request, which must be written to the server at once. If the
+    /// gate has no permit, or few for its recent rate, requests permits from the owner.
     ///
-    /// `pool` is what the owner of the key may have outstanding in one window, by the gate's
-    /// configuration; `waiting` is how many requests wait for a permit, this one included.
+    /// `pool` is the number of permits that the owner may have outstanding in one window, by the
+    /// gate's configuration; `waiting` is the number of requests that wait for a permit, this one
+    /// included.
     ///
     /// # Errors
-    /// [`LimitExceeded`] with the moment to try again, which [`Action::Ready`] may bring forward.
+    /// [`LimitExceeded`] with the time to retry if the gate has no permit; [`Action::Ready`] may
+    /// permit a retry earlier.
     pub fn try_acquire(
         &mut self,
         now: Duration,
@@ -158,7 +161,7 @@
             .is_some_and(|state| state.has_permit(now))
     }
 
-    /// When [`Event::Tick`] is due; `None` if there is nothing to wait for.
+    /// When [`Event::Tick`] is due; `None` if no timer is needed.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         self.keys.values().filter_map(KeyState::next_expiry).min()
@@ -209,13 +212,14 @@
         for (key, state) in &mut self.keys {
             state.expire(now);
             report_urgent(self.me, key, state, actions);
-            // The owner no longer counts the others.
+            // The owner no longer counts older grants, so they need no report.
             state.unreported.retain(|grant| grant.sent + charge > now);
         }
         self.keys.retain(|_, state| !state.is_idle(now));
     }
 
-    /// Requests permits from the owner, unless a request is in flight or was rejected recently.
+    /// Requests permits from the owner, unless a request is in flight or the retry delay of a
+    /// rejection has not passed.
     fn request(
         &mut self,
         now: Duration,
@@ -261,8 +265,8 @@
         actions.push(Action::Send(owner, Message::Request(request)));
     }
 
-    /// When a gate without a permit may try again: after the answer to its request, or when the
-    /// owner permits another one.
+    /// When a request that got no permit may retry: when the permit request in flight expires, or when
+    /// the retry delay of a rejection has passed.
     fn exceeded(&self, key: &K) -> LimitExceeded {
         let Some(state) = self.keys.get(key) else {
             return LimitExceeded::Indefinitely;
@@ -275,7 +279,7 @@
     }
 }
 
-/// Reports completed grants to the owners that need to know of them at once.
+/// Sends the reports of completed grants that must not wait for the next permit request.
 fn report_urgent<K: Clone>(
     gate: GateId,
     key: &K,
--- a/crates/keyed-ownership/src/client/key_state.rs
+++ b/crates/keyed-ownership/src/client/key_state.rs
@@ -1,4 +1,4 @@
-//! What a gate knows of the permits of one key.
+//! The client state of one key: grants, the request in flight and unreported grants.
 
 use std::time::Duration;
 
@@ -8,31 +8,31 @@
 use crate::timing::PermitTiming;
 use crate::view::{GateId, OwnedKey, View};
 
-/// The window over which a gate's own rate is measured in order to request permits ahead of need.
+/// The window over which a gate measures its own request rate, for prefetching permits.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// The part of a permit's lifetime for which a gate requests ahead; the rest passes in transit.
+/// The fraction of a permit's lifetime for which permits are prefetched; the rest passes in transit.
 const PREFETCH_FRACTION: f64 = 0.6;
 
-/// How long an owner may queue a request, in which a permit may become available.
+/// How long an owner may queue a request until a permit becomes available.
 pub(super) const MAX_WAIT: Duration = Duration::from_millis(60);
 
-/// How long an owner may queue the request of a gate that it rejected before.
+/// How long an owner may queue a request after a rejection.
 const MAX_WAIT_AFTER_REJECTION: Duration = Duration::from_millis(200);
 
-/// What a permit's lifetime exceeds the round trip and the time in the owner's queue by.
+/// The margin of a permit's lifetime over the round trip and the time in the owner's queue.
 const LIFETIME_SLACK: Duration = Duration::from_millis(20);
 
-/// The largest number of completed grants that are kept to be reported with the next request.
+/// The maximum number of completed grants that are kept for the report in the next request.
 const MAX_UNREPORTED_GRANTS: usize = 16;
 
-/// A permit request without an answer yet.
+/// A permit request that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct InFlightRequest {
     pub sequence: u64,
     pub owner: GateId,
     pub sent: Duration,
-    /// When its permits expire, by the lifetime that it requested.
+    /// When the requested permits expire, by the lifetime in the request.
     pub expires: Duration,
 }
 
@@ -46,9 +46,9 @@
     expires: Duration,
     remaining: u32,
     used: u32,
-    /// The time from the sending of the request to the last use.
+    /// The time from sending the request to the last use; zero before the first use.
     last_used_after: Duration,
-    /// The owner needs to know of the last use at once.
+    /// Whether the owner's pool is contended, so that the last use is reported at once.
     contended: bool,
 }
 
@@ -59,8 +59,8 @@
     completed: CompletedGrant,
     /// When the request was sent.
     pub sent: Duration,
-    /// Some permits were not used, or the owner's pool is contended: the report is worth a message
-    /// of its own.
+    /// Whether the report is sent in a message of its own, because some permits were not used or the
+    /// owner's pool is contended.
     urgent: bool,
 }
 
@@ -69,22 +69,22 @@
     uses: SlidingLog,
     pub grants: Vec<ActiveGrant>,
     pub in_flight: Option<InFlightRequest>,
-    /// An owner rejected a request; no further one is sent before this moment.
+    /// The end of the retry delay of the last rejection; no request is sent before.
     pub not_before: Duration,
-    /// The last answer was a rejection.
+    /// Whether the last answer was a rejection.
     pub rejected: bool,
     /// The highest epoch of an accepted grant.
     pub fencing_epoch: u64,
-    /// The shortest round trip to the owner, which decays slowly; `None` if it is unknown or an
-    /// answer was lost.
+    /// The shortest recent round trip to the owner, which grows by at most 1/16 with each answer;
+    /// `None` before the first answer and after a request without an answer.
     round_trip: Option<Duration>,
-    /// The owner in the view of this epoch.
+    /// The owner of the key, cached with the epoch of its view.
     owner: Option<(u64, GateId)>,
     pub unreported: Vec<UnreportedGrant>,
 }
 
 impl UnreportedGrant {
-    /// The report that no permit of the request will be used.
+    /// The report that no permit granted for the request will be used.
     pub(super) fn unused(request: InFlightRequest) -> Self {
         Self {
             owner: request.owner,
@@ -128,7 +128,7 @@
 }
 
 impl KeyState {
-    /// The owner of the key in the view, which is computed once per view.
+    /// The owner of the key in the view, cached per epoch.
     pub(super) fn owner_in<K: OwnedKey>(&mut self, view: &View, key: &K) -> Option<GateId> {
         if self.owner.is_none_or(|(epoch, _)| epoch != view.epoch) {
             self.owner = view.owner(key).map(|owner| (view.epoch, owner));
@@ -159,7 +159,7 @@
         true
     }
 
-    /// Completes the grants and the request whose lifetime has passed.
+    /// Completes the grants and the request in flight whose lifetime has passed.
     pub(super) fn expire(&mut self, now: Duration) {
         let expired: Vec<ActiveGrant> = self
             .grants
@@ -174,14 +174,14 @@
         }
     }
 
-    /// Records how long an answer took. The time in the owner's queue is part of it, so the
-    /// shortest is the best estimate.
+    /// Updates the round trip with the time that an answer took. That includes time in the owner's
+    /// queue, so the shortest time is the best estimate.
     pub(super) fn record_round_trip(&mut self, elapsed: Duration) {
         let known = self.round_trip.map_or(elapsed, |known| known + known / 16);
         self.round_trip = Some(known.min(elapsed));
     }
 
-    /// The lifetime to request for permits of requests that wait.
+    /// The lifetime of permits to request while requests wait for one.
     pub(super) fn lifetime(&self, timing: &PermitTiming) -> Duration {
         let Some(round_trip) = self.round_trip else {
             return timing.lifetime;
@@ -191,7 +191,7 @@
             .min(timing.lifetime)
     }
 
-    /// How long the owner may queue a request for requests that wait.
+    /// How long the owner may queue the permit request while requests wait for a permit.
     pub(super) fn max_wait(&self) -> Duration {
         if self.rejected {
             MAX_WAIT_AFTER_REJECTION
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Adds a completed grant; the oldest one is dropped if there are too many.
+    /// Adds a completed grant to be reported; drops the oldest one beyond [`MAX_UNREPORTED_GRANTS`].
     pub(super) fn add_unreported(&mut self, grant: UnreportedGrant) {
         if self.unreported.len() == MAX_UNREPORTED_GRANTS {
             self.unreported.remove(0);
@@ -208,13 +208,13 @@
         self.unreported.push(grant);
     }
 
-    /// An owner to which a completed grant must be reported at once.
+    /// The next owner to which a completed grant must be reported at once.
     pub(super) fn next_urgent_owner(&self) -> Option<GateId> {
         let urgent = self.unreported.iter().find(|grant| grant.urgent)?;
         Some(urgent.owner)
     }
 
-    /// Takes what must be reported to `owner`.
+    /// Removes and returns the completed grants to be reported to `owner`.
     pub(super) fn take_unreported(&mut self, owner: GateId) -> Vec<CompletedGrant> {
         self.unreported
             .extract_if(.., |grant| grant.owner == owner)
@@ -227,10 +227,10 @@
         self.grants.iter().map(|grant| grant.remaining).sum()
     }
 
-    /// The number of permits worth requesting ahead of need, by the gate's own recent rate.
+    /// The number of permits to prefetch, by the gate's own recent rate.
     pub(super) fn prefetch(&mut self, now: Duration, lifetime: Duration) -> u32 {
         let rate = self.uses.count(now, RATE_WINDOW) as f64 / RATE_WINDOW.as_secs_f64();
-        // Small by construction: a rate of permits times a part of a second.
+        // Fits in a `u32`: a rate of permits times a fraction of a second.
         (rate * lifetime.as_secs_f64() * PREFETCH_FRACTION).floor() as u32
     }
 
--- a/crates/keyed-ownership/src/confirmation.rs
+++ b/crates/keyed-ownership/src/confirmation.rs
@@ -1,10 +1,10 @@
 //! Confirmation by a majority of acceptors that an epoch is still the newest one.
 //!
-//! An acceptor stores the newest epoch it accepted and never answers with an older one, across
-//! restarts too (one that has lost it must not answer). A view is installed once a majority of the
-//! acceptors has it. A confirmation needs a majority that answers with exactly the epoch in
-//! question. Any two majorities share an acceptor, so a confirmation was requested before any later
-//! view was installed.
+//! An acceptor stores the newest epoch that it has accepted and never answers with an older one, not
+//! even after a restart; an acceptor that has lost its state must not answer. A view is installed
+//! once a majority of the acceptors has accepted it. A confirmation needs a majority that answers
+//! with exactly the epoch in question. Any two majorities share an acceptor, so every completed
+//! confirmation was requested before any later view was installed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 #[cfg(test)]
 mod tests;
 
-/// A majority answered that `epoch` is the newest.
+/// The confirmation by a majority of the acceptors that `epoch` is the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfirmedEpoch {
-    /// The epoch.
+    /// The confirmed epoch.
     pub epoch: u64,
     /// When the confirmation was requested, by the clock of the process that requested it.
     pub requested_at: Duration,
 }
 
-/// One request for confirmation to all acceptors, and their answers.
+/// One confirmation request to all acceptors, which counts their answers.
 #[derive(Clone, Debug)]
 pub struct EpochConfirmation {
     epoch: u64,
@@ -33,8 +33,8 @@
 }
 
 impl EpochConfirmation {
-    /// A request sent to all `acceptors` acceptors at `requested_at`, by the clock of the process
-    /// that sends it. More than half of them must agree.
+    /// A confirmation of `epoch`, requested at `requested_at` by the clock of the requesting process.
+    /// `acceptors` is the number of all acceptors, of which more than half must agree.
     #[must_use]
     pub fn new(epoch: u64, requested_at: Duration, acceptors: usize) -> Self {
         Self {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Counts the answer of an acceptor, which is the newest epoch that it knows. Returns the
-    /// confirmation once, when a majority has agreed.
+    /// Counts the answer of an acceptor, whose newest epoch is `newest`. Returns the confirmation once,
+    /// when a majority has agreed.
     pub fn answer(&mut self, acceptor: u32, newest: u64) -> Option<ConfirmedEpoch> {
         if newest == self.epoch {
             self.agreeing.insert(acceptor);
--- a/crates/keyed-ownership/src/permits.rs
+++ b/crates/keyed-ownership/src/permits.rs
@@ -1,7 +1,7 @@
-//! A gate's permits from both sources: its own quota of a bound, and the owner's pool.
+//! Combines a gate's own quota of a bound with the permits that it requests from the owner's pool.
 //!
-//! A permit that the owner has already granted is used first, then the gate's own quota; only then
-//! are more permits requested from the owner.
+//! A gate first uses permits that the owner has already granted, then its own quota; only then does
+//! it request more permits from the owner.
 
 use std::hash::Hash;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 use crate::timing::PermitTiming;
 use crate::view::{GateId, OwnedKey};
 
-/// The quota of a bound that a gate uses without the owner's permission.
+/// A gate's own quota of a bound, which it uses without a permit from the owner.
 pub trait OwnQuota {
-    /// Drops what no longer counts at `now`.
+    /// Drops the recorded requests that no longer count at `now`.
     fn sweep(&mut self, now: Duration);
 }
 
@@ -27,11 +27,11 @@
     }
 }
 
-/// A gate's share of a retry budget, with the size of the pool that the owner grants from.
+/// A gate's share of a retry budget, and the size of the owner's pool.
 #[derive(Clone, Debug)]
 pub struct DividedRetryBudget<K> {
     own_share: RetryBudget<K>,
-    /// Retries that the owner may have outstanding in one window.
+    /// The number of retries that the owner may have outstanding in one window.
     pool: u32,
 }
 
@@ -41,21 +41,22 @@
     }
 }
 
-/// One gate's permits, from its own quota `Q` and from the owners of the keys.
+/// The permits of one gate, from its own quota `Q` and from the owners of the keys.
 #[derive(Clone, Debug)]
 pub struct GatePermits<K, Q> {
     own: Q,
     client: PermitClient<K>,
 }
 
-/// One gate's permits for requests to servers that are warming up, by instance.
+/// The permits of one gate for requests to servers that are warming up, keyed by instance.
 pub type SlowStartPermits<K> = GatePermits<K, SlowStartLimiter<K>>;
 
-/// One gate's permits for retries, by service.
+/// The permits of one gate for retries, keyed by service.
 pub type RetryPermits<K> = GatePermits<K, DividedRetryBudget<K>>;
 
 impl<K: OwnedKey, Q: OwnQuota> GatePermits<K, Q> {
-    /// Applies an event of the client at `now`.
+    /// Applies an event to the permit client and appends the resulting actions; a tick also prunes the
+    /// gate's own quota.
     pub fn handle(&mut self, now: Duration, event: Event<K>, actions: &mut Vec<Action<K>>) {
         if matches!(event, Event::Tick) {
             self.own.sweep(now);
@@ -63,14 +64,14 @@
         self.client.handle(now, event, actions);
     }
 
-    /// When [`Event::Tick`] is due; `None` if there is nothing to wait for.
+    /// When [`Event::Tick`] is due; `None` if no timer is needed.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         self.client.next_deadline()
     }
 
-    /// Acquires a granted permit if there is one, else one of the gate's own quota by
-    /// `acquire_own`, else requests more from the owner.
+    /// Uses a granted permit if there is one, otherwise the gate's own quota through `acquire_own`, and
+    /// otherwise requests permits from the owner.
     fn acquire(
         &mut self,
         request: &PoolRequest<K>,
@@ -112,12 +113,12 @@
         }
     }
 
-    /// Acquires the permit for one request to the server `key`, which must be written at once.
-    /// `split` divides the bound of that server; `waiting` requests wait for a permit, this one
-    /// included.
+    /// Acquires the permit for one request to the server `key`. The request must be written at once.
+    /// `split` divides the bound of that server; `waiting` is the number of requests that wait for a
+    /// permit, this one included.
     ///
     /// # Errors
-    /// [`LimitExceeded`] with the moment to try again, which [`Action::Ready`] may bring forward.
+    /// [`LimitExceeded`] with the time to retry; [`Action::Ready`] may permit a retry earlier.
     pub fn try_acquire(
         &mut self,
         now: Duration,
@@ -137,7 +138,7 @@
         self.acquire(&request, acquire_own, actions)
     }
 
-    /// Counts a request that was sent without a permit against the gate's own quota.
+    /// Charges a request that was sent without a permit to the gate's own quota.
     pub fn record(&mut self, now: Duration, key: &K) {
         self.own.record(now, key);
     }
@@ -163,17 +164,17 @@
         }
     }
 
-    /// Counts a client's request to the service, which raises the budget. Retries must not be
-    /// deposited.
+    /// Adds the deposit for one client request to the service's budget. Must not be called for
+    /// retries.
     pub fn deposit(&mut self, now: Duration, service: &K) {
         self.own.own_share.deposit(now, service);
     }
 
-    /// Acquires the permit for one retry, which must be sent at once. `waiting` retries wait for a
-    /// permit, this one included.
+    /// Acquires the permit for one retry, which must be sent at once. `waiting` is the number of
+    /// retries that wait for a permit, this one included.
     ///
     /// # Errors
-    /// [`LimitExceeded`] with the moment to try again, which [`Action::Ready`] may bring forward.
+    /// [`LimitExceeded`] with the time to retry; [`Action::Ready`] may permit a retry earlier.
     pub fn try_acquire(
         &mut self,
         now: Duration,
@@ -197,7 +198,7 @@
 struct PoolRequest<'a, K> {
     now: Duration,
     key: &'a K,
-    /// Permits that the owner may have outstanding in one window.
+    /// The number of permits that the owner may have outstanding in one window.
     pool: u32,
     /// The number of requests that wait for a permit, this one included.
     waiting: u32,
--- a/crates/keyed-ownership/src/pool.rs
+++ b/crates/keyed-ownership/src/pool.rs
@@ -1,5 +1,5 @@
-//! The pool of one key at its owner: grants that may still count, requests that are queued, and the
-//! demand of each gate.
+//! The permit pool of one key at its owner: the outstanding grants, the queued requests and the
+//! recent demand of each gate.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,28 +13,29 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a gate's last request counts as its demand, by which a short pool is shared.
+/// How long a gate's last request counts as its demand. A pool that is too small for all demand is
+/// shared in proportion to it.
 const DEMAND_WINDOW: Duration = Duration::from_secs(4);
 
-/// The longest delay that a rejected gate is given. A gate for which no earlier moment is available
-/// is given a random one between half of it and all of it.
+/// The maximum retry delay of a rejected gate. A gate for which no permit becomes available earlier
+/// gets a pseudorandom delay between half of the maximum and the maximum.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// A request that is queued until permits are available.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PendingRequest {
     pub gate: GateId,
-    /// The number of the request, unique within this incarnation of the gate.
+    /// The sequence number of the request, unique within this incarnation of the gate.
     pub sequence: u64,
     /// The number of permits requested.
     pub requested: u32,
-    /// Permits that may be outstanding in one window, by the gate's configuration.
+    /// The size of the pool in permits per window, by the gate's configuration.
     pub pool: u32,
-    /// How long after the sending of the request its permits may be used.
+    /// How long after sending the request the gate may use its permits.
     pub lifetime: Duration,
     /// When the owner received it, by the owner's clock.
     pub arrived: Duration,
-    /// When it is rejected if no permit became available.
+    /// When the request is rejected unless a permit has become available.
     pub deadline: Duration,
 }
 
@@ -45,7 +46,7 @@
     sequence: u64,
     count: u32,
     arrived: Duration,
-    /// The moment from which the permits no longer count.
+    /// When the permits stop counting against the pool.
     expires: Duration,
 }
 
@@ -58,33 +59,32 @@
 
 /// The grants and requests of one key.
 ///
-/// Rejected gates are given consecutive moments at which to try again, so that they return when a
-/// permit is available.
+/// Rejected gates get consecutive retry times, so that each retries when a permit is available.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PermitPool {
     grants: Vec<OutstandingGrant>,
     pub pending: VecDeque<PendingRequest>,
-    /// The end of the takeover delay, while it lasts.
+    /// The end of the takeover delay; `None` outside of it.
     pub available_from: Option<Duration>,
-    /// The moment that the next rejected gate is given.
+    /// The retry time of the next rejected gate.
     next_retry: Duration,
     demand: FxHashMap<GateId, Demand>,
 }
 
 impl PermitPool {
-    /// Drops the grants and demands that no longer count.
+    /// Drops expired grants and demands.
     pub(crate) fn prune(&mut self, now: Duration) {
         self.grants.retain(|grant| now < grant.expires);
         self.demand
             .retain(|_, demand| demand.at + DEMAND_WINDOW > now);
     }
 
-    /// Whether no grant counts, no request is queued and no gate has any demand.
+    /// Whether the pool has no outstanding grant, no queued request and no recent demand.
     pub(crate) fn is_empty(&self) -> bool {
         self.grants.is_empty() && self.pending.is_empty() && self.demand.is_empty()
     }
 
-    /// Queues a request; an earlier one of the same gate is dropped.
+    /// Queues a request, which replaces an earlier one of the same gate.
     pub(crate) fn enqueue(&mut self, request: PendingRequest) {
         let demand = Demand {
             requested: request.requested,
@@ -95,13 +95,14 @@
         self.pending.push_back(request);
     }
 
-    /// The number of permits that may still count.
+    /// The number of permits that count against the pool.
     pub(crate) fn outstanding(&self) -> u32 {
         self.grants.iter().map(|grant| grant.count).sum()
     }
 
-    /// What a gate that requests `requested` permits may have at once: all of them while the pool
-    /// suffices for the demand of all gates, else its share by demand, and at least one.
+    /// The number of permits that a gate which requests `requested` may be granted at once: all of them
+    /// while the pool covers the demand of all gates, otherwise a share in proportion to its demand,
+    /// but at least one.
     pub(crate) fn fair_share(&self, requested: u32, pool: u32) -> u32 {
         let total_demand: u64 = self
             .demand
@@ -129,11 +130,11 @@
         });
     }
 
-    /// Applies the end of a grant: unused permits are available again, and used ones count from
-    /// their use on.
+    /// Applies the report of a completed grant: unused permits become available again, and used ones
+    /// expire by the time of the last use instead of the lifetime.
     ///
-    /// The gate sent the request before it arrived here, so a use `last_used_after` the sending is
-    /// no later than `last_used_after` the arrival.
+    /// The gate sent the request before it arrived here, so a use `last_used_after` after the sending
+    /// is no later than `last_used_after` after the arrival.
     pub(crate) fn complete(
         &mut self,
         gate: &GateId,
@@ -153,19 +154,19 @@
         self.grants.retain(|grant| grant.count > 0);
     }
 
-    /// The first moment at which a permit no longer counts.
+    /// When the next outstanding grant expires; `None` without one.
     pub(crate) fn next_expiry(&self) -> Option<Duration> {
         self.grants.iter().map(|grant| grant.expires).min()
     }
 
-    /// The permits of a pool that will be available at `at` if none is granted until then.
+    /// The number of permits that will be available at `at` if none is granted before.
     pub(crate) fn available_by(&self, at: Duration, pool: u32) -> u32 {
         let outstanding = self.grants.iter().filter(|grant| grant.expires > at);
         pool.saturating_sub(outstanding.map(|grant| grant.count).sum())
     }
 
-    /// The delay after which the gate of a rejected request may try again: until the moment at
-    /// which its permits should be available, after those of the gates that were rejected before.
+    /// The delay after which the gate of a rejected request may retry: until its permits are expected
+    /// to be available, after those of the gates that were rejected before it.
     pub(crate) fn retry_after(
         &mut self,
         now: Duration,
@@ -182,7 +183,7 @@
         retry_at - now
     }
 
-    /// When a permit becomes available that none of the queued requests will receive.
+    /// When the first permit becomes available that is not needed for the queued requests.
     fn available_after_pending(&self, now: Duration) -> Duration {
         let mut expiries: Vec<Duration> = Vec::new();
         for grant in &self.grants {
@@ -194,7 +195,7 @@
     }
 }
 
-/// A number from 0 to 1 that differs between gates and between values of `salt`.
+/// A pseudorandom number in `0.0..1.0`, hashed from the gate's address and `salt`.
 fn jitter(gate: &GateId, salt: u64) -> f64 {
     let address = gate.address.to_string();
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(address.as_bytes(), salt);
--- a/crates/keyed-ownership/src/split.rs
+++ b/crates/keyed-ownership/src/split.rs
@@ -3,19 +3,19 @@
 #[cfg(test)]
 mod tests;
 
-/// How a bound is divided between the gates' own quotas and the owner's pool.
+/// A bound divided between the gates' own quotas and the owner's pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BoundSplit {
-    /// Requests that each gate may send in one window without a permit.
+    /// The number of requests that each gate may send in one window without a permit.
     pub gate_quota: u32,
-    /// Permits that the owner may have outstanding in one window.
+    /// The number of permits that the owner may have outstanding in one window.
     pub pool: u32,
 }
 
 impl BoundSplit {
-    /// Divides `bound` among at most `gates` gates, which are all gates or those of the server's
-    /// region: `reserved_percent` of it goes to the gates' quotas, rounded down, the rest to the
-    /// pool.
+    /// Divides `bound`: `reserved_percent` of it is divided equally among `gates` gates, rounded down
+    /// to whole requests per gate, and the rest goes to the pool. `gates` is the largest number of
+    /// gates with a quota, either all gates or those of the server's region.
     #[must_use]
     pub fn new(bound: u32, gates: u32, reserved_percent: u32) -> Self {
         let gates = gates.max(1);
@@ -27,8 +27,8 @@
         }
     }
 
-    /// The split as it applies to a gate outside the server's region, where only the gates of the
-    /// region were counted.
+    /// The split for a gate outside the server's region if only the gates of that region have a
+    /// quota.
     #[must_use]
     pub fn without_gate_quota(self) -> Self {
         Self {
--- a/crates/keyed-ownership/src/test_support.rs
+++ b/crates/keyed-ownership/src/test_support.rs
@@ -1,5 +1,5 @@
-//! Set-up that the unit tests of this crate share: gates by number, their views and the tokens of
-//! their ownerships, and moments of the steady clock in milliseconds.
+//! Fixtures of this crate's unit tests: gates by number, views, fencing tokens, confirmations and
+//! completed grants.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use crate::message::CompletedGrant;
 use crate::view::{FencingToken, GateId, View};
 
-/// A duration, or a moment of the steady clock, in milliseconds.
+/// A duration, or a time of the steady clock, of `value` milliseconds.
 pub(crate) fn ms(value: u64) -> Duration {
     Duration::from_millis(value)
 }
@@ -31,7 +31,7 @@
     }
 }
 
-/// The view of these gates that follows the epoch before it without a gap.
+/// A view of these gates whose predecessor is the epoch before it.
 pub(crate) fn view(epoch: u64, numbers: &[u8]) -> Arc<View> {
     Arc::new(View {
         epoch,
@@ -40,7 +40,7 @@
     })
 }
 
-/// The token of gate 1 for its ownership in the view of this epoch.
+/// The fencing token of gate 1 as an owner in the view of this epoch.
 pub(crate) fn token(epoch: u64) -> FencingToken {
     FencingToken {
         epoch,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A majority's confirmation of an epoch.
+/// A confirmation of `epoch` by a majority of the acceptors.
 pub(crate) fn confirmed(epoch: u64, requested_at: Duration) -> ConfirmedEpoch {
     ConfirmedEpoch {
         epoch,
@@ -56,7 +56,7 @@
     }
 }
 
-/// The end of the grant for the request with this number.
+/// The report of the completed grant for the request `sequence`.
 pub(crate) fn completed(sequence: u64, used: u32, last_used_after: Duration) -> CompletedGrant {
     CompletedGrant {
         sequence,
--- a/crates/keyed-ownership/src/view.rs
+++ b/crates/keyed-ownership/src/view.rs
@@ -26,7 +26,7 @@
 }
 
 /// The number of a region: a hash of its name, the same at all gates. If the numbers of two regions
-/// collide, their gates count as one region and a key may be owned in the other of the two.
+/// collide, a key of one may be owned in the other; only the preference for nearby gates is lost.
 #[must_use]
 pub fn region_number(name: &str) -> u32 {
     // The lower half of the hash.
@@ -128,7 +128,7 @@
 }
 
 /// The fencing token of an owner: the epoch of its view and its incarnation. A gate that has
-/// accepted a grant ignores later grants under a lower epoch.
+/// accepted a grant does not use later grants under a lower epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FencingToken {
     /// The epoch of the owner's view.
--- a/crates/keyed-ownership/src/view_change.rs
+++ b/crates/keyed-ownership/src/view_change.rs
@@ -1,18 +1,18 @@
-//! Installation of views at a quorum of acceptors, without a leader.
+//! Installs views by a majority of acceptors, without a leader.
 //!
 //! Any coordinator may propose a view. Its epoch contains the coordinator's number and is never
-//! used twice, so no two views share one. An [`Acceptor`] accepts a view whose epoch is above its
-//! own and, if the view names the one that it follows, only directly after that one. A view is
-//! installed, and may be sent to gates, once a majority of the acceptors has accepted it this way;
-//! then no other view lies between it and the one that it follows. The other acceptors are brought
-//! up to date regardless.
+//! used twice, so no two views share an epoch. An [`Acceptor`] accepts a view if its epoch is higher
+//! than that of the acceptor's newest view. If the proposed view names a predecessor, the newest
+//! view must also be that predecessor. Once a majority of the acceptors has accepted a view, it is
+//! installed and may be sent to gates; no other view was then installed between it and its
+//! predecessor. The remaining acceptors store an installed view without these checks.
 //!
-//! Any two majorities share an acceptor, as in Paxos (Lamport, 1998), and acceptors promise nothing
-//! ahead of a proposal: a rejected proposer determines the members anew and proposes under a higher
-//! epoch. Which view wins does not matter for safety, only that each epoch names one view.
+//! Any two majorities share an acceptor, as in Paxos (Lamport, 1998). There is no prepare phase: a
+//! rejected proposer determines the members again and proposes under a higher epoch. Which view
+//! wins does not matter for safety, only that each epoch identifies one view.
 //!
-//! An acceptor must have its newest view on disk before it answers, or stay silent for good after
-//! it has lost it.
+//! An acceptor must have its newest view on disk before it answers. One that has lost its view must
+//! never answer again.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 /// The low bits of an epoch, which hold the number of the coordinator that proposed it.
 const PROPOSER_BITS: u32 = 8;
 
-/// A new epoch of this proposer, above `highest`.
+/// The next epoch of `proposer` that is higher than `highest`.
 fn next_epoch(highest: u64, proposer: u8) -> u64 {
     ((highest >> PROPOSER_BITS) + 1) << PROPOSER_BITS | u64::from(proposer)
 }
@@ -35,29 +35,30 @@
 /// An acceptor's answer to a proposed view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalReply {
-    /// It is the acceptor's newest view now, or was already.
+    /// The proposed view is the acceptor's newest view now, or already was.
     Accepted,
-    /// The acceptor's newest view is not the one that the proposed view follows, or is a later one.
+    /// The acceptor's newest view has a higher epoch than the proposed view, or is not its
+    /// predecessor.
     Rejected {
-        /// The epoch of its newest view; 0 if it has none.
+        /// The epoch of the acceptor's newest view; 0 if it has none.
         newest: u64,
     },
 }
 
-/// The acceptor beside each coordinator.
+/// The acceptor beside each coordinator, which stores the newest view that it has accepted.
 #[derive(Clone, Debug, Default)]
 pub struct Acceptor {
     newest: Option<Arc<View>>,
 }
 
 impl Acceptor {
-    /// An acceptor that restarts with the view that it had on disk.
+    /// Restores an acceptor after a restart from the view that it had on disk.
     #[must_use]
     pub fn restore(newest: Option<Arc<View>>) -> Self {
         Self { newest }
     }
 
-    /// The newest view, to be written to disk after each change and sent to those who ask.
+    /// The newest view. The caller writes it to disk after each change and sends it on request.
     #[must_use]
     pub fn newest(&self) -> Option<&Arc<View>> {
         self.newest.as_ref()
@@ -69,7 +70,8 @@
         self.newest.as_ref().map_or(0, |view| view.epoch)
     }
 
-    /// Accepts a proposed view if it may follow the newest one.
+    /// Accepts a proposed view if its epoch is higher than that of the newest view and its
+    /// predecessor, if it names one, is the newest view. A repeated proposal is accepted again.
     pub fn handle_proposal(&mut self, view: Arc<View>) -> ProposalReply {
         let newest = self.epoch();
         if view.epoch == newest {
@@ -83,7 +85,7 @@
         ProposalReply::Accepted
     }
 
-    /// Stores a view that a majority of the acceptors accepted, unless it has a later one.
+    /// Stores a view that a majority of the acceptors has accepted, unless the newest view is later.
     pub fn catch_up(&mut self, view: Arc<View>) {
         if view.epoch > self.epoch() {
             self.newest = Some(view);
@@ -94,9 +96,10 @@
 /// The outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// A majority accepted it: it may be sent to gates and to the other acceptors.
+    /// A majority accepted the view, which may now be sent to gates and to the other acceptors.
     Installed(Arc<View>),
-    /// No majority can accept it any more: the members must be determined and proposed anew.
+    /// No majority can accept the view any more; the proposer must determine the members again and
+    /// make a new proposal.
     Rejected,
 }
 
@@ -108,24 +111,24 @@
     rejected: BTreeSet<u32>,
 }
 
-/// A coordinator's side of installing views.
+/// The coordinator's side of a view change.
 ///
-/// A proposal goes to the acceptor beside the coordinator first, and to the others only once that
-/// one has accepted it and has it on disk. A coordinator that restarts therefore finds there
-/// whatever epoch it may have used.
+/// A proposal is sent first to the acceptor beside the coordinator, and to the others only once that
+/// acceptor has accepted it and has it on disk. A restarted coordinator therefore finds the highest
+/// epoch that it may have used at its own acceptor.
 #[derive(Clone, Debug)]
 pub struct Proposer {
     number: u8,
     acceptors: usize,
-    /// The highest epoch that was seen or used.
+    /// The highest epoch that this proposer has seen or used.
     highest: u64,
     installed: Option<Arc<View>>,
     open: Option<OpenProposal>,
 }
 
 impl Proposer {
-    /// Coordinator `number` of a group with `acceptors` acceptors; `highest` is the epoch of the
-    /// acceptor beside it.
+    /// The proposer of coordinator `number` in a group with `acceptors` acceptors. `highest` is the
+    /// newest epoch of the acceptor beside it.
     #[must_use]
     pub fn new(number: u8, acceptors: usize, highest: u64) -> Self {
         Self {
@@ -143,7 +146,7 @@
         self.installed.as_ref()
     }
 
-    /// Learns a view that another coordinator installed.
+    /// Records a view that was installed, by this coordinator or another one.
     pub fn learn(&mut self, view: Arc<View>) {
         self.highest = self.highest.max(view.epoch);
         if self
@@ -155,9 +158,10 @@
         }
     }
 
-    /// Proposes a view of `gates` under a new epoch; an earlier proposal is abandoned.
+    /// Proposes a view of `gates` under a new epoch and abandons an earlier proposal.
     ///
-    /// The view names the one that it follows unless another is known to have been proposed since.
+    /// The view names the installed view as its predecessor, unless a later one is known to have been
+    /// proposed.
     pub fn propose(&mut self, gates: Vec<GateId>) -> Arc<View> {
         let installed = self.installed.as_ref().map_or(0, |view| view.epoch);
         let follows = (installed == self.highest).then_some(installed);
@@ -175,8 +179,8 @@
         view
     }
 
-    /// Counts an acceptor's answer to the proposal of `epoch`. Returns the outcome of the last
-    /// proposal, once.
+    /// Counts an acceptor's answer to the proposal of `epoch`. Returns the outcome of the open proposal
+    /// once it is decided; answers to other proposals are ignored.
     pub fn answer(
         &mut self,
         epoch: u64,
