--- a/crates/keyed-ownership/examples/permit_study.rs
+++ b/crates/keyed-ownership/examples/permit_study.rs
@@ -1,6 +1,7 @@
-//! What permits cost in waiting time and messages, compared with an owner that sees every gate
-//! without delay. With `split`, by the percentage of the bound that is divided among the gates.
-//! With `hunt N`, instead searches N seeds per size for runs under faults that exceed a bound.
+//! Measures the waiting time and the messages that permits cost, compared with an ideal limiter that
+//! knows the requests of all gates without delay. With `split`, compares percentages of the bound
+//! that are divided among the gates. With `hunt N`, instead searches N seeds per size for runs under
+//! faults that exceed a bound.
 //!
 //! `cargo run --release -p ironmast-keyed-ownership --example permit_study`
 //! `cargo run --release -p ironmast-keyed-ownership --example permit_study -- split`
@@ -17,10 +18,10 @@
 use simulation::trace::Trace;
 use simulation::{MS, Micros};
 
-/// The numbers of gates.
+/// The numbers of gates that are compared.
 const SIZES: [usize; 4] = [5, 30, 300, 2000];
 
-/// From this moment on all owners have completed their first takeover delay.
+/// The start of the measurement, by which all owners have completed their first takeover delay.
 const MEASURED_FROM: Micros = 5_000 * MS;
 
 /// The number of runs of each size and rate.
@@ -32,7 +33,11 @@
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-        ["hunt", seeds] => search_for_violations(seeds.parse().expect("a number of seeds")),
+        ["hunt", seeds] => search_for_violations(
+            seeds
+                .parse()
+                .expect("the argument of `hunt` is a number of seeds"),
+        ),
         ["split"] => compare_splits(),
         _ => compare_sizes(),
     }
@@ -44,13 +49,13 @@
     waits: Vec<Micros>,
     ideal: Vec<Micros>,
     messages: u64,
-    /// Messages of the owner that has most.
+    /// The messages of the owner with the most messages in each run.
     owner_messages: u64,
     epoch_queries: u64,
     max_arrivals_per_second: usize,
 }
 
-/// All sizes, by rate and by the fraction of the requests that arrive in the server's region.
+/// Compares all sizes, by rate and by the fraction of requests that arrive in the server's region.
 fn compare_sizes() {
     for gates in SIZES {
         for rate in [10.0, 15.0] {
@@ -65,21 +70,22 @@
                     };
                     totals.add(&scenario, &run(&scenario));
                 }
-                print!("near {local_fraction:4}: ");
+                print!("local fraction {local_fraction:4}: ");
                 totals.report(gates, rate);
             }
         }
     }
 }
 
-/// The gates whose quotas the reserved part of the bound is divided into.
+/// The gates among which the reserved part of the bound is divided.
 #[derive(Clone, Copy, PartialEq)]
 enum Quotas {
     AllGates,
     GatesOfTheRegion,
 }
 
-/// How the bound is divided, by the percentage that is reserved for the gates' quotas.
+/// The divisions of the bound that are compared: the percentage that is reserved for quotas, and the
+/// gates that have a quota.
 const DIVISIONS: [(u32, Quotas); 7] = [
     (0, Quotas::AllGates),
     (40, Quotas::AllGates),
@@ -90,10 +96,10 @@
     (80, Quotas::GatesOfTheRegion),
 ];
 
-/// The gates of the small site.
+/// The number of gates in the comparison of the divisions.
 const SMALL_DEPLOYMENT: usize = 8;
 
-/// A small site, by the percentage of the bound that is divided among the gates.
+/// Compares the divisions of the bound for a small number of gates.
 fn compare_splits() {
     for (reserved_percent, quotas) in DIVISIONS {
         for rate in [10.0, 15.0] {
@@ -141,7 +147,7 @@
         let seconds = LENGTH as f64 / 1e6 * RUNS as f64;
         let millis = |sorted: &[Micros], fraction| quantile(sorted, fraction) as f64 / 1e3;
         println!(
-            "gates {gates:4} rate {rate:2}/s: wait p50 {:6.1} p99 {:6.1} ms, all-seeing p50 {:4.1} p99 {:5.1} ms; \
+            "gates {gates:4} rate {rate:2}/s: wait p50 {:6.1} p99 {:6.1} ms, ideal p50 {:4.1} p99 {:5.1} ms; \
              messages/s: a gate {:6.3}, owner {:5.1}, to acceptors {:4.1}; worst second {}",
             millis(&self.waits, 0.5),
             millis(&self.waits, 0.99),
@@ -155,8 +161,8 @@
     }
 }
 
-/// Searches for runs under faults that exceed a bound. Runs of the largest size take long and use a
-/// twentieth of the seeds.
+/// Searches for runs under faults that exceed a bound. The largest size uses a twentieth of the
+/// seeds, because its runs take long.
 fn search_for_violations(seeds: u64) {
     for gates in [2, 3, 5, 8, 30, 300, 2000] {
         let seeds = if gates >= 2000 { seeds / 20 } else { seeds };
@@ -170,13 +176,13 @@
             .filter(|scenario| report_if_exceeded(&varied(scenario)))
             .count();
         println!(
-            "gates {gates:4}: {exceeding} of {} runs over a bound",
+            "gates {gates:4}: {exceeding} of {} runs exceed a bound",
             seeds * 2
         );
     }
 }
 
-/// The scenario with its load, its keys and the gates' part of the bound varied by the seed.
+/// The scenario with its load, its number of keys and its division of the bound varied by the seed.
 fn varied(scenario: &Scenario) -> Scenario {
     let choice = |salt: u64, count: usize| {
         (scenario.seed.wrapping_mul(0x9e37_79b9).wrapping_add(salt) >> 7) as usize % count
@@ -198,11 +204,11 @@
     }
 }
 
-/// Whether the run exceeds its bound; one that does is printed.
+/// Whether the run exceeds its bound; if so, the scenario is printed.
 fn report_if_exceeded(scenario: &Scenario) -> bool {
     let exceeds = exceeds_bound(scenario, &run(scenario));
     if exceeds {
-        println!("over: {scenario:?}");
+        println!("bound exceeded: {scenario:?}");
     }
     exceeds
 }
--- a/crates/keyed-ownership/src/client/tests.rs
+++ b/crates/keyed-ownership/src/client/tests.rs
@@ -21,7 +21,7 @@
     client
 }
 
-/// A request tries to acquire a permit at `now` milliseconds, while `waiting` of them wait.
+/// Tries to acquire a permit at `now` milliseconds while `waiting` requests wait for one.
 fn try_acquire(
     client: &mut PermitClient<String>,
     now: u64,
@@ -32,14 +32,14 @@
     (acquired, actions)
 }
 
-/// A request tries to acquire a permit at `now` milliseconds, whatever the result.
+/// As [`try_acquire`], with the result and the actions ignored.
 fn attempt(client: &mut PermitClient<String>, now: u64, waiting: u32) {
     let _ = try_acquire(client, now, waiting);
 }
 
 fn only_request(actions: &Actions) -> &PermitRequest<String> {
     let [Action::Send(to, Message::Request(request))] = &actions[..] else {
-        panic!("one request in {actions:?}")
+        panic!("expected exactly one permit request, got {actions:?}")
     };
     assert_eq!(*to, gate(1));
     request
@@ -71,7 +71,7 @@
 
 fn released(actions: &Actions) -> &[CompletedGrant] {
     let [Action::Send(_, Message::Release(completed))] = &actions[..] else {
-        panic!("one release in {actions:?}")
+        panic!("expected exactly one release, got {actions:?}")
     };
     &completed.completed
 }
@@ -182,7 +182,7 @@
     assert_eq!(
         only_request(&actions).lifetime,
         PermitTiming::slow_start().lifetime,
-        "an answer was lost"
+        "after a lost answer the round trip is unknown"
     );
 }
 
@@ -237,6 +237,6 @@
     assert_eq!(
         prefetched,
         [1],
-        "ten in the last second are 1.8 in six tenths of a lifetime"
+        "10 permits per second are 1.8 in 0.6 of a lifetime of 300 ms; one is requested"
     );
 }
--- a/crates/keyed-ownership/src/lease/tests.rs
+++ b/crates/keyed-ownership/src/lease/tests.rs
@@ -11,13 +11,13 @@
     PermitTiming::slow_start().takeover_delay
 }
 
-/// The end of a harmless gap after a confirmation that was requested at 10 s: from then on, another
-/// owner can have completed its takeover delay.
+/// The time from which another owner can have completed its takeover delay during a gap that
+/// follows a confirmation requested at 10 s.
 fn harmless_until() -> Duration {
     ms(10_000) + takeover_delay() - PermitTiming::slow_start().lease_duration
 }
 
-/// The state of a gate with a takeover delay that began at `confirmed_at`.
+/// The state during a takeover delay that began at `confirmed_at`.
 fn delayed_from(confirmed_at: Duration) -> LeaseState {
     LeaseState::TakeoverDelay(confirmed_at + takeover_delay())
 }
@@ -31,7 +31,7 @@
     Lease::new(gate, PermitTiming::slow_start())
 }
 
-/// The lease of a gate that owns the key, past its takeover delay and confirmed at 10 s.
+/// The lease of a gate that owns the key, after its takeover delay, last confirmed at 10 s.
 fn lease_at_10_s() -> Lease {
     let mut lease = lease_of(gate(1));
     assert!(lease.adopt(view(5, &[1])));
--- a/crates/keyed-ownership/src/owner/tests.rs
+++ b/crates/keyed-ownership/src/owner/tests.rs
@@ -13,7 +13,7 @@
 
 type Actions = Vec<Action<String>>;
 
-/// A request of a gate for permits of the key that gate 1 owns.
+/// A request of gate `from` for permits of the key that gate 1 owns.
 fn request(from: u8, sequence: u64, requested: u32) -> PermitRequest<String> {
     PermitRequest {
         gate: gate(from),
@@ -38,8 +38,7 @@
     handle(owner, now, Event::EpochConfirmed(confirmed(epoch, now)))
 }
 
-/// The counts of the grants by which the owner answers a request that arrives at `now`; 0 is a
-/// rejection.
+/// The permit counts in the owner's answers to a request that arrives at `now`; 0 is a rejection.
 fn counts_for(
     owner: &mut PermitOwner<String>,
     now: Duration,
@@ -48,12 +47,12 @@
     counts(&handle(owner, now, Event::Request(request)))
 }
 
-/// The owner beside gate 1, which knows no view yet.
+/// The owner at gate 1, which has no view yet.
 fn new_owner() -> PermitOwner<String> {
     PermitOwner::new(gate(1), PermitTiming::slow_start())
 }
 
-/// The only owner, past its takeover delay, with a lease from 10 s on.
+/// The owner at gate 1, the only gate of the view: after its takeover delay, last confirmed at 10 s.
 fn active_owner() -> PermitOwner<String> {
     let mut owner = new_owner();
     handle(&mut owner, ms(0), Event::View(view(1, &[1])));
@@ -141,7 +140,7 @@
     assert_eq!(
         counts_for(&mut owner, late, request(2, 1, 1)),
         [],
-        "the lease is over"
+        "the request is queued because the lease has expired"
     );
     assert_eq!(counts(&handle(&mut owner, late + ms(60), Event::Tick)), [0]);
 }
--- a/crates/keyed-ownership/src/pool/tests.rs
+++ b/crates/keyed-ownership/src/pool/tests.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// A pool with a grant of 3 permits for the request 1 of gate 1, which arrived at 100 ms.
+/// A pool with one grant: 3 permits for request 1 of gate 1, which arrived at 100 ms.
 fn pool_with_a_grant(timing: &PermitTiming) -> PermitPool {
     let mut pool = PermitPool::default();
     pool.grant(&request(1, 1, 3, 100), 3, timing);
--- a/crates/keyed-ownership/src/view/tests.rs
+++ b/crates/keyed-ownership/src/view/tests.rs
@@ -29,12 +29,14 @@
     let view = view(0..10);
     let mut owned = [0_u32; 10];
     for key in 0..10_000 {
-        let owner = view.owner(&format!("i-{key}")).expect("an owner");
+        let owner = view
+            .owner(&format!("i-{key}"))
+            .expect("a view with gates has an owner");
         let number = view
             .gates
             .iter()
             .position(|gate| *gate == owner)
-            .expect("a member");
+            .expect("the owner is a gate of the view");
         owned[number] += 1;
     }
     assert!(
@@ -76,6 +78,6 @@
     assert_eq!(
         view.owner(&instance(1, there)),
         view.owner(&"i-1"),
-        "no gate is there"
+        "a region without gates falls back to all gates"
     );
 }
--- a/crates/keyed-ownership/src/view_change/tests.rs
+++ b/crates/keyed-ownership/src/view_change/tests.rs
@@ -13,12 +13,12 @@
     })
 }
 
-/// Counts an acceptor's acceptance of a proposed view.
+/// Records that an acceptor accepted the proposed view.
 fn accept(proposer: &mut Proposer, view: &View, acceptor: u32) -> Option<ProposalOutcome> {
     proposer.answer(view.epoch, acceptor, ProposalReply::Accepted)
 }
 
-/// Counts an acceptor's rejection of a proposed view, which names the epoch of its newest one.
+/// Records that an acceptor whose newest epoch is `newest` rejected the proposed view.
 fn reject(
     proposer: &mut Proposer,
     view: &View,
@@ -96,12 +96,12 @@
     );
     assert!(
         proposer.propose(Vec::new()).epoch > first.epoch,
-        "a proposal that was given up"
+        "the epoch of an abandoned proposal is not used again"
     );
     let mut restarted = Proposer::new(1, 3, acceptor.epoch());
     assert!(
         restarted.propose(Vec::new()).epoch > first.epoch,
-        "a lifetime before"
+        "an epoch used before the restart is not used again"
     );
 }
 
@@ -115,7 +115,7 @@
     assert_eq!(
         proposer.propose(Vec::new()).follows,
         None,
-        "the one before may be in force"
+        "the previous proposal may have been installed"
     );
     proposer.learn(first);
     assert_eq!(proposer.propose(Vec::new()).follows, None);
--- a/crates/keyed-ownership/tests/permits.rs
+++ b/crates/keyed-ownership/tests/permits.rs
@@ -1,5 +1,6 @@
-//! Both bounds, summed over all gates, under simulated faults; and with each guard removed,
-//! which must exceed a bound.
+//! Simulates all gates under faults and checks that their requests together stay within the
+//! slow-start bound and the retry budget. With any one safety mechanism removed, some run must
+//! exceed its bound.
 
 mod simulation;
 
@@ -25,7 +26,7 @@
     }
 }
 
-/// Asserts that the run of some seed exceeds its bound once `remove_guard` has changed the
+/// Asserts that the run of at least one seed exceeds its bound if `remove_guard` is applied to the
 /// scenario.
 fn assert_bound_is_exceeded(
     mut seeds: Range<u64>,
@@ -121,14 +122,14 @@
     );
 }
 
-// Scenarios with one guard removed, each of which must exceed a bound.
+// Scenarios without one safety mechanism; each must exceed a bound.
 
 fn without_takeover_delay(mut scenario: Scenario) -> Scenario {
     scenario.owner_timing.takeover_delay = Duration::ZERO;
     scenario
 }
 
-/// Leases that outlast the run.
+/// Leases of an hour, which outlast the run.
 fn without_lease_expiry(mut scenario: Scenario) -> Scenario {
     scenario.owner_timing.lease_duration = Duration::from_secs(3600);
     scenario
@@ -139,7 +140,7 @@
     scenario
 }
 
-/// Permits that outlast the run.
+/// Permits with a lifetime of 20 s, which outlast the run.
 fn without_permit_expiry(mut scenario: Scenario) -> Scenario {
     scenario.client_timing.lifetime = Duration::from_secs(20);
     scenario.client_timing.min_lifetime = Duration::from_secs(20);
@@ -152,7 +153,8 @@
     scenario
 }
 
-/// A gate that restarts uses its whole quota at once.
+/// A restarted gate uses its whole quota without waiting for its earlier requests to leave the
+/// window.
 fn without_start_delay(mut scenario: Scenario) -> Scenario {
     scenario.start_delay = false;
     scenario
--- a/crates/keyed-ownership/tests/retry_budget.rs
+++ b/crates/keyed-ownership/tests/retry_budget.rs
@@ -1,5 +1,5 @@
-//! The gates' parts of the retry budget, summed and checked against every window, for arrivals that
-//! are chosen to exceed the rule.
+//! Checks that the retries of all gates together stay within the retry budget in every window, for
+//! request patterns that are chosen to exceed it.
 
 mod simulation;
 
@@ -20,21 +20,22 @@
 
 const GATES: usize = 4;
 
-/// Requests that are sent to one gate at one moment; each is retried as often as the budget
+/// Requests that are sent to one gate at the same time. The gate then retries as often as its budget
 /// permits.
 #[derive(Clone, Copy, Debug)]
 struct Burst {
     gate: usize,
     moment: Micros,
     requests: u32,
-    /// The time from the client to the gate.
+    /// The network delay from the client to the gate.
     to_gate: Micros,
-    /// The time from the gate to the server.
+    /// The network delay from the gate to the server.
     to_server: Micros,
 }
 
-/// By how much the retries exceed the rule if every gate sends all that it may and, at `restart`,
-/// one gate restarts.
+/// The number of retries above the budget in the worst window if every gate retries as often as it
+/// may. `restart` names a gate and when it restarts; `factor` multiplies the ratio that the gates
+/// apply.
 fn excess(mut bursts: Vec<Burst>, restart: Option<(usize, Micros)>, factor: f64) -> f64 {
     bursts.sort_by_key(|burst| burst.moment + burst.to_gate);
     let settings = RetryBudgetSettings {
@@ -78,7 +79,8 @@
     }
 }
 
-/// Two gates receive their requests most of a window apart and send all retries within one.
+/// Two gates receive their requests 9 s apart, so that the retries of both fall in one window of
+/// 10 s. At twice the ratio, they exceed the budget.
 #[test]
 fn rule_is_violated_at_twice_the_safe_ratio() {
     let bursts = vec![
--- a/crates/keyed-ownership/tests/simulation/acceptors.rs
+++ b/crates/keyed-ownership/tests/simulation/acceptors.rs
@@ -1,5 +1,5 @@
-//! The acceptors: the queries for their newest epoch, by which owners confirm theirs, and the views
-//! that they catch up on.
+//! The acceptors: they answer the queries by which owners confirm their epoch, and catch up on
+//! installed views.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
         self.is_partitioned(gate) == self.is_acceptor_partitioned(acceptor)
     }
 
-    /// Queries all acceptors on behalf of the owner beside a gate.
+    /// Queries all acceptors for the owner at a gate.
     pub(super) fn confirm(&mut self, gate: usize, epoch: u64, requested_at: Duration) {
         let acceptors_counted = self.scenario.acceptors_counted;
         let Some(process) = &mut self.gates[gate].process else {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// An acceptor learns a view that was installed; during a partition, at its end.
+    /// Lets an acceptor catch up on an installed view, delayed to the end of a partition.
     pub(super) fn catch_up(&mut self, acceptor: usize, view: Arc<View>) {
         if self.is_acceptor_partitioned(acceptor) {
             self.queue.push(
--- a/crates/keyed-ownership/tests/simulation/checks.rs
+++ b/crates/keyed-ownership/tests/simulation/checks.rs
@@ -1,5 +1,5 @@
-//! The checks of both bounds: every window of the rule's length is counted, by the moments of
-//! arrival.
+//! Checks of the slow-start bound and the retry budget, which count the arrivals at the server in
+//! every window, and statistics of the waiting times.
 
 use ironmast_limits::RetryBudgetSettings;
 
@@ -7,7 +7,7 @@
 use super::trace::{KeyEvent, Trace, Wait};
 use super::{Micros, to_micros};
 
-/// The window of the slow-start bound.
+/// The window of the slow-start bound, in microseconds.
 const SECOND: Micros = 1_000_000;
 
 /// Whether the arrivals of a run exceed its bound.
@@ -18,7 +18,7 @@
     }
 }
 
-/// The most arrivals of one key in any second.
+/// The largest number of arrivals of one key in any second.
 pub(crate) fn max_arrivals_per_second(trace: &Trace, keys: usize) -> usize {
     (0..keys)
         .map(|key| max_arrivals_in_window(&arrivals(trace, key), SECOND))
@@ -38,8 +38,8 @@
     worst
 }
 
-/// By how much the retries to a service exceed what the rule allows in the worst window; 0 if in
-/// none.
+/// The number of retries to a service above its budget in the worst window; 0 if the budget holds in
+/// all windows.
 pub(crate) fn max_budget_excess(trace: &Trace, settings: &RetryBudgetSettings, keys: usize) -> f64 {
     let excess = |key| excess(&requests(trace, key), &arrivals(trace, key), settings);
     (0..keys).map(excess).fold(0.0, f64::max)
@@ -48,7 +48,7 @@
 fn excess(requests: &[Micros], retries: &[Micros], settings: &RetryBudgetSettings) -> f64 {
     let window = to_micros(settings.window);
     let mut worst: f64 = 0.0;
-    // The excess changes only where an event enters or leaves one of the three windows.
+    // The excess changes only where an event enters or leaves one of the windows that are counted.
     for start in window_starts(requests, retries, window) {
         let retries_sent = count_between(retries, start, start + window) as f64;
         let same_window = count_between(requests, start, start + window);
@@ -102,8 +102,8 @@
     moments
 }
 
-/// The wait of each request if an owner limited them that sees every gate without delay: the
-/// same bound over `window`, first come first served, without messages.
+/// The wait of each request under an ideal limiter that knows the requests of all gates without
+/// delay and without messages: the same bound over `window`, first come, first served.
 pub(crate) fn ideal_waits(trace: &Trace, key: usize, bound: usize, window: Micros) -> Vec<Wait> {
     let requests = requests(trace, key);
     let mut sent: Vec<Micros> = Vec::with_capacity(requests.len());
@@ -123,7 +123,7 @@
         .collect()
 }
 
-/// The waits of the requests that arrived at or after `from`, in ascending order.
+/// The durations of the waits that began at or after `from`, in ascending order.
 pub(crate) fn waits_from(waits: &[Wait], from: Micros) -> Vec<Micros> {
     let mut waits: Vec<Micros> = waits
         .iter()
@@ -134,7 +134,7 @@
     waits
 }
 
-/// The value below which the given fraction of the sorted values lies.
+/// The value at the given fraction of the sorted values; 0 if there are none.
 pub(crate) fn quantile(sorted: &[Micros], fraction: f64) -> Micros {
     let index = (sorted.len() as f64 * fraction) as usize;
     sorted
--- a/crates/keyed-ownership/tests/simulation/confirmations.rs
+++ b/crates/keyed-ownership/tests/simulation/confirmations.rs
@@ -1,10 +1,10 @@
-//! The confirmations that one owner has requested and that no majority has answered yet.
+//! The confirmations that one owner has requested and that are not complete yet.
 
 use std::collections::VecDeque;
 
 use ironmast_keyed_ownership::{ConfirmedEpoch, EpochConfirmation};
 
-/// The largest number of confirmations that wait for answers; those requested beyond it are lost.
+/// The maximum number of confirmations that wait for answers; further ones are dropped.
 const MAX_PENDING: usize = 64;
 
 /// A confirmation that waits for answers.
@@ -32,7 +32,7 @@
         id
     }
 
-    /// Counts an acceptor's answer. A confirmation that completes drops those requested before it.
+    /// Counts an acceptor's answer. A completed confirmation is removed with all earlier ones.
     pub(crate) fn answer(
         &mut self,
         id: u64,
--- a/crates/keyed-ownership/tests/simulation/coordinator.rs
+++ b/crates/keyed-ownership/tests/simulation/coordinator.rs
@@ -9,8 +9,8 @@
 /// The number of acceptors.
 pub(crate) const ACCEPTORS: usize = 3;
 
-/// The number of coordinators that propose views. The second is beside the last acceptor; it
-/// proposes while that is partitioned, and at random otherwise.
+/// The number of coordinators that propose views. The second one is beside the last acceptor; it
+/// proposes while that acceptor is partitioned, and at random otherwise.
 pub(crate) const PROPOSERS: usize = 2;
 
 /// How often a proposer determines the members of the next view.
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Coordinator {
     pub proposer: Proposer,
-    /// When the proposer no longer waits for answers to its last proposal.
+    /// Until when the proposer waits for answers to its last proposal.
     pub busy_until: Micros,
 }
 
--- a/crates/keyed-ownership/tests/simulation/fault.rs
+++ b/crates/keyed-ownership/tests/simulation/fault.rs
@@ -13,31 +13,31 @@
     All,
 }
 
-/// A fault.
+/// A fault and how long it lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Killed, and started again after `duration`.
+    /// The target is killed, and started again after `duration`.
     Kill {
         target: FaultTarget,
         duration: Micros,
     },
-    /// Stopped, and continued after `duration`; its messages wait in the meantime.
+    /// The target is paused for `duration`; messages to it are delivered afterwards.
     Pause {
         target: FaultTarget,
         duration: Micros,
     },
-    /// What it sends to gates and acceptors is lost for `duration`.
+    /// Messages from the target to gates and acceptors are lost for `duration`.
     OutboundPartition {
         target: FaultTarget,
         duration: Micros,
     },
-    /// What gates and acceptors send to it is lost for `duration`.
+    /// Messages from gates and acceptors to the target are lost for `duration`.
     InboundPartition {
         target: FaultTarget,
         duration: Micros,
     },
-    /// Partitioned for `duration` from all but each other: the target, one acceptor, and each
-    /// other gate with a probability of `percent`.
+    /// The target, one acceptor and each other gate with a probability of `percent` form one side of a
+    /// network partition for `duration`.
     Partition {
         target: FaultTarget,
         duration: Micros,
--- a/crates/keyed-ownership/tests/simulation/faults.rs
+++ b/crates/keyed-ownership/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! The moments at which a run injects faults, and what they change.
+//! Schedules and injects the faults of a run.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Kills a gate, which starts again at `up` as a new incarnation. Its old timers and messages
-    /// name the incarnation before and are ignored.
+    /// Kills a gate, which restarts at `up` with a new incarnation. Timers and messages of the old
+    /// incarnation name it and are ignored.
     pub(super) fn kill(&mut self, gate: usize, up: Micros) {
         let now = self.now;
         let gate_state = &mut self.gates[gate];
--- a/crates/keyed-ownership/tests/simulation/gate.rs
+++ b/crates/keyed-ownership/tests/simulation/gate.rs
@@ -1,4 +1,4 @@
-//! One gate with its agent: the owner, the client, and the requests that wait for a permit.
+//! One gate: its permit owner and client, and the requests that wait for a permit.
 
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -37,11 +37,11 @@
     pub owner: PermitOwner<Instance>,
     pub permits: GatePermits,
     pub confirmations: PendingConfirmations,
-    /// The moments at which the waiting requests arrived, by key.
+    /// The arrival times of the waiting requests, by key.
     pub waiting: Vec<VecDeque<Micros>>,
-    /// The moment that the timer is set to.
+    /// When the timer fires, if it is set.
     pub timer_at: Option<Micros>,
-    /// When the waiting requests are tried again, by key.
+    /// When the waiting requests are retried, by key.
     pub retry_at: Vec<Micros>,
 }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Acquires the permit for the first request that waits for `key`.
+    /// Tries to acquire a permit for the first request that waits for `key`.
     pub(crate) fn try_acquire(
         &mut self,
         scenario: &Scenario,
@@ -85,7 +85,7 @@
     }
 }
 
-/// The split of the bound of a server as it applies to a gate in `own_region`.
+/// The split of the bound of server `key` for a gate in `own_region`.
 fn split(scenario: &Scenario, own_region: u32, key: usize) -> BoundSplit {
     if !scenario.regional_quotas {
         return split_among(scenario, scenario.gates);
@@ -101,7 +101,7 @@
     }
 }
 
-/// The division of the scenario's bound among this many gates and the owner's pool.
+/// The split of the scenario's bound between the quotas of `gates` gates and the owner's pool.
 fn split_among(scenario: &Scenario, gates: usize) -> BoundSplit {
     BoundSplit::new(scenario.bound, gates as u32, scenario.reserved_percent)
 }
@@ -163,7 +163,8 @@
     }
 }
 
-/// A key as the crate knows it: a server in a region, whether an instance or all of a service.
+/// The crate's key for a key of the simulation. It also stands for a service, which then belongs to a
+/// region as a server instance does.
 pub(crate) fn instance(key: usize) -> Instance {
     Instance {
         id: format!("i-{key}"),
@@ -171,23 +172,25 @@
     }
 }
 
-/// The key of an instance, as [`instance`] names it.
+/// The index of the key that [`instance`] created.
 pub(crate) fn key_index(instance: &Instance) -> usize {
     let number = instance.id.trim_start_matches("i-");
-    number.parse().expect("a key of the run")
+    number
+        .parse()
+        .expect("the id of an instance ends in its key index")
 }
 
-/// A gate over its incarnations.
+/// A gate across restarts, with its current faults.
 #[derive(Debug)]
 pub(crate) struct SimulatedGate {
-    /// `None` while it is down.
+    /// The running incarnation; `None` while the gate is down.
     pub process: Option<GateProcess>,
     pub incarnation: u64,
     pub paused_until: Micros,
     pub outbound_partition_until: Micros,
     pub inbound_partition_until: Micros,
-    /// Until when it reaches only the others that are partitioned.
+    /// Until when the gate reaches only other partitioned gates.
     pub partitioned_until: Micros,
-    /// When a fault last changed its state, for the failure detection.
+    /// When a fault last changed the state of the gate, for failure detection.
     pub changed_at: Micros,
 }
--- a/crates/keyed-ownership/tests/simulation/mod.rs
+++ b/crates/keyed-ownership/tests/simulation/mod.rs
@@ -1,6 +1,9 @@
-//! A deterministic simulation of gates, owners and acceptors under faults, and the checks of
-//! both bounds.
-#![allow(dead_code, reason = "the tests and the study each use a part of it")]
+//! A deterministic simulation of gates, owners and acceptors under faults, with checks of the
+//! slow-start bound and the retry budget.
+#![allow(
+    dead_code,
+    reason = "each test and the example use only a part of the module"
+)]
 
 pub(crate) mod acceptors;
 pub(crate) mod checks;
@@ -18,18 +21,18 @@
 pub(crate) mod views;
 pub(crate) mod world;
 
-/// Microseconds of simulated time.
+/// A duration or a time of the simulation, in microseconds.
 pub(crate) type Micros = u64;
 
 /// One millisecond.
 pub(crate) const MS: Micros = 1_000;
 
-/// A simulated moment as the crate represents it.
+/// Converts a simulated time to the type that the crate uses.
 pub(crate) fn at(now: Micros) -> std::time::Duration {
     std::time::Duration::from_micros(now)
 }
 
-/// A duration or moment of the crate in microseconds, rounded up.
+/// Converts a duration or a time of the crate to microseconds, rounded up.
 pub(crate) fn to_micros(duration: std::time::Duration) -> Micros {
     duration.as_nanos().div_ceil(1_000) as Micros
 }
--- a/crates/keyed-ownership/tests/simulation/network.rs
+++ b/crates/keyed-ownership/tests/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The queue of events and the delays of messages.
+//! The event queue and the network delays.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -11,7 +11,7 @@
 use super::fault::Fault;
 use super::{MS, Micros};
 
-/// What happens in a run.
+/// An event of a run.
 #[derive(Clone, Debug)]
 pub(crate) enum WorldEvent {
     /// A message reaches a gate.
@@ -35,7 +35,7 @@
     EpochReply { query: EpochQuery, newest: u64 },
     /// A gate's timer fires.
     Timer { gate: usize, incarnation: u64 },
-    /// A gate tries its waiting requests for a key again.
+    /// A gate retries its waiting requests for a key.
     Retry {
         gate: usize,
         incarnation: u64,
@@ -49,11 +49,11 @@
     Reconfigure { proposer: usize },
 }
 
-/// A query of the owner beside a gate for the newest epoch of an acceptor.
+/// A query of the owner at a gate for the newest epoch of an acceptor.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EpochQuery {
     pub from: usize,
-    /// The incarnation of the gate that asks.
+    /// The incarnation of the querying gate.
     pub incarnation: u64,
     /// The confirmation that the answer counts for.
     pub confirmation_id: u64,
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 struct QueuedEvent {
     at: Micros,
-    /// Events of the same moment are handled in the order in which they were queued.
+    /// The position in the order of queueing, in which events of the same time are handled.
     sequence: u64,
     event: WorldEvent,
 }
@@ -88,7 +88,7 @@
     }
 }
 
-/// Events in the order of their moments.
+/// The events of a run, ordered by time.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     heap: BinaryHeap<QueuedEvent>,
--- a/crates/keyed-ownership/tests/simulation/requests.rs
+++ b/crates/keyed-ownership/tests/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests, and the gates that forward them when they have a permit.
+//! Client requests, which gates forward once they have a permit.
 
 use ironmast_limits::LimitExceeded;
 use rand::RngExt as _;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Forwards the waiting requests of a gate for which it has permits.
+    /// Forwards waiting requests of a gate as long as it acquires permits.
     pub(super) fn send_permitted(&mut self, gate: usize, key: usize) {
         while let Some(arrived) = self.first_waiting(gate, key) {
             match self.try_acquire(gate, key) {
@@ -70,8 +70,8 @@
         }
     }
 
-    /// When the first request that waits for a key arrived. Those that waited too long are
-    /// abandoned.
+    /// The arrival time of the first request that waits for a key, after abandoning the requests that
+    /// have waited too long.
     fn first_waiting(&mut self, gate: usize, key: usize) -> Option<Micros> {
         let (now, max_wait) = (self.now, self.scenario.max_wait);
         let waiting = &mut self.gates[gate].process.as_mut()?.waiting[key];
@@ -85,7 +85,8 @@
         waiting.front().copied()
     }
 
-    /// Acquires the permit for the first request that waits for a key, which then no longer waits.
+    /// Tries to acquire a permit for the first request that waits for a key, and if it succeeds, removes
+    /// the request from the queue.
     fn try_acquire(&mut self, gate: usize, key: usize) -> Result<(), LimitExceeded> {
         let (now, scenario) = (self.now, self.scenario);
         let Some(process) = &mut self.gates[gate].process else {
@@ -101,7 +102,7 @@
         acquired
     }
 
-    /// Sends a request that arrived at `arrived` to the server of its key.
+    /// Sends the request that arrived at `arrived` to the server of its key.
     fn forward(&mut self, gate: usize, key: usize, arrived: Micros) {
         let duration = self.now - arrived;
         self.trace.waits.push(Wait { arrived, duration });
@@ -109,7 +110,7 @@
         self.trace.arrivals.push(KeyEvent { key, at });
     }
 
-    /// Tries the waiting requests of a gate again when the limit may permit one.
+    /// Schedules a retry of the waiting requests for when the limit may permit one.
     fn schedule_retry(&mut self, gate: usize, key: usize, exceeded: LimitExceeded) {
         let now = self.now;
         let retry_at = match exceeded {
--- a/crates/keyed-ownership/tests/simulation/run.rs
+++ b/crates/keyed-ownership/tests/simulation/run.rs
@@ -1,4 +1,4 @@
-//! One run: the first events, and each event handed to the part of the world that handles it.
+//! Runs a scenario: queues the first events and dispatches each event to its handler.
 
 use super::coordinator::{PROPOSERS, RECONFIGURE_INTERVAL};
 use super::faults;
@@ -39,7 +39,7 @@
         faults::schedule(&self.scenario, &mut self.queue);
     }
 
-    /// Handles an event; one of a paused gate waits until the gate resumes.
+    /// Dispatches an event. An event for a paused gate is delayed until the gate resumes.
     fn handle(&mut self, event: WorldEvent) {
         if let Some(gate) = gate_of(&event) {
             let resumes = self.gates[gate].paused_until;
@@ -72,7 +72,7 @@
     }
 }
 
-/// The gate whose process handles an event.
+/// The gate whose process handles an event, if it is an event of a gate.
 fn gate_of(event: &WorldEvent) -> Option<usize> {
     match event {
         WorldEvent::Deliver { to, .. } | WorldEvent::LearnView { to, .. } => Some(*to),
--- a/crates/keyed-ownership/tests/simulation/scenario.rs
+++ b/crates/keyed-ownership/tests/simulation/scenario.rs
@@ -1,4 +1,4 @@
-//! What one run simulates: sizes, load, faults and the settings of the gates.
+//! The parameters of a run: sizes, load, faults and the settings of the gates.
 
 use ironmast_keyed_ownership::PermitTiming;
 use ironmast_limits::RetryBudgetSettings;
@@ -14,15 +14,15 @@
     RetryBudget(RetryBudgetSettings),
 }
 
-/// The faults of a run, each at random moments.
+/// The faults of a run, which occur at random times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultPlan {
-    /// No faults, and one view throughout.
+    /// No faults and a single view.
     None,
-    /// Gates are killed, paused and partitioned, mostly owners; gates learn new views seconds
+    /// Gates, mostly owners, are killed, paused and partitioned. Gates may learn the same view seconds
     /// apart.
     Mixed,
-    /// As `Mixed`, and all gates restart at once.
+    /// As `Mixed`, and all gates are also restarted at the same time once.
     MixedAndMassRestart,
 }
 
@@ -44,7 +44,7 @@
     pub bound: u32,
     /// The percentage of the bound that is divided among the gates.
     pub reserved_percent: u32,
-    /// Whether only gates of the key's region have a quota of it.
+    /// Whether the reserved part is divided among the gates of the key's region only.
     pub regional_quotas: bool,
     /// The timing that the owners apply.
     pub owner_timing: PermitTiming,
@@ -52,14 +52,15 @@
     pub client_timing: PermitTiming,
     /// Whether a restarted gate waits before it uses its own quota.
     pub start_delay: bool,
-    /// The number of acceptors of which a majority must confirm an epoch.
+    /// The number of acceptors that the confirmation of an epoch assumes; a majority of them must
+    /// agree.
     pub acceptors_counted: usize,
     /// How long a request waits for a permit before it is abandoned.
     pub max_wait: Micros,
 }
 
 impl Scenario {
-    /// Servers that are warming up, under faults and a load well above the bound.
+    /// Requests to servers that are warming up, under faults and a load well above the bound.
     pub(crate) fn slow_start(seed: u64, gates: usize) -> Self {
         Self {
             seed,
--- a/crates/keyed-ownership/tests/simulation/trace.rs
+++ b/crates/keyed-ownership/tests/simulation/trace.rs
@@ -1,8 +1,8 @@
-//! What a run records for the checks.
+//! The record of a run, from which the checks and the statistics are computed.
 
 use super::Micros;
 
-/// An event of one key.
+/// The time of an event of one key.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KeyEvent {
     pub key: usize,
@@ -20,22 +20,22 @@
 /// What a run records for the checks.
 #[derive(Debug, Default)]
 pub(crate) struct Trace {
-    /// Each client's request, when it arrives at its gate.
+    /// The arrivals of client requests at the gates.
     pub requests: Vec<KeyEvent>,
-    /// Each request or retry that is limited, when it arrives at the server.
+    /// The arrivals at the servers of the requests or retries that need a permit.
     pub arrivals: Vec<KeyEvent>,
-    /// The wait of each of them.
+    /// The wait of each request or retry that got a permit.
     pub waits: Vec<Wait>,
-    /// Requests that waited too long, or whose gate was killed.
+    /// The number of requests that waited too long or whose gate was killed.
     pub abandoned: u64,
-    /// Messages that gates sent to owners and owners to gates.
+    /// The number of messages between gates and owners, without those of a gate to itself.
     pub messages: u64,
-    /// Messages that each gate sent and received as owner.
+    /// The number of messages that each gate sent and received as owner.
     pub owner_messages: Vec<u64>,
-    /// Views that a majority of the acceptors accepted.
+    /// The number of views that a majority of the acceptors accepted.
     pub installed: u64,
-    /// Proposals that no majority could accept.
+    /// The number of proposals that no majority could accept.
     pub rejected: u64,
-    /// Queries for the newest epoch, each to one acceptor.
+    /// The number of queries for the newest epoch, each to one acceptor.
     pub epoch_queries: u64,
 }
--- a/crates/keyed-ownership/tests/simulation/views.rs
+++ b/crates/keyed-ownership/tests/simulation/views.rs
@@ -1,4 +1,4 @@
-//! The proposers of views, and how gates learn the views.
+//! Proposals and installations of views, and how gates learn the views.
 
 use std::sync::Arc;
 
@@ -18,13 +18,13 @@
 /// The bits of an epoch that hold the number of its proposer.
 const PROPOSER_NUMBER_MASK: u64 = 0xff;
 
-/// How long a gate must be down, or back, before a view reflects it.
+/// How long a gate must be down, or up again, before a proposer takes notice.
 const FAILURE_DETECTION_DELAY: Micros = 700 * MS;
 
-/// How long a proposer waits for the acceptors.
+/// How long a proposer waits for the answers of the acceptors.
 const PROPOSAL_TIMEOUT: Micros = 900 * MS;
 
-/// The probability that the second proposer proposes without need.
+/// The probability that the second proposer competes with the first although it is not partitioned.
 const COMPETING_PROPOSAL_RATE: f64 = 0.5;
 
 /// The probability that a partitioned proposer announces a view that was not installed.
@@ -34,13 +34,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Audience {
     All,
-    /// Only those that are partitioned.
+    /// Only the partitioned gates.
     Partitioned,
 }
 
 impl World {
-    /// A gate learns a view. During a partition that is delayed to its end, since gates relay views
-    /// repeatedly; except for views of the second proposer, which may be on the gate's side.
+    /// Lets a gate learn a view. While the gate is partitioned, this is delayed to the end of the
+    /// partition, because gates relay views repeatedly. Views of the second proposer are not delayed,
+    /// because it may be on the gate's side of the partition.
     pub(super) fn on_view(&mut self, to: usize, view: Arc<View>) {
         let gate_state = &self.gates[to];
         let reachable_at = gate_state
@@ -56,7 +57,7 @@
         self.handle_client_event(to, ClientEvent::View(view));
     }
 
-    /// Proposes a new view if gates have been in another state for long enough.
+    /// Proposes a new view if the members have changed.
     pub(super) fn reconfigure(&mut self, proposer: usize) {
         self.queue.push(
             self.now + RECONFIGURE_INTERVAL,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Whether a proposer has no proposal open and is to make one: the first always, the second
+    /// Whether a proposer without an open proposal may make one: the first may always, the second
     /// while it is partitioned, and at random otherwise.
     fn is_proposal_due(&mut self, proposer: usize) -> bool {
         let is_idle = proposer != 0
@@ -89,8 +90,8 @@
         !is_idle && self.coordinators[proposer].busy_until <= self.now
     }
 
-    /// The members of the next view as a proposer sees them, if they differ from those of the view
-    /// that it knows and there are any.
+    /// The members of the next view as a proposer sees them; `None` if there are none or if they are
+    /// those of the newest installed view that it knows.
     fn changed_members(&self, proposer: usize) -> Option<Vec<GateId>> {
         let known = self.coordinators[proposer].proposer.installed()?;
         let in_minority = self.is_in_minority(proposer);
@@ -109,7 +110,7 @@
         view
     }
 
-    /// Sends a proposal to the acceptors but the one beside the proposer.
+    /// Sends a proposal to all acceptors except the one beside the proposer.
     fn propose_to_others(&mut self, proposer: usize, view: &Arc<View>) {
         for acceptor in (0..ACCEPTORS).filter(|acceptor| *acceptor != colocated_acceptor(proposer))
         {
@@ -123,12 +124,12 @@
         }
     }
 
-    /// Whether a proposer is on the smaller side of a partition, as the last acceptor is.
+    /// Whether a proposer is on the minority side of a partition, with the last acceptor.
     fn is_in_minority(&self, proposer: usize) -> bool {
         proposer != 0 && self.is_acceptor_partitioned(ACCEPTORS - 1)
     }
 
-    /// A proposed view reaches an acceptor, which answers at once.
+    /// Delivers a proposed view to an acceptor and its answer to the proposer, without further delay.
     pub(super) fn deliver_proposal(&mut self, proposer: usize, acceptor: usize, view: &Arc<View>) {
         if self.is_in_minority(proposer) != self.is_acceptor_partitioned(acceptor) {
             return;
@@ -148,7 +149,7 @@
         }
     }
 
-    /// A majority accepted the view: it is sent to all gates, proposers and other acceptors.
+    /// Sends a view that a majority has accepted to all gates, proposers and acceptors.
     fn install(&mut self, proposer: usize, view: &Arc<View>) {
         if view.epoch > self.view.epoch {
             self.view = view.clone();
@@ -160,7 +161,7 @@
         self.announce(view, Audience::All);
     }
 
-    /// The proposers on the same side of a partition learn an installed view at once.
+    /// Lets the proposers on the same side of a partition learn an installed view without delay.
     fn send_to_proposers(&mut self, from: usize, view: &Arc<View>) {
         for other in 0..PROPOSERS {
             if self.is_in_minority(other) == self.is_in_minority(from) {
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Sends a view to gates, which learn it over seconds, each at its own moment.
+    /// Sends a view to gates; each learns it after a random delay of up to 3 s.
     fn announce(&mut self, view: &Arc<View>, audience: Audience) {
         let spread = self.random.random_range(50 * MS..3_000 * MS);
         for to in 0..self.gates.len() {
@@ -190,8 +191,8 @@
         }
     }
 
-    /// The incarnation of a gate that belongs in the next view, if any, as a proposer sees it. A
-    /// change of the gate's state counts only once it is detected.
+    /// The incarnation of a gate that a proposer puts into the next view, if any. A change of the
+    /// gate's state counts only after [`FAILURE_DETECTION_DELAY`].
     fn member(&self, known: &View, gate: usize, in_minority: bool) -> Option<GateId> {
         let gate_state = &self.gates[gate];
         if gate_state.changed_at + FAILURE_DETECTION_DELAY > self.now {
--- a/crates/keyed-ownership/tests/simulation/world.rs
+++ b/crates/keyed-ownership/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The state of one run: gates, acceptors, coordinators, views and the queue of events.
+//! The state of one run: gates, acceptors, coordinators, views and the event queue.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,17 +23,17 @@
     pub(super) gates: Vec<SimulatedGate>,
     pub(super) acceptors: [Acceptor; ACCEPTORS],
     pub(super) coordinators: Vec<Coordinator>,
-    /// Views by the epochs that were used.
+    /// All proposed views by epoch, to check that no epoch is used twice.
     pub(super) views_by_epoch: BTreeMap<u64, Arc<View>>,
-    /// Until when the last acceptor is on the side of the partitioned gates.
+    /// Until when the last acceptor is partitioned together with the partitioned gates.
     pub(super) acceptor_partitioned_until: Micros,
-    /// The view that was installed last.
+    /// The installed view with the highest epoch.
     pub(super) view: Arc<View>,
     pub trace: Trace,
 }
 
 impl World {
-    /// The world at the start of a run, with one view of all gates and no event queued.
+    /// The state at the start of a run: all gates are up and in one view, and no event is queued.
     pub(super) fn new(scenario: &Scenario) -> Self {
         let simulated_gate = |gate| SimulatedGate {
             process: Some(GateProcess::new(scenario, gate, 1, 0)),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The process of a gate, if it still has this incarnation.
+    /// The process of a gate; `None` if it is down or has another incarnation.
     pub(super) fn process(&mut self, gate: usize, incarnation: u64) -> Option<&mut GateProcess> {
         self.gates[gate]
             .process
