--- a/crates/keyed-ownership/examples/permit_study.rs
+++ b/crates/keyed-ownership/examples/permit_study.rs
@@ -1,7 +1,7 @@
-//! Measures the waiting time and the messages that permits cost, compared with an ideal limiter that
-//! knows the requests of all gates without delay. With `split`, compares percentages of the bound
-//! that are divided among the gates. With `hunt N`, instead searches N seeds per size for runs under
-//! faults that exceed a bound.
+//! Measures the waiting time and the messages that permits cost, compared with an ideal limiter
+//! that knows the requests of all gates without delay. With `split`, compares percentages of the
+//! bound that are divided among the gates. With `hunt N`, instead searches N seeds per size for
+//! runs under faults that exceed a bound.
 //!
 //! `cargo run --release -p ironmast-keyed-ownership --example permit_study`
 //! `cargo run --release -p ironmast-keyed-ownership --example permit_study -- split`
@@ -84,8 +84,8 @@
     GatesOfTheRegion,
 }
 
-/// The divisions of the bound that are compared: the percentage that is reserved for quotas, and the
-/// gates that have a quota.
+/// The divisions of the bound that are compared: the percentage that is reserved for quotas, and
+/// the gates that have a quota.
 const DIVISIONS: [(u32, Quotas); 7] = [
     (0, Quotas::AllGates),
     (40, Quotas::AllGates),
--- a/crates/keyed-ownership/src/client.rs
+++ b/crates/keyed-ownership/src/client.rs
@@ -265,8 +265,8 @@
         actions.push(Action::Send(owner, Message::Request(request)));
     }
 
-    /// When a request that got no permit may retry: when the permit request in flight expires, or when
-    /// the retry delay of a rejection has passed.
+    /// When a request that got no permit may retry: when the permit request in flight expires, or
+    /// when the retry delay of a rejection has passed.
     fn exceeded(&self, key: &K) -> LimitExceeded {
         let Some(state) = self.keys.get(key) else {
             return LimitExceeded::Indefinitely;
--- a/crates/keyed-ownership/src/client/key_state.rs
+++ b/crates/keyed-ownership/src/client/key_state.rs
@@ -11,7 +11,8 @@
 /// The window over which a gate measures its own request rate, for prefetching permits.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// The fraction of a permit's lifetime for which permits are prefetched; the rest passes in transit.
+/// The fraction of a permit's lifetime for which permits are prefetched; the rest passes in
+/// transit.
 const PREFETCH_FRACTION: f64 = 0.6;
 
 /// How long an owner may queue a request until a permit becomes available.
@@ -59,8 +60,8 @@
     completed: CompletedGrant,
     /// When the request was sent.
     pub sent: Duration,
-    /// Whether the report is sent in a message of its own, because some permits were not used or the
-    /// owner's pool is contended.
+    /// Whether the report is sent in a message of its own, because some permits were not used or
+    /// the owner's pool is contended.
     urgent: bool,
 }
 
@@ -200,7 +201,8 @@
         }
     }
 
-    /// Adds a completed grant to be reported; drops the oldest one beyond [`MAX_UNREPORTED_GRANTS`].
+    /// Adds a completed grant to be reported; drops the oldest one beyond
+    /// [`MAX_UNREPORTED_GRANTS`].
     pub(super) fn add_unreported(&mut self, grant: UnreportedGrant) {
         if self.unreported.len() == MAX_UNREPORTED_GRANTS {
             self.unreported.remove(0);
--- a/crates/keyed-ownership/src/confirmation.rs
+++ b/crates/keyed-ownership/src/confirmation.rs
@@ -1,10 +1,10 @@
 //! Confirmation by a majority of acceptors that an epoch is still the newest one.
 //!
-//! An acceptor stores the newest epoch that it has accepted and never answers with an older one, not
-//! even after a restart; an acceptor that has lost its state must not answer. A view is installed
-//! once a majority of the acceptors has accepted it. A confirmation needs a majority that answers
-//! with exactly the epoch in question. Any two majorities share an acceptor, so every completed
-//! confirmation was requested before any later view was installed.
+//! An acceptor stores the newest epoch that it has accepted and never answers with an older one,
+//! not even after a restart; an acceptor that has lost its state must not answer. A view is
+//! installed once a majority of the acceptors has accepted it. A confirmation needs a majority that
+//! answers with exactly the epoch in question. Any two majorities share an acceptor, so every
+//! completed confirmation was requested before any later view was installed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -33,8 +33,8 @@
 }
 
 impl EpochConfirmation {
-    /// A confirmation of `epoch`, requested at `requested_at` by the clock of the requesting process.
-    /// `acceptors` is the number of all acceptors, of which more than half must agree.
+    /// A confirmation of `epoch`, requested at `requested_at` by the clock of the requesting
+    /// process. `acceptors` is the number of all acceptors, of which more than half must agree.
     #[must_use]
     pub fn new(epoch: u64, requested_at: Duration, acceptors: usize) -> Self {
         Self {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Counts the answer of an acceptor, whose newest epoch is `newest`. Returns the confirmation once,
-    /// when a majority has agreed.
+    /// Counts the answer of an acceptor, whose newest epoch is `newest`. Returns the confirmation
+    /// once, when a majority has agreed.
     pub fn answer(&mut self, acceptor: u32, newest: u64) -> Option<ConfirmedEpoch> {
         if newest == self.epoch {
             self.agreeing.insert(acceptor);
--- a/crates/keyed-ownership/src/lease.rs
+++ b/crates/keyed-ownership/src/lease.rs
@@ -2,10 +2,10 @@
 //! it may act as the owner now.
 //!
 //! The ownership of a key begins when the first view in which the gate owns the key is confirmed.
-//! It continues over views that follow each other without a gap. During a gap, other gates may have
-//! owned the key. The ownership then continues only if none of them can have completed its takeover
-//! delay, which holds if the new view is confirmed early enough after the last confirmation of the
-//! old one was requested.
+//! The ownership continues over views that follow each other without a gap. During a gap, other
+//! gates may have owned the key. The ownership then continues only if none of them can have
+//! completed its takeover delay, which holds if the new view is confirmed early enough after the
+//! last confirmation of the old one was requested.
 //!
 //! The leases are those of Gray and Cheriton (1989): the holder may act until its term has passed.
 //! The term starts when the holder sends its request, by its own clock, so slow answers shorten the
@@ -191,8 +191,8 @@
         owned_since
     }
 
-    /// The gap before a view that does not directly follow the current one: until when a confirmation
-    /// shows that no owner in between can have granted.
+    /// The gap before a view that does not directly follow the current one: until when a
+    /// confirmation shows that no owner in between can have granted.
     fn gap(&self) -> Continuity {
         let Some(last) = self.last_confirmation else {
             return Continuity::Broken;
--- a/crates/keyed-ownership/src/lib.rs
+++ b/crates/keyed-ownership/src/lib.rs
@@ -1,13 +1,13 @@
-//! Assigns one owner to each key by rendezvous hashing, with leases and fencing tokens. The owner of
-//! a key grants permits from a pool that all gates share, so that the gates together stay within
+//! Assigns one owner to each key by rendezvous hashing, with leases and fencing tokens. The owner
+//! of a key grants permits from a pool that all gates share, so that the gates together stay within
 //! one bound. The code is a set of state machines: they perform no I/O and read no clock.
 //!
 //! # Modules
 //!
-//! - [`view`]: a [`View`] is the set of gates of one epoch and determines the owner of each key. The
-//!   [`FencingToken`] carries that epoch in every grant.
-//! - [`view_change`]: coordinators propose views, and an [`Acceptor`] beside each coordinator
-//!   accepts or rejects them. A majority of acceptors installs a view.
+//! - [`view`]: a [`View`] is the set of gates of one epoch and determines the owner of each key.
+//!   The [`FencingToken`] carries that epoch in every grant.
+//! - [`view_change`]: coordinators propose views, and the [`Acceptor`] that runs with each
+//!   coordinator accepts or rejects them. A majority of acceptors installs a view.
 //! - [`confirmation`] and [`lease`]: an owner acts only while a majority of the acceptors has
 //!   recently confirmed that its view is the newest.
 //! - [`timing`]: the durations of leases and permits, and why the permits of two successive owners
--- a/crates/keyed-ownership/src/message.rs
+++ b/crates/keyed-ownership/src/message.rs
@@ -1,6 +1,7 @@
 //! Messages between a gate and the owner of a key.
 //!
-//! They contain durations and no timestamps, because the clocks of gate and owner are not compared.
+//! The messages contain durations and no timestamps, because the clocks of gate and owner are not
+//! compared.
 
 use std::time::Duration;
 
@@ -46,8 +47,8 @@
     pub key: K,
     /// The number of permits granted; 0 rejects the request.
     pub count: u32,
-    /// Whether more than half of the pool is outstanding: the gate then reports the grant as soon as
-    /// its last permit is used.
+    /// Whether more than half of the pool is outstanding: the gate then reports the grant as soon
+    /// as its last permit is used.
     pub contended: bool,
     /// With a rejection, how long the gate must wait before it sends another request for the key.
     pub retry_after: Duration,
--- a/crates/keyed-ownership/src/owner.rs
+++ b/crates/keyed-ownership/src/owner.rs
@@ -48,8 +48,8 @@
     Request(PermitRequest<K>),
     /// A report of completed grants arrived.
     Release(Release<K>),
-    /// Permit requests are expected until this time, because a server is known to be warming up. The
-    /// lease is renewed until then.
+    /// Permit requests are expected until this time, because a server is known to be warming up.
+    /// The lease is renewed until then.
     ExpectRequests(Duration),
     /// The time returned by [`PermitOwner::next_deadline`] was reached.
     Tick,
@@ -101,8 +101,8 @@
     }
 
     /// Applies an event and appends the resulting actions. `now` must be read after the event was
-    /// received: if the process stalled between reading the clock and receiving a request, the request
-    /// would count from a time before it was sent.
+    /// received: if the process stalled between reading the clock and receiving a request, the
+    /// request would count from a time before it was sent.
     pub fn handle(&mut self, now: Duration, event: Event<K>, actions: &mut Vec<Action<K>>) {
         self.now = now;
         match event {
@@ -345,8 +345,8 @@
         });
     }
 
-    /// When the next confirmation is due: once for each view, and at half of the lease while requests
-    /// are expected.
+    /// When the next confirmation is due: once for each view, and at half of the lease while
+    /// requests are expected.
     fn next_confirm(&self) -> Option<Duration> {
         self.lease.epoch()?;
         let requested_at = self.confirm_requested_at.unwrap_or(Duration::ZERO);
--- a/crates/keyed-ownership/src/owner/tests.rs
+++ b/crates/keyed-ownership/src/owner/tests.rs
@@ -52,7 +52,8 @@
     PermitOwner::new(gate(1), PermitTiming::slow_start())
 }
 
-/// The owner at gate 1, the only gate of the view: after its takeover delay, last confirmed at 10 s.
+/// The owner at gate 1, the only gate of the view, after its takeover delay and with its last
+/// confirmation at 10 s.
 fn active_owner() -> PermitOwner<String> {
     let mut owner = new_owner();
     handle(&mut owner, ms(0), Event::View(view(1, &[1])));
--- a/crates/keyed-ownership/src/permits.rs
+++ b/crates/keyed-ownership/src/permits.rs
@@ -55,8 +55,8 @@
 pub type RetryPermits<K> = GatePermits<K, DividedRetryBudget<K>>;
 
 impl<K: OwnedKey, Q: OwnQuota> GatePermits<K, Q> {
-    /// Applies an event to the permit client and appends the resulting actions; a tick also prunes the
-    /// gate's own quota.
+    /// Applies an event to the permit client and appends the resulting actions; a tick also prunes
+    /// the gate's own quota.
     pub fn handle(&mut self, now: Duration, event: Event<K>, actions: &mut Vec<Action<K>>) {
         if matches!(event, Event::Tick) {
             self.own.sweep(now);
@@ -70,8 +70,8 @@
         self.client.next_deadline()
     }
 
-    /// Uses a granted permit if there is one, otherwise the gate's own quota through `acquire_own`, and
-    /// otherwise requests permits from the owner.
+    /// Uses a granted permit if there is one, otherwise the gate's own quota through `acquire_own`,
+    /// and otherwise requests permits from the owner.
     fn acquire(
         &mut self,
         request: &PoolRequest<K>,
@@ -113,9 +113,9 @@
         }
     }
 
-    /// Acquires the permit for one request to the server `key`. The request must be written at once.
-    /// `split` divides the bound of that server; `waiting` is the number of requests that wait for a
-    /// permit, this one included.
+    /// Acquires the permit for one request to the server `key`. The request must be written at
+    /// once. `split` divides the bound of that server; `waiting` is the number of requests that
+    /// wait for a permit, this one included.
     ///
     /// # Errors
     /// [`LimitExceeded`] with the time to retry; [`Action::Ready`] may permit a retry earlier.
--- a/crates/keyed-ownership/src/pool.rs
+++ b/crates/keyed-ownership/src/pool.rs
@@ -64,7 +64,7 @@
 pub(crate) struct PermitPool {
     grants: Vec<OutstandingGrant>,
     pub pending: VecDeque<PendingRequest>,
-    /// The end of the takeover delay; `None` outside of it.
+    /// The end of the takeover delay; `None` while there is none.
     pub available_from: Option<Duration>,
     /// The retry time of the next rejected gate.
     next_retry: Duration,
@@ -100,9 +100,9 @@
         self.grants.iter().map(|grant| grant.count).sum()
     }
 
-    /// The number of permits that a gate which requests `requested` may be granted at once: all of them
-    /// while the pool covers the demand of all gates, otherwise a share in proportion to its demand,
-    /// but at least one.
+    /// The number of permits that a gate which requests `requested` may be granted at once: all of
+    /// them while the pool covers the demand of all gates, otherwise a share in proportion to its
+    /// demand, but at least one.
     pub(crate) fn fair_share(&self, requested: u32, pool: u32) -> u32 {
         let total_demand: u64 = self
             .demand
@@ -130,11 +130,11 @@
         });
     }
 
-    /// Applies the report of a completed grant: unused permits become available again, and used ones
-    /// expire by the time of the last use instead of the lifetime.
+    /// Applies the report of a completed grant: unused permits become available again, and used
+    /// ones expire by the time of the last use instead of the lifetime.
     ///
-    /// The gate sent the request before it arrived here, so a use `last_used_after` after the sending
-    /// is no later than `last_used_after` after the arrival.
+    /// The gate sent the request before it arrived here, so a use `last_used_after` after the
+    /// sending is no later than `last_used_after` after the arrival.
     pub(crate) fn complete(
         &mut self,
         gate: &GateId,
@@ -165,8 +165,8 @@
         pool.saturating_sub(outstanding.map(|grant| grant.count).sum())
     }
 
-    /// The delay after which the gate of a rejected request may retry: until its permits are expected
-    /// to be available, after those of the gates that were rejected before it.
+    /// The delay after which the gate of a rejected request may retry: until its permits are
+    /// expected to be available, after those of the gates that were rejected before it.
     pub(crate) fn retry_after(
         &mut self,
         now: Duration,
--- a/crates/keyed-ownership/src/split.rs
+++ b/crates/keyed-ownership/src/split.rs
@@ -13,9 +13,9 @@
 }
 
 impl BoundSplit {
-    /// Divides `bound`: `reserved_percent` of it is divided equally among `gates` gates, rounded down
-    /// to whole requests per gate, and the rest goes to the pool. `gates` is the largest number of
-    /// gates with a quota, either all gates or those of the server's region.
+    /// Divides `bound`: `reserved_percent` of it is divided equally among `gates` gates, rounded
+    /// down to whole requests per gate, and the rest goes to the pool. `gates` is the largest
+    /// number of gates with a quota, either all gates or those of the server's region.
     #[must_use]
     pub fn new(bound: u32, gates: u32, reserved_percent: u32) -> Self {
         let gates = gates.max(1);
--- a/crates/keyed-ownership/src/timing.rs
+++ b/crates/keyed-ownership/src/timing.rs
@@ -13,7 +13,8 @@
 //! A new owner waits for [`PermitTiming::takeover_delay`], the sum of the four, after its view was
 //! confirmed. Its permits therefore share no window with those of the old owner.
 //!
-//! This is the rule of Gray and Cheriton (1989) that a lease which cannot be revoked is waited out.
+//! The takeover delay follows a rule of Gray and Cheriton (1989): a lease that cannot be revoked is
+//! waited out.
 //! Only durations are compared, never the clocks of two machines; the drift of two clocks over the
 //! takeover delay is part of [`PermitTiming::delay_variation`].
 
@@ -39,14 +40,14 @@
     pub delay_variation: Duration,
     /// How long after sending a permit request a gate may use its permits.
     pub lifetime: Duration,
-    /// The term of the lease: how long after requesting a confirmation the owner may grant under it.
-    /// A longer term needs fewer confirmations but lengthens the takeover delay.
+    /// The term of the lease: how long after requesting a confirmation the owner may grant under
+    /// it. A longer term needs fewer confirmations but lengthens the takeover delay.
     pub lease_duration: Duration,
     /// How long a new owner grants nothing for a key that another gate may have owned. If it is
     /// shorter than [`new`](Self::new) computes, the permits of two owners may share a window.
     pub takeover_delay: Duration,
-    /// The shortest lifetime that a gate requests. If it is too short, permits expire before they can
-    /// be used.
+    /// The shortest lifetime that a gate requests. If it is too short, permits expire before they
+    /// can be used.
     pub min_lifetime: Duration,
 }
 
@@ -91,8 +92,8 @@
         )
     }
 
-    /// How long after the owner received a request for `lifetime` a permit counts against the pool if
-    /// its use is never reported.
+    /// How long after the owner received a request for `lifetime` a permit counts against the pool
+    /// if its use is never reported.
     #[must_use]
     pub fn unreported_charge(&self, lifetime: Duration) -> Duration {
         lifetime.min(self.lifetime) + self.charge_after_use()
--- a/crates/keyed-ownership/src/view.rs
+++ b/crates/keyed-ownership/src/view.rs
@@ -38,8 +38,8 @@
     /// The name of the key, which is hashed to choose the owner.
     fn name(&self) -> &str;
 
-    /// The region whose gates may own the key; `None` if all gates may. All gates must know the same
-    /// region for a name, and it must never change.
+    /// The region whose gates may own the key; `None` if all gates may. All gates must know the
+    /// same region for a name, and it must never change.
     fn region(&self) -> Option<u32> {
         None
     }
@@ -87,8 +87,8 @@
 pub struct View {
     /// The number of the view; each epoch identifies one set of gates forever.
     pub epoch: u64,
-    /// The epoch of the preceding view, if it is certain that no view was installed between the two.
-    /// With `None`, owners wait for their takeover delay more often, and nothing else changes.
+    /// The epoch of the preceding view, if it is certain that no view was installed between the
+    /// two. With `None`, owners wait for their takeover delay more often, and nothing else changes.
     pub follows: Option<u64>,
     /// The gates, in any order.
     pub gates: Vec<GateId>,
@@ -99,8 +99,8 @@
     /// over the addresses of the gates of its region, or of all gates where the region has none;
     /// `None` in an empty view.
     ///
-    /// A gate that joins or leaves changes only the owners of the keys that it owns itself, unless it
-    /// is the first or last gate of its region.
+    /// A gate that joins or leaves changes only the owners of the keys that it owns itself, unless
+    /// it is the first or last gate of its region.
     #[must_use]
     pub fn owner<K: OwnedKey>(&self, key: &K) -> Option<GateId> {
         let seed = xxh3_64(key.name().as_bytes());
--- a/crates/keyed-ownership/src/view_change.rs
+++ b/crates/keyed-ownership/src/view_change.rs
@@ -1,10 +1,10 @@
 //! Installs views by a majority of acceptors, without a leader.
 //!
 //! Any coordinator may propose a view. Its epoch contains the coordinator's number and is never
-//! used twice, so no two views share an epoch. An [`Acceptor`] accepts a view if its epoch is higher
-//! than that of the acceptor's newest view. If the proposed view names a predecessor, the newest
-//! view must also be that predecessor. Once a majority of the acceptors has accepted a view, it is
-//! installed and may be sent to gates; no other view was then installed between it and its
+//! used twice, so no two views share an epoch. An [`Acceptor`] accepts a view if its epoch is
+//! higher than that of the acceptor's newest view. If the proposed view names a predecessor, the
+//! newest view must also be that predecessor. Once a majority of the acceptors has accepted a view,
+//! it is installed and may be sent to gates; no other view was then installed between it and its
 //! predecessor. The remaining acceptors store an installed view without these checks.
 //!
 //! Any two majorities share an acceptor, as in Paxos (Lamport, 1998). There is no prepare phase: a
@@ -45,7 +45,7 @@
     },
 }
 
-/// The acceptor beside each coordinator, which stores the newest view that it has accepted.
+/// The acceptor of a coordinator, which stores the newest view that it has accepted.
 #[derive(Clone, Debug, Default)]
 pub struct Acceptor {
     newest: Option<Arc<View>>,
@@ -85,7 +85,8 @@
         ProposalReply::Accepted
     }
 
-    /// Stores a view that a majority of the acceptors has accepted, unless the newest view is later.
+    /// Stores a view that a majority of the acceptors has accepted, unless the newest view is
+    /// later.
     pub fn catch_up(&mut self, view: Arc<View>) {
         if view.epoch > self.epoch() {
             self.newest = Some(view);
@@ -113,7 +114,7 @@
 
 /// The coordinator's side of a view change.
 ///
-/// A proposal is sent first to the acceptor beside the coordinator, and to the others only once that
+/// A proposal is sent first to the coordinator's own acceptor, and to the others only once that
 /// acceptor has accepted it and has it on disk. A restarted coordinator therefore finds the highest
 /// epoch that it may have used at its own acceptor.
 #[derive(Clone, Debug)]
@@ -128,7 +129,7 @@
 
 impl Proposer {
     /// The proposer of coordinator `number` in a group with `acceptors` acceptors. `highest` is the
-    /// newest epoch of the acceptor beside it.
+    /// newest epoch of its own acceptor.
     #[must_use]
     pub fn new(number: u8, acceptors: usize, highest: u64) -> Self {
         Self {
@@ -160,8 +161,8 @@
 
     /// Proposes a view of `gates` under a new epoch and abandons an earlier proposal.
     ///
-    /// The view names the installed view as its predecessor, unless a later one is known to have been
-    /// proposed.
+    /// The view names the installed view as its predecessor, unless a later one is known to have
+    /// been proposed.
     pub fn propose(&mut self, gates: Vec<GateId>) -> Arc<View> {
         let installed = self.installed.as_ref().map_or(0, |view| view.epoch);
         let follows = (installed == self.highest).then_some(installed);
@@ -179,8 +180,8 @@
         view
     }
 
-    /// Counts an acceptor's answer to the proposal of `epoch`. Returns the outcome of the open proposal
-    /// once it is decided; answers to other proposals are ignored.
+    /// Counts an acceptor's answer to the proposal of `epoch`. Returns the outcome of the open
+    /// proposal once it is decided; answers to other proposals are ignored.
     pub fn answer(
         &mut self,
         epoch: u64,
--- a/crates/keyed-ownership/tests/retry_budget.rs
+++ b/crates/keyed-ownership/tests/retry_budget.rs
@@ -1,5 +1,5 @@
 //! Checks that the retries of all gates together stay within the retry budget in every window, for
-//! request patterns that are chosen to exceed it.
+//! request patterns chosen to provoke an excess.
 
 mod simulation;
 
@@ -20,8 +20,8 @@
 
 const GATES: usize = 4;
 
-/// Requests that are sent to one gate at the same time. The gate then retries as often as its budget
-/// permits.
+/// Requests that are sent to one gate at the same time. The gate then retries as often as its
+/// budget permits.
 #[derive(Clone, Copy, Debug)]
 struct Burst {
     gate: usize,
--- a/crates/keyed-ownership/tests/simulation/checks.rs
+++ b/crates/keyed-ownership/tests/simulation/checks.rs
@@ -38,8 +38,8 @@
     worst
 }
 
-/// The number of retries to a service above its budget in the worst window; 0 if the budget holds in
-/// all windows.
+/// The number of retries to a service above its budget in the worst window; 0 if the budget holds
+/// in all windows.
 pub(crate) fn max_budget_excess(trace: &Trace, settings: &RetryBudgetSettings, keys: usize) -> f64 {
     let excess = |key| excess(&requests(trace, key), &arrivals(trace, key), settings);
     (0..keys).map(excess).fold(0.0, f64::max)
--- a/crates/keyed-ownership/tests/simulation/coordinator.rs
+++ b/crates/keyed-ownership/tests/simulation/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinators, each of which has a proposer of views and an acceptor beside it.
+//! The coordinators, each of which has an acceptor; some also propose views.
 
 use std::sync::Arc;
 
@@ -9,11 +9,11 @@
 /// The number of acceptors.
 pub(crate) const ACCEPTORS: usize = 3;
 
-/// The number of coordinators that propose views. The second one is beside the last acceptor; it
+/// The number of coordinators that propose views. The second one has the last acceptor; it
 /// proposes while that acceptor is partitioned, and at random otherwise.
 pub(crate) const PROPOSERS: usize = 2;
 
-/// How often a proposer determines the members of the next view.
+/// The interval at which a proposer determines the members of the next view.
 pub(crate) const RECONFIGURE_INTERVAL: Micros = 400 * MS;
 
 /// The epoch of the view that all gates know at the start.
@@ -38,7 +38,7 @@
     }
 }
 
-/// The acceptor beside a proposer.
+/// The index of the proposer's own acceptor.
 pub(crate) fn colocated_acceptor(proposer: usize) -> usize {
     proposer * (ACCEPTORS - 1)
 }
--- a/crates/keyed-ownership/tests/simulation/fault.rs
+++ b/crates/keyed-ownership/tests/simulation/fault.rs
@@ -7,7 +7,7 @@
 pub(crate) enum FaultTarget {
     /// The owner of a key by the newest view.
     Owner { key: usize },
-    /// This gate.
+    /// The gate with this index.
     Gate(usize),
     /// All gates.
     All,
@@ -36,8 +36,8 @@
         target: FaultTarget,
         duration: Micros,
     },
-    /// The target, one acceptor and each other gate with a probability of `percent` form one side of a
-    /// network partition for `duration`.
+    /// The target, one acceptor and each other gate with a probability of `percent` form one side
+    /// of a network partition for `duration`.
     Partition {
         target: FaultTarget,
         duration: Micros,
--- a/crates/keyed-ownership/tests/simulation/gate.rs
+++ b/crates/keyed-ownership/tests/simulation/gate.rs
@@ -163,8 +163,8 @@
     }
 }
 
-/// The crate's key for a key of the simulation. It also stands for a service, which then belongs to a
-/// region as a server instance does.
+/// The crate's key for a key of the simulation. It also stands for a service, which then belongs to
+/// a region as a server instance does.
 pub(crate) fn instance(key: usize) -> Instance {
     Instance {
         id: format!("i-{key}"),
--- a/crates/keyed-ownership/tests/simulation/requests.rs
+++ b/crates/keyed-ownership/tests/simulation/requests.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    /// The arrival time of the first request that waits for a key, after abandoning the requests that
-    /// have waited too long.
+    /// The arrival time of the first request that waits for a key, after abandoning the requests
+    /// that have waited too long.
     fn first_waiting(&mut self, gate: usize, key: usize) -> Option<Micros> {
         let (now, max_wait) = (self.now, self.scenario.max_wait);
         let waiting = &mut self.gates[gate].process.as_mut()?.waiting[key];
@@ -85,8 +85,8 @@
         waiting.front().copied()
     }
 
-    /// Tries to acquire a permit for the first request that waits for a key, and if it succeeds, removes
-    /// the request from the queue.
+    /// Tries to acquire a permit for the first request that waits for a key, and if it succeeds,
+    /// removes the request from the queue.
     fn try_acquire(&mut self, gate: usize, key: usize) -> Result<(), LimitExceeded> {
         let (now, scenario) = (self.now, self.scenario);
         let Some(process) = &mut self.gates[gate].process else {
--- a/crates/keyed-ownership/tests/simulation/scenario.rs
+++ b/crates/keyed-ownership/tests/simulation/scenario.rs
@@ -19,8 +19,8 @@
 pub(crate) enum FaultPlan {
     /// No faults and a single view.
     None,
-    /// Gates, mostly owners, are killed, paused and partitioned. Gates may learn the same view seconds
-    /// apart.
+    /// Gates, mostly owners, are killed, paused and partitioned. Gates may learn the same view
+    /// seconds apart.
     Mixed,
     /// As `Mixed`, and all gates are also restarted at the same time once.
     MixedAndMassRestart,
--- a/crates/keyed-ownership/tests/simulation/trace.rs
+++ b/crates/keyed-ownership/tests/simulation/trace.rs
@@ -17,7 +17,7 @@
     pub duration: Micros,
 }
 
-/// What a run records for the checks.
+/// The record of a run.
 #[derive(Debug, Default)]
 pub(crate) struct Trace {
     /// The arrivals of client requests at the gates.
--- a/crates/keyed-ownership/tests/simulation/views.rs
+++ b/crates/keyed-ownership/tests/simulation/views.rs
@@ -40,8 +40,8 @@
 
 impl World {
     /// Lets a gate learn a view. While the gate is partitioned, this is delayed to the end of the
-    /// partition, because gates relay views repeatedly. Views of the second proposer are not delayed,
-    /// because it may be on the gate's side of the partition.
+    /// partition, because gates relay views repeatedly. Views of the second proposer are not
+    /// delayed, because it may be on the gate's side of the partition.
     pub(super) fn on_view(&mut self, to: usize, view: Arc<View>) {
         let gate_state = &self.gates[to];
         let reachable_at = gate_state
@@ -90,8 +90,8 @@
         !is_idle && self.coordinators[proposer].busy_until <= self.now
     }
 
-    /// The members of the next view as a proposer sees them; `None` if there are none or if they are
-    /// those of the newest installed view that it knows.
+    /// The members of the next view as a proposer sees them; `None` if there are none or if they
+    /// are those of the newest installed view that it knows.
     fn changed_members(&self, proposer: usize) -> Option<Vec<GateId>> {
         let known = self.coordinators[proposer].proposer.installed()?;
         let in_minority = self.is_in_minority(proposer);
@@ -110,7 +110,7 @@
         view
     }
 
-    /// Sends a proposal to all acceptors except the one beside the proposer.
+    /// Sends a proposal to all acceptors except the proposer's own.
     fn propose_to_others(&mut self, proposer: usize, view: &Arc<View>) {
         for acceptor in (0..ACCEPTORS).filter(|acceptor| *acceptor != colocated_acceptor(proposer))
         {
@@ -129,7 +129,7 @@
         proposer != 0 && self.is_acceptor_partitioned(ACCEPTORS - 1)
     }
 
-    /// Delivers a proposed view to an acceptor and its answer to the proposer, without further delay.
+    /// Delivers a proposed view to an acceptor, and the answer to the proposer without delay.
     pub(super) fn deliver_proposal(&mut self, proposer: usize, acceptor: usize, view: &Arc<View>) {
         if self.is_in_minority(proposer) != self.is_acceptor_partitioned(acceptor) {
             return;
