--- a/crates/keyed-ownership/src/timing.rs
+++ b/crates/keyed-ownership/src/timing.rs
@@ -8,15 +8,14 @@
 //!    thus within that time after the owner received it.
 //! 3. The request to the server that uses the permit is delayed by at most
 //!    [`PermitTiming::delay_variation`] more than others.
-//! 4. It counts for [`PermitTiming::window`].
+//! 4. That request counts for [`PermitTiming::window`].
 //!
 //! A new owner waits for [`PermitTiming::takeover_delay`], the sum of the four, after its view was
 //! confirmed. Its permits therefore share no window with those of the old owner.
 //!
 //! The takeover delay follows a rule of Gray and Cheriton (1989): a lease that cannot be revoked is
-//! waited out.
-//! Only durations are compared, never the clocks of two machines; the drift of two clocks over the
-//! takeover delay is part of [`PermitTiming::delay_variation`].
+//! waited out. Only durations are compared, never the clocks of two machines; the drift of two
+//! clocks over the takeover delay is part of [`PermitTiming::delay_variation`].
 
 use std::time::Duration;
 
