--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: the endpoint list, its changes in the order in which they became visible, and the
-//! queries that it answers one after another.
+//! The model of discovery: the endpoint list, the log of its changes in the order in which they
+//! became visible, and a single-server queue of queries.
 
 use std::collections::BTreeMap;
 
@@ -7,45 +7,45 @@
 
 use crate::scenario::{DiscoverySpec, seconds};
 
-/// A server as listed.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ListEntry {
     /// The server's number.
     pub server: u32,
-    /// Its phase.
+    /// The phase shown in the list.
     pub phase: Phase,
-    /// When its process started; 0 if that was long ago.
+    /// When the server's process started; 0 if before the run.
     pub started: Micros,
-    /// Since when the list says so.
+    /// When this entry became visible.
     pub since: Micros,
 }
 
-/// The answer to a query.
+/// The result of a query of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QueryResult {
-    /// When it is answered, or fails.
+    /// When the query is answered or fails.
     pub at: Micros,
-    /// Whether it is answered.
+    /// Whether the query is answered.
     pub answered: bool,
 }
 
-/// The list and the queue of queries.
+/// The endpoint list and the queue of queries.
 pub(crate) struct Discovery {
-    /// All changes so far; their number is the version of the list.
+    /// All changes so far. The length of the log is the version of the list.
     log: Vec<ListEntry>,
     list: BTreeMap<u32, ListEntry>,
-    /// The time that it takes to answer a query, in microseconds.
+    /// The service time of a query, in microseconds.
     service_time: f64,
-    /// The longest time that a query is queued, in microseconds.
+    /// The longest time that a query may be queued, in microseconds; after it the query fails.
     max_wait: f64,
-    /// When the queries so far are answered.
+    /// When the last queued query is answered, in microseconds.
     busy_until: f64,
-    /// It answers no query.
+    /// Whether an outage is in force: every query fails and no change is notified.
     pub is_out: bool,
 }
 
 impl Discovery {
-    /// Discovery with an empty list.
+    /// Creates discovery with an empty list.
     pub(crate) fn new(spec: &DiscoverySpec) -> Self {
         Discovery {
             log: Vec::new(),
@@ -57,23 +57,23 @@
         }
     }
 
-    /// Makes a change visible.
+    /// Applies a change to the list and appends it to the log.
     pub(crate) fn publish(&mut self, entry: ListEntry) {
         self.log.push(entry);
         apply(&mut self.list, entry);
     }
 
-    /// The version of the list: the number of changes so far.
+    /// The current version of the list, which is the number of changes so far.
     pub(crate) fn version(&self) -> usize {
         self.log.len()
     }
 
-    /// The changes after a version.
+    /// The changes after a version, oldest first.
     pub(crate) fn changes_since(&self, version: usize) -> &[ListEntry] {
         &self.log[version.min(self.log.len())..]
     }
 
-    /// The list at a version.
+    /// The list at a version, in the order of server numbers.
     pub(crate) fn list_at(&self, version: usize) -> Vec<ListEntry> {
         if version >= self.log.len() {
             return self.list.values().copied().collect();
@@ -85,7 +85,7 @@
         list.into_values().collect()
     }
 
-    /// Queues a query that arrives now.
+    /// Queues a query that arrives at `now`. During an outage it fails at once.
     pub(crate) fn query(&mut self, now: Micros) -> QueryResult {
         if self.is_out {
             return QueryResult {
--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -33,13 +33,13 @@
 }
 
 impl<E> Ord for Scheduled<E> {
-    /// The earliest is the greatest, since [`BinaryHeap`] pops the greatest.
+    /// Reverses the order of time, since [`BinaryHeap`] pops the greatest element.
     fn cmp(&self, other: &Self) -> Ordering {
         other.order().cmp(&self.order())
     }
 }
 
-/// Events ordered by their times.
+/// A priority queue of events by time.
 pub(crate) struct EventQueue<E> {
     heap: BinaryHeap<Scheduled<E>>,
     sequence: u64,
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,9 +1,16 @@
-//! The emulator: the complete fleet in simulated time, without I/O.
+//! A discrete-event simulation of a complete fleet: clients, proxies, network, discovery and
+//! servers, in simulated time and without I/O. Each proxy hosts a load-balancing policy, which is
+//! the decision module of `ironmast-balancer` or a reference policy to compare it with.
 //!
-//! A [`Scenario`] is read from text, a [`Simulation`] plays it under a policy and a seed, and a
-//! [`Report`] says what the judge found. The same scenario, policy and seed give the same digest on
-//! any machine, with any number of threads, in debug or release builds. See
-//! `docs/design/emulator.md` for what is modelled and why.
+//! `scenario` parses a [`Scenario`] from text, and `fault_schedule` turns its faults into timed
+//! steps. `simulation` runs it as a [`Simulation`] under a policy and a seed, on the models in
+//! `server`, `network` and `discovery`, with the draws of `random` and the order of `event_queue`.
+//! `policy` holds the policies, and `proxy_settings` the settings that they are built with. `judge`
+//! checks the rules and collects the results, which `report` summarizes as a [`Report`].
+//!
+//! The same scenario, policy and seed give the same digest on any machine, with any number of
+//! threads, in debug and release builds. `docs/design/emulator.md` describes what is modelled and
+//! why.
 //!
 //! ```
 //! use ironmast_emulator::{PolicyName, Scenario, Simulation};
--- a/crates/emulator/src/network.rs
+++ b/crates/emulator/src/network.rs
@@ -6,17 +6,17 @@
 use crate::random::{hash_parts, unit_interval};
 use crate::scenario::{Network as NetworkSpec, millis, seconds};
 
-/// Delays and partitions between zones.
+/// The model of the network: delays and partitions between zones.
 pub(crate) struct Network {
     /// One-way delays without jitter, in microseconds.
     delay_within_zone: f64,
     delay_between_zones: f64,
     jitter: f64,
-    /// The time-out of connecting to a server.
+    /// The timeout for connecting to a server.
     pub connect_timeout: Micros,
     /// The time after which an idle connection is closed.
     pub idle_timeout: Micros,
-    /// Until when each zone is partitioned from the others.
+    /// The end of the last partition of each zone from all others, by zone.
     partitioned_until: Vec<Micros>,
     seed: u64,
 }
@@ -35,8 +35,8 @@
         }
     }
 
-    /// The one-way delay of a message from zone to zone. `message` identifies the message, so that
-    /// the same one has the same delay under every policy.
+    /// The one-way delay of a message between two zones, with jitter. The jitter is a hash of
+    /// `message`, which identifies the message, so that it has the same delay under every policy.
     pub(crate) fn delay(&self, from: usize, to: usize, message: [u64; 2]) -> Micros {
         let base = self.base_delay_f64(from, to);
         if self.jitter == 0.0 {
@@ -46,17 +46,17 @@
         (base * (1.0 + self.jitter * unit_interval(bits))) as Micros
     }
 
-    /// The one-way delay without jitter.
+    /// The one-way delay between two zones, without jitter.
     pub(crate) fn base_delay(&self, from: usize, to: usize) -> Micros {
         self.base_delay_f64(from, to) as Micros
     }
 
-    /// Partitions a zone from all others until a moment.
+    /// Partitions a zone from all others until `until`, or longer if a partition is in force.
     pub(crate) fn partition(&mut self, zone: usize, until: Micros) {
         self.partitioned_until[zone] = self.partitioned_until[zone].max(until);
     }
 
-    /// The end of the partition between two zones, if there is one now.
+    /// The end of the partition between two zones, if one is in force at `now`.
     pub(crate) fn partition_end(&self, from: usize, to: usize, now: Micros) -> Option<Micros> {
         let until = self.partitioned_until[from].max(self.partitioned_until[to]);
         (from != to && until > now).then_some(until)
@@ -75,19 +75,19 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct IdleConnections {
     pub count: u32,
-    /// The incarnation of the server that they lead to.
+    /// The incarnation of the server at the other end.
     pub incarnation: u32,
     last_used: Micros,
-    /// A check of their age is scheduled.
+    /// Whether an idle check is scheduled.
     check_scheduled: bool,
 }
 
-/// The outcome of a check of the age of idle connections.
+/// The outcome of an idle check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum IdleCheck {
-    /// This many were closed, which are all.
+    /// All connections were closed; this many led to the checked incarnation.
     Closed(u32),
-    /// They are to be checked again at this moment.
+    /// Nothing was closed; the next check is due at this time.
     CheckAgainAt(Micros),
 }
 
@@ -96,7 +96,7 @@
 pub(crate) struct ConnectionPool(FxHashMap<u32, IdleConnections>);
 
 impl ConnectionPool {
-    /// Takes an idle connection to this incarnation of a server. Returns whether there was one.
+    /// Takes an idle connection to this incarnation of a server. Returns false if there is none.
     pub(crate) fn take(&mut self, server: u32, incarnation: u32) -> bool {
         let Some(idle) = self
             .0
@@ -109,7 +109,8 @@
         true
     }
 
-    /// Returns a connection to the pool. True if a check of their age must be scheduled.
+    /// Returns a connection to the pool. The result is true if the caller must schedule an idle
+    /// check.
     pub(crate) fn put_back(&mut self, server: u32, incarnation: u32, now: Micros) -> bool {
         let idle = self.0.entry(server).or_default();
         if idle.incarnation != incarnation {
@@ -120,7 +121,7 @@
         !std::mem::replace(&mut idle.check_scheduled, true)
     }
 
-    /// Closes all connections to a server. Returns how many led to this incarnation.
+    /// Closes all connections to a server. Returns the number that led to this incarnation.
     pub(crate) fn close(&mut self, server: u32, incarnation: u32) -> u32 {
         let Some(idle) = self.0.get_mut(&server) else {
             return 0;
--- a/crates/emulator/src/policy.rs
+++ b/crates/emulator/src/policy.rs
@@ -1,5 +1,5 @@
-//! Policies decide for one proxy: the decision module and the reference policies that it is
-//! compared with, behind one interface.
+//! Load-balancing policies of one proxy behind one interface: the decision module, and the
+//! reference policies that it is compared with.
 
 mod endpoints;
 mod interface;
--- a/crates/emulator/src/random.rs
+++ b/crates/emulator/src/random.rs
@@ -1,7 +1,7 @@
 //! Random numbers: one seed, and an independent stream for each purpose.
 //!
-//! What one purpose draws never changes the numbers of another. Two policies under one seed
-//! therefore meet the same arrivals, work and faults (common random numbers).
+//! Draws for one purpose do not affect those for another. Two policies under one seed therefore
+//! have the same arrivals, work and faults (common random numbers).
 
 use rand::{Rng, RngExt as _, SeedableRng as _};
 use rand_distr::{Distribution as _, Exp1, StandardNormal};
@@ -10,30 +10,30 @@
 
 use crate::scenario::Distribution;
 
-/// The purpose of a stream. The order is part of the seeds.
+/// The purpose of a stream. The order of the variants is part of the seeds.
 #[derive(Clone, Copy, Debug)]
 pub enum Purpose {
-    /// When clients of a proxy send requests.
+    /// The arrival times of the operations at a proxy.
     Arrivals,
-    /// What they request.
+    /// The classes and the work of operations.
     Work,
     /// The speeds of servers.
     Servers,
-    /// Which servers and proxies a fault affects.
+    /// The servers and proxies that a fault affects.
     Faults,
-    /// The policy's own draws; one stream for each proxy and incarnation.
+    /// The draws of a policy; one stream for each proxy and incarnation.
     Policy,
     /// The loss of datagrams.
     Datagrams,
-    /// Generated scenarios.
+    /// The generation of scenarios.
     GeneratedScenarios,
 }
 
-/// One stream of random numbers.
+/// One stream of random numbers (xoshiro256++).
 #[derive(Clone, Debug)]
 pub struct Stream(Xoshiro256PlusPlus);
 
-/// A number that depends on its parts alone, for draws whose order would depend on the policy.
+/// A hash of the parts, for draws whose order would otherwise depend on the policy.
 pub(crate) fn hash_parts(parts: [u64; 4]) -> u64 {
     let mut bytes = [0; 32];
     for (chunk, part) in bytes.chunks_exact_mut(8).zip(parts) {
@@ -42,13 +42,13 @@
     xxh3_64(&bytes)
 }
 
-/// Maps bits to a number in [0, 1).
+/// Maps 64 random bits to a number in [0, 1), using the upper 53.
 pub(crate) fn unit_interval(bits: u64) -> f64 {
     (bits >> 11) as f64 / (1u64 << 53) as f64
 }
 
 impl Stream {
-    /// The stream of a purpose; `index` distinguishes those of one purpose.
+    /// Creates the stream of a purpose; `index` distinguishes the streams of one purpose.
     #[must_use]
     pub fn new(seed: u64, purpose: Purpose, index: u64) -> Self {
         Stream(Xoshiro256PlusPlus::seed_from_u64(hash_parts([
@@ -59,7 +59,7 @@
         ])))
     }
 
-    /// A number in [0, 1).
+    /// A uniformly distributed number in [0, 1).
     pub fn unit(&mut self) -> f64 {
         unit_interval(self.bits())
     }
@@ -69,12 +69,12 @@
         self.0.next_u64()
     }
 
-    /// A number in the range, uniformly distributed.
+    /// A uniformly distributed number between the two bounds, the upper one excluded.
     pub fn uniform(&mut self, (from, to): (f64, f64)) -> f64 {
         from + (to - from) * self.unit()
     }
 
-    /// An integer below `bound`.
+    /// A uniformly distributed integer below `bound`.
     ///
     /// # Panics
     /// If `bound` is 0.
@@ -82,16 +82,17 @@
         self.0.random_range(0..bound)
     }
 
-    /// A number with an exponential distribution of this mean.
+    /// An exponentially distributed number with this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         let standard: f64 = Exp1.sample(&mut self.0);
         standard * mean
     }
 
-    /// A number with the distribution and mean; `cv` is the coefficient of variation, which is the
-    /// standard deviation over the mean (lognormal only).
+    /// A number with this distribution and mean. `cv` is the coefficient of variation, the ratio of
+    /// standard deviation to mean, and applies to the lognormal distribution only.
     ///
-    /// The exponential function is that of `libm`: the platform's differs between machines.
+    /// The mathematical functions are those of `libm`, since the results of the platform's differ
+    /// between machines.
     pub fn sample(&mut self, distribution: Distribution, mean: f64, cv: f64) -> f64 {
         match distribution {
             Distribution::Fixed => mean,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Shuffles a list (Fisher and Yates).
+    /// Shuffles a list (Fisher–Yates).
     pub fn shuffle<T>(&mut self, list: &mut [T]) {
         for last in (1..list.len()).rev() {
             list.swap(last, self.below(last + 1));
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,11 +1,11 @@
-//! A simulated server: a queue, slots, and cores that the jobs in the slots share.
+//! The model of a server: a queue, slots, and cores that the jobs in the slots share.
 //!
 //! Work is measured in microseconds on a core of speed 1. Each job in a slot runs at `speed x
 //! speed share / slowness x min(1, cores / jobs)` (processor sharing); the speed share is below 1
-//! while the server warms up. Since all run alike, one running sum of the work done per job serves
-//! them all: a job is finished when the sum has grown by its work. The server does no I/O: the
-//! caller advances its time, and it returns when it must be advanced next and which jobs started,
-//! finished or were dropped.
+//! while the server warms up. Since all jobs run at the same rate, one running sum of the work done
+//! per job serves all of them: a job is finished when the sum has grown by its work. The caller
+//! advances the server's time; the server returns when it must be advanced next and which jobs
+//! started, finished or were dropped.
 
 mod estimate;
 mod job;
@@ -28,22 +28,23 @@
 pub use statistics::ServerStatistics;
 use warm_up::WarmUp;
 
-/// The resolution of the sums of work that order the running jobs, per core-microsecond.
+/// The resolution of the sums of work that order the running jobs, in ticks per core-microsecond.
 const TICKS_PER_MICROSECOND: f64 = 1024.0;
 
-/// The longest time to the next finish that is computed, in microseconds: about 30 years.
+/// The upper bound of the computed time to the next completion, in microseconds (about 30 years).
 const MAX_WAIT: f64 = 1e15;
 
-/// Which jobs a server drops.
+/// The jobs that a server drops instead of executing them.
 #[derive(Clone, Copy, Debug)]
 struct DropRule {
-    /// Jobs that were cancelled.
+    /// Whether cancelled jobs are dropped.
     cancelled: bool,
-    /// Queued jobs whose clients have given up.
+    /// Whether queued jobs are dropped once their clients' timeouts have ended.
     overdue: bool,
 }
 
-/// A job in a slot, ordered by the sum of work at which it is done.
+/// A job in a slot, ordered by the sum of work at which it is finished, in ticks, then by the order
+/// of starting.
 type Running = (Reverse<u64>, Reverse<u64>, JobKey);
 
 /// A simulated server.
@@ -55,40 +56,41 @@
     warm_up: WarmUp,
     overdrive_rule: OverdriveRule,
     drops: DropRule,
-    /// Whether it accepts jobs.
+    /// Whether the process runs. A server that is down accepts no jobs.
     pub up: bool,
-    /// When its process started; 0 if that was long ago.
+    /// When the process started; 0 if before the run.
     pub started: Micros,
     jobs: SlotMap<JobKey, Job>,
-    /// Keys of queued jobs; those of jobs that were cancelled are still among them.
+    /// Keys of queued jobs, including stale keys of jobs that were cancelled and removed.
     queue: VecDeque<JobKey>,
     queued: usize,
     running: BinaryHeap<Running>,
     in_slots: usize,
     sequence: u64,
-    /// The work done per job in a slot since the start.
+    /// The running sum of the work done per job in a slot, in core-microseconds.
     work_sum: f64,
-    /// Work that must be done before any job advances: handshakes and health checks.
+    /// Work of handshakes and health checks, in core-microseconds, which is done before any job
+    /// advances.
     overhead: f64,
-    /// How many times slower faults make it.
+    /// The factor by which faults slow the server down.
     slowness: f64,
     paused: bool,
     overdrive: Overdrive,
-    /// The work done since the start of the process, for the warm-up.
+    /// The work done since the start of the process, in core-microseconds, for the warm-up.
     work_done: f64,
     now: Micros,
-    /// What it did so far.
+    /// Totals since the creation of the server, or since they were last reset.
     pub statistics: ServerStatistics,
     occupancy_distribution: OccupancyDistribution,
 }
 
-/// A sum of work as an integer that is ordered alike.
+/// Converts a sum of work to ticks, which have the same order.
 fn ticks(sum: f64) -> u64 {
     (sum * TICKS_PER_MICROSECOND) as u64
 }
 
 impl Server {
-    /// A server that is up and warm.
+    /// Creates a server that is up and warm.
     pub(crate) fn new(
         pool: &Pool,
         speed: f64,
@@ -126,7 +128,7 @@
         }
     }
 
-    /// The part of its full speed that it has, 0 to 1.
+    /// The current share of the full speed, 0 to 1; below 1 during the warm-up.
     pub(crate) fn speed_share(&self, now: Micros) -> f64 {
         if self.started == 0 {
             return 1.0;
@@ -135,14 +137,14 @@
         self.warm_up.speed_share(since_start, self.work_done)
     }
 
-    /// Core-microseconds of work that it can do in a microsecond, over all cores.
+    /// The work that all cores together can do now, in core-microseconds per microsecond.
     pub(crate) fn capacity(&self, now: Micros) -> f64 {
         let slowdown = self.overdrive.slowdown(&self.overdrive_rule);
         let running = if self.paused { 0.0 } else { 1.0 };
         running * self.cores * self.speed * self.speed_share(now) / self.slowness / slowdown
     }
 
-    /// Its capacity when it is warm and healthy.
+    /// The capacity when warm and without faults, in core-microseconds per microsecond.
     pub(crate) fn full_capacity(&self) -> f64 {
         self.cores * self.speed
     }
@@ -152,8 +154,8 @@
         self.queued + self.in_slots
     }
 
-    /// How long a job that arrived now would wait and be at the server, if nothing else arrived, by
-    /// the true state.
+    /// The waiting time and sojourn time of a job that arrived now, from the true state and on the
+    /// assumption that no other job arrives.
     pub(crate) fn estimate(&self, now: Micros, work: f64) -> Estimate {
         if !self.up || self.paused {
             return Estimate::NEVER;
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Whether one more request would exceed what it bears for long.
+    /// Whether one more request would exceed the limit of the overdrive rule.
     pub(crate) fn near_overdrive(&self) -> bool {
         let in_system = self.in_system() as f64 + 1.0;
         self.overdrive_rule.is_exceeded(in_system, self.cores)
@@ -182,16 +184,16 @@
         }
     }
 
-    /// The speed at which each job in a slot advances.
+    /// The speed of each job in a slot, in core-microseconds per microsecond.
     fn rate(&self) -> f64 {
         let sharing = (self.cores / self.in_slots.max(1) as f64).min(1.0);
         self.capacity(self.now) / self.cores * sharing
     }
 
-    /// Advances its time to `now`.
+    /// Advances the server's time to `now` and appends what became of its jobs.
     pub(crate) fn advance(&mut self, now: Micros, events: &mut Vec<JobEvent>) {
         while self.now < now {
-            // The next moment at which something changes by itself, or the end of the period.
+            // The time of the next change of state, or `now` if there is none before.
             let next = self
                 .next_deadline()
                 .map_or(now, |due| due.clamp(self.now + 1, now));
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Does the work of a period in which nothing changes.
+    /// Does the work of a period during which no job starts or finishes and no rate changes.
     fn elapse(&mut self, to: Micros) {
         let elapsed = (to - self.now) as f64;
         self.record(elapsed);
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Finishes the jobs that are done, fills free slots, and checks whether it is overdriven.
+    /// Finishes the jobs whose work is done, fills free slots, and updates the overdrive state.
     fn update(&mut self, events: &mut Vec<JobEvent>) {
         self.finish_jobs(events);
         self.start_jobs(events);
@@ -291,7 +293,7 @@
         ));
     }
 
-    /// When it must be advanced next if nothing else happens.
+    /// When the server must be advanced next, unless a call changes its state before.
     pub(crate) fn next_deadline(&self) -> Option<Micros> {
         let changes = [
             self.next_warm_up_step(),
@@ -302,7 +304,7 @@
         self.next_finish().into_iter().chain(change).min()
     }
 
-    /// When the first job in a slot is done.
+    /// When the next job in a slot finishes; `None` if no job advances.
     fn next_finish(&self) -> Option<Micros> {
         let &(Reverse(done_at), ..) = self.running.peek()?;
         let rate = self.rate();
@@ -314,14 +316,16 @@
         Some(self.now + (work / rate + overhead).ceil().min(MAX_WAIT) as Micros)
     }
 
-    /// When it becomes faster by warming up, which matters only to jobs in slots.
+    /// The time of the next speed step of the warm-up. `None` without jobs in slots, since only they
+    /// depend on the speed.
     fn next_warm_up_step(&self) -> Option<Micros> {
         let matters = self.in_slots > 0 && self.is_warming_up(self.now);
         let since_start = self.now.saturating_sub(self.started);
         matters.then(|| self.started + self.warm_up.next_step(since_start))
     }
 
-    /// Accepts a job unless the queue is full. Its time has been advanced to now.
+    /// Accepts a job, or returns `None` if the server is down or its slots and queue are full. The
+    /// caller must have advanced the server to now.
     pub(crate) fn arrive(&mut self, job: Job, events: &mut Vec<JobEvent>) -> Option<JobKey> {
         let is_full = self.in_slots >= self.slots && self.queued >= self.queue_limit;
         if !self.up || is_full {
@@ -335,12 +339,13 @@
         Some(key)
     }
 
-    /// The job at a key.
+    /// The job with a key, while it is queued or in a slot.
     pub(crate) fn job(&self, key: JobKey) -> Option<&Job> {
         self.jobs.get(key)
     }
 
-    /// Reduces the work of a job that has just started: a duplicate that the server only looks up.
+    /// Reduces the work of a job that has just started, for a duplicate whose result the server only
+    /// looks up.
     pub(crate) fn shorten(&mut self, key: JobKey, work: f64) {
         if self.jobs.get(key).is_some_and(|job| job.work > work) {
             self.running.retain(|running| running.2 != key);
@@ -348,7 +353,7 @@
         }
     }
 
-    /// The proxy no longer waits for a job. If the server drops cancelled jobs, the job is removed
+    /// Marks a job as cancelled by its proxy. If the server drops cancelled jobs, the job is removed
     /// and returned.
     pub(crate) fn cancel(&mut self, key: JobKey, events: &mut Vec<JobEvent>) -> Option<Job> {
         let job = self.jobs.get_mut(key)?;
@@ -366,17 +371,17 @@
         job
     }
 
-    /// Adds work that must be done before any job advances.
+    /// Adds work, in core-microseconds, that is done before any job advances.
     pub(crate) fn add_overhead(&mut self, work: f64) {
         self.overhead += work;
     }
 
-    /// Sets how many times slower it is, and whether it is paused.
+    /// Sets the slowdown factor of the faults in force, and whether the server is paused.
     pub(crate) fn set_fault(&mut self, slowness: f64, paused: bool) {
         (self.slowness, self.paused) = (slowness, paused);
     }
 
-    /// Ends its process. Returns the jobs that were queued or in a slot.
+    /// Ends the server's process. Returns the jobs that were queued or in a slot.
     pub(crate) fn stop(&mut self) -> Vec<Job> {
         self.up = false;
         self.queue.clear();
@@ -387,12 +392,12 @@
         self.jobs.drain().map(|(_, job)| job).collect()
     }
 
-    /// Starts a process, which warms up.
+    /// Starts the server's process, which then warms up.
     pub(crate) fn start(&mut self, now: Micros) {
         (self.up, self.started, self.now) = (true, now, now);
     }
 
-    /// Whether it is warming up.
+    /// Whether the server is warming up.
     pub(crate) fn is_warming_up(&self, now: Micros) -> bool {
         self.started > 0 && self.speed_share(now) < 1.0
     }
--- a/crates/emulator/src/server/estimate.rs
+++ b/crates/emulator/src/server/estimate.rs
@@ -1,11 +1,11 @@
-//! How long a job would take at a server.
+//! Estimates of the time that a job would take at a server.
 
-/// The time that a job would take, in microseconds; infinite if it would not finish.
+/// The time that a job would take at a server, in microseconds; infinite if it would not finish.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// Until it enters a slot.
+    /// The time until the job enters a slot.
     pub wait: f64,
-    /// Until it is done.
+    /// The time until the job is finished.
     pub total: f64,
 }
 
--- a/crates/emulator/src/server/job.rs
+++ b/crates/emulator/src/server/job.rs
@@ -1,4 +1,4 @@
-//! A job: a request at a server, and what becomes of it.
+//! Jobs, which are requests at a server, and their events.
 
 use ironmast_balancer::Micros;
 use slotmap::DefaultKey;
@@ -6,35 +6,35 @@
 /// The key of a job at its server.
 pub(crate) type JobKey = DefaultKey;
 
-/// A request at a server.
+/// A request at a server, queued or in a slot.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    /// The request that it belongs to.
+    /// The id of the request.
     pub request: u64,
-    /// The number of the attempt.
+    /// The index of the attempt at the request.
     pub attempt: u8,
-    /// The key of its operation, which the caller stores.
+    /// The key of the operation, which the caller stores.
     pub operation: DefaultKey,
-    /// Its class.
+    /// The index of the class.
     pub class: u8,
-    /// Its work, in core-microseconds.
+    /// The work, in core-microseconds.
     pub work: f64,
-    /// When its client gives up.
+    /// When the client's timeout ends.
     pub expires: Micros,
-    /// When it arrived.
+    /// When the job arrived at the server.
     pub arrived: Micros,
-    /// The proxy no longer waits for it.
+    /// Whether the proxy has abandoned the attempt.
     pub cancelled: bool,
-    /// It is in a slot.
+    /// Whether the job is in a slot.
     pub started: bool,
 }
 
-/// What became of a job at a server.
+/// A change of the state of a job.
 #[derive(Debug)]
 pub(crate) enum JobEvent {
     /// The job entered a slot.
     Started(JobKey),
-    /// The job's work is done.
+    /// All work of the job is done.
     Finished(Job),
     /// The job was removed from the queue without having started.
     Dropped(Job),
--- a/crates/emulator/src/server/overdrive.rs
+++ b/crates/emulator/src/server/overdrive.rs
@@ -1,25 +1,25 @@
-//! Overdrive: a server that holds too many requests for too long becomes slower, until it has been
-//! at most half busy for a while.
+//! Overdrive: a server with too many requests in its system for too long becomes slower, until at
+//! most half of its cores have been in use for a recovery time.
 
 use ironmast_balancer::Micros;
 
 use super::statistics::Occupancy;
 use crate::scenario::Pool;
 
-/// When a server is overdriven, and what that does.
+/// The limit above which a server becomes overdriven, the effect, and the condition of recovery.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OverdriveRule {
-    /// Requests in the system per core above which it is overdriven; 0 for never.
+    /// The limit of requests in the system per core; 0 for no limit.
     ratio: f64,
-    /// How long that must last.
+    /// The time above the limit after which the server is overdriven.
     after: Micros,
-    /// How many times slower it becomes.
+    /// The factor by which an overdriven server is slower.
     slowdown: f64,
-    /// How long it must be at most half busy to recover.
+    /// The time with at most half of the cores in use after which the server has recovered.
     recovery: Micros,
 }
 
-/// Whether a server is overdriven, and since when it has been above or below the limits.
+/// Whether a server is overdriven, and since when it has met the condition to begin or to end that.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Overdrive {
     active: bool,
@@ -38,19 +38,19 @@
         }
     }
 
-    /// Whether this many requests in the system are too many for so many cores.
+    /// Whether this number of requests in the system is above the limit for this number of cores.
     pub(super) fn is_exceeded(&self, in_system: f64, cores: f64) -> bool {
         self.ratio > 0.0 && in_system > self.ratio * cores
     }
 }
 
 impl Overdrive {
-    /// How many times slower the server is now.
+    /// The factor by which the server is slower now; 1 unless it is overdriven.
     pub(super) fn slowdown(&self, rule: &OverdriveRule) -> f64 {
         if self.active { rule.slowdown } else { 1.0 }
     }
 
-    /// Updates it to the state of the server now.
+    /// Updates the state to the occupancy of the server at `now`.
     pub(super) fn update(&mut self, rule: &OverdriveRule, now: Micros, occupancy: Occupancy) {
         let is_exceeded = rule.is_exceeded(occupancy.in_system() as f64, occupancy.cores);
         let is_calm = self.active && occupancy.in_slots as f64 <= occupancy.cores / 2.0;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// When it begins or ends if nothing else happens.
+    /// When the overdrive begins or ends if the occupancy does not change.
     pub(super) fn next_change(&self, rule: &OverdriveRule) -> Option<Micros> {
         let begins = self.above_since.filter(|_| !self.active);
         let begins = begins.map(|at| at + rule.after);
--- a/crates/emulator/src/server/statistics.rs
+++ b/crates/emulator/src/server/statistics.rs
@@ -1,27 +1,28 @@
-//! What a server records for reports and for comparison with queueing theory.
+//! Statistics of a server, for reports and for the comparison with queueing theory.
 
-/// What a server did so far, as integrals over time in microseconds.
+/// Totals of a server. Times are in microseconds, and integrals are over microseconds.
 #[derive(Clone, Debug, Default)]
 pub struct ServerStatistics {
-    /// Core time in use.
+    /// The integral of the number of cores in use.
     pub busy_core_time: f64,
-    /// Core time while the server was up.
+    /// The integral of the number of cores while the server was up.
     pub available_core_time: f64,
     /// The integral of the number of queued requests.
     pub queued_time: f64,
     /// The integral of the number of requests in the system (queued or in a slot).
     pub in_system_time: f64,
-    /// Jobs that entered a slot.
+    /// The number of jobs that entered a slot.
     pub started: u64,
-    /// The sum of their waiting times.
+    /// The sum of the times that the started jobs were queued.
     pub total_wait: f64,
-    /// Jobs that finished.
+    /// The number of jobs that finished.
     pub finished: u64,
-    /// The sum of their times at the server (sojourn times).
+    /// The sum of the times that the finished jobs were at the server (sojourn times).
     pub total_sojourn: f64,
-    /// The time during which at least 1, 2, ... requests were in the system.
+    /// The time during which at least 1, 2, ... 16 requests were in the system. Zero unless the
+    /// simulation was told to record it.
     pub time_with_at_least: [f64; 16],
-    /// The most requests in the system at once.
+    /// The maximum number of requests in the system.
     pub max_in_system: u32,
 }
 
@@ -35,7 +36,7 @@
 /// The state of a server during a period in which nothing changes.
 #[derive(Clone, Copy)]
 pub(super) struct Occupancy {
-    /// Its cores.
+    /// The number of cores.
     pub(super) cores: f64,
     /// The number of queued requests.
     pub(super) queued: usize,
@@ -51,7 +52,7 @@
 }
 
 impl ServerStatistics {
-    /// Adds a period of this many microseconds during which the server was up.
+    /// Adds a period of `elapsed` microseconds during which the server was up.
     pub(super) fn add_period(
         &mut self,
         elapsed: f64,
--- a/crates/emulator/src/server/warm_up.rs
+++ b/crates/emulator/src/server/warm_up.rs
@@ -1,4 +1,4 @@
-//! How a server that starts gains speed.
+//! The warm-up of a server: the rise of its speed after its process starts.
 
 use ironmast_balancer::Micros;
 
@@ -7,14 +7,14 @@
 /// The number of steps in which the speed of a server rises while it warms up.
 const WARM_UP_STEPS: f64 = 64.0;
 
-/// How a server that starts warms up.
+/// The parameters of a warm-up, which ends by time or by work done, whichever is sooner.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WarmUp {
-    /// The part of its speed that it starts with.
+    /// The share of the full speed at the start, 0 to 1.
     initial_share: f64,
-    /// The time after which it is warm, in microseconds.
+    /// The time after which the server is warm, in microseconds.
     duration: f64,
-    /// The work after which it is warm, in core-microseconds, if that is sooner; 0 for time alone.
+    /// The work after which the server is warm, in core-microseconds; 0 for no such limit.
     work: f64,
 }
 
@@ -28,8 +28,8 @@
         }
     }
 
-    /// The part of its full speed that a server has, 0 to 1, this long after its start and after
-    /// this much work.
+    /// The share of the full speed, 0 to 1, at a time since the start of the process and after this
+    /// much work.
     pub(super) fn speed_share(&self, since_start: Micros, work_done: f64) -> f64 {
         if self.initial_share >= 1.0 {
             return 1.0;
@@ -44,7 +44,7 @@
         self.initial_share + (1.0 - self.initial_share) * progress
     }
 
-    /// The time from the start to the next step in speed by time alone.
+    /// The time from the start of the process to the next speed step, without regard to work.
     pub(super) fn next_step(&self, since_start: Micros) -> Micros {
         let step = self.duration / WARM_UP_STEPS;
         let passed = (since_start as f64 / step).floor() + 1.0;
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -1,10 +1,10 @@
-//! A run of a scenario: one queue of events over servers, network, discovery, clients and proxies.
+//! A run of a scenario: one event queue for servers, network, discovery, clients and proxies.
 //!
-//! Clients begin operations and send a request to a proxy for each, and more when they retry. A
-//! proxy hosts a policy, fed as the real driver feeds the decision module: events in, actions out.
-//! The policy's attempts travel to machines, which run servers, and their outcomes back. What
-//! happened is reported to the judge from here, where everything is known that a policy may be
-//! wrong about.
+//! Clients begin operations, send a request to a proxy for each, and send more when they retry. A
+//! proxy hosts a policy and drives it as the real driver does the decision module: events in,
+//! actions out. The policy's attempts travel to machines, which run servers, and their outcomes
+//! travel back. The simulation reports to the judge, since it knows the true state, about which a
+//! policy may be wrong.
 
 mod arrivals;
 mod attempts;
@@ -46,16 +46,17 @@
 use rule_checks::RuleLimits;
 use servers::{CoreTime, Machine, Position};
 
-/// The clock's reading at the start of a run.
+/// The clock reading at the start of a run, in microseconds.
 pub const ORIGIN: Micros = 1_000_000_000;
 
-/// The time after the last deadline at which a run stops, whatever is still open.
+/// The time after the last deadline at which a run stops even if operations are still open.
 const STOP_DELAY: Micros = 1_000_000;
 
 /// Builds a policy from settings and a seed.
 pub type PolicyBuilder<'a> = Box<dyn Fn(Settings, u64) -> Box<dyn Policy> + 'a>;
 
-/// The facts of a run that enter its digest from here. The judge adds the ends of operations (1).
+/// The facts that the simulation adds to the digest of a run. The values are part of the digest;
+/// 1 is the end of an operation, which the judge adds.
 #[derive(Clone, Copy)]
 enum Fact {
     /// Operation, time, server.
@@ -64,23 +65,23 @@
     Executed = 3,
     /// Operation, time, server.
     DuplicateDropped = 4,
-    /// Events, events scheduled, attempts.
+    /// Events processed, events scheduled, attempts sent.
     Totals = 9,
 }
 
-/// One run of a scenario.
+/// One run of a scenario under one policy and seed.
 pub struct Simulation<'a> {
     scenario: &'a Scenario,
     /// The policy's name.
     policy: String,
     seed: u64,
     build_policy: PolicyBuilder<'a>,
-    /// Whether policies are given the work of each request.
+    /// Whether requests tell policies their true work, which only the oracle may know.
     gives_work_hints: bool,
     now: Micros,
-    /// When clients begin no more operations.
+    /// The time from which on clients begin no operations.
     end: Micros,
-    /// When the run stops, whatever is still open.
+    /// The time at which the run stops even if operations are still open.
     hard_stop: Micros,
     queue: EventQueue<SimulationEvent>,
     /// The steps of faults, by index.
@@ -89,7 +90,7 @@
     requests: RequestTable,
     started_operations: u64,
     open_operations: u64,
-    /// By the server's number.
+    /// Machines, indexed by server number.
     machines: Vec<Machine>,
     positions: Vec<Position>,
     proxies: Vec<Proxy>,
@@ -98,7 +99,7 @@
     datagram_draws: Stream,
     speed_draws: Stream,
     judge: Judge,
-    /// How often clients retry at once during a retry storm.
+    /// The number of immediate retries per operation during a retry storm; `None` otherwise.
     retry_storm: Option<u32>,
     class_mix: ClassMix,
     rate_curve: RateCurve<'a>,
@@ -106,14 +107,14 @@
     events: u64,
     traffic: Traffic,
     occupancy_distribution: OccupancyDistribution,
-    /// Buffers that are reused.
+    /// Buffers for actions, events and job events, kept to avoid allocations per event.
     actions: Vec<Action>,
     pending: VecDeque<Event>,
     job_events: Vec<JobEvent>,
 }
 
 impl<'a> Simulation<'a> {
-    /// A run of a checked scenario under one of the named policies.
+    /// Creates a run of a validated scenario under one of the named policies.
     #[must_use]
     pub fn new(scenario: &'a Scenario, policy: PolicyName, seed: u64) -> Self {
         let build = move |settings, seed| policy.build(settings, seed);
@@ -122,7 +123,7 @@
         simulation
     }
 
-    /// A run under a policy of the caller's own.
+    /// Creates a run under a policy that the caller builds; `name` appears in the report.
     #[must_use]
     pub fn with_policy(
         scenario: &'a Scenario,
@@ -172,8 +173,8 @@
         simulation
     }
 
-    /// Records for how long at least 1, 2, ... requests were at each server. Must be called before
-    /// the run: it resets the servers.
+    /// Makes each server record for how long at least 1, 2, ... requests were in its system. Must
+    /// be called before the run, since the servers are created anew.
     pub fn record_occupancy(&mut self) {
         self.occupancy_distribution = OccupancyDistribution::Record;
         for position in &self.positions {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Resets the statistics of the servers, for figures without the beginning of the run.
+    /// Resets the statistics of all servers, to exclude the start of the run from them.
     pub fn reset_statistics(&mut self) {
         for machine in &mut self.machines {
             machine.server.statistics = ServerStatistics::default();
@@ -198,7 +199,8 @@
         self.events
     }
 
-    /// Runs up to a second of the scenario. Returns true once everything has ended.
+    /// Processes events up to the first one at or after `second` of the scenario. Returns true if
+    /// the run is over.
     pub fn run_to(&mut self, second: f64) -> bool {
         let until = ORIGIN + seconds(second);
         while let Some((at, event)) = self.queue.pop() {
@@ -216,7 +218,7 @@
         true
     }
 
-    /// Runs to the end and reports.
+    /// Processes all events and returns the report.
     #[must_use]
     pub fn run(mut self) -> Report {
         while !self.run_to(f64::from(u32::MAX)) {}
