--- a/crates/emulator/src/policy/endpoints.rs
+++ b/crates/emulator/src/policy/endpoints.rs
@@ -1,29 +1,29 @@
-//! The endpoints that a reference policy knows.
+//! The endpoint list of a reference policy, with the state of each endpoint.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
 use ironmast_balancer::{Listing, Micros, Phase, Scope, Server, ServerId};
 
-/// A server as listed, and what this proxy sent to it.
+/// A listed server, with the state of this proxy's traffic to it.
 pub(super) struct Endpoint {
-    /// The newest entry of the list.
+    /// The server's newest entry in the list.
     pub listed: Server,
-    /// Attempts of this proxy in flight.
+    /// The number of this proxy's attempts in flight.
     pub in_flight: u64,
-    /// Its credit in weighted round robin, in requests.
+    /// The credit in weighted round robin, in requests.
     pub credit: f64,
     /// When this proxy last sent an attempt; 0 for never.
     pub last_sent: Micros,
 }
 
-/// The endpoints by server.
+/// The known endpoints, by server id.
 pub(super) struct Endpoints {
     own_zone: usize,
     by_id: BTreeMap<ServerId, Endpoint>,
-    /// Those that accept requests, in the order of their ids.
+    /// Endpoints in the phase `Ready`, in the order of their ids.
     ready: Vec<ServerId>,
-    /// Those of them in the own zone.
+    /// The ready endpoints in the proxy's own zone, in the order of their ids.
     ready_in_own_zone: Vec<ServerId>,
 }
 
@@ -45,17 +45,17 @@
         self.by_id.get_mut(&id)
     }
 
-    /// Those that accept requests, in the order of their ids.
+    /// The endpoints in the phase `Ready`, in the order of their ids.
     pub(super) fn ready(&self) -> &[ServerId] {
         &self.ready
     }
 
-    /// Those that accept requests in the own zone, in the order of their ids.
+    /// The ready endpoints in the own zone, in the order of their ids.
     pub(super) fn ready_in_own_zone(&self) -> &[ServerId] {
         &self.ready_in_own_zone
     }
 
-    /// Applies a list, or changes of one.
+    /// Applies a complete list or a set of changes.
     pub(super) fn update(&mut self, listing: Listing) {
         if listing.scope != Scope::Changes {
             let listed: BTreeSet<ServerId> = listing.servers.iter().map(|s| s.id).collect();
--- a/crates/emulator/src/policy/interface.rs
+++ b/crates/emulator/src/policy/interface.rs
@@ -1,21 +1,22 @@
-//! What a policy is given, and what it returns.
+//! The interface of policies, and their access to the true state of the servers.
 
 use ironmast_balancer::{Action, Balancer, Event, Micros, ServerId};
 
 use crate::server::Estimate;
 
-/// The true state of the servers, which only the oracle may use.
+/// Access to the true state of the servers, which only the oracle may use.
 pub trait GroundTruth {
-    /// How long a request of this class and work (core-microseconds) would wait and take if it were
-    /// sent to the server now from this zone. [`Estimate::NEVER`] if it would not be answered, or
-    /// would overload the server.
+    /// Estimates the waiting and total time of a request of this class and work (core-microseconds)
+    /// if it were sent to the server now from this zone. The result is [`Estimate::NEVER`] if the
+    /// request would not be answered or would overload the server.
     fn estimate_response(&self, server: ServerId, zone: usize, class: usize, work: f64)
     -> Estimate;
 }
 
-/// Decides for one proxy. It is given [`Event`]s and returns [`Action`]s, as the decision module.
+/// A load-balancing policy of one proxy, which maps [`Event`]s to [`Action`]s as the decision
+/// module does.
 pub trait Policy {
-    /// Handles one event at a clock reading and appends the actions to take.
+    /// Handles one event at the clock reading `now` and appends the actions to execute.
     fn handle(
         &mut self,
         now: Micros,
--- a/crates/emulator/src/policy/name.rs
+++ b/crates/emulator/src/policy/name.rs
@@ -1,4 +1,4 @@
-//! The policies by name.
+//! The names of the policies, and their construction.
 
 use std::str::FromStr;
 
@@ -9,30 +9,31 @@
 use super::reference::Reference;
 use super::selection::SelectionRule;
 
-/// A policy.
+/// A policy that the emulator can run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicyName {
     /// The decision module.
     Module,
-    /// A random server.
+    /// A random eligible server.
     Random,
     /// All servers in turn.
     RoundRobin,
-    /// The servers of the own zone in turn; all, if it has none.
+    /// The servers of the proxy's own zone in turn; all servers if that zone has none.
     ZoneRoundRobin,
     /// Of two random servers, the one with fewer requests in flight from this proxy (power of two
     /// choices).
     TwoChoices,
     /// The server with the fewest requests in flight from this proxy.
     LeastRequests,
-    /// In turn, weighted by the capacities in the endpoint list.
+    /// Servers in turn, weighted by the capacities in the endpoint list.
     WeightedRoundRobin,
-    /// The server that will truly answer first. What cannot be answered in time is rejected at
-    /// once. Reports call it the ceiling.
+    /// The server that will answer first by the true state, as an upper bound for the other
+    /// policies. Requests that cannot be answered in time are rejected at once. The name in reports
+    /// is `ceiling`.
     Oracle,
 }
 
-/// A name that no policy has.
+/// The error for a name that no policy has.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("`{0}` is not a policy, expected one of {names}", names = PolicyName::ALL.map(PolicyName::name).join(", "))]
 pub struct UnknownPolicy(pub String);
@@ -50,7 +51,7 @@
         PolicyName::Oracle,
     ];
 
-    /// Its name on the command line and in reports.
+    /// The policy's name on the command line and in reports.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -65,10 +66,10 @@
         }
     }
 
-    /// Creates an instance of the policy.
+    /// Creates an instance of the policy for one proxy.
     ///
     /// # Panics
-    /// If the decision module rejects the settings, which those of a valid scenario never are.
+    /// If the decision module rejects the settings. It accepts those of every valid scenario.
     #[must_use]
     pub fn build(self, settings: Settings, seed: u64) -> Box<dyn Policy> {
         let rule = match self {
--- a/crates/emulator/src/policy/reference.rs
+++ b/crates/emulator/src/policy/reference.rs
@@ -1,7 +1,8 @@
-//! The reference policies: textbook selection rules with the least that the four rules require.
+//! The reference policies: textbook selection rules with the minimum that the judge's four rules
+//! require.
 //!
-//! They retry if the class permits it, answer in time, respect draining and share servers that are
-//! warming up. They neither check health nor limit load.
+//! Reference policies retry if the class permits it, answer in time, send nothing to draining
+//! servers and share servers that are warming up. They neither check health nor limit load.
 
 use std::collections::BTreeMap;
 
@@ -15,27 +16,27 @@
 use super::selection::{Query, SelectionRule, Selector};
 use crate::random::{hash_parts, unit_interval};
 
-/// How long requests are queued, when no server is eligible, before the next selection.
+/// The time for which requests without an eligible server are queued before the next selection.
 const SELECTION_INTERVAL: Micros = 5_000;
-/// The delay after which a failed query of discovery is repeated.
+/// The delay before a failed query of discovery is repeated.
 const DISCOVERY_RETRY_DELAY: Micros = 500_000;
-/// The mean Retry-After of rejections, in microseconds, with a jitter of 50 %.
+/// The mean Retry-After of rejections, in microseconds. The jitter is 50 % either way.
 const MEAN_RETRY_AFTER: f64 = 200_000.0;
 
-/// The token of the timer for the next selection. Timers of requests have the request's id.
+/// The token of the timer for the next selection. The token of a request's timer is its id.
 const SELECTION_TIMER: u64 = u64::MAX;
 /// The token of the timer for the next query of discovery.
 const DISCOVERY_TIMER: u64 = u64::MAX - 1;
 
-/// A reference policy.
+/// A reference policy of one proxy, with its selection rule.
 pub(super) struct Reference {
     settings: Settings,
     selector: Selector,
     endpoints: Endpoints,
     requests: BTreeMap<RequestId, AcceptedRequest>,
-    /// Requests for which no server was eligible.
+    /// Requests that wait for an eligible server.
     queue: Vec<RequestId>,
-    /// The timer [`SELECTION_TIMER`] is pending.
+    /// Whether the timer [`SELECTION_TIMER`] is pending.
     selection_scheduled: bool,
     subscribed: bool,
 }
@@ -182,7 +183,8 @@
         }
     }
 
-    /// Ends a request without success: rejects it if it cannot have run, otherwise it has failed.
+    /// Ends a request without success: rejects it if no server can have executed it, and reports a
+    /// failure otherwise.
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/crates/emulator/src/policy/request.rs
+++ b/crates/emulator/src/policy/request.rs
@@ -1,16 +1,16 @@
-//! The requests that a reference policy has accepted, with their attempts.
+//! The accepted requests of a reference policy, with their attempts.
 
 use ironmast_balancer::{Effect, Group, Micros, Outcome, Request, Server, ServerId};
 
-/// An attempt.
+/// An attempt at a request.
 pub(super) struct Attempt {
-    /// The server that it was sent to.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
     /// The server's zone.
     pub zone: usize,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// How it ended, unless it is in flight.
+    /// The outcome; `None` while the attempt is in flight.
     pub outcome: Option<Outcome>,
 }
 
@@ -20,13 +20,13 @@
     }
 }
 
-/// A request with its attempts.
+/// An accepted request with its attempts.
 pub(super) struct AcceptedRequest {
-    /// The request.
+    /// The request as delivered to the policy.
     pub request: Request,
-    /// Its attempts so far.
+    /// The attempts so far, by index.
     pub attempts: Vec<Attempt>,
-    /// It has its final answer, or its client has disconnected.
+    /// Whether the request has its final answer or its client has disconnected.
     pub ended: bool,
 }
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether a server may have executed it.
+    /// Whether any server may have executed the request.
     pub(super) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_run)
     }
@@ -51,8 +51,8 @@
             .all(|attempt| attempt.outcome.is_some())
     }
 
-    /// Whether it may be sent to a server: one that it was not sent to before, and at which a
-    /// repeat has no further effect.
+    /// Whether the request may be sent to a server. The server must not have had an attempt of it,
+    /// and every earlier attempt that may have run must make a repeat there harmless.
     pub(super) fn may_be_sent_to(&self, server: &Server, effect: &Effect, now: Micros) -> bool {
         let is_harmless = |attempt: &Attempt| match *effect {
             Effect::Idempotent => true,
--- a/crates/emulator/src/policy/selection.rs
+++ b/crates/emulator/src/policy/selection.rs
@@ -1,4 +1,4 @@
-//! How reference policies select a server among those that are eligible.
+//! The rules by which reference policies select an eligible server.
 
 use ironmast_balancer::{Micros, Phase, ServerId, Settings};
 
@@ -8,9 +8,10 @@
 use super::warm_up;
 use crate::random::{Purpose, Stream};
 
-/// The oracle sends a request only if it would be answered within this share of its latency target.
+/// The share of its latency target within which a request must be answered for the oracle to send
+/// it.
 const ORACLE_TARGET_SHARE: f64 = 0.9;
-/// The least share of that time that the oracle lets a request wait, however low its value.
+/// The share of that time that the oracle lets a request wait at least, however low its value.
 const ORACLE_MIN_WAIT_SHARE: f64 = 0.1;
 /// The weight of the newest request in the oracle's moving average of values.
 const ORACLE_AVERAGE_WEIGHT: f64 = 0.01;
@@ -27,7 +28,7 @@
     Oracle,
 }
 
-/// A request to select a server for, and all that matters besides the endpoints.
+/// The input of a selection besides the endpoints.
 pub(super) struct Query<'a> {
     pub now: Micros,
     pub request: &'a AcceptedRequest,
@@ -45,13 +46,13 @@
     }
 }
 
-/// A rule with its state.
+/// A selection rule with its state.
 pub(super) struct Selector {
     rule: SelectionRule,
     random: Stream,
     /// The number of selections so far, for round robin.
     turn: usize,
-    /// Oracle: the moving average of value over work; 0 before the first request.
+    /// The oracle's moving average of value over work; 0 before the first request.
     value_per_work: f64,
 }
 
@@ -80,7 +81,7 @@
         match self.rule {
             SelectionRule::RoundRobin | SelectionRule::ZoneRoundRobin => {
                 self.turn += 1;
-                // Proxies start at different servers.
+                // The index of the proxy is added, so that proxies start at different servers.
                 let start = self.turn + query.settings.balancer_index as usize;
                 eligible_from(start, candidates, query, endpoints).next()
             }
@@ -109,14 +110,15 @@
         }
     }
 
-    /// Two positions below `count`. Always two are drawn, also by rules that use one, so that the
-    /// digests of recorded runs stay as they are.
+    /// Draws two positions below `count`. Rules that use one position draw two as well, so that the
+    /// digests of recorded runs do not change.
     fn draw_two(&mut self, count: usize) -> (usize, usize) {
         (self.random.below(count), self.random.below(count))
     }
 
-    /// The server that answers first, if it answers in time. When servers are busy, requests whose
-    /// value is low for their work may wait for less time, so that they are rejected first.
+    /// Selects the server that answers first, if it answers in time. Requests of less value per
+    /// work than the moving average have a shorter limit on their wait, so that they are the first
+    /// to be rejected when servers are busy.
     fn select_by_truth(&mut self, query: &Query, endpoints: &Endpoints) -> Option<ServerId> {
         let request = &query.request.request;
         let work = request.work_hint.unwrap_or(0) as f64;
@@ -133,8 +135,8 @@
         (estimate.total <= limit && estimate.wait <= limit * wait_share).then_some(server)
     }
 
-    /// The share of its time that a request may wait, by its value over its work against the moving
-    /// average, to which it is added.
+    /// The share of its time limit that a request may wait: its value per work relative to the
+    /// moving average, which is then updated with it.
     fn wait_share(&mut self, value_per_work: f64) -> f64 {
         let average = self.value_per_work;
         self.value_per_work += ORACLE_AVERAGE_WEIGHT * (value_per_work - average);
@@ -146,7 +148,7 @@
     }
 }
 
-/// The servers among which a rule selects, before eligibility.
+/// The servers that a rule considers, before the check of eligibility.
 fn candidates(rule: SelectionRule, endpoints: &Endpoints) -> &[ServerId] {
     let in_own_zone = endpoints.ready_in_own_zone();
     if rule == SelectionRule::ZoneRoundRobin && !in_own_zone.is_empty() {
@@ -156,7 +158,7 @@
     }
 }
 
-/// The eligible candidates, cyclically from a position on.
+/// The eligible candidates in cyclic order from a position.
 fn eligible_from<'a>(
     start: usize,
     candidates: &'a [ServerId],
@@ -177,8 +179,8 @@
     endpoints.get(id).map_or(0, |endpoint| endpoint.in_flight)
 }
 
-/// Smooth weighted round robin: each server gains its share of one request, and the one with the
-/// most credit is selected and pays one request.
+/// Selects by smooth weighted round robin: each server gains credit in proportion to its capacity,
+/// one request in total, and the server with the most credit is selected and loses one request.
 fn select_by_weight(eligible: &[ServerId], endpoints: &mut Endpoints) -> Option<ServerId> {
     let total: f64 = eligible
         .iter()
--- a/crates/emulator/src/policy/warm_up.rs
+++ b/crates/emulator/src/policy/warm_up.rs
@@ -1,20 +1,21 @@
-//! Rule 4 without communication: proxies share a server that is warming up by turns that depend on
-//! its id and the time alone.
+//! The limit on load during warm-up (rule 4) without communication between proxies: they send to a
+//! server that is warming up in turns, which depend on its id and the time alone.
 
 use ironmast_balancer::{Micros, Settings};
 
 use super::endpoints::Endpoint;
 use crate::random::hash_parts;
 
-/// In the first half of the warm-up one proxy at a time may send to the server, for one turn of
-/// this length, and one request in it.
+/// The length of a turn. In the first half of the warm-up one proxy per turn may send to the
+/// server, and only one request.
 const TURN: Micros = 250_000;
-/// In the second half this many proxies at a time may send to it.
+/// The number of proxies per turn that may send to the server in the second half of the warm-up.
 const PROXIES_PER_TURN: u64 = 3;
-/// Each of them one request at a time, with at least this long between two.
+/// The minimum interval between two requests of one proxy in the second half of the warm-up, during
+/// which each proxy has at most one request in flight.
 const MIN_INTERVAL: Micros = 50_000;
 
-/// Whether this proxy may send to a server, if it is warming up, now.
+/// Whether this proxy may send to a server now. Only a warm-up in progress restricts that.
 pub(super) fn may_send(settings: &Settings, endpoint: &Endpoint, now: Micros) -> bool {
     let Some(started) = endpoint.listed.started else {
         return true;
@@ -33,7 +34,8 @@
     }
 }
 
-/// The position of this proxy, from 0, in a random rotation of all proxies.
+/// The position of this proxy, from 0, in the order of all proxies in this turn. The order is
+/// rotated by a hash of the server id and the turn.
 fn position_in_turn(settings: &Settings, endpoint: &Endpoint, turn: Micros) -> u64 {
     let offset = hash_parts([endpoint.listed.id.0, turn, 1, 1]);
     offset.wrapping_add(u64::from(settings.balancer_index)) % u64::from(settings.balancers)
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -316,8 +316,8 @@
         Some(self.now + (work / rate + overhead).ceil().min(MAX_WAIT) as Micros)
     }
 
-    /// The time of the next speed step of the warm-up. `None` without jobs in slots, since only they
-    /// depend on the speed.
+    /// The time of the next speed step of the warm-up. `None` without jobs in slots, since only
+    /// they depend on the speed.
     fn next_warm_up_step(&self) -> Option<Micros> {
         let matters = self.in_slots > 0 && self.is_warming_up(self.now);
         let since_start = self.now.saturating_sub(self.started);
@@ -344,8 +344,8 @@
         self.jobs.get(key)
     }
 
-    /// Reduces the work of a job that has just started, for a duplicate whose result the server only
-    /// looks up.
+    /// Reduces the work of a job that has just started, for a duplicate whose result the server
+    /// only looks up.
     pub(crate) fn shorten(&mut self, key: JobKey, work: f64) {
         if self.jobs.get(key).is_some_and(|job| job.work > work) {
             self.running.retain(|running| running.2 != key);
@@ -353,8 +353,8 @@
         }
     }
 
-    /// Marks a job as cancelled by its proxy. If the server drops cancelled jobs, the job is removed
-    /// and returned.
+    /// Marks a job as cancelled by its proxy. If the server drops cancelled jobs, the job is
+    /// removed and returned.
     pub(crate) fn cancel(&mut self, key: JobKey, events: &mut Vec<JobEvent>) -> Option<Job> {
         let job = self.jobs.get_mut(key)?;
         job.cancelled = true;
--- a/crates/emulator/src/simulation/arrivals.rs
+++ b/crates/emulator/src/simulation/arrivals.rs
@@ -1,22 +1,23 @@
-//! When clients begin operations, and of which class.
+//! The arrival process of operations, and their mix of classes.
 
 use crate::fault_schedule::{max_surge_factor, surge_factor};
 use crate::random::{Purpose, Stream};
 use crate::scenario::{Arrivals, Class, Clients, Scenario};
 
-/// The lowest rates, per second, that intervals are computed from.
+/// Lower bounds of the rates, per second, that intervals are computed from. They avoid a division
+/// by zero.
 const MIN_EVEN_RATE: f64 = 1e-9;
 const MIN_CANDIDATE_RATE: f64 = 1e-12;
 
-/// The rate of all arrivals over time, as a factor of its mean.
+/// The rate of all arrivals over time, as a factor of the mean rate.
 pub(super) struct RateCurve<'a> {
     scenario: &'a Scenario,
-    /// An upper bound of the factor, bursts included.
+    /// An upper bound of the factor, including bursts.
     max_factor: f64,
 }
 
 impl<'a> RateCurve<'a> {
-    /// The curve of a scenario, with its surges.
+    /// Creates the curve of a scenario, including its surges.
     pub(super) fn new(scenario: &'a Scenario) -> Self {
         let clients = &scenario.clients;
         let burst_factor = if clients.arrivals == Arrivals::Bursty {
@@ -31,13 +32,13 @@
         }
     }
 
-    /// The factor at a second, without bursts.
+    /// The factor at a second of the scenario, without bursts.
     fn factor(&self, at_s: f64) -> f64 {
         self.scenario.rate_factor(at_s) * surge_factor(self.scenario, at_s)
     }
 }
 
-/// A source that is in turn in a burst and at rest.
+/// The state of a bursty source, which alternates between bursts and rest.
 #[derive(Default)]
 struct BurstState {
     in_burst: bool,
@@ -46,19 +47,20 @@
 
 /// The arrivals at one proxy.
 ///
-/// Candidates come at the highest rate and are accepted in proportion to the rate at their time
-/// (thinning), so that the draws of one proxy never depend on what else happens.
+/// Candidates are drawn at the highest rate and accepted with a probability proportional to the
+/// rate at their time (thinning), so that the draws of a proxy do not depend on other events.
 pub(super) struct ArrivalProcess {
     /// The mean rate, per second.
     rate: f64,
     draws: Stream,
     burst: BurstState,
-    /// The second of the last arrival, exactly: whole microseconds would add up at high rates.
+    /// The time of the last arrival in seconds, unrounded: the error of rounding to microseconds
+    /// would add up at high rates.
     last_s: f64,
 }
 
 impl ArrivalProcess {
-    /// The process of a proxy at this mean rate.
+    /// Creates the process of a proxy with this mean rate per second.
     pub(super) fn new(seed: u64, proxy: u32, rate: f64) -> Self {
         ArrivalProcess {
             rate,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// The second of the next arrival; `None` once the run is over.
+    /// The time of the next arrival in seconds; `None` after the end of the scenario.
     pub(super) fn next_arrival_s(&mut self, curve: &RateCurve) -> Option<f64> {
         let at_s = match curve.scenario.clients.arrivals {
             Arrivals::Even => {
@@ -109,7 +111,7 @@
         self.rate * curve.max_factor / mean_burst_factor
     }
 
-    /// Advances the bursts to a second and returns the factor there.
+    /// Advances the burst state to a second of the scenario and returns the factor there.
     fn burst_factor(&mut self, clients: &Clients, at_s: f64) -> f64 {
         if clients.arrivals != Arrivals::Bursty {
             return 1.0;
@@ -131,11 +133,11 @@
     }
 }
 
-/// The shares of the classes among all operations, summed up to each class.
+/// The cumulative shares of the classes among all operations.
 pub(super) struct ClassMix(Vec<f64>);
 
 impl ClassMix {
-    /// The mix of these classes.
+    /// Creates the mix from the shares of these classes.
     pub(super) fn new(classes: &[Class]) -> Self {
         let total: f64 = classes.iter().map(|class| class.share).sum();
         let cumulative = classes.iter().scan(0.0, |sum, class| {
@@ -145,7 +147,7 @@
         ClassMix(cumulative.collect())
     }
 
-    /// The class of a draw from [0, 1).
+    /// The index of the class for a draw from [0, 1).
     pub(super) fn class_at(&self, draw: f64) -> usize {
         self.0
             .iter()
