--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -41,7 +41,7 @@
     /// When the last queued query is answered, in microseconds.
     busy_until: f64,
     /// Whether an outage is in force: every query fails and no change is notified.
-    pub is_out: bool,
+    pub in_outage: bool,
 }
 
 impl Discovery {
@@ -53,7 +53,7 @@
             service_time: 1e6 / spec.queries_per_s,
             max_wait: seconds(spec.max_wait_s) as f64,
             busy_until: 0.0,
-            is_out: false,
+            in_outage: false,
         }
     }
 
@@ -87,7 +87,7 @@
 
     /// Queues a query that arrives at `now`. During an outage it fails at once.
     pub(crate) fn query(&mut self, now: Micros) -> QueryResult {
-        if self.is_out {
+        if self.in_outage {
             return QueryResult {
                 at: now,
                 answered: false,
--- a/crates/emulator/src/policy/request.rs
+++ b/crates/emulator/src/policy/request.rs
@@ -58,8 +58,8 @@
             Effect::Idempotent => true,
             Effect::NonIdempotent => false,
             Effect::Deduplicated { group, window } => {
-                let knows = group == Group::All || attempt.zone == server.zone;
-                knows && now < attempt.sent_at + window
+                let is_in_group = group == Group::All || attempt.zone == server.zone;
+                is_in_group && now < attempt.sent_at + window
             }
         };
         self.attempts.iter().all(|attempt| {
--- a/crates/emulator/src/server/overdrive.rs
+++ b/crates/emulator/src/server/overdrive.rs
@@ -24,7 +24,7 @@
 pub(super) struct Overdrive {
     active: bool,
     above_since: Option<Micros>,
-    calm_since: Option<Micros>,
+    recovering_since: Option<Micros>,
 }
 
 impl OverdriveRule {
@@ -53,14 +53,17 @@
     /// Updates the state to the occupancy of the server at `now`.
     pub(super) fn update(&mut self, rule: &OverdriveRule, now: Micros, occupancy: Occupancy) {
         let is_exceeded = rule.is_exceeded(occupancy.in_system() as f64, occupancy.cores);
-        let is_calm = self.active && occupancy.in_slots as f64 <= occupancy.cores / 2.0;
+        let is_recovering = self.active && occupancy.in_slots as f64 <= occupancy.cores / 2.0;
         self.above_since = is_exceeded.then(|| self.above_since.unwrap_or(now));
-        self.calm_since = is_calm.then(|| self.calm_since.unwrap_or(now));
+        self.recovering_since = is_recovering.then(|| self.recovering_since.unwrap_or(now));
         if self.above_since.is_some_and(|at| now >= at + rule.after) {
             self.active = true;
         }
-        if self.calm_since.is_some_and(|at| now >= at + rule.recovery) {
-            (self.active, self.calm_since) = (false, None);
+        if self
+            .recovering_since
+            .is_some_and(|at| now >= at + rule.recovery)
+        {
+            (self.active, self.recovering_since) = (false, None);
         }
     }
 
@@ -68,7 +71,7 @@
     pub(super) fn next_change(&self, rule: &OverdriveRule) -> Option<Micros> {
         let begins = self.above_since.filter(|_| !self.active);
         let begins = begins.map(|at| at + rule.after);
-        let ends = self.calm_since.map(|at| at + rule.recovery);
+        let ends = self.recovering_since.map(|at| at + rule.recovery);
         begins.into_iter().chain(ends).min()
     }
 }
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -55,7 +55,7 @@
             Step::StartProxies { proxies } => self.start_stopped_proxies(&proxies),
             Step::RetryStorm { retries } => self.retry_storm = retries,
             Step::DiscoveryOutage => self.begin_discovery_outage(),
-            Step::DiscoveryBack => self.discovery.is_out = false,
+            Step::DiscoveryBack => self.discovery.in_outage = false,
         }
     }
 
@@ -150,7 +150,7 @@
 
     /// Begins an outage of discovery: queries are not answered, and the proxies lose their watches.
     fn begin_discovery_outage(&mut self) {
-        self.discovery.is_out = true;
+        self.discovery.in_outage = true;
         for number in 0..self.proxies.len() as u32 {
             let proxy = &mut self.proxies[number as usize];
             let loses_watch = self.scenario.discovery.watch
--- a/crates/emulator/src/simulation/list_updates.rs
+++ b/crates/emulator/src/simulation/list_updates.rs
@@ -32,7 +32,7 @@
             started: machine.server.started,
             since: self.now,
         });
-        if !self.discovery.is_out {
+        if !self.discovery.in_outage {
             for proxy in 0..self.proxies.len() as u32 {
                 self.schedule_notification(proxy);
             }
@@ -123,7 +123,7 @@
         if !self.is_current(run) {
             return;
         }
-        let has_failed = !answered || self.discovery.is_out;
+        let has_failed = !answered || self.discovery.in_outage;
         let proxy = &mut self.proxies[run.proxy as usize];
         proxy.last_query_failed = has_failed;
         if has_failed {
--- a/crates/emulator/src/simulation/rule_checks.rs
+++ b/crates/emulator/src/simulation/rule_checks.rs
@@ -105,8 +105,9 @@
             1
         };
         let interval = self.rule_limits.discovery_interval * excuse;
-        let is_overdue =
-            !proxy.subscribed && !self.discovery.is_out && self.now > proxy.last_contact + interval;
+        let is_overdue = !proxy.subscribed
+            && !self.discovery.in_outage
+            && self.now > proxy.last_contact + interval;
         if !is_overdue {
             return None;
         }
--- a/crates/emulator/src/simulation/servers.rs
+++ b/crates/emulator/src/simulation/servers.rs
@@ -289,8 +289,8 @@
             let at = self.now + self.network.base_delay(zone, proxy_zone);
             for attempt in self.requests.attempt_ids(id) {
                 let found = &self.requests[attempt];
-                let is_old = found.server == server && found.incarnation < incarnation;
-                if is_old && found.open && found.connected {
+                let is_earlier = found.server == server && found.incarnation < incarnation;
+                if is_earlier && found.open && found.connected {
                     resets.push((attempt, at));
                 }
             }
