--- a/crates/emulator/src/simulation/rule_checks.rs
+++ b/crates/emulator/src/simulation/rule_checks.rs
@@ -61,7 +61,7 @@
         let (rule, description) = if request.finished {
             (
                 Rule::OneAnswer,
-                "sent an attempt of a request that already has its final answer",
+                "sent an attempt of a request that has its answer",
             )
         } else if request.attempts.len() >= limits.max_attempts {
             (
@@ -141,7 +141,7 @@
         if is_harmful {
             let number = operation.number;
             let description = format!(
-                "repeated an attempt of class `{}` at a server that cannot recognize the duplicate",
+                "`{}` sent again to a server that cannot recognize the duplicate",
                 class.name
             );
             self.record_violation(
--- a/crates/emulator/src/simulation/servers.rs
+++ b/crates/emulator/src/simulation/servers.rs
@@ -177,7 +177,7 @@
             EffectSpec::Deduplicated => self.traffic.late_repeats += u64::from(!is_first),
             EffectSpec::NonIdempotent if !is_first => {
                 let rule = Rule::NoEffectTwice;
-                let description = format!("non-idempotent `{}` executed a second time", class.name);
+                let description = format!("`{}` ran again though it is not idempotent", class.name);
                 self.record_violation(rule, proxy, Some(server), Some(number), description);
             }
             EffectSpec::NonIdempotent | EffectSpec::Idempotent => {}
