--- a/crates/emulator/src/fault_schedule.rs
+++ b/crates/emulator/src/fault_schedule.rs
@@ -61,7 +61,7 @@
     /// Discovery answers no query.
     DiscoveryOutage,
     /// Discovery answers again.
-    DiscoveryBack,
+    DiscoveryRecovered,
 }
 
 /// What faults may affect.
@@ -216,7 +216,7 @@
             }
             FaultKind::DiscoveryOutage => {
                 self.push(begin, Step::DiscoveryOutage);
-                self.push(end, Step::DiscoveryBack);
+                self.push(end, Step::DiscoveryRecovered);
             }
         }
     }
--- a/crates/emulator/src/judge/service.rs
+++ b/crates/emulator/src/judge/service.rs
@@ -178,8 +178,8 @@
             matches!(outcome, OperationOutcome::Answered(after) if after <= target.latency);
         let (offered, earned) = (target.value, if in_time { target.value } else { 0.0 });
         let elapsed = operation.start - self.origin;
-        let window = index(elapsed / self.window, &self.by_window);
-        let column = index(elapsed * COLUMNS as u64 / self.length, &self.by_column);
+        let window = clamped_index(elapsed / self.window, &self.by_window);
+        let column = clamped_index(elapsed * COLUMNS as u64 / self.length, &self.by_column);
         let class = &mut self.by_class[operation.class];
         for sum in [
             &mut self.total,
@@ -201,6 +201,6 @@
 }
 
 /// A position in a list, or its last one if the position is beyond the end.
-fn index<T>(position: u64, list: &[T]) -> usize {
+fn clamped_index<T>(position: u64, list: &[T]) -> usize {
     (position as usize).min(list.len() - 1)
 }
--- a/crates/emulator/src/judge/tests.rs
+++ b/crates/emulator/src/judge/tests.rs
@@ -27,8 +27,8 @@
     let scenario = Scenario::parse(text).expect("a valid scenario");
     // 4 times the capacity of half a core, over 2 s, is 200 requests of 20 ms; with 2 x 14.1 and 2
     // for chance, 230.
-    let (capacity, work, most) = (0.5, 20_000.0, 230);
-    for (senders, informed, broken) in [(1, true, 1), (30, true, 1), (30, false, 0)] {
+    let (capacity, work, max_requests) = (0.5, 20_000.0, 230);
+    for (senders, informed, expected_violations) in [(1, true, 1), (30, true, 1), (30, false, 0)] {
         let mut judge = Judge::new(&scenario, 0);
         let add_work = |judge: &mut Judge, at, n: u32| {
             judge.work_reached_warming_server(WarmUpWork {
@@ -41,17 +41,17 @@
             })
         };
         assert!(
-            (0..most).all(|n| !add_work(&mut judge, 1_000 * u64::from(n), n)),
+            (0..max_requests).all(|n| !add_work(&mut judge, 1_000 * u64::from(n), n)),
             "{senders}"
         );
         assert!(
-            add_work(&mut judge, 1_000 * u64::from(most), most),
+            add_work(&mut judge, 1_000 * u64::from(max_requests), max_requests),
             "{senders}: one more"
         );
-        assert_eq!(judge.violations.count, broken, "{senders}");
+        assert_eq!(judge.violations.count, expected_violations, "{senders}");
     }
     let mut judge = Judge::new(&scenario, 0);
-    for n in 0..2 * u64::from(most) {
+    for n in 0..2 * u64::from(max_requests) {
         assert!(
             !judge.work_reached_warming_server(WarmUpWork {
                 at: n * 10_000,
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -158,10 +158,10 @@
             policy,
             digest: format!("{:016x}", judge.digest()),
             service: service.total.service(),
-            worst_class: least(service.by_class.iter().map(|class| class.value.service())),
-            worst_zone: least(service.by_zone.iter().map(|value| value.service())),
-            worst_proxy: least(service.by_proxy.iter().map(|value| value.service())),
-            worst_window: least(service.by_window.iter().map(|value| value.service())),
+            worst_class: min_service(service.by_class.iter().map(|class| class.value.service())),
+            worst_zone: min_service(service.by_zone.iter().map(|value| value.service())),
+            worst_proxy: min_service(service.by_proxy.iter().map(|value| value.service())),
+            worst_window: min_service(service.by_window.iter().map(|value| value.service())),
             by_class: class_reports(scenario, service),
             by_zone: scenario
                 .zones
@@ -195,7 +195,7 @@
     }
 }
 
-fn least(services: impl Iterator<Item = f64>) -> f64 {
+fn min_service(services: impl Iterator<Item = f64>) -> f64 {
     services.fold(1.0, f64::min)
 }
 
--- a/crates/emulator/src/scenario/validation.rs
+++ b/crates/emulator/src/scenario/validation.rs
@@ -208,8 +208,8 @@
         within(&at("work_ms"), self.work_ms, 0.001, HOUR_MS)?;
         within(&at("cv"), self.cv, 0.0, 100.0)?;
         within(&at("aim_ms"), self.latency_target_ms, 0.1, HOUR_MS)?;
-        let least = self.latency_target_ms;
-        within(&at("deadline_ms"), self.deadline_ms, least, HOUR_MS)?;
+        let min_ms = self.latency_target_ms;
+        within(&at("deadline_ms"), self.deadline_ms, min_ms, HOUR_MS)?;
         within(&at("worth"), self.value, 0.0, 1e6)
     }
 }
@@ -246,11 +246,11 @@
     fn validate(&self, path: &str, scenario: &Scenario) -> Validity {
         let at = |key: &str| format!("{path}.{key}");
         within(&at("at_s"), self.at_s, 0.0, scenario.length_s)?;
-        let least = match self.kind {
+        let min_s = match self.kind {
             FaultKind::ProxyRestart => 0.0,
             _ => 0.001,
         };
-        within(&at("for_s"), self.for_s, least, DAY_S)?;
+        within(&at("for_s"), self.for_s, min_s, DAY_S)?;
         within(&at("share"), self.share, 0.001, 1.0)?;
         within(&at("factor"), self.factor, 0.01, 1_000.0)?;
         within(&at("batch"), self.batch, 0.001, 1.0)?;
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -55,7 +55,7 @@
             Step::StartProxies { proxies } => self.start_stopped_proxies(&proxies),
             Step::RetryStorm { retries } => self.retry_storm = retries,
             Step::DiscoveryOutage => self.begin_discovery_outage(),
-            Step::DiscoveryBack => self.discovery.in_outage = false,
+            Step::DiscoveryRecovered => self.discovery.in_outage = false,
         }
     }
 
--- a/crates/emulator/tests/fleet/judge.rs
+++ b/crates/emulator/tests/fleet/judge.rs
@@ -29,33 +29,35 @@
 struct FaultyPolicy {
     misbehaviour: Misbehaviour,
     servers: BTreeMap<ServerId, bool>,
-    turn: usize,
-    tries: BTreeMap<RequestId, u32>,
+    turn_count: usize,
+    attempts: BTreeMap<RequestId, u32>,
     started: BTreeMap<ServerId, Micros>,
     subscribed: bool,
 }
 
 impl FaultyPolicy {
     fn next(&mut self) -> Option<ServerId> {
-        self.turn += 1;
+        self.turn_count += 1;
         if self.misbehaviour == Misbehaviour::OverloadsWarmingServer
             && let Some((id, _)) = self.started.iter().max_by_key(|s| s.1)
         {
             return Some(*id);
         }
         let all = self.misbehaviour == Misbehaviour::SendsToDraining;
-        let fit: Vec<ServerId> = self
+        let eligible: Vec<ServerId> = self
             .servers
             .iter()
             .filter(|s| all || *s.1)
             .map(|s| *s.0)
             .collect();
-        fit.get(self.turn % fit.len().max(1)).copied()
+        eligible
+            .get(self.turn_count % eligible.len().max(1))
+            .copied()
     }
 
     fn send(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if let Some(server) = self.next() {
-            *self.tries.entry(id).or_default() += 1;
+            *self.attempts.entry(id).or_default() += 1;
             // A short timeout, so that there are more retries than a careful policy would make.
             out.push(Action::Send {
                 id,
@@ -94,58 +96,58 @@
             }
             Event::Request(request) => {
                 let id = request.id;
-                let last = request.expires.saturating_sub(now + 10_000);
+                let answer_delay = request.expires.saturating_sub(now + 10_000);
                 if self.misbehaviour != Misbehaviour::NeverAnswers {
                     out.push(Action::Timer {
-                        delay: last,
+                        delay: answer_delay,
                         token: id,
                     });
                 }
-                self.tries.insert(id, 0);
+                self.attempts.insert(id, 0);
                 self.send(id, out);
                 if self.misbehaviour == Misbehaviour::SendsTwoAtOnce {
                     self.send(id, out);
                 }
             }
-            Event::AttemptEnded(settled) if settled.finished => {
-                self.tries.remove(&settled.id);
-                if settled.outcome == Outcome::Ok {
+            Event::AttemptEnded(ended) if ended.finished => {
+                self.attempts.remove(&ended.id);
+                if ended.outcome == Outcome::Ok {
                     match self.misbehaviour {
-                        Misbehaviour::AnswersTwice => out.push(Action::Fail { id: settled.id }),
-                        Misbehaviour::SendsAfterAnswer => self.send(settled.id, out),
+                        Misbehaviour::AnswersTwice => out.push(Action::Fail { id: ended.id }),
+                        Misbehaviour::SendsAfterAnswer => self.send(ended.id, out),
                         _ => {}
                     }
                 }
             }
-            Event::AttemptEnded(settled) => {
-                let tries = self.tries.get(&settled.id).copied().unwrap_or(9);
-                let again = match self.misbehaviour {
+            Event::AttemptEnded(ended) => {
+                let attempts = self.attempts.get(&ended.id).copied().unwrap_or(9);
+                let retry = match self.misbehaviour {
                     Misbehaviour::RetriesNonIdempotent | Misbehaviour::RetriesAfterWindow => {
-                        tries < 3
+                        attempts < 3
                     }
-                    Misbehaviour::SendsFourAttempts => tries < 4,
-                    _ => settled.outcome.never_ran() && tries < 3,
+                    Misbehaviour::SendsFourAttempts => attempts < 4,
+                    _ => ended.outcome.never_ran() && attempts < 3,
                 };
-                match again {
+                match retry {
                     _ if self.misbehaviour == Misbehaviour::NeverAnswers => {}
-                    true => self.send(settled.id, out),
+                    true => self.send(ended.id, out),
                     // Rejected as if it could not have run, so that the client retries.
                     false if self.misbehaviour == Misbehaviour::RejectsAfterExecution => {
                         out.push(Action::Reject {
-                            id: settled.id,
+                            id: ended.id,
                             retry_after: None,
                         });
                     }
                     false => {
-                        self.tries.remove(&settled.id);
-                        out.push(Action::Fail { id: settled.id });
+                        self.attempts.remove(&ended.id);
+                        out.push(Action::Fail { id: ended.id });
                     }
                 }
             }
-            Event::Timer { token } if self.tries.remove(&token).is_some() => {
+            Event::Timer { token } if self.attempts.remove(&token).is_some() => {
                 out.push(Action::Fail { id: token });
             }
-            Event::ClientDisconnected { id } => drop(self.tries.remove(&id)),
+            Event::ClientDisconnected { id } => drop(self.attempts.remove(&id)),
             _ => {}
         }
     }
@@ -153,12 +155,12 @@
 
 fn run_faulty_policy(misbehaviour: Misbehaviour, scenario: &Scenario) -> Report {
     let build = |_: Settings, _: u64| -> Box<dyn Policy> {
-        let (servers, tries, started) = Default::default();
+        let (servers, attempts, started) = Default::default();
         Box::new(FaultyPolicy {
             misbehaviour,
             servers,
-            turn: 0,
-            tries,
+            turn_count: 0,
+            attempts,
             started,
             subscribed: false,
         })
@@ -241,18 +243,21 @@
             1.0
         };
         let report = run_faulty_policy(misbehaviour, &scenario);
-        let caught = report
+        let violation = report
             .violations
             .iter()
-            .find(|b| b.rule == rule && b.description.contains(description));
-        let caught =
-            caught.unwrap_or_else(|| panic!("{description}: {:?}", report.violations.first()));
+            .find(|found| found.rule == rule && found.description.contains(description));
+        let violation =
+            violation.unwrap_or_else(|| panic!("{description}: {:?}", report.violations.first()));
         assert!(
-            (0.0..14.0).contains(&caught.at_s) && caught.proxy < 4,
-            "{caught:?}"
+            (0.0..14.0).contains(&violation.at_s) && violation.proxy < 4,
+            "{violation:?}"
+        );
+        let requests = report.requests;
+        assert_eq!(
+            requests.asked,
+            requests.served + requests.late + requests.rejected + requests.failed
         );
-        let r = report.requests;
-        assert_eq!(r.asked, r.served + r.late + r.rejected + r.failed);
     }
 }
 
@@ -320,11 +325,11 @@
             Misbehaviour::OverloadsWarmingServer,
             &warming_fleet(proxies),
         );
-        let caught = faulty
+        let is_violated = faulty
             .violations
             .iter()
-            .any(|b| b.rule == Rule::NoWarmUpOverload);
-        assert!(caught, "{proxies}: {:?}", faulty.violations.first());
+            .any(|found| found.rule == Rule::NoWarmUpOverload);
+        assert!(is_violated, "{proxies}: {:?}", faulty.violations.first());
     }
     let runs: Vec<(u32, u64)> = [5, 30, 300]
         .into_iter()
--- a/crates/emulator/tests/queueing_theory.rs
+++ b/crates/emulator/tests/queueing_theory.rs
@@ -54,20 +54,20 @@
 
 fn replication(scenario: &Scenario, seed: u64, cores: f64) -> Measured {
     let mut simulation = Simulation::new(scenario, PolicyName::RoundRobin, seed);
-    let first = scenario.length_s / 20.0;
-    simulation.run_to(first);
+    let warm_up_s = scenario.length_s / 20.0;
+    simulation.run_to(warm_up_s);
     simulation.reset_statistics();
     let from = simulation.elapsed_seconds();
     simulation.run_to(scenario.length_s);
     let time = (simulation.elapsed_seconds() - from) * 1e6;
     let report = simulation.report();
     let statistics: &ServerStatistics = &report.server_reports[0].statistics;
-    let (began, waits) = (statistics.started as f64, statistics.total_wait);
-    let little_error = |held: f64, passed: f64, stays: f64| {
-        (held / time) / (passed / time * (stays / passed)) - 1.0
+    let (started, total_wait) = (statistics.started as f64, statistics.total_wait);
+    let little_error = |in_system_time: f64, finished: f64, total_sojourn: f64| {
+        (in_system_time / time) / (finished / time * (total_sojourn / finished)) - 1.0
     };
     Measured {
-        wait: waits / began / (WORK_MS * 1e3),
+        wait: total_wait / started / (WORK_MS * 1e3),
         queued: statistics.queued_time / time,
         load: statistics.busy_core_time / time / cores,
         little_error: little_error(
@@ -81,14 +81,21 @@
 
 /// The mean over replications and its standard error. The load, whose mean is known, serves as a
 /// control variate.
-fn controlled(measured: &[Measured], load: f64, value: impl Fn(&Measured) -> f64) -> (f64, f64) {
+fn control_variate_estimate(
+    measured: &[Measured],
+    load: f64,
+    value: impl Fn(&Measured) -> f64,
+) -> (f64, f64) {
     let n = measured.len() as f64;
     let mean = |f: &dyn Fn(&Measured) -> f64| measured.iter().map(f).sum::<f64>() / n;
     let (v, l) = (mean(&|s| value(s)), mean(&|s| s.load));
     let covariance = mean(&|s| (value(s) - v) * (s.load - l));
     let slope = covariance / mean(&|s| (s.load - l).powi(2));
-    let rest = mean(&|s| (value(s) - v - slope * (s.load - l)).powi(2));
-    (v - slope * (l - load), (rest / (n - 2.0)).sqrt())
+    let residual_variance = mean(&|s| (value(s) - v - slope * (s.load - l)).powi(2));
+    (
+        v - slope * (l - load),
+        (residual_variance / (n - 2.0)).sqrt(),
+    )
 }
 
 /// Erlang C: the probability that a job waits.
@@ -114,8 +121,8 @@
             (mean_load / load - 1.0).abs() < 0.005,
             "{distribution} on {cores}: load {mean_load} for {load}"
         );
-        let (wait, error) = controlled(&measured, load, |s| s.wait);
-        let (queued, _) = controlled(&measured, load, |s| s.queued);
+        let (wait, error) = control_variate_estimate(&measured, load, |s| s.wait);
+        let (queued, _) = control_variate_estimate(&measured, load, |s| s.queued);
         let context = format!(
             "{distribution} on {cores} at {load}: wait {wait:.4} +- {error:.4}, by theory {expected:.4}"
         );
