--- a/crates/emulator/src/fault_schedule.rs
+++ b/crates/emulator/src/fault_schedule.rs
@@ -1,35 +1,35 @@
-//! The scenario's faults as steps on a timeline.
+//! The fault schedule: the faults of a scenario as a timeline of steps.
 //!
-//! The servers and proxies that a fault affects are drawn from a random stream of its own, so that
-//! they are the same for every policy.
+//! Each fault draws the servers and proxies that it affects from a random stream of its own, so that
+//! they are the same under every policy.
 
 use ironmast_balancer::Micros;
 
 use crate::random::{Purpose, Stream};
 use crate::scenario::{Fault, FaultKind, Scenario, seconds};
 
-/// How one class of requests is degraded at a server (a grey failure).
+/// The degradation of one request class at a server (a grey failure).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Degradation {
-    /// The class.
+    /// The index of the class.
     pub class: u8,
-    /// How many times more work its requests need.
+    /// The factor by which the work of requests of the class increases.
     pub factor: f64,
-    /// Its requests are never answered.
+    /// Whether requests of the class are never answered.
     pub unanswered: bool,
 }
 
-/// A change at one moment. Servers are identified by their positions, which outlive them, and the
-/// fault by its index in the scenario.
+/// A change of the simulated system at one time. Servers are identified by their positions, which
+/// replacement servers inherit, and faults by their index in the scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Step {
-    /// The servers become slower by a factor, or are no longer slowed.
+    /// The servers become slower by a factor; `None` ends the slowdown.
     Slow {
         positions: Vec<u32>,
         fault_index: usize,
         factor: Option<f64>,
     },
-    /// One class is degraded at the servers, or no longer.
+    /// One class is degraded at the servers; `None` ends the degradation.
     Degrade {
         positions: Vec<u32>,
         fault_index: usize,
@@ -47,24 +47,25 @@
     Drain { positions: Vec<u32> },
     /// The servers end, and new ones start at their positions.
     Replace { positions: Vec<u32> },
-    /// A zone is partitioned from the others until a moment.
+    /// A zone is partitioned from the others until a given time.
     Partition { zone: usize, until: Micros },
-    /// Proxies stop, and their clients too if `with_clients`.
+    /// Proxies stop; with `with_clients`, their clients stop too.
     StopProxies {
         proxies: Vec<u32>,
         with_clients: bool,
     },
     /// Proxies start without any state.
     StartProxies { proxies: Vec<u32> },
-    /// Clients retry at once, so many times; or by their own rule again.
+    /// Clients retry without delay up to `retries` times; `None` restores the retry settings
+    /// of the scenario.
     RetryStorm { retries: Option<u32> },
-    /// Discovery answers no query.
+    /// Discovery stops answering queries.
     DiscoveryOutage,
-    /// Discovery answers again.
+    /// Discovery answers queries again.
     DiscoveryRecovered,
 }
 
-/// What faults may affect.
+/// The servers and proxies that faults can affect.
 pub(crate) struct FaultTargets<'a> {
     /// The zone of each server position.
     pub position_zones: &'a [usize],
@@ -72,21 +73,22 @@
     pub proxy_zones: &'a [usize],
 }
 
-/// The time during which a fault lasts.
+/// The period of a fault, from `begin` to `end`.
 #[derive(Clone, Copy)]
 struct Period {
     begin: Micros,
     end: Micros,
 }
 
-/// Proxies that stop for a while.
+/// Proxies that stop for the period of a fault.
 struct ProxyOutage {
     proxies: Vec<u32>,
     /// Whether their clients stop too.
     with_clients: bool,
 }
 
-/// All steps of a scenario's faults, in order, on a clock that starts at `origin`.
+/// Returns the steps of all faults of a scenario, ordered by time, on a clock that starts at
+/// `origin`.
 pub(crate) fn schedule(
     scenario: &Scenario,
     targets: &FaultTargets,
@@ -108,7 +110,7 @@
     schedule.steps
 }
 
-/// The factor by which surges raise the clients' rate at a second of the run.
+/// The factor by which surges multiply the clients' rate at a second of the run.
 pub(crate) fn surge_factor(scenario: &Scenario, at_s: f64) -> f64 {
     surges(scenario)
         .filter(|surge| surge.at_s <= at_s && at_s < surge.at_s + surge.for_s)
@@ -116,7 +118,7 @@
         .product()
 }
 
-/// An upper bound of [`surge_factor`] over the run.
+/// An upper bound of [`surge_factor`] over the whole run.
 pub(crate) fn max_surge_factor(scenario: &Scenario) -> f64 {
     surges(scenario)
         .map(|surge| surge.factor.max(1.0))
@@ -130,14 +132,15 @@
         .filter(|fault| fault.kind == FaultKind::Surge)
 }
 
-/// The indexes of those in a zone, or of all without one.
+/// The indexes of the servers or proxies in a zone; of all if `zone` is `None`.
 fn in_zone(zones: &[usize], zone: Option<usize>) -> Vec<u32> {
     (0..zones.len() as u32)
         .filter(|index| zone.is_none_or(|zone| zones[*index as usize] == zone))
         .collect()
 }
 
-/// A share of those in a zone, at least one, in random order.
+/// Draws a share of the servers or proxies in a zone, at least one if there are any, in random
+/// order.
 fn pick(random: &mut Stream, zones: &[usize], zone: Option<usize>, share: f64) -> Vec<u32> {
     let mut candidates = in_zone(zones, zone);
     random.shuffle(&mut candidates);
@@ -165,7 +168,7 @@
             .iter()
             .position(|zone| *zone == fault.zone);
         let position_zones = self.targets.position_zones;
-        // Drawn for every kind, so that the draws that follow do not depend on the kind.
+        // Drawn for every kind of fault, so that later draws do not depend on the kind.
         let positions = pick(random, position_zones, zone, fault.share);
         match fault.kind {
             FaultKind::Slow => self.slow(fault_index, positions, fault.factor, period),
@@ -207,7 +210,7 @@
                     period,
                 );
             }
-            // Part of the clients' rate, not of the schedule.
+            // `surge_factor` applies surges to the clients' rate.
             FaultKind::Surge => {}
             FaultKind::RetryStorm => {
                 let retries = Some(fault.retries);
@@ -252,7 +255,7 @@
         self.push(period.end, step(positions, None));
     }
 
-    /// Each server pauses again and again, for a tenth of the time, from a random moment on.
+    /// Pauses each server repeatedly, for a tenth of the time, with a random time of the first pause.
     fn pause(&mut self, positions: &[u32], fault: &Fault, period: Period, random: &mut Stream) {
         let length = seconds(fault.pause_s).max(1);
         for &position in positions {
--- a/crates/emulator/src/judge.rs
+++ b/crates/emulator/src/judge.rs
@@ -1,7 +1,8 @@
-//! The judge: observes what truly happens at clients and servers, not what policies report.
+//! The judge evaluates a run from the true events at clients and servers, not from what policies
+//! report.
 //!
-//! It counts how operations end (an operation is what a client wants, with all its tries) and
-//! records violations of the four rules. It also computes the digest of a run.
+//! The judge counts operations by outcome (an operation is one request of a client, including all
+//! its tries), records violations of the four rules, and computes the digest of the run.
 
 mod service;
 mod violation;
@@ -19,23 +20,23 @@
 use warm_up_load::WarmUpLoad;
 pub(crate) use warm_up_load::WarmUpWork;
 
-/// The kind of the fact that an operation ended, in the digest.
+/// Tag of the digest record for the end of an operation.
 const OPERATION_ENDED: u8 = 1;
 
-/// Counts, checks and digests one run.
+/// Records the service, the rule violations and the digest of one run.
 pub(crate) struct Judge {
     origin: Micros,
     drain_grace: Micros,
     warm_up_load: WarmUpLoad,
     digest: Xxh3,
-    /// How operations ended.
+    /// The outcomes of operations and the value that they earned.
     pub service: ServiceRecord,
-    /// Violations of the rules.
+    /// The recorded violations of the rules.
     pub violations: ViolationLog,
 }
 
 impl Judge {
-    /// A judge for a run of a scenario whose clock starts at `origin`.
+    /// Creates the judge for a run whose clock starts at `origin`.
     pub(crate) fn new(scenario: &Scenario, origin: Micros) -> Self {
         Judge {
             origin,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Adds a fact to the digest. `kind` distinguishes kinds of facts.
+    /// Adds a record to the digest. `kind` is a tag that distinguishes the kinds of records.
     pub(crate) fn record_fact(&mut self, kind: u8, parts: [u64; 3]) {
         let mut bytes = [0; 25];
         bytes[0] = kind;
@@ -57,7 +58,7 @@
         self.digest.update(&bytes);
     }
 
-    /// The digest of all facts so far.
+    /// The digest of all records so far.
     pub(crate) fn digest(&self) -> u64 {
         self.digest.digest()
     }
@@ -82,7 +83,7 @@
         });
     }
 
-    /// Records that an operation ended.
+    /// Adds an operation that ended to the service record and the digest.
     pub(crate) fn operation_ended(&mut self, operation: &EndedOperation) {
         let parts = [
             operation.number,
@@ -93,8 +94,8 @@
         self.service.add(operation);
     }
 
-    /// Checks a request that was sent to a server which, as the proxy was notified at `notified`,
-    /// is draining or removed.
+    /// Checks an attempt that was sent to a draining or removed server; the proxy was notified of
+    /// that state at `notified`. Within the drain grace period the attempt is permitted.
     pub(crate) fn check_send_after_drain(
         &mut self,
         at: Micros,
@@ -107,8 +108,9 @@
             return;
         }
         let after_ms = (at - notified) as f64 / 1e3;
-        let description =
-            format!("sent {after_ms:.0} ms after it was told that the server drains or is gone");
+        let description = format!(
+            "sent {after_ms:.0} ms after the proxy was notified that the server is draining or removed"
+        );
         self.record_violation(
             Rule::NoSendAfterDrain,
             at,
@@ -122,7 +124,8 @@
     /// Records work that reached a server while it warms up. Returns whether the server is
     /// overloaded and fails.
     ///
-    /// The rule is violated if two thirds of the work came from informed proxies.
+    /// An overload violates the rule only if at least two thirds of the work came from proxies that
+    /// knew that the server had started.
     #[must_use]
     pub(crate) fn work_reached_warming_server(&mut self, arrival: WarmUpWork) -> bool {
         let Some(overload) = self.warm_up_load.add(arrival) else {
@@ -130,7 +133,7 @@
         };
         if overload.avoidable {
             let description = format!(
-                "{:.0} ms of work in its window, it bears {:.0} ms",
+                "server received {:.0} ms of work in the overload window while warming up, limit {:.0} ms",
                 overload.received / 1e3,
                 overload.limit / 1e3
             );
@@ -146,7 +149,7 @@
         true
     }
 
-    /// Records that a server is warm, or down.
+    /// Ends the tracking of a server whose warm-up is complete or that is down.
     pub(crate) fn warm_up_ended(&mut self, server: u32) {
         self.warm_up_load.remove(server);
     }
--- a/crates/emulator/src/judge/service.rs
+++ b/crates/emulator/src/judge/service.rs
@@ -7,27 +7,27 @@
 
 use crate::scenario::{Scenario, millis, seconds};
 
-/// The number of equal columns into which a run is divided in pictures.
+/// The number of equal time columns into which charts divide a run.
 pub const COLUMNS: usize = 60;
-/// The greatest latency that histograms distinguish, in microseconds: an hour, which is the longest
-/// deadline that a scenario may have.
+/// The highest latency that histograms distinguish, in microseconds: one hour, the longest deadline
+/// that a scenario may have.
 const MAX_LATENCY: Micros = 3_600_000_000;
 /// The number of significant digits of latencies in histograms.
 const LATENCY_DIGITS: u8 = 3;
 
-/// How an operation ended.
+/// The outcome of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OperationOutcome {
-    /// It was answered after this time, within its latency target or not.
+    /// Answered after this time, whether within the latency target or not.
     Answered(Micros),
-    /// Its last try was rejected.
+    /// The last try was rejected.
     Rejected,
-    /// Its last try failed, timed out or reached no proxy.
+    /// The last try failed, timed out or reached no proxy.
     Failed,
 }
 
 impl OperationOutcome {
-    /// A number for the digest that distinguishes all outcomes.
+    /// The code of the outcome in the digest, distinct for each outcome.
     pub(super) fn code(self) -> u64 {
         match self {
             OperationOutcome::Answered(latency) => latency,
@@ -40,33 +40,33 @@
 /// An operation that ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedOperation {
-    /// Its number, in the order in which operations began.
+    /// The number of the operation, in the order in which operations began.
     pub number: u64,
-    /// The proxy that it was sent to.
+    /// The proxy that the operation was sent to.
     pub proxy: u32,
-    /// The proxy's zone.
+    /// The index of the proxy's zone.
     pub zone: usize,
-    /// Its class.
+    /// The index of the request class.
     pub class: usize,
-    /// When it began.
+    /// The time at which the operation began.
     pub start: Micros,
-    /// How it ended.
+    /// The outcome.
     pub outcome: OperationOutcome,
 }
 
 /// Counts of operations by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// All.
+    /// All operations that ended.
     pub asked: u64,
-    /// Answered within the latency target.
+    /// Operations answered within the latency target.
     pub served: u64,
-    /// Answered later.
+    /// Operations answered after the latency target.
     pub late: u64,
-    /// Rejected in the end.
+    /// Operations whose last try was rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed in the end.
+    /// Operations whose last try failed, timed out or reached no proxy.
     pub failed: u64,
 }
 
@@ -85,14 +85,14 @@
 /// The value of a group of operations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ValueSum {
-    /// The value of all of them.
+    /// The value of all operations of the group.
     pub offered: f64,
-    /// The value of those that were answered within their latency targets.
+    /// The value of the operations that were answered within their latency targets.
     pub earned: f64,
 }
 
 impl ValueSum {
-    /// Earned over offered; 1 if nothing was offered.
+    /// The earned value over the offered value; 1 if nothing was offered.
     pub(crate) fn service(self) -> f64 {
         if self.offered > 0.0 {
             self.earned / self.offered
@@ -115,33 +115,34 @@
     latency: Micros,
 }
 
-/// The service of a run. Operations that begin during the scenario's warm-up are not counted.
+/// The value and the outcomes of the operations of a run, in total and by group. Operations that
+/// begin during the scenario's warm-up are not counted.
 pub(crate) struct ServiceRecord {
     origin: Micros,
     counted_from: Micros,
     length: Micros,
     window: Micros,
     targets: Vec<Target>,
-    /// All operations.
+    /// The value of all operations.
     pub total: ValueSum,
-    /// By class.
+    /// Value and counts by class.
     pub by_class: Vec<ClassService>,
-    /// By the zone of the proxy.
+    /// Value by the zone of the proxy.
     pub by_zone: Vec<ValueSum>,
-    /// By proxy.
+    /// Value by proxy.
     pub by_proxy: Vec<ValueSum>,
-    /// By window of the time series in which the operation began.
+    /// Value by the window of the time series in which the operation began.
     pub by_window: Vec<ValueSum>,
-    /// By column of pictures in which the operation began.
+    /// Value by the chart column in which the operation began.
     pub by_column: Vec<ValueSum>,
-    /// All operations.
+    /// The counts of all operations by outcome.
     pub counts: Counts,
-    /// The latencies of answered operations, from their beginning, in microseconds.
+    /// The latencies of answered operations, measured from their beginning, in microseconds.
     pub latency: Histogram<u64>,
 }
 
 impl ServiceRecord {
-    /// An empty record of a run whose clock starts at `origin`.
+    /// Creates an empty record for a run whose clock starts at `origin`.
     pub(super) fn new(scenario: &Scenario, origin: Micros) -> Self {
         let window = seconds(scenario.window_s).max(1);
         let windows = seconds(scenario.length_s).div_ceil(window) as usize;
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Adds an operation.
+    /// Adds an operation that ended, unless it began during the warm-up.
     pub(super) fn add(&mut self, operation: &EndedOperation) {
         if operation.start < self.counted_from {
             return;
@@ -200,7 +201,7 @@
     }
 }
 
-/// A position in a list, or its last one if the position is beyond the end.
+/// Limits a position to the last index of a list.
 fn clamped_index<T>(position: u64, list: &[T]) -> usize {
     (position as usize).min(list.len() - 1)
 }
--- a/crates/emulator/src/judge/tests.rs
+++ b/crates/emulator/src/judge/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the judge.
+//! Tests of the overload limit of servers that are warming up.
 
 use super::*;
 
-/// One request more than N + 2 sqrt(N) + 2 in a window overloads a server that is warming up,
-/// whoever sent it; one that arrives after the first has left the window does not.
+/// One request above N + 2 sqrt(N) + 2 within the window overloads a server that is warming up,
+/// whichever proxies sent it. Requests that are spread over a longer time do not.
 #[test]
 fn warming_server_is_overloaded_by_one_request_above_its_limit() {
     let text = r#"
@@ -25,8 +25,8 @@
         cores = 1
     "#;
     let scenario = Scenario::parse(text).expect("a valid scenario");
-    // 4 times the capacity of half a core, over 2 s, is 200 requests of 20 ms; with 2 x 14.1 and 2
-    // for chance, 230.
+    // 4 times the capacity of half a core, over 2 s, is 200 requests of 20 ms. The allowance for
+    // random variation, 2 x 14.1 + 2, raises the limit to 230.
     let (capacity, work, max_requests) = (0.5, 20_000.0, 230);
     for (senders, informed, expected_violations) in [(1, true, 1), (30, true, 1), (30, false, 0)] {
         let mut judge = Judge::new(&scenario, 0);
@@ -46,7 +46,7 @@
         );
         assert!(
             add_work(&mut judge, 1_000 * u64::from(max_requests), max_requests),
-            "{senders}: one more"
+            "{senders} senders: one more request than the limit"
         );
         assert_eq!(judge.violations.count, expected_violations, "{senders}");
     }
@@ -61,7 +61,7 @@
                 capacity,
                 informed: true,
             }),
-            "100 a second are never too many: {n}"
+            "100 requests per second overload the server: request {n}"
         );
     }
 }
--- a/crates/emulator/src/judge/violation.rs
+++ b/crates/emulator/src/judge/violation.rs
@@ -1,24 +1,25 @@
-//! The four rules, and their violations.
+//! The four rules that every policy must keep, and the record of their violations.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// The number of violations of a run that are recorded with their details. All are counted.
+/// The maximum number of violations of a run that are recorded with details. Further ones are only
+/// counted.
 const MAX_RECORDED_VIOLATIONS: usize = 200;
 
-/// The four rules.
+/// A rule that the judge checks.
 ///
-/// Reports name two of them by older names, which are kept: `drains-kept` and `cold-spared`.
+/// Two rules keep their older names in reports: `drains-kept` and `cold-spared`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Each accepted request gets one final answer, in time.
+    /// Each accepted request gets exactly one final answer, in time.
     OneAnswer,
-    /// No effect occurs twice, attempts overlap only if hedging is allowed, and there are not more
-    /// of them than allowed.
+    /// No effect occurs twice, attempts overlap only if hedging is allowed, and their number stays
+    /// within the limit.
     NoEffectTwice,
-    /// Nothing new is sent to a server that is draining or removed.
+    /// No new attempt is sent to a server that is draining or removed.
     #[serde(rename = "drains-kept")]
     NoSendAfterDrain,
     /// No server that is warming up is overloaded.
@@ -37,20 +38,20 @@
     }
 }
 
-/// A violation of a rule.
+/// A violation of a rule, as listed in the report.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// The rule.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// When, in seconds of the run.
+    /// The time of the violation, in seconds of the run.
     pub at_s: f64,
-    /// The index of the proxy.
+    /// The index of the proxy that violated the rule.
     pub proxy: u32,
-    /// The number of the server, if one is concerned.
+    /// The number of the server, if one is involved.
     pub server: Option<u32>,
-    /// The number of the operation, if one is concerned.
+    /// The number of the operation, if one is involved.
     pub request: Option<u64>,
-    /// What happened.
+    /// A description of the violation.
     #[serde(rename = "what")]
     pub description: String,
 }
@@ -58,9 +59,9 @@
 /// The violations of a run.
 #[derive(Debug, Default)]
 pub(crate) struct ViolationLog {
-    /// The first ones, in their order.
+    /// The first violations, in the order in which they occurred.
     pub recorded: Vec<Violation>,
-    /// The number of all.
+    /// The number of all violations, including those that are not recorded.
     pub count: u64,
 }
 
--- a/crates/emulator/src/judge/warm_up_load.rs
+++ b/crates/emulator/src/judge/warm_up_load.rs
@@ -1,4 +1,4 @@
-//! The load of servers that are warming up, against what they bear.
+//! The load of servers that are warming up, compared with their overload limit.
 
 use std::collections::VecDeque;
 
@@ -10,13 +10,13 @@
 /// Work that reached a server while it warms up.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmUpWork {
-    /// When it arrived.
+    /// The time of arrival.
     pub at: Micros,
     /// The number of the server.
     pub server: u32,
-    /// The proxy that sent it.
+    /// The index of the proxy that sent the work.
     pub proxy: u32,
-    /// How much it is, in core-microseconds.
+    /// The amount of work, in core-microseconds.
     pub work: f64,
     /// The capacity of the server at that time, in core-microseconds per microsecond.
     pub capacity: f64,
@@ -39,7 +39,7 @@
         self.arrivals.push_back(arrival);
     }
 
-    /// Removes what arrived longer than `window` ago.
+    /// Removes work that arrived longer than `window` ago.
     fn expire(&mut self, now: Micros, window: f64) {
         let is_old = |arrival: &WarmUpWork| (now - arrival.at) as f64 > window;
         while self.arrivals.front().is_some_and(is_old) {
@@ -58,20 +58,21 @@
     }
 }
 
-/// A server that received more than it bears.
+/// An overload: a server received more work within the window than its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Overload {
-    /// The work that it received in the window, in core-microseconds.
+    /// The work received within the window, in core-microseconds.
     pub received: f64,
-    /// The most that it bears, in core-microseconds.
+    /// The limit, in core-microseconds.
     pub limit: f64,
-    /// Whether two thirds of the work came from proxies that knew of its start.
+    /// Whether at least two thirds of the work came from proxies that knew that the server had
+    /// started.
     pub avoidable: bool,
 }
 
-/// The load of the servers that are warming up.
+/// Tracks the recent load of the servers that are warming up.
 pub(super) struct WarmUpLoad {
-    /// How many times its capacity a server bears.
+    /// The multiple of its capacity that a server can receive without being overloaded.
     multiple: f64,
     /// The length of the window, in microseconds.
     window: f64,
@@ -96,12 +97,11 @@
         }
     }
 
-    /// Adds work that reached a server. If the server is overloaded, what arrived before is
-    /// forgotten.
+    /// Adds work that reached a server. If this overloads the server, its record is cleared.
     ///
-    /// The limit is the budget (multiple x capacity x window) and what chance explains: of N
-    /// requests, twice the standard deviation of a Poisson count, 2 sqrt(N), and two more. It holds
-    /// for the sum over all proxies.
+    /// The limit is the budget (multiple x capacity x window) plus an allowance for random
+    /// variation: for a budget of N requests, twice the standard deviation of a Poisson count,
+    /// 2 sqrt(N), and two more requests. The limit applies to the sum over all proxies.
     pub(super) fn add(&mut self, arrival: WarmUpWork) -> Option<Overload> {
         let recent = self.recent.entry(arrival.server).or_default();
         recent.add(arrival);
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Forgets a server.
+    /// Discards the record of a server.
     pub(super) fn remove(&mut self, server: u32) {
         self.recent.remove(&server);
     }
--- a/crates/emulator/src/proxy_settings.rs
+++ b/crates/emulator/src/proxy_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a proxy, made from a scenario.
+//! Converts a scenario into the settings of a proxy's balancer.
 
 use ironmast_balancer::{
     ClassSettings, Discovery, Effect, Group, Limits, Micros, Penalties, Safety, Settings,
@@ -7,7 +7,7 @@
 
 use crate::scenario::{Class, DeduplicationGroup, EffectSpec, Scenario, millis, seconds};
 
-/// The time between two ticks of the decision module.
+/// The tick interval of the balancer, in microseconds.
 const TICK: Micros = 5_000;
 
 fn effect(class: &Class) -> Effect {
@@ -48,7 +48,8 @@
     }
 }
 
-/// The figures of the rules. All servers are treated like those that warm up slowest.
+/// The safety settings, from the parameters of the rules. All servers are treated as having the
+/// slowest warm-up of any pool: the lowest initial speed and the longest duration.
 fn safety(scenario: &Scenario) -> Safety {
     let (rules, pools) = (&scenario.rules, &scenario.pools);
     let initial_shares = pools.iter().map(|pool| pool.initial_speed_share);
@@ -64,7 +65,7 @@
     }
 }
 
-/// The settings of the proxy of this number in this zone.
+/// The balancer settings of the proxy with this index in the zone with this index.
 #[must_use]
 pub fn proxy_settings(scenario: &Scenario, number: u32, zone: usize) -> Settings {
     let proxies = &scenario.proxies;
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! The result of a run: the figures that are written as JSON, and the series for pictures.
+//! The report of a run: the figures that are written as JSON, and the series for charts.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,8 @@
 use crate::scenario::Scenario;
 use crate::server::ServerStatistics;
 
-/// Latencies of answered operations, from their beginning to the last byte, in microseconds.
+/// Percentiles of the latency of answered operations, from their beginning to the last byte, in
+/// microseconds; 0 if no operation was answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Latency {
     /// The median.
@@ -20,25 +21,25 @@
     pub p99: u64,
     /// The 99.9th percentile.
     pub p999: u64,
-    /// The greatest.
+    /// The maximum.
     pub max: u64,
 }
 
-/// The load of the servers. Utilization is core time in use over core time while up.
+/// The load of the servers. Utilization is busy core time over the core time available while up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Load {
-    /// The utilization of all servers.
+    /// The utilization of all servers together.
     pub mean: f64,
-    /// The greatest utilization of a server, of those that were up for at least a tenth as long as
-    /// the one that was up longest (by core time).
+    /// The highest utilization of a server, among the servers whose available core time is at least
+    /// a tenth of the highest.
     #[serde(rename = "greatest")]
     pub max: f64,
-    /// The most requests that one server held at once (executed and queued).
+    /// The highest number of requests that one server held at once (executed and queued).
     #[serde(rename = "most_held")]
     pub max_held: u32,
 }
 
-/// What was sent over the network.
+/// Counts of the network traffic of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Traffic {
     /// Attempts sent to servers.
@@ -50,7 +51,8 @@
     /// Attempts that crossed zones.
     pub cross_zone: u64,
     /// Deduplicated requests whose effect occurred again because a server executed abandoned work
-    /// after the deduplication window. No policy can prevent it, so that no rule is violated.
+    /// after the deduplication window. No policy can prevent this, so it does not count as a
+    /// violation.
     pub late_repeats: u64,
 }
 
@@ -59,38 +61,37 @@
 pub struct ClassReport {
     /// The value earned over the value offered.
     pub service: f64,
-    /// Its operations.
+    /// The operations of the class by outcome.
     #[serde(flatten)]
     pub counts: Counts,
 }
 
-/// One server, for pictures and tests of queueing theory.
+/// The figures of one server, for charts and for tests against queueing theory.
 #[derive(Clone, Debug)]
 pub struct ServerReport {
-    /// The kind of its pool.
+    /// The kind of server, from its pool.
     pub kind: String,
-    /// Its zone.
+    /// The name of the zone.
     pub zone: String,
-    /// What it did.
+    /// The statistics of the server.
     pub statistics: ServerStatistics,
-    /// Its utilization in each of the [`COLUMNS`](crate::COLUMNS) of the run since it was added;
-    /// NaN while it was down.
+    /// The utilization in each of the [`COLUMNS`](crate::COLUMNS) of the run since the server was
+    /// added; NaN while the server was down.
     pub busy: Vec<f32>,
-    /// Its position, which a server that replaces it inherits.
+    /// The position in the fleet, which a replacement server inherits.
     pub position: u32,
 }
 
-/// The result of a run.
+/// The report of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The name of the scenario.
     pub scenario: String,
-    /// The seed.
+    /// The seed of the random streams.
     pub seed: u64,
     /// The name of the policy.
     pub policy: String,
-    /// The digest of all facts of the run, in hexadecimal: the same scenario, policy and seed give
-    /// the same.
+    /// The digest of the run, in hexadecimal. The same scenario, policy and seed give the same digest.
     pub digest: String,
     /// The value earned over the value offered.
     pub service: f64,
@@ -102,13 +103,13 @@
     pub worst_proxy: f64,
     /// The service of the worst window.
     pub worst_window: f64,
-    /// By class.
+    /// The service and the counts by class.
     pub by_class: BTreeMap<String, ClassReport>,
     /// The service by zone of the proxy.
     pub by_zone: BTreeMap<String, f64>,
     /// The service by window.
     pub by_window: Vec<f64>,
-    /// The service by column; `None` if no operation began in it.
+    /// The service by chart column; `None` for a column in which no operation began.
     #[serde(skip)]
     pub by_column: Vec<Option<f64>>,
     /// The operations by outcome.
@@ -116,21 +117,21 @@
     /// The number of violations of the rules.
     #[serde(rename = "breaks")]
     pub violation_count: u64,
-    /// The first violations.
+    /// The first 200 violations, in the order in which they occurred.
     #[serde(rename = "rules_broken")]
     pub violations: Vec<Violation>,
-    /// The latencies of answered operations.
+    /// Percentiles of the latency of answered operations, in microseconds.
     pub latency_us: Latency,
-    /// The latency at percentiles, as (percentile, microseconds), for curves.
+    /// The latency curve for charts, as (percentile, microseconds).
     #[serde(skip)]
     pub latency_curve: Vec<(f64, u64)>,
     /// The load of the servers.
     pub servers: Load,
-    /// What was sent over the network.
+    /// The network traffic.
     pub traffic: Traffic,
     /// The number of events of the simulation.
     pub events: u64,
-    /// Each server.
+    /// The figures of each server.
     #[serde(skip)]
     pub server_reports: Vec<ServerReport>,
 }
@@ -214,7 +215,7 @@
         .collect()
 }
 
-/// A quantile of latencies; 0 if there are none.
+/// A quantile of latencies, in microseconds; 0 if there are none.
 fn quantile(latencies: &Histogram<u64>, quantile: f64) -> u64 {
     if latencies.is_empty() {
         0
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -2,8 +2,8 @@
 //!
 //! `docs/scenarios.md` documents every key. Keys carry their unit (`_s`, `_ms`); shares lie
 //! between 0 and 1. An unknown key, a value out of range or a fault that affects nothing is
-//! rejected with its line and what was expected. Where a field's name differs from its key, the key
-//! is the older name, kept so that existing files stay valid.
+//! rejected with its line number and the expected value. Where a field's name differs from its key,
+//! the key is the older name, kept so that existing files stay valid.
 
 mod class;
 mod clients;
@@ -31,45 +31,46 @@
 pub use proxies::Proxies;
 pub use rules::Rules;
 
-/// A scenario.
+/// A simulated fleet, its load and its faults, as read from a scenario file.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name in reports.
+    /// The name of the scenario in reports.
     pub name: String,
-    /// One sentence on its purpose.
+    /// The purpose of the scenario, in one sentence.
     #[serde(default)]
     pub about: String,
-    /// How long clients send requests; 0.1 to 86,400.
+    /// The time during which clients send requests, in seconds; 0.1 to 86,400.
     pub length_s: f64,
-    /// Requests before this second are executed but not counted.
+    /// The length of the warm-up of the run, in seconds: operations that begin during it are executed
+    /// but not counted.
     #[serde(default)]
     pub warmup_s: f64,
-    /// The length of the windows of the time series and of the worst window.
+    /// The length of the windows of the time series, in seconds; the worst window is one of them.
     #[serde(default = "defaults::window_s")]
     pub window_s: f64,
-    /// The names of the zones.
+    /// The names of the zones, which must be distinct. Other settings refer to zones by name.
     pub zones: Vec<String>,
-    /// The clients.
+    /// The request rate, arrival process, retries and timeouts of the clients.
     pub clients: Clients,
-    /// The proxies.
+    /// The number of proxies, their distribution over zones and what their policies may do.
     pub proxies: Proxies,
-    /// Delays and connections.
+    /// Network delays, datagram loss and connection timeouts.
     #[serde(default)]
     pub network: Network,
-    /// How proxies learn of servers.
+    /// How, and how late, proxies learn of servers.
     #[serde(default)]
     pub discovery: DiscoverySpec,
-    /// The parameters of the four rules.
+    /// The parameters of the four rules that the judge checks.
     #[serde(default)]
     pub rules: Rules,
-    /// The classes of requests.
+    /// The classes of requests; at least one.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// The groups of equal servers.
+    /// The pools of servers; at least one server in all.
     #[serde(rename = "pool")]
     pub pools: Vec<Pool>,
-    /// The faults.
+    /// The faults that are injected during the run.
     #[serde(default, rename = "trouble")]
     pub faults: Vec<Fault>,
 }
@@ -90,7 +91,7 @@
     /// Parses and validates a scenario.
     ///
     /// # Errors
-    /// [`ScenarioError`] for the first thing that is wrong.
+    /// [`ScenarioError`] for the first problem that is found.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text).map_err(|error| ScenarioError {
             line: line_at(text, error.span().map_or(0, |span| span.start)),
@@ -103,7 +104,7 @@
         Ok(scenario)
     }
 
-    /// The scenario as text that [`Scenario::parse`] accepts.
+    /// Serializes the scenario as TOML that [`Scenario::parse`] accepts.
     ///
     /// # Panics
     /// Never: a scenario consists of plain tables and numbers.
@@ -112,7 +113,8 @@
         toml::to_string(self).expect("plain tables and numbers")
     }
 
-    /// The clients' rate at a second of the run over their mean rate, by the rate curve.
+    /// The factor by which the rate curve multiplies the clients' request rate at a second of the run;
+    /// 1 without a curve.
     #[must_use]
     pub fn rate_factor(&self, at_s: f64) -> f64 {
         let curve = &self.clients.rate_curve;
@@ -125,7 +127,7 @@
         }
     }
 
-    /// The highest value of the rate curve.
+    /// The highest factor of the rate curve; 1 without a curve.
     #[must_use]
     pub fn max_rate_factor(&self) -> f64 {
         let curve = &self.clients.rate_curve;
@@ -135,8 +137,8 @@
         curve.iter().map(|(_, factor)| *factor).fold(0.0, f64::max)
     }
 
-    /// The requests per second that all servers together can execute when they are warm, by the
-    /// mean work and the mean speed.
+    /// The capacity of all servers together once they have warmed up, in requests per second,
+    /// computed from the mean work per request and the mean speed of the cores.
     #[must_use]
     pub fn capacity(&self) -> f64 {
         let cores: f64 = self
@@ -154,13 +156,13 @@
     }
 }
 
-/// The line of an offset in a text, from 1.
+/// The line number, from 1, of a byte offset in a text.
 fn line_at(text: &str, offset: usize) -> usize {
     text[..offset.min(text.len())].matches('\n').count() + 1
 }
 
-/// The offset of the value at a path such as `class.0.name`; if it is missing, that of the innermost
-/// table or list on the path that exists.
+/// The byte offset of the value at a path such as `class.0.name`, or of the innermost existing table
+/// or list on the path if the value is missing.
 fn offset_of(text: &str, path: &str) -> usize {
     let Ok(root) = DeTable::parse(text) else {
         return 0;
--- a/crates/emulator/src/scenario/clients.rs
+++ b/crates/emulator/src/scenario/clients.rs
@@ -4,74 +4,76 @@
 
 use super::defaults;
 
-/// How clients send requests.
+/// The load that clients generate.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// Mean requests per second over all proxies, without retries.
+    /// The mean number of operations per second over all proxies; retries are not counted.
     pub rate: f64,
     /// The arrival process.
     #[serde(default)]
     pub arrivals: Arrivals,
-    /// [`Arrivals::Bursty`]: the mean length of a burst.
+    /// [`Arrivals::Bursty`]: the mean length of a burst, in seconds.
     #[serde(default = "defaults::burst_s")]
     pub burst_s: f64,
-    /// [`Arrivals::Bursty`]: the mean length of the time between two bursts.
+    /// [`Arrivals::Bursty`]: the mean time between two bursts, in seconds.
     #[serde(default = "defaults::rest_s")]
     pub rest_s: f64,
     /// [`Arrivals::Bursty`]: the rate inside a burst as a multiple of the rate outside. The mean
     /// stays `rate`.
     #[serde(default = "defaults::burst_factor")]
     pub burst_factor: f64,
-    /// The rate over time, as (second, factor): interpolated linearly between the points, constant
-    /// before the first and after the last.
+    /// The factor of the rate over time, as (second, factor) points: interpolated linearly between
+    /// the points, constant before the first and after the last.
     #[serde(default, rename = "curve")]
     pub rate_curve: Vec<(f64, f64)>,
     /// The traffic of the first proxy as a multiple of that of any other.
     #[serde(default = "defaults::first_proxy_weight", rename = "busiest")]
     pub first_proxy_weight: f64,
-    /// The most retries of one operation.
+    /// The maximum number of retries of one operation by its client.
     #[serde(default)]
     pub retries: u32,
-    /// When they are sent.
+    /// The delay before a retry.
     #[serde(default)]
     pub retry_wait: RetryWait,
-    /// The delay of [`RetryWait::Fixed`], the first delay of [`RetryWait::Exponential`], the
-    /// greatest addition to the Retry-After of [`RetryWait::RetryAfter`].
+    /// The base delay of retries, in milliseconds: the delay of [`RetryWait::Fixed`], the first delay
+    /// of [`RetryWait::Exponential`], and the maximum delay that [`RetryWait::RetryAfter`] adds to the
+    /// Retry-After.
     #[serde(default = "defaults::retry_ms")]
     pub retry_ms: f64,
-    /// The timeout of a try as a share of the class's deadline, drawn between the two.
+    /// The range from which the timeout of each try is drawn, as shares of the deadline of the class.
     #[serde(default = "defaults::timeout_share", rename = "patience")]
     pub timeout_share: (f64, f64),
-    /// The share of tries whose client disconnects without notice at some time before its timeout.
+    /// The share of tries whose client disconnects without notice at a random time before the
+    /// timeout.
     #[serde(default, rename = "walk_away")]
     pub disconnect_share: f64,
 }
 
-/// An arrival process.
+/// The arrival process of operations.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Arrivals {
-    /// Independent of each other.
+    /// Poisson process: exponential, independent intervals.
     #[default]
     Poisson,
-    /// At equal intervals.
+    /// Deterministic: equal intervals.
     Even,
-    /// Poisson, at a rate that alternates between a high and a low value.
+    /// Poisson process whose rate alternates between a high and a low value.
     Bursty,
 }
 
-/// When a client retries.
+/// The delay before a client retries.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum RetryWait {
-    /// At once.
+    /// No delay.
     AtOnce,
-    /// After `retry_ms`, with a jitter of 20 %.
+    /// `retry_ms`, with a jitter of 20 %.
     #[default]
     Fixed,
-    /// After `retry_ms`, doubled with each retry, with full jitter.
+    /// `retry_ms`, doubled with each retry, with full jitter.
     Exponential,
-    /// When the rejection's Retry-After says, and up to `retry_ms` later.
+    /// The Retry-After of the rejection, plus up to `retry_ms`.
     RetryAfter,
 }
--- a/crates/emulator/src/scenario/defaults.rs
+++ b/crates/emulator/src/scenario/defaults.rs
@@ -72,7 +72,7 @@
 
 // [[pool]]
 
-/// Every zone, in turn.
+/// All zones in turn (round robin).
 pub(super) fn pool_zone() -> String {
     "*".into()
 }
@@ -133,7 +133,7 @@
 
 // Several tables
 
-/// The default of switches that are on unless a scenario turns them off.
+/// The default of switches that are on unless a scenario disables them.
 pub(super) fn enabled() -> bool {
     true
 }
--- a/crates/emulator/src/scenario/discovery.rs
+++ b/crates/emulator/src/scenario/discovery.rs
@@ -1,28 +1,28 @@
-//! Discovery: how proxies learn of servers, and how late.
+//! Service discovery: how, and with which delay, proxies learn of changes of the fleet.
 
 use serde::{Deserialize, Serialize};
 
-/// How proxies learn of servers.
+/// The parameters of simulated service discovery.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct DiscoverySpec {
-    /// Whether proxies must subscribe. Otherwise changes are pushed to all of them.
+    /// Whether proxies must subscribe to changes; otherwise changes are pushed to all proxies.
     pub watch: bool,
-    /// The time after which the start of a server is visible.
+    /// The delay until discovery lists a server that started, in seconds.
     #[serde(rename = "start_s")]
     pub start_delay_s: f64,
-    /// The time after which it is visible that a server drains.
+    /// The delay until discovery lists a server as draining, in seconds.
     #[serde(rename = "drain_s")]
     pub drain_delay_s: f64,
-    /// The time after which the end of a server is visible.
+    /// The delay until discovery removes a server that ended, in seconds.
     #[serde(rename = "gone_s")]
     pub removal_delay_s: f64,
-    /// The time over which a change reaches the proxies.
+    /// The time over which the notifications of a change are spread over the proxies, in seconds.
     pub spread_s: f64,
-    /// Queries answered per second, one after another.
+    /// The number of queries that discovery answers per second, one after another.
     #[serde(rename = "calls_per_s")]
     pub queries_per_s: f64,
-    /// A query that would be queued for longer fails.
+    /// The maximum time that a query is queued, in seconds; a query that would wait longer fails.
     #[serde(rename = "most_wait_s")]
     pub max_wait_s: f64,
 }
--- a/crates/emulator/src/scenario/error.rs
+++ b/crates/emulator/src/scenario/error.rs
@@ -1,25 +1,25 @@
-//! Why a scenario is rejected.
+//! Errors of parsing and validating a scenario.
 
 use thiserror::Error;
 
-/// Why a scenario is rejected, and where.
+/// The problem for which a scenario is rejected, with its line.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("line {line}: {problem}")]
 pub struct ScenarioError {
-    /// The line in the text, from 1.
+    /// The line number in the text, from 1.
     pub line: usize,
-    /// What is wrong.
+    /// The problem at that line.
     pub problem: ScenarioProblem,
 }
 
-/// What is wrong with a scenario.
+/// A problem for which a scenario is rejected.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ScenarioProblem {
-    /// The text is not TOML, or has an unknown key, a missing key or a value of the wrong type.
-    /// The message of the parser, on one line.
+    /// The text is not TOML, or has an unknown key, a missing key or a value of the wrong type;
+    /// holds the message of the parser, on one line.
     #[error("{0}")]
     Syntax(String),
-    /// A setting is invalid.
+    /// A setting is out of its range or contradicts another.
     #[error(transparent)]
     Setting(#[from] InvalidSetting),
 }
@@ -28,27 +28,29 @@
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("{path} {problem}")]
 pub struct InvalidSetting {
-    /// Its path in the file: keys, and indexes of lists from 0, with dots between them.
+    /// The path of the setting in the file: keys and list indexes (from 0), separated by dots.
     pub path: String,
-    /// What is wrong, and what was expected.
+    /// The problem, and the expected value.
     pub problem: SettingProblem,
 }
 
-/// What is wrong with a setting, and what was expected.
+/// A problem with a setting. The message includes the expected value.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingProblem {
     /// A name is empty.
     #[error("is empty, expected a name")]
     EmptyName,
     /// A name occurs twice.
-    #[error("stands twice, expected names that differ")]
+    #[error("is a duplicate, expected distinct names")]
     DuplicateName,
     /// The name of a zone is empty, reserved or a duplicate.
-    #[error("names `{name}` at {index}, expected names that differ")]
+    #[error(
+        "contains `{name}` at index {index}, expected distinct, non-empty names other than `*`"
+    )]
     InvalidZoneName {
-        /// The name.
+        /// The rejected name.
         name: String,
-        /// Its index in the list.
+        /// The index of the name in the list.
         index: usize,
     },
     /// A number is out of its range.
@@ -56,59 +58,61 @@
     OutOfRange {
         /// The number, or the length of the list.
         value: f64,
-        /// The least that is valid.
+        /// The smallest valid value.
         min: f64,
-        /// The greatest that is valid.
+        /// The largest valid value.
         max: f64,
     },
-    /// The weights of the zones are not one finite number from 0 for each, or are all 0.
-    #[error("do not fit, expected one weight from 0 for each zone")]
+    /// The zone weights are not one finite number of at least 0 for each zone, or are all 0.
+    #[error(
+        "are invalid, expected one finite weight of at least 0 for each zone, not all of them 0"
+    )]
     InvalidZoneWeights,
     /// A range of shares is empty or out of its range.
-    #[error("is {from} to {to}, expected two rising shares over 0 up to 1")]
+    #[error("is {from} to {to}, expected two shares above 0 and up to 1 in ascending order")]
     InvalidShares {
         /// The start of the range.
         from: f64,
-        /// Its end.
+        /// The end of the range.
         to: f64,
     },
     /// A range of speeds is empty or out of its range.
-    #[error("is {from} to {to}, expected two rising speeds over 0")]
+    #[error("is {from} to {to}, expected two speeds above 0 and up to 1000 in ascending order")]
     InvalidSpeeds {
         /// The start of the range.
         from: f64,
-        /// Its end.
+        /// The end of the range.
         to: f64,
     },
     /// The seconds of the rate curve do not increase, or a factor is out of its range.
-    #[error("does not fit, expected rising seconds, each with a factor from 0 to 1000")]
+    #[error("is invalid, expected increasing seconds, each with a factor from 0 to 1000")]
     InvalidRateCurve,
-    /// A pool is in a zone that does not exist.
+    /// The zone of a pool does not exist.
     #[error("is `{zone}`, expected *, {}", zones.join(", "))]
     UnknownPoolZone {
-        /// The zone.
+        /// The unknown zone.
         zone: String,
-        /// Those that exist.
+        /// The zones of the scenario.
         zones: Vec<String>,
     },
-    /// A fault lacks the zone that it needs.
+    /// A fault whose kind requires a zone has none.
     #[error("is missing, expected one of {}", zones.join(", "))]
     MissingZone {
-        /// The zones that exist.
+        /// The zones of the scenario.
         zones: Vec<String>,
     },
     /// A fault names a zone or class that does not exist.
     #[error("is `{name}`, expected one of {}", expected.join(", "))]
     UnknownName {
-        /// The name.
+        /// The unknown name.
         name: String,
-        /// Those that exist.
+        /// The names of the scenario's zones or classes.
         expected: Vec<String>,
     },
-    /// A fault affects servers, but its zone has none.
-    #[error("`{zone}` has no server, expected a zone that has one")]
+    /// A fault affects servers, but there are none in its zone.
+    #[error("is `{zone}`, which has no servers, expected a zone with at least one")]
     ZoneWithoutServers {
-        /// The zone.
+        /// The zone without servers; empty for all zones.
         zone: String,
     },
 }
--- a/crates/emulator/src/scenario/fault.rs
+++ b/crates/emulator/src/scenario/fault.rs
@@ -1,31 +1,31 @@
-//! Faults: what fails, when, and whom it affects.
+//! Fault injection: kind, time and targets of each fault.
 
 use serde::{Deserialize, Serialize};
 
 use super::defaults;
 
-/// A fault.
+/// A fault that is injected during a run.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Its kind.
+    /// The kind of fault. Fields that the kind does not use have no effect.
     pub kind: FaultKind,
-    /// The second of the run at which it begins.
+    /// The time at which the fault begins, in seconds of the run.
     pub at_s: f64,
-    /// How long it lasts.
+    /// The duration, in seconds.
     #[serde(default)]
     pub for_s: f64,
-    /// The share of the servers that it affects ([`FaultKind::ProxyRestart`]: of the proxies).
+    /// The share of the servers that are affected ([`FaultKind::ProxyRestart`]: of the proxies).
     #[serde(default = "defaults::fault_share")]
     pub share: f64,
-    /// Affects only this zone, unless empty.
+    /// The zone to which the fault is restricted; empty for all zones.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub zone: String,
-    /// [`FaultKind::GreyFailure`]: the class that it affects.
+    /// [`FaultKind::GreyFailure`]: the class whose requests are affected.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub class: String,
-    /// How many times slower servers are ([`FaultKind::Slow`], [`FaultKind::SlowDependency`],
-    /// [`FaultKind::GreyFailure`]), or how many times higher the rate ([`FaultKind::Surge`]).
+    /// The factor by which servers become slower ([`FaultKind::Slow`], [`FaultKind::SlowDependency`],
+    /// [`FaultKind::GreyFailure`]), or the clients' rate rises ([`FaultKind::Surge`]).
     #[serde(default = "defaults::fault_factor")]
     pub factor: f64,
     /// Whether machines vanish without closing their connections ([`FaultKind::ZoneLoss`],
@@ -35,36 +35,37 @@
     /// [`FaultKind::ZoneLoss`]: whether the zone's proxies and their clients are lost too.
     #[serde(default, rename = "proxies")]
     pub include_proxies: bool,
-    /// [`FaultKind::Deploy`]: the share of the fleet that is replaced at once. The batches are
-    /// spread over `for_s`.
+    /// [`FaultKind::Deploy`]: the share of the fleet that is replaced in one batch. The batches are
+    /// spread evenly over `for_s`.
     #[serde(default = "defaults::batch")]
     pub batch: f64,
-    /// [`FaultKind::Deploy`]: how long a server drains before it ends.
+    /// [`FaultKind::Deploy`]: the time for which a server drains before it ends, in seconds.
     #[serde(default = "defaults::fault_drain_s")]
     pub drain_s: f64,
-    /// [`FaultKind::Pause`]: the length of one pause. A pause begins every ten times this long.
+    /// [`FaultKind::Pause`]: the length of one pause, in seconds. Pauses begin at intervals of ten
+    /// times this length.
     #[serde(default = "defaults::pause_s")]
     pub pause_s: f64,
-    /// [`FaultKind::RetryStorm`]: how many times clients retry.
+    /// [`FaultKind::RetryStorm`]: the number of times that clients retry an operation.
     #[serde(default = "defaults::fault_retries")]
     pub retries: u32,
 }
 
-/// A kind of fault.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
     /// Some servers are slower.
     Slow,
-    /// All servers are slower, because of something that they share.
+    /// All servers are slower, as when a shared dependency is slow.
     #[serde(rename = "shared-slow")]
     SlowDependency,
     /// One class of requests is slower, or unanswered, at some servers.
     #[serde(rename = "grey")]
     GreyFailure,
-    /// Some servers pause again and again.
+    /// Some servers pause repeatedly, for a tenth of the time.
     Pause,
-    /// Processes end, or machines vanish, and start again after a while.
+    /// Server processes end, or their machines vanish, and start again when the fault ends.
     Crash,
     /// All servers of a zone crash.
     #[serde(rename = "zone-lost")]
@@ -74,13 +75,13 @@
     ZonePartition,
     /// Servers are replaced, batch by batch, by new ones with other ids at the same addresses.
     Deploy,
-    /// Proxies end and start again without any state.
+    /// Proxies end, and start again without any state when the fault ends.
     #[serde(rename = "restart")]
     ProxyRestart,
-    /// Clients send more requests.
+    /// Clients send requests at a higher rate.
     Surge,
-    /// Clients retry at once, and more often.
+    /// Clients retry without delay, as many times as `retries` says.
     RetryStorm,
-    /// Discovery answers no query, and ends its subscriptions.
+    /// Discovery answers no queries and ends its subscriptions.
     DiscoveryOutage,
 }
--- a/crates/emulator/src/scenario/network.rs
+++ b/crates/emulator/src/scenario/network.rs
@@ -2,23 +2,23 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Delays, loss and connections.
+/// The parameters of the simulated network.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// The one-way delay within a zone.
+    /// The one-way delay within a zone, in milliseconds.
     #[serde(rename = "inside_ms")]
     pub within_zone_ms: f64,
-    /// The one-way delay between zones.
+    /// The one-way delay between zones, in milliseconds.
     #[serde(rename = "between_ms")]
     pub between_zones_ms: f64,
-    /// A delay is longer by up to this share.
+    /// The maximum jitter, as a share by which a delay may be longer.
     pub jitter: f64,
     /// The share of datagrams that are lost.
     pub datagram_loss: f64,
-    /// The timeout of connecting to a server.
+    /// The timeout for connecting to a server, in milliseconds.
     pub connect_timeout_ms: f64,
-    /// The time after which an idle connection is closed.
+    /// The time after which an idle connection is closed, in seconds.
     #[serde(rename = "idle_close_s")]
     pub idle_timeout_s: f64,
 }
--- a/crates/emulator/src/scenario/proxies.rs
+++ b/crates/emulator/src/scenario/proxies.rs
@@ -1,10 +1,10 @@
-//! The proxies: how many, where, and what their policies may do.
+//! The proxies: their number, their distribution over zones and the limits of their policies.
 
 use serde::{Deserialize, Serialize};
 
 use super::defaults;
 
-/// The proxies.
+/// The number and placement of the proxies, and what their policies may do.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 #[expect(
@@ -12,13 +12,13 @@
     reason = "keys of the scenario file, each on or off"
 )]
 pub struct Proxies {
-    /// How many.
+    /// The number of proxies.
     pub count: u32,
-    /// The weight of each zone, in the order of the zones, by which proxies are distributed; equal
-    /// if empty.
+    /// The weights by which proxies are distributed over the zones, in the order of the zones; empty
+    /// for equal weights.
     #[serde(default)]
     pub zone_weights: Vec<f64>,
-    /// The most attempts for one request.
+    /// The maximum number of attempts for one request; 1 to 3.
     #[serde(default = "defaults::max_attempts", rename = "most_tries")]
     pub max_attempts: u32,
     /// Whether two attempts of one request may be in flight at once (hedging).
@@ -33,14 +33,14 @@
     /// Whether proxies may send each other messages.
     #[serde(default)]
     pub peers: bool,
-    /// Whether servers report their load in the answer to a probe.
+    /// Whether servers report their load in answers to probes.
     #[serde(default = "defaults::enabled")]
     pub load_reports: bool,
-    /// The longest Retry-After that clients respect.
+    /// The longest Retry-After that clients respect, in seconds.
     #[serde(default = "defaults::max_retry_after_s")]
     pub max_retry_after_s: f64,
-    /// The penalty of sending a request to another zone, as a share of its value. The module waits
-    /// for capacity in its own zone for that share of the latency target.
+    /// The penalty for sending a request to another zone, as a share of its value. The balancer waits
+    /// for capacity in its own zone for up to this share of the latency target.
     #[serde(default = "defaults::cross_zone_penalty", rename = "cross_zone")]
     pub cross_zone_penalty: f64,
     /// Whether the endpoint list shows the servers' true capacities.
--- a/crates/emulator/src/scenario/rules.rs
+++ b/crates/emulator/src/scenario/rules.rs
@@ -6,19 +6,21 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// A final answer that comes at most this long after the client's deadline still counts.
+    /// The tolerance for late final answers, in milliseconds: an answer at most this long after the
+    /// client's deadline still counts.
     pub answer_slack_ms: f64,
-    /// How long after the notification a proxy may still send to a server that is draining or
-    /// removed.
+    /// The time after the notification during which a proxy may still send to a server that is
+    /// draining or removed, in milliseconds.
     pub drain_grace_ms: f64,
-    /// A proxy that has neither a subscription nor sent a query for this long counts as notified.
+    /// The maximum time without a discovery query, in seconds. A proxy without a subscription that
+    /// has sent no query for longer counts as notified.
     #[serde(rename = "ask_within_s")]
     pub max_query_interval_s: f64,
-    /// A server that is warming up is overloaded, and fails, if it receives more than this multiple
-    /// of its capacity in one window.
+    /// The multiple of its capacity above which a server that is warming up is overloaded and fails,
+    /// measured over `overload_window_s`.
     #[serde(rename = "cold_multiple")]
     pub overload_multiple: f64,
-    /// The length of that window.
+    /// The length of the window over which that load is measured, in seconds.
     #[serde(rename = "cold_window_s")]
     pub overload_window_s: f64,
 }
--- a/crates/emulator/src/scenario/validation.rs
+++ b/crates/emulator/src/scenario/validation.rs
@@ -1,5 +1,5 @@
-//! Checks that each setting of a scenario is in its range and that settings do not contradict each
-//! other, in the order of the file.
+//! Validation of a scenario: checks, in the order of the file, that each setting is in its range and
+//! that settings do not contradict each other.
 
 use super::class::Class;
 use super::error::{InvalidSetting, SettingProblem};
@@ -13,7 +13,7 @@
 const DAY_S: f64 = 86_400.0;
 const HOUR_S: f64 = 3_600.0;
 const HOUR_MS: f64 = 3_600_000.0;
-/// The most servers, slots and proxies.
+/// The maximum number of servers, slots and proxies.
 const MAX_COUNT: u32 = 100_000;
 
 fn invalid(path: impl Into<String>, problem: SettingProblem) -> Validity {
@@ -25,7 +25,7 @@
 
 fn within(path: &str, value: impl Into<f64>, min: impl Into<f64>, max: impl Into<f64>) -> Validity {
     let (value, min, max) = (value.into(), min.into(), max.into());
-    // False for a NaN, which is therefore out of range too.
+    // The comparison is false for NaN, which is therefore rejected as out of range.
     if value >= min && value <= max {
         return Ok(());
     }
@@ -37,10 +37,10 @@
 }
 
 impl Scenario {
-    /// Checks that each setting is in its range and that they do not contradict each other.
+    /// Checks that each setting is in its range and that settings do not contradict each other.
     ///
     /// # Errors
-    /// [`InvalidSetting`] for the first that fails.
+    /// [`InvalidSetting`] for the first setting that fails a check.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
         if self.name.is_empty() {
             return invalid("name", SettingProblem::EmptyName);
@@ -284,7 +284,7 @@
         Ok(())
     }
 
-    /// A fault that affects servers needs one in its zone.
+    /// Checks that a fault that affects servers has at least one server in its zone.
     fn validate_targets(&self, path: &str, pools: &[Pool]) -> Validity {
         let affects_servers = !matches!(
             self.kind,
--- a/crates/emulator/tests/fleet/judge.rs
+++ b/crates/emulator/tests/fleet/judge.rs
@@ -1,4 +1,4 @@
-//! The judge records each violation of a rule, and none that did not occur.
+//! The judge records every violation of a rule, and no false ones.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 use crate::support::{DEPLOY, SLOW, fleet};
 
-/// What a faulty policy does wrong.
+/// The way in which a faulty policy breaks a rule.
 #[derive(Clone, Copy, PartialEq)]
 enum Misbehaviour {
     NeverAnswers,
@@ -25,7 +25,7 @@
     OverloadsWarmingServer,
 }
 
-/// Sends to the listed servers in turn, with one misbehaviour.
+/// A round-robin policy with one misbehaviour.
 struct FaultyPolicy {
     misbehaviour: Misbehaviour,
     servers: BTreeMap<ServerId, bool>,
@@ -80,7 +80,7 @@
                     self.servers.clear();
                 }
                 for server in listing.servers {
-                    // The one that sends to draining servers forgets none.
+                    // The policy that sends to draining servers keeps removed ones in its list.
                     let gone = server.phase == Phase::Gone
                         && self.misbehaviour != Misbehaviour::SendsToDraining;
                     if gone {
@@ -223,20 +223,21 @@
             Misbehaviour::SendsToDraining,
             Rule::NoSendAfterDrain,
             DEPLOY,
-            "ms after it was told",
+            "ms after the proxy was notified",
         ),
         (
             Misbehaviour::OverloadsWarmingServer,
             Rule::NoWarmUpOverload,
             DEPLOY,
-            "of work in its window",
+            "of work in the overload window",
         ),
     ] {
         let mut scenario = fleet(fault);
         if misbehaviour == Misbehaviour::RetriesAfterWindow {
-            scenario.classes[0].deduplication_window_s = 0.1; // shorter than this policy's timeout
+            // Shorter than the 150 ms timeout of the policy, so that retries come after the window.
+            scenario.classes[0].deduplication_window_s = 0.1;
         }
-        // Enough to overload one server that is warming up.
+        // A rate that is enough to overload one server that is warming up.
         scenario.clients.rate *= if misbehaviour == Misbehaviour::OverloadsWarmingServer {
             3.0
         } else {
@@ -300,8 +301,8 @@
     });
 }
 
-/// A fleet in whose deploy an equal share of the requests is several times what a server that has
-/// just started bears.
+/// A fleet with a rolling deploy in which an equal share of the requests is several times the limit
+/// of a server that has just started.
 fn warming_fleet(proxies: u32) -> Scenario {
     let mut scenario = fleet(DEPLOY);
     (
@@ -316,8 +317,9 @@
     scenario
 }
 
-/// The limit of a server that is warming up applies to the sum of what all proxies send, however
-/// many they are; a policy that sends to the server that started last violates the rule.
+/// The overload limit of a server that is warming up applies to the sum over all proxies, so the
+/// balancer must keep it with any number of proxies. A policy that sends everything to the server
+/// that started last violates the rule.
 #[test]
 fn warming_server_is_not_overloaded_by_any_number_of_proxies() {
     for proxies in [5, 30, 300] {
--- a/crates/emulator/tests/fleet/main.rs
+++ b/crates/emulator/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Tests of whole runs of a small fleet.
+//! Tests of complete simulation runs of a small fleet.
 
 mod judge;
 mod notifications;
--- a/crates/emulator/tests/fleet/notifications.rs
+++ b/crates/emulator/tests/fleet/notifications.rs
@@ -1,4 +1,4 @@
-//! How changes of the endpoint list reach proxies that restart.
+//! Notification of restarted proxies about changes of the endpoint list.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -8,10 +8,11 @@
 
 use crate::support::fleet;
 
-/// The phase of each server as the incarnations of all proxies know it, in the order of their starts.
+/// The phase of each server as known to each incarnation of a proxy, in the order in which the
+/// incarnations started.
 type Known = Arc<Mutex<Vec<BTreeMap<ServerId, Phase>>>>;
 
-/// Records the endpoint list and answers nothing.
+/// Records the endpoint list and answers no requests.
 struct RecordingPolicy {
     incarnation: usize,
     known: Known,
@@ -36,8 +37,9 @@
     }
 }
 
-/// A change that was published while a notification for the earlier incarnation was on its way reaches
-/// the later one by a notification of its own.
+/// A change that is published while a notification to the previous incarnation of a proxy is in
+/// flight must be sent to the new incarnation in a notification of its own; otherwise the restarted
+/// proxy never learns of it.
 #[test]
 fn a_restarted_proxy_is_notified_of_changes_after_its_restart() {
     let mut scenario = fleet(
@@ -62,11 +64,15 @@
         let report = Simulation::with_policy(&scenario, "recording", seed, Box::new(build)).run();
         assert!(report.requests.asked > 0);
         let incarnations = known.lock().expect("not poisoned");
-        assert_eq!(incarnations.len(), 2 * proxies, "each proxy restarts once");
+        assert_eq!(
+            incarnations.len(),
+            2 * proxies,
+            "every proxy has two incarnations, as each restarts once"
+        );
         for phases in &incarnations[proxies..] {
             assert!(
                 phases.values().all(|phase| *phase == Phase::Gone),
-                "seed {seed}: all servers have crashed: {phases:?}"
+                "seed {seed}: a restarted proxy does not know that all servers have crashed: {phases:?}"
             );
         }
     }
--- a/crates/emulator/tests/fleet/reproducibility.rs
+++ b/crates/emulator/tests/fleet/reproducibility.rs
@@ -1,12 +1,12 @@
-//! A run is reproducible: the same scenario, policy and seed give the same digest.
+//! Reproducibility of runs: the same scenario, policy and seed give the same digest.
 
 use ironmast_emulator::{PolicyName, Simulation};
 use rayon::prelude::*;
 
 use crate::support::{DEPLOY, fleet};
 
-/// Arrivals, work and faults are the same under every policy, so that two runs differ only by what
-/// the policies did.
+/// Arrivals, work and faults do not depend on the policy, so that two runs differ only by the
+/// decisions of their policies.
 #[test]
 fn every_policy_is_sent_the_same_operations() {
     let scenario = fleet(DEPLOY);
--- a/crates/emulator/tests/fleet/scenario_validation.rs
+++ b/crates/emulator/tests/fleet/scenario_validation.rs
@@ -1,10 +1,10 @@
-//! Invalid scenarios are rejected with their line.
+//! Invalid scenarios are rejected with the line number and the expected value.
 
 use ironmast_emulator::Scenario;
 
 use crate::support::{DEPLOY, fleet};
 
-/// Text of a valid scenario, what replaces it, and what the error says.
+/// Each case: text of the valid scenario, its replacement, and text of the expected error.
 const INVALID: [(&str, &str, &str); 17] = [
     (
         "length_s = 12.0",
@@ -64,32 +64,32 @@
     (
         "zones = [\"a\", \"b\"]",
         "zones = [\"a\", \"a\"]",
-        "zones names `a` at 1, expected names that differ",
+        "zones contains `a` at index 1, expected distinct, non-empty names other than `*`",
     ),
     (
         "patience = [0.7, 1.0]",
         "patience = [0.7, 2.0]",
-        "clients.patience is 0.7 to 2, expected two rising shares over 0 up to 1",
+        "clients.patience is 0.7 to 2, expected two shares above 0 and up to 1 in ascending order",
     ),
     (
         "curve = []",
         "curve = [[2.0, 1.0], [1.0, 1.0]]",
-        "clients.curve does not fit, expected rising seconds",
+        "clients.curve is invalid, expected increasing seconds",
     ),
     (
         "zone_weights = []",
         "zone_weights = [1.0]",
-        "proxies.zone_weights do not fit, expected one weight from 0 for each zone",
+        "proxies.zone_weights are invalid, expected one finite weight of at least 0 for each zone, not all of them 0",
     ),
     (
         "speed = [1.0, 1.0]",
         "speed = [2.0, 1.0]",
-        "pool.0.speed is 2 to 1, expected two rising speeds over 0",
+        "pool.0.speed is 2 to 1, expected two speeds above 0 and up to 1000 in ascending order",
     ),
     (
         "name = \"once\"",
         "name = \"keep\"",
-        "class.1.name stands twice",
+        "class.1.name is a duplicate",
     ),
 ];
 
@@ -99,12 +99,12 @@
     assert_eq!(
         Scenario::parse(&valid),
         Ok(fleet(DEPLOY)),
-        "what is written can be read"
+        "a scenario that was written by to_toml parses to the same scenario"
     );
     let table = valid
         .lines()
         .position(|l| l == "[[trouble]]")
-        .expect("there is one")
+        .expect("the scenario has a fault")
         + 1;
     for (from, to, description) in INVALID {
         assert!(valid.contains(from), "{from} in {valid}");
@@ -116,7 +116,7 @@
             .lines()
             .zip(invalid.lines())
             .position(|(a, b)| a != b)
-            .expect("one differs")
+            .expect("the replacement changes a line")
             + 1;
         let expected_line = if description.contains("missing") || description.contains("``") {
             table
--- a/crates/emulator/tests/fleet/support.rs
+++ b/crates/emulator/tests/fleet/support.rs
@@ -1,8 +1,8 @@
-//! The scenario that the tests share, and faults to add to it.
+//! The scenario shared by the tests, and faults that a test can append to it.
 
 use ironmast_emulator::Scenario;
 
-/// A small fleet; `more` is appended to the TOML text.
+/// A small fleet of 6 servers and 4 proxies in two zones; `more` is appended to the TOML text.
 pub(crate) fn fleet(more: &str) -> Scenario {
     let text = format!(
         r#"
@@ -39,9 +39,9 @@
     Scenario::parse(&text).expect("a valid scenario")
 }
 
-/// A rolling deploy of all servers.
+/// A rolling deploy of all servers in batches of a third of the fleet.
 pub(crate) const DEPLOY: &str =
     "[[trouble]]\nkind = \"deploy\"\nat_s = 2.0\nfor_s = 6.0\nbatch = 0.34\ndrain_s = 2.0";
-/// Most servers are much slower for a while.
+/// A slowdown of 60 % of the servers by a factor of 20 for 6 s.
 pub(crate) const SLOW: &str =
     "[[trouble]]\nkind = \"slow\"\nat_s = 2.0\nfor_s = 6.0\nshare = 0.6\nfactor = 20.0";
--- a/crates/emulator/tests/queueing_theory.rs
+++ b/crates/emulator/tests/queueing_theory.rs
@@ -1,5 +1,5 @@
-//! Queues with known formulas, simulated through the complete emulator: client, proxy, connection,
-//! server.
+//! Simulated queues agree with the formulas of queueing theory. Requests pass through the complete
+//! emulator: client, proxy, connection and server.
 //!
 //! Formulas: Kleinrock, Queueing Systems I (1975): M/M/1 (3.2), Erlang C (3.40),
 //! Pollaczek-Khinchine (5.64). Two choices: Mitzenmacher, The Power of Two Choices in Randomized
@@ -9,7 +9,7 @@
 use ironmast_emulator::{PolicyName, Scenario, ServerStatistics, Simulation};
 use rayon::prelude::*;
 
-/// The mean work, in milliseconds.
+/// The mean work per job, in milliseconds.
 const WORK_MS: f64 = 10.0;
 
 fn scenario(servers: u32, cores: u32, distribution: &str, load: f64, length_s: f64) -> Scenario {
@@ -40,13 +40,13 @@
     Scenario::parse(&text).expect("a valid scenario")
 }
 
-/// The figures of one replication.
+/// The figures measured in one replication, after a warm-up of a twentieth of the run.
 struct Measured {
     /// The mean waiting time, in units of the mean work.
     wait: f64,
     /// The mean number of queued jobs.
     queued: f64,
-    /// The utilization.
+    /// The utilization of the cores.
     load: f64,
     /// The relative error of Little's law.
     little_error: f64,
@@ -79,8 +79,8 @@
     }
 }
 
-/// The mean over replications and its standard error. The load, whose mean is known, serves as a
-/// control variate.
+/// The estimate of a mean over replications, and its standard error. The load, whose mean is known,
+/// serves as a control variate.
 fn control_variate_estimate(
     measured: &[Measured],
     load: f64,
@@ -115,7 +115,8 @@
             .map(|seed| replication(&scenario, seed, c))
             .collect();
         let expected = wait_at(load);
-        // The control variate must not hide arrivals or work that are wrong on the whole.
+        // The control variate would hide a systematic error of the arrival rate or of the work, so the
+        // load is checked first.
         let mean_load = measured.iter().map(|s| s.load).sum::<f64>() / measured.len() as f64;
         assert!(
             (mean_load / load - 1.0).abs() < 0.005,
@@ -158,7 +159,7 @@
 
 #[test]
 fn mg1_waits_match_pollaczek_khinchine() {
-    // A coefficient of variation of 2: the second moment is 5.
+    // With a coefficient of variation of 2, the second moment is 5 times the squared mean.
     check_waits("lognormal", 1, |load| load * 5.0 / (2.0 * (1.0 - load)));
 }
 
