--- a/crates/agent/src/tests.rs
+++ b/crates/agent/src/tests.rs
@@ -1,7 +1,7 @@
 use std::net::TcpStream;
 use std::path::Path;
 
-use ironmast_fault_injection::free_ports::first_of_own_free_ports;
+use ironmast_fault_injection::free_ports::find_consecutive_free_ports_for_process;
 use slog::{Discard, o};
 
 use super::*;
@@ -12,7 +12,7 @@
 fn an_agent_that_is_gone_leaves_no_listener() {
     actix_rt::System::new().block_on(async {
         let ip = Ipv4Addr::LOCALHOST.into();
-        let first = first_of_own_free_ports(&[ip], 4).expect("free ports");
+        let first = find_consecutive_free_ports_for_process(&[ip], 4).expect("free ports");
         let text = format!(
             "node_name: a\nip_address: 127.0.0.1\nzone: z\nregion: r\n\
              internal_port_range: [{first}, {}]\n",
--- a/crates/coordinator/src/event_loop/tests.rs
+++ b/crates/coordinator/src/event_loop/tests.rs
@@ -1,6 +1,6 @@
 use std::net::{Ipv4Addr, TcpStream};
 
-use ironmast_fault_injection::free_ports::first_of_own_free_ports;
+use ironmast_fault_injection::free_ports::find_consecutive_free_ports_for_process;
 use ironmast_schema::configuration::Configuration;
 use slog::{Discard, o};
 use tokio::signal::unix::{SignalKind, signal};
@@ -13,7 +13,7 @@
     actix_rt::System::new().block_on(async {
         let folder = tempfile::tempdir().expect("a folder");
         let ip = Ipv4Addr::new(127, 92, 17, 1);
-        let first_port = first_of_own_free_ports(&[ip.into()], 4).expect("free ports");
+        let first_port = find_consecutive_free_ports_for_process(&[ip.into()], 4).expect("free ports");
         let text = format!(
             "node_name: m1\nip_address: {ip}\nzone: z\nregion: r\ninternal_port_range: [{first_port}, {}]\n\
              bootstrap: true\ndata_directory: {}\nlimits: {{disk_mb: 16}}\n",
--- a/crates/fault-injection/src/datagrams.rs
+++ b/crates/fault-injection/src/datagrams.rs
@@ -17,8 +17,8 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 use crate::fault::DatagramAction;
-use crate::loopback;
 use crate::relay::Faults;
+use crate::require_loopback;
 
 /// How long the relay waits for a datagram before it looks at the delayed ones and the stop flag.
 const READ_TIMEOUT: Duration = Duration::from_millis(5);
@@ -69,7 +69,7 @@
         seed: u64,
     ) -> std::io::Result<DatagramRelay> {
         for end in &ends {
-            loopback(end.address)?;
+            require_loopback(end.address)?;
         }
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         socket.set_read_timeout(Some(READ_TIMEOUT))?;
--- a/crates/fault-injection/src/expectations/tests.rs
+++ b/crates/fault-injection/src/expectations/tests.rs
@@ -32,21 +32,21 @@
     bad[50..60]
         .iter_mut()
         .for_each(|s| s.outcome = Outcome::Broken);
-    let home: Vec<Execution> = (0..100).map(|n| run(n * 100, "a-b-0")).collect();
-    let away: Vec<Execution> = (0..100).map(|n| run(n * 100, "b-0")).collect();
+    let in_zone: Vec<Execution> = (0..100).map(|n| run(n * 100, "a-b-0")).collect();
+    let outside_zone: Vec<Execution> = (0..100).map(|n| run(n * 100, "b-0")).collect();
     for text in [
         "served = 0.95",
         "[[span]]\nfrom_s = 5.0\nto_s = 6.0\nserved = 0.5",
         "[[whole]]\nafter_s = 5.0\nwithin_s = 0.5\nfor_s = 1.0\nproxy = 0",
     ] {
         assert_eq!(
-            expect(text).violations(std::slice::from_ref(&good), &home),
+            expect(text).violations(std::slice::from_ref(&good), &in_zone),
             Vec::<Violation>::new(),
             "{text}"
         );
         assert_eq!(
             expect(text)
-                .violations(std::slice::from_ref(&bad), &home)
+                .violations(std::slice::from_ref(&bad), &in_zone)
                 .len(),
             1,
             "{text}"
@@ -54,10 +54,14 @@
     }
     let zone = expect("[[span]]\nfrom_s = 0.0\nto_s = 6.0\nzone = \"a-b\"\nruns = 0.9");
     assert!(
-        zone.violations(std::slice::from_ref(&good), &home)
+        zone.violations(std::slice::from_ref(&good), &in_zone)
             .is_empty()
     );
-    assert_eq!(zone.violations(std::slice::from_ref(&good), &away).len(), 1);
+    assert_eq!(
+        zone.violations(std::slice::from_ref(&good), &outside_zone)
+            .len(),
+        1
+    );
     assert_eq!(
         zone.violations(&[good], &[]).len(),
         1,
@@ -77,7 +81,7 @@
 }
 
 #[test]
-fn a_table_that_fits_no_run_is_rejected_with_its_key() {
+fn an_invalid_table_is_rejected_with_its_key() {
     let zones = ["a".to_string()];
     let error = |text: &str| {
         expect(text)
--- a/crates/fault-injection/src/failing_server.rs
+++ b/crates/fault-injection/src/failing_server.rs
@@ -51,7 +51,7 @@
 };
 
 /// The headers of the program in service and its servers.
-pub const IN_SERVICE: Dialect = Dialect {
+pub const PROXY: Dialect = Dialect {
     id_header: "X-Txn",
     echoes_id: false,
     signature: "",
@@ -79,9 +79,9 @@
     /// For each request whose head arrived: its id and the number of its connection, from 0.
     pub arrivals: Vec<(String, usize)>,
     /// Descriptions of the requests that were invalid.
-    pub wrong: Vec<String>,
+    pub invalid: Vec<String>,
     /// The numbers of the connections that the server has closed or reset.
-    pub ended: BTreeSet<usize>,
+    pub closed: BTreeSet<usize>,
 }
 
 /// The failures of the next requests.
@@ -167,7 +167,7 @@
 
     /// What the server has observed so far.
     #[must_use]
-    pub fn seen(&self) -> Observations {
+    pub fn observations(&self) -> Observations {
         lock(&self.state.observations).clone()
     }
 
@@ -177,7 +177,7 @@
     /// The server leaves the connection open.
     pub fn await_end(&self, connection: usize) {
         let observations = lock(&self.state.observations);
-        let is_open = |observations: &mut Observations| !observations.ended.contains(&connection);
+        let is_open = |observations: &mut Observations| !observations.closed.contains(&connection);
         let (observations, timeout) = self
             .state
             .connection_ended
@@ -222,7 +222,7 @@
 impl State {
     /// Records that the server has closed or reset the connection with this number.
     fn record_end(&self, connection: usize) {
-        lock(&self.observations).ended.insert(connection);
+        lock(&self.observations).closed.insert(connection);
         self.connection_ended.notify_all();
     }
 }
@@ -276,7 +276,7 @@
             }
             Ok(false) => {
                 let problem = format!("the body of {:?} is another's", request.id);
-                lock(&state.observations).wrong.push(problem);
+                lock(&state.observations).invalid.push(problem);
                 AfterStep::Close
             }
             Err(_) => AfterStep::Close,
--- a/crates/fault-injection/src/failing_server/client.rs
+++ b/crates/fault-injection/src/failing_server/client.rs
@@ -73,7 +73,7 @@
 /// # Errors
 /// The address is not a loopback address, or the connection fails.
 pub fn exchange(address: SocketAddr, request: &ClientRequest<'_>) -> io::Result<ClientResponse> {
-    crate::loopback(address)?;
+    crate::require_loopback(address)?;
     let mut stream = TcpStream::connect(address)?;
     send(&mut stream, request)?;
     Ok(receive(
--- a/crates/fault-injection/src/failing_server/failure.rs
+++ b/crates/fault-injection/src/failing_server/failure.rs
@@ -34,7 +34,7 @@
     InChunks(Connection),
     /// The response is complete; the connection ends once the test calls
     /// [`super::FailingServer::release`].
-    AfterAnswer(Connection),
+    AfterResponse(Connection),
     /// Bytes that are not a response follow the complete response.
     TrailingBytes,
     /// The complete response is sent twice.
@@ -77,7 +77,7 @@
     /// The body of an HTTP/1.0 response is chunked.
     ChunksInHttp10,
     /// A response with status 204 has a body.
-    BodyWithout204,
+    BodyWith204,
     /// A complete response with this status and the header that guarantees that the request has not
     /// been executed.
     NotExecutedStatus(u16),
--- a/crates/fault-injection/src/failing_server/steps.rs
+++ b/crates/fault-injection/src/failing_server/steps.rs
@@ -33,7 +33,7 @@
 }
 
 const EXECUTE: Step = Step::ReadBody { runs: true };
-const READ_ONLY: Step = Step::ReadBody { runs: false };
+const READ_WITHOUT_EXECUTION: Step = Step::ReadBody { runs: false };
 
 fn write(text: String) -> Step {
     Step::Write(text.into_bytes())
@@ -113,7 +113,7 @@
     let complete = writer.complete("200 OK", "");
     let steps = match failure {
         Failure::Interim(status) => executed(interim(status) + &complete),
-        Failure::AfterAnswer(connection) => {
+        Failure::AfterResponse(connection) => {
             let end = match connection {
                 Connection::Kept => None,
                 Connection::Closed => Some(Step::Drop),
@@ -149,7 +149,7 @@
     let (response, connection, read) = match failure {
         Failure::EarlyNotExecuted(status, connection) => {
             let response = writer.complete(&status_line(status), writer.dialect.not_executed);
-            (response, connection, READ_ONLY)
+            (response, connection, READ_WITHOUT_EXECUTION)
         }
         Failure::EarlyError(connection) => (writer.complete("500 Told", ""), connection, EXECUTE),
         _ => return None,
@@ -182,7 +182,7 @@
         Failure::ChunksInHttp10 => writer
             .framed(CHUNKED, &writer.chunks())
             .replacen("HTTP/1.1", "HTTP/1.0", 1),
-        Failure::BodyWithout204 => writer.head("204 No Content", &length) + &body,
+        Failure::BodyWith204 => writer.head("204 No Content", &length) + &body,
         Failure::Unsigned => complete.replace(writer.dialect.signature, ""),
         _ => return None,
     };
@@ -194,11 +194,14 @@
     match failure {
         Failure::NotExecutedStatus(status) => {
             let response = writer.complete(&status_line(status), writer.dialect.not_executed);
-            vec![READ_ONLY, write(response)]
+            vec![READ_WITHOUT_EXECUTION, write(response)]
         }
         // 421 Misdirected Request guarantees by itself that the request has not been executed.
         Failure::Status(status @ 421) => {
-            vec![READ_ONLY, write(writer.complete(&status_line(status), ""))]
+            vec![
+                READ_WITHOUT_EXECUTION,
+                write(writer.complete(&status_line(status), "")),
+            ]
         }
         Failure::Status(status) => executed(writer.complete(&status_line(status), "")),
         _ => executed(writer.complete("200 OK", "")),
--- a/crates/fault-injection/src/free_ports.rs
+++ b/crates/fault-injection/src/free_ports.rs
@@ -13,7 +13,7 @@
 /// The first of `count` consecutive ports that are free at all of these addresses. `start` determines
 /// where the search begins, so that tests that run at the same time find different ones.
 #[must_use]
-pub fn first_of_free_ports(addresses: &[IpAddr], count: u16, start: usize) -> Option<u16> {
+pub fn find_consecutive_free_ports(addresses: &[IpAddr], count: u16, start: usize) -> Option<u16> {
     let firsts = PORTS.step_by(usize::from(count));
     let length = firsts.len();
     let mut firsts = firsts.cycle().skip(start % length).take(length);
@@ -25,11 +25,11 @@
 
 /// The same for the tests of one process, each of which gets other ports.
 #[must_use]
-pub fn first_of_own_free_ports(addresses: &[IpAddr], count: u16) -> Option<u16> {
+pub fn find_consecutive_free_ports_for_process(addresses: &[IpAddr], count: u16) -> Option<u16> {
     /// Keeps apart where the searches of processes begin.
     const SEARCHES_PER_PROCESS: usize = 37;
     let process = std::process::id() as usize;
-    first_of_free_ports(addresses, count, process * SEARCHES_PER_PROCESS)
+    find_consecutive_free_ports(addresses, count, process * SEARCHES_PER_PROCESS)
 }
 
 fn is_free(address: IpAddr, port: u16) -> bool {
--- a/crates/fault-injection/src/full_backlog.rs
+++ b/crates/fault-injection/src/full_backlog.rs
@@ -26,7 +26,7 @@
     /// The listener is not on a loopback address, or the system rejects an operation.
     pub fn new(listener: &TcpListener) -> io::Result<FullBacklog> {
         let address = listener.local_addr()?;
-        crate::loopback(address)?;
+        crate::require_loopback(address)?;
         rustix::net::listen(listener, 0)?;
         Ok(FullBacklog {
             address,
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 /// The address is not a loopback address.
-pub fn loopback(address: SocketAddr) -> std::io::Result<()> {
+pub fn require_loopback(address: SocketAddr) -> std::io::Result<()> {
     if address.ip().is_loopback() {
         Ok(())
     } else {
@@ -67,8 +67,8 @@
 ///
 /// # Errors
 /// The address is not a loopback address, the connection fails or no response arrives in time.
-pub fn call(ops: SocketAddr, line: &str) -> std::io::Result<String> {
-    loopback(ops)?;
+pub fn send_command(ops: SocketAddr, line: &str) -> std::io::Result<String> {
+    require_loopback(ops)?;
     let mut stream = TcpStream::connect_timeout(&ops, Duration::from_secs(1))?;
     stream.set_read_timeout(Some(Duration::from_secs(1)))?;
     stream.write_all(format!("{line}\n").as_bytes())?;
--- a/crates/fault-injection/src/load.rs
+++ b/crates/fault-injection/src/load.rs
@@ -142,7 +142,7 @@
     start: Instant,
     results: &SharedResults,
 ) -> std::io::Result<LoadReport> {
-    crate::loopback(address)?;
+    crate::require_loopback(address)?;
     let threads = profile.threads.max(1);
     let sender = |first| {
         let (profile, results, name) = (profile.clone(), Arc::clone(results), name.to_string());
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -49,7 +49,7 @@
     /// The process ended or timed out before it logged its operations address; with its last log
     /// lines.
     #[error("the proxy never told where operators call (its last lines: {0})")]
-    Silent(String),
+    NoOperationsAddress(String),
 }
 
 /// The resources that a process uses.
@@ -142,7 +142,7 @@
                 return Ok(self);
             }
             if start.elapsed() > timeout || self.has_ended() {
-                return Err(StartError::Silent(self.tail(3)));
+                return Err(StartError::NoOperationsAddress(self.tail(3)));
             }
             std::thread::sleep(POLL_INTERVAL);
         }
@@ -202,7 +202,9 @@
     pub fn ready(&self, timeout: Duration) -> Option<Duration> {
         let start = Instant::now();
         while start.elapsed() < timeout {
-            if crate::call(self.ops, "ready").is_ok_and(|response| response.starts_with("+OK")) {
+            if crate::send_command(self.ops, "ready")
+                .is_ok_and(|response| response.starts_with("+OK"))
+            {
                 return Some(start.elapsed());
             }
             std::thread::sleep(POLL_INTERVAL);
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -18,7 +18,7 @@
 pub use faults::Faults;
 use link::TcpLink;
 
-use crate::loopback;
+use crate::require_loopback;
 
 /// What has happened on a relay's link.
 #[derive(Debug, Default)]
@@ -52,7 +52,7 @@
         target: SocketAddr,
         faults: Arc<Faults>,
     ) -> std::io::Result<Relay> {
-        loopback(target)?;
+        require_loopback(target)?;
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         listener.set_nonblocking(true)?;
--- a/crates/fault-injection/src/stub_servers/http/tests.rs
+++ b/crates/fault-injection/src/stub_servers/http/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_truncated_body_is_no_request() {
+fn a_request_with_a_truncated_body_is_not_returned() {
     let bytes = request("/first", b"0123456789");
     let mut connection = Cursor::new(&bytes[..bytes.len() - 1]);
     assert_eq!(read_request(&mut connection), None);
--- a/crates/fault-injection/src/verdict/tests.rs
+++ b/crates/fault-injection/src/verdict/tests.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_service_has_recovered_once_a_whole_span_is_served() {
+fn the_service_has_recovered_once_every_request_of_a_span_is_served() {
     use Outcome::*;
     let s: Vec<SentRequest> = [Served, Broken, Broken, Served, Served, Served, Served]
         .iter()
--- a/crates/gate/tests/failing_servers.rs
+++ b/crates/gate/tests/failing_servers.rs
@@ -161,7 +161,7 @@
         Case::new(TwoLengths, MaybeExecuted, Closed),
         Case::new(BadChunk, MaybeExecuted, Closed),
         Case::new(ChunksInHttp10, MaybeExecuted, Closed),
-        Case::new(BodyWithout204, MaybeExecuted, Closed),
+        Case::new(BodyWith204, MaybeExecuted, Closed),
         Case::new(Unsigned, MaybeExecuted, Closed),
         Case::new(NotExecutedStatus(503), NotExecuted, Kept),
         Case::new(NotExecutedStatus(429), NotExecuted, Kept),
@@ -334,7 +334,7 @@
     } = case;
     let (first, second, gate) = start_two_servers(&[failure]).await;
     let got = first_exchange(gate.frontend, class, form, effect).await;
-    let (first, second) = (first.seen(), second.seen());
+    let (first, second) = (first.observations(), second.observations());
     let observed = ExchangeResult {
         status: got.status,
         ending: got.ending,
@@ -344,7 +344,7 @@
     let expected = expected_result(failure, effect, class, "r1");
     assert_eq!(observed, expected, "{failure:?}, {class:?}, {form:?}");
     assert!(
-        first.wrong.is_empty() && second.wrong.is_empty(),
+        first.invalid.is_empty() && second.invalid.is_empty(),
         "{failure:?}: {first:?} {second:?}"
     );
     let is_signed = got.header("x-ironmast-server-signature").is_some();
@@ -391,7 +391,7 @@
     let to = gate.frontend;
     let next = request(Class::Unsafe, SHORT_POST, "r2", Effect::Served);
     let got = run_blocking(move || exchange(to, &next).expect("a connection")).await;
-    let seen = server.seen();
+    let seen = server.observations();
     let next_connections = connections_of("r2", &seen);
     if got.status == 503 && next_connections.is_empty() {
         // The gate does not use a server for a while after a rejection. Another test covers the
@@ -435,8 +435,8 @@
 #[test]
 fn idle_connection_that_its_server_closed_costs_no_request() {
     for failure in [
-        Failure::AfterAnswer(Closed),
-        Failure::AfterAnswer(Reset),
+        Failure::AfterResponse(Closed),
+        Failure::AfterResponse(Reset),
         Failure::ForeignLater,
     ] {
         run_test(async move {
@@ -454,7 +454,7 @@
                         (
                             first.expect("a connection"),
                             next.expect("a connection"),
-                            server.seen(),
+                            server.observations(),
                         )
                     })
                     .await;
@@ -498,7 +498,7 @@
                             .expect("a connection")
                     })
                     .await;
-                    let arrivals = first.seen().arrivals;
+                    let arrivals = first.observations().arrivals;
                     assert_eq!(
                         arrivals,
                         [("r1".to_string(), 0), ("r2".to_string(), 0)],
@@ -510,7 +510,7 @@
                         (502, 0)
                     };
                     assert_eq!(
-                        (next.status, second.seen().runs.len()),
+                        (next.status, second.observations().runs.len()),
                         expected,
                         "{end:?}, {class:?}, {form:?}"
                     );
@@ -562,9 +562,9 @@
                         );
                         assert_eq!(got.body, class.response_body(id));
                     }
-                    let (first, second) = (first.seen(), second.seen());
+                    let (first, second) = (first.observations(), second.observations());
                     assert!(
-                        first.wrong.is_empty() && second.wrong.is_empty(),
+                        first.invalid.is_empty() && second.invalid.is_empty(),
                         "{failure:?}: {first:?} {second:?}"
                     );
                     for id in ["r1", "r2", "r3"] {
--- a/crates/ironmast/tests/failing_servers.rs
+++ b/crates/ironmast/tests/failing_servers.rs
@@ -7,8 +7,8 @@
 mod stage;
 
 use ironmast_fault_injection::failing_server::{
-    ClientRequest, ClientResponse, Connection, Ending, FailingServer, Failure, IN_SERVICE,
-    RequestBody, exchange,
+    ClientRequest, ClientResponse, Connection, Ending, FailingServer, Failure, PROXY, RequestBody,
+    exchange,
 };
 use stage::Stage;
 
@@ -100,7 +100,7 @@
         (Failure::TwoLengths, Unknown),
         (Failure::BadChunk, Unknown),
         (Failure::ChunksInHttp10, Unknown),
-        (Failure::BodyWithout204, Unknown),
+        (Failure::BodyWith204, Unknown),
         (Failure::Status(500), Unknown),
         (Failure::Status(503), Unknown),
         (Failure::Status(504), Unknown),
@@ -154,14 +154,14 @@
         for class in CLASSES {
             for &body in class.bodies {
                 let play = format!("{failure:?}, {}, {body:?}", class.target);
-                let servers = FailingServer::start_two(IN_SERVICE, &[failure]).expect("two ports");
+                let servers = FailingServer::start_two(PROXY, &[failure]).expect("two ports");
                 let stage = Stage::new(&[servers[0].address, servers[1].address]);
                 let process = stage.start(stage.place());
                 process.ready();
                 let got = asked(&stage, class, "r1", body);
-                let seen = servers.each_ref().map(FailingServer::seen);
+                let seen = servers.each_ref().map(FailingServer::observations);
                 let runs = seen.iter().flat_map(|seen| &seen.runs).count();
-                let wrong: Vec<_> = seen.iter().flat_map(|seen| &seen.wrong).collect();
+                let wrong: Vec<_> = seen.iter().flat_map(|seen| &seen.invalid).collect();
                 assert!(wrong.is_empty(), "{play}: {wrong:?}");
                 let wanted = match meaning {
                     Meaning::Served => (200, 1),
@@ -208,7 +208,7 @@
             for &body in class.bodies {
                 let play = format!("{failure:?}, {}, {body:?}", class.target);
                 let failures = [vec![Failure::None; PAID], vec![failure]].concat();
-                let servers = FailingServer::start_two(IN_SERVICE, &failures).expect("two ports");
+                let servers = FailingServer::start_two(PROXY, &failures).expect("two ports");
                 let stage = Stage::new(&[servers[0].address, servers[1].address]);
                 let process = stage.start(stage.place());
                 process.ready();
@@ -219,7 +219,7 @@
                     );
                 }
                 let got = asked(&stage, class, "r1", body);
-                let seen = servers.each_ref().map(FailingServer::seen);
+                let seen = servers.each_ref().map(FailingServer::observations);
                 let runs = seen
                     .iter()
                     .flat_map(|seen| &seen.runs)
@@ -243,14 +243,14 @@
 #[test]
 fn an_idle_connection_that_its_server_closed_costs_no_request() {
     for failure in [
-        Failure::AfterAnswer(Closed),
-        Failure::AfterAnswer(Reset),
+        Failure::AfterResponse(Closed),
+        Failure::AfterResponse(Reset),
         Failure::ForeignLater,
     ] {
         for class in CLASSES {
             for &body in class.bodies {
                 let play = format!("{failure:?}, {}, {body:?}", class.target);
-                let server = FailingServer::start(IN_SERVICE, &[failure]).expect("a port");
+                let server = FailingServer::start(PROXY, &[failure]).expect("a port");
                 let stage = Stage::new(&[server.address]);
                 let process = stage.start(stage.place());
                 process.ready();
@@ -266,7 +266,7 @@
                     (200, "answer to r2"),
                     "{play}"
                 );
-                assert_eq!(server.seen().runs, ["r1", "r2"], "{play}");
+                assert_eq!(server.observations().runs, ["r1", "r2"], "{play}");
             }
         }
     }
@@ -277,7 +277,7 @@
 fn a_request_on_a_reused_connection_that_breaks_may_have_run() {
     for end in [Closed, Reset] {
         for class in CLASSES {
-            let server = FailingServer::start(IN_SERVICE, &[Failure::None, Failure::NoHead(end)])
+            let server = FailingServer::start(PROXY, &[Failure::None, Failure::NoHead(end)])
                 .expect("a port");
             let stage = Stage::new(&[server.address]);
             let process = stage.start(stage.place());
@@ -285,7 +285,7 @@
             let body = class.bodies[0];
             assert_eq!(asked(&stage, class, "r1", body).status, 200);
             let got = asked(&stage, class, "r2", body);
-            let arrivals = server.seen().arrivals;
+            let arrivals = server.observations().arrivals;
             assert_eq!(arrivals[0], ("r1".to_string(), 0));
             assert_eq!(arrivals[1], ("r2".to_string(), 0), "on the kept one");
             if !class.may_repeat {
--- a/crates/ironmast/tests/system/mod.rs
+++ b/crates/ironmast/tests/system/mod.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
 
-use ironmast_fault_injection::free_ports::first_of_free_ports;
+use ironmast_fault_injection::free_ports::find_consecutive_free_ports;
 use rustix::process::{Pid, Signal, kill_process};
 use tempfile::TempDir;
 
@@ -83,7 +83,7 @@
         let start = process * SITES_PER_PROCESS + usize::from(network[1]);
         // The agent of a machine serves its gate at 127.0.0.1.
         let addresses = [site.ip(1), Ipv4Addr::LOCALHOST.into()];
-        site.port = first_of_free_ports(&addresses, PORTS, start).expect("free ports");
+        site.port = find_consecutive_free_ports(&addresses, PORTS, start).expect("free ports");
         site.seeds = (1..=coordinators)
             .map(|number| site.control_plane(number))
             .collect();
