--- a/crates/fault-injection/src/datagrams.rs
+++ b/crates/fault-injection/src/datagrams.rs
@@ -1,6 +1,6 @@
 //! A relay for the datagrams between two proxies, under the schedule's faults.
 //!
-//! One UDP socket on 127.0.0.1 stands between the two and forwards the datagrams of each to the
+//! One UDP socket on 127.0.0.1 is placed between the two and forwards the datagrams of each to the
 //! other. Each proxy is configured with the relay's address for the other and receives the other's
 //! datagrams from it, so that the proxies' check that a datagram comes from an address in `peers`
 //! passes. The relay owns its socket and its thread, which end when it is dropped.
@@ -25,7 +25,7 @@
 /// The longest datagram that is relayed whole, in bytes.
 const MAX_DATAGRAM: usize = 2048;
 
-/// The number of datagrams that met each fault.
+/// The number of datagrams affected by each fault.
 #[derive(Debug, Default)]
 pub struct DatagramCounts {
     /// Datagrams received.
@@ -41,25 +41,25 @@
 /// One end of a datagram relay.
 #[derive(Clone, Debug)]
 pub struct DatagramEndpoint {
-    /// Its name in links.
+    /// Name of the end in links.
     pub name: String,
-    /// Its address.
+    /// Address at which the end sends and receives.
     pub address: SocketAddr,
 }
 
 /// The relay between two proxies.
 pub struct DatagramRelay {
-    /// The address to which both send.
+    /// Address to which both proxies send.
     pub address: SocketAddr,
-    /// The number of datagrams that met each fault.
+    /// The number of datagrams affected by each fault.
     pub counts: Arc<DatagramCounts>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl DatagramRelay {
-    /// Relays datagrams between two ends on loopback. `seed` determines which datagrams meet a
-    /// fault that has a probability.
+    /// Relays datagrams between two ends on loopback. `seed` determines which datagrams are
+    /// affected by a fault that has a probability.
     ///
     /// # Errors
     /// An address is not a loopback address, or the socket cannot be opened.
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Sends the delayed datagrams whose time has come.
+    /// Sends the delayed datagrams that are due.
     fn send_due(&mut self) {
         while let Some(Reverse(next)) = self.delayed.peek() {
             if next.due > Instant::now() {
--- a/crates/fault-injection/src/datagrams/tests.rs
+++ b/crates/fault-injection/src/datagrams/tests.rs
@@ -42,7 +42,10 @@
     let mut received = Vec::new();
     let mut buffer = [0u8; 4];
     while let Ok((4, from)) = b.recv_from(&mut buffer) {
-        assert_eq!(from, relay.address, "b hears a from the relay");
+        assert_eq!(
+            from, relay.address,
+            "b receives a's datagrams from the relay"
+        );
         received.push(u32::from_le_bytes(buffer));
     }
     (received, Arc::clone(&relay.counts))
--- a/crates/fault-injection/src/deployment.rs
+++ b/crates/fault-injection/src/deployment.rs
@@ -29,13 +29,13 @@
     #[error(transparent)]
     Fault(#[from] FaultError),
     /// A socket, a file or a directory could not be opened.
-    #[error("the stage could not be set up: {0}")]
+    #[error("the deployment could not be set up: {0}")]
     Io(#[from] std::io::Error),
     /// A proxy did not start.
-    #[error("proxy{0}: {1}")]
+    #[error("proxy{0} did not start: {1}")]
     Start(usize, StartError),
-    /// A proxy did not report on `ready` in time that it is ready; with its last log lines.
-    #[error("proxy{0} never said it was ready (its last lines: {1})")]
+    /// A proxy did not answer `ready` with `+OK` in time; with its last log lines.
+    #[error("proxy{0} did not become ready in time; last log lines: {1}")]
     NotReady(usize, String),
 }
 
@@ -106,7 +106,7 @@
     pub fn new(layout: Layout, schedule: Schedule) -> Result<Deployment, DeploymentError> {
         if layout.zones.is_empty() || layout.proxies == 0 {
             return Err(DeploymentError::Io(std::io::Error::other(
-                "a stage needs a zone and a proxy",
+                "a deployment needs at least one zone and one proxy",
             )));
         }
         let record = Arc::new(ExecutionRecord::default());
--- a/crates/fault-injection/src/expectations.rs
+++ b/crates/fault-injection/src/expectations.rs
@@ -4,18 +4,18 @@
 //!
 //! ```toml
 //! [expect]
-//! served = 0.9                # least share of all requests, 0 to 1
-//! [[expect.span]]             # any number of them, each of its own seconds
+//! served = 0.9                # minimum share of all requests, 0 to 1
+//! [[expect.span]]             # any number of time spans
 //! from_s = 11.5
 //! to_s = 20.0
-//! served = 0.95               # least share of the requests meant to go in the span
-//! zone = "portland"           # of the runs that began in the span ...
-//! runs = 0.9                  # ... the least share in this zone
-//! [[expect.whole]]            # service is whole again after a fault ends or a signal was sent
+//! served = 0.95               # minimum share of the requests due in the span
+//! zone = "portland"           # of the executions that began in the span ...
+//! runs = 0.9                  # ... the minimum share in this zone
+//! [[expect.whole]]            # the service has recovered after the end of a fault or a signal
 //! after_s = 3.0
-//! within_s = 2.0              # the latest beginning of `for_s` seconds in which every request is served
+//! within_s = 2.0              # latest start of `for_s` seconds in which all is served
 //! for_s = 0.5
-//! proxy = 0                   # of this proxy's clients; left out: of all proxies'
+//! proxy = 0                   # only the clients of this proxy; default: of all proxies
 //! ```
 
 use std::fmt;
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expectations {
-    /// The least share of all requests that is served, 0 to 1.
+    /// The minimum share of all requests that is served, 0 to 1.
     pub served: Option<f64>,
     /// Assertions on time spans of the run.
     #[serde(default, rename = "span")]
@@ -45,13 +45,14 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Span {
-    /// Its start, 0 or more.
+    /// Start of the span, 0 or more.
     pub from_s: f64,
-    /// Its end, after the start and not after the end of the load.
+    /// End of the span, after the start and not after the end of the load.
     pub to_s: f64,
     /// The least share of the requests sent in the span that is served, 0 to 1.
     pub served: Option<f64>,
-    /// The zone whose pay servers execute at least the share `runs` of what begins in the span.
+    /// The zone whose pay servers execute at least the share `runs` of the executions that begin
+    /// in the span.
     pub zone: Option<String>,
     /// The least share of executions in `zone`, 0 to 1.
     pub runs: Option<f64>,
@@ -61,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Recovery {
-    /// When the event happened.
+    /// Time of the event.
     pub after_s: f64,
     /// The longest time from the event until the start of a span in which every request is served.
     pub within_s: f64,
@@ -71,7 +72,7 @@
     pub proxy: Option<usize>,
 }
 
-/// A table that cannot be checked against a run, with the key in the file.
+/// An invalid table, with the key in the file.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ExpectationError {
     /// A share or a time is out of range.
@@ -127,7 +128,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Violation {
     /// No request was served.
-    #[error("nothing was served of {sent} requests")]
+    #[error("none of {sent} requests was served")]
     NothingServed {
         /// The number of requests that were sent.
         sent: usize,
@@ -153,7 +154,7 @@
         least: f64,
     },
     /// Too few of the executions that began in a span were in a zone.
-    #[error("runs in {zone} from {from_s} to {to_s} s: {executed}, {least} expected")]
+    #[error("executions in {zone} from {from_s} to {to_s} s: {executed}, {least} expected")]
     ExecutedInZone {
         /// The zone.
         zone: String,
@@ -167,7 +168,7 @@
         least: f64,
     },
     /// Service recovered too late.
-    #[error("{}: whole again at {recovered_s:.2} s, {latest_s:.2} s expected", clients(*.proxy))]
+    #[error("{}: recovered at {recovered_s:.2} s, {latest_s:.2} s expected", clients(*.proxy))]
     LateRecovery {
         /// The proxy whose clients are considered; `None` for all proxies.
         proxy: Option<usize>,
@@ -177,7 +178,7 @@
         latest_s: f64,
     },
     /// Service did not recover.
-    #[error("{}: never whole again for {for_s} s after {after_s} s", clients(*.proxy))]
+    #[error("{}: no span of {for_s} s after {after_s} s in which every request was served", clients(*.proxy))]
     NoRecovery {
         /// The proxy whose clients are considered; `None` for all proxies.
         proxy: Option<usize>,
--- a/crates/fault-injection/src/expectations/tests.rs
+++ b/crates/fault-injection/src/expectations/tests.rs
@@ -65,18 +65,18 @@
     assert_eq!(
         zone.violations(&[good], &[]).len(),
         1,
-        "of no runs nothing holds"
+        "no share is reached without executions"
     );
     let never: Vec<SentRequest> = (0..9).map(|n| sent(n * 100, Outcome::Failed)).collect();
     assert_eq!(
         Expectations::default().violations(&[never], &[]).len(),
         1,
-        "nothing was served"
+        "no request was served"
     );
     assert_eq!(
         Expectations::default().violations(&[], &[]).len(),
         1,
-        "nothing was sent"
+        "no request was sent"
     );
 }
 
@@ -133,18 +133,18 @@
     );
     assert_eq!(
         lines("[[span]]\nfrom_s = 0.0\nto_s = 2.0\nzone = \"b\"\nruns = 0.9"),
-        "runs in b from 0 to 2 s: 0 of 1 (0.000), 0.9 expected"
+        "executions in b from 0 to 2 s: 0 of 1 (0.000), 0.9 expected"
     );
     assert_eq!(
         lines("[[whole]]\nafter_s = 0.0\nwithin_s = 0.5\nfor_s = 0.5\nproxy = 0"),
-        "proxy 0: whole again at 1.00 s, 0.50 s expected"
+        "proxy 0: recovered at 1.00 s, 0.50 s expected"
     );
     assert_eq!(
         lines("[[whole]]\nafter_s = 0.0\nwithin_s = 0.5\nfor_s = 5.0"),
-        "all proxies: never whole again for 5 s after 0 s"
+        "all proxies: no span of 5 s after 0 s in which every request was served"
     );
     assert_eq!(
         Expectations::default().violations(&[], &[])[0].to_string(),
-        "nothing was served of 0 requests"
+        "none of 0 requests was served"
     );
 }
--- a/crates/fault-injection/src/failing_server.rs
+++ b/crates/fault-injection/src/failing_server.rs
@@ -1,5 +1,5 @@
 //! A server that fails an exchange at a chosen step and serves every other one, and a client that
-//! reports how a response ended. Both are used against the gate and against the program in service,
+//! reports how a response ended. Both are used in tests of the gate and of the deployed proxy,
 //! whose headers a [`Dialect`] names.
 //!
 //! Every request that a server reads to its last byte and does not reject counts as executed. A
@@ -29,7 +29,7 @@
 /// How long a server waits for bytes and for its release; longer, so that the client fails first.
 const SERVER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The headers of one of the two programs.
+/// The headers of the gate or of the deployed proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Dialect {
     /// The name of the header with the id of a request.
@@ -50,7 +50,7 @@
     not_executed: "X-Ironmast-Not-Executed: 1\r\n",
 };
 
-/// The headers of the program in service and its servers.
+/// The headers of the deployed proxy and its pay servers.
 pub const PROXY: Dialect = Dialect {
     id_header: "X-Txn",
     echoes_id: false,
@@ -74,7 +74,7 @@
 /// What a server has observed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Observations {
-    /// The ids of the requests that were executed, in this order.
+    /// The ids of the requests that were executed, in the order of execution.
     pub runs: Vec<String>,
     /// For each request whose head arrived: its id and the number of its connection, from 0.
     pub arrivals: Vec<(String, usize)>,
@@ -101,7 +101,7 @@
 
 /// A server on loopback. Its threads end with their connections.
 pub struct FailingServer {
-    /// Where it listens.
+    /// Address at which the server listens.
     pub address: SocketAddr,
     state: Arc<State>,
     release: Sender<()>,
@@ -117,7 +117,8 @@
 }
 
 impl FailingServer {
-    /// A server that fails its first requests in this way, in this order, and serves all others.
+    /// Starts a server that applies `failures` to its first requests, in this order, and serves all
+    /// others.
     ///
     /// # Errors
     /// No port is free.
@@ -125,7 +126,7 @@
         FailingServer::start_with(dialect, queue(failures))
     }
 
-    /// Two servers that share the failures: the first requests at either of them fail.
+    /// Starts two servers that share `failures`: the first requests at either of them fail.
     ///
     /// # Errors
     /// No port is free.
@@ -185,7 +186,7 @@
             .unwrap_or_else(PoisonError::into_inner);
         assert!(
             !timeout.timed_out(),
-            "connection {connection}: {observations:?}"
+            "connection {connection} is still open after {TIMEOUT:?}: {observations:?}"
         );
     }
 
@@ -275,7 +276,10 @@
                 AfterStep::Continue
             }
             Ok(false) => {
-                let problem = format!("the body of {:?} is another's", request.id);
+                let problem = format!(
+                    "the body of request {:?} is not the one made for its id",
+                    request.id
+                );
                 lock(&state.observations).invalid.push(problem);
                 AfterStep::Close
             }
--- a/crates/fault-injection/src/failing_server/client.rs
+++ b/crates/fault-injection/src/failing_server/client.rs
@@ -22,26 +22,26 @@
 /// A request to be sent.
 #[derive(Clone, Debug)]
 pub struct ClientRequest<'a> {
-    /// Its method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Its path and query.
+    /// Path and query.
     pub target: &'a str,
-    /// The name of the header with its id.
+    /// Name of the header with the request id.
     pub id_header: &'a str,
-    /// Its id.
+    /// Request id, from which the body is made ([`body_of`]).
     pub id: &'a str,
     /// Further header lines, each with its line end.
     pub headers: &'a str,
-    /// Its body.
+    /// Body and its framing.
     pub body: RequestBody,
 }
 
 /// How a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// It is complete.
+    /// The response is complete.
     Complete,
-    /// It ended early, which the client can detect.
+    /// The response ended early, which the client can detect.
     Truncated,
     /// No head arrived.
     None,
@@ -56,7 +56,7 @@
     pub head: String,
     /// The received part of the body, without its framing.
     pub body: String,
-    /// How it ended.
+    /// How the response ended.
     pub ending: Ending,
 }
 
--- a/crates/fault-injection/src/failing_server/failure.rs
+++ b/crates/fault-injection/src/failing_server/failure.rs
@@ -3,18 +3,18 @@
 /// How a server leaves a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connection {
-    /// It stays open.
+    /// The connection stays open.
     Kept,
-    /// It is closed in an orderly way.
+    /// The connection is closed in an orderly way (FIN).
     Closed,
-    /// It is reset.
+    /// The connection is reset (RST).
     Reset,
 }
 
 /// Where and how an exchange fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It does not fail: the response is complete and well framed.
+    /// No failure: the response is complete and well framed.
     None,
     /// The request is read and no response is sent.
     Silence,
--- a/crates/fault-injection/src/failing_server/request.rs
+++ b/crates/fault-injection/src/failing_server/request.rs
@@ -6,19 +6,19 @@
 use super::body_of;
 use crate::stub_servers::http::header;
 
-/// Requests with such a path are answered by a stream of events.
+/// Path prefixes of requests that are answered with a stream of events.
 const STREAM_PATHS: [&str; 2] = ["/stream/", "/once/"];
 
 /// The head of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// Its id, if it has one.
+    /// Request id; `None` if the head has no id header.
     pub id: Option<String>,
     pub(super) is_head: bool,
     pub(super) is_stream: bool,
     /// The id of the event after which a stream is resumed.
     pub(super) last_event: u64,
-    /// The length of its body, if the head states one.
+    /// `Content-Length` of the body; `None` if the head has no valid one.
     pub length: Option<usize>,
     is_chunked: bool,
 }
--- a/crates/fault-injection/src/failing_server/steps.rs
+++ b/crates/fault-injection/src/failing_server/steps.rs
@@ -44,7 +44,7 @@
     vec![EXECUTE, write(text)]
 }
 
-/// Executes the request, writes `text` and leaves the connection in this way.
+/// Executes the request, writes `text`, then keeps, closes or resets the connection.
 fn cut_short(text: String, connection: Connection) -> Vec<Step> {
     let mut steps = executed(text);
     steps.extend(end_of(connection));
@@ -67,7 +67,7 @@
     format!("HTTP/1.1 {status} Interim\r\nLink: </a>\r\n\r\n")
 }
 
-/// What a server does with a request; `None` serves it.
+/// The steps with which a server handles a request; without a failure it serves the request.
 #[must_use]
 pub fn steps(failure: Option<Failure>, request: &RequestHead, dialect: &Dialect) -> Vec<Step> {
     let writer = ResponseWriter { dialect, request };
--- a/crates/fault-injection/src/fault.rs
+++ b/crates/fault-injection/src/fault.rs
@@ -15,8 +15,9 @@
 //!
 //! A link is named `FROM->TO` for the bytes that flow from FROM to TO. Either side of a pattern may
 //! be `*`, or end in `*` to match a prefix (`server*`). The kinds follow the network section of the
-//! protocol page: a machine that is cut off gives no sign (bytes are lost, new connections never
-//! complete), whereas a machine whose process has ended resets and refuses connections.
+//! protocol page: an unreachable machine causes no error at the other end (bytes are lost, new
+//! connections never complete), whereas a machine whose process has ended resets and refuses
+//! connections.
 
 mod schedule;
 
@@ -30,11 +31,11 @@
 pub enum FaultKind {
     /// Bytes pass unchanged.
     Pass,
-    /// A silent cut in both directions: bytes do not arrive, connections stay open without a sign,
+    /// A silent cut in both directions: bytes do not arrive, connections stay open without an error,
     /// new ones never complete.
     Cut,
-    /// A silent cut in this direction only: the receiver hears nothing of the sender, which still
-    /// hears the receiver (an asymmetric partition).
+    /// A silent cut in this direction only: the receiver gets nothing from the sender, which
+    /// still receives (an asymmetric partition).
     CutOneWay,
     /// Each chunk waits `delay_ms`, plus up to `jitter_ms` more, before it passes.
     Delay,
@@ -57,13 +58,13 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins, in seconds from the start of the run; 0 or more.
+    /// Start of the fault, in seconds from the start of the run; 0 or more.
     pub at_s: f64,
-    /// The links it affects, `FROM->TO` with `*` patterns.
+    /// Links that the fault affects, `FROM->TO` with `*` patterns.
     pub link: String,
-    /// What it does.
+    /// Effect on the links.
     pub kind: FaultKind,
-    /// How long it lasts in seconds; `None` for the rest of the run.
+    /// Duration in seconds; `None` for the rest of the run.
     #[serde(default)]
     pub for_s: Option<f64>,
     /// For `delay`: the delay of each chunk in milliseconds.
@@ -87,8 +88,8 @@
     /// The link is not `FROM->TO`.
     #[error("fault {0}: link `{1}` is not FROM->TO")]
     Link(usize, String),
-    /// A time is negative or not a number.
-    #[error("fault {0}: times are seconds of 0 or more")]
+    /// A time is negative or not finite.
+    #[error("fault {0}: at_s, for_s, delay_ms and jitter_ms must be finite and 0 or more")]
     Time(usize),
     /// A kind of fault without the value it needs, or with one out of range.
     #[error("fault {0}: a {1} fault needs {2} above 0")]
@@ -96,7 +97,7 @@
 }
 
 impl Fault {
-    /// Whether it is active `now_s` seconds into the run.
+    /// Whether the fault is active `now_s` seconds into the run.
     #[must_use]
     pub fn is_active_at(&self, now_s: f64) -> bool {
         let has_ended = |duration_s| now_s >= self.at_s + duration_s;
--- a/crates/fault-injection/src/fault/schedule.rs
+++ b/crates/fault-injection/src/fault/schedule.rs
@@ -9,7 +9,7 @@
 pub enum Action {
     /// Forward the chunk.
     Pass,
-    /// Let nothing through and give no sign.
+    /// Forward nothing, without an error at either end.
     Blackhole,
     /// Forward the chunk after this delay.
     Delay(Duration),
@@ -24,22 +24,22 @@
 /// What a datagram relay must do with one datagram.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DatagramAction {
-    /// Forward it.
+    /// Forward the datagram.
     Pass,
-    /// Drop it.
+    /// Drop the datagram.
     Drop,
-    /// Forward it twice.
+    /// Forward the datagram twice.
     Duplicate,
-    /// Hold it back until the next one has been forwarded.
+    /// Hold the datagram back until the next one has been forwarded.
     Reorder,
-    /// Forward it after this delay.
+    /// Forward the datagram after this delay.
     Delay(Duration),
 }
 
 /// The faults of a run. Where several are active on one link, the one that began last applies.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Schedule {
-    /// Sorted by their start.
+    /// In ascending order of `at_s`.
     faults: Vec<Fault>,
 }
 
@@ -56,7 +56,7 @@
         Ok(Schedule { faults })
     }
 
-    /// The faults, by their start.
+    /// The faults in ascending order of their start.
     #[must_use]
     pub fn faults(&self) -> &[Fault] {
         &self.faults
--- a/crates/fault-injection/src/fault/tests.rs
+++ b/crates/fault-injection/src/fault/tests.rs
@@ -35,7 +35,7 @@
     assert_eq!(
         s.action("server0", "proxy3", at(5.0), 0.0),
         Action::Pass,
-        "one-sided: proxy3 still hears"
+        "one way: proxy3 still receives"
     );
     assert_eq!(s.action("proxy2", "server0", at(5.0), 0.0), Action::Pass);
     assert_eq!(s.action("proxy3", "server0", at(10.0), 0.0), Action::Pass);
@@ -93,7 +93,7 @@
     assert_eq!(
         d(3.5, 0.0),
         DatagramAction::Pass,
-        "one way: proxy0 is still heard"
+        "one way: datagrams of proxy0 still pass"
     );
     assert_eq!(
         s.datagram("proxy1", "proxy0", at(3.5), 0.0, 0.9),
--- a/crates/fault-injection/src/free_ports.rs
+++ b/crates/fault-injection/src/free_ports.rs
@@ -6,12 +6,13 @@
 use std::net::{IpAddr, TcpListener};
 use std::ops::Range;
 
-/// Below what the system itself chooses from (`ip_local_port_range`, from 32,768 on), as it gives
-/// those to any connection at 127.0.0.1, and keeps them for a minute after it.
+/// Below the kernel's ephemeral ports (`ip_local_port_range`, from 32,768 on), which it assigns to
+/// any connection at 127.0.0.1 and keeps for a minute after the connection.
 const PORTS: Range<u16> = 10_000..32_000;
 
-/// The first of `count` consecutive ports that are free at all of these addresses. `start` determines
-/// where the search begins, so that tests that run at the same time find different ones.
+/// Returns the first of `count` consecutive ports that are free at all of these
+/// addresses; `None` if there are none. `start` determines where the search begins, so that tests
+/// that run at the same time find different ones.
 #[must_use]
 pub fn find_consecutive_free_ports(addresses: &[IpAddr], count: u16, start: usize) -> Option<u16> {
     let firsts = PORTS.step_by(usize::from(count));
@@ -23,10 +24,11 @@
     })
 }
 
-/// The same for the tests of one process, each of which gets other ports.
+/// [`find_consecutive_free_ports`] with a `start` derived from the process id, so that tests in
+/// different processes search from different ports.
 #[must_use]
 pub fn find_consecutive_free_ports_for_process(addresses: &[IpAddr], count: u16) -> Option<u16> {
-    /// Keeps apart where the searches of processes begin.
+    /// Distance between the starts of processes with consecutive ids, in ranges of `count` ports.
     const SEARCHES_PER_PROCESS: usize = 37;
     let process = std::process::id() as usize;
     find_consecutive_free_ports(addresses, count, process * SEARCHES_PER_PROCESS)
--- a/crates/fault-injection/src/full_backlog.rs
+++ b/crates/fault-injection/src/full_backlog.rs
@@ -1,12 +1,12 @@
 //! A listener whose accept queue is full, so that connection attempts to it hang.
 //!
-//! The system drops the SYN of a new connection while the queue is full, and the client's system
-//! repeats it, the first time after 1 s.
+//! The kernel drops the SYN of a new connection while the queue is full, and the client's kernel
+//! retransmits it, the first time after 1 s.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// The system's table of TCP sockets.
+/// The kernel's table of TCP sockets.
 const SOCKET_TABLE: &str = "/proc/net/tcp";
 /// The state of a connection in that table whose SYN has not been acknowledged.
 const SYN_SENT: &str = "02";
@@ -37,7 +37,7 @@
     /// Whether a connection attempt to the listener is pending.
     ///
     /// # Errors
-    /// The system's table cannot be read.
+    /// The kernel's table cannot be read.
     pub fn has_pending_connection(&self) -> io::Result<bool> {
         let port = format!(":{:04X}", self.address.port());
         let is_pending = |line: &str| {
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,5 +1,6 @@
-//! Fault injection: several ironmast processes on loopback, stub pay servers and discovery, and
-//! relays that put faults on the links between them.
+//! Fault injection for tests: runs several ironmast processes on loopback with stub pay servers and
+//! discovery, injects faults on the links between them through relays, applies load and checks what
+//! was executed.
 //!
 //! The design and its rejected alternative are in `docs/design/stage.md`. Each part owns its
 //! threads, sockets and processes and releases them when it is dropped:
--- a/crates/fault-injection/src/load.rs
+++ b/crates/fault-injection/src/load.rs
@@ -37,11 +37,11 @@
 /// One request that a client sent.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
-    /// Its `X-Txn`.
+    /// `X-Txn` of the request.
     pub txn: String,
-    /// Its intended send time, since the start of the load.
+    /// Intended send time, since the start of the load.
     pub at: Duration,
-    /// Its outcome.
+    /// What the client observed.
     pub outcome: Outcome,
     /// The time from `at` until the response was complete or the exchange failed.
     pub latency: Duration,
--- a/crates/fault-injection/src/load/client.rs
+++ b/crates/fault-injection/src/load/client.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// The text of a request: a payment or a timesheet is posted, everything else is read.
+/// The text of a request: POST for payments and timesheets, GET for everything else.
 fn request_text(path: &str, txn: &str, timeout: Duration) -> String {
     let is_timesheet = path.starts_with("/timesheet");
     let is_post = is_timesheet || path.starts_with("/deposit");
@@ -53,7 +53,8 @@
     )
 }
 
-/// Reads until the server closes the connection; the outcome where that does not happen in time.
+/// Reads until the server closes the connection; the error is the outcome of a request
+/// whose connection fails or that reaches its timeout first.
 fn read_to_end(
     stream: &mut TcpStream,
     start: Instant,
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,5 +1,5 @@
-//! Proxies as processes: started, signalled and measured by their process id, and ended with their
-//! owner.
+//! Proxies as processes: started, signalled and measured by their process id, and killed when their
+//! owner is dropped.
 
 use std::io::{BufRead as _, BufReader};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// How often a state of the process is checked.
+/// Interval at which the log and the readiness of a starting process are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A signal to a proxy.
@@ -22,7 +22,7 @@
     Term,
     /// SIGSTOP: a pause, until [`ProcessSignal::Continue`].
     Stop,
-    /// SIGCONT.
+    /// SIGCONT: the end of a pause.
     Continue,
     /// SIGHUP: reload the configuration.
     Hangup,
@@ -44,11 +44,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The program could not be run.
-    #[error("the proxy could not be run: {0}")]
+    #[error("the proxy process could not be started: {0}")]
     Spawn(#[from] std::io::Error),
     /// The process ended or timed out before it logged its operations address; with its last log
     /// lines.
-    #[error("the proxy never told where operators call (its last lines: {0})")]
+    #[error(
+        "the proxy did not log its operations address before it ended or timed out; last log lines: {0}"
+    )]
     NoOperationsAddress(String),
 }
 
@@ -63,9 +65,9 @@
 
 /// One proxy process. Dropping it kills and reaps the process.
 pub struct Proxy {
-    /// Its name in links (`proxy0`).
+    /// Name of the proxy in links (`proxy0`).
     pub name: String,
-    /// Its operations address.
+    /// Address at which the proxy accepts operators' commands.
     pub ops: SocketAddr,
     child: Child,
     log: Arc<Mutex<Vec<String>>>,
@@ -115,7 +117,7 @@
         let stderr = child.stderr.take().expect("piped");
         let log = Arc::new(Mutex::new(Vec::new()));
         let lines = Arc::clone(&log);
-        // The log is read at once, so that the process never blocks on a full pipe.
+        // The log is read continuously, so that the process never blocks on a full pipe.
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 lines.lock().expect("not poisoned").push(line);
@@ -148,26 +150,26 @@
         }
     }
 
-    /// Its process id.
+    /// Process id of the proxy.
     #[must_use]
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Every line of its log so far.
+    /// Every line that the process has written to stderr so far.
     #[must_use]
     pub fn lines(&self) -> Vec<String> {
         self.log.lock().expect("not poisoned").clone()
     }
 
-    /// The last `count` lines of its log, joined by ` | `.
+    /// The last `count` log lines of the process, joined by ` | `.
     #[must_use]
     pub fn tail(&self, count: usize) -> String {
         let log = self.log.lock().expect("not poisoned");
         log[log.len().saturating_sub(count)..].join(" | ")
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     /// The process has ended and has been reaped.
@@ -176,12 +178,12 @@
         kill_process(pid, signal.number()).map_err(std::io::Error::from)
     }
 
-    /// Whether it has ended; if so, reaps it.
+    /// Whether the process has ended; if so, reaps it.
     pub fn has_ended(&mut self) -> bool {
         self.child.try_wait().ok().flatten().is_some()
     }
 
-    /// Its memory and open descriptors, from `/proc`; `None` once it has ended.
+    /// Memory and open descriptors of the process, from `/proc`; `None` once it has ended.
     #[must_use]
     pub fn usage(&self) -> Option<ResourceUsage> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).ok()?;
@@ -196,7 +198,7 @@
         })
     }
 
-    /// Sends the command `ready` to its operations address until it responds `+OK`, at most for
+    /// Sends the command `ready` to the operations address until it responds `+OK`, at most for
     /// `timeout`; returns how long that took.
     #[must_use]
     pub fn ready(&self, timeout: Duration) -> Option<Duration> {
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -2,10 +2,11 @@
 //!
 //! A relay listens on a port of the system's choice on 127.0.0.1 and forwards each connection to
 //! one target, also on loopback. Bytes from the connecting end travel on the link `FROM->TO`,
-//! responses on `TO->FROM`. Bytes that meet a cut are held and forwarded once the cut is over, as
-//! TCP's retransmissions would, unless their sender has reset the connection meanwhile: they are lost
-//! then, and the other end learns of the reset after the cut. Connections opened during a cut are
-//! held without a response. A relay owns every socket it opens, and closes them when it is dropped.
+//! responses on `TO->FROM`. Bytes that arrive during a cut are held and forwarded once the cut is
+//! over, as TCP's retransmissions would, unless their sender has reset the connection meanwhile:
+//! they are then lost, and the other end learns of the reset after the cut. Connections opened
+//! during a cut are held without a response. A relay owns every socket it opens, and closes them
+//! when it is dropped.
 
 mod faults;
 mod link;
@@ -20,7 +21,7 @@
 
 use crate::require_loopback;
 
-/// What has happened on a relay's link.
+/// Event counters of a relay's link.
 #[derive(Debug, Default)]
 pub struct Counts {
     /// Connections accepted.
@@ -35,14 +36,14 @@
 pub struct Relay {
     /// The address to which the connecting end connects.
     pub address: SocketAddr,
-    /// What has happened on the link.
+    /// Event counters of the link.
     pub counts: Arc<Counts>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Relay {
-    /// A relay from the end named `from` to the one named `to`, which listens at `target`.
+    /// Starts a relay from the end named `from` to the one named `to`, which listens at `target`.
     ///
     /// # Errors
     /// The target is not on a loopback address, or the listening socket cannot be opened.
--- a/crates/fault-injection/src/relay/faults.rs
+++ b/crates/fault-injection/src/relay/faults.rs
@@ -22,7 +22,7 @@
         })
     }
 
-    /// Lets the run begin at `start`, so that the times of the faults, of the load and of the
+    /// Sets the start of the run, so that the times of the faults, of the load and of the
     /// execution record count from the same moment.
     pub fn begin(&self, start: Instant) {
         *self.start.write().expect("not poisoned") = start;
--- a/crates/fault-injection/src/relay/link.rs
+++ b/crates/fault-injection/src/relay/link.rs
@@ -181,7 +181,7 @@
                 break;
             }
         }
-        // An end that fails ends the other one too: the connection is reset in both directions.
+        // A failure of one end is passed on to the other: the connection is reset in both directions.
         has_ended.store(true, Ordering::Relaxed);
         direction.reset();
     }
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name in reports.
+    /// Name of the scenario in reports.
     pub name: String,
     /// A one-sentence description.
     #[serde(default, rename = "about")]
@@ -90,7 +90,7 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// Its name; its pay servers are called `NAME-0`, `NAME-1` and so on.
+    /// Name of the zone; its pay servers are called `NAME-0`, `NAME-1` and so on.
     pub name: String,
     /// The number of pay servers, 1 or more.
     pub servers: usize,
@@ -113,11 +113,11 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Signal {
-    /// When it is sent, in seconds from the start of the load.
+    /// Send time, in seconds from the start of the load.
     pub at_s: f64,
     /// The index of the proxy, from 0.
     pub proxy: usize,
-    /// The signal.
+    /// Signal, or other operation on the proxy.
     pub kind: SignalKind,
 }
 
@@ -137,7 +137,7 @@
     Hangup,
     /// Starts the proxy again with the same address and state directory.
     Restart,
-    /// Empties its state directory, as the loss of a disk would.
+    /// Empties the state directory of the proxy, as the loss of a disk would.
     Wipe,
 }
 
@@ -145,9 +145,9 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slowdown {
-    /// When it begins, in seconds from the start of the load.
+    /// Start of the period, in seconds from the start of the load.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration in seconds.
     pub for_s: f64,
     /// The pay servers: a name, or a prefix followed by `*`.
     pub server: String,
@@ -156,7 +156,7 @@
 }
 
 impl Slowdown {
-    /// Whether it is in effect `now_s` seconds into the load.
+    /// Whether the slowdown is in effect `now_s` seconds into the load.
     fn is_active_at(&self, now_s: f64) -> bool {
         (self.at_s..self.at_s + self.for_s).contains(&now_s)
     }
--- a/crates/fault-injection/src/scenario/runner.rs
+++ b/crates/fault-injection/src/scenario/runner.rs
@@ -56,10 +56,10 @@
     #[error(transparent)]
     Restart(#[from] DeploymentError),
     /// The state directory could not be created.
-    #[error("{0}")]
+    #[error("the state directory could not be created: {0}")]
     StateDirectory(std::io::Error),
     /// The process has ended.
-    #[error("proxy{proxy}: {source}")]
+    #[error("proxy{proxy}: the signal could not be sent: {source}")]
     Send {
         /// The index of the proxy.
         proxy: usize,
@@ -67,7 +67,7 @@
         source: std::io::Error,
     },
     /// The proxy has been ended by an earlier signal.
-    #[error("proxy{0} is down")]
+    #[error("proxy{0} is down; the signal was not sent")]
     Down(usize),
 }
 
--- a/crates/fault-injection/src/scenario/tests.rs
+++ b/crates/fault-injection/src/scenario/tests.rs
@@ -51,7 +51,10 @@
             .starts_with("x: fault.link: no link `proxy*->tacoma-*`; there are proxy0 to proxy2, "),
         "{error}"
     );
-    assert!(bad("name = \"portland\"", "name = \"seattle\"").contains("`seattle` is there twice"));
+    assert!(
+        bad("name = \"portland\"", "name = \"seattle\"")
+            .contains("more than one zone is called `seattle`")
+    );
     let span = format!(
         "{DEMO}\n[[expect.span]]\nfrom_s = 1.0\nto_s = 2.0\nzone = \"tacoma\"\nruns = 0.5\n"
     );
@@ -63,8 +66,8 @@
     );
 }
 
-/// How long before the end of the deduplication window the last byte that a cut kept must be on its
-/// way again: far more than a busy machine delays the threads of a relay.
+/// Minimum time from the end of a cut, when relays forward the held bytes, to the end of the
+/// deduplication window: far more than a busy machine delays the threads of a relay.
 const DELIVERY_MARGIN: Duration = Duration::from_secs(1);
 
 /// The deduplication window of a class in the proxies' configuration; `None` if the class is not
@@ -89,10 +92,10 @@
     files.map(read).collect()
 }
 
-/// A cut delivers late what it kept of a connection that was not reset. A pay server to which the late
-/// copy of a deduplicated request comes after its window executes the request again. Proxies reset the
-/// connections of requests that they give up; a partition that outlasts the window is a test of its
-/// own in `ironmast/tests/silent_zone.rs`.
+/// After a cut, a relay forwards the bytes that it held for connections that were not reset. A pay
+/// server that receives the late copy of a deduplicated request after its window executes the request
+/// again. Proxies reset the connections of requests that they give up; a partition longer than the
+/// window is tested in `ironmast/tests/silent_zone.rs`.
 #[test]
 fn shipped_cuts_of_a_deduplicated_class_end_before_its_window() {
     let mut checked = 0;
@@ -100,7 +103,10 @@
         let Some(window) = deduplication_window(&scenario.load.path[1..]) else {
             continue;
         };
-        assert_eq!(window, DEDUPLICATION_WINDOW, "of the stub pay servers");
+        assert_eq!(
+            window, DEDUPLICATION_WINDOW,
+            "window of the stub pay servers"
+        );
         for fault in &scenario.faults {
             let is_cut = matches!(fault.kind, FaultKind::Cut | FaultKind::CutOneWay);
             let kept_for = fault.for_s.filter(|_| is_cut).map(Duration::from_secs_f64);
--- a/crates/fault-injection/src/scenario/validation.rs
+++ b/crates/fault-injection/src/scenario/validation.rs
@@ -7,9 +7,9 @@
 use crate::expectations::ExpectationError;
 use crate::fault::{FaultError, Link, Schedule, first_unknown_link, side_matches};
 
-/// The longest and the shortest load, in seconds.
+/// Permitted durations of the load, in seconds.
 const DURATION_S: std::ops::RangeInclusive<f64> = 0.5..=600.0;
-/// The number of proxies.
+/// Permitted numbers of proxies.
 const PROXIES: std::ops::RangeInclusive<usize> = 1..=16;
 /// The highest request rate on a proxy, per second.
 const MAX_RATE: f64 = 500.0;
@@ -42,10 +42,12 @@
     #[error("1 to 16 proxies and zones of one pay server or more expected")]
     Counts,
     /// The rate is out of range, or the path is not absolute.
-    #[error("a load of 0 to 500 requests a second on a path that begins with / expected")]
+    #[error(
+        "load: a rate above 0 and at most 500 requests per second and a path that begins with / expected"
+    )]
     Load,
     /// Two zones have the same name.
-    #[error("zone.name: `{0}` is there twice")]
+    #[error("zone.name: more than one zone is called `{0}`")]
     DuplicateZone(String),
     /// The class in the path is not in the proxies' configuration.
     #[error("load.path: no class `{class}`; there are {}", .known.join(", "))]
--- a/crates/fault-injection/src/stub_servers.rs
+++ b/crates/fault-injection/src/stub_servers.rs
@@ -1,4 +1,4 @@
-//! Stub servers written from the protocol page: pay servers with an execution record, and
+//! Stub servers that follow the protocol page: pay servers with an execution record, and
 //! discovery.
 
 mod discovery;
--- a/crates/fault-injection/src/stub_servers/discovery.rs
+++ b/crates/fault-injection/src/stub_servers/discovery.rs
@@ -22,11 +22,11 @@
 /// One pay server as discovery lists it.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its uid, the same for every proxy.
+    /// Uid of the pay server, the same for every proxy.
     pub uid: String,
-    /// Its zone.
+    /// Zone of the pay server.
     pub az: String,
-    /// `up` or `draining`.
+    /// State of the pay server: `up` or `draining`.
     pub state: String,
 }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The current list as its line of JSON, with the targets that have an endpoint.
+    /// The current list as one line of JSON, with the targets that have an endpoint.
     fn snapshot(&self, endpoints: &HashMap<String, SocketAddr>) -> Snapshot {
         let list = self.list.lock().expect("not poisoned");
         let listed = list.targets.iter().filter_map(|target| {
@@ -91,7 +91,7 @@
 /// Stub discovery for one proxy. When it is dropped it accepts no more connections and its watches
 /// end.
 pub struct Discovery {
-    /// Where the proxy connects.
+    /// Address to which the proxy connects.
     pub address: SocketAddr,
     _listener: Listener,
 }
--- a/crates/fault-injection/src/stub_servers/http/tests.rs
+++ b/crates/fault-injection/src/stub_servers/http/tests.rs
@@ -10,7 +10,7 @@
     [head.as_bytes(), body].concat()
 }
 
-/// What follows a body that was not read to its end would be taken for the next request.
+/// Unread bytes of a body would be parsed as the next request.
 #[test]
 fn a_long_body_is_read_to_its_end() {
     let long = vec![b'x'; (1 << 20) + 17];
--- a/crates/fault-injection/src/stub_servers/pay_server.rs
+++ b/crates/fault-injection/src/stub_servers/pay_server.rs
@@ -29,9 +29,9 @@
 /// A stub pay server. When it is dropped it accepts no more connections; open ones continue until
 /// their clients close them.
 pub struct PayServer {
-    /// Its uid in discovery.
+    /// Uid of the pay server in discovery.
     pub uid: String,
-    /// Where it listens.
+    /// Address at which the pay server listens.
     pub address: SocketAddr,
     service_time: Duration,
     behaviour: Arc<Behaviour>,
@@ -79,7 +79,7 @@
             .store(service_time.as_micros() as u64, Ordering::Relaxed);
     }
 
-    /// Changes how it responds from the next request on.
+    /// Changes the response mode from the next request on.
     pub fn set_response_mode(&self, mode: ResponseMode) {
         self.behaviour.mode.store(mode as u8, Ordering::Relaxed);
     }
--- a/crates/fault-injection/src/verdict.rs
+++ b/crates/fault-injection/src/verdict.rs
@@ -10,7 +10,7 @@
 use crate::load::{Outcome, SentRequest};
 use crate::stub_servers::Execution;
 
-/// The verdict on a run.
+/// Differences between what clients received and what pay servers executed in a run.
 #[derive(Debug, Default, PartialEq)]
 pub struct Verdict {
     /// The requests that were executed more than once although their class does not allow it, by
@@ -27,9 +27,9 @@
 /// A request that was executed more than once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RepeatedExecution {
-    /// Its `X-Txn`.
+    /// `X-Txn` of the request.
     pub txn: String,
-    /// Its executions, in the order in which they began.
+    /// Executions of the request, in the order in which they began.
     pub executions: Vec<Execution>,
 }
 
