--- a/crates/fault-injection/src/relay/link.rs
+++ b/crates/fault-injection/src/relay/link.rs
@@ -49,8 +49,8 @@
     }
 }
 
-/// Whether a chunk is forwarded.
-enum Passage {
+/// What to do with a chunk once the faults no longer hold it.
+enum ForwardDecision {
     Forward,
     /// The relay is stopping.
     Stop,
@@ -168,14 +168,14 @@
                 }
                 Err(_) => break,
             };
-            match self.await_passage(direction, length, &mut random) {
-                Passage::Forward => {}
-                Passage::Stop => return,
-                Passage::Reset => {
+            match self.await_decision(direction, length, &mut random) {
+                ForwardDecision::Forward => {}
+                ForwardDecision::Stop => return,
+                ForwardDecision::Reset => {
                     self.counts.resets.fetch_add(1, Ordering::Relaxed);
                     break;
                 }
-                Passage::SenderReset => break,
+                ForwardDecision::SenderReset => break,
             }
             if (&*direction.sink).write_all(&chunk[..length]).is_err() {
                 break;
@@ -187,19 +187,19 @@
     }
 
     /// Waits for as long as the faults hold or delay a chunk of that length.
-    fn await_passage(
+    fn await_decision(
         &self,
         direction: &Direction<'_>,
         length: usize,
         random: &mut Xoshiro256PlusPlus,
-    ) -> Passage {
+    ) -> ForwardDecision {
         let mut is_held = false;
         let mut is_reset = false;
         loop {
             is_reset |= is_held && was_reset(&direction.source);
             let jitter = random.random::<f64>();
             match self.faults.action(direction.from, direction.to, jitter) {
-                Action::Blackhole if self.is_stopped() => return Passage::Stop,
+                Action::Blackhole if self.is_stopped() => return ForwardDecision::Stop,
                 Action::Blackhole => {
                     if !is_held {
                         self.counts.held.fetch_add(1, Ordering::Relaxed);
@@ -207,17 +207,17 @@
                     }
                     std::thread::sleep(POLL_INTERVAL);
                 }
-                _ if is_reset => return Passage::SenderReset,
-                Action::Reset => return Passage::Reset,
+                _ if is_reset => return ForwardDecision::SenderReset,
+                Action::Reset => return ForwardDecision::Reset,
                 Action::Delay(delay) => {
                     std::thread::sleep(delay);
-                    return Passage::Forward;
+                    return ForwardDecision::Forward;
                 }
                 Action::Rate(bytes_per_s) => {
                     std::thread::sleep(Duration::from_secs_f64(length as f64 / bytes_per_s));
-                    return Passage::Forward;
+                    return ForwardDecision::Forward;
                 }
-                Action::Pass | Action::Refuse => return Passage::Forward,
+                Action::Pass | Action::Refuse => return ForwardDecision::Forward,
             }
         }
     }
--- a/crates/fault-injection/src/scenario/tests.rs
+++ b/crates/fault-injection/src/scenario/tests.rs
@@ -109,10 +109,12 @@
         );
         for fault in &scenario.faults {
             let is_cut = matches!(fault.kind, FaultKind::Cut | FaultKind::CutOneWay);
-            let kept_for = fault.for_s.filter(|_| is_cut).map(Duration::from_secs_f64);
-            let Some(kept_for) = kept_for else { continue };
+            let cut_duration = fault.for_s.filter(|_| is_cut).map(Duration::from_secs_f64);
+            let Some(cut_duration) = cut_duration else {
+                continue;
+            };
             assert!(
-                kept_for + DELIVERY_MARGIN <= window,
+                cut_duration + DELIVERY_MARGIN <= window,
                 "{}: {fault:?}",
                 scenario.name
             );
