--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands that operators send as lines of text, and the replies.
+//! The commands that operators send as lines of text, and the replies to them.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest command line, in bytes, with its line break.
+/// The maximum length of a command line in bytes, including its line break.
 pub const MAX_LINE_BYTES: usize = 512;
 
-/// A command of an operator.
+/// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Reports whether this process can serve.
@@ -21,7 +21,7 @@
     EnableServer(String),
 }
 
-/// A line that is not a command.
+/// The reason why a line is not a valid command.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseError {
     /// The line is longer than [`MAX_LINE_BYTES`].
@@ -33,16 +33,16 @@
     /// The line contains control characters.
     #[error("the line is not plain text: {USAGE}")]
     ControlCharacter,
-    /// The line has no word.
+    /// The line contains only whitespace.
     #[error("the line is empty: {USAGE}")]
     Empty,
-    /// `ready` is followed by other words.
+    /// `ready` is followed by arguments.
     #[error("`ready` takes no further word")]
     ReadyWithArguments,
-    /// A command that needs a server's ID has none.
+    /// A command that takes a server's ID is not followed by one.
     #[error("expected `{0} ID`: the ID is missing")]
     MissingId(String),
-    /// A command that needs a server's ID is followed by more than that.
+    /// A command that takes a server's ID is followed by more arguments.
     #[error("expected `{0} ID`: there are words after the ID")]
     ExtraArguments(String),
     /// The first word is not a command.
@@ -50,15 +50,15 @@
     UnknownCommand(String),
 }
 
-/// The commands there are, for errors.
+/// The valid commands, for error replies.
 const USAGE: &str = "expected `ready`, `disable-server ID` or `enable-server ID`";
 
-/// No server has the uid that a command names.
+/// The error of a command whose uid belongs to no server.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("no server has the ID `{}`", .0.escape_debug())]
 pub struct UnknownServer(pub String);
 
-/// A command that was not carried out.
+/// The reason why a command was not executed; its text is sent to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
     /// The line is not a command.
@@ -67,13 +67,13 @@
     /// The command names a server that does not exist.
     #[error(transparent)]
     UnknownServer(#[from] UnknownServer),
-    /// This process is not ready: it has no endpoint list.
+    /// This process is not ready because it has received no endpoint list.
     #[error("no list of servers is held")]
     NoEndpoints,
-    /// This process is not ready: its predecessor is still serving.
+    /// This process is not ready because its predecessor is still serving.
     #[error("the process before still serves")]
     PredecessorServing,
-    /// The operator sent no complete line in time.
+    /// The operator sent no complete line within this time.
     #[error("no whole line came within {0:?}")]
     LineTimeout(Duration),
     /// This process is shutting down.
@@ -81,13 +81,13 @@
     ShuttingDown,
 }
 
-/// The reply to a command: a remark, or why it was not carried out.
+/// The reply to a command: a remark on what was done, or why it was not executed.
 pub type Reply = Result<String, CommandError>;
 
-/// Parses a line, with or without its line break.
+/// Parses a command line, with or without its line break.
 ///
 /// # Errors
-/// [`ParseError`], whose text says what was expected instead.
+/// [`ParseError`] if the line is not a valid command; its text says what was expected.
 pub fn parse(line: &[u8]) -> Result<Command, ParseError> {
     if line.len() > MAX_LINE_BYTES {
         return Err(ParseError::TooLong);
@@ -118,7 +118,7 @@
     }
 }
 
-/// The reply as it is written: one line that begins with `+OK` or `-ERR`.
+/// Formats a reply as one line that begins with `+OK` or `-ERR`; line breaks within become spaces.
 #[must_use]
 pub fn format_reply(reply: &Reply) -> String {
     let one_line = |text: &str| text.replace(['\r', '\n'], " ");
--- a/crates/admin/src/command/tests.rs
+++ b/crates/admin/src/command/tests.rs
@@ -34,7 +34,7 @@
         (b"disable-server a\0\n", "not plain text"),
         (&long, "over 512 bytes"),
     ] {
-        let error = parse(line).expect_err("a bad line");
+        let error = parse(line).expect_err("an invalid line");
         assert!(error.to_string().contains(expected), "{error}");
         let written = format_reply(&Err(error.into()));
         assert!(
--- a/crates/admin/src/endpoint.rs
+++ b/crates/admin/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint of discovery's list, as discovery writes it and as the decision module sees it.
+//! An endpoint of discovery's list, as discovery serializes it and as the decision module uses it.
 
 use std::net::SocketAddr;
 
@@ -6,61 +6,60 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// An endpoint as discovery writes it.
+/// An endpoint in the serialized form of discovery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Target {
-    /// The server's name, the same at every proxy.
+    /// The server's unique name, the same at every proxy.
     pub uid: String,
-    /// The address that it listens on.
+    /// The address on which the server listens.
     pub endpoint: SocketAddr,
-    /// The name of its zone.
+    /// The name of the server's zone.
     pub az: String,
-    /// Its cell.
+    /// The server's cell within its zone; 0 if absent.
     #[serde(default)]
     pub pod_group: u64,
-    /// `up`, `draining` or `removed`.
+    /// The server's state: `up`, `draining` or `removed`.
     pub state: String,
-    /// Its capacity relative to the other servers.
+    /// The server's capacity relative to the other servers; 1 if absent or not finite.
     pub capacity_hint: Option<f64>,
-    /// When it last started, in Unix milliseconds; 0 if that was long ago.
+    /// When the server last started, in Unix milliseconds; 0 if that was long ago.
     #[serde(default)]
     pub boot_ms: u64,
 }
 
-/// A target that cannot be used.
+/// The reason why a [`Target`] cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidTarget {
-    /// Its `state` is none of the known ones.
-    #[error("`{0}` is not a known state")]
+    /// The `state` is none of the known ones.
+    #[error("the endpoint's state `{0}` is not up, draining or removed")]
     UnknownState(String),
-    /// Its `uid` is empty.
-    #[error("it has no uid")]
+    /// The `uid` is empty.
+    #[error("the endpoint has an empty uid")]
     MissingUid,
 }
 
-/// A valid endpoint.
+/// An endpoint whose [`Target`] is valid.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The server in the decision module's terms.
+    /// The server as the decision module represents it.
     pub server: Server,
-    /// The endpoint as discovery wrote it.
+    /// The form in which discovery reported the endpoint.
     pub target: Target,
 }
 
 /// An update of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointUpdate {
-    /// How the endpoints relate to the list before.
+    /// Whether the endpoints replace the previous list or change it.
     pub scope: Scope,
-    /// The revision of the list, where it is known.
+    /// Discovery's revision of the list, if known.
     pub revision: Option<u64>,
-    /// The endpoints.
+    /// The endpoints that the update contains.
     pub endpoints: Vec<Endpoint>,
 }
 
 impl Target {
-    /// Converts the target into the decision module's terms; `zone_id` gives the id of a zone's
-    /// name.
+    /// Converts the target into an [`Endpoint`]; `zone_id` maps the name of its zone to an id.
     ///
     /// # Errors
     /// [`InvalidTarget`] if the state is unknown or the uid is missing.
--- a/crates/admin/src/handover/tests.rs
+++ b/crates/admin/src/handover/tests.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// The lines are those that processes of earlier builds write and read.
+/// Processes of earlier builds write and read exactly these lines.
 #[test]
 fn lines_of_earlier_builds_are_decoded_and_encoded_unchanged() {
     for line in [
--- a/crates/admin/src/hot_restart.rs
+++ b/crates/admin/src/hot_restart.rs
@@ -1,8 +1,8 @@
-//! Which process serves during a hot restart, as a state machine.
+//! The state machine that decides which process serves during a hot restart.
 //!
 //! During a hot restart an old and a new process run side by side as one proxy: the new one starts
-//! serving before the old one stops. Each process runs a [`HotRestart`], which receives what happens
-//! to the process and returns what the process must do.
+//! serving before the old one stops. Each process runs a [`HotRestart`], which receives [`Event`]s
+//! and returns the [`Action`]s that the process must perform.
 
 #[cfg(test)]
 mod tests;
@@ -14,7 +14,7 @@
 /// shuts down beside it.
 const SHARED_DESCRIPTORS: u8 = 50;
 
-/// Whether a process takes over from another one.
+/// Whether a process takes over from an older one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Predecessor {
     /// The process starts alone.
@@ -23,24 +23,24 @@
     Running,
 }
 
-/// What happens to the process.
+/// An input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// An endpoint list was received.
     EndpointsReceived,
     /// A successor connected and is preparing.
     SuccessorConnected,
-    /// The successor serves.
+    /// The successor has started serving.
     SuccessorServing,
-    /// The successor is lost.
+    /// The connection to the successor is lost.
     SuccessorLost,
-    /// The predecessor is lost.
+    /// The connection to the predecessor is lost.
     PredecessorLost,
     /// The platform asks this process to terminate.
     Terminate,
 }
 
-/// What the process must do.
+/// An output of the state machine, which the process must perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Accept connections and datagrams, and accept a successor.
@@ -50,7 +50,7 @@
     /// Accept no more connections or datagrams, close connections with their next responses, and
     /// leave servers that are warming up to the successor.
     StopServing,
-    /// Use at most this percentage of the file descriptors.
+    /// Use at most this percentage of the process's file descriptors.
     SetDescriptorPercent(u8),
     /// Complete the open requests and exit.
     Shutdown {
@@ -64,8 +64,8 @@
 pub enum IdleConnections {
     /// Close them.
     Close,
-    /// Leave them until the clients close them: a successor serves, so nobody waits for this
-    /// process to exit, and a close could cross a request.
+    /// Leave them open until the clients close them: a successor serves, so nothing waits for
+    /// this process to exit, and closing one could race with a request on it.
     Linger,
 }
 
@@ -77,7 +77,7 @@
     Serving,
 }
 
-/// The state of one process.
+/// The state of one process in a hot restart.
 #[derive(Debug)]
 pub struct HotRestart {
     predecessor: Predecessor,
@@ -87,7 +87,8 @@
 }
 
 impl HotRestart {
-    /// The state of a process that starts; it begins with [`HotRestart::initial_action`].
+    /// Creates the state of a process at its start. The process must first perform
+    /// [`HotRestart::initial_action`].
     #[must_use]
     pub fn new(predecessor: Predecessor) -> Self {
         Self {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// What a process must do when it starts.
+    /// Returns what a process must do at its start.
     #[must_use]
     pub fn initial_action(predecessor: Predecessor) -> Action {
         match predecessor {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Whether this process serves.
+    /// Whether this process serves and no successor has taken over.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         self.serving && self.successor != Successor::Serving
@@ -119,7 +120,7 @@
         self.serving && self.successor == Successor::None && !self.shutting_down
     }
 
-    /// Applies an event. Returns what the process must do, in order.
+    /// Applies an event. Returns the actions that the process must perform, in order.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         match event {
             Event::EndpointsReceived => self.on_endpoints_received(),
@@ -174,7 +175,7 @@
         }
         self.predecessor = Predecessor::None;
         let mut actions = vec![Action::SetDescriptorPercent(ALL_DESCRIPTORS)];
-        // Even without an endpoint list: no other process accepts the clients any more.
+        // Serves even without an endpoint list, since no other process accepts clients any more.
         if !std::mem::replace(&mut self.serving, true) {
             actions.push(Action::StartServing);
         }
--- a/crates/admin/src/hot_restart/tests.rs
+++ b/crates/admin/src/hot_restart/tests.rs
@@ -5,7 +5,8 @@
     Terminate,
 };
 
-/// The state after the events, and the actions: first those at the start, then those of each event.
+/// Returns the state after the events, and the actions: first the initial one, then those of each
+/// event.
 fn run(predecessor: Predecessor, events: &[Event]) -> (HotRestart, Vec<Vec<Action>>) {
     let mut process = HotRestart::new(predecessor);
     let initial = vec![HotRestart::initial_action(predecessor)];
@@ -121,7 +122,7 @@
     assert!(actions[1].is_empty() && !process.accepts_successor());
 }
 
-/// Two hot restarts in a row: the second begins while the first process still shuts down.
+/// Two hot restarts in a row: the second begins while the first process is still shutting down.
 #[test]
 fn successor_is_accepted_while_the_predecessor_shuts_down() {
     let (process, actions) = run(
--- a/crates/admin/src/overrides.rs
+++ b/crates/admin/src/overrides.rs
@@ -1,10 +1,11 @@
-//! Which servers operators have disabled, applied to discovery's list before the decision module
-//! sees it.
+//! The servers that operators have disabled, applied to discovery's list before the decision module
+//! receives it.
 //!
-//! A disabled server is shown as draining whatever discovery reports, so the module's own rule for
-//! draining servers applies. When it is enabled again it is shown as discovery reports it. If
-//! discovery has reported no start of the server since it was disabled, it is shown as started when
-//! it was enabled: it may have been restarted, and discovery's report of that may be late.
+//! A disabled server is reported to the module as draining whatever discovery reports, so the
+//! module's own rule for draining servers applies. A server that is enabled again is reported as
+//! discovery reports it. If discovery has reported no start of the server since it was disabled, its
+//! start is reported as the time at which it was enabled: it may have been restarted, and
+//! discovery's report of that may be late.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,8 +19,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The part of the state that outlives the process: it is stored on disk and handed over to a
-/// successor.
+/// The overrides that outlive the process: they are stored on disk and handed over to a successor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OverrideState {
     /// When each disabled server was disabled, by uid, in Unix microseconds.
@@ -30,13 +30,13 @@
     pub reenabled: BTreeMap<String, Reenabled>,
 }
 
-/// When a server was disabled and enabled again, in Unix microseconds. It is serialized as a pair.
+/// When a server was disabled and enabled again, in Unix microseconds; serialized as a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Micros, Micros)", into = "(Micros, Micros)")]
 pub struct Reenabled {
-    /// When it was disabled.
+    /// When the server was disabled.
     pub disabled_at: Micros,
-    /// When it was enabled again.
+    /// When the server was enabled again.
     pub enabled_at: Micros,
 }
 
@@ -55,29 +55,29 @@
     }
 }
 
-/// The override of one server.
+/// The override of one server, as the processes of a hot restart exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerOverride {
-    /// The server.
+    /// The uid of the server.
     pub uid: String,
-    /// Its value in [`OverrideState::disabled`].
+    /// The server's value in [`OverrideState::disabled`].
     #[serde(rename = "out")]
     pub disabled_at: Option<Micros>,
-    /// Its value in [`OverrideState::reenabled`].
+    /// The server's value in [`OverrideState::reenabled`].
     #[serde(rename = "back")]
     pub reenabled: Option<Reenabled>,
 }
 
-/// What became of a command for a server.
+/// The result of a command that disables or enables a server.
 #[derive(Clone, Debug)]
 pub struct Applied {
     /// The remark for the operator.
     pub remark: String,
-    /// The list that the module must receive, if anything changed for it.
+    /// The list to pass to the decision module; `None` if nothing changed for it.
     pub update: Option<EndpointUpdate>,
 }
 
-/// The overrides of all servers over discovery's list.
+/// Discovery's list, and the operators' overrides that are applied to it.
 #[derive(Debug, Default)]
 pub struct ServerOverrides {
     state: OverrideState,
@@ -89,7 +89,7 @@
 }
 
 impl ServerOverrides {
-    /// Continues from the state of an earlier process.
+    /// Creates overrides from the stored state of an earlier process, without a list.
     #[must_use]
     pub fn new(state: OverrideState) -> Self {
         Self {
@@ -98,14 +98,14 @@
         }
     }
 
-    /// The state that outlives the process.
+    /// Returns the overrides that outlive the process.
     #[must_use]
     pub fn state(&self) -> &OverrideState {
         &self.state
     }
 
-    /// Discovery's last list in its own form, from which a successor starts; `None` before the
-    /// first.
+    /// Returns discovery's last list in discovery's form, from which a successor starts; `None`
+    /// before the first list.
     #[must_use]
     pub fn discovered(&self) -> Option<Value> {
         let revision = self.revision?;
@@ -117,7 +117,8 @@
         Some(json!({"rev": revision, "all": true, "targets": targets}))
     }
 
-    /// Applies an update from discovery. Returns it as the module must see it.
+    /// Applies an update from discovery. Returns it with the overrides applied, for the decision
+    /// module.
     pub fn apply_discovery(&mut self, mut update: EndpointUpdate) -> EndpointUpdate {
         if update.scope == Scope::Failed {
             return update;
@@ -141,8 +142,8 @@
         update
     }
 
-    /// Disables a server at `now`, in Unix microseconds. A server that is disabled already stays so
-    /// from the first time.
+    /// Disables a server at `now`, in Unix microseconds. For a server that is disabled already the
+    /// first time remains.
     ///
     /// # Errors
     /// [`UnknownServer`] if no server has the uid.
@@ -155,7 +156,7 @@
             });
         }
         self.state.disabled.insert(uid.to_string(), now);
-        // The next enabling decides anew whether its start is in doubt.
+        // The next `enable` determines again whether the server's start is uncertain.
         self.state.reenabled.remove(uid);
         Ok(Applied {
             remark: format!("{uid} is out of use"),
@@ -163,8 +164,7 @@
         })
     }
 
-    /// Enables a server again at `now`, in Unix microseconds. Changes nothing for one that is
-    /// enabled.
+    /// Enables a server again at `now`, in Unix microseconds. Does nothing if it is enabled.
     ///
     /// # Errors
     /// [`UnknownServer`] if no server has the uid.
@@ -193,15 +193,16 @@
         })
     }
 
-    /// Leaves the servers that started after `after` (Unix microseconds) to a successor by showing
-    /// them as draining, or none with `None`. Otherwise two processes would each send a server that
-    /// is warming up what one may. Returns the list that the module must receive, if it changed.
+    /// Leaves the servers that started after `after` (Unix microseconds) to a successor by reporting
+    /// them as draining; `None` takes them back. Otherwise two processes would each send a server
+    /// that is warming up as much as one process may. Returns the list for the decision module, if
+    /// `after` changed.
     pub fn delegate_started_after(&mut self, after: Option<Micros>) -> Option<EndpointUpdate> {
         let before = std::mem::replace(&mut self.delegated_after, after);
         (before != after).then(|| self.list())
     }
 
-    /// The override of one server, for the other process of a hot restart.
+    /// Returns the override of one server, for the other process of a hot restart.
     #[must_use]
     pub fn override_of(&self, uid: &str) -> ServerOverride {
         ServerOverride {
@@ -211,8 +212,8 @@
         }
     }
 
-    /// Applies an override that the other process of a hot restart received. Returns the list that
-    /// the module must receive, if anything changed for it.
+    /// Applies an override that the other process of a hot restart received. Returns the list for
+    /// the decision module, if discovery reports the server.
     pub fn apply_override(&mut self, change: ServerOverride) -> Option<EndpointUpdate> {
         let ServerOverride {
             uid,
@@ -251,7 +252,7 @@
             .retain(|uid, _| discovered.contains(uid.as_str()));
     }
 
-    /// The endpoint as the module must see it.
+    /// Applies the overrides to an endpoint.
     fn overridden(&self, mut endpoint: Endpoint) -> Endpoint {
         let uid = &endpoint.target.uid;
         let server = &mut endpoint.server;
@@ -268,8 +269,8 @@
         endpoint
     }
 
-    /// The complete list as the module must see it now. Its scope is that of a cached list, since a
-    /// change reported by discovery would end the module's own queries.
+    /// The complete list with the overrides applied. The scope is that of a cached list, since a
+    /// change reported by discovery would end the decision module's own queries.
     fn list(&self) -> EndpointUpdate {
         let endpoints = self
             .discovered
@@ -291,7 +292,7 @@
     }
 
     fn require_known(&self, uid: &str) -> Result<(), UnknownServer> {
-        // The id is a hash: another uid may have the same.
+        // The id is a hash, so the uid is compared too: another one may have the same id.
         let is_discovered = self
             .discovered
             .get(&ServerId::from_name(uid))
--- a/crates/admin/src/overrides/tests.rs
+++ b/crates/admin/src/overrides/tests.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// The uid, phase and start of each endpoint, as the module sees them.
+/// The uid, phase and start of each endpoint in an update, sorted by uid.
 fn shown(update: &EndpointUpdate) -> Vec<(String, Phase, Option<Micros>)> {
     let mut shown: Vec<_> = update
         .endpoints
@@ -69,7 +69,7 @@
     overrides
 }
 
-/// Whatever discovery reports, in any order, a disabled server is never shown as ready.
+/// Tries every sequence of three reports from discovery.
 #[test]
 fn disabled_server_is_never_ready_whatever_discovery_reports() {
     type Reported = (&'static str, &'static str, u64);
@@ -98,7 +98,7 @@
                 }
                 assert!(
                     overrides.enable("s1", ENABLED_AT).is_ok(),
-                    "it is enabled whether discovered or not"
+                    "a disabled server can be enabled, discovered or not"
                 );
                 let shown =
                     overrides.apply_discovery(update(Scope::Changes, &[("s1", "up", 1_000)]));
@@ -120,14 +120,14 @@
         shown(&enabled)[0],
         ("s1".into(), Phase::Ready, Some(ENABLED_AT))
     );
-    // Discovery repeats what it knew: the start is still in doubt. Then it reports the start.
+    // Discovery repeats the old start, which leaves the start uncertain. Then it reports the new one.
     let same = overrides.apply_discovery(update(Scope::Complete, &[("s1", "up", 1_000)]));
     assert_eq!(shown(&same)[0].2, Some(ENABLED_AT));
     let reported = overrides.apply_discovery(update(Scope::Changes, &[("s1", "up", 7_500)]));
     assert_eq!(shown(&reported)[0].2, Some(7_500_000));
     assert!(
         overrides.state().reenabled.is_empty(),
-        "nothing is stored without need"
+        "the entry is removed once the start is reported"
     );
 }
 
@@ -188,13 +188,13 @@
             .expect("known")
             .update
             .is_some(),
-        "enabling once is enough"
+        "one enable undoes two disables"
     );
     let again = overrides.enable("s1", ENABLED_AT + 1).expect("known");
     assert!(again.update.is_none());
     assert!(
         overrides.enable("s2", ENABLED_AT).is_ok(),
-        "it was never disabled"
+        "s2 was never disabled"
     );
     for unknown in ["s3", "S1", "s", ""] {
         assert!(overrides.disable(unknown, DISABLED_AT).is_err());
@@ -203,11 +203,12 @@
     overrides.apply_discovery(update(Scope::Changes, &[("s2", "removed", 0)]));
     assert!(
         overrides.disable("s2", DISABLED_AT).is_err(),
-        "a server that was removed"
+        "s2 was removed"
     );
 }
 
-/// A command to one process applies in the other, and what is on disk in the next.
+/// An override passed to the other process of a hot restart, or stored and read again, has the same
+/// effect there.
 #[test]
 fn overrides_are_the_same_after_handover_and_serialization() {
     let (mut old, mut new) = (with_s1_disabled(), ServerOverrides::default());
@@ -275,7 +276,7 @@
     );
     assert!(
         overrides.delegate_started_after(None).is_none(),
-        "nothing new"
+        "nothing is delegated any more"
     );
 }
 
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -12,7 +12,8 @@
 mod tests;
 
 impl Instance {
-    /// Appends an action as a line.
+    /// Appends the line of an action to `out`. Fails if the action names a server that no list has
+    /// contained.
     pub(crate) fn encode_action(
         &self,
         instance: u64,
@@ -23,7 +24,7 @@
             Some(name) => Ok(name.as_str()),
             None => invalid(
                 "backend",
-                "the module named a server that no list has named",
+                "the decision module chose a server that is in no list",
             ),
         };
         // Writing to a String cannot fail.
--- a/crates/simulator-adapter/src/actions/tests.rs
+++ b/crates/simulator-adapter/src/actions/tests.rs
@@ -1,12 +1,10 @@
-//! Tests of `actions.rs`.
-
 use super::*;
 use crate::fields::Fields;
 
 #[test]
 fn every_action_is_encoded_as_its_line() {
     let line = "7\tclasses.count=1\tclasses.0.name=a\tclasses.0.objective=1\tclasses.0.hard_limit=2\tzone=z\tzones=z";
-    let mut instance = Instance::create(&mut Fields::new(line)).expect("sound settings");
+    let mut instance = Instance::create(&mut Fields::new(line)).expect("valid settings");
     let server = ServerId::from_name("b:1");
     instance.servers.insert(server, "b:1".to_string());
     let data = vec![0x0a, 0xff];
@@ -63,7 +61,7 @@
         let mut out = String::new();
         instance
             .encode_action(3, &action, &mut out)
-            .expect("a server it knows");
+            .expect("a listed server");
         assert_eq!(out, text);
     }
     let unknown = Action::Probe {
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Decoding of events from lines.
+//! Decoding of lines into the decision module's events.
 
 use ironmast_balancer::{
     AttemptEnded, Event, Listing, LoadReport, Micros, Outcome, Request, Scope, Server, ServerId,
@@ -12,13 +12,13 @@
 #[cfg(test)]
 mod tests;
 
-/// The flag of a request whose work hint is valid.
+/// Bit of the flags of a `REQ` line: the work hint is valid.
 const HAS_WORK_HINT: u64 = 1;
-/// The flag of a request that the client has sent before.
+/// Bit of the flags of a `REQ` line: the client has sent the request before.
 const IS_CLIENT_RETRY: u64 = 2;
 
 impl Instance {
-    /// Decodes the rest of an event's line.
+    /// Decodes the rest of the line of an event; `message` is its first field.
     pub(crate) fn decode_event(
         &mut self,
         message: &str,
@@ -70,12 +70,12 @@
         })
     }
 
-    /// The rest of a `REQ` line.
+    /// Decodes the rest of a `REQ` line.
     fn decode_request(&self, fields: &mut Fields) -> Result<Event, FieldError> {
         let id = fields.number("handle")?;
         let name = fields.text("band")?;
         let Some(class) = self.classes.iter().position(|class| class == name) else {
-            return invalid("band", format!("`{name}` is not a class of the settings"));
+            return invalid("band", format!("class `{name}` is not in the settings"));
         };
         let flags: u64 = fields.number("flags")?;
         let key = fields.optional("subject")?;
@@ -92,7 +92,7 @@
         }))
     }
 
-    /// The rest of a `VIEW` line: the list that discovery reports.
+    /// Decodes the rest of a `VIEW` line, which reports discovery's list.
     fn decode_listing(&mut self, fields: &mut Fields, lists: &Lists) -> Result<Event, FieldError> {
         fields.optional::<u64>("stamp")?;
         let scope = match fields.text("scope")? {
@@ -110,13 +110,13 @@
             }));
         }
         let Some(list) = lists.get(parse_number("page", number)?) else {
-            return invalid("page", format!("no list {number} was given"));
+            return invalid("page", format!("list {number} does not exist"));
         };
         let servers = list.iter().map(|listed| self.resolve(listed)).collect();
         Ok(Event::Members(Listing { scope, servers }))
     }
 
-    /// A listed server in the terms of this instance.
+    /// Converts a listed server to this instance's zone ids, and records its name.
     fn resolve(&mut self, listed: &ListedServer) -> Server {
         self.servers
             .entry(listed.server.id)
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The load report in the columns of the deployment, if there is one.
+    /// Decodes a load report, whose columns the deployment defines; `None` if absent.
     fn decode_load_report(&self, fields: &mut Fields) -> Result<Option<LoadReport>, FieldError> {
         let row = fields.text("feedback")?;
         if matches!(row, "-" | "") {
@@ -144,7 +144,7 @@
     }
 }
 
-/// How an attempt or a health check ended.
+/// Decodes how an attempt or a health check ended.
 fn decode_outcome(fields: &mut Fields) -> Result<Outcome, FieldError> {
     Ok(match fields.text("ending")? {
         "pass" => Outcome::Ok,
@@ -159,7 +159,7 @@
     })
 }
 
-/// Bytes in hex digits; `-` stands for none.
+/// Decodes bytes from pairs of hex digits; `-` means no bytes.
 fn decode_hex(hex: &str) -> Result<Vec<u8>, FieldError> {
     if hex == "-" {
         return Ok(Vec::new());
@@ -173,6 +173,9 @@
             .chunks(2)
             .map(|pair| pair[0] << 4 | pair[1])
             .collect()),
-        _ => invalid("raw", format!("`{hex}` is not pairs of hex digits")),
+        _ => invalid(
+            "raw",
+            format!("`{hex}` does not consist of pairs of hex digits"),
+        ),
     }
 }
--- a/crates/simulator-adapter/src/events/tests.rs
+++ b/crates/simulator-adapter/src/events/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `events.rs`.
-
 use super::*;
 
 #[test]
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,15 +1,15 @@
-//! The fields of one line.
+//! Parsing of a line's fields.
 
 use std::str::{FromStr, Split};
 
 use ironmast_settings::{FieldError, parse_number};
 
-/// The fields of one line, read in order. Each is given its name for the error.
+/// The fields of one line, read in order. The caller names each field for error messages.
 pub(crate) struct Fields<'a> {
     rest: Split<'a, char>,
 }
 
-/// The error of a field, as a result.
+/// Returns the error of an invalid field.
 pub(crate) fn invalid<T>(field: &str, problem: impl Into<String>) -> Result<T, FieldError> {
     Err(FieldError::new(field, problem))
 }
@@ -21,14 +21,14 @@
         }
     }
 
-    /// The next field, which may be empty or `-`.
+    /// Reads the next field, which may be empty or `-`.
     pub(crate) fn text(&mut self, field: &str) -> Result<&'a str, FieldError> {
         self.rest
             .next()
             .ok_or_else(|| FieldError::new(field, "missing"))
     }
 
-    /// The next field, which must not be absent.
+    /// Reads the next field, which must not be empty or `-`.
     pub(crate) fn required(&mut self, field: &str) -> Result<&'a str, FieldError> {
         match self.text(field)? {
             "" | "-" => invalid(field, "must not be absent"),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// All remaining fields.
+    /// Reads all remaining fields.
     pub(crate) fn rest(&mut self) -> impl Iterator<Item = &'a str> {
         self.rest.by_ref()
     }
@@ -63,7 +63,7 @@
     /// Checks that no field remains.
     pub(crate) fn end(&mut self) -> Result<(), FieldError> {
         match self.rest.next() {
-            Some(extra) => invalid("(end)", format!("unexpected further field `{extra}`")),
+            Some(extra) => invalid("(end)", format!("unexpected extra field `{extra}`")),
             None => Ok(()),
         }
     }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The protocol's batches, and the instances that they address.
+//! Reads batches of lines and passes each line to the instance that it addresses.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -12,7 +12,7 @@
 use crate::lists::Lists;
 use crate::{Malformed, WireError};
 
-/// The messages that are events of an instance.
+/// The messages that [`Instance::decode_event`] decodes.
 const EVENTS: [&str; 8] = [
     "VIEW",
     "REQ",
@@ -24,15 +24,15 @@
     "INBOX",
 ];
 
-/// Whether a batch continues after a line.
+/// Whether the batch is complete after a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Continues,
-    /// The batch is complete: its reply must be written.
+    /// The reply of the batch must be written.
     BatchEnded,
 }
 
-/// A batch that has not ended.
+/// A batch whose `OVER_TO_YOU` has not been read.
 #[derive(Clone, Copy, Debug)]
 struct OpenBatch {
     now: Micros,
@@ -45,19 +45,19 @@
     lists: Lists,
     instances: BTreeMap<u64, Instance>,
     batch: Option<OpenBatch>,
-    /// Empty between lines; retained for its allocation.
+    /// Scratch buffer, empty between lines; kept to reuse its allocation.
     actions: Vec<Action>,
     reply: String,
 }
 
 impl Host {
-    /// A host without instances.
+    /// Creates a host without instances.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Serves batches until the input ends.
+    /// Processes batches until the input ends, and writes the reply of each.
     ///
     /// # Errors
     /// [`WireError`] at the first malformed line, or if reading or writing fails.
@@ -108,7 +108,7 @@
         let message = fields.text("(message)")?;
         if let Some(missing) = self.lists.missing_items() {
             if message != "ITEM" {
-                let problem = format!("{missing} more ITEM lines were announced");
+                let problem = format!("{missing} more ITEM lines must follow the SHEET");
                 return invalid("elements", problem);
             }
             self.lists.add_item(&mut fields)?;
@@ -119,7 +119,10 @@
             return Ok(Progress::Continues);
         }
         let Some(batch) = self.batch else {
-            return invalid("(message)", "outside of a batch, or not known");
+            return invalid(
+                "(message)",
+                "unknown message, or a message outside of a batch",
+            );
         };
         if message == "OVER_TO_YOU" {
             fields.end()?;
@@ -134,14 +137,14 @@
             "CREATE" => self.create(&mut fields)?,
             "DOWN" => self.remove(&mut fields)?,
             _ if EVENTS.contains(&message) => self.handle_event(batch.now, message, &mut fields)?,
-            _ => return invalid("(message)", "not a known message"),
+            _ => return invalid("(message)", "unknown message"),
         }
         Ok(Progress::Continues)
     }
 
     fn begin_batch(&mut self, fields: &mut Fields) -> Result<(), FieldError> {
         if self.batch.is_some() {
-            return invalid("(message)", "the batch before has not ended");
+            return invalid("(message)", "the previous batch has not ended");
         }
         self.batch = Some(OpenBatch {
             now: fields.number("clock")?,
@@ -190,5 +193,5 @@
 }
 
 fn unknown_instance(id: u64) -> FieldError {
-    FieldError::new("who", format!("no instance {id} was created"))
+    FieldError::new("who", format!("instance {id} does not exist"))
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One hosted instance of the decision module, with the names that its messages use.
+//! A hosted instance of the decision module, with its tables of names.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 
 use crate::fields::{Fields, invalid};
 
-/// One hosted instance of the decision module.
+/// A hosted instance of the decision module, with the names that the simulator's lines use.
 pub(crate) struct Instance {
     pub balancer: Balancer,
-    /// The names of the servers that lists have contained.
+    /// The names of the servers that lists of this instance have contained.
     pub servers: BTreeMap<ServerId, String>,
     /// The names of the classes, by id.
     pub classes: Vec<String>,
@@ -29,7 +29,12 @@
         for pair in fields.rest().filter(|pair| !pair.is_empty()) {
             match pair.split_once('=') {
                 Some(pair) => pairs.push(pair),
-                None => return invalid("params", format!("`{pair}` is not path=value")),
+                None => {
+                    return invalid(
+                        "params",
+                        format!("`{pair}` does not have the form path=value"),
+                    );
+                }
             }
         }
         let deployment = DeploymentSettings::from_pairs(pairs)?;
@@ -45,7 +50,7 @@
         })
     }
 
-    /// The id of a zone; a name that is not known yet is given the next one.
+    /// Returns the id of a zone; an unknown name is assigned the next id.
     pub(crate) fn zone_id(&mut self, name: &str) -> ZoneId {
         if let Some(zone) = self.zones.iter().position(|zone| zone == name) {
             return zone;
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,12 +1,18 @@
-//! Speaks the simulator's line protocol and hosts instances of the decision module. No decisions
-//! are made here.
+//! Adapter between the simulator and the decision module: it hosts instances of the module, decodes
+//! the simulator's lines into their events and encodes their actions as lines. It makes no decisions
+//! of its own.
 //!
-//! Lines hold fields separated by tabs, with `-` for an absent value. A batch lasts from `CLOCK` to
-//! `OVER_TO_YOU`; its reply ends with `EOR`. Instances share nothing: each has its own
-//! [`Balancer`](ironmast_balancer::Balancer) and its own tables of names.
+//! - `host` reads batches and passes each line to the instance that it addresses.
+//! - `instance` holds one [`Balancer`](ironmast_balancer::Balancer) with its tables of names.
+//!   Instances share nothing.
+//! - `events` decodes lines into events, and `actions` encodes actions as lines.
+//! - `lists` stores the lists of servers to which lines refer, and `fields` splits a line into fields.
 //!
-//! Malformed input ends the program with an error that names the line and the field, rather than
-//! being skipped: the simulator and this program would otherwise disagree silently.
+//! A line consists of fields separated by tabs, with `-` for an absent value. A batch lasts from
+//! `CLOCK` to `OVER_TO_YOU`; its reply ends with `EOR`.
+//!
+//! Malformed input ends the program with an error that names the line and the field. If such input
+//! were skipped, the state of the simulator and that of this program would diverge unnoticed.
 
 #![forbid(unsafe_code)]
 
@@ -23,7 +29,7 @@
 
 pub use host::Host;
 
-/// A line that cannot be understood.
+/// The position and cause of a line that cannot be decoded.
 #[derive(Debug, Error)]
 #[error("line {line}: {message}: field `{field}`: {problem}")]
 pub struct Malformed {
@@ -31,19 +37,19 @@
     pub line: u64,
     /// The first field of the line, which names its message.
     pub message: String,
-    /// The field that is wrong.
+    /// The name of the invalid field.
     pub field: String,
-    /// What is wrong with it.
+    /// The reason why the field is invalid.
     pub problem: String,
 }
 
-/// Hosting ended before the input did.
+/// The reason why [`Host::run`] stopped before the end of the input.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// A line could not be understood.
+    /// A line could not be decoded.
     #[error(transparent)]
     Malformed(#[from] Malformed),
     /// Reading or writing failed.
-    #[error("input or output failed: {0}")]
+    #[error("cannot read the input or write the output: {0}")]
     Io(#[from] io::Error),
 }
--- a/crates/simulator-adapter/src/lists.rs
+++ b/crates/simulator-adapter/src/lists.rs
@@ -1,4 +1,4 @@
-//! Numbered lists of servers, which later messages refer to.
+//! The numbered lists of servers to which later messages refer.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +10,24 @@
 /// The highest number of a list.
 const MAX_LIST_NUMBER: u8 = 15;
 
-/// A server of a list.
+/// A server in a list.
 #[derive(Clone)]
 pub(crate) struct ListedServer {
     pub name: String,
-    /// The name of its zone, whose number differs between instances.
+    /// The name of the server's zone; the zone's id differs between instances.
     pub zone: String,
-    /// The server, with zone 0.
+    /// The server with zone 0 as a placeholder; the instance fills in the id.
     pub server: Server,
 }
 
-/// A list whose `ITEM` lines have not all come.
+/// A list for which `ITEM` lines are still missing.
 #[derive(Clone, Copy)]
 struct OpenList {
     number: u8,
     missing: usize,
 }
 
-/// The lists by their numbers.
+/// The lists by number, and the one that is being read.
 #[derive(Default)]
 pub(crate) struct Lists {
     lists: BTreeMap<u8, Vec<ListedServer>>,
@@ -39,12 +39,12 @@
         self.lists.get(&number)
     }
 
-    /// The number of `ITEM` lines that must follow, if a list is open.
+    /// The number of `ITEM` lines that must follow; `None` if no list is open.
     pub(crate) fn missing_items(&self) -> Option<usize> {
         self.open.map(|open| open.missing)
     }
 
-    /// Reads the rest of a `SHEET` line, which begins a list and replaces the one of its number.
+    /// Reads the rest of a `SHEET` line, which begins a list and replaces an earlier one with the same number.
     pub(crate) fn begin(&mut self, fields: &mut Fields) -> Result<(), FieldError> {
         let number: u8 = fields.number("page")?;
         if number > MAX_LIST_NUMBER {
@@ -60,7 +60,7 @@
     /// Reads the rest of an `ITEM` line, which adds a server to the open list.
     pub(crate) fn add_item(&mut self, fields: &mut Fields) -> Result<(), FieldError> {
         let Some(OpenList { number, missing }) = self.open else {
-            return invalid("(message)", "no SHEET announces it");
+            return invalid("(message)", "ITEM without a preceding SHEET");
         };
         let server = decode_server(fields)?;
         self.lists.entry(number).or_default().push(server);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts balancer instances on standard input and output.
+//! Hosts instances of the decision module for a simulator on standard input and output.
 
 use std::io;
 use std::process::ExitCode;
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The line protocol: every event and action, unusual but valid input, and errors for malformed
-//! input.
+//! Tests of the line protocol: every event and action, unusual but valid input, and errors for
+//! malformed input.
 
 use std::fmt::Write as _;
 
@@ -14,7 +14,7 @@
 const LIST: &str = "SHEET\t0\t2\nITEM\t10.0.0.1:80\tnorth\tfast\t0\tin_service\t1.5\t-\n\
     ITEM\t10.0.0.2:80\tsouth\t-\t1\tin_service\t1\t0\nVIEW\t3\t1\tC\t0";
 
-/// Runs batches of lines; each item of `batches` is one batch with its clock time.
+/// Runs batches of lines; each item is the clock time of a batch in microseconds and its lines.
 fn run(batches: &[(u64, &str)]) -> Result<String, String> {
     let mut input = String::new();
     for (number, (clock, lines)) in batches.iter().enumerate() {
