--- a/crates/overlay/tests/messages.rs
+++ b/crates/overlay/tests/messages.rs
@@ -1,5 +1,5 @@
-//! The wire format of messages: tags and order of fields are stable, malformed bytes are rejected,
-//! and a node handles any message in any state.
+//! Stability of the wire format of messages (variant tags, order of fields), and robustness: a node
+//! handles any message that decodes in any state without a panic.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -20,7 +20,7 @@
     }
 }
 
-/// Bytes that often decode as a message: a variant, then small numbers.
+/// Random bytes that often decode as a message: a variant tag, then mostly small numbers.
 fn random_message_bytes() -> impl Strategy<Value = Vec<u8>> {
     let number = prop_oneof![0u8..4, 0u8..20, any::<u8>()];
     (0u8..18, proptest::collection::vec(number, 0..80)).prop_map(|(variant, rest)| {
@@ -129,7 +129,7 @@
         for input in inputs {
             if let Ok(message) = postcard::from_bytes::<Message>(&input) {
                 let reencoded = postcard::to_stdvec(&message).expect("serializable");
-                prop_assert_eq!(&postcard::from_bytes::<Message>(&reencoded).expect("the same"), &message);
+                prop_assert_eq!(&postcard::from_bytes::<Message>(&reencoded).expect("a re-encoded message decodes"), &message);
                 dispatch(&mut overlay, &mut now, Event::Message { from: peer.address, message });
             }
             let actions = dispatch(&mut overlay, &mut now, Event::Timer);
@@ -139,7 +139,7 @@
     }
 }
 
-/// Earlier releases send versions as bare numbers.
+/// Earlier releases encode a version as a plain integer; mixed releases must decode each other.
 #[test]
 fn a_version_is_encoded_as_its_number() {
     for number in [0, 1, 127, 128, u64::MAX] {
--- a/crates/overlay/tests/overlay/contact.rs
+++ b/crates/overlay/tests/overlay/contact.rs
@@ -1,5 +1,5 @@
-//! A coordinator that is out of contact with the majority, in a region of one zone that has no
-//! other coordinator: updates of the majority still reach every agent in time.
+//! A coordinator loses contact with the majority of the coordinators. Its region has a single zone
+//! and no other coordinator; updates of the majority must still reach every agent in time.
 
 mod large_deployment;
 mod scenario;
@@ -15,7 +15,8 @@
 use crate::support::simulation::{Simulation, ms};
 use crate::support::statistics::{print_quantiles, quantile};
 
-/// Delays over these seeds, kinds of cuts and numbers of agents, sorted.
+/// The sorted delays of all updates over these seeds and kinds of cuts. The seed also sets the
+/// number of agents in the isolated region: 2 to 10.
 fn delays(
     seeds: std::ops::Range<u64>,
     kinds: &[CutKind],
@@ -73,7 +74,7 @@
 }
 
 #[test]
-#[ignore = "minutes; in release"]
+#[ignore = "takes minutes; run in release mode"]
 fn updates_arrive_in_time_over_a_thousand_seeds_of_each_cut() {
     for detection in [Detection::Detected, Detection::Undetected] {
         println!("{detection:?}");
@@ -82,7 +83,8 @@
     }
 }
 
-/// Delays of a cut that is not detected, with these guards, in a region of five to ten agents.
+/// The sorted delays for an undetected cut between coordinators, in isolated regions of five to ten
+/// agents.
 fn delays_undetected(guards: &Guards) -> Vec<Duration> {
     delays(
         3..9,
@@ -112,11 +114,11 @@
         }),
         990,
     );
-    println!("p99 {usual:?}, announced as inside the region {slow:?}");
+    println!("p99 {usual:?}; with the announce interval of links within a region {slow:?}");
     assert!(usual < ms(500) && slow > ms(700));
 }
 
-/// A network in which the isolated coordinator has detected that it is out of contact.
+/// A network in which a coordinator is cut off from the others and reports its loss of contact.
 fn isolated_out_of_contact(guards: Guards) -> Simulation {
     let mut scenario = Scenario::new(CutKind::Coordinators, 6, guards, Detection::Undetected, 1);
     scenario
@@ -145,6 +147,7 @@
         .count()
 }
 
+/// The age of the newest root heartbeat at the agent where it is oldest.
 fn max_heartbeat_age(sim: &Simulation) -> Duration {
     let agents = &sim.nodes[COORDINATORS.coordinators..];
     let ages = agents
@@ -187,7 +190,8 @@
     assert!(agents_below_isolated(&sim) > 0);
 }
 
-/// The 99th percentile of the delays where eight to ten agents have only each other.
+/// The 99th percentile of the delays in isolated regions of eight to ten agents whose coordinator
+/// is also cut off from all other zones.
 fn p99_among_agents(guards: &Guards) -> Duration {
     quantile(
         &delays(6..9, &[CutKind::OtherZones], guards, Detection::Undetected),
@@ -202,6 +206,6 @@
         eager_relay: false,
         ..Guards::default()
     });
-    println!("p99 {usual:?}, not relayed {lazy:?}");
+    println!("p99 {usual:?}; without the eager relay {lazy:?}");
     assert!(usual < ms(500) && lazy > ms(800));
 }
--- a/crates/overlay/tests/overlay/contact/large_deployment.rs
+++ b/crates/overlay/tests/overlay/contact/large_deployment.rs
@@ -1,4 +1,4 @@
-//! Contact in regions of thirty agents, and without any majority.
+//! Isolated coordinators with regions of thirty agents, and a deployment without a majority.
 
 use std::time::Duration;
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// Bytes between regions within this time.
+/// Runs the simulation for `seconds` and returns the number of bytes sent between regions.
 fn inter_region_bytes(sim: &mut Simulation, seconds: u64) -> u64 {
     let total = |sim: &Simulation| {
         sim.nodes
@@ -101,7 +101,7 @@
         );
         sim.run_for(ms(1_500));
         let arrivals = &sim.arrivals[&(KEY, version)];
-        worst = worst.max(*arrivals.values().max().expect("its publisher") - at);
+        worst = worst.max(*arrivals.values().max().expect("the publisher has it") - at);
         assert_eq!(arrivals.len(), LARGE.len(), "version {version}");
     }
     println!("without a majority an update takes {worst:?} at worst");
--- a/crates/overlay/tests/overlay/contact/scenario.rs
+++ b/crates/overlay/tests/overlay/contact/scenario.rs
@@ -1,5 +1,5 @@
-//! A scripted network of three coordinators, one of which is cut off, and the delays of updates in
-//! it.
+//! Scripted scenarios: three coordinators, one of which is cut off or restarted, and the delays of
+//! updates to the agents.
 
 use std::time::Duration;
 
@@ -27,14 +27,16 @@
 /// Number of agents in the region of the other two coordinators.
 const MAJORITY_REGION_AGENTS: usize = 6;
 
-/// Key of the configuration, and its size.
+/// Key of the published configuration, and its size in bytes.
 pub(super) const KEY: u64 = 7;
 pub(super) const PAYLOAD_BYTES: usize = 3_000;
 
-/// Half of the time within which a configuration must be in force.
+/// Maximum delay of an update to an agent: half of the time within which a configuration must be
+/// in force.
 pub(super) const MAX_DELAY: Duration = ms(1_500);
 
-/// Time from its start for which a restarted agent is not counted.
+/// Time for which an agent may catch up after a start or restart; its delays are not counted
+/// meanwhile.
 const CATCH_UP: Duration = ms(4_000);
 
 /// Interval at which the coordinators' contact is checked, and the time after which they detect its
@@ -45,7 +47,7 @@
 /// Time for which a restarting process is down.
 const RESTART_TIME: Duration = ms(300);
 
-/// Random time from the first start to the cut, and the length of the cut.
+/// Range of the start of the cut in milliseconds, and the length of the cut.
 const CUT_START_MS: std::ops::Range<u64> = 3_000..14_000;
 const CUT_LENGTH: Duration = ms(20_000);
 
@@ -64,23 +66,23 @@
 pub(super) enum CutKind {
     /// From the other coordinators; messages are delayed.
     Coordinators,
-    /// The same, but messages are lost.
+    /// From the other coordinators; messages are lost.
     Lossy,
     /// From the other coordinators and from all nodes of other zones.
     OtherZones,
     /// From all nodes.
     Everyone,
-    /// Messages from it to the others are delayed.
+    /// Messages from it to the other coordinators are delayed.
     Outgoing,
-    /// Messages from the others to it are delayed.
+    /// Messages from the other coordinators to it are delayed.
     Incoming,
-    /// Connections are reset.
+    /// From the other coordinators; connections are reset.
     Reset,
-    /// Connections are reset and new ones refused.
+    /// From the other coordinators; connections are reset and new ones refused.
     Refused,
-    /// It restarts, then the other coordinators do.
+    /// From the other coordinators; it restarts, then the other coordinators do.
     CoordinatorRestarts,
-    /// New seeds begin with it, and some nodes are restarted.
+    /// From the other coordinators; new seeds have it first, and a third of the nodes restart.
     NewSeeds,
     /// No coordinator reaches another one.
     AllCoordinators,
@@ -154,7 +156,7 @@
     by: usize,
 }
 
-/// A network with a script of faults and updates, and what happened in it.
+/// A simulated network with its script of faults and updates, and a record of both.
 pub(super) struct Scenario {
     pub(super) sim: Simulation,
     kind: CutKind,
@@ -163,7 +165,7 @@
     detection: Detection,
     out_of_contact_since: [Option<Duration>; 3],
     published: Vec<Published>,
-    /// Starts and ends of processes.
+    /// Times at which processes were started or killed.
     restarts: Vec<(usize, Duration)>,
 }
 
@@ -236,7 +238,7 @@
         self.script.sort_by_key(|(at, _)| *at);
     }
 
-    /// Several short cuts in the time of a long one.
+    /// Adds several short cuts, within [`CUT_LENGTH`], in place of a long one.
     fn script_short_cuts(&mut self, from: Duration) {
         let mut at = from;
         while at < from + CUT_LENGTH {
@@ -321,7 +323,7 @@
             self.sim.dispatch(node, Event::InContact(false));
         }
         self.out_of_contact_since[node] = Some(Duration::ZERO);
-        // The process recovers it from its disk.
+        // A restarted coordinator recovers its latest version from disk and publishes it again.
         let latest = self
             .published
             .iter()
@@ -356,7 +358,8 @@
         }
     }
 
-    /// Reports to each coordinator whether it reaches a majority, with a delay when it has lost it.
+    /// Reports to each coordinator whether it reaches a majority; a loss of contact is reported
+    /// after [`CONTACT_TIMEOUT`].
     fn check_contact(&mut self) {
         for node in (0..3).filter(|_| self.detection == Detection::Detected) {
             let reached = (0..3)
@@ -375,13 +378,14 @@
         }
     }
 
-    /// Whether the process of `node` started or ended between these times.
+    /// Whether the process of `node` was started or killed between these times.
     fn restarted(&self, node: usize, from: Duration, to: Duration) -> bool {
         self.restarts
             .iter()
             .any(|(other, at)| *other == node && from <= *at && *at <= to)
     }
 
+    /// The delays of all updates to all agents, except where the publisher or the agent restarted.
     fn delays(&self) -> Vec<Duration> {
         let mut delays = Vec::new();
         for published in &self.published {
@@ -398,7 +402,8 @@
         delays
     }
 
-    /// Time until `agent` latest this version or a newer one; the rest of the run if it never did.
+    /// Time until `agent` received this version or a newer one; the rest of the run if it never
+    /// did.
     fn delay(&self, published: &Published, agent: usize) -> Duration {
         let newer = self
             .published
--- a/crates/overlay/tests/overlay/costs.rs
+++ b/crates/overlay/tests/overlay/costs.rs
@@ -1,5 +1,5 @@
-//! Costs of the overlay: bytes and messages a second, processor time, memory. The assertions are
-//! the limits of the deployment; the printed rows are for docs/CAPACITY.md.
+//! Resource usage of the overlay: bytes and messages a second, processor time and memory. The
+//! assertions are the limits of a deployment; the printed rows are the figures in docs/CAPACITY.md.
 
 use ironmast_overlay::Settings;
 
@@ -7,17 +7,17 @@
 use crate::support::node::Node;
 use crate::support::simulation::{Simulation, ms};
 
-/// Seconds over which traffic is counted.
+/// Length of a measurement, in seconds.
 const SECONDS: u64 = 30;
 
-/// Updates in that time: ten times the pace of 7,400 a day.
+/// Number of updates within [`SECONDS`]: ten times the rate of 7,400 updates a day.
 const UPDATES: u64 = 26;
 
 /// Number of entries, and their size in bytes.
 const ENTRIES: u64 = 2_000;
 const ENTRY_BYTES: usize = 300;
 
-/// Traffic of one node a second.
+/// Traffic and handled events of one node, per second.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
     bytes_out: u64,
@@ -29,6 +29,7 @@
     inter_region_entry_bytes: u64,
 }
 
+/// The counters of a node since the start of the simulation.
 fn total(node: &Node) -> Rate {
     Rate {
         bytes_out: node.sent.bytes,
@@ -87,6 +88,8 @@
     }
 }
 
+/// Prints the rates of a measurement and returns the bytes a second (sent and received) of the
+/// busiest agent.
 fn print_rates(name: &str, deployment: Deployment, rates: &[Rate]) -> u64 {
     let (coordinators, agents) = rates.split_at(deployment.coordinators);
     let mut agents = agents.to_vec();
@@ -122,7 +125,7 @@
     at(100).total_bytes()
 }
 
-/// Resident memory of this process in bytes.
+/// Resident memory of this process, in bytes.
 fn resident_bytes() -> u64 {
     const PAGE: u64 = 4_096;
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -134,7 +137,7 @@
         * PAGE
 }
 
-/// Processor time of this thread in nanoseconds.
+/// Processor time of this thread, in nanoseconds.
 fn cpu_time_ns() -> u64 {
     let spent = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     spent
@@ -144,6 +147,8 @@
         .unwrap_or(0)
 }
 
+/// Measures a deployment idle and under load; returns the bytes a second of the busiest agent under
+/// load.
 fn costs(deployment: Deployment) -> u64 {
     let memory = resident_bytes();
     let mut sim = Simulation::start(deployment, Settings::default(), 1);
@@ -167,7 +172,7 @@
         - events;
     let spent = (cpu_time_ns() - before) / events.max(1);
     println!(
-        "{:>5} agents: {spent} ns of processor an event with the simulation's share, {grown} B of memory a node with its share and payloads shared",
+        "{:>5} agents: {spent} ns of processor time an event and {grown} B of memory a node, both including the simulation; nodes share payloads",
         deployment.agents
     );
     assert_eq!(sim.regressions, 0);
@@ -181,7 +186,7 @@
 }
 
 #[test]
-#[ignore = "for the figures in docs/CAPACITY.md; in release"]
+#[ignore = "prints the figures in docs/CAPACITY.md; run in release mode"]
 fn costs_of_larger_deployments() {
     assert!(costs(Deployment::SMALL) < 9_000);
     assert!(costs(Deployment::FIVE_HUNDRED) < 9_000);
--- a/crates/overlay/tests/overlay/dissemination.rs
+++ b/crates/overlay/tests/overlay/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination without faults.
+//! Dissemination without faults: delays of updates, and the shape of the relay tree.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -68,7 +68,7 @@
 }
 
 #[test]
-#[ignore = "a minute; for the figures in docs/CAPACITY.md"]
+#[ignore = "takes a minute; prints the figures in docs/CAPACITY.md"]
 fn updates_reach_two_thousand_agents_in_time() {
     check_delays(Deployment::TWO_THOUSAND, 1);
 }
@@ -98,7 +98,7 @@
         sim.run_for(ms(15_000));
         let (edges, min_edges) = zone_edges(&sim);
         println!(
-            "{} agents: {edges} have a parent in another zone, {min_edges} at least",
+            "{} agents: {edges} have a parent in another zone, {min_edges} is the minimum",
             deployment.agents
         );
         assert!(edges <= min_edges + min_edges / 4 + 1);
@@ -131,7 +131,7 @@
     positions.filter(independent).count()
 }
 
-/// Nodes through which alone updates enter a region: the only coordinator in it, or its head.
+/// Nodes that are the single entry of updates into a region: its only coordinator, or its head.
 fn single_region_entries(sim: &Simulation) -> Vec<usize> {
     let region = |node: usize| sim.nodes[node].descriptor.locality.region;
     let coordinators = 0..sim.deployment.coordinators;
@@ -158,8 +158,8 @@
         sim.run_for(ms(15_000));
         let single = single_region_entries(&sim);
         let agents: Vec<usize> = (deployment.coordinators..deployment.len()).collect();
-        // Where one node is the entry of a region, its successor keeps the alternative parent for
-        // all.
+        // Children of the single entry node of a region are exempt: one of them (the successor) has
+        // an alternative parent, which suffices for the region.
         let depends_on_single_entry = |agent: &&usize| {
             sim.parent(**agent)
                 .is_some_and(|parent| single.contains(&parent))
--- a/crates/overlay/tests/overlay/faults.rs
+++ b/crates/overlay/tests/overlay/faults.rs
@@ -1,4 +1,4 @@
-//! Dissemination under faults.
+//! Dissemination under single faults: crashes, restarts, partitions, loss and pauses.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::support::deployment::{Deployment, address, index};
 use crate::support::simulation::{Simulation, ms};
 
-/// The key that tests publish.
+/// Key of the published updates.
 const KEY: u64 = 7;
 
 fn start_converged(deployment: Deployment, seed: u64) -> Simulation {
@@ -17,7 +17,8 @@
     sim
 }
 
-/// Runs until `is_done`, checked every 20 ms, and returns the time that it took.
+/// Runs until `is_done`, checked every 20 ms, and returns the time that it took; panics after
+/// `limit`.
 fn run_until(
     sim: &mut Simulation,
     limit: Duration,
@@ -25,7 +26,10 @@
 ) -> Duration {
     let start = sim.now;
     while !is_done(sim) {
-        assert!(sim.now - start < limit, "not within {limit:?}");
+        assert!(
+            sim.now - start < limit,
+            "the condition does not hold after {limit:?}"
+        );
         sim.run_for(ms(20));
     }
     sim.now - start
@@ -46,7 +50,7 @@
         .all(|overlay| overlay.freshness(sim.now).is_some_and(|fresh| fresh <= age))
 }
 
-/// Agents with a parent in another region.
+/// The agents with a parent in another region.
 fn region_heads(sim: &Simulation) -> Vec<usize> {
     (sim.deployment.coordinators..sim.nodes.len())
         .filter(|agent| sim.has_remote_parent(*agent))
@@ -259,7 +263,8 @@
             .and_then(|node| node.freshness(now))
             .expect("heartbeats were recorded");
         println!("paused for {seconds} s: newest heartbeat {age:?} old on return");
-        // Neighbours continue to send until they close the link; to its children it is silent.
+        // Neighbours send heartbeats to the paused agent until they close the link, and it reads
+        // them on return: the newest may be sent up to 5.5 s after the start of the pause.
         assert!(age + ms(5_500) > ms(seconds * 1_000));
         let time = run_until(&mut sim, ms(3_000), |sim| {
             all_store(sim, KEY, 1) && sim.detached_agents() == 0
@@ -308,7 +313,7 @@
     let arrivals = &sim.arrivals[&(KEY, 1)];
     let slowest = arrivals.values().map(|arrival| *arrival - at).max();
     println!(
-        "coordinator alone: newest heartbeat {worst:?} old at worst, a change takes {slowest:?}"
+        "one coordinator isolated: newest heartbeat {worst:?} old at worst, an update takes {slowest:?}"
     );
     assert_eq!(arrivals.len(), sim.deployment.len());
     assert!(worst < ms(5_000));
--- a/crates/overlay/tests/overlay/guards.rs
+++ b/crates/overlay/tests/overlay/guards.rs
@@ -14,6 +14,7 @@
     }
 }
 
+/// Number of running nodes that store this version.
 fn count_storing(sim: &Simulation, key: u64, version: u64) -> usize {
     let running = sim.nodes.iter().filter_map(|node| node.overlay.as_ref());
     running
@@ -21,7 +22,7 @@
         .count()
 }
 
-/// Changes under loss that reached all nodes within 2.5 s, of ten.
+/// Number of updates, of ten under 10 % message loss, that reached all nodes within 2.5 s.
 fn in_time_under_loss(guards: Guards) -> usize {
     let mut sim = Simulation::start(Deployment::HUNDRED, settings_with(guards), 1);
     sim.run_for(ms(8_000));
@@ -37,7 +38,7 @@
 
 #[test]
 fn lazy_repair_keeps_updates_in_time_under_loss() {
-    // Anti-entropy would repair the stores too, a little later.
+    // Anti-entropy is disabled because it would repair the stores too, a little later.
     let with_it = in_time_under_loss(Guards {
         anti_entropy: false,
         ..Guards::default()
@@ -48,7 +49,7 @@
         ..Guards::default()
     });
     println!(
-        "of ten changes under loss in time everywhere: {with_it}, without lazy repair {without}"
+        "updates in time at all nodes, of ten under loss: {with_it}, without lazy repair {without}"
     );
     assert!(with_it >= 9 && without <= 4);
 }
@@ -56,7 +57,8 @@
 /// Number of nodes that lack an update 10 s after half a second in which its push and its
 /// announcement were lost.
 fn missing_after_blackout(guards: Guards) -> usize {
-    // No parent is suspected, as the digest in a graft would repair the stores too.
+    // With a long timeout no parent is suspected: the digest in a graft would repair the stores
+    // too.
     let settings = Settings {
         suspect_timeout: ms(2_500),
         ..settings_with(guards)
@@ -78,7 +80,7 @@
         anti_entropy: false,
         ..Guards::default()
     });
-    println!("without anti-entropy {without} nodes still lack the change");
+    println!("without anti-entropy {without} nodes still lack the update");
     assert!(without > 0);
 }
 
@@ -139,7 +141,8 @@
     assert!(without_bound > settings.coordinator_fanout);
 }
 
-/// Bytes of entries between regions for ten changes, for each byte of payload.
+/// Mean number of region crossings of an update: bytes of entries sent between regions for ten
+/// updates, divided by the bytes of their payloads.
 fn region_crossings(guards: Guards) -> f64 {
     const SIZE: usize = 5_000;
     let mut sim = Simulation::start(Deployment::HUNDRED, settings_with(guards), 1);
@@ -171,18 +174,21 @@
         region_heads: false,
         ..Guards::default()
     });
-    // Five regions, of which one is the origin's.
-    println!("crossings a change: {with_them:.2}, without heads of regions {without:.2}, star 80");
+    // The minimum is 4: an update enters each of the five regions but that of its origin once.
+    println!(
+        "crossings an update: {with_them:.2}, without region heads {without:.2}, in a star topology 80"
+    );
     assert!(with_them < 4.5 && without > with_them + 2.0);
 }
 
-/// Milliseconds until no agent depends on the head of a region that has crashed.
+/// Milliseconds from the crash of a region head until no agent has it as its parent and all agents
+/// are attached.
 fn failover_ms(guards: Guards) -> u64 {
     let mut sim = Simulation::start(Deployment::HUNDRED, settings_with(guards), 1);
     sim.run_for(ms(8_000));
     let head = (5..105)
         .find(|agent| sim.has_remote_parent(*agent))
-        .expect("two regions have no coordinator");
+        .expect("a region without a coordinator has a head");
     sim.power_off(head);
     let start = sim.now;
     while (5..105).any(|agent| sim.is_running(agent) && sim.parent(agent) == Some(head))
--- a/crates/overlay/tests/overlay/load.rs
+++ b/crates/overlay/tests/overlay/load.rs
@@ -1,4 +1,4 @@
-//! Bursts of updates, large entries, and nodes that start without any entry.
+//! Bursts of updates, large entries, and nodes that start with an empty store.
 
 use std::time::Duration;
 
@@ -22,7 +22,10 @@
 fn run_until_stored(sim: &mut Simulation, nodes: &[usize], keys: u64) -> Duration {
     let start = sim.now;
     while !nodes.iter().all(|node| stores_all(sim, *node, keys)) {
-        assert!(sim.now - start < ms(10_000), "not within ten seconds");
+        assert!(
+            sim.now - start < ms(10_000),
+            "a node lacks entries after 10 s"
+        );
         sim.run_for(ms(10));
     }
     sim.now - start
@@ -43,7 +46,7 @@
         .zip(&before)
         .map(|(node, before)| node.pushes - before);
     let most = pushes.max().expect("nodes");
-    println!("200 changes within 20 ms reach a node in {most} messages at most");
+    println!("200 updates within 20 ms reach a node in {most} messages at most");
     assert!(most <= 4);
     assert!((0..sim.deployment.len()).all(|node| stores_all(&sim, node, 200)));
 }
@@ -105,7 +108,7 @@
 }
 
 #[test]
-#[ignore = "for the figures in docs/CAPACITY.md; in release"]
+#[ignore = "prints the figures in docs/CAPACITY.md; run in release mode"]
 fn delays_by_size_and_loss() {
     let regions = |agents: usize| if agents < 50 { 2 } else { 10 };
     for agents in [7, 30, 100, 300, 1_000] {
--- a/crates/overlay/tests/overlay/main.rs
+++ b/crates/overlay/tests/overlay/main.rs
@@ -1,4 +1,4 @@
-//! The overlay in a simulated network: dissemination, faults and costs.
+//! Tests of the overlay in a simulated network: dissemination, faults, load and costs.
 
 mod support;
 
--- a/crates/overlay/tests/overlay/random_faults.rs
+++ b/crates/overlay/tests/overlay/random_faults.rs
@@ -10,15 +10,15 @@
 use crate::support::deployment::Deployment;
 use crate::support::simulation::{Simulation, ms};
 
-/// Steps of a script, and the time of one in milliseconds.
+/// Number of steps of a script, and the mean time of a step in milliseconds.
 const STEPS: usize = 40;
 const MEAN_STEP_MS: u64 = 700;
 
-/// Keys published.
+/// Number of keys that are published.
 const KEYS: u64 = 12;
 
-/// A run: the simulation, what was published and by which coordinator, which keeps it over a
-/// restart.
+/// A run of random faults and updates. The disk of a coordinator survives its restarts: it has the
+/// version that the coordinator last published for each key, and whether that was a removal.
 struct Script {
     sim: Simulation,
     random: Xoshiro256PlusPlus,
@@ -148,7 +148,7 @@
         });
     }
 
-    /// Ends all faults and waits for convergence.
+    /// Ends all faults, starts all nodes and runs for 12 s, within which they must converge.
     fn converge(&mut self) {
         self.sim.heal();
         self.sim.loss = 0.0;
@@ -160,6 +160,8 @@
         self.sim.run_for(ms(12_000));
     }
 
+    /// Checks that all nodes are attached, fresh and have the newest version of each key, that no
+    /// node reported an older version, and that each region without a coordinator has one head.
     fn check(&self, seed: u64) {
         let newest =
             self.disks
@@ -170,7 +172,10 @@
                     *version_of_key = *version.max(version_of_key);
                     newest
                 });
-        assert_eq!(self.sim.regressions, 0, "seed {seed}: a version went back");
+        assert_eq!(
+            self.sim.regressions, 0,
+            "seed {seed}: a node reported an older version after a newer one"
+        );
         assert_eq!(
             self.sim.detached_agents(),
             0,
@@ -193,7 +198,11 @@
         let heads = (self.sim.deployment.coordinators..self.sim.deployment.len())
             .filter(|agent| self.sim.has_remote_parent(*agent));
         let without = self.sim.deployment.regions - self.sim.deployment.coordinator_regions;
-        assert_eq!(heads.count(), without, "seed {seed}: heads of regions");
+        assert_eq!(
+            heads.count(),
+            without,
+            "seed {seed}: number of region heads"
+        );
     }
 }
 
@@ -230,7 +239,7 @@
 }
 
 #[test]
-#[ignore = "minutes; in release"]
+#[ignore = "takes minutes; run in release mode"]
 fn deployments_converge_over_a_thousand_seeds_each() {
     check_seeds(Deployment::SMALL, 1_000..2_000);
     check_seeds(Deployment::TWENTY, 1_000..2_000);
--- a/crates/overlay/tests/overlay/support.rs
+++ b/crates/overlay/tests/overlay/support.rs
@@ -1,4 +1,4 @@
-//! Set-up that the tests share: deployments, and the simulated network with its faults.
+//! Code that the tests share: deployments, and the simulated network with its faults.
 
 pub(crate) mod cuts;
 mod delivery;
--- a/crates/overlay/tests/overlay/support/cuts.rs
+++ b/crates/overlay/tests/overlay/support/cuts.rs
@@ -1,4 +1,5 @@
-//! Cuts of the simulated network: which messages are affected and what becomes of them.
+//! Network partitions: which pairs of nodes are cut, and what happens to their messages and
+//! connections.
 
 use std::time::Duration;
 
@@ -65,6 +66,7 @@
         }
     }
 
+    /// Closes both ends of each connection that is cut in at least one direction.
     fn reset_cut_connections(&mut self) {
         let ends = self.nodes.iter().enumerate().flat_map(|(node, state)| {
             state
@@ -83,8 +85,8 @@
         }
     }
 
-    /// Whether the cut delays a message. Where it delays at least the acknowledgement, the
-    /// connection is closed after [`USER_TIMEOUT`].
+    /// Whether the cut delays a message. If it delays the message or its acknowledgement, the
+    /// sender closes the connection after [`USER_TIMEOUT`].
     pub(super) fn is_delayed(&mut self, from: usize, to: usize, connection: u64) -> bool {
         let is_delayed = self.is_cut(from, to);
         if is_delayed || self.is_cut(to, from) {
--- a/crates/overlay/tests/overlay/support/delivery.rs
+++ b/crates/overlay/tests/overlay/support/delivery.rs
@@ -1,4 +1,4 @@
-//! How the simulated network runs: events of nodes, delivery of messages and connections.
+//! The event loop of the simulated network: connections, delivery of messages and timers.
 
 use std::time::Duration;
 
@@ -96,7 +96,8 @@
         );
     }
 
-    /// The opening packet of a connection has come back.
+    /// Opens a connection when the reply to its opening packet arrives. Without a reply (the peer
+    /// is powered off or cut off) the attempt hangs; a peer without a process refuses it.
     fn establish(&mut self, from: usize, to: usize) {
         let cut = self.is_cut(from, to) || self.is_cut(to, from);
         let refused = self.cut_effect == CutEffect::Refused;
@@ -125,7 +126,8 @@
         self.connected(from, to, connection);
     }
 
-    /// Gives an event to a node and carries out its actions.
+    /// Lets a node handle an event and carries out its actions; a paused node keeps the event for
+    /// later.
     pub(crate) fn dispatch(&mut self, node: usize, event: Event) {
         if let Some(unread) = &mut self.nodes[node].unread {
             return unread.push(event);
@@ -228,7 +230,8 @@
         }
     }
 
-    /// When something sent now arrives: after the latency, and after what was sent before it.
+    /// Arrival time of a packet that is sent now: after the latency, and not before earlier packets
+    /// of the same sender to the same receiver.
     pub(super) fn arrival(&mut self, from: usize, to: usize) -> Duration {
         let at = self.now + self.latency(from, to);
         let last = self.last_arrival.entry((from, to)).or_default();
--- a/crates/overlay/tests/overlay/support/deployment.rs
+++ b/crates/overlay/tests/overlay/support/deployment.rs
@@ -1,4 +1,4 @@
-//! Deployments to simulate.
+//! Sizes and layouts of the simulated deployments.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -11,7 +11,7 @@
     pub agents: usize,
     pub regions: usize,
     pub zones: usize,
-    /// Regions that have coordinators.
+    /// Number of regions that have coordinators.
     pub coordinator_regions: usize,
 }
 
@@ -87,7 +87,7 @@
 
 pub(crate) fn index(address: SocketAddr) -> usize {
     let SocketAddr::V4(address) = address else {
-        panic!("version 4")
+        panic!("simulated nodes have IPv4 addresses")
     };
     (address.ip().to_bits() - 0x0a00_0000) as usize
 }
--- a/crates/overlay/tests/overlay/support/event_queue.rs
+++ b/crates/overlay/tests/overlay/support/event_queue.rs
@@ -1,4 +1,4 @@
-//! The events of the simulated network, in the order of their times.
+//! The event queue of the simulated network.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -30,7 +30,7 @@
         peer: usize,
         connection: Option<u64>,
     },
-    /// Bytes sent on this connection are still unacknowledged.
+    /// The time limit for acknowledgements of bytes that `node` sent on this connection is over.
     Unacknowledged {
         node: usize,
         peer: usize,
@@ -84,7 +84,7 @@
         }));
     }
 
-    /// The next event up to `until`, and its time.
+    /// Removes the next event that is due at `until` or before, and returns it with its time.
     pub(super) fn pop_until(&mut self, until: Duration) -> Option<(Duration, NetworkEvent)> {
         if self.events.peek()?.0.at > until {
             return None;
--- a/crates/overlay/tests/overlay/support/node.rs
+++ b/crates/overlay/tests/overlay/support/node.rs
@@ -7,7 +7,7 @@
 
 use super::traffic::Traffic;
 
-/// A machine and its process, if one runs.
+/// A simulated machine and its process, if one runs.
 pub(crate) struct Node {
     pub descriptor: Descriptor,
     pub overlay: Option<Overlay>,
@@ -22,14 +22,14 @@
     pub versions: BTreeMap<u64, u64>,
     /// Number of events handled.
     pub events_handled: u64,
-    /// Number of messages of pushed entries received.
+    /// Number of received messages with pushed entries.
     pub pushes: u64,
     /// Events that a paused process has not read yet.
     pub(super) unread: Option<Vec<Event>>,
 }
 
 impl Node {
-    /// A node that does not run.
+    /// A machine that is on and has no running process.
     pub(super) fn new(descriptor: Descriptor) -> Node {
         Node {
             descriptor,
--- a/crates/overlay/tests/overlay/support/simulation.rs
+++ b/crates/overlay/tests/overlay/support/simulation.rs
@@ -46,7 +46,7 @@
     pub(super) delayed: Vec<DelayedMessage>,
     pub(super) events: EventQueue,
     pub(super) connections: u64,
-    /// Connections of which only the opener knows yet: opener, peer.
+    /// Connections that only the opener has established so far, as (opener, peer).
     pub(super) half_open: BTreeSet<(usize, usize)>,
     pub(super) last_arrival: BTreeMap<(usize, usize), Duration>,
     pub(super) random: Xoshiro256PlusPlus,
@@ -117,7 +117,7 @@
         self.nodes.push(Node::new(descriptor));
     }
 
-    /// Stops a process: its neighbours see closed connections.
+    /// Kills a process: its neighbours see closed connections.
     pub(crate) fn kill(&mut self, node: usize) {
         let peers: Vec<(usize, u64)> = self.nodes[node]
             .connections
@@ -131,7 +131,8 @@
         self.nodes[node].is_powered_off = false;
     }
 
-    /// Powers off a machine: its neighbours see nothing.
+    /// Powers off a machine: its neighbours see no closed connection, and new connections to it
+    /// hang.
     pub(crate) fn power_off(&mut self, node: usize) {
         self.nodes[node].is_powered_off = true;
         self.nodes[node].overlay = None;
@@ -140,12 +141,12 @@
         self.nodes[node].timer = None;
     }
 
-    /// Pauses a process; messages to it wait.
+    /// Pauses a process; its events are queued until [`Simulation::resume`].
     pub(crate) fn pause(&mut self, node: usize) {
         self.nodes[node].unread = Some(Vec::new());
     }
 
-    /// Resumes a paused process, which then reads the messages that waited.
+    /// Resumes a paused process, which handles the queued events at once.
     pub(crate) fn resume(&mut self, node: usize) {
         let unread = self.nodes[node].unread.take().unwrap_or_default();
         for event in unread {
@@ -185,6 +186,7 @@
             && !self.is_cut(to, from)
     }
 
+    /// Publishes a version of `size` bytes at a node and returns the current time.
     pub(crate) fn publish(&mut self, node: usize, key: u64, version: u64, size: usize) -> Duration {
         let payload: Arc<[u8]> = Arc::from(vec![(key ^ version) as u8; size]);
         self.dispatch(
--- a/crates/overlay/tests/overlay/support/statistics.rs
+++ b/crates/overlay/tests/overlay/support/statistics.rs
@@ -1,4 +1,4 @@
-//! Quantiles of delays.
+//! Quantiles of update delays.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     );
 }
 
-/// The quantile of sorted delays, in thousandths.
+/// The quantile `part` of sorted delays, in thousandths: 990 is the 99th percentile.
 pub(crate) fn quantile(delays: &[Duration], part: usize) -> Duration {
     delays[(delays.len() - 1) * part / 1_000]
 }
