--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -68,11 +68,11 @@
 pub(crate) fn run(days: &Days) -> eyre::Result<ExitCode> {
     files::ensure_directory(&days.out)?;
     let runs = days.runs();
-    let missing: Vec<&DayRun> = runs
+    let pending: Vec<&DayRun> = runs
         .iter()
         .filter(|run| run.read_report(&days.out).is_err())
         .collect();
-    days.make_all(&missing)?;
+    days.run_pending(&pending)?;
     let results: Vec<DayResult> = runs
         .into_iter()
         .map(|run| DayResult::read(run, &days.out))
@@ -105,11 +105,11 @@
     }
 
     /// Makes runs in parallel: each thread takes the next that no other has begun.
-    fn make_all(&self, runs: &[&DayRun]) -> Result<(), FileError> {
+    fn run_pending(&self, runs: &[&DayRun]) -> Result<(), FileError> {
         let next = AtomicUsize::new(0);
         let work = || {
             while let Some(run) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
-                self.make(run)?;
+                self.run_day(run)?;
                 let result = DayResult::read((*run).clone(), &self.out);
                 // Progress that can't be shown, as on a full disk, is no reason to end the runs.
                 let _ = writeln!(io::stderr(), "{result}");
@@ -126,7 +126,7 @@
 
     /// Has the bench run one day. The output is renamed to its final path only when the bench has
     /// ended.
-    fn make(&self, run: &DayRun) -> Result<(), FileError> {
+    fn run_day(&self, run: &DayRun) -> Result<(), FileError> {
         let path = run.output_path(&self.out);
         let partial = path.with_extension("part");
         let failed = FileError::io(&partial);
--- a/crates/testbed/src/emulate.rs
+++ b/crates/testbed/src/emulate.rs
@@ -9,7 +9,7 @@
 use crate::runner::{MeasuredReport, Runner, Trial};
 
 /// The most broken rules that the summary lists.
-const LISTED_VIOLATIONS: usize = 5;
+const MAX_LISTED_VIOLATIONS: usize = 5;
 
 /// Prints what a scenario contains.
 ///
@@ -78,14 +78,14 @@
 /// The result of a run as text, without a newline at the end.
 fn summary(result: &MeasuredReport) -> String {
     let report = &result.report;
-    let effort = format!(
+    let run_cost = format!(
         "digest {}; {} events in {:.2} s, {} MB at most\n",
         report.digest, report.events, result.wall_s, result.peak_rss_mb
     );
     service_lines(report)
         + &traffic_lines(report)
         + &class_lines(report)
-        + &effort
+        + &run_cost
         + &violation_lines(report)
 }
 
@@ -141,7 +141,7 @@
         0 => "no rule broken".to_string(),
         count => format!("{count} RULES BROKEN, the first:"),
     };
-    for violation in report.violations.iter().take(LISTED_VIOLATIONS) {
+    for violation in report.violations.iter().take(MAX_LISTED_VIOLATIONS) {
         text += &format!(
             "\n  {} at {:.3} s by proxy {}, server {:?}, request {:?}: {}",
             violation.rule,
--- a/crates/testbed/src/hunt/finding.rs
+++ b/crates/testbed/src/hunt/finding.rs
@@ -10,10 +10,10 @@
 const MAX_EVENTS_PER_REQUEST: u64 = 100;
 
 /// The most requests that are expected for each that the scenario's rate gives: clients retry.
-const MAX_REQUESTS_PER_CLIENT: f64 = 5.0;
+const MAX_REQUESTS_PER_ARRIVAL: f64 = 5.0;
 
 /// Requests that are allowed beyond, for short scenarios.
-const SPARE_REQUESTS: u64 = 10_000;
+const REQUEST_ALLOWANCE: u64 = 10_000;
 
 /// The simulated time between two checks of the number of events, in seconds.
 const CHECK_INTERVAL_S: f64 = 0.25;
@@ -26,7 +26,7 @@
     /// A policy or the emulator panicked; with the message.
     Panicked(String),
     /// The run does not terminate.
-    EndlessEvents,
+    NonTerminating,
     /// The policy's service is far below the reference's.
     PoorService {
         /// The policy's service.
@@ -51,7 +51,7 @@
         match self {
             Finding::RuleBroken(rule, circumstances) => write!(f, "{rule} broken: {circumstances}"),
             Finding::Panicked(message) => write!(f, "panic: {message}"),
-            Finding::EndlessEvents => write!(f, "events without end"),
+            Finding::NonTerminating => write!(f, "events without end"),
             Finding::PoorService { service, reference } => {
                 write!(f, "service {service:.3}, the reference has {reference:.3}")
             }
@@ -96,14 +96,14 @@
             return Ok(simulation.report());
         }
         if simulation.events() > max_events {
-            return Err(Finding::EndlessEvents);
+            return Err(Finding::NonTerminating);
         }
     }
 }
 
 fn max_events(scenario: &Scenario) -> u64 {
-    let requests = scenario.clients.rate * scenario.length_s * MAX_REQUESTS_PER_CLIENT;
-    let max_requests = requests as u64 + SPARE_REQUESTS;
+    let requests = scenario.clients.rate * scenario.length_s * MAX_REQUESTS_PER_ARRIVAL;
+    let max_requests = requests as u64 + REQUEST_ALLOWANCE;
     max_requests.saturating_mul(MAX_EVENTS_PER_REQUEST)
 }
 
--- a/crates/testbed/src/hunt/generator.rs
+++ b/crates/testbed/src/hunt/generator.rs
@@ -26,13 +26,13 @@
 const FAULT_PROBABILITY: f64 = 0.3;
 
 /// The latest start of a fault, as a share of the scenario's length: its effects show before the end.
-const LAST_FAULT_START: f64 = 0.7;
+const MAX_FAULT_START_SHARE: f64 = 0.7;
 
 /// The range of the load, as a share of what warm servers can do: from mostly idle to overloaded.
-const LOAD: (f64, f64) = (0.15, 1.3);
+const LOAD_RANGE: (f64, f64) = (0.15, 1.3);
 
 /// The range of the request rate, in requests a second. More would make the hunt slow.
-const RATE: (f64, f64) = (1.0, 3_000.0);
+const RATE_RANGE: (f64, f64) = (1.0, 3_000.0);
 
 /// Generates a scenario without faults.
 pub(super) fn generate_scenario(seed: u64) -> Scenario {
@@ -85,8 +85,8 @@
             .map(|_| random.unit() + 0.01)
             .collect();
     }
-    let rate = scenario.capacity() * random.uniform(LOAD);
-    scenario.clients.rate = rate.clamp(RATE.0, RATE.1);
+    let rate = scenario.capacity() * random.uniform(LOAD_RANGE);
+    scenario.clients.rate = rate.clamp(RATE_RANGE.0, RATE_RANGE.1);
     scenario
 }
 
@@ -118,7 +118,7 @@
 
 fn generate_pool(random: &mut Stream, number: usize, zones: &[String]) -> Pool {
     let cores = 1 + random.below(6) as u32;
-    let least = random.uniform((0.4, 1.0));
+    let min_speed = random.uniform((0.4, 1.0));
     Pool {
         kind: format!("p{number}"),
         zone: if random.unit() < 0.7 {
@@ -134,7 +134,7 @@
             cores * (1 + random.below(4) as u32)
         },
         queue: random.below(80) as u32,
-        speed: (least, least * random.uniform((1.0, 2.0))),
+        speed: (min_speed, min_speed * random.uniform((1.0, 2.0))),
         connections: if random.unit() < 0.6 {
             0
         } else {
@@ -240,7 +240,7 @@
     let has_zone = is_zone_fault || random.unit() < 0.2;
     let class = &scenario.classes[random.below(scenario.classes.len())].name;
     let has_class = kind == FaultKind::GreyFailure;
-    let at_s = rounded_to_tenths(random.unit() * scenario.length_s * LAST_FAULT_START);
+    let at_s = rounded_to_tenths(random.unit() * scenario.length_s * MAX_FAULT_START_SHARE);
     let max_for_s = (scenario.length_s - at_s).max(0.4);
     Fault {
         kind,
--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -13,7 +13,7 @@
 const STEPS_PER_RUN: u32 = 100;
 
 /// A simulated time after the end of any run, in seconds.
-const AFTER_THE_END_S: f64 = u32::MAX as f64;
+const BEYOND_END_S: f64 = u32::MAX as f64;
 
 /// One run to be emulated.
 #[derive(Clone)]
@@ -99,7 +99,7 @@
                 return None;
             }
             let until_s = if step == STEPS_PER_RUN {
-                AFTER_THE_END_S
+                BEYOND_END_S
             } else {
                 trial.scenario.length_s * f64::from(step) / f64::from(STEPS_PER_RUN)
             };
--- a/crates/testbed/tests/commands.rs
+++ b/crates/testbed/tests/commands.rs
@@ -263,11 +263,11 @@
     }
 
     /// The command that runs the day `cut` on the site `small`, with further arguments.
-    fn command(&self, further: &[&str]) -> Command {
+    fn command(&self, extra: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ironmast-testbed"));
         command.args(["days", "cut.toml", "--site", "small.toml"]);
         command.args(["--why", "a test", "--out", &self.out]);
-        command.args(["--bench", &self.program]).args(further);
+        command.args(["--bench", &self.program]).args(extra);
         command
     }
 
