--- a/crates/testbed/tests/commands.rs
+++ b/crates/testbed/tests/commands.rs
@@ -180,7 +180,7 @@
             vec!["check", "nowhere.toml"],
             "nowhere.toml: No such file".into(),
         ),
-        // Runs with these arguments would take minutes: the output path must be checked before.
+        // Runs with these arguments would take minutes: they must be rejected before any run.
         (
             vec!["compare", &large, "--out", &below_file],
             "Not a directory".into(),
