--- a/crates/ironmast/tests/common/mod.rs
+++ b/crates/ironmast/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What tests that run the program share.
+//! Helpers for tests that run the program.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -9,10 +9,10 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::process::{Pid, Signal, kill_process};
 
-/// What has not arrived after this fails the test.
+/// A test fails if something it waits for takes longer than this.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A program that ends with the test, whatever becomes of it: one left over holds the test's own
+/// A program that is killed when the test ends, also by a panic. One left over would keep the test's
 /// output open.
 pub(crate) struct Running(pub Child);
 
@@ -25,15 +25,15 @@
 impl Running {
     /// Sends a signal to the program.
     ///
-    /// By a system call, not by a `kill` process: where such a process ends before the thread that
-    /// started it is back from `posix_spawn`, during which it blocks all signals, the SIGCHLD goes
-    /// to another thread of the test and interrupts what that waits for.
+    /// Uses the system call, not a `kill` process: `posix_spawn` blocks all signals in the calling
+    /// thread, so if that process ends before the call returns, SIGCHLD goes to another thread of the
+    /// test and interrupts its blocking call.
     pub(crate) fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.0), signal).expect("signalled");
     }
 }
 
-/// Repeats a read while signals interrupt it: one with a time-out is not restarted by the system.
+/// Repeats a read that a signal interrupts. The kernel does not restart a read with a timeout.
 pub(crate) fn uninterrupted<T>(mut read: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match read() {
@@ -43,22 +43,25 @@
     }
 }
 
-/// Asks until a condition is true.
+/// Polls a condition until it is true; panics after [`TIMEOUT`].
 pub(crate) fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < TIMEOUT, "not in time: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting until {what}");
         std::thread::yield_now();
     }
 }
 
-/// Reads the program's log on to the line that holds `text`.
+/// Reads the program's log up to the next line that contains `text`, and returns that line.
 pub(crate) fn wait_log(log: &mut BufReader<ChildStderr>, text: &str) -> String {
     let deadline = Instant::now() + TIMEOUT;
     let mut skipped = String::new();
     loop {
         let remaining = deadline.saturating_duration_since(Instant::now());
-        assert!(!remaining.is_zero(), "no `{text}` in time, but:\n{skipped}");
+        assert!(
+            !remaining.is_zero(),
+            "timed out waiting for `{text}` in the log; read instead:\n{skipped}"
+        );
         if log.buffer().is_empty() {
             let timeout = Timespec::try_from(remaining).expect("in range");
             let mut log = [PollFd::new(log.get_ref(), PollFlags::IN)];
--- a/crates/ironmast/tests/exchanges.rs
+++ b/crates/ironmast/tests/exchanges.rs
@@ -1,5 +1,5 @@
-//! Recorded exchanges (`tests/exchanges/*.txt`) played against the program over sockets. What the
-//! program says is compared with `tests/snapshots/`.
+//! Plays scripted exchanges (`tests/exchanges/*.txt`) against the program over sockets and compares what
+//! the program sends with `tests/snapshots/`.
 
 mod common;
 #[path = "exchanges/deployments.rs"]
@@ -91,9 +91,9 @@
     }
 }
 
-/// Where lists are pushed, what the agent has counts as told from a process's first moment on, and
-/// right after an outage: the watch is opened without being asked for, and again as soon as it
-/// ends. The list comes indented.
+/// With automatic discovery, the agent counts a list as known to the proxy from the start of the process
+/// and right after an outage. So the proxy has to open the watch before any request needs it, and again
+/// as soon as it ends. The list is sent as indented JSON.
 #[test]
 fn pushed_lists_are_watched_from_the_start_and_again_right_after_an_outage() {
     let agent = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -123,19 +123,22 @@
             wait_log(&mut log, "endpoint update: Complete, known: 1");
         }
     }
-    assert!(began.elapsed() < TIMEOUT, "both without being asked for");
+    assert!(
+        began.elapsed() < TIMEOUT,
+        "the watch was not opened twice in time"
+    );
 }
 
-/// A watch that ends may end instead of telling of a drain. All proxies call again then, discovery
-/// answers one after another, and the last has to be told in time, too: none waits as after a call
-/// that failed.
+/// A watch may end instead of reporting a drain. All proxies then reconnect, discovery answers them one
+/// after another, and the last one has to learn of the drain in time as well. So no proxy waits as it
+/// does after a failed call.
 #[test]
 fn a_watch_that_ends_after_a_list_is_reopened_at_once() {
     const ENDS: u32 = 5;
     let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = discovery.local_addr().expect("bound").to_string();
     let config = ironmast_fault_injection::CONFIG.replace("{discovery}", &at);
-    // The wait after a call that failed is 0.75 s at the least then.
+    // With this setting, the delay after a failed call is at least 0.75 s.
     let asked = "\"ask_within\":10000000";
     assert!(config.contains(asked));
     let (child, _file) = start(&config.replace(asked, "\"ask_within\":400000000"));
@@ -190,14 +193,14 @@
     );
 }
 
-/// One of many proxies, restarted with a stale list while discovery says nothing and its peers talk
-/// nonsense: it serves from the list, tells its rate in six bytes, and does not fill its log.
+/// One of many proxies restarts with a stale list while discovery is silent and its peers send invalid
+/// datagrams. It serves from the list, reports its rate in six bytes and does not flood its log.
 #[test]
 fn one_of_many_proxies_serves_despite_a_stale_list_a_silent_discovery_and_invalid_datagrams() {
     let timeout = Some(TIMEOUT);
     let tcp = || TcpListener::bind("127.0.0.1:0").expect("a port");
     let (discovery, server) = (tcp(), tcp());
-    // Reserved: guards against another test that listens there.
+    // The port is reserved so that no other test listens there.
     let gone = reserve_port().expect("a port");
     let udp = || UdpSocket::bind("127.0.0.1:0").expect("a port");
     let (peer, stranger) = (udp(), udp());
@@ -228,7 +231,8 @@
     let mut log = BufReader::new(child.0.stderr.take().expect("piped"));
     let listen = listens_at(&mut log);
     let mut told = [0; 300];
-    let (bytes, proxy) = uninterrupted(|| peer.recv_from(&mut told)).expect("it tells its rate");
+    let (bytes, proxy) =
+        uninterrupted(|| peer.recv_from(&mut told)).expect("the proxy reports its rate");
     assert_eq!(
         (bytes, told[0], told[1]),
         (6, 1, 0),
--- a/crates/ironmast/tests/exchanges/deployments.rs
+++ b/crates/ironmast/tests/exchanges/deployments.rs
@@ -1,6 +1,6 @@
-//! Deployments of different shapes: `check-config` reads the settings of each, and the proxy serves
-//! one request of each class, with the names, effects, tenants and ways of asking that they alone
-//! tell.
+//! Deployments that differ in classes, effects, tenants, zones and discovery mode. `check-config` accepts
+//! the settings of each, and the proxy serves one request of each class; class and tenant names come
+//! from the settings alone.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,7 +11,8 @@
 use crate::common::{Running, TIMEOUT, wait_log};
 use crate::player::{listens_at, message, start};
 
-/// Class: its name, whether and where repeats are dropped, its latency target and its clients' timeout in ms.
+/// A request class: name, effect, deduplication scope and window in ms (if any), latency objective and
+/// client timeout in ms.
 type Class = (
     &'static str,
     &'static str,
@@ -22,13 +23,14 @@
 
 struct Deployment {
     name: &'static str,
-    /// How lists come, and what reports are called.
+    /// The discovery mode.
     discovery: &'static str,
+    /// The names in load reports.
     reports: &'static [&'static str],
     zones: &'static [&'static str],
     tenants: &'static [(&'static str, f64)],
     classes: &'static [Class],
-    /// `cancelling`, `may_duplicate`, `probes`, `peers`, `retry_after`.
+    /// The limits `cancelling`, `may_duplicate`, `probes`, `peers` and `retry_after`.
     allowed: [bool; 5],
     most_tries: u32,
     drain_grace_ms: u64,
@@ -126,7 +128,7 @@
     }
 }
 
-/// Answers each request on each connection with the text that `answer` makes of it.
+/// Starts a stub server that answers each request with the text that `answer` returns for it.
 fn stand_in(
     listener: TcpListener,
     answer: impl Fn(&[String], &[u8]) -> String + Clone + Send + 'static,
@@ -174,7 +176,7 @@
                 line.len()
             )
         });
-        // What a server was told of a request is its answer.
+        // The pay server echoes the request line, the idempotency key and the body.
         stand_in(server, |head, body| {
             let key = head
                 .iter()
@@ -255,7 +257,7 @@
                 "{name}"
             );
         }
-        // No other deployment's class is known here.
+        // Classes of the other deployments are unknown to this proxy.
         let others = DEPLOYMENTS.iter().flat_map(|d| d.classes).map(|c| c.0);
         for class in others.filter(|other| deployment.classes.iter().all(|own| own.0 != *other)) {
             let mut stranger = connect();
--- a/crates/ironmast/tests/exchanges/player.rs
+++ b/crates/ironmast/tests/exchanges/player.rs
@@ -1,20 +1,23 @@
-//! Plays a recorded exchange against the program and writes down what the program said.
+//! Plays a scripted exchange against the program and records what the program sends.
 //!
 //! A line of a script is `PARTY VERB TEXT`; parties are `clientN`, `serverN`, `discovery` and
 //! `proxy`. `>` sends the text (`\r`, `\n` escaped), `<` reads one message, `close` closes, `eof`
-//! waits until the program closes, `refuse` stops listening. `discovery list true|false
-//! UID.ZONE.STATE ...` is a line of the watch; a letter behind a UID names another process at the
-//! same address. `proxy log TEXT` waits for a line of the log, `proxy tells TEXT` writes it down,
-//! `proxy term` sends SIGTERM, `proxy exit` waits for the end; `proxy reload TEXT` replaces the
-//! configuration (by one that names that party as discovery, or by the text itself) and sends
-//! SIGHUP; `proxy sockets N` starts it with that many descriptors, `proxy with A B` with B for A in
-//! its configuration, `proxy debug` with a log that follows each request. `fill N` sends so many
-//! bytes that are no HTTP, `times N TEXT` the text so often, `proxy rested` holds where it has been
-//! on a processor for less than 1 s since its start; `fin` waits for an orderly end where `eof`
-//! takes a reset as well; `hold` lets no connection to a server come up any more, `dialled` waits
-//! until one is asked for and `undialled` until none is. `proxy pause` stops the program, so that
-//! what other parties do until `proxy resume` is there at once when it looks. Nothing sleeps: all
-//! wait for bytes or the system's tables.
+//! waits until the program closes the connection or resets it, `fin` waits for an orderly end only,
+//! `refuse` stops listening. `fill N` sends N bytes that are not HTTP, `times N TEXT` sends the text N
+//! times. `hold` lets no further connection to a server be established, `dialled` waits until the
+//! program attempts one and `undialled` until no attempt is pending. `discovery list true|false
+//! UID.ZONE.STATE ...` sends a line of the watch; a letter behind a UID names another process at the
+//! same address.
+//!
+//! `proxy log TEXT` waits for a line of the log, `proxy tells TEXT` also records it. `proxy term` sends
+//! SIGTERM, `proxy exit` waits for the end of the process. `proxy reload TEXT` replaces the
+//! configuration (by one that names that party as discovery, or by the text itself) and sends SIGHUP.
+//! `proxy sockets N` starts the program with a limit of N descriptors, `proxy with A B` with B in place
+//! of A in its configuration, `proxy debug` with a log of each request. `proxy rested` asserts that the
+//! program has used less than 1 s of processor time since its start. `proxy pause` stops the program,
+//! so that everything that other parties do until `proxy resume` is there at once when it continues.
+//!
+//! No step sleeps: all wait for bytes or for a state in the kernel's tables.
 
 use std::collections::BTreeMap;
 use std::fs::DirEntry;
@@ -29,10 +32,10 @@
 
 use crate::common::{Running, TIMEOUT, uninterrupted, wait_log, wait_until};
 
-/// How long the program may have been on a processor where a script asserts that it has rested.
+/// Limit for the program's processor time, in nanoseconds, in the step `proxy rested`.
 const MAX_BUSY_NANOS: u64 = 1_000_000_000;
 
-/// The program, the parties of its script, and what has been recorded.
+/// The program, the parties of its script and the record of the exchange.
 pub(crate) struct Proxy {
     child: Running,
     config: NamedTempFile,
@@ -45,12 +48,13 @@
     rev: u64,
 }
 
-/// Runs the program with a configuration file of that text, for as long as it is needed.
+/// Starts the program with this configuration. The returned file has to live as long as the program
+/// may read it.
 pub(crate) fn start(config: &str) -> (Child, NamedTempFile) {
     start_logging(config, "info")
 }
 
-/// The same, with a log of that level.
+/// Like [`start`], with this log level.
 fn start_logging(config: &str, level: &str) -> (Child, NamedTempFile) {
     let file = NamedTempFile::new().expect("a file");
     std::fs::write(file.path(), config).expect("written");
@@ -63,14 +67,14 @@
         command.env_remove(name);
     }
     let mut child = command.spawn().expect("the program starts");
-    // It is read before the first line is written, or the program has ended.
+    // The program has read its configuration once it logs its first line, or has ended.
     let fd = child.stderr.as_mut().expect("piped");
     let mut first = [0];
     fd.read_exact(&mut first).expect("a first line");
     (child, file)
 }
 
-/// Reads the program's log on to where it says at which address it listens.
+/// Reads the program's log up to the line with the listening address, and returns the address.
 pub(crate) fn listens_at(log: &mut BufReader<ChildStderr>) -> String {
     let serving = wait_log(log, "listen: ");
     let address = |text: &str| {
@@ -146,13 +150,13 @@
 }
 
 impl Drop for Proxy {
-    /// Where the test fails, says what had been said and what else the program logged.
+    /// Prints the record so far and the rest of the program's log if the test fails.
     fn drop(&mut self) {
         if std::thread::panicking() {
             let _ = self.child.0.kill();
             let mut log = Vec::new();
             let _ = self.log.read_to_end(&mut log);
-            println!("said before the failure:\n{}", self.said);
+            println!("recorded before the failure:\n{}", self.said);
             println!("logged after the last line that was waited for:");
             println!("{}", String::from_utf8_lossy(&log));
         }
@@ -170,7 +174,7 @@
             "proxy" => self.program_step(verb, text),
             _ => self.party_step(party, verb, text),
         };
-        assert!(is_known, "not a step: {line}");
+        assert!(is_known, "unknown step in the script: {line}");
     }
 
     /// Performs a step of the program; returns whether there is such a step.
@@ -234,14 +238,17 @@
         self.said += &format!("proxy exit {}\n", status.code().unwrap_or(-1));
     }
 
-    /// Asserts that the thread that does everything has been on a processor for less than
-    /// [`MAX_BUSY_NANOS`].
+    /// Asserts that the main thread, which does all the work, has used less than [`MAX_BUSY_NANOS`] of
+    /// processor time.
     fn assert_rested(&self) {
         let path = format!("/proc/{}/schedstat", self.child.0.id());
         let text = std::fs::read_to_string(path).expect("it runs");
         let busy = text.split(' ').next().expect("a column");
         let busy: u64 = busy.parse().expect("a number");
-        assert!(busy < MAX_BUSY_NANOS, "{busy} ns on a processor");
+        assert!(
+            busy < MAX_BUSY_NANOS,
+            "the program used {busy} ns of processor time"
+        );
     }
 
     fn send(&mut self, party: &str, bytes: &[u8]) {
@@ -249,7 +256,7 @@
         stream.write_all(bytes).expect("written");
     }
 
-    /// Sends a text as often as the number before it says.
+    /// Sends a text N times; `text` is `N TEXT`.
     fn send_repeatedly(&mut self, party: &str, text: &str) {
         let (count, text) = text.split_once(' ').expect("N TEXT");
         let count = count.parse().expect("a number");
@@ -268,7 +275,7 @@
         self.said += &format!("{party}: {message}\n");
     }
 
-    /// Waits for the end of a connection; a reset is none.
+    /// Waits for the orderly end of a connection; a reset fails the test.
     fn record_orderly_end(&mut self, party: &str) {
         let stream = self.stream(party);
         let bytes = uninterrupted(|| stream.read(&mut [0])).expect("an orderly end");
@@ -288,7 +295,7 @@
         self.said += &format!("{party}: closed\n");
     }
 
-    /// Lets no connection to a server come up any more.
+    /// Fills the server's accept backlog, so that no further connection to it is established.
     fn fill_backlog(&mut self, party: &str) {
         let backlog = FullBacklog::new(&self.listeners[party]).expect("filled");
         self.backlogs.insert(party.to_string(), backlog);
@@ -297,12 +304,15 @@
     /// Waits until a connection to a server whose backlog is full is pending, or until none is.
     fn wait_for_pending_connection(&self, party: &str, is_wanted: bool) {
         let backlog = &self.backlogs[party];
-        wait_until(&format!("{party}: pending is {is_wanted}"), || {
-            backlog
-                .has_pending_connection()
-                .expect("the system's table")
-                == is_wanted
-        });
+        wait_until(
+            &format!("a connection to {party} is pending: {is_wanted}"),
+            || {
+                backlog
+                    .has_pending_connection()
+                    .expect("the system's table")
+                    == is_wanted
+            },
+        );
     }
 
     /// Stops the program and waits until none of its threads runs any more.
@@ -311,7 +321,7 @@
         let threads = format!("/proc/{}/task", self.child.0.id());
         let is_stopped = |thread: DirEntry| {
             let stat = std::fs::read_to_string(thread.path().join("stat")).expect("it lives");
-            // The state follows the name, which is in brackets.
+            // The state follows the thread name, which is in parentheses.
             stat.rsplit(") ").next().expect("a state").starts_with('T')
         };
         wait_until("the program is stopped", || {
@@ -320,27 +330,27 @@
         });
     }
 
-    /// Lets the party refuse connections from now on. As in [`Self::close`], dropping the listener
-    /// alone would not end it while another test starts a process.
+    /// Makes the party refuse connections from now on. As in [`Self::close`], only dropping the listener
+    /// would not close it while another test starts a process.
     fn refuse(&mut self, party: &str) {
         let listener = self.listeners.remove(party).expect("it listens");
         rustix::net::shutdown(&listener, rustix::net::Shutdown::Both).expect("shut down");
     }
 
-    /// Closes the party's connection. A process that another test is starting has a copy of the socket
-    /// until it executes its program: to drop this one would not end the connection before.
+    /// Closes the party's connection. A process that another test is starting holds a copy of the socket
+    /// until it calls `exec`, so only dropping the socket would not end the connection before that.
     fn close(&mut self, party: &str) {
         if let Some(stream) = self.open.remove(party) {
             let _ = stream.get_ref().shutdown(Shutdown::Both);
         }
     }
 
-    /// The party's connection; a client opens it, the others wait for the program to.
+    /// The party's connection: a client connects, the other parties accept one from the program.
     fn stream(&mut self, party: &str) -> &mut BufReader<TcpStream> {
         self.open.entry(party.to_string()).or_insert_with(|| {
             let stream = match self.listeners.get(party) {
                 Some(listener) => {
-                    // Guards against a test that waits for good: `accept` itself has no time-out.
+                    // `accept` has no timeout of its own, so a thread keeps the test from waiting forever.
                     let (listener, (done, accepted)) =
                         (listener.try_clone().expect("a handle"), channel());
                     std::thread::spawn(move || done.send(listener.accept()));
@@ -383,13 +393,13 @@
     }
 }
 
-/// A script's text with the line ends that it escapes.
+/// Replaces the escapes `\r` and `\n` of a script by the characters.
 fn unescaped(text: &str) -> String {
     text.replace("\\r", "\r").replace("\\n", "\n")
 }
 
-/// Reads one message: its first line and headers, and its body; none where the other side ends or
-/// falls silent before.
+/// Reads one message: its first line and headers, and its body. `None` if the connection ends or the
+/// read times out before.
 pub(crate) fn message(from: &mut BufReader<TcpStream>) -> Option<(Vec<String>, Vec<u8>)> {
     let (mut head, mut length) = (Vec::new(), 0);
     loop {
@@ -411,7 +421,7 @@
     Some((head, body))
 }
 
-/// Reads one message, without what differs from run to run: date, addresses, times.
+/// Reads one message and leaves out what differs between runs: dates, addresses and times.
 fn read_message(from: &mut BufReader<TcpStream>) -> String {
     let (head, body) = message(from).expect("a whole message");
     let mut lines = Vec::new();
@@ -428,7 +438,7 @@
     lines.join(" | ")
 }
 
-/// The form of a number, digits left out.
+/// The shape of a number: each run of digits becomes a single 9.
 fn shape(value: &str) -> String {
     let digits = value.replace(|c: char| c.is_ascii_digit(), "9");
     let mut shape: Vec<char> = digits.chars().collect();
