--- a/crates/ironmast/tests/operations.rs
+++ b/crates/ironmast/tests/operations.rs
@@ -1,5 +1,4 @@
-//! Operators' calls and the replacement of a process by another, over real sockets and with real
-//! processes.
+//! Operator commands and hot restart, tested with real sockets and processes.
 
 mod common;
 mod stage;
@@ -17,7 +16,7 @@
 use rustix::process::Signal;
 use stage::{Stage, head, listen, patient};
 
-/// The stage, and what each of its servers has been asked.
+/// A stage that counts the requests to each of its pay servers.
 struct Counted {
     stage: Stage,
     asked: [Arc<AtomicUsize>; 2],
@@ -29,7 +28,7 @@
         while let Some(head) = head(&mut reader) {
             if !head.contains("/stats") {
                 asked.fetch_add(1, Ordering::SeqCst);
-                // The time that the server works on a request.
+                // The service time of a request.
                 std::thread::sleep(Duration::from_millis(5));
             }
             let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
@@ -63,8 +62,8 @@
     }
 }
 
-/// Clients that ask all the time, each other one on a new connection each time, until told to stop;
-/// they give back how many answers they had, and what else they met.
+/// Starts clients that send requests until `stop` is set, every second one on a new connection for each
+/// request. Each returns the number of its successful responses and a list of its failures.
 fn clients(stage: &Stage, stop: &Arc<AtomicBool>) -> Vec<JoinHandle<(usize, Vec<String>)>> {
     let one = |n: usize| {
         let (listen, stop) = (stage.listen, Arc::clone(stop));
@@ -85,7 +84,7 @@
                     format!("GET /balance HTTP/1.1\r\nHost: a\r\nX-Txn: c{n}-{served}\r\n\r\n");
                 let _ = stream.get_mut().write_all(ask.as_bytes());
                 let Some(head) = head(&mut stream) else {
-                    bad.push("closed on a request".to_string());
+                    bad.push("the connection was closed without a response".to_string());
                     continue;
                 };
                 let mut body = [0; 2];
@@ -154,7 +153,7 @@
     );
     assert!(
         took[took.len() - 1] < Duration::from_secs(1),
-        "each within a second"
+        "a command took a second or longer"
     );
     let long = process.call(&"x".repeat(2_000));
     assert!(long.starts_with("-ERR the line is over"), "{long}");
@@ -190,8 +189,12 @@
     new.ready();
     wait_log(&mut old.log, "the successor is serving");
     (0..10).for_each(|n| assert!(stage.request(&format!("b{n}")).starts_with("HTTP/1.1 200")));
-    assert_eq!(stage.asked(0), before, "out of use in both processes");
-    // What is called at one holds in the other, both ways.
+    assert_eq!(
+        stage.asked(0),
+        before,
+        "the server is disabled in both processes"
+    );
+    // A command to either process takes effect in the other one.
     assert!(old.call("disable-server s-1\n").starts_with("+OK"));
     wait_log(&mut new.log, "override received from the other process");
     assert!(new.call("disable-server s-1\n").contains("already"));
@@ -203,9 +206,9 @@
     wait_log(&mut new.log, "hot restart partner disconnected");
     let one = stage.asked(1);
     (0..10).for_each(|n| assert!(stage.request(&format!("c{n}")).starts_with("HTTP/1.1 200")));
-    assert_eq!(stage.asked(1), one, "still out of use");
-    assert!(stage.asked(0) > before, "back in use");
-    // On disk for a process that starts after a death without a word.
+    assert_eq!(stage.asked(1), one, "s-1 is still disabled");
+    assert!(stage.asked(0) > before, "s-0 is enabled again");
+    // The override is on disk, so a process that starts after a crash finds it.
     new.child.signal(Signal::KILL);
     new.child.0.wait().expect("it ends");
     let third = stage.start(stage.place());
@@ -220,7 +223,7 @@
     old.ready();
     let stop = Arc::default();
     let load = clients(&stage, &stop);
-    // Twice in a row.
+    // Two hot restarts in a row.
     for _ in 0..2 {
         let mut new = stage.start(stage.place());
         new.ready();
@@ -249,7 +252,7 @@
     wait_log(&mut old.log, "hot restart partner disconnected");
     assert!(
         stage.request("a").starts_with("HTTP/1.1 200"),
-        "the old one serves again"
+        "the old process does not serve again"
     );
     let mut next = stage.start(stage.place());
     wait_log(&mut old.log, "the successor is serving");
@@ -258,7 +261,7 @@
     wait_log(&mut next.log, "hot restart partner disconnected");
     assert!(
         stage.request("b").starts_with("HTTP/1.1 200"),
-        "the new one serves"
+        "the new process does not serve"
     );
     next.ready();
 }
@@ -273,7 +276,7 @@
     let mut process = stage.start(stage.place());
     process.ready();
     assert!(stage.request("a").starts_with("HTTP/1.1 200"));
-    // A successor of another version, and one that speaks nonsense, change nothing.
+    // A peer with another protocol version or an invalid greeting does not affect the process.
     for (line, told) in [
         ("{\"hello\":{\"version\":9}}\n", "another protocol version"),
         ("nonsense\n", "no valid greeting"),
@@ -283,7 +286,7 @@
         wait_log(&mut process.log, told);
     }
     assert!(stage.request("b").starts_with("HTTP/1.1 200"));
-    // A name that belongs to a process which does not answer: the new one starts alone.
+    // If the process that owns the socket does not answer, the new one starts on its own.
     drop(process);
     std::fs::remove_file(file("sock")).expect("removed");
     let mute = std::os::unix::net::UnixListener::bind(file("sock")).expect("bound");
@@ -293,8 +296,8 @@
     drop(mute);
 }
 
-/// Discovery has moved by SIGHUP since the first start; the new process is started with the old
-/// environment.
+/// SIGHUP may have changed the discovery address since the first start, while a new process is still
+/// started with the old environment.
 #[test]
 fn a_successor_uses_the_discovery_address_of_the_file_not_of_its_environment() {
     let stage = Counted::new();
@@ -312,7 +315,8 @@
     );
 }
 
-/// Without a folder to meet in, each goes alone: both listen, and the second serves on.
+/// Without a runtime folder there is no hot restart: both processes listen, and the second keeps
+/// serving when the first one ends.
 #[test]
 fn without_a_runtime_folder_both_processes_listen() {
     let stage = Counted::new();
@@ -356,7 +360,7 @@
     }
 }
 
-/// A kept connection that is idle at the replacement still gets its next answer.
+/// A keep-alive connection that is idle during the hot restart still gets its next response.
 #[test]
 fn an_idle_connection_is_served_by_the_predecessor_and_closed_with_its_next_response() {
     let stage = Counted::new();
@@ -379,8 +383,8 @@
     assert!(matches!(end, Ok(0)) || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset));
 }
 
-/// A name open in the new process is not opened in the old one on a connection it kept: the
-/// successor decides.
+/// While the successor has a request of some name in progress, the predecessor rejects another one of
+/// that name on a connection it kept, because the successor decides on names.
 #[test]
 fn a_request_name_open_in_the_successor_is_rejected_by_the_predecessor() {
     let runs = Arc::new(AtomicUsize::new(0));
@@ -390,8 +394,7 @@
         while let Some(head) = head(&mut reader) {
             if head.to_ascii_lowercase().contains("x-txn: held") {
                 seen.fetch_add(1, Ordering::SeqCst);
-                // The time that the server works on it, long enough for the second one to be
-                // answered meanwhile.
+                // The service time, long enough for the second request to be answered meanwhile.
                 std::thread::sleep(Duration::from_millis(800));
             }
             if (&stream)
@@ -419,7 +422,7 @@
         while runs.load(Ordering::SeqCst) == 0 {
             assert!(
                 start.elapsed() < Duration::from_secs(5),
-                "the held request never came"
+                "the held request did not reach the pay server"
             );
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -427,10 +430,11 @@
         assert!(second.starts_with("HTTP/1.1 409"), "{second}");
         assert!(held.join().expect("it ends").starts_with("HTTP/1.1 200"));
     });
-    assert_eq!(runs.load(Ordering::SeqCst), 1, "it ran once");
+    assert_eq!(runs.load(Ordering::SeqCst), 1, "executed once");
 }
 
-/// One request on a kept connection: the head of its answer, and the body of a 200 read off.
+/// Sends one request on a keep-alive connection and returns the head of its response; the body of a 200
+/// is read and dropped.
 fn ask_kept(kept: &mut BufReader<TcpStream>, txn: &str) -> String {
     let text = format!("GET /balance HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}\r\n\r\n");
     kept.get_mut().write_all(text.as_bytes()).expect("written");
--- a/crates/ironmast/tests/stage/mod.rs
+++ b/crates/ironmast/tests/stage/mod.rs
@@ -1,5 +1,5 @@
-//! Pay servers, discovery and a place for proxies that are started one after another, as real
-//! processes.
+//! A test environment with pay servers, discovery and a runtime folder, in which proxies are started as
+//! processes that can replace each other.
 
 use std::io::{BufRead as _, BufReader, Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,17 +10,17 @@
 
 use crate::common::{Running, TIMEOUT, wait_log, wait_until};
 
-/// Where it all is.
+/// The servers, addresses and files that the proxies of a test share.
 pub(crate) struct Stage {
     pub folder: tempfile::TempDir,
     pub listen: SocketAddr,
     discovery: SocketAddr,
-    /// Descriptors that each proxy may hold.
+    /// The file descriptor limit (`limits.sockets`) of each proxy that is started.
     pub sockets: usize,
     _port: OwnedFd,
 }
 
-/// One proxy.
+/// A running proxy, its log and the address for operator commands.
 pub(crate) struct Process {
     pub child: Running,
     pub log: BufReader<ChildStderr>,
@@ -32,7 +32,7 @@
     stream
 }
 
-/// Serves each connection in a thread of its own.
+/// Listens on a free port and serves each connection in its own thread.
 pub(crate) fn listen(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -46,7 +46,7 @@
     address
 }
 
-/// The head of the next message, or none at its end.
+/// Reads the head of the next message; `None` if the connection ends before it is complete.
 pub(crate) fn head(from: &mut BufReader<TcpStream>) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -58,7 +58,7 @@
 }
 
 impl Stage {
-    /// With pay servers that listen there, named s-0, s-1 and so on.
+    /// A stage whose discovery lists pay servers at these addresses as `s-0`, `s-1` and so on.
     pub(crate) fn new(servers: &[SocketAddr]) -> Stage {
         let target = |uid: &str, at: SocketAddr| {
             format!(
@@ -84,8 +84,7 @@
                 }
             }
         });
-        // A port of the system's choice, held without listening so that nobody but the proxies may
-        // have it.
+        // The port is bound without listening, so that only the proxies can use it.
         let port = ironmast_fault_injection::deployment::reserve_port().expect("a port");
         let (listen, port) = (port.address, port.descriptor);
         Stage {
@@ -101,7 +100,7 @@
         self.start_with(tmpdir, &[])
     }
 
-    /// The same, with variables of the environment.
+    /// Like [`Self::start`], with additional environment variables.
     pub(crate) fn start_with(&self, tmpdir: Option<&Path>, variables: &[(&str, &str)]) -> Process {
         let config = self.folder.path().join("config.json");
         let text = ironmast_fault_injection::CONFIG
@@ -144,7 +143,7 @@
         Some(self.folder.path())
     }
 
-    /// One request on a connection of its own.
+    /// Sends one request on a new connection and returns the whole response.
     pub(crate) fn request(&self, txn: &str) -> String {
         let mut stream = patient(TcpStream::connect(self.listen).expect("it listens"));
         write!(
@@ -159,7 +158,7 @@
 }
 
 impl Drop for Process {
-    /// Where the test fails, says what the program logged.
+    /// Prints the rest of the program's log if the test fails.
     fn drop(&mut self) {
         if std::thread::panicking() {
             let _ = self.child.0.kill();
@@ -180,8 +179,10 @@
         answer
     }
 
-    /// Asks until it is ready.
+    /// Waits until the proxy reports that it is ready.
     pub(crate) fn ready(&self) {
-        wait_until("it is ready", || self.call("ready\n").starts_with("+OK"));
+        wait_until("the proxy is ready", || {
+            self.call("ready\n").starts_with("+OK")
+        });
     }
 }
--- a/crates/ironmast/tests/streams.rs
+++ b/crates/ironmast/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Long bodies both ways, slow peers and the forms of HTTP/1.1, against the program over sockets.
+//! Long request and response bodies, slow peers and all HTTP/1.1 message framings, tested against the
+//! running program over sockets.
 
 mod common;
 mod stage;
@@ -15,15 +16,16 @@
 use rustix::process::Signal;
 use stage::{Process, Stage, head, listen, patient};
 
-/// As long as the agreement allows.
+/// The longest body that a deployment's agreement allows, in bytes.
 const LONG: usize = 32 << 20;
-/// Up to here the program holds a body whole.
+/// The program buffers request bodies up to this many bytes completely.
 const HELD: usize = 64 * 1024;
-/// Peak of the program's memory while eight such bodies and answers pass, in kB; held whole they
-/// were 512 MB.
+/// Limit for the program's peak memory, in kB, while eight bodies of the longest size pass in each
+/// direction. Buffered completely, they would take 512 MB.
 const PEAK_MOST: u64 = 32 * 1024;
 
-/// The byte at a place of a long body, so that a mix-up shows.
+/// The byte at an offset of a generated body. It depends on the seed and the offset, so that mixed-up
+/// or misplaced data is detected.
 fn byte(seed: usize, at: usize) -> u8 {
     ((at / 4096 + at) as u8)
         .wrapping_mul(31)
@@ -42,11 +44,11 @@
     })
 }
 
-/// Reads a message's body whatever its framing; none where it broke off.
+/// Reads a message's body in either framing; `None` if the connection ends within it.
 fn body(from: &mut BufReader<TcpStream>, head: &str) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     if let Some(length) = header(head, "content-length") {
-        body.resize(length.parse().expect("a length"), 0);
+        body.resize(length.parse().expect("content-length is a number"), 0);
         from.read_exact(&mut body).ok()?;
     } else if header(head, "transfer-encoding").is_some() {
         loop {
@@ -66,8 +68,9 @@
     Some(body)
 }
 
-/// A pay server that answers what `answer` says: told the head and the body (none where it broke
-/// off), it writes. Probes are answered and are no requests.
+/// Starts a pay server whose responses `answer` writes, given the head and the body of each request
+/// (`None` for a truncated body); the connection is closed if it returns false. Load probes are
+/// answered here and do not reach `answer`.
 fn server(
     answer: impl Fn(&TcpStream, &str, Option<Vec<u8>>) -> bool + Send + Sync + 'static,
 ) -> SocketAddr {
@@ -86,7 +89,7 @@
     })
 }
 
-/// A pay server that never answers, and hears whether each body came whole.
+/// Starts a pay server that never answers, and reports for each body whether it arrived completely.
 fn listener_for_ends() -> (SocketAddr, Receiver<bool>) {
     let (told, ended) = channel();
     let told = std::sync::Mutex::new(told);
@@ -113,14 +116,14 @@
     (stage, process)
 }
 
-/// A figure of the program's memory, in kB.
+/// A memory figure of the program from `/proc/PID/status`, in kB.
 fn memory(process: &Process, which: &str) -> u64 {
     let path = format!("/proc/{}/status", process.child.0.id());
-    let text = std::fs::read_to_string(path).expect("it lives");
+    let text = std::fs::read_to_string(path).expect("the program runs");
     let line = text
         .lines()
         .find(|l| l.starts_with(which))
-        .expect("it is told");
+        .expect("the status file has this line");
     line.split_whitespace()
         .nth(1)
         .and_then(|n| n.parse().ok())
@@ -169,7 +172,7 @@
                 let head = stage::head(&mut stream).expect("an answer");
                 assert!(head.starts_with("HTTP/1.1 200"), "{head}");
                 let body = body(&mut stream, &head).expect("whole");
-                assert!(body == bytes(client, 0, LONG), "client {client}: unchanged, {} bytes", body.len());
+                assert!(body == bytes(client, 0, LONG), "client {client}: the body was changed, {} bytes", body.len());
             });
         }
     });
@@ -181,8 +184,8 @@
     assert!(process.child.0.wait().expect("it ends").success());
 }
 
-/// A client that does not read holds its pay server up, not the program's memory; others pass
-/// meanwhile.
+/// A client that stops reading applies back pressure to its pay server instead of filling the
+/// program's memory. Other requests are served meanwhile.
 #[test]
 fn a_client_that_stops_reading_blocks_its_pay_server() {
     let sent = Arc::new(AtomicU64::new(0));
@@ -209,7 +212,7 @@
         .write_all(b"GET /balance HTTP/1.1\r\nHost: a\r\nX-Txn: long\r\n\r\n")
         .expect("written");
     let head = head(&mut stopped).expect("a head at once");
-    // It comes to rest: what the kernel's buffers take, and no more.
+    // The pay server stops sending once the kernel's socket buffers are full.
     let mut before = u64::MAX;
     while sent.load(Ordering::SeqCst) != before {
         before = sent.load(Ordering::SeqCst);
@@ -223,10 +226,11 @@
     }
     assert!(
         before < LONG as u64,
-        "the pay server is held up at {before}"
+        "the pay server was not blocked: it sent {before} bytes"
     );
     assert!(memory(&process, "VmHWM") < PEAK_MOST);
-    let body = body(&mut stopped, &head).expect("the rest, once it is read");
+    let body =
+        body(&mut stopped, &head).expect("the rest of the body arrives once the client reads");
     assert!(body == bytes(7, 0, LONG));
 }
 
@@ -250,7 +254,10 @@
         stream
             .write_all(&[first, vec![b'x'; 1_000]].concat())
             .expect("written");
-        wait.lock().expect("free").recv().expect("told to go on");
+        wait.lock()
+            .expect("free")
+            .recv()
+            .expect("the test lets the server continue");
         stream.write_all(&vec![b'x'; 50_000]).expect("written");
         false
     });
@@ -264,15 +271,16 @@
         .expect("written");
         let head = head(&mut stream).expect("a head at once");
         assert!(!stream.fill_buf().expect("first bytes").is_empty());
-        go.send(()).expect("it waits");
+        go.send(()).expect("the server waits");
         assert!(
             body(&mut stream, &head).is_none(),
-            "{txn}: its end is missing and that shows"
+            "{txn}: the truncated response looks complete"
         );
     }
 }
 
-/// What has begun to flow to a pay server is not sent again; what is still held whole is.
+/// A request whose body has begun to stream to a pay server is not sent again. Only a request that is
+/// still buffered completely may be retried.
 #[test]
 fn a_request_whose_body_is_no_longer_buffered_is_not_retried() {
     let tries = Arc::new(AtomicUsize::new(0));
@@ -302,7 +310,7 @@
             .get_mut()
             .write_all(head.as_bytes())
             .expect("written");
-        // It is turned away in the middle.
+        // The program rejects the request in the middle of its body.
         while stream.get_mut().write_all(&[b'x'; 16 * 1024]).is_ok() && stream.buffer().is_empty() {
             stream.get_mut().set_nonblocking(true).expect("set");
             let _ = stream.fill_buf();
@@ -311,14 +319,14 @@
         let answer = stage::head(&mut stream).unwrap_or_default();
         assert!(
             answer.starts_with("HTTP/1.1 503"),
-            "{class}: nothing can have run: `{answer}`"
+            "{class}: the request cannot have been executed, but the response is `{answer}`"
         );
         assert_eq!(tries.load(Ordering::SeqCst), before + 1, "{class}");
     }
 }
 
-/// A body somewhat over what is held may have come whole by the time it is seen to be long: the pay
-/// server has all of it then, and may have run it.
+/// A body slightly over the buffer limit may have arrived completely by the time that the program sees
+/// its length. The pay server then receives all of it and may have executed the request.
 #[test]
 fn a_request_whose_long_body_arrived_at_once_may_have_run_and_is_not_retried() {
     let runs = Arc::new(AtomicUsize::new(0));
@@ -341,9 +349,9 @@
         let answer = stage::head(&mut stream).expect("an answer");
         assert!(
             answer.starts_with("HTTP/1.1 502"),
-            "it may have run: {answer}"
+            "the request may have been executed, but the response is: {answer}"
         );
-        assert_eq!(runs.load(Ordering::SeqCst), n + 1, "once");
+        assert_eq!(runs.load(Ordering::SeqCst), n + 1, "executed once");
     }
 }
 
@@ -395,11 +403,14 @@
         .write_all(&vec![b'x'; 100_000])
         .expect("written");
     let _ = stream.read_to_end(&mut Vec::new());
-    assert!(start.elapsed() < Duration::from_secs(10), "closed on");
+    assert!(
+        start.elapsed() < Duration::from_secs(10),
+        "the stalled connection was not closed in time"
+    );
     assert_eq!(
         ended.recv_timeout(TIMEOUT),
         Ok(false),
-        "its body broke off there, too"
+        "the pay server did not see a truncated body"
     );
 }
 
@@ -417,13 +428,16 @@
     let chunk = [b"40000\r\n".to_vec(), vec![b'x'; 0x40000], b"\r\n".to_vec()].concat();
     let start = Instant::now();
     while stream.get_mut().write_all(&chunk).is_ok() {
-        assert!(start.elapsed() < Duration::from_secs(10), "it is closed on");
+        assert!(
+            start.elapsed() < Duration::from_secs(10),
+            "the connection was not closed in time"
+        );
     }
     assert_eq!(ended.recv_timeout(TIMEOUT), Ok(false));
 }
 
-/// Requests in every form, each byte by itself, come to the pay server as they are; and its answers
-/// back.
+/// Requests of every framing, sent one byte at a time, reach the pay server unchanged, and so do its
+/// responses the client.
 #[test]
 fn all_forms_of_requests_and_answers_pass_in_pieces_of_one_byte() {
     const ANSWERS: [&str; 6] = [
@@ -468,12 +482,12 @@
             assert!(head.contains(" 200 "), "{text}: {head}");
             let came = match header(&head, "content-length") {
                 Some(_) => body(&mut stream, &head).expect("whole"),
-                None => panic!("short answers are held whole: {head}"),
+                None => panic!("a short response is buffered and gets a content-length: {head}"),
             };
             assert_eq!(came, b"hello", "{text}");
         }
     }
-    // Two at once, and one that waits to be told to go on.
+    // Two pipelined requests, and one that waits for `100 Continue`.
     let mut stream = connect(&stage);
     let two = [requests[0], requests[0]].concat();
     stream.get_mut().write_all(two.as_bytes()).expect("written");
@@ -484,7 +498,11 @@
     }
     let (ask, rest) = requests[0].split_once("\r\n\r\n").expect("a body");
     write!(stream.get_mut(), "{ask}\r\nExpect: 100-continue\r\n\r\n").expect("written");
-    assert!(head(&mut stream).expect("told").starts_with("HTTP/1.1 100"));
+    assert!(
+        head(&mut stream)
+            .expect("an interim response")
+            .starts_with("HTTP/1.1 100")
+    );
     stream
         .get_mut()
         .write_all(rest.as_bytes())
@@ -493,8 +511,8 @@
     assert_eq!(body(&mut stream, &head).as_deref(), Some(&b"hello"[..]));
 }
 
-/// Where descriptors are short, room is made by connections that say nothing, not by one that is in
-/// the middle of a request, though it came first.
+/// When file descriptors run out, the program closes idle connections, not one that is in the middle of
+/// a request, even if that one is the oldest.
 #[test]
 fn a_slow_request_is_not_closed_as_an_idle_connection() {
     let good = server(|mut stream, _, _| {
@@ -503,7 +521,7 @@
             .is_ok()
     });
     let mut stage = Stage::new(&[good]);
-    // Twelve for clients.
+    // This leaves twelve descriptors for clients.
     stage.sockets = 60;
     let process = stage.start(stage.place());
     process.ready();
@@ -521,7 +539,7 @@
     };
     write(1);
     let silent: Vec<_> = (0..10).map(|_| connect(&stage)).collect();
-    // Until none of them counts as one that has just come.
+    // Waits until none of the idle connections counts as newly accepted.
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(100) {
         process.call("ready\n");
@@ -540,7 +558,7 @@
         .expect("written");
     assert!(
         head(&mut slow).is_some_and(|head| head.starts_with("HTTP/1.1 200")),
-        "the slow one is served"
+        "the slow request was not served"
     );
     drop(silent);
 }
