--- a/crates/ironmast/tests/faults.rs
+++ b/crates/ironmast/tests/faults.rs
@@ -42,7 +42,7 @@
     LoadProfile::new(rate, duration, path, CLIENT_TIMEOUT_MS)
 }
 
-/// A fault of that kind for some seconds.
+/// A fault of the given kind that lasts `for_s` seconds.
 fn fault(at_s: f64, link: &str, kind: FaultKind, for_s: f64) -> Fault {
     Fault {
         at_s,
@@ -56,8 +56,8 @@
     }
 }
 
-/// Asserts that nothing was executed twice against its class, and nothing served that was not
-/// executed.
+/// Asserts that no request was executed twice unless its class allows it, and that no request was served
+/// without being executed.
 fn assert_executions(deployment: &Deployment, reports: &[LoadReport]) -> Verdict {
     let sent: Vec<SentRequest> = reports
         .iter()
--- a/crates/ironmast/tests/membership.rs
+++ b/crates/ironmast/tests/membership.rs
@@ -11,7 +11,7 @@
     Discovery, ExecutionRecord, PayServer, Registry, Target,
 };
 
-/// What a test waits for happens within this time, also on a busy machine.
+/// Time limit for each wait; allows for a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(30);
 /// How often a test looks at the logs.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -59,22 +59,22 @@
 /// Client proxies that are each other's peers, a pay server and discovery.
 struct Tier {
     directory: tempfile::TempDir,
-    /// Where each proxy receives the datagrams of the others.
+    /// The address at which each proxy receives the datagrams of the others.
     peers: Vec<SocketAddr>,
     proxies: Vec<Option<Proxy>>,
-    /// Serves as long as it exists.
+    /// Held because the pay server stops when it is dropped.
     _server: PayServer,
     discovery: Discovery,
 }
 
-/// A UDP port of the system's choice, released for a proxy to bind.
+/// Picks a free UDP port and releases it, for a proxy to bind.
 fn free_udp_address() -> SocketAddr {
     UdpSocket::bind("127.0.0.1:0")
         .and_then(|socket| socket.local_addr())
         .expect("a port is free")
 }
 
-/// A pay server, and a discovery that lists it.
+/// Starts a pay server and a discovery server that lists it.
 fn start_stub_servers() -> (PayServer, Discovery) {
     let record = Arc::new(ExecutionRecord::default());
     let server = PayServer::start("seattle-0", Duration::from_millis(1), record)
@@ -211,7 +211,8 @@
     tier.proxies[3] = None;
     let declared = tier.wait_until_others_see(3, MemberState::Down);
     eprintln!("a killed member was declared down by all three others in {declared:?}");
-    // Incarnations begin with the second of the start.
+    // A process starts with the Unix time in seconds as its incarnation, so the restart has to fall
+    // into a later second.
     while seconds_since_the_epoch() <= before {
         std::thread::sleep(POLL_INTERVAL);
     }
--- a/crates/ironmast/tests/silent_zone.rs
+++ b/crates/ironmast/tests/silent_zone.rs
@@ -58,9 +58,9 @@
     an_isolated_proxy_responds_and_serves_again_once_it_reaches_servers "alone"
 }
 
-/// TCP sends on what a connection that is closed in order has not delivered. Behind the deduplication
-/// window of 4 s that would execute a request a second time, so a request that is given up has to be
-/// lost with its connection.
+/// After an orderly close, TCP still delivers the data that is in its send buffer. If that happens after
+/// the deduplication window of 4 s, the request is executed a second time. The connection of a request
+/// that is given up therefore has to discard what it has not delivered.
 #[test]
 fn requests_given_up_in_a_partition_that_outlasts_the_window_are_never_delivered() {
     let shipped = include_str!("../../../scenarios/stage/zone-one-way-there.toml");
@@ -78,7 +78,7 @@
     );
 }
 
-/// The test of the check itself: a run that violates an assertion does not pass.
+/// Tests the check itself: a run that violates an assertion does not pass.
 #[test]
 fn a_scenario_whose_assertion_is_violated_does_not_pass() {
     let shipped = include_str!("../../../scenarios/stage/zone-cut-orders.toml");
