--- a/crates/ironmast/tests/build_packages.rs
+++ b/crates/ironmast/tests/build_packages.rs
@@ -1,6 +1,7 @@
-//! Holds `packages` of `deploy/system.toml` against what the build of `ironmast` needs: the operators'
-//! machines have nothing else. They have a linker and the C library's development files; a dependency
-//! that compiles C, looks for a library of the system or calls another program needs more.
+//! Checks `packages` of `deploy/system.toml` against what the build of `ironmast` needs, because the
+//! operators' machines have nothing else installed. They have a linker and the development files of the
+//! C library. A dependency that compiles C, looks for a system library or calls another program needs
+//! more.
 //!
 //! `docs/operators/system.md`, "Building", says how the packages were found.
 
@@ -9,11 +10,11 @@
 
 use serde_json::Value;
 
-/// The packages that are listed; the checks below are for just these.
+/// The list of packages that the checks below assume.
 const LISTED: &str = r#"packages = ["ca-certificates", "gcc", "libc6-dev"]"#;
 
-/// Crates that compile another language, look for libraries of the system or generate code by a
-/// program that has to be installed.
+/// Crates that compile another language, look for system libraries or generate code with a program that
+/// has to be installed.
 const NATIVE_BUILD_CRATES: [&str; 14] = [
     "autotools",
     "bindgen",
@@ -31,8 +32,8 @@
     "vcpkg",
 ];
 
-/// Packages whose build scripts start a program and were read, in these versions: they start `rustc`,
-/// to learn its version or what it supports, and on other systems than Linux some more.
+/// Packages whose build scripts start a program and were reviewed in these versions. They start `rustc`
+/// to find its version or features, and further programs only on systems other than Linux.
 const READ_BUILD_SCRIPTS: [&str; 14] = [
     "anyhow 1.0.105",
     "crc32fast 1.5.5",
@@ -50,17 +51,17 @@
     "zmij 1.0.23",
 ];
 
-/// The name by which a build script starts a program.
+/// The text in a build script that shows that it starts a program.
 const STARTS_PROGRAM: &str = "Command::new";
 
 /// What a dependency needs beside the listed packages.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Need {
-    /// It is a crate that compiles or looks for something native.
+    /// The package is in [`NATIVE_BUILD_CRATES`] or its name ends with `-sys`.
     NativeBuild { package: String },
-    /// It links a library of the system.
+    /// The package links a system library.
     NativeLibrary { package: String, library: String },
-    /// Its build script starts a program.
+    /// The package has an unreviewed build script that starts a program.
     Program { package: String },
 }
 
@@ -159,13 +160,17 @@
 #[test]
 fn the_build_needs_no_other_package_than_those_listed() {
     let deploy = include_str!("../../../deploy/system.toml");
-    assert!(deploy.contains(LISTED), "the checks here are for {LISTED}");
+    assert!(
+        deploy.contains(LISTED),
+        "deploy/system.toml lists other packages than these checks assume: {LISTED}"
+    );
     let read = |path: &str| std::fs::read_to_string(path).expect("a build script");
     let needs = needs(&workspace_metadata(), read);
     assert!(needs.is_empty(), "beside the listed packages: {needs:#?}");
 }
 
-/// A workspace whose program depends on `middle`, and that on `last`, in this way.
+/// Metadata of a workspace whose program depends on `middle`, which depends on `last` by a dependency of
+/// this kind.
 fn metadata(kind: &Value, last: &Value) -> Value {
     let depends_on = |package: &str, kind: &Value| serde_json::json!([{"pkg": package, "dep_kinds": [{"kind": kind}]}]);
     let normal = Value::Null;
@@ -179,7 +184,7 @@
     })
 }
 
-/// The test of the check: each way in which a dependency may need more is found.
+/// Tests the check itself: it finds each way in which a dependency may need more packages.
 #[test]
 fn a_dependency_that_needs_more_is_found_through_others() {
     let script = serde_json::json!([{"kind": ["custom-build"], "src_path": "build.rs"}]);
@@ -200,6 +205,9 @@
             assert_eq!(found.len(), count, "{last}: {found:?}");
         }
         let found = needs(&metadata(&"dev".into(), &last), read);
-        assert!(found.is_empty(), "tests may need more: {found:?}");
+        assert!(
+            found.is_empty(),
+            "development dependencies do not count: {found:?}"
+        );
     }
 }
--- a/crates/ironmast/tests/log_messages.rs
+++ b/crates/ironmast/tests/log_messages.rs
@@ -1,5 +1,5 @@
-//! Holds `docs/operators/log-messages.md` against the sources: each message that a program logs at
-//! warning or above has a row there, and each row stands for a message that is still logged.
+//! Checks `docs/operators/log-messages.md` against the sources: each message that a program logs at
+//! warning or above has a row there, and each row is for a message that is still logged.
 
 mod sources;
 
--- a/crates/ironmast/tests/module_cycles.rs
+++ b/crates/ironmast/tests/module_cycles.rs
@@ -1,5 +1,5 @@
-//! No two files of a crate depend on each other in a circle: each crate's modules can be read from
-//! the lowest up.
+//! Checks that the modules of each crate have no dependency cycles, so that they can be read from the
+//! lowest layer up.
 //!
 //! The dependencies are those of `use crate::…` and `use super::…`. A module and its submodules are
 //! one unit, so that edges between them do not count.
--- a/crates/ironmast/tests/pages.rs
+++ b/crates/ironmast/tests/pages.rs
@@ -1,5 +1,5 @@
-//! Holds the pages that lead into the code against the code: paths and crates of
-//! `docs/ARCHITECTURE.md`, and names of `docs/glossary.md`.
+//! Checks the pages that describe the code against it: paths and crates of `docs/ARCHITECTURE.md`, and
+//! names of `docs/glossary.md`.
 
 mod sources;
 
@@ -24,7 +24,7 @@
     text.split('`').skip(1).step_by(2)
 }
 
-/// All sources of all crates, one after the other.
+/// All source files of all crates, concatenated.
 fn all_code() -> String {
     rust_files(&workspace().join("crates"), &[])
         .iter()
--- a/crates/ironmast/tests/sources/mod.rs
+++ b/crates/ironmast/tests/sources/mod.rs
@@ -1,4 +1,4 @@
-//! The source files of the workspace, for tests that hold pages and rules against them.
+//! Finds the source files of the workspace, for tests that check documentation and rules against them.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -16,7 +16,8 @@
         .collect()
 }
 
-/// The Rust files below `folder`, without the files and folders of these names.
+/// The Rust files below `folder`, except for files and folders whose path ends with a name in
+/// `left_out`.
 pub(crate) fn rust_files(folder: &Path, left_out: &[&str]) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for entry in fs::read_dir(folder).expect("a folder of sources") {
