--- a/crates/ironmast/tests/failing_servers.rs
+++ b/crates/ironmast/tests/failing_servers.rs
@@ -156,7 +156,7 @@
                 let case = format!("{failure:?}, {}, {body:?}", class.target);
                 let servers = FailingServer::start_two(PROXY, &[failure]).expect("two ports");
                 let stage = Stage::new(&[servers[0].address, servers[1].address]);
-                let process = stage.start(stage.place());
+                let process = stage.start(stage.runtime_folder());
                 process.ready();
                 let response = send_request(&stage, class, "r1", body);
                 let seen = servers.each_ref().map(FailingServer::observations);
@@ -210,7 +210,7 @@
                 let failures = [vec![Failure::None; REQUESTS_PER_RETRY], vec![failure]].concat();
                 let servers = FailingServer::start_two(PROXY, &failures).expect("two ports");
                 let stage = Stage::new(&[servers[0].address, servers[1].address]);
-                let process = stage.start(stage.place());
+                let process = stage.start(stage.runtime_folder());
                 process.ready();
                 for n in 0..REQUESTS_PER_RETRY {
                     assert_eq!(
@@ -253,7 +253,7 @@
                 let case = format!("{failure:?}, {}, {body:?}", class.target);
                 let server = FailingServer::start(PROXY, &[failure]).expect("a port");
                 let stage = Stage::new(&[server.address]);
-                let process = stage.start(stage.place());
+                let process = stage.start(stage.runtime_folder());
                 process.ready();
                 assert_eq!(
                     send_request(&stage, class, "r1", body).body,
@@ -282,7 +282,7 @@
             let server = FailingServer::start(PROXY, &[Failure::None, Failure::NoHead(end)])
                 .expect("a port");
             let stage = Stage::new(&[server.address]);
-            let process = stage.start(stage.place());
+            let process = stage.start(stage.runtime_folder());
             process.ready();
             let body = class.bodies[0];
             assert_eq!(send_request(&stage, class, "r1", body).status, 200);
--- a/crates/ironmast/tests/stage/mod.rs
+++ b/crates/ironmast/tests/stage/mod.rs
@@ -27,7 +27,7 @@
     pub ops: SocketAddr,
 }
 
-pub(crate) fn patient(stream: TcpStream) -> TcpStream {
+pub(crate) fn with_read_timeout(stream: TcpStream) -> TcpStream {
     stream.set_read_timeout(Some(TIMEOUT)).expect("set");
     stream
 }
@@ -39,7 +39,10 @@
     let serve = Arc::new(serve);
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (stream, serve) = (patient(stream.expect("a connection")), Arc::clone(&serve));
+            let (stream, serve) = (
+                with_read_timeout(stream.expect("a connection")),
+                Arc::clone(&serve),
+            );
             std::thread::spawn(move || serve(stream));
         }
     });
@@ -47,7 +50,7 @@
 }
 
 /// Reads the head of the next message; `None` if the connection ends before it is complete.
-pub(crate) fn head(from: &mut BufReader<TcpStream>) -> Option<String> {
+pub(crate) fn read_head(from: &mut BufReader<TcpStream>) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if from.read_line(&mut head).ok()? == 0 {
@@ -74,7 +77,7 @@
         let line = format!("{{\"rev\":1,\"all\":true,\"targets\":[{targets}]}}\n");
         let discovery = listen(move |stream| {
             let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
-            while head(&mut reader).is_some() {
+            while read_head(&mut reader).is_some() {
                 let text = format!(
                     "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{:x}\r\n{line}\r\n",
                     line.len()
@@ -139,13 +142,13 @@
         clippy::unnecessary_wraps,
         reason = "callers pass it where a folder is optional"
     )]
-    pub(crate) fn place(&self) -> Option<&Path> {
+    pub(crate) fn runtime_folder(&self) -> Option<&Path> {
         Some(self.folder.path())
     }
 
     /// Sends one request on a new connection and returns the whole response.
     pub(crate) fn request(&self, txn: &str) -> String {
-        let mut stream = patient(TcpStream::connect(self.listen).expect("it listens"));
+        let mut stream = with_read_timeout(TcpStream::connect(self.listen).expect("it listens"));
         write!(
             stream,
             "GET /balance HTTP/1.1\r\nHost: a\r\nConnection: close\r\nX-Txn: {txn}\r\n\r\n"
@@ -171,8 +174,9 @@
 }
 
 impl Process {
-    pub(crate) fn call(&self, line: &str) -> String {
-        let mut stream = patient(TcpStream::connect(self.ops).expect("it hears operators"));
+    pub(crate) fn send_command(&self, line: &str) -> String {
+        let mut stream =
+            with_read_timeout(TcpStream::connect(self.ops).expect("it hears operators"));
         stream.write_all(line.as_bytes()).expect("written");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("an answer");
@@ -182,7 +186,7 @@
     /// Waits until the proxy reports that it is ready.
     pub(crate) fn ready(&self) {
         wait_until("the proxy is ready", || {
-            self.call("ready\n").starts_with("+OK")
+            self.send_command("ready\n").starts_with("+OK")
         });
     }
 }
--- a/crates/ironmast/tests/streams.rs
+++ b/crates/ironmast/tests/streams.rs
@@ -14,26 +14,28 @@
 use common::{TIMEOUT, uninterrupted, wait_log};
 use ironmast_fault_injection::deployment::reserve_port;
 use rustix::process::Signal;
-use stage::{Process, Stage, head, listen, patient};
+use stage::{Process, Stage, listen, read_head, with_read_timeout};
 
 /// The longest body that a deployment's agreement allows, in bytes.
-const LONG: usize = 32 << 20;
+const LONGEST_BODY: usize = 32 << 20;
 /// The program buffers request bodies up to this many bytes completely.
-const HELD: usize = 64 * 1024;
+const BUFFERED_BODY_LIMIT: usize = 64 * 1024;
 /// Limit for the program's peak memory, in kB, while eight bodies of the longest size pass in each
 /// direction. Buffered completely, they would take 512 MB.
-const PEAK_MOST: u64 = 32 * 1024;
+const PEAK_MEMORY_LIMIT_KB: u64 = 32 * 1024;
 
 /// The byte at an offset of a generated body. It depends on the seed and the offset, so that mixed-up
 /// or misplaced data is detected.
-fn byte(seed: usize, at: usize) -> u8 {
+fn pattern_byte(seed: usize, at: usize) -> u8 {
     ((at / 4096 + at) as u8)
         .wrapping_mul(31)
         .wrapping_add(seed as u8)
 }
 
 fn bytes(seed: usize, from: usize, count: usize) -> Vec<u8> {
-    (from..from + count).map(|at| byte(seed, at)).collect()
+    (from..from + count)
+        .map(|at| pattern_byte(seed, at))
+        .collect()
 }
 
 fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
@@ -76,7 +78,7 @@
 ) -> SocketAddr {
     listen(move |stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
-        while let Some(head) = head(&mut reader) {
+        while let Some(head) = read_head(&mut reader) {
             let body = body(&mut reader, &head);
             if head.starts_with("GET /stats") {
                 let _ = (&stream).write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
@@ -90,7 +92,7 @@
 }
 
 /// Starts a pay server that never answers, and reports for each body whether it arrived completely.
-fn listener_for_ends() -> (SocketAddr, Receiver<bool>) {
+fn server_reporting_body_ends() -> (SocketAddr, Receiver<bool>) {
     let (told, ended) = channel();
     let told = std::sync::Mutex::new(told);
     let waits = server(move |_, _, body| {
@@ -104,20 +106,20 @@
 }
 
 fn connect(stage: &Stage) -> BufReader<TcpStream> {
-    BufReader::new(patient(
+    BufReader::new(with_read_timeout(
         TcpStream::connect(stage.listen).expect("it listens"),
     ))
 }
 
 fn started(servers: &[SocketAddr]) -> (Stage, Process) {
     let stage = Stage::new(servers);
-    let process = stage.start(stage.place());
+    let process = stage.start(stage.runtime_folder());
     process.ready();
     (stage, process)
 }
 
 /// A memory figure of the program from `/proc/PID/status`, in kB.
-fn memory(process: &Process, which: &str) -> u64 {
+fn memory_kb(process: &Process, which: &str) -> u64 {
     let path = format!("/proc/{}/status", process.child.0.id());
     let text = std::fs::read_to_string(path).expect("the program runs");
     let line = text
@@ -162,23 +164,23 @@
             scope.spawn(move || {
                 let mut stream = connect(stage);
                 let head = format!(
-                    "POST /deposit-order HTTP/1.1\r\nHost: a\r\nX-Txn: t{client}\r\nContent-Length: {LONG}\r\n\r\n"
+                    "POST /deposit-order HTTP/1.1\r\nHost: a\r\nX-Txn: t{client}\r\nContent-Length: {LONGEST_BODY}\r\n\r\n"
                 );
                 stream.get_mut().write_all(head.as_bytes()).expect("written");
                 let part = 1 << 18;
-                for at in (0..LONG).step_by(part) {
+                for at in (0..LONGEST_BODY).step_by(part) {
                     stream.get_mut().write_all(&bytes(client, at, part)).expect("written");
                 }
-                let head = stage::head(&mut stream).expect("an answer");
+                let head = stage::read_head(&mut stream).expect("an answer");
                 assert!(head.starts_with("HTTP/1.1 200"), "{head}");
                 let body = body(&mut stream, &head).expect("whole");
-                assert!(body == bytes(client, 0, LONG), "client {client}: the body was changed, {} bytes", body.len());
+                assert!(body == bytes(client, 0, LONGEST_BODY), "client {client}: the body was changed, {} bytes", body.len());
             });
         }
     });
-    let peak = memory(&process, "VmHWM");
+    let peak = memory_kb(&process, "VmHWM");
     println!("peak {peak} kB");
-    assert!(peak < PEAK_MOST, "{peak} kB");
+    assert!(peak < PEAK_MEMORY_LIMIT_KB, "{peak} kB");
     process.child.signal(Signal::TERM);
     wait_log(&mut process.log, "shutting down");
     assert!(process.child.0.wait().expect("it ends").success());
@@ -196,8 +198,12 @@
                 .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
                 .is_ok();
         }
-        write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {LONG}\r\n\r\n").expect("written");
-        for at in (0..LONG).step_by(16 * 1024) {
+        write!(
+            stream,
+            "HTTP/1.1 200 OK\r\ncontent-length: {LONGEST_BODY}\r\n\r\n"
+        )
+        .expect("written");
+        for at in (0..LONGEST_BODY).step_by(16 * 1024) {
             if stream.write_all(&bytes(7, at, 16 * 1024)).is_err() {
                 return false;
             }
@@ -211,7 +217,7 @@
         .get_mut()
         .write_all(b"GET /balance HTTP/1.1\r\nHost: a\r\nX-Txn: long\r\n\r\n")
         .expect("written");
-    let head = head(&mut stopped).expect("a head at once");
+    let head = read_head(&mut stopped).expect("a head at once");
     // The pay server stops sending once the kernel's socket buffers are full.
     let mut before = u64::MAX;
     while sent.load(Ordering::SeqCst) != before {
@@ -225,13 +231,13 @@
         });
     }
     assert!(
-        before < LONG as u64,
+        before < LONGEST_BODY as u64,
         "the pay server was not blocked: it sent {before} bytes"
     );
-    assert!(memory(&process, "VmHWM") < PEAK_MOST);
+    assert!(memory_kb(&process, "VmHWM") < PEAK_MEMORY_LIMIT_KB);
     let body =
         body(&mut stopped, &head).expect("the rest of the body arrives once the client reads");
-    assert!(body == bytes(7, 0, LONG));
+    assert!(body == bytes(7, 0, LONGEST_BODY));
 }
 
 #[test]
@@ -269,7 +275,7 @@
             "GET /balance HTTP/1.1\r\nHost: a\r\nX-Txn: {txn}\r\n\r\n"
         )
         .expect("written");
-        let head = head(&mut stream).expect("a head at once");
+        let head = read_head(&mut stream).expect("a head at once");
         assert!(!stream.fill_buf().expect("first bytes").is_empty());
         go.send(()).expect("the server waits");
         assert!(
@@ -304,7 +310,7 @@
         let before = tries.load(Ordering::SeqCst);
         let mut stream = connect(&stage);
         let head = format!(
-            "POST /{class} HTTP/1.1\r\nHost: a\r\nX-Txn: {class}\r\n{key}Content-Length: {LONG}\r\n\r\n"
+            "POST /{class} HTTP/1.1\r\nHost: a\r\nX-Txn: {class}\r\n{key}Content-Length: {LONGEST_BODY}\r\n\r\n"
         );
         stream
             .get_mut()
@@ -316,7 +322,7 @@
             let _ = stream.fill_buf();
             stream.get_mut().set_nonblocking(false).expect("set");
         }
-        let answer = stage::head(&mut stream).unwrap_or_default();
+        let answer = stage::read_head(&mut stream).unwrap_or_default();
         assert!(
             answer.starts_with("HTTP/1.1 503"),
             "{class}: the request cannot have been executed, but the response is `{answer}`"
@@ -338,7 +344,7 @@
     let (stage, _process) = started(&[breaks, breaks]);
     for n in 0..20 {
         let mut stream = connect(&stage);
-        let length = HELD + 1 + 100 * n;
+        let length = BUFFERED_BODY_LIMIT + 1 + 100 * n;
         let head = format!(
             "POST /deposit-order HTTP/1.1\r\nHost: a\r\nX-Txn: {n}\r\nContent-Length: {length}\r\n\r\n"
         );
@@ -346,7 +352,7 @@
             .get_mut()
             .write_all(&[head.into_bytes(), vec![b'x'; length]].concat())
             .expect("written");
-        let answer = stage::head(&mut stream).expect("an answer");
+        let answer = stage::read_head(&mut stream).expect("an answer");
         assert!(
             answer.starts_with("HTTP/1.1 502"),
             "the request may have been executed, but the response is: {answer}"
@@ -379,7 +385,7 @@
             .write_all(&vec![b'x'; 300_000])
             .expect("written");
         assert!(
-            head(&mut stream)
+            read_head(&mut stream)
                 .expect("an answer")
                 .starts_with("HTTP/1.1 200")
         );
@@ -389,13 +395,13 @@
 
 #[test]
 fn a_client_that_stops_within_a_long_body_is_disconnected_and_its_pay_server_released() {
-    let (waits, ended) = listener_for_ends();
+    let (waits, ended) = server_reporting_body_ends();
     let (stage, _process) = started(&[waits]);
     let start = Instant::now();
     let mut stream = connect(&stage);
     write!(
         stream.get_mut(),
-        "POST /deposit-order HTTP/1.1\r\nHost: a\r\nX-Txn: a\r\nContent-Length: {LONG}\r\n\r\n"
+        "POST /deposit-order HTTP/1.1\r\nHost: a\r\nX-Txn: a\r\nContent-Length: {LONGEST_BODY}\r\n\r\n"
     )
     .expect("written");
     stream
@@ -416,7 +422,7 @@
 
 #[test]
 fn a_body_without_an_end_is_an_error_and_never_a_request() {
-    let (waits, ended) = listener_for_ends();
+    let (waits, ended) = server_reporting_body_ends();
     let (stage, _process) = started(&[waits]);
     let mut stream = connect(&stage);
     let head =
@@ -478,7 +484,7 @@
             for byte in text.as_bytes() {
                 stream.get_mut().write_all(&[*byte]).expect("written");
             }
-            let head = head(&mut stream).expect("an answer");
+            let head = read_head(&mut stream).expect("an answer");
             assert!(head.contains(" 200 "), "{text}: {head}");
             let came = match header(&head, "content-length") {
                 Some(_) => body(&mut stream, &head).expect("whole"),
@@ -492,14 +498,14 @@
     let two = [requests[0], requests[0]].concat();
     stream.get_mut().write_all(two.as_bytes()).expect("written");
     for _ in 0..2 {
-        let head = head(&mut stream).expect("an answer");
+        let head = read_head(&mut stream).expect("an answer");
         assert!(head.contains(" 200 "), "{head}");
         assert_eq!(body(&mut stream, &head).as_deref(), Some(&b"hello"[..]));
     }
     let (ask, rest) = requests[0].split_once("\r\n\r\n").expect("a body");
     write!(stream.get_mut(), "{ask}\r\nExpect: 100-continue\r\n\r\n").expect("written");
     assert!(
-        head(&mut stream)
+        read_head(&mut stream)
             .expect("an interim response")
             .starts_with("HTTP/1.1 100")
     );
@@ -507,7 +513,7 @@
         .get_mut()
         .write_all(rest.as_bytes())
         .expect("written");
-    let head = head(&mut stream).expect("an answer");
+    let head = read_head(&mut stream).expect("an answer");
     assert_eq!(body(&mut stream, &head).as_deref(), Some(&b"hello"[..]));
 }
 
@@ -523,7 +529,7 @@
     let mut stage = Stage::new(&[good]);
     // This leaves twelve descriptors for clients.
     stage.sockets = 60;
-    let process = stage.start(stage.place());
+    let process = stage.start(stage.runtime_folder());
     process.ready();
     let request = format!(
         "GET /balance HTTP/1.1\r\nHost: a\r\nX-Pad: {}\r\nX-Txn: slow\r\n\r\n",
@@ -542,7 +548,7 @@
     // Waits until none of the idle connections counts as newly accepted.
     let start = Instant::now();
     while start.elapsed() < Duration::from_millis(100) {
-        process.call("ready\n");
+        process.send_command("ready\n");
         write(1);
     }
     for n in 0..5 {
@@ -557,7 +563,7 @@
         .write_all(&request.as_bytes()[written..])
         .expect("written");
     assert!(
-        head(&mut slow).is_some_and(|head| head.starts_with("HTTP/1.1 200")),
+        read_head(&mut slow).is_some_and(|head| head.starts_with("HTTP/1.1 200")),
         "the slow request was not served"
     );
     drop(silent);
