--- a/crates/ironmast/tests/exchanges.rs
+++ b/crates/ironmast/tests/exchanges.rs
@@ -34,7 +34,7 @@
 #[test]
 fn an_invalid_configuration_is_reported_in_one_line() {
     let sound = ironmast_fault_injection::CONFIG.replace("{discovery}", "127.0.0.1:9");
-    for (from, to, told) in [
+    for (from, to, expected) in [
         ("{\"name\"", "\"name\"", "config"),
         ("\"8c1f30d27a5be964\"", "\"green\"", "seed"),
         (
@@ -56,7 +56,7 @@
         let text = String::from_utf8_lossy(&stderr);
         assert_eq!(status.code(), Some(1), "{text}");
         assert!(
-            text.lines().count() == 1 && (told == "config" || text.contains(told)),
+            text.lines().count() == 1 && (expected == "config" || text.contains(expected)),
             "{text}"
         );
     }
@@ -66,7 +66,7 @@
 fn check_config_validates_a_configuration_without_serving() {
     let sound = ironmast_fault_injection::CONFIG.replace("{discovery}", "127.0.0.1:9");
     let bad = sound.replace("\"zone\":\"seattle\"", "\"zone\":\"boise\"");
-    for (text, code, said) in [
+    for (text, code, expected) in [
         (
             sound.as_str(),
             0,
@@ -85,7 +85,7 @@
         let lines = String::from_utf8([out.stdout, out.stderr].concat()).expect("text");
         assert_eq!(out.status.code(), Some(code), "{lines}");
         assert!(
-            lines.lines().count() == 1 && lines.contains(said),
+            lines.lines().count() == 1 && lines.contains(expected),
             "{lines}"
         );
     }
@@ -230,11 +230,11 @@
     let mut child = Running(child);
     let mut log = BufReader::new(child.0.stderr.take().expect("piped"));
     let listen = listens_at(&mut log);
-    let mut told = [0; 300];
+    let mut datagram = [0; 300];
     let (bytes, proxy) =
-        uninterrupted(|| peer.recv_from(&mut told)).expect("the proxy reports its rate");
+        uninterrupted(|| peer.recv_from(&mut datagram)).expect("the proxy reports its rate");
     assert_eq!(
-        (bytes, told[0], told[1]),
+        (bytes, datagram[0], datagram[1]),
         (6, 1, 0),
         "version 1, zone 0 and a rate"
     );
--- a/crates/ironmast/tests/exchanges/deployments.rs
+++ b/crates/ironmast/tests/exchanges/deployments.rs
@@ -98,9 +98,9 @@
 
 impl Deployment {
     fn config(&self, discovery: SocketAddr) -> Value {
-        let class = |&(name, effect, dropped, target, timeout): &Class| {
+        let class = |&(name, effect, deduplication, target, timeout): &Class| {
             let mut class = json!({"name": name, "effect": effect, "objective": target * 1_000, "hard_limit": timeout * 1_000, "worth": 2.5});
-            if let Some((scope, window)) = dropped {
+            if let Some((scope, window)) = deduplication {
                 (class["dedup_scope"], class["dedup_window"]) =
                     (json!(scope), json!(window * 1_000));
             }
@@ -129,7 +129,7 @@
 }
 
 /// Starts a stub server that answers each request with the text that `answer` returns for it.
-fn stand_in(
+fn start_stub_server(
     listener: TcpListener,
     answer: impl Fn(&[String], &[u8]) -> String + Clone + Send + 'static,
 ) {
@@ -169,7 +169,7 @@
             "uid": "s-1", "endpoint": server.local_addr().expect("bound").to_string(), "az": deployment.zones[0],
             "model": "m", "pod_group": 3, "state": "up", "capacity_hint": 1.0, "boot_ms": 0,
         }]});
-        stand_in(discovery, move |_, _| {
+        start_stub_server(discovery, move |_, _| {
             let line = format!("{list}\n");
             format!(
                 "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{:x}\r\n{line}\r\n",
@@ -177,15 +177,15 @@
             )
         });
         // The pay server echoes the request line, the idempotency key and the body.
-        stand_in(server, |head, body| {
+        start_stub_server(server, |head, body| {
             let key = head
                 .iter()
                 .find(|line| line.starts_with("idempotency-key: "))
                 .map_or("", |key| key);
-            let told = format!("{} {key} {}", head[0], String::from_utf8_lossy(body));
+            let echo = format!("{} {key} {}", head[0], String::from_utf8_lossy(body));
             format!(
-                "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{told}",
-                told.len()
+                "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{echo}",
+                echo.len()
             )
         });
 
@@ -218,7 +218,7 @@
             BufReader::new(stream)
         };
         let mut client = connect();
-        for (n, &(class, effect, dropped, ..)) in deployment.classes.iter().enumerate() {
+        for (n, &(class, effect, deduplication, ..)) in deployment.classes.iter().enumerate() {
             let tenant = deployment
                 .tenants
                 .iter()
@@ -228,7 +228,7 @@
             let method = if effect == "free" { "GET" } else { "POST" };
             let (key, body) = match effect {
                 "free" => ("", ""),
-                _ if dropped.is_some() => ("idempotency-key: k7", "hi"),
+                _ if deduplication.is_some() => ("idempotency-key: k7", "hi"),
                 _ => ("", "hi"),
             };
             let header = if key.is_empty() {
@@ -248,11 +248,11 @@
                 .get_mut()
                 .write_all(request.as_bytes())
                 .expect("written");
-            let (head, told) = message(&mut client).expect("an answer");
-            let told = String::from_utf8(told).expect("text");
-            assert_eq!(head[0], "HTTP/1.1 200 OK", "{name}, {class}: {told}");
+            let (head, echo) = message(&mut client).expect("an answer");
+            let echo = String::from_utf8(echo).expect("text");
+            assert_eq!(head[0], "HTTP/1.1 200 OK", "{name}, {class}: {echo}");
             assert_eq!(
-                told,
+                echo,
                 format!("{method} /{class}/a?k=9 HTTP/1.1 {key} {body}"),
                 "{name}"
             );
--- a/crates/ironmast/tests/exchanges/player.rs
+++ b/crates/ironmast/tests/exchanges/player.rs
@@ -43,8 +43,8 @@
     listen: String,
     listeners: BTreeMap<String, TcpListener>,
     backlogs: BTreeMap<String, FullBacklog>,
-    open: BTreeMap<String, BufReader<TcpStream>>,
-    said: String,
+    streams: BTreeMap<String, BufReader<TcpStream>>,
+    record: String,
     rev: u64,
 }
 
@@ -127,7 +127,7 @@
     let (child, config) = start_logging(&config, level);
     let mut child = Running(child);
     let log = BufReader::new(child.0.stderr.take().expect("piped"));
-    let (listen, backlogs, open, said) = Default::default();
+    let (listen, backlogs, streams, record) = Default::default();
     let mut proxy = Proxy {
         child,
         config,
@@ -135,8 +135,8 @@
         listen,
         listeners,
         backlogs,
-        open,
-        said,
+        streams,
+        record,
         rev: 0,
     };
     proxy.listen = listens_at(&mut proxy.log);
@@ -146,7 +146,7 @@
     {
         proxy.step(line);
     }
-    std::mem::take(&mut proxy.said)
+    std::mem::take(&mut proxy.record)
 }
 
 impl Drop for Proxy {
@@ -156,7 +156,7 @@
             let _ = self.child.0.kill();
             let mut log = Vec::new();
             let _ = self.log.read_to_end(&mut log);
-            println!("recorded before the failure:\n{}", self.said);
+            println!("recorded before the failure:\n{}", self.record);
             println!("logged after the last line that was waited for:");
             println!("{}", String::from_utf8_lossy(&log));
         }
@@ -198,7 +198,7 @@
     /// Performs a step of a client, a server or discovery; returns whether there is such a step.
     fn party_step(&mut self, party: &str, verb: &str, text: &str) -> bool {
         match verb {
-            ">" => self.send(party, unescaped(text).as_bytes()),
+            ">" => self.send(party, unescape(text).as_bytes()),
             "times" => self.send_repeatedly(party, text),
             "fill" => self.send(party, &vec![b'#'; text.parse().expect("a number")]),
             "list" => self.send_list(party, text),
@@ -219,7 +219,7 @@
     fn record_log_line(&mut self, text: &str) {
         let line = wait_log(&mut self.log, text);
         let start = line.find(text).expect("it is there");
-        self.said += &format!("proxy: {}", &line[start..]);
+        self.record += &format!("proxy: {}", &line[start..]);
     }
 
     /// Replaces the configuration and sends SIGHUP.
@@ -235,7 +235,7 @@
     /// Waits until the program ends and records its exit code.
     fn record_exit(&mut self) {
         let status = self.child.0.wait().expect("it ends");
-        self.said += &format!("proxy exit {}\n", status.code().unwrap_or(-1));
+        self.record += &format!("proxy exit {}\n", status.code().unwrap_or(-1));
     }
 
     /// Asserts that the main thread, which does all the work, has used less than [`MAX_BUSY_NANOS`] of
@@ -260,7 +260,7 @@
     fn send_repeatedly(&mut self, party: &str, text: &str) {
         let (count, text) = text.split_once(' ').expect("N TEXT");
         let count = count.parse().expect("a number");
-        self.send(party, unescaped(text).repeat(count).as_bytes());
+        self.send(party, unescape(text).repeat(count).as_bytes());
     }
 
     /// Sends a list of servers as a chunk of the watch.
@@ -272,7 +272,7 @@
 
     fn record_message(&mut self, party: &str) {
         let message = read_message(self.stream(party));
-        self.said += &format!("{party}: {message}\n");
+        self.record += &format!("{party}: {message}\n");
     }
 
     /// Waits for the orderly end of a connection; a reset fails the test.
@@ -280,8 +280,8 @@
         let stream = self.stream(party);
         let bytes = uninterrupted(|| stream.read(&mut [0])).expect("an orderly end");
         assert_eq!(bytes, 0, "{party}: more came");
-        self.open.remove(party);
-        self.said += &format!("{party}: ended\n");
+        self.streams.remove(party);
+        self.record += &format!("{party}: ended\n");
     }
 
     /// Waits for the end of a connection or its reset.
@@ -291,8 +291,8 @@
             Ok(bytes) => assert_eq!(bytes, 0, "{party}: more came"),
             Err(error) => assert_eq!(error.kind(), ErrorKind::ConnectionReset, "{party}"),
         }
-        self.open.remove(party);
-        self.said += &format!("{party}: closed\n");
+        self.streams.remove(party);
+        self.record += &format!("{party}: closed\n");
     }
 
     /// Fills the server's accept backlog, so that no further connection to it is established.
@@ -340,14 +340,14 @@
     /// Closes the party's connection. A process that another test is starting holds a copy of the socket
     /// until it calls `exec`, so only dropping the socket would not end the connection before that.
     fn close(&mut self, party: &str) {
-        if let Some(stream) = self.open.remove(party) {
+        if let Some(stream) = self.streams.remove(party) {
             let _ = stream.get_ref().shutdown(Shutdown::Both);
         }
     }
 
     /// The party's connection: a client connects, the other parties accept one from the program.
     fn stream(&mut self, party: &str) -> &mut BufReader<TcpStream> {
-        self.open.entry(party.to_string()).or_insert_with(|| {
+        self.streams.entry(party.to_string()).or_insert_with(|| {
             let stream = match self.listeners.get(party) {
                 Some(listener) => {
                     // `accept` has no timeout of its own, so a thread keeps the test from waiting forever.
@@ -394,7 +394,7 @@
 }
 
 /// Replaces the escapes `\r` and `\n` of a script by the characters.
-fn unescaped(text: &str) -> String {
+fn unescape(text: &str) -> String {
     text.replace("\\r", "\r").replace("\\n", "\n")
 }
 
