--- a/crates/ironmast/tests/build_packages.rs
+++ b/crates/ironmast/tests/build_packages.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 
 /// The list of packages that the checks below assume.
-const LISTED: &str = r#"packages = ["ca-certificates", "gcc", "libc6-dev"]"#;
+const EXPECTED_PACKAGES: &str = r#"packages = ["ca-certificates", "gcc", "libc6-dev"]"#;
 
 /// Crates that compile another language, look for system libraries or generate code with a program that
 /// has to be installed.
@@ -34,7 +34,7 @@
 
 /// Packages whose build scripts start a program and were reviewed in these versions. They start `rustc`
 /// to find its version or features, and further programs only on systems other than Linux.
-const READ_BUILD_SCRIPTS: [&str; 14] = [
+const REVIEWED_BUILD_SCRIPTS: [&str; 14] = [
     "anyhow 1.0.105",
     "crc32fast 1.5.5",
     "eyre 0.6.14",
@@ -117,8 +117,9 @@
         .iter()
         .filter(is_build_script)
         .any(|script| read(text(script, "src_path")).contains(STARTS_PROGRAM));
-    let is_read = READ_BUILD_SCRIPTS.contains(&&*format!("{name} {}", text(package, "version")));
-    if starts_program && !is_read {
+    let is_reviewed =
+        REVIEWED_BUILD_SCRIPTS.contains(&&*format!("{name} {}", text(package, "version")));
+    if starts_program && !is_reviewed {
         needs.push(Need::Program { package: name });
     }
     needs
@@ -161,8 +162,8 @@
 fn the_build_needs_no_other_package_than_those_listed() {
     let deploy = include_str!("../../../deploy/system.toml");
     assert!(
-        deploy.contains(LISTED),
-        "deploy/system.toml lists other packages than these checks assume: {LISTED}"
+        deploy.contains(EXPECTED_PACKAGES),
+        "deploy/system.toml lists other packages than these checks assume: {EXPECTED_PACKAGES}"
     );
     let read = |path: &str| std::fs::read_to_string(path).expect("a build script");
     let needs = needs(&workspace_metadata(), read);
--- a/crates/ironmast/tests/module_cycles.rs
+++ b/crates/ironmast/tests/module_cycles.rs
@@ -134,12 +134,12 @@
     found
 }
 
-fn circles(root: &Path) -> Vec<String> {
+fn modules_in_cycles(root: &Path) -> Vec<String> {
     let graph = dependencies(root);
-    let in_circle = |module: &&Module| reachable(&graph, module).contains(*module);
+    let is_in_cycle = |module: &&Module| reachable(&graph, module).contains(*module);
     graph
         .keys()
-        .filter(in_circle)
+        .filter(is_in_cycle)
         .map(|module| module.join("::"))
         .collect()
 }
@@ -148,8 +148,8 @@
 fn no_files_of_a_crate_depend_on_each_other_in_a_circle() {
     for folder in crate_folders() {
         let root = folder.join("src");
-        let circles = circles(&root);
-        assert!(circles.is_empty(), "{}: {circles:?}", root.display());
+        let cycles = modules_in_cycles(&root);
+        assert!(cycles.is_empty(), "{}: {cycles:?}", root.display());
     }
 }
 
@@ -166,5 +166,5 @@
     for (name, source) in files {
         fs::write(folder.path().join(name), source).expect("written");
     }
-    assert_eq!(circles(folder.path()), ["a", "b", "c"]);
+    assert_eq!(modules_in_cycles(folder.path()), ["a", "b", "c"]);
 }
