--- a/crates/ironmast/tests/streams.rs
+++ b/crates/ironmast/tests/streams.rs
@@ -442,8 +442,8 @@
     assert_eq!(ended.recv_timeout(TIMEOUT), Ok(false));
 }
 
-/// Requests of every framing, sent one byte at a time, reach the pay server unchanged, and so do its
-/// responses the client.
+/// Requests of every framing, sent one byte at a time, reach the pay server unchanged, and its
+/// responses of every framing, sent likewise, reach the client.
 #[test]
 fn all_forms_of_requests_and_answers_pass_in_pieces_of_one_byte() {
     const ANSWERS: [&str; 6] = [
