--- a/crates/balancer/src/api/validation.rs
+++ b/crates/balancer/src/api/validation.rs
@@ -29,6 +29,8 @@
 impl Settings {
     /// Checks each setting's range and the settings' consistency.
     ///
+    /// Errors name a setting by its outer key, which may differ from the name of the field.
+    ///
     /// # Errors
     /// [`SettingsError`] for the first setting that is out of range or contradicts another.
     pub fn validate(&self) -> Result<(), SettingsError> {
@@ -96,6 +98,7 @@
 }
 
 fn not_negative(path: &str, value: f64) -> Result<(), SettingsError> {
+    // The addition turns 0 into a positive number and leaves larger values unchanged in effect.
     positive(path, value + f64::MIN_POSITIVE)
 }
 
--- a/crates/balancer/src/locality.rs
+++ b/crates/balancer/src/locality.rs
@@ -1,4 +1,4 @@
-//! Whether a zone is the balancer's own.
+//! Local and remote zones, and values kept for each of the two.
 
 use std::ops::{Index, IndexMut};
 
@@ -12,11 +12,11 @@
 }
 
 impl Locality {
-    /// Both localities, the own zone first.
+    /// Both localities, the local one first.
     pub(crate) const ALL: [Locality; 2] = [Locality::Local, Locality::Remote];
 }
 
-/// One value for the own zone, and one for all others.
+/// One value for the local zone, and one for all others.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ByLocality<T> {
     pub local: T,
--- a/crates/balancer/tests/decisions/queue.rs
+++ b/crates/balancer/tests/decisions/queue.rs
@@ -21,8 +21,8 @@
     assert_eq!(sent, [2, 1]);
 }
 
-/// The newest queued request, which had not waited long enough to cross zones, kept older ones from
-/// being sent to a free server in another zone.
+/// A queued request that has waited long enough to cross zones is sent to a free server in another
+/// zone, even if the newest queued request has not.
 #[test]
 fn queued_requests_that_may_spill_over_do_not_wait_behind_newer_ones() {
     let mut settings = settings(non_idempotent());
@@ -66,8 +66,8 @@
     assert!(delays.len() > 10, "{delays:?}");
 }
 
-/// Requests were queued for a full server until their latency target had passed, too late for their
-/// clients to try elsewhere.
+/// Requests queued for a full server are rejected well before their latency target, while their
+/// clients can still try elsewhere.
 #[test]
 fn a_request_that_no_server_has_seen_is_rejected_early_with_a_jittered_retry_delay() {
     let class = ClassSettings {
@@ -82,7 +82,7 @@
     assert_eq!(driver.rejected.len(), queued, "{:?}", driver.rejected);
     assert!(
         driver.rejected.values().all(|&at| at < driver.now),
-        "rejected in the first quarter of the client's second"
+        "rejected within 260 ms, before the latency target of 800 ms"
     );
     let delays = retry_delays(&driver);
     let is_allowed = |delay: &Micros| (1..=SECOND).contains(delay);
--- a/crates/balancer/tests/decisions/zones.rs
+++ b/crates/balancer/tests/decisions/zones.rs
@@ -89,7 +89,8 @@
     );
 }
 
-/// One request in flight from each of 140 balancers exceeded what an overloaded zone could serve.
+/// A balancer whose share of an overloaded zone's limit is less than one request pauses sending to
+/// the zone at times: one request in flight from each of 140 balancers would exceed its capacity.
 #[test]
 fn limits_that_sum_below_one_pause_the_zone() {
     let class = ClassSettings {
--- a/crates/client-proxy/src/listener.rs
+++ b/crates/client-proxy/src/listener.rs
@@ -29,10 +29,10 @@
 /// Path at which the platform checks whether this process is ready.
 const READINESS_PATH: &str = "/health/ready";
 
-/// Timeout of an incomplete request and of an idle connection, in µs. The platform's protocol
-/// allows 3 s for an incomplete request; one that is still incomplete after this timeout must have
-/// arrived at the agreed minimum rate. The protocol also keeps a connection open for at least 2 s
-/// after a response.
+/// Timeout of an incomplete request and of an idle connection, in µs. It lies above the 2 s for
+/// which the platform's protocol keeps a connection open after a response, and below the 3 s that
+/// the protocol allows for an incomplete request. A request that is still incomplete after this
+/// timeout must have arrived at the agreed minimum rate.
 const CLIENT_TIMEOUT: Micros = 2_200_000;
 
 /// Maximum time in µs for receiving a streamed request, however fast the client sends.
--- a/crates/client-proxy/src/peers.rs
+++ b/crates/client-proxy/src/peers.rs
@@ -23,7 +23,7 @@
     pub socket: Option<Rc<UdpSocket>>,
     /// Address of every proxy of the cluster. The index identifies a proxy to the decision module.
     pub addresses: Vec<SocketAddr>,
-    /// Address that reaches all proxies.
+    /// Broadcast address of the cluster; `None` if it is not configured.
     pub broadcast: Option<SocketAddr>,
     /// Logger of the process.
     pub log: Logger,
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -1,5 +1,6 @@
 //! The coordinator's node: composes the register replica, the endpoint table, the peers, the
-//! subscribers and the directory, and keeps them consistent with the state of the quorum contact.
+//! subscribers and the directory, and keeps them consistent with the quorum contact: the state of
+//! the contact with a majority of the register's replicas.
 //!
 //! One thread owns the node and calls its methods; none of them blocks. Each entry point checks the
 //! quorum contact before it answers anything, because timers do not run while the process is
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Time of the next call to [`CoordinatorNode::wake`] that is due, by the node's clock.
+    /// Time at which [`CoordinatorNode::wake`] must next be called, by the node's clock.
     pub(crate) fn wake_at(&self) -> Duration {
         self.replica.wake_at()
     }
@@ -123,16 +124,16 @@
         self.apply(outputs);
     }
 
-    /// Whether this node is a member of the replica set and more coordinators, itself included, are
-    /// connected than the set has members, so that another one can take its place.
+    /// Whether this node is a member of the replica set and another coordinator could take its
+    /// place: the connected coordinators, itself included, outnumber the members of the set.
     pub(crate) fn can_transfer_replica(&self) -> bool {
         self.replica
             .replica_set_size()
             .is_some_and(|size| self.peers.open_links() + 1 > size)
     }
 
-    /// Updates the state of the quorum contact by the age of the last check that a majority has
-    /// answered, and completes pending reports.
+    /// Updates the state of the quorum contact from the time since the last check to which a
+    /// majority responded, and completes pending reports.
     fn check_contact(&mut self) {
         let state = self.contact.after_check(self.replica.is_in_contact());
         self.set_contact_state(state);
--- a/crates/emulator/src/policy/selection.rs
+++ b/crates/emulator/src/policy/selection.rs
@@ -8,10 +8,11 @@
 use super::warm_up;
 use crate::random::{Purpose, Stream};
 
-/// The share of its latency target within which a request must be answered for the oracle to send
-/// it.
+/// The fraction of a request's latency target within which its response must be expected for the
+/// oracle to send it.
 const ORACLE_TARGET_SHARE: f64 = 0.9;
-/// The share of that time that the oracle lets a request wait at least, however low its value.
+/// The minimum wait that the oracle grants a request, however low its value, as a fraction of the
+/// time given by [`ORACLE_TARGET_SHARE`].
 const ORACLE_MIN_WAIT_SHARE: f64 = 0.1;
 /// The weight of the newest request in the oracle's moving average of values.
 const ORACLE_AVERAGE_WEIGHT: f64 = 0.01;
--- a/crates/emulator/src/server/overdrive.rs
+++ b/crates/emulator/src/server/overdrive.rs
@@ -1,5 +1,6 @@
-//! Overdrive: a server with too many requests in its system for too long becomes slower, until at
-//! most half of its cores have been in use for a recovery time.
+//! Overdrive, the slowdown under sustained overload: a server whose requests in the system exceed a
+//! limit per core for longer than a set time becomes slower, until at most half of its cores have
+//! been in use for the recovery time.
 
 use ironmast_balancer::Micros;
 
@@ -19,7 +20,8 @@
     recovery: Micros,
 }
 
-/// Whether a server is overdriven, and since when it has met the condition to begin or to end that.
+/// Whether a server is overdriven, and since when the condition for entering or for leaving that
+/// state has held.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Overdrive {
     active: bool,
--- a/crates/emulator/src/simulation/ids.rs
+++ b/crates/emulator/src/simulation/ids.rs
@@ -16,7 +16,7 @@
 pub(super) struct ProxyIncarnation {
     /// The proxy's number.
     pub(super) proxy: u32,
-    /// How often it had stopped before.
+    /// The incarnation number: how many times the process had stopped before this run.
     pub(super) incarnation: u32,
 }
 
@@ -25,7 +25,7 @@
 pub(super) struct ServerIncarnation {
     /// The server's number.
     pub(super) server: u32,
-    /// How often it had stopped before.
+    /// The incarnation number: how many times the process had stopped before this run.
     pub(super) incarnation: u32,
 }
 
--- a/crates/emulator/tests/fleet/judge.rs
+++ b/crates/emulator/tests/fleet/judge.rs
@@ -120,6 +120,7 @@
                 }
             }
             Event::AttemptEnded(ended) => {
+                // Without an entry there is no retry: 9 is above every limit below.
                 let attempts = self.attempts.get(&ended.id).copied().unwrap_or(9);
                 let retry = match self.misbehaviour {
                     Misbehaviour::RetriesNonIdempotent | Misbehaviour::RetriesAfterWindow => {
--- a/crates/endpoints/src/gates.rs
+++ b/crates/endpoints/src/gates.rs
@@ -15,7 +15,8 @@
     pub frontend: SocketAddr,
     /// The latest record of the gate.
     pub record: &'a GateRecord,
-    /// Time at which any coordinator last received a report from the gate.
+    /// Time at which any coordinator last received a report from the gate; if none is known, the
+    /// time from which entries expire.
     pub last_heard: Duration,
     /// Whether any coordinator has received a report from the gate within the expiry timeout.
     pub is_reachable: bool,
--- a/crates/fault-injection/src/deployment/layout.rs
+++ b/crates/fault-injection/src/deployment/layout.rs
@@ -7,7 +7,7 @@
 use super::{DISCOVERY, proxy_name};
 use crate::fault::Link;
 
-/// A zone and its pay servers.
+/// A zone and its pay servers, the backends of the deployment.
 #[derive(Clone, Debug)]
 pub struct ZoneLayout {
     /// The name of the zone.
@@ -24,7 +24,7 @@
     }
 }
 
-/// What a deployment consists of.
+/// The program, the zones and the timings from which a deployment is started.
 #[derive(Clone, Debug)]
 pub struct Layout {
     /// The `ironmast` program.
--- a/crates/fault-injection/src/relay/faults.rs
+++ b/crates/fault-injection/src/relay/faults.rs
@@ -22,8 +22,8 @@
         })
     }
 
-    /// Sets the start of the run, so that the times of the faults, of the load and of the
-    /// execution record count from the same moment.
+    /// Sets the start of the run, from which the times of the faults count. The load and the record
+    /// of executions on the servers must use the same start.
     pub fn begin(&self, start: Instant) {
         *self.start.write().expect("not poisoned") = start;
     }
@@ -54,7 +54,8 @@
             .collect()
     }
 
-    /// What to do now with a datagram from `from` to `to`; see [`Schedule::datagram`].
+    /// What to do now with a datagram from `from` to `to`; `jitter` and `chance` are random numbers
+    /// in [0, 1). See [`Schedule::datagram`].
     pub fn datagram(&self, from: &str, to: &str, jitter: f64, chance: f64) -> DatagramAction {
         let schedule = self.schedule.read().expect("not poisoned");
         schedule.datagram(from, to, self.elapsed(), jitter, chance)
--- a/crates/gate/src/feed.rs
+++ b/crates/gate/src/feed.rs
@@ -1,4 +1,4 @@
-//! The link to the agent on the same host: receives entries and sends the gate's readiness.
+//! The feed, the gate's link to the agent on the same host: receives entries and sends the gate's readiness.
 //!
 //! A broken link is re-established. Meanwhile the gate keeps serving with the entries that it has.
 
--- a/crates/keyed-ownership/src/lease/tests.rs
+++ b/crates/keyed-ownership/src/lease/tests.rs
@@ -11,8 +11,8 @@
     PermitTiming::slow_start().takeover_delay
 }
 
-/// The time from which another owner can have completed its takeover delay during a gap that
-/// follows a confirmation requested at 10 s.
+/// The end of a harmless gap after a confirmation requested at 10 s: from then on, another owner
+/// can have completed its takeover delay.
 fn harmless_until() -> Duration {
     ms(10_000) + takeover_delay() - PermitTiming::slow_start().lease_duration
 }
--- a/crates/limits/src/retry_budget/tests.rs
+++ b/crates/limits/src/retry_budget/tests.rs
@@ -128,6 +128,7 @@
         ..SETTINGS
     };
     budget.set_settings(doubled, 8, now);
+    // The share of the doubled burst is 108 / 8 = 13, of which 6 are used.
     assert_eq!(withdrawn(&mut budget, now, 100), 13 - 6);
     let shorter = RetryBudgetSettings {
         window: ms(5_000),
--- a/crates/overlay/src/entry.rs
+++ b/crates/overlay/src/entry.rs
@@ -21,8 +21,8 @@
     pub key: Key,
     /// Version of the entry; it orders the entries of one key.
     pub version: Version,
-    /// Seconds since the removal for a tombstone, 0 for any other entry. The receiver expires a
-    /// tombstone by its age, whenever it receives it.
+    /// Age of a tombstone in seconds since the removal; 0 for any other entry. A receiver expires a
+    /// tombstone by this age and not by the time of receipt.
     pub removed_s: u32,
     /// Opaque payload; `None` for a tombstone.
     #[serde(with = "optional_bytes")]
--- a/crates/overlay/src/overlay/remote_attach.rs
+++ b/crates/overlay/src/overlay/remote_attach.rs
@@ -18,8 +18,9 @@
 /// if the agent keeps a standby link anyway.
 const STANDBY_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Interval between the attempts of such an agent if it keeps no standby link: other agents of its
-/// region look for a better parent, and it can then attach below them.
+/// Interval between the attempts of an attached agent whose root is out of contact with a majority,
+/// if the agent keeps no standby link: other agents of its region look for a better parent, and it
+/// can then attach below them.
 const ATTACHED_RETRY_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Additional delay before the first attempt of an attached agent that keeps no standby link.
@@ -29,11 +30,13 @@
 const MAX_COORDINATORS_PER_ATTEMPT: usize = 2;
 
 impl Overlay {
-    /// Whether an agent without a parent may graft one in another region. The agents of a region
-    /// may do so in the order of their scores, the designated successor of the lost parent at once,
-    /// and an agent whose parent is alive but detached only after an additional `dead_timeout`. A
-    /// parent below a root out of contact with the majority counts as lost, but agents that keep no
-    /// standby link wait [`ATTACHED_START_DELAY`] longer before they leave it.
+    /// Whether an agent that has lost its parent may graft one in another region. A parent that is
+    /// detached, or below a root out of contact with the majority, counts as lost. The agents of a
+    /// region may do so in the order of their scores, with these exceptions:
+    ///
+    /// - The designated successor of the lost parent may do so at once.
+    /// - An agent whose parent is alive but detached waits an additional `dead_timeout`.
+    /// - An attached agent that keeps no standby link waits [`ATTACHED_START_DELAY`] longer.
     pub(super) fn may_attach_remotely(&self, now: Duration) -> bool {
         self.remote_attach_at(now).is_some_and(|at| at <= now)
     }
--- a/crates/register/src/proposer/rounds.rs
+++ b/crates/register/src/proposer/rounds.rs
@@ -150,7 +150,7 @@
         let Assembled { batch, state } =
             Batch::assemble(self.queue.drain(..), read, ballot, guards);
         let is_unchanged = state.sequence == read.proposal.state.sequence;
-        // `Guard::FenceBeforeAnswer` explains why.
+        // An unchanged answer may need an accept phase first; see `Guard::FenceBeforeAnswer`.
         let must_accept_again =
             guards.enforces(Guard::FenceBeforeAnswer) && batch.answers_unchanged();
         if is_unchanged && read.is_chosen && !must_accept_again {
--- a/crates/register/tests/orders.rs
+++ b/crates/register/tests/orders.rs
@@ -178,7 +178,7 @@
 
 /// Runs the test above over many more seeds.
 #[test]
-#[ignore = "minutes"]
+#[ignore = "takes several minutes"]
 fn of_changes_on_one_base_one_is_acknowledged_over_many_seeds() {
     assert_races(10_000..14_000, 3);
     assert_races(20_000..21_000, 5);
--- a/crates/routing/src/decider/dispatch.rs
+++ b/crates/routing/src/decider/dispatch.rs
@@ -73,6 +73,7 @@
                 limits.withdraw(now, &self.table.services()[service as usize])
             });
         } else {
+            // No withdrawal is needed, or the one for a retry that was never sent is still unused.
             call.is_retry_withdrawn = true;
         }
         call.is_retry_withdrawn
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -19,7 +19,8 @@
 /// A server whose heartbeats are missing counts as alive only if something was received from it at
 /// least this long after they stopped, in microseconds.
 const HEARTBEAT_LOSS_GRACE: Micros = 250_000;
-/// Time for which such a server counts as alive after each receipt, in microseconds.
+/// Time for which a server whose heartbeats are missing counts as alive after each receipt, in
+/// microseconds.
 const LIVENESS_OVER_HEARTBEATS: Micros = 3_000_000;
 /// Time for which any server counts as alive after anything was received from it, in microseconds.
 const LIVENESS_TTL: Micros = 500_000;
@@ -169,7 +170,7 @@
         !self.is_listed && self.occupancy.in_flight == 0
     }
 
-    /// True if the server owes a response and nothing was received from it for `timeout`
+    /// True if attempts at the server are in flight and nothing was received from it for `timeout`
     /// microseconds.
     pub(crate) fn is_unresponsive(&self, now: Micros, timeout: Micros) -> bool {
         let since = self.in_flight_since.max(self.last_heard);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -23,8 +23,10 @@
 //!
 //! An eligible server is ready, not in an evacuated zone, not ejected by outlier detection, not
 //! missing its heartbeats and not displaced by another instance (421); it has slots and KV cache
-//! left, and a permit if it is warming up. If no server is left, ejected ones are used, then those
-//! whose heartbeats are missing. Among the candidates a prompt goes to the server that rendezvous
+//! left, and a permit if it is warming up. If every server that is ready, in a zone that is not
+//! evacuated and not displaced is ejected, is missing its heartbeats or was already tried, ejected
+//! servers are used, then those whose heartbeats are missing. A lack of slots, KV cache or permits
+//! does not cause this fallback. Among the candidates a prompt goes to the server that rendezvous
 //! hashing with bounded loads assigns its shared prefix to, and every other request is balanced by
 //! shuffled round robin.
 //!
--- a/crates/routing/src/rejection/tests.rs
+++ b/crates/routing/src/rejection/tests.rs
@@ -57,7 +57,7 @@
     assert!(delay(60 * SECOND, 60 * SECOND) <= max * 5 / 4);
     assert!(
         delay(SECOND, SECOND) <= SECOND / 3 * 5 / 4,
-        "more than a third of the remaining time and its jitter"
+        "at most a third of the remaining time, plus jitter"
     );
     assert!(delay(SECOND, 0) <= min * 5 / 4);
 }
--- a/crates/routing/tests/model/mod.rs
+++ b/crates/routing/tests/model/mod.rs
@@ -82,7 +82,7 @@
 /// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Plan {
-    /// Excess and floor of the load bounds of the affinity; round robin if `None`.
+    /// Load bounds of the affinity: the excess and the floor; round robin if `None`.
     pub affinity: Option<(f64, f64)>,
     /// Number of shared prefixes of each kind; the first ones are more frequent.
     pub prefixes: usize,
@@ -370,9 +370,9 @@
         self.schedule(first_byte_in, Event::FirstByte(request_id));
     }
 
-    /// Returns true if a request is not in flight any more or makes no progress because its server
-    /// has crashed or is silent. A crash ends it at once; a silent server, by the client's
-    /// time-out.
+    /// Returns true if the current event of a request has no effect, because the request is no
+    /// longer in flight or its server has crashed or is silent. Ends the request at once after a
+    /// crash; at a silent server, schedules the client's disconnect after its time-out.
     fn loses_event(&mut self, request_id: usize) -> bool {
         let Some(server) = self
             .in_flight
--- a/crates/schema/src/invalid_fields.rs
+++ b/crates/schema/src/invalid_fields.rs
@@ -9,7 +9,7 @@
 pub struct InvalidFields(garde::Report);
 
 impl InvalidFields {
-    /// Takes the report of the rules in the fields' attributes.
+    /// Wraps the report of `garde`, which checks the rules in the fields' attributes.
     pub(crate) fn new(report: garde::Report) -> Self {
         InvalidFields(report)
     }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,4 +1,4 @@
-//! Parsing of a line's fields.
+//! Parsing of the tab-separated fields of a line; `-` stands for an absent value.
 
 use std::str::{FromStr, Split};
 
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -38,7 +38,8 @@
 }
 
 impl<I: Serialize + DeserializeOwned> IdentityFile<I> {
-    /// Reads the identity in a folder, if one is stored, and makes it durable again.
+    /// Reads the identity in a folder, if one is stored, and rewrites it, since the stored one may
+    /// not have reached the disk.
     ///
     /// # Errors
     /// As [`Log::open`].
--- a/crates/testbed/src/compare/charts.rs
+++ b/crates/testbed/src/compare/charts.rs
@@ -65,7 +65,7 @@
     })
 }
 
-/// The mean service of the runs by column of time; none for columns without requests.
+/// The mean service of the runs per column of the time axis; columns without requests are omitted.
 fn service_over_time(scenario: &Scenario, runs: &PolicyRuns) -> Vec<(f64, f64)> {
     let width_s = scenario.length_s / COLUMNS as f64;
     let point = |column: usize| {
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -1,4 +1,4 @@
-//! `hunt`: searches random scenarios for faults of a policy. Each finding is shrunk to the simplest
+//! `hunt`: searches random scenarios for failures of a policy. Each finding is shrunk to the simplest
 //! scenario that still shows it.
 
 mod finding;
@@ -73,7 +73,7 @@
     /// The policy whose service is the reference.
     #[arg(long, default_value = "two-choices")]
     pub reference: PolicyName,
-    /// Service this far below the reference's is a finding.
+    /// Report a finding if the service is lower than the reference's by more than this (0 to 1).
     #[arg(long, default_value_t = 0.25)]
     pub gap: f64,
     /// The directory for the scenario files of findings.
@@ -110,7 +110,8 @@
             Ok(service) => service,
             Err(finding) => return Some(finding),
         };
-        // A reference that breaks a rule or panics is a fault of the emulator, and reported as one.
+        // A reference that breaks a rule or panics shows a fault of the emulator. Both are reported
+        // as a panic.
         match finding::service(scenario, self.reference, seed) {
             Ok(reference) => (service < reference - self.gap)
                 .then_some(Finding::PoorService { service, reference }),
--- a/crates/transport/src/body/memory.rs
+++ b/crates/transport/src/body/memory.rs
@@ -11,8 +11,7 @@
 /// Streamed bodies may use the process's memory divided by this number.
 const MEMORY_DIVISOR: usize = 3;
 
-/// Limits the memory of all streamed bodies together, and is the only counter of that memory.
-/// Buffered bodies are not counted, as the number of connections bounds them. Clones share one
+/// Limits the memory of all streamed bodies together. Buffered bodies are not counted, as the number of connections bounds them. Clones share one
 /// limit.
 #[derive(Clone)]
 pub struct BodyMemory {
