--- a/crates/keyed-ownership/src/lease/tests.rs
+++ b/crates/keyed-ownership/src/lease/tests.rs
@@ -13,7 +13,7 @@
 
 /// The end of a harmless gap after a confirmation requested at 10 s: from then on, another owner
 /// can have completed its takeover delay.
-fn harmless_until() -> Duration {
+fn end_of_harmless_gap() -> Duration {
     ms(10_000) + takeover_delay() - PermitTiming::slow_start().lease_duration
 }
 
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn lease_expires_by_the_request_for_its_confirmation() {
+fn lease_duration_counts_from_the_request_of_the_confirmation() {
     let mut lease = lease_at_10_s();
     lease.confirm(ms(10_400), confirmed(5, ms(10_200)));
     assert_eq!(lease.leased_until(), Some(ms(11_200)));
@@ -124,7 +124,7 @@
 fn ownership_continues_over_a_gap_in_which_no_other_gate_can_have_granted() {
     let mut lease = lease_at_10_s();
     lease.adopt(view(9, &[1]));
-    let until = harmless_until();
+    let until = end_of_harmless_gap();
     let in_time = until - ms(1);
     lease.confirm(in_time, confirmed(9, in_time));
     assert_eq!(lease.state(until, &KEY), active(9));
@@ -134,7 +134,7 @@
 fn takeover_delay_begins_anew_after_a_gap_in_which_another_gate_can_have_granted() {
     let mut lease = lease_at_10_s();
     lease.adopt(view(9, &[1]));
-    let until = harmless_until();
+    let until = end_of_harmless_gap();
     lease.confirm(until, confirmed(9, until));
     assert_eq!(lease.state(until, &KEY), delayed_from(until));
 }
--- a/crates/register/src/proposer/rounds.rs
+++ b/crates/register/src/proposer/rounds.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Start {
     /// The round has started, or waits for another proposer's round.
-    Possible,
+    StartedOrWaiting,
     /// No round can start: a reserved ballot counter or a first known state is missing.
     Blocked,
 }
@@ -35,10 +35,10 @@
         };
         if self.may_query() {
             self.start_query(now, context, view, effects);
-            return Start::Possible;
+            return Start::StartedOrWaiting;
         }
         if self.should_defer(now, context) {
-            return Start::Possible;
+            return Start::StartedOrWaiting;
         }
         let reserved = context.reserved_counter;
         let Some(ballot) = self.next_ballot(view.ballot.counter, reserved, effects) else {
@@ -47,7 +47,7 @@
         self.metrics.prepares += 1;
         let query = self.query(context, view);
         self.begin(now, query.into_prepare(ballot), Batch::default(), effects);
-        Start::Possible
+        Start::StartedOrWaiting
     }
 
     /// Sends the requests of a round and makes it the active round.
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -21,7 +21,7 @@
 const HEARTBEAT_LOSS_GRACE: Micros = 250_000;
 /// Time for which a server whose heartbeats are missing counts as alive after each receipt, in
 /// microseconds.
-const LIVENESS_OVER_HEARTBEATS: Micros = 3_000_000;
+const LIVENESS_TTL_WITHOUT_HEARTBEATS: Micros = 3_000_000;
 /// Time for which any server counts as alive after anything was received from it, in microseconds.
 const LIVENESS_TTL: Micros = 500_000;
 /// Time for which a server is suspect after an attempt at it failed without a response, unless
@@ -197,12 +197,15 @@
 
     /// True if the server's heartbeats are missing and this gate has no newer sign of life: nothing
     /// was received later than [`HEARTBEAT_LOSS_GRACE`] after they stopped, or nothing within the
-    /// last [`LIVENESS_OVER_HEARTBEATS`]. A server that responds is alive, and the fault may be in
+    /// last [`LIVENESS_TTL_WITHOUT_HEARTBEATS`]. A server that responds is alive, and the fault may be in
     /// the path of the heartbeats.
     pub(crate) fn is_presumed_lost(&self, now: Micros) -> bool {
         let missing_since = self.spec.heartbeats_missing_since.unwrap_or_default();
         let is_alive = self.last_heard >= missing_since.saturating_add(HEARTBEAT_LOSS_GRACE)
-            && self.last_heard.saturating_add(LIVENESS_OVER_HEARTBEATS) > now;
+            && self
+                .last_heard
+                .saturating_add(LIVENESS_TTL_WITHOUT_HEARTBEATS)
+                > now;
         self.misses_heartbeats && !(is_alive && Guard::LivenessOverHeartbeats.on())
     }
 
--- a/crates/routing/src/rejection/tests.rs
+++ b/crates/routing/src/rejection/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn promised_slots_follow_each_other_and_expire_with_time() {
+fn retry_times_follow_each_other_and_expire_with_time() {
     let mut schedule = RetrySchedule::default();
     let (one, other): (Arc<str>, Arc<str>) = ("one".into(), "other".into());
     assert_eq!(
