--- a/crates/coordinator/src/resolve/tests.rs
+++ b/crates/coordinator/src/resolve/tests.rs
@@ -30,6 +30,8 @@
     gate(zone, false, true)
 }
 
+/// A gate whose updates have stopped and whose last one reported it as ready: it has not been shut
+/// down.
 fn lost(zone: &str) -> GateRecord {
     gate(zone, true, true)
 }
--- a/crates/endpoints/src/gates.rs
+++ b/crates/endpoints/src/gates.rs
@@ -16,7 +16,7 @@
     /// The latest record of the gate.
     pub record: &'a GateRecord,
     /// Time at which any coordinator last received a report from the gate; if none is known, the
-    /// time from which entries expire.
+    /// earliest time at which expiry timeouts start.
     pub last_heard: Duration,
     /// Whether any coordinator has received a report from the gate within the expiry timeout.
     pub is_reachable: bool,
--- a/crates/routing/src/endpoint.rs
+++ b/crates/routing/src/endpoint.rs
@@ -197,8 +197,8 @@
 
     /// True if the server's heartbeats are missing and this gate has no newer sign of life: nothing
     /// was received later than [`HEARTBEAT_LOSS_GRACE`] after they stopped, or nothing within the
-    /// last [`LIVENESS_TTL_WITHOUT_HEARTBEATS`]. A server that responds is alive, and the fault may be in
-    /// the path of the heartbeats.
+    /// last [`LIVENESS_TTL_WITHOUT_HEARTBEATS`]. A server that responds is alive, and the fault may
+    /// be in the path of the heartbeats.
     pub(crate) fn is_presumed_lost(&self, now: Micros) -> bool {
         let missing_since = self.spec.heartbeats_missing_since.unwrap_or_default();
         let is_alive = self.last_heard >= missing_since.saturating_add(HEARTBEAT_LOSS_GRACE)
