--- a/crates/overlay/tests/overlay/contact.rs
+++ b/crates/overlay/tests/overlay/contact.rs
@@ -118,7 +118,8 @@
     assert!(usual < ms(500) && slow > ms(700));
 }
 
-/// A network in which a coordinator is cut off from the others and reports its loss of contact.
+/// A network in which a coordinator is cut off from the others and has detected its loss of
+/// contact.
 fn isolated_out_of_contact(guards: Guards) -> Simulation {
     let mut scenario = Scenario::new(CutKind::Coordinators, 6, guards, Detection::Undetected, 1);
     scenario
--- a/crates/overlay/tests/overlay/contact/scenario.rs
+++ b/crates/overlay/tests/overlay/contact/scenario.rs
@@ -238,7 +238,7 @@
         self.script.sort_by_key(|(at, _)| *at);
     }
 
-    /// Adds several short cuts, within [`CUT_LENGTH`], in place of a long one.
+    /// Adds several short cuts, which begin within [`CUT_LENGTH`], in place of a long one.
     fn script_short_cuts(&mut self, from: Duration) {
         let mut at = from;
         while at < from + CUT_LENGTH {
--- a/crates/testbed/src/chart/heat_map.rs
+++ b/crates/testbed/src/chart/heat_map.rs
@@ -5,7 +5,7 @@
 
 use super::{Area, ChartError, DrawError, FONT, MARGIN, TITLE_SIZE, X_LABEL_HEIGHT, draw};
 
-/// The most rows. More servers are drawn as means of neighbours.
+/// The maximum number of rows. With more servers, a row is the mean of neighbouring servers.
 const MAX_ROWS: usize = 100;
 
 /// The x position at which the chart ends and the colour key begins, in pixels.
@@ -14,7 +14,7 @@
 /// The width of the row labels, in pixels.
 const Y_LABEL_WIDTH: u32 = 90;
 
-/// The most row labels.
+/// The maximum number of row labels.
 const MAX_Y_LABELS: usize = 12;
 
 /// The size of labels, in pixels.
@@ -43,8 +43,8 @@
     (200.0, 30.0, 40.0),
 ];
 
-/// The busy share of the cores in each column of time, by position of the server; not a number
-/// while no server runs there.
+/// The busy share of the cores (0 to 1) in each column of time, by position of the server; NaN
+/// while no server runs at the position.
 struct Grid {
     cells: Vec<[f32; COLUMNS]>,
     zones: Vec<String>,
@@ -96,7 +96,7 @@
         format!("{} {position}", self.zones[position])
     }
 
-    /// The mean busy share of a row's servers in a column; not a number if none ran.
+    /// The mean busy share of a row's servers in a column; NaN if none ran.
     fn busy(&self, row: usize, column: usize) -> f32 {
         let cells = self.positions(row).iter();
         let running = cells
@@ -125,8 +125,8 @@
     RGBColor(mix(from.0, to.0), mix(from.1, to.1), mix(from.2, to.2))
 }
 
-/// A heat map of the servers over a run of `length_s` seconds: one row for each position, ordered by
-/// zone.
+/// A heat map of the servers over a run of `length_s` seconds: one row for each position, ordered
+/// by zone.
 ///
 /// # Errors
 /// The chart could not be drawn.
--- a/crates/testbed/src/chart/line.rs
+++ b/crates/testbed/src/chart/line.rs
@@ -97,8 +97,8 @@
         .to_string()
 }
 
-/// A chart of latency in milliseconds (logarithmic) over the percentile, up to 99.99 %. The x values
-/// of the points are from [`latency_axis_position`].
+/// A chart of latency in milliseconds (logarithmic) over the percentile, up to 99.99 %. The x
+/// values of the points are from [`latency_axis_position`].
 ///
 /// # Errors
 /// The chart could not be drawn.
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -25,8 +25,9 @@
         scenario: PathBuf,
     },
     /// Runs a fault-injection scenario with real proxies on loopback: one row a second, then the
-    /// verdict. The exit code is 1 if a non-idempotent request was executed twice, one was served without an
-    /// execution, or the result differs from the scenario's [expect] table.
+    /// verdict. The exit code is 1 if a non-idempotent request was executed twice, a request was
+    /// answered as served without an execution, or the result differs from the scenario's [expect]
+    /// table.
     #[allow(rustdoc::broken_intra_doc_links, reason = "printed by --help as it is")]
     Stage {
         /// The scenario's file (see scenarios/stage/).
@@ -41,16 +42,17 @@
         #[arg(long, value_name = "DIR")]
         logs: Option<PathBuf>,
     },
-    /// Runs an example of fault injection: pay servers in two zones, discovery, three proxies and
-    /// their load; the proxies are partitioned from their zone's servers for 10 s. One row a second
-    /// for 30 s.
+    /// Runs an example of fault injection: servers of the service pay in two zones, discovery, and
+    /// three proxies under load; the proxies are partitioned from the servers of their zone for 10
+    /// s. One row a second for 30 s.
     Demo {
         /// The ironmast program [default: the one beside this program].
         #[arg(long, value_name = "PATH")]
         proxy: Option<PathBuf>,
     },
-    /// Simulates the proxies' membership protocol: false downs under datagram loss, bytes a second,
-    /// and the time until all members know of a crash. The exit code is 1 if that is more than 60 s.
+    /// Simulates the proxies' membership protocol: false downs (living members declared down) under
+    /// datagram loss, bytes a second, and the time until all members know of a crash. The exit code
+    /// is 1 if that is more than 60 s.
     Membership {
         /// The number of members, 2 to 5,000.
         #[arg(long, default_value_t = 16)]
@@ -103,26 +105,27 @@
         #[command(flatten)]
         comparison: ComparisonArguments,
     },
-    /// Searches random scenarios for broken rules, panics, runs that do not terminate and service far
-    /// below a reference, and shrinks what it finds. The exit code is 1 if there is a finding.
+    /// Searches random scenarios for broken rules, panics, runs that do not terminate and service
+    /// far below that of a reference policy, and shrinks each finding to a simpler scenario. The
+    /// exit code is 1 if there is a finding.
     Hunt(hunt::Hunt),
-    /// Runs days of the system on the operators' bench, over seeds, and lists broken rules. Runs that
-    /// are stored from an earlier call are not repeated. The exit code is 1 if a rule was broken or a
-    /// run gave no report.
+    /// Runs day files of the system on the operators' bench, over seeds, and lists broken rules.
+    /// Runs that are stored from an earlier call are not repeated. The exit code is 1 if a rule was
+    /// broken or a run gave no report.
     Days(days::Days),
 }
 
 /// The arguments that `compare` and `sweep` share.
 #[derive(Args)]
 pub(crate) struct ComparisonArguments {
-    /// The policies; differences are from the first.
+    /// The policies; differences are computed against the first.
     #[arg(
         long,
         value_delimiter = ',',
         default_value = "module,two-choices,zone-round-robin,ceiling"
     )]
     pub policies: Vec<PolicyName>,
-    /// The number of seeds; each policy has the same, 1 to N.
+    /// The number of seeds N; each policy is run with the seeds 1 to N.
     #[arg(long, default_value_t = 8)]
     pub seeds: u64,
     /// The directory for tables, charts and the report.
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,5 +1,5 @@
-//! `compare`: scenarios under several policies with the same seeds. Prints a table for each scenario
-//! and writes CSV, charts and one report.
+//! `compare`: runs scenarios under several policies with the same seeds, prints a table for each
+//! scenario, and writes CSV, charts and one report.
 
 mod charts;
 mod summary;
@@ -29,8 +29,8 @@
     pub out: &'a Path,
 }
 
-/// Makes all runs, and reports those that were completed also if they were stopped. The exit code is
-/// 1 if a rule was broken, and 130 after Ctrl-C.
+/// Makes all runs and reports the completed ones, also after Ctrl-C. The exit code is 1 if a rule
+/// was broken, and 130 after Ctrl-C.
 ///
 /// # Errors
 /// Two scenarios have the same name, there is nothing to run, or a file cannot be written.
@@ -54,7 +54,7 @@
     Ok(exit_code(&results))
 }
 
-/// A name that two scenarios have.
+/// A name that more than one scenario has.
 fn duplicate_name(scenarios: &[Scenario]) -> Option<&str> {
     let names = || scenarios.iter().map(|scenario| &*scenario.name);
     names()
@@ -103,8 +103,8 @@
     }
 }
 
-/// A name as part of a file's name: characters other than ASCII letters, digits, `-`, `_` and `.`
-/// are replaced.
+/// A scenario's name as part of a file name: characters other than ASCII letters, digits, `-`, `_`
+/// and `.` become `_`.
 fn file_name(name: &str) -> String {
     let is_allowed =
         |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
--- a/crates/testbed/src/compare/charts.rs
+++ b/crates/testbed/src/compare/charts.rs
@@ -8,7 +8,7 @@
 };
 use crate::statistics::Estimate;
 
-/// The least latency that is drawn, in milliseconds: the axis is logarithmic.
+/// The lowest latency that is drawn, in milliseconds: a logarithmic axis cannot show 0.
 const MIN_LATENCY_MS: f64 = 0.01;
 
 /// A chart with the name of its file.
--- a/crates/testbed/src/compare/summary.rs
+++ b/crates/testbed/src/compare/summary.rs
@@ -6,7 +6,7 @@
 use crate::statistics::{Estimate, Metric, P99_MS, SERVICE, WORST_WINDOW};
 use crate::table::Table;
 
-/// The columns with a mean and its interval.
+/// The columns with a mean and its confidence interval.
 const METRICS: [(&str, Metric); 4] = [
     ("service", SERVICE),
     ("worst window", WORST_WINDOW),
@@ -28,7 +28,7 @@
         self.reports.len()
     }
 
-    /// A figure of each run.
+    /// The values of a metric, one for each run.
     pub(super) fn values(&self, metric: impl Fn(&Report) -> f64) -> Vec<f64> {
         self.reports.iter().map(|report| metric(report)).collect()
     }
@@ -61,8 +61,8 @@
     policies.iter().copied().map(runs_of).collect()
 }
 
-/// Means with intervals, the difference in service from the first policy, paired by seed, and the
-/// number of broken rules.
+/// One row for each policy: means with intervals, the difference in service from the first policy
+/// (paired by seed), and the number of broken rules.
 pub(super) fn summary_table(by_policy: &[PolicyRuns]) -> Table {
     let Some(baseline) = by_policy.first() else {
         return Table {
@@ -106,7 +106,7 @@
     row
 }
 
-/// The mean difference of pairs and whether it is significant.
+/// The mean difference of pairs, and whether it is significant (`real`) or not (`not told apart`).
 fn difference(values: &[f64], baseline: &[f64]) -> String {
     let difference = Estimate::of_paired_differences(values, baseline);
     let verdict = if difference.is_significant() {
--- a/crates/testbed/src/days.rs
+++ b/crates/testbed/src/days.rs
@@ -1,8 +1,8 @@
-//! `days`: runs day files of the system on the operators' bench, over seeds and sites, and lists what
-//! broke.
+//! `days`: runs day files of the system on the operators' bench, over seeds and sites, and lists
+//! the broken rules.
 //!
 //! The bench is a program outside this project, given by its path. The output of each run is stored
-//! in a file of its own, so that a command that was stopped continues where it was when it is given
+//! in a file of its own, so that a command that was stopped continues where it was when it is run
 //! again.
 
 mod day_run;
@@ -60,8 +60,8 @@
     out: PathBuf,
 }
 
-/// Makes the runs that have no report yet, then lists all. The exit code is 1 if a rule was broken
-/// or a run gave no report.
+/// Makes the runs that have no stored report yet, then lists the results of all runs. The exit code
+/// is 1 if a rule was broken or a run gave no report.
 ///
 /// # Errors
 /// The bench cannot be started, or a file cannot be written.
@@ -88,7 +88,7 @@
 }
 
 impl Days {
-    /// All runs, one seed of each day after the other: a command that is stopped has run each day
+    /// All runs, ordered by seed first, so that a command that is stopped has run each day about
     /// equally often.
     fn runs(&self) -> Vec<DayRun> {
         let mut runs = Vec::new();
@@ -104,14 +104,14 @@
         runs
     }
 
-    /// Makes runs in parallel: each thread takes the next that no other has begun.
+    /// Makes runs in parallel: each thread takes the next run that no other thread has begun.
     fn run_pending(&self, runs: &[&DayRun]) -> Result<(), FileError> {
         let next = AtomicUsize::new(0);
         let work = || {
             while let Some(run) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
                 self.run_day(run)?;
                 let result = DayResult::read((*run).clone(), &self.out);
-                // Progress that can't be shown, as on a full disk, is no reason to end the runs.
+                // A failure to print progress, as on a full disk, must not end the runs.
                 let _ = writeln!(io::stderr(), "{result}");
             }
             Ok(())
@@ -124,19 +124,20 @@
         })
     }
 
-    /// Has the bench run one day. The output is renamed to its final path only when the bench has
-    /// ended.
+    /// Runs one day on the bench. The output is renamed to its final path only when the bench has
+    /// ended, so that partial output is never taken for a result.
     fn run_day(&self, run: &DayRun) -> Result<(), FileError> {
         let path = run.output_path(&self.out);
         let partial = path.with_extension("part");
         let failed = FileError::io(&partial);
-        // Several threads may create the same directory at once, so it is not probed by a file.
+        // `files::ensure_directory` writes a probe file, which threads that share a directory would
+        // remove from each other; so the directory is only created.
         fs::create_dir_all(path.parent().expect("it is in a directory")).map_err(&failed)?;
         let output = File::create(&partial).map_err(&failed)?;
         let errors = output.try_clone().map_err(&failed)?;
         let mut command = self.bench_command(run);
         command.stdin(Stdio::null()).stdout(output).stderr(errors);
-        // The exit code may be that of a broken rule: only the report shows what came of the day.
+        // The exit code is ignored: it may be that of a broken rule, and the report has the result.
         command.status().map_err(FileError::io(&self.bench))?;
         fs::rename(&partial, &path).map_err(&failed)
     }
--- a/crates/testbed/src/days/day_run.rs
+++ b/crates/testbed/src/days/day_run.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Why a run has no report. The message contains its cause, because the list of runs shows it on
-/// one line.
+/// The reason why a run has no report. The message contains its cause, because the list of runs
+/// shows it on one line.
 #[derive(Debug, Error)]
 pub(super) enum MissingReport {
     /// The file with the bench's output cannot be read.
@@ -45,7 +45,7 @@
     Unreadable {
         /// The path of the file.
         path: PathBuf,
-        /// Why it cannot be read.
+        /// The cause.
         cause: io::Error,
     },
     /// The bench's output is no report.
@@ -57,7 +57,7 @@
 pub(super) struct DayResult {
     /// The run.
     pub run: DayRun,
-    /// The report, or why there is none.
+    /// The report, or the reason why there is none.
     pub report: Result<DayReport, MissingReport>,
 }
 
--- a/crates/testbed/src/days/report.rs
+++ b/crates/testbed/src/days/report.rs
@@ -1,4 +1,4 @@
-//! Parses the report that the bench prints of a day.
+//! Parses the report of a day that the bench prints.
 
 use std::fmt;
 
@@ -34,23 +34,23 @@
     pub count: u64,
 }
 
-/// Why a text that the bench printed is no report.
+/// The reason why the bench's output is not a report.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum ReportError {
-    /// The bench printed no table of days; with its last line.
+    /// The bench printed no table of days. The text is the last line that it printed.
     #[error("{0}")]
     Unfinished(String),
     /// The bench printed nothing.
-    #[error("nothing was printed")]
+    #[error("the bench printed nothing")]
     Empty,
     /// The table of days has a heading and no row.
     #[error("the report ends after its heading")]
     HeadingOnly,
     /// The row of the day has no machine counts or no value.
-    #[error("not a day's line: {0}")]
+    #[error("invalid row in the table of days: {0}")]
     InvalidRow(String),
     /// A broken rule has no valid count.
-    #[error("not a list of rules: {0}")]
+    #[error("invalid list of broken rules: {0}")]
     InvalidRules(String),
 }
 
--- a/crates/testbed/src/days/summary.rs
+++ b/crates/testbed/src/days/summary.rs
@@ -48,11 +48,11 @@
     }
 }
 
-/// All results: a line for each that broke a rule, fell short of the gate or has no report, then a
-/// table of days.
+/// The printed summary: a line for each result that broke a rule, fell short of the gate or has no
+/// report, then a table of all days and sites.
 pub(super) struct Summary<'a> {
     results: &'a [DayResult],
-    /// By the names of the day and of the site.
+    /// The totals by the names of the day and of the site.
     totals: BTreeMap<(String, String), Totals>,
 }
 
--- a/crates/testbed/src/emulate.rs
+++ b/crates/testbed/src/emulate.rs
@@ -1,4 +1,4 @@
-//! `check` and `emulate`: one scenario, and one run of it.
+//! `check` and `emulate`: validate a scenario, and run it once.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
 /// The most broken rules that the summary lists.
 const MAX_LISTED_VIOLATIONS: usize = 5;
 
-/// Prints what a scenario contains.
+/// Validates a scenario and prints a summary of it.
 ///
 /// # Errors
 /// The file cannot be read, or contains no valid scenario.
--- a/crates/testbed/src/files.rs
+++ b/crates/testbed/src/files.rs
@@ -8,23 +8,24 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// A file or directory that cannot be used. The message is its path; the cause is the source.
+/// An error of reading or writing a file or directory. The message is the path; the cause is the
+/// source.
 #[derive(Debug, Error)]
 pub(crate) enum FileError {
-    /// It cannot be read or written.
+    /// The file or directory cannot be read or written.
     #[error("{}", path.display())]
     Io {
-        /// Its path.
+        /// The path.
         path: PathBuf,
         /// The cause.
         source: io::Error,
     },
-    /// It contains no valid scenario.
+    /// The file contains no valid scenario.
     #[error("{}", path.display())]
     Scenario {
-        /// Its path.
+        /// The path.
         path: PathBuf,
-        /// The line and what is wrong there.
+        /// The line and the problem in it.
         source: ScenarioError,
     },
     /// The result has no JSON form.
@@ -33,7 +34,7 @@
 }
 
 impl FileError {
-    /// Makes an I/O error that concerns `path`.
+    /// A function that turns I/O errors that concern `path` into [`FileError::Io`].
     pub(crate) fn io(path: &Path) -> impl Fn(io::Error) -> FileError {
         move |source| FileError::Io {
             path: path.to_path_buf(),
@@ -44,7 +45,7 @@
 
 /// A scenario and the text from which it was parsed.
 pub(crate) struct LoadedScenario {
-    /// The path of its file.
+    /// The path of the file.
     pub path: PathBuf,
     /// The text of the file.
     pub text: String,
@@ -69,7 +70,7 @@
     })
 }
 
-/// Creates a directory if necessary and checks that files can be created in it.
+/// Creates a directory if necessary and checks with a probe file that files can be created in it.
 ///
 /// # Errors
 /// The directory or a file in it cannot be created.
--- a/crates/testbed/src/html_report.rs
+++ b/crates/testbed/src/html_report.rs
@@ -1,4 +1,4 @@
-//! An HTML report with its tables and charts in one file.
+//! HTML reports: tables and charts in one file.
 
 use crate::table::Table;
 
@@ -14,7 +14,7 @@
     pub charts: Vec<String>,
 }
 
-/// The HTML page with some sections. It refers to no other file.
+/// A complete HTML page with these sections. Charts are inline, so it refers to no other file.
 pub(crate) fn html_report(title: &str, sections: &[Section]) -> String {
     let mut html = format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>{0}</title>\n<style>\n\
--- a/crates/testbed/src/hunt.rs
+++ b/crates/testbed/src/hunt.rs
@@ -1,4 +1,4 @@
-//! `hunt`: searches random scenarios for faults of a policy. What it finds is shrunk to the simplest
+//! `hunt`: searches random scenarios for faults of a policy. Each finding is shrunk to the simplest
 //! scenario that still shows it.
 
 mod finding;
@@ -22,10 +22,10 @@
 use crate::files::{self, FileError, load_scenario};
 use crate::runner::Runner;
 
-/// The most attempts at shrinking a scenario.
+/// The maximum number of simpler scenarios that are tried to shrink one finding.
 const MAX_SHRINK_ATTEMPTS: usize = 300;
 
-/// The longest time limit, in minutes.
+/// The maximum of the time limit, in minutes.
 const MAX_MINUTES: f64 = 1e6;
 
 /// A range of seeds, `FROM..TO`.
@@ -89,22 +89,22 @@
 }
 
 impl Hunt {
-    /// The time limit.
+    /// The time limit; `None` if there is none.
     ///
     /// # Errors
-    /// It is not positive, or out of range.
+    /// The limit is not above 0 and at most [`MAX_MINUTES`].
     fn time_limit(&self) -> eyre::Result<Option<Duration>> {
         let Some(minutes) = self.minutes else {
             return Ok(None);
         };
         ensure!(
             minutes > 0.0 && minutes <= MAX_MINUTES,
-            "--minutes is {minutes}, expected more than 0"
+            "--minutes is {minutes}, expected more than 0 and at most {MAX_MINUTES}"
         );
         Ok(Some(Duration::from_secs_f64(minutes * 60.0)))
     }
 
-    /// What a scenario shows.
+    /// Runs a scenario under the policy and the reference; `None` if nothing is wrong.
     fn check(&self, scenario: &Scenario, seed: u64) -> Option<Finding> {
         let service = match finding::service(scenario, self.policy, seed) {
             Ok(service) => service,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Searches the scenario of one seed, and shrinks it if it shows something.
+    /// Checks the scenario of one seed, and shrinks it if it has a finding.
     fn search(&self, base: Option<&Scenario>, seed: u64, runner: &Runner) -> Option<FoundScenario> {
         let mut scenario = base.cloned().unwrap_or_else(|| generate_scenario(seed));
         add_faults(&mut scenario, seed);
@@ -174,8 +174,8 @@
     }
 }
 
-/// Runs the hunt; prints and writes the findings. The exit code is 1 if there are any, and 130 after
-/// Ctrl-C without any.
+/// Runs the hunt; prints and writes the findings. The exit code is 1 if there are any, and 130
+/// after Ctrl-C without any.
 ///
 /// # Errors
 /// An argument is invalid, or a file cannot be read or written.
@@ -213,8 +213,8 @@
     })
 }
 
-/// Searches all seeds on all cores until the time limit or Ctrl-C. One result for each seed that was
-/// searched, in the order of the seeds.
+/// Searches all seeds on all cores until the time limit or Ctrl-C. One result for each seed that
+/// was searched, in the order of the seeds.
 fn search_all(
     hunt: &Hunt,
     base: Option<&Scenario>,
@@ -235,7 +235,7 @@
     seeds.map(search).while_some().collect()
 }
 
-/// Runs something without the messages of panics: a panic is a finding with a line of its own.
+/// Calls `run` with panic messages suppressed: a panic is a finding and is printed as one.
 fn without_panic_messages<T>(run: impl FnOnce() -> T) -> T {
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
@@ -244,7 +244,7 @@
     result
 }
 
-/// Writes the scenario of a finding, with the command that shows it, and prints the finding.
+/// Writes the scenario of a finding, with the command that reproduces it, and prints the finding.
 fn write_found(found: &FoundScenario, policy: PolicyName, out: &Path) -> Result<(), FileError> {
     let FoundScenario {
         seed,
--- a/crates/testbed/src/hunt/finding.rs
+++ b/crates/testbed/src/hunt/finding.rs
@@ -1,4 +1,4 @@
-//! What a run can show to be wrong, and how it is found.
+//! The kinds of findings of a hunt, and the check of a run for them.
 
 use std::any::Any;
 use std::fmt;
@@ -6,26 +6,27 @@
 
 use ironmast_emulator::{PolicyName, Report, Rule, Scenario, Simulation};
 
-/// A run with more events than this for each request does not terminate.
+/// A run with more events than this for each request counts as one that does not terminate.
 const MAX_EVENTS_PER_REQUEST: u64 = 100;
 
-/// The most requests that are expected for each that the scenario's rate gives: clients retry.
+/// The maximum number of requests, with the clients' retries, for each request of the scenario's
+/// rate.
 const MAX_REQUESTS_PER_ARRIVAL: f64 = 5.0;
 
-/// Requests that are allowed beyond, for short scenarios.
+/// The number of requests that are allowed in addition; it matters for short scenarios.
 const REQUEST_ALLOWANCE: u64 = 10_000;
 
 /// The simulated time between two checks of the number of events, in seconds.
 const CHECK_INTERVAL_S: f64 = 0.25;
 
-/// Something wrong that a scenario shows.
+/// A failure that a scenario shows.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Finding {
     /// A rule was broken; with the circumstances.
     RuleBroken(Rule, String),
     /// A policy or the emulator panicked; with the message.
     Panicked(String),
-    /// The run does not terminate.
+    /// The run has more events than its requests explain, and counts as endless.
     NonTerminating,
     /// The policy's service is far below the reference's.
     PoorService {
@@ -51,7 +52,10 @@
         match self {
             Finding::RuleBroken(rule, circumstances) => write!(f, "{rule} broken: {circumstances}"),
             Finding::Panicked(message) => write!(f, "panic: {message}"),
-            Finding::NonTerminating => write!(f, "events without end"),
+            Finding::NonTerminating => write!(
+                f,
+                "the run does not terminate: too many events for its requests"
+            ),
             Finding::PoorService { service, reference } => {
                 write!(f, "service {service:.3}, the reference has {reference:.3}")
             }
@@ -86,7 +90,7 @@
     let mut until_s = 0.0;
     loop {
         until_s += CHECK_INTERVAL_S;
-        // What was begun within the scenario's length may end after it.
+        // Requests that began within the scenario's length may end after it.
         let is_last = until_s > scenario.length_s;
         if simulation.run_to(if is_last {
             f64::from(u32::MAX)
--- a/crates/testbed/src/hunt/generator.rs
+++ b/crates/testbed/src/hunt/generator.rs
@@ -6,7 +6,7 @@
     FaultKind, Network, Pool, Proxies, Purpose, RetryWait, Rules, Scenario, Stream,
 };
 
-/// All kinds of faults. A seed's faults depend on their order.
+/// All kinds of faults. Their order must not change: the faults of a seed depend on it.
 const FAULT_KINDS: [FaultKind; 12] = [
     FaultKind::Slow,
     FaultKind::SlowDependency,
@@ -25,7 +25,8 @@
 /// The probability that a kind of fault is present in a scenario.
 const FAULT_PROBABILITY: f64 = 0.3;
 
-/// The latest start of a fault, as a share of the scenario's length: its effects show before the end.
+/// The latest start of a fault, as a share of the scenario's length, so that its effects show
+/// before the end.
 const MAX_FAULT_START_SHARE: f64 = 0.7;
 
 /// The range of the load, as a share of what warm servers can do: from mostly idle to overloaded.
@@ -225,15 +226,15 @@
         }
         let fault = generate_fault(random, kind, scenario);
         scenario.faults.push(fault);
-        // The fault may concern a zone without servers.
+        // A fault that concerns a zone without servers is invalid and left out.
         if scenario.validate().is_err() {
             scenario.faults.pop();
         }
     }
 }
 
-/// Generates a fault of a kind. Settings that the kind does not use are drawn too, so that a seed
-/// gives the same numbers to the others.
+/// Generates a fault of a kind. Settings that the kind does not use are drawn too, so that the
+/// settings drawn after them do not depend on the kind.
 fn generate_fault(random: &mut Stream, kind: FaultKind, scenario: &Scenario) -> Fault {
     let zone = &scenario.zones[random.below(scenario.zones.len())];
     let is_zone_fault = matches!(kind, FaultKind::ZoneLoss | FaultKind::ZonePartition);
@@ -267,7 +268,7 @@
     }
 }
 
-/// Rounded, so that a scenario's file is readable.
+/// The value rounded to one decimal place, so that a scenario's file is readable.
 fn rounded_to_tenths(value: f64) -> f64 {
     (value * 10.0).round() / 10.0
 }
--- a/crates/testbed/src/hunt/shrink.rs
+++ b/crates/testbed/src/hunt/shrink.rs
@@ -1,4 +1,5 @@
-//! Simplifications of a scenario, from which the smallest one that still shows a finding is chosen.
+//! Simplifications of a scenario: `hunt` keeps the first that still shows a finding of the same
+//! kind.
 
 use ironmast_emulator::{Arrivals, Clients, DiscoverySpec, Fault, Network, RetryWait, Scenario};
 
@@ -57,7 +58,7 @@
     (0..count).map(without).collect()
 }
 
-/// Half as long; and ended soon after the last fault.
+/// The scenario at half its length, and ended soon after the last fault.
 fn shorter(original: &Scenario) -> [Scenario; 2] {
     let fault_ends = original.faults.iter().map(|fault| fault.at_s + fault.for_s);
     let last_end_s = fault_ends.fold(MIN_LENGTH_S, f64::max);
@@ -72,7 +73,7 @@
     ]
 }
 
-/// Half of the servers, of the requests or of the proxies; one zone less.
+/// The scenario with half of the servers, requests or proxies, or with one zone less.
 fn smaller(original: &Scenario) -> Vec<Scenario> {
     let mut scenarios = vec![
         changed(original, |scenario| {
@@ -94,7 +95,8 @@
     scenarios
 }
 
-/// Plain clients, network or discovery; proxies distributed evenly over zones.
+/// The scenario with plain clients, a default network or default discovery, or with proxies
+/// distributed evenly over the zones.
 fn plainer(original: &Scenario) -> [Scenario; 4] {
     [
         changed(original, |scenario| {
@@ -113,7 +115,7 @@
     ]
 }
 
-/// A fault of half the duration, of half the share, or at an earlier time.
+/// The scenario with one fault of half the duration, of half the share, or at half the time.
 fn with_weaker_fault(original: &Scenario, index: usize) -> [Scenario; 3] {
     let with =
         |change: fn(&mut Fault)| changed(original, |scenario| change(&mut scenario.faults[index]));
--- a/crates/testbed/src/hunt/tests.rs
+++ b/crates/testbed/src/hunt/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `hunt.rs`.
+//! Tests of the generator of scenarios, and of shrinking.
 
 use super::*;
 
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,5 +1,15 @@
-//! The testbed's command line: runs scenarios in the emulator or with real proxies and reports the
+//! The program `ironmast-testbed`: runs scenarios with emulated or real proxies and reports the
 //! results.
+//!
+//! [`cli`] defines the subcommands. `check` and `emulate` ([`emulate`]), `compare` and `sweep` run
+//! emulated scenarios: [`runner`] runs trials in parallel, [`matrix`] combines scenarios, policies
+//! and seeds, and [`statistics`], [`table`], [`chart`] and [`html_report`] present the results.
+//! `hunt` searches random scenarios for faults of a policy. `stage` and `demo` ([`stage`]) inject
+//! faults into real proxies on loopback, `membership` simulates the membership protocol, and `days`
+//! runs day files on the operators' bench. [`files`] reads scenarios and writes results.
+//!
+//! The exit code is 0 on success, 1 if a run found something wrong, 2 if nothing could be run, and
+//! 130 if Ctrl-C stopped the runs.
 #![forbid(unsafe_code)]
 
 mod chart;
@@ -126,7 +136,7 @@
     })
 }
 
-/// The policies without duplicates, in their order.
+/// The policies in their order, each only once: a duplicate would be run and listed twice.
 fn without_duplicates(policies: Vec<PolicyName>) -> Vec<PolicyName> {
     let mut distinct = Vec::new();
     for policy in policies {
--- a/crates/testbed/src/matrix.rs
+++ b/crates/testbed/src/matrix.rs
@@ -13,13 +13,13 @@
                           late,refused,failed,p50_us,p90_us,p99_us,p999_us,max_us,mean_load,greatest_load,attempts,\
                           cross_zone,probes,breaks,events,wall_s,digest\n";
 
-/// The runs to be made.
+/// The combinations of scenario, policy and seed to run.
 pub(crate) struct RunMatrix<'a> {
     /// The scenarios.
     pub scenarios: &'a [Scenario],
     /// The policies. Under one seed all have the same clients, work and faults.
     pub policies: &'a [PolicyName],
-    /// The number of seeds: 1 up to and including this one.
+    /// The number of seeds; the seeds are 1 to this number.
     pub seeds: u64,
 }
 
@@ -54,7 +54,7 @@
     pub(crate) fn run(&self, out: &Path) -> eyre::Result<MatrixReports> {
         ensure!(
             self.seeds > 0 && !self.policies.is_empty(),
-            "nothing to play, expected one policy and one seed at least"
+            "nothing to run: at least one policy and one seed are required"
         );
         files::ensure_directory(out)?;
         let trials = self.trials();
--- a/crates/testbed/src/membership.rs
+++ b/crates/testbed/src/membership.rs
@@ -2,8 +2,9 @@
 //! rate of datagram loss.
 //!
 //! A trial has three phases: 10 s without loss, in which the members join; `seconds` with loss, in
-//! which any living member that is declared down is a false down; then member 0 crashes, and the
-//! detection time is the time until every other member has declared it down (60 s at most).
+//! which each declaration that a living member is down counts as a false down; then member 0
+//! crashes, and the detection time is the time until every other member has declared it down (60 s
+//! at most).
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -15,7 +16,7 @@
 /// The time without loss in which the members join.
 const JOIN_TIME: Duration = Duration::from_secs(10);
 
-/// The longest time in which a crash is awaited to be known to all members.
+/// The maximum time until all members know of the crash; the trial ends after it.
 const MAX_DETECTION_TIME: Duration = Duration::from_secs(60);
 
 /// The interval at which it is checked which members know of the crash.
@@ -61,20 +62,22 @@
     knowing_members: usize,
 }
 
-/// Runs the trial and prints one line of text or JSON. The exit code is 1 if not all members knew of
-/// the crash in time.
+/// Runs the trial and prints one line of text or JSON. The exit code is 1 if not all members knew
+/// of the crash in time.
 ///
 /// # Errors
 /// An argument is out of its range.
 pub(crate) fn run(trial: &Trial) -> eyre::Result<ExitCode> {
     ensure!(
         (2..=5000).contains(&trial.members),
-        "--members {}: 2 to 5,000 expected",
+        "--members is {}, expected 2 to 5,000",
         trial.members
     );
     ensure!(
         (0.0..=0.9).contains(&trial.loss) && (1.0..=3600.0).contains(&trial.seconds),
-        "--loss 0 to 0.9 and --seconds 1 to 3,600 expected"
+        "--loss is {} and --seconds is {}, expected 0 to 0.9 and 1 to 3,600",
+        trial.loss,
+        trial.seconds
     );
     let measurement = measure(trial);
     if trial.json {
@@ -89,7 +92,7 @@
     })
 }
 
-/// Plays the three phases.
+/// Runs the three phases of the trial.
 fn measure(trial: &Trial) -> Measurement {
     let mut cluster = SimulatedCluster::new(trial.members);
     cluster.run(JOIN_TIME, &lossless);
@@ -111,8 +114,8 @@
     let lost_steps = (loss * LOSS_STEPS as f64) as u64;
     move |from, to, _, datagram| {
         let ends = (from as u64) << 40 ^ (to as u64) << 52;
-        // The multiplier of Fibonacci hashing (2^64 divided by the golden ratio); its high bits vary
-        // most.
+        // The multiplier of Fibonacci hashing (2^64 divided by the golden ratio); its high bits
+        // vary most.
         let hash = (datagram ^ seed.rotate_left(17) ^ ends).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         (hash >> 20) % LOSS_STEPS < lost_steps
     }
--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -15,18 +15,18 @@
 /// A simulated time after the end of any run, in seconds.
 const BEYOND_END_S: f64 = u32::MAX as f64;
 
-/// One run to be emulated.
+/// A scenario to be emulated under a policy with a seed.
 #[derive(Clone)]
 pub(crate) struct Trial<'a> {
-    /// Its scenario.
+    /// The scenario.
     pub scenario: &'a Scenario,
-    /// Its policy.
+    /// The policy of the proxies.
     pub policy: PolicyName,
-    /// The seed of its random numbers.
+    /// The seed of all random numbers.
     pub seed: u64,
 }
 
-/// The report of a run with the time and memory it needed.
+/// The report of a run, with the time and memory that the run took.
 #[derive(Clone, Serialize)]
 pub(crate) struct MeasuredReport {
     /// The emulator's report.
@@ -85,12 +85,12 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Counts a run as completed that was not run by [`Runner::run`].
+    /// Advances the progress bar by a run that was made without [`Runner::run`].
     pub(crate) fn count_completed(&self) {
         self.bar.inc(u64::from(STEPS_PER_RUN));
     }
 
-    /// Runs one trial; `None` if it was stopped.
+    /// Runs one trial; `None` if Ctrl-C stopped it.
     pub(crate) fn run(&self, trial: &Trial) -> Option<MeasuredReport> {
         let started = Instant::now();
         let mut simulation = Simulation::new(trial.scenario, trial.policy, trial.seed);
@@ -113,7 +113,8 @@
         Some(measure(simulation.report(), started))
     }
 
-    /// Runs trials on all cores; returns the results of those that were completed, in their order.
+    /// Runs trials on all cores; returns the reports of the completed ones in the order of the
+    /// trials.
     pub(crate) fn run_all(&self, trials: &[Trial]) -> Vec<MeasuredReport> {
         let trials = trials.par_iter();
         trials
@@ -121,7 +122,8 @@
             .collect()
     }
 
-    /// Without a terminal, prints one line on a completed run in place of the progress bar.
+    /// Prints the service of a completed run to standard error if there is no terminal for the
+    /// progress bar.
     fn print_service(&self, run: &MeasuredReport) {
         if self.bar.is_hidden() {
             let Report {
--- a/crates/testbed/src/stage.rs
+++ b/crates/testbed/src/stage.rs
@@ -21,13 +21,13 @@
 
 /// The arguments of `stage` and `demo`.
 pub(crate) struct StageArguments {
-    /// The scenario's file; the demo if there is none.
+    /// The scenario's file; the scenario of `demo` if there is none.
     pub scenario: Option<PathBuf>,
     /// The `ironmast` program; the one beside this program if there is none.
     pub proxy: Option<PathBuf>,
     /// Where the verdict is written as JSON.
     pub json: Option<PathBuf>,
-    /// The directory for the proxies' logs.
+    /// The directory for the proxies' logs; they are discarded if there is none.
     pub logs: Option<PathBuf>,
 }
 
@@ -36,12 +36,14 @@
 enum ProgramError {
     /// There is no file at the path.
     #[error(
-        "no proxy at {}: build it (cargo build --release -p ironmast) or name one with --proxy",
+        "no ironmast program at {}: build it (cargo build --release -p ironmast) or give its path with --proxy",
         .0.display()
     )]
     Missing(PathBuf),
     /// The directory of this program is unknown.
-    #[error("the directory of this program")]
+    #[error(
+        "cannot determine the directory of this program; give the path of ironmast with --proxy"
+    )]
     OwnDirectory(#[source] std::io::Error),
 }
 
@@ -69,8 +71,8 @@
     format!("time {proxies}{zones}  faults")
 }
 
-/// One row of the table, for the second that ends at `second`: per proxy the requests served and
-/// the others, per zone the executions, and the active faults.
+/// One row of the table, for the second that ends at `second`: per proxy the number of requests
+/// served and of all others, per zone the number of executions, and the active faults.
 fn table_row(
     second: u64,
     deployment: &Deployment,
@@ -218,7 +220,7 @@
     };
     let (scenario, schedule) = parse(&text, &file)?;
     let program = program(arguments.proxy)?;
-    // Only the message: it contains its cause.
+    // The error is reduced to its message, which contains its cause already.
     let result = run_with_table(&scenario, schedule, program).map_err(|error| eyre!("{error}"))?;
     let summary = Summary::new(&result);
     summary.print();
--- a/crates/testbed/src/statistics.rs
+++ b/crates/testbed/src/statistics.rs
@@ -5,7 +5,7 @@
 use ironmast_emulator::Report;
 use statrs::distribution::{ContinuousCDF as _, StudentsT};
 
-/// A figure of a run, as a function of its report.
+/// A metric of a run, computed from its report.
 pub(crate) type Metric = fn(&Report) -> f64;
 
 /// The service of a run: the value served in time divided by the value requested.
@@ -60,13 +60,13 @@
         Estimate::of(&differences)
     }
 
-    /// Whether the mean differs significantly from zero: the interval does not contain it.
+    /// Whether the mean differs significantly from zero: the interval does not contain zero.
     pub(crate) fn is_significant(self) -> bool {
         self.mean.abs() > self.half_width
     }
 }
 
-/// `0.9310 +- 0.0040`; the mean alone if there is no interval.
+/// Formats an estimate as `0.9310 +- 0.0040`; the mean alone if there is no interval.
 impl fmt::Display for Estimate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:.4}", self.mean)?;
--- a/crates/testbed/src/sweep.rs
+++ b/crates/testbed/src/sweep.rs
@@ -1,4 +1,5 @@
-//! `sweep`: a scenario with one of its numbers varied over a range.
+//! `sweep`: runs a scenario with one of its numbers varied over a range, prints a table and writes
+//! CSV, charts and a report.
 
 mod variation;
 
@@ -17,9 +18,9 @@
 use crate::table::Table;
 pub(crate) use variation::Variation;
 
-/// A figure that is drawn over the varied value.
+/// A metric that is drawn over the varied value.
 struct Plot {
-    /// The name of its file.
+    /// The name of the chart's file without extension.
     name: &'static str,
     /// The name of the y axis.
     axis: &'static str,
@@ -53,7 +54,7 @@
 pub(crate) struct Sweep<'a> {
     /// The scenario.
     pub base: &'a LoadedScenario,
-    /// What is varied.
+    /// The varied key and its values.
     pub variation: &'a Variation,
     /// The policies.
     pub policies: &'a [PolicyName],
@@ -69,7 +70,7 @@
         format!("{}: {path} from {from} to {to}", self.base.scenario.name)
     }
 
-    /// The scenario with each of the values.
+    /// One scenario for each value.
     fn scenarios(&self) -> eyre::Result<Vec<Scenario>> {
         let values = self.variation.values().into_iter();
         values.map(|value| self.scenario(value)).collect()
@@ -84,8 +85,8 @@
     }
 }
 
-/// Makes all runs, and reports those that were completed also if they were stopped. The exit code is
-/// 130 after Ctrl-C.
+/// Makes all runs and reports the completed ones, also after Ctrl-C. The exit code is 130 after
+/// Ctrl-C.
 ///
 /// # Errors
 /// The scenario is invalid with one of the values, there is nothing to run, or a file cannot be
@@ -141,7 +142,7 @@
         values.zip(self.scenarios)
     }
 
-    /// The mean of a figure over the completed runs of a scenario under a policy.
+    /// The mean of a metric over the completed runs of a scenario under a policy.
     fn estimate(&self, scenario: &Scenario, policy: PolicyName, metric: Metric) -> Estimate {
         let reports = self.reports.iter().map(|run| &run.report);
         let wanted = reports
@@ -178,7 +179,7 @@
         }
     }
 
-    /// A figure over the varied value, as SVG.
+    /// The chart of a metric over the varied value, as SVG.
     fn chart(&self, plot: &Plot) -> Result<String, ChartError> {
         let policies = self.sweep.policies.iter();
         let series: Vec<Series> = policies
--- a/crates/testbed/src/sweep/variation.rs
+++ b/crates/testbed/src/sweep/variation.rs
@@ -55,7 +55,7 @@
 #[derive(Debug, Error)]
 pub(crate) enum VariationError {
     /// The scenario has no table or list at the path.
-    #[error("{0}: the scenario holds no such figure")]
+    #[error("{0}: the scenario has no table or list at this path")]
     UnknownPath(String),
     /// The scenario with the value is invalid.
     #[error("{path} = {value}: {problem}")]
@@ -64,14 +64,15 @@
         path: String,
         /// The value.
         value: f64,
-        /// What is wrong, without the line: the text with the value is in no file.
+        /// The problem, without a line number: the text with the value is not in a file.
         problem: ScenarioProblem,
     },
-    /// The scenario's file is not valid TOML. It is no source: its own text has several lines.
+    /// The scenario's file is not valid TOML. The error is not a source, because its text has
+    /// several lines and errors are printed on one.
     #[error("{}", .0.message())]
     Syntax(toml::de::Error),
     /// The scenario with the value could not be written as TOML.
-    #[error("the varied scenario could not be written")]
+    #[error("the scenario with the varied value cannot be written as TOML")]
     Write(#[from] toml::ser::Error),
 }
 
@@ -84,7 +85,7 @@
     }
 
     /// The scenario `text` with the key set to a value. The value is written as an integer if the
-    /// text has an integer there, or if the scenario is valid only so.
+    /// text has an integer there, or if the scenario is valid only with an integer.
     ///
     /// # Errors
     /// The scenario has no such key, or is invalid with the value.
@@ -116,7 +117,7 @@
     ) -> Result<Scenario, VariationError> {
         let (table, key) = parent_table(&mut root, &self.path)
             .ok_or_else(|| VariationError::UnknownPath(self.path.clone()))?;
-        // A key that the file leaves to its default may be set too: parsing finds wrong names.
+        // A key that the file leaves to its default may be set too: parsing rejects unknown keys.
         table.insert(key.to_string(), toml_value);
         let text = toml::to_string(&root)?;
         Scenario::parse(&text).map_err(|error| VariationError::Invalid {
--- a/crates/testbed/src/sweep/variation/tests.rs
+++ b/crates/testbed/src/sweep/variation/tests.rs
@@ -46,7 +46,7 @@
 fn unknown_keys_and_values_out_of_range_are_named() {
     for (text, expected) in [
         ("clients.speed=1..2", "unknown field `speed`"),
-        ("trouble.7.for_s=1..2", "no such figure"),
+        ("trouble.7.for_s=1..2", "no table or list at this path"),
         ("clients.rate=-5..2", "expected 0.001 to 10000000"),
     ] {
         let error = apply(text, variation(text).from).expect_err(text);
--- a/crates/testbed/src/table.rs
+++ b/crates/testbed/src/table.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Aligned columns, one row a line, without a newline at the end.
+/// Formats the table with aligned columns, one row a line, without a newline at the end.
 impl fmt::Display for Table {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let widths: Vec<usize> = (0..self.header.len())
--- a/crates/testbed/tests/commands.rs
+++ b/crates/testbed/tests/commands.rs
@@ -1,10 +1,10 @@
-//! The command line as a user meets it: results, exit codes, and invalid input reported in one line.
+//! Tests of the command line: results, exit codes, and invalid input reported in one line.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// Runs the test bed with some arguments.
+/// Runs `ironmast-testbed` with these arguments.
 fn testbed(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_ironmast-testbed"))
         .args(arguments)
@@ -16,7 +16,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Asserts the exit code; shows what was printed if it differs.
+/// Asserts the exit code; a failure shows the output of the program.
 #[track_caller]
 fn assert_exit_code(output: &Output, expected: i32) {
     let printed = text(&output.stdout) + &text(&output.stderr);
@@ -33,7 +33,8 @@
     path.to_string_lossy().into_owned()
 }
 
-/// Writes a shipped scenario with a shorter length, so that tests are quick, and returns its path.
+/// Writes a shipped scenario with a shorter length, so that the test is quick, and returns its
+/// path.
 fn shortened_scenario(directory: &Path, name: &str, length_s: f64) -> String {
     let original = fs::read_to_string(scenario(name)).expect("shipped");
     let length = format!("length_s = {length_s:.1}");
@@ -179,7 +180,7 @@
             vec!["check", "nowhere.toml"],
             "nowhere.toml: No such file".into(),
         ),
-        // A run of these would take minutes: they are rejected at once.
+        // Runs with these arguments would take minutes: the output path must be checked before.
         (
             vec!["compare", &large, "--out", &below_file],
             "Not a directory".into(),
@@ -218,7 +219,8 @@
     }
 }
 
-/// A short hunt for broken rules, panics and runs that do not terminate. Longer ones are run by hand.
+/// Searches 60 seeds for broken rules, panics and runs that do not terminate; a gap of 1 accepts
+/// any service. Longer hunts are run by hand.
 #[test]
 fn the_module_breaks_no_rule_in_a_short_hunt() {
     let directory = tempfile::tempdir().expect("a directory");
@@ -229,7 +231,7 @@
     assert!(printed.contains("60 of 60 seeds played"), "{printed}");
 }
 
-/// A program in place of the operators' bench, and the directory in which its output is stored.
+/// A stub of the operators' bench, and the directory in which its output is stored.
 #[cfg(unix)]
 struct StubBench {
     directory: tempfile::TempDir,
@@ -239,8 +241,8 @@
 
 #[cfg(unix)]
 impl StubBench {
-    /// Writes a program in place of the operators' bench: it records its calls and prints a report,
-    /// with a broken rule for seed 2.
+    /// Writes the stub, a shell script: it records its calls and prints a report, with a broken
+    /// rule for seed 2.
     fn new() -> StubBench {
         use std::os::unix::fs::PermissionsExt;
         let directory = tempfile::tempdir().expect("a directory");
