--- a/tools/control_days.py
+++ b/tools/control_days.py
@@ -17,7 +17,7 @@
 
 DEFAULT_DIRECTORY = pathlib.Path(__file__).resolve().parent / "../scenarios/system/control"
 
-# When a fault is injected, in seconds.
+# The times at which a fault is injected, in seconds.
 TIMES_S = (4.0, 13.0, 21.0)
 
 # The seed of the first day; each further day has the next.
@@ -58,7 +58,7 @@
 
 
 def toml_value(value):
-    """A text or a number."""
+    """A text or a number in TOML."""
     return f'"{value}"' if isinstance(value, str) else str(value)
 
 
@@ -110,12 +110,12 @@
 
 
 def with_variant(fields, variant):
-    """The fields with the key of a variant, if there is one."""
+    """The fields with the key `how` of a variant, if there is one."""
     return {**fields, "how": variant} if variant else fields
 
 
 def dashed(text):
-    """A text as part of a day's name."""
+    """A text as part of a day's name, with dashes for underscores and spaces."""
     return text.replace("_", "-").replace(" ", "-")
 
 
@@ -147,7 +147,7 @@
 
 
 def partition_days():
-    """A coordinator that is partitioned."""
+    """A coordinator that is partitioned from other machines."""
     variants = ["", "reader", "turn", "seed", "oldest", "all", "near", "one_way", "reset", "refuse", "seeds", "both",
                 "leader race", "one_way leader meet"]
     yield from variant_days("core_cut", "A coordinator is cut off for 5 s, three times", variants, for_s=5.0)
@@ -204,7 +204,7 @@
 
 
 def invalid_configuration_days():
-    """Three ways in which a configuration is invalid on each day."""
+    """Days with three kinds of invalid configurations each."""
     for variants in [
         ("cut_short", "unknown_service", "same_place"),
         ("no_weight", "no_timeout", "old_version"),
@@ -296,7 +296,7 @@
 
 
 def coordinator_pair_days():
-    """Two faults of coordinators, the second soon after the first."""
+    """Pairs of faults of coordinators, the second soon after the first."""
     yield day(
         "pair-replace-wipe",
         "A coordinator is replaced, then one that acknowledged a change loses its disk.",
@@ -404,7 +404,7 @@
 
 
 def main(arguments):
-    """Writes all days into the directory; the exit code."""
+    """Writes all days into the directory and returns the exit code."""
     directory = pathlib.Path(arguments[0] if arguments else DEFAULT_DIRECTORY)
     directory.mkdir(parents=True, exist_ok=True)
     texts = day_files()
--- a/tools/fleet_counts.py
+++ b/tools/fleet_counts.py
@@ -16,10 +16,10 @@
 import statistics
 import sys
 
-# A field of a record: `name: value`.
+# A field of a log record: `name: value`; the value may contain parentheses.
 FIELD = re.compile(r"([a-z_]+): ([^,]+(?:\([^)]*\))?)")
 
-# The widest column heading.
+# The maximum width of a column heading; longer ones are cut.
 MAX_HEADING = 9
 
 
@@ -34,7 +34,7 @@
 
     @property
     def request(self):
-        """The request of the record; request numbers are unique within a proxy."""
+        """The proxy and the number of the request: request numbers are unique only within a proxy."""
         return self.proxy, self.fields.get("request")
 
 
@@ -96,7 +96,7 @@
     """The counts over all records."""
 
     def __init__(self, records, step_s):
-        """Counts records, which are in the order of time, by steps of `step_s` seconds."""
+        """Counts records, which are sorted by time, in steps of `step_s` seconds."""
         self.start_us = records[0].at_us
         self.step_s = step_s
         self.steps = collections.defaultdict(collections.Counter)
@@ -125,7 +125,7 @@
             "server listed": self._add_listing,
         }
         step = int((record.at_us - self.start_us) / 1e6 / self.step_s)
-        # A step without one of these messages is printed too.
+        # Creates the step, so that a step without any of these messages is printed too.
         counts = self.steps[step]
         handler = handlers.get(record.message)
         if handler:
@@ -175,7 +175,7 @@
         return record.at_us - self.arrived_us.get(record.request, record.at_us)
 
     def propagations(self):
-        """How often each propagation occurred: changes of several servers at the same times count together."""
+        """The number of changes for each propagation: changes of several servers at the same times count together."""
         counts = collections.Counter()
         for change, received_us in self.received_us.items():
             times_s = sorted((at_us - self.start_us) / 1e6 for at_us in received_us.values())
@@ -186,7 +186,7 @@
 
 
 def steps_lines(counts):
-    """One line for each step of time."""
+    """The table of counts, one line for each step of time."""
     columns = ["asked", *sorted(counts.answers), "left", "sent", *sorted(counts.outcomes), "probes"]
     headings = " ".join(f"{column[:MAX_HEADING]:>{MAX_HEADING}}" for column in columns)
     lines = [f"step    {headings}   waited ms (mean, most)"]
@@ -237,7 +237,7 @@
 
 
 def main(arguments):
-    """Reads the logs and prints the counts; the exit code."""
+    """Reads the logs, prints the counts and returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("logs")
     parser.add_argument("--step", type=float, default=1.0)
--- a/tools/site_variant.py
+++ b/tools/site_variant.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Makes a variant of a site file of the operators' bench, to see that nothing is tuned to one deployment alone.
+"""Writes a variant of a site file of the operators' bench, to check that nothing is tuned to a single deployment.
 
     tools/site_variant.py SITE.toml VARIANT OUT.toml
 
@@ -31,7 +31,7 @@
 
 
 def near(text):
-    """The site text with everything closer together."""
+    """The site with shorter targets, prompts and distances, and servers that report their load."""
     text = scale(text, "aim_ms", 0.8)
     text = scale(text, "cross_region_ms", 0.5)
     text = scale_prompts(text, 0.4)
@@ -39,7 +39,7 @@
 
 
 def far(text):
-    """The site text with everything further apart."""
+    """The site with longer targets, prompts and distances, dearer traffic between regions, and larger servers."""
     text = scale(text, "aim_ms", 1.5)
     text = scale(text, "cross_region_ms", 3.0)
     text = scale(text, "cross_region_gb", 2.0)
@@ -52,7 +52,7 @@
 
 
 def variant_text(text, variant):
-    """The text of the variant, whose name ends with that of the variant; None for a text that names no site first."""
+    """The site text as a variant, with the variant appended to the site's name; None if the first line is no name."""
     name = re.search(r'^name = "(.*)"', text)
     if name is None:
         return None
@@ -61,7 +61,7 @@
 
 
 def main(arguments):
-    """Reads the site and writes the variant; the exit code."""
+    """Reads the site, writes the variant and returns the exit code."""
     if len(arguments) != 3 or arguments[1] not in VARIANTS:
         print(__doc__.strip(), file=sys.stderr)
         return 2
@@ -69,7 +69,7 @@
     with open(site, encoding="utf-8") as file:
         text = variant_text(file.read(), variant)
     if text is None:
-        print(f"{site}: the first line names no site", file=sys.stderr)
+        print(f"{site}: the first line is not the name of a site", file=sys.stderr)
         return 1
     with open(out, "w", encoding="utf-8") as file:
         file.write(text)
--- a/tools/worth_lost.py
+++ b/tools/worth_lost.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Adds up what days cost, from the reports that the operators' bench writes (`fleetbench run ... --report FILE`).
+"""Adds up the value that days lost, from reports of the operators' bench (`fleetbench run ... --report FILE`).
 
     tools/worth_lost.py REPORT...
 
@@ -13,10 +13,10 @@
 import pathlib
 import sys
 
-# The rows of the table of windows.
+# The number of rows in the table of windows.
 WINDOWS_SHOWN = 12
 
-# Smaller losses are not shown: they are 0.0000 in the table.
+# Smaller losses are not shown, because the table would print them as 0.0000.
 MIN_LOSS_SHOWN = 0.00005
 
 
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass
 class LastOutcome:
-    """How often an outcome was that of the last attempt of an unserved request."""
+    """The number of unserved requests whose last attempt had an outcome."""
 
     outcome: str
     # The steps of one of the requests.
@@ -78,12 +78,12 @@
 
 
 def lost_requests(row):
-    """The value that a class or window of a report lost, as a number of requests."""
+    """The value that a class or window of a report lost, in requests of full value."""
     return (1 - row["worth"]) * row["n"]
 
 
 def loss_by_part(reports):
-    """What each part of the score loses against 1, weighted, and each price: means over the reports, largest first."""
+    """The weighted loss of each part of the score against 1, and each price: means over the reports, largest first."""
     lost = collections.Counter()
     for report in reports:
         for name, weight, value in report["parts"]:
@@ -146,7 +146,7 @@
 
 
 def outcome_lines(reports):
-    """The outcomes of last attempts, each with its trace."""
+    """The table of the outcomes of last attempts, each with the trace of one request."""
     lines = ["unserved, by the last try"]
     for outcome in last_outcomes(reports):
         lines.append(f"  {outcome.count:6}  {outcome.outcome}")
@@ -173,13 +173,13 @@
 
 
 def read_report(path):
-    """Reads a report. Raises OSError or ValueError for a file that is none."""
+    """Reads a report. Raises OSError or ValueError if the file cannot be read or is not JSON."""
     with open(path, encoding="utf-8") as file:
         return NamedReport(pathlib.PurePath(path).name.removesuffix(".json"), json.load(file))
 
 
 def main(paths):
-    """Reads the reports and prints the tables; the exit code."""
+    """Reads the reports, prints the tables and returns the exit code."""
     if not paths:
         print(__doc__.strip(), file=sys.stderr)
         return 2
